--- a/cmd/pebbletrail/main.go
+++ b/cmd/pebbletrail/main.go
@@ -17,7 +17,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/intake"
 )
 
-var version = "0.1.0"
+var version = "0.2.0"
 
 func main() {
 	if err := root().Execute(); err != nil {
--- a/cmd/pebbletrail/serve.go
+++ b/cmd/pebbletrail/serve.go
@@ -72,7 +72,7 @@
 	// Processes of one node must never share a name, nor repeat one after a
 	// restart within the same millisecond.
 	incarnation := fmt.Sprintf("%s.%x.%x", set.HostName, time.Now().UnixMilli(), rand.Uint32())
-	slog.Info("starting", "node", set.HostName, "incarnation", incarnation)
+	slog.Info("starting", "version", version, "node", set.HostName, "incarnation", incarnation)
 
 	nodes := len(set.Others) + 1
 	st := state.NewClient(set.Services.State, client(16, 16),
@@ -95,8 +95,9 @@
 		k.Run(ctx)
 	}
 	site := &intake.Site{
-		Desk:  &intake.Desk{Set: set, State: st, Jobs: pool.Jobs(), Teller: link, Writer: incarnation, Types: offer.known},
-		Beats: pool,
+		Version: version,
+		Desk:    &intake.Desk{Set: set, State: st, Jobs: pool.Jobs(), Teller: link, Writer: incarnation, Types: offer.known},
+		Beats:   pool,
 		Ready: func() bool {
 			age, ok := st.SinceGood()
 			if !ok {
--- a/internal/intake/http.go
+++ b/internal/intake/http.go
@@ -32,8 +32,14 @@
 	Live func(ctx context.Context, id ids.Job) (lines []string, owner ids.Node, err error)
 	// Status describes the node.
 	Status func() any
+	// Version is the program's, told with the answers to health checks: while it is
+	// being replaced the controllers are told apart by it.
+	Version string
 }
 
+// versionHeader names the program's version in the answers to health checks.
+const versionHeader = "Pebbletrail-Version"
+
 // Explanation is the answer of GET /v2/runs/{id}/explain.
 type Explanation struct {
 	UID    ids.Job       `json:"uid"`
@@ -50,6 +56,7 @@
 	e.HideBanner = true
 	e.POST("/agent/beat", s.beat, s.guard(workerBeat))
 	e.GET("/up", func(c echo.Context) error {
+		c.Response().Header().Set(versionHeader, s.Version)
 		if !s.Ready() {
 			return c.NoContent(503)
 		}
--- a/internal/intake/intake_test.go
+++ b/internal/intake/intake_test.go
@@ -263,3 +263,14 @@
 		}
 	})
 }
+
+func TestHealthAnswersTellTheVersion(t *testing.T) {
+	// Guards against a fleet in the middle of an upgrade whose controllers can't be told
+	// apart from outside.
+	synctest.Test(t, func(t *testing.T) {
+		handler := (&Site{Ready: func() bool { return true }, Version: "9.8.7"}).Handler()
+		if got := call(handler, "GET", "/up", nil).Header().Get("Pebbletrail-Version"); got != "9.8.7" {
+			t.Errorf("the version told is %q", got)
+		}
+	})
+}
