--- a/internal/claim/book.go
+++ b/internal/claim/book.go
@@ -77,7 +77,9 @@
 		rest   int     // and all the rest of the record
 		first  int     // and the description alone
 	}
-	odd        bool // a finished task may still have a place
+	oversize   bool   // its record did not fit into a value when last encoded
+	unfit      uint64 // the version that did not fit
+	odd        bool   // a finished task may still have a place
 	dirtySince time.Time
 	urgent     bool // what changed must be stored before anything can go on
 	guaranteed bool // lies within its team's guarantee
@@ -161,6 +163,8 @@
 	boots        map[string]*boots    // by type
 	owed         map[string]owing     // by team
 	pipes        pipelines
+	// cancellations are the revisions of those stored apart from their jobs' records.
+	cancellations map[ids.Job]ids.Stamp
 
 	// Storing tells whether the state service has answered just now. While it
 	// does not, nothing that is stopped could be started again, so nothing is
@@ -179,27 +183,28 @@
 	return &Book{
 		set: set, writer: writer, gen: gen, first: gen,
 		jobs: map[ids.Job]*Job{}, gone: map[ids.Job]bool{},
-		roster:       worker.NewRoster(set.Params.Workers.LeaseS),
-		hosts:        map[ids.Machine]*host{},
-		shelves:      map[kind]*shelf{},
-		byImage:      map[string]map[*host]bool{},
-		leaving:      map[ids.Machine]bool{},
-		due:          map[*host]bool{},
-		dirty:        map[*Job]bool{},
-		teams:        map[string]placement.Room{},
-		types:        map[string]*placement.Type{},
-		rng:          rand.New(rand.NewPCG(uint64(gen), uint64(len(writer)))),
-		trustSilence: trustSilence,
-		reserved:     map[ids.Machine]reservation{},
-		warm:         map[string]*warmth{},
-		returned:     map[ids.Machine]bool{},
-		dark:         map[string]bool{},
-		boots:        map[string]*boots{},
-		owed:         map[string]owing{},
-		pipes:        newPipelines(),
-		Storing:      func() bool { return true },
-		Starting:     func() (bool, time.Time) { return true, time.Now() },
-		wakeCommit:   make(chan struct{}, 1), wakePlan: make(chan struct{}, 1),
+		roster:        worker.NewRoster(set.Params.Workers.LeaseS),
+		hosts:         map[ids.Machine]*host{},
+		shelves:       map[kind]*shelf{},
+		byImage:       map[string]map[*host]bool{},
+		leaving:       map[ids.Machine]bool{},
+		due:           map[*host]bool{},
+		dirty:         map[*Job]bool{},
+		teams:         map[string]placement.Room{},
+		types:         map[string]*placement.Type{},
+		rng:           rand.New(rand.NewPCG(uint64(gen), uint64(len(writer)))),
+		trustSilence:  trustSilence,
+		reserved:      map[ids.Machine]reservation{},
+		warm:          map[string]*warmth{},
+		returned:      map[ids.Machine]bool{},
+		dark:          map[string]bool{},
+		boots:         map[string]*boots{},
+		owed:          map[string]owing{},
+		pipes:         newPipelines(),
+		cancellations: map[ids.Job]ids.Stamp{},
+		Storing:       func() bool { return true },
+		Starting:      func() (bool, time.Time) { return true, time.Now() },
+		wakeCommit:    make(chan struct{}, 1), wakePlan: make(chan struct{}, 1),
 	}
 }
 
--- a/internal/claim/book_test.go
+++ b/internal/claim/book_test.go
@@ -712,7 +712,7 @@
 	}
 	// A record that comes out larger all the same gives up what has not
 	// started, and the job goes on in smaller batches.
-	b.unplaceable(b.jobs["job-2"])
+	b.tooLarge(b.jobs["job-2"], 8192)
 	b.Plan(now)
 	if n := len(b.jobs["job-2"].places); n == 0 || n > limit/2 {
 		t.Errorf("%d places after the record did not fit", n)
--- a/internal/claim/commit.go
+++ b/internal/claim/commit.go
@@ -161,6 +161,9 @@
 			delete(b.dirty, j)
 			continue
 		}
+		if j.version == j.unfit {
+			continue // it would not fit now either
+		}
 		if j.urgent || now.Sub(j.dirtySince) >= settle {
 			dirty = append(dirty, j)
 		}
@@ -195,19 +198,29 @@
 		if !p.over {
 			rec.Places = packPlaces(j.places)
 		}
-		raw, ok := rec.Encode(limit)
+		encode := rec.Encode
+		if p.over {
+			encode = rec.EncodeFinal
+		}
+		raw, ok := encode(limit)
 		if !ok {
-			b.unplaceable(j)
+			b.tooLarge(j, limit)
 			continue
 		}
+		j.oversize = false
 		if !p.over {
 			j.measured(rec.Places, len(raw)-yielding(rec.Trail))
 		}
 		id := j.Rec.Spec.ID
-		p.conds = append(p.conds, state.Cond{Key: JobKey(id), Stamp: j.stamp})
+		// A cancellation stored apart from the record must not be passed over either.
+		cancellation := state.Cond{Key: CancelKey(id), Stamp: b.cancellations[id]}
+		p.conds = append(p.conds, state.Cond{Key: JobKey(id), Stamp: j.stamp}, cancellation)
 		if p.over {
 			p.conds = append(p.conds, state.Cond{Key: EndKey(id)})
 			p.ops = append(p.ops, state.Op{Remove: JobKey(id)}, state.Op{Put: EndKey(id), Value: raw})
+			if cancellation.Stamp > 0 {
+				p.ops = append(p.ops, state.Op{Remove: CancelKey(id)})
+			}
 		} else {
 			p.ops = append(p.ops, state.Op{Put: JobKey(id), Value: raw})
 		}
@@ -239,25 +252,6 @@
 	return n
 }
 
-// unplaceable gives up places whose marker does not fit into a value: without
-// one nothing of them may start, and they must not hold room for ever. From
-// then on fewer tasks of the job are claimed at a time.
-func (b *Book) unplaceable(j *Job) {
-	slog.Warn("record too large to store; fewer tasks at a time", "job", j.Rec.Spec.ID, "places", len(j.places))
-	j.most = max(1, min(len(j.places), b.openLimit(j))/2)
-	j.waiting = "its places do not fit into a record of the state service"
-	dropped := false
-	for _, i := range sortedTasks(j.places) {
-		if p := j.places[i]; !p.sent {
-			b.dropPlace(p)
-			dropped = true
-		}
-	}
-	if dropped {
-		b.touch(j)
-	}
-}
-
 // stored takes in that a version is in the store.
 func (b *Book) stored(p pending, stamp ids.Stamp) {
 	if p.wait != nil {
@@ -269,6 +263,7 @@
 	j.saved = max(j.saved, p.version)
 	b.settledUpTo(j)
 	if p.over {
+		delete(b.cancellations, j.Rec.Spec.ID)
 		b.finally(j.Rec.Spec.ID, j.Rec.Status)
 		b.forget(j)
 	}
@@ -359,6 +354,9 @@
 			continue
 		}
 		id := p.job.Rec.Spec.ID
+		if conflict.Has(CancelKey(id)) && !c.readCancellation(ctx, id) {
+			return
+		}
 		if !conflict.Has(JobKey(id)) && !conflict.Has(EndKey(id)) {
 			continue
 		}
--- a/internal/claim/learn.go
+++ b/internal/claim/learn.go
@@ -45,6 +45,9 @@
 	if j.version == 0 {
 		j.version, j.saved = 1, 1
 	}
+	if b.cancellations[r.Spec.ID] > 0 && j.Rec.Status.May(Cancelling) {
+		j.Rec.Status = Cancelling
+	}
 	b.jobs[r.Spec.ID] = j
 	b.queue(j)
 	r.eachPlace(func(i int, at spot) {
@@ -111,13 +114,8 @@
 // adopt takes over another controller's write on a known job.
 func (b *Book) adopt(j *Job, stamp ids.Stamp, rec *Record) {
 	j.stamp = stamp
-	if rec.Status == Cancelling && !j.cancelled() {
-		// The user was told so. A completion that only this memory knows came
-		// too late: what is told first stands.
-		if j.Rec.Status == Done {
-			j.Rec.Status = Claimed
-		}
-		b.cancel(j)
+	if rec.Status == Cancelling {
+		b.cancelTold(j)
 	}
 	b.touch(j)
 }
--- a/internal/claim/pool.go
+++ b/internal/claim/pool.go
@@ -84,10 +84,16 @@
 	p.jobs = state.NewMirror(c, JobPrefix, 400*time.Millisecond)
 	p.readAt = p.jobs.AsOf
 	p.jobs.OnChange = func(ch state.Change) {
-		id, waits := keyed(ch.Key())
-		if waits {
+		id, kind := keyed(ch.Key())
+		switch kind {
+		case waitingRecord:
 			p.learnWaiting(id, ch)
 			return
+		case storedCancellation:
+			if b := p.Book(); b != nil {
+				b.LearnCancellation(id, ch.Stamp, ch.Put == "")
+			}
+			return
 		}
 		if ch.Put == "" {
 			p.Learn(id, ch.Stamp, nil)
--- a/internal/claim/record.go
+++ b/internal/claim/record.go
@@ -254,6 +254,30 @@
 	}
 }
 
+// EncodeFinal writes the record of a job that is over into at most limit bytes. Its last
+// event, which tells how it ended, stays as long as anything else can be given up: older
+// events first, then the names of what it awaited and which of its tasks were done, of
+// which only the number is of use any more.
+func (r *Record) EncodeFinal(limit int) (raw json.RawMessage, ok bool) {
+	small := *r
+	for {
+		raw, err := json.Marshal(&small)
+		if err != nil {
+			return nil, false
+		}
+		if len(raw) <= limit {
+			return raw, true
+		}
+		if len(small.Trail) < 2 {
+			break
+		}
+		small.Trail = small.Trail[1:]
+	}
+	small.Spec.Awaits = nil
+	small.Finished = ids.FirstOf(small.Finished.Len())
+	return small.Encode(limit)
+}
+
 // Open counts the tasks that may be on machines.
 func (r *Record) Open() int {
 	n := 0
--- a/internal/claim/takeover.go
+++ b/internal/claim/takeover.go
@@ -147,8 +147,12 @@
 		recs, waits, stamps := map[ids.Job]*Record{}, map[ids.Job]*Record{}, map[ids.Job]ids.Stamp{}
 		for _, e := range jobs {
 			into, decode := recs, Decode
-			if _, waiting := keyed(e.Key); waiting {
+			switch id, kind := keyed(e.Key); kind {
+			case waitingRecord:
 				into, decode = waits, DecodeWaiting
+			case storedCancellation:
+				t.Book.LearnCancellation(id, e.Stamp, false)
+				continue
 			}
 			rec, err := decode(e.Value)
 			if err != nil {
--- a/internal/claim/users_test.go
+++ b/internal/claim/users_test.go
@@ -220,7 +220,7 @@
 	var owns, fresh, raises, takes, ends bool
 	for _, c := range txn.When {
 		owns = owns || c.Key == "pool/generation"
-		fresh = fresh || strings.HasPrefix(c.Key, "job/") && c.Stamp == 0
+		fresh = fresh || strings.HasPrefix(c.Key, "job/") && !strings.HasPrefix(c.Key, "job/cancel/") && c.Stamp == 0
 	}
 	for _, op := range txn.Then {
 		takes = takes || op.Put == "pool/owner"
--- a/internal/claim/waiting.go
+++ b/internal/claim/waiting.go
@@ -21,12 +21,24 @@
 // WaitKey is the key of a job that waits for others.
 func WaitKey(j ids.Job) string { return WaitPrefix + string(j) }
 
-// keyed tells which job a key below JobPrefix belongs to, and whether it waits.
-func keyed(key string) (id ids.Job, waits bool) {
-	if id, waits := strings.CutPrefix(key, WaitPrefix); waits {
-		return ids.Job(id), true
+// keyKind is what is kept at a key below JobPrefix.
+type keyKind int
+
+const (
+	liveRecord keyKind = iota
+	waitingRecord
+	storedCancellation
+)
+
+// keyed tells which job a key below JobPrefix belongs to, and what is kept there.
+func keyed(key string) (ids.Job, keyKind) {
+	if id, ok := strings.CutPrefix(key, WaitPrefix); ok {
+		return ids.Job(id), waitingRecord
+	}
+	if id, ok := strings.CutPrefix(key, CancelPrefix); ok {
+		return ids.Job(id), storedCancellation
 	}
-	return ids.Job(strings.TrimPrefix(key, JobPrefix)), false
+	return ids.Job(strings.TrimPrefix(key, JobPrefix)), liveRecord
 }
 
 // EncodeWaiting writes the record of a job that waits.
--- a/internal/claim/world_test.go
+++ b/internal/claim/world_test.go
@@ -78,7 +78,8 @@
 	workers []*fake.Worker
 	lives   int
 	rules   *rules
-	listed  bool // the owner is told the machines by the cloud's list
+	listed  bool   // the owner is told the machines by the cloud's list
+	next    string // the limits to come of nodes started from now on, as settings
 }
 
 type node struct {
@@ -121,7 +122,7 @@
 
 func (w *world) settings(name string) *config.Settings {
 	other := map[string]string{"a": "b", "b": "a"}[name]
-	set, err := config.Parse([]byte(strings.NewReplacer("NODE", name, "OTHER", other).Replace(settings)))
+	set, err := config.Parse([]byte(strings.NewReplacer("NODE", name, "OTHER", other).Replace(settings + w.next)))
 	if err != nil {
 		w.t.Fatal(err)
 	}
--- a/internal/ids/ids_test.go
+++ b/internal/ids/ids_test.go
@@ -36,3 +36,17 @@
 		}
 	}
 }
+
+func TestTheLongestRunsAreKept(t *testing.T) {
+	var set Ranges
+	for _, i := range []int{0, 2, 3, 5, 7, 8, 9, 12} {
+		set.Add(i)
+	}
+	kept := set.Longest(2)
+	if kept.String() != "2-3,7-9" || kept.Len() != 5 || set.Runs() != 5 || set.Len() != 8 {
+		t.Errorf("of %s, with %d runs, %s are kept, %d in all", set, set.Runs(), kept, kept.Len())
+	}
+	if first := FirstOf(3); first.String() != "0-2" || first.Len() != 3 || len(FirstOf(0).String()) > 0 {
+		t.Errorf("the first three are %s", first)
+	}
+}
--- a/internal/ids/ranges.go
+++ b/internal/ids/ranges.go
@@ -1,7 +1,9 @@
 package ids
 
 import (
+	"cmp"
 	"fmt"
+	"slices"
 	"sort"
 	"strconv"
 	"strings"
@@ -47,6 +49,30 @@
 	return k < len(r.spans) && r.spans[k].lo <= i
 }
 
+// FirstOf is the set of the n lowest indexes.
+func FirstOf(n int) Ranges {
+	if n == 0 {
+		return Ranges{}
+	}
+	return Ranges{spans: []span{{0, n - 1}}, n: n}
+}
+
+// Runs counts the runs of members next to one another.
+func (r *Ranges) Runs() int { return len(r.spans) }
+
+// Longest is the set without all but its n longest runs.
+func (r *Ranges) Longest(n int) Ranges {
+	spans := slices.Clone(r.spans)
+	slices.SortStableFunc(spans, func(a, z span) int { return cmp.Compare(z.hi-z.lo, a.hi-a.lo) })
+	spans = spans[:min(n, len(spans))]
+	slices.SortFunc(spans, func(a, z span) int { return cmp.Compare(a.lo, z.lo) })
+	kept := Ranges{spans: spans}
+	for _, s := range spans {
+		kept.n += s.hi - s.lo + 1
+	}
+	return kept
+}
+
 // Len counts the members.
 func (r *Ranges) Len() int { return r.n }
 
--- a/internal/intake/desk.go
+++ b/internal/intake/desk.go
@@ -7,6 +7,7 @@
 	"fmt"
 	"log/slog"
 	"sync"
+	"sync/atomic"
 	"time"
 
 	"github.com/pebbletrail/pebbletrail/internal/claim"
@@ -41,6 +42,8 @@
 	// Types is the cloud's offer; empty while it is not known.
 	Types func() []placement.Type
 
+	limitsFell atomic.Bool // the state service has refused a value that it took before
+
 	mu   sync.Mutex
 	over map[ids.Job]*answer // final answers never change, so they may be kept
 	q    []ids.Job
@@ -104,31 +107,61 @@
 // lookIn reads a record from the copy, which is as new as the caller needs it, or
 // the final one from the store; nil when there is none.
 func (d *Desk) lookIn(ctx context.Context, id ids.Job, u state.Urgency) (*claim.Record, state.Entry, error) {
-	e, found, ready := d.Jobs.First(claim.JobKey(id), claim.WaitKey(id))
-	if !ready {
-		return nil, e, errNotNow
+	r, e, err := d.live(id)
+	if err != nil || r != nil {
+		return r, e, err
 	}
-	if !found {
-		var err error
-		if e, found, err = d.State.Get(ctx, claim.EndKey(id), u); err != nil {
-			return nil, e, fmt.Errorf("%w: %v", errNotNow, err)
-		}
-		if !found {
-			return nil, e, nil
-		}
+	e, found, err := d.State.Get(ctx, claim.EndKey(id), u)
+	if err != nil {
+		return nil, e, fmt.Errorf("%w: %v", errNotNow, err)
 	}
-	decode := claim.Decode
-	if e.Key == claim.WaitKey(id) {
-		decode = claim.DecodeWaiting
+	if !found {
+		return nil, e, nil
 	}
-	r, err := decode(e.Value)
-	if err != nil {
-		slog.Error("unreadable record", "key", e.Key, "err", err)
-		return nil, e, errNotNow
+	if r, err = claim.Decode(e.Value); err != nil {
+		return nil, e, unreadable(e, err)
 	}
 	return r, e, nil
 }
 
+// live reads the record of an unfinished job from this node's copy, however old; nil if
+// there is none. A cancellation stored apart from the record is applied to it.
+func (d *Desk) live(id ids.Job) (*claim.Record, state.Entry, error) {
+	entries, ready := d.Jobs.Several(claim.JobKey(id), claim.WaitKey(id), claim.CancelKey(id))
+	if !ready {
+		return nil, state.Entry{}, errNotNow
+	}
+	record, waiting, cancellation := entries[0], entries[1], entries[2]
+	switch {
+	case record.Key != "":
+		r, err := claim.Decode(record.Value)
+		if err != nil {
+			return nil, record, unreadable(record, err)
+		}
+		if cancellation.Key != "" {
+			c, err := claim.DecodeCancellation(cancellation.Value)
+			if err != nil {
+				return nil, record, unreadable(cancellation, err)
+			}
+			c.ApplyTo(r)
+		}
+		return r, record, nil
+	case waiting.Key != "":
+		r, err := claim.DecodeWaiting(waiting.Value)
+		if err != nil {
+			return nil, waiting, unreadable(waiting, err)
+		}
+		return r, waiting, nil
+	}
+	return nil, state.Entry{}, nil
+}
+
+// unreadable logs a value that can't be read; what it says can't be told now.
+func unreadable(e state.Entry, err error) error {
+	slog.Error("unreadable record", "key", e.Key, "err", err)
+	return errNotNow
+}
+
 // describedShare is how much of a value a job's description may take: the rest is for
 // what becomes of it.
 const describedShare = 0.6
@@ -254,102 +287,18 @@
 	return tell(r), true, nil
 }
 
-// Cancel ends a queued job at once; of a claimed one it stores the wish, which
-// the pool's owner carries out. Either is committed before it is told.
-func (d *Desk) Cancel(ctx context.Context, id ids.Job) (answer, bool, error) {
-	if a, ok := d.remembered(id); ok {
-		return a, true, nil
-	}
-	for range 5 {
-		r, e, err := d.read(ctx, id, state.Spare)
-		if err != nil || r == nil {
-			return answer{}, false, err
-		}
-		if r.Status.Over() || r.Status == claim.Cancelling {
-			return tell(r), true, nil
-		}
-		now := ids.WallOf(time.Now())
-		r.Writer, r.Seq = d.Writer, r.Seq+1
-		r.Trail = append(r.Trail, claim.Event{At: now, What: "cancelled by its user"})
-		txn := state.Txn{When: []state.Cond{{Key: e.Key, Stamp: e.Stamp}}}
-		limit := int(d.Set.Params.State.ValueKB * 1024)
-		queued := len(r.Places) == 0
-		if queued {
-			r.Status = claim.Cancelled
-			raw, ok := r.Encode(limit)
-			if !ok {
-				return answer{}, false, errNotNow
-			}
-			txn.When = append(txn.When, state.Cond{Key: claim.EndKey(id)})
-			txn.Then = []state.Op{{Remove: e.Key}, {Put: claim.EndKey(id), Value: raw}}
-		} else {
-			r.Status = claim.Cancelling
-			raw, ok := r.Encode(limit)
-			if !ok {
-				// It was written when values might be larger, and the owner has not
-				// been able to write it smaller yet. As long as they may be, this
-				// fits; else the store says so, and the owner comes to it when some
-				// of its tasks have ended.
-				if raw, ok = r.Encode(int(d.Set.Params.State.NowKB * 1024)); !ok {
-					return answer{}, false, errNotNow
-				}
-			}
-			txn.Then = []state.Op{{Put: claim.JobKey(id), Value: raw}}
-		}
-		epoch, err := d.State.Commit(ctx, txn, state.Spare)
-		var conflict *state.Conflict
-		switch {
-		case err == nil:
-			switch {
-			case e.Key == claim.WaitKey(id):
-				d.remember(r) // the owner follows the records
-			case queued:
-				d.remember(r)
-				d.Teller.Tell(id, ids.Stamp(epoch), nil, nil)
-			default:
-				// It may be about to start some of the tasks.
-				told := d.Teller.Tell(id, ids.Stamp(epoch), r, txn.Then[0].Value)
-				select {
-				case <-told:
-				case <-time.After(ownerTold):
-				case <-ctx.Done():
-				}
-			}
-			return tell(r), true, nil
-		case errors.As(err, &conflict):
-			continue // the owner wrote meanwhile: look again
-		default:
-			return answer{}, false, fmt.Errorf("%w: %v", errNotNow, err)
-		}
-	}
-	return answer{}, false, errNotNow
+// Explain is a job's stored trail.
+func (d *Desk) Explain(ctx context.Context, id ids.Job) (*claim.Record, error) {
+	r, _, err := d.read(ctx, id, state.Spare)
+	return r, err
 }
 
-// ownerTold bounds how long a confirmed cancellation of claimed work waits until the
-// pool's owner knows of it. It finds out by itself soon after; but whoever is told that
-// his job is cancelled should not see a task of it start.
-const ownerTold = 200 * time.Millisecond
-
-// lastKnown is a live job's record in this node's copy, however old; nil if there
+// lastKnown is an unfinished job's record in this node's copy, however old; nil if there
 // is none.
 func (d *Desk) lastKnown(id ids.Job) *claim.Record {
-	e, found, _ := d.Jobs.First(claim.JobKey(id), claim.WaitKey(id))
-	if !found {
-		return nil
-	}
-	decode := claim.Decode
-	if e.Key == claim.WaitKey(id) {
-		decode = claim.DecodeWaiting
-	}
-	r, err := decode(e.Value)
+	r, _, err := d.live(id)
 	if err != nil {
 		return nil
 	}
 	return r
 }
-
-// Explain is a job's stored trail.
-func (d *Desk) Explain(ctx context.Context, id ids.Job) (*claim.Record, error) {
-	r, _, err := d.read(ctx, id, state.Spare)
-	return r, err
-}
--- a/internal/state/mirror.go
+++ b/internal/state/mirror.go
@@ -170,6 +170,18 @@
 	return e, found, m.ready
 }
 
+// Several reads several keys, all at one moment; an entry of a key that there is not
+// has no name.
+func (m *Mirror) Several(keys ...string) (entries []Entry, ready bool) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	entries = make([]Entry, len(keys))
+	for i, key := range keys {
+		entries[i] = m.entries[key]
+	}
+	return entries, m.ready
+}
+
 // First reads the first of several keys that there is, all at one moment: a key may
 // move from one to another in between.
 func (m *Mirror) First(keys ...string) (e Entry, found, ready bool) {
