--- a/internal/claim/apply.go
+++ b/internal/claim/apply.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"fmt"
 
 	"github.com/pebbletrail/pebbletrail/internal/state"
 )
@@ -11,6 +12,12 @@
 func (c *Committer) Apply(ctx context.Context, ops []state.Op) error {
 	c.turn <- struct{}{}
 	defer func() { <-c.turn }()
+	limit := int(c.Book.set.Params.State.ValueKB * 1024)
+	for _, op := range ops {
+		if len(op.Value) > limit {
+			return fmt.Errorf("%w: %d bytes at %s, of at most %d", state.ErrMalformed, len(op.Value), op.Put, limit)
+		}
+	}
 	_, err := c.State.Commit(ctx, state.Txn{When: []state.Cond{{Key: GenerationKey, Stamp: c.GenStamp}}, Then: ops}, state.Normal)
 	return err
 }
--- a/internal/state/budget.go
+++ b/internal/state/budget.go
@@ -45,6 +45,9 @@
 	pool     bucket
 	owner    bool
 	loans    []loan
+	throttle throttle
+	// throttled tells that the rates are not back at their full size yet.
+	throttled bool
 }
 
 // share is a part of the calls and of the changes.
@@ -54,6 +57,7 @@
 type bucket struct {
 	calls, writes *rate.Limiter
 	base          float64 // changes a second without loans
+	baseCalls     float64 // calls a second
 	// What happened since the others were last asked for more.
 	used, short int
 	since       time.Time
@@ -95,7 +99,7 @@
 // newBucket begins full: the limits allow bursts of a second's worth.
 func newBucket(calls, writes float64, now time.Time) bucket {
 	return bucket{calls: rate.NewLimiter(rate.Limit(calls), burst(calls)), writes: rate.NewLimiter(rate.Limit(writes), burst(writes)),
-		base: writes, since: now, told: now}
+		base: writes, baseCalls: calls, since: now, told: now}
 }
 
 func burst(perSecond float64) int { return max(4, int(perSecond)) }
@@ -304,11 +308,14 @@
 	b.settle(time.Now())
 }
 
-// settle drops loans that are over and sets the rate by the rest.
+// settle drops loans that are over and sets the rates by the rest, and by how much the
+// state service takes.
 func (b *Budget) settle(now time.Time) {
-	if len(b.loans) == 0 {
+	if len(b.loans) == 0 && !b.throttled {
 		return
 	}
+	part := b.throttle.at(now)
+	b.throttled = part < 1
 	kept, sum := b.loans[:0], 0.0
 	for _, l := range b.loans {
 		if now.Before(l.ends) {
@@ -318,10 +325,14 @@
 	}
 	b.loans = kept
 	for _, k := range []*bucket{&b.users, &b.pool} {
+		if calls := k.baseCalls * part; float64(k.calls.Limit()) != calls {
+			k.calls.SetLimitAt(now, rate.Limit(calls))
+		}
 		v := k.base
 		if k == b.main() {
 			v = max(0.1, v+sum)
 		}
+		v *= part
 		if float64(k.writes.Limit()) != v {
 			k.writes.SetLimitAt(now, rate.Limit(v))
 			k.writes.SetBurstAt(now, burst(v))
--- a/internal/state/client.go
+++ b/internal/state/client.go
@@ -184,7 +184,10 @@
 		return 0, fmt.Errorf("%w: %v", ErrUnknown, err)
 	}
 	switch res.StatusCode {
-	case 503, 429:
+	case http.StatusTooManyRequests:
+		c.budget.TooMany()
+		return res.StatusCode, fmt.Errorf("%w: status %d", ErrRefused, res.StatusCode)
+	case 503:
 		return res.StatusCode, fmt.Errorf("%w: status %d", ErrRefused, res.StatusCode)
 	case 200, 404, 409, 410:
 		// A watch may end with 200 in the middle of an outage: it proves
--- /dev/null
+++ b/internal/state/throttle_test.go
@@ -0,0 +1,59 @@
+package state
+
+import (
+	"context"
+	"errors"
+	"net/http"
+	"sync"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/pebbletrail/pebbletrail/internal/fake"
+)
+
+func TestARefusalForTooManyChangesSlowsTheSenderAtOnce(t *testing.T) {
+	// Guards against a node that goes on at its old pace when the state service takes
+	// less than announced: most of what it sends would be refused, for as long as that
+	// lasts; and against one that stays slow afterwards.
+	synctest.Test(t, func(t *testing.T) {
+		var mu sync.Mutex
+		limit, taken, refused, second := 5, 0, 0, int64(0)
+		n := fake.NewNet()
+		n.Listen("state:1", http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+			mu.Lock()
+			defer mu.Unlock()
+			if now := time.Now().Unix(); now != second {
+				second, taken = now, 0
+			}
+			if taken++; taken > limit {
+				refused++
+				w.WriteHeader(http.StatusTooManyRequests)
+				return
+			}
+			w.Write([]byte(`{"epoch":1}`))
+		}))
+		client := NewClient("state:1", n.Client("a"), NewBudget(100, 40, 1, 0.5))
+		client.Budget().SetOwner(true)
+		put := Txn{Then: []Op{{Put: "a", Value: []byte(`1`)}}}
+		send := func(d time.Duration) (done int) {
+			for end := time.Now().Add(d); time.Now().Before(end); {
+				if _, err := client.Commit(context.Background(), put, Urgent); err == nil {
+					done++
+				} else if !errors.Is(err, ErrRefused) {
+					t.Fatal(err)
+				}
+			}
+			return done
+		}
+		done := send(60 * time.Second)
+		if refused > 120 || done < 150 {
+			t.Errorf("%d of 300 changes were taken, %d refused by the state service", done, refused)
+		}
+		limit = 1000
+		send(20 * time.Second)
+		if done := send(10 * time.Second); done < 170 {
+			t.Errorf("%d changes in 10 s once it takes all again", done)
+		}
+	})
+}
