--- a/internal/claim/book.go
+++ b/internal/claim/book.go
@@ -79,6 +79,7 @@
 	}
 	oversize   bool   // its record did not fit into a value when last encoded
 	unfit      uint64 // the version that did not fit
+	keptRuns   int    // runs of finished tasks that were kept to make it fit; 0: all
 	odd        bool   // a finished task may still have a place
 	dirtySince time.Time
 	urgent     bool // what changed must be stored before anything can go on
--- a/internal/claim/oversize.go
+++ b/internal/claim/oversize.go
@@ -15,14 +15,14 @@
 		slog.Warn("record too large to store; fewer tasks at a time", "job", j.Rec.Spec.ID, "places", len(j.places))
 	}
 	j.oversize = true
-	j.most = max(1, min(len(j.places), b.openLimit(j))/2)
 	j.waiting = "its places do not fit into a record of the state service"
-	if b.takeBackUnsent(j) {
+	j.unfit = j.version
+	single := len(j.places) <= 1
+	if claimed := min(len(j.places), b.openLimit(j)); b.takeBackUnsent(j) {
+		j.most = max(1, claimed/2)
 		b.touch(j)
-		return
 	}
-	j.unfit = j.version
-	if len(j.places) == 0 {
+	if single && len(j.places) == 0 {
 		b.forgetScattered(j, limit)
 	}
 }
@@ -40,18 +40,31 @@
 	return dropped
 }
 
-// forgetScattered makes a record fit that has no places left and yet is too large: of
-// the finished tasks only the longest runs are kept. The others start again; as their
+// forgetScattered makes a record fit that has no places left and yet is too large, or
+// has no room for a single place: of the finished tasks only the longest runs are kept,
+// so that half of the value is free again for places. The others start again; as their
 // results are kept, they exit as done once they have their image.
 func (b *Book) forgetScattered(j *Job, limit int) {
+	if j.Rec.Finished.Runs() < 2 {
+		return // that is not what makes it large
+	}
 	for runs := j.Rec.Finished.Runs(); runs > 1; {
 		runs /= 2
 		j.Rec.Finished = j.Rec.Finished.Longest(runs)
+		j.keptRuns = runs
 		rec := j.Rec
-		if _, fits := rec.Encode(limit); fits {
-			b.note(j, "some finished tasks are asked for again: which ones were done no longer fits into its record")
-			b.touch(j)
-			return
+		rec.Trail = nil
+		if _, fits := rec.Encode(limit / 2); fits {
+			break
 		}
 	}
+	j.most = 0
+	b.note(j, "some finished tasks are asked for again: which ones were done does not fit into its record")
+	b.touch(j)
+}
+
+// mayKeep tells whether one more task may be noted as finished that no place accounts
+// for: not if forgetting such tasks was what made the record fit.
+func (j *Job) mayKeep() bool {
+	return j.keptRuns == 0 || j.Rec.Finished.Runs() < j.keptRuns
 }
--- a/internal/claim/oversize_test.go
+++ b/internal/claim/oversize_test.go
@@ -3,6 +3,7 @@
 import (
 	"net/http"
 	"strings"
+	"sync/atomic"
 	"testing"
 	"time"
 
@@ -168,12 +169,22 @@
 				w.start("a")
 				w.start("b")
 				lose(w)
+				var commits atomic.Int64
+				w.net.SetRule(func(_, _ string, r *http.Request, _ []byte) fake.Fate {
+					if r.URL.Path == "/commit" {
+						commits.Add(1)
+					}
+					return fake.Deliver
+				})
 				for range 600 {
 					if time.Sleep(time.Second); w.store.Value("end/job-1") != nil {
 						break
 					}
 					w.ends("job-1")
 				}
+				if commits.Load() > 100 {
+					t.Errorf("%d transactions", commits.Load())
+				}
 				if w.status("a", "job-1") != "done" || w.store.TooLarge > 0 {
 					t.Errorf("the job is %s, %d writes were too large; store: %s", w.status("a", "job-1"), w.store.TooLarge, w.store)
 				}
--- a/internal/claim/settle.go
+++ b/internal/claim/settle.go
@@ -367,7 +367,7 @@
 				return nil // its outcome must be stored before it is cleared
 			}
 			if pc.Cause == worker.CauseDone && !j.Rec.Finished.Has(k.task.Index) && k.task.Index < j.Rec.Spec.Tasks &&
-				j.places[k.task.Index] == nil && !j.cancelled() {
+				j.places[k.task.Index] == nil && !j.cancelled() && j.mayKeep() {
 				// A result is kept wherever it comes from.
 				j.Rec.Finished.Add(k.task.Index)
 				b.touch(j)
