--- /dev/null
+++ b/internal/fleet/production_test.go
@@ -0,0 +1,33 @@
+package fleet
+
+import (
+	"encoding/json"
+	"os"
+	"reflect"
+	"testing"
+
+	"github.com/pebbletrail/pebbletrail/internal/placement"
+)
+
+func TestWhatTheProductionVersionStoredOfTheCloudIsReadAndWrittenBackAlike(t *testing.T) {
+	// Guards against a request for machines, or the machine types, that another version
+	// reads otherwise. The files were written by the version that deploy/service.toml
+	// names.
+	for name, value := range map[string]any{"hire.json": &Intent{}, "types.json": &[]placement.Type{}} {
+		want, err := os.ReadFile("testdata/production/" + name)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if err := json.Unmarshal(want, value); err != nil {
+			t.Fatal(err)
+		}
+		raw, err := json.Marshal(value)
+		if err != nil {
+			t.Fatal(err)
+		}
+		var before, after any
+		if json.Unmarshal(want, &before) != nil || json.Unmarshal(raw, &after) != nil || !reflect.DeepEqual(before, after) {
+			t.Errorf("%s is written back as %s, not %s", name, raw, want)
+		}
+	}
+}
