--- a/internal/fake/pipe.go
+++ b/internal/fake/pipe.go
@@ -60,6 +60,7 @@
 	}
 }
 
+// Accept waits for the next connection.
 func (l *pipeListener) Accept() (net.Conn, error) {
 	select {
 	case c := <-l.in:
@@ -69,14 +70,19 @@
 	}
 }
 
+// Close ends the listener; those who dial it are refused from then on.
 func (l *pipeListener) Close() error {
 	l.once.Do(func() { close(l.done) })
 	return nil
 }
 
+// Addr is the address given to Listen.
 func (l *pipeListener) Addr() net.Addr { return pipeAddr(l.addr) }
 
 type pipeAddr string
 
-func (pipeAddr) Network() string  { return "pipe" }
+// Network names the kind of connection.
+func (pipeAddr) Network() string { return "pipe" }
+
+// String is the address itself.
 func (a pipeAddr) String() string { return string(a) }
--- a/internal/intake/pipeline.go
+++ b/internal/intake/pipeline.go
@@ -175,7 +175,7 @@
 		return lines, err
 	}
 	if r.Spec.Due > 0 {
-		slack := r.Submitted.Time().Add(r.Spec.Due.Duration()).Sub(time.Now()) - p.left
+		slack := time.Until(r.Submitted.Time().Add(r.Spec.Due.Duration())) - p.left
 		switch {
 		case slack < 0:
 			lines = append(lines, fmt.Sprintf("the pipeline is at risk: by the estimates it ends %.0fs after its deadline; it hangs on %s first", -slack.Seconds(), p.slow))
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -11,7 +11,7 @@
 // Room is an amount of each resource.
 type Room struct{ Cores, Accels, RAM float64 }
 
-// Plus, Minus and Times do arithmetic on amounts.
+// Plus adds.
 func (r Room) Plus(o Room) Room {
 	return Room{r.Cores + o.Cores, r.Accels + o.Accels, r.RAM + o.RAM}
 }
--- a/internal/state/budget.go
+++ b/internal/state/budget.go
@@ -15,12 +15,12 @@
 type Urgency int
 
 const (
-	// Urgent: renewals, settlements and markers, which keep what runs alive.
+	// Urgent calls are renewals, settlements and markers, which keep what runs alive.
 	Urgent Urgency = iota
-	// Normal: news and housekeeping; waits.
+	// Normal calls, for reading changes and for upkeep, wait for tokens.
 	Normal
-	// Spare: users' calls; refused at once while little is left, because a
-	// user told when to come back is better off than one kept waiting. Only for a
+	// Spare calls, those of users, are refused at once while little is left, because
+	// a user told when to come back is better off than one kept waiting. Only for a
 	// token that is due within a fraction of a second they wait: a few requests
 	// that come together must not be sent away by a rate that serves them all.
 	Spare
--- a/internal/state/mirror.go
+++ b/internal/state/mirror.go
@@ -199,7 +199,7 @@
 		m.mu.Lock()
 		after := m.epoch
 		m.mu.Unlock()
-		epoch, news, err := m.c.Follow(ctx, m.prefix, after, 10*time.Second)
+		_, news, err := m.c.Follow(ctx, m.prefix, after, 10*time.Second)
 		switch {
 		case errors.Is(err, ErrTooOld):
 			m.mu.Lock()
@@ -213,7 +213,7 @@
 		// Without news it says nothing: a watch that waits out an outage, or this
 		// node's being refused, may end well with an epoch whose changes it never
 		// showed. To take that for read would lose them for good.
-		if epoch = newest(news); epoch > 0 {
+		if epoch := newest(news); epoch > 0 {
 			m.apply(epoch, news)
 		}
 		sleep(ctx, m.pause)
--- a/internal/worker/commander.go
+++ b/internal/worker/commander.go
@@ -17,13 +17,13 @@
 type Outcome int
 
 const (
-	// Carried: 200, the report shows the effects.
+	// Carried means status 200: the report shows the effects.
 	Carried Outcome = iota
-	// Refused: 409, nothing was executed.
+	// Refused means status 409: nothing was executed.
 	Refused
-	// NotSent: no connection came about, so nothing can arrive later.
+	// NotSent means that no connection came about, so nothing can arrive later.
 	NotSent
-	// Uncertain: it may have been, or may yet be, carried out.
+	// Uncertain means that the commands may have been, or may yet be, carried out.
 	Uncertain
 )
 
--- a/internal/worker/messages.go
+++ b/internal/worker/messages.go
@@ -55,7 +55,7 @@
 	Leeway  *ids.Seconds `json:"leewayS,omitempty"`
 }
 
-// Start, Stop and Clear make the three commands.
+// Start begins an attempt of a task.
 func Start(t ids.Task, a ids.Attempt) Order {
 	return Order{Verb: "start", Task: t.String(), Attempt: a}
 }
