--- a/internal/claim/users_test.go
+++ b/internal/claim/users_test.go
@@ -294,15 +294,15 @@
 	hits := 0
 	hit := func(from, to string, r *http.Request, body []byte) fake.Fate {
 		k := kind(r, body)
+		w.mu.Lock()
+		defer w.mu.Unlock()
 		switch {
 		case holdDies && what == "takeover" && hits > 0 && hits < 3 && strings.HasSuffix(r.URL.Path, "/renew"):
 			return fake.Swallow // so that the hold is gone when the takeover is carried out
 		case what == "raise" && to != "state:1" && r.URL.Path == "/commands" && strings.Contains(string(body), `"start"`):
 			return fake.Hold // an uncertain start, which only a raised generation turns away
 		case k != "" && (what == "any" || k == what) && (hits == 0 || d.n(2) == 0):
-			w.mu.Lock()
 			hits++
-			w.mu.Unlock()
 			return fate
 		}
 		return fake.Deliver
--- a/internal/fake/fake_test.go
+++ b/internal/fake/fake_test.go
@@ -8,6 +8,8 @@
 	"io"
 	"net/http"
 	"strings"
+	"sync"
+	"sync/atomic"
 	"testing"
 	"testing/synctest"
 	"time"
@@ -30,6 +32,12 @@
 	return fmt.Sprintf(`{"when":[{"key":%q,"stamp":%d}],"then":[{"put":%q,"value":%d}]}`, key, stamp, key, stamp)
 }
 
+func epochOf(s *Store) uint64 {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.epoch
+}
+
 func TestTransactionsWithoutAnAnswer(t *testing.T) {
 	// A lost answer's is carried out at once, a late one's after newer ones, where its
 	// conditions are judged.
@@ -58,9 +66,9 @@
 		if code, _ := call(n, "a", "POST", "s:1/commit", put("void", 0)); code != 200 {
 			t.Errorf("a newer one got %d", code)
 		}
-		epoch := s.epoch
+		epoch := epochOf(s)
 		time.Sleep(14 * time.Second)
-		if s.Value("late") == nil || s.epoch != epoch+1 {
+		if s.Value("late") == nil || epochOf(s) != epoch+1 {
 			t.Errorf("the late one was not carried out alone: %s", s)
 		}
 	})
@@ -120,9 +128,10 @@
 			ctx, cancel := context.WithCancel(context.Background())
 			defer synctest.Wait()
 			defer cancel()
-			n, heard, ends := NewNet(), 0, []string{}
+			n, ends := NewNet(), []string{}
+			var heard atomic.Int32
 			n.Listen("a:1", http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
-				heard++
+				heard.Add(1)
 				reply(rw, 200, map[string]any{"baton": 1, "orders": []any{}})
 			}))
 			w := &Worker{Name: "m", Addr: "m:1", Net: n, Nodes: []string{"a:1"}, Report: 2 * time.Second, Lease: 20 * time.Second,
@@ -133,13 +142,13 @@
 			if c.hung > 0 {
 				w.SetHung(true)
 			}
-			before := heard
+			before := heard.Load()
 			if code, _ := call(n, "a", "POST", "m:1/commands", fmt.Sprintf(start, 0)); code != c.command {
 				t.Errorf("%s: a command got %d", c.name, code)
 			}
 			time.Sleep(max(c.hung, 8*time.Second) - 2*time.Second)
-			if (heard > before) != c.beats {
-				t.Errorf("%s: %d reports arrived", c.name, heard-before)
+			if arrived := heard.Load() - before; (arrived > 0) != c.beats {
+				t.Errorf("%s: %d reports arrived", c.name, arrived)
 			}
 			if c.hung > 0 {
 				if w.End("job-1/0", "done") || w.Started("job-1/0") > 0 {
@@ -151,12 +160,14 @@
 				t.Errorf("%s: started %d times", c.name, got)
 			}
 			time.Sleep(25 * time.Second)
+			w.mu.Lock()
 			if w.session != c.session {
 				t.Errorf("%s: session %d", c.name, w.session)
 			}
 			if c.session == 2 && c.starts == 1 && ends[len(ends)-1] != "killed" {
 				t.Errorf("%s: no end of the lease was told: %v", c.name, ends)
 			}
+			w.mu.Unlock()
 			if got := n.Release(); (got > 0) != (c.name == "copied") {
 				t.Errorf("%s: %d copies", c.name, got)
 			}
@@ -172,10 +183,13 @@
 		defer synctest.Wait()
 		defer cancel()
 		n := NewNet()
+		var mu sync.Mutex
 		var reports []string
 		n.Listen("a:1", http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 			raw, _ := io.ReadAll(r.Body)
+			mu.Lock()
 			reports = append(reports, string(raw))
+			mu.Unlock()
 			reply(rw, 200, map[string]any{"baton": 1})
 		}))
 		w := &Worker{Name: "m", Addr: "m:1", Net: n, Nodes: []string{"a:1"}, Report: 10 * time.Second, Lease: 20 * time.Second}
@@ -192,9 +206,11 @@
 		}
 		w.End("job-1/0", "done")
 		time.Sleep(600 * time.Millisecond)
+		mu.Lock()
 		if last := reports[len(reports)-1]; !strings.Contains(last, `"done"`) {
 			t.Errorf("last reported %s", last)
 		}
+		mu.Unlock()
 		if out := send("start", 3); !strings.Contains(out, `"try":3,"status":"ended","cause":"done"`) {
 			t.Errorf("started again once done: %s", out)
 		}
