--- a/internal/claim/book.go
+++ b/internal/claim/book.go
@@ -59,7 +59,7 @@
 // Job is a job in the owner's memory.
 type Job struct {
 	Rec    Record
-	stamp  ids.Stamp
+	stamp  ids.Revision
 	places map[int]*Place
 	tries  map[int]*retry
 	// version counts changes here; saved is the newest the store surely has.
--- a/internal/claim/book_test.go
+++ b/internal/claim/book_test.go
@@ -178,7 +178,7 @@
 	// Jobs that fail on one machine and complete on another condemn it.
 	for n := range 2 {
 		id := ids.Job(fmt.Sprint("job-10", n))
-		b.Learn(id, ids.Stamp(n+5), rec(id, "blue", Normal, 1, 1), now)
+		b.Learn(id, ids.Revision(n+5), rec(id, "blue", Normal, 1, 1), now)
 		b.hear("bad", "north", ids.Tick(2*n+1), worker.Piece{Task: string(id) + "/0", Attempt: 1, Status: worker.Running})
 		b.hear("bad", "north", ids.Tick(2*n+2), worker.Piece{Task: string(id) + "/0", Attempt: 1, Status: worker.Ended, Cause: worker.CauseError})
 		if b.roster.Machines["bad"].Draining != "" {
@@ -339,7 +339,7 @@
 	}
 	for i := range 3 {
 		id := ids.Job(fmt.Sprint("job-2", i))
-		b.Learn(id, ids.Stamp(i+2), rec(id, "blue", Critical, 1, 1), now)
+		b.Learn(id, ids.Revision(i+2), rec(id, "blue", Critical, 1, 1), now)
 	}
 	b.Plan(now) // each displaces a task of four cores for one core
 	for m := range b.roster.Machines {
@@ -351,7 +351,7 @@
 	}
 	for i := range 9 {
 		id := ids.Job(fmt.Sprint("job-3", i))
-		b.Learn(id, ids.Stamp(i+9), rec(id, "blue", Critical, 1, 1), now)
+		b.Learn(id, ids.Revision(i+9), rec(id, "blue", Critical, 1, 1), now)
 	}
 	b.Plan(now.Add(50 * time.Millisecond))
 	n := 0
@@ -731,11 +731,11 @@
 		r.Places = []placeRec{{Token: gen, Session: 1, Attempt: 1, Prefix: "m1", On: ":0-1"}}
 		return r
 	}
-	for name, listed := range map[string]ids.Stamp{"the list is as new": 26, "the list is older": 25, "not in the list": 0, "newer": 27} {
+	for name, listed := range map[string]ids.Revision{"the list is as new": 26, "the list is older": 25, "not in the list": 0, "newer": 27} {
 		b := testBook()
 		b.Learn("job-1", 25, rec("job-1", "red", Normal, 2, 1), now)
 		b.Learn("job-1", 26, marked(6), now)
-		recs, stamps := map[ids.Job]*Record{}, map[ids.Job]ids.Stamp{}
+		recs, stamps := map[ids.Job]*Record{}, map[ids.Job]ids.Revision{}
 		switch listed {
 		case 25:
 			recs["job-1"], stamps["job-1"] = rec("job-1", "red", Normal, 2, 1), 25
@@ -751,7 +751,7 @@
 	b := testBook()
 	b.Learn("job-1", 26, marked(6), now)
 	b.Learn("job-1", 27, nil, now)
-	b.Load(map[ids.Job]*Record{}, map[ids.Job]ids.Stamp{}, 27, now)
+	b.Load(map[ids.Job]*Record{}, map[ids.Job]ids.Revision{}, 27, now)
 	if len(b.jobs) != 0 || b.teams["red"].Cores != 0 {
 		t.Errorf("%d jobs, %v cores of an ended job", len(b.jobs), b.teams["red"].Cores)
 	}
--- a/internal/claim/commit.go
+++ b/internal/claim/commit.go
@@ -28,7 +28,7 @@
 	Book     *Book
 	State    *state.Client
 	Node     ids.Node
-	GenStamp ids.Stamp
+	GenStamp ids.Revision
 	// OnLost is called once another owner is known to have taken over.
 	OnLost func(why string)
 	// OnGeneration is called when this owner raised its own generation.
@@ -41,7 +41,7 @@
 }
 
 // NewCommitter makes the committer of one term.
-func NewCommitter(b *Book, s *state.Client, node ids.Node, stamp ids.Stamp) *Committer {
+func NewCommitter(b *Book, s *state.Client, node ids.Node, stamp ids.Revision) *Committer {
 	return &Committer{Book: b, State: s, Node: node, GenStamp: stamp, turn: make(chan struct{}, 1),
 		OnLost: func(string) {}}
 }
@@ -104,7 +104,7 @@
 			if answered.Sub(began) > slowAnswer && p.job != nil {
 				p.job.reread = answered
 			}
-			b.stored(p, ids.Stamp(epoch))
+			b.stored(p, ids.Revision(epoch))
 		}
 		b.mu.Unlock()
 		if c.OnStored != nil {
@@ -259,7 +259,7 @@
 }
 
 // stored takes in that a version is in the store.
-func (b *Book) stored(p pending, stamp ids.Stamp) {
+func (b *Book) stored(p pending, stamp ids.Revision) {
 	if p.wait != nil {
 		b.movedOn(p, stamp, time.Now())
 		return
@@ -307,7 +307,7 @@
 	var conflict *state.Conflict
 	switch {
 	case err == nil:
-		c.raised(next, ids.Stamp(epoch))
+		c.raised(next, ids.Revision(epoch))
 	case errors.As(err, &conflict):
 		c.repair(ctx, conflict, nil)
 	default:
@@ -316,7 +316,7 @@
 	return true
 }
 
-func (c *Committer) raised(g ids.Generation, stamp ids.Stamp) {
+func (c *Committer) raised(g ids.Generation, stamp ids.Revision) {
 	b := c.Book
 	b.mu.Lock()
 	b.gen, b.bump = g, false
--- a/internal/claim/fairness_test.go
+++ b/internal/claim/fairness_test.go
@@ -25,7 +25,7 @@
 		add := func(id ids.Job, team string, p Priority, tasks int, cores float64, est ids.Seconds) {
 			r := rec(id, team, p, tasks, cores)
 			r.Spec.Estimate = est
-			b.Learn(id, ids.Stamp(len(b.gone)+len(b.jobs)+1), r, time.Now())
+			b.Learn(id, ids.Revision(len(b.gone)+len(b.jobs)+1), r, time.Now())
 		}
 		for second := range 420 {
 			if second == 30 {
@@ -111,7 +111,7 @@
 			if shape == Service {
 				r.Spec.Estimate = 0
 			}
-			b.Learn(r.Spec.ID, ids.Stamp(n), r, time.Now())
+			b.Learn(r.Spec.ID, ids.Revision(n), r, time.Now())
 			jobs[r.Spec.ID] = what
 			for _, of := range []string{what, r.Spec.Team} {
 				begun[of], last[of] = 0, time.Now()
--- a/internal/claim/fleet_test.go
+++ b/internal/claim/fleet_test.go
@@ -62,7 +62,7 @@
 			now := time.Now()
 			for i := range 2 * 4 * each / 100 {
 				id := ids.Job(fmt.Sprint("job-", i))
-				b.Learn(id, ids.Stamp(i+1), rec(id, "blue", Normal, 100, 1), now)
+				b.Learn(id, ids.Revision(i+1), rec(id, "blue", Normal, 100, 1), now)
 			}
 			b.Plan(now)
 			for _, j := range b.jobs {
@@ -250,7 +250,7 @@
 			places[i] = &Place{Index: i, Machine: ids.Machine(m), Session: 1, Attempt: 1, Token: 3}
 		}
 		r.Places = packPlaces(places)
-		b.Load(map[ids.Job]*Record{id: r}, map[ids.Job]ids.Stamp{id: 1}, 0, now)
+		b.Load(map[ids.Job]*Record{id: r}, map[ids.Job]ids.Revision{id: 1}, 0, now)
 	}
 	service("job-1", 5, map[int]string{0: "n0", 1: "n1", 2: "s0", 3: "s0", 4: "s1"}) // one may move
 	service("job-2", 4, map[int]string{0: "n2", 1: "n3", 2: "s2", 3: "s3"})          // none may
--- a/internal/claim/learn.go
+++ b/internal/claim/learn.go
@@ -11,7 +11,7 @@
 // Load fills the book with the records found at a takeover. Their claims lapsed
 // with their owner; their places stay until a report, a lapse or the cloud says
 // what became of them.
-func (b *Book) Load(recs map[ids.Job]*Record, stamps map[ids.Job]ids.Stamp, at ids.Stamp, now time.Time) {
+func (b *Book) Load(recs map[ids.Job]*Record, stamps map[ids.Job]ids.Revision, at ids.Revision, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	// News may have come before the list: what is not in it is kept only if it
@@ -39,7 +39,7 @@
 	b.unlist(j)
 }
 
-func (b *Book) addJob(r *Record, stamp ids.Stamp, now time.Time) *Job {
+func (b *Book) addJob(r *Record, stamp ids.Revision, now time.Time) *Job {
 	j := &Job{Rec: *r, stamp: stamp, places: map[int]*Place{}, tries: map[int]*retry{},
 		settled: map[taskAttempt]uint64{}, version: r.Seq, saved: r.Seq, known: now}
 	if j.version == 0 {
@@ -72,7 +72,7 @@
 
 // Learn takes in what another controller wrote: a new job or a cancellation.
 // rec is nil when the live record went away.
-func (b *Book) Learn(id ids.Job, stamp ids.Stamp, rec *Record, now time.Time) {
+func (b *Book) Learn(id ids.Job, stamp ids.Revision, rec *Record, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	j := b.jobs[id]
@@ -109,7 +109,7 @@
 }
 
 // adopt takes over another controller's write on a known job.
-func (b *Book) adopt(j *Job, stamp ids.Stamp, rec *Record) {
+func (b *Book) adopt(j *Job, stamp ids.Revision, rec *Record) {
 	j.stamp = stamp
 	if rec.Status == Cancelling && !j.cancelled() {
 		// The user was told so. A completion that only this memory knows came
--- a/internal/claim/pipeline.go
+++ b/internal/claim/pipeline.go
@@ -12,7 +12,7 @@
 // waiting is a job that awaits others, in the owner's memory.
 type waiting struct {
 	rec   *Record
-	stamp ids.Stamp
+	stamp ids.Revision
 	open  map[ids.Job]bool // awaited and not known to be done
 	by    ids.Job          // the cancelled job that ends it
 	urged urge
@@ -53,7 +53,7 @@
 
 // LearnWaiting takes in a job that awaits others, or that it no longer does; rec is
 // nil then.
-func (b *Book) LearnWaiting(id ids.Job, stamp ids.Stamp, rec *Record, now time.Time) {
+func (b *Book) LearnWaiting(id ids.Job, stamp ids.Revision, rec *Record, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	w := b.pipes.waits[id]
@@ -71,7 +71,7 @@
 }
 
 // LoadWaiting adds, at a takeover, the jobs that wait; those they await are loaded.
-func (b *Book) LoadWaiting(recs map[ids.Job]*Record, stamps map[ids.Job]ids.Stamp, now time.Time) {
+func (b *Book) LoadWaiting(recs map[ids.Job]*Record, stamps map[ids.Job]ids.Revision, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for id, r := range recs {
@@ -81,7 +81,7 @@
 	}
 }
 
-func (b *Book) addWaiting(rec *Record, stamp ids.Stamp, now time.Time) {
+func (b *Book) addWaiting(rec *Record, stamp ids.Revision, now time.Time) {
 	w := &waiting{rec: rec, stamp: stamp, open: map[ids.Job]bool{}}
 	id := w.id()
 	b.pipes.waits[id] = w
@@ -269,7 +269,7 @@
 }
 
 // movedOn takes in that a waiting job's move is stored.
-func (b *Book) movedOn(p pending, stamp ids.Stamp, now time.Time) {
+func (b *Book) movedOn(p pending, stamp ids.Revision, now time.Time) {
 	id := p.wait.id()
 	if b.pipes.waits[id] == p.wait {
 		b.unwait(p.wait)
--- a/internal/claim/pool.go
+++ b/internal/claim/pool.go
@@ -264,7 +264,7 @@
 }
 
 // Learn passes on what another controller wrote, if this node owns the pool.
-func (p *Pool) Learn(id ids.Job, stamp ids.Stamp, rec *Record) {
+func (p *Pool) Learn(id ids.Job, stamp ids.Revision, rec *Record) {
 	if b := p.Book(); b != nil {
 		b.Learn(id, stamp, rec, time.Now())
 	}
--- a/internal/claim/production_test.go
+++ b/internal/claim/production_test.go
@@ -57,7 +57,7 @@
 			continue
 		}
 		b := testBook()
-		b.Load(map[ids.Job]*Record{"job-1": r}, map[ids.Job]ids.Stamp{"job-1": 3}, 3, time.Now())
+		b.Load(map[ids.Job]*Record{"job-1": r}, map[ids.Job]ids.Revision{"job-1": 3}, 3, time.Now())
 		j := b.jobs["job-1"]
 		back := j.Rec
 		back.Places = packPlaces(j.places)
--- a/internal/claim/scale_test.go
+++ b/internal/claim/scale_test.go
@@ -39,7 +39,7 @@
 	add := func(id, tasks int, cores float64) {
 		r := rec(ids.Job(fmt.Sprintf("job-%d", id)), "blue", Normal, tasks, cores)
 		r.Spec.Image = fmt.Sprint("image-", id%20)
-		b.Learn(r.Spec.ID, ids.Stamp(id+1), r, now)
+		b.Learn(r.Spec.ID, ids.Revision(id+1), r, now)
 	}
 	// Filling: a job may look at every machine once, however many tasks it has.
 	full := cost(func() {
@@ -90,7 +90,7 @@
 	for i := range 30 {
 		r := rec(ids.Job(fmt.Sprintf("job-%d", i)), "blue", Normal, 7, 1)
 		r.Spec.Image = fmt.Sprint("image-", i%5)
-		b.Learn(r.Spec.ID, ids.Stamp(i+1), r, now)
+		b.Learn(r.Spec.ID, ids.Revision(i+1), r, now)
 	}
 	b.Plan(now)
 	b.store()
--- a/internal/claim/takeover.go
+++ b/internal/claim/takeover.go
@@ -91,12 +91,12 @@
 	if err != nil {
 		return err
 	}
-	p.begin(ctx, prev, gen, writer, hold, ids.Stamp(epoch), sent)
+	p.begin(ctx, prev, gen, writer, hold, ids.Revision(epoch), sent)
 	return nil
 }
 
 // begin starts a term.
-func (p *Pool) begin(ctx context.Context, prev generationRec, gen ids.Generation, writer string, hold ids.Hold, stamp ids.Stamp, sent time.Time) {
+func (p *Pool) begin(ctx context.Context, prev generationRec, gen ids.Generation, writer string, hold ids.Hold, stamp ids.Revision, sent time.Time) {
 	now := time.Now()
 	w := &p.Set.Params.Workers
 	trust := now.Add(p.Set.Grace().Drifted() + w.LeaseS.Drifted())
@@ -144,7 +144,7 @@
 			wait(ctx, 100*time.Millisecond)
 			continue
 		}
-		recs, waits, stamps := map[ids.Job]*Record{}, map[ids.Job]*Record{}, map[ids.Job]ids.Stamp{}
+		recs, waits, stamps := map[ids.Job]*Record{}, map[ids.Job]*Record{}, map[ids.Job]ids.Revision{}
 		for _, e := range jobs {
 			into, decode := recs, Decode
 			if _, waiting := keyed(e.Key); waiting {
@@ -157,7 +157,7 @@
 			}
 			into[rec.Spec.ID], stamps[rec.Spec.ID] = rec, e.Stamp
 		}
-		t.Book.Load(recs, stamps, ids.Stamp(epoch), time.Now())
+		t.Book.Load(recs, stamps, ids.Revision(epoch), time.Now())
 		t.Book.LoadWaiting(waits, stamps, time.Now())
 		close(t.loaded)
 		slog.Info("records loaded", "jobs", len(recs), "waiting", len(waits), "hires", len(t.Intents))
--- a/internal/claim/urgency_test.go
+++ b/internal/claim/urgency_test.go
@@ -62,7 +62,7 @@
 		ctx := context.Background()
 		b := testBook()
 		c := NewCommitter(b, st, "a", 0)
-		recs, stamps := map[ids.Job]*Record{}, map[ids.Job]ids.Stamp{}
+		recs, stamps := map[ids.Job]*Record{}, map[ids.Job]ids.Revision{}
 		for i := range 3000 {
 			live, over := ids.Job(fmt.Sprintf("job-%d", 10000+i/10)), ids.Job(fmt.Sprintf("job-%d", 20000+i/10))
 			id := ids.Job(fmt.Sprintf("job-%d", 30000+i))
@@ -131,7 +131,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		b.Load(map[ids.Job]*Record{"job-1": stored}, map[ids.Job]ids.Stamp{"job-1": ids.Stamp(epoch)}, ids.Stamp(epoch), time.Now())
+		b.Load(map[ids.Job]*Record{"job-1": stored}, map[ids.Job]ids.Revision{"job-1": ids.Revision(epoch)}, ids.Revision(epoch), time.Now())
 		c := NewCommitter(b, st, "a", 0)
 		j := b.jobs["job-1"]
 		open := len(j.places)
--- a/internal/claim/world_test.go
+++ b/internal/claim/world_test.go
@@ -211,7 +211,7 @@
 
 // Tell passes writes on: to its own pool at once, to the others as fast as the
 // network is.
-func (n *node) Tell(id ids.Job, stamp ids.Stamp, rec *claim.Record, raw json.RawMessage) <-chan struct{} {
+func (n *node) Tell(id ids.Job, stamp ids.Revision, rec *claim.Record, raw json.RawMessage) <-chan struct{} {
 	done := make(chan struct{})
 	if lag := n.w.lag.Load(); lag != nil && n.pool.Book() == nil {
 		go func() {
@@ -229,7 +229,7 @@
 	return done
 }
 
-func (n *node) tell(id ids.Job, stamp ids.Stamp, rec *claim.Record) {
+func (n *node) tell(id ids.Job, stamp ids.Revision, rec *claim.Record) {
 	n.w.mu.Lock()
 	defer n.w.mu.Unlock()
 	for name, o := range n.w.nodes {
--- a/internal/ids/ids.go
+++ b/internal/ids/ids.go
@@ -41,8 +41,8 @@
 // Tick orders the messages of one worker session.
 type Tick uint64
 
-// Stamp is the revision of a key's last change in the state service.
-type Stamp uint64
+// Revision numbers the last change of a key in the state service.
+type Revision uint64
 
 // Epoch is a revision of the state service as a whole.
 type Epoch uint64
--- a/internal/intake/desk.go
+++ b/internal/intake/desk.go
@@ -19,7 +19,7 @@
 // Teller passes a write on to the pool's owner.
 type Teller interface {
 	// The channel closes once it knows, or can't be told.
-	Tell(id ids.Job, stamp ids.Stamp, rec *claim.Record, raw json.RawMessage) <-chan struct{}
+	Tell(id ids.Job, stamp ids.Revision, rec *claim.Record, raw json.RawMessage) <-chan struct{}
 }
 
 // errNotNow means that the request can't be decided or stored now.
@@ -179,7 +179,7 @@
 	switch {
 	case err == nil:
 		if key == claim.JobKey(spec.ID) {
-			d.Teller.Tell(spec.ID, ids.Stamp(epoch), rec, raw)
+			d.Teller.Tell(spec.ID, ids.Revision(epoch), rec, raw)
 		}
 		if rec.Status.Over() {
 			d.remember(rec)
@@ -305,10 +305,10 @@
 				d.remember(r) // the owner follows the records
 			case queued:
 				d.remember(r)
-				d.Teller.Tell(id, ids.Stamp(epoch), nil, nil)
+				d.Teller.Tell(id, ids.Revision(epoch), nil, nil)
 			default:
 				// It may be about to start some of the tasks.
-				told := d.Teller.Tell(id, ids.Stamp(epoch), r, txn.Then[0].Value)
+				told := d.Teller.Tell(id, ids.Revision(epoch), r, txn.Then[0].Value)
 				select {
 				case <-told:
 				case <-time.After(ownerTold):
--- a/internal/intake/intake_test.go
+++ b/internal/intake/intake_test.go
@@ -65,7 +65,7 @@
 
 type mute struct{}
 
-func (mute) Tell(ids.Job, ids.Stamp, *claim.Record, json.RawMessage) <-chan struct{} {
+func (mute) Tell(ids.Job, ids.Revision, *claim.Record, json.RawMessage) <-chan struct{} {
 	done := make(chan struct{})
 	close(done)
 	return done
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -22,7 +22,7 @@
 // Wrote tells of a job's record just written; Raw is empty when it went away.
 type Wrote struct {
 	Job   ids.Job
-	Stamp ids.Stamp
+	Stamp ids.Revision
 	Raw   []byte
 }
 
@@ -251,7 +251,7 @@
 
 // Tell passes a write on to the pool's owner, wherever it is; the channel closes once
 // it knows, or can't be told.
-func (l *Link) Tell(id ids.Job, stamp ids.Stamp, rec *claim.Record, raw json.RawMessage) <-chan struct{} {
+func (l *Link) Tell(id ids.Job, stamp ids.Revision, rec *claim.Record, raw json.RawMessage) <-chan struct{} {
 	done := make(chan struct{})
 	if l.pool.Book() != nil {
 		l.pool.Learn(id, stamp, rec)
--- a/internal/state/client.go
+++ b/internal/state/client.go
@@ -57,14 +57,14 @@
 type Entry struct {
 	Key   string          `json:"key"`
 	Value json.RawMessage `json:"value"`
-	Stamp ids.Stamp       `json:"stamp"`
+	Stamp ids.Revision    `json:"stamp"`
 	Hold  ids.Hold        `json:"permit"`
 }
 
 // Cond demands a stamp of a key; 0 demands its absence.
 type Cond struct {
-	Key   string    `json:"key"`
-	Stamp ids.Stamp `json:"stamp"`
+	Key   string       `json:"key"`
+	Stamp ids.Revision `json:"stamp"`
 }
 
 // Op is one change: a put or a removal.
@@ -86,7 +86,7 @@
 	Put    string          `json:"put"`
 	Value  json.RawMessage `json:"value"`
 	Remove string          `json:"remove"`
-	Stamp  ids.Stamp       `json:"stamp"`
+	Stamp  ids.Revision    `json:"stamp"`
 }
 
 // Key is the key changed.
--- a/internal/state/mirror.go
+++ b/internal/state/mirror.go
@@ -27,7 +27,7 @@
 	mu      sync.Mutex
 	entries map[string]Entry
 	epoch   ids.Epoch
-	last    ids.Stamp // of the newest change known
+	last    ids.Revision // of the newest change known
 	ready   bool
 	next    *round // the round that whoever asks now has to wait for
 	turning bool
@@ -258,7 +258,7 @@
 	}
 	for k := range m.entries {
 		if _, still := fresh[k]; !still {
-			news = append(news, Change{Remove: k, Stamp: ids.Stamp(epoch)})
+			news = append(news, Change{Remove: k, Stamp: ids.Revision(epoch)})
 		}
 	}
 	m.entries, m.epoch, m.ready, m.last = fresh, epoch, true, 0
