--- a/internal/claim/commit.go
+++ b/internal/claim/commit.go
@@ -86,7 +86,7 @@
 	if len(group) == 0 {
 		return false
 	}
-	txn := state.Txn{When: []state.Cond{{Key: GenerationKey, Stamp: c.GenStamp}}}
+	txn := state.Txn{When: []state.Cond{{Key: GenerationKey, Revision: c.GenStamp}}}
 	for _, p := range group {
 		txn.When = append(txn.When, p.conds...)
 		txn.Then = append(txn.Then, p.ops...)
@@ -204,7 +204,7 @@
 			j.measured(rec.Places, len(raw)-yielding(rec.Trail))
 		}
 		id := j.Rec.Spec.ID
-		p.conds = append(p.conds, state.Cond{Key: JobKey(id), Stamp: j.stamp})
+		p.conds = append(p.conds, state.Cond{Key: JobKey(id), Revision: j.stamp})
 		if p.over {
 			p.conds = append(p.conds, state.Cond{Key: EndKey(id)})
 			p.ops = append(p.ops, state.Op{Remove: JobKey(id)}, state.Op{Put: EndKey(id), Value: raw})
@@ -301,7 +301,7 @@
 	b.mu.Unlock()
 	raw, _ := json.Marshal(generationRec{next, c.Node, b.writer})
 	epoch, err := c.State.Commit(ctx, state.Txn{
-		When: []state.Cond{{Key: GenerationKey, Stamp: c.GenStamp}},
+		When: []state.Cond{{Key: GenerationKey, Revision: c.GenStamp}},
 		Then: []state.Op{{Put: GenerationKey, Value: raw}},
 	}, state.Urgent)
 	var conflict *state.Conflict
@@ -345,7 +345,7 @@
 		}
 		var g generationRec
 		if found && json.Unmarshal(e.Value, &g) == nil && g.Writer == b.writer {
-			c.raised(g.Generation, e.Stamp)
+			c.raised(g.Generation, e.Revision)
 			return
 		}
 		c.OnLost("another owner raised the generation")
@@ -375,11 +375,11 @@
 			b.mu.Lock()
 			if rec.Writer == b.writer {
 				p.job.reread = time.Now()
-				p.job.stamp = live.Stamp
+				p.job.stamp = live.Revision
 				p.job.saved = max(p.job.saved, min(rec.Seq, p.job.version))
 				b.settledUpTo(p.job)
 			} else {
-				b.adopt(p.job, live.Stamp, rec)
+				b.adopt(p.job, live.Revision, rec)
 			}
 			b.mu.Unlock()
 			if c.OnStored != nil {
--- a/internal/claim/pipeline.go
+++ b/internal/claim/pipeline.go
@@ -239,7 +239,7 @@
 		rec := *w.rec
 		rec.Gen, rec.Writer, rec.Seq = b.gen, b.writer, w.rec.Seq+1
 		p := pending{wait: w, over: over}
-		p.conds = []state.Cond{{Key: WaitKey(id), Stamp: w.stamp}}
+		p.conds = []state.Cond{{Key: WaitKey(id), Revision: w.stamp}}
 		key := JobKey(id)
 		if over {
 			key = EndKey(id)
@@ -301,7 +301,7 @@
 		}
 		b.mu.Lock()
 		p.moved = rec
-		b.movedOn(p, live.Stamp, now)
+		b.movedOn(p, live.Revision, now)
 		b.mu.Unlock()
 		return true
 	}
@@ -382,7 +382,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.jobs[id] == nil && !b.gone[id] && !rec.Status.Over() {
-		b.addJob(rec, e.Stamp, now)
+		b.addJob(rec, e.Revision, now)
 		poke(b.wakePlan)
 	}
 }
--- a/internal/claim/pool.go
+++ b/internal/claim/pool.go
@@ -90,7 +90,7 @@
 			return
 		}
 		if ch.Put == "" {
-			p.Learn(id, ch.Stamp, nil)
+			p.Learn(id, ch.Revision, nil)
 			return
 		}
 		b := p.Book()
@@ -98,7 +98,7 @@
 			return
 		}
 		if rec, err := Decode(ch.Value); err == nil {
-			p.Learn(id, ch.Stamp, rec)
+			p.Learn(id, ch.Revision, rec)
 		}
 	}
 	return p
@@ -257,9 +257,9 @@
 		return
 	}
 	if ch.Put == "" {
-		b.LearnWaiting(id, ch.Stamp, nil, time.Now())
+		b.LearnWaiting(id, ch.Revision, nil, time.Now())
 	} else if rec, err := DecodeWaiting(ch.Value); err == nil {
-		b.LearnWaiting(id, ch.Stamp, rec, time.Now())
+		b.LearnWaiting(id, ch.Revision, rec, time.Now())
 	}
 }
 
--- a/internal/claim/takeover.go
+++ b/internal/claim/takeover.go
@@ -77,7 +77,7 @@
 	oraw, _ := json.Marshal(ownerRec{p.Set.HostName, writer, hold, gen})
 	graw, _ := json.Marshal(generationRec{gen, p.Set.HostName, writer})
 	epoch, err := p.State.Commit(ctx, state.Txn{
-		When: []state.Cond{{Key: OwnerKey}, {Key: GenerationKey, Stamp: ge.Stamp}},
+		When: []state.Cond{{Key: OwnerKey}, {Key: GenerationKey, Revision: ge.Revision}},
 		Then: []state.Op{{Put: OwnerKey, Value: oraw, Hold: hold}, {Put: GenerationKey, Value: graw}},
 	}, state.Urgent)
 	if errors.Is(err, state.ErrUnknown) {
@@ -85,7 +85,7 @@
 		e, found, rerr := p.State.Get(ctx, GenerationKey, state.Urgent)
 		var g generationRec
 		if rerr == nil && found && json.Unmarshal(e.Value, &g) == nil && g.Writer == writer {
-			epoch, err = ids.Epoch(e.Stamp), nil
+			epoch, err = ids.Epoch(e.Revision), nil
 		}
 	}
 	if err != nil {
@@ -155,7 +155,7 @@
 				slog.Error("unreadable record", "key", e.Key, "err", err)
 				continue
 			}
-			into[rec.Spec.ID], stamps[rec.Spec.ID] = rec, e.Stamp
+			into[rec.Spec.ID], stamps[rec.Spec.ID] = rec, e.Revision
 		}
 		t.Book.Load(recs, stamps, ids.Revision(epoch), time.Now())
 		t.Book.LoadWaiting(waits, stamps, time.Now())
--- a/internal/intake/desk.go
+++ b/internal/intake/desk.go
@@ -271,7 +271,7 @@
 		now := ids.WallOf(time.Now())
 		r.Writer, r.Seq = d.Writer, r.Seq+1
 		r.Trail = append(r.Trail, claim.Event{At: now, What: "cancelled by its user"})
-		txn := state.Txn{When: []state.Cond{{Key: e.Key, Stamp: e.Stamp}}}
+		txn := state.Txn{When: []state.Cond{{Key: e.Key, Revision: e.Revision}}}
 		limit := int(d.Set.Params.State.ValueKB * 1024)
 		queued := len(r.Places) == 0
 		if queued {
--- a/internal/state/client.go
+++ b/internal/state/client.go
@@ -55,16 +55,16 @@
 
 // Entry is a key with its value.
 type Entry struct {
-	Key   string          `json:"key"`
-	Value json.RawMessage `json:"value"`
-	Stamp ids.Revision    `json:"stamp"`
-	Hold  ids.Hold        `json:"permit"`
+	Key      string          `json:"key"`
+	Value    json.RawMessage `json:"value"`
+	Revision ids.Revision    `json:"stamp"`
+	Hold     ids.Hold        `json:"permit"`
 }
 
-// Cond demands a stamp of a key; 0 demands its absence.
+// Cond demands a revision of a key; 0 demands its absence.
 type Cond struct {
-	Key   string       `json:"key"`
-	Stamp ids.Revision `json:"stamp"`
+	Key      string       `json:"key"`
+	Revision ids.Revision `json:"stamp"`
 }
 
 // Op is one change: a put or a removal.
@@ -83,10 +83,10 @@
 
 // Change is one piece of news: a put or a removal.
 type Change struct {
-	Put    string          `json:"put"`
-	Value  json.RawMessage `json:"value"`
-	Remove string          `json:"remove"`
-	Stamp  ids.Revision    `json:"stamp"`
+	Put      string          `json:"put"`
+	Value    json.RawMessage `json:"value"`
+	Remove   string          `json:"remove"`
+	Revision ids.Revision    `json:"stamp"`
 }
 
 // Key is the key changed.
--- a/internal/state/mirror.go
+++ b/internal/state/mirror.go
@@ -132,7 +132,7 @@
 		return err
 	case epoch < now:
 		return fmt.Errorf("%w: news only up to %d of %d", ErrRefused, epoch, now)
-	case last > 0 && !slices.ContainsFunc(news, func(n Change) bool { return n.Stamp == last }):
+	case last > 0 && !slices.ContainsFunc(news, func(n Change) bool { return n.Revision == last }):
 		return fmt.Errorf("%w: news without what is known already", ErrRefused)
 	}
 	// Its news are of after the plain read, so they reach that far at least; how
@@ -223,7 +223,7 @@
 // newest is the epoch of the last change; 0 if there is none.
 func newest(news []Change) (at ids.Epoch) {
 	for _, n := range news {
-		at = max(at, ids.Epoch(n.Stamp))
+		at = max(at, ids.Epoch(n.Revision))
 	}
 	return at
 }
@@ -252,18 +252,18 @@
 	}
 	for _, e := range es {
 		fresh[e.Key] = e
-		if m.entries[e.Key].Stamp != e.Stamp {
-			news = append(news, Change{Put: e.Key, Value: e.Value, Stamp: e.Stamp})
+		if m.entries[e.Key].Revision != e.Revision {
+			news = append(news, Change{Put: e.Key, Value: e.Value, Revision: e.Revision})
 		}
 	}
 	for k := range m.entries {
 		if _, still := fresh[k]; !still {
-			news = append(news, Change{Remove: k, Stamp: ids.Revision(epoch)})
+			news = append(news, Change{Remove: k, Revision: ids.Revision(epoch)})
 		}
 	}
 	m.entries, m.epoch, m.ready, m.last = fresh, epoch, true, 0
 	for _, e := range fresh {
-		m.last = max(m.last, e.Stamp)
+		m.last = max(m.last, e.Revision)
 	}
 	m.mu.Unlock()
 	m.tell(news)
@@ -278,13 +278,13 @@
 	fresh := news[:0]
 	m.mu.Lock()
 	for _, n := range news {
-		if ids.Epoch(n.Stamp) <= m.epoch || n.Stamp <= m.entries[n.Key()].Stamp {
+		if ids.Epoch(n.Revision) <= m.epoch || n.Revision <= m.entries[n.Key()].Revision {
 			continue
 		}
 		fresh = append(fresh, n)
-		m.last = max(m.last, n.Stamp)
+		m.last = max(m.last, n.Revision)
 		if n.Put != "" {
-			m.entries[n.Put] = Entry{Key: n.Put, Value: n.Value, Stamp: n.Stamp}
+			m.entries[n.Put] = Entry{Key: n.Put, Value: n.Value, Revision: n.Revision}
 		} else {
 			delete(m.entries, n.Remove)
 		}
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -187,7 +187,7 @@
 		if err := m.Sync(ctx); err != nil {
 			t.Fatal(err)
 		}
-		m.apply(2, []Change{{Put: "j/1", Value: []byte(`2`), Stamp: 2}})
+		m.apply(2, []Change{{Put: "j/1", Value: []byte(`2`), Revision: 2}})
 		if e, _, _ := m.Get("j/1"); string(e.Value) != `3` {
 			t.Errorf("an overtaken answer took the copy back to %s", e.Value)
 		}
