--- a/internal/claim/apply.go
+++ b/internal/claim/apply.go
@@ -11,6 +11,6 @@
 func (c *Committer) Apply(ctx context.Context, ops []state.Op) error {
 	c.turn <- struct{}{}
 	defer func() { <-c.turn }()
-	_, err := c.State.Commit(ctx, state.Txn{When: []state.Cond{{Key: GenerationKey, Revision: c.GenStamp}}, Then: ops}, state.Normal)
+	_, err := c.State.Commit(ctx, state.Txn{When: []state.Condition{{Key: GenerationKey, Revision: c.GenStamp}}, Then: ops}, state.Normal)
 	return err
 }
--- a/internal/claim/commit.go
+++ b/internal/claim/commit.go
@@ -53,7 +53,7 @@
 	version uint64
 	over    bool
 	ops     []state.Op
-	conds   []state.Cond
+	conds   []state.Condition
 	size    int
 }
 
@@ -86,7 +86,7 @@
 	if len(group) == 0 {
 		return false
 	}
-	txn := state.Txn{When: []state.Cond{{Key: GenerationKey, Revision: c.GenStamp}}}
+	txn := state.Txn{When: []state.Condition{{Key: GenerationKey, Revision: c.GenStamp}}}
 	for _, p := range group {
 		txn.When = append(txn.When, p.conds...)
 		txn.Then = append(txn.Then, p.ops...)
@@ -204,9 +204,9 @@
 			j.measured(rec.Places, len(raw)-yielding(rec.Trail))
 		}
 		id := j.Rec.Spec.ID
-		p.conds = append(p.conds, state.Cond{Key: JobKey(id), Revision: j.stamp})
+		p.conds = append(p.conds, state.Condition{Key: JobKey(id), Revision: j.stamp})
 		if p.over {
-			p.conds = append(p.conds, state.Cond{Key: EndKey(id)})
+			p.conds = append(p.conds, state.Condition{Key: EndKey(id)})
 			p.ops = append(p.ops, state.Op{Remove: JobKey(id)}, state.Op{Put: EndKey(id), Value: raw})
 		} else {
 			p.ops = append(p.ops, state.Op{Put: JobKey(id), Value: raw})
@@ -301,7 +301,7 @@
 	b.mu.Unlock()
 	raw, _ := json.Marshal(generationRec{next, c.Node, b.writer})
 	epoch, err := c.State.Commit(ctx, state.Txn{
-		When: []state.Cond{{Key: GenerationKey, Revision: c.GenStamp}},
+		When: []state.Condition{{Key: GenerationKey, Revision: c.GenStamp}},
 		Then: []state.Op{{Put: GenerationKey, Value: raw}},
 	}, state.Urgent)
 	var conflict *state.Conflict
--- a/internal/claim/pipeline.go
+++ b/internal/claim/pipeline.go
@@ -239,7 +239,7 @@
 		rec := *w.rec
 		rec.Gen, rec.Writer, rec.Seq = b.gen, b.writer, w.rec.Seq+1
 		p := pending{wait: w, over: over}
-		p.conds = []state.Cond{{Key: WaitKey(id), Revision: w.stamp}}
+		p.conds = []state.Condition{{Key: WaitKey(id), Revision: w.stamp}}
 		key := JobKey(id)
 		if over {
 			key = EndKey(id)
@@ -255,7 +255,7 @@
 			continue
 		}
 		p.moved = &rec
-		p.conds = append(p.conds, state.Cond{Key: key})
+		p.conds = append(p.conds, state.Condition{Key: key})
 		p.ops = []state.Op{{Remove: WaitKey(id)}, {Put: key, Value: raw}}
 		p.size = len(raw) + 200
 		if !add(p) {
--- a/internal/claim/takeover.go
+++ b/internal/claim/takeover.go
@@ -77,7 +77,7 @@
 	oraw, _ := json.Marshal(ownerRec{p.Set.HostName, writer, hold, gen})
 	graw, _ := json.Marshal(generationRec{gen, p.Set.HostName, writer})
 	epoch, err := p.State.Commit(ctx, state.Txn{
-		When: []state.Cond{{Key: OwnerKey}, {Key: GenerationKey, Revision: ge.Revision}},
+		When: []state.Condition{{Key: OwnerKey}, {Key: GenerationKey, Revision: ge.Revision}},
 		Then: []state.Op{{Put: OwnerKey, Value: oraw, Hold: hold}, {Put: GenerationKey, Value: graw}},
 	}, state.Urgent)
 	if errors.Is(err, state.ErrUnknown) {
--- a/internal/intake/desk.go
+++ b/internal/intake/desk.go
@@ -172,7 +172,7 @@
 		return a, false, fmt.Errorf("%w: the state service does not answer", errNotNow)
 	}
 	epoch, err := d.State.Commit(ctx, state.Txn{
-		When: []state.Cond{{Key: claim.JobKey(spec.ID)}, {Key: claim.WaitKey(spec.ID)}, {Key: claim.EndKey(spec.ID)}},
+		When: []state.Condition{{Key: claim.JobKey(spec.ID)}, {Key: claim.WaitKey(spec.ID)}, {Key: claim.EndKey(spec.ID)}},
 		Then: []state.Op{{Put: key, Value: raw}},
 	}, state.Spare)
 	var conflict *state.Conflict
@@ -271,7 +271,7 @@
 		now := ids.WallOf(time.Now())
 		r.Writer, r.Seq = d.Writer, r.Seq+1
 		r.Trail = append(r.Trail, claim.Event{At: now, What: "cancelled by its user"})
-		txn := state.Txn{When: []state.Cond{{Key: e.Key, Revision: e.Revision}}}
+		txn := state.Txn{When: []state.Condition{{Key: e.Key, Revision: e.Revision}}}
 		limit := int(d.Set.Params.State.ValueKB * 1024)
 		queued := len(r.Places) == 0
 		if queued {
@@ -280,7 +280,7 @@
 			if !ok {
 				return answer{}, false, errNotNow
 			}
-			txn.When = append(txn.When, state.Cond{Key: claim.EndKey(id)})
+			txn.When = append(txn.When, state.Condition{Key: claim.EndKey(id)})
 			txn.Then = []state.Op{{Remove: e.Key}, {Put: claim.EndKey(id), Value: raw}}
 		} else {
 			r.Status = claim.Cancelling
--- a/internal/state/client.go
+++ b/internal/state/client.go
@@ -61,8 +61,8 @@
 	Hold     ids.Hold        `json:"permit"`
 }
 
-// Cond demands a revision of a key; 0 demands its absence.
-type Cond struct {
+// Condition demands a revision of a key; 0 demands its absence.
+type Condition struct {
 	Key      string       `json:"key"`
 	Revision ids.Revision `json:"stamp"`
 }
@@ -77,8 +77,8 @@
 
 // Txn is applied as a whole or not at all.
 type Txn struct {
-	When []Cond `json:"when"`
-	Then []Op   `json:"then,omitempty"`
+	When []Condition `json:"when"`
+	Then []Op        `json:"then,omitempty"`
 }
 
 // Change is one piece of news: a put or a removal.
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -25,7 +25,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx := context.Background()
 		n, s, c := setup()
-		put := Txn{When: []Cond{{Key: "k"}}, Then: []Op{{Put: "k", Value: []byte(`1`)}}}
+		put := Txn{When: []Condition{{Key: "k"}}, Then: []Op{{Put: "k", Value: []byte(`1`)}}}
 		if _, err := c.Commit(ctx, put, Urgent); err != nil {
 			t.Fatal(err)
 		}
