--- a/internal/claim/pool.go
+++ b/internal/claim/pool.go
@@ -21,7 +21,7 @@
 type ownerRec struct {
 	Node       ids.Node       `json:"node"`
 	Writer     string         `json:"writer"`
-	Hold       ids.Hold       `json:"hold"`
+	Hold       ids.Lease      `json:"hold"`
 	Generation ids.Generation `json:"generation"`
 }
 
@@ -42,7 +42,7 @@
 	Committer  *Committer
 	Dispatcher *Dispatcher
 	Intents    []state.Entry
-	hold       ids.Hold
+	hold       ids.Lease
 	began      time.Time
 	renewed    time.Time // when the last good renewal was sent
 	loaded     chan struct{}
@@ -214,7 +214,7 @@
 	sent := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(p.Set.Own.PoolHoldMs)*time.Millisecond/2)
 	defer cancel()
-	err := p.State.Renew(ctx, t.hold)
+	err := p.State.RenewLease(ctx, t.hold)
 	switch {
 	case err == nil:
 		p.mu.Lock()
@@ -222,7 +222,7 @@
 			t.renewed = sent
 		}
 		p.mu.Unlock()
-	case errors.Is(err, state.ErrNoHold):
+	case errors.Is(err, state.ErrNoLease):
 		p.stepDown(t, "its hold ended")
 	default:
 		slog.Debug("renewal failed", "err", err)
--- a/internal/claim/redirect.go
+++ b/internal/claim/redirect.go
@@ -94,7 +94,7 @@
 	p.stepDown(t, why)
 	ctx, cancel := context.WithTimeout(context.Background(), state.CallTimeout)
 	defer cancel()
-	if err := p.State.End(ctx, t.hold); err != nil {
+	if err := p.State.EndLease(ctx, t.hold); err != nil {
 		slog.Debug("hold not ended", "err", err) // it lapses by itself
 	}
 }
--- a/internal/claim/takeover.go
+++ b/internal/claim/takeover.go
@@ -53,7 +53,7 @@
 		// Only one process runs on a node: this hold's owner is dead, or an
 		// earlier term of ours whose answer got lost.
 		slog.Info("ending the hold of this node's earlier life", "writer", o.Writer)
-		if err := p.State.End(ctx, o.Hold); err != nil && !errors.Is(err, state.ErrNoHold) {
+		if err := p.State.EndLease(ctx, o.Hold); err != nil && !errors.Is(err, state.ErrNoLease) {
 			return err
 		}
 	}
@@ -68,7 +68,7 @@
 		}
 	}
 	sent := time.Now()
-	hold, err := p.State.NewHold(ctx, life)
+	hold, err := p.State.NewLease(ctx, life)
 	if err != nil {
 		return err
 	}
@@ -78,7 +78,7 @@
 	graw, _ := json.Marshal(generationRec{gen, p.Set.HostName, writer})
 	epoch, err := p.State.Commit(ctx, state.Txn{
 		When: []state.Condition{{Key: OwnerKey}, {Key: GenerationKey, Revision: ge.Revision}},
-		Then: []state.Op{{Put: OwnerKey, Value: oraw, Hold: hold}, {Put: GenerationKey, Value: graw}},
+		Then: []state.Op{{Put: OwnerKey, Value: oraw, Lease: hold}, {Put: GenerationKey, Value: graw}},
 	}, state.Urgent)
 	if errors.Is(err, state.ErrUnknown) {
 		// Read back what became of it.
@@ -96,7 +96,7 @@
 }
 
 // begin starts a term.
-func (p *Pool) begin(ctx context.Context, prev generationRec, gen ids.Generation, writer string, hold ids.Hold, stamp ids.Revision, sent time.Time) {
+func (p *Pool) begin(ctx context.Context, prev generationRec, gen ids.Generation, writer string, hold ids.Lease, stamp ids.Revision, sent time.Time) {
 	now := time.Now()
 	w := &p.Set.Params.Workers
 	trust := now.Add(p.Set.Grace().Drifted() + w.LeaseS.Drifted())
--- a/internal/ids/ids.go
+++ b/internal/ids/ids.go
@@ -47,8 +47,8 @@
 // Epoch is a revision of the state service as a whole.
 type Epoch uint64
 
-// Hold names a lease of the state service.
-type Hold uint64
+// Lease names a lease of the state service.
+type Lease uint64
 
 // Seconds is a length of time as the interfaces write it.
 type Seconds float64
--- a/internal/state/client.go
+++ b/internal/state/client.go
@@ -27,8 +27,8 @@
 	ErrRefused = errors.New("state: refused")
 	// ErrUnknown: may have been executed, or may yet be.
 	ErrUnknown = errors.New("state: no answer")
-	// ErrNoHold: the hold named has ended.
-	ErrNoHold = errors.New("state: no such hold")
+	// ErrNoLease: the lease named has ended.
+	ErrNoLease = errors.New("state: no such lease")
 	// ErrTooOld: the changes asked for are no longer kept; list again.
 	ErrTooOld = errors.New("state: history too old")
 	// ErrMalformed: the service calls the request malformed.
@@ -58,7 +58,7 @@
 	Key      string          `json:"key"`
 	Value    json.RawMessage `json:"value"`
 	Revision ids.Revision    `json:"stamp"`
-	Hold     ids.Hold        `json:"permit"`
+	Lease    ids.Lease       `json:"permit"`
 }
 
 // Condition demands a revision of a key; 0 demands its absence.
@@ -71,7 +71,7 @@
 type Op struct {
 	Put    string          `json:"put,omitempty"`
 	Value  json.RawMessage `json:"value,omitempty"`
-	Hold   ids.Hold        `json:"permit,omitempty"`
+	Lease  ids.Lease       `json:"permit,omitempty"`
 	Remove string          `json:"remove,omitempty"`
 }
 
@@ -200,7 +200,7 @@
 		return res.StatusCode, nil
 	case 400:
 		if bytes.Contains(raw, []byte("no such lease")) {
-			return 400, ErrNoHold
+			return 400, ErrNoLease
 		}
 		return 400, fmt.Errorf("%w: %.200s", ErrMalformed, raw)
 	}
@@ -299,13 +299,13 @@
 	return 0, fmt.Errorf("%w: status %d", ErrUnknown, code)
 }
 
-// NewHold asks for a lease of the store's own kind.
-func (c *Client) NewHold(ctx context.Context, life time.Duration) (ids.Hold, error) {
+// NewLease asks for a lease, to which keys may be attached.
+func (c *Client) NewLease(ctx context.Context, life time.Duration) (ids.Lease, error) {
 	if err := c.budget.take(ctx, Urgent, 0); err != nil {
 		return 0, err
 	}
 	var out struct {
-		Permit ids.Hold `json:"permit"`
+		Permit ids.Lease `json:"permit"`
 	}
 	code, err := c.do(ctx, CallTimeout, "POST", "/holds", map[string]int64{"lifeMs": life.Milliseconds()}, &out)
 	if err == nil && code != 200 {
@@ -314,42 +314,42 @@
 	return out.Permit, err
 }
 
-// Renew gives a hold its full time again.
-func (c *Client) Renew(ctx context.Context, h ids.Hold) error {
+// RenewLease gives a lease its full time again.
+func (c *Client) RenewLease(ctx context.Context, h ids.Lease) error {
 	if err := c.budget.take(ctx, Urgent, 0); err != nil {
 		return err
 	}
-	return c.holdCall(ctx, "POST", fmt.Sprintf("/holds/%d/renew", h))
+	return c.leaseCall(ctx, "POST", fmt.Sprintf("/holds/%d/renew", h))
 }
 
-// End ends a hold at once, and with it the keys attached.
-func (c *Client) End(ctx context.Context, h ids.Hold) error {
+// EndLease ends a lease at once, and with it the keys attached.
+func (c *Client) EndLease(ctx context.Context, h ids.Lease) error {
 	if err := c.budget.take(ctx, Urgent, 0); err != nil {
 		return err
 	}
-	return c.holdCall(ctx, "DELETE", fmt.Sprintf("/holds/%d", h))
+	return c.leaseCall(ctx, "DELETE", fmt.Sprintf("/holds/%d", h))
 }
 
-func (c *Client) holdCall(ctx context.Context, method, path string) error {
+func (c *Client) leaseCall(ctx context.Context, method, path string) error {
 	code, err := c.do(ctx, CallTimeout, method, path, nil, nil)
 	if err == nil && code == 404 {
-		return ErrNoHold
+		return ErrNoLease
 	}
 	return err
 }
 
 // Follow waits for changes below a prefix after an epoch.
-func (c *Client) Follow(ctx context.Context, under string, after ids.Epoch, hold time.Duration) (ids.Epoch, []Change, error) {
+func (c *Client) Follow(ctx context.Context, under string, after ids.Epoch, wait time.Duration) (ids.Epoch, []Change, error) {
 	if err := c.budget.take(ctx, Normal, 0); err != nil {
 		return 0, nil, err
 	}
 	q := url.Values{"under": {under}, "after": {strconv.FormatUint(uint64(after), 10)},
-		"holdMs": {strconv.FormatInt(hold.Milliseconds(), 10)}}
+		"holdMs": {strconv.FormatInt(wait.Milliseconds(), 10)}}
 	var out struct {
 		Epoch ids.Epoch `json:"epoch"`
 		News  []Change  `json:"news"`
 	}
-	code, err := c.do(ctx, hold+2*CallTimeout, "GET", "/follow?"+q.Encode(), nil, &out)
+	code, err := c.do(ctx, wait+2*CallTimeout, "GET", "/follow?"+q.Encode(), nil, &out)
 	if err != nil {
 		return 0, nil, err
 	}
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -46,15 +46,15 @@
 			t.Fatal("it was carried out all the same")
 		}
 		n.SetRule(nil)
-		h, err := c.NewHold(ctx, time.Second)
+		h, err := c.NewLease(ctx, time.Second)
 		if err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(1500 * time.Millisecond)
-		if err := c.Renew(ctx, h); !errors.Is(err, ErrNoHold) {
+		if err := c.RenewLease(ctx, h); !errors.Is(err, ErrNoLease) {
 			t.Fatalf("a lapsed hold: %v", err)
 		}
-		if _, err := c.Commit(ctx, Txn{Then: []Op{{Put: "x", Value: []byte(`1`), Hold: h}}}, Urgent); !errors.Is(err, ErrNoHold) {
+		if _, err := c.Commit(ctx, Txn{Then: []Op{{Put: "x", Value: []byte(`1`), Lease: h}}}, Urgent); !errors.Is(err, ErrNoLease) {
 			t.Fatalf("a put with it: %v", err)
 		}
 	})
