--- a/internal/claim/beats.go
+++ b/internal/claim/beats.go
@@ -43,8 +43,8 @@
 	return p.term == t && time.Since(t.renewed) < life-life/100
 }
 
-// Beat answers a worker's report: a reply, or else a status and redirect.
-func (p *Pool) Beat(ctx context.Context, rep *worker.Report) (*worker.Reply, int, worker.Redirect) {
+// Heartbeat answers a worker's report: a reply, or else a status and redirect.
+func (p *Pool) Heartbeat(ctx context.Context, rep *worker.Report) (*worker.Reply, int, worker.Redirect) {
 	t := p.Term()
 	if t == nil {
 		if node, ok := p.Owner(); ok {
--- a/internal/claim/standstill_test.go
+++ b/internal/claim/standstill_test.go
@@ -25,7 +25,7 @@
 		close(term.loaded)
 		p.term = term
 		beat := func(tick ids.Tick) int {
-			_, code, _ := p.Beat(context.Background(), &worker.Report{Machine: "host-000001", Addr: "x:1", Type: "small", Zone: "north", Session: 1, Tick: tick, Token: 7})
+			_, code, _ := p.Heartbeat(context.Background(), &worker.Report{Machine: "host-000001", Addr: "x:1", Type: "small", Zone: "north", Session: 1, Tick: tick, Token: 7})
 			return code
 		}
 		p.still.since(time.Now(), true)
--- a/internal/claim/world_test.go
+++ b/internal/claim/world_test.go
@@ -148,7 +148,7 @@
 		}
 	}
 	n.desk = &intake.Desk{Set: set, State: st, Jobs: n.pool.Jobs(), Teller: n, Writer: writer, Types: types}
-	w.net.Listen(name+":8080", (&intake.Site{Desk: n.desk, Beats: n.pool, Ready: func() bool { return true },
+	w.net.Listen(name+":8080", (&intake.Site{Desk: n.desk, Heartbeats: n.pool, Ready: func() bool { return true },
 		Live:   func(context.Context, ids.Job) ([]string, ids.Node, error) { return nil, "", nil },
 		Status: func() any { return nil }}).Handler())
 	w.mu.Lock()
--- a/internal/intake/door.go
+++ b/internal/intake/door.go
@@ -35,7 +35,7 @@
 const (
 	unknown caller = iota
 	user
-	workerBeat
+	workerHeartbeat
 )
 
 // passer is one connection through the door.
@@ -82,7 +82,7 @@
 }
 
 func (p *passer) become(as caller) {
-	count := map[caller]*int{user: &p.door.users, workerBeat: &p.door.workers}
+	count := map[caller]*int{user: &p.door.users, workerHeartbeat: &p.door.workers}
 	if n := count[p.as]; n != nil {
 		*n--
 	}
--- a/internal/intake/door_test.go
+++ b/internal/intake/door_test.go
@@ -17,7 +17,7 @@
 // nods answers every report.
 type nods struct{}
 
-func (nods) Beat(context.Context, *worker.Report) (*worker.Reply, int, worker.Redirect) {
+func (nods) Heartbeat(context.Context, *worker.Report) (*worker.Reply, int, worker.Redirect) {
 	return &worker.Reply{Token: 1, Orders: []worker.Order{}}, 200, worker.Redirect{}
 }
 
@@ -28,7 +28,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		pipes := fake.NewPipes()
 		_, _, dk := desk()
-		s := &Site{Desk: dk, Beats: nods{}, Ready: func() bool { return true }}
+		s := &Site{Desk: dk, Heartbeats: nods{}, Ready: func() bool { return true }}
 		const workers = 100
 		d := &Door{Most: 128, Fleet: func() int { return workers }, Idle: 20 * time.Second}
 		go s.Serve(pipes.Listen("a"), d)
--- a/internal/intake/http.go
+++ b/internal/intake/http.go
@@ -17,15 +17,15 @@
 	"github.com/pebbletrail/pebbletrail/internal/worker"
 )
 
-// Beats answers workers' reports.
-type Beats interface {
-	Beat(ctx context.Context, rep *worker.Report) (*worker.Reply, int, worker.Redirect)
+// Heartbeats answers workers' reports.
+type Heartbeats interface {
+	Heartbeat(ctx context.Context, rep *worker.Report) (*worker.Reply, int, worker.Redirect)
 }
 
 // Site is what the HTTP side needs beside the desk.
 type Site struct {
-	Desk  *Desk
-	Beats Beats
+	Desk       *Desk
+	Heartbeats Heartbeats
 	// Ready tells whether the node can take requests.
 	Ready func() bool
 	// Live explains a job as the pool's owner sees it.
@@ -48,7 +48,7 @@
 func (s *Site) Handler() http.Handler {
 	e := echo.New()
 	e.HideBanner = true
-	e.POST("/agent/beat", s.beat, s.guard(workerBeat))
+	e.POST("/agent/beat", s.beat, s.guard(workerHeartbeat))
 	e.GET("/up", func(c echo.Context) error {
 		if !s.Ready() {
 			return c.NoContent(503)
@@ -69,7 +69,7 @@
 	if err := json.NewDecoder(io.LimitReader(c.Request().Body, 16<<20)).Decode(rep); err != nil || rep.Machine == "" {
 		return c.JSON(400, map[string]string{"error": "not a report"})
 	}
-	reply, status, to := s.Beats.Beat(c.Request().Context(), rep)
+	reply, status, to := s.Heartbeats.Heartbeat(c.Request().Context(), rep)
 	if reply != nil {
 		return c.JSON(status, reply)
 	}
--- a/internal/worker/roster.go
+++ b/internal/worker/roster.go
@@ -25,15 +25,15 @@
 	Zone string
 	Spot bool
 
-	Heard   bool // has reported to this owner
-	Session ids.Session
-	Tick    ids.Tick
-	Token   ids.Generation
-	Seen    time.Time // when the newest report came in
-	BeatAt  time.Time // when a beat of its was last answered
-	LapseAt time.Time // from here on its worker has surely ended every task
-	TakenAt time.Time // zero without a spot notice
-	Pieces  []Piece
+	Heard       bool // has reported to this owner
+	Session     ids.Session
+	Tick        ids.Tick
+	Token       ids.Generation
+	Seen        time.Time // when the newest report came in
+	HeartbeatAt time.Time // when a beat of its was last answered
+	LapseAt     time.Time // from here on its worker has surely ended every task
+	TakenAt     time.Time // zero without a spot notice
+	Pieces      []Piece
 
 	Born      time.Time // when this owner first knew of it
 	HeldSince time.Time // rental, as far as known
@@ -136,7 +136,7 @@
 		if rep.Token < fenced {
 			lapse = Later(m.LapseAt, lapse)
 		}
-		m.LapseAt, m.BeatAt = lapse, now
+		m.LapseAt, m.HeartbeatAt = lapse, now
 	}
 	kept := m.Lates[:0]
 	for _, l := range m.Lates {
@@ -191,7 +191,7 @@
 func (m *Machine) Usable(now time.Time, report ids.Seconds) bool {
 	// Answers to questions renew no lease: a machine whose beats do not come
 	// through soon loses whatever is put there.
-	beats := m.BeatAt
+	beats := m.HeartbeatAt
 	if beats.IsZero() {
 		beats = m.Born
 	}
