--- a/cmd/pebbletrail/serve.go
+++ b/cmd/pebbletrail/serve.go
@@ -85,7 +85,7 @@
 	pool.Peers = link
 	offer := &offer{cloud: cloud, pool: pool}
 	pool.OnTerm = func(ctx context.Context, t *claim.Term) {
-		k := &fleet.Keeper{Cloud: cloud, Book: t.Book, Store: t.Committer, Gen: t.Gen, Sure: func() bool { return pool.Sure(t) },
+		k := &fleet.Provisioner{Cloud: cloud, Book: t.Book, Store: t.Committer, Gen: t.Gen, Sure: func() bool { return pool.Sure(t) },
 			ListEvery: max(2*time.Second, set.Params.Cloud.ListLagS.Duration()/2)}
 		if ts := offer.known(); len(ts) > 0 {
 			t.Book.SetTypes(ts)
--- a/internal/fleet/keeper.go
+++ b/internal/fleet/provisioner.go
@@ -14,7 +14,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/state"
 )
 
-// Store keeps intents, fenced by the pool's generation.
+// Store keeps rental intents, fenced by the pool's generation.
 type Store interface {
 	Apply(ctx context.Context, ops []state.Op) error
 }
@@ -24,8 +24,8 @@
 	spot        bool
 }
 
-// Keeper is the owner's loop that keeps the fleet fitting the work.
-type Keeper struct {
+// Provisioner is the pool owner's loop that rents and returns machines as the work demands.
+type Provisioner struct {
 	Cloud *Cloud
 	Book  *claim.Book
 	Store Store
@@ -52,19 +52,19 @@
 
 // Adopt takes over the intents a predecessor left behind: sending them again
 // tells what they rented.
-func (k *Keeper) Adopt(entries []state.Entry) {
+func (p *Provisioner) Adopt(entries []state.Entry) {
 	for _, e := range entries {
 		var in Intent
 		if err := json.Unmarshal(e.Value, &in); err == nil && in.Name != "" {
-			k.open = append(k.open, in)
+			p.open = append(p.open, in)
 		}
 	}
 }
 
 // Run keeps the fleet until the context ends.
-func (k *Keeper) Run(ctx context.Context) {
+func (p *Provisioner) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		k.Step(ctx)
+		p.Step(ctx)
 		select {
 		case <-ctx.Done():
 		case <-time.After(250 * time.Millisecond):
@@ -73,74 +73,74 @@
 }
 
 // Step does one round: types, list, open hires, returns, new hires.
-func (k *Keeper) Step(ctx context.Context) {
-	if k.refused == nil {
-		k.refused = map[offer]time.Time{}
+func (p *Provisioner) Step(ctx context.Context) {
+	if p.refused == nil {
+		p.refused = map[offer]time.Time{}
 	}
 	now := time.Now()
-	if k.typed.IsZero() || now.Sub(k.typed) > 30*time.Second {
-		if ts, err := k.Cloud.Types(ctx); err == nil {
-			k.Book.SetTypes(ts)
-			k.typed = now
-			if k.OnTypes != nil {
-				k.OnTypes(ts)
+	if p.typed.IsZero() || now.Sub(p.typed) > 30*time.Second {
+		if ts, err := p.Cloud.Types(ctx); err == nil {
+			p.Book.SetTypes(ts)
+			p.typed = now
+			if p.OnTypes != nil {
+				p.OnTypes(ts)
 			}
-		} else if k.typed.IsZero() {
+		} else if p.typed.IsZero() {
 			slog.Info("machine types not known yet", "err", err)
 			return
 		}
 	}
-	if k.listed.IsZero() || now.Sub(k.listed) > k.ListEvery {
-		if ls, err := k.Cloud.List(ctx); err == nil {
-			k.Book.List(ls, time.Now())
-			k.listed = now
+	if p.listed.IsZero() || now.Sub(p.listed) > p.ListEvery {
+		if ls, err := p.Cloud.List(ctx); err == nil {
+			p.Book.List(ls, time.Now())
+			p.listed = now
 		}
 	}
-	unsure := k.unsure
-	k.unsure = nil
+	unsure := p.unsure
+	p.unsure = nil
 	for _, in := range unsure {
-		k.keep(ctx, in)
+		p.storeIntent(ctx, in)
 	}
-	for _, in := range append([]Intent(nil), k.open...) {
-		k.send(ctx, in)
+	for _, in := range append([]Intent(nil), p.open...) {
+		p.send(ctx, in)
 	}
-	if k.Sure != nil && !k.Sure() {
+	if p.Sure != nil && !p.Sure() {
 		// Cut off or in an outage this owner hears of nothing: whatever it would
 		// decide might long be otherwise.
 		return
 	}
 	// Decided only now: what an open hire has rented must count, or a lost
 	// answer would rent everything twice.
-	dark := k.Book.DarkZones()
-	ds, ups, types := k.Book.Needs(time.Now())
+	dark := p.Book.DarkZones()
+	ds, ups, types := p.Book.Needs(time.Now())
 	hires, needed := placement.Rent(ds, ups, types, func(label, zone string, spot bool) bool {
-		return !dark[zone] && !k.refused[offer{label, zone, spot}].After(now)
+		return !dark[zone] && !p.refused[offer{label, zone, spot}].After(now)
 	})
-	k.returns(ctx, needed)
-	if len(k.unsure) > 0 || len(k.open) > 0 || k.listed.IsZero() {
+	p.returns(ctx, needed)
+	if len(p.unsure) > 0 || len(p.open) > 0 || p.listed.IsZero() {
 		return // what they rent is not known yet
 	}
-	if len(hires) > 0 && k.Book.Empty("", time.Now()) {
+	if len(hires) > 0 && p.Book.Empty("", time.Now()) {
 		return // what was being emptied is wanted after all
 	}
 	for _, h := range hires {
-		k.hire(ctx, h)
+		p.hire(ctx, h)
 	}
 	if len(hires) == 0 {
-		k.consolidate()
+		p.consolidate()
 	}
 }
 
 // consolidate finds a machine whose services the others could take over with
 // nothing hired for it, and lets it be emptied.
-func (k *Keeper) consolidate() {
+func (p *Provisioner) consolidate() {
 	now := time.Now()
-	if now.Sub(k.emptied) < 1500*time.Millisecond {
+	if now.Sub(p.emptied) < 1500*time.Millisecond {
 		return // each look weighs the whole fleet anew
 	}
-	k.emptied = now
-	for _, e := range k.Book.Emptiables(now) {
-		ds, ups, types := k.Book.Needs(now)
+	p.emptied = now
+	for _, e := range p.Book.Emptiables(now) {
+		ds, ups, types := p.Book.Needs(now)
 		rest := ups[:0]
 		for _, u := range ups {
 			if u.Name != e.Name && !u.Coming {
@@ -150,22 +150,22 @@
 		hires, _ := placement.Rent(append(append([]placement.Demand(nil), e.Needs...), ds...), rest, types,
 			func(string, string, bool) bool { return true })
 		if len(hires) == 0 {
-			k.Book.Empty(e.Name, now)
+			p.Book.Empty(e.Name, now)
 			return
 		}
 	}
 }
 
-func (k *Keeper) returns(ctx context.Context, needed map[ids.Machine]bool) {
-	names := k.Book.Returns(time.Now(), needed)
+func (p *Provisioner) returns(ctx context.Context, needed map[ids.Machine]bool) {
+	names := p.Book.Returns(time.Now(), needed)
 	for len(names) > 0 {
 		n := min(len(names), 100)
-		if err := k.Cloud.Delete(ctx, names[:n], k.Sure); err != nil {
+		if err := p.Cloud.Delete(ctx, names[:n], p.Sure); err != nil {
 			slog.Debug("deletion not confirmed", "err", err)
 			return // asked again next round, until it is confirmed
 		}
 		for _, name := range names[:n] {
-			k.Book.MachineGone(name)
+			p.Book.MachineGone(name)
 		}
 		names = names[n:]
 	}
@@ -173,58 +173,58 @@
 
 // hire stores the request's name before sending it: whoever comes after can
 // learn what it rented, and no name is ever used for two requests.
-func (k *Keeper) hire(ctx context.Context, h placement.Hire) {
-	k.seq++
-	in := Intent{Name: ids.Hire(fmt.Sprintf("h-%d-%d", k.Gen, k.seq)), Type: h.Type, Zone: h.Zone, Spot: h.Spot, Count: min(h.Count, 50)}
-	if k.keep(ctx, in) {
-		k.send(ctx, in)
+func (p *Provisioner) hire(ctx context.Context, h placement.Hire) {
+	p.seq++
+	in := Intent{Name: ids.Hire(fmt.Sprintf("h-%d-%d", p.Gen, p.seq)), Type: h.Type, Zone: h.Zone, Spot: h.Spot, Count: min(h.Count, 50)}
+	if p.storeIntent(ctx, in) {
+		p.send(ctx, in)
 	}
 }
 
-// keep stores an intent, and tells whether it surely is. One whose answer was lost
+// storeIntent stores an intent, and tells whether it surely is. One whose answer was lost
 // may be stored yet, after all that this owner writes now; so it is stored again
 // rather than forgotten.
-func (k *Keeper) keep(ctx context.Context, in Intent) bool {
+func (p *Provisioner) storeIntent(ctx context.Context, in Intent) bool {
 	raw, err := json.Marshal(in)
 	if err != nil {
 		return false
 	}
-	if err := k.Store.Apply(ctx, []state.Op{{Put: claim.HirePrefix + string(in.Name), Value: raw}}); err != nil {
+	if err := p.Store.Apply(ctx, []state.Op{{Put: claim.HirePrefix + string(in.Name), Value: raw}}); err != nil {
 		slog.Debug("hire not stored", "hire", in.Name, "err", err)
 		var conflict *state.Conflict
 		if !errors.As(err, &conflict) && (errors.Is(err, state.ErrUnknown) || in.tried) {
 			in.tried = true
-			k.unsure = append(k.unsure, in)
+			p.unsure = append(p.unsure, in)
 		}
 		return false
 	}
-	k.open = append(k.open, in)
+	p.open = append(p.open, in)
 	return true
 }
 
-func (k *Keeper) send(ctx context.Context, in Intent) {
-	names, err := k.Cloud.Hire(ctx, in, k.Sure)
+func (p *Provisioner) send(ctx context.Context, in Intent) {
+	names, err := p.Cloud.Hire(ctx, in, p.Sure)
 	switch {
 	case err == nil:
 		slog.Info("hired", "hire", in.Name, "type", in.Type, "zone", in.Zone, "spot", in.Spot, "asked", in.Count, "got", len(names))
-		k.Book.Hired(names, placement.Hire{Type: in.Type, Zone: in.Zone, Spot: in.Spot}, time.Now())
+		p.Book.Hired(names, placement.Hire{Type: in.Type, Zone: in.Zone, Spot: in.Spot}, time.Now())
 		if len(names) < in.Count {
-			k.refused[offer{in.Type, in.Zone, in.Spot}] = time.Now().Add(15 * time.Second)
+			p.refused[offer{in.Type, in.Zone, in.Spot}] = time.Now().Add(15 * time.Second)
 		}
 	case errors.Is(err, ErrNoCapacity):
-		k.refused[offer{in.Type, in.Zone, in.Spot}] = time.Now().Add(15 * time.Second)
+		p.refused[offer{in.Type, in.Zone, in.Spot}] = time.Now().Add(15 * time.Second)
 	case errors.Is(err, ErrMalformed):
 		slog.Error("the cloud calls a hire malformed", "hire", in.Name, "err", err)
-		k.refused[offer{in.Type, in.Zone, in.Spot}] = time.Now().Add(time.Minute)
+		p.refused[offer{in.Type, in.Zone, in.Spot}] = time.Now().Add(time.Minute)
 	default:
 		return // sent again under the same name
 	}
-	if err := k.Store.Apply(ctx, []state.Op{{Remove: claim.HirePrefix + string(in.Name)}}); err != nil {
+	if err := p.Store.Apply(ctx, []state.Op{{Remove: claim.HirePrefix + string(in.Name)}}); err != nil {
 		slog.Debug("intent not removed", "hire", in.Name, "err", err)
 	}
-	for i := range k.open {
-		if k.open[i].Name == in.Name {
-			k.open = append(k.open[:i], k.open[i+1:]...)
+	for i := range p.open {
+		if p.open[i].Name == in.Name {
+			p.open = append(p.open[:i], p.open[i+1:]...)
 			break
 		}
 	}
