--- a/internal/claim/book.go
+++ b/internal/claim/book.go
@@ -119,7 +119,7 @@
 	jobs   map[ids.Job]*Job
 	gone   map[ids.Job]bool // jobs whose end this term has stored
 	goneQ  []ids.Job
-	roster *worker.Roster
+	roster *worker.Registry
 	// What follows is kept up to date change by change, so that planning,
 	// sending and storing never walk the whole fleet or all jobs.
 	line       []*Job // by submission
@@ -179,7 +179,7 @@
 	return &Book{
 		set: set, writer: writer, gen: gen, first: gen,
 		jobs: map[ids.Job]*Job{}, gone: map[ids.Job]bool{},
-		roster:       worker.NewRoster(set.Params.Workers.LeaseS),
+		roster:       worker.NewRegistry(set.Params.Workers.LeaseS),
 		hosts:        map[ids.Machine]*host{},
 		shelves:      map[kind]*shelf{},
 		byImage:      map[string]map[*host]bool{},
--- a/internal/claim/book_test.go
+++ b/internal/claim/book_test.go
@@ -204,7 +204,7 @@
 	b.Plan(now)
 	b.store()
 	m := b.roster.Machines["m1"]
-	m.Lates = nil // its answer came
+	m.LateStarts = nil // its answer came
 	done := worker.Piece{Task: "job-1/0", Attempt: 1, Status: worker.Ended, Cause: worker.CauseDone}
 	if o := b.hear("m1", "north", 2, done); len(o) != 0 {
 		t.Fatalf("ordered %v before the outcome was stored", o)
@@ -217,7 +217,7 @@
 		t.Fatalf("ordered %v", o)
 	}
 	// With a late start unaccounted for, a cleared attempt could begin anew.
-	m.Lates = []worker.Late{{Task: "job-1/0", Attempt: 1, Token: 7, Session: 1}}
+	m.LateStarts = []worker.LateStart{{Task: "job-1/0", Attempt: 1, Token: 7, Session: 1}}
 	if o := b.hear("m1", "north", 5, done); len(o) != 0 {
 		t.Fatalf("ordered %v although a late start may come", o)
 	}
@@ -570,7 +570,7 @@
 	b.hear("cold", "north", 2, worker.Piece{Task: task["cold"], Attempt: 1, Status: worker.Waiting})
 	b.startsFor()
 	for _, m := range b.roster.Machines {
-		m.Lates = nil // the commands were answered
+		m.LateStarts = nil // the commands were answered
 	}
 	b.hear("warm", "north", 2, worker.Piece{Task: task["warm"], Attempt: 1, Status: worker.Waiting})
 	ended := worker.Piece{Task: task["warm"], Attempt: 1, Status: worker.Ended, Cause: worker.CauseIncomplete}
@@ -681,7 +681,7 @@
 	if store() != 1 {
 		t.Fatal("the marker is not stored at once")
 	}
-	b.roster.Machines["m1"].Lates = nil
+	b.roster.Machines["m1"].LateStarts = nil
 	b.hear("m1", "north", 2, worker.Piece{Task: "job-1/0", Attempt: 1, Status: worker.Ended, Cause: worker.CauseDone},
 		worker.Piece{Task: "job-1/1", Attempt: 1, Status: worker.Running})
 	if store() != 0 {
--- a/internal/claim/dispatch.go
+++ b/internal/claim/dispatch.go
@@ -77,7 +77,7 @@
 			case !p.stopping && !p.sent && p.Job.saved >= p.version && !b.mayStart(p, m):
 			case !p.stopping && !p.sent && p.Job.saved >= p.version && p.Token == b.gen:
 				p.sent = true
-				m.Lates = append(m.Lates, worker.Late{Task: p.Task().String(), Attempt: p.Attempt, Token: b.gen, Session: m.Session})
+				m.LateStarts = append(m.LateStarts, worker.LateStart{Task: p.Task().String(), Attempt: p.Attempt, Token: b.gen, Session: m.Session})
 				ba.orders = append(ba.orders, worker.Start(p.Task(), p.Attempt))
 			case !p.stopping && !p.sent && p.Job.saved >= p.version && p.version > 0:
 				// The generation rose between marker and start: the marker
@@ -131,14 +131,14 @@
 	if how == worker.Uncertain {
 		return // outstanding until shown, or turned away by session or token
 	}
-	kept := m.Lates[:0]
-	for _, l := range m.Lates {
+	kept := m.LateStarts[:0]
+	for _, l := range m.LateStarts {
 		ours := l.Session == ba.session && l.Token == ba.token && ba.starts(l.Task, l.Attempt)
 		if !ours {
 			kept = append(kept, l)
 		}
 	}
-	m.Lates = kept
+	m.LateStarts = kept
 }
 
 // Dispatcher sends batches straight to the workers.
--- a/internal/claim/fleet_test.go
+++ b/internal/claim/fleet_test.go
@@ -153,7 +153,7 @@
 		t.Fatalf("batches %v", ba)
 	}
 	b.answered(ba[0], worker.NotSent)
-	if len(j.places) != 0 || len(b.roster.Machines["m2"].Lates) != 0 {
+	if len(j.places) != 0 || len(b.roster.Machines["m2"].LateStarts) != 0 {
 		t.Fatal("a start that surely never arrives is kept")
 	}
 	// One that may arrive is.
@@ -163,7 +163,7 @@
 	b.settledUpTo(j)
 	ba = b.batches(10)
 	b.answered(ba[0], worker.Uncertain)
-	if len(j.places) != 1 || len(b.roster.Machines["m3"].Lates) != 1 {
+	if len(j.places) != 1 || len(b.roster.Machines["m3"].LateStarts) != 1 {
 		t.Fatal("a start that may yet arrive was given up")
 	}
 }
--- a/internal/claim/settle.go
+++ b/internal/claim/settle.go
@@ -188,7 +188,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	m := b.roster.Machines[rep.Machine]
-	if m == nil || rep.Session != m.Session || len(m.Lates) == 0 {
+	if m == nil || rep.Session != m.Session || len(m.LateStarts) == 0 {
 		return false
 	}
 	for p := range b.placesOn(m.Name) {
--- a/internal/worker/roster.go
+++ b/internal/worker/registry.go
@@ -7,9 +7,9 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-// Late is a start sent straight to a worker that got no answer: it may yet be
+// LateStart is a start sent straight to a worker that got no answer: it may yet be
 // carried out, minutes later, while session and token still match.
-type Late struct {
+type LateStart struct {
 	Task    string
 	Attempt ids.Attempt
 	Token   ids.Generation
@@ -53,30 +53,30 @@
 	// Unreached is since when commands and questions to it go unanswered;
 	// zero while they are answered. Its reports may arrive all the same, when
 	// only the way to it is cut: they do not end this.
-	Unreached time.Time
-	Failures  int // unanswered ones since then
-	Faults    int // tasks of good jobs that failed there since one last completed
-	Lates     []Late
-	Images    Images
-	Hinted    ids.Session // as an earlier owner knew it
-	HintSeq   uint64      // when what the other controllers should know last changed
+	Unreached  time.Time
+	Failures   int // unanswered ones since then
+	Faults     int // tasks of good jobs that failed there since one last completed
+	LateStarts []LateStart
+	Images     Images
+	Hinted     ids.Session // as an earlier owner knew it
+	HintSeq    uint64      // when what the other controllers should know last changed
 }
 
-// Roster is all machines by name.
-type Roster struct {
+// Registry is all machines by name.
+type Registry struct {
 	Machines map[ids.Machine]*Machine
 	lease    ids.Seconds
 }
 
-// NewRoster makes an empty roster for workers with the given lease.
-func NewRoster(lease ids.Seconds) *Roster {
-	return &Roster{Machines: map[ids.Machine]*Machine{}, lease: lease}
+// NewRegistry makes an empty roster for workers with the given lease.
+func NewRegistry(lease ids.Seconds) *Registry {
+	return &Registry{Machines: map[ids.Machine]*Machine{}, lease: lease}
 }
 
 // Ensure finds or adds a machine. notBefore is the earliest time at which an
 // unheard machine's lease can be trusted to have lapsed: a predecessor may
 // still have been answering it.
-func (r *Roster) Ensure(name ids.Machine, now, notBefore time.Time) *Machine {
+func (r *Registry) Ensure(name ids.Machine, now, notBefore time.Time) *Machine {
 	m := r.Machines[name]
 	if m == nil {
 		m = &Machine{Name: name, Born: now, IdleSince: now, NeededAt: now, LapseAt: notBefore, HeldSince: now, Seen: now}
@@ -87,7 +87,7 @@
 
 // Sorted lists the machines by name, so that decisions do not hang on the order
 // of a map.
-func (r *Roster) Sorted() []*Machine {
+func (r *Registry) Sorted() []*Machine {
 	out := make([]*Machine, 0, len(r.Machines))
 	for _, m := range r.Machines {
 		out = append(out, m)
@@ -106,7 +106,7 @@
 // which gives its lease full time from when it was sent, so at most from now.
 // fenced is the present owner's token: a worker that has seen it drops the
 // answers of every earlier owner, so that only ours renew its lease.
-func (r *Roster) Note(m *Machine, rep *Report, now time.Time, answered bool, fenced ids.Generation) Verdict {
+func (r *Registry) Note(m *Machine, rep *Report, now time.Time, answered bool, fenced ids.Generation) Verdict {
 	// A held-back report of an earlier life or list says nothing new.
 	if m.Heard && (rep.Session < m.Session || rep.Session == m.Session && rep.Tick <= m.Tick) {
 		if answered && rep.Session == m.Session {
@@ -138,14 +138,14 @@
 		}
 		m.LapseAt, m.HeartbeatAt = lapse, now
 	}
-	kept := m.Lates[:0]
-	for _, l := range m.Lates {
+	kept := m.LateStarts[:0]
+	for _, l := range m.LateStarts {
 		// A moved session or a higher token turns the late start away.
 		if l.Session == m.Session && l.Token >= m.Token {
 			kept = append(kept, l)
 		}
 	}
-	m.Lates = kept
+	m.LateStarts = kept
 	return v
 }
 
@@ -160,7 +160,7 @@
 // MayRevive tells whether clearing this attempt could let a late start begin
 // it anew.
 func (m *Machine) MayRevive(task string, a ids.Attempt) bool {
-	for _, l := range m.Lates {
+	for _, l := range m.LateStarts {
 		if l.Task == task && l.Attempt == a {
 			return true
 		}
--- a/internal/worker/worker_test.go
+++ b/internal/worker/worker_test.go
@@ -12,7 +12,7 @@
 
 func TestOnlyNewerReportsCountAndLeasesRunFromAnsweredOnes(t *testing.T) {
 	now := time.Now()
-	r := NewRoster(20)
+	r := NewRegistry(20)
 	m := r.Ensure("m", now, now.Add(time.Minute))
 	if v := r.Note(m, &Report{Session: 2, Tick: 5, Token: 3}, now, true, 4); !v.Fresh {
 		t.Fatal("the first report is new")
@@ -26,7 +26,7 @@
 	if v := r.Note(m, &Report{Session: 2, Tick: 5}, now, false, 4); v.Fresh {
 		t.Error("a report counted twice")
 	}
-	m.Lates = []Late{{Task: "job-1/0", Attempt: 1, Token: 4, Session: 2}}
+	m.LateStarts = []LateStart{{Task: "job-1/0", Attempt: 1, Token: 4, Session: 2}}
 	r.Note(m, &Report{Session: 2, Tick: 6, Token: 4}, now, true, 4)
 	if d := m.LapseAt.Sub(now); d < 20*time.Second || d > 21*time.Second {
 		t.Errorf("the lease surely lapses after %v", d)
@@ -44,7 +44,7 @@
 	// no way: its lease was taken to have lapsed before it began, and its tasks
 	// were started a second time.
 	now := time.Now()
-	r := NewRoster(20)
+	r := NewRegistry(20)
 	m := r.Ensure("m", now, now.Add(-time.Minute))
 	r.Note(m, &Report{Session: 1, Tick: 1}, now, false, 4)
 	if d := m.LapseAt.Sub(now); d < 20*time.Second {
