--- a/cmd/pebbletrail/serve.go
+++ b/cmd/pebbletrail/serve.go
@@ -95,7 +95,7 @@
 		k.Run(ctx)
 	}
 	site := &intake.Site{
-		Desk:       &intake.Desk{Set: set, State: st, Jobs: pool.Jobs(), Teller: link, Writer: incarnation, Types: offer.known},
+		Desk:       &intake.Desk{Set: set, State: st, Jobs: pool.Jobs(), OwnerNotifier: link, Writer: incarnation, Types: offer.known},
 		Heartbeats: pool,
 		Ready: func() bool {
 			age, ok := st.SinceGood()
--- a/internal/claim/world_test.go
+++ b/internal/claim/world_test.go
@@ -147,7 +147,7 @@
 			}
 		}
 	}
-	n.desk = &intake.Desk{Set: set, State: st, Jobs: n.pool.Jobs(), Teller: n, Writer: writer, Types: types}
+	n.desk = &intake.Desk{Set: set, State: st, Jobs: n.pool.Jobs(), OwnerNotifier: n, Writer: writer, Types: types}
 	w.net.Listen(name+":8080", (&intake.Site{Desk: n.desk, Heartbeats: n.pool, Ready: func() bool { return true },
 		Live:   func(context.Context, ids.Job) ([]string, ids.Node, error) { return nil, "", nil },
 		Status: func() any { return nil }}).Handler())
@@ -209,9 +209,9 @@
 	return true
 }
 
-// Tell passes writes on: to its own pool at once, to the others as fast as the
+// NotifyOwner passes writes on: to its own pool at once, to the others as fast as the
 // network is.
-func (n *node) Tell(id ids.Job, stamp ids.Revision, rec *claim.Record, raw json.RawMessage) <-chan struct{} {
+func (n *node) NotifyOwner(id ids.Job, stamp ids.Revision, rec *claim.Record, raw json.RawMessage) <-chan struct{} {
 	done := make(chan struct{})
 	if lag := n.w.lag.Load(); lag != nil && n.pool.Book() == nil {
 		go func() {
--- a/internal/intake/desk.go
+++ b/internal/intake/desk.go
@@ -16,10 +16,10 @@
 	"github.com/pebbletrail/pebbletrail/internal/state"
 )
 
-// Teller passes a write on to the pool's owner.
-type Teller interface {
+// OwnerNotifier passes the write of a job's record on to the pool's owner.
+type OwnerNotifier interface {
 	// The channel closes once it knows, or can't be told.
-	Tell(id ids.Job, stamp ids.Revision, rec *claim.Record, raw json.RawMessage) <-chan struct{}
+	NotifyOwner(id ids.Job, stamp ids.Revision, rec *claim.Record, raw json.RawMessage) <-chan struct{}
 }
 
 // errNotNow means that the request can't be decided or stored now.
@@ -33,11 +33,11 @@
 // Desk serves the users. It writes and reads the records itself, whichever
 // node owns the pool.
 type Desk struct {
-	Set    *config.Settings
-	State  *state.Client
-	Jobs   *state.Mirror // the live records
-	Teller Teller
-	Writer string
+	Set           *config.Settings
+	State         *state.Client
+	Jobs          *state.Mirror // the live records
+	OwnerNotifier OwnerNotifier
+	Writer        string
 	// Types is the cloud's offer; empty while it is not known.
 	Types func() []placement.Type
 
@@ -179,7 +179,7 @@
 	switch {
 	case err == nil:
 		if key == claim.JobKey(spec.ID) {
-			d.Teller.Tell(spec.ID, ids.Revision(epoch), rec, raw)
+			d.OwnerNotifier.NotifyOwner(spec.ID, ids.Revision(epoch), rec, raw)
 		}
 		if rec.Status.Over() {
 			d.remember(rec)
@@ -305,10 +305,10 @@
 				d.remember(r) // the owner follows the records
 			case queued:
 				d.remember(r)
-				d.Teller.Tell(id, ids.Revision(epoch), nil, nil)
+				d.OwnerNotifier.NotifyOwner(id, ids.Revision(epoch), nil, nil)
 			default:
 				// It may be about to start some of the tasks.
-				told := d.Teller.Tell(id, ids.Revision(epoch), r, txn.Then[0].Value)
+				told := d.OwnerNotifier.NotifyOwner(id, ids.Revision(epoch), r, txn.Then[0].Value)
 				select {
 				case <-told:
 				case <-time.After(ownerTold):
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -249,9 +249,9 @@
 	return all
 }
 
-// Tell passes a write on to the pool's owner, wherever it is; the channel closes once
+// NotifyOwner passes a write on to the pool's owner, wherever it is; the channel closes once
 // it knows, or can't be told.
-func (l *Link) Tell(id ids.Job, stamp ids.Revision, rec *claim.Record, raw json.RawMessage) <-chan struct{} {
+func (l *Link) NotifyOwner(id ids.Job, stamp ids.Revision, rec *claim.Record, raw json.RawMessage) <-chan struct{} {
 	done := make(chan struct{})
 	if l.pool.Book() != nil {
 		l.pool.Learn(id, stamp, rec)
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -72,7 +72,7 @@
 		rec := claim.NewRecord(claim.Spec{ID: "job-1", Team: "red", Shape: claim.Array, Tasks: 1, Need: placement.Room{Cores: 1}}, 1, "b")
 		raw, _ := json.Marshal(rec)
 		a.Book().SetTypes([]placement.Type{{Label: "small", Cores: 4, RAM: 16, Zones: []string{"north"}}})
-		lb.Tell("job-1", 9, rec, raw)
+		lb.NotifyOwner("job-1", 9, rec, raw)
 		time.Sleep(time.Second)
 		lines, owner, err := lb.Explain(ctx, "job-1")
 		if err != nil || owner != "a" || !strings.Contains(strings.Join(lines, " "), "no machine has room") {
