--- a/cmd/pebbletrail/serve.go
+++ b/cmd/pebbletrail/serve.go
@@ -134,8 +134,8 @@
 		}
 		return 0
 	}
-	return site.Serve(users, &intake.Door{Most: places.Callers, Fleet: fleet,
-		Idle: max(20*time.Second, 3*set.Params.Workers.ReportS.Duration()+5*time.Second)})
+	return site.Serve(users, &intake.ConnectionLimiter{MaxConnections: places.Callers, WorkerCount: fleet,
+		IdleTimeout: max(20*time.Second, 3*set.Params.Workers.ReportS.Duration()+5*time.Second)})
 }
 
 // offer is the cloud's machine types, which every node needs to judge
--- a/internal/intake/door_test.go
+++ b/internal/intake/connection_limiter_test.go
@@ -30,7 +30,7 @@
 		_, _, dk := desk()
 		s := &Site{Desk: dk, Heartbeats: nods{}, Ready: func() bool { return true }}
 		const workers = 100
-		d := &Door{Most: 128, Fleet: func() int { return workers }, Idle: 20 * time.Second}
+		d := &ConnectionLimiter{MaxConnections: 128, WorkerCount: func() int { return workers }, IdleTimeout: 20 * time.Second}
 		go s.Serve(pipes.Listen("a"), d)
 		dialed := 0
 		newClient := func() *http.Client {
@@ -68,7 +68,7 @@
 				t.Fatalf("a user got %d, Retry-After %q", code, after)
 			}
 		}
-		if served != d.Most-4-workers || refused != 60-served {
+		if served != d.MaxConnections-4-workers || refused != 60-served {
 			t.Errorf("%d users served and %d told to come back", served, refused)
 		}
 		// Every worker finds a place, and keeps it.
--- a/internal/intake/http.go
+++ b/internal/intake/http.go
@@ -48,19 +48,19 @@
 func (s *Site) Handler() http.Handler {
 	e := echo.New()
 	e.HideBanner = true
-	e.POST("/agent/beat", s.beat, s.guard(workerHeartbeat))
+	e.POST("/agent/beat", s.beat, s.limit(workerHeartbeat))
 	e.GET("/up", func(c echo.Context) error {
 		if !s.Ready() {
 			return c.NoContent(503)
 		}
 		return c.NoContent(200)
-	}, s.guard(unknown))
-	users := s.guard(user)
+	}, s.limit(unknown))
+	users := s.limit(user)
 	e.POST("/v2/runs", s.submit, users)
 	e.GET("/v2/runs/:id", s.look, users)
 	e.POST("/v2/runs/:id/cancel", s.cancel, users)
 	e.GET("/v2/runs/:id/explain", s.explain, users)
-	e.GET("/v2/status", func(c echo.Context) error { return c.JSON(200, s.Status()) }, s.guard(unknown))
+	e.GET("/v2/status", func(c echo.Context) error { return c.JSON(200, s.Status()) }, s.limit(unknown))
 	return e
 }
 
