--- a/internal/measure/measure.go
+++ b/internal/measure/measure.go
@@ -1,5 +1,5 @@
-// Package measure keeps what operators and rounds of improvement are guided
-// by: how long things took and how often calls were made. It decides nothing.
+// Package measure records latencies and counts for operators and measured rounds:
+// how long things took and how often calls were made. No decision depends on it.
 package measure
 
 import (
@@ -11,32 +11,32 @@
 	hdr "github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Book is one process's measurements. Its size is bounded: names come from the
+// Recorder keeps latencies and counts. Its size is bounded: names come from the
 // code, never from what users or machines send.
-type Book struct {
+type Recorder struct {
 	mu     sync.Mutex
 	took   map[string]*hdr.Histogram // in microseconds
 	counts map[string]int64
 }
 
-// New makes an empty book.
-func New() *Book { return &Book{took: map[string]*hdr.Histogram{}, counts: map[string]int64{}} }
+// New makes an empty recorder.
+func New() *Recorder { return &Recorder{took: map[string]*hdr.Histogram{}, counts: map[string]int64{}} }
 
-// Process is this process's book: counts by purpose come from many slices, and
-// handing one book to each of them would tell no more.
+// Process records for the whole process: counts come from many packages, and
+// passing a recorder to each of them would tell no more.
 var Process = New()
 
 const longest = time.Minute
 
 // Took notes how long something took since it began.
-func (b *Book) Took(what string, began time.Time) {
+func (r *Recorder) Took(what string, began time.Time) {
 	d := min(time.Since(began), longest)
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	h := b.took[what]
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	h := r.took[what]
 	if h == nil {
 		h = hdr.New(1, longest.Microseconds(), 2)
-		b.took[what] = h
+		r.took[what] = h
 	}
 	if err := h.RecordValue(max(1, d.Microseconds())); err != nil {
 		slog.Error("latency not kept", "what", what, "err", err) // within bounds by the above
@@ -44,10 +44,10 @@
 }
 
 // Count adds to a count.
-func (b *Book) Count(what string, n int) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.counts[what] += int64(n)
+func (r *Recorder) Count(what string, n int) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.counts[what] += int64(n)
 }
 
 // Spread is a distribution in milliseconds.
@@ -60,25 +60,25 @@
 }
 
 // Summary is everything measured so far.
-func (b *Book) Summary() (map[string]Spread, map[string]int64) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	took := make(map[string]Spread, len(b.took))
+func (r *Recorder) Summary() (map[string]Spread, map[string]int64) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	took := make(map[string]Spread, len(r.took))
 	ms := func(us int64) float64 { return float64(us) / 1000 }
-	for k, h := range b.took {
+	for k, h := range r.took {
 		took[k] = Spread{h.TotalCount(), ms(h.ValueAtQuantile(50)), ms(h.ValueAtQuantile(99)), ms(h.Max()),
 			h.Mean() * float64(h.TotalCount()) / 1000}
 	}
-	counts := make(map[string]int64, len(b.counts))
-	for k, n := range b.counts {
+	counts := make(map[string]int64, len(r.counts))
+	for k, n := range r.counts {
 		counts[k] = n
 	}
 	return took, counts
 }
 
 // Log writes the summary as one line.
-func (b *Book) Log() {
-	took, counts := b.Summary()
+func (r *Recorder) Log() {
+	took, counts := r.Summary()
 	var args []any
 	for _, k := range sorted(took) {
 		args = append(args, k, took[k])
--- a/internal/measure/measure_test.go
+++ b/internal/measure/measure_test.go
@@ -8,18 +8,18 @@
 
 func TestLatenciesAndCountsAddUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := New()
+		r := New()
 		for i := range 100 {
 			began := time.Now()
 			time.Sleep(time.Duration(i+1) * time.Millisecond)
-			b.Took("pass", began)
+			r.Took("pass", began)
 		}
 		began := time.Now()
 		time.Sleep(time.Hour) // longer than kept: still counted, at the bound
-		b.Took("pass", began)
-		b.Count("calls", 2)
-		b.Count("calls", 3)
-		took, counts := b.Summary()
+		r.Took("pass", began)
+		r.Count("calls", 2)
+		r.Count("calls", 3)
+		took, counts := r.Summary()
 		s := took["pass"]
 		if s.Count != 101 || s.P50 < 49 || s.P50 > 53 || s.Max < 59000 || s.Max > 61000 || counts["calls"] != 5 {
 			t.Fatalf("%+v %v", s, counts)
