--- a/cmd/pebbletrail/serve.go
+++ b/cmd/pebbletrail/serve.go
@@ -98,7 +98,7 @@
 		Desk:       &intake.Desk{Set: set, State: st, Jobs: pool.Jobs(), OwnerNotifier: link, Writer: incarnation, Types: offer.known},
 		Heartbeats: pool,
 		Ready: func() bool {
-			age, ok := st.SinceGood()
+			age, ok := st.SinceSuccess()
 			if !ok {
 				return false
 			}
--- a/internal/claim/takeover.go
+++ b/internal/claim/takeover.go
@@ -103,7 +103,7 @@
 	b := NewBook(p.Set, writer, gen, trust)
 	fresh := time.Duration(p.Set.Own.PoolHoldMs) * time.Millisecond / 2
 	b.Storing = func() bool {
-		age, ok := p.State.SinceGood()
+		age, ok := p.State.SinceSuccess()
 		return ok && age < fresh
 	}
 	tctx, cancel := context.WithCancel(ctx)
--- a/internal/intake/desk.go
+++ b/internal/intake/desk.go
@@ -79,7 +79,7 @@
 // each. A job that ends in between has its final record before its live one is
 // gone, so looking for the live one first misses nothing.
 func (d *Desk) read(ctx context.Context, id ids.Job, u state.Urgency) (*claim.Record, state.Entry, error) {
-	if d.State.Away() {
+	if d.State.Unavailable() {
 		return nil, state.Entry{}, fmt.Errorf("%w: the state service does not answer", errNotNow)
 	}
 	if err := d.Jobs.Sync(ctx); err != nil {
@@ -168,7 +168,7 @@
 			return a, false, err
 		}
 	}
-	if d.State.Away() {
+	if d.State.Unavailable() {
 		return a, false, fmt.Errorf("%w: the state service does not answer", errNotNow)
 	}
 	epoch, err := d.State.Commit(ctx, state.Txn{
--- a/internal/intake/http.go
+++ b/internal/intake/http.go
@@ -80,7 +80,7 @@
 func (s *Site) later(c echo.Context) error {
 	measure.Process.Count("users told to come back", 1)
 	after := s.Desk.State.Budget().RetryAfter()
-	if s.Desk.State.Away() {
+	if s.Desk.State.Unavailable() {
 		after = 2 * time.Second // it is asked twice a second, and takes a moment to serve all
 	}
 	if !s.Ready() {
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -291,7 +291,7 @@
 // hello tells how this node fares; to a node that said how far in the hints it
 // is, the owner tells what came since.
 func (l *Link) hello(to *claim.HintMark) Hello {
-	age, ok := l.state.SinceGood()
+	age, ok := l.state.SinceSuccess()
 	h := Hello{Node: l.set.HostName, StateOK: ok && age < 3*time.Second}
 	if b := l.pool.Book(); b != nil {
 		h.Owner = true
--- a/internal/state/client.go
+++ b/internal/state/client.go
@@ -102,48 +102,48 @@
 
 // Client is one controller's way to the store.
 type Client struct {
-	base   string
-	http   *http.Client
-	budget *Budget
-	good   atomic.Int64 // steady nanoseconds since start of the last good answer
-	start  time.Time
+	base        string
+	http        *http.Client
+	budget      *Budget
+	lastSuccess atomic.Int64 // monotonic nanoseconds from start to the last successful answer
+	start       time.Time
 }
 
 // NewClient makes a client for the store at addr.
 func NewClient(addr string, h *http.Client, b *Budget) *Client {
 	c := &Client{base: "http://" + addr, http: h, budget: b, start: time.Now()}
-	c.good.Store(-1)
+	c.lastSuccess.Store(-1)
 	return c
 }
 
 // Budget is the client's token buckets.
 func (c *Client) Budget() *Budget { return c.budget }
 
-// SinceGood is the time since the store last served this node; ok is false if
+// SinceSuccess is the time since the store last served this node; ok is false if
 // it never has.
-func (c *Client) SinceGood() (time.Duration, bool) {
-	g := c.good.Load()
+func (c *Client) SinceSuccess() (time.Duration, bool) {
+	g := c.lastSuccess.Load()
 	if g < 0 {
 		return 0, false
 	}
 	return time.Since(c.start) - time.Duration(g), true
 }
 
-// awayAfter is the silence of the store after which users are told at once to come
-// back, instead of each finding out by a call that hangs. Upkeep goes on calling
-// it, more often than that, so that this ends as soon as it answers.
-const awayAfter = 2500 * time.Millisecond
+// unavailableAfter is the time without a successful call after which users are told
+// at once to retry, instead of each finding out by a call that hangs. Watch calls the
+// store more often than that, so that this ends as soon as it answers.
+const unavailableAfter = 2500 * time.Millisecond
 
-// Away tells that the store served this node before, but not lately.
-func (c *Client) Away() bool {
-	age, ok := c.SinceGood()
-	return ok && age > awayAfter
+// Unavailable tells that the store served this node before, but not lately.
+func (c *Client) Unavailable() bool {
+	age, ok := c.SinceSuccess()
+	return ok && age > unavailableAfter
 }
 
 // Watch keeps the node's view of the store fresh when nothing else calls it.
 func (c *Client) Watch(ctx context.Context, key string) {
 	for ctx.Err() == nil {
-		if age, ok := c.SinceGood(); !ok || age > 700*time.Millisecond {
+		if age, ok := c.SinceSuccess(); !ok || age > 700*time.Millisecond {
 			c.Get(ctx, key, Urgent)
 		}
 		select {
@@ -190,7 +190,7 @@
 		// A watch may end with 200 in the middle of an outage: it proves
 		// nothing of the service's health.
 		if !strings.HasPrefix(path, "/follow") {
-			c.good.Store(int64(time.Since(c.start)))
+			c.lastSuccess.Store(int64(time.Since(c.start)))
 		}
 		if out != nil && res.StatusCode != 410 {
 			if err := json.Unmarshal(raw, out); err != nil && res.StatusCode == 200 {
