--- /dev/null
+++ b/internal/config/check.go
@@ -0,0 +1,151 @@
+package config
+
+import (
+	"errors"
+	"fmt"
+	"math"
+	"net"
+
+	"github.com/pebbletrail/pebbletrail/internal/ids"
+)
+
+// check reports the first setting that is missing or impossible.
+func (s *Settings) check() error {
+	for _, check := range []func() error{s.checkNames, s.checkAddresses, s.checkTeams, s.checkNumbers, s.checkNextState} {
+		if err := check(); err != nil {
+			return err
+		}
+	}
+	p := &s.Params
+	if p.State.TxnOps < minTxnOps {
+		return fmt.Errorf("params.state.txn_ops: a takeover needs at least %d, not %d", minTxnOps, p.State.TxnOps)
+	}
+	if p.Workers.LeaseS <= p.Workers.ReportS {
+		return fmt.Errorf("params.workers.lease_s: must be above report_s: %v", p.Workers.LeaseS)
+	}
+	return nil
+}
+
+// minTxnOps is how many changes the transaction of a takeover makes.
+const minTxnOps = 4
+
+// number is a setting and its name in the file.
+type number struct {
+	name  string
+	value float64
+}
+
+// notNegative tells whether the number is finite and zero or more.
+func (n number) notNegative() bool { return n.value >= 0 && !math.IsInf(n.value, 0) }
+
+// positive tells whether the number is finite and above zero.
+func (n number) positive() bool { return n.value > 0 && !math.IsInf(n.value, 0) }
+
+func (s *Settings) checkNames() error {
+	if s.HostName == "" {
+		return errors.New("host_name: missing")
+	}
+	if s.Area == "" {
+		return errors.New("area: missing")
+	}
+	seen := map[ids.Node]bool{s.HostName: true}
+	for i, o := range s.Others {
+		if o.HostName == "" || seen[o.HostName] {
+			return fmt.Errorf("others[%d].host_name: missing or not unique: %q", i, o.HostName)
+		}
+		seen[o.HostName] = true
+	}
+	return nil
+}
+
+func (s *Settings) checkAddresses() error {
+	addrs := []struct{ name, v string }{
+		{"client_listen", s.ClientListen}, {"cluster_listen", s.ClusterListen},
+		{"services.cloud", s.Services.Cloud}, {"services.state", s.Services.State},
+	}
+	for i, o := range s.Others {
+		addrs = append(addrs, struct{ name, v string }{fmt.Sprintf("others[%d].peer_addr", i), o.PeerAddr})
+	}
+	for _, a := range addrs {
+		if _, port, err := net.SplitHostPort(a.v); err != nil || port == "" {
+			return fmt.Errorf("%s: not an address with a port: %q", a.name, a.v)
+		}
+	}
+	if s.ClientListen == s.ClusterListen {
+		return errors.New("cluster_listen: the same as client_listen")
+	}
+	return nil
+}
+
+func (s *Settings) checkTeams() error {
+	p := &s.Params
+	if len(p.Zones) == 0 {
+		return errors.New("params.zones: missing")
+	}
+	if len(p.Teams) == 0 {
+		return errors.New("params.teams: missing")
+	}
+	names := map[string]bool{}
+	for i, t := range p.Teams {
+		at := fmt.Sprintf("params.teams[%d]", i)
+		if t.Name == "" || names[t.Name] {
+			return fmt.Errorf("%s.name: missing or not unique: %q", at, t.Name)
+		}
+		names[t.Name] = true
+		for _, n := range []number{{"cpus", t.CPUs}, {"cpus_max", t.CPUsMax}, {"gpus", t.GPUs}, {"gpus_max", t.GPUsMax}} {
+			if !n.notNegative() {
+				return fmt.Errorf("%s.%s: must be zero or more: %v", at, n.name, n.value)
+			}
+		}
+		if t.CPUsMax > 0 && t.CPUs > t.CPUsMax || t.GPUsMax > 0 && t.GPUs > t.GPUsMax {
+			return fmt.Errorf("%s: guarantees more than its limit", at)
+		}
+	}
+	return nil
+}
+
+func (s *Settings) checkNumbers() error {
+	p := &s.Params
+	for _, n := range []number{
+		{"params.workers.report_s", float64(p.Workers.ReportS)},
+		{"params.workers.lease_s", float64(p.Workers.LeaseS)},
+		{"params.workers.gang_wait_s", float64(p.Workers.GangWaitS)},
+		{"params.workers.gang_peer_s", float64(p.Workers.GangPeerS)},
+		{"params.workers.cancel_s", float64(p.Workers.CancelS)},
+		{"params.state.rps", p.State.RPS},
+		{"params.state.write_rps", p.State.WriteRPS},
+		{"params.state.value_kb", p.State.ValueKB},
+		{"params.state.txn_ops", float64(p.State.TxnOps)},
+		{"params.cloud.rps", p.Cloud.RPS},
+		{"params.machine_limits.cores", p.Limits.Cores},
+		{"params.machine_limits.ram_mb", p.Limits.RAMMB},
+		{"params.machine_limits.max_sockets", float64(p.Limits.MaxSockets)},
+	} {
+		if !n.positive() {
+			return fmt.Errorf("%s: missing or not above zero: %v", n.name, n.value)
+		}
+	}
+	if p.Cloud.ListLagS < 0 || p.ClockErrorMs < 0 {
+		return errors.New("params.cloud.list_lag_s, params.clock_error_ms: must be zero or more")
+	}
+	return nil
+}
+
+// checkNextState checks the limits that the state service announces, where it does.
+func (s *Settings) checkNextState() error {
+	next := s.Params.State.Next
+	if next == nil {
+		return nil
+	}
+	for _, n := range []number{
+		{"params.state.next.rps", next.RPS}, {"params.state.next.write_rps", next.WriteRPS}, {"params.state.next.value_kb", next.ValueKB},
+	} {
+		if !n.notNegative() {
+			return fmt.Errorf("%s: below zero or no number: %v", n.name, n.value)
+		}
+	}
+	if next.TxnOps < 0 || next.TxnOps > 0 && next.TxnOps < minTxnOps {
+		return fmt.Errorf("params.state.next.txn_ops: a takeover needs at least %d, not %d", minTxnOps, next.TxnOps)
+	}
+	return nil
+}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -4,8 +4,6 @@
 import (
 	"errors"
 	"fmt"
-	"math"
-	"net"
 	"os"
 
 	"github.com/pelletier/go-toml/v2"
@@ -191,104 +189,6 @@
 	return s, nil
 }
 
-func (s *Settings) check() error {
-	type field struct {
-		name string
-		v    float64
-	}
-	p := &s.Params
-	for _, f := range []struct{ name, v string }{
-		{"host_name", string(s.HostName)}, {"area", s.Area},
-	} {
-		if f.v == "" {
-			return fmt.Errorf("%s: missing", f.name)
-		}
-	}
-	addrs := []struct{ name, v string }{
-		{"client_listen", s.ClientListen}, {"cluster_listen", s.ClusterListen},
-		{"services.cloud", s.Services.Cloud}, {"services.state", s.Services.State},
-	}
-	seen := map[ids.Node]bool{s.HostName: true}
-	for i, o := range s.Others {
-		if o.HostName == "" || seen[o.HostName] {
-			return fmt.Errorf("others[%d].host_name: missing or not unique: %q", i, o.HostName)
-		}
-		seen[o.HostName] = true
-		addrs = append(addrs, struct{ name, v string }{fmt.Sprintf("others[%d].peer_addr", i), o.PeerAddr})
-	}
-	for _, a := range addrs {
-		if _, port, err := net.SplitHostPort(a.v); err != nil || port == "" {
-			return fmt.Errorf("%s: not an address with a port: %q", a.name, a.v)
-		}
-	}
-	if s.ClientListen == s.ClusterListen {
-		return errors.New("cluster_listen: the same as client_listen")
-	}
-	if len(p.Zones) == 0 {
-		return errors.New("params.zones: missing")
-	}
-	if len(p.Teams) == 0 {
-		return errors.New("params.teams: missing")
-	}
-	names := map[string]bool{}
-	for i, t := range p.Teams {
-		at := fmt.Sprintf("params.teams[%d]", i)
-		if t.Name == "" || names[t.Name] {
-			return fmt.Errorf("%s.name: missing or not unique: %q", at, t.Name)
-		}
-		names[t.Name] = true
-		for _, f := range []field{{"cpus", t.CPUs}, {"cpus_max", t.CPUsMax}, {"gpus", t.GPUs}, {"gpus_max", t.GPUsMax}} {
-			if !(f.v >= 0) || math.IsInf(f.v, 0) {
-				return fmt.Errorf("%s.%s: must be zero or more: %v", at, f.name, f.v)
-			}
-		}
-		if t.CPUsMax > 0 && t.CPUs > t.CPUsMax || t.GPUsMax > 0 && t.GPUs > t.GPUsMax {
-			return fmt.Errorf("%s: guarantees more than its limit", at)
-		}
-	}
-	for _, f := range []field{
-		{"params.workers.report_s", float64(p.Workers.ReportS)},
-		{"params.workers.lease_s", float64(p.Workers.LeaseS)},
-		{"params.workers.gang_wait_s", float64(p.Workers.GangWaitS)},
-		{"params.workers.gang_peer_s", float64(p.Workers.GangPeerS)},
-		{"params.workers.cancel_s", float64(p.Workers.CancelS)},
-		{"params.state.rps", p.State.RPS},
-		{"params.state.write_rps", p.State.WriteRPS},
-		{"params.state.value_kb", p.State.ValueKB},
-		{"params.state.txn_ops", float64(p.State.TxnOps)},
-		{"params.cloud.rps", p.Cloud.RPS},
-		{"params.machine_limits.cores", p.Limits.Cores},
-		{"params.machine_limits.ram_mb", p.Limits.RAMMB},
-		{"params.machine_limits.max_sockets", float64(p.Limits.MaxSockets)},
-	} {
-		if !(f.v > 0) || math.IsInf(f.v, 0) {
-			return fmt.Errorf("%s: missing or not above zero: %v", f.name, f.v)
-		}
-	}
-	if p.Cloud.ListLagS < 0 || p.ClockErrorMs < 0 {
-		return errors.New("params.cloud.list_lag_s, params.clock_error_ms: must be zero or more")
-	}
-	if n := p.State.Next; n != nil {
-		for _, f := range []field{
-			{"params.state.next.rps", n.RPS}, {"params.state.next.write_rps", n.WriteRPS}, {"params.state.next.value_kb", n.ValueKB},
-		} {
-			if !(f.v >= 0) || math.IsInf(f.v, 0) {
-				return fmt.Errorf("%s: below zero or no number: %v", f.name, f.v)
-			}
-		}
-		if n.TxnOps < 0 || n.TxnOps > 0 && n.TxnOps < 4 {
-			return fmt.Errorf("params.state.next.txn_ops: a takeover needs at least 4, not %d", n.TxnOps)
-		}
-	}
-	if p.State.TxnOps < 4 {
-		return fmt.Errorf("params.state.txn_ops: a takeover needs at least 4, not %d", p.State.TxnOps)
-	}
-	if p.Workers.LeaseS <= p.Workers.ReportS {
-		return fmt.Errorf("params.workers.lease_s: must be above report_s: %v", p.Workers.LeaseS)
-	}
-	return nil
-}
-
 // Defaults are the operators' settings when they name none.
 func Defaults() *Operator {
 	return &Operator{
