--- a/internal/intake/messages.go
+++ b/internal/intake/messages.go
@@ -50,34 +50,53 @@
 	Running int     `json:"running"`
 }
 
-const maxTasks = 100000
+const (
+	maxTasks = 100000 // of one job
+	maxName  = 256    // bytes of a name in a submission
+)
 
 var shapes = map[string]claim.Shape{"array": claim.Array, "gang": claim.Gang, "standing": claim.Service}
 var urgencies = map[string]claim.Priority{"critical": claim.Critical, "high": claim.High, "normal": claim.Normal, "low": claim.Low}
 
 // parse reads and checks a submission; an error means 400.
 func parse(r io.Reader) (claim.Spec, error) {
-	var none claim.Spec
+	s, err := readSubmission(r)
+	if err != nil {
+		return claim.Spec{}, err
+	}
+	if err := s.checkRequired(); err != nil {
+		return claim.Spec{}, err
+	}
+	return s.spec()
+}
+
+// readSubmission reads a JSON object of bounded size.
+func readSubmission(r io.Reader) (*submission, error) {
 	raw, err := io.ReadAll(io.LimitReader(r, bodyLimit+1))
 	if err != nil {
-		return none, err
+		return nil, err
 	}
 	if len(raw) > bodyLimit {
-		return none, fmt.Errorf("body over %d bytes", bodyLimit)
+		return nil, fmt.Errorf("body over %d bytes", bodyLimit)
 	}
 	if t := bytes.TrimLeft(raw, " \t\r\n"); len(t) == 0 || t[0] != '{' {
-		return none, fmt.Errorf("not a JSON object")
+		return nil, fmt.Errorf("not a JSON object")
 	}
-	var s submission
-	if err := json.Unmarshal(raw, &s); err != nil {
-		return none, fmt.Errorf("not readable: %w", err)
+	s := &submission{}
+	if err := json.Unmarshal(raw, s); err != nil {
+		return nil, fmt.Errorf("not readable: %w", err)
 	}
+	return s, nil
+}
+
+// checkRequired reports the first field that is missing or impossible.
+func (s *submission) checkRequired() error {
 	for _, f := range []struct {
 		name string
 		v    *string
 	}{{"uid", s.UID}, {"jobkind", s.JobKind}, {"owner", s.Owner}, {"shape", s.Shape}, {"urgency", s.Urgency}, {"bundle", s.Bundle}} {
-		if f.v == nil || *f.v == "" || len(*f.v) > 256 {
-			return none, fmt.Errorf("%s: missing, empty or too long", f.name)
+		if f.v == nil || *f.v == "" || len(*f.v) > maxName {
+			return fmt.Errorf("%s: missing, empty or too long", f.name)
 		}
 	}
 	for _, f := range []struct {
@@ -86,7 +105,7 @@
 	}{{"pieces", s.Pieces}, {"cores", s.Cores}, {"accelerators", s.Accelerators}, {"ramGb", s.RAMGb},
 		{"pullGb", s.PullGb}, {"guessS", s.GuessS}, {"bookmarkS", s.BookmarkS}, {"stashS", s.StashS}} {
 		if f.v == nil || !(*f.v >= 0) || math.IsInf(*f.v, 0) {
-			return none, fmt.Errorf("%s: missing or below zero", f.name)
+			return fmt.Errorf("%s: missing or below zero", f.name)
 		}
 	}
 	for _, f := range []struct {
@@ -94,9 +113,15 @@
 		v    *bool
 	}{{"together", s.Together}, {"spread", s.Spread}, {"loaners", s.Loaners}} {
 		if f.v == nil {
-			return none, fmt.Errorf("%s: missing", f.name)
+			return fmt.Errorf("%s: missing", f.name)
 		}
 	}
+	return nil
+}
+
+// spec converts a submission whose required fields are there.
+func (s *submission) spec() (claim.Spec, error) {
+	var none claim.Spec
 	id, err := ids.ParseJob(*s.UID)
 	if err != nil {
 		return none, fmt.Errorf("uid: %w", err)
@@ -121,40 +146,49 @@
 		Image: *s.Bundle, ImageGB: *s.PullGb, OneZone: *s.Together, Spread: *s.Spread, Spot: *s.Loaners,
 		Estimate: ids.Seconds(*s.GuessS), Checkpoint: ids.Seconds(*s.BookmarkS), Save: ids.Seconds(*s.StashS),
 	}
+	if err := s.addOptional(&spec); err != nil {
+		return none, err
+	}
+	return spec, nil
+}
+
+// addOptional adds the fields that a submission may leave out.
+func (s *submission) addOptional(spec *claim.Spec) error {
 	if s.Builds != nil {
 		spec.Types = *s.Builds
 		if spec.Types == nil {
 			spec.Types = []string{}
 		}
 		for _, t := range spec.Types {
-			if t == "" || len(t) > 256 {
-				return none, fmt.Errorf("builds: empty or too long name")
+			if t == "" || len(t) > maxName {
+				return fmt.Errorf("builds: empty or too long name")
 			}
 		}
 	}
 	if s.Yard != nil {
-		if *s.Yard == "" || len(*s.Yard) > 256 {
-			return none, fmt.Errorf("yard: empty or too long")
+		if *s.Yard == "" || len(*s.Yard) > maxName {
+			return fmt.Errorf("yard: empty or too long")
 		}
 		spec.Zone = *s.Yard
 	}
 	if s.DueS != nil {
 		spec.Due = ids.Seconds(*s.DueS)
 	}
-	if s.Awaits != nil {
-		seen := map[ids.Job]bool{} // to name one twice asks for nothing more
-		for _, name := range *s.Awaits {
-			need, err := ids.ParseJob(name)
-			if err != nil {
-				return none, fmt.Errorf("awaits: %w", err)
-			}
-			if !seen[need] {
-				seen[need] = true
-				spec.Awaits = append(spec.Awaits, need)
-			}
+	if s.Awaits == nil {
+		return nil
+	}
+	seen := map[ids.Job]bool{} // to name one twice asks for nothing more
+	for _, name := range *s.Awaits {
+		need, err := ids.ParseJob(name)
+		if err != nil {
+			return fmt.Errorf("awaits: %w", err)
+		}
+		if !seen[need] {
+			seen[need] = true
+			spec.Awaits = append(spec.Awaits, need)
 		}
 	}
-	return spec, nil
+	return nil
 }
 
 // tell words a record for its user.
