--- a/internal/placement/rent.go
+++ b/internal/placement/rent.go
@@ -54,18 +54,45 @@
 // their way do not cover, and which idle machines stay needed. Demands come in
 // order of importance.
 func Rent(ds []Demand, ups []Up, types []*Type, ok Offers) (hires []Hire, needed map[ids.Machine]bool) {
-	needed = map[ids.Machine]bool{}
-	perZone := map[string]int{}
+	p := newPlan(ups, types, ok)
 	var unmet []Demand
-	for _, u := range ups {
-		perZone[u.Zone]++
+	for _, d := range ds {
+		if d.Together {
+			d.Ask.Zone = gather(&d, p.ups, types, ok)
+		}
+		left := p.cover(&d, d.Count, false)
+		left = p.hire(&d, left)
+		left = p.cover(&d, left, true)
+		if left > 0 && !d.Keep && d.Ask.Need.Accels == 0 {
+			d.Count = left
+			unmet = append(unmet, d)
+		}
 	}
-	// Busy machines first, then the cheapest: what is left idle can go.
-	order := make([]int, 0, len(ups))
-	for i := range ups {
-		order = append(order, i)
+	for _, d := range unmet {
+		p.coverWithAccelerators(&d)
+	}
+	return p.hires, p.needed
+}
+
+// plan is the machines and rentals of one Rent, as demands take room of them.
+type plan struct {
+	types   []*Type
+	ok      Offers
+	ups     []Up
+	order   []int // of ups: which to use first
+	perZone map[string]int
+	hires   []Hire
+	needed  map[ids.Machine]bool
+}
+
+// newPlan uses busy machines first, then the cheapest: what is left idle can go.
+func newPlan(ups []Up, types []*Type, ok Offers) *plan {
+	p := &plan{types: types, ok: ok, ups: ups, perZone: map[string]int{}, needed: map[ids.Machine]bool{}}
+	for i, u := range ups {
+		p.perZone[u.Zone]++
+		p.order = append(p.order, i)
 	}
-	sortBy(order, func(i int) float64 {
+	sortBy(p.order, func(i int) float64 {
 		u := &ups[i]
 		k := u.Type.PriceOf(u.Spot)
 		if u.Idle {
@@ -76,69 +103,68 @@
 		}
 		return k
 	})
-	for _, d := range ds {
-		left := d.Count
-		if d.Together {
-			d.Ask.Zone = gather(&d, ups, types, ok)
+	return p
+}
+
+// cover takes room of the machines that are late, or of those that are not, for up
+// to left of the demand's tasks, and tells how many find none.
+func (p *plan) cover(d *Demand, left int, late bool) int {
+	for _, i := range p.order {
+		u := &p.ups[i]
+		if left == 0 || u.Late != late {
+			continue
 		}
-		cover := func(late bool) {
-			for _, i := range order {
-				u := &ups[i]
-				if left == 0 || u.Late != late {
-					continue
-				}
-				n := d.covers(u, left)
-				if n == 0 {
-					continue
-				}
-				left -= n
-				needed[u.Name] = true
-				take := d.Ask.Need.Times(float64(n))
-				u.Free = u.Free.Minus(take)
-				if short := (Room{}).Minus(u.Free).positive(); short != (Room{}) {
-					u.Free, u.Turn = u.Free.Plus(short), u.Turn.Minus(short)
-				}
-			}
+		n := d.covers(u, left)
+		if n == 0 {
+			continue
 		}
-		cover(false)
-		for left > 0 && !d.Hold {
-			h, t, n := cheapest(&d, left, types, perZone, ok)
-			if n == 0 {
-				break
-			}
-			left -= n
-			perZone[h.Zone]++
-			hires = join(hires, h)
-			ups = append(ups, Up{Type: t, Zone: h.Zone, Spot: h.Spot, Coming: true, Free: t.Room().Minus(d.Ask.Need.Times(float64(n)))})
-			order = append(order, len(ups)-1)
+		left -= n
+		p.needed[u.Name] = true
+		take := d.Ask.Need.Times(float64(n))
+		u.Free = u.Free.Minus(take)
+		if short := (Room{}).Minus(u.Free).positive(); short != (Room{}) {
+			u.Free, u.Turn = u.Free.Plus(short), u.Turn.Minus(short)
 		}
-		cover(true)
-		if left > 0 && !d.Keep && d.Ask.Need.Accels == 0 {
-			d.Count = left
-			unmet = append(unmet, d)
+	}
+	return left
+}
+
+// hire rents for up to left of the demand's tasks, and tells for how many it cannot.
+func (p *plan) hire(d *Demand, left int) int {
+	for left > 0 && !d.Hold {
+		h, t, n := cheapest(d, left, p.types, p.perZone, p.ok)
+		if n == 0 {
+			break
 		}
+		left -= n
+		p.perZone[h.Zone]++
+		p.hires = join(p.hires, h)
+		p.ups = append(p.ups, Up{Type: t, Zone: h.Zone, Spot: h.Spot, Coming: true, Free: t.Room().Minus(d.Ask.Need.Times(float64(n)))})
+		p.order = append(p.order, len(p.ups)-1)
 	}
-	// What cannot be had without accelerators goes to machines with them that
-	// are needed anyhow, and only then keeps others, for as long as it waits.
-	for _, d := range unmet {
-		left := d.Count
-		for _, anyhow := range []bool{true, false} {
-			for _, i := range order {
-				u := &ups[i]
-				if left == 0 || u.Name == "" || u.Type.Accels == 0 || needed[u.Name] != anyhow || !d.Ask.Allows(u.Type.Label, u.Zone, u.Spot) {
-					continue
-				}
-				n := u.Free.Plus(u.Turn).Count(d.Ask.Need, left)
-				if !anyhow && 2*n < u.Type.Room().Count(d.Ask.Need, 1<<20) {
-					continue // not worth it for a few tasks
-				}
-				left -= n
-				u.Free = u.Free.Minus(d.Ask.Need.Times(float64(n)))
-				needed[u.Name] = needed[u.Name] || n > 0
+	return left
+}
+
+// coverWithAccelerators puts what cannot be had without accelerators on machines
+// with them: those that are needed anyhow, and only then others, which stay for as
+// long as it waits.
+func (p *plan) coverWithAccelerators(d *Demand) {
+	left := d.Count
+	for _, anyhow := range []bool{true, false} {
+		for _, i := range p.order {
+			u := &p.ups[i]
+			if left == 0 || u.Name == "" || u.Type.Accels == 0 || p.needed[u.Name] != anyhow || !d.Ask.Allows(u.Type.Label, u.Zone, u.Spot) {
+				continue
 			}
+			n := u.Free.Plus(u.Turn).Count(d.Ask.Need, left)
+			if !anyhow && 2*n < u.Type.Room().Count(d.Ask.Need, 1<<20) {
+				continue // not worth it for a few tasks
+			}
+			left -= n
+			u.Free = u.Free.Minus(d.Ask.Need.Times(float64(n)))
+			p.needed[u.Name] = p.needed[u.Name] || n > 0
 		}
 	}
-	return hires, needed
 }
 
 // covers is how many of the demand's tasks, at most n, a machine has room for.
