--- a/internal/claim/users_test.go
+++ b/internal/claim/users_test.go
@@ -291,11 +291,12 @@
 	time.Sleep(10 * time.Second)
 	w.lags(d)
 	w.net.Delay = func() time.Duration { return d.ms(2000, 12000) }
+	var mu sync.Mutex // of hits
 	hits := 0
 	hit := func(from, to string, r *http.Request, body []byte) fake.Fate {
 		k := kind(r, body)
-		w.mu.Lock()
-		defer w.mu.Unlock()
+		mu.Lock()
+		defer mu.Unlock()
 		switch {
 		case holdDies && what == "takeover" && hits > 0 && hits < 3 && strings.HasSuffix(r.URL.Path, "/renew"):
 			return fake.Swallow // so that the hold is gone when the takeover is carried out
