--- a/internal/state/budget.go
+++ b/internal/state/budget.go
@@ -29,6 +29,9 @@
 // reserve is the share of a bucket that less urgent calls leave untouched.
 var reserve = [...]float64{Urgent: 0, Normal: 0.25, Spare: 0.15}
 
+// poolReserve is the share of the owner's bucket that its users leave untouched.
+const poolReserve = 0.5
+
 // maxWait bounds how long a call waits for tokens.
 var maxWait = [...]time.Duration{Urgent: time.Second, Normal: 2 * time.Second, Spare: 300 * time.Millisecond}
 
@@ -127,66 +130,39 @@
 	return time.Second
 }
 
-func (b *Budget) take(ctx context.Context, u Urgency, writes int) error {
-	deadline := time.Now().Add(maxWait[u])
-	var queued *bucket // where this call stands in line
-	mine := need{1, float64(writes)}
-	leave := func() {
-		if queued != nil {
-			queued.queue, queued = queued.queue.plus(need{-mine.calls, -mine.writes}), nil
-		}
+// request is one call that asks for tokens, perhaps several times.
+type request struct {
+	urgency  Urgency
+	need     need
+	deadline time.Time
+	again    bool    // it has asked before
+	queued   *bucket // where it waits
+}
+
+// leaveQueue takes the request out of the queue that it waits in.
+func (r *request) leaveQueue() {
+	if r.queued != nil {
+		r.queued.queue = r.queued.queue.plus(need{-r.need.calls, -r.need.writes})
+		r.queued = nil
 	}
-	for first := true; ; first = false {
-		b.mu.Lock()
-		leave()
-		b.settle(time.Now())
-		from, keep := b.main(), reserve[u]
-		var ahead need
-		if u == Spare {
-			if b.owner {
-				// The owner's changes must not crowd out its users, who have a part
-				// of their own and may use what the owner does not.
-				if from = &b.users; from.shortfall(keep, mine, need{}) > 0 && b.pool.shortfall(0.5, mine, need{}) <= 0 {
-					from, keep = &b.pool, 0.5
-				}
-			}
-			if first {
-				b.users.asked += float64(writes)
-				ahead = from.queue
-			}
-		} else if first {
-			from.asked += float64(writes)
+}
+
+// take waits for the tokens of a call that makes so many changes.
+func (b *Budget) take(ctx context.Context, u Urgency, writes int) error {
+	r := &request{urgency: u, need: need{1, float64(writes)}, deadline: time.Now().Add(maxWait[u])}
+	for {
+		wait, inTime := b.try(r)
+		if !inTime {
+			measure.Process.Count("refused for lack of tokens", 1)
+			return fmt.Errorf("%w: own budget", ErrRefused)
 		}
-		wait := from.shortfall(keep, mine, ahead)
 		if wait <= 0 {
-			from.calls.AllowN(time.Now(), 1)
-			if writes > 0 {
-				from.writes.AllowN(time.Now(), writes)
-				from.used += writes
-			}
-			b.mu.Unlock()
 			return nil
 		}
-		if first && writes > 0 {
-			if u == Spare {
-				b.users.short++
-			} else {
-				from.short++
-			}
-		}
-		late := time.Now().Add(wait).After(deadline)
-		if !late && u == Spare {
-			from.queue, queued = from.queue.plus(mine), from
-		}
-		b.mu.Unlock()
-		if late {
-			measure.Process.Count("refused for lack of tokens", 1)
-			return fmt.Errorf("%w: own budget", ErrRefused)
-		}
 		select {
 		case <-ctx.Done():
 			b.mu.Lock()
-			leave()
+			r.leaveQueue()
 			b.mu.Unlock()
 			return fmt.Errorf("%w: own budget: %v", ErrRefused, ctx.Err())
 		case <-time.After(wait):
@@ -194,6 +170,70 @@
 	}
 }
 
+// try takes the tokens, or tells how long to wait before the next try, and whether
+// that is within the request's deadline.
+func (b *Budget) try(r *request) (wait time.Duration, inTime bool) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	r.leaveQueue()
+	b.settle(time.Now())
+	from, keep := b.bucketFor(r)
+	var ahead need
+	if !r.again && r.urgency == Spare {
+		ahead = from.queue
+	}
+	wait = from.shortfall(keep, r.need, ahead)
+	if !r.again {
+		b.noteDemand(r, from, wait > 0)
+	}
+	r.again = true
+	if wait <= 0 {
+		from.spend(r.need)
+		return 0, true
+	}
+	inTime = !time.Now().Add(wait).After(r.deadline)
+	if inTime && r.urgency == Spare {
+		from.queue, r.queued = from.queue.plus(r.need), from
+	}
+	return wait, inTime
+}
+
+// bucketFor picks the bucket for a request, and the share of it to leave untouched.
+func (b *Budget) bucketFor(r *request) (*bucket, float64) {
+	keep := reserve[r.urgency]
+	if r.urgency != Spare || !b.owner {
+		return b.main(), keep
+	}
+	// The owner's changes must not crowd out its users, who have a part of their own
+	// and may use what the owner does not.
+	if b.users.shortfall(keep, r.need, need{}) > 0 && b.pool.shortfall(poolReserve, r.need, need{}) <= 0 {
+		return &b.pool, poolReserve
+	}
+	return &b.users, keep
+}
+
+// noteDemand counts what a request asks for, and whether it was there, on the bucket
+// that is the request's own.
+func (b *Budget) noteDemand(r *request, from *bucket, short bool) {
+	if r.urgency == Spare {
+		from = &b.users
+	}
+	from.asked += r.need.writes
+	if short && r.need.writes > 0 {
+		from.short++
+	}
+}
+
+// spend takes tokens that are there.
+func (k *bucket) spend(n need) {
+	now := time.Now()
+	k.calls.AllowN(now, int(n.calls))
+	if n.writes > 0 {
+		k.writes.AllowN(now, int(n.writes))
+		k.used += int(n.writes)
+	}
+}
+
 // shortfall is how long until a call could be let through, after those ahead of it.
 func (k *bucket) shortfall(keep float64, n, ahead need) time.Duration {
 	lack := func(l *rate.Limiter, n, ahead float64) time.Duration {
