--- a/cmd/pebbletrail/main.go
+++ b/cmd/pebbletrail/main.go
@@ -26,8 +26,19 @@
 	}
 }
 
+// settingsFiles are the files that the flags name.
+type settingsFiles struct{ platform, operators string }
+
+// load reads and checks the settings.
+func (f *settingsFiles) load() (*config.Settings, error) {
+	if f.platform == "" {
+		return nil, fmt.Errorf("--config FILE is needed (see --help)")
+	}
+	return config.Load(f.platform, f.operators)
+}
+
 func root() *cobra.Command {
-	var path, own string
+	var files settingsFiles
 	r := &cobra.Command{
 		Use: "pebbletrail", Short: "Schedules jobs on rented machines",
 		Long:          "Without a subcommand, serves as one of the controllers.",
@@ -35,37 +46,48 @@
 		SilenceUsage:  true,
 		SilenceErrors: true,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if path == "" {
-				return fmt.Errorf("--config FILE is needed (see --help)")
-			}
-			set, err := config.Load(path, own)
+			set, err := files.load()
 			if err != nil {
 				return err
 			}
 			return serve(cmd.Context(), set)
 		},
 	}
-	r.PersistentFlags().StringVar(&path, "config", "", "the platform's settings file (TOML)")
-	r.PersistentFlags().StringVar(&own, "operators", os.Getenv("PEBBLETRAIL_OPERATORS"), "the operators' own settings (protobuf text format); optional")
-	r.AddCommand(&cobra.Command{
+	r.PersistentFlags().StringVar(&files.platform, "config", "", "the platform's settings file (TOML)")
+	r.PersistentFlags().StringVar(&files.operators, "operators", os.Getenv("PEBBLETRAIL_OPERATORS"), "the operators' own settings (protobuf text format); optional")
+	r.AddCommand(checkCommand(&files), versionCommand(), statusCommand(), explainCommand())
+	return r
+}
+
+func checkCommand(files *settingsFiles) *cobra.Command {
+	return &cobra.Command{
 		Use: "check", Short: "Checks the settings without serving", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if path == "" {
-				return fmt.Errorf("--config FILE is needed")
-			}
-			set, err := config.Load(path, own)
+			set, err := files.load()
 			if err != nil {
 				return err
 			}
-			fmt.Fprintf(cmd.OutOrStdout(), "%s: good; node %s, %d others, %d teams\n", path, set.HostName, len(set.Others), len(set.Params.Teams))
+			fmt.Fprintf(cmd.OutOrStdout(), "%s: good; node %s, %d others, %d teams\n", files.platform, set.HostName, len(set.Others), len(set.Params.Teams))
 			return nil
 		},
-	}, &cobra.Command{
+	}
+}
+
+func versionCommand() *cobra.Command {
+	return &cobra.Command{
 		Use: "version", Short: "Prints the version", Args: cobra.NoArgs,
 		Run: func(cmd *cobra.Command, _ []string) { fmt.Fprintln(cmd.OutOrStdout(), "pebbletrail", version) },
-	})
+	}
+}
+
+// nodeFlag adds the flag that names the controller to ask.
+func nodeFlag(c *cobra.Command, node *string) {
+	c.Flags().StringVar(node, "node", "127.0.0.1:8080", "address of a controller's users' side")
+}
+
+func statusCommand() *cobra.Command {
 	var node string
-	status := &cobra.Command{
+	c := &cobra.Command{
 		Use: "status", Short: "Asks a running controller how it fares", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			raw, err := ask(node, "/v2/status")
@@ -75,7 +97,13 @@
 			return pretty(cmd.OutOrStdout(), raw)
 		},
 	}
-	explain := &cobra.Command{
+	nodeFlag(c, &node)
+	return c
+}
+
+func explainCommand() *cobra.Command {
+	var node string
+	c := &cobra.Command{
 		Use: "explain JOB", Short: "Tells why a job's tasks stopped, moved or wait", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			raw, err := ask(node, "/v2/runs/"+args[0]+"/explain")
@@ -86,27 +114,28 @@
 			if err := json.Unmarshal(raw, &x); err != nil {
 				return err
 			}
-			out := cmd.OutOrStdout()
-			fmt.Fprintf(out, "%s: %s\n", x.UID, x.Status)
-			for _, e := range x.Trail {
-				fmt.Fprintf(out, "  %s  %s\n", e.At.Time().UTC().Format("15:04:05.000"), e.What)
-			}
-			for _, l := range x.Now {
-				fmt.Fprintf(out, "  now: %s\n", l)
-			}
-			if x.Note != "" {
-				fmt.Fprintf(out, "  note: %s\n", x.Note)
-			}
+			printExplanation(cmd.OutOrStdout(), &x)
 			return nil
 		},
 	}
-	for _, c := range []*cobra.Command{status, explain} {
-		c.Flags().StringVar(&node, "node", "127.0.0.1:8080", "address of a controller's users' side")
-		r.AddCommand(c)
+	nodeFlag(c, &node)
+	return c
+}
+
+func printExplanation(out io.Writer, x *intake.Explanation) {
+	fmt.Fprintf(out, "%s: %s\n", x.UID, x.Status)
+	for _, e := range x.Trail {
+		fmt.Fprintf(out, "  %s  %s\n", e.At.Time().UTC().Format("15:04:05.000"), e.What)
+	}
+	for _, l := range x.Now {
+		fmt.Fprintf(out, "  now: %s\n", l)
+	}
+	if x.Note != "" {
+		fmt.Fprintf(out, "  note: %s\n", x.Note)
 	}
-	return r
 }
 
+// ask gets a page of a controller.
 func ask(node, path string) ([]byte, error) {
 	c := http.Client{Timeout: 5 * time.Second}
 	res, err := c.Get("http://" + node + path)
@@ -124,6 +153,7 @@
 	return raw, nil
 }
 
+// pretty writes JSON with indentation.
 func pretty(w io.Writer, raw []byte) error {
 	var v any
 	if err := json.Unmarshal(raw, &v); err != nil {
