--- a/cmd/pebbletrail/serve.go
+++ b/cmd/pebbletrail/serve.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"encoding/json"
 	"fmt"
 	"log/slog"
 	"math/rand/v2"
@@ -12,7 +11,6 @@
 	"runtime"
 	"runtime/debug"
 	"strings"
-	"sync"
 	"time"
 
 	"github.com/pebbletrail/pebbletrail/internal/claim"
@@ -26,6 +24,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/worker"
 )
 
+// logTo logs to standard error from that level on.
 func logTo(level string) {
 	l := slog.LevelInfo
 	switch strings.ToLower(level) {
@@ -73,125 +72,102 @@
 	// restart within the same millisecond.
 	incarnation := fmt.Sprintf("%s.%x.%x", set.HostName, time.Now().UnixMilli(), rand.Uint32())
 	slog.Info("starting", "node", set.HostName, "incarnation", incarnation)
+	return newController(set, incarnation).run(ctx, users, cluster)
+}
+
+// controller is the parts of one controller.
+type controller struct {
+	set         *config.Settings
+	incarnation string
+	state       *state.Client
+	cloud       *fleet.Cloud
+	pool        *claim.Pool
+	link        *peer.Link
+	types       *machineTypes
+}
 
+// newController connects the parts; nothing runs yet.
+func newController(set *config.Settings, incarnation string) *controller {
 	nodes := len(set.Others) + 1
-	st := state.NewClient(set.Services.State, client(16, 16),
+	c := &controller{set: set, incarnation: incarnation}
+	c.state = state.NewClient(set.Services.State, client(16, 16),
 		state.NewBudget(set.Params.State.RPS, set.Params.State.WriteRPS, nodes, set.Own.OwnerShare))
-	cloud := fleet.NewCloud(set.Services.Cloud, client(4, 4), set.Params.Cloud.RPS)
-	places := set.Sockets()
-	commander := &worker.Commander{HTTP: client(2, places.Direct/2), Timeout: 3 * time.Second}
-	pool := claim.NewPool(set, st, commander, incarnation)
-	link := peer.NewLink(set, pool, st)
-	pool.Peers = link
-	offer := &offer{cloud: cloud, pool: pool}
-	pool.OnTerm = func(ctx context.Context, t *claim.Term) {
-		k := &fleet.Provisioner{Cloud: cloud, Book: t.Book, Store: t.Committer, Gen: t.Gen, Sure: func() bool { return pool.Sure(t) },
-			ListEvery: max(2*time.Second, set.Params.Cloud.ListLagS.Duration()/2)}
-		if ts := offer.known(); len(ts) > 0 {
-			t.Book.SetTypes(ts)
-		}
-		k.OnTypes = func(ts []placement.Type) { offer.store(ctx, t.Committer, ts) }
-		k.Adopt(t.Intents)
-		k.Run(ctx)
-	}
-	site := &intake.Site{
-		Desk:       &intake.Desk{Set: set, State: st, Jobs: pool.Jobs(), OwnerNotifier: link, Writer: incarnation, Types: offer.known},
-		Heartbeats: pool,
-		Ready: func() bool {
-			age, ok := st.SinceSuccess()
-			if !ok {
-				return false
-			}
-			// During an outage all nodes fare alike and go on answering; a
-			// node that alone is not served sends its users elsewhere.
-			return age < 2500*time.Millisecond || !link.OthersServed()
-		},
-		Live: link.Explain,
-		Status: func() any {
-			owner, _ := pool.Owner()
-			out := map[string]any{"node": set.HostName, "version": version, "incarnation": incarnation, "owner": owner}
-			out["took"], out["counts"] = measure.Process.Summary()
-			if b := pool.Book(); b != nil {
-				out["pool"] = b.Summary()
-			}
-			return out
-		},
-	}
-	go link.Serve(cluster)
-	link.Run(ctx)
-	go offer.run(ctx)
-	go st.Watch(ctx, claim.GenerationKey)
+	c.cloud = fleet.NewCloud(set.Services.Cloud, client(4, 4), set.Params.Cloud.RPS)
+	commander := &worker.Commander{HTTP: client(2, set.Sockets().Direct/2), Timeout: 3 * time.Second}
+	c.pool = claim.NewPool(set, c.state, commander, incarnation)
+	c.link = peer.NewLink(set, c.pool, c.state)
+	c.pool.Peers = c.link
+	c.types = &machineTypes{cloud: c.cloud, pool: c.pool}
+	c.pool.OnTerm = c.provision
+	return c
+}
+
+// run serves until the users' listener ends.
+func (c *controller) run(ctx context.Context, users, cluster net.Listener) error {
+	go c.link.Serve(cluster)
+	c.link.Run(ctx)
+	go c.types.run(ctx)
+	go c.state.Watch(ctx, claim.GenerationKey)
 	go func() {
 		for ctx.Err() == nil {
 			time.Sleep(time.Minute)
 			measure.Process.Log()
 		}
 	}()
-	go pool.Run(ctx)
-	fleet := func() int {
-		if b := pool.Book(); b != nil {
-			return b.Machines()
-		}
-		return 0
+	go c.pool.Run(ctx)
+	site := &intake.Site{
+		Desk: &intake.Desk{Set: c.set, State: c.state, Jobs: c.pool.Jobs(), OwnerNotifier: c.link, Writer: c.incarnation,
+			Types: c.types.known},
+		Heartbeats: c.pool,
+		Ready:      c.ready,
+		Live:       c.link.Explain,
+		Status:     c.status,
 	}
-	return site.Serve(users, &intake.ConnectionLimiter{MaxConnections: places.Callers, WorkerCount: fleet,
-		IdleTimeout: max(20*time.Second, 3*set.Params.Workers.ReportS.Duration()+5*time.Second)})
+	return site.Serve(users, &intake.ConnectionLimiter{MaxConnections: c.set.Sockets().Callers, WorkerCount: c.workers,
+		IdleTimeout: max(20*time.Second, 3*c.set.Params.Workers.ReportS.Duration()+5*time.Second)})
 }
 
-// offer is the cloud's machine types, which every node needs to judge
-// submissions; the owner stores them for times when the cloud is down.
-type offer struct {
-	cloud *fleet.Cloud
-	pool  *claim.Pool
-	mu    sync.Mutex
-	types []placement.Type
-	kept  string
+// provision rents and returns machines while this node owns the pool.
+func (c *controller) provision(ctx context.Context, t *claim.Term) {
+	p := &fleet.Provisioner{Cloud: c.cloud, Book: t.Book, Store: t.Committer, Gen: t.Gen, Sure: func() bool { return c.pool.Sure(t) },
+		ListEvery: max(2*time.Second, c.set.Params.Cloud.ListLagS.Duration()/2)}
+	if ts := c.types.known(); len(ts) > 0 {
+		t.Book.SetTypes(ts)
+	}
+	p.OnTypes = func(ts []placement.Type) { c.types.store(ctx, t.Committer, ts) }
+	p.Adopt(t.Intents)
+	p.Run(ctx)
 }
 
-func (o *offer) known() []placement.Type {
-	o.mu.Lock()
-	ts := o.types
-	o.mu.Unlock()
-	if len(ts) > 0 {
-		return ts
+// readyWithin is how recent the last successful call to the state service must be.
+const readyWithin = 2500 * time.Millisecond
+
+// ready tells whether users may be sent here.
+func (c *controller) ready() bool {
+	age, ok := c.state.SinceSuccess()
+	if !ok {
+		return false
 	}
-	return o.pool.Types()
+	// During an outage all nodes fare alike and go on answering; a node that alone
+	// is not served sends its users elsewhere.
+	return age < readyWithin || !c.link.OthersServed()
 }
 
-func (o *offer) run(ctx context.Context) {
-	for ctx.Err() == nil && len(o.known()) == 0 {
-		if ts, err := o.cloud.Types(ctx); err == nil && len(ts) > 0 {
-			o.mu.Lock()
-			o.types = ts
-			o.mu.Unlock()
-			return
-		}
-		time.Sleep(time.Second)
+// status describes the node for GET /v2/status.
+func (c *controller) status() any {
+	owner, _ := c.pool.Owner()
+	out := map[string]any{"node": c.set.HostName, "version": version, "incarnation": c.incarnation, "owner": owner}
+	out["took"], out["counts"] = measure.Process.Summary()
+	if b := c.pool.Book(); b != nil {
+		out["pool"] = b.Summary()
 	}
+	return out
 }
 
-func (o *offer) store(ctx context.Context, s fleet.Store, ts []placement.Type) {
-	o.mu.Lock()
-	o.types = ts
-	// Prices move all the time and are not worth a write.
-	key := ""
-	for i := range ts {
-		t := ts[i]
-		t.Price, t.SpotPrice = 0, 0
-		key += fmt.Sprint(t)
-	}
-	same := key == o.kept
-	o.mu.Unlock()
-	if same {
-		return
-	}
-	raw, err := json.Marshal(ts)
-	if err != nil {
-		return
-	}
-	if s.Apply(ctx, []state.Op{{Put: claim.TypesKey, Value: raw}}) == nil {
-		o.mu.Lock()
-		o.kept = key
-		o.mu.Unlock()
+// workers is how many machines may connect to this node.
+func (c *controller) workers() int {
+	if b := c.pool.Book(); b != nil {
+		return b.Machines()
 	}
+	return 0
 }
