--- a/internal/fake/fake_test.go
+++ b/internal/fake/fake_test.go
@@ -75,7 +75,7 @@
 }
 
 func TestAStoreThatRefusesOneCallerAlone(t *testing.T) {
-	// Its holds run out and its watches wait, while others are served.
+	// Its leases run out and its watches wait, while others are served.
 	synctest.Test(t, func(t *testing.T) {
 		n, s := NewNet(), NewStore()
 		n.Listen("s:1", s)
--- a/internal/fake/store.go
+++ b/internal/fake/store.go
@@ -15,7 +15,7 @@
 	Key   string          `json:"key"`
 	Value json.RawMessage `json:"value"`
 	Stamp uint64          `json:"stamp"`
-	Hold  uint64          `json:"permit,omitempty"`
+	Lease uint64          `json:"permit,omitempty"`
 }
 
 type change struct {
@@ -25,20 +25,20 @@
 	Stamp  uint64          `json:"stamp"`
 }
 
-type hold struct {
+type lease struct {
 	life time.Duration
 	ends time.Time
 }
 
 // Store is a stand-in of the state service.
 type Store struct {
-	mu    sync.Mutex
-	epoch uint64
-	keys  map[string]*kv
-	holds map[uint64]*hold
-	next  uint64
-	log   []change
-	down  bool
+	mu     sync.Mutex
+	epoch  uint64
+	keys   map[string]*kv
+	leases map[uint64]*lease
+	next   uint64
+	log    []change
+	down   bool
 	// refused are the callers that alone are refused, and since which epoch.
 	refused map[string]uint64
 	slow    time.Duration
@@ -52,10 +52,10 @@
 
 // NewStore makes an empty store.
 func NewStore() *Store {
-	return &Store{keys: map[string]*kv{}, holds: map[uint64]*hold{}, Keep: 10000}
+	return &Store{keys: map[string]*kv{}, leases: map[uint64]*lease{}, Keep: 10000}
 }
 
-// SetDown begins or ends an outage; at its end every hold has its full time.
+// SetDown begins or ends an outage; at its end every lease has its full time.
 func (s *Store) SetDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -63,7 +63,7 @@
 		s.expire()
 	}
 	if s.down && !down {
-		for _, h := range s.holds {
+		for _, h := range s.leases {
 			h.ends = time.Now().Add(h.life)
 		}
 	}
@@ -71,7 +71,7 @@
 }
 
 // Refuse refuses one caller alone, or serves it again. Its open watches wait as in
-// an outage, and its holds run out.
+// an outage, and its leases run out.
 func (s *Store) Refuse(caller string, refuse bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -127,17 +127,17 @@
 	if s.down {
 		return
 	}
-	for id, h := range s.holds {
+	for id, h := range s.leases {
 		if time.Now().After(h.ends) {
-			s.endHold(id)
+			s.endLease(id)
 		}
 	}
 }
 
-func (s *Store) endHold(id uint64) {
-	delete(s.holds, id)
+func (s *Store) endLease(id uint64) {
+	delete(s.leases, id)
 	for k, e := range s.keys {
-		if e.Hold == id {
+		if e.Lease == id {
 			s.epoch++
 			delete(s.keys, k)
 			s.log = append(s.log, change{Remove: k, Stamp: s.epoch})
@@ -203,17 +203,17 @@
 		json.NewDecoder(r.Body).Decode(&in)
 		s.next++
 		life := time.Duration(in.LifeMs) * time.Millisecond
-		s.holds[s.next] = &hold{life, time.Now().Add(life)}
+		s.leases[s.next] = &lease{life, time.Now().Add(life)}
 		reply(w, 200, map[string]uint64{"permit": s.next})
 	case strings.HasPrefix(path, "/holds/"):
 		id, _ := strconv.ParseUint(strings.TrimSuffix(strings.TrimPrefix(path, "/holds/"), "/renew"), 10, 64)
-		h := s.holds[id]
+		h := s.leases[id]
 		switch {
 		case h == nil:
 			reply(w, 404, map[string]uint64{"epoch": s.epoch})
 			return
 		case r.Method == "DELETE":
-			s.endHold(id)
+			s.endLease(id)
 		default:
 			h.ends = time.Now().Add(h.life)
 		}
@@ -285,7 +285,7 @@
 		return
 	}
 	for _, op := range in.Then {
-		if op.Permit != 0 && s.holds[op.Permit] == nil {
+		if op.Permit != 0 && s.leases[op.Permit] == nil {
 			reply(w, 400, map[string]string{"error": "no such lease"})
 			return
 		}
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -70,7 +70,7 @@
 	held    []func()
 }
 
-func (w *Worker) tell(p *Piece, sent time.Time, start bool, cause string) {
+func (w *Worker) notify(p *Piece, sent time.Time, start bool, cause string) {
 	if w.Watch != nil {
 		w.Watch(Event{time.Now(), sent, w, w.session, p.Task, p.Attempt, start, cause})
 	}
@@ -86,7 +86,7 @@
 
 func (w *Worker) end(p *Piece, cause string) {
 	p.Status, p.Cause = "ended", cause
-	w.tell(p, time.Time{}, false, cause)
+	w.notify(p, time.Time{}, false, cause)
 	w.change()
 }
 
@@ -103,7 +103,7 @@
 	go w.lapses(ctx)
 	for ctx.Err() == nil {
 		began := time.Now()
-		wait := w.beat(ctx)
+		wait := w.sendHeartbeat(ctx)
 		changed := w.changed
 		if wait < w.Report {
 			changed = nil // it looks for another node first
@@ -140,7 +140,7 @@
 	}
 	for _, k := range w.order {
 		if p := w.pieces[k]; p != nil && p.Status != "ended" {
-			w.tell(p, time.Time{}, false, "killed")
+			w.notify(p, time.Time{}, false, "killed")
 		}
 	}
 	w.session++
@@ -206,8 +206,8 @@
 		"stint": w.session, "tick": w.tick, "baton": w.token, "warningS": w.warning, "pieces": ps}
 }
 
-// beat reports once and tells how long to wait until the next one.
-func (w *Worker) beat(run context.Context) time.Duration {
+// sendHeartbeat reports once and tells how long to wait until the next one.
+func (w *Worker) sendHeartbeat(run context.Context) time.Duration {
 	w.wake(run)
 	w.mu.Lock()
 	w.checkLease()
@@ -253,14 +253,14 @@
 	if out.Token < w.token || session != w.session {
 		return w.Report
 	}
-	w.see(out.Token)
+	w.acceptToken(out.Token)
 	w.lapse = sent.Add(w.Lease)
-	w.carryOut(out.Orders, sentAt(res.Header))
+	w.execute(out.Orders, sentAt(res.Header))
 	return w.Report
 }
 
-// see takes a token; a higher one counts as a change, though not often.
-func (w *Worker) see(token uint64) {
+// acceptToken takes a token; a higher one counts as a change, though not often.
+func (w *Worker) acceptToken(token uint64) {
 	if token > w.token && time.Since(w.raised) > w.Lease/2 {
 		w.raised = time.Now()
 		w.change()
@@ -268,7 +268,7 @@
 	w.token = token
 }
 
-func (w *Worker) carryOut(orders []order, sent time.Time) {
+func (w *Worker) execute(orders []order, sent time.Time) {
 	for _, o := range orders {
 		k := fmt.Sprintf("%s#%d", o.Task, o.Attempt)
 		p := w.pieces[k]
@@ -290,7 +290,7 @@
 				continue
 			}
 			w.Starts = append(w.Starts, k)
-			w.tell(p, sent, true, "")
+			w.notify(p, sent, true, "")
 			if w.Net.result(o.Task) {
 				w.end(p, "done")
 			}
@@ -357,8 +357,8 @@
 		reply(rw, 409, w.report())
 		return
 	}
-	w.see(in.Token)
-	w.carryOut(in.Orders, sentAt(r.Header))
+	w.acceptToken(in.Token)
+	w.execute(in.Orders, sentAt(r.Header))
 	reply(rw, 200, w.report())
 }
 
