--- a/internal/claim/book.go
+++ b/internal/claim/book.go
@@ -59,7 +59,7 @@
 // Job is a job in the owner's memory.
 type Job struct {
 	Rec    Record
-	stamp  ids.Stamp
+	stamp  ids.Revision
 	places map[int]*Place
 	tries  map[int]*retry
 	// version counts changes here; saved is the newest the store surely has.
@@ -122,7 +122,7 @@
 	jobs   map[ids.Job]*Job
 	gone   map[ids.Job]bool // jobs whose end this term has stored
 	goneQ  []ids.Job
-	roster *worker.Roster
+	roster *worker.Registry
 	// What follows is kept up to date change by change, so that planning,
 	// sending and storing never walk the whole fleet or all jobs.
 	line       []*Job // by submission
@@ -165,7 +165,7 @@
 	owed         map[string]owing     // by team
 	pipes        pipelines
 	// cancellations are the revisions of those stored apart from their jobs' records.
-	cancellations map[ids.Job]ids.Stamp
+	cancellations map[ids.Job]ids.Revision
 
 	// Storing tells whether the state service has answered just now. While it
 	// does not, nothing that is stopped could be started again, so nothing is
@@ -184,7 +184,7 @@
 	return &Book{
 		set: set, writer: writer, gen: gen, first: gen,
 		jobs: map[ids.Job]*Job{}, gone: map[ids.Job]bool{},
-		roster:        worker.NewRoster(set.Params.Workers.LeaseS),
+		roster:        worker.NewRegistry(set.Params.Workers.LeaseS),
 		hosts:         map[ids.Machine]*host{},
 		shelves:       map[kind]*shelf{},
 		byImage:       map[string]map[*host]bool{},
@@ -202,7 +202,7 @@
 		boots:         map[string]*boots{},
 		owed:          map[string]owing{},
 		pipes:         newPipelines(),
-		cancellations: map[ids.Job]ids.Stamp{},
+		cancellations: map[ids.Job]ids.Revision{},
 		Storing:       func() bool { return true },
 		Starting:      func() (bool, time.Time) { return true, time.Now() },
 		wakeCommit:    make(chan struct{}, 1), wakePlan: make(chan struct{}, 1),
--- a/internal/claim/cancellation.go
+++ b/internal/claim/cancellation.go
@@ -67,7 +67,7 @@
 
 // LearnCancellation takes in that a job's cancellation is stored apart from its record,
 // or, with removed, that it is no longer.
-func (b *Book) LearnCancellation(id ids.Job, stamp ids.Stamp, removed bool) {
+func (b *Book) LearnCancellation(id ids.Job, stamp ids.Revision, removed bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if stamp <= b.cancellations[id] {
@@ -82,7 +82,7 @@
 
 // learnCancellation is LearnCancellation under the lock. A job that is loaded later is
 // cancelled then, see addJob.
-func (b *Book) learnCancellation(id ids.Job, stamp ids.Stamp) {
+func (b *Book) learnCancellation(id ids.Job, stamp ids.Revision) {
 	b.cancellations[id] = stamp
 	if j := b.jobs[id]; j != nil && !j.ended {
 		b.cancelTold(j)
@@ -113,7 +113,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if found {
-		b.learnCancellation(id, entry.Stamp)
+		b.learnCancellation(id, entry.Revision)
 	} else {
 		delete(b.cancellations, id)
 	}
--- a/internal/claim/commit.go
+++ b/internal/claim/commit.go
@@ -28,7 +28,7 @@
 	Book     *Book
 	State    *state.Client
 	Node     ids.Node
-	GenStamp ids.Stamp
+	GenStamp ids.Revision
 	// OnLost is called once another owner is known to have taken over.
 	OnLost func(why string)
 	// OnGeneration is called when this owner raised its own generation.
@@ -41,7 +41,7 @@
 }
 
 // NewCommitter makes the committer of one term.
-func NewCommitter(b *Book, s *state.Client, node ids.Node, stamp ids.Stamp) *Committer {
+func NewCommitter(b *Book, s *state.Client, node ids.Node, stamp ids.Revision) *Committer {
 	return &Committer{Book: b, State: s, Node: node, GenStamp: stamp, turn: make(chan struct{}, 1),
 		OnLost: func(string) {}}
 }
@@ -53,7 +53,7 @@
 	version uint64
 	over    bool
 	ops     []state.Op
-	conds   []state.Cond
+	conds   []state.Condition
 	size    int
 }
 
@@ -86,7 +86,7 @@
 	if len(group) == 0 {
 		return false
 	}
-	txn := state.Txn{When: []state.Cond{{Key: GenerationKey, Stamp: c.GenStamp}}}
+	txn := state.Txn{When: []state.Condition{{Key: GenerationKey, Revision: c.GenStamp}}}
 	for _, p := range group {
 		txn.When = append(txn.When, p.conds...)
 		txn.Then = append(txn.Then, p.ops...)
@@ -104,7 +104,7 @@
 			if answered.Sub(began) > slowAnswer && p.job != nil {
 				p.job.reread = answered
 			}
-			b.stored(p, ids.Stamp(epoch))
+			b.stored(p, ids.Revision(epoch))
 		}
 		b.mu.Unlock()
 		if c.OnStored != nil {
@@ -213,12 +213,12 @@
 		}
 		id := j.Rec.Spec.ID
 		// A cancellation stored apart from the record must not be passed over either.
-		cancellation := state.Cond{Key: CancelKey(id), Stamp: b.cancellations[id]}
-		p.conds = append(p.conds, state.Cond{Key: JobKey(id), Stamp: j.stamp}, cancellation)
+		cancellation := state.Condition{Key: CancelKey(id), Revision: b.cancellations[id]}
+		p.conds = append(p.conds, state.Condition{Key: JobKey(id), Revision: j.stamp}, cancellation)
 		if p.over {
-			p.conds = append(p.conds, state.Cond{Key: EndKey(id)})
+			p.conds = append(p.conds, state.Condition{Key: EndKey(id)})
 			p.ops = append(p.ops, state.Op{Remove: JobKey(id)}, state.Op{Put: EndKey(id), Value: raw})
-			if cancellation.Stamp > 0 {
+			if cancellation.Revision > 0 {
 				p.ops = append(p.ops, state.Op{Remove: CancelKey(id)})
 			}
 		} else {
@@ -253,7 +253,7 @@
 }
 
 // stored takes in that a version is in the store.
-func (b *Book) stored(p pending, stamp ids.Stamp) {
+func (b *Book) stored(p pending, stamp ids.Revision) {
 	if p.wait != nil {
 		b.movedOn(p, stamp, time.Now())
 		return
@@ -296,13 +296,13 @@
 	b.mu.Unlock()
 	raw, _ := json.Marshal(generationRec{next, c.Node, b.writer})
 	epoch, err := c.State.Commit(ctx, state.Txn{
-		When: []state.Cond{{Key: GenerationKey, Stamp: c.GenStamp}},
+		When: []state.Condition{{Key: GenerationKey, Revision: c.GenStamp}},
 		Then: []state.Op{{Put: GenerationKey, Value: raw}},
 	}, state.Urgent)
 	var conflict *state.Conflict
 	switch {
 	case err == nil:
-		c.raised(next, ids.Stamp(epoch))
+		c.raised(next, ids.Revision(epoch))
 	case errors.As(err, &conflict):
 		c.repair(ctx, conflict, nil)
 	default:
@@ -311,7 +311,7 @@
 	return true
 }
 
-func (c *Committer) raised(g ids.Generation, stamp ids.Stamp) {
+func (c *Committer) raised(g ids.Generation, stamp ids.Revision) {
 	b := c.Book
 	b.mu.Lock()
 	b.gen, b.bump = g, false
@@ -340,7 +340,7 @@
 		}
 		var g generationRec
 		if found && json.Unmarshal(e.Value, &g) == nil && g.Writer == b.writer {
-			c.raised(g.Generation, e.Stamp)
+			c.raised(g.Generation, e.Revision)
 			return
 		}
 		c.OnLost("another owner raised the generation")
@@ -373,11 +373,11 @@
 			b.mu.Lock()
 			if rec.Writer == b.writer {
 				p.job.reread = time.Now()
-				p.job.stamp = live.Stamp
+				p.job.stamp = live.Revision
 				p.job.saved = max(p.job.saved, min(rec.Seq, p.job.version))
 				b.settledUpTo(p.job)
 			} else {
-				b.adopt(p.job, live.Stamp, rec)
+				b.adopt(p.job, live.Revision, rec)
 			}
 			b.mu.Unlock()
 			if c.OnStored != nil {
--- a/internal/claim/pipeline.go
+++ b/internal/claim/pipeline.go
@@ -12,7 +12,7 @@
 // waiting is a job that awaits others, in the owner's memory.
 type waiting struct {
 	rec   *Record
-	stamp ids.Stamp
+	stamp ids.Revision
 	open  map[ids.Job]bool // awaited and not known to be done
 	by    ids.Job          // the cancelled job that ends it
 	urged urge
@@ -53,7 +53,7 @@
 
 // LearnWaiting takes in a job that awaits others, or that it no longer does; rec is
 // nil then.
-func (b *Book) LearnWaiting(id ids.Job, stamp ids.Stamp, rec *Record, now time.Time) {
+func (b *Book) LearnWaiting(id ids.Job, stamp ids.Revision, rec *Record, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	w := b.pipes.waits[id]
@@ -71,7 +71,7 @@
 }
 
 // LoadWaiting adds, at a takeover, the jobs that wait; those they await are loaded.
-func (b *Book) LoadWaiting(recs map[ids.Job]*Record, stamps map[ids.Job]ids.Stamp, now time.Time) {
+func (b *Book) LoadWaiting(recs map[ids.Job]*Record, stamps map[ids.Job]ids.Revision, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for id, r := range recs {
@@ -81,7 +81,7 @@
 	}
 }
 
-func (b *Book) addWaiting(rec *Record, stamp ids.Stamp, now time.Time) {
+func (b *Book) addWaiting(rec *Record, stamp ids.Revision, now time.Time) {
 	w := &waiting{rec: rec, stamp: stamp, open: map[ids.Job]bool{}}
 	id := w.id()
 	b.pipes.waits[id] = w
@@ -239,7 +239,7 @@
 		rec := *w.rec
 		rec.Gen, rec.Writer, rec.Seq = b.gen, b.writer, w.rec.Seq+1
 		p := pending{wait: w, over: over}
-		p.conds = []state.Cond{{Key: WaitKey(id), Stamp: w.stamp}}
+		p.conds = []state.Condition{{Key: WaitKey(id), Revision: w.stamp}}
 		key := JobKey(id)
 		if over {
 			key = EndKey(id)
@@ -255,7 +255,7 @@
 			continue
 		}
 		p.moved = &rec
-		p.conds = append(p.conds, state.Cond{Key: key})
+		p.conds = append(p.conds, state.Condition{Key: key})
 		p.ops = []state.Op{{Remove: WaitKey(id)}, {Put: key, Value: raw}}
 		p.size = len(raw) + 200
 		if !add(p) {
@@ -269,7 +269,7 @@
 }
 
 // movedOn takes in that a waiting job's move is stored.
-func (b *Book) movedOn(p pending, stamp ids.Stamp, now time.Time) {
+func (b *Book) movedOn(p pending, stamp ids.Revision, now time.Time) {
 	id := p.wait.id()
 	if b.pipes.waits[id] == p.wait {
 		b.unwait(p.wait)
@@ -301,7 +301,7 @@
 		}
 		b.mu.Lock()
 		p.moved = rec
-		b.movedOn(p, live.Stamp, now)
+		b.movedOn(p, live.Revision, now)
 		b.mu.Unlock()
 		return true
 	}
@@ -382,7 +382,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.jobs[id] == nil && !b.gone[id] && !rec.Status.Over() {
-		b.addJob(rec, e.Stamp, now)
+		b.addJob(rec, e.Revision, now)
 		poke(b.wakePlan)
 	}
 }
--- a/internal/claim/pool.go
+++ b/internal/claim/pool.go
@@ -21,7 +21,7 @@
 type ownerRec struct {
 	Node       ids.Node       `json:"node"`
 	Writer     string         `json:"writer"`
-	Hold       ids.Hold       `json:"hold"`
+	Hold       ids.Lease      `json:"hold"`
 	Generation ids.Generation `json:"generation"`
 }
 
@@ -42,7 +42,7 @@
 	Committer  *Committer
 	Dispatcher *Dispatcher
 	Intents    []state.Entry
-	hold       ids.Hold
+	hold       ids.Lease
 	began      time.Time
 	renewed    time.Time // when the last good renewal was sent
 	loaded     chan struct{}
@@ -91,12 +91,12 @@
 			return
 		case storedCancellation:
 			if b := p.Book(); b != nil {
-				b.LearnCancellation(id, ch.Stamp, ch.Put == "")
+				b.LearnCancellation(id, ch.Revision, ch.Put == "")
 			}
 			return
 		}
 		if ch.Put == "" {
-			p.Learn(id, ch.Stamp, nil)
+			p.Learn(id, ch.Revision, nil)
 			return
 		}
 		b := p.Book()
@@ -104,7 +104,7 @@
 			return
 		}
 		if rec, err := Decode(ch.Value); err == nil {
-			p.Learn(id, ch.Stamp, rec)
+			p.Learn(id, ch.Revision, rec)
 		}
 	}
 	return p
@@ -220,7 +220,7 @@
 	sent := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(p.Set.Own.PoolHoldMs)*time.Millisecond/2)
 	defer cancel()
-	err := p.State.Renew(ctx, t.hold)
+	err := p.State.RenewLease(ctx, t.hold)
 	switch {
 	case err == nil:
 		p.mu.Lock()
@@ -228,7 +228,7 @@
 			t.renewed = sent
 		}
 		p.mu.Unlock()
-	case errors.Is(err, state.ErrNoHold):
+	case errors.Is(err, state.ErrNoLease):
 		p.stepDown(t, "its hold ended")
 	default:
 		slog.Debug("renewal failed", "err", err)
@@ -263,14 +263,14 @@
 		return
 	}
 	if ch.Put == "" {
-		b.LearnWaiting(id, ch.Stamp, nil, time.Now())
+		b.LearnWaiting(id, ch.Revision, nil, time.Now())
 	} else if rec, err := DecodeWaiting(ch.Value); err == nil {
-		b.LearnWaiting(id, ch.Stamp, rec, time.Now())
+		b.LearnWaiting(id, ch.Revision, rec, time.Now())
 	}
 }
 
 // Learn passes on what another controller wrote, if this node owns the pool.
-func (p *Pool) Learn(id ids.Job, stamp ids.Stamp, rec *Record) {
+func (p *Pool) Learn(id ids.Job, stamp ids.Revision, rec *Record) {
 	if b := p.Book(); b != nil {
 		b.Learn(id, stamp, rec, time.Now())
 	}
--- a/internal/claim/takeover.go
+++ b/internal/claim/takeover.go
@@ -53,7 +53,7 @@
 		// Only one process runs on a node: this hold's owner is dead, or an
 		// earlier term of ours whose answer got lost.
 		slog.Info("ending the hold of this node's earlier life", "writer", o.Writer)
-		if err := p.State.End(ctx, o.Hold); err != nil && !errors.Is(err, state.ErrNoHold) {
+		if err := p.State.EndLease(ctx, o.Hold); err != nil && !errors.Is(err, state.ErrNoLease) {
 			return err
 		}
 	}
@@ -68,7 +68,7 @@
 		}
 	}
 	sent := time.Now()
-	hold, err := p.State.NewHold(ctx, life)
+	hold, err := p.State.NewLease(ctx, life)
 	if err != nil {
 		return err
 	}
@@ -77,33 +77,33 @@
 	oraw, _ := json.Marshal(ownerRec{p.Set.HostName, writer, hold, gen})
 	graw, _ := json.Marshal(generationRec{gen, p.Set.HostName, writer})
 	epoch, err := p.State.Commit(ctx, state.Txn{
-		When: []state.Cond{{Key: OwnerKey}, {Key: GenerationKey, Stamp: ge.Stamp}},
-		Then: []state.Op{{Put: OwnerKey, Value: oraw, Hold: hold}, {Put: GenerationKey, Value: graw}},
+		When: []state.Condition{{Key: OwnerKey}, {Key: GenerationKey, Revision: ge.Revision}},
+		Then: []state.Op{{Put: OwnerKey, Value: oraw, Lease: hold}, {Put: GenerationKey, Value: graw}},
 	}, state.Urgent)
 	if errors.Is(err, state.ErrUnknown) {
 		// Read back what became of it.
 		e, found, rerr := p.State.Get(ctx, GenerationKey, state.Urgent)
 		var g generationRec
 		if rerr == nil && found && json.Unmarshal(e.Value, &g) == nil && g.Writer == writer {
-			epoch, err = ids.Epoch(e.Stamp), nil
+			epoch, err = ids.Epoch(e.Revision), nil
 		}
 	}
 	if err != nil {
 		return err
 	}
-	p.begin(ctx, prev, gen, writer, hold, ids.Stamp(epoch), sent)
+	p.begin(ctx, prev, gen, writer, hold, ids.Revision(epoch), sent)
 	return nil
 }
 
 // begin starts a term.
-func (p *Pool) begin(ctx context.Context, prev generationRec, gen ids.Generation, writer string, hold ids.Hold, stamp ids.Stamp, sent time.Time) {
+func (p *Pool) begin(ctx context.Context, prev generationRec, gen ids.Generation, writer string, hold ids.Lease, stamp ids.Revision, sent time.Time) {
 	now := time.Now()
 	w := &p.Set.Params.Workers
 	trust := now.Add(p.Set.Grace().Drifted() + w.LeaseS.Drifted())
 	b := NewBook(p.Set, writer, gen, trust)
 	fresh := time.Duration(p.Set.Own.PoolHoldMs) * time.Millisecond / 2
 	b.Storing = func() bool {
-		age, ok := p.State.SinceGood()
+		age, ok := p.State.SinceSuccess()
 		return ok && age < fresh
 	}
 	tctx, cancel := context.WithCancel(ctx)
@@ -144,14 +144,14 @@
 			wait(ctx, 100*time.Millisecond)
 			continue
 		}
-		recs, waits, stamps := map[ids.Job]*Record{}, map[ids.Job]*Record{}, map[ids.Job]ids.Stamp{}
+		recs, waits, stamps := map[ids.Job]*Record{}, map[ids.Job]*Record{}, map[ids.Job]ids.Revision{}
 		for _, e := range jobs {
 			into, decode := recs, Decode
 			switch id, kind := keyed(e.Key); kind {
 			case waitingRecord:
 				into, decode = waits, DecodeWaiting
 			case storedCancellation:
-				t.Book.LearnCancellation(id, e.Stamp, false)
+				t.Book.LearnCancellation(id, e.Revision, false)
 				continue
 			}
 			rec, err := decode(e.Value)
@@ -159,9 +159,9 @@
 				slog.Error("unreadable record", "key", e.Key, "err", err)
 				continue
 			}
-			into[rec.Spec.ID], stamps[rec.Spec.ID] = rec, e.Stamp
+			into[rec.Spec.ID], stamps[rec.Spec.ID] = rec, e.Revision
 		}
-		t.Book.Load(recs, stamps, ids.Stamp(epoch), time.Now())
+		t.Book.Load(recs, stamps, ids.Revision(epoch), time.Now())
 		t.Book.LoadWaiting(waits, stamps, time.Now())
 		close(t.loaded)
 		slog.Info("records loaded", "jobs", len(recs), "waiting", len(waits), "hires", len(t.Intents))
--- a/internal/ids/ids.go
+++ b/internal/ids/ids.go
@@ -41,14 +41,14 @@
 // Tick orders the messages of one worker session.
 type Tick uint64
 
-// Stamp is the revision of a key's last change in the state service.
-type Stamp uint64
+// Revision numbers the last change of a key in the state service.
+type Revision uint64
 
 // Epoch is a revision of the state service as a whole.
 type Epoch uint64
 
-// Hold names a lease of the state service.
-type Hold uint64
+// Lease names a lease of the state service.
+type Lease uint64
 
 // Seconds is a length of time as the interfaces write it.
 type Seconds float64
--- a/internal/intake/cancel.go
+++ b/internal/intake/cancel.go
@@ -43,7 +43,7 @@
 		var conflict *state.Conflict
 		switch {
 		case err == nil:
-			d.cancelled(ctx, r, write, ids.Stamp(epoch))
+			d.cancelled(ctx, r, write, ids.Revision(epoch))
 			return tell(r), true, nil
 		case errors.As(err, &conflict):
 			continue // it was written meanwhile: look again
@@ -68,8 +68,8 @@
 // cancellation words a job's record as cancelled and the transaction that stores that.
 func (d *Desk) cancellation(r *claim.Record, entry state.Entry) (cancelWrite, error) {
 	id, now := r.Spec.ID, ids.WallOf(time.Now())
-	write := cancelWrite{txn: state.Txn{When: []state.Cond{
-		{Key: entry.Key, Stamp: entry.Stamp},
+	write := cancelWrite{txn: state.Txn{When: []state.Condition{
+		{Key: entry.Key, Revision: entry.Revision},
 		{Key: claim.CancelKey(id)},
 	}}}
 	r.Writer, r.Seq = d.Writer, r.Seq+1
@@ -82,7 +82,7 @@
 			return write, errNotNow
 		}
 		write.tell = entry.Key != claim.WaitKey(id) // the leader follows those that wait
-		write.txn.When = append(write.txn.When, state.Cond{Key: claim.EndKey(id)})
+		write.txn.When = append(write.txn.When, state.Condition{Key: claim.EndKey(id)})
 		write.txn.Then = []state.Op{{Remove: entry.Key}, {Put: claim.EndKey(id), Value: raw}}
 		return write, nil
 	}
@@ -105,11 +105,11 @@
 }
 
 // cancelled takes in that a cancellation is stored, and has the leader told of it.
-func (d *Desk) cancelled(ctx context.Context, r *claim.Record, write cancelWrite, stamp ids.Stamp) {
+func (d *Desk) cancelled(ctx context.Context, r *claim.Record, write cancelWrite, stamp ids.Revision) {
 	if r.Status.Over() {
 		d.remember(r)
 		if write.tell {
-			d.Teller.Tell(r.Spec.ID, stamp, nil, nil)
+			d.OwnerNotifier.NotifyOwner(r.Spec.ID, stamp, nil, nil)
 		}
 		return
 	}
@@ -117,7 +117,7 @@
 		return // the leader follows what is stored apart from records
 	}
 	// It may be about to start some of the tasks.
-	told := d.Teller.Tell(r.Spec.ID, stamp, r, write.txn.Then[0].Value)
+	told := d.OwnerNotifier.NotifyOwner(r.Spec.ID, stamp, r, write.txn.Then[0].Value)
 	select {
 	case <-told:
 	case <-time.After(leaderTold):
--- a/internal/intake/desk.go
+++ b/internal/intake/desk.go
@@ -17,10 +17,10 @@
 	"github.com/pebbletrail/pebbletrail/internal/state"
 )
 
-// Teller passes a write on to the pool's owner.
-type Teller interface {
+// OwnerNotifier passes the write of a job's record on to the pool's owner.
+type OwnerNotifier interface {
 	// The channel closes once it knows, or can't be told.
-	Tell(id ids.Job, stamp ids.Stamp, rec *claim.Record, raw json.RawMessage) <-chan struct{}
+	NotifyOwner(id ids.Job, stamp ids.Revision, rec *claim.Record, raw json.RawMessage) <-chan struct{}
 }
 
 // errNotNow means that the request can't be decided or stored now.
@@ -34,11 +34,11 @@
 // Desk serves the users. It writes and reads the records itself, whichever
 // node owns the pool.
 type Desk struct {
-	Set    *config.Settings
-	State  *state.Client
-	Jobs   *state.Mirror // the live records
-	Teller Teller
-	Writer string
+	Set           *config.Settings
+	State         *state.Client
+	Jobs          *state.Mirror // the live records
+	OwnerNotifier OwnerNotifier
+	Writer        string
 	// Types is the cloud's offer; empty while it is not known.
 	Types func() []placement.Type
 
@@ -82,7 +82,7 @@
 // each. A job that ends in between has its final record before its live one is
 // gone, so looking for the live one first misses nothing.
 func (d *Desk) read(ctx context.Context, id ids.Job, u state.Urgency) (*claim.Record, state.Entry, error) {
-	if d.State.Away() {
+	if d.State.Unavailable() {
 		return nil, state.Entry{}, fmt.Errorf("%w: the state service does not answer", errNotNow)
 	}
 	if err := d.Jobs.Sync(ctx); err != nil {
@@ -201,18 +201,18 @@
 			return a, false, err
 		}
 	}
-	if d.State.Away() {
+	if d.State.Unavailable() {
 		return a, false, fmt.Errorf("%w: the state service does not answer", errNotNow)
 	}
 	epoch, err := d.State.Commit(ctx, state.Txn{
-		When: []state.Cond{{Key: claim.JobKey(spec.ID)}, {Key: claim.WaitKey(spec.ID)}, {Key: claim.EndKey(spec.ID)}},
+		When: []state.Condition{{Key: claim.JobKey(spec.ID)}, {Key: claim.WaitKey(spec.ID)}, {Key: claim.EndKey(spec.ID)}},
 		Then: []state.Op{{Put: key, Value: raw}},
 	}, state.Spare)
 	var conflict *state.Conflict
 	switch {
 	case err == nil:
 		if key == claim.JobKey(spec.ID) {
-			d.Teller.Tell(spec.ID, ids.Stamp(epoch), rec, raw)
+			d.OwnerNotifier.NotifyOwner(spec.ID, ids.Revision(epoch), rec, raw)
 		}
 		if rec.Status.Over() {
 			d.remember(rec)
--- a/internal/intake/http.go
+++ b/internal/intake/http.go
@@ -17,15 +17,15 @@
 	"github.com/pebbletrail/pebbletrail/internal/worker"
 )
 
-// Beats answers workers' reports.
-type Beats interface {
-	Beat(ctx context.Context, rep *worker.Report) (*worker.Reply, int, worker.Redirect)
+// Heartbeats answers workers' reports.
+type Heartbeats interface {
+	Heartbeat(ctx context.Context, rep *worker.Report) (*worker.Reply, int, worker.Redirect)
 }
 
 // Site is what the HTTP side needs beside the desk.
 type Site struct {
-	Desk  *Desk
-	Beats Beats
+	Desk       *Desk
+	Heartbeats Heartbeats
 	// Ready tells whether the node can take requests.
 	Ready func() bool
 	// Live explains a job as the pool's owner sees it.
@@ -54,20 +54,20 @@
 func (s *Site) Handler() http.Handler {
 	e := echo.New()
 	e.HideBanner = true
-	e.POST("/agent/beat", s.beat, s.guard(workerBeat))
+	e.POST("/agent/beat", s.beat, s.limit(workerHeartbeat))
 	e.GET("/up", func(c echo.Context) error {
 		c.Response().Header().Set(versionHeader, s.Version)
 		if !s.Ready() {
 			return c.NoContent(503)
 		}
 		return c.NoContent(200)
-	}, s.guard(unknown))
-	users := s.guard(user)
+	}, s.limit(unknown))
+	users := s.limit(user)
 	e.POST("/v2/runs", s.submit, users)
 	e.GET("/v2/runs/:id", s.look, users)
 	e.POST("/v2/runs/:id/cancel", s.cancel, users)
 	e.GET("/v2/runs/:id/explain", s.explain, users)
-	e.GET("/v2/status", func(c echo.Context) error { return c.JSON(200, s.Status()) }, s.guard(unknown))
+	e.GET("/v2/status", func(c echo.Context) error { return c.JSON(200, s.Status()) }, s.limit(unknown))
 	return e
 }
 
@@ -76,7 +76,7 @@
 	if err := json.NewDecoder(io.LimitReader(c.Request().Body, 16<<20)).Decode(rep); err != nil || rep.Machine == "" {
 		return c.JSON(400, map[string]string{"error": "not a report"})
 	}
-	reply, status, to := s.Beats.Beat(c.Request().Context(), rep)
+	reply, status, to := s.Heartbeats.Heartbeat(c.Request().Context(), rep)
 	if reply != nil {
 		return c.JSON(status, reply)
 	}
@@ -87,7 +87,7 @@
 func (s *Site) later(c echo.Context) error {
 	measure.Process.Count("users told to come back", 1)
 	after := s.Desk.State.Budget().RetryAfter()
-	if s.Desk.State.Away() {
+	if s.Desk.State.Unavailable() {
 		after = 2 * time.Second // it is asked twice a second, and takes a moment to serve all
 	}
 	if !s.Ready() {
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -22,7 +22,7 @@
 // Wrote tells of a job's record just written; Raw is empty when it went away.
 type Wrote struct {
 	Job   ids.Job
-	Stamp ids.Stamp
+	Stamp ids.Revision
 	Raw   []byte
 }
 
@@ -249,9 +249,9 @@
 	return all
 }
 
-// Tell passes a write on to the pool's owner, wherever it is; the channel closes once
+// NotifyOwner passes a write on to the pool's owner, wherever it is; the channel closes once
 // it knows, or can't be told.
-func (l *Link) Tell(id ids.Job, stamp ids.Stamp, rec *claim.Record, raw json.RawMessage) <-chan struct{} {
+func (l *Link) NotifyOwner(id ids.Job, stamp ids.Revision, rec *claim.Record, raw json.RawMessage) <-chan struct{} {
 	done := make(chan struct{})
 	if l.pool.Book() != nil {
 		l.pool.Learn(id, stamp, rec)
@@ -291,7 +291,7 @@
 // hello tells how this node fares; to a node that said how far in the hints it
 // is, the owner tells what came since.
 func (l *Link) hello(to *claim.HintMark) Hello {
-	age, ok := l.state.SinceGood()
+	age, ok := l.state.SinceSuccess()
 	h := Hello{Node: l.set.HostName, StateOK: ok && age < 3*time.Second}
 	if b := l.pool.Book(); b != nil {
 		h.Owner = true
--- a/internal/state/client.go
+++ b/internal/state/client.go
@@ -27,8 +27,8 @@
 	ErrRefused = errors.New("state: refused")
 	// ErrUnknown: may have been executed, or may yet be.
 	ErrUnknown = errors.New("state: no answer")
-	// ErrNoHold: the hold named has ended.
-	ErrNoHold = errors.New("state: no such hold")
+	// ErrNoLease: the lease named has ended.
+	ErrNoLease = errors.New("state: no such lease")
 	// ErrTooOld: the changes asked for are no longer kept; list again.
 	ErrTooOld = errors.New("state: history too old")
 	// ErrMalformed: the service calls the request malformed.
@@ -55,38 +55,38 @@
 
 // Entry is a key with its value.
 type Entry struct {
-	Key   string          `json:"key"`
-	Value json.RawMessage `json:"value"`
-	Stamp ids.Stamp       `json:"stamp"`
-	Hold  ids.Hold        `json:"permit"`
+	Key      string          `json:"key"`
+	Value    json.RawMessage `json:"value"`
+	Revision ids.Revision    `json:"stamp"`
+	Lease    ids.Lease       `json:"permit"`
 }
 
-// Cond demands a stamp of a key; 0 demands its absence.
-type Cond struct {
-	Key   string    `json:"key"`
-	Stamp ids.Stamp `json:"stamp"`
+// Condition demands a revision of a key; 0 demands its absence.
+type Condition struct {
+	Key      string       `json:"key"`
+	Revision ids.Revision `json:"stamp"`
 }
 
 // Op is one change: a put or a removal.
 type Op struct {
 	Put    string          `json:"put,omitempty"`
 	Value  json.RawMessage `json:"value,omitempty"`
-	Hold   ids.Hold        `json:"permit,omitempty"`
+	Lease  ids.Lease       `json:"permit,omitempty"`
 	Remove string          `json:"remove,omitempty"`
 }
 
 // Txn is applied as a whole or not at all.
 type Txn struct {
-	When []Cond `json:"when"`
-	Then []Op   `json:"then,omitempty"`
+	When []Condition `json:"when"`
+	Then []Op        `json:"then,omitempty"`
 }
 
 // Change is one piece of news: a put or a removal.
 type Change struct {
-	Put    string          `json:"put"`
-	Value  json.RawMessage `json:"value"`
-	Remove string          `json:"remove"`
-	Stamp  ids.Stamp       `json:"stamp"`
+	Put      string          `json:"put"`
+	Value    json.RawMessage `json:"value"`
+	Remove   string          `json:"remove"`
+	Revision ids.Revision    `json:"stamp"`
 }
 
 // Key is the key changed.
@@ -102,48 +102,48 @@
 
 // Client is one controller's way to the store.
 type Client struct {
-	base   string
-	http   *http.Client
-	budget *Budget
-	good   atomic.Int64 // steady nanoseconds since start of the last good answer
-	start  time.Time
+	base        string
+	http        *http.Client
+	budget      *Budget
+	lastSuccess atomic.Int64 // monotonic nanoseconds from start to the last successful answer
+	start       time.Time
 }
 
 // NewClient makes a client for the store at addr.
 func NewClient(addr string, h *http.Client, b *Budget) *Client {
 	c := &Client{base: "http://" + addr, http: h, budget: b, start: time.Now()}
-	c.good.Store(-1)
+	c.lastSuccess.Store(-1)
 	return c
 }
 
 // Budget is the client's token buckets.
 func (c *Client) Budget() *Budget { return c.budget }
 
-// SinceGood is the time since the store last served this node; ok is false if
+// SinceSuccess is the time since the store last served this node; ok is false if
 // it never has.
-func (c *Client) SinceGood() (time.Duration, bool) {
-	g := c.good.Load()
+func (c *Client) SinceSuccess() (time.Duration, bool) {
+	g := c.lastSuccess.Load()
 	if g < 0 {
 		return 0, false
 	}
 	return time.Since(c.start) - time.Duration(g), true
 }
 
-// awayAfter is the silence of the store after which users are told at once to come
-// back, instead of each finding out by a call that hangs. Upkeep goes on calling
-// it, more often than that, so that this ends as soon as it answers.
-const awayAfter = 2500 * time.Millisecond
+// unavailableAfter is the time without a successful call after which users are told
+// at once to retry, instead of each finding out by a call that hangs. Watch calls the
+// store more often than that, so that this ends as soon as it answers.
+const unavailableAfter = 2500 * time.Millisecond
 
-// Away tells that the store served this node before, but not lately.
-func (c *Client) Away() bool {
-	age, ok := c.SinceGood()
-	return ok && age > awayAfter
+// Unavailable tells that the store served this node before, but not lately.
+func (c *Client) Unavailable() bool {
+	age, ok := c.SinceSuccess()
+	return ok && age > unavailableAfter
 }
 
 // Watch keeps the node's view of the store fresh when nothing else calls it.
 func (c *Client) Watch(ctx context.Context, key string) {
 	for ctx.Err() == nil {
-		if age, ok := c.SinceGood(); !ok || age > 700*time.Millisecond {
+		if age, ok := c.SinceSuccess(); !ok || age > 700*time.Millisecond {
 			c.Get(ctx, key, Urgent)
 		}
 		select {
@@ -193,7 +193,7 @@
 		// A watch may end with 200 in the middle of an outage: it proves
 		// nothing of the service's health.
 		if !strings.HasPrefix(path, "/follow") {
-			c.good.Store(int64(time.Since(c.start)))
+			c.lastSuccess.Store(int64(time.Since(c.start)))
 		}
 		if out != nil && res.StatusCode != 410 {
 			if err := json.Unmarshal(raw, out); err != nil && res.StatusCode == 200 {
@@ -203,7 +203,7 @@
 		return res.StatusCode, nil
 	case 400:
 		if bytes.Contains(raw, []byte("no such lease")) {
-			return 400, ErrNoHold
+			return 400, ErrNoLease
 		}
 		return 400, fmt.Errorf("%w: %.200s", ErrMalformed, raw)
 	}
@@ -302,13 +302,13 @@
 	return 0, fmt.Errorf("%w: status %d", ErrUnknown, code)
 }
 
-// NewHold asks for a lease of the store's own kind.
-func (c *Client) NewHold(ctx context.Context, life time.Duration) (ids.Hold, error) {
+// NewLease asks for a lease, to which keys may be attached.
+func (c *Client) NewLease(ctx context.Context, life time.Duration) (ids.Lease, error) {
 	if err := c.budget.take(ctx, Urgent, 0); err != nil {
 		return 0, err
 	}
 	var out struct {
-		Permit ids.Hold `json:"permit"`
+		Permit ids.Lease `json:"permit"`
 	}
 	code, err := c.do(ctx, CallTimeout, "POST", "/holds", map[string]int64{"lifeMs": life.Milliseconds()}, &out)
 	if err == nil && code != 200 {
@@ -317,42 +317,42 @@
 	return out.Permit, err
 }
 
-// Renew gives a hold its full time again.
-func (c *Client) Renew(ctx context.Context, h ids.Hold) error {
+// RenewLease gives a lease its full time again.
+func (c *Client) RenewLease(ctx context.Context, h ids.Lease) error {
 	if err := c.budget.take(ctx, Urgent, 0); err != nil {
 		return err
 	}
-	return c.holdCall(ctx, "POST", fmt.Sprintf("/holds/%d/renew", h))
+	return c.leaseCall(ctx, "POST", fmt.Sprintf("/holds/%d/renew", h))
 }
 
-// End ends a hold at once, and with it the keys attached.
-func (c *Client) End(ctx context.Context, h ids.Hold) error {
+// EndLease ends a lease at once, and with it the keys attached.
+func (c *Client) EndLease(ctx context.Context, h ids.Lease) error {
 	if err := c.budget.take(ctx, Urgent, 0); err != nil {
 		return err
 	}
-	return c.holdCall(ctx, "DELETE", fmt.Sprintf("/holds/%d", h))
+	return c.leaseCall(ctx, "DELETE", fmt.Sprintf("/holds/%d", h))
 }
 
-func (c *Client) holdCall(ctx context.Context, method, path string) error {
+func (c *Client) leaseCall(ctx context.Context, method, path string) error {
 	code, err := c.do(ctx, CallTimeout, method, path, nil, nil)
 	if err == nil && code == 404 {
-		return ErrNoHold
+		return ErrNoLease
 	}
 	return err
 }
 
 // Follow waits for changes below a prefix after an epoch.
-func (c *Client) Follow(ctx context.Context, under string, after ids.Epoch, hold time.Duration) (ids.Epoch, []Change, error) {
+func (c *Client) Follow(ctx context.Context, under string, after ids.Epoch, wait time.Duration) (ids.Epoch, []Change, error) {
 	if err := c.budget.take(ctx, Normal, 0); err != nil {
 		return 0, nil, err
 	}
 	q := url.Values{"under": {under}, "after": {strconv.FormatUint(uint64(after), 10)},
-		"holdMs": {strconv.FormatInt(hold.Milliseconds(), 10)}}
+		"holdMs": {strconv.FormatInt(wait.Milliseconds(), 10)}}
 	var out struct {
 		Epoch ids.Epoch `json:"epoch"`
 		News  []Change  `json:"news"`
 	}
-	code, err := c.do(ctx, hold+2*CallTimeout, "GET", "/follow?"+q.Encode(), nil, &out)
+	code, err := c.do(ctx, wait+2*CallTimeout, "GET", "/follow?"+q.Encode(), nil, &out)
 	if err != nil {
 		return 0, nil, err
 	}
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -25,7 +25,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx := context.Background()
 		n, s, c := setup()
-		put := Txn{When: []Cond{{Key: "k"}}, Then: []Op{{Put: "k", Value: []byte(`1`)}}}
+		put := Txn{When: []Condition{{Key: "k"}}, Then: []Op{{Put: "k", Value: []byte(`1`)}}}
 		if _, err := c.Commit(ctx, put, Urgent); err != nil {
 			t.Fatal(err)
 		}
@@ -46,15 +46,15 @@
 			t.Fatal("it was carried out all the same")
 		}
 		n.SetRule(nil)
-		h, err := c.NewHold(ctx, time.Second)
+		h, err := c.NewLease(ctx, time.Second)
 		if err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(1500 * time.Millisecond)
-		if err := c.Renew(ctx, h); !errors.Is(err, ErrNoHold) {
+		if err := c.RenewLease(ctx, h); !errors.Is(err, ErrNoLease) {
 			t.Fatalf("a lapsed hold: %v", err)
 		}
-		if _, err := c.Commit(ctx, Txn{Then: []Op{{Put: "x", Value: []byte(`1`), Hold: h}}}, Urgent); !errors.Is(err, ErrNoHold) {
+		if _, err := c.Commit(ctx, Txn{Then: []Op{{Put: "x", Value: []byte(`1`), Lease: h}}}, Urgent); !errors.Is(err, ErrNoLease) {
 			t.Fatalf("a put with it: %v", err)
 		}
 	})
@@ -187,7 +187,7 @@
 		if err := m.Sync(ctx); err != nil {
 			t.Fatal(err)
 		}
-		m.apply(2, []Change{{Put: "j/1", Value: []byte(`2`), Stamp: 2}})
+		m.apply(2, []Change{{Put: "j/1", Value: []byte(`2`), Revision: 2}})
 		if e, _, _ := m.Get("j/1"); string(e.Value) != `3` {
 			t.Errorf("an overtaken answer took the copy back to %s", e.Value)
 		}
