--- a/internal/fake/fake_test.go
+++ b/internal/fake/fake_test.go
@@ -92,7 +92,7 @@
 			t.Errorf("a refused watch got %d %s", code, out)
 		}
 		if s.Value("x") != nil {
-			t.Error("the hold did not run out")
+			t.Error("the lease did not run out")
 		}
 		s.Refuse("a", false)
 		if code, out := call(n, "a", "GET", "s:1/follow?under=&after=1&holdMs=1500", ""); code != 200 || !strings.Contains(out, `"y"`) {
--- a/internal/fake/net.go
+++ b/internal/fake/net.go
@@ -192,6 +192,7 @@
 	}
 }
 
+// wire is how one host reaches the others.
 type wire struct {
 	net  *Net
 	from string
@@ -207,17 +208,7 @@
 	w.net.mu.Lock()
 	h, rule, lag := w.net.hosts[r.URL.Host], w.net.Rule, w.net.Lag
 	w.net.mu.Unlock()
-	travel := func() {
-		if lag != nil {
-			sleep(r.Context(), lag())
-		}
-	}
-	sent := time.Now().Format(time.RFC3339Nano)
-	mark := func(in *http.Request) {
-		in.Header = r.Header.Clone()
-		in.Header.Set(sentHeader, sent)
-		in.Header.Set(fromHeader, w.from)
-	}
+	d := &delivery{net: w.net, from: w.from, request: r, body: body, lag: lag, sent: time.Now().Format(time.RFC3339Nano)}
 	fate := Deliver
 	if rule != nil {
 		fate = rule(w.from, r.URL.Host, r, body)
@@ -225,61 +216,89 @@
 	if h == nil || fate == Refuse {
 		return nil, &net.OpError{Op: "dial", Net: "tcp", Err: errors.New("connection refused")}
 	}
-	travel() // it arrives even if its sender gives up meanwhile
-	late := func() {
-		// It reaches whoever listens there by then.
-		w.net.mu.Lock()
-		h := w.net.hosts[r.URL.Host]
-		w.net.mu.Unlock()
-		if h != nil {
-			in := httptest.NewRequest(r.Method, r.URL.String(), bytes.NewReader(body))
-			mark(in)
-			h.ServeHTTP(httptest.NewRecorder(), in)
-		}
-	}
-	keep := func() {
-		w.net.mu.Lock()
-		w.net.held = append(w.net.held, late)
-		w.net.mu.Unlock()
-	}
-	deliver := func() (*http.Response, error) {
-		in := httptest.NewRequest(r.Method, r.URL.String(), bytes.NewReader(body))
-		mark(in)
-		in = in.WithContext(r.Context())
-		out := httptest.NewRecorder()
-		h.ServeHTTP(out, in)
-		res := out.Result()
-		res.Header.Set(sentHeader, time.Now().Format(time.RFC3339Nano))
-		travel()
-		if err := r.Context().Err(); err != nil {
-			return nil, err // nobody waits for the answer any more
-		}
-		return res, nil
-	}
-	delay := func() time.Duration {
-		if w.net.Delay == nil {
-			return 2 * time.Second
-		}
-		return w.net.Delay()
-	}
+	d.travel() // it arrives even if its sender gives up meanwhile
 	switch fate {
 	case LoseAnswer:
-		deliver()
+		d.deliver(h)
 	case Late:
-		time.AfterFunc(delay(), late)
+		time.AfterFunc(w.net.delay(), d.deliverLate)
 	case SlowAnswer:
-		res, err := deliver()
-		if sleep(r.Context(), delay()) {
+		res, err := d.deliver(h)
+		if sleep(r.Context(), w.net.delay()) {
 			return res, err
 		}
 	case Hold:
-		keep()
+		w.net.holdBack(d)
 	case Copy:
-		keep()
-		return deliver()
+		w.net.holdBack(d)
+		return d.deliver(h)
 	case Deliver:
-		return deliver()
+		return d.deliver(h)
 	}
 	<-r.Context().Done()
 	return nil, r.Context().Err()
 }
+
+// delay is how late the next late request or answer is.
+func (n *Net) delay() time.Duration {
+	if n.Delay == nil {
+		return 2 * time.Second
+	}
+	return n.Delay()
+}
+
+// holdBack keeps a request until Release.
+func (n *Net) holdBack(d *delivery) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.held = append(n.held, d.deliverLate)
+}
+
+// delivery is one request on its way.
+type delivery struct {
+	net     *Net
+	from    string
+	request *http.Request
+	body    []byte
+	lag     func() time.Duration
+	sent    string
+}
+
+// travel takes the time of one way, unless the sender gives up.
+func (d *delivery) travel() {
+	if d.lag != nil {
+		sleep(d.request.Context(), d.lag())
+	}
+}
+
+// incoming is the request as its receiver gets it.
+func (d *delivery) incoming() *http.Request {
+	in := httptest.NewRequest(d.request.Method, d.request.URL.String(), bytes.NewReader(d.body))
+	in.Header = d.request.Header.Clone()
+	in.Header.Set(sentHeader, d.sent)
+	in.Header.Set(fromHeader, d.from)
+	return in
+}
+
+// deliver hands the request over and brings the answer back.
+func (d *delivery) deliver(h http.Handler) (*http.Response, error) {
+	out := httptest.NewRecorder()
+	h.ServeHTTP(out, d.incoming().WithContext(d.request.Context()))
+	res := out.Result()
+	res.Header.Set(sentHeader, time.Now().Format(time.RFC3339Nano))
+	d.travel()
+	if err := d.request.Context().Err(); err != nil {
+		return nil, err // nobody waits for the answer any more
+	}
+	return res, nil
+}
+
+// deliverLate hands the request to whoever listens there by then; the answer is lost.
+func (d *delivery) deliverLate() {
+	d.net.mu.Lock()
+	h := d.net.hosts[d.request.URL.Host]
+	d.net.mu.Unlock()
+	if h != nil {
+		h.ServeHTTP(httptest.NewRecorder(), d.incoming())
+	}
+}
--- a/internal/fake/store.go
+++ b/internal/fake/store.go
@@ -184,6 +184,11 @@
 		return
 	}
 	defer s.mu.Unlock()
+	s.route(w, r)
+}
+
+// route answers everything but watches.
+func (s *Store) route(w http.ResponseWriter, r *http.Request) {
 	path := r.URL.Path
 	switch {
 	case path == "/kv":
@@ -197,32 +202,41 @@
 	case path == "/commit":
 		s.commit(w, r)
 	case path == "/holds":
-		var in struct {
-			LifeMs int64 `json:"lifeMs"`
-		}
-		json.NewDecoder(r.Body).Decode(&in)
-		s.next++
-		life := time.Duration(in.LifeMs) * time.Millisecond
-		s.leases[s.next] = &lease{life, time.Now().Add(life)}
-		reply(w, 200, map[string]uint64{"permit": s.next})
+		s.newLease(w, r)
 	case strings.HasPrefix(path, "/holds/"):
-		id, _ := strconv.ParseUint(strings.TrimSuffix(strings.TrimPrefix(path, "/holds/"), "/renew"), 10, 64)
-		h := s.leases[id]
-		switch {
-		case h == nil:
-			reply(w, 404, map[string]uint64{"epoch": s.epoch})
-			return
-		case r.Method == "DELETE":
-			s.endLease(id)
-		default:
-			h.ends = time.Now().Add(h.life)
-		}
-		reply(w, 200, map[string]uint64{"permit": id})
+		s.changeLease(w, r)
 	default:
 		reply(w, 404, map[string]string{"error": "no such path"})
 	}
 }
 
+func (s *Store) newLease(w http.ResponseWriter, r *http.Request) {
+	var in struct {
+		LifeMs int64 `json:"lifeMs"`
+	}
+	json.NewDecoder(r.Body).Decode(&in)
+	s.next++
+	life := time.Duration(in.LifeMs) * time.Millisecond
+	s.leases[s.next] = &lease{life, time.Now().Add(life)}
+	reply(w, 200, map[string]uint64{"permit": s.next})
+}
+
+// changeLease renews or ends a lease.
+func (s *Store) changeLease(w http.ResponseWriter, r *http.Request) {
+	id, _ := strconv.ParseUint(strings.TrimSuffix(strings.TrimPrefix(r.URL.Path, "/holds/"), "/renew"), 10, 64)
+	l := s.leases[id]
+	switch {
+	case l == nil:
+		reply(w, 404, map[string]uint64{"epoch": s.epoch})
+		return
+	case r.Method == "DELETE":
+		s.endLease(id)
+	default:
+		l.ends = time.Now().Add(l.life)
+	}
+	reply(w, 200, map[string]uint64{"permit": id})
+}
+
 func (s *Store) list(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	most, _ := strconv.Atoi(q.Get("most"))
