--- a/internal/claim/users_test.go
+++ b/internal/claim/users_test.go
@@ -365,8 +365,8 @@
 	wg.Wait()
 	// Luck may have spared all of the kind: then more jobs come until one is hit.
 	spared := func() bool {
-		w.mu.Lock()
-		defer w.mu.Unlock()
+		mu.Lock()
+		defer mu.Unlock()
 		return hits == 0
 	}
 	for i := 0; spared() && i < 60; i++ {
