--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -136,7 +136,7 @@
 	return Sockets{Callers: max(16, rest-direct), Direct: direct}
 }
 
-// Grace is how long an owner answers beats after its last good renewal. Cut off
+// Grace is how long an owner answers heartbeats after its last good renewal. Cut off
 // together with a zone, it may keep tasks there alive that a user has cancelled
 // through another node meanwhile: they must be gone, by the lease that its last
 // answer gave them, within cancel_s of that.
--- a/internal/ids/ids.go
+++ b/internal/ids/ids.go
@@ -1,5 +1,5 @@
-// Package ids holds the small types that name things and times. Each is a type
-// of its own so that the compiler refuses an attempt where a generation is due.
+// Package ids declares the types of names, numbers and times. Each is a type of its
+// own so that the compiler refuses an attempt where a generation is due.
 package ids
 
 import (
@@ -35,7 +35,7 @@
 // their token.
 type Generation uint64
 
-// Session counts a worker's lives: it rises whenever its lease lapses.
+// Session numbers a worker's sessions: it rises whenever its lease lapses.
 type Session uint64
 
 // Tick orders the messages of one worker session.
--- a/internal/intake/http.go
+++ b/internal/intake/http.go
@@ -22,7 +22,7 @@
 	Heartbeat(ctx context.Context, rep *worker.Report) (*worker.Reply, int, worker.Redirect)
 }
 
-// Site is what the HTTP side needs beside the desk.
+// Site is the HTTP interface of a controller.
 type Site struct {
 	Desk       *Desk
 	Heartbeats Heartbeats
@@ -48,7 +48,7 @@
 func (s *Site) Handler() http.Handler {
 	e := echo.New()
 	e.HideBanner = true
-	e.POST("/agent/beat", s.beat, s.limit(workerHeartbeat))
+	e.POST("/agent/beat", s.heartbeat, s.limit(workerHeartbeat))
 	e.GET("/up", func(c echo.Context) error {
 		if !s.Ready() {
 			return c.NoContent(503)
@@ -64,7 +64,7 @@
 	return e
 }
 
-func (s *Site) beat(c echo.Context) error {
+func (s *Site) heartbeat(c echo.Context) error {
 	rep := &worker.Report{}
 	if err := json.NewDecoder(io.LimitReader(c.Request().Body, 16<<20)).Decode(rep); err != nil || rep.Machine == "" {
 		return c.JSON(400, map[string]string{"error": "not a report"})
--- a/internal/intake/messages.go
+++ b/internal/intake/messages.go
@@ -1,5 +1,5 @@
-// Package intake is the duty towards the users: it accepts, answers and
-// cancels. Every controller does it alike, straight on the state service.
+// Package intake is the interface for users: it accepts jobs, answers questions
+// about them and cancels them. Every controller does it alike, straight on the state service.
 package intake
 
 import (
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -81,7 +81,7 @@
 	return err
 }
 
-// Stopped confirms that no beats are answered under older generations.
+// Stopped confirms that no heartbeats are answered under older generations.
 func (s *Service) Stopped(t *Took, out *Confirmed) error {
 	out.Stopped = s.link.pool.Superseded(t.Generation)
 	return nil
--- a/internal/state/client.go
+++ b/internal/state/client.go
@@ -1,6 +1,6 @@
-// Package state speaks to the small consistent store, the only place where the
-// controllers keep anything. It never guesses: a call that got no answer is
-// reported as unknown, and callers read back what became of it.
+// Package state is the client of the state service, the small consistent store
+// where the controllers keep everything. It never guesses: a call without an answer
+// is reported as unknown, and callers read back what became of it.
 package state
 
 import (
@@ -81,7 +81,7 @@
 	Then []Op        `json:"then,omitempty"`
 }
 
-// Change is one piece of news: a put or a removal.
+// Change is one change of a key: a put or a removal.
 type Change struct {
 	Put      string          `json:"put"`
 	Value    json.RawMessage `json:"value"`
@@ -100,7 +100,7 @@
 // CallTimeout bounds every call but the long ones: a cut connection hangs.
 const CallTimeout = 2 * time.Second
 
-// Client is one controller's way to the store.
+// Client is one controller's client of the store.
 type Client struct {
 	base        string
 	http        *http.Client
@@ -153,6 +153,7 @@
 	}
 }
 
+// do makes one call and reads its answer into out.
 func (c *Client) do(ctx context.Context, timeout time.Duration, method, path string, body, out any) (int, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -216,7 +217,7 @@
 	return e, err == nil && code == 200, err
 }
 
-// absent is a key that nobody writes: reading it tells the store's epoch.
+// absent is a key that nobody writes: reading it shows the store's epoch.
 const absent = "none"
 
 // Epoch is how far the store is.
--- a/internal/state/mirror.go
+++ b/internal/state/mirror.go
@@ -18,10 +18,10 @@
 	c      *Client
 	prefix string
 	pause  time.Duration
-	// OnChange is told each change in order, outside the mirror's lock.
+	// OnChange is called with each change in order, outside the mirror's lock.
 	OnChange func(Change)
 
-	// order keeps changes told in the order in which they were applied.
+	// order has OnChange called in the order in which the changes were applied.
 	order sync.Mutex
 
 	mu      sync.Mutex
@@ -118,26 +118,26 @@
 	if err != nil || now <= after {
 		return err
 	}
-	// That there is no news may mean that nobody looked: an outage may have begun
+	// That there are no changes may mean that nobody looked: an outage may have begun
 	// since, or this node be refused. So the newest change known is asked for once
 	// more: an answer that lacks it is blind.
 	if last > 0 {
 		after = min(after, ids.Epoch(last)-1)
 	}
-	epoch, news, err := m.c.Follow(ctx, m.prefix, after, 0)
+	epoch, changes, err := m.c.Follow(ctx, m.prefix, after, 0)
 	switch {
 	case errors.Is(err, ErrTooOld):
 		return m.list(ctx)
 	case err != nil:
 		return err
 	case epoch < now:
-		return fmt.Errorf("%w: news only up to %d of %d", ErrRefused, epoch, now)
-	case last > 0 && !slices.ContainsFunc(news, func(n Change) bool { return n.Revision == last }):
-		return fmt.Errorf("%w: news without what is known already", ErrRefused)
+		return fmt.Errorf("%w: changes only up to %d of %d", ErrRefused, epoch, now)
+	case last > 0 && !slices.ContainsFunc(changes, func(n Change) bool { return n.Revision == last }):
+		return fmt.Errorf("%w: changes without what is known already", ErrRefused)
 	}
-	// Its news are of after the plain read, so they reach that far at least; how
-	// far beyond, only they themselves show.
-	m.apply(max(now, newest(news)), news)
+	// The answer is of after the plain read, so it reaches that far at least; how
+	// far beyond, only the changes themselves show.
+	m.apply(max(now, newest(changes)), changes)
 	return nil
 }
 
@@ -199,7 +199,7 @@
 		m.mu.Lock()
 		after := m.epoch
 		m.mu.Unlock()
-		_, news, err := m.c.Follow(ctx, m.prefix, after, 10*time.Second)
+		_, changes, err := m.c.Follow(ctx, m.prefix, after, 10*time.Second)
 		switch {
 		case errors.Is(err, ErrTooOld):
 			m.mu.Lock()
@@ -210,20 +210,20 @@
 			sleep(ctx, 300*time.Millisecond)
 			continue
 		}
-		// Without news it says nothing: a watch that waits out an outage, or this
+		// An answer without changes says nothing: a watch that waits out an outage, or this
 		// node's being refused, may end well with an epoch whose changes it never
 		// showed. To take that for read would lose them for good.
-		if epoch := newest(news); epoch > 0 {
-			m.apply(epoch, news)
+		if epoch := newest(changes); epoch > 0 {
+			m.apply(epoch, changes)
 		}
 		sleep(ctx, m.pause)
 	}
 }
 
 // newest is the epoch of the last change; 0 if there is none.
-func newest(news []Change) (at ids.Epoch) {
-	for _, n := range news {
-		at = max(at, ids.Epoch(n.Revision))
+func newest(changes []Change) (at ids.Epoch) {
+	for _, change := range changes {
+		at = max(at, ids.Epoch(change.Revision))
 	}
 	return at
 }
@@ -242,7 +242,7 @@
 		return err
 	}
 	fresh := make(map[string]Entry, len(es))
-	var news []Change
+	var changes []Change
 	m.order.Lock()
 	defer m.order.Unlock()
 	m.mu.Lock()
@@ -253,12 +253,12 @@
 	for _, e := range es {
 		fresh[e.Key] = e
 		if m.entries[e.Key].Revision != e.Revision {
-			news = append(news, Change{Put: e.Key, Value: e.Value, Revision: e.Revision})
+			changes = append(changes, Change{Put: e.Key, Value: e.Value, Revision: e.Revision})
 		}
 	}
 	for k := range m.entries {
 		if _, still := fresh[k]; !still {
-			news = append(news, Change{Remove: k, Revision: ids.Revision(epoch)})
+			changes = append(changes, Change{Remove: k, Revision: ids.Revision(epoch)})
 		}
 	}
 	m.entries, m.epoch, m.ready, m.last = fresh, epoch, true, 0
@@ -266,18 +266,18 @@
 		m.last = max(m.last, e.Revision)
 	}
 	m.mu.Unlock()
-	m.tell(news)
+	m.notify(changes)
 	return nil
 }
 
 // apply takes in what changed up to an epoch. Answers may overtake one another,
 // so what the copy has already is passed over.
-func (m *Mirror) apply(epoch ids.Epoch, news []Change) {
+func (m *Mirror) apply(epoch ids.Epoch, changes []Change) {
 	m.order.Lock()
 	defer m.order.Unlock()
-	fresh := news[:0]
+	fresh := changes[:0]
 	m.mu.Lock()
-	for _, n := range news {
+	for _, n := range changes {
 		if ids.Epoch(n.Revision) <= m.epoch || n.Revision <= m.entries[n.Key()].Revision {
 			continue
 		}
@@ -293,15 +293,16 @@
 		m.epoch = epoch
 	}
 	m.mu.Unlock()
-	m.tell(fresh)
+	m.notify(fresh)
 }
 
-func (m *Mirror) tell(news []Change) {
+// notify passes changes on to OnChange, in order.
+func (m *Mirror) notify(changes []Change) {
 	if m.OnChange == nil {
 		return
 	}
-	for _, n := range news {
-		m.OnChange(n)
+	for _, change := range changes {
+		m.OnChange(change)
 	}
 }
 
--- a/internal/worker/commander.go
+++ b/internal/worker/commander.go
@@ -28,7 +28,7 @@
 )
 
 // Commander sends commands straight to a worker's address. Quick starts go
-// this way; what it cannot settle, the beats do.
+// this way; what it cannot settle, the heartbeats do.
 type Commander struct {
 	HTTP    *http.Client
 	Timeout time.Duration
--- a/internal/worker/messages.go
+++ b/internal/worker/messages.go
@@ -1,5 +1,5 @@
-// Package worker is the duty towards the machines: what they report, how long
-// their leases last, and how commands reach them.
+// Package worker speaks with the machines' workers: their reports and leases, and
+// the commands to them.
 package worker
 
 import (
@@ -33,7 +33,7 @@
 	CauseNoSuch     = "no_such"
 )
 
-// Report is what a worker says of itself, in a beat or in answer to commands.
+// Report is what a worker says of itself, in a heartbeat or in answer to commands.
 type Report struct {
 	Machine ids.Machine    `json:"host"`
 	Addr    string         `json:"endpoint"`
@@ -68,7 +68,7 @@
 // Clear takes an exited task out of the reports.
 func Clear(task string, a ids.Attempt) Order { return Order{Verb: "clear", Task: task, Attempt: a} }
 
-// Reply answers a beat, or is the body of direct commands.
+// Reply answers a heartbeat, or is the body of direct commands.
 type Reply struct {
 	Token   ids.Generation `json:"baton"`
 	Session ids.Session    `json:"stint,omitempty"`
--- a/internal/worker/registry.go
+++ b/internal/worker/registry.go
@@ -30,7 +30,7 @@
 	Tick        ids.Tick
 	Token       ids.Generation
 	Seen        time.Time // when the newest report came in
-	HeartbeatAt time.Time // when a beat of its was last answered
+	HeartbeatAt time.Time // when a heartbeat of its was last answered
 	LapseAt     time.Time // from here on its worker has surely ended every task
 	TakenAt     time.Time // zero without a spot notice
 	Pieces      []Piece
@@ -117,7 +117,7 @@
 	v := Verdict{Fresh: true, Moved: m.Heard && rep.Session > m.Session}
 	if !m.Heard || v.Moved {
 		// The session may have begun just now, and lasts a lease from then on
-		// even if none of its beats is ever answered.
+		// even if none of its heartbeats is ever answered.
 		m.LapseAt = Later(m.LapseAt, now.Add(r.lease.Drifted()))
 	}
 	m.Heard, m.Booting = true, false
@@ -189,13 +189,13 @@
 
 // Usable tells whether new tasks may go there.
 func (m *Machine) Usable(now time.Time, report ids.Seconds) bool {
-	// Answers to questions renew no lease: a machine whose beats do not come
+	// Answers to questions renew no lease: a machine whose heartbeats do not come
 	// through soon loses whatever is put there.
-	beats := m.HeartbeatAt
-	if beats.IsZero() {
-		beats = m.Born
+	last := m.HeartbeatAt
+	if last.IsZero() {
+		last = m.Born
 	}
-	if now.Sub(beats) > 4*report.Duration()+2*time.Second {
+	if now.Sub(last) > 4*report.Duration()+2*time.Second {
 		return false
 	}
 	return m.Heard && m.Unreached.IsZero() && m.Draining == "" && !m.Failed && !m.Deleting && m.TakenAt.IsZero() &&
