--- a/internal/claim/book.go
+++ b/internal/claim/book.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"github.com/pebbletrail/pebbletrail/internal/config"
+	"github.com/pebbletrail/pebbletrail/internal/dependency"
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 	"github.com/pebbletrail/pebbletrail/internal/placement"
 	"github.com/pebbletrail/pebbletrail/internal/worker"
@@ -84,7 +85,8 @@
 	failed     failures
 	lost       losses
 	aside      time.Time // when machines to set aside were last looked for
-	urged      urge      // by jobs that need it
+	// inherited is the urgency of the jobs that await this one.
+	inherited dependency.Urgency
 }
 
 func (j *Job) left() int { return j.Rec.Spec.Tasks - j.Rec.Finished.Len() }
@@ -299,7 +301,7 @@
 	for _, i := range sortedTasks(j.places) {
 		b.stop(j.places[i], 0, "cancelled")
 	}
-	b.doomNeeders(j.Rec.Spec.ID, j.Rec.Spec.ID)
+	b.cancelDependents(j.Rec.Spec.ID)
 	b.finishIfOver(j)
 }
 
@@ -371,6 +373,7 @@
 	for _, h := range b.hosts {
 		b.shelve(h) // machines may have been heard before their type was known
 	}
+	b.reestimate()
 }
 
 // Generation is the token that this owner's commands carry now.
--- a/internal/claim/commit.go
+++ b/internal/claim/commit.go
@@ -38,6 +38,8 @@
 	// turn lets one owner write go out at a time: each needs the generation's
 	// stamp, and raising it changes that.
 	turn chan struct{}
+	// movesWent tells that the last group moved jobs that waited for others.
+	movesWent bool
 }
 
 // NewCommitter makes the committer of one term.
--- a/internal/claim/learn.go
+++ b/internal/claim/learn.go
@@ -53,13 +53,7 @@
 			Token: at.token, sent: true, since: now, stopping: j.cancelled(), why: "cancelled"})
 	})
 	j.Rec.Places = nil
-	delete(b.pipes.lookUp, r.Spec.ID)
-	if len(b.pipes.needers[r.Spec.ID]) > 0 {
-		b.urgeUp(r.Spec.ID)
-		if j.cancelled() {
-			b.doomNeeders(r.Spec.ID, r.Spec.ID)
-		}
-	}
+	b.joinPipelines(j)
 	b.finishIfOver(j)
 	return j
 }
@@ -131,9 +125,7 @@
 	if len(j.places) == 0 {
 		b.unlist(j)
 	}
-	if _, known := b.pipes.finals[id]; !known && len(b.pipes.needers[id]) > 0 {
-		b.ask(id, time.Now())
-	}
+	b.askIfAwaited(id)
 	if !b.gone[id] {
 		b.gone[id] = true
 		b.goneQ = append(b.goneQ, id)
--- a/internal/claim/needs.go
+++ b/internal/claim/needs.go
@@ -117,7 +117,7 @@
 	if s.Due > 0 {
 		due = float64(s.Due)
 	}
-	if by := j.urged.by; !by.IsZero() {
+	if by := j.inherited.Deadline; !by.IsZero() {
 		due = min(due, time.Until(by).Seconds())
 	}
 	for _, o := range b.set.Params.Objectives {
--- /dev/null
+++ b/internal/claim/promote.go
@@ -0,0 +1,140 @@
+package claim
+
+import (
+	"cmp"
+	"context"
+	"iter"
+	"log/slog"
+	"slices"
+	"time"
+
+	"github.com/pebbletrail/pebbletrail/internal/ids"
+	"github.com/pebbletrail/pebbletrail/internal/state"
+)
+
+// waitingOnes collects what may be stored of jobs that wait: those that become
+// claimable, or, if over, those that end.
+func (c *Committer) waitingOnes(over bool, add func(pending) bool) {
+	b := c.Book
+	if over {
+		for id := range b.pipes.graph.Cancelled() {
+			if p, ok := c.moveOf(id, true); ok && !add(p) {
+				return
+			}
+		}
+		return
+	}
+	if c.movesWent && b.hasUrgent() {
+		c.movesWent = false // an end that many await must not keep all else waiting
+		return
+	}
+	c.movesWent = false
+	for _, id := range b.inOrderOfPriority(b.pipes.graph.Ready()) {
+		p, ok := c.moveOf(id, false)
+		if ok && !add(p) {
+			return
+		}
+		c.movesWent = c.movesWent || ok
+	}
+}
+
+// hasUrgent tells whether a change of a claimable job has to be stored at once.
+func (b *Book) hasUrgent() bool {
+	for j := range b.dirty {
+		if j.urgent {
+			return true
+		}
+	}
+	return false
+}
+
+// inOrderOfPriority sorts waiting jobs, inherited priority included; the first
+// submitted of equals go first.
+func (b *Book) inOrderOfPriority(jobs iter.Seq[ids.Job]) []ids.Job {
+	priority := func(id ids.Job) int {
+		return max(int(b.pipes.waits[id].rec.Spec.Priority), b.pipes.graph.Inherited(id).Priority)
+	}
+	return slices.SortedFunc(jobs, func(x, y ids.Job) int {
+		return cmp.Or(cmp.Compare(priority(y), priority(x)),
+			cmp.Compare(b.pipes.waits[x].rec.Submitted, b.pipes.waits[y].rec.Submitted), cmp.Compare(x, y))
+	})
+}
+
+// moveOf is the transaction that moves a waiting job to the claimable ones or, if
+// over, to those that ended; ok is false when its record does not fit a value.
+func (c *Committer) moveOf(id ids.Job, over bool) (p pending, ok bool) {
+	b := c.Book
+	w := b.pipes.waits[id]
+	now := ids.WallOf(time.Now())
+	rec := *w.rec
+	rec.Gen, rec.Writer, rec.Seq = b.gen, b.writer, w.rec.Seq+1
+	key, event := JobKey(id), "all jobs that it awaited are done"
+	if over {
+		key, event = EndKey(id), cancelledText(b.pipes.graph.CancelledBy(id))
+		rec.Status = Cancelled
+	} else {
+		rec.Ready = now
+	}
+	rec.Trail = append(slices.Clone(rec.Trail), Event{now, event})
+	raw, ok := rec.Encode(int(b.set.Params.State.ValueKB * 1024))
+	if !ok {
+		slog.Error("a waiting job's record does not fit", "job", id)
+		return pending{}, false
+	}
+	p = pending{wait: w, moved: &rec, over: over, size: len(raw) + 200}
+	p.conds = []state.Cond{{Key: WaitKey(id), Stamp: w.stamp}, {Key: key}}
+	p.ops = []state.Op{{Remove: WaitKey(id)}, {Put: key, Value: raw}}
+	return p, true
+}
+
+// cancelledText words why a job that waited is cancelled.
+func cancelledText(by ids.Job) string {
+	return "cancelled: it needs " + string(by) + ", which was cancelled"
+}
+
+// movedOn takes in that a waiting job's move is stored.
+func (b *Book) movedOn(p pending, stamp ids.Stamp, now time.Time) {
+	id := p.wait.id()
+	if b.pipes.waits[id] == p.wait {
+		b.unwait(p.wait)
+	}
+	if p.over {
+		b.finally(id, Cancelled)
+		return
+	}
+	if b.jobs[id] == nil {
+		b.addJob(p.moved, stamp, now)
+		poke(b.wakePlan)
+	}
+}
+
+// repairMove reads back what became of a waiting job whose move met a conflict: an
+// answer was lost, or its user cancelled it.
+func (c *Committer) repairMove(ctx context.Context, p pending) bool {
+	b, id := c.Book, p.wait.id()
+	live, found, err := c.State.Get(ctx, JobKey(id), state.Urgent)
+	if err != nil {
+		return false
+	}
+	now := time.Now()
+	if found {
+		rec, err := Decode(live.Value)
+		if err != nil {
+			slog.Error("unreadable record", "job", id, "err", err)
+			return false
+		}
+		b.mu.Lock()
+		p.moved = rec
+		p.over = false
+		b.movedOn(p, live.Stamp, now)
+		b.mu.Unlock()
+		return true
+	}
+	b.mu.Lock()
+	if b.pipes.waits[id] == p.wait {
+		b.unwait(p.wait)
+	}
+	b.ask(id, now)
+	b.mu.Unlock()
+	return true
+}
--- a/internal/claim/urgency_test.go
+++ b/internal/claim/urgency_test.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"fmt"
+	"math"
 	"net/http"
 	"strings"
 	"testing"
@@ -37,15 +38,56 @@
 			t.Errorf("the first has priority %s", first.priority())
 		}
 		// 100 s less three estimates of 10 s and fetches of 1 s.
-		if left := first.urged.by.Sub(now); left < 66*time.Second || left > 68*time.Second {
+		if left := first.inherited.Deadline.Sub(now); left < 66*time.Second || left > 68*time.Second {
 			t.Errorf("the first has %v", left)
 		}
 		if ranked := b.ranked(now); len(ranked) != 2 || ranked[0] != first {
 			t.Errorf("%d are ranked, or the first does not lead", len(ranked))
 		}
 		b.LearnWaiting("job-5", 9, nil, now)
-		if first.priority() != Low || !first.urged.by.IsZero() {
-			t.Errorf("with the last gone the first still has priority %s and %v", first.priority(), first.urged.by)
+		if first.priority() != Low || !first.inherited.Deadline.IsZero() {
+			t.Errorf("with the last gone the first still has priority %s and %v", first.priority(), first.inherited.Deadline)
+		}
+	})
+}
+
+func TestLaddersAndLongChainsAreLoadedAtOnce(t *testing.T) {
+	// Guards against a takeover, or a change of one job, that takes a step for each path
+	// through a pipeline: a ladder of 40 layers has 2^40.
+	synctest.Test(t, func(t *testing.T) {
+		now := time.Now()
+		b := testBook()
+		recs, stamps := map[ids.Job]*Record{}, map[ids.Job]ids.Stamp{}
+		job := func(n int) ids.Job { return ids.Job(fmt.Sprintf("job-%d", n)) }
+		for n := range 2 {
+			b.Learn(job(n), 1, rec(job(n), "red", Low, 1, 1), now)
+		}
+		// Two jobs a layer, each of which awaits both of the layer before. The estimates
+		// are such that no two paths take the same time.
+		for n := 2; n < 82; n++ {
+			r := waits(job(n), Priority(n%3), ids.Seconds(1e8-37*n%1000), job(n/2*2-2), job(n/2*2-1))
+			r.Spec.Estimate = 1 + ids.Seconds(n%2)*ids.Seconds(math.Exp2(float64(n/2)))*1e-6
+			recs[job(n)], stamps[job(n)] = r, 1
+		}
+		b.Learn("job-100", 1, rec("job-100", "red", Low, 1, 1), now)
+		for n := 101; n <= 5100; n++ {
+			recs[job(n)], stamps[job(n)] = waits(job(n), Low, 0, job(n-1)), 1
+		}
+		b.LoadWaiting(recs, stamps, now)
+		b.LearnWaiting("job-90", 2, waits("job-90", Critical, 1e7, "job-80", "job-81"), now)
+		b.LearnWaiting("job-6000", 2, waits("job-6000", High, 100000, "job-5100"), now)
+		if p := b.jobs["job-0"].priority(); p != Critical {
+			t.Errorf("the ladder's first has priority %s", p)
+		}
+		first := b.jobs["job-100"]
+		// 100,000 s less the estimates of 10 s and fetches of 1 s of 5,001 jobs.
+		if left := first.inherited.Deadline.Sub(now); first.priority() != High || left != (100000-5001*11)*time.Second {
+			t.Errorf("the chain's first has priority %s and %v", first.priority(), left)
+		}
+		b.LearnWaiting("job-90", 9, nil, now)
+		b.cancel(first)
+		if _, cancelled := b.pipes.graph.Counts(); b.jobs["job-0"].priority() != High || cancelled != 5001 {
+			t.Errorf("the ladder's first has priority %s, %d of the chain are cancelled", b.jobs["job-0"].priority(), cancelled)
 		}
 	})
 }
@@ -88,12 +130,12 @@
 			t.Errorf("%d jobs stand in line", got)
 		}
 		b.finally("job-10000", Done)
-		if len(b.pipes.ready) != 10 {
-			t.Errorf("an end made %d ready, not 10", len(b.pipes.ready))
+		if ready, _ := b.pipes.graph.Counts(); ready != 10 {
+			t.Errorf("an end made %d ready, not 10", ready)
 		}
 		b.cancel(b.jobs["job-10001"])
-		if len(b.pipes.doomed) != 10 {
-			t.Errorf("a cancellation ended %d, not 10", len(b.pipes.doomed))
+		if _, cancelled := b.pipes.graph.Counts(); cancelled != 10 {
+			t.Errorf("a cancellation ended %d, not 10", cancelled)
 		}
 	})
 }
--- a/internal/claim/waiting.go
+++ b/internal/claim/waiting.go
@@ -54,7 +54,7 @@
 // is. That is so by definition, whoever reads the records, from when that one is.
 func (r *Record) EndedBy(by ids.Job) {
 	r.Status = Cancelled
-	r.Trail = append(r.Trail, Event{ids.WallOf(time.Now()), doomText(by)})
+	r.Trail = append(r.Trail, Event{ids.WallOf(time.Now()), cancelledText(by)})
 }
 
 // since is from when on a job's waiting counts: its submission, or the moment when
