--- a/internal/claim/outcomes.go
+++ b/internal/claim/outcomes.go
@@ -42,7 +42,10 @@
 func (c *Committer) lookUpOnce(ctx context.Context) {
 	now := time.Now()
 	wanted := c.Book.dueLookUps(now)
-	for page := 0; page < pagesPerPass && len(wanted) >= manyLookUps; page++ {
+	for page := 0; len(wanted) >= manyLookUps; page++ {
+		if page == pagesPerPass {
+			return
+		}
 		covered, ok := c.lookUpPage(ctx, wanted, now)
 		if !ok {
 			break
--- a/internal/fake/store.go
+++ b/internal/fake/store.go
@@ -46,6 +46,8 @@
 	ops     int
 	// TooLarge counts transactions that were over these limits.
 	TooLarge int
+	// Listed counts the entries that lists were answered with.
+	Listed int
 	// Keep is how many changes it remembers.
 	Keep int
 }
@@ -241,6 +243,7 @@
 	for _, k := range all {
 		es = append(es, s.keys[k])
 	}
+	s.Listed += len(es)
 	reply(w, 200, map[string]any{"entries": es, "more": more, "epoch": s.epoch})
 }
 
