--- a/internal/claim/needs.go
+++ b/internal/claim/needs.go
@@ -115,7 +115,7 @@
 	s := &j.Rec.Spec
 	due := math.Inf(1)
 	if s.Due > 0 {
-		due = float64(s.Due)
+		due = float64(s.Due) - j.Rec.awaited().Seconds()
 	}
 	if by := j.inherited.Deadline; !by.IsZero() {
 		due = min(due, time.Until(by).Seconds())
--- a/internal/claim/outcomes_test.go
+++ b/internal/claim/outcomes_test.go
@@ -16,18 +16,18 @@
 // history is a store with the final records of many jobs, a client of it, and how many
 // calls that one made.
 type history struct {
-	store *fake.Store
-	state *state.Client
-	calls int
+	network *fake.Net
+	store   *fake.Store
+	state   *state.Client
+	calls   int
 }
 
 // newHistory stores that jobs first to first+n-1 are done, but for those cancelled.
 func newHistory(t *testing.T, first, n int, cancelled ...int) *history {
-	h := &history{store: fake.NewStore()}
-	network := fake.NewNet()
-	network.Listen("state:1", h.store)
-	network.SetRule(func(string, string, *http.Request, []byte) fake.Fate { h.calls++; return fake.Deliver })
-	h.state = state.NewClient("state:1", network.Client("a"), state.NewBudget(1e6, 1e6, 1, 0.6))
+	h := &history{store: fake.NewStore(), network: fake.NewNet()}
+	h.network.Listen("state:1", h.store)
+	h.network.SetRule(func(string, string, *http.Request, []byte) fake.Fate { h.calls++; return fake.Deliver })
+	h.state = state.NewClient("state:1", h.network.Client("a"), state.NewBudget(1e6, 1e6, 1, 0.6))
 	put := func(status Status, numbers ...int) {
 		var txn state.Txn
 		for _, k := range numbers {
--- a/internal/claim/waiting.go
+++ b/internal/claim/waiting.go
@@ -60,3 +60,7 @@
 // since is from when on a job's waiting counts: its submission, or the moment when
 // the last job that it awaited was done.
 func (r *Record) since() ids.Wall { return max(r.Submitted, r.Ready) }
+
+// awaited is how long a job waited for others, which takes from the time that its
+// deadline leaves.
+func (r *Record) awaited() time.Duration { return r.since().Time().Sub(r.Submitted.Time()) }
--- a/internal/dependency/graph_test.go
+++ b/internal/dependency/graph_test.go
@@ -316,3 +316,27 @@
 		t.Errorf("it is ready: %v, cancelled by %q", g.IsReady(job(2)), g.CancelledBy(job(2)))
 	}
 }
+
+func TestNothingIsLeftOfWhatIsDone(t *testing.T) {
+	// Guards against a graph that grows as long as its owner lives.
+	g := New()
+	jobs := ladder(10)
+	g.Add(jobs...)
+	g.Finish(job(0))
+	g.Finish(job(1))
+	for range jobs {
+		for _, id := range slices.Collect(g.Ready()) {
+			g.Remove(id)
+			g.Finish(id)
+		}
+	}
+	if len(g.nodes) != 0 || g.Len() != 0 || len(g.ready) != 0 {
+		t.Errorf("%d jobs are left, %d wait", len(g.nodes), g.Len())
+	}
+	for n := range 3 * maxOutcomes {
+		g.Finish(job(n))
+	}
+	if len(g.outcomes) > maxOutcomes+1 {
+		t.Errorf("%d outcomes are remembered", len(g.outcomes))
+	}
+}
