--- /dev/null
+++ b/internal/claim/pipeline_handover_test.go
@@ -0,0 +1,264 @@
+package claim_test
+
+import (
+	"fmt"
+	"net/http"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/pebbletrail/pebbletrail/internal/fake"
+)
+
+// moves tells whether a request moves waiting jobs to where they end or are claimed.
+func moves(r *http.Request, body []byte) bool {
+	return r.URL.Path == "/commit" && strings.Contains(string(body), `"remove":"job/wait/`) && strings.Contains(string(body), `pool/generation`)
+}
+
+// chainOf submits jobs 1 to n, each of which awaits the one before.
+func (w *world) chainOf(n int) {
+	w.submit("a", spec("job-1", "array", 1))
+	for i := 2; i <= n; i++ {
+		w.submit(nodes[i%2], awaiting(spec(fmt.Sprintf("job-%d", i), "array", 1), fmt.Sprintf("job-%d", i-1)))
+	}
+}
+
+// told counts the jobs from one number to another that both nodes call by a status.
+func (w *world) told(status string, from, to int) (n int) {
+	for i := from; i <= to; i++ {
+		if w.both(fmt.Sprintf("job-%d", i), status) {
+			n++
+		}
+	}
+	return n
+}
+
+// pair starts two nodes and two machines.
+func (w *world) pair() {
+	w.start("a")
+	w.start("b")
+	w.worker("m1", "north")
+	w.worker("m2", "south")
+	time.Sleep(10 * time.Second)
+}
+
+func TestInAChainOfAHundredWhatFollowsACancelledJobEndsAndNothingElse(t *testing.T) {
+	t.Parallel()
+	// Guards against a cancellation that stops part of the way down, or goes up.
+	story(t, func(t *testing.T, w *world) {
+		w.pair()
+		w.chainOf(100)
+		w.until(5*time.Second, "the first runs", func() bool { return w.everywhere("job-1", 1) })
+		for _, step := range []struct{ cancel, waiting int }{{100, 98}, {50, 48}, {1, 0}} { // last, middle, first
+			if how := w.insistOn(fmt.Sprintf("job-%d", step.cancel)); how != "cancelled" {
+				t.Fatalf("the cancellation of %d is answered %q", step.cancel, how)
+			}
+			if n := w.told("cancelled", step.cancel, 100); n != 101-step.cancel {
+				t.Errorf("%d of the %d from %d on are called cancelled", n, 101-step.cancel, step.cancel)
+			}
+			if n := w.told("pending", 2, step.cancel-1); step.cancel > 1 && n != step.cancel-2 {
+				t.Errorf("%d of the %d before %d are called pending", n, step.cancel-2, step.cancel)
+			}
+			w.until(30*time.Second, "the ends are stored", func() bool { return w.store.Count("job/wait/") == step.waiting })
+		}
+		w.until(30*time.Second, "the first's end too", func() bool { return w.store.Count("job/") == 0 && w.store.Count("end/") == 100 })
+		w.hold(20*time.Second, "nothing of them starts", func() bool { return len(w.on("job-2/0"))+len(w.on("job-50/0")) == 0 })
+	})
+}
+
+func TestTheNextLeaderStoresTheEndsThatTheLastDidNot(t *testing.T) {
+	t.Parallel()
+	// Guards against jobs cancelled by definition whose records are forgotten, or start,
+	// when the leader that was to store their ends is gone.
+	story(t, func(t *testing.T, w *world) {
+		w.pair()
+		w.chainOf(40)
+		w.until(5*time.Second, "the first runs", func() bool { return w.everywhere("job-1", 1) })
+		w.net.SetRule(func(_, _ string, r *http.Request, body []byte) fake.Fate {
+			if moves(r, body) {
+				return fake.Refuse
+			}
+			return fake.Deliver
+		})
+		if how := w.insistOn("job-1"); how != "cancelled" {
+			t.Fatalf("the cancellation is answered %q", how)
+		}
+		time.Sleep(3 * time.Second)
+		o := w.owner()
+		o.kill()
+		if n := w.store.Count("job/wait/"); n != 39 {
+			t.Fatalf("%d of 39 records are left", n)
+		}
+		w.until(10*time.Second, "another leads", func() bool { return w.owner() != nil && w.owner() != o })
+		w.net.SetRule(nil)
+		w.start(o.name)
+		w.until(40*time.Second, "the ends are stored", func() bool { return w.store.Count("job/") == 0 && w.store.Count("end/") == 40 })
+		if n := w.told("cancelled", 1, 40); n != 40 {
+			t.Errorf("%d of 40 are called cancelled", n)
+		}
+		w.hold(10*time.Second, "nothing of them starts", func() bool { return len(w.on("job-2/0")) == 0 })
+	})
+}
+
+func TestAJobBecomesReadyWhileTheLeaderChanges(t *testing.T) {
+	t.Parallel()
+	// Guards against a job that waits for ever since the leader that stored the last end
+	// that it awaited was gone before it moved the job; and against one moved twice.
+	for name, fate := range map[string]struct {
+		end, move fake.Fate // of the transactions with the end, and with the move
+	}{
+		"the end is stored, the move is not":         {fake.Deliver, fake.Refuse},
+		"the end's answer is lost":                   {fake.LoseAnswer, fake.Refuse},
+		"the move's answer is lost":                  {fake.Deliver, fake.LoseAnswer},
+		"the end is stored after the leader is gone": {fake.Late, fake.Refuse},
+		"the move is carried out late":               {fake.Deliver, fake.Late},
+	} {
+		for _, delay := range []time.Duration{300 * time.Millisecond, 1700 * time.Millisecond, 6 * time.Second} {
+			if fate.end != fake.Late && fate.move != fake.Late && delay > time.Second {
+				continue
+			}
+			variant(t, fmt.Sprint(name, " ", delay), func(t *testing.T, w *world) {
+				w.pair()
+				w.chainOf(2)
+				w.submit("a", awaiting(spec("job-3", "array", 1), "job-1"))
+				w.until(5*time.Second, "the first runs", func() bool { return w.everywhere("job-1", 1) })
+				o := w.owner()
+				w.net.Delay = func() time.Duration { return delay }
+				gone := func() { time.AfterFunc(50*time.Millisecond, o.kill) }
+				hits := 0
+				w.net.SetRule(func(from, _ string, r *http.Request, body []byte) fake.Fate {
+					switch end := kind(r, body) == "outcome"; {
+					case from != o.name:
+					case moves(r, body):
+						if hits++; hits == 1 {
+							gone()
+						}
+						return fate.move
+					case end && fate.end != fake.Deliver:
+						if hits++; hits == 1 {
+							gone()
+						}
+						return fate.end
+					}
+					return fake.Deliver
+				})
+				w.ends("job-1")
+				w.until(15*time.Second, "another leads", func() bool { return w.owner() != nil && w.owner() != o })
+				w.until(40*time.Second, "those that awaited it run", func() bool { return w.everywhere("job-2", 1) && w.everywhere("job-3", 1) })
+				w.start(o.name)
+				time.Sleep(delay)
+				w.ends("job-2")
+				w.ends("job-3")
+				w.until(30*time.Second, "all are done", func() bool { return w.told("done", 1, 3) == 3 })
+				if hits == 0 || w.store.Count("job/") != 0 || w.store.Count("end/") != 3 {
+					t.Errorf("hit %d times; %s", hits, w.store)
+				}
+			})
+		}
+	}
+}
+
+func TestALateMoveDoesNotBringACancelledJobBack(t *testing.T) {
+	t.Parallel()
+	// Guards against a move of an older leader, or of the same one, that is carried out
+	// after the job's user cancelled it while it waited.
+	for name, trouble := range map[string]func(w *world, o *node){
+		"the leader stays": func(*world, *node) {},
+		"the leader ends":  func(_ *world, o *node) { o.kill() },
+		"the leader is refused": func(w *world, o *node) {
+			w.store.Refuse(o.name, true)
+			time.AfterFunc(9*time.Second, func() { w.store.Refuse(o.name, false) })
+		},
+	} {
+		for _, delay := range []time.Duration{200 * time.Millisecond, 3 * time.Second, 12 * time.Second} {
+			variant(t, fmt.Sprint(name, " ", delay), func(t *testing.T, w *world) {
+				w.pair()
+				w.chainOf(3)
+				w.until(5*time.Second, "the first runs", func() bool { return w.everywhere("job-1", 1) })
+				o := w.owner()
+				w.net.Delay = func() time.Duration { return delay }
+				late := 0
+				w.net.SetRule(func(from, _ string, r *http.Request, body []byte) fake.Fate {
+					switch {
+					case from != o.name || !moves(r, body):
+						return fake.Deliver
+					case late > 0:
+						return fake.Refuse
+					}
+					late++
+					return fake.Late
+				})
+				w.ends("job-1")
+				w.until(15*time.Second, "a move is on its way", func() bool { return late > 0 })
+				trouble(w, o)
+				if how := w.insistOn("job-2"); how != "cancelled" {
+					t.Fatalf("the cancellation is answered %q", how)
+				}
+				time.Sleep(delay + time.Second)
+				w.net.SetRule(nil)
+				if w.told("cancelled", 2, 3); w.nodes[o.name] == nil {
+					w.start(o.name)
+				}
+				w.hold(40*time.Second, "it does not run", func() bool { return len(w.on("job-2/0"))+len(w.on("job-3/0")) == 0 })
+				if n := w.told("cancelled", 2, 3); n != 2 || w.store.Count("job/") != 0 {
+					t.Errorf("%d of 2 are called cancelled; %s", n, w.store)
+				}
+			})
+		}
+	}
+}
+
+func TestATakeoverWithTenThousandThatWaitTakesFewCalls(t *testing.T) {
+	t.Parallel()
+	// Guards against a call for each record that waits.
+	story(t, func(t *testing.T, w *world) {
+		w.start("a")
+		time.Sleep(3 * time.Second)
+		w.submit("a", spec("job-1", "array", 1))
+		w.nodes["a"].kill()
+		put := func(entries map[string]string) {
+			var ops []string
+			for key, value := range entries {
+				ops = append(ops, fmt.Sprintf(`{"put":%q,"value":%s}`, key, value))
+			}
+			body := `{"when":[],"then":[` + strings.Join(ops, ",") + `]}`
+			res, err := w.net.Client("seed").Post("http://state:1/commit", "application/json", strings.NewReader(body))
+			if err != nil || res.StatusCode != 200 {
+				t.Fatal(res, err)
+			}
+		}
+		record := func(id, status, awaits string) string {
+			return fmt.Sprintf(`{"spec":{"id":%q,"team":"red","shape":"array","priority":0,"tasks":1,"need":{"cores":1},"awaits":[%s]},`+
+				`"status":%q,"submitted":1700000000000,"attempt":0,"generation":0,"finished":"","writer":"u","seq":1}`, id, awaits, status)
+		}
+		const waiting, ended = 10000, 300
+		entries := map[string]string{}
+		for i := range ended {
+			id := fmt.Sprintf("job-%d", 5000+i)
+			entries["end/"+id] = record(id, "done", "")
+		}
+		for i := range waiting {
+			id := fmt.Sprintf("job-%d", 100000+i)
+			entries["job/wait/"+id] = "[" + record(id, "queued", fmt.Sprintf(`"job-1","job-%d"`, 5000+i%ended)) + "]"
+		}
+		put(entries)
+		calls := map[string]int{}
+		w.net.SetRule(func(from, to string, r *http.Request, _ []byte) fake.Fate {
+			if to == "state:1" && !strings.HasPrefix(r.URL.Path, "/holds") && r.URL.Path != "/follow" && r.URL.Path != "/kv/none" {
+				w.mu.Lock()
+				calls[strings.SplitN(strings.TrimPrefix(r.URL.Path, "/"), "/", 2)[0]+" "+r.URL.Query().Get("under")]++
+				w.mu.Unlock()
+			}
+			return fake.Deliver
+		})
+		w.start("b")
+		w.worker("m1", "north")
+		w.until(20*time.Second, "the one that waits for nobody runs", func() bool { return w.everywhere("job-1", 1) })
+		time.Sleep(3 * time.Second)
+		w.mu.Lock()
+		defer w.mu.Unlock()
+		if calls["kv job/"] > waiting/1000+2 || calls["kv end/"] > 2 || calls["kv "] > 20 || calls["commit "] > 20 {
+			t.Errorf("the takeover took %v", calls)
+		}
+	})
+}
