--- a/internal/claim/book_test.go
+++ b/internal/claim/book_test.go
@@ -24,10 +24,14 @@
 
 func testBook() *Book {
 	b := NewBook(testSet(), "w", 7, time.Now())
-	b.SetTypes([]placement.Type{{Label: "small", Cores: 4, RAM: 16, CacheGB: 20, PullGBPerS: 1, Price: 1, SpotPrice: 0.4, BootS: 30, Zones: []string{"north", "south"}}})
+	b.SetTypes(testTypes())
 	return b
 }
 
+func testTypes() []placement.Type {
+	return []placement.Type{{Label: "small", Cores: 4, RAM: 16, CacheGB: 20, PullGBPerS: 1, Price: 1, SpotPrice: 0.4, BootS: 30, Zones: []string{"north", "south"}}}
+}
+
 func (b *Book) hear(name ids.Machine, zone string, tick ids.Tick, pieces ...worker.Piece) []worker.Order {
 	return b.Observe(&worker.Report{Machine: name, Addr: string(name) + ":1", Type: "small", Zone: zone, Session: 1, Tick: tick, Token: 7, Pieces: pieces}, true, true)
 }
--- a/internal/claim/inheritance_test.go
+++ b/internal/claim/inheritance_test.go
@@ -171,3 +171,19 @@
 		}
 	})
 }
+
+func TestANewLeaderPassesOnFetchesOnceItKnowsTheMachineTypes(t *testing.T) {
+	// Guards against deadlines that leave no time for fetches for as long as a leader
+	// leads: it reads the records before it knows the types.
+	synctest.Test(t, func(t *testing.T) {
+		now := time.Now()
+		b := NewBook(testSet(), "w", 7, now)
+		diamond(b, now)
+		first := b.jobs["job-1"]
+		before := first.inherited.Deadline.Sub(now)
+		b.SetTypes(testTypes())
+		if after := first.inherited.Deadline.Sub(now); before != 180*time.Second || after != 178*time.Second {
+			t.Errorf("the first has %v without the fetches of two jobs, %v with them", before, after)
+		}
+	})
+}
--- a/internal/claim/promote.go
+++ b/internal/claim/promote.go
@@ -51,13 +51,24 @@
 // inOrderOfPriority sorts waiting jobs, inherited priority included; the first
 // submitted of equals go first.
 func (b *Book) inOrderOfPriority(jobs iter.Seq[ids.Job]) []ids.Job {
-	priority := func(id ids.Job) int {
-		return max(int(b.pipes.waits[id].rec.Spec.Priority), b.pipes.graph.Inherited(id).Priority)
+	type entry struct {
+		id        ids.Job
+		priority  int
+		submitted ids.Wall
 	}
-	return slices.SortedFunc(jobs, func(x, y ids.Job) int {
-		return cmp.Or(cmp.Compare(priority(y), priority(x)),
-			cmp.Compare(b.pipes.waits[x].rec.Submitted, b.pipes.waits[y].rec.Submitted), cmp.Compare(x, y))
+	var entries []entry
+	for id := range jobs {
+		rec := b.pipes.waits[id].rec
+		entries = append(entries, entry{id, max(int(rec.Spec.Priority), b.pipes.graph.Inherited(id).Priority), rec.Submitted})
+	}
+	slices.SortFunc(entries, func(x, y entry) int {
+		return cmp.Or(cmp.Compare(y.priority, x.priority), cmp.Compare(x.submitted, y.submitted), cmp.Compare(x.id, y.id))
 	})
+	sorted := make([]ids.Job, len(entries))
+	for i := range entries {
+		sorted[i] = entries[i].id
+	}
+	return sorted
 }
 
 // moveOf is the transaction that moves a waiting job to the claimable ones or, if
--- a/internal/dependency/graph.go
+++ b/internal/dependency/graph.go
@@ -198,7 +198,7 @@
 }
 
 // cancelDependents ends all that depend on a job; it tells whether there were any left.
-func (g *Graph) cancelDependents(n *node, by ids.Job, queue *propagation) (any bool) {
+func (g *Graph) cancelDependents(n *node, by ids.Job, queue *propagation) (changed bool) {
 	stack := []*node{n}
 	for len(stack) > 0 {
 		last := stack[len(stack)-1]
@@ -207,7 +207,7 @@
 			if dependent.cancelledBy != "" {
 				continue
 			}
-			any = true
+			changed = true
 			dependent.cancelledBy = by
 			delete(g.ready, dependent.id)
 			g.cancelled[dependent.id] = true
@@ -217,7 +217,7 @@
 			stack = append(stack, dependent)
 		}
 	}
-	return any
+	return changed
 }
 
 // markReady notes that a job awaits nothing any more, if that is so.
