--- a/internal/claim/inheritance_test.go
+++ b/internal/claim/inheritance_test.go
@@ -187,3 +187,28 @@
 		}
 	})
 }
+
+func TestNewsOutrunsTheRecordsOfATakeover(t *testing.T) {
+	// Guards against a job that its user cancelled while the new leader read the
+	// records: it would count as waiting, and what awaits it would not end.
+	synctest.Test(t, func(t *testing.T) {
+		now := time.Now()
+		b := testBook()
+		b.LearnWaiting("job-2", 9, nil, now)
+		b.LearnWaiting("job-4", 4, nil, now) // an earlier record of that key
+		b.LoadWaiting(map[ids.Job]*Record{
+			"job-2": waits("job-2", Low, 0, "job-1"), "job-3": waits("job-3", Low, 0, "job-2"), "job-4": waits("job-4", Low, 0, "job-1"),
+		}, map[ids.Job]ids.Stamp{"job-2": 5, "job-3": 6, "job-4": 7}, now)
+		if _, asked := b.pipes.lookUp["job-2"]; !asked || b.pipes.waits["job-2"] != nil || b.pipes.waits["job-4"] == nil {
+			t.Errorf("it is looked up: %v; those that wait: %v", asked, b.pipes.waits)
+		}
+		b.finally("job-2", Cancelled)
+		if by := b.pipes.graph.CancelledBy("job-3"); by != "job-2" {
+			t.Errorf("what awaits it is cancelled by %q", by)
+		}
+		b.LearnWaiting("job-9", 10, nil, now)
+		if len(b.pipes.left) != 0 {
+			t.Error("what came after the records is remembered")
+		}
+	})
+}
--- a/internal/claim/pipeline.go
+++ b/internal/claim/pipeline.go
@@ -20,10 +20,14 @@
 	graph  *dependency.Graph
 	waits  map[ids.Job]*waiting
 	lookUp map[ids.Job]time.Time // ended jobs of which it is not known how, and when to ask
+	// left are jobs of which news told, before the records were loaded, that they wait
+	// no more: the copy to load may be older. It is nil from then on.
+	left map[ids.Job]ids.Stamp
 }
 
 func newPipelines() pipelines {
-	return pipelines{graph: dependency.New(), waits: map[ids.Job]*waiting{}, lookUp: map[ids.Job]time.Time{}}
+	return pipelines{graph: dependency.New(), waits: map[ids.Job]*waiting{}, lookUp: map[ids.Job]time.Time{},
+		left: map[ids.Job]ids.Stamp{}}
 }
 
 // LearnWaiting takes in a job that awaits others, or that it no longer does; rec is
@@ -40,6 +44,8 @@
 			b.unwait(w)
 			b.ask(id, now)
 		}
+	case rec == nil && w == nil && b.pipes.left != nil:
+		b.pipes.left[id] = stamp
 	case rec != nil && b.newWaiting(id):
 		b.addWaiting(now, &waiting{rec, stamp})
 	}
@@ -51,10 +57,11 @@
 	defer b.mu.Unlock()
 	var added []*waiting
 	for id, r := range recs {
-		if b.newWaiting(id) {
+		if b.newWaiting(id) && b.pipes.left[id] <= stamps[id] {
 			added = append(added, &waiting{r, stamps[id]})
 		}
 	}
+	b.pipes.left = nil
 	b.addWaiting(now, added...)
 }
 
