--- a/internal/claim/oversize_test.go
+++ b/internal/claim/oversize_test.go
@@ -50,8 +50,8 @@
 	w.until(10*time.Second, "a new leader", func() bool { return w.owner() != nil })
 }
 
-// told tells whether a node answers that a job stands so, and no node answers otherwise.
-func (w *world) told(id, status string) bool {
+// toldOnly tells whether a node answers that a job stands so, and no node answers otherwise.
+func (w *world) toldOnly(id, status string) bool {
 	answers := 0
 	for _, node := range []string{"a", "b"} {
 		switch w.status(node, id) {
@@ -120,11 +120,11 @@
 					trouble.after(w)
 				}
 				w.until(10*time.Second, "it is told, with what needs it, by who can be asked", func() bool {
-					return w.told("job-1", "cancelled") && w.told("job-2", "cancelled")
+					return w.toldOnly("job-1", "cancelled") && w.toldOnly("job-2", "cancelled")
 				})
 				w.until(10*time.Second, "a job that names it ends with it", func() bool {
 					_, out := w.call("b", "POST", "/v2/runs", awaiting(spec("job-3", "array", 1), "job-1"))
-					return out["status"] == "cancelled" || w.told("job-3", "cancelled")
+					return out["status"] == "cancelled" || w.toldOnly("job-3", "cancelled")
 				})
 				w.until(40*time.Second, "nothing of it is left", func() bool { return w.store.Count("job/") == 0 })
 				w.until(30*time.Second, "every node still tells so", func() bool { return w.both("job-1", "cancelled") && w.both("job-2", "cancelled") })
--- a/internal/claim/waiting.go
+++ b/internal/claim/waiting.go
@@ -66,9 +66,13 @@
 // is. That is so by definition, whoever reads the records, from when that one is.
 func (r *Record) EndedBy(by ids.Job) {
 	r.Status = Cancelled
-	r.Trail = append(r.Trail, Event{ids.WallOf(time.Now()), doomText(by)})
+	r.Trail = append(r.Trail, Event{ids.WallOf(time.Now()), cancelledText(by)})
 }
 
 // since is from when on a job's waiting counts: its submission, or the moment when
 // the last job that it awaited was done.
 func (r *Record) since() ids.Wall { return max(r.Submitted, r.Ready) }
+
+// awaited is how long a job waited for others, which takes from the time that its
+// deadline leaves.
+func (r *Record) awaited() time.Duration { return r.since().Time().Sub(r.Submitted.Time()) }
