--- a/internal/state/budget.go
+++ b/internal/state/budget.go
@@ -50,7 +50,9 @@
 	loans    []loan
 	throttle throttle
 	// throttled tells that the rates are not back at their full size yet.
-	throttled bool
+	throttled   bool
+	others      RequestTransfer // nil: nobody to ask
+	noTransfers time.Time       // until when asking is in vain
 }
 
 // share is a part of the calls and of the changes.
@@ -153,6 +155,9 @@
 
 // take waits for the tokens of a call that makes so many changes.
 func (b *Budget) take(ctx context.Context, u Urgency, writes int) error {
+	if u == Spare && writes > 0 && b.transferIn(ctx, writes) {
+		return nil
+	}
 	r := &request{urgency: u, need: need{1, float64(writes)}, deadline: time.Now().Add(maxWait[u])}
 	for {
 		wait, inTime := b.try(r)
