--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -122,7 +122,11 @@
 		d := net.Dialer{Timeout: callTimeout}
 		return d.DialContext(ctx, "tcp", addr)
 	}
-	return &Link{set: set, pool: pool, state: st, Dial: dial, conns: map[ids.Node]*rpc.Client{}, seen: map[ids.Node]seen{}}
+	l := &Link{set: set, pool: pool, state: st, Dial: dial, conns: map[ids.Node]*rpc.Client{}, seen: map[ids.Node]seen{}}
+	if st != nil {
+		st.Budget().SetOthers(l.askForChanges)
+	}
+	return l
 }
 
 // Serve answers the others on l until it closes.
--- a/internal/state/budget.go
+++ b/internal/state/budget.go
@@ -45,6 +45,8 @@
 	pool     bucket
 	owner    bool
 	loans    []loan
+	others   AskOthers // nil: nobody to ask
+	noGifts  time.Time // until when asking is in vain
 }
 
 // share is a part of the calls and of the changes.
@@ -127,7 +129,13 @@
 	return time.Second
 }
 
+// ownerKeep is the share of the pool owner's burst that its users leave to it.
+const ownerKeep = 0.5
+
 func (b *Budget) take(ctx context.Context, u Urgency, writes int) error {
+	if u == Spare && writes > 0 && b.gift(ctx, writes) {
+		return nil
+	}
 	deadline := time.Now().Add(maxWait[u])
 	var queued *bucket // where this call stands in line
 	mine := need{1, float64(writes)}
@@ -146,8 +154,8 @@
 			if b.owner {
 				// The owner's changes must not crowd out its users, who have a part
 				// of their own and may use what the owner does not.
-				if from = &b.users; from.shortfall(keep, mine, need{}) > 0 && b.pool.shortfall(0.5, mine, need{}) <= 0 {
-					from, keep = &b.pool, 0.5
+				if from = &b.users; from.shortfall(keep, mine, need{}) > 0 && b.pool.shortfall(ownerKeep, mine, need{}) <= 0 {
+					from, keep = &b.pool, ownerKeep
 				}
 			}
 			if first {
