--- a/internal/claim/gang.go
+++ b/internal/claim/gang.go
@@ -47,7 +47,7 @@
 		}
 		return
 	}
-	ask := s.Ask()
+	ask := j.ask()
 	v := b.survey(j, &ask, ps)
 	if !v.wide {
 		v.widen()
