--- a/internal/claim/gang.go
+++ b/internal/claim/gang.go
@@ -47,7 +47,7 @@
 		}
 		return
 	}
-	ask := j.ask()
+	ask := s.Ask()
 	v := b.survey(j, &ask, ps)
 	if !v.wide {
 		v.widen()
--- a/internal/claim/pipeline.go
+++ b/internal/claim/pipeline.go
@@ -6,7 +6,6 @@
 	"time"
 
 	"github.com/pebbletrail/pebbletrail/internal/ids"
-	"github.com/pebbletrail/pebbletrail/internal/placement"
 	"github.com/pebbletrail/pebbletrail/internal/state"
 )
 
@@ -225,18 +224,6 @@
 // priority is a job's own, or that of a job that needs it.
 func (j *Job) priority() Priority { return max(j.Rec.Spec.Priority, j.urged.priority) }
 
-// steady tells whether the deadline of a pipeline hangs on a job.
-func (j *Job) steady() bool {
-	return !j.urged.by.IsZero() || len(j.Rec.Spec.Awaits) > 0 && j.Rec.Spec.Due > 0
-}
-
-// ask is what placement needs to know of one of its tasks.
-func (j *Job) ask() placement.Ask {
-	a := j.Rec.Spec.Ask()
-	a.Steady = j.steady()
-	return a
-}
-
 // moves collects what may be stored of jobs that wait: those that become claimable,
 // or, if over, those that end.
 func (c *Committer) waitingOnes(over bool, add func(pending) bool) {
--- a/internal/claim/schedule.go
+++ b/internal/claim/schedule.go
@@ -296,7 +296,7 @@
 			why += "; lesser work of its own makes way"
 		}
 	}
-	ask := j.ask()
+	ask := s.Ask()
 	v := b.survey(j, &ask, ps)
 	for i := j.Rec.Finished.NextMissing(0); i < s.Tasks && placed < may; i = j.Rec.Finished.NextMissing(i + 1) {
 		if j.places[i] != nil {
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -76,7 +76,6 @@
 	Image   string
 	ImageGB float64
 	Long    bool // stays until it is cancelled
-	Steady  bool // a deadline hangs on every one of its tasks
 }
 
 // Allows tells whether the ask may run on such a machine at all.
@@ -103,11 +102,6 @@
 	Going bool // to be returned once empty; dear ones still take work with accelerators
 }
 
-// interruption is what a spot machine costs work that must be done in time: now and then
-// a task is lost with its machine and runs again from its beginning, and a job is
-// complete with its last task only. It is less than a fetch takes as a rule.
-const interruption = 3
-
 // Score is the price of a choice in rough seconds; less is better. Fetching
 // counts as the time it takes; leftover room as fragmentation; a machine with
 // accelerators or an ordinary one is kept for those that need it.
@@ -130,10 +124,7 @@
 			s += 60 // it would keep the dear machine from being returned
 		}
 	}
-	switch {
-	case a.Steady && m.Spot:
-		s += interruption
-	case a.Spot && !a.Steady && !m.Spot:
+	if a.Spot && !m.Spot {
 		s += 2
 	}
 	if m.Avoid {
