--- a/internal/peer/give.go
+++ b/internal/peer/give.go
@@ -15,7 +15,7 @@
 type Given struct{ Changes int }
 
 // Give lets another controller make changes in this one's place, if it can spare them.
-// Controllers of version 0.1.0 do not know this call; they give nothing.
+// A controller of an earlier version does not know this call and gives nothing.
 func (s *Service) Give(w *Wanted, out *Given) error {
 	if s.link.state.Budget().Give(w.Changes) {
 		out.Changes = w.Changes
--- a/internal/state/gift.go
+++ b/internal/state/gift.go
@@ -9,7 +9,7 @@
 // need not make now, and tells whether one of them gave as many.
 type AskOthers func(ctx context.Context, changes int) bool
 
-// Loans follow the pace of minutes; a gift serves a clump of submissions at one
+// Loans follow the pace of seconds; a gift serves a clump of submissions at one
 // controller: a pipeline comes within a second, over one connection.
 const (
 	// giftWait bounds how long a user's call waits for the others' answer.
