--- a/internal/claim/pipeline_handover_test.go
+++ b/internal/claim/pipeline_handover_test.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"net/http"
 	"strings"
+	"sync/atomic"
 	"testing"
 	"time"
 
@@ -125,17 +126,17 @@
 				o := w.owner()
 				w.net.Delay = func() time.Duration { return delay }
 				gone := func() { time.AfterFunc(50*time.Millisecond, o.kill) }
-				hits := 0
+				var hits atomic.Int32
 				w.net.SetRule(func(from, _ string, r *http.Request, body []byte) fake.Fate {
 					switch end := kind(r, body) == "outcome"; {
 					case from != o.name:
 					case moves(r, body):
-						if hits++; hits == 1 {
+						if hits.Add(1) == 1 {
 							gone()
 						}
 						return fate.move
 					case end && fate.end != fake.Deliver:
-						if hits++; hits == 1 {
+						if hits.Add(1) == 1 {
 							gone()
 						}
 						return fate.end
@@ -150,8 +151,8 @@
 				w.ends("job-2")
 				w.ends("job-3")
 				w.until(30*time.Second, "all are done", func() bool { return w.told("done", 1, 3) == 3 })
-				if hits == 0 || w.store.Count("job/") != 0 || w.store.Count("end/") != 3 {
-					t.Errorf("hit %d times; %s", hits, w.store)
+				if hits.Load() == 0 || w.store.Count("job/") != 0 || w.store.Count("end/") != 3 {
+					t.Errorf("hit %d times; %s", hits.Load(), w.store)
 				}
 			})
 		}
@@ -177,19 +178,18 @@
 				w.until(5*time.Second, "the first runs", func() bool { return w.everywhere("job-1", 1) })
 				o := w.owner()
 				w.net.Delay = func() time.Duration { return delay }
-				late := 0
+				var late atomic.Int32
 				w.net.SetRule(func(from, _ string, r *http.Request, body []byte) fake.Fate {
 					switch {
 					case from != o.name || !moves(r, body):
 						return fake.Deliver
-					case late > 0:
+					case late.Add(1) > 1:
 						return fake.Refuse
 					}
-					late++
 					return fake.Late
 				})
 				w.ends("job-1")
-				w.until(15*time.Second, "a move is on its way", func() bool { return late > 0 })
+				w.until(15*time.Second, "a move is on its way", func() bool { return late.Load() > 0 })
 				trouble(w, o)
 				if how := w.insistOn("job-2"); how != "cancelled" {
 					t.Fatalf("the cancellation is answered %q", how)
