--- a/internal/claim/aside.go
+++ b/internal/claim/aside.go
@@ -13,10 +13,18 @@
 // at once. So for one that starves, machines are set aside: nothing but critical
 // work is placed there until what runs on them has ended.
 
-// starves tells whether a job has waited so long for its first start that it goes
-// ahead of all but critical work.
+// starves tells whether a job has waited so long to begin that it goes ahead of all but
+// critical work. One whose tasks were all stopped again before any completed has not
+// begun; its wait starts anew then, so that it does not come right back.
 func (j *Job) starves(now time.Time) bool {
-	return j.Rec.Attempt == 0 && now.Sub(j.Rec.since().Time()) > starving
+	if len(j.places) > 0 || j.Rec.Finished.Len() > 0 {
+		return false
+	}
+	waitsSince := j.Rec.since().Time()
+	if j.emptied.After(waitsSince) {
+		waitsSince = j.emptied
+	}
+	return now.Sub(waitsSince) > starving
 }
 
 // Machines are set aside for asideFor at most; others are looked for again after
@@ -109,6 +117,32 @@
 	return true
 }
 
+// keptFor is how long the beginning of a job that starved is not undone by stopping it
+// for others but critical work: a start counts for its user only after that long
+// (protocol, "How aims are counted").
+const keptFor = 30 * time.Second
+
+// keepForNow protects the beginning of a job that starved: of a gang all tasks, of any
+// other job one, on a machine that was set aside for it if there is one.
+func (b *Book) keepForNow(j *Job, fresh []*Place) {
+	until := time.Now().Add(keptFor)
+	if j.Rec.Spec.Shape == Gang {
+		for _, p := range fresh {
+			p.keptUntil = until
+		}
+		return
+	}
+	var kept *Place
+	for _, p := range fresh {
+		if kept == nil || b.reserved[p.Machine].job == j.Rec.Spec.ID {
+			kept = p
+		}
+	}
+	if kept != nil {
+		kept.keptUntil = until
+	}
+}
+
 // freeIn guesses when everything on a machine that ends by itself has ended.
 func (h *host) freeIn(now time.Time) time.Duration {
 	longest := time.Duration(0)
--- a/internal/claim/book.go
+++ b/internal/claim/book.go
@@ -25,9 +25,10 @@
 	Attempt ids.Attempt
 	Token   ids.Generation // generation its start goes out under
 
-	awaiting  bool   // counted among those that wait for an image
-	version   uint64 // the job's version that first holds it
-	sent      bool   // a start may have gone out
+	keptUntil time.Time // it is stopped for critical work only until then
+	awaiting  bool      // counted among those that wait for an image
+	version   uint64    // the job's version that first holds it
+	sent      bool      // a start may have gone out
 	beatOffer ids.Tick
 	offered   bool // a start went out in a beat answer
 	seen      bool // a report showed it
@@ -78,10 +79,11 @@
 		rest   int     // and all the rest of the record
 		first  int     // and the description alone
 	}
-	oversize   bool   // its record did not fit into a value when last encoded
-	unfit      uint64 // the version that did not fit
-	keptRuns   int    // runs of finished tasks that were kept to make it fit; 0: all
-	odd        bool   // a finished task may still have a place
+	oversize   bool      // its record did not fit into a value when last encoded
+	unfit      uint64    // the version that did not fit
+	keptRuns   int       // runs of finished tasks that were kept to make it fit; 0: all
+	emptied    time.Time // when its last place was dropped
+	odd        bool      // a finished task may still have a place
 	dirtySince time.Time
 	urgent     bool // what changed must be stored before anything can go on
 	guaranteed bool // lies within its team's guarantee
@@ -276,6 +278,9 @@
 // dropPlace takes a place off the books: its task is proven not to be there.
 func (b *Book) dropPlace(p *Place) {
 	delete(p.Job.places, p.Index)
+	if len(p.Job.places) == 0 {
+		p.Job.emptied = time.Now()
+	}
 	if h := b.hosts[p.Machine]; h != nil {
 		b.drop(h, p)
 		if m := b.roster.Machines[p.Machine]; m != nil && len(h.places) == 0 {
--- a/internal/claim/fairness_test.go
+++ b/internal/claim/fairness_test.go
@@ -65,6 +65,51 @@
 	})
 }
 
+func TestAJobStoppedRightAfterItsFirstStartDoesNotStarve(t *testing.T) {
+	t.Parallel()
+	// Guards against counting a start that was taken back at once as the beginning: such
+	// a job waited for ever beside a stream of smaller work.
+	synctest.Test(t, func(t *testing.T) {
+		b := fleet(t, 10)
+		tick, ended := ids.Tick(1), map[taskAttempt]bool{}
+		b.Learn("job-90001", 1, rec("job-90001", "blue", Low, 150, 4), time.Now())
+		b.Plan(time.Now())
+		large := b.jobs["job-90001"]
+		b.store()
+		tick++
+		b.serve(tick, time.Minute, ended)
+		for _, i := range sortedTasks(large.places) {
+			b.stop(large.places[i], 0, "for others")
+		}
+		tick++
+		b.serve(tick, time.Minute, ended)
+		if large.Rec.Attempt == 0 || len(large.places) > 0 {
+			t.Fatalf("attempt %d, %d places: it did not begin and end", large.Rec.Attempt, len(large.places))
+		}
+		began := time.Now()
+		for second := 0; len(large.places) == 0 && second < 400; second++ {
+			jobs := 3
+			if second == 0 {
+				jobs = 30 // the machines are full from now on
+			}
+			for i := range jobs {
+				id := ids.Job(fmt.Sprintf("job-%d", second*100+i))
+				b.Learn(id, ids.Revision(second*100+i+2), rec(id, "blue", Normal, 2, 1), time.Now())
+			}
+			b.Plan(time.Now())
+			b.store()
+			tick++
+			b.serve(tick, 10*time.Second, ended)
+			time.Sleep(time.Second)
+		}
+		if took := time.Since(began); took > 4*time.Minute {
+			t.Errorf("it ran again after %v", took)
+		} else if took < 20*time.Second {
+			t.Errorf("it ran again after %v: there was room beside the stream", took)
+		}
+	})
+}
+
 // serve lets a second pass on every machine: tasks placed run for a while, and
 // end done.
 func (b *Book) serve(tick ids.Tick, runs time.Duration, ended map[taskAttempt]bool) {
--- a/internal/claim/preempt.go
+++ b/internal/claim/preempt.go
@@ -320,9 +320,10 @@
 			continue
 		}
 		for _, p := range o.places {
-			if p.stopping {
+			switch {
+			case p.stopping:
 				over = over.Minus(o.Rec.Spec.Need)
-			} else {
+			case !p.keptFrom(j):
 				victims = append(victims, p)
 			}
 		}
@@ -353,9 +354,15 @@
 	return over.Cores <= 0 && over.Accels <= 0
 }
 
-// mayStop is the protocol's rule of preemption.
+// mayStop is the protocol's rule of preemption, but that the beginning of a job that
+// starved is kept for a moment.
 func (b *Book) mayStop(p *Place, j *Job) bool {
-	return b.mayStopJob(p.Job, j)
+	return b.mayStopJob(p.Job, j) && !p.keptFrom(j)
+}
+
+// keptFrom tells whether a place is kept for now from being stopped for a job.
+func (p *Place) keptFrom(j *Job) bool {
+	return j.priority() < Critical && time.Now().Before(p.keptUntil)
 }
 
 func (b *Book) mayStopJob(v, j *Job) bool {
--- a/internal/claim/schedule.go
+++ b/internal/claim/schedule.go
@@ -95,8 +95,8 @@
 	return 0
 }
 
-// starving is how long a job may wait for its first start before it goes ahead
-// of all but critical work: the largest too begin within four minutes.
+// starving is how long a job may wait to begin before it goes ahead of all but
+// critical work: the largest too begin within four minutes.
 const starving = 100 * time.Second
 
 // ranked lists the claimable jobs that have tasks to place: critical work
@@ -364,10 +364,6 @@
 	}
 	b.touch(j)
 	b.hurry(j)
-	if !j.aside.IsZero() {
-		b.release(j) // it has begun, perhaps elsewhere
-		j.aside = time.Time{}
-	}
 	var fresh []*Place
 	for _, p := range j.places {
 		if p.version == 0 {
@@ -375,6 +371,11 @@
 			fresh = append(fresh, p)
 		}
 	}
+	if !j.aside.IsZero() {
+		b.keepForNow(j, fresh)
+		b.release(j) // it has begun, perhaps elsewhere
+		j.aside = time.Time{}
+	}
 	b.noteMoved(j, fresh)
 }
 
