--- a/internal/claim/pipeline.go
+++ b/internal/claim/pipeline.go
@@ -243,10 +243,10 @@
 		key := JobKey(id)
 		if over {
 			key = EndKey(id)
-			rec.Status = Cancelled
-			rec.Trail = append(append([]Event(nil), rec.Trail...), Event{now, doomText(w.by)})
+			rec.EndedBy(w.by)
 		} else {
 			rec.Ready = now
+			rec.leaveRoom(limit)
 			rec.Trail = append(append([]Event(nil), rec.Trail...), Event{now, "all jobs that it awaited are done"})
 		}
 		raw, ok := rec.Encode(limit)
--- /dev/null
+++ b/internal/claim/pipeline_answers_test.go
@@ -0,0 +1,173 @@
+package claim_test
+
+import (
+	"fmt"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+)
+
+// tiny is a job whose task takes so little that hundreds run at once.
+func tiny(id string) map[string]any {
+	s := spec(id, "array", 1)
+	s["cores"], s["ramGb"] = 0.02, 0.05
+	return s
+}
+
+// fan submits many jobs, one that awaits all of them, and one that awaits that.
+func (w *world) fan(d *dice, many int) (needed []string) {
+	w.t.Helper()
+	for i := range many {
+		id := fmt.Sprintf("job-%06d", 412+37*i)
+		needed = append(needed, id)
+		if code, _ := w.insist(d, "POST", "/v2/runs", tiny(id)); code != 201 {
+			w.t.Fatalf("the submission of %s got %d", id, code)
+		}
+		time.Sleep(30 * time.Millisecond)
+	}
+	w.submit("a", awaiting(tiny("job-900000"), needed...))
+	w.submit("b", awaiting(tiny("job-900001"), "job-900000"))
+	return needed
+}
+
+func TestAJobThatAwaitsManyFitsASmallValueAllItsLife(t *testing.T) {
+	t.Parallel()
+	// Guards against refusing a job that can run because the names of what it awaits do not
+	// fit beside its description, and against one that is stored but can then neither be
+	// started nor cancelled, by its user or by one that it needs.
+	for name, play := range map[string]func(w *world, needed []string){
+		"it runs": func(w *world, needed []string) {
+			for _, id := range needed[1:] {
+				w.ends(id)
+			}
+			w.hold(8*time.Second, "it waits for the last of them", func() bool { return w.both("job-900000", "pending") })
+			w.ends(needed[0])
+			w.until(15*time.Second, "it runs", func() bool { return w.everywhere("job-900000", 1) })
+			w.ends("job-900000")
+			w.until(15*time.Second, "what follows runs", func() bool { return w.everywhere("job-900001", 1) })
+			w.ends("job-900001")
+			w.until(15*time.Second, "all are done", func() bool { return w.both("job-900000", "done") && w.both("job-900001", "done") })
+			// Their ends are looked up by a node that remembers none of them.
+			w.nodes["b"].kill()
+			w.start("b")
+			w.until(10*time.Second, "it answers", func() bool { return w.status("b", needed[0]) == "done" })
+			w.submit("b", awaiting(tiny("job-900002"), needed...))
+			w.until(15*time.Second, "it starts at once", func() bool { return w.everywhere("job-900002", 1) })
+		},
+		"its user cancels it": func(w *world, needed []string) {
+			if how := w.insistOn("job-900000"); how != "cancelled" {
+				w.t.Errorf("its cancellation is answered %q", how)
+			}
+			w.until(5*time.Second, "what follows is cancelled", func() bool { return w.both("job-900001", "cancelled") })
+			w.until(20*time.Second, "the ends are stored", func() bool { return w.store.Count("job/wait/") == 0 })
+			if !w.both(needed[0], "running") {
+				w.t.Error("what it awaited is touched")
+			}
+		},
+		"one that it needs is cancelled": func(w *world, needed []string) {
+			w.insistOn(needed[149])
+			w.until(5*time.Second, "it is cancelled, and what follows", func() bool {
+				return w.both("job-900000", "cancelled") && w.both("job-900001", "cancelled")
+			})
+			w.until(20*time.Second, "the ends are stored", func() bool { return w.store.Count("job/wait/") == 0 })
+			if _, out := w.call("b", "GET", "/v2/runs/job-900001/explain", nil); !strings.Contains(fmt.Sprint(out["now"]), "cancelled with "+needed[149]) {
+				w.t.Errorf("explained as %v", out)
+			}
+		},
+	} {
+		variant(t, name, func(t *testing.T, w *world) {
+			w.valueKB = 2
+			w.store.SetLimits(2048, 12)
+			w.start("a")
+			w.start("b")
+			w.worker("m1", "north")
+			w.worker("m2", "south")
+			time.Sleep(10 * time.Second)
+			needed := w.fan(newDice(1), 150)
+			w.until(20*time.Second, "they run", func() bool {
+				for _, id := range needed {
+					if !w.everywhere(id, 1) {
+						return false
+					}
+				}
+				return true
+			})
+			play(w, needed)
+			if w.store.TooLarge > 0 {
+				t.Errorf("%d transactions over the limits", w.store.TooLarge)
+			}
+		})
+	}
+}
+
+func TestAllNodesTellOfACancellationFromWhenItIsTold(t *testing.T) {
+	t.Parallel()
+	// Guards against a node that calls a job pending after the user was told, at another
+	// one, that what it awaits is cancelled: jobs far down, and such as are submitted at
+	// the same moment.
+	for seed := range uint64(3) {
+		variant(t, fmt.Sprint(seed), func(t *testing.T, w *world) {
+			d := newDice(seed)
+			w.start("a")
+			w.start("b")
+			w.worker("m1", "north")
+			time.Sleep(10 * time.Second)
+			w.lags(d)
+			for round := range 5 {
+				first := fmt.Sprintf("job-%d00", round+1)
+				w.insist(d, "POST", "/v2/runs", spec(first, "array", 1))
+				followers, last := []string{}, first
+				for i := range 6 {
+					id := fmt.Sprintf("job-%d%02d", round+1, i+1)
+					if code, _ := w.insist(d, "POST", "/v2/runs", awaiting(spec(id, "array", 1), last)); code != 201 {
+						t.Fatalf("a submission got %d", code)
+					}
+					followers, last = append(followers, id), id
+				}
+				time.Sleep(d.ms(0, 3000)) // it may wait, start or run
+				var wg sync.WaitGroup
+				var mu sync.Mutex
+				for i := range 10 {
+					wg.Go(func() {
+						time.Sleep(d.ms(0, 40))
+						id := fmt.Sprintf("job-%d%02d", round+1, 50+i)
+						if code, _ := w.insist(d, "POST", "/v2/runs", awaiting(spec(id, "array", 1), []string{first, last}[i%2])); code == 201 || code == 200 {
+							mu.Lock()
+							followers = append(followers, id)
+							mu.Unlock()
+						} else {
+							t.Errorf("a submission that races with the cancellation got %d", code)
+						}
+					})
+				}
+				time.Sleep(d.ms(0, 30))
+				if _, how := w.insist(d, "POST", "/v2/runs/"+first+"/cancel", nil); how != "cancelled" {
+					t.Fatalf("the cancellation is answered %q", how)
+				}
+				mu.Lock()
+				told := append([]string{}, followers...)
+				mu.Unlock()
+				w.cancelledAtAll(told)
+				wg.Wait()
+				w.cancelledAtAll(followers)
+			}
+		})
+	}
+}
+
+// cancelledAtAll asks all nodes at one moment whether these jobs are cancelled.
+func (w *world) cancelledAtAll(jobs []string) {
+	w.t.Helper()
+	var wg sync.WaitGroup
+	for _, id := range jobs {
+		for _, n := range nodes {
+			wg.Go(func() {
+				if code, out := w.call(n, "GET", "/v2/runs/"+id, nil); code == 200 && out["status"] != "cancelled" {
+					w.t.Errorf("%s calls %s %v", n, id, out["status"])
+				}
+			})
+		}
+	}
+	wg.Wait()
+}
--- a/internal/claim/record.go
+++ b/internal/claim/record.go
@@ -218,6 +218,8 @@
 	// FailedOn is on how many machines its tasks failed with none completed, so
 	// that a new owner need not find out again.
 	FailedOn int `json:"failedOn,omitempty"`
+	// CancelledBy is the job whose cancellation ended this one, which needs it.
+	CancelledBy ids.Job `json:"cancelledBy,omitempty"`
 	// Writer and Seq tell a writer that lost an answer whether what it finds
 	// is its own.
 	Writer string `json:"writer"`
@@ -236,8 +238,9 @@
 	return r, json.Unmarshal(raw, r)
 }
 
-// Encode writes a record into at most limit bytes, giving up the oldest trail
-// first; ok is false when even that does not fit.
+// Encode writes the record of a job that does not wait into at most limit bytes. What
+// it awaited no longer matters and is given up first, then the oldest trail; ok is
+// false when even that does not fit.
 func (r *Record) Encode(limit int) (raw json.RawMessage, ok bool) {
 	for {
 		raw, err := json.Marshal(r)
@@ -247,10 +250,14 @@
 		if len(raw) <= limit {
 			return raw, true
 		}
-		if len(r.Trail) == 0 {
+		switch {
+		case len(r.Spec.Awaits) > 0:
+			r.Spec.Awaits = nil
+		case len(r.Trail) > 0:
+			r.Trail = r.Trail[1:]
+		default:
 			return nil, false
 		}
-		r.Trail = r.Trail[1:]
 	}
 }
 
--- a/internal/claim/waiting.go
+++ b/internal/claim/waiting.go
@@ -29,32 +29,92 @@
 	return ids.Job(strings.TrimPrefix(key, JobPrefix)), false
 }
 
-// EncodeWaiting writes the record of a job that waits.
+// EncodeWaiting writes the record of a job that waits. It may take all of a value, since
+// nothing of the job is placed meanwhile. If the names of what it awaits do not fit
+// spelled out, they follow the record as packed names.
 func (r *Record) EncodeWaiting(limit int) (json.RawMessage, bool) {
-	raw, ok := r.Encode(limit - 2)
+	if raw, err := json.Marshal([]*Record{r}); err == nil && len(raw) <= limit {
+		return raw, true
+	}
+	names, err := json.Marshal(packNames(r.Spec.Awaits))
+	if err != nil {
+		return nil, false
+	}
+	bare := *r
+	bare.Spec.Awaits = nil
+	raw, ok := bare.Encode(limit - len(names) - len("[,]"))
 	if !ok {
 		return nil, false
 	}
-	return append(append(json.RawMessage{'['}, raw...), ']'), true
+	return fmt.Appendf(nil, "[%s,%s]", raw, names), true
 }
 
-// DecodeWaiting reads what EncodeWaiting wrote.
+// DecodeWaiting reads what EncodeWaiting wrote, in either form.
 func DecodeWaiting(raw json.RawMessage) (*Record, error) {
-	var list []*Record
-	if err := json.Unmarshal(raw, &list); err != nil {
+	var parts []json.RawMessage
+	if err := json.Unmarshal(raw, &parts); err != nil {
 		return nil, err
 	}
-	if len(list) != 1 || list[0] == nil {
+	var r *Record
+	if len(parts) == 0 || len(parts) > 2 || json.Unmarshal(parts[0], &r) != nil || r == nil {
 		return nil, fmt.Errorf("not the record of a job that waits: %.80q", raw)
 	}
-	return list[0], nil
+	if len(parts) == 2 {
+		var names string
+		if err := json.Unmarshal(parts[1], &names); err != nil {
+			return nil, err
+		}
+		r.Spec.Awaits = unpackNames(names)
+	}
+	return r, nil
+}
+
+// packNames writes job names as what all of them begin with, a colon, and the rest of
+// each.
+func packNames(names []ids.Job) string {
+	if len(names) == 0 {
+		return ":"
+	}
+	prefix := string(names[0])
+	for _, name := range names {
+		prefix = alike(prefix, string(name))
+	}
+	rests := make([]string, len(names))
+	for k, name := range names {
+		rests[k] = string(name)[len(prefix):]
+	}
+	return prefix + ":" + strings.Join(rests, " ")
+}
+
+// unpackNames reads what packNames wrote.
+func unpackNames(text string) (names []ids.Job) {
+	prefix, rests, _ := strings.Cut(text, ":")
+	if prefix == "" {
+		return nil
+	}
+	for _, rest := range strings.Split(rests, " ") {
+		names = append(names, ids.Job(prefix+rest))
+	}
+	return names
+}
+
+// DescribedShare is how much of a value the description of a claimable job may take: the
+// rest is for what becomes of it.
+const DescribedShare = 0.6
+
+// leaveRoom forgets what a job awaited, now that it awaits nothing any more, if the
+// names would leave too little of a value for its places.
+func (r *Record) leaveRoom(limit int) {
+	if raw, err := json.Marshal(&r.Spec); err != nil || len(raw) > int(float64(limit)*DescribedShare) {
+		r.Spec.Awaits = nil
+	}
 }
 
 // EndedBy words the record of a job that waits as cancelled because one that it needs
 // is. That is so by definition, whoever reads the records, from when that one is.
 func (r *Record) EndedBy(by ids.Job) {
-	r.Status = Cancelled
-	r.Trail = append(r.Trail, Event{ids.WallOf(time.Now()), doomText(by)})
+	r.Status, r.CancelledBy = Cancelled, by
+	r.Trail = append(append([]Event(nil), r.Trail...), Event{ids.WallOf(time.Now()), doomText(by)})
 }
 
 // since is from when on a job's waiting counts: its submission, or the moment when
--- /dev/null
+++ b/internal/claim/waiting_test.go
@@ -0,0 +1,104 @@
+package claim
+
+import (
+	"encoding/json"
+	"fmt"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/pebbletrail/pebbletrail/internal/ids"
+)
+
+// manyNeeds are the names of n jobs, which begin alike.
+func manyNeeds(n int) (needs []ids.Job) {
+	for i := range n {
+		needs = append(needs, ids.Job(fmt.Sprintf("job-%06d", 412+37*i)))
+	}
+	return needs
+}
+
+func TestAWaitingRecordIsReadBackInBothForms(t *testing.T) {
+	// Guards against names that are lost, cut or changed when they are packed, and against
+	// records of the first form, with all names spelled out, that are no longer read.
+	for _, needs := range [][]ids.Job{
+		{"job-1"}, {"job-1", "job-12"}, {"job-7", "job-0007", "job-70"}, {"job-3", "job-2", "job-1"}, manyNeeds(150),
+	} {
+		r := rec("job-9", "blue", Normal, 4, 1)
+		r.Spec.Awaits = needs
+		spelled, ok := r.EncodeWaiting(64 * 1024)
+		if !ok || !strings.Contains(string(spelled), `"awaits":["job-`) {
+			t.Fatalf("with room for it the record is %s", spelled)
+		}
+		var list []*Record // what the first version with pipelines reads
+		if err := json.Unmarshal(spelled, &list); err != nil || len(list) != 1 {
+			t.Errorf("another form than the first version's: %s", spelled)
+		}
+		forms := []json.RawMessage{spelled}
+		if packed, ok := r.EncodeWaiting(len(spelled) - 1); ok && len(needs) > 1 {
+			forms = append(forms, packed)
+		} else if len(needs) > 10 {
+			t.Errorf("%d names are not packed", len(needs))
+		}
+		for _, raw := range forms {
+			back, err := DecodeWaiting(raw)
+			if err != nil || !slices.Equal(back.Spec.Awaits, needs) || back.Spec.ID != "job-9" || back.Spec.Tasks != 4 {
+				t.Errorf("%s is read back as %+v, %v", raw, back, err)
+			}
+			if _, err := Decode(raw); err == nil {
+				t.Errorf("read as a claimable job's: %s", raw)
+			}
+		}
+		if !slices.Equal(r.Spec.Awaits, needs) {
+			t.Error("writing a waiting record loses what it awaits")
+		}
+	}
+	for _, bad := range []string{`[]`, `{}`, `[null]`, `[{"spec":{}},"job-:1","x"]`, `[{"spec":{}},7]`, `["job-:1"]`} {
+		if r, err := DecodeWaiting(json.RawMessage(bad)); err == nil {
+			t.Errorf("%s is read as %+v", bad, r)
+		}
+	}
+}
+
+func TestAWaitingRecordFillsAValueAndStillMovesOn(t *testing.T) {
+	// Guards against a record that can be stored while it waits, but neither as claimable
+	// nor as ended, so that the job would be stuck.
+	const limit = 2048
+	now := time.Now()
+	for _, c := range []struct {
+		needed Status
+		needs  int
+	}{{Done, 150}, {Done, 100}, {Cancelled, 150}, {Cancelled, 100}} {
+		needed := c.needed
+		b := testBook()
+		b.set.Params.State.ValueKB = limit / 1024
+		committer := NewCommitter(b, nil, "a", 1)
+		r := rec("job-9", "blue", Normal, 4, 1)
+		r.Spec.Awaits = manyNeeds(c.needs)
+		if _, ok := r.EncodeWaiting(limit); !ok {
+			t.Fatalf("%d names do not fit", c.needs)
+		}
+		b.mu.Lock()
+		b.addWaiting(r, 3, now)
+		for _, need := range r.Spec.Awaits {
+			b.finally(need, needed)
+		}
+		var moves []pending
+		committer.waitingOnes(needed != Done, func(p pending) bool { moves = append(moves, p); return true })
+		b.mu.Unlock()
+		if len(moves) != 1 {
+			t.Fatalf("%s: %d moves", needed, len(moves))
+		}
+		raw := moves[0].ops[1].Value
+		if len(raw) > limit {
+			t.Errorf("%s: %d bytes", needed, len(raw))
+		}
+		if needed == Done && float64(len(raw)) > limit*DescribedShare {
+			t.Errorf("%d bytes leave little room for places", len(raw))
+		}
+		if back, err := Decode(raw); err != nil || needed != Done && !strings.Contains(back.Trail[len(back.Trail)-1].What, "which was cancelled") {
+			t.Errorf("%s: read back as %+v, %v", needed, back, err)
+		}
+	}
+}
--- a/internal/claim/world_test.go
+++ b/internal/claim/world_test.go
@@ -78,7 +78,8 @@
 	workers []*fake.Worker
 	lives   int
 	rules   *rules
-	listed  bool // the owner is told the machines by the cloud's list
+	listed  bool    // the owner is told the machines by the cloud's list
+	valueKB float64 // the limit of values, if not that of the settings
 }
 
 type node struct {
@@ -125,6 +126,9 @@
 	if err != nil {
 		w.t.Fatal(err)
 	}
+	if w.valueKB > 0 {
+		set.Params.State.ValueKB, set.Params.State.NowKB = w.valueKB, w.valueKB
+	}
 	return set
 }
 
--- a/internal/intake/desk.go
+++ b/internal/intake/desk.go
@@ -129,10 +129,6 @@
 	return r, e, nil
 }
 
-// describedShare is how much of a value a job's description may take: the rest is for
-// what becomes of it.
-const describedShare = 0.6
-
 // keepAnswers is how many final answers a node remembers: users ask on for a
 // while after a job's end.
 const keepAnswers = 20000
@@ -144,10 +140,9 @@
 	}
 	why := d.never(&spec)
 	rec := claim.NewRecord(spec, ids.WallOf(time.Now()), d.Writer)
-	limit := int(d.Set.Params.State.ValueKB * 1024 * describedShare)
-	raw, ok := rec.Encode(limit)
+	raw, ok := d.describe(*rec)
 	if why == nil && !ok {
-		why = errNever{"its description is too large to store"}
+		why = errTooLarge
 	}
 	if why != nil || len(spec.Awaits) > 0 {
 		// What was once accepted is never refused, so look first.
@@ -164,7 +159,7 @@
 	key := claim.JobKey(spec.ID)
 	if len(spec.Awaits) > 0 {
 		var err error
-		if key, raw, err = d.await(ctx, rec, limit); err != nil {
+		if key, raw, err = d.await(ctx, rec); err != nil {
 			return a, false, err
 		}
 	}
@@ -201,6 +196,13 @@
 	return tell(r), true, nil
 }
 
+// describe writes the record of a job that awaits nothing, or nothing any more. The
+// description must leave room for what becomes of the job.
+func (d *Desk) describe(rec claim.Record) (json.RawMessage, bool) {
+	rec.Spec.Awaits = nil
+	return rec.Encode(int(d.Set.Params.State.ValueKB * 1024 * claim.DescribedShare))
+}
+
 // never decides whether a job can never run; an error other than errNever
 // means that this can't be told yet.
 func (d *Desk) never(s *claim.Spec) error {
--- a/internal/intake/http.go
+++ b/internal/intake/http.go
@@ -173,22 +173,27 @@
 		if r == nil {
 			return nil, false, nil
 		}
-		x := Explanation{UID: id, Status: tell(r).Status, Trail: r.Trail}
-		if !r.Status.Over() {
-			lines, err := s.Desk.chain(ctx, r)
-			if err != nil {
-				x.Note = err.Error()
-			}
-			if s.Desk.waits(id) {
-				x.Now = lines
-				return x, true, nil
-			}
-			x.Now, x.Owner, err = s.Live(ctx, id)
-			if err != nil {
-				x.Note = err.Error()
-			}
-			x.Now = append(x.Now, lines...)
-		}
-		return x, true, nil
+		return s.explanation(ctx, r), true, nil
 	})
 }
+
+// explanation words what is known of a job: its trail, its pipeline, and, unless it is
+// over or waits for others, what the pool's owner says of its tasks.
+func (s *Site) explanation(ctx context.Context, r *claim.Record) Explanation {
+	id := r.Spec.ID
+	x := Explanation{UID: id, Status: tell(r).Status, Trail: r.Trail}
+	lines, err := s.Desk.explainPipeline(ctx, r)
+	if err != nil {
+		x.Note = err.Error()
+	}
+	if r.Status.Over() || s.Desk.waits(id) {
+		x.Now = lines
+		return x
+	}
+	x.Now, x.Owner, err = s.Live(ctx, id)
+	if err != nil {
+		x.Note = err.Error()
+	}
+	x.Now = append(x.Now, lines...)
+	return x
+}
--- a/internal/intake/messages.go
+++ b/internal/intake/messages.go
@@ -3,19 +3,10 @@
 package intake
 
 import (
-	"bytes"
-	"encoding/json"
-	"fmt"
-	"io"
-	"math"
-
 	"github.com/pebbletrail/pebbletrail/internal/claim"
 	"github.com/pebbletrail/pebbletrail/internal/ids"
-	"github.com/pebbletrail/pebbletrail/internal/placement"
 )
 
-const bodyLimit = 64 * 1024
-
 // submission is the body of POST /v2/runs. Pointers tell a missing field from
 // a zero.
 type submission struct {
@@ -48,118 +39,15 @@
 	Status  string  `json:"status"`
 	Done    int     `json:"done"`
 	Running int     `json:"running"`
-}
 
-const maxTasks = 100000
-
-var shapes = map[string]claim.Shape{"array": claim.Array, "gang": claim.Gang, "standing": claim.Service}
-var urgencies = map[string]claim.Priority{"critical": claim.Critical, "high": claim.High, "normal": claim.Normal, "low": claim.Low}
-
-// parse reads and checks a submission; an error means 400.
-func parse(r io.Reader) (claim.Spec, error) {
-	var none claim.Spec
-	raw, err := io.ReadAll(io.LimitReader(r, bodyLimit+1))
-	if err != nil {
-		return none, err
-	}
-	if len(raw) > bodyLimit {
-		return none, fmt.Errorf("body over %d bytes", bodyLimit)
-	}
-	if t := bytes.TrimLeft(raw, " \t\r\n"); len(t) == 0 || t[0] != '{' {
-		return none, fmt.Errorf("not a JSON object")
-	}
-	var s submission
-	if err := json.Unmarshal(raw, &s); err != nil {
-		return none, fmt.Errorf("not readable: %w", err)
-	}
-	for _, f := range []struct {
-		name string
-		v    *string
-	}{{"uid", s.UID}, {"jobkind", s.JobKind}, {"owner", s.Owner}, {"shape", s.Shape}, {"urgency", s.Urgency}, {"bundle", s.Bundle}} {
-		if f.v == nil || *f.v == "" || len(*f.v) > 256 {
-			return none, fmt.Errorf("%s: missing, empty or too long", f.name)
-		}
-	}
-	for _, f := range []struct {
-		name string
-		v    *float64
-	}{{"pieces", s.Pieces}, {"cores", s.Cores}, {"accelerators", s.Accelerators}, {"ramGb", s.RAMGb},
-		{"pullGb", s.PullGb}, {"guessS", s.GuessS}, {"bookmarkS", s.BookmarkS}, {"stashS", s.StashS}} {
-		if f.v == nil || !(*f.v >= 0) || math.IsInf(*f.v, 0) {
-			return none, fmt.Errorf("%s: missing or below zero", f.name)
-		}
-	}
-	for _, f := range []struct {
-		name string
-		v    *bool
-	}{{"together", s.Together}, {"spread", s.Spread}, {"loaners", s.Loaners}} {
-		if f.v == nil {
-			return none, fmt.Errorf("%s: missing", f.name)
-		}
-	}
-	id, err := ids.ParseJob(*s.UID)
-	if err != nil {
-		return none, fmt.Errorf("uid: %w", err)
-	}
-	shape, ok := shapes[*s.Shape]
-	if !ok {
-		return none, fmt.Errorf("shape: unknown: %q", *s.Shape)
-	}
-	urgency, ok := urgencies[*s.Urgency]
-	if !ok {
-		return none, fmt.Errorf("urgency: unknown: %q", *s.Urgency)
-	}
-	if *s.Pieces < 1 || *s.Pieces > maxTasks || *s.Pieces != math.Trunc(*s.Pieces) {
-		return none, fmt.Errorf("pieces: must be a whole number from 1 to %d", maxTasks)
-	}
-	if s.DueS != nil && !(*s.DueS >= 0) {
-		return none, fmt.Errorf("dueS: below zero")
-	}
-	spec := claim.Spec{
-		ID: id, Class: *s.JobKind, Team: *s.Owner, Shape: shape, Priority: urgency, Tasks: int(*s.Pieces),
-		Need:  placement.Room{Cores: *s.Cores, Accels: *s.Accelerators, RAM: *s.RAMGb},
-		Image: *s.Bundle, ImageGB: *s.PullGb, OneZone: *s.Together, Spread: *s.Spread, Spot: *s.Loaners,
-		Estimate: ids.Seconds(*s.GuessS), Checkpoint: ids.Seconds(*s.BookmarkS), Save: ids.Seconds(*s.StashS),
-	}
-	if s.Builds != nil {
-		spec.Types = *s.Builds
-		if spec.Types == nil {
-			spec.Types = []string{}
-		}
-		for _, t := range spec.Types {
-			if t == "" || len(t) > 256 {
-				return none, fmt.Errorf("builds: empty or too long name")
-			}
-		}
-	}
-	if s.Yard != nil {
-		if *s.Yard == "" || len(*s.Yard) > 256 {
-			return none, fmt.Errorf("yard: empty or too long")
-		}
-		spec.Zone = *s.Yard
-	}
-	if s.DueS != nil {
-		spec.Due = ids.Seconds(*s.DueS)
-	}
-	if s.Awaits != nil {
-		seen := map[ids.Job]bool{} // to name one twice asks for nothing more
-		for _, name := range *s.Awaits {
-			need, err := ids.ParseJob(name)
-			if err != nil {
-				return none, fmt.Errorf("awaits: %w", err)
-			}
-			if !seen[need] {
-				seen[need] = true
-				spec.Awaits = append(spec.Awaits, need)
-			}
-		}
-	}
-	return spec, nil
+	tasks   int     // of the whole job
+	service bool    // it is never done
+	cause   ids.Job // the cancelled job that ended it; none if its user did
 }
 
 // tell words a record for its user.
 func tell(r *claim.Record) answer {
-	a := answer{UID: r.Spec.ID, Done: r.Finished.Len(), Running: r.Open()}
+	a := answer{UID: r.Spec.ID, Done: r.Finished.Len(), Running: r.Open(), tasks: r.Spec.Tasks, service: r.Spec.Shape == claim.Service, cause: r.CancelledBy}
 	switch r.Status {
 	case claim.Done:
 		a.Status, a.Running = "done", 0
--- a/internal/intake/pipeline.go
+++ b/internal/intake/pipeline.go
@@ -3,8 +3,6 @@
 import (
 	"context"
 	"encoding/json"
-	"errors"
-	"fmt"
 	"time"
 
 	"github.com/pebbletrail/pebbletrail/internal/claim"
@@ -12,100 +10,82 @@
 	"github.com/pebbletrail/pebbletrail/internal/state"
 )
 
+var (
+	errTooLarge   = errNever{"its description is too large to store"}
+	errManyAwaits = errNever{"it awaits more jobs than can be stored with its description"}
+)
+
 // await decides where the record of a job that awaits others goes. What it awaits
 // was read after the request began. It may be cancelled from the start; and if all it
 // awaits is done, it awaits nothing any more, since that never changes.
-func (d *Desk) await(ctx context.Context, rec *claim.Record, limit int) (key string, raw json.RawMessage, err error) {
-	id, open := rec.Spec.ID, false
-	var by ids.Job
-	for _, need := range rec.Spec.Awaits {
-		r, cause, err := d.stands(ctx, need, state.Spare, map[ids.Job]ids.Job{})
-		switch {
-		case err != nil:
-			return "", nil, err
-		case r == nil:
-			return "", nil, errNever{"awaits " + string(need) + ", which was never accepted"}
-		case r.Spec.Shape == claim.Service:
-			return "", nil, errNever{"awaits " + string(need) + ", a service: it is never done"}
-		case cause != "" && by == "":
-			by = cause
-		case r.Status != claim.Done:
-			open = true
-		}
+func (d *Desk) await(ctx context.Context, rec *claim.Record) (key string, raw json.RawMessage, err error) {
+	open, by, err := d.unfinished(ctx, rec.Spec.Awaits)
+	if err != nil {
+		return "", nil, err
 	}
-	key = claim.JobKey(id)
+	id, limit := rec.Spec.ID, int(d.Set.Params.State.ValueKB*1024)
+	ok := false
 	switch {
 	case by != "":
 		rec.EndedBy(by)
 		key = claim.EndKey(id)
-	case open:
+		raw, ok = rec.Encode(limit)
+	case len(open) > 0:
 		key = claim.WaitKey(id)
-		if raw, ok := rec.EncodeWaiting(limit); ok {
-			return key, raw, nil
+		raw, ok = encodeWaiting(rec, open, limit)
+		if !ok {
+			return "", nil, errManyAwaits
 		}
-		return "", nil, errNever{"its description is too large to store"}
 	default:
 		rec.Ready = ids.WallOf(time.Now())
+		key = claim.JobKey(id)
+		raw, ok = rec.Encode(int(float64(limit) * claim.DescribedShare))
 	}
-	raw, ok := rec.Encode(limit)
 	if !ok {
-		return "", nil, errNever{"its description is too large to store"}
+		return "", nil, errTooLarge
 	}
 	return key, raw, nil
 }
 
-// stands reads how a job stands, and the cancelled job that ends it, which may be
-// itself. The copy of the records is as new as the caller needs it.
-func (d *Desk) stands(ctx context.Context, id ids.Job, u state.Urgency, seen map[ids.Job]ids.Job) (*claim.Record, ids.Job, error) {
-	r, e, err := d.lookIn(ctx, id, u)
-	if err != nil || r == nil {
+// encodeWaiting writes the record of a job that waits. Of what it awaits, the jobs that
+// are done already may be left out if the record does not fit with them.
+func encodeWaiting(rec *claim.Record, open []ids.Job, limit int) (json.RawMessage, bool) {
+	if raw, ok := rec.EncodeWaiting(limit); ok {
+		return raw, true
+	}
+	rec.Spec.Awaits = open
+	return rec.EncodeWaiting(limit)
+}
+
+// unfinished finds, among the jobs that a submission names, those that are not done, and
+// a cancelled one that ends the new job from the start, if there is any. All of them
+// must have been accepted, and none be a service.
+func (d *Desk) unfinished(ctx context.Context, needs []ids.Job) (open []ids.Job, by ids.Job, err error) {
+	s := d.newSurvey(state.Spare)
+	if err := s.prefetch(ctx, needs); err != nil {
 		return nil, "", err
 	}
-	switch {
-	case r.Status == claim.Cancelled || r.Status == claim.Cancelling:
-		return r, id, nil
-	case e.Key != claim.WaitKey(id):
-		return r, "", nil
+	for _, need := range needs {
+		at, err := s.look(ctx, need)
+		switch {
+		case err != nil:
+			return nil, "", err
+		case !at.accepted:
+			return nil, "", errNever{"awaits " + string(need) + ", which was never accepted"}
+		case at.told.service:
+			return nil, "", errNever{"awaits " + string(need) + ", a service: it is never done"}
+		case at.cause != "" && by == "":
+			by = at.cause
+		case at.told.Status != "done":
+			open = append(open, need)
+		}
 	}
-	by, err := d.among(ctx, r, u, seen)
-	return r, by, err
+	return open, by, nil
 }
 
 // cancelledBy is the cancelled job that ends one that waits; none if it still waits.
 func (d *Desk) cancelledBy(ctx context.Context, r *claim.Record, u state.Urgency) (ids.Job, error) {
-	return d.among(ctx, r, u, map[ids.Job]ids.Job{})
-}
-
-// among looks for a cancelled job among those that one awaits, directly or not. What
-// is final is remembered, so that it is read once.
-func (d *Desk) among(ctx context.Context, r *claim.Record, u state.Urgency, seen map[ids.Job]ids.Job) (ids.Job, error) {
-	for _, need := range r.Spec.Awaits {
-		by, known := seen[need]
-		if a, ok := d.remembered(need); !known && ok {
-			if by = ""; a.Status == "cancelled" {
-				by = need
-			}
-			known = true
-		}
-		if !known {
-			var n *claim.Record
-			var err error
-			n, by, err = d.stands(ctx, need, u, seen)
-			switch {
-			case err != nil:
-				return "", err
-			case n == nil:
-				return "", fmt.Errorf("%w: %s awaits %s, of which there is no record", errNotNow, r.Spec.ID, need)
-			case n.Status.Over():
-				d.remember(n)
-			}
-		}
-		seen[need] = by
-		if by != "" {
-			return by, nil
-		}
-	}
-	return "", nil
+	return d.newSurvey(u).causeOf(ctx, r)
 }
 
 // waits tells whether a job still waits for others, as this node knows.
@@ -113,75 +93,3 @@
 	e, found, _ := d.Jobs.First(claim.JobKey(id), claim.WaitKey(id))
 	return found && e.Key == claim.WaitKey(id)
 }
-
-// steps is how far the records of a pipeline are followed for an explanation.
-const steps = 200
-
-// chain tells what a job that waits waits for, and whether the deadline of the whole
-// is at risk, and by which job.
-func (d *Desk) chain(ctx context.Context, r *claim.Record) ([]string, error) {
-	if r.Status.Over() {
-		return nil, nil
-	}
-	var lines []string
-	type part struct {
-		left time.Duration // until it is done, if all goes by the estimates
-		slow ids.Job       // the unfinished job on whose end that hangs first
-	}
-	parts := map[ids.Job]part{}
-	var follow func(r *claim.Record, top bool) (part, error)
-	follow = func(r *claim.Record, top bool) (part, error) {
-		id := r.Spec.ID
-		if p, ok := parts[id]; ok || len(parts) > steps {
-			return p, nil
-		}
-		parts[id] = part{}
-		var longest part
-		for _, need := range r.Spec.Awaits {
-			n, by, err := d.stands(ctx, need, state.Spare, map[ids.Job]ids.Job{})
-			if err != nil {
-				return part{}, err
-			}
-			if n == nil {
-				return part{}, errors.New("no record of " + string(need))
-			}
-			a := tell(n)
-			if by != "" {
-				a.Status = "cancelled"
-			}
-			if top {
-				lines = append(lines, fmt.Sprintf("awaits %s: %s, %d of %d tasks done", need, a.Status, a.Done, n.Spec.Tasks))
-			}
-			if n.Status.Over() {
-				continue
-			}
-			p, err := follow(n, false)
-			if err != nil {
-				return part{}, err
-			}
-			if p.left > longest.left || longest.slow == "" {
-				longest = p
-			}
-		}
-		if longest.slow == "" {
-			longest.slow = id
-		}
-		longest.left += r.Spec.Estimate.Duration()
-		parts[id] = longest
-		return longest, nil
-	}
-	p, err := follow(r, true)
-	if err != nil {
-		return lines, err
-	}
-	if r.Spec.Due > 0 {
-		slack := r.Submitted.Time().Add(r.Spec.Due.Duration()).Sub(time.Now()) - p.left
-		switch {
-		case slack < 0:
-			lines = append(lines, fmt.Sprintf("the pipeline is at risk: by the estimates it ends %.0fs after its deadline; it hangs on %s first", -slack.Seconds(), p.slow))
-		default:
-			lines = append(lines, fmt.Sprintf("the pipeline is in time: by the estimates it ends %.0fs before its deadline; it hangs on %s first", slack.Seconds(), p.slow))
-		}
-	}
-	return lines, nil
-}
