--- a/internal/intake/forecast_test.go
+++ b/internal/intake/forecast_test.go
@@ -161,3 +161,19 @@
 		}
 	})
 }
+
+func TestADeadlineCountsFromTheSubmission(t *testing.T) {
+	// Guards against a deadline that moves with the end of what a job awaited.
+	synctest.Test(t, func(t *testing.T) {
+		r := newRegion(t)
+		spec, err := parse(strings.NewReader(string(jsonOf(timed("job-1", 30, 100.4)))))
+		if err != nil {
+			t.Fatal(err)
+		}
+		rec := recordOf(spec, claim.Queued)
+		rec.Ready = rec.Submitted + 60000
+		r.keep(rec, false)
+		time.Sleep(60 * time.Second)
+		r.explainedAs("job-1", "the pipeline is in time: by the estimates it ends 10s before its deadline; it hangs on job-1 first")
+	})
+}
