--- a/internal/intake/awaits_test.go
+++ b/internal/intake/awaits_test.go
@@ -1,152 +1,18 @@
 package intake
 
 import (
-	"context"
-	"encoding/json"
 	"fmt"
 	"net/http"
 	"slices"
-	"strconv"
-	"strings"
 	"testing"
 	"testing/synctest"
-	"time"
 
 	"github.com/pebbletrail/pebbletrail/internal/claim"
-	"github.com/pebbletrail/pebbletrail/internal/config"
 	"github.com/pebbletrail/pebbletrail/internal/fake"
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 	"github.com/pebbletrail/pebbletrail/internal/state"
 )
 
-// region is two nodes, a and b, on one store, without a leader: what becomes of the
-// records is up to the test.
-type region struct {
-	t     *testing.T
-	net   *fake.Net
-	store *fake.Store
-	desks map[string]*Desk
-	nodes map[string]http.Handler
-	op    *state.Client // writes as the leader does
-}
-
-func newRegion(t *testing.T) *region {
-	n, s, _ := desk()
-	r := &region{t: t, net: n, store: s, desks: map[string]*Desk{}, nodes: map[string]http.Handler{},
-		op: state.NewClient("state:1", n.Client("leader"), state.NewBudget(1e6, 1e6, 1, 0.6))}
-	for _, name := range []string{"a", "b"} {
-		r.start(name)
-	}
-	return r
-}
-
-// start starts a node, or starts it again, which then remembers nothing.
-func (r *region) start(name string) {
-	_, _, d := desk()
-	d.State = state.NewClient("state:1", r.net.Client(name), state.NewBudget(1000, 1000, 1, 0.6))
-	d.Jobs = state.NewMirror(d.State, claim.JobPrefix, time.Second)
-	d.Writer = name
-	d.Set.Params.Teams = append(d.Set.Params.Teams, config.Team{Name: "blue", CPUsMax: 8})
-	r.desks[name] = d
-	r.nodes[name] = (&Site{Desk: d, Ready: func() bool { return true }, Live: nobodyLeads}).Handler()
-}
-
-func nobodyLeads(context.Context, ids.Job) ([]string, ids.Node, error) { return nil, "", nil }
-
-// awaits is a submission that awaits others.
-func awaits(id string, names any) map[string]any {
-	s := good()
-	s["uid"], s["awaits"] = id, names
-	return s
-}
-
-// submit submits at a node and returns code and status.
-func (r *region) submit(node string, body any) (int, string) {
-	return r.ask(node, "POST", "/v2/runs", body)
-}
-
-func (r *region) ask(node, method, path string, body any) (int, string) {
-	out := call(r.nodes[node], method, path, body)
-	var told struct{ Status string }
-	json.Unmarshal(out.Body.Bytes(), &told)
-	return out.Code, told.Status
-}
-
-// status is what a node calls a job.
-func (r *region) status(node, id string) string {
-	code, status := r.ask(node, "GET", "/v2/runs/"+id, nil)
-	if code != 200 {
-		return strconv.Itoa(code)
-	}
-	return status
-}
-
-// told checks what both nodes call a job.
-func (r *region) told(id, want string) {
-	r.t.Helper()
-	for _, node := range []string{"a", "b"} {
-		if got := r.status(node, id); got != want {
-			r.t.Errorf("%s calls %s %q, not %q", node, id, got, want)
-		}
-	}
-}
-
-// put stores a job in any state, at the key that fits.
-func (r *region) put(id ids.Job, how claim.Status, needs ...ids.Job) {
-	r.t.Helper()
-	spec, err := parse(strings.NewReader(string(jsonOf(awaits(string(id), needs)))))
-	if err != nil {
-		r.t.Fatal(err)
-	}
-	r.keep(recordOf(spec, how), len(needs) > 0)
-}
-
-func recordOf(spec claim.Spec, how claim.Status) *claim.Record {
-	rec := claim.NewRecord(spec, ids.WallOf(time.Now()), "leader")
-	rec.Status = how
-	return rec
-}
-
-// keep stores a record.
-func (r *region) keep(rec *claim.Record, waits bool) {
-	r.t.Helper()
-	id := rec.Spec.ID
-	key, encode := claim.JobKey(id), rec.Encode
-	switch {
-	case rec.Status.Over():
-		key = claim.EndKey(id)
-	case waits:
-		key, encode = claim.WaitKey(id), rec.EncodeWaiting
-	}
-	raw, ok := encode(64 * 1024)
-	if !ok {
-		r.t.Fatal("does not fit")
-	}
-	r.commit(state.Op{Put: key, Value: raw})
-}
-
-func (r *region) commit(ops ...state.Op) {
-	r.t.Helper()
-	if _, err := r.op.Commit(r.t.Context(), state.Txn{Then: ops}, state.Urgent); err != nil {
-		r.t.Fatal(err)
-	}
-}
-
-func jsonOf(v any) []byte {
-	raw, _ := json.Marshal(v)
-	return raw
-}
-
-// keyOf is the one key at which a job's record is.
-func (r *region) keyOf(id ids.Job) (at string) {
-	for _, key := range []string{claim.JobKey(id), claim.WaitKey(id), claim.EndKey(id)} {
-		if r.store.Value(key) != nil {
-			at += key
-		}
-	}
-	return at
-}
-
 func TestAwaitsIsAListOfJobIds(t *testing.T) {
 	// Guards against names that are taken for others or passed over, so that a job starts
 	// too early, and against refusing what the protocol allows.
@@ -187,42 +53,46 @@
 	})
 }
 
+// namedJob is a job that was accepted before, in some state.
+type namedJob struct {
+	id    ids.Job
+	how   claim.Status
+	needs []ids.Job
+}
+
+// named are cases of what a submission names, and its answer and where its record goes.
+var named = map[string]struct {
+	jobs   []namedJob
+	names  []string
+	code   int
+	status string
+	at     string
+}{
+	"queued":                    {[]namedJob{{"job-1", claim.Queued, nil}}, []string{"job-1"}, 201, "pending", claim.WaitPrefix},
+	"claimed":                   {[]namedJob{{"job-1", claim.Claimed, nil}}, []string{"job-1"}, 201, "pending", claim.WaitPrefix},
+	"done":                      {[]namedJob{{"job-1", claim.Done, nil}}, []string{"job-1"}, 201, "pending", claim.JobPrefix},
+	"cancelled":                 {[]namedJob{{"job-1", claim.Cancelled, nil}}, []string{"job-1"}, 201, "cancelled", claim.EndPrefix},
+	"cancelling":                {[]namedJob{{"job-1", claim.Cancelling, nil}}, []string{"job-1"}, 201, "cancelled", claim.EndPrefix},
+	"waiting":                   {[]namedJob{{"job-1", claim.Queued, nil}, {"job-2", claim.Queued, []ids.Job{"job-1"}}}, []string{"job-2"}, 201, "pending", claim.WaitPrefix},
+	"waits for a cancelled one": {[]namedJob{{"job-1", claim.Cancelled, nil}, {"job-2", claim.Queued, []ids.Job{"job-1"}}}, []string{"job-2"}, 201, "cancelled", claim.EndPrefix},
+	"waits for a cancelling one, two steps on": {[]namedJob{{"job-1", claim.Cancelling, nil}, {"job-2", claim.Queued, []ids.Job{"job-1"}},
+		{"job-3", claim.Queued, []ids.Job{"job-2"}}}, []string{"job-3"}, 201, "cancelled", claim.EndPrefix},
+	"waits for a done one":  {[]namedJob{{"job-1", claim.Done, nil}, {"job-2", claim.Queued, []ids.Job{"job-1"}}}, []string{"job-2"}, 201, "pending", claim.WaitPrefix},
+	"one done, one queued":  {[]namedJob{{"job-1", claim.Done, nil}, {"job-2", claim.Queued, nil}}, []string{"job-1", "job-2"}, 201, "pending", claim.WaitPrefix},
+	"one queued, one ended": {[]namedJob{{"job-1", claim.Queued, nil}, {"job-2", claim.Cancelled, nil}}, []string{"job-1", "job-2"}, 201, "cancelled", claim.EndPrefix},
+	"all done":              {[]namedJob{{"job-1", claim.Done, nil}, {"job-2", claim.Done, nil}}, []string{"job-1", "job-2"}, 201, "pending", claim.JobPrefix},
+	"never accepted":        {nil, []string{"job-1"}, 422, "", ""},
+	"one never accepted":    {[]namedJob{{"job-1", claim.Queued, nil}}, []string{"job-1", "job-2"}, 422, "", ""},
+	"cancelled and never":   {[]namedJob{{"job-1", claim.Cancelled, nil}}, []string{"job-1", "job-2"}, 422, "", ""},
+	"five ended, one of never": {[]namedJob{{"job-1", claim.Done, nil}, {"job-2", claim.Done, nil}, {"job-3", claim.Done, nil}, {"job-4", claim.Done, nil}},
+		[]string{"job-1", "job-2", "job-3", "job-4", "job-5"}, 422, "", ""},
+	"itself": {nil, []string{"job-90"}, 422, "", ""},
+}
+
 func TestWhatASubmissionMayName(t *testing.T) {
 	// Guards against refusing an accepted job, in whatever state, and against accepting
 	// what can never start; and against a job that waits though all it needs is decided.
-	type job struct {
-		id    ids.Job
-		how   claim.Status
-		needs []ids.Job
-	}
-	const wait, claimable, over = claim.WaitPrefix, claim.JobPrefix, claim.EndPrefix
-	for name, c := range map[string]struct {
-		jobs   []job
-		names  []string
-		code   int
-		status string
-		at     string
-	}{
-		"queued":                    {[]job{{"job-1", claim.Queued, nil}}, []string{"job-1"}, 201, "pending", wait},
-		"claimed":                   {[]job{{"job-1", claim.Claimed, nil}}, []string{"job-1"}, 201, "pending", wait},
-		"done":                      {[]job{{"job-1", claim.Done, nil}}, []string{"job-1"}, 201, "pending", claimable},
-		"cancelled":                 {[]job{{"job-1", claim.Cancelled, nil}}, []string{"job-1"}, 201, "cancelled", over},
-		"cancelling":                {[]job{{"job-1", claim.Cancelling, nil}}, []string{"job-1"}, 201, "cancelled", over},
-		"waiting":                   {[]job{{"job-1", claim.Queued, nil}, {"job-2", claim.Queued, []ids.Job{"job-1"}}}, []string{"job-2"}, 201, "pending", wait},
-		"waits for a cancelled one": {[]job{{"job-1", claim.Cancelled, nil}, {"job-2", claim.Queued, []ids.Job{"job-1"}}}, []string{"job-2"}, 201, "cancelled", over},
-		"waits for a cancelling one, two steps on": {[]job{{"job-1", claim.Cancelling, nil}, {"job-2", claim.Queued, []ids.Job{"job-1"}},
-			{"job-3", claim.Queued, []ids.Job{"job-2"}}}, []string{"job-3"}, 201, "cancelled", over},
-		"waits for a done one":  {[]job{{"job-1", claim.Done, nil}, {"job-2", claim.Queued, []ids.Job{"job-1"}}}, []string{"job-2"}, 201, "pending", wait},
-		"one done, one queued":  {[]job{{"job-1", claim.Done, nil}, {"job-2", claim.Queued, nil}}, []string{"job-1", "job-2"}, 201, "pending", wait},
-		"one queued, one ended": {[]job{{"job-1", claim.Queued, nil}, {"job-2", claim.Cancelled, nil}}, []string{"job-1", "job-2"}, 201, "cancelled", over},
-		"all done":              {[]job{{"job-1", claim.Done, nil}, {"job-2", claim.Done, nil}}, []string{"job-1", "job-2"}, 201, "pending", claimable},
-		"never accepted":        {nil, []string{"job-1"}, 422, "", ""},
-		"one never accepted":    {[]job{{"job-1", claim.Queued, nil}}, []string{"job-1", "job-2"}, 422, "", ""},
-		"cancelled and never":   {[]job{{"job-1", claim.Cancelled, nil}}, []string{"job-1", "job-2"}, 422, "", ""},
-		"five ended, one of never": {[]job{{"job-1", claim.Done, nil}, {"job-2", claim.Done, nil}, {"job-3", claim.Done, nil}, {"job-4", claim.Done, nil}},
-			[]string{"job-1", "job-2", "job-3", "job-4", "job-5"}, 422, "", ""},
-		"itself": {nil, []string{"job-90"}, 422, "", ""},
-	} {
+	for name, c := range named {
 		for _, node := range []string{"a", "b"} {
 			t.Run(name+" at "+node, func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
@@ -356,189 +226,3 @@
 		}
 	})
 }
-
-func TestNothingIsRefusedForGoodWithoutAReadOfTheRecords(t *testing.T) {
-	// Guards against 422 from a copy that is old or empty, and against a Retry-After that
-	// sends users away for longer than the trouble, or not at all.
-	later := func(t *testing.T, h http.Handler, body any) {
-		t.Helper()
-		began := time.Now()
-		out := call(h, "POST", "/v2/runs", body)
-		after, err := strconv.Atoi(out.Header().Get("Retry-After"))
-		if out.Code != 503 || err != nil || after < 1 || after > 3 || time.Since(began) > 4500*time.Millisecond {
-			t.Errorf("%d, Retry-After %q, after %v", out.Code, out.Header().Get("Retry-After"), time.Since(began))
-		}
-	}
-	for name, trouble := range map[string]func(r *region) (end func()){
-		"an outage":       func(r *region) func() { r.store.SetDown(true); return func() { r.store.SetDown(false) } },
-		"refused alone":   func(r *region) func() { r.store.Refuse("b", true); return func() { r.store.Refuse("b", false) } },
-		"cut off":         func(r *region) func() { return r.rule(fake.Swallow, "/") },
-		"no list":         func(r *region) func() { r.start("b"); return r.rule(fake.Refuse, "/kv") },
-		"no final record": func(r *region) func() { return r.rule(fake.Refuse, "/kv/end") },
-	} {
-		t.Run(name, func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) {
-				r := newRegion(t)
-				r.told("job-77", "404")
-				r.put("job-1", claim.Done)
-				r.put("job-2", claim.Queued)
-				end := trouble(r)
-				for _, d := range r.desks {
-					go d.State.Watch(t.Context(), claim.GenerationKey)
-				}
-				later(t, r.nodes["b"], awaits("job-10", []string{"job-404"}))
-				later(t, r.nodes["b"], awaits("job-11", []string{"job-1", "job-2"}))
-				time.Sleep(5 * time.Second) // it knows by now that it is not served
-				later(t, r.nodes["b"], awaits("job-10", []string{"job-404"}))
-				if name != "an outage" {
-					if code, _ := r.submit("a", awaits("job-12", []string{"job-404"})); code != 422 {
-						t.Errorf("the other node answers %d", code)
-					}
-				}
-				end()
-				time.Sleep(3 * time.Second) // the longest Retry-After
-				if code, _ := r.submit("b", awaits("job-10", []string{"job-404"})); code != 422 {
-					t.Errorf("once it is served: %d", code)
-				}
-				if code, status := r.submit("b", awaits("job-11", []string{"job-1", "job-2"})); code != 201 || status != "pending" {
-					t.Errorf("once it is served: %d %s", code, status)
-				}
-			})
-		})
-	}
-}
-
-// rule gives node b's calls of some paths a fate, until the function it returns is called.
-func (r *region) rule(fate fake.Fate, path string) (end func()) {
-	r.net.SetRule(func(from, _ string, req *http.Request, _ []byte) fake.Fate {
-		if from == "b" && (req.URL.Path == path || strings.HasPrefix(req.URL.Path, path+"/") || path == "/") {
-			return fate
-		}
-		return fake.Deliver
-	})
-	return func() { r.net.SetRule(nil) }
-}
-
-func TestHundredsOfEndedJobsAreNamedAtAFewCalls(t *testing.T) {
-	// Guards against a call for each of them, for which a node has no tokens while its user
-	// waits, and against missing one between two pages.
-	synctest.Test(t, func(t *testing.T) {
-		r := newRegion(t)
-		var names []string
-		for i := range 1500 {
-			id := ids.Job(fmt.Sprintf("job-%d", i))
-			r.put(id, claim.Done)
-			if i%10 == 0 { // the last digit is the least there is
-				names = append(names, string(id))
-			}
-		}
-		r.desks["b"].State = state.NewClient("state:1", r.net.Client("b"), state.NewBudget(50, 50, 5, 0.45))
-		r.desks["b"].Jobs = state.NewMirror(r.desks["b"].State, claim.JobPrefix, time.Second)
-		calls := 0
-		r.net.SetRule(func(from, _ string, _ *http.Request, _ []byte) fake.Fate {
-			if from == "b" {
-				calls++
-			}
-			return fake.Deliver
-		})
-		if code, _ := r.submit("b", awaits("job-9000", append([]string{"job-1500"}, names...))); code != 422 {
-			t.Errorf("with one that was never accepted: %d", code)
-		}
-		if code, status := r.submit("b", awaits("job-9001", names)); code != 201 || status != "pending" || r.keyOf("job-9001") != "job/job-9001" {
-			t.Errorf("%d %s, stored at %s", code, status, r.keyOf("job-9001"))
-		}
-		if calls > 20 {
-			t.Errorf("%d calls", calls)
-		}
-	})
-}
-
-func TestWhatCannotBeStoredIsRefusedAndNoMore(t *testing.T) {
-	// Guards against refusing a job for names that need not be kept, since their jobs are
-	// done; and against an answer other than the documented one for what can't be kept.
-	synctest.Test(t, func(t *testing.T) {
-		r := newRegion(t)
-		for _, d := range r.desks {
-			d.Set.Params.State.ValueKB = 2
-		}
-		var names []string
-		for i := range 600 {
-			id := ids.Job(fmt.Sprintf("job-%06d", 1000+i*17))
-			how := claim.Done
-			if i%4 == 0 {
-				how = claim.Queued
-			}
-			r.put(id, how)
-			names = append(names, string(id))
-		}
-		r.store.SetLimits(2048, 12)
-		if code, status := r.submit("a", awaits("job-900000", names)); code != 201 || status != "pending" {
-			t.Errorf("150 of 600 not done: %d %s", code, status)
-		}
-		rec, err := claim.DecodeWaiting(r.store.Value(claim.WaitKey("job-900000")))
-		if err != nil || len(rec.Spec.Awaits) != 150 {
-			t.Fatalf("kept as %v, %v", rec, err)
-		}
-		for i := range 300 {
-			id := fmt.Sprintf("job-%06d", 500000+i*17)
-			r.put(ids.Job(id), claim.Queued)
-			names = append(names, id)
-		}
-		out := call(r.nodes["b"], "POST", "/v2/runs", awaits("job-900001", names))
-		if out.Code != 422 || !strings.Contains(out.Body.String(), errManyAwaits.why) {
-			t.Errorf("450 not done: %d %s", out.Code, out.Body)
-		}
-		if code, _ := r.submit("b", awaits("job-900000", names)); code != 200 {
-			t.Errorf("a repeat of an accepted job: %d", code)
-		}
-		// What is full can still be cancelled.
-		if code, status := r.ask("b", "POST", "/v2/runs/job-900000/cancel", nil); code != 200 || status != "cancelled" {
-			t.Errorf("its cancellation: %d %s", code, status)
-		}
-		r.told("job-900000", "cancelled")
-	})
-}
-
-func TestCancellationsWithinAPipeline(t *testing.T) {
-	// Guards against a cancellation that does not reach those behind, reaches others, or
-	// is undone; no leader is there to help, so all rests on the records.
-	synctest.Test(t, func(t *testing.T) {
-		r := newRegion(t)
-		submit := func(id string, names ...string) {
-			if code, _ := r.submit("a", awaits(id, names)); code != 201 {
-				t.Fatal(id, code)
-			}
-		}
-		cancel := func(node, id, want string) {
-			t.Helper()
-			if code, status := r.ask(node, "POST", "/v2/runs/"+id+"/cancel", nil); code != 200 || status != want {
-				t.Errorf("cancelling %s: %d %s, not %s", id, code, status, want)
-			}
-		}
-		submit("job-1")
-		submit("job-2", "job-1")
-		submit("job-3", "job-2")
-		submit("job-4", "job-1")
-		submit("job-5", "job-3", "job-4")
-		r.told("job-5", "pending")
-		// One in the middle, which waits: what needs it goes, what it needs stays.
-		cancel("b", "job-2", "cancelled")
-		for id, want := range map[string]string{"job-1": "pending", "job-2": "cancelled", "job-3": "cancelled", "job-4": "pending", "job-5": "cancelled"} {
-			r.told(id, want)
-		}
-		// One that is cancelled already by another one's cancellation, which stays as it is.
-		cancel("a", "job-5", "cancelled")
-		cancel("b", "job-3", "cancelled")
-		if r.keyOf("job-3") != claim.WaitKey("job-3") {
-			t.Errorf("stored at %s", r.keyOf("job-3"))
-		}
-		// One that runs, which others await.
-		r.put("job-1", claim.Cancelling)
-		r.told("job-4", "cancelled")
-		// One that is done: its followers go on.
-		r.put("job-20", claim.Done)
-		r.put("job-21", claim.Queued, "job-20")
-		cancel("a", "job-20", "done")
-		r.told("job-21", "pending")
-	})
-}
