--- a/internal/claim/aside.go
+++ b/internal/claim/aside.go
@@ -14,10 +14,10 @@
 // work is placed there until what runs on them has ended.
 
 // starves tells whether a job has waited so long to begin that it goes ahead of all but
-// critical work. One whose tasks were all stopped again before any completed has not
+// critical work. One whose tasks were all stopped again right after their start has not
 // begun; its wait starts anew then, so that it does not come right back.
 func (j *Job) starves(now time.Time) bool {
-	if len(j.places) > 0 || j.Rec.Finished.Len() > 0 {
+	if begun := j.lasted && j.Rec.Attempt > 0; begun || len(j.places) > 0 || j.Rec.Finished.Len() > 0 {
 		return false
 	}
 	waitsSince := j.Rec.since().Time()
--- a/internal/claim/book.go
+++ b/internal/claim/book.go
@@ -82,6 +82,7 @@
 	oversize   bool      // its record did not fit into a value when last encoded
 	unfit      uint64    // the version that did not fit
 	keptRuns   int       // runs of finished tasks that were kept to make it fit; 0: all
+	lasted     bool      // a start of it was not undone at once, as far as this leader knows
 	emptied    time.Time // when its last place was dropped
 	odd        bool      // a finished task may still have a place
 	dirtySince time.Time
@@ -278,6 +279,7 @@
 // dropPlace takes a place off the books: its task is proven not to be there.
 func (b *Book) dropPlace(p *Place) {
 	delete(p.Job.places, p.Index)
+	p.Job.lasted = p.Job.lasted || time.Since(p.since) >= keptFor
 	if len(p.Job.places) == 0 {
 		p.Job.emptied = time.Now()
 	}
--- a/internal/claim/learn.go
+++ b/internal/claim/learn.go
@@ -42,6 +42,7 @@
 func (b *Book) addJob(r *Record, stamp ids.Revision, now time.Time) *Job {
 	j := &Job{Rec: *r, stamp: stamp, places: map[int]*Place{}, tries: map[int]*retry{},
 		settled: map[taskAttempt]uint64{}, version: r.Seq, saved: r.Seq, known: now}
+	j.lasted = r.Attempt > 0 // an earlier leader knew more
 	if j.version == 0 {
 		j.version, j.saved = 1, 1
 	}
--- a/internal/claim/promote.go
+++ b/internal/claim/promote.go
@@ -79,15 +79,17 @@
 	now := ids.WallOf(time.Now())
 	rec := *w.rec
 	rec.Gen, rec.Writer, rec.Seq = b.gen, b.writer, w.rec.Seq+1
-	key, event := JobKey(id), "all jobs that it awaited are done"
+	limit := int(b.set.Params.State.ValueKB * 1024)
+	key, encode := JobKey(id), rec.Encode
 	if over {
-		key, event = EndKey(id), cancelledText(b.pipes.graph.CancelledBy(id))
-		rec.Status = Cancelled
+		key, encode = EndKey(id), rec.EncodeFinal
+		rec.EndedBy(b.pipes.graph.CancelledBy(id))
 	} else {
 		rec.Ready = now
+		rec.leaveRoom(limit)
+		rec.Trail = append(slices.Clone(rec.Trail), Event{now, "all jobs that it awaited are done"})
 	}
-	rec.Trail = append(slices.Clone(rec.Trail), Event{now, event})
-	raw, ok := rec.Encode(int(b.set.Params.State.ValueKB * 1024))
+	raw, ok := encode(limit)
 	if !ok {
 		slog.Error("a waiting job's record does not fit", "job", id)
 		return pending{}, false
--- a/internal/claim/world_test.go
+++ b/internal/claim/world_test.go
@@ -78,8 +78,9 @@
 	workers []*fake.Worker
 	lives   int
 	rules   *rules
-	listed  bool   // the owner is told the machines by the cloud's list
-	next    string // the limits to come of nodes started from now on, as settings
+	listed  bool    // the owner is told the machines by the cloud's list
+	next    string  // the limits to come of nodes started from now on, as settings
+	valueKB float64 // the limit of values, if not that of the settings
 }
 
 type node struct {
@@ -126,6 +127,9 @@
 	if err != nil {
 		w.t.Fatal(err)
 	}
+	if w.valueKB > 0 {
+		set.Params.State.ValueKB, set.Params.State.NowKB = w.valueKB, w.valueKB
+	}
 	return set
 }
 
