--- a/internal/claim/fairness_test.go
+++ b/internal/claim/fairness_test.go
@@ -65,6 +65,54 @@
 	})
 }
 
+func TestOfThoseThatStarveTheLongestWaitingGoesFirst(t *testing.T) {
+	t.Parallel()
+	// Guards against small jobs within their teams' guarantees that take every machine
+	// set aside, as they come, while the largest job waits for one machine for ever.
+	now := time.Now()
+	b := fleet(t, 4)
+	large := rec("job-1", "blue", Low, 150, 4)
+	large.Submitted = ids.WallOf(now.Add(-3 * time.Minute))
+	b.Learn("job-1", 1, large, now)
+	for i := range 20 {
+		small := rec(ids.Job(fmt.Sprintf("job-%d", 10+i)), "red", Normal, 1, 1)
+		small.Submitted = ids.WallOf(now.Add(-2 * time.Minute))
+		b.Learn(small.Spec.ID, ids.Revision(10+i), small, now)
+	}
+	if first := b.ranked(now)[0].Rec.Spec.ID; first != "job-1" {
+		t.Errorf("%s goes first", first)
+	}
+}
+
+func TestTheBeginningOfAJobThatStarvedIsKeptForAMoment(t *testing.T) {
+	t.Parallel()
+	// Guards against a task that is placed on the machine set aside for it and stopped in
+	// the same pass for work within another team's guarantee.
+	synctest.Test(t, func(t *testing.T) {
+		b := fleet(t, 1)
+		b.set.Params.Teams = []config.Team{{Name: "red", CPUs: 4}, {Name: "blue"}}
+		b.Learn("job-1", 1, rec("job-1", "blue", Low, 1, 4), time.Now())
+		b.jobs["job-1"].aside = time.Now() // machines were looked for to set aside
+		b.Plan(time.Now())
+		place := b.jobs["job-1"].places[0]
+		if place == nil {
+			t.Fatal("it did not begin")
+		}
+		b.store()
+		b.Learn("job-2", 2, rec("job-2", "red", Normal, 1, 4), time.Now())
+		b.Plan(time.Now())
+		if place.stopping {
+			t.Error("it is stopped at once for a guarantee")
+		}
+		time.Sleep(keptFor + time.Second)
+		b.serve(2, time.Hour, map[taskAttempt]bool{})
+		b.Plan(time.Now())
+		if !place.stopping && b.jobs["job-1"].places[0] != nil {
+			t.Error("the guarantee is kept waiting for longer")
+		}
+	})
+}
+
 func TestAJobStoppedRightAfterItsFirstStartDoesNotStarve(t *testing.T) {
 	t.Parallel()
 	// Guards against counting a start that was taken back at once as the beginning: such
--- a/internal/claim/schedule.go
+++ b/internal/claim/schedule.go
@@ -133,16 +133,23 @@
 			p = Normal
 		}
 		es[i].rank = int(p)
-		if j.guaranteed {
+		starving := p != Critical && j.starves(now)
+		if j.guaranteed && !starving {
 			es[i].rank += 10
 		}
-		if p == Critical {
+		switch {
+		case j.failing():
+			es[i].rank = -1
+		case starving:
+			es[i].rank += 40
+		case p == Critical:
 			es[i].rank += 100
-		} else if j.starves(now) {
-			es[i].rank += 20
 		}
-		if j.failing() {
-			es[i].rank = -1
+		if starving {
+			// The longest waiting first, whatever its size: few machines are set
+			// aside at a time, and small jobs, guaranteed or not, would take them all.
+			es[i].size = -age
+			continue
 		}
 		// Among equals, what is soonest complete goes first: a job is worth
 		// nothing to its user until its last task is done. Waiting makes up
--- a/internal/fake/pipe.go
+++ b/internal/fake/pipe.go
@@ -9,8 +9,16 @@
 
 // Pipes joins listeners and dialers by in-memory connections.
 type Pipes struct {
-	mu sync.Mutex
-	ls map[string]*pipeListener
+	mu    sync.Mutex
+	ls    map[string]*pipeListener
+	dials int
+}
+
+// Dials counts the attempts to connect so far.
+func (p *Pipes) Dials() int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.dials
 }
 
 // NewPipes makes a set without listeners.
@@ -44,6 +52,7 @@
 // Dial connects to a listener.
 func (p *Pipes) Dial(ctx context.Context, addr string) (net.Conn, error) {
 	p.mu.Lock()
+	p.dials++
 	l := p.ls[addr]
 	p.mu.Unlock()
 	if l == nil {
--- a/internal/peer/transfer_test.go
+++ b/internal/peer/transfer_test.go
@@ -2,9 +2,7 @@
 
 import (
 	"context"
-	"net"
 	"net/rpc"
-	"sync/atomic"
 	"testing"
 	"testing/synctest"
 	"time"
@@ -18,14 +16,9 @@
 		n, s, p := fake.NewNet(), fake.NewStore(), fake.NewPipes()
 		n.Listen("state:1", s)
 		_, la := node(ctx, "a", "b", n, p)
-		dial, dials := la.Dial, atomic.Int32{}
-		la.Dial = func(ctx context.Context, addr string) (net.Conn, error) {
-			dials.Add(1)
-			return dial(ctx, addr)
-		}
 		time.Sleep(100 * time.Millisecond)
-		dials.Store(0)
-		if la.requestTransfer(ctx, 1) || dials.Load() > 0 {
+		before := p.Dials()
+		if la.requestTransfer(ctx, 1) || p.Dials() > before {
 			t.Error("a controller that was never heard was asked")
 		}
 		_, lb := node(ctx, "b", "a", n, p)
@@ -77,7 +70,12 @@
 		}()
 		_, l := node(ctx, "a", "b", n, p)
 		time.Sleep(3 * time.Second)
-		kept := l.conns["b"]
+		connection := func() *rpc.Client {
+			l.mu.Lock()
+			defer l.mu.Unlock()
+			return l.conns["b"]
+		}
+		kept := connection()
 		began := time.Now()
 		if l.requestTransfer(ctx, 1) {
 			t.Error("an older controller gave changes")
@@ -85,7 +83,7 @@
 		if took := time.Since(began); took > 50*time.Millisecond {
 			t.Errorf("its answer took %v", took)
 		}
-		if kept == nil || l.conns["b"] != kept {
+		if kept == nil || connection() != kept {
 			t.Error("its connection was given up")
 		}
 		cancel()
