--- a/cmd/pebbletrail/serve.go
+++ b/cmd/pebbletrail/serve.go
@@ -117,7 +117,7 @@
 	go c.pool.Run(ctx)
 	site := &intake.Site{
 		Version: version,
-		Desk: &intake.Desk{Set: c.set, State: c.state, Jobs: c.pool.Jobs(), OwnerNotifier: c.link, Writer: c.incarnation,
+		Jobs: &intake.JobService{Set: c.set, State: c.state, Jobs: c.pool.Jobs(), OwnerNotifier: c.link, Writer: c.incarnation,
 			Types: c.types.known},
 		Heartbeats: c.pool,
 		Ready:      c.ready,
@@ -130,10 +130,10 @@
 
 // provision rents and returns machines while this node owns the pool.
 func (c *controller) provision(ctx context.Context, t *claim.Term) {
-	p := &fleet.Provisioner{Cloud: c.cloud, Book: t.Book, Store: t.Committer, Gen: t.Gen, Sure: func() bool { return c.pool.Sure(t) },
+	p := &fleet.Provisioner{Cloud: c.cloud, Cluster: t.Cluster, Store: t.Committer, Gen: t.Gen, Sure: func() bool { return c.pool.Sure(t) },
 		ListEvery: max(2*time.Second, c.set.Params.Cloud.ListLagS.Duration()/2)}
 	if ts := c.types.known(); len(ts) > 0 {
-		t.Book.SetTypes(ts)
+		t.Cluster.SetTypes(ts)
 	}
 	p.OnTypes = func(ts []placement.Type) { c.types.store(ctx, t.Committer, ts) }
 	p.Adopt(t.Intents)
@@ -159,7 +159,7 @@
 	owner, _ := c.pool.Owner()
 	out := map[string]any{"node": c.set.HostName, "version": version, "incarnation": c.incarnation, "owner": owner}
 	out["took"], out["counts"] = measure.Process.Summary()
-	if b := c.pool.Book(); b != nil {
+	if b := c.pool.Cluster(); b != nil {
 		out["pool"] = b.Summary()
 	}
 	return out
@@ -167,7 +167,7 @@
 
 // workers is how many machines may connect to this node.
 func (c *controller) workers() int {
-	if b := c.pool.Book(); b != nil {
+	if b := c.pool.Cluster(); b != nil {
 		return b.Machines()
 	}
 	return 0
--- a/internal/claim/apart_test.go
+++ b/internal/claim/apart_test.go
@@ -139,7 +139,7 @@
 		}
 		w.net.SetRule(still)
 		w.until(8*time.Second, "a successor", func() bool {
-			return w.nodes[other].pool.Book() != nil
+			return w.nodes[other].pool.Cluster() != nil
 		})
 		w.until(30*time.Second, "the job runs", func() bool { return len(w.on("job-1/0")) == 1 })
 		w.submit(other, spec("job-2", "array", 3))
@@ -149,7 +149,7 @@
 		if w.net.Release() == 0 {
 			t.Fatal("nothing was held back")
 		}
-		w.until(3*time.Second, "the old owner knows", func() bool { return old.pool.Book() == nil })
+		w.until(3*time.Second, "the old owner knows", func() bool { return old.pool.Cluster() == nil })
 		w.hold(25*time.Second, "what runs goes on", func() bool { return w.everywhere("job-2", 3) && len(w.on("job-1/0")) == 1 })
 		w.once("job-1/0", "job-2/0", "job-2/1", "job-2/2")
 	})
@@ -207,7 +207,7 @@
 		first := w.owner()
 		cut(first.name, "state")
 		other := map[string]string{"a": "b", "b": "a"}[first.name]
-		w.until(6*time.Second, "the other owns the pool", func() bool { return w.nodes[other].pool.Book() != nil })
+		w.until(6*time.Second, "the other owns the pool", func() bool { return w.nodes[other].pool.Cluster() != nil })
 		w.hold(30*time.Second, "replicas go on", func() bool { return w.everywhere("job-1", 4) })
 		w.submit(other, spec("job-2", "array", 2))
 		w.until(6*time.Second, "new work runs", func() bool { return w.everywhere("job-2", 2) })
@@ -313,7 +313,7 @@
 			return fake.Deliver
 		})
 		w.worker("m1", "north")
-		w.until(5*time.Second, "the owner found it", func() bool { return w.owner().pool.Book().Summary()["heard"] == 1 })
+		w.until(5*time.Second, "the owner found it", func() bool { return w.owner().pool.Cluster().Summary()["heard"] == 1 })
 		w.submit("a", spec("job-1", "array", 1))
 		w.until(3*time.Second, "it runs", func() bool { return len(w.on("job-1/0")) == 1 })
 		w.worker("m2", "north")
@@ -362,11 +362,11 @@
 	for seen, want := range map[time.Duration]int{5 * time.Second: 0, 30 * time.Second: 1} {
 		story(t, func(t *testing.T, w *world) {
 			a := w.start("a")
-			w.until(5*time.Second, "a owns the pool", func() bool { return a.pool.Book() != nil })
+			w.until(5*time.Second, "a owns the pool", func() bool { return a.pool.Cluster() != nil })
 			b := w.start("b")
 			time.Sleep(seen)
 			a.kill()
-			w.until(5*time.Second, "b owns the pool", func() bool { return b.pool.Book() != nil })
+			w.until(5*time.Second, "b owns the pool", func() bool { return b.pool.Cluster() != nil })
 			time.Sleep(time.Second)
 			w.mu.Lock()
 			defer w.mu.Unlock()
--- a/internal/claim/apply.go
+++ b/internal/claim/apply.go
@@ -12,7 +12,7 @@
 func (c *Committer) Apply(ctx context.Context, ops []state.Op) error {
 	c.turn <- struct{}{}
 	defer func() { <-c.turn }()
-	limit := int(c.Book.set.Params.State.ValueKB * 1024)
+	limit := int(c.Cluster.set.Params.State.ValueKB * 1024)
 	for _, op := range ops {
 		if len(op.Value) > limit {
 			return fmt.Errorf("%w: %d bytes at %s, of at most %d", state.ErrMalformed, len(op.Value), op.Put, limit)
--- a/internal/claim/aside.go
+++ b/internal/claim/aside.go
@@ -49,7 +49,7 @@
 // setAside keeps n machines for a starving job, those that are soonest free
 // enough; it tells whether it did. It looks at every machine, but once a minute
 // for a job that starves.
-func (b *Book) setAside(j *Job, ask *placement.Ask, n int, now time.Time) bool {
+func (b *ClusterState) setAside(j *Job, ask *placement.Ask, n int, now time.Time) bool {
 	if !j.wantsAside(n, now) {
 		return false
 	}
@@ -124,7 +124,7 @@
 
 // keepForNow protects the beginning of a job that starved: of a gang all tasks, of any
 // other job one, on a machine that was set aside for it if there is one.
-func (b *Book) keepForNow(j *Job, fresh []*Place) {
+func (b *ClusterState) keepForNow(j *Job, fresh []*Place) {
 	until := time.Now().Add(keptFor)
 	if j.Rec.Spec.Shape == Gang {
 		for _, p := range fresh {
--- a/internal/claim/beats.go
+++ b/internal/claim/beats.go
@@ -63,17 +63,17 @@
 	if !p.entitled(t) {
 		return nil, 503, worker.Redirect{}
 	}
-	gen := t.Book.Generation()
+	gen := t.Cluster.Generation()
 	if rep.Token > gen {
 		// The worker has heard of a later owner. It would drop our answer and
 		// yet stay with us, so it is sent on.
 		p.stepDown(t, "a worker has seen a higher token")
 		return nil, 503, worker.Redirect{}
 	}
-	if t.Book.mustLapse(rep, p.Set.Grace().Duration()) {
+	if t.Cluster.mustLapse(rep, p.Set.Grace().Duration()) {
 		return nil, 503, worker.Redirect{}
 	}
-	orders := t.Book.Observe(rep, true, true)
+	orders := t.Cluster.Observe(rep, true, true)
 	if orders == nil {
 		orders = []worker.Order{}
 	}
--- a/internal/claim/boots.go
+++ b/internal/claim/boots.go
@@ -37,12 +37,12 @@
 }
 
 // bootTime is how long a boot of the type takes now, its nominal time at least.
-func (b *Book) bootTime(t *placement.Type) time.Duration {
+func (b *ClusterState) bootTime(t *placement.Type) time.Duration {
 	return max(t.BootS.Duration(), b.boots[t.Label].usual())
 }
 
 // booted notes that a machine was heard for the first time since it was rented.
-func (b *Book) booted(m *worker.Machine, now time.Time) {
+func (b *ClusterState) booted(m *worker.Machine, now time.Time) {
 	bt := b.boots[m.Type]
 	if bt == nil {
 		bt = &boots{}
@@ -54,7 +54,7 @@
 
 // late tells whether a rented machine takes so long that another is rented in
 // its place, and hopeless that it is not waited for in any case.
-func (b *Book) late(m *worker.Machine, now time.Time) (late, hopeless bool) {
+func (b *ClusterState) late(m *worker.Machine, now time.Time) (late, hopeless bool) {
 	t := b.types[m.Type]
 	if m.Heard || !m.Booting || t == nil {
 		return false, false
@@ -66,14 +66,14 @@
 
 // latelyLate tells that a machine is late only since a moment ago: what is rented in
 // its place is not on its way yet.
-func (b *Book) latelyLate(m *worker.Machine, now time.Time) bool {
+func (b *ClusterState) latelyLate(m *worker.Machine, now time.Time) bool {
 	was, _ := b.late(m, now.Add(-10*time.Second))
 	return !was
 }
 
 // overtaken tells whether a machine of its type that was rented with it or after it
 // is up.
-func (b *Book) overtaken(m *worker.Machine) bool {
+func (b *ClusterState) overtaken(m *worker.Machine) bool {
 	bt := b.boots[m.Type]
 	return bt != nil && bt.newest.After(m.HeldSince.Add(-2*time.Second))
 }
@@ -83,7 +83,7 @@
 // share of the fleet's price, one of a type at the least. What is left counts as
 // coming: while all boots are slow, more would only be as slow. So a need is
 // rented for twice at most, however many boots go wrong, until the first are given up.
-func (b *Book) latecomers(now time.Time) map[ids.Machine]bool {
+func (b *ClusterState) latecomers(now time.Time) map[ids.Machine]bool {
 	var late []*worker.Machine
 	fleet := 0.0
 	for _, m := range b.roster.Machines {
@@ -121,7 +121,7 @@
 
 // coming counts, by type, the machines on their way that cover a need, and all that
 // are late.
-func (b *Book) coming(now time.Time) (on, late map[string]int) {
+func (b *ClusterState) coming(now time.Time) (on, late map[string]int) {
 	on, late = map[string]int{}, map[string]int{}
 	replaced := b.latecomers(now)
 	for _, m := range b.roster.Machines {
@@ -141,7 +141,7 @@
 // whyNotAwaited tells why a rented machine that is not heard yet is given up; empty
 // while it is waited for. One that is late is waited for as long as it is needed or
 // what was rented in its place is itself on its way: whichever is up first is used.
-func (b *Book) whyNotAwaited(m *worker.Machine, needed bool, on map[string]int, now time.Time) string {
+func (b *ClusterState) whyNotAwaited(m *worker.Machine, needed bool, on map[string]int, now time.Time) string {
 	switch late, hopeless := b.late(m, now); {
 	case hopeless:
 		return "it does not come up"
@@ -152,7 +152,7 @@
 }
 
 // onTheWay tells of the machines on their way that a waiting job could use.
-func (b *Book) onTheWay(j *Job, now time.Time) []string {
+func (b *ClusterState) onTheWay(j *Job, now time.Time) []string {
 	ask := j.Rec.Spec.Ask()
 	n, lates, longest := 0, 0, time.Duration(0)
 	for _, m := range b.roster.Machines {
--- a/internal/claim/cancel_start_test.go
+++ b/internal/claim/cancel_start_test.go
@@ -16,7 +16,7 @@
 	// stores the cancel and tells the user, but can't tell the owner.
 	story(t, func(t *testing.T, w *world) {
 		a := w.start("a")
-		w.until(5*time.Second, "a owns the pool", func() bool { return a.pool.Book() != nil })
+		w.until(5*time.Second, "a owns the pool", func() bool { return a.pool.Cluster() != nil })
 		w.start("b")
 		w.worker("m1", "north")
 		time.Sleep(10 * time.Second)
--- a/internal/claim/cancellation.go
+++ b/internal/claim/cancellation.go
@@ -67,7 +67,7 @@
 
 // LearnCancellation takes in that a job's cancellation is stored apart from its record,
 // or, with removed, that it is no longer.
-func (b *Book) LearnCancellation(id ids.Job, stamp ids.Revision, removed bool) {
+func (b *ClusterState) LearnCancellation(id ids.Job, stamp ids.Revision, removed bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if stamp <= b.cancellations[id] {
@@ -82,7 +82,7 @@
 
 // learnCancellation is LearnCancellation under the lock. A job that is loaded later is
 // cancelled then, see addJob.
-func (b *Book) learnCancellation(id ids.Job, stamp ids.Revision) {
+func (b *ClusterState) learnCancellation(id ids.Job, stamp ids.Revision) {
 	b.cancellations[id] = stamp
 	if j := b.jobs[id]; j != nil && !j.ended {
 		b.cancelTold(j)
@@ -92,7 +92,7 @@
 
 // cancelTold cancels a job whose user was told so by another controller. A completion
 // that only this memory knows came too late: what is told first stands.
-func (b *Book) cancelTold(j *Job) {
+func (b *ClusterState) cancelTold(j *Job) {
 	if j.cancelled() {
 		return
 	}
@@ -109,7 +109,7 @@
 	if err != nil {
 		return false
 	}
-	b := c.Book
+	b := c.Cluster
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if found {
--- a/internal/claim/book.go
+++ b/internal/claim/cluster_state.go
@@ -117,9 +117,9 @@
 
 func (j *Job) cancelled() bool { return j.Rec.Status == Cancelling || j.Rec.Status == Cancelled }
 
-// Book is everything the pool's owner knows: jobs, places and machines, under
+// ClusterState is everything the pool's owner knows: jobs, places and machines, under
 // one lock that is never held over a call.
-type Book struct {
+type ClusterState struct {
 	mu     sync.Mutex
 	set    *config.Settings
 	writer string
@@ -178,15 +178,15 @@
 	Storing func() bool
 	// Starting tells whether starts may go out, and of when what was read of the
 	// records is: another node may have confirmed since, unknown to this one, that a
-	// job is cancelled. It is asked outside the book's lock.
+	// job is cancelled. It is asked outside the cluster state's lock.
 	Starting func() (ok bool, read time.Time)
 
 	wakeCommit, wakePlan chan struct{}
 }
 
-// NewBook makes the book of one term of ownership.
-func NewBook(set *config.Settings, writer string, gen ids.Generation, trustSilence time.Time) *Book {
-	return &Book{
+// NewClusterState makes the cluster state of one term of ownership.
+func NewClusterState(set *config.Settings, writer string, gen ids.Generation, trustSilence time.Time) *ClusterState {
+	return &ClusterState{
 		set: set, writer: writer, gen: gen, first: gen,
 		jobs: map[ids.Job]*Job{}, gone: map[ids.Job]bool{},
 		roster:        worker.NewRegistry(set.Params.Workers.LeaseS),
@@ -222,7 +222,7 @@
 }
 
 // note appends to the job's trail, bounded.
-func (b *Book) note(j *Job, format string, args ...any) {
+func (b *ClusterState) note(j *Job, format string, args ...any) {
 	limit := int(b.set.Own.TrailEvents)
 	what := fmt.Sprintf(format, args...)
 	slog.Debug("job", "id", j.Rec.Spec.ID, "what", what)
@@ -237,7 +237,7 @@
 }
 
 // touch marks a job as changed.
-func (b *Book) touch(j *Job) {
+func (b *ClusterState) touch(j *Job) {
 	j.version++
 	if b.jobs[j.Rec.Spec.ID] == j && !j.ended {
 		if !b.dirty[j] {
@@ -261,12 +261,12 @@
 
 // hurry marks a job's change as one that others wait for: a marker before
 // starts, or an end.
-func (b *Book) hurry(j *Job) {
+func (b *ClusterState) hurry(j *Job) {
 	j.urgent = true
 	poke(b.wakeCommit)
 }
 
-func (b *Book) putPlace(p *Place) {
+func (b *ClusterState) putPlace(p *Place) {
 	p.Job.places[p.Index] = p
 	if p.Job.Rec.Finished.Has(p.Index) {
 		p.Job.odd = true
@@ -277,7 +277,7 @@
 }
 
 // dropPlace takes a place off the books: its task is proven not to be there.
-func (b *Book) dropPlace(p *Place) {
+func (b *ClusterState) dropPlace(p *Place) {
 	delete(p.Job.places, p.Index)
 	p.Job.lasted = p.Job.lasted || time.Since(p.since) >= keptFor
 	if len(p.Job.places) == 0 {
@@ -297,15 +297,15 @@
 	poke(b.wakePlan)
 }
 
-// unlist takes a job out of the book.
-func (b *Book) unlist(j *Job) {
+// unlist takes a job out of the cluster state.
+func (b *ClusterState) unlist(j *Job) {
 	delete(b.jobs, j.Rec.Spec.ID)
 	delete(b.dirty, j)
 	b.unqueue(j)
 }
 
 // cancel stops everything of a job whose user was, or is about to be, told.
-func (b *Book) cancel(j *Job) {
+func (b *ClusterState) cancel(j *Job) {
 	if j.cancelled() || j.Rec.Status == Done {
 		return
 	}
@@ -319,7 +319,7 @@
 }
 
 // stop asks for a task to be stopped, or drops it if its start never went out.
-func (b *Book) stop(p *Place, leeway ids.Seconds, why string) {
+func (b *ClusterState) stop(p *Place, leeway ids.Seconds, why string) {
 	if !p.sent {
 		b.dropPlace(p)
 		b.touch(p.Job)
@@ -340,16 +340,16 @@
 }
 
 // current tells whether the place's start went out under this generation.
-func (b *Book) current(p *Place) bool { return p.Token == b.gen }
+func (b *ClusterState) current(p *Place) bool { return p.Token == b.gen }
 
 // offeredOnlyByBeat tells that no direct start of the place is unaccounted for.
-func (p *Place) offeredOnlyByBeat(b *Book) bool {
+func (p *Place) offeredOnlyByBeat(b *ClusterState) bool {
 	m := b.roster.Machines[p.Machine]
 	return m != nil && b.current(p) && !m.MayRevive(p.Task().String(), p.Attempt)
 }
 
 // finishIfOver moves a job to its final status when nothing is left of it.
-func (b *Book) finishIfOver(j *Job) {
+func (b *ClusterState) finishIfOver(j *Job) {
 	switch {
 	case j.Rec.Status.Over():
 	case j.left() == 0 && j.Rec.Status != Cancelling:
@@ -372,7 +372,7 @@
 }
 
 // SetTypes stores the cloud's offer.
-func (b *Book) SetTypes(ts []placement.Type) {
+func (b *ClusterState) SetTypes(ts []placement.Type) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for i := range ts {
@@ -390,14 +390,14 @@
 }
 
 // Generation is the token that this owner's commands carry now.
-func (b *Book) Generation() ids.Generation {
+func (b *ClusterState) Generation() ids.Generation {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.gen
 }
 
-// Close ends the book: nothing more is planned or sent from it.
-func (b *Book) Close() {
+// Close ends the cluster state: nothing more is planned or sent from it.
+func (b *ClusterState) Close() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.lost = true
@@ -405,7 +405,7 @@
 
 // Trust moves the time from which silent workers' lapses count forward, once
 // no other controller can be answering them any more.
-func (b *Book) Trust(at time.Time) {
+func (b *ClusterState) Trust(at time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if !at.Before(b.trustSilence) {
@@ -421,4 +421,4 @@
 
 // Machines is how many machines there are, as far as this owner knows. It takes
 // no lock: every user's call asks.
-func (b *Book) Machines() int { return int(b.size.Load()) }
+func (b *ClusterState) Machines() int { return int(b.size.Load()) }
--- a/internal/claim/book_test.go
+++ b/internal/claim/cluster_state_test.go
@@ -22,8 +22,8 @@
 	return s
 }
 
-func testBook() *Book {
-	b := NewBook(testSet(), "w", 7, time.Now())
+func testBook() *ClusterState {
+	b := NewClusterState(testSet(), "w", 7, time.Now())
 	b.SetTypes(testTypes())
 	return b
 }
@@ -32,7 +32,7 @@
 	return []placement.Type{{Label: "small", Cores: 4, RAM: 16, CacheGB: 20, PullGBPerS: 1, Price: 1, SpotPrice: 0.4, BootS: 30, Zones: []string{"north", "south"}}}
 }
 
-func (b *Book) hear(name ids.Machine, zone string, tick ids.Tick, pieces ...worker.Piece) []worker.Order {
+func (b *ClusterState) hear(name ids.Machine, zone string, tick ids.Tick, pieces ...worker.Piece) []worker.Order {
 	return b.Observe(&worker.Report{Machine: name, Addr: string(name) + ":1", Type: "small", Zone: zone, Session: 1, Tick: tick, Token: 7, Pieces: pieces}, true, true)
 }
 
@@ -42,7 +42,7 @@
 }
 
 // store pretends that all changes were committed.
-func (b *Book) store() {
+func (b *ClusterState) store() {
 	for _, j := range b.jobs {
 		j.saved = j.version
 	}
@@ -505,7 +505,7 @@
 	}
 }
 
-func gangBook(now time.Time) (*Book, *Job) {
+func gangBook(now time.Time) (*ClusterState, *Job) {
 	b := testBook()
 	b.hear("warm", "north", 1)
 	b.hear("cold", "north", 1)
@@ -522,7 +522,7 @@
 }
 
 // startsFor lists the machines that get a start now.
-func (b *Book) startsFor() map[ids.Machine]bool {
+func (b *ClusterState) startsFor() map[ids.Machine]bool {
 	out := map[ids.Machine]bool{}
 	for _, ba := range b.batches(1000) {
 		for _, o := range ba.orders {
@@ -673,7 +673,7 @@
 	b.hear("m1", "north", 1)
 	b.Learn("job-1", 1, rec("job-1", "blue", Normal, 2, 1), now)
 	b.Plan(now)
-	c := &Committer{Book: b, State: state.NewClient("s", nil, state.NewBudget(100, 100, 1, 0.6))}
+	c := &Committer{Cluster: b, State: state.NewClient("s", nil, state.NewBudget(100, 100, 1, 0.6))}
 	store := func() int {
 		group := c.collect()
 		for _, p := range group {
--- a/internal/claim/commit.go
+++ b/internal/claim/commit.go
@@ -21,11 +21,11 @@
 	Writer     string         `json:"writer"`
 }
 
-// Committer writes the book's changes in groups, each conditional on the
+// Committer writes the cluster state's changes in groups, each conditional on the
 // generation's stamp and on every job's own, so that a superseded owner can
 // change nothing.
 type Committer struct {
-	Book     *Book
+	Cluster  *ClusterState
 	State    *state.Client
 	Node     ids.Node
 	GenStamp ids.Revision
@@ -43,8 +43,8 @@
 }
 
 // NewCommitter makes the committer of one term.
-func NewCommitter(b *Book, s *state.Client, node ids.Node, stamp ids.Revision) *Committer {
-	return &Committer{Book: b, State: s, Node: node, GenStamp: stamp, turn: make(chan struct{}, 1),
+func NewCommitter(b *ClusterState, s *state.Client, node ids.Node, stamp ids.Revision) *Committer {
+	return &Committer{Cluster: b, State: s, Node: node, GenStamp: stamp, turn: make(chan struct{}, 1),
 		OnLost: func(string) {}}
 }
 
@@ -65,7 +65,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-c.Book.wakeCommit:
+		case <-c.Cluster.wakeCommit:
 		case <-time.After(250 * time.Millisecond):
 		}
 		for ctx.Err() == nil && c.Step(ctx) {
@@ -77,7 +77,7 @@
 func (c *Committer) Step(ctx context.Context) (more bool) {
 	c.turn <- struct{}{}
 	defer func() { <-c.turn }()
-	b := c.Book
+	b := c.Cluster
 	b.mu.Lock()
 	bump := b.bump
 	group := c.collect()
@@ -152,7 +152,7 @@
 // collect picks changed jobs, most urgent first, within the limits of one
 // transaction.
 func (c *Committer) collect() []pending {
-	b := c.Book
+	b := c.Cluster
 	var dirty []*Job
 	now, settle := time.Now(), settleEvery
 	if c.State.Budget().Tight() {
@@ -255,7 +255,7 @@
 }
 
 // stored takes in that a version is in the store.
-func (b *Book) stored(p pending, stamp ids.Revision) {
+func (b *ClusterState) stored(p pending, stamp ids.Revision) {
 	if p.wait != nil {
 		b.movedOn(p, stamp, time.Now())
 		return
@@ -273,7 +273,7 @@
 
 // settledUpTo notes what newly stored versions allow: starts whose marker is in
 // the store go out, and later changes may wait for one another again.
-func (b *Book) settledUpTo(j *Job) {
+func (b *ClusterState) settledUpTo(j *Job) {
 	if j.saved >= j.version {
 		delete(b.dirty, j)
 		j.urgent = false
@@ -292,7 +292,7 @@
 // raise lifts the generation while keeping the pool, so that workers turn away
 // whatever direct start is still under way.
 func (c *Committer) raise(ctx context.Context) bool {
-	b := c.Book
+	b := c.Cluster
 	b.mu.Lock()
 	next := b.gen + 1
 	b.mu.Unlock()
@@ -314,7 +314,7 @@
 }
 
 func (c *Committer) raised(g ids.Generation, stamp ids.Revision) {
-	b := c.Book
+	b := c.Cluster
 	b.mu.Lock()
 	b.gen, b.bump = g, false
 	for _, h := range b.hosts {
@@ -333,7 +333,7 @@
 // repair reads back the keys whose conditions failed: either an answer was
 // lost and the change is ours, or another controller wrote.
 func (c *Committer) repair(ctx context.Context, conflict *state.Conflict, group []pending) {
-	b := c.Book
+	b := c.Cluster
 	if conflict.Has(GenerationKey) {
 		e, found, err := c.State.Get(ctx, GenerationKey, state.Urgent)
 		if err != nil {
@@ -402,7 +402,7 @@
 
 // endedElsewhere drops a job whose end is stored already, by our own lost
 // answer or by a cancellation while nothing was placed.
-func (b *Book) endedElsewhere(j *Job) {
+func (b *ClusterState) endedElsewhere(j *Job) {
 	for _, i := range sortedTasks(j.places) {
 		p := j.places[i]
 		if !p.sent {
--- a/internal/claim/dispatch.go
+++ b/internal/claim/dispatch.go
@@ -32,7 +32,7 @@
 // A machine holds at most one send at a time, and one that leaves calls
 // unanswered none at all: hundreds of silent machines must not keep living ones
 // waiting. Its next beat, or its answer to a question, gets what it is owed.
-func (b *Book) batches(free int) []batch {
+func (b *ClusterState) batches(free int) []batch {
 	starting, read := b.Starting()
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -97,14 +97,14 @@
 }
 
 // owe notes that something is to be sent to a place's machine.
-func (b *Book) owe(p *Place) {
+func (b *ClusterState) owe(p *Place) {
 	if h := b.hosts[p.Machine]; h != nil {
 		b.due[h] = true
 	}
 }
 
 // answered settles what became of a batch.
-func (b *Book) answered(ba batch, how worker.Outcome) {
+func (b *ClusterState) answered(ba batch, how worker.Outcome) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	m := b.roster.Machines[ba.machine]
@@ -143,7 +143,7 @@
 
 // Dispatcher sends batches straight to the workers.
 type Dispatcher struct {
-	Book      *Book
+	Cluster   *ClusterState
 	Commander *worker.Commander
 	// May tells whether this owner may still give commands.
 	May   func() bool
@@ -152,8 +152,8 @@
 }
 
 // NewDispatcher bounds the sends under way, since each holds a socket.
-func NewDispatcher(b *Book, c *worker.Commander, slots int) *Dispatcher {
-	return &Dispatcher{Book: b, Commander: c, slots: make(chan struct{}, slots), wake: make(chan struct{}, 1)}
+func NewDispatcher(b *ClusterState, c *worker.Commander, slots int) *Dispatcher {
+	return &Dispatcher{Cluster: b, Commander: c, slots: make(chan struct{}, slots), wake: make(chan struct{}, 1)}
 }
 
 // Wake asks for a look at what may go out.
@@ -172,14 +172,14 @@
 			continue
 		}
 		d.probe(ctx)
-		for _, ba := range d.Book.batches(cap(d.slots) - len(d.slots)) {
+		for _, ba := range d.Cluster.batches(cap(d.slots) - len(d.slots)) {
 			d.slots <- struct{}{} // only this loop takes slots, so one is free
 			go func() {
 				how, rep := d.Commander.Send(ctx, ba.addr, ba.token, ba.session, ba.orders)
 				<-d.slots
-				d.Book.answered(ba, how)
+				d.Cluster.answered(ba, how)
 				if rep != nil && rep.Machine == ba.machine {
-					d.Book.Observe(rep, false, false)
+					d.Cluster.Observe(rep, false, false)
 				}
 				d.Wake() // a slot is free, and more may be due there
 			}()
--- a/internal/claim/drain.go
+++ b/internal/claim/drain.go
@@ -11,7 +11,7 @@
 
 // drains stops, in time to save or to start elsewhere, what is on machines
 // that will be taken or are faulty.
-func (b *Book) drains(now time.Time) {
+func (b *ClusterState) drains(now time.Time) {
 	names := make([]ids.Machine, 0, len(b.leaving))
 	for name := range b.leaving {
 		names = append(names, name)
@@ -50,7 +50,7 @@
 
 // moveReplica takes one replica at a time off a machine that is only kept by
 // it, when another machine has room and the image.
-func (b *Book) moveReplica(m *worker.Machine, now time.Time) {
+func (b *ClusterState) moveReplica(m *worker.Machine, now time.Time) {
 	if now.Sub(b.moved) < 1500*time.Millisecond || !b.Storing() {
 		return
 	}
--- a/internal/claim/explain.go
+++ b/internal/claim/explain.go
@@ -10,7 +10,7 @@
 )
 
 // Explain tells a job's trail and why its tasks wait, as the owner sees it.
-func (b *Book) Explain(id ids.Job) []string {
+func (b *ClusterState) Explain(id ids.Job) []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	j := b.jobs[id]
@@ -63,7 +63,7 @@
 }
 
 // Summary counts what the owner has, for operators.
-func (b *Book) Summary() map[string]any {
+func (b *ClusterState) Summary() map[string]any {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	heard, draining := 0, 0
--- a/internal/claim/fairness_test.go
+++ b/internal/claim/fairness_test.go
@@ -160,7 +160,7 @@
 
 // serve lets a second pass on every machine: tasks placed run for a while, and
 // end done.
-func (b *Book) serve(tick ids.Tick, runs time.Duration, ended map[taskAttempt]bool) {
+func (b *ClusterState) serve(tick ids.Tick, runs time.Duration, ended map[taskAttempt]bool) {
 	for name := range b.roster.Machines {
 		var ps []worker.Piece
 		for p := range b.placesOn(name) {
--- a/internal/claim/gang.go
+++ b/internal/claim/gang.go
@@ -8,7 +8,7 @@
 
 // claimGang places all tasks of a new attempt or none; a task lost while the
 // gang still waits is replaced under the same attempt.
-func (b *Book) claimGang(j *Job, ps *pass) {
+func (b *ClusterState) claimGang(j *Job, ps *pass) {
 	s, now := &j.Rec.Spec, ps.now
 	missing := s.Tasks - len(j.places)
 	if missing <= 0 {
@@ -114,7 +114,7 @@
 	return hs, cost
 }
 
-func (b *Book) gangWaits(j *Job, ask *placement.Ask, ps *pass) {
+func (b *ClusterState) gangWaits(j *Job, ask *placement.Ask, ps *pass) {
 	j.waiting = "not all tasks of the gang have room at once"
 	missing := j.Rec.Spec.Tasks - len(j.places)
 	for range missing {
@@ -135,7 +135,7 @@
 // before a large image is there; so it starts when they wait for it. And a task
 // replaced where it ended under the same attempt must be cleared first, or the
 // worker would take its start for one it knows.
-func (b *Book) mayStart(p *Place, m *worker.Machine) bool {
+func (b *ClusterState) mayStart(p *Place, m *worker.Machine) bool {
 	j := p.Job
 	if j.Rec.Spec.Shape != Gang {
 		return true
--- a/internal/claim/gap_test.go
+++ b/internal/claim/gap_test.go
@@ -119,7 +119,7 @@
 		time.Sleep(14 * time.Second) // its open watch is over
 		told := w.cancelled(other, "job-1")
 		w.goneBy(told, "job-1", 4, 10*time.Second)
-		if leader.pool.Book() == nil {
+		if leader.pool.Cluster() == nil {
 			t.Fatal("it did not keep the pool: the story shows nothing")
 		}
 		w.net.SetRule(nil)
@@ -138,13 +138,13 @@
 			switch {
 			case touches(from, to, "a", "b"), from == leader.name && to == "state:1":
 				return fake.Swallow
-			case from == other.name && r.URL.Path == "/kv/none" && other.pool.Book() != nil:
+			case from == other.name && r.URL.Path == "/kv/none" && other.pool.Cluster() != nil:
 				return fake.Swallow // it reads nothing after its takeover
 			}
 			return fake.Deliver
 		})
 		told := w.cancelled(other, "job-1")
-		w.until(5*time.Second, "the other took over", func() bool { return other.pool.Book() != nil })
+		w.until(5*time.Second, "the other took over", func() bool { return other.pool.Cluster() != nil })
 		w.store.SetDown(true)
 		w.goneBy(told, "job-1", 4, 30*time.Second)
 		w.store.SetDown(false)
--- a/internal/claim/hints.go
+++ b/internal/claim/hints.go
@@ -67,14 +67,14 @@
 }
 
 // hinted notes that what the others should know of a machine changed.
-func (b *Book) hinted(m *worker.Machine) {
+func (b *ClusterState) hinted(m *worker.Machine) {
 	b.hintSeq++
 	m.HintSeq = b.hintSeq
 }
 
 // Hints lists the machines heard of which something changed since a mark, or
 // all if it is not this owner's.
-func (b *Book) Hints(since HintMark) (out []Hint, to HintMark) {
+func (b *ClusterState) Hints(since HintMark) (out []Hint, to HintMark) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	to = HintMark{Gen: b.first, Seq: b.hintSeq, Whole: since.Gen != b.first}
@@ -90,7 +90,7 @@
 }
 
 // Seed takes hints of an earlier owner.
-func (b *Book) Seed(hs map[ids.Machine]Hint, now time.Time) {
+func (b *ClusterState) Seed(hs map[ids.Machine]Hint, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, h := range hs {
--- a/internal/claim/hosts.go
+++ b/internal/claim/hosts.go
@@ -42,7 +42,7 @@
 }
 
 // hostOf finds or adds a machine's entry.
-func (b *Book) hostOf(name ids.Machine) *host {
+func (b *ClusterState) hostOf(name ids.Machine) *host {
 	h := b.hosts[name]
 	if h == nil {
 		h = &host{name: name, places: map[*Place]bool{}, pulls: map[string]*pull{}, at: -1}
@@ -52,7 +52,7 @@
 }
 
 // placesOn is what is or may be on a machine.
-func (b *Book) placesOn(name ids.Machine) map[*Place]bool {
+func (b *ClusterState) placesOn(name ids.Machine) map[*Place]bool {
 	if h := b.hosts[name]; h != nil {
 		return h.places
 	}
@@ -60,7 +60,7 @@
 }
 
 // usedOn is the room taken on a machine.
-func (b *Book) usedOn(name ids.Machine) placement.Room {
+func (b *ClusterState) usedOn(name ids.Machine) placement.Room {
 	if h := b.hosts[name]; h != nil {
 		return h.used
 	}
@@ -69,7 +69,7 @@
 
 // shelve puts a machine where placement looks for it, or takes it away when it
 // is full, of no known kind, or gone.
-func (b *Book) shelve(h *host) {
+func (b *ClusterState) shelve(h *host) {
 	m := b.roster.Machines[h.name]
 	var s *shelf
 	if m != nil && m.Heard && !m.Deleting {
@@ -127,7 +127,7 @@
 func (h *host) free() placement.Room { return h.shelf.t.Room().Minus(h.used) }
 
 // put and drop keep a machine's sums.
-func (b *Book) put(h *host, p *Place) {
+func (b *ClusterState) put(h *host, p *Place) {
 	h.places[p] = true
 	h.used = h.used.Plus(p.Job.Rec.Spec.Need)
 	if p.Job.Rec.Spec.Shape != Service {
@@ -139,7 +139,7 @@
 	b.shelve(h)
 }
 
-func (b *Book) drop(h *host, p *Place) {
+func (b *ClusterState) drop(h *host, p *Place) {
 	if !h.places[p] {
 		return
 	}
@@ -159,7 +159,7 @@
 
 // awaits notes that a task waits for its image on a machine, and arrived that
 // it no longer does.
-func (b *Book) awaits(h *host, p *Place) {
+func (b *ClusterState) awaits(h *host, p *Place) {
 	if p.awaiting || p.seen && p.status != worker.Pulling {
 		return
 	}
@@ -175,7 +175,7 @@
 	u.top = max(u.top, p.Job.priority())
 }
 
-func (b *Book) arrived(h *host, p *Place) {
+func (b *ClusterState) arrived(h *host, p *Place) {
 	if !p.awaiting {
 		return
 	}
@@ -190,7 +190,7 @@
 }
 
 // holders is the machines that hold an image or fetch it.
-func (b *Book) holders(image string) map[*host]bool {
+func (b *ClusterState) holders(image string) map[*host]bool {
 	hs := b.byImage[image]
 	if hs == nil {
 		hs = map[*host]bool{}
@@ -200,7 +200,7 @@
 }
 
 // keepHolder drops a machine from an image's holders if it is none any more.
-func (b *Book) keepHolder(h *host, image string) {
+func (b *ClusterState) keepHolder(h *host, image string) {
 	m := b.roster.Machines[h.name]
 	if h.pulls[image] != nil || m != nil && m.Images.Has(image) {
 		return
@@ -212,7 +212,7 @@
 }
 
 // holdsNow notes that a machine has an image, which may push others out.
-func (b *Book) holdsNow(h *host, m *worker.Machine, image string, gb, cache float64) {
+func (b *ClusterState) holdsNow(h *host, m *worker.Machine, image string, gb, cache float64) {
 	old := m.Images.Names
 	m.Images.Use(image, gb, cache)
 	b.holders(image)[h] = true
@@ -224,7 +224,7 @@
 }
 
 // cast takes a machine out of every index: it is gone.
-func (b *Book) cast(name ids.Machine) {
+func (b *ClusterState) cast(name ids.Machine) {
 	h, m := b.hosts[name], b.roster.Machines[name]
 	// One never heard, with nothing on it, has no entry here, but is gone as well:
 	// else its deletion is asked for again and again.
@@ -243,7 +243,7 @@
 }
 
 // sight is how placement sees a machine for an ask of a job.
-func (b *Book) sight(h *host, m *worker.Machine, j *Job, r *retry, now time.Time) placement.Machine {
+func (b *ClusterState) sight(h *host, m *worker.Machine, j *Job, r *retry, now time.Time) placement.Machine {
 	s := &j.Rec.Spec
 	p := placement.Machine{Name: h.name, Type: h.shelf.t, Zone: m.Zone, Spot: m.Spot, Going: m.Going, Free: h.free(), Pulls: len(h.pulls)}
 	p.Holds = m.Images.Has(s.Image)
@@ -262,7 +262,7 @@
 }
 
 // usable tells whether new tasks may go to a machine now.
-func (b *Book) usable(h *host, now time.Time) (*worker.Machine, bool) {
+func (b *ClusterState) usable(h *host, now time.Time) (*worker.Machine, bool) {
 	m := b.roster.Machines[h.name]
 	return m, m != nil && h.shelf != nil && m.Usable(now, b.set.Params.Workers.ReportS)
 }
--- a/internal/claim/inheritance_test.go
+++ b/internal/claim/inheritance_test.go
@@ -9,7 +9,7 @@
 )
 
 // diamond is a low job, two low ones that await it, and a high one that awaits both.
-func diamond(b *Book, now time.Time) {
+func diamond(b *ClusterState, now time.Time) {
 	b.Learn("job-1", 1, rec("job-1", "red", Low, 1, 1), now)
 	b.LearnWaiting("job-2", 2, waits("job-2", Low, 0, "job-1"), now)
 	b.LearnWaiting("job-3", 3, waits("job-3", Low, 0, "job-1"), now)
@@ -21,30 +21,30 @@
 	// urgent needs them any more, whoever cancelled what; and against one branch losing
 	// it because the other does.
 	for name, c := range map[string]struct {
-		change        func(b *Book, now time.Time)
+		change        func(b *ClusterState, now time.Time)
 		first, branch Priority // of job-1 and job-3 afterwards
 	}{
-		"nothing": {func(*Book, time.Time) {}, High, High},
-		"the urgent one is cancelled at another node": {func(b *Book, now time.Time) {
+		"nothing": {func(*ClusterState, time.Time) {}, High, High},
+		"the urgent one is cancelled at another node": {func(b *ClusterState, now time.Time) {
 			b.LearnWaiting("job-4", 9, nil, now)
 		}, Low, Low},
-		"its end is read": {func(b *Book, now time.Time) {
+		"its end is read": {func(b *ClusterState, now time.Time) {
 			b.LearnWaiting("job-4", 9, nil, now)
 			b.finally("job-4", Cancelled)
 		}, Low, Low},
-		"one branch is cancelled at another node, so the urgent one is": {func(b *Book, now time.Time) {
+		"one branch is cancelled at another node, so the urgent one is": {func(b *ClusterState, now time.Time) {
 			b.LearnWaiting("job-2", 9, nil, now)
 			b.finally("job-2", Cancelled)
 		}, Low, Low},
-		"one branch is done": {func(b *Book, now time.Time) {
+		"one branch is done": {func(b *ClusterState, now time.Time) {
 			b.LearnWaiting("job-2", 9, nil, now)
 			b.finally("job-2", Done)
 		}, High, High},
-		"another urgent one needs one branch, the first goes": {func(b *Book, now time.Time) {
+		"another urgent one needs one branch, the first goes": {func(b *ClusterState, now time.Time) {
 			b.LearnWaiting("job-5", 5, waits("job-5", High, 100, "job-3"), now)
 			b.LearnWaiting("job-4", 9, nil, now)
 		}, High, High},
-		"the first is cancelled": {func(b *Book, now time.Time) {
+		"the first is cancelled": {func(b *ClusterState, now time.Time) {
 			cancelled := rec("job-1", "red", Low, 1, 1)
 			cancelled.Status = Cancelling
 			b.Learn("job-1", 9, cancelled, now)
@@ -177,7 +177,7 @@
 	// leads: it reads the records before it knows the types.
 	synctest.Test(t, func(t *testing.T) {
 		now := time.Now()
-		b := NewBook(testSet(), "w", 7, now)
+		b := NewClusterState(testSet(), "w", 7, now)
 		diamond(b, now)
 		first := b.jobs["job-1"]
 		before := first.inherited.Deadline.Sub(now)
--- a/internal/claim/isolation.go
+++ b/internal/claim/isolation.go
@@ -4,7 +4,7 @@
 
 // cutOff tells whether this node has lost most machines while others reach
 // them.
-func (b *Book) cutOff(stranded []Strand, now time.Time) bool {
+func (b *ClusterState) cutOff(stranded []Strand, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	// Reports may be far apart, and after a takeover all come at once: only one that
@@ -29,7 +29,7 @@
 const toldWithin = time.Second
 
 // deaf tells whether next to no machine is heard or answers.
-func (b *Book) deaf(now time.Time) bool {
+func (b *ClusterState) deaf(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	si := b.count()
--- a/internal/claim/learn.go
+++ b/internal/claim/learn.go
@@ -8,10 +8,10 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-// Load fills the book with the records found at a takeover. Their claims lapsed
+// Load fills the cluster state with the records found at a takeover. Their claims lapsed
 // with their owner; their places stay until a report, a lapse or the cloud says
 // what became of them.
-func (b *Book) Load(recs map[ids.Job]*Record, stamps map[ids.Job]ids.Revision, at ids.Revision, now time.Time) {
+func (b *ClusterState) Load(recs map[ids.Job]*Record, stamps map[ids.Job]ids.Revision, at ids.Revision, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	// News may have come before the list: what is not in it is kept only if it
@@ -32,14 +32,14 @@
 }
 
 // unlearn takes back what news told of a job before the records were loaded.
-func (b *Book) unlearn(j *Job) {
+func (b *ClusterState) unlearn(j *Job) {
 	for _, i := range sortedTasks(j.places) {
 		b.dropPlace(j.places[i])
 	}
 	b.unlist(j)
 }
 
-func (b *Book) addJob(r *Record, stamp ids.Revision, now time.Time) *Job {
+func (b *ClusterState) addJob(r *Record, stamp ids.Revision, now time.Time) *Job {
 	j := &Job{Rec: *r, stamp: stamp, places: map[int]*Place{}, tries: map[int]*retry{},
 		settled: map[taskAttempt]uint64{}, version: r.Seq, saved: r.Seq, known: now}
 	j.lasted = r.Attempt > 0 // an earlier leader knew more
@@ -63,14 +63,14 @@
 }
 
 // wrote tells whether a record is this owner's own writing, without reading
-// all of it: most news is, and the book knows it already.
-func (b *Book) wrote(raw json.RawMessage) bool {
+// all of it: most news is, and the cluster state knows it already.
+func (b *ClusterState) wrote(raw json.RawMessage) bool {
 	return bytes.Contains(raw, []byte(`"writer":"`+b.writer+`"`))
 }
 
 // Learn takes in what another controller wrote: a new job or a cancellation.
 // rec is nil when the live record went away.
-func (b *Book) Learn(id ids.Job, stamp ids.Revision, rec *Record, now time.Time) {
+func (b *ClusterState) Learn(id ids.Job, stamp ids.Revision, rec *Record, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	j := b.jobs[id]
@@ -107,7 +107,7 @@
 }
 
 // adopt takes over another controller's write on a known job.
-func (b *Book) adopt(j *Job, stamp ids.Revision, rec *Record) {
+func (b *ClusterState) adopt(j *Job, stamp ids.Revision, rec *Record) {
 	j.stamp = stamp
 	if rec.Status == Cancelling {
 		b.cancelTold(j)
@@ -117,7 +117,7 @@
 
 // forget drops a job whose end is stored. What may still be on machines stays
 // in the books until proven gone.
-func (b *Book) forget(j *Job) {
+func (b *ClusterState) forget(j *Job) {
 	id := j.Rec.Spec.ID
 	j.ended = true
 	delete(b.dirty, j)
--- a/internal/claim/listed.go
+++ b/internal/claim/listed.go
@@ -11,7 +11,7 @@
 )
 
 // Hired notes machines just rented.
-func (b *Book) Hired(names []ids.Machine, h placement.Hire, now time.Time) {
+func (b *ClusterState) Hired(names []ids.Machine, h placement.Hire, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, n := range names {
@@ -36,7 +36,7 @@
 
 // List takes in the cloud's list. It lags, so that absence proves nothing and
 // only what it says outright counts.
-func (b *Book) List(ls []Listed, now time.Time) {
+func (b *ClusterState) List(ls []Listed, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for i := range ls {
@@ -69,7 +69,7 @@
 
 // Emptiables lists machines that only services hold, least used for their
 // price first; none while one is being emptied.
-func (b *Book) Emptiables(now time.Time) []Emptiable {
+func (b *ClusterState) Emptiables(now time.Time) []Emptiable {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if m := b.roster.Machines[b.emptying]; m != nil && now.Sub(b.emptyingAt) < time.Minute {
@@ -112,7 +112,7 @@
 
 // Empty begins to move a machine's services elsewhere, or with no name gives
 // that up; it tells whether there was something to give up.
-func (b *Book) Empty(name ids.Machine, now time.Time) bool {
+func (b *ClusterState) Empty(name ids.Machine, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	was := b.emptying
--- a/internal/claim/lonely_test.go
+++ b/internal/claim/lonely_test.go
@@ -28,14 +28,14 @@
 			w.until(4*time.Second, "it runs", func() bool { return w.everywhere("job-1", 4) })
 			old := w.owner()
 			other := map[string]string{"a": "b", "b": "a"}[old.name]
-			gen := old.pool.Book().Generation()
+			gen := old.pool.Cluster().Generation()
 			w.net.SetRule(func(from, to string, _ *http.Request, _ []byte) fake.Fate {
 				if from == old.name || strings.HasPrefix(to, old.name+":") {
 					return fate
 				}
 				return fake.Deliver
 			})
-			w.until(4*time.Second, "a successor", func() bool { return w.nodes[other].pool.Book() != nil })
+			w.until(4*time.Second, "a successor", func() bool { return w.nodes[other].pool.Cluster() != nil })
 			w.until(4*time.Second, "it takes work", func() bool {
 				code, _ := w.call(other, "POST", "/v2/runs", spec("job-2", "array", 2))
 				return code == 201 || code == 200
@@ -44,9 +44,9 @@
 			w.hold(70*time.Second, "all goes on", func() bool { return w.everywhere("job-1", 4) && w.everywhere("job-2", 2) })
 			w.net.SetRule(nil)
 			w.net.Release()
-			w.until(3*time.Second, "the old owner follows", func() bool { return old.pool.Book() == nil })
+			w.until(3*time.Second, "the old owner follows", func() bool { return old.pool.Cluster() == nil })
 			w.hold(25*time.Second, "one change of owner, and all goes on", func() bool {
-				b := w.nodes[other].pool.Book()
+				b := w.nodes[other].pool.Cluster()
 				return b != nil && b.Generation() <= gen+2 && w.everywhere("job-1", 4) && w.everywhere("job-2", 2)
 			})
 			w.once("job-1/0", "job-1/1", "job-1/2", "job-1/3", "job-2/0", "job-2/1")
--- a/internal/claim/meetings_test.go
+++ b/internal/claim/meetings_test.go
@@ -875,7 +875,7 @@
 					g.pass(time.Second)
 					g.callOff(other, "job-5")
 					g.pass(45 * time.Second)
-					if n := g.nodes[other]; n.pool.Book() == nil && how != "ends and returns" {
+					if n := g.nodes[other]; n.pool.Cluster() == nil && how != "ends and returns" {
 						t.Error("the other does not lead")
 					}
 					g.mended()
--- a/internal/claim/mistakes.go
+++ b/internal/claim/mistakes.go
@@ -54,7 +54,7 @@
 }
 
 // failedTask takes in that a task failed on a machine.
-func (b *Book) failedTask(p *Place, cause string, m *worker.Machine, now time.Time) {
+func (b *ClusterState) failedTask(p *Place, cause string, m *worker.Machine, now time.Time) {
 	j, f := p.Job, &p.Job.failed
 	if f.on == nil {
 		f.on = map[ids.Machine]int{}
@@ -83,7 +83,7 @@
 // cleared takes in that the job is good: one of its tasks completed, or runs for far
 // longer than those that failed. Only now its failures tell of the machines. To
 // blame one for jobs that may all be at fault themselves would cost good machines.
-func (b *Book) cleared(j *Job) {
+func (b *ClusterState) cleared(j *Job) {
 	on := j.failed.on
 	j.failed, j.Rec.FailedOn = failures{}, 0
 	for name, n := range on {
@@ -100,7 +100,7 @@
 }
 
 // lasts takes in that a task of a job with failures goes on running.
-func (b *Book) lasts(p *Place, now time.Time) {
+func (b *ClusterState) lasts(p *Place, now time.Time) {
 	if f := &p.Job.failed; (f.tasks > 0 || p.Job.Rec.FailedOn > 0) && now.Sub(p.ranSince) > 30*time.Second+2*f.ran {
 		b.cleared(p.Job)
 	}
--- a/internal/claim/mistakes_test.go
+++ b/internal/claim/mistakes_test.go
@@ -14,7 +14,7 @@
 
 // play lets every machine report what is placed on it: ends tells how a task ends
 // at once, empty while it runs.
-func (b *Book) play(tick ids.Tick, ends func(p *Place) string) {
+func (b *ClusterState) play(tick ids.Tick, ends func(p *Place) string) {
 	on := map[ids.Machine][]worker.Piece{}
 	for _, j := range b.jobs {
 		for _, p := range j.places {
--- a/internal/claim/moved.go
+++ b/internal/claim/moved.go
@@ -24,7 +24,7 @@
 }
 
 // noteGone tells in the trail that a task is proven not to be on its machine.
-func (b *Book) noteGone(p *Place, why string) {
+func (b *ClusterState) noteGone(p *Place, why string) {
 	j, zone := p.Job, "an unknown zone"
 	if m := b.roster.Machines[p.Machine]; m != nil && m.Zone != "" {
 		zone = m.Zone
@@ -46,7 +46,7 @@
 }
 
 // noteMoved tells in the trail where tasks lost before were placed anew.
-func (b *Book) noteMoved(j *Job, placed []*Place) {
+func (b *ClusterState) noteMoved(j *Job, placed []*Place) {
 	to, from := map[string]int{}, map[string]int{}
 	for _, p := range placed {
 		if z, ok := j.lost.in[p.Index]; ok {
@@ -73,7 +73,7 @@
 
 // standing tells where a job's tasks are, by zone, and what those in a dark one
 // wait for.
-func (b *Book) standing(j *Job, now time.Time) (out []string) {
+func (b *ClusterState) standing(j *Job, now time.Time) (out []string) {
 	at, dark := map[string]int{}, map[string]int{}
 	var latest time.Time
 	for _, p := range j.places {
--- a/internal/claim/needs.go
+++ b/internal/claim/needs.go
@@ -28,7 +28,7 @@
 const warmWindow = 120
 
 // sample notes once a second how much each class wants.
-func (b *Book) sample(now time.Time) {
+func (b *ClusterState) sample(now time.Time) {
 	if !b.sampled.IsZero() && now.Sub(b.sampled) < time.Second {
 		return
 	}
@@ -72,7 +72,7 @@
 
 // Needs is what the fleet should provide, most important first, and what is
 // there.
-func (b *Book) Needs(now time.Time) (ds []placement.Demand, ups []placement.Up, types []*placement.Type) {
+func (b *ClusterState) Needs(now time.Time) (ds []placement.Demand, ups []placement.Up, types []*placement.Type) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	defer measure.Process.Took("weighing the fleet", time.Now())
@@ -101,7 +101,7 @@
 
 // horizon is the time within which queued work should get its turn; a queue
 // that the machines at hand work off sooner needs no new ones.
-func (b *Book) horizon(j *Job) float64 {
+func (b *ClusterState) horizon(j *Job) float64 {
 	if j.Rec.Spec.Shape == Gang {
 		// A queued gang gains from a new machine only if the wait for a
 		// running one to end is longer than a boot and a fetch.
@@ -128,7 +128,7 @@
 }
 
 // fetch is how long a task's image takes where it fits best.
-func (b *Book) fetch(s *Spec) float64 {
+func (b *ClusterState) fetch(s *Spec) float64 {
 	best := 0.0
 	for _, t := range b.types {
 		if t.Room().Holds(s.Need) && (best == 0 || s.ImageGB/max(t.PullGBPerS, 0.01) < best) {
@@ -139,7 +139,7 @@
 }
 
 // fresh is how long a new machine for such tasks takes to be up with the image.
-func (b *Book) fresh(s *Spec) float64 {
+func (b *ClusterState) fresh(s *Spec) float64 {
 	best := math.Inf(1)
 	for _, t := range b.types {
 		if t.Room().Holds(s.Need) {
@@ -153,7 +153,7 @@
 // fraction of each, and the share of the room in use now that will be free for
 // them in time: that hangs on how long what runs there takes (runs, by class),
 // not only on how short the waiting job is.
-func (b *Book) want(j *Job, runs map[string]float64, now time.Time) (slots, turn float64) {
+func (b *ClusterState) want(j *Job, runs map[string]float64, now time.Time) (slots, turn float64) {
 	s := &j.Rec.Spec
 	if j.failing() {
 		return 0, 0
@@ -180,7 +180,7 @@
 }
 
 // running is the mean estimate of the tasks that each class has on machines.
-func (b *Book) running() map[string]float64 {
+func (b *ClusterState) running() map[string]float64 {
 	sum, n := map[string]float64{}, map[string]float64{}
 	for _, j := range b.line {
 		if k := float64(len(j.places)); k > 0 {
@@ -196,7 +196,7 @@
 
 // demands adds up what the jobs of a class want: rounding each job up would
 // rent a machine for every small one.
-func (b *Book) demands(now time.Time) []placement.Demand {
+func (b *ClusterState) demands(now time.Time) []placement.Demand {
 	type group struct {
 		class      string
 		guaranteed bool
@@ -240,7 +240,7 @@
 
 // keeps is the room to hold free: some for critical work, and as much as they
 // lately wanted for classes that are to start sooner than a machine boots.
-func (b *Book) keeps() []placement.Demand {
+func (b *ClusterState) keeps() []placement.Demand {
 	var ds []placement.Demand
 	classes := make([]string, 0, len(b.warm))
 	for c := range b.warm {
@@ -287,7 +287,7 @@
 }
 
 // aimed tells whether the settings expect anything of the class.
-func (b *Book) aimed(class string) bool {
+func (b *ClusterState) aimed(class string) bool {
 	for _, o := range b.set.Params.Objectives {
 		if o.Class == class || o.Kind == "guarantee" {
 			return true
@@ -298,7 +298,7 @@
 
 // affordable is how many tasks of a class room may be kept for, at a small
 // share of what the fleet costs.
-func (b *Book) affordable(w *warmth) int {
+func (b *ClusterState) affordable(w *warmth) int {
 	fleet := 0.0
 	for _, m := range b.roster.Machines {
 		if t := b.types[m.Type]; t != nil {
@@ -332,7 +332,7 @@
 
 // startsSoon tells whether a class is to start before a hired machine could be
 // up with its image.
-func (b *Book) startsSoon(class string, w *warmth) bool {
+func (b *ClusterState) startsSoon(class string, w *warmth) bool {
 	slowest := math.Inf(1)
 	for _, t := range b.types {
 		if t.Room().Holds(w.ask.Need) && (w.ask.Types == nil || w.ask.Allows(t.Label, w.ask.Zone, false)) {
--- a/internal/claim/outcomes.go
+++ b/internal/claim/outcomes.go
@@ -41,7 +41,7 @@
 // records one by one. What it does not get to is left to the next pass.
 func (c *Committer) lookUpOnce(ctx context.Context) {
 	now := time.Now()
-	wanted := c.Book.dueLookUps(now)
+	wanted := c.Cluster.dueLookUps(now)
 	for page := 0; len(wanted) >= manyLookUps; page++ {
 		if page == pagesPerPass {
 			return
@@ -58,7 +58,7 @@
 	for _, id := range wanted[:min(len(wanted), readsPerPass)] {
 		e, found, err := c.State.Get(ctx, EndKey(id), state.Normal)
 		if err != nil {
-			c.Book.askAgain(id, now) // the others must not wait for one that can't be read
+			c.Cluster.askAgain(id, now) // the others must not wait for one that can't be read
 			return
 		}
 		c.lookedUp(ctx, id, e, found, now)
@@ -66,7 +66,7 @@
 }
 
 // dueLookUps lists, in the order of their keys, the ended jobs to look up now.
-func (b *Book) dueLookUps(now time.Time) []ids.Job {
+func (b *ClusterState) dueLookUps(now time.Time) []ids.Job {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var due []ids.Job
@@ -82,7 +82,7 @@
 }
 
 // askAgain puts off looking a job up that was not found.
-func (b *Book) askAgain(id ids.Job, now time.Time) {
+func (b *ClusterState) askAgain(id ids.Job, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.pipes.lookUp[id] = now.Add(lookUpAgain)
@@ -120,7 +120,7 @@
 
 // lookedUp takes in what was found of a job that ended.
 func (c *Committer) lookedUp(ctx context.Context, id ids.Job, e state.Entry, found bool, now time.Time) {
-	b := c.Book
+	b := c.Cluster
 	if !found {
 		b.askAgain(id, now)
 		// It may be live after all, by a write of this owner's without an answer.
@@ -148,7 +148,7 @@
 	if err != nil {
 		return
 	}
-	b := c.Book
+	b := c.Cluster
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.jobs[id] == nil && !b.gone[id] && !rec.Status.Over() {
--- a/internal/claim/outcomes_test.go
+++ b/internal/claim/outcomes_test.go
@@ -58,9 +58,9 @@
 
 // lookUpAll runs passes until nothing is left to look up, and tells how many.
 func lookUpAll(t *testing.T, c *Committer) (passes int) {
-	for len(c.Book.pipes.lookUp) > 0 {
+	for len(c.Cluster.pipes.lookUp) > 0 {
 		if passes++; passes > 100 {
-			t.Fatalf("%d are still not known", len(c.Book.pipes.lookUp))
+			t.Fatalf("%d are still not known", len(c.Cluster.pipes.lookUp))
 		}
 		c.lookUpOnce(context.Background())
 		time.Sleep(lookUpEvery)
--- a/internal/claim/oversize.go
+++ b/internal/claim/oversize.go
@@ -10,7 +10,7 @@
 // place and it must not hold room for ever; from then on fewer tasks of the job are
 // claimed at a time. Tasks that may be on machines stay: the record becomes smaller as
 // they end, and is not tried again before it has changed.
-func (b *Book) tooLarge(j *Job, limit int) {
+func (b *ClusterState) tooLarge(j *Job, limit int) {
 	if !j.oversize {
 		slog.Warn("record too large to store; fewer tasks at a time", "job", j.Rec.Spec.ID, "places", len(j.places))
 	}
@@ -29,7 +29,7 @@
 
 // takeBackUnsent drops the places whose start never went out; it tells whether there
 // were any.
-func (b *Book) takeBackUnsent(j *Job) bool {
+func (b *ClusterState) takeBackUnsent(j *Job) bool {
 	dropped := false
 	for _, i := range sortedTasks(j.places) {
 		if p := j.places[i]; !p.sent {
@@ -44,7 +44,7 @@
 // has no room for a single place: of the finished tasks only the longest runs are kept,
 // so that half of the value is free again for places. The others start again; as their
 // results are kept, they exit as done once they have their image.
-func (b *Book) forgetScattered(j *Job, limit int) {
+func (b *ClusterState) forgetScattered(j *Job, limit int) {
 	if j.Rec.Finished.Runs() < 2 {
 		return // that is not what makes it large
 	}
--- a/internal/claim/pipeline.go
+++ b/internal/claim/pipeline.go
@@ -32,7 +32,7 @@
 
 // LearnWaiting takes in a job that awaits others, or that it no longer does; rec is
 // nil then.
-func (b *Book) LearnWaiting(id ids.Job, stamp ids.Revision, rec *Record, now time.Time) {
+func (b *ClusterState) LearnWaiting(id ids.Job, stamp ids.Revision, rec *Record, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	w := b.pipes.waits[id]
@@ -52,7 +52,7 @@
 }
 
 // LoadWaiting adds, at a takeover, the jobs that wait; those they await are loaded.
-func (b *Book) LoadWaiting(recs map[ids.Job]*Record, stamps map[ids.Job]ids.Revision, now time.Time) {
+func (b *ClusterState) LoadWaiting(recs map[ids.Job]*Record, stamps map[ids.Job]ids.Revision, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var added []*waiting
@@ -66,11 +66,11 @@
 }
 
 // newWaiting tells whether nothing is known of a job yet.
-func (b *Book) newWaiting(id ids.Job) bool {
+func (b *ClusterState) newWaiting(id ids.Job) bool {
 	return b.pipes.waits[id] == nil && b.jobs[id] == nil && !b.gone[id]
 }
 
-func (b *Book) addWaiting(now time.Time, added ...*waiting) {
+func (b *ClusterState) addWaiting(now time.Time, added ...*waiting) {
 	jobs := make([]dependency.Job, len(added))
 	for i, w := range added {
 		id, s := w.id(), &w.rec.Spec
@@ -89,7 +89,7 @@
 
 // checkAwaited tells the graph of an awaited job's cancellation that is not stored as
 // an end yet, and has it looked up how the job ended if that is not known.
-func (b *Book) checkAwaited(id ids.Job, now time.Time) {
+func (b *ClusterState) checkAwaited(id ids.Job, now time.Time) {
 	if b.pipes.graph.Outcome(id) != dependency.Unknown {
 		return
 	}
@@ -103,30 +103,30 @@
 }
 
 // unwait takes a job out of those that wait; those that need it stay indexed.
-func (b *Book) unwait(w *waiting) {
+func (b *ClusterState) unwait(w *waiting) {
 	delete(b.pipes.waits, w.id())
 	b.apply(b.pipes.graph.Remove(w.id()))
 }
 
 // ask has it looked up how a job ended.
-func (b *Book) ask(id ids.Job, now time.Time) {
+func (b *ClusterState) ask(id ids.Job, now time.Time) {
 	if _, asked := b.pipes.lookUp[id]; !asked {
 		b.pipes.lookUp[id] = now
 	}
 }
 
 // askIfAwaited has it looked up how a job ended, if others await it.
-func (b *Book) askIfAwaited(id ids.Job) {
+func (b *ClusterState) askIfAwaited(id ids.Job) {
 	if b.pipes.graph.Awaited(id) && b.pipes.graph.Outcome(id) == dependency.Unknown {
 		b.ask(id, time.Now())
 	}
 }
 
 // cancelDependents cancels the waiting jobs that need a cancelled one.
-func (b *Book) cancelDependents(id ids.Job) { b.apply(b.pipes.graph.Cancel(id)) }
+func (b *ClusterState) cancelDependents(id ids.Job) { b.apply(b.pipes.graph.Cancel(id)) }
 
 // joinPipelines takes in that a job that others may await became claimable.
-func (b *Book) joinPipelines(j *Job) {
+func (b *ClusterState) joinPipelines(j *Job) {
 	id := j.Rec.Spec.ID
 	delete(b.pipes.lookUp, id)
 	j.inherited = b.pipes.graph.Inherited(id)
@@ -136,7 +136,7 @@
 }
 
 // finally takes in how a job ended, once that is stored.
-func (b *Book) finally(id ids.Job, how Status) {
+func (b *ClusterState) finally(id ids.Job, how Status) {
 	delete(b.pipes.lookUp, id)
 	if how != Done {
 		b.cancelDependents(id)
@@ -147,7 +147,7 @@
 
 // apply takes in what a change of the graph means for claimable jobs, and has what is
 // to be stored stored.
-func (b *Book) apply(changes dependency.Changes) {
+func (b *ClusterState) apply(changes dependency.Changes) {
 	if changes.Resolved {
 		poke(b.wakeCommit)
 	}
@@ -160,14 +160,14 @@
 }
 
 // reestimate takes in that fetches may take another time than thought.
-func (b *Book) reestimate() {
+func (b *ClusterState) reestimate() {
 	b.apply(b.pipes.graph.SetDurations(func(id ids.Job) time.Duration {
 		return b.duration(&b.pipes.waits[id].rec.Spec)
 	}))
 }
 
 // duration is how long a job takes once it may start, by its estimate.
-func (b *Book) duration(s *Spec) time.Duration {
+func (b *ClusterState) duration(s *Spec) time.Duration {
 	return ids.Seconds(float64(s.Estimate) + b.fetch(s)).Duration()
 }
 
--- a/internal/claim/pool.go
+++ b/internal/claim/pool.go
@@ -38,7 +38,7 @@
 // Term is one spell of owning the pool.
 type Term struct {
 	Gen        ids.Generation
-	Book       *Book
+	Cluster    *ClusterState
 	Committer  *Committer
 	Dispatcher *Dispatcher
 	Intents    []state.Entry
@@ -90,7 +90,7 @@
 			p.learnWaiting(id, ch)
 			return
 		case storedCancellation:
-			if b := p.Book(); b != nil {
+			if b := p.Cluster(); b != nil {
 				b.LearnCancellation(id, ch.Revision, ch.Put == "")
 			}
 			return
@@ -99,7 +99,7 @@
 			p.Learn(id, ch.Revision, nil)
 			return
 		}
-		b := p.Book()
+		b := p.Cluster()
 		if b == nil || b.wrote(ch.Value) {
 			return
 		}
@@ -147,10 +147,10 @@
 	return p.term
 }
 
-// Book is the book of the present term, if this node owns the pool.
-func (p *Pool) Book() *Book {
+// Cluster is the cluster state of the present term, if this node owns the pool.
+func (p *Pool) Cluster() *ClusterState {
 	if t := p.Term(); t != nil {
-		return t.Book
+		return t.Cluster
 	}
 	return nil
 }
@@ -204,12 +204,12 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-t.Book.wakePlan:
+		case <-t.Cluster.wakePlan:
 		case <-time.After(500 * time.Millisecond):
 		}
 		now := time.Now()
-		t.Book.Lapses(now)
-		t.Book.Plan(now)
+		t.Cluster.Lapses(now)
+		t.Cluster.Plan(now)
 		t.Dispatcher.Wake()
 		wait(ctx, 25*time.Millisecond)
 	}
@@ -236,7 +236,7 @@
 	p.checkDeaf(t)
 	if e, found, ready := p.mirror.Get(GenerationKey); ready && found {
 		var g generationRec
-		if json.Unmarshal(e.Value, &g) == nil && g.Generation > t.Book.Generation() && !strings.HasPrefix(g.Writer, p.incarnation+"/") {
+		if json.Unmarshal(e.Value, &g) == nil && g.Generation > t.Cluster.Generation() && !strings.HasPrefix(g.Writer, p.incarnation+"/") {
 			p.stepDown(t, "another owner raised the generation")
 		}
 	}
@@ -251,14 +251,14 @@
 	p.term = nil
 	p.mu.Unlock()
 	slog.Info("gave the machine pool up", "generation", t.Gen, "why", why)
-	t.Book.Close()
+	t.Cluster.Close()
 	t.cancel()
 	p.State.Budget().SetOwner(false)
 }
 
 // learnWaiting passes on news of a job that awaits others, if this node owns the pool.
 func (p *Pool) learnWaiting(id ids.Job, ch state.Change) {
-	b := p.Book()
+	b := p.Cluster()
 	if b == nil {
 		return
 	}
@@ -271,7 +271,7 @@
 
 // Learn passes on what another controller wrote, if this node owns the pool.
 func (p *Pool) Learn(id ids.Job, stamp ids.Revision, rec *Record) {
-	if b := p.Book(); b != nil {
+	if b := p.Cluster(); b != nil {
 		b.Learn(id, stamp, rec, time.Now())
 	}
 }
@@ -291,7 +291,7 @@
 	default:
 		return []string{"the pool was taken over a moment ago: its new owner is still reading the records"}, nil
 	}
-	lines := t.Book.Explain(id)
+	lines := t.Cluster.Explain(id)
 	if lines == nil {
 		lines = []string{"the pool's owner has not read of this job yet"}
 	}
--- a/internal/claim/preempt.go
+++ b/internal/claim/preempt.go
@@ -39,7 +39,7 @@
 
 // preyOf lists the machines on which a job may stop something, or where
 // something is being stopped. Jobs alike share the list within a pass.
-func (b *Book) preyOf(j *Job, ask *placement.Ask, ps *pass) []*host {
+func (b *ClusterState) preyOf(j *Job, ask *placement.Ask, ps *pass) []*host {
 	k := j.preyKey(ask)
 	if hs, ok := ps.prey[k]; ok {
 		return hs
@@ -69,7 +69,7 @@
 
 // preempt frees room for one task of j by stopping others, where the rules of
 // priority and guarantee allow it, at the least loss.
-func (b *Book) preempt(j *Job, ask *placement.Ask, ps *pass) (bool, string) {
+func (b *ClusterState) preempt(j *Job, ask *placement.Ask, ps *pass) (bool, string) {
 	k := j.preyKey(ask)
 	if covered(ps.spare[k], ask.Need) {
 		return false, ""
@@ -83,7 +83,7 @@
 
 // roomWhereHeld frees room on a machine that holds the image, by stopping
 // tasks that exit at once; it names the machine, also while that goes on.
-func (b *Book) roomWhereHeld(j *Job, ask *placement.Ask, ps *pass) string {
+func (b *ClusterState) roomWhereHeld(j *Job, ask *placement.Ask, ps *pass) string {
 	for name, r := range b.reserved {
 		if r.job != j.Rec.Spec.ID || ps.now.Sub(r.made) >= time.Second {
 			continue
@@ -108,7 +108,7 @@
 
 // displaceable tells whether stopping others would make room on machines
 // without accelerators.
-func (b *Book) displaceable(j *Job, ask *placement.Ask, ps *pass) bool {
+func (b *ClusterState) displaceable(j *Job, ask *placement.Ask, ps *pass) bool {
 	zones := b.zones(j)
 	for _, h := range b.preyOf(j, ask, ps) {
 		m := b.roster.Machines[h.name]
@@ -125,7 +125,7 @@
 
 // preemptOn picks the machine where stopping others loses least among those
 // that may allows; barren tells that no machine was left to choose from.
-func (b *Book) preemptOn(j *Job, ask *placement.Ask, ps *pass, may func(*placement.Machine, []*Place) bool) (done bool, where string, barren bool) {
+func (b *ClusterState) preemptOn(j *Job, ask *placement.Ask, ps *pass, may func(*placement.Machine, []*Place) bool) (done bool, where string, barren bool) {
 	if j.suspect() {
 		return false, "", false // nothing is stopped for what may fail anyway
 	}
@@ -219,7 +219,7 @@
 }
 
 // victims picks whom to stop on a machine so that the ask fits.
-func (b *Book) victims(j *Job, h *host, free placement.Room, ask *placement.Ask, now time.Time) ([]*Place, float64, bool) {
+func (b *ClusterState) victims(j *Job, h *host, free placement.Room, ask *placement.Ask, now time.Time) ([]*Place, float64, bool) {
 	type cand struct {
 		p    *Place
 		loss float64
@@ -277,7 +277,7 @@
 const owedFor = 2 * time.Second
 
 // withheld is what a job must leave of its team's limit to one that goes first.
-func (b *Book) withheld(j *Job, now time.Time) placement.Room {
+func (b *ClusterState) withheld(j *Job, now time.Time) placement.Room {
 	o, ok := b.owed[j.Rec.Spec.Team]
 	if !ok || o.job == j || !o.until.After(now) || !o.job.claimable() || j.priority() >= o.job.priority() {
 		return placement.Room{}
@@ -288,7 +288,7 @@
 // yield stops lesser work of a job's own team when the team's limit is all
 // that keeps high or critical tasks from starting. What is being stopped
 // already counts as making way.
-func (b *Book) yield(j *Job, n int, now time.Time) bool {
+func (b *ClusterState) yield(j *Job, n int, now time.Time) bool {
 	s := &j.Rec.Spec
 	if j.priority() < High || !b.Storing() || j.suspect() {
 		return false
@@ -356,7 +356,7 @@
 
 // mayStop is the protocol's rule of preemption, but that the beginning of a job that
 // starved is kept for a moment.
-func (b *Book) mayStop(p *Place, j *Job) bool {
+func (b *ClusterState) mayStop(p *Place, j *Job) bool {
 	return b.mayStopJob(p.Job, j) && !p.keptFrom(j)
 }
 
@@ -365,7 +365,7 @@
 	return j.priority() < Critical && time.Now().Before(p.keptUntil)
 }
 
-func (b *Book) mayStopJob(v, j *Job) bool {
+func (b *ClusterState) mayStopJob(v, j *Job) bool {
 	if v.priority() < j.priority() {
 		return true
 	}
--- a/internal/claim/probe.go
+++ b/internal/claim/probe.go
@@ -14,7 +14,7 @@
 // takeover it asks all that are known, instead of waiting until their workers
 // have found the new owner, and shows them its token.
 func (d *Dispatcher) probe(ctx context.Context) {
-	for _, pr := range d.Book.toProbe(time.Now(), cap(d.slots)) {
+	for _, pr := range d.Cluster.toProbe(time.Now(), cap(d.slots)) {
 		go func() {
 			var rep *worker.Report
 			if pr.session > 0 {
@@ -34,9 +34,9 @@
 					rep = fenced
 				}
 			}
-			d.Book.probed(pr.machine, rep != nil)
+			d.Cluster.probed(pr.machine, rep != nil)
 			if rep != nil {
-				d.Book.Observe(rep, false, false)
+				d.Cluster.Observe(rep, false, false)
 			}
 		}()
 	}
@@ -52,7 +52,7 @@
 }
 
 // toProbe picks whom to ask now, at most most at a time.
-func (b *Book) toProbe(now time.Time, most int) (out []probe) {
+func (b *ClusterState) toProbe(now time.Time, most int) (out []probe) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if now.Sub(b.probedAt) < 100*time.Millisecond {
@@ -125,7 +125,7 @@
 const keenProbes = 4
 
 // stays tells whether replicas run on a machine.
-func (b *Book) stays(m *worker.Machine) bool {
+func (b *ClusterState) stays(m *worker.Machine) bool {
 	h := b.hosts[m.Name]
 	return h != nil && h.stay > 0
 }
@@ -133,7 +133,7 @@
 // askAfter is the silence after which a machine is asked how it is. Where
 // replicas run, nobody waits long for a report: while a machine hangs, they are
 // down, and reports may be far apart.
-func (b *Book) askAfter(m *worker.Machine) time.Duration {
+func (b *ClusterState) askAfter(m *worker.Machine) time.Duration {
 	after := b.set.Params.Workers.ReportS.Duration() / 2
 	if b.stays(m) {
 		after = min(after, believed*5/8)
@@ -144,7 +144,7 @@
 // reached takes in whether a machine answered a call. One that did gets what it
 // is owed; one that did not loses what was only marked for it: no start of that
 // went out, so it may go elsewhere at once.
-func (b *Book) reached(m *worker.Machine, answered bool) {
+func (b *ClusterState) reached(m *worker.Machine, answered bool) {
 	doubted := m.Doubtful()
 	m.Reached(answered, time.Now())
 	h := b.hosts[m.Name]
@@ -165,7 +165,7 @@
 	}
 }
 
-func (b *Book) probed(name ids.Machine, answered bool) {
+func (b *ClusterState) probed(name ids.Machine, answered bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.probing--
--- a/internal/claim/production_test.go
+++ b/internal/claim/production_test.go
@@ -52,7 +52,7 @@
 			t.Fatal(name)
 		}
 		sameJSON(t, name, raw, want)
-		// Through the book of a new leader as well.
+		// Through the cluster state of a new leader as well.
 		if r.Status.Over() {
 			continue
 		}
--- a/internal/claim/promote.go
+++ b/internal/claim/promote.go
@@ -15,7 +15,7 @@
 // waitingOnes collects what may be stored of jobs that wait: those that become
 // claimable, or, if over, those that end.
 func (c *Committer) waitingOnes(over bool, add func(pending) bool) {
-	b := c.Book
+	b := c.Cluster
 	if over {
 		for id := range b.pipes.graph.Cancelled() {
 			if p, ok := c.moveOf(id, true); ok && !add(p) {
@@ -39,7 +39,7 @@
 }
 
 // hasUrgent tells whether a change of a claimable job has to be stored at once.
-func (b *Book) hasUrgent() bool {
+func (b *ClusterState) hasUrgent() bool {
 	for j := range b.dirty {
 		if j.urgent {
 			return true
@@ -50,7 +50,7 @@
 
 // inOrderOfPriority sorts waiting jobs, inherited priority included; the first
 // submitted of equals go first.
-func (b *Book) inOrderOfPriority(jobs iter.Seq[ids.Job]) []ids.Job {
+func (b *ClusterState) inOrderOfPriority(jobs iter.Seq[ids.Job]) []ids.Job {
 	type entry struct {
 		id        ids.Job
 		priority  int
@@ -74,7 +74,7 @@
 // moveOf is the transaction that moves a waiting job to the claimable ones or, if
 // over, to those that ended; ok is false when its record does not fit a value.
 func (c *Committer) moveOf(id ids.Job, over bool) (p pending, ok bool) {
-	b := c.Book
+	b := c.Cluster
 	w := b.pipes.waits[id]
 	now := ids.WallOf(time.Now())
 	rec := *w.rec
@@ -106,7 +106,7 @@
 }
 
 // movedOn takes in that a waiting job's move is stored.
-func (b *Book) movedOn(p pending, stamp ids.Revision, now time.Time) {
+func (b *ClusterState) movedOn(p pending, stamp ids.Revision, now time.Time) {
 	id := p.wait.id()
 	if b.pipes.waits[id] == p.wait {
 		b.unwait(p.wait)
@@ -124,7 +124,7 @@
 // repairMove reads back what became of a waiting job whose move met a conflict: an
 // answer was lost, or its user cancelled it.
 func (c *Committer) repairMove(ctx context.Context, p pending) bool {
-	b, id := c.Book, p.wait.id()
+	b, id := c.Cluster, p.wait.id()
 	live, found, err := c.State.Get(ctx, JobKey(id), state.Urgent)
 	if err != nil {
 		return false
--- a/internal/claim/promote_test.go
+++ b/internal/claim/promote_test.go
@@ -11,7 +11,7 @@
 )
 
 // storeWaiting stores jobs that wait and loads them like a new leader.
-func (h *history) storeWaiting(t *testing.T, b *Book, recs ...*Record) {
+func (h *history) storeWaiting(t *testing.T, b *ClusterState, recs ...*Record) {
 	byID, stamps := map[ids.Job]*Record{}, map[ids.Job]ids.Revision{}
 	for len(recs) > 0 {
 		var txn state.Txn
@@ -33,7 +33,7 @@
 }
 
 // storeLive stores a claimable job and loads it.
-func (h *history) storeLive(t *testing.T, b *Book, r *Record) *Job {
+func (h *history) storeLive(t *testing.T, b *ClusterState, r *Record) *Job {
 	raw, _ := r.Encode(8192)
 	epoch, err := h.state.Commit(context.Background(), state.Txn{Then: []state.Op{{Put: JobKey(r.Spec.ID), Value: raw}}}, state.Urgent)
 	if err != nil {
--- a/internal/claim/redirect.go
+++ b/internal/claim/redirect.go
@@ -66,7 +66,7 @@
 // gives the pool up, at once and for a while, to one that is not.
 func (p *Pool) Reconsider(stranded []Strand) {
 	t := p.Term()
-	if t == nil || len(stranded) == 0 || !t.Book.cutOff(stranded, time.Now()) {
+	if t == nil || len(stranded) == 0 || !t.Cluster.cutOff(stranded, time.Now()) {
 		return
 	}
 	p.giveWay(t, "cut off from the workers, which reach another node")
@@ -80,7 +80,7 @@
 // controller can be reached to tell whether they reach it. An owner that hears
 // nobody keeps no lease alive, so little is lost if another fares no better.
 func (p *Pool) checkDeaf(t *Term) {
-	if p.Peers == nil || !p.Peers.Alone() || time.Since(t.began) < deafAfter || !t.Book.deaf(time.Now()) {
+	if p.Peers == nil || !p.Peers.Alone() || time.Since(t.began) < deafAfter || !t.Cluster.deaf(time.Now()) {
 		return
 	}
 	p.giveWay(t, "no worker is heard, and no other controller")
--- a/internal/claim/returns.go
+++ b/internal/claim/returns.go
@@ -12,7 +12,7 @@
 
 // Returns picks the machines to delete now, and marks them so that nothing
 // more is placed there.
-func (b *Book) Returns(now time.Time, needed map[ids.Machine]bool) []ids.Machine {
+func (b *ClusterState) Returns(now time.Time, needed map[ids.Machine]bool) []ids.Machine {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	silentAfter := 3*b.set.Params.Workers.ReportS.Duration() + 4*time.Second
@@ -41,7 +41,7 @@
 	return out
 }
 
-func (b *Book) whyReturn(m *worker.Machine, now time.Time, silentAfter time.Duration, needed map[ids.Machine]bool, si *silence) string {
+func (b *ClusterState) whyReturn(m *worker.Machine, now time.Time, silentAfter time.Duration, needed map[ids.Machine]bool, si *silence) string {
 	empty := len(b.placesOn(m.Name)) == 0
 	switch {
 	case m.Failed:
@@ -83,7 +83,7 @@
 // returned is proof at once. Two thirds of a lease before that time the first
 // end, if the cut is older than the takeover: not earlier, since it may be over
 // before.
-func (b *Book) movable(m *worker.Machine, si *silence) bool {
+func (b *ClusterState) movable(m *worker.Machine, si *silence) bool {
 	for p := range b.placesOn(m.Name) {
 		if s := &p.Job.Rec.Spec; s.Shape != Service || s.Zone != "" || !p.Job.claimable() {
 			continue
@@ -105,7 +105,7 @@
 // silentFor is how long a machine that leaves questions unanswered is given.
 // Its replicas are down meanwhile, so it is short; a node that is itself cut
 // off sees many such machines and then returns none.
-func (b *Book) silentFor(m *worker.Machine) time.Duration {
+func (b *ClusterState) silentFor(m *worker.Machine) time.Duration {
 	d := b.set.Params.Workers.ReportS.Duration()
 	if h := b.hosts[m.Name]; h != nil && h.stay > 0 {
 		d = min(d, believed)
@@ -133,7 +133,7 @@
 	dark   bool
 }
 
-func (b *Book) listen() *silence {
+func (b *ClusterState) listen() *silence {
 	si := b.count()
 	lit := false
 	for name, z := range si.zones {
@@ -150,7 +150,7 @@
 }
 
 // count looks at who is heard and who is not.
-func (b *Book) count() *silence {
+func (b *ClusterState) count() *silence {
 	si := &silence{storing: b.Storing(), zones: map[string]*zoneSilence{}}
 	var silent []*worker.Machine
 	for _, o := range b.roster.Machines {
@@ -194,7 +194,7 @@
 
 // relight begins to judge a zone's machines anew: it was dark and somebody
 // there is heard again, so the others get the time to be heard too.
-func (b *Book) relight(zone string) {
+func (b *ClusterState) relight(zone string) {
 	now := time.Now()
 	slog.Info("heard from a zone again that was dark", "zone", zone)
 	for _, m := range b.roster.Machines {
@@ -228,7 +228,7 @@
 // that is only cut off goes on, and a third of the fleet is not rented anew for
 // that: its machines are left until their leases have surely lapsed. Nothing is
 // rented there meanwhile.
-func (b *Book) DarkZones() map[string]bool {
+func (b *ClusterState) DarkZones() map[string]bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	dark := map[string]bool{}
--- a/internal/claim/scale_test.go
+++ b/internal/claim/scale_test.go
@@ -11,8 +11,8 @@
 	"github.com/pebbletrail/pebbletrail/internal/worker"
 )
 
-// fleet is a book with n machines of four cores, in two zones.
-func fleet(t *testing.T, n int) *Book {
+// fleet is a cluster state with n machines of four cores, in two zones.
+func fleet(t *testing.T, n int) *ClusterState {
 	old := slog.Default()
 	slog.SetDefault(slog.New(slog.NewTextHandler(io.Discard, nil)))
 	t.Cleanup(func() { slog.SetDefault(old) })
--- a/internal/claim/schedule.go
+++ b/internal/claim/schedule.go
@@ -47,9 +47,9 @@
 	return slices.ContainsFunc(known, func(r placement.Room) bool { return need.Holds(r) })
 }
 
-// Plan claims what there is room for: it puts places in the book, whose
+// Plan claims what there is room for: it puts places in the cluster state, whose
 // markers the committer then stores.
-func (b *Book) Plan(now time.Time) {
+func (b *ClusterState) Plan(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.lost || len(b.types) == 0 {
@@ -70,12 +70,12 @@
 }
 
 // queue puts a job into the line by submission; unqueue takes it out.
-func (b *Book) queue(j *Job) {
+func (b *ClusterState) queue(j *Job) {
 	at, _ := slices.BinarySearchFunc(b.line, j, earlier)
 	b.line = slices.Insert(b.line, at, j)
 }
 
-func (b *Book) unqueue(j *Job) {
+func (b *ClusterState) unqueue(j *Job) {
 	if at, ok := slices.BinarySearchFunc(b.line, j, earlier); ok {
 		b.line = slices.Delete(b.line, at, at+1)
 	}
@@ -102,7 +102,7 @@
 // ranked lists the claimable jobs that have tasks to place: critical work
 // first, then what has waited too long for its first start or lies within its
 // team's guarantee, then by priority and age.
-func (b *Book) ranked(now time.Time) []*Job {
+func (b *ClusterState) ranked(now time.Time) []*Job {
 	type entry struct {
 		j    *Job
 		rank int
@@ -178,7 +178,7 @@
 // readyWhereHeld tells whether machines that hold a gang's image have room for
 // all of it. Large images take a good part of a gang's time, so of two gangs
 // alike the one that need not fetch is complete sooner.
-func (b *Book) readyWhereHeld(j *Job) bool {
+func (b *ClusterState) readyWhereHeld(j *Job) bool {
 	s := &j.Rec.Spec
 	n := s.Tasks - len(j.places)
 	for h := range b.byImage[s.Image] {
@@ -203,14 +203,14 @@
 }
 
 // quota is how many more tasks of a job its team's limits allow.
-func (b *Book) quota(s *Spec, want int) int { return b.quotaBeside(s, placement.Room{}, want) }
+func (b *ClusterState) quota(s *Spec, want int) int { return b.quotaBeside(s, placement.Room{}, want) }
 
 // mayHave is the same less what is owed to a job that goes first.
-func (b *Book) mayHave(j *Job, want int, now time.Time) int {
+func (b *ClusterState) mayHave(j *Job, want int, now time.Time) int {
 	return b.quotaBeside(&j.Rec.Spec, b.withheld(j, now), want)
 }
 
-func (b *Book) quotaBeside(s *Spec, other placement.Room, want int) int {
+func (b *ClusterState) quotaBeside(s *Spec, other placement.Room, want int) int {
 	t, ok := b.set.Team(s.Team)
 	if !ok {
 		return 0
@@ -234,7 +234,7 @@
 }
 
 // zones is nil when the job sets no rule on zones.
-func (b *Book) zones(j *Job) *zoning {
+func (b *ClusterState) zones(j *Job) *zoning {
 	s := &j.Rec.Spec
 	if !s.OneZone && !s.Spread {
 		return nil
@@ -271,7 +271,7 @@
 }
 
 // claim places what it can of one job.
-func (b *Book) claim(j *Job, ps *pass) {
+func (b *ClusterState) claim(j *Job, ps *pass) {
 	s := &j.Rec.Spec
 	if s.Shape == Gang {
 		b.claimGang(j, ps)
@@ -365,7 +365,7 @@
 	return j.Rec.Spec.Shape == Array && j.slice.attempt == j.Rec.Attempt && j.Rec.Attempt > 0 && i > j.slice.top
 }
 
-func (b *Book) placed(j *Job, n int) {
+func (b *ClusterState) placed(j *Job, n int) {
 	if n == 0 {
 		return
 	}
@@ -392,7 +392,7 @@
 // places took when they were last stored, since many small tasks share a machine.
 // What is finished in between breaks the ranges up: once a machine's tasks are no
 // longer next to one another, each takes the bytes of its number.
-func (b *Book) openLimit(j *Job) int {
+func (b *ClusterState) openLimit(j *Job) int {
 	value := b.set.Params.State.ValueKB * 1024
 	n := int((value*0.92 - min(1500, float64(j.described()))) / 40)
 	if w := j.width; w.places > 0 {
@@ -422,14 +422,14 @@
 
 // heldFor tells whether what is free on a machine was freed for another job
 // that goes first.
-func (b *Book) heldFor(m *placement.Machine, j *Job, now time.Time) bool {
+func (b *ClusterState) heldFor(m *placement.Machine, j *Job, now time.Time) bool {
 	r, ok := b.reserved[m.Name]
 	return ok && r.job != j.Rec.Spec.ID && r.until.After(now) && b.outranks(r.job, j, now) && !m.Free.Minus(r.need).Holds(j.Rec.Spec.Need)
 }
 
 // release gives up what was freed for a job that found its places: it may have
 // found them elsewhere.
-func (b *Book) release(j *Job) {
+func (b *ClusterState) release(j *Job) {
 	for name, r := range b.reserved {
 		if r.job == j.Rec.Spec.ID {
 			delete(b.reserved, name)
@@ -438,12 +438,12 @@
 }
 
 // outranks tells whether a reservation's job still goes before j.
-func (b *Book) outranks(id ids.Job, j *Job, now time.Time) bool {
+func (b *ClusterState) outranks(id ids.Job, j *Job, now time.Time) bool {
 	h := b.jobs[id]
 	return h != nil && h.claimable() && (h.priority() >= j.priority() || h.starves(now) && j.priority() < Critical)
 }
 
-func (b *Book) place(j *Job, i int, a ids.Attempt, h *host, now time.Time) {
+func (b *ClusterState) place(j *Job, i int, a ids.Attempt, h *host, now time.Time) {
 	m := b.roster.Machines[h.name]
 	if res, ok := b.reserved[m.Name]; ok && res.job == j.Rec.Spec.ID {
 		delete(b.reserved, m.Name)
--- a/internal/claim/settle.go
+++ b/internal/claim/settle.go
@@ -13,7 +13,7 @@
 // Observe settles outcomes from a report and returns the orders its machine
 // should get. answered tells that the worker gets a 200 for this report; beat
 // tells a beat from the answer to direct commands.
-func (b *Book) Observe(rep *worker.Report, answered, beat bool) []worker.Order {
+func (b *ClusterState) Observe(rep *worker.Report, answered, beat bool) []worker.Order {
 	starting, read := b.Starting()
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -151,14 +151,14 @@
 // a gang the same task may have been started again, under the same attempt, on the
 // machine where it had ended. Of other jobs every start has a number of its own; and
 // what is done is done.
-func (b *Book) ambiguous(j *Job, rep *worker.Report, pc *worker.Piece) bool {
+func (b *ClusterState) ambiguous(j *Job, rep *worker.Report, pc *worker.Piece) bool {
 	return j.Rec.Spec.Shape == Gang && rep.Token < b.first && !(pc.Status == worker.Ended && pc.Cause == worker.CauseDone)
 }
 
 // ordersFor repeats, in a beat's answer, what the machine still has to do.
 // Every command may be repeated; a start is named by task and attempt, so it
 // takes effect once.
-func (b *Book) ordersFor(m *worker.Machine, beat, starting bool, read, now time.Time) []worker.Order {
+func (b *ClusterState) ordersFor(m *worker.Machine, beat, starting bool, read, now time.Time) []worker.Order {
 	if !beat {
 		return nil
 	}
@@ -184,7 +184,7 @@
 // still be on its way to it, of a task whose job was cancelled so long ago that the
 // task could be there beyond cancel_s. A raised token turns the start away sooner,
 // but to raise it takes the state service.
-func (b *Book) mustLapse(rep *worker.Report, grace time.Duration) bool {
+func (b *ClusterState) mustLapse(rep *worker.Report, grace time.Duration) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	m := b.roster.Machines[rep.Machine]
@@ -210,7 +210,7 @@
 }
 
 // saw notes a task that is on its machine.
-func (b *Book) saw(p *Place, pc *worker.Piece, m *worker.Machine, now time.Time) {
+func (b *ClusterState) saw(p *Place, pc *worker.Piece, m *worker.Machine, now time.Time) {
 	if !p.seen || p.status != pc.Status {
 		slog.Debug("seen", "class", p.Job.Rec.Spec.Class, "job", p.Job.Rec.Spec.ID, "task", p.Index, "machine", m.Name, "status", pc.Status,
 			"sincePlaced", now.Sub(p.since).Round(time.Millisecond))
@@ -249,7 +249,7 @@
 }
 
 // settle takes in how an attempt ended.
-func (b *Book) settle(p *Place, pc *worker.Piece, m *worker.Machine) {
+func (b *ClusterState) settle(p *Place, pc *worker.Piece, m *worker.Machine) {
 	j, i := p.Job, p.Index
 	k := taskAttempt{p.Task(), p.Attempt, m.Name}
 	b.dropPlace(p)
@@ -312,7 +312,7 @@
 	return p.why
 }
 
-func (b *Book) tryOf(j *Job, i int) *retry {
+func (b *ClusterState) tryOf(j *Job, i int) *retry {
 	r := j.tries[i]
 	if r == nil {
 		r = &retry{avoid: map[ids.Machine]bool{}}
@@ -322,20 +322,20 @@
 }
 
 // backoff doubles the wait before a failing task's next try.
-func (b *Book) backoff(j *Job, i int, now time.Time) *retry {
+func (b *ClusterState) backoff(j *Job, i int, now time.Time) *retry {
 	r := b.tryOf(j, i)
 	r.fails++
 	r.at = now.Add(b.waitAfter(r.fails))
 	return r
 }
 
-func (b *Book) waitAfter(fails int) time.Duration {
+func (b *ClusterState) waitAfter(fails int) time.Duration {
 	wait := b.set.Own.BackoffS * math.Pow(2, float64(min(fails, 16)-1))
 	return ids.Seconds(min(wait, b.set.Own.BackoffMaxS)).Duration()
 }
 
 // vanish requeues a task proven not to be on its machine any more.
-func (b *Book) vanish(p *Place, why string) {
+func (b *ClusterState) vanish(p *Place, why string) {
 	j := p.Job
 	if m := b.roster.Machines[p.Machine]; m != nil {
 		// By what evidence, should it turn out to be wrong.
@@ -360,7 +360,7 @@
 }
 
 // stray deals with a reported piece that no place accounts for.
-func (b *Book) stray(j *Job, k taskAttempt, pc *worker.Piece, m *worker.Machine) []worker.Order {
+func (b *ClusterState) stray(j *Job, k taskAttempt, pc *worker.Piece, m *worker.Machine) []worker.Order {
 	if pc.Status == worker.Ended {
 		if j != nil && !j.ended {
 			if v, ok := j.settled[k]; ok && j.saved < v {
@@ -407,7 +407,7 @@
 
 // Lapses requeues what was on machines whose workers' leases have surely run
 // out, and returns whether anything did.
-func (b *Book) Lapses(now time.Time) {
+func (b *ClusterState) Lapses(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if now.Sub(b.lapsed) < 200*time.Millisecond {
@@ -433,7 +433,7 @@
 
 // MachineGone requeues everything on a machine that the cloud has confirmed
 // deleted, and forgets it.
-func (b *Book) MachineGone(name ids.Machine) {
+func (b *ClusterState) MachineGone(name ids.Machine) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	why := "its machine was returned to the cloud"
--- a/internal/claim/spent.go
+++ b/internal/claim/spent.go
@@ -18,7 +18,7 @@
 }
 
 // account adds what the time since the last call cost.
-func (b *Book) account(now time.Time) {
+func (b *ClusterState) account(now time.Time) {
 	s := &b.spent
 	if s.again == nil {
 		s.again = map[string]float64{}
@@ -75,7 +75,7 @@
 func cents(v float64) float64 { return math.Round(v*1000) / 1000 }
 
 // redo counts work lost with a task that was stopped or vanished.
-func (b *Book) redo(p *Place, cause string, now time.Time) {
+func (b *ClusterState) redo(p *Place, cause string, now time.Time) {
 	if p.ranSince.IsZero() || p.Job.Rec.Spec.Shape == Service || b.spent.again == nil {
 		return
 	}
--- a/internal/claim/standstill.go
+++ b/internal/claim/standstill.go
@@ -71,13 +71,13 @@
 // woke begins to judge the machines anew: what looks silent was perhaps only not
 // listened to.
 func (p *Pool) woke(time.Duration) {
-	if b := p.Book(); b != nil {
+	if b := p.Cluster(); b != nil {
 		b.listenAnew(time.Now())
 	}
 }
 
 // listenAnew gives every machine the time to be heard again.
-func (b *Book) listenAnew(now time.Time) {
+func (b *ClusterState) listenAnew(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, m := range b.roster.Machines {
--- a/internal/claim/standstill_test.go
+++ b/internal/claim/standstill_test.go
@@ -21,7 +21,7 @@
 		p.still.onWake = p.woke
 		p.readAt = time.Now // the records are read all the while: only the standstill counts here
 		b := fleet(t, 12)
-		term := &Term{Gen: 7, Book: b, renewed: time.Now(), loaded: make(chan struct{}), cancel: func() {}}
+		term := &Term{Gen: 7, Cluster: b, renewed: time.Now(), loaded: make(chan struct{}), cancel: func() {}}
 		close(term.loaded)
 		p.term = term
 		beat := func(tick ids.Tick) int {
@@ -73,7 +73,7 @@
 		if _, err := p.Explain("job-1"); err == nil {
 			t.Error("who does not own the pool explains")
 		}
-		term := &Term{Gen: 7, Book: b, renewed: time.Now(), loaded: make(chan struct{}), cancel: func() {}}
+		term := &Term{Gen: 7, Cluster: b, renewed: time.Now(), loaded: make(chan struct{}), cancel: func() {}}
 		p.term = term
 		for _, c := range []struct {
 			what string
--- a/internal/claim/stories_test.go
+++ b/internal/claim/stories_test.go
@@ -41,7 +41,7 @@
 	t.Parallel()
 	story(t, func(t *testing.T, w *world) {
 		a := w.start("a")
-		w.until(5*time.Second, "a owns the pool", func() bool { return a.pool.Book() != nil })
+		w.until(5*time.Second, "a owns the pool", func() bool { return a.pool.Cluster() != nil })
 		w.worker("m1", "north")
 		time.Sleep(8 * time.Second)
 		b := w.start("b")
@@ -60,14 +60,14 @@
 			return fake.Deliver
 		})
 		w.submit("b", spec("job-2", "array", 1))
-		w.until(15*time.Second, "b takes over", func() bool { return b.pool.Book() != nil })
+		w.until(15*time.Second, "b takes over", func() bool { return b.pool.Cluster() != nil })
 		w.until(60*time.Second, "the task runs under b", func() bool { return len(w.on("job-2/0")) == 1 })
 		if n := w.net.Release(); n > 0 {
 			t.Logf("%d late transactions delivered", n)
 		}
 		w.hold(20*time.Second, "the task goes on undisturbed", func() bool { return len(w.on("job-2/0")) == 1 })
 		w.net.SetRule(nil)
-		w.until(10*time.Second, "a steps down", func() bool { return a.pool.Book() == nil })
+		w.until(10*time.Second, "a steps down", func() bool { return a.pool.Cluster() == nil })
 		if n := w.worn("m1").Started("job-2/0"); n != 1 {
 			t.Fatalf("started %d times", n)
 		}
@@ -122,7 +122,7 @@
 		})
 		b := w.start("b")
 		w.worker("m2", "south")
-		w.until(15*time.Second, "b owns the pool", func() bool { return b.pool.Book() != nil })
+		w.until(15*time.Second, "b owns the pool", func() bool { return b.pool.Cluster() != nil })
 		took := time.Now()
 		// While a still answers, the task is on m1 and must not start on m2.
 		w.until(3*time.Minute, "it runs on m2", func() bool { at := w.on("job-4/0"); return len(at) == 1 && at[0] == "m2" })
@@ -147,7 +147,7 @@
 		w.worn("m1").SetSilent(true)
 		b := w.start("b")
 		a.kill()
-		w.until(10*time.Second, "b owns the pool", func() bool { return b.pool.Book() != nil })
+		w.until(10*time.Second, "b owns the pool", func() bool { return b.pool.Cluster() != nil })
 		took := time.Now()
 		w.start("a")
 		w.worker("m2", "south")
@@ -331,7 +331,7 @@
 		a.kill()
 		time.Sleep(100 * time.Millisecond)
 		again := w.start("a")
-		w.until(time.Second, "it owns the pool at once", func() bool { return again.pool.Book() != nil })
+		w.until(time.Second, "it owns the pool at once", func() bool { return again.pool.Cluster() != nil })
 		w.hold(30*time.Second, "the replica goes on", func() bool { return len(w.on("job-15/0")) == 1 })
 		if n := w.worn("m1").Started("job-15/0"); n != 1 {
 			t.Fatalf("started %d times", n)
@@ -378,7 +378,7 @@
 		time.Sleep(45 * time.Second)
 		w.store.SetDown(true)
 		time.Sleep(2 * time.Second)
-		w.nodes["a"].pool.Book().Empty(ids.Machine(at), time.Now())
+		w.nodes["a"].pool.Cluster().Empty(ids.Machine(at), time.Now())
 		w.hold(10*time.Second, "not moved while nothing can be stored", func() bool { return len(w.on("job-17/0")) == 1 })
 		w.store.SetDown(false)
 		w.until(10*time.Second, "moved afterwards", func() bool { n := w.on("job-17/0"); return len(n) == 1 && n[0] != at })
@@ -387,10 +387,10 @@
 
 // hinted counts the machines that a node, if it owns the pool, has heard.
 func hinted(n *node) int {
-	if n.pool.Book() == nil {
+	if n.pool.Cluster() == nil {
 		return 0
 	}
-	hs, _ := n.pool.Book().Hints(claim.HintMark{})
+	hs, _ := n.pool.Cluster().Hints(claim.HintMark{})
 	return len(hs)
 }
 
@@ -404,13 +404,13 @@
 			return hinted(a) == 1 || hinted(b) == 1
 		})
 		first, second := a, b
-		if a.pool.Book() == nil {
+		if a.pool.Cluster() == nil {
 			first, second = b, a
 		}
-		second.pool.Hear(first.pool.Book().Hints(second.pool.Heard()))
+		second.pool.Hear(first.pool.Cluster().Hints(second.pool.Heard()))
 		w.worn("m1").SetSilent(true) // so that only being asked tells of it
 		first.kill()
-		w.until(5*time.Second, "a successor", func() bool { return second.pool.Book() != nil })
+		w.until(5*time.Second, "a successor", func() bool { return second.pool.Cluster() != nil })
 		w.until(2*time.Second, "m1 is known", func() bool { return hinted(second) == 1 })
 	})
 }
@@ -423,9 +423,9 @@
 		for _, m := range []string{"m1", "m2", "m3", "m4"} {
 			w.worker(m, "north")
 		}
-		w.until(10*time.Second, "an owner", func() bool { return a.pool.Book() != nil || b.pool.Book() != nil })
+		w.until(10*time.Second, "an owner", func() bool { return a.pool.Cluster() != nil || b.pool.Cluster() != nil })
 		first, second := a, b
-		if a.pool.Book() == nil {
+		if a.pool.Cluster() == nil {
 			first, second = b, a
 		}
 		time.Sleep(10 * time.Second)
@@ -439,13 +439,13 @@
 		})
 		cut := time.Now()
 		w.until(18*time.Second, "the other node owns the pool", func() bool {
-			if o := first.pool.Book(); o != nil {
+			if o := first.pool.Cluster(); o != nil {
 				if gone := o.Returns(time.Now(), nil); len(gone) > 0 {
 					t.Fatalf("returned %v although this node alone is cut off", gone)
 				}
 				first.pool.Reconsider(second.pool.Stranded())
 			}
-			return second.pool.Book() != nil
+			return second.pool.Cluster() != nil
 		})
 		t.Logf("gave way %v after the cut", time.Since(cut))
 		w.hold(40*time.Second, "the replicas go on", func() bool { return len(w.on("job-19/3")) == 1 })
--- a/internal/claim/survey.go
+++ b/internal/claim/survey.go
@@ -12,7 +12,7 @@
 // room and the image widens to all with room, which are then listed once for
 // all tasks of the job.
 type survey struct {
-	b     *Book
+	b     *ClusterState
 	j     *Job
 	ask   *placement.Ask
 	ps    *pass
@@ -31,7 +31,7 @@
 	score float64
 }
 
-func (b *Book) survey(j *Job, ask *placement.Ask, ps *pass) *survey {
+func (b *ClusterState) survey(j *Job, ask *placement.Ask, ps *pass) *survey {
 	v := &survey{b: b, j: j, ask: ask, ps: ps, zones: b.zones(j), plain: ask.Long && ask.Need.Accels == 0}
 	if covered(ps.full[keyOf(ask)], ask.Need) {
 		v.wide = true // an earlier job of this pass found none
@@ -195,7 +195,7 @@
 	return found
 }
 
-func (h *host) holds(b *Book, image string) bool {
+func (h *host) holds(b *ClusterState, image string) bool {
 	m := b.roster.Machines[h.name]
 	return m != nil && m.Images.Has(image)
 }
--- a/internal/claim/takeover.go
+++ b/internal/claim/takeover.go
@@ -100,14 +100,14 @@
 	now := time.Now()
 	w := &p.Set.Params.Workers
 	trust := now.Add(p.Set.Grace().Drifted() + w.LeaseS.Drifted())
-	b := NewBook(p.Set, writer, gen, trust)
+	b := NewClusterState(p.Set, writer, gen, trust)
 	fresh := time.Duration(p.Set.Own.PoolHoldMs) * time.Millisecond / 2
 	b.Storing = func() bool {
 		age, ok := p.State.SinceSuccess()
 		return ok && age < fresh
 	}
 	tctx, cancel := context.WithCancel(ctx)
-	t := &Term{Gen: gen, Book: b, hold: hold, began: now, renewed: sent, loaded: make(chan struct{}), cancel: cancel}
+	t := &Term{Gen: gen, Cluster: b, hold: hold, began: now, renewed: sent, loaded: make(chan struct{}), cancel: cancel}
 	t.Committer = NewCommitter(b, p.State, p.Set.HostName, stamp)
 	t.Dispatcher = NewDispatcher(b, p.Commander, p.Set.Sockets().Direct/4)
 	t.Dispatcher.May = func() bool { return p.proven(t) }
@@ -151,7 +151,7 @@
 			case waitingRecord:
 				into, decode = waits, DecodeWaiting
 			case storedCancellation:
-				t.Book.LearnCancellation(id, e.Revision, false)
+				t.Cluster.LearnCancellation(id, e.Revision, false)
 				continue
 			}
 			rec, err := decode(e.Value)
@@ -161,8 +161,8 @@
 			}
 			into[rec.Spec.ID], stamps[rec.Spec.ID] = rec, e.Revision
 		}
-		t.Book.Load(recs, stamps, ids.Revision(epoch), time.Now())
-		t.Book.LoadWaiting(waits, stamps, time.Now())
+		t.Cluster.Load(recs, stamps, ids.Revision(epoch), time.Now())
+		t.Cluster.LoadWaiting(waits, stamps, time.Now())
 		close(t.loaded)
 		slog.Info("records loaded", "jobs", len(recs), "waiting", len(waits), "hires", len(t.Intents))
 		return true
@@ -174,7 +174,7 @@
 // that this node answers no beats under an older one.
 func (p *Pool) Superseded(gen ids.Generation) bool {
 	if t := p.Term(); t != nil {
-		if t.Book.Generation() >= gen {
+		if t.Cluster.Generation() >= gen {
 			return false
 		}
 		p.stepDown(t, "a peer owns a higher generation")
@@ -219,7 +219,7 @@
 		}
 		if p.Peers.AllStopped(ctx, t.Gen, of...) {
 			now := time.Now()
-			t.Book.Trust(now.Add(p.Set.Params.Workers.LeaseS.Drifted()))
+			t.Cluster.Trust(now.Add(p.Set.Params.Workers.LeaseS.Drifted()))
 			return
 		}
 		wait(ctx, 500*time.Millisecond)
--- a/internal/claim/troubles_test.go
+++ b/internal/claim/troubles_test.go
@@ -23,7 +23,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, n := range w.nodes {
-		if n.pool.Book() != nil {
+		if n.pool.Cluster() != nil {
 			return n
 		}
 	}
@@ -101,7 +101,7 @@
 		a.kill()
 		time.Sleep(200 * time.Millisecond)
 		a = w.start("a")
-		w.until(5*time.Second, "it owns the pool again", func() bool { return a.pool.Book() != nil })
+		w.until(5*time.Second, "it owns the pool again", func() bool { return a.pool.Cluster() != nil })
 		if w.net.Release() < 2 {
 			t.Fatal("no copies were kept")
 		}
--- a/internal/claim/world_test.go
+++ b/internal/claim/world_test.go
@@ -88,7 +88,7 @@
 	name   string
 	pool   *claim.Pool
 	asked  []ids.Node // who was last asked to confirm that it stopped
-	desk   *intake.Desk
+	jobs   *intake.JobService
 	cancel context.CancelFunc
 }
 
@@ -143,17 +143,17 @@
 	n.pool = claim.NewPool(set, st, &worker.Commander{HTTP: w.net.Client(name), Timeout: 3 * time.Second}, writer)
 	n.pool.Peers = n
 	n.pool.OnTerm = func(ctx context.Context, t *claim.Term) {
-		t.Book.SetTypes(types())
+		t.Cluster.SetTypes(types())
 		for ctx.Err() == nil {
-			t.Book.List(w.list(), time.Now())
+			t.Cluster.List(w.list(), time.Now())
 			select {
 			case <-ctx.Done():
 			case <-time.After(2 * time.Second):
 			}
 		}
 	}
-	n.desk = &intake.Desk{Set: set, State: st, Jobs: n.pool.Jobs(), OwnerNotifier: n, Writer: writer, Types: types}
-	w.net.Listen(name+":8080", (&intake.Site{Desk: n.desk, Heartbeats: n.pool, Ready: func() bool { return true },
+	n.jobs = &intake.JobService{Set: set, State: st, Jobs: n.pool.Jobs(), OwnerNotifier: n, Writer: writer, Types: types}
+	w.net.Listen(name+":8080", (&intake.Site{Jobs: n.jobs, Heartbeats: n.pool, Ready: func() bool { return true },
 		Live:   func(context.Context, ids.Job) ([]string, ids.Node, error) { return nil, "", nil },
 		Status: func() any { return nil }}).Handler())
 	w.mu.Lock()
@@ -218,7 +218,7 @@
 // network is.
 func (n *node) NotifyOwner(id ids.Job, stamp ids.Revision, rec *claim.Record, raw json.RawMessage) <-chan struct{} {
 	done := make(chan struct{})
-	if lag := n.w.lag.Load(); lag != nil && n.pool.Book() == nil {
+	if lag := n.w.lag.Load(); lag != nil && n.pool.Cluster() == nil {
 		go func() {
 			defer close(done)
 			select {
--- a/internal/fleet/boots_test.go
+++ b/internal/fleet/boots_test.go
@@ -15,7 +15,7 @@
 
 // yard lets rented machines come up when told.
 type yard struct {
-	b    *claim.Book
+	b    *claim.ClusterState
 	c    *fake.Cloud
 	born map[string]time.Time
 	tick ids.Tick
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -57,12 +57,12 @@
 		Need: placement.Room{Cores: 4, RAM: 4}}, ids.WallOf(time.Now()), "user")
 }
 
-func setup(room int) (*fake.Net, *fake.Cloud, *claim.Book, *shelf, *Provisioner) {
+func setup(room int) (*fake.Net, *fake.Cloud, *claim.ClusterState, *shelf, *Provisioner) {
 	n, c := fake.NewNet(), fake.NewCloud(room)
 	n.Listen("cloud:1", c)
-	b := claim.NewBook(set(), "w", 7, time.Now())
+	b := claim.NewClusterState(set(), "w", 7, time.Now())
 	s := &shelf{names: map[string]bool{}}
-	return n, c, b, s, &Provisioner{Cloud: NewCloud("cloud:1", n.Client("a"), 50), Book: b, Store: s, Gen: 7, ListEvery: time.Second}
+	return n, c, b, s, &Provisioner{Cloud: NewCloud("cloud:1", n.Client("a"), 50), Cluster: b, Store: s, Gen: 7, ListEvery: time.Second}
 }
 
 func TestAHireIsStoredBeforeItIsSentAndNeverDoubled(t *testing.T) {
--- a/internal/fleet/provisioner.go
+++ b/internal/fleet/provisioner.go
@@ -26,9 +26,9 @@
 
 // Provisioner is the pool owner's loop that rents and returns machines as the work demands.
 type Provisioner struct {
-	Cloud *Cloud
-	Book  *claim.Book
-	Store Store
+	Cloud   *Cloud
+	Cluster *claim.ClusterState
+	Store   Store
 	// Gen makes hire names unique: it is this owner's alone.
 	Gen ids.Generation
 	// ListEvery spaces the lists; they lag anyway.
@@ -80,7 +80,7 @@
 	now := time.Now()
 	if p.typed.IsZero() || now.Sub(p.typed) > 30*time.Second {
 		if ts, err := p.Cloud.Types(ctx); err == nil {
-			p.Book.SetTypes(ts)
+			p.Cluster.SetTypes(ts)
 			p.typed = now
 			if p.OnTypes != nil {
 				p.OnTypes(ts)
@@ -92,7 +92,7 @@
 	}
 	if p.listed.IsZero() || now.Sub(p.listed) > p.ListEvery {
 		if ls, err := p.Cloud.List(ctx); err == nil {
-			p.Book.List(ls, time.Now())
+			p.Cluster.List(ls, time.Now())
 			p.listed = now
 		}
 	}
@@ -111,8 +111,8 @@
 	}
 	// Decided only now: what an open hire has rented must count, or a lost
 	// answer would rent everything twice.
-	dark := p.Book.DarkZones()
-	ds, ups, types := p.Book.Needs(time.Now())
+	dark := p.Cluster.DarkZones()
+	ds, ups, types := p.Cluster.Needs(time.Now())
 	hires, needed := placement.Rent(ds, ups, types, func(label, zone string, spot bool) bool {
 		return !dark[zone] && !p.refused[offer{label, zone, spot}].After(now)
 	})
@@ -120,7 +120,7 @@
 	if len(p.unsure) > 0 || len(p.open) > 0 || p.listed.IsZero() {
 		return // what they rent is not known yet
 	}
-	if len(hires) > 0 && p.Book.Empty("", time.Now()) {
+	if len(hires) > 0 && p.Cluster.Empty("", time.Now()) {
 		return // what was being emptied is wanted after all
 	}
 	for _, h := range hires {
@@ -139,8 +139,8 @@
 		return // each look weighs the whole fleet anew
 	}
 	p.emptied = now
-	for _, e := range p.Book.Emptiables(now) {
-		ds, ups, types := p.Book.Needs(now)
+	for _, e := range p.Cluster.Emptiables(now) {
+		ds, ups, types := p.Cluster.Needs(now)
 		rest := ups[:0]
 		for _, u := range ups {
 			if u.Name != e.Name && !u.Coming {
@@ -150,14 +150,14 @@
 		hires, _ := placement.Rent(append(append([]placement.Demand(nil), e.Needs...), ds...), rest, types,
 			func(string, string, bool) bool { return true })
 		if len(hires) == 0 {
-			p.Book.Empty(e.Name, now)
+			p.Cluster.Empty(e.Name, now)
 			return
 		}
 	}
 }
 
 func (p *Provisioner) returns(ctx context.Context, needed map[ids.Machine]bool) {
-	names := p.Book.Returns(time.Now(), needed)
+	names := p.Cluster.Returns(time.Now(), needed)
 	for len(names) > 0 {
 		n := min(len(names), 100)
 		if err := p.Cloud.Delete(ctx, names[:n], p.Sure); err != nil {
@@ -165,7 +165,7 @@
 			return // asked again next round, until it is confirmed
 		}
 		for _, name := range names[:n] {
-			p.Book.MachineGone(name)
+			p.Cluster.MachineGone(name)
 		}
 		names = names[n:]
 	}
@@ -207,7 +207,7 @@
 	switch {
 	case err == nil:
 		slog.Info("hired", "hire", in.Name, "type", in.Type, "zone", in.Zone, "spot", in.Spot, "asked", in.Count, "got", len(names))
-		p.Book.Hired(names, placement.Hire{Type: in.Type, Zone: in.Zone, Spot: in.Spot}, time.Now())
+		p.Cluster.Hired(names, placement.Hire{Type: in.Type, Zone: in.Zone, Spot: in.Spot}, time.Now())
 		if len(names) < in.Count {
 			p.refused[offer{in.Type, in.Zone, in.Spot}] = time.Now().Add(15 * time.Second)
 		}
--- a/internal/intake/awaits_reads_test.go
+++ b/internal/intake/awaits_reads_test.go
@@ -41,7 +41,7 @@
 				r.put("job-1", claim.Done)
 				r.put("job-2", claim.Queued)
 				end := trouble(r)
-				for _, d := range r.desks {
+				for _, d := range r.services {
 					go d.State.Watch(t.Context(), claim.GenerationKey)
 				}
 				later(t, r.nodes["b"], awaits("job-10", []string{"job-404"}))
@@ -90,8 +90,8 @@
 				names = append(names, string(id))
 			}
 		}
-		r.desks["b"].State = state.NewClient("state:1", r.net.Client("b"), state.NewBudget(50, 50, 5, 0.45))
-		r.desks["b"].Jobs = state.NewMirror(r.desks["b"].State, claim.JobPrefix, time.Second)
+		r.services["b"].State = state.NewClient("state:1", r.net.Client("b"), state.NewBudget(50, 50, 5, 0.45))
+		r.services["b"].Jobs = state.NewMirror(r.services["b"].State, claim.JobPrefix, time.Second)
 		calls := 0
 		r.net.SetRule(func(from, _ string, _ *http.Request, _ []byte) fake.Fate {
 			if from == "b" {
@@ -116,7 +116,7 @@
 	// done; and against an answer other than the documented one for what can't be kept.
 	synctest.Test(t, func(t *testing.T) {
 		r := newRegion(t)
-		for _, d := range r.desks {
+		for _, d := range r.services {
 			d.Set.Params.State.ValueKB = 2
 		}
 		var names []string
--- a/internal/intake/cancel.go
+++ b/internal/intake/cancel.go
@@ -23,7 +23,7 @@
 
 // Cancel ends a job without tasks on machines at once; of any other it stores the wish,
 // which the leader carries out. Either is committed before it is told.
-func (d *Desk) Cancel(ctx context.Context, id ids.Job) (answer, bool, error) {
+func (d *JobService) Cancel(ctx context.Context, id ids.Job) (answer, bool, error) {
 	if a, ok := d.remembered(id); ok {
 		return a, true, nil
 	}
@@ -66,7 +66,7 @@
 }
 
 // cancellation words a job's record as cancelled and the transaction that stores that.
-func (d *Desk) cancellation(r *claim.Record, entry state.Entry) (cancelWrite, error) {
+func (d *JobService) cancellation(r *claim.Record, entry state.Entry) (cancelWrite, error) {
 	id, now := r.Spec.ID, ids.WallOf(time.Now())
 	write := cancelWrite{txn: state.Txn{When: []state.Condition{
 		{Key: entry.Key, Revision: entry.Revision},
@@ -105,7 +105,7 @@
 }
 
 // cancelled takes in that a cancellation is stored, and has the leader told of it.
-func (d *Desk) cancelled(ctx context.Context, r *claim.Record, write cancelWrite, stamp ids.Revision) {
+func (d *JobService) cancelled(ctx context.Context, r *claim.Record, write cancelWrite, stamp ids.Revision) {
 	if r.Status.Over() {
 		d.remember(r)
 		if write.tell {
--- a/internal/intake/connection_limiter_test.go
+++ b/internal/intake/connection_limiter_test.go
@@ -27,8 +27,8 @@
 	// workers lost their leases.
 	synctest.Test(t, func(t *testing.T) {
 		pipes := fake.NewPipes()
-		_, _, dk := desk()
-		s := &Site{Desk: dk, Heartbeats: nods{}, Ready: func() bool { return true }}
+		_, _, dk := jobService()
+		s := &Site{Jobs: dk, Heartbeats: nods{}, Ready: func() bool { return true }}
 		const workers = 100
 		d := &ConnectionLimiter{MaxConnections: 128, WorkerCount: func() int { return workers }, IdleTimeout: 20 * time.Second}
 		go s.Serve(pipes.Listen("a"), d)
--- a/internal/intake/forecast.go
+++ b/internal/intake/forecast.go
@@ -36,7 +36,7 @@
 
 // explainPipeline tells what a job waits for, and whether the deadline of the pipeline
 // that it belongs to is at risk, and by which job.
-func (d *Desk) explainPipeline(ctx context.Context, r *claim.Record) ([]string, error) {
+func (d *JobService) explainPipeline(ctx context.Context, r *claim.Record) ([]string, error) {
 	switch {
 	case r.Status == claim.Cancelled && r.CancelledBy != "":
 		return d.explainCause(ctx, r)
@@ -77,7 +77,7 @@
 
 // explainCause names the job whose user's cancellation ended one that needs it. The
 // record may name one in between, which was cancelled with it.
-func (d *Desk) explainCause(ctx context.Context, r *claim.Record) ([]string, error) {
+func (d *JobService) explainCause(ctx context.Context, r *claim.Record) ([]string, error) {
 	cause, between := r.CancelledBy, []string{}
 	for range forecastJobs {
 		rec, _, err := d.lookIn(ctx, cause, state.Spare)
@@ -176,7 +176,7 @@
 
 // deadlinesBehind lists the waiting jobs with a deadline that need a job, directly or
 // not, soonest due first, as this node's copy has them.
-func (d *Desk) deadlinesBehind(id ids.Job) []*claim.Record {
+func (d *JobService) deadlinesBehind(id ids.Job) []*claim.Record {
 	needers := d.needers()
 	found := map[ids.Job]bool{id: true}
 	var last []*claim.Record
@@ -199,7 +199,7 @@
 func due(r *claim.Record) time.Time { return r.Submitted.Time().Add(r.Spec.Due.Duration()) }
 
 // needers indexes the waiting jobs by what they await.
-func (d *Desk) needers() map[ids.Job][]*claim.Record {
+func (d *JobService) needers() map[ids.Job][]*claim.Record {
 	entries, _ := d.Jobs.All()
 	index := map[ids.Job][]*claim.Record{}
 	for _, e := range entries {
--- a/internal/intake/http.go
+++ b/internal/intake/http.go
@@ -24,7 +24,7 @@
 
 // Site is the HTTP interface of a controller.
 type Site struct {
-	Desk       *Desk
+	Jobs       *JobService
 	Heartbeats Heartbeats
 	// Ready tells whether the node can take requests.
 	Ready func() bool
@@ -86,8 +86,8 @@
 // later answers at once that this can't be done now, and when to come back.
 func (s *Site) later(c echo.Context) error {
 	measure.Process.Count("users told to come back", 1)
-	after := s.Desk.State.Budget().RetryAfter()
-	if s.Desk.State.Unavailable() {
+	after := s.Jobs.State.Budget().RetryAfter()
+	if s.Jobs.State.Unavailable() {
 		after = 2 * time.Second // it is asked twice a second, and takes a moment to serve all
 	}
 	if !s.Ready() {
@@ -122,7 +122,7 @@
 		return c.JSON(400, map[string]string{"error": err.Error()})
 	}
 	began := time.Now()
-	a, known, err := s.Desk.Submit(ctx, spec)
+	a, known, err := s.Jobs.Submit(ctx, spec)
 	measure.Process.Took("submission", began)
 	if err != nil {
 		return s.fail(c, err)
@@ -153,13 +153,13 @@
 func (s *Site) look(c echo.Context) error {
 	return s.one(c, 1800*time.Millisecond, func(ctx context.Context, id ids.Job) (any, bool, error) {
 		defer measure.Process.Took("poll", time.Now())
-		return wrap(s.Desk.Look(ctx, id))
+		return wrap(s.Jobs.Look(ctx, id))
 	})
 }
 
 func (s *Site) cancel(c echo.Context) error {
 	return s.one(c, userPatience, func(ctx context.Context, id ids.Job) (any, bool, error) {
-		return wrap(s.Desk.Cancel(ctx, id))
+		return wrap(s.Jobs.Cancel(ctx, id))
 	})
 }
 
@@ -167,11 +167,11 @@
 
 func (s *Site) explain(c echo.Context) error {
 	return s.one(c, userPatience, func(ctx context.Context, id ids.Job) (any, bool, error) {
-		r, err := s.Desk.Explain(ctx, id)
+		r, err := s.Jobs.Explain(ctx, id)
 		if err != nil {
 			// An operator asks most when the store is away: what is known is
 			// told, as what it is.
-			if r = s.Desk.lastKnown(id); r == nil {
+			if r = s.Jobs.lastKnown(id); r == nil {
 				return nil, false, err
 			}
 			return Explanation{UID: id, Status: "unknown", Trail: r.Trail,
@@ -189,11 +189,11 @@
 func (s *Site) explanation(ctx context.Context, r *claim.Record) Explanation {
 	id := r.Spec.ID
 	x := Explanation{UID: id, Status: tell(r).Status, Trail: r.Trail}
-	lines, err := s.Desk.explainPipeline(ctx, r)
+	lines, err := s.Jobs.explainPipeline(ctx, r)
 	if err != nil {
 		x.Note = err.Error()
 	}
-	if r.Status.Over() || s.Desk.waits(id) {
+	if r.Status.Over() || s.Jobs.waits(id) {
 		x.Now = lines
 		return x
 	}
--- a/internal/intake/intake_test.go
+++ b/internal/intake/intake_test.go
@@ -71,22 +71,22 @@
 	return done
 }
 
-func desk() (*fake.Net, *fake.Store, *Desk) {
+func jobService() (*fake.Net, *fake.Store, *JobService) {
 	n, s := fake.NewNet(), fake.NewStore()
 	n.Listen("state:1", s)
 	set := &config.Settings{Own: config.Defaults()}
 	set.Params.State = config.State{RPS: 500, WriteRPS: 500, ValueKB: 8, TxnOps: 12}
 	set.Params.Teams = []config.Team{{Name: "red", CPUsMax: 8}}
 	st := state.NewClient("state:1", n.Client("a"), state.NewBudget(500, 500, 1, 0.6))
-	return n, s, &Desk{Set: set, State: st, Jobs: state.NewMirror(st, claim.JobPrefix, time.Second), OwnerNotifier: mute{}, Writer: "a",
+	return n, s, &JobService{Set: set, State: st, Jobs: state.NewMirror(st, claim.JobPrefix, time.Second), OwnerNotifier: mute{}, Writer: "a",
 		Types: func() []placement.Type {
 			return []placement.Type{{Label: "small", Cores: 4, RAM: 16, Zones: []string{"north"}}}
 		}}
 }
 
 func site() (*fake.Net, *fake.Store, http.Handler) {
-	n, s, d := desk()
-	return n, s, (&Site{Desk: d, Ready: func() bool { return true }, Status: func() any { return nil },
+	n, s, d := jobService()
+	return n, s, (&Site{Jobs: d, Ready: func() bool { return true }, Status: func() any { return nil },
 		Live: func(context.Context, ids.Job) ([]string, ids.Node, error) { return nil, "", nil }}).Handler()
 }
 
@@ -183,7 +183,7 @@
 	// with the calls a second that one of five controllers has, and meanwhile jobs are
 	// submitted and cancelled.
 	synctest.Test(t, func(t *testing.T) {
-		n, _, d := desk()
+		n, _, d := jobService()
 		calls := 0
 		var mu sync.Mutex
 		n.SetRule(func(string, string, *http.Request, []byte) fake.Fate {
@@ -194,7 +194,7 @@
 		})
 		d.State = state.NewClient("state:1", n.Client("a"), state.NewBudget(200, 50, 5, 0.45))
 		d.Jobs = state.NewMirror(d.State, claim.JobPrefix, time.Second)
-		h := (&Site{Desk: d, Ready: func() bool { return true }}).Handler()
+		h := (&Site{Jobs: d, Ready: func() bool { return true }}).Handler()
 		if got := call(h, "POST", "/v2/runs", good()).Code; got != 201 {
 			t.Fatal(got)
 		}
@@ -233,9 +233,9 @@
 func TestANodeThatTheStoreDoesNotAnswerSaysSoAtOnce(t *testing.T) {
 	// Guards against every user finding out by a call that hangs: a cut says nothing.
 	synctest.Test(t, func(t *testing.T) {
-		n, _, d := desk()
+		n, _, d := jobService()
 		served := true
-		h := (&Site{Desk: d, Ready: func() bool { return served }}).Handler()
+		h := (&Site{Jobs: d, Ready: func() bool { return served }}).Handler()
 		if got := call(h, "POST", "/v2/runs", good()).Code; got != 201 {
 			t.Fatal(got)
 		}
--- a/internal/intake/desk.go
+++ b/internal/intake/job_service.go
@@ -31,9 +31,9 @@
 
 func (e errNever) Error() string { return e.why }
 
-// Desk serves the users. It writes and reads the records itself, whichever
+// JobService serves the users. It writes and reads the records itself, whichever
 // node owns the pool.
-type Desk struct {
+type JobService struct {
 	Set           *config.Settings
 	State         *state.Client
 	Jobs          *state.Mirror // the live records
@@ -49,7 +49,7 @@
 	q    []ids.Job
 }
 
-func (d *Desk) remember(r *claim.Record) {
+func (d *JobService) remember(r *claim.Record) {
 	a := tell(r)
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -67,7 +67,7 @@
 	}
 }
 
-func (d *Desk) remembered(id ids.Job) (answer, bool) {
+func (d *JobService) remembered(id ids.Job) (answer, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if a := d.over[id]; a != nil {
@@ -81,7 +81,7 @@
 // for all requests that wait; only those that are not among them cost a call
 // each. A job that ends in between has its final record before its live one is
 // gone, so looking for the live one first misses nothing.
-func (d *Desk) read(ctx context.Context, id ids.Job, u state.Urgency) (*claim.Record, state.Entry, error) {
+func (d *JobService) read(ctx context.Context, id ids.Job, u state.Urgency) (*claim.Record, state.Entry, error) {
 	if d.State.Unavailable() {
 		return nil, state.Entry{}, fmt.Errorf("%w: the state service does not answer", errNotNow)
 	}
@@ -106,7 +106,7 @@
 
 // lookIn reads a record from the copy, which is as new as the caller needs it, or
 // the final one from the store; nil when there is none.
-func (d *Desk) lookIn(ctx context.Context, id ids.Job, u state.Urgency) (*claim.Record, state.Entry, error) {
+func (d *JobService) lookIn(ctx context.Context, id ids.Job, u state.Urgency) (*claim.Record, state.Entry, error) {
 	r, e, err := d.live(id)
 	if err != nil || r != nil {
 		return r, e, err
@@ -126,7 +126,7 @@
 
 // live reads the record of an unfinished job from this node's copy, however old; nil if
 // there is none. A cancellation stored apart from the record is applied to it.
-func (d *Desk) live(id ids.Job) (*claim.Record, state.Entry, error) {
+func (d *JobService) live(id ids.Job) (*claim.Record, state.Entry, error) {
 	entries, ready := d.Jobs.Several(claim.JobKey(id), claim.WaitKey(id), claim.CancelKey(id))
 	if !ready {
 		return nil, state.Entry{}, errNotNow
@@ -167,7 +167,7 @@
 const keepAnswers = 20000
 
 // Submit accepts a job or finds it known.
-func (d *Desk) Submit(ctx context.Context, spec claim.Spec) (a answer, known bool, err error) {
+func (d *JobService) Submit(ctx context.Context, spec claim.Spec) (a answer, known bool, err error) {
 	if a, ok := d.remembered(spec.ID); ok {
 		return a, true, nil
 	}
@@ -231,14 +231,14 @@
 
 // describe writes the record of a job that awaits nothing, or nothing any more. The
 // description must leave room for what becomes of the job.
-func (d *Desk) describe(rec claim.Record) (json.RawMessage, bool) {
+func (d *JobService) describe(rec claim.Record) (json.RawMessage, bool) {
 	rec.Spec.Awaits = nil
 	return rec.Encode(int(d.Set.Params.State.ValueKB * 1024 * claim.DescribedShare))
 }
 
 // never decides whether a job can never run; an error other than errNever
 // means that this can't be told yet.
-func (d *Desk) never(s *claim.Spec) error {
+func (d *JobService) never(s *claim.Spec) error {
 	t, ok := d.Set.Team(s.Team)
 	if !ok {
 		return errNever{"unknown team " + s.Team}
@@ -278,7 +278,7 @@
 }
 
 // Look answers a poll; found is false for a job never accepted.
-func (d *Desk) Look(ctx context.Context, id ids.Job) (answer, bool, error) {
+func (d *JobService) Look(ctx context.Context, id ids.Job) (answer, bool, error) {
 	if a, ok := d.remembered(id); ok {
 		return a, true, nil
 	}
@@ -290,14 +290,14 @@
 }
 
 // Explain is a job's stored trail.
-func (d *Desk) Explain(ctx context.Context, id ids.Job) (*claim.Record, error) {
+func (d *JobService) Explain(ctx context.Context, id ids.Job) (*claim.Record, error) {
 	r, _, err := d.read(ctx, id, state.Spare)
 	return r, err
 }
 
 // lastKnown is an unfinished job's record in this node's copy, however old; nil if there
 // is none.
-func (d *Desk) lastKnown(id ids.Job) *claim.Record {
+func (d *JobService) lastKnown(id ids.Job) *claim.Record {
 	r, _, err := d.live(id)
 	if err != nil {
 		return nil
--- a/internal/intake/pipeline.go
+++ b/internal/intake/pipeline.go
@@ -18,7 +18,7 @@
 // await decides where the record of a job that awaits others goes. What it awaits
 // was read after the request began. It may be cancelled from the start; and if all it
 // awaits is done, it awaits nothing any more, since that never changes.
-func (d *Desk) await(ctx context.Context, rec *claim.Record) (key string, raw json.RawMessage, err error) {
+func (d *JobService) await(ctx context.Context, rec *claim.Record) (key string, raw json.RawMessage, err error) {
 	open, by, err := d.unfinished(ctx, rec.Spec.Awaits)
 	if err != nil {
 		return "", nil, err
@@ -60,7 +60,7 @@
 // unfinished finds, among the jobs that a submission names, those that are not done, and
 // a cancelled one that ends the new job from the start, if there is any. All of them
 // must have been accepted, and none be a service.
-func (d *Desk) unfinished(ctx context.Context, needs []ids.Job) (open []ids.Job, by ids.Job, err error) {
+func (d *JobService) unfinished(ctx context.Context, needs []ids.Job) (open []ids.Job, by ids.Job, err error) {
 	s := d.newSurvey(state.Spare)
 	if err := s.prefetch(ctx, needs); err != nil {
 		return nil, "", err
@@ -84,12 +84,12 @@
 }
 
 // cancelledBy is the cancelled job that ends one that waits; none if it still waits.
-func (d *Desk) cancelledBy(ctx context.Context, r *claim.Record, u state.Urgency) (ids.Job, error) {
+func (d *JobService) cancelledBy(ctx context.Context, r *claim.Record, u state.Urgency) (ids.Job, error) {
 	return d.newSurvey(u).causeOf(ctx, r)
 }
 
 // waits tells whether a job still waits for others, as this node knows.
-func (d *Desk) waits(id ids.Job) bool {
+func (d *JobService) waits(id ids.Job) bool {
 	e, found, _ := d.Jobs.First(claim.JobKey(id), claim.WaitKey(id))
 	return found && e.Key == claim.WaitKey(id)
 }
--- a/internal/intake/region_test.go
+++ b/internal/intake/region_test.go
@@ -19,17 +19,17 @@
 // region is two nodes, a and b, on one store, without a leader: what becomes of the
 // records is up to the test.
 type region struct {
-	t     *testing.T
-	net   *fake.Net
-	store *fake.Store
-	desks map[string]*Desk
-	nodes map[string]http.Handler
-	op    *state.Client // writes as the leader does
+	t        *testing.T
+	net      *fake.Net
+	store    *fake.Store
+	services map[string]*JobService
+	nodes    map[string]http.Handler
+	op       *state.Client // writes as the leader does
 }
 
 func newRegion(t *testing.T) *region {
-	n, s, _ := desk()
-	r := &region{t: t, net: n, store: s, desks: map[string]*Desk{}, nodes: map[string]http.Handler{},
+	n, s, _ := jobService()
+	r := &region{t: t, net: n, store: s, services: map[string]*JobService{}, nodes: map[string]http.Handler{},
 		op: state.NewClient("state:1", n.Client("leader"), state.NewBudget(1e6, 1e6, 1, 0.6))}
 	for _, name := range []string{"a", "b"} {
 		r.start(name)
@@ -39,13 +39,13 @@
 
 // start starts a node, or starts it again, which then remembers nothing.
 func (r *region) start(name string) {
-	_, _, d := desk()
+	_, _, d := jobService()
 	d.State = state.NewClient("state:1", r.net.Client(name), state.NewBudget(1000, 1000, 1, 0.6))
 	d.Jobs = state.NewMirror(d.State, claim.JobPrefix, time.Second)
 	d.Writer = name
 	d.Set.Params.Teams = append(d.Set.Params.Teams, config.Team{Name: "blue", CPUsMax: 8})
-	r.desks[name] = d
-	r.nodes[name] = (&Site{Desk: d, Ready: func() bool { return true }, Live: nobodyLeads}).Handler()
+	r.services[name] = d
+	r.nodes[name] = (&Site{Jobs: d, Ready: func() bool { return true }, Live: nobodyLeads}).Handler()
 }
 
 func nobodyLeads(context.Context, ids.Job) ([]string, ids.Node, error) { return nil, "", nil }
--- a/internal/intake/survey.go
+++ b/internal/intake/survey.go
@@ -23,15 +23,15 @@
 // survey reads, for one request, how the jobs of a pipeline stand; each is read once.
 // Live records come from the node's copy, which must be as new as the request asks.
 type survey struct {
-	desk    *Desk
+	jobs    *JobService
 	urgency state.Urgency
 	seen    map[ids.Job]*standing
 	// finals are final records read in pages; nil for a job that has none.
 	finals map[ids.Job]*claim.Record
 }
 
-func (d *Desk) newSurvey(u state.Urgency) *survey {
-	return &survey{desk: d, urgency: u, seen: map[ids.Job]*standing{}, finals: map[ids.Job]*claim.Record{}}
+func (d *JobService) newSurvey(u state.Urgency) *survey {
+	return &survey{jobs: d, urgency: u, seen: map[ids.Job]*standing{}, finals: map[ids.Job]*claim.Record{}}
 }
 
 // look reads how a job stands.
@@ -47,7 +47,7 @@
 }
 
 func (s *survey) read(ctx context.Context, id ids.Job) (*standing, error) {
-	if told, ok := s.desk.remembered(id); ok {
+	if told, ok := s.jobs.remembered(id); ok {
 		return ended(told, nil), nil
 	}
 	rec, read := s.finals[id]
@@ -55,7 +55,7 @@
 	if !read {
 		var e state.Entry
 		var err error
-		if rec, e, err = s.desk.lookIn(ctx, id, s.urgency); err != nil {
+		if rec, e, err = s.jobs.lookIn(ctx, id, s.urgency); err != nil {
 			return nil, err
 		}
 		waits = rec != nil && e.Key == claim.WaitKey(id)
@@ -64,7 +64,7 @@
 	case rec == nil:
 		return &standing{}, nil
 	case rec.Status.Over():
-		s.desk.remember(rec)
+		s.jobs.remember(rec)
 		return ended(tell(rec), rec), nil
 	}
 	at := &standing{accepted: true, told: tell(rec), rec: rec}
@@ -136,7 +136,7 @@
 	slices.Sort(missing)
 	for len(missing) > 0 {
 		after := justBefore(claim.EndKey(missing[0]))
-		page, more, _, err := s.desk.State.List(ctx, claim.EndPrefix, after, finalsPage, s.urgency)
+		page, more, _, err := s.jobs.State.List(ctx, claim.EndPrefix, after, finalsPage, s.urgency)
 		if err != nil {
 			return fmt.Errorf("%w: %v", errNotNow, err)
 		}
@@ -152,10 +152,10 @@
 	if _, read := s.finals[id]; read || s.seen[id] != nil {
 		return true
 	}
-	if _, ok := s.desk.remembered(id); ok {
+	if _, ok := s.jobs.remembered(id); ok {
 		return true
 	}
-	_, live, _ := s.desk.Jobs.First(claim.JobKey(id), claim.WaitKey(id))
+	_, live, _ := s.jobs.Jobs.First(claim.JobKey(id), claim.WaitKey(id))
 	return live
 }
 
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -257,7 +257,7 @@
 // it knows, or can't be told.
 func (l *Link) NotifyOwner(id ids.Job, stamp ids.Revision, rec *claim.Record, raw json.RawMessage) <-chan struct{} {
 	done := make(chan struct{})
-	if l.pool.Book() != nil {
+	if l.pool.Cluster() != nil {
 		l.pool.Learn(id, stamp, rec)
 		close(done)
 		return done
@@ -297,7 +297,7 @@
 func (l *Link) hello(to *claim.HintMark) Hello {
 	age, ok := l.state.SinceSuccess()
 	h := Hello{Node: l.set.HostName, StateOK: ok && age < 3*time.Second}
-	if b := l.pool.Book(); b != nil {
+	if b := l.pool.Cluster(); b != nil {
 		h.Owner = true
 		if to != nil {
 			h.Hints, h.Have = b.Hints(*to)
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -51,7 +51,7 @@
 		n.Listen("state:1", s)
 		a, la := node(ctx, "a", "b", n, p)
 		time.Sleep(2 * time.Second)
-		if a.Book() == nil {
+		if a.Cluster() == nil {
 			t.Fatal("a does not own the pool")
 		}
 		if la.AllStopped(ctx, 1) {
@@ -71,7 +71,7 @@
 		// What b accepts, a learns at once, and b can explain it by asking a.
 		rec := claim.NewRecord(claim.Spec{ID: "job-1", Team: "red", Shape: claim.Array, Tasks: 1, Need: placement.Room{Cores: 1}}, 1, "b")
 		raw, _ := json.Marshal(rec)
-		a.Book().SetTypes([]placement.Type{{Label: "small", Cores: 4, RAM: 16, Zones: []string{"north"}}})
+		a.Cluster().SetTypes([]placement.Type{{Label: "small", Cores: 4, RAM: 16, Zones: []string{"north"}}})
 		lb.NotifyOwner("job-1", 9, rec, raw)
 		time.Sleep(time.Second)
 		lines, owner, err := lb.Explain(ctx, "job-1")
@@ -79,10 +79,10 @@
 			t.Errorf("explained by %s as %q: %v", owner, lines, err)
 		}
 		// A higher generation makes the owner step down.
-		if !a.Superseded(99) || a.Book() != nil {
+		if !a.Superseded(99) || a.Cluster() != nil {
 			t.Error("the owner stays although a peer is ahead")
 		}
-		if b.Book() != nil {
+		if b.Cluster() != nil {
 			t.Error("b owns the pool beside a's hold")
 		}
 		cancel()
--- a/internal/worker/registry.go
+++ b/internal/worker/registry.go
@@ -17,7 +17,7 @@
 }
 
 // Machine is what is known of one machine. It is guarded by the lock of the
-// book it belongs to: places, quotas and machines need one view.
+// cluster state it belongs to: places, quotas and machines need one view.
 type Machine struct {
 	Name ids.Machine
 	Addr string
