--- a/cmd/pebbletrail/serve.go
+++ b/cmd/pebbletrail/serve.go
@@ -117,7 +117,7 @@
 	go c.pool.Run(ctx)
 	site := &intake.Site{
 		Version: version,
-		Jobs: &intake.JobService{Set: c.set, State: c.state, Jobs: c.pool.Jobs(), OwnerNotifier: c.link, Writer: c.incarnation,
+		Jobs: &intake.JobService{Set: c.set, State: c.state, Jobs: c.pool.Jobs(), LeaderNotifier: c.link, Writer: c.incarnation,
 			Types: c.types.known},
 		Heartbeats: c.pool,
 		Ready:      c.ready,
@@ -156,8 +156,8 @@
 
 // status describes the node for GET /v2/status.
 func (c *controller) status() any {
-	owner, _ := c.pool.Owner()
-	out := map[string]any{"node": c.set.HostName, "version": version, "incarnation": c.incarnation, "owner": owner}
+	leader, _ := c.pool.Leader()
+	out := map[string]any{"node": c.set.HostName, "version": version, "incarnation": c.incarnation, "owner": leader}
 	out["took"], out["counts"] = measure.Process.Summary()
 	if b := c.pool.Cluster(); b != nil {
 		out["pool"] = b.Summary()
--- a/internal/claim/apart_test.go
+++ b/internal/claim/apart_test.go
@@ -40,7 +40,7 @@
 	}
 }
 
-func TestAZoneCutBeyondTheLeaseWithTheOwnerEndedMeanwhile(t *testing.T) {
+func TestAZoneCutBeyondTheLeaseWithTheLeaderEndedMeanwhile(t *testing.T) {
 	t.Parallel()
 	// Guards against what the zone's held reports, commands and answers do when
 	// they arrive afterwards: its tasks ended with their leases and run elsewhere
@@ -77,7 +77,7 @@
 		})
 		time.Sleep(4 * time.Second)
 		w.submit("a", spec("job-3", "array", 4)) // over the limit until the others are gone
-		old := w.owner()
+		old := w.leader()
 		old.kill()
 		time.Sleep(4 * time.Second)
 		w.start(old.name)
@@ -110,9 +110,9 @@
 	})
 }
 
-func TestAnOwnerThatStoodStillIsTurnedAway(t *testing.T) {
+func TestALeaderThatStoodStillIsTurnedAway(t *testing.T) {
 	t.Parallel()
-	// Guards against an owner that stands still with a start, its answers and its
+	// Guards against a leader that stands still with a start, its answers and its
 	// writes on their way: a successor works meanwhile, then they arrive.
 	story(t, func(t *testing.T, w *world) {
 		w.listed = true
@@ -121,11 +121,11 @@
 		w.worker("m1", "north")
 		w.worker("m2", "south")
 		time.Sleep(10 * time.Second)
-		old := w.owner()
+		old := w.leader()
 		other := map[string]string{"a": "b", "b": "a"}[old.name]
 		w.net.SetRule(func(from, _ string, _ *http.Request, body []byte) fake.Fate {
 			if from == old.name && strings.Contains(string(body), `"verb":"start"`) {
-				return fake.Hold // the start, as the owner stops
+				return fake.Hold // the start, as the leader stops
 			}
 			return fake.Deliver
 		})
@@ -155,7 +155,7 @@
 	})
 }
 
-func TestAnOwnerIsSureOnlyWithinItsHold(t *testing.T) {
+func TestALeaderIsSureOnlyWithinItsHold(t *testing.T) {
 	t.Parallel()
 	// The cloud's deletions rest on it: they carry no token.
 	story(t, func(t *testing.T, w *world) {
@@ -179,7 +179,7 @@
 	})
 }
 
-func TestAnOwnerCutFromTheStateAloneThenFromTheWorkersAlone(t *testing.T) {
+func TestALeaderCutFromTheStateAloneThenFromTheWorkersAlone(t *testing.T) {
 	t.Parallel()
 	// The controllers refuse one another all the while.
 	story(t, func(t *testing.T, w *world) {
@@ -204,7 +204,7 @@
 				return fake.Deliver
 			})
 		}
-		first := w.owner()
+		first := w.leader()
 		cut(first.name, "state")
 		other := map[string]string{"a": "b", "b": "a"}[first.name]
 		w.until(6*time.Second, "the other owns the pool", func() bool { return w.nodes[other].pool.Cluster() != nil })
@@ -214,10 +214,10 @@
 		w.net.SetRule(nil)
 		w.net.Release()
 		time.Sleep(5 * time.Second)
-		second := w.owner()
+		second := w.leader()
 		cut(second.name, "m1", "m2")
 		w.hold(35*time.Second, "replicas go on, since the deaf owner gives way", func() bool { return w.everywhere("job-1", 4) && w.everywhere("job-2", 2) })
-		if w.owner() == second {
+		if w.leader() == second {
 			t.Error("the owner that hears no worker keeps the pool")
 		}
 		w.net.SetRule(nil)
@@ -280,7 +280,7 @@
 			t.Fatal("no copies were kept")
 		}
 		m1.SetSilent(false)
-		w.until(10*time.Second, "an owner", func() bool { return w.owner() != nil })
+		w.until(10*time.Second, "an owner", func() bool { return w.leader() != nil })
 		want := map[string]string{"job-1": "done", "job-2": "running", "job-3": "cancelled"}
 		w.until(20*time.Second, "each node knows each job", func() bool {
 			for id, s := range want {
@@ -305,7 +305,7 @@
 		w.listed = true
 		w.start("a")
 		w.start("b")
-		time.Sleep(90 * time.Second) // older owners' grace is over
+		time.Sleep(90 * time.Second) // older leaders' grace is over
 		w.net.SetRule(func(from, _ string, _ *http.Request, _ []byte) fake.Fate {
 			if strings.HasPrefix(from, "m1:") {
 				return fake.Refuse
@@ -313,7 +313,7 @@
 			return fake.Deliver
 		})
 		w.worker("m1", "north")
-		w.until(5*time.Second, "the owner found it", func() bool { return w.owner().pool.Cluster().Summary()["heard"] == 1 })
+		w.until(5*time.Second, "the owner found it", func() bool { return w.leader().pool.Cluster().Summary()["heard"] == 1 })
 		w.submit("a", spec("job-1", "array", 1))
 		w.until(3*time.Second, "it runs", func() bool { return len(w.on("job-1/0")) == 1 })
 		w.worker("m2", "north")
@@ -322,9 +322,9 @@
 	})
 }
 
-func TestACancelWhileTheOwnerIsCutOffWithAZone(t *testing.T) {
+func TestACancelWhileTheLeaderIsCutOffWithAZone(t *testing.T) {
 	t.Parallel()
-	// Found on a day with a zone cut off in which the owner was: it went on
+	// Found on a day with a zone cut off in which the leader was: it went on
 	// answering the zone's workers, and what a user had cancelled through another
 	// node ran beyond the time allowed for that.
 	story(t, func(t *testing.T, w *world) {
@@ -334,7 +334,7 @@
 		time.Sleep(10 * time.Second)
 		w.submit("a", spec("job-1", "standing", 1))
 		w.until(4*time.Second, "it runs", func() bool { return len(w.on("job-1/0")) == 1 })
-		in := w.owner().name
+		in := w.leader().name
 		out := map[string]string{"a": "b", "b": "a"}[in]
 		w.net.SetRule(func(from, to string, _ *http.Request, _ []byte) fake.Fate {
 			inside := func(h string) bool { return h == in || strings.HasPrefix(h, in+":") || strings.HasPrefix(h, "m1:") }
@@ -358,7 +358,7 @@
 func TestOnlyWhoMayStillAnswerIsAskedToConfirm(t *testing.T) {
 	t.Parallel()
 	// Guards against controllers cut off with a zone, which own nothing, keeping a
-	// new owner from trusting any lapse.
+	// new leader from trusting any lapse.
 	for seen, want := range map[time.Duration]int{5 * time.Second: 0, 30 * time.Second: 1} {
 		story(t, func(t *testing.T, w *world) {
 			a := w.start("a")
--- a/internal/claim/apply.go
+++ b/internal/claim/apply.go
@@ -7,8 +7,8 @@
 	"github.com/pebbletrail/pebbletrail/internal/state"
 )
 
-// Apply writes other keys of the owner's, such as hire intents, under the same
-// condition as every owner write: that the generation still stands.
+// Apply writes other keys of the leader's, such as hire intents, under the same
+// condition as every leader write: that the generation still stands.
 func (c *Committer) Apply(ctx context.Context, ops []state.Op) error {
 	c.turn <- struct{}{}
 	defer func() { <-c.turn }()
--- a/internal/claim/beats.go
+++ b/internal/claim/beats.go
@@ -47,7 +47,7 @@
 func (p *Pool) Heartbeat(ctx context.Context, rep *worker.Report) (*worker.Reply, int, worker.Redirect) {
 	t := p.Term()
 	if t == nil {
-		if node, ok := p.Owner(); ok {
+		if node, ok := p.Leader(); ok {
 			p.noteRedirect(rep.Machine, node)
 			return nil, 421, worker.Redirect{AnswerTo: node}
 		}
@@ -65,7 +65,7 @@
 	}
 	gen := t.Cluster.Generation()
 	if rep.Token > gen {
-		// The worker has heard of a later owner. It would drop our answer and
+		// The worker has heard of a later leader. It would drop our answer and
 		// yet stay with us, so it is sent on.
 		p.stepDown(t, "a worker has seen a higher token")
 		return nil, 503, worker.Redirect{}
--- a/internal/claim/cancel_start_test.go
+++ b/internal/claim/cancel_start_test.go
@@ -9,11 +9,11 @@
 	"github.com/pebbletrail/pebbletrail/internal/fake"
 )
 
-func TestAnOwnerCutOffFromItsPeersHearsOfACancelBeforeItSendsAStart(t *testing.T) {
+func TestALeaderCutOffFromItsPeersHearsOfACancelBeforeItSendsAStart(t *testing.T) {
 	t.Parallel()
 	// Guards against a start sent after the user was told that the job is cancelled: the
 	// marker is stored and its answer takes a while; meanwhile the other node reads it,
-	// stores the cancel and tells the user, but can't tell the owner.
+	// stores the cancel and tells the user, but can't tell the leader.
 	story(t, func(t *testing.T, w *world) {
 		a := w.start("a")
 		w.until(5*time.Second, "a owns the pool", func() bool { return a.pool.Cluster() != nil })
@@ -30,7 +30,7 @@
 			}
 			return fake.Deliver
 		})
-		for i := range 16 { // at different moments of the owner's reading of the news
+		for i := range 16 { // at different moments of the leader's reading of the news
 			id := fmt.Sprintf("job-%d", i+1)
 			time.Sleep(3*time.Second + time.Duration(i)*25*time.Millisecond)
 			w.submit("a", spec(id, "array", 1))
@@ -38,7 +38,7 @@
 			if code, out := w.call("b", "POST", "/v2/runs/"+id+"/cancel", nil); code != 200 || out["status"] != "cancelled" {
 				t.Fatalf("cancel answered %d %v", code, out)
 			}
-			time.Sleep(time.Second) // no user asks the owner, who would read the news for him
+			time.Sleep(time.Second) // no user asks the leader, who would read the news for him
 			if n := w.worn("m1").Started(id + "/0"); n > 0 {
 				t.Errorf("%s was started after its user was told", id)
 			}
--- a/internal/claim/cluster_state.go
+++ b/internal/claim/cluster_state.go
@@ -58,7 +58,7 @@
 	machine ids.Machine
 }
 
-// Job is a job in the owner's memory.
+// Job is a job in the leader's memory.
 type Job struct {
 	Rec    Record
 	stamp  ids.Revision
@@ -117,7 +117,7 @@
 
 func (j *Job) cancelled() bool { return j.Rec.Status == Cancelling || j.Rec.Status == Cancelled }
 
-// ClusterState is everything the pool's owner knows: jobs, places and machines, under
+// ClusterState is everything the leader knows: jobs, places and machines, under
 // one lock that is never held over a call.
 type ClusterState struct {
 	mu     sync.Mutex
@@ -389,7 +389,7 @@
 	b.reestimate()
 }
 
-// Generation is the token that this owner's commands carry now.
+// Generation is the token that this leader's commands carry now.
 func (b *ClusterState) Generation() ids.Generation {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -419,6 +419,6 @@
 	b.trustSilence = at
 }
 
-// Machines is how many machines there are, as far as this owner knows. It takes
+// Machines is how many machines there are, as far as this leader knows. It takes
 // no lock: every user's call asks.
 func (b *ClusterState) Machines() int { return int(b.size.Load()) }
--- a/internal/claim/cluster_state_test.go
+++ b/internal/claim/cluster_state_test.go
@@ -664,10 +664,10 @@
 	}
 }
 
-func TestWhatOnlyThisOwnerKnowsIsStoredAtOnce(t *testing.T) {
+func TestWhatOnlyThisLeaderKnowsIsStoredAtOnce(t *testing.T) {
 	t.Parallel()
 	// Outcomes wait for one another, since workers report them until they are
-	// cleared. That a machine is gone, the next owner would learn much later.
+	// cleared. That a machine is gone, the next leader would learn much later.
 	now := time.Now()
 	b := testBook()
 	b.hear("m1", "north", 1)
@@ -723,9 +723,9 @@
 	}
 }
 
-func TestNewsOfTheLastOwnersWritesBeforeTheRecordsAreRead(t *testing.T) {
+func TestNewsOfTheLastLeadersWritesBeforeTheRecordsAreRead(t *testing.T) {
 	// Found by transactions without answers around a takeover, two starts of one task:
-	// the last owner's marker reached the new one as news, before it had read the
+	// the last leader's marker reached the new one as news, before it had read the
 	// records, and was taken for a user's write, which places nothing.
 	t.Parallel()
 	now := time.Now()
--- a/internal/claim/commit.go
+++ b/internal/claim/commit.go
@@ -22,20 +22,20 @@
 }
 
 // Committer writes the cluster state's changes in groups, each conditional on the
-// generation's stamp and on every job's own, so that a superseded owner can
+// generation's stamp and on every job's own, so that a superseded leader can
 // change nothing.
 type Committer struct {
 	Cluster  *ClusterState
 	State    *state.Client
 	Node     ids.Node
 	GenStamp ids.Revision
-	// OnLost is called once another owner is known to have taken over.
+	// OnLost is called once another leader is known to have taken over.
 	OnLost func(why string)
-	// OnGeneration is called when this owner raised its own generation.
+	// OnGeneration is called when this leader raised its own generation.
 	OnGeneration func(ids.Generation)
 	// OnStored is called after each stored group: starts may go out.
 	OnStored func()
-	// turn lets one owner write go out at a time: each needs the generation's
+	// turn lets one leader write go out at a time: each needs the generation's
 	// stamp, and raising it changes that.
 	turn chan struct{}
 	// movesWent tells that the last group moved jobs that waited for others.
@@ -141,7 +141,7 @@
 
 // settleEvery is how long outcomes of unfinished jobs may wait for one another
 // before they are stored. Nothing is lost by that: until stored they are not
-// cleared, so the next owner would learn them from the workers again; and what
+// cleared, so the next leader would learn them from the workers again; and what
 // others wait for, markers and ends, is never kept waiting.
 const settleEvery = 4 * time.Second
 
--- a/internal/claim/dispatch.go
+++ b/internal/claim/dispatch.go
@@ -145,7 +145,7 @@
 type Dispatcher struct {
 	Cluster   *ClusterState
 	Commander *worker.Commander
-	// May tells whether this owner may still give commands.
+	// May tells whether this leader may still give commands.
 	May   func() bool
 	slots chan struct{}
 	wake  chan struct{}
--- a/internal/claim/explain.go
+++ b/internal/claim/explain.go
@@ -9,7 +9,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-// Explain tells a job's trail and why its tasks wait, as the owner sees it.
+// Explain tells a job's trail and why its tasks wait, as the leader sees it.
 func (b *ClusterState) Explain(id ids.Job) []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -62,7 +62,7 @@
 	return out
 }
 
-// Summary counts what the owner has, for operators.
+// Summary counts what the leader has, for operators.
 func (b *ClusterState) Summary() map[string]any {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/claim/fleet_test.go
+++ b/internal/claim/fleet_test.go
@@ -234,7 +234,7 @@
 
 func TestAfterATakeoverReplicasOfADarkZoneMoveOnTheCloudsWord(t *testing.T) {
 	t.Parallel()
-	// Guards against a new owner that waits for leases it knows nothing of: the
+	// Guards against a new leader that waits for leases it knows nothing of: the
 	// replicas had ended long before. Where the rule of zones leaves no room
 	// elsewhere, returning the machines would gain nothing.
 	now := time.Now()
--- a/internal/claim/gap_test.go
+++ b/internal/claim/gap_test.go
@@ -26,7 +26,7 @@
 	w.submit("b", spec("job-2", "standing", 2))
 	w.until(5*time.Second, "replicas run", func() bool { return w.everywhere("job-1", 4) && w.everywhere("job-2", 2) })
 	time.Sleep(3 * time.Second)
-	leader = w.owner()
+	leader = w.leader()
 	return leader, w.nodes[map[string]string{"a": "b", "b": "a"}[leader.name]]
 }
 
@@ -204,7 +204,7 @@
 		w.start("b")
 		m1 := w.worker("m1", "north")
 		time.Sleep(10 * time.Second)
-		leader := w.owner()
+		leader := w.leader()
 		other := w.nodes[map[string]string{"a": "b", "b": "a"}[leader.name]]
 		cut := false
 		w.net.SetRule(func(from, to string, r *http.Request, body []byte) fake.Fate {
--- a/internal/claim/hints.go
+++ b/internal/claim/hints.go
@@ -7,7 +7,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/worker"
 )
 
-// Hear keeps an owner's hints for the case that this node comes next.
+// Hear keeps a leader's hints for the case that this node comes next.
 func (p *Pool) Hear(hs []Hint, to HintMark) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -29,7 +29,7 @@
 	p.heardTo = to
 }
 
-// Heard is what to ask an owner's hints from; all of them now and then, since
+// Heard is what to ask a leader's hints from; all of them now and then, since
 // machines that went away are not named.
 func (p *Pool) Heard() HintMark {
 	p.mu.Lock()
@@ -40,7 +40,7 @@
 	return p.heardTo
 }
 
-// Hint is what an owner tells the others of a machine, so that the next owner
+// Hint is what a leader tells the others of a machine, so that the next leader
 // need not find it out again. Nothing rests on it but time.
 type Hint struct {
 	Name    ids.Machine
@@ -51,14 +51,14 @@
 	Session ids.Session
 	Images  worker.Images
 	// Coming tells that it is rented and not up yet, since Held ago. The cloud's
-	// list lags, and a new owner that knows nothing of it would rent another.
+	// list lags, and a new leader that knows nothing of it would rent another.
 	Coming bool
 	Held   time.Duration
 
 	since time.Time // the same by this node's clock, once it was heard
 }
 
-// HintMark is how far in an owner's hints somebody is.
+// HintMark is how far in a leader's hints somebody is.
 type HintMark struct {
 	Gen   ids.Generation
 	Seq   uint64
@@ -73,7 +73,7 @@
 }
 
 // Hints lists the machines heard of which something changed since a mark, or
-// all if it is not this owner's.
+// all if it is not this leader's.
 func (b *ClusterState) Hints(since HintMark) (out []Hint, to HintMark) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -89,7 +89,7 @@
 	return out, to
 }
 
-// Seed takes hints of an earlier owner.
+// Seed takes hints of an earlier leader.
 func (b *ClusterState) Seed(hs map[ids.Machine]Hint, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/claim/isolation.go
+++ b/internal/claim/isolation.go
@@ -8,7 +8,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	// Reports may be far apart, and after a takeover all come at once: only one that
-	// is overdue tells anything. To go by less made owners give way wrongly.
+	// is overdue tells anything. To go by less made leaders give way wrongly.
 	overdue := b.set.Params.Workers.ReportS.Duration() * 5 / 4
 	silent, heard := 0, 0
 	for _, m := range b.roster.Machines {
--- a/internal/claim/learn.go
+++ b/internal/claim/learn.go
@@ -9,7 +9,7 @@
 )
 
 // Load fills the cluster state with the records found at a takeover. Their claims lapsed
-// with their owner; their places stay until a report, a lapse or the cloud says
+// with their leader; their places stay until a report, a lapse or the cloud says
 // what became of them.
 func (b *ClusterState) Load(recs map[ids.Job]*Record, stamps map[ids.Job]ids.Revision, at ids.Revision, now time.Time) {
 	b.mu.Lock()
@@ -62,7 +62,7 @@
 	return j
 }
 
-// wrote tells whether a record is this owner's own writing, without reading
+// wrote tells whether a record is this leader's own writing, without reading
 // all of it: most news is, and the cluster state knows it already.
 func (b *ClusterState) wrote(raw json.RawMessage) bool {
 	return bytes.Contains(raw, []byte(`"writer":"`+b.writer+`"`))
@@ -85,7 +85,7 @@
 		return // our own write; its answer or a read after it settles that
 	}
 	if !b.loaded {
-		// Nothing is this owner's yet: it may be the last owner's writing, whose places
+		// Nothing is this leader's yet: it may be the last leader's writing, whose places
 		// count like those in the records. To take it for a user's, who changes only the
 		// status, would lose them.
 		b.unlearn(j)
--- a/internal/claim/lonely_test.go
+++ b/internal/claim/lonely_test.go
@@ -12,7 +12,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-func TestAnOwnerWithoutAnyNetworkIsReplacedOnceAndFollows(t *testing.T) {
+func TestALeaderWithoutAnyNetworkIsReplacedOnceAndFollows(t *testing.T) {
 	t.Parallel()
 	// By reset and by silence, for a minute and a half: what it still believes to own
 	// must not come back with it, nor may the pool go back and forth.
@@ -26,7 +26,7 @@
 			time.Sleep(10 * time.Second)
 			w.submit("a", spec("job-1", "standing", 4))
 			w.until(4*time.Second, "it runs", func() bool { return w.everywhere("job-1", 4) })
-			old := w.owner()
+			old := w.leader()
 			other := map[string]string{"a": "b", "b": "a"}[old.name]
 			gen := old.pool.Cluster().Generation()
 			w.net.SetRule(func(from, to string, _ *http.Request, _ []byte) fake.Fate {
--- a/internal/claim/meetings_test.go
+++ b/internal/claim/meetings_test.go
@@ -173,8 +173,8 @@
 // lead waits until a node leads, and names it.
 func (g *meet) lead() *node {
 	g.t.Helper()
-	g.until(20*time.Second, "a leader", func() bool { return g.owner() != nil })
-	return g.owner()
+	g.until(20*time.Second, "a leader", func() bool { return g.leader() != nil })
+	return g.leader()
 }
 
 // runs tells whether the first n tasks of a job are on machines.
@@ -570,7 +570,7 @@
 							g.store.SetDown(i%5 >= 3)
 						}
 						var down []string
-						if n := g.owner(); n != nil && how != "all" {
+						if n := g.leader(); n != nil && how != "all" {
 							n.kill()
 							down = append(down, n.name)
 						} else if how != "outage" {
--- a/internal/claim/mistakes_test.go
+++ b/internal/claim/mistakes_test.go
@@ -94,7 +94,7 @@
 		if !strings.Contains(lines, "fail wherever they run") || !strings.Contains(lines, "next try in") {
 			t.Errorf("explained as %s", lines)
 		}
-		// A new owner knows it from the record, and does not start all of it again.
+		// A new leader knows it from the record, and does not start all of it again.
 		heir := fleet(t, 30)
 		r := b.jobs["job-1"].Rec
 		r.Places = nil
@@ -210,9 +210,9 @@
 	})
 }
 
-func TestOnlyWorkersThatAreOverdueAndMissingMakeAnOwnerGiveWay(t *testing.T) {
+func TestOnlyWorkersThatAreOverdueAndMissingMakeALeaderGiveWay(t *testing.T) {
 	t.Parallel()
-	// Found on a day of an earlier deployment: an owner gave way nine seconds after its
+	// Found on a day of an earlier deployment: a leader gave way nine seconds after its
 	// takeover for workers that were there, since their peer's word took longer than
 	// they did.
 	synctest.Test(t, func(t *testing.T) {
@@ -238,9 +238,9 @@
 	})
 }
 
-func TestWorkersSentToAnEarlierOwnerSayNothingOfThisOne(t *testing.T) {
+func TestWorkersSentToAnEarlierLeaderSayNothingOfThisOne(t *testing.T) {
 	t.Parallel()
-	// Found on a day with a crash: the workers that had been sent on to the dead owner,
+	// Found on a day with a crash: the workers that had been sent on to the dead leader,
 	// or had been here since, made each new one give way a few seconds after its
 	// takeover.
 	synctest.Test(t, func(t *testing.T) {
@@ -269,7 +269,7 @@
 	})
 }
 
-func TestANewOwnerKnowsWhatItsPredecessorRented(t *testing.T) {
+func TestANewLeaderKnowsWhatItsPredecessorRented(t *testing.T) {
 	t.Parallel()
 	// Guards against renting twice after a takeover: the cloud's list lags by more
 	// than a takeover takes.
--- a/internal/claim/mixed_test.go
+++ b/internal/claim/mixed_test.go
@@ -13,8 +13,8 @@
 func TestTwoTroublesAtOnceWhileUsersSubmitAskAndCancel(t *testing.T) {
 	t.Parallel()
 	// Guards against rules that hold in each trouble alone: machines hang, are mute or
-	// deaf or have their reports copied, the state service refuses the owner, is slow or
-	// out for all, loses answers or carries transactions out late, the owner ends, or is
+	// deaf or have their reports copied, the state service refuses the leader, is slow or
+	// out for all, loses answers or carries transactions out late, the leader ends, or is
 	// cut from the state service and the other controller, two of these at a time, for up to beyond
 	// a lease. Some jobs await others. Once all is over, every job comes to its end.
 	for seed := range uint64(4) {
@@ -65,7 +65,7 @@
 					time.Sleep(d.ms(0, 3000))
 					w.net.Release()
 				case 4:
-					if o := w.owner(); o != nil {
+					if o := w.leader(); o != nil {
 						w.store.Refuse(o.name, true)
 						time.Sleep(spell)
 						w.store.Refuse(o.name, false)
@@ -98,7 +98,7 @@
 					time.Sleep(spell)
 					set(i, nil)
 				case 10:
-					if o := w.owner(); o != nil {
+					if o := w.leader(); o != nil {
 						set(i, func(from, to string, _ *http.Request, _ []byte) fake.Fate {
 							if touches(from, to, "a", "b") || touches(from, to, o.name, "state") {
 								return fake.Swallow
--- a/internal/claim/outcomes.go
+++ b/internal/claim/outcomes.go
@@ -123,7 +123,7 @@
 	b := c.Cluster
 	if !found {
 		b.askAgain(id, now)
-		// It may be live after all, by a write of this owner's without an answer.
+		// It may be live after all, by a write of this leader's without an answer.
 		c.findLive(ctx, id, now)
 		return
 	}
@@ -138,7 +138,7 @@
 	b.finally(id, rec.Status)
 }
 
-// findLive takes in a live record that this owner wrote but does not know of.
+// findLive takes in a live record that this leader wrote but does not know of.
 func (c *Committer) findLive(ctx context.Context, id ids.Job, now time.Time) {
 	e, found, err := c.State.Get(ctx, JobKey(id), state.Normal)
 	if err != nil || !found {
--- a/internal/claim/outcomes_test.go
+++ b/internal/claim/outcomes_test.go
@@ -119,7 +119,7 @@
 		h := newHistory(t, 100000, 100)
 		b := testBook()
 		c := NewCommitter(b, h.state, "a", 0)
-		for k := range 120 { // the last 20 did not end; one of them is live, unknown to the owner
+		for k := range 120 { // the last 20 did not end; one of them is live, unknown to the leader
 			id := numbered(200000 + k)
 			b.LearnWaiting(id, 1, waits(id, Low, 0, numbered(100000+k)), time.Now())
 		}
--- a/internal/claim/oversize_test.go
+++ b/internal/claim/oversize_test.go
@@ -47,7 +47,7 @@
 	w.next = lowerLimits
 	w.start("a")
 	w.start("b")
-	w.until(10*time.Second, "a new leader", func() bool { return w.owner() != nil })
+	w.until(10*time.Second, "a new leader", func() bool { return w.leader() != nil })
 }
 
 // toldOnly tells whether a node answers that a job stands so, and no node answers otherwise.
@@ -77,19 +77,19 @@
 		"the limits still hold": {},
 		"the limits fell":       {fallen: true},
 		"the leader ends after it": {fallen: true, after: func(w *world) {
-			leader := w.owner()
+			leader := w.leader()
 			leader.kill()
 			time.AfterFunc(20*time.Second, func() { w.start(leader.name) })
 		}},
 		"the leader is refused": {fallen: true, before: func(w *world) {
-			leader := w.owner()
+			leader := w.leader()
 			w.store.Refuse(leader.name, true)
 			time.AfterFunc(12*time.Second, func() { w.store.Refuse(leader.name, false) })
 		}},
 		"as the last task ends": {fallen: true, before: func(w *world) {
 			// The leader knows the end, but the cancellation is stored first, and the
 			// leader can write but not read.
-			leader := w.owner().name
+			leader := w.leader().name
 			time.Sleep(3 * time.Second) // it has read the records
 			w.net.SetRule(func(from, _ string, r *http.Request, body []byte) fake.Fate {
 				early := kind(r, body) == "outcome" && strings.Contains(string(body), "end/job-1") && w.store.Value("job/cancel/job-1") == nil
--- a/internal/claim/pipeline.go
+++ b/internal/claim/pipeline.go
@@ -7,7 +7,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-// waiting is the record of a job that awaits others, in the owner's memory.
+// waiting is the record of a job that awaits others, in the leader's memory.
 type waiting struct {
 	rec   *Record
 	stamp ids.Revision
@@ -15,7 +15,7 @@
 
 func (w *waiting) id() ids.Job { return w.rec.Spec.ID }
 
-// pipelines is what the owner knows of jobs that await others.
+// pipelines is what the leader knows of jobs that await others.
 type pipelines struct {
 	graph  *dependency.Graph
 	waits  map[ids.Job]*waiting
@@ -38,7 +38,7 @@
 	w := b.pipes.waits[id]
 	switch {
 	case rec == nil && w != nil && stamp > w.stamp:
-		// Its user cancelled it, or it is this owner's own move, whose answer is
+		// Its user cancelled it, or it is this leader's own move, whose answer is
 		// on its way or lost: then the next try of it finds out.
 		if !b.pipes.graph.IsReady(id) && b.pipes.graph.CancelledBy(id) == "" {
 			b.unwait(w)
--- a/internal/claim/pipeline_handover_test.go
+++ b/internal/claim/pipeline_handover_test.go
@@ -85,12 +85,12 @@
 			t.Fatalf("the cancellation is answered %q", how)
 		}
 		time.Sleep(3 * time.Second)
-		o := w.owner()
+		o := w.leader()
 		o.kill()
 		if n := w.store.Count("job/wait/"); n != 39 {
 			t.Fatalf("%d of 39 records are left", n)
 		}
-		w.until(10*time.Second, "another leads", func() bool { return w.owner() != nil && w.owner() != o })
+		w.until(10*time.Second, "another leads", func() bool { return w.leader() != nil && w.leader() != o })
 		w.net.SetRule(nil)
 		w.start(o.name)
 		w.until(40*time.Second, "the ends are stored", func() bool { return w.store.Count("job/") == 0 && w.store.Count("end/") == 40 })
@@ -123,7 +123,7 @@
 				w.chainOf(2)
 				w.submit("a", awaiting(spec("job-3", "array", 1), "job-1"))
 				w.until(5*time.Second, "the first runs", func() bool { return w.everywhere("job-1", 1) })
-				o := w.owner()
+				o := w.leader()
 				w.net.Delay = func() time.Duration { return delay }
 				gone := func() { time.AfterFunc(50*time.Millisecond, o.kill) }
 				var hits atomic.Int32
@@ -144,7 +144,7 @@
 					return fake.Deliver
 				})
 				w.ends("job-1")
-				w.until(15*time.Second, "another leads", func() bool { return w.owner() != nil && w.owner() != o })
+				w.until(15*time.Second, "another leads", func() bool { return w.leader() != nil && w.leader() != o })
 				w.until(40*time.Second, "those that awaited it run", func() bool { return w.everywhere("job-2", 1) && w.everywhere("job-3", 1) })
 				w.start(o.name)
 				time.Sleep(delay)
@@ -176,7 +176,7 @@
 				w.pair()
 				w.chainOf(3)
 				w.until(5*time.Second, "the first runs", func() bool { return w.everywhere("job-1", 1) })
-				o := w.owner()
+				o := w.leader()
 				w.net.Delay = func() time.Duration { return delay }
 				var late atomic.Int32
 				w.net.SetRule(func(from, _ string, r *http.Request, body []byte) fake.Fate {
--- a/internal/claim/pipeline_test.go
+++ b/internal/claim/pipeline_test.go
@@ -40,7 +40,7 @@
 	for name, trouble := range map[string]func(w *world){
 		"none": func(*world) {},
 		"the leader ends": func(w *world) {
-			if o := w.owner(); o != nil {
+			if o := w.leader(); o != nil {
 				o.kill()
 				time.Sleep(300 * time.Millisecond)
 				w.start(o.name)
@@ -57,7 +57,7 @@
 			})
 		},
 		"the leader is refused": func(w *world) {
-			if o := w.owner(); o != nil {
+			if o := w.leader(); o != nil {
 				w.store.Refuse(o.name, true)
 				time.AfterFunc(9*time.Second, func() { w.store.Refuse(o.name, false) })
 			}
@@ -112,13 +112,13 @@
 			return w.insistOn("job-1")
 		},
 		"while the leader is refused": func(w *world) string {
-			o := w.owner()
+			o := w.leader()
 			w.store.Refuse(o.name, true)
 			time.AfterFunc(8*time.Second, func() { w.store.Refuse(o.name, false) })
 			return w.insistOn("job-1")
 		},
 		"as the leader ends": func(w *world) string {
-			o := w.owner()
+			o := w.leader()
 			o.kill()
 			time.AfterFunc(3*time.Second, func() { w.start(o.name) })
 			return w.insistOn("job-1")
--- a/internal/claim/pool.go
+++ b/internal/claim/pool.go
@@ -16,9 +16,9 @@
 	"github.com/pebbletrail/pebbletrail/internal/worker"
 )
 
-// ownerRec is the value of pool/owner; the key is attached to the hold, so it
-// goes away when its owner stops renewing.
-type ownerRec struct {
+// leaderRecord is the value of pool/owner; the key is attached to the hold, so it
+// goes away when its leader stops renewing.
+type leaderRecord struct {
 	Node       ids.Node       `json:"node"`
 	Writer     string         `json:"writer"`
 	Hold       ids.Lease      `json:"hold"`
@@ -69,17 +69,17 @@
 	mu      sync.Mutex
 	term    *Term
 	resting time.Time              // no campaign before
-	last    lastOwner              // who owned the pool before this node
-	hints   map[ids.Machine]Hint   // of the last owner heard
+	last    lastLeader             // who owned the pool before this node
+	hints   map[ids.Machine]Hint   // of the last leader heard
 	heardTo HintMark               // what of its hints is here
-	sent    map[ids.Machine]sentOn // workers sent on to the owner
+	sent    map[ids.Machine]sentOn // workers sent on to the leader
 }
 
 // NewPool makes the pool's client; incarnation tells this process from its
 // node's earlier ones.
 func NewPool(set *config.Settings, c *state.Client, cmd *worker.Commander, incarnation string) *Pool {
 	p := &Pool{Set: set, State: c, Commander: cmd, incarnation: incarnation, sent: map[ids.Machine]sentOn{}}
-	p.known = p.Owner
+	p.known = p.Leader
 	p.mirror = state.NewMirror(c, PoolPrefix, 100*time.Millisecond)
 	p.jobs = state.NewMirror(c, JobPrefix, 400*time.Millisecond)
 	p.readAt = p.jobs.AsOf
@@ -128,7 +128,7 @@
 			wait(ctx, life/5)
 			continue
 		}
-		p.watchOwner()
+		p.watchLeader()
 		if p.vacant() {
 			if err := p.campaign(ctx, life); err != nil {
 				slog.Debug("campaign failed", "err", err)
@@ -155,23 +155,23 @@
 	return nil
 }
 
-// Owner is who owns the pool as far as this node knows.
-func (p *Pool) Owner() (ids.Node, bool) {
+// Leader is who owns the pool as far as this node knows.
+func (p *Pool) Leader() (ids.Node, bool) {
 	if p.Term() != nil {
 		return p.Set.HostName, true
 	}
-	e, found, ready := p.mirror.Get(OwnerKey)
+	e, found, ready := p.mirror.Get(LeaderKey)
 	if !ready || !found {
 		return "", false
 	}
-	var o ownerRec
+	var o leaderRecord
 	if json.Unmarshal(e.Value, &o) != nil || o.Node == p.Set.HostName {
 		return "", false
 	}
 	return o.Node, true
 }
 
-// Types reads the machine types that an owner has stored.
+// Types reads the machine types that a leader has stored.
 func (p *Pool) Types() []placement.Type {
 	e, found, _ := p.mirror.Get(TypesKey)
 	if !found {
@@ -253,7 +253,7 @@
 	slog.Info("gave the machine pool up", "generation", t.Gen, "why", why)
 	t.Cluster.Close()
 	t.cancel()
-	p.State.Budget().SetOwner(false)
+	p.State.Budget().SetLeader(false)
 }
 
 // learnWaiting passes on news of a job that awaits others, if this node owns the pool.
@@ -276,12 +276,12 @@
 	}
 }
 
-// Explain tells why a job's tasks wait, if this node surely owns the pool: an owner
+// Explain tells why a job's tasks wait, if this node surely owns the pool: a leader
 // that stood still, or can't renew its hold, might tell what is no longer so.
 func (p *Pool) Explain(id ids.Job) ([]string, error) {
 	t := p.Term()
 	if t == nil {
-		return nil, ErrNotOwner
+		return nil, ErrNotLeader
 	}
 	if !p.Sure(t) {
 		return []string{"the state service has not answered the pool's owner for a moment: nothing is started or stopped until it does"}, nil
@@ -298,5 +298,5 @@
 	return lines, nil
 }
 
-// ErrNotOwner tells that this node does not own the pool.
-var ErrNotOwner = errors.New("not the pool's owner")
+// ErrNotLeader tells that this node does not own the pool.
+var ErrNotLeader = errors.New("not the pool's owner")
--- a/internal/claim/probe.go
+++ b/internal/claim/probe.go
@@ -12,13 +12,13 @@
 // probe asks machines whose reports are overdue: one that hangs, is cut off or
 // dead says nothing, while one that only lost its way here answers. After a
 // takeover it asks all that are known, instead of waiting until their workers
-// have found the new owner, and shows them its token.
+// have found the new leader, and shows them its token.
 func (d *Dispatcher) probe(ctx context.Context) {
 	for _, pr := range d.Cluster.toProbe(time.Now(), cap(d.slots)) {
 		go func() {
 			var rep *worker.Report
 			if pr.session > 0 {
-				// No orders: only so that what older owners sent is turned
+				// No orders: only so that what older leaders sent is turned
 				// away from here on, and the answer tells what is there.
 				ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 				_, rep = d.Commander.Send(ctx, pr.addr, pr.token, pr.session, nil)
@@ -118,7 +118,7 @@
 // earlyAsks is how many machines without replicas are asked in a second before their
 // reports, which come up to a quarter later than their interval, are overdue: in a
 // large fleet half of all machines are that silent at any time, and to ask each of
-// them costs its owner as much as their reports do.
+// them costs its leader as much as their reports do.
 const earlyAsks = 30.0
 
 // keenProbes is how many questions in a row are asked closely after another.
--- a/internal/claim/promote_test.go
+++ b/internal/claim/promote_test.go
@@ -97,7 +97,7 @@
 // so many changes a second.
 func (h *history) leader(writes float64) *state.Client {
 	c := state.NewClient("state:1", h.network.Client("a"), state.NewBudget(1000, writes, 1, 0.6))
-	c.Budget().SetOwner(true)
+	c.Budget().SetLeader(true)
 	return c
 }
 
--- a/internal/claim/record.go
+++ b/internal/claim/record.go
@@ -1,5 +1,5 @@
 // Package claim owns the jobs' records, the claim on the machine pool, and what
-// the pool's owner does with both: claiming jobs, marking batches before their
+// the leader does with both: claiming jobs, marking batches before their
 // starts, and settling outcomes from reports.
 package claim
 
@@ -17,7 +17,7 @@
 
 // Where things are kept in the state service.
 const (
-	OwnerKey      = "pool/owner"
+	LeaderKey     = "pool/owner"
 	GenerationKey = "pool/generation"
 	PoolPrefix    = "pool/"
 	TypesKey      = "pool/types"
@@ -216,7 +216,7 @@
 	Places   []placeRec     `json:"places,omitempty"`
 	Trail    []Event        `json:"trail,omitempty"`
 	// FailedOn is on how many machines its tasks failed with none completed, so
-	// that a new owner need not find out again.
+	// that a new leader need not find out again.
 	FailedOn int `json:"failedOn,omitempty"`
 	// CancelledBy is the job whose cancellation ended this one, which needs it.
 	CancelledBy ids.Job `json:"cancelledBy,omitempty"`
--- a/internal/claim/redirect.go
+++ b/internal/claim/redirect.go
@@ -9,19 +9,19 @@
 	"github.com/pebbletrail/pebbletrail/internal/state"
 )
 
-// sentOn is a worker sent on to the owner, perhaps again and again.
+// sentOn is a worker sent on to the leader, perhaps again and again.
 type sentOn struct {
 	to          ids.Node
 	first, last time.Time
 }
 
-// Strand is a worker that was sent on to the owner and may not have got there.
+// Strand is a worker that was sent on to the leader and may not have got there.
 type Strand struct {
 	Machine ids.Machine
 	Ago     time.Duration // when it was first sent on
 }
 
-// A worker sent on reports to the owner within arrives. One that does not get
+// A worker sent on reports to the leader within arrives. One that does not get
 // through is back within backWithin: it waits 4 s for an answer, and another before it
 // tries the next node.
 const (
@@ -44,15 +44,15 @@
 	p.sent[m] = s
 }
 
-// Stranded lists the workers that were lately sent to the present owner and came
-// back, or should be there by now: whether they have been, the owner knows. Those sent
+// Stranded lists the workers that were lately sent to the present leader and came
+// back, or should be there by now: whether they have been, the leader knows. Those sent
 // to an earlier one say nothing of this one.
 func (p *Pool) Stranded() (out []Strand) {
-	owner, _ := p.known()
+	leader, _ := p.known()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for m, s := range p.sent {
-		if s.to != owner || time.Since(s.last) >= backWithin {
+		if s.to != leader || time.Since(s.last) >= backWithin {
 			delete(p.sent, m)
 		} else if s.last != s.first || time.Since(s.first) > arrives {
 			out = append(out, Strand{m, time.Since(s.first)})
@@ -61,7 +61,7 @@
 	return out
 }
 
-// Reconsider is told by a peer which workers reach it but not this owner. If
+// Reconsider is told by a peer which workers reach it but not this leader. If
 // those are most of the machines, this node is cut off from the workers and
 // gives the pool up, at once and for a while, to one that is not.
 func (p *Pool) Reconsider(stranded []Strand) {
@@ -72,12 +72,12 @@
 	p.giveWay(t, "cut off from the workers, which reach another node")
 }
 
-// deafAfter is how long a term lasts at least before its owner may find itself
+// deafAfter is how long a term lasts at least before its leader may find itself
 // cut off from all workers.
 const deafAfter = 5 * time.Second
 
 // checkDeaf gives the pool up if no worker is heard or answers, and no other
-// controller can be reached to tell whether they reach it. An owner that hears
+// controller can be reached to tell whether they reach it. A leader that hears
 // nobody keeps no lease alive, so little is lost if another fares no better.
 func (p *Pool) checkDeaf(t *Term) {
 	if p.Peers == nil || !p.Peers.Alone() || time.Since(t.began) < deafAfter || !t.Cluster.deaf(time.Now()) {
--- a/internal/claim/returns.go
+++ b/internal/claim/returns.go
@@ -59,7 +59,7 @@
 	case !m.Heard && m.Booting:
 		return b.whyNotAwaited(m, needed[m.Name], si.on, now)
 	case !m.Heard && !m.Booting && si.alone(m) && (now.Sub(m.Born) > 2*silentAfter || !empty && (m.Probes >= 4 || m.Addr == "" && now.Sub(m.Born) > silentAfter)):
-		// It held tasks for an earlier owner and neither answers nor is
+		// It held tasks for an earlier leader and neither answers nor is
 		// listed: returning it proves its tasks gone.
 		return "up but never heard"
 	case !m.Heard && !m.Booting && si.dark(m.Zone) && b.trustSilence.Sub(now) < b.set.Params.Workers.LeaseS.Duration()*2/3 && b.movable(m, si):
@@ -77,7 +77,7 @@
 }
 
 // movable tells whether a machine has a replica that may start in a zone that is
-// not dark. An owner knows when the leases of a dark zone's machines lapse only
+// not dark. A leader knows when the leases of a dark zone's machines lapse only
 // if it answered them itself. After a takeover it would trust that only long
 // after most of the replicas have ended, while the cloud's word on a machine
 // returned is proof at once. Two thirds of a lease before that time the first
--- a/internal/claim/settle.go
+++ b/internal/claim/settle.go
@@ -147,7 +147,7 @@
 const maxOrders = 400
 
 // ambiguous tells whether a report may be from before what the record tells of a
-// gang. Until a worker shows this owner's token its report may be of any age, and of
+// gang. Until a worker shows this leader's token its report may be of any age, and of
 // a gang the same task may have been started again, under the same attempt, on the
 // machine where it had ended. Of other jobs every start has a number of its own; and
 // what is done is done.
--- a/internal/claim/spent.go
+++ b/internal/claim/spent.go
@@ -8,7 +8,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/worker"
 )
 
-// spent counts what the machines cost this owner, by what they were doing, and
+// spent counts what the machines cost this leader, by what they were doing, and
 // the work that has to be done again. It answers an operator's question of
 // where the money goes; nothing is decided by it.
 type spent struct {
--- a/internal/claim/standstill.go
+++ b/internal/claim/standstill.go
@@ -8,10 +8,10 @@
 )
 
 // A process may stand still for seconds or minutes, its clocks running on, and then
-// go on as if nothing had happened. Whatever an owner knew, another may own the pool
+// go on as if nothing had happened. Whatever a leader knew, another may own the pool
 // by then. Leases and holds are judged by the clock, but between a look at the clock
 // and the act there is always time to stand still; and what others sent meanwhile
-// waits to be answered. So a standstill is noticed as such, and before the owner
+// waits to be answered. So a standstill is noticed as such, and before the leader
 // answers a beat or sends a command again, a renewal sent after it has to succeed.
 
 const (
@@ -59,7 +59,7 @@
 	return woke
 }
 
-// proven tells whether the owner has renewed its hold since this process last stood
+// proven tells whether the leader has renewed its hold since this process last stood
 // still.
 func (p *Pool) proven(t *Term) bool {
 	woke := p.still.since(time.Now(), false)
--- a/internal/claim/standstill_test.go
+++ b/internal/claim/standstill_test.go
@@ -11,7 +11,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/worker"
 )
 
-func TestAnOwnerThatWakesProvesThatItStillOwnsBeforeItActs(t *testing.T) {
+func TestALeaderThatWakesProvesThatItStillOwnsBeforeItActs(t *testing.T) {
 	t.Parallel()
 	// Guards against the first moments after a standstill, in which what waited on
 	// its connections is answered and machines look silent that nobody listened to.
--- a/internal/claim/stories_test.go
+++ b/internal/claim/stories_test.go
@@ -37,7 +37,7 @@
 	})
 }
 
-func TestTwoOwnersAtOnceAreHarmlessAndALateTransactionIsVoid(t *testing.T) {
+func TestTwoLeadersAtOnceAreHarmlessAndALateTransactionIsVoid(t *testing.T) {
 	t.Parallel()
 	story(t, func(t *testing.T, w *world) {
 		a := w.start("a")
@@ -320,7 +320,7 @@
 	})
 }
 
-func TestARestartedOwnerEndsItsDeadPredecessorsHold(t *testing.T) {
+func TestARestartedLeaderEndsItsDeadPredecessorsHold(t *testing.T) {
 	t.Parallel()
 	story(t, func(t *testing.T, w *world) {
 		a := w.start("a")
@@ -394,7 +394,7 @@
 	return len(hs)
 }
 
-func TestANewOwnerAsksMachinesBeforeTheirWorkersFindIt(t *testing.T) {
+func TestANewLeaderAsksMachinesBeforeTheirWorkersFindIt(t *testing.T) {
 	t.Parallel()
 	story(t, func(t *testing.T, w *world) {
 		a := w.start("a")
@@ -415,7 +415,7 @@
 	})
 }
 
-func TestAnOwnerCutOffFromTheWorkersReturnsNoneAndGivesWay(t *testing.T) {
+func TestALeaderCutOffFromTheWorkersReturnsNoneAndGivesWay(t *testing.T) {
 	t.Parallel()
 	story(t, func(t *testing.T, w *world) {
 		a := w.start("a")
--- a/internal/claim/takeover.go
+++ b/internal/claim/takeover.go
@@ -12,8 +12,8 @@
 	"github.com/pebbletrail/pebbletrail/internal/state"
 )
 
-// lastOwner is whose generation this node has seen, and since when.
-type lastOwner struct {
+// lastLeader is whose generation this node has seen, and since when.
+type lastLeader struct {
 	writer string
 	since  time.Time
 }
@@ -24,25 +24,25 @@
 	p.mu.Lock()
 	resting := time.Now().Before(p.resting)
 	p.mu.Unlock()
-	e, found, ready := p.mirror.Get(OwnerKey)
+	e, found, ready := p.mirror.Get(LeaderKey)
 	if !ready || resting {
 		return false
 	}
 	if !found {
 		return true
 	}
-	var o ownerRec
+	var o leaderRecord
 	return json.Unmarshal(e.Value, &o) == nil && o.Node == p.Set.HostName
 }
 
 // campaign tries to take the pool over.
 func (p *Pool) campaign(ctx context.Context, life time.Duration) error {
-	cur, found, err := p.State.Get(ctx, OwnerKey, state.Urgent)
+	cur, found, err := p.State.Get(ctx, LeaderKey, state.Urgent)
 	if err != nil {
 		return err
 	}
 	if found {
-		var o ownerRec
+		var o leaderRecord
 		if err := json.Unmarshal(cur.Value, &o); err != nil {
 			return err
 		}
@@ -50,7 +50,7 @@
 			wait(ctx, 100*time.Millisecond) // the mirror is behind
 			return errors.New("owned by " + string(o.Node))
 		}
-		// Only one process runs on a node: this hold's owner is dead, or an
+		// Only one process runs on a node: this hold's leader is dead, or an
 		// earlier term of ours whose answer got lost.
 		slog.Info("ending the hold of this node's earlier life", "writer", o.Writer)
 		if err := p.State.EndLease(ctx, o.Hold); err != nil && !errors.Is(err, state.ErrNoLease) {
@@ -74,11 +74,11 @@
 	}
 	gen := prev.Generation + 1
 	writer := fmt.Sprintf("%s/%d", p.incarnation, gen)
-	oraw, _ := json.Marshal(ownerRec{p.Set.HostName, writer, hold, gen})
+	oraw, _ := json.Marshal(leaderRecord{p.Set.HostName, writer, hold, gen})
 	graw, _ := json.Marshal(generationRec{gen, p.Set.HostName, writer})
 	epoch, err := p.State.Commit(ctx, state.Txn{
-		When: []state.Condition{{Key: OwnerKey}, {Key: GenerationKey, Revision: ge.Revision}},
-		Then: []state.Op{{Put: OwnerKey, Value: oraw, Lease: hold}, {Put: GenerationKey, Value: graw}},
+		When: []state.Condition{{Key: LeaderKey}, {Key: GenerationKey, Revision: ge.Revision}},
+		Then: []state.Op{{Put: LeaderKey, Value: oraw, Lease: hold}, {Put: GenerationKey, Value: graw}},
 	}, state.Urgent)
 	if errors.Is(err, state.ErrUnknown) {
 		// Read back what became of it.
@@ -114,7 +114,7 @@
 	b.Starting = func() (bool, time.Time) { return p.mayStart(t), p.readAt() }
 	t.Committer.OnLost = func(why string) { go p.stepDown(t, why) }
 	t.Committer.OnStored = t.Dispatcher.Wake
-	p.State.Budget().SetOwner(true)
+	p.State.Budget().SetLeader(true)
 	p.mu.Lock()
 	b.Seed(p.hints, now)
 	p.term = t
@@ -130,7 +130,7 @@
 	go p.confirmStopped(tctx, t, p.whoMayAnswer(prev, now)...)
 }
 
-// load reads every live record; the takeover's commit keeps older owners from
+// load reads every live record; the takeover's commit keeps older leaders from
 // changing any of them.
 func (p *Pool) load(ctx context.Context, t *Term) bool {
 	for ctx.Err() == nil {
@@ -182,8 +182,8 @@
 	return true
 }
 
-// watchOwner notes whose generation it is and since when.
-func (p *Pool) watchOwner() {
+// watchLeader notes whose generation it is and since when.
+func (p *Pool) watchLeader() {
 	e, found, ready := p.mirror.Get(GenerationKey)
 	var g generationRec
 	if !ready || !found || json.Unmarshal(e.Value, &g) != nil {
@@ -192,12 +192,12 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if g.Writer != p.last.writer {
-		p.last = lastOwner{g.Writer, time.Now()}
+		p.last = lastLeader{g.Writer, time.Now()}
 	}
 }
 
 // whoMayAnswer names the controllers that may still be answering beats under an
-// older generation: only the last owner, if this node has seen it own the pool
+// older generation: only the last leader, if this node has seen it own the pool
 // for longer than the grace of whoever was before it; otherwise none is named, and
 // all must be asked. In a zone that is cut off there may be controllers, which
 // cannot confirm anything, and need not.
--- a/internal/claim/troubles_test.go
+++ b/internal/claim/troubles_test.go
@@ -19,7 +19,7 @@
 	})
 }
 
-func (w *world) owner() *node {
+func (w *world) leader() *node {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, n := range w.nodes {
@@ -78,10 +78,10 @@
 	}
 }
 
-func TestANewOwnerFirstHearsLateCopiesOfReports(t *testing.T) {
+func TestANewLeaderFirstHearsLateCopiesOfReports(t *testing.T) {
 	t.Parallel()
 	// The copies show job-1 running and know nothing of job-2, which runs there
-	// now: the new owner hears them before anything else of that machine.
+	// now: the new leader hears them before anything else of that machine.
 	story(t, func(t *testing.T, w *world) {
 		a := w.start("a")
 		m1 := w.worker("m1", "north")
@@ -119,7 +119,7 @@
 
 func TestProcessesBackWithinAFractionOfASecond(t *testing.T) {
 	t.Parallel()
-	// The owner; the candidate in the middle of its takeover; all at once.
+	// The leader; the candidate in the middle of its takeover; all at once.
 	story(t, func(t *testing.T, w *world) {
 		w.start("a")
 		w.start("b")
@@ -134,16 +134,16 @@
 			w.start(n.name)
 		}
 		settled := func() {
-			w.until(10*time.Second, "an owner", func() bool { return w.owner() != nil })
+			w.until(10*time.Second, "an owner", func() bool { return w.leader() != nil })
 			time.Sleep(6 * time.Second)
 		}
-		again(w.owner())
+		again(w.leader())
 		settled()
-		first := w.owner()
+		first := w.leader()
 		first.kill()
 		// The other takes over about a hold's life later, and ends right then.
-		w.until(5*time.Second, "a takeover", func() bool { return w.owner() != nil })
-		again(w.owner())
+		w.until(5*time.Second, "a takeover", func() bool { return w.leader() != nil })
+		again(w.leader())
 		time.Sleep(100 * time.Millisecond)
 		w.start(first.name)
 		settled()
--- a/internal/claim/users_test.go
+++ b/internal/claim/users_test.go
@@ -356,7 +356,7 @@
 	askers.Go(func() { w.tasksEnd(over, d, 1000, 5000) })
 	time.Sleep(5 * time.Second)
 	if what == "takeover" || what == "any" {
-		if o := w.owner(); o != nil {
+		if o := w.leader(); o != nil {
 			o.kill()
 			time.Sleep(4 * time.Second)
 			w.start(o.name)
@@ -379,7 +379,7 @@
 	w.net.SetRule(nil)
 	w.net.Release()
 	time.Sleep(13 * time.Second) // the last late one is carried out
-	w.until(60*time.Second, "an owner", func() bool { return w.owner() != nil })
+	w.until(60*time.Second, "an owner", func() bool { return w.leader() != nil })
 	w.agreed(90*time.Second, ids...)
 	close(over)
 	askers.Wait()
@@ -524,7 +524,7 @@
 				})
 			}
 			time.Sleep(time.Minute)
-			if o := w.owner(); o == nil {
+			if o := w.leader(); o == nil {
 				t.Error("nobody owns the pool")
 			} else {
 				o.kill()
--- a/internal/claim/world_test.go
+++ b/internal/claim/world_test.go
@@ -78,7 +78,7 @@
 	workers []*fake.Worker
 	lives   int
 	rules   *rules
-	listed  bool    // the owner is told the machines by the cloud's list
+	listed  bool    // the leader is told the machines by the cloud's list
 	next    string  // the limits to come of nodes started from now on, as settings
 	valueKB float64 // the limit of values, if not that of the settings
 }
@@ -152,7 +152,7 @@
 			}
 		}
 	}
-	n.jobs = &intake.JobService{Set: set, State: st, Jobs: n.pool.Jobs(), OwnerNotifier: n, Writer: writer, Types: types}
+	n.jobs = &intake.JobService{Set: set, State: st, Jobs: n.pool.Jobs(), LeaderNotifier: n, Writer: writer, Types: types}
 	w.net.Listen(name+":8080", (&intake.Site{Jobs: n.jobs, Heartbeats: n.pool, Ready: func() bool { return true },
 		Live:   func(context.Context, ids.Job) ([]string, ids.Node, error) { return nil, "", nil },
 		Status: func() any { return nil }}).Handler())
@@ -214,9 +214,9 @@
 	return true
 }
 
-// NotifyOwner passes writes on: to its own pool at once, to the others as fast as the
+// NotifyLeader passes writes on: to its own pool at once, to the others as fast as the
 // network is.
-func (n *node) NotifyOwner(id ids.Job, stamp ids.Revision, rec *claim.Record, raw json.RawMessage) <-chan struct{} {
+func (n *node) NotifyLeader(id ids.Job, stamp ids.Revision, rec *claim.Record, raw json.RawMessage) <-chan struct{} {
 	done := make(chan struct{})
 	if lag := n.w.lag.Load(); lag != nil && n.pool.Cluster() == nil {
 		go func() {
--- a/internal/fleet/cloud.go
+++ b/internal/fleet/cloud.go
@@ -43,7 +43,7 @@
 	timeout time.Duration
 }
 
-// NewCloud makes a client that stays below rps. Only the pool's owner calls,
+// NewCloud makes a client that stays below rps. Only the leader calls,
 // so the limit is its alone but for a takeover's overlap.
 func NewCloud(addr string, h *http.Client, rps float64) *Cloud {
 	return &Cloud{base: "http://" + addr, http: h, tokens: rate.NewLimiter(rate.Limit(rps*0.8), max(1, int(rps*0.8))), timeout: 4 * time.Second}
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -167,8 +167,8 @@
 	})
 }
 
-func TestAnOwnerThatStoodStillSendsNoDeletionOrHire(t *testing.T) {
-	// Guards against an owner frozen between deciding and sending: the cloud knows
+func TestALeaderThatStoodStillSendsNoDeletionOrHire(t *testing.T) {
+	// Guards against a leader frozen between deciding and sending: the cloud knows
 	// no tokens, and its successor may have work on the machine by then.
 	synctest.Test(t, func(t *testing.T) {
 		ctx := context.Background()
--- a/internal/fleet/provisioner.go
+++ b/internal/fleet/provisioner.go
@@ -24,17 +24,17 @@
 	spot        bool
 }
 
-// Provisioner is the pool owner's loop that rents and returns machines as the work demands.
+// Provisioner is the leader's loop that rents and returns machines as the work demands.
 type Provisioner struct {
 	Cloud   *Cloud
 	Cluster *claim.ClusterState
 	Store   Store
-	// Gen makes hire names unique: it is this owner's alone.
+	// Gen makes hire names unique: it is this leader's alone.
 	Gen ids.Generation
 	// ListEvery spaces the lists; they lag anyway.
 	ListEvery time.Duration
 	// Sure tells whether no other node can own the pool yet. The cloud knows
-	// nothing of tokens: an owner that stood still, or waited, for longer than
+	// nothing of tokens: a leader that stood still, or waited, for longer than
 	// its hold could delete the machines on which its successor has placed work.
 	// So it is asked right before a deletion or hire is sent.
 	Sure func() bool
@@ -105,7 +105,7 @@
 		p.send(ctx, in)
 	}
 	if p.Sure != nil && !p.Sure() {
-		// Cut off or in an outage this owner hears of nothing: whatever it would
+		// Cut off or in an outage this leader hears of nothing: whatever it would
 		// decide might long be otherwise.
 		return
 	}
@@ -182,7 +182,7 @@
 }
 
 // storeIntent stores an intent, and tells whether it surely is. One whose answer was lost
-// may be stored yet, after all that this owner writes now; so it is stored again
+// may be stored yet, after all that this leader writes now; so it is stored again
 // rather than forgotten.
 func (p *Provisioner) storeIntent(ctx context.Context, in Intent) bool {
 	raw, err := json.Marshal(in)
--- a/internal/intake/cancel.go
+++ b/internal/intake/cancel.go
@@ -109,7 +109,7 @@
 	if r.Status.Over() {
 		d.remember(r)
 		if write.tell {
-			d.OwnerNotifier.NotifyOwner(r.Spec.ID, stamp, nil, nil)
+			d.LeaderNotifier.NotifyLeader(r.Spec.ID, stamp, nil, nil)
 		}
 		return
 	}
@@ -117,7 +117,7 @@
 		return // the leader follows what is stored apart from records
 	}
 	// It may be about to start some of the tasks.
-	told := d.OwnerNotifier.NotifyOwner(r.Spec.ID, stamp, r, write.txn.Then[0].Value)
+	told := d.LeaderNotifier.NotifyLeader(r.Spec.ID, stamp, r, write.txn.Then[0].Value)
 	select {
 	case <-told:
 	case <-time.After(leaderTold):
--- a/internal/intake/http.go
+++ b/internal/intake/http.go
@@ -28,8 +28,8 @@
 	Heartbeats Heartbeats
 	// Ready tells whether the node can take requests.
 	Ready func() bool
-	// Live explains a job as the pool's owner sees it.
-	Live func(ctx context.Context, id ids.Job) (lines []string, owner ids.Node, err error)
+	// Live explains a job as the leader sees it.
+	Live func(ctx context.Context, id ids.Job) (lines []string, leader ids.Node, err error)
 	// Status describes the node.
 	Status func() any
 	// Version is the program's, told with the answers to health checks: while it is
@@ -185,7 +185,7 @@
 }
 
 // explanation words what is known of a job: its trail, its pipeline, and, unless it is
-// over or waits for others, what the pool's owner says of its tasks.
+// over or waits for others, what the leader says of its tasks.
 func (s *Site) explanation(ctx context.Context, r *claim.Record) Explanation {
 	id := r.Spec.ID
 	x := Explanation{UID: id, Status: tell(r).Status, Trail: r.Trail}
--- a/internal/intake/intake_test.go
+++ b/internal/intake/intake_test.go
@@ -65,7 +65,7 @@
 
 type mute struct{}
 
-func (mute) NotifyOwner(ids.Job, ids.Revision, *claim.Record, json.RawMessage) <-chan struct{} {
+func (mute) NotifyLeader(ids.Job, ids.Revision, *claim.Record, json.RawMessage) <-chan struct{} {
 	done := make(chan struct{})
 	close(done)
 	return done
@@ -78,7 +78,7 @@
 	set.Params.State = config.State{RPS: 500, WriteRPS: 500, ValueKB: 8, TxnOps: 12}
 	set.Params.Teams = []config.Team{{Name: "red", CPUsMax: 8}}
 	st := state.NewClient("state:1", n.Client("a"), state.NewBudget(500, 500, 1, 0.6))
-	return n, s, &JobService{Set: set, State: st, Jobs: state.NewMirror(st, claim.JobPrefix, time.Second), OwnerNotifier: mute{}, Writer: "a",
+	return n, s, &JobService{Set: set, State: st, Jobs: state.NewMirror(st, claim.JobPrefix, time.Second), LeaderNotifier: mute{}, Writer: "a",
 		Types: func() []placement.Type {
 			return []placement.Type{{Label: "small", Cores: 4, RAM: 16, Zones: []string{"north"}}}
 		}}
--- a/internal/intake/job_service.go
+++ b/internal/intake/job_service.go
@@ -17,10 +17,10 @@
 	"github.com/pebbletrail/pebbletrail/internal/state"
 )
 
-// OwnerNotifier passes the write of a job's record on to the pool's owner.
-type OwnerNotifier interface {
+// LeaderNotifier passes the write of a job's record on to the leader.
+type LeaderNotifier interface {
 	// The channel closes once it knows, or can't be told.
-	NotifyOwner(id ids.Job, stamp ids.Revision, rec *claim.Record, raw json.RawMessage) <-chan struct{}
+	NotifyLeader(id ids.Job, stamp ids.Revision, rec *claim.Record, raw json.RawMessage) <-chan struct{}
 }
 
 // errNotNow means that the request can't be decided or stored now.
@@ -34,11 +34,11 @@
 // JobService serves the users. It writes and reads the records itself, whichever
 // node owns the pool.
 type JobService struct {
-	Set           *config.Settings
-	State         *state.Client
-	Jobs          *state.Mirror // the live records
-	OwnerNotifier OwnerNotifier
-	Writer        string
+	Set            *config.Settings
+	State          *state.Client
+	Jobs           *state.Mirror // the live records
+	LeaderNotifier LeaderNotifier
+	Writer         string
 	// Types is the cloud's offer; empty while it is not known.
 	Types func() []placement.Type
 
@@ -207,7 +207,7 @@
 	switch {
 	case err == nil:
 		if key == claim.JobKey(spec.ID) {
-			d.OwnerNotifier.NotifyOwner(spec.ID, ids.Revision(epoch), rec, raw)
+			d.LeaderNotifier.NotifyLeader(spec.ID, ids.Revision(epoch), rec, raw)
 		}
 		if rec.Status.Over() {
 			d.remember(rec)
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -43,14 +43,14 @@
 	Node    ids.Node
 	StateOK bool
 	Owner   bool
-	// Have is how far in the owner's hints this node is; the owner answers with
+	// Have is how far in the leader's hints this node is; the leader answers with
 	// what came since and how far that goes.
 	Have  claim.HintMark
 	Hints []claim.Hint
 	// Want asks for changes of the state service that the other does not use,
 	// per second; Lent answers.
 	Want, Lent float64
-	// Stranded are workers that come back from being sent to the owner.
+	// Stranded are workers that come back from being sent to the leader.
 	Stranded []claim.Strand
 }
 
@@ -253,47 +253,47 @@
 	return all
 }
 
-// NotifyOwner passes a write on to the pool's owner, wherever it is; the channel closes once
+// NotifyLeader passes a write on to the leader, wherever it is; the channel closes once
 // it knows, or can't be told.
-func (l *Link) NotifyOwner(id ids.Job, stamp ids.Revision, rec *claim.Record, raw json.RawMessage) <-chan struct{} {
+func (l *Link) NotifyLeader(id ids.Job, stamp ids.Revision, rec *claim.Record, raw json.RawMessage) <-chan struct{} {
 	done := make(chan struct{})
 	if l.pool.Cluster() != nil {
 		l.pool.Learn(id, stamp, rec)
 		close(done)
 		return done
 	}
-	owner, ok := l.pool.Owner()
+	leader, ok := l.pool.Leader()
 	if !ok {
 		close(done)
 		return done
 	}
 	go func() {
 		defer close(done)
-		if err := l.call(context.Background(), owner, "Learn", &Wrote{id, stamp, raw}, &Empty{}); err != nil {
+		if err := l.call(context.Background(), leader, "Learn", &Wrote{id, stamp, raw}, &Empty{}); err != nil {
 			slog.Debug("owner not told", "job", id, "err", err)
 		}
 	}()
 	return done
 }
 
-// Explain asks the owner why a job's tasks wait.
+// Explain asks the leader why a job's tasks wait.
 func (l *Link) Explain(ctx context.Context, id ids.Job) ([]string, ids.Node, error) {
 	if lines, err := l.pool.Explain(id); err == nil {
 		return lines, l.set.HostName, nil
 	}
-	owner, ok := l.pool.Owner()
+	leader, ok := l.pool.Leader()
 	if !ok {
 		return nil, "", errors.New("no controller owns the machine pool now, as far as this one knows: nothing starts until one does")
 	}
 	var out Lines
-	if err := l.call(ctx, owner, "Explain", &Asked{id}, &out); err != nil {
-		return nil, owner, fmt.Errorf("the pool's owner, %s, could not be asked: %w", owner, err)
+	if err := l.call(ctx, leader, "Explain", &Asked{id}, &out); err != nil {
+		return nil, leader, fmt.Errorf("the pool's owner, %s, could not be asked: %w", leader, err)
 	}
-	return out.Lines, owner, nil
+	return out.Lines, leader, nil
 }
 
 // hello tells how this node fares; to a node that said how far in the hints it
-// is, the owner tells what came since.
+// is, the leader tells what came since.
 func (l *Link) hello(to *claim.HintMark) Hello {
 	age, ok := l.state.SinceSuccess()
 	h := Hello{Node: l.set.HostName, StateOK: ok && age < 3*time.Second}
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -72,13 +72,13 @@
 		rec := claim.NewRecord(claim.Spec{ID: "job-1", Team: "red", Shape: claim.Array, Tasks: 1, Need: placement.Room{Cores: 1}}, 1, "b")
 		raw, _ := json.Marshal(rec)
 		a.Cluster().SetTypes([]placement.Type{{Label: "small", Cores: 4, RAM: 16, Zones: []string{"north"}}})
-		lb.NotifyOwner("job-1", 9, rec, raw)
+		lb.NotifyLeader("job-1", 9, rec, raw)
 		time.Sleep(time.Second)
-		lines, owner, err := lb.Explain(ctx, "job-1")
-		if err != nil || owner != "a" || !strings.Contains(strings.Join(lines, " "), "no machine has room") {
-			t.Errorf("explained by %s as %q: %v", owner, lines, err)
+		lines, leader, err := lb.Explain(ctx, "job-1")
+		if err != nil || leader != "a" || !strings.Contains(strings.Join(lines, " "), "no machine has room") {
+			t.Errorf("explained by %s as %q: %v", leader, lines, err)
 		}
-		// A higher generation makes the owner step down.
+		// A higher generation makes the leader step down.
 		if !a.Superseded(99) || a.Cluster() != nil {
 			t.Error("the owner stays although a peer is ahead")
 		}
--- a/internal/state/budget.go
+++ b/internal/state/budget.go
@@ -29,7 +29,7 @@
 // reserve is the share of a bucket that less urgent calls leave untouched.
 var reserve = [...]float64{Urgent: 0, Normal: 0.25, Spare: 0.15}
 
-// poolReserve is the share of the owner's bucket that its users leave untouched.
+// poolReserve is the share of the leader's bucket that its users leave untouched.
 const poolReserve = 0.5
 
 // maxWait bounds how long a call waits for tokens.
@@ -42,11 +42,11 @@
 type Budget struct {
 	mu       sync.Mutex
 	rps, wps float64
-	own      share // the pool owner's, for what it does as such
+	own      share // the leader's, for what it does as such
 	rest     share // every node's, for its users and its own upkeep
 	users    bucket
 	pool     bucket
-	owner    bool
+	leads    bool
 	loans    []loan
 	throttle throttle
 	// throttled tells that the rates are not back at their full size yet.
@@ -84,17 +84,17 @@
 func (n need) plus(o need) need { return need{n.calls + o.calls, n.writes + o.writes} }
 
 // headroom leaves a little of the limits unused: clocks drift, and a takeover
-// briefly makes two owners.
+// briefly makes two leaders.
 const headroom = 0.95
 
-// NewBudget splits the limits among n controllers; ownerShare of the changes
-// is for the pool's owner alone.
-func NewBudget(rps, wps float64, n int, ownerShare float64) *Budget {
-	// The owner makes most changes, in few calls; users' polls cost all nodes
+// NewBudget splits the limits among n controllers; leaderShare of the changes
+// is for the leader alone.
+func NewBudget(rps, wps float64, n int, leaderShare float64) *Budget {
+	// The leader makes most changes, in few calls; users' polls cost all nodes
 	// alike.
-	calls := ownerShare * 2 / 3
-	b := &Budget{rps: rps * headroom, wps: wps * headroom, own: share{calls, ownerShare},
-		rest: share{(1 - calls) / float64(n), (1 - ownerShare) / float64(n)}}
+	calls := leaderShare * 2 / 3
+	b := &Budget{rps: rps * headroom, wps: wps * headroom, own: share{calls, leaderShare},
+		rest: share{(1 - calls) / float64(n), (1 - leaderShare) / float64(n)}}
 	now := time.Now()
 	b.users = newBucket(b.rps*b.rest.calls, b.wps*b.rest.writes, now)
 	b.pool = newBucket(b.rps*b.own.calls, b.wps*b.own.writes, now)
@@ -109,11 +109,11 @@
 
 func burst(perSecond float64) int { return max(4, int(perSecond)) }
 
-// SetOwner tells whether this node owns the pool.
-func (b *Budget) SetOwner(owner bool) {
+// SetLeader tells whether this node owns the pool.
+func (b *Budget) SetLeader(leads bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.owner = owner
+	b.leads = leads
 }
 
 // WriteBurst is the most changes one transaction may carry now.
@@ -125,7 +125,7 @@
 
 // main is the bucket of what is not the users'.
 func (b *Budget) main() *bucket {
-	if b.owner {
+	if b.leads {
 		return &b.pool
 	}
 	return &b.users
@@ -210,11 +210,11 @@
 // bucketFor picks the bucket for a request, and the share of it to leave untouched.
 func (b *Budget) bucketFor(r *request) (*bucket, float64) {
 	keep := reserve[r.urgency]
-	if r.urgency != Spare || !b.owner {
+	if r.urgency != Spare || !b.leads {
 		return b.main(), keep
 	}
-	// The owner's changes must not crowd out its users, who have a part of their own
-	// and may use what the owner does not.
+	// The leader's changes must not crowd out its users, who have a part of their own
+	// and may use what the leader does not.
 	if b.users.shortfall(keep, r.need, need{}) > 0 && b.pool.shortfall(poolReserve, r.need, need{}) <= 0 {
 		return &b.pool, poolReserve
 	}
@@ -289,7 +289,7 @@
 		dt := max(0.2, now.Sub(k.told).Seconds())
 		k.pace = max(k.asked/dt, 0.8*k.pace)
 		k.asked, k.told = 0, now
-		// What the owner writes may wait a little for its turn, a user's may not.
+		// What the leader writes may wait a little for its turn, a user's may not.
 		margin := 1.7
 		if k == &b.pool {
 			margin = 1.2
@@ -305,7 +305,7 @@
 }
 
 func (b *Budget) buckets() []*bucket {
-	if b.owner {
+	if b.leads {
 		return []*bucket{&b.users, &b.pool}
 	}
 	return []*bucket{&b.users}
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -199,7 +199,7 @@
 		ctx := context.Background()
 		const wps = 50
 		a, b := NewBudget(1000, wps, 2, 0.6), NewBudget(1000, wps, 2, 0.6)
-		a.SetOwner(true)
+		a.SetLeader(true)
 		use := func(k *Budget, u Urgency) (n int) {
 			for k.take(shortly(ctx), u, 1) == nil {
 				if n++; n > 1000 {
--- a/internal/state/throttle_test.go
+++ b/internal/state/throttle_test.go
@@ -34,7 +34,7 @@
 			w.Write([]byte(`{"epoch":1}`))
 		}))
 		client := NewClient("state:1", n.Client("a"), NewBudget(100, 40, 1, 0.5))
-		client.Budget().SetOwner(true)
+		client.Budget().SetLeader(true)
 		put := Txn{Then: []Op{{Put: "a", Value: []byte(`1`)}}}
 		send := func(d time.Duration) (done int) {
 			for end := time.Now().Add(d); time.Now().Before(end); {
--- a/internal/state/transfer.go
+++ b/internal/state/transfer.go
@@ -74,7 +74,7 @@
 		return false
 	}
 	mine := need{1, float64(changes)}
-	if b.owner && b.pool.shortfall(poolReserve, mine, need{}) <= 0 {
+	if b.leads && b.pool.shortfall(poolReserve, mine, need{}) <= 0 {
 		return false
 	}
 	return b.users.shortfall(reserve[Spare], mine, b.users.queue) > 0
--- a/internal/worker/registry.go
+++ b/internal/worker/registry.go
@@ -25,7 +25,7 @@
 	Zone string
 	Spot bool
 
-	Heard       bool // has reported to this owner
+	Heard       bool // has reported to this leader
 	Session     ids.Session
 	Tick        ids.Tick
 	Token       ids.Generation
@@ -35,7 +35,7 @@
 	TakenAt     time.Time // zero without a spot notice
 	Pieces      []Piece
 
-	Born      time.Time // when this owner first knew of it
+	Born      time.Time // when this leader first knew of it
 	HeldSince time.Time // rental, as far as known
 	Booting   bool      // hired, not heard yet
 	Draining  string    // why nothing new goes there; empty: in use
@@ -58,7 +58,7 @@
 	Faults     int // tasks of good jobs that failed there since one last completed
 	LateStarts []LateStart
 	Images     Images
-	Hinted     ids.Session // as an earlier owner knew it
+	Hinted     ids.Session // as an earlier leader knew it
 	HintSeq    uint64      // when what the other controllers should know last changed
 }
 
@@ -104,8 +104,8 @@
 
 // Note takes in a report. answered tells that the worker gets a 200 for it,
 // which gives its lease full time from when it was sent, so at most from now.
-// fenced is the present owner's token: a worker that has seen it drops the
-// answers of every earlier owner, so that only ours renew its lease.
+// fenced is the present leader's token: a worker that has seen it drops the
+// answers of every earlier leader, so that only ours renew its lease.
 func (r *Registry) Note(m *Machine, rep *Report, now time.Time, answered bool, fenced ids.Generation) Verdict {
 	// A held-back report of an earlier life or list says nothing new.
 	if m.Heard && (rep.Session < m.Session || rep.Session == m.Session && rep.Tick <= m.Tick) {
