--- a/internal/claim/apart_test.go
+++ b/internal/claim/apart_test.go
@@ -17,7 +17,7 @@
 	return is(from, x) && is(to, y) || is(from, y) && is(to, x)
 }
 
-func (w *world) everywhere(job string, tasks int) bool {
+func (w *testCluster) everywhere(job string, tasks int) bool {
 	for i := range tasks {
 		if len(w.on(fmt.Sprintf("%s/%d", job, i))) != 1 {
 			return false
@@ -27,7 +27,7 @@
 }
 
 // once checks that each task was started on one worker only, and there once.
-func (w *world) once(tasks ...string) {
+func (w *testCluster) once(tasks ...string) {
 	w.t.Helper()
 	for _, task := range tasks {
 		n := 0
@@ -45,7 +45,7 @@
 	// Guards against what the zone's held reports, commands and answers do when
 	// they arrive afterwards: its tasks ended with their leases and run elsewhere
 	// or anew, and what ran in the other zone never stopped.
-	story(t, func(t *testing.T, w *world) {
+	scenario(t, func(t *testing.T, w *testCluster) {
 		w.listed = true
 		w.start("a")
 		w.start("b")
@@ -114,7 +114,7 @@
 	t.Parallel()
 	// Guards against a leader that stands still with a start, its answers and its
 	// writes on their way: a successor works meanwhile, then they arrive.
-	story(t, func(t *testing.T, w *world) {
+	scenario(t, func(t *testing.T, w *testCluster) {
 		w.listed = true
 		w.start("a")
 		w.start("b")
@@ -158,7 +158,7 @@
 func TestALeaderIsSureOnlyWithinItsHold(t *testing.T) {
 	t.Parallel()
 	// The cloud's deletions rest on it: they carry no token.
-	story(t, func(t *testing.T, w *world) {
+	scenario(t, func(t *testing.T, w *testCluster) {
 		a := w.start("a")
 		time.Sleep(5 * time.Second)
 		term := a.pool.Term()
@@ -182,7 +182,7 @@
 func TestALeaderCutFromTheStateAloneThenFromTheWorkersAlone(t *testing.T) {
 	t.Parallel()
 	// The controllers refuse one another all the while.
-	story(t, func(t *testing.T, w *world) {
+	scenario(t, func(t *testing.T, w *testCluster) {
 		w.listed = true
 		w.start("a")
 		w.start("b")
@@ -230,7 +230,7 @@
 	t.Parallel()
 	// Guards against copies of reports and repeats of submissions and cancels,
 	// carried out long ago, that arrive at processes which know of nothing yet.
-	story(t, func(t *testing.T, w *world) {
+	scenario(t, func(t *testing.T, w *testCluster) {
 		w.listed = true
 		w.start("a")
 		w.start("b")
@@ -301,7 +301,7 @@
 	t.Parallel()
 	// Found by a day with half as many machines again: the controllers had no
 	// sockets left for new workers, which answered questions all the same.
-	story(t, func(t *testing.T, w *world) {
+	scenario(t, func(t *testing.T, w *testCluster) {
 		w.listed = true
 		w.start("a")
 		w.start("b")
@@ -327,7 +327,7 @@
 	// Found on a day with a zone cut off in which the leader was: it went on
 	// answering the zone's workers, and what a user had cancelled through another
 	// node ran beyond the time allowed for that.
-	story(t, func(t *testing.T, w *world) {
+	scenario(t, func(t *testing.T, w *testCluster) {
 		w.start("a")
 		w.start("b")
 		w.worker("m1", "north")
@@ -360,7 +360,7 @@
 	// Guards against controllers cut off with a zone, which own nothing, keeping a
 	// new leader from trusting any lapse.
 	for seen, want := range map[time.Duration]int{5 * time.Second: 0, 30 * time.Second: 1} {
-		story(t, func(t *testing.T, w *world) {
+		scenario(t, func(t *testing.T, w *testCluster) {
 			a := w.start("a")
 			w.until(5*time.Second, "a owns the pool", func() bool { return a.pool.Cluster() != nil })
 			b := w.start("b")
--- a/internal/claim/cancel_start_test.go
+++ b/internal/claim/cancel_start_test.go
@@ -14,7 +14,7 @@
 	// Guards against a start sent after the user was told that the job is cancelled: the
 	// marker is stored and its answer takes a while; meanwhile the other node reads it,
 	// stores the cancel and tells the user, but can't tell the leader.
-	story(t, func(t *testing.T, w *world) {
+	scenario(t, func(t *testing.T, w *testCluster) {
 		a := w.start("a")
 		w.until(5*time.Second, "a owns the pool", func() bool { return a.pool.Cluster() != nil })
 		w.start("b")
--- a/internal/claim/troubles_test.go
+++ b/internal/claim/faults_test.go
@@ -10,7 +10,7 @@
 )
 
 // copies has every beat of a worker copied, for delivery later.
-func (w *world) copies(worker string) {
+func (w *testCluster) copies(worker string) {
 	w.net.SetRule(func(from, _ string, r *http.Request, _ []byte) fake.Fate {
 		if strings.HasPrefix(from, worker+":") && r.URL.Path == "/agent/beat" {
 			return fake.Copy
@@ -19,7 +19,7 @@
 	})
 }
 
-func (w *world) leader() *node {
+func (w *testCluster) leader() *node {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, n := range w.nodes {
@@ -35,7 +35,7 @@
 	// Guards against a copy, seconds or more than a lease old, that shows a task
 	// as running which has ended and was cleared, or lacks one that runs now.
 	for _, late := range []time.Duration{3 * time.Second, 35 * time.Second} {
-		story(t, func(t *testing.T, w *world) {
+		scenario(t, func(t *testing.T, w *testCluster) {
 			w.start("a")
 			m1 := w.worker("m1", "north")
 			w.worker("m2", "south")
@@ -82,7 +82,7 @@
 	t.Parallel()
 	// The copies show job-1 running and know nothing of job-2, which runs there
 	// now: the new leader hears them before anything else of that machine.
-	story(t, func(t *testing.T, w *world) {
+	scenario(t, func(t *testing.T, w *testCluster) {
 		a := w.start("a")
 		m1 := w.worker("m1", "north")
 		time.Sleep(10 * time.Second)
@@ -120,7 +120,7 @@
 func TestProcessesBackWithinAFractionOfASecond(t *testing.T) {
 	t.Parallel()
 	// The leader; the candidate in the middle of its takeover; all at once.
-	story(t, func(t *testing.T, w *world) {
+	scenario(t, func(t *testing.T, w *testCluster) {
 		w.start("a")
 		w.start("b")
 		w.worker("m1", "north")
@@ -168,7 +168,7 @@
 	t.Parallel()
 	// It lost its tasks and counts from the beginning again: what ran there
 	// must run again, once.
-	story(t, func(t *testing.T, w *world) {
+	scenario(t, func(t *testing.T, w *testCluster) {
 		w.start("a")
 		m1 := w.worker("m1", "north")
 		time.Sleep(10 * time.Second)
@@ -189,7 +189,7 @@
 func TestEveryAcceptedJobIsAnsweredForSoonAfterTroublesEnd(t *testing.T) {
 	t.Parallel()
 	// One unanswered for 75 s after that counts as forgotten, on any node.
-	story(t, func(t *testing.T, w *world) {
+	scenario(t, func(t *testing.T, w *testCluster) {
 		a, b := w.start("a"), w.start("b")
 		m1 := w.worker("m1", "north")
 		time.Sleep(10 * time.Second)
--- a/internal/claim/gap_test.go
+++ b/internal/claim/gap_test.go
@@ -14,9 +14,9 @@
 // go on reporting to the old leader. cancel_s is 40 s here, a lease 20 s.
 const cancelS = 40 * time.Second
 
-// gapped is a world in which replicas run on two machines, under a leader that is
+// gapped is a test cluster in which replicas run on two machines, under a leader that is
 // cut from the other controller.
-func gapped(w *world) (leader, other *node) {
+func gapped(w *testCluster) (leader, other *node) {
 	w.start("a")
 	w.start("b")
 	w.worker("m1", "north")
@@ -31,7 +31,7 @@
 }
 
 // without cuts a node from what of the state service's paths, and from its peer.
-func (w *world) without(n *node, paths ...string) {
+func (w *testCluster) without(n *node, paths ...string) {
 	w.net.SetRule(func(from, to string, r *http.Request, _ []byte) fake.Fate {
 		if touches(from, to, "a", "b") {
 			return fake.Swallow
@@ -46,7 +46,7 @@
 }
 
 // cancelled has a node confirm a cancellation, and returns when it did.
-func (w *world) cancelled(at *node, job string) time.Time {
+func (w *testCluster) cancelled(at *node, job string) time.Time {
 	w.t.Helper()
 	w.until(3*time.Second, "cancellation of "+job+" confirmed", func() bool {
 		code, out := w.call(at.name, "POST", "/v2/runs/"+job+"/cancel", nil)
@@ -57,7 +57,7 @@
 
 // goneBy checks that a job's tasks are gone within cancel_s of its confirmed
 // cancellation, and stay away.
-func (w *world) goneBy(told time.Time, job string, tasks int, after time.Duration) {
+func (w *testCluster) goneBy(told time.Time, job string, tasks int, after time.Duration) {
 	w.t.Helper()
 	gone := func() bool {
 		for i := range tasks {
@@ -76,7 +76,7 @@
 	// Guards against a leader that keeps cancelled tasks alive or starts them: it was
 	// refused alone when they were cancelled, then nobody was served for long.
 	for _, outage := range []time.Duration{8 * time.Second, 25 * time.Second, 77 * time.Second} {
-		story(t, func(t *testing.T, w *world) {
+		scenario(t, func(t *testing.T, w *testCluster) {
 			leader, other := gapped(w)
 			w.without(leader, "/")
 			time.Sleep(300 * time.Millisecond)
@@ -113,7 +113,7 @@
 	t.Parallel()
 	// Guards against a leader whose renewals succeed while it can't read what was
 	// cancelled: after an outage its hold has its full time, its reads may lag.
-	story(t, func(t *testing.T, w *world) {
+	scenario(t, func(t *testing.T, w *testCluster) {
 		leader, other := gapped(w)
 		w.without(leader, "/kv", "/follow")
 		time.Sleep(14 * time.Second) // its open watch is over
@@ -132,7 +132,7 @@
 	t.Parallel()
 	// Guards against a successor without the records: it must neither answer beats
 	// nor start or stop anything until it has read them all.
-	story(t, func(t *testing.T, w *world) {
+	scenario(t, func(t *testing.T, w *testCluster) {
 		leader, other := gapped(w)
 		w.net.SetRule(func(from, to string, r *http.Request, _ []byte) fake.Fate {
 			switch {
@@ -158,7 +158,7 @@
 	t.Parallel()
 	// Guards against a direct start held back while its job is cancelled and the token
 	// that would turn it away can't be raised: the session must not outlive cancel_s.
-	story(t, func(t *testing.T, w *world) {
+	scenario(t, func(t *testing.T, w *testCluster) {
 		w.start("a")
 		m1 := w.worker("m1", "north")
 		time.Sleep(10300 * time.Millisecond)
@@ -199,7 +199,7 @@
 	t.Parallel()
 	// Guards against a start marked before the leader lost the state service and sent
 	// long after, by a beat's answer or directly, of a job that another node cancelled.
-	story(t, func(t *testing.T, w *world) {
+	scenario(t, func(t *testing.T, w *testCluster) {
 		w.start("a")
 		w.start("b")
 		m1 := w.worker("m1", "north")
--- a/internal/claim/mixed_test.go
+++ b/internal/claim/mixed_test.go
@@ -18,7 +18,7 @@
 	// cut from the state service and the other controller, two of these at a time, for up to beyond
 	// a lease. Some jobs await others. Once all is over, every job comes to its end.
 	for seed := range uint64(4) {
-		variant(t, fmt.Sprint(seed), func(t *testing.T, w *world) {
+		variant(t, fmt.Sprint(seed), func(t *testing.T, w *testCluster) {
 			d := newDice(seed)
 			w.listed = true
 			w.start("a")
--- a/internal/claim/meetings_test.go
+++ b/internal/claim/overlapping_failures_test.go
@@ -13,20 +13,20 @@
 	"github.com/pebbletrail/pebbletrail/internal/fake"
 )
 
-// Stories in which two troubles meet.
+// The scenarios in which two troubles meet.
 
-// meet is a world with what brings troubles about, and with users that ask.
+// meet is a test cluster with what brings troubles about, and with users that ask.
 type meet struct {
-	*world
+	*testCluster
 	mu    sync.Mutex
 	jobs  []string            // accepted
 	beats map[string][][]byte // every report of a worker, by its name
 }
 
-// meeting is a story in which users ask about all jobs at all nodes all along.
+// meeting is a scenario in which users ask about all jobs at all nodes all along.
 func meeting(t *testing.T, f func(t *testing.T, g *meet)) {
-	story(t, func(t *testing.T, w *world) {
-		g := &meet{world: w, beats: map[string][][]byte{}}
+	scenario(t, func(t *testing.T, w *testCluster) {
+		g := &meet{testCluster: w, beats: map[string][][]byte{}}
 		w.listed = true
 		g.trouble(nil)
 		w.start("a")
@@ -43,7 +43,7 @@
 	})
 }
 
-// rest sleeps, at most until the story ends.
+// rest sleeps, at most until the scenario ends.
 func (g *meet) rest(d time.Duration) {
 	select {
 	case <-g.ctx.Done():
@@ -365,9 +365,9 @@
 			t.Run(fmt.Sprint(fate, starts), func(t *testing.T) {
 				t.Parallel()
 				meeting(t, func(t *testing.T, g *meet) {
-					g.world.mu.Lock()
+					g.testCluster.mu.Lock()
 					g.listed = false
-					g.world.mu.Unlock()
+					g.testCluster.mu.Unlock()
 					time.Sleep(10 * time.Second)
 					first := g.lead()
 					other := map[string]string{"a": "b", "b": "a"}[first.name]
--- a/internal/claim/oversize_test.go
+++ b/internal/claim/oversize_test.go
@@ -21,7 +21,7 @@
 // storeLargeRecord has a leader without limits to come place an array whose every other
 // task completes, so that its record takes more than the lower limit. Both nodes know the
 // lower limits then, and the leader of before is gone.
-func storeLargeRecord(t *testing.T, w *world, job string) {
+func storeLargeRecord(t *testing.T, w *testCluster, job string) {
 	t.Helper()
 	before := w.start("a")
 	w.worker("m1", "north")
@@ -51,7 +51,7 @@
 }
 
 // toldOnly tells whether a node answers that a job stands so, and no node answers otherwise.
-func (w *world) toldOnly(id, status string) bool {
+func (w *testCluster) toldOnly(id, status string) bool {
 	answers := 0
 	for _, node := range []string{"a", "b"} {
 		switch w.status(node, id) {
@@ -72,21 +72,21 @@
 	// reached at the same moment or another node passes over.
 	for name, trouble := range map[string]struct {
 		fallen        bool // the limits are lower already
-		before, after func(w *world)
+		before, after func(w *testCluster)
 	}{
 		"the limits still hold": {},
 		"the limits fell":       {fallen: true},
-		"the leader ends after it": {fallen: true, after: func(w *world) {
+		"the leader ends after it": {fallen: true, after: func(w *testCluster) {
 			leader := w.leader()
 			leader.kill()
 			time.AfterFunc(20*time.Second, func() { w.start(leader.name) })
 		}},
-		"the leader is refused": {fallen: true, before: func(w *world) {
+		"the leader is refused": {fallen: true, before: func(w *testCluster) {
 			leader := w.leader()
 			w.store.Refuse(leader.name, true)
 			time.AfterFunc(12*time.Second, func() { w.store.Refuse(leader.name, false) })
 		}},
-		"as the last task ends": {fallen: true, before: func(w *world) {
+		"as the last task ends": {fallen: true, before: func(w *testCluster) {
 			// The leader knows the end, but the cancellation is stored first, and the
 			// leader can write but not read.
 			leader := w.leader().name
@@ -104,7 +104,7 @@
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			story(t, func(t *testing.T, w *world) {
+			scenario(t, func(t *testing.T, w *testCluster) {
 				storeLargeRecord(t, w, "job-1")
 				w.submit("b", awaiting(spec("job-2", "array", 1), "job-1"))
 				if trouble.fallen {
@@ -139,8 +139,8 @@
 func TestAJobWhoseFinishedTasksNoLongerFitRunsToItsEnd(t *testing.T) {
 	// Guards against a record that can never be stored again: its machines are lost, so
 	// that no more tasks end, and which of them are done takes more than a value holds.
-	for name, lose := range map[string]func(w *world){
-		"the machines are lost": func(w *world) {
+	for name, lose := range map[string]func(w *testCluster){
+		"the machines are lost": func(w *testCluster) {
 			for _, k := range w.workers {
 				w.net.Listen(k.Addr, nil)
 				k.SetSilent(true)
@@ -149,7 +149,7 @@
 			w.worker("m4", "south")
 		},
 		// What the workers still report as done would be noted again and again.
-		"some complete, the others are stopped": func(w *world) {
+		"some complete, the others are stopped": func(w *testCluster) {
 			time.Sleep(5 * time.Second)
 			for _, k := range w.workers {
 				for i, task := range k.Live() {
@@ -159,7 +159,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			story(t, func(t *testing.T, w *world) {
+			scenario(t, func(t *testing.T, w *testCluster) {
 				storeLargeRecord(t, w, "job-1")
 				w.store.SetLimits(800, lowerTxnOps)
 				w.next = "\n[params.state.next]\nvalue_kb = 0.78\ntxn_ops = 4\n"
--- a/internal/claim/lonely_test.go
+++ b/internal/claim/partition_test.go
@@ -17,7 +17,7 @@
 	// By reset and by silence, for a minute and a half: what it still believes to own
 	// must not come back with it, nor may the pool go back and forth.
 	for how, fate := range map[string]fake.Fate{"reset": fake.Refuse, "silence": fake.Swallow, "held back": fake.Hold} {
-		story(t, func(t *testing.T, w *world) {
+		scenario(t, func(t *testing.T, w *testCluster) {
 			w.listed = true
 			w.start("a")
 			w.start("b")
@@ -62,7 +62,7 @@
 	// Guards against a guest's hundreds of one-task jobs within a minute: each costs a
 	// creation, a claim and an end, and all together must stay below the changes that
 	// the state service takes, a transaction below its own, and none be lost.
-	story(t, func(t *testing.T, w *world) {
+	scenario(t, func(t *testing.T, w *testCluster) {
 		const perSecond, perTxn, jobs = 200, 12, 400
 		changes := map[int64]int{}
 		w.net.SetRule(func(_, to string, r *http.Request, body []byte) fake.Fate {
--- a/internal/claim/pipeline_answers_test.go
+++ b/internal/claim/pipeline_answers_test.go
@@ -16,7 +16,7 @@
 }
 
 // fan submits many jobs, one that awaits all of them, and one that awaits that.
-func (w *world) fan(d *dice, many int) (needed []string) {
+func (w *testCluster) fan(d *dice, many int) (needed []string) {
 	w.t.Helper()
 	for i := range many {
 		id := fmt.Sprintf("job-%06d", 412+37*i)
@@ -36,8 +36,8 @@
 	// Guards against refusing a job that can run because the names of what it awaits do not
 	// fit beside its description, and against one that is stored but can then neither be
 	// started nor cancelled, by its user or by one that it needs.
-	for name, play := range map[string]func(w *world, needed []string){
-		"it runs": func(w *world, needed []string) {
+	for name, play := range map[string]func(w *testCluster, needed []string){
+		"it runs": func(w *testCluster, needed []string) {
 			for _, id := range needed[1:] {
 				w.ends(id)
 			}
@@ -55,7 +55,7 @@
 			w.submit("b", awaiting(tiny("job-900002"), needed...))
 			w.until(15*time.Second, "it starts at once", func() bool { return w.everywhere("job-900002", 1) })
 		},
-		"its user cancels it": func(w *world, needed []string) {
+		"its user cancels it": func(w *testCluster, needed []string) {
 			if how := w.insistOn("job-900000"); how != "cancelled" {
 				w.t.Errorf("its cancellation is answered %q", how)
 			}
@@ -65,7 +65,7 @@
 				w.t.Error("what it awaited is touched")
 			}
 		},
-		"one that it needs is cancelled": func(w *world, needed []string) {
+		"one that it needs is cancelled": func(w *testCluster, needed []string) {
 			w.insistOn(needed[149])
 			w.until(5*time.Second, "it is cancelled, and what follows", func() bool {
 				return w.both("job-900000", "cancelled") && w.both("job-900001", "cancelled")
@@ -76,7 +76,7 @@
 			}
 		},
 	} {
-		variant(t, name, func(t *testing.T, w *world) {
+		variant(t, name, func(t *testing.T, w *testCluster) {
 			w.valueKB = 2
 			w.store.SetLimits(2048, 12)
 			w.start("a")
@@ -107,7 +107,7 @@
 	// one, that what it awaits is cancelled: jobs far down, and such as are submitted at
 	// the same moment.
 	for seed := range uint64(3) {
-		variant(t, fmt.Sprint(seed), func(t *testing.T, w *world) {
+		variant(t, fmt.Sprint(seed), func(t *testing.T, w *testCluster) {
 			d := newDice(seed)
 			w.start("a")
 			w.start("b")
@@ -157,7 +157,7 @@
 }
 
 // cancelledAtAll asks all nodes at one moment whether these jobs are cancelled.
-func (w *world) cancelledAtAll(jobs []string) {
+func (w *testCluster) cancelledAtAll(jobs []string) {
 	w.t.Helper()
 	var wg sync.WaitGroup
 	for _, id := range jobs {
--- a/internal/claim/pipeline_handover_test.go
+++ b/internal/claim/pipeline_handover_test.go
@@ -17,7 +17,7 @@
 }
 
 // chainOf submits jobs 1 to n, each of which awaits the one before.
-func (w *world) chainOf(n int) {
+func (w *testCluster) chainOf(n int) {
 	w.submit("a", spec("job-1", "array", 1))
 	for i := 2; i <= n; i++ {
 		w.submit(nodes[i%2], awaiting(spec(fmt.Sprintf("job-%d", i), "array", 1), fmt.Sprintf("job-%d", i-1)))
@@ -25,7 +25,7 @@
 }
 
 // told counts the jobs from one number to another that both nodes call by a status.
-func (w *world) told(status string, from, to int) (n int) {
+func (w *testCluster) told(status string, from, to int) (n int) {
 	for i := from; i <= to; i++ {
 		if w.both(fmt.Sprintf("job-%d", i), status) {
 			n++
@@ -35,7 +35,7 @@
 }
 
 // pair starts two nodes and two machines.
-func (w *world) pair() {
+func (w *testCluster) pair() {
 	w.start("a")
 	w.start("b")
 	w.worker("m1", "north")
@@ -46,7 +46,7 @@
 func TestInAChainOfAHundredWhatFollowsACancelledJobEndsAndNothingElse(t *testing.T) {
 	t.Parallel()
 	// Guards against a cancellation that stops part of the way down, or goes up.
-	story(t, func(t *testing.T, w *world) {
+	scenario(t, func(t *testing.T, w *testCluster) {
 		w.pair()
 		w.chainOf(100)
 		w.until(5*time.Second, "the first runs", func() bool { return w.everywhere("job-1", 1) })
@@ -71,7 +71,7 @@
 	t.Parallel()
 	// Guards against jobs cancelled by definition whose records are forgotten, or start,
 	// when the leader that was to store their ends is gone.
-	story(t, func(t *testing.T, w *world) {
+	scenario(t, func(t *testing.T, w *testCluster) {
 		w.pair()
 		w.chainOf(40)
 		w.until(5*time.Second, "the first runs", func() bool { return w.everywhere("job-1", 1) })
@@ -118,7 +118,7 @@
 			if fate.end != fake.Late && fate.move != fake.Late && delay > time.Second {
 				continue
 			}
-			variant(t, fmt.Sprint(name, " ", delay), func(t *testing.T, w *world) {
+			variant(t, fmt.Sprint(name, " ", delay), func(t *testing.T, w *testCluster) {
 				w.pair()
 				w.chainOf(2)
 				w.submit("a", awaiting(spec("job-3", "array", 1), "job-1"))
@@ -163,16 +163,16 @@
 	t.Parallel()
 	// Guards against a move of an older leader, or of the same one, that is carried out
 	// after the job's user cancelled it while it waited.
-	for name, trouble := range map[string]func(w *world, o *node){
-		"the leader stays": func(*world, *node) {},
-		"the leader ends":  func(_ *world, o *node) { o.kill() },
-		"the leader is refused": func(w *world, o *node) {
+	for name, trouble := range map[string]func(w *testCluster, o *node){
+		"the leader stays": func(*testCluster, *node) {},
+		"the leader ends":  func(_ *testCluster, o *node) { o.kill() },
+		"the leader is refused": func(w *testCluster, o *node) {
 			w.store.Refuse(o.name, true)
 			time.AfterFunc(9*time.Second, func() { w.store.Refuse(o.name, false) })
 		},
 	} {
 		for _, delay := range []time.Duration{200 * time.Millisecond, 3 * time.Second, 12 * time.Second} {
-			variant(t, fmt.Sprint(name, " ", delay), func(t *testing.T, w *world) {
+			variant(t, fmt.Sprint(name, " ", delay), func(t *testing.T, w *testCluster) {
 				w.pair()
 				w.chainOf(3)
 				w.until(5*time.Second, "the first runs", func() bool { return w.everywhere("job-1", 1) })
@@ -211,7 +211,7 @@
 func TestATakeoverWithTenThousandThatWaitTakesFewCalls(t *testing.T) {
 	t.Parallel()
 	// Guards against a call for each record that waits.
-	story(t, func(t *testing.T, w *world) {
+	scenario(t, func(t *testing.T, w *testCluster) {
 		w.start("a")
 		time.Sleep(3 * time.Second)
 		w.submit("a", spec("job-1", "array", 1))
--- a/internal/claim/pipeline_test.go
+++ b/internal/claim/pipeline_test.go
@@ -19,7 +19,7 @@
 }
 
 // ends lets every task of a job that is on a machine complete.
-func (w *world) ends(job string) {
+func (w *testCluster) ends(job string) {
 	for _, k := range w.workers {
 		for _, task := range k.Live() {
 			if strings.HasPrefix(task, job+"/") {
@@ -29,7 +29,7 @@
 	}
 }
 
-func (w *world) both(id, status string) bool {
+func (w *testCluster) both(id, status string) bool {
 	return w.status("a", id) == status && w.status("b", id) == status
 }
 
@@ -37,16 +37,16 @@
 	// Guards against a start before the ends of all needed jobs are stored, and against
 	// an end that is lost to those that await it: the leader ends, or loses the state
 	// service alone, right as a stage does.
-	for name, trouble := range map[string]func(w *world){
-		"none": func(*world) {},
-		"the leader ends": func(w *world) {
+	for name, trouble := range map[string]func(w *testCluster){
+		"none": func(*testCluster) {},
+		"the leader ends": func(w *testCluster) {
 			if o := w.leader(); o != nil {
 				o.kill()
 				time.Sleep(300 * time.Millisecond)
 				w.start(o.name)
 			}
 		},
-		"a move's answer is lost": func(w *world) {
+		"a move's answer is lost": func(w *testCluster) {
 			lost := 0
 			w.net.SetRule(func(_, _ string, r *http.Request, body []byte) fake.Fate {
 				if r.URL.Path == "/commit" && strings.Contains(string(body), `"remove":"job/wait/`) && lost < 2 {
@@ -56,7 +56,7 @@
 				return fake.Deliver
 			})
 		},
-		"the leader is refused": func(w *world) {
+		"the leader is refused": func(w *testCluster) {
 			if o := w.leader(); o != nil {
 				w.store.Refuse(o.name, true)
 				time.AfterFunc(9*time.Second, func() { w.store.Refuse(o.name, false) })
@@ -64,7 +64,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			story(t, func(t *testing.T, w *world) {
+			scenario(t, func(t *testing.T, w *testCluster) {
 				w.start("a")
 				w.start("b")
 				w.worker("m1", "north")
@@ -105,19 +105,19 @@
 func TestACancellationGoesDownAPipeline(t *testing.T) {
 	// Guards against a job that waits for ever, or starts, after one that it needs was
 	// cancelled, wherever in its life that was; and against nodes that disagree.
-	for name, cancel := range map[string]func(w *world) string{
-		"running": func(w *world) string { return w.insistOn("job-1") },
-		"at its end": func(w *world) string {
+	for name, cancel := range map[string]func(w *testCluster) string{
+		"running": func(w *testCluster) string { return w.insistOn("job-1") },
+		"at its end": func(w *testCluster) string {
 			w.ends("job-1")
 			return w.insistOn("job-1")
 		},
-		"while the leader is refused": func(w *world) string {
+		"while the leader is refused": func(w *testCluster) string {
 			o := w.leader()
 			w.store.Refuse(o.name, true)
 			time.AfterFunc(8*time.Second, func() { w.store.Refuse(o.name, false) })
 			return w.insistOn("job-1")
 		},
-		"as the leader ends": func(w *world) string {
+		"as the leader ends": func(w *testCluster) string {
 			o := w.leader()
 			o.kill()
 			time.AfterFunc(3*time.Second, func() { w.start(o.name) })
@@ -125,7 +125,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			story(t, func(t *testing.T, w *world) {
+			scenario(t, func(t *testing.T, w *testCluster) {
 				w.start("a")
 				w.start("b")
 				w.worker("m1", "north")
@@ -202,7 +202,7 @@
 }
 
 // insistOn cancels a job as its user does, until it is answered.
-func (w *world) insistOn(job string) string {
+func (w *testCluster) insistOn(job string) string {
 	for range 40 {
 		for _, n := range []string{"a", "b"} {
 			if code, out := w.call(n, "POST", "/v2/runs/"+job+"/cancel", nil); code == 200 {
@@ -218,7 +218,7 @@
 func TestAnEndThatOnlyTheLeaderKnowsStartsNothing(t *testing.T) {
 	// Guards against a next stage that starts on an outcome not stored yet: another node
 	// may confirm a cancellation first, or the leader may end.
-	story(t, func(t *testing.T, w *world) {
+	scenario(t, func(t *testing.T, w *testCluster) {
 		w.start("a")
 		w.start("b")
 		w.worker("m1", "north")
@@ -244,7 +244,7 @@
 }
 
 func TestACancelledJobInTheMiddleLeavesTheOthersAlone(t *testing.T) {
-	story(t, func(t *testing.T, w *world) {
+	scenario(t, func(t *testing.T, w *testCluster) {
 		w.start("a")
 		w.start("b")
 		w.worker("m1", "north")
@@ -267,7 +267,7 @@
 }
 
 func TestNamesThatWereNeverAcceptedAreRefused(t *testing.T) {
-	story(t, func(t *testing.T, w *world) {
+	scenario(t, func(t *testing.T, w *testCluster) {
 		w.start("a")
 		w.start("b")
 		time.Sleep(10 * time.Second)
@@ -307,7 +307,7 @@
 func TestAJobThatWaitsHoldsNothing(t *testing.T) {
 	// Guards against waiting jobs that take part of their team's limit, or start when
 	// there is room for them, and against reasons that do not name what they wait for.
-	story(t, func(t *testing.T, w *world) {
+	scenario(t, func(t *testing.T, w *testCluster) {
 		w.start("a")
 		w.start("b")
 		w.worker("m1", "north")
--- a/internal/claim/rules_test.go
+++ b/internal/claim/rules_test.go
@@ -522,7 +522,7 @@
 		{"asked before", "", []step{submit(one(), 201, "pending"), cancel("job-1", "cancelled"),
 			{method: "GET", path: "/v2/runs/job-1", code: 200, status: "running", early: true}}},
 	} {
-		story(t, func(t *testing.T, w *world) {
+		scenario(t, func(t *testing.T, w *testCluster) {
 			got := map[string]bool{}
 			r := newRules(w.settings("a"), func(rule, what string) { got[rule] = true })
 			last := moment{}
@@ -558,7 +558,7 @@
 }
 
 // observe has the rules watch a user's call.
-func (w *world) observe(node, method, path string, body []byte, call func() (int, map[string]any)) (int, map[string]any) {
+func (w *testCluster) observe(node, method, path string, body []byte, call func() (int, map[string]any)) (int, map[string]any) {
 	sent := w.rules.Sent(method, path, body)
 	code, out := call()
 	w.rules.Answered(sent, node, method, path, body, code, out)
--- a/internal/claim/stories_test.go
+++ b/internal/claim/scenarios_test.go
@@ -13,7 +13,7 @@
 
 func TestAnArrayRunsToItsEndAndStaysDone(t *testing.T) {
 	t.Parallel()
-	story(t, func(t *testing.T, w *world) {
+	scenario(t, func(t *testing.T, w *testCluster) {
 		w.start("a")
 		w.start("b")
 		w.worker("m1", "north")
@@ -39,7 +39,7 @@
 
 func TestTwoLeadersAtOnceAreHarmlessAndALateTransactionIsVoid(t *testing.T) {
 	t.Parallel()
-	story(t, func(t *testing.T, w *world) {
+	scenario(t, func(t *testing.T, w *testCluster) {
 		a := w.start("a")
 		w.until(5*time.Second, "a owns the pool", func() bool { return a.pool.Cluster() != nil })
 		w.worker("m1", "north")
@@ -76,7 +76,7 @@
 
 func TestAStartThatArrivesMinutesLateIsTurnedAway(t *testing.T) {
 	t.Parallel()
-	story(t, func(t *testing.T, w *world) {
+	scenario(t, func(t *testing.T, w *testCluster) {
 		w.start("a")
 		w.worker("m1", "north")
 		w.worker("m2", "south")
@@ -106,7 +106,7 @@
 
 func TestAWorkerSilentDuringATakeoverIsGivenItsTime(t *testing.T) {
 	t.Parallel()
-	story(t, func(t *testing.T, w *world) {
+	scenario(t, func(t *testing.T, w *testCluster) {
 		a := w.start("a")
 		m1 := w.worker("m1", "north")
 		time.Sleep(8 * time.Second)
@@ -138,7 +138,7 @@
 
 func TestAConfirmedStopShortensTheWait(t *testing.T) {
 	t.Parallel()
-	story(t, func(t *testing.T, w *world) {
+	scenario(t, func(t *testing.T, w *testCluster) {
 		a := w.start("a")
 		w.worker("m1", "north")
 		time.Sleep(8 * time.Second)
@@ -160,7 +160,7 @@
 
 func TestAnOutageLongerThanTheHoldWithAllControllersCrashedInIt(t *testing.T) {
 	t.Parallel()
-	story(t, func(t *testing.T, w *world) {
+	scenario(t, func(t *testing.T, w *testCluster) {
 		a, b := w.start("a"), w.start("b")
 		w.worker("m1", "north")
 		time.Sleep(10 * time.Second)
@@ -190,7 +190,7 @@
 
 func TestAGangThatLosesATaskWhileWaitingIsCompleted(t *testing.T) {
 	t.Parallel()
-	story(t, func(t *testing.T, w *world) {
+	scenario(t, func(t *testing.T, w *testCluster) {
 		w.start("a")
 		w.worker("m1", "north")
 		w.worker("m2", "south")
@@ -217,7 +217,7 @@
 func TestAGangThatLosesATaskWhileRunningBeginsAgainAsAWhole(t *testing.T) {
 	t.Parallel()
 	for _, status := range []string{"running", "flushing"} {
-		story(t, func(t *testing.T, w *world) {
+		scenario(t, func(t *testing.T, w *testCluster) {
 			w.start("a")
 			w.worker("m1", "north")
 			w.worker("m2", "south")
@@ -248,7 +248,7 @@
 
 func TestACancelRacingAStartLeavesNothingBehind(t *testing.T) {
 	t.Parallel()
-	story(t, func(t *testing.T, w *world) {
+	scenario(t, func(t *testing.T, w *testCluster) {
 		w.start("a")
 		w.start("b")
 		w.worker("m1", "north")
@@ -275,7 +275,7 @@
 
 func TestUncertainTasksCountAgainstTheLimit(t *testing.T) {
 	t.Parallel()
-	story(t, func(t *testing.T, w *world) {
+	scenario(t, func(t *testing.T, w *testCluster) {
 		w.start("a")
 		w.worker("m1", "north")
 		time.Sleep(10 * time.Second)
@@ -298,7 +298,7 @@
 
 func TestALostAnswerToACommitIsReadBack(t *testing.T) {
 	t.Parallel()
-	story(t, func(t *testing.T, w *world) {
+	scenario(t, func(t *testing.T, w *testCluster) {
 		w.start("a")
 		w.worker("m1", "north")
 		time.Sleep(10 * time.Second)
@@ -322,7 +322,7 @@
 
 func TestARestartedLeaderEndsItsDeadPredecessorsHold(t *testing.T) {
 	t.Parallel()
-	story(t, func(t *testing.T, w *world) {
+	scenario(t, func(t *testing.T, w *testCluster) {
 		a := w.start("a")
 		w.worker("m1", "north")
 		time.Sleep(10 * time.Second)
@@ -341,7 +341,7 @@
 
 func TestSpreadIsKeptWithUncertainReplicas(t *testing.T) {
 	t.Parallel()
-	story(t, func(t *testing.T, w *world) {
+	scenario(t, func(t *testing.T, w *testCluster) {
 		w.start("a")
 		w.worker("m1", "north")
 		w.worker("m2", "north")
@@ -357,7 +357,7 @@
 
 func TestNothingIsStoppedThatAnOutageWouldKeepFromStarting(t *testing.T) {
 	t.Parallel()
-	story(t, func(t *testing.T, w *world) {
+	scenario(t, func(t *testing.T, w *testCluster) {
 		w.start("a")
 		w.worker("m1", "north")
 		w.worker("m2", "north")
@@ -396,7 +396,7 @@
 
 func TestANewLeaderAsksMachinesBeforeTheirWorkersFindIt(t *testing.T) {
 	t.Parallel()
-	story(t, func(t *testing.T, w *world) {
+	scenario(t, func(t *testing.T, w *testCluster) {
 		a := w.start("a")
 		b := w.start("b")
 		w.worker("m1", "north")
@@ -417,7 +417,7 @@
 
 func TestALeaderCutOffFromTheWorkersReturnsNoneAndGivesWay(t *testing.T) {
 	t.Parallel()
-	story(t, func(t *testing.T, w *world) {
+	scenario(t, func(t *testing.T, w *testCluster) {
 		a := w.start("a")
 		b := w.start("b")
 		for _, m := range []string{"m1", "m2", "m3", "m4"} {
--- a/internal/claim/world_test.go
+++ b/internal/claim/test_cluster_test.go
@@ -66,8 +66,8 @@
 max_sockets = 400
 `
 
-// world is two controllers and what surrounds them, in memory.
-type world struct {
+// testCluster is two controllers and what surrounds them, in memory.
+type testCluster struct {
 	t       *testing.T
 	ctx     context.Context
 	net     *fake.Net
@@ -84,7 +84,7 @@
 }
 
 type node struct {
-	w      *world
+	w      *testCluster
 	name   string
 	pool   *claim.Pool
 	asked  []ids.Node // who was last asked to confirm that it stopped
@@ -92,12 +92,12 @@
 	cancel context.CancelFunc
 }
 
-// story runs f in a world of its own, under a clock of its own.
-func story(t *testing.T, f func(t *testing.T, w *world)) {
+// scenario runs f in a cluster of its own, under a clock of its own.
+func scenario(t *testing.T, f func(t *testing.T, w *testCluster)) {
 	slog.SetLogLoggerLevel(slog.LevelError)
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		w := &world{t: t, ctx: ctx, net: fake.NewNet(), store: fake.NewStore(), nodes: map[string]*node{}}
+		w := &testCluster{t: t, ctx: ctx, net: fake.NewNet(), store: fake.NewStore(), nodes: map[string]*node{}}
 		w.net.Listen("state:1", w.store)
 		w.net.Lag = func() time.Duration {
 			if f := w.lag.Load(); f != nil {
@@ -113,15 +113,15 @@
 	})
 }
 
-// variant is one of several stories of a test, which go on beside one another.
-func variant(t *testing.T, name string, f func(t *testing.T, w *world)) {
+// variant is one of several scenarios of a test, which go on beside one another.
+func variant(t *testing.T, name string, f func(t *testing.T, w *testCluster)) {
 	t.Run(name, func(t *testing.T) {
 		t.Parallel()
-		story(t, f)
+		scenario(t, f)
 	})
 }
 
-func (w *world) settings(name string) *config.Settings {
+func (w *testCluster) settings(name string) *config.Settings {
 	other := map[string]string{"a": "b", "b": "a"}[name]
 	set, err := config.Parse([]byte(strings.NewReplacer("NODE", name, "OTHER", other).Replace(settings + w.next)))
 	if err != nil {
@@ -133,7 +133,7 @@
 	return set
 }
 
-func (w *world) start(name string) *node {
+func (w *testCluster) start(name string) *node {
 	set := w.settings(name)
 	w.lives++
 	writer := fmt.Sprintf("%s.%d", name, w.lives)
@@ -164,8 +164,8 @@
 	return n
 }
 
-// list is the cloud's, in stories that have one.
-func (w *world) list() (ls []claim.Listed) {
+// list is the cloud's, in scenarios that have one.
+func (w *testCluster) list() (ls []claim.Listed) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.listed {
@@ -193,7 +193,7 @@
 	return false
 }
 
-func (w *world) cutOff(from, to string) bool {
+func (w *testCluster) cutOff(from, to string) bool {
 	rule := w.net.Current()
 	if rule == nil {
 		return false
@@ -253,7 +253,7 @@
 	n.w.net.Listen(n.name+":8080", nil)
 }
 
-func (w *world) worker(name, zone string) *fake.Worker {
+func (w *testCluster) worker(name, zone string) *fake.Worker {
 	k := &fake.Worker{Name: name, Addr: name + ":9000", Type: "small", Zone: zone, Net: w.net,
 		Nodes: []string{"a:8080", "b:8080"}, Names: []string{"a", "b"}, Report: 2 * time.Second, Lease: 20 * time.Second,
 		Watch: w.rules.Event}
@@ -271,12 +271,12 @@
 		"loaners": false, "guessS": 10, "bookmarkS": 0, "stashS": 0}
 }
 
-func (w *world) call(node, method, path string, body any) (int, map[string]any) {
+func (w *testCluster) call(node, method, path string, body any) (int, map[string]any) {
 	raw, _ := json.Marshal(body)
 	return w.observe(node, method, path, raw, func() (int, map[string]any) { return w.request(node, method, path, raw) })
 }
 
-func (w *world) request(node, method, path string, raw []byte) (int, map[string]any) {
+func (w *testCluster) request(node, method, path string, raw []byte) (int, map[string]any) {
 	ctx, cancel := context.WithTimeout(w.ctx, 5*time.Second)
 	defer cancel()
 	req, _ := http.NewRequestWithContext(ctx, method, "http://"+node+":8080"+path, bytes.NewReader(raw))
@@ -289,21 +289,21 @@
 	return res.StatusCode, out
 }
 
-func (w *world) submit(node string, s map[string]any) {
+func (w *testCluster) submit(node string, s map[string]any) {
 	w.t.Helper()
 	if code, out := w.call(node, "POST", "/v2/runs", s); code != 201 {
 		w.t.Fatalf("submission answered %d %v", code, out)
 	}
 }
 
-func (w *world) status(node, id string) string {
+func (w *testCluster) status(node, id string) string {
 	_, out := w.call(node, "GET", "/v2/runs/"+id, nil)
 	s, _ := out["status"].(string)
 	return s
 }
 
 // on lists where a task is, by worker name.
-func (w *world) on(task string) (at []string) {
+func (w *testCluster) on(task string) (at []string) {
 	for _, k := range w.workers {
 		for _, t := range k.Live() {
 			if t == task {
@@ -315,7 +315,7 @@
 }
 
 // until waits for a condition, at most d.
-func (w *world) until(d time.Duration, what string, f func() bool) {
+func (w *testCluster) until(d time.Duration, what string, f func() bool) {
 	w.t.Helper()
 	for end := time.Now().Add(d); !f(); {
 		if time.Now().After(end) {
@@ -327,7 +327,7 @@
 }
 
 // hold watches that a condition stays true for d.
-func (w *world) hold(d time.Duration, what string, f func() bool) {
+func (w *testCluster) hold(d time.Duration, what string, f func() bool) {
 	w.t.Helper()
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
 		if !f() {
@@ -337,9 +337,9 @@
 	}
 }
 
-// never samples what holds in every story, besides the rules that watch each event:
+// never samples what holds in every scenario, besides the rules that watch each event:
 // no task on two machines.
-func (w *world) never() {
+func (w *testCluster) never() {
 	w.t.Helper()
 	w.rules.Overdue()
 	seen := map[string]string{}
@@ -353,7 +353,7 @@
 	}
 }
 
-func (w *world) worn(name string) *fake.Worker {
+func (w *testCluster) worn(name string) *fake.Worker {
 	for _, k := range w.workers {
 		if k.Name == name {
 			return k
--- a/internal/claim/users_test.go
+++ b/internal/claim/users_test.go
@@ -34,7 +34,7 @@
 func (d *dice) node() string { return []string{"a", "b"}[d.n(2)] }
 
 // lags makes calls take a few milliseconds, and one in twenty a few hundred.
-func (w *world) lags(d *dice) {
+func (w *testCluster) lags(d *dice) {
 	lag := func() time.Duration {
 		if d.n(20) == 0 {
 			return d.ms(50, 200)
@@ -45,7 +45,7 @@
 }
 
 // insist asks as users do, now at one node and now at another, until it is decided.
-func (w *world) insist(d *dice, method, path string, body any) (code int, status string) {
+func (w *testCluster) insist(d *dice, method, path string, body any) (code int, status string) {
 	for end := time.Now().Add(time.Minute); time.Now().Before(end); time.Sleep(time.Second) {
 		var out map[string]any
 		code, out = w.call(d.node(), method, path, body)
@@ -58,11 +58,11 @@
 	return code, ""
 }
 
-// nodes are all controllers' names; a story's users ask at each.
+// nodes are all controllers' names; a scenario's users ask at each.
 var nodes = []string{"a", "b"}
 
 // closely asks at all nodes within milliseconds, and repeats the submission.
-func (w *world) closely(d *dice, s map[string]any) {
+func (w *testCluster) closely(d *dice, s map[string]any) {
 	var wg sync.WaitGroup
 	for range 3 {
 		for _, n := range nodes {
@@ -81,7 +81,7 @@
 }
 
 // agreed waits until all nodes call a job the same, which is over.
-func (w *world) agreed(within time.Duration, ids ...string) {
+func (w *testCluster) agreed(within time.Duration, ids ...string) {
 	w.t.Helper()
 	for _, id := range ids {
 		last := map[string]string{}
@@ -99,7 +99,7 @@
 	// Guards against a node that answers something older, or with 404, than another
 	// one told just before: after an acceptance, an end and a confirmed cancel.
 	for seed := range uint64(4) {
-		variant(t, fmt.Sprint(seed), func(t *testing.T, w *world) {
+		variant(t, fmt.Sprint(seed), func(t *testing.T, w *testCluster) {
 			d := newDice(seed)
 			w.start("a")
 			w.start("b")
@@ -151,7 +151,7 @@
 	t.Parallel()
 	// Guards against two winners: whatever is told first, every node tells from then on.
 	for seed := range uint64(4) {
-		variant(t, fmt.Sprint(seed), func(t *testing.T, w *world) {
+		variant(t, fmt.Sprint(seed), func(t *testing.T, w *testCluster) {
 			d := newDice(seed)
 			w.start("a")
 			w.start("b")
@@ -253,7 +253,7 @@
 			for seed := range uint64(3) {
 				t.Run(fmt.Sprintf("%s %s %d", what, name, seed), func(t *testing.T) {
 					t.Parallel()
-					story(t, func(t *testing.T, w *world) { lateWrites(t, w, newDice(seed), what, fate, seed%2 == 1) })
+					scenario(t, func(t *testing.T, w *testCluster) { lateWrites(t, w, newDice(seed), what, fate, seed%2 == 1) })
 				})
 			}
 		}
@@ -261,7 +261,7 @@
 }
 
 // tasksEnd has every task complete after a while, until over.
-func (w *world) tasksEnd(over <-chan struct{}, d *dice, from, to int) {
+func (w *testCluster) tasksEnd(over <-chan struct{}, d *dice, from, to int) {
 	ends := map[string]time.Time{}
 	for {
 		for _, k := range w.workers {
@@ -283,7 +283,7 @@
 	}
 }
 
-func lateWrites(t *testing.T, w *world, d *dice, what string, fate fake.Fate, holdDies bool) {
+func lateWrites(t *testing.T, w *testCluster, d *dice, what string, fate fake.Fate, holdDies bool) {
 	w.start("a")
 	w.start("b")
 	w.worker("m1", "north")
@@ -392,7 +392,7 @@
 	t.Parallel()
 	// Guards against accepting what can't run, and against refusing the repeat of what
 	// was accepted; also right after both controllers came back.
-	story(t, func(t *testing.T, w *world) {
+	scenario(t, func(t *testing.T, w *testCluster) {
 		w.start("a")
 		w.start("b")
 		w.worker("m1", "north")
@@ -457,7 +457,7 @@
 	// Guards against jobs that starve or stay without an answer under a steady rate of
 	// small ones, a quarter of them cancelled, with a change of leader in the middle.
 	for seed := range uint64(2) {
-		variant(t, fmt.Sprint(seed), func(t *testing.T, w *world) {
+		variant(t, fmt.Sprint(seed), func(t *testing.T, w *testCluster) {
 			d := newDice(seed)
 			w.start("a")
 			w.start("b")
