--- a/internal/claim/cluster_state.go
+++ b/internal/claim/cluster_state.go
@@ -72,25 +72,25 @@
 	known          time.Time
 	waiting        string // why tasks wait now
 	logged         string // the same, as last logged
-	most           int    // tasks claimed at a time, once a marker did not fit; 0: no such bound
+	maxClaimed     int    // tasks claimed at a time, once a marker did not fit; 0: no such bound
 	slice          slice
 	width          struct {
 		places float64 // bytes that a place took when last stored
 		rest   int     // and all the rest of the record
 		first  int     // and the description alone
 	}
-	oversize   bool      // its record did not fit into a value when last encoded
-	unfit      uint64    // the version that did not fit
-	keptRuns   int       // runs of finished tasks that were kept to make it fit; 0: all
-	lasted     bool      // a start of it was not undone at once, as far as this leader knows
-	emptied    time.Time // when its last place was dropped
-	odd        bool      // a finished task may still have a place
-	dirtySince time.Time
-	urgent     bool // what changed must be stored before anything can go on
-	guaranteed bool // lies within its team's guarantee
-	failed     failures
-	lost       losses
-	aside      time.Time // when machines to set aside were last looked for
+	oversize             bool      // its record did not fit into a value when last encoded
+	unfit                uint64    // the version that did not fit
+	keptRuns             int       // runs of finished tasks that were kept to make it fit; 0: all
+	lasted               bool      // a start of it was not undone at once, as far as this leader knows
+	emptied              time.Time // when its last place was dropped
+	finishedMayHavePlace bool      // a finished task may still have a place
+	dirtySince           time.Time
+	urgent               bool // what changed must be stored before anything can go on
+	guaranteed           bool // lies within its team's guarantee
+	failed               failures
+	lost                 losses
+	aside                time.Time // when machines to set aside were last looked for
 	// inherited is the urgency of the jobs that await this one.
 	inherited dependency.Urgency
 }
@@ -105,7 +105,7 @@
 // pending counts the tasks that have no place yet.
 func (j *Job) pending() int {
 	n := j.left() - len(j.places)
-	if j.odd {
+	if j.finishedMayHavePlace {
 		for i := range j.places {
 			if j.Rec.Finished.Has(i) {
 				n++
@@ -130,21 +130,21 @@
 	roster *worker.Registry
 	// What follows is kept up to date change by change, so that planning,
 	// sending and storing never walk the whole fleet or all jobs.
-	line       []*Job // by submission
-	hosts      map[ids.Machine]*host
-	shelves    map[kind]*shelf
-	shelfOrder []*shelf
-	byImage    map[string]map[*host]bool
-	leaving    map[ids.Machine]bool // drained, taken back or to be returned
-	due        map[*host]bool       // have starts or stops to send
-	dirty      map[*Job]bool        // changed since they were last stored
-	looks      int                  // machines that planning looked at so far
-	lapsed     time.Time            // when lapses were last looked for
-	probedAt   time.Time            // when overdue machines were last looked for
-	probing    int                  // questions under way
-	early      float64              // questions before a report is overdue that may be asked now
-	hintSeq    uint64               // counts what the others should know
-	first      ids.Generation       // the term's first generation
+	line             []*Job // by submission
+	hosts            map[ids.Machine]*host
+	shelves          map[kind]*shelf
+	shelfOrder       []*shelf
+	byImage          map[string]map[*host]bool
+	leaving          map[ids.Machine]bool // drained, taken back or to be returned
+	due              map[*host]bool       // have starts or stops to send
+	dirty            map[*Job]bool        // changed since they were last stored
+	machinesExamined int                  // machines that planning looked at so far
+	lapsed           time.Time            // when lapses were last looked for
+	probedAt         time.Time            // when overdue machines were last looked for
+	probing          int                  // questions under way
+	early            float64              // questions before a report is overdue that may be asked now
+	hintSeq          uint64               // counts what the others should know
+	first            ids.Generation       // the term's first generation
 
 	teams map[string]placement.Room // use per team, everything that may be there
 	types map[string]*placement.Type
@@ -269,7 +269,7 @@
 func (b *ClusterState) putPlace(p *Place) {
 	p.Job.places[p.Index] = p
 	if p.Job.Rec.Finished.Has(p.Index) {
-		p.Job.odd = true
+		p.Job.finishedMayHavePlace = true
 	}
 	b.put(b.hostOf(p.Machine), p)
 	t := p.Job.Rec.Spec.Team
--- a/internal/claim/fleet_test.go
+++ b/internal/claim/fleet_test.go
@@ -305,7 +305,7 @@
 	if tr := trail(); len(tr) > 3 || !strings.Contains(strings.Join(tr, "\n"), "tasks gone in south") {
 		t.Errorf("the trail of twelve tasks lost at once: %q", tr)
 	}
-	b.jobs["job-1"].most = 4 + 2
+	b.jobs["job-1"].maxClaimed = 4 + 2
 	b.Plan(now)
 	got := strings.Join(append(trail(), b.Explain("job-1")...), "\n")
 	for _, want := range []string{"tasks lost in south (2) start again: north (2)", "lost in south (10) and not started again yet", "on machines in north (2)", "nothing is heard of south (4)"} {
--- a/internal/claim/oversize.go
+++ b/internal/claim/oversize.go
@@ -19,7 +19,7 @@
 	j.unfit = j.version
 	single := len(j.places) <= 1
 	if claimed := min(len(j.places), b.openLimit(j)); b.takeBackUnsent(j) {
-		j.most = max(1, claimed/2)
+		j.maxClaimed = max(1, claimed/2)
 		b.touch(j)
 	}
 	if single && len(j.places) == 0 {
@@ -58,7 +58,7 @@
 			break
 		}
 	}
-	j.most = 0
+	j.maxClaimed = 0
 	b.note(j, "some finished tasks are asked for again: which ones were done does not fit into its record")
 	b.touch(j)
 }
--- a/internal/claim/pool.go
+++ b/internal/claim/pool.go
@@ -62,7 +62,7 @@
 	incarnation string
 	mirror      *state.Mirror
 	jobs        *state.Mirror
-	still       standstill
+	still       processPause
 	known       func() (ids.Node, bool) // who owns the pool
 	readAt      func() time.Time        // of when the copy of the records is
 
--- a/internal/claim/preempt.go
+++ b/internal/claim/preempt.go
@@ -21,27 +21,27 @@
 	aside bool // kept free for it as it empties, nothing was stopped
 }
 
-// preyKey is what decides whom a job may displace.
-type preyKey struct {
+// victimKey is what decides whom a job may displace.
+type victimKey struct {
 	priority   Priority
 	guaranteed bool
 	team       string
 	fullKey
 }
 
-func (j *Job) preyKey(ask *placement.Ask) preyKey {
-	k := preyKey{priority: j.priority(), guaranteed: j.guaranteed, fullKey: keyOf(ask)}
+func (j *Job) victimKey(ask *placement.Ask) victimKey {
+	k := victimKey{priority: j.priority(), guaranteed: j.guaranteed, fullKey: keyOf(ask)}
 	if j.guaranteed {
 		k.team = j.Rec.Spec.Team
 	}
 	return k
 }
 
-// preyOf lists the machines on which a job may stop something, or where
+// victimsOf lists the machines on which a job may stop something, or where
 // something is being stopped. Jobs alike share the list within a pass.
-func (b *ClusterState) preyOf(j *Job, ask *placement.Ask, ps *pass) []*host {
-	k := j.preyKey(ask)
-	if hs, ok := ps.prey[k]; ok {
+func (b *ClusterState) victimsOf(j *Job, ask *placement.Ask, ps *pass) []*host {
+	k := j.victimKey(ask)
+	if hs, ok := ps.victims[k]; ok {
 		return hs
 	}
 	on := map[*host]bool{}
@@ -63,14 +63,14 @@
 		hs = append(hs, h)
 	}
 	slices.SortFunc(hs, func(x, y *host) int { return cmpString(string(x.name), string(y.name)) })
-	ps.prey[k] = hs
+	ps.victims[k] = hs
 	return hs
 }
 
 // preempt frees room for one task of j by stopping others, where the rules of
 // priority and guarantee allow it, at the least loss.
 func (b *ClusterState) preempt(j *Job, ask *placement.Ask, ps *pass) (bool, string) {
-	k := j.preyKey(ask)
+	k := j.victimKey(ask)
 	if covered(ps.spare[k], ask.Need) {
 		return false, ""
 	}
@@ -110,7 +110,7 @@
 // without accelerators.
 func (b *ClusterState) displaceable(j *Job, ask *placement.Ask, ps *pass) bool {
 	zones := b.zones(j)
-	for _, h := range b.preyOf(j, ask, ps) {
+	for _, h := range b.victimsOf(j, ask, ps) {
 		m := b.roster.Machines[h.name]
 		t := b.types[m.Type]
 		if t.Accels > 0 || !t.Room().Holds(ask.Need) || zones.may(m.Zone, 1) == 0 {
@@ -149,7 +149,7 @@
 	var bestVictims []*Place
 	bestLoss := 0.0
 	barren = true
-	for _, h := range b.preyOf(j, ask, ps) {
+	for _, h := range b.victimsOf(j, ask, ps) {
 		if _, ok := b.reserved[h.name]; ok {
 			continue
 		}
@@ -158,7 +158,7 @@
 		if !t.Room().Holds(ask.Need) {
 			continue
 		}
-		ps.looks++
+		ps.machinesExamined++
 		free := t.Room().Minus(h.used)
 		victims, loss, ok := b.victims(j, h, free, ask, now)
 		if !ok {
--- a/internal/claim/process_pause.go
+++ b/internal/claim/process_pause.go
@@ -19,8 +19,8 @@
 	stoodStill = 1500 * time.Millisecond // without a tick: a hold may have run out, and no loaded processor delays one so long
 )
 
-// standstill notices that this process stood still.
-type standstill struct {
+// processPause notices that this process stood still.
+type processPause struct {
 	mu   sync.Mutex
 	tick time.Time // the last one
 	woke time.Time // when the last standstill was over
@@ -29,7 +29,7 @@
 }
 
 // run ticks until the context ends.
-func (s *standstill) run(ctx context.Context) {
+func (s *processPause) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		s.since(time.Now(), true)
 		wait(ctx, tickEvery)
@@ -38,7 +38,7 @@
 
 // since is when the last standstill was over; zero if there was none. Whoever asks
 // first after one notices it: he may run before the next tick.
-func (s *standstill) since(now time.Time, tick bool) time.Time {
+func (s *processPause) since(now time.Time, tick bool) time.Time {
 	s.mu.Lock()
 	gap := time.Duration(0)
 	if !s.tick.IsZero() && now.Sub(s.tick) > stoodStill {
--- a/internal/claim/promote_test.go
+++ b/internal/claim/promote_test.go
@@ -159,9 +159,9 @@
 		}
 		b.Plan(now)
 		b.store()
-		before := b.looks
+		before := b.machinesExamined
 		b.Plan(now)
-		if looks := b.looks - before; looks > 20 || len(b.jobs["job-500"].places) != 80 {
+		if looks := b.machinesExamined - before; looks > 20 || len(b.jobs["job-500"].places) != 80 {
 			t.Errorf("%d machines were looked at for one job; %d of its tasks are placed", looks, len(b.jobs["job-500"].places))
 		}
 		if b.teams["red"].Cores != 0 {
--- a/internal/claim/scale_test.go
+++ b/internal/claim/scale_test.go
@@ -31,10 +31,10 @@
 	const machines, jobs = 4000, 800
 	b := fleet(t, machines)
 	cost := func(f func()) int {
-		before := b.looks
+		before := b.machinesExamined
 		f()
 		b.Plan(now)
-		return b.looks - before
+		return b.machinesExamined - before
 	}
 	add := func(id, tasks int, cores float64) {
 		r := rec(ids.Job(fmt.Sprintf("job-%d", id)), "blue", Normal, tasks, cores)
--- a/internal/claim/schedule.go
+++ b/internal/claim/schedule.go
@@ -16,15 +16,15 @@
 // pass is what one planning pass has found out so far, so that jobs alike do
 // not find it out again.
 type pass struct {
-	now   time.Time
-	full  map[fullKey][]placement.Room // needs for which no machine has room
-	prey  map[preyKey][]*host
-	spare map[preyKey][]placement.Room // needs for which stopping others frees nothing
-	looks int                          // machines looked at, for tests and operators
+	now              time.Time
+	full             map[fullKey][]placement.Room // needs for which no machine has room
+	victims          map[victimKey][]*host
+	spare            map[victimKey][]placement.Room // needs for which stopping others frees nothing
+	machinesExamined int                            // machines looked at, for tests and operators
 }
 
 func newPass(now time.Time) *pass {
-	return &pass{now: now, full: map[fullKey][]placement.Room{}, prey: map[preyKey][]*host{}, spare: map[preyKey][]placement.Room{}}
+	return &pass{now: now, full: map[fullKey][]placement.Room{}, victims: map[victimKey][]*host{}, spare: map[victimKey][]placement.Room{}}
 }
 
 // fullKey is what decides, beside the amount, which machines an ask may use.
@@ -65,7 +65,7 @@
 			slog.Debug("waits", "class", j.Rec.Spec.Class, "job", j.Rec.Spec.ID, "why", j.waiting, "left", j.left(), "placed", len(j.places))
 		}
 	}
-	b.looks += ps.looks
+	b.machinesExamined += ps.machinesExamined
 	b.sample(now)
 }
 
@@ -398,8 +398,8 @@
 	if w := j.width; w.places > 0 {
 		n = max(n, min(mostOpen, int((value*0.9-float64(w.rest))/(1.25*max(w.places, brokenUp)+1))))
 	}
-	if j.most > 0 {
-		n = min(n, j.most)
+	if j.maxClaimed > 0 {
+		n = min(n, j.maxClaimed)
 	}
 	return max(4, n)
 }
--- a/internal/claim/survey.go
+++ b/internal/claim/survey.go
@@ -56,7 +56,7 @@
 // look scores a machine, or tells that the task can't go there now; room tells
 // whether at least there is room.
 func (v *survey) look(h *host, r *retry) (s sighted, ok, room bool) {
-	v.ps.looks++
+	v.ps.machinesExamined++
 	if !h.shelf.t.Room().Minus(h.used).Holds(v.ask.Need) {
 		return s, false, false
 	}
