--- a/cmd/pebbletrail/serve.go
+++ b/cmd/pebbletrail/serve.go
@@ -159,24 +159,24 @@
 }
 
 // provision rents and returns machines while this node leads a shard.
-func (c *controller) provision(ctx context.Context, pool *claim.Pool, shard ids.Shard, t *claim.Term) {
-	p := &fleet.Provisioner{Cloud: c.cloud, Cluster: t.Cluster, Store: t.Committer, Gen: t.Gen, Sure: func() bool { return pool.Sure(t) },
+func (c *controller) provision(ctx context.Context, pool *claim.Elector, shard ids.Shard, t *claim.Term) {
+	p := &fleet.Provisioner{Cloud: c.cloud, Cluster: t.Cluster, Store: t.Committer, Gen: t.Generation, Sure: func() bool { return pool.LeaseSurelyHeld(t) },
 		Keys: record.KeysOf(shard, c.set.Shards()), Shard: shard,
 		ListEvery: max(2*time.Second, c.set.Params.Cloud.ListLagS.Duration()/2)}
 	if c.set.Shards() > 1 {
 		p.Cloud = fleet.NewCloud(c.set.Services.Cloud, client(2, 2), c.set.Params.Cloud.RPS/float64(c.set.Shards()))
-		p.OthersLack = func() (time.Duration, int) { return c.shards.OthersLack(shard) }
+		p.OthersLack = func() (time.Duration, int) { return c.shards.OtherShardsShortage(shard) }
 		p.Owns = func(machine ids.Machine) bool { return c.shards.Owns(shard, machine) }
 	}
 	if ts := c.types.known(); len(ts) > 0 {
-		t.Cluster.SetTypes(ts)
+		t.Cluster.SetMachineTypes(ts)
 	}
 	p.OnTypes = func(ts []placement.Type) { c.types.store(ctx, t.Committer, ts) }
 	if c.rollouts != nil && c.set.Shards() == 1 {
 		runner := &rollout.Runner{Copy: c.rollouts, Store: t.Committer, Fleet: t.Cluster, Writer: c.incarnation, Limits: c.storeLimits()}
 		go runner.Run(ctx)
 	}
-	p.Adopt(t.Intents)
+	p.Adopt(t.OpenHires)
 	p.Run(ctx)
 }
 
@@ -236,7 +236,7 @@
 	Alarms []string `json:"alarms,omitempty"`
 }
 
-func shardsStatus(pools []*claim.Pool) (all []shardStatus) {
+func shardsStatus(pools []*claim.Elector) (all []shardStatus) {
 	for shard, pool := range pools {
 		leader, _ := pool.Leader()
 		of := shardStatus{Shard: shard, Leader: leader}
--- a/internal/claim/allowances.go
+++ b/internal/claim/allowances.go
@@ -16,115 +16,115 @@
 // processStart is from when this process's settings are.
 var processStart = ids.WallOf(time.Now())
 
-// exchangeEvery spaces the looks at what allowance to move.
-const exchangeEvery = 100 * time.Millisecond
+// exchangeInterval spaces the looks at what allowance to move.
+const exchangeInterval = 100 * time.Millisecond
 
 // loadAllowances reads the ledgers after the takeover's commit. News of them has been
 // followed since before it.
-func (p *Pool) loadAllowances(ctx context.Context, t *Term) error {
-	entries, _, err := p.State.ListAll(ctx, quota.Prefix, state.Urgent)
+func (e *Elector) loadAllowances(ctx context.Context, term *Term) error {
+	entries, _, err := e.State.ListAll(ctx, quota.Prefix, state.Urgent)
 	if err != nil {
 		return err
 	}
-	b := t.Cluster
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.quota.Load(entries)
+	cluster := term.Cluster
+	cluster.mu.Lock()
+	defer cluster.mu.Unlock()
+	cluster.quota.Load(entries)
 	return nil
 }
 
 // exchangeAllowances moves allowances between the shards until the term ends.
-func (p *Pool) exchangeAllowances(ctx context.Context, t *Term) {
+func (e *Elector) exchangeAllowances(ctx context.Context, term *Term) {
 	fence := func() state.Condition {
-		return state.Condition{Key: p.keys.Generation(), Revision: t.Committer.generationRevision()}
+		return state.Condition{Key: e.keys.Generation(), Revision: term.Committer.generationRevision()}
 	}
-	quota.NewExchange(t.Cluster.quota, p.State, &t.Cluster.mu, fence).Run(ctx, exchangeEvery)
+	quota.NewExchange(term.Cluster.quota, e.State, &term.Cluster.mu, fence).Run(ctx, exchangeInterval)
 }
 
 // generationRevision is the generation's revision that this leader's writes depend on.
 func (c *Committer) generationRevision() ids.Revision {
-	c.turn <- struct{}{}
-	defer func() { <-c.turn }()
-	return c.GenStamp
+	c.writeSlot <- struct{}{}
+	defer func() { <-c.writeSlot }()
+	return c.GenerationRevision
 }
 
-// learnAllowance takes in news of a ledger.
-func (p *Pool) learnAllowance(ch state.Change) {
-	b := p.Cluster()
-	if b == nil {
+// handleAllowanceChange takes in news of a ledger.
+func (e *Elector) handleAllowanceChange(change state.Change) {
+	cluster := e.Cluster()
+	if cluster == nil {
 		return
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.quota.Learn(ch)
-	poke(b.wakePlan)
+	cluster.mu.Lock()
+	defer cluster.mu.Unlock()
+	cluster.quota.Learn(change)
+	signal(cluster.planSignal)
 }
 
-// lacks notes that only its team's allowance keeps n tasks of a job from starting.
-func (ps *pass) lacks(j *Job, n int) {
-	s := &j.Rec.Spec
-	unit := s.Need
-	if s.Shape == record.Gang {
-		unit = s.Need.Times(float64(n))
+// addUnmetDemand notes that only its team's allowance keeps n tasks of a job from starting.
+func (pass *planningPass) addUnmetDemand(job *Job, n int) {
+	spec := &job.Record.Spec
+	unit := spec.Need
+	if spec.Shape == record.Gang {
+		unit = spec.Need.Times(float64(n))
 	}
-	demand, found := ps.demands[s.Team]
+	demand, found := pass.demands[spec.Team]
 	if !found {
 		demand.Unit = quota.AmountOf(unit)
-		demand.Rank = quota.Rank{Guaranteed: j.guaranteed, Priority: int(j.priority()), Since: j.Rec.Since()}
+		demand.Rank = quota.Rank{Guaranteed: job.Guaranteed, Priority: int(job.EffectivePriority()), Since: job.Record.Since()}
 	}
-	demand.Total = demand.Total.Plus(quota.AmountOf(s.Need.Times(float64(n))))
-	ps.demands[s.Team] = demand
+	demand.Total = demand.Total.Plus(quota.AmountOf(spec.Need.Times(float64(n))))
+	pass.demands[spec.Team] = demand
 }
 
-// stopForOtherShards stops lesser work of teams whose allowance a more urgent demand of another shard
+// preemptForOtherShards stops lesser work of teams whose allowance a more urgent demand of another shard
 // is owed.
-func (b *ClusterState) stopForOtherShards() {
-	if b.set.Shards() == 1 || !b.Storing() {
+func (c *ClusterState) preemptForOtherShards() {
+	if c.settings.Shards() == 1 || !c.StoreAvailable() {
 		return
 	}
-	for _, team := range b.set.Params.Teams {
-		amount, rank, owed := b.quota.Owed(team.Name)
+	for _, team := range c.settings.Params.Teams {
+		amount, rank, owed := c.quota.Owed(team.Name)
 		if owed && record.Priority(rank.Priority) >= record.High {
-			b.stopLesser(team.Name, record.Priority(rank.Priority), amount.Room())
+			c.preemptLowerPriority(team.Name, record.Priority(rank.Priority), amount.Room())
 		}
 	}
 }
 
-// stopLesser stops work of a team below a priority until it frees what is named. What is
+// preemptLowerPriority stops work of a team below a priority until it frees what is named. What is
 // being stopped already counts.
-func (b *ClusterState) stopLesser(team string, below record.Priority, free placement.Room) {
-	var victims []*Place
-	for _, j := range b.line {
-		if j.Rec.Spec.Team != team || j.priority() >= below {
+func (c *ClusterState) preemptLowerPriority(team string, below record.Priority, free placement.Room) {
+	var victims []*Assignment
+	for _, job := range c.queue {
+		if job.Record.Spec.Team != team || job.EffectivePriority() >= below {
 			continue
 		}
-		for _, i := range slices.Sorted(maps.Keys(j.places)) {
-			if p := j.places[i]; p.stopping {
-				free = free.Minus(j.Rec.Spec.Need)
+		for _, i := range slices.Sorted(maps.Keys(job.Assignments)) {
+			if assignment := job.Assignments[i]; assignment.Stopping {
+				free = free.Minus(job.Record.Spec.Need)
 			} else {
-				victims = append(victims, p)
+				victims = append(victims, assignment)
 			}
 		}
 	}
 	now := time.Now()
-	slices.SortStableFunc(victims, func(x, y *Place) int {
-		if x.Job.priority() != y.Job.priority() {
-			return int(x.Job.priority()) - int(y.Job.priority())
+	slices.SortStableFunc(victims, func(x, y *Assignment) int {
+		if x.Job.EffectivePriority() != y.Job.EffectivePriority() {
+			return int(x.Job.EffectivePriority()) - int(y.Job.EffectivePriority())
 		}
-		return int(1000 * (x.lossIfStopped(now) - y.lossIfStopped(now)))
+		return int(1000 * (x.PreemptionCost(now) - y.PreemptionCost(now)))
 	})
-	for _, p := range victims {
+	for _, assignment := range victims {
 		if free.Cores <= 0 && free.Accels <= 0 {
 			return
 		}
-		free = free.Minus(p.Job.Rec.Spec.Need)
-		b.stop(p, p.leewayWanted(), "its team's limit is needed in another shard")
+		free = free.Minus(assignment.Job.Record.Spec.Need)
+		c.stopAssignment(assignment, assignment.CheckpointGrace(), "its team's limit is needed in another shard")
 	}
 }
 
 // QuotaFaults tells of each team that gets no new grants why.
-func (b *ClusterState) QuotaFaults() []string {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.quota.Faults()
+func (c *ClusterState) QuotaFaults() []string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.quota.Faults()
 }
--- a/internal/claim/apart_test.go
+++ b/internal/claim/apart_test.go
@@ -162,7 +162,7 @@
 		a := w.start("a")
 		time.Sleep(5 * time.Second)
 		term := a.pool.Term()
-		if term == nil || !a.pool.Sure(term) {
+		if term == nil || !a.pool.LeaseSurelyHeld(term) {
 			t.Fatal("an owner that renews is not sure")
 		}
 		w.net.SetRule(func(from, to string, _ *http.Request, _ []byte) fake.Fate {
@@ -172,7 +172,7 @@
 			return fake.Deliver
 		})
 		time.Sleep(1600 * time.Millisecond)
-		if a.pool.Sure(term) {
+		if a.pool.LeaseSurelyHeld(term) {
 			t.Error("an owner whose hold may have run out is sure")
 		}
 		w.net.SetRule(nil)
--- a/internal/claim/apply.go
+++ b/internal/claim/apply.go
@@ -15,15 +15,15 @@
 
 // ApplyIf is Apply under further conditions.
 func (c *Committer) ApplyIf(ctx context.Context, when []state.Condition, ops []state.Op) error {
-	c.turn <- struct{}{}
-	defer func() { <-c.turn }()
-	limit := int(c.Cluster.set.Params.State.ValueKB * 1024)
+	c.writeSlot <- struct{}{}
+	defer func() { <-c.writeSlot }()
+	limit := int(c.Cluster.settings.Params.State.ValueKB * 1024)
 	for _, op := range ops {
 		if len(op.Value) > limit {
 			return fmt.Errorf("%w: %d bytes at %s, of at most %d", state.ErrMalformed, len(op.Value), op.Put, limit)
 		}
 	}
-	when = append([]state.Condition{{Key: c.Keys.Generation(), Revision: c.GenStamp}}, when...)
+	when = append([]state.Condition{{Key: c.Keys.Generation(), Revision: c.GenerationRevision}}, when...)
 	_, err := c.State.Commit(ctx, state.Txn{When: when, Then: ops}, state.Normal)
 	return err
 }
--- a/internal/claim/apply_test.go
+++ b/internal/claim/apply_test.go
@@ -21,7 +21,7 @@
 		store.SetLimits(2048, 4)
 		client := state.NewClient("state:1", network.Client("a"), state.NewBudget(1000, 1000, 1, 0.6))
 		cluster := testBook()
-		cluster.set.Params.State.ValueKB = 2
+		cluster.settings.Params.State.ValueKB = 2
 		committer := NewCommitter(cluster, client, "a", 0)
 		long := []byte(`"` + strings.Repeat("x", 3000) + `"`)
 		err := committer.Apply(context.Background(), []state.Op{{Put: record.TypesKey, Value: long}})
--- a/internal/claim/backoff.go
+++ b/internal/claim/backoff.go
@@ -7,24 +7,24 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-func (b *ClusterState) tryOf(j *Job, i int) *retry {
-	r := j.tries[i]
-	if r == nil {
-		r = &retry{avoid: map[ids.Machine]bool{}}
-		j.tries[i] = r
+func (c *ClusterState) retryOf(job *Job, i int) *Retry {
+	retry := job.Retries[i]
+	if retry == nil {
+		retry = &Retry{Avoid: map[ids.Machine]bool{}}
+		job.Retries[i] = retry
 	}
-	return r
+	return retry
 }
 
-// backoff doubles the wait before a failing task's next try.
-func (b *ClusterState) backoff(j *Job, i int, now time.Time) *retry {
-	r := b.tryOf(j, i)
-	r.fails++
-	r.at = now.Add(b.waitAfter(r.fails))
-	return r
+// backOff doubles the wait before a failing task's next try.
+func (c *ClusterState) backOff(job *Job, i int, now time.Time) *Retry {
+	retry := c.retryOf(job, i)
+	retry.Failures++
+	retry.NotBefore = now.Add(c.backOffDelay(retry.Failures))
+	return retry
 }
 
-func (b *ClusterState) waitAfter(fails int) time.Duration {
-	wait := b.set.Own.BackoffS * math.Pow(2, float64(min(fails, 16)-1))
-	return ids.Seconds(min(wait, b.set.Own.BackoffMaxS)).Duration()
+func (c *ClusterState) backOffDelay(fails int) time.Duration {
+	wait := c.settings.Own.BackoffS * math.Pow(2, float64(min(fails, 16)-1))
+	return ids.Seconds(min(wait, c.settings.Own.BackoffMaxS)).Duration()
 }
--- a/internal/claim/cancel_start_test.go
+++ b/internal/claim/cancel_start_test.go
@@ -25,7 +25,7 @@
 			switch {
 			case touches(from, to, "a", "b"):
 				return fake.Refuse
-			case kind(r, body) == "marker":
+			case InstanceClass(r, body) == "marker":
 				return fake.SlowAnswer
 			}
 			return fake.Deliver
--- a/internal/claim/cancellation.go
+++ b/internal/claim/cancellation.go
@@ -8,41 +8,41 @@
 	"github.com/pebbletrail/pebbletrail/internal/state"
 )
 
-// LearnCancellation takes in that a job's cancellation is stored apart from its record,
+// HandleCancellation takes in that a job's cancellation is stored apart from its record,
 // or, with removed, that it is no longer.
-func (b *ClusterState) LearnCancellation(id ids.Job, stamp ids.Revision, removed bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if stamp <= b.cancellations[id] {
+func (c *ClusterState) HandleCancellation(id ids.Job, revision ids.Revision, removed bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if revision <= c.cancellations[id] {
 		return
 	}
 	if removed {
-		delete(b.cancellations, id)
+		delete(c.cancellations, id)
 		return
 	}
-	b.learnCancellation(id, stamp)
+	c.applyCancellation(id, revision)
 }
 
-// learnCancellation is LearnCancellation under the lock. A job that is loaded later is
+// applyCancellation is LearnCancellation under the lock. A job that is loaded later is
 // cancelled then, see addJob.
-func (b *ClusterState) learnCancellation(id ids.Job, stamp ids.Revision) {
-	b.cancellations[id] = stamp
-	if j := b.jobs[id]; j != nil && !j.ended {
-		b.cancelTold(j)
-		b.touch(j)
+func (c *ClusterState) applyCancellation(id ids.Job, revision ids.Revision) {
+	c.cancellations[id] = revision
+	if job := c.jobs[id]; job != nil && !job.Ended {
+		c.cancelConfirmed(job)
+		c.markChanged(job)
 	}
 }
 
-// cancelTold cancels a job whose user was told so by another controller. A completion
+// cancelConfirmed cancels a job whose user was told so by another controller. A completion
 // that only this memory knows came too late: what is told first stands.
-func (b *ClusterState) cancelTold(j *Job) {
-	if j.cancelled() {
+func (c *ClusterState) cancelConfirmed(job *Job) {
+	if job.Cancelled() {
 		return
 	}
-	if j.Rec.Status == record.Done {
-		j.Rec.Status = record.Claimed
+	if job.Record.Status == record.Done {
+		job.Record.Status = record.Claimed
 	}
-	b.cancel(j)
+	c.cancelJob(job)
 }
 
 // readCancellation finds out why a write was refused for a cancellation stored apart
@@ -52,13 +52,13 @@
 	if err != nil {
 		return false
 	}
-	b := c.Cluster
-	b.mu.Lock()
-	defer b.mu.Unlock()
+	cluster := c.Cluster
+	cluster.mu.Lock()
+	defer cluster.mu.Unlock()
 	if found {
-		b.learnCancellation(id, entry.Revision)
+		cluster.applyCancellation(id, entry.Revision)
 	} else {
-		delete(b.cancellations, id)
+		delete(cluster.cancellations, id)
 	}
 	return true
 }
--- a/internal/claim/collect.go
+++ b/internal/claim/collect.go
@@ -8,9 +8,9 @@
 	"github.com/pebbletrail/pebbletrail/internal/state"
 )
 
-// settleAtLast is the same while changes are scarce: then new work and ends need
+// outcomeDelayTight is the same while changes are scarce: then new work and ends need
 // them more.
-const settleAtLast = 12 * time.Second
+const outcomeDelayTight = 12 * time.Second
 
 // maxTxnBytes is how much of a transaction's 64 KiB its changes may fill; its conditions and
 // the rest of its text take less than txnBytes and changeBytes say.
@@ -20,119 +20,119 @@
 	changeBytes = 200
 )
 
-// collect picks changed jobs, most urgent first, within the limits of one
+// collectGroup picks changed jobs, most urgent first, within the limits of one
 // transaction.
-func (c *Committer) collect() []pending {
-	b := c.Cluster
-	maxOps := min(b.set.Params.State.TxnOps, max(2, c.State.Budget().WriteBurst()))
-	limit := int(b.set.Params.State.ValueKB * 1024)
-	var group []pending
+func (c *Committer) collectGroup() []groupEntry {
+	cluster := c.Cluster
+	maxOps := min(cluster.settings.Params.State.TxnOps, max(2, c.State.Budget().WriteBurst()))
+	limit := int(cluster.settings.Params.State.ValueKB * 1024)
+	var group []groupEntry
 	ops, size := 0, txnBytes
-	add := func(p pending) bool {
-		if ops+len(p.ops) > maxOps || size+p.size > maxTxnBytes {
+	add := func(entry groupEntry) bool {
+		if ops+len(entry.ops) > maxOps || size+entry.size > maxTxnBytes {
 			return false
 		}
-		ops, size = ops+len(p.ops), size+p.size
-		group = append(group, p)
+		ops, size = ops+len(entry.ops), size+entry.size
+		group = append(group, entry)
 		return true
 	}
-	c.waitingOnes(false, add)
-	for _, j := range c.changed(time.Now()) {
-		p, fits := b.encodeChange(j, limit)
+	c.collectWaiting(false, add)
+	for _, job := range c.dueChanges(time.Now()) {
+		entry, fits := cluster.encodeChange(job, limit)
 		if !fits {
-			b.tooLarge(j, limit)
+			cluster.handleOversize(job, limit)
 			continue
 		}
-		if !add(p) {
+		if !add(entry) {
 			break
 		}
 	}
 	if !c.State.Budget().Tight() {
-		c.waitingOnes(true, add) // told as cancelled already: these can wait
+		c.collectWaiting(true, add) // told as cancelled already: these can wait
 	}
 	return group
 }
 
-// changed lists the jobs whose changes are due to be stored, most urgent first.
-func (c *Committer) changed(now time.Time) []*Job {
-	b := c.Cluster
-	settle := settleEvery
+// dueChanges lists the jobs whose changes are due to be stored, most urgent first.
+func (c *Committer) dueChanges(now time.Time) []*Job {
+	cluster := c.Cluster
+	settle := outcomeDelay
 	if c.State.Budget().Tight() {
-		settle = settleAtLast
+		settle = outcomeDelayTight
 	}
 	var due []*Job
-	for j := range b.dirty {
-		if j.version <= j.saved || j.ended {
-			delete(b.dirty, j)
+	for job := range cluster.unsaved {
+		if job.Version <= job.StoredVersion || job.Ended {
+			delete(cluster.unsaved, job)
 			continue
 		}
-		if j.version == j.unfit {
+		if job.Version == job.OversizeVersion {
 			continue // it would not fit now either
 		}
-		if j.urgent || now.Sub(j.dirtySince) >= settle {
-			due = append(due, j)
+		if job.Urgent || now.Sub(job.ChangedAt) >= settle {
+			due = append(due, job)
 		}
 	}
 	sort.Slice(due, func(x, y int) bool {
 		a, z := due[x], due[y]
-		if a.urgent != z.urgent {
-			return a.urgent
+		if a.Urgent != z.Urgent {
+			return a.Urgent
 		}
-		if pa, pz := a.priority(), z.priority(); pa != pz {
+		if pa, pz := a.EffectivePriority(), z.EffectivePriority(); pa != pz {
 			return pa > pz
 		}
-		return earlier(a, z) < 0
+		return compareSubmission(a, z) < 0
 	})
 	return due
 }
 
 // encodeChange makes the transaction's part that stores a job as it is now; fits tells
 // whether its record fits the limit of values.
-func (b *ClusterState) encodeChange(j *Job, limit int) (p pending, fits bool) {
-	p = pending{job: j, version: j.version, over: j.Rec.Status.Over()}
-	rec := j.Rec
-	rec.Gen, rec.Writer, rec.Seq = b.gen, b.writer, j.version
+func (c *ClusterState) encodeChange(job *Job, limit int) (entry groupEntry, fits bool) {
+	entry = groupEntry{job: job, version: job.Version, terminal: job.Record.Status.Over()}
+	rec := job.Record
+	rec.Gen, rec.Writer, rec.Seq = c.generation, c.writer, job.Version
 	encode := rec.EncodeFinal
-	if !p.over {
-		rec.Places = packPlaces(j.places)
+	if !entry.terminal {
+		rec.Places = groupAssignments(job.Assignments)
 		encode = rec.Encode
 	}
 	raw, fits := encode(limit)
 	if !fits {
-		return p, false
+		return entry, false
 	}
-	j.oversize = false
-	if !p.over {
-		j.measured(rec.Places, len(raw)-yielding(rec.Trail))
+	job.Oversize = false
+	if !entry.terminal {
+		job.RecordEncodedSize(rec.Places, len(raw)-droppableTrailBytes(rec.Trail))
 	}
-	id := j.Rec.Spec.ID
+	id := job.Record.Spec.ID
 	// A cancellation stored apart from the record must not be passed over either.
-	cancellation := state.Condition{Key: record.CancelKey(id), Revision: b.cancellations[id]}
-	p.conds = []state.Condition{{Key: record.JobKey(id), Revision: j.stamp}, cancellation}
-	p.size = len(raw) + changeBytes
-	if !p.over {
-		p.ops = []state.Op{{Put: record.JobKey(id), Value: raw}}
-		return p, true
+	cancellation := state.Condition{Key: record.CancelKey(id), Revision: c.cancellations[id]}
+	entry.conditions = []state.Condition{{Key: record.JobKey(id), Revision: job.Revision}, cancellation}
+	entry.size = len(raw) + changeBytes
+	if !entry.terminal {
+		entry.ops = []state.Op{{Put: record.JobKey(id), Value: raw}}
+		return entry, true
 	}
-	p.conds = append(p.conds, state.Condition{Key: record.EndKey(id)})
-	p.ops = []state.Op{{Remove: record.JobKey(id)}, {Put: record.EndKey(id), Value: raw}}
+	entry.conditions = append(entry.conditions, state.Condition{Key: record.EndKey(id)})
+	entry.ops = []state.Op{{Remove: record.JobKey(id)}, {Put: record.EndKey(id), Value: raw}}
 	if cancellation.Revision > 0 {
-		p.ops = append(p.ops, state.Op{Remove: record.CancelKey(id)})
+		entry.ops = append(entry.ops, state.Op{Remove: record.CancelKey(id)})
 	}
-	return p, true
+	return entry, true
 }
 
-// measured notes what a record's places took of it, and what the rest that can't give way did.
-func (j *Job) measured(places []record.PlaceGroup, size int) {
-	if n := len(j.places); n > 0 {
+// RecordEncodedSize notes what a record's places took of it, and what the rest that can't give way did.
+func (job *Job) RecordEncodedSize(places []record.PlaceGroup, size int) {
+	if n := len(job.Assignments); n > 0 {
 		took := record.PlacesSize(places)
-		j.width.places, j.width.rest = float64(took)/float64(n), size-took
+		job.EncodedSize.PerAssignment, job.EncodedSize.Rest = float64(took)/float64(n), size-took
 	}
 }
 
-// yielding is about how many bytes the trail would give up for places: all but the
+// droppableTrailBytes is about how many bytes the trail would give up for places: all but the
 // last lines.
-func yielding(trail []record.Event) (n int) {
+func droppableTrailBytes(trail []record.Event) (n int) {
 	for i := range trail[:max(0, len(trail)-2)] {
 		n += len(trail[i].What) + 35
 	}
--- a/internal/claim/drain.go
+++ b/internal/claim/drain.go
@@ -10,116 +10,116 @@
 	"github.com/pebbletrail/pebbletrail/internal/worker"
 )
 
-// drains stops, in time to save or to start elsewhere, what is on machines
+// stopOnLeavingMachines stops, in time to save or to start elsewhere, what is on machines
 // that will be taken or are faulty.
-func (b *ClusterState) drains(now time.Time) {
-	names := make([]ids.Machine, 0, len(b.leaving))
-	for name := range b.leaving {
+func (c *ClusterState) stopOnLeavingMachines(now time.Time) {
+	names := make([]ids.Machine, 0, len(c.leaving))
+	for name := range c.leaving {
 		names = append(names, name)
 	}
 	slices.Sort(names)
 	for _, name := range names {
-		m := b.roster.Machines[name]
-		if m == nil || m.Draining == "" && m.TakenAt.IsZero() && !m.Going {
-			delete(b.leaving, name)
+		machine := c.machines.Machines[name]
+		if machine == nil || machine.Draining == "" && machine.TakenAt.IsZero() && !machine.Going {
+			delete(c.leaving, name)
 			continue
 		}
-		taken := !m.TakenAt.IsZero()
-		if !taken && m.Draining == "" {
-			b.moveReplica(m, now)
+		taken := !machine.TakenAt.IsZero()
+		if !taken && machine.Draining == "" {
+			c.relocateReplica(machine, now)
 			continue
 		}
-		if !taken && b.disruption != nil {
+		if !taken && c.drains != nil {
 			continue // emptied within the budgets
 		}
-		for p := range b.placesOn(name) {
-			if p.stopping {
+		for assignment := range c.assignmentsOn(name) {
+			if assignment.Stopping {
 				continue
 			}
-			why := drainedText(m)
-			lee := p.leewayWanted()
+			why := drainReason(machine)
+			grace := assignment.CheckpointGrace()
 			if taken {
-				left := m.TakenAt.Sub(now)
+				left := machine.TakenAt.Sub(now)
 				// Saving goes as late as is safe; what cannot save and cannot
 				// finish in time begins again elsewhere at once.
-				if lee > 0 && left > (lee+3).Duration() || lee == 0 && (p.finishes(left, now) || !b.Storing()) {
+				if grace > 0 && left > (grace+3).Duration() || grace == 0 && (assignment.FinishesWithin(left, now) || !c.StoreAvailable()) {
 					continue
 				}
 				why = "the cloud takes " + string(name) + " back"
 			}
-			b.stop(p, lee, why)
+			c.stopAssignment(assignment, grace, why)
 		}
 	}
 }
 
-// drainedText is why tasks are stopped on a machine on which tasks keep failing.
-func drainedText(m *worker.Machine) string {
-	return "machine " + string(m.Name) + " is drained: " + m.Draining
+// drainReason is why tasks are stopped on a machine on which tasks keep failing.
+func drainReason(machine *worker.Machine) string {
+	return "machine " + string(machine.Name) + " is drained: " + machine.Draining
 }
 
-// movedRoomFor is how long room is kept for a replica that is moved off a machine to be returned.
-const movedRoomFor = 5 * time.Second
+// relocationReservationTime is how long room is kept for a replica that is moved off a machine to be returned.
+const relocationReservationTime = 5 * time.Second
 
-// moveReplica takes one replica at a time off a machine that is only kept by
+// relocateReplica takes one replica at a time off a machine that is only kept by
 // it, when another machine has room and the image.
-func (b *ClusterState) moveReplica(m *worker.Machine, now time.Time) {
-	if now.Sub(b.moved) < 1500*time.Millisecond || !b.Storing() {
+func (c *ClusterState) relocateReplica(machine *worker.Machine, now time.Time) {
+	if now.Sub(c.relocatedAt) < 1500*time.Millisecond || !c.StoreAvailable() {
 		return
 	}
-	for p := range b.placesOn(m.Name) {
-		if p.Job.Rec.Spec.Shape != record.Service || p.stopping || p.status != worker.Running || now.Sub(p.ranSince) < settledFor {
+	for assignment := range c.assignmentsOn(machine.Name) {
+		if assignment.Job.Record.Spec.Shape != record.Service || assignment.Stopping || assignment.Status != worker.Running || now.Sub(assignment.RunningSince) < minRelocatableAge {
 			continue
 		}
-		ask := p.Job.Rec.Spec.Ask()
-		var best *host
+		request := assignment.Job.Record.Spec.Ask()
+		var best *Node
 		bestScore := 0.0
-		for h := range b.byImage[ask.Image] {
-			t, ok := b.usable(h, now)
-			if !ok || h.name == m.Name || t.Zone != m.Zone || t.Going || h.shelf.t.Accels > 0 || !t.Images.Has(ask.Image) ||
-				!h.free().Holds(ask.Need) || !ask.Allows(t.Type, t.Zone, t.Spot) {
+		for node := range c.byImage[request.Image] {
+			t, ok := c.usableMachine(node, now)
+			if !ok || node.name == machine.Name || t.Zone != machine.Zone || t.Going || node.class.offer.Accels > 0 || !t.Images.Has(request.Image) ||
+				!node.freeCapacity().Holds(request.Need) || !request.Allows(t.Type, t.Zone, t.Spot) {
 				continue
 			}
-			pm := b.sight(h, t, p.Job, nil, now)
-			if s := placement.Score(&pm, &ask); best == nil || s < bestScore || s == bestScore && h.name < best.name {
-				best, bestScore = h, s
+			pm := c.placementView(node, t, assignment.Job, nil, now)
+			if s := placement.Score(&pm, &request); best == nil || s < bestScore || s == bestScore && node.name < best.name {
+				best, bestScore = node, s
 			}
 		}
 		if best == nil {
 			continue
 		}
-		b.moved = now
-		if !b.mayMove(p, now) {
+		c.relocatedAt = now
+		if !c.mayRelocate(assignment, now) {
 			return
 		}
-		b.reserved[best.name] = reservation{job: p.Job.Rec.Spec.ID, need: ask.Need, made: now, until: now.Add(movedRoomFor)}
-		if b.disruption == nil {
-			b.stop(p, p.leewayWanted(), movedOff(m.Name))
+		c.reservations[best.name] = reservation{job: assignment.Job.Record.Spec.ID, need: request.Need, madeAt: now, until: now.Add(relocationReservationTime)}
+		if c.drains == nil {
+			c.stopAssignment(assignment, assignment.CheckpointGrace(), relocationReason(machine.Name))
 		} else {
-			b.recordEvictions([]evictionUnit{{p.Job, []*Place{p}}}, &evictionStep{rollout: consolidation, stored: map[*Job]uint64{}})
+			c.recordEvictions([]evictionUnit{{assignment.Job, []*Assignment{assignment}}}, &evictionStep{rollout: consolidation, stored: map[*Job]uint64{}})
 		}
 		return
 	}
 }
 
-// movedOff is why a replica is stopped that is moved to have its machine returned.
-func movedOff(machine ids.Machine) string {
+// relocationReason is why a replica is stopped that is moved to have its machine returned.
+func relocationReason(machine ids.Machine) string {
 	return "moved off " + string(machine) + ", which is to be returned"
 }
 
-// mayMove tells whether a replica may be moved that nobody has to move: where operators have set
+// mayRelocate tells whether a replica may be moved that nobody has to move: where operators have set
 // budgets, only within these.
-func (b *ClusterState) mayMove(p *Place, now time.Time) bool {
-	if b.disruption == nil {
+func (c *ClusterState) mayRelocate(assignment *Assignment, now time.Time) bool {
+	if c.drains == nil {
 		return true
 	}
-	return !p.evicted && len(b.disruptionMeter(now).Permit(b.evictionRequest(p.Job, p, now))) == 0
+	return !assignment.Evicting && len(c.disruptionMeter(now).Permit(c.evictionRequest(assignment.Job, assignment, now))) == 0
 }
 
-// finishes guesses whether a task completes within d.
-func (p *Place) finishes(d time.Duration, now time.Time) bool {
-	s := &p.Job.Rec.Spec
-	if s.Shape == record.Service || p.ranSince.IsZero() {
+// FinishesWithin guesses whether a task completes within d.
+func (assignment *Assignment) FinishesWithin(d time.Duration, now time.Time) bool {
+	spec := &assignment.Job.Record.Spec
+	if spec.Shape == record.Service || assignment.RunningSince.IsZero() {
 		return false
 	}
-	return p.ranSince.Add(s.Estimate.Duration()).Before(now.Add(d))
+	return assignment.RunningSince.Add(spec.Estimate.Duration()).Before(now.Add(d))
 }
--- a/internal/claim/drain_cluster_test.go
+++ b/internal/claim/drain_cluster_test.go
@@ -35,7 +35,7 @@
 type drainNode struct {
 	cluster *drainCluster
 	name    string
-	pool    *claim.Pool
+	pool    *claim.Elector
 	drains  *rollout.Service
 	cancel  context.CancelFunc
 }
@@ -201,51 +201,51 @@
 
 // drainSettings are a node's settings.
 func (c *drainCluster) drainSettings(name string) *config.Settings {
-	set := c.settings("a")
-	set.HostName, set.Others = ids.Node(name), nil
+	settings := c.settings("a")
+	settings.HostName, settings.Others = ids.Node(name), nil
 	for _, other := range drainNodes {
 		if other != name {
-			set.Others = append(set.Others, config.Other{HostName: ids.Node(other)})
+			settings.Others = append(settings.Others, config.Other{HostName: ids.Node(other)})
 		}
 	}
-	if err := set.ParseFeatures([]byte(c.features)); err != nil {
+	if err := settings.ParseFeatures([]byte(c.features)); err != nil {
 		c.t.Fatal(err)
 	}
-	return set
+	return settings
 }
 
 func (c *drainCluster) startNode(name string) *drainNode {
-	set := c.drainSettings(name)
+	settings := c.drainSettings(name)
 	c.lives++
 	writer := fmt.Sprintf("%s.%d", name, c.lives)
 	ctx, cancel := context.WithCancel(c.ctx)
-	st := state.NewClient("state:1", c.net.Client(name), state.NewBudget(800, 400, 5, 0.6))
+	store := state.NewClient("state:1", c.net.Client(name), state.NewBudget(800, 400, 5, 0.6))
 	n := &drainNode{cluster: c, name: name, cancel: cancel}
-	copied := state.NewMirror(st, rollout.Prefix, 200*time.Millisecond)
-	limits := rollout.Limits{ValueBytes: int(set.Params.State.ValueKB * 1024), TxnOps: set.Params.State.TxnOps}
-	n.pool = claim.NewPool(set, st, &worker.Commander{HTTP: c.net.Client(name), Timeout: 3 * time.Second}, writer)
+	copied := state.NewMirror(store, rollout.Prefix, 200*time.Millisecond)
+	limits := rollout.Limits{ValueBytes: int(settings.Params.State.ValueKB * 1024), TxnOps: settings.Params.State.TxnOps}
+	n.pool = claim.NewElector(settings, store, &worker.Commander{HTTP: c.net.Client(name), Timeout: 3 * time.Second}, writer)
 	n.pool.Peers = n
-	n.pool.OnTerm = func(ctx context.Context, t *claim.Term) {
-		t.Cluster.SetTypes(types())
-		runner := &rollout.Runner{Copy: copied, Store: t.Committer, Fleet: t.Cluster, Writer: writer, Limits: limits}
+	n.pool.OnTerm = func(ctx context.Context, term *claim.Term) {
+		term.Cluster.SetMachineTypes(types())
+		runner := &rollout.Runner{Copy: copied, Store: term.Committer, Fleet: term.Cluster, Writer: writer, Limits: limits}
 		go runner.Run(ctx)
-		p := &fleet.Provisioner{Cloud: fleet.NewCloud("cloud:1", c.net.Client(name), 20), Cluster: t.Cluster, Store: t.Committer, Gen: t.Gen,
-			Keys: record.KeysOf(0, 1), Sure: func() bool { return n.pool.Sure(t) }, ListEvery: 2 * time.Second}
-		p.Adopt(t.Intents)
+		p := &fleet.Provisioner{Cloud: fleet.NewCloud("cloud:1", c.net.Client(name), 20), Cluster: term.Cluster, Store: term.Committer, Gen: term.Generation,
+			Keys: record.KeysOf(0, 1), Sure: func() bool { return n.pool.LeaseSurelyHeld(term) }, ListEvery: 2 * time.Second}
+		p.Adopt(term.OpenHires)
 		p.Run(ctx)
 	}
-	n.drains = &rollout.Service{Copy: copied, State: st, Leader: n, Writer: writer, Limits: limits,
+	n.drains = &rollout.Service{Copy: copied, State: store, Leader: n, Writer: writer, Limits: limits,
 		Installation: func() rollout.Installation {
-			return rollout.Installation{Zones: set.Params.Zones, Types: []string{"small"}, Shards: set.Shards()}
+			return rollout.Installation{Zones: settings.Params.Zones, Types: []string{"small"}, Shards: settings.Shards()}
 		}}
-	jobs := &intake.JobService{Set: set, State: st, Jobs: n.pool.Jobs(), LeaderNotifier: n, Writer: writer, Types: types}
+	jobs := &intake.JobService{Set: settings, State: store, Jobs: n.pool.Jobs(), LeaderNotifier: n, Writer: writer, Types: types}
 	c.net.Listen(name+":8080", (&intake.Site{Jobs: jobs, Heartbeats: n.pool, Ready: func() bool { return true },
 		Live:   func(context.Context, ids.Job) ([]string, ids.Node, error) { return nil, "", nil },
 		Status: func() any { return nil }}).Handler())
 	c.mu.Lock()
 	c.up[name] = n
 	c.mu.Unlock()
-	go st.Watch(ctx, record.KeysOf(0, 1).Generation())
+	go store.Watch(ctx, record.KeysOf(0, 1).Generation())
 	go copied.Run(ctx)
 	go n.pool.Run(ctx)
 	return n
@@ -289,13 +289,13 @@
 
 // The other controllers, as one of them sees them.
 
-func (n *drainNode) AllStopped(_ context.Context, gen ids.Generation, _ ...ids.Node) bool {
+func (n *drainNode) AllStopped(_ context.Context, generation ids.Generation, _ ...ids.Node) bool {
 	n.cluster.mu.Lock()
 	defer n.cluster.mu.Unlock()
 	all := true
 	for name, o := range n.cluster.up {
 		if name != n.name {
-			all = !n.cluster.cutOff(n.name, name) && o.pool.Superseded(gen) && all
+			all = !n.cluster.cutOff(n.name, name) && o.pool.Superseded(generation) && all
 		}
 	}
 	return all
@@ -327,7 +327,7 @@
 	if leader == nil {
 		return nil, claim.ErrNotLeader
 	}
-	return leader.pool.Cluster().DrainWaits(), nil
+	return leader.pool.Cluster().DrainBlockers(), nil
 }
 
 // accept submits a job, at another node each time it is told to come back.
--- a/internal/claim/emptying.go
+++ b/internal/claim/emptying.go
@@ -18,159 +18,159 @@
 
 // evictionUnit is what is stopped together: a task, or a whole gang.
 type evictionUnit struct {
-	job    *Job
-	places []*Place
+	job         *Job
+	assignments []*Assignment
 }
 
-func (u *evictionUnit) team() string { return u.job.Rec.Spec.Team }
+func (unit *evictionUnit) team() string { return unit.job.Record.Spec.Team }
 
-// emptyMachine decides the next step of emptying a machine: of each team that has anything to
+// evictNextStep decides the next step of emptying a machine: of each team that has anything to
 // stop there one unit, all or none, and then what more the budgets allow.
-func (b *ClusterState) emptyMachine(name ids.Machine, order rollout.Order, meter *budget.Meter, now time.Time) {
-	m := b.roster.Machines[name]
-	if m == nil || !m.Heard || m.Doubtful() {
-		b.waitsFor(name, "nothing is heard of it")
+func (c *ClusterState) evictNextStep(name ids.Machine, order rollout.Order, meter *budget.Meter, now time.Time) {
+	machine := c.machines.Machines[name]
+	if machine == nil || !machine.Heard || machine.Doubtful() {
+		c.addBlocker(name, "nothing is heard of it")
 		return
 	}
-	b.dropUnsent(name)
-	units, whys := b.evictionUnits(m, order)
-	b.waitsFor(name, whys...)
+	c.removeUnsentFrom(name)
+	units, whys := c.evictionUnits(machine, order)
+	c.addBlocker(name, whys...)
 	first, more := firstOfEachTeam(units)
 	if len(first) == 0 {
 		return
 	}
 	step := &evictionStep{rollout: order.Rollout, wave: order.Wave, machine: name, stored: map[*Job]uint64{}}
 	reserved := map[ids.Machine]reservation{}
-	if why := b.whyNotElsewhere(first, order, reserved, now); len(why) > 0 {
-		b.disruption.noRoom[name] = true
-		b.waitsFor(name, why...)
+	if why := c.unplaceableReasons(first, order, reserved, now); len(why) > 0 {
+		c.drains.noRoom[name] = true
+		c.addBlocker(name, why...)
 		return
 	}
-	if denials := meter.Permit(b.evictionRequests(first, now)...); len(denials) > 0 {
+	if denials := meter.Permit(c.evictionRequests(first, now)...); len(denials) > 0 {
 		measure.Process.Count(rollout.PermitsRefused, 1)
 		for _, denial := range denials {
-			b.waitsFor(name, denial.String())
+			c.addBlocker(name, denial.String())
 		}
 		return
 	}
 	granted := first
-	for _, u := range more {
-		one := []evictionUnit{u}
-		if len(b.whyNotElsewhere(one, order, reserved, now)) == 0 && len(meter.Permit(b.evictionRequests(one, now)...)) == 0 {
-			granted = append(granted, u)
+	for _, unit := range more {
+		one := []evictionUnit{unit}
+		if len(c.unplaceableReasons(one, order, reserved, now)) == 0 && len(meter.Permit(c.evictionRequests(one, now)...)) == 0 {
+			granted = append(granted, unit)
 		}
 	}
-	for host, r := range reserved {
-		b.reserved[host] = r
+	for host, reservation := range reserved {
+		c.reservations[host] = reservation
 	}
-	b.recordEvictions(granted, step)
+	c.recordEvictions(granted, step)
 }
 
 // recordEvictions notes permits on the jobs' records; the stops wait until all are stored.
-func (b *ClusterState) recordEvictions(units []evictionUnit, step *evictionStep) {
-	d := b.disruption
+func (c *ClusterState) recordEvictions(units []evictionUnit, step *evictionStep) {
+	drains := c.drains
 	measure.Process.Count(rollout.PermitsGiven, len(units))
-	for _, u := range units {
-		j := u.job
-		for _, p := range u.places {
-			p.evicted = true
-			d.pending[p] = step
-			j.Rec.Evict(p.Index, p.Attempt, string(step.rollout), step.wave)
+	for _, unit := range units {
+		job := unit.job
+		for _, assignment := range unit.assignments {
+			assignment.Evicting = true
+			drains.pending[assignment] = step
+			job.Record.Evict(assignment.TaskIndex, assignment.Attempt, string(step.rollout), step.wave)
 		}
-		d.evicted[j] = true
-		b.touch(j)
-		b.hurry(j)
-		step.stored[j] = j.version
+		drains.evicted[job] = true
+		c.markChanged(job)
+		c.markUrgent(job)
+		step.stored[job] = job.Version
 	}
 }
 
-// dropUnsent takes tasks off a machine that were never started there: it takes no permit.
-func (b *ClusterState) dropUnsent(name ids.Machine) {
-	for _, p := range b.sortedPlacesOn(name) {
-		if !p.sent && !p.stopping && !p.evicted {
-			b.stop(p, 0, "its machine is drained")
+// removeUnsentFrom takes tasks off a machine that were never started there: it takes no permit.
+func (c *ClusterState) removeUnsentFrom(name ids.Machine) {
+	for _, assignment := range c.sortedAssignmentsOn(name) {
+		if !assignment.StartSent && !assignment.Stopping && !assignment.Evicting {
+			c.stopAssignment(assignment, 0, "its machine is drained")
 		}
 	}
 }
 
 // evictionRequests is what it takes of the teams' budgets to stop units together.
-func (b *ClusterState) evictionRequests(units []evictionUnit, now time.Time) []budget.Request {
+func (c *ClusterState) evictionRequests(units []evictionUnit, now time.Time) []budget.Request {
 	requests := make([]budget.Request, len(units))
-	for i, u := range units {
-		requests[i] = b.evictionRequest(u.job, u.places[0], now)
+	for i, unit := range units {
+		requests[i] = c.evictionRequest(unit.job, unit.assignments[0], now)
 	}
 	return requests
 }
 
 // evictionUnits lists what is to be stopped on a machine, and why the rest is not stopped now.
 // It changes nothing.
-func (b *ClusterState) evictionUnits(m *worker.Machine, order rollout.Order) (units []evictionUnit, whys []string) {
-	limit := int(b.set.Params.State.ValueKB * 1024)
+func (c *ClusterState) evictionUnits(machine *worker.Machine, order rollout.Order) (units []evictionUnit, whys []string) {
+	limit := int(c.settings.Params.State.ValueKB * 1024)
 	seen := map[*Job]bool{}
-	for _, p := range b.sortedPlacesOn(m.Name) {
-		j := p.Job
-		s := &j.Rec.Spec
+	for _, assignment := range c.sortedAssignmentsOn(machine.Name) {
+		job := assignment.Job
+		spec := &job.Record.Spec
 		switch {
-		case p.stopping || p.evicted || !p.sent:
+		case assignment.Stopping || assignment.Evicting || !assignment.StartSent:
 			continue
-		case !p.seen:
-			whys = append(whys, fmt.Sprintf("the start of %s is not confirmed yet", p.Task()))
+		case !assignment.Confirmed:
+			whys = append(whys, fmt.Sprintf("the start of %s is not confirmed yet", assignment.Task()))
 			continue
-		case !isService(s) && !mayInterrupt(s, order):
-			whys = append(whys, fmt.Sprintf("%s can't save and runs to its end", p.Task()))
+		case !isService(spec) && !mayInterrupt(spec, order):
+			whys = append(whys, fmt.Sprintf("%s can't save and runs to its end", assignment.Task()))
 			continue
-		case !j.Rec.EvictionsFit(limit):
-			whys = append(whys, fmt.Sprintf("the record of %s has no room for more evictions", s.ID))
+		case !job.Record.EvictionsFit(limit):
+			whys = append(whys, fmt.Sprintf("the record of %s has no room for more evictions", spec.ID))
 			continue
 		}
-		if !isGang(s) {
-			units = append(units, evictionUnit{j, []*Place{p}})
+		if !isGang(spec) {
+			units = append(units, evictionUnit{job, []*Assignment{assignment}})
 			continue
 		}
-		if seen[j] {
+		if seen[job] {
 			continue
 		}
-		seen[j] = true
-		if why := gangSettled(j); why != "" {
+		seen[job] = true
+		if why := gangBlocker(job); why != "" {
 			whys = append(whys, why)
 			continue
 		}
-		gang := evictionUnit{job: j}
-		for _, i := range sortedTasks(j.places) {
-			gang.places = append(gang.places, j.places[i])
+		gang := evictionUnit{job: job}
+		for _, i := range sortedTasks(job.Assignments) {
+			gang.assignments = append(gang.assignments, job.Assignments[i])
 		}
 		units = append(units, gang)
 	}
 	return units, whys
 }
 
-// sortedPlacesOn lists what is or may be on a machine, in the order of the tasks' names.
-func (b *ClusterState) sortedPlacesOn(name ids.Machine) []*Place {
-	var places []*Place
-	for p := range b.placesOn(name) {
-		places = append(places, p)
+// sortedAssignmentsOn lists what is or may be on a machine, in the order of the tasks' names.
+func (c *ClusterState) sortedAssignmentsOn(name ids.Machine) []*Assignment {
+	var places []*Assignment
+	for assignment := range c.assignmentsOn(name) {
+		places = append(places, assignment)
 	}
-	slices.SortFunc(places, func(x, y *Place) int {
-		return cmp.Or(cmp.Compare(x.Job.Rec.Spec.ID, y.Job.Rec.Spec.ID), cmp.Compare(x.Index, y.Index))
+	slices.SortFunc(places, func(x, y *Assignment) int {
+		return cmp.Or(cmp.Compare(x.Job.Record.Spec.ID, y.Job.Record.Spec.ID), cmp.Compare(x.TaskIndex, y.TaskIndex))
 	})
 	return places
 }
 
-func isService(s *record.Spec) bool { return s.Shape == record.Service }
+func isService(spec *record.Spec) bool { return spec.Shape == record.Service }
 
-func isGang(s *record.Spec) bool { return s.Shape == record.Gang }
+func isGang(spec *record.Spec) bool { return spec.Shape == record.Gang }
 
 // mayInterrupt tells whether a task that is no replica is stopped for a drain: what can save, and
 // low work, at once; all else only when the operator chose so for after the deadline.
-func mayInterrupt(s *record.Spec, order rollout.Order) bool {
-	return s.Checkpoint > 0 || s.Priority == record.Low || order.Stop
+func mayInterrupt(spec *record.Spec, order rollout.Order) bool {
+	return spec.Checkpoint > 0 || spec.Priority == record.Low || order.Stop
 }
 
-// gangSettled tells why a gang can't be stopped as a whole now; empty: it can.
-func gangSettled(j *Job) string {
-	for _, p := range j.places {
-		if !p.seen || p.stopping || p.evicted {
-			return fmt.Sprintf("not all tasks of gang %s are known to be on their machines", j.Rec.Spec.ID)
+// gangBlocker tells why a gang can't be stopped as a whole now; empty: it can.
+func gangBlocker(job *Job) string {
+	for _, assignment := range job.Assignments {
+		if !assignment.Confirmed || assignment.Stopping || assignment.Evicting {
+			return fmt.Sprintf("not all tasks of gang %s are known to be on their machines", job.Record.Spec.ID)
 		}
 	}
 	return ""
@@ -179,68 +179,68 @@
 // firstOfEachTeam splits units into the first of each team and the others.
 func firstOfEachTeam(units []evictionUnit) (first, more []evictionUnit) {
 	seen := map[string]bool{}
-	for _, u := range units {
-		if seen[u.team()] {
-			more = append(more, u)
+	for _, unit := range units {
+		if seen[unit.team()] {
+			more = append(more, unit)
 			continue
 		}
-		seen[u.team()] = true
-		first = append(first, u)
+		seen[unit.team()] = true
+		first = append(first, unit)
 	}
 	return first, more
 }
 
-// roomKeptFor is how long room elsewhere is kept for a replica that is to be moved there: its
+// evictionReservationTime is how long room elsewhere is kept for a replica that is to be moved there: its
 // permit has to be stored, the stop carried out and told.
-const roomKeptFor = 10 * time.Second
+const evictionReservationTime = 10 * time.Second
 
-// whyNotElsewhere tells which replicas could not start elsewhere. With surge there has to be room
+// unplaceableReasons tells which replicas could not start elsewhere. With surge there has to be room
 // now, which is added to reserved; without it a place has to be possible at all.
-func (b *ClusterState) whyNotElsewhere(units []evictionUnit, order rollout.Order, reserved map[ids.Machine]reservation, now time.Time) (whys []string) {
-	for _, u := range units {
-		if !isService(&u.job.Rec.Spec) {
+func (c *ClusterState) unplaceableReasons(units []evictionUnit, order rollout.Order, reserved map[ids.Machine]reservation, now time.Time) (whys []string) {
+	for _, unit := range units {
+		if !isService(&unit.job.Record.Spec) {
 			continue // it waits in the queue
 		}
-		p := u.places[0]
-		zones := b.zonesWithout(p)
-		if !b.startable(&u.job.Rec.Spec, zones) {
-			whys = append(whys, fmt.Sprintf("%s could start in no other place that its job allows", p.Task()))
+		assignment := unit.assignments[0]
+		zones := c.zonesWithout(assignment)
+		if !c.canStartSomewhere(&unit.job.Record.Spec, zones) {
+			whys = append(whys, fmt.Sprintf("%s could start in no other place that its job allows", assignment.Task()))
 			continue
 		}
 		if !order.Surge {
 			continue
 		}
-		h := b.roomFor(u.job, zones, reserved, now)
-		if h == nil {
-			whys = append(whys, fmt.Sprintf("%s has no room elsewhere yet", p.Task()))
+		node := c.findRoom(unit.job, zones, reserved, now)
+		if node == nil {
+			whys = append(whys, fmt.Sprintf("%s has no room elsewhere yet", assignment.Task()))
 			continue
 		}
-		reserved[h.name] = reservation{job: u.job.Rec.Spec.ID, need: u.job.Rec.Spec.Need, made: now, until: now.Add(roomKeptFor)}
+		reserved[node.name] = reservation{job: unit.job.Record.Spec.ID, need: unit.job.Record.Spec.Need, madeAt: now, until: now.Add(evictionReservationTime)}
 	}
 	return whys
 }
 
 // zonesWithout is where a job's tasks are, but for one that is to be moved.
-func (b *ClusterState) zonesWithout(p *Place) *zoning {
-	z := b.zones(p.Job)
-	if m := b.roster.Machines[p.Machine]; z != nil && m != nil && m.Zone != "" {
-		if z.count[m.Zone]--; z.count[m.Zone] == 0 {
-			delete(z.count, m.Zone)
+func (c *ClusterState) zonesWithout(assignment *Assignment) *zoneSpread {
+	spread := c.zoneSpreadOf(assignment.Job)
+	if machine := c.machines.Machines[assignment.Machine]; spread != nil && machine != nil && machine.Zone != "" {
+		if spread.byZone[machine.Zone]--; spread.byZone[machine.Zone] == 0 {
+			delete(spread.byZone, machine.Zone)
 		}
 	}
-	return z
+	return spread
 }
 
-// startable tells whether a job's rules leave any place for one more task, in a zone that is not
+// canStartSomewhere tells whether a job's rules leave any place for one more task, in a zone that is not
 // given up, on a machine of a type that holds it.
-func (b *ClusterState) startable(s *record.Spec, zones *zoning) bool {
-	ask := s.Ask()
-	for _, t := range b.types {
-		for _, zone := range t.Zones {
-			if _, closed := b.disruption.orders.ClosedZones[zone]; closed || zones.may(zone, 1) == 0 || !t.Room().Holds(ask.Need) {
+func (c *ClusterState) canStartSomewhere(spec *record.Spec, zones *zoneSpread) bool {
+	request := spec.Ask()
+	for _, machineType := range c.types {
+		for _, zone := range machineType.Zones {
+			if _, closed := c.drains.orders.ClosedZones[zone]; closed || zones.allowed(zone, 1) == 0 || !machineType.Room().Holds(request.Need) {
 				continue
 			}
-			if ask.Allows(t.Label, zone, false) || ask.Allows(t.Label, zone, true) {
+			if request.Allows(machineType.Label, zone, false) || request.Allows(machineType.Label, zone, true) {
 				return true
 			}
 		}
@@ -250,67 +250,67 @@
 
 // surgeDemands is the room that has to be rented before what is to be moved can be stopped: of
 // rollouts that rent no replacements, for replicas that have no room elsewhere.
-func (b *ClusterState) surgeDemands() (ds []placement.Demand) {
-	if b.disruption == nil || b.disruption.orders == nil {
+func (c *ClusterState) surgeDemands() (demands []placement.Demand) {
+	if c.drains == nil || c.drains.orders == nil {
 		return nil
 	}
-	for _, name := range slices.Sorted(maps.Keys(b.disruption.noRoom)) {
-		order := b.disruption.orders.Machines[name]
+	for _, name := range slices.Sorted(maps.Keys(c.drains.noRoom)) {
+		order := c.drains.orders.Machines[name]
 		if !order.Drain || !order.Surge || order.Replace {
 			continue
 		}
-		for _, p := range b.sortedPlacesOn(name) {
-			ask := p.Job.Rec.Spec.Ask()
-			if isService(&p.Job.Rec.Spec) && !p.stopping && !b.onItsWay(&ask) {
-				ds = append(ds, placement.Demand{Ask: ask, Count: 1, Keep: true})
+		for _, assignment := range c.sortedAssignmentsOn(name) {
+			request := assignment.Job.Record.Spec.Ask()
+			if isService(&assignment.Job.Record.Spec) && !assignment.Stopping && !c.acceleratedMachineBooting(&request) {
+				demands = append(demands, placement.Demand{Ask: request, Count: 1, Keep: true})
 			}
 		}
 	}
-	return ds
+	return demands
 }
 
-// onItsWay tells that a machine with accelerators is booting that work without them could use.
+// acceleratedMachineBooting tells that a machine with accelerators is booting that work without them could use.
 // Rentals count no such machine as room for it, so that another would be rented at each look.
-func (b *ClusterState) onItsWay(ask *placement.Ask) bool {
-	for _, m := range b.roster.Machines {
-		t := b.types[m.Type]
-		if m.Booting && !m.Heard && t != nil && t.Accels > 0 && ask.Need.Accels == 0 && t.Room().Holds(ask.Need) && ask.Allows(m.Type, m.Zone, m.Spot) {
+func (c *ClusterState) acceleratedMachineBooting(request *placement.Ask) bool {
+	for _, machine := range c.machines.Machines {
+		machineType := c.types[machine.Type]
+		if machine.Booting && !machine.Heard && machineType != nil && machineType.Accels > 0 && request.Need.Accels == 0 && machineType.Room().Holds(request.Need) && request.Allows(machine.Type, machine.Zone, machine.Spot) {
 			return true
 		}
 	}
 	return false
 }
 
-// roomFor finds a machine with room for one more task of a job; nil if there is none. Work without
+// findRoom finds a machine with room for one more task of a job; nil if there is none. Work without
 // accelerators takes a machine with some only where nothing else has room.
-func (b *ClusterState) roomFor(j *Job, zones *zoning, reserved map[ids.Machine]reservation, now time.Time) *host {
-	if h := b.roomOn(j, zones, reserved, now, false); h != nil {
-		return h
+func (c *ClusterState) findRoom(job *Job, zones *zoneSpread, reserved map[ids.Machine]reservation, now time.Time) *Node {
+	if node := c.findRoomAmong(job, zones, reserved, now, false); node != nil {
+		return node
 	}
-	return b.roomOn(j, zones, reserved, now, true)
+	return c.findRoomAmong(job, zones, reserved, now, true)
 }
 
-// roomOn finds room on machines with accelerators, or on those without.
-func (b *ClusterState) roomOn(j *Job, zones *zoning, reserved map[ids.Machine]reservation, now time.Time, accelerators bool) *host {
-	ask := j.Rec.Spec.Ask()
-	var best *host
+// findRoomAmong finds room on machines with accelerators, or on those without.
+func (c *ClusterState) findRoomAmong(job *Job, zones *zoneSpread, reserved map[ids.Machine]reservation, now time.Time, accelerators bool) *Node {
+	request := job.Record.Spec.Ask()
+	var best *Node
 	bestScore := 0.0
-	for _, s := range b.shelfOrder {
-		if !ask.Allows(s.label, s.zone, s.spot) || s.t.Accels > 0 != accelerators || zones.may(s.zone, 1) == 0 {
+	for _, class := range c.classOrder {
+		if !request.Allows(class.machineType, class.zone, class.spot) || class.offer.Accels > 0 != accelerators || zones.allowed(class.zone, 1) == 0 {
 			continue
 		}
-		for _, h := range s.open {
-			m, ok := b.usable(h, now)
-			_, taken := reserved[h.name]
-			if held, is := b.reserved[h.name]; is && held.until.After(now) {
+		for _, node := range class.withRoom {
+			machine, ok := c.usableMachine(node, now)
+			_, taken := reserved[node.name]
+			if held, is := c.reservations[node.name]; is && held.until.After(now) {
 				taken = true
 			}
-			if !ok || taken || m.Going || !h.free().Holds(ask.Need) {
+			if !ok || taken || machine.Going || !node.freeCapacity().Holds(request.Need) {
 				continue
 			}
-			machine := b.sight(h, m, j, nil, now)
-			if score := placement.Score(&machine, &ask); best == nil || score < bestScore || score == bestScore && h.name < best.name {
-				best, bestScore = h, score
+			view := c.placementView(node, machine, job, nil, now)
+			if score := placement.Score(&view, &request); best == nil || score < bestScore || score == bestScore && node.name < best.name {
+				best, bestScore = node, score
 			}
 		}
 	}
--- a/internal/claim/evictions.go
+++ b/internal/claim/evictions.go
@@ -16,27 +16,27 @@
 	"github.com/pebbletrail/pebbletrail/internal/worker"
 )
 
-// disruption is what the leader carries out for rollouts. What a team has down is worked out
+// drainState is what the leader carries out for rollouts. What a team has down is worked out
 // anew at each look, from the records and the reports (docs/drains.md).
-type disruption struct {
-	budgets *budget.Budgets
-	ready   budget.Readiness
+type drainState struct {
+	budgets   *budget.Budgets
+	readiness budget.Readiness
 	// orders are nil until the stored rollouts were read.
 	orders *rollout.Orders
-	// answers are what hires of replacements have rented.
-	answers map[ids.Hire][]ids.Machine
+	// provisioned are what hires of replacements have rented.
+	provisioned map[ids.Hire][]ids.Machine
 	// pending are evictions that were decided and are not stopped yet.
-	pending map[*Place]*evictionStep
+	pending map[*Assignment]*evictionStep
 	// evicted are the jobs whose records hold evictions.
 	evicted map[*Job]bool
-	// waits are what the machines being emptied wait for, noRoom those whose tasks have no
+	// blockers are what the machines being emptied wait for, noRoom those whose tasks have no
 	// room elsewhere.
-	waits  map[ids.Machine][]string
-	noRoom map[ids.Machine]bool
-	// lost are replacements that were given up while they were observed, and why.
-	lost   map[ids.Machine]string
-	looked time.Time
-	looks  int // at the teams' budgets, so far
+	blockers map[ids.Machine][]string
+	noRoom   map[ids.Machine]bool
+	// lostReplacements are replacements that were given up while they were observed, and why.
+	lostReplacements map[ids.Machine]string
+	lookedAt         time.Time
+	lookCount        int // at the teams' budgets, so far
 }
 
 // evictionStep is tasks whose permits were given together: none is stopped before the permits of
@@ -57,26 +57,26 @@
 	faulty        rollout.Name = "~faulty"
 )
 
-// evictEvery spaces the looks at what may be stopped.
-const evictEvery = 200 * time.Millisecond
+// evictionInterval spaces the looks at what may be stopped.
+const evictionInterval = 200 * time.Millisecond
 
-// newDisruption is nil where drains are off.
-func newDisruption(set *config.Settings) *disruption {
-	if !set.DrainsEnabled() || set.Shards() > 1 {
+// newDrainState is nil where drains are off.
+func newDrainState(settings *config.Settings) *drainState {
+	if !settings.DrainsEnabled() || settings.Shards() > 1 {
 		return nil
 	}
-	return &disruption{budgets: set.Budgets(), ready: set.Readiness(), answers: map[ids.Hire][]ids.Machine{},
-		pending: map[*Place]*evictionStep{}, evicted: map[*Job]bool{},
-		waits: map[ids.Machine][]string{}, noRoom: map[ids.Machine]bool{},
-		lost: map[ids.Machine]string{}}
+	return &drainState{budgets: settings.Budgets(), readiness: settings.Readiness(), provisioned: map[ids.Hire][]ids.Machine{},
+		pending: map[*Assignment]*evictionStep{}, evicted: map[*Job]bool{},
+		blockers: map[ids.Machine][]string{}, noRoom: map[ids.Machine]bool{},
+		lostReplacements: map[ids.Machine]string{}}
 }
 
 // awaitsOrders tells that drains are on and the stored rollouts are not known yet: what is placed
 // now might go to a machine that is being emptied.
-func (d *disruption) awaitsOrders() bool { return d != nil && d.orders == nil }
+func (d *drainState) awaitsOrders() bool { return d != nil && d.orders == nil }
 
 // active tells whether a rollout empties machines now.
-func (d *disruption) active(name rollout.Name) bool {
+func (d *drainState) active(name rollout.Name) bool {
 	for _, order := range d.orders.Machines {
 		if order.Rollout == name && order.Drain {
 			return true
@@ -86,210 +86,212 @@
 }
 
 // CarryOut replaces what rollouts want of the leader.
-func (b *ClusterState) CarryOut(orders *rollout.Orders) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	d := b.disruption
-	if d == nil {
+func (c *ClusterState) CarryOut(orders *rollout.Orders) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	drains := c.drains
+	if drains == nil {
 		return
 	}
-	changed := d.orders == nil
+	changed := drains.orders == nil
 	if !changed {
-		for name := range d.orders.Machines {
+		for name := range drains.orders.Machines {
 			if _, still := orders.Machines[name]; !still {
-				changed = b.cordon(name, false) || changed
+				changed = c.setCordoned(name, false) || changed
 			}
 		}
 	}
 	for name := range orders.Machines {
-		changed = b.cordon(name, true) || changed
+		changed = c.setCordoned(name, true) || changed
 	}
-	d.orders = orders
+	drains.orders = orders
 	if changed {
-		poke(b.wakePlan)
+		signal(c.planSignal)
 	}
 }
 
-// cordon marks a machine as closed to new work, or opens it; it tells whether that is a change.
-func (b *ClusterState) cordon(name ids.Machine, cordoned bool) bool {
-	m := b.roster.Machines[name]
-	if m == nil || m.Cordoned == cordoned {
+// setCordoned marks a machine as closed to new work, or opens it; it tells whether that is a change.
+func (c *ClusterState) setCordoned(name ids.Machine, cordoned bool) bool {
+	machine := c.machines.Machines[name]
+	if machine == nil || machine.Cordoned == cordoned {
 		return false
 	}
-	m.Cordoned = cordoned
+	machine.Cordoned = cordoned
 	return true
 }
 
 // loadEvictions takes in the evictions of a record just read: their permits were given, and
 // whether the stops went out is not known.
-func (b *ClusterState) loadEvictions(j *Job) {
-	d := b.disruption
-	if d == nil || len(j.Rec.Evictions) == 0 {
+func (c *ClusterState) loadEvictions(job *Job) {
+	drains := c.drains
+	if drains == nil || len(job.Record.Evictions) == 0 {
 		return
 	}
-	d.evicted[j] = true
-	for i := range j.Rec.Evictions {
-		e := &j.Rec.Evictions[i]
+	drains.evicted[job] = true
+	for i := range job.Record.Evictions {
+		e := &job.Record.Evictions[i]
 		step := &evictionStep{rollout: rollout.Name(e.Rollout), wave: e.Wave}
 		e.Tasks.Each(func(task int) {
-			if p := j.places[task]; p != nil && p.Attempt == e.Attempt {
-				p.evicted = true
-				d.pending[p] = step
+			if assignment := job.Assignments[task]; assignment != nil && assignment.Attempt == e.Attempt {
+				assignment.Evicting = true
+				drains.pending[assignment] = step
 			}
 		})
 	}
 }
 
-// evict looks at what may be stopped for rollouts, and has it stopped.
-func (b *ClusterState) evict(now time.Time) {
-	d := b.disruption
-	if d == nil || now.Sub(d.looked) < evictEvery || len(d.orders.Machines) == 0 && len(d.evicted) == 0 && len(b.leaving) == 0 {
+// runEvictions looks at what may be stopped for rollouts, and has it stopped.
+func (c *ClusterState) runEvictions(now time.Time) {
+	drains := c.drains
+	if drains == nil || now.Sub(drains.lookedAt) < evictionInterval || len(drains.orders.Machines) == 0 && len(drains.evicted) == 0 && len(c.leaving) == 0 {
 		return
 	}
-	d.looked = now
-	d.looks++
-	b.settleEvictions(now)
-	b.withdrawEvictions()
-	clear(d.waits)
-	clear(d.noRoom)
-	if !b.Storing() {
-		for name := range d.orders.Machines {
-			b.waitsFor(name, "the state service does not answer: nothing is stopped that could not be started again")
+	drains.lookedAt = now
+	drains.lookCount++
+	c.clearFinishedEvictions(now)
+	c.withdrawEvictions()
+	clear(drains.blockers)
+	clear(drains.noRoom)
+	if !c.StoreAvailable() {
+		for name := range drains.orders.Machines {
+			c.addBlocker(name, "the state service does not answer: nothing is stopped that could not be started again")
 		}
 		return
 	}
-	meter := b.disruptionMeter(now)
-	b.stopEvicted(meter, now)
-	orders := b.drainOrders()
+	meter := c.disruptionMeter(now)
+	c.stopEvicted(meter, now)
+	orders := c.drainOrders()
 	for _, name := range slices.Sorted(maps.Keys(orders)) {
 		switch order := orders[name]; {
 		case order.Drain:
-			b.emptyMachine(name, order, meter, now)
+			c.evictNextStep(name, order, meter, now)
 		case order.Return:
-			b.waitsFor(name, "the cloud has not confirmed its return yet")
+			c.addBlocker(name, "the cloud has not confirmed its return yet")
 		}
 	}
 }
 
 // drainOrders are the machines that rollouts want emptied or returned, and those that the leader
 // empties because tasks keep failing there.
-func (b *ClusterState) drainOrders() map[ids.Machine]rollout.Order {
-	orders := maps.Clone(b.disruption.orders.Machines)
-	for name := range b.leaving {
+func (c *ClusterState) drainOrders() map[ids.Machine]rollout.Order {
+	orders := maps.Clone(c.drains.orders.Machines)
+	for name := range c.leaving {
 		_, ordered := orders[name]
-		if m := b.roster.Machines[name]; !ordered && m != nil && m.Draining != "" && m.TakenAt.IsZero() {
+		if machine := c.machines.Machines[name]; !ordered && machine != nil && machine.Draining != "" && machine.TakenAt.IsZero() {
 			orders[name] = rollout.Order{Rollout: faulty, Drain: true, Stop: true}
 		}
 	}
 	return orders
 }
 
-func (b *ClusterState) waitsFor(machine ids.Machine, why ...string) {
-	b.disruption.waits[machine] = append(b.disruption.waits[machine], why...)
+func (c *ClusterState) addBlocker(machine ids.Machine, why ...string) {
+	c.drains.blockers[machine] = append(c.drains.blockers[machine], why...)
 }
 
 // disruptionMeter counts what every team has down or interrupted now.
-func (b *ClusterState) disruptionMeter(now time.Time) *budget.Meter {
-	d := b.disruption
-	meter := budget.NewMeter(d.budgets)
-	for id, j := range b.jobs {
-		s := &j.Rec.Spec
+func (c *ClusterState) disruptionMeter(now time.Time) *budget.Meter {
+	drains := c.drains
+	meter := budget.NewMeter(drains.budgets)
+	for id, job := range c.jobs {
+		spec := &job.Record.Spec
 		switch {
-		case !j.claimable():
-		case s.Shape == record.Service:
+		case !job.Schedulable():
+		case spec.Shape == record.Service:
 			up := 0
-			for _, p := range j.places {
-				if b.replicaUp(p, now) {
+			for _, assignment := range job.Assignments {
+				if c.replicaUp(assignment, now) {
 					up++
 				}
 			}
-			meter.CountService(s.Team, id, s.Tasks, up)
-		case len(j.Rec.Evictions) > 0:
-			meter.CountInterrupted(s.Team, j.Rec.Evicted())
+			meter.CountService(spec.Team, id, spec.Tasks, up)
+		case len(job.Record.Evictions) > 0:
+			meter.CountInterrupted(spec.Team, job.Record.Evicted())
 		}
 	}
 	return meter
 }
 
 // replicaUp tells whether a replica counts as up.
-func (b *ClusterState) replicaUp(p *Place, now time.Time) bool {
-	return b.disruption.ready.Up(b.replica(p), now)
+func (c *ClusterState) replicaUp(assignment *Assignment, now time.Time) bool {
+	return c.drains.readiness.Up(c.replica(assignment), now)
 }
 
 // replica is what this leader knows of one replica.
-func (b *ClusterState) replica(p *Place) budget.Replica {
-	r := budget.Replica{Running: p.seen && p.status == worker.Running, RunningSince: p.ranSince, Leaving: p.stopping || p.evicted}
-	if m := b.roster.Machines[p.Machine]; m != nil && m.Heard && !m.Doubtful() && m.Session == p.Session {
-		r.HeardAt = m.Seen
+func (c *ClusterState) replica(assignment *Assignment) budget.Replica {
+	r := budget.Replica{Running: assignment.Confirmed && assignment.Status == worker.Running, RunningSince: assignment.RunningSince, Leaving: assignment.Stopping || assignment.Evicting}
+	if machine := c.machines.Machines[assignment.Machine]; machine != nil && machine.Heard && !machine.Doubtful() && machine.Session == assignment.Incarnation {
+		r.HeardAt = machine.Seen
 	}
 	return r
 }
 
-// settleEvictions takes evictions off the records of tasks that run again, or need not any more.
-func (b *ClusterState) settleEvictions(now time.Time) {
-	d := b.disruption
-	for j := range d.evicted {
-		if b.jobs[j.Rec.Spec.ID] != j || len(j.Rec.Evictions) == 0 {
-			delete(d.evicted, j)
+// clearFinishedEvictions takes evictions off the records of tasks that run again, or need not any more.
+func (c *ClusterState) clearFinishedEvictions(now time.Time) {
+	drains := c.drains
+	for job := range drains.evicted {
+		if c.jobs[job.Record.Spec.ID] != job || len(job.Record.Evictions) == 0 {
+			delete(drains.evicted, job)
 			continue
 		}
-		if j.Rec.KeepEvictions(func(task int, attempt ids.Attempt) bool { return b.stillDown(j, task, attempt, now) }) {
-			b.touch(j)
+		if job.Record.KeepEvictions(func(task int, attempt ids.Attempt) bool { return c.stillDown(job, task, attempt, now) }) {
+			c.markChanged(job)
 		}
 	}
 }
 
 // stillDown tells whether a task that was evicted under an attempt does not run again yet.
-func (b *ClusterState) stillDown(j *Job, task int, attempt ids.Attempt, now time.Time) bool {
-	p := j.places[task]
+func (c *ClusterState) stillDown(job *Job, task int, attempt ids.Attempt, now time.Time) bool {
+	assignment := job.Assignments[task]
 	switch {
-	case !j.claimable() || j.Rec.Finished.Has(task):
+	case !job.Schedulable() || job.Record.Finished.Has(task):
 		return false
-	case p == nil || p.Attempt == attempt:
+	case assignment == nil || assignment.Attempt == attempt:
 		return true
-	case j.Rec.Spec.Shape == record.Service:
-		return !b.replicaUp(p, now)
+	case job.Record.Spec.Shape == record.Service:
+		return !c.replicaUp(assignment, now)
 	}
-	return !p.seen || p.status != worker.Running
+	return !assignment.Confirmed || assignment.Status != worker.Running
 }
 
 // withdrawEvictions takes back permits of rollouts that empty nothing any more, where surely no
 // stop is under way: this leader sent none, and the machine has seen its token, so that it turns
 // away those of earlier leaders.
-func (b *ClusterState) withdrawEvictions() {
-	d := b.disruption
-	for p, step := range d.pending {
-		j, m := p.Job, b.roster.Machines[p.Machine]
-		if j.places[p.Index] != p || p.stopping {
-			delete(d.pending, p)
+func (c *ClusterState) withdrawEvictions() {
+	drains := c.drains
+	for assignment, step := range drains.pending {
+		job, machine := assignment.Job, c.machines.Machines[assignment.Machine]
+		if job.Assignments[assignment.TaskIndex] != assignment || assignment.Stopping {
+			delete(drains.pending, assignment)
 			continue
 		}
-		if b.carriesOn(step, p) || m == nil || !m.Heard || m.Token < b.first || !p.seen {
+		if c.stillWanted(step, assignment) || machine == nil || !machine.Heard || machine.Token < c.firstGeneration || !assignment.Confirmed {
 			continue
 		}
-		p.evicted = false
-		delete(d.pending, p)
-		j.Rec.KeepEvictions(func(task int, attempt ids.Attempt) bool { return task != p.Index || attempt != p.Attempt })
-		b.touch(j)
+		assignment.Evicting = false
+		delete(drains.pending, assignment)
+		job.Record.KeepEvictions(func(task int, attempt ids.Attempt) bool {
+			return task != assignment.TaskIndex || attempt != assignment.Attempt
+		})
+		c.markChanged(job)
 	}
 }
 
-// keptForMoved is what a job must leave of its team's limit to tasks that rollouts have stopped and
+// quotaForRelocated is what a job must leave of its team's limit to tasks that rollouts have stopped and
 // that are not placed again: else lesser work that waits would take it, and a replica that was only
 // to be moved would stay down.
-func (b *ClusterState) keptForMoved(j *Job) (kept placement.Room) {
-	d := b.disruption
-	if d == nil {
+func (c *ClusterState) quotaForRelocated(job *Job) (kept placement.Room) {
+	drains := c.drains
+	if drains == nil {
 		return kept
 	}
-	for moved := range d.evicted {
-		if moved == j || moved.Rec.Spec.Team != j.Rec.Spec.Team || !moved.claimable() || j.priority() > moved.priority() {
+	for moved := range drains.evicted {
+		if moved == job || moved.Record.Spec.Team != job.Record.Spec.Team || !moved.Schedulable() || job.EffectivePriority() > moved.EffectivePriority() {
 			continue
 		}
-		for i := range moved.Rec.Evictions {
-			moved.Rec.Evictions[i].Tasks.Each(func(task int) {
-				if moved.places[task] == nil && !moved.Rec.Finished.Has(task) {
-					kept = kept.Plus(moved.Rec.Spec.Need)
+		for i := range moved.Record.Evictions {
+			moved.Record.Evictions[i].Tasks.Each(func(task int) {
+				if moved.Assignments[task] == nil && !moved.Record.Finished.Has(task) {
+					kept = kept.Plus(moved.Record.Spec.Need)
 				}
 			})
 		}
@@ -298,52 +300,52 @@
 }
 
 // stopEvicted stops the tasks whose permits are stored, if the budgets still allow it.
-func (b *ClusterState) stopEvicted(meter *budget.Meter, now time.Time) {
-	d := b.disruption
-	places := slices.SortedFunc(maps.Keys(d.pending), func(x, y *Place) int {
-		return cmp.Or(cmp.Compare(x.Job.Rec.Spec.ID, y.Job.Rec.Spec.ID), cmp.Compare(x.Index, y.Index))
+func (c *ClusterState) stopEvicted(meter *budget.Meter, now time.Time) {
+	drains := c.drains
+	places := slices.SortedFunc(maps.Keys(drains.pending), func(x, y *Assignment) int {
+		return cmp.Or(cmp.Compare(x.Job.Record.Spec.ID, y.Job.Record.Spec.ID), cmp.Compare(x.TaskIndex, y.TaskIndex))
 	})
-	for _, p := range places {
-		step := d.pending[p]
-		if !step.isStored() || !b.carriesOn(step, p) || !p.seen {
+	for _, assignment := range places {
+		step := drains.pending[assignment]
+		if !step.isStored() || !c.stillWanted(step, assignment) || !assignment.Confirmed {
 			continue
 		}
-		if denial := meter.Confirm(b.evictionRequest(p.Job, p, now)); denial != nil {
-			b.waitsFor(p.Machine, denial.String())
+		if denial := meter.Confirm(c.evictionRequest(assignment.Job, assignment, now)); denial != nil {
+			c.addBlocker(assignment.Machine, denial.String())
 			continue
 		}
-		delete(d.pending, p)
-		b.stop(p, p.leewayWanted(), b.whyEvicted(step, p))
+		delete(drains.pending, assignment)
+		c.stopAssignment(assignment, assignment.CheckpointGrace(), c.evictionReason(step, assignment))
 	}
 }
 
-// carriesOn tells whether what an eviction was decided for is still wanted.
-func (b *ClusterState) carriesOn(step *evictionStep, p *Place) bool {
-	m := b.roster.Machines[cmp.Or(step.machine, p.Machine)]
+// stillWanted tells whether what an eviction was decided for is still wanted.
+func (c *ClusterState) stillWanted(step *evictionStep, assignment *Assignment) bool {
+	machine := c.machines.Machines[cmp.Or(step.machine, assignment.Machine)]
 	switch step.rollout {
 	case consolidation:
-		return m != nil && m.Going
+		return machine != nil && machine.Going
 	case faulty:
-		return m != nil && m.Draining != ""
+		return machine != nil && machine.Draining != ""
 	}
-	return b.disruption.active(step.rollout)
+	return c.drains.active(step.rollout)
 }
 
-// whyEvicted is what the job's trail says of a stop.
-func (b *ClusterState) whyEvicted(step *evictionStep, p *Place) string {
+// evictionReason is what the job's trail says of a stop.
+func (c *ClusterState) evictionReason(step *evictionStep, assignment *Assignment) string {
 	switch step.rollout {
 	case consolidation:
-		return movedOff(p.Machine)
+		return relocationReason(assignment.Machine)
 	case faulty:
-		return drainedText(b.roster.Machines[cmp.Or(step.machine, p.Machine)])
+		return drainReason(c.machines.Machines[cmp.Or(step.machine, assignment.Machine)])
 	}
-	return fmt.Sprintf("moved from %s by rollout %s, wave %d", p.Machine, step.rollout, step.wave)
+	return fmt.Sprintf("moved from %s by rollout %s, wave %d", assignment.Machine, step.rollout, step.wave)
 }
 
 // isStored tells whether the permits of the whole step are in the store.
 func (s *evictionStep) isStored() bool {
-	for j, version := range s.stored {
-		if j.saved < version {
+	for job, version := range s.stored {
+		if job.StoredVersion < version {
 			return false
 		}
 	}
@@ -352,16 +354,16 @@
 
 // evictionRequest is what it takes of a team's budget to stop a task, or its whole gang. A pending
 // eviction's replica is up for this although it counts as down.
-func (b *ClusterState) evictionRequest(j *Job, p *Place, now time.Time) budget.Request {
-	s := &j.Rec.Spec
-	request := budget.Request{Team: s.Team, Job: s.ID, Service: s.Shape == record.Service}
-	switch s.Shape {
+func (c *ClusterState) evictionRequest(job *Job, assignment *Assignment, now time.Time) budget.Request {
+	spec := &job.Record.Spec
+	request := budget.Request{Team: spec.Team, Job: spec.ID, Service: spec.Shape == record.Service}
+	switch spec.Shape {
 	case record.Service:
-		replica := b.replica(p)
+		replica := c.replica(assignment)
 		replica.Leaving = false
-		request.Up = b.disruption.ready.Up(replica, now)
+		request.Up = c.drains.readiness.Up(replica, now)
 	case record.Gang:
-		request.Tasks = len(j.places)
+		request.Tasks = len(job.Assignments)
 	default:
 		request.Tasks = 1
 	}
--- a/internal/claim/evictions_test.go
+++ b/internal/claim/evictions_test.go
@@ -18,33 +18,33 @@
 // machines, that are all up.
 func drainBook(t *testing.T, now time.Time) *ClusterState {
 	t.Helper()
-	b := testBook()
-	b.set.Features = &config.Features{Drains: &config.Drains{}}
-	b.disruption = newDisruption(b.set)
+	cluster := testBook()
+	cluster.settings.Features = &config.Features{Drains: &config.Drains{}}
+	cluster.drains = newDrainState(cluster.settings)
 	for i := range 4 {
-		hear(b, ids.Machine(fmt.Sprint("m", i+1)), 1, now)
+		hear(cluster, ids.Machine(fmt.Sprint("m", i+1)), 1, now)
 	}
-	service := rec("job-1", "red", record.Normal, 4, 4)
+	service := newRecord("job-1", "red", record.Normal, 4, 4)
 	service.Spec.Shape = record.Service
-	b.Learn("job-1", 1, service, now)
-	b.CarryOut(rollout.NewOrders())
-	b.Plan(now)
-	b.store()
-	j := b.jobs["job-1"]
-	if len(j.places) != 4 {
-		t.Fatalf("%d places", len(j.places))
-	}
-	for _, p := range j.places {
-		p.sent, p.seen, p.status, p.ranSince = true, true, worker.Running, now.Add(-time.Minute)
-	}
-	return b
+	cluster.HandleRecord("job-1", 1, service, now)
+	cluster.CarryOut(rollout.NewOrders())
+	cluster.Plan(now)
+	cluster.store()
+	job := cluster.jobs["job-1"]
+	if len(job.Assignments) != 4 {
+		t.Fatalf("%d places", len(job.Assignments))
+	}
+	for _, assignment := range job.Assignments {
+		assignment.StartSent, assignment.Confirmed, assignment.Status, assignment.RunningSince = true, true, worker.Running, now.Add(-time.Minute)
+	}
+	return cluster
 }
 
 // hear has a machine report.
-func hear(b *ClusterState, name ids.Machine, token ids.Generation, now time.Time) {
-	m := b.roster.Ensure(name, now, now)
-	m.Heard, m.Type, m.Zone, m.Session, m.Seen, m.HeartbeatAt, m.Token = true, "small", "north", 1, now, now, token
-	b.shelve(b.hostOf(name))
+func hear(cluster *ClusterState, name ids.Machine, token ids.Generation, now time.Time) {
+	machine := cluster.machines.Ensure(name, now, now)
+	machine.Heard, machine.Type, machine.Zone, machine.Session, machine.Seen, machine.HeartbeatAt, machine.Token = true, "small", "north", 1, now, now, token
+	cluster.reindex(cluster.ensureNode(name))
 }
 
 // drainOrders empty the machines named.
@@ -57,15 +57,15 @@
 }
 
 // evictNow looks at the evictions, whatever the time of the last look.
-func evictNow(b *ClusterState, now time.Time) {
-	b.disruption.looked = time.Time{}
-	b.evict(now)
+func evictNow(cluster *ClusterState, now time.Time) {
+	cluster.drains.lookedAt = time.Time{}
+	cluster.runEvictions(now)
 }
 
 // stopping counts the replicas that are being stopped.
-func stopping(b *ClusterState) (n int) {
-	for _, p := range b.jobs["job-1"].places {
-		if p.stopping {
+func stopping(cluster *ClusterState) (n int) {
+	for _, assignment := range cluster.jobs["job-1"].Assignments {
+		if assignment.Stopping {
 			n++
 		}
 	}
@@ -74,46 +74,46 @@
 
 func TestNothingIsStoppedBeforeItsPermitIsStoredOrWithoutTheStore(t *testing.T) {
 	now := time.Now()
-	b := drainBook(t, now)
-	b.CarryOut(drainOrders("m1", "m2"))
-	evictNow(b, now)
-	if n := b.jobs["job-1"].Rec.Evicted(); n != 1 || stopping(b) != 0 {
-		t.Fatalf("%d permits, %d stops before they are stored", n, stopping(b))
-	}
-	b.store()
-	b.Storing = func() bool { return false }
-	evictNow(b, now)
-	if stopping(b) != 0 {
+	cluster := drainBook(t, now)
+	cluster.CarryOut(drainOrders("m1", "m2"))
+	evictNow(cluster, now)
+	if n := cluster.jobs["job-1"].Record.Evicted(); n != 1 || stopping(cluster) != 0 {
+		t.Fatalf("%d permits, %d stops before they are stored", n, stopping(cluster))
+	}
+	cluster.store()
+	cluster.StoreAvailable = func() bool { return false }
+	evictNow(cluster, now)
+	if stopping(cluster) != 0 {
 		t.Error("stopped while nothing could be started again")
 	}
-	if !strings.Contains(fmt.Sprint(b.DrainWaits()), "the state service does not answer") {
-		t.Errorf("waits: %v", b.DrainWaits())
+	if !strings.Contains(fmt.Sprint(cluster.DrainBlockers()), "the state service does not answer") {
+		t.Errorf("waits: %v", cluster.DrainBlockers())
 	}
-	b.Storing = func() bool { return true }
-	evictNow(b, now)
-	if stopping(b) != 1 || b.jobs["job-1"].Rec.Evicted() != 1 {
-		t.Errorf("%d stops, %d permits", stopping(b), b.jobs["job-1"].Rec.Evicted())
+	cluster.StoreAvailable = func() bool { return true }
+	evictNow(cluster, now)
+	if stopping(cluster) != 1 || cluster.jobs["job-1"].Record.Evicted() != 1 {
+		t.Errorf("%d stops, %d permits", stopping(cluster), cluster.jobs["job-1"].Record.Evicted())
 	}
 }
 
 func TestAPermitIsWithdrawnOnlyWhenNoEarlierStopCanTakeEffect(t *testing.T) {
 	// The stop of an earlier leader may be on its way until the machine has seen this one's token.
 	now := time.Now()
-	b := drainBook(t, now)
-	b.CarryOut(drainOrders("m1"))
-	evictNow(b, now)
-	b.store()
-	b.CarryOut(rollout.NewOrders())
-	evictNow(b, now)
-	if n := b.jobs["job-1"].Rec.Evicted(); n != 1 {
+	cluster := drainBook(t, now)
+	cluster.CarryOut(drainOrders("m1"))
+	evictNow(cluster, now)
+	cluster.store()
+	cluster.CarryOut(rollout.NewOrders())
+	evictNow(cluster, now)
+	if n := cluster.jobs["job-1"].Record.Evicted(); n != 1 {
 		t.Fatalf("%d permits are left while an earlier stop may arrive", n)
 	}
 	for i := range 4 {
-		hear(b, ids.Machine(fmt.Sprint("m", i+1)), b.first, now)
+		hear(cluster, ids.Machine(fmt.Sprint("m", i+1)), cluster.firstGeneration, now)
 	}
-	evictNow(b, now)
-	if n := b.jobs["job-1"].Rec.Evicted(); n != 0 || stopping(b) != 0 {
-		t.Errorf("%d permits are left, %d stops", n, stopping(b))
+	evictNow(cluster, now)
+	if n := cluster.jobs["job-1"].Record.Evicted(); n != 0 || stopping(cluster) != 0 {
+		t.Errorf("%d permits are left, %d stops", n, stopping(cluster))
 	}
 }
 
@@ -123,42 +123,42 @@
 		moved int
 	}{{0, 1}, {1, 0}} {
 		now := time.Now()
-		b := drainBook(t, now)
+		cluster := drainBook(t, now)
 		for i := range c.down {
-			b.jobs["job-1"].places[i].status = worker.Pulling
+			cluster.jobs["job-1"].Assignments[i].Status = worker.Pulling
 		}
-		hear(b, "m5", 1, now)
-		var from *Place
-		for i, p := range b.jobs["job-1"].places {
+		hear(cluster, "m5", 1, now)
+		var from *Assignment
+		for i, assignment := range cluster.jobs["job-1"].Assignments {
 			if i >= c.down {
-				from = p
+				from = assignment
 			}
 		}
-		for _, h := range b.hosts {
-			b.holdsNow(h, b.roster.Machines[h.name], from.Job.Rec.Spec.Image, 1, 100)
+		for _, node := range cluster.nodes {
+			cluster.imageArrived(node, cluster.machines.Machines[node.name], from.Job.Record.Spec.Image, 1, 100)
 		}
-		b.moveReplica(b.roster.Machines[from.Machine], now)
-		if n := b.jobs["job-1"].Rec.Evicted(); n != c.moved || stopping(b) != 0 {
-			t.Errorf("with %d down: %d permits, %d stops without one", c.down, n, stopping(b))
+		cluster.relocateReplica(cluster.machines.Machines[from.Machine], now)
+		if n := cluster.jobs["job-1"].Record.Evicted(); n != c.moved || stopping(cluster) != 0 {
+			t.Errorf("with %d down: %d permits, %d stops without one", c.down, n, stopping(cluster))
 		}
 	}
 }
 
 func TestAMachineOnWhichTasksFailIsEmptiedWithinTheBudget(t *testing.T) {
 	now := time.Now()
-	b := drainBook(t, now)
+	cluster := drainBook(t, now)
 	for _, name := range []ids.Machine{"m1", "m2"} {
-		b.roster.Machines[name].Draining = "tasks keep failing there"
-		b.leaving[name] = true
+		cluster.machines.Machines[name].Draining = "tasks keep failing there"
+		cluster.leaving[name] = true
 	}
-	b.drains(now)
-	if stopping(b) != 0 {
+	cluster.stopOnLeavingMachines(now)
+	if stopping(cluster) != 0 {
 		t.Fatal("stopped without a permit")
 	}
-	evictNow(b, now)
-	b.store()
-	evictNow(b, now)
-	if n := stopping(b); n != 1 {
+	evictNow(cluster, now)
+	cluster.store()
+	evictNow(cluster, now)
+	if n := stopping(cluster); n != 1 {
 		t.Errorf("%d replicas stopped at a time", n)
 	}
 }
@@ -167,30 +167,30 @@
 	// Its tasks on other machines must be stopped with the one there, or they end as failed and
 	// nothing is saved.
 	now := time.Now()
-	b := drainBook(t, now)
+	cluster := drainBook(t, now)
 	interrupted := uint32(2)
-	b.set.Features.Drains.DefaultBudget = &config.DisruptionBudget{TasksInterrupted: &interrupted}
-	b.disruption.budgets = b.set.Budgets()
+	cluster.settings.Features.Drains.DefaultBudget = &config.DisruptionBudget{TasksInterrupted: &interrupted}
+	cluster.drains.budgets = cluster.settings.Budgets()
 	for _, name := range []ids.Machine{"m5", "m6"} {
-		hear(b, name, b.first, now)
+		hear(cluster, name, cluster.firstGeneration, now)
 	}
-	gang := rec("job-2", "red", record.Normal, 2, 4)
+	gang := newRecord("job-2", "red", record.Normal, 2, 4)
 	gang.Spec.Shape, gang.Spec.Checkpoint, gang.Spec.Save = record.Gang, 10, 1
-	b.Learn("job-2", 1, gang, now)
-	b.Plan(now)
-	b.store()
-	for _, p := range b.jobs["job-2"].places {
-		p.sent, p.seen, p.status, p.ranSince = true, true, worker.Running, now.Add(-time.Minute)
-	}
-	b.roster.Machines["m5"].Draining = "tasks keep failing there"
-	b.leaving["m5"] = true
+	cluster.HandleRecord("job-2", 1, gang, now)
+	cluster.Plan(now)
+	cluster.store()
+	for _, assignment := range cluster.jobs["job-2"].Assignments {
+		assignment.StartSent, assignment.Confirmed, assignment.Status, assignment.RunningSince = true, true, worker.Running, now.Add(-time.Minute)
+	}
+	cluster.machines.Machines["m5"].Draining = "tasks keep failing there"
+	cluster.leaving["m5"] = true
 	for range 3 {
-		evictNow(b, now)
-		b.store()
+		evictNow(cluster, now)
+		cluster.store()
 	}
 	stopped := 0
-	for _, p := range b.jobs["job-2"].places {
-		if p.stopping && p.leeway > 0 {
+	for _, assignment := range cluster.jobs["job-2"].Assignments {
+		if assignment.Stopping && assignment.StopGrace > 0 {
 			stopped++
 		}
 	}
@@ -202,17 +202,17 @@
 func TestRoomElsewhereMayBeOnAMachineWithAccelerators(t *testing.T) {
 	// Where nothing else has room, or a rollout that rents first would wait for ever.
 	now := time.Now()
-	b := drainBook(t, now)
-	b.SetTypes(append(testTypes(), placement.Type{Label: "dear", Cores: 8, Accels: 2, RAM: 64, Zones: []string{"north"}}))
-	j := b.jobs["job-1"]
-	if h := b.roomFor(j, nil, nil, now); h != nil {
-		t.Fatalf("room on %s, which is full", h.name)
-	}
-	hear(b, "m9", 1, now)
-	b.roster.Machines["m9"].Type = "dear"
-	b.shelve(b.hostOf("m9"))
-	if h := b.roomFor(j, nil, nil, now); h == nil || h.name != "m9" {
-		t.Errorf("room on %v", h)
+	cluster := drainBook(t, now)
+	cluster.SetMachineTypes(append(testTypes(), placement.Type{Label: "dear", Cores: 8, Accels: 2, RAM: 64, Zones: []string{"north"}}))
+	job := cluster.jobs["job-1"]
+	if node := cluster.findRoom(job, nil, nil, now); node != nil {
+		t.Fatalf("room on %s, which is full", node.name)
+	}
+	hear(cluster, "m9", 1, now)
+	cluster.machines.Machines["m9"].Type = "dear"
+	cluster.reindex(cluster.ensureNode("m9"))
+	if node := cluster.findRoom(job, nil, nil, now); node == nil || node.name != "m9" {
+		t.Errorf("room on %v", node)
 	}
 }
 
@@ -223,31 +223,31 @@
 	off := testBook()
 	hear(off, "m1", 1, now)
 	off.Plan(now)
-	if off.disruption != nil {
+	if off.drains != nil {
 		t.Error("drains are on without their feature")
 	}
-	b := drainBook(t, now)
+	cluster := drainBook(t, now)
 	for range 100 {
-		b.Plan(now)
+		cluster.Plan(now)
 	}
-	if b.disruption.looks != 0 {
-		t.Errorf("%d looks without a rollout", b.disruption.looks)
+	if cluster.drains.lookCount != 0 {
+		t.Errorf("%d looks without a rollout", cluster.drains.lookCount)
 	}
-	b.CarryOut(drainOrders("m1"))
+	cluster.CarryOut(drainOrders("m1"))
 	for i := range 100 {
-		b.Plan(now.Add(time.Duration(i) * 10 * time.Millisecond))
+		cluster.Plan(now.Add(time.Duration(i) * 10 * time.Millisecond))
 	}
-	if most := int(time.Second/evictEvery) + 1; b.disruption.looks > most {
-		t.Errorf("%d looks within a second", b.disruption.looks)
+	if most := int(time.Second/evictionInterval) + 1; cluster.drains.lookCount > most {
+		t.Errorf("%d looks within a second", cluster.drains.lookCount)
 	}
 }
 
 func TestEvictionsSurviveInTheRecord(t *testing.T) {
-	r := rec("job-1", "red", record.Normal, 3, 1)
-	r.Evict(0, 1, "spring", 1)
-	r.Evict(1, 1, "spring", 1)
-	r.Evict(0, 2, "spring", 2)
-	raw, fits := r.Encode(8192)
+	rec := newRecord("job-1", "red", record.Normal, 3, 1)
+	rec.Evict(0, 1, "spring", 1)
+	rec.Evict(1, 1, "spring", 1)
+	rec.Evict(0, 2, "spring", 2)
+	raw, fits := rec.Encode(8192)
 	if !fits {
 		t.Fatal("does not fit")
 	}
--- a/internal/claim/explain.go
+++ b/internal/claim/explain.go
@@ -10,86 +10,86 @@
 )
 
 // Explain tells a job's trail and why its tasks wait, as the leader sees it.
-func (b *ClusterState) Explain(id ids.Job) []string {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	j := b.jobs[id]
-	if j == nil {
+func (c *ClusterState) Explain(id ids.Job) []string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	job := c.jobs[id]
+	if job == nil {
 		return nil
 	}
 	var out []string
 	now := time.Now()
-	if j.waiting != "" {
-		out = append(out, "waits: "+j.waiting)
-		if j.pending() > 0 && !j.failing() {
-			out = append(out, b.onTheWay(j, now)...)
+	if job.PendingReason != "" {
+		out = append(out, "waits: "+job.PendingReason)
+		if job.Unassigned() > 0 && !job.Failing() {
+			out = append(out, c.describeBooting(job, now)...)
 		}
 	}
-	out = append(out, j.failureLines(now)...)
-	out = append(out, b.standing(j, now)...)
-	for _, i := range sortedTasks(j.places) {
-		p := j.places[i]
-		st := p.status
+	out = append(out, job.DescribeFailures(now)...)
+	out = append(out, c.describeZones(job, now)...)
+	for _, i := range sortedTasks(job.Assignments) {
+		assignment := job.Assignments[i]
+		st := assignment.Status
 		switch {
-		case p.stopping && !p.seen:
-			st = "uncertain, to be stopped: " + p.why
-		case p.stopping:
-			st += ", stopping: " + p.why
-		case p.evicted:
+		case assignment.Stopping && !assignment.Confirmed:
+			st = "uncertain, to be stopped: " + assignment.StopReason
+		case assignment.Stopping:
+			st += ", stopping: " + assignment.StopReason
+		case assignment.Evicting:
 			st += ", to be moved by a rollout"
-		case !p.sent:
+		case !assignment.StartSent:
 			st = "marked"
-		case !p.seen:
+		case !assignment.Confirmed:
 			st = "start not confirmed"
 		}
 		zone, heard := "?", "not heard by this leader"
-		if m := b.roster.Machines[p.Machine]; m != nil && m.Heard {
-			zone, heard = m.Zone, fmt.Sprintf("heard %.1fs ago", m.Silent(now).Seconds())
+		if machine := c.machines.Machines[assignment.Machine]; machine != nil && machine.Heard {
+			zone, heard = machine.Zone, fmt.Sprintf("heard %.1fs ago", machine.Silent(now).Seconds())
 		}
-		out = append(out, fmt.Sprintf("task %d attempt %d on %s (%s, %s): %s", i, p.Attempt, p.Machine, zone, heard, st))
+		out = append(out, fmt.Sprintf("task %d attempt %d on %s (%s, %s): %s", i, assignment.Attempt, assignment.Machine, zone, heard, st))
 		if len(out) > 200 {
 			return append(out, "…")
 		}
 	}
-	tries := make([]int, 0, len(j.tries))
-	for i := range j.tries {
+	tries := make([]int, 0, len(job.Retries))
+	for i := range job.Retries {
 		tries = append(tries, i)
 	}
 	sort.Ints(tries)
 	for _, i := range tries {
-		if r := j.tries[i]; r.at.After(now) {
-			out = append(out, fmt.Sprintf("task %d failed %d times, tried again in %.1fs", i, r.fails, r.at.Sub(now).Seconds()))
+		if retry := job.Retries[i]; retry.NotBefore.After(now) {
+			out = append(out, fmt.Sprintf("task %d failed %d times, tried again in %.1fs", i, retry.Failures, retry.NotBefore.Sub(now).Seconds()))
 		}
 	}
 	return out
 }
 
 // Summary counts what the leader has, for operators.
-func (b *ClusterState) Summary() map[string]any {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (c *ClusterState) Summary() map[string]any {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	heard, draining, cordoned := 0, 0, 0
-	for _, m := range b.roster.Machines {
-		if m.Heard {
+	for _, machine := range c.machines.Machines {
+		if machine.Heard {
 			heard++
 		}
-		if m.Cordoned {
+		if machine.Cordoned {
 			cordoned++
 		}
-		if m.Draining != "" || !m.TakenAt.IsZero() {
+		if machine.Draining != "" || !machine.TakenAt.IsZero() {
 			draining++
 		}
 	}
 	waiting := map[string]int{}
 	places := 0
-	for _, j := range b.jobs {
-		places += len(j.places)
-		if j.waiting != "" {
-			waiting[j.waiting]++
+	for _, job := range c.jobs {
+		places += len(job.Assignments)
+		if job.PendingReason != "" {
+			waiting[job.PendingReason]++
 		}
 	}
-	return map[string]any{"generation": b.gen, "jobs": len(b.jobs), "placed": places, "machines": len(b.roster.Machines),
+	return map[string]any{"generation": c.generation, "jobs": len(c.jobs), "placed": places, "machines": len(c.machines.Machines),
 		"heard": heard, "draining": draining, "cordoned": cordoned, "waiting": waiting,
-		"spent": map[string]any{"boot": cents(b.costs.boot), "idle": cents(b.costs.idle), "free": cents(b.costs.free), "fetch": cents(b.costs.fetch),
-			"wait": cents(b.costs.wait), "run": cents(b.costs.run), "againCoreSeconds": maps.Clone(b.costs.again)}}
+		"spent": map[string]any{"boot": roundMoney(c.costs.boot), "idle": roundMoney(c.costs.idle), "free": roundMoney(c.costs.free), "fetch": roundMoney(c.costs.fetch),
+			"wait": roundMoney(c.costs.wait), "run": roundMoney(c.costs.run), "againCoreSeconds": maps.Clone(c.costs.repeated)}}
 }
--- a/internal/claim/failing_jobs_test.go
+++ b/internal/claim/failing_jobs_test.go
@@ -15,26 +15,26 @@
 
 // play lets every machine report what is placed on it: ends tells how a task ends
 // at once, empty while it runs.
-func (b *ClusterState) play(tick ids.Tick, ends func(p *Place) string) {
+func (c *ClusterState) play(tick ids.Tick, ends func(assignment *Assignment) string) {
 	on := map[ids.Machine][]worker.Piece{}
-	for _, j := range b.jobs {
-		for _, p := range j.places {
-			if !p.sent {
+	for _, job := range c.jobs {
+		for _, assignment := range job.Assignments {
+			if !assignment.StartSent {
 				continue // nobody has told its machine yet
 			}
-			pc := worker.Piece{Task: p.Task().String(), Attempt: p.Attempt, Status: worker.Running}
-			if how := ends(p); how != "" && p.seen {
+			pc := worker.Piece{Task: assignment.Task().String(), Attempt: assignment.Attempt, Status: worker.Running}
+			if how := ends(assignment); how != "" && assignment.Confirmed {
 				pc.Status, pc.Cause = worker.Ended, how
 			}
-			on[p.Machine] = append(on[p.Machine], pc)
+			on[assignment.Machine] = append(on[assignment.Machine], pc)
 		}
 	}
 	zones := map[ids.Machine]string{}
-	for _, m := range b.roster.Machines {
-		zones[m.Name] = m.Zone
+	for _, machine := range c.machines.Machines {
+		zones[machine.Name] = machine.Zone
 	}
 	for name, zone := range zones {
-		b.hear(name, zone, tick, on[name]...)
+		c.hear(name, zone, tick, on[name]...)
 	}
 }
 
@@ -43,37 +43,37 @@
 	// Found on days with such jobs: each cost machines their name and was rented
 	// for, and all of its tasks were tried again and again.
 	synctest.Test(t, func(t *testing.T) {
-		b := fleet(t, 30)
-		bad := rec("job-1", "blue", record.High, 60, 1)
-		b.Learn("job-1", 1, bad, time.Now())
-		good := rec("job-2", "blue", record.Normal, 60, 1)
+		cluster := fleet(t, 30)
+		bad := newRecord("job-1", "blue", record.High, 60, 1)
+		cluster.HandleRecord("job-1", 1, bad, time.Now())
+		good := newRecord("job-2", "blue", record.Normal, 60, 1)
 		good.Spec.Class = "g"
-		b.Learn("job-2", 1, good, time.Now())
+		cluster.HandleRecord("job-2", 1, good, time.Now())
 		starts, most := 0, 0
 		for tick := ids.Tick(2); tick < 180; tick++ { // three minutes, a report a second
 			now := time.Now()
-			before := b.jobs["job-1"].Rec.Attempt
-			b.Plan(now)
-			if tick > 10 && b.jobs["job-1"].Rec.Attempt > before {
+			before := cluster.jobs["job-1"].Record.Attempt
+			cluster.Plan(now)
+			if tick > 10 && cluster.jobs["job-1"].Record.Attempt > before {
 				starts++
-				most = max(most, len(b.jobs["job-1"].places))
+				most = max(most, len(cluster.jobs["job-1"].Assignments))
 			}
-			b.store()
+			cluster.store()
 			if tick > 10 {
-				ds, _, _ := b.Needs(now)
-				for _, d := range ds {
-					if d.Ask.Image == "i" && !d.Keep && d.Count > 0 && b.jobs["job-2"].pending() == 0 {
+				demands, _, _ := cluster.CapacityDemands(now)
+				for _, d := range demands {
+					if d.Ask.Image == "i" && !d.Keep && d.Count > 0 && cluster.jobs["job-2"].Unassigned() == 0 {
 						t.Fatalf("rented for %d tasks that fail wherever they run", d.Count)
 					}
 				}
-				for _, p := range b.jobs["job-2"].places {
-					if p.stopping {
+				for _, assignment := range cluster.jobs["job-2"].Assignments {
+					if assignment.Stopping {
 						t.Fatal("good work was stopped for it")
 					}
 				}
 			}
-			b.play(tick, func(p *Place) string {
-				if p.Job.Rec.Spec.ID == "job-1" {
+			cluster.play(tick, func(assignment *Assignment) string {
+				if assignment.Job.Record.Spec.ID == "job-1" {
 					return worker.CauseError
 				}
 				return ""
@@ -83,31 +83,31 @@
 		if starts == 0 || starts > 8 || most != 1 {
 			t.Errorf("tried %d times in three minutes, up to %d tasks at once", starts, most)
 		}
-		for _, m := range b.roster.Machines {
-			if m.Draining != "" {
-				t.Fatalf("%s is blamed for it", m.Name)
+		for _, machine := range cluster.machines.Machines {
+			if machine.Draining != "" {
+				t.Fatalf("%s is blamed for it", machine.Name)
 			}
 		}
-		if n := len(b.jobs["job-2"].places); n != 60 {
+		if n := len(cluster.jobs["job-2"].Assignments); n != 60 {
 			t.Errorf("%d of 60 tasks of a good job run", n)
 		}
-		lines := strings.Join(b.Explain("job-1"), "\n")
+		lines := strings.Join(cluster.Explain("job-1"), "\n")
 		if !strings.Contains(lines, "fail wherever they run") || !strings.Contains(lines, "next try in") {
 			t.Errorf("explained as %s", lines)
 		}
 		// A new leader knows it from the record, and does not start all of it again.
 		heir := fleet(t, 30)
-		r := b.jobs["job-1"].Rec
+		r := cluster.jobs["job-1"].Record
 		r.Places = nil
-		heir.Learn("job-1", 1, &r, time.Now())
+		heir.HandleRecord("job-1", 1, &r, time.Now())
 		heir.Plan(time.Now())
-		if n := len(heir.jobs["job-1"].places); n != 1 {
+		if n := len(heir.jobs["job-1"].Assignments); n != 1 {
 			t.Errorf("a new owner starts %d tasks of it", n)
 		}
 		// A cancel ends it at once.
-		b.Learn("job-1", 99, &record.Record{Spec: bad.Spec, Status: record.Cancelling, Writer: "user"}, time.Now())
-		for _, p := range b.jobs["job-1"].places {
-			if !p.stopping {
+		cluster.HandleRecord("job-1", 99, &record.Record{Spec: bad.Spec, Status: record.Cancelling, Writer: "user"}, time.Now())
+		for _, assignment := range cluster.jobs["job-1"].Assignments {
+			if !assignment.Stopping {
 				t.Error("a task goes on after the cancel")
 			}
 		}
@@ -117,27 +117,27 @@
 func TestAGoodJobOnABadMachineRunsSoonAndTheMachineIsFoundOut(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		b := fleet(t, 4)
-		b.Learn("job-1", 1, rec("job-1", "blue", record.Normal, 8, 1), time.Now())
+		cluster := fleet(t, 4)
+		cluster.HandleRecord("job-1", 1, newRecord("job-1", "blue", record.Normal, 8, 1), time.Now())
 		var bad ids.Machine
 		for tick := ids.Tick(2); tick < 30; tick++ {
-			b.Plan(time.Now())
-			b.store()
+			cluster.Plan(time.Now())
+			cluster.store()
 			if bad == "" {
-				bad = b.jobs["job-1"].places[0].Machine
+				bad = cluster.jobs["job-1"].Assignments[0].Machine
 			}
-			b.play(tick, func(p *Place) string {
-				if p.Machine == bad {
+			cluster.play(tick, func(assignment *Assignment) string {
+				if assignment.Machine == bad {
 					return worker.CauseError
 				}
 				return worker.CauseDone
 			})
 			time.Sleep(time.Second)
 		}
-		if s := b.jobs["job-1"].Rec.Status; s != record.Done {
-			t.Errorf("half a minute later it is %s: %v", s, b.Explain("job-1"))
+		if s := cluster.jobs["job-1"].Record.Status; s != record.Done {
+			t.Errorf("half a minute later it is %s: %v", s, cluster.Explain("job-1"))
 		}
-		if b.roster.Machines[bad].Draining == "" {
+		if cluster.machines.Machines[bad].Draining == "" {
 			t.Error("the machine on which it failed is still used")
 		}
 	})
@@ -148,26 +148,26 @@
 	// It failed on three machines that were bad, and never completes by nature: it
 	// must not count as failing for ever.
 	synctest.Test(t, func(t *testing.T) {
-		b := fleet(t, 8)
-		r := rec("job-1", "blue", record.Critical, 2, 1)
-		r.Spec.Shape = record.Service
-		b.Learn("job-1", 1, r, time.Now())
+		cluster := fleet(t, 8)
+		rec := newRecord("job-1", "blue", record.Critical, 2, 1)
+		rec.Spec.Shape = record.Service
+		cluster.HandleRecord("job-1", 1, rec, time.Now())
 		failed := map[ids.Machine]bool{}
 		for tick := ids.Tick(2); tick < 120; tick++ {
-			b.Plan(time.Now())
-			b.store()
-			b.play(tick, func(p *Place) string {
-				if failed[p.Machine] || len(failed) < 3 {
-					failed[p.Machine] = true
+			cluster.Plan(time.Now())
+			cluster.store()
+			cluster.play(tick, func(assignment *Assignment) string {
+				if failed[assignment.Machine] || len(failed) < 3 {
+					failed[assignment.Machine] = true
 					return worker.CauseError
 				}
 				return ""
 			})
 			time.Sleep(time.Second)
 		}
-		j := b.jobs["job-1"]
-		if j.failing() || len(j.places) != 2 {
-			t.Errorf("failing %v, %d of 2 replicas run", j.failing(), len(j.places))
+		job := cluster.jobs["job-1"]
+		if job.Failing() || len(job.Assignments) != 2 {
+			t.Errorf("failing %v, %d of 2 replicas run", job.Failing(), len(job.Assignments))
 		}
 	})
 }
@@ -177,27 +177,27 @@
 	// Found by hunt: 25,000 tasks of seconds on values of 8 KiB, of which 150 were
 	// under way at a time, were not done in seven minutes.
 	synctest.Test(t, func(t *testing.T) {
-		b := fleet(t, 200)
-		r := rec("job-1", "blue", record.Low, 25000, 0.25)
-		r.Spec.Need.RAM = 0.9
-		b.Learn("job-1", 1, r, time.Now())
-		j := b.jobs["job-1"]
-		limit := int(b.set.Params.State.ValueKB * 1024)
+		cluster := fleet(t, 200)
+		rec := newRecord("job-1", "blue", record.Low, 25000, 0.25)
+		rec.Spec.Need.RAM = 0.9
+		cluster.HandleRecord("job-1", 1, rec, time.Now())
+		job := cluster.jobs["job-1"]
+		limit := int(cluster.settings.Params.State.ValueKB * 1024)
 		most, seconds := 0, 0
-		for tick := ids.Tick(2); j.left() > 0 && seconds < 600; tick++ {
-			b.Plan(time.Now())
-			full := j.Rec
-			full.Gen, full.Writer, full.Seq = b.gen, b.writer, j.version
-			full.Places = packPlaces(j.places)
+		for tick := ids.Tick(2); job.Unfinished() > 0 && seconds < 600; tick++ {
+			cluster.Plan(time.Now())
+			full := job.Record
+			full.Gen, full.Writer, full.Seq = cluster.generation, cluster.writer, job.Version
+			full.Places = groupAssignments(job.Assignments)
 			raw, ok := full.Encode(limit)
 			if !ok {
-				t.Fatalf("%d places do not fit", len(j.places))
+				t.Fatalf("%d places do not fit", len(job.Assignments))
 			}
-			j.measured(full.Places, len(raw))
-			b.store()
-			most = max(most, len(j.places))
-			b.play(tick, func(p *Place) string {
-				if time.Since(p.since) >= 4*time.Second && (p.Index*7+int(tick))%3 > 0 {
+			job.RecordEncodedSize(full.Places, len(raw))
+			cluster.store()
+			most = max(most, len(job.Assignments))
+			cluster.play(tick, func(assignment *Assignment) string {
+				if time.Since(assignment.AssignedAt) >= 4*time.Second && (assignment.TaskIndex*7+int(tick))%3 > 0 {
 					return worker.CauseDone // out of order, so that ranges break up
 				}
 				return ""
@@ -217,23 +217,23 @@
 	// takeover for workers that were there, since their peer's word took longer than
 	// they did.
 	synctest.Test(t, func(t *testing.T) {
-		b := fleet(t, 40)
-		b.set.Params.Workers.ReportS = 10
-		sent := func(ago time.Duration) (out []Strand) {
+		cluster := fleet(t, 40)
+		cluster.settings.Params.Workers.ReportS = 10
+		sent := func(ago time.Duration) (out []RedirectedWorker) {
 			for i := range 40 {
-				out = append(out, Strand{ids.Machine(fmt.Sprintf("host-%06d", i)), ago})
+				out = append(out, RedirectedWorker{ids.Machine(fmt.Sprintf("host-%06d", i)), ago})
 			}
 			return out
 		}
 		time.Sleep(9 * time.Second) // all reported at once, and none since
-		if b.cutOff(sent(9*time.Second), time.Now()) || b.cutOff(sent(3*time.Second), time.Now()) {
+		if cluster.isolatedFromWorkers(sent(9*time.Second), time.Now()) || cluster.isolatedFromWorkers(sent(3*time.Second), time.Now()) {
 			t.Error("gives way for workers that are not overdue")
 		}
 		time.Sleep(4 * time.Second)
-		if b.cutOff(sent(13*time.Second-50*time.Millisecond), time.Now()) {
+		if cluster.isolatedFromWorkers(sent(13*time.Second-50*time.Millisecond), time.Now()) {
 			t.Error("gives way for workers that arrived right after they were sent on")
 		}
-		if !b.cutOff(sent(3*time.Second), time.Now()) {
+		if !cluster.isolatedFromWorkers(sent(3*time.Second), time.Now()) {
 			t.Error("keeps the pool, though nobody is heard and others reach another node")
 		}
 	})
@@ -245,26 +245,26 @@
 	// or had been here since, made each new one give way a few seconds after its
 	// takeover.
 	synctest.Test(t, func(t *testing.T) {
-		p := NewPool(testSet(), nil, nil, "a.1")
+		elector := NewElector(testSet(), nil, nil, "a.1")
 		now := ""
-		p.known = func() (ids.Node, bool) { return ids.Node(now), now != "" }
+		elector.knownLeader = func() (ids.Node, bool) { return ids.Node(now), now != "" }
 		now = "b"
-		p.noteRedirect("m1", "b")
+		elector.noteRedirect("m1", "b")
 		time.Sleep(3 * time.Second)
-		if got := p.Stranded(); len(got) != 1 {
+		if got := elector.RedirectedWorkers(); len(got) != 1 {
 			t.Errorf("not told of a worker that should have been there: %v", got)
 		}
 		now = "c"
-		if got := p.Stranded(); len(got) != 0 {
+		if got := elector.RedirectedWorkers(); len(got) != 0 {
 			t.Errorf("%v was sent to an earlier owner", got)
 		}
-		p.noteRedirect("m1", "c")
+		elector.noteRedirect("m1", "c")
 		time.Sleep(time.Second)
-		if got := p.Stranded(); len(got) != 0 {
+		if got := elector.RedirectedWorkers(); len(got) != 0 {
 			t.Errorf("%v is only on its way", got)
 		}
-		p.noteRedirect("m1", "c")
-		if got := p.Stranded(); len(got) != 1 {
+		elector.noteRedirect("m1", "c")
+		if got := elector.RedirectedWorkers(); len(got) != 1 {
 			t.Errorf("not told of one that came back: %v", got)
 		}
 	})
@@ -276,24 +276,24 @@
 	// than a takeover takes.
 	synctest.Test(t, func(t *testing.T) {
 		a := fleet(t, 2)
-		a.Hired([]ids.Machine{"host-000100"}, hireOf("small", "south"), time.Now())
+		a.MachinesRented([]ids.Machine{"host-000100"}, hireOf("small", "south"), time.Now())
 		time.Sleep(40 * time.Second)
-		hs, to := a.Hints(HintMark{})
-		p := &Pool{}
-		p.Hear(hs, to)
+		hs, to := a.Hints(HintPosition{})
+		elector := &Elector{}
+		elector.ReceiveHints(hs, to)
 		time.Sleep(25 * time.Second)
-		b := testBook()
-		b.Seed(p.hints, time.Now())
-		m := b.roster.Machines["host-000100"]
-		if m == nil || !m.Booting {
+		cluster := testBook()
+		cluster.ApplyHints(elector.hints, time.Now())
+		machine := cluster.machines.Machines["host-000100"]
+		if machine == nil || !machine.Booting {
 			t.Fatal("it is not known to be on its way")
 		}
-		if late, _ := b.late(m, time.Now()); !late {
-			t.Errorf("rented %v ago, with boots of 30 s, it is not late", time.Since(m.HeldSince))
+		if late, _ := cluster.bootIsLate(machine, time.Now()); !late {
+			t.Errorf("rented %v ago, with boots of 30 s, it is not late", time.Since(machine.HeldSince))
 		}
-		b.Learn("job-1", 1, rec("job-1", "blue", record.Normal, 40, 1), time.Now())
-		b.Plan(time.Now())
-		if lines := fmt.Sprint(b.Explain("job-1")); !strings.Contains(lines, "1 machines it could use are booting, 1 of them late") {
+		cluster.HandleRecord("job-1", 1, newRecord("job-1", "blue", record.Normal, 40, 1), time.Now())
+		cluster.Plan(time.Now())
+		if lines := fmt.Sprint(cluster.Explain("job-1")); !strings.Contains(lines, "1 machines it could use are booting, 1 of them late") {
 			t.Errorf("explained as %s", lines)
 		}
 	})
@@ -306,13 +306,13 @@
 func TestPlacesReadBackAsTheyWere(t *testing.T) {
 	t.Parallel()
 	// Sessions, attempts and tokens apart, and names of which one begins another.
-	places := map[int]*Place{}
+	places := map[int]*Assignment{}
 	for i := range 400 {
-		places[i*7%1000] = &Place{Index: i * 7 % 1000, Machine: ids.Machine(fmt.Sprintf("host-%d", i%37)), Session: ids.Session(1 + i%11/10),
-			Attempt: ids.Attempt(1 + i%5/3*i), Token: ids.Generation(3 + i%100/97)}
+		places[i*7%1000] = &Assignment{TaskIndex: i * 7 % 1000, Machine: ids.Machine(fmt.Sprintf("host-%d", i%37)), Incarnation: ids.Session(1 + i%11/10),
+			Attempt: ids.Attempt(1 + i%5/3*i), FencingToken: ids.Generation(3 + i%100/97)}
 	}
-	r := &record.Record{Places: packPlaces(places)}
-	raw, ok := r.Encode(1 << 20)
+	rec := &record.Record{Places: groupAssignments(places)}
+	raw, ok := rec.Encode(1 << 20)
 	if !ok {
 		t.Fatal("not encoded")
 	}
@@ -323,7 +323,7 @@
 	n := 0
 	back.EachPlace(func(i int, at record.Location) {
 		n++
-		if p := places[i]; p == nil || at != (record.Location{Machine: p.Machine, Session: p.Session, Attempt: p.Attempt, Token: p.Token}) {
+		if assignment := places[i]; assignment == nil || at != (record.Location{Machine: assignment.Machine, Session: assignment.Incarnation, Attempt: assignment.Attempt, Token: assignment.FencingToken}) {
 			t.Errorf("task %d is read back as %v", i, at)
 		}
 	})
--- a/internal/claim/fairness_test.go
+++ b/internal/claim/fairness_test.go
@@ -18,15 +18,15 @@
 func TestNothingStarvesUnderASteadyStreamOfSmallerWork(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		b := fleet(t, 10)
+		cluster := fleet(t, 10)
 		const runs = 10 * time.Second
-		tick, ended := ids.Tick(1), map[taskAttempt]bool{}
+		tick, ended := ids.Tick(1), map[TaskAttempt]bool{}
 		begun := map[ids.Job]time.Duration{}
 		large := map[ids.Job]time.Time{}
 		add := func(id ids.Job, team string, p record.Priority, tasks int, cores float64, est ids.Seconds) {
-			r := rec(id, team, p, tasks, cores)
-			r.Spec.Estimate = est
-			b.Learn(id, ids.Revision(len(b.gone)+len(b.jobs)+1), r, time.Now())
+			rec := newRecord(id, team, p, tasks, cores)
+			rec.Spec.Estimate = est
+			cluster.HandleRecord(id, ids.Revision(len(cluster.retired)+len(cluster.jobs)+1), rec, time.Now())
 		}
 		for second := range 420 {
 			if second == 30 {
@@ -43,12 +43,12 @@
 			for i := range 3 {
 				add(ids.Job(fmt.Sprintf("job-%d", second*3+i)), "blue", record.Normal, 2, 1, 10)
 			}
-			b.Plan(time.Now())
-			b.store()
+			cluster.Plan(time.Now())
+			cluster.store()
 			tick++
-			b.serve(tick, runs, ended)
+			cluster.serve(tick, runs, ended)
 			for id, since := range large {
-				if j := b.jobs[id]; begun[id] == 0 && (j == nil || j.Rec.Attempt > 0) {
+				if job := cluster.jobs[id]; begun[id] == 0 && (job == nil || job.Record.Attempt > 0) {
 					begun[id] = time.Since(since) + 1
 				}
 			}
@@ -59,7 +59,7 @@
 		}
 		for id := range large {
 			if begun[id] == 0 || begun[id] > 4*time.Minute {
-				t.Errorf("%s (%d tasks) begun after %v", id, b.jobs[id].Rec.Spec.Tasks, begun[id])
+				t.Errorf("%s (%d tasks) begun after %v", id, cluster.jobs[id].Record.Spec.Tasks, begun[id])
 			}
 		}
 		t.Log(begun)
@@ -71,16 +71,16 @@
 	// Guards against small jobs within their teams' guarantees that take every machine
 	// set aside, as they come, while the largest job waits for one machine for ever.
 	now := time.Now()
-	b := fleet(t, 4)
-	large := rec("job-1", "blue", record.Low, 150, 4)
+	cluster := fleet(t, 4)
+	large := newRecord("job-1", "blue", record.Low, 150, 4)
 	large.Submitted = ids.WallOf(now.Add(-3 * time.Minute))
-	b.Learn("job-1", 1, large, now)
+	cluster.HandleRecord("job-1", 1, large, now)
 	for i := range 20 {
-		small := rec(ids.Job(fmt.Sprintf("job-%d", 10+i)), "red", record.Normal, 1, 1)
+		small := newRecord(ids.Job(fmt.Sprintf("job-%d", 10+i)), "red", record.Normal, 1, 1)
 		small.Submitted = ids.WallOf(now.Add(-2 * time.Minute))
-		b.Learn(small.Spec.ID, ids.Revision(10+i), small, now)
+		cluster.HandleRecord(small.Spec.ID, ids.Revision(10+i), small, now)
 	}
-	if first := b.ranked(now)[0].Rec.Spec.ID; first != "job-1" {
+	if first := cluster.rankedJobs(now)[0].Record.Spec.ID; first != "job-1" {
 		t.Errorf("%s goes first", first)
 	}
 }
@@ -90,25 +90,25 @@
 	// Guards against a task that is placed on the machine set aside for it and stopped in
 	// the same pass for work within another team's guarantee.
 	synctest.Test(t, func(t *testing.T) {
-		b := fleet(t, 1)
-		b.setTeams(config.Team{Name: "red", CPUs: 4}, config.Team{Name: "blue"})
-		b.Learn("job-1", 1, rec("job-1", "blue", record.Low, 1, 4), time.Now())
-		b.jobs["job-1"].reservationSought = time.Now() // machines were looked for to set aside
-		b.Plan(time.Now())
-		place := b.jobs["job-1"].places[0]
+		cluster := fleet(t, 1)
+		cluster.setTeams(config.Team{Name: "red", CPUs: 4}, config.Team{Name: "blue"})
+		cluster.HandleRecord("job-1", 1, newRecord("job-1", "blue", record.Low, 1, 4), time.Now())
+		cluster.jobs["job-1"].ReservationSoughtAt = time.Now() // machines were looked for to set aside
+		cluster.Plan(time.Now())
+		place := cluster.jobs["job-1"].Assignments[0]
 		if place == nil {
 			t.Fatal("it did not begin")
 		}
-		b.store()
-		b.Learn("job-2", 2, rec("job-2", "red", record.Normal, 1, 4), time.Now())
-		b.Plan(time.Now())
-		if place.stopping {
+		cluster.store()
+		cluster.HandleRecord("job-2", 2, newRecord("job-2", "red", record.Normal, 1, 4), time.Now())
+		cluster.Plan(time.Now())
+		if place.Stopping {
 			t.Error("it is stopped at once for a guarantee")
 		}
-		time.Sleep(keptFor + time.Second)
-		b.serve(2, time.Hour, map[taskAttempt]bool{})
-		b.Plan(time.Now())
-		if !place.stopping && b.jobs["job-1"].places[0] != nil {
+		time.Sleep(startProtectionTime + time.Second)
+		cluster.serve(2, time.Hour, map[TaskAttempt]bool{})
+		cluster.Plan(time.Now())
+		if !place.Stopping && cluster.jobs["job-1"].Assignments[0] != nil {
 			t.Error("the guarantee is kept waiting for longer")
 		}
 	})
@@ -119,36 +119,36 @@
 	// Guards against counting a start that was taken back at once as the beginning: such
 	// a job waited for ever beside a stream of smaller work.
 	synctest.Test(t, func(t *testing.T) {
-		b := fleet(t, 10)
-		tick, ended := ids.Tick(1), map[taskAttempt]bool{}
-		b.Learn("job-90001", 1, rec("job-90001", "blue", record.Low, 150, 4), time.Now())
-		b.Plan(time.Now())
-		large := b.jobs["job-90001"]
-		b.store()
+		cluster := fleet(t, 10)
+		tick, ended := ids.Tick(1), map[TaskAttempt]bool{}
+		cluster.HandleRecord("job-90001", 1, newRecord("job-90001", "blue", record.Low, 150, 4), time.Now())
+		cluster.Plan(time.Now())
+		large := cluster.jobs["job-90001"]
+		cluster.store()
 		tick++
-		b.serve(tick, time.Minute, ended)
-		for _, i := range sortedTasks(large.places) {
-			b.stop(large.places[i], 0, "for others")
+		cluster.serve(tick, time.Minute, ended)
+		for _, i := range sortedTasks(large.Assignments) {
+			cluster.stopAssignment(large.Assignments[i], 0, "for others")
 		}
 		tick++
-		b.serve(tick, time.Minute, ended)
-		if large.Rec.Attempt == 0 || len(large.places) > 0 {
-			t.Fatalf("attempt %d, %d places: it did not begin and end", large.Rec.Attempt, len(large.places))
+		cluster.serve(tick, time.Minute, ended)
+		if large.Record.Attempt == 0 || len(large.Assignments) > 0 {
+			t.Fatalf("attempt %d, %d places: it did not begin and end", large.Record.Attempt, len(large.Assignments))
 		}
 		began := time.Now()
-		for second := 0; len(large.places) == 0 && second < 400; second++ {
+		for second := 0; len(large.Assignments) == 0 && second < 400; second++ {
 			jobs := 3
 			if second == 0 {
 				jobs = 30 // the machines are full from now on
 			}
 			for i := range jobs {
 				id := ids.Job(fmt.Sprintf("job-%d", second*100+i))
-				b.Learn(id, ids.Revision(second*100+i+2), rec(id, "blue", record.Normal, 2, 1), time.Now())
+				cluster.HandleRecord(id, ids.Revision(second*100+i+2), newRecord(id, "blue", record.Normal, 2, 1), time.Now())
 			}
-			b.Plan(time.Now())
-			b.store()
+			cluster.Plan(time.Now())
+			cluster.store()
 			tick++
-			b.serve(tick, 10*time.Second, ended)
+			cluster.serve(tick, 10*time.Second, ended)
 			time.Sleep(time.Second)
 		}
 		if took := time.Since(began); took > 4*time.Minute {
@@ -161,25 +161,25 @@
 
 // serve lets a second pass on every machine: tasks placed run for a while, and
 // end done.
-func (b *ClusterState) serve(tick ids.Tick, runs time.Duration, ended map[taskAttempt]bool) {
-	for name := range b.roster.Machines {
+func (c *ClusterState) serve(tick ids.Tick, runs time.Duration, ended map[TaskAttempt]bool) {
+	for name := range c.machines.Machines {
 		var ps []worker.Piece
-		for p := range b.placesOn(name) {
-			pc := worker.Piece{Task: p.Task().String(), Attempt: p.Attempt, Status: worker.Running}
-			if p.stopping {
+		for assignment := range c.assignmentsOn(name) {
+			pc := worker.Piece{Task: assignment.Task().String(), Attempt: assignment.Attempt, Status: worker.Running}
+			if assignment.Stopping {
 				pc.Status, pc.Cause = worker.Ended, worker.CauseStopped
-			} else if time.Since(p.since) >= runs {
+			} else if time.Since(assignment.AssignedAt) >= runs {
 				pc.Status, pc.Cause = worker.Ended, worker.CauseDone
-				ended[taskAttempt{p.Task(), p.Attempt, name}] = true
+				ended[TaskAttempt{assignment.Task(), assignment.Attempt, name}] = true
 			}
 			ps = append(ps, pc)
 		}
-		b.hear(name, b.roster.Machines[name].Zone, tick, ps...)
+		c.hear(name, c.machines.Machines[name].Zone, tick, ps...)
 	}
-	for j := range b.dirty {
-		if j.Rec.Status.Over() {
-			j.saved = j.version
-			b.forget(j)
+	for job := range c.unsaved {
+		if job.Record.Status.Over() {
+			job.StoredVersion = job.Version
+			c.retireJob(job)
 		}
 	}
 }
@@ -190,33 +190,33 @@
 	// much comes in as fits: each class, team and largest job, a gang over half of
 	// what is left too, begins within four minutes.
 	synctest.Test(t, func(t *testing.T) {
-		b := fleet(t, 30)
+		cluster := fleet(t, 30)
 		var teams []config.Team
 		for i := range 10 {
 			teams = append(teams, config.Team{Name: fmt.Sprint("team-", i), CPUs: 4})
 		}
-		b.setTeams(teams...)
+		cluster.setTeams(teams...)
 		n, begun := 0, map[string]time.Duration{}
 		last := map[string]time.Time{} // when a class or team last submitted
 		jobs := map[ids.Job]string{}
 		add := func(what string, team int, shape record.Shape, p record.Priority, tasks int, cores float64) {
 			n++
-			r := rec(ids.Job(fmt.Sprint("job-", n)), fmt.Sprint("team-", team), p, tasks, cores)
-			r.Spec.Shape, r.Spec.Class, r.Spec.Image = shape, what, "image-"+what
+			rec := newRecord(ids.Job(fmt.Sprint("job-", n)), fmt.Sprint("team-", team), p, tasks, cores)
+			rec.Spec.Shape, rec.Spec.Class, rec.Spec.Image = shape, what, "image-"+what
 			if shape == record.Service {
-				r.Spec.Estimate = 0
+				rec.Spec.Estimate = 0
 			}
-			b.Learn(r.Spec.ID, ids.Revision(n), r, time.Now())
-			jobs[r.Spec.ID] = what
-			for _, of := range []string{what, r.Spec.Team} {
+			cluster.HandleRecord(rec.Spec.ID, ids.Revision(n), rec, time.Now())
+			jobs[rec.Spec.ID] = what
+			for _, of := range []string{what, rec.Spec.Team} {
 				begun[of], last[of] = 0, time.Now()
 			}
 		}
-		ended := map[taskAttempt]bool{}
+		ended := map[TaskAttempt]bool{}
 		pass := func(second int) {
-			b.Plan(time.Now())
-			b.store()
-			b.serve(ids.Tick(second+2), 10*time.Second, ended)
+			cluster.Plan(time.Now())
+			cluster.store()
+			cluster.serve(ids.Tick(second+2), 10*time.Second, ended)
 			time.Sleep(time.Second)
 		}
 		for i := range 40 {
@@ -226,7 +226,7 @@
 			pass(second)
 		}
 		for i := range 10 {
-			b.MachineGone(ids.Machine(fmt.Sprintf("host-%06d", i)))
+			cluster.MachineTerminated(ids.Machine(fmt.Sprintf("host-%06d", i)))
 		}
 		clear(begun)
 		add("largest array", 0, record.Array, record.Low, 150, 4)
@@ -243,8 +243,8 @@
 			}
 			pass(20 + second)
 			for id, what := range jobs {
-				if j := b.jobs[id]; j != nil && j.Rec.Attempt > 0 && len(j.places) > 0 {
-					for _, of := range []string{what, j.Rec.Spec.Team} {
+				if job := cluster.jobs[id]; job != nil && job.Record.Attempt > 0 && len(job.Assignments) > 0 {
+					for _, of := range []string{what, job.Record.Spec.Team} {
 						if begun[of] == 0 {
 							begun[of] = time.Since(last[of])
 						}
@@ -269,15 +269,15 @@
 	// zone at once waited for up to six minutes, since each that became free was
 	// taken by a gang of one, just as high.
 	synctest.Test(t, func(t *testing.T) {
-		b := fleet(t, 8) // four in each zone
-		b.set.Params.Teams[1].CPUs = 0
+		cluster := fleet(t, 8) // four in each zone
+		cluster.settings.Params.Teams[1].CPUs = 0
 		gang := func(id ids.Job, tasks int) {
-			r := rec(id, "blue", record.High, tasks, 4)
-			r.Spec.Shape, r.Spec.OneZone, r.Spec.Estimate = record.Gang, true, 100
-			b.Learn(id, 1, r, time.Now())
+			rec := newRecord(id, "blue", record.High, tasks, 4)
+			rec.Spec.Shape, rec.Spec.OneZone, rec.Spec.Estimate = record.Gang, true, 100
+			cluster.HandleRecord(id, 1, rec, time.Now())
 		}
 		began, submitted := time.Duration(0), time.Now()
-		left := map[*Place]time.Duration{}
+		left := map[*Assignment]time.Duration{}
 		for sec := range 400 {
 			if sec%9 == 0 { // more than fits, all the time
 				gang(ids.Job(fmt.Sprintf("job-%d", 100+sec)), 1)
@@ -286,18 +286,18 @@
 				gang("job-2", 2)
 				submitted = time.Now()
 			}
-			b.Plan(time.Now())
-			b.store()
-			b.play(ids.Tick(sec+2), func(p *Place) string {
-				if _, ok := left[p]; !ok {
-					left[p] = time.Duration(70+p.Job.Rec.Submitted.Time().Second()) * time.Second // 70 to 130 s
+			cluster.Plan(time.Now())
+			cluster.store()
+			cluster.play(ids.Tick(sec+2), func(assignment *Assignment) string {
+				if _, ok := left[assignment]; !ok {
+					left[assignment] = time.Duration(70+assignment.Job.Record.Submitted.Time().Second()) * time.Second // 70 to 130 s
 				}
-				if left[p] -= time.Second; left[p] <= 0 {
+				if left[assignment] -= time.Second; left[assignment] <= 0 {
 					return worker.CauseDone
 				}
 				return ""
 			})
-			if j := b.jobs["job-2"]; began == 0 && j != nil && len(j.places) == 2 {
+			if job := cluster.jobs["job-2"]; began == 0 && job != nil && len(job.Assignments) == 2 {
 				began = time.Since(submitted)
 			}
 			time.Sleep(time.Second)
--- a/internal/claim/faults_test.go
+++ b/internal/claim/faults_test.go
@@ -19,7 +19,7 @@
 	})
 }
 
-func (w *testCluster) leader() *node {
+func (w *testCluster) leader() *testNode {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, n := range w.nodes {
@@ -128,7 +128,7 @@
 		time.Sleep(10 * time.Second)
 		w.submit("a", spec("job-1", "standing", 4))
 		w.until(4*time.Second, "it runs", func() bool { return len(w.on("job-1/3")) == 1 })
-		again := func(n *node) {
+		again := func(n *testNode) {
 			n.kill()
 			time.Sleep(150 * time.Millisecond)
 			w.start(n.name)
@@ -147,7 +147,7 @@
 		time.Sleep(100 * time.Millisecond)
 		w.start(first.name)
 		settled()
-		for _, n := range []*node{w.nodes["a"], w.nodes["b"]} {
+		for _, n := range []*testNode{w.nodes["a"], w.nodes["b"]} {
 			n.kill()
 		}
 		w.start("a")
--- a/internal/claim/fleet_test.go
+++ b/internal/claim/fleet_test.go
@@ -44,7 +44,7 @@
 			defer synctest.Wait()
 			defer cancel()
 			const each = 200
-			b, n := fleet(t, 0), fake.NewNet()
+			cluster, n := fleet(t, 0), fake.NewNet()
 			n.SetRule(func(_, to string, _ *http.Request, _ []byte) fake.Fate {
 				if strings.HasPrefix(to, "lost") {
 					return fake.Swallow
@@ -52,42 +52,42 @@
 				return fake.Deliver
 			})
 			for i := range each {
-				b.hear(ids.Machine(fmt.Sprintf("lost-%03d", i)), "south", 1)
+				cluster.hear(ids.Machine(fmt.Sprintf("lost-%03d", i)), "south", 1)
 			}
 			time.Sleep(100 * time.Millisecond)
 			for i := range each {
 				name := ids.Machine(fmt.Sprintf("host-%03d", i))
 				n.Listen(string(name)+":1", obey(name))
-				b.hear(name, "north", 1)
+				cluster.hear(name, "north", 1)
 			}
 			now := time.Now()
 			for i := range 2 * 4 * each / 100 {
 				id := ids.Job(fmt.Sprint("job-", i))
-				b.Learn(id, ids.Revision(i+1), rec(id, "blue", record.Normal, 100, 1), now)
+				cluster.HandleRecord(id, ids.Revision(i+1), newRecord(id, "blue", record.Normal, 100, 1), now)
 			}
-			b.Plan(now)
-			for _, j := range b.jobs {
-				j.saved = j.version
-				b.settledUpTo(j)
+			cluster.Plan(now)
+			for _, job := range cluster.jobs {
+				job.StoredVersion = job.Version
+				cluster.versionStored(job)
 			}
 			if known {
-				for name, m := range b.roster.Machines {
+				for name, machine := range cluster.machines.Machines {
 					if strings.HasPrefix(string(name), "lost") {
-						m.Probes, m.Doubted, m.Asked = 2, now, now
+						machine.Probes, machine.Doubted, machine.Asked = 2, now, now
 					}
 				}
 			}
-			d := NewDispatcher(b, &worker.Commander{HTTP: n.Client("a"), Timeout: 3 * time.Second}, 16)
+			d := NewDispatcher(cluster, &worker.Commander{HTTP: n.Client("a"), Timeout: 3 * time.Second}, 16)
 			go d.Run(ctx)
-			wait(ctx, time.Second)
-			b.mu.Lock()
-			defer b.mu.Unlock()
+			sleep(ctx, time.Second)
+			cluster.mu.Lock()
+			defer cluster.mu.Unlock()
 			seen, sent := 0, 0
-			for name, h := range b.hosts {
-				for p := range h.places {
-					if p.seen {
+			for name, node := range cluster.nodes {
+				for assignment := range node.assignments {
+					if assignment.Confirmed {
 						seen++
-					} else if p.sent && strings.HasPrefix(string(name), "lost") {
+					} else if assignment.StartSent && strings.HasPrefix(string(name), "lost") {
 						sent++
 					}
 				}
@@ -106,25 +106,25 @@
 	t.Parallel()
 	// Guards against hundreds of silent machines using up the questions, again
 	// and again the same ones, while one with a replica waits.
-	b := fleet(t, 300)
+	cluster := fleet(t, 300)
 	now := time.Now()
-	svc := rec("job-1", "blue", record.Critical, 1, 1)
+	svc := newRecord("job-1", "blue", record.Critical, 1, 1)
 	svc.Spec.Shape = record.Service
-	b.Learn("job-1", 1, svc, now)
-	b.Plan(now)
-	with := b.jobs["job-1"].places[0].Machine
-	for _, m := range b.roster.Machines {
-		m.Seen = now.Add(-time.Minute)
+	cluster.HandleRecord("job-1", 1, svc, now)
+	cluster.Plan(now)
+	with := cluster.jobs["job-1"].Assignments[0].Machine
+	for _, machine := range cluster.machines.Machines {
+		machine.Seen = now.Add(-time.Minute)
 	}
 	asked := map[ids.Machine]int{}
 	for round := range 20 {
-		b.probedAt = time.Time{}
-		for k, pr := range b.toProbe(now.Add(time.Duration(round)*time.Second), 20) {
-			if round == 0 && k == 0 && pr.machine != with {
-				t.Errorf("%s was asked first, not %s, which has a replica", pr.machine, with)
+		cluster.probesIssuedAt = time.Time{}
+		for k, probe := range cluster.dueProbes(now.Add(time.Duration(round)*time.Second), 20) {
+			if round == 0 && k == 0 && probe.machine != with {
+				t.Errorf("%s was asked first, not %s, which has a replica", probe.machine, with)
 			}
-			asked[pr.machine]++
-			b.probed(pr.machine, false)
+			asked[probe.machine]++
+			cluster.probeAnswered(probe.machine, false)
 		}
 	}
 	if len(asked) < 280 {
@@ -135,36 +135,36 @@
 func TestAMarkedTaskGoesElsewhereOnceItsMachineDoesNotAnswer(t *testing.T) {
 	t.Parallel()
 	now := time.Now()
-	b := testBook()
-	b.hear("m1", "north", 1)
-	b.Learn("job-1", 1, rec("job-1", "blue", record.Normal, 1, 1), now)
-	b.Plan(now)
-	j := b.jobs["job-1"]
-	b.probed("m1", false)
-	if len(j.places) != 0 {
+	cluster := testBook()
+	cluster.hear("m1", "north", 1)
+	cluster.HandleRecord("job-1", 1, newRecord("job-1", "blue", record.Normal, 1, 1), now)
+	cluster.Plan(now)
+	job := cluster.jobs["job-1"]
+	cluster.probeAnswered("m1", false)
+	if len(job.Assignments) != 0 {
 		t.Fatal("a task whose start never went out is kept on a silent machine")
 	}
 	// A connection that did not come about leaves nothing under way either.
-	b.hear("m2", "north", 1)
-	b.Plan(now)
-	b.jobs["job-1"].saved = j.version
-	b.settledUpTo(j)
-	ba := b.batches(10)
+	cluster.hear("m2", "north", 1)
+	cluster.Plan(now)
+	cluster.jobs["job-1"].StoredVersion = job.Version
+	cluster.versionStored(job)
+	ba := cluster.nextBatches(10)
 	if len(ba) != 1 || ba[0].machine != "m2" {
 		t.Fatalf("batches %v", ba)
 	}
-	b.answered(ba[0], worker.NotSent)
-	if len(j.places) != 0 || len(b.roster.Machines["m2"].LateStarts) != 0 {
+	cluster.batchAnswered(ba[0], worker.NotSent)
+	if len(job.Assignments) != 0 || len(cluster.machines.Machines["m2"].LateStarts) != 0 {
 		t.Fatal("a start that surely never arrives is kept")
 	}
 	// One that may arrive is.
-	b.hear("m3", "north", 1)
-	b.Plan(now)
-	j.saved = j.version
-	b.settledUpTo(j)
-	ba = b.batches(10)
-	b.answered(ba[0], worker.Uncertain)
-	if len(j.places) != 1 || len(b.roster.Machines["m3"].LateStarts) != 1 {
+	cluster.hear("m3", "north", 1)
+	cluster.Plan(now)
+	job.StoredVersion = job.Version
+	cluster.versionStored(job)
+	ba = cluster.nextBatches(10)
+	cluster.batchAnswered(ba[0], worker.Uncertain)
+	if len(job.Assignments) != 1 || len(cluster.machines.Machines["m3"].LateStarts) != 1 {
 		t.Fatal("a start that may yet arrive was given up")
 	}
 }
@@ -174,21 +174,21 @@
 	// Machines with replicas are asked sooner than others, so of a zone cut off
 	// they alone look silent for some seconds. And when the zone is heard again,
 	// those not heard yet must not be given up for having been silent in the cut.
-	b := testBook()
-	b.set.Params.Workers.ReportS = 10
+	cluster := testBook()
+	cluster.settings.Params.Workers.ReportS = 10
 	start := time.Now()
 	zone := func(i int) string { return []string{"north", "south"}[i%2] }
 	for i := range 40 {
-		b.hear(ids.Machine(fmt.Sprintf("m%02d", i)), zone(i), 1)
+		cluster.hear(ids.Machine(fmt.Sprintf("m%02d", i)), zone(i), 1)
 	}
-	svc := rec("job-1", "blue", record.Critical, 20, 2)
+	svc := newRecord("job-1", "blue", record.Critical, 20, 2)
 	svc.Spec.Shape = record.Service
-	b.Learn("job-1", 1, svc, start)
-	b.Plan(start)
+	cluster.HandleRecord("job-1", 1, svc, start)
+	cluster.Plan(start)
 	heard := func(name string, ago time.Duration) {
-		m := b.roster.Machines[ids.Machine(name)]
-		m.Seen, m.Probes = start.Add(-ago), 0
-		m.Reached(true, start)
+		machine := cluster.machines.Machines[ids.Machine(name)]
+		machine.Seen, machine.Probes = start.Add(-ago), 0
+		machine.Reached(true, start)
 	}
 	// The south fell silent 5 s ago; ten of its machines were asked twice since.
 	asked := 0
@@ -198,26 +198,26 @@
 		if zone(i) == "south" {
 			heard(name, 5*time.Second)
 			if asked++; asked <= 10 {
-				m := b.roster.Machines[ids.Machine(name)]
-				m.Probes, m.Doubted, m.Unreached = 2, start.Add(-2500*time.Millisecond), start.Add(-1500*time.Millisecond)
+				machine := cluster.machines.Machines[ids.Machine(name)]
+				machine.Probes, machine.Doubted, machine.Unreached = 2, start.Add(-2500*time.Millisecond), start.Add(-1500*time.Millisecond)
 			}
 		}
 	}
-	if gone := b.Returns(start, map[ids.Machine]bool{}); len(gone) != 0 {
+	if gone := cluster.MachinesToTerminate(start, map[ids.Machine]bool{}); len(gone) != 0 {
 		t.Fatalf("returned %v of a zone that is dark", gone)
 	}
-	if !b.DarkZones()["south"] || b.DarkZones()["north"] {
-		t.Fatalf("dark: %v", b.DarkZones())
+	if !cluster.UnreachableZones()["south"] || cluster.UnreachableZones()["north"] {
+		t.Fatalf("dark: %v", cluster.UnreachableZones())
 	}
 	// A minute later one of them is heard.
 	for i := range 40 {
-		if m := b.roster.Machines[ids.Machine(fmt.Sprintf("m%02d", i))]; zone(i) == "south" {
-			m.Probes, m.Seen, m.Doubted, m.Unreached, m.Failures = 20, start.Add(-time.Minute), start.Add(-58*time.Second), start.Add(-57*time.Second), 20
+		if machine := cluster.machines.Machines[ids.Machine(fmt.Sprintf("m%02d", i))]; zone(i) == "south" {
+			machine.Probes, machine.Seen, machine.Doubted, machine.Unreached, machine.Failures = 20, start.Add(-time.Minute), start.Add(-58*time.Second), start.Add(-57*time.Second), 20
 		}
 	}
-	b.hear("m01", "south", 2)
-	b.probed("m01", true)
-	if gone := b.Returns(start, map[ids.Machine]bool{}); len(gone) != 0 {
+	cluster.hear("m01", "south", 2)
+	cluster.probeAnswered("m01", true)
+	if gone := cluster.MachinesToTerminate(start, map[ids.Machine]bool{}); len(gone) != 0 {
 		t.Fatalf("returned %v when the zone came back", gone)
 	}
 	// Whoever stays silent although the others came back is given up.
@@ -226,9 +226,9 @@
 			heard(name, 0)
 		}
 	}
-	m := b.roster.Machines["m03"]
+	m := cluster.machines.Machines["m03"]
 	m.Probes, m.Doubted = 2, start.Add(-3*time.Second)
-	if gone := b.Returns(start, map[ids.Machine]bool{}); len(gone) != 1 || gone[0] != "m03" {
+	if gone := cluster.MachinesToTerminate(start, map[ids.Machine]bool{}); len(gone) != 1 || gone[0] != "m03" {
 		t.Fatalf("returned %v, not the one that did not come back", gone)
 	}
 }
@@ -239,33 +239,33 @@
 	// replicas had ended long before. Where the rule of zones leaves no room
 	// elsewhere, returning the machines would gain nothing.
 	now := time.Now()
-	b := testBook()
+	cluster := testBook()
 	for i := range 9 {
-		b.hear(ids.Machine(fmt.Sprint("n", i)), "north", 1)
+		cluster.hear(ids.Machine(fmt.Sprint("n", i)), "north", 1)
 	}
 	service := func(id ids.Job, tasks int, at map[int]string) {
-		r := rec(id, "blue", record.Critical, tasks, 1)
-		r.Spec.Shape, r.Spec.Spread, r.Status = record.Service, true, record.Claimed
-		places := map[int]*Place{}
+		rec := newRecord(id, "blue", record.Critical, tasks, 1)
+		rec.Spec.Shape, rec.Spec.Spread, rec.Status = record.Service, true, record.Claimed
+		places := map[int]*Assignment{}
 		for i, m := range at {
-			places[i] = &Place{Index: i, Machine: ids.Machine(m), Session: 1, Attempt: 1, Token: 3}
+			places[i] = &Assignment{TaskIndex: i, Machine: ids.Machine(m), Incarnation: 1, Attempt: 1, FencingToken: 3}
 		}
-		r.Places = packPlaces(places)
-		b.Load(map[ids.Job]*record.Record{id: r}, map[ids.Job]ids.Revision{id: 1}, 0, now)
+		rec.Places = groupAssignments(places)
+		cluster.Load(map[ids.Job]*record.Record{id: rec}, map[ids.Job]ids.Revision{id: 1}, 0, now)
 	}
 	service("job-1", 5, map[int]string{0: "n0", 1: "n1", 2: "s0", 3: "s0", 4: "s1"}) // one may move
 	service("job-2", 4, map[int]string{0: "n2", 1: "n3", 2: "s2", 3: "s3"})          // none may
 	for i := range 4 {
 		name := ids.Machine(fmt.Sprint("s", i))
-		m := b.roster.Ensure(name, now, now.Add(time.Minute))
-		m.Zone, m.Type, m.Addr = "south", "small", string(name)+":1"
-		m.Probes, m.Doubted = 5, now.Add(time.Second)
+		machine := cluster.machines.Ensure(name, now, now.Add(time.Minute))
+		machine.Zone, machine.Type, machine.Addr = "south", "small", string(name)+":1"
+		machine.Probes, machine.Doubted = 5, now.Add(time.Second)
 	}
-	b.trustSilence = now.Add(17*time.Second + 500*time.Millisecond)
-	if gone := b.Returns(now.Add(3*time.Second), map[ids.Machine]bool{}); len(gone) != 0 {
+	cluster.trustSilence = now.Add(17*time.Second + 500*time.Millisecond)
+	if gone := cluster.MachinesToTerminate(now.Add(3*time.Second), map[ids.Machine]bool{}); len(gone) != 0 {
 		t.Fatalf("returned %v while the leases may still last", gone)
 	}
-	gone := b.Returns(now.Add(5*time.Second), map[ids.Machine]bool{})
+	gone := cluster.MachinesToTerminate(now.Add(5*time.Second), map[ids.Machine]bool{})
 	if len(gone) != 2 || gone[0] != "s0" || gone[1] != "s1" {
 		t.Fatalf("returned %v, not s0 and s1", gone)
 	}
@@ -274,31 +274,31 @@
 func TestAUserIsToldWhatMovedAndWhatWaits(t *testing.T) {
 	t.Parallel()
 	now := time.Now()
-	b := testBook()
+	cluster := testBook()
 	for i := range 4 {
-		b.hear(ids.Machine(fmt.Sprint("s", i)), "south", 1)
+		cluster.hear(ids.Machine(fmt.Sprint("s", i)), "south", 1)
 	}
-	b.Learn("job-1", 1, rec("job-1", "blue", record.Normal, 16, 1), now)
-	b.Plan(now)
-	b.store()
+	cluster.HandleRecord("job-1", 1, newRecord("job-1", "blue", record.Normal, 16, 1), now)
+	cluster.Plan(now)
+	cluster.store()
 	for i := range 4 {
-		b.hear(ids.Machine(fmt.Sprint("n", i)), "north", 1)
-		m := b.roster.Machines[ids.Machine(fmt.Sprint("s", i))]
-		m.Probes, m.Doubted = 3, time.Now()
+		cluster.hear(ids.Machine(fmt.Sprint("n", i)), "north", 1)
+		machine := cluster.machines.Machines[ids.Machine(fmt.Sprint("s", i))]
+		machine.Probes, machine.Doubted = 3, time.Now()
 	}
-	if !b.DarkZones()["south"] {
+	if !cluster.UnreachableZones()["south"] {
 		t.Fatal("the south is not dark")
 	}
-	if got := strings.Join(b.Explain("job-1"), "\n"); !strings.Contains(got, "nothing is heard of south (16)") || !strings.Contains(got, "leases") {
+	if got := strings.Join(cluster.Explain("job-1"), "\n"); !strings.Contains(got, "nothing is heard of south (16)") || !strings.Contains(got, "leases") {
 		t.Errorf("in the dark: %s", got)
 	}
 	// The leases of all but one lapse; two of the tasks find a place.
 	for i := range 3 {
-		b.roster.Machines[ids.Machine(fmt.Sprint("s", i))].LapseAt = now
+		cluster.machines.Machines[ids.Machine(fmt.Sprint("s", i))].LapseAt = now
 	}
-	b.Lapses(now.Add(time.Second))
+	cluster.ExpireLeases(now.Add(time.Second))
 	trail := func() (out []string) {
-		for _, e := range b.jobs["job-1"].Rec.Trail {
+		for _, e := range cluster.jobs["job-1"].Record.Trail {
 			out = append(out, e.What)
 		}
 		return out
@@ -306,9 +306,9 @@
 	if tr := trail(); len(tr) > 3 || !strings.Contains(strings.Join(tr, "\n"), "tasks gone in south") {
 		t.Errorf("the trail of twelve tasks lost at once: %q", tr)
 	}
-	b.jobs["job-1"].maxClaimed = 4 + 2
-	b.Plan(now)
-	got := strings.Join(append(trail(), b.Explain("job-1")...), "\n")
+	cluster.jobs["job-1"].MaxAssigned = 4 + 2
+	cluster.Plan(now)
+	got := strings.Join(append(trail(), cluster.Explain("job-1")...), "\n")
 	for _, want := range []string{"tasks lost in south (2) start again: north (2)", "lost in south (10) and not started again yet", "on machines in north (2)", "nothing is heard of south (4)"} {
 		if !strings.Contains(got, want) {
 			t.Errorf("not told: %q, only\n%s", want, got)
@@ -322,19 +322,19 @@
 	// for workers whose sessions ended before the marker was stored. No start went
 	// out, nothing reported them, and they stayed down for good.
 	now := time.Now()
-	b := testBook()
-	b.hear("m1", "north", 1)
-	b.Learn("job-1", 1, rec("job-1", "blue", record.Normal, 2, 1), now)
-	b.Plan(now)
-	rep := &worker.Report{Machine: "m1", Addr: "m1:1", Type: "small", Zone: "north", Session: 2, Tick: 2, Token: 7}
-	b.Observe(rep, true, true)
-	j := b.jobs["job-1"]
-	j.saved = j.version
-	b.settledUpTo(j)
-	b.Plan(now)
-	j.saved = j.version
-	b.settledUpTo(j)
-	if got := b.batches(10); len(got) != 1 || got[0].session != 2 || len(got[0].orders) != 2 {
+	cluster := testBook()
+	cluster.hear("m1", "north", 1)
+	cluster.HandleRecord("job-1", 1, newRecord("job-1", "blue", record.Normal, 2, 1), now)
+	cluster.Plan(now)
+	report := &worker.Report{Machine: "m1", Addr: "m1:1", Type: "small", Zone: "north", Session: 2, Tick: 2, Token: 7}
+	cluster.ReconcileHeartbeat(report, true, true)
+	job := cluster.jobs["job-1"]
+	job.StoredVersion = job.Version
+	cluster.versionStored(job)
+	cluster.Plan(now)
+	job.StoredVersion = job.Version
+	cluster.versionStored(job)
+	if got := cluster.nextBatches(10); len(got) != 1 || got[0].incarnation != 2 || len(got[0].commands) != 2 {
 		t.Fatalf("sent %+v", got)
 	}
 }
--- a/internal/claim/gang.go
+++ b/internal/claim/gang.go
@@ -7,154 +7,154 @@
 	"github.com/pebbletrail/pebbletrail/internal/worker"
 )
 
-// claimGang places all tasks of a new attempt or none; a task lost while the
+// assignGang places all tasks of a new attempt or none; a task lost while the
 // gang still waits is replaced under the same attempt.
-func (b *ClusterState) claimGang(j *Job, ps *pass) {
-	s, now := &j.Rec.Spec, ps.now
-	missing := s.Tasks - len(j.places)
+func (c *ClusterState) assignGang(job *Job, pass *planningPass) {
+	spec, now := &job.Record.Spec, pass.now
+	missing := spec.Tasks - len(job.Assignments)
 	if missing <= 0 {
-		j.waiting = ""
+		job.PendingReason = ""
 		return
 	}
-	if j.rests(now) {
-		j.waiting = j.whyRests()
+	if job.BackingOff(now) {
+		job.PendingReason = job.BackOffReason()
 		return
 	}
-	if s.Tasks > b.openLimit(j) {
-		j.waiting = "its places do not fit into a record of the state service"
+	if spec.Tasks > c.maxAssignedTasks(job) {
+		job.PendingReason = "its places do not fit into a record of the state service"
 		return
 	}
-	fresh := len(j.places) == 0
+	fresh := len(job.Assignments) == 0
 	if !fresh {
-		for _, p := range j.places {
+		for _, assignment := range job.Assignments {
 			// Once a task of the attempt ran or is being stopped, the rest end
 			// by themselves, and only then may the next attempt begin.
-			if p.Attempt != j.Rec.Attempt || p.stopping || p.seen && p.status != worker.Pulling && p.status != worker.Waiting || !p.seen && p.Token != b.gen {
-				j.waiting = "for the gang's last attempt to end"
+			if assignment.Attempt != job.Record.Attempt || assignment.Stopping || assignment.Confirmed && assignment.Status != worker.Pulling && assignment.Status != worker.Waiting || !assignment.Confirmed && assignment.FencingToken != c.generation {
+				job.PendingReason = "for the gang's last attempt to end"
 				return
 			}
 		}
 	}
-	for i := range s.Tasks {
-		if r := j.tries[i]; j.places[i] == nil && r != nil && r.at.After(now) {
-			j.waiting = "backing off after failures"
+	for i := range spec.Tasks {
+		if retry := job.Retries[i]; job.Assignments[i] == nil && retry != nil && retry.NotBefore.After(now) {
+			job.PendingReason = "backing off after failures"
 			return
 		}
 	}
-	if b.mayHave(j, missing, now) < missing {
-		ps.lacks(j, missing)
-		j.waiting = b.quota.Explain(s.Team)
-		if b.yield(j, missing, now) {
-			j.waiting += "; lesser work of its own makes way"
+	if c.assignableTasks(job, missing, now) < missing {
+		pass.addUnmetDemand(job, missing)
+		job.PendingReason = c.quota.Explain(spec.Team)
+		if c.yieldQuota(job, missing, now) {
+			job.PendingReason += "; lesser work of its own makes way"
 		}
 		return
 	}
-	ask := s.Ask()
-	v := b.survey(j, &ask, ps)
-	if !v.wide {
-		v.widen()
+	request := spec.Ask()
+	search := c.newSearch(job, &request, pass)
+	if !search.exhaustive {
+		search.searchAll()
 	}
 	zones := []string{""}
-	if s.OneZone && fresh && s.Zone == "" {
-		zones = b.set.Params.Zones // all tasks go to one: the cheapest
+	if spec.OneZone && fresh && spec.Zone == "" {
+		zones = c.settings.Params.Zones // all tasks go to one: the cheapest
 	}
-	var best []*host
+	var best []*Node
 	bestCost := 0.0
 	for _, zone := range zones {
-		if hs, cost := v.together(zone, missing); hs != nil && (best == nil || cost < bestCost) {
-			best, bestCost = hs, cost
+		if nodes, cost := search.findTogether(zone, missing); nodes != nil && (best == nil || cost < bestCost) {
+			best, bestCost = nodes, cost
 		}
 	}
 	if best == nil {
-		b.gangWaits(j, &ask, ps)
+		c.freeRoomForGang(job, &request, pass)
 		return
 	}
 	if fresh {
-		j.Rec.Attempt++
+		job.Record.Attempt++
 	}
 	n := 0
-	for i := range s.Tasks {
-		if j.places[i] == nil {
-			b.place(j, i, j.Rec.Attempt, best[n], now)
+	for i := range spec.Tasks {
+		if job.Assignments[i] == nil {
+			c.assign(job, i, job.Record.Attempt, best[n], now)
 			n++
 		}
 	}
-	b.placed(j, n)
-	j.waiting = ""
-	b.release(j)
+	c.tasksAssigned(job, n)
+	job.PendingReason = ""
+	c.releaseReservations(job)
 }
 
-// together finds room for n tasks at once, in one zone if it names one; nil if
+// findTogether finds room for n tasks at once, in one zone if it names one; nil if
 // there is not enough.
-func (v *survey) together(zone string, n int) (hs []*host, cost float64) {
+func (s *candidateSearch) findTogether(zone string, n int) (nodes []*Node, cost float64) {
 	avoid := map[ids.Machine]bool{}
-	for _, r := range v.j.tries {
-		for m := range r.avoid {
+	for _, retry := range s.job.Retries {
+		for m := range retry.Avoid {
 			avoid[m] = true
 		}
 	}
 	here := map[string]int{}
 	for _, last := range []bool{false, true} {
-		for _, c := range v.all {
-			if len(hs) == n {
-				return hs, cost
+		for _, found := range s.candidates {
+			if len(nodes) == n {
+				return nodes, cost
 			}
-			if avoid[c.h.name] != last || zone != "" && c.m.Zone != zone || c.h.shelf == nil {
+			if avoid[found.node.name] != last || zone != "" && found.machine.Zone != zone || found.node.class == nil {
 				continue
 			}
-			k := min(c.h.free().Count(v.ask.Need, n-len(hs)), v.zones.may(c.m.Zone, n)-here[c.m.Zone])
+			k := min(found.node.freeCapacity().Count(s.request.Need, n-len(nodes)), s.zones.allowed(found.machine.Zone, n)-here[found.machine.Zone])
 			for range max(k, 0) {
-				hs = append(hs, c.h)
-				cost += c.score
-				here[c.m.Zone]++
+				nodes = append(nodes, found.node)
+				cost += found.score
+				here[found.machine.Zone]++
 			}
 		}
 	}
-	if len(hs) < n {
+	if len(nodes) < n {
 		return nil, 0
 	}
-	return hs, cost
+	return nodes, cost
 }
 
-func (b *ClusterState) gangWaits(j *Job, ask *placement.Ask, ps *pass) {
-	j.waiting = "not all tasks of the gang have room at once"
-	missing := j.Rec.Spec.Tasks - len(j.places)
+func (c *ClusterState) freeRoomForGang(job *Job, request *placement.Ask, pass *planningPass) {
+	job.PendingReason = "not all tasks of the gang have room at once"
+	missing := job.Record.Spec.Tasks - len(job.Assignments)
 	for range missing {
-		ok, victim := b.preempt(j, ask, ps)
+		ok, victim := c.preempt(job, request, pass)
 		if !ok {
-			if b.reserveMachines(j, ask, missing, ps.now) {
-				j.waiting = "waits for machines set aside for it"
+			if c.reserveMachines(job, request, missing, pass.now) {
+				job.PendingReason = "waits for machines set aside for it"
 			}
 			return
 		}
-		j.waiting = "waits for room freed on " + victim
+		job.PendingReason = "waits for room freed on " + victim
 	}
 }
 
-// mayStart tells whether a placed task's start should go out now. Two things
+// startAllowed tells whether a placed task's start should go out now. Two things
 // hold it back, both of gangs. A task that has its image at once would only
 // wait for those that must fetch theirs, and give up after gang_wait_s, long
 // before a large image is there; so it starts when they wait for it. And a task
 // replaced where it ended under the same attempt must be cleared first, or the
 // worker would take its start for one it knows.
-func (b *ClusterState) mayStart(p *Place, m *worker.Machine) bool {
-	j := p.Job
-	if j.Rec.Spec.Shape != record.Gang {
+func (c *ClusterState) startAllowed(assignment *Assignment, machine *worker.Machine) bool {
+	job := assignment.Job
+	if job.Record.Spec.Shape != record.Gang {
 		return true
 	}
-	for i := range m.Pieces {
-		if m.Pieces[i].Attempt == p.Attempt && m.Pieces[i].Task == p.Task().String() {
+	for i := range machine.Pieces {
+		if machine.Pieces[i].Attempt == assignment.Attempt && machine.Pieces[i].Task == assignment.Task().String() {
 			return false
 		}
 	}
-	if !m.Images.Has(j.Rec.Spec.Image) {
+	if !machine.Images.Has(job.Record.Spec.Image) {
 		return true
 	}
-	for _, o := range j.places {
-		if o == p || o.stopping || o.seen && o.status != worker.Pulling {
+	for _, other := range job.Assignments {
+		if other == assignment || other.Stopping || other.Confirmed && other.Status != worker.Pulling {
 			continue
 		}
-		if om := b.roster.Machines[o.Machine]; om == nil || !om.Images.Has(j.Rec.Spec.Image) {
+		if om := c.machines.Machines[other.Machine]; om == nil || !om.Images.Has(job.Record.Spec.Image) {
 			return false
 		}
 	}
--- a/internal/claim/gap_test.go
+++ b/internal/claim/gap_test.go
@@ -16,7 +16,7 @@
 
 // gapped is a test cluster in which replicas run on two machines, under a leader that is
 // cut from the other controller.
-func gapped(w *testCluster) (leader, other *node) {
+func gapped(w *testCluster) (leader, other *testNode) {
 	w.start("a")
 	w.start("b")
 	w.worker("m1", "north")
@@ -31,7 +31,7 @@
 }
 
 // without cuts a node from what of the state service's paths, and from its peer.
-func (w *testCluster) without(n *node, paths ...string) {
+func (w *testCluster) without(n *testNode, paths ...string) {
 	w.net.SetRule(func(from, to string, r *http.Request, _ []byte) fake.Fate {
 		if touches(from, to, "a", "b") {
 			return fake.Swallow
@@ -46,7 +46,7 @@
 }
 
 // cancelled has a node confirm a cancellation, and returns when it did.
-func (w *testCluster) cancelled(at *node, job string) time.Time {
+func (w *testCluster) cancelled(at *testNode, job string) time.Time {
 	w.t.Helper()
 	w.until(3*time.Second, "cancellation of "+job+" confirmed", func() bool {
 		code, out := w.call(at.name, "POST", "/v2/runs/"+job+"/cancel", nil)
--- a/internal/claim/hints.go
+++ b/internal/claim/hints.go
@@ -7,37 +7,37 @@
 	"github.com/pebbletrail/pebbletrail/internal/worker"
 )
 
-// Hear keeps a leader's hints for the case that this node comes next.
-func (p *Pool) Hear(hs []Hint, to HintMark) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.term != nil || to.Gen < p.heardTo.Gen {
+// ReceiveHints keeps a leader's hints for the case that this node comes next.
+func (e *Elector) ReceiveHints(hs []Hint, to HintPosition) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if e.term != nil || to.Gen < e.hintsReceived.Gen {
 		return
 	}
-	if to.Whole || p.hints == nil {
-		p.hints = map[ids.Machine]Hint{}
+	if to.Whole || e.hints == nil {
+		e.hints = map[ids.Machine]Hint{}
 	}
 	for _, h := range hs {
 		h.since = time.Now().Add(-h.Held)
-		p.hints[h.Name] = h
+		e.hints[h.Name] = h
 	}
 	if to.Whole {
 		to.At = time.Now()
 	} else {
-		to.At = p.heardTo.At
+		to.At = e.hintsReceived.At
 	}
-	p.heardTo = to
+	e.hintsReceived = to
 }
 
-// Heard is what to ask a leader's hints from; all of them now and then, since
+// HintPosition is what to ask a leader's hints from; all of them now and then, since
 // machines that went away are not named.
-func (p *Pool) Heard() HintMark {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if time.Since(p.heardTo.At) > 20*time.Second {
-		return HintMark{}
+func (e *Elector) HintPosition() HintPosition {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if time.Since(e.hintsReceived.At) > 20*time.Second {
+		return HintPosition{}
 	}
-	return p.heardTo
+	return e.hintsReceived
 }
 
 // Hint is what a leader tells the others of a machine, so that the next leader
@@ -58,51 +58,51 @@
 	since time.Time // the same by this node's clock, once it was heard
 }
 
-// HintMark is how far in a leader's hints somebody is.
-type HintMark struct {
+// HintPosition is how far in a leader's hints somebody is.
+type HintPosition struct {
 	Gen   ids.Generation
 	Seq   uint64
 	Whole bool // the hints that come with it are all there are
 	At    time.Time
 }
 
-// hinted notes that what the others should know of a machine changed.
-func (b *ClusterState) hinted(m *worker.Machine) {
-	b.hintSeq++
-	m.HintSeq = b.hintSeq
+// markHintChanged notes that what the others should know of a machine changed.
+func (c *ClusterState) markHintChanged(machine *worker.Machine) {
+	c.hintSequence++
+	machine.HintSeq = c.hintSequence
 }
 
 // Hints lists the machines heard of which something changed since a mark, or
 // all if it is not this leader's.
-func (b *ClusterState) Hints(since HintMark) (out []Hint, to HintMark) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	to = HintMark{Gen: b.first, Seq: b.hintSeq, Whole: since.Gen != b.first}
+func (c *ClusterState) Hints(since HintPosition) (out []Hint, to HintPosition) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	to = HintPosition{Gen: c.firstGeneration, Seq: c.hintSequence, Whole: since.Gen != c.firstGeneration}
 	if to.Whole {
 		since.Seq = 0
 	}
-	for _, m := range b.roster.Machines {
-		if (m.Heard || m.Booting) && !m.Deleting && m.HintSeq > since.Seq {
-			out = append(out, Hint{m.Name, m.Addr, m.Type, m.Zone, m.Spot, m.Session, m.Images.Copy(), !m.Heard, time.Since(m.HeldSince), time.Time{}})
+	for _, machine := range c.machines.Machines {
+		if (machine.Heard || machine.Booting) && !machine.Deleting && machine.HintSeq > since.Seq {
+			out = append(out, Hint{machine.Name, machine.Addr, machine.Type, machine.Zone, machine.Spot, machine.Session, machine.Images.Copy(), !machine.Heard, time.Since(machine.HeldSince), time.Time{}})
 		}
 	}
 	return out, to
 }
 
-// Seed takes hints of an earlier leader.
-func (b *ClusterState) Seed(hs map[ids.Machine]Hint, now time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// ApplyHints takes hints of an earlier leader.
+func (c *ClusterState) ApplyHints(hs map[ids.Machine]Hint, now time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	for _, h := range hs {
-		m := b.roster.Ensure(h.Name, now, b.trustSilence)
-		if !m.Heard {
-			m.Addr, m.Type, m.Zone, m.Spot, m.Hinted = h.Addr, h.Type, h.Zone, h.Spot, h.Session
-			m.Images = h.Images
+		machine := c.machines.Ensure(h.Name, now, c.trustSilence)
+		if !machine.Heard {
+			machine.Addr, machine.Type, machine.Zone, machine.Spot, machine.Hinted = h.Addr, h.Type, h.Zone, h.Spot, h.Session
+			machine.Images = h.Images
 			if h.Coming {
-				m.Booting, m.HeldSince = true, h.since
+				machine.Booting, machine.HeldSince = true, h.since
 			}
 			for _, n := range h.Images.Names {
-				b.holders(n)[b.hostOf(h.Name)] = true
+				c.nodesWithImage(n)[c.ensureNode(h.Name)] = true
 			}
 		}
 	}
--- a/internal/claim/hosts.go
+++ b/internal/claim/hosts.go
@@ -10,108 +10,108 @@
 	"github.com/pebbletrail/pebbletrail/internal/worker"
 )
 
-// host is a machine with what is or may be on it. It is kept up to date as
+// Node is a machine with what is or may be on it. It is kept up to date as
 // places come and go, so that planning costs what changed and not the fleet.
-type host struct {
-	name   ids.Machine
-	places map[*Place]bool
-	used   placement.Room
-	turn   placement.Room   // the part that ends by itself or may be displaced
-	stay   int              // tasks that run until they are cancelled
-	pulls  map[string]*pull // images that its tasks still wait for
-	shelf  *shelf
-	at     int // index in the shelf's open list; -1 while it is full
+type Node struct {
+	name        ids.Machine
+	assignments map[*Assignment]bool
+	used        placement.Room
+	reclaimable placement.Room        // the part that ends by itself or may be displaced
+	replicas    int                   // tasks that run until they are cancelled
+	imagePulls  map[string]*ImagePull // images that its tasks still wait for
+	class       *ClassIndex
+	position    int // index in the shelf's open list; -1 while it is full
 }
 
-// pull is an image being fetched for some tasks of a machine.
-type pull struct {
-	tasks int
-	top   record.Priority // the highest that waits for it
+// ImagePull is an image being fetched for some tasks of a machine.
+type ImagePull struct {
+	tasks       int
+	topPriority record.Priority // the highest that waits for it
 }
 
-// kind is what all machines of a shelf have in common.
-type kind struct {
-	label, zone string
-	spot        bool
+// InstanceClass is what all machines of a shelf have in common.
+type InstanceClass struct {
+	machineType, zone string
+	spot              bool
 }
 
-// shelf lists the machines of one kind that have room left.
-type shelf struct {
-	kind
-	t    *placement.Type
-	open []*host
+// ClassIndex lists the machines of one kind that have room left.
+type ClassIndex struct {
+	InstanceClass
+	offer    *placement.Type
+	withRoom []*Node
 }
 
-// hostOf finds or adds a machine's entry.
-func (b *ClusterState) hostOf(name ids.Machine) *host {
-	h := b.hosts[name]
-	if h == nil {
-		h = &host{name: name, places: map[*Place]bool{}, pulls: map[string]*pull{}, at: -1}
-		b.hosts[name] = h
+// ensureNode finds or adds a machine's entry.
+func (c *ClusterState) ensureNode(name ids.Machine) *Node {
+	node := c.nodes[name]
+	if node == nil {
+		node = &Node{name: name, assignments: map[*Assignment]bool{}, imagePulls: map[string]*ImagePull{}, position: -1}
+		c.nodes[name] = node
 	}
-	return h
+	return node
 }
 
-// placesOn is what is or may be on a machine.
-func (b *ClusterState) placesOn(name ids.Machine) map[*Place]bool {
-	if h := b.hosts[name]; h != nil {
-		return h.places
+// assignmentsOn is what is or may be on a machine.
+func (c *ClusterState) assignmentsOn(name ids.Machine) map[*Assignment]bool {
+	if node := c.nodes[name]; node != nil {
+		return node.assignments
 	}
 	return nil
 }
 
-// usedOn is the room taken on a machine.
-func (b *ClusterState) usedOn(name ids.Machine) placement.Room {
-	if h := b.hosts[name]; h != nil {
-		return h.used
+// allocatedOn is the room taken on a machine.
+func (c *ClusterState) allocatedOn(name ids.Machine) placement.Room {
+	if node := c.nodes[name]; node != nil {
+		return node.used
 	}
 	return placement.Room{}
 }
 
-// shelve puts a machine where placement looks for it, or takes it away when it
+// reindex puts a machine where placement looks for it, or takes it away when it
 // is full, of no known kind, or gone.
-func (b *ClusterState) shelve(h *host) {
-	m := b.roster.Machines[h.name]
-	var s *shelf
-	if m != nil && m.Heard && !m.Deleting {
-		k := kind{m.Type, m.Zone, m.Spot}
-		if s = b.shelves[k]; s == nil && b.types[m.Type] != nil {
-			s = &shelf{kind: k, t: b.types[m.Type]}
-			b.shelves[k] = s
-			b.shelfOrder = append(b.shelfOrder, s)
-			slices.SortFunc(b.shelfOrder, func(x, y *shelf) int { return x.compare(y) })
+func (c *ClusterState) reindex(node *Node) {
+	machine := c.machines.Machines[node.name]
+	var class *ClassIndex
+	if machine != nil && machine.Heard && !machine.Deleting {
+		k := InstanceClass{machine.Type, machine.Zone, machine.Spot}
+		if class = c.classes[k]; class == nil && c.types[machine.Type] != nil {
+			class = &ClassIndex{InstanceClass: k, offer: c.types[machine.Type]}
+			c.classes[k] = class
+			c.classOrder = append(c.classOrder, class)
+			slices.SortFunc(c.classOrder, func(x, y *ClassIndex) int { return x.compare(y) })
 		}
 	}
-	if s != nil {
-		free := s.t.Room().Minus(h.used)
+	if class != nil {
+		free := class.offer.Room().Minus(node.used)
 		if free.Cores < 1e-6 || free.RAM < 1e-6 {
-			s = nil
+			class = nil
 		}
 	}
-	if s == h.shelf {
+	if class == node.class {
 		return
 	}
-	if old := h.shelf; old != nil {
-		last := len(old.open) - 1
-		old.open[h.at] = old.open[last]
-		old.open[h.at].at = h.at
-		old.open = old.open[:last]
+	if old := node.class; old != nil {
+		last := len(old.withRoom) - 1
+		old.withRoom[node.position] = old.withRoom[last]
+		old.withRoom[node.position].position = node.position
+		old.withRoom = old.withRoom[:last]
 	}
-	if h.shelf, h.at = s, -1; s != nil {
-		h.at = len(s.open)
-		s.open = append(s.open, h)
+	if node.class, node.position = class, -1; class != nil {
+		node.position = len(class.withRoom)
+		class.withRoom = append(class.withRoom, node)
 	}
 }
 
-func (s *shelf) compare(o *shelf) int {
+func (c *ClassIndex) compare(o *ClassIndex) int {
 	switch {
-	case s.label != o.label:
-		return cmpString(s.label, o.label)
-	case s.zone != o.zone:
-		return cmpString(s.zone, o.zone)
-	case s.spot == o.spot:
+	case c.machineType != o.machineType:
+		return cmpString(c.machineType, o.machineType)
+	case c.zone != o.zone:
+		return cmpString(c.zone, o.zone)
+	case c.spot == o.spot:
 		return 0
-	case s.spot:
+	case c.spot:
 		return 1
 	}
 	return -1
@@ -124,146 +124,146 @@
 	return 1
 }
 
-// free is the room left on a shelved machine.
-func (h *host) free() placement.Room { return h.shelf.t.Room().Minus(h.used) }
+// freeCapacity is the room left on a shelved machine.
+func (node *Node) freeCapacity() placement.Room { return node.class.offer.Room().Minus(node.used) }
 
-// put and drop keep a machine's sums.
-func (b *ClusterState) put(h *host, p *Place) {
-	h.places[p] = true
-	h.used = h.used.Plus(p.Job.Rec.Spec.Need)
-	if p.Job.Rec.Spec.Shape != record.Service {
-		h.turn = h.turn.Plus(p.Job.Rec.Spec.Need)
+// allocate and drop keep a machine's sums.
+func (c *ClusterState) allocate(node *Node, assignment *Assignment) {
+	node.assignments[assignment] = true
+	node.used = node.used.Plus(assignment.Job.Record.Spec.Need)
+	if assignment.Job.Record.Spec.Shape != record.Service {
+		node.reclaimable = node.reclaimable.Plus(assignment.Job.Record.Spec.Need)
 	} else {
-		h.stay++
+		node.replicas++
 	}
-	b.awaits(h, p)
-	b.shelve(h)
+	c.beginImagePull(node, assignment)
+	c.reindex(node)
 }
 
-func (b *ClusterState) drop(h *host, p *Place) {
-	if !h.places[p] {
+func (c *ClusterState) release(node *Node, assignment *Assignment) {
+	if !node.assignments[assignment] {
 		return
 	}
-	b.arrived(h, p)
-	delete(h.places, p)
-	h.used = h.used.Minus(p.Job.Rec.Spec.Need)
-	if p.Job.Rec.Spec.Shape != record.Service {
-		h.turn = h.turn.Minus(p.Job.Rec.Spec.Need)
+	c.endImagePull(node, assignment)
+	delete(node.assignments, assignment)
+	node.used = node.used.Minus(assignment.Job.Record.Spec.Need)
+	if assignment.Job.Record.Spec.Shape != record.Service {
+		node.reclaimable = node.reclaimable.Minus(assignment.Job.Record.Spec.Need)
 	} else {
-		h.stay--
+		node.replicas--
 	}
-	if len(h.places) == 0 {
-		h.used, h.turn = placement.Room{}, placement.Room{} // no dust of rounding stays behind
+	if len(node.assignments) == 0 {
+		node.used, node.reclaimable = placement.Room{}, placement.Room{} // no dust of rounding stays behind
 	}
-	b.shelve(h)
+	c.reindex(node)
 }
 
-// awaits notes that a task waits for its image on a machine, and arrived that
+// beginImagePull notes that a task waits for its image on a machine, and arrived that
 // it no longer does.
-func (b *ClusterState) awaits(h *host, p *Place) {
-	if p.awaiting || p.seen && p.status != worker.Pulling {
+func (c *ClusterState) beginImagePull(node *Node, assignment *Assignment) {
+	if assignment.AwaitsImage || assignment.Confirmed && assignment.Status != worker.Pulling {
 		return
 	}
-	p.awaiting = true
-	s := &p.Job.Rec.Spec
-	u := h.pulls[s.Image]
-	if u == nil {
-		u = &pull{}
-		h.pulls[s.Image] = u
-		b.holders(s.Image)[h] = true
+	assignment.AwaitsImage = true
+	spec := &assignment.Job.Record.Spec
+	pull := node.imagePulls[spec.Image]
+	if pull == nil {
+		pull = &ImagePull{}
+		node.imagePulls[spec.Image] = pull
+		c.nodesWithImage(spec.Image)[node] = true
 	}
-	u.tasks++
-	u.top = max(u.top, p.Job.priority())
+	pull.tasks++
+	pull.topPriority = max(pull.topPriority, assignment.Job.EffectivePriority())
 }
 
-func (b *ClusterState) arrived(h *host, p *Place) {
-	if !p.awaiting {
+func (c *ClusterState) endImagePull(node *Node, assignment *Assignment) {
+	if !assignment.AwaitsImage {
 		return
 	}
-	p.awaiting = false
-	img := p.Job.Rec.Spec.Image
-	if u := h.pulls[img]; u != nil {
-		if u.tasks--; u.tasks <= 0 {
-			delete(h.pulls, img)
-			b.keepHolder(h, img)
+	assignment.AwaitsImage = false
+	img := assignment.Job.Record.Spec.Image
+	if pull := node.imagePulls[img]; pull != nil {
+		if pull.tasks--; pull.tasks <= 0 {
+			delete(node.imagePulls, img)
+			c.reviewImageHolder(node, img)
 		}
 	}
 }
 
-// holders is the machines that hold an image or fetch it.
-func (b *ClusterState) holders(image string) map[*host]bool {
-	hs := b.byImage[image]
+// nodesWithImage is the machines that hold an image or fetch it.
+func (c *ClusterState) nodesWithImage(image string) map[*Node]bool {
+	hs := c.byImage[image]
 	if hs == nil {
-		hs = map[*host]bool{}
-		b.byImage[image] = hs
+		hs = map[*Node]bool{}
+		c.byImage[image] = hs
 	}
 	return hs
 }
 
-// keepHolder drops a machine from an image's holders if it is none any more.
-func (b *ClusterState) keepHolder(h *host, image string) {
-	m := b.roster.Machines[h.name]
-	if h.pulls[image] != nil || m != nil && m.Images.Has(image) {
+// reviewImageHolder drops a machine from an image's holders if it is none any more.
+func (c *ClusterState) reviewImageHolder(node *Node, image string) {
+	machine := c.machines.Machines[node.name]
+	if node.imagePulls[image] != nil || machine != nil && machine.Images.Has(image) {
 		return
 	}
-	delete(b.byImage[image], h)
-	if len(b.byImage[image]) == 0 {
-		delete(b.byImage, image)
+	delete(c.byImage[image], node)
+	if len(c.byImage[image]) == 0 {
+		delete(c.byImage, image)
 	}
 }
 
-// holdsNow notes that a machine has an image, which may push others out.
-func (b *ClusterState) holdsNow(h *host, m *worker.Machine, image string, gb, cache float64) {
-	old := m.Images.Names
-	m.Images.Use(image, gb, cache)
-	b.holders(image)[h] = true
+// imageArrived notes that a machine has an image, which may push others out.
+func (c *ClusterState) imageArrived(node *Node, machine *worker.Machine, image string, gb, cache float64) {
+	old := machine.Images.Names
+	machine.Images.Use(image, gb, cache)
+	c.nodesWithImage(image)[node] = true
 	for _, n := range old {
-		if !m.Images.Has(n) {
-			b.keepHolder(h, n)
+		if !machine.Images.Has(n) {
+			c.reviewImageHolder(node, n)
 		}
 	}
 }
 
-// cast takes a machine out of every index: it is gone.
-func (b *ClusterState) cast(name ids.Machine) {
-	h, m := b.hosts[name], b.roster.Machines[name]
+// removeMachine takes a machine out of every index: it is gone.
+func (c *ClusterState) removeMachine(name ids.Machine) {
+	node, machine := c.nodes[name], c.machines.Machines[name]
 	// One never heard, with nothing on it, has no entry here, but is gone as well:
 	// else its deletion is asked for again and again.
-	b.roster.Remove(name)
-	if h == nil {
+	c.machines.Remove(name)
+	if node == nil {
 		return
 	}
-	if m != nil {
-		for _, n := range m.Images.Names {
-			b.keepHolder(h, n)
+	if machine != nil {
+		for _, n := range machine.Images.Names {
+			c.reviewImageHolder(node, n)
 		}
 	}
-	b.shelve(h)
-	delete(b.hosts, name)
-	delete(b.due, h)
+	c.reindex(node)
+	delete(c.nodes, name)
+	delete(c.pendingCommands, node)
 }
 
-// sight is how placement sees a machine for an ask of a job.
-func (b *ClusterState) sight(h *host, m *worker.Machine, j *Job, r *retry, now time.Time) placement.Machine {
-	s := &j.Rec.Spec
-	p := placement.Machine{Name: h.name, Type: h.shelf.t, Zone: m.Zone, Spot: m.Spot, Going: m.Going, Free: h.free(), Pulls: len(h.pulls)}
-	p.Holds = m.Images.Has(s.Image)
-	p.Warm = p.Holds || h.pulls[s.Image] != nil
-	for img, u := range h.pulls {
-		if u.top >= record.High && u.top > j.priority() && !m.Images.Has(img) {
+// placementView is how placement sees a machine for an ask of a job.
+func (c *ClusterState) placementView(node *Node, machine *worker.Machine, job *Job, retry *Retry, now time.Time) placement.Machine {
+	spec := &job.Record.Spec
+	p := placement.Machine{Name: node.name, Type: node.class.offer, Zone: machine.Zone, Spot: machine.Spot, Going: machine.Going, Free: node.freeCapacity(), Pulls: len(node.imagePulls)}
+	p.Holds = machine.Images.Has(spec.Image)
+	p.Warm = p.Holds || node.imagePulls[spec.Image] != nil
+	for img, pull := range node.imagePulls {
+		if pull.topPriority >= record.High && pull.topPriority > job.EffectivePriority() && !machine.Images.Has(img) {
 			p.Hush = true
 		}
-		if m.Images.Has(img) {
+		if machine.Images.Has(img) {
 			p.Pulls--
 		}
 	}
-	p.Held = b.heldFor(&p, j, now)
-	p.Avoid = r != nil && r.avoid[h.name]
+	p.Held = c.reservedForOther(&p, job, now)
+	p.Avoid = retry != nil && retry.Avoid[node.name]
 	return p
 }
 
-// usable tells whether new tasks may go to a machine now.
-func (b *ClusterState) usable(h *host, now time.Time) (*worker.Machine, bool) {
-	m := b.roster.Machines[h.name]
-	return m, m != nil && h.shelf != nil && m.Usable(now, b.set.Params.Workers.ReportS)
+// usableMachine tells whether new tasks may go to a machine now.
+func (c *ClusterState) usableMachine(node *Node, now time.Time) (*worker.Machine, bool) {
+	machine := c.machines.Machines[node.name]
+	return machine, machine != nil && node.class != nil && machine.Usable(now, c.settings.Params.Workers.ReportS)
 }
--- a/internal/claim/lapses.go
+++ b/internal/claim/lapses.go
@@ -7,77 +7,77 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-// vanish requeues a task proven not to be on its machine any more.
-func (b *ClusterState) vanish(p *Place, why string) {
-	j := p.Job
-	if m := b.roster.Machines[p.Machine]; m != nil {
+// markLost requeues a task proven not to be on its machine any more.
+func (c *ClusterState) markLost(assignment *Assignment, why string) {
+	job := assignment.Job
+	if machine := c.machines.Machines[assignment.Machine]; machine != nil {
 		// By what evidence, should it turn out to be wrong.
-		slog.Info("task gone", "task", p.Task(), "machine", p.Machine, "why", why, "attempt", p.Attempt, "token", p.Token, "session", p.Session,
-			"seen", p.seen, "heard", m.Heard, "reportToken", m.Token, "reportSession", m.Session, "reportTick", m.Tick)
+		slog.Info("task gone", "task", assignment.Task(), "machine", assignment.Machine, "why", why, "attempt", assignment.Attempt, "token", assignment.FencingToken, "session", assignment.Incarnation,
+			"seen", assignment.Confirmed, "heard", machine.Heard, "reportToken", machine.Token, "reportSession", machine.Session, "reportTick", machine.Tick)
 	}
-	if !j.ended {
-		b.noteGone(p, why)
+	if !job.Ended {
+		c.recordLoss(assignment, why)
 	}
-	b.dropPlace(p)
-	if j.ended {
+	c.removeAssignment(assignment)
+	if job.Ended {
 		return
 	}
-	if !j.cancelled() {
-		b.redo(p, "machine lost", time.Now())
+	if !job.Cancelled() {
+		c.recordRepeatedWork(assignment, "machine lost", time.Now())
 	}
-	b.touch(j)
+	c.markChanged(job)
 	// The evidence may be the cloud's word to this process alone: stored late,
 	// a successor would have to wait for it anew before it starts the task.
-	b.hurry(j)
-	b.finishIfOver(j)
+	c.markUrgent(job)
+	c.finishIfComplete(job)
 }
 
-// Lapses requeues what was on machines whose workers' leases have surely run
+// ExpireLeases requeues what was on machines whose workers' leases have surely run
 // out, and returns whether anything did.
-func (b *ClusterState) Lapses(now time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if now.Sub(b.lapsed) < 200*time.Millisecond {
+func (c *ClusterState) ExpireLeases(now time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if now.Sub(c.leasesCheckedAt) < 200*time.Millisecond {
 		return
 	}
-	b.lapsed = now
-	b.size.Store(int64(len(b.roster.Machines)))
-	for name, h := range b.hosts {
-		if len(h.places) == 0 {
+	c.leasesCheckedAt = now
+	c.machineCount.Store(int64(len(c.machines.Machines)))
+	for name, node := range c.nodes {
+		if len(node.assignments) == 0 {
 			continue
 		}
-		m := b.roster.Ensure(name, now, b.trustSilence)
-		if now.Before(m.LapseAt) {
+		machine := c.machines.Ensure(name, now, c.trustSilence)
+		if now.Before(machine.LapseAt) {
 			continue
 		}
-		for p := range h.places {
+		for assignment := range node.assignments {
 			// A start sent after the last answer belongs to the same lapsed
 			// session, which turns it away from here on.
-			b.vanish(p, "silent until its worker's lease had surely lapsed")
+			c.markLost(assignment, "silent until its worker's lease had surely lapsed")
 		}
 	}
 }
 
-// MachineGone requeues everything on a machine that the cloud has confirmed
+// MachineTerminated requeues everything on a machine that the cloud has confirmed
 // deleted, and forgets it.
-func (b *ClusterState) MachineGone(name ids.Machine) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (c *ClusterState) MachineTerminated(name ids.Machine) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	why := "its machine was returned to the cloud"
-	if m := b.roster.Machines[name]; m != nil && m.ReturnWhy != "" {
-		why += ": " + m.ReturnWhy
-		if b.keptByRollout(name) {
-			b.disruption.lost[name] = m.ReturnWhy
+	if machine := c.machines.Machines[name]; machine != nil && machine.ReturnWhy != "" {
+		why += ": " + machine.ReturnWhy
+		if c.keptByRollout(name) {
+			c.drains.lostReplacements[name] = machine.ReturnWhy
 		}
 	}
-	for p := range b.placesOn(name) {
-		b.vanish(p, why)
+	for assignment := range c.assignmentsOn(name) {
+		c.markLost(assignment, why)
 	}
-	b.cast(name)
-	if len(b.returned) > 20000 {
-		clear(b.returned) // late news of machines that old is not expected
+	c.removeMachine(name)
+	if len(c.terminated) > 20000 {
+		clear(c.terminated) // late news of machines that old is not expected
 	}
-	b.returned[name] = true
-	delete(b.reserved, name)
-	poke(b.wakePlan)
+	c.terminated[name] = true
+	delete(c.reservations, name)
+	signal(c.planSignal)
 }
--- a/internal/claim/layout.go
+++ b/internal/claim/layout.go
@@ -33,11 +33,11 @@
 	ErrJobsStored = errors.New("the number of shards can't change while the store has jobs or a leader")
 )
 
-// layOut makes sure that the store is laid out for this many shards before any is led. It is
+// ensureLayout makes sure that the store is laid out for this many shards before any is led. It is
 // false if the store can't be used, which Refuse is told.
-func (s *Shards) layOut(ctx context.Context) bool {
+func (s *Shards) ensureLayout(ctx context.Context) bool {
 	for ctx.Err() == nil {
-		err := s.tryLayOut(ctx)
+		err := s.tryLayout(ctx)
 		if err == nil {
 			return true
 		}
@@ -45,12 +45,12 @@
 			s.Refuse(err)
 			return false
 		}
-		wait(ctx, 200*time.Millisecond)
+		sleep(ctx, 200*time.Millisecond)
 	}
 	return false
 }
 
-func (s *Shards) tryLayOut(ctx context.Context) error {
+func (s *Shards) tryLayout(ctx context.Context) error {
 	// Read before the layout: once that is there, jobs and leaders are as they should be.
 	jobs, _, _, err := s.state.List(ctx, record.JobPrefix, "", 1, state.Urgent)
 	if err != nil {
@@ -105,12 +105,12 @@
 // the pool's keys, which costs no call.
 func (s *Shards) checkSingleLayout(ctx context.Context) {
 	for ctx.Err() == nil {
-		if entry, found, ready := s.copies.pool.Get(layoutKey); found {
+		if entry, found, ready := s.mirrors.pool.Get(layoutKey); found {
 			s.Refuse(s.sameLayout(entry.Value))
 			return
 		} else if ready {
 			return // one shard it is; nobody lays the store out anew while it has a leader
 		}
-		wait(ctx, 100*time.Millisecond)
+		sleep(ctx, 100*time.Millisecond)
 	}
 }
--- a/internal/claim/listed.go
+++ b/internal/claim/listed.go
@@ -11,21 +11,21 @@
 	"github.com/pebbletrail/pebbletrail/internal/worker"
 )
 
-// Hired notes machines just rented.
-func (b *ClusterState) Hired(names []ids.Machine, h placement.Hire, now time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// MachinesRented notes machines just rented.
+func (c *ClusterState) MachinesRented(names []ids.Machine, h placement.Hire, now time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	for _, n := range names {
-		m := b.roster.Ensure(n, now, b.trustSilence)
-		if !m.Heard {
-			m.Type, m.Zone, m.Spot, m.Booting = h.Type, h.Zone, h.Spot, true
-			b.hinted(m)
+		machine := c.machines.Ensure(n, now, c.trustSilence)
+		if !machine.Heard {
+			machine.Type, machine.Zone, machine.Spot, machine.Booting = h.Type, h.Zone, h.Spot, true
+			c.markHintChanged(machine)
 		}
 	}
 }
 
-// Listed is one machine of the cloud's list.
-type Listed struct {
+// ListedMachine is one machine of the cloud's list.
+type ListedMachine struct {
 	Name   ids.Machine `json:"uid"`
 	Addr   string      `json:"endpoint"`
 	Type   string      `json:"build"`
@@ -35,89 +35,89 @@
 	Held   ids.Seconds `json:"heldS"`
 }
 
-// List takes in the cloud's list. It lags, so that absence proves nothing and
+// ReconcileCloudList takes in the cloud's list. It lags, so that absence proves nothing and
 // only what it says outright counts.
-func (b *ClusterState) List(ls []Listed, now time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (c *ClusterState) ReconcileCloudList(ls []ListedMachine, now time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	for i := range ls {
-		l := &ls[i]
-		if b.returned[l.Name] {
+		listed := &ls[i]
+		if c.terminated[listed.Name] {
 			continue // the list is older than its deletion
 		}
-		m := b.roster.Ensure(l.Name, now, b.trustSilence)
-		m.ListedAt = now
-		if !m.Heard {
-			m.Type, m.Zone, m.Spot, m.Addr = l.Type, l.Zone, l.Spot, l.Addr
-			m.Booting = l.Status == "booting"
+		machine := c.machines.Ensure(listed.Name, now, c.trustSilence)
+		machine.ListedAt = now
+		if !machine.Heard {
+			machine.Type, machine.Zone, machine.Spot, machine.Addr = listed.Type, listed.Zone, listed.Spot, listed.Addr
+			machine.Booting = listed.Status == "booting"
 		}
 		// The list describes a moment before now: the earliest is nearest.
-		if at := now.Add(-l.Held.Duration()); at.Before(m.HeldSince) {
-			m.HeldSince = at
+		if at := now.Add(-listed.Held.Duration()); at.Before(machine.HeldSince) {
+			machine.HeldSince = at
 		}
-		m.Failed = m.Failed || l.Status == "failed"
+		machine.Failed = machine.Failed || listed.Status == "failed"
 	}
 }
 
-// ListRead notes that the cloud's list was read to its end, and when that reading began.
-func (b *ClusterState) ListRead(began time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.listBegan = began
+// CloudListRead notes that the cloud's list was read to its end, and when that reading began.
+func (c *ClusterState) CloudListRead(began time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.listReadBegan = began
 }
 
-// unlisted tells whether the cloud surely knows a machine no more: a machine stays listed
+// missingFromCloud tells whether the cloud surely knows a machine no more: a machine stays listed
 // until it is gone, and a list lags by twice its nominal lag at most.
-func (b *ClusterState) unlisted(m *worker.Machine) bool {
-	lag := 3 * b.set.Params.Cloud.ListLagS.Duration()
-	return !m.Heard && b.listBegan.Sub(m.Born) > lag && m.ListedAt.Before(b.listBegan) && b.listBegan.Sub(m.ListedAt) > lag
+func (c *ClusterState) missingFromCloud(machine *worker.Machine) bool {
+	lag := 3 * c.settings.Params.Cloud.ListLagS.Duration()
+	return !machine.Heard && c.listReadBegan.Sub(machine.Born) > lag && machine.ListedAt.Before(c.listReadBegan) && c.listReadBegan.Sub(machine.ListedAt) > lag
 }
 
-// Emptiable is a machine whose few services others might take over.
-type Emptiable struct {
+// ConsolidationCandidate is a machine whose few services others might take over.
+type ConsolidationCandidate struct {
 	Name  ids.Machine
 	Needs []placement.Demand
 }
 
 // settled is how long a replica must have run before it is moved: a start that
 // is soon undone is worth nothing.
-const settledFor = 40 * time.Second
+const minRelocatableAge = 40 * time.Second
 
-// Emptiables lists machines that only services hold, least used for their
+// ConsolidationCandidates lists machines that only services hold, least used for their
 // price first; none while one is being emptied.
-func (b *ClusterState) Emptiables(now time.Time) []Emptiable {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if m := b.roster.Machines[b.emptying]; m != nil && now.Sub(b.emptyingAt) < time.Minute {
+func (c *ClusterState) ConsolidationCandidates(now time.Time) []ConsolidationCandidate {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if machine := c.machines.Machines[c.consolidating]; machine != nil && now.Sub(c.consolidatingSince) < time.Minute {
 		return nil
 	}
-	b.emptying = ""
-	if b.disruption != nil && (b.disruption.orders == nil || len(b.disruption.orders.Machines) > 0) {
+	c.consolidating = ""
+	if c.drains != nil && (c.drains.orders == nil || len(c.drains.orders.Machines) > 0) {
 		return nil // one reason at a time to move replicas that nobody has to move
 	}
-	var out []Emptiable
+	var out []ConsolidationCandidate
 	worth := map[ids.Machine]float64{}
 next:
-	for name, h := range b.hosts {
-		if len(h.places) == 0 {
+	for name, node := range c.nodes {
+		if len(node.assignments) == 0 {
 			continue
 		}
-		ps := h.places
-		m := b.roster.Machines[name]
-		if m == nil || b.types[m.Type] == nil || !m.Usable(now, b.set.Params.Workers.ReportS) || now.Sub(m.HeldSince) < time.Minute || m.Going {
+		ps := node.assignments
+		machine := c.machines.Machines[name]
+		if machine == nil || c.types[machine.Type] == nil || !machine.Usable(now, c.settings.Params.Workers.ReportS) || now.Sub(machine.HeldSince) < time.Minute || machine.Going {
 			continue
 		}
-		t := b.types[m.Type]
-		e := Emptiable{Name: name}
-		for p := range ps {
-			if p.Job.Rec.Spec.Shape != record.Service || p.stopping || p.status != worker.Running || now.Sub(p.ranSince) < settledFor || p.Job.Rec.Spec.Need.Accels > 0 {
+		machineType := c.types[machine.Type]
+		e := ConsolidationCandidate{Name: name}
+		for assignment := range ps {
+			if assignment.Job.Record.Spec.Shape != record.Service || assignment.Stopping || assignment.Status != worker.Running || now.Sub(assignment.RunningSince) < minRelocatableAge || assignment.Job.Record.Spec.Need.Accels > 0 {
 				continue next
 			}
-			ask := p.Job.Rec.Spec.Ask()
-			ask.Zone = m.Zone
-			e.Needs = append(e.Needs, placement.Demand{Ask: ask, Count: 1, Keep: true})
+			request := assignment.Job.Record.Spec.Ask()
+			request.Zone = machine.Zone
+			e.Needs = append(e.Needs, placement.Demand{Ask: request, Count: 1, Keep: true})
 		}
-		worth[name] = b.usedOn(name).Cores / t.PriceOf(m.Spot)
+		worth[name] = c.allocatedOn(name).Cores / machineType.PriceOf(machine.Spot)
 		out = append(out, e)
 	}
 	sort.Slice(out, func(x, y int) bool {
@@ -129,19 +129,19 @@
 	return out[:min(len(out), 6)]
 }
 
-// Empty begins to move a machine's services elsewhere, or with no name gives
+// Consolidate begins to move a machine's services elsewhere, or with no name gives
 // that up; it tells whether there was something to give up.
-func (b *ClusterState) Empty(name ids.Machine, now time.Time) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	was := b.emptying
-	b.emptying, b.emptyingAt = name, now
+func (c *ClusterState) Consolidate(name ids.Machine, now time.Time) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	was := c.consolidating
+	c.consolidating, c.consolidatingSince = name, now
 	if name != "" {
 		slog.Info("machine is being emptied", "machine", name)
-		if m := b.roster.Machines[name]; m != nil {
-			m.Going = true
-			b.leaving[name] = true
+		if machine := c.machines.Machines[name]; machine != nil {
+			machine.Going = true
+			c.leaving[name] = true
 		}
 	}
-	return was != "" && b.roster.Machines[was] != nil
+	return was != "" && c.machines.Machines[was] != nil
 }
