--- a/internal/claim/needs.go
+++ b/internal/claim/needs.go
@@ -13,194 +13,194 @@
 	"github.com/pebbletrail/pebbletrail/internal/record"
 )
 
-// warmth remembers how much a class of jobs used lately, so that room is kept
+// classUsage remembers how much a class of jobs used lately, so that room is kept
 // for work that must start sooner than a machine boots.
-type warmth struct {
-	ask      placement.Ask
-	spread   bool
-	critical bool
-	shape    record.Shape
-	want     []int // tasks wanted at once, one sample a second
-	ran      []int // tasks placed at once
-	now      int
-	busy     int
+type classUsage struct {
+	request    placement.Ask
+	spread     bool
+	critical   bool
+	shape      record.Shape
+	wanted     []int // tasks wanted at once, one sample a second
+	running    []int // tasks placed at once
+	wantedNow  int
+	runningNow int
 }
 
-const warmWindow = 120
+const usageWindow = 120
 
-// sample notes once a second how much each class wants.
-func (b *ClusterState) sample(now time.Time) {
-	if !b.sampled.IsZero() && now.Sub(b.sampled) < time.Second {
+// sampleUsage notes once a second how much each class wants.
+func (c *ClusterState) sampleUsage(now time.Time) {
+	if !c.usageSampledAt.IsZero() && now.Sub(c.usageSampledAt) < time.Second {
 		return
 	}
-	b.sampled = now
-	b.account(now)
-	for _, w := range b.warm {
-		w.now, w.busy = 0, 0
-	}
-	for _, j := range b.jobs {
-		s := &j.Rec.Spec
-		w := b.warm[s.Class]
-		if w == nil {
-			w = &warmth{}
-			b.warm[s.Class] = w
+	c.usageSampledAt = now
+	c.accrueCosts(now)
+	for _, usage := range c.usage {
+		usage.wantedNow, usage.runningNow = 0, 0
+	}
+	for _, job := range c.jobs {
+		spec := &job.Record.Spec
+		usage := c.usage[spec.Class]
+		if usage == nil {
+			usage = &classUsage{}
+			c.usage[spec.Class] = usage
 		}
-		w.ask, w.spread, w.critical, w.shape = s.Ask(), s.Spread, s.Priority == record.Critical, s.Shape
-		w.ask.Types, w.ask.Zone = s.Types, ""
-		w.busy += len(j.places)
-		if j.claimable() && !j.failing() {
-			n := j.left()
-			if s.Shape == record.Array {
-				n = min(n, len(j.places)+b.quotaFor(s, n))
+		usage.request, usage.spread, usage.critical, usage.shape = spec.Ask(), spec.Spread, spec.Priority == record.Critical, spec.Shape
+		usage.request.Types, usage.request.Zone = spec.Types, ""
+		usage.runningNow += len(job.Assignments)
+		if job.Schedulable() && !job.Failing() {
+			n := job.Unfinished()
+			if spec.Shape == record.Array {
+				n = min(n, len(job.Assignments)+c.quotaLeft(spec, n))
 			}
-			w.now += n
+			usage.wantedNow += n
 		}
 	}
-	for class, w := range b.warm {
+	for class, usage := range c.usage {
 		// Users name the classes: one not seen for a window is forgotten.
-		if w.now == 0 && w.busy == 0 && len(w.ran) == warmWindow && !slices.ContainsFunc(w.ran, func(n int) bool { return n > 0 }) {
-			delete(b.warm, class)
+		if usage.wantedNow == 0 && usage.runningNow == 0 && len(usage.running) == usageWindow && !slices.ContainsFunc(usage.running, func(n int) bool { return n > 0 }) {
+			delete(c.usage, class)
 			continue
 		}
-		if w.want = append(w.want, w.now); len(w.want) > warmWindow {
-			w.want = w.want[1:]
+		if usage.wanted = append(usage.wanted, usage.wantedNow); len(usage.wanted) > usageWindow {
+			usage.wanted = usage.wanted[1:]
 		}
-		if w.ran = append(w.ran, w.busy); len(w.ran) > warmWindow {
-			w.ran = w.ran[1:]
+		if usage.running = append(usage.running, usage.runningNow); len(usage.running) > usageWindow {
+			usage.running = usage.running[1:]
 		}
 	}
 }
 
-// Needs is what the fleet should provide, most important first, and what is
+// CapacityDemands is what the fleet should provide, most important first, and what is
 // there.
-func (b *ClusterState) Needs(now time.Time) (ds []placement.Demand, ups []placement.Up, types []*placement.Type) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (c *ClusterState) CapacityDemands(now time.Time) (demands []placement.Demand, ups []placement.Up, types []*placement.Type) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	defer measure.Process.Took("weighing the fleet", time.Now())
-	for _, t := range b.types {
-		types = append(types, t)
+	for _, machineType := range c.types {
+		types = append(types, machineType)
 	}
 	sort.Slice(types, func(x, y int) bool { return types[x].Label < types[y].Label })
-	ds = append(b.demands(now), b.surgeDemands()...)
-	if !b.othersLack {
-		ds = append(ds, b.keeps()...)
-	}
-	late := b.latecomers(now)
-	for _, m := range b.roster.Sorted() {
-		t := b.types[m.Type]
-		if t == nil || m.Failed || m.Deleting || m.Draining != "" || !m.TakenAt.IsZero() {
+	demands = append(c.queueDemands(now), c.surgeDemands()...)
+	if !c.otherShardsShort {
+		demands = append(demands, c.headroomDemands()...)
+	}
+	late := c.replacedBoots(now)
+	for _, machine := range c.machines.Sorted() {
+		machineType := c.types[machine.Type]
+		if machineType == nil || machine.Failed || machine.Deleting || machine.Draining != "" || !machine.TakenAt.IsZero() {
 			continue
 		}
-		if m.Heard && !m.Usable(now, b.set.Params.Workers.ReportS) || m.Name == b.emptying {
+		if machine.Heard && !machine.Usable(now, c.settings.Params.Workers.ReportS) || machine.Name == c.consolidating {
 			continue
 		}
-		u := placement.Up{Name: m.Name, Type: t, Zone: m.Zone, Spot: m.Spot, Coming: !m.Heard, Late: late[m.Name], Free: t.Room(), Idle: m.Heard}
-		if h := b.hosts[m.Name]; h != nil {
-			u.Free, u.Turn, u.Idle = u.Free.Minus(h.used), h.turn, m.Heard && len(h.places) == 0
+		u := placement.Up{Name: machine.Name, Type: machineType, Zone: machine.Zone, Spot: machine.Spot, Coming: !machine.Heard, Late: late[machine.Name], Free: machineType.Room(), Idle: machine.Heard}
+		if node := c.nodes[machine.Name]; node != nil {
+			u.Free, u.Turn, u.Idle = u.Free.Minus(node.used), node.reclaimable, machine.Heard && len(node.assignments) == 0
 		}
 		ups = append(ups, u)
 	}
-	return ds, ups, types
+	return demands, ups, types
 }
 
-// horizon is the time within which queued work should get its turn; a queue
+// queueHorizon is the time within which queued work should get its turn; a queue
 // that the machines at hand work off sooner needs no new ones.
-func (b *ClusterState) horizon(j *Job) float64 {
-	if j.Rec.Spec.Shape == record.Gang {
+func (c *ClusterState) queueHorizon(job *Job) float64 {
+	if job.Record.Spec.Shape == record.Gang {
 		// A queued gang gains from a new machine only if the wait for a
 		// running one to end is longer than a boot and a fetch.
-		return b.fresh(&j.Rec.Spec)
+		return c.provisionSeconds(&job.Record.Spec)
 	}
-	if j.guaranteed || j.priority() >= record.High {
+	if job.Guaranteed || job.EffectivePriority() >= record.High {
 		return 10
 	}
-	s := &j.Rec.Spec
+	spec := &job.Record.Spec
 	due := math.Inf(1)
-	if s.Due > 0 {
-		due = float64(s.Due) - j.Rec.Awaited().Seconds()
+	if spec.Due > 0 {
+		due = float64(spec.Due) - job.Record.Awaited().Seconds()
 	}
-	if by := j.inherited.Deadline; !by.IsZero() {
+	if by := job.Inherited.Deadline; !by.IsZero() {
 		due = min(due, time.Until(by).Seconds())
 	}
-	for _, o := range b.set.Params.Objectives {
-		if o.Class == s.Class && o.Kind == "finished" {
+	for _, o := range c.settings.Params.Objectives {
+		if o.Class == spec.Class && o.Kind == "finished" {
 			due = min(due, float64(o.WithinS))
 		}
 	}
 	// A quarter of the slack: the rest is for arrivals in bunches and bad luck.
-	return max(10, min(60, (due-float64(s.Estimate))/4))
+	return max(10, min(60, (due-float64(spec.Estimate))/4))
 }
 
-// fetch is how long a task's image takes where it fits best.
-func (b *ClusterState) fetch(s *record.Spec) float64 {
+// imageFetchSeconds is how long a task's image takes where it fits best.
+func (c *ClusterState) imageFetchSeconds(spec *record.Spec) float64 {
 	best := 0.0
-	for _, t := range b.types {
-		if t.Room().Holds(s.Need) && (best == 0 || s.ImageGB/max(t.PullGBPerS, 0.01) < best) {
-			best = s.ImageGB / max(t.PullGBPerS, 0.01)
+	for _, machineType := range c.types {
+		if machineType.Room().Holds(spec.Need) && (best == 0 || spec.ImageGB/max(machineType.PullGBPerS, 0.01) < best) {
+			best = spec.ImageGB / max(machineType.PullGBPerS, 0.01)
 		}
 	}
 	return best
 }
 
-// fresh is how long a new machine for such tasks takes to be up with the image.
-func (b *ClusterState) fresh(s *record.Spec) float64 {
+// provisionSeconds is how long a new machine for such tasks takes to be up with the image.
+func (c *ClusterState) provisionSeconds(spec *record.Spec) float64 {
 	best := math.Inf(1)
-	for _, t := range b.types {
-		if t.Room().Holds(s.Need) {
-			best = min(best, b.bootTime(t).Seconds()+s.ImageGB/max(t.PullGBPerS, 0.01))
+	for _, machineType := range c.types {
+		if machineType.Room().Holds(spec.Need) {
+			best = min(best, c.bootTime(machineType).Seconds()+spec.ImageGB/max(machineType.PullGBPerS, 0.01))
 		}
 	}
 	return best
 }
 
-// want is how many machines' places a job's queued tasks call for, as a
+// unmetSlots is how many machines' places a job's queued tasks call for, as a
 // fraction of each, and the share of the room in use now that will be free for
 // them in time: that hangs on how long what runs there takes (runs, by class),
 // not only on how short the waiting job is.
-func (b *ClusterState) want(j *Job, runs map[string]float64, now time.Time) (slots, turn float64) {
-	s := &j.Rec.Spec
-	if j.failing() {
+func (c *ClusterState) unmetSlots(job *Job, runs map[string]float64, now time.Time) (slots, turn float64) {
+	spec := &job.Record.Spec
+	if job.Failing() {
 		return 0, 0
 	}
-	n := j.left() - len(j.places) - j.backingOff(now)
-	n = min(n, b.quotaFor(s, max(n, 0)))
+	n := job.Unfinished() - len(job.Assignments) - job.CountBackingOff(now)
+	n = min(n, c.quotaLeft(spec, max(n, 0)))
 	if n <= 0 {
 		return 0, 0
 	}
 	turn = 1
 	slots = float64(n)
-	if s.Estimate > 0 && (s.Shape == record.Array || s.Shape == record.Gang && s.Tasks == 1) {
-		takes := float64(s.Estimate)
-		if s.Shape == record.Gang {
-			takes += b.fetch(s) / 2 // about every second one has to fetch
+	if spec.Estimate > 0 && (spec.Shape == record.Array || spec.Shape == record.Gang && spec.Tasks == 1) {
+		takes := float64(spec.Estimate)
+		if spec.Shape == record.Gang {
+			takes += c.imageFetchSeconds(spec) / 2 // about every second one has to fetch
 		}
-		share := min(1, takes/b.horizon(j))
+		share := min(1, takes/c.queueHorizon(job))
 		slots *= share
 	}
-	if s.Estimate > 0 {
-		turn = min(1, b.horizon(j)/max(runs[s.Class], float64(s.Estimate)))
+	if spec.Estimate > 0 {
+		turn = min(1, c.queueHorizon(job)/max(runs[spec.Class], float64(spec.Estimate)))
 	}
 	return slots, turn
 }
 
-// running is the mean estimate of the tasks that each class has on machines.
-func (b *ClusterState) running() map[string]float64 {
+// meanEstimates is the mean estimate of the tasks that each class has on machines.
+func (c *ClusterState) meanEstimates() map[string]float64 {
 	sum, n := map[string]float64{}, map[string]float64{}
-	for _, j := range b.line {
-		if k := float64(len(j.places)); k > 0 {
-			sum[j.Rec.Spec.Class] += k * float64(j.Rec.Spec.Estimate)
-			n[j.Rec.Spec.Class] += k
+	for _, job := range c.queue {
+		if k := float64(len(job.Assignments)); k > 0 {
+			sum[job.Record.Spec.Class] += k * float64(job.Record.Spec.Estimate)
+			n[job.Record.Spec.Class] += k
 		}
 	}
-	for c := range sum {
-		sum[c] /= n[c]
+	for class := range sum {
+		sum[class] /= n[class]
 	}
 	return sum
 }
 
-// demands adds up what the jobs of a class want: rounding each job up would
+// queueDemands adds up what the jobs of a class want: rounding each job up would
 // rent a machine for every small one.
-func (b *ClusterState) demands(now time.Time) []placement.Demand {
+func (c *ClusterState) queueDemands(now time.Time) []placement.Demand {
 	type group struct {
 		class      string
 		guaranteed bool
@@ -211,88 +211,88 @@
 	}
 	sums := map[group]float64{}
 	at := map[group]int{}
-	var ds []placement.Demand
-	runs := b.running()
-	for _, j := range b.ranked(now) {
-		slots, turn := b.want(j, runs, now)
+	var demands []placement.Demand
+	runs := c.meanEstimates()
+	for _, job := range c.rankedJobs(now) {
+		slots, turn := c.unmetSlots(job, runs, now)
 		if slots <= 0 {
 			continue
 		}
-		s := &j.Rec.Spec
-		ask := s.Ask()
-		g := group{class: s.Class, guaranteed: j.guaranteed, need: s.Need, types: strings.Join(s.Types, ",")}
-		if s.OneZone && s.Tasks > 1 {
-			g.job = s.ID
-			for _, p := range j.places {
-				if m := b.roster.Machines[p.Machine]; m != nil && m.Zone != "" {
-					ask.Zone = m.Zone // where the rest is
+		spec := &job.Record.Spec
+		request := spec.Ask()
+		g := group{class: spec.Class, guaranteed: job.Guaranteed, need: spec.Need, types: strings.Join(spec.Types, ",")}
+		if spec.OneZone && spec.Tasks > 1 {
+			g.job = spec.ID
+			for _, assignment := range job.Assignments {
+				if machine := c.machines.Machines[assignment.Machine]; machine != nil && machine.Zone != "" {
+					request.Zone = machine.Zone // where the rest is
 				}
 			}
 		}
-		g.zone = ask.Zone
+		g.zone = request.Zone
 		if _, ok := at[g]; !ok {
-			at[g] = len(ds)
-			ds = append(ds, placement.Demand{Ask: ask, Spread: s.Spread, Together: g.job != "" && ask.Zone == "", Preempt: j.priority() >= record.High, TurnShare: turn})
+			at[g] = len(demands)
+			demands = append(demands, placement.Demand{Ask: request, Spread: spec.Spread, Together: g.job != "" && request.Zone == "", Preempt: job.EffectivePriority() >= record.High, TurnShare: turn})
 		}
 		sums[g] += slots
 	}
 	for g, i := range at {
-		ds[i].Count = int(math.Ceil(sums[g] - 0.01))
+		demands[i].Count = int(math.Ceil(sums[g] - 0.01))
 	}
-	return ds
+	return demands
 }
 
-// keeps is the room to hold free: some for critical work, and as much as they
+// headroomDemands is the room to hold free: some for critical work, and as much as they
 // lately wanted for classes that are to start sooner than a machine boots.
-func (b *ClusterState) keeps() []placement.Demand {
-	var ds []placement.Demand
-	classes := make([]string, 0, len(b.warm))
-	for c := range b.warm {
-		classes = append(classes, c)
+func (c *ClusterState) headroomDemands() []placement.Demand {
+	var demands []placement.Demand
+	classes := make([]string, 0, len(c.usage))
+	for class := range c.usage {
+		classes = append(classes, class)
 	}
 	sort.Strings(classes)
-	for _, c := range classes {
-		w := b.warm[c]
-		if w.critical {
-			n := max(1, int(math.Ceil(b.set.Own.SpareShare*float64(w.busy))))
-			ds = append(ds, placement.Demand{Ask: w.ask, Count: n, Spread: true, Keep: true, Preempt: true, TurnShare: 1})
+	for _, class := range classes {
+		usage := c.usage[class]
+		if usage.critical {
+			n := max(1, int(math.Ceil(c.settings.Own.SpareShare*float64(usage.runningNow))))
+			demands = append(demands, placement.Demand{Ask: usage.request, Count: n, Spread: true, Keep: true, Preempt: true, TurnShare: 1})
 			continue
 		}
-		if w.shape == record.Array && b.aimed(c) {
-			if n := min(w.high()-max(w.busy, w.now), b.affordable(w)); n > 0 {
-				ds = append(ds, placement.Demand{Ask: w.ask, Count: n, Keep: true})
+		if usage.shape == record.Array && c.hasObjective(class) {
+			if n := min(usage.highWatermark()-max(usage.runningNow, usage.wantedNow), c.affordableHeadroom(usage)); n > 0 {
+				demands = append(demands, placement.Demand{Ask: usage.request, Count: n, Keep: true})
 			}
 			continue
 		}
-		if !b.startsSoon(c, w) {
+		if !c.startsBeforeProvisioning(class, usage) {
 			continue
 		}
 		// Too little is known right after a takeover to hire by it.
-		young := len(w.want) < 60
-		n := w.staff() - max(w.busy, w.now)
+		young := len(usage.wanted) < 60
+		n := usage.expectedConcurrency() - max(usage.runningNow, usage.wantedNow)
 		if young {
-			n = 2 * (w.now + 1)
+			n = 2 * (usage.wantedNow + 1)
 		}
 		if n > 0 {
-			ds = append(ds, placement.Demand{Ask: w.ask, Count: n, Keep: true, Hold: young, Preempt: w.shape == record.Gang, TurnShare: 1})
+			demands = append(demands, placement.Demand{Ask: usage.request, Count: n, Keep: true, Hold: young, Preempt: usage.shape == record.Gang, TurnShare: 1})
 		}
 	}
-	return ds
+	return demands
 }
 
-// high is what the class rarely wants more of.
-func (w *warmth) high() int {
-	if len(w.want) == 0 {
+// highWatermark is what the class rarely wants more of.
+func (u *classUsage) highWatermark() int {
+	if len(u.wanted) == 0 {
 		return 0
 	}
-	v := append([]int(nil), w.want...)
+	v := append([]int(nil), u.wanted...)
 	sort.Ints(v)
 	return v[len(v)*9/10]
 }
 
-// aimed tells whether the settings expect anything of the class.
-func (b *ClusterState) aimed(class string) bool {
-	for _, o := range b.set.Params.Objectives {
+// hasObjective tells whether the settings expect anything of the class.
+func (c *ClusterState) hasObjective(class string) bool {
+	for _, o := range c.settings.Params.Objectives {
 		if o.Class == class || o.Kind == "guarantee" {
 			return true
 		}
@@ -300,50 +300,50 @@
 	return false
 }
 
-// affordable is how many tasks of a class room may be kept for, at a small
+// affordableHeadroom is how many tasks of a class room may be kept for, at a small
 // share of what the fleet costs.
-func (b *ClusterState) affordable(w *warmth) int {
+func (c *ClusterState) affordableHeadroom(usage *classUsage) int {
 	fleet := 0.0
-	for _, m := range b.roster.Machines {
-		if t := b.types[m.Type]; t != nil {
-			fleet += t.PriceOf(m.Spot)
+	for _, machine := range c.machines.Machines {
+		if machineType := c.types[machine.Type]; machineType != nil {
+			fleet += machineType.PriceOf(machine.Spot)
 		}
 	}
 	each := math.Inf(1)
-	for _, t := range b.types {
-		if n := t.Room().Count(w.ask.Need, 1000); n > 0 && (w.ask.Types == nil || w.ask.Allows(t.Label, w.ask.Zone, false)) {
-			each = min(each, t.Price/float64(n))
+	for _, machineType := range c.types {
+		if n := machineType.Room().Count(usage.request.Need, 1000); n > 0 && (usage.request.Types == nil || usage.request.Allows(machineType.Label, usage.request.Zone, false)) {
+			each = min(each, machineType.Price/float64(n))
 		}
 	}
-	return int(b.set.Own.BurstCostShare * fleet / each)
+	return int(c.settings.Own.BurstCostShare * fleet / each)
 }
 
-// staff is how many tasks of the class to have room for: the mean placed and
+// expectedConcurrency is how many tasks of the class to have room for: the mean placed and
 // most of its square root, a margin for work that comes at random.
-func (w *warmth) staff() int {
-	if len(w.ran) == 0 {
+func (u *classUsage) expectedConcurrency() int {
+	if len(u.running) == 0 {
 		return 0
 	}
 	// Placed ones only: a queue counts itself again for every second that it
 	// waits, and has a demand of its own.
 	sum := 0
-	for _, n := range w.ran {
+	for _, n := range u.running {
 		sum += n
 	}
-	a := float64(sum) / float64(len(w.ran))
+	a := float64(sum) / float64(len(u.running))
 	return int(math.Ceil(a + 0.7*math.Sqrt(a) - 0.05))
 }
 
-// startsSoon tells whether a class is to start before a hired machine could be
+// startsBeforeProvisioning tells whether a class is to start before a hired machine could be
 // up with its image.
-func (b *ClusterState) startsSoon(class string, w *warmth) bool {
+func (c *ClusterState) startsBeforeProvisioning(class string, usage *classUsage) bool {
 	slowest := math.Inf(1)
-	for _, t := range b.types {
-		if t.Room().Holds(w.ask.Need) && (w.ask.Types == nil || w.ask.Allows(t.Label, w.ask.Zone, false)) {
-			slowest = min(slowest, float64(t.BootS)+w.ask.ImageGB/max(t.PullGBPerS, 0.01))
+	for _, machineType := range c.types {
+		if machineType.Room().Holds(usage.request.Need) && (usage.request.Types == nil || usage.request.Allows(machineType.Label, usage.request.Zone, false)) {
+			slowest = min(slowest, float64(machineType.BootS)+usage.request.ImageGB/max(machineType.PullGBPerS, 0.01))
 		}
 	}
-	for _, o := range b.set.Params.Objectives {
+	for _, o := range c.settings.Params.Objectives {
 		if o.Kind == "wait" && o.Class == class && float64(o.WithinS) < slowest {
 			return true
 		}
--- a/internal/claim/other_shards.go
+++ b/internal/claim/other_shards.go
@@ -14,28 +14,30 @@
 // job of another shard it learns that it was cancelled, or went away, from its node's copy of
 // the records.
 
-// mine tells whether a job belongs to this leader's shard.
-func (b *ClusterState) mine(id ids.Job) bool { return ids.ShardOf(id, b.set.Shards()) == b.shard }
+// inShard tells whether a job belongs to this leader's shard.
+func (c *ClusterState) inShard(id ids.Job) bool {
+	return ids.ShardOf(id, c.settings.Shards()) == c.shard
+}
 
-// learnOfOtherShard takes in news of a live job of another shard.
-func (p *Pool) learnOfOtherShard(id ids.Job, ch state.Change) {
-	b := p.Cluster()
-	if b == nil {
+// handleOtherShardChange takes in news of a live job of another shard.
+func (e *Elector) handleOtherShardChange(id ids.Job, change state.Change) {
+	cluster := e.Cluster()
+	if cluster == nil {
 		return
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.pipes.graph.Awaited(id) {
-		b.checkAwaited(id, time.Now())
+	cluster.mu.Lock()
+	defer cluster.mu.Unlock()
+	if cluster.dependencies.graph.Awaited(id) {
+		cluster.checkAwaited(id, time.Now())
 	}
 }
 
-// statusElsewhere reads from this node's copy how a live job stands.
-func (p *Pool) statusElsewhere(id ids.Job) (how record.Status, live bool) {
-	if ids.ShardOf(id, p.Set.Shards()) == p.shard {
+// statusInOtherShard reads from this node's copy how a live job stands.
+func (e *Elector) statusInOtherShard(id ids.Job) (how record.Status, live bool) {
+	if ids.ShardOf(id, e.Settings.Shards()) == e.shard {
 		return "", false
 	}
-	entries, ready := p.jobs.Several(record.JobKey(id), record.CancelKey(id), record.WaitKey(id))
+	entries, ready := e.jobMirror.Several(record.JobKey(id), record.CancelKey(id), record.WaitKey(id))
 	stored, cancellation, waits := entries[0], entries[1], entries[2]
 	switch {
 	case !ready || stored.Key == "":
@@ -50,24 +52,24 @@
 	return rec.Status, true
 }
 
-// checkElsewhere tells the graph of the cancellation of an awaited job of another shard, and
+// checkOtherShard tells the graph of the cancellation of an awaited job of another shard, and
 // has it looked up how the job ended once it is gone from the records.
-func (b *ClusterState) checkElsewhere(id ids.Job, now time.Time) {
-	if b.pipes.graph.Outcome(id) != dependency.Unknown {
+func (c *ClusterState) checkOtherShard(id ids.Job, now time.Time) {
+	if c.dependencies.graph.Outcome(id) != dependency.Unknown {
 		return
 	}
-	how, live := b.elsewhere(id)
+	how, live := c.statusInOtherShard(id)
 	switch {
 	case !live:
-		b.ask(id, now)
+		c.scheduleLookup(id, now)
 	case how == record.Cancelling || how == record.Cancelled:
-		b.cancelDependents(id)
+		c.cancelDependents(id)
 	}
 }
 
-// stopAsking gives up looking up how a job ended: it is live, and news will tell.
-func (b *ClusterState) stopAsking(id ids.Job) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	delete(b.pipes.lookUp, id)
+// cancelLookup gives up looking up how a job ended: it is live, and news will tell.
+func (c *ClusterState) cancelLookup(id ids.Job) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	delete(c.dependencies.lookups, id)
 }
--- a/internal/claim/outcomes_test.go
+++ b/internal/claim/outcomes_test.go
@@ -32,7 +32,7 @@
 	put := func(status record.Status, numbers ...int) {
 		var txn state.Txn
 		for _, k := range numbers {
-			end := rec(numbered(k), "red", record.Low, 1, 1)
+			end := newRecord(numbered(k), "red", record.Low, 1, 1)
 			end.Status = status
 			raw, _ := end.Encode(8192)
 			txn.Then = append(txn.Then, state.Op{Put: record.EndKey(numbered(k)), Value: raw})
@@ -59,12 +59,12 @@
 
 // lookUpAll runs passes until nothing is left to look up, and tells how many.
 func lookUpAll(t *testing.T, c *Committer) (passes int) {
-	for len(c.Cluster.pipes.lookUp) > 0 {
+	for len(c.Cluster.dependencies.lookups) > 0 {
 		if passes++; passes > 100 {
-			t.Fatalf("%d are still not known", len(c.Cluster.pipes.lookUp))
+			t.Fatalf("%d are still not known", len(c.Cluster.dependencies.lookups))
 		}
 		c.lookUpOnce(context.Background())
-		time.Sleep(lookUpEvery)
+		time.Sleep(lookupInterval)
 	}
 	return passes
 }
@@ -74,22 +74,22 @@
 	// records are kept for ever.
 	synctest.Test(t, func(t *testing.T) {
 		h := newHistory(t, 100000, 20000, 100400)
-		b := testBook()
-		c := NewCommitter(b, h.state, "a", 0)
+		cluster := testBook()
+		c := NewCommitter(cluster, h.state, "a", 0)
 		for k := range 50 {
 			id := numbered(200000 + k)
-			b.LearnWaiting(id, 1, waits(id, record.Low, 0, numbered(100000+400*k)), time.Now())
+			cluster.HandleWaitingJob(id, 1, waits(id, record.Low, 0, numbered(100000+400*k)), time.Now())
 		}
 		before := h.calls
 		c.lookUpOnce(context.Background())
-		if n := h.calls - before; n > readsPerPass+1 {
+		if n := h.calls - before; n > lookupReadsPerPass+1 {
 			t.Errorf("one pass made %d calls", n)
 		}
 		lookUpAll(t, c)
-		if h.calls > 52 || h.store.Listed > 2*lookUpPage {
+		if h.calls > 52 || h.store.Listed > 2*lookupPageSize {
 			t.Errorf("50 ends of 20000 took %d calls and %d records in lists", h.calls, h.store.Listed)
 		}
-		if ready, cancelled := b.pipes.graph.Counts(); ready != 49 || cancelled != 1 {
+		if ready, cancelled := cluster.dependencies.graph.Counts(); ready != 49 || cancelled != 1 {
 			t.Errorf("%d are ready and %d cancelled", ready, cancelled)
 		}
 	})
@@ -100,14 +100,14 @@
 	// or last of those wanted.
 	synctest.Test(t, func(t *testing.T) {
 		h := newHistory(t, 100000, 20000)
-		b := testBook()
-		c := NewCommitter(b, h.state, "a", 0)
+		cluster := testBook()
+		c := NewCommitter(cluster, h.state, "a", 0)
 		for k := range 3000 {
 			id := numbered(200000 + k)
-			b.LearnWaiting(id, 1, waits(id, record.Low, 0, numbered(110000+k)), time.Now())
+			cluster.HandleWaitingJob(id, 1, waits(id, record.Low, 0, numbered(110000+k)), time.Now())
 		}
 		passes := lookUpAll(t, c)
-		if ready, _ := b.pipes.graph.Counts(); ready != 3000 || passes > 2 || h.calls > 6+1 {
+		if ready, _ := cluster.dependencies.graph.Counts(); ready != 3000 || passes > 2 || h.calls > 6+1 {
 			t.Errorf("%d of 3000 are ready after %d passes and %d calls", ready, passes, h.calls)
 		}
 	})
@@ -118,26 +118,26 @@
 	// how the job ended, and against one that is missing holding up the others.
 	synctest.Test(t, func(t *testing.T) {
 		h := newHistory(t, 100000, 100)
-		b := testBook()
-		c := NewCommitter(b, h.state, "a", 0)
+		cluster := testBook()
+		c := NewCommitter(cluster, h.state, "a", 0)
 		for k := range 120 { // the last 20 did not end; one of them is live, unknown to the leader
 			id := numbered(200000 + k)
-			b.LearnWaiting(id, 1, waits(id, record.Low, 0, numbered(100000+k)), time.Now())
+			cluster.HandleWaitingJob(id, 1, waits(id, record.Low, 0, numbered(100000+k)), time.Now())
 		}
-		raw, _ := rec(numbered(100110), "red", record.Low, 1, 1).Encode(8192)
+		raw, _ := newRecord(numbered(100110), "red", record.Low, 1, 1).Encode(8192)
 		if _, err := h.state.Commit(context.Background(), state.Txn{Then: []state.Op{{Put: record.JobKey(numbered(100110)), Value: raw}}}, state.Urgent); err != nil {
 			t.Fatal(err)
 		}
 		c.lookUpOnce(context.Background())
-		if ready, _ := b.pipes.graph.Counts(); ready != 100 || b.jobs[numbered(100110)] == nil {
-			t.Errorf("%d are ready, the live one is known: %v", ready, b.jobs[numbered(100110)] != nil)
+		if ready, _ := cluster.dependencies.graph.Counts(); ready != 100 || cluster.jobs[numbered(100110)] == nil {
+			t.Errorf("%d are ready, the live one is known: %v", ready, cluster.jobs[numbered(100110)] != nil)
 		}
 		calls := h.calls
 		c.lookUpOnce(context.Background())
 		if h.calls > calls {
 			t.Errorf("%d calls at once for what was not there a moment ago", h.calls-calls)
 		}
-		time.Sleep(lookUpAgain)
+		time.Sleep(lookupRetryDelay)
 		c.lookUpOnce(context.Background())
 		if h.calls == calls {
 			t.Error("what was not there is not looked for again")
--- a/internal/claim/overlapping_failures_test.go
+++ b/internal/claim/overlapping_failures_test.go
@@ -171,7 +171,7 @@
 }
 
 // lead waits until a node leads, and names it.
-func (g *meet) lead() *node {
+func (g *meet) lead() *testNode {
 	g.t.Helper()
 	g.until(20*time.Second, "a leader", func() bool { return g.leader() != nil })
 	return g.leader()
--- a/internal/claim/oversize_record_test.go
+++ b/internal/claim/oversize_record_test.go
@@ -14,19 +14,19 @@
 func TestAFinalRecordFitsAndTellsHowItEnded(t *testing.T) {
 	// Guards against an end, or the cancellation of a queued job, that can't be stored
 	// because of what nobody needs any more, and against losing why the job ended.
-	r := rec("job-1", "red", record.Low, 4000, 1)
+	rec := newRecord("job-1", "red", record.Low, 4000, 1)
 	for i := 0; i < 4000; i += 2 {
-		r.Finished.Add(i)
+		rec.Finished.Add(i)
 	}
 	for i := range 200 {
-		r.Spec.Awaits = append(r.Spec.Awaits, ids.Job("job-"+strings.Repeat("1", 1+i%9)))
+		rec.Spec.Awaits = append(rec.Spec.Awaits, ids.Job("job-"+strings.Repeat("1", 1+i%9)))
 	}
 	for range 12 {
-		r.Trail = append(r.Trail, record.Event{What: strings.Repeat("earlier ", 10)})
+		rec.Trail = append(rec.Trail, record.Event{What: strings.Repeat("earlier ", 10)})
 	}
-	r.Status = record.Cancelled
-	r.Trail = append(r.Trail, record.Event{What: "cancelled: it needs job-7"})
-	raw, fits := r.EncodeFinal(2048)
+	rec.Status = record.Cancelled
+	rec.Trail = append(rec.Trail, record.Event{What: "cancelled: it needs job-7"})
+	raw, fits := rec.EncodeFinal(2048)
 	if !fits || len(raw) > 2048 {
 		t.Fatalf("a final record of %d bytes", len(raw))
 	}
@@ -37,29 +37,29 @@
 	if got.Finished.Len() != 2000 || len(got.Trail) == 0 || got.Trail[len(got.Trail)-1].What != "cancelled: it needs job-7" {
 		t.Errorf("%d tasks are told as done, and %v", got.Finished.Len(), got.Trail)
 	}
-	if r.Finished.Runs() != 2000 || len(r.Spec.Awaits) != 200 {
+	if rec.Finished.Runs() != 2000 || len(rec.Spec.Awaits) != 200 {
 		t.Error("to write a record changed it")
 	}
 }
 
 func TestARecordThatDoesNotFitIsNotTriedAgainUnchanged(t *testing.T) {
 	// Guards against encoding a large record four times a second for nothing.
-	b := testBook()
-	j := b.addJob(rec("job-1", "blue", record.Low, 10, 1), 1, time.Now())
-	c := NewCommitter(b, state.NewClient("state:1", nil, state.NewBudget(1000, 1000, 1, 0.6)), "a", 0)
-	b.touch(j)
-	b.hurry(j)
-	limit := b.set.Params.State.ValueKB
-	b.set.Params.State.ValueKB = 0.01
-	if group := c.collect(); len(group) != 0 || j.unfit != j.version {
+	cluster := testBook()
+	job := cluster.addJob(newRecord("job-1", "blue", record.Low, 10, 1), 1, time.Now())
+	c := NewCommitter(cluster, state.NewClient("state:1", nil, state.NewBudget(1000, 1000, 1, 0.6)), "a", 0)
+	cluster.markChanged(job)
+	cluster.markUrgent(job)
+	limit := cluster.settings.Params.State.ValueKB
+	cluster.settings.Params.State.ValueKB = 0.01
+	if group := c.collectGroup(); len(group) != 0 || job.OversizeVersion != job.Version {
 		t.Fatalf("%d writes of a record that does not fit", len(group))
 	}
-	b.set.Params.State.ValueKB = limit
-	if group := c.collect(); len(group) != 0 {
+	cluster.settings.Params.State.ValueKB = limit
+	if group := c.collectGroup(); len(group) != 0 {
 		t.Error("it is encoded again unchanged")
 	}
-	b.touch(j)
-	if group := c.collect(); len(group) != 1 {
+	cluster.markChanged(job)
+	if group := c.collectGroup(); len(group) != 1 {
 		t.Errorf("%d writes once it has changed", len(group))
 	}
 }
--- a/internal/claim/oversize_test.go
+++ b/internal/claim/oversize_test.go
@@ -92,7 +92,7 @@
 			leader := w.leader().name
 			time.Sleep(3 * time.Second) // it has read the records
 			w.net.SetRule(func(from, _ string, r *http.Request, body []byte) fake.Fate {
-				early := kind(r, body) == "outcome" && strings.Contains(string(body), "end/job-1") && w.store.Value("job/cancel/job-1") == nil
+				early := InstanceClass(r, body) == "outcome" && strings.Contains(string(body), "end/job-1") && w.store.Value("job/cancel/job-1") == nil
 				blind := from == leader && (r.URL.Path == "/follow" || r.URL.Path == "/kv/none") && w.store.Value("job/job-1") != nil
 				if early || blind {
 					return fake.Refuse
--- a/internal/claim/ownership.go
+++ b/internal/claim/ownership.go
@@ -12,19 +12,19 @@
 	"github.com/pebbletrail/pebbletrail/internal/state"
 )
 
-// ownership tells which shard each machine belongs to: the one whose stored hire names it.
+// machineOwnership tells which shard each machine belongs to: the one whose stored hire names it.
 // A machine that no hire names belongs to the first shard, but only once a reading of the
 // store that began after the machine was first seen shows no hire without an answer: its own
 // was stored before it was sent.
-type ownership struct {
+type machineOwnership struct {
 	readAt func() time.Time // of when the copy of the hires is
 
-	mu        sync.Mutex
-	hires     map[string]storedHire
-	machines  map[ids.Machine]ids.Shard
-	open      int // hires without an answer
-	strangers map[ids.Machine]time.Time
-	adopted   map[ids.Machine]bool
+	mu         sync.Mutex
+	hires      map[string]storedHire
+	machines   map[ids.Machine]ids.Shard
+	unanswered int // hires without an answer
+	unclaimed  map[ids.Machine]time.Time
+	adopted    map[ids.Machine]bool
 }
 
 // storedHire is a hire as it is stored; without hosts it is not answered yet.
@@ -33,9 +33,9 @@
 	Hosts []ids.Machine `json:"hosts"`
 }
 
-func newOwnership(readAt func() time.Time) *ownership {
-	return &ownership{readAt: readAt, hires: map[string]storedHire{}, machines: map[ids.Machine]ids.Shard{},
-		strangers: map[ids.Machine]time.Time{}, adopted: map[ids.Machine]bool{}}
+func newMachineOwnership(readAt func() time.Time) *machineOwnership {
+	return &machineOwnership{readAt: readAt, hires: map[string]storedHire{}, machines: map[ids.Machine]ids.Shard{},
+		unclaimed: map[ids.Machine]time.Time{}, adopted: map[ids.Machine]bool{}}
 }
 
 // hireShard is the shard whose hire is stored at a key.
@@ -52,84 +52,84 @@
 	return shard, true
 }
 
-// learn takes in news of a key of the pool.
-func (o *ownership) learn(ch state.Change) {
-	shard, isHire := hireShard(ch.Key())
+// handleChange takes in news of a key of the pool.
+func (o *machineOwnership) handleChange(change state.Change) {
+	shard, isHire := hireShard(change.Key())
 	if !isHire {
 		return
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if old, known := o.hires[ch.Key()]; known {
-		delete(o.hires, ch.Key())
+	if old, known := o.hires[change.Key()]; known {
+		delete(o.hires, change.Key())
 		if old.Hosts == nil {
-			o.open--
+			o.unanswered--
 		}
 		for _, machine := range old.Hosts {
 			delete(o.machines, machine)
 		}
 	}
-	if ch.Put == "" {
+	if change.Put == "" {
 		return
 	}
 	hire := storedHire{shard: shard}
-	if json.Unmarshal(ch.Value, &hire) != nil {
+	if json.Unmarshal(change.Value, &hire) != nil {
 		hire.Hosts = nil // not to be read: what it rented is not known
 	}
-	o.hires[ch.Key()] = hire
+	o.hires[change.Key()] = hire
 	if hire.Hosts == nil {
-		o.open++
+		o.unanswered++
 	}
 	for _, machine := range hire.Hosts {
 		o.machines[machine] = shard
 	}
 }
 
-// of is the shard that a machine belongs to, if that is known already.
-func (o *ownership) of(machine ids.Machine) (shard ids.Shard, known bool) {
+// shardOf is the shard that a machine belongs to, if that is known already.
+func (o *machineOwnership) shardOf(machine ids.Machine) (shard ids.Shard, known bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if shard, known = o.machines[machine]; known {
-		delete(o.strangers, machine)
+		delete(o.unclaimed, machine)
 		return shard, true
 	}
 	if o.adopted[machine] {
 		return 0, true
 	}
-	if _, seen := o.strangers[machine]; !seen {
-		o.strangers[machine] = time.Now()
+	if _, seen := o.unclaimed[machine]; !seen {
+		o.unclaimed[machine] = time.Now()
 	}
 	return 0, false
 }
 
 // settleEvery spaces the readings for the sake of machines that no hire names.
-const settleStrangersEvery = 500 * time.Millisecond
+const unclaimedCheckInterval = 500 * time.Millisecond
 
-// settle finds out, while there are machines that no hire names, whether they are the first
+// resolveUnclaimed finds out, while there are machines that no hire names, whether they are the first
 // shard's.
-func (o *ownership) settle(ctx context.Context, hires *state.Mirror) {
+func (o *machineOwnership) resolveUnclaimed(ctx context.Context, hires *state.Mirror) {
 	for ctx.Err() == nil {
-		wait(ctx, settleStrangersEvery)
+		sleep(ctx, unclaimedCheckInterval)
 		o.mu.Lock()
-		any := len(o.strangers) > 0
+		any := len(o.unclaimed) > 0
 		o.mu.Unlock()
 		if any && hires.Sync(ctx) == nil {
-			o.adopt()
+			o.adoptUnclaimed()
 		}
 	}
 }
 
-// adopt gives the first shard the machines that surely nobody hired.
-func (o *ownership) adopt() {
+// adoptUnclaimed gives the first shard the machines that surely nobody hired.
+func (o *machineOwnership) adoptUnclaimed() {
 	read := o.readAt()
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.open > 0 {
+	if o.unanswered > 0 {
 		return
 	}
-	for machine, seen := range o.strangers {
+	for machine, seen := range o.unclaimed {
 		if seen.Before(read) {
-			delete(o.strangers, machine)
+			delete(o.unclaimed, machine)
 			o.adopted[machine] = true
 		}
 	}
--- a/internal/claim/ownership_test.go
+++ b/internal/claim/ownership_test.go
@@ -13,11 +13,11 @@
 func TestAReportOfAShardThatTheSettingsDoNotNameIsTurnedAway(t *testing.T) {
 	// Guards against a node that is started with fewer shards than the store is laid out for: it
 	// crashed if a report came before it had read the layout and was refused.
-	set, shards := testSet(), uint32(2)
-	set.Features = &config.Features{Shards: &shards}
-	s := NewShards(set, state.NewClient("state:1", nil, state.NewBudget(100, 100, 1, 0.5)), nil, "a.1")
-	s.owners.learn(state.Change{Put: "pool/~2/hire/first", Value: []byte(`{"hire":"first","hosts":["m1"]}`), Revision: 1})
-	if owner, known := s.owners.of("m1"); !known || owner != ids.Shard(2) {
+	settings, shards := testSet(), uint32(2)
+	settings.Features = &config.Features{Shards: &shards}
+	s := NewShards(settings, state.NewClient("state:1", nil, state.NewBudget(100, 100, 1, 0.5)), nil, "a.1")
+	s.ownership.handleChange(state.Change{Put: "pool/~2/hire/first", Value: []byte(`{"hire":"first","hosts":["m1"]}`), Revision: 1})
+	if owner, known := s.ownership.shardOf("m1"); !known || owner != ids.Shard(2) {
 		t.Fatalf("owned by %d, known %v", owner, known)
 	}
 	if reply, status, _ := s.Heartbeat(context.Background(), &worker.Report{Machine: "m1"}); reply != nil || status != 503 {
--- a/internal/claim/packed_places.go
+++ b/internal/claim/packed_places.go
@@ -5,17 +5,17 @@
 	"sort"
 )
 
-// packPlaces is a job's places as its record keeps them.
-func packPlaces(places map[int]*Place) []record.PlaceGroup {
+// groupAssignments is a job's places as its record keeps them.
+func groupAssignments(places map[int]*Assignment) []record.PlaceGroup {
 	list := make([]record.TaskPlace, 0, len(places))
 	for _, i := range sortedTasks(places) {
-		p := places[i]
-		list = append(list, record.TaskPlace{Task: i, At: record.Location{Machine: p.Machine, Session: p.Session, Attempt: p.Attempt, Token: p.Token}})
+		assignment := places[i]
+		list = append(list, record.TaskPlace{Task: i, At: record.Location{Machine: assignment.Machine, Session: assignment.Incarnation, Attempt: assignment.Attempt, Token: assignment.FencingToken}})
 	}
 	return record.GroupPlaces(list)
 }
 
-func sortedTasks(places map[int]*Place) []int {
+func sortedTasks(places map[int]*Assignment) []int {
 	keys := make([]int, 0, len(places))
 	for i := range places {
 		keys = append(keys, i)
--- a/internal/claim/partition_test.go
+++ b/internal/claim/partition_test.go
@@ -28,7 +28,7 @@
 			w.until(4*time.Second, "it runs", func() bool { return w.everywhere("job-1", 4) })
 			old := w.leader()
 			other := map[string]string{"a": "b", "b": "a"}[old.name]
-			gen := old.pool.Cluster().Generation()
+			generation := old.pool.Cluster().Generation()
 			w.net.SetRule(func(from, to string, _ *http.Request, _ []byte) fake.Fate {
 				if from == old.name || strings.HasPrefix(to, old.name+":") {
 					return fate
@@ -46,8 +46,8 @@
 			w.net.Release()
 			w.until(3*time.Second, "the old owner follows", func() bool { return old.pool.Cluster() == nil })
 			w.hold(25*time.Second, "one change of owner, and all goes on", func() bool {
-				b := w.nodes[other].pool.Cluster()
-				return b != nil && b.Generation() <= gen+2 && w.everywhere("job-1", 4) && w.everywhere("job-2", 2)
+				cluster := w.nodes[other].pool.Cluster()
+				return cluster != nil && cluster.Generation() <= generation+2 && w.everywhere("job-1", 4) && w.everywhere("job-2", 2)
 			})
 			w.once("job-1/0", "job-1/1", "job-1/2", "job-1/3", "job-2/0", "job-2/1")
 			if s := w.status(old.name, "job-2"); s != "running" {
--- a/internal/claim/pipeline_handover_test.go
+++ b/internal/claim/pipeline_handover_test.go
@@ -128,7 +128,7 @@
 				gone := func() { time.AfterFunc(50*time.Millisecond, o.kill) }
 				var hits atomic.Int32
 				w.net.SetRule(func(from, _ string, r *http.Request, body []byte) fake.Fate {
-					switch end := kind(r, body) == "outcome"; {
+					switch end := InstanceClass(r, body) == "outcome"; {
 					case from != o.name:
 					case moves(r, body):
 						if hits.Add(1) == 1 {
@@ -163,10 +163,10 @@
 	t.Parallel()
 	// Guards against a move of an older leader, or of the same one, that is carried out
 	// after the job's user cancelled it while it waited.
-	for name, trouble := range map[string]func(w *testCluster, o *node){
-		"the leader stays": func(*testCluster, *node) {},
-		"the leader ends":  func(_ *testCluster, o *node) { o.kill() },
-		"the leader is refused": func(w *testCluster, o *node) {
+	for name, trouble := range map[string]func(w *testCluster, o *testNode){
+		"the leader stays": func(*testCluster, *testNode) {},
+		"the leader ends":  func(_ *testCluster, o *testNode) { o.kill() },
+		"the leader is refused": func(w *testCluster, o *testNode) {
 			w.store.Refuse(o.name, true)
 			time.AfterFunc(9*time.Second, func() { w.store.Refuse(o.name, false) })
 		},
--- a/internal/claim/pipeline_test.go
+++ b/internal/claim/pipeline_test.go
@@ -227,7 +227,7 @@
 		w.submit("b", awaiting(spec("job-2", "array", 1), "job-1"))
 		w.until(5*time.Second, "the first runs", func() bool { return w.everywhere("job-1", 1) })
 		w.net.SetRule(func(_, _ string, r *http.Request, body []byte) fake.Fate {
-			if kind(r, body) == "outcome" {
+			if InstanceClass(r, body) == "outcome" {
 				return fake.Refuse
 			}
 			return fake.Deliver
--- a/internal/claim/places.go
+++ b/internal/claim/places.go
@@ -6,61 +6,63 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-func (b *ClusterState) putPlace(p *Place) {
-	p.Job.places[p.Index] = p
-	if p.Job.Rec.Finished.Has(p.Index) {
-		p.Job.finishedMayHavePlace = true
+func (c *ClusterState) addAssignment(assignment *Assignment) {
+	assignment.Job.Assignments[assignment.TaskIndex] = assignment
+	if assignment.Job.Record.Finished.Has(assignment.TaskIndex) {
+		assignment.Job.FinishedMayBeAssigned = true
 	}
-	b.put(b.hostOf(p.Machine), p)
-	b.quota.Use(p.Job.Rec.Spec.Team, p.Job.Rec.Spec.Need)
+	c.allocate(c.ensureNode(assignment.Machine), assignment)
+	c.quota.Use(assignment.Job.Record.Spec.Team, assignment.Job.Record.Spec.Need)
 }
 
-// dropPlace takes a place off the books: its task is proven not to be there.
-func (b *ClusterState) dropPlace(p *Place) {
-	delete(p.Job.places, p.Index)
-	p.Job.lasted = p.Job.lasted || time.Since(p.since) >= keptFor
-	if len(p.Job.places) == 0 {
-		p.Job.emptied = time.Now()
+// removeAssignment takes a place off the books: its task is proven not to be there.
+func (c *ClusterState) removeAssignment(assignment *Assignment) {
+	delete(assignment.Job.Assignments, assignment.TaskIndex)
+	assignment.Job.HasLasted = assignment.Job.HasLasted || time.Since(assignment.AssignedAt) >= startProtectionTime
+	if len(assignment.Job.Assignments) == 0 {
+		assignment.Job.UnassignedSince = time.Now()
 	}
-	if h := b.hosts[p.Machine]; h != nil {
-		b.drop(h, p)
-		if m := b.roster.Machines[p.Machine]; m != nil && len(h.places) == 0 {
-			m.IdleSince = time.Now()
+	if node := c.nodes[assignment.Machine]; node != nil {
+		c.release(node, assignment)
+		if machine := c.machines.Machines[assignment.Machine]; machine != nil && len(node.assignments) == 0 {
+			machine.IdleSince = time.Now()
 		}
 	}
-	b.quota.Free(p.Job.Rec.Spec.Team, p.Job.Rec.Spec.Need)
-	if p.Job.ended && len(p.Job.places) == 0 {
-		b.unlist(p.Job)
+	c.quota.Free(assignment.Job.Record.Spec.Team, assignment.Job.Record.Spec.Need)
+	if assignment.Job.Ended && len(assignment.Job.Assignments) == 0 {
+		c.removeJob(assignment.Job)
 	}
-	poke(b.wakePlan)
+	signal(c.planSignal)
 }
 
-// stop asks for a task to be stopped, or drops it if its start never went out.
-func (b *ClusterState) stop(p *Place, leeway ids.Seconds, why string) {
-	if !p.sent {
-		b.dropPlace(p)
-		b.touch(p.Job)
+// stopAssignment asks for a task to be stopped, or drops it if its start never went out.
+func (c *ClusterState) stopAssignment(assignment *Assignment, leeway ids.Seconds, why string) {
+	if !assignment.StartSent {
+		c.removeAssignment(assignment)
+		c.markChanged(assignment.Job)
 		return
 	}
-	if p.stopping && leeway >= p.leeway {
+	if assignment.Stopping && leeway >= assignment.StopGrace {
 		return
 	}
-	p.stopping, p.leeway, p.why, p.stopAt = true, leeway, why, time.Now()
-	b.owe(p)
-	if !p.seen && !p.offeredOnlyByBeat(b) && b.current(p) {
+	assignment.Stopping, assignment.StopGrace, assignment.StopReason, assignment.StopRequestedAt = true, leeway, why, time.Now()
+	c.queueCommand(assignment)
+	if !assignment.Confirmed && !assignment.noDirectStartOutstanding(c) && c.underCurrentGeneration(assignment) {
 		// A late start could yet begin it: raise the token so that the worker
 		// turns that away once it hears.
-		b.bump = true
-		poke(b.wakeCommit)
+		c.raiseWanted = true
+		signal(c.commitSignal)
 	}
-	poke(b.wakePlan)
+	signal(c.planSignal)
 }
 
-// current tells whether the place's start went out under this generation.
-func (b *ClusterState) current(p *Place) bool { return p.Token == b.gen }
+// underCurrentGeneration tells whether the place's start went out under this generation.
+func (c *ClusterState) underCurrentGeneration(assignment *Assignment) bool {
+	return assignment.FencingToken == c.generation
+}
 
-// offeredOnlyByBeat tells that no direct start of the place is unaccounted for.
-func (p *Place) offeredOnlyByBeat(b *ClusterState) bool {
-	m := b.roster.Machines[p.Machine]
-	return m != nil && b.current(p) && !m.MayRevive(p.Task().String(), p.Attempt)
+// noDirectStartOutstanding tells that no direct start of the place is unaccounted for.
+func (assignment *Assignment) noDirectStartOutstanding(cluster *ClusterState) bool {
+	machine := cluster.machines.Machines[assignment.Machine]
+	return machine != nil && cluster.underCurrentGeneration(assignment) && !machine.MayRevive(assignment.Task().String(), assignment.Attempt)
 }
--- a/internal/claim/preempt.go
+++ b/internal/claim/preempt.go
@@ -17,9 +17,9 @@
 type reservation struct {
 	job           ids.Job
 	need          placement.Room // others may use what is beyond it
-	made          time.Time
+	madeAt        time.Time
 	until         time.Time
-	whileEmptying bool // kept free for it as it empties, nothing was stopped
+	untilReleased bool // kept free for it as it empties, nothing was stopped
 }
 
 // victimKey is what decides whom a job may displace.
@@ -28,311 +28,311 @@
 	guaranteed bool
 	team       string
 	image      string // only machines that hold it; empty: all
-	fullKey
+	placementKey
 }
 
-func (j *Job) victimKey(ask *placement.Ask) victimKey {
-	k := victimKey{priority: j.priority(), guaranteed: j.guaranteed, fullKey: keyOf(ask)}
-	if j.guaranteed {
-		k.team = j.Rec.Spec.Team
+func (job *Job) victimKey(request *placement.Ask) victimKey {
+	k := victimKey{priority: job.EffectivePriority(), guaranteed: job.Guaranteed, placementKey: placementKeyOf(request)}
+	if job.Guaranteed {
+		k.team = job.Record.Spec.Team
 	}
 	return k
 }
 
-// victimsOf lists the machines on which a job may stop something, or where
+// preemptionNodes lists the machines on which a job may stop something, or where
 // something is being stopped; if an image is named, only those that hold it. Jobs alike
 // share the list within a pass.
-func (b *ClusterState) victimsOf(j *Job, ask *placement.Ask, image string, ps *pass) []*host {
-	k := j.victimKey(ask)
+func (c *ClusterState) preemptionNodes(job *Job, request *placement.Ask, image string, pass *planningPass) []*Node {
+	k := job.victimKey(request)
 	k.image = image
-	if hs, ok := ps.victims[k]; ok {
-		return hs
+	if nodes, ok := pass.preemptible[k]; ok {
+		return nodes
 	}
 	if image != "" {
-		hs := slices.DeleteFunc(slices.Clone(b.victimsOf(j, ask, "", ps)), func(h *host) bool { return !h.holds(b, image) })
-		ps.victims[k] = hs
-		return hs
+		nodes := slices.DeleteFunc(slices.Clone(c.preemptionNodes(job, request, "", pass)), func(node *Node) bool { return !node.hasImage(c, image) })
+		pass.preemptible[k] = nodes
+		return nodes
 	}
-	on := map[*host]bool{}
-	for _, o := range b.line {
-		if len(o.places) == 0 || !b.mayStopJob(o, j) {
+	on := map[*Node]bool{}
+	for _, other := range c.queue {
+		if len(other.Assignments) == 0 || !c.mayPreemptJob(other, job) {
 			continue
 		}
-		for _, p := range o.places {
-			on[b.hosts[p.Machine]] = true
+		for _, assignment := range other.Assignments {
+			on[c.nodes[assignment.Machine]] = true
 		}
 	}
-	hs := make([]*host, 0, len(on))
-	for h := range on {
-		m := b.roster.Machines[h.name]
-		t := b.types[m.Type]
-		if t == nil || !m.Usable(ps.now, b.set.Params.Workers.ReportS) || !ask.Allows(m.Type, m.Zone, m.Spot) {
+	nodes := make([]*Node, 0, len(on))
+	for node := range on {
+		machine := c.machines.Machines[node.name]
+		machineType := c.types[machine.Type]
+		if machineType == nil || !machine.Usable(pass.now, c.settings.Params.Workers.ReportS) || !request.Allows(machine.Type, machine.Zone, machine.Spot) {
 			continue
 		}
-		hs = append(hs, h)
+		nodes = append(nodes, node)
 	}
-	slices.SortFunc(hs, func(x, y *host) int { return cmpString(string(x.name), string(y.name)) })
-	ps.victims[k] = hs
-	return hs
+	slices.SortFunc(nodes, func(x, y *Node) int { return cmpString(string(x.name), string(y.name)) })
+	pass.preemptible[k] = nodes
+	return nodes
 }
 
 // preempt frees room for one task of j by stopping others, where the rules of
 // priority and guarantee allow it, at the least loss.
-func (b *ClusterState) preempt(j *Job, ask *placement.Ask, ps *pass) (bool, string) {
-	k := j.victimKey(ask)
-	if covered(ps.spare[k], ask.Need) {
+func (c *ClusterState) preempt(job *Job, request *placement.Ask, pass *planningPass) (bool, string) {
+	k := job.victimKey(request)
+	if covered(pass.noVictims[k], request.Need) {
 		return false, ""
 	}
-	ok, host, barren := b.preemptOn(j, ask, ps, anyVictims)
+	ok, host, barren := c.preemptCheapest(job, request, pass, anyVictims)
 	if barren {
-		ps.spare[k] = append(ps.spare[k], ask.Need)
+		pass.noVictims[k] = append(pass.noVictims[k], request.Need)
 	}
 	return ok, host
 }
 
-// roomWhereHeld frees room on a machine that holds the image, by stopping
+// preemptWhereCached frees room on a machine that holds the image, by stopping
 // tasks that exit at once; it names the machine, also while that goes on.
-func (b *ClusterState) roomWhereHeld(j *Job, ask *placement.Ask, ps *pass) string {
-	for name, r := range b.reserved {
-		if r.job != j.Rec.Spec.ID || ps.now.Sub(r.made) >= time.Second {
+func (c *ClusterState) preemptWhereCached(job *Job, request *placement.Ask, pass *planningPass) string {
+	for name, reservation := range c.reservations {
+		if reservation.job != job.Record.Spec.ID || pass.now.Sub(reservation.madeAt) >= time.Second {
 			continue
 		}
-		if h := b.hosts[name]; h != nil && h.holds(b, ask.Image) && (h.shelf == nil || !h.free().Holds(ask.Need)) {
+		if node := c.nodes[name]; node != nil && node.hasImage(c, request.Image) && (node.class == nil || !node.freeCapacity().Holds(request.Need)) {
 			return string(name) // not free yet
 		}
 		return ""
 	}
-	if len(b.byImage[ask.Image]) == 0 {
+	if len(c.byImage[request.Image]) == 0 {
 		return ""
 	}
 	// Only lesser work: to swap one replica for another, as a guarantee would allow, gains
 	// nothing here and costs the other its start.
-	lesser := func(victims []*Place) bool {
-		return len(victims) > 0 && !slices.ContainsFunc(victims, func(v *Place) bool {
-			return v.leewayWanted() > 0 || v.Job.Rec.Spec.Shape == record.Service || v.Job.priority() >= j.priority()
+	lesser := func(victims []*Assignment) bool {
+		return len(victims) > 0 && !slices.ContainsFunc(victims, func(victim *Assignment) bool {
+			return victim.CheckpointGrace() > 0 || victim.Job.Record.Spec.Shape == record.Service || victim.Job.EffectivePriority() >= job.EffectivePriority()
 		})
 	}
-	_, host, _ := b.preemptOn(j, ask, ps, victimFilter{image: ask.Image, accepts: lesser})
+	_, host, _ := c.preemptCheapest(job, request, pass, victimFilter{image: request.Image, accepts: lesser})
 	return host
 }
 
 // victimFilter says where tasks may be stopped for another one.
 type victimFilter struct {
 	image   string // only on machines that hold it; empty: on all
-	accepts func([]*Place) bool
+	accepts func([]*Assignment) bool
 }
 
-var anyVictims = victimFilter{accepts: func([]*Place) bool { return true }}
+var anyVictims = victimFilter{accepts: func([]*Assignment) bool { return true }}
 
-// enoughCandidates is among how many machines the one is chosen on which stopping others
+// maxPreemptionCandidates is among how many machines the one is chosen on which stopping others
 // loses least. In a fleet of thousands, on most of which that is possible, to weigh them all
 // for each of hundreds of urgent tasks takes longer than their workers' leases last.
-const enoughCandidates = 200
+const maxPreemptionCandidates = 200
 
-// displaceable tells whether stopping others would make room on machines
+// canPreemptWithoutAccelerators tells whether stopping others would make room on machines
 // without accelerators.
-func (b *ClusterState) displaceable(j *Job, ask *placement.Ask, ps *pass) bool {
-	zones := b.zones(j)
-	for _, h := range b.victimsOf(j, ask, "", ps) {
-		m := b.roster.Machines[h.name]
-		t := b.types[m.Type]
-		if t.Accels > 0 || !t.Room().Holds(ask.Need) || zones.may(m.Zone, 1) == 0 {
+func (c *ClusterState) canPreemptWithoutAccelerators(job *Job, request *placement.Ask, pass *planningPass) bool {
+	zones := c.zoneSpreadOf(job)
+	for _, node := range c.preemptionNodes(job, request, "", pass) {
+		machine := c.machines.Machines[node.name]
+		machineType := c.types[machine.Type]
+		if machineType.Accels > 0 || !machineType.Room().Holds(request.Need) || zones.allowed(machine.Zone, 1) == 0 {
 			continue
 		}
-		if _, _, ok := b.victims(j, h, t.Room().Minus(h.used), ask, ps.now); ok {
+		if _, _, ok := c.victimsOn(job, node, machineType.Room().Minus(node.used), request, pass.now); ok {
 			return true
 		}
 	}
 	return false
 }
 
-// preemptOn picks the machine where stopping others loses least among those
+// preemptCheapest picks the machine where stopping others loses least among those
 // that the filter allows; barren tells that no machine was left to choose from.
-func (b *ClusterState) preemptOn(j *Job, ask *placement.Ask, ps *pass, filter victimFilter) (done bool, where string, barren bool) {
-	if j.suspect() {
+func (c *ClusterState) preemptCheapest(job *Job, request *placement.Ask, pass *planningPass, filter victimFilter) (done bool, where string, barren bool) {
+	if job.Suspect() {
 		return false, "", false // nothing is stopped for what may fail anyway
 	}
-	if j.priority() < record.High && !j.guaranteed || !b.Storing() {
+	if job.EffectivePriority() < record.High && !job.Guaranteed || !c.StoreAvailable() {
 		return false, "", true
 	}
-	now := ps.now
-	zones := b.zones(j)
+	now := pass.now
+	zones := c.zoneSpreadOf(job)
 	held := 0
-	for name, r := range b.reserved {
-		if !r.until.After(now) {
-			delete(b.reserved, name)
-		} else if r.job == j.Rec.Spec.ID {
+	for name, reservation := range c.reservations {
+		if !reservation.until.After(now) {
+			delete(c.reservations, name)
+		} else if reservation.job == job.Record.Spec.ID {
 			held++
 		}
 	}
-	if held >= max(1, j.left()-len(j.places)) {
+	if held >= max(1, job.Unfinished()-len(job.Assignments)) {
 		return false, "", false
 	}
-	var best *host
-	var bestVictims []*Place
+	var best *Node
+	var bestVictims []*Assignment
 	bestLoss := 0.0
 	barren = true
-	hosts := b.victimsOf(j, ask, filter.image, ps)
+	hosts := c.preemptionNodes(job, request, filter.image, pass)
 	first, candidates := 0, 0
-	if len(hosts) > enoughCandidates {
-		first = b.rng.IntN(len(hosts))
+	if len(hosts) > maxPreemptionCandidates {
+		first = c.rng.IntN(len(hosts))
 	}
-	for i := 0; i < len(hosts) && candidates < enoughCandidates; i++ {
-		h := hosts[(first+i)%len(hosts)]
-		if _, ok := b.reserved[h.name]; ok {
+	for i := 0; i < len(hosts) && candidates < maxPreemptionCandidates; i++ {
+		node := hosts[(first+i)%len(hosts)]
+		if _, ok := c.reservations[node.name]; ok {
 			continue
 		}
-		m := b.roster.Machines[h.name]
-		t := b.types[m.Type]
-		if !t.Room().Holds(ask.Need) {
+		machine := c.machines.Machines[node.name]
+		machineType := c.types[machine.Type]
+		if !machineType.Room().Holds(request.Need) {
 			continue
 		}
-		ps.machinesExamined++
-		free := t.Room().Minus(h.used)
-		victims, loss, ok := b.victims(j, h, free, ask, now)
+		pass.machinesExamined++
+		free := machineType.Room().Minus(node.used)
+		victims, loss, ok := c.victimsOn(job, node, free, request, now)
 		if !ok {
 			continue
 		}
 		barren = false
-		pm := placement.Machine{Name: h.name, Type: t, Zone: m.Zone, Spot: m.Spot, Free: free, Holds: m.Images.Has(ask.Image)}
-		if zones.may(m.Zone, 1) == 0 || !filter.accepts(victims) {
+		pm := placement.Machine{Name: node.name, Type: machineType, Zone: machine.Zone, Spot: machine.Spot, Free: free, Holds: machine.Images.Has(request.Image)}
+		if zones.allowed(machine.Zone, 1) == 0 || !filter.accepts(victims) {
 			continue
 		}
 		candidates++
-		if ask.Long && t.Accels > ask.Need.Accels {
+		if request.Long && machineType.Accels > request.Need.Accels {
 			loss += 1e6 // it would hold the dear machine for good
 		}
-		if !pm.Holds && h.pulls[ask.Image] == nil {
-			loss += ask.ImageGB / max(t.PullGBPerS, 0.01)
+		if !pm.Holds && node.imagePulls[request.Image] == nil {
+			loss += request.ImageGB / max(machineType.PullGBPerS, 0.01)
 		}
 		if best == nil || loss < bestLoss {
-			best, bestLoss, bestVictims = h, loss, victims
+			best, bestLoss, bestVictims = node, loss, victims
 		}
 	}
 	if best == nil {
 		return false, "", barren
 	}
 	grace := ids.Seconds(0)
-	for _, v := range bestVictims {
-		lee := v.leewayWanted()
-		if j.priority() == record.Critical && v.littleToSave(now) {
-			lee = 0
+	for _, victim := range bestVictims {
+		victimGrace := victim.CheckpointGrace()
+		if job.EffectivePriority() == record.Critical && victim.LittleToSave(now) {
+			victimGrace = 0
 		}
-		b.stop(v, lee, fmt.Sprintf("to make room for %s (%s)", j.Rec.Spec.ID, j.priority()))
-		grace = max(grace, v.leeway)
+		c.stopAssignment(victim, victimGrace, fmt.Sprintf("to make room for %s (%s)", job.Record.Spec.ID, job.EffectivePriority()))
+		grace = max(grace, victim.StopGrace)
 	}
-	b.reserved[best.name] = reservation{job: j.Rec.Spec.ID, need: ask.Need, made: now, until: now.Add((grace + 10).Duration())}
+	c.reservations[best.name] = reservation{job: job.Record.Spec.ID, need: request.Need, madeAt: now, until: now.Add((grace + 10).Duration())}
 	return true, string(best.name), false
 }
 
-// leewayWanted is the leeway that lets a task save.
-func (p *Place) leewayWanted() ids.Seconds {
-	s := &p.Job.Rec.Spec
-	if s.Checkpoint <= 0 {
+// CheckpointGrace is the leeway that lets a task save.
+func (assignment *Assignment) CheckpointGrace() ids.Seconds {
+	spec := &assignment.Job.Record.Spec
+	if spec.Checkpoint <= 0 {
 		return 0
 	}
-	return s.Save*1.2 + 1
+	return spec.Save*1.2 + 1
 }
 
-// littleToSave tells whether what a task did since it last saved by itself is
+// LittleToSave tells whether what a task did since it last saved by itself is
 // worth less than making critical work wait for a save.
-func (p *Place) littleToSave(now time.Time) bool {
-	s := &p.Job.Rec.Spec
-	if s.Shape != record.Array || s.Checkpoint <= 0 {
+func (assignment *Assignment) LittleToSave(now time.Time) bool {
+	spec := &assignment.Job.Record.Spec
+	if spec.Shape != record.Array || spec.Checkpoint <= 0 {
 		return false
 	}
-	if p.ranSince.IsZero() {
+	if assignment.RunningSince.IsZero() {
 		return true
 	}
-	since := math.Mod(now.Sub(p.ranSince).Seconds(), float64(s.Checkpoint))
-	return since <= 3*float64(s.Save)
+	since := math.Mod(now.Sub(assignment.RunningSince).Seconds(), float64(spec.Checkpoint))
+	return since <= 3*float64(spec.Save)
 }
 
-// victims picks whom to stop on a machine so that the ask fits.
-func (b *ClusterState) victims(j *Job, h *host, free placement.Room, ask *placement.Ask, now time.Time) ([]*Place, float64, bool) {
+// victimsOn picks whom to stop on a machine so that the ask fits.
+func (c *ClusterState) victimsOn(job *Job, node *Node, free placement.Room, request *placement.Ask, now time.Time) ([]*Assignment, float64, bool) {
 	type cand struct {
-		p    *Place
+		p    *Assignment
 		loss float64
 	}
-	var cs []cand
-	for p := range h.places {
-		if p.stopping {
-			free = free.Plus(p.Job.Rec.Spec.Need)
+	var candidates []cand
+	for assignment := range node.assignments {
+		if assignment.Stopping {
+			free = free.Plus(assignment.Job.Record.Spec.Need)
 			continue
 		}
-		if b.mayStop(p, j) {
-			cs = append(cs, cand{p, p.lossIfStopped(now)})
+		if c.mayPreempt(assignment, job) {
+			candidates = append(candidates, cand{assignment, assignment.PreemptionCost(now)})
 		}
 	}
-	hurry := j.priority() == record.Critical
-	sort.Slice(cs, func(x, y int) bool {
-		a, z := cs[x].p.Job.priority(), cs[y].p.Job.priority()
+	hurry := job.EffectivePriority() == record.Critical
+	sort.Slice(candidates, func(x, y int) bool {
+		a, z := candidates[x].p.Job.EffectivePriority(), candidates[y].p.Job.EffectivePriority()
 		// Critical work does not wait for others to save.
-		if sx, sy := cs[x].p.leewayWanted(), cs[y].p.leewayWanted(); hurry && sx != sy {
+		if sx, sy := candidates[x].p.CheckpointGrace(), candidates[y].p.CheckpointGrace(); hurry && sx != sy {
 			return sx < sy
 		}
 		if a != z {
 			return a < z
 		}
-		if cs[x].loss != cs[y].loss {
-			return cs[x].loss < cs[y].loss
+		if candidates[x].loss != candidates[y].loss {
+			return candidates[x].loss < candidates[y].loss
 		}
-		return cs[x].p.Task().String() < cs[y].p.Task().String()
+		return candidates[x].p.Task().String() < candidates[y].p.Task().String()
 	})
-	var out []*Place
+	var out []*Assignment
 	loss := 0.0
-	for _, c := range cs {
-		if free.Holds(ask.Need) {
+	for _, candidate := range candidates {
+		if free.Holds(request.Need) {
 			break
 		}
-		out = append(out, c.p)
-		loss += c.loss
-		if lee := c.p.leewayWanted(); hurry && lee > 0 && !c.p.littleToSave(now) {
-			loss += 100 * float64(lee)
+		out = append(out, candidate.p)
+		loss += candidate.loss
+		if grace := candidate.p.CheckpointGrace(); hurry && grace > 0 && !candidate.p.LittleToSave(now) {
+			loss += 100 * float64(grace)
 		}
-		free = free.Plus(c.p.Job.Rec.Spec.Need)
+		free = free.Plus(candidate.p.Job.Record.Spec.Need)
 	}
-	return out, loss, free.Holds(ask.Need)
+	return out, loss, free.Holds(request.Need)
 }
 
-// mayStop is the protocol's rule of preemption, but that the beginning of a job that
+// mayPreempt is the protocol's rule of preemption, but that the beginning of a job that
 // starved is kept for a moment.
-func (b *ClusterState) mayStop(p *Place, j *Job) bool {
-	return b.mayStopJob(p.Job, j) && !p.keptFrom(j)
+func (c *ClusterState) mayPreempt(assignment *Assignment, job *Job) bool {
+	return c.mayPreemptJob(assignment.Job, job) && !assignment.ProtectedFrom(job)
 }
 
-// keptFrom tells whether a place is kept for now from being stopped for a job.
-func (p *Place) keptFrom(j *Job) bool {
-	return j.priority() < record.Critical && time.Now().Before(p.keptUntil)
+// ProtectedFrom tells whether a place is kept for now from being stopped for a job.
+func (assignment *Assignment) ProtectedFrom(job *Job) bool {
+	return job.EffectivePriority() < record.Critical && time.Now().Before(assignment.ProtectedUntil)
 }
 
-func (b *ClusterState) mayStopJob(v, j *Job) bool {
-	if v.priority() < j.priority() {
+func (c *ClusterState) mayPreemptJob(v, job *Job) bool {
+	if v.EffectivePriority() < job.EffectivePriority() {
 		return true
 	}
-	if !j.guaranteed || v.guaranteed || v.Rec.Spec.Team == j.Rec.Spec.Team {
+	if !job.Guaranteed || v.Guaranteed || v.Record.Spec.Team == job.Record.Spec.Team {
 		return false
 	}
-	t, _ := b.set.Team(v.Rec.Spec.Team)
-	used := b.quota.Used(v.Rec.Spec.Team)
-	if v.Rec.Spec.Need.Accels > 0 {
-		return used.Accels > t.GPUs
+	team, _ := c.settings.Team(v.Record.Spec.Team)
+	used := c.quota.Used(v.Record.Spec.Team)
+	if v.Record.Spec.Need.Accels > 0 {
+		return used.Accels > team.GPUs
 	}
-	return used.Cores > t.CPUs
+	return used.Cores > team.CPUs
 }
 
-// lossIfStopped is the core-seconds of progress that a stop throws away.
-func (p *Place) lossIfStopped(now time.Time) float64 {
-	s := &p.Job.Rec.Spec
-	if p.ranSince.IsZero() {
-		return 0.1 * s.Need.Cores
+// PreemptionCost is the core-seconds of progress that a stop throws away.
+func (assignment *Assignment) PreemptionCost(now time.Time) float64 {
+	spec := &assignment.Job.Record.Spec
+	if assignment.RunningSince.IsZero() {
+		return 0.1 * spec.Need.Cores
 	}
-	ran := now.Sub(p.ranSince).Seconds()
-	if s.Checkpoint > 0 {
-		ran = float64(s.Save)
+	ran := now.Sub(assignment.RunningSince).Seconds()
+	if spec.Checkpoint > 0 {
+		ran = float64(spec.Save)
 	}
-	if s.Shape == record.Service {
+	if spec.Shape == record.Service {
 		ran = 1000
 	}
-	return ran * s.Need.Cores
+	return ran * spec.Need.Cores
 }
--- a/internal/claim/probe.go
+++ b/internal/claim/probe.go
@@ -9,34 +9,34 @@
 	"github.com/pebbletrail/pebbletrail/internal/worker"
 )
 
-// probe asks machines whose reports are overdue: one that hangs, is cut off or
+// sendProbes asks machines whose reports are overdue: one that hangs, is cut off or
 // dead says nothing, while one that only lost its way here answers. After a
 // takeover it asks all that are known, instead of waiting until their workers
 // have found the new leader, and shows them its token.
-func (d *Dispatcher) probe(ctx context.Context) {
-	for _, pr := range d.Cluster.toProbe(time.Now(), cap(d.slots)) {
+func (d *Dispatcher) sendProbes(ctx context.Context) {
+	for _, probe := range d.Cluster.dueProbes(time.Now(), cap(d.slots)) {
 		go func() {
-			var rep *worker.Report
-			if pr.session > 0 {
+			var report *worker.Report
+			if probe.incarnation > 0 {
 				// No orders: only so that what older leaders sent is turned
 				// away from here on, and the answer tells what is there.
 				ctx, cancel := context.WithTimeout(ctx, probeTimeout)
-				_, rep = d.Commander.Send(ctx, pr.addr, pr.token, pr.session, nil)
+				_, report = d.Commander.Send(ctx, probe.address, probe.fencingToken, probe.incarnation, nil)
 				cancel()
 			} else {
-				rep = d.Commander.Show(ctx, pr.addr, probeTimeout)
+				report = d.Commander.Show(ctx, probe.address, probeTimeout)
 			}
-			if rep != nil && rep.Machine != pr.machine {
-				rep = nil
+			if report != nil && report.Machine != probe.machine {
+				report = nil
 			}
-			if rep != nil && rep.Token < pr.token {
-				if _, fenced := d.Commander.Send(ctx, pr.addr, pr.token, rep.Session, nil); fenced != nil && fenced.Machine == pr.machine {
-					rep = fenced
+			if report != nil && report.Token < probe.fencingToken {
+				if _, fenced := d.Commander.Send(ctx, probe.address, probe.fencingToken, report.Session, nil); fenced != nil && fenced.Machine == probe.machine {
+					report = fenced
 				}
 			}
-			d.Cluster.probed(pr.machine, rep != nil)
-			if rep != nil {
-				d.Cluster.Observe(rep, false, false)
+			d.Cluster.probeAnswered(probe.machine, report != nil)
+			if report != nil {
+				d.Cluster.ReconcileHeartbeat(report, false, false)
 			}
 		}()
 	}
@@ -44,53 +44,53 @@
 
 const probeTimeout = 800 * time.Millisecond
 
-type probe struct {
-	machine ids.Machine
-	addr    string
-	token   ids.Generation
-	session ids.Session // believed, of a machine not heard yet
+type probeRequest struct {
+	machine      ids.Machine
+	address      string
+	fencingToken ids.Generation
+	incarnation  ids.Session // believed, of a machine not heard yet
 }
 
-// toProbe picks whom to ask now, at most most at a time.
-func (b *ClusterState) toProbe(now time.Time, most int) (out []probe) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if now.Sub(b.probedAt) < 100*time.Millisecond {
+// dueProbes picks whom to ask now, at most most at a time.
+func (c *ClusterState) dueProbes(now time.Time, most int) (out []probeRequest) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if now.Sub(c.probesIssuedAt) < 100*time.Millisecond {
 		return nil
 	}
-	b.early = min(earlyAsks, b.early+earlyAsks*now.Sub(b.probedAt).Seconds())
-	b.probedAt = now
-	report := b.set.Params.Workers.ReportS.Duration()
+	c.earlyProbeTokens = min(earlyProbesPerSecond, c.earlyProbeTokens+earlyProbesPerSecond*now.Sub(c.probesIssuedAt).Seconds())
+	c.probesIssuedAt = now
+	report := c.settings.Params.Workers.ReportS.Duration()
 	var ask []*worker.Machine
-	early := longestSilent{limit: int(b.early)}
-	for _, m := range b.roster.Machines {
-		if m.Deleting || m.Probing || m.Addr == "" {
+	early := longestSilent{limit: int(c.earlyProbeTokens)}
+	for _, machine := range c.machines.Machines {
+		if machine.Deleting || machine.Probing || machine.Addr == "" {
 			continue
 		}
-		overdue := b.askAfter(m)
+		overdue := c.probeAfter(machine)
 		again := overdue / 2
-		if !m.Heard {
+		if !machine.Heard {
 			again = time.Second
 		}
-		if m.Probes >= keenProbes {
+		if machine.Probes >= frequentProbes {
 			// Whoever left so many questions unanswered is judged already; its
 			// worker reports by itself once it is back.
-			again = max(again, b.set.Params.Workers.ReportS.Duration()/2)
+			again = max(again, c.settings.Params.Workers.ReportS.Duration()/2)
 		}
-		if now.Sub(m.Asked) > again && (m.Heard && (m.Silent(now) > overdue || !m.Unreached.IsZero()) || !m.Heard && !m.Booting) {
-			if m.Heard && m.Probes == 0 && m.Unreached.IsZero() && m.Silent(now) < report*5/4 && !b.stays(m) {
-				early.add(m)
+		if now.Sub(machine.Asked) > again && (machine.Heard && (machine.Silent(now) > overdue || !machine.Unreached.IsZero()) || !machine.Heard && !machine.Booting) {
+			if machine.Heard && machine.Probes == 0 && machine.Unreached.IsZero() && machine.Silent(now) < report*5/4 && !c.hasReplicas(machine) {
+				early.add(machine)
 			} else {
-				ask = append(ask, m)
+				ask = append(ask, machine)
 			}
 		}
 	}
-	b.early -= float64(len(early.machines))
+	c.earlyProbeTokens -= float64(len(early.machines))
 	ask = append(ask, early.machines...)
 	// Those with replicas first, then whoever waits longest: hundreds that are
 	// silent take turns.
 	slices.SortFunc(ask, func(x, y *worker.Machine) int {
-		if sx, sy := b.stays(x), b.stays(y); sx != sy {
+		if sx, sy := c.hasReplicas(x), c.hasReplicas(y); sx != sy {
 			if sx {
 				return -1
 			}
@@ -98,26 +98,26 @@
 		}
 		return x.Asked.Compare(y.Asked)
 	})
-	for _, m := range ask[:max(0, min(len(ask), most-b.probing))] {
-		m.Probing, m.Asked = true, now
-		b.probing++
-		if m.Probes == 0 {
-			m.Doubted = now
+	for _, machine := range ask[:max(0, min(len(ask), most-c.probesInFlight))] {
+		machine.Probing, machine.Asked = true, now
+		c.probesInFlight++
+		if machine.Probes == 0 {
+			machine.Doubted = now
 		}
-		pr := probe{machine: m.Name, addr: m.Addr, token: b.gen}
-		if !m.Heard {
-			pr.session = m.Hinted
+		probe := probeRequest{machine: machine.Name, address: machine.Addr, fencingToken: c.generation}
+		if !machine.Heard {
+			probe.incarnation = machine.Hinted
 		}
-		out = append(out, pr)
+		out = append(out, probe)
 	}
 	return out
 }
 
-// earlyAsks is how many machines without replicas are asked in a second before their
+// earlyProbesPerSecond is how many machines without replicas are asked in a second before their
 // reports, which come up to a quarter later than their interval, are overdue: in a
 // large fleet half of all machines are that silent at any time, and to ask each of
 // them costs its leader as much as their reports do.
-const earlyAsks = 30.0
+const earlyProbesPerSecond = 30.0
 
 // longestSilent keeps the few machines that have been silent for longest of the many, in a
 // large fleet, whose reports are not overdue yet.
@@ -126,68 +126,68 @@
 	machines []*worker.Machine // longest silent first
 }
 
-func (l *longestSilent) add(m *worker.Machine) {
-	at, _ := slices.BinarySearchFunc(l.machines, m, func(x, y *worker.Machine) int { return x.Seen.Compare(y.Seen) })
+func (l *longestSilent) add(machine *worker.Machine) {
+	at, _ := slices.BinarySearchFunc(l.machines, machine, func(x, y *worker.Machine) int { return x.Seen.Compare(y.Seen) })
 	if at >= l.limit {
 		return
 	}
-	l.machines = slices.Insert(l.machines, at, m)
+	l.machines = slices.Insert(l.machines, at, machine)
 	l.machines = l.machines[:min(len(l.machines), l.limit)]
 }
 
-// keenProbes is how many questions in a row are asked closely after another.
-const keenProbes = 4
+// frequentProbes is how many questions in a row are asked closely after another.
+const frequentProbes = 4
 
-// stays tells whether replicas run on a machine.
-func (b *ClusterState) stays(m *worker.Machine) bool {
-	h := b.hosts[m.Name]
-	return h != nil && h.stay > 0
+// hasReplicas tells whether replicas run on a machine.
+func (c *ClusterState) hasReplicas(machine *worker.Machine) bool {
+	node := c.nodes[machine.Name]
+	return node != nil && node.replicas > 0
 }
 
-// askAfter is the silence after which a machine is asked how it is. Where
+// probeAfter is the silence after which a machine is asked how it is. Where
 // replicas run, nobody waits long for a report: while a machine hangs, they are
 // down, and reports may be far apart.
-func (b *ClusterState) askAfter(m *worker.Machine) time.Duration {
-	after := b.set.Params.Workers.ReportS.Duration() / 2
-	if b.stays(m) {
-		after = min(after, believed*5/8)
+func (c *ClusterState) probeAfter(machine *worker.Machine) time.Duration {
+	after := c.settings.Params.Workers.ReportS.Duration() / 2
+	if c.hasReplicas(machine) {
+		after = min(after, maxReplicaSilence*5/8)
 	}
 	return after
 }
 
-// reached takes in whether a machine answered a call. One that did gets what it
+// recordReachability takes in whether a machine answered a call. One that did gets what it
 // is owed; one that did not loses what was only marked for it: no start of that
 // went out, so it may go elsewhere at once.
-func (b *ClusterState) reached(m *worker.Machine, answered bool) {
-	doubted := m.Doubtful()
-	m.Reached(answered, time.Now())
-	h := b.hosts[m.Name]
-	if h == nil {
+func (c *ClusterState) recordReachability(machine *worker.Machine, answered bool) {
+	doubted := machine.Doubtful()
+	machine.Reached(answered, time.Now())
+	node := c.nodes[machine.Name]
+	if node == nil {
 		return
 	}
 	if answered {
 		if doubted {
-			b.due[h] = true
+			c.pendingCommands[node] = true
 		}
 		return
 	}
-	for p := range h.places {
-		if !p.sent && !p.stopping {
-			b.dropPlace(p)
-			b.touch(p.Job)
+	for assignment := range node.assignments {
+		if !assignment.StartSent && !assignment.Stopping {
+			c.removeAssignment(assignment)
+			c.markChanged(assignment.Job)
 		}
 	}
 }
 
-func (b *ClusterState) probed(name ids.Machine, answered bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.probing--
-	if m := b.roster.Machines[name]; m != nil {
-		m.Probing = false
+func (c *ClusterState) probeAnswered(name ids.Machine, answered bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.probesInFlight--
+	if machine := c.machines.Machines[name]; machine != nil {
+		machine.Probing = false
 		if !answered {
-			m.Probes++
+			machine.Probes++
 		}
-		b.reached(m, answered)
+		c.recordReachability(machine, answered)
 	}
 }
--- a/internal/claim/process_pause.go
+++ b/internal/claim/process_pause.go
@@ -15,40 +15,40 @@
 // answers a beat or sends a command again, a renewal sent after it has to succeed.
 
 const (
-	tickEvery  = 100 * time.Millisecond
-	stoodStill = 1500 * time.Millisecond // without a tick: a hold may have run out, and no loaded processor delays one so long
+	pauseCheckInterval = 100 * time.Millisecond
+	pauseThreshold     = 1500 * time.Millisecond // without a tick: a hold may have run out, and no loaded processor delays one so long
 )
 
-// processPause notices that this process stood still.
-type processPause struct {
-	mu   sync.Mutex
-	tick time.Time // the last one
-	woke time.Time // when the last standstill was over
+// pauseDetector notices that this process stood still.
+type pauseDetector struct {
+	mu        sync.Mutex
+	lastTick  time.Time // the last one
+	resumedAt time.Time // when the last standstill was over
 	// OnWake is told how long it took.
-	onWake func(time.Duration)
+	onResume func(time.Duration)
 }
 
 // run ticks until the context ends.
-func (s *processPause) run(ctx context.Context) {
+func (s *pauseDetector) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		s.since(time.Now(), true)
-		wait(ctx, tickEvery)
+		s.lastPauseEnd(time.Now(), true)
+		sleep(ctx, pauseCheckInterval)
 	}
 }
 
-// since is when the last standstill was over; zero if there was none. Whoever asks
+// lastPauseEnd is when the last standstill was over; zero if there was none. Whoever asks
 // first after one notices it: he may run before the next tick.
-func (s *processPause) since(now time.Time, tick bool) time.Time {
+func (s *pauseDetector) lastPauseEnd(now time.Time, tick bool) time.Time {
 	s.mu.Lock()
 	gap := time.Duration(0)
-	if !s.tick.IsZero() && now.Sub(s.tick) > stoodStill {
-		gap = now.Sub(s.tick)
-		s.woke, s.tick = now, now
+	if !s.lastTick.IsZero() && now.Sub(s.lastTick) > pauseThreshold {
+		gap = now.Sub(s.lastTick)
+		s.resumedAt, s.lastTick = now, now
 	}
 	if tick {
-		s.tick = now
+		s.lastTick = now
 	}
-	woke, told := s.woke, s.onWake
+	woke, told := s.resumedAt, s.onResume
 	s.mu.Unlock()
 	if gap > 0 {
 		slog.Warn("this process stood still", "for", gap.Round(time.Millisecond))
@@ -59,31 +59,31 @@
 	return woke
 }
 
-// proven tells whether the leader has renewed its hold since this process last stood
+// renewedSincePause tells whether the leader has renewed its hold since this process last stood
 // still.
-func (p *Pool) proven(t *Term) bool {
-	woke := p.still.since(time.Now(), false)
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.term == t && (woke.IsZero() || t.renewed.After(woke))
+func (e *Elector) renewedSincePause(term *Term) bool {
+	woke := e.pauses.lastPauseEnd(time.Now(), false)
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.term == term && (woke.IsZero() || term.renewedAt.After(woke))
 }
 
-// woke begins to judge the machines anew: what looks silent was perhaps only not
+// processResumed begins to judge the machines anew: what looks silent was perhaps only not
 // listened to.
-func (p *Pool) woke(time.Duration) {
-	if b := p.Cluster(); b != nil {
-		b.listenAnew(time.Now())
+func (e *Elector) processResumed(time.Duration) {
+	if cluster := e.Cluster(); cluster != nil {
+		cluster.resetLiveness(time.Now())
 	}
 }
 
-// listenAnew gives every machine the time to be heard again.
-func (b *ClusterState) listenAnew(now time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for _, m := range b.roster.Machines {
-		if m.Heard {
-			m.Probes, m.Unreached, m.Failures = 0, time.Time{}, 0
-			m.Doubted, m.Asked = now, time.Time{}
+// resetLiveness gives every machine the time to be heard again.
+func (c *ClusterState) resetLiveness(now time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, machine := range c.machines.Machines {
+		if machine.Heard {
+			machine.Probes, machine.Unreached, machine.Failures = 0, time.Time{}, 0
+			machine.Doubted, machine.Asked = now, time.Time{}
 		}
 	}
 }
--- a/internal/claim/process_pause_test.go
+++ b/internal/claim/process_pause_test.go
@@ -17,19 +17,19 @@
 	// Guards against the first moments after a standstill, in which what waited on
 	// its connections is answered and machines look silent that nobody listened to.
 	synctest.Test(t, func(t *testing.T) {
-		set := testSet()
-		p := NewPool(set, nil, nil, "a.1")
-		p.still.onWake = p.woke
-		p.readAt = time.Now // the records are read all the while: only the standstill counts here
-		b := fleet(t, 12)
-		term := &Term{Gen: 7, Cluster: b, renewed: time.Now(), loaded: make(chan struct{}), cancel: func() {}}
+		settings := testSet()
+		elector := NewElector(settings, nil, nil, "a.1")
+		elector.pauses.onResume = elector.processResumed
+		elector.recordsReadAt = time.Now // the records are read all the while: only the standstill counts here
+		cluster := fleet(t, 12)
+		term := &Term{Generation: 7, Cluster: cluster, renewedAt: time.Now(), loaded: make(chan struct{}), cancel: func() {}}
 		close(term.loaded)
-		p.term = term
+		elector.term = term
 		beat := func(tick ids.Tick) int {
-			_, code, _ := p.Heartbeat(context.Background(), &worker.Report{Machine: "host-000001", Addr: "x:1", Type: "small", Zone: "north", Session: 1, Tick: tick, Token: 7})
+			_, code, _ := elector.Heartbeat(context.Background(), &worker.Report{Machine: "host-000001", Addr: "x:1", Type: "small", Zone: "north", Session: 1, Tick: tick, Token: 7})
 			return code
 		}
-		p.still.since(time.Now(), true)
+		elector.pauses.lastPauseEnd(time.Now(), true)
 		if code := beat(2); code != 200 {
 			t.Fatalf("a beat got %d", code)
 		}
@@ -38,27 +38,27 @@
 		if code := beat(3); code != 503 {
 			t.Errorf("right after it woke a beat got %d", code)
 		}
-		p.still.since(time.Now(), true) // its clock ticks again
-		if p.proven(term) {
+		elector.pauses.lastPauseEnd(time.Now(), true) // its clock ticks again
+		if elector.renewedSincePause(term) {
 			t.Error("commands may go out before a renewal")
 		}
-		if gone := b.Returns(time.Now(), nil); len(gone) != 0 {
+		if gone := cluster.MachinesToTerminate(time.Now(), nil); len(gone) != 0 {
 			t.Errorf("takes %v for silent", gone)
 		}
-		if _, err := p.Explain("job-1"); err != nil {
+		if _, err := elector.Explain("job-1"); err != nil {
 			t.Error(err)
 		}
 		time.Sleep(100 * time.Millisecond)
-		term.renewed = time.Now()
-		if code := beat(4); code != 200 || !p.proven(term) {
+		term.renewedAt = time.Now()
+		if code := beat(4); code != 200 || !elector.renewedSincePause(term) {
 			t.Errorf("once it has renewed a beat gets %d", code)
 		}
 		// A busy processor is no standstill.
 		for range 20 {
 			time.Sleep(900 * time.Millisecond)
-			p.still.since(time.Now(), true)
+			elector.pauses.lastPauseEnd(time.Now(), true)
 		}
-		if !p.proven(term) {
+		if !elector.renewedSincePause(term) {
 			t.Error("short delays count as a standstill")
 		}
 	})
@@ -67,15 +67,15 @@
 func TestReasonsAreCurrentOrSaidNotToBe(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		p := NewPool(testSet(), nil, nil, "a.1")
-		b := fleet(t, 1)
-		b.Learn("job-1", 1, rec("job-1", "blue", record.Normal, 40, 1), time.Now())
-		b.Plan(time.Now())
-		if _, err := p.Explain("job-1"); err == nil {
+		elector := NewElector(testSet(), nil, nil, "a.1")
+		cluster := fleet(t, 1)
+		cluster.HandleRecord("job-1", 1, newRecord("job-1", "blue", record.Normal, 40, 1), time.Now())
+		cluster.Plan(time.Now())
+		if _, err := elector.Explain("job-1"); err == nil {
 			t.Error("who does not own the pool explains")
 		}
-		term := &Term{Gen: 7, Cluster: b, renewed: time.Now(), loaded: make(chan struct{}), cancel: func() {}}
-		p.term = term
+		term := &Term{Generation: 7, Cluster: cluster, renewedAt: time.Now(), loaded: make(chan struct{}), cancel: func() {}}
+		elector.term = term
 		for _, c := range []struct {
 			what string
 			id   ids.Job
@@ -86,7 +86,7 @@
 			{"has not read of this job", "job-9", func() { time.Sleep(3 * time.Second) }},
 			{"the state service has not answered", "job-1", func() {}},
 		} {
-			lines, err := p.Explain(c.id)
+			lines, err := elector.Explain(c.id)
 			if err != nil || len(lines) == 0 || !strings.Contains(lines[0], c.what) {
 				t.Errorf("want %q: %v, %v", c.what, lines, err)
 			}
--- a/internal/claim/production_test.go
+++ b/internal/claim/production_test.go
@@ -44,28 +44,28 @@
 	// production wrote comes back to the letter, with every place in its place.
 	for _, name := range []string{"queued.json", "claimed.json", "cancelling.json", "done.json"} {
 		want := golden(t, name)
-		r, err := record.Decode(want)
+		rec, err := record.Decode(want)
 		if err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
-		raw, ok := r.Encode(8192)
+		raw, ok := rec.Encode(8192)
 		if !ok {
 			t.Fatal(name)
 		}
 		sameJSON(t, name, raw, want)
 		// Through the cluster state of a new leader as well.
-		if r.Status.Over() {
+		if rec.Status.Over() {
 			continue
 		}
-		b := testBook()
-		b.Load(map[ids.Job]*record.Record{"job-1": r}, map[ids.Job]ids.Revision{"job-1": 3}, 3, time.Now())
-		j := b.jobs["job-1"]
-		back := j.Rec
-		back.Places = packPlaces(j.places)
+		cluster := testBook()
+		cluster.Load(map[ids.Job]*record.Record{"job-1": rec}, map[ids.Job]ids.Revision{"job-1": 3}, 3, time.Now())
+		job := cluster.jobs["job-1"]
+		back := job.Record
+		back.Places = groupAssignments(job.Assignments)
 		raw, _ = back.Encode(8192)
 		sameJSON(t, name+" through the book", raw, want)
 	}
-	for name, v := range map[string]any{"owner.json": &leaderRecord{}, "generation.json": &generationRec{}} {
+	for name, v := range map[string]any{"owner.json": &leaderRecord{}, "generation.json": &generationRecord{}} {
 		want := golden(t, name)
 		if err := json.Unmarshal(want, v); err != nil {
 			t.Fatal(err)
@@ -78,9 +78,9 @@
 func TestTheProductionVersionFindsWhatItNeeds(t *testing.T) {
 	// Guards against records that an old leader would take for something else. One that
 	// awaits others it must pass over: it would start it at once, and drop what it awaits.
-	r := rec("job-2", "blue", record.Normal, 4, 1)
-	r.Spec.Awaits = []ids.Job{"job-1"}
-	raw, ok := r.EncodeWaiting(8192)
+	rec := newRecord("job-2", "blue", record.Normal, 4, 1)
+	rec.Spec.Awaits = []ids.Job{"job-1"}
+	raw, ok := rec.EncodeWaiting(8192)
 	var old map[string]any // any type that reads objects only, as production's does
 	if err := json.Unmarshal(raw, &old); !ok || err == nil {
 		t.Errorf("a waiting job's record reads as an object: %s", raw)
@@ -92,8 +92,8 @@
 		t.Error("a waiting job's record is taken for a claimable one's")
 	}
 	// Once it awaits nothing any more, only fields are new that may be lost.
-	r.Ready = 1700000000000
-	raw, _ = r.Encode(8192)
+	rec.Ready = 1700000000000
+	raw, _ = rec.Encode(8192)
 	if err := json.Unmarshal(raw, &old); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/claim/promote.go
+++ b/internal/claim/promote.go
@@ -13,48 +13,48 @@
 	"github.com/pebbletrail/pebbletrail/internal/state"
 )
 
-// waitingOnes collects what may be stored of jobs that wait: those that become
+// collectWaiting collects what may be stored of jobs that wait: those that become
 // claimable, or, if over, those that end.
-func (c *Committer) waitingOnes(over bool, add func(pending) bool) {
-	b := c.Cluster
+func (c *Committer) collectWaiting(over bool, add func(groupEntry) bool) {
+	cluster := c.Cluster
 	if over {
-		for id := range b.pipes.graph.Cancelled() {
-			if !b.mine(id) {
+		for id := range cluster.dependencies.graph.Cancelled() {
+			if !cluster.inShard(id) {
 				continue
 			}
-			if p, ok := c.moveOf(id, true); ok && !add(p) {
+			if entry, ok := c.encodeMove(id, true); ok && !add(entry) {
 				return
 			}
 		}
 		return
 	}
-	if c.movesWent && b.hasUrgent() {
-		c.movesWent = false // an end that many await must not keep all else waiting
+	if c.movedWaitingLast && cluster.hasUrgentChange() {
+		c.movedWaitingLast = false // an end that many await must not keep all else waiting
 		return
 	}
-	c.movesWent = false
-	for _, id := range b.inOrderOfPriority(b.pipes.graph.Ready()) {
-		p, ok := c.moveOf(id, false)
-		if ok && !add(p) {
+	c.movedWaitingLast = false
+	for _, id := range cluster.sortByPriority(cluster.dependencies.graph.Ready()) {
+		entry, ok := c.encodeMove(id, false)
+		if ok && !add(entry) {
 			return
 		}
-		c.movesWent = c.movesWent || ok
+		c.movedWaitingLast = c.movedWaitingLast || ok
 	}
 }
 
-// hasUrgent tells whether a change of a claimable job has to be stored at once.
-func (b *ClusterState) hasUrgent() bool {
-	for j := range b.dirty {
-		if j.urgent {
+// hasUrgentChange tells whether a change of a claimable job has to be stored at once.
+func (c *ClusterState) hasUrgentChange() bool {
+	for job := range c.unsaved {
+		if job.Urgent {
 			return true
 		}
 	}
 	return false
 }
 
-// inOrderOfPriority sorts waiting jobs, inherited priority included; the first
+// sortByPriority sorts waiting jobs, inherited priority included; the first
 // submitted of equals go first.
-func (b *ClusterState) inOrderOfPriority(jobs iter.Seq[ids.Job]) []ids.Job {
+func (c *ClusterState) sortByPriority(jobs iter.Seq[ids.Job]) []ids.Job {
 	type entry struct {
 		id        ids.Job
 		priority  int
@@ -62,11 +62,11 @@
 	}
 	var entries []entry
 	for id := range jobs {
-		if !b.mine(id) {
+		if !c.inShard(id) {
 			continue // its shard's leader moves it
 		}
-		rec := b.pipes.waits[id].rec
-		entries = append(entries, entry{id, max(int(rec.Spec.Priority), b.pipes.graph.Inherited(id).Priority), rec.Submitted})
+		rec := c.dependencies.waiting[id].record
+		entries = append(entries, entry{id, max(int(rec.Spec.Priority), c.dependencies.graph.Inherited(id).Priority), rec.Submitted})
 	}
 	slices.SortFunc(entries, func(x, y entry) int {
 		return cmp.Or(cmp.Compare(y.priority, x.priority), cmp.Compare(x.submitted, y.submitted), cmp.Compare(x.id, y.id))
@@ -78,19 +78,19 @@
 	return sorted
 }
 
-// moveOf is the transaction that moves a waiting job to the claimable ones or, if
+// encodeMove is the transaction that moves a waiting job to the claimable ones or, if
 // over, to those that ended; ok is false when its record does not fit a value.
-func (c *Committer) moveOf(id ids.Job, over bool) (p pending, ok bool) {
-	b := c.Cluster
-	w := b.pipes.waits[id]
+func (c *Committer) encodeMove(id ids.Job, over bool) (entry groupEntry, ok bool) {
+	cluster := c.Cluster
+	waiting := cluster.dependencies.waiting[id]
 	now := ids.WallOf(time.Now())
-	rec := *w.rec
-	rec.Gen, rec.Writer, rec.Seq = b.gen, b.writer, w.rec.Seq+1
-	limit := int(b.set.Params.State.ValueKB * 1024)
+	rec := *waiting.record
+	rec.Gen, rec.Writer, rec.Seq = cluster.generation, cluster.writer, waiting.record.Seq+1
+	limit := int(cluster.settings.Params.State.ValueKB * 1024)
 	key, encode := record.JobKey(id), rec.Encode
 	if over {
 		key, encode = record.EndKey(id), rec.EncodeFinal
-		rec.EndedBy(b.pipes.graph.CancelledBy(id))
+		rec.EndedBy(cluster.dependencies.graph.CancelledBy(id))
 	} else {
 		rec.Ready = now
 		rec.LeaveRoom(limit)
@@ -99,34 +99,34 @@
 	raw, ok := encode(limit)
 	if !ok {
 		slog.Error("a waiting job's record does not fit", "job", id)
-		return pending{}, false
+		return groupEntry{}, false
 	}
-	p = pending{wait: w, moved: &rec, over: over, size: len(raw) + 200}
-	p.conds = []state.Condition{{Key: record.WaitKey(id), Revision: w.stamp}, {Key: key}}
-	p.ops = []state.Op{{Remove: record.WaitKey(id)}, {Put: key, Value: raw}}
-	return p, true
+	entry = groupEntry{waiting: waiting, becomes: &rec, terminal: over, size: len(raw) + 200}
+	entry.conditions = []state.Condition{{Key: record.WaitKey(id), Revision: waiting.revision}, {Key: key}}
+	entry.ops = []state.Op{{Remove: record.WaitKey(id)}, {Put: key, Value: raw}}
+	return entry, true
 }
 
-// movedOn takes in that a waiting job's move is stored.
-func (b *ClusterState) movedOn(p pending, stamp ids.Revision, now time.Time) {
-	id := p.wait.id()
-	if b.pipes.waits[id] == p.wait {
-		b.unwait(p.wait)
+// waitingJobMoved takes in that a waiting job's move is stored.
+func (c *ClusterState) waitingJobMoved(entry groupEntry, revision ids.Revision, now time.Time) {
+	id := entry.waiting.id()
+	if c.dependencies.waiting[id] == entry.waiting {
+		c.removeWaitingJob(entry.waiting)
 	}
-	if p.over {
-		b.finally(id, record.Cancelled)
+	if entry.terminal {
+		c.jobEnded(id, record.Cancelled)
 		return
 	}
-	if b.jobs[id] == nil {
-		b.addJob(p.moved, stamp, now)
-		poke(b.wakePlan)
+	if c.jobs[id] == nil {
+		c.addJob(entry.becomes, revision, now)
+		signal(c.planSignal)
 	}
 }
 
 // repairMove reads back what became of a waiting job whose move met a conflict: an
 // answer was lost, or its user cancelled it.
-func (c *Committer) repairMove(ctx context.Context, p pending) bool {
-	b, id := c.Cluster, p.wait.id()
+func (c *Committer) repairMove(ctx context.Context, entry groupEntry) bool {
+	cluster, id := c.Cluster, entry.waiting.id()
 	live, found, err := c.State.Get(ctx, record.JobKey(id), state.Urgent)
 	if err != nil {
 		return false
@@ -138,18 +138,18 @@
 			slog.Error("unreadable record", "job", id, "err", err)
 			return false
 		}
-		b.mu.Lock()
-		p.moved = rec
-		p.over = false
-		b.movedOn(p, live.Revision, now)
-		b.mu.Unlock()
+		cluster.mu.Lock()
+		entry.becomes = rec
+		entry.terminal = false
+		cluster.waitingJobMoved(entry, live.Revision, now)
+		cluster.mu.Unlock()
 		return true
 	}
-	b.mu.Lock()
-	if b.pipes.waits[id] == p.wait {
-		b.unwait(p.wait)
+	cluster.mu.Lock()
+	if cluster.dependencies.waiting[id] == entry.waiting {
+		cluster.removeWaitingJob(entry.waiting)
 	}
-	b.ask(id, now)
-	b.mu.Unlock()
+	cluster.scheduleLookup(id, now)
+	cluster.mu.Unlock()
 	return true
 }
--- a/internal/claim/ranking.go
+++ b/internal/claim/ranking.go
@@ -10,20 +10,20 @@
 	"github.com/pebbletrail/pebbletrail/internal/record"
 )
 
-// queue puts a job into the line by submission; unqueue takes it out.
-func (b *ClusterState) queue(j *Job) {
-	at, _ := slices.BinarySearchFunc(b.line, j, earlier)
-	b.line = slices.Insert(b.line, at, j)
+// enqueue puts a job into the line by submission; unqueue takes it out.
+func (c *ClusterState) enqueue(job *Job) {
+	at, _ := slices.BinarySearchFunc(c.queue, job, compareSubmission)
+	c.queue = slices.Insert(c.queue, at, job)
 }
 
-func (b *ClusterState) unqueue(j *Job) {
-	if at, ok := slices.BinarySearchFunc(b.line, j, earlier); ok {
-		b.line = slices.Delete(b.line, at, at+1)
+func (c *ClusterState) dequeue(job *Job) {
+	if at, ok := slices.BinarySearchFunc(c.queue, job, compareSubmission); ok {
+		c.queue = slices.Delete(c.queue, at, at+1)
 	}
 }
 
-func earlier(x, y *Job) int {
-	switch a, z := &x.Rec, &y.Rec; {
+func compareSubmission(x, y *Job) int {
+	switch a, z := &x.Record, &y.Record; {
 	case a.Submitted < z.Submitted:
 		return -1
 	case a.Submitted > z.Submitted:
@@ -36,14 +36,14 @@
 	return 0
 }
 
-// starving is how long a job may wait to begin before it goes ahead of all but
+// starvationTime is how long a job may wait to begin before it goes ahead of all but
 // critical work: the largest too begin within four minutes.
-const starving = 100 * time.Second
+const starvationTime = 100 * time.Second
 
-// ranked lists the claimable jobs that have tasks to place: critical work
+// rankedJobs lists the claimable jobs that have tasks to place: critical work
 // first, then what has waited too long for its first start or lies within its
 // team's guarantee, then by priority and age.
-func (b *ClusterState) ranked(now time.Time) []*Job {
+func (c *ClusterState) rankedJobs(now time.Time) []*Job {
 	type entry struct {
 		j    *Job
 		rank int
@@ -51,35 +51,35 @@
 	}
 	var es []entry
 	demand := map[string]placement.Room{}
-	for _, j := range b.line {
-		if !j.claimable() {
+	for _, job := range c.queue {
+		if !job.Schedulable() {
 			continue
 		}
-		s := &j.Rec.Spec
-		d := demand[s.Team].Plus(s.Need.Times(float64(j.left())))
-		demand[s.Team] = d
-		t, _ := b.set.Team(s.Team)
-		j.guaranteed = within(t, s.Need, d)
-		if j.pending() > 0 {
-			es = append(es, entry{j: j})
+		spec := &job.Record.Spec
+		d := demand[spec.Team].Plus(spec.Need.Times(float64(job.Unfinished())))
+		demand[spec.Team] = d
+		team, _ := c.settings.Team(spec.Team)
+		job.Guaranteed = withinGuarantee(team, spec.Need, d)
+		if job.Unassigned() > 0 {
+			es = append(es, entry{j: job})
 		}
 	}
 	for i := range es {
-		j := es[i].j
-		s := &j.Rec.Spec
-		age := max(0, now.Sub(j.Rec.Since().Time()).Seconds())
-		p := j.priority()
+		job := es[i].j
+		spec := &job.Record.Spec
+		age := max(0, now.Sub(job.Record.Since().Time()).Seconds())
+		p := job.EffectivePriority()
 		// Waiting work rises one step at most, so that the lowest never starves.
 		if p == record.Low && age > 45 {
 			p = record.Normal
 		}
 		es[i].rank = int(p)
-		starving := p != record.Critical && j.starves(now)
-		if j.guaranteed && !starving {
+		starving := p != record.Critical && job.Starving(now)
+		if job.Guaranteed && !starving {
 			es[i].rank += 10
 		}
 		switch {
-		case j.failing():
+		case job.Failing():
 			es[i].rank = -1
 		case starving:
 			es[i].rank += 40
@@ -95,12 +95,12 @@
 		// Among equals, what is soonest complete goes first: a job is worth
 		// nothing to its user until its last task is done. Waiting makes up
 		// for size.
-		if s.Shape != record.Service {
-			takes := max(1, float64(s.Estimate))
-			if s.Shape == record.Gang && !b.readyWhereHeld(j) {
-				takes += b.fetch(s)
+		if spec.Shape != record.Service {
+			takes := max(1, float64(spec.Estimate))
+			if spec.Shape == record.Gang && !c.fitsWhereCached(job) {
+				takes += c.imageFetchSeconds(spec)
 			}
-			es[i].size = float64(j.left()) * s.Need.Cores * takes / (1 + age/max(5, min(20, b.horizon(j)/2)))
+			es[i].size = float64(job.Unfinished()) * spec.Need.Cores * takes / (1 + age/max(5, min(20, c.queueHorizon(job)/2)))
 		}
 	}
 	sort.SliceStable(es, func(x, y int) bool {
@@ -109,22 +109,22 @@
 		}
 		return es[x].size < es[y].size
 	})
-	js := make([]*Job, len(es))
+	jobs := make([]*Job, len(es))
 	for i := range es {
-		js[i] = es[i].j
+		jobs[i] = es[i].j
 	}
-	return js
+	return jobs
 }
 
-// readyWhereHeld tells whether machines that hold a gang's image have room for
+// fitsWhereCached tells whether machines that hold a gang's image have room for
 // all of it. Large images take a good part of a gang's time, so of two gangs
 // alike the one that need not fetch is complete sooner.
-func (b *ClusterState) readyWhereHeld(j *Job) bool {
-	s := &j.Rec.Spec
-	n := s.Tasks - len(j.places)
-	for h := range b.byImage[s.Image] {
-		if h.shelf != nil && h.holds(b, s.Image) {
-			n -= h.free().Count(s.Need, n)
+func (c *ClusterState) fitsWhereCached(job *Job) bool {
+	spec := &job.Record.Spec
+	n := spec.Tasks - len(job.Assignments)
+	for node := range c.byImage[spec.Image] {
+		if node.class != nil && node.hasImage(c, spec.Image) {
+			n -= node.freeCapacity().Count(spec.Need, n)
 		}
 		if n <= 0 {
 			return true
@@ -133,12 +133,12 @@
 	return false
 }
 
-// within tells whether a team's demand, up to and with this job, lies inside
+// withinGuarantee tells whether a team's demand, up to and with this job, lies inside
 // its guarantee. Work with accelerators is guaranteed by them alone: teams are
 // not promised the cores beside them separately.
-func within(t config.Team, need, demand placement.Room) bool {
+func withinGuarantee(team config.Team, need, demand placement.Room) bool {
 	if need.Accels > 0 {
-		return demand.Accels <= t.GPUs
+		return demand.Accels <= team.GPUs
 	}
-	return demand.Cores <= t.CPUs
+	return demand.Cores <= team.CPUs
 }
--- a/internal/claim/recovery.go
+++ b/internal/claim/recovery.go
@@ -12,87 +12,87 @@
 // Load fills the cluster state with the records found at a takeover. Their claims lapsed
 // with their leader; their places stay until a report, a lapse or the cloud says
 // what became of them.
-func (b *ClusterState) Load(recs map[ids.Job]*record.Record, stamps map[ids.Job]ids.Revision, at ids.Revision, now time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (c *ClusterState) Load(records map[ids.Job]*record.Record, revisions map[ids.Job]ids.Revision, at ids.Revision, now time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	// News may have come before the list: what is not in it is kept only if it
 	// is newer than the list.
-	for id, j := range b.jobs {
-		if s, listed := stamps[id]; j.stamp <= at && !listed || listed && s > j.stamp {
-			b.unlearn(j)
+	for id, job := range c.jobs {
+		if s, listed := revisions[id]; job.Revision <= at && !listed || listed && s > job.Revision {
+			c.discardJob(job)
 		}
 	}
-	b.loaded = true
-	for id, r := range recs {
-		if b.jobs[id] == nil {
-			b.addJob(r, stamps[id], now)
+	c.loaded = true
+	for id, rec := range records {
+		if c.jobs[id] == nil {
+			c.addJob(rec, revisions[id], now)
 		}
 	}
-	poke(b.wakePlan)
-	poke(b.wakeCommit)
+	signal(c.planSignal)
+	signal(c.commitSignal)
 }
 
-// unlearn takes back what news told of a job before the records were loaded.
-func (b *ClusterState) unlearn(j *Job) {
-	for _, i := range sortedTasks(j.places) {
-		b.dropPlace(j.places[i])
+// discardJob takes back what news told of a job before the records were loaded.
+func (c *ClusterState) discardJob(job *Job) {
+	for _, i := range sortedTasks(job.Assignments) {
+		c.removeAssignment(job.Assignments[i])
 	}
-	b.unlist(j)
+	c.removeJob(job)
 }
 
-func (b *ClusterState) addJob(r *record.Record, stamp ids.Revision, now time.Time) *Job {
-	j := &Job{Rec: *r, stamp: stamp, places: map[int]*Place{}, tries: map[int]*retry{},
-		settled: map[taskAttempt]uint64{}, version: r.Seq, saved: r.Seq, known: now}
-	j.lasted = r.Attempt > 0 // an earlier leader knew more
-	if j.version == 0 {
-		j.version, j.saved = 1, 1
+func (c *ClusterState) addJob(rec *record.Record, revision ids.Revision, now time.Time) *Job {
+	job := &Job{Record: *rec, Revision: revision, Assignments: map[int]*Assignment{}, Retries: map[int]*Retry{},
+		RecordedOutcomes: map[TaskAttempt]uint64{}, Version: rec.Seq, StoredVersion: rec.Seq, KnownSince: now}
+	job.HasLasted = rec.Attempt > 0 // an earlier leader knew more
+	if job.Version == 0 {
+		job.Version, job.StoredVersion = 1, 1
 	}
-	if b.cancellations[r.Spec.ID] > 0 && j.Rec.Status.May(record.Cancelling) {
-		j.Rec.Status = record.Cancelling
+	if c.cancellations[rec.Spec.ID] > 0 && job.Record.Status.May(record.Cancelling) {
+		job.Record.Status = record.Cancelling
 	}
-	b.jobs[r.Spec.ID] = j
-	b.queue(j)
-	r.EachPlace(func(i int, at record.Location) {
-		b.roster.Ensure(at.Machine, now, b.trustSilence)
-		b.putPlace(&Place{Job: j, Index: i, Machine: at.Machine, Session: at.Session, Attempt: at.Attempt,
-			Token: at.Token, sent: true, since: now, stopping: j.cancelled(), why: "cancelled"})
+	c.jobs[rec.Spec.ID] = job
+	c.enqueue(job)
+	rec.EachPlace(func(i int, at record.Location) {
+		c.machines.Ensure(at.Machine, now, c.trustSilence)
+		c.addAssignment(&Assignment{Job: job, TaskIndex: i, Machine: at.Machine, Incarnation: at.Session, Attempt: at.Attempt,
+			FencingToken: at.Token, StartSent: true, AssignedAt: now, Stopping: job.Cancelled(), StopReason: "cancelled"})
 	})
-	j.Rec.Places = nil
-	b.loadEvictions(j)
-	b.joinPipelines(j)
-	b.finishIfOver(j)
-	return j
+	job.Record.Places = nil
+	c.loadEvictions(job)
+	c.joinDependencies(job)
+	c.finishIfComplete(job)
+	return job
 }
 
-// wrote tells whether a record is this leader's own writing, without reading
+// isOwnWrite tells whether a record is this leader's own writing, without reading
 // all of it: most news is, and the cluster state knows it already.
-func (b *ClusterState) wrote(raw json.RawMessage) bool {
-	return bytes.Contains(raw, []byte(`"writer":"`+b.writer+`"`))
+func (c *ClusterState) isOwnWrite(raw json.RawMessage) bool {
+	return bytes.Contains(raw, []byte(`"writer":"`+c.writer+`"`))
 }
 
-// Learn takes in what another controller wrote: a new job or a cancellation.
+// HandleRecord takes in what another controller wrote: a new job or a cancellation.
 // rec is nil when the live record went away.
-func (b *ClusterState) Learn(id ids.Job, stamp ids.Revision, rec *record.Record, now time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	j := b.jobs[id]
-	if j == nil {
-		if rec != nil && !b.gone[id] && !rec.Status.Over() {
-			b.addJob(rec, stamp, now)
-			poke(b.wakePlan)
+func (c *ClusterState) HandleRecord(id ids.Job, revision ids.Revision, rec *record.Record, now time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	job := c.jobs[id]
+	if job == nil {
+		if rec != nil && !c.retired[id] && !rec.Status.Over() {
+			c.addJob(rec, revision, now)
+			signal(c.planSignal)
 		}
 		return
 	}
-	if stamp <= j.stamp || rec != nil && rec.Writer == b.writer {
+	if revision <= job.Revision || rec != nil && rec.Writer == c.writer {
 		return // our own write; its answer or a read after it settles that
 	}
-	if !b.loaded {
+	if !c.loaded {
 		// Nothing is this leader's yet: it may be the last leader's writing, whose places
 		// count like those in the records. To take it for a user's, who changes only the
 		// status, would lose them.
-		b.unlearn(j)
+		c.discardJob(job)
 		if rec != nil && !rec.Status.Over() {
-			b.addJob(rec, stamp, now)
+			c.addJob(rec, revision, now)
 		}
 		return
 	}
@@ -100,39 +100,39 @@
 		// Our own ending shows here too, as news that may outrun its answer.
 		// Another's ending is only written while no task is placed, and our
 		// next write on the job finds out.
-		if !j.Rec.Status.Over() && len(j.places) == 0 {
-			b.forget(j)
+		if !job.Record.Status.Over() && len(job.Assignments) == 0 {
+			c.retireJob(job)
 		}
 		return
 	}
-	b.adopt(j, stamp, rec)
+	c.applyForeignWrite(job, revision, rec)
 }
 
-// adopt takes over another controller's write on a known job.
-func (b *ClusterState) adopt(j *Job, stamp ids.Revision, rec *record.Record) {
-	j.stamp = stamp
+// applyForeignWrite takes over another controller's write on a known job.
+func (c *ClusterState) applyForeignWrite(job *Job, revision ids.Revision, rec *record.Record) {
+	job.Revision = revision
 	if rec.Status == record.Cancelling {
-		b.cancelTold(j)
+		c.cancelConfirmed(job)
 	}
-	b.touch(j)
+	c.markChanged(job)
 }
 
-// forget drops a job whose end is stored. What may still be on machines stays
+// retireJob drops a job whose end is stored. What may still be on machines stays
 // in the books until proven gone.
-func (b *ClusterState) forget(j *Job) {
-	id := j.Rec.Spec.ID
-	j.ended = true
-	delete(b.dirty, j)
-	if len(j.places) == 0 {
-		b.unlist(j)
+func (c *ClusterState) retireJob(job *Job) {
+	id := job.Record.Spec.ID
+	job.Ended = true
+	delete(c.unsaved, job)
+	if len(job.Assignments) == 0 {
+		c.removeJob(job)
 	}
-	b.askIfAwaited(id)
-	if !b.gone[id] {
-		b.gone[id] = true
-		b.goneQ = append(b.goneQ, id)
-		if len(b.goneQ) > 20000 {
-			delete(b.gone, b.goneQ[0])
-			b.goneQ = b.goneQ[1:]
+	c.scheduleLookupIfAwaited(id)
+	if !c.retired[id] {
+		c.retired[id] = true
+		c.retiredOrder = append(c.retiredOrder, id)
+		if len(c.retiredOrder) > 20000 {
+			delete(c.retired, c.retiredOrder[0])
+			c.retiredOrder = c.retiredOrder[1:]
 		}
 	}
 }
--- a/internal/claim/redirect.go
+++ b/internal/claim/redirect.go
@@ -9,14 +9,14 @@
 	"github.com/pebbletrail/pebbletrail/internal/state"
 )
 
-// sentOn is a worker sent on to the leader, perhaps again and again.
-type sentOn struct {
+// redirect is a worker sent on to the leader, perhaps again and again.
+type redirect struct {
 	to          ids.Node
 	first, last time.Time
 }
 
-// Strand is a worker that was sent on to the leader and may not have got there.
-type Strand struct {
+// RedirectedWorker is a worker that was sent on to the leader and may not have got there.
+type RedirectedWorker struct {
 	Machine ids.Machine
 	Ago     time.Duration // when it was first sent on
 }
@@ -25,76 +25,76 @@
 // through is back within backWithin: it waits 4 s for an answer, and another before it
 // tries the next node.
 const (
-	arrives    = 2500 * time.Millisecond
-	backWithin = 10 * time.Second
+	redirectArrivalTime = 2500 * time.Millisecond
+	redirectReturnTime  = 10 * time.Second
 )
 
-func (p *Pool) noteRedirect(m ids.Machine, to ids.Node) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if len(p.sent) > 20000 {
-		clear(p.sent)
+func (e *Elector) noteRedirect(m ids.Machine, to ids.Node) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if len(e.redirects) > 20000 {
+		clear(e.redirects)
 	}
 	now := time.Now()
-	s := p.sent[m]
-	if s.to != to || now.Sub(s.last) > backWithin {
-		s = sentOn{to: to, first: now}
+	s := e.redirects[m]
+	if s.to != to || now.Sub(s.last) > redirectReturnTime {
+		s = redirect{to: to, first: now}
 	}
 	s.last = now
-	p.sent[m] = s
+	e.redirects[m] = s
 }
 
-// Stranded lists the workers that were lately sent to the present leader and came
+// RedirectedWorkers lists the workers that were lately sent to the present leader and came
 // back, or should be there by now: whether they have been, the leader knows. Those sent
 // to an earlier one say nothing of this one.
-func (p *Pool) Stranded() (out []Strand) {
-	leader, _ := p.known()
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for m, s := range p.sent {
-		if s.to != leader || time.Since(s.last) >= backWithin {
-			delete(p.sent, m)
-		} else if s.last != s.first || time.Since(s.first) > arrives {
-			out = append(out, Strand{m, time.Since(s.first)})
+func (e *Elector) RedirectedWorkers() (out []RedirectedWorker) {
+	leader, _ := e.knownLeader()
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	for m, s := range e.redirects {
+		if s.to != leader || time.Since(s.last) >= redirectReturnTime {
+			delete(e.redirects, m)
+		} else if s.last != s.first || time.Since(s.first) > redirectArrivalTime {
+			out = append(out, RedirectedWorker{m, time.Since(s.first)})
 		}
 	}
 	return out
 }
 
-// Reconsider is told by a peer which workers reach it but not this leader. If
+// HandleRedirectedWorkers is told by a peer which workers reach it but not this leader. If
 // those are most of the machines, this node is cut off from the workers and
 // gives the pool up, at once and for a while, to one that is not.
-func (p *Pool) Reconsider(stranded []Strand) {
-	t := p.Term()
-	if t == nil || len(stranded) == 0 || !t.Cluster.cutOff(stranded, time.Now()) {
+func (e *Elector) HandleRedirectedWorkers(stranded []RedirectedWorker) {
+	term := e.Term()
+	if term == nil || len(stranded) == 0 || !term.Cluster.isolatedFromWorkers(stranded, time.Now()) {
 		return
 	}
-	p.giveWay(t, "cut off from the workers, which reach another node")
+	e.resign(term, "cut off from the workers, which reach another node")
 }
 
-// deafAfter is how long a term lasts at least before its leader may find itself
+// isolationMinTerm is how long a term lasts at least before its leader may find itself
 // cut off from all workers.
-const deafAfter = 5 * time.Second
+const isolationMinTerm = 5 * time.Second
 
-// checkDeaf gives the pool up if no worker is heard or answers, and no other
+// checkIsolation gives the pool up if no worker is heard or answers, and no other
 // controller can be reached to tell whether they reach it. A leader that hears
 // nobody keeps no lease alive, so little is lost if another fares no better.
-func (p *Pool) checkDeaf(t *Term) {
-	if p.Peers == nil || !p.Peers.Alone() || time.Since(t.began) < deafAfter || !t.Cluster.deaf(time.Now()) {
+func (e *Elector) checkIsolation(term *Term) {
+	if e.Peers == nil || !e.Peers.Alone() || time.Since(term.began) < isolationMinTerm || !term.Cluster.hearsNoWorker(time.Now()) {
 		return
 	}
-	p.giveWay(t, "no worker is heard, and no other controller")
+	e.resign(term, "no worker is heard, and no other controller")
 }
 
-// giveWay ends the term at once, and leaves the pool to others for a while.
-func (p *Pool) giveWay(t *Term, why string) {
-	p.mu.Lock()
-	p.resting = time.Now().Add(20 * time.Second)
-	p.mu.Unlock()
-	p.stepDown(t, why)
+// resign ends the term at once, and leaves the pool to others for a while.
+func (e *Elector) resign(term *Term, why string) {
+	e.mu.Lock()
+	e.noCampaignBefore = time.Now().Add(20 * time.Second)
+	e.mu.Unlock()
+	e.stepDown(term, why)
 	ctx, cancel := context.WithTimeout(context.Background(), state.CallTimeout)
 	defer cancel()
-	if err := p.State.EndLease(ctx, t.hold); err != nil {
+	if err := e.State.EndLease(ctx, term.lease); err != nil {
 		slog.Debug("hold not ended", "err", err) // it lapses by itself
 	}
 }
--- a/internal/claim/relocations.go
+++ b/internal/claim/relocations.go
@@ -13,56 +13,56 @@
 // and what the rest waits for. The trail is bounded and many tasks are lost at
 // once, so that like events share a line.
 
-// losses remembers, for the trail, tasks of a job that were lost and wait for a
+// LossHistory remembers, for the trail, tasks of a job that were lost and wait for a
 // new place.
-type losses struct {
-	in   map[int]string // task -> zone it was lost in
-	why  string         // of the last line about it
-	zone string
-	n    int
-	text string
+type LossHistory struct {
+	LostIn map[int]string // task -> zone it was lost in
+	Reason string         // of the last line about it
+	Zone   string
+	Count  int
+	Text   string
 }
 
-// noteGone tells in the trail that a task is proven not to be on its machine.
-func (b *ClusterState) noteGone(p *Place, why string) {
-	j, zone := p.Job, "an unknown zone"
-	if m := b.roster.Machines[p.Machine]; m != nil && m.Zone != "" {
-		zone = m.Zone
+// recordLoss tells in the trail that a task is proven not to be on its machine.
+func (c *ClusterState) recordLoss(assignment *Assignment, why string) {
+	job, zone := assignment.Job, "an unknown zone"
+	if machine := c.machines.Machines[assignment.Machine]; machine != nil && machine.Zone != "" {
+		zone = machine.Zone
 	}
-	l := &j.lost
-	if l.in == nil {
-		l.in = map[int]string{}
+	l := &job.Losses
+	if l.LostIn == nil {
+		l.LostIn = map[int]string{}
 	}
-	l.in[p.Index] = zone
-	if n := len(j.Rec.Trail); n > 0 && l.n > 0 && j.Rec.Trail[n-1].What == l.text && l.why == why && l.zone == zone {
-		l.n++
-		l.text = fmt.Sprintf("%d tasks gone in %s, task %d on %s the last: %s", l.n, zone, p.Index, p.Machine, why)
-		j.Rec.Trail = j.Rec.Trail[:n-1]
+	l.LostIn[assignment.TaskIndex] = zone
+	if n := len(job.Record.Trail); n > 0 && l.Count > 0 && job.Record.Trail[n-1].What == l.Text && l.Reason == why && l.Zone == zone {
+		l.Count++
+		l.Text = fmt.Sprintf("%d tasks gone in %s, task %d on %s the last: %s", l.Count, zone, assignment.TaskIndex, assignment.Machine, why)
+		job.Record.Trail = job.Record.Trail[:n-1]
 	} else {
-		l.why, l.zone, l.n = why, zone, 1
-		l.text = fmt.Sprintf("task %d gone on %s in %s: %s", p.Index, p.Machine, zone, why)
+		l.Reason, l.Zone, l.Count = why, zone, 1
+		l.Text = fmt.Sprintf("task %d gone on %s in %s: %s", assignment.TaskIndex, assignment.Machine, zone, why)
 	}
-	b.note(j, "%s", l.text)
+	c.recordEvent(job, "%s", l.Text)
 }
 
-// noteMoved tells in the trail where tasks lost before were placed anew.
-func (b *ClusterState) noteMoved(j *Job, placed []*Place) {
+// recordRestarts tells in the trail where tasks lost before were placed anew.
+func (c *ClusterState) recordRestarts(job *Job, placed []*Assignment) {
 	to, from := map[string]int{}, map[string]int{}
-	for _, p := range placed {
-		if z, ok := j.lost.in[p.Index]; ok {
-			delete(j.lost.in, p.Index)
+	for _, assignment := range placed {
+		if z, ok := job.Losses.LostIn[assignment.TaskIndex]; ok {
+			delete(job.Losses.LostIn, assignment.TaskIndex)
 			from[z]++
-			if m := b.roster.Machines[p.Machine]; m != nil {
-				to[m.Zone]++
+			if machine := c.machines.Machines[assignment.Machine]; machine != nil {
+				to[machine.Zone]++
 			}
 		}
 	}
 	if len(from) > 0 {
-		b.note(j, "tasks lost in %s start again: %s", byZone(from), byZone(to))
+		c.recordEvent(job, "tasks lost in %s start again: %s", formatByZone(from), formatByZone(to))
 	}
 }
 
-func byZone(n map[string]int) string {
+func formatByZone(n map[string]int) string {
 	var out []string
 	for z, k := range n {
 		out = append(out, fmt.Sprintf("%s (%d)", z, k))
@@ -71,38 +71,38 @@
 	return strings.Join(out, ", ")
 }
 
-// standing tells where a job's tasks are, by zone, and what those in a dark one
+// describeZones tells where a job's tasks are, by zone, and what those in a dark one
 // wait for.
-func (b *ClusterState) standing(j *Job, now time.Time) (out []string) {
+func (c *ClusterState) describeZones(job *Job, now time.Time) (out []string) {
 	at, dark := map[string]int{}, map[string]int{}
 	var latest time.Time
-	for _, p := range j.places {
-		m := b.roster.Machines[p.Machine]
+	for _, assignment := range job.Assignments {
+		machine := c.machines.Machines[assignment.Machine]
 		switch {
-		case m == nil || m.Zone == "":
+		case machine == nil || machine.Zone == "":
 			at["an unknown zone"]++
-		case b.dark[m.Zone] && (!m.Heard || m.Doubtful()):
-			dark[m.Zone]++
-			latest = worker.Later(latest, m.LapseAt)
+		case c.unreachableZones[machine.Zone] && (!machine.Heard || machine.Doubtful()):
+			dark[machine.Zone]++
+			latest = worker.Later(latest, machine.LapseAt)
 		default:
-			at[m.Zone]++
+			at[machine.Zone]++
 		}
 	}
 	if len(at) > 0 {
-		out = append(out, "on machines in "+byZone(at))
+		out = append(out, "on machines in "+formatByZone(at))
 	}
 	if len(dark) > 0 {
 		out = append(out, fmt.Sprintf("nothing is heard of %s: its tasks there may go on, and start elsewhere once their workers' leases have surely lapsed, in %.0fs at the latest, or the cloud has taken the machines back",
-			byZone(dark), max(0, latest.Sub(now).Seconds())))
+			formatByZone(dark), max(0, latest.Sub(now).Seconds())))
 	}
 	from := map[string]int{}
-	for i, z := range j.lost.in {
-		if !j.Rec.Finished.Has(i) {
+	for i, z := range job.Losses.LostIn {
+		if !job.Record.Finished.Has(i) {
 			from[z]++
 		}
 	}
 	if len(from) > 0 {
-		out = append(out, fmt.Sprintf("lost in %s and not started again yet", byZone(from)))
+		out = append(out, fmt.Sprintf("lost in %s and not started again yet", formatByZone(from)))
 	}
 	return out
 }
--- a/internal/claim/repair.go
+++ b/internal/claim/repair.go
@@ -12,30 +12,30 @@
 
 // repair reads back the keys whose conditions failed: either an answer was
 // lost and the change is ours, or another controller wrote.
-func (c *Committer) repair(ctx context.Context, conflict *state.Conflict, group []pending) {
-	b := c.Cluster
+func (c *Committer) repair(ctx context.Context, conflict *state.Conflict, group []groupEntry) {
+	cluster := c.Cluster
 	if conflict.Has(c.Keys.Generation()) {
-		e, found, err := c.State.Get(ctx, c.Keys.Generation(), state.Urgent)
+		entry, found, err := c.State.Get(ctx, c.Keys.Generation(), state.Urgent)
 		if err != nil {
-			wait(ctx, 100*time.Millisecond)
+			sleep(ctx, 100*time.Millisecond)
 			return
 		}
-		var g generationRec
-		if found && json.Unmarshal(e.Value, &g) == nil && g.Writer == b.writer {
-			c.raised(g.Generation, e.Revision)
+		var stored generationRecord
+		if found && json.Unmarshal(entry.Value, &stored) == nil && stored.Writer == cluster.writer {
+			c.generationRaised(stored.Generation, entry.Revision)
 			return
 		}
-		c.OnLost("another leader raised the generation")
+		c.OnSuperseded("another leader raised the generation")
 		return
 	}
-	for _, p := range group {
-		if p.wait != nil {
-			if conflict.Has(record.WaitKey(p.wait.id())) && !c.repairMove(ctx, p) {
+	for _, entry := range group {
+		if entry.waiting != nil {
+			if conflict.Has(record.WaitKey(entry.waiting.id())) && !c.repairMove(ctx, entry) {
 				return
 			}
 			continue
 		}
-		id := p.job.Rec.Spec.ID
+		id := entry.job.Record.Spec.ID
 		if conflict.Has(record.CancelKey(id)) && !c.readCancellation(ctx, id) {
 			return
 		}
@@ -52,16 +52,16 @@
 				slog.Error("unreadable record", "job", id, "err", err)
 				return
 			}
-			b.mu.Lock()
-			if rec.Writer == b.writer {
-				p.job.reread = time.Now()
-				p.job.stamp = live.Revision
-				p.job.saved = max(p.job.saved, min(rec.Seq, p.job.version))
-				b.settledUpTo(p.job)
+			cluster.mu.Lock()
+			if rec.Writer == cluster.writer {
+				entry.job.ReadRequiredAfter = time.Now()
+				entry.job.Revision = live.Revision
+				entry.job.StoredVersion = max(entry.job.StoredVersion, min(rec.Seq, entry.job.Version))
+				cluster.versionStored(entry.job)
 			} else {
-				b.adopt(p.job, live.Revision, rec)
+				cluster.applyForeignWrite(entry.job, live.Revision, rec)
 			}
-			b.mu.Unlock()
+			cluster.mu.Unlock()
 			if c.OnStored != nil {
 				c.OnStored()
 			}
@@ -74,22 +74,22 @@
 		if !found {
 			slog.Error("a job's record is nowhere", "job", id)
 		}
-		b.mu.Lock()
-		b.endedElsewhere(p.job)
-		b.mu.Unlock()
+		cluster.mu.Lock()
+		cluster.endedElsewhere(entry.job)
+		cluster.mu.Unlock()
 	}
 }
 
 // endedElsewhere drops a job whose end is stored already, by our own lost
 // answer or by a cancellation while nothing was placed.
-func (b *ClusterState) endedElsewhere(j *Job) {
-	for _, i := range sortedTasks(j.places) {
-		p := j.places[i]
-		if !p.sent {
-			b.dropPlace(p)
-		} else if !p.stopping {
-			b.stop(p, 0, "job over")
+func (c *ClusterState) endedElsewhere(job *Job) {
+	for _, i := range sortedTasks(job.Assignments) {
+		assignment := job.Assignments[i]
+		if !assignment.StartSent {
+			c.removeAssignment(assignment)
+		} else if !assignment.Stopping {
+			c.stopAssignment(assignment, 0, "job over")
 		}
 	}
-	b.forget(j)
+	c.retireJob(job)
 }
--- a/internal/claim/reservations.go
+++ b/internal/claim/reservations.go
@@ -14,149 +14,149 @@
 // at once. So for one that starves, machines are set aside: nothing but critical
 // work is placed there until what runs on them has ended.
 
-// starves tells whether a job has waited so long to begin that it goes ahead of all but
+// Starving tells whether a job has waited so long to begin that it goes ahead of all but
 // critical work. One whose tasks were all stopped again right after their start has not
 // begun; its wait starts anew then, so that it does not come right back.
-func (j *Job) starves(now time.Time) bool {
-	if begun := j.lasted && j.Rec.Attempt > 0; begun || len(j.places) > 0 || j.Rec.Finished.Len() > 0 {
+func (job *Job) Starving(now time.Time) bool {
+	if begun := job.HasLasted && job.Record.Attempt > 0; begun || len(job.Assignments) > 0 || job.Record.Finished.Len() > 0 {
 		return false
 	}
-	waitsSince := j.Rec.Since().Time()
-	if j.emptied.After(waitsSince) {
-		waitsSince = j.emptied
+	waitsSince := job.Record.Since().Time()
+	if job.UnassignedSince.After(waitsSince) {
+		waitsSince = job.UnassignedSince
 	}
-	return now.Sub(waitsSince) > starving
+	return now.Sub(waitsSince) > starvationTime
 }
 
 // Machines are set aside for reservedFor at most; others are looked for again after
 // reserveAgain; and all together are one machine in reservedShare, but for a job that
 // needs more at once.
 const (
-	reservedFor   = time.Minute
-	reserveAgain  = 5 * time.Second
-	reservedShare = 20
+	reservationTime       = time.Minute
+	reservationRetryDelay = 5 * time.Second
+	reservedFleetFraction = 20
 )
 
 // wantsReservation tells whether machines are to be set aside for a job that lacks n. High
 // work stops others instead; but on the dearest machines all work may be high: each
 // that ends is followed by a gang of one, and one that needs two at once never begins.
-func (j *Job) wantsReservation(n int, now time.Time) bool {
-	if j.priority() >= record.High && (n < 2 || j.Rec.Spec.Shape != record.Gang) {
+func (job *Job) wantsReservation(n int, now time.Time) bool {
+	if job.EffectivePriority() >= record.High && (n < 2 || job.Record.Spec.Shape != record.Gang) {
 		return false
 	}
-	return !j.suspect() && j.starves(now) && now.Sub(j.reservationSought) >= reserveAgain
+	return !job.Suspect() && job.Starving(now) && now.Sub(job.ReservationSoughtAt) >= reservationRetryDelay
 }
 
 // reserveMachines keeps n machines for a starving job, those that are soonest free
 // enough; it tells whether it did. It looks at every machine, but once a minute
 // for a job that starves.
-func (b *ClusterState) reserveMachines(j *Job, ask *placement.Ask, n int, now time.Time) bool {
-	if !j.wantsReservation(n, now) {
+func (c *ClusterState) reserveMachines(job *Job, request *placement.Ask, n int, now time.Time) bool {
+	if !job.wantsReservation(n, now) {
 		return false
 	}
-	j.reservationSought = now
+	job.ReservationSoughtAt = now
 	held := 0
-	for _, r := range b.reserved {
-		if r.whileEmptying && r.until.After(now) {
+	for _, reservation := range c.reservations {
+		if reservation.untilReleased && reservation.until.After(now) {
 			held++
 		}
 	}
-	if held+n > max(2*n, len(b.hosts)/reservedShare) {
+	if held+n > max(2*n, len(c.nodes)/reservedFleetFraction) {
 		return false
 	}
 	type candidate struct {
-		h     *host
+		h     *Node
 		zone  string
 		after time.Duration
 	}
-	var cs []candidate
-	for _, h := range b.hosts {
-		m := b.roster.Machines[h.name]
-		if m == nil {
+	var candidates []candidate
+	for _, node := range c.nodes {
+		machine := c.machines.Machines[node.name]
+		if machine == nil {
 			continue
 		}
-		if r, ok := b.reserved[h.name]; ok && r.until.After(now) {
-			if r.job == j.Rec.Spec.ID {
+		if reservation, ok := c.reservations[node.name]; ok && reservation.until.After(now) {
+			if reservation.job == job.Record.Spec.ID {
 				return true
 			}
 			continue
 		}
-		t := b.types[m.Type]
-		if t == nil || m.Going || !m.Usable(now, b.set.Params.Workers.ReportS) || !ask.Allows(m.Type, m.Zone, m.Spot) ||
-			ask.Need.Accels == 0 && t.Accels > 0 || !t.Room().Minus(h.used).Plus(h.turn).Holds(ask.Need) {
+		machineType := c.types[machine.Type]
+		if machineType == nil || machine.Going || !machine.Usable(now, c.settings.Params.Workers.ReportS) || !request.Allows(machine.Type, machine.Zone, machine.Spot) ||
+			request.Need.Accels == 0 && machineType.Accels > 0 || !machineType.Room().Minus(node.used).Plus(node.reclaimable).Holds(request.Need) {
 			continue
 		}
-		cs = append(cs, candidate{h, m.Zone, h.freeIn(now)})
+		candidates = append(candidates, candidate{node, machine.Zone, node.timeUntilFree(now)})
 	}
-	slices.SortFunc(cs, func(x, y candidate) int {
+	slices.SortFunc(candidates, func(x, y candidate) int {
 		if x.after != y.after {
 			return int(x.after - y.after)
 		}
 		return cmpString(string(x.h.name), string(y.h.name))
 	})
-	if j.Rec.Spec.OneZone && n > 1 {
+	if job.Record.Spec.OneZone && n > 1 {
 		// All in the zone that is soonest complete.
 		count := map[string]int{}
-		for _, c := range cs {
-			if count[c.zone]++; count[c.zone] == n {
-				cs = slices.DeleteFunc(cs, func(o candidate) bool { return o.zone != c.zone })
+		for _, found := range candidates {
+			if count[found.zone]++; count[found.zone] == n {
+				candidates = slices.DeleteFunc(candidates, func(o candidate) bool { return o.zone != found.zone })
 				break
 			}
 		}
 	}
-	if len(cs) < n {
+	if len(candidates) < n {
 		return false
 	}
-	until := now.Add(reservedFor)
-	if j.priority() >= record.High {
-		until = now.Add(2 * reservedFor) // what runs there runs long
+	until := now.Add(reservationTime)
+	if job.EffectivePriority() >= record.High {
+		until = now.Add(2 * reservationTime) // what runs there runs long
 	}
-	for _, c := range cs[:n] {
-		b.reserved[c.h.name] = reservation{job: j.Rec.Spec.ID, need: ask.Need, made: now, until: until, whileEmptying: true}
+	for _, found := range candidates[:n] {
+		c.reservations[found.h.name] = reservation{job: job.Record.Spec.ID, need: request.Need, madeAt: now, until: until, untilReleased: true}
 	}
-	b.note(j, "%d machines set aside for it, %s the first", n, cs[0].h.name)
+	c.recordEvent(job, "%d machines set aside for it, %s the first", n, candidates[0].h.name)
 	return true
 }
 
-// keptFor is how long the beginning of a job that starved is not undone by stopping it
+// startProtectionTime is how long the beginning of a job that starved is not undone by stopping it
 // for others but critical work: a start counts for its user only after that long
 // (protocol, "How aims are counted").
-const keptFor = 30 * time.Second
+const startProtectionTime = 30 * time.Second
 
-// keepForNow protects the beginning of a job that starved: of a gang all tasks, of any
+// protectStart protects the beginning of a job that starved: of a gang all tasks, of any
 // other job one, on a machine that was set aside for it if there is one.
-func (b *ClusterState) keepForNow(j *Job, fresh []*Place) {
-	until := time.Now().Add(keptFor)
-	if j.Rec.Spec.Shape == record.Gang {
-		for _, p := range fresh {
-			p.keptUntil = until
+func (c *ClusterState) protectStart(job *Job, fresh []*Assignment) {
+	until := time.Now().Add(startProtectionTime)
+	if job.Record.Spec.Shape == record.Gang {
+		for _, assignment := range fresh {
+			assignment.ProtectedUntil = until
 		}
 		return
 	}
-	var kept *Place
-	for _, p := range fresh {
-		if kept == nil || b.reserved[p.Machine].job == j.Rec.Spec.ID {
-			kept = p
+	var kept *Assignment
+	for _, assignment := range fresh {
+		if kept == nil || c.reservations[assignment.Machine].job == job.Record.Spec.ID {
+			kept = assignment
 		}
 	}
 	if kept != nil {
-		kept.keptUntil = until
+		kept.ProtectedUntil = until
 	}
 }
 
-// freeIn guesses when everything on a machine that ends by itself has ended.
-func (h *host) freeIn(now time.Time) time.Duration {
+// timeUntilFree guesses when everything on a machine that ends by itself has ended.
+func (node *Node) timeUntilFree(now time.Time) time.Duration {
 	longest := time.Duration(0)
-	for p := range h.places {
-		s := &p.Job.Rec.Spec
-		if s.Shape == record.Service {
+	for assignment := range node.assignments {
+		spec := &assignment.Job.Record.Spec
+		if spec.Shape == record.Service {
 			continue
 		}
-		since := p.ranSince
-		if since.IsZero() || p.status == worker.Pulling {
+		since := assignment.RunningSince
+		if since.IsZero() || assignment.Status == worker.Pulling {
 			since = now
 		}
-		longest = max(longest, s.Estimate.Duration()-now.Sub(since), time.Second)
+		longest = max(longest, spec.Estimate.Duration()-now.Sub(since), time.Second)
 	}
 	return longest
 }
--- a/internal/claim/returns.go
+++ b/internal/claim/returns.go
@@ -12,31 +12,31 @@
 	"github.com/pebbletrail/pebbletrail/internal/worker"
 )
 
-// Returns picks the machines to delete now, and marks them so that nothing
+// MachinesToTerminate picks the machines to delete now, and marks them so that nothing
 // more is placed there.
-func (b *ClusterState) Returns(now time.Time, needed map[ids.Machine]bool) []ids.Machine {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	silentAfter := 3*b.set.Params.Workers.ReportS.Duration() + 4*time.Second
+func (c *ClusterState) MachinesToTerminate(now time.Time, needed map[ids.Machine]bool) []ids.Machine {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	silentAfter := 3*c.settings.Params.Workers.ReportS.Duration() + 4*time.Second
 	var out []ids.Machine
-	si := b.listen()
-	si.on, _ = b.coming(now)
-	for _, m := range b.roster.Machines {
-		if needed[m.Name] || !m.Heard || b.keptByRollout(m.Name) {
-			m.NeededAt = now
+	liveness := c.updateZoneLiveness()
+	liveness.booting, _ = c.countBooting(now)
+	for _, machine := range c.machines.Machines {
+		if needed[machine.Name] || !machine.Heard || c.keptByRollout(machine.Name) {
+			machine.NeededAt = now
 		}
 		// Dear machines are not kept by cheap work that could run elsewhere.
-		t := b.types[m.Type]
-		m.Going = m.Name == b.emptying || t != nil && t.Accels > 0 && now.Sub(m.NeededAt).Seconds() > b.set.Own.IdleReturnS
-		if m.Going {
-			b.leaving[m.Name] = true
+		machineType := c.types[machine.Type]
+		machine.Going = machine.Name == c.consolidating || machineType != nil && machineType.Accels > 0 && now.Sub(machine.NeededAt).Seconds() > c.settings.Own.IdleReturnS
+		if machine.Going {
+			c.leaving[machine.Name] = true
 		}
-		if why := b.whyReturn(m, now, silentAfter, needed, si); why != "" || m.Deleting {
-			if !m.Deleting {
-				slog.Info("machine returned", "machine", m.Name, "type", m.Type, "spot", m.Spot, "why", why)
-				m.Deleting, m.ReturnWhy = true, why
+		if why := c.terminationReason(machine, now, silentAfter, needed, liveness); why != "" || machine.Deleting {
+			if !machine.Deleting {
+				slog.Info("machine returned", "machine", machine.Name, "type", machine.Type, "spot", machine.Spot, "why", why)
+				machine.Deleting, machine.ReturnWhy = true, why
 			}
-			out = append(out, m.Name)
+			out = append(out, machine.Name)
 		}
 	}
 	sort.Slice(out, func(x, y int) bool { return out[x] < out[y] })
@@ -44,68 +44,68 @@
 }
 
 // keptByRollout tells that a machine replaces another one and is still observed.
-func (b *ClusterState) keptByRollout(name ids.Machine) bool {
-	return b.disruption != nil && b.disruption.orders != nil && b.disruption.orders.Keep[name]
+func (c *ClusterState) keptByRollout(name ids.Machine) bool {
+	return c.drains != nil && c.drains.orders != nil && c.drains.orders.Keep[name]
 }
 
-func (b *ClusterState) whyReturn(m *worker.Machine, now time.Time, silentAfter time.Duration, needed map[ids.Machine]bool, si *silence) string {
-	empty := len(b.placesOn(m.Name)) == 0
-	order, _ := b.disruption.ordered(m.Name)
-	kept := needed[m.Name] || b.keptByRollout(m.Name)
+func (c *ClusterState) terminationReason(machine *worker.Machine, now time.Time, silentAfter time.Duration, needed map[ids.Machine]bool, liveness *fleetLiveness) string {
+	empty := len(c.assignmentsOn(machine.Name)) == 0
+	order, _ := c.drains.orderFor(machine.Name)
+	kept := needed[machine.Name] || c.keptByRollout(machine.Name)
 	switch {
-	case m.Failed:
+	case machine.Failed:
 		return "it stopped by itself"
-	case b.unlisted(m):
+	case c.missingFromCloud(machine):
 		return "the cloud does not list it"
-	case !m.TakenAt.IsZero() && (now.After(m.TakenAt) || empty):
+	case !machine.TakenAt.IsZero() && (now.After(machine.TakenAt) || empty):
 		return "the cloud takes it back"
-	case m.Draining != "" && empty:
-		return m.Draining
-	case m.Name == b.emptying && empty:
+	case machine.Draining != "" && empty:
+		return machine.Draining
+	case machine.Name == c.consolidating && empty:
 		return "its work was moved together with other work"
-	case m.Heard && (m.Silent(now) > silentAfter || m.Probes >= 2 && m.Silent(now) > b.silentFor(m)) && si.alone(m):
+	case machine.Heard && (machine.Silent(now) > silentAfter || machine.Probes >= 2 && machine.Silent(now) > c.silenceLimit(machine)) && liveness.isolatedFailure(machine):
 		return "silent"
-	case m.Heard && m.Failures >= 3 && now.Sub(m.Unreached) > b.silentFor(m) && si.alone(m):
+	case machine.Heard && machine.Failures >= 3 && now.Sub(machine.Unreached) > c.silenceLimit(machine) && liveness.isolatedFailure(machine):
 		return "nothing reaches it"
-	case !m.Heard && m.Booting:
-		return b.whyNotAwaited(m, kept, si.on, now)
-	case !m.Heard && !m.Booting && si.alone(m) && (now.Sub(m.Born) > 2*silentAfter || !empty && (m.Probes >= 4 || m.Addr == "" && now.Sub(m.Born) > silentAfter)):
+	case !machine.Heard && machine.Booting:
+		return c.reasonToAbandonBoot(machine, kept, liveness.booting, now)
+	case !machine.Heard && !machine.Booting && liveness.isolatedFailure(machine) && (now.Sub(machine.Born) > 2*silentAfter || !empty && (machine.Probes >= 4 || machine.Addr == "" && now.Sub(machine.Born) > silentAfter)):
 		// It held tasks for an earlier leader and neither answers nor is
 		// listed: returning it proves its tasks gone.
 		return "up but never heard"
-	case !m.Heard && !m.Booting && si.dark(m.Zone) && b.trustSilence.Sub(now) < b.set.Params.Workers.LeaseS.Duration()*2/3 && b.movable(m, si):
+	case !machine.Heard && !machine.Booting && liveness.zoneUnreachable(machine.Zone) && c.trustSilence.Sub(now) < c.settings.Params.Workers.LeaseS.Duration()*2/3 && c.hasRestartableReplica(machine, liveness):
 		return "its zone is dark, and its replicas can start elsewhere"
 	case order.Return && empty:
 		return fmt.Sprintf("rollout %s has emptied it", order.Rollout)
-	case m.Heard && empty && !kept && b.othersLack:
-		return givenUp
-	case m.Heard && empty && !kept && now.Sub(m.IdleSince).Seconds() > b.set.Own.IdleReturnS && now.Sub(m.HeldSince) > time.Minute:
+	case machine.Heard && empty && !kept && c.otherShardsShort:
+		return releasedForOtherShard
+	case machine.Heard && empty && !kept && now.Sub(machine.IdleSince).Seconds() > c.settings.Own.IdleReturnS && now.Sub(machine.HeldSince) > time.Minute:
 		return "idle"
 	}
 	return ""
 }
 
-// dark tells whether a zone, and not most of the fleet, is silent.
-func (si *silence) dark(zone string) bool {
-	z := si.zones[zone]
-	return si.storing && z != nil && z.dark && si.silent <= si.all*2/5
+// zoneUnreachable tells whether a zone, and not most of the fleet, is silent.
+func (l *fleetLiveness) zoneUnreachable(zone string) bool {
+	zoneState := l.zones[zone]
+	return l.storeAvailable && zoneState != nil && zoneState.unreachable && l.silent <= l.all*2/5
 }
 
-// movable tells whether a machine has a replica that may start in a zone that is
+// hasRestartableReplica tells whether a machine has a replica that may start in a zone that is
 // not dark. A leader knows when the leases of a dark zone's machines lapse only
 // if it answered them itself. After a takeover it would trust that only long
 // after most of the replicas have ended, while the cloud's word on a machine
 // returned is proof at once. Two thirds of a lease before that time the first
 // end, if the cut is older than the takeover: not earlier, since it may be over
 // before.
-func (b *ClusterState) movable(m *worker.Machine, si *silence) bool {
-	for p := range b.placesOn(m.Name) {
-		if s := &p.Job.Rec.Spec; s.Shape != record.Service || s.Zone != "" || !p.Job.claimable() {
+func (c *ClusterState) hasRestartableReplica(machine *worker.Machine, liveness *fleetLiveness) bool {
+	for assignment := range c.assignmentsOn(machine.Name) {
+		if spec := &assignment.Job.Record.Spec; spec.Shape != record.Service || spec.Zone != "" || !assignment.Job.Schedulable() {
 			continue
 		}
-		zs := b.zones(p.Job)
-		for _, zone := range b.set.Params.Zones {
-			if z := si.zones[zone]; z != nil && !z.dark && zs.may(zone, 1) > 0 {
+		spread := c.zoneSpreadOf(assignment.Job)
+		for _, zone := range c.settings.Params.Zones {
+			if zoneState := liveness.zones[zone]; zoneState != nil && !zoneState.unreachable && spread.allowed(zone, 1) > 0 {
 				return true
 			}
 		}
@@ -113,89 +113,89 @@
 	return false
 }
 
-// believed is the silence, with questions left unanswered in it, after which a
+// maxReplicaSilence is the silence, with questions left unanswered in it, after which a
 // machine with replicas is given up at the latest.
-const believed = 4 * time.Second
+const maxReplicaSilence = 4 * time.Second
 
-// silentFor is how long a machine that leaves questions unanswered is given.
+// silenceLimit is how long a machine that leaves questions unanswered is given.
 // Its replicas are down meanwhile, so it is short; a node that is itself cut
 // off sees many such machines and then returns none.
-func (b *ClusterState) silentFor(m *worker.Machine) time.Duration {
-	d := b.set.Params.Workers.ReportS.Duration()
-	if h := b.hosts[m.Name]; h != nil && h.stay > 0 {
-		d = min(d, believed)
+func (c *ClusterState) silenceLimit(machine *worker.Machine) time.Duration {
+	d := c.settings.Params.Workers.ReportS.Duration()
+	if node := c.nodes[machine.Name]; node != nil && node.replicas > 0 {
+		d = min(d, maxReplicaSilence)
 	}
 	return d
 }
 
-// silence is who is heard and who is not, counted once for all machines that
+// fleetLiveness is who is heard and who is not, counted once for all machines that
 // are judged by it.
-type silence struct {
-	storing     bool
-	zones       map[string]*zoneSilence
-	all, silent int
-	seen        heardTimes     // of those heard
-	on          map[string]int // on their way and covering a need, by type
+type fleetLiveness struct {
+	storeAvailable bool
+	zones          map[string]*zoneLiveness
+	all, silent    int
+	lastHeard      heardTimes     // of those heard
+	booting        map[string]int // on their way and covering a need, by type
 }
 
-// zoneSilence is the same of one zone. It is dark when half of its machines were
+// zoneLiveness is the same of one zone. It is dark when half of its machines were
 // asked in vain since anyone there was last heard. Fewer may be lost at once, and
 // in a small zone a second or more goes by between the reports of the others.
-type zoneSilence struct {
-	all    int
-	seen   heardTimes
-	doubts int
-	dark   bool
+type zoneLiveness struct {
+	all         int
+	lastHeard   heardTimes
+	unanswered  int
+	unreachable bool
 }
 
-func (b *ClusterState) listen() *silence {
-	si := b.count()
+func (c *ClusterState) updateZoneLiveness() *fleetLiveness {
+	liveness := c.measureLiveness()
 	lit := false
-	for name, z := range si.zones {
-		if b.dark[name] && !z.dark {
+	for name, zoneState := range liveness.zones {
+		if c.unreachableZones[name] && !zoneState.unreachable {
 			lit = true
-			b.relight(name)
+			c.resetZone(name)
 		}
-		b.dark[name] = z.dark
+		c.unreachableZones[name] = zoneState.unreachable
 	}
 	if lit {
-		si = b.count()
+		liveness = c.measureLiveness()
 	}
-	return si
+	return liveness
 }
 
-// count looks at who is heard and who is not.
-func (b *ClusterState) count() *silence {
-	si := &silence{storing: b.Storing(), zones: map[string]*zoneSilence{}}
+// measureLiveness looks at who is heard and who is not.
+func (c *ClusterState) measureLiveness() *fleetLiveness {
+	liveness := &fleetLiveness{storeAvailable: c.StoreAvailable(), zones: map[string]*zoneLiveness{}}
 	var silent []*worker.Machine
-	for _, o := range b.roster.Machines {
-		if o.Booting || o.Deleting || o.Failed || !o.Heard && o.Probes == 0 {
+	for _, other := range c.machines.Machines {
+		if other.Booting || other.Deleting || other.Failed || !other.Heard && other.Probes == 0 {
 			continue
 		}
-		z := si.zones[o.Zone]
-		if z == nil {
-			z = &zoneSilence{}
-			si.zones[o.Zone] = z
+		zoneState := liveness.zones[other.Zone]
+		if zoneState == nil {
+			zoneState = &zoneLiveness{}
+			liveness.zones[other.Zone] = zoneState
 		}
-		si.all++
-		z.all++
-		if o.Heard && !o.Doubtful() {
-			si.seen.add(o.Seen)
-			z.seen.add(o.Seen)
+		liveness.all++
+		zoneState.all++
+		if other.Heard && !other.Doubtful() {
+			liveness.lastHeard.add(other.Seen)
+			zoneState.lastHeard.add(other.Seen)
 		} else {
-			silent = append(silent, o)
+			silent = append(silent, other)
 		}
 	}
-	si.silent = len(silent)
-	for _, o := range silent {
-		if z := si.zones[o.Zone]; o.Probes > 0 && z.seen.after(o.Doubted) == 0 {
-			z.doubts++
+	liveness.silent = len(silent)
+	for _, other := range silent {
+		if zoneState := liveness.zones[other.Zone]; other.Probes > 0 && zoneState.lastHeard.after(other.Doubted) == 0 {
+			zoneState.unanswered++
 		}
 	}
-	for _, z := range si.zones {
-		z.dark = z.doubts >= max(3, z.all/2)
+	for _, zoneState := range liveness.zones {
+		zoneState.unreachable = zoneState.unanswered >= max(3, zoneState.all/2)
 	}
-	return si
+	return liveness
 }
 
 // heardTimes are when machines were last heard. Most looks at the fleet find no machine
@@ -216,48 +216,48 @@
 	return len(h.times) - sort.Search(len(h.times), func(k int) bool { return h.times[k].After(t) })
 }
 
-// relight begins to judge a zone's machines anew: it was dark and somebody
+// resetZone begins to judge a zone's machines anew: it was dark and somebody
 // there is heard again, so the others get the time to be heard too.
-func (b *ClusterState) relight(zone string) {
+func (c *ClusterState) resetZone(zone string) {
 	now := time.Now()
 	slog.Info("heard from a zone again that was dark", "zone", zone)
-	for _, m := range b.roster.Machines {
-		if m.Zone == zone && m.Doubtful() {
-			m.Probes, m.Unreached, m.Failures = 0, time.Time{}, 0
-			m.Doubted, m.Asked, m.Born = now, time.Time{}, now
+	for _, machine := range c.machines.Machines {
+		if machine.Zone == zone && machine.Doubtful() {
+			machine.Probes, machine.Unreached, machine.Failures = 0, time.Time{}, 0
+			machine.Doubted, machine.Asked, machine.Born = now, time.Time{}, now
 		}
 	}
 }
 
-// alone tells whether a machine's silence is its own: since it was first asked
+// isolatedFailure tells whether a machine's silence is its own: since it was first asked
 // in vain most others have been heard, and not many more are silent. Reports
 // come seconds apart, so that right after this node is cut off only the first
 // few machines look silent; what counts is who was heard after. The same goes
 // for its zone: where machines with replicas are asked sooner than others, they
 // are the first to look silent of a zone that went dark.
-func (si *silence) alone(m *worker.Machine) bool {
+func (l *fleetLiveness) isolatedFailure(machine *worker.Machine) bool {
 	// While nothing can be stored, what ran there could not be started
 	// elsewhere; if all of a zone is cut off or down, the leases decide.
-	if !si.storing {
+	if !l.storeAvailable {
 		return false
 	}
-	if z := si.zones[m.Zone]; z != nil && (z.dark || z.all > 3 && z.seen.after(m.Doubted.Add(probeTimeout)) < max(1, z.all/4)) {
+	if zoneState := l.zones[machine.Zone]; zoneState != nil && (zoneState.unreachable || zoneState.all > 3 && zoneState.lastHeard.after(machine.Doubted.Add(probeTimeout)) < max(1, zoneState.all/4)) {
 		return false
 	}
-	since := si.seen.after(m.Doubted)
-	return si.silent <= max(1, si.all*2/5) && since >= (si.all-si.silent+1)/2 && since > 0
+	since := l.lastHeard.after(machine.Doubted)
+	return l.silent <= max(1, l.all*2/5) && since >= (l.all-l.silent+1)/2 && since > 0
 }
 
-// DarkZones lists the zones of which nothing is heard any more. Work in a zone
+// UnreachableZones lists the zones of which nothing is heard any more. Work in a zone
 // that is only cut off goes on, and a third of the fleet is not rented anew for
 // that: its machines are left until their leases have surely lapsed. Nothing is
 // rented there meanwhile.
-func (b *ClusterState) DarkZones() map[string]bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (c *ClusterState) UnreachableZones() map[string]bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	dark := map[string]bool{}
-	for name, z := range b.listen().zones {
-		if z.dark {
+	for name, zoneState := range c.updateZoneLiveness().zones {
+		if zoneState.unreachable {
 			dark[name] = true
 		}
 	}
--- a/internal/claim/room_sharing.go
+++ b/internal/claim/room_sharing.go
@@ -11,64 +11,64 @@
 // another one lacks: the others then return what they only keep for later, and, if that does
 // not do, one machine after the other of those that have more than their part.
 
-// Lack is how much a shard lacks machines.
-type Lack struct {
+// Shortage is how much a shard lacks machines.
+type Shortage struct {
 	// For is how long the cloud has refused what its waiting jobs need; 0: it has not.
 	For      time.Duration
 	Machines int // that it has
 }
 
 const (
-	// lackFresh is how long what is known of another shard's lack holds.
-	lackFresh = 3 * time.Second
-	// lackLong is from when on a lack takes machines from shards that have more.
-	lackLong = 10 * time.Second
-	// giveUpEvery spaces the machines that a shard gives up.
-	giveUpEvery = 5 * time.Second
+	// shortageFresh is how long what is known of another shard's lack holds.
+	shortageFresh = 3 * time.Second
+	// shortageLong is from when on a lack takes machines from shards that have more.
+	shortageLong = 10 * time.Second
+	// releaseInterval spaces the machines that a shard gives up.
+	releaseInterval = 5 * time.Second
 )
 
-// notedLack is a lack and when it was told.
-type notedLack struct {
-	Lack
+// reportedShortage is a lack and when it was told.
+type reportedShortage struct {
+	Shortage
 	at time.Time
 }
 
-// SetLacking notes whether the cloud refuses now what waiting jobs need.
-func (b *ClusterState) SetLacking(lacks bool, now time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// SetShortage notes whether the cloud refuses now what waiting jobs need.
+func (c *ClusterState) SetShortage(lacks bool, now time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	switch {
 	case !lacks:
-		b.lackSince = time.Time{}
-	case b.lackSince.IsZero():
-		b.lackSince = now
+		c.shortageSince = time.Time{}
+	case c.shortageSince.IsZero():
+		c.shortageSince = now
 	}
 }
 
-// Lack is how much this leader's shard lacks machines.
-func (b *ClusterState) Lack() Lack {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	lack := Lack{Machines: len(b.roster.Machines)}
-	if !b.lackSince.IsZero() {
-		lack.For = time.Since(b.lackSince)
+// Shortage is how much this leader's shard lacks machines.
+func (c *ClusterState) Shortage() Shortage {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	lack := Shortage{Machines: len(c.machines.Machines)}
+	if !c.shortageSince.IsZero() {
+		lack.For = time.Since(c.shortageSince)
 	}
 	return lack
 }
 
-// NoteLack takes in what the leader of another shard told.
-func (s *Shards) NoteLack(shard ids.Shard, lack Lack) {
-	s.lacksMu.Lock()
-	defer s.lacksMu.Unlock()
-	s.lacks[shard] = notedLack{lack, time.Now()}
+// ReportShortage takes in what the leader of another shard told.
+func (s *Shards) ReportShortage(shard ids.Shard, lack Shortage) {
+	s.shortagesMu.Lock()
+	defer s.shortagesMu.Unlock()
+	s.shortages[shard] = reportedShortage{lack, time.Now()}
 }
 
-// OthersLack is the longest lack of another shard, and the part of all machines that a shard
+// OtherShardsShortage is the longest lack of another shard, and the part of all machines that a shard
 // has on average.
-func (s *Shards) OthersLack(own ids.Shard) (longest time.Duration, part int) {
+func (s *Shards) OtherShardsShortage(own ids.Shard) (longest time.Duration, part int) {
 	total := 0
-	for shard, p := range s.pools {
-		lack, known := s.lackOf(ids.Shard(shard), p)
+	for shard, elector := range s.pools {
+		lack, known := s.shortageOf(ids.Shard(shard), elector)
 		if !known {
 			continue
 		}
@@ -80,52 +80,52 @@
 	return longest, total / len(s.pools)
 }
 
-// lackOf is what is known of a shard, led here or elsewhere.
-func (s *Shards) lackOf(shard ids.Shard, p *Pool) (Lack, bool) {
-	if b := p.Cluster(); b != nil {
-		return b.Lack(), true
+// shortageOf is what is known of a shard, led here or elsewhere.
+func (s *Shards) shortageOf(shard ids.Shard, elector *Elector) (Shortage, bool) {
+	if cluster := elector.Cluster(); cluster != nil {
+		return cluster.Shortage(), true
 	}
-	s.lacksMu.Lock()
-	defer s.lacksMu.Unlock()
-	noted, known := s.lacks[shard]
-	return noted.Lack, known && time.Since(noted.at) < lackFresh
+	s.shortagesMu.Lock()
+	defer s.shortagesMu.Unlock()
+	noted, known := s.shortages[shard]
+	return noted.Shortage, known && time.Since(noted.at) < shortageFresh
 }
 
-// ShareRoom makes room for other shards, which have lacked machines for so long: nothing is
+// ShareCapacity makes room for other shards, which have lacked machines for so long: nothing is
 // kept for later, and what is more than this shard's part is given up.
-func (b *ClusterState) ShareRoom(lack time.Duration, part int, now time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.othersLack = lack > 0
-	if lack < lackLong || len(b.roster.Machines) <= part || now.Sub(b.gaveUp) < giveUpEvery || !b.Storing() {
+func (c *ClusterState) ShareCapacity(lack time.Duration, part int, now time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.otherShardsShort = lack > 0
+	if lack < shortageLong || len(c.machines.Machines) <= part || now.Sub(c.releasedAt) < releaseInterval || !c.StoreAvailable() {
 		return
 	}
-	var least *host
+	var least *Node
 	leastLoss := 0.0
-	for name, h := range b.hosts {
-		m := b.roster.Machines[name]
-		if m == nil || m.Draining != "" {
-			if m != nil && m.Draining == givenUp {
+	for name, node := range c.nodes {
+		machine := c.machines.Machines[name]
+		if machine == nil || machine.Draining != "" {
+			if machine != nil && machine.Draining == releasedForOtherShard {
 				return // one at a time
 			}
 			continue
 		}
 		loss := 0.0
-		for p := range h.places {
-			loss += p.lossIfStopped(now) * float64(1+p.Job.priority())
+		for assignment := range node.assignments {
+			loss += assignment.PreemptionCost(now) * float64(1+assignment.Job.EffectivePriority())
 		}
 		if least == nil || loss < leastLoss || loss == leastLoss && name < least.name {
-			least, leastLoss = h, loss
+			least, leastLoss = node, loss
 		}
 	}
 	if least == nil {
 		return
 	}
-	b.gaveUp = now
-	b.roster.Machines[least.name].Draining = givenUp
-	b.leaving[least.name] = true
-	slog.Info("machine given up", "machine", least.name, "why", givenUp)
+	c.releasedAt = now
+	c.machines.Machines[least.name].Draining = releasedForOtherShard
+	c.leaving[least.name] = true
+	slog.Info("machine given up", "machine", least.name, "why", releasedForOtherShard)
 }
 
-// givenUp is why such a machine is drained and returned.
-const givenUp = "its room is needed in another shard"
+// releasedForOtherShard is why such a machine is drained and returned.
+const releasedForOtherShard = "its room is needed in another shard"
--- a/internal/claim/rules_test.go
+++ b/internal/claim/rules_test.go
@@ -76,8 +76,8 @@
 	failing   time.Time // since when no poll for it succeeded
 }
 
-func newRules(set *config.Settings, say func(rule, what string)) *rules {
-	return &rules{say: say, set: set, jobs: map[string]*watched{}, live: map[string][]fake.Event{}, said: map[string]bool{}, began: map[string]time.Time{}}
+func newRules(settings *config.Settings, say func(rule, what string)) *rules {
+	return &rules{say: say, set: settings, jobs: map[string]*watched{}, live: map[string][]fake.Event{}, said: map[string]bool{}, began: map[string]time.Time{}}
 }
 
 func (r *rules) broken(rule, job, format string, args ...any) {
--- a/internal/claim/scale_test.go
+++ b/internal/claim/scale_test.go
@@ -17,28 +17,28 @@
 	old := slog.Default()
 	slog.SetDefault(slog.New(slog.NewTextHandler(io.Discard, nil)))
 	t.Cleanup(func() { slog.SetDefault(old) })
-	b := testBook()
+	cluster := testBook()
 	for i := range n {
-		b.hear(ids.Machine(fmt.Sprintf("host-%06d", i)), []string{"north", "south"}[i%2], 1)
+		cluster.hear(ids.Machine(fmt.Sprintf("host-%06d", i)), []string{"north", "south"}[i%2], 1)
 	}
-	return b
+	return cluster
 }
 
 // planAll plans until a pass places nothing more, as a leader's passes do one after the
 // other, and returns the most machines that one looked at while it held the lock.
-func planAll(b *ClusterState, now time.Time) (most int) {
+func planAll(cluster *ClusterState, now time.Time) (most int) {
 	for {
-		placed := countPlaces(b)
-		b.Plan(now)
-		if countPlaces(b) == placed {
-			return b.mostExaminedAtHold
+		placed := countPlaces(cluster)
+		cluster.Plan(now)
+		if countPlaces(cluster) == placed {
+			return cluster.mostExaminedPerLock
 		}
 	}
 }
 
-func countPlaces(b *ClusterState) (n int) {
-	for _, j := range b.jobs {
-		n += len(j.places)
+func countPlaces(cluster *ClusterState) (n int) {
+	for _, job := range cluster.jobs {
+		n += len(job.Assignments)
 	}
 	return n
 }
@@ -49,17 +49,17 @@
 	t.Parallel()
 	now := time.Now()
 	const machines, jobs = 4000, 800
-	b := fleet(t, machines)
+	cluster := fleet(t, machines)
 	cost := func(f func()) int {
-		before := b.machinesExamined
+		before := cluster.machinesExamined
 		f()
-		planAll(b, now)
-		return b.machinesExamined - before
+		planAll(cluster, now)
+		return cluster.machinesExamined - before
 	}
 	add := func(id, tasks int, cores float64) {
-		r := rec(ids.Job(fmt.Sprintf("job-%d", id)), "blue", record.Normal, tasks, cores)
-		r.Spec.Image = fmt.Sprint("image-", id%20)
-		b.Learn(r.Spec.ID, ids.Revision(id+1), r, now)
+		rec := newRecord(ids.Job(fmt.Sprintf("job-%d", id)), "blue", record.Normal, tasks, cores)
+		rec.Spec.Image = fmt.Sprint("image-", id%20)
+		cluster.HandleRecord(rec.Spec.ID, ids.Revision(id+1), rec, now)
 	}
 	// Filling: a job may look at every machine once, however many tasks it has.
 	full := cost(func() {
@@ -67,13 +67,13 @@
 			add(i, 20, 1)
 		}
 	})
-	if placed := countPlaces(b); placed != machines*4 {
+	if placed := countPlaces(cluster); placed != machines*4 {
 		t.Fatalf("%d tasks on %d cores", placed, machines*4)
 	}
 	if most := jobs * (machines + 20*5); full > most {
-		t.Errorf("placing %d tasks of %d jobs looked at %d machines, more than %d", countPlaces(b), jobs, full, most)
+		t.Errorf("placing %d tasks of %d jobs looked at %d machines, more than %d", countPlaces(cluster), jobs, full, most)
 	}
-	b.store()
+	cluster.store()
 	// Full: hundreds of waiting jobs find that out once, not each anew.
 	if n := cost(func() {
 		for i := range 300 {
@@ -84,13 +84,13 @@
 	}
 	// One machine frees up: only it is worth a look, for the first that wait.
 	if n := cost(func() {
-		for p := range b.placesOn("host-000007") {
-			b.dropPlace(p)
+		for assignment := range cluster.assignmentsOn("host-000007") {
+			cluster.removeAssignment(assignment)
 		}
 	}); n > 100 {
 		t.Errorf("a machine freed up, and %d were looked at", n)
 	}
-	if n := len(b.placesOn("host-000007")); n != 4 {
+	if n := len(cluster.assignmentsOn("host-000007")); n != 4 {
 		t.Errorf("%d tasks placed on the four cores that became free", n)
 	}
 	// Nothing changed: nothing is looked at but the head of the queue.
@@ -102,38 +102,38 @@
 func TestIndexesAgreeWithWhatIsPlaced(t *testing.T) {
 	t.Parallel()
 	now := time.Now()
-	b := fleet(t, 40)
+	cluster := fleet(t, 40)
 	for i := range 30 {
-		r := rec(ids.Job(fmt.Sprintf("job-%d", i)), "blue", record.Normal, 7, 1)
-		r.Spec.Image = fmt.Sprint("image-", i%5)
-		b.Learn(r.Spec.ID, ids.Revision(i+1), r, now)
+		rec := newRecord(ids.Job(fmt.Sprintf("job-%d", i)), "blue", record.Normal, 7, 1)
+		rec.Spec.Image = fmt.Sprint("image-", i%5)
+		cluster.HandleRecord(rec.Spec.ID, ids.Revision(i+1), rec, now)
 	}
-	b.Plan(now)
-	b.store()
+	cluster.Plan(now)
+	cluster.store()
 	check := func(when string) {
 		t.Helper()
 		on := map[ids.Machine]int{}
-		for _, j := range b.jobs {
-			for _, p := range j.places {
-				on[p.Machine]++
+		for _, job := range cluster.jobs {
+			for _, assignment := range job.Assignments {
+				on[assignment.Machine]++
 			}
 		}
-		for name, h := range b.hosts {
-			if len(h.places) != on[name] || h.used.Cores != float64(on[name]) {
-				t.Fatalf("%s: %s has %d places and %v in use, the jobs know of %d", when, name, len(h.places), h.used, on[name])
+		for name, node := range cluster.nodes {
+			if len(node.assignments) != on[name] || node.used.Cores != float64(on[name]) {
+				t.Fatalf("%s: %s has %d places and %v in use, the jobs know of %d", when, name, len(node.assignments), node.used, on[name])
 			}
-			open := h.shelf != nil
-			if m := b.roster.Machines[name]; open != (m.Heard && on[name] < 4) {
+			open := node.class != nil
+			if machine := cluster.machines.Machines[name]; open != (machine.Heard && on[name] < 4) {
 				t.Fatalf("%s: %s with %d tasks is on a shelf: %v", when, name, on[name], open)
 			}
-			if open && h.shelf.open[h.at] != h {
+			if open && node.class.withRoom[node.position] != node {
 				t.Fatalf("%s: %s is not where its shelf has it", when, name)
 			}
 		}
-		for img, hs := range b.byImage {
-			for h := range hs {
-				if h.pulls[img] == nil && !b.roster.Machines[h.name].Images.Has(img) {
-					t.Fatalf("%s: %s neither holds nor fetches %s", when, h.name, img)
+		for img, hs := range cluster.byImage {
+			for node := range hs {
+				if node.imagePulls[img] == nil && !cluster.machines.Machines[node.name].Images.Has(img) {
+					t.Fatalf("%s: %s neither holds nor fetches %s", when, node.name, img)
 				}
 			}
 		}
@@ -141,20 +141,20 @@
 	check("placed")
 	for i, name := range []ids.Machine{"host-000001", "host-000002", "host-000003"} {
 		var pieces []worker.Piece
-		for p := range b.placesOn(name) {
-			pieces = append(pieces, worker.Piece{Task: p.Task().String(), Attempt: p.Attempt, Status: worker.Running})
+		for assignment := range cluster.assignmentsOn(name) {
+			pieces = append(pieces, worker.Piece{Task: assignment.Task().String(), Attempt: assignment.Attempt, Status: worker.Running})
 		}
-		b.hear(name, "north", ids.Tick(i+2), pieces...)
+		cluster.hear(name, "north", ids.Tick(i+2), pieces...)
 		check("running")
 		for k := range pieces {
 			pieces[k].Status, pieces[k].Cause = worker.Ended, worker.CauseDone
 		}
-		b.hear(name, "north", ids.Tick(i+3), pieces...)
+		cluster.hear(name, "north", ids.Tick(i+3), pieces...)
 		check("done")
 	}
-	b.MachineGone("host-000004")
+	cluster.MachineTerminated("host-000004")
 	check("returned")
-	b.Plan(now)
+	cluster.Plan(now)
 	check("placed again")
 }
 
@@ -168,20 +168,20 @@
 	// after a total loss, while every heartbeat waits for it.
 	now := time.Now()
 	for _, machines := range []int{400, largestFleet} {
-		b := fleet(t, machines)
+		cluster := fleet(t, machines)
 		for i := range 300 {
-			r := rec(ids.Job(fmt.Sprintf("job-%d", i)), "blue", record.Normal, machines/100, 1)
-			r.Spec.Image = fmt.Sprint("image-", i)
-			b.Learn(r.Spec.ID, ids.Revision(i+1), r, now)
+			rec := newRecord(ids.Job(fmt.Sprintf("job-%d", i)), "blue", record.Normal, machines/100, 1)
+			rec.Spec.Image = fmt.Sprint("image-", i)
+			cluster.HandleRecord(rec.Spec.ID, ids.Revision(i+1), rec, now)
 		}
-		most := planAll(b, now)
-		if limit := maxExamined + 2*machines; most > limit {
+		most := planAll(cluster, now)
+		if limit := examinedPerLock + 2*machines; most > limit {
 			t.Errorf("%d machines: a pass looked at %d without a break, more than %d", machines, most, limit)
 		}
-		if placed := countPlaces(b); placed != 300*(machines/100) {
+		if placed := countPlaces(cluster); placed != 300*(machines/100) {
 			t.Errorf("%d machines: %d tasks placed", machines, placed)
 		}
-		t.Logf("%d machines: %d looks in all, %d without a break at most", machines, b.machinesExamined, most)
+		t.Logf("%d machines: %d looks in all, %d without a break at most", machines, cluster.machinesExamined, most)
 	}
 }
 
@@ -190,42 +190,42 @@
 	// Guards against a fixed bound smaller than a large fleet, although the values of the
 	// state service would hold more.
 	now := time.Now()
-	b := fleet(t, largestFleet)
-	b.set.Params.State.ValueKB = 56 // as much as a transaction carries
-	b.Learn("job-1", 1, rec("job-1", "blue", record.Normal, 4*largestFleet, 1), now)
-	j := b.jobs["job-1"]
+	cluster := fleet(t, largestFleet)
+	cluster.settings.Params.State.ValueKB = 56 // as much as a transaction carries
+	cluster.HandleRecord("job-1", 1, newRecord("job-1", "blue", record.Normal, 4*largestFleet, 1), now)
+	job := cluster.jobs["job-1"]
 	for range 20 {
-		planAll(b, now)
-		stored := j.Rec
-		stored.Places = packPlaces(j.places)
-		raw, fits := stored.Encode(int(b.set.Params.State.ValueKB * 1024))
+		planAll(cluster, now)
+		stored := job.Record
+		stored.Places = groupAssignments(job.Assignments)
+		raw, fits := stored.Encode(int(cluster.settings.Params.State.ValueKB * 1024))
 		if !fits {
-			t.Fatalf("the record of %d places does not fit", len(j.places))
+			t.Fatalf("the record of %d places does not fit", len(job.Assignments))
 		}
-		j.measured(stored.Places, len(raw))
-		b.store()
+		job.RecordEncodedSize(stored.Places, len(raw))
+		cluster.store()
 	}
-	if len(j.places) < largestFleet {
-		t.Errorf("%d tasks are under way at a time", len(j.places))
+	if len(job.Assignments) < largestFleet {
+		t.Errorf("%d tasks are under way at a time", len(job.Assignments))
 	}
 }
 
 func TestQuestionsBeforeReportsAreOverdueGoToTheLongestSilent(t *testing.T) {
 	t.Parallel()
-	b := fleet(t, largestFleet)
+	cluster := fleet(t, largestFleet)
 	now := time.Now()
-	for name, m := range b.roster.Machines {
+	for name, machine := range cluster.machines.Machines {
 		var i int
 		fmt.Sscanf(string(name), "host-%d", &i)
-		m.Seen = now.Add(-1100*time.Millisecond - time.Duration(i*7919%largestFleet)*time.Microsecond*10)
+		machine.Seen = now.Add(-1100*time.Millisecond - time.Duration(i*7919%largestFleet)*time.Microsecond*10)
 	}
-	b.early, b.probedAt = 5, now.Add(-100*time.Millisecond)
-	asked := b.toProbe(now, 1000)
+	cluster.earlyProbeTokens, cluster.probesIssuedAt = 5, now.Add(-100*time.Millisecond)
+	asked := cluster.dueProbes(now, 1000)
 	if len(asked) != 8 {
 		t.Fatalf("%d machines asked, not the 5 saved up and 3 more", len(asked))
 	}
 	for _, question := range asked {
-		if silent := now.Sub(b.roster.Machines[question.machine].Seen); silent < 1100*time.Millisecond+(largestFleet-9)*10*time.Microsecond {
+		if silent := now.Sub(cluster.machines.Machines[question.machine].Seen); silent < 1100*time.Millisecond+(largestFleet-9)*10*time.Microsecond {
 			t.Errorf("asked %s, silent for %v only", question.machine, silent)
 		}
 	}
@@ -239,38 +239,38 @@
 	for _, machines := range []int{400, largestFleet} {
 		now := time.Now()
 		last := fleet(t, machines)
-		last.Learn("job-1", 1, rec("job-1", "blue", record.Normal, machines, 1), now)
+		last.HandleRecord("job-1", 1, newRecord("job-1", "blue", record.Normal, machines, 1), now)
 		planAll(last, now)
-		hints, _ := last.Hints(HintMark{})
-		stored := last.jobs["job-1"].Rec
-		stored.Places = packPlaces(last.jobs["job-1"].places)
+		hints, _ := last.Hints(HintPosition{})
+		stored := last.jobs["job-1"].Record
+		stored.Places = groupAssignments(last.jobs["job-1"].Assignments)
 
 		next := testBook()
 		known := map[ids.Machine]Hint{}
 		for _, hint := range hints {
 			known[hint.Name] = hint
 		}
-		next.Seed(known, now)
+		next.ApplyHints(known, now)
 		next.Load(map[ids.Job]*record.Record{"job-1": &stored}, map[ids.Job]ids.Revision{"job-1": 1}, 1, now)
 		questions, rounds := 0, 0
 		for ; rounds < 1000; rounds++ {
 			now = now.Add(101 * time.Millisecond)
-			asked := next.toProbe(now, slots)
+			asked := next.dueProbes(now, slots)
 			if len(asked) == 0 || questions >= machines {
 				break
 			}
 			for i, question := range asked {
 				questions++
-				next.probed(question.machine, true)
+				next.probeAnswered(question.machine, true)
 				next.hear(question.machine, []string{"north", "south"}[i%2], 2)
-				next.roster.Machines[question.machine].Seen = now
+				next.machines.Machines[question.machine].Seen = now
 			}
 		}
 		if questions != machines || rounds > machines/slots+1 {
 			t.Errorf("%d machines: %d questions in %d rounds", machines, questions, rounds)
 		}
-		for name, m := range next.roster.Machines {
-			if !m.Heard {
+		for name, machine := range next.machines.Machines {
+			if !machine.Heard {
 				t.Fatalf("%d machines: %s was not asked", machines, name)
 			}
 		}
@@ -283,28 +283,28 @@
 	// Guards against weighing the whole fleet for each of hundreds of urgent tasks, as after
 	// a spot wave: at 6,000 machines the leader stood still until its lease had lapsed.
 	now := time.Now()
-	b := fleet(t, largestFleet)
+	cluster := fleet(t, largestFleet)
 	for i := range largestFleet / 30 {
-		r := rec(ids.Job(fmt.Sprintf("job-%d", i)), "blue", record.Normal, 200, 1)
-		r.Spec.Image = fmt.Sprint("image-", i%20)
-		b.Learn(r.Spec.ID, ids.Revision(i+1), r, now)
+		rec := newRecord(ids.Job(fmt.Sprintf("job-%d", i)), "blue", record.Normal, 200, 1)
+		rec.Spec.Image = fmt.Sprint("image-", i%20)
+		cluster.HandleRecord(rec.Spec.ID, ids.Revision(i+1), rec, now)
 	}
-	planAll(b, now)
-	if placed := countPlaces(b); placed != 4*largestFleet {
+	planAll(cluster, now)
+	if placed := countPlaces(cluster); placed != 4*largestFleet {
 		t.Fatalf("%d tasks fill the fleet", placed)
 	}
 	const urgent = 150
-	r := rec("job-900000", "blue", record.Critical, urgent, 1)
+	r := newRecord("job-900000", "blue", record.Critical, urgent, 1)
 	r.Spec.Shape, r.Spec.Image = record.Service, "image-new"
-	b.Learn(r.Spec.ID, 1, r, now)
-	before := b.machinesExamined
+	cluster.HandleRecord(r.Spec.ID, 1, r, now)
+	before := cluster.machinesExamined
 	for pass := range 2*urgent + 10 {
-		b.Plan(now.Add(time.Duration(pass) * 25 * time.Millisecond))
+		cluster.Plan(now.Add(time.Duration(pass) * 25 * time.Millisecond))
 	}
-	if placed := len(b.jobs["job-900000"].places); placed != urgent {
+	if placed := len(cluster.jobs["job-900000"].Assignments); placed != urgent {
 		t.Errorf("%d of %d urgent tasks found a place", placed, urgent)
 	}
-	if looks := b.machinesExamined - before; looks > 5*urgent*enoughCandidates {
+	if looks := cluster.machinesExamined - before; looks > 5*urgent*maxPreemptionCandidates {
 		t.Errorf("%d machines were looked at for %d tasks", looks, urgent)
 	}
 }
--- a/internal/claim/scenarios_test.go
+++ b/internal/claim/scenarios_test.go
@@ -378,7 +378,7 @@
 		time.Sleep(45 * time.Second)
 		w.store.SetDown(true)
 		time.Sleep(2 * time.Second)
-		w.nodes["a"].pool.Cluster().Empty(ids.Machine(at), time.Now())
+		w.nodes["a"].pool.Cluster().Consolidate(ids.Machine(at), time.Now())
 		w.hold(10*time.Second, "not moved while nothing can be stored", func() bool { return len(w.on("job-17/0")) == 1 })
 		w.store.SetDown(false)
 		w.until(10*time.Second, "moved afterwards", func() bool { n := w.on("job-17/0"); return len(n) == 1 && n[0] != at })
@@ -386,11 +386,11 @@
 }
 
 // hinted counts the machines that a node, if it owns the pool, has heard.
-func hinted(n *node) int {
+func hinted(n *testNode) int {
 	if n.pool.Cluster() == nil {
 		return 0
 	}
-	hs, _ := n.pool.Cluster().Hints(claim.HintMark{})
+	hs, _ := n.pool.Cluster().Hints(claim.HintPosition{})
 	return len(hs)
 }
 
@@ -407,7 +407,7 @@
 		if a.pool.Cluster() == nil {
 			first, second = b, a
 		}
-		second.pool.Hear(first.pool.Cluster().Hints(second.pool.Heard()))
+		second.pool.ReceiveHints(first.pool.Cluster().Hints(second.pool.HintPosition()))
 		w.worn("m1").SetSilent(true) // so that only being asked tells of it
 		first.kill()
 		w.until(5*time.Second, "a successor", func() bool { return second.pool.Cluster() != nil })
@@ -440,10 +440,10 @@
 		cut := time.Now()
 		w.until(18*time.Second, "the other node owns the pool", func() bool {
 			if o := first.pool.Cluster(); o != nil {
-				if gone := o.Returns(time.Now(), nil); len(gone) > 0 {
+				if gone := o.MachinesToTerminate(time.Now(), nil); len(gone) > 0 {
 					t.Fatalf("returned %v although this node alone is cut off", gone)
 				}
-				first.pool.Reconsider(second.pool.Stranded())
+				first.pool.HandleRedirectedWorkers(second.pool.RedirectedWorkers())
 			}
 			return second.pool.Cluster() != nil
 		})
--- a/internal/claim/schedule.go
+++ b/internal/claim/schedule.go
@@ -13,54 +13,54 @@
 	"github.com/pebbletrail/pebbletrail/internal/record"
 )
 
-// pass is what one planning pass has found out so far, so that jobs alike do
+// planningPass is what one planning pass has found out so far, so that jobs alike do
 // not find it out again.
-type pass struct {
+type planningPass struct {
 	now              time.Time
-	full             map[fullKey][]placement.Room // needs for which no machine has room
-	victims          map[victimKey][]*host
-	spare            map[victimKey][]placement.Room // needs for which stopping others frees nothing
+	noCapacity       map[placementKey][]placement.Room // needs for which no machine has room
+	preemptible      map[victimKey][]*Node
+	noVictims        map[victimKey][]placement.Room // needs for which stopping others frees nothing
 	machinesExamined int                            // machines looked at, for tests and operators
 	demands          map[string]quota.Demand        // by team, of tasks that only the team's allowance holds back
 }
 
-// maxExamined is after how many looks at machines a pass lets others at the cluster state
+// examinedPerLock is after how many looks at machines a pass lets others at the cluster state
 // before it goes on. Hundreds of jobs that meet thousands of empty machines, or displace what
 // runs there, would otherwise hold it, and with it all heartbeats, for longer than a worker
 // waits for its answer. To end the pass instead was tried: the next one began with the same
 // jobs, and those behind them waited.
-const maxExamined = 50000
+const examinedPerLock = 50000
 
-// letOthersIn gives the cluster state's lock up for a moment. What the pass has found out may
+// yieldLock gives the cluster state's lock up for a moment. What the pass has found out may
 // be otherwise afterwards, so it is found out again.
-func (b *ClusterState) letOthersIn(ps *pass) {
-	b.noteHold(ps)
-	b.mu.Unlock()
+func (c *ClusterState) yieldLock(pass *planningPass) {
+	c.recordExamined(pass)
+	c.mu.Unlock()
 	runtime.Gosched()
-	b.mu.Lock()
-	b.examinedAtHold = b.machinesExamined + ps.machinesExamined
-	clear(ps.full)
-	clear(ps.victims)
-	clear(ps.spare)
+	c.mu.Lock()
+	c.examinedAtLock = c.machinesExamined + pass.machinesExamined
+	clear(pass.noCapacity)
+	clear(pass.preemptible)
+	clear(pass.noVictims)
 }
 
-// noteHold notes how many machines were looked at since the lock was taken.
-func (b *ClusterState) noteHold(ps *pass) {
-	b.mostExaminedAtHold = max(b.mostExaminedAtHold, b.machinesExamined+ps.machinesExamined-b.examinedAtHold)
+// recordExamined notes how many machines were looked at since the lock was taken.
+func (c *ClusterState) recordExamined(pass *planningPass) {
+	c.mostExaminedPerLock = max(c.mostExaminedPerLock, c.machinesExamined+pass.machinesExamined-c.examinedAtLock)
 }
 
-func newPass(now time.Time) *pass {
-	return &pass{now: now, full: map[fullKey][]placement.Room{}, victims: map[victimKey][]*host{}, spare: map[victimKey][]placement.Room{}, demands: map[string]quota.Demand{}}
+func newPass(now time.Time) *planningPass {
+	return &planningPass{now: now, noCapacity: map[placementKey][]placement.Room{}, preemptible: map[victimKey][]*Node{}, noVictims: map[victimKey][]placement.Room{}, demands: map[string]quota.Demand{}}
 }
 
-// fullKey is what decides, beside the amount, which machines an ask may use.
-type fullKey struct {
-	types, zone string
-	spot, accel bool
+// placementKey is what decides, beside the amount, which machines an ask may use.
+type placementKey struct {
+	types, zone       string
+	spot, accelerated bool
 }
 
-func keyOf(a *placement.Ask) fullKey {
-	k := fullKey{zone: a.Zone, spot: a.Spot, accel: a.Need.Accels > 0}
+func placementKeyOf(a *placement.Ask) placementKey {
+	k := placementKey{zone: a.Zone, spot: a.Spot, accelerated: a.Need.Accels > 0}
 	for _, t := range a.Types {
 		k.types += t + ","
 	}
@@ -75,60 +75,60 @@
 
 // Plan claims what there is room for: it puts places in the cluster state, whose
 // markers the committer then stores.
-func (b *ClusterState) Plan(now time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.lost || len(b.types) == 0 || b.disruption.awaitsOrders() {
+func (c *ClusterState) Plan(now time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.closed || len(c.types) == 0 || c.drains.awaitsOrders() {
 		return
 	}
 	defer measure.Process.Took("planning pass", time.Now())
-	b.drains(now)
-	b.evict(now)
-	b.stopForOtherShards()
-	ps := newPass(now)
-	b.examinedAtHold = b.machinesExamined
-	for _, j := range b.ranked(now) {
-		if b.machinesExamined+ps.machinesExamined-b.examinedAtHold > maxExamined {
-			b.letOthersIn(ps)
-			if b.lost {
+	c.stopOnLeavingMachines(now)
+	c.runEvictions(now)
+	c.preemptForOtherShards()
+	pass := newPass(now)
+	c.examinedAtLock = c.machinesExamined
+	for _, job := range c.rankedJobs(now) {
+		if c.machinesExamined+pass.machinesExamined-c.examinedAtLock > examinedPerLock {
+			c.yieldLock(pass)
+			if c.closed {
 				return
 			}
 		}
-		if b.jobs[j.Rec.Spec.ID] != j {
+		if c.jobs[job.Record.Spec.ID] != job {
 			continue
 		}
-		b.claim(j, ps)
-		if j.waiting != j.logged {
-			j.logged = j.waiting
-			slog.Debug("waits", "class", j.Rec.Spec.Class, "job", j.Rec.Spec.ID, "why", j.waiting, "left", j.left(), "placed", len(j.places))
+		c.assignTasks(job, pass)
+		if job.PendingReason != job.LoggedReason {
+			job.LoggedReason = job.PendingReason
+			slog.Debug("waits", "class", job.Record.Spec.Class, "job", job.Record.Spec.ID, "why", job.PendingReason, "left", job.Unfinished(), "placed", len(job.Assignments))
 		}
 	}
-	b.quota.SetDemands(ps.demands)
-	b.noteHold(ps)
-	b.machinesExamined += ps.machinesExamined
-	b.sample(now)
+	c.quota.SetDemands(pass.demands)
+	c.recordExamined(pass)
+	c.machinesExamined += pass.machinesExamined
+	c.sampleUsage(now)
 }
 
-// claim places what it can of one job.
-func (b *ClusterState) claim(j *Job, ps *pass) {
-	s := &j.Rec.Spec
-	if s.Shape == record.Gang {
-		b.claimGang(j, ps)
+// assignTasks places what it can of one job.
+func (c *ClusterState) assignTasks(job *Job, pass *planningPass) {
+	spec := &job.Record.Spec
+	if spec.Shape == record.Gang {
+		c.assignGang(job, pass)
 		return
 	}
-	now := ps.now
-	pending := j.pending()
+	now := pass.now
+	pending := job.Unassigned()
 	if pending <= 0 {
-		j.waiting = ""
+		job.PendingReason = ""
 		return
 	}
-	if j.rests(now) {
-		j.waiting = j.whyRests()
+	if job.BackingOff(now) {
+		job.PendingReason = job.BackOffReason()
 		return
 	}
-	allowed, open := b.mayHave(j, pending, now), b.openLimit(j)-len(j.places)
+	allowed, open := c.assignableTasks(job, pending, now), c.maxAssignedTasks(job)-len(job.Assignments)
 	may := min(pending, allowed, open)
-	if j.failing() {
+	if job.Failing() {
 		may = min(may, 1)
 	}
 	placed := 0
@@ -137,125 +137,125 @@
 	case open <= 0:
 		why = "as many of its tasks are under way as a record of the state service holds"
 	case allowed <= 0:
-		ps.lacks(j, min(pending, open))
-		why = b.quota.Explain(s.Team)
-		if b.yield(j, pending, now) {
+		pass.addUnmetDemand(job, min(pending, open))
+		why = c.quota.Explain(spec.Team)
+		if c.yieldQuota(job, pending, now) {
 			why += "; lesser work of its own makes way"
 		}
 	}
-	ask := s.Ask()
-	v := b.survey(j, &ask, ps)
-	for i := j.Rec.Finished.NextMissing(0); i < s.Tasks && placed < may; i = j.Rec.Finished.NextMissing(i + 1) {
-		if j.places[i] != nil {
+	request := spec.Ask()
+	search := c.newSearch(job, &request, pass)
+	for i := job.Record.Finished.NextMissing(0); i < spec.Tasks && placed < may; i = job.Record.Finished.NextMissing(i + 1) {
+		if job.Assignments[i] != nil {
 			continue
 		}
-		r := j.tries[i]
-		if r != nil && r.at.After(now) {
+		retry := job.Retries[i]
+		if retry != nil && retry.NotBefore.After(now) {
 			why = "backing off after failures"
 			continue
 		}
-		at := v.pick(r)
-		if at != nil && j.priority() == record.Critical && !at.holds(b, s.Image) {
+		at := search.pick(retry)
+		if at != nil && job.EffectivePriority() == record.Critical && !at.hasImage(c, spec.Image) {
 			// A fetch takes longer than stopping lesser work where the image
 			// is.
-			if host := b.roomWhereHeld(j, &ask, ps); host != "" {
+			if host := c.preemptWhereCached(job, &request, pass); host != "" {
 				why = "waits for room freed on " + host
 				break
 			}
 		}
 		if at == nil {
 			why = "no machine has room"
-			if ok, victim := b.preempt(j, &ask, ps); ok {
+			if ok, victim := c.preempt(job, &request, pass); ok {
 				why = "waits for room freed on " + victim
-			} else if b.reserveMachines(j, &ask, 1, now) {
+			} else if c.reserveMachines(job, &request, 1, now) {
 				why = "waits for a machine set aside for it"
 			}
-			if r == nil {
+			if retry == nil {
 				break
 			}
 			continue
 		}
-		if placed == 0 && !j.goesOn(i) {
-			j.Rec.Attempt++
+		if placed == 0 && !job.ContinuesSlice(i) {
+			job.Record.Attempt++
 		}
-		j.slice.attempt, j.slice.top = j.Rec.Attempt, i
-		b.place(j, i, j.Rec.Attempt, at, now)
-		v.zones.add(b.roster.Machines[at.name].Zone)
+		job.LastSlice.Attempt, job.LastSlice.LastTask = job.Record.Attempt, i
+		c.assign(job, i, job.Record.Attempt, at, now)
+		search.zones.add(c.machines.Machines[at.name].Zone)
 		placed++
 	}
-	b.placed(j, placed)
-	j.waiting = why
+	c.tasksAssigned(job, placed)
+	job.PendingReason = why
 	if placed == pending {
-		j.waiting = ""
-		b.release(j)
+		job.PendingReason = ""
+		c.releaseReservations(job)
 	}
 }
 
-// slice is how far a claim has got into an array, lowest task first.
-type slice struct {
-	attempt ids.Attempt
-	top     int
+// ArraySlice is how far a claim has got into an array, lowest task first.
+type ArraySlice struct {
+	Attempt  ids.Attempt
+	LastTask int
 }
 
-// goesOn tells whether claiming from task i on only goes on where the last slice
+// ContinuesSlice tells whether claiming from task i on only goes on where the last slice
 // left off. Then it is one claim with it and shares its attempt: no task above it
 // was ever placed under that. A record that had to name an attempt for every few
 // tasks would hold a fraction of them.
-func (j *Job) goesOn(i int) bool {
-	return j.Rec.Spec.Shape == record.Array && j.slice.attempt == j.Rec.Attempt && j.Rec.Attempt > 0 && i > j.slice.top
+func (job *Job) ContinuesSlice(i int) bool {
+	return job.Record.Spec.Shape == record.Array && job.LastSlice.Attempt == job.Record.Attempt && job.Record.Attempt > 0 && i > job.LastSlice.LastTask
 }
 
-func (b *ClusterState) placed(j *Job, n int) {
+func (c *ClusterState) tasksAssigned(job *Job, n int) {
 	if n == 0 {
 		return
 	}
-	b.touch(j)
-	b.hurry(j)
-	var fresh []*Place
-	for _, p := range j.places {
-		if p.version == 0 {
-			p.version = j.version
-			fresh = append(fresh, p)
+	c.markChanged(job)
+	c.markUrgent(job)
+	var fresh []*Assignment
+	for _, assignment := range job.Assignments {
+		if assignment.MarkerVersion == 0 {
+			assignment.MarkerVersion = job.Version
+			fresh = append(fresh, assignment)
 		}
 	}
-	if !j.reservationSought.IsZero() {
-		b.keepForNow(j, fresh)
-		b.release(j) // it has begun, perhaps elsewhere
-		j.reservationSought = time.Time{}
+	if !job.ReservationSoughtAt.IsZero() {
+		c.protectStart(job, fresh)
+		c.releaseReservations(job) // it has begun, perhaps elsewhere
+		job.ReservationSoughtAt = time.Time{}
 	}
-	b.noteMoved(j, fresh)
+	c.recordRestarts(job, fresh)
 }
 
-// heldFor tells whether what is free on a machine was freed for another job
+// reservedForOther tells whether what is free on a machine was freed for another job
 // that goes first.
-func (b *ClusterState) heldFor(m *placement.Machine, j *Job, now time.Time) bool {
-	r, ok := b.reserved[m.Name]
-	return ok && r.job != j.Rec.Spec.ID && r.until.After(now) && b.outranks(r.job, j, now) && !m.Free.Minus(r.need).Holds(j.Rec.Spec.Need)
+func (c *ClusterState) reservedForOther(m *placement.Machine, job *Job, now time.Time) bool {
+	reservation, ok := c.reservations[m.Name]
+	return ok && reservation.job != job.Record.Spec.ID && reservation.until.After(now) && c.outranks(reservation.job, job, now) && !m.Free.Minus(reservation.need).Holds(job.Record.Spec.Need)
 }
 
-// release gives up what was freed for a job that found its places: it may have
+// releaseReservations gives up what was freed for a job that found its places: it may have
 // found them elsewhere.
-func (b *ClusterState) release(j *Job) {
-	for name, r := range b.reserved {
-		if r.job == j.Rec.Spec.ID {
-			delete(b.reserved, name)
+func (c *ClusterState) releaseReservations(job *Job) {
+	for name, reservation := range c.reservations {
+		if reservation.job == job.Record.Spec.ID {
+			delete(c.reservations, name)
 		}
 	}
 }
 
 // outranks tells whether a reservation's job still goes before j.
-func (b *ClusterState) outranks(id ids.Job, j *Job, now time.Time) bool {
-	h := b.jobs[id]
-	return h != nil && h.claimable() && (h.priority() >= j.priority() || h.starves(now) && j.priority() < record.Critical)
+func (c *ClusterState) outranks(id ids.Job, job *Job, now time.Time) bool {
+	h := c.jobs[id]
+	return h != nil && h.Schedulable() && (h.EffectivePriority() >= job.EffectivePriority() || h.Starving(now) && job.EffectivePriority() < record.Critical)
 }
 
-func (b *ClusterState) place(j *Job, i int, a ids.Attempt, h *host, now time.Time) {
-	m := b.roster.Machines[h.name]
-	if res, ok := b.reserved[m.Name]; ok && res.job == j.Rec.Spec.ID {
-		delete(b.reserved, m.Name)
+func (c *ClusterState) assign(job *Job, i int, a ids.Attempt, node *Node, now time.Time) {
+	machine := c.machines.Machines[node.name]
+	if reservation, ok := c.reservations[machine.Name]; ok && reservation.job == job.Record.Spec.ID {
+		delete(c.reservations, machine.Name)
 	}
-	warm := m.Images.Has(j.Rec.Spec.Image) || h.pulls[j.Rec.Spec.Image] != nil
-	b.putPlace(&Place{Job: j, Index: i, Machine: m.Name, Session: m.Session, Attempt: a, Token: b.gen, since: now})
-	slog.Debug("placed", "class", j.Rec.Spec.Class, "job", j.Rec.Spec.ID, "task", i, "attempt", a, "machine", m.Name, "type", m.Type,
-		"warm", warm, "sinceSubmit", now.Sub(j.Rec.Submitted.Time()).Round(time.Millisecond))
+	warm := machine.Images.Has(job.Record.Spec.Image) || node.imagePulls[job.Record.Spec.Image] != nil
+	c.addAssignment(&Assignment{Job: job, TaskIndex: i, Machine: machine.Name, Incarnation: machine.Session, Attempt: a, FencingToken: c.generation, AssignedAt: now})
+	slog.Debug("placed", "class", job.Record.Spec.Class, "job", job.Record.Spec.ID, "task", i, "attempt", a, "machine", machine.Name, "type", machine.Type,
+		"warm", warm, "sinceSubmit", now.Sub(job.Record.Submitted.Time()).Round(time.Millisecond))
 }
--- a/internal/claim/shards_test.go
+++ b/internal/claim/shards_test.go
@@ -82,39 +82,39 @@
 
 // shardSettings are a node's settings.
 func (c *shardCluster) shardSettings(name string) *config.Settings {
-	set := c.settings("a")
-	set.HostName, set.Others = ids.Node(name), nil
+	settings := c.settings("a")
+	settings.HostName, settings.Others = ids.Node(name), nil
 	for _, other := range shardNodes {
 		if other != name {
-			set.Others = append(set.Others, config.Other{HostName: ids.Node(other)})
+			settings.Others = append(settings.Others, config.Other{HostName: ids.Node(other)})
 		}
 	}
-	set.Features = &config.Features{Shards: proto.Uint32(uint32(c.count))}
-	return set
+	settings.Features = &config.Features{Shards: proto.Uint32(uint32(c.count))}
+	return settings
 }
 
 func (c *shardCluster) startNode(name string) *shardNode {
-	set := c.shardSettings(name)
+	settings := c.shardSettings(name)
 	c.lives++
 	writer := fmt.Sprintf("%s.%d", name, c.lives)
 	ctx, cancel := context.WithCancel(c.ctx)
-	st := state.NewClient("state:1", c.net.Client(name), state.NewBudget(800, 400, 5, 0.6))
-	st.Budget().SplitLeaderShare(c.count)
+	store := state.NewClient("state:1", c.net.Client(name), state.NewBudget(800, 400, 5, 0.6))
+	store.Budget().SplitLeaderShare(c.count)
 	n := &shardNode{w: c.testCluster, name: name, cancel: cancel,
-		shards: claim.NewShards(set, st, &worker.Commander{HTTP: c.net.Client(name), Timeout: 3 * time.Second}, writer)}
+		shards: claim.NewShards(settings, store, &worker.Commander{HTTP: c.net.Client(name), Timeout: 3 * time.Second}, writer)}
 	n.shards.Refuse = func(err error) { n.refused = err }
 	for _, pool := range n.shards.Pools() {
 		pool.Peers = shardPeers{cluster: c}
-		pool.OnTerm = func(_ context.Context, t *claim.Term) { t.Cluster.SetTypes(types()) }
+		pool.OnTerm = func(_ context.Context, term *claim.Term) { term.Cluster.SetMachineTypes(types()) }
 	}
-	jobs := &intake.JobService{Set: set, State: st, Jobs: n.shards.Jobs(), LeaderNotifier: shardPeers{cluster: c}, Writer: writer, Types: types}
+	jobs := &intake.JobService{Set: settings, State: store, Jobs: n.shards.Jobs(), LeaderNotifier: shardPeers{cluster: c}, Writer: writer, Types: types}
 	c.net.Listen(name+":8080", (&intake.Site{Jobs: jobs, Heartbeats: n.shards, Ready: func() bool { return true },
 		Live:   func(context.Context, ids.Job) ([]string, ids.Node, error) { return nil, "", nil },
 		Status: func() any { return nil }}).Handler())
 	c.mu.Lock()
 	c.up[name] = n
 	c.mu.Unlock()
-	go st.Watch(ctx, record.KeysOf(0, c.count).Generation())
+	go store.Watch(ctx, record.KeysOf(0, c.count).Generation())
 	go n.shards.Run(ctx)
 	return n
 }
--- a/internal/claim/stored_forms_test.go
+++ b/internal/claim/stored_forms_test.go
@@ -29,14 +29,14 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		r, err := f.decode(want)
+		rec, err := f.decode(want)
 		if err != nil {
 			t.Fatalf("%s: %v", f.name, err)
 		}
-		if len(r.Spec.Awaits) != 2 || r.Spec.Awaits[1] != "job-000012" {
-			t.Errorf("%s: awaits %v", f.name, r.Spec.Awaits)
+		if len(rec.Spec.Awaits) != 2 || rec.Spec.Awaits[1] != "job-000012" {
+			t.Errorf("%s: awaits %v", f.name, rec.Spec.Awaits)
 		}
-		raw, fits := f.encode(r, 8192)
+		raw, fits := f.encode(rec, 8192)
 		if !fits {
 			t.Fatal(f.name)
 		}
