--- a/internal/claim/survey.go
+++ b/internal/claim/survey.go
@@ -7,195 +7,195 @@
 	"github.com/pebbletrail/pebbletrail/internal/worker"
 )
 
-// survey finds machines for the tasks of one job in one pass. Each task goes
+// candidateSearch finds machines for the tasks of one job in one pass. Each task goes
 // to the best fit among a few sampled machines; a sample that shows none with
 // room and the image widens to all with room, which are then listed once for
 // all tasks of the job.
-type survey struct {
-	b     *ClusterState
-	j     *Job
-	ask   *placement.Ask
-	ps    *pass
-	zones *zoning
-	kinds []*shelf
-	total int
-	plain bool // machines with accelerators only if stopping others makes no room elsewhere
+type candidateSearch struct {
+	cluster           *ClusterState
+	job               *Job
+	request           *placement.Ask
+	pass              *planningPass
+	zones             *zoneSpread
+	classes           []*ClassIndex
+	total             int
+	avoidAccelerators bool // machines with accelerators only if stopping others makes no room elsewhere
 
-	wide bool
-	all  []sighted // best first
+	exhaustive bool
+	candidates []candidate // best first
 	// passedOver is what the last look at the list passed over and kept.
-	passedOver []sighted
+	passedOver []candidate
 }
 
-type sighted struct {
-	h     *host
-	m     *worker.Machine
-	score float64
+type candidate struct {
+	node    *Node
+	machine *worker.Machine
+	score   float64
 }
 
-func (b *ClusterState) survey(j *Job, ask *placement.Ask, ps *pass) *survey {
-	v := &survey{b: b, j: j, ask: ask, ps: ps, zones: b.zones(j), plain: ask.Long && ask.Need.Accels == 0}
-	if covered(ps.full[keyOf(ask)], ask.Need) {
-		v.wide = true // an earlier job of this pass found none
+func (c *ClusterState) newSearch(job *Job, request *placement.Ask, pass *planningPass) *candidateSearch {
+	search := &candidateSearch{cluster: c, job: job, request: request, pass: pass, zones: c.zoneSpreadOf(job), avoidAccelerators: request.Long && request.Need.Accels == 0}
+	if covered(pass.noCapacity[placementKeyOf(request)], request.Need) {
+		search.exhaustive = true // an earlier job of this pass found none
 	} else {
-		v.shelves()
+		search.selectClasses()
 	}
-	return v
+	return search
 }
 
-// shelves picks the kinds of machines that the ask may use.
-func (v *survey) shelves() {
-	v.kinds, v.total = v.kinds[:0], 0
-	for _, s := range v.b.shelfOrder {
-		if len(s.open) == 0 || v.plain && s.t.Accels > 0 || !v.ask.Allows(s.label, s.zone, s.spot) || !s.t.Room().Holds(v.ask.Need) {
+// selectClasses picks the kinds of machines that the ask may use.
+func (s *candidateSearch) selectClasses() {
+	s.classes, s.total = s.classes[:0], 0
+	for _, class := range s.cluster.classOrder {
+		if len(class.withRoom) == 0 || s.avoidAccelerators && class.offer.Accels > 0 || !s.request.Allows(class.machineType, class.zone, class.spot) || !class.offer.Room().Holds(s.request.Need) {
 			continue
 		}
-		v.kinds = append(v.kinds, s)
-		v.total += len(s.open)
+		s.classes = append(s.classes, class)
+		s.total += len(class.withRoom)
 	}
 }
 
-// look scores a machine, or tells that the task can't go there now; room tells
+// evaluate scores a machine, or tells that the task can't go there now; room tells
 // whether at least there is room.
-func (v *survey) look(h *host, r *retry) (s sighted, ok, room bool) {
-	v.ps.machinesExamined++
-	if !h.shelf.t.Room().Minus(h.used).Holds(v.ask.Need) {
-		return s, false, false
+func (s *candidateSearch) evaluate(node *Node, retry *Retry) (found candidate, ok, room bool) {
+	s.pass.machinesExamined++
+	if !node.class.offer.Room().Minus(node.used).Holds(s.request.Need) {
+		return found, false, false
 	}
-	m, usable := v.b.usable(h, v.ps.now)
+	machine, usable := s.cluster.usableMachine(node, s.pass.now)
 	if !usable {
-		return s, false, false
+		return found, false, false
 	}
-	p := v.b.sight(h, m, v.j, r, v.ps.now)
-	if p.Held || p.Going && (v.ask.Need.Accels == 0 || p.Type.Accels == 0) || v.zones.may(m.Zone, 1) == 0 {
-		return s, false, true
+	p := s.cluster.placementView(node, machine, s.job, retry, s.pass.now)
+	if p.Held || p.Going && (s.request.Need.Accels == 0 || p.Type.Accels == 0) || s.zones.allowed(machine.Zone, 1) == 0 {
+		return found, false, true
 	}
-	return sighted{h, m, placement.Score(&p, v.ask)}, true, true
+	return candidate{node, machine, placement.Score(&p, s.request)}, true, true
 }
 
 // pick finds a machine for one more task, nil if there is none.
-func (v *survey) pick(r *retry) *host {
-	if !v.wide {
-		if h := v.sample(r); h != nil {
-			return h
+func (s *candidateSearch) pick(retry *Retry) *Node {
+	if !s.exhaustive {
+		if node := s.sample(retry); node != nil {
+			return node
 		}
-		v.widen()
+		s.searchAll()
 	}
 	for {
-		if h := v.best(r); h != nil {
-			return h
+		if node := s.best(retry); node != nil {
+			return node
 		}
-		if !v.plain || v.b.displaceable(v.j, v.ask, v.ps) {
+		if !s.avoidAccelerators || s.cluster.canPreemptWithoutAccelerators(s.job, s.request, s.pass) {
 			return nil
 		}
 		// A service would hold a machine with accelerators for good: it goes
 		// there only if stopping others makes no room elsewhere either.
-		v.plain = false
-		v.shelves()
-		v.widen()
+		s.avoidAccelerators = false
+		s.selectClasses()
+		s.searchAll()
 	}
 }
 
 // sample looks at a few machines only.
-func (v *survey) sample(r *retry) *host {
-	if v.total == 0 {
+func (s *candidateSearch) sample(retry *Retry) *Node {
+	if s.total == 0 {
 		return nil
 	}
-	var top sighted
-	for range int(v.b.set.Own.SampleMachines) {
-		n := v.b.rng.IntN(v.total)
-		for _, s := range v.kinds {
-			if n >= len(s.open) {
-				n -= len(s.open)
+	var top candidate
+	for range int(s.cluster.settings.Own.SampleMachines) {
+		n := s.cluster.rng.IntN(s.total)
+		for _, class := range s.classes {
+			if n >= len(class.withRoom) {
+				n -= len(class.withRoom)
 				continue
 			}
-			if c, ok, _ := v.look(s.open[n], r); ok && (top.h == nil || c.score < top.score) {
-				top = c
+			if found, ok, _ := s.evaluate(class.withRoom[n], retry); ok && (top.node == nil || found.score < top.score) {
+				top = found
 			}
 			break
 		}
-		v.recount()
-		if v.total == 0 {
+		s.recount()
+		if s.total == 0 {
 			break
 		}
 	}
-	if top.h == nil || r != nil && r.avoid[top.h.name] || !top.m.Images.Has(v.ask.Image) && (v.ask.Long || top.h.pulls[v.ask.Image] == nil) {
+	if top.node == nil || retry != nil && retry.Avoid[top.node.name] || !top.machine.Images.Has(s.request.Image) && (s.request.Long || top.node.imagePulls[s.request.Image] == nil) {
 		return nil
 	}
-	return top.h
+	return top.node
 }
 
 // recount follows what was placed meanwhile.
-func (v *survey) recount() {
-	v.total = 0
-	for _, s := range v.kinds {
-		v.total += len(s.open)
+func (s *candidateSearch) recount() {
+	s.total = 0
+	for _, class := range s.classes {
+		s.total += len(class.withRoom)
 	}
 }
 
-// widen lists all machines with room, best first.
-func (v *survey) widen() {
-	v.wide, v.all = true, v.all[:0]
+// searchAll lists all machines with room, best first.
+func (s *candidateSearch) searchAll() {
+	s.exhaustive, s.candidates = true, s.candidates[:0]
 	any := false
-	for _, s := range v.kinds {
-		for _, h := range s.open {
-			c, ok, room := v.look(h, nil)
+	for _, class := range s.classes {
+		for _, node := range class.withRoom {
+			found, ok, room := s.evaluate(node, nil)
 			any = any || room
 			if ok {
-				v.all = append(v.all, c)
+				s.candidates = append(s.candidates, found)
 			}
 		}
 	}
-	if !any && !v.plain {
-		k := keyOf(v.ask)
-		v.ps.full[k] = append(v.ps.full[k], v.ask.Need)
+	if !any && !s.avoidAccelerators {
+		k := placementKeyOf(s.request)
+		s.pass.noCapacity[k] = append(s.pass.noCapacity[k], s.request.Need)
 	}
-	slices.SortFunc(v.all, func(x, y sighted) int {
+	slices.SortFunc(s.candidates, func(x, y candidate) int {
 		switch {
 		case x.score < y.score:
 			return -1
 		case x.score > y.score:
 			return 1
 		}
-		return cmpString(string(x.h.name), string(y.h.name))
+		return cmpString(string(x.node.name), string(y.node.name))
 	})
 }
 
 // best takes the first of the list that still fits; those on which this very
 // task failed before come last. It costs what it passes over, and not the list.
-func (v *survey) best(r *retry) *host {
-	var avoided *host
-	passedOver := v.passedOver[:0]
-	for i, c := range v.all {
-		if c.h.shelf == nil || !c.h.free().Holds(v.ask.Need) {
+func (s *candidateSearch) best(retry *Retry) *Node {
+	var avoided *Node
+	passedOver := s.passedOver[:0]
+	for i, found := range s.candidates {
+		if found.node.class == nil || !found.node.freeCapacity().Holds(s.request.Need) {
 			continue // full now, so it leaves the list
 		}
-		if v.fits(c) {
-			if r == nil || !r.avoid[c.h.name] {
-				copy(v.all[i-len(passedOver):], passedOver)
-				v.all, v.passedOver = v.all[i-len(passedOver):], passedOver
-				return c.h
+		if s.fits(found) {
+			if retry == nil || !retry.Avoid[found.node.name] {
+				copy(s.candidates[i-len(passedOver):], passedOver)
+				s.candidates, s.passedOver = s.candidates[i-len(passedOver):], passedOver
+				return found.node
 			}
 			if avoided == nil {
-				avoided = c.h
+				avoided = found.node
 			}
 		}
-		passedOver = append(passedOver, c)
+		passedOver = append(passedOver, found)
 	}
-	v.all, v.passedOver = v.all[:copy(v.all, passedOver)], passedOver
+	s.candidates, s.passedOver = s.candidates[:copy(s.candidates, passedOver)], passedOver
 	return avoided
 }
 
 // fits tells whether a machine with enough room is free for this job.
-func (v *survey) fits(c sighted) bool {
-	if v.zones.may(c.m.Zone, 1) == 0 {
+func (s *candidateSearch) fits(found candidate) bool {
+	if s.zones.allowed(found.machine.Zone, 1) == 0 {
 		return false
 	}
-	machine := placement.Machine{Name: c.h.name, Free: c.h.free()}
-	return !v.b.heldFor(&machine, v.j, v.ps.now)
+	machine := placement.Machine{Name: found.node.name, Free: found.node.freeCapacity()}
+	return !s.cluster.reservedForOther(&machine, s.job, s.pass.now)
 }
 
-func (h *host) holds(b *ClusterState, image string) bool {
-	m := b.roster.Machines[h.name]
-	return m != nil && m.Images.Has(image)
+func (node *Node) hasImage(cluster *ClusterState, image string) bool {
+	machine := cluster.machines.Machines[node.name]
+	return machine != nil && machine.Images.Has(image)
 }
--- a/internal/claim/takeover.go
+++ b/internal/claim/takeover.go
@@ -19,160 +19,160 @@
 	since  time.Time
 }
 
-// vacant tells whether the pool looks free, or held by a dead predecessor of
+// leaderless tells whether the pool looks free, or held by a dead predecessor of
 // this very node.
-func (p *Pool) vacant() bool {
-	p.mu.Lock()
-	resting := time.Now().Before(p.resting)
-	p.mu.Unlock()
-	e, found, ready := p.mirror.Get(p.keys.Leader())
+func (e *Elector) leaderless() bool {
+	e.mu.Lock()
+	resting := time.Now().Before(e.noCampaignBefore)
+	e.mu.Unlock()
+	entry, found, ready := e.poolMirror.Get(e.keys.Leader())
 	if !ready || resting {
 		return false
 	}
 	if !found {
 		return true
 	}
-	var o leaderRecord
-	return json.Unmarshal(e.Value, &o) == nil && o.Node == p.Set.HostName
+	var leader leaderRecord
+	return json.Unmarshal(entry.Value, &leader) == nil && leader.Node == e.Settings.HostName
 }
 
 // campaign tries to take the pool over.
-func (p *Pool) campaign(ctx context.Context, life time.Duration) error {
-	cur, found, err := p.State.Get(ctx, p.keys.Leader(), state.Urgent)
+func (e *Elector) campaign(ctx context.Context, life time.Duration) error {
+	cur, found, err := e.State.Get(ctx, e.keys.Leader(), state.Urgent)
 	if err != nil {
 		return err
 	}
 	if found {
-		var o leaderRecord
-		if err := json.Unmarshal(cur.Value, &o); err != nil {
+		var leader leaderRecord
+		if err := json.Unmarshal(cur.Value, &leader); err != nil {
 			return err
 		}
-		if o.Node != p.Set.HostName {
-			wait(ctx, 100*time.Millisecond) // the mirror is behind
-			return errors.New("owned by " + string(o.Node))
+		if leader.Node != e.Settings.HostName {
+			sleep(ctx, 100*time.Millisecond) // the mirror is behind
+			return errors.New("owned by " + string(leader.Node))
 		}
 		// Only one process runs on a node: this hold's leader is dead, or an
 		// earlier term of ours whose answer got lost.
-		slog.Info("ending the hold of this node's earlier life", "writer", o.Writer)
-		if err := p.State.EndLease(ctx, o.Hold); err != nil && !errors.Is(err, state.ErrNoLease) {
+		slog.Info("ending the hold of this node's earlier life", "writer", leader.Writer)
+		if err := e.State.EndLease(ctx, leader.Lease); err != nil && !errors.Is(err, state.ErrNoLease) {
 			return err
 		}
 	}
-	var prev generationRec
-	ge, found, err := p.State.Get(ctx, p.keys.Generation(), state.Urgent)
+	var previous generationRecord
+	ge, found, err := e.State.Get(ctx, e.keys.Generation(), state.Urgent)
 	if err != nil {
 		return err
 	}
 	if found {
-		if err := json.Unmarshal(ge.Value, &prev); err != nil {
+		if err := json.Unmarshal(ge.Value, &previous); err != nil {
 			return err
 		}
 	}
 	sent := time.Now()
-	hold, err := p.State.NewLease(ctx, life)
+	hold, err := e.State.NewLease(ctx, life)
 	if err != nil {
 		return err
 	}
-	gen := prev.Generation + 1
-	writer := fmt.Sprintf("%s/%d", p.incarnation, gen)
-	oraw, _ := json.Marshal(leaderRecord{p.Set.HostName, writer, hold, gen})
-	graw, _ := json.Marshal(generationRec{gen, p.Set.HostName, writer})
-	epoch, err := p.State.Commit(ctx, state.Txn{
-		When: []state.Condition{{Key: p.keys.Leader()}, {Key: p.keys.Generation(), Revision: ge.Revision}},
-		Then: []state.Op{{Put: p.keys.Leader(), Value: oraw, Lease: hold}, {Put: p.keys.Generation(), Value: graw}},
+	generation := previous.Generation + 1
+	writer := fmt.Sprintf("%s/%d", e.incarnation, generation)
+	oraw, _ := json.Marshal(leaderRecord{e.Settings.HostName, writer, hold, generation})
+	graw, _ := json.Marshal(generationRecord{generation, e.Settings.HostName, writer})
+	epoch, err := e.State.Commit(ctx, state.Txn{
+		When: []state.Condition{{Key: e.keys.Leader()}, {Key: e.keys.Generation(), Revision: ge.Revision}},
+		Then: []state.Op{{Put: e.keys.Leader(), Value: oraw, Lease: hold}, {Put: e.keys.Generation(), Value: graw}},
 	}, state.Urgent)
 	if errors.Is(err, state.ErrUnknown) {
 		// Read back what became of it.
-		e, found, rerr := p.State.Get(ctx, p.keys.Generation(), state.Urgent)
-		var g generationRec
-		if rerr == nil && found && json.Unmarshal(e.Value, &g) == nil && g.Writer == writer {
-			epoch, err = ids.Epoch(e.Revision), nil
+		entry, found, rerr := e.State.Get(ctx, e.keys.Generation(), state.Urgent)
+		var stored generationRecord
+		if rerr == nil && found && json.Unmarshal(entry.Value, &stored) == nil && stored.Writer == writer {
+			epoch, err = ids.Epoch(entry.Revision), nil
 		}
 	}
 	if err != nil {
 		return err
 	}
-	p.begin(ctx, prev, gen, writer, hold, ids.Revision(epoch), sent)
+	e.beginTerm(ctx, previous, generation, writer, hold, ids.Revision(epoch), sent)
 	return nil
 }
 
-// begin starts a term.
-func (p *Pool) begin(ctx context.Context, prev generationRec, gen ids.Generation, writer string, hold ids.Lease, stamp ids.Revision, sent time.Time) {
+// beginTerm starts a term.
+func (e *Elector) beginTerm(ctx context.Context, previous generationRecord, generation ids.Generation, writer string, hold ids.Lease, revision ids.Revision, sent time.Time) {
 	now := time.Now()
-	w := &p.Set.Params.Workers
-	trust := now.Add(p.Set.Grace().Drifted() + w.LeaseS.Drifted())
-	b := newShardState(p.Set, writer, gen, trust, p.shard)
-	b.elsewhere = p.statusElsewhere
-	fresh := time.Duration(p.Set.Own.PoolHoldMs) * time.Millisecond / 2
-	b.Storing = func() bool {
-		age, ok := p.State.SinceSuccess()
+	w := &e.Settings.Params.Workers
+	trust := now.Add(e.Settings.Grace().Drifted() + w.LeaseS.Drifted())
+	cluster := newShardState(e.Settings, writer, generation, trust, e.shard)
+	cluster.statusInOtherShard = e.statusInOtherShard
+	fresh := time.Duration(e.Settings.Own.PoolHoldMs) * time.Millisecond / 2
+	cluster.StoreAvailable = func() bool {
+		age, ok := e.State.SinceSuccess()
 		return ok && age < fresh
 	}
 	tctx, cancel := context.WithCancel(ctx)
-	t := &Term{Gen: gen, Cluster: b, hold: hold, began: now, renewed: sent, loaded: make(chan struct{}), cancel: cancel}
-	t.Committer = NewCommitter(b, p.State, p.Set.HostName, stamp)
-	t.Dispatcher = NewDispatcher(b, p.Commander, p.Set.Sockets().Direct/4)
-	t.Dispatcher.May = func() bool { return p.proven(t) }
-	b.Starting = func() (bool, time.Time) { return p.mayStart(t), p.readAt() }
-	t.Committer.OnLost = func(why string) { go p.stepDown(t, why) }
-	t.Committer.OnStored = t.Dispatcher.Wake
-	p.State.Budget().SetLeader(true)
-	p.mu.Lock()
-	b.Seed(p.hints, now)
-	p.term = t
-	p.mu.Unlock()
-	slog.Info("took the machine pool over", "generation", gen)
-	t.done.Add(1)
+	term := &Term{Generation: generation, Cluster: cluster, lease: hold, began: now, renewedAt: sent, loaded: make(chan struct{}), cancel: cancel}
+	term.Committer = NewCommitter(cluster, e.State, e.Settings.HostName, revision)
+	term.Dispatcher = NewDispatcher(cluster, e.Commander, e.Settings.Sockets().Direct/4)
+	term.Dispatcher.MayCommand = func() bool { return e.renewedSincePause(term) }
+	cluster.StartsAllowed = func() (bool, time.Time) { return e.mayStartTasks(term), e.recordsReadAt() }
+	term.Committer.OnSuperseded = func(why string) { go e.stepDown(term, why) }
+	term.Committer.OnStored = term.Dispatcher.Wake
+	e.State.Budget().SetLeader(true)
+	e.mu.Lock()
+	cluster.ApplyHints(e.hints, now)
+	e.term = term
+	e.mu.Unlock()
+	slog.Info("took the machine pool over", "generation", generation)
+	term.done.Add(1)
 	go func() {
-		defer t.done.Done()
-		if p.load(tctx, t) {
-			p.runTerm(tctx, t)
+		defer term.done.Done()
+		if e.loadRecords(tctx, term) {
+			e.runTerm(tctx, term)
 		}
 	}()
-	go p.confirmStopped(tctx, t, p.possibleLeaders(prev, now)...)
+	go e.confirmStopped(tctx, term, e.possibleLeaders(previous, now)...)
 }
 
-// load reads every live record; the takeover's commit keeps older leaders from
+// loadRecords reads every live record; the takeover's commit keeps older leaders from
 // changing any of them.
-func (p *Pool) load(ctx context.Context, t *Term) bool {
+func (e *Elector) loadRecords(ctx context.Context, term *Term) bool {
 	for ctx.Err() == nil {
 		// The copy is warm; what it lacks is read after the takeover's commit.
-		err := p.jobs.Sync(ctx)
-		jobs, epoch := p.jobs.All()
+		err := e.jobMirror.Sync(ctx)
+		jobs, epoch := e.jobMirror.All()
 		if err == nil {
-			t.Intents, _, err = p.State.ListAll(ctx, p.keys.Hires(), state.Urgent)
+			term.OpenHires, _, err = e.State.ListAll(ctx, e.keys.Hires(), state.Urgent)
 		}
-		if err == nil && p.Set.Shards() > 1 {
-			err = p.loadAllowances(ctx, t)
+		if err == nil && e.Settings.Shards() > 1 {
+			err = e.loadAllowances(ctx, term)
 		}
 		if err != nil {
-			wait(ctx, 100*time.Millisecond)
+			sleep(ctx, 100*time.Millisecond)
 			continue
 		}
-		recs, waits, stamps := map[ids.Job]*record.Record{}, map[ids.Job]*record.Record{}, map[ids.Job]ids.Revision{}
-		for _, e := range jobs {
-			into, decode := recs, record.Decode
-			id, kind := record.ParseKey(e.Key)
+		records, waits, revisions := map[ids.Job]*record.Record{}, map[ids.Job]*record.Record{}, map[ids.Job]ids.Revision{}
+		for _, entry := range jobs {
+			into, decode := records, record.Decode
+			id, kind := record.ParseKey(entry.Key)
 			switch {
 			case kind == record.WaitingRecord:
 				into, decode = waits, record.DecodeWaiting
-			case ids.ShardOf(id, p.Set.Shards()) != p.shard:
+			case ids.ShardOf(id, e.Settings.Shards()) != e.shard:
 				continue
 			case kind == record.StoredCancellation:
-				t.Cluster.LearnCancellation(id, e.Revision, false)
+				term.Cluster.HandleCancellation(id, entry.Revision, false)
 				continue
 			}
-			rec, err := decode(e.Value)
+			rec, err := decode(entry.Value)
 			if err != nil {
-				slog.Error("unreadable record", "key", e.Key, "err", err)
+				slog.Error("unreadable record", "key", entry.Key, "err", err)
 				continue
 			}
-			into[rec.Spec.ID], stamps[rec.Spec.ID] = rec, e.Revision
+			into[rec.Spec.ID], revisions[rec.Spec.ID] = rec, entry.Revision
 		}
-		t.Cluster.Load(recs, stamps, ids.Revision(epoch), time.Now())
-		t.Cluster.LoadWaiting(waits, stamps, time.Now())
-		close(t.loaded)
-		slog.Info("records loaded", "jobs", len(recs), "waiting", len(waits), "hires", len(t.Intents))
+		term.Cluster.Load(records, revisions, ids.Revision(epoch), time.Now())
+		term.Cluster.LoadWaitingJobs(waits, revisions, time.Now())
+		close(term.loaded)
+		slog.Info("records loaded", "jobs", len(records), "waiting", len(waits), "hires", len(term.OpenHires))
 		return true
 	}
 	return false
@@ -180,27 +180,27 @@
 
 // Superseded is told by a peer of a higher generation; the answer confirms
 // that this node answers no beats under an older one.
-func (p *Pool) Superseded(gen ids.Generation) bool {
-	if t := p.Term(); t != nil {
-		if t.Cluster.Generation() >= gen {
+func (e *Elector) Superseded(generation ids.Generation) bool {
+	if term := e.Term(); term != nil {
+		if term.Cluster.Generation() >= generation {
 			return false
 		}
-		p.stepDown(t, "a peer owns a higher generation")
+		e.stepDown(term, "a peer owns a higher generation")
 	}
 	return true
 }
 
 // watchLeader notes whose generation it is and since when.
-func (p *Pool) watchLeader() {
-	e, found, ready := p.mirror.Get(p.keys.Generation())
-	var g generationRec
-	if !ready || !found || json.Unmarshal(e.Value, &g) != nil {
+func (e *Elector) watchLeader() {
+	entry, found, ready := e.poolMirror.Get(e.keys.Generation())
+	var stored generationRecord
+	if !ready || !found || json.Unmarshal(entry.Value, &stored) != nil {
 		return
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if g.Writer != p.last.writer {
-		p.last = lastLeader{g.Writer, time.Now()}
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if stored.Writer != e.last.writer {
+		e.last = lastLeader{stored.Writer, time.Now()}
 	}
 }
 
@@ -209,27 +209,27 @@
 // for longer than the grace of whoever was before it; otherwise none is named, and
 // all must be asked. In a zone that is cut off there may be controllers, which
 // cannot confirm anything, and need not.
-func (p *Pool) possibleLeaders(prev generationRec, now time.Time) []ids.Node {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if prev.Writer == "" || prev.Node == p.Set.HostName || prev.Writer != p.last.writer || now.Sub(p.last.since) < p.Set.Grace().Drifted()+time.Second {
+func (e *Elector) possibleLeaders(previous generationRecord, now time.Time) []ids.Node {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if previous.Writer == "" || previous.Node == e.Settings.HostName || previous.Writer != e.last.writer || now.Sub(e.last.since) < e.Settings.Grace().Drifted()+time.Second {
 		return nil
 	}
-	return []ids.Node{prev.Node}
+	return []ids.Node{previous.Node}
 }
 
 // confirmStopped shortens the wait for silent workers' lapses once those who may
 // still be answering them say that they have stopped.
-func (p *Pool) confirmStopped(ctx context.Context, t *Term, of ...ids.Node) {
+func (e *Elector) confirmStopped(ctx context.Context, term *Term, of ...ids.Node) {
 	for ctx.Err() == nil {
-		if p.Peers == nil {
+		if e.Peers == nil {
 			return
 		}
-		if p.Peers.AllStopped(ctx, t.Gen, of...) {
+		if e.Peers.AllStopped(ctx, term.Generation, of...) {
 			now := time.Now()
-			t.Cluster.Trust(now.Add(p.Set.Params.Workers.LeaseS.Drifted()))
+			term.Cluster.TrustSilenceFrom(now.Add(e.Settings.Params.Workers.LeaseS.Drifted()))
 			return
 		}
-		wait(ctx, 500*time.Millisecond)
+		sleep(ctx, 500*time.Millisecond)
 	}
 }
--- a/internal/claim/test_cluster_test.go
+++ b/internal/claim/test_cluster_test.go
@@ -76,7 +76,7 @@
 	lag     atomic.Pointer[func() time.Duration] // how long the network takes; none is no time
 	store   *fake.Store
 	mu      sync.Mutex
-	nodes   map[string]*node
+	nodes   map[string]*testNode
 	workers []*fake.Worker
 	lives   int
 	rules   *rules
@@ -86,10 +86,10 @@
 	teams   []config.Team
 }
 
-type node struct {
+type testNode struct {
 	w      *testCluster
 	name   string
-	pool   *claim.Pool
+	pool   *claim.Elector
 	asked  []ids.Node // who was last asked to confirm that it stopped
 	jobs   *intake.JobService
 	cancel context.CancelFunc
@@ -100,7 +100,7 @@
 	slog.SetLogLoggerLevel(slog.LevelError)
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		w := &testCluster{t: t, ctx: ctx, net: fake.NewNet(), store: fake.NewStore(), nodes: map[string]*node{}}
+		w := &testCluster{t: t, ctx: ctx, net: fake.NewNet(), store: fake.NewStore(), nodes: map[string]*testNode{}}
 		w.net.Listen("state:1", w.store)
 		w.net.SetLag(func() time.Duration {
 			if f := w.lag.Load(); f != nil {
@@ -137,44 +137,44 @@
 	return set
 }
 
-func (w *testCluster) start(name string) *node {
-	set := w.settings(name)
+func (w *testCluster) start(name string) *testNode {
+	settings := w.settings(name)
 	w.lives++
 	writer := fmt.Sprintf("%s.%d", name, w.lives)
 	ctx, cancel := context.WithCancel(w.ctx)
-	st := state.NewClient("state:1", w.net.Client(name), state.NewBudget(400, 200, 2, 0.6))
-	n := &node{w: w, name: name, cancel: cancel}
-	n.pool = claim.NewPool(set, st, &worker.Commander{HTTP: w.net.Client(name), Timeout: 3 * time.Second}, writer)
+	store := state.NewClient("state:1", w.net.Client(name), state.NewBudget(400, 200, 2, 0.6))
+	n := &testNode{w: w, name: name, cancel: cancel}
+	n.pool = claim.NewElector(settings, store, &worker.Commander{HTTP: w.net.Client(name), Timeout: 3 * time.Second}, writer)
 	n.pool.Peers = n
-	n.pool.OnTerm = func(ctx context.Context, t *claim.Term) {
-		t.Cluster.SetTypes(types())
+	n.pool.OnTerm = func(ctx context.Context, term *claim.Term) {
+		term.Cluster.SetMachineTypes(types())
 		for ctx.Err() == nil {
-			t.Cluster.List(w.list(), time.Now())
+			term.Cluster.ReconcileCloudList(w.list(), time.Now())
 			select {
 			case <-ctx.Done():
 			case <-time.After(2 * time.Second):
 			}
 		}
 	}
-	n.jobs = &intake.JobService{Set: set, State: st, Jobs: n.pool.Jobs(), LeaderNotifier: n, Writer: writer, Types: types}
+	n.jobs = &intake.JobService{Set: settings, State: store, Jobs: n.pool.Jobs(), LeaderNotifier: n, Writer: writer, Types: types}
 	w.net.Listen(name+":8080", (&intake.Site{Jobs: n.jobs, Heartbeats: n.pool, Ready: func() bool { return true },
 		Live:   func(context.Context, ids.Job) ([]string, ids.Node, error) { return nil, "", nil },
 		Status: func() any { return nil }}).Handler())
 	w.mu.Lock()
 	w.nodes[name] = n
 	w.mu.Unlock()
-	go st.Watch(ctx, record.KeysOf(0, 1).Generation())
+	go store.Watch(ctx, record.KeysOf(0, 1).Generation())
 	go n.pool.Run(ctx)
 	return n
 }
 
 // list is the cloud's, in scenarios that have one.
-func (w *testCluster) list() (ls []claim.Listed) {
+func (w *testCluster) list() (ls []claim.ListedMachine) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.listed {
 		for _, k := range w.workers {
-			ls = append(ls, claim.Listed{Name: ids.Machine(k.Name), Addr: k.Addr, Type: k.Type, Zone: k.Zone, Status: "running"})
+			ls = append(ls, claim.ListedMachine{Name: ids.Machine(k.Name), Addr: k.Addr, Type: k.Type, Zone: k.Zone, Status: "running"})
 		}
 	}
 	return ls
@@ -185,12 +185,12 @@
 }
 
 // AllStopped asks the other node, if it lives and the network lets it.
-func (n *node) AllStopped(_ context.Context, gen ids.Generation, of ...ids.Node) bool {
+func (n *testNode) AllStopped(_ context.Context, generation ids.Generation, of ...ids.Node) bool {
 	n.w.mu.Lock()
 	defer n.w.mu.Unlock()
 	n.asked = of
 	for name, o := range n.w.nodes {
-		if name != n.name && !n.w.cutOff(n.name, name) && o.pool.Superseded(gen) {
+		if name != n.name && !n.w.cutOff(n.name, name) && o.pool.Superseded(generation) {
 			return true
 		}
 	}
@@ -207,7 +207,7 @@
 }
 
 // Alone tells that the other node is down or out of reach.
-func (n *node) Alone() bool {
+func (n *testNode) Alone() bool {
 	n.w.mu.Lock()
 	defer n.w.mu.Unlock()
 	for name := range n.w.nodes {
@@ -219,7 +219,7 @@
 }
 
 // Served tells that another node lives and can be reached.
-func (n *node) Served(other ids.Node) bool {
+func (n *testNode) Served(other ids.Node) bool {
 	n.w.mu.Lock()
 	defer n.w.mu.Unlock()
 	return n.w.nodes[string(other)] != nil && !n.w.cutOff(n.name, string(other))
@@ -227,36 +227,36 @@
 
 // NotifyLeader passes writes on: to its own pool at once, to the others as fast as the
 // network is.
-func (n *node) NotifyLeader(id ids.Job, stamp ids.Revision, rec *record.Record, raw json.RawMessage) <-chan struct{} {
+func (n *testNode) NotifyLeader(id ids.Job, revision ids.Revision, rec *record.Record, raw json.RawMessage) <-chan struct{} {
 	done := make(chan struct{})
 	if lag := n.w.lag.Load(); lag != nil && n.pool.Cluster() == nil {
 		go func() {
 			defer close(done)
 			select {
 			case <-time.After((*lag)()):
-				n.tell(id, stamp, rec)
+				n.tell(id, revision, rec)
 			case <-n.w.ctx.Done():
 			}
 		}()
 		return done
 	}
-	n.tell(id, stamp, rec)
+	n.tell(id, revision, rec)
 	close(done)
 	return done
 }
 
-func (n *node) tell(id ids.Job, stamp ids.Revision, rec *record.Record) {
+func (n *testNode) tell(id ids.Job, revision ids.Revision, rec *record.Record) {
 	n.w.mu.Lock()
 	defer n.w.mu.Unlock()
 	for name, o := range n.w.nodes {
 		if name == n.name || !n.w.cutOff(n.name, name) {
-			o.pool.Learn(id, stamp, rec)
+			o.pool.HandleRecord(id, revision, rec)
 		}
 	}
 }
 
 // kill ends a node like a lost process.
-func (n *node) kill() {
+func (n *testNode) kill() {
 	n.cancel()
 	n.w.mu.Lock()
 	delete(n.w.nodes, n.name)
--- a/internal/claim/urgency_test.go
+++ b/internal/claim/urgency_test.go
@@ -17,37 +17,37 @@
 )
 
 func waits(id ids.Job, p record.Priority, due ids.Seconds, on ...ids.Job) *record.Record {
-	r := rec(id, "red", p, 1, 1)
-	r.Spec.Awaits, r.Spec.Due = on, due
-	return r
+	rec := newRecord(id, "red", p, 1, 1)
+	rec.Spec.Awaits, rec.Spec.Due = on, due
+	return rec
 }
 
 func TestUrgencyFlowsUpAPipelineAndBack(t *testing.T) {
 	// Guards against a pipeline whose users care about its last job while its first
 	// ones wait behind everybody else's; and against keeping that when it is over.
 	synctest.Test(t, func(t *testing.T) {
-		b := testBook()
+		cluster := testBook()
 		now := time.Now()
-		b.Learn("job-1", 1, rec("job-1", "red", record.Low, 1, 1), now)
-		b.Learn("job-2", 2, rec("job-2", "red", record.Normal, 1, 1), now)
-		b.LearnWaiting("job-3", 3, waits("job-3", record.Low, 0, "job-1"), now)
+		cluster.HandleRecord("job-1", 1, newRecord("job-1", "red", record.Low, 1, 1), now)
+		cluster.HandleRecord("job-2", 2, newRecord("job-2", "red", record.Normal, 1, 1), now)
+		cluster.HandleWaitingJob("job-3", 3, waits("job-3", record.Low, 0, "job-1"), now)
 		// The last is learned of before one in the middle.
-		b.LearnWaiting("job-5", 5, waits("job-5", record.High, 100, "job-4"), now)
-		b.LearnWaiting("job-4", 4, waits("job-4", record.Low, 0, "job-3"), now)
-		first := b.jobs["job-1"]
-		if first.priority() != record.High {
-			t.Errorf("the first has priority %s", first.priority())
+		cluster.HandleWaitingJob("job-5", 5, waits("job-5", record.High, 100, "job-4"), now)
+		cluster.HandleWaitingJob("job-4", 4, waits("job-4", record.Low, 0, "job-3"), now)
+		first := cluster.jobs["job-1"]
+		if first.EffectivePriority() != record.High {
+			t.Errorf("the first has priority %s", first.EffectivePriority())
 		}
 		// 100 s less three estimates of 10 s and fetches of 1 s.
-		if left := first.inherited.Deadline.Sub(now); left < 66*time.Second || left > 68*time.Second {
+		if left := first.Inherited.Deadline.Sub(now); left < 66*time.Second || left > 68*time.Second {
 			t.Errorf("the first has %v", left)
 		}
-		if ranked := b.ranked(now); len(ranked) != 2 || ranked[0] != first {
+		if ranked := cluster.rankedJobs(now); len(ranked) != 2 || ranked[0] != first {
 			t.Errorf("%d are ranked, or the first does not lead", len(ranked))
 		}
-		b.LearnWaiting("job-5", 9, nil, now)
-		if first.priority() != record.Low || !first.inherited.Deadline.IsZero() {
-			t.Errorf("with the last gone the first still has priority %s and %v", first.priority(), first.inherited.Deadline)
+		cluster.HandleWaitingJob("job-5", 9, nil, now)
+		if first.EffectivePriority() != record.Low || !first.Inherited.Deadline.IsZero() {
+			t.Errorf("with the last gone the first still has priority %s and %v", first.EffectivePriority(), first.Inherited.Deadline)
 		}
 	})
 }
@@ -57,38 +57,38 @@
 	// through a pipeline: a ladder of 40 layers has 2^40.
 	synctest.Test(t, func(t *testing.T) {
 		now := time.Now()
-		b := testBook()
-		recs, stamps := map[ids.Job]*record.Record{}, map[ids.Job]ids.Revision{}
+		cluster := testBook()
+		records, revisions := map[ids.Job]*record.Record{}, map[ids.Job]ids.Revision{}
 		job := func(n int) ids.Job { return ids.Job(fmt.Sprintf("job-%d", n)) }
 		for n := range 2 {
-			b.Learn(job(n), 1, rec(job(n), "red", record.Low, 1, 1), now)
+			cluster.HandleRecord(job(n), 1, newRecord(job(n), "red", record.Low, 1, 1), now)
 		}
 		// Two jobs a layer, each of which awaits both of the layer before. The estimates
 		// are such that no two paths take the same time.
 		for n := 2; n < 82; n++ {
-			r := waits(job(n), record.Priority(n%3), ids.Seconds(1e8-37*n%1000), job(n/2*2-2), job(n/2*2-1))
-			r.Spec.Estimate = 1 + ids.Seconds(n%2)*ids.Seconds(math.Exp2(float64(n/2)))*1e-6
-			recs[job(n)], stamps[job(n)] = r, 1
+			rec := waits(job(n), record.Priority(n%3), ids.Seconds(1e8-37*n%1000), job(n/2*2-2), job(n/2*2-1))
+			rec.Spec.Estimate = 1 + ids.Seconds(n%2)*ids.Seconds(math.Exp2(float64(n/2)))*1e-6
+			records[job(n)], revisions[job(n)] = rec, 1
 		}
-		b.Learn("job-100", 1, rec("job-100", "red", record.Low, 1, 1), now)
+		cluster.HandleRecord("job-100", 1, newRecord("job-100", "red", record.Low, 1, 1), now)
 		for n := 101; n <= 5100; n++ {
-			recs[job(n)], stamps[job(n)] = waits(job(n), record.Low, 0, job(n-1)), 1
+			records[job(n)], revisions[job(n)] = waits(job(n), record.Low, 0, job(n-1)), 1
 		}
-		b.LoadWaiting(recs, stamps, now)
-		b.LearnWaiting("job-90", 2, waits("job-90", record.Critical, 1e7, "job-80", "job-81"), now)
-		b.LearnWaiting("job-6000", 2, waits("job-6000", record.High, 100000, "job-5100"), now)
-		if p := b.jobs["job-0"].priority(); p != record.Critical {
+		cluster.LoadWaitingJobs(records, revisions, now)
+		cluster.HandleWaitingJob("job-90", 2, waits("job-90", record.Critical, 1e7, "job-80", "job-81"), now)
+		cluster.HandleWaitingJob("job-6000", 2, waits("job-6000", record.High, 100000, "job-5100"), now)
+		if p := cluster.jobs["job-0"].EffectivePriority(); p != record.Critical {
 			t.Errorf("the ladder's first has priority %s", p)
 		}
-		first := b.jobs["job-100"]
+		first := cluster.jobs["job-100"]
 		// 100,000 s less the estimates of 10 s and fetches of 1 s of 5,001 jobs.
-		if left := first.inherited.Deadline.Sub(now); first.priority() != record.High || left != (100000-5001*11)*time.Second {
-			t.Errorf("the chain's first has priority %s and %v", first.priority(), left)
+		if left := first.Inherited.Deadline.Sub(now); first.EffectivePriority() != record.High || left != (100000-5001*11)*time.Second {
+			t.Errorf("the chain's first has priority %s and %v", first.EffectivePriority(), left)
 		}
-		b.LearnWaiting("job-90", 9, nil, now)
-		b.cancel(first)
-		if _, cancelled := b.pipes.graph.Counts(); b.jobs["job-0"].priority() != record.High || cancelled != 5001 {
-			t.Errorf("the ladder's first has priority %s, %d of the chain are cancelled", b.jobs["job-0"].priority(), cancelled)
+		cluster.HandleWaitingJob("job-90", 9, nil, now)
+		cluster.cancelJob(first)
+		if _, cancelled := cluster.dependencies.graph.Counts(); cluster.jobs["job-0"].EffectivePriority() != record.High || cancelled != 5001 {
+			t.Errorf("the ladder's first has priority %s, %d of the chain are cancelled", cluster.jobs["job-0"].EffectivePriority(), cancelled)
 		}
 	})
 }
@@ -101,41 +101,41 @@
 		n.Listen("state:1", s)
 		calls := 0
 		n.SetRule(func(string, string, *http.Request, []byte) fake.Fate { calls++; return fake.Deliver })
-		st := state.NewClient("state:1", n.Client("a"), state.NewBudget(1000, 1000, 1, 0.6))
+		store := state.NewClient("state:1", n.Client("a"), state.NewBudget(1000, 1000, 1, 0.6))
 		ctx := context.Background()
-		b := testBook()
-		c := NewCommitter(b, st, "a", 0)
-		recs, stamps := map[ids.Job]*record.Record{}, map[ids.Job]ids.Revision{}
+		cluster := testBook()
+		c := NewCommitter(cluster, store, "a", 0)
+		records, revisions := map[ids.Job]*record.Record{}, map[ids.Job]ids.Revision{}
 		for i := range 3000 {
 			live, over := ids.Job(fmt.Sprintf("job-%d", 10000+i/10)), ids.Job(fmt.Sprintf("job-%d", 20000+i/10))
 			id := ids.Job(fmt.Sprintf("job-%d", 30000+i))
 			if i%10 == 0 {
-				b.Learn(live, 1, rec(live, "red", record.Low, 1, 1), time.Now())
-				end := rec(over, "red", record.Low, 1, 1)
+				cluster.HandleRecord(live, 1, newRecord(live, "red", record.Low, 1, 1), time.Now())
+				end := newRecord(over, "red", record.Low, 1, 1)
 				end.Status = record.Done
 				raw, _ := end.Encode(8192)
-				if _, err := st.Commit(ctx, state.Txn{Then: []state.Op{{Put: record.EndKey(over), Value: raw}}}, state.Urgent); err != nil {
+				if _, err := store.Commit(ctx, state.Txn{Then: []state.Op{{Put: record.EndKey(over), Value: raw}}}, state.Urgent); err != nil {
 					t.Fatal(err)
 				}
 				time.Sleep(5 * time.Millisecond)
 			}
-			recs[id], stamps[id] = waits(id, record.High, 100, live, over), 1
+			records[id], revisions[id] = waits(id, record.High, 100, live, over), 1
 		}
-		b.LoadWaiting(recs, stamps, time.Now())
+		cluster.LoadWaitingJobs(records, revisions, time.Now())
 		calls = 0
 		c.lookUpOnce(ctx)
-		if calls > 5 || len(b.pipes.lookUp) != 0 {
-			t.Errorf("%d calls for 300 ends, %d still not known", calls, len(b.pipes.lookUp))
+		if calls > 5 || len(cluster.dependencies.lookups) != 0 {
+			t.Errorf("%d calls for 300 ends, %d still not known", calls, len(cluster.dependencies.lookups))
 		}
-		if got := len(b.ranked(time.Now())); got != 300 {
+		if got := len(cluster.rankedJobs(time.Now())); got != 300 {
 			t.Errorf("%d jobs stand in line", got)
 		}
-		b.finally("job-10000", record.Done)
-		if ready, _ := b.pipes.graph.Counts(); ready != 10 {
+		cluster.jobEnded("job-10000", record.Done)
+		if ready, _ := cluster.dependencies.graph.Counts(); ready != 10 {
 			t.Errorf("an end made %d ready, not 10", ready)
 		}
-		b.cancel(b.jobs["job-10001"])
-		if _, cancelled := b.pipes.graph.Counts(); cancelled != 10 {
+		cluster.cancelJob(cluster.jobs["job-10001"])
+		if _, cancelled := cluster.dependencies.graph.Counts(); cancelled != 10 {
 			t.Errorf("a cancellation ended %d, not 10", cancelled)
 		}
 	})
@@ -147,53 +147,53 @@
 	synctest.Test(t, func(t *testing.T) {
 		n, s := fake.NewNet(), fake.NewStore()
 		n.Listen("state:1", s)
-		st := state.NewClient("state:1", n.Client("a"), state.NewBudget(1000, 1000, 1, 0.6))
+		store := state.NewClient("state:1", n.Client("a"), state.NewBudget(1000, 1000, 1, 0.6))
 		ctx := context.Background()
 		old := fleet(t, 60)
-		r := rec("job-1", "blue", record.Normal, 300, 0.5)
-		old.Learn("job-1", 1, r, time.Now())
+		rec := newRecord("job-1", "blue", record.Normal, 300, 0.5)
+		old.HandleRecord("job-1", 1, rec, time.Now())
 		old.Plan(time.Now())
-		full := old.jobs["job-1"].Rec
-		full.Status, full.Places, full.Writer = record.Claimed, packPlaces(old.jobs["job-1"].places), "old"
+		full := old.jobs["job-1"].Record
+		full.Status, full.Places, full.Writer = record.Claimed, groupAssignments(old.jobs["job-1"].Assignments), "old"
 		for k := range 12 {
 			full.Trail = append(full.Trail, record.Event{What: fmt.Sprintf("event %d %s", k, strings.Repeat("x", 60))})
 		}
 		raw, ok := full.Encode(8192)
 		const lower = 520
-		if _, fits := full.Encode(lower); !ok || fits || len(old.jobs["job-1"].places) < 100 {
-			t.Fatalf("a record of %d bytes with %d places shows nothing", len(raw), len(old.jobs["job-1"].places))
+		if _, fits := full.Encode(lower); !ok || fits || len(old.jobs["job-1"].Assignments) < 100 {
+			t.Fatalf("a record of %d bytes with %d places shows nothing", len(raw), len(old.jobs["job-1"].Assignments))
 		}
-		epoch, err := st.Commit(ctx, state.Txn{Then: []state.Op{{Put: record.JobKey("job-1"), Value: raw}}}, state.Urgent)
+		epoch, err := store.Commit(ctx, state.Txn{Then: []state.Op{{Put: record.JobKey("job-1"), Value: raw}}}, state.Urgent)
 		if err != nil {
 			t.Fatal(err)
 		}
-		b := fleet(t, 60)
-		b.set.Params.State.ValueKB, b.set.Params.State.TxnOps = lower/1024.0, 4
+		cluster := fleet(t, 60)
+		cluster.settings.Params.State.ValueKB, cluster.settings.Params.State.TxnOps = lower/1024.0, 4
 		s.SetLimits(lower, 4)
 		stored, err := record.Decode(raw)
 		if err != nil {
 			t.Fatal(err)
 		}
-		b.Load(map[ids.Job]*record.Record{"job-1": stored}, map[ids.Job]ids.Revision{"job-1": ids.Revision(epoch)}, ids.Revision(epoch), time.Now())
-		c := NewCommitter(b, st, "a", 0)
-		j := b.jobs["job-1"]
-		open := len(j.places)
-		b.touch(j)
-		b.hurry(j)
+		cluster.Load(map[ids.Job]*record.Record{"job-1": stored}, map[ids.Job]ids.Revision{"job-1": ids.Revision(epoch)}, ids.Revision(epoch), time.Now())
+		c := NewCommitter(cluster, store, "a", 0)
+		job := cluster.jobs["job-1"]
+		open := len(job.Assignments)
+		cluster.markChanged(job)
+		cluster.markUrgent(job)
 		for range 5 {
-			c.Step(ctx)
+			c.CommitGroup(ctx)
 			time.Sleep(time.Second)
 		}
-		if s.TooLarge > 0 || len(j.places) != open {
-			t.Fatalf("%d writes were too large, %d of %d places are left", s.TooLarge, len(j.places), open)
+		if s.TooLarge > 0 || len(job.Assignments) != open {
+			t.Fatalf("%d writes were too large, %d of %d places are left", s.TooLarge, len(job.Assignments), open)
 		}
 		seconds := 0
-		for tick := ids.Tick(2); j.left() > 0 && seconds < 300; tick++ {
-			b.Plan(time.Now())
-			c.Step(ctx)
-			b.batches(1000)
-			b.play(tick, func(p *Place) string {
-				if (p.Index*7+int(tick))%3 == 0 {
+		for tick := ids.Tick(2); job.Unfinished() > 0 && seconds < 300; tick++ {
+			cluster.Plan(time.Now())
+			c.CommitGroup(ctx)
+			cluster.nextBatches(1000)
+			cluster.play(tick, func(assignment *Assignment) string {
+				if (assignment.TaskIndex*7+int(tick))%3 == 0 {
 					return "done"
 				}
 				return ""
@@ -202,7 +202,7 @@
 			seconds++
 		}
 		for range 5 {
-			c.Step(ctx)
+			c.CommitGroup(ctx)
 			time.Sleep(time.Second)
 		}
 		if s.TooLarge > 0 || s.Value(record.EndKey("job-1")) == nil {
--- a/internal/claim/usage.go
+++ b/internal/claim/usage.go
@@ -9,49 +9,49 @@
 	"github.com/pebbletrail/pebbletrail/internal/worker"
 )
 
-// costs counts what the machines cost this leader, by what they were doing, and
+// costReport counts what the machines cost this leader, by what they were doing, and
 // the work that has to be done again. It answers an operator's question of
 // where the money goes; nothing is decided by it.
-type costs struct {
+type costReport struct {
 	boot, idle, free, fetch, wait, run float64            // money
-	again                              map[string]float64 // core-seconds, by cause
-	at, told                           time.Time
+	repeated                           map[string]float64 // core-seconds, by cause
+	accruedAt, loggedAt                time.Time
 }
 
-// account adds what the time since the last call cost.
-func (b *ClusterState) account(now time.Time) {
-	s := &b.costs
-	if s.again == nil {
-		s.again = map[string]float64{}
+// accrueCosts adds what the time since the last call cost.
+func (c *ClusterState) accrueCosts(now time.Time) {
+	s := &c.costs
+	if s.repeated == nil {
+		s.repeated = map[string]float64{}
 	}
-	if s.at.IsZero() {
-		s.at, s.told = now, now
+	if s.accruedAt.IsZero() {
+		s.accruedAt, s.loggedAt = now, now
 	}
-	dt := now.Sub(s.at).Seconds()
-	s.at = now
-	for name, m := range b.roster.Machines {
-		t := b.types[m.Type]
-		if t == nil || m.Failed {
+	dt := now.Sub(s.accruedAt).Seconds()
+	s.accruedAt = now
+	for name, machine := range c.machines.Machines {
+		machineType := c.types[machine.Type]
+		if machineType == nil || machine.Failed {
 			continue
 		}
-		cost := t.PriceOf(m.Spot) / 3600 * dt
+		cost := machineType.PriceOf(machine.Spot) / 3600 * dt
 		switch {
-		case !m.Heard:
+		case !machine.Heard:
 			s.boot += cost
 			continue
-		case len(b.placesOn(name)) == 0:
+		case len(c.assignmentsOn(name)) == 0:
 			s.idle += cost
 			continue
 		}
 		left := 1.0
-		for p := range b.placesOn(name) {
-			need := p.Job.Rec.Spec.Need
-			share := min(left, max(need.Cores/max(t.Cores, 1e-9), need.RAM/max(t.RAM, 1e-9), need.Accels/max(t.Accels, 1e-9)*b2f(t.Accels > 0)))
+		for assignment := range c.assignmentsOn(name) {
+			need := assignment.Job.Record.Spec.Need
+			share := min(left, max(need.Cores/max(machineType.Cores, 1e-9), need.RAM/max(machineType.RAM, 1e-9), need.Accels/max(machineType.Accels, 1e-9)*indicator(machineType.Accels > 0)))
 			left -= share
 			switch {
-			case p.status == worker.Running:
+			case assignment.Status == worker.Running:
 				s.run += cost * share
-			case p.status == worker.Waiting || p.status == worker.Flushing:
+			case assignment.Status == worker.Waiting || assignment.Status == worker.Flushing:
 				s.wait += cost * share
 			default:
 				s.fetch += cost * share
@@ -59,31 +59,31 @@
 		}
 		s.free += cost * left
 	}
-	if now.Sub(s.told) >= time.Minute {
-		s.told = now
-		slog.Info("spent", "boot", cents(s.boot), "idle", cents(s.idle), "free", cents(s.free), "fetch", cents(s.fetch),
-			"wait", cents(s.wait), "run", cents(s.run), "againCoreSeconds", s.again)
+	if now.Sub(s.loggedAt) >= time.Minute {
+		s.loggedAt = now
+		slog.Info("spent", "boot", roundMoney(s.boot), "idle", roundMoney(s.idle), "free", roundMoney(s.free), "fetch", roundMoney(s.fetch),
+			"wait", roundMoney(s.wait), "run", roundMoney(s.run), "againCoreSeconds", s.repeated)
 	}
 }
 
-func b2f(b bool) float64 {
+func indicator(b bool) float64 {
 	if b {
 		return 1
 	}
 	return 0
 }
 
-func cents(v float64) float64 { return math.Round(v*1000) / 1000 }
+func roundMoney(v float64) float64 { return math.Round(v*1000) / 1000 }
 
-// redo counts work lost with a task that was stopped or vanished.
-func (b *ClusterState) redo(p *Place, cause string, now time.Time) {
-	if p.ranSince.IsZero() || p.Job.Rec.Spec.Shape == record.Service || b.costs.again == nil {
+// recordRepeatedWork counts work lost with a task that was stopped or vanished.
+func (c *ClusterState) recordRepeatedWork(assignment *Assignment, cause string, now time.Time) {
+	if assignment.RunningSince.IsZero() || assignment.Job.Record.Spec.Shape == record.Service || c.costs.repeated == nil {
 		return
 	}
-	s := &p.Job.Rec.Spec
-	ran := now.Sub(p.ranSince).Seconds()
-	if s.Checkpoint > 0 {
-		ran = math.Mod(ran, float64(s.Checkpoint))
+	spec := &assignment.Job.Record.Spec
+	ran := now.Sub(assignment.RunningSince).Seconds()
+	if spec.Checkpoint > 0 {
+		ran = math.Mod(ran, float64(spec.Checkpoint))
 	}
-	b.costs.again[cause] = math.Round(b.costs.again[cause] + ran*s.Need.Cores)
+	c.costs.repeated[cause] = math.Round(c.costs.repeated[cause] + ran*spec.Need.Cores)
 }
--- a/internal/claim/users_test.go
+++ b/internal/claim/users_test.go
@@ -205,8 +205,8 @@
 	}
 }
 
-// kind names what a transaction to the state service does.
-func kind(r *http.Request, body []byte) string {
+// InstanceClass names what a transaction to the state service does.
+func InstanceClass(r *http.Request, body []byte) string {
 	var txn struct {
 		When []struct {
 			Key   string
@@ -294,7 +294,7 @@
 	var mu sync.Mutex // of hits
 	hits := 0
 	hit := func(from, to string, r *http.Request, body []byte) fake.Fate {
-		k := kind(r, body)
+		k := InstanceClass(r, body)
 		mu.Lock()
 		defer mu.Unlock()
 		switch {
--- a/internal/claim/waiting_test.go
+++ b/internal/claim/waiting_test.go
@@ -26,9 +26,9 @@
 	for _, needs := range [][]ids.Job{
 		{"job-1"}, {"job-1", "job-12"}, {"job-7", "job-0007", "job-70"}, {"job-3", "job-2", "job-1"}, manyNeeds(150),
 	} {
-		r := rec("job-9", "blue", record.Normal, 4, 1)
-		r.Spec.Awaits = needs
-		spelled, ok := r.EncodeWaiting(64 * 1024)
+		rec := newRecord("job-9", "blue", record.Normal, 4, 1)
+		rec.Spec.Awaits = needs
+		spelled, ok := rec.EncodeWaiting(64 * 1024)
 		if !ok || !strings.Contains(string(spelled), `"awaits":["job-`) {
 			t.Fatalf("with room for it the record is %s", spelled)
 		}
@@ -37,7 +37,7 @@
 			t.Errorf("another form than the first version's: %s", spelled)
 		}
 		forms := []json.RawMessage{spelled}
-		if packed, ok := r.EncodeWaiting(len(spelled) - 1); ok && len(needs) > 1 {
+		if packed, ok := rec.EncodeWaiting(len(spelled) - 1); ok && len(needs) > 1 {
 			forms = append(forms, packed)
 		} else if len(needs) > 10 {
 			t.Errorf("%d names are not packed", len(needs))
@@ -51,13 +51,13 @@
 				t.Errorf("read as a claimable job's: %s", raw)
 			}
 		}
-		if !slices.Equal(r.Spec.Awaits, needs) {
+		if !slices.Equal(rec.Spec.Awaits, needs) {
 			t.Error("writing a waiting record loses what it awaits")
 		}
 	}
 	for _, bad := range []string{`[]`, `{}`, `[null]`, `[{"spec":{}},"job-:1","x"]`, `[{"spec":{}},7]`, `["job-:1"]`} {
-		if r, err := record.DecodeWaiting(json.RawMessage(bad)); err == nil {
-			t.Errorf("%s is read as %+v", bad, r)
+		if rec, err := record.DecodeWaiting(json.RawMessage(bad)); err == nil {
+			t.Errorf("%s is read as %+v", bad, rec)
 		}
 	}
 }
@@ -72,22 +72,22 @@
 		needs  int
 	}{{record.Done, 150}, {record.Done, 100}, {record.Cancelled, 150}, {record.Cancelled, 100}} {
 		needed := c.needed
-		b := testBook()
-		b.set.Params.State.ValueKB = limit / 1024
-		committer := NewCommitter(b, nil, "a", 1)
-		r := rec("job-9", "blue", record.Normal, 4, 1)
-		r.Spec.Awaits = manyNeeds(c.needs)
-		if _, ok := r.EncodeWaiting(limit); !ok {
+		cluster := testBook()
+		cluster.settings.Params.State.ValueKB = limit / 1024
+		committer := NewCommitter(cluster, nil, "a", 1)
+		rec := newRecord("job-9", "blue", record.Normal, 4, 1)
+		rec.Spec.Awaits = manyNeeds(c.needs)
+		if _, ok := rec.EncodeWaiting(limit); !ok {
 			t.Fatalf("%d names do not fit", c.needs)
 		}
-		b.mu.Lock()
-		b.addWaiting(now, &waiting{r, 3})
-		for _, need := range r.Spec.Awaits {
-			b.finally(need, needed)
+		cluster.mu.Lock()
+		cluster.addWaitingJobs(now, &waitingJob{rec, 3})
+		for _, need := range rec.Spec.Awaits {
+			cluster.jobEnded(need, needed)
 		}
-		var moves []pending
-		committer.waitingOnes(needed != record.Done, func(p pending) bool { moves = append(moves, p); return true })
-		b.mu.Unlock()
+		var moves []groupEntry
+		committer.collectWaiting(needed != record.Done, func(entry groupEntry) bool { moves = append(moves, entry); return true })
+		cluster.mu.Unlock()
 		if len(moves) != 1 {
 			t.Fatalf("%s: %d moves", needed, len(moves))
 		}
--- a/internal/claim/zoning.go
+++ b/internal/claim/zoning.go
@@ -2,46 +2,46 @@
 
 import "github.com/pebbletrail/pebbletrail/internal/record"
 
-// zoning counts a job's tasks by zone, for the rules on where one more may go.
-type zoning struct {
-	s       *record.Spec
-	count   map[string]int
+// zoneSpread counts a job's tasks by zone, for the rules on where one more may go.
+type zoneSpread struct {
+	spec    *record.Spec
+	byZone  map[string]int
 	unknown int
 }
 
-// zones is nil when the job sets no rule on zones.
-func (b *ClusterState) zones(j *Job) *zoning {
-	s := &j.Rec.Spec
-	if !s.OneZone && !s.Spread {
+// zoneSpreadOf is nil when the job sets no rule on zones.
+func (c *ClusterState) zoneSpreadOf(job *Job) *zoneSpread {
+	spec := &job.Record.Spec
+	if !spec.OneZone && !spec.Spread {
 		return nil
 	}
-	z := &zoning{s: s, count: map[string]int{}}
-	for _, p := range j.places {
-		if m := b.roster.Machines[p.Machine]; m != nil && m.Zone != "" {
-			z.count[m.Zone]++
+	spread := &zoneSpread{spec: spec, byZone: map[string]int{}}
+	for _, assignment := range job.Assignments {
+		if machine := c.machines.Machines[assignment.Machine]; machine != nil && machine.Zone != "" {
+			spread.byZone[machine.Zone]++
 		} else {
-			z.unknown++
+			spread.unknown++
 		}
 	}
-	return z
+	return spread
 }
 
-// may is how many more tasks, at most n, may go to a zone.
-func (z *zoning) may(zone string, n int) int {
-	if z == nil {
+// allowed is how many more tasks, at most n, may go to a zone.
+func (s *zoneSpread) allowed(zone string, n int) int {
+	if s == nil {
 		return n
 	}
-	if z.s.OneZone && (z.unknown > 0 || len(z.count) > 1 || len(z.count) == 1 && z.count[zone] == 0) {
+	if s.spec.OneZone && (s.unknown > 0 || len(s.byZone) > 1 || len(s.byZone) == 1 && s.byZone[zone] == 0) {
 		return 0
 	}
-	if z.s.Spread {
-		n = min(n, (z.s.Tasks+1)/2-z.unknown-z.count[zone])
+	if s.spec.Spread {
+		n = min(n, (s.spec.Tasks+1)/2-s.unknown-s.byZone[zone])
 	}
 	return max(n, 0)
 }
 
-func (z *zoning) add(zone string) {
-	if z != nil {
-		z.count[zone]++
+func (s *zoneSpread) add(zone string) {
+	if s != nil {
+		s.byZone[zone]++
 	}
 }
--- a/internal/fleet/boots_test.go
+++ b/internal/fleet/boots_test.go
@@ -36,7 +36,7 @@
 			}
 			start := y.born[name]
 			if boot := up(name, start.Sub(y.born["start"])); !gone[name] && boot > 0 && time.Since(start) >= boot {
-				y.b.Observe(&worker.Report{Machine: ids.Machine(name), Addr: name + ":1", Type: "small", Zone: "north", Session: 1, Tick: y.tick}, true, true)
+				y.b.ReconcileHeartbeat(&worker.Report{Machine: ids.Machine(name), Addr: name + ":1", Type: "small", Zone: "north", Session: 1, Tick: y.tick}, true, true)
 			}
 		}
 	}
@@ -52,7 +52,7 @@
 func boots(t *testing.T, secs int, up func(string, time.Duration) time.Duration, each func(s int, y *yard)) {
 	synctest.Test(t, func(t *testing.T) {
 		_, c, b, _, k := setup(500)
-		b.Learn("job-1", 1, job("job-1", 12), time.Now())
+		b.HandleRecord("job-1", 1, job("job-1", 12), time.Now())
 		y := &yard{b: b, c: c, born: map[string]time.Time{"start": time.Now()}}
 		for s := range secs {
 			k.Step(context.Background())
--- a/internal/fleet/cloud.go
+++ b/internal/fleet/cloud.go
@@ -123,10 +123,10 @@
 
 // ListPage reads the page of the machine list that follows a machine's name; more tells
 // whether there is another after it.
-func (c *Cloud) ListPage(ctx context.Context, after ids.Machine) (page []claim.Listed, more bool, err error) {
+func (c *Cloud) ListPage(ctx context.Context, after ids.Machine) (page []claim.ListedMachine, more bool, err error) {
 	var out struct {
-		Hosts []claim.Listed `json:"hosts"`
-		More  bool           `json:"more"`
+		Hosts []claim.ListedMachine `json:"hosts"`
+		More  bool                  `json:"more"`
 	}
 	query := url.Values{"most": {strconv.Itoa(listPageSize)}}
 	if after != "" {
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -70,7 +70,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx := context.Background()
 		n, c, b, s, k := setup(10)
-		b.Learn("job-1", 1, job("job-1", 2), time.Now())
+		b.HandleRecord("job-1", 1, job("job-1", 2), time.Now())
 		sent := map[string]int{}
 		n.SetRule(func(_, _ string, r *http.Request, body []byte) fake.Fate {
 			if r.Method == "POST" && r.URL.Path == "/hosts" {
@@ -128,7 +128,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx := context.Background()
 		_, c, b, _, k := setup(3)
-		b.Learn("job-1", 1, job("job-1", 1), time.Now())
+		b.HandleRecord("job-1", 1, job("job-1", 1), time.Now())
 		for range 250 {
 			k.Step(ctx)
 			time.Sleep(time.Second)
@@ -137,10 +137,10 @@
 			t.Fatalf("a machine that never came up was kept: %v", gone)
 		}
 		// Nobody hired this one; it reports, has nothing to do and goes back.
-		b.Observe(&worker.Report{Machine: "host-000777", Type: "small", Zone: "north", Session: 1, Tick: 1}, true, true)
-		b.Learn("job-1", 99, nil, time.Now())
+		b.ReconcileHeartbeat(&worker.Report{Machine: "host-000777", Type: "small", Zone: "north", Session: 1, Tick: 1}, true, true)
+		b.HandleRecord("job-1", 99, nil, time.Now())
 		for i := range 90 {
-			b.Observe(&worker.Report{Machine: "host-000777", Type: "small", Zone: "north", Session: 1, Tick: ids.Tick(i + 2)}, true, true)
+			b.ReconcileHeartbeat(&worker.Report{Machine: "host-000777", Type: "small", Zone: "north", Session: 1, Tick: ids.Tick(i + 2)}, true, true)
 			k.Step(ctx)
 			time.Sleep(time.Second)
 		}
@@ -174,7 +174,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx := context.Background()
 		_, c, b, _, k := setup(10)
-		b.Learn("job-1", 1, job("job-1", 2), time.Now())
+		b.HandleRecord("job-1", 1, job("job-1", 2), time.Now())
 		k.Step(ctx)
 		if len(c.Hires()) == 0 {
 			t.Fatal("nothing was rented")
@@ -182,7 +182,7 @@
 		time.Sleep(5 * time.Minute) // they never come up
 		asked := 0
 		k.Sure = func() bool { asked++; return false }
-		b.Learn("job-2", 2, job("job-2", 4), time.Now())
+		b.HandleRecord("job-2", 2, job("job-2", 4), time.Now())
 		hires := len(c.Hires())
 		for range 5 {
 			k.Step(ctx)
--- a/internal/fleet/large_fleet_test.go
+++ b/internal/fleet/large_fleet_test.go
@@ -26,7 +26,7 @@
 			t.Fatal(err)
 		}
 		for _, name := range names {
-			cluster.Observe(&worker.Report{Machine: name, Addr: string(name) + ":1", Type: "small", Zone: "north", Session: 1, Tick: 1}, true, true)
+			cluster.ReconcileHeartbeat(&worker.Report{Machine: name, Addr: string(name) + ":1", Type: "small", Zone: "north", Session: 1, Tick: 1}, true, true)
 		}
 	}
 }
@@ -52,7 +52,7 @@
 		for i := range 20 {
 			spec := record.Spec{ID: ids.Job(fmt.Sprint("job-", i)), Class: "c", Team: "red", Zone: "south", Shape: record.Service,
 				Tasks: 1, Need: placement.Room{Cores: 4, RAM: 4}}
-			cluster.Learn(spec.ID, 1, record.New(spec, ids.WallOf(time.Now()), "user"), time.Now())
+			cluster.HandleRecord(spec.ID, 1, record.New(spec, ids.WallOf(time.Now()), "user"), time.Now())
 			began, before := time.Now(), len(cloud.Hires())
 			for len(cloud.Hires()) == before && time.Since(began) < 10*time.Second {
 				step()
--- a/internal/fleet/listing.go
+++ b/internal/fleet/listing.go
@@ -33,12 +33,12 @@
 			slog.Debug("machine list not read", "after", p.list.after, "err", err)
 			return // goes on from here in the next step
 		}
-		p.Cluster.List(p.own(page), time.Now())
+		p.Cluster.ReconcileCloudList(p.own(page), time.Now())
 		if more {
 			p.list.after = page[len(page)-1].Name
 			continue
 		}
 		p.list.reading, p.list.complete = false, true
-		p.Cluster.ListRead(p.list.began)
+		p.Cluster.CloudListRead(p.list.began)
 	}
 }
--- a/internal/fleet/ownership.go
+++ b/internal/fleet/ownership.go
@@ -73,11 +73,11 @@
 }
 
 // own keeps of a page of the machine list what belongs to this shard.
-func (p *Provisioner) own(page []claim.Listed) []claim.Listed {
+func (p *Provisioner) own(page []claim.ListedMachine) []claim.ListedMachine {
 	if p.Owns == nil {
 		return page
 	}
-	return slices.DeleteFunc(slices.Clone(page), func(l claim.Listed) bool { return !p.Owns(l.Name) })
+	return slices.DeleteFunc(slices.Clone(page), func(l claim.ListedMachine) bool { return !p.Owns(l.Name) })
 }
 
 // lacks tells whether waiting jobs need machines that the cloud refuses now.
@@ -89,7 +89,7 @@
 	if !refused || len(hires) > 0 {
 		return false
 	}
-	ds, ups, types := p.Cluster.Needs(now)
+	ds, ups, types := p.Cluster.CapacityDemands(now)
 	waiting := slices.DeleteFunc(ds, func(d placement.Demand) bool { return d.Keep })
 	wanted, _ := placement.Rent(waiting, ups, types, func(string, string, bool) bool { return true })
 	return len(wanted) > 0
--- a/internal/fleet/ownership_test.go
+++ b/internal/fleet/ownership_test.go
@@ -43,7 +43,7 @@
 		p.Store, p.Keys, p.Shard = store, record.KeysOf(1, 3), 1
 		p.Owns = func(ids.Machine) bool { return true }
 		p.OthersLack = func() (time.Duration, int) { return 0, 1 }
-		cluster.Learn("job-1", 1, job("job-1", 1), time.Now())
+		cluster.HandleRecord("job-1", 1, job("job-1", 1), time.Now())
 		p.Step(ctx)
 		key := "pool/~1/hire/h-s1-7-1"
 		if !strings.Contains(store.values[key], `"hosts":["host-000001"]`) {
@@ -56,12 +56,12 @@
 			t.Errorf("a successor knows %v machines and %d open hires", next.Cluster.Summary()["machines"], len(next.open))
 		}
 		// More is wanted than there is: the others are told.
-		cluster.Learn("job-2", 2, job("job-2", 40), time.Now())
+		cluster.HandleRecord("job-2", 2, job("job-2", 40), time.Now())
 		for range 8 {
 			p.Step(ctx)
 			time.Sleep(time.Second)
 		}
-		if cluster.Lack().For == 0 {
+		if cluster.Shortage().For == 0 {
 			t.Error("the cloud refuses what waits, and nobody is told")
 		}
 		for range 300 { // they never come up and are returned
@@ -87,25 +87,25 @@
 func TestRoomIsSharedWithShardsThatLackIt(t *testing.T) {
 	// Guards against jobs of a shard that wait for good while another one holds machines.
 	cluster := claim.NewClusterState(set(), "w", 7, time.Now())
-	cluster.SetTypes([]placement.Type{{Label: "small", Cores: 4, RAM: 16, Zones: []string{"north"}}})
-	hear := func(name ids.Machine) { cluster.Observe(heartbeat(name), true, true) }
+	cluster.SetMachineTypes([]placement.Type{{Label: "small", Cores: 4, RAM: 16, Zones: []string{"north"}}})
+	hear := func(name ids.Machine) { cluster.ReconcileHeartbeat(heartbeat(name), true, true) }
 	for _, name := range []ids.Machine{"busy", "idle", "spare"} {
 		hear(name)
 	}
 	now := time.Now()
-	if gone := cluster.Returns(now, map[ids.Machine]bool{"busy": true}); len(gone) != 0 {
+	if gone := cluster.MachinesToTerminate(now, map[ids.Machine]bool{"busy": true}); len(gone) != 0 {
 		t.Fatalf("returned %v although nobody lacks room", gone)
 	}
-	cluster.ShareRoom(time.Second, 1, now)
-	if gone := cluster.Returns(now, map[ids.Machine]bool{"busy": true}); len(gone) != 2 {
+	cluster.ShareCapacity(time.Second, 1, now)
+	if gone := cluster.MachinesToTerminate(now, map[ids.Machine]bool{"busy": true}); len(gone) != 2 {
 		t.Errorf("returned %v, not what is idle", gone)
 	}
-	cluster.ShareRoom(time.Minute, 3, now)
+	cluster.ShareCapacity(time.Minute, 3, now)
 	if cluster.Summary()["draining"] != 0 {
 		t.Error("a shard with its part gives a machine up")
 	}
 	for range 3 {
-		cluster.ShareRoom(time.Minute, 1, now)
+		cluster.ShareCapacity(time.Minute, 1, now)
 	}
 	if cluster.Summary()["draining"] != 1 {
 		t.Errorf("%v machines are given up at once", cluster.Summary()["draining"])
@@ -118,8 +118,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx := context.Background()
 		_, cloud, cluster, _, p := setup(2)
-		cluster.Seed(map[ids.Machine]claim.Hint{"gone": {Name: "gone", Addr: "gone:1", Type: "small", Zone: "north", Session: 1}}, time.Now())
-		cluster.Learn("job-1", 1, job("job-1", 1), time.Now())
+		cluster.ApplyHints(map[ids.Machine]claim.Hint{"gone": {Name: "gone", Addr: "gone:1", Type: "small", Zone: "north", Session: 1}}, time.Now())
+		cluster.HandleRecord("job-1", 1, job("job-1", 1), time.Now())
 		for range 40 {
 			p.Step(ctx)
 			time.Sleep(time.Second)
--- a/internal/fleet/provisioner.go
+++ b/internal/fleet/provisioner.go
@@ -74,7 +74,7 @@
 			continue
 		}
 		p.keep(in)
-		p.Cluster.Hired(in.Hosts, placement.Hire{Type: in.Type, Zone: in.Zone, Spot: in.Spot}, time.Now())
+		p.Cluster.MachinesRented(in.Hosts, placement.Hire{Type: in.Type, Zone: in.Zone, Spot: in.Spot}, time.Now())
 	}
 }
 
@@ -97,7 +97,7 @@
 	now := time.Now()
 	if p.typed.IsZero() || now.Sub(p.typed) > 30*time.Second {
 		if ts, err := p.Cloud.Types(ctx); err == nil {
-			p.Cluster.SetTypes(ts)
+			p.Cluster.SetMachineTypes(ts)
 			p.typed = now
 			if p.OnTypes != nil {
 				p.OnTypes(ts)
@@ -125,24 +125,24 @@
 	// answer would rent everything twice.
 	if p.OthersLack != nil {
 		lack, part := p.OthersLack()
-		p.Cluster.ShareRoom(lack, part, time.Now())
+		p.Cluster.ShareCapacity(lack, part, time.Now())
 	}
-	dark := p.Cluster.DarkZones()
+	dark := p.Cluster.UnreachableZones()
 	closed := p.Cluster.ClosedZones()
-	ds, ups, types := p.Cluster.Needs(time.Now())
+	ds, ups, types := p.Cluster.CapacityDemands(time.Now())
 	hires, needed := placement.Rent(ds, ups, types, func(label, zone string, spot bool) bool {
 		_, gone := closed[zone]
 		return !gone && !dark[zone] && !p.refused[offer{label, zone, spot}].After(now)
 	})
 	if p.OthersLack != nil {
-		p.Cluster.SetLacking(p.lacks(hires, now), now)
+		p.Cluster.SetShortage(p.lacks(hires, now), now)
 	}
 	p.returns(ctx, needed)
 	p.rentReplacements(ctx, now)
 	if len(p.unsure) > 0 || len(p.open) > 0 || !p.list.complete {
 		return // what they rent is not known yet
 	}
-	if len(hires) > 0 && p.Cluster.Empty("", time.Now()) {
+	if len(hires) > 0 && p.Cluster.Consolidate("", time.Now()) {
 		return // what was being emptied is wanted after all
 	}
 	for _, h := range hires {
@@ -161,8 +161,8 @@
 		return // each look weighs the whole fleet anew
 	}
 	p.emptied = now
-	for _, e := range p.Cluster.Emptiables(now) {
-		ds, ups, types := p.Cluster.Needs(now)
+	for _, e := range p.Cluster.ConsolidationCandidates(now) {
+		ds, ups, types := p.Cluster.CapacityDemands(now)
 		rest := ups[:0]
 		for _, u := range ups {
 			if u.Name != e.Name && !u.Coming {
@@ -172,14 +172,14 @@
 		hires, _ := placement.Rent(append(append([]placement.Demand(nil), e.Needs...), ds...), rest, types,
 			func(string, string, bool) bool { return true })
 		if len(hires) == 0 {
-			p.Cluster.Empty(e.Name, now)
+			p.Cluster.Consolidate(e.Name, now)
 			return
 		}
 	}
 }
 
 func (p *Provisioner) returns(ctx context.Context, needed map[ids.Machine]bool) {
-	names := p.Cluster.Returns(time.Now(), needed)
+	names := p.Cluster.MachinesToTerminate(time.Now(), needed)
 	for len(names) > 0 {
 		n := min(len(names), 100)
 		if err := p.Cloud.Delete(ctx, names[:n], p.Sure); err != nil {
@@ -187,7 +187,7 @@
 			return // asked again next round, until it is confirmed
 		}
 		for _, name := range names[:n] {
-			p.Cluster.MachineGone(name)
+			p.Cluster.MachineTerminated(name)
 			p.forget(ctx, name)
 		}
 		names = names[n:]
@@ -232,8 +232,8 @@
 		return // sent again, which rents nothing more
 	case err == nil:
 		slog.Info("hired", "hire", in.Name, "type", in.Type, "zone", in.Zone, "spot", in.Spot, "asked", in.Count, "got", len(names))
-		p.Cluster.Hired(names, placement.Hire{Type: in.Type, Zone: in.Zone, Spot: in.Spot}, time.Now())
-		p.Cluster.DrainHireAnswered(in.Name, names)
+		p.Cluster.MachinesRented(names, placement.Hire{Type: in.Type, Zone: in.Zone, Spot: in.Spot}, time.Now())
+		p.Cluster.DrainProvisioned(in.Name, names)
 		if len(names) < in.Count {
 			p.refused[offer{in.Type, in.Zone, in.Spot}] = time.Now().Add(15 * time.Second)
 		}
--- a/internal/peer/drains.go
+++ b/internal/peer/drains.go
@@ -44,12 +44,12 @@
 	if b == nil {
 		return claim.ErrNotLeader
 	}
-	out.Waits = b.DrainWaits()
+	out.Waits = b.DrainBlockers()
 	return nil
 }
 
 // planHere makes a plan from what this node's cluster state knows.
-func planHere(pool *claim.Pool, spec *rollout.Spec) (*rollout.Preview, error) {
+func planHere(pool *claim.Elector, spec *rollout.Spec) (*rollout.Preview, error) {
 	b := pool.Cluster()
 	if b == nil {
 		return nil, claim.ErrNotLeader
@@ -81,7 +81,7 @@
 func (l *Link) DrainWaits(ctx context.Context) (map[ids.Machine][]string, error) {
 	pool := l.shards.Pools()[0]
 	if b := pool.Cluster(); b != nil {
-		return b.DrainWaits(), nil
+		return b.DrainBlockers(), nil
 	}
 	leader, ok := pool.Leader()
 	if !ok {
--- a/internal/peer/drains_test.go
+++ b/internal/peer/drains_test.go
@@ -23,7 +23,7 @@
 		time.Sleep(2 * time.Second)
 		_, lb := node(ctx, "b", "a", n, p)
 		time.Sleep(3 * time.Second)
-		a.Cluster().Hired([]ids.Machine{"host-000001", "host-000002"}, placement.Hire{Type: "small", Zone: "north"}, time.Now())
+		a.Cluster().MachinesRented([]ids.Machine{"host-000001", "host-000002"}, placement.Hire{Type: "small", Zone: "north"}, time.Now())
 		spec := &rollout.Spec{Name: "spring", Select: rollout.Selection{Zone: "north"}, WaveSize: 1}
 		for name, link := range map[string]*Link{"the leader": la, "another": lb} {
 			plan, err := link.PlanDrain(ctx, spec)
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -46,13 +46,13 @@
 	Owner   bool
 	// Have is how far in the leader's hints this node is; the leader answers with
 	// what came since and how far that goes.
-	Have  claim.HintMark
+	Have  claim.HintPosition
 	Hints []claim.Hint
 	// Want asks for changes of the state service that the other does not use,
 	// per second; Lent answers.
 	Want, Lent float64
 	// Stranded are workers that come back from being sent to the leader.
-	Stranded []claim.Strand
+	Stranded []claim.RedirectedWorker
 }
 
 // Empty is no answer.
@@ -64,20 +64,20 @@
 // Learn takes in another controller's write.
 func (s *Service) Learn(w *Wrote, _ *Empty) error {
 	if len(w.Raw) == 0 {
-		s.link.shards.Of(w.Job).Learn(w.Job, w.Stamp, nil)
+		s.link.shards.ForJob(w.Job).HandleRecord(w.Job, w.Stamp, nil)
 		return nil
 	}
 	rec, err := record.Decode(json.RawMessage(w.Raw))
 	if err != nil {
 		return err
 	}
-	s.link.shards.Of(w.Job).Learn(w.Job, w.Stamp, rec)
+	s.link.shards.ForJob(w.Job).HandleRecord(w.Job, w.Stamp, rec)
 	return nil
 }
 
 // Explain answers why a job's tasks wait, if this node owns the pool.
 func (s *Service) Explain(a *Asked, out *Lines) error {
-	lines, err := s.link.shards.Of(a.Job).Explain(a.Job)
+	lines, err := s.link.shards.ForJob(a.Job).Explain(a.Job)
 	out.Lines = lines
 	return err
 }
@@ -91,7 +91,7 @@
 // Greet exchanges how the nodes fare.
 func (s *Service) Greet(h *Hello, out *Hello) error {
 	s.link.note(&ShardsHello{Hello: *h, Shards: []ShardHello{h.shard()}})
-	answer := s.link.hello([]claim.HintMark{h.Have})
+	answer := s.link.hello([]claim.HintPosition{h.Have})
 	*out = answer.Hello
 	out.Lent = s.link.state.Budget().Lend(h.Want)
 	return nil
@@ -235,9 +235,9 @@
 // it knows, or can't be told.
 func (l *Link) NotifyLeader(id ids.Job, stamp ids.Revision, rec *record.Record, raw json.RawMessage) <-chan struct{} {
 	done := make(chan struct{})
-	pool := l.shards.Of(id)
+	pool := l.shards.ForJob(id)
 	if pool.Cluster() != nil {
-		pool.Learn(id, stamp, rec)
+		pool.HandleRecord(id, stamp, rec)
 		close(done)
 		return done
 	}
@@ -257,7 +257,7 @@
 
 // Explain asks the leader why a job's tasks wait.
 func (l *Link) Explain(ctx context.Context, id ids.Job) ([]string, ids.Node, error) {
-	pool := l.shards.Of(id)
+	pool := l.shards.ForJob(id)
 	if lines, err := pool.Explain(id); err == nil {
 		return lines, l.set.HostName, nil
 	}
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -22,14 +22,14 @@
 )
 
 // node is a controller without its users' side.
-func node(ctx context.Context, name ids.Node, other ids.Node, n *fake.Net, p *fake.Pipes) (*claim.Pool, *Link) {
+func node(ctx context.Context, name ids.Node, other ids.Node, n *fake.Net, p *fake.Pipes) (*claim.Elector, *Link) {
 	set := &config.Settings{HostName: name, Own: config.Defaults(), Others: []config.Other{{HostName: other, PeerAddr: string(other)}}}
 	set.Params.Workers = config.Workers{ReportS: 2, LeaseS: 20, GangWaitS: 30, GangPeerS: 5, CancelS: 40}
 	set.Params.State = config.State{RPS: 500, WriteRPS: 200, ValueKB: 8, TxnOps: 12}
 	set.Params.Teams = []config.Team{{Name: "red"}}
 	set.Params.Limits.MaxSockets = 100
 	st := state.NewClient("state:1", n.Client(string(name)), state.NewBudget(500, 200, 2, 0.6))
-	pool := claim.NewPool(set, st, &worker.Commander{HTTP: n.Client(string(name)), Timeout: time.Second}, string(name)+".1")
+	pool := claim.NewElector(set, st, &worker.Commander{HTTP: n.Client(string(name)), Timeout: time.Second}, string(name)+".1")
 	l := NewLink(set, claim.SingleShard(pool), st)
 	l.Dial = p.Dial
 	pool.Peers = l.ForShard(0)
@@ -72,7 +72,7 @@
 		// What b accepts, a learns at once, and b can explain it by asking a.
 		rec := record.New(record.Spec{ID: "job-1", Team: "red", Shape: record.Array, Tasks: 1, Need: placement.Room{Cores: 1}}, 1, "b")
 		raw, _ := json.Marshal(rec)
-		a.Cluster().SetTypes([]placement.Type{{Label: "small", Cores: 4, RAM: 16, Zones: []string{"north"}}})
+		a.Cluster().SetMachineTypes([]placement.Type{{Label: "small", Cores: 4, RAM: 16, Zones: []string{"north"}}})
 		lb.NotifyLeader("job-1", 9, rec, raw)
 		time.Sleep(time.Second)
 		lines, leader, err := lb.Explain(ctx, "job-1")
--- a/internal/peer/production_test.go
+++ b/internal/peer/production_test.go
@@ -54,10 +54,10 @@
 func TestMessagesOfTheProductionVersionAreUnderstoodBothWays(t *testing.T) {
 	// Guards against controllers of two versions that misread each other during an
 	// upgrade. The files were written by the version that deploy/service.toml names.
-	hello := &Hello{Node: "cairn-0", StateOK: true, Owner: true, Have: claim.HintMark{Gen: 7, Seq: 12, Whole: true, At: time.Unix(1700000000, 0).UTC()},
+	hello := &Hello{Node: "cairn-0", StateOK: true, Owner: true, Have: claim.HintPosition{Gen: 7, Seq: 12, Whole: true, At: time.Unix(1700000000, 0).UTC()},
 		Hints: []claim.Hint{{Name: "host-000001", Addr: "10.1.0.1:9000", Type: "small", Zone: "north", Spot: true, Session: 2,
 			Images: worker.Images{Names: []string{"img"}, Sizes: []float64{1.5}}, Coming: true, Held: 3 * time.Second}},
-		Want: 2.5, Lent: 1.5, Stranded: []claim.Strand{{Machine: "host-000002", Ago: 3 * time.Second}}}
+		Want: 2.5, Lent: 1.5, Stranded: []claim.RedirectedWorker{{Machine: "host-000002", Ago: 3 * time.Second}}}
 	wrote := &Wrote{Job: "job-1", Stamp: 9, Raw: []byte(`{"spec":{"id":"job-1"}}`)}
 	for name, want := range map[string]any{
 		"hello": hello, "wrote": wrote, "asked": &Asked{Job: "job-1"}, "lines": &Lines{Lines: []string{"waits: no machine has room"}},
--- a/internal/peer/shards.go
+++ b/internal/peer/shards.go
@@ -14,11 +14,11 @@
 // ShardHello tells how a node stands to one shard; the fields are those of Hello.
 type ShardHello struct {
 	Owner    bool
-	Have     claim.HintMark
+	Have     claim.HintPosition
 	Hints    []claim.Hint
-	Stranded []claim.Strand
+	Stranded []claim.RedirectedWorker
 	// Lack is how much the shard lacks machines, told by its leader.
-	Lack claim.Lack
+	Lack claim.Shortage
 }
 
 // ShardsHello is a Hello with how the node stands to each shard.
@@ -55,8 +55,8 @@
 }
 
 // marks are how far in each shard's hints the greeting node is.
-func (h *ShardsHello) marks() []claim.HintMark {
-	marks := make([]claim.HintMark, len(h.Shards))
+func (h *ShardsHello) marks() []claim.HintPosition {
+	marks := make([]claim.HintPosition, len(h.Shards))
 	for i := range h.Shards {
 		marks[i] = h.Shards[i].Have
 	}
@@ -106,11 +106,11 @@
 
 // hello tells how this node fares; to a node that said how far in the hints it is, the leader
 // of a shard tells what came since.
-func (l *Link) hello(to []claim.HintMark) ShardsHello {
+func (l *Link) hello(to []claim.HintPosition) ShardsHello {
 	age, ok := l.state.SinceSuccess()
 	h := ShardsHello{Hello: Hello{Node: l.set.HostName, StateOK: ok && age < heardWithin}}
 	for shard, pool := range l.shards.Pools() {
-		var mark *claim.HintMark
+		var mark *claim.HintPosition
 		if shard < len(to) {
 			mark = &to[shard]
 		}
@@ -124,13 +124,13 @@
 }
 
 // shardHello tells how this node stands to one shard.
-func shardHello(pool *claim.Pool, to *claim.HintMark) (h ShardHello) {
+func shardHello(pool *claim.Elector, to *claim.HintPosition) (h ShardHello) {
 	b := pool.Cluster()
 	if b == nil {
-		h.Stranded, h.Have = pool.Stranded(), pool.Heard()
+		h.Stranded, h.Have = pool.RedirectedWorkers(), pool.HintPosition()
 		return h
 	}
-	h.Owner, h.Lack = true, b.Lack()
+	h.Owner, h.Lack = true, b.Shortage()
 	if to != nil {
 		h.Hints, h.Have = b.Hints(*to)
 	}
@@ -150,7 +150,7 @@
 	l.state.Budget().Borrowed(out.Hello.Lent, sent)
 	for shard, pool := range l.shards.Pools() {
 		if shard < len(out.Shards) && out.Shards[shard].Owner {
-			pool.Hear(out.Shards[shard].Hints, out.Shards[shard].Have)
+			pool.ReceiveHints(out.Shards[shard].Hints, out.Shards[shard].Have)
 		}
 	}
 }
@@ -180,9 +180,9 @@
 		if shard >= len(h.Shards) {
 			break
 		}
-		pool.Reconsider(h.Shards[shard].Stranded)
+		pool.HandleRedirectedWorkers(h.Shards[shard].Stranded)
 		if len(h.Shards) > 1 && h.Shards[shard].Owner {
-			l.shards.NoteLack(ids.Shard(shard), h.Shards[shard].Lack)
+			l.shards.ReportShortage(ids.Shard(shard), h.Shards[shard].Lack)
 		}
 	}
 }
