--- a/internal/claim/allowances.go
+++ b/internal/claim/allowances.go
@@ -11,6 +11,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/quota"
 	"github.com/pebbletrail/pebbletrail/internal/record"
 	"github.com/pebbletrail/pebbletrail/internal/state"
+	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
 // processStart is from when this process's settings are.
@@ -61,7 +62,7 @@
 }
 
 // addUnmetDemand notes that only its team's allowance keeps n tasks of a job from starting.
-func (pass *planningPass) addUnmetDemand(job *Job, n int) {
+func (pass *planningPass) addUnmetDemand(job *workload.Job, n int) {
 	spec := &job.Record.Spec
 	unit := spec.Need
 	if spec.Shape == record.Gang {
@@ -93,7 +94,7 @@
 // preemptLowerPriority stops work of a team below a priority until it frees what is named. What is
 // being stopped already counts.
 func (c *ClusterState) preemptLowerPriority(team string, below record.Priority, free placement.Room) {
-	var victims []*Assignment
+	var victims []*workload.Assignment
 	for _, job := range c.queue {
 		if job.Record.Spec.Team != team || job.EffectivePriority() >= below {
 			continue
@@ -107,7 +108,7 @@
 		}
 	}
 	now := time.Now()
-	slices.SortStableFunc(victims, func(x, y *Assignment) int {
+	slices.SortStableFunc(victims, func(x, y *workload.Assignment) int {
 		if x.Job.EffectivePriority() != y.Job.EffectivePriority() {
 			return int(x.Job.EffectivePriority()) - int(y.Job.EffectivePriority())
 		}
--- a/internal/claim/boots.go
+++ b/internal/claim/boots.go
@@ -8,6 +8,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 	"github.com/pebbletrail/pebbletrail/internal/placement"
 	"github.com/pebbletrail/pebbletrail/internal/worker"
+	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
 // bootHistory remembers how long machines of one type lately took to be heard. A type's
@@ -152,7 +153,7 @@
 }
 
 // describeBooting tells of the machines on their way that a waiting job could use.
-func (c *ClusterState) describeBooting(job *Job, now time.Time) []string {
+func (c *ClusterState) describeBooting(job *workload.Job, now time.Time) []string {
 	request := job.Record.Spec.Ask()
 	n, lates, longest := 0, 0, time.Duration(0)
 	for _, machine := range c.machines.Machines {
--- a/internal/claim/cancellation.go
+++ b/internal/claim/cancellation.go
@@ -6,6 +6,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 	"github.com/pebbletrail/pebbletrail/internal/record"
 	"github.com/pebbletrail/pebbletrail/internal/state"
+	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
 // HandleCancellation takes in that a job's cancellation is stored apart from its record,
@@ -35,7 +36,7 @@
 
 // cancelConfirmed cancels a job whose user was told so by another controller. A completion
 // that only this memory knows came too late: what is told first stands.
-func (c *ClusterState) cancelConfirmed(job *Job) {
+func (c *ClusterState) cancelConfirmed(job *workload.Job) {
 	if job.Cancelled() {
 		return
 	}
--- a/internal/claim/cluster_state.go
+++ b/internal/claim/cluster_state.go
@@ -16,6 +16,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/quota"
 	"github.com/pebbletrail/pebbletrail/internal/record"
 	"github.com/pebbletrail/pebbletrail/internal/worker"
+	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
 // ClusterState is everything the leader knows: jobs, places and machines, under
@@ -25,21 +26,21 @@
 	settings     *config.Settings
 	writer       string
 	generation   ids.Generation
-	jobs         map[ids.Job]*Job
+	jobs         map[ids.Job]*workload.Job
 	retired      map[ids.Job]bool // jobs whose end this term has stored
 	retiredOrder []ids.Job
 	machines     *worker.Registry
 	// What follows is kept up to date change by change, so that planning,
 	// sending and storing never walk the whole fleet or all jobs.
-	queue            []*Job // by submission
+	queue            []*workload.Job // by submission
 	nodes            map[ids.Machine]*Node
 	classes          map[InstanceClass]*ClassIndex
 	classOrder       []*ClassIndex
 	byImage          map[string]map[*Node]bool
-	leaving          map[ids.Machine]bool // drained, taken back or to be returned
-	pendingCommands  map[*Node]bool       // have starts or stops to send
-	unsaved          map[*Job]bool        // changed since they were last stored
-	machinesExamined int                  // machines that planning looked at so far
+	leaving          map[ids.Machine]bool   // drained, taken back or to be returned
+	pendingCommands  map[*Node]bool         // have starts or stops to send
+	unsaved          map[*workload.Job]bool // changed since they were last stored
+	machinesExamined int                    // machines that planning looked at so far
 	// examinedAtLock is how many it had looked at when it last took the lock, and
 	// mostExaminedAtHold the most while it held it once.
 	examinedAtLock, mostExaminedPerLock int
@@ -114,14 +115,14 @@
 		shard: shard, keys: record.KeysOf(shard, settings.Shards()),
 		statusInOtherShard: func(ids.Job) (record.Status, bool) { return "", false },
 		settings:           settings, writer: writer, generation: generation, firstGeneration: generation,
-		jobs: map[ids.Job]*Job{}, retired: map[ids.Job]bool{},
+		jobs: map[ids.Job]*workload.Job{}, retired: map[ids.Job]bool{},
 		machines:          worker.NewRegistry(settings.Params.Workers.LeaseS),
 		nodes:             map[ids.Machine]*Node{},
 		classes:           map[InstanceClass]*ClassIndex{},
 		byImage:           map[string]map[*Node]bool{},
 		leaving:           map[ids.Machine]bool{},
 		pendingCommands:   map[*Node]bool{},
-		unsaved:           map[*Job]bool{},
+		unsaved:           map[*workload.Job]bool{},
 		quota:             quota.NewBook(shard, settings.Shards(), teamLimits(settings), processStart),
 		types:             map[string]*placement.Type{},
 		rng:               rand.New(rand.NewPCG(uint64(generation), uint64(len(writer)))),
@@ -148,7 +149,7 @@
 }
 
 // recordEvent appends to the job's trail, bounded.
-func (c *ClusterState) recordEvent(job *Job, format string, args ...any) {
+func (c *ClusterState) recordEvent(job *workload.Job, format string, args ...any) {
 	limit := int(c.settings.Own.TrailEvents)
 	what := fmt.Sprintf(format, args...)
 	slog.Debug("job", "id", job.Record.Spec.ID, "what", what)
@@ -163,7 +164,7 @@
 }
 
 // markChanged marks a job as changed.
-func (c *ClusterState) markChanged(job *Job) {
+func (c *ClusterState) markChanged(job *workload.Job) {
 	job.Version++
 	if c.jobs[job.Record.Spec.ID] == job && !job.Ended {
 		if !c.unsaved[job] {
@@ -187,26 +188,26 @@
 
 // markUrgent marks a job's change as one that others wait for: a marker before
 // starts, or an end.
-func (c *ClusterState) markUrgent(job *Job) {
+func (c *ClusterState) markUrgent(job *workload.Job) {
 	job.Urgent = true
 	signal(c.commitSignal)
 }
 
 // removeJob takes a job out of the cluster state.
-func (c *ClusterState) removeJob(job *Job) {
+func (c *ClusterState) removeJob(job *workload.Job) {
 	delete(c.jobs, job.Record.Spec.ID)
 	delete(c.unsaved, job)
 	c.dequeue(job)
 }
 
 // cancelJob stops everything of a job whose user was, or is about to be, told.
-func (c *ClusterState) cancelJob(job *Job) {
+func (c *ClusterState) cancelJob(job *workload.Job) {
 	if job.Cancelled() || job.Record.Status == record.Done {
 		return
 	}
 	job.Record.Status = record.Cancelling
 	c.recordEvent(job, "cancelled by its user; %d tasks to stop", len(job.Assignments))
-	for _, i := range sortedTasks(job.Assignments) {
+	for _, i := range workload.SortedTasks(job.Assignments) {
 		c.stopAssignment(job.Assignments[i], 0, "cancelled")
 	}
 	c.cancelDependents(job.Record.Spec.ID)
@@ -214,13 +215,13 @@
 }
 
 // finishIfComplete moves a job to its final status when nothing is left of it.
-func (c *ClusterState) finishIfComplete(job *Job) {
+func (c *ClusterState) finishIfComplete(job *workload.Job) {
 	switch {
 	case job.Record.Status.Over():
 	case job.Unfinished() == 0 && job.Record.Status != record.Cancelling:
 		job.Record.Status = record.Done
 		c.recordEvent(job, "done")
-		for _, i := range sortedTasks(job.Assignments) {
+		for _, i := range workload.SortedTasks(job.Assignments) {
 			if assignment := job.Assignments[i]; assignment.StartSent {
 				assignment.Stopping, assignment.StopReason, assignment.StopRequestedAt = true, "job done", time.Now()
 				c.queueCommand(assignment)
--- a/internal/claim/cluster_state_test.go
+++ b/internal/claim/cluster_state_test.go
@@ -13,6 +13,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/record"
 	"github.com/pebbletrail/pebbletrail/internal/state"
 	"github.com/pebbletrail/pebbletrail/internal/worker"
+	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
 func testSet() *config.Settings {
@@ -82,10 +83,10 @@
 		}
 	}
 	for i := range cluster.maxAssignedTasks(job) {
-		cluster.addAssignment(&Assignment{Job: job, TaskIndex: i * 40, Machine: ids.Machine(fmt.Sprintf("host-%06d", i)), Incarnation: 1, Attempt: 9, FencingToken: 7})
+		cluster.addAssignment(&workload.Assignment{Job: job, TaskIndex: i * 40, Machine: ids.Machine(fmt.Sprintf("host-%06d", i)), Incarnation: 1, Attempt: 9, FencingToken: 7})
 	}
 	out := job.Record
-	out.Places = groupAssignments(job.Assignments)
+	out.Places = workload.GroupAssignments(job.Assignments)
 	raw, ok := out.Encode(8 * 1024)
 	if !ok {
 		t.Fatal("does not fit")
@@ -380,10 +381,10 @@
 func TestCriticalWorkWaitsForASaveOnlyIfMuchWouldBeLost(t *testing.T) {
 	t.Parallel()
 	now := time.Now()
-	job := &Job{Record: *newRecord("job-1", "blue", record.Low, 1, 4)}
+	job := &workload.Job{Record: *newRecord("job-1", "blue", record.Low, 1, 4)}
 	job.Record.Spec.Checkpoint, job.Record.Spec.Save = 60, 5
 	for ran, want := range map[time.Duration]bool{2 * time.Second: true, 40 * time.Second: false, 65 * time.Second: true} {
-		assignment := &Assignment{Job: job, RunningSince: now.Add(-ran)}
+		assignment := &workload.Assignment{Job: job, RunningSince: now.Add(-ran)}
 		if assignment.LittleToSave(now) != want {
 			t.Errorf("after %v of running: %v", ran, !want)
 		}
@@ -513,7 +514,7 @@
 	}
 }
 
-func gangBook(now time.Time) (*ClusterState, *Job) {
+func gangBook(now time.Time) (*ClusterState, *workload.Job) {
 	cluster := testBook()
 	cluster.hear("warm", "north", 1)
 	cluster.hear("cold", "north", 1)
@@ -709,7 +710,7 @@
 	t.Parallel()
 	now := time.Now()
 	cluster := fleet(t, 100)
-	limit := cluster.maxAssignedTasks(&Job{Record: *newRecord("job-2", "blue", record.Normal, 200, 1)}) // it follows from what the description leaves
+	limit := cluster.maxAssignedTasks(&workload.Job{Record: *newRecord("job-2", "blue", record.Normal, 200, 1)}) // it follows from what the description leaves
 	gang := newRecord("job-1", "blue", record.High, limit+1, 1)
 	gang.Spec.Shape = record.Gang
 	cluster.HandleRecord("job-1", 1, gang, now)
--- a/internal/claim/collect.go
+++ b/internal/claim/collect.go
@@ -6,6 +6,7 @@
 
 	"github.com/pebbletrail/pebbletrail/internal/record"
 	"github.com/pebbletrail/pebbletrail/internal/state"
+	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
 // outcomeDelayTight is the same while changes are scarce: then new work and ends need
@@ -54,13 +55,13 @@
 }
 
 // dueChanges lists the jobs whose changes are due to be stored, most urgent first.
-func (c *Committer) dueChanges(now time.Time) []*Job {
+func (c *Committer) dueChanges(now time.Time) []*workload.Job {
 	cluster := c.Cluster
 	settle := outcomeDelay
 	if c.State.Budget().Tight() {
 		settle = outcomeDelayTight
 	}
-	var due []*Job
+	var due []*workload.Job
 	for job := range cluster.unsaved {
 		if job.Version <= job.StoredVersion || job.Ended {
 			delete(cluster.unsaved, job)
@@ -81,20 +82,20 @@
 		if pa, pz := a.EffectivePriority(), z.EffectivePriority(); pa != pz {
 			return pa > pz
 		}
-		return compareSubmission(a, z) < 0
+		return workload.CompareSubmission(a, z) < 0
 	})
 	return due
 }
 
 // encodeChange makes the transaction's part that stores a job as it is now; fits tells
 // whether its record fits the limit of values.
-func (c *ClusterState) encodeChange(job *Job, limit int) (entry groupEntry, fits bool) {
+func (c *ClusterState) encodeChange(job *workload.Job, limit int) (entry groupEntry, fits bool) {
 	entry = groupEntry{job: job, version: job.Version, terminal: job.Record.Status.Over()}
 	rec := job.Record
 	rec.Gen, rec.Writer, rec.Seq = c.generation, c.writer, job.Version
 	encode := rec.EncodeFinal
 	if !entry.terminal {
-		rec.Places = groupAssignments(job.Assignments)
+		rec.Places = workload.GroupAssignments(job.Assignments)
 		encode = rec.Encode
 	}
 	raw, fits := encode(limit)
@@ -122,14 +123,6 @@
 	return entry, true
 }
 
-// RecordEncodedSize notes what a record's places took of it, and what the rest that can't give way did.
-func (job *Job) RecordEncodedSize(places []record.PlaceGroup, size int) {
-	if n := len(job.Assignments); n > 0 {
-		took := record.PlacesSize(places)
-		job.EncodedSize.PerAssignment, job.EncodedSize.Rest = float64(took)/float64(n), size-took
-	}
-}
-
 // droppableTrailBytes is about how many bytes the trail would give up for places: all but the
 // last lines.
 func droppableTrailBytes(trail []record.Event) (n int) {
--- a/internal/claim/commit.go
+++ b/internal/claim/commit.go
@@ -11,6 +11,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/measure"
 	"github.com/pebbletrail/pebbletrail/internal/record"
 	"github.com/pebbletrail/pebbletrail/internal/state"
+	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
 // generationRecord is the value of pool/generation. It persists, so that the
@@ -50,7 +51,7 @@
 }
 
 type groupEntry struct {
-	job        *Job
+	job        *workload.Job
 	waiting    *waitingJob    // instead of a job: one that waits moves on
 	becomes    *record.Record // what it becomes
 	version    uint64
@@ -165,7 +166,7 @@
 
 // versionStored notes what newly stored versions allow: starts whose marker is in
 // the store go out, and later changes may wait for one another again.
-func (c *ClusterState) versionStored(job *Job) {
+func (c *ClusterState) versionStored(job *workload.Job) {
 	if job.StoredVersion >= job.Version {
 		delete(c.unsaved, job)
 		job.Urgent = false
--- a/internal/claim/dispatch.go
+++ b/internal/claim/dispatch.go
@@ -7,6 +7,7 @@
 
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 	"github.com/pebbletrail/pebbletrail/internal/worker"
+	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
 // commandBatch is what goes straight to one worker at once.
@@ -99,7 +100,7 @@
 }
 
 // queueCommand notes that something is to be sent to a place's machine.
-func (c *ClusterState) queueCommand(assignment *Assignment) {
+func (c *ClusterState) queueCommand(assignment *workload.Assignment) {
 	if node := c.nodes[assignment.Machine]; node != nil {
 		c.pendingCommands[node] = true
 	}
--- a/internal/claim/drain.go
+++ b/internal/claim/drain.go
@@ -8,6 +8,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/placement"
 	"github.com/pebbletrail/pebbletrail/internal/record"
 	"github.com/pebbletrail/pebbletrail/internal/worker"
+	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
 // stopOnLeavingMachines stops, in time to save or to start elsewhere, what is on machines
@@ -95,7 +96,7 @@
 		if c.drains == nil {
 			c.stopAssignment(assignment, assignment.CheckpointGrace(), relocationReason(machine.Name))
 		} else {
-			c.recordEvictions([]evictionUnit{{assignment.Job, []*Assignment{assignment}}}, &evictionStep{rollout: consolidation, stored: map[*Job]uint64{}})
+			c.recordEvictions([]evictionUnit{{assignment.Job, []*workload.Assignment{assignment}}}, &evictionStep{rollout: consolidation, stored: map[*workload.Job]uint64{}})
 		}
 		return
 	}
@@ -108,18 +109,9 @@
 
 // mayRelocate tells whether a replica may be moved that nobody has to move: where operators have set
 // budgets, only within these.
-func (c *ClusterState) mayRelocate(assignment *Assignment, now time.Time) bool {
+func (c *ClusterState) mayRelocate(assignment *workload.Assignment, now time.Time) bool {
 	if c.drains == nil {
 		return true
 	}
 	return !assignment.Evicting && len(c.disruptionMeter(now).Permit(c.evictionRequest(assignment.Job, assignment, now))) == 0
 }
-
-// FinishesWithin guesses whether a task completes within d.
-func (assignment *Assignment) FinishesWithin(d time.Duration, now time.Time) bool {
-	spec := &assignment.Job.Record.Spec
-	if spec.Shape == record.Service || assignment.RunningSince.IsZero() {
-		return false
-	}
-	return assignment.RunningSince.Add(spec.Estimate.Duration()).Before(now.Add(d))
-}
--- a/internal/claim/emptying.go
+++ b/internal/claim/emptying.go
@@ -14,12 +14,13 @@
 	"github.com/pebbletrail/pebbletrail/internal/record"
 	"github.com/pebbletrail/pebbletrail/internal/rollout"
 	"github.com/pebbletrail/pebbletrail/internal/worker"
+	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
 // evictionUnit is what is stopped together: a task, or a whole gang.
 type evictionUnit struct {
-	job         *Job
-	assignments []*Assignment
+	job         *workload.Job
+	assignments []*workload.Assignment
 }
 
 func (unit *evictionUnit) team() string { return unit.job.Record.Spec.Team }
@@ -39,7 +40,7 @@
 	if len(first) == 0 {
 		return
 	}
-	step := &evictionStep{rollout: order.Rollout, wave: order.Wave, machine: name, stored: map[*Job]uint64{}}
+	step := &evictionStep{rollout: order.Rollout, wave: order.Wave, machine: name, stored: map[*workload.Job]uint64{}}
 	reserved := map[ids.Machine]reservation{}
 	if why := c.unplaceableReasons(first, order, reserved, now); len(why) > 0 {
 		c.drains.noRoom[name] = true
@@ -106,7 +107,7 @@
 // It changes nothing.
 func (c *ClusterState) evictionUnits(machine *worker.Machine, order rollout.Order) (units []evictionUnit, whys []string) {
 	limit := int(c.settings.Params.State.ValueKB * 1024)
-	seen := map[*Job]bool{}
+	seen := map[*workload.Job]bool{}
 	for _, assignment := range c.sortedAssignmentsOn(machine.Name) {
 		job := assignment.Job
 		spec := &job.Record.Spec
@@ -124,7 +125,7 @@
 			continue
 		}
 		if !isGang(spec) {
-			units = append(units, evictionUnit{job, []*Assignment{assignment}})
+			units = append(units, evictionUnit{job, []*workload.Assignment{assignment}})
 			continue
 		}
 		if seen[job] {
@@ -136,7 +137,7 @@
 			continue
 		}
 		gang := evictionUnit{job: job}
-		for _, i := range sortedTasks(job.Assignments) {
+		for _, i := range workload.SortedTasks(job.Assignments) {
 			gang.assignments = append(gang.assignments, job.Assignments[i])
 		}
 		units = append(units, gang)
@@ -145,12 +146,12 @@
 }
 
 // sortedAssignmentsOn lists what is or may be on a machine, in the order of the tasks' names.
-func (c *ClusterState) sortedAssignmentsOn(name ids.Machine) []*Assignment {
-	var places []*Assignment
+func (c *ClusterState) sortedAssignmentsOn(name ids.Machine) []*workload.Assignment {
+	var places []*workload.Assignment
 	for assignment := range c.assignmentsOn(name) {
 		places = append(places, assignment)
 	}
-	slices.SortFunc(places, func(x, y *Assignment) int {
+	slices.SortFunc(places, func(x, y *workload.Assignment) int {
 		return cmp.Or(cmp.Compare(x.Job.Record.Spec.ID, y.Job.Record.Spec.ID), cmp.Compare(x.TaskIndex, y.TaskIndex))
 	})
 	return places
@@ -167,7 +168,7 @@
 }
 
 // gangBlocker tells why a gang can't be stopped as a whole now; empty: it can.
-func gangBlocker(job *Job) string {
+func gangBlocker(job *workload.Job) string {
 	for _, assignment := range job.Assignments {
 		if !assignment.Confirmed || assignment.Stopping || assignment.Evicting {
 			return fmt.Sprintf("not all tasks of gang %s are known to be on their machines", job.Record.Spec.ID)
@@ -221,7 +222,7 @@
 }
 
 // zonesWithout is where a job's tasks are, but for one that is to be moved.
-func (c *ClusterState) zonesWithout(assignment *Assignment) *zoneSpread {
+func (c *ClusterState) zonesWithout(assignment *workload.Assignment) *zoneSpread {
 	spread := c.zoneSpreadOf(assignment.Job)
 	if machine := c.machines.Machines[assignment.Machine]; spread != nil && machine != nil && machine.Zone != "" {
 		if spread.byZone[machine.Zone]--; spread.byZone[machine.Zone] == 0 {
@@ -283,7 +284,7 @@
 
 // findRoom finds a machine with room for one more task of a job; nil if there is none. Work without
 // accelerators takes a machine with some only where nothing else has room.
-func (c *ClusterState) findRoom(job *Job, zones *zoneSpread, reserved map[ids.Machine]reservation, now time.Time) *Node {
+func (c *ClusterState) findRoom(job *workload.Job, zones *zoneSpread, reserved map[ids.Machine]reservation, now time.Time) *Node {
 	if node := c.findRoomAmong(job, zones, reserved, now, false); node != nil {
 		return node
 	}
@@ -291,7 +292,7 @@
 }
 
 // findRoomAmong finds room on machines with accelerators, or on those without.
-func (c *ClusterState) findRoomAmong(job *Job, zones *zoneSpread, reserved map[ids.Machine]reservation, now time.Time, accelerators bool) *Node {
+func (c *ClusterState) findRoomAmong(job *workload.Job, zones *zoneSpread, reserved map[ids.Machine]reservation, now time.Time, accelerators bool) *Node {
 	request := job.Record.Spec.Ask()
 	var best *Node
 	bestScore := 0.0
--- a/internal/claim/evictions.go
+++ b/internal/claim/evictions.go
@@ -14,6 +14,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/record"
 	"github.com/pebbletrail/pebbletrail/internal/rollout"
 	"github.com/pebbletrail/pebbletrail/internal/worker"
+	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
 // drainState is what the leader carries out for rollouts. What a team has down is worked out
@@ -26,9 +27,9 @@
 	// provisioned are what hires of replacements have rented.
 	provisioned map[ids.Hire][]ids.Machine
 	// pending are evictions that were decided and are not stopped yet.
-	pending map[*Assignment]*evictionStep
+	pending map[*workload.Assignment]*evictionStep
 	// evicted are the jobs whose records hold evictions.
-	evicted map[*Job]bool
+	evicted map[*workload.Job]bool
 	// blockers are what the machines being emptied wait for, noRoom those whose tasks have no
 	// room elsewhere.
 	blockers map[ids.Machine][]string
@@ -47,7 +48,7 @@
 	// machine is the one that is emptied; a gang's other tasks are elsewhere. After a takeover
 	// it is not known.
 	machine ids.Machine
-	stored  map[*Job]uint64 // by job, the version that holds its permits
+	stored  map[*workload.Job]uint64 // by job, the version that holds its permits
 }
 
 // What the leader empties by itself stands as a rollout of a name that none has: replicas moved off
@@ -66,7 +67,7 @@
 		return nil
 	}
 	return &drainState{budgets: settings.Budgets(), readiness: settings.Readiness(), provisioned: map[ids.Hire][]ids.Machine{},
-		pending: map[*Assignment]*evictionStep{}, evicted: map[*Job]bool{},
+		pending: map[*workload.Assignment]*evictionStep{}, evicted: map[*workload.Job]bool{},
 		blockers: map[ids.Machine][]string{}, noRoom: map[ids.Machine]bool{},
 		lostReplacements: map[ids.Machine]string{}}
 }
@@ -122,7 +123,7 @@
 
 // loadEvictions takes in the evictions of a record just read: their permits were given, and
 // whether the stops went out is not known.
-func (c *ClusterState) loadEvictions(job *Job) {
+func (c *ClusterState) loadEvictions(job *workload.Job) {
 	drains := c.drains
 	if drains == nil || len(job.Record.Evictions) == 0 {
 		return
@@ -212,12 +213,12 @@
 }
 
 // replicaUp tells whether a replica counts as up.
-func (c *ClusterState) replicaUp(assignment *Assignment, now time.Time) bool {
+func (c *ClusterState) replicaUp(assignment *workload.Assignment, now time.Time) bool {
 	return c.drains.readiness.Up(c.replica(assignment), now)
 }
 
 // replica is what this leader knows of one replica.
-func (c *ClusterState) replica(assignment *Assignment) budget.Replica {
+func (c *ClusterState) replica(assignment *workload.Assignment) budget.Replica {
 	r := budget.Replica{Running: assignment.Confirmed && assignment.Status == worker.Running, RunningSince: assignment.RunningSince, Leaving: assignment.Stopping || assignment.Evicting}
 	if machine := c.machines.Machines[assignment.Machine]; machine != nil && machine.Heard && !machine.Doubtful() && machine.Session == assignment.Incarnation {
 		r.HeardAt = machine.Seen
@@ -240,7 +241,7 @@
 }
 
 // stillDown tells whether a task that was evicted under an attempt does not run again yet.
-func (c *ClusterState) stillDown(job *Job, task int, attempt ids.Attempt, now time.Time) bool {
+func (c *ClusterState) stillDown(job *workload.Job, task int, attempt ids.Attempt, now time.Time) bool {
 	assignment := job.Assignments[task]
 	switch {
 	case !job.Schedulable() || job.Record.Finished.Has(task):
@@ -279,7 +280,7 @@
 // quotaForRelocated is what a job must leave of its team's limit to tasks that rollouts have stopped and
 // that are not placed again: else lesser work that waits would take it, and a replica that was only
 // to be moved would stay down.
-func (c *ClusterState) quotaForRelocated(job *Job) (kept placement.Room) {
+func (c *ClusterState) quotaForRelocated(job *workload.Job) (kept placement.Room) {
 	drains := c.drains
 	if drains == nil {
 		return kept
@@ -302,7 +303,7 @@
 // stopEvicted stops the tasks whose permits are stored, if the budgets still allow it.
 func (c *ClusterState) stopEvicted(meter *budget.Meter, now time.Time) {
 	drains := c.drains
-	places := slices.SortedFunc(maps.Keys(drains.pending), func(x, y *Assignment) int {
+	places := slices.SortedFunc(maps.Keys(drains.pending), func(x, y *workload.Assignment) int {
 		return cmp.Or(cmp.Compare(x.Job.Record.Spec.ID, y.Job.Record.Spec.ID), cmp.Compare(x.TaskIndex, y.TaskIndex))
 	})
 	for _, assignment := range places {
@@ -320,7 +321,7 @@
 }
 
 // stillWanted tells whether what an eviction was decided for is still wanted.
-func (c *ClusterState) stillWanted(step *evictionStep, assignment *Assignment) bool {
+func (c *ClusterState) stillWanted(step *evictionStep, assignment *workload.Assignment) bool {
 	machine := c.machines.Machines[cmp.Or(step.machine, assignment.Machine)]
 	switch step.rollout {
 	case consolidation:
@@ -332,7 +333,7 @@
 }
 
 // evictionReason is what the job's trail says of a stop.
-func (c *ClusterState) evictionReason(step *evictionStep, assignment *Assignment) string {
+func (c *ClusterState) evictionReason(step *evictionStep, assignment *workload.Assignment) string {
 	switch step.rollout {
 	case consolidation:
 		return relocationReason(assignment.Machine)
@@ -354,7 +355,7 @@
 
 // evictionRequest is what it takes of a team's budget to stop a task, or its whole gang. A pending
 // eviction's replica is up for this although it counts as down.
-func (c *ClusterState) evictionRequest(job *Job, assignment *Assignment, now time.Time) budget.Request {
+func (c *ClusterState) evictionRequest(job *workload.Job, assignment *workload.Assignment, now time.Time) budget.Request {
 	spec := &job.Record.Spec
 	request := budget.Request{Team: spec.Team, Job: spec.ID, Service: spec.Shape == record.Service}
 	switch spec.Shape {
--- a/internal/claim/evictions_test.go
+++ b/internal/claim/evictions_test.go
@@ -12,6 +12,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/record"
 	"github.com/pebbletrail/pebbletrail/internal/rollout"
 	"github.com/pebbletrail/pebbletrail/internal/worker"
+	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
 // drainBook is a cluster state with drains on and a service of four replicas, one on each of four
@@ -128,7 +129,7 @@
 			cluster.jobs["job-1"].Assignments[i].Status = worker.Pulling
 		}
 		hear(cluster, "m5", 1, now)
-		var from *Assignment
+		var from *workload.Assignment
 		for i, assignment := range cluster.jobs["job-1"].Assignments {
 			if i >= c.down {
 				from = assignment
--- a/internal/claim/explain.go
+++ b/internal/claim/explain.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"github.com/pebbletrail/pebbletrail/internal/ids"
+	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
 // Explain tells a job's trail and why its tasks wait, as the leader sees it.
@@ -27,7 +28,7 @@
 	}
 	out = append(out, job.DescribeFailures(now)...)
 	out = append(out, c.describeZones(job, now)...)
-	for _, i := range sortedTasks(job.Assignments) {
+	for _, i := range workload.SortedTasks(job.Assignments) {
 		assignment := job.Assignments[i]
 		st := assignment.Status
 		switch {
--- a/internal/claim/failing_jobs_test.go
+++ b/internal/claim/failing_jobs_test.go
@@ -11,11 +11,12 @@
 	"github.com/pebbletrail/pebbletrail/internal/placement"
 	"github.com/pebbletrail/pebbletrail/internal/record"
 	"github.com/pebbletrail/pebbletrail/internal/worker"
+	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
 // play lets every machine report what is placed on it: ends tells how a task ends
 // at once, empty while it runs.
-func (c *ClusterState) play(tick ids.Tick, ends func(assignment *Assignment) string) {
+func (c *ClusterState) play(tick ids.Tick, ends func(assignment *workload.Assignment) string) {
 	on := map[ids.Machine][]worker.Piece{}
 	for _, job := range c.jobs {
 		for _, assignment := range job.Assignments {
@@ -72,7 +73,7 @@
 					}
 				}
 			}
-			cluster.play(tick, func(assignment *Assignment) string {
+			cluster.play(tick, func(assignment *workload.Assignment) string {
 				if assignment.Job.Record.Spec.ID == "job-1" {
 					return worker.CauseError
 				}
@@ -126,7 +127,7 @@
 			if bad == "" {
 				bad = cluster.jobs["job-1"].Assignments[0].Machine
 			}
-			cluster.play(tick, func(assignment *Assignment) string {
+			cluster.play(tick, func(assignment *workload.Assignment) string {
 				if assignment.Machine == bad {
 					return worker.CauseError
 				}
@@ -156,7 +157,7 @@
 		for tick := ids.Tick(2); tick < 120; tick++ {
 			cluster.Plan(time.Now())
 			cluster.store()
-			cluster.play(tick, func(assignment *Assignment) string {
+			cluster.play(tick, func(assignment *workload.Assignment) string {
 				if failed[assignment.Machine] || len(failed) < 3 {
 					failed[assignment.Machine] = true
 					return worker.CauseError
@@ -188,7 +189,7 @@
 			cluster.Plan(time.Now())
 			full := job.Record
 			full.Gen, full.Writer, full.Seq = cluster.generation, cluster.writer, job.Version
-			full.Places = groupAssignments(job.Assignments)
+			full.Places = workload.GroupAssignments(job.Assignments)
 			raw, ok := full.Encode(limit)
 			if !ok {
 				t.Fatalf("%d places do not fit", len(job.Assignments))
@@ -196,7 +197,7 @@
 			job.RecordEncodedSize(full.Places, len(raw))
 			cluster.store()
 			most = max(most, len(job.Assignments))
-			cluster.play(tick, func(assignment *Assignment) string {
+			cluster.play(tick, func(assignment *workload.Assignment) string {
 				if time.Since(assignment.AssignedAt) >= 4*time.Second && (assignment.TaskIndex*7+int(tick))%3 > 0 {
 					return worker.CauseDone // out of order, so that ranges break up
 				}
@@ -306,12 +307,12 @@
 func TestPlacesReadBackAsTheyWere(t *testing.T) {
 	t.Parallel()
 	// Sessions, attempts and tokens apart, and names of which one begins another.
-	places := map[int]*Assignment{}
+	places := map[int]*workload.Assignment{}
 	for i := range 400 {
-		places[i*7%1000] = &Assignment{TaskIndex: i * 7 % 1000, Machine: ids.Machine(fmt.Sprintf("host-%d", i%37)), Incarnation: ids.Session(1 + i%11/10),
+		places[i*7%1000] = &workload.Assignment{TaskIndex: i * 7 % 1000, Machine: ids.Machine(fmt.Sprintf("host-%d", i%37)), Incarnation: ids.Session(1 + i%11/10),
 			Attempt: ids.Attempt(1 + i%5/3*i), FencingToken: ids.Generation(3 + i%100/97)}
 	}
-	rec := &record.Record{Places: groupAssignments(places)}
+	rec := &record.Record{Places: workload.GroupAssignments(places)}
 	raw, ok := rec.Encode(1 << 20)
 	if !ok {
 		t.Fatal("not encoded")
--- a/internal/claim/fairness_test.go
+++ b/internal/claim/fairness_test.go
@@ -10,6 +10,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 	"github.com/pebbletrail/pebbletrail/internal/record"
 	"github.com/pebbletrail/pebbletrail/internal/worker"
+	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
 // TestNothingStarvesUnderASteadyStreamOfSmallerWork: "soonest complete first"
@@ -20,7 +21,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		cluster := fleet(t, 10)
 		const runs = 10 * time.Second
-		tick, ended := ids.Tick(1), map[TaskAttempt]bool{}
+		tick, ended := ids.Tick(1), map[workload.TaskAttempt]bool{}
 		begun := map[ids.Job]time.Duration{}
 		large := map[ids.Job]time.Time{}
 		add := func(id ids.Job, team string, p record.Priority, tasks int, cores float64, est ids.Seconds) {
@@ -105,8 +106,8 @@
 		if place.Stopping {
 			t.Error("it is stopped at once for a guarantee")
 		}
-		time.Sleep(startProtectionTime + time.Second)
-		cluster.serve(2, time.Hour, map[TaskAttempt]bool{})
+		time.Sleep(workload.StartProtectionTime + time.Second)
+		cluster.serve(2, time.Hour, map[workload.TaskAttempt]bool{})
 		cluster.Plan(time.Now())
 		if !place.Stopping && cluster.jobs["job-1"].Assignments[0] != nil {
 			t.Error("the guarantee is kept waiting for longer")
@@ -120,14 +121,14 @@
 	// a job waited for ever beside a stream of smaller work.
 	synctest.Test(t, func(t *testing.T) {
 		cluster := fleet(t, 10)
-		tick, ended := ids.Tick(1), map[TaskAttempt]bool{}
+		tick, ended := ids.Tick(1), map[workload.TaskAttempt]bool{}
 		cluster.HandleRecord("job-90001", 1, newRecord("job-90001", "blue", record.Low, 150, 4), time.Now())
 		cluster.Plan(time.Now())
 		large := cluster.jobs["job-90001"]
 		cluster.store()
 		tick++
 		cluster.serve(tick, time.Minute, ended)
-		for _, i := range sortedTasks(large.Assignments) {
+		for _, i := range workload.SortedTasks(large.Assignments) {
 			cluster.stopAssignment(large.Assignments[i], 0, "for others")
 		}
 		tick++
@@ -161,7 +162,7 @@
 
 // serve lets a second pass on every machine: tasks placed run for a while, and
 // end done.
-func (c *ClusterState) serve(tick ids.Tick, runs time.Duration, ended map[TaskAttempt]bool) {
+func (c *ClusterState) serve(tick ids.Tick, runs time.Duration, ended map[workload.TaskAttempt]bool) {
 	for name := range c.machines.Machines {
 		var ps []worker.Piece
 		for assignment := range c.assignmentsOn(name) {
@@ -170,7 +171,7 @@
 				pc.Status, pc.Cause = worker.Ended, worker.CauseStopped
 			} else if time.Since(assignment.AssignedAt) >= runs {
 				pc.Status, pc.Cause = worker.Ended, worker.CauseDone
-				ended[TaskAttempt{assignment.Task(), assignment.Attempt, name}] = true
+				ended[assignment.Key()] = true
 			}
 			ps = append(ps, pc)
 		}
@@ -212,7 +213,7 @@
 				begun[of], last[of] = 0, time.Now()
 			}
 		}
-		ended := map[TaskAttempt]bool{}
+		ended := map[workload.TaskAttempt]bool{}
 		pass := func(second int) {
 			cluster.Plan(time.Now())
 			cluster.store()
@@ -277,7 +278,7 @@
 			cluster.HandleRecord(id, 1, rec, time.Now())
 		}
 		began, submitted := time.Duration(0), time.Now()
-		left := map[*Assignment]time.Duration{}
+		left := map[*workload.Assignment]time.Duration{}
 		for sec := range 400 {
 			if sec%9 == 0 { // more than fits, all the time
 				gang(ids.Job(fmt.Sprintf("job-%d", 100+sec)), 1)
@@ -288,7 +289,7 @@
 			}
 			cluster.Plan(time.Now())
 			cluster.store()
-			cluster.play(ids.Tick(sec+2), func(assignment *Assignment) string {
+			cluster.play(ids.Tick(sec+2), func(assignment *workload.Assignment) string {
 				if _, ok := left[assignment]; !ok {
 					left[assignment] = time.Duration(70+assignment.Job.Record.Submitted.Time().Second()) * time.Second // 70 to 130 s
 				}
--- a/internal/claim/fleet_test.go
+++ b/internal/claim/fleet_test.go
@@ -14,6 +14,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 	"github.com/pebbletrail/pebbletrail/internal/record"
 	"github.com/pebbletrail/pebbletrail/internal/worker"
+	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
 // obey answers direct commands like a worker that does as told.
@@ -246,11 +247,11 @@
 	service := func(id ids.Job, tasks int, at map[int]string) {
 		rec := newRecord(id, "blue", record.Critical, tasks, 1)
 		rec.Spec.Shape, rec.Spec.Spread, rec.Status = record.Service, true, record.Claimed
-		places := map[int]*Assignment{}
+		places := map[int]*workload.Assignment{}
 		for i, m := range at {
-			places[i] = &Assignment{TaskIndex: i, Machine: ids.Machine(m), Incarnation: 1, Attempt: 1, FencingToken: 3}
+			places[i] = &workload.Assignment{TaskIndex: i, Machine: ids.Machine(m), Incarnation: 1, Attempt: 1, FencingToken: 3}
 		}
-		rec.Places = groupAssignments(places)
+		rec.Places = workload.GroupAssignments(places)
 		cluster.Load(map[ids.Job]*record.Record{id: rec}, map[ids.Job]ids.Revision{id: 1}, 0, now)
 	}
 	service("job-1", 5, map[int]string{0: "n0", 1: "n1", 2: "s0", 3: "s0", 4: "s1"}) // one may move
--- a/internal/claim/gang.go
+++ b/internal/claim/gang.go
@@ -5,11 +5,12 @@
 	"github.com/pebbletrail/pebbletrail/internal/placement"
 	"github.com/pebbletrail/pebbletrail/internal/record"
 	"github.com/pebbletrail/pebbletrail/internal/worker"
+	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
 // assignGang places all tasks of a new attempt or none; a task lost while the
 // gang still waits is replaced under the same attempt.
-func (c *ClusterState) assignGang(job *Job, pass *planningPass) {
+func (c *ClusterState) assignGang(job *workload.Job, pass *planningPass) {
 	spec, now := &job.Record.Spec, pass.now
 	missing := spec.Tasks - len(job.Assignments)
 	if missing <= 0 {
@@ -116,7 +117,7 @@
 	return nodes, cost
 }
 
-func (c *ClusterState) freeRoomForGang(job *Job, request *placement.Ask, pass *planningPass) {
+func (c *ClusterState) freeRoomForGang(job *workload.Job, request *placement.Ask, pass *planningPass) {
 	job.PendingReason = "not all tasks of the gang have room at once"
 	missing := job.Record.Spec.Tasks - len(job.Assignments)
 	for range missing {
@@ -137,7 +138,7 @@
 // before a large image is there; so it starts when they wait for it. And a task
 // replaced where it ended under the same attempt must be cleared first, or the
 // worker would take its start for one it knows.
-func (c *ClusterState) startAllowed(assignment *Assignment, machine *worker.Machine) bool {
+func (c *ClusterState) startAllowed(assignment *workload.Assignment, machine *worker.Machine) bool {
 	job := assignment.Job
 	if job.Record.Spec.Shape != record.Gang {
 		return true
--- a/internal/claim/hosts.go
+++ b/internal/claim/hosts.go
@@ -8,13 +8,14 @@
 	"github.com/pebbletrail/pebbletrail/internal/placement"
 	"github.com/pebbletrail/pebbletrail/internal/record"
 	"github.com/pebbletrail/pebbletrail/internal/worker"
+	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
 // Node is a machine with what is or may be on it. It is kept up to date as
 // places come and go, so that planning costs what changed and not the fleet.
 type Node struct {
 	name        ids.Machine
-	assignments map[*Assignment]bool
+	assignments map[*workload.Assignment]bool
 	used        placement.Room
 	reclaimable placement.Room        // the part that ends by itself or may be displaced
 	replicas    int                   // tasks that run until they are cancelled
@@ -46,14 +47,14 @@
 func (c *ClusterState) ensureNode(name ids.Machine) *Node {
 	node := c.nodes[name]
 	if node == nil {
-		node = &Node{name: name, assignments: map[*Assignment]bool{}, imagePulls: map[string]*ImagePull{}, position: -1}
+		node = &Node{name: name, assignments: map[*workload.Assignment]bool{}, imagePulls: map[string]*ImagePull{}, position: -1}
 		c.nodes[name] = node
 	}
 	return node
 }
 
 // assignmentsOn is what is or may be on a machine.
-func (c *ClusterState) assignmentsOn(name ids.Machine) map[*Assignment]bool {
+func (c *ClusterState) assignmentsOn(name ids.Machine) map[*workload.Assignment]bool {
 	if node := c.nodes[name]; node != nil {
 		return node.assignments
 	}
@@ -128,7 +129,7 @@
 func (node *Node) freeCapacity() placement.Room { return node.class.offer.Room().Minus(node.used) }
 
 // allocate and drop keep a machine's sums.
-func (c *ClusterState) allocate(node *Node, assignment *Assignment) {
+func (c *ClusterState) allocate(node *Node, assignment *workload.Assignment) {
 	node.assignments[assignment] = true
 	node.used = node.used.Plus(assignment.Job.Record.Spec.Need)
 	if assignment.Job.Record.Spec.Shape != record.Service {
@@ -140,7 +141,7 @@
 	c.reindex(node)
 }
 
-func (c *ClusterState) release(node *Node, assignment *Assignment) {
+func (c *ClusterState) release(node *Node, assignment *workload.Assignment) {
 	if !node.assignments[assignment] {
 		return
 	}
@@ -160,7 +161,7 @@
 
 // beginImagePull notes that a task waits for its image on a machine, and arrived that
 // it no longer does.
-func (c *ClusterState) beginImagePull(node *Node, assignment *Assignment) {
+func (c *ClusterState) beginImagePull(node *Node, assignment *workload.Assignment) {
 	if assignment.AwaitsImage || assignment.Confirmed && assignment.Status != worker.Pulling {
 		return
 	}
@@ -176,7 +177,7 @@
 	pull.topPriority = max(pull.topPriority, assignment.Job.EffectivePriority())
 }
 
-func (c *ClusterState) endImagePull(node *Node, assignment *Assignment) {
+func (c *ClusterState) endImagePull(node *Node, assignment *workload.Assignment) {
 	if !assignment.AwaitsImage {
 		return
 	}
@@ -244,7 +245,7 @@
 }
 
 // placementView is how placement sees a machine for an ask of a job.
-func (c *ClusterState) placementView(node *Node, machine *worker.Machine, job *Job, retry *Retry, now time.Time) placement.Machine {
+func (c *ClusterState) placementView(node *Node, machine *worker.Machine, job *workload.Job, retry *workload.Retry, now time.Time) placement.Machine {
 	spec := &job.Record.Spec
 	p := placement.Machine{Name: node.name, Type: node.class.offer, Zone: machine.Zone, Spot: machine.Spot, Going: machine.Going, Free: node.freeCapacity(), Pulls: len(node.imagePulls)}
 	p.Holds = machine.Images.Has(spec.Image)
--- a/internal/claim/lapses.go
+++ b/internal/claim/lapses.go
@@ -5,10 +5,11 @@
 	"time"
 
 	"github.com/pebbletrail/pebbletrail/internal/ids"
+	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
 // markLost requeues a task proven not to be on its machine any more.
-func (c *ClusterState) markLost(assignment *Assignment, why string) {
+func (c *ClusterState) markLost(assignment *workload.Assignment, why string) {
 	job := assignment.Job
 	if machine := c.machines.Machines[assignment.Machine]; machine != nil {
 		// By what evidence, should it turn out to be wrong.
--- a/internal/claim/needs.go
+++ b/internal/claim/needs.go
@@ -11,6 +11,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/measure"
 	"github.com/pebbletrail/pebbletrail/internal/placement"
 	"github.com/pebbletrail/pebbletrail/internal/record"
+	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
 // classUsage remembers how much a class of jobs used lately, so that room is kept
@@ -105,7 +106,7 @@
 
 // queueHorizon is the time within which queued work should get its turn; a queue
 // that the machines at hand work off sooner needs no new ones.
-func (c *ClusterState) queueHorizon(job *Job) float64 {
+func (c *ClusterState) queueHorizon(job *workload.Job) float64 {
 	if job.Record.Spec.Shape == record.Gang {
 		// A queued gang gains from a new machine only if the wait for a
 		// running one to end is longer than a boot and a fetch.
@@ -157,7 +158,7 @@
 // fraction of each, and the share of the room in use now that will be free for
 // them in time: that hangs on how long what runs there takes (runs, by class),
 // not only on how short the waiting job is.
-func (c *ClusterState) unmetSlots(job *Job, runs map[string]float64, now time.Time) (slots, turn float64) {
+func (c *ClusterState) unmetSlots(job *workload.Job, runs map[string]float64, now time.Time) (slots, turn float64) {
 	spec := &job.Record.Spec
 	if job.Failing() {
 		return 0, 0
--- a/internal/claim/oversize.go
+++ b/internal/claim/oversize.go
@@ -2,6 +2,8 @@
 
 import (
 	"log/slog"
+
+	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
 // handleOversize deals with a job's record that does not fit into a value: written by an older
@@ -10,7 +12,7 @@
 // place and it must not hold room for ever; from then on fewer tasks of the job are
 // claimed at a time. Tasks that may be on machines stay: the record becomes smaller as
 // they end, and is not tried again before it has changed.
-func (c *ClusterState) handleOversize(job *Job, limit int) {
+func (c *ClusterState) handleOversize(job *workload.Job, limit int) {
 	if !job.Oversize {
 		slog.Warn("record too large to store; fewer tasks at a time", "job", job.Record.Spec.ID, "places", len(job.Assignments))
 	}
@@ -29,9 +31,9 @@
 
 // removeUnsentOf drops the places whose start never went out; it tells whether there
 // were any.
-func (c *ClusterState) removeUnsentOf(job *Job) bool {
+func (c *ClusterState) removeUnsentOf(job *workload.Job) bool {
 	dropped := false
-	for _, i := range sortedTasks(job.Assignments) {
+	for _, i := range workload.SortedTasks(job.Assignments) {
 		if assignment := job.Assignments[i]; !assignment.StartSent {
 			c.removeAssignment(assignment)
 			dropped = true
@@ -44,7 +46,7 @@
 // has no room for a single place: of the finished tasks only the longest runs are kept,
 // so that half of the value is free again for places. The others start again; as their
 // results are kept, they exit as done once they have their image.
-func (c *ClusterState) forgetScattered(job *Job, limit int) {
+func (c *ClusterState) forgetScattered(job *workload.Job, limit int) {
 	if job.Record.Finished.Runs() < 2 {
 		return // that is not what makes it large
 	}
@@ -62,9 +64,3 @@
 	c.recordEvent(job, "some finished tasks are asked for again: which ones were done does not fit into its record")
 	c.markChanged(job)
 }
-
-// MayRecordFinished tells whether one more task may be noted as finished that no place accounts
-// for: not if forgetting such tasks was what made the record fit.
-func (job *Job) MayRecordFinished() bool {
-	return job.KeptRuns == 0 || job.Record.Finished.Runs() < job.KeptRuns
-}
--- a/internal/claim/pipeline.go
+++ b/internal/claim/pipeline.go
@@ -6,6 +6,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/dependency"
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 	"github.com/pebbletrail/pebbletrail/internal/record"
+	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
 // waitingJob is the record of a job that awaits others, in the leader's memory.
@@ -133,7 +134,7 @@
 }
 
 // joinDependencies takes in that a job that others may await became claimable.
-func (c *ClusterState) joinDependencies(job *Job) {
+func (c *ClusterState) joinDependencies(job *workload.Job) {
 	id := job.Record.Spec.ID
 	delete(c.dependencies.lookups, id)
 	job.Inherited = c.dependencies.graph.Inherited(id)
@@ -185,8 +186,3 @@
 	}
 	return rec.Submitted.Time().Add(rec.Spec.Due.Duration())
 }
-
-// EffectivePriority is a job's own, or that of a job that needs it.
-func (job *Job) EffectivePriority() record.Priority {
-	return max(job.Record.Spec.Priority, record.Priority(job.Inherited.Priority))
-}
--- a/internal/claim/pipeline_times_test.go
+++ b/internal/claim/pipeline_times_test.go
@@ -7,6 +7,7 @@
 
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 	"github.com/pebbletrail/pebbletrail/internal/record"
+	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
 func TestWaitingCountsFromTheEndOfTheLastJobAwaited(t *testing.T) {
@@ -31,7 +32,7 @@
 		if got := job.Record.Since(); got != ids.WallOf(time.Now()) {
 			t.Errorf("its waiting counts from %v", got.Time())
 		}
-		if !job.Starving(time.Now().Add(starvationTime + time.Second)) {
+		if !job.Starving(time.Now().Add(workload.StarvationTime + time.Second)) {
 			t.Error("it never counts as waiting for long")
 		}
 	})
--- a/internal/claim/places.go
+++ b/internal/claim/places.go
@@ -4,9 +4,10 @@
 	"time"
 
 	"github.com/pebbletrail/pebbletrail/internal/ids"
+	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-func (c *ClusterState) addAssignment(assignment *Assignment) {
+func (c *ClusterState) addAssignment(assignment *workload.Assignment) {
 	assignment.Job.Assignments[assignment.TaskIndex] = assignment
 	if assignment.Job.Record.Finished.Has(assignment.TaskIndex) {
 		assignment.Job.FinishedMayBeAssigned = true
@@ -16,9 +17,9 @@
 }
 
 // removeAssignment takes a place off the books: its task is proven not to be there.
-func (c *ClusterState) removeAssignment(assignment *Assignment) {
+func (c *ClusterState) removeAssignment(assignment *workload.Assignment) {
 	delete(assignment.Job.Assignments, assignment.TaskIndex)
-	assignment.Job.HasLasted = assignment.Job.HasLasted || time.Since(assignment.AssignedAt) >= startProtectionTime
+	assignment.Job.HasLasted = assignment.Job.HasLasted || time.Since(assignment.AssignedAt) >= workload.StartProtectionTime
 	if len(assignment.Job.Assignments) == 0 {
 		assignment.Job.UnassignedSince = time.Now()
 	}
@@ -36,7 +37,7 @@
 }
 
 // stopAssignment asks for a task to be stopped, or drops it if its start never went out.
-func (c *ClusterState) stopAssignment(assignment *Assignment, leeway ids.Seconds, why string) {
+func (c *ClusterState) stopAssignment(assignment *workload.Assignment, leeway ids.Seconds, why string) {
 	if !assignment.StartSent {
 		c.removeAssignment(assignment)
 		c.markChanged(assignment.Job)
@@ -47,7 +48,7 @@
 	}
 	assignment.Stopping, assignment.StopGrace, assignment.StopReason, assignment.StopRequestedAt = true, leeway, why, time.Now()
 	c.queueCommand(assignment)
-	if !assignment.Confirmed && !assignment.noDirectStartOutstanding(c) && c.underCurrentGeneration(assignment) {
+	if !assignment.Confirmed && !c.noDirectStartOutstanding(assignment) && c.underCurrentGeneration(assignment) {
 		// A late start could yet begin it: raise the token so that the worker
 		// turns that away once it hears.
 		c.raiseWanted = true
@@ -57,12 +58,12 @@
 }
 
 // underCurrentGeneration tells whether the place's start went out under this generation.
-func (c *ClusterState) underCurrentGeneration(assignment *Assignment) bool {
+func (c *ClusterState) underCurrentGeneration(assignment *workload.Assignment) bool {
 	return assignment.FencingToken == c.generation
 }
 
 // noDirectStartOutstanding tells that no direct start of the place is unaccounted for.
-func (assignment *Assignment) noDirectStartOutstanding(cluster *ClusterState) bool {
-	machine := cluster.machines.Machines[assignment.Machine]
-	return machine != nil && cluster.underCurrentGeneration(assignment) && !machine.MayRevive(assignment.Task().String(), assignment.Attempt)
+func (c *ClusterState) noDirectStartOutstanding(assignment *workload.Assignment) bool {
+	machine := c.machines.Machines[assignment.Machine]
+	return machine != nil && c.underCurrentGeneration(assignment) && !machine.MayRevive(assignment.Task().String(), assignment.Attempt)
 }
--- a/internal/claim/preempt.go
+++ b/internal/claim/preempt.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"math"
 	"slices"
 	"sort"
 	"time"
@@ -10,6 +9,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 	"github.com/pebbletrail/pebbletrail/internal/placement"
 	"github.com/pebbletrail/pebbletrail/internal/record"
+	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
 // reservation keeps room that was freed by stopping others for whom it was
@@ -31,7 +31,7 @@
 	placementKey
 }
 
-func (job *Job) victimKey(request *placement.Ask) victimKey {
+func victimKeyOf(job *workload.Job, request *placement.Ask) victimKey {
 	k := victimKey{priority: job.EffectivePriority(), guaranteed: job.Guaranteed, placementKey: placementKeyOf(request)}
 	if job.Guaranteed {
 		k.team = job.Record.Spec.Team
@@ -42,8 +42,8 @@
 // preemptionNodes lists the machines on which a job may stop something, or where
 // something is being stopped; if an image is named, only those that hold it. Jobs alike
 // share the list within a pass.
-func (c *ClusterState) preemptionNodes(job *Job, request *placement.Ask, image string, pass *planningPass) []*Node {
-	k := job.victimKey(request)
+func (c *ClusterState) preemptionNodes(job *workload.Job, request *placement.Ask, image string, pass *planningPass) []*Node {
+	k := victimKeyOf(job, request)
 	k.image = image
 	if nodes, ok := pass.preemptible[k]; ok {
 		return nodes
@@ -78,8 +78,8 @@
 
 // preempt frees room for one task of j by stopping others, where the rules of
 // priority and guarantee allow it, at the least loss.
-func (c *ClusterState) preempt(job *Job, request *placement.Ask, pass *planningPass) (bool, string) {
-	k := job.victimKey(request)
+func (c *ClusterState) preempt(job *workload.Job, request *placement.Ask, pass *planningPass) (bool, string) {
+	k := victimKeyOf(job, request)
 	if covered(pass.noVictims[k], request.Need) {
 		return false, ""
 	}
@@ -92,7 +92,7 @@
 
 // preemptWhereCached frees room on a machine that holds the image, by stopping
 // tasks that exit at once; it names the machine, also while that goes on.
-func (c *ClusterState) preemptWhereCached(job *Job, request *placement.Ask, pass *planningPass) string {
+func (c *ClusterState) preemptWhereCached(job *workload.Job, request *placement.Ask, pass *planningPass) string {
 	for name, reservation := range c.reservations {
 		if reservation.job != job.Record.Spec.ID || pass.now.Sub(reservation.madeAt) >= time.Second {
 			continue
@@ -107,8 +107,8 @@
 	}
 	// Only lesser work: to swap one replica for another, as a guarantee would allow, gains
 	// nothing here and costs the other its start.
-	lesser := func(victims []*Assignment) bool {
-		return len(victims) > 0 && !slices.ContainsFunc(victims, func(victim *Assignment) bool {
+	lesser := func(victims []*workload.Assignment) bool {
+		return len(victims) > 0 && !slices.ContainsFunc(victims, func(victim *workload.Assignment) bool {
 			return victim.CheckpointGrace() > 0 || victim.Job.Record.Spec.Shape == record.Service || victim.Job.EffectivePriority() >= job.EffectivePriority()
 		})
 	}
@@ -119,10 +119,10 @@
 // victimFilter says where tasks may be stopped for another one.
 type victimFilter struct {
 	image   string // only on machines that hold it; empty: on all
-	accepts func([]*Assignment) bool
+	accepts func([]*workload.Assignment) bool
 }
 
-var anyVictims = victimFilter{accepts: func([]*Assignment) bool { return true }}
+var anyVictims = victimFilter{accepts: func([]*workload.Assignment) bool { return true }}
 
 // maxPreemptionCandidates is among how many machines the one is chosen on which stopping others
 // loses least. In a fleet of thousands, on most of which that is possible, to weigh them all
@@ -131,7 +131,7 @@
 
 // canPreemptWithoutAccelerators tells whether stopping others would make room on machines
 // without accelerators.
-func (c *ClusterState) canPreemptWithoutAccelerators(job *Job, request *placement.Ask, pass *planningPass) bool {
+func (c *ClusterState) canPreemptWithoutAccelerators(job *workload.Job, request *placement.Ask, pass *planningPass) bool {
 	zones := c.zoneSpreadOf(job)
 	for _, node := range c.preemptionNodes(job, request, "", pass) {
 		machine := c.machines.Machines[node.name]
@@ -148,7 +148,7 @@
 
 // preemptCheapest picks the machine where stopping others loses least among those
 // that the filter allows; barren tells that no machine was left to choose from.
-func (c *ClusterState) preemptCheapest(job *Job, request *placement.Ask, pass *planningPass, filter victimFilter) (done bool, where string, barren bool) {
+func (c *ClusterState) preemptCheapest(job *workload.Job, request *placement.Ask, pass *planningPass, filter victimFilter) (done bool, where string, barren bool) {
 	if job.Suspect() {
 		return false, "", false // nothing is stopped for what may fail anyway
 	}
@@ -169,7 +169,7 @@
 		return false, "", false
 	}
 	var best *Node
-	var bestVictims []*Assignment
+	var bestVictims []*workload.Assignment
 	bestLoss := 0.0
 	barren = true
 	hosts := c.preemptionNodes(job, request, filter.image, pass)
@@ -225,33 +225,10 @@
 	return true, string(best.name), false
 }
 
-// CheckpointGrace is the leeway that lets a task save.
-func (assignment *Assignment) CheckpointGrace() ids.Seconds {
-	spec := &assignment.Job.Record.Spec
-	if spec.Checkpoint <= 0 {
-		return 0
-	}
-	return spec.Save*1.2 + 1
-}
-
-// LittleToSave tells whether what a task did since it last saved by itself is
-// worth less than making critical work wait for a save.
-func (assignment *Assignment) LittleToSave(now time.Time) bool {
-	spec := &assignment.Job.Record.Spec
-	if spec.Shape != record.Array || spec.Checkpoint <= 0 {
-		return false
-	}
-	if assignment.RunningSince.IsZero() {
-		return true
-	}
-	since := math.Mod(now.Sub(assignment.RunningSince).Seconds(), float64(spec.Checkpoint))
-	return since <= 3*float64(spec.Save)
-}
-
 // victimsOn picks whom to stop on a machine so that the ask fits.
-func (c *ClusterState) victimsOn(job *Job, node *Node, free placement.Room, request *placement.Ask, now time.Time) ([]*Assignment, float64, bool) {
+func (c *ClusterState) victimsOn(job *workload.Job, node *Node, free placement.Room, request *placement.Ask, now time.Time) ([]*workload.Assignment, float64, bool) {
 	type cand struct {
-		p    *Assignment
+		p    *workload.Assignment
 		loss float64
 	}
 	var candidates []cand
@@ -279,7 +256,7 @@
 		}
 		return candidates[x].p.Task().String() < candidates[y].p.Task().String()
 	})
-	var out []*Assignment
+	var out []*workload.Assignment
 	loss := 0.0
 	for _, candidate := range candidates {
 		if free.Holds(request.Need) {
@@ -297,16 +274,11 @@
 
 // mayPreempt is the protocol's rule of preemption, but that the beginning of a job that
 // starved is kept for a moment.
-func (c *ClusterState) mayPreempt(assignment *Assignment, job *Job) bool {
+func (c *ClusterState) mayPreempt(assignment *workload.Assignment, job *workload.Job) bool {
 	return c.mayPreemptJob(assignment.Job, job) && !assignment.ProtectedFrom(job)
 }
 
-// ProtectedFrom tells whether a place is kept for now from being stopped for a job.
-func (assignment *Assignment) ProtectedFrom(job *Job) bool {
-	return job.EffectivePriority() < record.Critical && time.Now().Before(assignment.ProtectedUntil)
-}
-
-func (c *ClusterState) mayPreemptJob(v, job *Job) bool {
+func (c *ClusterState) mayPreemptJob(v, job *workload.Job) bool {
 	if v.EffectivePriority() < job.EffectivePriority() {
 		return true
 	}
@@ -320,19 +292,3 @@
 	}
 	return used.Cores > team.CPUs
 }
-
-// PreemptionCost is the core-seconds of progress that a stop throws away.
-func (assignment *Assignment) PreemptionCost(now time.Time) float64 {
-	spec := &assignment.Job.Record.Spec
-	if assignment.RunningSince.IsZero() {
-		return 0.1 * spec.Need.Cores
-	}
-	ran := now.Sub(assignment.RunningSince).Seconds()
-	if spec.Checkpoint > 0 {
-		ran = float64(spec.Save)
-	}
-	if spec.Shape == record.Service {
-		ran = 1000
-	}
-	return ran * spec.Need.Cores
-}
--- a/internal/claim/production_test.go
+++ b/internal/claim/production_test.go
@@ -10,6 +10,7 @@
 
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 	"github.com/pebbletrail/pebbletrail/internal/record"
+	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
 // The files in testdata/production were written by the version that deploy/service.toml
@@ -61,7 +62,7 @@
 		cluster.Load(map[ids.Job]*record.Record{"job-1": rec}, map[ids.Job]ids.Revision{"job-1": 3}, 3, time.Now())
 		job := cluster.jobs["job-1"]
 		back := job.Record
-		back.Places = groupAssignments(job.Assignments)
+		back.Places = workload.GroupAssignments(job.Assignments)
 		raw, _ = back.Encode(8192)
 		sameJSON(t, name+" through the book", raw, want)
 	}
--- a/internal/claim/promote_test.go
+++ b/internal/claim/promote_test.go
@@ -9,6 +9,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 	"github.com/pebbletrail/pebbletrail/internal/record"
 	"github.com/pebbletrail/pebbletrail/internal/state"
+	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
 // storeWaiting stores jobs that wait and loads them like a new leader.
@@ -34,7 +35,7 @@
 }
 
 // storeLive stores a claimable job and loads it.
-func (h *history) storeLive(t *testing.T, cluster *ClusterState, rec *record.Record) *Job {
+func (h *history) storeLive(t *testing.T, cluster *ClusterState, rec *record.Record) *workload.Job {
 	raw, _ := rec.Encode(8192)
 	epoch, err := h.state.Commit(context.Background(), state.Txn{Then: []state.Op{{Put: record.JobKey(rec.Spec.ID), Value: raw}}}, state.Urgent)
 	if err != nil {
--- a/internal/claim/ranking.go
+++ b/internal/claim/ranking.go
@@ -8,44 +8,27 @@
 	"github.com/pebbletrail/pebbletrail/internal/config"
 	"github.com/pebbletrail/pebbletrail/internal/placement"
 	"github.com/pebbletrail/pebbletrail/internal/record"
+	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
 // enqueue puts a job into the line by submission; unqueue takes it out.
-func (c *ClusterState) enqueue(job *Job) {
-	at, _ := slices.BinarySearchFunc(c.queue, job, compareSubmission)
+func (c *ClusterState) enqueue(job *workload.Job) {
+	at, _ := slices.BinarySearchFunc(c.queue, job, workload.CompareSubmission)
 	c.queue = slices.Insert(c.queue, at, job)
 }
 
-func (c *ClusterState) dequeue(job *Job) {
-	if at, ok := slices.BinarySearchFunc(c.queue, job, compareSubmission); ok {
+func (c *ClusterState) dequeue(job *workload.Job) {
+	if at, ok := slices.BinarySearchFunc(c.queue, job, workload.CompareSubmission); ok {
 		c.queue = slices.Delete(c.queue, at, at+1)
 	}
 }
 
-func compareSubmission(x, y *Job) int {
-	switch a, z := &x.Record, &y.Record; {
-	case a.Submitted < z.Submitted:
-		return -1
-	case a.Submitted > z.Submitted:
-		return 1
-	case a.Spec.ID < z.Spec.ID:
-		return -1
-	case a.Spec.ID > z.Spec.ID:
-		return 1
-	}
-	return 0
-}
-
-// starvationTime is how long a job may wait to begin before it goes ahead of all but
-// critical work: the largest too begin within four minutes.
-const starvationTime = 100 * time.Second
-
 // rankedJobs lists the claimable jobs that have tasks to place: critical work
 // first, then what has waited too long for its first start or lies within its
 // team's guarantee, then by priority and age.
-func (c *ClusterState) rankedJobs(now time.Time) []*Job {
+func (c *ClusterState) rankedJobs(now time.Time) []*workload.Job {
 	type entry struct {
-		j    *Job
+		j    *workload.Job
 		rank int
 		size float64
 	}
@@ -109,7 +92,7 @@
 		}
 		return es[x].size < es[y].size
 	})
-	jobs := make([]*Job, len(es))
+	jobs := make([]*workload.Job, len(es))
 	for i := range es {
 		jobs[i] = es[i].j
 	}
@@ -119,7 +102,7 @@
 // fitsWhereCached tells whether machines that hold a gang's image have room for
 // all of it. Large images take a good part of a gang's time, so of two gangs
 // alike the one that need not fetch is complete sooner.
-func (c *ClusterState) fitsWhereCached(job *Job) bool {
+func (c *ClusterState) fitsWhereCached(job *workload.Job) bool {
 	spec := &job.Record.Spec
 	n := spec.Tasks - len(job.Assignments)
 	for node := range c.byImage[spec.Image] {
--- a/internal/claim/recovery.go
+++ b/internal/claim/recovery.go
@@ -5,6 +5,8 @@
 	"encoding/json"
 	"time"
 
+	"github.com/pebbletrail/pebbletrail/internal/workload"
+
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 	"github.com/pebbletrail/pebbletrail/internal/record"
 )
@@ -33,20 +35,15 @@
 }
 
 // discardJob takes back what news told of a job before the records were loaded.
-func (c *ClusterState) discardJob(job *Job) {
-	for _, i := range sortedTasks(job.Assignments) {
+func (c *ClusterState) discardJob(job *workload.Job) {
+	for _, i := range workload.SortedTasks(job.Assignments) {
 		c.removeAssignment(job.Assignments[i])
 	}
 	c.removeJob(job)
 }
 
-func (c *ClusterState) addJob(rec *record.Record, revision ids.Revision, now time.Time) *Job {
-	job := &Job{Record: *rec, Revision: revision, Assignments: map[int]*Assignment{}, Retries: map[int]*Retry{},
-		RecordedOutcomes: map[TaskAttempt]uint64{}, Version: rec.Seq, StoredVersion: rec.Seq, KnownSince: now}
-	job.HasLasted = rec.Attempt > 0 // an earlier leader knew more
-	if job.Version == 0 {
-		job.Version, job.StoredVersion = 1, 1
-	}
+func (c *ClusterState) addJob(rec *record.Record, revision ids.Revision, now time.Time) *workload.Job {
+	job := workload.NewJob(rec, revision)
 	if c.cancellations[rec.Spec.ID] > 0 && job.Record.Status.May(record.Cancelling) {
 		job.Record.Status = record.Cancelling
 	}
@@ -54,7 +51,7 @@
 	c.enqueue(job)
 	rec.EachPlace(func(i int, at record.Location) {
 		c.machines.Ensure(at.Machine, now, c.trustSilence)
-		c.addAssignment(&Assignment{Job: job, TaskIndex: i, Machine: at.Machine, Incarnation: at.Session, Attempt: at.Attempt,
+		c.addAssignment(&workload.Assignment{Job: job, TaskIndex: i, Machine: at.Machine, Incarnation: at.Session, Attempt: at.Attempt,
 			FencingToken: at.Token, StartSent: true, AssignedAt: now, Stopping: job.Cancelled(), StopReason: "cancelled"})
 	})
 	job.Record.Places = nil
@@ -109,7 +106,7 @@
 }
 
 // applyForeignWrite takes over another controller's write on a known job.
-func (c *ClusterState) applyForeignWrite(job *Job, revision ids.Revision, rec *record.Record) {
+func (c *ClusterState) applyForeignWrite(job *workload.Job, revision ids.Revision, rec *record.Record) {
 	job.Revision = revision
 	if rec.Status == record.Cancelling {
 		c.cancelConfirmed(job)
@@ -119,7 +116,7 @@
 
 // retireJob drops a job whose end is stored. What may still be on machines stays
 // in the books until proven gone.
-func (c *ClusterState) retireJob(job *Job) {
+func (c *ClusterState) retireJob(job *workload.Job) {
 	id := job.Record.Spec.ID
 	job.Ended = true
 	delete(c.unsaved, job)
--- a/internal/claim/relocations.go
+++ b/internal/claim/relocations.go
@@ -1,86 +1,67 @@
 package claim
 
 import (
+	"github.com/pebbletrail/pebbletrail/internal/ids"
+	"github.com/pebbletrail/pebbletrail/internal/workload"
+
 	"fmt"
-	"slices"
-	"strings"
 	"time"
 
 	"github.com/pebbletrail/pebbletrail/internal/worker"
 )
 
-// What operators ask first when a zone goes dark is what moved, what did not,
-// and what the rest waits for. The trail is bounded and many tasks are lost at
-// once, so that like events share a line.
+// unknownZone stands for the zone of a machine that was never heard or listed.
+const unknownZone = "an unknown zone"
 
-// LossHistory remembers, for the trail, tasks of a job that were lost and wait for a
-// new place.
-type LossHistory struct {
-	LostIn map[int]string // task -> zone it was lost in
-	Reason string         // of the last line about it
-	Zone   string
-	Count  int
-	Text   string
+// zoneOf is a machine's zone as far as it is known.
+func (c *ClusterState) zoneOf(name ids.Machine) string {
+	if machine := c.machines.Machines[name]; machine != nil && machine.Zone != "" {
+		return machine.Zone
+	}
+	return unknownZone
 }
 
 // recordLoss tells in the trail that a task is proven not to be on its machine.
-func (c *ClusterState) recordLoss(assignment *Assignment, why string) {
-	job, zone := assignment.Job, "an unknown zone"
-	if machine := c.machines.Machines[assignment.Machine]; machine != nil && machine.Zone != "" {
-		zone = machine.Zone
-	}
-	l := &job.Losses
-	if l.LostIn == nil {
-		l.LostIn = map[int]string{}
+func (c *ClusterState) recordLoss(assignment *workload.Assignment, why string) {
+	job, trail, last := assignment.Job, assignment.Job.Record.Trail, ""
+	if n := len(trail); n > 0 {
+		last = trail[n-1].What
 	}
-	l.LostIn[assignment.TaskIndex] = zone
-	if n := len(job.Record.Trail); n > 0 && l.Count > 0 && job.Record.Trail[n-1].What == l.Text && l.Reason == why && l.Zone == zone {
-		l.Count++
-		l.Text = fmt.Sprintf("%d tasks gone in %s, task %d on %s the last: %s", l.Count, zone, assignment.TaskIndex, assignment.Machine, why)
-		job.Record.Trail = job.Record.Trail[:n-1]
-	} else {
-		l.Reason, l.Zone, l.Count = why, zone, 1
-		l.Text = fmt.Sprintf("task %d gone on %s in %s: %s", assignment.TaskIndex, assignment.Machine, zone, why)
+	line, replaces := job.Losses.Add(assignment.TaskIndex, assignment.Machine, c.zoneOf(assignment.Machine), why, last)
+	if replaces {
+		job.Record.Trail = trail[:len(trail)-1]
 	}
-	c.recordEvent(job, "%s", l.Text)
+	c.recordEvent(job, "%s", line)
 }
 
-// recordRestarts tells in the trail where tasks lost before were placed anew.
-func (c *ClusterState) recordRestarts(job *Job, placed []*Assignment) {
+// recordRestarts tells in the trail where tasks lost before were assigned anew.
+func (c *ClusterState) recordRestarts(job *workload.Job, assigned []*workload.Assignment) {
 	to, from := map[string]int{}, map[string]int{}
-	for _, assignment := range placed {
-		if z, ok := job.Losses.LostIn[assignment.TaskIndex]; ok {
-			delete(job.Losses.LostIn, assignment.TaskIndex)
-			from[z]++
-			if machine := c.machines.Machines[assignment.Machine]; machine != nil {
-				to[machine.Zone]++
-			}
+	for _, assignment := range assigned {
+		zone, lost := job.Losses.Restarted(assignment.TaskIndex)
+		if !lost {
+			continue
+		}
+		from[zone]++
+		if machine := c.machines.Machines[assignment.Machine]; machine != nil {
+			to[machine.Zone]++
 		}
 	}
 	if len(from) > 0 {
-		c.recordEvent(job, "tasks lost in %s start again: %s", formatByZone(from), formatByZone(to))
+		c.recordEvent(job, "tasks lost in %s start again: %s", workload.FormatByZone(from), workload.FormatByZone(to))
 	}
 }
 
-func formatByZone(n map[string]int) string {
-	var out []string
-	for z, k := range n {
-		out = append(out, fmt.Sprintf("%s (%d)", z, k))
-	}
-	slices.Sort(out)
-	return strings.Join(out, ", ")
-}
-
 // describeZones tells where a job's tasks are, by zone, and what those in a dark one
 // wait for.
-func (c *ClusterState) describeZones(job *Job, now time.Time) (out []string) {
+func (c *ClusterState) describeZones(job *workload.Job, now time.Time) (out []string) {
 	at, dark := map[string]int{}, map[string]int{}
 	var latest time.Time
 	for _, assignment := range job.Assignments {
 		machine := c.machines.Machines[assignment.Machine]
 		switch {
 		case machine == nil || machine.Zone == "":
-			at["an unknown zone"]++
+			at[unknownZone]++
 		case c.unreachableZones[machine.Zone] && (!machine.Heard || machine.Doubtful()):
 			dark[machine.Zone]++
 			latest = worker.Later(latest, machine.LapseAt)
@@ -89,20 +70,15 @@
 		}
 	}
 	if len(at) > 0 {
-		out = append(out, "on machines in "+formatByZone(at))
+		out = append(out, "on machines in "+workload.FormatByZone(at))
 	}
 	if len(dark) > 0 {
 		out = append(out, fmt.Sprintf("nothing is heard of %s: its tasks there may go on, and start elsewhere once their workers' leases have surely lapsed, in %.0fs at the latest, or the cloud has taken the machines back",
-			formatByZone(dark), max(0, latest.Sub(now).Seconds())))
-	}
-	from := map[string]int{}
-	for i, z := range job.Losses.LostIn {
-		if !job.Record.Finished.Has(i) {
-			from[z]++
-		}
+			workload.FormatByZone(dark), max(0, latest.Sub(now).Seconds())))
 	}
+	from := job.Losses.CountByZone(func(task int) bool { return !job.Record.Finished.Has(task) })
 	if len(from) > 0 {
-		out = append(out, fmt.Sprintf("lost in %s and not started again yet", formatByZone(from)))
+		out = append(out, fmt.Sprintf("lost in %s and not started again yet", workload.FormatByZone(from)))
 	}
 	return out
 }
--- a/internal/claim/repair.go
+++ b/internal/claim/repair.go
@@ -8,6 +8,7 @@
 
 	"github.com/pebbletrail/pebbletrail/internal/record"
 	"github.com/pebbletrail/pebbletrail/internal/state"
+	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
 // repair reads back the keys whose conditions failed: either an answer was
@@ -82,8 +83,8 @@
 
 // endedElsewhere drops a job whose end is stored already, by our own lost
 // answer or by a cancellation while nothing was placed.
-func (c *ClusterState) endedElsewhere(job *Job) {
-	for _, i := range sortedTasks(job.Assignments) {
+func (c *ClusterState) endedElsewhere(job *workload.Job) {
+	for _, i := range workload.SortedTasks(job.Assignments) {
 		assignment := job.Assignments[i]
 		if !assignment.StartSent {
 			c.removeAssignment(assignment)
--- a/internal/claim/reservations.go
+++ b/internal/claim/reservations.go
@@ -7,6 +7,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/placement"
 	"github.com/pebbletrail/pebbletrail/internal/record"
 	"github.com/pebbletrail/pebbletrail/internal/worker"
+	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
 // A job whose tasks take much of a machine may go first in the order and still
@@ -14,20 +15,6 @@
 // at once. So for one that starves, machines are set aside: nothing but critical
 // work is placed there until what runs on them has ended.
 
-// Starving tells whether a job has waited so long to begin that it goes ahead of all but
-// critical work. One whose tasks were all stopped again right after their start has not
-// begun; its wait starts anew then, so that it does not come right back.
-func (job *Job) Starving(now time.Time) bool {
-	if begun := job.HasLasted && job.Record.Attempt > 0; begun || len(job.Assignments) > 0 || job.Record.Finished.Len() > 0 {
-		return false
-	}
-	waitsSince := job.Record.Since().Time()
-	if job.UnassignedSince.After(waitsSince) {
-		waitsSince = job.UnassignedSince
-	}
-	return now.Sub(waitsSince) > starvationTime
-}
-
 // Machines are set aside for reservedFor at most; others are looked for again after
 // reserveAgain; and all together are one machine in reservedShare, but for a job that
 // needs more at once.
@@ -40,7 +27,7 @@
 // wantsReservation tells whether machines are to be set aside for a job that lacks n. High
 // work stops others instead; but on the dearest machines all work may be high: each
 // that ends is followed by a gang of one, and one that needs two at once never begins.
-func (job *Job) wantsReservation(n int, now time.Time) bool {
+func wantsReservation(job *workload.Job, n int, now time.Time) bool {
 	if job.EffectivePriority() >= record.High && (n < 2 || job.Record.Spec.Shape != record.Gang) {
 		return false
 	}
@@ -50,8 +37,8 @@
 // reserveMachines keeps n machines for a starving job, those that are soonest free
 // enough; it tells whether it did. It looks at every machine, but once a minute
 // for a job that starves.
-func (c *ClusterState) reserveMachines(job *Job, request *placement.Ask, n int, now time.Time) bool {
-	if !job.wantsReservation(n, now) {
+func (c *ClusterState) reserveMachines(job *workload.Job, request *placement.Ask, n int, now time.Time) bool {
+	if !wantsReservation(job, n, now) {
 		return false
 	}
 	job.ReservationSoughtAt = now
@@ -118,22 +105,17 @@
 	return true
 }
 
-// startProtectionTime is how long the beginning of a job that starved is not undone by stopping it
-// for others but critical work: a start counts for its user only after that long
-// (protocol, "How aims are counted").
-const startProtectionTime = 30 * time.Second
-
 // protectStart protects the beginning of a job that starved: of a gang all tasks, of any
 // other job one, on a machine that was set aside for it if there is one.
-func (c *ClusterState) protectStart(job *Job, fresh []*Assignment) {
-	until := time.Now().Add(startProtectionTime)
+func (c *ClusterState) protectStart(job *workload.Job, fresh []*workload.Assignment) {
+	until := time.Now().Add(workload.StartProtectionTime)
 	if job.Record.Spec.Shape == record.Gang {
 		for _, assignment := range fresh {
 			assignment.ProtectedUntil = until
 		}
 		return
 	}
-	var kept *Assignment
+	var kept *workload.Assignment
 	for _, assignment := range fresh {
 		if kept == nil || c.reservations[assignment.Machine].job == job.Record.Spec.ID {
 			kept = assignment
--- a/internal/claim/scale_test.go
+++ b/internal/claim/scale_test.go
@@ -10,6 +10,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 	"github.com/pebbletrail/pebbletrail/internal/record"
 	"github.com/pebbletrail/pebbletrail/internal/worker"
+	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
 // fleet is a cluster state with n machines of four cores, in two zones.
@@ -197,7 +198,7 @@
 	for range 20 {
 		planAll(cluster, now)
 		stored := job.Record
-		stored.Places = groupAssignments(job.Assignments)
+		stored.Places = workload.GroupAssignments(job.Assignments)
 		raw, fits := stored.Encode(int(cluster.settings.Params.State.ValueKB * 1024))
 		if !fits {
 			t.Fatalf("the record of %d places does not fit", len(job.Assignments))
@@ -243,7 +244,7 @@
 		planAll(last, now)
 		hints, _ := last.Hints(HintPosition{})
 		stored := last.jobs["job-1"].Record
-		stored.Places = groupAssignments(last.jobs["job-1"].Assignments)
+		stored.Places = workload.GroupAssignments(last.jobs["job-1"].Assignments)
 
 		next := testBook()
 		known := map[ids.Machine]Hint{}
--- a/internal/claim/schedule.go
+++ b/internal/claim/schedule.go
@@ -11,6 +11,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/placement"
 	"github.com/pebbletrail/pebbletrail/internal/quota"
 	"github.com/pebbletrail/pebbletrail/internal/record"
+	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
 // planningPass is what one planning pass has found out so far, so that jobs alike do
@@ -110,7 +111,7 @@
 }
 
 // assignTasks places what it can of one job.
-func (c *ClusterState) assignTasks(job *Job, pass *planningPass) {
+func (c *ClusterState) assignTasks(job *workload.Job, pass *planningPass) {
 	spec := &job.Record.Spec
 	if spec.Shape == record.Gang {
 		c.assignGang(job, pass)
@@ -191,27 +192,13 @@
 	}
 }
 
-// ArraySlice is how far a claim has got into an array, lowest task first.
-type ArraySlice struct {
-	Attempt  ids.Attempt
-	LastTask int
-}
-
-// ContinuesSlice tells whether claiming from task i on only goes on where the last slice
-// left off. Then it is one claim with it and shares its attempt: no task above it
-// was ever placed under that. A record that had to name an attempt for every few
-// tasks would hold a fraction of them.
-func (job *Job) ContinuesSlice(i int) bool {
-	return job.Record.Spec.Shape == record.Array && job.LastSlice.Attempt == job.Record.Attempt && job.Record.Attempt > 0 && i > job.LastSlice.LastTask
-}
-
-func (c *ClusterState) tasksAssigned(job *Job, n int) {
+func (c *ClusterState) tasksAssigned(job *workload.Job, n int) {
 	if n == 0 {
 		return
 	}
 	c.markChanged(job)
 	c.markUrgent(job)
-	var fresh []*Assignment
+	var fresh []*workload.Assignment
 	for _, assignment := range job.Assignments {
 		if assignment.MarkerVersion == 0 {
 			assignment.MarkerVersion = job.Version
@@ -228,14 +215,14 @@
 
 // reservedForOther tells whether what is free on a machine was freed for another job
 // that goes first.
-func (c *ClusterState) reservedForOther(m *placement.Machine, job *Job, now time.Time) bool {
+func (c *ClusterState) reservedForOther(m *placement.Machine, job *workload.Job, now time.Time) bool {
 	reservation, ok := c.reservations[m.Name]
 	return ok && reservation.job != job.Record.Spec.ID && reservation.until.After(now) && c.outranks(reservation.job, job, now) && !m.Free.Minus(reservation.need).Holds(job.Record.Spec.Need)
 }
 
 // releaseReservations gives up what was freed for a job that found its places: it may have
 // found them elsewhere.
-func (c *ClusterState) releaseReservations(job *Job) {
+func (c *ClusterState) releaseReservations(job *workload.Job) {
 	for name, reservation := range c.reservations {
 		if reservation.job == job.Record.Spec.ID {
 			delete(c.reservations, name)
@@ -244,18 +231,18 @@
 }
 
 // outranks tells whether a reservation's job still goes before j.
-func (c *ClusterState) outranks(id ids.Job, job *Job, now time.Time) bool {
+func (c *ClusterState) outranks(id ids.Job, job *workload.Job, now time.Time) bool {
 	h := c.jobs[id]
 	return h != nil && h.Schedulable() && (h.EffectivePriority() >= job.EffectivePriority() || h.Starving(now) && job.EffectivePriority() < record.Critical)
 }
 
-func (c *ClusterState) assign(job *Job, i int, a ids.Attempt, node *Node, now time.Time) {
+func (c *ClusterState) assign(job *workload.Job, i int, a ids.Attempt, node *Node, now time.Time) {
 	machine := c.machines.Machines[node.name]
 	if reservation, ok := c.reservations[machine.Name]; ok && reservation.job == job.Record.Spec.ID {
 		delete(c.reservations, machine.Name)
 	}
 	warm := machine.Images.Has(job.Record.Spec.Image) || node.imagePulls[job.Record.Spec.Image] != nil
-	c.addAssignment(&Assignment{Job: job, TaskIndex: i, Machine: machine.Name, Incarnation: machine.Session, Attempt: a, FencingToken: c.generation, AssignedAt: now})
+	c.addAssignment(&workload.Assignment{Job: job, TaskIndex: i, Machine: machine.Name, Incarnation: machine.Session, Attempt: a, FencingToken: c.generation, AssignedAt: now})
 	slog.Debug("placed", "class", job.Record.Spec.Class, "job", job.Record.Spec.ID, "task", i, "attempt", a, "machine", machine.Name, "type", machine.Type,
 		"warm", warm, "sinceSubmit", now.Sub(job.Record.Submitted.Time()).Round(time.Millisecond))
 }
--- a/internal/claim/settle.go
+++ b/internal/claim/settle.go
@@ -9,6 +9,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/measure"
 	"github.com/pebbletrail/pebbletrail/internal/record"
 	"github.com/pebbletrail/pebbletrail/internal/worker"
+	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
 // ReconcileHeartbeat settles outcomes from a report and returns the orders its machine
@@ -86,7 +87,7 @@
 			c.markChanged(assignment.Job)
 		}
 	}
-	listed := make(map[TaskAttempt]bool, len(report.Pieces))
+	listed := make(map[workload.TaskAttempt]bool, len(report.Pieces))
 	var orders []worker.Order
 	for i := range report.Pieces {
 		reported := &report.Pieces[i]
@@ -94,7 +95,7 @@
 		if err != nil {
 			continue
 		}
-		key := TaskAttempt{t, reported.Attempt, machine.Name}
+		key := workload.TaskAttempt{Task: t, Attempt: reported.Attempt, Machine: machine.Name}
 		listed[key] = true
 		job := c.jobs[t.Job]
 		if job != nil {
@@ -118,7 +119,7 @@
 		orders = append(orders, c.reconcileOrphan(job, key, reported, machine)...)
 	}
 	for assignment := range c.assignmentsOn(machine.Name) {
-		if listed[TaskAttempt{assignment.Task(), assignment.Attempt, machine.Name}] || !assignment.StartSent || assignment.Incarnation != report.Session {
+		if listed[assignment.Key()] || !assignment.StartSent || assignment.Incarnation != report.Session {
 			continue
 		}
 		switch {
@@ -128,7 +129,7 @@
 			// The worker has seen a higher token than the start carries, so
 			// the start was never carried out and never will be.
 			c.markLost(assignment, "its start was turned away")
-		case assignment.Stopping && beat && assignment.noDirectStartOutstanding(c) && report.Tick > assignment.OfferedAt:
+		case assignment.Stopping && beat && c.noDirectStartOutstanding(assignment) && report.Tick > assignment.OfferedAt:
 			// Starts in beat answers are carried out at once or never.
 			c.markLost(assignment, "its start was dropped")
 		}
@@ -152,7 +153,7 @@
 // a gang the same task may have been started again, under the same attempt, on the
 // machine where it had ended. Of other jobs every start has a number of its own; and
 // what is done is done.
-func (c *ClusterState) mayPredateRecord(job *Job, report *worker.Report, reported *worker.Piece) bool {
+func (c *ClusterState) mayPredateRecord(job *workload.Job, report *worker.Report, reported *worker.Piece) bool {
 	return job.Record.Spec.Shape == record.Gang && report.Token < c.firstGeneration && !(reported.Status == worker.Ended && reported.Cause == worker.CauseDone)
 }
 
@@ -201,17 +202,8 @@
 	return false
 }
 
-// RemainingGrace is what is left of a stop's leeway; a second stop with 0 ends a
-// task that saves for too long.
-func (assignment *Assignment) RemainingGrace(now time.Time) ids.Seconds {
-	if assignment.StopGrace == 0 || now.Sub(assignment.StopRequestedAt) > 2*assignment.StopGrace.Duration()+3*time.Second {
-		return 0
-	}
-	return assignment.StopGrace
-}
-
 // observeTask notes a task that is on its machine.
-func (c *ClusterState) observeTask(assignment *Assignment, reported *worker.Piece, machine *worker.Machine, now time.Time) {
+func (c *ClusterState) observeTask(assignment *workload.Assignment, reported *worker.Piece, machine *worker.Machine, now time.Time) {
 	if !assignment.Confirmed || assignment.Status != reported.Status {
 		slog.Debug("seen", "class", assignment.Job.Record.Spec.Class, "job", assignment.Job.Record.Spec.ID, "task", assignment.TaskIndex, "machine", machine.Name, "status", reported.Status,
 			"sincePlaced", now.Sub(assignment.AssignedAt).Round(time.Millisecond))
@@ -250,9 +242,9 @@
 }
 
 // recordOutcome takes in how an attempt ended.
-func (c *ClusterState) recordOutcome(assignment *Assignment, reported *worker.Piece, machine *worker.Machine) {
+func (c *ClusterState) recordOutcome(assignment *workload.Assignment, reported *worker.Piece, machine *worker.Machine) {
 	job, i := assignment.Job, assignment.TaskIndex
-	key := TaskAttempt{assignment.Task(), assignment.Attempt, machine.Name}
+	key := assignment.Key()
 	c.removeAssignment(assignment)
 	if job.Ended {
 		return
@@ -289,7 +281,7 @@
 		c.recordFailure(assignment, reported.Cause, machine, now)
 	case worker.CauseNoRoom, worker.CauseBusy:
 		c.recordEvent(job, "task %d refused by %s: %s", i, machine.Name, reported.Cause)
-		retry := c.retryOf(job, i)
+		retry := job.RetryOf(i)
 		retry.NotBefore = now.Add(time.Second)
 		retry.Avoid[machine.Name] = true
 	}
@@ -306,15 +298,8 @@
 	return ""
 }
 
-func (assignment *Assignment) StopReasonText() string {
-	if assignment.StopReason == "" {
-		return "not asked for"
-	}
-	return assignment.StopReason
-}
-
 // reconcileOrphan deals with a reported piece that no place accounts for.
-func (c *ClusterState) reconcileOrphan(job *Job, key TaskAttempt, reported *worker.Piece, machine *worker.Machine) []worker.Order {
+func (c *ClusterState) reconcileOrphan(job *workload.Job, key workload.TaskAttempt, reported *worker.Piece, machine *worker.Machine) []worker.Order {
 	if reported.Status == worker.Ended {
 		if job != nil && !job.Ended {
 			if v, ok := job.RecordedOutcomes[key]; ok && job.StoredVersion < v {
@@ -340,7 +325,7 @@
 	if job != nil && job.Assignments[key.Task.Index] == nil && key.Task.Index < job.Record.Spec.Tasks {
 		// It is there, whoever started it: until it is gone it must not be
 		// started elsewhere and counts against its team.
-		assignment := &Assignment{Job: job, TaskIndex: key.Task.Index, Machine: machine.Name, Incarnation: machine.Session, Attempt: key.Attempt, FencingToken: c.generation,
+		assignment := &workload.Assignment{Job: job, TaskIndex: key.Task.Index, Machine: machine.Name, Incarnation: machine.Session, Attempt: key.Attempt, FencingToken: c.generation,
 			StartSent: true, Confirmed: true, Status: reported.Status, AssignedAt: time.Now()}
 		job.Record.Attempt = max(job.Record.Attempt, key.Attempt)
 		c.addAssignment(assignment)
--- a/internal/claim/stored_forms_test.go
+++ b/internal/claim/stored_forms_test.go
@@ -2,10 +2,11 @@
 
 import (
 	"encoding/json"
-	"github.com/pebbletrail/pebbletrail/internal/record"
 	"os"
 	"path/filepath"
 	"testing"
+
+	"github.com/pebbletrail/pebbletrail/internal/record"
 )
 
 // The files in testdata/0.1.0-pipelines were written by the first version with
--- a/internal/claim/survey.go
+++ b/internal/claim/survey.go
@@ -5,6 +5,7 @@
 
 	"github.com/pebbletrail/pebbletrail/internal/placement"
 	"github.com/pebbletrail/pebbletrail/internal/worker"
+	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
 // candidateSearch finds machines for the tasks of one job in one pass. Each task goes
@@ -13,7 +14,7 @@
 // all tasks of the job.
 type candidateSearch struct {
 	cluster           *ClusterState
-	job               *Job
+	job               *workload.Job
 	request           *placement.Ask
 	pass              *planningPass
 	zones             *zoneSpread
@@ -33,7 +34,7 @@
 	score   float64
 }
 
-func (c *ClusterState) newSearch(job *Job, request *placement.Ask, pass *planningPass) *candidateSearch {
+func (c *ClusterState) newSearch(job *workload.Job, request *placement.Ask, pass *planningPass) *candidateSearch {
 	search := &candidateSearch{cluster: c, job: job, request: request, pass: pass, zones: c.zoneSpreadOf(job), avoidAccelerators: request.Long && request.Need.Accels == 0}
 	if covered(pass.noCapacity[placementKeyOf(request)], request.Need) {
 		search.exhaustive = true // an earlier job of this pass found none
@@ -57,7 +58,7 @@
 
 // evaluate scores a machine, or tells that the task can't go there now; room tells
 // whether at least there is room.
-func (s *candidateSearch) evaluate(node *Node, retry *Retry) (found candidate, ok, room bool) {
+func (s *candidateSearch) evaluate(node *Node, retry *workload.Retry) (found candidate, ok, room bool) {
 	s.pass.machinesExamined++
 	if !node.class.offer.Room().Minus(node.used).Holds(s.request.Need) {
 		return found, false, false
@@ -74,7 +75,7 @@
 }
 
 // pick finds a machine for one more task, nil if there is none.
-func (s *candidateSearch) pick(retry *Retry) *Node {
+func (s *candidateSearch) pick(retry *workload.Retry) *Node {
 	if !s.exhaustive {
 		if node := s.sample(retry); node != nil {
 			return node
@@ -97,7 +98,7 @@
 }
 
 // sample looks at a few machines only.
-func (s *candidateSearch) sample(retry *Retry) *Node {
+func (s *candidateSearch) sample(retry *workload.Retry) *Node {
 	if s.total == 0 {
 		return nil
 	}
@@ -163,7 +164,7 @@
 
 // best takes the first of the list that still fits; those on which this very
 // task failed before come last. It costs what it passes over, and not the list.
-func (s *candidateSearch) best(retry *Retry) *Node {
+func (s *candidateSearch) best(retry *workload.Retry) *Node {
 	var avoided *Node
 	passedOver := s.passedOver[:0]
 	for i, found := range s.candidates {
--- a/internal/claim/team_limits.go
+++ b/internal/claim/team_limits.go
@@ -6,6 +6,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/config"
 	"github.com/pebbletrail/pebbletrail/internal/quota"
 	"github.com/pebbletrail/pebbletrail/internal/record"
+	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
 // quotaLeft is how many more tasks of a job its team's limits allow.
@@ -14,7 +15,7 @@
 }
 
 // assignableTasks is the same less what is owed to a job that goes first.
-func (c *ClusterState) assignableTasks(job *Job, want int, now time.Time) int {
+func (c *ClusterState) assignableTasks(job *workload.Job, want int, now time.Time) int {
 	spec := &job.Record.Spec
 	return c.quota.Left(spec.Team).Minus(c.reservedQuota(job, now)).Minus(c.quotaForRelocated(job)).Count(spec.Need, want)
 }
--- a/internal/claim/urgency_test.go
+++ b/internal/claim/urgency_test.go
@@ -14,6 +14,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 	"github.com/pebbletrail/pebbletrail/internal/record"
 	"github.com/pebbletrail/pebbletrail/internal/state"
+	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
 func waits(id ids.Job, p record.Priority, due ids.Seconds, on ...ids.Job) *record.Record {
@@ -154,7 +155,7 @@
 		old.HandleRecord("job-1", 1, rec, time.Now())
 		old.Plan(time.Now())
 		full := old.jobs["job-1"].Record
-		full.Status, full.Places, full.Writer = record.Claimed, groupAssignments(old.jobs["job-1"].Assignments), "old"
+		full.Status, full.Places, full.Writer = record.Claimed, workload.GroupAssignments(old.jobs["job-1"].Assignments), "old"
 		for k := range 12 {
 			full.Trail = append(full.Trail, record.Event{What: fmt.Sprintf("event %d %s", k, strings.Repeat("x", 60))})
 		}
@@ -192,7 +193,7 @@
 			cluster.Plan(time.Now())
 			c.CommitGroup(ctx)
 			cluster.nextBatches(1000)
-			cluster.play(tick, func(assignment *Assignment) string {
+			cluster.play(tick, func(assignment *workload.Assignment) string {
 				if (assignment.TaskIndex*7+int(tick))%3 == 0 {
 					return "done"
 				}
--- a/internal/claim/usage.go
+++ b/internal/claim/usage.go
@@ -7,6 +7,7 @@
 
 	"github.com/pebbletrail/pebbletrail/internal/record"
 	"github.com/pebbletrail/pebbletrail/internal/worker"
+	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
 // costReport counts what the machines cost this leader, by what they were doing, and
@@ -76,7 +77,7 @@
 func roundMoney(v float64) float64 { return math.Round(v*1000) / 1000 }
 
 // recordRepeatedWork counts work lost with a task that was stopped or vanished.
-func (c *ClusterState) recordRepeatedWork(assignment *Assignment, cause string, now time.Time) {
+func (c *ClusterState) recordRepeatedWork(assignment *workload.Assignment, cause string, now time.Time) {
 	if assignment.RunningSince.IsZero() || assignment.Job.Record.Spec.Shape == record.Service || c.costs.repeated == nil {
 		return
 	}
--- a/internal/claim/yield.go
+++ b/internal/claim/yield.go
@@ -7,12 +7,13 @@
 
 	"github.com/pebbletrail/pebbletrail/internal/placement"
 	"github.com/pebbletrail/pebbletrail/internal/record"
+	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
 // quotaReservation is room of a team's limit that lesser work of its own leaves to a job that
 // waits for it: given to lesser work again as it frees up, the job would never begin.
 type quotaReservation struct {
-	job   *Job
+	job   *workload.Job
 	need  placement.Room
 	until time.Time
 }
@@ -21,7 +22,7 @@
 const limitHoldFor = 2 * time.Second
 
 // reservedQuota is what a job must leave of its team's limit to one that goes first.
-func (c *ClusterState) reservedQuota(job *Job, now time.Time) placement.Room {
+func (c *ClusterState) reservedQuota(job *workload.Job, now time.Time) placement.Room {
 	o, ok := c.quotaReservations[job.Record.Spec.Team]
 	if !ok || o.job == job || !o.until.After(now) || !o.job.Schedulable() || job.EffectivePriority() >= o.job.EffectivePriority() {
 		return placement.Room{}
@@ -32,7 +33,7 @@
 // yieldQuota stops lesser work of a job's own team when the team's limit is all
 // that keeps high or critical tasks from starting. What is being stopped
 // already counts as making way.
-func (c *ClusterState) yieldQuota(job *Job, n int, now time.Time) bool {
+func (c *ClusterState) yieldQuota(job *workload.Job, n int, now time.Time) bool {
 	spec := &job.Record.Spec
 	if job.EffectivePriority() < record.High || !c.StoreAvailable() || job.Suspect() {
 		return false
@@ -47,7 +48,7 @@
 	if team.GPUsMax == 0 {
 		over.Accels = 0
 	}
-	var victims []*Assignment
+	var victims []*workload.Assignment
 	left := placement.Room{Cores: team.CPUsMax, Accels: team.GPUsMax, RAM: 1e12}
 	if team.CPUsMax == 0 {
 		left.Cores = 1e12
--- a/internal/claim/zoning.go
+++ b/internal/claim/zoning.go
@@ -1,6 +1,9 @@
 package claim
 
-import "github.com/pebbletrail/pebbletrail/internal/record"
+import (
+	"github.com/pebbletrail/pebbletrail/internal/record"
+	"github.com/pebbletrail/pebbletrail/internal/workload"
+)
 
 // zoneSpread counts a job's tasks by zone, for the rules on where one more may go.
 type zoneSpread struct {
@@ -10,7 +13,7 @@
 }
 
 // zoneSpreadOf is nil when the job sets no rule on zones.
-func (c *ClusterState) zoneSpreadOf(job *Job) *zoneSpread {
+func (c *ClusterState) zoneSpreadOf(job *workload.Job) *zoneSpread {
 	spec := &job.Record.Spec
 	if !spec.OneZone && !spec.Spread {
 		return nil
