--- a/internal/claim/boots.go
+++ b/internal/claim/boots.go
@@ -56,7 +56,7 @@
 // bootIsLate tells whether a rented machine takes so long that another is rented in
 // its place, and hopeless that it is not waited for in any case.
 func (c *ClusterState) bootIsLate(machine *worker.Machine, now time.Time) (late, hopeless bool) {
-	machineType := c.types[machine.Type]
+	machineType := c.capacity.Type(machine.Type)
 	if machine.Heard || !machine.Booting || machineType == nil {
 		return false, false
 	}
@@ -88,7 +88,7 @@
 	var late []*worker.Machine
 	fleet := 0.0
 	for _, machine := range c.machines.Machines {
-		if machineType := c.types[machine.Type]; machineType != nil && !machine.Failed && !machine.Deleting {
+		if machineType := c.capacity.Type(machine.Type); machineType != nil && !machine.Failed && !machine.Deleting {
 			fleet += machineType.PriceOf(machine.Spot)
 		}
 		if l, _ := c.bootIsLate(machine, now); l && !machine.Deleting {
@@ -110,7 +110,7 @@
 			out[machine.Name] = true
 			continue
 		}
-		p := c.types[machine.Type].PriceOf(machine.Spot)
+		p := c.capacity.Type(machine.Type).PriceOf(machine.Spot)
 		if of[machine.Type] > 0 && cost+p > c.settings.Own.BurstCostShare*fleet {
 			continue
 		}
@@ -157,7 +157,7 @@
 	request := job.Record.Spec.Ask()
 	n, lates, longest := 0, 0, time.Duration(0)
 	for _, machine := range c.machines.Machines {
-		machineType := c.types[machine.Type]
+		machineType := c.capacity.Type(machine.Type)
 		if machine.Heard || !machine.Booting || machine.Deleting || machine.Failed || machineType == nil || !machineType.Room().Holds(request.Need) || !request.Allows(machine.Type, machine.Zone, machine.Spot) {
 			continue
 		}
--- a/internal/claim/cluster_state.go
+++ b/internal/claim/cluster_state.go
@@ -10,6 +10,8 @@
 	"sync/atomic"
 	"time"
 
+	"github.com/pebbletrail/pebbletrail/internal/capacity"
+
 	"github.com/pebbletrail/pebbletrail/internal/config"
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 	"github.com/pebbletrail/pebbletrail/internal/placement"
@@ -32,15 +34,12 @@
 	machines     *worker.Registry
 	// What follows is kept up to date change by change, so that planning,
 	// sending and storing never walk the whole fleet or all jobs.
-	queue            []*workload.Job // by submission
-	nodes            map[ids.Machine]*Node
-	classes          map[InstanceClass]*ClassIndex
-	classOrder       []*ClassIndex
-	byImage          map[string]map[*Node]bool
-	leaving          map[ids.Machine]bool   // drained, taken back or to be returned
-	pendingCommands  map[*Node]bool         // have starts or stops to send
-	unsaved          map[*workload.Job]bool // changed since they were last stored
-	machinesExamined int                    // machines that planning looked at so far
+	queue            []*workload.Job         // by submission
+	capacity         *capacity.Index         // assignments by machine, free capacity by instance class, images
+	leaving          map[ids.Machine]bool    // drained, taken back or to be returned
+	pendingCommands  map[*capacity.Node]bool // have starts or stops to send
+	unsaved          map[*workload.Job]bool  // changed since they were last stored
+	machinesExamined int                     // machines that planning looked at so far
 	// examinedAtLock is how many it had looked at when it last took the lock, and
 	// mostExaminedAtHold the most while it held it once.
 	examinedAtLock, mostExaminedPerLock int
@@ -66,7 +65,6 @@
 	// statusInOtherShard is how a live job of another shard stands, by this node's copy of the
 	// records; live is false if there is none.
 	statusInOtherShard func(id ids.Job) (how record.Status, live bool)
-	types              map[string]*placement.Type
 	rng                *rand.Rand
 	// trustSilence is the earliest that an unheard machine's lapse counts: a
 	// predecessor may have gone on answering its worker until its own grace
@@ -110,21 +108,18 @@
 
 // newShardState makes the cluster state of one term of leading a shard.
 func newShardState(settings *config.Settings, writer string, generation ids.Generation, trustSilence time.Time, shard ids.Shard) *ClusterState {
+	machines := worker.NewRegistry(settings.Params.Workers.LeaseS)
 	return &ClusterState{
+		machines: machines, capacity: capacity.NewIndex(machines),
 		drains: newDrainState(settings), termBegan: time.Now(),
 		shard: shard, keys: record.KeysOf(shard, settings.Shards()),
 		statusInOtherShard: func(ids.Job) (record.Status, bool) { return "", false },
 		settings:           settings, writer: writer, generation: generation, firstGeneration: generation,
 		jobs: map[ids.Job]*workload.Job{}, retired: map[ids.Job]bool{},
-		machines:          worker.NewRegistry(settings.Params.Workers.LeaseS),
-		nodes:             map[ids.Machine]*Node{},
-		classes:           map[InstanceClass]*ClassIndex{},
-		byImage:           map[string]map[*Node]bool{},
 		leaving:           map[ids.Machine]bool{},
-		pendingCommands:   map[*Node]bool{},
+		pendingCommands:   map[*capacity.Node]bool{},
 		unsaved:           map[*workload.Job]bool{},
 		quota:             quota.NewBook(shard, settings.Shards(), teamLimits(settings), processStart),
-		types:             map[string]*placement.Type{},
 		rng:               rand.New(rand.NewPCG(uint64(generation), uint64(len(writer)))),
 		trustSilence:      trustSilence,
 		reservations:      map[ids.Machine]reservation{},
@@ -241,17 +236,7 @@
 func (c *ClusterState) SetMachineTypes(types []placement.Type) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for i := range types {
-		c.types[types[i].Label] = &types[i]
-	}
-	for _, class := range c.classOrder {
-		if machineType := c.types[class.machineType]; machineType != nil {
-			class.offer = machineType
-		}
-	}
-	for _, node := range c.nodes {
-		c.reindex(node) // machines may have been heard before their type was known
-	}
+	c.capacity.SetTypes(types)
 	c.refreshDurations()
 }
 
--- a/internal/claim/cluster_state_test.go
+++ b/internal/claim/cluster_state_test.go
@@ -105,13 +105,13 @@
 	cluster.HandleRecord("job-1", 1, newRecord("job-1", "blue", record.Normal, 4, 1), now)
 	cluster.Plan(now)
 	cluster.store()
-	if len(cluster.assignmentsOn("m1")) != 4 {
+	if len(cluster.capacity.AssignmentsOn("m1")) != 4 {
 		t.Fatal("not placed")
 	}
 	// Same priority, beyond its guarantee: waits.
 	cluster.HandleRecord("job-2", 2, newRecord("job-2", "red", record.Normal, 5, 1), now)
 	cluster.Plan(now)
-	for assignment := range cluster.assignmentsOn("m1") {
+	for assignment := range cluster.capacity.AssignmentsOn("m1") {
 		if assignment.Stopping {
 			t.Fatal("displaced by work of the same priority")
 		}
@@ -120,7 +120,7 @@
 	cluster.HandleRecord("job-3", 3, newRecord("job-3", "red", record.Critical, 1, 2), now)
 	cluster.Plan(now)
 	stopped := 0
-	for assignment := range cluster.assignmentsOn("m1") {
+	for assignment := range cluster.capacity.AssignmentsOn("m1") {
 		if assignment.Stopping {
 			stopped++
 		}
@@ -313,12 +313,12 @@
 	cluster := testBook()
 	cluster.hear("warm", "north", 1)
 	cluster.hear("cold", "north", 1)
-	cluster.imageArrived(cluster.ensureNode("warm"), cluster.machines.Machines["warm"], "svc", 5, 20)
+	cluster.capacity.ImageArrived(cluster.capacity.Ensure("warm"), cluster.machines.Machines["warm"], "svc", 5, 20)
 	cluster.HandleRecord("job-1", 1, newRecord("job-1", "blue", record.Normal, 4, 1), now)
-	cluster.imageArrived(cluster.ensureNode("warm"), cluster.machines.Machines["warm"], "i", 1, 20) // so that the array goes there
+	cluster.capacity.ImageArrived(cluster.capacity.Ensure("warm"), cluster.machines.Machines["warm"], "i", 1, 20) // so that the array goes there
 	cluster.Plan(now)
 	cluster.store()
-	if len(cluster.assignmentsOn("warm")) != 4 {
+	if len(cluster.capacity.AssignmentsOn("warm")) != 4 {
 		t.Fatal("the array is elsewhere")
 	}
 	svc := newRecord("job-2", "blue", record.Critical, 1, 1)
@@ -346,7 +346,7 @@
 	cluster.Plan(now)
 	cluster.store()
 	for m := range cluster.machines.Machines {
-		for assignment := range cluster.assignmentsOn(m) {
+		for assignment := range cluster.capacity.AssignmentsOn(m) {
 			assignment.Confirmed = true
 		}
 	}
@@ -356,7 +356,7 @@
 	}
 	cluster.Plan(now) // each displaces a task of four cores for one core
 	for m := range cluster.machines.Machines {
-		for assignment := range cluster.assignmentsOn(m) {
+		for assignment := range cluster.capacity.AssignmentsOn(m) {
 			if assignment.Stopping {
 				cluster.removeAssignment(assignment)
 			}
@@ -397,7 +397,7 @@
 	cluster := testBook()
 	cluster.hear("warm", "north", 1)
 	cluster.hear("cold", "north", 1)
-	cluster.imageArrived(cluster.ensureNode("warm"), cluster.machines.Machines["warm"], "svc", 5, 20)
+	cluster.capacity.ImageArrived(cluster.capacity.Ensure("warm"), cluster.machines.Machines["warm"], "svc", 5, 20)
 	svc := func(id ids.Job, team string, tasks int) *record.Record {
 		rec := newRecord(id, team, record.Critical, tasks, 1)
 		rec.Spec.Shape, rec.Spec.Image, rec.Spec.ImageGB = record.Service, "svc", 5
@@ -441,7 +441,7 @@
 		t.Fatalf("%d of 2 that fit were placed", n)
 	}
 	cluster.hear("warm", "north", 1)
-	cluster.imageArrived(cluster.ensureNode("warm"), cluster.machines.Machines["warm"], "other", 1, 20)
+	cluster.capacity.ImageArrived(cluster.capacity.Ensure("warm"), cluster.machines.Machines["warm"], "other", 1, 20)
 	for i := range 5 {
 		cluster.hear(ids.Machine(fmt.Sprintf("cold%d", i)), "north", 1)
 	}
@@ -477,7 +477,7 @@
 	cluster.hear(at, "north", 2)
 	cluster.HandleRecord("job-2", 2, newRecord("job-2", "blue", record.Normal, 12, 1), now)
 	cluster.Plan(now)
-	if n := len(cluster.assignmentsOn(at)); n != 1 {
+	if n := len(cluster.capacity.AssignmentsOn(at)); n != 1 {
 		t.Fatalf("%d tasks on a machine that does not answer, not only the uncertain one", n)
 	}
 	machine := cluster.machines.Machines[at]
@@ -518,7 +518,7 @@
 	cluster := testBook()
 	cluster.hear("warm", "north", 1)
 	cluster.hear("cold", "north", 1)
-	cluster.imageArrived(cluster.ensureNode("warm"), cluster.machines.Machines["warm"], "i", 1, 20)
+	cluster.capacity.ImageArrived(cluster.capacity.Ensure("warm"), cluster.machines.Machines["warm"], "i", 1, 20)
 	rec := newRecord("job-1", "blue", record.High, 2, 3)
 	rec.Spec.Shape = record.Gang
 	cluster.HandleRecord("job-1", 1, rec, now)
@@ -618,7 +618,7 @@
 	cluster := testBook()
 	cluster.settings.Params.Teams[1].CPUs = 0 // neither is guaranteed
 	cluster.hear("m1", "north", 1)
-	cluster.imageArrived(cluster.ensureNode("m1"), cluster.machines.Machines["m1"], "held", 8, 20)
+	cluster.capacity.ImageArrived(cluster.capacity.Ensure("m1"), cluster.machines.Machines["m1"], "held", 8, 20)
 	for id, image := range map[ids.Job]string{"job-1": "other", "job-2": "held"} {
 		rec := newRecord(id, "blue", record.High, 1, 4)
 		rec.Spec.Shape, rec.Spec.Image, rec.Spec.ImageGB = record.Gang, image, 8
--- a/internal/claim/commit.go
+++ b/internal/claim/commit.go
@@ -210,8 +210,8 @@
 	cluster := c.Cluster
 	cluster.mu.Lock()
 	cluster.generation, cluster.raiseWanted = g, false
-	for _, node := range cluster.nodes {
-		if len(node.assignments) > 0 {
+	for _, node := range cluster.capacity.Nodes() {
+		if len(node.Assignments) > 0 {
 			cluster.pendingCommands[node] = true // markers not sent yet must carry the new token
 		}
 	}
--- a/internal/claim/dispatch.go
+++ b/internal/claim/dispatch.go
@@ -5,6 +5,8 @@
 	"slices"
 	"time"
 
+	"github.com/pebbletrail/pebbletrail/internal/capacity"
+
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 	"github.com/pebbletrail/pebbletrail/internal/worker"
 	"github.com/pebbletrail/pebbletrail/internal/workload"
@@ -41,9 +43,9 @@
 		return nil
 	}
 	now := time.Now()
-	var due []*Node
+	var due []*capacity.Node
 	for node := range c.pendingCommands {
-		machine := c.machines.Machines[node.name]
+		machine := c.machines.Machines[node.Name]
 		switch {
 		case machine == nil || !machine.Heard || machine.Addr == "" || machine.Deleting || machine.Doubtful():
 			delete(c.pendingCommands, node) // due again once it is heard
@@ -55,8 +57,8 @@
 		return nil
 	}
 	// Of a loss not noticed yet, the lost were heard longest ago.
-	slices.SortFunc(due, func(x, y *Node) int {
-		return c.machines.Machines[y.name].Seen.Compare(c.machines.Machines[x.name].Seen)
+	slices.SortFunc(due, func(x, y *capacity.Node) int {
+		return c.machines.Machines[y.Name].Seen.Compare(c.machines.Machines[x.Name].Seen)
 	})
 	var out []commandBatch
 	for _, node := range due {
@@ -64,10 +66,10 @@
 			break
 		}
 		delete(c.pendingCommands, node)
-		name := node.name
+		name := node.Name
 		machine := c.machines.Machines[name]
 		batch := commandBatch{machine: name, address: machine.Addr, incarnation: machine.Session, fencingToken: c.generation}
-		for assignment := range node.assignments {
+		for assignment := range node.Assignments {
 			if assignment.Incarnation != machine.Session {
 				continue
 			}
@@ -101,7 +103,7 @@
 
 // queueCommand notes that something is to be sent to a place's machine.
 func (c *ClusterState) queueCommand(assignment *workload.Assignment) {
-	if node := c.nodes[assignment.Machine]; node != nil {
+	if node := c.capacity.Node(assignment.Machine); node != nil {
 		c.pendingCommands[node] = true
 	}
 }
@@ -118,7 +120,7 @@
 	if how == worker.NotSent {
 		// Nothing of it can arrive later, so what it would have started is only
 		// marked again.
-		for assignment := range c.assignmentsOn(batch.machine) {
+		for assignment := range c.capacity.AssignmentsOn(batch.machine) {
 			if assignment.StartSent && !assignment.Confirmed && !assignment.OfferedInHeartbeat && assignment.Incarnation == batch.incarnation && assignment.FencingToken == batch.fencingToken && batch.startsTask(assignment.Task().String(), assignment.Attempt) {
 				assignment.StartSent = false
 				if assignment.Stopping {
--- a/internal/claim/drain.go
+++ b/internal/claim/drain.go
@@ -4,6 +4,8 @@
 	"slices"
 	"time"
 
+	"github.com/pebbletrail/pebbletrail/internal/capacity"
+
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 	"github.com/pebbletrail/pebbletrail/internal/placement"
 	"github.com/pebbletrail/pebbletrail/internal/record"
@@ -33,7 +35,7 @@
 		if !taken && c.drains != nil {
 			continue // emptied within the budgets
 		}
-		for assignment := range c.assignmentsOn(name) {
+		for assignment := range c.capacity.AssignmentsOn(name) {
 			if assignment.Stopping {
 				continue
 			}
@@ -67,21 +69,21 @@
 	if now.Sub(c.relocatedAt) < 1500*time.Millisecond || !c.StoreAvailable() {
 		return
 	}
-	for assignment := range c.assignmentsOn(machine.Name) {
+	for assignment := range c.capacity.AssignmentsOn(machine.Name) {
 		if assignment.Job.Record.Spec.Shape != record.Service || assignment.Stopping || assignment.Status != worker.Running || now.Sub(assignment.RunningSince) < minRelocatableAge {
 			continue
 		}
 		request := assignment.Job.Record.Spec.Ask()
-		var best *Node
+		var best *capacity.Node
 		bestScore := 0.0
-		for node := range c.byImage[request.Image] {
-			t, ok := c.usableMachine(node, now)
-			if !ok || node.name == machine.Name || t.Zone != machine.Zone || t.Going || node.class.offer.Accels > 0 || !t.Images.Has(request.Image) ||
-				!node.freeCapacity().Holds(request.Need) || !request.Allows(t.Type, t.Zone, t.Spot) {
+		for node := range c.capacity.WithImage(request.Image) {
+			t, ok := c.capacity.UsableMachine(node, now, c.settings.Params.Workers.ReportS)
+			if !ok || node.Name == machine.Name || t.Zone != machine.Zone || t.Going || node.Class.Offer.Accels > 0 || !t.Images.Has(request.Image) ||
+				!node.Free().Holds(request.Need) || !request.Allows(t.Type, t.Zone, t.Spot) {
 				continue
 			}
 			pm := c.placementView(node, t, assignment.Job, nil, now)
-			if s := placement.Score(&pm, &request); best == nil || s < bestScore || s == bestScore && node.name < best.name {
+			if s := placement.Score(&pm, &request); best == nil || s < bestScore || s == bestScore && node.Name < best.Name {
 				best, bestScore = node, s
 			}
 		}
@@ -92,7 +94,7 @@
 		if !c.mayRelocate(assignment, now) {
 			return
 		}
-		c.reservations[best.name] = reservation{job: assignment.Job.Record.Spec.ID, need: request.Need, madeAt: now, until: now.Add(relocationReservationTime)}
+		c.reservations[best.Name] = reservation{job: assignment.Job.Record.Spec.ID, need: request.Need, madeAt: now, until: now.Add(relocationReservationTime)}
 		if c.drains == nil {
 			c.stopAssignment(assignment, assignment.CheckpointGrace(), relocationReason(machine.Name))
 		} else {
--- a/internal/claim/drain_view.go
+++ b/internal/claim/drain_view.go
@@ -41,8 +41,8 @@
 		return gone
 	}
 	seen := rollout.Machine{Kind: rollout.Kind{Type: machine.Type, Zone: machine.Zone, Spot: machine.Spot}, Known: true, Up: machine.Heard && !machine.Doubtful(),
-		Failed: cluster.failureReason(machine, v.now), Reclaimed: !machine.TakenAt.IsZero(), Tasks: len(cluster.assignmentsOn(name)), Rented: machine.HeldSince}
-	for assignment := range cluster.assignmentsOn(name) {
+		Failed: cluster.failureReason(machine, v.now), Reclaimed: !machine.TakenAt.IsZero(), Tasks: len(cluster.capacity.AssignmentsOn(name)), Rented: machine.HeldSince}
+	for assignment := range cluster.capacity.AssignmentsOn(name) {
 		seen.Evicting = seen.Evicting || assignment.Evicting
 	}
 	if cluster.drains != nil {
@@ -126,7 +126,7 @@
 	cluster := v.cluster
 	cluster.mu.Lock()
 	defer cluster.mu.Unlock()
-	if machineType := cluster.types[kind.Type]; machineType != nil {
+	if machineType := cluster.capacity.Type(kind.Type); machineType != nil {
 		return cluster.bootTime(machineType)
 	}
 	return 0
--- a/internal/claim/emptying.go
+++ b/internal/claim/emptying.go
@@ -7,6 +7,8 @@
 	"slices"
 	"time"
 
+	"github.com/pebbletrail/pebbletrail/internal/capacity"
+
 	"github.com/pebbletrail/pebbletrail/internal/budget"
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 	"github.com/pebbletrail/pebbletrail/internal/measure"
@@ -148,7 +150,7 @@
 // sortedAssignmentsOn lists what is or may be on a machine, in the order of the tasks' names.
 func (c *ClusterState) sortedAssignmentsOn(name ids.Machine) []*workload.Assignment {
 	var places []*workload.Assignment
-	for assignment := range c.assignmentsOn(name) {
+	for assignment := range c.capacity.AssignmentsOn(name) {
 		places = append(places, assignment)
 	}
 	slices.SortFunc(places, func(x, y *workload.Assignment) int {
@@ -216,7 +218,7 @@
 			whys = append(whys, fmt.Sprintf("%s has no room elsewhere yet", assignment.Task()))
 			continue
 		}
-		reserved[node.name] = reservation{job: unit.job.Record.Spec.ID, need: unit.job.Record.Spec.Need, madeAt: now, until: now.Add(evictionReservationTime)}
+		reserved[node.Name] = reservation{job: unit.job.Record.Spec.ID, need: unit.job.Record.Spec.Need, madeAt: now, until: now.Add(evictionReservationTime)}
 	}
 	return whys
 }
@@ -236,7 +238,7 @@
 // given up, on a machine of a type that holds it.
 func (c *ClusterState) canStartSomewhere(spec *record.Spec, zones *zoneSpread) bool {
 	request := spec.Ask()
-	for _, machineType := range c.types {
+	for _, machineType := range c.capacity.Types() {
 		for _, zone := range machineType.Zones {
 			if _, closed := c.drains.orders.ClosedZones[zone]; closed || zones.allowed(zone, 1) == 0 || !machineType.Room().Holds(request.Need) {
 				continue
@@ -274,7 +276,7 @@
 // Rentals count no such machine as room for it, so that another would be rented at each look.
 func (c *ClusterState) acceleratedMachineBooting(request *placement.Ask) bool {
 	for _, machine := range c.machines.Machines {
-		machineType := c.types[machine.Type]
+		machineType := c.capacity.Type(machine.Type)
 		if machine.Booting && !machine.Heard && machineType != nil && machineType.Accels > 0 && request.Need.Accels == 0 && machineType.Room().Holds(request.Need) && request.Allows(machine.Type, machine.Zone, machine.Spot) {
 			return true
 		}
@@ -284,7 +286,7 @@
 
 // findRoom finds a machine with room for one more task of a job; nil if there is none. Work without
 // accelerators takes a machine with some only where nothing else has room.
-func (c *ClusterState) findRoom(job *workload.Job, zones *zoneSpread, reserved map[ids.Machine]reservation, now time.Time) *Node {
+func (c *ClusterState) findRoom(job *workload.Job, zones *zoneSpread, reserved map[ids.Machine]reservation, now time.Time) *capacity.Node {
 	if node := c.findRoomAmong(job, zones, reserved, now, false); node != nil {
 		return node
 	}
@@ -292,25 +294,25 @@
 }
 
 // findRoomAmong finds room on machines with accelerators, or on those without.
-func (c *ClusterState) findRoomAmong(job *workload.Job, zones *zoneSpread, reserved map[ids.Machine]reservation, now time.Time, accelerators bool) *Node {
+func (c *ClusterState) findRoomAmong(job *workload.Job, zones *zoneSpread, reserved map[ids.Machine]reservation, now time.Time, accelerators bool) *capacity.Node {
 	request := job.Record.Spec.Ask()
-	var best *Node
+	var best *capacity.Node
 	bestScore := 0.0
-	for _, class := range c.classOrder {
-		if !request.Allows(class.machineType, class.zone, class.spot) || class.offer.Accels > 0 != accelerators || zones.allowed(class.zone, 1) == 0 {
+	for _, class := range c.capacity.Classes() {
+		if !request.Allows(class.Type, class.Zone, class.Spot) || class.Offer.Accels > 0 != accelerators || zones.allowed(class.Zone, 1) == 0 {
 			continue
 		}
-		for _, node := range class.withRoom {
-			machine, ok := c.usableMachine(node, now)
-			_, taken := reserved[node.name]
-			if held, is := c.reservations[node.name]; is && held.until.After(now) {
+		for _, node := range class.Open {
+			machine, ok := c.capacity.UsableMachine(node, now, c.settings.Params.Workers.ReportS)
+			_, taken := reserved[node.Name]
+			if held, is := c.reservations[node.Name]; is && held.until.After(now) {
 				taken = true
 			}
-			if !ok || taken || machine.Going || !node.freeCapacity().Holds(request.Need) {
+			if !ok || taken || machine.Going || !node.Free().Holds(request.Need) {
 				continue
 			}
 			view := c.placementView(node, machine, job, nil, now)
-			if score := placement.Score(&view, &request); best == nil || score < bestScore || score == bestScore && node.name < best.name {
+			if score := placement.Score(&view, &request); best == nil || score < bestScore || score == bestScore && node.Name < best.Name {
 				best, bestScore = node, score
 			}
 		}
--- a/internal/claim/evictions_test.go
+++ b/internal/claim/evictions_test.go
@@ -45,7 +45,7 @@
 func hear(cluster *ClusterState, name ids.Machine, token ids.Generation, now time.Time) {
 	machine := cluster.machines.Ensure(name, now, now)
 	machine.Heard, machine.Type, machine.Zone, machine.Session, machine.Seen, machine.HeartbeatAt, machine.Token = true, "small", "north", 1, now, now, token
-	cluster.reindex(cluster.ensureNode(name))
+	cluster.capacity.Reindex(cluster.capacity.Ensure(name))
 }
 
 // drainOrders empty the machines named.
@@ -135,8 +135,8 @@
 				from = assignment
 			}
 		}
-		for _, node := range cluster.nodes {
-			cluster.imageArrived(node, cluster.machines.Machines[node.name], from.Job.Record.Spec.Image, 1, 100)
+		for _, node := range cluster.capacity.Nodes() {
+			cluster.capacity.ImageArrived(node, cluster.machines.Machines[node.Name], from.Job.Record.Spec.Image, 1, 100)
 		}
 		cluster.relocateReplica(cluster.machines.Machines[from.Machine], now)
 		if n := cluster.jobs["job-1"].Record.Evicted(); n != c.moved || stopping(cluster) != 0 {
@@ -207,12 +207,12 @@
 	cluster.SetMachineTypes(append(testTypes(), placement.Type{Label: "dear", Cores: 8, Accels: 2, RAM: 64, Zones: []string{"north"}}))
 	job := cluster.jobs["job-1"]
 	if node := cluster.findRoom(job, nil, nil, now); node != nil {
-		t.Fatalf("room on %s, which is full", node.name)
+		t.Fatalf("room on %s, which is full", node.Name)
 	}
 	hear(cluster, "m9", 1, now)
 	cluster.machines.Machines["m9"].Type = "dear"
-	cluster.reindex(cluster.ensureNode("m9"))
-	if node := cluster.findRoom(job, nil, nil, now); node == nil || node.name != "m9" {
+	cluster.capacity.Reindex(cluster.capacity.Ensure("m9"))
+	if node := cluster.findRoom(job, nil, nil, now); node == nil || node.Name != "m9" {
 		t.Errorf("room on %v", node)
 	}
 }
--- a/internal/claim/fairness_test.go
+++ b/internal/claim/fairness_test.go
@@ -165,7 +165,7 @@
 func (c *ClusterState) serve(tick ids.Tick, runs time.Duration, ended map[workload.TaskAttempt]bool) {
 	for name := range c.machines.Machines {
 		var ps []worker.Piece
-		for assignment := range c.assignmentsOn(name) {
+		for assignment := range c.capacity.AssignmentsOn(name) {
 			pc := worker.Piece{Task: assignment.Task().String(), Attempt: assignment.Attempt, Status: worker.Running}
 			if assignment.Stopping {
 				pc.Status, pc.Cause = worker.Ended, worker.CauseStopped
--- a/internal/claim/fleet_test.go
+++ b/internal/claim/fleet_test.go
@@ -84,8 +84,8 @@
 			cluster.mu.Lock()
 			defer cluster.mu.Unlock()
 			seen, sent := 0, 0
-			for name, node := range cluster.nodes {
-				for assignment := range node.assignments {
+			for name, node := range cluster.capacity.Nodes() {
+				for assignment := range node.Assignments {
 					if assignment.Confirmed {
 						seen++
 					} else if assignment.StartSent && strings.HasPrefix(string(name), "lost") {
--- a/internal/claim/gang.go
+++ b/internal/claim/gang.go
@@ -1,6 +1,7 @@
 package claim
 
 import (
+	"github.com/pebbletrail/pebbletrail/internal/capacity"
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 	"github.com/pebbletrail/pebbletrail/internal/placement"
 	"github.com/pebbletrail/pebbletrail/internal/record"
@@ -59,7 +60,7 @@
 	if spec.OneZone && fresh && spec.Zone == "" {
 		zones = c.settings.Params.Zones // all tasks go to one: the cheapest
 	}
-	var best []*Node
+	var best []*capacity.Node
 	bestCost := 0.0
 	for _, zone := range zones {
 		if nodes, cost := search.findTogether(zone, missing); nodes != nil && (best == nil || cost < bestCost) {
@@ -87,7 +88,7 @@
 
 // findTogether finds room for n tasks at once, in one zone if it names one; nil if
 // there is not enough.
-func (s *candidateSearch) findTogether(zone string, n int) (nodes []*Node, cost float64) {
+func (s *candidateSearch) findTogether(zone string, n int) (nodes []*capacity.Node, cost float64) {
 	avoid := map[ids.Machine]bool{}
 	for _, retry := range s.job.Retries {
 		for m := range retry.Avoid {
@@ -100,10 +101,10 @@
 			if len(nodes) == n {
 				return nodes, cost
 			}
-			if avoid[found.node.name] != last || zone != "" && found.machine.Zone != zone || found.node.class == nil {
+			if avoid[found.node.Name] != last || zone != "" && found.machine.Zone != zone || found.node.Class == nil {
 				continue
 			}
-			k := min(found.node.freeCapacity().Count(s.request.Need, n-len(nodes)), s.zones.allowed(found.machine.Zone, n)-here[found.machine.Zone])
+			k := min(found.node.Free().Count(s.request.Need, n-len(nodes)), s.zones.allowed(found.machine.Zone, n)-here[found.machine.Zone])
 			for range max(k, 0) {
 				nodes = append(nodes, found.node)
 				cost += found.score
--- a/internal/claim/hints.go
+++ b/internal/claim/hints.go
@@ -102,7 +102,7 @@
 				machine.Booting, machine.HeldSince = true, h.since
 			}
 			for _, n := range h.Images.Names {
-				c.nodesWithImage(n)[c.ensureNode(h.Name)] = true
+				c.capacity.AddImage(c.capacity.Ensure(h.Name), n)
 			}
 		}
 	}
--- a/internal/claim/inheritance_test.go
+++ b/internal/claim/inheritance_test.go
@@ -107,12 +107,12 @@
 			for range 10 {
 				cluster.Plan(now)
 				cluster.store()
-				for assignment := range cluster.assignmentsOn("m1") {
+				for assignment := range cluster.capacity.AssignmentsOn("m1") {
 					if assignment.Stopping {
 						cluster.removeAssignment(assignment)
 					}
 				}
-				for assignment := range cluster.assignmentsOn("m2") {
+				for assignment := range cluster.capacity.AssignmentsOn("m2") {
 					if assignment.Stopping {
 						cluster.removeAssignment(assignment)
 					}
--- a/internal/claim/lapses.go
+++ b/internal/claim/lapses.go
@@ -43,15 +43,15 @@
 	}
 	c.leasesCheckedAt = now
 	c.machineCount.Store(int64(len(c.machines.Machines)))
-	for name, node := range c.nodes {
-		if len(node.assignments) == 0 {
+	for name, node := range c.capacity.Nodes() {
+		if len(node.Assignments) == 0 {
 			continue
 		}
 		machine := c.machines.Ensure(name, now, c.trustSilence)
 		if now.Before(machine.LapseAt) {
 			continue
 		}
-		for assignment := range node.assignments {
+		for assignment := range node.Assignments {
 			// A start sent after the last answer belongs to the same lapsed
 			// session, which turns it away from here on.
 			c.markLost(assignment, "silent until its worker's lease had surely lapsed")
@@ -71,7 +71,7 @@
 			c.drains.lostReplacements[name] = machine.ReturnWhy
 		}
 	}
-	for assignment := range c.assignmentsOn(name) {
+	for assignment := range c.capacity.AssignmentsOn(name) {
 		c.markLost(assignment, why)
 	}
 	c.removeMachine(name)
--- a/internal/claim/listed.go
+++ b/internal/claim/listed.go
@@ -98,16 +98,16 @@
 	var out []ConsolidationCandidate
 	worth := map[ids.Machine]float64{}
 next:
-	for name, node := range c.nodes {
-		if len(node.assignments) == 0 {
+	for name, node := range c.capacity.Nodes() {
+		if len(node.Assignments) == 0 {
 			continue
 		}
-		ps := node.assignments
+		ps := node.Assignments
 		machine := c.machines.Machines[name]
-		if machine == nil || c.types[machine.Type] == nil || !machine.Usable(now, c.settings.Params.Workers.ReportS) || now.Sub(machine.HeldSince) < time.Minute || machine.Going {
+		if machine == nil || c.capacity.Type(machine.Type) == nil || !machine.Usable(now, c.settings.Params.Workers.ReportS) || now.Sub(machine.HeldSince) < time.Minute || machine.Going {
 			continue
 		}
-		machineType := c.types[machine.Type]
+		machineType := c.capacity.Type(machine.Type)
 		e := ConsolidationCandidate{Name: name}
 		for assignment := range ps {
 			if assignment.Job.Record.Spec.Shape != record.Service || assignment.Stopping || assignment.Status != worker.Running || now.Sub(assignment.RunningSince) < minRelocatableAge || assignment.Job.Record.Spec.Need.Accels > 0 {
@@ -117,7 +117,7 @@
 			request.Zone = machine.Zone
 			e.Needs = append(e.Needs, placement.Demand{Ask: request, Count: 1, Keep: true})
 		}
-		worth[name] = c.allocatedOn(name).Cores / machineType.PriceOf(machine.Spot)
+		worth[name] = c.capacity.AllocatedOn(name).Cores / machineType.PriceOf(machine.Spot)
 		out = append(out, e)
 	}
 	sort.Slice(out, func(x, y int) bool {
--- a/internal/claim/needs.go
+++ b/internal/claim/needs.go
@@ -78,7 +78,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	defer measure.Process.Took("weighing the fleet", time.Now())
-	for _, machineType := range c.types {
+	for _, machineType := range c.capacity.Types() {
 		types = append(types, machineType)
 	}
 	sort.Slice(types, func(x, y int) bool { return types[x].Label < types[y].Label })
@@ -88,7 +88,7 @@
 	}
 	late := c.replacedBoots(now)
 	for _, machine := range c.machines.Sorted() {
-		machineType := c.types[machine.Type]
+		machineType := c.capacity.Type(machine.Type)
 		if machineType == nil || machine.Failed || machine.Deleting || machine.Draining != "" || !machine.TakenAt.IsZero() {
 			continue
 		}
@@ -96,8 +96,8 @@
 			continue
 		}
 		u := placement.Up{Name: machine.Name, Type: machineType, Zone: machine.Zone, Spot: machine.Spot, Coming: !machine.Heard, Late: late[machine.Name], Free: machineType.Room(), Idle: machine.Heard}
-		if node := c.nodes[machine.Name]; node != nil {
-			u.Free, u.Turn, u.Idle = u.Free.Minus(node.used), node.reclaimable, machine.Heard && len(node.assignments) == 0
+		if node := c.capacity.Node(machine.Name); node != nil {
+			u.Free, u.Turn, u.Idle = u.Free.Minus(node.Used), node.Reclaimable, machine.Heard && len(node.Assignments) == 0
 		}
 		ups = append(ups, u)
 	}
@@ -135,7 +135,7 @@
 // imageFetchSeconds is how long a task's image takes where it fits best.
 func (c *ClusterState) imageFetchSeconds(spec *record.Spec) float64 {
 	best := 0.0
-	for _, machineType := range c.types {
+	for _, machineType := range c.capacity.Types() {
 		if machineType.Room().Holds(spec.Need) && (best == 0 || spec.ImageGB/max(machineType.PullGBPerS, 0.01) < best) {
 			best = spec.ImageGB / max(machineType.PullGBPerS, 0.01)
 		}
@@ -146,7 +146,7 @@
 // provisionSeconds is how long a new machine for such tasks takes to be up with the image.
 func (c *ClusterState) provisionSeconds(spec *record.Spec) float64 {
 	best := math.Inf(1)
-	for _, machineType := range c.types {
+	for _, machineType := range c.capacity.Types() {
 		if machineType.Room().Holds(spec.Need) {
 			best = min(best, c.bootTime(machineType).Seconds()+spec.ImageGB/max(machineType.PullGBPerS, 0.01))
 		}
@@ -306,12 +306,12 @@
 func (c *ClusterState) affordableHeadroom(usage *classUsage) int {
 	fleet := 0.0
 	for _, machine := range c.machines.Machines {
-		if machineType := c.types[machine.Type]; machineType != nil {
+		if machineType := c.capacity.Type(machine.Type); machineType != nil {
 			fleet += machineType.PriceOf(machine.Spot)
 		}
 	}
 	each := math.Inf(1)
-	for _, machineType := range c.types {
+	for _, machineType := range c.capacity.Types() {
 		if n := machineType.Room().Count(usage.request.Need, 1000); n > 0 && (usage.request.Types == nil || usage.request.Allows(machineType.Label, usage.request.Zone, false)) {
 			each = min(each, machineType.Price/float64(n))
 		}
@@ -339,7 +339,7 @@
 // up with its image.
 func (c *ClusterState) startsBeforeProvisioning(class string, usage *classUsage) bool {
 	slowest := math.Inf(1)
-	for _, machineType := range c.types {
+	for _, machineType := range c.capacity.Types() {
 		if machineType.Room().Holds(usage.request.Need) && (usage.request.Types == nil || usage.request.Allows(machineType.Label, usage.request.Zone, false)) {
 			slowest = min(slowest, float64(machineType.BootS)+usage.request.ImageGB/max(machineType.PullGBPerS, 0.01))
 		}
--- a/internal/claim/places.go
+++ b/internal/claim/places.go
@@ -12,7 +12,7 @@
 	if assignment.Job.Record.Finished.Has(assignment.TaskIndex) {
 		assignment.Job.FinishedMayBeAssigned = true
 	}
-	c.allocate(c.ensureNode(assignment.Machine), assignment)
+	c.capacity.Allocate(c.capacity.Ensure(assignment.Machine), assignment)
 	c.quota.Use(assignment.Job.Record.Spec.Team, assignment.Job.Record.Spec.Need)
 }
 
@@ -23,9 +23,9 @@
 	if len(assignment.Job.Assignments) == 0 {
 		assignment.Job.UnassignedSince = time.Now()
 	}
-	if node := c.nodes[assignment.Machine]; node != nil {
-		c.release(node, assignment)
-		if machine := c.machines.Machines[assignment.Machine]; machine != nil && len(node.assignments) == 0 {
+	if node := c.capacity.Node(assignment.Machine); node != nil {
+		c.capacity.Release(node, assignment)
+		if machine := c.machines.Machines[assignment.Machine]; machine != nil && len(node.Assignments) == 0 {
 			machine.IdleSince = time.Now()
 		}
 	}
--- a/internal/claim/preempt.go
+++ b/internal/claim/preempt.go
@@ -6,6 +6,8 @@
 	"sort"
 	"time"
 
+	"github.com/pebbletrail/pebbletrail/internal/capacity"
+
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 	"github.com/pebbletrail/pebbletrail/internal/placement"
 	"github.com/pebbletrail/pebbletrail/internal/record"
@@ -42,36 +44,36 @@
 // preemptionNodes lists the machines on which a job may stop something, or where
 // something is being stopped; if an image is named, only those that hold it. Jobs alike
 // share the list within a pass.
-func (c *ClusterState) preemptionNodes(job *workload.Job, request *placement.Ask, image string, pass *planningPass) []*Node {
+func (c *ClusterState) preemptionNodes(job *workload.Job, request *placement.Ask, image string, pass *planningPass) []*capacity.Node {
 	k := victimKeyOf(job, request)
 	k.image = image
 	if nodes, ok := pass.preemptible[k]; ok {
 		return nodes
 	}
 	if image != "" {
-		nodes := slices.DeleteFunc(slices.Clone(c.preemptionNodes(job, request, "", pass)), func(node *Node) bool { return !node.hasImage(c, image) })
+		nodes := slices.DeleteFunc(slices.Clone(c.preemptionNodes(job, request, "", pass)), func(node *capacity.Node) bool { return !c.capacity.HoldsImage(node, image) })
 		pass.preemptible[k] = nodes
 		return nodes
 	}
-	on := map[*Node]bool{}
+	on := map[*capacity.Node]bool{}
 	for _, other := range c.queue {
 		if len(other.Assignments) == 0 || !c.mayPreemptJob(other, job) {
 			continue
 		}
 		for _, assignment := range other.Assignments {
-			on[c.nodes[assignment.Machine]] = true
+			on[c.capacity.Node(assignment.Machine)] = true
 		}
 	}
-	nodes := make([]*Node, 0, len(on))
+	nodes := make([]*capacity.Node, 0, len(on))
 	for node := range on {
-		machine := c.machines.Machines[node.name]
-		machineType := c.types[machine.Type]
+		machine := c.machines.Machines[node.Name]
+		machineType := c.capacity.Type(machine.Type)
 		if machineType == nil || !machine.Usable(pass.now, c.settings.Params.Workers.ReportS) || !request.Allows(machine.Type, machine.Zone, machine.Spot) {
 			continue
 		}
 		nodes = append(nodes, node)
 	}
-	slices.SortFunc(nodes, func(x, y *Node) int { return cmpString(string(x.name), string(y.name)) })
+	slices.SortFunc(nodes, func(x, y *capacity.Node) int { return cmpString(string(x.Name), string(y.Name)) })
 	pass.preemptible[k] = nodes
 	return nodes
 }
@@ -97,12 +99,12 @@
 		if reservation.job != job.Record.Spec.ID || pass.now.Sub(reservation.madeAt) >= time.Second {
 			continue
 		}
-		if node := c.nodes[name]; node != nil && node.hasImage(c, request.Image) && (node.class == nil || !node.freeCapacity().Holds(request.Need)) {
+		if node := c.capacity.Node(name); node != nil && c.capacity.HoldsImage(node, request.Image) && (node.Class == nil || !node.Free().Holds(request.Need)) {
 			return string(name) // not free yet
 		}
 		return ""
 	}
-	if len(c.byImage[request.Image]) == 0 {
+	if len(c.capacity.WithImage(request.Image)) == 0 {
 		return ""
 	}
 	// Only lesser work: to swap one replica for another, as a guarantee would allow, gains
@@ -134,12 +136,12 @@
 func (c *ClusterState) canPreemptWithoutAccelerators(job *workload.Job, request *placement.Ask, pass *planningPass) bool {
 	zones := c.zoneSpreadOf(job)
 	for _, node := range c.preemptionNodes(job, request, "", pass) {
-		machine := c.machines.Machines[node.name]
-		machineType := c.types[machine.Type]
+		machine := c.machines.Machines[node.Name]
+		machineType := c.capacity.Type(machine.Type)
 		if machineType.Accels > 0 || !machineType.Room().Holds(request.Need) || zones.allowed(machine.Zone, 1) == 0 {
 			continue
 		}
-		if _, _, ok := c.victimsOn(job, node, machineType.Room().Minus(node.used), request, pass.now); ok {
+		if _, _, ok := c.victimsOn(job, node, machineType.Room().Minus(node.Used), request, pass.now); ok {
 			return true
 		}
 	}
@@ -168,7 +170,7 @@
 	if held >= max(1, job.Unfinished()-len(job.Assignments)) {
 		return false, "", false
 	}
-	var best *Node
+	var best *capacity.Node
 	var bestVictims []*workload.Assignment
 	bestLoss := 0.0
 	barren = true
@@ -179,22 +181,22 @@
 	}
 	for i := 0; i < len(hosts) && candidates < maxPreemptionCandidates; i++ {
 		node := hosts[(first+i)%len(hosts)]
-		if _, ok := c.reservations[node.name]; ok {
+		if _, ok := c.reservations[node.Name]; ok {
 			continue
 		}
-		machine := c.machines.Machines[node.name]
-		machineType := c.types[machine.Type]
+		machine := c.machines.Machines[node.Name]
+		machineType := c.capacity.Type(machine.Type)
 		if !machineType.Room().Holds(request.Need) {
 			continue
 		}
 		pass.machinesExamined++
-		free := machineType.Room().Minus(node.used)
+		free := machineType.Room().Minus(node.Used)
 		victims, loss, ok := c.victimsOn(job, node, free, request, now)
 		if !ok {
 			continue
 		}
 		barren = false
-		pm := placement.Machine{Name: node.name, Type: machineType, Zone: machine.Zone, Spot: machine.Spot, Free: free, Holds: machine.Images.Has(request.Image)}
+		pm := placement.Machine{Name: node.Name, Type: machineType, Zone: machine.Zone, Spot: machine.Spot, Free: free, Holds: machine.Images.Has(request.Image)}
 		if zones.allowed(machine.Zone, 1) == 0 || !filter.accepts(victims) {
 			continue
 		}
@@ -202,7 +204,7 @@
 		if request.Long && machineType.Accels > request.Need.Accels {
 			loss += 1e6 // it would hold the dear machine for good
 		}
-		if !pm.Holds && node.imagePulls[request.Image] == nil {
+		if !pm.Holds && node.ImagePulls[request.Image] == nil {
 			loss += request.ImageGB / max(machineType.PullGBPerS, 0.01)
 		}
 		if best == nil || loss < bestLoss {
@@ -221,18 +223,18 @@
 		c.stopAssignment(victim, victimGrace, fmt.Sprintf("to make room for %s (%s)", job.Record.Spec.ID, job.EffectivePriority()))
 		grace = max(grace, victim.StopGrace)
 	}
-	c.reservations[best.name] = reservation{job: job.Record.Spec.ID, need: request.Need, madeAt: now, until: now.Add((grace + 10).Duration())}
-	return true, string(best.name), false
+	c.reservations[best.Name] = reservation{job: job.Record.Spec.ID, need: request.Need, madeAt: now, until: now.Add((grace + 10).Duration())}
+	return true, string(best.Name), false
 }
 
 // victimsOn picks whom to stop on a machine so that the ask fits.
-func (c *ClusterState) victimsOn(job *workload.Job, node *Node, free placement.Room, request *placement.Ask, now time.Time) ([]*workload.Assignment, float64, bool) {
+func (c *ClusterState) victimsOn(job *workload.Job, node *capacity.Node, free placement.Room, request *placement.Ask, now time.Time) ([]*workload.Assignment, float64, bool) {
 	type cand struct {
 		p    *workload.Assignment
 		loss float64
 	}
 	var candidates []cand
-	for assignment := range node.assignments {
+	for assignment := range node.Assignments {
 		if assignment.Stopping {
 			free = free.Plus(assignment.Job.Record.Spec.Need)
 			continue
--- a/internal/claim/probe.go
+++ b/internal/claim/probe.go
@@ -140,8 +140,8 @@
 
 // hasReplicas tells whether replicas run on a machine.
 func (c *ClusterState) hasReplicas(machine *worker.Machine) bool {
-	node := c.nodes[machine.Name]
-	return node != nil && node.replicas > 0
+	node := c.capacity.Node(machine.Name)
+	return node != nil && node.Replicas > 0
 }
 
 // probeAfter is the silence after which a machine is asked how it is. Where
@@ -161,7 +161,7 @@
 func (c *ClusterState) recordReachability(machine *worker.Machine, answered bool) {
 	doubted := machine.Doubtful()
 	machine.Reached(answered, time.Now())
-	node := c.nodes[machine.Name]
+	node := c.capacity.Node(machine.Name)
 	if node == nil {
 		return
 	}
@@ -171,7 +171,7 @@
 		}
 		return
 	}
-	for assignment := range node.assignments {
+	for assignment := range node.Assignments {
 		if !assignment.StartSent && !assignment.Stopping {
 			c.removeAssignment(assignment)
 			c.markChanged(assignment.Job)
--- a/internal/claim/ranking.go
+++ b/internal/claim/ranking.go
@@ -105,9 +105,9 @@
 func (c *ClusterState) fitsWhereCached(job *workload.Job) bool {
 	spec := &job.Record.Spec
 	n := spec.Tasks - len(job.Assignments)
-	for node := range c.byImage[spec.Image] {
-		if node.class != nil && node.hasImage(c, spec.Image) {
-			n -= node.freeCapacity().Count(spec.Need, n)
+	for node := range c.capacity.WithImage(spec.Image) {
+		if node.Class != nil && c.capacity.HoldsImage(node, spec.Image) {
+			n -= node.Free().Count(spec.Need, n)
 		}
 		if n <= 0 {
 			return true
--- a/internal/claim/reservations.go
+++ b/internal/claim/reservations.go
@@ -4,9 +4,10 @@
 	"slices"
 	"time"
 
+	"github.com/pebbletrail/pebbletrail/internal/capacity"
+
 	"github.com/pebbletrail/pebbletrail/internal/placement"
 	"github.com/pebbletrail/pebbletrail/internal/record"
-	"github.com/pebbletrail/pebbletrail/internal/worker"
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
@@ -48,38 +49,38 @@
 			held++
 		}
 	}
-	if held+n > max(2*n, len(c.nodes)/reservedFleetFraction) {
+	if held+n > max(2*n, len(c.capacity.Nodes())/reservedFleetFraction) {
 		return false
 	}
 	type candidate struct {
-		h     *Node
+		h     *capacity.Node
 		zone  string
 		after time.Duration
 	}
 	var candidates []candidate
-	for _, node := range c.nodes {
-		machine := c.machines.Machines[node.name]
+	for _, node := range c.capacity.Nodes() {
+		machine := c.machines.Machines[node.Name]
 		if machine == nil {
 			continue
 		}
-		if reservation, ok := c.reservations[node.name]; ok && reservation.until.After(now) {
+		if reservation, ok := c.reservations[node.Name]; ok && reservation.until.After(now) {
 			if reservation.job == job.Record.Spec.ID {
 				return true
 			}
 			continue
 		}
-		machineType := c.types[machine.Type]
+		machineType := c.capacity.Type(machine.Type)
 		if machineType == nil || machine.Going || !machine.Usable(now, c.settings.Params.Workers.ReportS) || !request.Allows(machine.Type, machine.Zone, machine.Spot) ||
-			request.Need.Accels == 0 && machineType.Accels > 0 || !machineType.Room().Minus(node.used).Plus(node.reclaimable).Holds(request.Need) {
+			request.Need.Accels == 0 && machineType.Accels > 0 || !machineType.Room().Minus(node.Used).Plus(node.Reclaimable).Holds(request.Need) {
 			continue
 		}
-		candidates = append(candidates, candidate{node, machine.Zone, node.timeUntilFree(now)})
+		candidates = append(candidates, candidate{node, machine.Zone, node.TimeUntilFree(now)})
 	}
 	slices.SortFunc(candidates, func(x, y candidate) int {
 		if x.after != y.after {
 			return int(x.after - y.after)
 		}
-		return cmpString(string(x.h.name), string(y.h.name))
+		return cmpString(string(x.h.Name), string(y.h.Name))
 	})
 	if job.Record.Spec.OneZone && n > 1 {
 		// All in the zone that is soonest complete.
@@ -99,9 +100,9 @@
 		until = now.Add(2 * reservationTime) // what runs there runs long
 	}
 	for _, found := range candidates[:n] {
-		c.reservations[found.h.name] = reservation{job: job.Record.Spec.ID, need: request.Need, madeAt: now, until: until, untilReleased: true}
+		c.reservations[found.h.Name] = reservation{job: job.Record.Spec.ID, need: request.Need, madeAt: now, until: until, untilReleased: true}
 	}
-	c.recordEvent(job, "%d machines set aside for it, %s the first", n, candidates[0].h.name)
+	c.recordEvent(job, "%d machines set aside for it, %s the first", n, candidates[0].h.Name)
 	return true
 }
 
@@ -125,20 +126,3 @@
 		kept.ProtectedUntil = until
 	}
 }
-
-// timeUntilFree guesses when everything on a machine that ends by itself has ended.
-func (node *Node) timeUntilFree(now time.Time) time.Duration {
-	longest := time.Duration(0)
-	for assignment := range node.assignments {
-		spec := &assignment.Job.Record.Spec
-		if spec.Shape == record.Service {
-			continue
-		}
-		since := assignment.RunningSince
-		if since.IsZero() || assignment.Status == worker.Pulling {
-			since = now
-		}
-		longest = max(longest, spec.Estimate.Duration()-now.Sub(since), time.Second)
-	}
-	return longest
-}
--- a/internal/claim/returns.go
+++ b/internal/claim/returns.go
@@ -26,7 +26,7 @@
 			machine.NeededAt = now
 		}
 		// Dear machines are not kept by cheap work that could run elsewhere.
-		machineType := c.types[machine.Type]
+		machineType := c.capacity.Type(machine.Type)
 		machine.Going = machine.Name == c.consolidating || machineType != nil && machineType.Accels > 0 && now.Sub(machine.NeededAt).Seconds() > c.settings.Own.IdleReturnS
 		if machine.Going {
 			c.leaving[machine.Name] = true
@@ -49,7 +49,7 @@
 }
 
 func (c *ClusterState) terminationReason(machine *worker.Machine, now time.Time, silentAfter time.Duration, needed map[ids.Machine]bool, liveness *fleetLiveness) string {
-	empty := len(c.assignmentsOn(machine.Name)) == 0
+	empty := len(c.capacity.AssignmentsOn(machine.Name)) == 0
 	order, _ := c.drains.orderFor(machine.Name)
 	kept := needed[machine.Name] || c.keptByRollout(machine.Name)
 	switch {
@@ -99,7 +99,7 @@
 // end, if the cut is older than the takeover: not earlier, since it may be over
 // before.
 func (c *ClusterState) hasRestartableReplica(machine *worker.Machine, liveness *fleetLiveness) bool {
-	for assignment := range c.assignmentsOn(machine.Name) {
+	for assignment := range c.capacity.AssignmentsOn(machine.Name) {
 		if spec := &assignment.Job.Record.Spec; spec.Shape != record.Service || spec.Zone != "" || !assignment.Job.Schedulable() {
 			continue
 		}
@@ -122,7 +122,7 @@
 // off sees many such machines and then returns none.
 func (c *ClusterState) silenceLimit(machine *worker.Machine) time.Duration {
 	d := c.settings.Params.Workers.ReportS.Duration()
-	if node := c.nodes[machine.Name]; node != nil && node.replicas > 0 {
+	if node := c.capacity.Node(machine.Name); node != nil && node.Replicas > 0 {
 		d = min(d, maxReplicaSilence)
 	}
 	return d
--- a/internal/claim/room_sharing.go
+++ b/internal/claim/room_sharing.go
@@ -4,6 +4,8 @@
 	"log/slog"
 	"time"
 
+	"github.com/pebbletrail/pebbletrail/internal/capacity"
+
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
@@ -100,9 +102,9 @@
 	if lack < shortageLong || len(c.machines.Machines) <= part || now.Sub(c.releasedAt) < releaseInterval || !c.StoreAvailable() {
 		return
 	}
-	var least *Node
+	var least *capacity.Node
 	leastLoss := 0.0
-	for name, node := range c.nodes {
+	for name, node := range c.capacity.Nodes() {
 		machine := c.machines.Machines[name]
 		if machine == nil || machine.Draining != "" {
 			if machine != nil && machine.Draining == releasedForOtherShard {
@@ -111,10 +113,10 @@
 			continue
 		}
 		loss := 0.0
-		for assignment := range node.assignments {
+		for assignment := range node.Assignments {
 			loss += assignment.PreemptionCost(now) * float64(1+assignment.Job.EffectivePriority())
 		}
-		if least == nil || loss < leastLoss || loss == leastLoss && name < least.name {
+		if least == nil || loss < leastLoss || loss == leastLoss && name < least.Name {
 			least, leastLoss = node, loss
 		}
 	}
@@ -122,9 +124,9 @@
 		return
 	}
 	c.releasedAt = now
-	c.machines.Machines[least.name].Draining = releasedForOtherShard
-	c.leaving[least.name] = true
-	slog.Info("machine given up", "machine", least.name, "why", releasedForOtherShard)
+	c.machines.Machines[least.Name].Draining = releasedForOtherShard
+	c.leaving[least.Name] = true
+	slog.Info("machine given up", "machine", least.Name, "why", releasedForOtherShard)
 }
 
 // releasedForOtherShard is why such a machine is drained and returned.
--- a/internal/claim/scale_test.go
+++ b/internal/claim/scale_test.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"io"
 	"log/slog"
+	"slices"
 	"testing"
 	"time"
 
@@ -85,13 +86,13 @@
 	}
 	// One machine frees up: only it is worth a look, for the first that wait.
 	if n := cost(func() {
-		for assignment := range cluster.assignmentsOn("host-000007") {
+		for assignment := range cluster.capacity.AssignmentsOn("host-000007") {
 			cluster.removeAssignment(assignment)
 		}
 	}); n > 100 {
 		t.Errorf("a machine freed up, and %d were looked at", n)
 	}
-	if n := len(cluster.assignmentsOn("host-000007")); n != 4 {
+	if n := len(cluster.capacity.AssignmentsOn("host-000007")); n != 4 {
 		t.Errorf("%d tasks placed on the four cores that became free", n)
 	}
 	// Nothing changed: nothing is looked at but the head of the queue.
@@ -119,30 +120,26 @@
 				on[assignment.Machine]++
 			}
 		}
-		for name, node := range cluster.nodes {
-			if len(node.assignments) != on[name] || node.used.Cores != float64(on[name]) {
-				t.Fatalf("%s: %s has %d places and %v in use, the jobs know of %d", when, name, len(node.assignments), node.used, on[name])
+		for name, node := range cluster.capacity.Nodes() {
+			if len(node.Assignments) != on[name] || node.Used.Cores != float64(on[name]) {
+				t.Fatalf("%s: %s has %d places and %v in use, the jobs know of %d", when, name, len(node.Assignments), node.Used, on[name])
 			}
-			open := node.class != nil
+			open := node.Class != nil
 			if machine := cluster.machines.Machines[name]; open != (machine.Heard && on[name] < 4) {
 				t.Fatalf("%s: %s with %d tasks is on a shelf: %v", when, name, on[name], open)
 			}
-			if open && node.class.withRoom[node.position] != node {
-				t.Fatalf("%s: %s is not where its shelf has it", when, name)
+			if open && !slices.Contains(node.Class.Open, node) {
+				t.Fatalf("%s: %s is not listed in its class", when, name)
 			}
 		}
-		for img, hs := range cluster.byImage {
-			for node := range hs {
-				if node.imagePulls[img] == nil && !cluster.machines.Machines[node.name].Images.Has(img) {
-					t.Fatalf("%s: %s neither holds nor fetches %s", when, node.name, img)
-				}
-			}
+		if err := cluster.capacity.CheckConsistency(); err != nil {
+			t.Fatalf("%s: %v", when, err)
 		}
 	}
 	check("placed")
 	for i, name := range []ids.Machine{"host-000001", "host-000002", "host-000003"} {
 		var pieces []worker.Piece
-		for assignment := range cluster.assignmentsOn(name) {
+		for assignment := range cluster.capacity.AssignmentsOn(name) {
 			pieces = append(pieces, worker.Piece{Task: assignment.Task().String(), Attempt: assignment.Attempt, Status: worker.Running})
 		}
 		cluster.hear(name, "north", ids.Tick(i+2), pieces...)
--- a/internal/claim/schedule.go
+++ b/internal/claim/schedule.go
@@ -6,6 +6,8 @@
 	"slices"
 	"time"
 
+	"github.com/pebbletrail/pebbletrail/internal/capacity"
+
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 	"github.com/pebbletrail/pebbletrail/internal/measure"
 	"github.com/pebbletrail/pebbletrail/internal/placement"
@@ -19,7 +21,7 @@
 type planningPass struct {
 	now              time.Time
 	noCapacity       map[placementKey][]placement.Room // needs for which no machine has room
-	preemptible      map[victimKey][]*Node
+	preemptible      map[victimKey][]*capacity.Node
 	noVictims        map[victimKey][]placement.Room // needs for which stopping others frees nothing
 	machinesExamined int                            // machines looked at, for tests and operators
 	demands          map[string]quota.Demand        // by team, of tasks that only the team's allowance holds back
@@ -51,7 +53,7 @@
 }
 
 func newPass(now time.Time) *planningPass {
-	return &planningPass{now: now, noCapacity: map[placementKey][]placement.Room{}, preemptible: map[victimKey][]*Node{}, noVictims: map[victimKey][]placement.Room{}, demands: map[string]quota.Demand{}}
+	return &planningPass{now: now, noCapacity: map[placementKey][]placement.Room{}, preemptible: map[victimKey][]*capacity.Node{}, noVictims: map[victimKey][]placement.Room{}, demands: map[string]quota.Demand{}}
 }
 
 // placementKey is what decides, beside the amount, which machines an ask may use.
@@ -79,7 +81,7 @@
 func (c *ClusterState) Plan(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.closed || len(c.types) == 0 || c.drains.awaitsOrders() {
+	if c.closed || len(c.capacity.Types()) == 0 || c.drains.awaitsOrders() {
 		return
 	}
 	defer measure.Process.Took("planning pass", time.Now())
@@ -156,7 +158,7 @@
 			continue
 		}
 		at := search.pick(retry)
-		if at != nil && job.EffectivePriority() == record.Critical && !at.hasImage(c, spec.Image) {
+		if at != nil && job.EffectivePriority() == record.Critical && !c.capacity.HoldsImage(at, spec.Image) {
 			// A fetch takes longer than stopping lesser work where the image
 			// is.
 			if host := c.preemptWhereCached(job, &request, pass); host != "" {
@@ -181,7 +183,7 @@
 		}
 		job.LastSlice.Attempt, job.LastSlice.LastTask = job.Record.Attempt, i
 		c.assign(job, i, job.Record.Attempt, at, now)
-		search.zones.add(c.machines.Machines[at.name].Zone)
+		search.zones.add(c.machines.Machines[at.Name].Zone)
 		placed++
 	}
 	c.tasksAssigned(job, placed)
@@ -236,12 +238,12 @@
 	return h != nil && h.Schedulable() && (h.EffectivePriority() >= job.EffectivePriority() || h.Starving(now) && job.EffectivePriority() < record.Critical)
 }
 
-func (c *ClusterState) assign(job *workload.Job, i int, a ids.Attempt, node *Node, now time.Time) {
-	machine := c.machines.Machines[node.name]
+func (c *ClusterState) assign(job *workload.Job, i int, a ids.Attempt, node *capacity.Node, now time.Time) {
+	machine := c.machines.Machines[node.Name]
 	if reservation, ok := c.reservations[machine.Name]; ok && reservation.job == job.Record.Spec.ID {
 		delete(c.reservations, machine.Name)
 	}
-	warm := machine.Images.Has(job.Record.Spec.Image) || node.imagePulls[job.Record.Spec.Image] != nil
+	warm := machine.Images.Has(job.Record.Spec.Image) || node.ImagePulls[job.Record.Spec.Image] != nil
 	c.addAssignment(&workload.Assignment{Job: job, TaskIndex: i, Machine: machine.Name, Incarnation: machine.Session, Attempt: a, FencingToken: c.generation, AssignedAt: now})
 	slog.Debug("placed", "class", job.Record.Spec.Class, "job", job.Record.Spec.ID, "task", i, "attempt", a, "machine", machine.Name, "type", machine.Type,
 		"warm", warm, "sinceSubmit", now.Sub(job.Record.Submitted.Time()).Round(time.Millisecond))
--- a/internal/claim/settle.go
+++ b/internal/claim/settle.go
@@ -48,9 +48,9 @@
 	if booting && firstHeard {
 		c.recordBoot(machine, now)
 	}
-	node := c.ensureNode(machine.Name)
+	node := c.capacity.Ensure(machine.Name)
 	if firstHeard || moved || v.Moved {
-		c.reindex(node)
+		c.capacity.Reindex(node)
 		c.markHintChanged(machine)
 	}
 	if !machine.Unreached.IsZero() && lost {
@@ -75,7 +75,7 @@
 	}
 	// Everything of an earlier session is gone, as the worker forgot it when
 	// its lease lapsed.
-	for assignment := range c.assignmentsOn(machine.Name) {
+	for assignment := range c.capacity.AssignmentsOn(machine.Name) {
 		switch {
 		case assignment.Incarnation >= report.Session:
 		case assignment.StartSent:
@@ -118,7 +118,7 @@
 		}
 		orders = append(orders, c.reconcileOrphan(job, key, reported, machine)...)
 	}
-	for assignment := range c.assignmentsOn(machine.Name) {
+	for assignment := range c.capacity.AssignmentsOn(machine.Name) {
 		if listed[assignment.Key()] || !assignment.StartSent || assignment.Incarnation != report.Session {
 			continue
 		}
@@ -134,7 +134,7 @@
 			c.markLost(assignment, "its start was dropped")
 		}
 	}
-	for assignment := range c.assignmentsOn(machine.Name) {
+	for assignment := range c.capacity.AssignmentsOn(machine.Name) {
 		if !assignment.StartSent {
 			c.pendingCommands[node] = true // its start may have waited for this report
 			break
@@ -165,7 +165,7 @@
 		return nil
 	}
 	var orders []worker.Order
-	for assignment := range c.assignmentsOn(machine.Name) {
+	for assignment := range c.capacity.AssignmentsOn(machine.Name) {
 		job := assignment.Job
 		switch {
 		case assignment.Incarnation != machine.Session:
@@ -193,7 +193,7 @@
 	if machine == nil || report.Session != machine.Session || len(machine.LateStarts) == 0 {
 		return false
 	}
-	for assignment := range c.assignmentsOn(machine.Name) {
+	for assignment := range c.capacity.AssignmentsOn(machine.Name) {
 		if assignment.Stopping && !assignment.Confirmed && assignment.Job.Cancelled() && assignment.Incarnation == report.Session && c.underCurrentGeneration(assignment) &&
 			time.Since(assignment.StopRequestedAt) > grace && machine.MayRevive(assignment.Task().String(), assignment.Attempt) {
 			return true
@@ -209,9 +209,9 @@
 			"sincePlaced", now.Sub(assignment.AssignedAt).Round(time.Millisecond))
 	}
 	assignment.Confirmed, assignment.StartSent = true, true
-	node := c.ensureNode(machine.Name)
+	node := c.capacity.Ensure(machine.Name)
 	if reported.Status != worker.Pulling {
-		c.endImagePull(node, assignment)
+		c.capacity.EndImagePull(node, assignment)
 	}
 	if assignment.Stopping && assignment.StopSentAt.Before(assignment.StopRequestedAt) {
 		c.pendingCommands[node] = true
@@ -232,10 +232,10 @@
 	if reported.Status != worker.Pulling && assignment.Status != reported.Status {
 		spec := &assignment.Job.Record.Spec
 		cache := math.Inf(1)
-		if machineType := c.types[machine.Type]; machineType != nil {
+		if machineType := c.capacity.Type(machine.Type); machineType != nil {
 			cache = machineType.CacheGB
 		}
-		c.imageArrived(node, machine, spec.Image, spec.ImageGB, cache)
+		c.capacity.ImageArrived(node, machine, spec.Image, spec.ImageGB, cache)
 		c.markHintChanged(machine)
 	}
 	assignment.Status = reported.Status
--- a/internal/claim/survey.go
+++ b/internal/claim/survey.go
@@ -3,6 +3,8 @@
 import (
 	"slices"
 
+	"github.com/pebbletrail/pebbletrail/internal/capacity"
+
 	"github.com/pebbletrail/pebbletrail/internal/placement"
 	"github.com/pebbletrail/pebbletrail/internal/worker"
 	"github.com/pebbletrail/pebbletrail/internal/workload"
@@ -18,7 +20,7 @@
 	request           *placement.Ask
 	pass              *planningPass
 	zones             *zoneSpread
-	classes           []*ClassIndex
+	classes           []*capacity.Class
 	total             int
 	avoidAccelerators bool // machines with accelerators only if stopping others makes no room elsewhere
 
@@ -29,7 +31,7 @@
 }
 
 type candidate struct {
-	node    *Node
+	node    *capacity.Node
 	machine *worker.Machine
 	score   float64
 }
@@ -47,23 +49,23 @@
 // selectClasses picks the kinds of machines that the ask may use.
 func (s *candidateSearch) selectClasses() {
 	s.classes, s.total = s.classes[:0], 0
-	for _, class := range s.cluster.classOrder {
-		if len(class.withRoom) == 0 || s.avoidAccelerators && class.offer.Accels > 0 || !s.request.Allows(class.machineType, class.zone, class.spot) || !class.offer.Room().Holds(s.request.Need) {
+	for _, class := range s.cluster.capacity.Classes() {
+		if len(class.Open) == 0 || s.avoidAccelerators && class.Offer.Accels > 0 || !s.request.Allows(class.Type, class.Zone, class.Spot) || !class.Offer.Room().Holds(s.request.Need) {
 			continue
 		}
 		s.classes = append(s.classes, class)
-		s.total += len(class.withRoom)
+		s.total += len(class.Open)
 	}
 }
 
 // evaluate scores a machine, or tells that the task can't go there now; room tells
 // whether at least there is room.
-func (s *candidateSearch) evaluate(node *Node, retry *workload.Retry) (found candidate, ok, room bool) {
+func (s *candidateSearch) evaluate(node *capacity.Node, retry *workload.Retry) (found candidate, ok, room bool) {
 	s.pass.machinesExamined++
-	if !node.class.offer.Room().Minus(node.used).Holds(s.request.Need) {
+	if !node.Class.Offer.Room().Minus(node.Used).Holds(s.request.Need) {
 		return found, false, false
 	}
-	machine, usable := s.cluster.usableMachine(node, s.pass.now)
+	machine, usable := s.cluster.capacity.UsableMachine(node, s.pass.now, s.cluster.settings.Params.Workers.ReportS)
 	if !usable {
 		return found, false, false
 	}
@@ -75,7 +77,7 @@
 }
 
 // pick finds a machine for one more task, nil if there is none.
-func (s *candidateSearch) pick(retry *workload.Retry) *Node {
+func (s *candidateSearch) pick(retry *workload.Retry) *capacity.Node {
 	if !s.exhaustive {
 		if node := s.sample(retry); node != nil {
 			return node
@@ -98,7 +100,7 @@
 }
 
 // sample looks at a few machines only.
-func (s *candidateSearch) sample(retry *workload.Retry) *Node {
+func (s *candidateSearch) sample(retry *workload.Retry) *capacity.Node {
 	if s.total == 0 {
 		return nil
 	}
@@ -106,11 +108,11 @@
 	for range int(s.cluster.settings.Own.SampleMachines) {
 		n := s.cluster.rng.IntN(s.total)
 		for _, class := range s.classes {
-			if n >= len(class.withRoom) {
-				n -= len(class.withRoom)
+			if n >= len(class.Open) {
+				n -= len(class.Open)
 				continue
 			}
-			if found, ok, _ := s.evaluate(class.withRoom[n], retry); ok && (top.node == nil || found.score < top.score) {
+			if found, ok, _ := s.evaluate(class.Open[n], retry); ok && (top.node == nil || found.score < top.score) {
 				top = found
 			}
 			break
@@ -120,7 +122,7 @@
 			break
 		}
 	}
-	if top.node == nil || retry != nil && retry.Avoid[top.node.name] || !top.machine.Images.Has(s.request.Image) && (s.request.Long || top.node.imagePulls[s.request.Image] == nil) {
+	if top.node == nil || retry != nil && retry.Avoid[top.node.Name] || !top.machine.Images.Has(s.request.Image) && (s.request.Long || top.node.ImagePulls[s.request.Image] == nil) {
 		return nil
 	}
 	return top.node
@@ -130,7 +132,7 @@
 func (s *candidateSearch) recount() {
 	s.total = 0
 	for _, class := range s.classes {
-		s.total += len(class.withRoom)
+		s.total += len(class.Open)
 	}
 }
 
@@ -139,7 +141,7 @@
 	s.exhaustive, s.candidates = true, s.candidates[:0]
 	any := false
 	for _, class := range s.classes {
-		for _, node := range class.withRoom {
+		for _, node := range class.Open {
 			found, ok, room := s.evaluate(node, nil)
 			any = any || room
 			if ok {
@@ -158,21 +160,21 @@
 		case x.score > y.score:
 			return 1
 		}
-		return cmpString(string(x.node.name), string(y.node.name))
+		return cmpString(string(x.node.Name), string(y.node.Name))
 	})
 }
 
 // best takes the first of the list that still fits; those on which this very
 // task failed before come last. It costs what it passes over, and not the list.
-func (s *candidateSearch) best(retry *workload.Retry) *Node {
-	var avoided *Node
+func (s *candidateSearch) best(retry *workload.Retry) *capacity.Node {
+	var avoided *capacity.Node
 	passedOver := s.passedOver[:0]
 	for i, found := range s.candidates {
-		if found.node.class == nil || !found.node.freeCapacity().Holds(s.request.Need) {
+		if found.node.Class == nil || !found.node.Free().Holds(s.request.Need) {
 			continue // full now, so it leaves the list
 		}
 		if s.fits(found) {
-			if retry == nil || !retry.Avoid[found.node.name] {
+			if retry == nil || !retry.Avoid[found.node.Name] {
 				copy(s.candidates[i-len(passedOver):], passedOver)
 				s.candidates, s.passedOver = s.candidates[i-len(passedOver):], passedOver
 				return found.node
@@ -192,11 +194,6 @@
 	if s.zones.allowed(found.machine.Zone, 1) == 0 {
 		return false
 	}
-	machine := placement.Machine{Name: found.node.name, Free: found.node.freeCapacity()}
+	machine := placement.Machine{Name: found.node.Name, Free: found.node.Free()}
 	return !s.cluster.reservedForOther(&machine, s.job, s.pass.now)
 }
-
-func (node *Node) hasImage(cluster *ClusterState, image string) bool {
-	machine := cluster.machines.Machines[node.name]
-	return machine != nil && machine.Images.Has(image)
-}
--- a/internal/claim/usage.go
+++ b/internal/claim/usage.go
@@ -31,7 +31,7 @@
 	dt := now.Sub(s.accruedAt).Seconds()
 	s.accruedAt = now
 	for name, machine := range c.machines.Machines {
-		machineType := c.types[machine.Type]
+		machineType := c.capacity.Type(machine.Type)
 		if machineType == nil || machine.Failed {
 			continue
 		}
@@ -40,12 +40,12 @@
 		case !machine.Heard:
 			s.boot += cost
 			continue
-		case len(c.assignmentsOn(name)) == 0:
+		case len(c.capacity.AssignmentsOn(name)) == 0:
 			s.idle += cost
 			continue
 		}
 		left := 1.0
-		for assignment := range c.assignmentsOn(name) {
+		for assignment := range c.capacity.AssignmentsOn(name) {
 			need := assignment.Job.Record.Spec.Need
 			share := min(left, max(need.Cores/max(machineType.Cores, 1e-9), need.RAM/max(machineType.RAM, 1e-9), need.Accels/max(machineType.Accels, 1e-9)*indicator(machineType.Accels > 0)))
 			left -= share
