--- a/internal/claim/allowances.go
+++ b/internal/claim/allowances.go
@@ -95,7 +95,7 @@
 // being stopped already counts.
 func (c *ClusterState) preemptLowerPriority(team string, below record.Priority, free placement.Room) {
 	var victims []*workload.Assignment
-	for _, job := range c.queue {
+	for _, job := range c.jobs.Ordered() {
 		if job.Record.Spec.Team != team || job.EffectivePriority() >= below {
 			continue
 		}
--- a/internal/claim/cancellation.go
+++ b/internal/claim/cancellation.go
@@ -28,7 +28,7 @@
 // cancelled then, see addJob.
 func (c *ClusterState) applyCancellation(id ids.Job, revision ids.Revision) {
 	c.cancellations[id] = revision
-	if job := c.jobs[id]; job != nil && !job.Ended {
+	if job := c.jobs.Get(id); job != nil && !job.Ended {
 		c.cancelConfirmed(job)
 		c.markChanged(job)
 	}
--- a/internal/claim/cluster_state.go
+++ b/internal/claim/cluster_state.go
@@ -24,21 +24,18 @@
 // ClusterState is everything the leader knows: jobs, places and machines, under
 // one lock that is never held over a call.
 type ClusterState struct {
-	mu           sync.Mutex
-	settings     *config.Settings
-	writer       string
-	generation   ids.Generation
-	jobs         map[ids.Job]*workload.Job
-	retired      map[ids.Job]bool // jobs whose end this term has stored
-	retiredOrder []ids.Job
-	machines     *worker.Registry
+	mu         sync.Mutex
+	settings   *config.Settings
+	writer     string
+	generation ids.Generation
+	jobs       *workload.Queue
+	machines   *worker.Registry
 	// What follows is kept up to date change by change, so that planning,
 	// sending and storing never walk the whole fleet or all jobs.
-	queue            []*workload.Job         // by submission
 	capacity         *capacity.Index         // assignments by machine, free capacity by instance class, images
 	leaving          map[ids.Machine]bool    // drained, taken back or to be returned
 	pendingCommands  map[*capacity.Node]bool // have starts or stops to send
-	unsaved          map[*workload.Job]bool  // changed since they were last stored
+	changes          *workload.Changes       // of jobs, not stored yet
 	machinesExamined int                     // machines that planning looked at so far
 	// examinedAtLock is how many it had looked at when it last took the lock, and
 	// mostExaminedAtHold the most while it held it once.
@@ -115,10 +112,9 @@
 		shard: shard, keys: record.KeysOf(shard, settings.Shards()),
 		statusInOtherShard: func(ids.Job) (record.Status, bool) { return "", false },
 		settings:           settings, writer: writer, generation: generation, firstGeneration: generation,
-		jobs: map[ids.Job]*workload.Job{}, retired: map[ids.Job]bool{},
+		jobs: workload.NewQueue(), changes: workload.NewChanges(),
 		leaving:           map[ids.Machine]bool{},
 		pendingCommands:   map[*capacity.Node]bool{},
-		unsaved:           map[*workload.Job]bool{},
 		quota:             quota.NewBook(shard, settings.Shards(), teamLimits(settings), processStart),
 		rng:               rand.New(rand.NewPCG(uint64(generation), uint64(len(writer)))),
 		trustSilence:      trustSilence,
@@ -161,10 +157,8 @@
 // markChanged marks a job as changed.
 func (c *ClusterState) markChanged(job *workload.Job) {
 	job.Version++
-	if c.jobs[job.Record.Spec.ID] == job && !job.Ended {
-		if !c.unsaved[job] {
-			c.unsaved[job], job.ChangedAt = true, time.Now()
-		}
+	if c.jobs.Holds(job) && !job.Ended {
+		c.changes.Add(job)
 		if job.Record.Status.Over() {
 			job.Urgent = true
 		}
@@ -190,9 +184,8 @@
 
 // removeJob takes a job out of the cluster state.
 func (c *ClusterState) removeJob(job *workload.Job) {
-	delete(c.jobs, job.Record.Spec.ID)
-	delete(c.unsaved, job)
-	c.dequeue(job)
+	c.jobs.Remove(job)
+	c.changes.Remove(job)
 }
 
 // cancelJob stops everything of a job whose user was, or is about to be, told.
--- a/internal/claim/cluster_state_test.go
+++ b/internal/claim/cluster_state_test.go
@@ -52,7 +52,7 @@
 
 // store pretends that all changes were committed.
 func (c *ClusterState) store() {
-	for _, job := range c.jobs {
+	for _, job := range c.jobs.All() {
 		job.StoredVersion = job.Version
 	}
 	c.nextBatches(1000)
@@ -128,7 +128,7 @@
 	if stopped != 2 {
 		t.Fatalf("%d tasks of one core stopped for one of two", stopped)
 	}
-	if job := cluster.jobs["job-3"]; !strings.Contains(job.PendingReason, "m1") {
+	if job := cluster.jobs.Get("job-3"); !strings.Contains(job.PendingReason, "m1") {
 		t.Errorf("its waiting is explained as %q", job.PendingReason)
 	}
 }
@@ -144,7 +144,7 @@
 	if jobs := cluster.rankedJobs(now); jobs[0].Record.Spec.ID != "job-2" {
 		t.Error("the large job goes first although both are new")
 	}
-	cluster.jobs["job-1"].Record.Submitted = ids.WallOf(now.Add(-5 * time.Minute))
+	cluster.jobs.Get("job-1").Record.Submitted = ids.WallOf(now.Add(-5 * time.Minute))
 	if jobs := cluster.rankedJobs(now); jobs[0].Record.Spec.ID != "job-1" {
 		t.Error("the large job never gets its turn")
 	}
@@ -162,7 +162,7 @@
 		t.Error("low work overtook high work")
 	}
 	// But what has not begun at all for so long does, for its first start.
-	cluster.jobs["job-1"].Record.Attempt = 0
+	cluster.jobs.Get("job-1").Record.Attempt = 0
 	if jobs := cluster.rankedJobs(now); jobs[0].Record.Spec.ID != "job-1" {
 		t.Error("a job that never began waits on")
 	}
@@ -185,7 +185,7 @@
 			t.Errorf("%s is drained for one job that fails everywhere", machine.Name)
 		}
 	}
-	if retry := cluster.jobs["job-1"].Retries[0]; retry.Failures != 6 || time.Until(retry.NotBefore) < 30*time.Second {
+	if retry := cluster.jobs.Get("job-1").Retries[0]; retry.Failures != 6 || time.Until(retry.NotBefore) < 30*time.Second {
 		t.Errorf("%d failures, next try in %v", retry.Failures, time.Until(retry.NotBefore))
 	}
 	// Jobs that fail on one machine and complete on another condemn it.
@@ -278,7 +278,7 @@
 	cluster.HandleRecord("job-1", 1, newRecord("job-1", "red", record.Normal, 60, 1), now)
 	cluster.Plan(now)
 	cluster.Plan(now)
-	if n := len(cluster.jobs["job-1"].Assignments); n != 40 {
+	if n := len(cluster.jobs.Get("job-1").Assignments); n != 40 {
 		t.Errorf("%d cores placed of a limit of 40", n)
 	}
 }
@@ -297,13 +297,13 @@
 	cluster.Plan(now)
 	cluster.Plan(now)
 	stopping := 0
-	for _, assignment := range cluster.jobs["job-1"].Assignments {
+	for _, assignment := range cluster.jobs.Get("job-1").Assignments {
 		if assignment.Stopping {
 			stopping++
 		}
 	}
-	if stopping != 2 || !strings.Contains(cluster.jobs["job-2"].PendingReason, "limit") {
-		t.Errorf("%d tasks of one core stopped for one of two; it waits for %q", stopping, cluster.jobs["job-2"].PendingReason)
+	if stopping != 2 || !strings.Contains(cluster.jobs.Get("job-2").PendingReason, "limit") {
+		t.Errorf("%d tasks of one core stopped for one of two; it waits for %q", stopping, cluster.jobs.Get("job-2").PendingReason)
 	}
 }
 
@@ -326,11 +326,11 @@
 	cluster.HandleRecord("job-2", 2, svc, now)
 	cluster.Plan(now)
 	cluster.Plan(now.Add(30 * time.Millisecond)) // while the stop is under way it waits
-	if len(cluster.jobs["job-2"].Assignments) != 0 {
+	if len(cluster.jobs.Get("job-2").Assignments) != 0 {
 		t.Fatal("placed where it has to fetch although its image is on a machine whose work makes way")
 	}
 	cluster.Plan(now.Add(3 * time.Second)) // the stop had no effect: better cold than never
-	if assignment := cluster.jobs["job-2"].Assignments[0]; assignment == nil || assignment.Machine != "cold" {
+	if assignment := cluster.jobs.Get("job-2").Assignments[0]; assignment == nil || assignment.Machine != "cold" {
 		t.Fatalf("placed %+v", assignment)
 	}
 }
@@ -368,7 +368,7 @@
 	}
 	cluster.Plan(now.Add(50 * time.Millisecond))
 	n := 0
-	for id, job := range cluster.jobs {
+	for id, job := range cluster.jobs.All() {
 		if id != "job-1" {
 			n += len(job.Assignments)
 		}
@@ -409,12 +409,12 @@
 	cluster.store()
 	cluster.HandleRecord("job-2", 2, svc("job-2", "blue", 1), now)
 	cluster.Plan(now)
-	for _, assignment := range cluster.jobs["job-1"].Assignments {
+	for _, assignment := range cluster.jobs.Get("job-1").Assignments {
 		if assignment.Stopping {
 			t.Fatalf("replica on %s stopped although another machine has room", assignment.Machine)
 		}
 	}
-	if len(cluster.jobs["job-2"].Assignments) != 1 {
+	if len(cluster.jobs.Get("job-2").Assignments) != 1 {
 		t.Fatal("the other team's replica was not placed")
 	}
 }
@@ -437,7 +437,7 @@
 	one("job-100", 4) // only two machines of sixty-one have room for it
 	one("job-101", 4)
 	one("job-102", 4)
-	if n := len(cluster.jobs["job-100"].Assignments) + len(cluster.jobs["job-101"].Assignments) + len(cluster.jobs["job-102"].Assignments); n != 2 {
+	if n := len(cluster.jobs.Get("job-100").Assignments) + len(cluster.jobs.Get("job-101").Assignments) + len(cluster.jobs.Get("job-102").Assignments); n != 2 {
 		t.Fatalf("%d of 2 that fit were placed", n)
 	}
 	cluster.hear("warm", "north", 1)
@@ -449,7 +449,7 @@
 	rec.Spec.Image = "other"
 	cluster.HandleRecord("job-200", 1, rec, now)
 	cluster.Plan(now)
-	if assignment := cluster.jobs["job-200"].Assignments[0]; assignment == nil || assignment.Machine != "warm" {
+	if assignment := cluster.jobs.Get("job-200").Assignments[0]; assignment == nil || assignment.Machine != "warm" {
 		t.Fatalf("placed %+v, not where its image is", assignment)
 	}
 }
@@ -465,7 +465,7 @@
 	}
 	cluster.HandleRecord("job-1", 1, newRecord("job-1", "blue", record.Normal, 1, 1), now)
 	cluster.Plan(now)
-	for _, job := range cluster.jobs {
+	for _, job := range cluster.jobs.All() {
 		job.StoredVersion = job.Version
 	}
 	bas := cluster.nextBatches(1000)
@@ -488,7 +488,7 @@
 		}
 	}
 	machine.Unreached, machine.Doubted = now.Add(-10*time.Second), now.Add(-10*time.Second)
-	if assignment := cluster.jobs["job-1"].Assignments[0]; assignment == nil || assignment.Machine != at {
+	if assignment := cluster.jobs.Get("job-1").Assignments[0]; assignment == nil || assignment.Machine != at {
 		t.Fatal("the uncertain start was given up without evidence")
 	}
 	if gone := cluster.MachinesToTerminate(time.Now(), map[ids.Machine]bool{}); len(gone) != 1 || gone[0] != at {
@@ -496,7 +496,7 @@
 	}
 	cluster.MachineTerminated(at) // the cloud's word is the evidence
 	cluster.Plan(now)
-	if assignment := cluster.jobs["job-1"].Assignments[0]; assignment == nil || assignment.Machine == at {
+	if assignment := cluster.jobs.Get("job-1").Assignments[0]; assignment == nil || assignment.Machine == at {
 		t.Fatal("the job does not go on elsewhere")
 	}
 	// One answered question makes a machine whole again.
@@ -523,11 +523,11 @@
 	rec.Spec.Shape = record.Gang
 	cluster.HandleRecord("job-1", 1, rec, now)
 	cluster.Plan(now)
-	for _, job := range cluster.jobs {
+	for _, job := range cluster.jobs.All() {
 		job.StoredVersion = job.Version
 		cluster.versionStored(job)
 	}
-	return cluster, cluster.jobs["job-1"]
+	return cluster, cluster.jobs.Get("job-1")
 }
 
 // startsFor lists the machines that get a start now.
@@ -625,7 +625,7 @@
 		cluster.HandleRecord(id, 1, rec, now)
 	}
 	cluster.Plan(now)
-	if len(cluster.jobs["job-2"].Assignments) != 1 || len(cluster.jobs["job-1"].Assignments) != 0 {
+	if len(cluster.jobs.Get("job-2").Assignments) != 1 || len(cluster.jobs.Get("job-1").Assignments) != 0 {
 		t.Fatal("the machine fetches although a gang waits whose image it holds")
 	}
 }
@@ -644,7 +644,7 @@
 	cluster.HandleRecord("job-2", 2, newRecord("job-2", "blue", record.Normal, 1, 4), now)
 	cluster.Plan(now)
 	cluster.store()
-	with, without := cluster.jobs["job-1"].Assignments[0].Machine, cluster.jobs["job-2"].Assignments[0].Machine
+	with, without := cluster.jobs.Get("job-1").Assignments[0].Machine, cluster.jobs.Get("job-2").Assignments[0].Machine
 	for _, machine := range cluster.machines.Machines {
 		machine.Seen = now.Add(-3 * time.Second)
 	}
@@ -717,17 +717,17 @@
 	cluster.HandleRecord("job-2", 2, newRecord("job-2", "blue", record.Normal, limit+50, 1), now)
 	cluster.Plan(now)
 	cluster.Plan(now)
-	if job := cluster.jobs["job-1"]; len(job.Assignments) != 0 || !strings.Contains(job.PendingReason, "record") {
+	if job := cluster.jobs.Get("job-1"); len(job.Assignments) != 0 || !strings.Contains(job.PendingReason, "record") {
 		t.Errorf("the gang has %d places and waits for %q", len(job.Assignments), job.PendingReason)
 	}
-	if job := cluster.jobs["job-2"]; len(job.Assignments) != limit || !strings.Contains(job.PendingReason, "record") {
+	if job := cluster.jobs.Get("job-2"); len(job.Assignments) != limit || !strings.Contains(job.PendingReason, "record") {
 		t.Errorf("the array has %d places, not %d, and waits for %q", len(job.Assignments), limit, job.PendingReason)
 	}
 	// A record that comes out larger all the same gives up what has not
 	// started, and the job goes on in smaller batches.
-	cluster.handleOversize(cluster.jobs["job-2"], 8192)
+	cluster.handleOversize(cluster.jobs.Get("job-2"), 8192)
 	cluster.Plan(now)
-	if n := len(cluster.jobs["job-2"].Assignments); n == 0 || n > limit/2 {
+	if n := len(cluster.jobs.Get("job-2").Assignments); n == 0 || n > limit/2 {
 		t.Errorf("%d places after the record did not fit", n)
 	}
 }
@@ -756,7 +756,7 @@
 			records["job-1"], revisions["job-1"] = marked(6), listed
 		}
 		cluster.Load(records, revisions, max(listed, 25), now)
-		if job := cluster.jobs["job-1"]; job == nil || len(job.Assignments) != 2 || job.Revision != max(26, listed) {
+		if job := cluster.jobs.Get("job-1"); job == nil || len(job.Assignments) != 2 || job.Revision != max(26, listed) {
 			t.Errorf("%s: the places are lost: %+v", name, job)
 		}
 	}
@@ -765,7 +765,7 @@
 	b.HandleRecord("job-1", 26, marked(6), now)
 	b.HandleRecord("job-1", 27, nil, now)
 	b.Load(map[ids.Job]*record.Record{}, map[ids.Job]ids.Revision{}, 27, now)
-	if len(b.jobs) != 0 || b.quota.Used("red").Cores != 0 {
-		t.Errorf("%d jobs, %v cores of an ended job", len(b.jobs), b.quota.Used("red").Cores)
+	if b.jobs.Len() != 0 || b.quota.Used("red").Cores != 0 {
+		t.Errorf("%d jobs, %v cores of an ended job", b.jobs.Len(), b.quota.Used("red").Cores)
 	}
 }
--- a/internal/claim/collect.go
+++ b/internal/claim/collect.go
@@ -1,7 +1,6 @@
 package claim
 
 import (
-	"sort"
 	"time"
 
 	"github.com/pebbletrail/pebbletrail/internal/record"
@@ -61,30 +60,7 @@
 	if c.State.Budget().Tight() {
 		settle = outcomeDelayTight
 	}
-	var due []*workload.Job
-	for job := range cluster.unsaved {
-		if job.Version <= job.StoredVersion || job.Ended {
-			delete(cluster.unsaved, job)
-			continue
-		}
-		if job.Version == job.OversizeVersion {
-			continue // it would not fit now either
-		}
-		if job.Urgent || now.Sub(job.ChangedAt) >= settle {
-			due = append(due, job)
-		}
-	}
-	sort.Slice(due, func(x, y int) bool {
-		a, z := due[x], due[y]
-		if a.Urgent != z.Urgent {
-			return a.Urgent
-		}
-		if pa, pz := a.EffectivePriority(), z.EffectivePriority(); pa != pz {
-			return pa > pz
-		}
-		return workload.CompareSubmission(a, z) < 0
-	})
-	return due
+	return cluster.changes.Due(now, settle)
 }
 
 // encodeChange makes the transaction's part that stores a job as it is now; fits tells
--- a/internal/claim/commit.go
+++ b/internal/claim/commit.go
@@ -168,7 +168,7 @@
 // the store go out, and later changes may wait for one another again.
 func (c *ClusterState) versionStored(job *workload.Job) {
 	if job.StoredVersion >= job.Version {
-		delete(c.unsaved, job)
+		c.changes.Remove(job)
 		job.Urgent = false
 	} else {
 		job.ChangedAt = time.Now()
--- a/internal/claim/evictions.go
+++ b/internal/claim/evictions.go
@@ -193,7 +193,7 @@
 func (c *ClusterState) disruptionMeter(now time.Time) *budget.Meter {
 	drains := c.drains
 	meter := budget.NewMeter(drains.budgets)
-	for id, job := range c.jobs {
+	for id, job := range c.jobs.All() {
 		spec := &job.Record.Spec
 		switch {
 		case !job.Schedulable():
@@ -230,7 +230,7 @@
 func (c *ClusterState) clearFinishedEvictions(now time.Time) {
 	drains := c.drains
 	for job := range drains.evicted {
-		if c.jobs[job.Record.Spec.ID] != job || len(job.Record.Evictions) == 0 {
+		if !c.jobs.Holds(job) || len(job.Record.Evictions) == 0 {
 			delete(drains.evicted, job)
 			continue
 		}
--- a/internal/claim/evictions_test.go
+++ b/internal/claim/evictions_test.go
@@ -31,7 +31,7 @@
 	cluster.CarryOut(rollout.NewOrders())
 	cluster.Plan(now)
 	cluster.store()
-	job := cluster.jobs["job-1"]
+	job := cluster.jobs.Get("job-1")
 	if len(job.Assignments) != 4 {
 		t.Fatalf("%d places", len(job.Assignments))
 	}
@@ -65,7 +65,7 @@
 
 // stopping counts the replicas that are being stopped.
 func stopping(cluster *ClusterState) (n int) {
-	for _, assignment := range cluster.jobs["job-1"].Assignments {
+	for _, assignment := range cluster.jobs.Get("job-1").Assignments {
 		if assignment.Stopping {
 			n++
 		}
@@ -78,7 +78,7 @@
 	cluster := drainBook(t, now)
 	cluster.CarryOut(drainOrders("m1", "m2"))
 	evictNow(cluster, now)
-	if n := cluster.jobs["job-1"].Record.Evicted(); n != 1 || stopping(cluster) != 0 {
+	if n := cluster.jobs.Get("job-1").Record.Evicted(); n != 1 || stopping(cluster) != 0 {
 		t.Fatalf("%d permits, %d stops before they are stored", n, stopping(cluster))
 	}
 	cluster.store()
@@ -92,8 +92,8 @@
 	}
 	cluster.StoreAvailable = func() bool { return true }
 	evictNow(cluster, now)
-	if stopping(cluster) != 1 || cluster.jobs["job-1"].Record.Evicted() != 1 {
-		t.Errorf("%d stops, %d permits", stopping(cluster), cluster.jobs["job-1"].Record.Evicted())
+	if stopping(cluster) != 1 || cluster.jobs.Get("job-1").Record.Evicted() != 1 {
+		t.Errorf("%d stops, %d permits", stopping(cluster), cluster.jobs.Get("job-1").Record.Evicted())
 	}
 }
 
@@ -106,14 +106,14 @@
 	cluster.store()
 	cluster.CarryOut(rollout.NewOrders())
 	evictNow(cluster, now)
-	if n := cluster.jobs["job-1"].Record.Evicted(); n != 1 {
+	if n := cluster.jobs.Get("job-1").Record.Evicted(); n != 1 {
 		t.Fatalf("%d permits are left while an earlier stop may arrive", n)
 	}
 	for i := range 4 {
 		hear(cluster, ids.Machine(fmt.Sprint("m", i+1)), cluster.firstGeneration, now)
 	}
 	evictNow(cluster, now)
-	if n := cluster.jobs["job-1"].Record.Evicted(); n != 0 || stopping(cluster) != 0 {
+	if n := cluster.jobs.Get("job-1").Record.Evicted(); n != 0 || stopping(cluster) != 0 {
 		t.Errorf("%d permits are left, %d stops", n, stopping(cluster))
 	}
 }
@@ -126,11 +126,11 @@
 		now := time.Now()
 		cluster := drainBook(t, now)
 		for i := range c.down {
-			cluster.jobs["job-1"].Assignments[i].Status = worker.Pulling
+			cluster.jobs.Get("job-1").Assignments[i].Status = worker.Pulling
 		}
 		hear(cluster, "m5", 1, now)
 		var from *workload.Assignment
-		for i, assignment := range cluster.jobs["job-1"].Assignments {
+		for i, assignment := range cluster.jobs.Get("job-1").Assignments {
 			if i >= c.down {
 				from = assignment
 			}
@@ -139,7 +139,7 @@
 			cluster.capacity.ImageArrived(node, cluster.machines.Machines[node.Name], from.Job.Record.Spec.Image, 1, 100)
 		}
 		cluster.relocateReplica(cluster.machines.Machines[from.Machine], now)
-		if n := cluster.jobs["job-1"].Record.Evicted(); n != c.moved || stopping(cluster) != 0 {
+		if n := cluster.jobs.Get("job-1").Record.Evicted(); n != c.moved || stopping(cluster) != 0 {
 			t.Errorf("with %d down: %d permits, %d stops without one", c.down, n, stopping(cluster))
 		}
 	}
@@ -180,7 +180,7 @@
 	cluster.HandleRecord("job-2", 1, gang, now)
 	cluster.Plan(now)
 	cluster.store()
-	for _, assignment := range cluster.jobs["job-2"].Assignments {
+	for _, assignment := range cluster.jobs.Get("job-2").Assignments {
 		assignment.StartSent, assignment.Confirmed, assignment.Status, assignment.RunningSince = true, true, worker.Running, now.Add(-time.Minute)
 	}
 	cluster.machines.Machines["m5"].Draining = "tasks keep failing there"
@@ -190,7 +190,7 @@
 		cluster.store()
 	}
 	stopped := 0
-	for _, assignment := range cluster.jobs["job-2"].Assignments {
+	for _, assignment := range cluster.jobs.Get("job-2").Assignments {
 		if assignment.Stopping && assignment.StopGrace > 0 {
 			stopped++
 		}
@@ -205,7 +205,7 @@
 	now := time.Now()
 	cluster := drainBook(t, now)
 	cluster.SetMachineTypes(append(testTypes(), placement.Type{Label: "dear", Cores: 8, Accels: 2, RAM: 64, Zones: []string{"north"}}))
-	job := cluster.jobs["job-1"]
+	job := cluster.jobs.Get("job-1")
 	if node := cluster.findRoom(job, nil, nil, now); node != nil {
 		t.Fatalf("room on %s, which is full", node.Name)
 	}
--- a/internal/claim/explain.go
+++ b/internal/claim/explain.go
@@ -14,7 +14,7 @@
 func (c *ClusterState) Explain(id ids.Job) []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	job := c.jobs[id]
+	job := c.jobs.Get(id)
 	if job == nil {
 		return nil
 	}
@@ -83,13 +83,13 @@
 	}
 	waiting := map[string]int{}
 	places := 0
-	for _, job := range c.jobs {
+	for _, job := range c.jobs.All() {
 		places += len(job.Assignments)
 		if job.PendingReason != "" {
 			waiting[job.PendingReason]++
 		}
 	}
-	return map[string]any{"generation": c.generation, "jobs": len(c.jobs), "placed": places, "machines": len(c.machines.Machines),
+	return map[string]any{"generation": c.generation, "jobs": c.jobs.Len(), "placed": places, "machines": len(c.machines.Machines),
 		"heard": heard, "draining": draining, "cordoned": cordoned, "waiting": waiting,
 		"spent": map[string]any{"boot": roundMoney(c.costs.boot), "idle": roundMoney(c.costs.idle), "free": roundMoney(c.costs.free), "fetch": roundMoney(c.costs.fetch),
 			"wait": roundMoney(c.costs.wait), "run": roundMoney(c.costs.run), "againCoreSeconds": maps.Clone(c.costs.repeated)}}
--- a/internal/claim/failing_jobs_test.go
+++ b/internal/claim/failing_jobs_test.go
@@ -18,7 +18,7 @@
 // at once, empty while it runs.
 func (c *ClusterState) play(tick ids.Tick, ends func(assignment *workload.Assignment) string) {
 	on := map[ids.Machine][]worker.Piece{}
-	for _, job := range c.jobs {
+	for _, job := range c.jobs.All() {
 		for _, assignment := range job.Assignments {
 			if !assignment.StartSent {
 				continue // nobody has told its machine yet
@@ -53,21 +53,21 @@
 		starts, most := 0, 0
 		for tick := ids.Tick(2); tick < 180; tick++ { // three minutes, a report a second
 			now := time.Now()
-			before := cluster.jobs["job-1"].Record.Attempt
+			before := cluster.jobs.Get("job-1").Record.Attempt
 			cluster.Plan(now)
-			if tick > 10 && cluster.jobs["job-1"].Record.Attempt > before {
+			if tick > 10 && cluster.jobs.Get("job-1").Record.Attempt > before {
 				starts++
-				most = max(most, len(cluster.jobs["job-1"].Assignments))
+				most = max(most, len(cluster.jobs.Get("job-1").Assignments))
 			}
 			cluster.store()
 			if tick > 10 {
 				demands, _, _ := cluster.CapacityDemands(now)
 				for _, d := range demands {
-					if d.Ask.Image == "i" && !d.Keep && d.Count > 0 && cluster.jobs["job-2"].Unassigned() == 0 {
+					if d.Ask.Image == "i" && !d.Keep && d.Count > 0 && cluster.jobs.Get("job-2").Unassigned() == 0 {
 						t.Fatalf("rented for %d tasks that fail wherever they run", d.Count)
 					}
 				}
-				for _, assignment := range cluster.jobs["job-2"].Assignments {
+				for _, assignment := range cluster.jobs.Get("job-2").Assignments {
 					if assignment.Stopping {
 						t.Fatal("good work was stopped for it")
 					}
@@ -89,7 +89,7 @@
 				t.Fatalf("%s is blamed for it", machine.Name)
 			}
 		}
-		if n := len(cluster.jobs["job-2"].Assignments); n != 60 {
+		if n := len(cluster.jobs.Get("job-2").Assignments); n != 60 {
 			t.Errorf("%d of 60 tasks of a good job run", n)
 		}
 		lines := strings.Join(cluster.Explain("job-1"), "\n")
@@ -98,16 +98,16 @@
 		}
 		// A new leader knows it from the record, and does not start all of it again.
 		heir := fleet(t, 30)
-		r := cluster.jobs["job-1"].Record
+		r := cluster.jobs.Get("job-1").Record
 		r.Places = nil
 		heir.HandleRecord("job-1", 1, &r, time.Now())
 		heir.Plan(time.Now())
-		if n := len(heir.jobs["job-1"].Assignments); n != 1 {
+		if n := len(heir.jobs.Get("job-1").Assignments); n != 1 {
 			t.Errorf("a new owner starts %d tasks of it", n)
 		}
 		// A cancel ends it at once.
 		cluster.HandleRecord("job-1", 99, &record.Record{Spec: bad.Spec, Status: record.Cancelling, Writer: "user"}, time.Now())
-		for _, assignment := range cluster.jobs["job-1"].Assignments {
+		for _, assignment := range cluster.jobs.Get("job-1").Assignments {
 			if !assignment.Stopping {
 				t.Error("a task goes on after the cancel")
 			}
@@ -125,7 +125,7 @@
 			cluster.Plan(time.Now())
 			cluster.store()
 			if bad == "" {
-				bad = cluster.jobs["job-1"].Assignments[0].Machine
+				bad = cluster.jobs.Get("job-1").Assignments[0].Machine
 			}
 			cluster.play(tick, func(assignment *workload.Assignment) string {
 				if assignment.Machine == bad {
@@ -135,7 +135,7 @@
 			})
 			time.Sleep(time.Second)
 		}
-		if s := cluster.jobs["job-1"].Record.Status; s != record.Done {
+		if s := cluster.jobs.Get("job-1").Record.Status; s != record.Done {
 			t.Errorf("half a minute later it is %s: %v", s, cluster.Explain("job-1"))
 		}
 		if cluster.machines.Machines[bad].Draining == "" {
@@ -166,7 +166,7 @@
 			})
 			time.Sleep(time.Second)
 		}
-		job := cluster.jobs["job-1"]
+		job := cluster.jobs.Get("job-1")
 		if job.Failing() || len(job.Assignments) != 2 {
 			t.Errorf("failing %v, %d of 2 replicas run", job.Failing(), len(job.Assignments))
 		}
@@ -182,7 +182,7 @@
 		rec := newRecord("job-1", "blue", record.Low, 25000, 0.25)
 		rec.Spec.Need.RAM = 0.9
 		cluster.HandleRecord("job-1", 1, rec, time.Now())
-		job := cluster.jobs["job-1"]
+		job := cluster.jobs.Get("job-1")
 		limit := int(cluster.settings.Params.State.ValueKB * 1024)
 		most, seconds := 0, 0
 		for tick := ids.Tick(2); job.Unfinished() > 0 && seconds < 600; tick++ {
--- a/internal/claim/fairness_test.go
+++ b/internal/claim/fairness_test.go
@@ -27,7 +27,7 @@
 		add := func(id ids.Job, team string, p record.Priority, tasks int, cores float64, est ids.Seconds) {
 			rec := newRecord(id, team, p, tasks, cores)
 			rec.Spec.Estimate = est
-			cluster.HandleRecord(id, ids.Revision(len(cluster.retired)+len(cluster.jobs)+1), rec, time.Now())
+			cluster.HandleRecord(id, ids.Revision(cluster.jobs.Retired()+cluster.jobs.Len()+1), rec, time.Now())
 		}
 		for second := range 420 {
 			if second == 30 {
@@ -49,7 +49,7 @@
 			tick++
 			cluster.serve(tick, runs, ended)
 			for id, since := range large {
-				if job := cluster.jobs[id]; begun[id] == 0 && (job == nil || job.Record.Attempt > 0) {
+				if job := cluster.jobs.Get(id); begun[id] == 0 && (job == nil || job.Record.Attempt > 0) {
 					begun[id] = time.Since(since) + 1
 				}
 			}
@@ -60,7 +60,7 @@
 		}
 		for id := range large {
 			if begun[id] == 0 || begun[id] > 4*time.Minute {
-				t.Errorf("%s (%d tasks) begun after %v", id, cluster.jobs[id].Record.Spec.Tasks, begun[id])
+				t.Errorf("%s (%d tasks) begun after %v", id, cluster.jobs.Get(id).Record.Spec.Tasks, begun[id])
 			}
 		}
 		t.Log(begun)
@@ -94,9 +94,9 @@
 		cluster := fleet(t, 1)
 		cluster.setTeams(config.Team{Name: "red", CPUs: 4}, config.Team{Name: "blue"})
 		cluster.HandleRecord("job-1", 1, newRecord("job-1", "blue", record.Low, 1, 4), time.Now())
-		cluster.jobs["job-1"].ReservationSoughtAt = time.Now() // machines were looked for to set aside
+		cluster.jobs.Get("job-1").ReservationSoughtAt = time.Now() // machines were looked for to set aside
 		cluster.Plan(time.Now())
-		place := cluster.jobs["job-1"].Assignments[0]
+		place := cluster.jobs.Get("job-1").Assignments[0]
 		if place == nil {
 			t.Fatal("it did not begin")
 		}
@@ -109,7 +109,7 @@
 		time.Sleep(workload.StartProtectionTime + time.Second)
 		cluster.serve(2, time.Hour, map[workload.TaskAttempt]bool{})
 		cluster.Plan(time.Now())
-		if !place.Stopping && cluster.jobs["job-1"].Assignments[0] != nil {
+		if !place.Stopping && cluster.jobs.Get("job-1").Assignments[0] != nil {
 			t.Error("the guarantee is kept waiting for longer")
 		}
 	})
@@ -124,7 +124,7 @@
 		tick, ended := ids.Tick(1), map[workload.TaskAttempt]bool{}
 		cluster.HandleRecord("job-90001", 1, newRecord("job-90001", "blue", record.Low, 150, 4), time.Now())
 		cluster.Plan(time.Now())
-		large := cluster.jobs["job-90001"]
+		large := cluster.jobs.Get("job-90001")
 		cluster.store()
 		tick++
 		cluster.serve(tick, time.Minute, ended)
@@ -177,7 +177,7 @@
 		}
 		c.hear(name, c.machines.Machines[name].Zone, tick, ps...)
 	}
-	for job := range c.unsaved {
+	for _, job := range c.changes.All() {
 		if job.Record.Status.Over() {
 			job.StoredVersion = job.Version
 			c.retireJob(job)
@@ -244,7 +244,7 @@
 			}
 			pass(20 + second)
 			for id, what := range jobs {
-				if job := cluster.jobs[id]; job != nil && job.Record.Attempt > 0 && len(job.Assignments) > 0 {
+				if job := cluster.jobs.Get(id); job != nil && job.Record.Attempt > 0 && len(job.Assignments) > 0 {
 					for _, of := range []string{what, job.Record.Spec.Team} {
 						if begun[of] == 0 {
 							begun[of] = time.Since(last[of])
@@ -298,7 +298,7 @@
 				}
 				return ""
 			})
-			if job := cluster.jobs["job-2"]; began == 0 && job != nil && len(job.Assignments) == 2 {
+			if job := cluster.jobs.Get("job-2"); began == 0 && job != nil && len(job.Assignments) == 2 {
 				began = time.Since(submitted)
 			}
 			time.Sleep(time.Second)
--- a/internal/claim/fleet_test.go
+++ b/internal/claim/fleet_test.go
@@ -67,7 +67,7 @@
 				cluster.HandleRecord(id, ids.Revision(i+1), newRecord(id, "blue", record.Normal, 100, 1), now)
 			}
 			cluster.Plan(now)
-			for _, job := range cluster.jobs {
+			for _, job := range cluster.jobs.All() {
 				job.StoredVersion = job.Version
 				cluster.versionStored(job)
 			}
@@ -113,7 +113,7 @@
 	svc.Spec.Shape = record.Service
 	cluster.HandleRecord("job-1", 1, svc, now)
 	cluster.Plan(now)
-	with := cluster.jobs["job-1"].Assignments[0].Machine
+	with := cluster.jobs.Get("job-1").Assignments[0].Machine
 	for _, machine := range cluster.machines.Machines {
 		machine.Seen = now.Add(-time.Minute)
 	}
@@ -140,7 +140,7 @@
 	cluster.hear("m1", "north", 1)
 	cluster.HandleRecord("job-1", 1, newRecord("job-1", "blue", record.Normal, 1, 1), now)
 	cluster.Plan(now)
-	job := cluster.jobs["job-1"]
+	job := cluster.jobs.Get("job-1")
 	cluster.probeAnswered("m1", false)
 	if len(job.Assignments) != 0 {
 		t.Fatal("a task whose start never went out is kept on a silent machine")
@@ -148,7 +148,7 @@
 	// A connection that did not come about leaves nothing under way either.
 	cluster.hear("m2", "north", 1)
 	cluster.Plan(now)
-	cluster.jobs["job-1"].StoredVersion = job.Version
+	cluster.jobs.Get("job-1").StoredVersion = job.Version
 	cluster.versionStored(job)
 	ba := cluster.nextBatches(10)
 	if len(ba) != 1 || ba[0].machine != "m2" {
@@ -299,7 +299,7 @@
 	}
 	cluster.ExpireLeases(now.Add(time.Second))
 	trail := func() (out []string) {
-		for _, e := range cluster.jobs["job-1"].Record.Trail {
+		for _, e := range cluster.jobs.Get("job-1").Record.Trail {
 			out = append(out, e.What)
 		}
 		return out
@@ -307,7 +307,7 @@
 	if tr := trail(); len(tr) > 3 || !strings.Contains(strings.Join(tr, "\n"), "tasks gone in south") {
 		t.Errorf("the trail of twelve tasks lost at once: %q", tr)
 	}
-	cluster.jobs["job-1"].MaxAssigned = 4 + 2
+	cluster.jobs.Get("job-1").MaxAssigned = 4 + 2
 	cluster.Plan(now)
 	got := strings.Join(append(trail(), cluster.Explain("job-1")...), "\n")
 	for _, want := range []string{"tasks lost in south (2) start again: north (2)", "lost in south (10) and not started again yet", "on machines in north (2)", "nothing is heard of south (4)"} {
@@ -329,7 +329,7 @@
 	cluster.Plan(now)
 	report := &worker.Report{Machine: "m1", Addr: "m1:1", Type: "small", Zone: "north", Session: 2, Tick: 2, Token: 7}
 	cluster.ReconcileHeartbeat(report, true, true)
-	job := cluster.jobs["job-1"]
+	job := cluster.jobs.Get("job-1")
 	job.StoredVersion = job.Version
 	cluster.versionStored(job)
 	cluster.Plan(now)
--- a/internal/claim/inheritance_test.go
+++ b/internal/claim/inheritance_test.go
@@ -58,7 +58,7 @@
 				cluster := testBook()
 				diamond(cluster, now)
 				cluster.loaded = true
-				first := cluster.jobs["job-1"]
+				first := cluster.jobs.Get("job-1")
 				c.change(cluster, now)
 				if got := first.EffectivePriority(); got != c.first {
 					t.Errorf("the first has priority %s, not %s", got, c.first)
@@ -81,7 +81,7 @@
 		waiting := cluster.dependencies.waiting["job-2"]
 		moved := *waiting.record
 		cluster.waitingJobMoved(groupEntry{waiting: waiting, becomes: &moved}, 5, now)
-		if job := cluster.jobs["job-2"]; job == nil || job.EffectivePriority() != record.High || job.Inherited.Deadline.Sub(now) != 189*time.Second {
+		if job := cluster.jobs.Get("job-2"); job == nil || job.EffectivePriority() != record.High || job.Inherited.Deadline.Sub(now) != 189*time.Second {
 			t.Errorf("the branch that moved is %+v", job)
 		}
 	})
@@ -126,7 +126,7 @@
 			if needed {
 				want = 3
 			}
-			if low, normal := len(cluster.jobs["job-2"].Assignments), len(cluster.jobs["job-1"].Assignments); low != want || normal != 8-want {
+			if low, normal := len(cluster.jobs.Get("job-2").Assignments), len(cluster.jobs.Get("job-1").Assignments); low != want || normal != 8-want {
 				t.Errorf("needed by a high job: %v; %d of its tasks are placed, and %d of the normal job's", needed, low, normal)
 			}
 		}
@@ -145,8 +145,8 @@
 		cluster.settings.Params.Teams[1].CPUs = 0
 		cluster.HandleRecord("job-1", 1, waited, now)
 		cluster.HandleRecord("job-2", 2, newRecord("job-2", "blue", record.Normal, 1, 1), now)
-		cluster.jobs["job-2"].Record.Submitted = ids.WallOf(now.Add(60 * time.Second))
-		job := cluster.jobs["job-1"]
+		cluster.jobs.Get("job-2").Record.Submitted = ids.WallOf(now.Add(60 * time.Second))
+		job := cluster.jobs.Get("job-1")
 		for _, c := range []struct {
 			after          time.Duration
 			first, starves bool
@@ -157,7 +157,7 @@
 			}
 		}
 		cluster.HandleRecord("job-3", 3, newRecord("job-3", "blue", record.Low, 1, 1), now) // among low jobs it rises after 45 s
-		cluster.jobs["job-3"].Record.Submitted = ids.WallOf(now.Add(20 * time.Second))
+		cluster.jobs.Get("job-3").Record.Submitted = ids.WallOf(now.Add(20 * time.Second))
 		for after, first := range map[time.Duration]bool{44 * time.Second: false, 46 * time.Second: true} {
 			order := cluster.rankedJobs(now.Add(after))
 			if got := order[1] == job; got != first {
@@ -181,7 +181,7 @@
 		now := time.Now()
 		cluster := NewClusterState(testSet(), "w", 7, now)
 		diamond(cluster, now)
-		first := cluster.jobs["job-1"]
+		first := cluster.jobs.Get("job-1")
 		before := first.Inherited.Deadline.Sub(now)
 		cluster.SetMachineTypes(testTypes())
 		if after := first.Inherited.Deadline.Sub(now); before != 180*time.Second || after != 178*time.Second {
--- a/internal/claim/needs.go
+++ b/internal/claim/needs.go
@@ -39,7 +39,7 @@
 	for _, usage := range c.usage {
 		usage.wantedNow, usage.runningNow = 0, 0
 	}
-	for _, job := range c.jobs {
+	for _, job := range c.jobs.All() {
 		spec := &job.Record.Spec
 		usage := c.usage[spec.Class]
 		if usage == nil {
@@ -187,7 +187,7 @@
 // meanEstimates is the mean estimate of the tasks that each class has on machines.
 func (c *ClusterState) meanEstimates() map[string]float64 {
 	sum, n := map[string]float64{}, map[string]float64{}
-	for _, job := range c.queue {
+	for _, job := range c.jobs.Ordered() {
 		if k := float64(len(job.Assignments)); k > 0 {
 			sum[job.Record.Spec.Class] += k * float64(job.Record.Spec.Estimate)
 			n[job.Record.Spec.Class] += k
--- a/internal/claim/outcomes.go
+++ b/internal/claim/outcomes.go
@@ -72,7 +72,7 @@
 	defer c.mu.Unlock()
 	var due []ids.Job
 	for id, at := range c.dependencies.lookups {
-		if job := c.jobs[id]; c.dependencies.waiting[id] != nil || job != nil && !job.Ended {
+		if job := c.jobs.Get(id); c.dependencies.waiting[id] != nil || job != nil && !job.Ended {
 			delete(c.dependencies.lookups, id) // here after all: it was learned of later
 		} else if !at.After(now) {
 			due = append(due, id)
@@ -159,7 +159,7 @@
 	cluster := c.Cluster
 	cluster.mu.Lock()
 	defer cluster.mu.Unlock()
-	if cluster.jobs[id] == nil && !cluster.retired[id] && !rec.Status.Over() {
+	if cluster.jobs.Get(id) == nil && !cluster.jobs.IsRetired(id) && !rec.Status.Over() {
 		cluster.addJob(rec, entry.Revision, now)
 		signal(cluster.planSignal)
 	}
--- a/internal/claim/outcomes_test.go
+++ b/internal/claim/outcomes_test.go
@@ -129,8 +129,8 @@
 			t.Fatal(err)
 		}
 		c.lookUpOnce(context.Background())
-		if ready, _ := cluster.dependencies.graph.Counts(); ready != 100 || cluster.jobs[numbered(100110)] == nil {
-			t.Errorf("%d are ready, the live one is known: %v", ready, cluster.jobs[numbered(100110)] != nil)
+		if ready, _ := cluster.dependencies.graph.Counts(); ready != 100 || cluster.jobs.Get(numbered(100110)) == nil {
+			t.Errorf("%d are ready, the live one is known: %v", ready, cluster.jobs.Get(numbered(100110)) != nil)
 		}
 		calls := h.calls
 		c.lookUpOnce(context.Background())
--- a/internal/claim/pipeline.go
+++ b/internal/claim/pipeline.go
@@ -69,7 +69,7 @@
 
 // isUnknown tells whether nothing is known of a job yet.
 func (c *ClusterState) isUnknown(id ids.Job) bool {
-	return c.dependencies.waiting[id] == nil && c.jobs[id] == nil && !c.retired[id]
+	return c.dependencies.waiting[id] == nil && c.jobs.Get(id) == nil && !c.jobs.IsRetired(id)
 }
 
 func (c *ClusterState) addWaitingJobs(now time.Time, added ...*waitingJob) {
@@ -95,7 +95,7 @@
 	if c.dependencies.graph.Outcome(id) != dependency.Unknown {
 		return
 	}
-	job := c.jobs[id]
+	job := c.jobs.Get(id)
 	if !c.inShard(id) && c.dependencies.waiting[id] == nil {
 		c.checkOtherShard(id, now)
 		return
@@ -160,7 +160,7 @@
 		signal(c.commitSignal)
 	}
 	for _, id := range changes.Inherited {
-		if job := c.jobs[id]; job != nil {
+		if job := c.jobs.Get(id); job != nil {
 			job.Inherited = c.dependencies.graph.Inherited(id)
 			signal(c.planSignal)
 		}
--- a/internal/claim/pipeline_times_test.go
+++ b/internal/claim/pipeline_times_test.go
@@ -22,7 +22,7 @@
 		defer cluster.mu.Unlock()
 		cluster.jobEnded("job-1", record.Done)
 		committer.collectWaiting(false, func(entry groupEntry) bool { cluster.entryStored(entry, 9); return true })
-		job := cluster.jobs["job-2"]
+		job := cluster.jobs.Get("job-2")
 		if job == nil {
 			t.Fatal("it still waits")
 		}
--- a/internal/claim/preempt.go
+++ b/internal/claim/preempt.go
@@ -56,7 +56,7 @@
 		return nodes
 	}
 	on := map[*capacity.Node]bool{}
-	for _, other := range c.queue {
+	for _, other := range c.jobs.Ordered() {
 		if len(other.Assignments) == 0 || !c.mayPreemptJob(other, job) {
 			continue
 		}
--- a/internal/claim/production_test.go
+++ b/internal/claim/production_test.go
@@ -60,7 +60,7 @@
 		}
 		cluster := testBook()
 		cluster.Load(map[ids.Job]*record.Record{"job-1": rec}, map[ids.Job]ids.Revision{"job-1": 3}, 3, time.Now())
-		job := cluster.jobs["job-1"]
+		job := cluster.jobs.Get("job-1")
 		back := job.Record
 		back.Places = workload.GroupAssignments(job.Assignments)
 		raw, _ = back.Encode(8192)
--- a/internal/claim/promote.go
+++ b/internal/claim/promote.go
@@ -28,7 +28,7 @@
 		}
 		return
 	}
-	if c.movedWaitingLast && cluster.hasUrgentChange() {
+	if c.movedWaitingLast && cluster.changes.HasUrgent() {
 		c.movedWaitingLast = false // an end that many await must not keep all else waiting
 		return
 	}
@@ -42,16 +42,6 @@
 	}
 }
 
-// hasUrgentChange tells whether a change of a claimable job has to be stored at once.
-func (c *ClusterState) hasUrgentChange() bool {
-	for job := range c.unsaved {
-		if job.Urgent {
-			return true
-		}
-	}
-	return false
-}
-
 // sortByPriority sorts waiting jobs, inherited priority included; the first
 // submitted of equals go first.
 func (c *ClusterState) sortByPriority(jobs iter.Seq[ids.Job]) []ids.Job {
@@ -117,7 +107,7 @@
 		c.jobEnded(id, record.Cancelled)
 		return
 	}
-	if c.jobs[id] == nil {
+	if c.jobs.Get(id) == nil {
 		c.addJob(entry.becomes, revision, now)
 		signal(c.planSignal)
 	}
--- a/internal/claim/promote_test.go
+++ b/internal/claim/promote_test.go
@@ -42,7 +42,7 @@
 		t.Fatal(err)
 	}
 	cluster.HandleRecord(rec.Spec.ID, ids.Revision(epoch), rec, time.Now())
-	return cluster.jobs[rec.Spec.ID]
+	return cluster.jobs.Get(rec.Spec.ID)
 }
 
 // fan is n low jobs from job-1000 on that await one.
@@ -89,7 +89,7 @@
 		if h.calls > 2000/6+10 || took > 90*time.Second {
 			t.Errorf("2000 ends took %d transactions and %v", h.calls, took)
 		}
-		if cluster.dependencies.graph.Len() != 0 || len(cluster.dependencies.waiting) != 0 || len(cluster.jobs) != 1 {
+		if cluster.dependencies.graph.Len() != 0 || len(cluster.dependencies.waiting) != 0 || cluster.jobs.Len() != 1 {
 			t.Errorf("%d still wait", cluster.dependencies.graph.Len())
 		}
 	})
@@ -119,7 +119,7 @@
 		cluster.jobEnded("job-500", record.Done)
 		cluster.Plan(time.Now())
 		c.CommitGroup(ctx)
-		if cluster.jobs["job-9000"] == nil {
+		if cluster.jobs.Get("job-9000") == nil {
 			t.Error("the one that a high job awaits is not among the first that move")
 		}
 		for range 2 {
@@ -133,8 +133,8 @@
 				t.Fatalf("%d still wait after %d groups", h.store.Count(record.WaitPrefix), groups)
 			}
 		}
-		if cluster.dependencies.graph.Len() != 1 || len(cluster.jobs) != 2+301 {
-			t.Errorf("%d wait, %d are known", cluster.dependencies.graph.Len(), len(cluster.jobs))
+		if cluster.dependencies.graph.Len() != 1 || cluster.jobs.Len() != 2+301 {
+			t.Errorf("%d wait, %d are known", cluster.dependencies.graph.Len(), cluster.jobs.Len())
 		}
 	})
 }
@@ -156,15 +156,15 @@
 		if passes := lookUpAll(t, c); passes > 3 || h.calls > 3 {
 			t.Errorf("the ends that they await took %d passes and %d calls", passes, h.calls)
 		}
-		if ranked := len(cluster.rankedJobs(now)); ranked != 1 || len(cluster.queue) != 1 {
-			t.Errorf("%d are ranked, %d stand in line", ranked, len(cluster.queue))
+		if ranked := len(cluster.rankedJobs(now)); ranked != 1 || len(cluster.jobs.Ordered()) != 1 {
+			t.Errorf("%d are ranked, %d stand in line", ranked, len(cluster.jobs.Ordered()))
 		}
 		cluster.Plan(now)
 		cluster.store()
 		before := cluster.machinesExamined
 		cluster.Plan(now)
-		if looks := cluster.machinesExamined - before; looks > 20 || len(cluster.jobs["job-500"].Assignments) != 80 {
-			t.Errorf("%d machines were looked at for one job; %d of its tasks are placed", looks, len(cluster.jobs["job-500"].Assignments))
+		if looks := cluster.machinesExamined - before; looks > 20 || len(cluster.jobs.Get("job-500").Assignments) != 80 {
+			t.Errorf("%d machines were looked at for one job; %d of its tasks are placed", looks, len(cluster.jobs.Get("job-500").Assignments))
 		}
 		if cluster.quota.Used("red").Cores != 0 {
 			t.Errorf("those that wait hold %v cores of their team", cluster.quota.Used("red").Cores)
--- a/internal/claim/ranking.go
+++ b/internal/claim/ranking.go
@@ -1,7 +1,6 @@
 package claim
 
 import (
-	"slices"
 	"sort"
 	"time"
 
@@ -11,18 +10,6 @@
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// enqueue puts a job into the line by submission; unqueue takes it out.
-func (c *ClusterState) enqueue(job *workload.Job) {
-	at, _ := slices.BinarySearchFunc(c.queue, job, workload.CompareSubmission)
-	c.queue = slices.Insert(c.queue, at, job)
-}
-
-func (c *ClusterState) dequeue(job *workload.Job) {
-	if at, ok := slices.BinarySearchFunc(c.queue, job, workload.CompareSubmission); ok {
-		c.queue = slices.Delete(c.queue, at, at+1)
-	}
-}
-
 // rankedJobs lists the claimable jobs that have tasks to place: critical work
 // first, then what has waited too long for its first start or lies within its
 // team's guarantee, then by priority and age.
@@ -34,7 +21,7 @@
 	}
 	var es []entry
 	demand := map[string]placement.Room{}
-	for _, job := range c.queue {
+	for _, job := range c.jobs.Ordered() {
 		if !job.Schedulable() {
 			continue
 		}
--- a/internal/claim/recovery.go
+++ b/internal/claim/recovery.go
@@ -19,14 +19,14 @@
 	defer c.mu.Unlock()
 	// News may have come before the list: what is not in it is kept only if it
 	// is newer than the list.
-	for id, job := range c.jobs {
+	for id, job := range c.jobs.All() {
 		if s, listed := revisions[id]; job.Revision <= at && !listed || listed && s > job.Revision {
 			c.discardJob(job)
 		}
 	}
 	c.loaded = true
 	for id, rec := range records {
-		if c.jobs[id] == nil {
+		if c.jobs.Get(id) == nil {
 			c.addJob(rec, revisions[id], now)
 		}
 	}
@@ -47,8 +47,7 @@
 	if c.cancellations[rec.Spec.ID] > 0 && job.Record.Status.May(record.Cancelling) {
 		job.Record.Status = record.Cancelling
 	}
-	c.jobs[rec.Spec.ID] = job
-	c.enqueue(job)
+	c.jobs.Add(job)
 	rec.EachPlace(func(i int, at record.Location) {
 		c.machines.Ensure(at.Machine, now, c.trustSilence)
 		c.addAssignment(&workload.Assignment{Job: job, TaskIndex: i, Machine: at.Machine, Incarnation: at.Session, Attempt: at.Attempt,
@@ -72,9 +71,9 @@
 func (c *ClusterState) HandleRecord(id ids.Job, revision ids.Revision, rec *record.Record, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	job := c.jobs[id]
+	job := c.jobs.Get(id)
 	if job == nil {
-		if rec != nil && !c.retired[id] && !rec.Status.Over() {
+		if rec != nil && !c.jobs.IsRetired(id) && !rec.Status.Over() {
 			c.addJob(rec, revision, now)
 			signal(c.planSignal)
 		}
@@ -119,17 +118,10 @@
 func (c *ClusterState) retireJob(job *workload.Job) {
 	id := job.Record.Spec.ID
 	job.Ended = true
-	delete(c.unsaved, job)
+	c.changes.Remove(job)
 	if len(job.Assignments) == 0 {
 		c.removeJob(job)
 	}
 	c.scheduleLookupIfAwaited(id)
-	if !c.retired[id] {
-		c.retired[id] = true
-		c.retiredOrder = append(c.retiredOrder, id)
-		if len(c.retiredOrder) > 20000 {
-			delete(c.retired, c.retiredOrder[0])
-			c.retiredOrder = c.retiredOrder[1:]
-		}
-	}
+	c.jobs.Retire(id)
 }
--- a/internal/claim/scale_test.go
+++ b/internal/claim/scale_test.go
@@ -39,7 +39,7 @@
 }
 
 func countPlaces(cluster *ClusterState) (n int) {
-	for _, job := range cluster.jobs {
+	for _, job := range cluster.jobs.All() {
 		n += len(job.Assignments)
 	}
 	return n
@@ -115,7 +115,7 @@
 	check := func(when string) {
 		t.Helper()
 		on := map[ids.Machine]int{}
-		for _, job := range cluster.jobs {
+		for _, job := range cluster.jobs.All() {
 			for _, assignment := range job.Assignments {
 				on[assignment.Machine]++
 			}
@@ -191,7 +191,7 @@
 	cluster := fleet(t, largestFleet)
 	cluster.settings.Params.State.ValueKB = 56 // as much as a transaction carries
 	cluster.HandleRecord("job-1", 1, newRecord("job-1", "blue", record.Normal, 4*largestFleet, 1), now)
-	job := cluster.jobs["job-1"]
+	job := cluster.jobs.Get("job-1")
 	for range 20 {
 		planAll(cluster, now)
 		stored := job.Record
@@ -240,8 +240,8 @@
 		last.HandleRecord("job-1", 1, newRecord("job-1", "blue", record.Normal, machines, 1), now)
 		planAll(last, now)
 		hints, _ := last.Hints(HintPosition{})
-		stored := last.jobs["job-1"].Record
-		stored.Places = workload.GroupAssignments(last.jobs["job-1"].Assignments)
+		stored := last.jobs.Get("job-1").Record
+		stored.Places = workload.GroupAssignments(last.jobs.Get("job-1").Assignments)
 
 		next := testBook()
 		known := map[ids.Machine]Hint{}
@@ -299,7 +299,7 @@
 	for pass := range 2*urgent + 10 {
 		cluster.Plan(now.Add(time.Duration(pass) * 25 * time.Millisecond))
 	}
-	if placed := len(cluster.jobs["job-900000"].Assignments); placed != urgent {
+	if placed := len(cluster.jobs.Get("job-900000").Assignments); placed != urgent {
 		t.Errorf("%d of %d urgent tasks found a place", placed, urgent)
 	}
 	if looks := cluster.machinesExamined - before; looks > 5*urgent*maxPreemptionCandidates {
--- a/internal/claim/schedule.go
+++ b/internal/claim/schedule.go
@@ -97,7 +97,7 @@
 				return
 			}
 		}
-		if c.jobs[job.Record.Spec.ID] != job {
+		if !c.jobs.Holds(job) {
 			continue
 		}
 		c.assignTasks(job, pass)
@@ -234,7 +234,7 @@
 
 // outranks tells whether a reservation's job still goes before j.
 func (c *ClusterState) outranks(id ids.Job, job *workload.Job, now time.Time) bool {
-	h := c.jobs[id]
+	h := c.jobs.Get(id)
 	return h != nil && h.Schedulable() && (h.EffectivePriority() >= job.EffectivePriority() || h.Starving(now) && job.EffectivePriority() < record.Critical)
 }
 
--- a/internal/claim/settle.go
+++ b/internal/claim/settle.go
@@ -97,7 +97,7 @@
 		}
 		key := workload.TaskAttempt{Task: t, Attempt: reported.Attempt, Machine: machine.Name}
 		listed[key] = true
-		job := c.jobs[t.Job]
+		job := c.jobs.Get(t.Job)
 		if job != nil {
 			if c.mayPredateRecord(job, report, reported) {
 				continue
--- a/internal/claim/urgency_test.go
+++ b/internal/claim/urgency_test.go
@@ -35,7 +35,7 @@
 		// The last is learned of before one in the middle.
 		cluster.HandleWaitingJob("job-5", 5, waits("job-5", record.High, 100, "job-4"), now)
 		cluster.HandleWaitingJob("job-4", 4, waits("job-4", record.Low, 0, "job-3"), now)
-		first := cluster.jobs["job-1"]
+		first := cluster.jobs.Get("job-1")
 		if first.EffectivePriority() != record.High {
 			t.Errorf("the first has priority %s", first.EffectivePriority())
 		}
@@ -78,18 +78,18 @@
 		cluster.LoadWaitingJobs(records, revisions, now)
 		cluster.HandleWaitingJob("job-90", 2, waits("job-90", record.Critical, 1e7, "job-80", "job-81"), now)
 		cluster.HandleWaitingJob("job-6000", 2, waits("job-6000", record.High, 100000, "job-5100"), now)
-		if p := cluster.jobs["job-0"].EffectivePriority(); p != record.Critical {
+		if p := cluster.jobs.Get("job-0").EffectivePriority(); p != record.Critical {
 			t.Errorf("the ladder's first has priority %s", p)
 		}
-		first := cluster.jobs["job-100"]
+		first := cluster.jobs.Get("job-100")
 		// 100,000 s less the estimates of 10 s and fetches of 1 s of 5,001 jobs.
 		if left := first.Inherited.Deadline.Sub(now); first.EffectivePriority() != record.High || left != (100000-5001*11)*time.Second {
 			t.Errorf("the chain's first has priority %s and %v", first.EffectivePriority(), left)
 		}
 		cluster.HandleWaitingJob("job-90", 9, nil, now)
 		cluster.cancelJob(first)
-		if _, cancelled := cluster.dependencies.graph.Counts(); cluster.jobs["job-0"].EffectivePriority() != record.High || cancelled != 5001 {
-			t.Errorf("the ladder's first has priority %s, %d of the chain are cancelled", cluster.jobs["job-0"].EffectivePriority(), cancelled)
+		if _, cancelled := cluster.dependencies.graph.Counts(); cluster.jobs.Get("job-0").EffectivePriority() != record.High || cancelled != 5001 {
+			t.Errorf("the ladder's first has priority %s, %d of the chain are cancelled", cluster.jobs.Get("job-0").EffectivePriority(), cancelled)
 		}
 	})
 }
@@ -135,7 +135,7 @@
 		if ready, _ := cluster.dependencies.graph.Counts(); ready != 10 {
 			t.Errorf("an end made %d ready, not 10", ready)
 		}
-		cluster.cancelJob(cluster.jobs["job-10001"])
+		cluster.cancelJob(cluster.jobs.Get("job-10001"))
 		if _, cancelled := cluster.dependencies.graph.Counts(); cancelled != 10 {
 			t.Errorf("a cancellation ended %d, not 10", cancelled)
 		}
@@ -154,15 +154,15 @@
 		rec := newRecord("job-1", "blue", record.Normal, 300, 0.5)
 		old.HandleRecord("job-1", 1, rec, time.Now())
 		old.Plan(time.Now())
-		full := old.jobs["job-1"].Record
-		full.Status, full.Places, full.Writer = record.Claimed, workload.GroupAssignments(old.jobs["job-1"].Assignments), "old"
+		full := old.jobs.Get("job-1").Record
+		full.Status, full.Places, full.Writer = record.Claimed, workload.GroupAssignments(old.jobs.Get("job-1").Assignments), "old"
 		for k := range 12 {
 			full.Trail = append(full.Trail, record.Event{What: fmt.Sprintf("event %d %s", k, strings.Repeat("x", 60))})
 		}
 		raw, ok := full.Encode(8192)
 		const lower = 520
-		if _, fits := full.Encode(lower); !ok || fits || len(old.jobs["job-1"].Assignments) < 100 {
-			t.Fatalf("a record of %d bytes with %d places shows nothing", len(raw), len(old.jobs["job-1"].Assignments))
+		if _, fits := full.Encode(lower); !ok || fits || len(old.jobs.Get("job-1").Assignments) < 100 {
+			t.Fatalf("a record of %d bytes with %d places shows nothing", len(raw), len(old.jobs.Get("job-1").Assignments))
 		}
 		epoch, err := store.Commit(ctx, state.Txn{Then: []state.Op{{Put: record.JobKey("job-1"), Value: raw}}}, state.Urgent)
 		if err != nil {
@@ -177,7 +177,7 @@
 		}
 		cluster.Load(map[ids.Job]*record.Record{"job-1": stored}, map[ids.Job]ids.Revision{"job-1": ids.Revision(epoch)}, ids.Revision(epoch), time.Now())
 		c := NewCommitter(cluster, store, "a", 0)
-		job := cluster.jobs["job-1"]
+		job := cluster.jobs.Get("job-1")
 		open := len(job.Assignments)
 		cluster.markChanged(job)
 		cluster.markUrgent(job)
--- a/internal/claim/yield.go
+++ b/internal/claim/yield.go
@@ -56,7 +56,7 @@
 	if team.GPUsMax == 0 {
 		left.Accels = 1e12
 	}
-	for _, other := range c.jobs {
+	for _, other := range c.jobs.All() {
 		if other.Record.Spec.Team != spec.Team {
 			continue
 		}
