--- a/internal/intake/awaits_reads_test.go
+++ b/internal/intake/awaits_reads_test.go
@@ -143,7 +143,7 @@
 			names = append(names, id)
 		}
 		out := call(r.nodes["b"], "POST", "/v2/runs", awaits("job-900001", names))
-		if out.Code != 422 || !strings.Contains(out.Body.String(), errManyAwaits.why) {
+		if out.Code != 422 || !strings.Contains(out.Body.String(), errTooManyDependencies.reason) {
 			t.Errorf("450 not done: %d %s", out.Code, out.Body)
 		}
 		if code, _ := r.submit("b", awaits("job-900000", names)); code != 200 {
--- a/internal/intake/cancel.go
+++ b/internal/intake/cancel.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"errors"
-	"fmt"
 	"log/slog"
 	"time"
 
@@ -12,115 +11,138 @@
 	"github.com/pebbletrail/pebbletrail/internal/state"
 )
 
-// cancelAttempts bounds how often a cancellation is tried anew because the record
-// changed meanwhile, or because it has to be stored in another form.
+// cancelAttempts bounds how often a cancellation is retried because the record changed meanwhile,
+// or because it has to be stored in another form.
 const cancelAttempts = 6
 
-// leaderTold bounds how long a confirmed cancellation of claimed work waits until the
-// leader knows of it. The leader finds out by itself soon after; but whoever is told that
-// a job is cancelled should not see a task of it start.
-const leaderTold = 200 * time.Millisecond
+// leaderNoticeTimeout bounds how long the answer to a committed cancellation of assigned tasks
+// waits until the leader knows of it. The leader finds out by itself soon after; but whoever is
+// told that a job is cancelled should not see a task of it start.
+const leaderNoticeTimeout = 200 * time.Millisecond
 
-// Cancel ends a job without tasks on machines at once; of any other it stores the wish,
-// which the leader carries out. Either is committed before it is told.
-func (d *JobService) Cancel(ctx context.Context, id ids.Job) (answer, bool, error) {
-	if a, ok := d.remembered(id); ok {
-		return a, true, nil
+// cancel ends a job without assigned tasks at once. For any other job it stores the request, which
+// the leader carries out. Either is committed before the user is told. found is false for a job
+// that was never accepted.
+func (s *JobService) cancel(ctx context.Context, id ids.Job) (summary jobSummary, found bool, err error) {
+	if summary, known := s.ended.get(id); known {
+		return summary, true, nil
 	}
 	for range cancelAttempts {
-		r, entry, err := d.read(ctx, id, state.Spare)
-		if err != nil || r == nil {
-			return answer{}, false, err
+		stored, err := s.records().current(ctx, id, state.Spare)
+		if err != nil || !stored.exists() {
+			return jobSummary{}, false, err
 		}
-		if r.Status.Over() || r.Status == record.Cancelling {
-			return tell(r), true, nil
+		rec := stored.record
+		if rec.Status.Over() || rec.Status == record.Cancelling {
+			return summarize(rec), true, nil
 		}
-		write, err := d.cancellation(r, entry)
+		write, err := s.planCancellation(stored)
 		if err != nil {
-			return answer{}, false, err
+			return jobSummary{}, false, err
 		}
-		epoch, err := d.State.Commit(ctx, write.txn, state.Spare)
+		epoch, err := s.State.Commit(ctx, write.txn, state.Spare)
 		var conflict *state.Conflict
 		switch {
 		case err == nil:
-			d.cancelled(ctx, r, write, ids.Revision(epoch))
-			return tell(r), true, nil
+			s.announceCancellation(ctx, rec, write, ids.Revision(epoch))
+			return summarize(rec), true, nil
 		case errors.As(err, &conflict):
-			continue // it was written meanwhile: look again
-		case write.overNext && errors.Is(err, state.ErrMalformed):
+			continue
+		case write.aboveLowerLimit && errors.Is(err, state.ErrMalformed):
 			slog.Info("the state service has its lower limits now")
-			d.limitsFell.Store(true)
+			s.valueLimitFell.Store(true)
 			continue
 		default:
-			return answer{}, false, fmt.Errorf("%w: %v", errNotNow, err)
+			return jobSummary{}, false, unavailable(err)
 		}
 	}
-	return answer{}, false, errNotNow
+	return jobSummary{}, false, errUnavailable
 }
 
 // cancelWrite is a cancellation about to be stored.
 type cancelWrite struct {
-	txn      state.Txn
-	tell     bool // the leader knows the job and should hear of it
-	overNext bool // it fits the present limit of values, not the one to come
+	txn state.Txn
+	// notifyLeader tells that the leader knows the job and is to hear of the write.
+	notifyLeader bool
+	// aboveLowerLimit tells that the value fits the store's present limit, not the lower one to
+	// come.
+	aboveLowerLimit bool
 }
 
-// cancellation words a job's record as cancelled and the transaction that stores that.
-func (d *JobService) cancellation(r *record.Record, entry state.Entry) (cancelWrite, error) {
-	id, now := r.Spec.ID, ids.WallOf(time.Now())
-	write := cancelWrite{txn: state.Txn{When: []state.Condition{
+// planCancellation changes a job's record to cancelled, or to being cancelled, and returns the
+// transaction that stores that if the record has not changed in the store.
+func (s *JobService) planCancellation(stored storedRecord) (cancelWrite, error) {
+	rec, entry := stored.record, stored.entry
+	rec.Writer, rec.Seq = s.Writer, rec.Seq+1
+	unchanged := []state.Condition{
 		{Key: entry.Key, Revision: entry.Revision},
-		{Key: record.CancelKey(id)},
-	}}}
-	r.Writer, r.Seq = d.Writer, r.Seq+1
-	limit := int(d.Set.Params.State.ValueKB * 1024)
-	if len(r.Places) == 0 {
-		r.Status = record.Cancelled
-		r.Trail = append(r.Trail, record.Event{At: now, What: record.CancelledByUser})
-		raw, fits := r.EncodeFinal(limit)
-		if !fits {
-			return write, errNotNow
-		}
-		write.tell = entry.Key != record.WaitKey(id) // the leader follows those that wait
-		write.txn.When = append(write.txn.When, state.Condition{Key: record.EndKey(id)})
-		write.txn.Then = []state.Op{{Remove: entry.Key}, {Put: record.EndKey(id), Value: raw}}
-		return write, nil
+		{Key: record.CancelKey(rec.Spec.ID)},
+	}
+	if len(rec.Places) == 0 {
+		return s.endCancelled(stored, unchanged)
+	}
+	return s.requestCancellation(stored, unchanged), nil
+}
+
+// endCancelled replaces the record of a job without assigned tasks by its final one.
+func (s *JobService) endCancelled(stored storedRecord, unchanged []state.Condition) (cancelWrite, error) {
+	rec, entry := stored.record, stored.entry
+	rec.Status = record.Cancelled
+	rec.Trail = append(rec.Trail, record.Event{At: ids.WallOf(time.Now()), What: record.CancelledByUser})
+	value, fits := rec.EncodeFinal(s.valueLimit())
+	if !fits {
+		return cancelWrite{}, errUnavailable
 	}
-	mark := record.Cancellation{At: now, Writer: d.Writer}
-	mark.ApplyTo(r)
-	raw, fits := r.Encode(limit)
-	if !fits && !d.limitsFell.Load() {
+	finalKey := record.EndKey(rec.Spec.ID)
+	return cancelWrite{
+		txn: state.Txn{
+			When: append(unchanged, state.Condition{Key: finalKey}),
+			Then: []state.Op{{Remove: entry.Key}, {Put: finalKey, Value: value}},
+		},
+		notifyLeader: !stored.blocked(), // the leader follows the blocked jobs
+	}, nil
+}
+
+// requestCancellation marks the record of a job with assigned tasks as being cancelled. If the
+// store no longer takes a record of that size, the request is stored at a key of its own.
+func (s *JobService) requestCancellation(stored storedRecord, unchanged []state.Condition) cancelWrite {
+	rec, entry := stored.record, stored.entry
+	write := cancelWrite{txn: state.Txn{When: unchanged}}
+	mark := record.Cancellation{At: ids.WallOf(time.Now()), Writer: s.Writer}
+	mark.ApplyTo(rec)
+	value, fits := rec.Encode(s.valueLimit())
+	if !fits && !s.valueLimitFell.Load() {
 		// The record was written when values might be larger. As long as they may, it is
 		// stored where versions from before the lower limits look for it too.
-		raw, fits = r.Encode(int(d.Set.Params.State.NowKB * 1024))
-		write.overNext = fits
+		value, fits = rec.Encode(int(s.Set.Params.State.NowKB * 1024))
+		write.aboveLowerLimit = fits
 	}
 	if fits {
-		write.tell = true
-		write.txn.Then = []state.Op{{Put: entry.Key, Value: raw}}
-		return write, nil
+		write.notifyLeader = true
+		write.txn.Then = []state.Op{{Put: entry.Key, Value: value}}
+		return write
 	}
-	write.txn.Then = []state.Op{{Put: record.CancelKey(id), Value: mark.Encode()}}
-	return write, nil
+	write.txn.Then = []state.Op{{Put: record.CancelKey(rec.Spec.ID), Value: mark.Encode()}}
+	return write
 }
 
-// cancelled takes in that a cancellation is stored, and has the leader told of it.
-func (d *JobService) cancelled(ctx context.Context, r *record.Record, write cancelWrite, stamp ids.Revision) {
-	if r.Status.Over() {
-		d.remember(r)
-		if write.tell {
-			d.LeaderNotifier.NotifyLeader(r.Spec.ID, stamp, nil, nil)
+// announceCancellation remembers a stored cancellation and has the leader notified of it. While
+// tasks are assigned it waits for the leader, which may be about to start some of them.
+func (s *JobService) announceCancellation(ctx context.Context, rec *record.Record, write cancelWrite, revision ids.Revision) {
+	if rec.Status.Over() {
+		s.ended.add(rec)
+		if write.notifyLeader {
+			s.LeaderNotifier.NotifyLeader(rec.Spec.ID, revision, nil, nil)
 		}
 		return
 	}
-	if !write.tell {
+	if !write.notifyLeader {
 		return // the leader follows what is stored apart from records
 	}
-	// It may be about to start some of the tasks.
-	told := d.LeaderNotifier.NotifyLeader(r.Spec.ID, stamp, r, write.txn.Then[0].Value)
+	notified := s.LeaderNotifier.NotifyLeader(rec.Spec.ID, revision, rec, write.txn.Then[0].Value)
 	select {
-	case <-told:
-	case <-time.After(leaderTold):
+	case <-notified:
+	case <-time.After(leaderNoticeTimeout):
 	case <-ctx.Done():
 	}
 }
--- a/internal/intake/connection_limiter.go
+++ b/internal/intake/connection_limiter.go
@@ -1,13 +1,9 @@
 package intake
 
 import (
-	"context"
 	"net"
-	"net/http"
 	"sync"
 	"time"
-
-	"github.com/labstack/echo/v4"
 )
 
 // ConnectionLimiter shares the connections of one listener among workers, users and
@@ -20,14 +16,25 @@
 	MaxConnections int
 	// WorkerCount is how many workers may connect to this node. It may change at any time.
 	WorkerCount func() int
-	// IdleTimeout is how long a connection may stay idle. Those of a cut zone or a
+	// IdleTimeout is how long a connection may stay idle. Those of an unreachable zone or a
 	// crashed client would otherwise stay open for good.
 	IdleTimeout time.Duration
 
-	mu                   sync.Mutex
+	// mu guards the counts, and the fields caller and transient of every limitedConn. Only
+	// WorkerCount is called under it: that may take locks of its own, but must not use the limiter.
+	mu sync.Mutex
+	// open counts all connections; users and workers are those of a known caller among them.
 	open, users, workers int
 }
 
+// Parts of a limiter's connections: one in transientPart, but at least minTransient, is closed
+// after one answer; one in reservedPart of the others is kept from workers, and so left to users.
+const (
+	transientPart = 32
+	minTransient  = 4
+	reservedPart  = 16
+)
+
 // caller is what a connection is used for.
 type caller int
 
@@ -42,41 +49,43 @@
 	net.Conn
 	limiter   *ConnectionLimiter
 	transient bool // above the number of long-lived connections: closed after one answer
-	as        caller
-	once      sync.Once
+	caller    caller
+	closeOnce sync.Once
 }
 
 // longLived is how many connections may stay open; the rest are closed after one answer.
-func (l *ConnectionLimiter) longLived() int { return l.MaxConnections - max(4, l.MaxConnections/32) }
+func (l *ConnectionLimiter) longLived() int {
+	return l.MaxConnections - max(minTransient, l.MaxConnections/transientPart)
+}
 
-// userQuota is how many connections users may hold now.
+// userQuota is how many connections users may hold now. The caller holds l.mu.
 func (l *ConnectionLimiter) userQuota() int {
 	workers := l.workers
 	if l.WorkerCount != nil {
 		workers = max(workers, l.WorkerCount())
 	}
-	return max(l.longLived()-workers, l.longLived()/16)
+	return max(l.longLived()-workers, l.longLived()/reservedPart)
 }
 
 // workerQuota is how many connections workers may keep open. A fleet may have more
 // machines than this node has sockets: the workers beyond the quota connect anew for each
-// report, so that users and health checks still find places.
-func (l *ConnectionLimiter) workerQuota() int { return l.longLived() - l.longLived()/16 }
+// heartbeat, so that users and health checks still get connections.
+func (l *ConnectionLimiter) workerQuota() int { return l.longLived() - l.longLived()/reservedPart }
 
 // admit counts a new connection; nil means that the limit is reached.
-func (l *ConnectionLimiter) admit(c net.Conn) *limitedConn {
+func (l *ConnectionLimiter) admit(conn net.Conn) *limitedConn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.open >= l.MaxConnections {
 		return nil
 	}
 	l.open++
-	return &limitedConn{Conn: c, limiter: l, transient: l.open > l.longLived()}
+	return &limitedConn{Conn: conn, limiter: l, transient: l.open > l.longLived()}
 }
 
 // Close closes the connection and stops counting it.
 func (c *limitedConn) Close() error {
-	c.once.Do(func() {
+	c.closeOnce.Do(func() {
 		c.limiter.mu.Lock()
 		defer c.limiter.mu.Unlock()
 		c.limiter.open--
@@ -85,31 +94,43 @@
 	return c.Conn.Close()
 }
 
-// setCaller moves the connection to the count of that kind of caller.
-func (c *limitedConn) setCaller(as caller) {
-	count := map[caller]*int{user: &c.limiter.users, workerHeartbeat: &c.limiter.workers}
-	if n := count[c.as]; n != nil {
-		*n--
+// setCaller moves the connection to the count of another caller. Whoever calls it holds the
+// limiter's lock.
+func (c *limitedConn) setCaller(to caller) {
+	if count := c.limiter.count(c.caller); count != nil {
+		*count--
 	}
-	if n := count[as]; n != nil {
-		*n++
+	if count := c.limiter.count(to); count != nil {
+		*count++
+	}
+	c.caller = to
+}
+
+// count is the number of connections of one caller; nil for those that are not counted apart.
+func (l *ConnectionLimiter) count(of caller) *int {
+	switch of {
+	case user:
+		return &l.users
+	case workerHeartbeat:
+		return &l.workers
+	default:
+		return nil
 	}
-	c.as = as
 }
 
 // admitRequest notes what a connection is used for. It tells whether the request is to
 // be served, and whether the connection may stay open.
-func (c *limitedConn) admitRequest(as caller) (serve, keepOpen bool) {
+func (c *limitedConn) admitRequest(from caller) (serve, keepOpen bool) {
 	l := c.limiter
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if c.as != as {
-		c.setCaller(as)
+	if c.caller != from {
+		c.setCaller(from)
 	}
-	if as == user && (c.transient || l.users > l.userQuota()) {
+	if from == user && (c.transient || l.users > l.userQuota()) {
 		return false, false
 	}
-	if as == workerHeartbeat && l.workers > l.workerQuota() {
+	if from == workerHeartbeat && l.workers > l.workerQuota() {
 		return true, false
 	}
 	if c.transient && l.open <= l.longLived() {
@@ -117,54 +138,3 @@
 	}
 	return true, !c.transient
 }
-
-type limitedConnKey struct{}
-
-// limit is the middleware that keeps each kind of caller to its part.
-func (s *Site) limit(as caller) echo.MiddlewareFunc {
-	return func(next echo.HandlerFunc) echo.HandlerFunc {
-		return func(c echo.Context) error {
-			conn, ok := c.Request().Context().Value(limitedConnKey{}).(*limitedConn)
-			if !ok {
-				return next(c) // not accepted by a limitedListener
-			}
-			serve, keepOpen := conn.admitRequest(as)
-			if !keepOpen {
-				c.Response().Header().Set("Connection", "close")
-			}
-			if !serve {
-				return s.later(c)
-			}
-			return next(c)
-		}
-	}
-}
-
-type limitedListener struct {
-	net.Listener
-	limiter *ConnectionLimiter
-}
-
-// Accept closes connections above the limit.
-func (l *limitedListener) Accept() (net.Conn, error) {
-	for {
-		c, err := l.Listener.Accept()
-		if err != nil {
-			return nil, err
-		}
-		if conn := l.limiter.admit(c); conn != nil {
-			return conn, nil
-		}
-		c.Close()
-	}
-}
-
-// Serve runs the HTTP side on ln.
-func (s *Site) Serve(ln net.Listener, limiter *ConnectionLimiter) error {
-	srv := &http.Server{Handler: s.Handler(), ReadHeaderTimeout: 10 * time.Second, ReadTimeout: 20 * time.Second,
-		WriteTimeout: 20 * time.Second, IdleTimeout: limiter.IdleTimeout, MaxHeaderBytes: 16 << 10,
-		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
-			return context.WithValue(ctx, limitedConnKey{}, c)
-		}}
-	return srv.Serve(&limitedListener{ln, limiter})
-}
--- /dev/null
+++ b/internal/intake/feasibility.go
@@ -0,0 +1,64 @@
+package intake
+
+import (
+	"slices"
+
+	"github.com/pebbletrail/pebbletrail/internal/placement"
+	"github.com/pebbletrail/pebbletrail/internal/record"
+)
+
+// checkFeasible decides whether a job can ever run. It returns a rejectedError if it can't, and
+// errUnavailable if that can't be decided yet. Machine types that nobody offers are removed from
+// the description.
+func (s *JobService) checkFeasible(spec *record.Spec) error {
+	if err := s.checkTeamLimits(spec); err != nil {
+		return err
+	}
+	offered := s.Types()
+	if len(offered) == 0 {
+		return errUnavailable
+	}
+	allowed, fits := allowedTypes(spec, offered)
+	if !fits {
+		return rejectedError{"a task fits no allowed machine type"}
+	}
+	if spec.Types != nil {
+		spec.Types = allowed
+	}
+	return nil
+}
+
+// checkTeamLimits rejects a job of which more must run at once than its team may ever use: all
+// tasks, or one of a job array.
+func (s *JobService) checkTeamLimits(spec *record.Spec) error {
+	team, known := s.Set.Team(spec.Team)
+	if !known {
+		return rejectedError{"unknown team " + spec.Team}
+	}
+	atOnce := 1.0
+	if spec.Shape != record.Array {
+		atOnce = float64(spec.Tasks)
+	}
+	tooManyCPUs := team.CPUsMax > 0 && atOnce*spec.Need.Cores > team.CPUsMax
+	tooManyGPUs := team.GPUsMax > 0 && atOnce*spec.Need.Accels > team.GPUsMax
+	if tooManyCPUs || tooManyGPUs {
+		return rejectedError{"more than the limit of team " + spec.Team}
+	}
+	return nil
+}
+
+// allowedTypes lists the offered machine types that a job allows. It reports whether a task fits
+// one of them.
+func allowedTypes(spec *record.Spec, offered []placement.Type) (labels []string, fits bool) {
+	request := spec.Ask()
+	for i := range offered {
+		machineType := &offered[i]
+		inZone := spec.Zone == "" || slices.Contains(machineType.Zones, spec.Zone)
+		if !inZone || !request.Allows(machineType.Label, spec.Zone, false) {
+			continue
+		}
+		labels = append(labels, machineType.Label)
+		fits = fits || machineType.Room().Holds(spec.Need)
+	}
+	return labels, fits
+}
--- a/internal/intake/forecast.go
+++ b/internal/intake/forecast.go
@@ -15,80 +15,78 @@
 const (
 	// forecastJobs bounds how many jobs one explanation follows.
 	forecastJobs = 500
-	// forecastLines bounds how many awaited jobs an explanation lists.
-	forecastLines = 100
-	// forecastLast bounds how many last jobs of pipelines it names.
-	forecastLast = 5
+	// forecastDependencies bounds how many dependencies an explanation lists.
+	forecastDependencies = 100
+	// forecastDeadlines bounds of how many dependent jobs it tells whether they meet their
+	// deadlines.
+	forecastDeadlines = 5
 )
 
-// path is the longest way, by the estimates, to the end of a job.
-type path struct {
-	left  time.Duration
-	first ids.Job // the unfinished job on whose end it hangs first
+// criticalPath is the longest path, by the users' estimates, to the end of a job.
+type criticalPath struct {
+	remaining time.Duration
+	first     ids.Job // the unfinished job at its beginning
 }
 
-// forecast estimates when the jobs of a pipeline are over.
+// forecast estimates, for one explanation, when the jobs of a pipeline end.
 type forecast struct {
-	survey *survey
-	paths  map[ids.Job]path
-	cut    bool // there are more jobs than it follows
+	records      *recordReader
+	dependencies *dependencyReader
+	paths        map[ids.Job]criticalPath
+	truncated    bool // there are more jobs than it follows
 }
 
-// explainPipeline tells what a job waits for, and whether the deadline of the pipeline
-// that it belongs to is at risk, and by which job.
-func (d *JobService) explainPipeline(ctx context.Context, r *record.Record) ([]string, error) {
+func newForecast(records *recordReader) *forecast {
+	return &forecast{
+		records:      records,
+		dependencies: newDependencyReader(records, state.Spare),
+		paths:        map[ids.Job]criticalPath{},
+	}
+}
+
+// explain tells what a job waits for, and whether the deadline of the pipeline that it belongs to
+// is at risk, and by which job. With an error come the lines found up to it.
+func (f *forecast) explain(ctx context.Context, rec *record.Record) ([]string, error) {
 	switch {
-	case r.Status == record.Cancelled && r.CancelledBy != "":
-		return d.explainCause(ctx, r)
-	case r.Status.Over() || r.Status == record.Cancelling:
+	case rec.Status == record.Cancelled && rec.CancelledBy != "":
+		return f.explainCancellation(ctx, rec)
+	case rec.Status.Over() || rec.Status == record.Cancelling:
 		return nil, nil
 	}
-	f := &forecast{survey: d.newSurvey(state.Spare), paths: map[ids.Job]path{}}
-	lines, err := f.awaited(ctx, r)
+	lines, err := f.listDependencies(ctx, rec)
 	if err != nil {
 		return lines, err
 	}
-	own, err := f.risk(ctx, r)
+	own, err := f.deadlineRisk(ctx, rec)
 	if err != nil {
 		return lines, err
 	}
 	lines = append(lines, own...)
-	for _, last := range d.deadlinesBehind(r.Spec.ID) {
-		at, err := f.survey.look(ctx, last.Spec.ID)
-		if err != nil {
-			return lines, err
-		}
-		if at.over() {
-			continue
-		}
-		risk, err := f.risk(ctx, last)
-		if err != nil {
-			return lines, err
-		}
-		for _, line := range risk {
-			lines = append(lines, fmt.Sprintf("needed by %s: %s", last.Spec.ID, line))
-		}
+	behind, err := f.dependentsAtRisk(ctx, rec.Spec.ID)
+	lines = append(lines, behind...)
+	if err != nil {
+		return lines, err
 	}
-	if f.cut {
+	if f.truncated {
 		lines = append(lines, fmt.Sprintf("the estimates are too low: more than %d jobs come before it", forecastJobs))
 	}
 	return lines, nil
 }
 
-// explainCause names the job whose user's cancellation ended one that needs it. The
+// explainCancellation names the job whose user's cancellation ended one that depends on it. The
 // record may name one in between, which was cancelled with it.
-func (d *JobService) explainCause(ctx context.Context, r *record.Record) ([]string, error) {
-	cause, between := r.CancelledBy, []string{}
+func (f *forecast) explainCancellation(ctx context.Context, rec *record.Record) ([]string, error) {
+	cause, between := rec.CancelledBy, []string{}
 	for range forecastJobs {
-		rec, _, err := d.lookIn(ctx, cause, state.Spare)
+		stored, err := f.records.stored(ctx, cause, state.Spare)
 		if err != nil {
 			return nil, err
 		}
-		if rec == nil || rec.CancelledBy == "" {
+		if !stored.exists() || stored.record.CancelledBy == "" {
 			break
 		}
 		between = append(between, string(cause))
-		cause = rec.CancelledBy
+		cause = stored.record.CancelledBy
 	}
 	line := fmt.Sprintf("cancelled with %s, whose user cancelled it", cause)
 	if len(between) > 0 {
@@ -97,118 +95,143 @@
 	return []string{line}, nil
 }
 
-// awaited lists how the jobs stand that one awaits, those that are not done first.
-func (f *forecast) awaited(ctx context.Context, r *record.Record) ([]string, error) {
-	if err := f.survey.prefetch(ctx, r.Spec.Awaits); err != nil {
+// listDependencies describes a job's dependencies, those that are not done first.
+func (f *forecast) listDependencies(ctx context.Context, rec *record.Record) ([]string, error) {
+	if err := f.dependencies.prefetch(ctx, rec.Spec.Awaits); err != nil {
 		return nil, err
 	}
 	var open, done []string
-	for _, need := range r.Spec.Awaits {
-		at, err := f.survey.look(ctx, need)
+	for _, id := range rec.Spec.Awaits {
+		dependency, err := f.dependencies.read(ctx, id)
 		if err != nil {
 			return nil, err
 		}
-		line := fmt.Sprintf("awaits %s: %s, %d of %d tasks done", need, at.told.Status, at.told.Done, at.told.tasks)
-		if at.told.Status == "done" {
+		summary := &dependency.summary
+		line := fmt.Sprintf("awaits %s: %s, %d of %d tasks done", id, summary.status, summary.done, summary.tasks)
+		if summary.status == statusDone {
 			done = append(done, line)
 		} else {
 			open = append(open, line)
 		}
 	}
 	lines := append(open, done...)
-	if more := len(lines) - forecastLines; more > 0 {
-		lines = append(lines[:forecastLines], fmt.Sprintf("awaits %d more", more))
+	if more := len(lines) - forecastDependencies; more > 0 {
+		lines = append(lines[:forecastDependencies], fmt.Sprintf("awaits %d more", more))
 	}
 	return lines, nil
 }
 
-// risk words whether a job's deadline, if it has one, is at risk.
-func (f *forecast) risk(ctx context.Context, r *record.Record) ([]string, error) {
-	if r.Spec.Due <= 0 {
+// deadlineRisk tells whether a job's deadline, if it has one, is at risk.
+func (f *forecast) deadlineRisk(ctx context.Context, rec *record.Record) ([]string, error) {
+	if rec.Spec.Due <= 0 {
 		return nil, nil
 	}
-	p, err := f.follow(ctx, r)
+	path, err := f.pathTo(ctx, rec)
 	if err != nil {
 		return nil, err
 	}
-	slack := time.Until(due(r)) - p.left
+	slack := time.Until(deadline(rec)) - path.remaining
 	if slack < 0 {
-		return []string{fmt.Sprintf("the pipeline is at risk: by the estimates it ends %.0fs after its deadline; it hangs on %s first", -slack.Seconds(), p.first)}, nil
+		return []string{fmt.Sprintf("the pipeline is at risk: by the estimates it ends %.0fs after its deadline; it hangs on %s first", -slack.Seconds(), path.first)}, nil
 	}
-	return []string{fmt.Sprintf("the pipeline is in time: by the estimates it ends %.0fs before its deadline; it hangs on %s first", slack.Seconds(), p.first)}, nil
+	return []string{fmt.Sprintf("the pipeline is in time: by the estimates it ends %.0fs before its deadline; it hangs on %s first", slack.Seconds(), path.first)}, nil
 }
 
-// follow finds the longest path to the end of a job that is not over.
-func (f *forecast) follow(ctx context.Context, r *record.Record) (path, error) {
-	id := r.Spec.ID
-	if p, ok := f.paths[id]; ok {
-		return p, nil
+// dependentsAtRisk tells of the jobs that depend on one whether their deadlines are at risk.
+func (f *forecast) dependentsAtRisk(ctx context.Context, id ids.Job) (lines []string, err error) {
+	for _, dependent := range f.dependentsWithDeadline(id) {
+		current, err := f.dependencies.read(ctx, dependent.Spec.ID)
+		if err != nil {
+			return lines, err
+		}
+		if current.summary.over() {
+			continue
+		}
+		risk, err := f.deadlineRisk(ctx, dependent)
+		if err != nil {
+			return lines, err
+		}
+		for _, line := range risk {
+			lines = append(lines, fmt.Sprintf("needed by %s: %s", dependent.Spec.ID, line))
+		}
+	}
+	return lines, nil
+}
+
+// pathTo finds the critical path to the end of an unfinished job.
+func (f *forecast) pathTo(ctx context.Context, rec *record.Record) (criticalPath, error) {
+	id := rec.Spec.ID
+	if path, known := f.paths[id]; known {
+		return path, nil
 	}
 	if len(f.paths) >= forecastJobs {
-		f.cut = true
-		return path{left: r.Spec.Estimate.Duration(), first: id}, nil
+		f.truncated = true
+		return criticalPath{remaining: rec.Spec.Estimate.Duration(), first: id}, nil
 	}
-	f.paths[id] = path{first: id}
-	if err := f.survey.prefetch(ctx, r.Spec.Awaits); err != nil {
-		return path{}, err
+	f.paths[id] = criticalPath{first: id}
+	if err := f.dependencies.prefetch(ctx, rec.Spec.Awaits); err != nil {
+		return criticalPath{}, err
 	}
-	longest := path{first: id}
-	for _, need := range r.Spec.Awaits {
-		at, err := f.survey.look(ctx, need)
+	longest := criticalPath{first: id}
+	for _, need := range rec.Spec.Awaits {
+		dependency, err := f.dependencies.read(ctx, need)
 		if err != nil {
-			return path{}, err
+			return criticalPath{}, err
 		}
-		if at.over() || at.rec == nil {
+		if dependency.summary.over() || dependency.record == nil {
 			continue
 		}
-		p, err := f.follow(ctx, at.rec)
+		path, err := f.pathTo(ctx, dependency.record)
 		if err != nil {
-			return path{}, err
+			return criticalPath{}, err
 		}
-		if longest.first == id || p.left > longest.left {
-			longest = p
+		if longest.first == id || path.remaining > longest.remaining {
+			longest = path
 		}
 	}
-	longest.left += r.Spec.Estimate.Duration()
+	longest.remaining += rec.Spec.Estimate.Duration()
 	f.paths[id] = longest
 	return longest, nil
 }
 
-// deadlinesBehind lists the waiting jobs with a deadline that need a job, directly or
-// not, soonest due first, as this node's copy has them.
-func (d *JobService) deadlinesBehind(id ids.Job) []*record.Record {
-	needers := d.needers()
+// dependentsWithDeadline lists the blocked jobs with a deadline that depend on a job, directly or
+// not, earliest deadline first, as the controller's copy has them.
+func (f *forecast) dependentsWithDeadline(id ids.Job) []*record.Record {
+	dependents := f.records.dependents()
 	found := map[ids.Job]bool{id: true}
-	var last []*record.Record
-	for next := []ids.Job{id}; len(next) > 0; next = next[1:] {
-		for _, r := range needers[next[0]] {
-			if found[r.Spec.ID] {
+	var withDeadline []*record.Record
+	for queue := []ids.Job{id}; len(queue) > 0; queue = queue[1:] {
+		for _, rec := range dependents[queue[0]] {
+			if found[rec.Spec.ID] {
 				continue
 			}
-			found[r.Spec.ID] = true
-			next = append(next, r.Spec.ID)
-			if r.Spec.Due > 0 {
-				last = append(last, r)
+			found[rec.Spec.ID] = true
+			queue = append(queue, rec.Spec.ID)
+			if rec.Spec.Due > 0 {
+				withDeadline = append(withDeadline, rec)
 			}
 		}
 	}
-	slices.SortFunc(last, func(a, z *record.Record) int { return due(a).Compare(due(z)) })
-	return last[:min(len(last), forecastLast)]
+	slices.SortFunc(withDeadline, func(a, b *record.Record) int { return deadline(a).Compare(deadline(b)) })
+	return withDeadline[:min(len(withDeadline), forecastDeadlines)]
 }
 
-func due(r *record.Record) time.Time { return r.Submitted.Time().Add(r.Spec.Due.Duration()) }
+// deadline is when a job is due; it counts from the submission, also if the job had to wait.
+func deadline(rec *record.Record) time.Time {
+	return rec.Submitted.Time().Add(rec.Spec.Due.Duration())
+}
 
-// needers indexes the waiting jobs by what they await.
-func (d *JobService) needers() map[ids.Job][]*record.Record {
-	entries, _ := d.Jobs.All()
+// dependents indexes the blocked jobs in the copy by their dependencies.
+func (r *recordReader) dependents() map[ids.Job][]*record.Record {
+	entries, _ := r.mirror.All()
 	index := map[ids.Job][]*record.Record{}
-	for _, e := range entries {
-		r, err := record.DecodeWaiting(e.Value)
-		if err != nil || e.Key != record.WaitKey(r.Spec.ID) {
+	for _, entry := range entries {
+		rec, err := record.DecodeWaiting(entry.Value)
+		if err != nil || entry.Key != record.WaitKey(rec.Spec.ID) {
 			continue
 		}
-		for _, need := range r.Spec.Awaits {
-			index[need] = append(index[need], r)
+		for _, need := range rec.Spec.Awaits {
+			index[need] = append(index[need], rec)
 		}
 	}
 	return index
--- a/internal/intake/forecast_test.go
+++ b/internal/intake/forecast_test.go
@@ -152,7 +152,7 @@
 		for _, id := range []string{"job-9", "job-1699", "job-1350"} {
 			now, note := r.explained("b", id)
 			text := strings.Join(now, "\n")
-			if len(now) > forecastLines+10 || note != "" || !strings.Contains(text, "at risk") || !strings.Contains(text, "more than 500 jobs") {
+			if len(now) > forecastDependencies+10 || note != "" || !strings.Contains(text, "at risk") || !strings.Contains(text, "more than 500 jobs") {
 				t.Errorf("%s: %d lines: %.500s %s", id, len(now), text, note)
 			}
 		}
--- a/internal/intake/messages.go
+++ b/internal/intake/messages.go
@@ -1,5 +1,3 @@
-// Package intake is the interface for users: it accepts jobs, answers questions
-// about them and cancels them. Every controller does it alike, straight on the state service.
 package intake
 
 import (
@@ -7,56 +5,90 @@
 	"github.com/pebbletrail/pebbletrail/internal/record"
 )
 
-// submission is the body of POST /v2/runs. Pointers tell a missing field from
-// a zero.
+// submission is the body of POST /v2/runs. Pointers tell a missing field from a zero one. Users
+// read this type's name in the text of a decoding error, so it stays.
 type submission struct {
-	UID          *string   `json:"uid"`
-	JobKind      *string   `json:"jobkind"`
-	Owner        *string   `json:"owner"`
-	Shape        *string   `json:"shape"`
-	Urgency      *string   `json:"urgency"`
-	Pieces       *float64  `json:"pieces"`
-	Cores        *float64  `json:"cores"`
-	Accelerators *float64  `json:"accelerators"`
-	RAMGb        *float64  `json:"ramGb"`
-	Bundle       *string   `json:"bundle"`
-	PullGb       *float64  `json:"pullGb"`
-	Builds       *[]string `json:"builds"`
-	Yard         *string   `json:"yard"`
-	Together     *bool     `json:"together"`
-	Spread       *bool     `json:"spread"`
-	Loaners      *bool     `json:"loaners"`
-	GuessS       *float64  `json:"guessS"`
-	BookmarkS    *float64  `json:"bookmarkS"`
-	StashS       *float64  `json:"stashS"`
-	DueS         *float64  `json:"dueS"`
-	Awaits       *[]string `json:"awaits"`
+	ID                *string   `json:"uid"`
+	Class             *string   `json:"jobkind"`
+	Team              *string   `json:"owner"`
+	Shape             *string   `json:"shape"`
+	Priority          *string   `json:"urgency"`
+	Tasks             *float64  `json:"pieces"`
+	Cores             *float64  `json:"cores"`
+	Accelerators      *float64  `json:"accelerators"`
+	MemoryGB          *float64  `json:"ramGb"`
+	Image             *string   `json:"bundle"`
+	ImageGB           *float64  `json:"pullGb"`
+	MachineTypes      *[]string `json:"builds"`
+	Zone              *string   `json:"yard"`
+	OneZone           *bool     `json:"together"`
+	Spread            *bool     `json:"spread"`
+	Spot              *bool     `json:"loaners"`
+	EstimateSeconds   *float64  `json:"guessS"`
+	CheckpointSeconds *float64  `json:"bookmarkS"`
+	SaveSeconds       *float64  `json:"stashS"`
+	DeadlineSeconds   *float64  `json:"dueS"`
+	Dependencies      *[]string `json:"awaits"`
 }
 
-// answer is what users are told of a job.
-type answer struct {
-	UID     ids.Job `json:"uid"`
-	Status  string  `json:"status"`
-	Done    int     `json:"done"`
-	Running int     `json:"running"`
+// jobAnswer is what users are told of a job.
+type jobAnswer struct {
+	ID      ids.Job    `json:"uid"`
+	Status  userStatus `json:"status"`
+	Done    int        `json:"done"`
+	Running int        `json:"running"`
+}
+
+// userStatus is a job's status in the users' protocol.
+type userStatus string
+
+// The statuses that users are told.
+const (
+	statusPending   userStatus = "pending"
+	statusRunning   userStatus = "running"
+	statusDone      userStatus = "done"
+	statusCancelled userStatus = "cancelled"
+)
 
-	tasks   int     // of the whole job
-	service bool    // it is never done
-	cause   ids.Job // the cancelled job that ended it; none if its user did
+// jobSummary is what a controller keeps of a job's record to answer its user and to decide on the
+// jobs that depend on it.
+type jobSummary struct {
+	id      ids.Job
+	status  userStatus
+	done    int // tasks
+	running int // tasks
+	tasks   int // of the whole job
+	service bool
+	// cancelledBy is the dependency whose cancellation ended the job; none if its user did.
+	cancelledBy ids.Job
 }
 
-// tell words a record for its user.
-func tell(r *record.Record) answer {
-	a := answer{UID: r.Spec.ID, Done: r.Finished.Len(), Running: r.Open(), tasks: r.Spec.Tasks, service: r.Spec.Shape == record.Service, cause: r.CancelledBy}
-	switch r.Status {
+// over reports that the job's status is final.
+func (s *jobSummary) over() bool { return s.status == statusDone || s.status == statusCancelled }
+
+// answer is the summary in the users' protocol.
+func (s *jobSummary) answer() jobAnswer {
+	return jobAnswer{ID: s.id, Status: s.status, Done: s.done, Running: s.running}
+}
+
+// summarize reduces a record to its summary.
+func summarize(rec *record.Record) jobSummary {
+	summary := jobSummary{
+		id:          rec.Spec.ID,
+		status:      statusPending,
+		done:        rec.Finished.Len(),
+		running:     rec.Open(),
+		tasks:       rec.Spec.Tasks,
+		service:     rec.Spec.Shape == record.Service,
+		cancelledBy: rec.CancelledBy,
+	}
+	switch rec.Status {
 	case record.Done:
-		a.Status, a.Running = "done", 0
+		summary.status, summary.running = statusDone, 0
 	case record.Cancelled, record.Cancelling:
-		a.Status = "cancelled"
+		summary.status = statusCancelled
 	case record.Claimed:
-		a.Status = "running"
-	default:
-		a.Status = "pending"
+		summary.status = statusRunning
 	}
-	return a
+	return summary
 }
--- a/internal/intake/parse.go
+++ b/internal/intake/parse.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
 	"math"
@@ -12,147 +13,159 @@
 	"github.com/pebbletrail/pebbletrail/internal/record"
 )
 
+// Limits on a submission.
 const (
-	bodyLimit = 64 * 1024
-	nameLimit = 256
+	bodyLimit = 64 * 1024 // bytes
+	nameLimit = 256       // bytes of a name
 	maxTasks  = 100000
 )
 
+// shapes and priorities map the protocol's values.
 var shapes = map[string]record.Shape{"array": record.Array, "gang": record.Gang, "standing": record.Service}
-var urgencies = map[string]record.Priority{"critical": record.Critical, "high": record.High, "normal": record.Normal, "low": record.Low}
+var priorities = map[string]record.Priority{"critical": record.Critical, "high": record.High, "normal": record.Normal, "low": record.Low}
 
-// parse reads and checks a submission; an error means 400.
-func parse(r io.Reader) (record.Spec, error) {
-	raw, err := io.ReadAll(io.LimitReader(r, bodyLimit+1))
+// parse reads and checks a submission. Users read the text of its error, which names the fields as
+// the protocol does.
+func parse(body io.Reader) (record.Spec, error) {
+	raw, err := io.ReadAll(io.LimitReader(body, bodyLimit+1))
 	if err != nil {
 		return record.Spec{}, err
 	}
 	if len(raw) > bodyLimit {
 		return record.Spec{}, fmt.Errorf("body over %d bytes", bodyLimit)
 	}
-	if t := bytes.TrimLeft(raw, " \t\r\n"); len(t) == 0 || t[0] != '{' {
-		return record.Spec{}, fmt.Errorf("not a JSON object")
+	if trimmed := bytes.TrimLeft(raw, " \t\r\n"); len(trimmed) == 0 || trimmed[0] != '{' {
+		return record.Spec{}, errors.New("not a JSON object")
 	}
 	var s submission
 	if err := json.Unmarshal(raw, &s); err != nil {
 		return record.Spec{}, fmt.Errorf("not readable: %w", err)
 	}
-	if err := s.complete(); err != nil {
+	if err := s.checkRequired(); err != nil {
 		return record.Spec{}, err
 	}
 	return s.spec()
 }
 
-// complete checks that every field that a submission must have is there and of the
-// right kind.
-func (s *submission) complete() error {
-	for _, f := range []struct {
-		name string
-		v    *string
-	}{{"uid", s.UID}, {"jobkind", s.JobKind}, {"owner", s.Owner}, {"shape", s.Shape}, {"urgency", s.Urgency}, {"bundle", s.Bundle}} {
-		if f.v == nil || !isName(*f.v) {
-			return fmt.Errorf("%s: missing, empty or too long", f.name)
+// checkRequired checks that every required field is there and of the right kind.
+func (s *submission) checkRequired() error {
+	for _, field := range []struct {
+		name  string
+		value *string
+	}{
+		{"uid", s.ID}, {"jobkind", s.Class}, {"owner", s.Team}, {"shape", s.Shape}, {"urgency", s.Priority}, {"bundle", s.Image},
+	} {
+		if field.value == nil || !isName(*field.value) {
+			return fmt.Errorf("%s: missing, empty or too long", field.name)
 		}
 	}
-	for _, f := range []struct {
-		name string
-		v    *float64
-	}{{"pieces", s.Pieces}, {"cores", s.Cores}, {"accelerators", s.Accelerators}, {"ramGb", s.RAMGb},
-		{"pullGb", s.PullGb}, {"guessS", s.GuessS}, {"bookmarkS", s.BookmarkS}, {"stashS", s.StashS}} {
-		if f.v == nil || !(*f.v >= 0) || math.IsInf(*f.v, 0) {
-			return fmt.Errorf("%s: missing or below zero", f.name)
+	for _, field := range []struct {
+		name  string
+		value *float64
+	}{
+		{"pieces", s.Tasks}, {"cores", s.Cores}, {"accelerators", s.Accelerators}, {"ramGb", s.MemoryGB},
+		{"pullGb", s.ImageGB}, {"guessS", s.EstimateSeconds}, {"bookmarkS", s.CheckpointSeconds}, {"stashS", s.SaveSeconds},
+	} {
+		if field.value == nil || !(*field.value >= 0) || math.IsInf(*field.value, 0) {
+			return fmt.Errorf("%s: missing or below zero", field.name)
 		}
 	}
-	for _, f := range []struct {
-		name string
-		v    *bool
-	}{{"together", s.Together}, {"spread", s.Spread}, {"loaners", s.Loaners}} {
-		if f.v == nil {
-			return fmt.Errorf("%s: missing", f.name)
+	for _, field := range []struct {
+		name  string
+		value *bool
+	}{{"together", s.OneZone}, {"spread", s.Spread}, {"loaners", s.Spot}} {
+		if field.value == nil {
+			return fmt.Errorf("%s: missing", field.name)
 		}
 	}
 	return nil
 }
 
-// isName tells whether a text may name a type, a zone, an image and the like.
+// isName reports whether a text may name a job class, a zone, an image and the like.
 func isName(text string) bool { return text != "" && len(text) <= nameLimit }
 
-// spec turns a complete submission into the description of a job.
+// spec turns a submission with all required fields into the description of a job.
 func (s *submission) spec() (record.Spec, error) {
 	spec := record.Spec{
-		Class: *s.JobKind, Team: *s.Owner,
-		Need:  placement.Room{Cores: *s.Cores, Accels: *s.Accelerators, RAM: *s.RAMGb},
-		Image: *s.Bundle, ImageGB: *s.PullGb, OneZone: *s.Together, Spread: *s.Spread, Spot: *s.Loaners,
-		Estimate: ids.Seconds(*s.GuessS), Checkpoint: ids.Seconds(*s.BookmarkS), Save: ids.Seconds(*s.StashS),
+		Class:      *s.Class,
+		Team:       *s.Team,
+		Need:       placement.Room{Cores: *s.Cores, Accels: *s.Accelerators, RAM: *s.MemoryGB},
+		Image:      *s.Image,
+		ImageGB:    *s.ImageGB,
+		OneZone:    *s.OneZone,
+		Spread:     *s.Spread,
+		Spot:       *s.Spot,
+		Estimate:   ids.Seconds(*s.EstimateSeconds),
+		Checkpoint: ids.Seconds(*s.CheckpointSeconds),
+		Save:       ids.Seconds(*s.SaveSeconds),
 	}
 	var err error
-	if spec.ID, err = ids.ParseJob(*s.UID); err != nil {
+	if spec.ID, err = ids.ParseJob(*s.ID); err != nil {
 		return record.Spec{}, fmt.Errorf("uid: %w", err)
 	}
-	var ok bool
-	if spec.Shape, ok = shapes[*s.Shape]; !ok {
+	var known bool
+	if spec.Shape, known = shapes[*s.Shape]; !known {
 		return record.Spec{}, fmt.Errorf("shape: unknown: %q", *s.Shape)
 	}
-	if spec.Priority, ok = urgencies[*s.Urgency]; !ok {
-		return record.Spec{}, fmt.Errorf("urgency: unknown: %q", *s.Urgency)
+	if spec.Priority, known = priorities[*s.Priority]; !known {
+		return record.Spec{}, fmt.Errorf("urgency: unknown: %q", *s.Priority)
 	}
-	if *s.Pieces < 1 || *s.Pieces > maxTasks || *s.Pieces != math.Trunc(*s.Pieces) {
+	if *s.Tasks < 1 || *s.Tasks > maxTasks || *s.Tasks != math.Trunc(*s.Tasks) {
 		return record.Spec{}, fmt.Errorf("pieces: must be a whole number from 1 to %d", maxTasks)
 	}
-	spec.Tasks = int(*s.Pieces)
-	if err := s.optional(&spec); err != nil {
+	spec.Tasks = int(*s.Tasks)
+	if err := s.addOptional(&spec); err != nil {
 		return record.Spec{}, err
 	}
 	return spec, nil
 }
 
-// optional takes over the fields that may be null or left out.
-func (s *submission) optional(spec *record.Spec) error {
-	if s.Builds != nil {
-		spec.Types = *s.Builds
+// addOptional adds the fields that may be null or missing to a description.
+func (s *submission) addOptional(spec *record.Spec) error {
+	if s.MachineTypes != nil {
+		spec.Types = *s.MachineTypes
 		if spec.Types == nil {
 			spec.Types = []string{}
 		}
-		for _, t := range spec.Types {
-			if !isName(t) {
-				return fmt.Errorf("builds: empty or too long name")
+		for _, machineType := range spec.Types {
+			if !isName(machineType) {
+				return errors.New("builds: empty or too long name")
 			}
 		}
 	}
-	if s.Yard != nil {
-		if !isName(*s.Yard) {
-			return fmt.Errorf("yard: empty or too long")
+	if s.Zone != nil {
+		if !isName(*s.Zone) {
+			return errors.New("yard: empty or too long")
 		}
-		spec.Zone = *s.Yard
+		spec.Zone = *s.Zone
 	}
-	if s.DueS != nil {
-		if !(*s.DueS >= 0) {
-			return fmt.Errorf("dueS: below zero")
+	if s.DeadlineSeconds != nil {
+		if !(*s.DeadlineSeconds >= 0) {
+			return errors.New("dueS: below zero")
 		}
-		spec.Due = ids.Seconds(*s.DueS)
+		spec.Due = ids.Seconds(*s.DeadlineSeconds)
 	}
-	if s.Awaits != nil {
+	if s.Dependencies != nil {
 		var err error
-		if spec.Awaits, err = parseAwaits(*s.Awaits); err != nil {
+		if spec.Awaits, err = parseDependencies(*s.Dependencies); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// parseAwaits reads the names of the jobs that one awaits. To name one twice asks for
-// nothing more than to name it once.
-func parseAwaits(names []string) (needs []ids.Job, err error) {
+// parseDependencies reads the ids of a job's dependencies. One that is named twice counts once.
+func parseDependencies(names []string) (dependencies []ids.Job, err error) {
 	seen := map[ids.Job]bool{}
 	for _, name := range names {
-		need, err := ids.ParseJob(name)
+		id, err := ids.ParseJob(name)
 		if err != nil {
 			return nil, fmt.Errorf("awaits: %w", err)
 		}
-		if !seen[need] {
-			seen[need] = true
-			needs = append(needs, need)
+		if !seen[id] {
+			seen[id] = true
+			dependencies = append(dependencies, id)
 		}
 	}
-	return needs, nil
+	return dependencies, nil
 }
--- /dev/null
+++ b/internal/intake/server.go
@@ -0,0 +1,144 @@
+package intake
+
+import (
+	"context"
+	"encoding/json"
+	"io"
+	"net/http"
+	"time"
+
+	"github.com/labstack/echo/v4"
+
+	"github.com/pebbletrail/pebbletrail/internal/ids"
+	"github.com/pebbletrail/pebbletrail/internal/measure"
+	"github.com/pebbletrail/pebbletrail/internal/worker"
+)
+
+// Heartbeats answers workers' heartbeats: with a reply, or, if that is nil, with a redirect, and
+// the HTTP status of either.
+type Heartbeats interface {
+	Heartbeat(ctx context.Context, rep *worker.Report) (*worker.Reply, int, worker.Redirect)
+}
+
+// Site is the HTTP interface of a controller: for users, for workers' heartbeats, for health
+// checks and for operators.
+type Site struct {
+	Jobs       *JobService
+	Heartbeats Heartbeats
+	// Ready reports whether the controller can take requests.
+	Ready func() bool
+	// Live explains a job as the leader sees it, and names the leader.
+	Live func(ctx context.Context, id ids.Job) (lines []string, leader ids.Node, err error)
+	// Status describes the controller.
+	Status func() any
+	// Operators adds routes for operators; nil: there are none.
+	Operators func(*echo.Echo)
+	// Version is the program's, told with the answers to health checks: while it is
+	// being replaced the controllers are told apart by it.
+	Version string
+}
+
+// versionHeader names the program's version in the answers to health checks.
+const versionHeader = "Pebbletrail-Version"
+
+// The work on a user's request is bounded; users give up after 5 s.
+const (
+	requestTimeout = 3500 * time.Millisecond
+	statusTimeout  = 1800 * time.Millisecond
+)
+
+// heartbeatBodyLimit is how many bytes of a heartbeat are read.
+const heartbeatBodyLimit = 16 << 20
+
+// Handler builds the routes.
+func (s *Site) Handler() http.Handler {
+	e := echo.New()
+	e.HideBanner = true
+	e.POST("/agent/beat", s.heartbeat, s.limit(workerHeartbeat))
+	e.GET("/up", s.health, s.limit(unknown))
+	users := s.limit(user)
+	e.POST("/v2/runs", s.submit, users)
+	e.GET("/v2/runs/:id", s.status, users)
+	e.POST("/v2/runs/:id/cancel", s.cancel, users)
+	e.GET("/v2/runs/:id/explain", s.explain, users)
+	e.GET("/v2/status", s.nodeStatus, s.limit(unknown))
+	if s.Operators != nil {
+		s.Operators(e)
+	}
+	return e
+}
+
+func (s *Site) health(c echo.Context) error {
+	c.Response().Header().Set(versionHeader, s.Version)
+	if !s.Ready() {
+		return c.NoContent(http.StatusServiceUnavailable)
+	}
+	return c.NoContent(http.StatusOK)
+}
+
+func (s *Site) nodeStatus(c echo.Context) error { return c.JSON(http.StatusOK, s.Status()) }
+
+func (s *Site) heartbeat(c echo.Context) error {
+	report := &worker.Report{}
+	body := io.LimitReader(c.Request().Body, heartbeatBodyLimit)
+	if err := json.NewDecoder(body).Decode(report); err != nil || report.Machine == "" {
+		return c.JSON(http.StatusBadRequest, errorBody("not a report"))
+	}
+	reply, status, redirect := s.Heartbeats.Heartbeat(c.Request().Context(), report)
+	if reply != nil {
+		return c.JSON(status, reply)
+	}
+	return c.JSON(status, redirect)
+}
+
+func (s *Site) submit(c echo.Context) error {
+	ctx, cancel := context.WithTimeout(c.Request().Context(), requestTimeout)
+	defer cancel()
+	spec, err := parse(c.Request().Body)
+	if err != nil {
+		return c.JSON(http.StatusBadRequest, errorBody(err.Error()))
+	}
+	began := time.Now()
+	summary, known, err := s.Jobs.submit(ctx, spec)
+	measure.Process.Took("submission", began)
+	if err != nil {
+		return s.answerError(c, err)
+	}
+	if known {
+		return c.JSON(http.StatusOK, summary.answer())
+	}
+	return c.JSON(http.StatusCreated, summary.answer())
+}
+
+func (s *Site) status(c echo.Context) error {
+	return s.answerForJob(c, statusTimeout, func(ctx context.Context, id ids.Job) (any, bool, error) {
+		defer measure.Process.Took("poll", time.Now())
+		summary, found, err := s.Jobs.status(ctx, id)
+		return summary.answer(), found, err
+	})
+}
+
+func (s *Site) cancel(c echo.Context) error {
+	return s.answerForJob(c, requestTimeout, func(ctx context.Context, id ids.Job) (any, bool, error) {
+		summary, found, err := s.Jobs.cancel(ctx, id)
+		return summary.answer(), found, err
+	})
+}
+
+// answerForJob answers a request about the job that its path names, within a timeout.
+func (s *Site) answerForJob(c echo.Context, timeout time.Duration, answer func(context.Context, ids.Job) (body any, found bool, err error)) error {
+	id, err := ids.ParseJob(c.Param("id"))
+	if err != nil {
+		return answerNoSuchJob(c)
+	}
+	ctx, cancel := context.WithTimeout(c.Request().Context(), timeout)
+	defer cancel()
+	body, found, err := answer(ctx, id)
+	switch {
+	case err != nil:
+		return s.answerError(c, err)
+	case !found:
+		return answerNoSuchJob(c)
+	}
+	return c.JSON(http.StatusOK, body)
+}
--- /dev/null
+++ b/internal/intake/submit.go
@@ -0,0 +1,93 @@
+package intake
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"time"
+
+	"github.com/pebbletrail/pebbletrail/internal/ids"
+	"github.com/pebbletrail/pebbletrail/internal/record"
+	"github.com/pebbletrail/pebbletrail/internal/state"
+)
+
+// submit accepts a job. It is idempotent: a job accepted before is answered as it stands now,
+// whatever the repeated request says, and known is true. The error is a rejectedError if the job
+// can never run, else errUnavailable.
+func (s *JobService) submit(ctx context.Context, spec record.Spec) (summary jobSummary, known bool, err error) {
+	if summary, known := s.ended.get(spec.ID); known {
+		return summary, true, nil
+	}
+	refusal := s.checkFeasible(&spec)
+	rec := record.New(spec, ids.WallOf(time.Now()), s.Writer)
+	value, fits := s.encodeClaimable(*rec)
+	if refusal == nil && !fits {
+		refusal = errDescriptionTooLarge
+	}
+	if refusal != nil || len(spec.Awaits) > 0 {
+		// A job that was once accepted is never refused, so its record is looked for first.
+		accepted, err := s.records().current(ctx, spec.ID, state.Spare)
+		switch {
+		case err != nil:
+			return jobSummary{}, false, err
+		case accepted.exists():
+			return summarize(accepted.record), true, nil
+		case refusal != nil:
+			return jobSummary{}, false, refusal
+		}
+	}
+	key := record.JobKey(spec.ID)
+	if len(spec.Awaits) > 0 {
+		if key, value, err = s.resolveDependencies(ctx, rec); err != nil {
+			return jobSummary{}, false, err
+		}
+	}
+	return s.storeSubmission(ctx, rec, key, value)
+}
+
+// storeSubmission writes a new job's record, unless there is a record of the job already.
+func (s *JobService) storeSubmission(ctx context.Context, rec *record.Record, key string, value json.RawMessage) (summary jobSummary, known bool, err error) {
+	if s.State.Unavailable() {
+		return jobSummary{}, false, errStoreSilent
+	}
+	id := rec.Spec.ID
+	epoch, err := s.State.Commit(ctx, state.Txn{
+		When: []state.Condition{{Key: record.JobKey(id)}, {Key: record.WaitKey(id)}, {Key: record.EndKey(id)}},
+		Then: []state.Op{{Put: key, Value: value}},
+	}, state.Spare)
+	var conflict *state.Conflict
+	switch {
+	case err == nil:
+		if key == record.JobKey(id) {
+			s.LeaderNotifier.NotifyLeader(id, ids.Revision(epoch), rec, value)
+		}
+		if rec.Status.Over() {
+			s.ended.add(rec)
+		}
+		return summarize(rec), false, nil
+	case errors.As(err, &conflict) || errors.Is(err, state.ErrUnknown):
+		return s.readBack(ctx, id)
+	default:
+		return jobSummary{}, false, unavailable(err)
+	}
+}
+
+// readBack answers a submission whose record may have been stored, by this request or an earlier
+// one, with what can be read.
+func (s *JobService) readBack(ctx context.Context, id ids.Job) (summary jobSummary, known bool, err error) {
+	stored, err := s.records().current(ctx, id, state.Normal)
+	switch {
+	case err != nil:
+		return jobSummary{}, false, err
+	case !stored.exists():
+		return jobSummary{}, false, errUnavailable
+	}
+	return summarize(stored.record), true, nil
+}
+
+// encodeClaimable writes the record of a job without open dependencies. The description must leave
+// room in the value for the job's assignments.
+func (s *JobService) encodeClaimable(rec record.Record) (value json.RawMessage, fits bool) {
+	rec.Spec.Awaits = nil
+	return rec.Encode(int(s.Set.Params.State.ValueKB * 1024 * record.DescribedShare))
+}
