--- /dev/null
+++ b/internal/intake/cluster_test.go
@@ -0,0 +1,156 @@
+package intake
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"net/http"
+	"strconv"
+	"testing"
+	"time"
+
+	"github.com/pebbletrail/pebbletrail/internal/config"
+	"github.com/pebbletrail/pebbletrail/internal/fake"
+	"github.com/pebbletrail/pebbletrail/internal/ids"
+	"github.com/pebbletrail/pebbletrail/internal/record"
+	"github.com/pebbletrail/pebbletrail/internal/state"
+)
+
+// testCluster is two nodes, a and b, on one store, without a leader: what becomes of the
+// records is up to the test.
+type testCluster struct {
+	t        *testing.T
+	net      *fake.Net
+	store    *fake.Store
+	services map[string]*JobService
+	nodes    map[string]http.Handler
+	leader   *state.Client // writes as the leader does
+}
+
+// newTestCluster starts both nodes on an empty store.
+func newTestCluster(t *testing.T) *testCluster {
+	network, store, _ := newJobService()
+	c := &testCluster{t: t, net: network, store: store, services: map[string]*JobService{}, nodes: map[string]http.Handler{},
+		leader: state.NewClient("state:1", network.Client("leader"), state.NewBudget(1e6, 1e6, 1, 0.6))}
+	for _, name := range []string{"a", "b"} {
+		c.start(name)
+	}
+	return c
+}
+
+// start starts a node, or starts it again, which then remembers nothing.
+func (c *testCluster) start(name string) {
+	_, _, service := newJobService()
+	service.State = state.NewClient("state:1", c.net.Client(name), state.NewBudget(1000, 1000, 1, 0.6))
+	service.Jobs = state.NewMirror(service.State, record.JobPrefix, time.Second)
+	service.Writer = name
+	service.Set.Params.Teams = append(service.Set.Params.Teams, config.Team{Name: "blue", CPUsMax: 8})
+	c.services[name] = service
+	c.nodes[name] = (&Site{Jobs: service, Ready: func() bool { return true }, Live: explainWithoutLeader}).Handler()
+}
+
+// explainWithoutLeader is how the leader explains a job where there is none.
+func explainWithoutLeader(context.Context, ids.Job) ([]string, ids.Node, error) { return nil, "", nil }
+
+// submissionWith is a submission with dependencies.
+func submissionWith(id string, dependencies any) map[string]any {
+	body := submissionOf(id)
+	body["awaits"] = dependencies
+	return body
+}
+
+// submit submits at a node and returns code and status.
+func (c *testCluster) submit(node string, body any) (int, string) {
+	return c.request(node, "POST", "/v2/runs", body)
+}
+
+// request returns the code of a node's answer and the job's status in it, if there is one.
+func (c *testCluster) request(node, method, path string, body any) (int, string) {
+	response := serve(c.nodes[node], method, path, body)
+	var answer struct{ Status string }
+	if err := json.Unmarshal(response.Body.Bytes(), &answer); err != nil {
+		return response.Code, ""
+	}
+	return response.Code, answer.Status
+}
+
+// jobStatus is what a node calls a job.
+func (c *testCluster) jobStatus(node, id string) string {
+	code, status := c.request(node, "GET", "/v2/runs/"+id, nil)
+	if code != 200 {
+		return strconv.Itoa(code)
+	}
+	return status
+}
+
+// expectStatus checks what both nodes call a job.
+func (c *testCluster) expectStatus(id, want string) {
+	c.t.Helper()
+	for _, node := range []string{"a", "b"} {
+		if got := c.jobStatus(node, id); got != want {
+			c.t.Errorf("%s calls %s %q, not %q", node, id, got, want)
+		}
+	}
+}
+
+// storeJob stores a job in any state, at the key that fits.
+func (c *testCluster) storeJob(id ids.Job, status record.Status, dependencies ...ids.Job) {
+	c.t.Helper()
+	spec, err := parse(bytes.NewReader(marshal(submissionWith(string(id), dependencies))))
+	if err != nil {
+		c.t.Fatal(err)
+	}
+	c.storeRecord(newRecord(spec, status), len(dependencies) > 0)
+}
+
+// newRecord is the record of a job in any state.
+func newRecord(spec record.Spec, status record.Status) *record.Record {
+	rec := record.New(spec, ids.WallOf(time.Now()), "leader")
+	rec.Status = status
+	return rec
+}
+
+// storeRecord stores a record; blocked tells that the job waits for its dependencies.
+func (c *testCluster) storeRecord(rec *record.Record, blocked bool) {
+	c.t.Helper()
+	id := rec.Spec.ID
+	key, encode := record.JobKey(id), rec.Encode
+	switch {
+	case rec.Status.Over():
+		key = record.EndKey(id)
+	case blocked:
+		key, encode = record.WaitKey(id), rec.EncodeWaiting
+	}
+	raw, fits := encode(64 * 1024)
+	if !fits {
+		c.t.Fatal("does not fit")
+	}
+	c.commit(state.Op{Put: key, Value: raw})
+}
+
+// commit changes the store as the leader does.
+func (c *testCluster) commit(ops ...state.Op) {
+	c.t.Helper()
+	if _, err := c.leader.Commit(c.t.Context(), state.Txn{Then: ops}, state.Urgent); err != nil {
+		c.t.Fatal(err)
+	}
+}
+
+// marshal writes a body of a test, which is always such that it can be written.
+func marshal(body any) []byte {
+	raw, err := json.Marshal(body)
+	if err != nil {
+		panic(err)
+	}
+	return raw
+}
+
+// storedAt is the one key at which a job's record is.
+func (c *testCluster) storedAt(id ids.Job) (at string) {
+	for _, key := range []string{record.JobKey(id), record.WaitKey(id), record.EndKey(id)} {
+		if c.store.Value(key) != nil {
+			at += key
+		}
+	}
+	return at
+}
--- a/internal/intake/connection_limiter_test.go
+++ b/internal/intake/connection_limiter_test.go
@@ -14,24 +14,46 @@
 	"github.com/pebbletrail/pebbletrail/internal/worker"
 )
 
-// nods answers every report.
-type nods struct{}
+// heartbeatStub answers every heartbeat.
+type heartbeatStub struct{}
 
-func (nods) Heartbeat(context.Context, *worker.Report) (*worker.Reply, int, worker.Redirect) {
+func (heartbeatStub) Heartbeat(context.Context, *worker.Report) (*worker.Reply, int, worker.Redirect) {
 	return &worker.Reply{Token: 1, Orders: []worker.Order{}}, 200, worker.Redirect{}
 }
 
-func TestMoreConnectionsThanPlaces(t *testing.T) {
+// send sends a request and returns the status of the answer, 0 if there is none, and its Retry-After.
+func send(client *http.Client, method, path, body string) (code int, retryAfter string) {
+	request, err := http.NewRequest(method, "http://a"+path, strings.NewReader(body))
+	if err != nil {
+		return 0, ""
+	}
+	response, err := client.Do(request)
+	if err != nil {
+		return 0, ""
+	}
+	_, _ = io.Copy(io.Discard, response.Body) // for its connection to be used again; the body does not matter
+	_ = response.Body.Close()                 // it was only read
+	return response.StatusCode, response.Header.Get("Retry-After")
+}
+
+// sendHeartbeat sends a worker's heartbeat and returns the status of the answer.
+func sendHeartbeat(client *http.Client) int {
+	code, _ := send(client, "POST", "/agent/beat", `{"host":"m"}`)
+	return code
+}
+
+func TestWorkersAndHealthChecksConnectWhenTheListenerIsFull(t *testing.T) {
 	// Guards against workers alone filling the listener, as they would at half as
 	// many machines again: users then met silence, health checks failed, and late
 	// workers lost their leases.
 	synctest.Test(t, func(t *testing.T) {
 		pipes := fake.NewPipes()
-		_, _, dk := jobService()
-		s := &Site{Jobs: dk, Heartbeats: nods{}, Ready: func() bool { return true }}
-		const workers = 100
-		d := &ConnectionLimiter{MaxConnections: 128, WorkerCount: func() int { return workers }, IdleTimeout: 20 * time.Second}
-		go s.Serve(pipes.Listen("a"), d)
+		_, _, service := newJobService()
+		site := &Site{Jobs: service, Heartbeats: heartbeatStub{}, Ready: func() bool { return true }}
+		const workerCount = 100
+		limiter := &ConnectionLimiter{MaxConnections: 128, WorkerCount: func() int { return workerCount }, IdleTimeout: 20 * time.Second}
+		listener := pipes.Listen("a")
+		go func() { _ = site.Serve(listener, limiter) }() // it ends with the listener
 		dialed := 0
 		newClient := func() *http.Client {
 			return &http.Client{Timeout: 3 * time.Second, Transport: &http.Transport{DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
@@ -39,27 +61,13 @@
 				return pipes.Dial(ctx, "a")
 			}}}
 		}
-		ask := func(c *http.Client, method, path, body string) (int, string) {
-			req, _ := http.NewRequest(method, "http://a"+path, strings.NewReader(body))
-			res, err := c.Do(req)
-			if err != nil {
-				return 0, ""
-			}
-			defer res.Body.Close()
-			io.Copy(io.Discard, res.Body)
-			return res.StatusCode, res.Header.Get("Retry-After")
-		}
-		beat := func(c *http.Client) int {
-			code, _ := ask(c, "POST", "/agent/beat", `{"host":"m"}`)
-			return code
-		}
 		// Users come first, and more of them than the workers leave room for.
 		served, refused := 0, 0
 		var users []*http.Client
 		for range 60 {
-			c := newClient()
-			users = append(users, c)
-			switch code, after := ask(c, "GET", "/v2/runs/job-1", ""); {
+			client := newClient()
+			users = append(users, client)
+			switch code, after := send(client, "GET", "/v2/runs/job-1", ""); {
 			case code == 404:
 				served++
 			case code == 503 && after != "":
@@ -68,60 +76,60 @@
 				t.Fatalf("a user got %d, Retry-After %q", code, after)
 			}
 		}
-		if served != d.MaxConnections-4-workers || refused != 60-served {
+		if served != limiter.MaxConnections-4-workerCount || refused != 60-served {
 			t.Errorf("%d users served and %d told to come back", served, refused)
 		}
-		// Every worker finds a place, and keeps it.
-		var ws []*http.Client
-		for range workers {
-			ws = append(ws, newClient())
-			if code := beat(ws[len(ws)-1]); code != 200 {
+		// Every worker gets a connection, and keeps it.
+		var workers []*http.Client
+		for range workerCount {
+			workers = append(workers, newClient())
+			if code := sendHeartbeat(workers[len(workers)-1]); code != 200 {
 				t.Fatalf("a worker got %d", code)
 			}
 		}
-		before := dialed
-		for _, c := range ws {
-			if code := beat(c); code != 200 {
+		dialedBefore := dialed
+		for _, client := range workers {
+			if code := sendHeartbeat(client); code != 200 {
 				t.Fatalf("a worker got %d the second time", code)
 			}
 		}
-		if dialed != before {
-			t.Errorf("%d workers had to connect again", dialed-before)
+		if dialed != dialedBefore {
+			t.Errorf("%d workers had to connect again", dialed-dialedBefore)
 		}
 		// Now it is full: health checks get through, as do users, who are told
 		// to come back.
 		for range 5 {
-			if code, _ := ask(newClient(), "GET", "/up", ""); code != 200 {
+			if code, _ := send(newClient(), "GET", "/up", ""); code != 200 {
 				t.Errorf("a health check got %d", code)
 			}
-			if code, after := ask(newClient(), "GET", "/v2/runs/job-1", ""); code != 503 || after == "" {
+			if code, after := send(newClient(), "GET", "/v2/runs/job-1", ""); code != 503 || after == "" {
 				t.Errorf("a user got %d, Retry-After %q", code, after)
 			}
-			if code := beat(newClient()); code != 200 {
+			if code := sendHeartbeat(newClient()); code != 200 {
 				t.Errorf("a late worker got %d", code)
 			}
 		}
-		// Those that say nothing any more give their places back.
+		// Those that say nothing any more give their connections back.
 		for range 4 {
 			time.Sleep(15 * time.Second)
-			for _, c := range ws[:20] {
-				beat(c)
+			for _, client := range workers[:20] {
+				sendHeartbeat(client)
 			}
 		}
-		d.mu.Lock()
-		if d.open != 20 || d.workers != 20 || d.users != 0 {
-			t.Errorf("%d connections are held: %d of workers, %d of users", d.open, d.workers, d.users)
+		limiter.mu.Lock()
+		if limiter.open != 20 || limiter.workers != 20 || limiter.users != 0 {
+			t.Errorf("%d connections are held: %d of workers, %d of users", limiter.open, limiter.workers, limiter.users)
 		}
-		d.mu.Unlock()
-		for _, c := range append(users, ws...) {
-			c.CloseIdleConnections()
+		limiter.mu.Unlock()
+		for _, client := range append(users, workers...) {
+			client.CloseIdleConnections()
 		}
 		pipes.Close()
 		time.Sleep(time.Minute)
 	})
 }
 
-func TestMoreWorkersThanSocketsLeaveRoomForUsers(t *testing.T) {
+func TestMoreWorkersThanConnectionsLeaveUsersTheirQuota(t *testing.T) {
 	// Guards against workers that hold every connection of a leader with fewer sockets
 	// than machines: its users were all refused, although its load balancer sent them
 	// there because so few were connected.
@@ -129,18 +137,18 @@
 	limiter := &ConnectionLimiter{MaxConnections: 3000, WorkerCount: func() int { return workers }}
 	var open []*limitedConn
 	for range workers {
-		here, there := net.Pipe()
-		defer there.Close()
-		conn := limiter.admit(here)
+		conn := limiter.admit(newConnection(t))
 		if conn == nil {
-			t.Fatalf("no place for a worker's report beside %d connections", limiter.open)
+			t.Fatalf("no connection for a worker's heartbeat beside %d connections", limiter.open)
 		}
 		serve, keepOpen := conn.admitRequest(workerHeartbeat)
 		if !serve {
-			t.Fatal("a report was refused")
+			t.Fatal("a heartbeat was refused")
 		}
 		if !keepOpen {
-			conn.Close()
+			if err := conn.Close(); err != nil {
+				t.Fatal(err)
+			}
 			continue
 		}
 		open = append(open, conn)
@@ -150,11 +158,9 @@
 	}
 	users := 0
 	for range limiter.userQuota() {
-		here, there := net.Pipe()
-		defer there.Close()
-		conn := limiter.admit(here)
+		conn := limiter.admit(newConnection(t))
 		if conn == nil {
-			t.Fatal("no place for a user")
+			t.Fatal("no connection for a user")
 		}
 		if serve, _ := conn.admitRequest(user); serve {
 			users++
@@ -164,3 +170,11 @@
 		t.Errorf("%d of %d users are served", users, limiter.userQuota())
 	}
 }
+
+// newConnection is one end of a connection whose other end is closed with the test.
+func newConnection(t *testing.T) net.Conn {
+	t.Helper()
+	here, there := net.Pipe()
+	t.Cleanup(func() { _ = there.Close() }) // nothing is sent on it
+	return here
+}
--- /dev/null
+++ b/internal/intake/dependencies_test.go
@@ -0,0 +1,229 @@
+package intake
+
+import (
+	"fmt"
+	"net/http"
+	"slices"
+	"testing"
+	"testing/synctest"
+
+	"github.com/pebbletrail/pebbletrail/internal/fake"
+	"github.com/pebbletrail/pebbletrail/internal/ids"
+	"github.com/pebbletrail/pebbletrail/internal/record"
+	"github.com/pebbletrail/pebbletrail/internal/state"
+)
+
+func TestDependenciesAreAListOfJobIDs(t *testing.T) {
+	// Guards against names that are taken for others or passed over, so that a job starts
+	// too early, and against refusing what the protocol allows.
+	synctest.Test(t, func(t *testing.T) {
+		cluster := newTestCluster(t)
+		for _, bad := range []any{"job-1", "", 7, true, map[string]any{}, []any{1}, []any{nil}, []any{[]string{"job-1"}},
+			[]string{""}, []string{"job-"}, []string{"job-1x"}, []string{"run-1"}, []string{"job-1", "JOB-2"}, []string{" job-1"}} {
+			if code, _ := cluster.submit("a", submissionWith("job-9", bad)); code != 400 {
+				t.Errorf("awaits %v gets %d", bad, code)
+			}
+			cluster.expectStatus("job-9", "404")
+		}
+		cluster.storeJob("job-1", record.Queued)
+		for i, testCase := range []struct {
+			names any
+			want  []ids.Job
+		}{
+			{nil, nil}, {[]string{}, nil}, {[]string{"job-1"}, []ids.Job{"job-1"}}, {[]string{"job-1", "job-1"}, []ids.Job{"job-1"}},
+		} {
+			id := ids.Job(fmt.Sprintf("job-1%d", i))
+			if code, status := cluster.submit("a", submissionWith(string(id), testCase.names)); code != 201 || status != "pending" {
+				t.Errorf("awaits %v gets %d %s", testCase.names, code, status)
+			}
+			key := record.JobKey(id)
+			if testCase.want != nil {
+				key = record.WaitKey(id)
+			}
+			if cluster.storedAt(id) != key {
+				t.Errorf("awaits %v is stored at %s", testCase.names, cluster.storedAt(id))
+			}
+			if testCase.want == nil {
+				continue
+			}
+			if rec, err := record.DecodeWaiting(cluster.store.Value(key)); err != nil || !slices.Equal(rec.Spec.Awaits, testCase.want) {
+				t.Errorf("awaits %v is kept as %v, %v", testCase.names, rec, err)
+			}
+		}
+	})
+}
+
+// acceptedJob is a job that was accepted before, in some state.
+type acceptedJob struct {
+	id           ids.Job
+	status       record.Status
+	dependencies []ids.Job
+}
+
+// dependencyCases are the dependencies that a submission names, its answer, and where its record is
+// stored.
+var dependencyCases = map[string]struct {
+	jobs     []acceptedJob
+	names    []string
+	code     int
+	status   string
+	storedAt string // prefix of the key; empty: not stored
+}{
+	"queued":                    {[]acceptedJob{{"job-1", record.Queued, nil}}, []string{"job-1"}, 201, "pending", record.WaitPrefix},
+	"claimed":                   {[]acceptedJob{{"job-1", record.Claimed, nil}}, []string{"job-1"}, 201, "pending", record.WaitPrefix},
+	"done":                      {[]acceptedJob{{"job-1", record.Done, nil}}, []string{"job-1"}, 201, "pending", record.JobPrefix},
+	"cancelled":                 {[]acceptedJob{{"job-1", record.Cancelled, nil}}, []string{"job-1"}, 201, "cancelled", record.EndPrefix},
+	"cancelling":                {[]acceptedJob{{"job-1", record.Cancelling, nil}}, []string{"job-1"}, 201, "cancelled", record.EndPrefix},
+	"waiting":                   {[]acceptedJob{{"job-1", record.Queued, nil}, {"job-2", record.Queued, []ids.Job{"job-1"}}}, []string{"job-2"}, 201, "pending", record.WaitPrefix},
+	"waits for a cancelled one": {[]acceptedJob{{"job-1", record.Cancelled, nil}, {"job-2", record.Queued, []ids.Job{"job-1"}}}, []string{"job-2"}, 201, "cancelled", record.EndPrefix},
+	"waits for a cancelling one, two steps on": {[]acceptedJob{{"job-1", record.Cancelling, nil}, {"job-2", record.Queued, []ids.Job{"job-1"}},
+		{"job-3", record.Queued, []ids.Job{"job-2"}}}, []string{"job-3"}, 201, "cancelled", record.EndPrefix},
+	"waits for a done one":  {[]acceptedJob{{"job-1", record.Done, nil}, {"job-2", record.Queued, []ids.Job{"job-1"}}}, []string{"job-2"}, 201, "pending", record.WaitPrefix},
+	"one done, one queued":  {[]acceptedJob{{"job-1", record.Done, nil}, {"job-2", record.Queued, nil}}, []string{"job-1", "job-2"}, 201, "pending", record.WaitPrefix},
+	"one queued, one ended": {[]acceptedJob{{"job-1", record.Queued, nil}, {"job-2", record.Cancelled, nil}}, []string{"job-1", "job-2"}, 201, "cancelled", record.EndPrefix},
+	"all done":              {[]acceptedJob{{"job-1", record.Done, nil}, {"job-2", record.Done, nil}}, []string{"job-1", "job-2"}, 201, "pending", record.JobPrefix},
+	"never accepted":        {nil, []string{"job-1"}, 422, "", ""},
+	"one never accepted":    {[]acceptedJob{{"job-1", record.Queued, nil}}, []string{"job-1", "job-2"}, 422, "", ""},
+	"cancelled and never":   {[]acceptedJob{{"job-1", record.Cancelled, nil}}, []string{"job-1", "job-2"}, 422, "", ""},
+	"five ended, one of never": {[]acceptedJob{{"job-1", record.Done, nil}, {"job-2", record.Done, nil}, {"job-3", record.Done, nil}, {"job-4", record.Done, nil}},
+		[]string{"job-1", "job-2", "job-3", "job-4", "job-5"}, 422, "", ""},
+	"itself": {nil, []string{"job-90"}, 422, "", ""},
+}
+
+func TestDependencyStatesDecideASubmission(t *testing.T) {
+	// Guards against refusing an accepted job, in whatever state, and against accepting
+	// what can never start; and against a job that waits though all it needs is decided.
+	for name, testCase := range dependencyCases {
+		for _, node := range []string{"a", "b"} {
+			t.Run(name+" at "+node, func(t *testing.T) {
+				synctest.Test(t, func(t *testing.T) {
+					cluster := newTestCluster(t)
+					cluster.expectStatus("job-77", "404") // both have read the records before there was any
+					for _, job := range testCase.jobs {
+						cluster.storeJob(job.id, job.status, job.dependencies...)
+					}
+					code, status := cluster.submit(node, submissionWith("job-90", testCase.names))
+					if code != testCase.code || status != testCase.status {
+						t.Fatalf("answered %d %q, not %d %q", code, status, testCase.code, testCase.status)
+					}
+					want := ""
+					if testCase.storedAt != "" {
+						want = testCase.storedAt + "job-90"
+					}
+					if got := cluster.storedAt("job-90"); got != want {
+						t.Errorf("stored at %q, not %q", got, want)
+					}
+					if code == 422 {
+						cluster.expectStatus("job-90", "404")
+					} else {
+						cluster.expectStatus("job-90", testCase.status)
+					}
+				})
+			})
+		}
+	}
+}
+
+func TestDependencyMayBeOfAnotherTeamButNoService(t *testing.T) {
+	// Guards against a job that waits for a service, which is never done, and against
+	// looking for what is named in its own team only.
+	synctest.Test(t, func(t *testing.T) {
+		cluster := newTestCluster(t)
+		service := submissionOf("job-1")
+		service["shape"] = "standing"
+		other := submissionOf("job-2")
+		other["owner"] = "blue"
+		for _, body := range []map[string]any{service, other} {
+			if code, _ := cluster.submit("a", body); code != 201 {
+				t.Fatal(code)
+			}
+		}
+		if code, _ := cluster.submit("b", submissionWith("job-10", []string{"job-1"})); code != 422 {
+			t.Errorf("a service is named: %d", code)
+		}
+		if code, status := cluster.submit("b", submissionWith("job-11", []string{"job-2"})); code != 201 || status != "pending" {
+			t.Errorf("another team's job is named: %d %s", code, status)
+		}
+		cluster.request("a", "POST", "/v2/runs/job-1/cancel", nil)
+		for _, node := range []string{"a", "b"} { // a remembers its end, b reads it
+			if code, _ := cluster.submit(node, submissionWith("job-12", []string{"job-1"})); code != 422 {
+				t.Errorf("a cancelled service is named at %s: %d", node, code)
+			}
+		}
+	})
+}
+
+func TestDependencyIsFoundWhileItsRecordMoves(t *testing.T) {
+	// Guards against reading the places where a job's record may be in an order in which it
+	// slips through, and so is taken for never accepted: it leaves those that wait, and
+	// ends, between any two calls that a node makes to the store.
+	for first := 1; first < 9; first++ {
+		for second := first; second < 9; second++ {
+			synctest.Test(t, func(t *testing.T) {
+				cluster := newTestCluster(t)
+				cluster.storeJob("job-1", record.Done)
+				cluster.storeJob("job-2", record.Queued, "job-1")
+				waiting, err := record.DecodeWaiting(cluster.store.Value(record.WaitKey("job-2")))
+				if err != nil {
+					t.Fatal(err)
+				}
+				live, _ := waiting.Encode(64 * 1024)
+				waiting.Status = record.Done
+				end, _ := waiting.Encode(64 * 1024)
+				calls := 0
+				cluster.net.SetRule(func(from, _ string, _ *http.Request, _ []byte) fake.Fate {
+					if from != "b" {
+						return fake.Deliver
+					}
+					calls++
+					if calls == first {
+						cluster.commit(state.Op{Remove: record.WaitKey("job-2")}, state.Op{Put: record.JobKey("job-2"), Value: live})
+					}
+					if calls == second {
+						cluster.commit(state.Op{Remove: record.JobKey("job-2")}, state.Op{Put: record.EndKey("job-2"), Value: end})
+					}
+					return fake.Deliver
+				})
+				if code, status := cluster.submit("b", submissionWith("job-9", []string{"job-2"})); code != 201 || status != "pending" {
+					t.Errorf("moved at calls %d and %d: %d %s", first, second, code, status)
+				}
+				if got := cluster.jobStatus("b", "job-2"); got != "pending" && got != "done" {
+					t.Errorf("moved at calls %d and %d: called %s", first, second, got)
+				}
+			})
+		}
+	}
+}
+
+func TestRepeatedSubmissionIsKnownWhateverItsDependencies(t *testing.T) {
+	// Guards against refusing the repeat of an accepted job because what it names would be
+	// refused now, and against letting a repeat change what the job awaits.
+	synctest.Test(t, func(t *testing.T) {
+		cluster := newTestCluster(t)
+		cluster.storeJob("job-1", record.Queued)
+		cluster.storeJob("job-2", record.Cancelled)
+		cluster.storeJob("job-3", record.Done)
+		for id, names := range map[string][]string{"job-10": {"job-1"}, "job-11": {"job-2"}, "job-12": {"job-3"}, "job-13": nil} {
+			code, status := cluster.submit("a", submissionWith(id, names))
+			if code != 201 {
+				t.Fatal(code)
+			}
+			key := cluster.storedAt(ids.Job(id))
+			stored := string(cluster.store.Value(key))
+			for _, again := range []any{names, nil, []string{}, []string{"job-2"}, []string{"job-3"}, []string{"job-404"}, []string{id}, []string{"job-1", "job-3"}} {
+				for _, node := range []string{"a", "b"} {
+					if code, told := cluster.submit(node, submissionWith(id, again)); code != 200 || told != status {
+						t.Errorf("%s answers %d %s to a repeat of %s, which is %s, with %v", node, code, told, id, status, again)
+					}
+				}
+			}
+			if code, _ := cluster.submit("b", submissionWith(id, "job-1")); code != 400 {
+				t.Errorf("a malformed body gets %d", code)
+			}
+			cluster.expectStatus(id, status)
+			if got := string(cluster.store.Value(key)); got != stored || cluster.storedAt(ids.Job(id)) != key {
+				t.Errorf("a repeat changed %s into %s", stored, got)
+			}
+		}
+	})
+}
--- /dev/null
+++ b/internal/intake/dependency_reader_test.go
@@ -0,0 +1,208 @@
+package intake
+
+import (
+	"fmt"
+	"net/http"
+	"strconv"
+	"strings"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/pebbletrail/pebbletrail/internal/fake"
+	"github.com/pebbletrail/pebbletrail/internal/ids"
+	"github.com/pebbletrail/pebbletrail/internal/record"
+	"github.com/pebbletrail/pebbletrail/internal/state"
+)
+
+func TestJobIsRejectedOnlyAfterReadingTheRecords(t *testing.T) {
+	// Guards against 422 from a copy that is old or empty, and against a Retry-After that
+	// sends users away for longer than the trouble, or not at all.
+	expectRetryLater := func(t *testing.T, handler http.Handler, body any) {
+		t.Helper()
+		began := time.Now()
+		response := serve(handler, "POST", "/v2/runs", body)
+		after, err := strconv.Atoi(response.Header().Get("Retry-After"))
+		if response.Code != 503 || err != nil || after < 1 || after > 3 || time.Since(began) > 4500*time.Millisecond {
+			t.Errorf("%d, Retry-After %q, after %v", response.Code, response.Header().Get("Retry-After"), time.Since(began))
+		}
+	}
+	for name, begin := range map[string]func(cluster *testCluster) (end func()){
+		"an outage": func(cluster *testCluster) func() {
+			cluster.store.SetDown(true)
+			return func() { cluster.store.SetDown(false) }
+		},
+		"refused alone": func(cluster *testCluster) func() {
+			cluster.store.Refuse("b", true)
+			return func() { cluster.store.Refuse("b", false) }
+		},
+		"cut off":         func(cluster *testCluster) func() { return cluster.setRule(fake.Swallow, "/") },
+		"no list":         func(cluster *testCluster) func() { cluster.start("b"); return cluster.setRule(fake.Refuse, "/kv") },
+		"no final record": func(cluster *testCluster) func() { return cluster.setRule(fake.Refuse, "/kv/end") },
+	} {
+		t.Run(name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				cluster := newTestCluster(t)
+				cluster.expectStatus("job-77", "404")
+				cluster.storeJob("job-1", record.Done)
+				cluster.storeJob("job-2", record.Queued)
+				end := begin(cluster)
+				for _, service := range cluster.services {
+					go service.State.Watch(t.Context(), record.KeysOf(0, 1).Generation())
+				}
+				expectRetryLater(t, cluster.nodes["b"], submissionWith("job-10", []string{"job-404"}))
+				expectRetryLater(t, cluster.nodes["b"], submissionWith("job-11", []string{"job-1", "job-2"}))
+				time.Sleep(5 * time.Second) // it knows by now that it is not served
+				expectRetryLater(t, cluster.nodes["b"], submissionWith("job-10", []string{"job-404"}))
+				if name != "an outage" {
+					if code, _ := cluster.submit("a", submissionWith("job-12", []string{"job-404"})); code != 422 {
+						t.Errorf("the other node answers %d", code)
+					}
+				}
+				end()
+				time.Sleep(3 * time.Second) // the longest Retry-After
+				if code, _ := cluster.submit("b", submissionWith("job-10", []string{"job-404"})); code != 422 {
+					t.Errorf("once it is served: %d", code)
+				}
+				if code, status := cluster.submit("b", submissionWith("job-11", []string{"job-1", "job-2"})); code != 201 || status != "pending" {
+					t.Errorf("once it is served: %d %s", code, status)
+				}
+			})
+		})
+	}
+}
+
+// setRule gives node b's calls of some paths a fate, until the function it returns is called.
+func (c *testCluster) setRule(fate fake.Fate, path string) (end func()) {
+	c.net.SetRule(func(from, _ string, req *http.Request, _ []byte) fake.Fate {
+		if from == "b" && (req.URL.Path == path || strings.HasPrefix(req.URL.Path, path+"/") || path == "/") {
+			return fate
+		}
+		return fake.Deliver
+	})
+	return func() { c.net.SetRule(nil) }
+}
+
+func TestHundredsOfEndedDependenciesCostFewCalls(t *testing.T) {
+	// Guards against a call for each of them, for which a node has no tokens while its user
+	// waits, and against missing one between two pages.
+	synctest.Test(t, func(t *testing.T) {
+		cluster := newTestCluster(t)
+		var names []string
+		for i := range 1500 {
+			id := ids.Job(fmt.Sprintf("job-%d", i))
+			cluster.storeJob(id, record.Done)
+			if i%10 == 0 { // the last digit is the least there is
+				names = append(names, string(id))
+			}
+		}
+		cluster.services["b"].State = state.NewClient("state:1", cluster.net.Client("b"), state.NewBudget(50, 50, 5, 0.45))
+		cluster.services["b"].Jobs = state.NewMirror(cluster.services["b"].State, record.JobPrefix, time.Second)
+		calls := 0
+		cluster.net.SetRule(func(from, _ string, _ *http.Request, _ []byte) fake.Fate {
+			if from == "b" {
+				calls++
+			}
+			return fake.Deliver
+		})
+		if code, _ := cluster.submit("b", submissionWith("job-9000", append([]string{"job-1500"}, names...))); code != 422 {
+			t.Errorf("with one that was never accepted: %d", code)
+		}
+		if code, status := cluster.submit("b", submissionWith("job-9001", names)); code != 201 || status != "pending" || cluster.storedAt("job-9001") != "job/job-9001" {
+			t.Errorf("%d %s, stored at %s", code, status, cluster.storedAt("job-9001"))
+		}
+		if calls > 20 {
+			t.Errorf("%d calls", calls)
+		}
+	})
+}
+
+func TestOnlyDependenciesThatCannotBeStoredAreRejected(t *testing.T) {
+	// Guards against refusing a job for names that need not be kept, since their jobs are
+	// done; and against an answer other than the documented one for what can't be kept.
+	synctest.Test(t, func(t *testing.T) {
+		cluster := newTestCluster(t)
+		for _, service := range cluster.services {
+			service.Set.Params.State.ValueKB = 2
+		}
+		var names []string
+		for i := range 600 {
+			id := ids.Job(fmt.Sprintf("job-%06d", 1000+i*17))
+			status := record.Done
+			if i%4 == 0 {
+				status = record.Queued
+			}
+			cluster.storeJob(id, status)
+			names = append(names, string(id))
+		}
+		cluster.store.SetLimits(2048, 12)
+		if code, status := cluster.submit("a", submissionWith("job-900000", names)); code != 201 || status != "pending" {
+			t.Errorf("150 of 600 not done: %d %s", code, status)
+		}
+		rec, err := record.DecodeWaiting(cluster.store.Value(record.WaitKey("job-900000")))
+		if err != nil || len(rec.Spec.Awaits) != 150 {
+			t.Fatalf("kept as %v, %v", rec, err)
+		}
+		for i := range 300 {
+			id := fmt.Sprintf("job-%06d", 500000+i*17)
+			cluster.storeJob(ids.Job(id), record.Queued)
+			names = append(names, id)
+		}
+		response := serve(cluster.nodes["b"], "POST", "/v2/runs", submissionWith("job-900001", names))
+		if response.Code != 422 || !strings.Contains(response.Body.String(), errTooManyDependencies.reason) {
+			t.Errorf("450 not done: %d %s", response.Code, response.Body)
+		}
+		if code, _ := cluster.submit("b", submissionWith("job-900000", names)); code != 200 {
+			t.Errorf("a repeat of an accepted job: %d", code)
+		}
+		// What is full can still be cancelled.
+		if code, status := cluster.request("b", "POST", "/v2/runs/job-900000/cancel", nil); code != 200 || status != "cancelled" {
+			t.Errorf("its cancellation: %d %s", code, status)
+		}
+		cluster.expectStatus("job-900000", "cancelled")
+	})
+}
+
+func TestCancellationReachesAllDependentsAndNoOthers(t *testing.T) {
+	// Guards against a cancellation that does not reach those behind, reaches others, or
+	// is undone; no leader is there to help, so all rests on the records.
+	synctest.Test(t, func(t *testing.T) {
+		cluster := newTestCluster(t)
+		submit := func(id string, names ...string) {
+			if code, _ := cluster.submit("a", submissionWith(id, names)); code != 201 {
+				t.Fatal(id, code)
+			}
+		}
+		cancel := func(node, id, want string) {
+			t.Helper()
+			if code, status := cluster.request(node, "POST", "/v2/runs/"+id+"/cancel", nil); code != 200 || status != want {
+				t.Errorf("cancelling %s: %d %s, not %s", id, code, status, want)
+			}
+		}
+		submit("job-1")
+		submit("job-2", "job-1")
+		submit("job-3", "job-2")
+		submit("job-4", "job-1")
+		submit("job-5", "job-3", "job-4")
+		cluster.expectStatus("job-5", "pending")
+		// One in the middle, which waits: what needs it goes, what it needs stays.
+		cancel("b", "job-2", "cancelled")
+		for id, want := range map[string]string{"job-1": "pending", "job-2": "cancelled", "job-3": "cancelled", "job-4": "pending", "job-5": "cancelled"} {
+			cluster.expectStatus(id, want)
+		}
+		// One that is cancelled already by another one's cancellation, which stays as it is.
+		cancel("a", "job-5", "cancelled")
+		cancel("b", "job-3", "cancelled")
+		if cluster.storedAt("job-3") != record.WaitKey("job-3") {
+			t.Errorf("stored at %s", cluster.storedAt("job-3"))
+		}
+		// One that runs, which others await.
+		cluster.storeJob("job-1", record.Cancelling)
+		cluster.expectStatus("job-4", "cancelled")
+		// One that is done: its followers go on.
+		cluster.storeJob("job-20", record.Done)
+		cluster.storeJob("job-21", record.Queued, "job-20")
+		cancel("a", "job-20", "done")
+		cluster.expectStatus("job-21", "pending")
+	})
+}
--- a/internal/intake/intake_test.go
+++ b/internal/intake/intake_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"context"
 	"encoding/json"
 	"fmt"
 	"net/http"
@@ -21,17 +20,25 @@
 	"github.com/pebbletrail/pebbletrail/internal/state"
 )
 
-func good() map[string]any {
+// validSubmission is a submission with all fields, and one that the protocol does not know.
+func validSubmission() map[string]any {
 	return map[string]any{"uid": "job-1", "jobkind": "c", "owner": "red", "shape": "array", "urgency": "low", "pieces": 2,
 		"cores": 1.5, "accelerators": 0, "ramGb": 1, "bundle": "img", "pullGb": 1, "builds": nil, "yard": nil, "together": false,
 		"spread": false, "loaners": true, "guessS": 10, "bookmarkS": 0, "stashS": 0, "dueS": nil, "novel": "ignored"}
 }
 
-func TestWhatIsMalformedIsToldApart(t *testing.T) {
-	for name, c := range map[string]struct {
-		key string
-		v   any
-		ok  bool
+// submissionOf is a valid submission of a job.
+func submissionOf(id string) map[string]any {
+	body := validSubmission()
+	body["uid"] = id
+	return body
+}
+
+func TestMalformedSubmissionsAreRefused(t *testing.T) {
+	for name, testCase := range map[string]struct {
+		key   string
+		value any
+		valid bool
 	}{
 		"as it should be":     {"uid", "job-000412", true},
 		"a type list":         {"builds", []string{"g8"}, true},
@@ -49,10 +56,9 @@
 		"negative due":        {"dueS", -5, false},
 		"types of a bad kind": {"builds", "g8", false},
 	} {
-		s := good()
-		s[c.key] = c.v
-		raw, _ := json.Marshal(s)
-		if _, err := parse(strings.NewReader(string(raw))); (err == nil) != c.ok {
+		body := validSubmission()
+		body[testCase.key] = testCase.value
+		if _, err := parse(bytes.NewReader(marshal(body))); (err == nil) != testCase.valid {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
@@ -63,45 +69,51 @@
 	}
 }
 
-type mute struct{}
+// silentNotifier is a leader that is told at once.
+type silentNotifier struct{}
 
-func (mute) NotifyLeader(ids.Job, ids.Revision, *record.Record, json.RawMessage) <-chan struct{} {
+func (silentNotifier) NotifyLeader(ids.Job, ids.Revision, *record.Record, json.RawMessage) <-chan struct{} {
 	done := make(chan struct{})
 	close(done)
 	return done
 }
 
-func jobService() (*fake.Net, *fake.Store, *JobService) {
-	n, s := fake.NewNet(), fake.NewStore()
-	n.Listen("state:1", s)
-	set := &config.Settings{Own: config.Defaults()}
-	set.Params.State = config.State{RPS: 500, WriteRPS: 500, ValueKB: 8, TxnOps: 12}
-	set.Params.Teams = []config.Team{{Name: "red", CPUsMax: 8}}
-	st := state.NewClient("state:1", n.Client("a"), state.NewBudget(500, 500, 1, 0.6))
-	return n, s, &JobService{Set: set, State: st, Jobs: state.NewMirror(st, record.JobPrefix, time.Second), LeaderNotifier: mute{}, Writer: "a",
-		Types: func() []placement.Type {
-			return []placement.Type{{Label: "small", Cores: 4, RAM: 16, Zones: []string{"north"}}}
-		}}
+// newJobService is a node on a store of its own.
+func newJobService() (*fake.Net, *fake.Store, *JobService) {
+	network, store := fake.NewNet(), fake.NewStore()
+	network.Listen("state:1", store)
+	settings := &config.Settings{Own: config.Defaults()}
+	settings.Params.State = config.State{RPS: 500, WriteRPS: 500, ValueKB: 8, TxnOps: 12}
+	settings.Params.Teams = []config.Team{{Name: "red", CPUsMax: 8}}
+	client := state.NewClient("state:1", network.Client("a"), state.NewBudget(500, 500, 1, 0.6))
+	types := []placement.Type{{Label: "small", Cores: 4, RAM: 16, Zones: []string{"north"}}}
+	return network, store, &JobService{Set: settings, State: client, Jobs: state.NewMirror(client, record.JobPrefix, time.Second),
+		LeaderNotifier: silentNotifier{}, Writer: "a", Types: func() []placement.Type { return types }}
 }
 
-func site() (*fake.Net, *fake.Store, http.Handler) {
-	n, s, d := jobService()
-	return n, s, (&Site{Jobs: d, Ready: func() bool { return true }, Status: func() any { return nil },
-		Live: func(context.Context, ids.Job) ([]string, ids.Node, error) { return nil, "", nil }}).Handler()
+// newSite is the HTTP side of such a node.
+func newSite() (*fake.Net, *fake.Store, http.Handler) {
+	network, store, service := newJobService()
+	return network, store, (&Site{Jobs: service, Ready: func() bool { return true }, Status: func() any { return nil },
+		Live: explainWithoutLeader}).Handler()
 }
 
-func call(h http.Handler, method, path string, body any) *httptest.ResponseRecorder {
-	raw, _ := json.Marshal(body)
-	out := httptest.NewRecorder()
-	h.ServeHTTP(out, httptest.NewRequest(method, path, bytes.NewReader(raw)))
-	return out
+// serve has a handler answer a request.
+func serve(handler http.Handler, method, path string, body any) *httptest.ResponseRecorder {
+	response := httptest.NewRecorder()
+	handler.ServeHTTP(response, httptest.NewRequest(method, path, bytes.NewReader(marshal(body))))
+	return response
 }
 
-func TestUsersGetTheStatusThatFits(t *testing.T) {
+func TestUsersGetTheRightHTTPStatus(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		_, s, h := site()
-		with := func(key string, v any) map[string]any { m := good(); m["uid"] = "job-7"; m[key] = v; return m }
-		for _, c := range []struct {
+		_, store, handler := newSite()
+		with := func(key string, value any) map[string]any {
+			body := submissionOf("job-7")
+			body[key] = value
+			return body
+		}
+		for _, testCase := range []struct {
 			name string
 			body any
 			code int
@@ -110,92 +122,88 @@
 			{"too large for any type", with("cores", 5), 422},
 			{"no type of that name", with("builds", []string{"huge"}), 422},
 			{"a zone nobody offers", with("yard", "west"), 422},
-			{"a gang over the limit", func() any { m := with("shape", "gang"); m["pieces"] = 9; return m }(), 422},
+			{"a gang over the limit", func() any { body := with("shape", "gang"); body["pieces"] = 9; return body }(), 422},
 			{"an array beyond its team", with("pieces", 90), 201},
 			{"not an object", []int{1}, 400},
 		} {
-			if got := call(h, "POST", "/v2/runs", c.body).Code; got != c.code {
-				t.Errorf("%s: %d, want %d", c.name, got, c.code)
+			if got := serve(handler, "POST", "/v2/runs", testCase.body).Code; got != testCase.code {
+				t.Errorf("%s: %d, want %d", testCase.name, got, testCase.code)
 			}
 		}
-		if got := call(h, "GET", "/v2/runs/job-999", nil).Code; got != 404 {
+		if got := serve(handler, "GET", "/v2/runs/job-999", nil).Code; got != 404 {
 			t.Errorf("a job nobody submitted: %d", got)
 		}
-		if got := call(h, "POST", "/v2/runs/job-999/cancel", nil).Code; got != 404 {
+		if got := serve(handler, "POST", "/v2/runs/job-999/cancel", nil).Code; got != 404 {
 			t.Errorf("cancelling a job nobody submitted: %d", got)
 		}
 		// Once accepted it is never refused, even if it would be by now.
-		if got := call(h, "POST", "/v2/runs", with("cores", 50)).Code; got != 200 {
+		if got := serve(handler, "POST", "/v2/runs", with("cores", 50)).Code; got != 200 {
 			t.Errorf("a repeat that no longer fits: %d", got)
 		}
-		if out := call(h, "POST", "/v2/runs/job-7/cancel", nil); out.Code != 200 || !strings.Contains(out.Body.String(), "cancelled") {
-			t.Errorf("cancel: %d %s", out.Code, out.Body)
+		if response := serve(handler, "POST", "/v2/runs/job-7/cancel", nil); response.Code != 200 || !strings.Contains(response.Body.String(), "cancelled") {
+			t.Errorf("cancel: %d %s", response.Code, response.Body)
 		}
-		if out := call(h, "GET", "/v2/runs/job-7", nil); !strings.Contains(out.Body.String(), "cancelled") {
-			t.Errorf("after the cancel: %s", out.Body)
+		if response := serve(handler, "GET", "/v2/runs/job-7", nil); !strings.Contains(response.Body.String(), "cancelled") {
+			t.Errorf("after the cancel: %s", response.Body)
 		}
-		s.SetDown(true)
+		store.SetDown(true)
 		began := time.Now()
-		m := good()
-		m["uid"] = "job-8"
-		out := call(h, "POST", "/v2/runs", m)
-		if out.Code != 503 || out.Header().Get("Retry-After") == "" || time.Since(began) > time.Second {
-			t.Errorf("in an outage: %d, Retry-After %q, after %v", out.Code, out.Header().Get("Retry-After"), time.Since(began))
+		response := serve(handler, "POST", "/v2/runs", submissionOf("job-8"))
+		if response.Code != 503 || response.Header().Get("Retry-After") == "" || time.Since(began) > time.Second {
+			t.Errorf("in an outage: %d, Retry-After %q, after %v", response.Code, response.Header().Get("Retry-After"), time.Since(began))
 		}
-		if out := call(h, "GET", "/v2/runs/job-7", nil); out.Code != 200 {
-			t.Errorf("a final answer in an outage: %d", out.Code)
+		if response := serve(handler, "GET", "/v2/runs/job-7", nil); response.Code != 200 {
+			t.Errorf("a final answer in an outage: %d", response.Code)
 		}
-		if out := call(h, "GET", "/v2/runs/job-8", nil); out.Code != 503 {
-			t.Errorf("what can't be read in an outage: %d", out.Code)
+		if response := serve(handler, "GET", "/v2/runs/job-8", nil); response.Code != 503 {
+			t.Errorf("what can't be read in an outage: %d", response.Code)
 		}
 	})
 }
 
-func TestASubmissionWhoseAnswerWasLostIsReadBack(t *testing.T) {
+func TestSubmissionIsReadBackWhenTheStoresAnswerIsLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n, s, h := site()
-		n.SetRule(func(_, _ string, r *http.Request, _ []byte) fake.Fate {
-			if r.URL.Path == "/commit" {
+		network, store, handler := newSite()
+		network.SetRule(func(_, _ string, request *http.Request, _ []byte) fake.Fate {
+			if request.URL.Path == "/commit" {
 				return fake.LoseAnswer
 			}
 			return fake.Deliver
 		})
-		out := call(h, "POST", "/v2/runs", good())
-		if out.Code != 200 || s.Value("job/job-1") == nil {
-			t.Fatalf("%d %s", out.Code, out.Body)
+		response := serve(handler, "POST", "/v2/runs", validSubmission())
+		if response.Code != 200 || store.Value("job/job-1") == nil {
+			t.Fatalf("%d %s", response.Code, response.Body)
 		}
-		n.SetRule(func(_, _ string, r *http.Request, _ []byte) fake.Fate {
-			if r.URL.Path == "/commit" {
+		network.SetRule(func(_, _ string, request *http.Request, _ []byte) fake.Fate {
+			if request.URL.Path == "/commit" {
 				return fake.Swallow
 			}
 			return fake.Deliver
 		})
-		m := good()
-		m["uid"] = "job-2"
-		if out := call(h, "POST", "/v2/runs", m); out.Code != 503 {
-			t.Fatalf("what may never arrive was answered %d", out.Code)
+		if response := serve(handler, "POST", "/v2/runs", submissionOf("job-2")); response.Code != 503 {
+			t.Fatalf("what may never arrive was answered %d", response.Code)
 		}
 	})
 }
 
-func TestQuestionsManyTimesAsOftenCrowdOutNothing(t *testing.T) {
+func TestThousandsOfPollsLeaveStoreCallsForSubmissions(t *testing.T) {
 	// Guards against each question costing a call of its own: thousands ask at once,
 	// with the calls a second that one of five controllers has, and meanwhile jobs are
 	// submitted and cancelled.
 	synctest.Test(t, func(t *testing.T) {
-		n, _, d := jobService()
+		network, _, service := newJobService()
 		calls := 0
 		var mu sync.Mutex
-		n.SetRule(func(string, string, *http.Request, []byte) fake.Fate {
+		network.SetRule(func(string, string, *http.Request, []byte) fake.Fate {
 			mu.Lock()
 			defer mu.Unlock()
 			calls++
 			return fake.Deliver
 		})
-		d.State = state.NewClient("state:1", n.Client("a"), state.NewBudget(200, 50, 5, 0.45))
-		d.Jobs = state.NewMirror(d.State, record.JobPrefix, time.Second)
-		h := (&Site{Jobs: d, Ready: func() bool { return true }}).Handler()
-		if got := call(h, "POST", "/v2/runs", good()).Code; got != 201 {
+		service.State = state.NewClient("state:1", network.Client("a"), state.NewBudget(200, 50, 5, 0.45))
+		service.Jobs = state.NewMirror(service.State, record.JobPrefix, time.Second)
+		handler := (&Site{Jobs: service, Ready: func() bool { return true }}).Handler()
+		if got := serve(handler, "POST", "/v2/runs", validSubmission()).Code; got != 201 {
 			t.Fatal(got)
 		}
 		var wg sync.WaitGroup
@@ -203,7 +211,7 @@
 		for range 5000 {
 			wg.Go(func() {
 				began := time.Now()
-				got := call(h, "GET", "/v2/runs/job-1", nil).Code
+				got := serve(handler, "GET", "/v2/runs/job-1", nil).Code
 				mu.Lock()
 				defer mu.Unlock()
 				codes[got]++
@@ -214,13 +222,11 @@
 			time.Sleep(400 * time.Microsecond)
 		}
 		for i := range 3 {
-			m := good()
-			m["uid"] = fmt.Sprint("job-2", i)
-			if got := call(h, "POST", "/v2/runs", m).Code; got != 201 {
+			if got := serve(handler, "POST", "/v2/runs", submissionOf(fmt.Sprint("job-2", i))).Code; got != 201 {
 				t.Errorf("a submission meanwhile got %d", got)
 			}
 		}
-		if got := call(h, "POST", "/v2/runs/job-20/cancel", nil).Code; got != 200 {
+		if got := serve(handler, "POST", "/v2/runs/job-20/cancel", nil).Code; got != 200 {
 			t.Errorf("a cancel meanwhile got %d", got)
 		}
 		wg.Wait()
@@ -230,36 +236,34 @@
 	})
 }
 
-func TestANodeThatTheStoreDoesNotAnswerSaysSoAtOnce(t *testing.T) {
-	// Guards against every user finding out by a call that hangs: a cut says nothing.
+func TestUnreachableStoreIsAnsweredAtOnce(t *testing.T) {
+	// Guards against every user finding response by a call that hangs: a cut says nothing.
 	synctest.Test(t, func(t *testing.T) {
-		n, _, d := jobService()
+		network, _, service := newJobService()
 		served := true
-		h := (&Site{Jobs: d, Ready: func() bool { return served }}).Handler()
-		if got := call(h, "POST", "/v2/runs", good()).Code; got != 201 {
+		handler := (&Site{Jobs: service, Ready: func() bool { return served }}).Handler()
+		if got := serve(handler, "POST", "/v2/runs", validSubmission()).Code; got != 201 {
 			t.Fatal(got)
 		}
-		if got := call(h, "GET", "/v2/runs/job-1", nil).Code; got != 200 {
+		if got := serve(handler, "GET", "/v2/runs/job-1", nil).Code; got != 200 {
 			t.Fatal(got)
 		}
-		n.SetRule(func(string, string, *http.Request, []byte) fake.Fate { return fake.Swallow })
+		network.SetRule(func(string, string, *http.Request, []byte) fake.Fate { return fake.Swallow })
 		time.Sleep(3 * time.Second)
 		served = false
-		for _, c := range []struct{ method, path string }{
+		for _, request := range []struct{ method, path string }{
 			{"GET", "/v2/runs/job-1"}, {"POST", "/v2/runs/job-1/cancel"}, {"POST", "/v2/runs"},
 		} {
 			began := time.Now()
-			m := good()
-			m["uid"] = "job-5"
-			out := call(h, c.method, c.path, m)
-			if out.Code != 503 || out.Header().Get("Retry-After") == "" || out.Header().Get("Connection") != "close" || time.Since(began) > 50*time.Millisecond {
-				t.Errorf("%s %s: %d after %v, %v", c.method, c.path, out.Code, time.Since(began), out.Header())
+			response := serve(handler, request.method, request.path, submissionOf("job-5"))
+			if response.Code != 503 || response.Header().Get("Retry-After") == "" || response.Header().Get("Connection") != "close" || time.Since(began) > 50*time.Millisecond {
+				t.Errorf("%s %s: %d after %v, %v", request.method, request.path, response.Code, time.Since(began), response.Header())
 			}
 		}
 		// Operators are told what it knows, as what it is.
-		out := call(h, "GET", "/v2/runs/job-1/explain", nil)
-		if out.Code != 200 || !strings.Contains(out.Body.String(), "knew last") || !strings.Contains(out.Body.String(), "unknown") {
-			t.Errorf("explain: %d %s", out.Code, out.Body)
+		response := serve(handler, "GET", "/v2/runs/job-1/explain", nil)
+		if response.Code != 200 || !strings.Contains(response.Body.String(), "knew last") || !strings.Contains(response.Body.String(), "unknown") {
+			t.Errorf("explain: %d %s", response.Code, response.Body)
 		}
 	})
 }
@@ -269,7 +273,7 @@
 	// apart from outside.
 	synctest.Test(t, func(t *testing.T) {
 		handler := (&Site{Ready: func() bool { return true }, Version: "9.8.7"}).Handler()
-		if got := call(handler, "GET", "/up", nil).Header().Get("Pebbletrail-Version"); got != "9.8.7" {
+		if got := serve(handler, "GET", "/up", nil).Header().Get("Pebbletrail-Version"); got != "9.8.7" {
 			t.Errorf("the version told is %q", got)
 		}
 	})
