--- /dev/null
+++ b/internal/peer/convert.go
@@ -0,0 +1,128 @@
+package peer
+
+import (
+	"github.com/pebbletrail/pebbletrail/internal/claim"
+	"github.com/pebbletrail/pebbletrail/internal/rollout"
+	"github.com/pebbletrail/pebbletrail/internal/worker"
+)
+
+// The program's types and those of the messages, copied field by field into one another. Slices are
+// shared: neither side changes what it passes on.
+
+// convertAll converts a list; an empty one becomes nil, as gob does not tell the two apart.
+func convertAll[From, To any](list []From, convert func(From) To) (converted []To) {
+	for _, item := range list {
+		converted = append(converted, convert(item))
+	}
+	return converted
+}
+
+func hintToWire(hint claim.Hint) Hint {
+	return Hint{
+		Name:    hint.Name,
+		Addr:    hint.Addr,
+		Type:    hint.Type,
+		Zone:    hint.Zone,
+		Spot:    hint.Spot,
+		Session: hint.Session,
+		Images:  Images{Names: hint.Images.Names, Sizes: hint.Images.Sizes},
+		Coming:  hint.Coming,
+		Held:    hint.Held,
+	}
+}
+
+func hintFromWire(hint Hint) claim.Hint {
+	return claim.Hint{
+		Name:    hint.Name,
+		Addr:    hint.Addr,
+		Type:    hint.Type,
+		Zone:    hint.Zone,
+		Spot:    hint.Spot,
+		Session: hint.Session,
+		Images:  worker.Images{Names: hint.Images.Names, Sizes: hint.Images.Sizes},
+		Coming:  hint.Coming,
+		Held:    hint.Held,
+	}
+}
+
+func markToWire(mark claim.HintPosition) HintMark {
+	return HintMark{Gen: mark.Gen, Seq: mark.Seq, Whole: mark.Whole, At: mark.At}
+}
+
+func markFromWire(mark HintMark) claim.HintPosition {
+	return claim.HintPosition{Gen: mark.Gen, Seq: mark.Seq, Whole: mark.Whole, At: mark.At}
+}
+
+func strandToWire(strand claim.RedirectedWorker) Strand {
+	return Strand{Machine: strand.Machine, Ago: strand.Ago}
+}
+
+func strandFromWire(strand Strand) claim.RedirectedWorker {
+	return claim.RedirectedWorker{Machine: strand.Machine, Ago: strand.Ago}
+}
+
+func lackToWire(lack claim.Shortage) Lack { return Lack{For: lack.For, Machines: lack.Machines} }
+
+func lackFromWire(lack Lack) claim.Shortage { return claim.Shortage{For: lack.For, Machines: lack.Machines} }
+
+func specToWire(spec *rollout.Spec) RolloutSpec {
+	return RolloutSpec{
+		Name: spec.Name,
+		Select: RolloutSelection{
+			Machines: spec.Select.Machines,
+			Digest:   spec.Select.Digest,
+			Zone:     spec.Select.Zone,
+			Type:     spec.Select.Type,
+			Older:    spec.Select.Older,
+		},
+		Replace:    spec.Replace,
+		Surge:      spec.Surge,
+		WaveSize:   spec.WaveSize,
+		Pause:      spec.Pause,
+		Deadline:   spec.Deadline,
+		AtDeadline: spec.AtDeadline,
+		Observe:    spec.Observe,
+	}
+}
+
+func specFromWire(spec *RolloutSpec) *rollout.Spec {
+	return &rollout.Spec{
+		Name: spec.Name,
+		Select: rollout.Selection{
+			Machines: spec.Select.Machines,
+			Digest:   spec.Select.Digest,
+			Zone:     spec.Select.Zone,
+			Type:     spec.Select.Type,
+			Older:    spec.Select.Older,
+		},
+		Replace:    spec.Replace,
+		Surge:      spec.Surge,
+		WaveSize:   spec.WaveSize,
+		Pause:      spec.Pause,
+		Deadline:   spec.Deadline,
+		AtDeadline: spec.AtDeadline,
+		Observe:    spec.Observe,
+	}
+}
+
+func planToWire(plan *rollout.Preview) RolloutPlan {
+	return RolloutPlan{
+		Machines: plan.Machines,
+		Waves:    plan.Waves,
+		Takes:    plan.Takes,
+		Blocked: convertAll(plan.Blocked, func(blocked rollout.BlockedMachine) BlockedMachine {
+			return BlockedMachine{Name: blocked.Name, Why: blocked.Why}
+		}),
+	}
+}
+
+func planFromWire(plan *RolloutPlan) *rollout.Preview {
+	return &rollout.Preview{
+		Machines: plan.Machines,
+		Waves:    plan.Waves,
+		Takes:    plan.Takes,
+		Blocked: convertAll(plan.Blocked, func(blocked BlockedMachine) rollout.BlockedMachine {
+			return rollout.BlockedMachine{Name: blocked.Name, Why: blocked.Why}
+		}),
+	}
+}
--- /dev/null
+++ b/internal/peer/convert_test.go
@@ -0,0 +1,60 @@
+package peer
+
+import (
+	"reflect"
+	"testing"
+	"time"
+
+	"github.com/pebbletrail/pebbletrail/internal/claim"
+	"github.com/pebbletrail/pebbletrail/internal/ids"
+	"github.com/pebbletrail/pebbletrail/internal/rollout"
+	"github.com/pebbletrail/pebbletrail/internal/worker"
+)
+
+func TestConversionsKeepEveryField(t *testing.T) {
+	// Guards against a field that is added to a type, and to its message, but not copied.
+	hint := claim.Hint{Name: "host-000001", Addr: "10.1.0.1:9000", Type: "small", Zone: "north", Spot: true, Session: 2,
+		Images: worker.Images{Names: []string{"img"}, Sizes: []float64{1.5}}, Coming: true, Held: 3 * time.Second}
+	mark := claim.HintPosition{Gen: 7, Seq: 12, Whole: true, At: time.Unix(1700000000, 0)}
+	strand := claim.RedirectedWorker{Machine: "host-000002", Ago: 3 * time.Second}
+	lack := claim.Shortage{For: 4 * time.Second, Machines: 5}
+	spec := rollout.Spec{Name: "spring", Replace: true, Surge: true, WaveSize: 2, Pause: 3, Deadline: 4, AtDeadline: "wait", Observe: 5,
+		Select: rollout.Selection{Machines: []ids.Machine{"host-000001"}, Digest: "d", Zone: "north", Type: "small", Older: true}}
+	plan := rollout.Preview{Machines: []ids.Machine{"host-000001"}, Waves: [][]ids.Machine{{"host-000001"}}, Takes: 6,
+		Blocked: []rollout.BlockedMachine{{Name: "host-000002", Why: []string{"full"}}}}
+	specOnWire, planOnWire := specToWire(&spec), planToWire(&plan)
+	for name, testCase := range map[string]struct{ original, onWire, back any }{
+		"hint":   {hint, hintToWire(hint), hintFromWire(hintToWire(hint))},
+		"mark":   {mark, markToWire(mark), markFromWire(markToWire(mark))},
+		"strand": {strand, strandToWire(strand), strandFromWire(strandToWire(strand))},
+		"lack":   {lack, lackToWire(lack), lackFromWire(lackToWire(lack))},
+		"spec":   {spec, specOnWire, *specFromWire(&specOnWire)},
+		"plan":   {plan, planOnWire, *planFromWire(&planOnWire)},
+	} {
+		expectNoZeroField(t, name, reflect.ValueOf(testCase.original))
+		expectNoZeroField(t, name+" on the wire", reflect.ValueOf(testCase.onWire))
+		if !reflect.DeepEqual(testCase.back, testCase.original) {
+			t.Errorf("%s comes back as %+v, not %+v", name, testCase.back, testCase.original)
+		}
+	}
+}
+
+// expectNoZeroField checks that every exported field is set, also those of structs within.
+func expectNoZeroField(t *testing.T, path string, value reflect.Value) {
+	t.Helper()
+	if value.IsZero() {
+		t.Errorf("%s is not set", path)
+	}
+	switch value.Kind() {
+	case reflect.Slice:
+		for i := range value.Len() {
+			expectNoZeroField(t, path, value.Index(i))
+		}
+	case reflect.Struct:
+		for i := range value.NumField() {
+			if field := value.Type().Field(i); field.IsExported() {
+				expectNoZeroField(t, path+"."+field.Name, value.Field(i))
+			}
+		}
+	}
+}
--- a/internal/peer/drains.go
+++ b/internal/peer/drains.go
@@ -12,21 +12,12 @@
 	"github.com/pebbletrail/pebbletrail/internal/rollout"
 )
 
-// DrainRequest asks the leader for the plan of a rollout.
-type DrainRequest struct{ Spec rollout.Spec }
+// Drains are possible with one shard only, so all of this concerns the first one.
 
-// DrainPlan answers it. Refused says why the description can't be carried out; empty: it can.
-type DrainPlan struct {
-	Plan    rollout.Preview
-	Refused string
-}
-
-// DrainWaits is what the machines being emptied wait for.
-type DrainWaits struct{ Waits map[ids.Machine][]string }
-
-// PlanDrain makes a plan, if this node leads.
+// PlanDrain makes the plan of a rollout, if this node leads. That its description can't be carried
+// out is part of the answer, since an error of a call keeps its text only.
 func (s *Service) PlanDrain(in *DrainRequest, out *DrainPlan) error {
-	plan, err := planHere(s.link.shards.Pools()[0], &in.Spec)
+	plan, err := planDrain(s.link.shards.Pools()[0], specFromWire(&in.Spec))
 	switch {
 	case errors.Is(err, rollout.ErrBadSpec):
 		out.Refused = strings.TrimPrefix(err.Error(), rollout.ErrBadSpec.Error()+": ")
@@ -34,60 +25,62 @@
 	case err != nil:
 		return err
 	}
-	out.Plan = *plan
+	out.Plan = planToWire(plan)
 	return nil
 }
 
-// WaitsOfDrains tells what the machines being emptied wait for, if this node leads.
+// WaitsOfDrains tells what the machines being drained wait for, if this node leads.
 func (s *Service) WaitsOfDrains(_ *Empty, out *DrainWaits) error {
-	b := s.link.shards.Pools()[0].Cluster()
-	if b == nil {
+	cluster := s.link.shards.Pools()[0].Cluster()
+	if cluster == nil {
 		return claim.ErrNotLeader
 	}
-	out.Waits = b.DrainBlockers()
+	out.Waits = cluster.DrainBlockers()
 	return nil
 }
 
-// planHere makes a plan from what this node's cluster state knows.
-func planHere(pool *claim.Elector, spec *rollout.Spec) (*rollout.Preview, error) {
-	b := pool.Cluster()
-	if b == nil {
+// planDrain makes a plan from the cluster state of this node, or returns claim.ErrNotLeader.
+func planDrain(pool *claim.Elector, spec *rollout.Spec) (*rollout.Preview, error) {
+	cluster := pool.Cluster()
+	if cluster == nil {
 		return nil, claim.ErrNotLeader
 	}
-	return rollout.MakePreview(spec, b.DrainPlanner(), time.Now())
+	return rollout.MakePreview(spec, cluster.DrainPlanner(), time.Now())
 }
 
-// PlanDrain asks the leader for the plan of a rollout.
+// PlanDrain asks the leader for the plan of a rollout. The error is a rollout.ErrBadSpec if the
+// description can't be carried out, and claim.ErrNotLeader if no leader is known.
 func (l *Link) PlanDrain(ctx context.Context, spec *rollout.Spec) (*rollout.Preview, error) {
 	pool := l.shards.Pools()[0]
 	if pool.Cluster() != nil {
-		return planHere(pool, spec)
+		return planDrain(pool, spec)
 	}
-	leader, ok := pool.Leader()
-	if !ok {
+	leader, known := pool.Leader()
+	if !known {
 		return nil, claim.ErrNotLeader
 	}
-	var out DrainPlan
-	if err := l.call(ctx, leader, "PlanDrain", &DrainRequest{*spec}, &out); err != nil {
+	var answer DrainPlan
+	if err := l.connections.call(ctx, leader, "PlanDrain", &DrainRequest{specToWire(spec)}, &answer); err != nil {
 		return nil, err
 	}
-	if out.Refused != "" {
-		return nil, fmt.Errorf("%w: %s", rollout.ErrBadSpec, out.Refused)
+	if answer.Refused != "" {
+		return nil, fmt.Errorf("%w: %s", rollout.ErrBadSpec, answer.Refused)
 	}
-	return &out.Plan, nil
+	return planFromWire(&answer.Plan), nil
 }
 
-// DrainWaits asks the leader what the machines being emptied wait for.
+// DrainWaits asks the leader what the machines being drained wait for. The error is
+// claim.ErrNotLeader if no leader is known.
 func (l *Link) DrainWaits(ctx context.Context) (map[ids.Machine][]string, error) {
 	pool := l.shards.Pools()[0]
-	if b := pool.Cluster(); b != nil {
-		return b.DrainBlockers(), nil
+	if cluster := pool.Cluster(); cluster != nil {
+		return cluster.DrainBlockers(), nil
 	}
-	leader, ok := pool.Leader()
-	if !ok {
+	leader, known := pool.Leader()
+	if !known {
 		return nil, claim.ErrNotLeader
 	}
-	var out DrainWaits
-	err := l.call(ctx, leader, "WaitsOfDrains", &Empty{}, &out)
-	return out.Waits, err
+	var answer DrainWaits
+	err := l.connections.call(ctx, leader, "WaitsOfDrains", &Empty{}, &answer)
+	return answer.Waits, err
 }
--- a/internal/peer/drains_test.go
+++ b/internal/peer/drains_test.go
@@ -8,24 +8,22 @@
 	"time"
 
 	"github.com/pebbletrail/pebbletrail/internal/claim"
-	"github.com/pebbletrail/pebbletrail/internal/fake"
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 	"github.com/pebbletrail/pebbletrail/internal/placement"
 	"github.com/pebbletrail/pebbletrail/internal/rollout"
 )
 
-func TestAnyNodeAsksTheLeaderForPlansOfDrains(t *testing.T) {
+func TestAnyNodeAsksTheLeaderForDrainPlans(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		n, p := fake.NewNet(), fake.NewPipes()
-		n.Listen("state:1", fake.NewStore())
-		a, la := node(ctx, "a", "b", n, p)
+		cluster := newTestCluster()
+		leader, leaderLink := cluster.start(ctx, "a", "b")
 		time.Sleep(2 * time.Second)
-		_, lb := node(ctx, "b", "a", n, p)
+		_, otherLink := cluster.start(ctx, "b", "a")
 		time.Sleep(3 * time.Second)
-		a.Cluster().MachinesRented([]ids.Machine{"host-000001", "host-000002"}, placement.Hire{Type: "small", Zone: "north"}, time.Now())
+		leader.Cluster().MachinesRented([]ids.Machine{"host-000001", "host-000002"}, placement.Hire{Type: "small", Zone: "north"}, time.Now())
 		spec := &rollout.Spec{Name: "spring", Select: rollout.Selection{Zone: "north"}, WaveSize: 1}
-		for name, link := range map[string]*Link{"the leader": la, "another": lb} {
+		for name, link := range map[string]*Link{"the leader": leaderLink, "another": otherLink} {
 			plan, err := link.PlanDrain(ctx, spec)
 			if err != nil || len(plan.Waves) != 2 {
 				t.Errorf("%s plans %+v: %v", name, plan, err)
@@ -38,11 +36,11 @@
 			}
 		}
 		var plan DrainPlan
-		if err := (&Service{lb}).PlanDrain(&DrainRequest{*spec}, &plan); !errors.Is(err, claim.ErrNotLeader) {
+		if err := (&Service{otherLink}).PlanDrain(&DrainRequest{specToWire(spec)}, &plan); !errors.Is(err, claim.ErrNotLeader) {
 			t.Errorf("one that does not lead answers %v", err)
 		}
 		cancel()
-		p.Close()
+		cluster.pipes.Close()
 		time.Sleep(35 * time.Second) // connections that nothing comes over are given up
 	})
 }
--- /dev/null
+++ b/internal/peer/greeting.go
@@ -0,0 +1,133 @@
+package peer
+
+import (
+	"context"
+	"time"
+
+	"github.com/pebbletrail/pebbletrail/internal/claim"
+	"github.com/pebbletrail/pebbletrail/internal/ids"
+)
+
+// Where the machine pool has several shards, controllers report how they stand to each of them.
+// With one shard the messages are those that older versions know.
+
+// Greet exchanges health reports.
+func (s *Service) Greet(in *Hello, out *Hello) error {
+	s.link.receive(&ShardsHello{Hello: *in, Shards: []ShardHello{in.shard()}})
+	answer := s.link.hello([]claim.HintPosition{markFromWire(in.Have)})
+	*out = answer.Hello
+	out.Lent = s.link.store.Budget().Lend(in.Want)
+	return nil
+}
+
+// GreetShards is Greet where there are several shards.
+func (s *Service) GreetShards(in *ShardsHello, out *ShardsHello) error {
+	s.link.receive(in)
+	*out = s.link.hello(in.marks())
+	out.Hello.Lent = s.link.store.Budget().Lend(in.Hello.Want)
+	return nil
+}
+
+// shard is what a Hello says of the only shard.
+func (h *Hello) shard() ShardHello {
+	return ShardHello{Owner: h.Owner, Have: h.Have, Hints: h.Hints, Stranded: h.Stranded}
+}
+
+// setShard is the reverse of shard.
+func (h *Hello) setShard(only ShardHello) {
+	h.Owner, h.Have, h.Hints, h.Stranded = only.Owner, only.Have, only.Hints, only.Stranded
+}
+
+// marks are how far in each shard's hints the sender is.
+func (h *ShardsHello) marks() []claim.HintPosition {
+	marks := make([]claim.HintPosition, len(h.Shards))
+	for i := range h.Shards {
+		marks[i] = markFromWire(h.Shards[i].Have)
+	}
+	return marks
+}
+
+// hello is this node's health report. To a node whose marks in the hints are known, the leader of a
+// shard tells what came since.
+func (l *Link) hello(marks []claim.HintPosition) ShardsHello {
+	age, ok := l.store.SinceSuccess()
+	hello := ShardsHello{Hello: Hello{Node: l.settings.HostName, StateOK: ok && age < heardWithin}}
+	for shard, pool := range l.shards.Pools() {
+		var mark *claim.HintPosition
+		if shard < len(marks) {
+			mark = &marks[shard]
+		}
+		hello.Shards = append(hello.Shards, shardHello(pool, mark))
+	}
+	if len(hello.Shards) == 1 {
+		hello.Hello.setShard(hello.Shards[0])
+	}
+	return hello
+}
+
+// shardHello tells how this node stands to one shard. The hints since a mark are only told if it is
+// known.
+func shardHello(pool *claim.Elector, since *claim.HintPosition) (hello ShardHello) {
+	cluster := pool.Cluster()
+	if cluster == nil {
+		hello.Stranded = convertAll(pool.RedirectedWorkers(), strandToWire)
+		hello.Have = markToWire(pool.HintPosition())
+		return hello
+	}
+	hello.Owner, hello.Lack = true, lackToWire(cluster.Shortage())
+	if since != nil {
+		hints, mark := cluster.Hints(*since)
+		hello.Hints, hello.Have = convertAll(hints, hintToWire), markToWire(mark)
+	}
+	return hello
+}
+
+// greet exchanges health reports with one other controller.
+func (l *Link) greet(ctx context.Context, node ids.Node) {
+	hello := l.hello(nil)
+	hello.Hello.Want = l.wantedTokens()
+	sent := time.Now()
+	answer, err := l.exchange(ctx, node, &hello)
+	if err != nil {
+		return // an answer may still come, into what nobody looks at any more
+	}
+	l.receive(answer)
+	l.store.Budget().Borrowed(answer.Hello.Lent, sent)
+	for shard, pool := range l.shards.Pools() {
+		if shard < len(answer.Shards) && answer.Shards[shard].Owner {
+			told := &answer.Shards[shard]
+			pool.ReceiveHints(convertAll(told.Hints, hintFromWire), markFromWire(told.Have))
+		}
+	}
+}
+
+// exchange sends a health report to another controller and returns its own.
+func (l *Link) exchange(ctx context.Context, node ids.Node, hello *ShardsHello) (*ShardsHello, error) {
+	answer := &ShardsHello{}
+	if len(hello.Shards) > 1 {
+		return answer, l.connections.call(ctx, node, "GreetShards", hello, answer)
+	}
+	if err := l.connections.call(ctx, node, "Greet", &hello.Hello, &answer.Hello); err != nil {
+		return nil, err
+	}
+	answer.Shards = []ShardHello{answer.Hello.shard()}
+	return answer, nil
+}
+
+// receive takes in another controller's health report.
+func (l *Link) receive(hello *ShardsHello) {
+	l.health.record(hello.Hello.Node, hello.Hello.StateOK)
+	if !hello.Hello.StateOK {
+		return // stepping down for a node that is not served itself would help nobody
+	}
+	for shard, pool := range l.shards.Pools() {
+		if shard >= len(hello.Shards) {
+			break
+		}
+		told := &hello.Shards[shard]
+		pool.HandleRedirectedWorkers(convertAll(told.Stranded, strandFromWire))
+		if len(hello.Shards) > 1 && told.Owner {
+			l.shards.ReportShortage(ids.Shard(shard), lackFromWire(told.Lack))
+		}
+	}
+}
--- /dev/null
+++ b/internal/peer/jobs.go
@@ -0,0 +1,79 @@
+package peer
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"log/slog"
+
+	"github.com/pebbletrail/pebbletrail/internal/ids"
+	"github.com/pebbletrail/pebbletrail/internal/record"
+)
+
+// errNoKnownLeader reports that no controller leads, as far as this one knows. Users read its text.
+var errNoKnownLeader = errors.New("no controller owns the machine pool now, as far as this one knows: nothing starts until one does")
+
+// Learn takes in another controller's write of a job's record.
+func (s *Service) Learn(in *Wrote, _ *Empty) error {
+	pool := s.link.shards.ForJob(in.Job)
+	if len(in.Raw) == 0 {
+		pool.HandleRecord(in.Job, in.Stamp, nil)
+		return nil
+	}
+	rec, err := record.Decode(json.RawMessage(in.Raw))
+	if err != nil {
+		return err
+	}
+	pool.HandleRecord(in.Job, in.Stamp, rec)
+	return nil
+}
+
+// Explain answers why a job's tasks wait, if this node leads.
+func (s *Service) Explain(in *Asked, out *Lines) error {
+	lines, err := s.link.shards.ForJob(in.Job).Explain(in.Job)
+	out.Lines = lines
+	return err
+}
+
+// NotifyLeader passes a write on to the leader, wherever it is; the channel closes once
+// it knows, or can't be told. The goroutine that tells it ends within the timeouts of one call.
+func (l *Link) NotifyLeader(id ids.Job, stamp ids.Revision, rec *record.Record, raw json.RawMessage) <-chan struct{} {
+	done := make(chan struct{})
+	pool := l.shards.ForJob(id)
+	if pool.Cluster() != nil {
+		pool.HandleRecord(id, stamp, rec)
+		close(done)
+		return done
+	}
+	leader, known := pool.Leader()
+	if !known {
+		close(done)
+		return done
+	}
+	go func() {
+		defer close(done)
+		err := l.connections.call(context.Background(), leader, "Learn", &Wrote{id, stamp, raw}, &Empty{})
+		if err != nil {
+			slog.Debug("leader not notified", "job", id, "err", err)
+		}
+	}()
+	return done
+}
+
+// Explain asks the leader why a job's tasks wait, and names it. Users read the texts of its errors.
+func (l *Link) Explain(ctx context.Context, id ids.Job) (lines []string, leader ids.Node, err error) {
+	pool := l.shards.ForJob(id)
+	if lines, err := pool.Explain(id); err == nil {
+		return lines, l.settings.HostName, nil
+	}
+	leader, known := pool.Leader()
+	if !known {
+		return nil, "", errNoKnownLeader
+	}
+	var answer Lines
+	if err := l.connections.call(ctx, leader, "Explain", &Asked{id}, &answer); err != nil {
+		return nil, leader, fmt.Errorf("the pool's leader, %s, could not be asked: %w", leader, err)
+	}
+	return answer.Lines, leader, nil
+}
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -21,97 +21,115 @@
 	"github.com/pebbletrail/pebbletrail/internal/worker"
 )
 
-// node is a controller without its users' side.
-func node(ctx context.Context, name ids.Node, other ids.Node, n *fake.Net, p *fake.Pipes) (*claim.Elector, *Link) {
-	set := &config.Settings{HostName: name, Own: config.Defaults(), Others: []config.Other{{HostName: other, PeerAddr: string(other)}}}
-	set.Params.Workers = config.Workers{ReportS: 2, LeaseS: 20, GangWaitS: 30, GangPeerS: 5, CancelS: 40}
-	set.Params.State = config.State{RPS: 500, WriteRPS: 200, ValueKB: 8, TxnOps: 12}
-	set.Params.Teams = []config.Team{{Name: "red"}}
-	set.Params.Limits.MaxSockets = 100
-	st := state.NewClient("state:1", n.Client(string(name)), state.NewBudget(500, 200, 2, 0.6))
-	pool := claim.NewElector(set, st, &worker.Commander{HTTP: n.Client(string(name)), Timeout: time.Second}, string(name)+".1")
-	l := NewLink(set, claim.SingleShard(pool), st)
-	l.Dial = p.Dial
-	pool.Peers = l.ForShard(0)
-	go l.Serve(p.Listen(string(name)))
-	l.Run(ctx)
+// testCluster is controllers without their users' side, on one store.
+type testCluster struct {
+	net   *fake.Net
+	pipes *fake.Pipes
+}
+
+func newTestCluster() *testCluster {
+	cluster := &testCluster{net: fake.NewNet(), pipes: fake.NewPipes()}
+	cluster.net.Listen("state:1", fake.NewStore())
+	return cluster
+}
+
+// start starts a controller that knows one other.
+func (c *testCluster) start(ctx context.Context, name, other ids.Node) (*claim.Elector, *Link) {
+	settings := &config.Settings{HostName: name, Own: config.Defaults(), Others: []config.Other{{HostName: other, PeerAddr: string(other)}}}
+	settings.Params.Workers = config.Workers{ReportS: 2, LeaseS: 20, GangWaitS: 30, GangPeerS: 5, CancelS: 40}
+	settings.Params.State = config.State{RPS: 500, WriteRPS: 200, ValueKB: 8, TxnOps: 12}
+	settings.Params.Teams = []config.Team{{Name: "red"}}
+	settings.Params.Limits.MaxSockets = 100
+	client := c.net.Client(string(name))
+	store := state.NewClient("state:1", client, state.NewBudget(500, 200, 2, 0.6))
+	pool := claim.NewElector(settings, store, &worker.Commander{HTTP: client, Timeout: time.Second}, string(name)+".1")
+	link := NewLink(settings, claim.SingleShard(pool), store)
+	link.connections.dial = c.pipes.Dial
+	pool.Peers = link.ForShard(0)
+	go link.Serve(c.pipes.Listen(string(name)))
+	link.Run(ctx)
 	go pool.Run(ctx)
-	go func() {
-		for ctx.Err() == nil {
-			st.Get(ctx, record.KeysOf(0, 1).Generation(), state.Urgent)
-			time.Sleep(500 * time.Millisecond)
-		}
-	}()
-	return pool, l
+	go callRepeatedly(ctx, store)
+	return pool, link
+}
+
+// callRepeatedly keeps a controller's view of the store fresh.
+func callRepeatedly(ctx context.Context, store *state.Client) {
+	for ctx.Err() == nil {
+		_, _, _ = store.Get(ctx, record.KeysOf(0, 1).Generation(), state.Urgent) // only that it is answered counts
+		time.Sleep(500 * time.Millisecond)
+	}
 }
 
-func TestNodesTellOneAnotherWhatSavesTime(t *testing.T) {
+func TestPeersConfirmTakeoversAndTellTheLeaderOfWrites(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		n, s, p := fake.NewNet(), fake.NewStore(), fake.NewPipes()
-		n.Listen("state:1", s)
-		a, la := node(ctx, "a", "b", n, p)
+		cluster := newTestCluster()
+		a, linkA := cluster.start(ctx, "a", "b")
 		time.Sleep(2 * time.Second)
 		if a.Cluster() == nil {
-			t.Fatal("a does not own the pool")
+			t.Fatal("a does not lead")
 		}
-		if la.ForShard(0).AllStopped(ctx, 1) {
+		if linkA.ForShard(0).AllStopped(ctx, 1) {
 			t.Error("a node that does not answer confirmed that it stopped")
 		}
-		b, lb := node(ctx, "b", "a", n, p)
+		b, linkB := cluster.start(ctx, "b", "a")
 		time.Sleep(3 * time.Second)
-		if !la.ForShard(0).AllStopped(ctx, 1) {
-			t.Error("a node that never owned the pool does not confirm")
+		if !linkA.ForShard(0).AllStopped(ctx, 1) {
+			t.Error("a node that never led does not confirm")
 		}
-		if lb.ForShard(0).AllStopped(ctx, 1) {
-			t.Error("the owner confirmed that it stopped")
+		if linkB.ForShard(0).AllStopped(ctx, 1) {
+			t.Error("the leader confirmed that it stopped")
 		}
-		if !la.OthersServed() || !lb.OthersServed() {
+		if !linkA.OthersServed() || !linkB.OthersServed() {
 			t.Error("the nodes do not know that the other is served")
 		}
 		// What b accepts, a learns at once, and b can explain it by asking a.
 		rec := record.New(record.Spec{ID: "job-1", Team: "red", Shape: record.Array, Tasks: 1, Need: placement.Room{Cores: 1}}, 1, "b")
-		raw, _ := json.Marshal(rec)
+		raw, err := json.Marshal(rec)
+		if err != nil {
+			t.Fatal(err)
+		}
 		a.Cluster().SetMachineTypes([]placement.Type{{Label: "small", Cores: 4, RAM: 16, Zones: []string{"north"}}})
-		lb.NotifyLeader("job-1", 9, rec, raw)
+		linkB.NotifyLeader("job-1", 9, rec, raw)
 		time.Sleep(time.Second)
-		lines, leader, err := lb.Explain(ctx, "job-1")
+		lines, leader, err := linkB.Explain(ctx, "job-1")
 		if err != nil || leader != "a" || !strings.Contains(strings.Join(lines, " "), "no machine has room") {
 			t.Errorf("explained by %s as %q: %v", leader, lines, err)
 		}
 		// A higher generation makes the leader step down.
 		if !a.Superseded(99) || a.Cluster() != nil {
-			t.Error("the owner stays although a peer is ahead")
+			t.Error("the leader stays although a peer is ahead")
 		}
 		if b.Cluster() != nil {
-			t.Error("b owns the pool beside a's hold")
+			t.Error("b leads beside a's lease")
 		}
 		cancel()
-		p.Close()
+		cluster.pipes.Close()
 		time.Sleep(time.Minute) // idle connections are given up
 	})
 }
 
-func TestAllOthersAreAskedAtTheSameTime(t *testing.T) {
+func TestAllPeersAreAskedInParallel(t *testing.T) {
 	// Guards against a takeover that waits for a timeout per controller that is
 	// down, one after the other.
 	synctest.Test(t, func(t *testing.T) {
 		ctx := context.Background()
-		set := &config.Settings{HostName: "a", Own: config.Defaults(), Others: []config.Other{
+		settings := &config.Settings{HostName: "a", Own: config.Defaults(), Others: []config.Other{
 			{HostName: "b", PeerAddr: "b"}, {HostName: "c", PeerAddr: "c"}, {HostName: "d", PeerAddr: "d"}, {HostName: "e", PeerAddr: "e"}}}
-		l := NewLink(set, nil, nil)
+		link := NewLink(settings, nil, nil)
 		var dials atomic.Int32
-		l.Dial = func(context.Context, string) (net.Conn, error) {
+		link.connections.dial = func(context.Context, string) (net.Conn, error) {
 			dials.Add(1)
 			time.Sleep(callTimeout)
 			return nil, errors.New("no answer")
 		}
 		began := time.Now()
-		if l.ForShard(0).AllStopped(ctx, 7) {
+		if link.ForShard(0).AllStopped(ctx, 7) {
 			t.Error("nobody answered, and yet all have stopped")
 		}
-		if d := time.Since(began); dials.Load() != 4 || d > callTimeout {
-			t.Errorf("%d asked in %v", dials.Load(), d)
+		if took := time.Since(began); dials.Load() != 4 || took > callTimeout {
+			t.Errorf("%d asked in %v", dials.Load(), took)
 		}
 	})
 }
--- a/internal/peer/production_test.go
+++ b/internal/peer/production_test.go
@@ -8,12 +8,10 @@
 	"testing"
 	"time"
 
-	"github.com/pebbletrail/pebbletrail/internal/claim"
 	"github.com/pebbletrail/pebbletrail/internal/ids"
-	"github.com/pebbletrail/pebbletrail/internal/worker"
 )
 
-// What production's messages hold, as its own code declared them.
+// The messages of the version in production, as its own code declared them.
 type (
 	oldWrote struct {
 		Job   string
@@ -51,13 +49,13 @@
 	}
 )
 
-func TestMessagesOfTheProductionVersionAreUnderstoodBothWays(t *testing.T) {
+func TestProductionMessagesAreReadBothWays(t *testing.T) {
 	// Guards against controllers of two versions that misread each other during an
 	// upgrade. The files were written by the version that deploy/service.toml names.
-	hello := &Hello{Node: "cairn-0", StateOK: true, Owner: true, Have: claim.HintPosition{Gen: 7, Seq: 12, Whole: true, At: time.Unix(1700000000, 0).UTC()},
-		Hints: []claim.Hint{{Name: "host-000001", Addr: "10.1.0.1:9000", Type: "small", Zone: "north", Spot: true, Session: 2,
-			Images: worker.Images{Names: []string{"img"}, Sizes: []float64{1.5}}, Coming: true, Held: 3 * time.Second}},
-		Want: 2.5, Lent: 1.5, Stranded: []claim.RedirectedWorker{{Machine: "host-000002", Ago: 3 * time.Second}}}
+	hello := &Hello{Node: "cairn-0", StateOK: true, Owner: true, Have: HintMark{Gen: 7, Seq: 12, Whole: true, At: time.Unix(1700000000, 0).UTC()},
+		Hints: []Hint{{Name: "host-000001", Addr: "10.1.0.1:9000", Type: "small", Zone: "north", Spot: true, Session: 2,
+			Images: Images{Names: []string{"img"}, Sizes: []float64{1.5}}, Coming: true, Held: 3 * time.Second}},
+		Want: 2.5, Lent: 1.5, Stranded: []Strand{{Machine: "host-000002", Ago: 3 * time.Second}}}
 	wrote := &Wrote{Job: "job-1", Stamp: 9, Raw: []byte(`{"spec":{"id":"job-1"}}`)}
 	for name, want := range map[string]any{
 		"hello": hello, "wrote": wrote, "asked": &Asked{Job: "job-1"}, "lines": &Lines{Lines: []string{"waits: no machine has room"}},
@@ -75,23 +73,24 @@
 			t.Errorf("%s reads as %+v, not %+v", name, got, want)
 		}
 	}
-	var buf bytes.Buffer
-	if err := gob.NewEncoder(&buf).Encode(hello); err != nil {
+	var stream bytes.Buffer
+	if err := gob.NewEncoder(&stream).Encode(hello); err != nil {
 		t.Fatal(err)
 	}
-	var h oldHello
-	if err := gob.NewDecoder(&buf).Decode(&h); err != nil {
+	var readHello oldHello
+	if err := gob.NewDecoder(&stream).Decode(&readHello); err != nil {
 		t.Fatal(err)
 	}
-	if len(h.Hints) != 1 || h.Hints[0].Session != 2 || h.Have.Gen != 7 || len(h.Stranded) != 1 || h.Lent != 1.5 || !h.Owner || !h.StateOK || h.Hints[0].Images.Names[0] != "img" {
-		t.Errorf("production reads a greeting as %+v", h)
+	if len(readHello.Hints) != 1 || readHello.Hints[0].Session != 2 || readHello.Have.Gen != 7 || len(readHello.Stranded) != 1 ||
+		readHello.Lent != 1.5 || !readHello.Owner || !readHello.StateOK || readHello.Hints[0].Images.Names[0] != "img" {
+		t.Errorf("production reads a greeting as %+v", readHello)
 	}
-	buf.Reset()
-	if err := gob.NewEncoder(&buf).Encode(wrote); err != nil {
+	stream.Reset()
+	if err := gob.NewEncoder(&stream).Encode(wrote); err != nil {
 		t.Fatal(err)
 	}
-	var w oldWrote
-	if err := gob.NewDecoder(&buf).Decode(&w); err != nil || w.Job != "job-1" || w.Stamp != 9 || string(w.Raw) != string(wrote.Raw) {
-		t.Errorf("production reads a write as %+v, %v", w, err)
+	var readWrote oldWrote
+	if err := gob.NewDecoder(&stream).Decode(&readWrote); err != nil || readWrote.Job != "job-1" || readWrote.Stamp != 9 || string(readWrote.Raw) != string(wrote.Raw) {
+		t.Errorf("production reads a write as %+v, %v", readWrote, err)
 	}
 }
--- a/internal/peer/transfer.go
+++ b/internal/peer/transfer.go
@@ -3,48 +3,62 @@
 import (
 	"context"
 	"math/rand/v2"
+	"sync"
 	"time"
-
-	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-// TransferRequest asks for changes of the state service to make at once.
-type TransferRequest struct{ Changes int }
-
-// TransferReply tells how many the other controller will not make itself.
-type TransferReply struct{ Changes int }
-
-// Transfer lets another controller make changes in this one's place, if it can spare them.
+// Transfer lets another controller make changes in this one's stead, if it can spare them.
 // Controllers of version 0.1.0 do not know this call; they give nothing.
-func (s *Service) Transfer(w *TransferRequest, out *TransferReply) error {
-	if s.link.state.Budget().TransferOut(w.Changes) {
-		out.Changes = w.Changes
+func (s *Service) Transfer(in *TransferRequest, out *TransferReply) error {
+	if s.link.store.Budget().TransferOut(in.Changes) {
+		out.Changes = in.Changes
 	}
 	return nil
 }
 
-// requestTransfer asks the controllers that were heard lately, one after the other in no fixed
-// order, until one gives as many changes as are wanted.
+// requestTransfer asks the controllers that count as up, one after the other in no fixed order, until
+// one gives as many changes as are wanted.
 func (l *Link) requestTransfer(ctx context.Context, changes int) bool {
-	for _, i := range rand.Perm(len(l.set.Others)) {
-		node := l.set.Others[i].HostName
+	for _, i := range rand.Perm(len(l.settings.Others)) {
+		node := l.settings.Others[i].HostName
 		if ctx.Err() != nil {
 			return false
 		}
-		if !l.heard(node) {
+		if !l.health.of(node).recent() {
 			continue
 		}
-		var out TransferReply
-		if err := l.call(ctx, node, "Transfer", &TransferRequest{changes}, &out); err == nil && out.Changes >= changes {
+		var answer TransferReply
+		err := l.connections.call(ctx, node, "Transfer", &TransferRequest{changes}, &answer)
+		if err == nil && answer.Changes >= changes {
 			return true
 		}
 	}
 	return false
 }
 
-// heard tells whether another controller has been heard lately.
-func (l *Link) heard(node ids.Node) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return time.Since(l.seen[node].at) < heardWithin
+const (
+	// demandInterval is how long a demand holds: a little less than greetInterval, so that each
+	// round of health reports has its own.
+	demandInterval = 900 * time.Millisecond
+	// demandFactor is how many times its share of the demand each of the others is asked for.
+	demandFactor = 2
+)
+
+// tokenDemand is how many changes a second a node lacks, as it asks each of the others for them.
+type tokenDemand struct {
+	// mu guards the fields below. The budget's lock is taken under it, never the reverse.
+	mu      sync.Mutex
+	perPeer float64
+	at      time.Time
+}
+
+// wantedTokens is how many changes a second this node asks each of the others for now.
+func (l *Link) wantedTokens() float64 {
+	l.demand.mu.Lock()
+	defer l.demand.mu.Unlock()
+	if time.Since(l.demand.at) > demandInterval {
+		l.demand.at = time.Now()
+		l.demand.perPeer = demandFactor * l.store.Budget().Wants() / float64(len(l.settings.Others))
+	}
+	return l.demand.perPeer
 }
--- a/internal/peer/transfer_test.go
+++ b/internal/peer/transfer_test.go
@@ -6,78 +6,74 @@
 	"testing"
 	"testing/synctest"
 	"time"
-
-	"github.com/pebbletrail/pebbletrail/internal/fake"
 )
 
-func TestAnIdleControllerGivesAnotherOneItsChanges(t *testing.T) {
+func TestIdleControllerTransfersItsChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		n, s, p := fake.NewNet(), fake.NewStore(), fake.NewPipes()
-		n.Listen("state:1", s)
-		_, la := node(ctx, "a", "b", n, p)
+		cluster := newTestCluster()
+		_, asking := cluster.start(ctx, "a", "b")
 		time.Sleep(100 * time.Millisecond)
-		before := p.Dials()
-		if la.requestTransfer(ctx, 1) || p.Dials() > before {
+		dialsBefore := cluster.pipes.Dials()
+		if asking.requestTransfer(ctx, 1) || cluster.pipes.Dials() > dialsBefore {
 			t.Error("a controller that was never heard was asked")
 		}
-		_, lb := node(ctx, "b", "a", n, p)
+		_, idle := cluster.start(ctx, "b", "a")
 		time.Sleep(3 * time.Second)
 		given := 0
-		for la.requestTransfer(ctx, 5) && given < 1000 {
+		for asking.requestTransfer(ctx, 5) && given < 1000 {
 			given += 5
 		}
 		if given == 0 || given >= 1000 {
 			t.Errorf("%d changes given", given)
 		}
-		if lb.state.Budget().TransferOut(5) {
+		if idle.store.Budget().TransferOut(5) {
 			t.Error("what was given away is still there")
 		}
 		cancel()
-		p.Close()
+		cluster.pipes.Close()
 		time.Sleep(time.Minute) // idle connections are given up
 	})
 }
 
-// before is the peer service of a controller of a version without transfers.
-type before struct{}
+// serviceWithoutTransfers is the peer service of a controller of a version that does not know them.
+type serviceWithoutTransfers struct{}
 
-func (before) Greet(_ *Hello, out *Hello) error {
+func (serviceWithoutTransfers) Greet(_ *Hello, out *Hello) error {
 	out.Node, out.StateOK = "b", true
 	return nil
 }
 
-func TestAnOlderControllerGivesNothingAtOnce(t *testing.T) {
+func TestOlderControllerTransfersNothingAtOnce(t *testing.T) {
 	// Guards against a user kept waiting, or a connection dropped, for a call that older
 	// versions do not know.
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		n, s, p := fake.NewNet(), fake.NewStore(), fake.NewPipes()
-		n.Listen("state:1", s)
-		srv := rpc.NewServer()
-		if err := srv.RegisterName("Peer", before{}); err != nil {
+		cluster := newTestCluster()
+		server := rpc.NewServer()
+		if err := server.RegisterName("Peer", serviceWithoutTransfers{}); err != nil {
 			t.Fatal(err)
 		}
-		old := p.Listen("b")
+		listener := cluster.pipes.Listen("b")
 		go func() {
 			for {
-				c, err := old.Accept()
+				conn, err := listener.Accept()
 				if err != nil {
 					return
 				}
-				go srv.ServeConn(&idleConn{c})
+				go server.ServeConn(&idleConn{conn})
 			}
 		}()
-		_, l := node(ctx, "a", "b", n, p)
+		_, link := cluster.start(ctx, "a", "b")
 		time.Sleep(3 * time.Second)
 		connection := func() *rpc.Client {
-			l.mu.Lock()
-			defer l.mu.Unlock()
-			return l.conns["b"]
+			link.connections.mu.Lock()
+			defer link.connections.mu.Unlock()
+			return link.connections.clients["b"]
 		}
 		kept := connection()
 		began := time.Now()
-		if l.requestTransfer(ctx, 1) {
+		if link.requestTransfer(ctx, 1) {
 			t.Error("an older controller gave changes")
 		}
 		if took := time.Since(began); took > 50*time.Millisecond {
@@ -87,7 +83,7 @@
 			t.Error("its connection was given up")
 		}
 		cancel()
-		p.Close()
+		cluster.pipes.Close()
 		time.Sleep(time.Minute)
 	})
 }
