--- a/internal/intake/dependencies_test.go
+++ b/internal/intake/dependencies_test.go
@@ -154,7 +154,7 @@
 }
 
 func TestDependencyIsFoundWhileItsRecordMoves(t *testing.T) {
-	// Guards against reading the places where a job's record may be in an order in which it
+	// Guards against reading the keys at which a job's record may be stored in an order in which it
 	// slips through, and so is taken for never accepted: it leaves those that wait, and
 	// ends, between any two calls that a node makes to the store.
 	for first := 1; first < 9; first++ {
--- a/internal/intake/forecast_test.go
+++ b/internal/intake/forecast_test.go
@@ -58,7 +58,7 @@
 
 func TestDeadlineRiskNamesTheStartOfTheCriticalPath(t *testing.T) {
 	// Guards against telling of a late pipeline only once its last job is overdue, of the
-	// last job only, or of the wrong cause: the longest way counts, without what is done.
+	// last job only, or of the wrong cause: the longest path counts, without what is done.
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newTestCluster(t)
 		go cluster.services["b"].State.Watch(t.Context(), record.KeysOf(0, 1).Generation())
--- a/internal/intake/intake_test.go
+++ b/internal/intake/intake_test.go
@@ -237,7 +237,7 @@
 }
 
 func TestUnreachableStoreIsAnsweredAtOnce(t *testing.T) {
-	// Guards against every user finding response by a call that hangs: a cut says nothing.
+	// Guards against every user finding out by a call that hangs: an unreachable store says nothing.
 	synctest.Test(t, func(t *testing.T) {
 		network, _, service := newJobService()
 		served := true
--- a/internal/peer/transfer.go
+++ b/internal/peer/transfer.go
@@ -37,7 +37,7 @@
 }
 
 const (
-	// demandInterval is how long a demand holds: a little less than greetInterval, so that each
+	// demandInterval is how long a demand is valid: a little less than greetInterval, so that each
 	// round of health reports has its own.
 	demandInterval = 900 * time.Millisecond
 	// demandFactor is how many times its share of the demand each of the others is asked for.
