--- a/internal/claim/allowances.go
+++ b/internal/claim/allowances.go
@@ -2,6 +2,9 @@
 
 import (
 	"context"
+
+	"github.com/pebbletrail/pebbletrail/internal/state"
+
 	"maps"
 	"slices"
 	"time"
@@ -10,55 +13,38 @@
 	"github.com/pebbletrail/pebbletrail/internal/placement"
 	"github.com/pebbletrail/pebbletrail/internal/quota"
 	"github.com/pebbletrail/pebbletrail/internal/record"
-	"github.com/pebbletrail/pebbletrail/internal/state"
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
 // processStart is from when this process's settings are.
 var processStart = ids.WallOf(time.Now())
 
-// exchangeInterval spaces the looks at what allowance to move.
-const exchangeInterval = 100 * time.Millisecond
-
-// loadAllowances reads the ledgers after the takeover's commit. News of them has been
-// followed since before it.
-func (e *Elector) loadAllowances(ctx context.Context, term *Term) error {
-	entries, _, err := e.State.ListAll(ctx, quota.Prefix, state.Urgent)
-	if err != nil {
-		return err
-	}
-	cluster := term.Cluster
-	cluster.mu.Lock()
-	defer cluster.mu.Unlock()
-	cluster.quota.Load(entries)
-	return nil
+// LastGenerationRevision is the generation's revision that this leader's writes depend on.
+func (c *Committer) LastGenerationRevision() ids.Revision {
+	c.writeSlot <- struct{}{}
+	defer func() { <-c.writeSlot }()
+	return c.GenerationRevision
 }
 
-// exchangeAllowances moves allowances between the shards until the term ends.
-func (e *Elector) exchangeAllowances(ctx context.Context, term *Term) {
-	fence := func() state.Condition {
-		return state.Condition{Key: e.keys.Generation(), Revision: term.Committer.generationRevision()}
-	}
-	quota.NewExchange(term.Cluster.quota, e.State, &term.Cluster.mu, fence).Run(ctx, exchangeInterval)
+// LoadAllowances takes in the ledgers read at a takeover.
+func (c *ClusterState) LoadAllowances(entries []state.Entry) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.quota.Load(entries)
 }
 
-// generationRevision is the generation's revision that this leader's writes depend on.
-func (c *Committer) generationRevision() ids.Revision {
-	c.writeSlot <- struct{}{}
-	defer func() { <-c.writeSlot }()
-	return c.GenerationRevision
+// HandleAllowanceChange takes in news of a ledger.
+func (c *ClusterState) HandleAllowanceChange(change state.Change) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.quota.Learn(change)
+	signal(c.planSignal)
 }
 
-// handleAllowanceChange takes in news of a ledger.
-func (e *Elector) handleAllowanceChange(change state.Change) {
-	cluster := e.Cluster()
-	if cluster == nil {
-		return
-	}
-	cluster.mu.Lock()
-	defer cluster.mu.Unlock()
-	cluster.quota.Learn(change)
-	signal(cluster.planSignal)
+// ExchangeAllowances moves allowances between the shards until the context ends, under a condition
+// that each write carries.
+func (c *ClusterState) ExchangeAllowances(ctx context.Context, store *state.Client, fence func() state.Condition, interval time.Duration) {
+	quota.NewExchange(c.quota, store, &c.mu, fence).Run(ctx, interval)
 }
 
 // addUnmetDemand notes that only its team's allowance keeps n tasks of a job from starting.
--- a/internal/claim/cluster_state.go
+++ b/internal/claim/cluster_state.go
@@ -59,9 +59,9 @@
 
 	shard ids.Shard
 	keys  record.ShardKeys
-	// statusInOtherShard is how a live job of another shard stands, by this node's copy of the
+	// StatusInOtherShard is how a live job of another shard stands, by this node's copy of the
 	// records; live is false if there is none.
-	statusInOtherShard func(id ids.Job) (how record.Status, live bool)
+	StatusInOtherShard func(id ids.Job) (how record.Status, live bool)
 	rng                *rand.Rand
 	// trustSilence is the earliest that an unheard machine's lapse counts: a
 	// predecessor may have gone on answering its worker until its own grace
@@ -100,17 +100,17 @@
 
 // NewClusterState makes the cluster state of one term of leading the first shard.
 func NewClusterState(settings *config.Settings, writer string, generation ids.Generation, trustSilence time.Time) *ClusterState {
-	return newShardState(settings, writer, generation, trustSilence, 0)
+	return NewShardState(settings, writer, generation, trustSilence, 0)
 }
 
-// newShardState makes the cluster state of one term of leading a shard.
-func newShardState(settings *config.Settings, writer string, generation ids.Generation, trustSilence time.Time, shard ids.Shard) *ClusterState {
+// NewShardState makes the cluster state of one term of leading a shard.
+func NewShardState(settings *config.Settings, writer string, generation ids.Generation, trustSilence time.Time, shard ids.Shard) *ClusterState {
 	machines := worker.NewRegistry(settings.Params.Workers.LeaseS)
 	return &ClusterState{
 		machines: machines, capacity: capacity.NewIndex(machines),
 		drains: newDrainState(settings), termBegan: time.Now(),
 		shard: shard, keys: record.KeysOf(shard, settings.Shards()),
-		statusInOtherShard: func(ids.Job) (record.Status, bool) { return "", false },
+		StatusInOtherShard: func(ids.Job) (record.Status, bool) { return "", false },
 		settings:           settings, writer: writer, generation: generation, firstGeneration: generation,
 		jobs: workload.NewQueue(), changes: workload.NewChanges(),
 		leaving:           map[ids.Machine]bool{},
@@ -132,6 +132,10 @@
 	}
 }
 
+// PlanWanted is ready to be read once something changed that planning should look at.
+func (c *ClusterState) PlanWanted() <-chan struct{} { return c.planSignal }
+
+// signal has whoever waits on a channel of one look again.
 func signal(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
--- a/internal/claim/commit.go
+++ b/internal/claim/commit.go
@@ -1,6 +1,8 @@
 package claim
 
 import (
+	"github.com/pebbletrail/pebbletrail/internal/wait"
+
 	"context"
 	"encoding/json"
 	"errors"
@@ -14,9 +16,9 @@
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// generationRecord is the value of pool/generation. It persists, so that the
+// GenerationRecord is the value of pool/generation. It persists, so that the
 // number never falls.
-type generationRecord struct {
+type GenerationRecord struct {
 	Generation ids.Generation `json:"generation"`
 	Node       ids.Node       `json:"node"`
 	Writer     string         `json:"writer"`
@@ -125,17 +127,10 @@
 	}
 	// Refused or unknown: the same stamps are demanded again, so a late copy
 	// of this transaction and the next one exclude each other.
-	sleep(ctx, 100*time.Millisecond)
+	wait.For(ctx, 100*time.Millisecond)
 	return true
 }
 
-func sleep(ctx context.Context, d time.Duration) {
-	select {
-	case <-ctx.Done():
-	case <-time.After(d):
-	}
-}
-
 // slowCommit is the time of a commit after which its answer alone does not let starts
 // go out: it tells of when the commit was carried out, and users may have cancelled
 // the job through another node since. The next read of the records tells.
@@ -189,7 +184,7 @@
 	cluster.mu.Lock()
 	next := cluster.generation + 1
 	cluster.mu.Unlock()
-	raw, _ := json.Marshal(generationRecord{next, c.Node, cluster.writer})
+	raw, _ := json.Marshal(GenerationRecord{next, c.Node, cluster.writer})
 	epoch, err := c.State.Commit(ctx, state.Txn{
 		When: []state.Condition{{Key: c.Keys.Generation(), Revision: c.GenerationRevision}},
 		Then: []state.Op{{Put: c.Keys.Generation(), Value: raw}},
@@ -201,7 +196,7 @@
 	case errors.As(err, &conflict):
 		c.repair(ctx, conflict, nil)
 	default:
-		sleep(ctx, 100*time.Millisecond)
+		wait.For(ctx, 100*time.Millisecond)
 	}
 	return true
 }
--- a/internal/claim/failing_jobs_test.go
+++ b/internal/claim/failing_jobs_test.go
@@ -227,14 +227,14 @@
 			return out
 		}
 		time.Sleep(9 * time.Second) // all reported at once, and none since
-		if cluster.isolatedFromWorkers(sent(9*time.Second), time.Now()) || cluster.isolatedFromWorkers(sent(3*time.Second), time.Now()) {
+		if cluster.IsolatedFromWorkers(sent(9*time.Second), time.Now()) || cluster.IsolatedFromWorkers(sent(3*time.Second), time.Now()) {
 			t.Error("gives way for workers that are not overdue")
 		}
 		time.Sleep(4 * time.Second)
-		if cluster.isolatedFromWorkers(sent(13*time.Second-50*time.Millisecond), time.Now()) {
+		if cluster.IsolatedFromWorkers(sent(13*time.Second-50*time.Millisecond), time.Now()) {
 			t.Error("gives way for workers that arrived right after they were sent on")
 		}
-		if !cluster.isolatedFromWorkers(sent(3*time.Second), time.Now()) {
+		if !cluster.IsolatedFromWorkers(sent(3*time.Second), time.Now()) {
 			t.Error("keeps the pool, though nobody is heard and others reach another node")
 		}
 	})
--- a/internal/claim/fleet_test.go
+++ b/internal/claim/fleet_test.go
@@ -1,6 +1,8 @@
 package claim
 
 import (
+	"github.com/pebbletrail/pebbletrail/internal/wait"
+
 	"context"
 	"encoding/json"
 	"fmt"
@@ -80,7 +82,7 @@
 			}
 			d := NewDispatcher(cluster, &worker.Commander{HTTP: n.Client("a"), Timeout: 3 * time.Second}, 16)
 			go d.Run(ctx)
-			sleep(ctx, time.Second)
+			wait.For(ctx, time.Second)
 			cluster.mu.Lock()
 			defer cluster.mu.Unlock()
 			seen, sent := 0, 0
--- a/internal/claim/heartbeats.go
+++ b/internal/claim/heartbeats.go
@@ -70,7 +70,7 @@
 		e.stepDown(term, "a worker has seen a higher token")
 		return nil, 503, worker.Redirect{}
 	}
-	if term.Cluster.leaseMustExpire(report, e.Settings.Grace().Duration()) {
+	if term.Cluster.LeaseMustExpire(report, e.Settings.Grace().Duration()) {
 		return nil, 503, worker.Redirect{}
 	}
 	orders := term.Cluster.ReconcileHeartbeat(report, true, true)
--- a/internal/claim/hints.go
+++ b/internal/claim/hints.go
@@ -7,39 +7,6 @@
 	"github.com/pebbletrail/pebbletrail/internal/worker"
 )
 
-// ReceiveHints keeps a leader's hints for the case that this node comes next.
-func (e *Elector) ReceiveHints(hs []Hint, to HintPosition) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	if e.term != nil || to.Gen < e.hintsReceived.Gen {
-		return
-	}
-	if to.Whole || e.hints == nil {
-		e.hints = map[ids.Machine]Hint{}
-	}
-	for _, h := range hs {
-		h.since = time.Now().Add(-h.Held)
-		e.hints[h.Name] = h
-	}
-	if to.Whole {
-		to.At = time.Now()
-	} else {
-		to.At = e.hintsReceived.At
-	}
-	e.hintsReceived = to
-}
-
-// HintPosition is what to ask a leader's hints from; all of them now and then, since
-// machines that went away are not named.
-func (e *Elector) HintPosition() HintPosition {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	if time.Since(e.hintsReceived.At) > 20*time.Second {
-		return HintPosition{}
-	}
-	return e.hintsReceived
-}
-
 // Hint is what a leader tells the others of a machine, so that the next leader
 // need not find it out again. Nothing rests on it but time.
 type Hint struct {
@@ -55,7 +22,7 @@
 	Coming bool
 	Held   time.Duration
 
-	since time.Time // the same by this node's clock, once it was heard
+	RentedAt time.Time // the same by this node's clock, once it was heard
 }
 
 // HintPosition is how far in a leader's hints somebody is.
@@ -99,7 +66,7 @@
 			machine.Addr, machine.Type, machine.Zone, machine.Spot, machine.Hinted = h.Addr, h.Type, h.Zone, h.Spot, h.Session
 			machine.Images = h.Images
 			if h.Coming {
-				machine.Booting, machine.HeldSince = true, h.since
+				machine.Booting, machine.HeldSince = true, h.RentedAt
 			}
 			for _, n := range h.Images.Names {
 				c.capacity.AddImage(c.capacity.Ensure(h.Name), n)
--- a/internal/claim/isolation.go
+++ b/internal/claim/isolation.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// isolatedFromWorkers tells whether this node has lost most machines while others reach
+// IsolatedFromWorkers tells whether this node has lost most machines while others reach
 // them.
-func (c *ClusterState) isolatedFromWorkers(stranded []RedirectedWorker, now time.Time) bool {
+func (c *ClusterState) IsolatedFromWorkers(stranded []RedirectedWorker, now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	// Reports may be far apart, and after a takeover all come at once: only one that
@@ -28,8 +28,8 @@
 // within a millisecond, and must not count as missing because the word took longer.
 const peerReportDelay = time.Second
 
-// hearsNoWorker tells whether next to no machine is heard or answers.
-func (c *ClusterState) hearsNoWorker(now time.Time) bool {
+// HearsNoWorker tells whether next to no machine is heard or answers.
+func (c *ClusterState) HearsNoWorker(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	liveness := c.measureLiveness()
--- a/internal/claim/layout.go
+++ b/internal/claim/layout.go
@@ -1,6 +1,8 @@
 package claim
 
 import (
+	"github.com/pebbletrail/pebbletrail/internal/wait"
+
 	"context"
 	"encoding/json"
 	"errors"
@@ -45,7 +47,7 @@
 			s.Refuse(err)
 			return false
 		}
-		sleep(ctx, 200*time.Millisecond)
+		wait.For(ctx, 200*time.Millisecond)
 	}
 	return false
 }
@@ -111,6 +113,6 @@
 		} else if ready {
 			return // one shard it is; nobody lays the store out anew while it has a leader
 		}
-		sleep(ctx, 100*time.Millisecond)
+		wait.For(ctx, 100*time.Millisecond)
 	}
 }
--- a/internal/claim/other_shards.go
+++ b/internal/claim/other_shards.go
@@ -6,7 +6,6 @@
 	"github.com/pebbletrail/pebbletrail/internal/dependency"
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 	"github.com/pebbletrail/pebbletrail/internal/record"
-	"github.com/pebbletrail/pebbletrail/internal/state"
 )
 
 // A leader claims, stores and ends the jobs of its own shard only. Jobs may await jobs of
@@ -19,46 +18,13 @@
 	return ids.ShardOf(id, c.settings.Shards()) == c.shard
 }
 
-// handleOtherShardChange takes in news of a live job of another shard.
-func (e *Elector) handleOtherShardChange(id ids.Job, change state.Change) {
-	cluster := e.Cluster()
-	if cluster == nil {
-		return
-	}
-	cluster.mu.Lock()
-	defer cluster.mu.Unlock()
-	if cluster.dependencies.graph.Awaited(id) {
-		cluster.checkAwaited(id, time.Now())
-	}
-}
-
-// statusInOtherShard reads from this node's copy how a live job stands.
-func (e *Elector) statusInOtherShard(id ids.Job) (how record.Status, live bool) {
-	if ids.ShardOf(id, e.Settings.Shards()) == e.shard {
-		return "", false
-	}
-	entries, ready := e.jobMirror.Several(record.JobKey(id), record.CancelKey(id), record.WaitKey(id))
-	stored, cancellation, waits := entries[0], entries[1], entries[2]
-	switch {
-	case !ready || stored.Key == "":
-		return record.Queued, waits.Key != ""
-	case cancellation.Key != "":
-		return record.Cancelling, true
-	}
-	rec, err := record.Decode(stored.Value)
-	if err != nil {
-		return record.Queued, true
-	}
-	return rec.Status, true
-}
-
 // checkOtherShard tells the graph of the cancellation of an awaited job of another shard, and
 // has it looked up how the job ended once it is gone from the records.
 func (c *ClusterState) checkOtherShard(id ids.Job, now time.Time) {
 	if c.dependencies.graph.Outcome(id) != dependency.Unknown {
 		return
 	}
-	how, live := c.statusInOtherShard(id)
+	how, live := c.StatusInOtherShard(id)
 	switch {
 	case !live:
 		c.scheduleLookup(id, now)
@@ -73,3 +39,12 @@
 	defer c.mu.Unlock()
 	delete(c.dependencies.lookups, id)
 }
+
+// HandleOtherShardChange takes in that something changed of a job of another shard.
+func (c *ClusterState) HandleOtherShardChange(id ids.Job, now time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.dependencies.graph.Awaited(id) {
+		c.checkAwaited(id, now)
+	}
+}
--- a/internal/claim/outcomes.go
+++ b/internal/claim/outcomes.go
@@ -1,6 +1,8 @@
 package claim
 
 import (
+	"github.com/pebbletrail/pebbletrail/internal/wait"
+
 	"context"
 	"log/slog"
 	"slices"
@@ -30,11 +32,11 @@
 	lookupReadsPerPass = 20
 )
 
-// runLookups finds out how jobs ended that others await.
-func (c *Committer) runLookups(ctx context.Context) {
+// RunLookups finds out how jobs ended that others await.
+func (c *Committer) RunLookups(ctx context.Context) {
 	for ctx.Err() == nil {
 		c.lookUpOnce(ctx)
-		sleep(ctx, lookupInterval)
+		wait.For(ctx, lookupInterval)
 	}
 }
 
@@ -123,7 +125,7 @@
 func (c *Committer) applyLookup(ctx context.Context, id ids.Job, entry state.Entry, found bool, now time.Time) {
 	cluster := c.Cluster
 	if !found {
-		if _, live := cluster.statusInOtherShard(id); live {
+		if _, live := cluster.StatusInOtherShard(id); live {
 			cluster.cancelLookup(id)
 			return
 		}
--- a/internal/claim/ownership.go
+++ b/internal/claim/ownership.go
@@ -1,6 +1,8 @@
 package claim
 
 import (
+	"github.com/pebbletrail/pebbletrail/internal/wait"
+
 	"context"
 	"encoding/json"
 	"strings"
@@ -109,7 +111,7 @@
 // shard's.
 func (o *machineOwnership) resolveUnclaimed(ctx context.Context, hires *state.Mirror) {
 	for ctx.Err() == nil {
-		sleep(ctx, unclaimedCheckInterval)
+		wait.For(ctx, unclaimedCheckInterval)
 		o.mu.Lock()
 		any := len(o.unclaimed) > 0
 		o.mu.Unlock()
--- a/internal/claim/pool.go
+++ b/internal/claim/pool.go
@@ -1,6 +1,8 @@
 package claim
 
 import (
+	"github.com/pebbletrail/pebbletrail/internal/wait"
+
 	"context"
 	"encoding/json"
 	"errors"
@@ -107,35 +109,6 @@
 	return elector
 }
 
-// handleJobChange takes in news of a job's records.
-func (e *Elector) handleJobChange(change state.Change) {
-	id, kind := record.ParseKey(change.Key())
-	switch {
-	case kind == record.WaitingRecord:
-		e.handleWaitingChange(id, change)
-		return
-	case ids.ShardOf(id, e.Settings.Shards()) != e.shard:
-		e.handleOtherShardChange(id, change)
-		return
-	case kind == record.StoredCancellation:
-		if cluster := e.Cluster(); cluster != nil {
-			cluster.HandleCancellation(id, change.Revision, change.Put == "")
-		}
-		return
-	}
-	if change.Put == "" {
-		e.HandleRecord(id, change.Revision, nil)
-		return
-	}
-	cluster := e.Cluster()
-	if cluster == nil || cluster.isOwnWrite(change.Value) {
-		return
-	}
-	if rec, err := record.Decode(change.Value); err == nil {
-		e.HandleRecord(id, change.Revision, rec)
-	}
-}
-
 // Jobs is this node's copy of the live records.
 func (e *Elector) Jobs() *state.Mirror { return e.jobMirror }
 
@@ -156,18 +129,18 @@
 			// A renewal that hangs must not delay the next.
 			go e.renewLease(ctx, term)
 			go e.jobMirror.Sync(ctx)
-			sleep(ctx, life/5)
+			wait.For(ctx, life/5)
 			continue
 		}
 		e.watchLeader()
 		if e.leaderless() && e.mayCampaign(time.Now()) {
 			if err := e.campaign(ctx, life); err != nil {
 				slog.Debug("campaign failed", "err", err)
-				sleep(ctx, 200*time.Millisecond)
+				wait.For(ctx, 200*time.Millisecond)
 			}
 			continue
 		}
-		sleep(ctx, 50*time.Millisecond)
+		wait.For(ctx, 50*time.Millisecond)
 	}
 }
 
@@ -221,7 +194,7 @@
 		go func() { defer term.done.Done(); f(ctx) }()
 	}
 	run(term.Committer.Run)
-	run(term.Committer.runLookups)
+	run(term.Committer.RunLookups)
 	run(term.Dispatcher.Run)
 	run(term.plan)
 	if e.Settings.Shards() > 1 {
@@ -238,14 +211,14 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-term.Cluster.planSignal:
+		case <-term.Cluster.PlanWanted():
 		case <-time.After(500 * time.Millisecond):
 		}
 		now := time.Now()
 		term.Cluster.ExpireLeases(now)
 		term.Cluster.Plan(now)
 		term.Dispatcher.Wake()
-		sleep(ctx, 25*time.Millisecond)
+		wait.For(ctx, 25*time.Millisecond)
 	}
 }
 
@@ -269,7 +242,7 @@
 	}
 	e.checkIsolation(term)
 	if entry, found, ready := e.poolMirror.Get(e.keys.Generation()); ready && found {
-		var stored generationRecord
+		var stored GenerationRecord
 		if json.Unmarshal(entry.Value, &stored) == nil && stored.Generation > term.Cluster.Generation() && !strings.HasPrefix(stored.Writer, e.incarnation+"/") {
 			e.stepDown(term, "another leader raised the generation")
 		}
@@ -289,48 +262,3 @@
 	term.cancel()
 	e.State.Budget().SetLeader(false)
 }
-
-// handleWaitingChange passes on news of a job that awaits others, if this node owns the pool.
-func (e *Elector) handleWaitingChange(id ids.Job, change state.Change) {
-	cluster := e.Cluster()
-	if cluster == nil {
-		return
-	}
-	if change.Put == "" {
-		cluster.HandleWaitingJob(id, change.Revision, nil, time.Now())
-	} else if rec, err := record.DecodeWaiting(change.Value); err == nil {
-		cluster.HandleWaitingJob(id, change.Revision, rec, time.Now())
-	}
-}
-
-// HandleRecord passes on what another controller wrote, if this node owns the pool.
-func (e *Elector) HandleRecord(id ids.Job, revision ids.Revision, rec *record.Record) {
-	if cluster := e.Cluster(); cluster != nil {
-		cluster.HandleRecord(id, revision, rec, time.Now())
-	}
-}
-
-// Explain tells why a job's tasks wait, if this node surely owns the pool: a leader
-// that stood still, or can't renew its hold, might tell what is no longer so.
-func (e *Elector) Explain(id ids.Job) ([]string, error) {
-	term := e.Term()
-	if term == nil {
-		return nil, ErrNotLeader
-	}
-	if !e.LeaseSurelyHeld(term) {
-		return []string{"the state service has not answered the pool's leader for a moment: nothing is started or stopped until it does"}, nil
-	}
-	select {
-	case <-term.loaded:
-	default:
-		return []string{"the pool was taken over a moment ago: its new leader is still reading the records"}, nil
-	}
-	lines := term.Cluster.Explain(id)
-	if lines == nil {
-		lines = []string{"the pool's leader has not read of this job yet"}
-	}
-	return lines, nil
-}
-
-// ErrNotLeader tells that this node does not own the pool.
-var ErrNotLeader = errors.New("not the pool's leader")
--- a/internal/claim/process_pause.go
+++ b/internal/claim/process_pause.go
@@ -1,6 +1,8 @@
 package claim
 
 import (
+	"github.com/pebbletrail/pebbletrail/internal/wait"
+
 	"context"
 	"log/slog"
 	"sync"
@@ -32,7 +34,7 @@
 func (s *pauseDetector) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		s.lastPauseEnd(time.Now(), true)
-		sleep(ctx, pauseCheckInterval)
+		wait.For(ctx, pauseCheckInterval)
 	}
 }
 
@@ -72,18 +74,6 @@
 // listened to.
 func (e *Elector) processResumed(time.Duration) {
 	if cluster := e.Cluster(); cluster != nil {
-		cluster.resetLiveness(time.Now())
-	}
-}
-
-// resetLiveness gives every machine the time to be heard again.
-func (c *ClusterState) resetLiveness(now time.Time) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	for _, machine := range c.machines.Machines {
-		if machine.Heard {
-			machine.Probes, machine.Unreached, machine.Failures = 0, time.Time{}, 0
-			machine.Doubted, machine.Asked = now, time.Time{}
-		}
+		cluster.ResetLiveness(time.Now())
 	}
 }
--- a/internal/claim/production_test.go
+++ b/internal/claim/production_test.go
@@ -66,7 +66,7 @@
 		raw, _ = back.Encode(8192)
 		sameJSON(t, name+" through the book", raw, want)
 	}
-	for name, v := range map[string]any{"owner.json": &leaderRecord{}, "generation.json": &generationRecord{}} {
+	for name, v := range map[string]any{"owner.json": &leaderRecord{}, "generation.json": &GenerationRecord{}} {
 		want := golden(t, name)
 		if err := json.Unmarshal(want, v); err != nil {
 			t.Fatal(err)
--- a/internal/claim/recovery.go
+++ b/internal/claim/recovery.go
@@ -60,9 +60,9 @@
 	return job
 }
 
-// isOwnWrite tells whether a record is this leader's own writing, without reading
+// IsOwnWrite tells whether a record is this leader's own writing, without reading
 // all of it: most news is, and the cluster state knows it already.
-func (c *ClusterState) isOwnWrite(raw json.RawMessage) bool {
+func (c *ClusterState) IsOwnWrite(raw json.RawMessage) bool {
 	return bytes.Contains(raw, []byte(`"writer":"`+c.writer+`"`))
 }
 
--- a/internal/claim/redirect.go
+++ b/internal/claim/redirect.go
@@ -15,12 +15,6 @@
 	first, last time.Time
 }
 
-// RedirectedWorker is a worker that was sent on to the leader and may not have got there.
-type RedirectedWorker struct {
-	Machine ids.Machine
-	Ago     time.Duration // when it was first sent on
-}
-
 // A worker sent on reports to the leader within arrives. One that does not get
 // through is back within backWithin: it waits 4 s for an answer, and another before it
 // tries the next node.
@@ -66,7 +60,7 @@
 // gives the pool up, at once and for a while, to one that is not.
 func (e *Elector) HandleRedirectedWorkers(stranded []RedirectedWorker) {
 	term := e.Term()
-	if term == nil || len(stranded) == 0 || !term.Cluster.isolatedFromWorkers(stranded, time.Now()) {
+	if term == nil || len(stranded) == 0 || !term.Cluster.IsolatedFromWorkers(stranded, time.Now()) {
 		return
 	}
 	e.resign(term, "cut off from the workers, which reach another node")
@@ -80,7 +74,7 @@
 // controller can be reached to tell whether they reach it. A leader that hears
 // nobody keeps no lease alive, so little is lost if another fares no better.
 func (e *Elector) checkIsolation(term *Term) {
-	if e.Peers == nil || !e.Peers.Alone() || time.Since(term.began) < isolationMinTerm || !term.Cluster.hearsNoWorker(time.Now()) {
+	if e.Peers == nil || !e.Peers.Alone() || time.Since(term.began) < isolationMinTerm || !term.Cluster.HearsNoWorker(time.Now()) {
 		return
 	}
 	e.resign(term, "no worker is heard, and no other controller")
--- a/internal/claim/repair.go
+++ b/internal/claim/repair.go
@@ -1,6 +1,8 @@
 package claim
 
 import (
+	"github.com/pebbletrail/pebbletrail/internal/wait"
+
 	"context"
 	"encoding/json"
 	"log/slog"
@@ -18,10 +20,10 @@
 	if conflict.Has(c.Keys.Generation()) {
 		entry, found, err := c.State.Get(ctx, c.Keys.Generation(), state.Urgent)
 		if err != nil {
-			sleep(ctx, 100*time.Millisecond)
+			wait.For(ctx, 100*time.Millisecond)
 			return
 		}
-		var stored generationRecord
+		var stored GenerationRecord
 		if found && json.Unmarshal(entry.Value, &stored) == nil && stored.Writer == cluster.writer {
 			c.generationRaised(stored.Generation, entry.Revision)
 			return
--- a/internal/claim/room_sharing.go
+++ b/internal/claim/room_sharing.go
@@ -5,8 +5,6 @@
 	"time"
 
 	"github.com/pebbletrail/pebbletrail/internal/capacity"
-
-	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
 // Every shard rents machines of its own. When the cloud has no more, one shard may hold what
@@ -20,21 +18,6 @@
 	Machines int // that it has
 }
 
-const (
-	// shortageFresh is how long what is known of another shard's lack holds.
-	shortageFresh = 3 * time.Second
-	// shortageLong is from when on a lack takes machines from shards that have more.
-	shortageLong = 10 * time.Second
-	// releaseInterval spaces the machines that a shard gives up.
-	releaseInterval = 5 * time.Second
-)
-
-// reportedShortage is a lack and when it was told.
-type reportedShortage struct {
-	Shortage
-	at time.Time
-}
-
 // SetShortage notes whether the cloud refuses now what waiting jobs need.
 func (c *ClusterState) SetShortage(lacks bool, now time.Time) {
 	c.mu.Lock()
@@ -58,41 +41,6 @@
 	return lack
 }
 
-// ReportShortage takes in what the leader of another shard told.
-func (s *Shards) ReportShortage(shard ids.Shard, lack Shortage) {
-	s.shortagesMu.Lock()
-	defer s.shortagesMu.Unlock()
-	s.shortages[shard] = reportedShortage{lack, time.Now()}
-}
-
-// OtherShardsShortage is the longest lack of another shard, and the part of all machines that a shard
-// has on average.
-func (s *Shards) OtherShardsShortage(own ids.Shard) (longest time.Duration, part int) {
-	total := 0
-	for shard, elector := range s.pools {
-		lack, known := s.shortageOf(ids.Shard(shard), elector)
-		if !known {
-			continue
-		}
-		total += lack.Machines
-		if ids.Shard(shard) != own {
-			longest = max(longest, lack.For)
-		}
-	}
-	return longest, total / len(s.pools)
-}
-
-// shortageOf is what is known of a shard, led here or elsewhere.
-func (s *Shards) shortageOf(shard ids.Shard, elector *Elector) (Shortage, bool) {
-	if cluster := elector.Cluster(); cluster != nil {
-		return cluster.Shortage(), true
-	}
-	s.shortagesMu.Lock()
-	defer s.shortagesMu.Unlock()
-	noted, known := s.shortages[shard]
-	return noted.Shortage, known && time.Since(noted.at) < shortageFresh
-}
-
 // ShareCapacity makes room for other shards, which have lacked machines for so long: nothing is
 // kept for later, and what is more than this shard's part is given up.
 func (c *ClusterState) ShareCapacity(lack time.Duration, part int, now time.Time) {
@@ -131,3 +79,12 @@
 
 // releasedForOtherShard is why such a machine is drained and returned.
 const releasedForOtherShard = "its room is needed in another shard"
+
+const (
+	// shortageFresh is how long what is known of another shard's lack holds.
+	shortageFresh = 3 * time.Second
+	// shortageLong is from when on a lack takes machines from shards that have more.
+	shortageLong = 10 * time.Second
+	// releaseInterval spaces the machines that a shard gives up.
+	releaseInterval = 5 * time.Second
+)
--- a/internal/claim/settle.go
+++ b/internal/claim/settle.go
@@ -182,11 +182,11 @@
 	return orders
 }
 
-// leaseMustExpire tells whether a worker's lease must not be renewed: a direct start may
+// LeaseMustExpire tells whether a worker's lease must not be renewed: a direct start may
 // still be on its way to it, of a task whose job was cancelled so long ago that the
 // task could be there beyond cancel_s. A raised token turns the start away sooner,
 // but to raise it takes the state service.
-func (c *ClusterState) leaseMustExpire(report *worker.Report, grace time.Duration) bool {
+func (c *ClusterState) LeaseMustExpire(report *worker.Report, grace time.Duration) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	machine := c.machines.Machines[report.Machine]
--- a/internal/claim/shards.go
+++ b/internal/claim/shards.go
@@ -1,6 +1,8 @@
 package claim
 
 import (
+	"github.com/pebbletrail/pebbletrail/internal/wait"
+
 	"context"
 	"slices"
 	"sync"
@@ -182,7 +184,7 @@
 // rebalance gives a shard back when this node leads two more than a controller that is up.
 func (s *Shards) rebalance(ctx context.Context) {
 	for ctx.Err() == nil {
-		sleep(ctx, rebalanceInterval)
+		wait.For(ctx, rebalanceInterval)
 		s.resignExcess()
 	}
 }
--- a/internal/claim/takeover.go
+++ b/internal/claim/takeover.go
@@ -1,6 +1,8 @@
 package claim
 
 import (
+	"github.com/pebbletrail/pebbletrail/internal/wait"
+
 	"context"
 	"encoding/json"
 	"errors"
@@ -48,7 +50,7 @@
 			return err
 		}
 		if leader.Node != e.Settings.HostName {
-			sleep(ctx, 100*time.Millisecond) // the mirror is behind
+			wait.For(ctx, 100*time.Millisecond) // the mirror is behind
 			return errors.New("owned by " + string(leader.Node))
 		}
 		// Only one process runs on a node: this hold's leader is dead, or an
@@ -58,7 +60,7 @@
 			return err
 		}
 	}
-	var previous generationRecord
+	var previous GenerationRecord
 	ge, found, err := e.State.Get(ctx, e.keys.Generation(), state.Urgent)
 	if err != nil {
 		return err
@@ -76,7 +78,7 @@
 	generation := previous.Generation + 1
 	writer := fmt.Sprintf("%s/%d", e.incarnation, generation)
 	oraw, _ := json.Marshal(leaderRecord{e.Settings.HostName, writer, hold, generation})
-	graw, _ := json.Marshal(generationRecord{generation, e.Settings.HostName, writer})
+	graw, _ := json.Marshal(GenerationRecord{generation, e.Settings.HostName, writer})
 	epoch, err := e.State.Commit(ctx, state.Txn{
 		When: []state.Condition{{Key: e.keys.Leader()}, {Key: e.keys.Generation(), Revision: ge.Revision}},
 		Then: []state.Op{{Put: e.keys.Leader(), Value: oraw, Lease: hold}, {Put: e.keys.Generation(), Value: graw}},
@@ -84,7 +86,7 @@
 	if errors.Is(err, state.ErrUnknown) {
 		// Read back what became of it.
 		entry, found, rerr := e.State.Get(ctx, e.keys.Generation(), state.Urgent)
-		var stored generationRecord
+		var stored GenerationRecord
 		if rerr == nil && found && json.Unmarshal(entry.Value, &stored) == nil && stored.Writer == writer {
 			epoch, err = ids.Epoch(entry.Revision), nil
 		}
@@ -97,12 +99,12 @@
 }
 
 // beginTerm starts a term.
-func (e *Elector) beginTerm(ctx context.Context, previous generationRecord, generation ids.Generation, writer string, hold ids.Lease, revision ids.Revision, sent time.Time) {
+func (e *Elector) beginTerm(ctx context.Context, previous GenerationRecord, generation ids.Generation, writer string, hold ids.Lease, revision ids.Revision, sent time.Time) {
 	now := time.Now()
 	w := &e.Settings.Params.Workers
 	trust := now.Add(e.Settings.Grace().Drifted() + w.LeaseS.Drifted())
-	cluster := newShardState(e.Settings, writer, generation, trust, e.shard)
-	cluster.statusInOtherShard = e.statusInOtherShard
+	cluster := NewShardState(e.Settings, writer, generation, trust, e.shard)
+	cluster.StatusInOtherShard = e.statusInOtherShard
 	fresh := time.Duration(e.Settings.Own.PoolHoldMs) * time.Millisecond / 2
 	cluster.StoreAvailable = func() bool {
 		age, ok := e.State.SinceSuccess()
@@ -146,7 +148,7 @@
 			err = e.loadAllowances(ctx, term)
 		}
 		if err != nil {
-			sleep(ctx, 100*time.Millisecond)
+			wait.For(ctx, 100*time.Millisecond)
 			continue
 		}
 		records, waits, revisions := map[ids.Job]*record.Record{}, map[ids.Job]*record.Record{}, map[ids.Job]ids.Revision{}
@@ -193,7 +195,7 @@
 // watchLeader notes whose generation it is and since when.
 func (e *Elector) watchLeader() {
 	entry, found, ready := e.poolMirror.Get(e.keys.Generation())
-	var stored generationRecord
+	var stored GenerationRecord
 	if !ready || !found || json.Unmarshal(entry.Value, &stored) != nil {
 		return
 	}
@@ -209,7 +211,7 @@
 // for longer than the grace of whoever was before it; otherwise none is named, and
 // all must be asked. In a zone that is cut off there may be controllers, which
 // cannot confirm anything, and need not.
-func (e *Elector) possibleLeaders(previous generationRecord, now time.Time) []ids.Node {
+func (e *Elector) possibleLeaders(previous GenerationRecord, now time.Time) []ids.Node {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if previous.Writer == "" || previous.Node == e.Settings.HostName || previous.Writer != e.last.writer || now.Sub(e.last.since) < e.Settings.Grace().Drifted()+time.Second {
@@ -230,6 +232,6 @@
 			term.Cluster.TrustSilenceFrom(now.Add(e.Settings.Params.Workers.LeaseS.Drifted()))
 			return
 		}
-		sleep(ctx, 500*time.Millisecond)
+		wait.For(ctx, 500*time.Millisecond)
 	}
 }
--- a/internal/peer/convert.go
+++ b/internal/peer/convert.go
@@ -63,7 +63,9 @@
 
 func lackToWire(lack claim.Shortage) Lack { return Lack{For: lack.For, Machines: lack.Machines} }
 
-func lackFromWire(lack Lack) claim.Shortage { return claim.Shortage{For: lack.For, Machines: lack.Machines} }
+func lackFromWire(lack Lack) claim.Shortage {
+	return claim.Shortage{For: lack.For, Machines: lack.Machines}
+}
 
 func specToWire(spec *rollout.Spec) RolloutSpec {
 	return RolloutSpec{
