--- /dev/null
+++ b/internal/record/encoding_test.go
@@ -0,0 +1,198 @@
+package record
+
+import (
+	"encoding/json"
+	"fmt"
+	"reflect"
+	"strings"
+	"testing"
+
+	"github.com/pebbletrail/pebbletrail/internal/ids"
+)
+
+// recordWith is a job's record with so many dependencies and events; of its tasks every other is
+// done.
+func recordWith(dependencies, events, tasks int) *Record {
+	r := New(Spec{ID: "job-1", Team: "red", Shape: Array, Tasks: tasks}, 1000, "w")
+	for i := range dependencies {
+		r.Spec.Awaits = append(r.Spec.Awaits, ids.Job(fmt.Sprintf("job-77%05d", i)))
+	}
+	for i := range events {
+		r.Trail = append(r.Trail, Event{ids.Wall(2000 + i), fmt.Sprintf("event %d", i)})
+	}
+	for task := 0; task < tasks; task += 2 {
+		r.Finished.Add(task)
+	}
+	return r
+}
+
+// decoded reads a record that must be readable.
+func decoded(t *testing.T, raw json.RawMessage) *Record {
+	t.Helper()
+	r, err := Decode(raw)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return r
+}
+
+func TestALiveRecordLosesDependenciesAndThenItsOldestEvents(t *testing.T) {
+	whole := len(marshal(t, recordWith(20, 10, 4)))
+	withoutDependencies := len(marshal(t, recordWith(0, 10, 4)))
+	withoutEvents := recordWith(0, 0, 4)
+	withoutEvents.Trail = nil
+	least := len(marshal(t, withoutEvents))
+	for _, c := range []struct {
+		limit, dependencies, events int // of the 20 dependencies and 11 events, what stays
+	}{
+		{whole, 20, 11},
+		{whole - 1, 0, 11},
+		{withoutDependencies, 0, 11},
+		{withoutDependencies - 1, 0, 10},
+		{least, 0, 0},
+	} {
+		raw, ok := recordWith(20, 10, 4).Encode(c.limit)
+		if !ok || len(raw) > c.limit {
+			t.Fatalf("limit %d: %d bytes, %v", c.limit, len(raw), ok)
+		}
+		stored := decoded(t, raw)
+		if len(stored.Spec.Awaits) != c.dependencies || len(stored.Trail) != c.events {
+			t.Errorf("limit %d: %d dependencies and %d events stay", c.limit, len(stored.Spec.Awaits), len(stored.Trail))
+		}
+		if c.events > 0 && stored.Trail[c.events-1].What != "event 9" {
+			t.Errorf("limit %d: the last event is %q", c.limit, stored.Trail[c.events-1].What)
+		}
+	}
+	if raw, ok := recordWith(20, 10, 4).Encode(least - 1); ok || raw != nil {
+		t.Errorf("%q is stored though it does not fit", raw)
+	}
+}
+
+func TestAFinalRecordKeepsItsLastEventLongest(t *testing.T) {
+	// Guards against a user who can't see how a job ended.
+	r := recordWith(20, 10, 400)
+	r.Evict(1, 1, "drain", 1)
+	before := string(marshal(t, r))
+	lastEventOnly := *recordWith(20, 0, 400)
+	lastEventOnly.Trail = r.Trail[len(r.Trail)-1:]
+	sizeWithDependencies := len(marshal(t, lastEventOnly))
+	for _, c := range []struct {
+		name                       string
+		limit, dependencies, spans int
+		moreEvents                 bool // than the last
+	}{
+		{"all fits", 100000, 20, 200, true},
+		{"only the last event fits", sizeWithDependencies, 20, 200, false},
+		{"dependencies and the done tasks' indexes don't fit", sizeWithDependencies - 1, 0, 1, false},
+		{"a tight limit", 400, 0, 1, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			raw, ok := r.EncodeFinal(c.limit)
+			if !ok || len(raw) > c.limit {
+				t.Fatalf("%d bytes, %v", len(raw), ok)
+			}
+			stored := decoded(t, raw)
+			if len(stored.Spec.Awaits) != c.dependencies || stored.Finished.Runs() != c.spans || stored.Finished.Len() != 200 {
+				t.Errorf("%d dependencies and %d tasks in %d spans stay", len(stored.Spec.Awaits), stored.Finished.Len(), stored.Finished.Runs())
+			}
+			if len(stored.Evictions) > 0 {
+				t.Errorf("evictions %v stay", stored.Evictions)
+			}
+			if more := len(stored.Trail) > 1; more != c.moreEvents || stored.Trail[len(stored.Trail)-1].What != "event 9" {
+				t.Errorf("events %v stay", stored.Trail)
+			}
+		})
+	}
+	if raw, ok := r.EncodeFinal(100); ok {
+		t.Errorf("%q is stored though it does not fit", raw)
+	}
+	if after := string(marshal(t, r)); after != before {
+		t.Errorf("encoding changed the record from\n%s to\n%s", before, after)
+	}
+}
+
+func TestAWaitingRecordIsReadBackInBothForms(t *testing.T) {
+	whole := len(marshal(t, []*Record{recordWith(100, 10, 4)}))
+	for _, c := range []struct {
+		name   string
+		limit  int
+		packed bool
+		events int
+	}{
+		{"names fit spelled out", whole, false, 11},
+		{"names are packed", whole - 1, true, 11},
+		{"names are packed and events dropped", 600, true, 2},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			r := recordWith(100, 10, 4)
+			want := r.Spec.Awaits
+			raw, ok := r.EncodeWaiting(c.limit)
+			if !ok || len(raw) > c.limit {
+				t.Fatalf("%d bytes, %v", len(raw), ok)
+			}
+			if packed := strings.Contains(string(raw), `,"job-77000:`); packed != c.packed {
+				t.Errorf("packed: %v in %s", packed, raw)
+			}
+			if _, err := Decode(raw); err == nil {
+				t.Error("versions from before dependencies can read it")
+			}
+			back, err := DecodeWaiting(raw)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if !reflect.DeepEqual(back.Spec.Awaits, want) || len(back.Trail) != c.events {
+				t.Errorf("read back with dependencies %v and %d events", back.Spec.Awaits, len(back.Trail))
+			}
+			if len(r.Spec.Awaits) != 100 || len(r.Trail) != 11 {
+				t.Errorf("encoding left %d dependencies and %d events in the record", len(r.Spec.Awaits), len(r.Trail))
+			}
+		})
+	}
+	if raw, ok := recordWith(100, 10, 4).EncodeWaiting(400); ok {
+		t.Errorf("%q is stored though it does not fit", raw)
+	}
+}
+
+func TestWhatIsNoWaitingRecordIsRefused(t *testing.T) {
+	for _, raw := range []string{``, `{}`, `[]`, `[null]`, `[1]`, `[{},"job-:1",2]`, `[{},1]`, `"x"`} {
+		if r, err := DecodeWaiting(json.RawMessage(raw)); err == nil {
+			t.Errorf("%s is read as %+v", raw, r)
+		}
+	}
+}
+
+func TestPackedNamesAreReadBack(t *testing.T) {
+	for _, c := range []struct {
+		names  []ids.Job
+		packed string
+	}{
+		{nil, ":"},
+		{[]ids.Job{"job-12"}, "job-12:"},
+		{[]ids.Job{"job-12", "job-13", "job-2"}, "job-:12 13 2"},
+		{[]ids.Job{"job-1", "job-12"}, "job-1: 2"},
+	} {
+		packed := packNames(c.names)
+		if packed != c.packed {
+			t.Errorf("%v is packed as %q, not %q", c.names, packed, c.packed)
+		}
+		if back := unpackNames(packed); !reflect.DeepEqual(back, c.names) {
+			t.Errorf("%q is read back as %v, not %v", packed, back, c.names)
+		}
+	}
+}
+
+func TestACancellationIsReadBack(t *testing.T) {
+	cancellation := Cancellation{At: 5, Writer: "w"}
+	raw := cancellation.Encode()
+	if string(raw) != `[{"at":5,"writer":"w"}]` {
+		t.Errorf("stored as %s", raw)
+	}
+	if back, err := DecodeCancellation(raw); err != nil || back != cancellation {
+		t.Errorf("read back as %+v, %v", back, err)
+	}
+	for _, bad := range []string{``, `{}`, `[]`, `[{},{}]`} {
+		if back, err := DecodeCancellation(json.RawMessage(bad)); err == nil {
+			t.Errorf("%s is read as %+v", bad, back)
+		}
+	}
+}
--- a/internal/record/keys.go
+++ b/internal/record/keys.go
@@ -7,52 +7,52 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-// Where things are kept in the state service.
+// The keys and prefixes of the key-value store.
 const (
-	PoolPrefix = "pool/"
-	TypesKey   = "pool/types"
-	JobPrefix  = "job/"
-	EndPrefix  = "end/"
-	WaitPrefix = "job/wait/"
+	PoolPrefix = "pool/"      // leadership, generation and provisioning requests
+	TypesKey   = "pool/types" // the instance types on offer
+	JobPrefix  = "job/"       // records of jobs that have not ended
+	EndPrefix  = "end/"       // final records
+	WaitPrefix = "job/wait/"  // records of jobs with unfinished dependencies
 )
 
-// JobKey and EndKey are a job's live record and, once it is over, its last.
-func JobKey(j ids.Job) string { return JobPrefix + string(j) }
+// JobKey is the key of the record of a schedulable or running job.
+func JobKey(job ids.Job) string { return JobPrefix + string(job) }
 
-// EndKey names the final record.
-func EndKey(j ids.Job) string { return EndPrefix + string(j) }
+// EndKey is the key of a job's final record.
+func EndKey(job ids.Job) string { return EndPrefix + string(job) }
 
-// WaitKey is the key of a job that waits for others.
-func WaitKey(j ids.Job) string { return WaitPrefix + string(j) }
+// WaitKey is the key of the record of a job with unfinished dependencies.
+func WaitKey(job ids.Job) string { return WaitPrefix + string(job) }
 
-// KeyKind is what is kept at a key below JobPrefix.
+// KeyKind is what is stored at a key below JobPrefix.
 type KeyKind int
 
 const (
-	// LiveRecord is the record of a job that may be claimed.
+	// LiveRecord is the record of a schedulable or running job.
 	LiveRecord KeyKind = iota
-	// WaitingRecord is the record of a job that awaits others.
+	// WaitingRecord is the record of a job with unfinished dependencies.
 	WaitingRecord
 	// StoredCancellation is a cancellation that its job's record had no room for.
 	StoredCancellation
 )
 
-// ParseKey tells which job a key below JobPrefix belongs to, and what is kept there.
+// ParseKey returns the job that a key below JobPrefix belongs to, and what is stored there.
 func ParseKey(key string) (ids.Job, KeyKind) {
-	if id, ok := strings.CutPrefix(key, WaitPrefix); ok {
-		return ids.Job(id), WaitingRecord
+	if job, ok := strings.CutPrefix(key, WaitPrefix); ok {
+		return ids.Job(job), WaitingRecord
 	}
-	if id, ok := strings.CutPrefix(key, CancelPrefix); ok {
-		return ids.Job(id), StoredCancellation
+	if job, ok := strings.CutPrefix(key, CancelPrefix); ok {
+		return ids.Job(job), StoredCancellation
 	}
 	return ids.Job(strings.TrimPrefix(key, JobPrefix)), LiveRecord
 }
 
-// ShardKeys are where a shard's leader, generation and hires are stored. With one shard
-// they are those of the whole pool, which every version knows.
+// ShardKeys are the keys of a shard's leader, generation and provisioning requests.
 type ShardKeys struct{ prefix string }
 
-// KeysOf are the keys of one of several shards.
+// KeysOf returns the keys of a shard. With one shard they are those of the whole machine pool,
+// which every version of this program knows.
 func KeysOf(shard ids.Shard, shards int) ShardKeys {
 	if shards <= 1 {
 		return ShardKeys{PoolPrefix}
@@ -60,11 +60,11 @@
 	return ShardKeys{fmt.Sprintf("%s~%d/", PoolPrefix, shard)}
 }
 
-// Leader is the key that a leader holds by its lease.
+// Leader is the key that the shard's leader binds to its lease.
 func (k ShardKeys) Leader() string { return k.prefix + "owner" }
 
-// Generation is the key of the number of the last takeover.
+// Generation is the key of the shard's last generation, which each failover raises.
 func (k ShardKeys) Generation() string { return k.prefix + "generation" }
 
-// Hires is what the keys of the shard's hires begin with.
+// Hires is the prefix of the shard's provisioning requests.
 func (k ShardKeys) Hires() string { return k.prefix + "hire/" }
--- a/internal/record/spec.go
+++ b/internal/record/spec.go
@@ -5,20 +5,20 @@
 	"github.com/pebbletrail/pebbletrail/internal/placement"
 )
 
-// Shape is how a job's tasks belong together.
+// Shape is how the tasks of a job belong together.
 type Shape string
 
-// The three shapes.
+// The shapes.
 const (
-	Array   Shape = "array"
-	Gang    Shape = "gang"
-	Service Shape = "service"
+	Array   Shape = "array"   // independent tasks, each of which ends by itself
+	Gang    Shape = "gang"    // tasks that run all at once or not at all
+	Service Shape = "service" // replicas that run until the job is cancelled
 )
 
 // Priority orders jobs; higher goes first.
 type Priority int
 
-// The four priorities.
+// The priorities.
 const (
 	Low Priority = iota
 	Normal
@@ -32,29 +32,39 @@
 
 // Spec is a job as its user described it.
 type Spec struct {
-	ID         ids.Job        `json:"id"`
-	Class      string         `json:"class,omitempty"`
-	Team       string         `json:"team"`
-	Shape      Shape          `json:"shape"`
-	Priority   Priority       `json:"priority"`
-	Tasks      int            `json:"tasks"`
-	Need       placement.Room `json:"need"`
-	Image      string         `json:"image,omitempty"`
-	ImageGB    float64        `json:"imageGb,omitempty"`
-	Types      []string       `json:"types,omitempty"`
-	Zone       string         `json:"zone,omitempty"`
-	OneZone    bool           `json:"oneZone,omitempty"`
-	Spread     bool           `json:"spread,omitempty"`
-	Spot       bool           `json:"spot,omitempty"`
-	Estimate   ids.Seconds    `json:"estimate,omitempty"`
-	Checkpoint ids.Seconds    `json:"checkpoint,omitempty"`
-	Save       ids.Seconds    `json:"save,omitempty"`
-	Due        ids.Seconds    `json:"due,omitempty"`
-	// Awaits are the jobs that must be done before any task starts.
+	ID       ids.Job        `json:"id"`
+	Class    string         `json:"class,omitempty"` // service-level objectives are set by class
+	Team     string         `json:"team"`
+	Shape    Shape          `json:"shape"`
+	Priority Priority       `json:"priority"`
+	Tasks    int            `json:"tasks"`
+	Need     placement.Room `json:"need"` // per task
+	Image    string         `json:"image,omitempty"`
+	ImageGB  float64        `json:"imageGb,omitempty"`
+	Types    []string       `json:"types,omitempty"` // allowed instance types; nil allows any
+	Zone     string         `json:"zone,omitempty"`  // empty allows any
+	OneZone  bool           `json:"oneZone,omitempty"`
+	Spread   bool           `json:"spread,omitempty"` // over zones
+	Spot     bool           `json:"spot,omitempty"`   // whether spot instances are allowed
+	Estimate ids.Seconds    `json:"estimate,omitempty"`
+	// Checkpoint is the interval of a task's checkpoints, Save how long writing one takes.
+	Checkpoint ids.Seconds `json:"checkpoint,omitempty"`
+	Save       ids.Seconds `json:"save,omitempty"`
+	// Due is the deadline, counted from the submission; zero is none.
+	Due ids.Seconds `json:"due,omitempty"`
+	// Awaits are the dependencies: jobs that must be done before any task starts.
 	Awaits []ids.Job `json:"awaits,omitempty"`
 }
 
-// Ask is what placement needs to know of one of its tasks.
+// Ask returns the placement request of one of the job's tasks.
 func (s *Spec) Ask() placement.Ask {
-	return placement.Ask{Need: s.Need, Types: s.Types, Zone: s.Zone, Spot: s.Spot, Image: s.Image, ImageGB: s.ImageGB, Long: s.Shape == Service}
+	return placement.Ask{
+		Need:    s.Need,
+		Types:   s.Types,
+		Zone:    s.Zone,
+		Spot:    s.Spot,
+		Image:   s.Image,
+		ImageGB: s.ImageGB,
+		Long:    s.Shape == Service,
+	}
 }
--- a/internal/record/status.go
+++ b/internal/record/status.go
@@ -1,10 +1,12 @@
 package record
 
-// Status is where a job stands.
+import "slices"
+
+// Status is the stage of a job's life cycle.
 type Status string
 
-// The statuses. Queued and claimed differ only in whether any task may be on a
-// machine; cancelling is told to users as cancelled.
+// The statuses. Queued and Claimed differ only in whether any task may be assigned to a
+// machine; Cancelling is reported to users as cancelled.
 const (
 	Queued     Status = "queued"
 	Claimed    Status = "claimed"
@@ -13,22 +15,15 @@
 	Done       Status = "done"
 )
 
-// moves is the whole transition table: what is not here cannot happen.
-var moves = map[Status][]Status{
+// transitions lists every allowed transition.
+var transitions = map[Status][]Status{
 	Queued:     {Claimed, Cancelling, Cancelled, Done},
 	Claimed:    {Queued, Cancelling, Done},
 	Cancelling: {Cancelled},
 }
 
-// May tells whether a job may go from one status to another.
-func (s Status) May(to Status) bool {
-	for _, t := range moves[s] {
-		if t == to {
-			return true
-		}
-	}
-	return false
-}
+// May reports whether the transition from one status to another is allowed.
+func (s Status) May(to Status) bool { return slices.Contains(transitions[s], to) }
 
-// Over tells whether nothing more happens to the job.
+// Over reports whether the status is terminal.
 func (s Status) Over() bool { return s == Cancelled || s == Done }
--- a/internal/record/waiting.go
+++ b/internal/record/waiting.go
@@ -3,24 +3,23 @@
 import (
 	"encoding/json"
 	"fmt"
-	"strings"
 	"time"
 
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-// A job that awaits others is kept at a key of its own until all of them are done,
-// and then moves to where the claimable ones are, in one transaction. So it holds no
-// part of any limit and no place in the queue without anybody having to see to that.
+// A job with unfinished dependencies is stored at a key of its own until all of them are done,
+// and then moves to the keys of schedulable jobs, in one transaction. So it counts towards no
+// limit and has no position in the queue without any code having to exclude it.
 //
-// Versions of this program from before pipelines follow the same prefix. They take
-// the value for unreadable and pass over it, since it is a list and no object: so
-// they neither start such a job too early nor write it back without what they don't
-// know of it.
+// Versions of this program from before dependencies watch the same prefix. They take the value
+// for unreadable and skip it, since it is a JSON list and not an object: so they neither start
+// such a job too early nor write it back without the fields that they don't know.
 
-// EncodeWaiting writes the record of a job that waits. It may take all of a value, since
-// nothing of the job is placed meanwhile. If the names of what it awaits do not fit
-// spelled out, they follow the record as packed names.
+// EncodeWaiting writes the record of a job with unfinished dependencies. It may use the whole
+// value, since no task of the job is assigned meanwhile. If the names of the dependencies do not
+// fit spelled out, they follow the record in the form of packNames. The record itself stays as it
+// is.
 func (r *Record) EncodeWaiting(limit int) (json.RawMessage, bool) {
 	if raw, err := json.Marshal([]*Record{r}); err == nil && len(raw) <= limit {
 		return raw, true
@@ -29,9 +28,9 @@
 	if err != nil {
 		return nil, false
 	}
-	bare := *r
-	bare.Spec.Awaits = nil
-	raw, ok := bare.Encode(limit - len(names) - len("[,]"))
+	withoutNames := *r
+	withoutNames.Spec.Awaits = nil
+	raw, ok := withoutNames.Encode(limit - len(names) - len("[,]"))
 	if !ok {
 		return nil, false
 	}
@@ -58,63 +57,39 @@
 	return r, nil
 }
 
-// packNames writes job names as what all of them begin with, a colon, and the rest of
-// each.
-func packNames(names []ids.Job) string {
-	if len(names) == 0 {
-		return ":"
-	}
-	prefix := string(names[0])
-	for _, name := range names {
-		prefix = alike(prefix, string(name))
-	}
-	rests := make([]string, len(names))
-	for k, name := range names {
-		rests[k] = string(name)[len(prefix):]
-	}
-	return prefix + ":" + strings.Join(rests, " ")
-}
-
-// unpackNames reads what packNames wrote.
-func unpackNames(text string) (names []ids.Job) {
-	prefix, rests, _ := strings.Cut(text, ":")
-	if prefix == "" {
-		return nil
-	}
-	for _, rest := range strings.Split(rests, " ") {
-		names = append(names, ids.Job(prefix+rest))
-	}
-	return names
-}
-
-// DescribedShare is how much of a value the description of a claimable job may take: the
-// rest is for what becomes of it.
+// DescribedShare is the share of a value that the spec of a schedulable job may take: the rest
+// is for the state that it accumulates, such as assignments and events.
 const DescribedShare = 0.6
 
-// LeaveRoom forgets what a job awaited, now that it awaits nothing any more, if the
-// names would leave too little of a value for its places.
+// LeaveRoom drops the names of dependencies, which are all done, if they would leave too little
+// of a value of limit bytes for the job's assignments.
 func (r *Record) LeaveRoom(limit int) {
-	if raw, err := json.Marshal(&r.Spec); err != nil || len(raw) > int(float64(limit)*DescribedShare) {
+	raw, err := json.Marshal(&r.Spec)
+	if err != nil || len(raw) > int(float64(limit)*DescribedShare) {
 		r.Spec.Awaits = nil
 	}
 }
 
-// EndedBy words the record of a job that waits as cancelled because one that it needs
-// is. That is so by definition, whoever reads the records, from when that one is.
+// EndedBy turns the record of a job with unfinished dependencies into that of a job cancelled
+// because the dependency by was cancelled. Such a job counts as cancelled from that moment on for
+// everyone who reads the records, before anything is stored. The events of the record are copied,
+// since the caller may share them.
 func (r *Record) EndedBy(by ids.Job) {
-	r.Status, r.CancelledBy = Cancelled, by
-	r.Trail = append(append([]Event(nil), r.Trail...), Event{ids.WallOf(time.Now()), cancelledText(by)})
+	r.Status = Cancelled
+	r.CancelledBy = by
+	events := append([]Event(nil), r.Trail...)
+	r.Trail = append(events, Event{ids.WallOf(time.Now()), dependencyCancelledMessage(by)})
+}
+
+// dependencyCancelledMessage is the event of a job that was cancelled with one of its
+// dependencies.
+func dependencyCancelledMessage(dependency ids.Job) string {
+	return "cancelled: it needs " + string(dependency) + ", which was cancelled"
 }
 
-// Since is from when on a job's waiting counts: its submission, or the moment when
-// the last job that it awaited was done.
+// Since is when the job became eligible for scheduling: at its submission, or when the last of
+// its dependencies was done.
 func (r *Record) Since() ids.Wall { return max(r.Submitted, r.Ready) }
 
-// Awaited is how long a job waited for others, which takes from the time that its
-// deadline leaves.
+// Awaited is how long the job waited for its dependencies, which counts against its deadline.
 func (r *Record) Awaited() time.Duration { return r.Since().Time().Sub(r.Submitted.Time()) }
-
-// cancelledText words why a job that waited is cancelled.
-func cancelledText(by ids.Job) string {
-	return "cancelled: it needs " + string(by) + ", which was cancelled"
-}
