--- a/internal/dependency/graph_test.go
+++ b/internal/dependency/graph_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"maps"
 	"math/rand/v2"
 	"slices"
 	"testing"
@@ -13,11 +12,17 @@
 
 var epoch = time.Unix(1700000000, 0)
 
+// job is the name of a job.
 func job(n int) ids.Job { return ids.Job(fmt.Sprintf("job-%d", n)) }
 
 // due is a job with a deadline and a duration, both in seconds.
 func due(id ids.Job, priority, deadline, duration int, awaits ...ids.Job) Job {
-	j := Job{ID: id, Awaits: awaits, Urgency: Urgency{Priority: priority}, Duration: time.Duration(duration) * time.Second}
+	j := Job{
+		ID:       id,
+		Awaits:   awaits,
+		Urgency:  Urgency{Priority: priority},
+		Duration: time.Duration(duration) * time.Second,
+	}
 	if deadline > 0 {
 		j.Urgency.Deadline = epoch.Add(time.Duration(deadline) * time.Second)
 	}
@@ -46,26 +51,28 @@
 	return jobs
 }
 
+// shuffled is the jobs in a random order.
 func shuffled(jobs []Job, seed uint64) []Job {
-	out := slices.Clone(jobs)
-	rand.New(rand.NewPCG(seed, 1)).Shuffle(len(out), func(i, j int) { out[i], out[j] = out[j], out[i] })
-	return out
+	order := slices.Clone(jobs)
+	rng := rand.New(rand.NewPCG(seed, 1))
+	rng.Shuffle(len(order), func(i, j int) { order[i], order[j] = order[j], order[i] })
+	return order
 }
 
-// cost is how often what a job inherits was worked out during f.
-func (g *Graph) cost(f func()) int {
+// cost is how often the inherited urgency of a job was computed during a change.
+func (g *Graph) cost(change func()) int {
 	before := g.recomputed
-	f()
+	change()
 	return g.recomputed - before
 }
 
-func TestALadderIsWorkedOutJobByJobAndNotPathByPath(t *testing.T) {
+func TestUrgencyOfALadderIsComputedPerJobAndNotPerPath(t *testing.T) {
 	// Guards against work for each of the paths, of which there are 2^40.
 	jobs := ladder(40)
 	for seed := range uint64(3) {
 		g := New()
 		if n := g.cost(func() { g.Add(shuffled(jobs, seed)...) }); n > len(jobs)+2 {
-			t.Fatalf("%d jobs were worked out %d times", len(jobs), n)
+			t.Fatalf("%d jobs were computed %d times", len(jobs), n)
 		}
 		if g.raised > 0 {
 			t.Fatalf("%d levels were corrected, though all was known", g.raised)
@@ -84,7 +91,7 @@
 		if got := g.Inherited(job(0)); got != first {
 			t.Errorf("the first inherits %v after, %v before", got, first)
 		}
-		one := New() // news comes one by one, and at worst in any order
+		one := New() // added one by one, and at worst in any order
 		for _, j := range shuffled(jobs, seed) {
 			if n := one.cost(func() { one.Add(j) }); n > len(jobs)+2 {
 				t.Fatalf("one of them cost %d", n)
@@ -96,13 +103,13 @@
 	}
 }
 
-func TestALongChainNeedsNoDeepStackAndOnePassAChange(t *testing.T) {
+func TestALongChainNeedsNoDeepStackAndOnePassPerChange(t *testing.T) {
 	// Guards against work that grows with the square of a chain's length.
 	const n = 5000
 	g := New()
 	jobs := chain(n)
 	if cost := g.cost(func() { g.Add(shuffled(jobs, 1)...) }); cost > n+1 {
-		t.Fatalf("%d jobs were worked out %d times", n, cost)
+		t.Fatalf("%d jobs were computed %d times", n, cost)
 	}
 	last := due(job(n+1), 3, 20000, 0, job(n))
 	if cost := g.cost(func() { g.Add(last) }); cost > n+1 {
@@ -119,8 +126,8 @@
 	}
 }
 
-func TestAChainOfTwentyThousandIsCancelledWithItsFirst(t *testing.T) {
-	// Guards against a stack frame, or a pass, for each that depends on the first.
+func TestAChainOfTwentyThousandIsCancelledWithItsFirstJob(t *testing.T) {
+	// Guards against a stack frame, or a pass, for each dependent.
 	const n = 20000
 	g := New()
 	g.Add(shuffled(append(chain(n), due(job(n+1), 3, 0, 1, job(n))), 2)...)
@@ -138,8 +145,8 @@
 	}
 }
 
-func TestWhatCannotBeSubmittedDoesNoHarm(t *testing.T) {
-	// Guards against a broken record that makes the leader turn in a circle for ever.
+func TestACycleDoesNotKeepTheGraphBusyForEver(t *testing.T) {
+	// Guards against a broken record that makes the leader loop for ever.
 	g := New()
 	g.Add(due(job(1), 1, 100, 5, job(2)), due(job(2), 2, 50, 5, job(1)), due(job(3), 3, 40, 5, job(3)))
 	g.Add(due(job(4), 3, 10, 1, job(1), job(3)))
@@ -149,150 +156,9 @@
 	}
 }
 
-// model works everything out anew from the jobs that wait and what ended.
-type model struct {
-	waiting  map[ids.Job]Job
-	outcomes map[ids.Job]Outcome
-}
-
-func (m *model) cancelled(id ids.Job) bool {
-	if m.outcomes[id] == Cancelled {
-		return true
-	}
-	return slices.ContainsFunc(m.waiting[id].Awaits, m.cancelled)
-}
-
-func (m *model) inherited(id ids.Job) (u Urgency) {
-	if m.outcomes[id] == Done {
-		return u
-	}
-	for other, j := range m.waiting {
-		if slices.Contains(j.Awaits, id) && !m.cancelled(other) {
-			own := j.Urgency.merge(m.inherited(other))
-			if !own.Deadline.IsZero() {
-				own.Deadline = own.Deadline.Add(-j.Duration)
-			}
-			u = u.merge(own)
-		}
-	}
-	return u
-}
-
-func (m *model) ready(id ids.Job) bool {
-	for _, need := range m.waiting[id].Awaits {
-		if m.outcomes[need] != Done {
-			return false
-		}
-	}
-	return true
-}
-
-// check compares the graph, and what it said it changed, with the model.
-func (m *model) check(t *testing.T, g *Graph, all int, told map[ids.Job]Urgency) {
-	t.Helper()
-	for n := range all {
-		id := job(n)
-		if m.outcomes[id] == Unknown {
-			if got, want := g.Inherited(id), m.inherited(id); got != want || told[id] != want {
-				t.Fatalf("%s inherits %v, was told %v, not %v", id, got, told[id], want)
-			}
-		}
-		if _, waits := m.waiting[id]; !waits {
-			continue
-		}
-		if got, want := g.CancelledBy(id) != "", m.cancelled(id); got != want {
-			t.Fatalf("%s cancelled: %v, not %v", id, got, want)
-		}
-		if got, want := g.IsReady(id), m.ready(id) && !m.cancelled(id); got != want {
-			t.Fatalf("%s ready: %v, not %v", id, got, want)
-		}
-	}
-}
-
-func TestRandomGraphsAgreeWithAModel(t *testing.T) {
-	// Guards against any difference between what follows the changes and what a fresh
-	// look at the whole graph would say, in whatever order things are learned.
-	for seed := range uint64(60) {
-		r := rand.New(rand.NewPCG(seed, 7))
-		const all = 24
-		var jobs []Job
-		for n := 4; n < all; n++ {
-			var awaits []ids.Job
-			for range 1 + r.IntN(3) {
-				awaits = append(awaits, job(r.IntN(n)))
-			}
-			jobs = append(jobs, due(job(n), r.IntN(4), r.IntN(3)*(100+r.IntN(500)), r.IntN(20), awaits...))
-		}
-		g, m, told := New(), &model{map[ids.Job]Job{}, map[ids.Job]Outcome{}}, map[ids.Job]Urgency{}
-		hear := func(c Changes) {
-			for _, id := range c.Inherited {
-				told[id] = g.Inherited(id)
-			}
-		}
-		take := func(c Changes) {
-			hear(c)
-			m.check(t, g, all, told)
-		}
-		todo := shuffled(jobs, seed)
-		for len(todo) > 0 || len(m.waiting) > 0 {
-			switch k := r.IntN(6); {
-			case k < 3 && len(todo) > 0: // some more are learned of
-				n := min(len(todo), 1+r.IntN(5))
-				for _, j := range todo[:n] {
-					m.waiting[j.ID] = j
-				}
-				some := slices.Clone(todo[:n])
-				todo = todo[n:]
-				take(g.Add(some...))
-			case k == 3: // one that does not wait ends
-				id := job(r.IntN(all))
-				unknown := slices.ContainsFunc(todo, func(j Job) bool { return j.ID == id })
-				if _, waits := m.waiting[id]; waits || unknown || m.outcomes[id] != Unknown {
-					continue
-				}
-				if r.IntN(6) > 0 {
-					m.outcomes[id] = Done
-					take(g.Finish(id))
-				} else {
-					m.outcomes[id] = Cancelled
-					take(g.Cancel(id))
-				}
-			case k == 4: // those resolved move on
-				for _, id := range slices.Sorted(maps.Keys(m.waiting)) {
-					switch {
-					case g.IsReady(id):
-						delete(m.waiting, id)
-						take(g.Remove(id))
-					case g.CancelledBy(id) != "":
-						m.outcomes[id] = Cancelled // its end is stored
-						take(g.Cancel(id))
-						delete(m.waiting, id)
-						take(g.Remove(id))
-					}
-				}
-			case k == 5 && r.IntN(8) == 0: // a user cancels one that waits
-				for _, id := range slices.Sorted(maps.Keys(m.waiting))[:min(1, len(m.waiting))] {
-					m.outcomes[id] = Cancelled
-					delete(m.waiting, id)
-					hear(g.Remove(id))
-					take(g.Cancel(id))
-				}
-			}
-			if len(todo) == 0 && len(m.waiting) > 0 && r.IntN(3) == 0 {
-				for n := range 4 {
-					if m.outcomes[job(n)] == Unknown {
-						m.outcomes[job(n)] = Done
-						take(g.Finish(job(n)))
-					}
-				}
-			}
-		}
-	}
-}
-
-func TestDurationsMayChange(t *testing.T) {
-	// Guards against deadlines that a new leader passes on before it knows how long
-	// fetches take, and never corrects.
+func TestNewDurationsMoveInheritedDeadlines(t *testing.T) {
+	// Guards against deadlines that a new leader passes on before it knows how long image
+	// pulls take, and never corrects.
 	g := New()
 	g.Add(chain(3)...)
 	g.Add(due(job(4), 1, 100, 1, job(3)))
@@ -305,9 +171,8 @@
 	}
 }
 
-func TestWhatIsCancelledStaysCancelled(t *testing.T) {
-	// Guards against a start of what users were told is cancelled, whatever is learned
-	// afterwards.
+func TestACancelledJobStaysCancelledWhenItsPrerequisiteIsReportedDone(t *testing.T) {
+	// Guards against a start of a job that users were told is cancelled.
 	g := New()
 	g.Add(due(job(2), 0, 0, 1, job(1)))
 	g.Cancel(job(1))
@@ -317,8 +182,8 @@
 	}
 }
 
-func TestNothingIsLeftOfWhatIsDone(t *testing.T) {
-	// Guards against a graph that grows as long as its owner lives.
+func TestDoneJobsLeaveNoNodesAndBoundedOutcomes(t *testing.T) {
+	// Guards against a graph that grows as long as its leader lives.
 	g := New()
 	jobs := ladder(10)
 	g.Add(jobs...)
--- /dev/null
+++ b/internal/dependency/queries.go
@@ -0,0 +1,49 @@
+package dependency
+
+import (
+	"iter"
+	"maps"
+
+	"github.com/pebbletrail/pebbletrail/internal/ids"
+)
+
+// Outcome returns how a job ended, as far as that is remembered.
+func (g *Graph) Outcome(id ids.Job) Outcome { return g.outcomes[id] }
+
+// Awaited reports whether any job waits for this one.
+func (g *Graph) Awaited(id ids.Job) bool {
+	n := g.nodes[id]
+	return n != nil && len(n.dependents) > 0
+}
+
+// IsReady reports whether all prerequisites of a waiting job are done.
+func (g *Graph) IsReady(id ids.Job) bool { return g.ready[id] }
+
+// CancelledBy returns the cancelled job that a waiting job depends on, directly or not; it is
+// empty if there is none.
+func (g *Graph) CancelledBy(id ids.Job) ids.Job {
+	if n := g.nodes[id]; n != nil {
+		return n.cancelledBy
+	}
+	return ""
+}
+
+// Ready lists the waiting jobs whose prerequisites are all done.
+func (g *Graph) Ready() iter.Seq[ids.Job] { return maps.Keys(g.ready) }
+
+// Cancelled lists the waiting jobs that are cancelled with a prerequisite.
+func (g *Graph) Cancelled() iter.Seq[ids.Job] { return maps.Keys(g.cancelled) }
+
+// Inherited returns the urgency that a job inherits from its dependents.
+func (g *Graph) Inherited(id ids.Job) Urgency {
+	if n := g.nodes[id]; n != nil {
+		return n.inherited
+	}
+	return Urgency{}
+}
+
+// Len returns the number of waiting jobs.
+func (g *Graph) Len() int { return g.waiting }
+
+// Counts returns how many waiting jobs are ready, and how many are cancelled.
+func (g *Graph) Counts() (ready, cancelled int) { return len(g.ready), len(g.cancelled) }
--- /dev/null
+++ b/internal/dependency/random_graph_test.go
@@ -0,0 +1,215 @@
+package dependency
+
+import (
+	"maps"
+	"math/rand/v2"
+	"slices"
+	"testing"
+
+	"github.com/pebbletrail/pebbletrail/internal/ids"
+)
+
+// model computes everything anew from the waiting jobs and what ended.
+type model struct {
+	waiting  map[ids.Job]Job
+	outcomes map[ids.Job]Outcome
+}
+
+func (m *model) cancelled(id ids.Job) bool {
+	if m.outcomes[id] == Cancelled {
+		return true
+	}
+	return slices.ContainsFunc(m.waiting[id].Awaits, m.cancelled)
+}
+
+func (m *model) inherited(id ids.Job) (urgency Urgency) {
+	if m.outcomes[id] == Done {
+		return urgency
+	}
+	for other, j := range m.waiting {
+		if !slices.Contains(j.Awaits, id) || m.cancelled(other) {
+			continue
+		}
+		passedOn := j.Urgency.merge(m.inherited(other))
+		if !passedOn.Deadline.IsZero() {
+			passedOn.Deadline = passedOn.Deadline.Add(-j.Duration)
+		}
+		urgency = urgency.merge(passedOn)
+	}
+	return urgency
+}
+
+func (m *model) ready(id ids.Job) bool {
+	for _, prerequisite := range m.waiting[id].Awaits {
+		if m.outcomes[prerequisite] != Done {
+			return false
+		}
+	}
+	return true
+}
+
+// randomRun is a graph, its model and what the graph reported, through random changes.
+type randomRun struct {
+	rng      *rand.Rand
+	graph    *Graph
+	model    *model
+	reported map[ids.Job]Urgency // inherited, as of the last change that named the job
+	toAdd    []Job
+}
+
+const (
+	independentJobs = 4  // the first jobs, which have no dependencies
+	allJobs         = 24 // numbered from zero; each depends on some with lower numbers
+)
+
+func newRandomRun(seed uint64) *randomRun {
+	rng := rand.New(rand.NewPCG(seed, 7))
+	var jobs []Job
+	for n := independentJobs; n < allJobs; n++ {
+		var awaits []ids.Job
+		for range 1 + rng.IntN(3) {
+			awaits = append(awaits, job(rng.IntN(n)))
+		}
+		jobs = append(jobs, due(job(n), rng.IntN(4), rng.IntN(3)*(100+rng.IntN(500)), rng.IntN(20), awaits...))
+	}
+	return &randomRun{
+		rng:      rng,
+		graph:    New(),
+		model:    &model{map[ids.Job]Job{}, map[ids.Job]Outcome{}},
+		reported: map[ids.Job]Urgency{},
+		toAdd:    shuffled(jobs, seed),
+	}
+}
+
+// note takes in what the graph reports as changed.
+func (r *randomRun) note(changes Changes) {
+	for _, id := range changes.Inherited {
+		r.reported[id] = r.graph.Inherited(id)
+	}
+}
+
+// check compares the graph, and what it reported, with the model.
+func (r *randomRun) check(t *testing.T, changes Changes) {
+	t.Helper()
+	r.note(changes)
+	for n := range allJobs {
+		id := job(n)
+		if r.model.outcomes[id] == Unknown {
+			if got, want := r.graph.Inherited(id), r.model.inherited(id); got != want || r.reported[id] != want {
+				t.Fatalf("%s inherits %v, was reported with %v, not %v", id, got, r.reported[id], want)
+			}
+		}
+		if _, waits := r.model.waiting[id]; !waits {
+			continue
+		}
+		if got, want := r.graph.CancelledBy(id) != "", r.model.cancelled(id); got != want {
+			t.Fatalf("%s cancelled: %v, not %v", id, got, want)
+		}
+		if got, want := r.graph.IsReady(id), r.model.ready(id) && !r.model.cancelled(id); got != want {
+			t.Fatalf("%s ready: %v, not %v", id, got, want)
+		}
+	}
+}
+
+// addSome adds some of the jobs that are left.
+func (r *randomRun) addSome(t *testing.T) {
+	t.Helper()
+	count := min(len(r.toAdd), 1+r.rng.IntN(5))
+	for _, j := range r.toAdd[:count] {
+		r.model.waiting[j.ID] = j
+	}
+	some := slices.Clone(r.toAdd[:count])
+	r.toAdd = r.toAdd[count:]
+	r.check(t, r.graph.Add(some...))
+}
+
+// endOne ends a job that does not wait, if it picks one, and reports whether it did.
+func (r *randomRun) endOne(t *testing.T) bool {
+	t.Helper()
+	id := job(r.rng.IntN(allJobs))
+	notAdded := slices.ContainsFunc(r.toAdd, func(j Job) bool { return j.ID == id })
+	if _, waits := r.model.waiting[id]; waits || notAdded || r.model.outcomes[id] != Unknown {
+		return false
+	}
+	if r.rng.IntN(6) > 0 {
+		r.model.outcomes[id] = Done
+		r.check(t, r.graph.Finish(id))
+		return true
+	}
+	r.model.outcomes[id] = Cancelled
+	r.check(t, r.graph.Cancel(id))
+	return true
+}
+
+// removeResolved removes the jobs that are ready or cancelled.
+func (r *randomRun) removeResolved(t *testing.T) {
+	t.Helper()
+	for _, id := range slices.Sorted(maps.Keys(r.model.waiting)) {
+		switch {
+		case r.graph.IsReady(id):
+			delete(r.model.waiting, id)
+			r.check(t, r.graph.Remove(id))
+		case r.graph.CancelledBy(id) != "":
+			r.model.outcomes[id] = Cancelled // its final record is stored
+			r.check(t, r.graph.Cancel(id))
+			delete(r.model.waiting, id)
+			r.check(t, r.graph.Remove(id))
+		}
+	}
+}
+
+// cancelWaiting cancels a waiting job, as its user may.
+func (r *randomRun) cancelWaiting(t *testing.T) {
+	t.Helper()
+	waiting := slices.Sorted(maps.Keys(r.model.waiting))
+	if len(waiting) == 0 {
+		return
+	}
+	id := waiting[0]
+	r.model.outcomes[id] = Cancelled
+	delete(r.model.waiting, id)
+	r.note(r.graph.Remove(id))
+	r.check(t, r.graph.Cancel(id))
+}
+
+// finishIndependent finishes the jobs without dependencies, so that a run ends.
+func (r *randomRun) finishIndependent(t *testing.T) {
+	t.Helper()
+	for n := range independentJobs {
+		if r.model.outcomes[job(n)] == Unknown {
+			r.model.outcomes[job(n)] = Done
+			r.check(t, r.graph.Finish(job(n)))
+		}
+	}
+}
+
+// change makes one random change.
+func (r *randomRun) change(t *testing.T) {
+	t.Helper()
+	switch choice := r.rng.IntN(6); {
+	case choice < 3 && len(r.toAdd) > 0:
+		r.addSome(t)
+	case choice == 3:
+		if !r.endOne(t) {
+			return
+		}
+	case choice == 4:
+		r.removeResolved(t)
+	case choice == 5 && r.rng.IntN(8) == 0:
+		r.cancelWaiting(t)
+	}
+	if len(r.toAdd) == 0 && len(r.model.waiting) > 0 && r.rng.IntN(3) == 0 {
+		r.finishIndependent(t)
+	}
+}
+
+func TestRandomGraphsAgreeWithAModel(t *testing.T) {
+	// Guards against any difference between the incremental changes and a computation from the
+	// whole graph, in whatever order things are learned.
+	for seed := range uint64(60) {
+		run := newRandomRun(seed)
+		for len(run.toAdd) > 0 || len(run.model.waiting) > 0 {
+			run.change(t)
+		}
+	}
+}
