--- a/internal/ids/ids.go
+++ b/internal/ids/ids.go
@@ -1,5 +1,5 @@
-// Package ids declares the types of names, numbers and times. Each is a type of its
-// own so that the compiler refuses an attempt where a generation is due.
+// Package ids declares the types of identifiers, counters and times. Each is a type of its own so
+// that the compiler refuses an attempt where a generation is expected.
 package ids
 
 import (
@@ -7,92 +7,70 @@
 	"regexp"
 	"strconv"
 	"strings"
-	"time"
 )
 
-// Job names a job; users choose it.
+// Job identifies a job; users choose it.
 type Job string
 
-// Task names one task of a job by its index.
+// Task identifies one task of a job by its index.
 type Task struct {
 	Job   Job
 	Index int
 }
 
-// Machine names a rented machine.
+// Machine identifies an instance that a worker runs on.
 type Machine string
 
-// Node names a controller.
+// Node identifies a controller.
 type Node string
 
-// Hire names a rental request; such a name is never reused.
+// Hire identifies a provisioning request; it is never reused.
 type Hire string
 
 // Attempt numbers the starts of a job's tasks; it only rises within a job.
 type Attempt uint64
 
-// Generation numbers the takeovers of the machine pool. Workers see it as
-// their token.
+// Generation numbers the failovers of a shard's leadership. Workers see it as the fencing token
+// of the leader's commands.
 type Generation uint64
 
-// Session numbers a worker's sessions: it rises whenever its lease lapses.
+// Session numbers the incarnations of a worker: it rises whenever the worker's lease expires.
 type Session uint64
 
-// Tick orders the messages of one worker session.
+// Tick orders the messages of one incarnation of a worker.
 type Tick uint64
 
-// Revision numbers the last change of a key in the state service.
+// Revision numbers the last change of a key in the key-value store.
 type Revision uint64
 
-// Epoch is a revision of the state service as a whole.
+// Epoch is a revision of the key-value store as a whole.
 type Epoch uint64
 
-// Lease names a lease of the state service.
+// Lease identifies a lease of the key-value store.
 type Lease uint64
 
-// Seconds is a length of time as the interfaces write it.
-type Seconds float64
+var jobPattern = regexp.MustCompile(`^job-[0-9]{1,18}$`)
 
-// Duration converts to Go's own type.
-func (s Seconds) Duration() time.Duration { return time.Duration(float64(s) * float64(time.Second)) }
-
-// Drifted is the longest time that may truly pass while a clock as bad as the
-// deployments allow shows s. Everything that trusts a lapse waits this long.
-func (s Seconds) Drifted() time.Duration {
-	return time.Duration(float64(s.Duration())*1.0011) + 100*time.Millisecond
-}
-
-// Wall is a time of day in milliseconds, only good for ordering and display.
-type Wall int64
-
-// WallOf converts a time.
-func WallOf(t time.Time) Wall { return Wall(t.UnixMilli()) }
-
-// Time converts back.
-func (w Wall) Time() time.Time { return time.UnixMilli(int64(w)) }
-
-var jobForm = regexp.MustCompile(`^job-[0-9]{1,18}$`)
-
-// ParseJob accepts the one form that job ids have.
-func ParseJob(s string) (Job, error) {
-	if !jobForm.MatchString(s) {
-		return "", fmt.Errorf("not a job id: %.40q", s)
+// ParseJob accepts the one form that job identifiers have.
+func ParseJob(text string) (Job, error) {
+	if !jobPattern.MatchString(text) {
+		return "", fmt.Errorf("not a job id: %.40q", text)
 	}
-	return Job(s), nil
+	return Job(text), nil
 }
 
-// String writes the task as the interfaces do.
+// String writes the task as "job/index".
 func (t Task) String() string { return string(t.Job) + "/" + strconv.Itoa(t.Index) }
 
-// ParseTask reads what String writes.
-func ParseTask(s string) (Task, error) {
-	job, idx, ok := strings.Cut(s, "/")
-	if !ok {
-		return Task{}, fmt.Errorf("not a task id: %.40q", s)
+// ParseTask reads what String writes. It does not check the job's identifier.
+func ParseTask(text string) (Task, error) {
+	job, digits, found := strings.Cut(text, "/")
+	if !found {
+		return Task{}, fmt.Errorf("not a task id: %.40q", text)
 	}
-	n, err := strconv.Atoi(idx)
-	if err != nil || n < 0 {
-		return Task{}, fmt.Errorf("not a task id: %.40q", s)
+	index, err := strconv.Atoi(digits)
+	if err != nil || index < 0 {
+		return Task{}, fmt.Errorf("not a task id: %.40q", text)
 	}
-	return Task{Job(job), n}, nil
+	return Task{Job: Job(job), Index: index}, nil
 }
--- a/internal/ids/ids_test.go
+++ b/internal/ids/ids_test.go
@@ -1,52 +1,57 @@
 package ids
 
 import (
-	"math/rand/v2"
 	"testing"
+	"time"
 )
 
-func TestRangesAgreeWithAPlainSet(t *testing.T) {
-	rng := rand.New(rand.NewPCG(1, 2))
-	var r Ranges
-	plain := map[int]bool{}
-	for range 400 {
-		i := rng.IntN(120)
-		if r.Add(i) == plain[i] {
-			t.Fatalf("Add(%d) disagrees", i)
-		}
-		plain[i] = true
-		var back Ranges
-		if err := back.UnmarshalText([]byte(r.String())); err != nil || back.String() != r.String() {
-			t.Fatalf("%q read back as %q: %v", r, back, err)
-		}
-		next := 0
-		for plain[next] {
-			next++
-		}
-		if r.NextMissing(0) != next || r.Len() != len(plain) {
-			t.Fatalf("after %d: next %d, want %d; %d members, want %d", i, r.NextMissing(0), next, r.Len(), len(plain))
+func TestJobIDsHaveOneForm(t *testing.T) {
+	for text, ok := range map[string]bool{
+		"job-000412": true,
+		"job-":       false,
+		"job-1/2":    false,
+		"Job-1":      false,
+		"job-1 ":     false,
+		"":           false,
+		"job-x":      false,
+	} {
+		if _, err := ParseJob(text); (err == nil) != ok {
+			t.Errorf("%q: %v", text, err)
 		}
 	}
 }
 
-func TestJobIdsHaveOneForm(t *testing.T) {
-	for s, ok := range map[string]bool{"job-000412": true, "job-": false, "job-1/2": false, "Job-1": false, "job-1 ": false, "": false, "job-x": false} {
-		if _, err := ParseJob(s); (err == nil) != ok {
-			t.Errorf("%q: %v", s, err)
+func TestTaskIDsAreReadBack(t *testing.T) {
+	task := Task{Job: "job-7", Index: 12}
+	if back, err := ParseTask(task.String()); err != nil || back != task {
+		t.Errorf("%v is read back as %v, %v", task, back, err)
+	}
+	for _, bad := range []string{"", "job-7", "job-7/", "job-7/x", "job-7/-1", "job-7/1/2"} {
+		if task, err := ParseTask(bad); err == nil {
+			t.Errorf("%q is read as %v", bad, task)
 		}
 	}
 }
 
-func TestTheLongestRunsAreKept(t *testing.T) {
-	var set Ranges
-	for _, i := range []int{0, 2, 3, 5, 7, 8, 9, 12} {
-		set.Add(i)
+func TestAllShardsGetJobsAndOneShardGetsAll(t *testing.T) {
+	counts := map[Shard]int{}
+	for _, job := range []Job{"job-1", "job-2", "job-3", "job-4", "job-5", "job-6", "job-7", "job-8", "job-9"} {
+		if shard := ShardOf(job, 1); shard != 0 {
+			t.Errorf("%s is in shard %d of one", job, shard)
+		}
+		counts[ShardOf(job, 3)]++
+	}
+	if counts[0] == 0 || counts[1] == 0 || counts[2] == 0 || len(counts) != 3 {
+		t.Errorf("jobs per shard: %v", counts)
 	}
-	kept := set.Longest(2)
-	if kept.String() != "2-3,7-9" || kept.Len() != 5 || set.Runs() != 5 || set.Len() != 8 {
-		t.Errorf("of %s, with %d runs, %s are kept, %d in all", set, set.Runs(), kept, kept.Len())
+	// Guards against a hash that differs from that of other versions of the program.
+	if shard := ShardOf("job-000412", 5); shard != 1 {
+		t.Errorf("job-000412 is in shard %d", shard)
 	}
-	if first := FirstOf(3); first.String() != "0-2" || first.Len() != 3 || len(FirstOf(0).String()) > 0 {
-		t.Errorf("the first three are %s", first)
+}
+
+func TestAClockMayBeOffByItsDriftAndTheAllowance(t *testing.T) {
+	if got, want := Seconds(10).Drifted(), 10*time.Second+111*time.Millisecond; got != want {
+		t.Errorf("10 s may take %v, not %v", got, want)
 	}
 }
--- a/internal/ids/ranges.go
+++ b/internal/ids/ranges.go
@@ -9,130 +9,150 @@
 	"strings"
 )
 
-type span struct{ lo, hi int }
+// span is the indexes from first to last.
+type span struct{ first, last int }
 
-// Ranges is a set of task indexes kept as spans, so that a job of a hundred
-// thousand tasks stays small in memory and in its record.
+// length is the number of indexes.
+func (s span) length() int { return s.last - s.first + 1 }
+
+// Ranges is a set of task indexes kept as sorted spans, so that a job of a hundred thousand tasks
+// stays small in memory and in its record. A copy of the value shares its memory: neither may be
+// changed while the other is in use.
 type Ranges struct {
-	spans []span
-	n     int
+	spans []span // neither overlapping nor adjacent
+	size  int
 }
 
-// Add puts i into the set and tells whether it was new.
-func (r *Ranges) Add(i int) bool {
-	k := sort.Search(len(r.spans), func(k int) bool { return r.spans[k].hi >= i })
-	if k < len(r.spans) && r.spans[k].lo <= i {
+// FirstOf returns the set of the n lowest indexes.
+func FirstOf(n int) Ranges {
+	if n == 0 {
+		return Ranges{}
+	}
+	return Ranges{spans: []span{{0, n - 1}}, size: n}
+}
+
+// search returns the position of the span that holds an index, or where it would be inserted.
+func (r *Ranges) search(index int) (position int, found bool) {
+	position = sort.Search(len(r.spans), func(k int) bool { return r.spans[k].last >= index })
+	return position, position < len(r.spans) && r.spans[position].first <= index
+}
+
+// Add adds an index and reports whether it was new.
+func (r *Ranges) Add(index int) bool {
+	position, found := r.search(index)
+	if found {
 		return false
 	}
-	r.n++
-	joinLeft := k > 0 && r.spans[k-1].hi == i-1
-	joinRight := k < len(r.spans) && r.spans[k].lo == i+1
+	r.size++
+	joinsLeft := position > 0 && r.spans[position-1].last == index-1
+	joinsRight := position < len(r.spans) && r.spans[position].first == index+1
 	switch {
-	case joinLeft && joinRight:
-		r.spans[k-1].hi = r.spans[k].hi
-		r.spans = append(r.spans[:k], r.spans[k+1:]...)
-	case joinLeft:
-		r.spans[k-1].hi = i
-	case joinRight:
-		r.spans[k].lo = i
+	case joinsLeft && joinsRight:
+		r.spans[position-1].last = r.spans[position].last
+		r.spans = append(r.spans[:position], r.spans[position+1:]...)
+	case joinsLeft:
+		r.spans[position-1].last = index
+	case joinsRight:
+		r.spans[position].first = index
 	default:
 		r.spans = append(r.spans, span{})
-		copy(r.spans[k+1:], r.spans[k:])
-		r.spans[k] = span{i, i}
+		copy(r.spans[position+1:], r.spans[position:])
+		r.spans[position] = span{index, index}
 	}
 	return true
 }
 
-// Has tells whether i is in the set.
-func (r *Ranges) Has(i int) bool {
-	k := sort.Search(len(r.spans), func(k int) bool { return r.spans[k].hi >= i })
-	return k < len(r.spans) && r.spans[k].lo <= i
-}
-
-// FirstOf is the set of the n lowest indexes.
-func FirstOf(n int) Ranges {
-	if n == 0 {
-		return Ranges{}
-	}
-	return Ranges{spans: []span{{0, n - 1}}, n: n}
+// Has reports whether an index is in the set.
+func (r *Ranges) Has(index int) bool {
+	_, found := r.search(index)
+	return found
 }
 
-// Runs counts the runs of members next to one another.
+// Runs counts the spans of consecutive members.
 func (r *Ranges) Runs() int { return len(r.spans) }
 
-// Longest is the set without all but its n longest runs.
+// Longest returns the set without all but its n longest spans, the lower of equals first.
 func (r *Ranges) Longest(n int) Ranges {
 	spans := slices.Clone(r.spans)
-	slices.SortStableFunc(spans, func(a, z span) int { return cmp.Compare(z.hi-z.lo, a.hi-a.lo) })
+	slices.SortStableFunc(spans, func(a, b span) int { return cmp.Compare(b.length(), a.length()) })
 	spans = spans[:min(n, len(spans))]
-	slices.SortFunc(spans, func(a, z span) int { return cmp.Compare(a.lo, z.lo) })
+	slices.SortFunc(spans, func(a, b span) int { return cmp.Compare(a.first, b.first) })
 	kept := Ranges{spans: spans}
 	for _, s := range spans {
-		kept.n += s.hi - s.lo + 1
+		kept.size += s.length()
 	}
 	return kept
 }
 
 // Len counts the members.
-func (r *Ranges) Len() int { return r.n }
+func (r *Ranges) Len() int { return r.size }
 
-// NextMissing is the smallest index at or above i that is not in the set.
-func (r *Ranges) NextMissing(i int) int {
-	k := sort.Search(len(r.spans), func(k int) bool { return r.spans[k].hi >= i })
-	if k < len(r.spans) && r.spans[k].lo <= i {
-		return r.spans[k].hi + 1
+// NextMissing returns the smallest index at or above from that is not in the set.
+func (r *Ranges) NextMissing(from int) int {
+	if position, found := r.search(from); found {
+		return r.spans[position].last + 1
 	}
-	return i
+	return from
 }
 
-// Each calls f for every member, in order.
-func (r *Ranges) Each(f func(int)) {
+// Each calls visit for every member, in order.
+func (r *Ranges) Each(visit func(index int)) {
 	for _, s := range r.spans {
-		for i := s.lo; i <= s.hi; i++ {
-			f(i)
+		for index := s.first; index <= s.last; index++ {
+			visit(index)
 		}
 	}
 }
 
 // String writes the set as "0-4,7".
 func (r Ranges) String() string {
-	var b strings.Builder
+	var text strings.Builder
 	for k, s := range r.spans {
 		if k > 0 {
-			b.WriteByte(',')
+			text.WriteByte(',')
 		}
-		b.WriteString(strconv.Itoa(s.lo))
-		if s.hi > s.lo {
-			b.WriteByte('-')
-			b.WriteString(strconv.Itoa(s.hi))
+		text.WriteString(strconv.Itoa(s.first))
+		if s.last > s.first {
+			text.WriteByte('-')
+			text.WriteString(strconv.Itoa(s.last))
 		}
 	}
-	return b.String()
+	return text.String()
 }
 
 // MarshalText makes the set a short string in JSON.
 func (r Ranges) MarshalText() ([]byte, error) { return []byte(r.String()), nil }
 
 // UnmarshalText reads what MarshalText writes.
-func (r *Ranges) UnmarshalText(b []byte) error {
-	r.spans, r.n = nil, 0
-	if len(b) == 0 {
+func (r *Ranges) UnmarshalText(text []byte) error {
+	r.spans, r.size = nil, 0
+	if len(text) == 0 {
 		return nil
 	}
-	for _, part := range strings.Split(string(b), ",") {
-		a, z, two := strings.Cut(part, "-")
-		if !two {
-			z = a
-		}
-		lo, err := strconv.Atoi(a)
+	for _, part := range strings.Split(string(text), ",") {
+		parsed, err := parseSpan(part)
 		if err != nil {
-			return fmt.Errorf("range %q: %w", part, err)
-		}
-		hi, err := strconv.Atoi(z)
-		if err != nil || hi < lo {
-			return fmt.Errorf("range %q is not one", part)
+			return err
 		}
-		r.spans, r.n = append(r.spans, span{lo, hi}), r.n+hi-lo+1
+		r.spans = append(r.spans, parsed)
+		r.size += parsed.length()
 	}
 	return nil
 }
+
+// parseSpan reads one index, or the first and the last of several.
+func parseSpan(text string) (span, error) {
+	low, high, isRange := strings.Cut(text, "-")
+	if !isRange {
+		high = low
+	}
+	first, err := strconv.Atoi(low)
+	if err != nil {
+		return span{}, fmt.Errorf("range %q: %w", text, err)
+	}
+	last, err := strconv.Atoi(high)
+	if err != nil || last < first {
+		return span{}, fmt.Errorf("range %q is not one", text)
+	}
+	return span{first, last}, nil
+}
--- a/internal/ids/shard.go
+++ b/internal/ids/shard.go
@@ -1,19 +1,16 @@
 package ids
 
-import (
-	"hash/fnv"
-	"io"
-)
+import "hash/fnv"
 
-// Shard numbers a part of the machine pool that has a leader of its own.
+// Shard numbers a shard of the machine pool, which has a leader of its own.
 type Shard int
 
-// ShardOf is the shard that a job belongs to. It follows from the job's id alone.
+// ShardOf returns the shard that a job belongs to. It depends on the job's identifier alone.
 func ShardOf(job Job, shards int) Shard {
 	if shards <= 1 {
 		return 0
 	}
 	hash := fnv.New32a()
-	io.WriteString(hash, string(job)) // a hash takes everything
+	_, _ = hash.Write([]byte(job)) // a hash never returns an error
 	return Shard(hash.Sum32() % uint32(shards))
 }
