--- a/internal/measure/measure_test.go
+++ b/internal/measure/measure_test.go
@@ -8,7 +8,7 @@
 
 func TestLatenciesAndCountsAddUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := New()
+		r := newRecorder()
 		for i := range 100 {
 			began := time.Now()
 			time.Sleep(time.Duration(i+1) * time.Millisecond)
@@ -19,10 +19,10 @@
 		r.Took("pass", began)
 		r.Count("calls", 2)
 		r.Count("calls", 3)
-		took, counts := r.Summary()
-		s := took["pass"]
-		if s.Count != 101 || s.P50 < 49 || s.P50 > 53 || s.Max < 59000 || s.Max > 61000 || counts["calls"] != 5 {
-			t.Fatalf("%+v %v", s, counts)
+		latencies, counts := r.Summary()
+		pass := latencies["pass"]
+		if pass.Count != 101 || pass.P50 < 49 || pass.P50 > 53 || pass.Max < 59000 || pass.Max > 61000 || counts["calls"] != 5 {
+			t.Fatalf("%+v %v", pass, counts)
 		}
 	})
 }
