--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -9,37 +9,38 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-// check reports the first setting that is missing or impossible.
+// minTxnOps is the number of changes in the transaction of a failover.
+const minTxnOps = 4
+
+// check reports the first setting of the platform's file that is missing or impossible.
 func (s *Settings) check() error {
-	for _, check := range []func() error{s.checkNames, s.checkAddresses, s.checkTeams, s.checkNumbers, s.checkNextState} {
+	for _, check := range []func() error{
+		s.checkNames,
+		s.checkAddresses,
+		s.checkTeams,
+		s.checkNumbers,
+		s.checkNextState,
+		s.checkTransactions,
+		s.checkLease,
+	} {
 		if err := check(); err != nil {
 			return err
 		}
 	}
-	p := &s.Params
-	if p.State.TxnOps < minTxnOps {
-		return fmt.Errorf("params.state.txn_ops: a takeover needs at least %d, not %d", minTxnOps, p.State.TxnOps)
-	}
-	if p.Workers.LeaseS <= p.Workers.ReportS {
-		return fmt.Errorf("params.workers.lease_s: must be above report_s: %v", p.Workers.LeaseS)
-	}
 	return nil
 }
 
-// minTxnOps is how many changes the transaction of a takeover makes.
-const minTxnOps = 4
-
 // number is a setting and its name in the file.
 type number struct {
 	name  string
 	value float64
 }
 
-// notNegative tells whether the number is finite and zero or more.
-func (n number) notNegative() bool { return n.value >= 0 && !math.IsInf(n.value, 0) }
+// isNotNegative reports whether the number is finite and zero or more.
+func (n number) isNotNegative() bool { return n.value >= 0 && !math.IsInf(n.value, 0) }
 
-// positive tells whether the number is finite and above zero.
-func (n number) positive() bool { return n.value > 0 && !math.IsInf(n.value, 0) }
+// isPositive reports whether the number is finite and above zero.
+func (n number) isPositive() bool { return n.value > 0 && !math.IsInf(n.value, 0) }
 
 func (s *Settings) checkNames() error {
 	if s.HostName == "" {
@@ -49,26 +50,29 @@
 		return errors.New("area: missing")
 	}
 	seen := map[ids.Node]bool{s.HostName: true}
-	for i, o := range s.Others {
-		if o.HostName == "" || seen[o.HostName] {
-			return fmt.Errorf("others[%d].host_name: missing or not unique: %q", i, o.HostName)
+	for i, other := range s.Others {
+		if other.HostName == "" || seen[other.HostName] {
+			return fmt.Errorf("others[%d].host_name: missing or not unique: %q", i, other.HostName)
 		}
-		seen[o.HostName] = true
+		seen[other.HostName] = true
 	}
 	return nil
 }
 
 func (s *Settings) checkAddresses() error {
-	addrs := []struct{ name, v string }{
-		{"client_listen", s.ClientListen}, {"cluster_listen", s.ClusterListen},
-		{"services.cloud", s.Services.Cloud}, {"services.state", s.Services.State},
-	}
-	for i, o := range s.Others {
-		addrs = append(addrs, struct{ name, v string }{fmt.Sprintf("others[%d].peer_addr", i), o.PeerAddr})
-	}
-	for _, a := range addrs {
-		if _, port, err := net.SplitHostPort(a.v); err != nil || port == "" {
-			return fmt.Errorf("%s: not an address with a port: %q", a.name, a.v)
+	type address struct{ name, value string }
+	addresses := []address{
+		{"client_listen", s.ClientListen},
+		{"cluster_listen", s.ClusterListen},
+		{"services.cloud", s.Services.Cloud},
+		{"services.state", s.Services.State},
+	}
+	for i, other := range s.Others {
+		addresses = append(addresses, address{fmt.Sprintf("others[%d].peer_addr", i), other.PeerAddr})
+	}
+	for _, a := range addresses {
+		if _, port, err := net.SplitHostPort(a.value); err != nil || port == "" {
+			return fmt.Errorf("%s: not an address with a port: %q", a.name, a.value)
 		}
 	}
 	if s.ClientListen == s.ClusterListen {
@@ -78,29 +82,42 @@
 }
 
 func (s *Settings) checkTeams() error {
-	p := &s.Params
-	if len(p.Zones) == 0 {
+	if len(s.Params.Zones) == 0 {
 		return errors.New("params.zones: missing")
 	}
-	if len(p.Teams) == 0 {
+	if len(s.Params.Teams) == 0 {
 		return errors.New("params.teams: missing")
 	}
-	names := map[string]bool{}
-	for i, t := range p.Teams {
-		at := fmt.Sprintf("params.teams[%d]", i)
-		if t.Name == "" || names[t.Name] {
-			return fmt.Errorf("%s.name: missing or not unique: %q", at, t.Name)
+	seen := map[string]bool{}
+	for i := range s.Params.Teams {
+		team := &s.Params.Teams[i]
+		name := fmt.Sprintf("params.teams[%d]", i)
+		if team.Name == "" || seen[team.Name] {
+			return fmt.Errorf("%s.name: missing or not unique: %q", name, team.Name)
 		}
-		names[t.Name] = true
-		for _, n := range []number{{"cpus", t.CPUs}, {"cpus_max", t.CPUsMax}, {"gpus", t.GPUs}, {"gpus_max", t.GPUsMax}} {
-			if !n.notNegative() {
-				return fmt.Errorf("%s.%s: must be zero or more: %v", at, n.name, n.value)
-			}
+		seen[team.Name] = true
+		if err := team.checkQuota(name); err != nil {
+			return err
 		}
-		if t.CPUsMax > 0 && t.CPUs > t.CPUsMax || t.GPUsMax > 0 && t.GPUs > t.GPUsMax {
-			return fmt.Errorf("%s: guarantees more than its limit", at)
+	}
+	return nil
+}
+
+// checkQuota checks what a team is guaranteed and its limits; name is the team's in the file.
+func (t *Team) checkQuota(name string) error {
+	for _, n := range []number{
+		{"cpus", t.CPUs},
+		{"cpus_max", t.CPUsMax},
+		{"gpus", t.GPUs},
+		{"gpus_max", t.GPUsMax},
+	} {
+		if !n.isNotNegative() {
+			return fmt.Errorf("%s.%s: must be zero or more: %v", name, n.name, n.value)
 		}
 	}
+	if t.CPUsMax > 0 && t.CPUs > t.CPUsMax || t.GPUsMax > 0 && t.GPUs > t.GPUsMax {
+		return fmt.Errorf("%s: guarantees more than its limit", name)
+	}
 	return nil
 }
 
@@ -121,7 +138,7 @@
 		{"params.machine_limits.ram_mb", p.Limits.RAMMB},
 		{"params.machine_limits.max_sockets", float64(p.Limits.MaxSockets)},
 	} {
-		if !n.positive() {
+		if !n.isPositive() {
 			return fmt.Errorf("%s: missing or not above zero: %v", n.name, n.value)
 		}
 	}
@@ -131,16 +148,18 @@
 	return nil
 }
 
-// checkNextState checks the limits that the state service announces, where it does.
+// checkNextState checks the limits that the key-value store announces, where it does.
 func (s *Settings) checkNextState() error {
 	next := s.Params.State.Next
 	if next == nil {
 		return nil
 	}
 	for _, n := range []number{
-		{"params.state.next.rps", next.RPS}, {"params.state.next.write_rps", next.WriteRPS}, {"params.state.next.value_kb", next.ValueKB},
+		{"params.state.next.rps", next.RPS},
+		{"params.state.next.write_rps", next.WriteRPS},
+		{"params.state.next.value_kb", next.ValueKB},
 	} {
-		if !n.notNegative() {
+		if !n.isNotNegative() {
 			return fmt.Errorf("%s: below zero or no number: %v", n.name, n.value)
 		}
 	}
@@ -149,3 +168,17 @@
 	}
 	return nil
 }
+
+func (s *Settings) checkTransactions() error {
+	if ops := s.Params.State.TxnOps; ops < minTxnOps {
+		return fmt.Errorf("params.state.txn_ops: a takeover needs at least %d, not %d", minTxnOps, ops)
+	}
+	return nil
+}
+
+func (s *Settings) checkLease() error {
+	if workers := &s.Params.Workers; workers.LeaseS <= workers.ReportS {
+		return fmt.Errorf("params.workers.lease_s: must be above report_s: %v", workers.LeaseS)
+	}
+	return nil
+}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -9,7 +9,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-const fine = `
+// good is a platform's file with nothing wrong.
+const good = `
 host_name = "n0"
 area = "z"
 client_listen = "10.0.0.1:1"
@@ -43,8 +44,23 @@
 max_sockets = 100
 `
 
+// parsed reads settings that must be good.
+func parsed(t *testing.T, text string) *Settings {
+	t.Helper()
+	settings, err := Parse([]byte(text))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return settings
+}
+
+// namesIt reports whether an error is there, names what is wrong and is one line.
+func namesIt(err error, name string) bool {
+	return err != nil && strings.Contains(err.Error(), name) && !strings.Contains(err.Error(), "\n")
+}
+
 func TestSettingsNameTheFieldThatIsWrong(t *testing.T) {
-	if _, err := Parse([]byte(fine)); err != nil {
+	if _, err := Parse([]byte(good)); err != nil {
 		t.Fatalf("good settings with an unknown field: %v", err)
 	}
 	for change, field := range map[string]string{
@@ -63,22 +79,17 @@
 		`[params.cloud]>[params.state.next]` + "\ntxn_ops = 3\n[params.cloud]":     "params.state.next.txn_ops",
 	} {
 		from, to, _ := strings.Cut(change, ">")
-		_, err := Parse([]byte(strings.Replace(fine, from, to, 1)))
-		if err == nil || !strings.Contains(err.Error(), field) || strings.Contains(err.Error(), "\n") {
+		if _, err := Parse([]byte(strings.Replace(good, from, to, 1))); !namesIt(err, field) {
 			t.Errorf("%s: %v", change, err)
 		}
 	}
 }
 
 func TestLimitsToComeHoldFromTheStart(t *testing.T) {
-	// Guards against writes that would be refused from the moment, which nobody
-	// announces, at which the state service lowers its limits.
+	// Guards against writes that would be refused from the moment, which nobody announces, at
+	// which the key-value store lowers its limits.
 	with := func(next string) State {
-		s, err := Parse([]byte(strings.Replace(fine, "[params.cloud]", next+"\n[params.cloud]", 1)))
-		if err != nil {
-			t.Fatal(err)
-		}
-		return s.Params.State
+		return parsed(t, strings.Replace(good, "[params.cloud]", next+"\n[params.cloud]", 1)).Params.State
 	}
 	for _, c := range []struct {
 		next string
@@ -97,9 +108,9 @@
 }
 
 func TestOperatorsSettingsLieOverDefaults(t *testing.T) {
-	o, err := ParseOwn([]byte("beat_grace_s: 60\nsample_machines: 9 # more\n"))
-	if err != nil || o.BeatGraceS != 60 || o.SampleMachines != 9 || o.PoolHoldMs != Defaults().PoolHoldMs {
-		t.Fatalf("%v %v", o, err)
+	operator, err := ParseOwn([]byte("beat_grace_s: 60\nsample_machines: 9 # more\n"))
+	if err != nil || operator.BeatGraceS != 60 || operator.SampleMachines != 9 || operator.PoolHoldMs != Defaults().PoolHoldMs {
+		t.Fatalf("%v %v", operator, err)
 	}
 	for _, bad := range []string{"beat_grace_s: 1", "nonsense: 1", "owner_share: 2", "pool_hold_ms: 5"} {
 		if _, err := ParseOwn([]byte(bad)); err == nil {
@@ -108,52 +119,66 @@
 	}
 }
 
+func TestOperatorsSettingsNameTheFieldThatIsWrong(t *testing.T) {
+	for text, field := range map[string]string{
+		"pool_hold_ms: 499":      "pool_hold_ms: must be 500 to 600000: 499",
+		"pool_hold_ms: 600001":   "pool_hold_ms",
+		"beat_grace_s: nan":      "beat_grace_s",
+		"owner_share: 1":         "owner_share",
+		"backoff_s: 61":          "backoff_max_s",
+		"backoff_s: -1":          "backoff_max_s",
+		"idle_return_s: -1":      "idle_return_s",
+		"stuck_boot_factor: 0.9": "stuck_boot_factor",
+		"spare_share: 1.1":       "spare_share",
+		"burst_cost_share: nan":  "burst_cost_share",
+		"trail_events: 65":       "trail_events: at most 64: 65",
+	} {
+		if _, err := ParseOwn([]byte(text)); !namesIt(err, field) {
+			t.Errorf("%s: %v", text, err)
+		}
+	}
+}
+
 func TestTheDocumentedExampleIsTheDefaults(t *testing.T) {
 	raw, err := os.ReadFile("../../docs/operators.textproto")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if o, err := ParseOwn(raw); err != nil || !proto.Equal(o, Defaults()) {
-		t.Errorf("%v: %v", err, o)
+	if operator, err := ParseOwn(raw); err != nil || !proto.Equal(operator, Defaults()) {
+		t.Errorf("%v: %v", err, operator)
 	}
 }
 
 func TestFeaturesAreCheckedLikeAllSettings(t *testing.T) {
-	set, err := Parse([]byte(fine))
-	if err != nil {
-		t.Fatal(err)
-	}
-	if set.Shards() != 1 {
-		t.Errorf("%d shards without a file", set.Shards())
+	settings := parsed(t, good)
+	if settings.Shards() != 1 {
+		t.Errorf("%d shards without a file", settings.Shards())
 	}
 	for text, want := range map[string]string{
 		"shards: 0": "shards: must be 1 to", "shards: 1000": "shards: must be 1 to", "shards: -1": "line 1",
 		"shard: 2": "shard", "shards: two": "line 1", "{": "",
 	} {
-		if err := set.ParseFeatures([]byte(text)); err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
+		if err := settings.ParseFeatures([]byte(text)); !namesIt(err, want) {
 			t.Errorf("%q: %v", text, err)
 		}
 	}
-	if set.Shards() != 1 {
-		t.Errorf("a bad file left %d shards", set.Shards())
+	if settings.Shards() != 1 {
+		t.Errorf("a bad file left %d shards", settings.Shards())
 	}
-	if err := set.ParseFeatures([]byte("shards: 2")); err != nil || set.Shards() != 2 {
-		t.Errorf("%d shards: %v", set.Shards(), err)
+	if err := settings.ParseFeatures([]byte("shards: 2")); err != nil || settings.Shards() != 2 {
+		t.Errorf("%d shards: %v", settings.Shards(), err)
 	}
-	if err := set.LoadFeatures("/nonexistent"); err == nil {
+	if err := settings.LoadFeatures("/nonexistent"); err == nil {
 		t.Error("a file that is not there is good")
 	}
 }
 
 func TestBudgetsOfDisruptionAreChecked(t *testing.T) {
-	set, err := Parse([]byte(fine))
-	if err != nil {
-		t.Fatal(err)
-	}
-	if set.DrainsEnabled() {
+	settings := parsed(t, good)
+	if settings.DrainsEnabled() {
 		t.Error("drains are on without a file")
 	}
-	team := set.Params.Teams[0].Name
+	team := settings.Params.Teams[0].Name
 	for text, want := range map[string]string{
 		`drains { teams { team: "nobody" } }`:                                             `drains.teams[0].team: unknown team "nobody"`,
 		`drains { teams { team: "` + team + `" } teams { team: "` + team + `" } }`:        "has a budget already",
@@ -163,32 +188,48 @@
 		`drains { ready_s: -1 }`:                          "drains.ready_s: must be zero or more",
 		`drains { default_budget { replicas_down: -1 } }`: "invalid value for uint32",
 	} {
-		if err := set.ParseFeatures([]byte(text)); err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
+		if err := settings.ParseFeatures([]byte(text)); !namesIt(err, want) {
 			t.Errorf("%q: %v", text, err)
 		}
 	}
-	good := `drains { default_budget { replicas_down_percent: 50 } teams { team: "` + team + `" budget { replicas_down: 3 tasks_interrupted: 7 } } ready_s: 2 }`
-	if err := set.ParseFeatures([]byte(good)); err != nil || !set.DrainsEnabled() || set.Shards() != 1 {
-		t.Fatalf("%v, %d shards", err, set.Shards())
+	enabled := `drains { default_budget { replicas_down_percent: 50 } teams { team: "` + team + `" budget { replicas_down: 3 tasks_interrupted: 7 } } ready_s: 2 }`
+	if err := settings.ParseFeatures([]byte(enabled)); err != nil || !settings.DrainsEnabled() || settings.Shards() != 1 {
+		t.Fatalf("%v, %d shards", err, settings.Shards())
 	}
-	budgets := set.Budgets()
+	budgets := settings.Budgets()
 	if down := budgets.Of(team).Down(10); down != 3 || budgets.Of(team).Interrupted != 7 {
 		t.Errorf("%d replicas down, %d tasks interrupted", down, budgets.Of(team).Interrupted)
 	}
 	if down := budgets.Of("another").Down(10); down != 5 || budgets.Of("another").Interrupted != 1 {
 		t.Errorf("by default %d replicas down, %d tasks interrupted", down, budgets.Of("another").Interrupted)
 	}
-	if set.Readiness().RunningFor != 2*time.Second {
-		t.Errorf("ready after %v", set.Readiness().RunningFor)
+	if settings.Readiness().RunningFor != 2*time.Second {
+		t.Errorf("ready after %v", settings.Readiness().RunningFor)
 	}
 }
 
-func TestTheFeaturesFileOfTheLandingsIsGood(t *testing.T) {
-	set, err := Parse([]byte(fine))
-	if err != nil {
-		t.Fatal(err)
+func TestSocketsAndGracePeriodFollowFromTheSettings(t *testing.T) {
+	settings := parsed(t, good)
+	if got, want := settings.Sockets(), (Sockets{Callers: 44, Direct: 16}); got != want {
+		t.Errorf("sockets %+v, not %+v", got, want)
+	}
+	// cancel_s 46 less the longest lease of 26 s and twice the leader's of 1.5 s
+	if got := settings.Grace(); got < 16.8 || got > 16.9 {
+		t.Errorf("grace period %v", got)
+	}
+	settings.Params.Workers.CancelS = 20
+	if got := settings.Grace(); got != 1.5 {
+		t.Errorf("grace period %v where cancel_s leaves no time, not the leader's lease", got)
+	}
+	settings.Params.Workers.CancelS = 460
+	if got := settings.Grace(); got != 40 {
+		t.Errorf("grace period %v, more than the operators allow", got)
 	}
-	if err := set.LoadFeatures("../../deploy/features.textproto"); err != nil || !set.DrainsEnabled() {
-		t.Errorf("drains %v: %v", set.DrainsEnabled(), err)
+}
+
+func TestTheFeaturesFileOfTheLandingsIsGood(t *testing.T) {
+	settings := parsed(t, good)
+	if err := settings.LoadFeatures("../../deploy/features.textproto"); err != nil || !settings.DrainsEnabled() {
+		t.Errorf("drains %v: %v", settings.DrainsEnabled(), err)
 	}
 }
--- a/internal/config/drains.go
+++ b/internal/config/drains.go
@@ -12,14 +12,14 @@
 // features' file says otherwise.
 const defaultReady = 5 * time.Second
 
-// missedReports is after how many report intervals without a report a machine's replicas count
-// as down: a report may be a quarter late, and one of two may be lost.
-const missedReports = 2.5
+// missedHeartbeats is after how many heartbeat intervals without a heartbeat a machine's replicas
+// count as down: one may be a quarter late, and one of two may be lost.
+const missedHeartbeats = 2.5
 
-// DrainsEnabled tells whether operators may drain machines.
+// DrainsEnabled reports whether operators may drain machines.
 func (s *Settings) DrainsEnabled() bool { return s.Features != nil && s.Features.Drains != nil }
 
-// Budgets are the teams' budgets of disruption.
+// Budgets returns the teams' disruption budgets.
 func (s *Settings) Budgets() *budget.Budgets {
 	drains := s.Features.GetDrains()
 	fallback := budgetOf(drains.GetDefaultBudget())
@@ -30,37 +30,42 @@
 	return budget.NewBudgets(fallback, teams)
 }
 
-// Readiness is what makes a replica count as up.
+// Readiness returns when a replica counts as up.
 func (s *Settings) Readiness() budget.Readiness {
 	ready := defaultReady
 	if drains := s.Features.GetDrains(); drains != nil && drains.ReadyS != nil {
 		ready = time.Duration(*drains.ReadyS * float64(time.Second))
 	}
-	heard := time.Duration(missedReports * float64(s.Params.Workers.ReportS.Duration()))
-	return budget.Readiness{RunningFor: ready, HeardWithin: heard}
+	heartbeatInterval := s.Params.Workers.ReportS.Duration()
+	return budget.Readiness{
+		RunningFor:  ready,
+		HeardWithin: time.Duration(missedHeartbeats * float64(heartbeatInterval)),
+	}
 }
 
-// budgetOf reads a budget; what it leaves out is the default's.
-func budgetOf(in *DisruptionBudget) budget.Budget {
-	out := budget.Default()
-	if in == nil {
-		return out
+// budgetOf reads a disruption budget; what it leaves out is the default's.
+func budgetOf(message *DisruptionBudget) budget.Budget {
+	result := budget.Default()
+	if message == nil {
+		return result
 	}
-	if in.ReplicasDown != nil || in.ReplicasDownPercent != nil {
-		out.Replicas, out.Percent = intOf(in.ReplicasDown), intOf(in.ReplicasDownPercent)
+	if message.ReplicasDown != nil || message.ReplicasDownPercent != nil {
+		result.Replicas = intOf(message.ReplicasDown)
+		result.Percent = intOf(message.ReplicasDownPercent)
 	}
-	if in.TasksInterrupted != nil {
-		out.Interrupted = int(*in.TasksInterrupted)
+	if message.TasksInterrupted != nil {
+		result.Interrupted = int(*message.TasksInterrupted)
 	}
-	out.LastReplica = in.LastReplica
-	return out
+	result.LastReplica = message.LastReplica
+	return result
 }
 
-func intOf(n *uint32) *int {
-	if n == nil {
+// intOf converts an optional number.
+func intOf(number *uint32) *int {
+	if number == nil {
 		return nil
 	}
-	value := int(*n)
+	value := int(*number)
 	return &value
 }
 
@@ -77,16 +82,16 @@
 	}
 	seen := map[string]bool{}
 	for i, team := range drains.Teams {
-		at := fmt.Sprintf("drains.teams[%d]", i)
+		name := fmt.Sprintf("drains.teams[%d]", i)
 		if _, known := s.Team(team.Team); !known {
-			return fmt.Errorf("%s.team: unknown team %q", at, team.Team)
+			return fmt.Errorf("%s.team: unknown team %q", name, team.Team)
 		}
 		if seen[team.Team] {
-			return fmt.Errorf("%s.team: %q has a budget already", at, team.Team)
+			return fmt.Errorf("%s.team: %q has a budget already", name, team.Team)
 		}
 		seen[team.Team] = true
 		if err := budgetOf(team.Budget).Check(); err != nil {
-			return fmt.Errorf("%s.budget.%w", at, err)
+			return fmt.Errorf("%s.budget.%w", name, err)
 		}
 	}
 	return nil
--- a/internal/config/features.go
+++ b/internal/config/features.go
@@ -7,11 +7,12 @@
 	"google.golang.org/protobuf/encoding/prototext"
 )
 
-// Bounds of the number of shards. Each has a leader whose own calls and changes of the
-// state service must let it hold its lease and store its markers.
+// defaultShards is the number of shards when the features' file names none.
+const defaultShards = 1
+
+// Bounds of the number of shards. Each shard's leader needs so many writes and calls per second
+// of the key-value store to renew its lease and store its progress.
 const (
-	defaultShards = 1
-	// minShardWrites and minShardCalls are the least that a shard's leader needs a second.
 	minShardWrites = 5
 	minShardCalls  = 15
 )
@@ -35,16 +36,16 @@
 	return nil
 }
 
-// ParseFeatures reads and checks features over the defaults.
+// ParseFeatures reads and checks features over the defaults. On an error the settings stay as they
+// are.
 func (s *Settings) ParseFeatures(raw []byte) error {
 	features := DefaultFeatures()
 	if err := prototext.Unmarshal(raw, features); err != nil {
 		return err
 	}
-	limits := &s.Params.State
-	most := max(1, min(int(limits.WriteRPS*s.Own.OwnerShare/minShardWrites), int(limits.RPS*s.Own.OwnerShare*2/3/minShardCalls)))
-	if n := features.shardCount(); n < 1 || n > most {
-		return fmt.Errorf("shards: must be 1 to %d with these limits of the state service: %d", most, n)
+	most := s.maxShards()
+	if shards := features.shardCount(); shards < 1 || shards > most {
+		return fmt.Errorf("shards: must be 1 to %d with these limits of the state service: %d", most, shards)
 	}
 	if err := s.checkDrains(features.Drains); err != nil {
 		return err
@@ -53,7 +54,16 @@
 	return nil
 }
 
-// Shards is into how many shards the machine pool is split.
+// maxShards is how many leaders the limits of the key-value store suffice for. Leaders get their
+// share of its writes, and two thirds of that share of its calls.
+func (s *Settings) maxShards() int {
+	limits := &s.Params.State
+	byWrites := int(limits.WriteRPS * s.Own.OwnerShare / minShardWrites)
+	byCalls := int(limits.RPS * s.Own.OwnerShare * 2 / 3 / minShardCalls)
+	return max(1, min(byWrites, byCalls))
+}
+
+// Shards returns how many shards the machine pool has.
 func (s *Settings) Shards() int {
 	if s.Features == nil {
 		return defaultShards
--- /dev/null
+++ b/internal/config/operator.go
@@ -0,0 +1,95 @@
+package config
+
+import (
+	"fmt"
+
+	"google.golang.org/protobuf/encoding/prototext"
+)
+
+// Bounds of the operators' settings.
+const (
+	minPoolHoldMs  = 500
+	maxPoolHoldMs  = 600000
+	maxTrailEvents = 64
+)
+
+// Defaults are the operators' settings when they name none.
+func Defaults() *Operator {
+	return &Operator{
+		PoolHoldMs:      1500,
+		BeatGraceS:      40,
+		SampleMachines:  5,
+		BackoffS:        5,
+		BackoffMaxS:     60,
+		TrailEvents:     12,
+		IdleReturnS:     25,
+		StuckBootFactor: 2,
+		OwnerShare:      0.45,
+		FaultyAfter:     2,
+		SpareShare:      0.15,
+		BurstCostShare:  0.05,
+	}
+}
+
+// ParseOwn reads and checks the operators' settings, over the defaults.
+func ParseOwn(raw []byte) (*Operator, error) {
+	named := &Operator{}
+	if err := prototext.Unmarshal(raw, named); err != nil {
+		return nil, err
+	}
+	settings := Defaults()
+	settings.override(named)
+	if err := settings.check(); err != nil {
+		return nil, err
+	}
+	return settings, nil
+}
+
+// override replaces the settings that the operators named.
+func (o *Operator) override(named *Operator) {
+	setIfNamed(&o.PoolHoldMs, named.PoolHoldMs)
+	setIfNamed(&o.BeatGraceS, named.BeatGraceS)
+	setIfNamed(&o.SampleMachines, named.SampleMachines)
+	setIfNamed(&o.BackoffS, named.BackoffS)
+	setIfNamed(&o.BackoffMaxS, named.BackoffMaxS)
+	setIfNamed(&o.TrailEvents, named.TrailEvents)
+	setIfNamed(&o.IdleReturnS, named.IdleReturnS)
+	setIfNamed(&o.StuckBootFactor, named.StuckBootFactor)
+	setIfNamed(&o.OwnerShare, named.OwnerShare)
+	setIfNamed(&o.FaultyAfter, named.FaultyAfter)
+	setIfNamed(&o.SpareShare, named.SpareShare)
+	setIfNamed(&o.BurstCostShare, named.BurstCostShare)
+}
+
+// setIfNamed replaces a setting that is not zero in the file.
+func setIfNamed[N uint32 | float64](setting *N, named N) {
+	if named != 0 {
+		*setting = named
+	}
+}
+
+// check reports the first setting that is impossible. The conditions are written so that no number
+// that is not one (NaN) passes.
+func (o *Operator) check() error {
+	switch {
+	case o.PoolHoldMs < minPoolHoldMs || o.PoolHoldMs > maxPoolHoldMs:
+		return fmt.Errorf("pool_hold_ms: must be %d to %d: %d", minPoolHoldMs, maxPoolHoldMs, o.PoolHoldMs)
+	case !(o.BeatGraceS*1000 >= float64(o.PoolHoldMs)):
+		return fmt.Errorf("beat_grace_s: must be at least the hold: %v", o.BeatGraceS)
+	case !(o.OwnerShare > 0 && o.OwnerShare < 1):
+		return fmt.Errorf("owner_share: must lie between 0 and 1: %v", o.OwnerShare)
+	case !(o.BackoffS > 0 && o.BackoffMaxS >= o.BackoffS):
+		return fmt.Errorf("backoff_max_s: must be at least backoff_s, both above 0: %v", o.BackoffMaxS)
+	case !(o.IdleReturnS > 0):
+		return fmt.Errorf("idle_return_s: must be above 0: %v", o.IdleReturnS)
+	case !(o.StuckBootFactor >= 1):
+		return fmt.Errorf("stuck_boot_factor: must be at least 1: %v", o.StuckBootFactor)
+	case !(o.SpareShare > 0 && o.SpareShare <= 1):
+		return fmt.Errorf("spare_share: must lie between 0 and 1: %v", o.SpareShare)
+	case !(o.BurstCostShare > 0 && o.BurstCostShare <= 1):
+		return fmt.Errorf("burst_cost_share: must lie between 0 and 1: %v", o.BurstCostShare)
+	case o.TrailEvents > maxTrailEvents:
+		return fmt.Errorf("trail_events: at most %d: %d", maxTrailEvents, o.TrailEvents)
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/config/statelimits.go
@@ -0,0 +1,41 @@
+package config
+
+// State holds the limits of the key-value store.
+type State struct {
+	RPS      float64 `toml:"rps"`
+	WriteRPS float64 `toml:"write_rps"`
+	ValueKB  float64 `toml:"value_kb"`
+	TxnOps   int     `toml:"txn_ops"`
+	// Next is what the limits will be from some moment on, without notice. Its zero fields stay as
+	// they are.
+	Next *State `toml:"next"`
+	// NowKB is the limit of values until then.
+	NowKB float64 `toml:"-"`
+}
+
+// maxValueKB is the largest value that is used, whatever the store accepts: a transaction
+// carries 64 KiB in all, conditions and keys included, and a larger value would never be sent.
+const maxValueKB = 56
+
+// applyNext lowers the limits to those announced, so that whatever is written fits before and
+// after the moment at which they come into force.
+func (s *State) applyNext() {
+	s.ValueKB = min(s.ValueKB, maxValueKB)
+	s.NowKB = s.ValueKB
+	next := s.Next
+	if next == nil {
+		return
+	}
+	s.RPS = lowerIfSet(s.RPS, next.RPS)
+	s.WriteRPS = lowerIfSet(s.WriteRPS, next.WriteRPS)
+	s.ValueKB = lowerIfSet(s.ValueKB, next.ValueKB)
+	s.TxnOps = lowerIfSet(s.TxnOps, next.TxnOps)
+}
+
+// lowerIfSet returns the lower of a limit and the next one, if that is set.
+func lowerIfSet[N int | float64](limit, next N) N {
+	if next > 0 {
+		return min(limit, next)
+	}
+	return limit
+}
