--- a/internal/ids/ranges.go
+++ b/internal/ids/ranges.go
@@ -32,100 +32,100 @@
 }
 
 // search returns the position of the span that holds an index, or where it would be inserted.
-func (r *Ranges) search(index int) (position int, found bool) {
-	position = sort.Search(len(r.spans), func(k int) bool { return r.spans[k].last >= index })
-	return position, position < len(r.spans) && r.spans[position].first <= index
+func (s *Ranges) search(index int) (position int, found bool) {
+	position = sort.Search(len(s.spans), func(k int) bool { return s.spans[k].last >= index })
+	return position, position < len(s.spans) && s.spans[position].first <= index
 }
 
 // Add adds an index and reports whether it was new.
-func (r *Ranges) Add(index int) bool {
-	position, found := r.search(index)
+func (s *Ranges) Add(index int) bool {
+	position, found := s.search(index)
 	if found {
 		return false
 	}
-	r.size++
-	joinsLeft := position > 0 && r.spans[position-1].last == index-1
-	joinsRight := position < len(r.spans) && r.spans[position].first == index+1
+	s.size++
+	joinsLeft := position > 0 && s.spans[position-1].last == index-1
+	joinsRight := position < len(s.spans) && s.spans[position].first == index+1
 	switch {
 	case joinsLeft && joinsRight:
-		r.spans[position-1].last = r.spans[position].last
-		r.spans = append(r.spans[:position], r.spans[position+1:]...)
+		s.spans[position-1].last = s.spans[position].last
+		s.spans = append(s.spans[:position], s.spans[position+1:]...)
 	case joinsLeft:
-		r.spans[position-1].last = index
+		s.spans[position-1].last = index
 	case joinsRight:
-		r.spans[position].first = index
+		s.spans[position].first = index
 	default:
-		r.spans = append(r.spans, span{})
-		copy(r.spans[position+1:], r.spans[position:])
-		r.spans[position] = span{index, index}
+		s.spans = append(s.spans, span{})
+		copy(s.spans[position+1:], s.spans[position:])
+		s.spans[position] = span{index, index}
 	}
 	return true
 }
 
 // Has reports whether an index is in the set.
-func (r *Ranges) Has(index int) bool {
-	_, found := r.search(index)
+func (s *Ranges) Has(index int) bool {
+	_, found := s.search(index)
 	return found
 }
 
 // Runs counts the spans of consecutive members.
-func (r *Ranges) Runs() int { return len(r.spans) }
+func (s *Ranges) Runs() int { return len(s.spans) }
 
 // Longest returns the set without all but its n longest spans, the lower of equals first.
-func (r *Ranges) Longest(n int) Ranges {
-	spans := slices.Clone(r.spans)
+func (s *Ranges) Longest(n int) Ranges {
+	spans := slices.Clone(s.spans)
 	slices.SortStableFunc(spans, func(a, b span) int { return cmp.Compare(b.length(), a.length()) })
 	spans = spans[:min(n, len(spans))]
 	slices.SortFunc(spans, func(a, b span) int { return cmp.Compare(a.first, b.first) })
 	kept := Ranges{spans: spans}
-	for _, s := range spans {
-		kept.size += s.length()
+	for _, run := range spans {
+		kept.size += run.length()
 	}
 	return kept
 }
 
 // Len counts the members.
-func (r *Ranges) Len() int { return r.size }
+func (s *Ranges) Len() int { return s.size }
 
 // NextMissing returns the smallest index at or above from that is not in the set.
-func (r *Ranges) NextMissing(from int) int {
-	if position, found := r.search(from); found {
-		return r.spans[position].last + 1
+func (s *Ranges) NextMissing(from int) int {
+	if position, found := s.search(from); found {
+		return s.spans[position].last + 1
 	}
 	return from
 }
 
 // Each calls visit for every member, in order.
-func (r *Ranges) Each(visit func(index int)) {
-	for _, s := range r.spans {
-		for index := s.first; index <= s.last; index++ {
+func (s *Ranges) Each(visit func(index int)) {
+	for _, run := range s.spans {
+		for index := run.first; index <= run.last; index++ {
 			visit(index)
 		}
 	}
 }
 
 // String writes the set as "0-4,7".
-func (r Ranges) String() string {
+func (s Ranges) String() string {
 	var text strings.Builder
-	for k, s := range r.spans {
+	for k, run := range s.spans {
 		if k > 0 {
 			text.WriteByte(',')
 		}
-		text.WriteString(strconv.Itoa(s.first))
-		if s.last > s.first {
+		text.WriteString(strconv.Itoa(run.first))
+		if run.last > run.first {
 			text.WriteByte('-')
-			text.WriteString(strconv.Itoa(s.last))
+			text.WriteString(strconv.Itoa(run.last))
 		}
 	}
 	return text.String()
 }
 
 // MarshalText makes the set a short string in JSON.
-func (r Ranges) MarshalText() ([]byte, error) { return []byte(r.String()), nil }
+func (s Ranges) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
 // UnmarshalText reads what MarshalText writes.
-func (r *Ranges) UnmarshalText(text []byte) error {
-	r.spans, r.size = nil, 0
+func (s *Ranges) UnmarshalText(text []byte) error {
+	s.spans, s.size = nil, 0
 	if len(text) == 0 {
 		return nil
 	}
@@ -134,8 +134,8 @@
 		if err != nil {
 			return err
 		}
-		r.spans = append(r.spans, parsed)
-		r.size += parsed.length()
+		s.spans = append(s.spans, parsed)
+		s.size += parsed.length()
 	}
 	return nil
 }
--- a/internal/placement/scaleout.go
+++ b/internal/placement/scaleout.go
@@ -16,7 +16,7 @@
 	// Together means all in one zone, whichever. Capacity in different zones does not add up for it.
 	Together bool
 	Preempt  bool // may preempt the tasks of job arrays
-	Keep     bool // headroom: no task is queued yet
+	Keep     bool // capacity to keep free: no task is queued yet
 	Hold     bool // keeps instances that there are, but is no reason to scale out
 	// TurnShare is the share of an instance's reclaimable capacity that will be free in time.
 	TurnShare float64
@@ -30,7 +30,7 @@
 	Spot   bool
 	Free   Room // not allocated
 	Turn   Room // allocated to tasks that end by themselves or may be preempted
-	Coming bool // pending
+	Coming bool // has been requested, or is booting
 	Idle   bool // has no task
 	// Late means pending for so long that it may never come. It covers only demand for which nothing
 	// can be provisioned.
@@ -148,11 +148,11 @@
 }
 
 // take allocates capacity: what is free first, then what will be.
-func (u *Up) take(amount Room) {
-	u.Free = u.Free.Minus(amount)
-	if short := (Room{}).Minus(u.Free).positive(); short != (Room{}) {
-		u.Free = u.Free.Plus(short)
-		u.Turn = u.Turn.Minus(short)
+func (i *Up) take(amount Room) {
+	i.Free = i.Free.Minus(amount)
+	if short := (Room{}).Minus(i.Free).positive(); short != (Room{}) {
+		i.Free = i.Free.Plus(short)
+		i.Turn = i.Turn.Minus(short)
 	}
 }
 
--- a/internal/placement/score.go
+++ b/internal/placement/score.go
@@ -18,11 +18,11 @@
 }
 
 // Allows reports whether the task may run on such an instance at all.
-func (a *Ask) Allows(instanceType, zone string, spot bool) bool {
-	if spot && !a.Spot || a.Zone != "" && a.Zone != zone {
+func (r *Ask) Allows(instanceType, zone string, spot bool) bool {
+	if spot && !r.Spot || r.Zone != "" && r.Zone != zone {
 		return false
 	}
-	return a.Types == nil || slices.Contains(a.Types, instanceType)
+	return r.Types == nil || slices.Contains(r.Types, instanceType)
 }
 
 // Machine is a candidate for the placement of a task.
@@ -59,36 +59,36 @@
 // Score rates a candidate in rough seconds; less is better. A pull counts as the time it takes,
 // capacity left over as fragmentation; instances with accelerators and on-demand instances are
 // kept for the tasks that need them.
-func Score(machine *Machine, request *Ask) float64 {
-	score := pullCost(machine, request)
-	left := machine.Free.Minus(request.Need)
-	score += fragmentationWeight * (left.Cores/max(machine.Type.Cores, minTypeCapacity) + left.RAM/max(machine.Type.RAM, minTypeCapacity))
-	if request.Need.Accels == 0 && machine.Type.Accels > 0 {
+func Score(candidate *Machine, request *Ask) float64 {
+	score := pullCost(candidate, request)
+	left := candidate.Free.Minus(request.Need)
+	score += fragmentationWeight * (left.Cores/max(candidate.Type.Cores, minTypeCapacity) + left.RAM/max(candidate.Type.RAM, minTypeCapacity))
+	if request.Need.Accels == 0 && candidate.Type.Accels > 0 {
 		score += unusedAcceleratorsPenalty
 		if request.Long {
 			score += keptAcceleratorsPenalty
 		}
 	}
-	if request.Spot && !machine.Spot {
+	if request.Spot && !candidate.Spot {
 		score += onDemandPenalty
 	}
-	if machine.Avoid {
+	if candidate.Avoid {
 		score += failedBeforePenalty
 	}
 	return score
 }
 
 // pullCost is what the pull of the task's image counts.
-func pullCost(machine *Machine, request *Ask) float64 {
-	if machine.Holds && machine.Warm {
+func pullCost(candidate *Machine, request *Ask) float64 {
+	if candidate.Holds && candidate.Warm {
 		return 0
 	}
-	pullAlone := request.ImageGB / max(machine.Type.PullGBPerS, minPullGBPerS)
-	if machine.Warm {
+	pullAlone := request.ImageGB / max(candidate.Type.PullGBPerS, minPullGBPerS)
+	if candidate.Warm {
 		return pullAlone / expectedPullShare
 	}
-	cost := pullAlone * float64(1+machine.Pulls)
-	if machine.Hush {
+	cost := pullAlone * float64(1+candidate.Pulls)
+	if candidate.Hush {
 		cost += slowedPullPenalty
 	}
 	return cost
--- a/internal/record/assignments.go
+++ b/internal/record/assignments.go
@@ -37,7 +37,7 @@
 	// Base is the lowest task; the entries count tasks from it.
 	Base int `json:"b,omitempty"`
 	// On has an entry for each location, separated by spaces, each in one of the forms
-	// "machine:tasks", "machine/attempt:tasks" and "machine/attempt/session:tasks".
+	// "machine:tasks", "machine/attempt:tasks" and "machine/attempt/incarnation:tasks".
 	On string `json:"on"`
 }
 
@@ -87,11 +87,11 @@
 		location.Attempt = ids.Attempt(attempt)
 	}
 	if len(parts) > 2 {
-		session, err := strconv.ParseUint(parts[2], 10, 64)
+		incarnation, err := strconv.ParseUint(parts[2], 10, 64)
 		if err != nil {
 			return location, tasks, err
 		}
-		location.Session = ids.Session(session)
+		location.Session = ids.Session(incarnation)
 	}
 	return location, tasks, tasks.UnmarshalText([]byte(list))
 }
@@ -135,11 +135,11 @@
 
 // groupBuilder collects the assignments of one PlaceGroup.
 type groupBuilder struct {
-	group     PlaceGroup
-	tasks     map[Location]*ids.Ranges // counted from the group's base
-	locations []Location               // in the order of their lowest tasks
-	attempts  map[ids.Attempt]int      // number of locations
-	sessions  map[ids.Session]int      // number of locations
+	group        PlaceGroup
+	tasks        map[Location]*ids.Ranges // counted from the group's base
+	locations    []Location               // in the order of their lowest tasks
+	attempts     map[ids.Attempt]int      // number of locations
+	incarnations map[ids.Session]int      // number of locations
 }
 
 // newGroupBuilder starts a group with its lowest task, which is still to be added.
@@ -150,9 +150,9 @@
 			Base:   lowest.Task,
 			Prefix: string(lowest.At.Machine),
 		},
-		tasks:    map[Location]*ids.Ranges{},
-		attempts: map[ids.Attempt]int{},
-		sessions: map[ids.Session]int{},
+		tasks:        map[Location]*ids.Ranges{},
+		attempts:     map[ids.Attempt]int{},
+		incarnations: map[ids.Session]int{},
 	}
 }
 
@@ -164,7 +164,7 @@
 		b.locations = append(b.locations, location)
 		b.group.Prefix = commonPrefix(b.group.Prefix, string(location.Machine))
 		b.attempts[location.Attempt]++
-		b.sessions[location.Session]++
+		b.incarnations[location.Session]++
 	}
 	b.tasks[location].Add(assignment.Task - b.group.Base)
 }
@@ -172,7 +172,7 @@
 // build writes the entries; only now it is known what they can leave out.
 func (b *groupBuilder) build() PlaceGroup {
 	b.group.Attempt = mostFrequent(b.attempts)
-	b.group.Session = mostFrequent(b.sessions)
+	b.group.Session = mostFrequent(b.incarnations)
 	var entries strings.Builder
 	for _, location := range b.locations {
 		b.group.writeEntry(&entries, location, b.tasks[location])
--- a/internal/record/spec.go
+++ b/internal/record/spec.go
@@ -47,10 +47,11 @@
 	Spread   bool           `json:"spread,omitempty"` // over zones
 	Spot     bool           `json:"spot,omitempty"`   // whether spot instances are allowed
 	Estimate ids.Seconds    `json:"estimate,omitempty"`
-	// Checkpoint is the interval of a task's checkpoints, Save how long writing one takes.
+	// Checkpoint is the time between two checkpoints of a task; zero: it writes none.
 	Checkpoint ids.Seconds `json:"checkpoint,omitempty"`
-	Save       ids.Seconds `json:"save,omitempty"`
-	// Due is the deadline, counted from the submission; zero is none.
+	// Save is how long a task takes to write a checkpoint.
+	Save ids.Seconds `json:"save,omitempty"`
+	// Due counts from the submission; zero: none.
 	Due ids.Seconds `json:"due,omitempty"`
 	// Awaits are the dependencies: jobs that must be done before any task starts.
 	Awaits []ids.Job `json:"awaits,omitempty"`
