--- /dev/null
+++ b/internal/httpjson/httpjson.go
@@ -0,0 +1,76 @@
+// Package httpjson sends HTTP requests with JSON bodies and reads their answers whole. What a
+// status means and what an answer holds is left to the caller.
+package httpjson
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"io"
+	"net/http"
+)
+
+// Client sends requests to one server.
+type Client struct {
+	baseURL string
+	http    *http.Client
+}
+
+// NewClient makes a client for the server at a host:port address.
+func NewClient(address string, client *http.Client) *Client {
+	return &Client{baseURL: "http://" + address, http: client}
+}
+
+// Response is an answer that arrived whole.
+type Response struct {
+	Status int
+	Body   []byte
+}
+
+// NoResponseError tells that no whole answer arrived: the server may have executed the request,
+// or may yet do so.
+type NoResponseError struct {
+	Err error
+}
+
+func (e *NoResponseError) Error() string { return e.Err.Error() }
+
+// Unwrap is the error of the connection or of the context.
+func (e *NoResponseError) Unwrap() error { return e.Err }
+
+// Do sends one request with body as JSON, or without a body if it is nil. The path may have a
+// query. Any error but a *NoResponseError means that nothing was sent.
+func (c *Client) Do(ctx context.Context, method, path string, body any) (Response, error) {
+	request, err := c.newRequest(ctx, method, path, body)
+	if err != nil {
+		return Response{}, err
+	}
+	answer, err := c.http.Do(request)
+	if err != nil {
+		return Response{}, &NoResponseError{err}
+	}
+	defer func() {
+		_ = answer.Body.Close() // whether the body was read whole, ReadAll tells
+	}()
+	raw, err := io.ReadAll(answer.Body)
+	if err != nil {
+		return Response{}, &NoResponseError{err}
+	}
+	return Response{Status: answer.StatusCode, Body: raw}, nil
+}
+
+func (c *Client) newRequest(ctx context.Context, method, path string, body any) (*http.Request, error) {
+	if body == nil {
+		return http.NewRequestWithContext(ctx, method, c.baseURL+path, nil)
+	}
+	raw, err := json.Marshal(body)
+	if err != nil {
+		return nil, err
+	}
+	request, err := http.NewRequestWithContext(ctx, method, c.baseURL+path, bytes.NewReader(raw))
+	if err != nil {
+		return nil, err
+	}
+	request.Header.Set("Content-Type", "application/json")
+	return request, nil
+}
