--- /dev/null
+++ b/internal/state/acquire_test.go
@@ -0,0 +1,54 @@
+package state
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"sync"
+	"testing"
+	"testing/synctest"
+	"time"
+)
+
+func TestUrgentCallsComeFirstAndUsersCallsAreShedAtOnce(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		ctx := context.Background()
+		_, _, client := newClientWithBudget(NewBudget(20, 10, 1, 0.6))
+		var mu sync.Mutex
+		var commits sync.WaitGroup
+		refused := 0
+		for i := range 40 {
+			commits.Go(func() {
+				began := time.Now()
+				_, err := client.Commit(ctx, Txn{Then: []Op{{Put: fmt.Sprint(i), Value: []byte(`1`)}}}, Spare)
+				took := time.Since(began)
+				mu.Lock()
+				defer mu.Unlock()
+				// Whoever is refused is so at once; none waits in a queue that
+				// is not served within a moment.
+				if errors.Is(err, ErrRefused) {
+					refused++
+					if took > 10*time.Millisecond {
+						t.Errorf("refused after %v", took)
+					}
+				} else if took > 400*time.Millisecond {
+					t.Errorf("served after %v", took)
+				}
+			})
+		}
+		commits.Wait()
+		if refused < 30 || refused > 38 {
+			t.Fatalf("%d of 40 refused", refused)
+		}
+		if _, err := client.Commit(ctx, Txn{Then: []Op{{Put: "u", Value: []byte(`1`)}}}, Urgent); err != nil {
+			t.Fatalf("an urgent write after the burst: %v", err)
+		}
+	})
+}
+
+// withoutWaiting is a context that leaves no time to wait for tokens.
+func withoutWaiting(ctx context.Context) context.Context {
+	ctx, cancel := context.WithCancel(ctx)
+	cancel()
+	return ctx
+}
--- a/internal/state/client.go
+++ b/internal/state/client.go
@@ -1,6 +1,6 @@
-// Package state is the client of the state service, the small consistent store
-// where the controllers keep everything. It never guesses: a call without an answer
-// is reported as unknown, and callers read back what became of it.
+// Package state is the client of the consensus-backed key-value store where the controllers keep
+// everything. It never guesses: a call without an answer is reported as unknown, and callers read
+// back what became of it.
 package state
 
 import (
@@ -9,7 +9,6 @@
 	"encoding/json"
 	"errors"
 	"fmt"
-	"io"
 	"net/http"
 	"net/url"
 	"strconv"
@@ -17,351 +16,203 @@
 	"sync/atomic"
 	"time"
 
+	"github.com/pebbletrail/pebbletrail/internal/httpjson"
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 	"github.com/pebbletrail/pebbletrail/internal/measure"
 )
 
-// What a call can come to besides success.
-var (
-	// ErrRefused: surely not executed (503, 429, or no tokens of our own).
-	ErrRefused = errors.New("state: refused")
-	// ErrUnknown: may have been executed, or may yet be.
-	ErrUnknown = errors.New("state: no answer")
-	// ErrNoLease: the lease named has ended.
-	ErrNoLease = errors.New("state: no such lease")
-	// ErrTooOld: the changes asked for are no longer kept; list again.
-	ErrTooOld = errors.New("state: history too old")
-	// ErrMalformed: the service calls the request malformed.
-	ErrMalformed = errors.New("state: malformed request")
-)
-
-// Conflict names the keys whose condition failed; nothing was changed.
-type Conflict struct {
-	Failed []string
-	Epoch  ids.Epoch
-}
-
-func (c *Conflict) Error() string { return fmt.Sprintf("state: conditions failed: %v", c.Failed) }
-
-// Has tells whether key is among the failed ones.
-func (c *Conflict) Has(key string) bool {
-	for _, k := range c.Failed {
-		if k == key {
-			return true
-		}
-	}
-	return false
-}
-
-// Entry is a key with its value.
-type Entry struct {
-	Key      string          `json:"key"`
-	Value    json.RawMessage `json:"value"`
-	Revision ids.Revision    `json:"stamp"`
-	Lease    ids.Lease       `json:"permit"`
-}
-
-// Condition demands a revision of a key; 0 demands its absence.
-type Condition struct {
-	Key      string       `json:"key"`
-	Revision ids.Revision `json:"stamp"`
-}
+// CallTimeout bounds every call but the long ones: a cut connection hangs.
+const CallTimeout = 2 * time.Second
 
-// Op is one change: a put or a removal.
-type Op struct {
-	Put    string          `json:"put,omitempty"`
-	Value  json.RawMessage `json:"value,omitempty"`
-	Lease  ids.Lease       `json:"permit,omitempty"`
-	Remove string          `json:"remove,omitempty"`
-}
+// longCallTimeout bounds a page of a listing, and what a watch takes beyond the time that it was
+// told to wait.
+const longCallTimeout = 2 * CallTimeout
 
-// Txn is applied as a whole or not at all.
-type Txn struct {
-	When []Condition `json:"when"`
-	Then []Op        `json:"then,omitempty"`
-}
+// listPageSize is the most entries that are asked for in one call.
+const listPageSize = 1000
 
-// Change is one change of a key: a put or a removal.
-type Change struct {
-	Put      string          `json:"put"`
-	Value    json.RawMessage `json:"value"`
-	Remove   string          `json:"remove"`
-	Revision ids.Revision    `json:"stamp"`
-}
+// absentKey is a key that nobody writes: reading it shows the store's epoch.
+const absentKey = "none"
 
-// Key is the key changed.
-func (c Change) Key() string {
-	if c.Put != "" {
-		return c.Put
-	}
-	return c.Remove
-}
+// watchPath is where the store tells of changes.
+const watchPath = "/follow"
 
-// CallTimeout bounds every call but the long ones: a cut connection hangs.
-const CallTimeout = 2 * time.Second
-
-// Client is one controller's client of the store.
+// Client is one controller's client of the store. Its methods may be called from several
+// goroutines at a time.
 type Client struct {
-	base        string
-	http        *http.Client
-	budget      *Budget
-	lastSuccess atomic.Int64 // monotonic nanoseconds from start to the last successful answer
-	start       time.Time
+	http   *httpjson.Client
+	budget *Budget
+	start  time.Time
+	// lastSuccess is the monotonic time, in nanoseconds from start, of the last answer that
+	// proves the store's health; neverSucceeded before the first one.
+	lastSuccess atomic.Int64
 }
 
-// NewClient makes a client for the store at addr.
-func NewClient(addr string, h *http.Client, b *Budget) *Client {
-	c := &Client{base: "http://" + addr, http: h, budget: b, start: time.Now()}
-	c.lastSuccess.Store(-1)
+// neverSucceeded stands for the time of the last success as long as there was none.
+const neverSucceeded = -1
+
+// NewClient makes a client for the store at address, a host with its port.
+func NewClient(address string, httpClient *http.Client, budget *Budget) *Client {
+	c := &Client{http: httpjson.NewClient(address, httpClient), budget: budget, start: time.Now()}
+	c.lastSuccess.Store(neverSucceeded)
 	return c
 }
 
-// Budget is the client's token buckets.
+// Budget is what limits this client's calls and changes.
 func (c *Client) Budget() *Budget { return c.budget }
 
-// SinceSuccess is the time since the store last served this node; ok is false if
-// it never has.
-func (c *Client) SinceSuccess() (time.Duration, bool) {
-	g := c.lastSuccess.Load()
-	if g < 0 {
-		return 0, false
-	}
-	return time.Since(c.start) - time.Duration(g), true
-}
-
-// unavailableAfter is the time without a successful call after which users are told
-// at once to retry, instead of each finding out by a call that hangs. Watch calls the
-// store more often than that, so that this ends as soon as it answers.
-const unavailableAfter = 2500 * time.Millisecond
-
-// Unavailable tells that the store served this node before, but not lately.
-func (c *Client) Unavailable() bool {
-	age, ok := c.SinceSuccess()
-	return ok && age > unavailableAfter
-}
-
-// Watch keeps the node's view of the store fresh when nothing else calls it.
-func (c *Client) Watch(ctx context.Context, key string) {
-	for ctx.Err() == nil {
-		if age, ok := c.SinceSuccess(); !ok || age > 700*time.Millisecond {
-			c.Get(ctx, key, Urgent)
-		}
-		select {
-		case <-ctx.Done():
-		case <-time.After(500 * time.Millisecond):
-		}
-	}
-}
-
-// do makes one call and reads its answer into out.
-func (c *Client) do(ctx context.Context, timeout time.Duration, method, path string, body, out any) (int, error) {
-	ctx, cancel := context.WithTimeout(ctx, timeout)
-	defer cancel()
-	purpose, _, _ := strings.Cut(strings.TrimPrefix(path, "/"), "?")
-	purpose, _, _ = strings.Cut(purpose, "/")
-	measure.Process.Count("state "+method+" "+purpose, 1)
-	var rd io.Reader
-	if body != nil {
-		raw, err := json.Marshal(body)
-		if err != nil {
-			return 0, err
-		}
-		rd = bytes.NewReader(raw)
-	}
-	req, err := http.NewRequestWithContext(ctx, method, c.base+path, rd)
-	if err != nil {
-		return 0, err
-	}
-	if body != nil {
-		req.Header.Set("Content-Type", "application/json")
-	}
-	res, err := c.http.Do(req)
-	if err != nil {
-		return 0, fmt.Errorf("%w: %v", ErrUnknown, err)
-	}
-	defer res.Body.Close()
-	raw, err := io.ReadAll(res.Body)
-	if err != nil {
-		return 0, fmt.Errorf("%w: %v", ErrUnknown, err)
-	}
-	switch res.StatusCode {
-	case http.StatusTooManyRequests:
-		c.budget.TooMany()
-		return res.StatusCode, fmt.Errorf("%w: status %d", ErrRefused, res.StatusCode)
-	case 503:
-		return res.StatusCode, fmt.Errorf("%w: status %d", ErrRefused, res.StatusCode)
-	case 200, 404, 409, 410:
-		// A watch may end with 200 in the middle of an outage: it proves
-		// nothing of the service's health.
-		if !strings.HasPrefix(path, "/follow") {
-			c.lastSuccess.Store(int64(time.Since(c.start)))
-		}
-		if out != nil && res.StatusCode != 410 {
-			if err := json.Unmarshal(raw, out); err != nil && res.StatusCode == 200 {
-				return 0, fmt.Errorf("%w: %v", ErrUnknown, err)
-			}
-		}
-		return res.StatusCode, nil
-	case 400:
-		if bytes.Contains(raw, []byte("no such lease")) {
-			return 400, ErrNoLease
-		}
-		return 400, fmt.Errorf("%w: %.200s", ErrMalformed, raw)
-	}
-	return res.StatusCode, fmt.Errorf("%w: status %d", ErrUnknown, res.StatusCode)
-}
-
 // Get reads a key; found is false when it does not exist.
-func (c *Client) Get(ctx context.Context, key string, u Urgency) (e Entry, found bool, err error) {
-	if err := c.budget.take(ctx, u, 0); err != nil {
-		return e, false, err
+func (c *Client) Get(ctx context.Context, key string, urgency Urgency) (entry Entry, found bool, err error) {
+	if err := c.budget.acquire(ctx, urgency, 0); err != nil {
+		return entry, false, err
 	}
-	code, err := c.do(ctx, CallTimeout, "GET", "/kv/"+key, nil, &e)
-	return e, err == nil && code == 200, err
+	status, err := c.call(ctx, CallTimeout, "GET", "/kv/"+key, nil, &entry)
+	return entry, err == nil && status == http.StatusOK, err
 }
 
-// absent is a key that nobody writes: reading it shows the store's epoch.
-const absent = "none"
-
-// Epoch is how far the store is.
-func (c *Client) Epoch(ctx context.Context) (ids.Epoch, error) {
-	if err := c.budget.take(ctx, Normal, 0); err != nil {
+// currentEpoch is how far the store is.
+func (c *Client) currentEpoch(ctx context.Context) (ids.Epoch, error) {
+	if err := c.budget.acquire(ctx, Normal, 0); err != nil {
 		return 0, err
 	}
-	var out struct {
-		Epoch ids.Epoch `json:"epoch"`
-	}
-	code, err := c.do(ctx, CallTimeout, "GET", "/kv/"+absent, nil, &out)
-	if err == nil && code != 404 {
-		err = fmt.Errorf("%w: status %d", ErrUnknown, code)
-	}
-	return out.Epoch, err
+	var answer epochAnswer
+	status, err := c.call(ctx, CallTimeout, "GET", "/kv/"+absentKey, nil, &answer)
+	return answer.Epoch, requireStatus(http.StatusNotFound, status, err)
 }
 
-// List reads a page of the keys below a prefix, in order.
-func (c *Client) List(ctx context.Context, under, after string, most int, u Urgency) (es []Entry, more bool, at ids.Epoch, err error) {
-	if err := c.budget.take(ctx, u, 0); err != nil {
+// List reads a page of at most limit keys below a prefix, in order; after is the last key of the
+// page before. more tells whether there is another page, and epoch how far the store was.
+func (c *Client) List(ctx context.Context, prefix, after string, limit int, urgency Urgency) (entries []Entry, more bool, epoch ids.Epoch, err error) {
+	if err := c.budget.acquire(ctx, urgency, 0); err != nil {
 		return nil, false, 0, err
 	}
-	q := url.Values{"under": {under}, "most": {strconv.Itoa(most)}}
+	query := url.Values{"under": {prefix}, "most": {strconv.Itoa(limit)}}
 	if after != "" {
-		q.Set("after", after)
-	}
-	var out struct {
-		Entries []Entry   `json:"entries"`
-		More    bool      `json:"more"`
-		Epoch   ids.Epoch `json:"epoch"`
-	}
-	code, err := c.do(ctx, 2*CallTimeout, "GET", "/kv?"+q.Encode(), nil, &out)
-	if err == nil && code != 200 {
-		err = fmt.Errorf("%w: status %d", ErrUnknown, code)
+		query.Set("after", after)
 	}
-	return out.Entries, out.More, out.Epoch, err
+	var answer listAnswer
+	status, err := c.call(ctx, longCallTimeout, "GET", "/kv?"+query.Encode(), nil, &answer)
+	return answer.Entries, answer.More, answer.Epoch, requireStatus(http.StatusOK, status, err)
 }
 
-// ListAll reads every page; the epoch is the first page's, so that following
-// from it misses nothing.
-func (c *Client) ListAll(ctx context.Context, under string, u Urgency) ([]Entry, ids.Epoch, error) {
+// ListAll reads every page. The epoch is the first page's, so that watching from it on misses
+// nothing.
+func (c *Client) ListAll(ctx context.Context, prefix string, urgency Urgency) ([]Entry, ids.Epoch, error) {
 	var all []Entry
-	var first ids.Epoch
+	var firstEpoch ids.Epoch
 	after := ""
 	for page := 0; ; page++ {
-		es, more, at, err := c.List(ctx, under, after, 1000, u)
+		entries, more, epoch, err := c.List(ctx, prefix, after, listPageSize, urgency)
 		if err != nil {
 			return nil, 0, err
 		}
 		if page == 0 {
-			first = at
+			firstEpoch = epoch
 		}
-		all = append(all, es...)
-		if !more || len(es) == 0 {
-			return all, first, nil
+		all = append(all, entries...)
+		if !more || len(entries) == 0 {
+			return all, firstEpoch, nil
 		}
-		after = es[len(es)-1].Key
+		after = entries[len(entries)-1].Key
 	}
 }
 
-// Commit applies a transaction.
-func (c *Client) Commit(ctx context.Context, t Txn, u Urgency) (ids.Epoch, error) {
-	if err := c.budget.take(ctx, u, len(t.Then)); err != nil {
+// Commit applies a transaction and returns the epoch of its changes. The error is a *Conflict if
+// conditions failed.
+func (c *Client) Commit(ctx context.Context, txn Txn, urgency Urgency) (ids.Epoch, error) {
+	if err := c.budget.acquire(ctx, urgency, len(txn.Then)); err != nil {
 		return 0, err
 	}
-	var out struct {
-		Epoch  ids.Epoch `json:"epoch"`
-		Failed []string  `json:"failed"`
+	var answer commitAnswer
+	status, err := c.call(ctx, CallTimeout, "POST", "/commit", txn, &answer)
+	if err == nil && status == http.StatusConflict {
+		return 0, &Conflict{Failed: answer.FailedKeys, Epoch: answer.Epoch}
 	}
-	code, err := c.do(ctx, CallTimeout, "POST", "/commit", t, &out)
-	if err != nil {
+	if err := requireStatus(http.StatusOK, status, err); err != nil {
 		return 0, err
 	}
-	switch code {
-	case 200:
-		return out.Epoch, nil
-	case 409:
-		return 0, &Conflict{Failed: out.Failed, Epoch: out.Epoch}
-	}
-	return 0, fmt.Errorf("%w: status %d", ErrUnknown, code)
+	return answer.Epoch, nil
 }
 
-// NewLease asks for a lease, to which keys may be attached.
-func (c *Client) NewLease(ctx context.Context, life time.Duration) (ids.Lease, error) {
-	if err := c.budget.take(ctx, Urgent, 0); err != nil {
-		return 0, err
+// watchChanges waits at most so long for changes below a prefix after an epoch. It returns all of
+// them up to the epoch that it returns; errCompacted if they are no longer kept.
+func (c *Client) watchChanges(ctx context.Context, prefix string, after ids.Epoch, wait time.Duration) (ids.Epoch, []Change, error) {
+	if err := c.budget.acquire(ctx, Normal, 0); err != nil {
+		return 0, nil, err
 	}
-	var out struct {
-		Permit ids.Lease `json:"permit"`
+	query := url.Values{
+		"under":  {prefix},
+		"after":  {strconv.FormatUint(uint64(after), 10)},
+		"holdMs": {strconv.FormatInt(wait.Milliseconds(), 10)},
 	}
-	code, err := c.do(ctx, CallTimeout, "POST", "/holds", map[string]int64{"lifeMs": life.Milliseconds()}, &out)
-	if err == nil && code != 200 {
-		err = fmt.Errorf("%w: status %d", ErrUnknown, code)
+	var answer watchAnswer
+	status, err := c.call(ctx, wait+longCallTimeout, "GET", watchPath+"?"+query.Encode(), nil, &answer)
+	if err == nil && status == http.StatusGone {
+		return 0, nil, errCompacted
 	}
-	return out.Permit, err
-}
-
-// RenewLease gives a lease its full time again.
-func (c *Client) RenewLease(ctx context.Context, h ids.Lease) error {
-	if err := c.budget.take(ctx, Urgent, 0); err != nil {
-		return err
-	}
-	return c.leaseCall(ctx, "POST", fmt.Sprintf("/holds/%d/renew", h))
-}
-
-// EndLease ends a lease at once, and with it the keys attached.
-func (c *Client) EndLease(ctx context.Context, h ids.Lease) error {
-	if err := c.budget.take(ctx, Urgent, 0); err != nil {
-		return err
+	if err := requireStatus(http.StatusOK, status, err); err != nil {
+		return 0, nil, err
 	}
-	return c.leaseCall(ctx, "DELETE", fmt.Sprintf("/holds/%d", h))
+	return answer.Epoch, answer.Changes, nil
 }
 
-func (c *Client) leaseCall(ctx context.Context, method, path string) error {
-	code, err := c.do(ctx, CallTimeout, method, path, nil, nil)
-	if err == nil && code == 404 {
-		return ErrNoLease
+// requireStatus turns any other status than the one wanted into an error: the store answered
+// something that no call of this kind can come to.
+func requireStatus(want, got int, err error) error {
+	if err == nil && got != want {
+		return fmt.Errorf("%w: status %d", ErrUnknown, got)
 	}
 	return err
 }
 
-// Follow waits for changes below a prefix after an epoch.
-func (c *Client) Follow(ctx context.Context, under string, after ids.Epoch, wait time.Duration) (ids.Epoch, []Change, error) {
-	if err := c.budget.take(ctx, Normal, 0); err != nil {
-		return 0, nil, err
-	}
-	q := url.Values{"under": {under}, "after": {strconv.FormatUint(uint64(after), 10)},
-		"holdMs": {strconv.FormatInt(wait.Milliseconds(), 10)}}
-	var out struct {
-		Epoch ids.Epoch `json:"epoch"`
-		News  []Change  `json:"news"`
+// call makes one call and decodes its answer. It returns the status if the store executed the call
+// and answered what a caller can use: 200, 404, 409 or 410.
+func (c *Client) call(ctx context.Context, timeout time.Duration, method, path string, body, answer any) (status int, err error) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
+	defer cancel()
+	purpose, _, _ := strings.Cut(strings.TrimPrefix(path, "/"), "?")
+	purpose, _, _ = strings.Cut(purpose, "/")
+	measure.Process.Count("state "+method+" "+purpose, 1)
+	response, err := c.http.Do(ctx, method, path, body)
+	var noResponse *httpjson.NoResponseError
+	if errors.As(err, &noResponse) {
+		return 0, fmt.Errorf("%w: %v", ErrUnknown, err)
 	}
-	code, err := c.do(ctx, wait+2*CallTimeout, "GET", "/follow?"+q.Encode(), nil, &out)
 	if err != nil {
-		return 0, nil, err
+		return 0, err
+	}
+	if err := c.checkStatus(response); err != nil {
+		return response.Status, err
 	}
-	if code == 410 {
-		return 0, nil, ErrTooOld
+	if !strings.HasPrefix(path, watchPath) {
+		// A watch may end with 200 in the middle of an outage: it proves nothing of the
+		// store's health.
+		c.noteSuccess()
 	}
-	if code != 200 {
-		return 0, nil, fmt.Errorf("%w: status %d", ErrUnknown, code)
+	if answer != nil && response.Status != http.StatusGone {
+		if err := json.Unmarshal(response.Body, answer); err != nil && response.Status == http.StatusOK {
+			return 0, fmt.Errorf("%w: %v", ErrUnknown, err)
+		}
+	}
+	return response.Status, nil
+}
+
+// checkStatus is the error that a status stands for; nil for those that mean that the store
+// executed the call.
+func (c *Client) checkStatus(response httpjson.Response) error {
+	switch response.Status {
+	case http.StatusOK, http.StatusNotFound, http.StatusConflict, http.StatusGone:
+		return nil
+	case http.StatusTooManyRequests:
+		c.budget.slowDown()
+		return fmt.Errorf("%w: status %d", ErrRefused, response.Status)
+	case http.StatusServiceUnavailable:
+		return fmt.Errorf("%w: status %d", ErrRefused, response.Status)
+	case http.StatusBadRequest:
+		if bytes.Contains(response.Body, []byte("no such lease")) {
+			return ErrNoLease
+		}
+		return fmt.Errorf("%w: %.200s", ErrMalformed, response.Body)
 	}
-	return out.Epoch, out.News, nil
+	return fmt.Errorf("%w: status %d", ErrUnknown, response.Status)
 }
--- /dev/null
+++ b/internal/state/lease.go
@@ -0,0 +1,42 @@
+package state
+
+import (
+	"context"
+	"fmt"
+	"net/http"
+	"time"
+
+	"github.com/pebbletrail/pebbletrail/internal/ids"
+)
+
+// NewLease asks for a lease, to which keys may be attached. It expires after ttl if it isn't
+// renewed.
+func (c *Client) NewLease(ctx context.Context, ttl time.Duration) (ids.Lease, error) {
+	if err := c.budget.acquire(ctx, Urgent, 0); err != nil {
+		return 0, err
+	}
+	var answer leaseAnswer
+	status, err := c.call(ctx, CallTimeout, "POST", "/holds", map[string]int64{"lifeMs": ttl.Milliseconds()}, &answer)
+	return answer.Lease, requireStatus(http.StatusOK, status, err)
+}
+
+// RenewLease gives a lease its full time again; ErrNoLease if it has expired.
+func (c *Client) RenewLease(ctx context.Context, lease ids.Lease) error {
+	return c.callOnLease(ctx, "POST", fmt.Sprintf("/holds/%d/renew", lease))
+}
+
+// EndLease ends a lease at once, and with it the keys attached; ErrNoLease if it has expired.
+func (c *Client) EndLease(ctx context.Context, lease ids.Lease) error {
+	return c.callOnLease(ctx, "DELETE", fmt.Sprintf("/holds/%d", lease))
+}
+
+func (c *Client) callOnLease(ctx context.Context, method, path string) error {
+	if err := c.budget.acquire(ctx, Urgent, 0); err != nil {
+		return err
+	}
+	status, err := c.call(ctx, CallTimeout, method, path, nil, nil)
+	if err == nil && status == http.StatusNotFound {
+		return ErrNoLease
+	}
+	return err
+}
--- /dev/null
+++ b/internal/state/loans_test.go
@@ -0,0 +1,76 @@
+package state
+
+import (
+	"context"
+	"math"
+	"testing"
+	"testing/synctest"
+	"time"
+)
+
+func TestLentTokensAreNeverUsedByLenderAndBorrower(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		ctx := context.Background()
+		const writeLimit = 50
+		idle, busy := NewBudget(1000, writeLimit, 2, 0.6), NewBudget(1000, writeLimit, 2, 0.6)
+		idle.SetLeader(true)
+		use := func(budget *Budget, urgency Urgency) (used int) {
+			for budget.acquire(withoutWaiting(ctx), urgency, 1) == nil {
+				if used++; used > 1000 {
+					t.Fatal("no bound")
+				}
+			}
+			return used
+		}
+		use(busy, Spare) // the bursts that buckets begin with
+		use(idle, Spare)
+		everyTenth := func(step func()) {
+			step()
+			time.Sleep(100 * time.Millisecond)
+		}
+		total, busyTotal := 0, 0
+		for range 20 * 10 {
+			everyTenth(func() {
+				// One is busy, the other idle; they talk once a second.
+				used := use(busy, Spare)
+				busyTotal, total = busyTotal+used, total+used
+				if time.Now().UnixMilli()%1000 < 100 {
+					sent := time.Now()
+					busy.Borrowed(idle.Lend(busy.Wants()), sent)
+				}
+			})
+		}
+		alone := int(math.Floor(0.4 * writeLimit / 2 * headroom * 20))
+		if busyTotal < alone*3/2 {
+			t.Errorf("%d changes in 20 s, hardly more than its own %d", busyTotal, alone)
+		}
+		// Cut off from one another, the promise ends and each keeps to its part.
+		time.Sleep(3 * time.Second)
+		use(busy, Spare)
+		busyTotal = 0
+		for range 50 {
+			everyTenth(func() { busyTotal += use(busy, Spare) })
+		}
+		if most := int(math.Floor(0.4*writeLimit/2*headroom*5)) + 2; busyTotal > most {
+			t.Errorf("%d changes in 5 s on a part of %d", busyTotal, most)
+		}
+		// Whatever both can use together stays below the limit.
+		total = 0
+		for i := range 10 * 10 {
+			everyTenth(func() {
+				total += use(busy, Spare) + use(idle, Spare)
+				for idle.acquire(withoutWaiting(ctx), Urgent, 1) == nil {
+					total++
+				}
+				if i%10 == 0 {
+					sent := time.Now()
+					busy.Borrowed(idle.Lend(busy.Wants()), sent)
+					idle.Borrowed(busy.Lend(idle.Wants()), sent)
+				}
+			})
+		}
+		if total > writeLimit*11 {
+			t.Errorf("%d changes in 10 s of a limit of %d a second", total, writeLimit)
+		}
+	})
+}
--- a/internal/state/throttle_test.go
+++ b/internal/state/throttle_test.go
@@ -13,14 +13,14 @@
 )
 
 func TestARefusalForTooManyChangesSlowsTheSenderAtOnce(t *testing.T) {
-	// Guards against a node that goes on at its old pace when the state service takes
+	// Guards against a node that goes on at its old pace when the store takes
 	// less than announced: most of what it sends would be refused, for as long as that
 	// lasts; and against one that stays slow afterwards.
 	synctest.Test(t, func(t *testing.T) {
 		var mu sync.Mutex
 		limit, taken, refused, second := 5, 0, 0, int64(0)
-		n := fake.NewNet()
-		n.Listen("state:1", http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		network := fake.NewNet()
+		network.Listen("state:1", http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			mu.Lock()
 			defer mu.Unlock()
 			if now := time.Now().Unix(); now != second {
@@ -31,13 +31,15 @@
 				w.WriteHeader(http.StatusTooManyRequests)
 				return
 			}
-			w.Write([]byte(`{"epoch":1}`))
+			if _, err := w.Write([]byte(`{"epoch":1}`)); err != nil {
+				t.Error(err)
+			}
 		}))
-		client := NewClient("state:1", n.Client("a"), NewBudget(100, 40, 1, 0.5))
+		client := NewClient("state:1", network.Client("a"), NewBudget(100, 40, 1, 0.5))
 		client.Budget().SetLeader(true)
 		put := Txn{Then: []Op{{Put: "a", Value: []byte(`1`)}}}
-		send := func(d time.Duration) (done int) {
-			for end := time.Now().Add(d); time.Now().Before(end); {
+		send := func(duration time.Duration) (done int) {
+			for end := time.Now().Add(duration); time.Now().Before(end); {
 				if _, err := client.Commit(context.Background(), put, Urgent); err == nil {
 					done++
 				} else if !errors.Is(err, ErrRefused) {
@@ -48,7 +50,7 @@
 		}
 		done := send(60 * time.Second)
 		if refused > 120 || done < 150 {
-			t.Errorf("%d of 300 changes were taken, %d refused by the state service", done, refused)
+			t.Errorf("%d of 300 changes were taken, %d refused by the store", done, refused)
 		}
 		limit = 1000
 		send(20 * time.Second)
--- a/internal/state/transfer_test.go
+++ b/internal/state/transfer_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"slices"
 	"testing"
 	"testing/synctest"
 	"time"
@@ -9,19 +10,19 @@
 
 // idleBudgets are of a small deployment: each of five controllers may make 3.7 changes a
 // second for its users, and four at once.
-func idleBudgets(n int) []*Budget {
-	var bs []*Budget
-	for range n {
-		bs = append(bs, NewBudget(200, 35, 5, 0.45))
+func idleBudgets(controllers int) []*Budget {
+	var budgets []*Budget
+	for range controllers {
+		budgets = append(budgets, NewBudget(200, 35, 5, 0.45))
 	}
-	return bs
+	return budgets
 }
 
-// asks has one controller ask the others in order.
-func asks(b *Budget, others ...*Budget) {
-	b.SetTransfers(func(_ context.Context, changes int) bool {
-		for _, o := range others {
-			if o.TransferOut(changes) {
+// setSources has one controller ask the others in order.
+func setSources(budget *Budget, others ...*Budget) {
+	budget.SetTransfers(func(_ context.Context, changes int) bool {
+		for _, other := range others {
+			if other.TransferOut(changes) {
 				return true
 			}
 		}
@@ -29,52 +30,52 @@
 	})
 }
 
-func TestAClumpAtOneControllerIsServedWithWhatOthersNeedNot(t *testing.T) {
+func TestBurstAtOneControllerIsServedWithWhatOthersNeedNot(t *testing.T) {
 	// Guards against refusing a job of a pipeline while the other controllers are idle: its
 	// user submits six or seven within a second over one connection.
 	synctest.Test(t, func(t *testing.T) {
-		bs := idleBudgets(5)
-		asks(bs[0], bs[1:]...)
+		budgets := idleBudgets(5)
+		setSources(budgets[0], budgets[1:]...)
 		began := time.Now()
 		for i := range 7 {
-			if err := bs[0].take(context.Background(), Spare, 1); err != nil {
+			if err := budgets[0].acquire(context.Background(), Spare, 1); err != nil {
 				t.Errorf("submission %d: %v", i, err)
 			}
 		}
 		if took := time.Since(began); took > 10*time.Millisecond {
-			t.Errorf("the clump took %v", took)
+			t.Errorf("the burst took %v", took)
 		}
 	})
 }
 
-func TestAControllerKeepsHalfOfItsBurstForItsOwnUsers(t *testing.T) {
+func TestControllerKeepsHalfOfItsBurstForItsOwnUsers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := idleBudgets(1)[0]
+		budget := idleBudgets(1)[0]
 		given := 0
-		for given < 100 && b.TransferOut(1) {
+		for given < 100 && budget.TransferOut(1) {
 			given++
 		}
 		if given != 2 {
 			t.Errorf("%d changes given away of a burst of four", given)
 		}
-		if b.TransferOut(0) || b.TransferOut(-5) {
+		if budget.TransferOut(0) || budget.TransferOut(-5) {
 			t.Error("nothing or less than nothing was given")
 		}
 	})
 }
 
-func TestGivenChangesAreNeverMadeByBoth(t *testing.T) {
-	// All controllers are hungry and ask one another all the time: together they stay
-	// below what the state service allows.
+func TestTransferredChangesAreNeverMadeByBoth(t *testing.T) {
+	// All controllers are busy and ask one another all the time: together they stay
+	// below what the store allows.
 	synctest.Test(t, func(t *testing.T) {
-		bs := idleBudgets(5)
-		for i, b := range bs {
-			asks(b, append(append([]*Budget(nil), bs[:i]...), bs[i+1:]...)...)
+		budgets := idleBudgets(5)
+		for i, budget := range budgets {
+			setSources(budget, slices.Concat(budgets[:i], budgets[i+1:])...)
 		}
 		made := 0
 		for range 100 {
-			for _, b := range bs {
-				for made < 1000 && b.take(shortly(context.Background()), Spare, 1) == nil {
+			for _, budget := range budgets {
+				for made < 1000 && budget.acquire(withoutWaiting(context.Background()), Spare, 1) == nil {
 					made++
 				}
 			}
@@ -87,21 +88,21 @@
 	})
 }
 
-func TestWhoGivesNothingIsNotAskedForEveryUser(t *testing.T) {
+func TestControllersWithNothingToGiveAreNotAskedForEveryUser(t *testing.T) {
 	// Guards against a crowd of submissions turning into a crowd of questions.
 	synctest.Test(t, func(t *testing.T) {
-		b := idleBudgets(1)[0]
+		budget := idleBudgets(1)[0]
 		asked := 0
-		b.SetTransfers(func(context.Context, int) bool { asked++; return false })
+		budget.SetTransfers(func(context.Context, int) bool { asked++; return false })
 		for range 100 {
-			b.take(shortly(context.Background()), Spare, 1)
+			_ = budget.acquire(withoutWaiting(context.Background()), Spare, 1) // only the questions count
 		}
 		if asked != 1 {
 			t.Errorf("the others were asked %d times at once", asked)
 		}
 		time.Sleep(transferPause)
 		for range 20 {
-			b.take(shortly(context.Background()), Spare, 1)
+			_ = budget.acquire(withoutWaiting(context.Background()), Spare, 1) // only the questions count
 		}
 		if asked != 2 {
 			t.Errorf("%d questions after the pause", asked)
--- /dev/null
+++ b/internal/state/watchcache_test.go
@@ -0,0 +1,191 @@
+package state
+
+import (
+	"context"
+	"fmt"
+	"net/http"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/pebbletrail/pebbletrail/internal/fake"
+	"github.com/pebbletrail/pebbletrail/internal/ids"
+)
+
+func TestWatchCacheMissesNothingAfterHistoryIsCompacted(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		ctx, cancel := context.WithCancel(context.Background())
+		defer synctest.Wait()
+		defer cancel()
+		network, store, client := newClient()
+		store.SetKeep(3)
+		set := func(i int) {
+			t.Helper()
+			mustCommit(ctx, t, client, Op{Put: fmt.Sprintf("j/%d", i), Value: []byte(`1`)}, Op{Remove: fmt.Sprintf("j/%d", i-2)})
+		}
+		set(1)
+		notified := map[string]bool{}
+		cache := NewMirror(client, "j/", 10*time.Millisecond)
+		cache.NotifyChanges(func(change Change) { notified[change.Key()] = change.Put != "" })
+		go cache.Run(ctx)
+		time.Sleep(time.Second)
+		network.SetRule(func(_, _ string, r *http.Request, _ []byte) fake.Fate {
+			if r.URL.Path == "/follow" {
+				return fake.Refuse
+			}
+			return fake.Deliver
+		})
+		time.Sleep(15 * time.Second)
+		for i := 2; i < 12; i++ {
+			set(i)
+		}
+		network.SetRule(nil)
+		time.Sleep(2 * time.Second)
+		for k, want := range map[string]bool{"j/1": false, "j/10": true, "j/11": true} {
+			if _, found, ready := cache.Get(k); found != want || !ready || notified[k] != want {
+				t.Errorf("%s: found %v, told %v, want %v", k, found, notified[k], want)
+			}
+		}
+	})
+}
+
+func TestWatchCacheListenerMayBeSetWhileChangesArrive(t *testing.T) {
+	// As a plain field the listener raced with the changes that it is told of.
+	cache := NewMirror(nil, "j/", time.Second)
+	const changes = 50
+	var notified atomic.Int32
+	var applied sync.WaitGroup
+	applied.Go(func() {
+		for i := range changes {
+			cache.apply(ids.Epoch(i+1), []Change{{Put: "j/1", Revision: ids.Revision(i + 1)}})
+		}
+	})
+	for range changes {
+		cache.NotifyChanges(func(Change) { notified.Add(1) })
+	}
+	applied.Wait()
+	cache.apply(changes+1, []Change{{Put: "j/1", Revision: changes + 1}})
+	if notified.Load() == 0 {
+		t.Error("the listener was told of nothing")
+	}
+}
+
+func TestSyncServesAllWhoWaitByOneReadBegunAfterThem(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		ctx := context.Background()
+		network, store, client := newClient()
+		put := func(key, value string) {
+			t.Helper()
+			mustCommit(ctx, t, client, Op{Put: key, Value: []byte(value)})
+		}
+		put("j/1", `1`)
+		cache := NewMirror(client, "j/", time.Second)
+		if err := cache.Sync(ctx); err != nil {
+			t.Fatal(err)
+		}
+		put("j/1", `2`)
+		calls := 0
+		network.SetRule(func(_, _ string, _ *http.Request, _ []byte) fake.Fate {
+			calls++
+			return fake.Deliver
+		})
+		answers := make(chan string, 300)
+		for range 300 {
+			go func() {
+				if err := cache.Sync(ctx); err != nil {
+					answers <- err.Error()
+					return
+				}
+				entry, _, _ := cache.Get("j/1")
+				answers <- string(entry.Value)
+			}()
+		}
+		for range 300 {
+			if v := <-answers; v != `2` {
+				t.Fatalf("told %s after 2 was stored", v)
+			}
+		}
+		if calls > 4 {
+			t.Errorf("%d calls for 300 who asked at once", calls)
+		}
+		// In an outage nothing may be told from the copy, however fresh it
+		// looks: a watch may end well all the same.
+		store.SetDown(true)
+		if err := cache.Sync(ctx); err == nil {
+			t.Error("the copy passes for the store's state in an outage")
+		}
+		store.SetDown(false)
+		// Changes that were overtaken by newer ones are passed over.
+		put("j/1", `3`)
+		if err := cache.Sync(ctx); err != nil {
+			t.Fatal(err)
+		}
+		cache.apply(2, []Change{{Put: "j/1", Value: []byte(`2`), Revision: 2}})
+		if entry, _, _ := cache.Get("j/1"); string(entry.Value) != `3` {
+			t.Errorf("an overtaken answer took the copy back to %s", entry.Value)
+		}
+	})
+}
+
+func TestWatchMovesCacheOnlyAsFarAsItsChanges(t *testing.T) {
+	// Guards against a watch that waits out an outage, or this node's being refused,
+	// and then ends well with an epoch whose changes it never showed: to follow from
+	// there would lose them for good, and nobody may take the copy for complete.
+	synctest.Test(t, func(t *testing.T) {
+		ctx, cancel := context.WithCancel(context.Background())
+		defer synctest.Wait()
+		defer cancel()
+		network, store, client := newClient()
+		put := func(key string) {
+			t.Helper()
+			mustCommit(ctx, t, client, Op{Put: key, Value: []byte(`1`)})
+		}
+		put("j/1")
+		var blind atomic.Bool
+		network.Listen("state:1", http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+			if blind.Load() && r.URL.Path == "/follow" {
+				if r.URL.Query().Get("holdMs") != "0" {
+					time.Sleep(time.Second)
+				}
+				if _, err := fmt.Fprint(w, `{"epoch":1000,"news":[]}`); err != nil {
+					t.Error(err)
+				}
+				return
+			}
+			store.ServeHTTP(w, r)
+		}))
+		cache := NewMirror(client, "j/", 10*time.Millisecond)
+		go cache.Run(ctx)
+		time.Sleep(time.Second)
+		blind.Store(true)
+		put("j/2")
+		time.Sleep(15 * time.Second)
+		if !cache.AsOf().IsZero() {
+			t.Error("a watch alone makes the copy complete")
+		}
+		// Nor do changes asked for at once, should an outage begin in between.
+		put("j/4")
+		if err := cache.Sync(ctx); err == nil {
+			t.Error("an answer without what is known already counts as changes")
+		}
+		blind.Store(false)
+		began := time.Now()
+		if err := cache.Sync(ctx); err != nil {
+			t.Fatal(err)
+		}
+		if _, found, _ := cache.Get("j/4"); !found {
+			t.Error("a change is lost that a watch without changes passed over")
+		}
+		if cache.AsOf().Before(began) {
+			t.Error("a read does not make the copy complete")
+		}
+		put("other/1")
+		put("j/3")
+		time.Sleep(time.Second)
+		if _, found, _ := cache.Get("j/3"); !found {
+			t.Error("changes no longer come in")
+		}
+	})
+}
