--- a/internal/worker/commander.go
+++ b/internal/worker/commander.go
@@ -13,88 +13,113 @@
 	"github.com/pebbletrail/pebbletrail/internal/measure"
 )
 
-// Outcome of direct commands.
+// Outcome is what became of commands that were sent straight to a worker.
 type Outcome int
 
 const (
-	// Carried means status 200: the report shows the effects.
+	// Carried means status 200: the commands were executed and the report shows the effects.
 	Carried Outcome = iota
 	// Refused means status 409: nothing was executed.
 	Refused
-	// NotSent means that no connection came about, so nothing can arrive later.
+	// NotSent means that the worker did not get the commands and cannot get them later: no
+	// connection came about, or it calls the request malformed.
 	NotSent
-	// Uncertain means that the commands may have been, or may yet be, carried out.
+	// Uncertain means that the commands may have been, or may yet be, executed.
 	Uncertain
 )
 
-// Commander sends commands straight to a worker's address. Quick starts go
-// this way; what it cannot settle, the heartbeats do.
+// Commander sends commands straight to a worker's address. Quick starts go this way; what it cannot
+// settle, the heartbeats do.
 type Commander struct {
-	HTTP    *http.Client
+	HTTP *http.Client
+	// Timeout bounds the sending of commands and the wait for their answer.
 	Timeout time.Duration
 }
 
-// Send posts the orders and returns the worker's report if it gave one.
-func (c *Commander) Send(ctx context.Context, addr string, token ids.Generation, s ids.Session, orders []Order) (Outcome, *Report) {
+// Send posts commands and returns the worker's report if it gave one.
+func (c *Commander) Send(ctx context.Context, addr string, token ids.Generation, session ids.Session, orders []Order) (Outcome, *Report) {
 	ctx, cancel := context.WithTimeout(ctx, c.Timeout)
 	defer cancel()
 	measure.Process.Count("commands sent", 1)
-	if orders == nil {
-		orders = []Order{} // a list, if an empty one, whoever reads it
-	}
-	raw, err := json.Marshal(Reply{Token: token, Session: s, Orders: orders})
+	request, err := newCommandRequest(ctx, addr, Reply{Token: token, Session: session, Orders: orders})
 	if err != nil {
 		return NotSent, nil
 	}
-	req, err := http.NewRequestWithContext(ctx, "POST", "http://"+addr+"/commands", bytes.NewReader(raw))
+	response, err := c.HTTP.Do(request)
 	if err != nil {
-		return NotSent, nil
+		return outcomeOfError(err), nil
 	}
-	// Without GetBody the transport cannot resend on a connection that broke:
-	// a command is never sent twice behind our back.
-	req.GetBody = nil
-	req.Header.Set("Content-Type", "application/json")
-	res, err := c.HTTP.Do(req)
+	report, err := readReport(response)
 	if err != nil {
-		var op *net.OpError
-		if errors.As(err, &op) && op.Op == "dial" {
-			return NotSent, nil
-		}
 		return Uncertain, nil
 	}
-	defer res.Body.Close()
-	rep := &Report{}
-	if err := json.NewDecoder(res.Body).Decode(rep); err != nil {
-		return Uncertain, nil
-	}
-	switch res.StatusCode {
-	case 200:
-		return Carried, rep
-	case 409:
-		return Refused, rep
-	case 400:
+	switch response.StatusCode {
+	case http.StatusOK:
+		return Carried, report
+	case http.StatusConflict:
+		return Refused, report
+	case http.StatusBadRequest:
 		return NotSent, nil
 	}
 	return Uncertain, nil
 }
 
+func newCommandRequest(ctx context.Context, addr string, commands Reply) (*http.Request, error) {
+	if commands.Orders == nil {
+		commands.Orders = []Order{} // a list, if an empty one, whoever reads it
+	}
+	raw, err := json.Marshal(commands)
+	if err != nil {
+		return nil, err
+	}
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+"/commands", bytes.NewReader(raw))
+	if err != nil {
+		return nil, err
+	}
+	// Without GetBody the transport cannot resend on a connection that broke: a command is never
+	// sent twice behind our back.
+	request.GetBody = nil
+	request.Header.Set("Content-Type", "application/json")
+	return request, nil
+}
+
+// outcomeOfError tells commands that found no connection from those that may have arrived.
+func outcomeOfError(err error) Outcome {
+	var operation *net.OpError
+	if errors.As(err, &operation) && operation.Op == "dial" {
+		return NotSent
+	}
+	return Uncertain
+}
+
 // Show asks a worker for its report; nil when it does not answer in time.
 func (c *Commander) Show(ctx context.Context, addr string, timeout time.Duration) *Report {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	measure.Process.Count("machines asked", 1)
-	req, err := http.NewRequestWithContext(ctx, "GET", "http://"+addr+"/show", nil)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/show", nil)
 	if err != nil {
 		return nil
 	}
-	res, err := c.HTTP.Do(req)
+	response, err := c.HTTP.Do(request)
 	if err != nil {
 		return nil
 	}
-	defer res.Body.Close()
-	rep := &Report{}
-	if res.StatusCode != 200 || json.NewDecoder(res.Body).Decode(rep) != nil {
+	report, err := readReport(response)
+	if err != nil || response.StatusCode != http.StatusOK {
 		return nil
 	}
-	return rep
+	return report
+}
+
+// readReport decodes the body of an answer, whatever its status, and closes it.
+func readReport(response *http.Response) (*Report, error) {
+	defer func() {
+		_ = response.Body.Close() // the report is decoded by then, or the decoder failed
+	}()
+	report := &Report{}
+	if err := json.NewDecoder(response.Body).Decode(report); err != nil {
+		return nil, err
+	}
+	return report, nil
 }
--- /dev/null
+++ b/internal/worker/commander_test.go
@@ -0,0 +1,57 @@
+package worker
+
+import (
+	"context"
+	"net/http"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/pebbletrail/pebbletrail/internal/fake"
+	"github.com/pebbletrail/pebbletrail/internal/ids"
+)
+
+func TestSendTellsCommandsNotSentFromUncertainOnes(t *testing.T) {
+	const leaderToken, olderToken ids.Generation = 5, 4
+	synctest.Test(t, func(t *testing.T) {
+		network := fake.NewNet()
+		machine := &fake.Worker{Name: "m", Addr: "m:1", Net: network, Nodes: []string{"a:1"}, Report: time.Second, Lease: 30 * time.Second}
+		ctx, cancel := context.WithCancel(context.Background())
+		defer synctest.Wait()
+		defer cancel()
+		go machine.Run(ctx)
+		time.Sleep(100 * time.Millisecond)
+		commander := &Commander{HTTP: network.Client("a"), Timeout: time.Second}
+		start := []Order{{Verb: "start", Task: "job-1/0", Attempt: 1}}
+		for _, test := range []struct {
+			name       string
+			fate       fake.Fate
+			token      ids.Generation
+			outcome    Outcome
+			withReport bool
+		}{
+			{"no connection", fake.Refuse, leaderToken, NotSent, false},
+			{"request lost", fake.Swallow, leaderToken, Uncertain, false},
+			{"answer lost", fake.LoseAnswer, leaderToken, Uncertain, false},
+			{"answered", fake.Deliver, leaderToken, Carried, true},
+			{"older token", fake.Deliver, olderToken, Refused, true},
+		} {
+			network.SetRule(func(from, _ string, _ *http.Request, _ []byte) fake.Fate {
+				if from == "a" {
+					return test.fate
+				}
+				return fake.Refuse
+			})
+			outcome, report := commander.Send(ctx, "m:1", test.token, 1, start)
+			if outcome != test.outcome {
+				t.Errorf("%s: outcome %v, want %v", test.name, outcome, test.outcome)
+			}
+			if (report != nil) != test.withReport {
+				t.Errorf("%s: report %v", test.name, report)
+			}
+		}
+		if n := machine.Started("job-1/0"); n != 1 {
+			t.Errorf("started %d times", n)
+		}
+	})
+}
--- /dev/null
+++ b/internal/worker/images_test.go
@@ -0,0 +1,14 @@
+package worker
+
+import "testing"
+
+func TestImagesAreEvictedInOrderOfUse(t *testing.T) {
+	var images Images
+	images.Use("a", 5, 10)
+	images.Use("b", 4, 10)
+	images.Use("a", 5, 10)
+	images.Use("c", 4, 10)
+	if !images.Has("a") || !images.Has("c") || images.Has("b") {
+		t.Errorf("holds %v", images.Names)
+	}
+}
