--- a/internal/fleet/cloud.go
+++ b/internal/fleet/cloud.go
@@ -1,4 +1,5 @@
-// Package fleet rents machines and gives them back.
+// Package fleet provisions machines of the cloud as the work demands and deletes those that it does
+// not need any more.
 package fleet
 
 import (
@@ -7,7 +8,6 @@
 	"encoding/json"
 	"errors"
 	"fmt"
-	"io"
 	"net/http"
 	"net/url"
 	"strconv"
@@ -17,6 +17,7 @@
 	"golang.org/x/time/rate"
 
 	"github.com/pebbletrail/pebbletrail/internal/claim"
+	"github.com/pebbletrail/pebbletrail/internal/httpjson"
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 	"github.com/pebbletrail/pebbletrail/internal/measure"
 	"github.com/pebbletrail/pebbletrail/internal/placement"
@@ -24,147 +25,126 @@
 
 // What a call to the cloud can come to besides success.
 var (
-	// ErrTrouble: refused by an outage or the rate limit; not carried out.
-	ErrTrouble = errors.New("cloud: trouble")
-	// ErrNoCapacity: none of that type, zone and kind to be had now.
-	ErrNoCapacity = errors.New("cloud: no capacity")
-	// ErrNoAnswer: may have been, or may yet be, carried out.
-	ErrNoAnswer = errors.New("cloud: no answer")
-	// ErrMalformed: the cloud will never take this request.
-	ErrMalformed = errors.New("cloud: malformed")
-	// ErrNotOurs: this node may no longer own the pool; nothing was sent.
-	ErrNotOurs = errors.New("cloud: the pool may be another's")
+	// errUnavailable means that an outage, the cloud's rate limit or this client's own kept the
+	// call from being executed.
+	errUnavailable = errors.New("cloud: unavailable")
+	// errNoCapacity means that none of that type, zone and kind are to be had now.
+	errNoCapacity = errors.New("cloud: no capacity")
+	// errOutcomeUnknown means that no answer came: the call may have been executed, or may yet be.
+	errOutcomeUnknown = errors.New("cloud: no answer")
+	// errMalformed means that the cloud will never take this request.
+	errMalformed = errors.New("cloud: malformed")
+	// errNotLeader means that another node may be leader: nothing was sent.
+	errNotLeader = errors.New("cloud: another node may be leader")
+)
+
+const (
+	// callTimeout bounds a call, with the wait for this client's own rate limit.
+	callTimeout = 4 * time.Second
+	// rateShare is the share of the cloud's rate limit that this client uses: a failover briefly
+	// makes two leaders.
+	rateShare = 0.8
+	// listPageSize is the most machines that the cloud lists in one answer.
+	listPageSize = 500
 )
 
 // Cloud is the client of the cloud's interface.
 type Cloud struct {
-	base    string
-	http    *http.Client
-	tokens  *rate.Limiter
-	timeout time.Duration
+	http    *httpjson.Client
+	limiter *rate.Limiter
 }
 
-// NewCloud makes a client that stays below rps. Only the leader calls,
-// so the limit is its alone but for a takeover's overlap.
-func NewCloud(addr string, h *http.Client, rps float64) *Cloud {
-	return &Cloud{base: "http://" + addr, http: h, tokens: rate.NewLimiter(rate.Limit(rps*0.8), max(1, int(rps*0.8))), timeout: 4 * time.Second}
+// NewCloud makes a client for the cloud at address, a host with its port, that stays below callLimit
+// calls a second. Only the leader calls, so the limit is its alone but for a failover's overlap.
+func NewCloud(address string, httpClient *http.Client, callLimit float64) *Cloud {
+	own := callLimit * rateShare
+	return &Cloud{
+		http:    httpjson.NewClient(address, httpClient),
+		limiter: rate.NewLimiter(rate.Limit(own), max(1, int(own))),
+	}
 }
 
-// call makes one call. may, if given, is asked after the wait for tokens, right
-// before anything goes out.
-func (c *Cloud) call(ctx context.Context, method, path string, in, out any, may func() bool) error {
-	ctx, cancel := context.WithTimeout(ctx, c.timeout)
-	defer cancel()
-	if err := c.tokens.Wait(ctx); err != nil {
-		return fmt.Errorf("%w: own budget", ErrTrouble)
-	}
-	if may != nil && !may() {
-		return ErrNotOurs
-	}
-	purpose, _, _ := strings.Cut(path, "?")
-	measure.Process.Count("cloud "+method+" "+purpose, 1)
-	var body io.Reader
-	if in != nil {
-		raw, err := json.Marshal(in)
-		if err != nil {
-			return err
-		}
-		body = bytes.NewReader(raw)
-	}
-	req, err := http.NewRequestWithContext(ctx, method, c.base+path, body)
-	if err != nil {
-		return err
-	}
-	if in != nil {
-		req.Header.Set("Content-Type", "application/json")
-	}
-	res, err := c.http.Do(req)
-	if err != nil {
-		return fmt.Errorf("%w: %v", ErrNoAnswer, err)
-	}
-	defer res.Body.Close()
-	raw, err := io.ReadAll(res.Body)
-	if err != nil {
-		return fmt.Errorf("%w: %v", ErrNoAnswer, err)
-	}
-	switch res.StatusCode {
-	case 200:
-		if out == nil {
-			return nil
-		}
-		if err := json.Unmarshal(raw, out); err != nil {
-			return fmt.Errorf("%w: %v", ErrNoAnswer, err)
-		}
-		return nil
-	case 503:
-		if bytes.Contains(raw, []byte("no capacity")) {
-			return ErrNoCapacity
-		}
-		return ErrTrouble
-	case 429:
-		return ErrTrouble
-	case 400:
-		return fmt.Errorf("%w: %.200s", ErrMalformed, raw)
-	}
-	return fmt.Errorf("%w: status %d", ErrNoAnswer, res.StatusCode)
+// hasSpareCalls tells whether a call now would leave half of the rate limit's burst for others.
+func (c *Cloud) hasSpareCalls() bool {
+	return c.limiter.Tokens()-1 >= float64(c.limiter.Burst()/2)
 }
 
-// Types asks what is on offer.
+// Types reads the machine types on offer.
 func (c *Cloud) Types(ctx context.Context) ([]placement.Type, error) {
-	var out struct {
-		Builds []placement.Type `json:"builds"`
-	}
-	err := c.call(ctx, "GET", "/machine_types", nil, &out, nil)
-	return out.Builds, err
+	var answer typesAnswer
+	err := c.call(ctx, "GET", "/machine_types", nil, &answer, nil)
+	return answer.Types, err
 }
 
-// listPageSize is the most machines that the cloud lists in one answer.
-const listPageSize = 500
-
-// ListPage reads the page of the machine list that follows a machine's name; more tells
-// whether there is another after it.
-func (c *Cloud) ListPage(ctx context.Context, after ids.Machine) (page []claim.ListedMachine, more bool, err error) {
-	var out struct {
-		Hosts []claim.ListedMachine `json:"hosts"`
-		More  bool                  `json:"more"`
-	}
+// listPage reads the page of the machine list that follows a machine's name; more tells whether
+// there is another after it.
+func (c *Cloud) listPage(ctx context.Context, after ids.Machine) (page []claim.ListedMachine, more bool, err error) {
 	query := url.Values{"most": {strconv.Itoa(listPageSize)}}
 	if after != "" {
 		query.Set("after", string(after))
 	}
-	err = c.call(ctx, "GET", "/hosts?"+query.Encode(), nil, &out, nil)
-	return out.Hosts, out.More && len(out.Hosts) > 0, err
+	var answer listAnswer
+	err = c.call(ctx, "GET", "/hosts?"+query.Encode(), nil, &answer, nil)
+	return answer.machines(), answer.More && len(answer.Hosts) > 0, err
 }
 
-// HasSpareCalls tells whether a call now would leave half of the tokens for others.
-func (c *Cloud) HasSpareCalls() bool {
-	return c.tokens.Tokens()-1 >= float64(c.tokens.Burst()/2)
+// provision asks for machines and returns those that the cloud gave, perhaps fewer. The same request
+// may be sent again and provisions nothing twice.
+func (c *Cloud) provision(ctx context.Context, request provisioningRequest, isLeader func() bool) ([]ids.Machine, error) {
+	var answer machineNames
+	err := c.call(ctx, "POST", "/hosts", request, &answer, isLeader)
+	return answer.Machines, err
 }
 
-// Intent is a hire as it is stored before it is sent.
-type Intent struct {
-	Name  ids.Hire `json:"hire"`
-	Type  string   `json:"build"`
-	Zone  string   `json:"yard"`
-	Spot  bool     `json:"loaners"`
-	Count int      `json:"count"`
-	// Hosts are the machines rented, once that is known, where several shards have to tell
-	// whose they are.
-	Hosts []ids.Machine `json:"hosts,omitempty"`
-
-	tried bool // its name may be stored
+// delete returns machines to the cloud; once it succeeds they and all on them are gone.
+func (c *Cloud) delete(ctx context.Context, machines []ids.Machine, isLeader func() bool) error {
+	return c.call(ctx, "POST", "/hosts/delete", machineNames{machines}, nil, isLeader)
 }
 
-// Hire rents; the same name may be sent again and rents nothing twice.
-func (c *Cloud) Hire(ctx context.Context, in Intent, may func() bool) ([]ids.Machine, error) {
-	var out struct {
-		Hosts []ids.Machine `json:"hosts"`
+// call makes one call and decodes its answer. isLeader, if given, is asked after the wait for the
+// rate limit, right before anything goes out.
+func (c *Cloud) call(ctx context.Context, method, path string, body, answer any, isLeader func() bool) error {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+	defer cancel()
+	if err := c.limiter.Wait(ctx); err != nil {
+		return fmt.Errorf("%w: own budget", errUnavailable)
+	}
+	if isLeader != nil && !isLeader() {
+		return errNotLeader
+	}
+	purpose, _, _ := strings.Cut(path, "?")
+	measure.Process.Count("cloud "+method+" "+purpose, 1)
+	response, err := c.http.Do(ctx, method, path, body)
+	var noResponse *httpjson.NoResponseError
+	if errors.As(err, &noResponse) {
+		return fmt.Errorf("%w: %v", errOutcomeUnknown, err)
+	}
+	if err != nil {
+		return err
+	}
+	if err := checkStatus(response); err != nil || answer == nil {
+		return err
+	}
+	if err := json.Unmarshal(response.Body, answer); err != nil {
+		return fmt.Errorf("%w: %v", errOutcomeUnknown, err)
 	}
-	err := c.call(ctx, "POST", "/hosts", in, &out, may)
-	return out.Hosts, err
+	return nil
 }
 
-// Delete returns machines; once it succeeds they and all on them are gone.
-func (c *Cloud) Delete(ctx context.Context, names []ids.Machine, may func() bool) error {
-	return c.call(ctx, "POST", "/hosts/delete", map[string]any{"hosts": names}, nil, may)
+// checkStatus is the error that an answer stands for; nil if the call was executed.
+func checkStatus(response httpjson.Response) error {
+	switch response.Status {
+	case http.StatusOK:
+		return nil
+	case http.StatusServiceUnavailable:
+		if bytes.Contains(response.Body, []byte("no capacity")) {
+			return errNoCapacity
+		}
+		return errUnavailable
+	case http.StatusTooManyRequests:
+		return errUnavailable
+	case http.StatusBadRequest:
+		return fmt.Errorf("%w: %.200s", errMalformed, response.Body)
+	}
+	return fmt.Errorf("%w: status %d", errOutcomeUnknown, response.Status)
 }
--- /dev/null
+++ b/internal/fleet/cloud_test.go
@@ -0,0 +1,46 @@
+package fleet
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"net/http"
+	"slices"
+	"testing"
+	"testing/synctest"
+
+	"github.com/pebbletrail/pebbletrail/internal/claim"
+	"github.com/pebbletrail/pebbletrail/internal/fake"
+	"github.com/pebbletrail/pebbletrail/internal/ids"
+)
+
+func TestCloudTellsAnswersApart(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		ctx := context.Background()
+		network, cloud, _, _, provisioner := setup(0)
+		request := provisioningRequest{Name: "h", Type: "small", Count: 1}
+		if _, err := provisioner.Cloud.provision(ctx, request, nil); !errors.Is(err, errNoCapacity) {
+			t.Errorf("no room: %v", err)
+		}
+		cloud.SetDown(true)
+		if _, err := provisioner.Cloud.provision(ctx, request, nil); !errors.Is(err, errUnavailable) {
+			t.Errorf("outage: %v", err)
+		}
+		network.SetRule(func(_, _ string, _ *http.Request, _ []byte) fake.Fate { return fake.Swallow })
+		if err := provisioner.Cloud.delete(ctx, []ids.Machine{"host-1"}, nil); !errors.Is(err, errOutcomeUnknown) {
+			t.Errorf("silence: %v", err)
+		}
+	})
+}
+
+func TestMachineListIsReadInTheCloudsNames(t *testing.T) {
+	const page = `{"hosts":[{"uid":"host-1","endpoint":"10.1.0.1:9000","build":"g8","yard":"a","loaners":true,"status":"running","heldS":61.5}],"more":true}`
+	var answer listAnswer
+	if err := json.Unmarshal([]byte(page), &answer); err != nil {
+		t.Fatal(err)
+	}
+	want := []claim.ListedMachine{{Name: "host-1", Addr: "10.1.0.1:9000", Type: "g8", Zone: "a", Spot: true, Status: "running", Held: 61.5}}
+	if got := answer.machines(); !slices.Equal(got, want) || !answer.More {
+		t.Errorf("%+v, more %v, want %+v and more", got, answer.More, want)
+	}
+}
--- a/internal/fleet/large_fleet_test.go
+++ b/internal/fleet/large_fleet_test.go
@@ -11,42 +11,42 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 	"github.com/pebbletrail/pebbletrail/internal/placement"
 	"github.com/pebbletrail/pebbletrail/internal/record"
-	"github.com/pebbletrail/pebbletrail/internal/worker"
 )
 
 // largestFleet is how many machines the service is to run at.
 const largestFleet = 6000
 
-// rentAll rents n machines and has their workers report.
-func rentAll(ctx context.Context, t *testing.T, cluster *claim.ClusterState, cloud *Cloud, n int) {
+// provisionAll provisions so many machines and has their workers report.
+func provisionAll(ctx context.Context, t *testing.T, cluster *claim.ClusterState, cloud *Cloud, count int) {
 	t.Helper()
-	for i := range n / 50 {
-		names, err := cloud.Hire(ctx, Intent{Name: ids.Hire(fmt.Sprint("first-", i)), Type: "small", Zone: "north", Count: 50}, nil)
+	for i := range count / maxPerRequest {
+		request := provisioningRequest{Name: ids.Hire(fmt.Sprint("first-", i)), Type: "small", Zone: "north", Count: maxPerRequest}
+		machines, err := cloud.provision(ctx, request, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, name := range names {
-			cluster.ReconcileHeartbeat(&worker.Report{Machine: name, Addr: string(name) + ":1", Type: "small", Zone: "north", Session: 1, Tick: 1}, true, true)
+		for _, machine := range machines {
+			cluster.ReconcileHeartbeat(heartbeat(machine, 1), true, true)
 		}
 	}
 }
 
-func TestAHireDoesNotWaitForTheListOfALargeFleet(t *testing.T) {
+func TestRequestDoesNotWaitForTheListOfALargeFleet(t *testing.T) {
 	// Guards against reading all pages of the machine list before anything else: at six
 	// thousand machines that took the calls of three seconds, again and again.
 	synctest.Test(t, func(t *testing.T) {
 		ctx := context.Background()
-		network, cloud, cluster, _, p := setup(largestFleet + 100)
-		rentAll(ctx, t, cluster, p.Cloud, largestFleet)
-		p.Step(ctx)
+		network, cloud, cluster, _, provisioner := setup(largestFleet + 100)
+		provisionAll(ctx, t, cluster, provisioner.Cloud, largestFleet)
+		provisioner.Step(ctx)
 		// The platform's rate is five calls a second, and its list lags by five seconds.
-		p.Cloud, p.ListEvery = NewCloud("cloud:1", network.Client("a"), 5), 2500*time.Millisecond
+		provisioner.Cloud, provisioner.ListEvery = NewCloud("cloud:1", network.Client("a"), 5), 2500*time.Millisecond
 		lists, slowest := map[time.Time]bool{}, time.Duration(0)
 		step := func() {
-			p.Step(ctx)
+			provisioner.Step(ctx)
 			time.Sleep(250 * time.Millisecond)
-			if !p.list.reading {
-				lists[p.list.began] = true
+			if !provisioner.list.reading {
+				lists[provisioner.list.began] = true
 			}
 		}
 		for i := range 20 {
@@ -62,7 +62,7 @@
 			step()
 		}
 		if slowest > time.Second {
-			t.Errorf("a hire waited %v", slowest)
+			t.Errorf("a request waited %v", slowest)
 		}
 		if len(lists) < 2 {
 			t.Errorf("the machine list was read to its end %d times", len(lists))
--- a/internal/fleet/listing.go
+++ b/internal/fleet/listing.go
@@ -3,8 +3,10 @@
 import (
 	"context"
 	"log/slog"
+	"slices"
 	"time"
 
+	"github.com/pebbletrail/pebbletrail/internal/claim"
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
@@ -16,10 +18,10 @@
 	after    ids.Machine // the last machine read so far
 }
 
-// readList reads the machine list, which a large fleet spreads over many pages. Before it
-// was read to its end once nothing is hired, so all pages are read at once. Later it takes
-// only the calls that hires and returns leave, over as many steps as that needs: thousands
-// of machines would otherwise hold up each hire for as long as all the pages take.
+// readList reads the machine list, which a large fleet spreads over many pages. Before it was read
+// to its end once nothing is provisioned, so all pages are read at once. Later it takes only the
+// calls that requests and deletions leave, over as many steps as that needs: thousands of machines
+// would otherwise hold up each request for as long as all the pages take.
 func (p *Provisioner) readList(ctx context.Context, now time.Time) {
 	if !p.list.reading {
 		if !p.list.began.IsZero() && now.Sub(p.list.began) <= p.ListEvery {
@@ -27,13 +29,13 @@
 		}
 		p.list.reading, p.list.began, p.list.after = true, now, ""
 	}
-	for p.list.reading && (!p.list.complete || p.Cloud.HasSpareCalls()) {
-		page, more, err := p.Cloud.ListPage(ctx, p.list.after)
+	for p.list.reading && (!p.list.complete || p.Cloud.hasSpareCalls()) {
+		page, more, err := p.Cloud.listPage(ctx, p.list.after)
 		if err != nil {
 			slog.Debug("machine list not read", "after", p.list.after, "err", err)
 			return // goes on from here in the next step
 		}
-		p.Cluster.ReconcileCloudList(p.own(page), time.Now())
+		p.Cluster.ReconcileCloudList(p.ownedOf(page), time.Now())
 		if more {
 			p.list.after = page[len(page)-1].Name
 			continue
@@ -42,3 +44,11 @@
 		p.Cluster.CloudListRead(p.list.began)
 	}
 }
+
+// ownedOf keeps of a page of the machine list what belongs to this shard.
+func (p *Provisioner) ownedOf(page []claim.ListedMachine) []claim.ListedMachine {
+	if p.Owns == nil {
+		return page
+	}
+	return slices.DeleteFunc(slices.Clone(page), func(machine claim.ListedMachine) bool { return !p.Owns(machine.Name) })
+}
--- /dev/null
+++ b/internal/fleet/provisioner_test.go
@@ -0,0 +1,193 @@
+package fleet
+
+import (
+	"context"
+	"net/http"
+	"strings"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/pebbletrail/pebbletrail/internal/claim"
+	"github.com/pebbletrail/pebbletrail/internal/config"
+	"github.com/pebbletrail/pebbletrail/internal/fake"
+	"github.com/pebbletrail/pebbletrail/internal/ids"
+	"github.com/pebbletrail/pebbletrail/internal/placement"
+	"github.com/pebbletrail/pebbletrail/internal/record"
+	"github.com/pebbletrail/pebbletrail/internal/state"
+	"github.com/pebbletrail/pebbletrail/internal/worker"
+)
+
+// requestStore is a store of the names of provisioning requests: each must be there before it is
+// sent.
+type requestStore struct {
+	names map[string]bool
+	down  bool
+	lose  int // so many writes get no answer and are not executed
+}
+
+func (s *requestStore) Apply(_ context.Context, ops []state.Op) error {
+	if s.down {
+		return state.ErrRefused
+	}
+	if s.lose > 0 {
+		s.lose--
+		return state.ErrUnknown
+	}
+	for _, op := range ops {
+		if op.Put != "" {
+			s.names[strings.TrimPrefix(op.Put, record.KeysOf(0, 1).Hires())] = true
+		} else {
+			delete(s.names, strings.TrimPrefix(op.Remove, record.KeysOf(0, 1).Hires()))
+		}
+	}
+	return nil
+}
+
+func testSettings() *config.Settings {
+	settings := &config.Settings{Own: config.Defaults()}
+	settings.Params.Workers = config.Workers{ReportS: 2, LeaseS: 20, GangWaitS: 30, GangPeerS: 5, CancelS: 40}
+	settings.Params.State = config.State{RPS: 100, WriteRPS: 100, ValueKB: 8, TxnOps: 12}
+	settings.Params.Teams = []config.Team{{Name: "red"}}
+	settings.Params.Zones = []string{"north", "south"}
+	return settings
+}
+
+func job(id ids.Job, tasks int) *record.Record {
+	return record.New(record.Spec{ID: id, Class: "c", Team: "red", Shape: record.Array, Tasks: tasks, Estimate: 100,
+		Need: placement.Room{Cores: 4, RAM: 4}}, ids.WallOf(time.Now()), "user")
+}
+
+// setup makes a provisioner of a cloud that has so many machines.
+func setup(capacity int) (*fake.Net, *fake.Cloud, *claim.ClusterState, *requestStore, *Provisioner) {
+	network, cloud := fake.NewNet(), fake.NewCloud(capacity)
+	network.Listen("cloud:1", cloud)
+	cluster := claim.NewClusterState(testSettings(), "w", 7, time.Now())
+	store := &requestStore{names: map[string]bool{}}
+	provisioner := &Provisioner{Cloud: NewCloud("cloud:1", network.Client("a"), 50), Cluster: cluster, Store: store,
+		Keys: record.KeysOf(0, 1), Gen: 7, ListEvery: time.Second}
+	return network, cloud, cluster, store, provisioner
+}
+
+// stepEverySecond has the provisioner do so many rounds.
+func stepEverySecond(ctx context.Context, provisioner *Provisioner, rounds int) {
+	for range rounds {
+		provisioner.Step(ctx)
+		time.Sleep(time.Second)
+	}
+}
+
+func TestRequestIsStoredBeforeItIsSentAndNeverDoubled(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		ctx := context.Background()
+		network, cloud, cluster, store, provisioner := setup(10)
+		cluster.HandleRecord("job-1", 1, job("job-1", 2), time.Now())
+		sent := map[string]int{}
+		network.SetRule(func(_, _ string, request *http.Request, body []byte) fake.Fate {
+			if request.Method == "POST" && request.URL.Path == "/hosts" {
+				for name := range store.names {
+					if strings.Contains(string(body), `"`+name+`"`) {
+						sent[name]++
+						if sent[name] == 1 {
+							return fake.LoseAnswer
+						}
+						return fake.Deliver
+					}
+				}
+				t.Errorf("sent without being stored: %s", body)
+			}
+			return fake.Deliver
+		})
+		store.down = true
+		provisioner.Step(ctx)
+		if len(cloud.Hires()) != 0 {
+			t.Fatal("requested although the name could not be stored")
+		}
+		store.down = false
+		store.lose = 2 // an answer that never comes is no answer either
+		provisioner.Step(ctx)
+		if len(cloud.Hires()) != 0 {
+			t.Fatal("requested although nothing says that the name is stored")
+		}
+		stepEverySecond(ctx, provisioner, 6)
+		if total := countProvisioned(cloud); total != 2 || len(store.names) != 0 {
+			t.Fatalf("provisioned %d for two tasks; still stored: %v", total, store.names)
+		}
+	})
+}
+
+func TestNextLeaderLearnsWhatWasProvisioned(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		ctx := context.Background()
+		_, cloud, cluster, _, provisioner := setup(10)
+		provisioner.Adopt([]state.Entry{{Value: []byte(`{"hire":"h-3-1","build":"small","yard":"north","loaners":false,"count":2}`)}})
+		provisioner.Step(ctx)
+		if len(cloud.Hires()["h-3-1"]) != 2 || cluster.Summary()["machines"] != 2 {
+			t.Fatalf("requests %v, machines %v", cloud.Hires(), cluster.Summary()["machines"])
+		}
+	})
+}
+
+func TestStuckBootsAndUnknownMachinesAreDeleted(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		ctx := context.Background()
+		_, cloud, cluster, _, provisioner := setup(3)
+		cluster.HandleRecord("job-1", 1, job("job-1", 1), time.Now())
+		stepEverySecond(ctx, provisioner, 250)
+		if gone := cloud.Gone(); len(gone) == 0 || gone[0] != "host-000001" {
+			t.Fatalf("a machine that never came up was kept: %v", gone)
+		}
+		// Nobody requested this one; it reports, has nothing to do and is deleted.
+		cluster.ReconcileHeartbeat(&worker.Report{Machine: "host-000777", Type: "small", Zone: "north", Session: 1, Tick: 1}, true, true)
+		cluster.HandleRecord("job-1", 99, nil, time.Now())
+		for i := range 90 {
+			cluster.ReconcileHeartbeat(&worker.Report{Machine: "host-000777", Type: "small", Zone: "north", Session: 1, Tick: ids.Tick(i + 2)}, true, true)
+			provisioner.Step(ctx)
+			time.Sleep(time.Second)
+		}
+		if !strings.Contains(strings.Join(cloud.Gone(), " "), "host-000777") {
+			t.Fatalf("the unknown machine was kept: %v", cloud.Gone())
+		}
+	})
+}
+
+func TestLeaderThatStoodStillSendsNoDeletionOrRequest(t *testing.T) {
+	// Guards against a leader frozen between deciding and sending: the cloud knows
+	// no tokens, and its successor may have work on the machine by then.
+	synctest.Test(t, func(t *testing.T) {
+		ctx := context.Background()
+		_, cloud, cluster, _, provisioner := setup(10)
+		cluster.HandleRecord("job-1", 1, job("job-1", 2), time.Now())
+		provisioner.Step(ctx)
+		if len(cloud.Hires()) == 0 {
+			t.Fatal("nothing was provisioned")
+		}
+		time.Sleep(5 * time.Minute) // they never come up
+		asked := 0
+		provisioner.Sure = func() bool { asked++; return false }
+		cluster.HandleRecord("job-2", 2, job("job-2", 4), time.Now())
+		requests := len(cloud.Hires())
+		stepEverySecond(ctx, provisioner, 5)
+		if asked == 0 || len(cloud.Gone()) != 0 || len(cloud.Hires()) != requests {
+			t.Errorf("asked %d times; deleted %v, %d requests", asked, cloud.Gone(), len(cloud.Hires())-requests)
+		}
+		provisioner.Sure = func() bool { return true }
+		stepEverySecond(ctx, provisioner, 5)
+		if len(cloud.Gone()) == 0 || len(cloud.Hires()) == requests {
+			t.Errorf("the sure leader deleted %v and made %d requests", cloud.Gone(), len(cloud.Hires())-requests)
+		}
+	})
+}
+
+// heartbeat is the report of a machine with a sequence number.
+func heartbeat(machine ids.Machine, sequence ids.Tick) *worker.Report {
+	return &worker.Report{Machine: machine, Addr: string(machine) + ":1", Type: "small", Zone: "north", Session: 1, Tick: sequence}
+}
+
+// countProvisioned is how many machines the cloud has given in all.
+func countProvisioned(cloud *fake.Cloud) (count int) {
+	for _, machines := range cloud.Hires() {
+		count += len(machines)
+	}
+	return count
+}
--- /dev/null
+++ b/internal/fleet/requests.go
@@ -0,0 +1,205 @@
+package fleet
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"log/slog"
+	"slices"
+	"time"
+
+	"github.com/pebbletrail/pebbletrail/internal/ids"
+	"github.com/pebbletrail/pebbletrail/internal/placement"
+	"github.com/pebbletrail/pebbletrail/internal/state"
+)
+
+// maxPerRequest is the most machines that one request asks for.
+const maxPerRequest = 50
+
+// requests are the provisioning requests of a leader by how far they are.
+type requests struct {
+	sequence    int                   // of the last one made
+	unconfirmed []provisioningRequest // perhaps stored: not to be sent until they surely are
+	outstanding []provisioningRequest // stored, without an answer that is sure
+	// fulfilled are those that stay stored with the names of their machines.
+	fulfilled map[ids.Hire]provisioningRequest
+}
+
+// anyOutstanding tells whether some may provision machines that are not known yet.
+func (r *requests) anyOutstanding() bool { return len(r.unconfirmed) > 0 || len(r.outstanding) > 0 }
+
+// isOutstanding tells whether a request of that name may have no answer yet.
+func (r *requests) isOutstanding(name ids.Hire) bool {
+	named := func(request provisioningRequest) bool { return request.Name == name }
+	return slices.ContainsFunc(r.outstanding, named) || slices.ContainsFunc(r.unconfirmed, named)
+}
+
+// removeOutstanding drops a request that was answered.
+func (r *requests) removeOutstanding(name ids.Hire) {
+	at := slices.IndexFunc(r.outstanding, func(request provisioningRequest) bool { return request.Name == name })
+	if at >= 0 {
+		r.outstanding = slices.Delete(r.outstanding, at, at+1)
+	}
+}
+
+// addFulfilled notes a request that is stored with its machines, if it has any.
+func (r *requests) addFulfilled(request provisioningRequest) {
+	if r.fulfilled == nil {
+		r.fulfilled = map[ids.Hire]provisioningRequest{}
+	}
+	if len(request.Machines) > 0 {
+		r.fulfilled[request.Name] = request
+	}
+}
+
+// removeMachine takes a machine that was deleted off its request, and returns the request's name if
+// it was the last one.
+func (r *requests) removeMachine(machine ids.Machine) (emptied ids.Hire, isEmpty bool) {
+	for name, request := range r.fulfilled {
+		at := slices.Index(request.Machines, machine)
+		if at < 0 {
+			continue
+		}
+		request.Machines = slices.Delete(slices.Clone(request.Machines), at, at+1)
+		r.fulfilled[name] = request
+		if len(request.Machines) == 0 {
+			delete(r.fulfilled, name)
+			return name, true
+		}
+		return "", false
+	}
+	return "", false
+}
+
+// Adopt takes over the requests that an earlier leader stored: sending those without an answer again
+// tells what they provisioned.
+func (p *Provisioner) Adopt(entries []state.Entry) {
+	for _, entry := range entries {
+		var request provisioningRequest
+		if err := json.Unmarshal(entry.Value, &request); err != nil || request.Name == "" {
+			continue
+		}
+		if request.Machines == nil {
+			p.requests.outstanding = append(p.requests.outstanding, request)
+			continue
+		}
+		p.requests.addFulfilled(request)
+		p.Cluster.MachinesRented(request.Machines, request.wanted(), time.Now())
+	}
+}
+
+// provision stores a request before sending it: whoever is leader next can learn what it
+// provisioned, and no name is ever used for two requests.
+func (p *Provisioner) provision(ctx context.Context, wanted placement.Hire) {
+	p.requests.sequence++
+	wanted.Count = min(wanted.Count, maxPerRequest)
+	p.storeAndSend(ctx, newRequest(p.requestName(), wanted))
+}
+
+// requestName names the next request. Generations of different shards may be alike, names may not.
+func (p *Provisioner) requestName() ids.Hire {
+	if p.Owns == nil {
+		return ids.Hire(fmt.Sprintf("h-%d-%d", p.Gen, p.requests.sequence))
+	}
+	return ids.Hire(fmt.Sprintf("h-s%d-%d-%d", p.Shard, p.Gen, p.requests.sequence))
+}
+
+func (p *Provisioner) storeAndSend(ctx context.Context, request provisioningRequest) {
+	if p.storeRequest(ctx, request) {
+		p.sendRequest(ctx, request)
+	}
+}
+
+// retryRequests stores again what may not be stored, and sends again what has no answer.
+func (p *Provisioner) retryRequests(ctx context.Context) {
+	unconfirmed := p.requests.unconfirmed
+	p.requests.unconfirmed = nil
+	for _, request := range unconfirmed {
+		p.storeRequest(ctx, request)
+	}
+	for _, request := range slices.Clone(p.requests.outstanding) {
+		p.sendRequest(ctx, request)
+	}
+}
+
+// storeRequest stores a request, and tells whether it surely is. One whose answer was lost may be
+// stored yet, after all that this leader writes now; so it is stored again rather than forgotten.
+func (p *Provisioner) storeRequest(ctx context.Context, request provisioningRequest) bool {
+	err := p.putRequest(ctx, request)
+	if err == nil {
+		p.requests.outstanding = append(p.requests.outstanding, request)
+		return true
+	}
+	slog.Debug("provisioning request not stored", "request", request.Name, "err", err)
+	var conflict *state.Conflict
+	if !errors.As(err, &conflict) && (errors.Is(err, state.ErrUnknown) || request.attempted) {
+		request.attempted = true
+		p.requests.unconfirmed = append(p.requests.unconfirmed, request)
+	}
+	return false
+}
+
+// sendRequest sends a stored request and takes in its answer. Without one it stays outstanding: it
+// is sent again under the same name.
+func (p *Provisioner) sendRequest(ctx context.Context, request provisioningRequest) {
+	machines, err := p.Cloud.provision(ctx, request, p.Sure)
+	switch {
+	case err == nil && p.Owns != nil && !p.storeMachines(ctx, request, machines):
+		return // sent again, which provisions nothing more
+	case err == nil:
+		p.noteProvisioned(request, machines)
+	case errors.Is(err, errNoCapacity):
+		p.noteRefused(request.offer(), refusalPeriod)
+	case errors.Is(err, errMalformed):
+		slog.Error("the cloud calls a provisioning request malformed", "request", request.Name, "err", err)
+		p.noteRefused(request.offer(), malformedPeriod)
+	default:
+		return
+	}
+	if _, fulfilled := p.requests.fulfilled[request.Name]; !fulfilled {
+		p.removeRequest(ctx, request.Name)
+	}
+	p.requests.removeOutstanding(request.Name)
+}
+
+// noteProvisioned tells the cluster of new machines.
+func (p *Provisioner) noteProvisioned(request provisioningRequest, machines []ids.Machine) {
+	slog.Info("machines provisioned", "request", request.Name, "type", request.Type, "zone", request.Zone, "spot", request.Spot,
+		"asked", request.Count, "got", len(machines))
+	p.Cluster.MachinesRented(machines, request.wanted(), time.Now())
+	p.Cluster.DrainProvisioned(request.Name, machines)
+	if len(machines) < request.Count {
+		p.noteRefused(request.offer(), refusalPeriod)
+	}
+}
+
+// storeMachines stores which machines a request provisioned, before anything is started on them:
+// they are this shard's from then on.
+func (p *Provisioner) storeMachines(ctx context.Context, request provisioningRequest, machines []ids.Machine) bool {
+	request.Machines = machines
+	if err := p.putRequest(ctx, request); err != nil {
+		slog.Debug("machines of a provisioning request not stored", "request", request.Name, "err", err)
+		return false
+	}
+	p.requests.addFulfilled(request)
+	return true
+}
+
+// putRequest writes a request to the store.
+func (p *Provisioner) putRequest(ctx context.Context, request provisioningRequest) error {
+	raw, err := json.Marshal(request)
+	if err != nil {
+		return err
+	}
+	return p.Store.Apply(ctx, []state.Op{{Put: p.requestKey(request.Name), Value: raw}})
+}
+
+// removeRequest removes what is stored of a request.
+func (p *Provisioner) removeRequest(ctx context.Context, name ids.Hire) {
+	if err := p.Store.Apply(ctx, []state.Op{{Remove: p.requestKey(name)}}); err != nil {
+		slog.Debug("provisioning request not removed", "request", name, "err", err)
+	}
+}
+
+func (p *Provisioner) requestKey(name ids.Hire) string { return p.Keys.Hires() + string(name) }
--- /dev/null
+++ b/internal/fleet/scale_in.go
@@ -0,0 +1,62 @@
+package fleet
+
+import (
+	"context"
+	"log/slog"
+	"slices"
+	"time"
+
+	"github.com/pebbletrail/pebbletrail/internal/claim"
+	"github.com/pebbletrail/pebbletrail/internal/ids"
+	"github.com/pebbletrail/pebbletrail/internal/placement"
+)
+
+const (
+	// maxPerDeletion is the most machines that one call deletes.
+	maxPerDeletion = 100
+	// consolidateInterval spaces the looks for a machine to empty: each weighs the whole fleet
+	// anew.
+	consolidateInterval = 1500 * time.Millisecond
+)
+
+// deleteUnneeded deletes the machines that the cluster gives up.
+func (p *Provisioner) deleteUnneeded(ctx context.Context, needed map[ids.Machine]bool) {
+	for batch := range slices.Chunk(p.Cluster.MachinesToTerminate(time.Now(), needed), maxPerDeletion) {
+		if err := p.Cloud.delete(ctx, batch, p.Sure); err != nil {
+			slog.Debug("deletion not confirmed", "err", err)
+			return // asked again next round, until it is confirmed
+		}
+		for _, machine := range batch {
+			p.Cluster.MachineTerminated(machine)
+			if request, isEmpty := p.requests.removeMachine(machine); isEmpty {
+				p.removeRequest(ctx, request)
+			}
+		}
+	}
+}
+
+// consolidate finds a machine whose services the others could take over with nothing provisioned for
+// it, and lets it be emptied.
+func (p *Provisioner) consolidate() {
+	now := time.Now()
+	if now.Sub(p.consolidatedAt) < consolidateInterval {
+		return
+	}
+	p.consolidatedAt = now
+	for _, candidate := range p.Cluster.ConsolidationCandidates(now) {
+		if p.canDoWithout(candidate, now) {
+			p.Cluster.Consolidate(candidate.Name, now)
+			return
+		}
+	}
+}
+
+// canDoWithout tells whether the machines that are up could take a machine's services as well.
+func (p *Provisioner) canDoWithout(candidate claim.ConsolidationCandidate, now time.Time) bool {
+	demands, machines, types := p.Cluster.CapacityDemands(now)
+	others := slices.DeleteFunc(machines, func(machine placement.Up) bool {
+		return machine.Name == candidate.Name || machine.Coming
+	})
+	wanted, _ := placement.Rent(slices.Concat(candidate.Needs, demands), others, types, anyOffer)
+	return len(wanted) == 0
+}
--- /dev/null
+++ b/internal/fleet/shards_test.go
@@ -0,0 +1,121 @@
+package fleet
+
+import (
+	"context"
+	"strings"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/pebbletrail/pebbletrail/internal/claim"
+	"github.com/pebbletrail/pebbletrail/internal/ids"
+	"github.com/pebbletrail/pebbletrail/internal/placement"
+	"github.com/pebbletrail/pebbletrail/internal/record"
+	"github.com/pebbletrail/pebbletrail/internal/state"
+)
+
+// valueStore is a store that also keeps what is stored of requests.
+type valueStore struct {
+	requestStore
+	values map[string]string
+}
+
+func (s *valueStore) Apply(ctx context.Context, ops []state.Op) error {
+	if err := s.requestStore.Apply(ctx, ops); err != nil {
+		return err
+	}
+	for _, op := range ops {
+		delete(s.values, op.Remove)
+		if op.Put != "" {
+			s.values[op.Put] = string(op.Value)
+		}
+	}
+	return nil
+}
+
+func TestRequestOfOneOfSeveralShardsNamesItsMachinesUntilTheyAreDeleted(t *testing.T) {
+	// Guards against a machine that is used before it is stored whose it is, and against
+	// requests that stay stored for ever.
+	synctest.Test(t, func(t *testing.T) {
+		ctx := context.Background()
+		_, cloud, cluster, _, provisioner := setup(2)
+		store := &valueStore{requestStore{names: map[string]bool{}}, map[string]string{}}
+		provisioner.Store, provisioner.Keys, provisioner.Shard = store, record.KeysOf(1, 3), 1
+		provisioner.Owns = func(ids.Machine) bool { return true }
+		provisioner.OthersLack = func() (time.Duration, int) { return 0, 1 }
+		cluster.HandleRecord("job-1", 1, job("job-1", 1), time.Now())
+		provisioner.Step(ctx)
+		key := "pool/~1/hire/h-s1-7-1"
+		if !strings.Contains(store.values[key], `"hosts":["host-000001"]`) {
+			t.Fatalf("stored: %v", store.values)
+		}
+		// A successor knows the machine from what is stored.
+		next := &Provisioner{Cluster: claim.NewClusterState(testSettings(), "w", 8, time.Now())}
+		next.Adopt([]state.Entry{{Key: key, Value: []byte(store.values[key])}})
+		if next.Cluster.Summary()["machines"] != 1 || len(next.requests.outstanding) != 0 {
+			t.Errorf("a successor knows %v machines and %d outstanding requests", next.Cluster.Summary()["machines"], len(next.requests.outstanding))
+		}
+		// More is wanted than there is: the others are told.
+		cluster.HandleRecord("job-2", 2, job("job-2", 40), time.Now())
+		stepEverySecond(ctx, provisioner, 8)
+		if cluster.Shortage().For == 0 {
+			t.Error("the cloud refuses what waits, and nobody is told")
+		}
+		stepEverySecond(ctx, provisioner, 300) // they never come up and are deleted
+		if len(cloud.Gone()) == 0 {
+			t.Fatal("nothing was deleted")
+		}
+		for _, machine := range cloud.Gone() {
+			for storedAt, value := range store.values {
+				if strings.Contains(value, machine) && len(provisioner.requests.fulfilled) == 0 {
+					t.Errorf("%s still names %s", storedAt, machine)
+				}
+			}
+		}
+		if _, kept := store.values[key]; kept {
+			t.Error("the request is stored although its machine is deleted")
+		}
+	})
+}
+
+func TestIdleMachinesAreGivenUpForShardsWithAShortage(t *testing.T) {
+	// Guards against jobs of a shard that wait for good while another one holds machines.
+	cluster := claim.NewClusterState(testSettings(), "w", 7, time.Now())
+	cluster.SetMachineTypes([]placement.Type{{Label: "small", Cores: 4, RAM: 16, Zones: []string{"north"}}})
+	for _, machine := range []ids.Machine{"busy", "idle", "spare"} {
+		cluster.ReconcileHeartbeat(heartbeat(machine, 1), true, true)
+	}
+	now := time.Now()
+	if deleted := cluster.MachinesToTerminate(now, map[ids.Machine]bool{"busy": true}); len(deleted) != 0 {
+		t.Fatalf("deleted %v although nobody has a shortage", deleted)
+	}
+	cluster.ShareCapacity(time.Second, 1, now)
+	if deleted := cluster.MachinesToTerminate(now, map[ids.Machine]bool{"busy": true}); len(deleted) != 2 {
+		t.Errorf("deleted %v, not what is idle", deleted)
+	}
+	cluster.ShareCapacity(time.Minute, 3, now)
+	if cluster.Summary()["draining"] != 0 {
+		t.Error("a shard with its part gives a machine up")
+	}
+	for range 3 {
+		cluster.ShareCapacity(time.Minute, 1, now)
+	}
+	if cluster.Summary()["draining"] != 1 {
+		t.Errorf("%v machines are given up at once", cluster.Summary()["draining"])
+	}
+}
+
+func TestMachinesThatTheCloudDoesNotListAreNotWaitedFor(t *testing.T) {
+	// Guards against a leader whose machines were all deleted right before its failover: it
+	// heard of none, took that for its own being cut off, and requested nothing for good.
+	synctest.Test(t, func(t *testing.T) {
+		ctx := context.Background()
+		_, cloud, cluster, _, provisioner := setup(2)
+		cluster.ApplyHints(map[ids.Machine]claim.Hint{"gone": {Name: "gone", Addr: "gone:1", Type: "small", Zone: "north", Session: 1}}, time.Now())
+		cluster.HandleRecord("job-1", 1, job("job-1", 1), time.Now())
+		stepEverySecond(ctx, provisioner, 40)
+		if len(cloud.Hires()) == 0 {
+			t.Error("nothing was requested for a job that waits")
+		}
+	})
+}
