--- a/internal/state/client.go
+++ b/internal/state/client.go
@@ -117,8 +117,8 @@
 	}
 }
 
-// Commit applies a transaction and returns the epoch of its changes. The error is a *Conflict if
-// conditions failed.
+// Commit applies a transaction and returns the epoch of its changes. A typed error names the keys
+// whose conditions failed.
 func (c *Client) Commit(ctx context.Context, txn Txn, urgency Urgency) (ids.Epoch, error) {
 	if err := c.budget.acquire(ctx, urgency, len(txn.Then)); err != nil {
 		return 0, err
--- a/internal/state/watchcache.go
+++ b/internal/state/watchcache.go
@@ -13,7 +13,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-// Mirror is a watch cache: it keeps a copy of the keys below a prefix, a little behind the store.
+// Mirror keeps a copy of the keys below a prefix, a little behind the store.
 //
 // Run follows the store's changes. Sync brings the copy up to date on demand, by a goroutine of its
 // own that ends when nobody waits for it any more; it uses the context of Run.
