--- a/internal/fleet/cloud.go
+++ b/internal/fleet/cloud.go
@@ -72,7 +72,7 @@
 // Types reads the machine types on offer.
 func (c *Cloud) Types(ctx context.Context) ([]placement.Type, error) {
 	var answer typesAnswer
-	err := c.call(ctx, "GET", "/machine_types", nil, &answer, nil)
+	err := c.call(ctx, http.MethodGet, "/machine_types", nil, &answer, nil)
 	return answer.Types, err
 }
 
@@ -84,7 +84,7 @@
 		query.Set("after", string(after))
 	}
 	var answer listAnswer
-	err = c.call(ctx, "GET", "/hosts?"+query.Encode(), nil, &answer, nil)
+	err = c.call(ctx, http.MethodGet, "/hosts?"+query.Encode(), nil, &answer, nil)
 	return answer.machines(), answer.More && len(answer.Hosts) > 0, err
 }
 
@@ -92,13 +92,13 @@
 // may be sent again and provisions nothing twice.
 func (c *Cloud) provision(ctx context.Context, request provisioningRequest, isLeader func() bool) ([]ids.Machine, error) {
 	var answer machineNames
-	err := c.call(ctx, "POST", "/hosts", request, &answer, isLeader)
+	err := c.call(ctx, http.MethodPost, "/hosts", request, &answer, isLeader)
 	return answer.Machines, err
 }
 
 // delete returns machines to the cloud; once it succeeds they and all on them are gone.
 func (c *Cloud) delete(ctx context.Context, machines []ids.Machine, isLeader func() bool) error {
-	return c.call(ctx, "POST", "/hosts/delete", machineNames{machines}, nil, isLeader)
+	return c.call(ctx, http.MethodPost, "/hosts/delete", machineNames{machines}, nil, isLeader)
 }
 
 // call makes one call and decodes its answer. isLeader, if given, is asked after the wait for the
--- a/internal/state/client.go
+++ b/internal/state/client.go
@@ -66,7 +66,7 @@
 	if err := c.budget.acquire(ctx, urgency, 0); err != nil {
 		return entry, false, err
 	}
-	status, err := c.call(ctx, CallTimeout, "GET", "/kv/"+key, nil, &entry)
+	status, err := c.call(ctx, CallTimeout, http.MethodGet, "/kv/"+key, nil, &entry)
 	return entry, err == nil && status == http.StatusOK, err
 }
 
@@ -76,7 +76,7 @@
 		return 0, err
 	}
 	var answer epochAnswer
-	status, err := c.call(ctx, CallTimeout, "GET", "/kv/"+absentKey, nil, &answer)
+	status, err := c.call(ctx, CallTimeout, http.MethodGet, "/kv/"+absentKey, nil, &answer)
 	return answer.Epoch, requireStatus(http.StatusNotFound, status, err)
 }
 
@@ -91,7 +91,7 @@
 		query.Set("after", after)
 	}
 	var answer listAnswer
-	status, err := c.call(ctx, longCallTimeout, "GET", "/kv?"+query.Encode(), nil, &answer)
+	status, err := c.call(ctx, longCallTimeout, http.MethodGet, "/kv?"+query.Encode(), nil, &answer)
 	return answer.Entries, answer.More, answer.Epoch, requireStatus(http.StatusOK, status, err)
 }
 
@@ -124,7 +124,7 @@
 		return 0, err
 	}
 	var answer commitAnswer
-	status, err := c.call(ctx, CallTimeout, "POST", "/commit", txn, &answer)
+	status, err := c.call(ctx, CallTimeout, http.MethodPost, "/commit", txn, &answer)
 	if err == nil && status == http.StatusConflict {
 		return 0, &Conflict{Failed: answer.FailedKeys, Epoch: answer.Epoch}
 	}
@@ -146,7 +146,7 @@
 		"holdMs": {strconv.FormatInt(wait.Milliseconds(), 10)},
 	}
 	var answer watchAnswer
-	status, err := c.call(ctx, wait+longCallTimeout, "GET", watchPath+"?"+query.Encode(), nil, &answer)
+	status, err := c.call(ctx, wait+longCallTimeout, http.MethodGet, watchPath+"?"+query.Encode(), nil, &answer)
 	if err == nil && status == http.StatusGone {
 		return 0, nil, errCompacted
 	}
--- a/internal/state/lease.go
+++ b/internal/state/lease.go
@@ -16,18 +16,18 @@
 		return 0, err
 	}
 	var answer leaseAnswer
-	status, err := c.call(ctx, CallTimeout, "POST", "/holds", map[string]int64{"lifeMs": ttl.Milliseconds()}, &answer)
+	status, err := c.call(ctx, CallTimeout, http.MethodPost, "/holds", map[string]int64{"lifeMs": ttl.Milliseconds()}, &answer)
 	return answer.Lease, requireStatus(http.StatusOK, status, err)
 }
 
 // RenewLease gives a lease its full time again; ErrNoLease if it has expired.
 func (c *Client) RenewLease(ctx context.Context, lease ids.Lease) error {
-	return c.callOnLease(ctx, "POST", fmt.Sprintf("/holds/%d/renew", lease))
+	return c.callOnLease(ctx, http.MethodPost, fmt.Sprintf("/holds/%d/renew", lease))
 }
 
 // EndLease ends a lease at once, and with it the keys attached; ErrNoLease if it has expired.
 func (c *Client) EndLease(ctx context.Context, lease ids.Lease) error {
-	return c.callOnLease(ctx, "DELETE", fmt.Sprintf("/holds/%d", lease))
+	return c.callOnLease(ctx, http.MethodDelete, fmt.Sprintf("/holds/%d", lease))
 }
 
 func (c *Client) callOnLease(ctx context.Context, method, path string) error {
