--- a/internal/state/acquire.go
+++ b/internal/state/acquire.go
@@ -23,7 +23,7 @@
 	Spare
 )
 
-// reserves are the shares of a bucket that calls leave untouched, the less urgent ones more.
+// reserves are the shares of a bucket that calls leave untouched.
 var reserves = [...]float64{Urgent: 0, Normal: 0.25, Spare: 0.15}
 
 // leaderReserve is the share of the leader's bucket that its users leave untouched.
