--- a/cmd/pebbletrail/machine_types.go
+++ b/cmd/pebbletrail/machine_types.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"github.com/pebbletrail/pebbletrail/internal/claim"
+	"github.com/pebbletrail/pebbletrail/internal/election"
 	"github.com/pebbletrail/pebbletrail/internal/fleet"
 	"github.com/pebbletrail/pebbletrail/internal/placement"
 	"github.com/pebbletrail/pebbletrail/internal/record"
@@ -18,7 +18,7 @@
 // submissions; the owner stores them for times when the cloud is down.
 type machineTypes struct {
 	cloud  *fleet.Cloud
-	shards *claim.Shards
+	shards *election.Shards
 	mu     sync.Mutex
 	types  []placement.Type
 	kept   string // what was last stored, without prices
--- a/cmd/pebbletrail/serve.go
+++ b/cmd/pebbletrail/serve.go
@@ -15,8 +15,8 @@
 
 	"github.com/labstack/echo/v4"
 
-	"github.com/pebbletrail/pebbletrail/internal/claim"
 	"github.com/pebbletrail/pebbletrail/internal/config"
+	"github.com/pebbletrail/pebbletrail/internal/election"
 	"github.com/pebbletrail/pebbletrail/internal/fleet"
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 	"github.com/pebbletrail/pebbletrail/internal/intake"
@@ -86,7 +86,7 @@
 	incarnation string
 	state       *state.Client
 	cloud       *fleet.Cloud
-	shards      *claim.Shards
+	shards      *election.Shards
 	link        *peer.Link
 	types       *machineTypes
 	// rollouts is this node's copy of the stored rollouts; nil where drains are off.
@@ -102,14 +102,14 @@
 	c.state.Budget().SplitLeaderShare(set.Shards())
 	c.cloud = fleet.NewCloud(set.Services.Cloud, client(4, 4), set.Params.Cloud.RPS/float64(set.Shards()))
 	commander := &worker.Commander{HTTP: client(2, set.Sockets().Direct/2), Timeout: 3 * time.Second}
-	c.shards = claim.NewShards(set, c.state, commander, incarnation)
+	c.shards = election.NewShards(set, c.state, commander, incarnation)
 	c.shards.Refuse = refuse
 	c.link = peer.NewLink(set, c.shards, c.state)
 	c.types = &machineTypes{cloud: c.cloud, shards: c.shards}
 	for i, pool := range c.shards.Pools() {
 		shard := ids.Shard(i)
 		pool.Peers = c.link.ForShard(shard)
-		pool.OnTerm = func(ctx context.Context, t *claim.Term) { c.provision(ctx, pool, shard, t) }
+		pool.OnTerm = func(ctx context.Context, t *election.Term) { c.provision(ctx, pool, shard, t) }
 	}
 	if set.DrainsEnabled() {
 		c.rollouts = state.NewMirror(c.state, rollout.Prefix, rolloutNews)
@@ -159,7 +159,7 @@
 }
 
 // provision rents and returns machines while this node leads a shard.
-func (c *controller) provision(ctx context.Context, pool *claim.Elector, shard ids.Shard, t *claim.Term) {
+func (c *controller) provision(ctx context.Context, pool *election.Elector, shard ids.Shard, t *election.Term) {
 	p := &fleet.Provisioner{Cloud: c.cloud, Cluster: t.Cluster, Store: t.Committer, Gen: t.Generation, Sure: func() bool { return pool.LeaseSurelyHeld(t) },
 		Keys: record.KeysOf(shard, c.set.Shards()), Shard: shard,
 		ListEvery: max(2*time.Second, c.set.Params.Cloud.ListLagS.Duration()/2)}
@@ -236,7 +236,7 @@
 	Alarms []string `json:"alarms,omitempty"`
 }
 
-func shardsStatus(pools []*claim.Elector) (all []shardStatus) {
+func shardsStatus(pools []*election.Elector) (all []shardStatus) {
 	for shard, pool := range pools {
 		leader, _ := pool.Leader()
 		of := shardStatus{Shard: shard, Leader: leader}
--- a/internal/claim/election_test.go
+++ b/internal/election/election_test.go
@@ -1,4 +1,4 @@
-package claim
+package election
 
 import (
 	"fmt"
@@ -7,6 +7,7 @@
 	"testing"
 	"time"
 
+	"github.com/pebbletrail/pebbletrail/internal/claim"
 	"github.com/pebbletrail/pebbletrail/internal/config"
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 	"github.com/pebbletrail/pebbletrail/internal/placement"
@@ -24,12 +25,12 @@
 }
 
 // clusterOf is the state of a leader that has heard so many machines of four cores.
-func clusterOf(t *testing.T, machines int) *ClusterState {
+func clusterOf(t *testing.T, machines int) *claim.ClusterState {
 	t.Helper()
 	old := slog.Default()
 	slog.SetDefault(slog.New(slog.NewTextHandler(io.Discard, nil)))
 	t.Cleanup(func() { slog.SetDefault(old) })
-	cluster := NewClusterState(electionSettings(), "w", 7, time.Now())
+	cluster := claim.NewClusterState(electionSettings(), "w", 7, time.Now())
 	cluster.SetMachineTypes([]placement.Type{{Label: "small", Cores: 4, RAM: 16, CacheGB: 20, PullGBPerS: 1, Price: 1, SpotPrice: 0.4, BootS: 30, Zones: []string{"north", "south"}}})
 	for i := range machines {
 		name := ids.Machine(fmt.Sprintf("host-%06d", i))
--- a/internal/claim/layout.go
+++ b/internal/election/layout.go
@@ -1,8 +1,6 @@
-package claim
+package election
 
 import (
-	"github.com/pebbletrail/pebbletrail/internal/wait"
-
 	"context"
 	"encoding/json"
 	"errors"
@@ -13,6 +11,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/quota"
 	"github.com/pebbletrail/pebbletrail/internal/record"
 	"github.com/pebbletrail/pebbletrail/internal/state"
+	"github.com/pebbletrail/pebbletrail/internal/wait"
 )
 
 // layoutKey says into how many shards the store is laid out; there is none with one.
--- a/internal/claim/ownership.go
+++ b/internal/election/ownership.go
@@ -1,8 +1,6 @@
-package claim
+package election
 
 import (
-	"github.com/pebbletrail/pebbletrail/internal/wait"
-
 	"context"
 	"encoding/json"
 	"strings"
@@ -12,6 +10,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 	"github.com/pebbletrail/pebbletrail/internal/record"
 	"github.com/pebbletrail/pebbletrail/internal/state"
+	"github.com/pebbletrail/pebbletrail/internal/wait"
 )
 
 // machineOwnership tells which shard each machine belongs to: the one whose stored hire names it.
--- a/internal/claim/pool.go
+++ b/internal/election/pool.go
@@ -1,8 +1,6 @@
-package claim
+package election
 
 import (
-	"github.com/pebbletrail/pebbletrail/internal/wait"
-
 	"context"
 	"encoding/json"
 	"errors"
@@ -11,11 +9,13 @@
 	"sync"
 	"time"
 
+	"github.com/pebbletrail/pebbletrail/internal/claim"
 	"github.com/pebbletrail/pebbletrail/internal/config"
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 	"github.com/pebbletrail/pebbletrail/internal/placement"
 	"github.com/pebbletrail/pebbletrail/internal/record"
 	"github.com/pebbletrail/pebbletrail/internal/state"
+	"github.com/pebbletrail/pebbletrail/internal/wait"
 	"github.com/pebbletrail/pebbletrail/internal/worker"
 )
 
@@ -43,9 +43,9 @@
 // Term is one spell of owning the pool.
 type Term struct {
 	Generation ids.Generation
-	Cluster    *ClusterState
-	Committer  *Committer
-	Dispatcher *Dispatcher
+	Cluster    *claim.ClusterState
+	Committer  *claim.Committer
+	Dispatcher *claim.Dispatcher
 	OpenHires  []state.Entry
 	lease      ids.Lease
 	began      time.Time
@@ -80,7 +80,7 @@
 	// leaderlessSince is since when the shard has been seen without a leader, and vacancySeen when
 	// it last was.
 	leaderlessSince, leaderlessSeenAt time.Time
-	hints                             HintCache                // of the last leader heard
+	hints                             claim.HintCache          // of the last leader heard
 	redirects                         map[ids.Machine]redirect // workers sent on to the leader
 }
 
@@ -151,7 +151,7 @@
 }
 
 // Cluster is the cluster state of the present term, if this node owns the pool.
-func (e *Elector) Cluster() *ClusterState {
+func (e *Elector) Cluster() *claim.ClusterState {
 	if term := e.Term(); term != nil {
 		return term.Cluster
 	}
@@ -241,7 +241,7 @@
 	}
 	e.checkIsolation(term)
 	if entry, found, ready := e.poolMirror.Get(e.keys.Generation()); ready && found {
-		var stored GenerationRecord
+		var stored claim.GenerationRecord
 		if json.Unmarshal(entry.Value, &stored) == nil && stored.Generation > term.Cluster.Generation() && !strings.HasPrefix(stored.Writer, e.incarnation+"/") {
 			e.stepDown(term, "another leader raised the generation")
 		}
@@ -263,7 +263,7 @@
 }
 
 // ReceiveHints keeps a leader's hints for the case that this node comes next.
-func (e *Elector) ReceiveHints(hints []Hint, to HintPosition) {
+func (e *Elector) ReceiveHints(hints []claim.Hint, to claim.HintPosition) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.term == nil {
@@ -272,7 +272,7 @@
 }
 
 // HintPosition is what to ask the leader's hints from.
-func (e *Elector) HintPosition() HintPosition {
+func (e *Elector) HintPosition() claim.HintPosition {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.hints.Position()
--- a/internal/claim/process_pause.go
+++ b/internal/election/process_pause.go
@@ -1,12 +1,12 @@
-package claim
+package election
 
 import (
-	"github.com/pebbletrail/pebbletrail/internal/wait"
-
 	"context"
 	"log/slog"
 	"sync"
 	"time"
+
+	"github.com/pebbletrail/pebbletrail/internal/wait"
 )
 
 // A process may stand still for seconds or minutes, its clocks running on, and then
--- a/internal/claim/shards.go
+++ b/internal/election/shards.go
@@ -1,8 +1,6 @@
-package claim
+package election
 
 import (
-	"github.com/pebbletrail/pebbletrail/internal/wait"
-
 	"context"
 	"slices"
 	"sync"
@@ -13,6 +11,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/placement"
 	"github.com/pebbletrail/pebbletrail/internal/quota"
 	"github.com/pebbletrail/pebbletrail/internal/state"
+	"github.com/pebbletrail/pebbletrail/internal/wait"
 	"github.com/pebbletrail/pebbletrail/internal/worker"
 )
 
--- a/internal/claim/shortage_reports.go
+++ b/internal/election/shortage_reports.go
@@ -1,8 +1,9 @@
-package claim
+package election
 
 import (
 	"time"
 
+	"github.com/pebbletrail/pebbletrail/internal/claim"
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
@@ -11,12 +12,12 @@
 
 // reportedShortage is a lack and when it was told.
 type reportedShortage struct {
-	Shortage
+	claim.Shortage
 	at time.Time
 }
 
 // ReportShortage takes in what the leader of another shard told.
-func (s *Shards) ReportShortage(shard ids.Shard, lack Shortage) {
+func (s *Shards) ReportShortage(shard ids.Shard, lack claim.Shortage) {
 	s.shortagesMu.Lock()
 	defer s.shortagesMu.Unlock()
 	s.shortages[shard] = reportedShortage{lack, time.Now()}
@@ -40,7 +41,7 @@
 }
 
 // shortageOf is what is known of a shard, led here or elsewhere.
-func (s *Shards) shortageOf(shard ids.Shard, elector *Elector) (Shortage, bool) {
+func (s *Shards) shortageOf(shard ids.Shard, elector *Elector) (claim.Shortage, bool) {
 	if cluster := elector.Cluster(); cluster != nil {
 		return cluster.Shortage(), true
 	}
--- a/internal/claim/takeover.go
+++ b/internal/election/takeover.go
@@ -1,8 +1,6 @@
-package claim
+package election
 
 import (
-	"github.com/pebbletrail/pebbletrail/internal/wait"
-
 	"context"
 	"encoding/json"
 	"errors"
@@ -10,9 +8,11 @@
 	"log/slog"
 	"time"
 
+	"github.com/pebbletrail/pebbletrail/internal/claim"
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 	"github.com/pebbletrail/pebbletrail/internal/record"
 	"github.com/pebbletrail/pebbletrail/internal/state"
+	"github.com/pebbletrail/pebbletrail/internal/wait"
 )
 
 // lastLeader is whose generation this node has seen, and since when.
@@ -60,7 +60,7 @@
 			return err
 		}
 	}
-	var previous GenerationRecord
+	var previous claim.GenerationRecord
 	ge, found, err := e.State.Get(ctx, e.keys.Generation(), state.Urgent)
 	if err != nil {
 		return err
@@ -78,7 +78,7 @@
 	generation := previous.Generation + 1
 	writer := fmt.Sprintf("%s/%d", e.incarnation, generation)
 	oraw, _ := json.Marshal(leaderRecord{e.Settings.HostName, writer, hold, generation})
-	graw, _ := json.Marshal(GenerationRecord{generation, e.Settings.HostName, writer})
+	graw, _ := json.Marshal(claim.GenerationRecord{Generation: generation, Node: e.Settings.HostName, Writer: writer})
 	epoch, err := e.State.Commit(ctx, state.Txn{
 		When: []state.Condition{{Key: e.keys.Leader()}, {Key: e.keys.Generation(), Revision: ge.Revision}},
 		Then: []state.Op{{Put: e.keys.Leader(), Value: oraw, Lease: hold}, {Put: e.keys.Generation(), Value: graw}},
@@ -86,7 +86,7 @@
 	if errors.Is(err, state.ErrUnknown) {
 		// Read back what became of it.
 		entry, found, rerr := e.State.Get(ctx, e.keys.Generation(), state.Urgent)
-		var stored GenerationRecord
+		var stored claim.GenerationRecord
 		if rerr == nil && found && json.Unmarshal(entry.Value, &stored) == nil && stored.Writer == writer {
 			epoch, err = ids.Epoch(entry.Revision), nil
 		}
@@ -99,11 +99,11 @@
 }
 
 // beginTerm starts a term.
-func (e *Elector) beginTerm(ctx context.Context, previous GenerationRecord, generation ids.Generation, writer string, hold ids.Lease, revision ids.Revision, sent time.Time) {
+func (e *Elector) beginTerm(ctx context.Context, previous claim.GenerationRecord, generation ids.Generation, writer string, hold ids.Lease, revision ids.Revision, sent time.Time) {
 	now := time.Now()
 	w := &e.Settings.Params.Workers
 	trust := now.Add(e.Settings.Grace().Drifted() + w.LeaseS.Drifted())
-	cluster := NewShardState(e.Settings, writer, generation, trust, e.shard)
+	cluster := claim.NewShardState(e.Settings, writer, generation, trust, e.shard)
 	cluster.StatusInOtherShard = e.statusInOtherShard
 	fresh := time.Duration(e.Settings.Own.PoolHoldMs) * time.Millisecond / 2
 	cluster.StoreAvailable = func() bool {
@@ -112,8 +112,8 @@
 	}
 	tctx, cancel := context.WithCancel(ctx)
 	term := &Term{Generation: generation, Cluster: cluster, lease: hold, began: now, renewedAt: sent, loaded: make(chan struct{}), cancel: cancel}
-	term.Committer = NewCommitter(cluster, e.State, e.Settings.HostName, revision)
-	term.Dispatcher = NewDispatcher(cluster, e.Commander, e.Settings.Sockets().Direct/4)
+	term.Committer = claim.NewCommitter(cluster, e.State, e.Settings.HostName, revision)
+	term.Dispatcher = claim.NewDispatcher(cluster, e.Commander, e.Settings.Sockets().Direct/4)
 	term.Dispatcher.MayCommand = func() bool { return e.renewedSincePause(term) }
 	cluster.StartsAllowed = func() (bool, time.Time) { return e.mayStartTasks(term), e.recordsReadAt() }
 	term.Committer.OnSuperseded = func(why string) { go e.stepDown(term, why) }
@@ -195,7 +195,7 @@
 // watchLeader notes whose generation it is and since when.
 func (e *Elector) watchLeader() {
 	entry, found, ready := e.poolMirror.Get(e.keys.Generation())
-	var stored GenerationRecord
+	var stored claim.GenerationRecord
 	if !ready || !found || json.Unmarshal(entry.Value, &stored) != nil {
 		return
 	}
@@ -211,7 +211,7 @@
 // for longer than the grace of whoever was before it; otherwise none is named, and
 // all must be asked. In a zone that is cut off there may be controllers, which
 // cannot confirm anything, and need not.
-func (e *Elector) possibleLeaders(previous GenerationRecord, now time.Time) []ids.Node {
+func (e *Elector) possibleLeaders(previous claim.GenerationRecord, now time.Time) []ids.Node {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if previous.Writer == "" || previous.Node == e.Settings.HostName || previous.Writer != e.last.writer || now.Sub(e.last.since) < e.Settings.Grace().Drifted()+time.Second {
--- a/internal/peer/drains.go
+++ b/internal/peer/drains.go
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"github.com/pebbletrail/pebbletrail/internal/claim"
+	"github.com/pebbletrail/pebbletrail/internal/election"
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 	"github.com/pebbletrail/pebbletrail/internal/rollout"
 )
@@ -33,17 +33,17 @@
 func (s *Service) WaitsOfDrains(_ *Empty, out *DrainWaits) error {
 	cluster := s.link.shards.Pools()[0].Cluster()
 	if cluster == nil {
-		return claim.ErrNotLeader
+		return election.ErrNotLeader
 	}
 	out.Waits = cluster.DrainBlockers()
 	return nil
 }
 
 // planDrain makes a plan from the cluster state of this node, or returns claim.ErrNotLeader.
-func planDrain(pool *claim.Elector, spec *rollout.Spec) (*rollout.Preview, error) {
+func planDrain(pool *election.Elector, spec *rollout.Spec) (*rollout.Preview, error) {
 	cluster := pool.Cluster()
 	if cluster == nil {
-		return nil, claim.ErrNotLeader
+		return nil, election.ErrNotLeader
 	}
 	return rollout.MakePreview(spec, cluster.DrainPlanner(), time.Now())
 }
@@ -57,7 +57,7 @@
 	}
 	leader, known := pool.Leader()
 	if !known {
-		return nil, claim.ErrNotLeader
+		return nil, election.ErrNotLeader
 	}
 	var answer DrainPlan
 	if err := l.connections.call(ctx, leader, "PlanDrain", &DrainRequest{specToWire(spec)}, &answer); err != nil {
@@ -78,7 +78,7 @@
 	}
 	leader, known := pool.Leader()
 	if !known {
-		return nil, claim.ErrNotLeader
+		return nil, election.ErrNotLeader
 	}
 	var answer DrainWaits
 	err := l.connections.call(ctx, leader, "WaitsOfDrains", &Empty{}, &answer)
--- a/internal/peer/drains_test.go
+++ b/internal/peer/drains_test.go
@@ -7,7 +7,7 @@
 	"testing/synctest"
 	"time"
 
-	"github.com/pebbletrail/pebbletrail/internal/claim"
+	"github.com/pebbletrail/pebbletrail/internal/election"
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 	"github.com/pebbletrail/pebbletrail/internal/placement"
 	"github.com/pebbletrail/pebbletrail/internal/rollout"
@@ -36,7 +36,7 @@
 			}
 		}
 		var plan DrainPlan
-		if err := (&Service{otherLink}).PlanDrain(&DrainRequest{specToWire(spec)}, &plan); !errors.Is(err, claim.ErrNotLeader) {
+		if err := (&Service{otherLink}).PlanDrain(&DrainRequest{specToWire(spec)}, &plan); !errors.Is(err, election.ErrNotLeader) {
 			t.Errorf("one that does not lead answers %v", err)
 		}
 		cancel()
--- a/internal/peer/greeting.go
+++ b/internal/peer/greeting.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"github.com/pebbletrail/pebbletrail/internal/claim"
+	"github.com/pebbletrail/pebbletrail/internal/election"
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
@@ -67,7 +68,7 @@
 
 // shardHello tells how this node stands to one shard. The hints since a mark are only told if it is
 // known.
-func shardHello(pool *claim.Elector, since *claim.HintPosition) (hello ShardHello) {
+func shardHello(pool *election.Elector, since *claim.HintPosition) (hello ShardHello) {
 	cluster := pool.Cluster()
 	if cluster == nil {
 		hello.Stranded = convertAll(pool.RedirectedWorkers(), strandToWire)
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -4,8 +4,8 @@
 	"context"
 	"time"
 
-	"github.com/pebbletrail/pebbletrail/internal/claim"
 	"github.com/pebbletrail/pebbletrail/internal/config"
+	"github.com/pebbletrail/pebbletrail/internal/election"
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 	"github.com/pebbletrail/pebbletrail/internal/state"
 )
@@ -14,7 +14,7 @@
 // goroutine. It has no lock of its own; connections, peerHealth and tokenDemand each have one.
 type Link struct {
 	settings    *config.Settings
-	shards      *claim.Shards
+	shards      *election.Shards
 	store       *state.Client
 	connections *connections
 	health      peerHealth
@@ -23,7 +23,7 @@
 
 // NewLink makes the link. It answers others once Serve is called, and sends them health reports once
 // Run is.
-func NewLink(settings *config.Settings, shards *claim.Shards, store *state.Client) *Link {
+func NewLink(settings *config.Settings, shards *election.Shards, store *state.Client) *Link {
 	link := &Link{settings: settings, shards: shards, store: store, connections: newConnections(settings)}
 	if store != nil {
 		store.Budget().SetTransfers(link.requestTransfer)
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -11,8 +11,8 @@
 	"testing/synctest"
 	"time"
 
-	"github.com/pebbletrail/pebbletrail/internal/claim"
 	"github.com/pebbletrail/pebbletrail/internal/config"
+	"github.com/pebbletrail/pebbletrail/internal/election"
 	"github.com/pebbletrail/pebbletrail/internal/fake"
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 	"github.com/pebbletrail/pebbletrail/internal/placement"
@@ -34,7 +34,7 @@
 }
 
 // start starts a controller that knows one other.
-func (c *testCluster) start(ctx context.Context, name, other ids.Node) (*claim.Elector, *Link) {
+func (c *testCluster) start(ctx context.Context, name, other ids.Node) (*election.Elector, *Link) {
 	settings := &config.Settings{HostName: name, Own: config.Defaults(), Others: []config.Other{{HostName: other, PeerAddr: string(other)}}}
 	settings.Params.Workers = config.Workers{ReportS: 2, LeaseS: 20, GangWaitS: 30, GangPeerS: 5, CancelS: 40}
 	settings.Params.State = config.State{RPS: 500, WriteRPS: 200, ValueKB: 8, TxnOps: 12}
@@ -42,8 +42,8 @@
 	settings.Params.Limits.MaxSockets = 100
 	client := c.net.Client(string(name))
 	store := state.NewClient("state:1", client, state.NewBudget(500, 200, 2, 0.6))
-	pool := claim.NewElector(settings, store, &worker.Commander{HTTP: client, Timeout: time.Second}, string(name)+".1")
-	link := NewLink(settings, claim.SingleShard(pool), store)
+	pool := election.NewElector(settings, store, &worker.Commander{HTTP: client, Timeout: time.Second}, string(name)+".1")
+	link := NewLink(settings, election.SingleShard(pool), store)
 	link.connections.dial = c.pipes.Dial
 	pool.Peers = link.ForShard(0)
 	go link.Serve(c.pipes.Listen(string(name)))
--- a/internal/peer/takeover.go
+++ b/internal/peer/takeover.go
@@ -3,7 +3,7 @@
 import (
 	"context"
 
-	"github.com/pebbletrail/pebbletrail/internal/claim"
+	"github.com/pebbletrail/pebbletrail/internal/election"
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
@@ -23,7 +23,7 @@
 }
 
 // ForShard is what the client of one shard asks of the other controllers.
-func (l *Link) ForShard(shard ids.Shard) claim.Peers { return shardPeers{l, shard} }
+func (l *Link) ForShard(shard ids.Shard) election.Peers { return shardPeers{l, shard} }
 
 // shardPeers are the other controllers as the client of one shard sees them.
 type shardPeers struct {
--- a/internal/scenarios/drain_cluster_test.go
+++ b/internal/scenarios/drain_cluster_test.go
@@ -13,8 +13,8 @@
 	"testing"
 	"time"
 
-	"github.com/pebbletrail/pebbletrail/internal/claim"
 	"github.com/pebbletrail/pebbletrail/internal/config"
+	"github.com/pebbletrail/pebbletrail/internal/election"
 	"github.com/pebbletrail/pebbletrail/internal/fake"
 	"github.com/pebbletrail/pebbletrail/internal/fleet"
 	"github.com/pebbletrail/pebbletrail/internal/ids"
@@ -35,7 +35,7 @@
 type drainNode struct {
 	cluster *drainCluster
 	name    string
-	pool    *claim.Elector
+	pool    *election.Elector
 	drains  *rollout.Service
 	cancel  context.CancelFunc
 }
@@ -223,9 +223,9 @@
 	n := &drainNode{cluster: c, name: name, cancel: cancel}
 	copied := state.NewMirror(store, rollout.Prefix, 200*time.Millisecond)
 	limits := rollout.Limits{ValueBytes: int(settings.Params.State.ValueKB * 1024), TxnOps: settings.Params.State.TxnOps}
-	n.pool = claim.NewElector(settings, store, &worker.Commander{HTTP: c.net.Client(name), Timeout: 3 * time.Second}, writer)
+	n.pool = election.NewElector(settings, store, &worker.Commander{HTTP: c.net.Client(name), Timeout: 3 * time.Second}, writer)
 	n.pool.Peers = n
-	n.pool.OnTerm = func(ctx context.Context, term *claim.Term) {
+	n.pool.OnTerm = func(ctx context.Context, term *election.Term) {
 		term.Cluster.SetMachineTypes(types())
 		runner := &rollout.Runner{Copy: copied, Store: term.Committer, Fleet: term.Cluster, Writer: writer, Limits: limits}
 		go runner.Run(ctx)
@@ -316,7 +316,7 @@
 func (n *drainNode) PlanDrain(_ context.Context, spec *rollout.Spec) (*rollout.Preview, error) {
 	leader := n.cluster.leader()
 	if leader == nil {
-		return nil, claim.ErrNotLeader
+		return nil, election.ErrNotLeader
 	}
 	return rollout.MakePreview(spec, leader.pool.Cluster().DrainPlanner(), time.Now())
 }
@@ -325,7 +325,7 @@
 func (n *drainNode) DrainWaits(context.Context) (map[ids.Machine][]string, error) {
 	leader := n.cluster.leader()
 	if leader == nil {
-		return nil, claim.ErrNotLeader
+		return nil, election.ErrNotLeader
 	}
 	return leader.pool.Cluster().DrainBlockers(), nil
 }
--- a/internal/scenarios/shards_test.go
+++ b/internal/scenarios/shards_test.go
@@ -14,8 +14,8 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"github.com/pebbletrail/pebbletrail/internal/claim"
 	"github.com/pebbletrail/pebbletrail/internal/config"
+	"github.com/pebbletrail/pebbletrail/internal/election"
 	"github.com/pebbletrail/pebbletrail/internal/fake"
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 	"github.com/pebbletrail/pebbletrail/internal/intake"
@@ -32,7 +32,7 @@
 type shardNode struct {
 	w       *testCluster
 	name    string
-	shards  *claim.Shards
+	shards  *election.Shards
 	cancel  context.CancelFunc
 	refused error
 }
@@ -101,11 +101,11 @@
 	store := state.NewClient("state:1", c.net.Client(name), state.NewBudget(800, 400, 5, 0.6))
 	store.Budget().SplitLeaderShare(c.count)
 	n := &shardNode{w: c.testCluster, name: name, cancel: cancel,
-		shards: claim.NewShards(settings, store, &worker.Commander{HTTP: c.net.Client(name), Timeout: 3 * time.Second}, writer)}
+		shards: election.NewShards(settings, store, &worker.Commander{HTTP: c.net.Client(name), Timeout: 3 * time.Second}, writer)}
 	n.shards.Refuse = func(err error) { n.refused = err }
 	for _, pool := range n.shards.Pools() {
 		pool.Peers = shardPeers{cluster: c}
-		pool.OnTerm = func(_ context.Context, term *claim.Term) { term.Cluster.SetMachineTypes(types()) }
+		pool.OnTerm = func(_ context.Context, term *election.Term) { term.Cluster.SetMachineTypes(types()) }
 	}
 	jobs := &intake.JobService{Set: settings, State: store, Jobs: n.shards.Jobs(), LeaderNotifier: shardPeers{cluster: c}, Writer: writer, Types: types}
 	c.net.Listen(name+":8080", (&intake.Site{Jobs: jobs, Heartbeats: n.shards, Ready: func() bool { return true },
@@ -377,7 +377,7 @@
 		c.count = 2
 		n := c.startNode("e")
 		time.Sleep(2 * time.Second)
-		if !errors.Is(n.refused, claim.ErrOtherLayout) || !strings.Contains(n.refused.Error(), "3, not 2") {
+		if !errors.Is(n.refused, election.ErrOtherLayout) || !strings.Contains(n.refused.Error(), "3, not 2") {
 			t.Errorf("two shards on a store of three: %v", n.refused)
 		}
 		c.count = 3
@@ -397,7 +397,7 @@
 		c := &shardCluster{testCluster: w, count: 3, up: map[string]*shardNode{}}
 		n := c.startNode("e")
 		time.Sleep(2 * time.Second)
-		if !errors.Is(n.refused, claim.ErrJobsStored) {
+		if !errors.Is(n.refused, election.ErrJobsStored) {
 			t.Errorf("three shards on a store with a job of one: %v", n.refused)
 		}
 	})
--- a/internal/scenarios/test_cluster_test.go
+++ b/internal/scenarios/test_cluster_test.go
@@ -17,6 +17,7 @@
 
 	"github.com/pebbletrail/pebbletrail/internal/claim"
 	"github.com/pebbletrail/pebbletrail/internal/config"
+	"github.com/pebbletrail/pebbletrail/internal/election"
 	"github.com/pebbletrail/pebbletrail/internal/fake"
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 	"github.com/pebbletrail/pebbletrail/internal/intake"
@@ -89,7 +90,7 @@
 type testNode struct {
 	w      *testCluster
 	name   string
-	pool   *claim.Elector
+	pool   *election.Elector
 	asked  []ids.Node // who was last asked to confirm that it stopped
 	jobs   *intake.JobService
 	cancel context.CancelFunc
@@ -144,9 +145,9 @@
 	ctx, cancel := context.WithCancel(w.ctx)
 	store := state.NewClient("state:1", w.net.Client(name), state.NewBudget(400, 200, 2, 0.6))
 	n := &testNode{w: w, name: name, cancel: cancel}
-	n.pool = claim.NewElector(settings, store, &worker.Commander{HTTP: w.net.Client(name), Timeout: 3 * time.Second}, writer)
+	n.pool = election.NewElector(settings, store, &worker.Commander{HTTP: w.net.Client(name), Timeout: 3 * time.Second}, writer)
 	n.pool.Peers = n
-	n.pool.OnTerm = func(ctx context.Context, term *claim.Term) {
+	n.pool.OnTerm = func(ctx context.Context, term *election.Term) {
 		term.Cluster.SetMachineTypes(types())
 		for ctx.Err() == nil {
 			term.Cluster.ReconcileCloudList(w.list(), time.Now())
