--- a/internal/quota/ledger_test.go
+++ b/internal/quota/ledger_test.go
@@ -14,14 +14,14 @@
 )
 
 // randomAmount is up to most whole units of each resource.
-func randomAmount(rng *rand.Rand, most int64) (a Amount) {
-	for r := range a {
-		a[r] = rng.Int64N(most+1) * unitsPerWhole
+func randomAmount(rng *rand.Rand, most int64) (amount Amount) {
+	for r := range amount {
+		amount[r] = rng.Int64N(most+1) * unitsPerWhole
 	}
-	return a
+	return amount
 }
 
-func TestAllowancesNeverAddUpToMoreThanTheLimit(t *testing.T) {
+func TestAllowancesNeverExceedTheLimit(t *testing.T) {
 	t.Parallel()
 	// A model of four shards, whose leaders grant within their allowances, under any order
 	// of transitions and limits that rise, fall, come and go.
@@ -82,13 +82,13 @@
 				sum = sum.Plus(ledger.Limit.limited(used[i]))
 			}
 			if !ledger.Limit.limited(Amount(ledger.Limit)).Plus(ledger.Overhang).Covers(sum) {
-				t.Fatalf("seed %d, step %d: %v in use, limit %v, overhang %v", seed, step, sum, ledger.Limit, ledger.Overhang)
+				t.Fatalf("seed %d, step %d: %v in use, limit %v, overcommitment %v", seed, step, sum, ledger.Limit, ledger.Overhang)
 			}
 		}
 	}
 }
 
-func TestOlderSettingsDoNotBringTheirLimitBack(t *testing.T) {
+func TestOlderSettingsDoNotRestoreTheirLimit(t *testing.T) {
 	t.Parallel()
 	ledger := NewLedger(LimitOf(8, 0), 100, 2)
 	if _, err := ledger.SetLimit(LimitOf(12, 0), 99); !errors.Is(err, errNotAllowed) {
@@ -99,167 +99,212 @@
 	}
 }
 
-func TestALedgerThatCantBeUsedStopsItsTeamAlone(t *testing.T) {
+func TestAnUnusableLedgerStopsOnlyItsTeam(t *testing.T) {
 	t.Parallel()
-	good, _ := json.Marshal(NewLedger(LimitOf(8, 0), 1, 3))
-	for bad, name := range map[string]string{
-		strings.Replace(string(good), "8000", "9000", 1):         "does not add up",
-		strings.Replace(string(good), `"form":1`, `"form":2`, 1): "newer form",
-		strings.Replace(string(good), `[{`, `[{},{`, 1):          "another number",
-		`{"form":1,"limit":"eight"}`:                             "cannot unmarshal",
-		`{}`:                                                     "another number",
+	good := string(encode(t, NewLedger(LimitOf(8, 0), 1, 3)))
+	open := NewLedger(LimitOf(8, 0), 1, 3)
+	for shard := range open.Accounts {
+		open = open.Register(Shard(shard), Amount{})
+	}
+	open, err := open.Take(0, cores(2))
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, c := range []struct{ name, stored, fault string }{
+		{"unbalanced", strings.Replace(good, "8000", "9000", 1), "does not add up"},
+		{"newer form", strings.Replace(good, `"form":1`, `"form":2`, 1), "newer form"},
+		{"other number of shards", strings.Replace(good, `[{`, `[{},{`, 1), "another number"},
+		{"not a ledger", `{"form":1,"limit":"eight"}`, "cannot unmarshal"},
+		{"empty", `{}`, "another number"},
 	} {
-		b := NewBook(0, 3, map[string]Limit{"red": LimitOf(8, 0), "blue": LimitOf(8, 0)}, 1)
-		open := NewLedger(LimitOf(8, 0), 1, 3)
-		for shard := range open.Accounts {
-			open = open.Register(Shard(shard), Amount{})
-		}
-		open, _ = open.Take(0, Amount{Cores: 2 * unitsPerWhole})
-		blue, _ := json.Marshal(open)
-		b.Load([]state.Entry{{Key: LedgerKey("red"), Value: json.RawMessage(bad), Revision: 5}, {Key: LedgerKey("blue"), Value: blue, Revision: 6}})
-		if left := b.Left("red"); left.Cores > 0 {
-			t.Errorf("%s: %v may still be granted", name, left)
-		}
-		if left := b.Left("blue"); left.Cores != 2 {
-			t.Errorf("%s: blue may have %v, not the 2 of its allowance", name, left)
-		}
-		if faults := strings.Join(b.Faults(), "; "); !strings.Contains(faults, name) || strings.Contains(faults, "blue") {
-			t.Errorf("%s: alarm %q", name, faults)
-		}
-		for _, transfer := range b.Transfers() {
-			if transfer.Team == "red" {
-				t.Errorf("%s: repaired by %s", name, transfer.What)
+		t.Run(c.name, func(t *testing.T) {
+			tracker := NewBook(0, 3, map[string]Limit{"red": LimitOf(8, 0), "blue": LimitOf(8, 0)}, 1)
+			tracker.Load([]state.Entry{
+				{Key: LedgerKey("red"), Value: json.RawMessage(c.stored), Revision: 5},
+				{Key: LedgerKey("blue"), Value: encode(t, open), Revision: 6},
+			})
+			if left := tracker.Left("red"); left.Cores > 0 {
+				t.Errorf("%v may still be granted to red", left)
 			}
-		}
+			if left := tracker.Left("blue"); left.Cores != 2 {
+				t.Errorf("blue may have %v, not the 2 of its allowance", left)
+			}
+			if faults := strings.Join(tracker.Faults(), "; "); !strings.Contains(faults, c.fault) || strings.Contains(faults, "blue") {
+				t.Errorf("faults %q, not of red alone with %q", faults, c.fault)
+			}
+			for _, transfer := range tracker.dueTransfers() {
+				if transfer.Team == "red" {
+					t.Errorf("the ledger is repaired: %s", transfer.Reason)
+				}
+			}
+		})
 	}
 }
 
-// openBook is the book of shard 0 of two, of a team with a limit of eight cores, of which it
-// holds so many.
-func openBook(holds, other int64) *Book {
-	b := NewBook(0, 2, map[string]Limit{"red": LimitOf(8, 0)}, 1)
+// openTracker tracks shard 0 of two for team red, whose limit of eight cores is split into
+// allowances of so many cores for this shard and the other one.
+func openTracker(t *testing.T, own, other int64) *Book {
+	t.Helper()
+	tracker := NewBook(0, 2, map[string]Limit{"red": LimitOf(8, 0)}, 1)
 	ledger := NewLedger(LimitOf(8, 0), 1, 2)
-	ledger = ledger.Register(0, Amount{Cores: holds * unitsPerWhole})
-	ledger = ledger.Register(1, Amount{Cores: other * unitsPerWhole})
-	raw, _ := json.Marshal(ledger)
-	b.Load([]state.Entry{{Key: LedgerKey("red"), Value: raw, Revision: 5}})
-	return b
+	ledger = ledger.Register(0, cores(own))
+	ledger = ledger.Register(1, cores(other))
+	loadLedger(t, tracker, 5, &ledger)
+	return tracker
+}
+
+// learnRequest has another shard request allowance of team red.
+func learnRequest(t *testing.T, tracker *Book, shard Shard, revision ids.Revision, request Request) {
+	t.Helper()
+	raw := encode(t, Requests{Version: formVersion, Teams: map[string]Request{"red": request}})
+	tracker.Learn(state.Change{Put: RequestsKey(shard), Value: raw, Revision: revision})
+}
+
+// learnLedger has the stored ledger of team red change.
+func learnLedger(t *testing.T, tracker *Book, revision ids.Revision, ledger *Ledger) {
+	t.Helper()
+	tracker.Learn(state.Change{Put: LedgerKey("red"), Value: encode(t, ledger), Revision: revision})
+}
+
+// loadLedger has a tracker load the ledger of team red alone.
+func loadLedger(t *testing.T, tracker *Book, revision ids.Revision, ledger *Ledger) {
+	t.Helper()
+	tracker.Load([]state.Entry{{Key: LedgerKey("red"), Value: encode(t, ledger), Revision: revision}})
 }
 
-// asks has another shard ask.
-func (b *Book) hearAsk(shard Shard, revision ids.Revision, ask Ask) {
-	raw, _ := json.Marshal(Asks{Form: ledgerForm, Teams: map[string]Ask{"red": ask}})
-	b.Learn(state.Change{Put: AsksKey(shard), Value: raw, Revision: revision})
+func encode(t *testing.T, value any) json.RawMessage {
+	t.Helper()
+	encoded, err := json.Marshal(value)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return encoded
 }
 
 func cores(n int64) Amount { return Amount{Cores: n * unitsPerWhole} }
 
-func TestWhatATransferTakesIsNotGrantedUntilItSurelyCannotApply(t *testing.T) {
+func TestAmountOfAnUncertainTransferIsWithheld(t *testing.T) {
 	t.Parallel()
-	b := openBook(6, 2)
-	b.Use("red", placement.Room{Cores: 3})
-	b.hearAsk(1, 6, Ask{Missing: cores(1), Wanted: cores(2)})
-	transfers := b.Transfers()
+	tracker := openTracker(t, 6, 2)
+	tracker.Use("red", placement.Room{Cores: 3})
+	learnRequest(t, tracker, 1, 6, Request{Missing: cores(1), Wanted: cores(2)})
+	transfers := tracker.dueTransfers()
 	if len(transfers) != 1 || transfers[0].withheld != cores(2) {
 		t.Fatalf("%+v", transfers)
 	}
-	left := func() float64 { return b.Left("red").Cores }
+	left := func() float64 { return tracker.Left("red").Cores }
 	if left() != 1 {
 		t.Fatalf("%v left while two of three idle cores are offered", left())
 	}
-	b.Settle(transfers[0], 0, state.ErrUnknown)
-	if again := b.Transfers(); left() != 1 || len(again) != 1 || again[0] != transfers[0] {
+	tracker.recordOutcome(transfers[0], 0, state.ErrUnknown)
+	if again := tracker.dueTransfers(); left() != 1 || len(again) != 1 || again[0] != transfers[0] {
 		t.Fatalf("without an answer: %v left, %+v sent again", left(), again)
 	}
 	// Refused the second time: the first may still apply.
-	b.Settle(transfers[0], 0, state.ErrRefused)
-	b.Settle(transfers[0], 0, &state.Conflict{})
+	tracker.recordOutcome(transfers[0], 0, state.ErrRefused)
+	tracker.recordOutcome(transfers[0], 0, &state.Conflict{})
 	if left() != 1 {
 		t.Fatalf("%v left although the first sending may have been applied", left())
 	}
 	// Another change of the ledger: now it can't apply any more.
-	raw, _ := json.Marshal(b.teams["red"].ledger)
-	b.Learn(state.Change{Put: LedgerKey("red"), Value: raw, Revision: 9})
+	learnLedger(t, tracker, 9, tracker.teams["red"].ledger)
 	if left() != 3 {
 		t.Fatalf("%v left after a later revision that does not hold the transfer", left())
 	}
 }
 
-func TestIdleAllowanceGoesToTheFirstDemandAndNotToAndFro(t *testing.T) {
+func TestIdleAllowanceGoesToTheFirstRequestWithoutOscillating(t *testing.T) {
 	t.Parallel()
 	now := time.Now()
 	earlier, later := ids.WallOf(now.Add(-time.Minute)), ids.WallOf(now)
-	for name, c := range map[string]struct {
-		own   Demand
-		ask   Ask
-		given int64
+	request := func(missing, wanted int64, rank Rank) Request {
+		return Request{Missing: cores(missing), Wanted: cores(wanted), Rank: rank}
+	}
+	for _, c := range []struct {
+		name    string
+		own     Demand
+		request Request
+		given   int64
 	}{
-		"nobody here wants it":               {Demand{}, Ask{Missing: cores(1), Wanted: cores(9)}, 6},
-		"the older demand goes first":        {Demand{cores(1), cores(4), Rank{Since: earlier}}, Ask{Missing: cores(1), Wanted: cores(9), Rank: Rank{Since: later}}, 2},
-		"a moment after it was received":     {Demand{cores(1), cores(4), Rank{Since: later}}, Ask{Missing: cores(1), Wanted: cores(9), Rank: Rank{Since: earlier}}, 2},
-		"but for what is more urgent":        {Demand{cores(1), cores(4), Rank{Since: earlier}}, Ask{Missing: cores(1), Wanted: cores(9), Rank: Rank{Priority: 1, Since: later}}, 6},
-		"or within a guarantee":              {Demand{cores(1), cores(4), Rank{Priority: 2}}, Ask{Missing: cores(1), Wanted: cores(9), Rank: Rank{Guaranteed: true}}, 6},
-		"a part of a gang to the first only": {Demand{cores(8), cores(8), Rank{Since: earlier}}, Ask{Missing: cores(7), Wanted: cores(7), Rank: Rank{Since: later}}, 0},
-		"to the first of two gangs":          {Demand{cores(8), cores(8), Rank{Since: later}}, Ask{Missing: cores(7), Wanted: cores(7), Rank: Rank{Priority: 1}}, 6},
+		{"no demand of its own",
+			Demand{}, request(1, 9, Rank{}), 6},
+		{"the older demand goes first",
+			Demand{cores(1), cores(4), Rank{Since: earlier}}, request(1, 9, Rank{Since: later}), 2},
+		{"retained just after it was received",
+			Demand{cores(1), cores(4), Rank{Since: later}}, request(1, 9, Rank{Since: earlier}), 2},
+		{"not retained from a higher priority",
+			Demand{cores(1), cores(4), Rank{Since: earlier}}, request(1, 9, Rank{Priority: 1, Since: later}), 6},
+		{"not retained from a guaranteed demand",
+			Demand{cores(1), cores(4), Rank{Priority: 2}}, request(1, 9, Rank{Guaranteed: true}), 6},
+		{"no part of a gang to other than the first",
+			Demand{cores(8), cores(8), Rank{Since: earlier}}, request(7, 7, Rank{Since: later}), 0},
+		{"a part to the first of two gangs",
+			Demand{cores(8), cores(8), Rank{Since: later}}, request(7, 7, Rank{Priority: 1}), 6},
 	} {
-		b := openBook(6, 2)
-		b.SetDemands(map[string]Demand{"red": c.own})
-		b.hearAsk(1, 6, c.ask)
-		given := Amount{}
-		for _, transfer := range b.Transfers() {
-			given = given.Plus(transfer.withheld)
-		}
-		if given != cores(c.given) {
-			t.Errorf("%s: given %v, not %d cores", name, given, c.given)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			tracker := openTracker(t, 6, 2)
+			tracker.SetDemands(map[string]Demand{"red": c.own})
+			learnRequest(t, tracker, 1, 6, c.request)
+			given := Amount{}
+			for _, transfer := range tracker.dueTransfers() {
+				given = given.Plus(transfer.withheld)
+			}
+			if given != cores(c.given) {
+				t.Errorf("given %v, not %d cores", given, c.given)
+			}
+		})
 	}
-	// A demand that leaves its allowance unused does not keep it.
-	b := openBook(6, 2)
-	b.SetDemands(map[string]Demand{"red": {cores(1), cores(4), Rank{Since: earlier}}})
-	b.hearAsk(1, 6, Ask{Missing: cores(1), Wanted: cores(9), Rank: Rank{Since: later}})
-	b.now = func() time.Time { return now.Add(keepFor + time.Second) }
-	if transfers := b.Transfers(); len(transfers) != 1 || transfers[0].withheld != cores(6) {
-		t.Errorf("allowance that is not used is kept: %+v", transfers)
+}
+
+func TestAllowanceLeftIdleIsNotRetained(t *testing.T) {
+	t.Parallel()
+	now := time.Now()
+	earlier, later := ids.WallOf(now.Add(-time.Minute)), ids.WallOf(now)
+	tracker := openTracker(t, 6, 2)
+	tracker.SetDemands(map[string]Demand{"red": {cores(1), cores(4), Rank{Since: earlier}}})
+	learnRequest(t, tracker, 1, 6, Request{Missing: cores(1), Wanted: cores(9), Rank: Rank{Since: later}})
+	tracker.now = func() time.Time { return now.Add(retentionPeriod + time.Second) }
+	if transfers := tracker.dueTransfers(); len(transfers) != 1 || transfers[0].withheld != cores(6) {
+		t.Errorf("allowance that is not used is retained: %+v", transfers)
 	}
 }
 
-func TestLesserWorkIsOwedToADemandThatGoesFirst(t *testing.T) {
+func TestHigherRankedRequestReclaimsAllowanceInUse(t *testing.T) {
 	t.Parallel()
-	b := openBook(6, 2)
-	b.Use("red", placement.Room{Cores: 5})
-	b.hearAsk(1, 6, Ask{Missing: cores(3), Wanted: cores(3), Rank: Rank{Guaranteed: true}})
-	if amount, _, owed := b.Owed("red"); !owed || amount != cores(2) {
+	tracker := openTracker(t, 6, 2)
+	tracker.Use("red", placement.Room{Cores: 5})
+	learnRequest(t, tracker, 1, 6, Request{Missing: cores(3), Wanted: cores(3), Rank: Rank{Guaranteed: true}})
+	if amount, _, owed := tracker.Owed("red"); !owed || amount != cores(2) {
 		t.Errorf("owed %v of what is in use, beside the idle core", amount)
 	}
-	if why := b.Explain("red"); !strings.Contains(why, "held by shard 1, not asked back yet") {
+	if why := tracker.Explain("red"); !strings.Contains(why, "held by shard 1, not asked back yet") {
 		t.Errorf("explained as %q", why)
 	}
 }
 
-func TestNothingIsGrantedWhileMoreMayBeInUseThanTheLimit(t *testing.T) {
+func TestNothingIsGrantedWhileUsageMayExceedTheLimit(t *testing.T) {
 	t.Parallel()
 	learn := func(ledger Ledger) *Book {
-		b := NewBook(0, 2, map[string]Limit{"red": LimitOf(8, 0)}, 1)
-		b.Use("red", placement.Room{Cores: 1})
-		raw, _ := json.Marshal(ledger)
-		if b.Learn(state.Change{Put: LedgerKey("red"), Value: raw, Revision: 5}); b.Left("red").Cores > 0 {
+		t.Helper()
+		tracker := NewBook(0, 2, map[string]Limit{"red": LimitOf(8, 0)}, 1)
+		tracker.Use("red", placement.Room{Cores: 1})
+		if learnLedger(t, tracker, 5, &ledger); tracker.Left("red").Cores > 0 {
 			t.Error("granted before all that is stored was read")
 		}
-		b.Load(nil)
-		return b
+		tracker.Load(nil)
+		return tracker
 	}
 	whole := NewLedger(LimitOf(8, 0), 1, 2)
 	half := whole.Register(0, cores(3))
-	if b := learn(half); b.Left("red").Cores > 0 || !strings.Contains(b.Explain("red"), "not all shards") {
-		t.Errorf("%v may be granted before shard 1 has told what it uses", b.Left("red"))
+	if tracker := learn(half); tracker.Left("red").Cores > 0 || !strings.Contains(tracker.Explain("red"), "not all shards") {
+		t.Errorf("%v may be granted before shard 1 has told what it uses", tracker.Left("red"))
 	}
 	both := half.Register(1, cores(4))
-	if b := learn(both); b.Left("red").Cores != 2 {
-		t.Errorf("%v may be granted of an allowance of 3 with 1 in use", b.Left("red"))
+	if tracker := learn(both); tracker.Left("red").Cores != 2 {
+		t.Errorf("%v may be granted of an allowance of 3 with 1 in use", tracker.Left("red"))
 	}
 	newer := NewBook(0, 2, map[string]Limit{"red": LimitOf(5, 0)}, 2)
-	raw, _ := json.Marshal(both)
-	newer.Load([]state.Entry{{Key: LedgerKey("red"), Value: raw, Revision: 5}})
+	loadLedger(t, newer, 5, &both)
 	if newer.Left("red").Cores > 0 {
 		t.Errorf("%v may be granted by a limit that newer settings have lowered", newer.Left("red"))
 	}
@@ -267,32 +312,32 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := learn(lowered)
-	if b.Left("red").Cores > 0 || !strings.Contains(b.Explain("red"), "was lowered") || len(b.Faults()) > 0 {
-		t.Errorf("after the limit was lowered %v may be granted: %s; alarms %v", b.Left("red"), b.Explain("red"), b.Faults())
+	tracker := learn(lowered)
+	if tracker.Left("red").Cores > 0 || !strings.Contains(tracker.Explain("red"), "was lowered") || len(tracker.Faults()) > 0 {
+		t.Errorf("after the limit was lowered %v may be granted: %s; alarms %v", tracker.Left("red"), tracker.Explain("red"), tracker.Faults())
 	}
 	// What is idle makes up for it first.
-	transfers := b.Transfers()
-	if len(transfers) != 1 || transfers[0].What != "returned" || transfers[0].withheld != cores(2) {
+	transfers := tracker.dueTransfers()
+	if len(transfers) != 1 || transfers[0].Reason != "returned" || transfers[0].withheld != cores(2) {
 		t.Fatalf("%+v", transfers)
 	}
-	if b.Settle(transfers[0], 6, nil); b.Left("red").Cores != 0 || b.teams["red"].ledger.Overhang != cores(0) {
-		t.Errorf("%v may be granted of an allowance of 1 with 1 in use", b.Left("red"))
+	if tracker.recordOutcome(transfers[0], 6, nil); tracker.Left("red").Cores != 0 || tracker.teams["red"].ledger.Overhang != cores(0) {
+		t.Errorf("%v may be granted of an allowance of 1 with 1 in use", tracker.Left("red"))
 	}
 }
 
-func TestOneShardGrantsByTheSettingsAndStoresNothing(t *testing.T) {
+func TestSingleShardGrantsBySettingsAndStoresNothing(t *testing.T) {
 	t.Parallel()
-	b := NewBook(0, 1, map[string]Limit{"red": LimitOf(8, 0)}, 1)
-	b.Use("red", placement.Room{Cores: 2.5, Accels: 3})
-	b.SetDemands(map[string]Demand{"red": {cores(1), cores(9), Rank{}}})
-	if left := b.Left("red"); left.Cores != 5.5 || left.Accels < 1e9 || b.Left("unknown").Cores > 0 {
+	tracker := NewBook(0, 1, map[string]Limit{"red": LimitOf(8, 0)}, 1)
+	tracker.Use("red", placement.Room{Cores: 2.5, Accels: 3})
+	tracker.SetDemands(map[string]Demand{"red": {cores(1), cores(9), Rank{}}})
+	if left := tracker.Left("red"); left.Cores != 5.5 || left.Accels < 1e9 || tracker.Left("unknown").Cores > 0 {
 		t.Errorf("%v left of eight cores", left)
 	}
-	if transfers := b.Transfers(); len(transfers) != 0 {
+	if transfers := tracker.dueTransfers(); len(transfers) != 0 {
 		t.Errorf("%+v", transfers)
 	}
-	if _, due := b.OwnAsks(); due {
-		t.Error("asks are stored")
+	if _, due := tracker.ownRequests(); due {
+		t.Error("requests are stored")
 	}
 }
--- /dev/null
+++ b/internal/quota/simulation_records_test.go
@@ -0,0 +1,160 @@
+package quota_test
+
+import (
+	"encoding/json"
+	"fmt"
+	"sync"
+	"time"
+
+	"github.com/pebbletrail/pebbletrail/internal/placement"
+	"github.com/pebbletrail/pebbletrail/internal/quota"
+)
+
+// workerRecord is the workers' own record of what runs, in all shards. It checks the limits at
+// each start.
+type workerRecord struct {
+	mu            sync.Mutex
+	limits        map[string]placement.Room
+	fencingTokens map[quota.Shard]int // the highest generation seen
+	running       map[string]task
+	ended         map[string]bool
+	started       int
+	breach        string
+	grantDelays   []time.Duration
+}
+
+// start begins a task unless its order is from a leader that was replaced.
+func (w *workerRecord) start(shard quota.Shard, generation int, t task) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if _, again := w.running[t.ID]; again || w.ended[t.ID] || generation < w.fencingTokens[shard] {
+		return
+	}
+	w.running[t.ID] = t
+	w.started++
+	w.grantDelays = append(w.grantDelays, time.Since(t.submittedAt))
+	sum := placement.Room{}
+	for _, other := range w.running {
+		if other.Team == t.Team {
+			sum = sum.Plus(other.Need)
+		}
+	}
+	if limit := w.limits[t.Team]; !limit.Holds(sum) {
+		w.breach = fmt.Sprintf("team %s uses %v of %v after the start of %s", t.Team, sum, limit, t.ID)
+	}
+	time.AfterFunc(t.duration, func() {
+		w.mu.Lock()
+		defer w.mu.Unlock()
+		delete(w.running, t.ID)
+		w.ended[t.ID] = true
+	})
+}
+
+// fence turns away what leaders before a generation may still send.
+func (w *workerRecord) fence(shard quota.Shard, generation int) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.fencingTokens[shard] = max(w.fencingTokens[shard], generation)
+}
+
+// status tells whether a task is surely not running, once its shard was fenced, and whether
+// it has run.
+func (w *workerRecord) status(id string) (gone, ended bool) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	_, running := w.running[id]
+	return !running, w.ended[id]
+}
+
+// storeChecker checks, in the order in which the store carries changes out, that what is
+// recorded of a shard's tasks never takes more than the shard's allowance. The store
+// applies one transaction after the other, so that order is the one in which transfers and
+// grants took effect, whoever decided them when.
+type storeChecker struct {
+	mu        sync.Mutex
+	ledgers   map[string]quota.Ledger
+	used      map[string]map[quota.Shard]quota.Amount
+	tasks     map[string]task
+	violation string
+	checks    int
+}
+
+func newStoreChecker() *storeChecker {
+	return &storeChecker{ledgers: map[string]quota.Ledger{}, used: map[string]map[quota.Shard]quota.Amount{}, tasks: map[string]task{}}
+}
+
+// applyChange takes in one change; a nil value is a removal.
+func (o *storeChecker) applyChange(key string, value json.RawMessage) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	for _, team := range []string{"red", "blue"} {
+		if key == quota.LedgerKey(team) {
+			var ledger quota.Ledger
+			o.decode(key, value, &ledger)
+			o.ledgers[team] = ledger
+			o.checkTeam(team, key)
+		}
+	}
+	var shard quota.Shard
+	if n, _ := fmt.Sscanf(key, "task/%d/", &shard); n != 1 {
+		return
+	}
+	was, there := o.tasks[key]
+	if there {
+		o.addUsage(was, shard, -1)
+		delete(o.tasks, key)
+	}
+	if value == nil {
+		return
+	}
+	var record task
+	o.decode(key, value, &record)
+	o.tasks[key] = record
+	o.addUsage(record, shard, 1)
+	o.checkTeam(record.Team, key)
+}
+
+// decode reads a stored value; one that can't be read is an illegal state.
+func (o *storeChecker) decode(key string, value json.RawMessage, target any) {
+	if err := json.Unmarshal(value, target); err != nil && o.violation == "" {
+		o.violation = fmt.Sprintf("%s can't be read: %v", key, err)
+	}
+}
+
+// addUsage adds what a task takes to its team's use, or takes it off.
+func (o *storeChecker) addUsage(t task, shard quota.Shard, sign int64) {
+	if o.used[t.Team] == nil {
+		o.used[t.Team] = map[quota.Shard]quota.Amount{}
+	}
+	sum := o.used[t.Team][shard]
+	for r, amount := range quota.AmountOf(t.Need) {
+		sum[r] += sign * amount
+	}
+	sum[quota.Memory] = 0 // not limited here
+	o.used[t.Team][shard] = sum
+}
+
+// result is the first violation found, and how many were checked. The store goes
+// on changing while the test reads this.
+func (o *storeChecker) result() (violation string, checks int) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	return o.violation, o.checks
+}
+
+func (o *storeChecker) checkTeam(team, key string) {
+	ledger := o.ledgers[team]
+	for shard, account := range ledger.Accounts {
+		o.checks++
+		if used := o.used[team][quota.Shard(shard)]; ledger.Open() && !account.Allowance.Covers(used) && o.violation == "" {
+			o.violation = fmt.Sprintf("after the change of %s shard %d has stored tasks of team %s that use %v of an allowance of %v", key, shard, team, used, account.Allowance)
+		}
+	}
+}
+
+// result tells of a breach of a limit, and how many tasks ran to their end.
+func (w *workerRecord) result() (breach string, ended int) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.breach, len(w.ended)
+}
--- /dev/null
+++ b/internal/quota/simulation_test.go
@@ -0,0 +1,363 @@
+package quota_test
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"log/slog"
+	"maps"
+	"math/rand/v2"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/pebbletrail/pebbletrail/internal/fake"
+	"github.com/pebbletrail/pebbletrail/internal/ids"
+	"github.com/pebbletrail/pebbletrail/internal/placement"
+	"github.com/pebbletrail/pebbletrail/internal/quota"
+	"github.com/pebbletrail/pebbletrail/internal/state"
+)
+
+// leaseTime is how long a leader of the simulation leads after its last good renewal.
+const leaseTime = 1500 * time.Millisecond
+
+// task is one task of the simulation.
+type task struct {
+	ID          string         `json:"id"`
+	Team        string         `json:"team"`
+	Need        placement.Room `json:"need"`
+	Priority    int            `json:"priority"`
+	duration    time.Duration
+	submittedAt time.Time
+}
+
+// simulation is several controllers, the shards they lead and their workers.
+type simulation struct {
+	t       *testing.T
+	ctx     context.Context
+	network *fake.Net
+	store   *fake.Store
+	workers *workerRecord
+	limits  map[string]quota.Limit
+	// withoutLedger plants a fault: leaders grant by the whole limit and their own use.
+	withoutLedger bool
+
+	mu           sync.Mutex
+	queues       map[quota.Shard][]task // all that has not ended
+	pauses       map[string]time.Time   // until when a controller is paused
+	incarnations int
+}
+
+const shardCount = 3
+
+// setLimit changes a team's limit in the settings of controllers that start from now on.
+func (s *simulation) setLimit(team string, limit placement.Room) {
+	s.workers.mu.Lock()
+	s.workers.limits[team] = limit
+	s.workers.mu.Unlock()
+	limits := maps.Clone(s.limits)
+	limits[team] = quota.LimitOf(limit.Cores, limit.Accels)
+	s.limits = limits
+}
+
+// simulate runs f under a clock of its own.
+func simulate(t *testing.T, f func(s *simulation)) {
+	slog.SetDefault(slog.New(slog.NewTextHandler(io.Discard, nil)))
+	synctest.Test(t, func(t *testing.T) {
+		ctx, cancel := context.WithCancel(context.Background())
+		s := &simulation{t: t, ctx: ctx, network: fake.NewNet(), store: fake.NewStore(),
+			workers: &workerRecord{limits: map[string]placement.Room{}, fencingTokens: map[quota.Shard]int{}, running: map[string]task{}, ended: map[string]bool{}},
+			limits:  map[string]quota.Limit{}, queues: map[quota.Shard][]task{}, pauses: map[string]time.Time{}}
+		s.network.Listen("state:1", s.store)
+		s.setLimit("red", placement.Room{Cores: 8, Accels: 4, RAM: 1e9})
+		s.setLimit("blue", placement.Room{Cores: 6, Accels: 100, RAM: 1e9})
+		f(s)
+		cancel()
+		time.Sleep(5 * time.Minute)
+		synctest.Wait()
+	})
+}
+
+// submit queues a task at a shard.
+func (s *simulation) submit(shard quota.Shard, t task) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	t.submittedAt = time.Now()
+	s.queues[shard] = append(s.queues[shard], t)
+}
+
+// pause stops a controller wherever it is for a while.
+func (s *simulation) pause(node string, duration time.Duration) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.pauses[node] = time.Now().Add(duration)
+}
+
+// waitWhilePaused is where a controller may be paused.
+func (s *simulation) waitWhilePaused(node string) {
+	s.mu.Lock()
+	until := s.pauses[node]
+	s.mu.Unlock()
+	time.Sleep(time.Until(until))
+}
+
+// controller is one process; it ends with its context.
+type controller struct {
+	*simulation
+	name      string
+	startedAt ids.Wall
+	client    *state.Client
+	mirror    *state.Mirror
+	mu        sync.Mutex
+	terms     map[quota.Shard]*term
+}
+
+// start starts a controller, and returns how to kill it.
+func (s *simulation) start(name string) context.CancelFunc {
+	ctx, cancel := context.WithCancel(s.ctx)
+	s.incarnations++
+	c := &controller{simulation: s, name: name, startedAt: ids.WallOf(time.Now()), terms: map[quota.Shard]*term{},
+		client: state.NewClient("state:1", s.network.Client(name), state.NewBudget(2000, 1000, 5, 0.5))}
+	c.mirror = state.NewMirror(c.client, quota.Prefix, 50*time.Millisecond)
+	c.mirror.NotifyChanges(func(change state.Change) {
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		for _, t := range c.terms {
+			t.tracker.Learn(change)
+		}
+	})
+	go c.mirror.Run(ctx)
+	for shard := range quota.Shard(shardCount) {
+		go c.lead(ctx, shard, s.incarnations)
+	}
+	return cancel
+}
+
+// term is one term of leading a shard.
+type term struct {
+	controller *controller
+	shard      quota.Shard
+	generation int
+	fence      state.Condition
+	lease      ids.Lease
+	tracker    *quota.Book
+	rebalancer *quota.Rebalancer
+	renewed    atomic.Int64    // when, in nanoseconds
+	tasks      map[string]task // recorded, and what may be there
+}
+
+func (t *term) key(id string) string { return fmt.Sprintf("task/%d/%s", t.shard, id) }
+
+// lead takes the shard over whenever it has no leader.
+func (c *controller) lead(ctx context.Context, shard quota.Shard, incarnation int) {
+	for ctx.Err() == nil {
+		c.waitWhilePaused(c.name)
+		if t := c.campaign(ctx, shard, incarnation); t != nil {
+			t.run(ctx)
+			c.mu.Lock()
+			delete(c.terms, shard)
+			c.mu.Unlock()
+		}
+		time.Sleep(time.Duration(200+37*incarnation+11*int(shard)) * time.Millisecond)
+	}
+}
+
+// decode reads a stored value, which only controllers write.
+func (c *controller) decode(value json.RawMessage, target any) {
+	if err := json.Unmarshal(value, target); err != nil {
+		c.t.Errorf("%s: stored value %s: %v", c.name, value, err)
+	}
+}
+
+// campaign acquires the shard's lease and loads what is stored; nil if that fails.
+func (c *controller) campaign(ctx context.Context, shard quota.Shard, incarnation int) *term {
+	leader, generation := fmt.Sprintf("lead/%d", shard), fmt.Sprintf("generation/%d", shard)
+	last, _, err := c.client.Get(ctx, generation, state.Urgent)
+	if err != nil {
+		return nil
+	}
+	number := 0
+	if last.Value != nil {
+		c.decode(last.Value, &number)
+	}
+	sent := time.Now()
+	lease, err := c.client.NewLease(ctx, leaseTime)
+	if err != nil {
+		return nil
+	}
+	at, err := c.client.Commit(ctx, state.Txn{
+		When: []state.Condition{{Key: leader}, {Key: generation, Revision: last.Revision}},
+		Then: []state.Op{{Put: leader, Value: []byte(fmt.Sprint(incarnation)), Lease: lease}, {Put: generation, Value: []byte(fmt.Sprint(number + 1))}},
+	}, state.Urgent)
+	if err != nil {
+		return nil
+	}
+	t := &term{controller: c, shard: shard, generation: number + 1, fence: state.Condition{Key: generation, Revision: ids.Revision(at)}, lease: lease,
+		tasks: map[string]task{}, tracker: quota.NewBook(shard, shardCount, c.limits, c.startedAt)}
+	t.renewed.Store(sent.UnixNano())
+	t.rebalancer = quota.NewExchange(t.tracker, c.client, &c.mu, func() state.Condition { return t.fence })
+	c.workers.fence(shard, t.generation)
+	c.mu.Lock()
+	c.terms[shard] = t // news counts from before the listing on
+	c.mu.Unlock()
+	records, _, recordsErr := c.client.ListAll(ctx, t.key(""), state.Urgent)
+	entries, _, quotaErr := c.client.ListAll(ctx, quota.Prefix, state.Urgent)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if recordsErr != nil || quotaErr != nil {
+		delete(c.terms, shard)
+		return nil
+	}
+	for _, entry := range records {
+		var record task
+		c.decode(entry.Value, &record)
+		t.tasks[record.ID] = record
+		t.tracker.Use(record.Team, record.Need)
+	}
+	t.tracker.Load(entries)
+	return t
+}
+
+// run leads until the lease may have ended.
+func (t *term) run(ctx context.Context) {
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	go func() {
+		defer cancel()
+		for ctx.Err() == nil && time.Since(time.Unix(0, t.renewed.Load())) < leaseTime {
+			t.controller.waitWhilePaused(t.controller.name)
+			sent := time.Now()
+			if err := t.controller.client.RenewLease(ctx, t.lease); err == nil {
+				t.renewed.Store(sent.UnixNano())
+			} else if errors.Is(err, state.ErrNoLease) {
+				return
+			}
+			time.Sleep(leaseTime / 5)
+		}
+	}()
+	go t.rebalancer.Run(ctx, 100*time.Millisecond)
+	for ctx.Err() == nil {
+		t.reconcile(ctx)
+		if !t.grantTasks(ctx) {
+			return // replaced, or ended
+		}
+		time.Sleep(50 * time.Millisecond)
+	}
+}
+
+// reconcile removes the records of what surely ended.
+func (t *term) reconcile(ctx context.Context) {
+	t.controller.mu.Lock()
+	var ended []task
+	for _, record := range t.tasks {
+		if stopped, _ := t.controller.workers.status(record.ID); stopped {
+			ended = append(ended, record)
+		}
+	}
+	t.controller.mu.Unlock()
+	for _, record := range ended {
+		if _, err := t.controller.client.Commit(ctx, state.Txn{When: []state.Condition{t.fence}, Then: []state.Op{{Remove: t.key(record.ID)}}}, state.Urgent); err != nil {
+			return
+		}
+		t.controller.mu.Lock()
+		delete(t.tasks, record.ID)
+		t.tracker.Free(record.Team, record.Need)
+		t.controller.mu.Unlock()
+	}
+}
+
+// grantTasks starts what the shard's queue and the team's allowance allow, the first first. It
+// tells whether this leader may go on.
+func (t *term) grantTasks(ctx context.Context) bool {
+	for _, next := range t.selectTasks() {
+		encoded, _ := json.Marshal(next)
+		var err error
+		for {
+			t.controller.waitWhilePaused(t.controller.name) // between deciding and writing
+			_, err = t.controller.client.Commit(ctx, state.Txn{When: []state.Condition{t.fence}, Then: []state.Op{{Put: t.key(next.ID), Value: encoded}}}, state.Urgent)
+			if err == nil || ctx.Err() != nil || !errors.Is(err, state.ErrUnknown) && !errors.Is(err, state.ErrRefused) {
+				break
+			}
+		}
+		if err != nil {
+			return false // its next leader starts it
+		}
+		t.controller.waitWhilePaused(t.controller.name) // between writing and sending
+		t.controller.workers.start(t.shard, t.generation, next)
+	}
+	return true
+}
+
+// selectTasks decides what to start, counts it as in use and tells the tracker what is pending.
+func (t *term) selectTasks() (picked []task) {
+	t.controller.mu.Lock()
+	defer t.controller.mu.Unlock()
+	t.controller.simulation.mu.Lock()
+	defer t.controller.simulation.mu.Unlock()
+	var left []task
+	demands := map[string]quota.Demand{}
+	for _, next := range t.controller.queues[t.shard] {
+		if _, ended := t.controller.workers.status(next.ID); ended {
+			continue
+		}
+		left = append(left, next)
+		if _, recorded := t.tasks[next.ID]; recorded {
+			continue
+		}
+		room := t.tracker.Left(next.Team)
+		if t.controller.withoutLedger {
+			room = t.controller.workers.limits[next.Team].Minus(t.tracker.Used(next.Team))
+		}
+		if _, blocked := demands[next.Team]; !blocked && room.Holds(next.Need) {
+			t.tracker.Use(next.Team, next.Need)
+			t.tasks[next.ID] = next
+			picked = append(picked, next)
+			continue
+		}
+		demand, found := demands[next.Team]
+		if !found {
+			demand = quota.Demand{Unit: quota.AmountOf(next.Need), Rank: quota.Rank{Priority: next.Priority, Since: ids.WallOf(next.submittedAt)}}
+		}
+		demand.Total = demand.Total.Plus(quota.AmountOf(next.Need))
+		demands[next.Team] = demand
+	}
+	t.controller.queues[t.shard] = left
+	t.tracker.SetDemands(demands)
+	return picked
+}
+
+// submitMany submits tasks of both teams at all shards at the same instants.
+func (s *simulation) submitMany(rng *rand.Rand, rounds int) {
+	for round := range rounds {
+		for shard := range quota.Shard(shardCount) {
+			for team := range s.limits {
+				need := placement.Room{Cores: float64(1 + rng.IntN(3)), RAM: 1}
+				if team == "red" && rng.IntN(3) == 0 {
+					need = placement.Room{Cores: 0.5, Accels: float64(1 + rng.IntN(2))}
+				}
+				s.submit(shard, task{ID: fmt.Sprintf("%s-%d-%d", team, round, shard), Team: team, Need: need, Priority: rng.IntN(2),
+					duration: time.Duration(500+rng.IntN(2500)) * time.Millisecond})
+			}
+		}
+		time.Sleep(time.Duration(rng.IntN(1200)) * time.Millisecond)
+	}
+}
+
+// awaitAll waits until all submitted tasks have run.
+func (s *simulation) awaitAll(tasks int, within time.Duration) {
+	s.t.Helper()
+	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(time.Second) {
+		if _, ended := s.workers.result(); ended == tasks {
+			return
+		}
+	}
+	_, ended := s.workers.result()
+	s.t.Errorf("%d of %d tasks ran; waiting: %v", ended, tasks, s.queues)
+	for _, key := range []string{quota.LedgerKey("red"), quota.LedgerKey("blue"), quota.RequestsKey(0), quota.RequestsKey(1), quota.RequestsKey(2)} {
+		s.t.Errorf("%s: %s", key, s.store.Value(key))
+	}
+}
