--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -1,22 +1,23 @@
-// Package budget decides whether tasks may be stopped for a drain now. It is the only owner of
-// that decision and of what counts as down; it is pure and keeps no state between two looks, so
-// nothing has to be recovered after a change of leader (docs/drains.md).
+// Package budget applies disruption budgets: it decides whether tasks may be evicted for a drain
+// now. It is the only package that decides that, and what counts as an unavailable replica; it is
+// pure and keeps no state between two evaluations, so nothing has to be recovered after a failover
+// (docs/drains.md).
 package budget
 
 import (
 	"fmt"
 )
 
-// Budget is how much of a team's work drains may have down at a time.
+// Budget is the disruption budget of a team: how much of its work may be disrupted at a time.
 type Budget struct {
-	// Replicas is how many replicas of services may be down; nil: no number.
+	// Replicas is how many replicas of services may be unavailable; nil: no absolute limit.
 	Replicas *int
-	// Percent is what share of the replicas wanted may be down, rounded down; nil: no share.
-	// With both, the smaller counts.
+	// Percent is what share of the desired replicas may be unavailable, rounded down; nil: no
+	// relative limit. With both, the smaller counts.
 	Percent *int
 	// Interrupted is how many other tasks may be interrupted.
 	Interrupted int
-	// LastReplica tells that a service's last replica that is up may be stopped.
+	// LastReplica tells that a service's last ready replica may be stopped.
 	LastReplica bool
 }
 
@@ -26,14 +27,14 @@
 	defaultInterrupted = 1
 )
 
-// Default is the budget of a team without a setting: one replica, one other task, and never a
-// service's last replica.
+// Default is the budget of a team without a setting: one replica, one other task, and never the
+// last replica of a service.
 func Default() Budget {
 	replicas := defaultReplicas
 	return Budget{Replicas: &replicas, Interrupted: defaultInterrupted}
 }
 
-// Check reports a budget that is impossible.
+// Check reports a budget that is impossible, by the names of the settings.
 func (b Budget) Check() error {
 	switch {
 	case b.Replicas != nil && *b.Replicas < 0:
@@ -48,32 +49,32 @@
 	return nil
 }
 
-// forbidsReplicas tells that no replica may be stopped, however many there are.
+// forbidsReplicas reports whether no replica may be stopped, however many there are.
 func (b Budget) forbidsReplicas() bool {
 	return b.Replicas != nil && *b.Replicas == 0 || b.Percent != nil && *b.Percent == 0
 }
 
-// Down is how many of the replicas wanted may be down at a time.
-func (b Budget) Down(wanted int) int {
-	most := wanted
+// Down is how many of the desired replicas may be unavailable at a time.
+func (b Budget) Down(desired int) int {
+	maxUnavailable := desired
 	if b.Replicas != nil {
-		most = min(most, *b.Replicas)
+		maxUnavailable = min(maxUnavailable, *b.Replicas)
 	}
 	if b.Percent != nil {
-		most = min(most, wanted**b.Percent/100)
+		maxUnavailable = min(maxUnavailable, desired**b.Percent/100)
 	}
-	return most
+	return maxUnavailable
 }
 
 // Budgets are the budgets of all teams.
 type Budgets struct {
-	fallback Budget
 	teams    map[string]Budget
+	fallback Budget // of the teams not named
 }
 
-// NewBudgets makes budgets of teams, with a fallback for those not named.
+// NewBudgets makes the budgets of teams, with a fallback for those not named.
 func NewBudgets(fallback Budget, teams map[string]Budget) *Budgets {
-	return &Budgets{fallback: fallback, teams: teams}
+	return &Budgets{teams: teams, fallback: fallback}
 }
 
 // Of is a team's budget.
--- a/internal/budget/meter.go
+++ b/internal/budget/meter.go
@@ -7,56 +7,55 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-// Usage is how much of a team's budget is used up, by drains and by faults alike.
-type Usage struct {
-	Wanted      int // replicas of its services
-	Down        int // of these, not up
-	Interrupted int // other tasks that drains stopped and that do not run again yet
-}
-
-// Meter is one look at what all teams have down. It is made anew for each look, so it can't
-// drift from the records and reports that it was made from.
+// Meter counts the disruptions of all teams at one moment, by drains and by failures alike, and
+// grants what their budgets leave. It is made anew for each evaluation, so it can't drift from
+// the records and heartbeats that it was made from.
 type Meter struct {
 	budgets *Budgets
-	teams   map[string]*Usage
-	up      map[ids.Job]int // replicas of each service that are up
+	teams   map[string]*usage
+	ready   map[ids.Job]int // ready replicas of each service
+}
+
+// usage is how much of a team's budget is used up.
+type usage struct {
+	desired     int // replicas of its services
+	unavailable int // of these, not ready
+	interrupted int // other tasks that were evicted and do not run again yet
 }
 
 // NewMeter makes a meter that has counted nothing yet.
 func NewMeter(budgets *Budgets) *Meter {
-	return &Meter{budgets: budgets, teams: map[string]*Usage{}, up: map[ids.Job]int{}}
+	return &Meter{budgets: budgets, teams: map[string]*usage{}, ready: map[ids.Job]int{}}
 }
 
-// CountService counts a service: how many replicas it wants, and how many are up.
-func (m *Meter) CountService(team string, service ids.Job, wanted, up int) {
-	usage := m.usage(team)
-	usage.Wanted += wanted
-	usage.Down += wanted - up
-	m.up[service] = up
+// CountService counts a service: how many replicas it should have, and how many are ready.
+func (m *Meter) CountService(team string, service ids.Job, desired, ready int) {
+	used := m.usage(team)
+	used.desired += desired
+	used.unavailable += desired - ready
+	m.ready[service] = ready
 }
 
-// CountInterrupted counts other tasks that drains stopped and that do not run again yet.
-func (m *Meter) CountInterrupted(team string, tasks int) { m.usage(team).Interrupted += tasks }
-
-// Usage is what was counted of a team.
-func (m *Meter) Usage(team string) Usage { return *m.usage(team) }
+// CountInterrupted counts other tasks that were evicted and do not run again yet.
+func (m *Meter) CountInterrupted(team string, tasks int) { m.usage(team).interrupted += tasks }
 
-func (m *Meter) usage(team string) *Usage {
-	usage := m.teams[team]
-	if usage == nil {
-		usage = &Usage{}
-		m.teams[team] = usage
+// usage finds or adds what a team has used up.
+func (m *Meter) usage(team string) *usage {
+	used := m.teams[team]
+	if used == nil {
+		used = &usage{}
+		m.teams[team] = used
 	}
-	return usage
+	return used
 }
 
-// Request is what stopping one task, or one gang, takes.
+// Request is the eviction of one task, or of one gang.
 type Request struct {
 	Team string
 	Job  ids.Job
 	// Service tells a replica from other tasks.
 	Service bool
-	// Up tells that the replica is up: then it is one more that is down.
+	// Up tells that the replica is ready: then one more becomes unavailable.
 	Up bool
 	// Tasks is how many tasks of a job that is no service are interrupted.
 	Tasks int
@@ -65,29 +64,32 @@
 // Denial says why a permit is refused. It names what is missing, so that an operator can see
 // what a machine waits for.
 type Denial struct {
-	Team string
-	Why  string
+	Team   string
+	Reason string
 }
 
-func (d Denial) String() string { return fmt.Sprintf("team %s: %s", d.Team, d.Why) }
+func (d Denial) String() string { return fmt.Sprintf("team %s: %s", d.Team, d.Reason) }
+
+// denied makes the denial of a request.
+func denied(request Request, format string, args ...any) *Denial {
+	return &Denial{Team: request.Team, Reason: fmt.Sprintf(format, args...)}
+}
 
-// Permit gives all that is asked for or nothing. What is given counts from then on; nothing is
-// held by a request that was refused, and each reason is told, not only the first.
+// Permit grants all requests or none. What is granted counts from then on; a refusal counts
+// nothing, and tells each reason, not only the first.
 func (m *Meter) Permit(requests ...Request) []Denial {
-	var taken []Request
+	var granted []Request
 	var denials []Denial
 	for _, request := range requests {
-		denial := m.take(request)
+		denial := m.grant(request)
 		if denial == nil {
-			taken = append(taken, request)
+			granted = append(granted, request)
 		} else if !slices.Contains(denials, *denial) {
 			denials = append(denials, *denial)
 		}
 	}
 	if len(denials) > 0 {
-		for _, request := range taken {
-			m.giveBack(request)
-		}
+		m.revoke(granted)
 	}
 	return denials
 }
@@ -96,66 +98,76 @@
 func (m *Meter) Try(requests ...Request) []Denial {
 	denials := m.Permit(requests...)
 	if len(denials) == 0 {
-		for _, request := range requests {
-			m.giveBack(request)
-		}
+		m.revoke(requests)
 	}
 	return denials
 }
 
-// giveBack takes a request off the counts again.
-func (m *Meter) giveBack(request Request) {
-	usage := m.usage(request.Team)
-	switch {
-	case !request.Service:
-		usage.Interrupted -= request.Tasks
-	case request.Up:
-		usage.Down--
-		m.up[request.Job]++
+// revoke takes granted requests off the counts again.
+func (m *Meter) revoke(granted []Request) {
+	for _, request := range granted {
+		used := m.usage(request.Team)
+		switch {
+		case !request.Service:
+			used.interrupted -= request.Tasks
+		case request.Up:
+			used.unavailable--
+			m.ready[request.Job]++
+		}
 	}
 }
 
-// take counts a request, or tells why it can't be granted.
-func (m *Meter) take(request Request) *Denial {
-	usage, budget := m.usage(request.Team), m.budgets.Of(request.Team)
-	if !request.Service {
-		if usage.Interrupted+request.Tasks > budget.Interrupted {
-			return &Denial{request.Team, fmt.Sprintf("%d tasks are interrupted and %d more would be, of at most %d at a time",
-				usage.Interrupted, request.Tasks, budget.Interrupted)}
-		}
-		usage.Interrupted += request.Tasks
-		return nil
+// grant counts a request, or tells why it can't be granted.
+func (m *Meter) grant(request Request) *Denial {
+	if request.Service {
+		return m.grantReplica(request)
+	}
+	used, budget := m.usage(request.Team), m.budgets.Of(request.Team)
+	if used.interrupted+request.Tasks > budget.Interrupted {
+		return denied(request, "%d tasks are interrupted and %d more would be, of at most %d at a time",
+			used.interrupted, request.Tasks, budget.Interrupted)
 	}
-	down := usage.Down
+	used.interrupted += request.Tasks
+	return nil
+}
+
+// grantReplica counts the eviction of a replica, or tells why it can't be granted. One that is
+// not ready counts as unavailable already.
+func (m *Meter) grantReplica(request Request) *Denial {
+	used, budget := m.usage(request.Team), m.budgets.Of(request.Team)
+	unavailable := used.unavailable
 	if request.Up {
-		down++
+		unavailable++
 	}
-	if most := budget.Down(usage.Wanted); down > most {
-		return &Denial{request.Team, fmt.Sprintf("%d of its %d replicas are down, of at most %d at a time", usage.Down, usage.Wanted, most)}
+	if maxUnavailable := budget.Down(used.desired); unavailable > maxUnavailable {
+		return denied(request, "%d of its %d replicas are down, of at most %d at a time",
+			used.unavailable, used.desired, maxUnavailable)
 	}
-	if request.Up && m.up[request.Job] <= 1 && !budget.LastReplica {
-		return &Denial{request.Team, fmt.Sprintf("it would stop the last replica of %s that is up", request.Job)}
+	if !request.Up {
+		return nil
 	}
-	if request.Up {
-		usage.Down = down
-		m.up[request.Job]--
+	if m.ready[request.Job] <= 1 && !budget.LastReplica {
+		return denied(request, "it would stop the last replica of %s that is up", request.Job)
 	}
+	used.unavailable = unavailable
+	m.ready[request.Job]--
 	return nil
 }
 
-// Confirm tells whether a permit that is stored, and so counted already, may be carried out
-// now: what failed by itself since may have used the budget up. It holds nothing back for good:
-// the permit stays, and its task counts as down.
+// Confirm tells whether a permit that is stored, and so counted already, may be used now: what
+// failed by itself since may have used the budget up. A refusal does not revoke the permit: its
+// task stays counted as unavailable, and the eviction waits.
 func (m *Meter) Confirm(request Request) *Denial {
-	usage, budget := m.usage(request.Team), m.budgets.Of(request.Team)
+	used, budget := m.usage(request.Team), m.budgets.Of(request.Team)
+	maxUnavailable := budget.Down(used.desired)
 	switch {
-	case !request.Service && usage.Interrupted > budget.Interrupted:
-		return &Denial{request.Team, fmt.Sprintf("%d tasks are interrupted, of at most %d at a time", usage.Interrupted, budget.Interrupted)}
-	case request.Service && usage.Down > budget.Down(usage.Wanted):
-		return &Denial{request.Team, fmt.Sprintf("%d of its %d replicas are down since the permit, of at most %d at a time",
-			usage.Down, usage.Wanted, budget.Down(usage.Wanted))}
-	case request.Service && request.Up && m.up[request.Job] < 1 && !budget.LastReplica:
-		return &Denial{request.Team, fmt.Sprintf("the other replicas of %s are down since the permit", request.Job)}
+	case !request.Service && used.interrupted > budget.Interrupted:
+		return denied(request, "%d tasks are interrupted, of at most %d at a time", used.interrupted, budget.Interrupted)
+	case request.Service && used.unavailable > maxUnavailable:
+		return denied(request, "%d of its %d replicas are down since the permit, of at most %d at a time",
+			used.unavailable, used.desired, maxUnavailable)
+	case request.Service && request.Up && m.ready[request.Job] < 1 && !budget.LastReplica:
+		return denied(request, "the other replicas of %s are down since the permit", request.Job)
 	}
 	return nil
 }
