--- a/internal/rollout/advance.go
+++ b/internal/rollout/advance.go
@@ -230,7 +230,8 @@
 func (a *advance) chooseWave() []ids.Machine {
 	var candidates []candidate
 	for part := range a.left {
-		for name := range a.left[part].All() {
+		// A list: machines are taken out of the set meanwhile.
+		for _, name := range slices.Collect(a.left[part].All()) {
 			m := a.view.Machine(name)
 			if m.Gone {
 				if a.takeOut(part, name) {
