--- a/internal/rollout/waves.go
+++ b/internal/rollout/candidate.go
@@ -10,15 +10,15 @@
 // candidate is a machine that may be taken into the next wave.
 type candidate struct {
 	name    ids.Machine
-	part    int
+	part    int // of the waiting machines
 	machine Machine
 	weight  Weight
 }
 
-// inOrder puts machines in the order in which waves take them, greedily: those on which nothing
+// sortCandidates puts machines in the order in which waves take them, greedily: those that nothing
 // blocks first, of these the ones with the least to move, so that each wave frees the most for
-// what it disturbs.
-func inOrder(candidates []candidate) []candidate {
+// what it disrupts.
+func sortCandidates(candidates []candidate) []candidate {
 	slices.SortFunc(candidates, func(x, y candidate) int {
 		return cmp.Or(
 			cmp.Compare(min(len(x.weight.Blocked), 1), min(len(y.weight.Blocked), 1)),
--- /dev/null
+++ b/internal/rollout/command.go
@@ -0,0 +1,49 @@
+package rollout
+
+import (
+	"fmt"
+
+	"github.com/pebbletrail/pebbletrail/internal/ids"
+)
+
+// Command changes the state of a rollout.
+type Command string
+
+// The commands.
+const (
+	PauseIt  Command = "pause"
+	ResumeIt Command = "resume"
+	AbortIt  Command = "abort"
+)
+
+// apply changes a rollout's state; changed is false if it has that state already. The errors are
+// ErrBadMove and, for an unknown command, ErrBadSpec.
+func (r *Record) apply(command Command, now ids.Wall) (changed bool, err error) {
+	switch command {
+	case PauseIt:
+		if r.State == Paused {
+			return false, nil
+		}
+		return true, r.transition(Paused, "paused by an operator")
+	case ResumeIt:
+		if r.State == Running {
+			return false, nil
+		}
+		return true, r.resume(now)
+	case AbortIt:
+		if r.State == Aborting || r.State == Ended {
+			return false, nil
+		}
+		return true, r.transition(Aborting, "aborted by an operator")
+	}
+	return false, fmt.Errorf("%w: unknown command %q", ErrBadSpec, command)
+}
+
+// resume lets a paused or halted rollout go on. After a halt the leader looks at the wave first.
+func (r *Record) resume(now ids.Wall) error {
+	r.Resumed = r.State == Halted && r.Wave != nil
+	if r.State == Paused && r.Wave != nil {
+		r.Wave.restartDeadlines(now)
+	}
+	return r.transition(Running, "")
+}
--- /dev/null
+++ b/internal/rollout/fakefleet_test.go
@@ -0,0 +1,120 @@
+package rollout
+
+import (
+	"fmt"
+	"sync"
+	"time"
+
+	"github.com/pebbletrail/pebbletrail/internal/ids"
+)
+
+// fakeFleet is machines as a leader knows them. What is ordered happens at once, and what is
+// provisioned becomes ready, unless a test says otherwise.
+type fakeFleet struct {
+	mu       sync.Mutex
+	machines map[ids.Machine]*fakeMachine
+	hires    map[ids.Hire][]ids.Machine
+	next     int
+	// mostCordoned is the most machines that were cordoned at a time.
+	mostCordoned int
+	// provisionNothing has the cloud provision nothing; replacementsFail has replacements fail
+	// once they are ready.
+	provisionNothing bool
+	replacementsFail bool
+}
+
+// fakeMachine is a machine and what draining it takes.
+type fakeMachine struct {
+	Machine
+	weight Weight
+}
+
+func newFleet(machines int) *fakeFleet {
+	f := &fakeFleet{machines: map[ids.Machine]*fakeMachine{}, hires: map[ids.Hire][]ids.Machine{}}
+	for range machines {
+		f.add([]string{"north", "south"}[f.next%2])
+	}
+	return f
+}
+
+func (f *fakeFleet) add(zone string) ids.Machine {
+	f.next++
+	name := ids.Machine(fmt.Sprintf("host-%06d", f.next))
+	f.machines[name] = &fakeMachine{
+		Machine: Machine{Kind: Kind{Type: "small", Zone: zone}, Known: true, Up: true, Tasks: 1},
+		weight:  Weight{Steps: 1},
+	}
+	return name
+}
+
+func (f *fakeFleet) Machine(name ids.Machine) Machine {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if machine := f.machines[name]; machine != nil {
+		return machine.Machine
+	}
+	return Machine{Gone: true}
+}
+
+func (f *fakeFleet) Weigh(name ids.Machine) Weight {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.machines[name].weight
+}
+
+func (f *fakeFleet) Machines() (names []ids.Machine) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	for name := range f.machines {
+		names = append(names, name)
+	}
+	return names
+}
+
+func (f *fakeFleet) BootTime(Kind) time.Duration { return 30 * time.Second }
+func (f *fakeFleet) StepTime() time.Duration     { return 5 * time.Second }
+
+func (f *fakeFleet) HireAnswer(name ids.Hire) ([]ids.Machine, bool) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	machines, answered := f.hires[name]
+	return machines, answered
+}
+
+func (f *fakeFleet) DrainView() View { return f }
+
+// CarryOut does what is ordered at once.
+func (f *fakeFleet) CarryOut(orders *Orders) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.mostCordoned = max(f.mostCordoned, len(orders.Machines))
+	for name, order := range orders.Machines {
+		machine := f.machines[name]
+		switch {
+		case machine == nil:
+		case order.Return:
+			delete(f.machines, name)
+		case order.Drain:
+			machine.Tasks = 0
+		}
+	}
+	for _, request := range orders.Hires {
+		if f.hires[request.Name] != nil || f.provisionNothing {
+			continue
+		}
+		for range request.Count {
+			name := f.add(request.Kind.Zone)
+			f.hires[request.Name] = append(f.hires[request.Name], name)
+			if f.replacementsFail {
+				f.machines[name].Failed = "it is broken"
+			}
+		}
+	}
+}
+
+// change changes the fleet while it is in use.
+func (f *fakeFleet) change(change func(*fakeFleet)) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	change(f)
+}
--- /dev/null
+++ b/internal/rollout/harness_test.go
@@ -0,0 +1,94 @@
+package rollout
+
+import (
+	"context"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/pebbletrail/pebbletrail/internal/fake"
+	"github.com/pebbletrail/pebbletrail/internal/ids"
+	"github.com/pebbletrail/pebbletrail/internal/state"
+)
+
+// directStore is the leader's store: every write is conditional on what it is told alone.
+type directStore struct{ client *state.Client }
+
+func (s directStore) ApplyIf(ctx context.Context, when []state.Condition, ops []state.Op) error {
+	_, err := s.client.Commit(ctx, state.Txn{When: when, Then: ops}, state.Normal)
+	return err
+}
+
+// harness is a runner and a controller's service on one store.
+type harness struct {
+	t       *testing.T
+	ctx     context.Context
+	network *fake.Net
+	store   *fake.Store
+	fleet   *fakeFleet
+	service *Service
+	// planDelay is how long a plan takes.
+	planDelay time.Duration
+}
+
+// The limits of a small state service.
+const maxValueBytes, maxTxnOps = 8192, 12
+
+// runHarness runs f under a clock of its own.
+func runHarness(t *testing.T, machines int, f func(h *harness)) {
+	synctest.Test(t, func(t *testing.T) {
+		ctx, cancel := context.WithCancel(context.Background())
+		defer synctest.Wait()
+		defer cancel()
+		h := &harness{t: t, ctx: ctx, network: fake.NewNet(), store: fake.NewStore(), fleet: newFleet(machines)}
+		h.network.Listen("state:1", h.store)
+		h.store.SetLimits(maxValueBytes, maxTxnOps)
+		h.service = h.controller("a")
+		f(h)
+	})
+}
+
+// controller is the commands' side of a controller.
+func (h *harness) controller(name string) *Service {
+	client := state.NewClient("state:1", h.network.Client(name), state.NewBudget(1000, 1000, 1, 0.6))
+	mirror := state.NewMirror(client, Prefix, 50*time.Millisecond)
+	go mirror.Run(h.ctx)
+	return &Service{Copy: mirror, State: client, Leader: h, Writer: name, Limits: Limits{maxValueBytes, maxTxnOps},
+		Installation: func() Installation {
+			return Installation{Zones: []string{"north", "south"}, Types: []string{"small"}, Shards: 1}
+		}}
+}
+
+// startLeader runs a leader until the function returned is called.
+func (h *harness) startLeader(name string) context.CancelFunc {
+	ctx, cancel := context.WithCancel(h.ctx)
+	service := h.controller(name)
+	go (&Runner{Copy: service.Copy, Store: directStore{service.State}, Fleet: h.fleet, Writer: name, Limits: service.Limits}).Run(ctx)
+	return cancel
+}
+
+func (h *harness) PlanDrain(_ context.Context, spec *Spec) (*Preview, error) {
+	time.Sleep(h.planDelay)
+	return MakePreview(spec, h.fleet, time.Now())
+}
+
+func (h *harness) DrainWaits(context.Context) (map[ids.Machine][]string, error) { return nil, nil }
+
+// awaitState waits until a rollout has a state.
+func (h *harness) awaitState(name Name, want State, timeout time.Duration) *Status {
+	h.t.Helper()
+	for end := time.Now().Add(timeout); ; time.Sleep(100 * time.Millisecond) {
+		status, err := h.service.Status(h.ctx, name)
+		if err == nil && status.State == want {
+			return status
+		}
+		if time.Now().After(end) {
+			h.t.Fatalf("%s is not %s within %v: %+v, %v", name, want, timeout, status, err)
+		}
+	}
+}
+
+// wholeFleet describes a rollout over all machines.
+func wholeFleet(name Name) *Spec {
+	return &Spec{Name: name, Select: Selection{Older: true}, WaveSize: 10, Deadline: 60, AtDeadline: Wait}
+}
--- a/internal/rollout/http.go
+++ b/internal/rollout/http.go
@@ -13,7 +13,7 @@
 	"github.com/labstack/echo/v4"
 )
 
-// Where the commands are taken.
+// Paths of the operators' commands.
 const (
 	// Path lists all rollouts; a rollout is at its name below it.
 	Path = "/v2/drains"
@@ -21,45 +21,48 @@
 	PlanPath = "/v2/drain-plan"
 )
 
-// commandPatience bounds the work on one command.
-const commandPatience = 4 * time.Second
+// commandTimeout bounds the work on one command.
+const commandTimeout = 4 * time.Second
 
-// retryAfter is when to come back to a controller that can't carry a command out now.
+// retryAfter is when to retry a command that can't be carried out now.
 const retryAfter = 2 * time.Second
 
-// maxBody is the largest description that is read: thousands of machines' names.
-const maxBody = 1 << 20
+// maxBodyBytes is the largest description that is read: it may name thousands of machines.
+const maxBodyBytes = 1 << 20
 
-// Routes adds the operators' commands to a controller's interface. There is no sign-in, so they
-// are taken from the controller's own machine only.
-func (s *Service) Routes(e *echo.Echo) {
-	operators := e.Group("", loopbackOnly)
-	operators.GET(Path, answer(func(ctx context.Context, _ echo.Context) (any, error) { return s.List(ctx) }))
-	operators.GET(Path+"/:name", answer(func(ctx context.Context, c echo.Context) (any, error) {
-		return s.Status(ctx, Name(c.Param("name")))
+// Routes adds the operators' commands to a controller's interface. There is no authentication, so
+// they are accepted from the controller's own machine only.
+func (s *Service) Routes(server *echo.Echo) {
+	operators := server.Group("", loopbackOnly)
+	operators.GET(Path, handle(func(ctx context.Context, _ echo.Context) (any, error) {
+		return s.List(ctx)
 	}))
-	operators.POST(PlanPath, answer(func(ctx context.Context, c echo.Context) (any, error) {
-		spec, err := readSpec(c)
+	operators.GET(Path+"/:name", handle(func(ctx context.Context, request echo.Context) (any, error) {
+		return s.Status(ctx, Name(request.Param("name")))
+	}))
+	operators.POST(PlanPath, handle(func(ctx context.Context, request echo.Context) (any, error) {
+		spec, err := readSpec(request)
 		if err != nil {
 			return nil, err
 		}
 		return s.Plan(ctx, spec)
 	}))
-	operators.POST(Path, answer(func(ctx context.Context, c echo.Context) (any, error) {
-		spec, err := readSpec(c)
+	operators.POST(Path, handle(func(ctx context.Context, request echo.Context) (any, error) {
+		spec, err := readSpec(request)
 		if err != nil {
 			return nil, err
 		}
 		return s.Start(ctx, spec)
 	}))
-	operators.POST(Path+"/:name/:command", answer(func(ctx context.Context, c echo.Context) (any, error) {
-		return s.Do(ctx, Name(c.Param("name")), Command(c.Param("command")))
+	operators.POST(Path+"/:name/:command", handle(func(ctx context.Context, request echo.Context) (any, error) {
+		return s.Do(ctx, Name(request.Param("name")), Command(request.Param("command")))
 	}))
 }
 
-func readSpec(c echo.Context) (*Spec, error) {
+// readSpec reads a description, with ErrBadSpec if it is no JSON.
+func readSpec(request echo.Context) (*Spec, error) {
 	spec := &Spec{}
-	decoder := json.NewDecoder(io.LimitReader(c.Request().Body, maxBody))
+	decoder := json.NewDecoder(io.LimitReader(request.Request().Body, maxBodyBytes))
 	if err := decoder.Decode(spec); err != nil {
 		return nil, errors.Join(ErrBadSpec, err)
 	}
@@ -69,35 +72,41 @@
 
 // loopbackOnly turns away whoever does not call from this machine.
 func loopbackOnly(next echo.HandlerFunc) echo.HandlerFunc {
-	return func(c echo.Context) error {
-		host, _, err := net.SplitHostPort(c.Request().RemoteAddr)
+	return func(request echo.Context) error {
+		host, _, err := net.SplitHostPort(request.Request().RemoteAddr)
 		if ip := net.ParseIP(host); err != nil || ip == nil || !ip.IsLoopback() {
-			return c.JSON(http.StatusForbidden, map[string]string{"error": "drains are commanded from the controller's own machine only"})
+			return request.JSON(http.StatusForbidden, map[string]string{"error": "drains are commanded from the controller's own machine only"})
 		}
-		return next(c)
+		return next(request)
 	}
 }
 
-// answer has a command carried out and words what it came to.
-func answer(command func(context.Context, echo.Context) (any, error)) echo.HandlerFunc {
-	return func(c echo.Context) error {
-		ctx, cancel := context.WithTimeout(c.Request().Context(), commandPatience)
+// handle has a command carried out and answers with its result or its error.
+func handle(command func(context.Context, echo.Context) (any, error)) echo.HandlerFunc {
+	return func(request echo.Context) error {
+		ctx, cancel := context.WithTimeout(request.Request().Context(), commandTimeout)
 		defer cancel()
-		result, err := command(ctx, c)
+		result, err := command(ctx, request)
 		if err == nil {
-			return c.JSON(http.StatusOK, result)
+			return request.JSON(http.StatusOK, result)
 		}
-		status := http.StatusServiceUnavailable
-		switch {
-		case errors.Is(err, ErrBadSpec):
-			status = http.StatusUnprocessableEntity
-		case errors.Is(err, ErrNotFound):
-			status = http.StatusNotFound
-		case errors.Is(err, ErrOtherContents), errors.Is(err, ErrOverlap), errors.Is(err, ErrBadMove), errors.Is(err, ErrSetAside):
-			status = http.StatusConflict
-		default:
-			c.Response().Header().Set("Retry-After", strconv.Itoa(int(retryAfter.Seconds())))
+		status := statusCode(err)
+		if status == http.StatusServiceUnavailable {
+			request.Response().Header().Set("Retry-After", strconv.Itoa(int(retryAfter.Seconds())))
 		}
-		return c.JSON(status, map[string]string{"error": err.Error()})
+		return request.JSON(status, map[string]string{"error": err.Error()})
+	}
+}
+
+// statusCode is how a command's error is answered. What is none of the errors here may be retried.
+func statusCode(err error) int {
+	switch {
+	case errors.Is(err, ErrBadSpec):
+		return http.StatusUnprocessableEntity
+	case errors.Is(err, ErrNotFound):
+		return http.StatusNotFound
+	case errors.Is(err, ErrOtherContents), errors.Is(err, ErrOverlap), errors.Is(err, ErrBadMove), errors.Is(err, ErrUnreadable):
+		return http.StatusConflict
 	}
+	return http.StatusServiceUnavailable
 }
--- a/internal/rollout/http_test.go
+++ b/internal/rollout/http_test.go
@@ -9,20 +9,20 @@
 	"github.com/labstack/echo/v4"
 )
 
-func TestCommandsAreTakenFromTheMachineItselfOnly(t *testing.T) {
-	play(t, 4, func(s *stage) {
-		s.lead("b")
-		e := echo.New()
-		s.service.Routes(e)
+func TestCommandsAreAcceptedFromLoopbackOnly(t *testing.T) {
+	runHarness(t, 4, func(h *harness) {
+		h.startLeader("b")
+		server := echo.New()
+		h.service.Routes(server)
 		call := func(from, method, path, body string) *httptest.ResponseRecorder {
 			req := httptest.NewRequest(method, path, strings.NewReader(body))
 			req.RemoteAddr = from
 			answer := httptest.NewRecorder()
-			e.ServeHTTP(answer, req)
+			server.ServeHTTP(answer, req)
 			return answer
 		}
 		good := `{"name":"spring","select":{"older":true},"waveSize":2,"deadline":60,"atDeadline":"wait"}`
-		for _, c := range []struct {
+		for _, test := range []struct {
 			from, method, path, body string
 			status                   int
 			text                     string
@@ -39,12 +39,12 @@
 			{"127.0.0.1:1234", "GET", Path + "/summer", "", http.StatusNotFound, "no such rollout"},
 			{"127.0.0.1:1234", "POST", Path + "/spring/abort", "", http.StatusOK, `"spring"`},
 		} {
-			answer := call(c.from, c.method, c.path, c.body)
-			if answer.Code != c.status || !strings.Contains(answer.Body.String(), c.text) {
-				t.Errorf("%s %s from %s: %d %s", c.method, c.path, c.from, answer.Code, answer.Body)
+			answer := call(test.from, test.method, test.path, test.body)
+			if answer.Code != test.status || !strings.Contains(answer.Body.String(), test.text) {
+				t.Errorf("%s %s from %s: %d %s", test.method, test.path, test.from, answer.Code, answer.Body)
 			}
 		}
-		s.store.SetDown(true)
+		h.store.SetDown(true)
 		answer := call("127.0.0.1:1234", "GET", Path, "")
 		if answer.Code != http.StatusServiceUnavailable || answer.Header().Get("Retry-After") == "" {
 			t.Errorf("without the state service: %d %v", answer.Code, answer.Header())
--- /dev/null
+++ b/internal/rollout/machineset_json.go
@@ -0,0 +1,68 @@
+package rollout
+
+import (
+	"encoding/base64"
+	"encoding/json"
+	"fmt"
+	"slices"
+
+	"github.com/RoaringBitmap/roaring/v2"
+)
+
+// storedSeries is a series as it is stored: the bitmap in roaring's own portable format.
+type storedSeries struct {
+	Prefix  string `json:"p"`
+	Digits  int    `json:"d,omitempty"`
+	Numbers string `json:"n"`
+}
+
+// MarshalJSON writes the set.
+func (m MachineSet) MarshalJSON() ([]byte, error) {
+	stored := make([]storedSeries, 0, len(m.series))
+	for _, series := range m.series {
+		numbers := series.numbers.Clone()
+		numbers.RunOptimize()
+		encoded, err := numbers.ToBytes()
+		if err != nil {
+			return nil, fmt.Errorf("machines %s…: %w", series.prefix, err)
+		}
+		stored = append(stored, storedSeries{series.prefix, series.digits, base64.RawStdEncoding.EncodeToString(encoded)})
+	}
+	return json.Marshal(stored)
+}
+
+// UnmarshalJSON reads what MarshalJSON wrote; a set that does not decode is an error.
+func (m *MachineSet) UnmarshalJSON(text []byte) error {
+	var stored []storedSeries
+	if err := json.Unmarshal(text, &stored); err != nil {
+		return err
+	}
+	m.series = nil
+	for i := range stored {
+		numbers, err := stored[i].decode()
+		if err != nil {
+			return fmt.Errorf("machines %s…: %w", stored[i].Prefix, err)
+		}
+		if !numbers.IsEmpty() {
+			m.series = append(m.series, nameSeries{stored[i].Prefix, stored[i].Digits, numbers})
+		}
+	}
+	slices.SortFunc(m.series, compareSeries)
+	return nil
+}
+
+// decode reads the numbers, which may be none.
+func (s *storedSeries) decode() (*roaring.Bitmap, error) {
+	raw, err := base64.RawStdEncoding.DecodeString(s.Numbers)
+	if err != nil {
+		return nil, err
+	}
+	numbers := roaring.New()
+	if err := numbers.UnmarshalBinary(raw); err != nil {
+		return nil, err
+	}
+	if numbers.IsEmpty() {
+		return numbers, nil
+	}
+	return numbers, numbers.Validate()
+}
--- a/internal/rollout/machineset_test.go
+++ b/internal/rollout/machineset_test.go
@@ -10,15 +10,15 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-func TestNamesSurviveTheSet(t *testing.T) {
+func TestMachineSetKeepsNames(t *testing.T) {
 	names := []ids.Machine{"host-000231", "host-231", "host-1000231", "host-0", "m1", "m01", "gateway", "gateway-", "7", "007", "x-12345678901234567890", "host-000000"}
 	set := NewMachineSet(names...)
-	raw, err := json.Marshal(set)
+	encoded, err := json.Marshal(set)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var back MachineSet
-	if err := json.Unmarshal(raw, &back); err != nil {
+	if err := json.Unmarshal(encoded, &back); err != nil {
 		t.Fatal(err)
 	}
 	if back.Len() != len(names) {
@@ -39,38 +39,38 @@
 	}
 }
 
-func TestThousandsOfMachinesFitIntoSmallValues(t *testing.T) {
+func TestMachineSetPartsFitSmallValues(t *testing.T) {
 	// 6,000 machines of a fleet that has had a million, in values of 8 KiB; and machines whose
 	// names have no numbers. Taking any of them out must not make a part too large.
 	const machines, value = 6000, 8192
-	rng := rand.New(rand.NewPCG(1, 2))
+	random := rand.New(rand.NewPCG(1, 2))
 	var scattered, dense, unnumbered MachineSet
 	for scattered.Len() < machines {
-		scattered.Add(ids.Machine(fmt.Sprintf("host-%06d", rng.IntN(1_000_000))))
+		scattered.Add(ids.Machine(fmt.Sprintf("host-%06d", random.IntN(1_000_000))))
 	}
 	for i := range machines {
 		dense.Add(ids.Machine(fmt.Sprintf("host-%06d", i)))
 		unnumbered.Add(ids.Machine(fmt.Sprintf("host-%d-spot", i)))
 	}
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		set  MachineSet
 		most int
 	}{"scattered": {scattered, 5}, "dense": {dense, 3}, "unnumbered": {unnumbered, 75}} {
-		parts := c.set.Parts(value)
-		if len(parts) > c.most {
+		parts := test.set.Parts(value)
+		if len(parts) > test.most {
 			t.Errorf("%s: %d parts", name, len(parts))
 		}
 		seen := 0
 		for _, part := range parts {
 			seen += part.Len()
 			for round := range 8 {
-				raw, err := json.Marshal(part)
-				if err != nil || len(raw) > value {
-					t.Fatalf("%s: a part takes %d bytes after %d rounds: %v", name, len(raw), round, err)
+				encoded, err := json.Marshal(part)
+				if err != nil || len(encoded) > value {
+					t.Fatalf("%s: a part takes %d bytes after %d rounds: %v", name, len(encoded), round, err)
 				}
 				copied := part.Clone()
 				for machine := range copied.All() {
-					if rng.IntN(4) == 0 {
+					if random.IntN(4) == 0 {
 						part.Remove(machine)
 					}
 				}
@@ -82,7 +82,7 @@
 	}
 }
 
-func TestASetThatDoesNotDecodeIsAnError(t *testing.T) {
+func TestMachineSetDecodeErrors(t *testing.T) {
 	for _, raw := range []string{`{}`, `[{"p":"m","n":"?"}]`, `[{"p":"m","n":"AAAA"}]`, `[{"p":"m","n":"OjAAAAEAAAAAAAUAEAAAAAEA"}]`} {
 		var set MachineSet
 		if json.Unmarshal([]byte(raw), &set) == nil {
@@ -91,7 +91,7 @@
 	}
 }
 
-func TestOverlapNamesAMachineOfBothSets(t *testing.T) {
+func TestMachineSetOverlapNamesACommonMachine(t *testing.T) {
 	a, b := NewMachineSet("m1", "m2", "host-007"), NewMachineSet("m3", "host-007")
 	if name, both := a.Overlap(&b); !both || name != "host-007" {
 		t.Errorf("%s, %v", name, both)
--- a/internal/rollout/orders.go
+++ b/internal/rollout/orders.go
@@ -10,37 +10,39 @@
 type Order struct {
 	Rollout Name
 	Wave    int
-	// Drain has the machine emptied, within the teams' budgets; without it the machine only
-	// gets no new work.
+	// Drain has the machine drained, within the teams' disruption budgets; without it the
+	// machine is only cordoned.
 	Drain bool
 	// Return has it returned to the cloud.
 	Return bool
-	// Surge tells that room elsewhere must be there before a replica is stopped.
+	// Surge tells that a replica is stopped only after there is room for it elsewhere.
 	Surge bool
-	// Replace tells that the rollout rents a machine in place of this one itself.
+	// Replace tells that the rollout itself provisions the replacement of this machine.
 	Replace bool
-	// Stop tells that tasks that can't save are stopped as well, since the step's deadline is over.
+	// Stop tells that tasks that save no checkpoints are stopped as well, since the step's
+	// deadline is over.
 	Stop bool
 }
 
-// HireRequest is a rental of replacements that has no answer yet.
+// HireRequest is a request for replacements that the cloud has not answered yet.
 type HireRequest struct {
 	Name ids.Hire
-	KindCount
+	ClassCount
 }
 
-// Orders are what all rollouts want of the leader. They follow from what is stored alone, so that
-// to carry them out again is to carry them out once.
+// Orders are what all rollouts want of the leader. They follow from what is stored alone, and
+// carrying them out is idempotent.
 type Orders struct {
 	Machines map[ids.Machine]Order
 	Hires    []HireRequest
-	// ClosedZones are zones that are given up: nothing new is rented there.
+	// ClosedZones are the zones being drained for good, where nothing new is provisioned, with
+	// the rollouts that drain them.
 	ClosedZones map[string]Name
 	// Keep are replacements that are not returned for being idle while they are observed.
 	Keep map[ids.Machine]bool
 }
 
-// What the leader counts, for operators and rehearsals.
+// Counters of the leader, for operators and rehearsals.
 const (
 	PermitsGiven   = "permits given"
 	PermitsRefused = "permits refused"
@@ -52,47 +54,57 @@
 }
 
 // add puts in what follows from one rollout.
-func (o *Orders) add(r *Record, now time.Time) {
-	if r.closesZone() {
-		o.ClosedZones[r.Spec.Select.Zone] = r.Spec.Name
+func (o *Orders) add(record *Record, now time.Time) {
+	if record.drainsWholeZone() {
+		o.ClosedZones[record.Spec.Select.Zone] = record.Spec.Name
 	}
-	if r.Wave == nil || r.State.Over() {
+	if record.Wave == nil || record.State.isFinal() {
 		return
 	}
-	wave := r.Wave
-	order := Order{Rollout: r.Spec.Name, Wave: wave.Number, Surge: r.Spec.Surge, Replace: r.Spec.Replace}
-	empty := order
+	spec := &record.Spec
+	cordon := Order{Rollout: spec.Name, Wave: record.Wave.Number, Surge: spec.Surge, Replace: spec.Replace}
+	empty := cordon
 	empty.Return = true
-	o.addAll(r.in(Empty), empty)
-	if r.State != Running && r.State != Paused {
+	o.addMachines(record.machinesIn(Empty), empty)
+	if !record.isRunningOrPaused() {
 		return
 	}
-	o.addAll(r.in(Cordoned), order)
-	if r.State == Running {
-		order.Drain = true
-		deadline := wave.DrainingSince + wallOf(r.Spec.Deadline)
-		order.Stop = r.Spec.AtDeadline == Stop && ids.WallOf(now) >= deadline
+	o.addMachines(record.machinesIn(Cordoned), cordon)
+	drain := cordon
+	if record.State == Running {
+		deadline := record.Wave.DrainingSince + wallOf(spec.Deadline)
+		drain.Drain = true
+		drain.Stop = spec.AtDeadline == Stop && ids.WallOf(now) >= deadline
 	}
-	o.addAll(r.in(Draining), order)
-	for i := range wave.Hires {
-		hire := &wave.Hires[i]
-		for name := range hire.Machines.All() {
+	o.addMachines(record.machinesIn(Draining), drain)
+	o.addReplacements(record)
+}
+
+func (o *Orders) addMachines(machines *MachineSet, order Order) {
+	for name := range machines.All() {
+		o.Machines[name] = order
+	}
+}
+
+// addReplacements keeps the wave's replacements and asks for those that have not been provisioned.
+func (o *Orders) addReplacements(record *Record) {
+	for i := range record.Wave.Hires {
+		request := &record.Wave.Hires[i]
+		for name := range request.Machines.All() {
 			o.Keep[name] = true
 		}
-		if !hire.Answered && r.State == Running {
-			o.Hires = append(o.Hires, HireRequest{Name: hire.Name, KindCount: hire.KindCount})
+		if !request.Answered && record.State == Running {
+			o.Hires = append(o.Hires, HireRequest{Name: request.Name, ClassCount: request.ClassCount})
 		}
 	}
 }
 
-// closesZone tells that a rollout empties a whole zone for good.
-func (r *Record) closesZone() bool {
-	sel := &r.Spec.Select
-	return sel.Zone != "" && sel.Type == "" && sel.Digest == "" && !r.Spec.Replace && (r.State == Running || r.State == Paused)
-}
+// isRunningOrPaused reports whether the rollout's machines stay cordoned until it goes on.
+func (r *Record) isRunningOrPaused() bool { return r.State == Running || r.State == Paused }
 
-func (o *Orders) addAll(machines *MachineSet, order Order) {
-	for name := range machines.All() {
-		o.Machines[name] = order
-	}
+// drainsWholeZone reports whether the rollout drains a whole zone for good.
+func (r *Record) drainsWholeZone() bool {
+	selection := &r.Spec.Select
+	isZone := selection.Zone != "" && selection.Type == "" && selection.Digest == ""
+	return isZone && !r.Spec.Replace && r.isRunningOrPaused()
 }
--- a/internal/rollout/preview.go
+++ b/internal/rollout/preview.go
@@ -8,30 +8,30 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-// Planner is what a plan is made from.
+// Planner is the view of the fleet that a plan is made from.
 type Planner interface {
 	View
-	// Machines lists all machines that are up or on their way.
+	// Machines lists all machines that are up or being provisioned.
 	Machines() []ids.Machine
-	// BootTime is about how long a machine of a kind takes until it is up.
+	// BootTime is about how long a machine of an instance class takes until it is up.
 	BootTime(kind Kind) time.Duration
-	// StepTime is about how long one step of emptying a machine takes.
+	// StepTime is about how long one step of draining a machine takes.
 	StepTime() time.Duration
 }
 
 // Preview is what a rollout would do as things are now. It is a plan and no promise: each
-// eviction asks for its permit when it is due.
+// eviction asks the disruption budgets when it is due.
 type Preview struct {
 	Machines []ids.Machine   `json:"machines"`
 	Waves    [][]ids.Machine `json:"waves"`
-	// Takes is about how long the rollout takes if nothing fails, in seconds, without those
-	// machines that are blocked.
+	// Takes is about how long the rollout takes if nothing fails, in seconds, without the machines
+	// that are blocked.
 	Takes ids.Seconds `json:"takes"`
-	// Blocked are the machines that can't be emptied now, and why.
+	// Blocked are the machines that can't be drained now, and why.
 	Blocked []BlockedMachine `json:"blocked,omitempty"`
 }
 
-// BlockedMachine is a machine that waits, and for what.
+// BlockedMachine is a machine that would wait, and for what.
 type BlockedMachine struct {
 	Name ids.Machine `json:"name"`
 	Why  []string    `json:"why"`
@@ -44,62 +44,65 @@
 		return nil, err
 	}
 	preview := &Preview{Machines: names}
-	var candidates []candidate
-	for _, name := range names {
-		c := candidate{name: name, machine: fleet.Machine(name), weight: fleet.Weigh(name)}
-		candidates = append(candidates, c)
-		if len(c.weight.Blocked) > 0 {
-			preview.Blocked = append(preview.Blocked, BlockedMachine{name, c.weight.Blocked})
+	candidates := make([]candidate, len(names))
+	for i, name := range names {
+		candidates[i] = candidate{name: name, machine: fleet.Machine(name), weight: fleet.Weigh(name)}
+		if blocked := candidates[i].weight.Blocked; len(blocked) > 0 {
+			preview.Blocked = append(preview.Blocked, BlockedMachine{name, blocked})
 		}
 	}
-	for wave := range slices.Chunk(inOrder(candidates), max(1, spec.WaveSize)) {
-		var list []ids.Machine
-		for _, c := range wave {
-			list = append(list, c.name)
-		}
-		if len(preview.Waves) > 0 {
-			preview.Takes += spec.Pause
-		}
-		preview.Waves = append(preview.Waves, list)
-		preview.Takes += ids.Seconds(waveTime(spec, wave, fleet).Seconds())
+	for wave := range slices.Chunk(sortCandidates(candidates), max(1, spec.WaveSize)) {
+		preview.addWave(spec, wave, fleet)
 	}
 	return preview, nil
 }
 
+// addWave adds a wave and the time that it takes.
+func (p *Preview) addWave(spec *Spec, wave []candidate, fleet Planner) {
+	var names []ids.Machine
+	for i := range wave {
+		names = append(names, wave[i].name)
+	}
+	if len(p.Waves) > 0 {
+		p.Takes += spec.Pause
+	}
+	p.Waves = append(p.Waves, names)
+	p.Takes += ids.Seconds(waveTime(spec, wave, fleet).Seconds())
+}
+
 // waveTime is about how long a wave takes: one step after the other, since the machines of a wave
 // share the budgets.
-func waveTime(spec *Spec, wave []candidate, fleet Planner) (takes time.Duration) {
-	boot := time.Duration(0)
-	for _, c := range wave {
-		takes += time.Duration(c.weight.Steps) * fleet.StepTime()
-		boot = max(boot, fleet.BootTime(c.machine.Kind))
+func waveTime(spec *Spec, wave []candidate, fleet Planner) (total time.Duration) {
+	bootTime := time.Duration(0)
+	for i := range wave {
+		total += time.Duration(wave[i].weight.Steps) * fleet.StepTime()
+		bootTime = max(bootTime, fleet.BootTime(wave[i].machine.Kind))
 	}
 	if spec.Replace {
-		takes += boot + spec.Observe.Duration()
+		total += bootTime + spec.Observe.Duration()
 	}
-	return takes
+	return total
 }
 
-// selectMachines lists the machines that a description selects, in order of their names.
+// selectMachines lists the machines that a description selects, in order of their names. One that
+// is named and unknown is an error.
 func selectMachines(spec *Spec, fleet Planner, now time.Time) ([]ids.Machine, error) {
-	sel := &spec.Select
+	selection := &spec.Select
 	names := fleet.Machines()
-	if len(sel.Machines) > 0 {
-		names = slices.Compact(slices.Sorted(slices.Values(sel.Machines)))
+	isNamed := len(selection.Machines) > 0
+	if isNamed {
+		names = slices.Compact(slices.Sorted(slices.Values(selection.Machines)))
 	}
 	var selected []ids.Machine
 	for _, name := range names {
-		m := fleet.Machine(name)
-		switch {
-		case len(sel.Machines) > 0 && (!m.Known || m.Gone):
+		machine := fleet.Machine(name)
+		exists := machine.Known && !machine.Gone
+		if isNamed && !exists {
 			return nil, fmt.Errorf("%w: unknown machine %q", ErrBadSpec, name)
-		case !m.Known || m.Gone,
-			sel.Zone != "" && m.Kind.Zone != sel.Zone,
-			sel.Type != "" && m.Kind.Type != sel.Type,
-			sel.Older && !m.Rented.Before(now):
-			continue
 		}
-		selected = append(selected, name)
+		if exists && selection.matches(machine, now) {
+			selected = append(selected, name)
+		}
 	}
 	if len(selected) == 0 {
 		return nil, fmt.Errorf("%w: no machine is selected", ErrBadSpec)
@@ -107,3 +110,10 @@
 	slices.Sort(selected)
 	return selected, nil
 }
+
+// matches reports whether a machine has the zone, type and age that are selected.
+func (s *Selection) matches(machine Machine, now time.Time) bool {
+	return (s.Zone == "" || machine.Kind.Zone == s.Zone) &&
+		(s.Type == "" || machine.Kind.Type == s.Type) &&
+		(!s.Older || machine.Rented.Before(now))
+}
--- a/internal/rollout/replacements.go
+++ b/internal/rollout/replacements.go
@@ -7,163 +7,212 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-// largestHire is the most machines that the cloud rents in one request (protocol, POST /hosts).
-const largestHire = 50
+// maxPerRequest is the most machines that the cloud provisions in one request (protocol,
+// POST /hosts).
+const maxPerRequest = 50
 
-// HirePrefix begins the names of all hires of replacements; no other hire's name begins so.
+// HirePrefix begins the names of all requests for replacements; no other provisioning request's
+// name begins so.
 const HirePrefix = "ro-"
 
-// hireMissing asks for the replacements that no hire covers yet.
-func (a *advance) hireMissing() {
-	wave := a.record.Wave
-	for _, wanted := range wave.Wanted {
-		missing := wanted.Count
-		for i := range wave.Hires {
-			if wave.Hires[i].Kind == wanted.Kind {
-				missing -= wave.Hires[i].Count
-			}
-		}
-		for ; missing > 0; missing -= largestHire {
-			a.moved = true
-			wave.HireCount++
-			wave.ObservedSince = 0
-			wave.Hires = append(wave.Hires, Hire{Name: ids.Hire(fmt.Sprintf("%s%s-%d-%d", HirePrefix, a.record.ID, wave.Number, wave.HireCount)),
-				KindCount: KindCount{wanted.Kind, min(missing, largestHire)}, Asked: a.now})
+// replacementsDue reports whether missing replacements are to be requested now: with a surge from
+// the beginning, without one when the machines of the wave have been returned.
+func (r *reconciler) replacementsDue() bool {
+	spec := &r.record.Spec
+	return spec.Replace && (spec.Surge || r.record.Wave.count(cordonedStates...) == 0)
+}
+
+// requestMissing requests the replacements that no request covers yet.
+func (r *reconciler) requestMissing() {
+	wave := r.record.Wave
+	for _, needed := range wave.Needed {
+		missing := needed.Count - wave.countRequested(needed.Kind)
+		for ; missing > 0; missing -= maxPerRequest {
+			r.changed = true
+			wave.RequestCount++
+			wave.ObservingSince = 0
+			wave.Hires = append(wave.Hires, ReplacementRequest{
+				Name:        ids.Hire(fmt.Sprintf("%s%s-%d-%d", HirePrefix, r.record.ID, wave.Number, wave.RequestCount)),
+				ClassCount:  ClassCount{needed.Kind, min(missing, maxPerRequest)},
+				RequestedAt: r.now,
+			})
 		}
 	}
 }
 
-// followHires takes in what became of the replacements. It returns why the rollout has to halt,
-// empty if it need not.
-func (a *advance) followHires() string {
-	wave := a.record.Wave
+// updateReplacements records what became of the replacements. It returns why the rollout has to
+// halt, empty if it need not.
+func (r *reconciler) updateReplacements() (haltReason string) {
+	wave := r.record.Wave
 	for i := range wave.Hires {
-		hire := &wave.Hires[i]
-		a.takeAnswer(hire)
-		if why := a.followReplacements(hire); why != "" {
-			return why
+		request := &wave.Hires[i]
+		r.recordAnswer(request)
+		if reason := r.updateReadiness(request); reason != "" {
+			return reason
 		}
-		if up := hire.Up.Len(); up < hire.Count && a.now > hire.Asked+wallOf(a.record.Spec.Deadline) {
-			return fmt.Sprintf("of %d replacements (%s) of wave %d the cloud has rented %d and %d are up, %.0f s after they were asked for",
-				hire.Count, hire.Kind, wave.Number, hire.Machines.Len(), up, float64(a.record.Spec.Deadline))
+		if reason := r.checkDeadline(request); reason != "" {
+			return reason
 		}
 	}
-	// One that was rented in part, or lost machines to the cloud, leaves the rest to a new one.
-	wave.Hires = slices.DeleteFunc(wave.Hires, func(h Hire) bool { return h.Answered && h.Count == 0 })
+	// One that was provisioned in part, or lost machines to the cloud, leaves the rest to a new one.
+	wave.Hires = slices.DeleteFunc(wave.Hires, func(request ReplacementRequest) bool {
+		return request.Answered && request.Count == 0
+	})
 	return ""
 }
 
-// takeAnswer notes which machines the cloud rented.
-func (a *advance) takeAnswer(hire *Hire) {
-	if hire.Answered {
+// recordAnswer notes which machines the cloud provisioned.
+func (r *reconciler) recordAnswer(request *ReplacementRequest) {
+	if request.Answered {
 		return
 	}
-	machines, answered := a.view.HireAnswer(hire.Name)
+	machines, answered := r.view.HireAnswer(request.Name)
 	if !answered {
 		return
 	}
-	a.moved = true
-	hire.Answered, hire.Machines, hire.Count = true, NewMachineSet(machines...), len(machines)
+	r.changed = true
+	request.Answered = true
+	request.Machines = NewMachineSet(machines...)
+	request.Count = len(machines)
 }
 
-// followReplacements notes which machines of a hire are up, and finds those that failed.
-func (a *advance) followReplacements(hire *Hire) (halt string) {
-	for _, name := range slices.Collect(hire.Machines.All()) {
-		m := a.view.Machine(name)
-		wasUp := hire.Up.Has(name)
+// updateReadiness notes which replacements are ready, and finds those that failed.
+func (r *reconciler) updateReadiness(request *ReplacementRequest) (haltReason string) {
+	for _, name := range slices.Collect(request.Machines.All()) {
+		machine := r.view.Machine(name)
+		wasReady := request.Ready.Has(name)
 		switch {
-		case m.Reclaimed:
-			// The cloud's doing says nothing of the replacement; another one is asked for.
-			a.moved = true
-			hire.Machines.Remove(name)
-			hire.Up.Remove(name)
-			hire.Count--
-		case m.Failed != "":
-			return fmt.Sprintf("replacement %s of wave %d failed: %s", name, a.record.Wave.Number, m.Failed)
-		case m.Gone && wasUp:
-			return fmt.Sprintf("replacement %s of wave %d came up and is gone", name, a.record.Wave.Number)
-		case m.Gone:
-			return fmt.Sprintf("replacement %s of wave %d is gone and never came up", name, a.record.Wave.Number)
-		case m.Up && !wasUp:
-			a.moved = true
-			hire.Up.Add(name)
+		case machine.Reclaimed:
+			// This says nothing of the replacement; another one is requested.
+			r.changed = true
+			request.remove(name)
+			request.Count--
+		case machine.Failed != "":
+			return fmt.Sprintf("replacement %s of wave %d failed: %s", name, r.record.Wave.Number, machine.Failed)
+		case machine.Gone && wasReady:
+			return fmt.Sprintf("replacement %s of wave %d came up and is gone", name, r.record.Wave.Number)
+		case machine.Gone:
+			return fmt.Sprintf("replacement %s of wave %d is gone and never came up", name, r.record.Wave.Number)
+		case machine.Up && !wasReady:
+			r.changed = true
+			request.Ready.Add(name)
 		}
 	}
 	return ""
 }
 
-// replacementsUp tells whether every replacement that the wave needs is up.
-func (a *advance) replacementsUp() bool {
-	if !a.record.Spec.Replace {
-		return true
+// checkDeadline finds a request whose replacements are not all ready in time.
+func (r *reconciler) checkDeadline(request *ReplacementRequest) (haltReason string) {
+	ready, deadline := request.Ready.Len(), r.record.Spec.Deadline
+	if ready >= request.Count || r.now <= request.RequestedAt+wallOf(deadline) {
+		return ""
 	}
-	wave := a.record.Wave
-	for _, wanted := range wave.Wanted {
-		up := 0
-		for i := range wave.Hires {
-			if wave.Hires[i].Kind == wanted.Kind {
-				up += wave.Hires[i].Up.Len()
-			}
-		}
-		if up < wanted.Count {
-			return false
-		}
+	return fmt.Sprintf("of %d replacements (%s) of wave %d the cloud has rented %d and %d are up, %.0f s after they were asked for",
+		request.Count, request.Kind, r.record.Wave.Number, request.Machines.Len(), ready, float64(deadline))
+}
+
+// replacementsReady reports whether every replacement that the wave needs is ready.
+func (r *reconciler) replacementsReady() bool {
+	if !r.record.Spec.Replace {
+		return true
 	}
-	return true
+	wave := r.record.Wave
+	return !slices.ContainsFunc(wave.Needed, func(needed ClassCount) bool {
+		return wave.countReady(needed.Kind) < needed.Count
+	})
 }
 
-// verify carries returned machines on to replaced and verified; it tells whether all are.
-func (a *advance) verify() bool {
-	wave := a.record.Wave
-	if !a.replacementsUp() {
+// verifyReplacements carries returned machines on to replaced and verified; it tells whether all
+// are.
+func (r *reconciler) verifyReplacements() bool {
+	wave := r.record.Wave
+	if !r.replacementsReady() || r.transitionAll(Returned, Replaced) != nil {
 		return false
 	}
-	for _, name := range a.names(Returned) {
-		if a.moveMachine(name, Returned, Replaced) != nil {
-			return false
+	if wave.ObservingSince == 0 {
+		wave.ObservingSince, r.changed = r.now, true
+	}
+	if r.now < wave.ObservingSince+wallOf(r.record.Spec.Observe) {
+		return false
+	}
+	return r.transitionAll(Replaced, Verified) == nil
+}
+
+// transitionAll takes all machines of the wave in one state to another.
+func (r *reconciler) transitionAll(from, to MachineState) error {
+	for _, name := range r.machinesIn(from) {
+		if err := r.transitionMachine(name, from, to); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// adjustNeeded changes how many replacements of a class the wave needs.
+func (w *Wave) adjustNeeded(class Kind, change int) {
+	for i := range w.Needed {
+		if w.Needed[i].Kind == class {
+			w.Needed[i].Count = max(0, w.Needed[i].Count+change)
+			return
 		}
 	}
-	if wave.ObservedSince == 0 {
-		wave.ObservedSince, a.moved = a.now, true
+	if change > 0 {
+		w.Needed = append(w.Needed, ClassCount{class, change})
 	}
-	if a.now < wave.ObservedSince+wallOf(a.record.Spec.Observe) {
-		return false
+}
+
+// countRequested is how many replacements of a class have been requested.
+func (w *Wave) countRequested(class Kind) (n int) {
+	for i := range w.Hires {
+		if w.Hires[i].Kind == class {
+			n += w.Hires[i].Count
+		}
 	}
-	for _, name := range a.names(Replaced) {
-		if a.moveMachine(name, Replaced, Verified) != nil {
-			return false
+	return n
+}
+
+// countReady is how many replacements of a class are ready.
+func (w *Wave) countReady(class Kind) (n int) {
+	for i := range w.Hires {
+		if w.Hires[i].Kind == class {
+			n += w.Hires[i].Ready.Len()
 		}
 	}
-	return true
+	return n
 }
 
-// forgetFailed prepares a halted wave for being resumed: replacements that were not up are given
-// up, and the time that the rollout stood still counts against no deadline. Those that are up are
-// looked at again by the leader.
-func (w *Wave) forgetFailed(now ids.Wall, failed func(ids.Machine) bool) {
-	w.ObservedSince = 0
-	w.restartClocks(now)
+// discardFailedReplacements prepares a halted wave for being resumed: replacements that were not
+// ready are given up, and the time for which the rollout was halted counts against no deadline.
+// Whether those that were ready still are, the leader looks at again.
+func (w *Wave) discardFailedReplacements(now ids.Wall, failed func(ids.Machine) bool) {
+	w.ObservingSince = 0
+	w.restartDeadlines(now)
 	for i := range w.Hires {
-		hire := &w.Hires[i]
-		if !hire.Answered {
+		request := &w.Hires[i]
+		if !request.Answered {
 			continue
 		}
-		for _, name := range slices.Collect(hire.Machines.All()) {
-			if !hire.Up.Has(name) || failed(name) {
-				hire.Machines.Remove(name)
-				hire.Up.Remove(name)
+		for _, name := range slices.Collect(request.Machines.All()) {
+			if !request.Ready.Has(name) || failed(name) {
+				request.remove(name)
 			}
 		}
-		hire.Count = hire.Machines.Len()
+		request.Count = request.Machines.Len()
 	}
 }
 
-// restartClocks has the time that a rollout stood still count against no deadline.
-func (w *Wave) restartClocks(now ids.Wall) {
+// restartDeadlines has the time for which a rollout did not go on count against no deadline.
+func (w *Wave) restartDeadlines(now ids.Wall) {
 	if w.DrainingSince > 0 {
 		w.DrainingSince = now
 	}
 	for i := range w.Hires {
-		w.Hires[i].Asked = now
+		w.Hires[i].RequestedAt = now
 	}
 }
+
+// remove takes a replacement off the request.
+func (q *ReplacementRequest) remove(name ids.Machine) {
+	q.Machines.Remove(name)
+	q.Ready.Remove(name)
+}
--- /dev/null
+++ b/internal/rollout/rollout_test.go
@@ -0,0 +1,288 @@
+package rollout
+
+import (
+	"encoding/json"
+	"errors"
+	"net/http"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/pebbletrail/pebbletrail/internal/fake"
+	"github.com/pebbletrail/pebbletrail/internal/ids"
+	"github.com/pebbletrail/pebbletrail/internal/state"
+)
+
+func TestRolloutOfSixThousandMachinesFitsSmallValues(t *testing.T) {
+	// The state service takes values of 8 KiB and twelve changes at a time; the fleet's numbers
+	// are scattered. A leader that ends in the middle is succeeded by one that goes on.
+	const machines = 6000
+	runHarness(t, 2*machines, func(h *harness) {
+		for name := range h.fleet.machines {
+			if len(h.fleet.machines) > machines {
+				delete(h.fleet.machines, name)
+			}
+		}
+		stopLeader := h.startLeader("b")
+		spec := wholeFleet("large")
+		spec.WaveSize = 300
+		if _, err := h.service.Start(h.ctx, spec); err != nil {
+			t.Fatal(err)
+		}
+		time.Sleep(5 * time.Second)
+		stopLeader()
+		h.startLeader("c")
+		status := h.awaitState("large", Ended, 10*time.Minute)
+		h.fleet.change(func(f *fakeFleet) {
+			if status.Done != machines || len(f.machines) != 0 {
+				t.Errorf("%d machines through, %d left", status.Done, len(f.machines))
+			}
+			if f.mostCordoned > spec.WaveSize {
+				t.Errorf("%d machines were cordoned at a time", f.mostCordoned)
+			}
+		})
+		if n := h.store.CountTooLarge(); n > 0 {
+			t.Errorf("%d transactions were too large", n)
+		}
+		time.Sleep(2 * time.Second)
+		if n := h.store.Count(waitingPrefix); n > 0 {
+			t.Errorf("%d parts are left over", n)
+		}
+	})
+}
+
+func TestWaveTooLargeForARecordIsRejected(t *testing.T) {
+	runHarness(t, 3000, func(h *harness) {
+		h.startLeader("b")
+		spec := wholeFleet("wide")
+		spec.WaveSize = 3000
+		if _, err := h.service.Start(h.ctx, spec); !errors.Is(err, ErrBadSpec) || !strings.Contains(err.Error(), "wave size") {
+			t.Errorf("%v", err)
+		}
+	})
+}
+
+func TestInvalidSpecsAreRejectedInOneLine(t *testing.T) {
+	runHarness(t, 4, func(h *harness) {
+		h.startLeader("b")
+		for name, change := range map[string]func(*Spec){
+			"name":                   func(spec *Spec) { spec.Name = "Spring 1" },
+			"nothing selects":        func(spec *Spec) { spec.Select = Selection{} },
+			"unknown zone":           func(spec *Spec) { spec.Select.Zone = "west" },
+			"unknown machine type":   func(spec *Spec) { spec.Select.Type = "huge" },
+			"unknown machine \"m\"":  func(spec *Spec) { spec.Select.Machines = []ids.Machine{"m"} },
+			"no machine is selected": func(spec *Spec) { spec.Select.Zone, spec.Select.Machines = "south", []ids.Machine{"host-000001"} },
+			"wave size":              func(spec *Spec) { spec.WaveSize = 0 },
+			"pause and observation":  func(spec *Spec) { spec.Pause = -1 },
+			"deadline":               func(spec *Spec) { spec.Deadline = 0 },
+			"at the deadline":        func(spec *Spec) { spec.AtDeadline = "panic" },
+			"with 3 shards drains":   nil,
+		} {
+			spec := wholeFleet("spring")
+			service := *h.service
+			if change == nil {
+				service.Installation = func() Installation { return Installation{Shards: 3} }
+			} else {
+				change(spec)
+			}
+			_, err := service.Start(h.ctx, spec)
+			if !errors.Is(err, ErrBadSpec) || !strings.Contains(err.Error(), name) || strings.Contains(err.Error(), "\n") {
+				t.Errorf("%s: %v", name, err)
+			}
+		}
+		if n := h.store.Count(Prefix); n > 0 {
+			t.Errorf("%d keys were written", n)
+		}
+	})
+}
+
+func TestCommandsAreIdempotentAndFollowTheTransitions(t *testing.T) {
+	runHarness(t, 4, func(h *harness) {
+		// Nobody leads, so that nothing moves by itself.
+		spec := wholeFleet("spring")
+		for range 2 {
+			if _, err := h.service.Start(h.ctx, spec); err != nil {
+				t.Fatal(err)
+			}
+		}
+		other := wholeFleet("spring")
+		other.WaveSize = 1
+		if _, err := h.service.Start(h.ctx, other); !errors.Is(err, ErrOtherContents) {
+			t.Errorf("other contents: %v", err)
+		}
+		for _, step := range []struct {
+			command Command
+			state   State
+			err     error
+		}{
+			{PauseIt, Paused, nil},
+			{PauseIt, Paused, nil},
+			{ResumeIt, Running, nil},
+			{ResumeIt, Running, nil},
+			{PauseIt, Paused, nil},
+			{AbortIt, Aborting, nil},
+			{AbortIt, Aborting, nil},
+			{ResumeIt, Aborting, ErrBadMove},
+			{PauseIt, Aborting, ErrBadMove},
+			{"explode", Aborting, ErrBadSpec},
+		} {
+			_, err := h.service.Do(h.ctx, "spring", step.command)
+			status, statusErr := h.service.Status(h.ctx, "spring")
+			if statusErr != nil {
+				t.Fatal(statusErr)
+			}
+			if !errors.Is(err, step.err) || status.State != step.state {
+				t.Errorf("%s: %v, then %s, not %s", step.command, err, status.State, step.state)
+			}
+		}
+		if _, err := h.service.Do(h.ctx, "autumn", PauseIt); !errors.Is(err, ErrNotFound) {
+			t.Errorf("unknown rollout: %v", err)
+		}
+	})
+}
+
+func TestOneOfTwoConcurrentOverlappingStartsSucceeds(t *testing.T) {
+	// Both have read that no other rollout has the machines before either is stored.
+	runHarness(t, 4, func(h *harness) {
+		h.planDelay = time.Second
+		outcomes := make(chan error, 2)
+		for _, name := range []Name{"first", "second"} {
+			service := h.controller(string(name))
+			go func() {
+				_, err := service.Start(h.ctx, wholeFleet(name))
+				outcomes <- err
+			}()
+		}
+		first, second := <-outcomes, <-outcomes
+		if (first == nil) == (second == nil) || !errors.Is(errors.Join(first, second), ErrOverlap) {
+			t.Errorf("%v and %v", first, second)
+		}
+	})
+}
+
+func TestLostAnswersDuplicateNothing(t *testing.T) {
+	runHarness(t, 6, func(h *harness) {
+		lost := 0
+		h.network.SetRule(func(from, _ string, r *http.Request, _ []byte) fake.Fate {
+			if r.URL.Path == "/commit" && lost < 4 {
+				lost++
+				return fake.LoseAnswer
+			}
+			return fake.Deliver
+		})
+		h.startLeader("b")
+		spec := wholeFleet("spring")
+		spec.Replace, spec.WaveSize = true, 3
+		if _, err := h.service.Start(h.ctx, spec); err != nil {
+			t.Fatal(err)
+		}
+		if status := h.awaitState("spring", Ended, 5*time.Minute); status.Done != 6 {
+			t.Errorf("%d machines through", status.Done)
+		}
+		h.fleet.change(func(f *fakeFleet) {
+			if len(f.machines) != 6 || f.next != 12 {
+				t.Errorf("%d machines, %d provisioned in all", len(f.machines), f.next)
+			}
+		})
+	})
+}
+
+func TestHaltedRolloutContinuesWhenResumed(t *testing.T) {
+	for name, trouble := range map[string]func(*fakeFleet, bool){
+		"failed: it is broken": func(f *fakeFleet, on bool) { f.replacementsFail = on },
+		"0 are up":             func(f *fakeFleet, on bool) { f.provisionNothing = on },
+	} {
+		runHarness(t, 6, func(h *harness) {
+			h.fleet.change(func(f *fakeFleet) { trouble(f, true) })
+			h.startLeader("b")
+			spec := wholeFleet("spring")
+			spec.Replace, spec.Surge, spec.WaveSize, spec.Observe = true, true, 3, 10
+			if _, err := h.service.Start(h.ctx, spec); err != nil {
+				t.Fatal(err)
+			}
+			status := h.awaitState("spring", Halted, 3*time.Minute)
+			if !strings.Contains(status.Why, name) || status.Waiting != 6 {
+				t.Errorf("%s: halted for %q with %d waiting", name, status.Why, status.Waiting)
+			}
+			h.fleet.change(func(f *fakeFleet) { trouble(f, false) })
+			if _, err := h.service.Do(h.ctx, "spring", ResumeIt); err != nil {
+				t.Fatal(err)
+			}
+			if status := h.awaitState("spring", Ended, 5*time.Minute); status.Done != 6 {
+				t.Errorf("%d machines through", status.Done)
+			}
+		})
+	}
+}
+
+func TestUnreadableRolloutIsListedAndLeftAlone(t *testing.T) {
+	// Of a newer version, or damaged: it is listed, nothing of it is carried out or changed, and
+	// the others go on.
+	runHarness(t, 4, func(h *harness) {
+		put := func(key, value string) {
+			txn := state.Txn{Then: []state.Op{{Put: key, Value: json.RawMessage(value)}}}
+			if _, err := h.service.State.Commit(h.ctx, txn, state.Urgent); err != nil {
+				t.Fatal(err)
+			}
+		}
+		put(recordKey("newer"), `{"version":2,"state":"running"}`)
+		put(recordKey("damaged"), `{"version":1,"state":"running","parts":1}`)
+		put(recordKey("strange"), `{"version":1,"state":"dancing"}`)
+		put(recordKey("unreadable"), `[1]`)
+		h.startLeader("b")
+		if _, err := h.service.Start(h.ctx, wholeFleet("spring")); err != nil {
+			t.Fatal(err)
+		}
+		h.awaitState("spring", Ended, 3*time.Minute)
+		statuses, err := h.service.List(h.ctx)
+		if err != nil || len(statuses) != 5 {
+			t.Fatal(statuses, err)
+		}
+		for _, name := range []Name{"newer", "damaged", "strange", "unreadable"} {
+			listed := slices.ContainsFunc(statuses, func(status *Status) bool { return status.Name == name && strings.Contains(status.Note, "set aside") })
+			_, err := h.service.Do(h.ctx, name, AbortIt)
+			_, startErr := h.service.Start(h.ctx, wholeFleet(name))
+			if !listed || !errors.Is(err, ErrUnreadable) || !errors.Is(startErr, ErrUnreadable) {
+				t.Errorf("%s: listed %v; %v; %v", name, listed, err, startErr)
+			}
+		}
+	})
+}
+
+func TestPlanIsGreedyAndListsBlockedMachines(t *testing.T) {
+	fleet := newFleet(6)
+	blocked := fleet.machines["host-000001"]
+	blocked.weight.Blocked = []string{"a budget of zero"}
+	fleet.machines["host-000003"].weight.Steps = 5
+	spec := wholeFleet("spring")
+	spec.Select = Selection{Zone: "north"}
+	spec.WaveSize, spec.Pause = 2, 60
+	preview, err := MakePreview(spec, fleet, time.Now())
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := [][]ids.Machine{{"host-000005", "host-000003"}, {"host-000001"}}
+	if !slices.EqualFunc(preview.Waves, want, slices.Equal) {
+		t.Errorf("waves %v, not %v", preview.Waves, want)
+	}
+	if len(preview.Blocked) != 1 || preview.Blocked[0].Name != "host-000001" {
+		t.Errorf("blocked: %v", preview.Blocked)
+	}
+	if preview.Takes != 95 { // seven steps of 5 s and one pause
+		t.Errorf("takes %v s", preview.Takes)
+	}
+}
+
+func TestOtherTransitionsAreRejected(t *testing.T) {
+	if Ended.canBecome(Running) || Halted.canBecome(Ended) || Aborting.canBecome(Running) || Waiting.canBecome(Draining) || Empty.canBecome(Waiting) || Returned.canBecome(Waiting) {
+		t.Error("a transition that is not listed is allowed")
+	}
+	wave := &Wave{Machines: map[MachineState]MachineSet{Empty: NewMachineSet("m1")}}
+	if err := wave.transition("m1", Empty, Waiting); !errors.Is(err, ErrBadMove) {
+		t.Errorf("an empty machine goes back into service: %v", err)
+	}
+	if err := wave.transition("m2", Empty, Returned); !errors.Is(err, ErrBadMove) {
+		t.Errorf("a machine that is not in the wave is moved: %v", err)
+	}
+}
--- a/internal/rollout/scale_test.go
+++ b/internal/rollout/scale_test.go
@@ -23,22 +23,22 @@
 	}
 }
 
-func TestChangesOfTheStoreFollowTheWavesNotTheMachines(t *testing.T) {
+func TestWritesScaleWithWavesNotMachines(t *testing.T) {
 	// Twenty waves, whatever the size of the fleet: what is stored changes by waves and parts.
 	for _, machines := range []int{50, 500, 6000} {
-		play(t, machines, func(s *stage) {
-			s.lead("b")
+		runHarness(t, machines, func(h *harness) {
+			h.startLeader("b")
 			spec := wholeFleet("spring")
 			spec.Replace, spec.Surge, spec.WaveSize = true, true, (machines+19)/20
-			if _, err := s.service.Start(s.ctx, spec); err != nil {
+			if _, err := h.service.Start(h.ctx, spec); err != nil {
 				t.Fatal(err)
 			}
-			s.reaches("spring", Ended, 20*time.Minute)
+			h.awaitState("spring", Ended, 20*time.Minute)
 			synctest.Wait()
-			if n := s.store.Epoch(); n > 400 {
+			if n := h.store.Epoch(); n > 400 {
 				t.Errorf("%d transactions for %d machines", n, machines)
 			}
-			t.Logf("%d machines: %d transactions", machines, s.store.Epoch())
+			t.Logf("%d machines: %d transactions", machines, h.store.Epoch())
 		})
 	}
 }
--- a/internal/rollout/service.go
+++ b/internal/rollout/service.go
@@ -12,12 +12,16 @@
 	"github.com/pebbletrail/pebbletrail/internal/state"
 )
 
-// What a command can come to besides success. Each is told in one line; nothing is changed.
+// The outcomes of a command besides success. Each is told in one line; nothing is changed.
 var (
-	ErrNotFound      = errors.New("no such rollout")
+	// ErrNotFound tells that there is no rollout of the name.
+	ErrNotFound = errors.New("no such rollout")
+	// ErrOtherContents tells that the name was used for another description.
 	ErrOtherContents = errors.New("a rollout of this name exists and says something else")
-	ErrOverlap       = errors.New("a machine is in another rollout")
-	ErrSetAside      = errors.New("the stored rollout can't be read by this version")
+	// ErrOverlap tells that an active rollout has one of the machines.
+	ErrOverlap = errors.New("a machine is in another rollout")
+	// ErrUnreadable tells that what is stored is damaged or of a newer version.
+	ErrUnreadable = errors.New("the stored rollout can't be read by this version")
 	// ErrNotNow tells that the state service or the leader does not answer; the command may be
 	// repeated.
 	ErrNotNow = errors.New("not now")
@@ -27,13 +31,14 @@
 type Leader interface {
 	// PlanDrain makes a plan as things are now.
 	PlanDrain(ctx context.Context, spec *Spec) (*Preview, error)
-	// DrainWaits tells what the machines being emptied wait for.
+	// DrainWaits tells what the machines being drained wait for.
 	DrainWaits(ctx context.Context) (map[ids.Machine][]string, error)
 }
 
-// Service carries out the operators' commands, at any controller. Every command may be repeated.
+// Service carries out the operators' commands, at any controller. All commands are idempotent. Its
+// fields are not changed after the start, so calls may run at the same time.
 type Service struct {
-	Copy         *state.Mirror
+	Copy         *state.Mirror // of the keys below Prefix
 	State        *state.Client
 	Leader       Leader
 	Installation func() Installation
@@ -41,18 +46,8 @@
 	Limits       Limits
 }
 
-// Command changes the state of a rollout.
-type Command string
-
-// The commands.
-const (
-	PauseIt  Command = "pause"
-	ResumeIt Command = "resume"
-	AbortIt  Command = "abort"
-)
-
-// tries is how often a command is tried that met another change.
-const tries = 5
+// maxAttempts is how often a command is tried that conflicts with other changes.
+const maxAttempts = 5
 
 // Plan tells what a rollout would do; it changes nothing.
 func (s *Service) Plan(ctx context.Context, spec *Spec) (*Preview, error) {
@@ -71,212 +66,166 @@
 	if err := spec.Check(s.Installation()); err != nil {
 		return nil, err
 	}
-	for range tries {
-		book, err := s.read(ctx)
+	for range maxAttempts {
+		snapshot, err := s.readSnapshot(ctx)
 		if err != nil {
 			return nil, err
 		}
-		if known, err := s.sameAs(book, spec); known != nil || err != nil {
-			return known, err
-		}
-		preview, err := s.Plan(ctx, spec)
+		existing, err := snapshot.findSame(spec)
 		if err != nil {
 			return nil, err
 		}
-		txn, err := s.creation(book, spec, preview)
-		if err != nil {
-			return nil, err
+		if existing != nil {
+			return statusOf(existing, nil), nil
 		}
-		if _, err = s.State.Commit(ctx, txn, state.Normal); err != nil && !retried(err) {
-			return nil, fmt.Errorf("%w: %v", ErrNotNow, err)
+		// Whatever the answer to this is, the next read tells whether it is stored.
+		if err := s.create(ctx, snapshot, spec); err != nil {
+			return nil, err
 		}
-		// Whatever the answer was, the next read tells whether it is stored.
 	}
 	return nil, fmt.Errorf("%w: others change rollouts at the same time", ErrNotNow)
 }
 
-// retried tells whether a write may have failed only for another change, or have succeeded.
-func retried(err error) bool {
-	var conflict *state.Conflict
-	return errors.As(err, &conflict) || errors.Is(err, state.ErrUnknown)
-}
-
-// sameAs finds a rollout of the same name: nil if there is none, an error if it says something else.
-func (s *Service) sameAs(book *book, spec *Spec) (*Status, error) {
-	if why, aside := book.aside[spec.Name]; aside {
-		return nil, fmt.Errorf("%w: %s: %s", ErrSetAside, spec.Name, why)
-	}
-	run := book.runs[spec.Name]
-	switch {
-	case run == nil:
-		return nil, nil
-	case !run.record.Spec.Same(spec):
-		return nil, fmt.Errorf("%w: %s", ErrOtherContents, spec.Name)
+// create plans a rollout and tries to store it. Whether that succeeded is not told.
+func (s *Service) create(ctx context.Context, snapshot *rolloutSnapshot, spec *Spec) error {
+	preview, err := s.Plan(ctx, spec)
+	if err != nil {
+		return err
 	}
-	return statusOf(run, nil), nil
-}
-
-// creation is the transaction that stores a new rollout.
-func (s *Service) creation(book *book, spec *Spec, preview *Preview) (state.Txn, error) {
 	selected := NewMachineSet(preview.Machines...)
-	if other, machine, both := book.holder(&selected); both {
-		return state.Txn{}, fmt.Errorf("%w: %s is in %s", ErrOverlap, machine, other)
-	}
-	parts := selected.Parts(s.Limits.ValueBytes)
-	if len(parts) > s.Limits.mostParts() {
-		return state.Txn{}, fmt.Errorf("%w: the names of %d machines take %d values, of at most %d in one transaction: select fewer",
-			ErrBadSpec, selected.Len(), len(parts), s.Limits.mostParts())
-	}
-	started := ids.WallOf(time.Now())
-	record := &Record{Version: storedVersion, ID: newID(started, rand.Uint32()), Spec: spec.stored(), State: Running, Started: started,
-		Total: selected.Len(), Parts: len(parts), Writer: s.Writer, Seq: 1}
-	if err := record.fitsFullWave(s.Limits.ValueBytes); err != nil {
-		return state.Txn{}, err
-	}
-	txn := state.Txn{When: []state.Condition{{Key: indexKey, Revision: book.indexRev}, {Key: runKey(spec.Name)}}}
-	listed := index{Active: append(slices.Clone(book.index.Active), spec.Name)}
-	if err := putValue(&txn, indexKey, listed, s.Limits); err != nil {
-		return txn, fmt.Errorf("%w: too many rollouts are under way", ErrBadSpec)
+	if other, machine, found := snapshot.findOverlap(&selected); found {
+		return fmt.Errorf("%w: %s is in %s", ErrOverlap, machine, other)
 	}
-	if err := putValue(&txn, runKey(spec.Name), record, s.Limits); err != nil {
-		return txn, err
+	record, parts, err := s.newRecord(spec, &selected)
+	if err != nil {
+		return err
 	}
-	for part, set := range parts {
-		if err := putValue(&txn, leftKey(spec.Name, part), set, s.Limits); err != nil {
-			return txn, err
-		}
+	txn, err := createTransaction(record, parts, snapshot, s.Limits)
+	if err != nil {
+		return err
 	}
-	return txn, nil
+	_, err = s.commit(ctx, txn)
+	return err
+}
+
+// newRecord makes the record of a new rollout, and the parts of its waiting machines.
+func (s *Service) newRecord(spec *Spec, selected *MachineSet) (*Record, []MachineSet, error) {
+	parts := selected.Parts(s.Limits.ValueBytes)
+	if len(parts) > s.Limits.maxParts() {
+		return nil, nil, fmt.Errorf("%w: the names of %d machines take %d values, of at most %d in one transaction: select fewer",
+			ErrBadSpec, selected.Len(), len(parts), s.Limits.maxParts())
+	}
+	startedAt := ids.WallOf(time.Now())
+	record := &Record{
+		Version:   storedVersion,
+		ID:        newID(startedAt, rand.Uint32()),
+		Spec:      spec.stored(),
+		State:     Running,
+		StartedAt: startedAt,
+		Total:     selected.Len(),
+		Parts:     len(parts),
+	}
+	record.signBy(s.Writer)
+	return record, parts, record.checkWaveFits(s.Limits.ValueBytes)
 }
 
-// timesInWave is in how many sets a machine of a wave, or its replacement, may stand at a time.
-const timesInWave = 3
+// newID makes an id for a rollout that no other has.
+func newID(startedAt ids.Wall, random uint32) string {
+	return fmt.Sprintf("%x-%x", int64(startedAt), random)
+}
 
-// fitsFullWave refuses a wave so large that the record would not fit into a value.
-func (r *Record) fitsFullWave(valueBytes int) error {
-	const besidesMachines = 2048 // the description, hires and the names of what is alike
-	most := int(float64(valueBytes-besidesMachines) / (timesInWave * storedPerMachine))
-	if r.Spec.WaveSize > max(most, 1) && r.Total > most {
-		return fmt.Errorf("%w: wave size: a record of %d bytes holds waves of %d machines at most: %d", ErrBadSpec, valueBytes, most, r.Spec.WaveSize)
+// commit tries to store a transaction. It is false without an error if that may be repeated after
+// the next read: it met another change, or its answer was lost.
+func (s *Service) commit(ctx context.Context, txn *transaction) (stored bool, err error) {
+	_, err = s.State.Commit(ctx, txn.Txn, state.Normal)
+	var conflict *state.Conflict
+	switch {
+	case err == nil:
+		return true, nil
+	case errors.As(err, &conflict), errors.Is(err, state.ErrUnknown):
+		return false, nil
 	}
-	return nil
+	return false, fmt.Errorf("%w: %v", ErrNotNow, err)
 }
 
 // Do carries out a command on a stored rollout. One that has its effect already changes nothing.
 func (s *Service) Do(ctx context.Context, name Name, command Command) (*Status, error) {
-	for range tries {
-		book, err := s.read(ctx)
+	for range maxAttempts {
+		snapshot, err := s.readSnapshot(ctx)
 		if err != nil {
 			return nil, err
 		}
-		run, err := book.find(name)
+		rollout, err := snapshot.find(name)
 		if err != nil {
 			return nil, err
 		}
-		record := run.record.clone()
-		changed, err := record.command(command, ids.WallOf(time.Now()))
+		record := rollout.record.clone()
+		changed, err := record.apply(command, ids.WallOf(time.Now()))
 		if err != nil || !changed {
-			return statusOf(run, nil), err
+			return statusOf(rollout, nil), err
 		}
-		record.Writer, record.Seq = s.Writer, record.Seq+1
-		txn := state.Txn{When: []state.Condition{{Key: runKey(name), Revision: run.revision}}}
-		if err := putValue(&txn, runKey(name), record, s.Limits); err != nil {
+		record.signBy(s.Writer)
+		txn := &transaction{limits: s.Limits}
+		txn.require(recordKey(name), rollout.revision)
+		if err := txn.put(recordKey(name), record); err != nil {
 			return nil, err
 		}
-		_, err = s.State.Commit(ctx, txn, state.Normal)
-		if err == nil {
-			run.record = record
-			return statusOf(run, nil), nil
+		stored, err := s.commit(ctx, txn)
+		if err != nil {
+			return nil, err
 		}
-		if !retried(err) {
-			return nil, fmt.Errorf("%w: %v", ErrNotNow, err)
+		if stored {
+			rollout.record = record
+			return statusOf(rollout, nil), nil
 		}
 	}
 	return nil, fmt.Errorf("%w: the rollout changes at the same time", ErrNotNow)
 }
 
-// find is a rollout that can be read.
-func (b *book) find(name Name) (*stored, error) {
-	if why, aside := b.aside[name]; aside {
-		return nil, fmt.Errorf("%w: %s: %s", ErrSetAside, name, why)
-	}
-	if run := b.runs[name]; run != nil {
-		return run, nil
-	}
-	return nil, fmt.Errorf("%w: %s", ErrNotFound, name)
-}
-
-// command changes a rollout's state; changed is false if it has that state already.
-func (r *Record) command(command Command, now ids.Wall) (changed bool, err error) {
-	switch command {
-	case PauseIt:
-		if r.State == Paused {
-			return false, nil
-		}
-		return true, r.move(Paused, "paused by an operator")
-	case ResumeIt:
-		if r.State == Running {
-			return false, nil
-		}
-		r.Resumed = r.State == Halted && r.Wave != nil
-		if r.State == Paused && r.Wave != nil {
-			r.Wave.restartClocks(now)
-		}
-		return true, r.move(Running, "")
-	case AbortIt:
-		if r.State == Aborting || r.State == Ended {
-			return false, nil
-		}
-		return true, r.move(Aborting, "aborted by an operator")
-	}
-	return false, fmt.Errorf("%w: unknown command %q", ErrBadSpec, command)
-}
-
-// Status tells how a rollout stands and what its machines wait for.
+// Status tells the state of a rollout and what its machines wait for.
 func (s *Service) Status(ctx context.Context, name Name) (*Status, error) {
-	book, err := s.read(ctx)
+	snapshot, err := s.readSnapshot(ctx)
 	if err != nil {
 		return nil, err
 	}
-	run, err := book.find(name)
+	rollout, err := snapshot.find(name)
 	if err != nil {
 		return nil, err
 	}
-	var waits map[ids.Machine][]string
-	if !run.record.State.Over() {
-		if waits, err = s.Leader.DrainWaits(ctx); err != nil {
-			waits = nil
-		}
+	if rollout.record.State.isFinal() {
+		return statusOf(rollout, nil), nil
 	}
-	status := statusOf(run, waits)
+	waits, err := s.Leader.DrainWaits(ctx)
 	if err != nil {
+		status := statusOf(rollout, nil)
 		status.Note = "what the machines wait for is not known: " + err.Error()
+		return status, nil
 	}
-	return status, nil
+	return statusOf(rollout, waits), nil
 }
 
-// List names all rollouts, oldest first, also those that can't be read.
+// List lists all rollouts, oldest first, also those that can't be read.
 func (s *Service) List(ctx context.Context) ([]*Status, error) {
-	book, err := s.read(ctx)
+	snapshot, err := s.readSnapshot(ctx)
 	if err != nil {
 		return nil, err
 	}
-	var all []*Status
-	for _, run := range book.runs {
-		all = append(all, statusOf(run, nil))
+	var statuses []*Status
+	for _, rollout := range snapshot.rollouts {
+		statuses = append(statuses, statusOf(rollout, nil))
 	}
-	slices.SortFunc(all, func(x, y *Status) int { return int(x.Started - y.Started) })
-	for name, why := range book.aside {
-		all = append(all, &Status{Name: name, Note: "set aside: " + why})
+	slices.SortFunc(statuses, func(x, y *Status) int { return int(x.StartedAt - y.StartedAt) })
+	for name, reason := range snapshot.unreadable {
+		statuses = append(statuses, &Status{Name: name, Note: unreadableNote(reason)})
 	}
-	return all, nil
+	return statuses, nil
 }
 
-// read brings the copy up to date: an answer must not be older than the question.
-func (s *Service) read(ctx context.Context) (*book, error) {
+// readSnapshot brings the mirror up to date: an answer must not be older than the question.
+func (s *Service) readSnapshot(ctx context.Context) (*rolloutSnapshot, error) {
 	if err := s.Copy.Sync(ctx); err != nil {
 		return nil, fmt.Errorf("%w: the state service does not answer: %v", ErrNotNow, err)
 	}
 	entries, _ := s.Copy.All()
-	return readBook(entries), nil
+	return readSnapshot(entries), nil
 }
--- a/internal/rollout/spec.go
+++ b/internal/rollout/spec.go
@@ -1,6 +1,3 @@
-// Package rollout empties, returns and replaces machines in waves. It owns what a rollout does
-// next, how it is stored, and the operators' commands; whether a task may be stopped now is
-// decided by package budget, and how it is stopped by the leader (docs/drains.md).
 package rollout
 
 import (
@@ -15,14 +12,14 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-// Name is a rollout's name, chosen by the operator. Commands are idempotent by it.
+// Name is a rollout's name, chosen by the operator. It makes commands idempotent.
 type Name string
 
 // namePattern is what names look like: they are part of a key and of a path.
 var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9-]{0,39}$`)
 
-// Selection says which machines a rollout takes, as they are when it starts. What is set must all
-// hold; at least one must be set.
+// Selection says which machines a rollout takes, as they are when it starts. A machine has to match
+// all that is set; at least one must be set.
 type Selection struct {
 	Machines []ids.Machine `json:"machines,omitempty"`
 	// Digest stands for the names of machines where a rollout is stored: thousands of names do
@@ -30,18 +27,18 @@
 	Digest string `json:"digest,omitempty"`
 	Zone   string `json:"zone,omitempty"`
 	Type   string `json:"type,omitempty"`
-	// Older takes every machine rented before the rollout starts.
+	// Older takes every machine provisioned before the rollout starts.
 	Older bool `json:"older,omitempty"`
 }
 
-// AtDeadline is what happens to tasks that can't save and still run at a step's deadline.
+// AtDeadline is what happens to tasks that save no checkpoints and still run at a step's deadline.
 type AtDeadline string
 
 // The choices of an operator.
 const (
 	// Wait lets them run to their end, however long that takes.
 	Wait AtDeadline = "wait"
-	// Stop stops them, within the budgets.
+	// Stop stops them, within the disruption budgets.
 	Stop AtDeadline = "stop"
 )
 
@@ -49,17 +46,18 @@
 type Spec struct {
 	Name   Name      `json:"name"`
 	Select Selection `json:"select"`
-	// Replace rents a machine of the same kind for each one returned.
+	// Replace provisions a machine of the same instance class for each one returned.
 	Replace bool `json:"replace,omitempty"`
-	// Surge rents before anything is stopped.
-	Surge    bool        `json:"surge,omitempty"`
+	// Surge provisions before anything is stopped.
+	Surge bool `json:"surge,omitempty"`
+	// WaveSize is how many machines a wave takes at most, Pause the time between two waves.
 	WaveSize int         `json:"waveSize"`
 	Pause    ids.Seconds `json:"pause,omitempty"`
-	// Deadline is how long a step may take: until the operator's choice applies, and until a
-	// replacement has to be up.
+	// Deadline is how long a step may take: until AtDeadline applies, and until a replacement has
+	// to be ready.
 	Deadline   ids.Seconds `json:"deadline"`
 	AtDeadline AtDeadline  `json:"atDeadline"`
-	// Observe is how long replacements are watched before the next wave.
+	// Observe is how long replacements are observed before the next wave.
 	Observe ids.Seconds `json:"observe,omitempty"`
 }
 
@@ -72,23 +70,23 @@
 // ErrBadSpec tells that a description can't be carried out.
 var ErrBadSpec = errors.New("not a rollout that can be carried out")
 
-// Check reports the first thing that is wrong with a description.
-func (s *Spec) Check(in Installation) error {
+// Check reports the first thing that is wrong with a description, with ErrBadSpec.
+func (s *Spec) Check(installation Installation) error {
 	bad := func(format string, args ...any) error {
 		return fmt.Errorf("%w: %s", ErrBadSpec, fmt.Sprintf(format, args...))
 	}
-	sel := &s.Select
+	selection := &s.Select
 	switch {
-	case in.Shards > 1:
-		return bad("with %d shards drains are not possible yet: budgets hold for one shard only", in.Shards)
+	case installation.Shards > 1:
+		return bad("with %d shards drains are not possible yet: budgets hold for one shard only", installation.Shards)
 	case !namePattern.MatchString(string(s.Name)):
 		return bad("name %q: must be 1 to 40 of a-z, 0-9 and -, and not begin with -", s.Name)
-	case len(sel.Machines) == 0 && sel.Zone == "" && sel.Type == "" && !sel.Older:
+	case len(selection.Machines) == 0 && selection.Zone == "" && selection.Type == "" && !selection.Older:
 		return bad("nothing selects its machines: name machines, a zone, a type, or all older ones")
-	case sel.Zone != "" && !slices.Contains(in.Zones, sel.Zone):
-		return bad("unknown zone %q", sel.Zone)
-	case sel.Type != "" && !slices.Contains(in.Types, sel.Type):
-		return bad("unknown machine type %q", sel.Type)
+	case selection.Zone != "" && !slices.Contains(installation.Zones, selection.Zone):
+		return bad("unknown zone %q", selection.Zone)
+	case selection.Type != "" && !slices.Contains(installation.Types, selection.Type):
+		return bad("unknown machine type %q", selection.Type)
 	case s.WaveSize < 1:
 		return bad("wave size: must be at least 1: %d", s.WaveSize)
 	case !(s.Pause >= 0) || !(s.Observe >= 0):
@@ -109,7 +107,7 @@
 	names := slices.Sorted(slices.Values(s.Machines))
 	hash := sha256.New()
 	for _, name := range slices.Compact(names) {
-		fmt.Fprintln(hash, name) // a hash takes everything
+		hash.Write([]byte(name + "\n"))
 	}
 	return hex.EncodeToString(hash.Sum(nil)[:digestBytes])
 }
@@ -117,12 +115,12 @@
 // digestBytes is how much of a hash tells lists of machines apart.
 const digestBytes = 16
 
-// stored is a description as it is stored.
+// stored is a description as it is stored: with a digest in place of machines' names.
 func (s *Spec) stored() Spec {
-	small := *s
-	small.Select.Machines, small.Select.Digest = nil, s.Select.digest()
-	return small
+	stored := *s
+	stored.Select.Machines, stored.Select.Digest = nil, s.Select.digest()
+	return stored
 }
 
-// Same tells whether two descriptions say the same.
+// Same reports whether two descriptions say the same.
 func (s *Spec) Same(other *Spec) bool { return reflect.DeepEqual(s.stored(), other.stored()) }
--- a/internal/rollout/states.go
+++ b/internal/rollout/states.go
@@ -6,27 +6,31 @@
 	"slices"
 )
 
-// State is where a rollout stands.
+// State is the state of a rollout.
 type State string
 
 // The states of a rollout.
 const (
-	Running  State = "running"
-	Paused   State = "paused"
-	Halted   State = "halted"
+	Running State = "running"
+	// Paused rollouts were paused by an operator; their machines stay cordoned.
+	Paused State = "paused"
+	// Halted rollouts met a failure; their machines are back in service until an operator
+	// resumes or aborts.
+	Halted State = "halted"
+	// Aborting rollouts end once their empty machines are returned.
 	Aborting State = "aborting"
 	Ended    State = "ended"
 )
 
-// stateMoves is the whole table of a rollout's moves: what is not here cannot happen.
-var stateMoves = map[State][]State{
+// stateTransitions are all transitions of a rollout.
+var stateTransitions = map[State][]State{
 	Running:  {Paused, Halted, Aborting, Ended},
 	Paused:   {Running, Aborting},
 	Halted:   {Running, Aborting},
 	Aborting: {Ended},
 }
 
-// MachineState is where one of a rollout's machines stands.
+// MachineState is the state of one machine of a rollout.
 type MachineState string
 
 // The states of a machine.
@@ -35,28 +39,28 @@
 	Waiting MachineState = "waiting"
 	// Cordoned machines get no new work.
 	Cordoned MachineState = "cordoned"
-	// Draining machines are emptied within the teams' budgets.
+	// Draining machines have their tasks evicted within the teams' disruption budgets.
 	Draining MachineState = "draining"
 	// Empty machines have nothing on them any more and are returned to the cloud.
 	Empty MachineState = "empty"
 	// Returned machines are gone.
 	Returned MachineState = "returned"
-	// Replaced machines are gone and one is up in their place.
+	// Replaced machines are gone and their replacements are ready.
 	Replaced MachineState = "replaced"
-	// Verified machines are replaced by one that was observed for long enough.
+	// Verified machines have replacements that were observed for long enough.
 	Verified MachineState = "verified"
 )
 
-// heldStates are those in which a rollout keeps a machine closed to new work, waveStates all that
-// the machines of a wave may have, in order.
 var (
-	heldStates = []MachineState{Cordoned, Draining, Empty}
+	// cordonedStates are those in which a machine gets no new work.
+	cordonedStates = []MachineState{Cordoned, Draining, Empty}
+	// waveStates are those of the machines of a wave, in order.
 	waveStates = []MachineState{Cordoned, Draining, Empty, Returned, Replaced, Verified}
 )
 
-// machineMoves is the whole table of a machine's moves. A machine may be lost in any state, and
+// machineTransitions are all transitions of a machine. A machine may be lost in any state, and
 // then counts as returned.
-var machineMoves = map[MachineState][]MachineState{
+var machineTransitions = map[MachineState][]MachineState{
 	Waiting:  {Cordoned, Returned},
 	Cordoned: {Draining, Waiting, Returned},
 	Draining: {Empty, Waiting, Returned},
@@ -65,23 +69,25 @@
 	Replaced: {Verified},
 }
 
-// ErrBadMove tells that a move is in neither table.
+// ErrBadMove tells that a transition is not allowed.
 var ErrBadMove = errors.New("not an allowed move")
 
-// May tells whether a rollout may go from one state to another.
-func (s State) May(to State) bool { return slices.Contains(stateMoves[s], to) }
+// canBecome reports whether a rollout may go from this state to another.
+func (s State) canBecome(to State) bool { return slices.Contains(stateTransitions[s], to) }
 
-// May tells whether a machine may go from one state to another.
-func (s MachineState) May(to MachineState) bool { return slices.Contains(machineMoves[s], to) }
+// canBecome reports whether a machine may go from this state to another.
+func (s MachineState) canBecome(to MachineState) bool {
+	return slices.Contains(machineTransitions[s], to)
+}
 
-// move takes a rollout to another state.
-func (r *Record) move(to State, why string) error {
-	if !r.State.May(to) {
+// transition takes the rollout to another state, with ErrBadMove if that is not allowed.
+func (r *Record) transition(to State, why string) error {
+	if !r.State.canBecome(to) {
 		return fmt.Errorf("%w: rollout %s is %s and can't be %s", ErrBadMove, r.Spec.Name, r.State, to)
 	}
 	r.State, r.Why = to, why
 	return nil
 }
 
-// Over tells whether nothing more happens in this state.
-func (s State) Over() bool { return s == Ended }
+// isFinal reports whether nothing more happens in this state.
+func (s State) isFinal() bool { return s == Ended }
--- /dev/null
+++ b/internal/rollout/transaction.go
@@ -0,0 +1,108 @@
+package rollout
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"slices"
+
+	"github.com/pebbletrail/pebbletrail/internal/ids"
+	"github.com/pebbletrail/pebbletrail/internal/state"
+)
+
+// Limits are those of the state service.
+type Limits struct {
+	ValueBytes int // of a value
+	TxnOps     int // operations of a transaction
+}
+
+// opsBesideParts are the operations of a transaction that store no parts: the record and the index.
+const opsBesideParts = 2
+
+// maxParts is how many parts one transaction rewrites.
+func (l Limits) maxParts() int { return max(1, l.TxnOps-opsBesideParts) }
+
+// errValueTooLarge tells that something does not fit into a value of the state service.
+var errValueTooLarge = errors.New("too large for a value of the state service")
+
+// transaction collects the operations of one compare-and-swap transaction.
+type transaction struct {
+	state.Txn
+	limits Limits
+}
+
+// require makes the transaction depend on a key being unchanged since a revision; 0: absent.
+func (t *transaction) require(key string, revision ids.Revision) {
+	t.When = append(t.When, state.Condition{Key: key, Revision: revision})
+}
+
+// put stores a value as JSON, with errValueTooLarge if it does not fit.
+func (t *transaction) put(key string, value any) error {
+	encoded, err := json.Marshal(value)
+	if err != nil {
+		return fmt.Errorf("encode %s: %w", key, err)
+	}
+	if len(encoded) > t.limits.ValueBytes {
+		return fmt.Errorf("%w: %d bytes at %s, of at most %d", errValueTooLarge, len(encoded), key, t.limits.ValueBytes)
+	}
+	t.Then = append(t.Then, state.Op{Put: key, Value: encoded})
+	return nil
+}
+
+// remove removes a key.
+func (t *transaction) remove(key string) {
+	t.Then = append(t.Then, state.Op{Remove: key})
+}
+
+// updateTransaction stores a change of a rollout. The rollout that has ended leaves the index; its
+// parts are removed later, as orphans.
+func updateTransaction(rollout *storedRollout, change *recordChange, snapshot *rolloutSnapshot, limits Limits) (*transaction, error) {
+	record, name := change.record, change.record.Spec.Name
+	txn := &transaction{limits: limits}
+	txn.require(recordKey(name), rollout.revision)
+	if err := txn.put(recordKey(name), record); err != nil {
+		return nil, err
+	}
+	if record.State.isFinal() {
+		txn.require(indexKey, snapshot.indexRevision)
+		return txn, txn.put(indexKey, snapshot.index.without(name))
+	}
+	for part, set := range change.waiting {
+		txn.require(waitingKey(name, part), rollout.waitingRevisions[part])
+		if err := txn.put(waitingKey(name, part), set); err != nil {
+			return nil, err
+		}
+	}
+	return txn, nil
+}
+
+// createTransaction stores a new rollout over the machines of a plan.
+func createTransaction(record *Record, parts []MachineSet, snapshot *rolloutSnapshot, limits Limits) (*transaction, error) {
+	name := record.Spec.Name
+	txn := &transaction{limits: limits}
+	txn.require(indexKey, snapshot.indexRevision)
+	txn.require(recordKey(name), 0)
+	active := activeIndex{Active: append(slices.Clone(snapshot.index.Active), name)}
+	if err := txn.put(indexKey, active); err != nil {
+		return nil, fmt.Errorf("%w: too many rollouts are under way", ErrBadSpec)
+	}
+	if err := txn.put(recordKey(name), record); err != nil {
+		return nil, err
+	}
+	for part, set := range parts {
+		if err := txn.put(waitingKey(name, part), set); err != nil {
+			return nil, err
+		}
+	}
+	return txn, nil
+}
+
+// removeTransaction removes as many orphaned parts as one transaction may.
+func removeTransaction(orphans []state.Entry, limits Limits) *transaction {
+	txn := &transaction{limits: limits}
+	for _, entry := range orphans[:min(len(orphans), limits.maxParts())] {
+		txn.require(entry.Key, entry.Revision)
+		txn.remove(entry.Key)
+	}
+	return txn
+}
--- /dev/null
+++ b/internal/rollout/wave.go
@@ -0,0 +1,150 @@
+package rollout
+
+import (
+	"fmt"
+
+	"github.com/pebbletrail/pebbletrail/internal/ids"
+)
+
+// advanceWave carries a running rollout on: through its wave, or to the next one.
+func (r *reconciler) advanceWave() error {
+	if r.record.Wave == nil {
+		return r.startWave()
+	}
+	if r.record.Resumed {
+		r.resumeWave()
+	}
+	if why := r.updateReplacements(); why != "" {
+		return r.halt(why)
+	}
+	if r.replacementsDue() {
+		r.requestMissing()
+	}
+	if err := r.startDraining(); err != nil {
+		return err
+	}
+	if err := r.recordEmpty(); err != nil {
+		return err
+	}
+	return r.finishWave()
+}
+
+// startWave takes the next machines, once the pause is over, or ends the rollout.
+func (r *reconciler) startWave() error {
+	if r.now < r.record.NextWave {
+		return nil
+	}
+	chosen := r.chooseMachines()
+	if len(chosen) == 0 {
+		if r.waiting.count() > 0 {
+			return nil // too many parts contain machines that are gone: the rest comes next
+		}
+		return r.end()
+	}
+	r.changed = true
+	r.record.Waves++
+	wave := &Wave{
+		Number:    r.record.Waves,
+		StartedAt: r.now,
+		Machines:  map[MachineState]MachineSet{Cordoned: NewMachineSet(chosen...)},
+	}
+	if r.record.Spec.Replace {
+		for _, name := range chosen {
+			wave.adjustNeeded(r.view.Machine(name).Kind, 1)
+		}
+	}
+	r.record.Wave = wave
+	return nil
+}
+
+// chooseMachines takes the next wave out of the waiting machines. Machines that are gone are
+// through without a wave.
+func (r *reconciler) chooseMachines() []ids.Machine {
+	var candidates []candidate
+	for part, name := range r.waiting.all() {
+		machine := r.view.Machine(name)
+		if !machine.Gone {
+			candidates = append(candidates, candidate{name: name, part: part, machine: machine, weight: r.view.Weigh(name)})
+		} else if r.waiting.remove(part, name) {
+			r.record.Done++
+		}
+	}
+	var chosen []ids.Machine
+	for _, candidate := range sortCandidates(candidates) {
+		if len(chosen) == r.record.Spec.WaveSize {
+			break
+		}
+		if r.waiting.remove(candidate.part, candidate.name) {
+			chosen = append(chosen, candidate.name)
+		}
+	}
+	return chosen
+}
+
+// resumeWave prepares the wave of a halted rollout for going on.
+func (r *reconciler) resumeWave() {
+	r.record.Wave.discardFailedReplacements(r.now, func(name ids.Machine) bool {
+		machine := r.view.Machine(name)
+		return machine.Gone || machine.Failed != ""
+	})
+	r.record.Resumed, r.changed = false, true
+}
+
+// startDraining begins to drain the cordoned machines: with a surge, once replacements are ready.
+func (r *reconciler) startDraining() error {
+	if r.record.Spec.Surge && !r.replacementsReady() {
+		return nil
+	}
+	for _, name := range r.machinesIn(Cordoned) {
+		if err := r.transitionMachine(name, Cordoned, Draining); err != nil {
+			return err
+		}
+		r.record.Wave.DrainingSince = r.now
+	}
+	return nil
+}
+
+// recordEmpty notes which machines have been drained.
+func (r *reconciler) recordEmpty() error {
+	for _, name := range r.machinesIn(Draining) {
+		machine := r.view.Machine(name)
+		if !machine.Known || !machine.Up || machine.Tasks > 0 {
+			continue
+		}
+		if err := r.transitionMachine(name, Draining, Empty); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// finishWave ends the wave once its machines are through.
+func (r *reconciler) finishWave() error {
+	if r.record.Wave.count(cordonedStates...) > 0 {
+		return nil
+	}
+	if r.record.Spec.Replace && !r.verifyReplacements() {
+		return nil
+	}
+	r.closeWave()
+	r.record.NextWave = r.now + wallOf(r.record.Spec.Pause)
+	if r.record.Done >= r.record.Total {
+		return r.end()
+	}
+	return nil
+}
+
+// closeWave counts the machines of the wave that are through and removes it.
+func (r *reconciler) closeWave() {
+	r.changed = true
+	r.record.Done += r.record.Wave.count(Returned, Replaced, Verified)
+	r.record.Wave = nil
+}
+
+// end ends a rollout whose machines are all through.
+func (r *reconciler) end() error {
+	return r.transition(Ended, fmt.Sprintf("all %d machines are through", r.record.Total))
+}
+
+// wallOf is a duration in the unit of wall times.
+func wallOf(seconds ids.Seconds) ids.Wall { return ids.Wall(seconds.Duration().Milliseconds()) }
--- /dev/null
+++ b/internal/rollout/wave_record.go
@@ -0,0 +1,110 @@
+package rollout
+
+import (
+	"fmt"
+
+	"github.com/pebbletrail/pebbletrail/internal/ids"
+)
+
+// Kind is the instance class of a machine, which its replacement shares.
+type Kind struct {
+	Type string `json:"type"`
+	Zone string `json:"zone"`
+	Spot bool   `json:"spot,omitempty"`
+}
+
+func (k Kind) String() string {
+	if k.Spot {
+		return k.Type + " in " + k.Zone + " (spot)"
+	}
+	return k.Type + " in " + k.Zone
+}
+
+// ClassCount is a number of machines of one instance class.
+type ClassCount struct {
+	Kind  Kind `json:"kind"`
+	Count int  `json:"count"`
+}
+
+// ReplacementRequest provisions replacements. Its name is stored before it is sent and never used
+// for another one, so that it is idempotent: whoever leads may send it again.
+type ReplacementRequest struct {
+	Name ids.Hire `json:"name"`
+	ClassCount
+	RequestedAt ids.Wall `json:"asked"`
+	// Answered tells that the cloud has answered; Machines are those that it provisioned.
+	Answered bool       `json:"answered,omitempty"`
+	Machines MachineSet `json:"machines"`
+	// Ready are those of the machines that have become ready.
+	Ready MachineSet `json:"up"`
+}
+
+// Wave is the machines that a rollout works on now.
+type Wave struct {
+	Number    int                         `json:"number"`
+	StartedAt ids.Wall                    `json:"began"`
+	Machines  map[MachineState]MachineSet `json:"machines"`
+	// DrainingSince is when the present step of draining began; zero before.
+	DrainingSince ids.Wall `json:"drainingSince,omitempty"`
+	// Needed are the replacements that the wave needs, Hires those requested so far.
+	Needed []ClassCount         `json:"wanted,omitempty"`
+	Hires  []ReplacementRequest `json:"hires,omitempty"`
+	// RequestCount numbers the wave's requests, also those that were given up.
+	RequestCount int `json:"hireCount,omitempty"`
+	// ObservingSince is since when all replacements are ready and observed; zero before.
+	ObservingSince ids.Wall `json:"observedSince,omitempty"`
+}
+
+// clone is a copy that shares nothing that changes.
+func (w *Wave) clone() *Wave {
+	copied := *w
+	copied.Machines = map[MachineState]MachineSet{}
+	for state, set := range w.Machines {
+		copied.Machines[state] = set.Clone()
+	}
+	copied.Needed = append([]ClassCount(nil), w.Needed...)
+	copied.Hires = append([]ReplacementRequest(nil), w.Hires...)
+	for i := range copied.Hires {
+		request := &copied.Hires[i]
+		request.Machines = request.Machines.Clone()
+		request.Ready = request.Ready.Clone()
+	}
+	return &copied
+}
+
+// transition takes a machine of the wave to another state.
+func (w *Wave) transition(name ids.Machine, from, to MachineState) error {
+	if set := w.Machines[from]; !from.canBecome(to) || !set.Has(name) {
+		return fmt.Errorf("%w: machine %s from %s to %s", ErrBadMove, name, from, to)
+	}
+	w.remove(name, from)
+	if to != Waiting { // waiting machines are stored beside the record
+		w.add(name, to)
+	}
+	return nil
+}
+
+func (w *Wave) remove(name ids.Machine, state MachineState) {
+	set := w.Machines[state]
+	set.Remove(name)
+	if set.Len() == 0 {
+		delete(w.Machines, state)
+	} else {
+		w.Machines[state] = set
+	}
+}
+
+func (w *Wave) add(name ids.Machine, state MachineState) {
+	set := w.Machines[state]
+	set.Add(name)
+	w.Machines[state] = set
+}
+
+// count is how many of the wave's machines are in the states named.
+func (w *Wave) count(states ...MachineState) (n int) {
+	for _, state := range states {
+		set := w.Machines[state]
+		n += set.Len()
+	}
+	return n
+}
--- a/internal/rollout/wave_test.go
+++ b/internal/rollout/wave_test.go
@@ -7,21 +7,21 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-func TestWaveBeginsAfterAllMachinesOfOneNameSeriesAreGone(t *testing.T) {
+func TestWaveStartsAfterAllMachinesOfOneNameSeriesAreGone(t *testing.T) {
 	// The set of waiting machines keeps names of one form together and drops a form with its last
 	// machine, which happens while the next wave is chosen.
 	fleet := newFleet(0)
 	for _, name := range []ids.Machine{"host-000007", "spare-1"} {
-		fleet.machines[name] = &weighedMachine{Machine{Known: true, Up: true, Tasks: 1}, Weight{Steps: 1}}
+		fleet.machines[name] = &fakeMachine{Machine: Machine{Known: true, Up: true, Tasks: 1}, weight: Weight{Steps: 1}}
 	}
 	record := &Record{Spec: *wholeFleet("spring"), State: Running, Total: 4, Parts: 1}
 	waiting := []MachineSet{NewMachineSet("gateway-1", "gateway-2", "host-000007", "spare-1")}
-	change, err := Advance(record, waiting, fleet, time.Now(), 1, false)
+	change, err := reconcile(record, waiting, fleet, time.Now(), 1, false)
 	if err != nil {
 		t.Fatal(err)
 	}
-	cordoned := change.Record.in(Cordoned)
-	if change.Record.Done != 2 || cordoned.Len() != 2 || !cordoned.Has("host-000007") || !cordoned.Has("spare-1") {
-		t.Errorf("%d machines through, %d cordoned", change.Record.Done, cordoned.Len())
+	cordoned := change.record.machinesIn(Cordoned)
+	if change.record.Done != 2 || cordoned.Len() != 2 || !cordoned.Has("host-000007") || !cordoned.Has("spare-1") {
+		t.Errorf("%d machines through, %d cordoned", change.record.Done, cordoned.Len())
 	}
 }
