--- a/internal/quota/tracker.go
+++ b/internal/quota/tracker.go
@@ -64,7 +64,7 @@
 }
 
 // Load applies all that is stored below Prefix, read after the shard was taken over. Every
-// change after that read must reach Learn, so changes have to be followed from before it on:
+// change after that read must be applied too, so changes have to be followed from before it on:
 // a leader that missed what it was given would leave that unused.
 func (t *Book) Load(entries []state.Entry) {
 	for _, entry := range entries {
--- a/internal/rollout/command.go
+++ b/internal/rollout/command.go
@@ -16,8 +16,8 @@
 	AbortIt  Command = "abort"
 )
 
-// apply changes a rollout's state; changed is false if it has that state already. The errors are
-// ErrBadMove and, for an unknown command, ErrBadSpec.
+// apply changes a rollout's state; changed is false if it has that state already. A transition that
+// is not allowed and an unknown command are errors.
 func (r *Record) apply(command Command, now ids.Wall) (changed bool, err error) {
 	switch command {
 	case PauseIt:
--- a/internal/rollout/fleet.go
+++ b/internal/rollout/fleet.go
@@ -9,9 +9,11 @@
 // Machine is what the leader knows of a machine.
 type Machine struct {
 	Kind Kind
-	// Known tells that the leader knows the machine. Gone is proof that there is no such
-	// machine any more: the cloud confirmed its deletion, or lists it no longer.
-	Known, Gone bool
+	// Known tells that the leader knows the machine.
+	Known bool
+	// Gone is proof that there is no such machine any more: the cloud confirmed its deletion, or
+	// lists it no longer.
+	Gone bool
 	// Up tells that it has sent this leader a heartbeat, and that its heartbeats are recent.
 	Up bool
 	// Failed tells why it can't do its work; empty: it can.
--- a/internal/rollout/http.go
+++ b/internal/rollout/http.go
@@ -37,32 +37,32 @@
 	operators.GET(Path, handle(func(ctx context.Context, _ echo.Context) (any, error) {
 		return s.List(ctx)
 	}))
-	operators.GET(Path+"/:name", handle(func(ctx context.Context, request echo.Context) (any, error) {
-		return s.Status(ctx, Name(request.Param("name")))
+	operators.GET(Path+"/:name", handle(func(ctx context.Context, c echo.Context) (any, error) {
+		return s.Status(ctx, Name(c.Param("name")))
 	}))
-	operators.POST(PlanPath, handle(func(ctx context.Context, request echo.Context) (any, error) {
-		spec, err := readSpec(request)
+	operators.POST(PlanPath, handle(func(ctx context.Context, c echo.Context) (any, error) {
+		spec, err := readSpec(c)
 		if err != nil {
 			return nil, err
 		}
 		return s.Plan(ctx, spec)
 	}))
-	operators.POST(Path, handle(func(ctx context.Context, request echo.Context) (any, error) {
-		spec, err := readSpec(request)
+	operators.POST(Path, handle(func(ctx context.Context, c echo.Context) (any, error) {
+		spec, err := readSpec(c)
 		if err != nil {
 			return nil, err
 		}
 		return s.Start(ctx, spec)
 	}))
-	operators.POST(Path+"/:name/:command", handle(func(ctx context.Context, request echo.Context) (any, error) {
-		return s.Do(ctx, Name(request.Param("name")), Command(request.Param("command")))
+	operators.POST(Path+"/:name/:command", handle(func(ctx context.Context, c echo.Context) (any, error) {
+		return s.Do(ctx, Name(c.Param("name")), Command(c.Param("command")))
 	}))
 }
 
-// readSpec reads a description, with ErrBadSpec if it is no JSON.
-func readSpec(request echo.Context) (*Spec, error) {
+// readSpec reads a description; one that can't be read is as bad as one that can't be carried out.
+func readSpec(c echo.Context) (*Spec, error) {
 	spec := &Spec{}
-	decoder := json.NewDecoder(io.LimitReader(request.Request().Body, maxBodyBytes))
+	decoder := json.NewDecoder(io.LimitReader(c.Request().Body, maxBodyBytes))
 	if err := decoder.Decode(spec); err != nil {
 		return nil, errors.Join(ErrBadSpec, err)
 	}
@@ -72,29 +72,29 @@
 
 // loopbackOnly turns away whoever does not call from this machine.
 func loopbackOnly(next echo.HandlerFunc) echo.HandlerFunc {
-	return func(request echo.Context) error {
-		host, _, err := net.SplitHostPort(request.Request().RemoteAddr)
+	return func(c echo.Context) error {
+		host, _, err := net.SplitHostPort(c.Request().RemoteAddr)
 		if ip := net.ParseIP(host); err != nil || ip == nil || !ip.IsLoopback() {
-			return request.JSON(http.StatusForbidden, map[string]string{"error": "drains are commanded from the controller's own machine only"})
+			return c.JSON(http.StatusForbidden, map[string]string{"error": "drains are commanded from the controller's own machine only"})
 		}
-		return next(request)
+		return next(c)
 	}
 }
 
 // handle has a command carried out and answers with its result or its error.
 func handle(command func(context.Context, echo.Context) (any, error)) echo.HandlerFunc {
-	return func(request echo.Context) error {
-		ctx, cancel := context.WithTimeout(request.Request().Context(), commandTimeout)
+	return func(c echo.Context) error {
+		ctx, cancel := context.WithTimeout(c.Request().Context(), commandTimeout)
 		defer cancel()
-		result, err := command(ctx, request)
+		result, err := command(ctx, c)
 		if err == nil {
-			return request.JSON(http.StatusOK, result)
+			return c.JSON(http.StatusOK, result)
 		}
 		status := statusCode(err)
 		if status == http.StatusServiceUnavailable {
-			request.Response().Header().Set("Retry-After", strconv.Itoa(int(retryAfter.Seconds())))
+			c.Response().Header().Set("Retry-After", strconv.Itoa(int(retryAfter.Seconds())))
 		}
-		return request.JSON(status, map[string]string{"error": err.Error()})
+		return c.JSON(status, map[string]string{"error": err.Error()})
 	}
 }
 
--- a/internal/rollout/record.go
+++ b/internal/rollout/record.go
@@ -80,7 +80,7 @@
 // setsPerMachine is in how many sets a machine of a wave, or its replacement, may be at a time.
 const setsPerMachine = 3
 
-// checkWaveFits refuses, with ErrBadSpec, a wave so large that the record would not fit into a value.
+// checkWaveFits refuses a wave so large that the record would not fit into a value.
 func (r *Record) checkWaveFits(valueBytes int) error {
 	const besidesMachines = 2048 // the description, requests and the common parts of names
 	maximum := int(float64(valueBytes-besidesMachines) / (setsPerMachine * storedBytesPerMachine))
--- a/internal/rollout/snapshot.go
+++ b/internal/rollout/snapshot.go
@@ -134,8 +134,8 @@
 	return nil, fmt.Errorf("%w: %s", ErrNotFound, name)
 }
 
-// findSame finds the rollout of a description: nil if there is none of its name, ErrOtherContents
-// if that has another description.
+// findSame finds the rollout of a description: nil if there is none of its name, an error if that
+// has another description.
 func (s *rolloutSnapshot) findSame(spec *Spec) (*storedRollout, error) {
 	rollout, err := s.find(spec.Name)
 	switch {
--- a/internal/rollout/spec.go
+++ b/internal/rollout/spec.go
@@ -70,7 +70,7 @@
 // ErrBadSpec tells that a description can't be carried out.
 var ErrBadSpec = errors.New("not a rollout that can be carried out")
 
-// Check reports the first thing that is wrong with a description, with ErrBadSpec.
+// Check reports the first thing that is wrong with a description.
 func (s *Spec) Check(installation Installation) error {
 	bad := func(format string, args ...any) error {
 		return fmt.Errorf("%w: %s", ErrBadSpec, fmt.Sprintf(format, args...))
--- a/internal/rollout/states.go
+++ b/internal/rollout/states.go
@@ -80,7 +80,7 @@
 	return slices.Contains(machineTransitions[s], to)
 }
 
-// transition takes the rollout to another state, with ErrBadMove if that is not allowed.
+// transition takes the rollout to another state, unless that is not allowed.
 func (r *Record) transition(to State, why string) error {
 	if !r.State.canBecome(to) {
 		return fmt.Errorf("%w: rollout %s is %s and can't be %s", ErrBadMove, r.Spec.Name, r.State, to)
--- a/internal/rollout/wave_record.go
+++ b/internal/rollout/wave_record.go
@@ -46,9 +46,10 @@
 	Machines  map[MachineState]MachineSet `json:"machines"`
 	// DrainingSince is when the present step of draining began; zero before.
 	DrainingSince ids.Wall `json:"drainingSince,omitempty"`
-	// Needed are the replacements that the wave needs, Hires those requested so far.
-	Needed []ClassCount         `json:"wanted,omitempty"`
-	Hires  []ReplacementRequest `json:"hires,omitempty"`
+	// Needed are the replacements that the wave needs.
+	Needed []ClassCount `json:"wanted,omitempty"`
+	// Hires are the requests for replacements so far.
+	Hires []ReplacementRequest `json:"hires,omitempty"`
 	// RequestCount numbers the wave's requests, also those that were given up.
 	RequestCount int `json:"hireCount,omitempty"`
 	// ObservingSince is since when all replacements are ready and observed; zero before.
