--- a/internal/claim/boots.go
+++ b/internal/claim/boots.go
@@ -6,53 +6,10 @@
 	"time"
 
 	"github.com/pebbletrail/pebbletrail/internal/ids"
-	"github.com/pebbletrail/pebbletrail/internal/placement"
 	"github.com/pebbletrail/pebbletrail/internal/worker"
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// bootHistory remembers how long machines of one type lately took to be heard. A type's
-// nominal time says little on a bad night: if all boots take many times as long,
-// giving machines up by it would rent for ever and never have one.
-type bootHistory struct {
-	durations    []time.Duration // the last few, newest last
-	newestRental time.Time       // when the last rented of those heard was rented
-}
-
-// bootsKept is how many boots are looked back on.
-const bootsKept = 8
-
-func (h *bootHistory) add(d time.Duration) {
-	if h.durations = append(h.durations, d); len(h.durations) > bootsKept {
-		h.durations = h.durations[1:]
-	}
-}
-
-// typical is what three quarters of the last boots stayed below.
-func (h *bootHistory) typical() time.Duration {
-	if h == nil || len(h.durations) == 0 {
-		return 0
-	}
-	v := slices.Sorted(slices.Values(h.durations))
-	return v[(len(v)-1)*3/4]
-}
-
-// bootTime is how long a boot of the type takes now, its nominal time at least.
-func (c *ClusterState) bootTime(machineType *placement.Type) time.Duration {
-	return max(machineType.BootS.Duration(), c.boots[machineType.Label].typical())
-}
-
-// recordBoot notes that a machine was heard for the first time since it was rented.
-func (c *ClusterState) recordBoot(machine *worker.Machine, now time.Time) {
-	history := c.boots[machine.Type]
-	if history == nil {
-		history = &bootHistory{}
-		c.boots[machine.Type] = history
-	}
-	history.add(now.Sub(machine.HeldSince))
-	history.newestRental = worker.Later(history.newestRental, machine.HeldSince)
-}
-
 // bootIsLate tells whether a rented machine takes so long that another is rented in
 // its place, and hopeless that it is not waited for in any case.
 func (c *ClusterState) bootIsLate(machine *worker.Machine, now time.Time) (late, hopeless bool) {
@@ -60,7 +17,7 @@
 	if machine.Heard || !machine.Booting || machineType == nil {
 		return false, false
 	}
-	due := time.Duration(c.settings.Own.StuckBootFactor * float64(c.bootTime(machineType)))
+	due := time.Duration(c.settings.Own.StuckBootFactor * float64(c.estimates.BootTime(machineType)))
 	age := now.Sub(machine.HeldSince)
 	return age > due, age > 4*due
 }
@@ -72,13 +29,6 @@
 	return !was
 }
 
-// overtakenByLaterBoot tells whether a machine of its type that was rented with it or after it
-// is up.
-func (c *ClusterState) overtakenByLaterBoot(machine *worker.Machine) bool {
-	history := c.boots[machine.Type]
-	return history != nil && history.newestRental.After(machine.HeldSince.Add(-2*time.Second))
-}
-
 // replacedBoots are the machines that others are rented in place of: those overtaken
 // by others, and of the rest those longest on their way until they cost a small
 // share of the fleet's price, one of a type at the least. What is left counts as
@@ -106,7 +56,7 @@
 	})
 	out, of, cost := map[ids.Machine]bool{}, map[string]int{}, 0.0
 	for _, machine := range late {
-		if c.overtakenByLaterBoot(machine) {
+		if c.estimates.Overtaken(machine) {
 			out[machine.Name] = true
 			continue
 		}
--- a/internal/claim/cluster_state.go
+++ b/internal/claim/cluster_state.go
@@ -11,8 +11,8 @@
 	"time"
 
 	"github.com/pebbletrail/pebbletrail/internal/capacity"
-
 	"github.com/pebbletrail/pebbletrail/internal/config"
+	"github.com/pebbletrail/pebbletrail/internal/estimate"
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 	"github.com/pebbletrail/pebbletrail/internal/placement"
 	"github.com/pebbletrail/pebbletrail/internal/quota"
@@ -32,7 +32,8 @@
 	machines   *worker.Registry
 	// What follows is kept up to date change by change, so that planning,
 	// sending and storing never walk the whole fleet or all jobs.
-	capacity         *capacity.Index         // assignments by machine, free capacity by instance class, images
+	capacity         *capacity.Index // assignments by machine, free capacity by instance class, images
+	estimates        *estimate.Estimator
 	leaving          map[ids.Machine]bool    // drained, taken back or to be returned
 	pendingCommands  map[*capacity.Node]bool // have starts or stops to send
 	changes          *workload.Changes       // of jobs, not stored yet
@@ -80,7 +81,6 @@
 	terminated         map[ids.Machine]bool        // deletions the cloud confirmed
 	machineCount       atomic.Int64                // machines, as last counted
 	unreachableZones   map[string]bool             // zones of which nothing was heard at the last look
-	boots              map[string]*bootHistory     // by type
 	quotaReservations  map[string]quotaReservation // by team
 	dependencies       dependencyState
 	// cancellations are the revisions of those stored apart from their jobs' records.
@@ -106,8 +106,9 @@
 // NewShardState makes the cluster state of one term of leading a shard.
 func NewShardState(settings *config.Settings, writer string, generation ids.Generation, trustSilence time.Time, shard ids.Shard) *ClusterState {
 	machines := worker.NewRegistry(settings.Params.Workers.LeaseS)
+	index := capacity.NewIndex(machines)
 	return &ClusterState{
-		machines: machines, capacity: capacity.NewIndex(machines),
+		machines: machines, capacity: index, estimates: estimate.New(settings, index),
 		drains: newDrainState(settings), termBegan: time.Now(),
 		shard: shard, keys: record.KeysOf(shard, settings.Shards()),
 		StatusInOtherShard: func(ids.Job) (record.Status, bool) { return "", false },
@@ -122,7 +123,6 @@
 		usage:             map[string]*classUsage{},
 		terminated:        map[ids.Machine]bool{},
 		unreachableZones:  map[string]bool{},
-		boots:             map[string]*bootHistory{},
 		quotaReservations: map[string]quotaReservation{},
 		dependencies:      newDependencyState(),
 		cancellations:     map[ids.Job]ids.Revision{},
--- a/internal/claim/drain_view.go
+++ b/internal/claim/drain_view.go
@@ -127,7 +127,7 @@
 	cluster.mu.Lock()
 	defer cluster.mu.Unlock()
 	if machineType := cluster.capacity.Type(kind.Type); machineType != nil {
-		return cluster.bootTime(machineType)
+		return cluster.estimates.BootTime(machineType)
 	}
 	return 0
 }
--- a/internal/claim/inheritance_test.go
+++ b/internal/claim/inheritance_test.go
@@ -168,7 +168,7 @@
 			t.Errorf("its deadline is in %v", left)
 		}
 		// Of 50 s 10 are its own; a quarter of the rest.
-		if horizon := cluster.queueHorizon(job); horizon != 10 {
+		if horizon := cluster.estimates.QueueHorizon(job); horizon != 10 {
 			t.Errorf("it should get its turn within %v s", horizon)
 		}
 	})
--- a/internal/claim/needs.go
+++ b/internal/claim/needs.go
@@ -7,6 +7,7 @@
 	"strings"
 	"time"
 
+	"github.com/pebbletrail/pebbletrail/internal/config"
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 	"github.com/pebbletrail/pebbletrail/internal/measure"
 	"github.com/pebbletrail/pebbletrail/internal/placement"
@@ -104,56 +105,6 @@
 	return demands, ups, types
 }
 
-// queueHorizon is the time within which queued work should get its turn; a queue
-// that the machines at hand work off sooner needs no new ones.
-func (c *ClusterState) queueHorizon(job *workload.Job) float64 {
-	if job.Record.Spec.Shape == record.Gang {
-		// A queued gang gains from a new machine only if the wait for a
-		// running one to end is longer than a boot and a fetch.
-		return c.provisionSeconds(&job.Record.Spec)
-	}
-	if job.Guaranteed || job.EffectivePriority() >= record.High {
-		return 10
-	}
-	spec := &job.Record.Spec
-	due := math.Inf(1)
-	if spec.Due > 0 {
-		due = float64(spec.Due) - job.Record.Awaited().Seconds()
-	}
-	if by := job.Inherited.Deadline; !by.IsZero() {
-		due = min(due, time.Until(by).Seconds())
-	}
-	for _, o := range c.settings.Params.Objectives {
-		if o.Class == spec.Class && o.Kind == "finished" {
-			due = min(due, float64(o.WithinS))
-		}
-	}
-	// A quarter of the slack: the rest is for arrivals in bunches and bad luck.
-	return max(10, min(60, (due-float64(spec.Estimate))/4))
-}
-
-// imageFetchSeconds is how long a task's image takes where it fits best.
-func (c *ClusterState) imageFetchSeconds(spec *record.Spec) float64 {
-	best := 0.0
-	for _, machineType := range c.capacity.Types() {
-		if machineType.Room().Holds(spec.Need) && (best == 0 || spec.ImageGB/max(machineType.PullGBPerS, 0.01) < best) {
-			best = spec.ImageGB / max(machineType.PullGBPerS, 0.01)
-		}
-	}
-	return best
-}
-
-// provisionSeconds is how long a new machine for such tasks takes to be up with the image.
-func (c *ClusterState) provisionSeconds(spec *record.Spec) float64 {
-	best := math.Inf(1)
-	for _, machineType := range c.capacity.Types() {
-		if machineType.Room().Holds(spec.Need) {
-			best = min(best, c.bootTime(machineType).Seconds()+spec.ImageGB/max(machineType.PullGBPerS, 0.01))
-		}
-	}
-	return best
-}
-
 // unmetSlots is how many machines' places a job's queued tasks call for, as a
 // fraction of each, and the share of the room in use now that will be free for
 // them in time: that hangs on how long what runs there takes (runs, by class),
@@ -173,13 +124,13 @@
 	if spec.Estimate > 0 && (spec.Shape == record.Array || spec.Shape == record.Gang && spec.Tasks == 1) {
 		takes := float64(spec.Estimate)
 		if spec.Shape == record.Gang {
-			takes += c.imageFetchSeconds(spec) / 2 // about every second one has to fetch
+			takes += c.estimates.ImagePullSeconds(spec) / 2 // about every second one has to fetch
 		}
-		share := min(1, takes/c.queueHorizon(job))
+		share := min(1, takes/c.estimates.QueueHorizon(job))
 		slots *= share
 	}
 	if spec.Estimate > 0 {
-		turn = min(1, c.queueHorizon(job)/max(runs[spec.Class], float64(spec.Estimate)))
+		turn = min(1, c.estimates.QueueHorizon(job)/max(runs[spec.Class], float64(spec.Estimate)))
 	}
 	return slots, turn
 }
@@ -294,7 +245,7 @@
 // hasObjective tells whether the settings expect anything of the class.
 func (c *ClusterState) hasObjective(class string) bool {
 	for _, o := range c.settings.Params.Objectives {
-		if o.Class == class || o.Kind == "guarantee" {
+		if o.Class == class || o.Kind == config.ObjectiveGuarantee {
 			return true
 		}
 	}
@@ -345,7 +296,7 @@
 		}
 	}
 	for _, o := range c.settings.Params.Objectives {
-		if o.Kind == "wait" && o.Class == class && float64(o.WithinS) < slowest {
+		if o.Kind == config.ObjectiveWait && o.Class == class && float64(o.WithinS) < slowest {
 			return true
 		}
 	}
--- a/internal/claim/pipeline.go
+++ b/internal/claim/pipeline.go
@@ -78,7 +78,7 @@
 		id, spec := waiting.id(), &waiting.record.Spec
 		c.dependencies.waiting[id] = waiting
 		delete(c.dependencies.lookups, id)
-		jobs[i] = dependency.Job{ID: id, Awaits: spec.Awaits, Duration: c.expectedDuration(spec),
+		jobs[i] = dependency.Job{ID: id, Awaits: spec.Awaits, Duration: c.estimates.JobDuration(spec),
 			Urgency: dependency.Urgency{Priority: int(spec.Priority), Deadline: deadline(waiting.record)}}
 	}
 	c.applyGraphChanges(c.dependencies.graph.Add(jobs...))
@@ -170,15 +170,10 @@
 // refreshDurations takes in that fetches may take another time than thought.
 func (c *ClusterState) refreshDurations() {
 	c.applyGraphChanges(c.dependencies.graph.SetDurations(func(id ids.Job) time.Duration {
-		return c.expectedDuration(&c.dependencies.waiting[id].record.Spec)
+		return c.estimates.JobDuration(&c.dependencies.waiting[id].record.Spec)
 	}))
 }
 
-// expectedDuration is how long a job takes once it may start, by its estimate.
-func (c *ClusterState) expectedDuration(spec *record.Spec) time.Duration {
-	return ids.Seconds(float64(spec.Estimate) + c.imageFetchSeconds(spec)).Duration()
-}
-
 // deadline is when a job should be complete; it counts from its submission.
 func deadline(rec *record.Record) time.Time {
 	if rec.Spec.Due <= 0 {
--- a/internal/claim/ranking.go
+++ b/internal/claim/ranking.go
@@ -68,9 +68,9 @@
 		if spec.Shape != record.Service {
 			takes := max(1, float64(spec.Estimate))
 			if spec.Shape == record.Gang && !c.fitsWhereCached(job) {
-				takes += c.imageFetchSeconds(spec)
+				takes += c.estimates.ImagePullSeconds(spec)
 			}
-			es[i].size = float64(job.Unfinished()) * spec.Need.Cores * takes / (1 + age/max(5, min(20, c.queueHorizon(job)/2)))
+			es[i].size = float64(job.Unfinished()) * spec.Need.Cores * takes / (1 + age/max(5, min(20, c.estimates.QueueHorizon(job)/2)))
 		}
 	}
 	sort.SliceStable(es, func(x, y int) bool {
--- a/internal/claim/settle.go
+++ b/internal/claim/settle.go
@@ -46,7 +46,7 @@
 		return nil
 	}
 	if booting && firstHeard {
-		c.recordBoot(machine, now)
+		c.estimates.RecordBoot(machine, now)
 	}
 	node := c.capacity.Ensure(machine.Name)
 	if firstHeard || moved || v.Moved {
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -65,6 +65,13 @@
 	Share   float64     `toml:"share"`
 }
 
+// The kinds of objectives that decisions look at.
+const (
+	ObjectiveFinished  = "finished"  // a job's last task is done
+	ObjectiveWait      = "wait"      // a job's first task runs
+	ObjectiveGuarantee = "guarantee" // a team gets its guarantee
+)
+
 // Workers holds the workers' intervals.
 type Workers struct {
 	ReportS   ids.Seconds `toml:"report_s"` // between heartbeats
