--- a/internal/claim/boots.go
+++ b/internal/claim/boots.go
@@ -1,6 +1,7 @@
 package claim
 
 import (
+	"cmp"
 	"fmt"
 	"slices"
 	"time"
@@ -52,7 +53,7 @@
 		if order := x.HeldSince.Compare(y.HeldSince); order != 0 {
 			return order
 		}
-		return cmpString(string(x.Name), string(y.Name))
+		return cmp.Compare(x.Name, y.Name)
 	})
 	out, of, cost := map[ids.Machine]bool{}, map[string]int{}, 0.0
 	for _, machine := range late {
--- a/internal/claim/cluster_state.go
+++ b/internal/claim/cluster_state.go
@@ -5,7 +5,6 @@
 import (
 	"fmt"
 	"log/slog"
-	"math/rand/v2"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -17,6 +16,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/placement"
 	"github.com/pebbletrail/pebbletrail/internal/quota"
 	"github.com/pebbletrail/pebbletrail/internal/record"
+	"github.com/pebbletrail/pebbletrail/internal/scheduler"
 	"github.com/pebbletrail/pebbletrail/internal/worker"
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
@@ -37,16 +37,12 @@
 	leaving          map[ids.Machine]bool    // drained, taken back or to be returned
 	pendingCommands  map[*capacity.Node]bool // have starts or stops to send
 	changes          *workload.Changes       // of jobs, not stored yet
-	machinesExamined int                     // machines that planning looked at so far
-	// examinedAtLock is how many it had looked at when it last took the lock, and
-	// mostExaminedAtHold the most while it held it once.
-	examinedAtLock, mostExaminedPerLock int
-	leasesCheckedAt                     time.Time      // when lapses were last looked for
-	probesIssuedAt                      time.Time      // when overdue machines were last looked for
-	probesInFlight                      int            // questions under way
-	earlyProbeTokens                    float64        // questions before a report is overdue that may be asked now
-	hintSequence                        uint64         // counts what the others should know
-	firstGeneration                     ids.Generation // the term's first generation
+	leasesCheckedAt  time.Time               // when lapses were last looked for
+	probesIssuedAt   time.Time               // when overdue machines were last looked for
+	probesInFlight   int                     // questions under way
+	earlyProbeTokens float64                 // questions before a report is overdue that may be asked now
+	hintSequence     uint64                  // counts what the others should know
+	firstGeneration  ids.Generation          // the term's first generation
 
 	drains    *drainState // what rollouts want; nil where drains are off
 	termBegan time.Time   // the term
@@ -63,13 +59,12 @@
 	// StatusInOtherShard is how a live job of another shard stands, by this node's copy of the
 	// records; live is false if there is none.
 	StatusInOtherShard func(id ids.Job) (how record.Status, live bool)
-	rng                *rand.Rand
 	// trustSilence is the earliest that an unheard machine's lapse counts: a
 	// predecessor may have gone on answering its worker until its own grace
 	// ended.
 	trustSilence       time.Time
 	raiseWanted        bool // the generation should rise to turn late starts away
-	reservations       map[ids.Machine]reservation
+	scheduler          *scheduler.Scheduler
 	usage              map[string]*classUsage
 	closed             bool
 	loaded             bool // all records were read after the takeover
@@ -78,10 +73,9 @@
 	relocatedAt        time.Time
 	consolidating      ids.Machine // its services are being moved elsewhere
 	consolidatingSince time.Time
-	terminated         map[ids.Machine]bool        // deletions the cloud confirmed
-	machineCount       atomic.Int64                // machines, as last counted
-	unreachableZones   map[string]bool             // zones of which nothing was heard at the last look
-	quotaReservations  map[string]quotaReservation // by team
+	terminated         map[ids.Machine]bool // deletions the cloud confirmed
+	machineCount       atomic.Int64         // machines, as last counted
+	unreachableZones   map[string]bool      // zones of which nothing was heard at the last look
 	dependencies       dependencyState
 	// cancellations are the revisions of those stored apart from their jobs' records.
 	cancellations map[ids.Job]ids.Revision
@@ -107,29 +101,28 @@
 func NewShardState(settings *config.Settings, writer string, generation ids.Generation, trustSilence time.Time, shard ids.Shard) *ClusterState {
 	machines := worker.NewRegistry(settings.Params.Workers.LeaseS)
 	index := capacity.NewIndex(machines)
-	return &ClusterState{
+	c := &ClusterState{
 		machines: machines, capacity: index, estimates: estimate.New(settings, index),
 		drains: newDrainState(settings), termBegan: time.Now(),
 		shard: shard, keys: record.KeysOf(shard, settings.Shards()),
 		StatusInOtherShard: func(ids.Job) (record.Status, bool) { return "", false },
 		settings:           settings, writer: writer, generation: generation, firstGeneration: generation,
 		jobs: workload.NewQueue(), changes: workload.NewChanges(),
-		leaving:           map[ids.Machine]bool{},
-		pendingCommands:   map[*capacity.Node]bool{},
-		quota:             quota.NewBook(shard, settings.Shards(), teamLimits(settings), processStart),
-		rng:               rand.New(rand.NewPCG(uint64(generation), uint64(len(writer)))),
-		trustSilence:      trustSilence,
-		reservations:      map[ids.Machine]reservation{},
-		usage:             map[string]*classUsage{},
-		terminated:        map[ids.Machine]bool{},
-		unreachableZones:  map[string]bool{},
-		quotaReservations: map[string]quotaReservation{},
-		dependencies:      newDependencyState(),
-		cancellations:     map[ids.Job]ids.Revision{},
-		StoreAvailable:    func() bool { return true },
-		StartsAllowed:     func() (bool, time.Time) { return true, time.Now() },
-		commitSignal:      make(chan struct{}, 1), planSignal: make(chan struct{}, 1),
+		leaving:          map[ids.Machine]bool{},
+		pendingCommands:  map[*capacity.Node]bool{},
+		quota:            quota.NewBook(shard, settings.Shards(), teamLimits(settings), processStart),
+		trustSilence:     trustSilence,
+		usage:            map[string]*classUsage{},
+		terminated:       map[ids.Machine]bool{},
+		unreachableZones: map[string]bool{},
+		dependencies:     newDependencyState(),
+		cancellations:    map[ids.Job]ids.Revision{},
+		StoreAvailable:   func() bool { return true },
+		StartsAllowed:    func() (bool, time.Time) { return true, time.Now() },
+		commitSignal:     make(chan struct{}, 1), planSignal: make(chan struct{}, 1),
 	}
+	c.scheduler = newScheduler(c)
+	return c
 }
 
 // PlanWanted is ready to be read once something changed that planning should look at.
--- a/internal/claim/cluster_state_test.go
+++ b/internal/claim/cluster_state_test.go
@@ -35,6 +35,7 @@
 func (c *ClusterState) setTeams(teams ...config.Team) {
 	c.settings.Params.Teams = teams
 	c.quota = quota.NewBook(0, 1, teamLimits(c.settings), 0)
+	c.scheduler.Quota = c.quota
 }
 
 func testTypes() []placement.Type {
@@ -141,11 +142,11 @@
 	large.Submitted = ids.WallOf(now.Add(-time.Second))
 	cluster.HandleRecord("job-1", 1, large, now)
 	cluster.HandleRecord("job-2", 2, small, now)
-	if jobs := cluster.rankedJobs(now); jobs[0].Record.Spec.ID != "job-2" {
+	if jobs := cluster.scheduler.Ranked(now); jobs[0].Record.Spec.ID != "job-2" {
 		t.Error("the large job goes first although both are new")
 	}
 	cluster.jobs.Get("job-1").Record.Submitted = ids.WallOf(now.Add(-5 * time.Minute))
-	if jobs := cluster.rankedJobs(now); jobs[0].Record.Spec.ID != "job-1" {
+	if jobs := cluster.scheduler.Ranked(now); jobs[0].Record.Spec.ID != "job-1" {
 		t.Error("the large job never gets its turn")
 	}
 }
@@ -158,12 +159,12 @@
 	low.Submitted, low.Attempt = ids.WallOf(now.Add(-time.Hour)), 1
 	cluster.HandleRecord("job-1", 1, low, now)
 	cluster.HandleRecord("job-2", 2, high, now)
-	if jobs := cluster.rankedJobs(now); jobs[0].Record.Spec.ID != "job-2" {
+	if jobs := cluster.scheduler.Ranked(now); jobs[0].Record.Spec.ID != "job-2" {
 		t.Error("low work overtook high work")
 	}
 	// But what has not begun at all for so long does, for its first start.
 	cluster.jobs.Get("job-1").Record.Attempt = 0
-	if jobs := cluster.rankedJobs(now); jobs[0].Record.Spec.ID != "job-1" {
+	if jobs := cluster.scheduler.Ranked(now); jobs[0].Record.Spec.ID != "job-1" {
 		t.Error("a job that never began waits on")
 	}
 }
--- a/internal/claim/dispatch.go
+++ b/internal/claim/dispatch.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"github.com/pebbletrail/pebbletrail/internal/capacity"
-
 	"github.com/pebbletrail/pebbletrail/internal/ids"
+	"github.com/pebbletrail/pebbletrail/internal/scheduler"
 	"github.com/pebbletrail/pebbletrail/internal/worker"
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
@@ -79,7 +79,7 @@
 				batch.commands = append(batch.commands, worker.Stop(assignment.Task().String(), assignment.Attempt, assignment.StopGrace))
 			case !assignment.Stopping && !assignment.StartSent && (!starting || read.Before(assignment.Job.ReadRequiredAfter)):
 				c.pendingCommands[node] = true // looked at again soon
-			case !assignment.Stopping && !assignment.StartSent && assignment.Job.StoredVersion >= assignment.MarkerVersion && !c.startAllowed(assignment, machine):
+			case !assignment.Stopping && !assignment.StartSent && assignment.Job.StoredVersion >= assignment.MarkerVersion && !scheduler.GangStartAllowed(assignment, machine, c.machines):
 			case !assignment.Stopping && !assignment.StartSent && assignment.Job.StoredVersion >= assignment.MarkerVersion && assignment.FencingToken == c.generation:
 				assignment.StartSent = true
 				machine.LateStarts = append(machine.LateStarts, worker.LateStart{Task: assignment.Task().String(), Attempt: assignment.Attempt, Token: c.generation, Session: machine.Session})
--- a/internal/claim/drain.go
+++ b/internal/claim/drain.go
@@ -5,10 +5,10 @@
 	"time"
 
 	"github.com/pebbletrail/pebbletrail/internal/capacity"
-
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 	"github.com/pebbletrail/pebbletrail/internal/placement"
 	"github.com/pebbletrail/pebbletrail/internal/record"
+	"github.com/pebbletrail/pebbletrail/internal/scheduler"
 	"github.com/pebbletrail/pebbletrail/internal/worker"
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
@@ -82,7 +82,7 @@
 				!node.Free().Holds(request.Need) || !request.Allows(t.Type, t.Zone, t.Spot) {
 				continue
 			}
-			pm := c.placementView(node, t, assignment.Job, nil, now)
+			pm := c.scheduler.View(node, t, assignment.Job, nil, now)
 			if s := placement.Score(&pm, &request); best == nil || s < bestScore || s == bestScore && node.Name < best.Name {
 				best, bestScore = node, s
 			}
@@ -94,7 +94,7 @@
 		if !c.mayRelocate(assignment, now) {
 			return
 		}
-		c.reservations[best.Name] = reservation{job: assignment.Job.Record.Spec.ID, need: request.Need, madeAt: now, until: now.Add(relocationReservationTime)}
+		c.scheduler.Reservations.Set(best.Name, scheduler.Reservation{Job: assignment.Job.ID(), Need: request.Need, Made: now, Until: now.Add(relocationReservationTime)})
 		if c.drains == nil {
 			c.stopAssignment(assignment, assignment.CheckpointGrace(), relocationReason(machine.Name))
 		} else {
--- a/internal/claim/emptying.go
+++ b/internal/claim/emptying.go
@@ -7,14 +7,14 @@
 	"slices"
 	"time"
 
-	"github.com/pebbletrail/pebbletrail/internal/capacity"
-
 	"github.com/pebbletrail/pebbletrail/internal/budget"
+	"github.com/pebbletrail/pebbletrail/internal/capacity"
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 	"github.com/pebbletrail/pebbletrail/internal/measure"
 	"github.com/pebbletrail/pebbletrail/internal/placement"
 	"github.com/pebbletrail/pebbletrail/internal/record"
 	"github.com/pebbletrail/pebbletrail/internal/rollout"
+	"github.com/pebbletrail/pebbletrail/internal/scheduler"
 	"github.com/pebbletrail/pebbletrail/internal/worker"
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
@@ -43,7 +43,7 @@
 		return
 	}
 	step := &evictionStep{rollout: order.Rollout, wave: order.Wave, machine: name, stored: map[*workload.Job]uint64{}}
-	reserved := map[ids.Machine]reservation{}
+	reserved := map[ids.Machine]scheduler.Reservation{}
 	if why := c.unplaceableReasons(first, order, reserved, now); len(why) > 0 {
 		c.drains.noRoom[name] = true
 		c.addBlocker(name, why...)
@@ -64,7 +64,7 @@
 		}
 	}
 	for host, reservation := range reserved {
-		c.reservations[host] = reservation
+		c.scheduler.Reservations.Set(host, reservation)
 	}
 	c.recordEvictions(granted, step)
 }
@@ -199,7 +199,7 @@
 
 // unplaceableReasons tells which replicas could not start elsewhere. With surge there has to be room
 // now, which is added to reserved; without it a place has to be possible at all.
-func (c *ClusterState) unplaceableReasons(units []evictionUnit, order rollout.Order, reserved map[ids.Machine]reservation, now time.Time) (whys []string) {
+func (c *ClusterState) unplaceableReasons(units []evictionUnit, order rollout.Order, reserved map[ids.Machine]scheduler.Reservation, now time.Time) (whys []string) {
 	for _, unit := range units {
 		if !isService(&unit.job.Record.Spec) {
 			continue // it waits in the queue
@@ -218,29 +218,27 @@
 			whys = append(whys, fmt.Sprintf("%s has no room elsewhere yet", assignment.Task()))
 			continue
 		}
-		reserved[node.Name] = reservation{job: unit.job.Record.Spec.ID, need: unit.job.Record.Spec.Need, madeAt: now, until: now.Add(evictionReservationTime)}
+		reserved[node.Name] = scheduler.Reservation{Job: unit.job.ID(), Need: unit.job.Record.Spec.Need, Made: now, Until: now.Add(evictionReservationTime)}
 	}
 	return whys
 }
 
 // zonesWithout is where a job's tasks are, but for one that is to be moved.
-func (c *ClusterState) zonesWithout(assignment *workload.Assignment) *zoneSpread {
-	spread := c.zoneSpreadOf(assignment.Job)
-	if machine := c.machines.Machines[assignment.Machine]; spread != nil && machine != nil && machine.Zone != "" {
-		if spread.byZone[machine.Zone]--; spread.byZone[machine.Zone] == 0 {
-			delete(spread.byZone, machine.Zone)
-		}
+func (c *ClusterState) zonesWithout(assignment *workload.Assignment) *scheduler.ZoneSpread {
+	spread := scheduler.ZoneSpreadOf(assignment.Job, c.machines)
+	if machine := c.machines.Machines[assignment.Machine]; machine != nil {
+		spread.Remove(machine.Zone)
 	}
 	return spread
 }
 
 // canStartSomewhere tells whether a job's rules leave any place for one more task, in a zone that is not
 // given up, on a machine of a type that holds it.
-func (c *ClusterState) canStartSomewhere(spec *record.Spec, zones *zoneSpread) bool {
+func (c *ClusterState) canStartSomewhere(spec *record.Spec, zones *scheduler.ZoneSpread) bool {
 	request := spec.Ask()
 	for _, machineType := range c.capacity.Types() {
 		for _, zone := range machineType.Zones {
-			if _, closed := c.drains.orders.ClosedZones[zone]; closed || zones.allowed(zone, 1) == 0 || !machineType.Room().Holds(request.Need) {
+			if _, closed := c.drains.orders.ClosedZones[zone]; closed || zones.Allowed(zone, 1) == 0 || !machineType.Room().Holds(request.Need) {
 				continue
 			}
 			if request.Allows(machineType.Label, zone, false) || request.Allows(machineType.Label, zone, true) {
@@ -286,7 +284,7 @@
 
 // findRoom finds a machine with room for one more task of a job; nil if there is none. Work without
 // accelerators takes a machine with some only where nothing else has room.
-func (c *ClusterState) findRoom(job *workload.Job, zones *zoneSpread, reserved map[ids.Machine]reservation, now time.Time) *capacity.Node {
+func (c *ClusterState) findRoom(job *workload.Job, zones *scheduler.ZoneSpread, reserved map[ids.Machine]scheduler.Reservation, now time.Time) *capacity.Node {
 	if node := c.findRoomAmong(job, zones, reserved, now, false); node != nil {
 		return node
 	}
@@ -294,24 +292,22 @@
 }
 
 // findRoomAmong finds room on machines with accelerators, or on those without.
-func (c *ClusterState) findRoomAmong(job *workload.Job, zones *zoneSpread, reserved map[ids.Machine]reservation, now time.Time, accelerators bool) *capacity.Node {
+func (c *ClusterState) findRoomAmong(job *workload.Job, zones *scheduler.ZoneSpread, reserved map[ids.Machine]scheduler.Reservation, now time.Time, accelerators bool) *capacity.Node {
 	request := job.Record.Spec.Ask()
 	var best *capacity.Node
 	bestScore := 0.0
 	for _, class := range c.capacity.Classes() {
-		if !request.Allows(class.Type, class.Zone, class.Spot) || class.Offer.Accels > 0 != accelerators || zones.allowed(class.Zone, 1) == 0 {
+		if !request.Allows(class.Type, class.Zone, class.Spot) || class.Offer.Accels > 0 != accelerators || zones.Allowed(class.Zone, 1) == 0 {
 			continue
 		}
 		for _, node := range class.Open {
 			machine, ok := c.capacity.UsableMachine(node, now, c.settings.Params.Workers.ReportS)
 			_, taken := reserved[node.Name]
-			if held, is := c.reservations[node.Name]; is && held.until.After(now) {
-				taken = true
-			}
-			if !ok || taken || machine.Going || !node.Free().Holds(request.Need) {
+			_, reservedNow := c.scheduler.Reservations.On(node.Name, now)
+			if !ok || taken || reservedNow || machine.Going || !node.Free().Holds(request.Need) {
 				continue
 			}
-			view := c.placementView(node, machine, job, nil, now)
+			view := c.scheduler.View(node, machine, job, nil, now)
 			if score := placement.Score(&view, &request); best == nil || score < bestScore || score == bestScore && node.Name < best.Name {
 				best, bestScore = node, score
 			}
--- a/internal/claim/fairness_test.go
+++ b/internal/claim/fairness_test.go
@@ -81,7 +81,7 @@
 		small.Submitted = ids.WallOf(now.Add(-2 * time.Minute))
 		cluster.HandleRecord(small.Spec.ID, ids.Revision(10+i), small, now)
 	}
-	if first := cluster.rankedJobs(now)[0].Record.Spec.ID; first != "job-1" {
+	if first := cluster.scheduler.Ranked(now)[0].Record.Spec.ID; first != "job-1" {
 		t.Errorf("%s goes first", first)
 	}
 }
--- a/internal/claim/inheritance_test.go
+++ b/internal/claim/inheritance_test.go
@@ -152,14 +152,14 @@
 			first, starves bool
 		}{{0, false, false}, {44 * time.Second, false, false}, {99 * time.Second, false, false}, {101 * time.Second, true, true}} {
 			at := now.Add(c.after)
-			if first := cluster.rankedJobs(at)[0] == job; first != c.first || job.Starving(at) != c.starves {
+			if first := cluster.scheduler.Ranked(at)[0] == job; first != c.first || job.Starving(at) != c.starves {
 				t.Errorf("%v after it is ready it goes first: %v, starves: %v", c.after, first, job.Starving(at))
 			}
 		}
 		cluster.HandleRecord("job-3", 3, newRecord("job-3", "blue", record.Low, 1, 1), now) // among low jobs it rises after 45 s
 		cluster.jobs.Get("job-3").Record.Submitted = ids.WallOf(now.Add(20 * time.Second))
 		for after, first := range map[time.Duration]bool{44 * time.Second: false, 46 * time.Second: true} {
-			order := cluster.rankedJobs(now.Add(after))
+			order := cluster.scheduler.Ranked(now.Add(after))
 			if got := order[1] == job; got != first {
 				t.Errorf("%v after it is ready it goes before a small low job: %v", after, got)
 			}
--- a/internal/claim/lapses.go
+++ b/internal/claim/lapses.go
@@ -79,6 +79,6 @@
 		clear(c.terminated) // late news of machines that old is not expected
 	}
 	c.terminated[name] = true
-	delete(c.reservations, name)
+	c.scheduler.Reservations.Remove(name)
 	signal(c.planSignal)
 }
--- a/internal/claim/needs.go
+++ b/internal/claim/needs.go
@@ -53,7 +53,7 @@
 		if job.Schedulable() && !job.Failing() {
 			n := job.Unfinished()
 			if spec.Shape == record.Array {
-				n = min(n, len(job.Assignments)+c.quotaLeft(spec, n))
+				n = min(n, len(job.Assignments)+c.scheduler.QuotaLeft(spec, n))
 			}
 			usage.wantedNow += n
 		}
@@ -115,7 +115,7 @@
 		return 0, 0
 	}
 	n := job.Unfinished() - len(job.Assignments) - job.CountBackingOff(now)
-	n = min(n, c.quotaLeft(spec, max(n, 0)))
+	n = min(n, c.scheduler.QuotaLeft(spec, max(n, 0)))
 	if n <= 0 {
 		return 0, 0
 	}
@@ -165,7 +165,7 @@
 	at := map[group]int{}
 	var demands []placement.Demand
 	runs := c.meanEstimates()
-	for _, job := range c.rankedJobs(now) {
+	for _, job := range c.scheduler.Ranked(now) {
 		slots, turn := c.unmetSlots(job, runs, now)
 		if slots <= 0 {
 			continue
--- a/internal/claim/promote_test.go
+++ b/internal/claim/promote_test.go
@@ -156,14 +156,14 @@
 		if passes := lookUpAll(t, c); passes > 3 || h.calls > 3 {
 			t.Errorf("the ends that they await took %d passes and %d calls", passes, h.calls)
 		}
-		if ranked := len(cluster.rankedJobs(now)); ranked != 1 || len(cluster.jobs.Ordered()) != 1 {
+		if ranked := len(cluster.scheduler.Ranked(now)); ranked != 1 || len(cluster.jobs.Ordered()) != 1 {
 			t.Errorf("%d are ranked, %d stand in line", ranked, len(cluster.jobs.Ordered()))
 		}
 		cluster.Plan(now)
 		cluster.store()
-		before := cluster.machinesExamined
+		before := examined(cluster)
 		cluster.Plan(now)
-		if looks := cluster.machinesExamined - before; looks > 20 || len(cluster.jobs.Get("job-500").Assignments) != 80 {
+		if looks := examined(cluster) - before; looks > 20 || len(cluster.jobs.Get("job-500").Assignments) != 80 {
 			t.Errorf("%d machines were looked at for one job; %d of its tasks are placed", looks, len(cluster.jobs.Get("job-500").Assignments))
 		}
 		if cluster.quota.Used("red").Cores != 0 {
--- a/internal/claim/returns.go
+++ b/internal/claim/returns.go
@@ -9,6 +9,7 @@
 
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 	"github.com/pebbletrail/pebbletrail/internal/record"
+	"github.com/pebbletrail/pebbletrail/internal/scheduler"
 	"github.com/pebbletrail/pebbletrail/internal/worker"
 )
 
@@ -103,9 +104,9 @@
 		if spec := &assignment.Job.Record.Spec; spec.Shape != record.Service || spec.Zone != "" || !assignment.Job.Schedulable() {
 			continue
 		}
-		spread := c.zoneSpreadOf(assignment.Job)
+		spread := scheduler.ZoneSpreadOf(assignment.Job, c.machines)
 		for _, zone := range c.settings.Params.Zones {
-			if zoneState := liveness.zones[zone]; zoneState != nil && !zoneState.unreachable && spread.allowed(zone, 1) > 0 {
+			if zoneState := liveness.zones[zone]; zoneState != nil && !zoneState.unreachable && spread.Allowed(zone, 1) > 0 {
 				return true
 			}
 		}
--- a/internal/claim/scale_test.go
+++ b/internal/claim/scale_test.go
@@ -10,6 +10,7 @@
 
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 	"github.com/pebbletrail/pebbletrail/internal/record"
+	"github.com/pebbletrail/pebbletrail/internal/scheduler"
 	"github.com/pebbletrail/pebbletrail/internal/worker"
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
@@ -26,6 +27,18 @@
 	return cluster
 }
 
+// examined is how many machines planning has looked at so far.
+func examined(cluster *ClusterState) int {
+	total, _ := cluster.scheduler.MachinesExamined()
+	return total
+}
+
+// mostExaminedPerLock is the most of them that it looked at while it held the lock once.
+func mostExaminedPerLock(cluster *ClusterState) int {
+	_, most := cluster.scheduler.MachinesExamined()
+	return most
+}
+
 // planAll plans until a pass places nothing more, as a leader's passes do one after the
 // other, and returns the most machines that one looked at while it held the lock.
 func planAll(cluster *ClusterState, now time.Time) (most int) {
@@ -33,7 +46,7 @@
 		placed := countPlaces(cluster)
 		cluster.Plan(now)
 		if countPlaces(cluster) == placed {
-			return cluster.mostExaminedPerLock
+			return mostExaminedPerLock(cluster)
 		}
 	}
 }
@@ -53,10 +66,10 @@
 	const machines, jobs = 4000, 800
 	cluster := fleet(t, machines)
 	cost := func(f func()) int {
-		before := cluster.machinesExamined
+		before := examined(cluster)
 		f()
 		planAll(cluster, now)
-		return cluster.machinesExamined - before
+		return examined(cluster) - before
 	}
 	add := func(id, tasks int, cores float64) {
 		rec := newRecord(ids.Job(fmt.Sprintf("job-%d", id)), "blue", record.Normal, tasks, cores)
@@ -173,13 +186,13 @@
 			cluster.HandleRecord(rec.Spec.ID, ids.Revision(i+1), rec, now)
 		}
 		most := planAll(cluster, now)
-		if limit := examinedPerLock + 2*machines; most > limit {
+		if limit := scheduler.MaxExaminedPerLock + 2*machines; most > limit {
 			t.Errorf("%d machines: a pass looked at %d without a break, more than %d", machines, most, limit)
 		}
 		if placed := countPlaces(cluster); placed != 300*(machines/100) {
 			t.Errorf("%d machines: %d tasks placed", machines, placed)
 		}
-		t.Logf("%d machines: %d looks in all, %d without a break at most", machines, cluster.machinesExamined, most)
+		t.Logf("%d machines: %d looks in all, %d without a break at most", machines, examined(cluster), most)
 	}
 }
 
@@ -293,14 +306,14 @@
 	r := newRecord("job-900000", "blue", record.Critical, urgent, 1)
 	r.Spec.Shape, r.Spec.Image = record.Service, "image-new"
 	cluster.HandleRecord(r.Spec.ID, 1, r, now)
-	before := cluster.machinesExamined
+	before := examined(cluster)
 	for pass := range 2*urgent + 10 {
 		cluster.Plan(now.Add(time.Duration(pass) * 25 * time.Millisecond))
 	}
 	if placed := len(cluster.jobs.Get("job-900000").Assignments); placed != urgent {
 		t.Errorf("%d of %d urgent tasks found a place", placed, urgent)
 	}
-	if looks := cluster.machinesExamined - before; looks > 5*urgent*maxPreemptionCandidates {
+	if looks := examined(cluster) - before; looks > 5*urgent*scheduler.MaxPreemptionCandidates {
 		t.Errorf("%d machines were looked at for %d tasks", looks, urgent)
 	}
 }
--- a/internal/claim/settle.go
+++ b/internal/claim/settle.go
@@ -8,6 +8,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 	"github.com/pebbletrail/pebbletrail/internal/measure"
 	"github.com/pebbletrail/pebbletrail/internal/record"
+	"github.com/pebbletrail/pebbletrail/internal/scheduler"
 	"github.com/pebbletrail/pebbletrail/internal/worker"
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
@@ -174,7 +175,7 @@
 				orders = append(orders, worker.Stop(assignment.Task().String(), assignment.Attempt, assignment.RemainingGrace(now)))
 			}
 		case !starting || read.Before(job.ReadRequiredAfter):
-		case !assignment.Confirmed && assignment.FencingToken == c.generation && job.StoredVersion >= assignment.MarkerVersion && !machine.Deleting && (assignment.StartSent || c.startAllowed(assignment, machine)):
+		case !assignment.Confirmed && assignment.FencingToken == c.generation && job.StoredVersion >= assignment.MarkerVersion && !machine.Deleting && (assignment.StartSent || scheduler.GangStartAllowed(assignment, machine, c.machines)):
 			assignment.StartSent, assignment.OfferedInHeartbeat, assignment.OfferedAt = true, true, machine.Tick
 			orders = append(orders, worker.Start(assignment.Task(), assignment.Attempt))
 		}
--- a/internal/claim/urgency_test.go
+++ b/internal/claim/urgency_test.go
@@ -43,7 +43,7 @@
 		if left := first.Inherited.Deadline.Sub(now); left < 66*time.Second || left > 68*time.Second {
 			t.Errorf("the first has %v", left)
 		}
-		if ranked := cluster.rankedJobs(now); len(ranked) != 2 || ranked[0] != first {
+		if ranked := cluster.scheduler.Ranked(now); len(ranked) != 2 || ranked[0] != first {
 			t.Errorf("%d are ranked, or the first does not lead", len(ranked))
 		}
 		cluster.HandleWaitingJob("job-5", 9, nil, now)
@@ -128,7 +128,7 @@
 		if calls > 5 || len(cluster.dependencies.lookups) != 0 {
 			t.Errorf("%d calls for 300 ends, %d still not known", calls, len(cluster.dependencies.lookups))
 		}
-		if got := len(cluster.rankedJobs(time.Now())); got != 300 {
+		if got := len(cluster.scheduler.Ranked(time.Now())); got != 300 {
 			t.Errorf("%d jobs stand in line", got)
 		}
 		cluster.jobEnded("job-10000", record.Done)
--- /dev/null
+++ b/internal/scheduler/zone_spread.go
@@ -0,0 +1,64 @@
+package scheduler
+
+import (
+	"github.com/pebbletrail/pebbletrail/internal/record"
+	"github.com/pebbletrail/pebbletrail/internal/worker"
+	"github.com/pebbletrail/pebbletrail/internal/workload"
+)
+
+// ZoneSpread counts a job's tasks by zone, for the rules on where one more may go. Nil stands for a
+// job without such rules.
+type ZoneSpread struct {
+	spec    *record.Spec
+	byZone  map[string]int
+	unknown int // tasks on machines whose zone is not known
+}
+
+// ZoneSpreadOf is nil when the job sets no rule on zones.
+func ZoneSpreadOf(job *workload.Job, machines *worker.Registry) *ZoneSpread {
+	spec := &job.Record.Spec
+	if !spec.OneZone && !spec.Spread {
+		return nil
+	}
+	spread := &ZoneSpread{spec: spec, byZone: map[string]int{}}
+	for _, assignment := range job.Assignments {
+		if machine := machines.Machines[assignment.Machine]; machine != nil && machine.Zone != "" {
+			spread.byZone[machine.Zone]++
+		} else {
+			spread.unknown++
+		}
+	}
+	return spread
+}
+
+// Allowed is how many more tasks, at most n, may go to a zone.
+func (s *ZoneSpread) Allowed(zone string, n int) int {
+	if s == nil {
+		return n
+	}
+	if s.spec.OneZone && (s.unknown > 0 || len(s.byZone) > 1 || len(s.byZone) == 1 && s.byZone[zone] == 0) {
+		return 0
+	}
+	if s.spec.Spread {
+		n = min(n, (s.spec.Tasks+1)/2-s.unknown-s.byZone[zone])
+	}
+	return max(n, 0)
+}
+
+// Add counts one more task in a zone.
+func (s *ZoneSpread) Add(zone string) {
+	if s != nil {
+		s.byZone[zone]++
+	}
+}
+
+// Remove counts one task less in a zone.
+func (s *ZoneSpread) Remove(zone string) {
+	if s == nil || zone == "" {
+		return
+	}
+	s.byZone[zone]--
+	if s.byZone[zone] == 0 {
+		delete(s.byZone, zone)
+	}
+}
