--- /dev/null
+++ b/cmd/pebbletrail/check_test.go
@@ -0,0 +1,63 @@
+package main
+
+import (
+	"bytes"
+	"os"
+	"reflect"
+	"strings"
+	"testing"
+
+	"github.com/pebbletrail/pebbletrail/internal/config"
+)
+
+// sampleSettings is the commented sample of the platform's settings.
+const sampleSettings = "../../deploy/settings.sample.toml"
+
+func TestCheckAcceptsTheSampleSettings(t *testing.T) {
+	t.Setenv("PEBBLETRAIL_OPERATORS", "")
+	t.Setenv("PEBBLETRAIL_FEATURES", "")
+	var output bytes.Buffer
+	command := root()
+	command.SetOut(&output)
+	command.SetArgs([]string{"check", "--config", sampleSettings})
+	if err := command.Execute(); err != nil {
+		t.Fatal(err)
+	}
+	want := sampleSettings + ": good; node controller-a, 2 others, 2 teams\n"
+	if output.String() != want {
+		t.Errorf("check printed %q, not %q", output.String(), want)
+	}
+}
+
+func TestTheSampleSettingsNameEveryField(t *testing.T) {
+	raw, err := os.ReadFile(sampleSettings)
+	if err != nil {
+		t.Fatal(err)
+	}
+	sample := string(raw)
+	for _, field := range settingsFields(reflect.TypeFor[config.Settings]()) {
+		if !strings.Contains(sample, field+" = ") && !strings.Contains(sample, "["+field+"]") && !strings.Contains(sample, "."+field+"]") {
+			t.Errorf("%s does not name the field %s", sampleSettings, field)
+		}
+	}
+}
+
+// settingsFields lists the names that a settings type and the types of its fields have in TOML.
+func settingsFields(settings reflect.Type) (names []string) {
+	for i := range settings.NumField() {
+		field := settings.Field(i)
+		name := field.Tag.Get("toml")
+		if name == "" || name == "-" {
+			continue
+		}
+		names = append(names, name)
+		inner := field.Type
+		if inner.Kind() == reflect.Slice {
+			inner = inner.Elem()
+		}
+		if inner.Kind() == reflect.Struct {
+			names = append(names, settingsFields(inner)...)
+		}
+	}
+	return names
+}
