--- /dev/null
+++ b/cmd/pebbletrail/controller.go
@@ -0,0 +1,183 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"net"
+	"os"
+	"strings"
+	"time"
+
+	"github.com/labstack/echo/v4"
+
+	"github.com/pebbletrail/pebbletrail/internal/claim"
+	"github.com/pebbletrail/pebbletrail/internal/config"
+	"github.com/pebbletrail/pebbletrail/internal/fleet"
+	"github.com/pebbletrail/pebbletrail/internal/ids"
+	"github.com/pebbletrail/pebbletrail/internal/intake"
+	"github.com/pebbletrail/pebbletrail/internal/measure"
+	"github.com/pebbletrail/pebbletrail/internal/peer"
+	"github.com/pebbletrail/pebbletrail/internal/placement"
+	"github.com/pebbletrail/pebbletrail/internal/record"
+	"github.com/pebbletrail/pebbletrail/internal/rollout"
+	"github.com/pebbletrail/pebbletrail/internal/state"
+	"github.com/pebbletrail/pebbletrail/internal/worker"
+)
+
+// Connections to each host, and the idle ones kept in all.
+const (
+	stateConnections   = 16
+	cloudConnections   = 4
+	shardConnections   = 2 // a shard's leader's to the cloud
+	machineConnections = 2
+)
+
+// Intervals and timeouts of the controller's parts.
+const (
+	machineCommandTimeout = 3 * time.Second
+	rolloutPollInterval   = 200 * time.Millisecond
+	measureLogInterval    = time.Minute
+	minListInterval       = 2 * time.Second
+	minIdleTimeout        = 20 * time.Second
+	// idleGrace is how much later than three missed heartbeats a connection counts as idle.
+	idleGrace = 5 * time.Second
+)
+
+// controller is the parts of one controller. Its goroutines live as long as the process.
+type controller struct {
+	settings    *config.Settings
+	incarnation string
+	state       *state.Client
+	cloud       *fleet.Cloud
+	shards      *claim.Shards
+	link        *peer.Link
+	types       *machineTypes
+	// rollouts is this node's copy of the stored rollouts; nil where drains are off.
+	rollouts *state.Mirror
+}
+
+// newController connects the parts; nothing runs yet.
+func newController(settings *config.Settings, incarnation string) *controller {
+	nodes := len(settings.Others) + 1
+	c := &controller{settings: settings, incarnation: incarnation}
+	c.state = state.NewClient(settings.Services.State, newHTTPClient(stateConnections, stateConnections),
+		state.NewBudget(settings.Params.State.RPS, settings.Params.State.WriteRPS, nodes, settings.Own.OwnerShare))
+	c.state.Budget().SplitLeaderShare(settings.Shards())
+	c.cloud = c.newCloud(cloudConnections)
+	commander := &worker.Commander{HTTP: newHTTPClient(machineConnections, settings.Sockets().Direct/2), Timeout: machineCommandTimeout}
+	c.shards = claim.NewShards(settings, c.state, commander, incarnation)
+	c.shards.Refuse = exitRefusing
+	c.link = peer.NewLink(settings, c.shards, c.state)
+	c.types = &machineTypes{cloud: c.cloud, shards: c.shards}
+	for i, pool := range c.shards.Pools() {
+		shard := ids.Shard(i)
+		pool.Peers = c.link.ForShard(shard)
+		pool.OnTerm = func(ctx context.Context, term *claim.Term) { c.provision(ctx, pool, shard, term) }
+	}
+	if settings.DrainsEnabled() {
+		c.rollouts = state.NewMirror(c.state, rollout.Prefix, rolloutPollInterval)
+	}
+	return c
+}
+
+// newCloud makes a client of the cloud, which has one shard's part of the calls that the cloud takes.
+func (c *controller) newCloud(connections int) *fleet.Cloud {
+	callRate := c.settings.Params.Cloud.RPS / float64(c.settings.Shards())
+	return fleet.NewCloud(c.settings.Services.Cloud, newHTTPClient(connections, connections), callRate)
+}
+
+// exitRefusing ends the process: with this store it must not take part.
+func exitRefusing(err error) {
+	fmt.Fprintln(os.Stderr, "pebbletrail: "+strings.ReplaceAll(err.Error(), "\n", "; "))
+	os.Exit(1)
+}
+
+// run serves until the users' listener ends.
+func (c *controller) run(ctx context.Context, users, cluster net.Listener) error {
+	go c.link.Serve(cluster)
+	c.link.Run(ctx)
+	go c.types.run(ctx)
+	go c.state.Watch(ctx, record.KeysOf(0, c.settings.Shards()).Generation())
+	go logMeasures(ctx)
+	go c.shards.Run(ctx)
+	var operatorRoutes func(*echo.Echo)
+	if c.rollouts != nil {
+		go c.rollouts.Run(ctx)
+		operatorRoutes = c.drainService().Routes
+	}
+	return c.usersSite(operatorRoutes).Serve(users, c.connectionLimiter())
+}
+
+// logMeasures logs what this process measured of itself, again and again.
+func logMeasures(ctx context.Context) {
+	for ctx.Err() == nil {
+		time.Sleep(measureLogInterval)
+		measure.Process.Log()
+	}
+}
+
+// usersSite answers users and machines, and operators where operatorRoutes isn't nil.
+func (c *controller) usersSite(operatorRoutes func(*echo.Echo)) *intake.Site {
+	return &intake.Site{
+		Operators: operatorRoutes,
+		Version:   version,
+		Jobs: &intake.JobService{Set: c.settings, State: c.state, Jobs: c.shards.Jobs(), LeaderNotifier: c.link, Writer: c.incarnation,
+			Types: c.types.known},
+		Heartbeats: c.shards,
+		Ready:      c.ready,
+		Live:       c.link.Explain,
+		Status:     c.status,
+	}
+}
+
+// connectionLimiter shares the sockets for callers among users and machines.
+func (c *controller) connectionLimiter() *intake.ConnectionLimiter {
+	return &intake.ConnectionLimiter{
+		MaxConnections: c.settings.Sockets().Callers,
+		WorkerCount:    c.shards.Machines,
+		IdleTimeout:    max(minIdleTimeout, 3*c.settings.Params.Workers.ReportS.Duration()+idleGrace),
+	}
+}
+
+// provision rents and returns machines while this node leads a shard.
+func (c *controller) provision(ctx context.Context, pool *claim.Pool, shard ids.Shard, term *claim.Term) {
+	provisioner := &fleet.Provisioner{Cloud: c.cloud, Cluster: term.Cluster, Store: term.Committer, Gen: term.Gen,
+		Sure: func() bool { return pool.Sure(term) },
+		Keys: record.KeysOf(shard, c.settings.Shards()), Shard: shard,
+		ListEvery: max(minListInterval, c.settings.Params.Cloud.ListLagS.Duration()/2)}
+	if c.settings.Shards() > 1 {
+		provisioner.Cloud = c.newCloud(shardConnections)
+		provisioner.OthersLack = func() (time.Duration, int) { return c.shards.OthersLack(shard) }
+		provisioner.Owns = func(machine ids.Machine) bool { return c.shards.Owns(shard, machine) }
+	}
+	if types := c.types.known(); len(types) > 0 {
+		term.Cluster.SetTypes(types)
+	}
+	provisioner.OnTypes = func(types []placement.Type) { c.types.store(ctx, term.Committer, types) }
+	if c.rollouts != nil && c.settings.Shards() == 1 {
+		runner := &rollout.Runner{Copy: c.rollouts, Store: term.Committer, Fleet: term.Cluster, Writer: c.incarnation, Limits: c.storeLimits()}
+		go runner.Run(ctx)
+	}
+	provisioner.Adopt(term.Intents)
+	provisioner.Run(ctx)
+}
+
+// drainService carries out the operators' commands on rollouts.
+func (c *controller) drainService() *rollout.Service {
+	return &rollout.Service{Copy: c.rollouts, State: c.state, Leader: c.link, Writer: c.incarnation, Limits: c.storeLimits(),
+		Installation: c.installation}
+}
+
+// installation is what a rollout may choose from.
+func (c *controller) installation() rollout.Installation {
+	installation := rollout.Installation{Zones: c.settings.Params.Zones, Shards: c.settings.Shards()}
+	for _, machineType := range c.types.known() {
+		installation.Types = append(installation.Types, machineType.Label)
+	}
+	return installation
+}
+
+// storeLimits are the state service's limits as rollouts use them.
+func (c *controller) storeLimits() rollout.Limits {
+	return rollout.Limits{ValueBytes: int(c.settings.Params.State.ValueKB * 1024), TxnOps: c.settings.Params.State.TxnOps}
+}
--- /dev/null
+++ b/cmd/pebbletrail/explain.go
@@ -0,0 +1,50 @@
+package main
+
+import (
+	"encoding/json"
+	"fmt"
+	"io"
+	"strings"
+
+	"github.com/spf13/cobra"
+
+	"github.com/pebbletrail/pebbletrail/internal/intake"
+)
+
+func explainCommand() *cobra.Command {
+	var node string
+	command := &cobra.Command{
+		Use: "explain JOB", Short: "Tells why a job's tasks stopped, moved or wait", Args: cobra.ExactArgs(1),
+		RunE: func(cmd *cobra.Command, args []string) error {
+			raw, err := fetchPage(node, "/v2/runs/"+args[0]+"/explain")
+			if err != nil {
+				return err
+			}
+			var explanation intake.Explanation
+			if err := json.Unmarshal(raw, &explanation); err != nil {
+				return fmt.Errorf("read the explanation of %s: %w", args[0], err)
+			}
+			_, err = io.WriteString(cmd.OutOrStdout(), explanationText(&explanation))
+			return err
+		},
+	}
+	nodeFlag(command, &node)
+	return command
+}
+
+// explanationText is an explanation for people: the events of the job's trail, oldest first, then
+// what holds now.
+func explanationText(explanation *intake.Explanation) string {
+	var text strings.Builder
+	fmt.Fprintf(&text, "%s: %s\n", explanation.UID, explanation.Status)
+	for _, event := range explanation.Trail {
+		fmt.Fprintf(&text, "  %s  %s\n", event.At.Time().UTC().Format("15:04:05.000"), event.What)
+	}
+	for _, line := range explanation.Now {
+		fmt.Fprintf(&text, "  now: %s\n", line)
+	}
+	if explanation.Note != "" {
+		fmt.Fprintf(&text, "  note: %s\n", explanation.Note)
+	}
+	return text.String()
+}
--- a/cmd/pebbletrail/machine_types.go
+++ b/cmd/pebbletrail/machine_types.go
@@ -4,6 +4,7 @@
 	"context"
 	"encoding/json"
 	"fmt"
+	"strings"
 	"sync"
 	"time"
 
@@ -14,23 +15,28 @@
 	"github.com/pebbletrail/pebbletrail/internal/state"
 )
 
+// typesRetryInterval spaces the calls for the machine types until the cloud has answered.
+const typesRetryInterval = time.Second
+
 // machineTypes are the machine types on offer, which every node needs to judge
-// submissions; the owner stores them for times when the cloud is down.
+// submissions; the leader stores them for times when the cloud is down.
 type machineTypes struct {
 	cloud  *fleet.Cloud
-	shards *election.Shards
-	mu     sync.Mutex
-	types  []placement.Type
-	kept   string // what was last stored, without prices
+	shards *claim.Shards
+	// mu guards the fields below. Nothing is called under it.
+	mu    sync.Mutex
+	types []placement.Type
+	// stored is the list that was last stored, without prices.
+	stored string
 }
 
 // known is the newest list this node has, or else the stored one.
 func (m *machineTypes) known() []placement.Type {
 	m.mu.Lock()
-	ts := m.types
+	types := m.types
 	m.mu.Unlock()
-	if len(ts) > 0 {
-		return ts
+	if len(types) > 0 {
+		return types
 	}
 	return m.shards.Types()
 }
@@ -38,39 +44,46 @@
 // run asks the cloud until types are known.
 func (m *machineTypes) run(ctx context.Context) {
 	for ctx.Err() == nil && len(m.known()) == 0 {
-		if ts, err := m.cloud.Types(ctx); err == nil && len(ts) > 0 {
+		if types, err := m.cloud.Types(ctx); err == nil && len(types) > 0 {
 			m.mu.Lock()
-			m.types = ts
+			m.types = types
 			m.mu.Unlock()
 			return
 		}
-		time.Sleep(time.Second)
+		time.Sleep(typesRetryInterval)
 	}
 }
 
-// store keeps the list in the state service if more than prices changed.
-func (m *machineTypes) store(ctx context.Context, s fleet.Store, ts []placement.Type) {
+// store keeps the list in the state service if more than prices changed. If that fails, the next
+// list is stored whether it changed or not.
+func (m *machineTypes) store(ctx context.Context, store fleet.Store, types []placement.Type) {
+	unpriced := withoutPrices(types)
 	m.mu.Lock()
-	m.types = ts
-	// Prices move all the time and are not worth a write.
-	key := ""
-	for i := range ts {
-		t := ts[i]
-		t.Price, t.SpotPrice = 0, 0
-		key += fmt.Sprint(t)
-	}
-	same := key == m.kept
+	m.types = types
+	same := unpriced == m.stored
 	m.mu.Unlock()
 	if same {
 		return
 	}
-	raw, err := json.Marshal(ts)
+	raw, err := json.Marshal(types)
 	if err != nil {
 		return
 	}
-	if s.Apply(ctx, []state.Op{{Put: record.TypesKey, Value: raw}}) == nil {
+	if store.Apply(ctx, []state.Op{{Put: record.TypesKey, Value: raw}}) == nil {
 		m.mu.Lock()
-		m.kept = key
+		m.stored = unpriced
 		m.mu.Unlock()
 	}
 }
+
+// withoutPrices is a text that differs between two lists if more than prices differs: prices move
+// all the time and are not worth a write.
+func withoutPrices(types []placement.Type) string {
+	var text strings.Builder
+	for i := range types {
+		machineType := types[i]
+		machineType.Price, machineType.SpotPrice = 0, 0
+		fmt.Fprint(&text, machineType)
+	}
+	return text.String()
+}
--- a/cmd/pebbletrail/rehearse.go
+++ b/cmd/pebbletrail/rehearse.go
@@ -5,92 +5,70 @@
 	"fmt"
 	"io"
 	"os"
-	"time"
 
 	"github.com/spf13/cobra"
-
-	"github.com/pebbletrail/pebbletrail/internal/rehearsal"
 )
 
 // errRehearsalFailed tells that a rehearsal found what must not happen.
 var errRehearsalFailed = errors.New("the rehearsal failed; see its report")
 
+// Help of the flags that all rehearsals have, and where they leave their report by default.
+const (
+	defaultFolder    = "target/rehearsal"
+	folderHelp       = "folder for the record, the report and the controllers' logs"
+	programHelp      = "the controllers' program; this one if empty"
+	seedHelp         = "decides jobs and failures"
+	controllersHelp  = "controller processes"
+	longestHelp      = "the run ends by then, whatever happens"
+	folderPermission = 0o700
+)
+
 func rehearseCommand() *cobra.Command {
-	c := &cobra.Command{Use: "rehearse", Short: "Rehearses failures on stand-ins, on this machine alone", Args: cobra.NoArgs}
-	c.AddCommand(rehearseQuotaCommand(), rehearseDrainCommand())
-	return c
+	command := &cobra.Command{Use: "rehearse", Short: "Rehearses failures on stand-ins, on this machine alone", Args: cobra.NoArgs}
+	command.AddCommand(rehearseQuotaCommand(), rehearseDrainCommand())
+	return command
 }
 
-// findings are what a rehearsal came to.
+// findings are the outcome of a rehearsal.
 type findings interface {
-	Print(out io.Writer)
+	Print(out io.Writer) error
 	Failed() bool
 }
 
-// rehearse runs a rehearsal in its folder and tells what it came to.
+// rehearse runs a rehearsal in its folder and prints its outcome. An empty program becomes this
+// one. The error is errRehearsalFailed if the run found what must not happen.
 func rehearse(cmd *cobra.Command, folder string, program *string, run func() (findings, error)) error {
 	if err := defaultProgram(program); err != nil {
 		return err
 	}
-	if err := os.MkdirAll(folder, 0o700); err != nil {
-		return err
+	if err := os.MkdirAll(folder, folderPermission); err != nil {
+		return fmt.Errorf("make the rehearsal's folder: %w", err)
 	}
-	found, err := run()
+	outcome, err := run()
 	if err != nil {
 		return err
 	}
-	found.Print(cmd.OutOrStdout())
-	fmt.Fprintf(cmd.OutOrStdout(), "record and report: %s\n", folder)
-	if found.Failed() {
-		return errRehearsalFailed
+	if err := outcome.Print(cmd.OutOrStdout()); err != nil {
+		return fmt.Errorf("print the findings: %w", err)
 	}
-	return nil
-}
-
-func rehearseQuotaCommand() *cobra.Command {
-	options := rehearsal.QuotaOptions{}
-	c := &cobra.Command{
-		Use: "quota", Short: "Floods controllers with submissions while they fail, and checks every team's limit", Args: cobra.NoArgs,
-		RunE: func(cmd *cobra.Command, _ []string) error {
-			return rehearse(cmd, options.Folder, &options.Program, func() (findings, error) { return rehearsal.RunQuota(options) })
-		},
+	if _, err := fmt.Fprintf(cmd.OutOrStdout(), "record and report: %s\n", folder); err != nil {
+		return fmt.Errorf("print the findings: %w", err)
 	}
-	flags := c.Flags()
-	flags.StringVar(&options.Folder, "out", "target/rehearsal", "folder for the record, the report and the controllers' logs")
-	flags.StringVar(&options.Program, "program", "", "the controllers' program; this one if empty")
-	flags.Uint64Var(&options.Seed, "seed", 1, "decides jobs and failures")
-	flags.IntVar(&options.Controllers, "controllers", 5, "controller processes")
-	flags.IntVar(&options.Machines, "machines", 3, "stand-in machines to rent, of 8 cores and 2 accelerators")
-	flags.IntVar(&options.Shards, "shards", 1, "shards of the machine pool, each with a leader")
-	flags.IntVar(&options.Jobs, "jobs", 1000, "jobs submitted at the same moment, twice")
-	flags.DurationVar(&options.Within, "within", 20*time.Second, "how soon a guarantee has to be reached")
-	flags.DurationVar(&options.Longest, "longest", 10*time.Minute, "the run ends by then, whatever happens")
-	return c
-}
-
-func rehearseDrainCommand() *cobra.Command {
-	options := rehearsal.DrainOptions{}
-	c := &cobra.Command{
-		Use: "drain", Short: "Replaces all machines in waves while controllers, machines and replacements fail, and checks every budget", Args: cobra.NoArgs,
-		RunE: func(cmd *cobra.Command, _ []string) error {
-			return rehearse(cmd, options.Folder, &options.Program, func() (findings, error) { return rehearsal.RunDrain(options) })
-		},
+	if outcome.Failed() {
+		return errRehearsalFailed
 	}
-	flags := c.Flags()
-	flags.StringVar(&options.Folder, "out", "target/rehearsal", "folder for the record, the report and the controllers' logs")
-	flags.StringVar(&options.Program, "program", "", "the controllers' program; this one if empty")
-	flags.Uint64Var(&options.Seed, "seed", 1, "decides jobs and failures")
-	flags.IntVar(&options.Controllers, "controllers", 5, "controller processes")
-	flags.IntVar(&options.Machines, "machines", 50, "stand-in machines, all of which are replaced")
-	flags.IntVar(&options.Jobs, "jobs", 300, "low jobs beside the services")
-	flags.DurationVar(&options.Longest, "longest", 10*time.Minute, "the run ends by then, whatever happens")
-	return c
+	return nil
 }
 
 // defaultProgram names this program's own file where none is given.
-func defaultProgram(program *string) (err error) {
-	if *program == "" {
-		*program, err = os.Executable()
+func defaultProgram(program *string) error {
+	if *program != "" {
+		return nil
 	}
-	return err
+	own, err := os.Executable()
+	if err != nil {
+		return fmt.Errorf("find this program's own file: %w", err)
+	}
+	*program = own
+	return nil
 }
--- /dev/null
+++ b/cmd/pebbletrail/rehearse_drain.go
@@ -0,0 +1,28 @@
+package main
+
+import (
+	"time"
+
+	"github.com/spf13/cobra"
+
+	"github.com/pebbletrail/pebbletrail/internal/rehearsal"
+)
+
+func rehearseDrainCommand() *cobra.Command {
+	options := rehearsal.DrainOptions{}
+	command := &cobra.Command{
+		Use: "drain", Short: "Replaces all machines in waves while controllers, machines and replacements fail, and checks every budget", Args: cobra.NoArgs,
+		RunE: func(cmd *cobra.Command, _ []string) error {
+			return rehearse(cmd, options.Folder, &options.Program, func() (findings, error) { return rehearsal.RunDrain(options) })
+		},
+	}
+	flags := command.Flags()
+	flags.StringVar(&options.Folder, "out", defaultFolder, folderHelp)
+	flags.StringVar(&options.Program, "program", "", programHelp)
+	flags.Uint64Var(&options.Seed, "seed", 1, seedHelp)
+	flags.IntVar(&options.Controllers, "controllers", 5, controllersHelp)
+	flags.IntVar(&options.Machines, "machines", 50, "stand-in machines, all of which are replaced")
+	flags.IntVar(&options.Jobs, "jobs", 300, "low jobs beside the services")
+	flags.DurationVar(&options.Longest, "longest", 10*time.Minute, longestHelp)
+	return command
+}
--- a/internal/rehearsal/drain_findings.go
+++ b/internal/rehearsal/drain_findings.go
@@ -59,17 +59,20 @@
 }
 
 // Print tells the outcome in a few lines.
-func (f *DrainFindings) Print(out io.Writer) {
-	fmt.Fprintf(out, "%d tasks moved in %v of %v; least under the same budgets %v; %.0f core-seconds repeated; permits %v; %d changes of the state service\n",
+func (f *DrainFindings) Print(out io.Writer) error {
+	var text strings.Builder
+	fmt.Fprintf(&text, "%d tasks moved in %v of %v; least under the same budgets %v; %.0f core-seconds repeated; permits %v; %d changes of the state service\n",
 		len(f.Moves), f.Drain.Round(time.Second), f.Took.Round(time.Second), f.Least.Round(time.Second), f.Repeated, f.Asked, f.Changes)
-	fmt.Fprintf(out, "breaches of a budget: %d; tasks doubled: %d; machines left cordoned: %d; halts: %d\n", len(f.Breaches), len(f.Doubled), f.Left, len(f.Halts))
-	fmt.Fprintf(out, "low jobs: %d accepted, %d done, %d running, %d waiting, %d moved\n", f.Fates.Accepted, f.Fates.Done, f.Fates.Running, f.Fates.Waiting, f.Fates.Moved)
+	fmt.Fprintf(&text, "breaches of a budget: %d; tasks doubled: %d; machines left cordoned: %d; halts: %d\n", len(f.Breaches), len(f.Doubled), f.Left, len(f.Halts))
+	fmt.Fprintf(&text, "low jobs: %d accepted, %d done, %d running, %d waiting, %d moved\n", f.Fates.Accepted, f.Fates.Done, f.Fates.Running, f.Fates.Waiting, f.Fates.Moved)
 	for _, breach := range f.Breaches {
-		fmt.Fprintln(out, breach)
+		fmt.Fprintln(&text, breach)
 	}
 	if f.Midway != "" {
-		fmt.Fprintln(out, "ended before its time:", f.Midway)
+		fmt.Fprintln(&text, "ended before its time:", f.Midway)
 	}
+	_, err := io.WriteString(out, text.String())
+	return err
 }
 
 // leave writes the record and the report.
--- a/internal/rehearsal/quota.go
+++ b/internal/rehearsal/quota.go
@@ -53,18 +53,21 @@
 }
 
 // Print tells the outcome in a few lines.
-func (f *Findings) Print(out io.Writer) {
-	fmt.Fprintf(out, "%d jobs, %d accepted, %d refusals, %d starts, %d changes of the state service in %v\n",
+func (f *Findings) Print(out io.Writer) error {
+	var text strings.Builder
+	fmt.Fprintf(&text, "%d jobs, %d accepted, %d refusals, %d starts, %d changes of the state service in %v\n",
 		f.Jobs, f.Accepted, f.Refusals, f.Starts, f.Changes, f.Took.Round(time.Second))
-	fmt.Fprintf(out, "breaches of a limit: %d; tasks doubled: %d; accepted jobs never started: %d; waits within the guarantee: %v\n",
+	fmt.Fprintf(&text, "breaches of a limit: %d; tasks doubled: %d; accepted jobs never started: %d; waits within the guarantee: %v\n",
 		len(f.Breaches), len(f.Doubled), len(f.Unserved), f.GuaranteeWaits)
-	fmt.Fprintf(out, "transfers of allowance: %d\n", f.Transfers)
+	fmt.Fprintf(&text, "transfers of allowance: %d\n", f.Transfers)
 	for _, breach := range f.Breaches {
-		fmt.Fprintln(out, breach)
+		fmt.Fprintln(&text, breach)
 	}
 	if f.Midway != "" {
-		fmt.Fprintln(out, "ended before its time:", f.Midway)
+		fmt.Fprintln(&text, "ended before its time:", f.Midway)
 	}
+	_, err := io.WriteString(out, text.String())
+	return err
 }
 
 func (f *Findings) slowestGuarantee() time.Duration {
