--- a/internal/rehearsal/cluster.go
+++ b/internal/rehearsal/cluster.go
@@ -7,78 +7,69 @@
 	"fmt"
 	"net"
 	"net/http"
-	"os"
-	"os/exec"
-	"path/filepath"
-	"strings"
 	"sync"
-	"syscall"
 	"time"
 
 	"github.com/pebbletrail/pebbletrail/internal/fake"
 )
 
-// Intervals of the stand-in workers, shorter than in production so that a run takes minutes.
+// Intervals of the fake workers, shorter than in production so that a run takes minutes.
 const (
-	reportEvery = time.Second
-	workerLease = 8 * time.Second
-	cancelAfter = 20 * time.Second
+	heartbeatInterval = time.Second
+	workerLease       = 8 * time.Second
+	cancelWithin      = 20 * time.Second
 )
 
-// Cluster is controller processes and the stand-ins around them.
-type Cluster struct {
-	Store *fake.Store
+// Calls of the users, the operator and the fake workers.
+const (
+	callTimeout       = 5 * time.Second
+	headerTimeout     = 10 * time.Second
+	idleConnections   = 64
+	readinessInterval = 100 * time.Millisecond
+)
+
+// localCluster is controller processes and the fakes around them, all on loopback.
+//
+// Locks are taken in the order of the fake cloud's, a fake worker's or the fake store's, mu: the
+// fakes report events under their own locks. Nothing is called under mu.
+type localCluster struct {
+	store *fake.Store
 
 	folder  string
 	program string
 	// features is the file of features, operators that of operators' settings; empty: none.
 	features, operators string
-	// onStored is told of each change of the state service, under its lock; nil: nobody is.
-	onStored func(key string, value json.RawMessage)
+	// onChange is told of each change of the state service, under its lock; nil: nobody is.
+	onChange func(key string, value json.RawMessage)
 	teams    []Team
-	began    time.Time
+	started  time.Time
 	network  *fake.Net // keeps the results of tasks
-	cloud    *cloud
+	cloud    *fakeCloud
 	http     *http.Client
-	servers  []*http.Server
-	life     context.Context
-	// deadline ends the users' patience; zero: nothing does.
-	deadline time.Time
-	end      context.CancelFunc
+	// ctx ends the fake workers.
+	ctx    context.Context
+	cancel context.CancelFunc
+	// deadline is when users stop to retry at the latest; zero: nothing ends their retries early.
+	deadline    time.Time
+	controllers []*controllerProcess
 
-	mu          sync.Mutex
-	controllers []*Controller
-	workers     map[string]*runningWorker
-	events      []Event
-	tasks       map[string]taskPlan // by job
+	// mu guards the fields below.
+	mu      sync.Mutex
+	servers []*http.Server
+	workers map[string]*runningWorker // by machine
+	events  []Event
+	plans   map[string]taskPlan // by job
 }
 
 // taskPlan is what is known of each task of a job.
 type taskPlan struct {
 	team                string
 	cores, accelerators float64
-	runs                time.Duration // 0: until it is stopped
+	duration            time.Duration // 0: until it is stopped
 }
 
-// runningWorker is a stand-in worker and its listener.
-type runningWorker struct {
-	*fake.Worker
-	server *http.Server
-	stop   context.CancelFunc
-}
-
-// Controller is one controller process.
-type Controller struct {
-	Name          string
-	users, peers  string // addresses
-	settings, log string // files
-	mu            sync.Mutex
-	process       *exec.Cmd
-	ended         chan struct{}
-}
-
-// ClusterOptions are what a cluster is made of.
-type ClusterOptions struct {
+// clusterOptions describe a cluster.
+type clusterOptions struct {
 	Folder      string // for settings and logs
 	Program     string // the controllers' program
 	Teams       []Team
@@ -89,214 +80,114 @@
 	// Features and Operators are the contents of the files of features and of operators'
 	// settings; empty: there is none.
 	Features, Operators string
-	// OnStored is told of each change of the state service, under its lock; nil: nobody is.
-	OnStored func(key string, value json.RawMessage)
+	// OnChange is told of each change of the state service, under its lock; nil: nobody is.
+	OnChange func(key string, value json.RawMessage)
+}
+
+// newLocalCluster starts the fakes and writes the controllers' files; controllers are started one
+// by one.
+func newLocalCluster(options clusterOptions) (*localCluster, error) {
+	ctx, cancel := context.WithCancel(context.Background())
+	c := &localCluster{
+		store:    fake.NewStore(),
+		folder:   options.Folder,
+		program:  options.Program,
+		onChange: options.OnChange,
+		teams:    options.Teams,
+		started:  time.Now(),
+		network:  fake.NewNet(),
+		cloud:    newFakeCloud(options.Machines, options.Accelerators),
+		http:     &http.Client{Timeout: callTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: idleConnections}},
+		ctx:      ctx,
+		cancel:   cancel,
+		workers:  map[string]*runningWorker{},
+		plans:    map[string]taskPlan{},
+	}
+	c.cloud.boot, c.cloud.stop = c.startWorker, c.stopWorker
+	c.store.NotifyChanges(c.observeChange)
+	if err := c.prepare(options); err != nil {
+		return nil, errors.Join(err, c.close())
+	}
+	return c, nil
 }
 
-// NewCluster starts the stand-ins; controllers are started one by one.
-func NewCluster(options ClusterOptions) (*Cluster, error) {
-	life, end := context.WithCancel(context.Background())
-	c := &Cluster{Store: fake.NewStore(), folder: options.Folder, program: options.Program, teams: options.Teams, began: time.Now(), network: fake.NewNet(),
-		onStored: options.OnStored, cloud: newCloud(options.Machines, options.Accelerators), life: life, end: end, workers: map[string]*runningWorker{}, tasks: map[string]taskPlan{},
-		http: &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 64}}}
-	c.cloud.boot, c.cloud.stop = c.startWorker, c.stopWorker
-	c.Store.NotifyChanges(c.noteStored)
-	state, err := c.serve(c.Store)
+// prepare serves the fakes and writes the controllers' files.
+func (c *localCluster) prepare(options clusterOptions) error {
+	state, err := c.serve(c.store)
 	if err != nil {
-		return nil, errors.Join(err, c.Close())
+		return err
 	}
 	cloud, err := c.serve(c.cloud)
 	if err != nil {
-		return nil, errors.Join(err, c.Close())
-	}
-	if err := c.prepare(options.Controllers, state, cloud); err != nil {
-		return nil, errors.Join(err, c.Close())
-	}
-	c.features, err = c.settingsFile("features.textproto", options.Features)
-	if err != nil {
-		return nil, errors.Join(err, c.Close())
-	}
-	c.operators, err = c.settingsFile("operators.textproto", options.Operators)
-	if err != nil {
-		return nil, errors.Join(err, c.Close())
+		return err
 	}
-	return c, nil
-}
-
-// settingsFile writes a file that all controllers are started with, unless it is empty: earlier
-// versions do not know all of them.
-func (c *Cluster) settingsFile(name, text string) (path string, err error) {
-	if text == "" {
-		return "", nil
+	if err := c.prepareControllers(options.Controllers, state, cloud); err != nil {
+		return err
 	}
-	path = filepath.Join(c.folder, name)
-	return path, os.WriteFile(path, []byte(text), 0o600)
-}
-
-// noteStored takes in a change of the state service.
-func (c *Cluster) noteStored(key string, value json.RawMessage) {
-	c.noteLedger(key, value)
-	if c.onStored != nil {
-		c.onStored(key, value)
+	if c.features, err = c.writeSharedFile("features.textproto", options.Features); err != nil {
+		return err
 	}
+	c.operators, err = c.writeSharedFile("operators.textproto", options.Operators)
+	return err
 }
 
-// serve puts a stand-in on a loopback port.
-func (c *Cluster) serve(handler http.Handler) (addr string, err error) {
-	listener, err := net.Listen("tcp4", "127.0.0.1:0")
+// serve puts a fake on a loopback port until the cluster is closed.
+func (c *localCluster) serve(handler http.Handler) (address string, err error) {
+	listener, err := listenOnLoopback()
 	if err != nil {
 		return "", err
 	}
-	server := &http.Server{Handler: handler, ReadHeaderTimeout: 10 * time.Second}
+	server := &http.Server{Handler: handler, ReadHeaderTimeout: headerTimeout}
 	c.mu.Lock()
 	c.servers = append(c.servers, server)
 	c.mu.Unlock()
-	go server.Serve(listener) // ends with Close
+	go func() { _ = server.Serve(listener) }() // returns an error whenever the server is closed
 	return listener.Addr().String(), nil
 }
 
-// freeAddress is a loopback address that nobody listens on now.
-func freeAddress() (string, error) {
+// listenOnLoopback opens a listener on a free loopback port.
+func listenOnLoopback() (net.Listener, error) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
-		return "", err
-	}
-	return listener.Addr().String(), listener.Close()
-}
-
-// prepare writes the settings of all controllers.
-func (c *Cluster) prepare(count int, state, cloud string) error {
-	for i := range count {
-		users, err := freeAddress()
-		if err != nil {
-			return err
-		}
-		peers, err := freeAddress()
-		if err != nil {
-			return err
-		}
-		name := fmt.Sprintf("controller-%d", i)
-		c.controllers = append(c.controllers, &Controller{Name: name, users: users, peers: peers,
-			settings: filepath.Join(c.folder, name+".toml"), log: filepath.Join(c.folder, name+".log")})
-	}
-	for _, controller := range c.controllers {
-		if err := os.WriteFile(controller.settings, []byte(c.settingsOf(controller, state, cloud)), 0o600); err != nil {
-			return err
-		}
-	}
-	return nil
-}
-
-// settingsOf is a controller's settings file.
-func (c *Cluster) settingsOf(controller *Controller, state, cloud string) string {
-	var text strings.Builder
-	line := func(format string, args ...any) { fmt.Fprintf(&text, format+"\n", args...) }
-	line("host_name = %q\narea = \"north\"\nclient_listen = %q\ncluster_listen = %q", controller.Name, controller.users, controller.peers)
-	for _, other := range c.controllers {
-		if other != controller {
-			line("[[others]]\nhost_name = %q\narea = \"north\"\npeer_addr = %q", other.Name, other.peers)
-		}
-	}
-	line("[services]\ncloud = %q\nstate = %q", cloud, state)
-	line("[params]\ninitial_size = 0\nzones = [\"north\", \"south\"]\nclock_error_ms = 50.0")
-	for _, team := range c.teams {
-		line("[[params.teams]]\nname = %q\ncpus = %.3f\ncpus_max = %.3f\ngpus = %.3f\ngpus_max = %.3f",
-			team.Name, team.Guarantee, team.Limit, team.GuaranteeAccelerators, team.LimitAccelerators)
-	}
-	line("[params.workers]\nreport_s = %.1f\nlease_s = %.1f\ngang_wait_s = 10.0\ngang_peer_s = 3.0\ncancel_s = %.1f",
-		reportEvery.Seconds(), workerLease.Seconds(), cancelAfter.Seconds())
-	line("[params.state]\nrps = 1000.0\nwrite_rps = 300.0\nvalue_kb = 32.0\ntxn_ops = 48")
-	line("[params.cloud]\nrps = 20.0\nlist_lag_s = 1.0")
-	line("[params.machine_limits]\ncores = 1.0\nram_mb = 256.0\nmax_sockets = 1000")
-	return text.String()
-}
-
-// Controllers lists the controllers.
-func (c *Cluster) Controllers() []*Controller { return c.controllers }
-
-// Start starts a controller process.
-func (c *Cluster) Start(controller *Controller) error {
-	log, err := os.OpenFile(controller.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
-	if err != nil {
-		return err
-	}
-	defer log.Close()
-	arguments := []string{"--config", controller.settings}
-	if c.features != "" {
-		arguments = append(arguments, "--features", c.features)
-	}
-	if c.operators != "" {
-		arguments = append(arguments, "--operators", c.operators)
-	}
-	process := exec.Command(c.program, arguments...)
-	process.Stderr, process.Stdout = log, log
-	process.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-	if err := process.Start(); err != nil {
-		return err
-	}
-	ended := make(chan struct{})
-	go func() {
-		process.Wait() // it is killed
-		close(ended)
-	}()
-	controller.mu.Lock()
-	controller.process, controller.ended = process, ended
-	controller.mu.Unlock()
-	return nil
-}
-
-// signal sends a signal to the controller's process, if it runs.
-func (controller *Controller) signal(signal syscall.Signal) {
-	controller.mu.Lock()
-	defer controller.mu.Unlock()
-	if controller.process != nil {
-		controller.process.Process.Signal(signal) // it may have ended
+		return nil, fmt.Errorf("listen on loopback: %w", err)
 	}
+	return listener, nil
 }
 
-// Kill ends the controller's process without notice, and waits until it is gone.
-func (controller *Controller) Kill() {
-	controller.signal(syscall.SIGKILL)
-	controller.mu.Lock()
-	ended := controller.ended
-	controller.mu.Unlock()
-	if ended != nil {
-		<-ended
+// observeChange takes in a change of the state service.
+func (c *localCluster) observeChange(key string, value json.RawMessage) {
+	c.recordLedger(key, value)
+	if c.onChange != nil {
+		c.onChange(key, value)
 	}
 }
 
-// Pause stops the controller's process where it is; Resume has it go on.
-func (controller *Controller) Pause() { controller.signal(syscall.SIGSTOP) }
-
-// Resume lets a paused controller go on.
-func (controller *Controller) Resume() { controller.signal(syscall.SIGCONT) }
-
-// note adds an event to the record.
-func (c *Cluster) note(event Event) {
+// record adds an event to the record.
+func (c *localCluster) record(event Event) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	event.At = time.Since(c.began)
+	event.At = time.Since(c.started)
 	c.events = append(c.events, event)
 }
 
-// Events is the record so far.
-func (c *Cluster) Events() []Event {
+// recorded is the record so far.
+func (c *localCluster) recorded() []Event {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]Event(nil), c.events...)
 }
 
-// Close ends everything that the cluster started.
-func (c *Cluster) Close() error {
+// close ends everything that the cluster started.
+func (c *localCluster) close() error {
 	for _, controller := range c.controllers {
-		controller.Resume()
-		controller.Kill()
+		controller.resume()
+		controller.kill()
 	}
-	c.end()
+	c.cancel()
 	c.mu.Lock()
 	servers := c.servers
-	for _, w := range c.workers {
-		servers = append(servers, w.server)
+	for _, worker := range c.workers {
+		servers = append(servers, worker.server)
 	}
 	c.mu.Unlock()
 	var errs []error
@@ -305,3 +196,48 @@
 	}
 	return errors.Join(errs...)
 }
+
+// errDeadlineExceeded tells that a run took longer than it may.
+var errDeadlineExceeded = errors.New("the time of the run was up")
+
+// startAll starts all controllers and waits until each is ready.
+func (c *localCluster) startAll(deadline time.Time) error {
+	for _, controller := range c.controllers {
+		if err := c.start(controller); err != nil {
+			return err
+		}
+	}
+	for _, controller := range c.controllers {
+		for !c.ready(controller) {
+			if time.Now().After(deadline) {
+				return fmt.Errorf("%w: %s is not ready", errDeadlineExceeded, controller.name)
+			}
+			time.Sleep(readinessInterval)
+		}
+	}
+	return nil
+}
+
+// ready asks a controller whether users may be sent there.
+func (c *localCluster) ready(controller *controllerProcess) bool {
+	response, err := c.http.Get("http://" + controller.usersAddress + "/up")
+	if err != nil {
+		return false
+	}
+	_ = response.Body.Close() // nothing was read
+	return response.StatusCode == http.StatusOK
+}
+
+// pollInterval spaces the looks at what a run waits for.
+const pollInterval = 200 * time.Millisecond
+
+// waitUntil waits for a condition, at most until the run's deadline.
+func waitUntil(deadline time.Time, what string, reached func() bool) error {
+	for !reached() {
+		if time.Now().After(deadline) {
+			return fmt.Errorf("%w before %s", errDeadlineExceeded, what)
+		}
+		time.Sleep(pollInterval)
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/rehearsal/drain_observer.go
@@ -0,0 +1,72 @@
+package rehearsal
+
+import (
+	"encoding/json"
+	"fmt"
+	"strings"
+
+	"github.com/pebbletrail/pebbletrail/internal/record"
+	"github.com/pebbletrail/pebbletrail/internal/rollout"
+)
+
+// observeChange records what the rollout became, and why tasks are evicted.
+func (r *drainRun) observeChange(key string, value json.RawMessage) {
+	if value == nil {
+		return
+	}
+	if job, isJob := strings.CutPrefix(key, record.JobPrefix); isJob {
+		if stored, err := record.Decode(value); err == nil {
+			r.recordEvictions(job, stored)
+		}
+		return
+	}
+	var stored rollout.Record
+	if !strings.HasPrefix(key, rollout.Prefix+"run/") || json.Unmarshal(value, &stored) != nil {
+		return
+	}
+	r.mu.Lock()
+	r.rollout = stored
+	r.mu.Unlock()
+	r.cluster.record(Event{Kind: RolloutStored, Where: string(stored.Spec.Name), Why: stored.Summary(), Machines: machinesByState(&stored)})
+}
+
+// recordEvictions records by which rollout and wave a job's tasks are evicted, each reason once.
+func (r *drainRun) recordEvictions(job string, stored *record.Record) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for i := range stored.Evictions {
+		eviction := &stored.Evictions[i]
+		eviction.Tasks.Each(func(task int) {
+			name := fmt.Sprintf("%s/%d", job, task)
+			why := fmt.Sprintf("rollout %s, wave %d", eviction.Rollout, eviction.Wave)
+			if r.evictions[name] != why {
+				r.evictions[name] = why
+				r.cluster.record(Event{Kind: EvictionStored, Job: job, Task: name, Why: why})
+			}
+		})
+	}
+}
+
+// stateThrough counts the machines that a rollout is done with.
+const stateThrough = "through"
+
+// machinesByState counts a rollout's machines by their state.
+func machinesByState(stored *rollout.Record) map[string]int {
+	counts := map[string]int{stateThrough: stored.Done}
+	inWave := 0
+	if stored.Wave != nil {
+		for state, machines := range stored.Wave.Machines {
+			counts[string(state)] = machines.Len()
+			inWave += machines.Len()
+		}
+	}
+	counts[string(rollout.Waiting)] = stored.Total - stored.Done - inWave
+	return counts
+}
+
+// storedRollout is the rollout as it was last stored.
+func (r *drainRun) storedRollout() rollout.Record {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.rollout
+}
--- /dev/null
+++ b/internal/rehearsal/drain_scenario.go
@@ -0,0 +1,118 @@
+package rehearsal
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"sync"
+	"time"
+
+	"github.com/pebbletrail/pebbletrail/internal/rollout"
+)
+
+// serviceCores is what each replica of a service takes.
+const serviceCores = 2
+
+// runScenario has the services run on machines that are up, then replaces all machines while
+// faults are injected and low jobs run, and waits until all of it has ended.
+func (r *drainRun) runScenario() error {
+	c := r.cluster
+	deadline := time.Now().Add(r.options.Longest)
+	c.deadline = deadline
+	c.cloud.provision("north", r.options.Machines/2)
+	c.cloud.provision("south", r.options.Machines-r.options.Machines/2)
+	if err := c.startAll(deadline); err != nil {
+		return err
+	}
+	if err := r.awaitMachines(deadline); err != nil {
+		return err
+	}
+	rng := rand.New(rand.NewPCG(r.options.Seed, loadStream))
+	r.submitServices(rng)
+	if err := r.awaitReplicas(deadline); err != nil {
+		return err
+	}
+	var users sync.WaitGroup
+	users.Go(func() { c.submitAll(lowJobs(rng, r.options.Jobs, r.teams[len(r.teams)-1].Name), r.options.Seed) })
+	if err := r.startRollout(deadline); err != nil {
+		return err
+	}
+	var operator sync.WaitGroup
+	stop := make(chan struct{})
+	operator.Go(func() { r.resumeHalted(deadline, stop) })
+	defer operator.Wait()
+	defer close(stop)
+	if err := r.injectFaults(rand.New(rand.NewPCG(r.options.Seed, faultStream)), deadline); err != nil {
+		return err
+	}
+	if err := r.awaitRollout(deadline, "the rollout has ended", func(stored rollout.Record) bool { return stored.State == rollout.Ended }); err != nil {
+		return err
+	}
+	users.Wait()
+	if err := r.awaitReplicas(deadline); err != nil {
+		return err
+	}
+	return r.awaitJobs(deadline)
+}
+
+// submitServices submits each team's service.
+func (r *drainRun) submitServices(rng *rand.Rand) {
+	for i, team := range r.teams {
+		r.cluster.submit(submission{ID: fmt.Sprintf("job-%06d", i+1), Team: team.Name, Shape: shapeService, Priority: priorityNormal,
+			Tasks: team.Replicas, Cores: serviceCores}, rng)
+	}
+}
+
+// lowJobs are jobs of several short tasks that may be interrupted.
+func lowJobs(rng *rand.Rand, count int, team string) (jobs []submission) {
+	for i := range count {
+		jobs = append(jobs, submission{ID: fmt.Sprintf("job-1%06d", i), Team: team, Shape: shapeArray, Priority: priorityLow,
+			Tasks: 1 + rng.IntN(3), Cores: 1, TaskDuration: minLowTaskDuration + time.Duration(rng.Int64N(int64(minLowTaskDuration)))})
+	}
+	return jobs
+}
+
+// startRollout asks a controller to replace all machines.
+func (r *drainRun) startRollout(deadline time.Time) error {
+	spec := rollout.Spec{Name: rolloutName, Select: rollout.Selection{Older: true}, Replace: true, Surge: true,
+		WaveSize: max(1, r.options.Machines/targetWaves), Deadline: asSeconds(rolloutDeadline), AtDeadline: rollout.Stop, Observe: asSeconds(rolloutObservation)}
+	return r.sendCommand(deadline, rollout.Path, &spec)
+}
+
+// awaitRollout waits until the rollout, as it is stored, has reached a state.
+func (r *drainRun) awaitRollout(deadline time.Time, what string, reached func(rollout.Record) bool) error {
+	return waitUntil(deadline, what, func() bool { return reached(r.storedRollout()) })
+}
+
+// awaitMachines waits until the leader has had a heartbeat of every machine: for what is submitted
+// before, it would rent others.
+func (r *drainRun) awaitMachines(deadline time.Time) error {
+	return waitUntil(deadline, "all machines were heard", func() bool {
+		for _, controller := range r.cluster.controllers {
+			var page heardPage
+			if r.fetchStatus(controller, &page) == nil && page.Pool != nil && page.Pool.Heard >= r.options.Machines {
+				return true
+			}
+		}
+		return false
+	})
+}
+
+// awaitReplicas waits until every replica runs, and for as long as it takes to count as ready.
+func (r *drainRun) awaitReplicas(deadline time.Time) error {
+	wanted := 0
+	for _, team := range r.teams {
+		wanted += team.Replicas
+	}
+	err := waitUntil(deadline, fmt.Sprintf("all %d replicas ran", wanted), func() bool { return runningTasks(r.cluster.recorded(), isService) == wanted })
+	if err == nil {
+		time.Sleep(readyTime)
+	}
+	return err
+}
+
+// awaitJobs waits until every task of the low jobs that were accepted is done.
+func (r *drainRun) awaitJobs(deadline time.Time) error {
+	return waitUntil(deadline, "all low jobs were done", func() bool {
+		return countJobs(r.cluster.recorded()).unfinished() == 0
+	})
+}
--- /dev/null
+++ b/internal/rehearsal/fake_cloud_test.go
@@ -0,0 +1,24 @@
+package rehearsal
+
+import (
+	"testing"
+)
+
+func TestFakeCloudRentsUpToItsCapacity(t *testing.T) {
+	t.Parallel()
+	// Machines that have booted are real listeners; all end with the cluster.
+	cluster, err := newLocalCluster(clusterOptions{Folder: t.TempDir(), Program: "/nonexistent", Teams: []Team{red}, Controllers: 2, Machines: 2})
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := cluster.start(cluster.controllers[0]); err == nil {
+		t.Error("a program that is not there was started")
+	}
+	name, ok := cluster.cloud.startMachine("north")
+	if !ok || len(cluster.cloud.listMachines("")) != 1 || cluster.cloud.capacity != 1 {
+		t.Errorf("%q, %v", name, cluster.cloud.listMachines(""))
+	}
+	if err := cluster.close(); err != nil {
+		t.Error(err)
+	}
+}
--- /dev/null
+++ b/internal/rehearsal/fake_machines.go
@@ -0,0 +1,73 @@
+package rehearsal
+
+import (
+	"context"
+	"net/http"
+	"time"
+
+	"github.com/pebbletrail/pebbletrail/internal/fake"
+)
+
+// runningWorker is a fake worker and its listener.
+type runningWorker struct {
+	*fake.Worker
+	server *http.Server
+	// stop ends the worker's heartbeats.
+	stop context.CancelFunc
+}
+
+// startWorker boots a machine: its worker reports to the controllers from then on.
+func (c *localCluster) startWorker(name, zone string) (endpoint string, err error) {
+	listener, err := listenOnLoopback()
+	if err != nil {
+		return "", err
+	}
+	endpoint = listener.Addr().String()
+	worker := &fake.Worker{Name: name, Addr: endpoint, Type: "standard", Zone: zone, Net: c.network, HTTP: c.http,
+		Report: heartbeatInterval, Lease: workerLease}
+	worker.NotifyEvents(c.recordTaskEvent)
+	for _, controller := range c.controllers {
+		worker.Nodes = append(worker.Nodes, controller.usersAddress)
+		worker.Names = append(worker.Names, controller.name)
+	}
+	ctx, stop := context.WithCancel(c.ctx)
+	server := &http.Server{Handler: worker, ReadHeaderTimeout: headerTimeout}
+	c.mu.Lock()
+	c.workers[name] = &runningWorker{Worker: worker, server: server, stop: stop}
+	c.mu.Unlock()
+	go worker.Run(ctx)
+	go func() { _ = server.Serve(listener) }() // returns an error whenever the server is closed
+	return endpoint, nil
+}
+
+// stopWorker takes a machine away with everything on it.
+func (c *localCluster) stopWorker(name string) {
+	c.mu.Lock()
+	worker := c.workers[name]
+	delete(c.workers, name)
+	c.mu.Unlock()
+	if worker == nil {
+		return
+	}
+	worker.stop()
+	_ = worker.server.Close() // only the listener's own error is told, and the machine is gone anyway
+	worker.TakeAway()
+}
+
+// recordTaskEvent records what a worker does, and has tasks end by themselves once they have run.
+// It is called under the worker's lock.
+func (c *localCluster) recordTaskEvent(event fake.Event) {
+	job := jobOf(event.Task)
+	c.mu.Lock()
+	plan := c.plans[job]
+	c.mu.Unlock()
+	kind := TaskEnded
+	if event.Start {
+		kind = TaskStarted
+		if plan.duration > 0 {
+			time.AfterFunc(plan.duration, func() { event.Worker.End(event.Task, causeDone) })
+		}
+	}
+	c.record(Event{Kind: kind, Team: plan.team, Job: job, Task: event.Task, Where: event.Worker.Name, Why: event.Cause,
+		Cores: plan.cores, Accelerators: plan.accelerators})
+}
--- a/internal/rehearsal/ledgers.go
+++ b/internal/rehearsal/ledgers.go
@@ -8,14 +8,14 @@
 	"github.com/pebbletrail/pebbletrail/internal/quota"
 )
 
-// noteLedger records a change of a team's ledger.
-func (c *Cluster) noteLedger(key string, value json.RawMessage) {
+// recordLedger records a change of a team's ledger.
+func (c *localCluster) recordLedger(key string, value json.RawMessage) {
 	team, found := strings.CutPrefix(key, quota.LedgerKey(""))
 	var ledger quota.Ledger
 	if !found || json.Unmarshal(value, &ledger) != nil {
 		return
 	}
-	c.note(Event{Kind: Transferred, Team: team, Why: describeLedger(&ledger)})
+	c.record(Event{Kind: LedgerChanged, Team: team, Why: describeLedger(&ledger)})
 }
 
 // describeLedger tells in plain words how a limit is split.
--- /dev/null
+++ b/internal/rehearsal/plots.go
@@ -0,0 +1,89 @@
+package rehearsal
+
+import (
+	"bytes"
+	"fmt"
+	"html/template"
+	"image/color"
+	"time"
+
+	"gonum.org/v1/plot"
+	"gonum.org/v1/plot/plotter"
+	"gonum.org/v1/plot/vg"
+	"gonum.org/v1/plot/vg/draw"
+	"gonum.org/v1/plot/vg/vgsvg"
+)
+
+// Size of a plot.
+const (
+	plotWidth  = 24 * vg.Centimeter
+	plotHeight = 8 * vg.Centimeter
+)
+
+// renderSVG is a plot as an SVG.
+func renderSVG(p *plot.Plot) (template.HTML, error) {
+	canvas := vgsvg.New(plotWidth, plotHeight)
+	p.Draw(draw.New(canvas))
+	var out bytes.Buffer
+	if _, err := canvas.WriteTo(&out); err != nil {
+		return "", err
+	}
+	_, svg, _ := bytes.Cut(out.Bytes(), []byte("?>"))
+	return template.HTML(svg), nil // it holds nothing from outside but names of teams, which the canvas escapes
+}
+
+// Colors of lines.
+var (
+	grayLine   = color.RGBA{R: 120, G: 120, B: 120, A: 255}
+	silverLine = color.RGBA{R: 150, G: 150, B: 150, A: 255}
+	redLine    = color.RGBA{R: 190, A: 255}
+	orangeLine = color.RGBA{R: 200, G: 90, A: 255}
+	purpleLine = color.RGBA{R: 140, G: 60, B: 160, A: 255}
+	blueLine   = color.RGBA{R: 30, G: 90, B: 160, A: 255}
+	greenLine  = color.RGBA{G: 130, A: 255}
+)
+
+// curve is a line of a plot.
+type curve struct {
+	name   string
+	points plotter.XYs
+	color  color.Color
+	// stepped keeps each value until the next point.
+	stepped bool
+	dashed  bool
+}
+
+// newPlot makes a plot of something over the time of a run.
+func newPlot(title, unit string) *plot.Plot {
+	p := plot.New()
+	p.Title.Text = title
+	p.X.Label.Text, p.Y.Label.Text = "seconds since the run began", unit
+	p.Legend.Top = true
+	return p
+}
+
+// addCurve draws a curve, and names it in the legend.
+func addCurve(p *plot.Plot, c curve) error {
+	line, err := plotter.NewLine(c.points)
+	if err != nil {
+		return fmt.Errorf("draw %q: %w", c.name, err)
+	}
+	line.Color = c.color
+	if c.stepped {
+		line.StepStyle = plotter.PostStep
+	}
+	if c.dashed {
+		line.Dashes = []vg.Length{vg.Points(5), vg.Points(3)}
+	}
+	p.Add(line)
+	p.Legend.Add(c.name, line)
+	return nil
+}
+
+// level is a line at the same height throughout a run.
+func level(height float64, duration time.Duration) plotter.XYs {
+	return plotter.XYs{{X: 0, Y: height}, {X: duration.Seconds(), Y: height}}
+}
+
+// secondsText is how reports write durations.
+func secondsText(d time.Duration) string { return fmt.Sprintf("%.1f s", d.Seconds()) }
--- /dev/null
+++ b/internal/rehearsal/quota_faults.go
@@ -0,0 +1,42 @@
+package rehearsal
+
+import (
+	"math/rand/v2"
+	"time"
+)
+
+// injectFaults pauses and kills controllers and has the state service refuse or fail, until it is
+// stopped; then everything runs again.
+func (c *localCluster) injectFaults(rng *rand.Rand, stop <-chan struct{}) {
+	for {
+		select {
+		case <-stop:
+			return
+		case <-time.After(time.Duration(2000+rng.IntN(3000)) * time.Millisecond):
+		}
+		controller := c.controllers[rng.IntN(len(c.controllers))]
+		rest := time.Duration(1500+rng.IntN(4000)) * time.Millisecond
+		switch rng.IntN(5) {
+		case 4:
+			rest += workerLease // what the leader was about to start is long gone by then
+			fallthrough
+		case 0, 1:
+			c.record(Event{Kind: FaultInjected, Where: controller.name, Why: "paused"})
+			controller.pause()
+			time.Sleep(rest)
+			controller.resume()
+			c.record(Event{Kind: FaultInjected, Where: controller.name, Why: "goes on"})
+		case 2:
+			c.record(Event{Kind: FaultInjected, Where: controller.name, Why: "killed"})
+			controller.kill()
+			time.Sleep(rest / 4)
+			c.restart(controller)
+		case 3:
+			c.record(Event{Kind: FaultInjected, Where: "state service", Why: "down"})
+			c.store.SetDown(true)
+			time.Sleep(rest / 2)
+			c.store.SetDown(false)
+			c.record(Event{Kind: FaultInjected, Where: "state service", Why: "serves again"})
+		}
+	}
+}
--- /dev/null
+++ b/internal/rehearsal/quota_findings_test.go
@@ -0,0 +1,36 @@
+package rehearsal
+
+import (
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+	"time"
+)
+
+func TestIncompleteRunLeavesItsRecordAndReport(t *testing.T) {
+	t.Parallel()
+	folder := t.TempDir()
+	findings := &QuotaFindings{Teams: []Team{red}, Duration: 10 * time.Second, Within: time.Second,
+		Events: breachTimeline(), IncompleteReason: "the time was up"}
+	findings.analyze()
+	if !findings.Failed() {
+		t.Error("it does not count as failed")
+	}
+	if err := findings.writeFiles(folder); err != nil {
+		t.Fatal(err)
+	}
+	events, err := ReadRecord(filepath.Join(folder, "record.jsonl.zst"))
+	if err != nil || !reflect.DeepEqual(events, breachTimeline()) {
+		t.Errorf("record %v, %v", events, err)
+	}
+	page, err := findings.report()
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, want := range []string{"This run failed", "the time was up", "team red used 5 cores", "controller-1", "<svg"} {
+		if !strings.Contains(string(page), want) {
+			t.Errorf("the report does not tell of %q", want)
+		}
+	}
+}
--- /dev/null
+++ b/internal/rehearsal/quota_report.go
@@ -0,0 +1,124 @@
+package rehearsal
+
+import (
+	"bytes"
+	_ "embed" // for the template
+	"html/template"
+	"time"
+
+	"gonum.org/v1/plot/plotter"
+)
+
+// teamPlot is what a team used over time, beside its limit and guarantee, as an SVG.
+func teamPlot(team Team, samples []Sample, duration time.Duration, accelerators bool) (template.HTML, error) {
+	unit, limit, guarantee := "cores", team.Limit, team.Guarantee
+	if accelerators {
+		unit, limit, guarantee = "accelerators", team.LimitAccelerators, team.GuaranteeAccelerators
+	}
+	p := newPlot(team.Name+": "+unit+" in use", unit)
+	p.Y.Min, p.Y.Max = 0, limit*1.15+1
+	p.Add(plotter.NewGrid())
+	curves := []curve{{name: "in use", points: usagePoints(samples, duration, accelerators), color: blueLine, stepped: true}}
+	if limit > 0 {
+		curves = append(curves, curve{name: "limit", points: level(limit, duration), color: redLine, dashed: true})
+	}
+	if guarantee > 0 {
+		curves = append(curves, curve{name: "guarantee", points: level(guarantee, duration), color: greenLine, dashed: true})
+	}
+	for _, c := range curves {
+		if err := addCurve(p, c); err != nil {
+			return "", err
+		}
+	}
+	return renderSVG(p)
+}
+
+// usagePoints are the cores or accelerators of a team's samples, from the run's start to its end.
+func usagePoints(samples []Sample, duration time.Duration, accelerators bool) plotter.XYs {
+	points := plotter.XYs{{}}
+	for _, sample := range samples {
+		value := sample.Cores
+		if accelerators {
+			value = sample.Accelerators
+		}
+		points = append(points, plotter.XY{X: sample.At.Seconds(), Y: value})
+	}
+	return append(points, plotter.XY{X: duration.Seconds(), Y: points[len(points)-1].Y})
+}
+
+// quotaPage is what the report's template shows.
+type quotaPage struct {
+	*QuotaFindings
+	Plots          []template.HTML
+	RefusalReasons []refusalReason
+	Faults         []Event
+	// LedgerChanges are the first of all changes of ledgers.
+	LedgerChanges    []Event
+	TransferRate     float64 // a minute
+	SlowestGuarantee time.Duration
+	Verdict          string
+}
+
+// maxListedTransfers is how many changes of ledgers the report lists; the record has all.
+const maxListedTransfers = 200
+
+// refusalReason is why submissions were refused, and how often.
+type refusalReason struct {
+	Why   string
+	Count int
+}
+
+// quotaTemplateText is the report's template.
+//
+//go:embed quota_report.html
+var quotaTemplateText string
+
+var quotaTemplate = template.Must(template.New("quota").Funcs(template.FuncMap{"seconds": secondsText}).Parse(quotaTemplateText))
+
+// report is the run as an HTML page.
+func (f *QuotaFindings) report() ([]byte, error) {
+	page := quotaPage{QuotaFindings: f, SlowestGuarantee: f.slowestGuarantee(), RefusalReasons: refusalReasons(f.Events),
+		Verdict: "No team used more than its limit at any moment, and every guarantee was reached in time."}
+	if f.Failed() {
+		page.Verdict = "This run failed: see below."
+	}
+	for _, team := range f.Teams {
+		for _, accelerators := range []bool{false, true} {
+			svg, err := teamPlot(team, f.Samples[team.Name], f.Duration, accelerators)
+			if err != nil {
+				return nil, err
+			}
+			page.Plots = append(page.Plots, svg)
+		}
+	}
+	for _, event := range f.Events {
+		switch {
+		case event.Kind == FaultInjected:
+			page.Faults = append(page.Faults, event)
+		case event.Kind == LedgerChanged && len(page.LedgerChanges) < maxListedTransfers:
+			page.LedgerChanges = append(page.LedgerChanges, event)
+		}
+	}
+	page.TransferRate = float64(f.Transfers) / max(f.Duration.Minutes(), 1e-9)
+	var out bytes.Buffer
+	err := quotaTemplate.Execute(&out, &page)
+	return out.Bytes(), err
+}
+
+// refusalReasons counts refusals by their reasons, in the order in which these came up.
+func refusalReasons(events []Event) (reasons []refusalReason) {
+	positions := map[string]int{}
+	for _, event := range events {
+		if event.Kind != JobRefused {
+			continue
+		}
+		position, known := positions[event.Why]
+		if !known {
+			position = len(reasons)
+			positions[event.Why] = position
+			reasons = append(reasons, refusalReason{Why: event.Why})
+		}
+		reasons[position].Count++
+	}
+	return reasons
+}
--- a/internal/rehearsal/record.go
+++ b/internal/rehearsal/record.go
@@ -1,42 +1,52 @@
-// Package rehearsal runs real controller processes on one machine, over loopback, against
-// stand-ins of everything around them, has them fail by a script, and tells in a record and a
-// report what happened. Nothing outside this machine is called.
+// Package rehearsal runs real controller processes on one machine, over loopback, against fakes of
+// everything around them, injects faults while a scenario of load is carried out, and leaves a
+// record and a report of what happened. Nothing outside this machine is called.
 package rehearsal
 
 import (
+	"cmp"
 	"encoding/json"
 	"errors"
+	"fmt"
 	"io"
 	"os"
+	"path/filepath"
+	"slices"
 	"time"
 
 	"github.com/klauspost/compress/zstd"
 )
 
-// Kind is what an event of the record tells.
-type Kind string
+// Files that a run leaves in its folder.
+const (
+	recordFile = "record.jsonl.zst"
+	reportFile = "report.html"
+)
+
+// EventKind is what an event of the record tells.
+type EventKind string
 
 // The kinds of events. Starts and ends are the workers' own record.
 const (
-	TaskStarted Kind = "started"
-	TaskEnded   Kind = "ended"
-	Accepted    Kind = "accepted"
-	Refused     Kind = "refused"
-	Disturbed   Kind = "disturbed" // a failure was caused, or ended
-	// Transferred tells that a team's ledger was changed; Why is how its limit is split then.
-	Transferred Kind = "transferred"
+	TaskStarted   EventKind = "started"
+	TaskEnded     EventKind = "ended"
+	JobAccepted   EventKind = "accepted"
+	JobRefused    EventKind = "refused"
+	FaultInjected EventKind = "disturbed" // a fault was injected, or ended
+	// LedgerChanged tells that a team's ledger was changed; Why is how its limit is split then.
+	LedgerChanged EventKind = "transferred"
 	// RolloutStored tells what a rollout became, Evicted that a task's permit was stored,
 	// Commanded that a controller took a command, Halt why a rollout halted.
-	RolloutStored Kind = "rollout"
-	Evicted       Kind = "evicted"
-	Commanded     Kind = "commanded"
-	Halt          Kind = "halted"
+	RolloutStored   EventKind = "rollout"
+	EvictionStored  EventKind = "evicted"
+	CommandAccepted EventKind = "commanded"
+	RolloutHalted   EventKind = "halted"
 )
 
 // Event is one entry of a run's record.
 type Event struct {
 	At    time.Duration `json:"at"` // since the run began
-	Kind  Kind          `json:"kind"`
+	Kind  EventKind     `json:"kind"`
 	Team  string        `json:"team,omitempty"`
 	Job   string        `json:"job,omitempty"`
 	Task  string        `json:"task,omitempty"`
@@ -49,21 +59,32 @@
 	Machines map[string]int `json:"machines,omitempty"`
 }
 
+// writeFiles writes a run's record and its report into a folder. The record is written also if the
+// report cannot be made.
+func writeFiles(folder string, events []Event, report func() ([]byte, error)) error {
+	recordErr := WriteRecord(filepath.Join(folder, recordFile), events)
+	page, err := report()
+	if err != nil {
+		return errors.Join(recordErr, fmt.Errorf("make the report: %w", err))
+	}
+	return errors.Join(recordErr, os.WriteFile(filepath.Join(folder, reportFile), page, privateFile))
+}
+
 // WriteRecord stores events compressed, one JSON object a line.
 func WriteRecord(path string, events []Event) (err error) {
 	file, err := os.Create(path)
 	if err != nil {
-		return err
+		return fmt.Errorf("create the record: %w", err)
 	}
 	defer func() { err = errors.Join(err, file.Close()) }()
 	compressed, err := zstd.NewWriter(file)
 	if err != nil {
-		return err
+		return fmt.Errorf("compress the record: %w", err)
 	}
 	encoder := json.NewEncoder(compressed)
 	for i := range events {
 		if err := encoder.Encode(&events[i]); err != nil {
-			return errors.Join(err, compressed.Close())
+			return errors.Join(fmt.Errorf("write the record: %w", err), compressed.Close())
 		}
 	}
 	return compressed.Close()
@@ -73,12 +94,12 @@
 func ReadRecord(path string) ([]Event, error) {
 	file, err := os.Open(path)
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("open the record: %w", err)
 	}
-	defer file.Close()
+	defer func() { _ = file.Close() }() // it was only read
 	plain, err := zstd.NewReader(file)
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("decompress the record: %w", err)
 	}
 	defer plain.Close()
 	var events []Event
@@ -88,8 +109,15 @@
 		case errors.Is(err, io.EOF):
 			return events, nil
 		case err != nil:
-			return events, err
+			return events, fmt.Errorf("read the record: %w", err)
 		}
 		events = append(events, event)
 	}
 }
+
+// ordered is a copy of the record in the order of time.
+func ordered(events []Event) []Event {
+	sorted := slices.Clone(events)
+	slices.SortStableFunc(sorted, func(x, y Event) int { return cmp.Compare(x.At, y.At) })
+	return sorted
+}
--- a/internal/rehearsal/usage.go
+++ b/internal/rehearsal/usage.go
@@ -1,9 +1,7 @@
 package rehearsal
 
 import (
-	"cmp"
 	"fmt"
-	"slices"
 	"time"
 )
 
@@ -33,19 +31,17 @@
 		b.At.Round(time.Millisecond), b.Team.Name, b.Cores, b.Accelerators, b.Team.Limit, b.Team.LimitAccelerators, b.Task)
 }
 
-// Usage is what each team used over time, by the workers' own record, sampled at each start
+// usageOverTime tells what each team used over time, by the workers' own record, sampled at each start
 // and end, and every breach of a limit.
-func Usage(events []Event, teams []Team) (samples map[string][]Sample, breaches []Breach) {
+func usageOverTime(events []Event, teams []Team) (samples map[string][]Sample, breaches []Breach) {
 	samples = map[string][]Sample{}
 	byName := map[string]Team{}
 	for _, team := range teams {
 		byName[team.Name] = team
 	}
-	ordered := slices.Clone(events)
-	slices.SortStableFunc(ordered, func(x, y Event) int { return cmp.Compare(x.At, y.At) })
 	now := map[string]Sample{}
-	for _, event := range ordered {
-		sign := map[Kind]float64{TaskStarted: 1, TaskEnded: -1}[event.Kind]
+	for _, event := range ordered(events) {
+		sign := map[EventKind]float64{TaskStarted: 1, TaskEnded: -1}[event.Kind]
 		if sign == 0 {
 			continue
 		}
@@ -62,8 +58,16 @@
 	return samples, breaches
 }
 
-// Doubled lists the tasks that were started on one machine while they were on another.
-func Doubled(events []Event) (tasks []string) {
+// roundingTolerance is what rounding of decimal numbers may leave behind.
+const roundingTolerance = 1e-6
+
+// exceeds tells whether a team uses more than a limit; a limit of zero is none.
+func exceeds(s Sample, t Team) bool {
+	return t.Limit > 0 && s.Cores > t.Limit+roundingTolerance || t.LimitAccelerators > 0 && s.Accelerators > t.LimitAccelerators+roundingTolerance
+}
+
+// tasksOnTwoMachines lists the tasks that were started on one machine while they were on another.
+func tasksOnTwoMachines(events []Event) (tasks []string) {
 	running := map[string]string{}
 	for _, event := range events {
 		switch event.Kind {
@@ -80,44 +84,3 @@
 	}
 	return tasks
 }
-
-// dust is what rounding of decimal numbers may leave behind.
-const dust = 1e-6
-
-// exceeds tells whether a team uses more than a limit; a limit of zero is none.
-func exceeds(s Sample, t Team) bool {
-	return t.Limit > 0 && s.Cores > t.Limit+dust || t.LimitAccelerators > 0 && s.Accelerators > t.LimitAccelerators+dust
-}
-
-// Waits is how long each of the chosen jobs that were accepted waited from the first answer to
-// its submission, be it a refusal, to its first start; unstarted are those without one.
-func Waits(events []Event, chosen func(job string) bool) (waits []time.Duration, unstarted []string) {
-	answered, started := map[string]time.Duration{}, map[string]time.Duration{}
-	accepted := map[string]bool{}
-	for _, event := range events {
-		switch event.Kind {
-		case Accepted, Refused:
-			if _, again := answered[event.Job]; !again {
-				answered[event.Job] = event.At
-			}
-			accepted[event.Job] = accepted[event.Job] || event.Kind == Accepted
-		case TaskStarted:
-			if _, again := started[event.Job]; !again {
-				started[event.Job] = event.At
-			}
-		}
-	}
-	for job := range accepted {
-		begun, found := started[job]
-		switch {
-		case !chosen(job) || !accepted[job]:
-		case !found:
-			unstarted = append(unstarted, job)
-		default:
-			waits = append(waits, max(0, begun-answered[job]))
-		}
-	}
-	slices.Sort(waits)
-	slices.Sort(unstarted)
-	return waits, unstarted
-}
--- /dev/null
+++ b/internal/rehearsal/waits.go
@@ -0,0 +1,56 @@
+package rehearsal
+
+import (
+	"slices"
+	"time"
+)
+
+// anyJob chooses every job.
+func anyJob(string) bool { return true }
+
+// startWaits is how long each of the chosen jobs that were accepted waited from the first answer to
+// its submission, be it a refusal, to its first start; unstarted are those without one.
+func startWaits(events []Event, chosen func(job string) bool) (waits []time.Duration, unstarted []string) {
+	answered, started := map[string]time.Duration{}, map[string]time.Duration{}
+	accepted := map[string]bool{}
+	for _, event := range events {
+		switch event.Kind {
+		case JobAccepted, JobRefused:
+			if _, again := answered[event.Job]; !again {
+				answered[event.Job] = event.At
+			}
+			accepted[event.Job] = accepted[event.Job] || event.Kind == JobAccepted
+		case TaskStarted:
+			if _, again := started[event.Job]; !again {
+				started[event.Job] = event.At
+			}
+		}
+	}
+	for job := range accepted {
+		firstStart, found := started[job]
+		switch {
+		case !chosen(job) || !accepted[job]:
+		case !found:
+			unstarted = append(unstarted, job)
+		default:
+			waits = append(waits, max(0, firstStart-answered[job]))
+		}
+	}
+	slices.Sort(waits)
+	slices.Sort(unstarted)
+	return waits, unstarted
+}
+
+// runningTasks counts the tasks of the chosen jobs that have started and not ended.
+func runningTasks(events []Event, chosen func(job string) bool) (running int) {
+	for _, event := range events {
+		switch {
+		case !chosen(event.Job):
+		case event.Kind == TaskStarted:
+			running++
+		case event.Kind == TaskEnded:
+			running--
+		}
+	}
+	return running
+}
