--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -4,51 +4,92 @@
 	"encoding/json"
 	"fmt"
 	"net/http"
+	"slices"
 	"strconv"
 	"sync"
 	"time"
 )
 
-// maxPage is the most machines that the cloud lists in one answer.
-const maxPage = 500
+// maxListed is the most machines that the cloud lists in one answer.
+const maxListed = 500
 
-// Cloud is a stand-in of the cloud's interface. It rents names only; a test
-// starts the workers that it wants to come up.
+// machineBooting is the status of all machines of a Cloud.
+const machineBooting = "booting"
+
+// defaultTypes is the machine type that a Cloud rents.
+const defaultTypes = `{"builds":[{"label":"small","cores":4,"accelerators":0,"ramGb":16,"localGb":20,"pullGbPerS":1,"price":1,"marketPrice":0.4,"bootS":30,"yards":["north","south"]}]}`
+
+// The cloud's messages.
+type (
+	// cloudMachine is a rented machine.
+	cloudMachine struct {
+		Name          string  `json:"uid"`
+		Endpoint      string  `json:"endpoint"`
+		Type          string  `json:"build"`
+		Zone          string  `json:"yard"`
+		Spot          bool    `json:"loaners"`
+		Status        string  `json:"status"`
+		HeldSeconds   float64 `json:"heldS"`
+		provisionedAt time.Time
+	}
+	// machineList is a page of the machines rented.
+	machineList struct {
+		Machines []*cloudMachine `json:"hosts"`
+		More     bool            `json:"more"`
+	}
+	// provisioningRequest asks for machines; the same name again rents nothing more.
+	provisioningRequest struct {
+		Name  string `json:"hire"`
+		Type  string `json:"build"`
+		Zone  string `json:"yard"`
+		Spot  bool   `json:"loaners"`
+		Count int    `json:"count"`
+	}
+	// machineNames names machines that were rented, or are to be deleted.
+	machineNames struct {
+		Names []string `json:"hosts"`
+	}
+)
+
+// Cloud is a fake of the cloud's interface. It rents names only; a test starts the workers that it
+// wants to come up.
 type Cloud struct {
-	mu      sync.Mutex
-	Types   json.RawMessage
-	hires   map[string][]string
-	hosts   []map[string]any
-	Deleted []string
-	next    int
-	Room    int // machines left to rent
-	Down    bool
+	// mu guards the fields below. onDelete is called under it.
+	mu    sync.Mutex
+	types json.RawMessage
+	// provisioned are the machines rented, by name of the request.
+	provisioned map[string][]string
+	machines    []*cloudMachine
+	deleted     []string
+	lastNumber  int
+	// capacity is how many more machines it rents.
+	capacity int
+	down     bool
 	// onDelete is told of each machine before its deletion is confirmed; nil: nobody is.
 	onDelete func(name string)
 }
 
-// NewCloud makes a cloud with one small machine type and room for n machines.
-func NewCloud(n int) *Cloud {
-	return &Cloud{Room: n, hires: map[string][]string{}, Types: json.RawMessage(
-		`{"builds":[{"label":"small","cores":4,"accelerators":0,"ramGb":16,"localGb":20,"pullGbPerS":1,"price":1,"marketPrice":0.4,"bootS":30,"yards":["north","south"]}]}`)}
+// NewCloud makes a cloud with one small machine type and room for so many machines.
+func NewCloud(capacity int) *Cloud {
+	return &Cloud{capacity: capacity, provisioned: map[string][]string{}, types: json.RawMessage(defaultTypes)}
 }
 
-// Hires is what each request name rented.
+// Hires is what each provisioning request rented, by its name.
 func (c *Cloud) Hires() map[string][]string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	out := map[string][]string{}
-	for k, v := range c.hires {
-		out[k] = v
+	requests := map[string][]string{}
+	for name, machines := range c.provisioned {
+		requests[name] = machines
 	}
-	return out
+	return requests
 }
 
 // SetDown begins or ends an outage.
-func (c *Cloud) SetDown(d bool) {
+func (c *Cloud) SetDown(down bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.Down = d
+	c.down = down
 }
 
 // Host is a machine that the cloud has rented.
@@ -58,8 +99,8 @@
 func (c *Cloud) Hosts() (hosts []Host) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, h := range c.hosts {
-		hosts = append(hosts, Host{h["uid"].(string), h["yard"].(string)})
+	for _, machine := range c.machines {
+		hosts = append(hosts, Host{machine.Name, machine.Zone})
 	}
 	return hosts
 }
@@ -76,92 +117,103 @@
 func (c *Cloud) SetRoom(machines int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.Room = machines
+	c.capacity = machines
 }
 
 // Gone lists the machines deleted.
 func (c *Cloud) Gone() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return append([]string(nil), c.Deleted...)
-}
-
-// page lists the machines that follow a name, as many as are asked for.
-func (c *Cloud) page(after, most string) (hosts []map[string]any, more bool) {
-	limit, err := strconv.Atoi(most)
-	if err != nil || limit > maxPage {
-		limit = maxPage
-	}
-	hosts = []map[string]any{}
-	for _, h := range c.hosts {
-		if h["uid"].(string) <= after {
-			continue
-		}
-		if len(hosts) == limit {
-			return hosts, true
-		}
-		h["heldS"] = time.Since(h["since"].(time.Time)).Seconds()
-		hosts = append(hosts, h)
-	}
-	return hosts, false
+	return append([]string(nil), c.deleted...)
 }
 
 // ServeHTTP answers like the cloud.
 func (c *Cloud) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.Down {
-		reply(w, 503, map[string]string{"error": "trouble"})
+	if c.down {
+		writeJSON(w, http.StatusServiceUnavailable, errUnavailable)
 		return
 	}
 	switch {
 	case r.URL.Path == "/machine_types":
-		reply(w, 200, c.Types)
-	case r.URL.Path == "/hosts" && r.Method == "GET":
-		hs, more := c.page(r.URL.Query().Get("after"), r.URL.Query().Get("most"))
-		reply(w, 200, map[string]any{"hosts": hs, "more": more})
+		writeJSON(w, http.StatusOK, c.types)
+	case r.URL.Path == "/hosts" && r.Method == http.MethodGet:
+		query := r.URL.Query()
+		writeJSON(w, http.StatusOK, c.list(query.Get("after"), query.Get("most")))
 	case r.URL.Path == "/hosts":
-		var in struct {
-			Hire, Build, Yard string
-			Loaners           bool
-			Count             int
-		}
-		json.NewDecoder(r.Body).Decode(&in)
-		if got, ok := c.hires[in.Hire]; ok {
-			reply(w, 200, map[string]any{"hosts": got})
-			return
-		}
-		n := min(in.Count, c.Room)
-		if n == 0 {
-			reply(w, 503, map[string]string{"error": "no capacity"})
-			return
+		c.provision(w, r)
+	case r.URL.Path == "/hosts/delete":
+		c.delete(w, r)
+	}
+}
+
+// list lists the machines that follow a name, as many as are asked for.
+func (c *Cloud) list(after, most string) machineList {
+	limit, err := strconv.Atoi(most)
+	if err != nil || limit > maxListed {
+		limit = maxListed
+	}
+	page := machineList{Machines: []*cloudMachine{}}
+	for _, machine := range c.machines {
+		if machine.Name <= after {
+			continue
 		}
-		c.Room -= n
-		names := []string{}
-		for range n {
-			c.next++
-			name := fmt.Sprintf("host-%06d", c.next)
-			names = append(names, name)
-			c.hosts = append(c.hosts, map[string]any{"uid": name, "endpoint": name + ":9000", "build": in.Build,
-				"yard": in.Yard, "loaners": in.Loaners, "status": "booting", "since": time.Now()})
+		if len(page.Machines) == limit {
+			page.More = true
+			break
 		}
-		c.hires[in.Hire] = names
-		reply(w, 200, map[string]any{"hosts": names})
-	case r.URL.Path == "/hosts/delete":
-		var in struct{ Hosts []string }
-		json.NewDecoder(r.Body).Decode(&in)
-		for _, h := range in.Hosts {
-			c.Deleted = append(c.Deleted, h)
-			if c.onDelete != nil {
-				c.onDelete(h)
-			}
-			for i := range c.hosts {
-				if c.hosts[i]["uid"] == h {
-					c.hosts = append(c.hosts[:i], c.hosts[i+1:]...)
-					break
-				}
-			}
+		machine.HeldSeconds = time.Since(machine.provisionedAt).Seconds()
+		page.Machines = append(page.Machines, machine)
+	}
+	return page
+}
+
+// provision rents as many machines as there is room for; a repeated request rents nothing.
+func (c *Cloud) provision(w http.ResponseWriter, r *http.Request) {
+	var request provisioningRequest
+	if !readJSON(w, r, &request) {
+		return
+	}
+	if names, repeated := c.provisioned[request.Name]; repeated {
+		writeJSON(w, http.StatusOK, machineNames{names})
+		return
+	}
+	count := min(request.Count, c.capacity)
+	if count == 0 {
+		writeJSON(w, http.StatusServiceUnavailable, errorMessage{"no capacity"})
+		return
+	}
+	c.capacity -= count
+	names := []string{}
+	for range count {
+		names = append(names, c.addMachine(&request))
+	}
+	c.provisioned[request.Name] = names
+	writeJSON(w, http.StatusOK, machineNames{names})
+}
+
+// addMachine rents one machine.
+func (c *Cloud) addMachine(request *provisioningRequest) (name string) {
+	c.lastNumber++
+	name = fmt.Sprintf("host-%06d", c.lastNumber)
+	c.machines = append(c.machines, &cloudMachine{Name: name, Endpoint: name + ":9000", Type: request.Type, Zone: request.Zone,
+		Spot: request.Spot, Status: machineBooting, provisionedAt: time.Now()})
+	return name
+}
+
+// delete deletes machines; names that are not known count as deleted too.
+func (c *Cloud) delete(w http.ResponseWriter, r *http.Request) {
+	var request machineNames
+	if !readJSON(w, r, &request) {
+		return
+	}
+	for _, name := range request.Names {
+		c.deleted = append(c.deleted, name)
+		if c.onDelete != nil {
+			c.onDelete(name)
 		}
-		reply(w, 200, map[string]any{})
+		c.machines = slices.DeleteFunc(c.machines, func(machine *cloudMachine) bool { return machine.Name == name })
 	}
+	writeJSON(w, http.StatusOK, struct{}{})
 }
--- /dev/null
+++ b/internal/fake/helpers_test.go
@@ -0,0 +1,27 @@
+package fake
+
+import (
+	"bytes"
+	"context"
+	"fmt"
+	"io"
+	"net/http"
+	"time"
+)
+
+// sendRequest makes one request, as a host, and gives up after 2 s; 0 is no answer.
+func sendRequest(network *Net, from, method, url, body string) (int, string) {
+	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
+	defer cancel()
+	request, _ := http.NewRequestWithContext(ctx, method, "http://"+url, bytes.NewReader([]byte(body)))
+	response, err := network.Client(from).Do(request)
+	if err != nil {
+		return 0, ""
+	}
+	answer, _ := io.ReadAll(response.Body)
+	return response.StatusCode, string(answer)
+}
+
+func putTransaction(key string, stamp int) string {
+	return fmt.Sprintf(`{"when":[{"key":%q,"stamp":%d}],"then":[{"put":%q,"value":%d}]}`, key, stamp, key, stamp)
+}
--- a/internal/fake/hooks_test.go
+++ b/internal/fake/hooks_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-func TestHooksMayBeSetWhileTheStandInIsInUse(t *testing.T) {
+func TestHooksMayBeSetWhileFakesAreInUse(t *testing.T) {
 	// Tests set hooks after controllers have begun to call. As plain fields that was a data
 	// race, which only the race detector sees, and only now and then.
 	network, store := NewNet(), NewStore()
@@ -21,7 +21,11 @@
 			t.Errorf("a commit got %v, %v", res, err)
 		}
 	}
-	follow := func() { network.Client("a").Get("http://state:1/follow?after=0&holdMs=0") }
+	follow := func() {
+		if _, err := network.Client("a").Get("http://state:1/follow?after=0&holdMs=0"); err != nil {
+			t.Errorf("a watch got %v", err)
+		}
+	}
 	for _, hook := range []struct {
 		name     string
 		set, use func()
@@ -34,7 +38,7 @@
 		{"events", func() { worker.NotifyEvents(func(Event) {}) }, func() {
 			worker.mu.Lock()
 			defer worker.mu.Unlock()
-			worker.notify(&Piece{Task: "job-1/0"}, time.Time{}, true, "")
+			worker.notifyStart(&taskStatus{Task: "job-1/0"}, time.Time{})
 		}},
 	} {
 		t.Run(hook.name, func(*testing.T) {
--- a/internal/fake/net.go
+++ b/internal/fake/net.go
@@ -1,8 +1,3 @@
-// Package fake holds in-memory stand-ins of what the controllers meet: the
-// network, the state service, the cloud and the workers. Scenarios in the tests
-// run on them, under a clock of their own. They are met by protocol only, so
-// rehearsals of real processes (internal/rehearsal) use the state service and the
-// workers too.
 package fake
 
 import (
@@ -13,159 +8,83 @@
 	"net"
 	"net/http"
 	"net/http/httptest"
-	"strings"
 	"sync"
 	"time"
 )
 
-// Fate is what happens to one request.
-type Fate int
-
+// The headers tell the fakes what real hosts learn from a connection, or not at all.
 const (
-	// Deliver passes request and answer.
-	Deliver Fate = iota
-	// Refuse fails the connection attempt: nothing arrives, now or later.
-	Refuse
-	// Swallow drops the request; the caller hangs until it gives up.
-	Swallow
-	// LoseAnswer delivers the request but not the answer.
-	LoseAnswer
-	// Hold keeps the request back until Release; the caller hangs meanwhile.
-	Hold
-	// Copy delivers, and keeps a copy back until Release.
-	Copy
-	// Late delivers the request after Delay; the caller hangs and gives up. What
-	// was sent after it may be delivered before it.
-	Late
-	// SlowAnswer delivers at once, and the answer after Delay.
-	SlowAnswer
+	sentHeader = "Fake-Sent"
+	fromHeader = "Fake-From"
 )
 
 // Net joins hosts by name.
 type Net struct {
+	// mu guards the fields below. No handler, rule or hook is called under it.
 	mu    sync.Mutex
 	hosts map[string]http.Handler
-	held  []func()
+	// heldBack delivers what is kept back, in order.
+	heldBack []func()
 	// rule decides each request's fate; nil delivers all.
 	rule Rule
 	// delay is how late the next Late request or SlowAnswer is delivered; defaultDelay if nil.
 	delay func() time.Duration
-	// lag is how long a request takes, and its answer again; nil is no time.
-	lag func() time.Duration
-
-	results map[string]bool // tasks that completed, whose results are kept outside the machines
+	// latency is how long a request takes, and its answer again; nil is no time.
+	latency func() time.Duration
+	// results are the tasks that completed, whose results are kept outside the machines.
+	results map[string]bool
 }
 
-// Rule decides a request's fate.
-type Rule = func(from, to string, r *http.Request, body []byte) Fate
-
-// Rules joins rules: the first that does not simply deliver decides.
-func Rules(rules ...Rule) Rule {
-	return func(from, to string, r *http.Request, body []byte) Fate {
-		for _, rule := range rules {
-			if f := rule(from, to, r, body); f != Deliver {
-				return f
-			}
-		}
-		return Deliver
-	}
-}
-
-// On applies a fate to the requests on a path.
-func On(path string, f Fate) Rule {
-	return func(_, _ string, r *http.Request, _ []byte) Fate {
-		if r.URL.Path == path {
-			return f
-		}
-		return Deliver
-	}
-}
-
-func isHost(host, name string) bool { return host == name || strings.HasPrefix(host, name+":") }
-
-// Mute keeps a worker from reaching any controller, while direct commands reach it.
-func Mute(worker string) Rule {
-	return func(from, _ string, _ *http.Request, _ []byte) Fate {
-		if isHost(from, worker) {
-			return Refuse
-		}
-		return Deliver
-	}
-}
-
-// Deaf has a worker's reports arrive, while answers and direct commands to it are lost.
-func Deaf(worker string) Rule {
-	return func(from, to string, _ *http.Request, _ []byte) Fate {
-		switch {
-		case isHost(from, worker):
-			return LoseAnswer
-		case isHost(to, worker):
-			return Swallow
-		}
-		return Deliver
-	}
-}
-
-// CopyReports keeps copies of a worker's reports until Release, for the next leader.
-func CopyReports(worker string) Rule {
-	return func(from, _ string, r *http.Request, _ []byte) Fate {
-		if isHost(from, worker) && r.URL.Path == "/agent/beat" {
-			return Copy
-		}
-		return Deliver
-	}
-}
-
-// The headers tell the fakes what real hosts learn from a connection, or not at all.
-const (
-	sentHeader = "Fake-Sent"
-	fromHeader = "Fake-From"
-)
+// NewNet makes an empty network.
+func NewNet() *Net { return &Net{hosts: map[string]http.Handler{}, results: map[string]bool{}} }
 
+// keepResult remembers that a task has completed.
 func (n *Net) keepResult(task string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.results == nil {
-		n.results = map[string]bool{}
-	}
 	n.results[task] = true
 }
 
-func (n *Net) result(task string) bool {
+// hasResult tells whether a task has completed.
+func (n *Net) hasResult(task string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.results[task]
 }
 
-// NewNet makes an empty network.
-func NewNet() *Net { return &Net{hosts: map[string]http.Handler{}} }
+// Listen puts a host on the network, in place of the one that listened there.
+func (n *Net) Listen(addr string, handler http.Handler) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.hosts[addr] = handler
+}
 
-// Listen puts a host on the network.
-func (n *Net) Listen(addr string, h http.Handler) {
+// handler is who listens at an address; nil: nobody does.
+func (n *Net) handler(addr string) http.Handler {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.hosts[addr] = h
+	return n.hosts[addr]
 }
 
-// SetRule changes the rule.
-func (n *Net) SetRule(f func(from, to string, r *http.Request, body []byte) Fate) {
+// SetRule changes the rule; nil delivers all.
+func (n *Net) SetRule(rule Rule) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.rule = f
+	n.rule = rule
 }
 
 // SetDelay sets how late the next Late request or SlowAnswer is delivered.
-func (n *Net) SetDelay(f func() time.Duration) {
+func (n *Net) SetDelay(delay func() time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.delay = f
+	n.delay = delay
 }
 
 // SetLag sets how long a request takes, and its answer again.
-func (n *Net) SetLag(f func() time.Duration) {
+func (n *Net) SetLag(latency func() time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.lag = f
+	n.latency = latency
 }
 
 // Current is the rule now.
@@ -177,19 +96,19 @@
 
 // Client is how one host calls the others.
 func (n *Net) Client(from string) *http.Client {
-	return &http.Client{Transport: &wire{n, from}}
+	return &http.Client{Transport: &transport{net: n, from: from}}
 }
 
-// Release delivers what was held back, in order.
+// Release delivers what was held back, in order, and tells how much that was.
 func (n *Net) Release() int {
 	n.mu.Lock()
-	held := n.held
-	n.held = nil
+	heldBack := n.heldBack
+	n.heldBack = nil
 	n.mu.Unlock()
-	for _, f := range held {
-		f()
+	for _, deliver := range heldBack {
+		deliver()
 	}
-	return len(held)
+	return len(heldBack)
 }
 
 // sleep waits, and tells whether it did so to the end. It makes no timer for no time:
@@ -207,53 +126,62 @@
 	}
 }
 
-// wire is how one host reaches the others.
-type wire struct {
+// transport is how one host reaches the others.
+type transport struct {
 	net  *Net
 	from string
 }
 
 // RoundTrip carries one request.
-func (w *wire) RoundTrip(r *http.Request) (*http.Response, error) {
+func (t *transport) RoundTrip(r *http.Request) (*http.Response, error) {
 	var body []byte
 	if r.Body != nil {
-		body, _ = io.ReadAll(r.Body)
-		r.Body.Close()
+		body, _ = io.ReadAll(r.Body) // bodies are in memory
+		_ = r.Body.Close()           // nothing is read from it afterwards
 	}
-	w.net.mu.Lock()
-	h, rule, lag := w.net.hosts[r.URL.Host], w.net.rule, w.net.lag
-	w.net.mu.Unlock()
-	d := &delivery{net: w.net, from: w.from, request: r, body: body, lag: lag, sent: time.Now().Format(time.RFC3339Nano)}
+	t.net.mu.Lock()
+	handler, rule, latency := t.net.hosts[r.URL.Host], t.net.rule, t.net.latency
+	t.net.mu.Unlock()
+	d := &delivery{net: t.net, from: t.from, request: r, body: body, latency: latency, sentAt: time.Now().Format(time.RFC3339Nano)}
 	fate := Deliver
 	if rule != nil {
-		fate = rule(w.from, r.URL.Host, r, body)
+		fate = rule(t.from, r.URL.Host, r, body)
 	}
-	if h == nil || fate == Refuse {
-		return nil, &net.OpError{Op: "dial", Net: "tcp", Err: errors.New("connection refused")}
+	if handler == nil || fate == Refuse {
+		return nil, &net.OpError{Op: "dial", Net: "tcp", Err: errRefused}
 	}
 	d.travel() // it arrives even if its sender gives up meanwhile
+	return t.carryOut(fate, d, handler)
+}
+
+// carryOut has a fate happen to a request.
+func (t *transport) carryOut(fate Fate, d *delivery, handler http.Handler) (*http.Response, error) {
+	ctx := d.request.Context()
 	switch fate {
 	case LoseAnswer:
-		d.deliver(h)
+		_, _ = d.deliver(handler) // the answer is lost
 	case Late:
-		time.AfterFunc(w.net.nextDelay(), d.deliverLate)
+		time.AfterFunc(t.net.nextDelay(), d.deliverLate)
 	case SlowAnswer:
-		res, err := d.deliver(h)
-		if sleep(r.Context(), w.net.nextDelay()) {
-			return res, err
+		response, err := d.deliver(handler)
+		if sleep(ctx, t.net.nextDelay()) {
+			return response, err
 		}
 	case Hold:
-		w.net.holdBack(d)
+		t.net.holdBack(d)
 	case Copy:
-		w.net.holdBack(d)
-		return d.deliver(h)
+		t.net.holdBack(d)
+		return d.deliver(handler)
 	case Deliver:
-		return d.deliver(h)
+		return d.deliver(handler)
 	}
-	<-r.Context().Done()
-	return nil, r.Context().Err()
+	<-ctx.Done()
+	return nil, ctx.Err()
 }
 
+// errRefused tells that nobody listens at an address.
+var errRefused = errors.New("connection refused")
+
 // defaultDelay is how late a Late request or a SlowAnswer is unless SetDelay says otherwise.
 const defaultDelay = 2 * time.Second
 
@@ -272,7 +200,7 @@
 func (n *Net) holdBack(d *delivery) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.held = append(n.held, d.deliverLate)
+	n.heldBack = append(n.heldBack, d.deliverLate)
 }
 
 // delivery is one request on its way.
@@ -281,45 +209,42 @@
 	from    string
 	request *http.Request
 	body    []byte
-	lag     func() time.Duration
-	sent    string
+	latency func() time.Duration
+	sentAt  string // as in sentHeader
 }
 
 // travel takes the time of one way, unless the sender gives up.
 func (d *delivery) travel() {
-	if d.lag != nil {
-		sleep(d.request.Context(), d.lag())
+	if d.latency != nil {
+		sleep(d.request.Context(), d.latency())
 	}
 }
 
 // incoming is the request as its receiver gets it.
 func (d *delivery) incoming() *http.Request {
-	in := httptest.NewRequest(d.request.Method, d.request.URL.String(), bytes.NewReader(d.body))
-	in.Header = d.request.Header.Clone()
-	in.Header.Set(sentHeader, d.sent)
-	in.Header.Set(fromHeader, d.from)
-	return in
+	incoming := httptest.NewRequest(d.request.Method, d.request.URL.String(), bytes.NewReader(d.body))
+	incoming.Header = d.request.Header.Clone()
+	incoming.Header.Set(sentHeader, d.sentAt)
+	incoming.Header.Set(fromHeader, d.from)
+	return incoming
 }
 
 // deliver hands the request over and brings the answer back.
-func (d *delivery) deliver(h http.Handler) (*http.Response, error) {
-	out := httptest.NewRecorder()
-	h.ServeHTTP(out, d.incoming().WithContext(d.request.Context()))
-	res := out.Result()
-	res.Header.Set(sentHeader, time.Now().Format(time.RFC3339Nano))
+func (d *delivery) deliver(handler http.Handler) (*http.Response, error) {
+	recorder := httptest.NewRecorder()
+	handler.ServeHTTP(recorder, d.incoming().WithContext(d.request.Context()))
+	response := recorder.Result()
+	response.Header.Set(sentHeader, time.Now().Format(time.RFC3339Nano))
 	d.travel()
 	if err := d.request.Context().Err(); err != nil {
 		return nil, err // nobody waits for the answer any more
 	}
-	return res, nil
+	return response, nil
 }
 
 // deliverLate hands the request to whoever listens there by then; the answer is lost.
 func (d *delivery) deliverLate() {
-	d.net.mu.Lock()
-	h := d.net.hosts[d.request.URL.Host]
-	d.net.mu.Unlock()
-	if h != nil {
-		h.ServeHTTP(httptest.NewRecorder(), d.incoming())
+	if handler := d.net.handler(d.request.URL.Host); handler != nil {
+		handler.ServeHTTP(httptest.NewRecorder(), d.incoming())
 	}
 }
--- a/internal/fake/pipe.go
+++ b/internal/fake/pipe.go
@@ -2,16 +2,16 @@
 
 import (
 	"context"
-	"errors"
 	"net"
 	"sync"
 )
 
 // Pipes joins listeners and dialers by in-memory connections.
 type Pipes struct {
-	mu    sync.Mutex
-	ls    map[string]*pipeListener
-	dials int
+	// mu guards the fields below. Nobody is waited for under it.
+	mu        sync.Mutex
+	listeners map[string]*pipeListener // by address
+	dials     int
 }
 
 // Dials counts the attempts to connect so far.
@@ -22,48 +22,50 @@
 }
 
 // NewPipes makes a set without listeners.
-func NewPipes() *Pipes { return &Pipes{ls: map[string]*pipeListener{}} }
+func NewPipes() *Pipes { return &Pipes{listeners: map[string]*pipeListener{}} }
 
 // Close ends all listeners.
 func (p *Pipes) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, l := range p.ls {
-		l.Close()
+	for _, listener := range p.listeners {
+		listener.stop()
 	}
 }
 
+// pipeListener is a listener of in-memory connections.
 type pipeListener struct {
-	addr string
-	in   chan net.Conn
-	done chan struct{}
-	once sync.Once
+	addr     string
+	incoming chan net.Conn
+	// closed is closed with the listener.
+	closed    chan struct{}
+	closeOnce sync.Once
 }
 
-// Listen opens a listener.
+// Listen opens a listener, in place of the one at that address.
 func (p *Pipes) Listen(addr string) net.Listener {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	l := &pipeListener{addr: addr, in: make(chan net.Conn), done: make(chan struct{})}
-	p.ls[addr] = l
-	return l
+	listener := &pipeListener{addr: addr, incoming: make(chan net.Conn), closed: make(chan struct{})}
+	p.listeners[addr] = listener
+	return listener
 }
 
 // Dial connects to a listener.
 func (p *Pipes) Dial(ctx context.Context, addr string) (net.Conn, error) {
 	p.mu.Lock()
 	p.dials++
-	l := p.ls[addr]
+	listener := p.listeners[addr]
 	p.mu.Unlock()
-	if l == nil {
-		return nil, errors.New("connection refused")
+	if listener == nil {
+		return nil, errRefused
 	}
 	here, there := net.Pipe()
 	select {
-	case l.in <- there:
+	case listener.incoming <- there:
 		return here, nil
-	case <-l.done:
-		return nil, errors.New("connection refused")
+	case <-listener.closed:
+		return nil, errRefused
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
@@ -72,22 +74,28 @@
 // Accept waits for the next connection.
 func (l *pipeListener) Accept() (net.Conn, error) {
 	select {
-	case c := <-l.in:
-		return c, nil
-	case <-l.done:
+	case conn := <-l.incoming:
+		return conn, nil
+	case <-l.closed:
 		return nil, net.ErrClosed
 	}
 }
 
 // Close ends the listener; those who dial it are refused from then on.
 func (l *pipeListener) Close() error {
-	l.once.Do(func() { close(l.done) })
+	l.stop()
 	return nil
 }
 
+// stop ends the listener; once is enough.
+func (l *pipeListener) stop() {
+	l.closeOnce.Do(func() { close(l.closed) })
+}
+
 // Addr is the address given to Listen.
 func (l *pipeListener) Addr() net.Addr { return pipeAddr(l.addr) }
 
+// pipeAddr is the address of a pipe's listener.
 type pipeAddr string
 
 // Network names the kind of connection.
--- /dev/null
+++ b/internal/fake/store_test.go
@@ -0,0 +1,83 @@
+package fake
+
+import (
+	"net/http"
+	"strings"
+	"testing"
+	"testing/synctest"
+	"time"
+)
+
+func epochOf(store *Store) uint64 {
+	store.mu.Lock()
+	defer store.mu.Unlock()
+	return store.epoch
+}
+
+func TestUnansweredTransactionsAreCarriedOutByTheirFate(t *testing.T) {
+	// A lost answer's is carried out at once, a late one's after newer ones, where its
+	// conditions are judged.
+	synctest.Test(t, func(t *testing.T) {
+		network, store := NewNet(), NewStore()
+		network.Listen("s:1", store)
+		network.SetDelay(func() time.Duration { return 12 * time.Second })
+		fates := map[string]Fate{"lost": LoseAnswer, "late": Late, "void": Late, "slow": SlowAnswer}
+		network.SetRule(func(_, _ string, r *http.Request, body []byte) Fate {
+			for key, fate := range fates {
+				if strings.Contains(string(body), key) {
+					return fate
+				}
+			}
+			return Deliver
+		})
+		for key := range fates {
+			if code, _ := sendRequest(network, "a", "POST", "s:1/commit", putTransaction(key, 0)); code != 0 {
+				t.Errorf("%s was answered %d", key, code)
+			}
+			if done := store.Value(key) != nil; done != (key == "lost" || key == "slow") {
+				t.Errorf("%s was carried out: %v", key, done)
+			}
+		}
+		network.SetRule(nil)
+		if code, _ := sendRequest(network, "a", "POST", "s:1/commit", putTransaction("void", 0)); code != 200 {
+			t.Errorf("a newer one got %d", code)
+		}
+		epoch := epochOf(store)
+		time.Sleep(14 * time.Second)
+		if store.Value("late") == nil || epochOf(store) != epoch+1 {
+			t.Errorf("the late one was not carried out alone: %s", store)
+		}
+	})
+}
+
+func TestRefusedCallersLeasesExpireWhileOthersAreServed(t *testing.T) {
+	// Its leases run out and its watches wait, while others are served.
+	synctest.Test(t, func(t *testing.T) {
+		network, store := NewNet(), NewStore()
+		network.Listen("s:1", store)
+		sendRequest(network, "a", "POST", "s:1/holds", `{"lifeMs":1000}`)
+		sendRequest(network, "a", "POST", "s:1/commit", `{"then":[{"put":"x","value":1,"permit":1}]}`)
+		store.Refuse("a", true)
+		if code, _ := sendRequest(network, "a", "POST", "s:1/holds/1/renew", ""); code != 503 {
+			t.Errorf("a renewal got %d", code)
+		}
+		if code, _ := sendRequest(network, "b", "POST", "s:1/commit", putTransaction("y", 0)); code != 200 {
+			t.Errorf("another caller got %d", code)
+		}
+		if code, answer := sendRequest(network, "a", "GET", "s:1/follow?under=&after=1&holdMs=1500", ""); code != 200 || strings.Contains(answer, `"y"`) || !strings.Contains(answer, `"epoch":1`) {
+			t.Errorf("a refused watch got %d %s", code, answer)
+		}
+		if store.Value("x") != nil {
+			t.Error("the lease did not run out")
+		}
+		store.Refuse("a", false)
+		if code, answer := sendRequest(network, "a", "GET", "s:1/follow?under=&after=1&holdMs=1500", ""); code != 200 || !strings.Contains(answer, `"y"`) {
+			t.Errorf("a watch got %d %s afterwards", code, answer)
+		}
+		store.SetSlow(time.Second)
+		started := time.Now()
+		if code, _ := sendRequest(network, "b", "GET", "s:1/kv/y", ""); code != 200 || time.Since(started) != time.Second {
+			t.Errorf("a slow store answered %d after %v", code, time.Since(started))
+		}
+	})
+}
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -1,16 +1,27 @@
 package fake
 
 import (
-	"bytes"
 	"context"
-	"encoding/json"
 	"net/http"
+	"strings"
 	"sync"
 	"time"
 )
 
-// Piece is a task on a fake worker.
-type Piece struct {
+// Status of a task, as heartbeats tell it, and why it ended.
+const (
+	statusRunning = "running"
+	statusEnded   = "ended"
+
+	causeDone       = "done"
+	causeStopped    = "stopped"
+	causeBusy       = "busy"
+	causeKilled     = "killed"
+	causeTerminated = "taken"
+)
+
+// taskStatus is a task on a fake worker.
+type taskStatus struct {
 	Task    string `json:"piece"`
 	Attempt uint64 `json:"try"`
 	Status  string `json:"status"`
@@ -18,55 +29,67 @@
 	Saved   bool   `json:"saved,omitempty"`
 }
 
+// ended tells whether the task has ended.
+func (t *taskStatus) ended() bool { return t.Status == statusEnded }
+
 // Event is what a worker does to a task: a start carried out, or the task's end,
 // by itself, by command or with the worker's lease.
 type Event struct {
 	At      time.Time
 	Sent    time.Time // when the command was sent; zero for what needs none
 	Worker  *Worker
-	Session uint64
+	Session uint64 // the worker's incarnation
 	Task    string
 	Attempt uint64
 	Start   bool
 	Cause   string // of an end; "killed" for the end of a lease
 }
 
-type order struct {
-	Verb    string  `json:"verb"`
-	Task    string  `json:"piece"`
-	Attempt uint64  `json:"try"`
-	Leeway  float64 `json:"leewayS"`
-}
-
-// Worker is a stand-in of one machine's worker.
+// Worker is a fake of one machine's worker. Its exported fields but Starts are set before Run and
+// not changed afterwards.
 type Worker struct {
 	Name, Addr, Type, Zone string
 	Spot                   bool
 	Net                    *Net
-	Nodes                  []string // addresses of the controllers' users side
-	Names                  []string // their names, for redirects
-	Report, Lease          time.Duration
+	// Nodes are the addresses of the controllers' users side, Names their names, for redirects.
+	Nodes, Names []string
+	// Report is the time between heartbeats, Lease how long the worker goes on without an answer.
+	Report, Lease time.Duration
 	// HTTP is how it calls the controllers; nil: over Net.
 	HTTP *http.Client
 
+	// mu guards the fields below. onEvent is called under it, and the network's lock is taken
+	// under it.
 	mu sync.Mutex
-	// watch is told every event as it happens; nil: nobody is.
-	watch   func(Event)
-	session uint64
-	tick    uint64
-	token   uint64
-	lapse   time.Time
-	pieces  map[string]*Piece
-	order   []string
-	warning *float64
-	at      int
-	Starts  []string // every start carried out, "task#attempt"
-	silent  bool     // sends no heartbeats
-	changed chan struct{}
-	raised  time.Time // when a higher token last counted as a change
-	hung    chan struct{}
-	lapsed  bool // its lease ended while it hung
-	held    []func()
+	// onEvent is told every event as it happens; nil: nobody is.
+	onEvent     func(Event)
+	incarnation uint64
+	// sequence numbers the heartbeats.
+	sequence uint64
+	// token is the highest fencing token that it has had.
+	token       uint64
+	leaseExpiry time.Time
+	// tasks are those on the machine, by task and attempt; taskOrder has the keys in order of
+	// starts.
+	tasks             map[string]*taskStatus
+	taskOrder         []string
+	preemptionWarning *float64
+	// controller is the index of the one that it reports to.
+	controller int
+	// Starts is every start carried out, "task#attempt".
+	Starts []string
+	// silent stops the heartbeats.
+	silent bool
+	// heartbeatDue is filled when something changed. It is made by Run.
+	heartbeatDue chan struct{}
+	// tokenRaisedAt is when a higher token last counted as a change.
+	tokenRaisedAt time.Time
+	// resumed is closed when the machine goes on; nil: it does not hang.
+	resumed chan struct{}
+	// expiredWhileHung tells that the lease expired while the machine hung.
+	expiredWhileHung bool
+	// heldBack carries out what was sent while the machine hung.
+	heldBack []func()
 }
 
 // NotifyEvents has f told of every event from now on, as it happens and under the worker's
@@ -74,90 +97,36 @@
 func (w *Worker) NotifyEvents(f func(Event)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.watch = f
+	w.onEvent = f
 }
 
-func (w *Worker) notify(p *Piece, sent time.Time, start bool, cause string) {
-	if w.watch != nil {
-		w.watch(Event{time.Now(), sent, w, w.session, p.Task, p.Attempt, start, cause})
-	}
+// notifyStart tells the hook of a start, by a command sent then.
+func (w *Worker) notifyStart(task *taskStatus, sent time.Time) {
+	w.notifyEvent(Event{Sent: sent, Task: task.Task, Attempt: task.Attempt, Start: true})
 }
 
-// change has a report go out soon, as every change does.
-func (w *Worker) change() {
-	select {
-	case w.changed <- struct{}{}:
-	default:
-	}
+// notifyEnd tells the hook of an end.
+func (w *Worker) notifyEnd(task *taskStatus, cause string) {
+	w.notifyEvent(Event{Task: task.Task, Attempt: task.Attempt, Cause: cause})
 }
 
-func (w *Worker) end(p *Piece, cause string) {
-	p.Status, p.Cause = "ended", cause
-	w.notify(p, time.Time{}, false, cause)
-	w.change()
+// notifyEvent tells the hook, if there is one, of an event now.
+func (w *Worker) notifyEvent(event Event) {
+	if w.onEvent != nil {
+		event.At, event.Worker, event.Session = time.Now(), w, w.incarnation
+		w.onEvent(event)
+	}
 }
 
-// pace is the least time between two reports.
-const pace = 500 * time.Millisecond
-
-// Run reports until the context ends.
+// Run sends heartbeats until the context ends.
 func (w *Worker) Run(ctx context.Context) {
 	w.mu.Lock()
-	w.session, w.lapse, w.pieces = 1, time.Now().Add(w.Lease), map[string]*Piece{}
-	w.changed = make(chan struct{}, 1)
+	w.incarnation, w.leaseExpiry, w.tasks = 1, time.Now().Add(w.Lease), map[string]*taskStatus{}
+	w.heartbeatDue = make(chan struct{}, 1)
 	w.mu.Unlock()
 	w.Net.Listen(w.Addr, w)
-	go w.lapses(ctx)
-	for ctx.Err() == nil {
-		began := time.Now()
-		wait := w.sendHeartbeat(ctx)
-		changed := w.changed
-		if wait < w.Report {
-			changed = nil // it looks for another node first
-		}
-		select {
-		case <-ctx.Done():
-		case <-time.After(wait):
-		case <-changed:
-			sleep(ctx, time.Until(began.Add(pace)))
-		}
-	}
-}
-
-// lapses ends the lease in time, whoever looks.
-func (w *Worker) lapses(ctx context.Context) {
-	for ctx.Err() == nil {
-		w.mu.Lock()
-		w.checkLease()
-		d := time.Until(w.lapse) + 1
-		w.mu.Unlock()
-		select {
-		case <-time.After(min(max(d, 1), w.Lease)):
-		case <-ctx.Done():
-		}
-	}
-}
-
-// checkLease ends the session once the lease has lapsed. A machine that hangs by
-// then does not come back to its tasks: it ends them before anything else when it
-// goes on, so they count as gone from the lapse on. Its next session begins then.
-func (w *Worker) checkLease() {
-	if !time.Now().After(w.lapse) {
-		return
-	}
-	for _, k := range w.order {
-		if p := w.pieces[k]; p != nil && p.Status != "ended" {
-			w.notify(p, time.Time{}, false, "killed")
-		}
-	}
-	w.session++
-	w.pieces, w.order = map[string]*Piece{}, nil
-	w.lapse = time.Now().Add(w.Lease)
-	if w.hung != nil {
-		w.lapse = time.Now().Add(1000 * time.Hour) // renewed when it goes on
-		w.lapsed = true
-	}
-	w.change()
+	go w.watchLease(ctx) // ends with the context
+	w.sendHeartbeats(ctx)
 }
 
 // SetHung stops the machine: it executes nothing, its tasks do not end, and what
@@ -166,131 +135,76 @@
 func (w *Worker) SetHung(hung bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if hung == (w.hung != nil) {
+	if hung == (w.resumed != nil) {
 		return
 	}
 	if hung {
-		w.hung = make(chan struct{})
+		w.resumed = make(chan struct{})
 		return
 	}
-	w.checkLease()
-	close(w.hung)
-	w.hung = nil
-	if w.lapsed {
-		w.lapsed, w.lapse = false, time.Now().Add(w.Lease)
+	w.expireLease()
+	close(w.resumed)
+	w.resumed = nil
+	if w.expiredWhileHung {
+		w.expiredWhileHung, w.leaseExpiry = false, time.Now().Add(w.Lease)
 	}
-	for _, f := range w.held {
-		f()
+	for _, carryOut := range w.heldBack {
+		carryOut()
 	}
-	w.held = nil
+	w.heldBack = nil
 }
 
-// wake waits until the machine does not hang.
-func (w *Worker) wake(ctx context.Context) {
+// awaitResumed waits until the machine does not hang.
+func (w *Worker) awaitResumed(ctx context.Context) {
 	for ctx.Err() == nil {
 		w.mu.Lock()
-		hung := w.hung
+		resumed := w.resumed
 		w.mu.Unlock()
-		if hung == nil {
+		if resumed == nil {
 			return
 		}
 		select {
-		case <-hung:
+		case <-resumed:
 		case <-ctx.Done():
 		}
 	}
 }
 
-func (w *Worker) report() map[string]any {
-	w.tick++
-	ps := []Piece{}
-	for _, k := range w.order {
-		if p := w.pieces[k]; p != nil {
-			ps = append(ps, *p)
-		}
-	}
-	return map[string]any{"host": w.Name, "endpoint": w.Addr, "build": w.Type, "yard": w.Zone, "loaners": w.Spot,
-		"stint": w.session, "tick": w.tick, "baton": w.token, "warningS": w.warning, "pieces": ps}
-}
-
-func (w *Worker) client() *http.Client {
-	if w.HTTP != nil {
-		return w.HTTP
-	}
-	return w.Net.Client(w.Addr)
-}
-
-// sendHeartbeat reports once and tells how long to wait until the next one.
-func (w *Worker) sendHeartbeat(run context.Context) time.Duration {
-	w.wake(run)
-	w.mu.Lock()
-	w.checkLease()
-	if w.silent {
-		w.mu.Unlock()
-		return w.Report
-	}
-	session, sent := w.session, time.Now()
-	raw, _ := json.Marshal(w.report())
-	node := w.Nodes[w.at]
-	w.mu.Unlock()
-	ctx, cancel := context.WithTimeout(run, 4*time.Second)
-	defer cancel()
-	req, _ := http.NewRequestWithContext(ctx, "POST", "http://"+node+"/agent/beat", bytes.NewReader(raw))
-	res, err := w.client().Do(req)
-	w.wake(run)
+// End lets a running task end by itself, and tells whether there was one.
+func (w *Worker) End(task, cause string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.checkLease()
-	next := func() time.Duration {
-		w.at = (w.at + 1) % len(w.Nodes)
-		return time.Second
-	}
-	if err != nil || ctx.Err() != nil {
-		return next()
-	}
-	defer res.Body.Close()
-	var out struct {
-		Token    uint64  `json:"baton"`
-		Orders   []order `json:"orders"`
-		AnswerTo string  `json:"answerTo"`
+	w.expireLease()
+	if w.resumed != nil {
+		return false
 	}
-	json.NewDecoder(res.Body).Decode(&out)
-	if res.StatusCode != 200 {
-		for i, n := range w.Names {
-			if n == out.AnswerTo && i != w.at {
-				w.at = i
-				return pace / 2
-			}
-		}
-		return next()
+	running := w.activeTask(task)
+	if running == nil {
+		return false
 	}
-	if out.Token < w.token || session != w.session {
-		return w.Report
+	if cause == causeDone {
+		w.Net.keepResult(task)
 	}
-	w.acceptToken(out.Token)
-	w.lapse = sent.Add(w.Lease)
-	w.execute(out.Orders, sentAt(res.Header))
-	return w.Report
+	w.endTask(running, cause)
+	return true
 }
 
-// End lets a running task end by itself.
-func (w *Worker) End(task, cause string) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.checkLease()
-	if w.hung != nil {
-		return false
-	}
-	for _, p := range w.pieces {
-		if p.Task == task && p.Status != "ended" {
-			if cause == "done" {
-				w.Net.keepResult(task)
-			}
-			w.end(p, cause)
-			return true
+// activeTask is the attempt of a task that is on the machine and has not ended; nil: there is
+// none. There is one at most.
+func (w *Worker) activeTask(task string) *taskStatus {
+	for _, status := range w.tasks {
+		if status.Task == task && !status.ended() {
+			return status
 		}
 	}
-	return false
+	return nil
+}
+
+// endTask ends a task.
+func (w *Worker) endTask(task *taskStatus, cause string) {
+	task.Status, task.Cause = statusEnded, cause
+	w.notifyEnd(task, cause)
+	w.scheduleHeartbeat()
 }
 
 // TakeAway ends the machine with everything on it, also while it hangs.
@@ -298,9 +212,9 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.silent = true
-	for _, p := range w.pieces {
-		if p.Status != "ended" {
-			w.end(p, "taken")
+	for _, task := range w.tasks {
+		if !task.ended() {
+			w.endTask(task, causeTerminated)
 		}
 	}
 }
@@ -309,11 +223,9 @@
 func (w *Worker) SetStatus(task, status string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, p := range w.pieces {
-		if p.Task == task && p.Status != "ended" {
-			p.Status = status
-			w.change()
-		}
+	if active := w.activeTask(task); active != nil {
+		active.Status = status
+		w.scheduleHeartbeat()
 	}
 }
 
@@ -322,40 +234,48 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	seconds := in.Seconds()
-	w.warning = &seconds
-	w.change()
+	w.preemptionWarning = &seconds
+	w.scheduleHeartbeat()
 }
 
 // SetSilent stops or resumes the heartbeats.
-func (w *Worker) SetSilent(s bool) {
+func (w *Worker) SetSilent(silent bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.silent = s
+	w.silent = silent
 }
 
-// Live lists the tasks on the machine that have not ended.
-func (w *Worker) Live() []string {
+// Live lists the tasks on the machine that have not ended, in order of their starts.
+func (w *Worker) Live() (tasks []string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.checkLease()
-	var out []string
-	for _, k := range w.order {
-		if p := w.pieces[k]; p != nil && p.Status != "ended" {
-			out = append(out, p.Task)
+	w.expireLease()
+	for _, task := range w.orderedTasks() {
+		if !task.ended() {
+			tasks = append(tasks, task.Task)
+		}
+	}
+	return tasks
+}
+
+// orderedTasks are the tasks on the machine, in order of their starts.
+func (w *Worker) orderedTasks() (tasks []*taskStatus) {
+	for _, key := range w.taskOrder {
+		if task := w.tasks[key]; task != nil {
+			tasks = append(tasks, task)
 		}
 	}
-	return out
+	return tasks
 }
 
 // Started counts how often a start of the task was carried out.
-func (w *Worker) Started(task string) int {
+func (w *Worker) Started(task string) (starts int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	n := 0
-	for _, s := range w.Starts {
-		if len(s) > len(task) && s[:len(task)+1] == task+"#" {
-			n++
+	for _, start := range w.Starts {
+		if strings.HasPrefix(start, task+"#") {
+			starts++
 		}
 	}
-	return n
+	return starts
 }
--- /dev/null
+++ b/internal/fake/worker_test.go
@@ -0,0 +1,133 @@
+package fake
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"net/http"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"testing/synctest"
+	"time"
+)
+
+// newTestWorker is a worker of one controller, with a lease of 20 s.
+func newTestWorker(network *Net, heartbeatInterval time.Duration) *Worker {
+	return &Worker{Name: "m", Addr: "m:1", Net: network, Nodes: []string{"a:1"}, Report: heartbeatInterval, Lease: 20 * time.Second}
+}
+
+func TestWorkerUnderPartitionsAndHangs(t *testing.T) {
+	const start = `{"baton":1,"stint":1,"orders":[{"verb":"start","piece":"job-1/%d","try":1}]}`
+	for _, test := range []struct {
+		name        string
+		rule        Rule
+		hung        time.Duration
+		heartbeats  bool // they reach the controller
+		command     int  // what a direct command gets
+		starts      int  // started by then, and once all is over
+		incarnation uint64
+	}{
+		{"well", nil, 0, true, 200, 1, 1},
+		{"partitioned outbound", Mute("m"), 0, false, 200, 1, 2}, // no lease is renewed
+		{"partitioned inbound", Deaf("m"), 0, true, 0, 0, 2},
+		{"hung", nil, 5 * time.Second, false, 0, 1, 1},
+		{"hung beyond its lease", nil, 30 * time.Second, false, 0, 0, 2},
+		{"heartbeats copied", CopyReports("m"), 0, true, 200, 1, 1},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				ctx, cancel := context.WithCancel(context.Background())
+				defer synctest.Wait()
+				defer cancel()
+				network, ends := NewNet(), []string{}
+				var received atomic.Int32
+				network.Listen("a:1", http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
+					received.Add(1)
+					writeJSON(rw, 200, map[string]any{"baton": 1, "orders": []any{}})
+				}))
+				worker := newTestWorker(network, 2*time.Second)
+				worker.NotifyEvents(func(e Event) { ends = append(ends, e.Cause) })
+				network.SetRule(test.rule)
+				go worker.Run(ctx)
+				time.Sleep(time.Second)
+				if test.hung > 0 {
+					worker.SetHung(true)
+				}
+				before := received.Load()
+				if code, _ := sendRequest(network, "a", "POST", "m:1/commands", fmt.Sprintf(start, 0)); code != test.command {
+					t.Errorf("a command got %d", code)
+				}
+				time.Sleep(max(test.hung, 8*time.Second) - 2*time.Second)
+				if arrived := received.Load() - before; (arrived > 0) != test.heartbeats {
+					t.Errorf("%d heartbeats arrived", arrived)
+				}
+				if test.hung > 0 {
+					if worker.End("job-1/0", "done") || worker.Started("job-1/0") > 0 {
+						t.Error("something happened on it")
+					}
+					worker.SetHung(false)
+				}
+				if got := worker.Started("job-1/0"); got != test.starts {
+					t.Errorf("started %d times", got)
+				}
+				time.Sleep(25 * time.Second)
+				worker.mu.Lock()
+				if worker.incarnation != test.incarnation {
+					t.Errorf("incarnation %d", worker.incarnation)
+				}
+				if test.incarnation == 2 && test.starts == 1 && ends[len(ends)-1] != "killed" {
+					t.Errorf("no end of the lease was told: %v", ends)
+				}
+				worker.mu.Unlock()
+				if got := network.Release(); (got > 0) != (test.name == "heartbeats copied") {
+					t.Errorf("%d copies", got)
+				}
+			})
+		})
+	}
+}
+
+func TestWorkerKeepsResultsAndRefusesSecondAttempts(t *testing.T) {
+	// The result of a task that is started again is kept; an attempt is refused where another one
+	// runs; changes are reported soon.
+	synctest.Test(t, func(t *testing.T) {
+		ctx, cancel := context.WithCancel(context.Background())
+		defer synctest.Wait()
+		defer cancel()
+		network := NewNet()
+		var mu sync.Mutex
+		var heartbeats []string
+		network.Listen("a:1", http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
+			body, _ := io.ReadAll(r.Body)
+			mu.Lock()
+			heartbeats = append(heartbeats, string(body))
+			mu.Unlock()
+			writeJSON(rw, 200, map[string]any{"baton": 1})
+		}))
+		worker := newTestWorker(network, 10*time.Second)
+		go worker.Run(ctx)
+		time.Sleep(time.Second)
+		send := func(verb string, try int) string {
+			body, _ := json.Marshal(map[string]any{"baton": 1, "stint": 1, "orders": []any{map[string]any{"verb": verb, "piece": "job-1/0", "try": try}}})
+			_, answer := sendRequest(network, "a", "POST", "m:1/commands", string(body))
+			return answer
+		}
+		send("start", 1)
+		if answer := send("start", 2); !strings.Contains(answer, `"busy"`) {
+			t.Errorf("a second attempt there: %s", answer)
+		}
+		worker.End("job-1/0", "done")
+		time.Sleep(600 * time.Millisecond)
+		mu.Lock()
+		if last := heartbeats[len(heartbeats)-1]; !strings.Contains(last, `"done"`) {
+			t.Errorf("last reported %s", last)
+		}
+		mu.Unlock()
+		if answer := send("start", 3); !strings.Contains(answer, `"try":3,"status":"ended","cause":"done"`) {
+			t.Errorf("started again once done: %s", answer)
+		}
+	})
+}
--- a/internal/rehearsal/plots.go
+++ b/internal/rehearsal/plots.go
@@ -29,7 +29,7 @@
 		return "", err
 	}
 	_, svg, _ := bytes.Cut(out.Bytes(), []byte("?>"))
-	return template.HTML(svg), nil // it holds nothing from outside but names of teams, which the canvas escapes
+	return template.HTML(svg), nil // drawn here, from numbers and names of this package
 }
 
 // Colors of lines.
