--- a/cmd/pebbletrail/controller.go
+++ b/cmd/pebbletrail/controller.go
@@ -10,8 +10,8 @@
 
 	"github.com/labstack/echo/v4"
 
-	"github.com/pebbletrail/pebbletrail/internal/claim"
 	"github.com/pebbletrail/pebbletrail/internal/config"
+	"github.com/pebbletrail/pebbletrail/internal/election"
 	"github.com/pebbletrail/pebbletrail/internal/fleet"
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 	"github.com/pebbletrail/pebbletrail/internal/intake"
@@ -49,7 +49,7 @@
 	incarnation string
 	state       *state.Client
 	cloud       *fleet.Cloud
-	shards      *claim.Shards
+	shards      *election.Shards
 	link        *peer.Link
 	types       *machineTypes
 	// rollouts is this node's copy of the stored rollouts; nil where drains are off.
@@ -65,14 +65,14 @@
 	c.state.Budget().SplitLeaderShare(settings.Shards())
 	c.cloud = c.newCloud(cloudConnections)
 	commander := &worker.Commander{HTTP: newHTTPClient(machineConnections, settings.Sockets().Direct/2), Timeout: machineCommandTimeout}
-	c.shards = claim.NewShards(settings, c.state, commander, incarnation)
+	c.shards = election.NewShards(settings, c.state, commander, incarnation)
 	c.shards.Refuse = exitRefusing
 	c.link = peer.NewLink(settings, c.shards, c.state)
 	c.types = &machineTypes{cloud: c.cloud, shards: c.shards}
 	for i, pool := range c.shards.Pools() {
 		shard := ids.Shard(i)
 		pool.Peers = c.link.ForShard(shard)
-		pool.OnTerm = func(ctx context.Context, term *claim.Term) { c.provision(ctx, pool, shard, term) }
+		pool.OnTerm = func(ctx context.Context, term *election.Term) { c.provision(ctx, pool, shard, term) }
 	}
 	if settings.DrainsEnabled() {
 		c.rollouts = state.NewMirror(c.state, rollout.Prefix, rolloutPollInterval)
@@ -140,25 +140,25 @@
 }
 
 // provision rents and returns machines while this node leads a shard.
-func (c *controller) provision(ctx context.Context, pool *claim.Pool, shard ids.Shard, term *claim.Term) {
-	provisioner := &fleet.Provisioner{Cloud: c.cloud, Cluster: term.Cluster, Store: term.Committer, Gen: term.Gen,
-		Sure: func() bool { return pool.Sure(term) },
+func (c *controller) provision(ctx context.Context, pool *election.Elector, shard ids.Shard, term *election.Term) {
+	provisioner := &fleet.Provisioner{Cloud: c.cloud, Cluster: term.Cluster, Store: term.Committer, Gen: term.Generation,
+		Sure: func() bool { return pool.LeaseSurelyHeld(term) },
 		Keys: record.KeysOf(shard, c.settings.Shards()), Shard: shard,
 		ListEvery: max(minListInterval, c.settings.Params.Cloud.ListLagS.Duration()/2)}
 	if c.settings.Shards() > 1 {
 		provisioner.Cloud = c.newCloud(shardConnections)
-		provisioner.OthersLack = func() (time.Duration, int) { return c.shards.OthersLack(shard) }
+		provisioner.OthersLack = func() (time.Duration, int) { return c.shards.OtherShardsShortage(shard) }
 		provisioner.Owns = func(machine ids.Machine) bool { return c.shards.Owns(shard, machine) }
 	}
 	if types := c.types.known(); len(types) > 0 {
-		term.Cluster.SetTypes(types)
+		term.Cluster.SetMachineTypes(types)
 	}
 	provisioner.OnTypes = func(types []placement.Type) { c.types.store(ctx, term.Committer, types) }
 	if c.rollouts != nil && c.settings.Shards() == 1 {
 		runner := &rollout.Runner{Copy: c.rollouts, Store: term.Committer, Fleet: term.Cluster, Writer: c.incarnation, Limits: c.storeLimits()}
 		go runner.Run(ctx)
 	}
-	provisioner.Adopt(term.Intents)
+	provisioner.Adopt(term.OpenHires)
 	provisioner.Run(ctx)
 }
 
--- a/cmd/pebbletrail/controller_status.go
+++ b/cmd/pebbletrail/controller_status.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/pebbletrail/pebbletrail/internal/claim"
+	"github.com/pebbletrail/pebbletrail/internal/election"
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 	"github.com/pebbletrail/pebbletrail/internal/measure"
 )
@@ -47,7 +47,7 @@
 	Alarms []string `json:"alarms,omitempty"`
 }
 
-func statusOfShards(pools []*claim.Pool) (all []shardStatus) {
+func statusOfShards(pools []*election.Elector) (all []shardStatus) {
 	for shard, pool := range pools {
 		leader, _ := pool.Leader()
 		status := shardStatus{Shard: shard, Leader: leader}
--- a/cmd/pebbletrail/machine_types.go
+++ b/cmd/pebbletrail/machine_types.go
@@ -22,7 +22,7 @@
 // submissions; the leader stores them for times when the cloud is down.
 type machineTypes struct {
 	cloud  *fleet.Cloud
-	shards *claim.Shards
+	shards *election.Shards
 	// mu guards the fields below. Nothing is called under it.
 	mu    sync.Mutex
 	types []placement.Type
