--- a/cmd/pebbletrail/check.go
+++ b/cmd/pebbletrail/check.go
@@ -15,7 +15,7 @@
 				return err
 			}
 			_, err = fmt.Fprintf(cmd.OutOrStdout(), "%s: good; node %s, %d others, %d teams\n",
-				files.platform, settings.HostName, len(settings.Others), len(settings.Params.Teams))
+				files.platform, settings.HostName, len(settings.Peers), len(settings.Params.Teams))
 			return err
 		},
 	}
--- a/cmd/pebbletrail/controller.go
+++ b/cmd/pebbletrail/controller.go
@@ -58,13 +58,13 @@
 
 // newController connects the parts; nothing runs yet.
 func newController(settings *config.Settings, incarnation string) *controller {
-	nodes := len(settings.Others) + 1
+	nodes := len(settings.Peers) + 1
 	c := &controller{settings: settings, incarnation: incarnation}
 	c.state = state.NewClient(settings.Services.State, newHTTPClient(stateConnections, stateConnections),
-		state.NewBudget(settings.Params.State.RPS, settings.Params.State.WriteRPS, nodes, settings.Own.OwnerShare))
-	c.state.Budget().SplitLeaderShare(settings.Shards())
+		state.NewBudget(settings.Params.State.RPS, settings.Params.State.WriteRPS, nodes, settings.Operator.OwnerShare))
+	c.state.Budget().SplitLeaderShare(settings.ShardCount())
 	c.cloud = c.newCloud(cloudConnections)
-	commander := &worker.Commander{HTTP: newHTTPClient(machineConnections, settings.Sockets().Direct/2), Timeout: machineCommandTimeout}
+	commander := &worker.Commander{HTTP: newHTTPClient(machineConnections, settings.Sockets().ToMachines/2), Timeout: machineCommandTimeout}
 	c.shards = election.NewShards(settings, c.state, commander, incarnation)
 	c.shards.Refuse = exitRefusing
 	c.link = peer.NewLink(settings, c.shards, c.state)
@@ -82,7 +82,7 @@
 
 // newCloud makes a client of the cloud, which has one shard's part of the calls that the cloud takes.
 func (c *controller) newCloud(connections int) *fleet.Cloud {
-	callRate := c.settings.Params.Cloud.RPS / float64(c.settings.Shards())
+	callRate := c.settings.Params.Cloud.RPS / float64(c.settings.ShardCount())
 	return fleet.NewCloud(c.settings.Services.Cloud, newHTTPClient(connections, connections), callRate)
 }
 
@@ -97,7 +97,7 @@
 	go c.link.Serve(cluster)
 	c.link.Run(ctx)
 	go c.types.run(ctx)
-	go c.state.Watch(ctx, record.KeysOf(0, c.settings.Shards()).Generation())
+	go c.state.Watch(ctx, record.KeysOf(0, c.settings.ShardCount()).Generation())
 	go logMeasures(ctx)
 	go c.shards.Run(ctx)
 	var operatorRoutes func(*echo.Echo)
@@ -133,7 +133,7 @@
 // connectionLimiter shares the sockets for callers among users and machines.
 func (c *controller) connectionLimiter() *intake.ConnectionLimiter {
 	return &intake.ConnectionLimiter{
-		MaxConnections: c.settings.Sockets().Callers,
+		MaxConnections: c.settings.Sockets().Inbound,
 		WorkerCount:    c.shards.Machines,
 		IdleTimeout:    max(minIdleTimeout, 3*c.settings.Params.Workers.ReportS.Duration()+idleGrace),
 	}
@@ -143,9 +143,9 @@
 func (c *controller) provision(ctx context.Context, pool *election.Elector, shard ids.Shard, term *election.Term) {
 	provisioner := &fleet.Provisioner{Cloud: c.cloud, Cluster: term.Cluster, Store: term.Committer, Gen: term.Generation,
 		Sure: func() bool { return pool.LeaseSurelyHeld(term) },
-		Keys: record.KeysOf(shard, c.settings.Shards()), Shard: shard,
+		Keys: record.KeysOf(shard, c.settings.ShardCount()), Shard: shard,
 		ListEvery: max(minListInterval, c.settings.Params.Cloud.ListLagS.Duration()/2)}
-	if c.settings.Shards() > 1 {
+	if c.settings.ShardCount() > 1 {
 		provisioner.Cloud = c.newCloud(shardConnections)
 		provisioner.OthersLack = func() (time.Duration, int) { return c.shards.OtherShardsShortage(shard) }
 		provisioner.Owns = func(machine ids.Machine) bool { return c.shards.Owns(shard, machine) }
@@ -153,8 +153,8 @@
 	if types := c.types.known(); len(types) > 0 {
 		term.Cluster.SetMachineTypes(types)
 	}
-	provisioner.OnTypes = func(types []placement.Type) { c.types.store(ctx, term.Committer, types) }
-	if c.rollouts != nil && c.settings.Shards() == 1 {
+	provisioner.OnTypes = func(types []placement.InstanceType) { c.types.store(ctx, term.Committer, types) }
+	if c.rollouts != nil && c.settings.ShardCount() == 1 {
 		runner := &rollout.Runner{Copy: c.rollouts, Store: term.Committer, Fleet: term.Cluster, Writer: c.incarnation, Limits: c.storeLimits()}
 		go runner.Run(ctx)
 	}
@@ -170,7 +170,7 @@
 
 // installation is what a rollout may choose from.
 func (c *controller) installation() rollout.Installation {
-	installation := rollout.Installation{Zones: c.settings.Params.Zones, Shards: c.settings.Shards()}
+	installation := rollout.Installation{Zones: c.settings.Params.Zones, Shards: c.settings.ShardCount()}
 	for _, machineType := range c.types.known() {
 		installation.Types = append(installation.Types, machineType.Label)
 	}
--- a/cmd/pebbletrail/explain.go
+++ b/cmd/pebbletrail/explain.go
@@ -38,7 +38,7 @@
 	var text strings.Builder
 	fmt.Fprintf(&text, "%s: %s\n", explanation.UID, explanation.Status)
 	for _, event := range explanation.Trail {
-		fmt.Fprintf(&text, "  %s  %s\n", event.At.Time().UTC().Format("15:04:05.000"), event.What)
+		fmt.Fprintf(&text, "  %s  %s\n", event.At.Time().UTC().Format("15:04:05.000"), event.Message)
 	}
 	for _, line := range explanation.Now {
 		fmt.Fprintf(&text, "  now: %s\n", line)
--- a/cmd/pebbletrail/machine_types.go
+++ b/cmd/pebbletrail/machine_types.go
@@ -25,13 +25,13 @@
 	shards *election.Shards
 	// mu guards the fields below. Nothing is called under it.
 	mu    sync.Mutex
-	types []placement.Type
+	types []placement.InstanceType
 	// stored is the list that was last stored, without prices.
 	stored string
 }
 
 // known is the newest list this node has, or else the stored one.
-func (m *machineTypes) known() []placement.Type {
+func (m *machineTypes) known() []placement.InstanceType {
 	m.mu.Lock()
 	types := m.types
 	m.mu.Unlock()
@@ -56,7 +56,7 @@
 
 // store keeps the list in the state service if more than prices changed. If that fails, the next
 // list is stored whether it changed or not.
-func (m *machineTypes) store(ctx context.Context, store fleet.Store, types []placement.Type) {
+func (m *machineTypes) store(ctx context.Context, store fleet.Store, types []placement.InstanceType) {
 	unpriced := withoutPrices(types)
 	m.mu.Lock()
 	m.types = types
@@ -78,7 +78,7 @@
 
 // withoutPrices is a text that differs between two lists if more than prices differs: prices move
 // all the time and are not worth a write.
-func withoutPrices(types []placement.Type) string {
+func withoutPrices(types []placement.InstanceType) string {
 	var text strings.Builder
 	for i := range types {
 		machineType := types[i]
--- a/cmd/pebbletrail/serve.go
+++ b/cmd/pebbletrail/serve.go
@@ -56,7 +56,7 @@
 }
 
 // applyLimits keeps the Go runtime within what the machine gives this process.
-func applyLimits(limits config.Limits) {
+func applyLimits(limits config.MachineLimits) {
 	debug.SetMemoryLimit(int64(limits.RAMMB * heapShare * 1024 * 1024))
 	debug.SetGCPercent(gcPercent)
 	runtime.GOMAXPROCS(max(1, int(limits.Cores+0.99)))
--- a/internal/capacity/index.go
+++ b/internal/capacity/index.go
@@ -36,14 +36,14 @@
 // Class lists the nodes of an instance class that have capacity left.
 type Class struct {
 	InstanceClass
-	Offer *placement.Type
+	Offer *placement.InstanceType
 	Open  []*Node
 }
 
 // Index is all nodes of a shard.
 type Index struct {
 	machines *worker.Registry
-	types    map[string]*placement.Type
+	types    map[string]*placement.InstanceType
 	nodes    map[ids.Machine]*Node
 	classes  map[InstanceClass]*Class
 	sorted   []*Class
@@ -52,12 +52,12 @@
 
 // NewIndex makes an empty index of the machines in a registry.
 func NewIndex(machines *worker.Registry) *Index {
-	return &Index{machines: machines, types: map[string]*placement.Type{}, nodes: map[ids.Machine]*Node{},
+	return &Index{machines: machines, types: map[string]*placement.InstanceType{}, nodes: map[ids.Machine]*Node{},
 		classes: map[InstanceClass]*Class{}, byImage: map[string]map[*Node]bool{}}
 }
 
 // SetTypes takes in what machine types the cloud offers.
-func (x *Index) SetTypes(types []placement.Type) {
+func (x *Index) SetTypes(types []placement.InstanceType) {
 	for i := range types {
 		x.types[types[i].Label] = &types[i]
 	}
@@ -72,10 +72,10 @@
 }
 
 // Type is a machine type by its name; nil if the cloud does not offer it, as far as known.
-func (x *Index) Type(name string) *placement.Type { return x.types[name] }
+func (x *Index) Type(name string) *placement.InstanceType { return x.types[name] }
 
 // Types are all machine types by name. Callers must not change the map.
-func (x *Index) Types() map[string]*placement.Type { return x.types }
+func (x *Index) Types() map[string]*placement.InstanceType { return x.types }
 
 // Classes are the instance classes, in a fixed order. Callers must not change the list.
 func (x *Index) Classes() []*Class { return x.sorted }
@@ -106,11 +106,11 @@
 }
 
 // AllocatedOn is the capacity taken on a machine.
-func (x *Index) AllocatedOn(name ids.Machine) placement.Room {
+func (x *Index) AllocatedOn(name ids.Machine) placement.Resources {
 	if node := x.nodes[name]; node != nil {
 		return node.Used
 	}
-	return placement.Room{}
+	return placement.Resources{}
 }
 
 // UsableMachine is a node's machine; usable tells whether new tasks may go there now.
@@ -143,7 +143,7 @@
 func (x *Index) Reindex(node *Node) {
 	class := x.classOf(node)
 	if class != nil {
-		free := class.Offer.Room().Minus(node.Used)
+		free := class.Offer.Capacity().Minus(node.Used)
 		if free.Cores < minFree || free.RAM < minFree {
 			class = nil
 		}
--- a/internal/capacity/node.go
+++ b/internal/capacity/node.go
@@ -16,8 +16,8 @@
 	Assignments map[*workload.Assignment]bool
 	// Used is what the assignments take, Reclaimable the part of it that ends by itself or may be
 	// preempted, and Replicas how many run until they are cancelled.
-	Used        placement.Room
-	Reclaimable placement.Room
+	Used        placement.Resources
+	Reclaimable placement.Resources
 	Replicas    int
 	// ImagePulls are the images that its tasks still wait for.
 	ImagePulls map[string]*ImagePull
@@ -35,32 +35,32 @@
 }
 
 // Free is the capacity left on a node that is listed in its class.
-func (n *Node) Free() placement.Room { return n.Class.Offer.Room().Minus(n.Used) }
+func (n *Node) Free() placement.Resources { return n.Class.Offer.Capacity().Minus(n.Used) }
 
 // add counts an assignment.
 func (n *Node) add(a *workload.Assignment) {
 	spec := &a.Job.Record.Spec
 	n.Assignments[a] = true
-	n.Used = n.Used.Plus(spec.Need)
+	n.Used = n.Used.Plus(spec.Resources)
 	if spec.Shape == record.Service {
 		n.Replicas++
 		return
 	}
-	n.Reclaimable = n.Reclaimable.Plus(spec.Need)
+	n.Reclaimable = n.Reclaimable.Plus(spec.Resources)
 }
 
 // remove takes an assignment out of the sums.
 func (n *Node) remove(a *workload.Assignment) {
 	spec := &a.Job.Record.Spec
 	delete(n.Assignments, a)
-	n.Used = n.Used.Minus(spec.Need)
+	n.Used = n.Used.Minus(spec.Resources)
 	if spec.Shape == record.Service {
 		n.Replicas--
 	} else {
-		n.Reclaimable = n.Reclaimable.Minus(spec.Need)
+		n.Reclaimable = n.Reclaimable.Minus(spec.Resources)
 	}
 	if len(n.Assignments) == 0 {
-		n.Used, n.Reclaimable = placement.Room{}, placement.Room{} // no rounding errors stay behind
+		n.Used, n.Reclaimable = placement.Resources{}, placement.Resources{} // no rounding errors stay behind
 	}
 }
 
@@ -76,7 +76,7 @@
 		if since.IsZero() || a.Status == worker.Pulling {
 			since = now
 		}
-		longest = max(longest, spec.Estimate.Duration()-now.Sub(since), time.Second)
+		longest = max(longest, spec.EstimatedDuration.Duration()-now.Sub(since), time.Second)
 	}
 	return longest
 }
--- a/internal/claim/allowances.go
+++ b/internal/claim/allowances.go
@@ -10,7 +10,7 @@
 )
 
 // processStart is from when this process's settings are.
-var processStart = ids.WallOf(time.Now())
+var processStart = ids.TimestampOf(time.Now())
 
 // LastGenerationRevision is the generation's revision that this leader's writes depend on.
 func (c *Committer) LastGenerationRevision() ids.Revision {
--- a/internal/claim/boots.go
+++ b/internal/claim/boots.go
@@ -18,7 +18,7 @@
 	if machine.Heard || !machine.Booting || machineType == nil {
 		return false, false
 	}
-	due := time.Duration(c.settings.Own.StuckBootFactor * float64(c.estimates.BootTime(machineType)))
+	due := time.Duration(c.settings.Operator.StuckBootFactor * float64(c.estimates.BootTime(machineType)))
 	age := now.Sub(machine.HeldSince)
 	return age > due, age > 4*due
 }
@@ -40,7 +40,7 @@
 	fleet := 0.0
 	for _, machine := range c.machines.Machines {
 		if machineType := c.capacity.Type(machine.Type); machineType != nil && !machine.Failed && !machine.Deleting {
-			fleet += machineType.PriceOf(machine.Spot)
+			fleet += machineType.HourlyPrice(machine.Spot)
 		}
 		if l, _ := c.bootIsLate(machine, now); l && !machine.Deleting {
 			late = append(late, machine)
@@ -61,8 +61,8 @@
 			out[machine.Name] = true
 			continue
 		}
-		p := c.capacity.Type(machine.Type).PriceOf(machine.Spot)
-		if of[machine.Type] > 0 && cost+p > c.settings.Own.BurstCostShare*fleet {
+		p := c.capacity.Type(machine.Type).HourlyPrice(machine.Spot)
+		if of[machine.Type] > 0 && cost+p > c.settings.Operator.BurstCostShare*fleet {
 			continue
 		}
 		out[machine.Name], cost = true, cost+p
@@ -105,11 +105,11 @@
 
 // describeBooting tells of the machines on their way that a waiting job could use.
 func (c *ClusterState) describeBooting(job *workload.Job, now time.Time) []string {
-	request := job.Record.Spec.Ask()
+	request := job.Record.Spec.PlacementRequest()
 	n, lates, longest := 0, 0, time.Duration(0)
 	for _, machine := range c.machines.Machines {
 		machineType := c.capacity.Type(machine.Type)
-		if machine.Heard || !machine.Booting || machine.Deleting || machine.Failed || machineType == nil || !machineType.Room().Holds(request.Need) || !request.Allows(machine.Type, machine.Zone, machine.Spot) {
+		if machine.Heard || !machine.Booting || machine.Deleting || machine.Failed || machineType == nil || !machineType.Capacity().Holds(request.Resources) || !request.Allows(machine.Type, machine.Zone, machine.Spot) {
 			continue
 		}
 		n++
--- a/internal/claim/cluster_state.go
+++ b/internal/claim/cluster_state.go
@@ -104,13 +104,13 @@
 	c := &ClusterState{
 		machines: machines, capacity: index, estimates: estimate.New(settings, index),
 		drains: newDrainState(settings), termBegan: time.Now(),
-		shard: shard, keys: record.KeysOf(shard, settings.Shards()),
+		shard: shard, keys: record.KeysOf(shard, settings.ShardCount()),
 		StatusInOtherShard: func(ids.Job) (record.Status, bool) { return "", false },
 		settings:           settings, writer: writer, generation: generation, firstGeneration: generation,
 		jobs: workload.NewQueue(), changes: workload.NewChanges(),
 		leaving:          map[ids.Machine]bool{},
 		pendingCommands:  map[*capacity.Node]bool{},
-		quota:            quota.NewBook(shard, settings.Shards(), teamLimits(settings), processStart),
+		quota:            quota.NewBook(shard, settings.ShardCount(), teamLimits(settings), processStart),
 		trustSilence:     trustSilence,
 		usage:            map[string]*classUsage{},
 		terminated:       map[ids.Machine]bool{},
@@ -138,16 +138,16 @@
 
 // recordEvent appends to the job's trail, bounded.
 func (c *ClusterState) recordEvent(job *workload.Job, format string, args ...any) {
-	limit := int(c.settings.Own.TrailEvents)
+	limit := int(c.settings.Operator.TrailEvents)
 	what := fmt.Sprintf(format, args...)
 	slog.Debug("job", "id", job.Record.Spec.ID, "what", what)
-	if n := len(job.Record.Trail); n > 0 && job.Record.Trail[n-1].What == what {
-		job.Record.Trail[n-1].At = ids.WallOf(time.Now())
+	if n := len(job.Record.Events); n > 0 && job.Record.Events[n-1].Message == what {
+		job.Record.Events[n-1].At = ids.TimestampOf(time.Now())
 		return
 	}
-	job.Record.Trail = append(job.Record.Trail, record.Event{At: ids.WallOf(time.Now()), What: what})
-	if len(job.Record.Trail) > limit {
-		job.Record.Trail = append([]record.Event(nil), job.Record.Trail[len(job.Record.Trail)-limit:]...)
+	job.Record.Events = append(job.Record.Events, record.Event{At: ids.TimestampOf(time.Now()), Message: what})
+	if len(job.Record.Events) > limit {
+		job.Record.Events = append([]record.Event(nil), job.Record.Events[len(job.Record.Events)-limit:]...)
 	}
 }
 
@@ -156,11 +156,11 @@
 	job.Version++
 	if c.jobs.Holds(job) && !job.Ended {
 		c.changes.Add(job)
-		if job.Record.Status.Over() {
+		if job.Record.Status.IsTerminal() {
 			job.Urgent = true
 		}
 	}
-	if !job.Record.Status.Over() && job.Record.Status != record.Cancelling {
+	if !job.Record.Status.IsTerminal() && job.Record.Status != record.Cancelling {
 		if len(job.Assignments) > 0 {
 			job.Record.Status = record.Claimed
 		} else {
@@ -202,7 +202,7 @@
 // finishIfComplete moves a job to its final status when nothing is left of it.
 func (c *ClusterState) finishIfComplete(job *workload.Job) {
 	switch {
-	case job.Record.Status.Over():
+	case job.Record.Status.IsTerminal():
 	case job.Unfinished() == 0 && job.Record.Status != record.Cancelling:
 		job.Record.Status = record.Done
 		c.recordEvent(job, "done")
@@ -223,7 +223,7 @@
 }
 
 // SetMachineTypes stores the cloud's offer.
-func (c *ClusterState) SetMachineTypes(types []placement.Type) {
+func (c *ClusterState) SetMachineTypes(types []placement.InstanceType) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.capacity.SetTypes(types)
--- a/internal/claim/cluster_state_test.go
+++ b/internal/claim/cluster_state_test.go
@@ -17,9 +17,9 @@
 )
 
 func testSet() *config.Settings {
-	s := &config.Settings{Own: config.Defaults()}
-	s.Params.Workers = config.Workers{ReportS: 2, LeaseS: 20, GangWaitS: 30, GangPeerS: 5, CancelS: 40}
-	s.Params.State = config.State{RPS: 100, WriteRPS: 100, ValueKB: 8, TxnOps: 12}
+	s := &config.Settings{Operator: config.DefaultOperator()}
+	s.Params.Workers = config.WorkerIntervals{ReportS: 2, LeaseS: 20, GangWaitS: 30, GangPeerS: 5, CancelS: 40}
+	s.Params.State = config.StateLimits{RPS: 100, WriteRPS: 100, ValueKB: 8, TxnOps: 12}
 	s.Params.Teams = []config.Team{{Name: "red", CPUs: 4, CPUsMax: 40}, {Name: "blue", CPUs: 4}}
 	s.Params.Zones = []string{"north", "south"}
 	return s
@@ -38,17 +38,17 @@
 	c.scheduler.Quota = c.quota
 }
 
-func testTypes() []placement.Type {
-	return []placement.Type{{Label: "small", Cores: 4, RAM: 16, CacheGB: 20, PullGBPerS: 1, Price: 1, SpotPrice: 0.4, BootS: 30, Zones: []string{"north", "south"}}}
+func testTypes() []placement.InstanceType {
+	return []placement.InstanceType{{Label: "small", Cores: 4, RAM: 16, CacheGB: 20, PullGBPerS: 1, Price: 1, SpotPrice: 0.4, BootS: 30, Zones: []string{"north", "south"}}}
 }
 
-func (c *ClusterState) hear(name ids.Machine, zone string, tick ids.Tick, pieces ...worker.Piece) []worker.Order {
+func (c *ClusterState) hear(name ids.Machine, zone string, tick ids.SequenceNumber, pieces ...worker.Piece) []worker.Order {
 	return c.ReconcileHeartbeat(&worker.Report{Machine: name, Addr: string(name) + ":1", Type: "small", Zone: zone, Session: 1, Tick: tick, Token: 7, Pieces: pieces}, true, true)
 }
 
 func newRecord(id ids.Job, team string, p record.Priority, tasks int, cores float64) *record.Record {
-	return record.New(record.Spec{ID: id, Class: "c", Team: team, Shape: record.Array, Priority: p, Tasks: tasks, Estimate: 10,
-		Need: placement.Room{Cores: cores, RAM: 1}, Image: "i", ImageGB: 1}, ids.WallOf(time.Now()), "user")
+	return record.New(record.Spec{ID: id, Class: "c", Team: team, Shape: record.Array, Priority: p, Tasks: tasks, EstimatedDuration: 10,
+		Resources: placement.Resources{Cores: cores, RAM: 1}, Image: "i", ImageGB: 1}, ids.TimestampOf(time.Now()), "user")
 }
 
 // store pretends that all changes were committed.
@@ -63,12 +63,12 @@
 	t.Parallel()
 	for _, from := range []record.Status{record.Queued, record.Claimed, record.Cancelling, record.Cancelled, record.Done} {
 		for _, to := range []record.Status{record.Queued, record.Claimed, record.Cancelling, record.Cancelled, record.Done} {
-			if from.Over() && from.May(to) {
+			if from.IsTerminal() && from.CanBecome(to) {
 				t.Errorf("%s may become %s", from, to)
 			}
 		}
 	}
-	if record.Cancelling.May(record.Done) || !record.Claimed.May(record.Cancelling) || !record.Queued.May(record.Cancelled) {
+	if record.Cancelling.CanBecome(record.Done) || !record.Claimed.CanBecome(record.Cancelling) || !record.Queued.CanBecome(record.Cancelled) {
 		t.Error("the table is not the one meant")
 	}
 }
@@ -87,14 +87,14 @@
 		cluster.addAssignment(&workload.Assignment{Job: job, TaskIndex: i * 40, Machine: ids.Machine(fmt.Sprintf("host-%06d", i)), Incarnation: 1, Attempt: 9, FencingToken: 7})
 	}
 	out := job.Record
-	out.Places = workload.GroupAssignments(job.Assignments)
+	out.Assignments = workload.GroupAssignments(job.Assignments)
 	raw, ok := out.Encode(8 * 1024)
 	if !ok {
 		t.Fatal("does not fit")
 	}
 	back, err := record.Decode(raw)
-	if err != nil || back.Open() != cluster.maxAssignedTasks(job) || back.Finished.Len() != job.Record.Finished.Len() {
-		t.Fatalf("%v; %d open, %d finished", err, back.Open(), back.Finished.Len())
+	if err != nil || back.AssignedTasks() != cluster.maxAssignedTasks(job) || back.Finished.Len() != job.Record.Finished.Len() {
+		t.Fatalf("%v; %d open, %d finished", err, back.AssignedTasks(), back.Finished.Len())
 	}
 }
 
@@ -139,13 +139,13 @@
 	now := time.Now()
 	cluster := testBook()
 	large, small := newRecord("job-1", "blue", record.Normal, 60, 1), newRecord("job-2", "blue", record.Normal, 5, 1)
-	large.Submitted = ids.WallOf(now.Add(-time.Second))
+	large.Submitted = ids.TimestampOf(now.Add(-time.Second))
 	cluster.HandleRecord("job-1", 1, large, now)
 	cluster.HandleRecord("job-2", 2, small, now)
 	if jobs := cluster.scheduler.Ranked(now); jobs[0].Record.Spec.ID != "job-2" {
 		t.Error("the large job goes first although both are new")
 	}
-	cluster.jobs.Get("job-1").Record.Submitted = ids.WallOf(now.Add(-5 * time.Minute))
+	cluster.jobs.Get("job-1").Record.Submitted = ids.TimestampOf(now.Add(-5 * time.Minute))
 	if jobs := cluster.scheduler.Ranked(now); jobs[0].Record.Spec.ID != "job-1" {
 		t.Error("the large job never gets its turn")
 	}
@@ -156,7 +156,7 @@
 	now := time.Now()
 	cluster := testBook()
 	low, high := newRecord("job-1", "blue", record.Low, 60, 1), newRecord("job-2", "blue", record.High, 60, 1)
-	low.Submitted, low.Attempt = ids.WallOf(now.Add(-time.Hour)), 1
+	low.Submitted, low.Attempt = ids.TimestampOf(now.Add(-time.Hour)), 1
 	cluster.HandleRecord("job-1", 1, low, now)
 	cluster.HandleRecord("job-2", 2, high, now)
 	if jobs := cluster.scheduler.Ranked(now); jobs[0].Record.Spec.ID != "job-2" {
@@ -174,7 +174,7 @@
 	now := time.Now()
 	cluster := testBook()
 	cluster.HandleRecord("job-1", 1, newRecord("job-1", "blue", record.Normal, 1, 1), now)
-	fail := func(m ids.Machine, a ids.Attempt, tick ids.Tick) {
+	fail := func(m ids.Machine, a ids.Attempt, tick ids.SequenceNumber) {
 		cluster.hear(m, "north", tick, worker.Piece{Task: "job-1/0", Attempt: a, Status: worker.Running})
 		cluster.hear(m, "north", tick+1, worker.Piece{Task: "job-1/0", Attempt: a, Status: worker.Ended, Cause: worker.CauseError})
 	}
@@ -193,16 +193,16 @@
 	for n := range 2 {
 		id := ids.Job(fmt.Sprint("job-10", n))
 		cluster.HandleRecord(id, ids.Revision(n+5), newRecord(id, "blue", record.Normal, 1, 1), now)
-		cluster.hear("bad", "north", ids.Tick(2*n+1), worker.Piece{Task: string(id) + "/0", Attempt: 1, Status: worker.Running})
-		cluster.hear("bad", "north", ids.Tick(2*n+2), worker.Piece{Task: string(id) + "/0", Attempt: 1, Status: worker.Ended, Cause: worker.CauseError})
+		cluster.hear("bad", "north", ids.SequenceNumber(2*n+1), worker.Piece{Task: string(id) + "/0", Attempt: 1, Status: worker.Running})
+		cluster.hear("bad", "north", ids.SequenceNumber(2*n+2), worker.Piece{Task: string(id) + "/0", Attempt: 1, Status: worker.Ended, Cause: worker.CauseError})
 		if cluster.machines.Machines["bad"].Draining != "" {
 			t.Error("condemned by jobs of which nothing completed yet")
 		}
 	}
 	for n := range 2 {
 		task := fmt.Sprintf("job-10%d/0", n)
-		cluster.hear("good", "north", ids.Tick(2*n+1), worker.Piece{Task: task, Attempt: 2, Status: worker.Running})
-		cluster.hear("good", "north", ids.Tick(2*n+2), worker.Piece{Task: task, Attempt: 2, Status: worker.Ended, Cause: worker.CauseDone})
+		cluster.hear("good", "north", ids.SequenceNumber(2*n+1), worker.Piece{Task: task, Attempt: 2, Status: worker.Running})
+		cluster.hear("good", "north", ids.SequenceNumber(2*n+2), worker.Piece{Task: task, Attempt: 2, Status: worker.Ended, Cause: worker.CauseDone})
 	}
 	if cluster.machines.Machines["bad"].Draining == "" {
 		t.Error("a machine on which different jobs fail is still used")
@@ -383,7 +383,7 @@
 	t.Parallel()
 	now := time.Now()
 	job := &workload.Job{Record: *newRecord("job-1", "blue", record.Low, 1, 4)}
-	job.Record.Spec.Checkpoint, job.Record.Spec.Save = 60, 5
+	job.Record.Spec.CheckpointInterval, job.Record.Spec.CheckpointDuration = 60, 5
 	for ran, want := range map[time.Duration]bool{2 * time.Second: true, 40 * time.Second: false, 65 * time.Second: true} {
 		assignment := &workload.Assignment{Job: job, RunningSince: now.Add(-ran)}
 		if assignment.LittleToSave(now) != want {
@@ -482,7 +482,7 @@
 		t.Fatalf("%d tasks on a machine that does not answer, not only the uncertain one", n)
 	}
 	machine := cluster.machines.Machines[at]
-	for tick := ids.Tick(3); tick < 6; tick++ {
+	for tick := ids.SequenceNumber(3); tick < 6; tick++ {
 		cluster.probeAnswered(at, false)
 		for i := range 6 {
 			cluster.hear(ids.Machine(fmt.Sprint("m", i)), "north", tick) // its own beats, too
@@ -741,8 +741,8 @@
 	now := time.Now()
 	marked := func(generation ids.Generation) *record.Record {
 		rec := newRecord("job-1", "red", record.Normal, 2, 1)
-		rec.Status, rec.Attempt, rec.Gen, rec.Writer = record.Claimed, 1, generation, "a.1/6"
-		rec.Places = []record.PlaceGroup{{Token: generation, Session: 1, Attempt: 1, Prefix: "m1", On: ":0-1"}}
+		rec.Status, rec.Attempt, rec.Generation, rec.Writer = record.Claimed, 1, generation, "a.1/6"
+		rec.Assignments = []record.AssignmentGroup{{FencingToken: generation, Incarnation: 1, Attempt: 1, Prefix: "m1", Entries: ":0-1"}}
 		return rec
 	}
 	for name, listed := range map[string]ids.Revision{"the list is as new": 26, "the list is older": 25, "not in the list": 0, "newer": 27} {
--- a/internal/claim/collect.go
+++ b/internal/claim/collect.go
@@ -66,12 +66,12 @@
 // encodeChange makes the transaction's part that stores a job as it is now; fits tells
 // whether its record fits the limit of values.
 func (c *ClusterState) encodeChange(job *workload.Job, limit int) (entry groupEntry, fits bool) {
-	entry = groupEntry{job: job, version: job.Version, terminal: job.Record.Status.Over()}
+	entry = groupEntry{job: job, version: job.Version, terminal: job.Record.Status.IsTerminal()}
 	rec := job.Record
-	rec.Gen, rec.Writer, rec.Seq = c.generation, c.writer, job.Version
+	rec.Generation, rec.Writer, rec.Seq = c.generation, c.writer, job.Version
 	encode := rec.EncodeFinal
 	if !entry.terminal {
-		rec.Places = workload.GroupAssignments(job.Assignments)
+		rec.Assignments = workload.GroupAssignments(job.Assignments)
 		encode = rec.Encode
 	}
 	raw, fits := encode(limit)
@@ -80,7 +80,7 @@
 	}
 	job.Oversize = false
 	if !entry.terminal {
-		job.RecordEncodedSize(rec.Places, len(raw)-droppableTrailBytes(rec.Trail))
+		job.RecordEncodedSize(rec.Assignments, len(raw)-droppableTrailBytes(rec.Events))
 	}
 	id := job.Record.Spec.ID
 	// A cancellation stored apart from the record must not be passed over either.
@@ -103,7 +103,7 @@
 // last lines.
 func droppableTrailBytes(trail []record.Event) (n int) {
 	for i := range trail[:max(0, len(trail)-2)] {
-		n += len(trail[i].What) + 35
+		n += len(trail[i].Message) + 35
 	}
 	return n
 }
--- a/internal/claim/dispatch.go
+++ b/internal/claim/dispatch.go
@@ -16,7 +16,7 @@
 type commandBatch struct {
 	machine      ids.Machine
 	address      string
-	incarnation  ids.Session
+	incarnation  ids.Incarnation
 	fencingToken ids.Generation
 	commands     []worker.Order
 }
--- a/internal/claim/drain.go
+++ b/internal/claim/drain.go
@@ -73,13 +73,13 @@
 		if assignment.Job.Record.Spec.Shape != record.Service || assignment.Stopping || assignment.Status != worker.Running || now.Sub(assignment.RunningSince) < minRelocatableAge {
 			continue
 		}
-		request := assignment.Job.Record.Spec.Ask()
+		request := assignment.Job.Record.Spec.PlacementRequest()
 		var best *capacity.Node
 		bestScore := 0.0
 		for node := range c.capacity.WithImage(request.Image) {
 			t, ok := c.capacity.UsableMachine(node, now, c.settings.Params.Workers.ReportS)
 			if !ok || node.Name == machine.Name || t.Zone != machine.Zone || t.Going || node.Class.Offer.Accels > 0 || !t.Images.Has(request.Image) ||
-				!node.Free().Holds(request.Need) || !request.Allows(t.Type, t.Zone, t.Spot) {
+				!node.Free().Holds(request.Resources) || !request.Allows(t.Type, t.Zone, t.Spot) {
 				continue
 			}
 			pm := c.scheduler.View(node, t, assignment.Job, nil, now)
@@ -94,7 +94,7 @@
 		if !c.mayRelocate(assignment, now) {
 			return
 		}
-		c.scheduler.Reservations.Set(best.Name, scheduler.Reservation{Job: assignment.Job.ID(), Need: request.Need, Made: now, Until: now.Add(relocationReservationTime)})
+		c.scheduler.Reservations.Set(best.Name, scheduler.Reservation{Job: assignment.Job.ID(), Need: request.Resources, Made: now, Until: now.Add(relocationReservationTime)})
 		if c.drains == nil {
 			c.stopAssignment(assignment, assignment.CheckpointGrace(), relocationReason(machine.Name))
 		} else {
--- a/internal/claim/drain_view.go
+++ b/internal/claim/drain_view.go
@@ -140,7 +140,7 @@
 }
 
 // HireAnswer tells what a hire of replacements has rented.
-func (v *drainView) HireAnswer(name ids.Hire) (machines []ids.Machine, answered bool) {
+func (v *drainView) HireAnswer(name ids.ProvisioningRequest) (machines []ids.Machine, answered bool) {
 	cluster := v.cluster
 	cluster.mu.Lock()
 	defer cluster.mu.Unlock()
@@ -165,7 +165,7 @@
 }
 
 // DrainProvisioned notes what a hire has rented.
-func (c *ClusterState) DrainProvisioned(name ids.Hire, machines []ids.Machine) {
+func (c *ClusterState) DrainProvisioned(name ids.ProvisioningRequest, machines []ids.Machine) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.drains != nil && strings.HasPrefix(string(name), rollout.HirePrefix) {
--- a/internal/claim/emptying.go
+++ b/internal/claim/emptying.go
@@ -78,7 +78,7 @@
 		for _, assignment := range unit.assignments {
 			assignment.Evicting = true
 			drains.pending[assignment] = step
-			job.Record.Evict(assignment.TaskIndex, assignment.Attempt, string(step.rollout), step.wave)
+			job.Record.AddEviction(assignment.TaskIndex, assignment.Attempt, string(step.rollout), step.wave)
 		}
 		drains.evicted[job] = true
 		c.markChanged(job)
@@ -166,7 +166,7 @@
 // mayInterrupt tells whether a task that is no replica is stopped for a drain: what can save, and
 // low work, at once; all else only when the operator chose so for after the deadline.
 func mayInterrupt(spec *record.Spec, order rollout.Order) bool {
-	return spec.Checkpoint > 0 || spec.Priority == record.Low || order.Stop
+	return spec.CheckpointInterval > 0 || spec.Priority == record.Low || order.Stop
 }
 
 // gangBlocker tells why a gang can't be stopped as a whole now; empty: it can.
@@ -218,7 +218,7 @@
 			whys = append(whys, fmt.Sprintf("%s has no room elsewhere yet", assignment.Task()))
 			continue
 		}
-		reserved[node.Name] = scheduler.Reservation{Job: unit.job.ID(), Need: unit.job.Record.Spec.Need, Made: now, Until: now.Add(evictionReservationTime)}
+		reserved[node.Name] = scheduler.Reservation{Job: unit.job.ID(), Need: unit.job.Record.Spec.Resources, Made: now, Until: now.Add(evictionReservationTime)}
 	}
 	return whys
 }
@@ -235,10 +235,10 @@
 // canStartSomewhere tells whether a job's rules leave any place for one more task, in a zone that is not
 // given up, on a machine of a type that holds it.
 func (c *ClusterState) canStartSomewhere(spec *record.Spec, zones *scheduler.ZoneSpread) bool {
-	request := spec.Ask()
+	request := spec.PlacementRequest()
 	for _, machineType := range c.capacity.Types() {
 		for _, zone := range machineType.Zones {
-			if _, closed := c.drains.orders.ClosedZones[zone]; closed || zones.Allowed(zone, 1) == 0 || !machineType.Room().Holds(request.Need) {
+			if _, closed := c.drains.orders.ClosedZones[zone]; closed || zones.Allowed(zone, 1) == 0 || !machineType.Capacity().Holds(request.Resources) {
 				continue
 			}
 			if request.Allows(machineType.Label, zone, false) || request.Allows(machineType.Label, zone, true) {
@@ -261,9 +261,9 @@
 			continue
 		}
 		for _, assignment := range c.sortedAssignmentsOn(name) {
-			request := assignment.Job.Record.Spec.Ask()
+			request := assignment.Job.Record.Spec.PlacementRequest()
 			if isService(&assignment.Job.Record.Spec) && !assignment.Stopping && !c.acceleratedMachineBooting(&request) {
-				demands = append(demands, placement.Demand{Ask: request, Count: 1, Keep: true})
+				demands = append(demands, placement.Demand{Request: request, Count: 1, Headroom: true})
 			}
 		}
 	}
@@ -272,10 +272,10 @@
 
 // acceleratedMachineBooting tells that a machine with accelerators is booting that work without them could use.
 // Rentals count no such machine as room for it, so that another would be rented at each look.
-func (c *ClusterState) acceleratedMachineBooting(request *placement.Ask) bool {
+func (c *ClusterState) acceleratedMachineBooting(request *placement.Request) bool {
 	for _, machine := range c.machines.Machines {
 		machineType := c.capacity.Type(machine.Type)
-		if machine.Booting && !machine.Heard && machineType != nil && machineType.Accels > 0 && request.Need.Accels == 0 && machineType.Room().Holds(request.Need) && request.Allows(machine.Type, machine.Zone, machine.Spot) {
+		if machine.Booting && !machine.Heard && machineType != nil && machineType.Accels > 0 && request.Resources.Accels == 0 && machineType.Capacity().Holds(request.Resources) && request.Allows(machine.Type, machine.Zone, machine.Spot) {
 			return true
 		}
 	}
@@ -293,7 +293,7 @@
 
 // findRoomAmong finds room on machines with accelerators, or on those without.
 func (c *ClusterState) findRoomAmong(job *workload.Job, zones *scheduler.ZoneSpread, reserved map[ids.Machine]scheduler.Reservation, now time.Time, accelerators bool) *capacity.Node {
-	request := job.Record.Spec.Ask()
+	request := job.Record.Spec.PlacementRequest()
 	var best *capacity.Node
 	bestScore := 0.0
 	for _, class := range c.capacity.Classes() {
@@ -304,7 +304,7 @@
 			machine, ok := c.capacity.UsableMachine(node, now, c.settings.Params.Workers.ReportS)
 			_, taken := reserved[node.Name]
 			_, reservedNow := c.scheduler.Reservations.On(node.Name, now)
-			if !ok || taken || reservedNow || machine.Going || !node.Free().Holds(request.Need) {
+			if !ok || taken || reservedNow || machine.Going || !node.Free().Holds(request.Resources) {
 				continue
 			}
 			view := c.scheduler.View(node, machine, job, nil, now)
--- a/internal/claim/evictions.go
+++ b/internal/claim/evictions.go
@@ -25,7 +25,7 @@
 	// orders are nil until the stored rollouts were read.
 	orders *rollout.Orders
 	// provisioned are what hires of replacements have rented.
-	provisioned map[ids.Hire][]ids.Machine
+	provisioned map[ids.ProvisioningRequest][]ids.Machine
 	// pending are evictions that were decided and are not stopped yet.
 	pending map[*workload.Assignment]*evictionStep
 	// evicted are the jobs whose records hold evictions.
@@ -63,10 +63,10 @@
 
 // newDrainState is nil where drains are off.
 func newDrainState(settings *config.Settings) *drainState {
-	if !settings.DrainsEnabled() || settings.Shards() > 1 {
+	if !settings.DrainsEnabled() || settings.ShardCount() > 1 {
 		return nil
 	}
-	return &drainState{budgets: settings.Budgets(), readiness: settings.Readiness(), provisioned: map[ids.Hire][]ids.Machine{},
+	return &drainState{budgets: settings.DisruptionBudgets(), readiness: settings.Readiness(), provisioned: map[ids.ProvisioningRequest][]ids.Machine{},
 		pending: map[*workload.Assignment]*evictionStep{}, evicted: map[*workload.Job]bool{},
 		blockers: map[ids.Machine][]string{}, noRoom: map[ids.Machine]bool{},
 		lostReplacements: map[ids.Machine]string{}}
@@ -206,7 +206,7 @@
 			}
 			meter.CountService(spec.Team, id, spec.Tasks, up)
 		case len(job.Record.Evictions) > 0:
-			meter.CountInterrupted(spec.Team, job.Record.Evicted())
+			meter.CountInterrupted(spec.Team, job.Record.EvictedTasks())
 		}
 	}
 	return meter
@@ -234,7 +234,7 @@
 			delete(drains.evicted, job)
 			continue
 		}
-		if job.Record.KeepEvictions(func(task int, attempt ids.Attempt) bool { return c.stillDown(job, task, attempt, now) }) {
+		if job.Record.RetainEvictions(func(task int, attempt ids.Attempt) bool { return c.stillDown(job, task, attempt, now) }) {
 			c.markChanged(job)
 		}
 	}
@@ -244,7 +244,7 @@
 func (c *ClusterState) stillDown(job *workload.Job, task int, attempt ids.Attempt, now time.Time) bool {
 	assignment := job.Assignments[task]
 	switch {
-	case !job.Schedulable() || job.Record.Finished.Has(task):
+	case !job.Schedulable() || job.Record.Finished.Contains(task):
 		return false
 	case assignment == nil || assignment.Attempt == attempt:
 		return true
@@ -270,7 +270,7 @@
 		}
 		assignment.Evicting = false
 		delete(drains.pending, assignment)
-		job.Record.KeepEvictions(func(task int, attempt ids.Attempt) bool {
+		job.Record.RetainEvictions(func(task int, attempt ids.Attempt) bool {
 			return task != assignment.TaskIndex || attempt != assignment.Attempt
 		})
 		c.markChanged(job)
@@ -280,7 +280,7 @@
 // quotaForRelocated is what a job must leave of its team's limit to tasks that rollouts have stopped and
 // that are not placed again: else lesser work that waits would take it, and a replica that was only
 // to be moved would stay down.
-func (c *ClusterState) quotaForRelocated(job *workload.Job) (kept placement.Room) {
+func (c *ClusterState) quotaForRelocated(job *workload.Job) (kept placement.Resources) {
 	drains := c.drains
 	if drains == nil {
 		return kept
@@ -291,8 +291,8 @@
 		}
 		for i := range moved.Record.Evictions {
 			moved.Record.Evictions[i].Tasks.Each(func(task int) {
-				if moved.Assignments[task] == nil && !moved.Record.Finished.Has(task) {
-					kept = kept.Plus(moved.Record.Spec.Need)
+				if moved.Assignments[task] == nil && !moved.Record.Finished.Contains(task) {
+					kept = kept.Plus(moved.Record.Spec.Resources)
 				}
 			})
 		}
--- a/internal/claim/evictions_test.go
+++ b/internal/claim/evictions_test.go
@@ -78,7 +78,7 @@
 	cluster := drainBook(t, now)
 	cluster.CarryOut(drainOrders("m1", "m2"))
 	evictNow(cluster, now)
-	if n := cluster.jobs.Get("job-1").Record.Evicted(); n != 1 || stopping(cluster) != 0 {
+	if n := cluster.jobs.Get("job-1").Record.EvictedTasks(); n != 1 || stopping(cluster) != 0 {
 		t.Fatalf("%d permits, %d stops before they are stored", n, stopping(cluster))
 	}
 	cluster.store()
@@ -92,8 +92,8 @@
 	}
 	cluster.StoreAvailable = func() bool { return true }
 	evictNow(cluster, now)
-	if stopping(cluster) != 1 || cluster.jobs.Get("job-1").Record.Evicted() != 1 {
-		t.Errorf("%d stops, %d permits", stopping(cluster), cluster.jobs.Get("job-1").Record.Evicted())
+	if stopping(cluster) != 1 || cluster.jobs.Get("job-1").Record.EvictedTasks() != 1 {
+		t.Errorf("%d stops, %d permits", stopping(cluster), cluster.jobs.Get("job-1").Record.EvictedTasks())
 	}
 }
 
@@ -106,14 +106,14 @@
 	cluster.store()
 	cluster.CarryOut(rollout.NewOrders())
 	evictNow(cluster, now)
-	if n := cluster.jobs.Get("job-1").Record.Evicted(); n != 1 {
+	if n := cluster.jobs.Get("job-1").Record.EvictedTasks(); n != 1 {
 		t.Fatalf("%d permits are left while an earlier stop may arrive", n)
 	}
 	for i := range 4 {
 		hear(cluster, ids.Machine(fmt.Sprint("m", i+1)), cluster.firstGeneration, now)
 	}
 	evictNow(cluster, now)
-	if n := cluster.jobs.Get("job-1").Record.Evicted(); n != 0 || stopping(cluster) != 0 {
+	if n := cluster.jobs.Get("job-1").Record.EvictedTasks(); n != 0 || stopping(cluster) != 0 {
 		t.Errorf("%d permits are left, %d stops", n, stopping(cluster))
 	}
 }
@@ -139,7 +139,7 @@
 			cluster.capacity.ImageArrived(node, cluster.machines.Machines[node.Name], from.Job.Record.Spec.Image, 1, 100)
 		}
 		cluster.relocateReplica(cluster.machines.Machines[from.Machine], now)
-		if n := cluster.jobs.Get("job-1").Record.Evicted(); n != c.moved || stopping(cluster) != 0 {
+		if n := cluster.jobs.Get("job-1").Record.EvictedTasks(); n != c.moved || stopping(cluster) != 0 {
 			t.Errorf("with %d down: %d permits, %d stops without one", c.down, n, stopping(cluster))
 		}
 	}
@@ -171,12 +171,12 @@
 	cluster := drainBook(t, now)
 	interrupted := uint32(2)
 	cluster.settings.Features.Drains.DefaultBudget = &config.DisruptionBudget{TasksInterrupted: &interrupted}
-	cluster.drains.budgets = cluster.settings.Budgets()
+	cluster.drains.budgets = cluster.settings.DisruptionBudgets()
 	for _, name := range []ids.Machine{"m5", "m6"} {
 		hear(cluster, name, cluster.firstGeneration, now)
 	}
 	gang := newRecord("job-2", "red", record.Normal, 2, 4)
-	gang.Spec.Shape, gang.Spec.Checkpoint, gang.Spec.Save = record.Gang, 10, 1
+	gang.Spec.Shape, gang.Spec.CheckpointInterval, gang.Spec.CheckpointDuration = record.Gang, 10, 1
 	cluster.HandleRecord("job-2", 1, gang, now)
 	cluster.Plan(now)
 	cluster.store()
@@ -204,7 +204,7 @@
 	// Where nothing else has room, or a rollout that rents first would wait for ever.
 	now := time.Now()
 	cluster := drainBook(t, now)
-	cluster.SetMachineTypes(append(testTypes(), placement.Type{Label: "dear", Cores: 8, Accels: 2, RAM: 64, Zones: []string{"north"}}))
+	cluster.SetMachineTypes(append(testTypes(), placement.InstanceType{Label: "dear", Cores: 8, Accels: 2, RAM: 64, Zones: []string{"north"}}))
 	job := cluster.jobs.Get("job-1")
 	if node := cluster.findRoom(job, nil, nil, now); node != nil {
 		t.Fatalf("room on %s, which is full", node.Name)
@@ -245,25 +245,25 @@
 
 func TestEvictionsSurviveInTheRecord(t *testing.T) {
 	rec := newRecord("job-1", "red", record.Normal, 3, 1)
-	rec.Evict(0, 1, "spring", 1)
-	rec.Evict(1, 1, "spring", 1)
-	rec.Evict(0, 2, "spring", 2)
+	rec.AddEviction(0, 1, "spring", 1)
+	rec.AddEviction(1, 1, "spring", 1)
+	rec.AddEviction(0, 2, "spring", 2)
 	raw, fits := rec.Encode(8192)
 	if !fits {
 		t.Fatal("does not fit")
 	}
 	back, err := record.Decode(raw)
-	if err != nil || back.Evicted() != 2 {
-		t.Fatalf("%d evicted tasks: %v", back.Evicted(), err)
+	if err != nil || back.EvictedTasks() != 2 {
+		t.Fatalf("%d evicted tasks: %v", back.EvictedTasks(), err)
 	}
 	if attempt, evicted := back.EvictedAttempt(0); !evicted || attempt != 2 {
 		t.Errorf("task 0 under attempt %d", attempt)
 	}
-	if !back.KeepEvictions(func(task int, _ ids.Attempt) bool { return task != 0 }) || back.Evicted() != 1 {
-		t.Errorf("%d left", back.Evicted())
+	if !back.RetainEvictions(func(task int, _ ids.Attempt) bool { return task != 0 }) || back.EvictedTasks() != 1 {
+		t.Errorf("%d left", back.EvictedTasks())
 	}
 	for i := range 2000 {
-		back.Evict(2*i, 1, "spring", 3)
+		back.AddEviction(2*i, 1, "spring", 3)
 	}
 	if back.EvictionsFit(8192) {
 		t.Error("thousands of evictions take no more than their share of a value")
--- a/internal/claim/failing_jobs.go
+++ b/internal/claim/failing_jobs.go
@@ -4,14 +4,13 @@
 	"log/slog"
 	"time"
 
-	"github.com/pebbletrail/pebbletrail/internal/workload"
-
 	"github.com/pebbletrail/pebbletrail/internal/worker"
+	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
 // backoff is how waits between the tries of failing tasks grow, by the operators' settings.
 func (c *ClusterState) backoff() workload.Backoff {
-	return workload.Backoff{First: c.settings.Own.BackoffS, Max: c.settings.Own.BackoffMaxS}
+	return workload.Backoff{First: c.settings.Operator.BackoffS, Max: c.settings.Operator.BackoffMaxS}
 }
 
 // recordFailure takes in that a task failed on a machine.
@@ -25,7 +24,7 @@
 		c.clearFailures(job)
 		return
 	}
-	job.Record.FailedOn = max(job.Record.FailedOn, len(f.ByMachine))
+	job.Record.FailedMachines = max(job.Record.FailedMachines, len(f.ByMachine))
 	// Of a whole round's failures the first one counts.
 	if job.Failing() && !now.Before(f.NotBefore) {
 		f.Rounds++
@@ -39,13 +38,13 @@
 // blame one for jobs that may all be at fault themselves would cost good machines.
 func (c *ClusterState) clearFailures(job *workload.Job) {
 	on := job.Failures.ByMachine
-	job.Failures, job.Record.FailedOn = workload.FailureHistory{}, 0
+	job.Failures, job.Record.FailedMachines = workload.FailureHistory{}, 0
 	for name, n := range on {
 		machine := c.machines.Machines[name]
 		if machine == nil {
 			continue
 		}
-		if machine.Faults += n; machine.Faults >= int(c.settings.Own.FaultyAfter) && machine.Draining == "" {
+		if machine.Faults += n; machine.Faults >= int(c.settings.Operator.FaultyAfter) && machine.Draining == "" {
 			machine.Draining = "tasks keep failing there"
 			c.leaving[machine.Name] = true
 			slog.Warn("machine drained", "machine", machine.Name, "why", machine.Draining)
--- a/internal/claim/failing_jobs_test.go
+++ b/internal/claim/failing_jobs_test.go
@@ -16,7 +16,7 @@
 
 // play lets every machine report what is placed on it: ends tells how a task ends
 // at once, empty while it runs.
-func (c *ClusterState) play(tick ids.Tick, ends func(assignment *workload.Assignment) string) {
+func (c *ClusterState) play(tick ids.SequenceNumber, ends func(assignment *workload.Assignment) string) {
 	on := map[ids.Machine][]worker.Piece{}
 	for _, job := range c.jobs.All() {
 		for _, assignment := range job.Assignments {
@@ -51,7 +51,7 @@
 		good.Spec.Class = "g"
 		cluster.HandleRecord("job-2", 1, good, time.Now())
 		starts, most := 0, 0
-		for tick := ids.Tick(2); tick < 180; tick++ { // three minutes, a report a second
+		for tick := ids.SequenceNumber(2); tick < 180; tick++ { // three minutes, a report a second
 			now := time.Now()
 			before := cluster.jobs.Get("job-1").Record.Attempt
 			cluster.Plan(now)
@@ -63,7 +63,7 @@
 			if tick > 10 {
 				demands, _, _ := cluster.CapacityDemands(now)
 				for _, d := range demands {
-					if d.Ask.Image == "i" && !d.Keep && d.Count > 0 && cluster.jobs.Get("job-2").Unassigned() == 0 {
+					if d.Request.Image == "i" && !d.Headroom && d.Count > 0 && cluster.jobs.Get("job-2").Unassigned() == 0 {
 						t.Fatalf("rented for %d tasks that fail wherever they run", d.Count)
 					}
 				}
@@ -99,7 +99,7 @@
 		// A new leader knows it from the record, and does not start all of it again.
 		heir := fleet(t, 30)
 		r := cluster.jobs.Get("job-1").Record
-		r.Places = nil
+		r.Assignments = nil
 		heir.HandleRecord("job-1", 1, &r, time.Now())
 		heir.Plan(time.Now())
 		if n := len(heir.jobs.Get("job-1").Assignments); n != 1 {
@@ -121,7 +121,7 @@
 		cluster := fleet(t, 4)
 		cluster.HandleRecord("job-1", 1, newRecord("job-1", "blue", record.Normal, 8, 1), time.Now())
 		var bad ids.Machine
-		for tick := ids.Tick(2); tick < 30; tick++ {
+		for tick := ids.SequenceNumber(2); tick < 30; tick++ {
 			cluster.Plan(time.Now())
 			cluster.store()
 			if bad == "" {
@@ -154,7 +154,7 @@
 		rec.Spec.Shape = record.Service
 		cluster.HandleRecord("job-1", 1, rec, time.Now())
 		failed := map[ids.Machine]bool{}
-		for tick := ids.Tick(2); tick < 120; tick++ {
+		for tick := ids.SequenceNumber(2); tick < 120; tick++ {
 			cluster.Plan(time.Now())
 			cluster.store()
 			cluster.play(tick, func(assignment *workload.Assignment) string {
@@ -180,21 +180,21 @@
 	synctest.Test(t, func(t *testing.T) {
 		cluster := fleet(t, 200)
 		rec := newRecord("job-1", "blue", record.Low, 25000, 0.25)
-		rec.Spec.Need.RAM = 0.9
+		rec.Spec.Resources.RAM = 0.9
 		cluster.HandleRecord("job-1", 1, rec, time.Now())
 		job := cluster.jobs.Get("job-1")
 		limit := int(cluster.settings.Params.State.ValueKB * 1024)
 		most, seconds := 0, 0
-		for tick := ids.Tick(2); job.Unfinished() > 0 && seconds < 600; tick++ {
+		for tick := ids.SequenceNumber(2); job.Unfinished() > 0 && seconds < 600; tick++ {
 			cluster.Plan(time.Now())
 			full := job.Record
-			full.Gen, full.Writer, full.Seq = cluster.generation, cluster.writer, job.Version
-			full.Places = workload.GroupAssignments(job.Assignments)
+			full.Generation, full.Writer, full.Seq = cluster.generation, cluster.writer, job.Version
+			full.Assignments = workload.GroupAssignments(job.Assignments)
 			raw, ok := full.Encode(limit)
 			if !ok {
 				t.Fatalf("%d places do not fit", len(job.Assignments))
 			}
-			job.RecordEncodedSize(full.Places, len(raw))
+			job.RecordEncodedSize(full.Assignments, len(raw))
 			cluster.store()
 			most = max(most, len(job.Assignments))
 			cluster.play(tick, func(assignment *workload.Assignment) string {
@@ -269,8 +269,8 @@
 	})
 }
 
-func hireOf(label, zone string) placement.Hire {
-	return placement.Hire{Type: label, Zone: zone, Count: 1}
+func hireOf(label, zone string) placement.ProvisioningRequest {
+	return placement.ProvisioningRequest{Type: label, Zone: zone, Count: 1}
 }
 
 func TestPlacesReadBackAsTheyWere(t *testing.T) {
@@ -278,10 +278,10 @@
 	// Sessions, attempts and tokens apart, and names of which one begins another.
 	places := map[int]*workload.Assignment{}
 	for i := range 400 {
-		places[i*7%1000] = &workload.Assignment{TaskIndex: i * 7 % 1000, Machine: ids.Machine(fmt.Sprintf("host-%d", i%37)), Incarnation: ids.Session(1 + i%11/10),
+		places[i*7%1000] = &workload.Assignment{TaskIndex: i * 7 % 1000, Machine: ids.Machine(fmt.Sprintf("host-%d", i%37)), Incarnation: ids.Incarnation(1 + i%11/10),
 			Attempt: ids.Attempt(1 + i%5/3*i), FencingToken: ids.Generation(3 + i%100/97)}
 	}
-	rec := &record.Record{Places: workload.GroupAssignments(places)}
+	rec := &record.Record{Assignments: workload.GroupAssignments(places)}
 	raw, ok := rec.Encode(1 << 20)
 	if !ok {
 		t.Fatal("not encoded")
@@ -291,9 +291,9 @@
 		t.Fatal(err)
 	}
 	n := 0
-	back.EachPlace(func(i int, at record.Location) {
+	back.EachAssignment(func(i int, at record.Location) {
 		n++
-		if assignment := places[i]; assignment == nil || at != (record.Location{Machine: assignment.Machine, Session: assignment.Incarnation, Attempt: assignment.Attempt, Token: assignment.FencingToken}) {
+		if assignment := places[i]; assignment == nil || at != (record.Location{Machine: assignment.Machine, Incarnation: assignment.Incarnation, Attempt: assignment.Attempt, FencingToken: assignment.FencingToken}) {
 			t.Errorf("task %d is read back as %v", i, at)
 		}
 	})
--- a/internal/claim/fairness_test.go
+++ b/internal/claim/fairness_test.go
@@ -21,12 +21,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		cluster := fleet(t, 10)
 		const runs = 10 * time.Second
-		tick, ended := ids.Tick(1), map[workload.TaskAttempt]bool{}
+		tick, ended := ids.SequenceNumber(1), map[workload.TaskAttempt]bool{}
 		begun := map[ids.Job]time.Duration{}
 		large := map[ids.Job]time.Time{}
 		add := func(id ids.Job, team string, p record.Priority, tasks int, cores float64, est ids.Seconds) {
 			rec := newRecord(id, team, p, tasks, cores)
-			rec.Spec.Estimate = est
+			rec.Spec.EstimatedDuration = est
 			cluster.HandleRecord(id, ids.Revision(cluster.jobs.Retired()+cluster.jobs.Len()+1), rec, time.Now())
 		}
 		for second := range 420 {
@@ -74,11 +74,11 @@
 	now := time.Now()
 	cluster := fleet(t, 4)
 	large := newRecord("job-1", "blue", record.Low, 150, 4)
-	large.Submitted = ids.WallOf(now.Add(-3 * time.Minute))
+	large.Submitted = ids.TimestampOf(now.Add(-3 * time.Minute))
 	cluster.HandleRecord("job-1", 1, large, now)
 	for i := range 20 {
 		small := newRecord(ids.Job(fmt.Sprintf("job-%d", 10+i)), "red", record.Normal, 1, 1)
-		small.Submitted = ids.WallOf(now.Add(-2 * time.Minute))
+		small.Submitted = ids.TimestampOf(now.Add(-2 * time.Minute))
 		cluster.HandleRecord(small.Spec.ID, ids.Revision(10+i), small, now)
 	}
 	if first := cluster.scheduler.Ranked(now)[0].Record.Spec.ID; first != "job-1" {
@@ -121,7 +121,7 @@
 	// a job waited for ever beside a stream of smaller work.
 	synctest.Test(t, func(t *testing.T) {
 		cluster := fleet(t, 10)
-		tick, ended := ids.Tick(1), map[workload.TaskAttempt]bool{}
+		tick, ended := ids.SequenceNumber(1), map[workload.TaskAttempt]bool{}
 		cluster.HandleRecord("job-90001", 1, newRecord("job-90001", "blue", record.Low, 150, 4), time.Now())
 		cluster.Plan(time.Now())
 		large := cluster.jobs.Get("job-90001")
@@ -162,7 +162,7 @@
 
 // serve lets a second pass on every machine: tasks placed run for a while, and
 // end done.
-func (c *ClusterState) serve(tick ids.Tick, runs time.Duration, ended map[workload.TaskAttempt]bool) {
+func (c *ClusterState) serve(tick ids.SequenceNumber, runs time.Duration, ended map[workload.TaskAttempt]bool) {
 	for name := range c.machines.Machines {
 		var ps []worker.Piece
 		for assignment := range c.capacity.AssignmentsOn(name) {
@@ -178,7 +178,7 @@
 		c.hear(name, c.machines.Machines[name].Zone, tick, ps...)
 	}
 	for _, job := range c.changes.All() {
-		if job.Record.Status.Over() {
+		if job.Record.Status.IsTerminal() {
 			job.StoredVersion = job.Version
 			c.retireJob(job)
 		}
@@ -205,7 +205,7 @@
 			rec := newRecord(ids.Job(fmt.Sprint("job-", n)), fmt.Sprint("team-", team), p, tasks, cores)
 			rec.Spec.Shape, rec.Spec.Class, rec.Spec.Image = shape, what, "image-"+what
 			if shape == record.Service {
-				rec.Spec.Estimate = 0
+				rec.Spec.EstimatedDuration = 0
 			}
 			cluster.HandleRecord(rec.Spec.ID, ids.Revision(n), rec, time.Now())
 			jobs[rec.Spec.ID] = what
@@ -217,7 +217,7 @@
 		pass := func(second int) {
 			cluster.Plan(time.Now())
 			cluster.store()
-			cluster.serve(ids.Tick(second+2), 10*time.Second, ended)
+			cluster.serve(ids.SequenceNumber(second+2), 10*time.Second, ended)
 			time.Sleep(time.Second)
 		}
 		for i := range 40 {
@@ -274,7 +274,7 @@
 		cluster.settings.Params.Teams[1].CPUs = 0
 		gang := func(id ids.Job, tasks int) {
 			rec := newRecord(id, "blue", record.High, tasks, 4)
-			rec.Spec.Shape, rec.Spec.OneZone, rec.Spec.Estimate = record.Gang, true, 100
+			rec.Spec.Shape, rec.Spec.SingleZone, rec.Spec.EstimatedDuration = record.Gang, true, 100
 			cluster.HandleRecord(id, 1, rec, time.Now())
 		}
 		began, submitted := time.Duration(0), time.Now()
@@ -289,7 +289,7 @@
 			}
 			cluster.Plan(time.Now())
 			cluster.store()
-			cluster.play(ids.Tick(sec+2), func(assignment *workload.Assignment) string {
+			cluster.play(ids.SequenceNumber(sec+2), func(assignment *workload.Assignment) string {
 				if _, ok := left[assignment]; !ok {
 					left[assignment] = time.Duration(70+assignment.Job.Record.Submitted.Time().Second()) * time.Second // 70 to 130 s
 				}
--- a/internal/claim/fleet_test.go
+++ b/internal/claim/fleet_test.go
@@ -1,8 +1,6 @@
 package claim
 
 import (
-	"github.com/pebbletrail/pebbletrail/internal/wait"
-
 	"context"
 	"encoding/json"
 	"fmt"
@@ -15,13 +13,14 @@
 	"github.com/pebbletrail/pebbletrail/internal/fake"
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 	"github.com/pebbletrail/pebbletrail/internal/record"
+	"github.com/pebbletrail/pebbletrail/internal/wait"
 	"github.com/pebbletrail/pebbletrail/internal/worker"
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
 // obey answers direct commands like a worker that does as told.
 func obey(name ids.Machine) http.Handler {
-	tick := ids.Tick(100)
+	tick := ids.SequenceNumber(100)
 	pieces := []worker.Piece{}
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		var in worker.Reply
@@ -253,7 +252,7 @@
 		for i, m := range at {
 			places[i] = &workload.Assignment{TaskIndex: i, Machine: ids.Machine(m), Incarnation: 1, Attempt: 1, FencingToken: 3}
 		}
-		rec.Places = workload.GroupAssignments(places)
+		rec.Assignments = workload.GroupAssignments(places)
 		cluster.Load(map[ids.Job]*record.Record{id: rec}, map[ids.Job]ids.Revision{id: 1}, 0, now)
 	}
 	service("job-1", 5, map[int]string{0: "n0", 1: "n1", 2: "s0", 3: "s0", 4: "s1"}) // one may move
@@ -301,8 +300,8 @@
 	}
 	cluster.ExpireLeases(now.Add(time.Second))
 	trail := func() (out []string) {
-		for _, e := range cluster.jobs.Get("job-1").Record.Trail {
-			out = append(out, e.What)
+		for _, e := range cluster.jobs.Get("job-1").Record.Events {
+			out = append(out, e.Message)
 		}
 		return out
 	}
--- a/internal/claim/hints.go
+++ b/internal/claim/hints.go
@@ -15,7 +15,7 @@
 	Type    string
 	Zone    string
 	Spot    bool
-	Session ids.Session
+	Session ids.Incarnation
 	Images  worker.Images
 	// Coming tells that it is rented and not up yet, since Held ago. The cloud's
 	// list lags, and a new leader that knows nothing of it would rent another.
--- a/internal/claim/inheritance_test.go
+++ b/internal/claim/inheritance_test.go
@@ -63,7 +63,7 @@
 				if got := first.EffectivePriority(); got != c.first {
 					t.Errorf("the first has priority %s, not %s", got, c.first)
 				}
-				if got := record.Priority(cluster.dependencies.graph.Inherited("job-3").Priority); got != c.branch {
+				if got := record.Priority(cluster.dependencies.graph.InheritedUrgency("job-3").Priority); got != c.branch {
 					t.Errorf("the other branch inherits %s, not %s", got, c.branch)
 				}
 			})
@@ -139,13 +139,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		now := time.Now()
 		waited := newRecord("job-1", "blue", record.Low, 50, 1)
-		waited.Submitted, waited.Ready = ids.WallOf(now.Add(-200*time.Second)), ids.WallOf(now)
-		waited.Spec.Due = 250
+		waited.Submitted, waited.ReadyAt = ids.TimestampOf(now.Add(-200*time.Second)), ids.TimestampOf(now)
+		waited.Spec.Deadline = 250
 		cluster := testBook()
 		cluster.settings.Params.Teams[1].CPUs = 0
 		cluster.HandleRecord("job-1", 1, waited, now)
 		cluster.HandleRecord("job-2", 2, newRecord("job-2", "blue", record.Normal, 1, 1), now)
-		cluster.jobs.Get("job-2").Record.Submitted = ids.WallOf(now.Add(60 * time.Second))
+		cluster.jobs.Get("job-2").Record.Submitted = ids.TimestampOf(now.Add(60 * time.Second))
 		job := cluster.jobs.Get("job-1")
 		for _, c := range []struct {
 			after          time.Duration
@@ -157,7 +157,7 @@
 			}
 		}
 		cluster.HandleRecord("job-3", 3, newRecord("job-3", "blue", record.Low, 1, 1), now) // among low jobs it rises after 45 s
-		cluster.jobs.Get("job-3").Record.Submitted = ids.WallOf(now.Add(20 * time.Second))
+		cluster.jobs.Get("job-3").Record.Submitted = ids.TimestampOf(now.Add(20 * time.Second))
 		for after, first := range map[time.Duration]bool{44 * time.Second: false, 46 * time.Second: true} {
 			order := cluster.scheduler.Ranked(now.Add(after))
 			if got := order[1] == job; got != first {
--- a/internal/claim/listed.go
+++ b/internal/claim/listed.go
@@ -12,7 +12,7 @@
 )
 
 // MachinesRented notes machines just rented.
-func (c *ClusterState) MachinesRented(names []ids.Machine, h placement.Hire, now time.Time) {
+func (c *ClusterState) MachinesRented(names []ids.Machine, h placement.ProvisioningRequest, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, n := range names {
@@ -110,14 +110,14 @@
 		machineType := c.capacity.Type(machine.Type)
 		e := ConsolidationCandidate{Name: name}
 		for assignment := range ps {
-			if assignment.Job.Record.Spec.Shape != record.Service || assignment.Stopping || assignment.Status != worker.Running || now.Sub(assignment.RunningSince) < minRelocatableAge || assignment.Job.Record.Spec.Need.Accels > 0 {
+			if assignment.Job.Record.Spec.Shape != record.Service || assignment.Stopping || assignment.Status != worker.Running || now.Sub(assignment.RunningSince) < minRelocatableAge || assignment.Job.Record.Spec.Resources.Accels > 0 {
 				continue next
 			}
-			request := assignment.Job.Record.Spec.Ask()
+			request := assignment.Job.Record.Spec.PlacementRequest()
 			request.Zone = machine.Zone
-			e.Needs = append(e.Needs, placement.Demand{Ask: request, Count: 1, Keep: true})
+			e.Needs = append(e.Needs, placement.Demand{Request: request, Count: 1, Headroom: true})
 		}
-		worth[name] = c.capacity.AllocatedOn(name).Cores / machineType.PriceOf(machine.Spot)
+		worth[name] = c.capacity.AllocatedOn(name).Cores / machineType.HourlyPrice(machine.Spot)
 		out = append(out, e)
 	}
 	sort.Slice(out, func(x, y int) bool {
--- a/internal/claim/needs.go
+++ b/internal/claim/needs.go
@@ -18,7 +18,7 @@
 // classUsage remembers how much a class of jobs used lately, so that room is kept
 // for work that must start sooner than a machine boots.
 type classUsage struct {
-	request    placement.Ask
+	request    placement.Request
 	spread     bool
 	critical   bool
 	shape      record.Shape
@@ -47,8 +47,8 @@
 			usage = &classUsage{}
 			c.usage[spec.Class] = usage
 		}
-		usage.request, usage.spread, usage.critical, usage.shape = spec.Ask(), spec.Spread, spec.Priority == record.Critical, spec.Shape
-		usage.request.Types, usage.request.Zone = spec.Types, ""
+		usage.request, usage.spread, usage.critical, usage.shape = spec.PlacementRequest(), spec.Spread, spec.Priority == record.Critical, spec.Shape
+		usage.request.InstanceTypes, usage.request.Zone = spec.InstanceTypes, ""
 		usage.runningNow += len(job.Assignments)
 		if job.Schedulable() && !job.Failing() {
 			n := job.Unfinished()
@@ -75,7 +75,7 @@
 
 // CapacityDemands is what the fleet should provide, most important first, and what is
 // there.
-func (c *ClusterState) CapacityDemands(now time.Time) (demands []placement.Demand, ups []placement.Up, types []*placement.Type) {
+func (c *ClusterState) CapacityDemands(now time.Time) (demands []placement.Demand, ups []placement.Instance, types []*placement.InstanceType) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	defer measure.Process.Took("weighing the fleet", time.Now())
@@ -96,9 +96,9 @@
 		if machine.Heard && !machine.Usable(now, c.settings.Params.Workers.ReportS) || machine.Name == c.consolidating {
 			continue
 		}
-		u := placement.Up{Name: machine.Name, Type: machineType, Zone: machine.Zone, Spot: machine.Spot, Coming: !machine.Heard, Late: late[machine.Name], Free: machineType.Room(), Idle: machine.Heard}
+		u := placement.Instance{Name: machine.Name, Type: machineType, Zone: machine.Zone, Spot: machine.Spot, Pending: !machine.Heard, Overdue: late[machine.Name], Free: machineType.Capacity(), Idle: machine.Heard}
 		if node := c.capacity.Node(machine.Name); node != nil {
-			u.Free, u.Turn, u.Idle = u.Free.Minus(node.Used), node.Reclaimable, machine.Heard && len(node.Assignments) == 0
+			u.Free, u.Reclaimable, u.Idle = u.Free.Minus(node.Used), node.Reclaimable, machine.Heard && len(node.Assignments) == 0
 		}
 		ups = append(ups, u)
 	}
@@ -121,16 +121,16 @@
 	}
 	turn = 1
 	slots = float64(n)
-	if spec.Estimate > 0 && (spec.Shape == record.Array || spec.Shape == record.Gang && spec.Tasks == 1) {
-		takes := float64(spec.Estimate)
+	if spec.EstimatedDuration > 0 && (spec.Shape == record.Array || spec.Shape == record.Gang && spec.Tasks == 1) {
+		takes := float64(spec.EstimatedDuration)
 		if spec.Shape == record.Gang {
 			takes += c.estimates.ImagePullSeconds(spec) / 2 // about every second one has to fetch
 		}
 		share := min(1, takes/c.estimates.QueueHorizon(job))
 		slots *= share
 	}
-	if spec.Estimate > 0 {
-		turn = min(1, c.estimates.QueueHorizon(job)/max(runs[spec.Class], float64(spec.Estimate)))
+	if spec.EstimatedDuration > 0 {
+		turn = min(1, c.estimates.QueueHorizon(job)/max(runs[spec.Class], float64(spec.EstimatedDuration)))
 	}
 	return slots, turn
 }
@@ -140,7 +140,7 @@
 	sum, n := map[string]float64{}, map[string]float64{}
 	for _, job := range c.jobs.Ordered() {
 		if k := float64(len(job.Assignments)); k > 0 {
-			sum[job.Record.Spec.Class] += k * float64(job.Record.Spec.Estimate)
+			sum[job.Record.Spec.Class] += k * float64(job.Record.Spec.EstimatedDuration)
 			n[job.Record.Spec.Class] += k
 		}
 	}
@@ -156,7 +156,7 @@
 	type group struct {
 		class      string
 		guaranteed bool
-		need       placement.Room
+		need       placement.Resources
 		zone       string
 		types      string
 		job        ids.Job // of those that need a zone of their own choice
@@ -171,9 +171,9 @@
 			continue
 		}
 		spec := &job.Record.Spec
-		request := spec.Ask()
-		g := group{class: spec.Class, guaranteed: job.Guaranteed, need: spec.Need, types: strings.Join(spec.Types, ",")}
-		if spec.OneZone && spec.Tasks > 1 {
+		request := spec.PlacementRequest()
+		g := group{class: spec.Class, guaranteed: job.Guaranteed, need: spec.Resources, types: strings.Join(spec.InstanceTypes, ",")}
+		if spec.SingleZone && spec.Tasks > 1 {
 			g.job = spec.ID
 			for _, assignment := range job.Assignments {
 				if machine := c.machines.Machines[assignment.Machine]; machine != nil && machine.Zone != "" {
@@ -184,7 +184,7 @@
 		g.zone = request.Zone
 		if _, ok := at[g]; !ok {
 			at[g] = len(demands)
-			demands = append(demands, placement.Demand{Ask: request, Spread: spec.Spread, Together: g.job != "" && request.Zone == "", Preempt: job.EffectivePriority() >= record.High, TurnShare: turn})
+			demands = append(demands, placement.Demand{Request: request, Spread: spec.Spread, SameZone: g.job != "" && request.Zone == "", Preempt: job.EffectivePriority() >= record.High, ReclaimableShare: turn})
 		}
 		sums[g] += slots
 	}
@@ -206,13 +206,13 @@
 	for _, class := range classes {
 		usage := c.usage[class]
 		if usage.critical {
-			n := max(1, int(math.Ceil(c.settings.Own.SpareShare*float64(usage.runningNow))))
-			demands = append(demands, placement.Demand{Ask: usage.request, Count: n, Spread: true, Keep: true, Preempt: true, TurnShare: 1})
+			n := max(1, int(math.Ceil(c.settings.Operator.SpareShare*float64(usage.runningNow))))
+			demands = append(demands, placement.Demand{Request: usage.request, Count: n, Spread: true, Headroom: true, Preempt: true, ReclaimableShare: 1})
 			continue
 		}
 		if usage.shape == record.Array && c.hasObjective(class) {
 			if n := min(usage.highWatermark()-max(usage.runningNow, usage.wantedNow), c.affordableHeadroom(usage)); n > 0 {
-				demands = append(demands, placement.Demand{Ask: usage.request, Count: n, Keep: true})
+				demands = append(demands, placement.Demand{Request: usage.request, Count: n, Headroom: true})
 			}
 			continue
 		}
@@ -226,7 +226,7 @@
 			n = 2 * (usage.wantedNow + 1)
 		}
 		if n > 0 {
-			demands = append(demands, placement.Demand{Ask: usage.request, Count: n, Keep: true, Hold: young, Preempt: usage.shape == record.Gang, TurnShare: 1})
+			demands = append(demands, placement.Demand{Request: usage.request, Count: n, Headroom: true, NoScaleOut: young, Preempt: usage.shape == record.Gang, ReclaimableShare: 1})
 		}
 	}
 	return demands
@@ -258,16 +258,16 @@
 	fleet := 0.0
 	for _, machine := range c.machines.Machines {
 		if machineType := c.capacity.Type(machine.Type); machineType != nil {
-			fleet += machineType.PriceOf(machine.Spot)
+			fleet += machineType.HourlyPrice(machine.Spot)
 		}
 	}
 	each := math.Inf(1)
 	for _, machineType := range c.capacity.Types() {
-		if n := machineType.Room().Count(usage.request.Need, 1000); n > 0 && (usage.request.Types == nil || usage.request.Allows(machineType.Label, usage.request.Zone, false)) {
+		if n := machineType.Capacity().CountFitting(usage.request.Resources, 1000); n > 0 && (usage.request.InstanceTypes == nil || usage.request.Allows(machineType.Label, usage.request.Zone, false)) {
 			each = min(each, machineType.Price/float64(n))
 		}
 	}
-	return int(c.settings.Own.BurstCostShare * fleet / each)
+	return int(c.settings.Operator.BurstCostShare * fleet / each)
 }
 
 // expectedConcurrency is how many tasks of the class to have room for: the mean placed and
@@ -291,7 +291,7 @@
 func (c *ClusterState) startsBeforeProvisioning(class string, usage *classUsage) bool {
 	slowest := math.Inf(1)
 	for _, machineType := range c.capacity.Types() {
-		if machineType.Room().Holds(usage.request.Need) && (usage.request.Types == nil || usage.request.Allows(machineType.Label, usage.request.Zone, false)) {
+		if machineType.Capacity().Holds(usage.request.Resources) && (usage.request.InstanceTypes == nil || usage.request.Allows(machineType.Label, usage.request.Zone, false)) {
 			slowest = min(slowest, float64(machineType.BootS)+usage.request.ImageGB/max(machineType.PullGBPerS, 0.01))
 		}
 	}
--- a/internal/claim/other_shards.go
+++ b/internal/claim/other_shards.go
@@ -15,7 +15,7 @@
 
 // inShard tells whether a job belongs to this leader's shard.
 func (c *ClusterState) inShard(id ids.Job) bool {
-	return ids.ShardOf(id, c.settings.Shards()) == c.shard
+	return ids.ShardOf(id, c.settings.ShardCount()) == c.shard
 }
 
 // checkOtherShard tells the graph of the cancellation of an awaited job of another shard, and
@@ -44,7 +44,7 @@
 func (c *ClusterState) HandleOtherShardChange(id ids.Job, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.dependencies.graph.Awaited(id) {
+	if c.dependencies.graph.HasDependents(id) {
 		c.checkAwaited(id, now)
 	}
 }
--- a/internal/claim/outcomes.go
+++ b/internal/claim/outcomes.go
@@ -1,8 +1,6 @@
 package claim
 
 import (
-	"github.com/pebbletrail/pebbletrail/internal/wait"
-
 	"context"
 	"log/slog"
 	"slices"
@@ -11,6 +9,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 	"github.com/pebbletrail/pebbletrail/internal/record"
 	"github.com/pebbletrail/pebbletrail/internal/state"
+	"github.com/pebbletrail/pebbletrail/internal/wait"
 )
 
 // Final records are kept for ever, so what it costs to look some up must depend on
@@ -140,7 +139,7 @@
 	cluster.mu.Lock()
 	defer cluster.mu.Unlock()
 	rec, err := record.Decode(entry.Value)
-	if err != nil || !rec.Status.Over() {
+	if err != nil || !rec.Status.IsTerminal() {
 		slog.Error("unreadable record", "key", entry.Key, "err", err)
 		cluster.dependencies.lookups[id] = now.Add(lookupRetryDelay)
 		return
@@ -161,7 +160,7 @@
 	cluster := c.Cluster
 	cluster.mu.Lock()
 	defer cluster.mu.Unlock()
-	if cluster.jobs.Get(id) == nil && !cluster.jobs.IsRetired(id) && !rec.Status.Over() {
+	if cluster.jobs.Get(id) == nil && !cluster.jobs.IsRetired(id) && !rec.Status.IsTerminal() {
 		cluster.addJob(rec, entry.Revision, now)
 		signal(cluster.planSignal)
 	}
--- a/internal/claim/oversize.go
+++ b/internal/claim/oversize.go
@@ -47,15 +47,15 @@
 // so that half of the value is free again for places. The others start again; as their
 // results are kept, they exit as done once they have their image.
 func (c *ClusterState) forgetScattered(job *workload.Job, limit int) {
-	if job.Record.Finished.Runs() < 2 {
+	if job.Record.Finished.SpanCount() < 2 {
 		return // that is not what makes it large
 	}
-	for runs := job.Record.Finished.Runs(); runs > 1; {
+	for runs := job.Record.Finished.SpanCount(); runs > 1; {
 		runs /= 2
-		job.Record.Finished = job.Record.Finished.Longest(runs)
+		job.Record.Finished = job.Record.Finished.LongestSpans(runs)
 		job.KeptRuns = runs
 		rec := job.Record
-		rec.Trail = nil
+		rec.Events = nil
 		if _, fits := rec.Encode(limit / 2); fits {
 			break
 		}
--- a/internal/claim/oversize_record_test.go
+++ b/internal/claim/oversize_record_test.go
@@ -19,13 +19,13 @@
 		rec.Finished.Add(i)
 	}
 	for i := range 200 {
-		rec.Spec.Awaits = append(rec.Spec.Awaits, ids.Job("job-"+strings.Repeat("1", 1+i%9)))
+		rec.Spec.DependsOn = append(rec.Spec.DependsOn, ids.Job("job-"+strings.Repeat("1", 1+i%9)))
 	}
 	for range 12 {
-		rec.Trail = append(rec.Trail, record.Event{What: strings.Repeat("earlier ", 10)})
+		rec.Events = append(rec.Events, record.Event{Message: strings.Repeat("earlier ", 10)})
 	}
 	rec.Status = record.Cancelled
-	rec.Trail = append(rec.Trail, record.Event{What: "cancelled: it needs job-7"})
+	rec.Events = append(rec.Events, record.Event{Message: "cancelled: it needs job-7"})
 	raw, fits := rec.EncodeFinal(2048)
 	if !fits || len(raw) > 2048 {
 		t.Fatalf("a final record of %d bytes", len(raw))
@@ -34,10 +34,10 @@
 	if err := json.Unmarshal(raw, &got); err != nil {
 		t.Fatal(err)
 	}
-	if got.Finished.Len() != 2000 || len(got.Trail) == 0 || got.Trail[len(got.Trail)-1].What != "cancelled: it needs job-7" {
-		t.Errorf("%d tasks are told as done, and %v", got.Finished.Len(), got.Trail)
+	if got.Finished.Len() != 2000 || len(got.Events) == 0 || got.Events[len(got.Events)-1].Message != "cancelled: it needs job-7" {
+		t.Errorf("%d tasks are told as done, and %v", got.Finished.Len(), got.Events)
 	}
-	if rec.Finished.Runs() != 2000 || len(rec.Spec.Awaits) != 200 {
+	if rec.Finished.SpanCount() != 2000 || len(rec.Spec.DependsOn) != 200 {
 		t.Error("to write a record changed it")
 	}
 }
--- a/internal/claim/pipeline.go
+++ b/internal/claim/pipeline.go
@@ -78,12 +78,12 @@
 		id, spec := waiting.id(), &waiting.record.Spec
 		c.dependencies.waiting[id] = waiting
 		delete(c.dependencies.lookups, id)
-		jobs[i] = dependency.Job{ID: id, Awaits: spec.Awaits, Duration: c.estimates.JobDuration(spec),
+		jobs[i] = dependency.Job{ID: id, DependsOn: spec.DependsOn, Duration: c.estimates.JobDuration(spec),
 			Urgency: dependency.Urgency{Priority: int(spec.Priority), Deadline: deadline(waiting.record)}}
 	}
 	c.applyGraphChanges(c.dependencies.graph.Add(jobs...))
 	for _, waiting := range added {
-		for _, need := range waiting.record.Spec.Awaits {
+		for _, need := range waiting.record.Spec.DependsOn {
 			c.checkAwaited(need, now)
 		}
 	}
@@ -123,7 +123,7 @@
 
 // scheduleLookupIfAwaited has it looked up how a job ended, if others await it.
 func (c *ClusterState) scheduleLookupIfAwaited(id ids.Job) {
-	if c.dependencies.graph.Awaited(id) && c.dependencies.graph.Outcome(id) == dependency.Unknown {
+	if c.dependencies.graph.HasDependents(id) && c.dependencies.graph.Outcome(id) == dependency.Unknown {
 		c.scheduleLookup(id, time.Now())
 	}
 }
@@ -137,8 +137,8 @@
 func (c *ClusterState) joinDependencies(job *workload.Job) {
 	id := job.Record.Spec.ID
 	delete(c.dependencies.lookups, id)
-	job.Inherited = c.dependencies.graph.Inherited(id)
-	if job.Cancelled() && c.dependencies.graph.Awaited(id) {
+	job.Inherited = c.dependencies.graph.InheritedUrgency(id)
+	if job.Cancelled() && c.dependencies.graph.HasDependents(id) {
 		c.cancelDependents(id)
 	}
 }
@@ -159,9 +159,9 @@
 	if changes.Resolved {
 		signal(c.commitSignal)
 	}
-	for _, id := range changes.Inherited {
+	for _, id := range changes.InheritedChanged {
 		if job := c.jobs.Get(id); job != nil {
-			job.Inherited = c.dependencies.graph.Inherited(id)
+			job.Inherited = c.dependencies.graph.InheritedUrgency(id)
 			signal(c.planSignal)
 		}
 	}
@@ -169,15 +169,15 @@
 
 // refreshDurations takes in that fetches may take another time than thought.
 func (c *ClusterState) refreshDurations() {
-	c.applyGraphChanges(c.dependencies.graph.SetDurations(func(id ids.Job) time.Duration {
+	c.applyGraphChanges(c.dependencies.graph.UpdateDurations(func(id ids.Job) time.Duration {
 		return c.estimates.JobDuration(&c.dependencies.waiting[id].record.Spec)
 	}))
 }
 
 // deadline is when a job should be complete; it counts from its submission.
 func deadline(rec *record.Record) time.Time {
-	if rec.Spec.Due <= 0 {
+	if rec.Spec.Deadline <= 0 {
 		return time.Time{}
 	}
-	return rec.Submitted.Time().Add(rec.Spec.Due.Duration())
+	return rec.Submitted.Time().Add(rec.Spec.Deadline.Duration())
 }
--- a/internal/claim/pipeline_times_test.go
+++ b/internal/claim/pipeline_times_test.go
@@ -29,7 +29,7 @@
 		if job.Starving(time.Now()) {
 			t.Error("it counts as waiting since its submission")
 		}
-		if got := job.Record.Since(); got != ids.WallOf(time.Now()) {
+		if got := job.Record.EligibleSince(); got != ids.TimestampOf(time.Now()) {
 			t.Errorf("its waiting counts from %v", got.Time())
 		}
 		if !job.Starving(time.Now().Add(workload.StarvationTime + time.Second)) {
--- a/internal/claim/planning.go
+++ b/internal/claim/planning.go
@@ -70,7 +70,7 @@
 }
 
 // QuotaForRelocated is what a job must leave of its team's quota to tasks that rollouts move.
-func (c schedulerCluster) QuotaForRelocated(job *workload.Job) placement.Room {
+func (c schedulerCluster) QuotaForRelocated(job *workload.Job) placement.Resources {
 	return c.quotaForRelocated(job)
 }
 
--- a/internal/claim/probe.go
+++ b/internal/claim/probe.go
@@ -48,7 +48,7 @@
 	machine      ids.Machine
 	address      string
 	fencingToken ids.Generation
-	incarnation  ids.Session // believed, of a machine not heard yet
+	incarnation  ids.Incarnation // believed, of a machine not heard yet
 }
 
 // dueProbes picks whom to ask now, at most most at a time.
--- a/internal/claim/production_test.go
+++ b/internal/claim/production_test.go
@@ -55,14 +55,14 @@
 		}
 		sameJSON(t, name, raw, want)
 		// Through the cluster state of a new leader as well.
-		if rec.Status.Over() {
+		if rec.Status.IsTerminal() {
 			continue
 		}
 		cluster := testBook()
 		cluster.Load(map[ids.Job]*record.Record{"job-1": rec}, map[ids.Job]ids.Revision{"job-1": 3}, 3, time.Now())
 		job := cluster.jobs.Get("job-1")
 		back := job.Record
-		back.Places = workload.GroupAssignments(job.Assignments)
+		back.Assignments = workload.GroupAssignments(job.Assignments)
 		raw, _ = back.Encode(8192)
 		sameJSON(t, name+" through the book", raw, want)
 	}
@@ -79,20 +79,20 @@
 	// Guards against records that an old leader would take for something else. One that
 	// awaits others it must pass over: it would start it at once, and drop what it awaits.
 	rec := newRecord("job-2", "blue", record.Normal, 4, 1)
-	rec.Spec.Awaits = []ids.Job{"job-1"}
+	rec.Spec.DependsOn = []ids.Job{"job-1"}
 	raw, ok := rec.EncodeWaiting(8192)
 	var old map[string]any // any type that reads objects only, as production's does
 	if err := json.Unmarshal(raw, &old); !ok || err == nil {
 		t.Errorf("a waiting job's record reads as an object: %s", raw)
 	}
-	if back, err := record.DecodeWaiting(raw); err != nil || back.Spec.Awaits[0] != "job-1" {
+	if back, err := record.DecodeWaiting(raw); err != nil || back.Spec.DependsOn[0] != "job-1" {
 		t.Errorf("read back as %v, %v", back, err)
 	}
 	if _, err := record.Decode(raw); err == nil {
 		t.Error("a waiting job's record is taken for a claimable one's")
 	}
 	// Once it awaits nothing any more, only fields are new that may be lost.
-	rec.Ready = 1700000000000
+	rec.ReadyAt = 1700000000000
 	raw, _ = rec.Encode(8192)
 	if err := json.Unmarshal(raw, &old); err != nil {
 		t.Fatal(err)
--- a/internal/claim/promote.go
+++ b/internal/claim/promote.go
@@ -48,7 +48,7 @@
 	type entry struct {
 		id        ids.Job
 		priority  int
-		submitted ids.Wall
+		submitted ids.Timestamp
 	}
 	var entries []entry
 	for id := range jobs {
@@ -56,7 +56,7 @@
 			continue // its shard's leader moves it
 		}
 		rec := c.dependencies.waiting[id].record
-		entries = append(entries, entry{id, max(int(rec.Spec.Priority), c.dependencies.graph.Inherited(id).Priority), rec.Submitted})
+		entries = append(entries, entry{id, max(int(rec.Spec.Priority), c.dependencies.graph.InheritedUrgency(id).Priority), rec.Submitted})
 	}
 	slices.SortFunc(entries, func(x, y entry) int {
 		return cmp.Or(cmp.Compare(y.priority, x.priority), cmp.Compare(x.submitted, y.submitted), cmp.Compare(x.id, y.id))
@@ -73,18 +73,18 @@
 func (c *Committer) encodeMove(id ids.Job, over bool) (entry groupEntry, ok bool) {
 	cluster := c.Cluster
 	waiting := cluster.dependencies.waiting[id]
-	now := ids.WallOf(time.Now())
+	now := ids.TimestampOf(time.Now())
 	rec := *waiting.record
-	rec.Gen, rec.Writer, rec.Seq = cluster.generation, cluster.writer, waiting.record.Seq+1
+	rec.Generation, rec.Writer, rec.Seq = cluster.generation, cluster.writer, waiting.record.Seq+1
 	limit := int(cluster.settings.Params.State.ValueKB * 1024)
 	key, encode := record.JobKey(id), rec.Encode
 	if over {
 		key, encode = record.EndKey(id), rec.EncodeFinal
-		rec.EndedBy(cluster.dependencies.graph.CancelledBy(id))
+		rec.MarkCancelledBy(cluster.dependencies.graph.CancelledBy(id))
 	} else {
-		rec.Ready = now
-		rec.LeaveRoom(limit)
-		rec.Trail = append(slices.Clone(rec.Trail), record.Event{At: now, What: "all jobs that it awaited are done"})
+		rec.ReadyAt = now
+		rec.TrimDependencies(limit)
+		rec.Events = append(slices.Clone(rec.Events), record.Event{At: now, Message: "all jobs that it awaited are done"})
 	}
 	raw, ok := encode(limit)
 	if !ok {
--- a/internal/claim/recovery.go
+++ b/internal/claim/recovery.go
@@ -5,10 +5,9 @@
 	"encoding/json"
 	"time"
 
-	"github.com/pebbletrail/pebbletrail/internal/workload"
-
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 	"github.com/pebbletrail/pebbletrail/internal/record"
+	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
 // Load fills the cluster state with the records found at a takeover. Their claims lapsed
@@ -44,16 +43,16 @@
 
 func (c *ClusterState) addJob(rec *record.Record, revision ids.Revision, now time.Time) *workload.Job {
 	job := workload.NewJob(rec, revision)
-	if c.cancellations[rec.Spec.ID] > 0 && job.Record.Status.May(record.Cancelling) {
+	if c.cancellations[rec.Spec.ID] > 0 && job.Record.Status.CanBecome(record.Cancelling) {
 		job.Record.Status = record.Cancelling
 	}
 	c.jobs.Add(job)
-	rec.EachPlace(func(i int, at record.Location) {
+	rec.EachAssignment(func(i int, at record.Location) {
 		c.machines.Ensure(at.Machine, now, c.trustSilence)
-		c.addAssignment(&workload.Assignment{Job: job, TaskIndex: i, Machine: at.Machine, Incarnation: at.Session, Attempt: at.Attempt,
-			FencingToken: at.Token, StartSent: true, AssignedAt: now, Stopping: job.Cancelled(), StopReason: "cancelled"})
+		c.addAssignment(&workload.Assignment{Job: job, TaskIndex: i, Machine: at.Machine, Incarnation: at.Incarnation, Attempt: at.Attempt,
+			FencingToken: at.FencingToken, StartSent: true, AssignedAt: now, Stopping: job.Cancelled(), StopReason: "cancelled"})
 	})
-	job.Record.Places = nil
+	job.Record.Assignments = nil
 	c.loadEvictions(job)
 	c.joinDependencies(job)
 	c.finishIfComplete(job)
@@ -73,7 +72,7 @@
 	defer c.mu.Unlock()
 	job := c.jobs.Get(id)
 	if job == nil {
-		if rec != nil && !c.jobs.IsRetired(id) && !rec.Status.Over() {
+		if rec != nil && !c.jobs.IsRetired(id) && !rec.Status.IsTerminal() {
 			c.addJob(rec, revision, now)
 			signal(c.planSignal)
 		}
@@ -87,7 +86,7 @@
 		// count like those in the records. To take it for a user's, who changes only the
 		// status, would lose them.
 		c.discardJob(job)
-		if rec != nil && !rec.Status.Over() {
+		if rec != nil && !rec.Status.IsTerminal() {
 			c.addJob(rec, revision, now)
 		}
 		return
@@ -96,7 +95,7 @@
 		// Our own ending shows here too, as news that may outrun its answer.
 		// Another's ending is only written while no task is placed, and our
 		// next write on the job finds out.
-		if !job.Record.Status.Over() && len(job.Assignments) == 0 {
+		if !job.Record.Status.IsTerminal() && len(job.Assignments) == 0 {
 			c.retireJob(job)
 		}
 		return
--- a/internal/claim/relocations.go
+++ b/internal/claim/relocations.go
@@ -1,13 +1,12 @@
 package claim
 
 import (
-	"github.com/pebbletrail/pebbletrail/internal/ids"
-	"github.com/pebbletrail/pebbletrail/internal/workload"
-
 	"fmt"
 	"time"
 
+	"github.com/pebbletrail/pebbletrail/internal/ids"
 	"github.com/pebbletrail/pebbletrail/internal/worker"
+	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
 // unknownZone stands for the zone of a machine that was never heard or listed.
@@ -23,13 +22,13 @@
 
 // recordLoss tells in the trail that a task is proven not to be on its machine.
 func (c *ClusterState) recordLoss(assignment *workload.Assignment, why string) {
-	job, trail, last := assignment.Job, assignment.Job.Record.Trail, ""
+	job, trail, last := assignment.Job, assignment.Job.Record.Events, ""
 	if n := len(trail); n > 0 {
-		last = trail[n-1].What
+		last = trail[n-1].Message
 	}
 	line, replaces := job.Losses.Add(assignment.TaskIndex, assignment.Machine, c.zoneOf(assignment.Machine), why, last)
 	if replaces {
-		job.Record.Trail = trail[:len(trail)-1]
+		job.Record.Events = trail[:len(trail)-1]
 	}
 	c.recordEvent(job, "%s", line)
 }
@@ -76,7 +75,7 @@
 		out = append(out, fmt.Sprintf("nothing is heard of %s: its tasks there may go on, and start elsewhere once their workers' leases have surely lapsed, in %.0fs at the latest, or the cloud has taken the machines back",
 			workload.FormatByZone(dark), max(0, latest.Sub(now).Seconds())))
 	}
-	from := job.Losses.CountByZone(func(task int) bool { return !job.Record.Finished.Has(task) })
+	from := job.Losses.CountByZone(func(task int) bool { return !job.Record.Finished.Contains(task) })
 	if len(from) > 0 {
 		out = append(out, fmt.Sprintf("lost in %s and not started again yet", workload.FormatByZone(from)))
 	}
--- a/internal/claim/returns.go
+++ b/internal/claim/returns.go
@@ -28,7 +28,7 @@
 		}
 		// Dear machines are not kept by cheap work that could run elsewhere.
 		machineType := c.capacity.Type(machine.Type)
-		machine.Going = machine.Name == c.consolidating || machineType != nil && machineType.Accels > 0 && now.Sub(machine.NeededAt).Seconds() > c.settings.Own.IdleReturnS
+		machine.Going = machine.Name == c.consolidating || machineType != nil && machineType.Accels > 0 && now.Sub(machine.NeededAt).Seconds() > c.settings.Operator.IdleReturnS
 		if machine.Going {
 			c.leaving[machine.Name] = true
 		}
@@ -80,7 +80,7 @@
 		return fmt.Sprintf("rollout %s has emptied it", order.Rollout)
 	case machine.Heard && empty && !kept && c.otherShardsShort:
 		return releasedForOtherShard
-	case machine.Heard && empty && !kept && now.Sub(machine.IdleSince).Seconds() > c.settings.Own.IdleReturnS && now.Sub(machine.HeldSince) > time.Minute:
+	case machine.Heard && empty && !kept && now.Sub(machine.IdleSince).Seconds() > c.settings.Operator.IdleReturnS && now.Sub(machine.HeldSince) > time.Minute:
 		return "idle"
 	}
 	return ""
--- a/internal/claim/scale_test.go
+++ b/internal/claim/scale_test.go
@@ -155,12 +155,12 @@
 		for assignment := range cluster.capacity.AssignmentsOn(name) {
 			pieces = append(pieces, worker.Piece{Task: assignment.Task().String(), Attempt: assignment.Attempt, Status: worker.Running})
 		}
-		cluster.hear(name, "north", ids.Tick(i+2), pieces...)
+		cluster.hear(name, "north", ids.SequenceNumber(i+2), pieces...)
 		check("running")
 		for k := range pieces {
 			pieces[k].Status, pieces[k].Cause = worker.Ended, worker.CauseDone
 		}
-		cluster.hear(name, "north", ids.Tick(i+3), pieces...)
+		cluster.hear(name, "north", ids.SequenceNumber(i+3), pieces...)
 		check("done")
 	}
 	cluster.MachineTerminated("host-000004")
@@ -208,12 +208,12 @@
 	for range 20 {
 		planAll(cluster, now)
 		stored := job.Record
-		stored.Places = workload.GroupAssignments(job.Assignments)
+		stored.Assignments = workload.GroupAssignments(job.Assignments)
 		raw, fits := stored.Encode(int(cluster.settings.Params.State.ValueKB * 1024))
 		if !fits {
 			t.Fatalf("the record of %d places does not fit", len(job.Assignments))
 		}
-		job.RecordEncodedSize(stored.Places, len(raw))
+		job.RecordEncodedSize(stored.Assignments, len(raw))
 		cluster.store()
 	}
 	if len(job.Assignments) < largestFleet {
@@ -254,7 +254,7 @@
 		planAll(last, now)
 		hints, position := last.Hints(HintPosition{})
 		stored := last.jobs.Get("job-1").Record
-		stored.Places = workload.GroupAssignments(last.jobs.Get("job-1").Assignments)
+		stored.Assignments = workload.GroupAssignments(last.jobs.Get("job-1").Assignments)
 
 		next := testBook()
 		var known HintCache
--- a/internal/claim/settle.go
+++ b/internal/claim/settle.go
@@ -306,7 +306,7 @@
 			if v, ok := job.RecordedOutcomes[key]; ok && job.StoredVersion < v {
 				return nil // its outcome must be stored before it is cleared
 			}
-			if reported.Cause == worker.CauseDone && !job.Record.Finished.Has(key.Task.Index) && key.Task.Index < job.Record.Spec.Tasks &&
+			if reported.Cause == worker.CauseDone && !job.Record.Finished.Contains(key.Task.Index) && key.Task.Index < job.Record.Spec.Tasks &&
 				job.Assignments[key.Task.Index] == nil && !job.Cancelled() && job.MayRecordFinished() {
 				// A result is kept wherever it comes from.
 				job.Record.Finished.Add(key.Task.Index)
@@ -330,7 +330,7 @@
 			StartSent: true, Confirmed: true, Status: reported.Status, AssignedAt: time.Now()}
 		job.Record.Attempt = max(job.Record.Attempt, key.Attempt)
 		c.addAssignment(assignment)
-		if job.Cancelled() || job.Record.Finished.Has(key.Task.Index) || job.Record.Spec.Shape == record.Gang {
+		if job.Cancelled() || job.Record.Finished.Contains(key.Task.Index) || job.Record.Spec.Shape == record.Gang {
 			c.stopAssignment(assignment, 0, "not expected there")
 		} else {
 			c.recordEvent(job, "task %d found on %s and kept", assignment.TaskIndex, machine.Name)
--- a/internal/claim/stored_forms_test.go
+++ b/internal/claim/stored_forms_test.go
@@ -34,8 +34,8 @@
 		if err != nil {
 			t.Fatalf("%s: %v", f.name, err)
 		}
-		if len(rec.Spec.Awaits) != 2 || rec.Spec.Awaits[1] != "job-000012" {
-			t.Errorf("%s: awaits %v", f.name, rec.Spec.Awaits)
+		if len(rec.Spec.DependsOn) != 2 || rec.Spec.DependsOn[1] != "job-000012" {
+			t.Errorf("%s: awaits %v", f.name, rec.Spec.DependsOn)
 		}
 		raw, fits := f.encode(rec, 8192)
 		if !fits {
--- a/internal/claim/urgency_test.go
+++ b/internal/claim/urgency_test.go
@@ -19,7 +19,7 @@
 
 func waits(id ids.Job, p record.Priority, due ids.Seconds, on ...ids.Job) *record.Record {
 	rec := newRecord(id, "red", p, 1, 1)
-	rec.Spec.Awaits, rec.Spec.Due = on, due
+	rec.Spec.DependsOn, rec.Spec.Deadline = on, due
 	return rec
 }
 
@@ -68,7 +68,7 @@
 		// are such that no two paths take the same time.
 		for n := 2; n < 82; n++ {
 			rec := waits(job(n), record.Priority(n%3), ids.Seconds(1e8-37*n%1000), job(n/2*2-2), job(n/2*2-1))
-			rec.Spec.Estimate = 1 + ids.Seconds(n%2)*ids.Seconds(math.Exp2(float64(n/2)))*1e-6
+			rec.Spec.EstimatedDuration = 1 + ids.Seconds(n%2)*ids.Seconds(math.Exp2(float64(n/2)))*1e-6
 			records[job(n)], revisions[job(n)] = rec, 1
 		}
 		cluster.HandleRecord("job-100", 1, newRecord("job-100", "red", record.Low, 1, 1), now)
@@ -155,9 +155,9 @@
 		old.HandleRecord("job-1", 1, rec, time.Now())
 		old.Plan(time.Now())
 		full := old.jobs.Get("job-1").Record
-		full.Status, full.Places, full.Writer = record.Claimed, workload.GroupAssignments(old.jobs.Get("job-1").Assignments), "old"
+		full.Status, full.Assignments, full.Writer = record.Claimed, workload.GroupAssignments(old.jobs.Get("job-1").Assignments), "old"
 		for k := range 12 {
-			full.Trail = append(full.Trail, record.Event{What: fmt.Sprintf("event %d %s", k, strings.Repeat("x", 60))})
+			full.Events = append(full.Events, record.Event{Message: fmt.Sprintf("event %d %s", k, strings.Repeat("x", 60))})
 		}
 		raw, ok := full.Encode(8192)
 		const lower = 520
@@ -189,7 +189,7 @@
 			t.Fatalf("%d writes were too large, %d of %d places are left", s.TooLarge, len(job.Assignments), open)
 		}
 		seconds := 0
-		for tick := ids.Tick(2); job.Unfinished() > 0 && seconds < 300; tick++ {
+		for tick := ids.SequenceNumber(2); job.Unfinished() > 0 && seconds < 300; tick++ {
 			cluster.Plan(time.Now())
 			c.CommitGroup(ctx)
 			cluster.nextBatches(1000)
--- a/internal/claim/usage.go
+++ b/internal/claim/usage.go
@@ -35,7 +35,7 @@
 		if machineType == nil || machine.Failed {
 			continue
 		}
-		cost := machineType.PriceOf(machine.Spot) / 3600 * dt
+		cost := machineType.HourlyPrice(machine.Spot) / 3600 * dt
 		switch {
 		case !machine.Heard:
 			s.boot += cost
@@ -46,7 +46,7 @@
 		}
 		left := 1.0
 		for assignment := range c.capacity.AssignmentsOn(name) {
-			need := assignment.Job.Record.Spec.Need
+			need := assignment.Job.Record.Spec.Resources
 			share := min(left, max(need.Cores/max(machineType.Cores, 1e-9), need.RAM/max(machineType.RAM, 1e-9), need.Accels/max(machineType.Accels, 1e-9)*indicator(machineType.Accels > 0)))
 			left -= share
 			switch {
@@ -83,8 +83,8 @@
 	}
 	spec := &assignment.Job.Record.Spec
 	ran := now.Sub(assignment.RunningSince).Seconds()
-	if spec.Checkpoint > 0 {
-		ran = math.Mod(ran, float64(spec.Checkpoint))
+	if spec.CheckpointInterval > 0 {
+		ran = math.Mod(ran, float64(spec.CheckpointInterval))
 	}
-	c.costs.repeated[cause] = math.Round(c.costs.repeated[cause] + ran*spec.Need.Cores)
+	c.costs.repeated[cause] = math.Round(c.costs.repeated[cause] + ran*spec.Resources.Cores)
 }
--- a/internal/claim/waiting_test.go
+++ b/internal/claim/waiting_test.go
@@ -27,7 +27,7 @@
 		{"job-1"}, {"job-1", "job-12"}, {"job-7", "job-0007", "job-70"}, {"job-3", "job-2", "job-1"}, manyNeeds(150),
 	} {
 		rec := newRecord("job-9", "blue", record.Normal, 4, 1)
-		rec.Spec.Awaits = needs
+		rec.Spec.DependsOn = needs
 		spelled, ok := rec.EncodeWaiting(64 * 1024)
 		if !ok || !strings.Contains(string(spelled), `"awaits":["job-`) {
 			t.Fatalf("with room for it the record is %s", spelled)
@@ -44,14 +44,14 @@
 		}
 		for _, raw := range forms {
 			back, err := record.DecodeWaiting(raw)
-			if err != nil || !slices.Equal(back.Spec.Awaits, needs) || back.Spec.ID != "job-9" || back.Spec.Tasks != 4 {
+			if err != nil || !slices.Equal(back.Spec.DependsOn, needs) || back.Spec.ID != "job-9" || back.Spec.Tasks != 4 {
 				t.Errorf("%s is read back as %+v, %v", raw, back, err)
 			}
 			if _, err := record.Decode(raw); err == nil {
 				t.Errorf("read as a claimable job's: %s", raw)
 			}
 		}
-		if !slices.Equal(rec.Spec.Awaits, needs) {
+		if !slices.Equal(rec.Spec.DependsOn, needs) {
 			t.Error("writing a waiting record loses what it awaits")
 		}
 	}
@@ -76,13 +76,13 @@
 		cluster.settings.Params.State.ValueKB = limit / 1024
 		committer := NewCommitter(cluster, nil, "a", 1)
 		rec := newRecord("job-9", "blue", record.Normal, 4, 1)
-		rec.Spec.Awaits = manyNeeds(c.needs)
+		rec.Spec.DependsOn = manyNeeds(c.needs)
 		if _, ok := rec.EncodeWaiting(limit); !ok {
 			t.Fatalf("%d names do not fit", c.needs)
 		}
 		cluster.mu.Lock()
 		cluster.addWaitingJobs(now, &waitingJob{rec, 3})
-		for _, need := range rec.Spec.Awaits {
+		for _, need := range rec.Spec.DependsOn {
 			cluster.jobEnded(need, needed)
 		}
 		var moves []groupEntry
@@ -95,10 +95,10 @@
 		if len(raw) > limit {
 			t.Errorf("%s: %d bytes", needed, len(raw))
 		}
-		if needed == record.Done && float64(len(raw)) > limit*record.DescribedShare {
+		if needed == record.Done && float64(len(raw)) > limit*record.MaxSpecShare {
 			t.Errorf("%d bytes leave little room for places", len(raw))
 		}
-		if back, err := record.Decode(raw); err != nil || needed != record.Done && !strings.Contains(back.Trail[len(back.Trail)-1].What, "which was cancelled") {
+		if back, err := record.Decode(raw); err != nil || needed != record.Done && !strings.Contains(back.Events[len(back.Events)-1].Message, "which was cancelled") {
 			t.Errorf("%s: read back as %+v, %v", needed, back, err)
 		}
 	}
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -50,7 +50,7 @@
 		return errors.New("area: missing")
 	}
 	seen := map[ids.Node]bool{s.HostName: true}
-	for i, other := range s.Others {
+	for i, other := range s.Peers {
 		if other.HostName == "" || seen[other.HostName] {
 			return fmt.Errorf("others[%d].host_name: missing or not unique: %q", i, other.HostName)
 		}
@@ -67,7 +67,7 @@
 		{"services.cloud", s.Services.Cloud},
 		{"services.state", s.Services.State},
 	}
-	for i, other := range s.Others {
+	for i, other := range s.Peers {
 		addresses = append(addresses, address{fmt.Sprintf("others[%d].peer_addr", i), other.PeerAddr})
 	}
 	for _, a := range addresses {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -88,16 +88,16 @@
 func TestLimitsToComeHoldFromTheStart(t *testing.T) {
 	// Guards against writes that would be refused from the moment, which nobody announces, at
 	// which the key-value store lowers its limits.
-	with := func(next string) State {
+	with := func(next string) StateLimits {
 		return parsed(t, strings.Replace(good, "[params.cloud]", next+"\n[params.cloud]", 1)).Params.State
 	}
 	for _, c := range []struct {
 		next string
-		want State
+		want StateLimits
 	}{
-		{"", State{RPS: 250, WriteRPS: 80, ValueKB: 32, TxnOps: 48, NowKB: 32}},
-		{"[params.state.next]\nwrite_rps = 35.0\nvalue_kb = 2.0\ntxn_ops = 4", State{RPS: 250, WriteRPS: 35, ValueKB: 2, TxnOps: 4, NowKB: 32}},
-		{"[params.state.next]\nrps = 900.0\nvalue_kb = 64.0", State{RPS: 250, WriteRPS: 80, ValueKB: 32, TxnOps: 48, NowKB: 32}}, // never more than now
+		{"", StateLimits{RPS: 250, WriteRPS: 80, ValueKB: 32, TxnOps: 48, CurrentValueKB: 32}},
+		{"[params.state.next]\nwrite_rps = 35.0\nvalue_kb = 2.0\ntxn_ops = 4", StateLimits{RPS: 250, WriteRPS: 35, ValueKB: 2, TxnOps: 4, CurrentValueKB: 32}},
+		{"[params.state.next]\nrps = 900.0\nvalue_kb = 64.0", StateLimits{RPS: 250, WriteRPS: 80, ValueKB: 32, TxnOps: 48, CurrentValueKB: 32}}, // never more than now
 	} {
 		got := with(c.next)
 		got.Next = nil
@@ -108,12 +108,12 @@
 }
 
 func TestOperatorsSettingsLieOverDefaults(t *testing.T) {
-	operator, err := ParseOwn([]byte("beat_grace_s: 60\nsample_machines: 9 # more\n"))
-	if err != nil || operator.BeatGraceS != 60 || operator.SampleMachines != 9 || operator.PoolHoldMs != Defaults().PoolHoldMs {
+	operator, err := ParseOperator([]byte("beat_grace_s: 60\nsample_machines: 9 # more\n"))
+	if err != nil || operator.BeatGraceS != 60 || operator.SampleMachines != 9 || operator.PoolHoldMs != DefaultOperator().PoolHoldMs {
 		t.Fatalf("%v %v", operator, err)
 	}
 	for _, bad := range []string{"beat_grace_s: 1", "nonsense: 1", "owner_share: 2", "pool_hold_ms: 5"} {
-		if _, err := ParseOwn([]byte(bad)); err == nil {
+		if _, err := ParseOperator([]byte(bad)); err == nil {
 			t.Errorf("taken: %s", bad)
 		}
 	}
@@ -133,7 +133,7 @@
 		"burst_cost_share: nan":  "burst_cost_share",
 		"trail_events: 65":       "trail_events: at most 64: 65",
 	} {
-		if _, err := ParseOwn([]byte(text)); !namesIt(err, field) {
+		if _, err := ParseOperator([]byte(text)); !namesIt(err, field) {
 			t.Errorf("%s: %v", text, err)
 		}
 	}
@@ -144,15 +144,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if operator, err := ParseOwn(raw); err != nil || !proto.Equal(operator, Defaults()) {
+	if operator, err := ParseOperator(raw); err != nil || !proto.Equal(operator, DefaultOperator()) {
 		t.Errorf("%v: %v", err, operator)
 	}
 }
 
 func TestFeaturesAreCheckedLikeAllSettings(t *testing.T) {
 	settings := parsed(t, good)
-	if settings.Shards() != 1 {
-		t.Errorf("%d shards without a file", settings.Shards())
+	if settings.ShardCount() != 1 {
+		t.Errorf("%d shards without a file", settings.ShardCount())
 	}
 	for text, want := range map[string]string{
 		"shards: 0": "shards: must be 1 to", "shards: 1000": "shards: must be 1 to", "shards: -1": "line 1",
@@ -162,11 +162,11 @@
 			t.Errorf("%q: %v", text, err)
 		}
 	}
-	if settings.Shards() != 1 {
-		t.Errorf("a bad file left %d shards", settings.Shards())
+	if settings.ShardCount() != 1 {
+		t.Errorf("a bad file left %d shards", settings.ShardCount())
 	}
-	if err := settings.ParseFeatures([]byte("shards: 2")); err != nil || settings.Shards() != 2 {
-		t.Errorf("%d shards: %v", settings.Shards(), err)
+	if err := settings.ParseFeatures([]byte("shards: 2")); err != nil || settings.ShardCount() != 2 {
+		t.Errorf("%d shards: %v", settings.ShardCount(), err)
 	}
 	if err := settings.LoadFeatures("/nonexistent"); err == nil {
 		t.Error("a file that is not there is good")
@@ -193,10 +193,10 @@
 		}
 	}
 	enabled := `drains { default_budget { replicas_down_percent: 50 } teams { team: "` + team + `" budget { replicas_down: 3 tasks_interrupted: 7 } } ready_s: 2 }`
-	if err := settings.ParseFeatures([]byte(enabled)); err != nil || !settings.DrainsEnabled() || settings.Shards() != 1 {
-		t.Fatalf("%v, %d shards", err, settings.Shards())
+	if err := settings.ParseFeatures([]byte(enabled)); err != nil || !settings.DrainsEnabled() || settings.ShardCount() != 1 {
+		t.Fatalf("%v, %d shards", err, settings.ShardCount())
 	}
-	budgets := settings.Budgets()
+	budgets := settings.DisruptionBudgets()
 	if down := budgets.Of(team).Down(10); down != 3 || budgets.Of(team).Interrupted != 7 {
 		t.Errorf("%d replicas down, %d tasks interrupted", down, budgets.Of(team).Interrupted)
 	}
@@ -210,19 +210,19 @@
 
 func TestSocketsAndGracePeriodFollowFromTheSettings(t *testing.T) {
 	settings := parsed(t, good)
-	if got, want := settings.Sockets(), (Sockets{Callers: 44, Direct: 16}); got != want {
+	if got, want := settings.Sockets(), (SocketLimits{Inbound: 44, ToMachines: 16}); got != want {
 		t.Errorf("sockets %+v, not %+v", got, want)
 	}
 	// cancel_s 46 less the longest lease of 26 s and twice the leader's of 1.5 s
-	if got := settings.Grace(); got < 16.8 || got > 16.9 {
+	if got := settings.LeaderGracePeriod(); got < 16.8 || got > 16.9 {
 		t.Errorf("grace period %v", got)
 	}
 	settings.Params.Workers.CancelS = 20
-	if got := settings.Grace(); got != 1.5 {
+	if got := settings.LeaderGracePeriod(); got != 1.5 {
 		t.Errorf("grace period %v where cancel_s leaves no time, not the leader's lease", got)
 	}
 	settings.Params.Workers.CancelS = 460
-	if got := settings.Grace(); got != 40 {
+	if got := settings.LeaderGracePeriod(); got != 40 {
 		t.Errorf("grace period %v, more than the operators allow", got)
 	}
 }
--- a/internal/config/derived.go
+++ b/internal/config/derived.go
@@ -2,13 +2,13 @@
 
 import "github.com/pebbletrail/pebbletrail/internal/ids"
 
-// Sockets is how the sockets of this process are split.
-type Sockets struct {
-	// Callers is for users, workers and health checks.
-	Callers int
-	// Direct is for calls to machines: a quarter each for commands and for status queries under
+// SocketLimits is how the sockets of this process are split.
+type SocketLimits struct {
+	// Inbound is for users, workers and health checks.
+	Inbound int
+	// ToMachines is for calls to machines: a quarter each for commands and for status queries under
 	// way, the rest for connections kept open.
-	Direct int
+	ToMachines int
 }
 
 const (
@@ -23,21 +23,21 @@
 // Sockets splits the sockets that the machine allows. Every worker keeps a connection to the
 // leader, so callers have the most; the calls to the services and to the other controllers come
 // off first.
-func (s *Settings) Sockets() Sockets {
+func (s *Settings) Sockets() SocketLimits {
 	limit := s.Params.Limits.MaxSockets
-	reserved := serviceSockets + socketsPerPeer*len(s.Others)
+	reserved := serviceSockets + socketsPerPeer*len(s.Peers)
 	rest := max(limit-reserved, limit/2)
 	toMachines := max(minSockets, rest/4)
-	return Sockets{Callers: max(minSockets, rest-toMachines), Direct: toMachines}
+	return SocketLimits{Inbound: max(minSockets, rest-toMachines), ToMachines: toMachines}
 }
 
-// Grace is how long a leader answers heartbeats after the last renewal of its lease. Partitioned
+// LeaderGracePeriod is how long a leader answers heartbeats after the last renewal of its lease. Partitioned
 // together with a zone, it may keep tasks there alive that a user has cancelled through another
 // node meanwhile: they must be gone, by the lease that its last answer gave them, within cancel_s
 // of that.
-func (s *Settings) Grace() ids.Seconds {
+func (s *Settings) LeaderGracePeriod() ids.Seconds {
 	workers := &s.Params.Workers
-	leaderLease := ids.Seconds(float64(s.Own.PoolHoldMs) / 1000)
-	longest := workers.CancelS - ids.Seconds(workers.LeaseS.Drifted().Seconds()) - 2*leaderLease
-	return max(leaderLease, min(ids.Seconds(s.Own.BeatGraceS), longest))
+	leaderLease := ids.Seconds(float64(s.Operator.PoolHoldMs) / 1000)
+	longest := workers.CancelS - ids.Seconds(workers.LeaseS.WithClockDrift().Seconds()) - 2*leaderLease
+	return max(leaderLease, min(ids.Seconds(s.Operator.BeatGraceS), longest))
 }
--- a/internal/config/drains.go
+++ b/internal/config/drains.go
@@ -19,8 +19,8 @@
 // DrainsEnabled reports whether operators may drain machines.
 func (s *Settings) DrainsEnabled() bool { return s.Features != nil && s.Features.Drains != nil }
 
-// Budgets returns the teams' disruption budgets.
-func (s *Settings) Budgets() *budget.Budgets {
+// DisruptionBudgets returns the teams' disruption budgets.
+func (s *Settings) DisruptionBudgets() *budget.Budgets {
 	drains := s.Features.GetDrains()
 	fallback := budgetOf(drains.GetDefaultBudget())
 	teams := map[string]budget.Budget{}
--- a/internal/config/features.go
+++ b/internal/config/features.go
@@ -58,13 +58,13 @@
 // share of its writes, and two thirds of that share of its calls.
 func (s *Settings) maxShards() int {
 	limits := &s.Params.State
-	byWrites := int(limits.WriteRPS * s.Own.OwnerShare / minShardWrites)
-	byCalls := int(limits.RPS * s.Own.OwnerShare * 2 / 3 / minShardCalls)
+	byWrites := int(limits.WriteRPS * s.Operator.OwnerShare / minShardWrites)
+	byCalls := int(limits.RPS * s.Operator.OwnerShare * 2 / 3 / minShardCalls)
 	return max(1, min(byWrites, byCalls))
 }
 
-// Shards returns how many shards the machine pool has.
-func (s *Settings) Shards() int {
+// ShardCount returns how many shards the machine pool has.
+func (s *Settings) ShardCount() int {
 	if s.Features == nil {
 		return defaultShards
 	}
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -13,8 +13,8 @@
 	maxTrailEvents = 64
 )
 
-// Defaults are the operators' settings when they name none.
-func Defaults() *Operator {
+// DefaultOperator are the operators' settings when they name none.
+func DefaultOperator() *Operator {
 	return &Operator{
 		PoolHoldMs:      1500,
 		BeatGraceS:      40,
@@ -31,13 +31,13 @@
 	}
 }
 
-// ParseOwn reads and checks the operators' settings, over the defaults.
-func ParseOwn(raw []byte) (*Operator, error) {
+// ParseOperator reads and checks the operators' settings, over the defaults.
+func ParseOperator(raw []byte) (*Operator, error) {
 	named := &Operator{}
 	if err := prototext.Unmarshal(raw, named); err != nil {
 		return nil, err
 	}
-	settings := Defaults()
+	settings := DefaultOperator()
 	settings.override(named)
 	if err := settings.check(); err != nil {
 		return nil, err
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -19,29 +19,29 @@
 	Area          string   `toml:"area"` // the zone of this node
 	ClientListen  string   `toml:"client_listen"`
 	ClusterListen string   `toml:"cluster_listen"`
-	Others        []Other  `toml:"others"`
+	Peers         []Peer   `toml:"others"`
 	Services      struct {
 		Cloud string `toml:"cloud"`
 		State string `toml:"state"`
 	} `toml:"services"`
 	Params struct {
-		InitialSize  int         `toml:"initial_size"`
-		Zones        []string    `toml:"zones"`
-		ClockErrorMs float64     `toml:"clock_error_ms"`
-		Teams        []Team      `toml:"teams"`
-		Objectives   []Objective `toml:"objectives"`
-		Workers      Workers     `toml:"workers"`
-		State        State       `toml:"state"`
-		Cloud        Cloud       `toml:"cloud"`
-		Limits       Limits      `toml:"machine_limits"`
+		InitialSize  int             `toml:"initial_size"`
+		Zones        []string        `toml:"zones"`
+		ClockErrorMs float64         `toml:"clock_error_ms"`
+		Teams        []Team          `toml:"teams"`
+		Objectives   []Objective     `toml:"objectives"`
+		Workers      WorkerIntervals `toml:"workers"`
+		State        StateLimits     `toml:"state"`
+		Cloud        CloudLimits     `toml:"cloud"`
+		Limits       MachineLimits   `toml:"machine_limits"`
 	} `toml:"params"`
 
-	Own      *Operator `toml:"-"` // the operators' settings
+	Operator *Operator `toml:"-"` // the operators' settings
 	Features *Features `toml:"-"` // nil without a features' file
 }
 
-// Other is one of the other controllers.
-type Other struct {
+// Peer is one of the other controllers.
+type Peer struct {
 	HostName ids.Node `toml:"host_name"`
 	Area     string   `toml:"area"`
 	PeerAddr string   `toml:"peer_addr"`
@@ -72,8 +72,8 @@
 	ObjectiveGuarantee = "guarantee" // a team gets its guarantee
 )
 
-// Workers holds the workers' intervals.
-type Workers struct {
+// WorkerIntervals holds the workers' intervals.
+type WorkerIntervals struct {
 	ReportS   ids.Seconds `toml:"report_s"` // between heartbeats
 	LeaseS    ids.Seconds `toml:"lease_s"`
 	GangWaitS ids.Seconds `toml:"gang_wait_s"`
@@ -81,14 +81,14 @@
 	CancelS   ids.Seconds `toml:"cancel_s"` // within which a cancelled task must be gone
 }
 
-// Cloud holds the cloud's limits.
-type Cloud struct {
+// CloudLimits holds the cloud's limits.
+type CloudLimits struct {
 	RPS      float64     `toml:"rps"`
 	ListLagS ids.Seconds `toml:"list_lag_s"`
 }
 
-// Limits is what the machine gives this process.
-type Limits struct {
+// MachineLimits is what the machine gives this process.
+type MachineLimits struct {
 	Cores      float64 `toml:"cores"`
 	RAMMB      float64 `toml:"ram_mb"`
 	MaxSockets int     `toml:"max_sockets"`
@@ -111,7 +111,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("operator settings: %w", err)
 	}
-	if s.Own, err = ParseOwn(raw); err != nil {
+	if s.Operator, err = ParseOperator(raw); err != nil {
 		return nil, fmt.Errorf("operator settings %s: %w", operatorPath, err)
 	}
 	return s, nil
@@ -128,7 +128,7 @@
 		}
 		return nil, err
 	}
-	s.Own = Defaults()
+	s.Operator = DefaultOperator()
 	if err := s.check(); err != nil {
 		return s, err
 	}
--- a/internal/config/statelimits.go
+++ b/internal/config/statelimits.go
@@ -1,16 +1,16 @@
 package config
 
-// State holds the limits of the key-value store.
-type State struct {
+// StateLimits holds the limits of the key-value store.
+type StateLimits struct {
 	RPS      float64 `toml:"rps"`
 	WriteRPS float64 `toml:"write_rps"`
 	ValueKB  float64 `toml:"value_kb"`
 	TxnOps   int     `toml:"txn_ops"`
 	// Next is what the limits will be from some moment on, without notice. Its zero fields stay as
 	// they are.
-	Next *State `toml:"next"`
-	// NowKB is the limit of values until then.
-	NowKB float64 `toml:"-"`
+	Next *StateLimits `toml:"next"`
+	// CurrentValueKB is the limit of values until then.
+	CurrentValueKB float64 `toml:"-"`
 }
 
 // maxValueKB is the largest value that is used, whatever the store accepts: a transaction
@@ -19,9 +19,9 @@
 
 // applyNext lowers the limits to those announced, so that whatever is written fits before and
 // after the moment at which they come into force.
-func (s *State) applyNext() {
+func (s *StateLimits) applyNext() {
 	s.ValueKB = min(s.ValueKB, maxValueKB)
-	s.NowKB = s.ValueKB
+	s.CurrentValueKB = s.ValueKB
 	next := s.Next
 	if next == nil {
 		return
--- a/internal/dependency/graph.go
+++ b/internal/dependency/graph.go
@@ -15,8 +15,8 @@
 
 // Job is a job with dependencies.
 type Job struct {
-	ID     ids.Job
-	Awaits []ids.Job
+	ID        ids.Job
+	DependsOn []ids.Job
 	// Urgency is its own, without what it inherits.
 	Urgency Urgency
 	// Duration is how long it is estimated to take once it is ready.
@@ -38,8 +38,8 @@
 
 // Changes is what an operation on the graph changed.
 type Changes struct {
-	// Inherited are the jobs whose inherited urgency changed.
-	Inherited []ids.Job
+	// InheritedChanged are the jobs whose inherited urgency changed.
+	InheritedChanged []ids.Job
 	// Resolved reports that waiting jobs became ready or were cancelled.
 	Resolved bool
 }
@@ -116,7 +116,7 @@
 
 // linkPrerequisites makes a job a dependent of its unfinished prerequisites.
 func (g *Graph) linkPrerequisites(n *node) {
-	for _, id := range n.job.Awaits {
+	for _, id := range n.job.DependsOn {
 		if g.outcomes[id] == Done {
 			continue
 		}
@@ -129,7 +129,7 @@
 // cancelledPrerequisite returns the cancelled job that n depends on, directly or not, if there is
 // one.
 func (g *Graph) cancelledPrerequisite(n *node) ids.Job {
-	for _, id := range n.job.Awaits {
+	for _, id := range n.job.DependsOn {
 		if g.outcomes[id] == Cancelled {
 			return id
 		}
--- a/internal/dependency/graph_test.go
+++ b/internal/dependency/graph_test.go
@@ -18,10 +18,10 @@
 // due is a job with a deadline and a duration, both in seconds.
 func due(id ids.Job, priority, deadline, duration int, awaits ...ids.Job) Job {
 	j := Job{
-		ID:       id,
-		Awaits:   awaits,
-		Urgency:  Urgency{Priority: priority},
-		Duration: time.Duration(duration) * time.Second,
+		ID:        id,
+		DependsOn: awaits,
+		Urgency:   Urgency{Priority: priority},
+		Duration:  time.Duration(duration) * time.Second,
 	}
 	if deadline > 0 {
 		j.Urgency.Deadline = epoch.Add(time.Duration(deadline) * time.Second)
@@ -77,18 +77,18 @@
 		if g.raised > 0 {
 			t.Fatalf("%d levels were corrected, though all was known", g.raised)
 		}
-		first := g.Inherited(job(0))
+		first := g.InheritedUrgency(job(0))
 		last := due(job(1000), 9, 900, 5, job(80), job(81))
 		if n := g.cost(func() { g.Add(last) }); n > len(jobs)+2 {
 			t.Fatalf("one more job cost %d", n)
 		}
-		if got := g.Inherited(job(0)); got.Priority != 9 {
+		if got := g.InheritedUrgency(job(0)); got.Priority != 9 {
 			t.Errorf("the first inherits priority %d", got.Priority)
 		}
 		if n := g.cost(func() { g.Remove(last.ID) }); n > len(jobs)+2 {
 			t.Fatalf("one less cost %d", n)
 		}
-		if got := g.Inherited(job(0)); got != first {
+		if got := g.InheritedUrgency(job(0)); got != first {
 			t.Errorf("the first inherits %v after, %v before", got, first)
 		}
 		one := New() // added one by one, and at worst in any order
@@ -97,7 +97,7 @@
 				t.Fatalf("one of them cost %d", n)
 			}
 		}
-		if got := one.Inherited(job(0)); got != first {
+		if got := one.InheritedUrgency(job(0)); got != first {
 			t.Errorf("the first inherits %v if added one by one, %v if all at once", got, first)
 		}
 	}
@@ -115,7 +115,7 @@
 	if cost := g.cost(func() { g.Add(last) }); cost > n+1 {
 		t.Fatalf("an urgent one at the end cost %d", cost)
 	}
-	if got := g.Inherited(job(0)); got.Priority != 3 || !got.Deadline.Equal(epoch.Add(15000*time.Second)) {
+	if got := g.InheritedUrgency(job(0)); got.Priority != 3 || !got.Deadline.Equal(epoch.Add(15000*time.Second)) {
 		t.Errorf("the first inherits %v", got)
 	}
 	if cost := g.cost(func() { g.Add(due(job(n+2), 2, 0, 1, job(n))) }); cost > 1 {
@@ -162,12 +162,12 @@
 	g := New()
 	g.Add(chain(3)...)
 	g.Add(due(job(4), 1, 100, 1, job(3)))
-	changes := g.SetDurations(func(ids.Job) time.Duration { return 11 * time.Second })
-	if got := g.Inherited(job(0)).Deadline; !got.Equal(epoch.Add(56*time.Second)) || len(changes.Inherited) != 4 {
-		t.Errorf("the first is to be done by %v; %d changed", got.Sub(epoch), len(changes.Inherited))
+	changes := g.UpdateDurations(func(ids.Job) time.Duration { return 11 * time.Second })
+	if got := g.InheritedUrgency(job(0)).Deadline; !got.Equal(epoch.Add(56*time.Second)) || len(changes.InheritedChanged) != 4 {
+		t.Errorf("the first is to be done by %v; %d changed", got.Sub(epoch), len(changes.InheritedChanged))
 	}
-	if again := g.SetDurations(func(ids.Job) time.Duration { return 11 * time.Second }); len(again.Inherited) != 0 {
-		t.Errorf("the same again changed %d", len(again.Inherited))
+	if again := g.UpdateDurations(func(ids.Job) time.Duration { return 11 * time.Second }); len(again.InheritedChanged) != 0 {
+		t.Errorf("the same again changed %d", len(again.InheritedChanged))
 	}
 }
 
--- a/internal/dependency/queries.go
+++ b/internal/dependency/queries.go
@@ -10,8 +10,8 @@
 // Outcome returns how a job ended, as far as that is remembered.
 func (g *Graph) Outcome(id ids.Job) Outcome { return g.outcomes[id] }
 
-// Awaited reports whether any job waits for this one.
-func (g *Graph) Awaited(id ids.Job) bool {
+// HasDependents reports whether any job waits for this one.
+func (g *Graph) HasDependents(id ids.Job) bool {
 	n := g.nodes[id]
 	return n != nil && len(n.dependents) > 0
 }
@@ -34,8 +34,8 @@
 // Cancelled lists the waiting jobs that are cancelled with a prerequisite.
 func (g *Graph) Cancelled() iter.Seq[ids.Job] { return maps.Keys(g.cancelled) }
 
-// Inherited returns the urgency that a job inherits from its dependents.
-func (g *Graph) Inherited(id ids.Job) Urgency {
+// InheritedUrgency returns the urgency that a job inherits from its dependents.
+func (g *Graph) InheritedUrgency(id ids.Job) Urgency {
 	if n := g.nodes[id]; n != nil {
 		return n.inherited
 	}
--- a/internal/dependency/random_graph_test.go
+++ b/internal/dependency/random_graph_test.go
@@ -19,7 +19,7 @@
 	if m.outcomes[id] == Cancelled {
 		return true
 	}
-	return slices.ContainsFunc(m.waiting[id].Awaits, m.cancelled)
+	return slices.ContainsFunc(m.waiting[id].DependsOn, m.cancelled)
 }
 
 func (m *model) inherited(id ids.Job) (urgency Urgency) {
@@ -27,7 +27,7 @@
 		return urgency
 	}
 	for other, j := range m.waiting {
-		if !slices.Contains(j.Awaits, id) || m.cancelled(other) {
+		if !slices.Contains(j.DependsOn, id) || m.cancelled(other) {
 			continue
 		}
 		passedOn := j.Urgency.merge(m.inherited(other))
@@ -40,7 +40,7 @@
 }
 
 func (m *model) ready(id ids.Job) bool {
-	for _, prerequisite := range m.waiting[id].Awaits {
+	for _, prerequisite := range m.waiting[id].DependsOn {
 		if m.outcomes[prerequisite] != Done {
 			return false
 		}
@@ -83,8 +83,8 @@
 
 // note takes in what the graph reports as changed.
 func (r *randomRun) note(changes Changes) {
-	for _, id := range changes.Inherited {
-		r.reported[id] = r.graph.Inherited(id)
+	for _, id := range changes.InheritedChanged {
+		r.reported[id] = r.graph.InheritedUrgency(id)
 	}
 }
 
@@ -95,7 +95,7 @@
 	for n := range allJobs {
 		id := job(n)
 		if r.model.outcomes[id] == Unknown {
-			if got, want := r.graph.Inherited(id), r.model.inherited(id); got != want || r.reported[id] != want {
+			if got, want := r.graph.InheritedUrgency(id), r.model.inherited(id); got != want || r.reported[id] != want {
 				t.Fatalf("%s inherits %v, was reported with %v, not %v", id, got, r.reported[id], want)
 			}
 		}
--- a/internal/dependency/urgency.go
+++ b/internal/dependency/urgency.go
@@ -42,8 +42,8 @@
 	return urgency
 }
 
-// SetDurations replaces the estimated durations of all waiting jobs.
-func (g *Graph) SetDurations(estimate func(ids.Job) time.Duration) Changes {
+// UpdateDurations replaces the estimated durations of all waiting jobs.
+func (g *Graph) UpdateDurations(estimate func(ids.Job) time.Duration) Changes {
 	var changes Changes
 	queue := &updateQueue{}
 	for id, n := range g.nodes {
@@ -71,7 +71,7 @@
 			continue
 		}
 		n.inherited = inherited
-		changes.Inherited = append(changes.Inherited, n.id)
+		changes.InheritedChanged = append(changes.InheritedChanged, n.id)
 		if n.cancelledBy != "" {
 			continue // its prerequisites inherit nothing from it
 		}
--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -16,9 +16,9 @@
 
 // electionSettings are those of a small pool.
 func electionSettings() *config.Settings {
-	s := &config.Settings{Own: config.Defaults()}
-	s.Params.Workers = config.Workers{ReportS: 2, LeaseS: 20, GangWaitS: 30, GangPeerS: 5, CancelS: 40}
-	s.Params.State = config.State{RPS: 100, WriteRPS: 100, ValueKB: 8, TxnOps: 12}
+	s := &config.Settings{Operator: config.DefaultOperator()}
+	s.Params.Workers = config.WorkerIntervals{ReportS: 2, LeaseS: 20, GangWaitS: 30, GangPeerS: 5, CancelS: 40}
+	s.Params.State = config.StateLimits{RPS: 100, WriteRPS: 100, ValueKB: 8, TxnOps: 12}
 	s.Params.Teams = []config.Team{{Name: "red", CPUs: 4, CPUsMax: 40}, {Name: "blue", CPUs: 4}}
 	s.Params.Zones = []string{"north", "south"}
 	return s
@@ -31,7 +31,7 @@
 	slog.SetDefault(slog.New(slog.NewTextHandler(io.Discard, nil)))
 	t.Cleanup(func() { slog.SetDefault(old) })
 	cluster := claim.NewClusterState(electionSettings(), "w", 7, time.Now())
-	cluster.SetMachineTypes([]placement.Type{{Label: "small", Cores: 4, RAM: 16, CacheGB: 20, PullGBPerS: 1, Price: 1, SpotPrice: 0.4, BootS: 30, Zones: []string{"north", "south"}}})
+	cluster.SetMachineTypes([]placement.InstanceType{{Label: "small", Cores: 4, RAM: 16, CacheGB: 20, PullGBPerS: 1, Price: 1, SpotPrice: 0.4, BootS: 30, Zones: []string{"north", "south"}}})
 	for i := range machines {
 		name := ids.Machine(fmt.Sprintf("host-%06d", i))
 		cluster.ReconcileHeartbeat(&worker.Report{Machine: name, Addr: string(name) + ":1", Type: "small", Zone: []string{"north", "south"}[i%2], Session: 1, Tick: 1, Token: 7}, true, true)
--- a/internal/election/heartbeats.go
+++ b/internal/election/heartbeats.go
@@ -12,14 +12,14 @@
 // cancelled is gone in time: what this node has not read of, it may keep alive for
 // so long after its last complete read only.
 func (e *Elector) mayAnswerHeartbeats(term *Term) bool {
-	return e.authorityWithin(term, e.Settings.Grace().Duration())
+	return e.authorityWithin(term, e.Settings.LeaderGracePeriod().Duration())
 }
 
 // mayStartTasks tells whether this node may still start tasks: a job may have been
 // cancelled, by a node that can't reach this one, since its records were last read.
 // Two lives of the hold allow for slow answers.
 func (e *Elector) mayStartTasks(term *Term) bool {
-	return e.authorityWithin(term, 2*time.Duration(e.Settings.Own.PoolHoldMs)*time.Millisecond)
+	return e.authorityWithin(term, 2*time.Duration(e.Settings.Operator.PoolHoldMs)*time.Millisecond)
 }
 
 // authorityWithin tells whether the last good renewal and the last complete read of the
@@ -39,7 +39,7 @@
 func (e *Elector) LeaseSurelyHeld(term *Term) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	life := time.Duration(e.Settings.Own.PoolHoldMs) * time.Millisecond
+	life := time.Duration(e.Settings.Operator.PoolHoldMs) * time.Millisecond
 	return e.term == term && time.Since(term.renewedAt) < life-life/100
 }
 
@@ -70,7 +70,7 @@
 		e.stepDown(term, "a worker has seen a higher token")
 		return nil, 503, worker.Redirect{}
 	}
-	if term.Cluster.LeaseMustExpire(report, e.Settings.Grace().Duration()) {
+	if term.Cluster.LeaseMustExpire(report, e.Settings.LeaderGracePeriod().Duration()) {
 		return nil, 503, worker.Redirect{}
 	}
 	orders := term.Cluster.ReconcileHeartbeat(report, true, true)
--- a/internal/election/pool.go
+++ b/internal/election/pool.go
@@ -102,7 +102,7 @@
 // newElector makes the client of one shard.
 func newElector(settings *config.Settings, c *state.Client, commander *worker.Commander, incarnation string, shard ids.Shard, copies mirrors) *Elector {
 	elector := &Elector{Settings: settings, State: c, Commander: commander, incarnation: incarnation, redirects: map[ids.Machine]redirect{},
-		shard: shard, keys: record.KeysOf(shard, settings.Shards()), poolMirror: copies.pool, jobMirror: copies.jobs}
+		shard: shard, keys: record.KeysOf(shard, settings.ShardCount()), poolMirror: copies.pool, jobMirror: copies.jobs}
 	elector.knownLeader = elector.Leader
 	elector.recordsReadAt = elector.jobMirror.AsOf
 	return elector
@@ -122,7 +122,7 @@
 func (e *Elector) participate(ctx context.Context) {
 	e.pauses.onResume = e.processResumed
 	go e.pauses.run(ctx)
-	life := time.Duration(e.Settings.Own.PoolHoldMs) * time.Millisecond
+	life := time.Duration(e.Settings.Operator.PoolHoldMs) * time.Millisecond
 	for ctx.Err() == nil {
 		if term := e.Term(); term != nil {
 			// A renewal that hangs must not delay the next.
@@ -175,12 +175,12 @@
 }
 
 // Types reads the machine types that a leader has stored.
-func (e *Elector) Types() []placement.Type {
+func (e *Elector) Types() []placement.InstanceType {
 	entry, found, _ := e.poolMirror.Get(record.TypesKey)
 	if !found {
 		return nil
 	}
-	var types []placement.Type
+	var types []placement.InstanceType
 	if json.Unmarshal(entry.Value, &types) != nil {
 		return nil
 	}
@@ -196,7 +196,7 @@
 	run(term.Committer.RunLookups)
 	run(term.Dispatcher.Run)
 	run(term.plan)
-	if e.Settings.Shards() > 1 {
+	if e.Settings.ShardCount() > 1 {
 		run(func(ctx context.Context) { e.exchangeAllowances(ctx, term) })
 	}
 	if e.OnTerm != nil {
@@ -224,7 +224,7 @@
 // renewLease renews the hold and ends the term when it is surely lost.
 func (e *Elector) renewLease(ctx context.Context, term *Term) {
 	sent := time.Now()
-	ctx, cancel := context.WithTimeout(ctx, time.Duration(e.Settings.Own.PoolHoldMs)*time.Millisecond/2)
+	ctx, cancel := context.WithTimeout(ctx, time.Duration(e.Settings.Operator.PoolHoldMs)*time.Millisecond/2)
 	defer cancel()
 	err := e.State.RenewLease(ctx, term.lease)
 	switch {
--- a/internal/election/process_pause_test.go
+++ b/internal/election/process_pause_test.go
@@ -26,7 +26,7 @@
 		term := &Term{Generation: 7, Cluster: cluster, renewedAt: time.Now(), loaded: make(chan struct{}), cancel: func() {}}
 		close(term.loaded)
 		elector.term = term
-		beat := func(tick ids.Tick) int {
+		beat := func(tick ids.SequenceNumber) int {
 			_, code, _ := elector.Heartbeat(context.Background(), &worker.Report{Machine: "host-000001", Addr: "x:1", Type: "small", Zone: "north", Session: 1, Tick: tick, Token: 7})
 			return code
 		}
@@ -70,8 +70,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		elector := NewElector(electionSettings(), nil, nil, "a.1")
 		cluster := clusterOf(t, 1)
-		cluster.HandleRecord("job-1", 1, record.New(record.Spec{ID: "job-1", Class: "c", Team: "blue", Shape: record.Array, Priority: record.Normal, Tasks: 40, Estimate: 10,
-			Need: placement.Room{Cores: 1, RAM: 1}, Image: "i", ImageGB: 1}, ids.WallOf(time.Now()), "user"), time.Now())
+		cluster.HandleRecord("job-1", 1, record.New(record.Spec{ID: "job-1", Class: "c", Team: "blue", Shape: record.Array, Priority: record.Normal, Tasks: 40, EstimatedDuration: 10,
+			Resources: placement.Resources{Cores: 1, RAM: 1}, Image: "i", ImageGB: 1}, ids.TimestampOf(time.Now()), "user"), time.Now())
 		cluster.Plan(time.Now())
 		if _, err := elector.Explain("job-1"); err == nil {
 			t.Error("who does not own the pool explains")
--- a/internal/election/record_changes.go
+++ b/internal/election/record_changes.go
@@ -15,7 +15,7 @@
 	case kind == record.WaitingRecord:
 		e.handleWaitingChange(id, change)
 		return
-	case ids.ShardOf(id, e.Settings.Shards()) != e.shard:
+	case ids.ShardOf(id, e.Settings.ShardCount()) != e.shard:
 		e.handleOtherShardChange(id)
 		return
 	case kind == record.StoredCancellation:
@@ -66,7 +66,7 @@
 
 // statusInOtherShard reads from this node's copy how a live job stands.
 func (e *Elector) statusInOtherShard(id ids.Job) (how record.Status, live bool) {
-	if ids.ShardOf(id, e.Settings.Shards()) == e.shard {
+	if ids.ShardOf(id, e.Settings.ShardCount()) == e.shard {
 		return "", false
 	}
 	entries, ready := e.jobMirror.Several(record.JobKey(id), record.CancelKey(id), record.WaitKey(id))
--- a/internal/election/shards.go
+++ b/internal/election/shards.go
@@ -33,13 +33,13 @@
 
 // NewShards makes the client of all shards.
 func NewShards(settings *config.Settings, c *state.Client, commander *worker.Commander, incarnation string) *Shards {
-	if settings.Shards() == 1 {
+	if settings.ShardCount() == 1 {
 		return SingleShard(NewElector(settings, c, commander, incarnation))
 	}
 	s := &Shards{set: settings, mirrors: newMirrors(c), state: c, shortages: map[ids.Shard]reportedShortage{}, Refuse: func(error) {}}
 	s.ownership = newMachineOwnership(s.mirrors.pool.AsOf)
 	s.allowanceMirror = state.NewMirror(c, quota.Prefix, 100*time.Millisecond)
-	for shard := range ids.Shard(settings.Shards()) {
+	for shard := range ids.Shard(settings.ShardCount()) {
 		s.pools = append(s.pools, newElector(settings, c, commander, incarnation, shard, s.mirrors))
 	}
 	s.mirrors.pool.NotifyChanges(s.ownership.handleChange)
@@ -136,12 +136,12 @@
 }
 
 // Types reads the machine types that a leader has stored.
-func (s *Shards) Types() []placement.Type { return s.pools[0].Types() }
+func (s *Shards) Types() []placement.InstanceType { return s.pools[0].Types() }
 
 // nodes are all controllers' names in order, the same at each of them.
 func nodes(settings *config.Settings) []ids.Node {
 	names := []ids.Node{settings.HostName}
-	for _, o := range settings.Others {
+	for _, o := range settings.Peers {
 		names = append(names, o.HostName)
 	}
 	slices.Sort(names)
@@ -160,7 +160,7 @@
 
 // mayCampaign tells whether it is this node's turn to take a shard without a leader over.
 func (e *Elector) mayCampaign(now time.Time) bool {
-	if e.Settings.Shards() == 1 {
+	if e.Settings.ShardCount() == 1 {
 		return true
 	}
 	e.mu.Lock()
--- a/internal/election/takeover.go
+++ b/internal/election/takeover.go
@@ -88,7 +88,7 @@
 		entry, found, rerr := e.State.Get(ctx, e.keys.Generation(), state.Urgent)
 		var stored claim.GenerationRecord
 		if rerr == nil && found && json.Unmarshal(entry.Value, &stored) == nil && stored.Writer == writer {
-			epoch, err = ids.Epoch(entry.Revision), nil
+			epoch, err = ids.StoreRevision(entry.Revision), nil
 		}
 	}
 	if err != nil {
@@ -102,10 +102,10 @@
 func (e *Elector) beginTerm(ctx context.Context, previous claim.GenerationRecord, generation ids.Generation, writer string, hold ids.Lease, revision ids.Revision, sent time.Time) {
 	now := time.Now()
 	w := &e.Settings.Params.Workers
-	trust := now.Add(e.Settings.Grace().Drifted() + w.LeaseS.Drifted())
+	trust := now.Add(e.Settings.LeaderGracePeriod().WithClockDrift() + w.LeaseS.WithClockDrift())
 	cluster := claim.NewShardState(e.Settings, writer, generation, trust, e.shard)
 	cluster.StatusInOtherShard = e.statusInOtherShard
-	fresh := time.Duration(e.Settings.Own.PoolHoldMs) * time.Millisecond / 2
+	fresh := time.Duration(e.Settings.Operator.PoolHoldMs) * time.Millisecond / 2
 	cluster.StoreAvailable = func() bool {
 		age, ok := e.State.SinceSuccess()
 		return ok && age < fresh
@@ -113,7 +113,7 @@
 	tctx, cancel := context.WithCancel(ctx)
 	term := &Term{Generation: generation, Cluster: cluster, lease: hold, began: now, renewedAt: sent, loaded: make(chan struct{}), cancel: cancel}
 	term.Committer = claim.NewCommitter(cluster, e.State, e.Settings.HostName, revision)
-	term.Dispatcher = claim.NewDispatcher(cluster, e.Commander, e.Settings.Sockets().Direct/4)
+	term.Dispatcher = claim.NewDispatcher(cluster, e.Commander, e.Settings.Sockets().ToMachines/4)
 	term.Dispatcher.MayCommand = func() bool { return e.renewedSincePause(term) }
 	cluster.StartsAllowed = func() (bool, time.Time) { return e.mayStartTasks(term), e.recordsReadAt() }
 	term.Committer.OnSuperseded = func(why string) { go e.stepDown(term, why) }
@@ -144,7 +144,7 @@
 		if err == nil {
 			term.OpenHires, _, err = e.State.ListAll(ctx, e.keys.Hires(), state.Urgent)
 		}
-		if err == nil && e.Settings.Shards() > 1 {
+		if err == nil && e.Settings.ShardCount() > 1 {
 			err = e.loadAllowances(ctx, term)
 		}
 		if err != nil {
@@ -158,7 +158,7 @@
 			switch {
 			case kind == record.WaitingRecord:
 				into, decode = waits, record.DecodeWaiting
-			case ids.ShardOf(id, e.Settings.Shards()) != e.shard:
+			case ids.ShardOf(id, e.Settings.ShardCount()) != e.shard:
 				continue
 			case kind == record.StoredCancellation:
 				term.Cluster.HandleCancellation(id, entry.Revision, false)
@@ -214,7 +214,7 @@
 func (e *Elector) possibleLeaders(previous claim.GenerationRecord, now time.Time) []ids.Node {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if previous.Writer == "" || previous.Node == e.Settings.HostName || previous.Writer != e.last.writer || now.Sub(e.last.since) < e.Settings.Grace().Drifted()+time.Second {
+	if previous.Writer == "" || previous.Node == e.Settings.HostName || previous.Writer != e.last.writer || now.Sub(e.last.since) < e.Settings.LeaderGracePeriod().WithClockDrift()+time.Second {
 		return nil
 	}
 	return []ids.Node{previous.Node}
@@ -229,7 +229,7 @@
 		}
 		if e.Peers.AllStopped(ctx, term.Generation, of...) {
 			now := time.Now()
-			term.Cluster.TrustSilenceFrom(now.Add(e.Settings.Params.Workers.LeaseS.Drifted()))
+			term.Cluster.TrustSilenceFrom(now.Add(e.Settings.Params.Workers.LeaseS.WithClockDrift()))
 			return
 		}
 		wait.For(ctx, 500*time.Millisecond)
--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -40,7 +40,7 @@
 }
 
 // BootTime is how long a boot of the type takes now, its nominal time at least.
-func (e *Estimator) BootTime(machineType *placement.Type) time.Duration {
+func (e *Estimator) BootTime(machineType *placement.InstanceType) time.Duration {
 	return max(machineType.BootS.Duration(), e.boots[machineType.Label].typical())
 }
 
@@ -57,7 +57,7 @@
 const minPullRate = 0.01
 
 // pullSeconds is how long an image takes on a machine type.
-func pullSeconds(machineType *placement.Type, imageGB float64) float64 {
+func pullSeconds(machineType *placement.InstanceType, imageGB float64) float64 {
 	return imageGB / max(machineType.PullGBPerS, minPullRate)
 }
 
@@ -65,7 +65,7 @@
 func (e *Estimator) ImagePullSeconds(spec *record.Spec) float64 {
 	best := 0.0
 	for _, machineType := range e.capacity.Types() {
-		if !machineType.Room().Holds(spec.Need) {
+		if !machineType.Capacity().Holds(spec.Resources) {
 			continue
 		}
 		if took := pullSeconds(machineType, spec.ImageGB); best == 0 || took < best {
@@ -79,7 +79,7 @@
 func (e *Estimator) ProvisionSeconds(spec *record.Spec) float64 {
 	best := math.Inf(1)
 	for _, machineType := range e.capacity.Types() {
-		if machineType.Room().Holds(spec.Need) {
+		if machineType.Capacity().Holds(spec.Resources) {
 			best = min(best, e.BootTime(machineType).Seconds()+pullSeconds(machineType, spec.ImageGB))
 		}
 	}
@@ -88,7 +88,7 @@
 
 // JobDuration is how long a job takes once it may start, by its own estimate.
 func (e *Estimator) JobDuration(spec *record.Spec) time.Duration {
-	return ids.Seconds(float64(spec.Estimate) + e.ImagePullSeconds(spec)).Duration()
+	return ids.Seconds(float64(spec.EstimatedDuration) + e.ImagePullSeconds(spec)).Duration()
 }
 
 // The least and the most of a queue's horizon, in seconds, and the part of a job's slack that it may
@@ -111,7 +111,7 @@
 	if job.Guaranteed || job.EffectivePriority() >= record.High {
 		return minHorizon
 	}
-	slack := e.secondsLeft(job) - float64(spec.Estimate)
+	slack := e.secondsLeft(job) - float64(spec.EstimatedDuration)
 	return max(minHorizon, min(maxHorizon, slack/slackDivisor))
 }
 
@@ -120,8 +120,8 @@
 func (e *Estimator) secondsLeft(job *workload.Job) float64 {
 	spec := &job.Record.Spec
 	left := math.Inf(1)
-	if spec.Due > 0 {
-		left = float64(spec.Due) - job.Record.Awaited().Seconds()
+	if spec.Deadline > 0 {
+		left = float64(spec.Deadline) - job.Record.DependencyWait().Seconds()
 	}
 	if deadline := job.Inherited.Deadline; !deadline.IsZero() {
 		left = min(left, time.Until(deadline).Seconds())
--- a/internal/fleet/boots_test.go
+++ b/internal/fleet/boots_test.go
@@ -17,7 +17,7 @@
 	cloud   *fake.Cloud
 	start   time.Time
 	seenAt  map[string]time.Time // when a machine was first there
-	tick    ids.Tick
+	tick    ids.SequenceNumber
 }
 
 // bootTime is how long a machine boots that was provisioned so long after the start; 0: it never
--- a/internal/fleet/cloud.go
+++ b/internal/fleet/cloud.go
@@ -70,7 +70,7 @@
 }
 
 // Types reads the machine types on offer.
-func (c *Cloud) Types(ctx context.Context) ([]placement.Type, error) {
+func (c *Cloud) Types(ctx context.Context) ([]placement.InstanceType, error) {
 	var answer typesAnswer
 	err := c.call(ctx, http.MethodGet, "/machine_types", nil, &answer, nil)
 	return answer.Types, err
--- a/internal/fleet/large_fleet_test.go
+++ b/internal/fleet/large_fleet_test.go
@@ -20,7 +20,7 @@
 func provisionAll(ctx context.Context, t *testing.T, cluster *claim.ClusterState, cloud *Cloud, count int) {
 	t.Helper()
 	for i := range count / maxPerRequest {
-		request := provisioningRequest{Name: ids.Hire(fmt.Sprint("first-", i)), Type: "small", Zone: "north", Count: maxPerRequest}
+		request := provisioningRequest{Name: ids.ProvisioningRequest(fmt.Sprint("first-", i)), Type: "small", Zone: "north", Count: maxPerRequest}
 		machines, err := cloud.provision(ctx, request, nil)
 		if err != nil {
 			t.Fatal(err)
@@ -51,8 +51,8 @@
 		}
 		for i := range 20 {
 			spec := record.Spec{ID: ids.Job(fmt.Sprint("job-", i)), Class: "c", Team: "red", Zone: "south", Shape: record.Service,
-				Tasks: 1, Need: placement.Room{Cores: 4, RAM: 4}}
-			cluster.HandleRecord(spec.ID, 1, record.New(spec, ids.WallOf(time.Now()), "user"), time.Now())
+				Tasks: 1, Resources: placement.Resources{Cores: 4, RAM: 4}}
+			cluster.HandleRecord(spec.ID, 1, record.New(spec, ids.TimestampOf(time.Now()), "user"), time.Now())
 			began, before := time.Now(), len(cloud.Hires())
 			for len(cloud.Hires()) == before && time.Since(began) < 10*time.Second {
 				step()
--- a/internal/fleet/messages.go
+++ b/internal/fleet/messages.go
@@ -10,7 +10,7 @@
 
 // typesAnswer holds the machine types on offer.
 type typesAnswer struct {
-	Types []placement.Type `json:"builds"`
+	Types []placement.InstanceType `json:"builds"`
 }
 
 // listAnswer is one page of the machine list.
@@ -56,11 +56,11 @@
 // that whoever is leader next can learn what it provisioned.
 type provisioningRequest struct {
 	// Name makes the request idempotent.
-	Name  ids.Hire `json:"hire"`
-	Type  string   `json:"build"`
-	Zone  string   `json:"yard"`
-	Spot  bool     `json:"loaners"`
-	Count int      `json:"count"`
+	Name  ids.ProvisioningRequest `json:"hire"`
+	Type  string                  `json:"build"`
+	Zone  string                  `json:"yard"`
+	Spot  bool                    `json:"loaners"`
+	Count int                     `json:"count"`
 	// Machines are those provisioned, once that is known, where several shards have to tell whose
 	// they are.
 	Machines []ids.Machine `json:"hosts,omitempty"`
@@ -69,13 +69,13 @@
 }
 
 // newRequest makes a request for what the placement wants.
-func newRequest(name ids.Hire, wanted placement.Hire) provisioningRequest {
+func newRequest(name ids.ProvisioningRequest, wanted placement.ProvisioningRequest) provisioningRequest {
 	return provisioningRequest{Name: name, Type: wanted.Type, Zone: wanted.Zone, Spot: wanted.Spot, Count: wanted.Count}
 }
 
 // wanted is what the request asks for.
-func (r provisioningRequest) wanted() placement.Hire {
-	return placement.Hire{Type: r.Type, Zone: r.Zone, Spot: r.Spot, Count: r.Count}
+func (r provisioningRequest) wanted() placement.ProvisioningRequest {
+	return placement.ProvisioningRequest{Type: r.Type, Zone: r.Zone, Spot: r.Spot, Count: r.Count}
 }
 
 // offer is what the request would be refused for.
--- a/internal/fleet/production_test.go
+++ b/internal/fleet/production_test.go
@@ -13,7 +13,7 @@
 	// Guards against a request for machines, or the machine types, that another version
 	// reads otherwise. The files were written by the version that deploy/service.toml
 	// names.
-	for name, value := range map[string]any{"hire.json": &provisioningRequest{}, "types.json": &[]placement.Type{}} {
+	for name, value := range map[string]any{"hire.json": &provisioningRequest{}, "types.json": &[]placement.InstanceType{}} {
 		want, err := os.ReadFile("testdata/production/" + name)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/fleet/provisioner.go
+++ b/internal/fleet/provisioner.go
@@ -50,7 +50,7 @@
 	// shard has on average; nil: there is no other.
 	OthersLack func() (shortage time.Duration, average int)
 	// OnTypes is told the cloud's offer whenever it was read; nil: nobody is.
-	OnTypes func([]placement.Type)
+	OnTypes func([]placement.InstanceType)
 
 	typesReadAt    time.Time
 	list           listing
@@ -126,7 +126,7 @@
 
 // plan decides which machines to ask for and which of those there are stay needed. Other shards'
 // shortages count, and they are told of this one's.
-func (p *Provisioner) plan(now time.Time) (wanted []placement.Hire, needed map[ids.Machine]bool) {
+func (p *Provisioner) plan(now time.Time) (wanted []placement.ProvisioningRequest, needed map[ids.Machine]bool) {
 	if p.OthersLack != nil {
 		shortage, average := p.OthersLack()
 		p.Cluster.ShareCapacity(shortage, average, time.Now())
@@ -134,7 +134,7 @@
 	unreachable := p.Cluster.UnreachableZones()
 	closed := p.Cluster.ClosedZones()
 	demands, machines, types := p.Cluster.CapacityDemands(time.Now())
-	wanted, needed = placement.Rent(demands, machines, types, func(instanceType, zone string, spot bool) bool {
+	wanted, needed = placement.PlanScaleOut(demands, machines, types, func(instanceType, zone string, spot bool) bool {
 		_, isClosed := closed[zone]
 		return !isClosed && !unreachable[zone] && !p.isRefused(offer{instanceType, zone, spot}, now)
 	})
@@ -152,11 +152,11 @@
 	demands, machines, types := p.Cluster.CapacityDemands(now)
 	var waiting []placement.Demand
 	for _, demand := range demands {
-		if !demand.Keep {
+		if !demand.Headroom {
 			waiting = append(waiting, demand)
 		}
 	}
-	wanted, _ := placement.Rent(waiting, machines, types, anyOffer)
+	wanted, _ := placement.PlanScaleOut(waiting, machines, types, anyOffer)
 	return len(wanted) > 0
 }
 
--- a/internal/fleet/provisioner_test.go
+++ b/internal/fleet/provisioner_test.go
@@ -45,17 +45,17 @@
 }
 
 func testSettings() *config.Settings {
-	settings := &config.Settings{Own: config.Defaults()}
-	settings.Params.Workers = config.Workers{ReportS: 2, LeaseS: 20, GangWaitS: 30, GangPeerS: 5, CancelS: 40}
-	settings.Params.State = config.State{RPS: 100, WriteRPS: 100, ValueKB: 8, TxnOps: 12}
+	settings := &config.Settings{Operator: config.DefaultOperator()}
+	settings.Params.Workers = config.WorkerIntervals{ReportS: 2, LeaseS: 20, GangWaitS: 30, GangPeerS: 5, CancelS: 40}
+	settings.Params.State = config.StateLimits{RPS: 100, WriteRPS: 100, ValueKB: 8, TxnOps: 12}
 	settings.Params.Teams = []config.Team{{Name: "red"}}
 	settings.Params.Zones = []string{"north", "south"}
 	return settings
 }
 
 func job(id ids.Job, tasks int) *record.Record {
-	return record.New(record.Spec{ID: id, Class: "c", Team: "red", Shape: record.Array, Tasks: tasks, Estimate: 100,
-		Need: placement.Room{Cores: 4, RAM: 4}}, ids.WallOf(time.Now()), "user")
+	return record.New(record.Spec{ID: id, Class: "c", Team: "red", Shape: record.Array, Tasks: tasks, EstimatedDuration: 100,
+		Resources: placement.Resources{Cores: 4, RAM: 4}}, ids.TimestampOf(time.Now()), "user")
 }
 
 // setup makes a provisioner of a cloud that has so many machines.
@@ -141,7 +141,7 @@
 		cluster.ReconcileHeartbeat(&worker.Report{Machine: "host-000777", Type: "small", Zone: "north", Session: 1, Tick: 1}, true, true)
 		cluster.HandleRecord("job-1", 99, nil, time.Now())
 		for i := range 90 {
-			cluster.ReconcileHeartbeat(&worker.Report{Machine: "host-000777", Type: "small", Zone: "north", Session: 1, Tick: ids.Tick(i + 2)}, true, true)
+			cluster.ReconcileHeartbeat(&worker.Report{Machine: "host-000777", Type: "small", Zone: "north", Session: 1, Tick: ids.SequenceNumber(i + 2)}, true, true)
 			provisioner.Step(ctx)
 			time.Sleep(time.Second)
 		}
@@ -180,7 +180,7 @@
 }
 
 // heartbeat is the report of a machine with a sequence number.
-func heartbeat(machine ids.Machine, sequence ids.Tick) *worker.Report {
+func heartbeat(machine ids.Machine, sequence ids.SequenceNumber) *worker.Report {
 	return &worker.Report{Machine: machine, Addr: string(machine) + ":1", Type: "small", Zone: "north", Session: 1, Tick: sequence}
 }
 
--- a/internal/fleet/replacements.go
+++ b/internal/fleet/replacements.go
@@ -15,7 +15,7 @@
 		if p.requests.isOutstanding(replacement.Name) || p.isRefused(offer{kind.Type, kind.Zone, kind.Spot}, now) {
 			continue
 		}
-		wanted := placement.Hire{Type: kind.Type, Zone: kind.Zone, Spot: kind.Spot, Count: replacement.Count}
+		wanted := placement.ProvisioningRequest{Type: kind.Type, Zone: kind.Zone, Spot: kind.Spot, Count: replacement.Count}
 		p.storeAndSend(ctx, newRequest(replacement.Name, wanted))
 	}
 }
--- a/internal/fleet/requests.go
+++ b/internal/fleet/requests.go
@@ -23,20 +23,20 @@
 	unconfirmed []provisioningRequest // perhaps stored: not to be sent until they surely are
 	outstanding []provisioningRequest // stored, without an answer that is sure
 	// fulfilled are those that stay stored with the names of their machines.
-	fulfilled map[ids.Hire]provisioningRequest
+	fulfilled map[ids.ProvisioningRequest]provisioningRequest
 }
 
 // anyOutstanding tells whether some may provision machines that are not known yet.
 func (r *requests) anyOutstanding() bool { return len(r.unconfirmed) > 0 || len(r.outstanding) > 0 }
 
 // isOutstanding tells whether a request of that name may have no answer yet.
-func (r *requests) isOutstanding(name ids.Hire) bool {
+func (r *requests) isOutstanding(name ids.ProvisioningRequest) bool {
 	named := func(request provisioningRequest) bool { return request.Name == name }
 	return slices.ContainsFunc(r.outstanding, named) || slices.ContainsFunc(r.unconfirmed, named)
 }
 
 // removeOutstanding drops a request that was answered.
-func (r *requests) removeOutstanding(name ids.Hire) {
+func (r *requests) removeOutstanding(name ids.ProvisioningRequest) {
 	at := slices.IndexFunc(r.outstanding, func(request provisioningRequest) bool { return request.Name == name })
 	if at >= 0 {
 		r.outstanding = slices.Delete(r.outstanding, at, at+1)
@@ -46,7 +46,7 @@
 // addFulfilled notes a request that is stored with its machines, if it has any.
 func (r *requests) addFulfilled(request provisioningRequest) {
 	if r.fulfilled == nil {
-		r.fulfilled = map[ids.Hire]provisioningRequest{}
+		r.fulfilled = map[ids.ProvisioningRequest]provisioningRequest{}
 	}
 	if len(request.Machines) > 0 {
 		r.fulfilled[request.Name] = request
@@ -55,7 +55,7 @@
 
 // removeMachine takes a machine that was deleted off its request, and returns the request's name if
 // it was the last one.
-func (r *requests) removeMachine(machine ids.Machine) (emptied ids.Hire, isEmpty bool) {
+func (r *requests) removeMachine(machine ids.Machine) (emptied ids.ProvisioningRequest, isEmpty bool) {
 	for name, request := range r.fulfilled {
 		at := slices.Index(request.Machines, machine)
 		if at < 0 {
@@ -91,18 +91,18 @@
 
 // provision stores a request before sending it: whoever is leader next can learn what it
 // provisioned, and no name is ever used for two requests.
-func (p *Provisioner) provision(ctx context.Context, wanted placement.Hire) {
+func (p *Provisioner) provision(ctx context.Context, wanted placement.ProvisioningRequest) {
 	p.requests.sequence++
 	wanted.Count = min(wanted.Count, maxPerRequest)
 	p.storeAndSend(ctx, newRequest(p.requestName(), wanted))
 }
 
 // requestName names the next request. Generations of different shards may be alike, names may not.
-func (p *Provisioner) requestName() ids.Hire {
+func (p *Provisioner) requestName() ids.ProvisioningRequest {
 	if p.Owns == nil {
-		return ids.Hire(fmt.Sprintf("h-%d-%d", p.Gen, p.requests.sequence))
+		return ids.ProvisioningRequest(fmt.Sprintf("h-%d-%d", p.Gen, p.requests.sequence))
 	}
-	return ids.Hire(fmt.Sprintf("h-s%d-%d-%d", p.Shard, p.Gen, p.requests.sequence))
+	return ids.ProvisioningRequest(fmt.Sprintf("h-s%d-%d-%d", p.Shard, p.Gen, p.requests.sequence))
 }
 
 func (p *Provisioner) storeAndSend(ctx context.Context, request provisioningRequest) {
@@ -196,10 +196,12 @@
 }
 
 // removeRequest removes what is stored of a request.
-func (p *Provisioner) removeRequest(ctx context.Context, name ids.Hire) {
+func (p *Provisioner) removeRequest(ctx context.Context, name ids.ProvisioningRequest) {
 	if err := p.Store.Apply(ctx, []state.Op{{Remove: p.requestKey(name)}}); err != nil {
 		slog.Debug("provisioning request not removed", "request", name, "err", err)
 	}
 }
 
-func (p *Provisioner) requestKey(name ids.Hire) string { return p.Keys.Hires() + string(name) }
+func (p *Provisioner) requestKey(name ids.ProvisioningRequest) string {
+	return p.Keys.Hires() + string(name)
+}
--- a/internal/fleet/scale_in.go
+++ b/internal/fleet/scale_in.go
@@ -54,9 +54,9 @@
 // canDoWithout tells whether the machines that are up could take a machine's services as well.
 func (p *Provisioner) canDoWithout(candidate claim.ConsolidationCandidate, now time.Time) bool {
 	demands, machines, types := p.Cluster.CapacityDemands(now)
-	others := slices.DeleteFunc(machines, func(machine placement.Up) bool {
-		return machine.Name == candidate.Name || machine.Coming
+	others := slices.DeleteFunc(machines, func(machine placement.Instance) bool {
+		return machine.Name == candidate.Name || machine.Pending
 	})
-	wanted, _ := placement.Rent(slices.Concat(candidate.Needs, demands), others, types, anyOffer)
+	wanted, _ := placement.PlanScaleOut(slices.Concat(candidate.Needs, demands), others, types, anyOffer)
 	return len(wanted) == 0
 }
--- a/internal/fleet/shards_test.go
+++ b/internal/fleet/shards_test.go
@@ -81,7 +81,7 @@
 func TestIdleMachinesAreGivenUpForShardsWithAShortage(t *testing.T) {
 	// Guards against jobs of a shard that wait for good while another one holds machines.
 	cluster := claim.NewClusterState(testSettings(), "w", 7, time.Now())
-	cluster.SetMachineTypes([]placement.Type{{Label: "small", Cores: 4, RAM: 16, Zones: []string{"north"}}})
+	cluster.SetMachineTypes([]placement.InstanceType{{Label: "small", Cores: 4, RAM: 16, Zones: []string{"north"}}})
 	for _, machine := range []ids.Machine{"busy", "idle", "spare"} {
 		cluster.ReconcileHeartbeat(heartbeat(machine, 1), true, true)
 	}
--- a/internal/ids/ids.go
+++ b/internal/ids/ids.go
@@ -24,8 +24,8 @@
 // Node identifies a controller.
 type Node string
 
-// Hire identifies a provisioning request; it is never reused.
-type Hire string
+// ProvisioningRequest identifies a provisioning request; it is never reused.
+type ProvisioningRequest string
 
 // Attempt numbers the starts of a job's tasks; it only rises within a job.
 type Attempt uint64
@@ -34,17 +34,17 @@
 // of the leader's commands.
 type Generation uint64
 
-// Session numbers the incarnations of a worker: it rises whenever the worker's lease expires.
-type Session uint64
+// Incarnation numbers the incarnations of a worker: it rises whenever the worker's lease expires.
+type Incarnation uint64
 
-// Tick orders the messages of one incarnation of a worker.
-type Tick uint64
+// SequenceNumber orders the messages of one incarnation of a worker.
+type SequenceNumber uint64
 
 // Revision numbers the last change of a key in the key-value store.
 type Revision uint64
 
-// Epoch is a revision of the key-value store as a whole.
-type Epoch uint64
+// StoreRevision is a revision of the key-value store as a whole.
+type StoreRevision uint64
 
 // Lease identifies a lease of the key-value store.
 type Lease uint64
--- a/internal/ids/ranges.go
+++ b/internal/ids/ranges.go
@@ -15,30 +15,30 @@
 // length is the number of indexes.
 func (s span) length() int { return s.last - s.first + 1 }
 
-// Ranges is a set of task indexes kept as sorted spans, so that a job of a hundred thousand tasks
+// IndexSet is a set of task indexes kept as sorted spans, so that a job of a hundred thousand tasks
 // stays small in memory and in its record. A copy of the value shares its memory: neither may be
 // changed while the other is in use.
-type Ranges struct {
+type IndexSet struct {
 	spans []span // neither overlapping nor adjacent
 	size  int
 }
 
-// FirstOf returns the set of the n lowest indexes.
-func FirstOf(n int) Ranges {
+// FirstIndexes returns the set of the n lowest indexes.
+func FirstIndexes(n int) IndexSet {
 	if n == 0 {
-		return Ranges{}
+		return IndexSet{}
 	}
-	return Ranges{spans: []span{{0, n - 1}}, size: n}
+	return IndexSet{spans: []span{{0, n - 1}}, size: n}
 }
 
 // search returns the position of the span that holds an index, or where it would be inserted.
-func (s *Ranges) search(index int) (position int, found bool) {
+func (s *IndexSet) search(index int) (position int, found bool) {
 	position = sort.Search(len(s.spans), func(k int) bool { return s.spans[k].last >= index })
 	return position, position < len(s.spans) && s.spans[position].first <= index
 }
 
 // Add adds an index and reports whether it was new.
-func (s *Ranges) Add(index int) bool {
+func (s *IndexSet) Add(index int) bool {
 	position, found := s.search(index)
 	if found {
 		return false
@@ -62,22 +62,22 @@
 	return true
 }
 
-// Has reports whether an index is in the set.
-func (s *Ranges) Has(index int) bool {
+// Contains reports whether an index is in the set.
+func (s *IndexSet) Contains(index int) bool {
 	_, found := s.search(index)
 	return found
 }
 
-// Runs counts the spans of consecutive members.
-func (s *Ranges) Runs() int { return len(s.spans) }
+// SpanCount counts the spans of consecutive members.
+func (s *IndexSet) SpanCount() int { return len(s.spans) }
 
-// Longest returns the set without all but its n longest spans, the lower of equals first.
-func (s *Ranges) Longest(n int) Ranges {
+// LongestSpans returns the set without all but its n longest spans, the lower of equals first.
+func (s *IndexSet) LongestSpans(n int) IndexSet {
 	spans := slices.Clone(s.spans)
 	slices.SortStableFunc(spans, func(a, b span) int { return cmp.Compare(b.length(), a.length()) })
 	spans = spans[:min(n, len(spans))]
 	slices.SortFunc(spans, func(a, b span) int { return cmp.Compare(a.first, b.first) })
-	kept := Ranges{spans: spans}
+	kept := IndexSet{spans: spans}
 	for _, run := range spans {
 		kept.size += run.length()
 	}
@@ -85,10 +85,10 @@
 }
 
 // Len counts the members.
-func (s *Ranges) Len() int { return s.size }
+func (s *IndexSet) Len() int { return s.size }
 
 // NextMissing returns the smallest index at or above from that is not in the set.
-func (s *Ranges) NextMissing(from int) int {
+func (s *IndexSet) NextMissing(from int) int {
 	if position, found := s.search(from); found {
 		return s.spans[position].last + 1
 	}
@@ -96,7 +96,7 @@
 }
 
 // Each calls visit for every member, in order.
-func (s *Ranges) Each(visit func(index int)) {
+func (s *IndexSet) Each(visit func(index int)) {
 	for _, run := range s.spans {
 		for index := run.first; index <= run.last; index++ {
 			visit(index)
@@ -105,7 +105,7 @@
 }
 
 // String writes the set as "0-4,7".
-func (s Ranges) String() string {
+func (s IndexSet) String() string {
 	var text strings.Builder
 	for k, run := range s.spans {
 		if k > 0 {
@@ -121,10 +121,10 @@
 }
 
 // MarshalText makes the set a short string in JSON.
-func (s Ranges) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
+func (s IndexSet) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
 // UnmarshalText reads what MarshalText writes.
-func (s *Ranges) UnmarshalText(text []byte) error {
+func (s *IndexSet) UnmarshalText(text []byte) error {
 	s.spans, s.size = nil, 0
 	if len(text) == 0 {
 		return nil
--- a/internal/ids/ranges_test.go
+++ b/internal/ids/ranges_test.go
@@ -7,7 +7,7 @@
 
 func TestRangesAgreeWithAPlainSet(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
-	var set Ranges
+	var set IndexSet
 	plain := map[int]bool{}
 	for range 400 {
 		index := rng.IntN(120)
@@ -15,7 +15,7 @@
 			t.Fatalf("Add(%d) disagrees", index)
 		}
 		plain[index] = true
-		var back Ranges
+		var back IndexSet
 		if err := back.UnmarshalText([]byte(set.String())); err != nil || back.String() != set.String() {
 			t.Fatalf("%q read back as %q: %v", set, back, err)
 		}
@@ -27,7 +27,7 @@
 			t.Fatalf("after %d: next %d, want %d; %d members, want %d", index, set.NextMissing(0), next, set.Len(), len(plain))
 		}
 		for other := range 121 {
-			if set.Has(other) != plain[other] {
+			if set.Contains(other) != plain[other] {
 				t.Fatalf("Has(%d) disagrees", other)
 			}
 		}
@@ -35,22 +35,22 @@
 }
 
 func TestTheLongestSpansAreKept(t *testing.T) {
-	var set Ranges
+	var set IndexSet
 	for _, index := range []int{0, 2, 3, 5, 7, 8, 9, 12} {
 		set.Add(index)
 	}
-	kept := set.Longest(2)
-	if kept.String() != "2-3,7-9" || kept.Len() != 5 || set.Runs() != 5 || set.Len() != 8 {
-		t.Errorf("of %s, with %d spans, %s are kept, %d in all", set, set.Runs(), kept, kept.Len())
+	kept := set.LongestSpans(2)
+	if kept.String() != "2-3,7-9" || kept.Len() != 5 || set.SpanCount() != 5 || set.Len() != 8 {
+		t.Errorf("of %s, with %d spans, %s are kept, %d in all", set, set.SpanCount(), kept, kept.Len())
 	}
-	if first := FirstOf(3); first.String() != "0-2" || first.Len() != 3 || len(FirstOf(0).String()) > 0 {
+	if first := FirstIndexes(3); first.String() != "0-2" || first.Len() != 3 || len(FirstIndexes(0).String()) > 0 {
 		t.Errorf("the first three are %s", first)
 	}
 }
 
 func TestTextThatIsNoSetOfIndexesIsRefused(t *testing.T) {
 	for _, text := range []string{"x", "1,", "-1", "2-1", "1-x", "1--2", " 1"} {
-		var set Ranges
+		var set IndexSet
 		if err := set.UnmarshalText([]byte(text)); err == nil {
 			t.Errorf("%q is read as %s", text, set)
 		}
--- a/internal/ids/time.go
+++ b/internal/ids/time.go
@@ -14,18 +14,18 @@
 	clockAllowance   = 100 * time.Millisecond
 )
 
-// Drifted is the longest time that may truly pass while a clock as bad as the deployments allow
+// WithClockDrift is the longest time that may truly pass while a clock as bad as the deployments allow
 // shows s. Whatever relies on the expiry of a lease waits this long.
-func (s Seconds) Drifted() time.Duration {
+func (s Seconds) WithClockDrift() time.Duration {
 	return time.Duration(float64(s.Duration())*clockDriftFactor) + clockAllowance
 }
 
-// Wall is a wall-clock time in milliseconds since the Unix epoch, only good for ordering and
+// Timestamp is a wall-clock time in milliseconds since the Unix epoch, only good for ordering and
 // display.
-type Wall int64
+type Timestamp int64
 
-// WallOf converts a time.
-func WallOf(t time.Time) Wall { return Wall(t.UnixMilli()) }
+// TimestampOf converts a time.
+func TimestampOf(t time.Time) Timestamp { return Timestamp(t.UnixMilli()) }
 
 // Time converts to Go's own type.
-func (w Wall) Time() time.Time { return time.UnixMilli(int64(w)) }
+func (w Timestamp) Time() time.Time { return time.UnixMilli(int64(w)) }
--- a/internal/intake/cancel.go
+++ b/internal/intake/cancel.go
@@ -33,7 +33,7 @@
 			return jobSummary{}, false, err
 		}
 		rec := stored.record
-		if rec.Status.Over() || rec.Status == record.Cancelling {
+		if rec.Status.IsTerminal() || rec.Status == record.Cancelling {
 			return summarize(rec), true, nil
 		}
 		write, err := s.planCancellation(stored)
@@ -78,7 +78,7 @@
 		{Key: entry.Key, Revision: entry.Revision},
 		{Key: record.CancelKey(rec.Spec.ID)},
 	}
-	if len(rec.Places) == 0 {
+	if len(rec.Assignments) == 0 {
 		return s.endCancelled(stored, unchanged)
 	}
 	return s.requestCancellation(stored, unchanged), nil
@@ -88,7 +88,7 @@
 func (s *JobService) endCancelled(stored storedRecord, unchanged []state.Condition) (cancelWrite, error) {
 	rec, entry := stored.record, stored.entry
 	rec.Status = record.Cancelled
-	rec.Trail = append(rec.Trail, record.Event{At: ids.WallOf(time.Now()), What: record.CancelledByUser})
+	rec.Events = append(rec.Events, record.Event{At: ids.TimestampOf(time.Now()), Message: record.CancelledByUser})
 	value, fits := rec.EncodeFinal(s.valueLimit())
 	if !fits {
 		return cancelWrite{}, errUnavailable
@@ -108,13 +108,13 @@
 func (s *JobService) requestCancellation(stored storedRecord, unchanged []state.Condition) cancelWrite {
 	rec, entry := stored.record, stored.entry
 	write := cancelWrite{txn: state.Txn{When: unchanged}}
-	mark := record.Cancellation{At: ids.WallOf(time.Now()), Writer: s.Writer}
+	mark := record.Cancellation{At: ids.TimestampOf(time.Now()), Writer: s.Writer}
 	mark.ApplyTo(rec)
 	value, fits := rec.Encode(s.valueLimit())
 	if !fits && !s.valueLimitFell.Load() {
 		// The record was written when values might be larger. As long as they may, it is
 		// stored where versions from before the lower limits look for it too.
-		value, fits = rec.Encode(int(s.Set.Params.State.NowKB * 1024))
+		value, fits = rec.Encode(int(s.Set.Params.State.CurrentValueKB * 1024))
 		write.aboveLowerLimit = fits
 	}
 	if fits {
@@ -129,7 +129,7 @@
 // announceCancellation remembers a stored cancellation and has the leader notified of it. While
 // tasks are assigned it waits for the leader, which may be about to start some of them.
 func (s *JobService) announceCancellation(ctx context.Context, rec *record.Record, write cancelWrite, revision ids.Revision) {
-	if rec.Status.Over() {
+	if rec.Status.IsTerminal() {
 		s.ended.add(rec)
 		if write.notifyLeader {
 			s.LeaderNotifier.NotifyLeader(rec.Spec.ID, revision, nil, nil)
--- a/internal/intake/cluster_test.go
+++ b/internal/intake/cluster_test.go
@@ -105,7 +105,7 @@
 
 // newRecord is the record of a job in any state.
 func newRecord(spec record.Spec, status record.Status) *record.Record {
-	rec := record.New(spec, ids.WallOf(time.Now()), "leader")
+	rec := record.New(spec, ids.TimestampOf(time.Now()), "leader")
 	rec.Status = status
 	return rec
 }
@@ -116,7 +116,7 @@
 	id := rec.Spec.ID
 	key, encode := record.JobKey(id), rec.Encode
 	switch {
-	case rec.Status.Over():
+	case rec.Status.IsTerminal():
 		key = record.EndKey(id)
 	case blocked:
 		key, encode = record.WaitKey(id), rec.EncodeWaiting
--- a/internal/intake/dependencies.go
+++ b/internal/intake/dependencies.go
@@ -14,7 +14,7 @@
 // encodes it. The dependencies were read after the request began. If one of them is cancelled, so
 // is the job from the start; if all are done, the job has none any more, since that never changes.
 func (s *JobService) resolveDependencies(ctx context.Context, rec *record.Record) (key string, value json.RawMessage, err error) {
-	open, cause, err := s.openDependencies(ctx, rec.Spec.Awaits)
+	open, cause, err := s.openDependencies(ctx, rec.Spec.DependsOn)
 	if err != nil {
 		return "", nil, err
 	}
@@ -22,7 +22,7 @@
 	fits := false
 	switch {
 	case cause != "":
-		rec.EndedBy(cause)
+		rec.MarkCancelledBy(cause)
 		key = record.EndKey(id)
 		value, fits = rec.Encode(limit)
 	case len(open) > 0:
@@ -32,9 +32,9 @@
 			return "", nil, errTooManyDependencies
 		}
 	default:
-		rec.Ready = ids.WallOf(time.Now())
+		rec.ReadyAt = ids.TimestampOf(time.Now())
 		key = record.JobKey(id)
-		value, fits = rec.Encode(int(float64(limit) * record.DescribedShare))
+		value, fits = rec.Encode(int(float64(limit) * record.MaxSpecShare))
 	}
 	if !fits {
 		return "", nil, errDescriptionTooLarge
@@ -48,7 +48,7 @@
 	if value, fits := rec.EncodeWaiting(limit); fits {
 		return value, true
 	}
-	rec.Spec.Awaits = open
+	rec.Spec.DependsOn = open
 	return rec.EncodeWaiting(limit)
 }
 
--- a/internal/intake/dependencies_test.go
+++ b/internal/intake/dependencies_test.go
@@ -46,7 +46,7 @@
 			if testCase.want == nil {
 				continue
 			}
-			if rec, err := record.DecodeWaiting(cluster.store.Value(key)); err != nil || !slices.Equal(rec.Spec.Awaits, testCase.want) {
+			if rec, err := record.DecodeWaiting(cluster.store.Value(key)); err != nil || !slices.Equal(rec.Spec.DependsOn, testCase.want) {
 				t.Errorf("awaits %v is kept as %v, %v", testCase.names, rec, err)
 			}
 		}
--- a/internal/intake/dependency_reader.go
+++ b/internal/intake/dependency_reader.go
@@ -79,7 +79,7 @@
 	switch {
 	case rec == nil:
 		return &dependency{}, nil
-	case rec.Status.Over():
+	case rec.Status.IsTerminal():
 		r.records.ended.add(rec)
 		return endedDependency(summarize(rec), rec), nil
 	}
@@ -109,10 +109,10 @@
 // cancelledDependency finds a cancelled job among the direct and indirect dependencies of a job;
 // none if all go on or are done.
 func (r *dependencyReader) cancelledDependency(ctx context.Context, rec *record.Record) (ids.Job, error) {
-	if err := r.prefetch(ctx, rec.Spec.Awaits); err != nil {
+	if err := r.prefetch(ctx, rec.Spec.DependsOn); err != nil {
 		return "", err
 	}
-	for _, id := range rec.Spec.Awaits {
+	for _, id := range rec.Spec.DependsOn {
 		dependency, err := r.read(ctx, id)
 		switch {
 		case err != nil:
--- a/internal/intake/dependency_reader_test.go
+++ b/internal/intake/dependency_reader_test.go
@@ -140,7 +140,7 @@
 			t.Errorf("150 of 600 not done: %d %s", code, status)
 		}
 		rec, err := record.DecodeWaiting(cluster.store.Value(record.WaitKey("job-900000")))
-		if err != nil || len(rec.Spec.Awaits) != 150 {
+		if err != nil || len(rec.Spec.DependsOn) != 150 {
 			t.Fatalf("kept as %v, %v", rec, err)
 		}
 		for i := range 300 {
--- a/internal/intake/explain.go
+++ b/internal/intake/explain.go
@@ -41,7 +41,7 @@
 		if lastKnown == nil {
 			return nil, false, err
 		}
-		return Explanation{UID: id, Status: statusUnknown, Trail: lastKnown.Trail,
+		return Explanation{UID: id, Status: statusUnknown, Trail: lastKnown.Events,
 			Note: "the state service does not answer this controller, which tells what it knew last; ask another one"}, true, nil
 	}
 	if !stored.exists() {
@@ -54,12 +54,12 @@
 // for its dependencies, what the leader says of its tasks.
 func (s *Site) explainRecord(ctx context.Context, records *recordReader, rec *record.Record) Explanation {
 	id := rec.Spec.ID
-	explanation := Explanation{UID: id, Status: string(summarize(rec).status), Trail: rec.Trail}
+	explanation := Explanation{UID: id, Status: string(summarize(rec).status), Trail: rec.Events}
 	pipeline, err := newForecast(records).explain(ctx, rec)
 	if err != nil {
 		explanation.Note = err.Error()
 	}
-	if rec.Status.Over() || records.blocked(id) {
+	if rec.Status.IsTerminal() || records.blocked(id) {
 		explanation.Now = pipeline
 		return explanation
 	}
--- a/internal/intake/feasibility.go
+++ b/internal/intake/feasibility.go
@@ -22,8 +22,8 @@
 	if !fits {
 		return rejectedError{"a task fits no allowed machine type"}
 	}
-	if spec.Types != nil {
-		spec.Types = allowed
+	if spec.InstanceTypes != nil {
+		spec.InstanceTypes = allowed
 	}
 	return nil
 }
@@ -39,8 +39,8 @@
 	if spec.Shape != record.Array {
 		atOnce = float64(spec.Tasks)
 	}
-	tooManyCPUs := team.CPUsMax > 0 && atOnce*spec.Need.Cores > team.CPUsMax
-	tooManyGPUs := team.GPUsMax > 0 && atOnce*spec.Need.Accels > team.GPUsMax
+	tooManyCPUs := team.CPUsMax > 0 && atOnce*spec.Resources.Cores > team.CPUsMax
+	tooManyGPUs := team.GPUsMax > 0 && atOnce*spec.Resources.Accels > team.GPUsMax
 	if tooManyCPUs || tooManyGPUs {
 		return rejectedError{"more than the limit of team " + spec.Team}
 	}
@@ -49,8 +49,8 @@
 
 // allowedTypes lists the offered machine types that a job allows. It reports whether a task fits
 // one of them.
-func allowedTypes(spec *record.Spec, offered []placement.Type) (labels []string, fits bool) {
-	request := spec.Ask()
+func allowedTypes(spec *record.Spec, offered []placement.InstanceType) (labels []string, fits bool) {
+	request := spec.PlacementRequest()
 	for i := range offered {
 		machineType := &offered[i]
 		inZone := spec.Zone == "" || slices.Contains(machineType.Zones, spec.Zone)
@@ -58,7 +58,7 @@
 			continue
 		}
 		labels = append(labels, machineType.Label)
-		fits = fits || machineType.Room().Holds(spec.Need)
+		fits = fits || machineType.Capacity().Holds(spec.Resources)
 	}
 	return labels, fits
 }
--- a/internal/intake/forecast.go
+++ b/internal/intake/forecast.go
@@ -50,7 +50,7 @@
 	switch {
 	case rec.Status == record.Cancelled && rec.CancelledBy != "":
 		return f.explainCancellation(ctx, rec)
-	case rec.Status.Over() || rec.Status == record.Cancelling:
+	case rec.Status.IsTerminal() || rec.Status == record.Cancelling:
 		return nil, nil
 	}
 	lines, err := f.listDependencies(ctx, rec)
@@ -97,11 +97,11 @@
 
 // listDependencies describes a job's dependencies, those that are not done first.
 func (f *forecast) listDependencies(ctx context.Context, rec *record.Record) ([]string, error) {
-	if err := f.dependencies.prefetch(ctx, rec.Spec.Awaits); err != nil {
+	if err := f.dependencies.prefetch(ctx, rec.Spec.DependsOn); err != nil {
 		return nil, err
 	}
 	var open, done []string
-	for _, id := range rec.Spec.Awaits {
+	for _, id := range rec.Spec.DependsOn {
 		dependency, err := f.dependencies.read(ctx, id)
 		if err != nil {
 			return nil, err
@@ -123,7 +123,7 @@
 
 // deadlineRisk tells whether a job's deadline, if it has one, is at risk.
 func (f *forecast) deadlineRisk(ctx context.Context, rec *record.Record) ([]string, error) {
-	if rec.Spec.Due <= 0 {
+	if rec.Spec.Deadline <= 0 {
 		return nil, nil
 	}
 	path, err := f.pathTo(ctx, rec)
@@ -166,14 +166,14 @@
 	}
 	if len(f.paths) >= forecastJobs {
 		f.truncated = true
-		return criticalPath{remaining: rec.Spec.Estimate.Duration(), first: id}, nil
+		return criticalPath{remaining: rec.Spec.EstimatedDuration.Duration(), first: id}, nil
 	}
 	f.paths[id] = criticalPath{first: id}
-	if err := f.dependencies.prefetch(ctx, rec.Spec.Awaits); err != nil {
+	if err := f.dependencies.prefetch(ctx, rec.Spec.DependsOn); err != nil {
 		return criticalPath{}, err
 	}
 	longest := criticalPath{first: id}
-	for _, need := range rec.Spec.Awaits {
+	for _, need := range rec.Spec.DependsOn {
 		dependency, err := f.dependencies.read(ctx, need)
 		if err != nil {
 			return criticalPath{}, err
@@ -189,7 +189,7 @@
 			longest = path
 		}
 	}
-	longest.remaining += rec.Spec.Estimate.Duration()
+	longest.remaining += rec.Spec.EstimatedDuration.Duration()
 	f.paths[id] = longest
 	return longest, nil
 }
@@ -207,7 +207,7 @@
 			}
 			found[rec.Spec.ID] = true
 			queue = append(queue, rec.Spec.ID)
-			if rec.Spec.Due > 0 {
+			if rec.Spec.Deadline > 0 {
 				withDeadline = append(withDeadline, rec)
 			}
 		}
@@ -218,7 +218,7 @@
 
 // deadline is when a job is due; it counts from the submission, also if the job had to wait.
 func deadline(rec *record.Record) time.Time {
-	return rec.Submitted.Time().Add(rec.Spec.Due.Duration())
+	return rec.Submitted.Time().Add(rec.Spec.Deadline.Duration())
 }
 
 // dependents indexes the blocked jobs in the copy by their dependencies.
@@ -230,7 +230,7 @@
 		if err != nil || entry.Key != record.WaitKey(rec.Spec.ID) {
 			continue
 		}
-		for _, need := range rec.Spec.Awaits {
+		for _, need := range rec.Spec.DependsOn {
 			index[need] = append(index[need], rec)
 		}
 	}
--- a/internal/intake/forecast_test.go
+++ b/internal/intake/forecast_test.go
@@ -112,7 +112,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			rec.EndedBy(by)
+			rec.MarkCancelledBy(by)
 			cluster.remove(record.WaitKey(id))
 			cluster.storeRecord(rec, false)
 		}
@@ -175,7 +175,7 @@
 			t.Fatal(err)
 		}
 		rec := newRecord(spec, record.Queued)
-		rec.Ready = rec.Submitted + 60000
+		rec.ReadyAt = rec.Submitted + 60000
 		cluster.storeRecord(rec, false)
 		time.Sleep(60 * time.Second)
 		cluster.expectExplanation("job-1", "the pipeline is in time: by the estimates it ends 10s before its deadline; it hangs on job-1 first")
--- a/internal/intake/intake_test.go
+++ b/internal/intake/intake_test.go
@@ -82,13 +82,13 @@
 func newJobService() (*fake.Net, *fake.Store, *JobService) {
 	network, store := fake.NewNet(), fake.NewStore()
 	network.Listen("state:1", store)
-	settings := &config.Settings{Own: config.Defaults()}
-	settings.Params.State = config.State{RPS: 500, WriteRPS: 500, ValueKB: 8, TxnOps: 12}
+	settings := &config.Settings{Operator: config.DefaultOperator()}
+	settings.Params.State = config.StateLimits{RPS: 500, WriteRPS: 500, ValueKB: 8, TxnOps: 12}
 	settings.Params.Teams = []config.Team{{Name: "red", CPUsMax: 8}}
 	client := state.NewClient("state:1", network.Client("a"), state.NewBudget(500, 500, 1, 0.6))
-	types := []placement.Type{{Label: "small", Cores: 4, RAM: 16, Zones: []string{"north"}}}
+	types := []placement.InstanceType{{Label: "small", Cores: 4, RAM: 16, Zones: []string{"north"}}}
 	return network, store, &JobService{Set: settings, State: client, Jobs: state.NewMirror(client, record.JobPrefix, time.Second),
-		LeaderNotifier: silentNotifier{}, Writer: "a", Types: func() []placement.Type { return types }}
+		LeaderNotifier: silentNotifier{}, Writer: "a", Types: func() []placement.InstanceType { return types }}
 }
 
 // newSite is the HTTP side of such a node.
--- a/internal/intake/job_service.go
+++ b/internal/intake/job_service.go
@@ -31,7 +31,7 @@
 	// Writer is this controller's incarnation, stored with each record that it writes.
 	Writer string
 	// Types is the cloud's offer of machine types; empty while it is not known.
-	Types func() []placement.Type
+	Types func() []placement.InstanceType
 
 	// valueLimitFell is set once the store has refused a value of a size that it took before.
 	valueLimitFell atomic.Bool
--- a/internal/intake/messages.go
+++ b/internal/intake/messages.go
@@ -77,7 +77,7 @@
 		id:          rec.Spec.ID,
 		status:      statusPending,
 		done:        rec.Finished.Len(),
-		running:     rec.Open(),
+		running:     rec.AssignedTasks(),
 		tasks:       rec.Spec.Tasks,
 		service:     rec.Spec.Shape == record.Service,
 		cancelledBy: rec.CancelledBy,
--- a/internal/intake/parse.go
+++ b/internal/intake/parse.go
@@ -87,17 +87,17 @@
 // spec turns a submission with all required fields into the description of a job.
 func (s *submission) spec() (record.Spec, error) {
 	spec := record.Spec{
-		Class:      *s.Class,
-		Team:       *s.Team,
-		Need:       placement.Room{Cores: *s.Cores, Accels: *s.Accelerators, RAM: *s.MemoryGB},
-		Image:      *s.Image,
-		ImageGB:    *s.ImageGB,
-		OneZone:    *s.OneZone,
-		Spread:     *s.Spread,
-		Spot:       *s.Spot,
-		Estimate:   ids.Seconds(*s.EstimateSeconds),
-		Checkpoint: ids.Seconds(*s.CheckpointSeconds),
-		Save:       ids.Seconds(*s.SaveSeconds),
+		Class:              *s.Class,
+		Team:               *s.Team,
+		Resources:          placement.Resources{Cores: *s.Cores, Accels: *s.Accelerators, RAM: *s.MemoryGB},
+		Image:              *s.Image,
+		ImageGB:            *s.ImageGB,
+		SingleZone:         *s.OneZone,
+		Spread:             *s.Spread,
+		AllowSpot:          *s.Spot,
+		EstimatedDuration:  ids.Seconds(*s.EstimateSeconds),
+		CheckpointInterval: ids.Seconds(*s.CheckpointSeconds),
+		CheckpointDuration: ids.Seconds(*s.SaveSeconds),
 	}
 	var err error
 	if spec.ID, err = ids.ParseJob(*s.ID); err != nil {
@@ -123,11 +123,11 @@
 // addOptional adds the fields that may be null or missing to a description.
 func (s *submission) addOptional(spec *record.Spec) error {
 	if s.MachineTypes != nil {
-		spec.Types = *s.MachineTypes
-		if spec.Types == nil {
-			spec.Types = []string{}
+		spec.InstanceTypes = *s.MachineTypes
+		if spec.InstanceTypes == nil {
+			spec.InstanceTypes = []string{}
 		}
-		for _, machineType := range spec.Types {
+		for _, machineType := range spec.InstanceTypes {
 			if !isName(machineType) {
 				return errors.New("builds: empty or too long name")
 			}
@@ -143,11 +143,11 @@
 		if !(*s.DeadlineSeconds >= 0) {
 			return errors.New("dueS: below zero")
 		}
-		spec.Due = ids.Seconds(*s.DeadlineSeconds)
+		spec.Deadline = ids.Seconds(*s.DeadlineSeconds)
 	}
 	if s.Dependencies != nil {
 		var err error
-		if spec.Awaits, err = parseDependencies(*s.Dependencies); err != nil {
+		if spec.DependsOn, err = parseDependencies(*s.Dependencies); err != nil {
 			return err
 		}
 	}
--- a/internal/intake/record_reader.go
+++ b/internal/intake/record_reader.go
@@ -51,10 +51,10 @@
 			return storedRecord{}, err
 		}
 		if cause != "" {
-			stored.record.EndedBy(cause)
+			stored.record.MarkCancelledBy(cause)
 		}
 	}
-	if stored.exists() && stored.record.Status.Over() {
+	if stored.exists() && stored.record.Status.IsTerminal() {
 		r.ended.add(stored.record)
 	}
 	return stored, nil
--- a/internal/intake/submit.go
+++ b/internal/intake/submit.go
@@ -19,12 +19,12 @@
 		return summary, true, nil
 	}
 	refusal := s.checkFeasible(&spec)
-	rec := record.New(spec, ids.WallOf(time.Now()), s.Writer)
+	rec := record.New(spec, ids.TimestampOf(time.Now()), s.Writer)
 	value, fits := s.encodeClaimable(*rec)
 	if refusal == nil && !fits {
 		refusal = errDescriptionTooLarge
 	}
-	if refusal != nil || len(spec.Awaits) > 0 {
+	if refusal != nil || len(spec.DependsOn) > 0 {
 		// A job that was once accepted is never refused, so its record is looked for first.
 		accepted, err := s.records().current(ctx, spec.ID, state.Spare)
 		switch {
@@ -37,7 +37,7 @@
 		}
 	}
 	key := record.JobKey(spec.ID)
-	if len(spec.Awaits) > 0 {
+	if len(spec.DependsOn) > 0 {
 		if key, value, err = s.resolveDependencies(ctx, rec); err != nil {
 			return jobSummary{}, false, err
 		}
@@ -61,7 +61,7 @@
 		if key == record.JobKey(id) {
 			s.LeaderNotifier.NotifyLeader(id, ids.Revision(epoch), rec, value)
 		}
-		if rec.Status.Over() {
+		if rec.Status.IsTerminal() {
 			s.ended.add(rec)
 		}
 		return summarize(rec), false, nil
@@ -88,6 +88,6 @@
 // encodeClaimable writes the record of a job without open dependencies. The description must leave
 // room in the value for the job's assignments.
 func (s *JobService) encodeClaimable(rec record.Record) (value json.RawMessage, fits bool) {
-	rec.Spec.Awaits = nil
-	return rec.Encode(int(s.Set.Params.State.ValueKB * 1024 * record.DescribedShare))
+	rec.Spec.DependsOn = nil
+	return rec.Encode(int(s.Set.Params.State.ValueKB * 1024 * record.MaxSpecShare))
 }
--- a/internal/peer/connections.go
+++ b/internal/peer/connections.go
@@ -90,7 +90,7 @@
 
 // address is where another controller listens; empty if it is not in the settings.
 func (c *connections) address(node ids.Node) (address string) {
-	for _, other := range c.settings.Others {
+	for _, other := range c.settings.Peers {
 		if other.HostName == node {
 			address = other.PeerAddr
 		}
--- a/internal/peer/health.go
+++ b/internal/peer/health.go
@@ -62,7 +62,7 @@
 
 // Alone reports that there are other controllers, and none of them counts as up.
 func (l *Link) Alone() bool {
-	return !l.health.any(healthReport.recent) && len(l.settings.Others) > 0
+	return !l.health.any(healthReport.recent) && len(l.settings.Peers) > 0
 }
 
 // Served reports that another controller counts as up and is served by the state service.
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -37,7 +37,7 @@
 // Run starts to send health reports to each of the other controllers, and returns. The goroutines,
 // one for each, end with the context; nobody waits for them.
 func (l *Link) Run(ctx context.Context) {
-	for _, other := range l.settings.Others {
+	for _, other := range l.settings.Peers {
 		go l.greetRepeatedly(ctx, other.HostName)
 	}
 }
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -76,7 +76,7 @@
 	Type    string
 	Zone    string
 	Spot    bool
-	Session ids.Session // incarnation of the machine's agent
+	Session ids.Incarnation // incarnation of the machine's agent
 	Images  Images
 	// Coming tells that the machine is pending: provisioned, and not up yet, since Held ago.
 	Coming bool
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -35,9 +35,9 @@
 
 // start starts a controller that knows one other.
 func (c *testCluster) start(ctx context.Context, name, other ids.Node) (*election.Elector, *Link) {
-	settings := &config.Settings{HostName: name, Own: config.Defaults(), Others: []config.Other{{HostName: other, PeerAddr: string(other)}}}
-	settings.Params.Workers = config.Workers{ReportS: 2, LeaseS: 20, GangWaitS: 30, GangPeerS: 5, CancelS: 40}
-	settings.Params.State = config.State{RPS: 500, WriteRPS: 200, ValueKB: 8, TxnOps: 12}
+	settings := &config.Settings{HostName: name, Operator: config.DefaultOperator(), Peers: []config.Peer{{HostName: other, PeerAddr: string(other)}}}
+	settings.Params.Workers = config.WorkerIntervals{ReportS: 2, LeaseS: 20, GangWaitS: 30, GangPeerS: 5, CancelS: 40}
+	settings.Params.State = config.StateLimits{RPS: 500, WriteRPS: 200, ValueKB: 8, TxnOps: 12}
 	settings.Params.Teams = []config.Team{{Name: "red"}}
 	settings.Params.Limits.MaxSockets = 100
 	client := c.net.Client(string(name))
@@ -85,12 +85,12 @@
 			t.Error("the nodes do not know that the other is served")
 		}
 		// What b accepts, a learns at once, and b can explain it by asking a.
-		rec := record.New(record.Spec{ID: "job-1", Team: "red", Shape: record.Array, Tasks: 1, Need: placement.Room{Cores: 1}}, 1, "b")
+		rec := record.New(record.Spec{ID: "job-1", Team: "red", Shape: record.Array, Tasks: 1, Resources: placement.Resources{Cores: 1}}, 1, "b")
 		raw, err := json.Marshal(rec)
 		if err != nil {
 			t.Fatal(err)
 		}
-		a.Cluster().SetMachineTypes([]placement.Type{{Label: "small", Cores: 4, RAM: 16, Zones: []string{"north"}}})
+		a.Cluster().SetMachineTypes([]placement.InstanceType{{Label: "small", Cores: 4, RAM: 16, Zones: []string{"north"}}})
 		linkB.NotifyLeader("job-1", 9, rec, raw)
 		time.Sleep(time.Second)
 		lines, leader, err := linkB.Explain(ctx, "job-1")
@@ -115,7 +115,7 @@
 	// down, one after the other.
 	synctest.Test(t, func(t *testing.T) {
 		ctx := context.Background()
-		settings := &config.Settings{HostName: "a", Own: config.Defaults(), Others: []config.Other{
+		settings := &config.Settings{HostName: "a", Operator: config.DefaultOperator(), Peers: []config.Peer{
 			{HostName: "b", PeerAddr: "b"}, {HostName: "c", PeerAddr: "c"}, {HostName: "d", PeerAddr: "d"}, {HostName: "e", PeerAddr: "e"}}}
 		link := NewLink(settings, nil, nil)
 		var dials atomic.Int32
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -27,7 +27,7 @@
 		slog.Error("peer service not registered", "err", err)
 		return
 	}
-	slots := make(chan struct{}, connectionsPerPeer*max(1, len(l.settings.Others)))
+	slots := make(chan struct{}, connectionsPerPeer*max(1, len(l.settings.Peers)))
 	for {
 		conn, err := listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
--- a/internal/peer/takeover.go
+++ b/internal/peer/takeover.go
@@ -36,7 +36,7 @@
 // costs a timeout and there may be several. It waits for all answers.
 func (p shardPeers) AllStopped(ctx context.Context, generation ids.Generation, nodes ...ids.Node) bool {
 	if len(nodes) == 0 {
-		for _, other := range p.settings.Others {
+		for _, other := range p.settings.Peers {
 			nodes = append(nodes, other.HostName)
 		}
 	}
@@ -55,7 +55,7 @@
 func (p shardPeers) hasStopped(ctx context.Context, generation ids.Generation, node ids.Node) bool {
 	var answer Confirmed
 	var err error
-	if p.settings.Shards() == 1 {
+	if p.settings.ShardCount() == 1 {
 		err = p.connections.call(ctx, node, "Stopped", &Took{generation}, &answer)
 	} else {
 		err = p.connections.call(ctx, node, "StoppedShard", &ShardTook{p.shard, generation}, &answer)
--- a/internal/peer/transfer.go
+++ b/internal/peer/transfer.go
@@ -19,8 +19,8 @@
 // requestTransfer asks the controllers that count as up, one after the other in no fixed order, until
 // one gives as many changes as are wanted.
 func (l *Link) requestTransfer(ctx context.Context, changes int) bool {
-	for _, i := range rand.Perm(len(l.settings.Others)) {
-		node := l.settings.Others[i].HostName
+	for _, i := range rand.Perm(len(l.settings.Peers)) {
+		node := l.settings.Peers[i].HostName
 		if ctx.Err() != nil {
 			return false
 		}
@@ -58,7 +58,7 @@
 	defer l.demand.mu.Unlock()
 	if time.Since(l.demand.at) > demandInterval {
 		l.demand.at = time.Now()
-		l.demand.perPeer = demandFactor * l.store.Budget().Wants() / float64(len(l.settings.Others))
+		l.demand.perPeer = demandFactor * l.store.Budget().Wants() / float64(len(l.settings.Peers))
 	}
 	return l.demand.perPeer
 }
--- a/internal/placement/instancetype.go
+++ b/internal/placement/instancetype.go
@@ -2,8 +2,8 @@
 
 import "github.com/pebbletrail/pebbletrail/internal/ids"
 
-// Type is an instance type on offer.
-type Type struct {
+// InstanceType is an instance type on offer.
+type InstanceType struct {
 	Label      string      `json:"label"`
 	Cores      float64     `json:"cores"`
 	Accels     float64     `json:"accelerators"`
@@ -16,11 +16,11 @@
 	Zones      []string    `json:"yards"`
 }
 
-// Room returns the whole capacity of an instance.
-func (t Type) Room() Room { return Room{t.Cores, t.Accels, t.RAM} }
+// Capacity returns the whole capacity of an instance.
+func (t InstanceType) Capacity() Resources { return Resources{t.Cores, t.Accels, t.RAM} }
 
-// PriceOf returns the hourly price of a spot or an on-demand instance.
-func (t Type) PriceOf(spot bool) float64 {
+// HourlyPrice returns the hourly price of a spot or an on-demand instance.
+func (t InstanceType) HourlyPrice(spot bool) float64 {
 	if spot {
 		return t.SpotPrice
 	}
--- a/internal/placement/offers.go
+++ b/internal/placement/offers.go
@@ -2,7 +2,7 @@
 
 // offer is an instance that can be provisioned, and how many tasks of a demand it takes.
 type offer struct {
-	instanceType *Type
+	instanceType *InstanceType
 	zone         string
 	spot         bool
 	tasks        int // zero: there is no offer
@@ -17,21 +17,21 @@
 func (p *plan) cheapestOffer(demand *Demand, left int, perZone map[string]int) offer {
 	var best offer
 	bestCost := 0.0
-	avoidAccelerators := demand.Ask.Need.Accels == 0 && p.fitsWithoutAccelerators(demand)
+	avoidAccelerators := demand.Request.Resources.Accels == 0 && p.fitsWithoutAccelerators(demand)
 	for _, instanceType := range p.types {
 		if avoidAccelerators && instanceType.Accels > 0 {
 			continue
 		}
-		tasks := instanceType.Room().Count(demand.Ask.Need, left)
+		tasks := instanceType.Capacity().CountFitting(demand.Request.Resources, left)
 		if tasks == 0 {
 			continue
 		}
 		for _, spot := range []bool{true, false} {
 			for _, zone := range instanceType.Zones {
-				if !demand.Ask.Allows(instanceType.Label, zone, spot) || !p.offered(instanceType.Label, zone, spot) {
+				if !demand.Request.Allows(instanceType.Label, zone, spot) || !p.offered(instanceType.Label, zone, spot) {
 					continue
 				}
-				cost := instanceType.PriceOf(spot) / float64(tasks)
+				cost := instanceType.HourlyPrice(spot) / float64(tasks)
 				cost *= 1 + zoneBalanceWeight*float64(perZone[zone])
 				if best.tasks == 0 || cost < bestCost {
 					best = offer{instanceType, zone, spot, tasks}
@@ -47,10 +47,10 @@
 // accelerators, whether or not it can be had just now.
 func (p *plan) fitsWithoutAccelerators(demand *Demand) bool {
 	for _, instanceType := range p.types {
-		if instanceType.Accels > 0 || !instanceType.Room().Holds(demand.Ask.Need) {
+		if instanceType.Accels > 0 || !instanceType.Capacity().Holds(demand.Request.Resources) {
 			continue
 		}
-		if demand.Ask.Types == nil || demand.Ask.Allows(instanceType.Label, demand.Ask.Zone, false) {
+		if demand.Request.InstanceTypes == nil || demand.Request.Allows(instanceType.Label, demand.Request.Zone, false) {
 			return true
 		}
 	}
@@ -62,7 +62,7 @@
 func (p *plan) bestZone(demand *Demand) string {
 	covered := map[string]int{}
 	for i := range p.instances {
-		if instance := &p.instances[i]; !instance.Late {
+		if instance := &p.instances[i]; !instance.Overdue {
 			covered[instance.Zone] += demand.tasksOn(instance, demand.Count)
 		}
 	}
@@ -88,6 +88,6 @@
 // zone.
 func (p *plan) isOfferedIn(zone string, demand *Demand, tasks int) bool {
 	inZone := *demand
-	inZone.Ask.Zone = zone
+	inZone.Request.Zone = zone
 	return p.cheapestOffer(&inZone, tasks, map[string]int{}).tasks > 0
 }
--- a/internal/placement/resources.go
+++ b/internal/placement/resources.go
@@ -1,8 +1,8 @@
 package placement
 
-// Room is an amount of each resource. The names of its fields are stored in job records, as the
+// Resources is an amount of each resource. The names of its fields are stored in job records, as the
 // names in JSON, and must stay.
-type Room struct {
+type Resources struct {
 	Cores  float64
 	Accels float64 // accelerators
 	RAM    float64 // GB
@@ -12,27 +12,27 @@
 const epsilon = 1e-6
 
 // Plus returns the sum of two amounts.
-func (r Room) Plus(other Room) Room {
-	return Room{r.Cores + other.Cores, r.Accels + other.Accels, r.RAM + other.RAM}
+func (r Resources) Plus(other Resources) Resources {
+	return Resources{r.Cores + other.Cores, r.Accels + other.Accels, r.RAM + other.RAM}
 }
 
 // Minus returns the difference of two amounts, which may be negative.
-func (r Room) Minus(other Room) Room {
-	return Room{r.Cores - other.Cores, r.Accels - other.Accels, r.RAM - other.RAM}
+func (r Resources) Minus(other Resources) Resources {
+	return Resources{r.Cores - other.Cores, r.Accels - other.Accels, r.RAM - other.RAM}
 }
 
 // Times returns the amount multiplied by a factor.
-func (r Room) Times(factor float64) Room {
-	return Room{r.Cores * factor, r.Accels * factor, r.RAM * factor}
+func (r Resources) Times(factor float64) Resources {
+	return Resources{r.Cores * factor, r.Accels * factor, r.RAM * factor}
 }
 
 // Holds reports whether a request fits into r.
-func (r Room) Holds(request Room) bool {
+func (r Resources) Holds(request Resources) bool {
 	return request.Cores <= r.Cores+epsilon && request.Accels <= r.Accels+epsilon && request.RAM <= r.RAM+epsilon
 }
 
-// Count returns how many times a request fits into r, at most limit.
-func (r Room) Count(request Room, limit int) int {
+// CountFitting returns how many times a request fits into r, at most limit.
+func (r Resources) CountFitting(request Resources, limit int) int {
 	count := limit
 	for _, resource := range []struct{ capacity, request float64 }{
 		{r.Cores, request.Cores},
@@ -47,4 +47,6 @@
 }
 
 // positive returns the amount with negative resources set to zero.
-func (r Room) positive() Room { return Room{max(r.Cores, 0), max(r.Accels, 0), max(r.RAM, 0)} }
+func (r Resources) positive() Resources {
+	return Resources{max(r.Cores, 0), max(r.Accels, 0), max(r.RAM, 0)}
+}
--- a/internal/placement/scaleout.go
+++ b/internal/placement/scaleout.go
@@ -10,59 +10,59 @@
 // Demand is capacity that is wanted: for queued tasks, or as headroom for tasks that must start
 // sooner than an instance boots.
 type Demand struct {
-	Ask    Ask
-	Count  int  // tasks
-	Spread bool // over zones
-	// Together means all in one zone, whichever. Capacity in different zones does not add up for it.
-	Together bool
-	Preempt  bool // may preempt the tasks of job arrays
-	Keep     bool // capacity to keep free: no task is queued yet
-	Hold     bool // keeps instances that there are, but is no reason to scale out
-	// TurnShare is the share of an instance's reclaimable capacity that will be free in time.
-	TurnShare float64
+	Request Request
+	Count   int  // tasks
+	Spread  bool // over zones
+	// SameZone means all in one zone, whichever. Capacity in different zones does not add up for it.
+	SameZone   bool
+	Preempt    bool // may preempt the tasks of job arrays
+	Headroom   bool // capacity to keep free: no task is queued yet
+	NoScaleOut bool // keeps instances that there are, but is no reason to scale out
+	// ReclaimableShare is the share of an instance's reclaimable capacity that will be free in time.
+	ReclaimableShare float64
 }
 
-// Up is a running or pending instance.
-type Up struct {
-	Name   ids.Machine
-	Type   *Type
-	Zone   string
-	Spot   bool
-	Free   Room // not allocated
-	Turn   Room // allocated to tasks that end by themselves or may be preempted
-	Coming bool // has been requested, or is booting
-	Idle   bool // has no task
-	// Late means pending for so long that it may never come. It covers only demand for which nothing
+// Instance is a running or pending instance.
+type Instance struct {
+	Name        ids.Machine
+	Type        *InstanceType
+	Zone        string
+	Spot        bool
+	Free        Resources // not allocated
+	Reclaimable Resources // allocated to tasks that end by themselves or may be preempted
+	Pending     bool      // has been requested, or is booting
+	Idle        bool      // has no task
+	// Overdue means pending for so long that it may never come. It covers only demand for which nothing
 	// can be provisioned.
-	Late bool
+	Overdue bool
 }
 
-// Hire is a request to provision instances.
-type Hire struct {
+// ProvisioningRequest is a request to provision instances.
+type ProvisioningRequest struct {
 	Type  string
 	Zone  string
 	Spot  bool
 	Count int
 }
 
-// Offers reports whether such an instance is worth requesting: the cloud has not refused it
+// OfferFilter reports whether such an instance is worth requesting: the cloud has not refused it
 // lately.
-type Offers func(instanceType, zone string, spot bool) bool
+type OfferFilter func(instanceType, zone string, spot bool) bool
 
-// Rent decides which instances to provision for the demands that running and pending instances
+// PlanScaleOut decides which instances to provision for the demands that running and pending instances
 // do not cover, and which idle instances are still needed. Demands come in order of importance. It
 // uses the instances as its working copy and changes them.
-func Rent(demands []Demand, instances []Up, types []*Type, offered Offers) (requests []Hire, needed map[ids.Machine]bool) {
+func PlanScaleOut(demands []Demand, instances []Instance, types []*InstanceType, offered OfferFilter) (requests []ProvisioningRequest, needed map[ids.Machine]bool) {
 	p := newPlan(instances, types, offered)
 	var unmet []Demand
 	for _, demand := range demands {
-		if demand.Together {
-			demand.Ask.Zone = p.bestZone(&demand)
+		if demand.SameZone {
+			demand.Request.Zone = p.bestZone(&demand)
 		}
 		left := p.cover(&demand, demand.Count, false)
 		left = p.provision(&demand, left)
 		left = p.cover(&demand, left, true)
-		if left > 0 && !demand.Keep && demand.Ask.Need.Accels == 0 {
+		if left > 0 && !demand.Headroom && demand.Request.Resources.Accels == 0 {
 			demand.Count = left
 			unmet = append(unmet, demand)
 		}
@@ -76,12 +76,12 @@
 // plan is the state of one scale-out decision: the instances, as demands take capacity of them,
 // and the requests so far.
 type plan struct {
-	types     []*Type
-	offered   Offers
-	instances []Up  // those that there are, then those requested, which have no name
-	order     []int // of instances: which to use first
+	types     []*InstanceType
+	offered   OfferFilter
+	instances []Instance // those that there are, then those requested, which have no name
+	order     []int      // of instances: which to use first
 	perZone   map[string]int
-	requests  []Hire
+	requests  []ProvisioningRequest
 	needed    map[ids.Machine]bool
 }
 
@@ -92,7 +92,7 @@
 	pendingPrice = 5e5
 )
 
-func newPlan(instances []Up, types []*Type, offered Offers) *plan {
+func newPlan(instances []Instance, types []*InstanceType, offered OfferFilter) *plan {
 	p := &plan{
 		types:     types,
 		offered:   offered,
@@ -106,11 +106,11 @@
 	}
 	sortByKey(p.order, func(i int) float64 {
 		instance := &instances[i]
-		key := instance.Type.PriceOf(instance.Spot)
+		key := instance.Type.HourlyPrice(instance.Spot)
 		if instance.Idle {
 			key += idlePrice
 		}
-		if instance.Coming {
+		if instance.Pending {
 			key += pendingPrice
 		}
 		return key
@@ -133,7 +133,7 @@
 func (p *plan) cover(demand *Demand, left int, late bool) int {
 	for _, i := range p.order {
 		instance := &p.instances[i]
-		if left == 0 || instance.Late != late {
+		if left == 0 || instance.Overdue != late {
 			continue
 		}
 		count := demand.tasksOn(instance, left)
@@ -142,24 +142,24 @@
 		}
 		left -= count
 		p.needed[instance.Name] = true
-		instance.take(demand.Ask.Need.Times(float64(count)))
+		instance.take(demand.Request.Resources.Times(float64(count)))
 	}
 	return left
 }
 
 // take allocates capacity: what is free first, then what will be.
-func (i *Up) take(amount Room) {
+func (i *Instance) take(amount Resources) {
 	i.Free = i.Free.Minus(amount)
-	if short := (Room{}).Minus(i.Free).positive(); short != (Room{}) {
+	if short := (Resources{}).Minus(i.Free).positive(); short != (Resources{}) {
 		i.Free = i.Free.Plus(short)
-		i.Turn = i.Turn.Minus(short)
+		i.Reclaimable = i.Reclaimable.Minus(short)
 	}
 }
 
 // provision requests instances for up to left of the demand's tasks, and returns for how many it
 // cannot.
 func (p *plan) provision(demand *Demand, left int) int {
-	for left > 0 && !demand.Hold {
+	for left > 0 && !demand.NoScaleOut {
 		best := p.cheapestOffer(demand, left, p.perZone)
 		if best.tasks == 0 {
 			break
@@ -167,12 +167,12 @@
 		left -= best.tasks
 		p.perZone[best.zone]++
 		p.addRequest(best)
-		p.instances = append(p.instances, Up{
-			Type:   best.instanceType,
-			Zone:   best.zone,
-			Spot:   best.spot,
-			Coming: true,
-			Free:   best.instanceType.Room().Minus(demand.Ask.Need.Times(float64(best.tasks))),
+		p.instances = append(p.instances, Instance{
+			Type:    best.instanceType,
+			Zone:    best.zone,
+			Spot:    best.spot,
+			Pending: true,
+			Free:    best.instanceType.Capacity().Minus(demand.Request.Resources.Times(float64(best.tasks))),
 		})
 		p.order = append(p.order, len(p.instances)-1)
 	}
@@ -188,7 +188,7 @@
 			return
 		}
 	}
-	p.requests = append(p.requests, Hire{Type: chosen.instanceType.Label, Zone: chosen.zone, Spot: chosen.spot, Count: 1})
+	p.requests = append(p.requests, ProvisioningRequest{Type: chosen.instanceType.Label, Zone: chosen.zone, Spot: chosen.spot, Count: 1})
 }
 
 // anyNumber is a limit that no count of tasks on an instance reaches.
@@ -204,31 +204,31 @@
 			instance := &p.instances[i]
 			requested := instance.Name == ""
 			if left == 0 || requested || instance.Type.Accels == 0 || p.needed[instance.Name] != neededAnyhow ||
-				!demand.Ask.Allows(instance.Type.Label, instance.Zone, instance.Spot) {
+				!demand.Request.Allows(instance.Type.Label, instance.Zone, instance.Spot) {
 				continue
 			}
-			count := instance.Free.Plus(instance.Turn).Count(demand.Ask.Need, left)
-			if !neededAnyhow && 2*count < instance.Type.Room().Count(demand.Ask.Need, anyNumber) {
+			count := instance.Free.Plus(instance.Reclaimable).CountFitting(demand.Request.Resources, left)
+			if !neededAnyhow && 2*count < instance.Type.Capacity().CountFitting(demand.Request.Resources, anyNumber) {
 				continue // less than half full is not worth it
 			}
 			left -= count
-			instance.Free = instance.Free.Minus(demand.Ask.Need.Times(float64(count)))
+			instance.Free = instance.Free.Minus(demand.Request.Resources.Times(float64(count)))
 			p.needed[instance.Name] = p.needed[instance.Name] || count > 0
 		}
 	}
 }
 
 // tasksOn returns how many of the demand's tasks, at most limit, an instance has capacity for.
-func (d *Demand) tasksOn(instance *Up, limit int) int {
+func (d *Demand) tasksOn(instance *Instance, limit int) int {
 	// Accelerators cost so much more than cores that tasks without them may run on instances that
 	// have them while those are there anyhow, but are no reason to have them, nor to be counted
 	// on to find capacity.
-	if !d.Ask.Allows(instance.Type.Label, instance.Zone, instance.Spot) || d.Ask.Need.Accels == 0 && instance.Type.Accels > 0 {
+	if !d.Request.Allows(instance.Type.Label, instance.Zone, instance.Spot) || d.Request.Resources.Accels == 0 && instance.Type.Accels > 0 {
 		return 0
 	}
 	capacity := instance.Free
-	if !d.Keep || d.Preempt {
-		capacity = capacity.Plus(instance.Turn.Times(d.TurnShare))
+	if !d.Headroom || d.Preempt {
+		capacity = capacity.Plus(instance.Reclaimable.Times(d.ReclaimableShare))
 	}
-	return capacity.Count(d.Ask.Need, limit)
+	return capacity.CountFitting(d.Request.Resources, limit)
 }
--- a/internal/quota/amount.go
+++ b/internal/quota/amount.go
@@ -40,15 +40,15 @@
 type Amount [resourceCount]int64
 
 // AmountOf rounds room up to whole thousandths.
-func AmountOf(room placement.Room) Amount {
+func AmountOf(room placement.Resources) Amount {
 	roundUp := func(value float64) int64 { return int64(math.Ceil(value*unitsPerWhole - roundingTolerance)) }
 	return Amount{Cores: roundUp(room.Cores), Accelerators: roundUp(room.Accels), Memory: roundUp(room.RAM)}
 }
 
 // Room converts back.
-func (a Amount) Room() placement.Room {
+func (a Amount) Room() placement.Resources {
 	whole := func(resource Resource) float64 { return float64(a[resource]) / unitsPerWhole }
-	return placement.Room{Cores: whole(Cores), Accels: whole(Accelerators), RAM: whole(Memory)}
+	return placement.Resources{Cores: whole(Cores), Accels: whole(Accelerators), RAM: whole(Memory)}
 }
 
 // combine applies a function to each resource of two amounts.
