--- a/internal/quota/demand.go
+++ b/internal/quota/demand.go
@@ -21,7 +21,7 @@
 	Guaranteed bool `json:"guaranteed,omitempty"`
 	Priority   int  `json:"priority"`
 	// Since is from when the first job of the demand has been pending.
-	Since ids.Wall `json:"since"`
+	Since ids.Timestamp `json:"since"`
 }
 
 // outranks reports whether a rank goes before another by more than its age.
--- a/internal/quota/leaders_test.go
+++ b/internal/quota/leaders_test.go
@@ -106,15 +106,15 @@
 	// All controllers are lost and come back with other settings: after a limit was lowered
 	// nothing starts until less is in use; after one was raised, or first set, all is used.
 	nodes := []string{"a", "b", "c"}
-	for name, limit := range map[string]placement.Room{
+	for name, limit := range map[string]placement.Resources{
 		"lowered":     {Cores: 4, Accels: 2, RAM: 1e9},
 		"raised":      {Cores: 12, Accels: 5, RAM: 1e9},
 		"none before": {Cores: 5, Accels: 4, RAM: 1e9},
 	} {
 		simulate(t, func(s *simulation) {
 			if name == "none before" {
-				s.setLimit("red", placement.Room{Cores: 0, Accels: 4, RAM: 1e9})
-				s.workers.limits["red"] = placement.Room{Cores: 1e9, Accels: 4, RAM: 1e9}
+				s.setLimit("red", placement.Resources{Cores: 0, Accels: 4, RAM: 1e9})
+				s.workers.limits["red"] = placement.Resources{Cores: 1e9, Accels: 4, RAM: 1e9}
 			}
 			var stops []context.CancelFunc
 			for _, node := range nodes {
@@ -155,7 +155,7 @@
 		const moves = 12
 		for i := range moves {
 			// All of the limit, first here, then there.
-			s.submit(quota.Shard(i%shardCount), task{ID: fmt.Sprint("move-", i), Team: "red", Need: placement.Room{Cores: 8}, duration: 100 * time.Millisecond})
+			s.submit(quota.Shard(i%shardCount), task{ID: fmt.Sprint("move-", i), Team: "red", Need: placement.Resources{Cores: 8}, duration: 100 * time.Millisecond})
 			s.awaitAll(i+1, 10*time.Second)
 		}
 		slowest := slices.Max(s.workers.grantDelays)
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -28,7 +28,7 @@
 	// LimitAt is when the process started whose settings the limit is from. Only a process
 	// that started later may change it: while controllers are restarted one after another
 	// with new settings, those with the old ones must not change it back.
-	LimitAt ids.Wall `json:"limitAt"`
+	LimitAt ids.Timestamp `json:"limitAt"`
 	// Reserve is the part of the limit that is no shard's allowance.
 	Reserve Amount `json:"reserve"`
 	// Overhang is by how much the allowances exceed a limit that was lowered while they
@@ -53,7 +53,7 @@
 var errNotAllowed = errors.New("transition not allowed")
 
 // NewLedger makes a ledger of which no shard has an allowance yet.
-func NewLedger(limit Limit, limitAt ids.Wall, shards int) Ledger {
+func NewLedger(limit Limit, limitAt ids.Timestamp, shards int) Ledger {
 	return Ledger{
 		Version:  formVersion,
 		Limit:    limit,
@@ -90,7 +90,7 @@
 }
 
 // outdatedBy reports whether a limit of settings is newer than the ledger's and differs.
-func (l *Ledger) outdatedBy(limit Limit, limitAt ids.Wall) bool {
+func (l *Ledger) outdatedBy(limit Limit, limitAt ids.Timestamp) bool {
 	return limit != l.Limit && limitAt > l.LimitAt
 }
 
@@ -154,7 +154,7 @@
 // then goes to the reserve; what it is lowered by comes from the reserve, and what that
 // lacks becomes overcommitment. The usage of a resource that had no limit has to be registered by
 // all shards.
-func (l *Ledger) SetLimit(limit Limit, limitAt ids.Wall) (Ledger, error) {
+func (l *Ledger) SetLimit(limit Limit, limitAt ids.Timestamp) (Ledger, error) {
 	if limitAt <= l.LimitAt {
 		return Ledger{}, fmt.Errorf("%w: the limit is from newer settings", errNotAllowed)
 	}
--- a/internal/quota/ledger_test.go
+++ b/internal/quota/ledger_test.go
@@ -186,7 +186,7 @@
 func TestAmountOfAnUncertainTransferIsWithheld(t *testing.T) {
 	t.Parallel()
 	tracker := openTracker(t, 6, 2)
-	tracker.Use("red", placement.Room{Cores: 3})
+	tracker.Use("red", placement.Resources{Cores: 3})
 	learnRequest(t, tracker, 1, 6, Request{Missing: cores(1), Wanted: cores(2)})
 	transfers := tracker.dueTransfers()
 	if len(transfers) != 1 || transfers[0].withheld != cores(2) {
@@ -216,7 +216,7 @@
 func TestIdleAllowanceGoesToTheFirstRequestWithoutOscillating(t *testing.T) {
 	t.Parallel()
 	now := time.Now()
-	earlier, later := ids.WallOf(now.Add(-time.Minute)), ids.WallOf(now)
+	earlier, later := ids.TimestampOf(now.Add(-time.Minute)), ids.TimestampOf(now)
 	request := func(missing, wanted int64, rank Rank) Request {
 		return Request{Missing: cores(missing), Wanted: cores(wanted), Rank: rank}
 	}
@@ -259,7 +259,7 @@
 func TestAllowanceLeftIdleIsNotRetained(t *testing.T) {
 	t.Parallel()
 	now := time.Now()
-	earlier, later := ids.WallOf(now.Add(-time.Minute)), ids.WallOf(now)
+	earlier, later := ids.TimestampOf(now.Add(-time.Minute)), ids.TimestampOf(now)
 	tracker := openTracker(t, 6, 2)
 	tracker.SetDemands(map[string]Demand{"red": {cores(1), cores(4), Rank{Since: earlier}}})
 	learnRequest(t, tracker, 1, 6, Request{Missing: cores(1), Wanted: cores(9), Rank: Rank{Since: later}})
@@ -272,7 +272,7 @@
 func TestHigherRankedRequestReclaimsAllowanceInUse(t *testing.T) {
 	t.Parallel()
 	tracker := openTracker(t, 6, 2)
-	tracker.Use("red", placement.Room{Cores: 5})
+	tracker.Use("red", placement.Resources{Cores: 5})
 	learnRequest(t, tracker, 1, 6, Request{Missing: cores(3), Wanted: cores(3), Rank: Rank{Guaranteed: true}})
 	if amount, _, owed := tracker.Owed("red"); !owed || amount != cores(2) {
 		t.Errorf("owed %v of what is in use, beside the idle core", amount)
@@ -287,7 +287,7 @@
 	learn := func(ledger Ledger) *Book {
 		t.Helper()
 		tracker := NewBook(0, 2, map[string]Limit{"red": LimitOf(8, 0)}, 1)
-		tracker.Use("red", placement.Room{Cores: 1})
+		tracker.Use("red", placement.Resources{Cores: 1})
 		if learnLedger(t, tracker, 5, &ledger); tracker.Left("red").Cores > 0 {
 			t.Error("granted before all that is stored was read")
 		}
@@ -329,7 +329,7 @@
 func TestSingleShardGrantsBySettingsAndStoresNothing(t *testing.T) {
 	t.Parallel()
 	tracker := NewBook(0, 1, map[string]Limit{"red": LimitOf(8, 0)}, 1)
-	tracker.Use("red", placement.Room{Cores: 2.5, Accels: 3})
+	tracker.Use("red", placement.Resources{Cores: 2.5, Accels: 3})
 	tracker.SetDemands(map[string]Demand{"red": {cores(1), cores(9), Rank{}}})
 	if left := tracker.Left("red"); left.Cores != 5.5 || left.Accels < 1e9 || tracker.Left("unknown").Cores > 0 {
 		t.Errorf("%v left of eight cores", left)
--- a/internal/quota/rebalancer.go
+++ b/internal/quota/rebalancer.go
@@ -15,7 +15,7 @@
 
 // Store is what a Rebalancer needs of the state service.
 type Store interface {
-	Commit(ctx context.Context, txn state.Txn, urgency state.Urgency) (ids.Epoch, error)
+	Commit(ctx context.Context, txn state.Txn, urgency state.Urgency) (ids.StoreRevision, error)
 	Get(ctx context.Context, key string, urgency state.Urgency) (state.Entry, bool, error)
 }
 
--- a/internal/quota/simulation_records_test.go
+++ b/internal/quota/simulation_records_test.go
@@ -14,7 +14,7 @@
 // each start.
 type workerRecord struct {
 	mu            sync.Mutex
-	limits        map[string]placement.Room
+	limits        map[string]placement.Resources
 	fencingTokens map[quota.Shard]int // the highest generation seen
 	running       map[string]task
 	ended         map[string]bool
@@ -33,7 +33,7 @@
 	w.running[t.ID] = t
 	w.started++
 	w.grantDelays = append(w.grantDelays, time.Since(t.submittedAt))
-	sum := placement.Room{}
+	sum := placement.Resources{}
 	for _, other := range w.running {
 		if other.Team == t.Team {
 			sum = sum.Plus(other.Need)
--- a/internal/quota/simulation_test.go
+++ b/internal/quota/simulation_test.go
@@ -27,10 +27,10 @@
 
 // task is one task of the simulation.
 type task struct {
-	ID          string         `json:"id"`
-	Team        string         `json:"team"`
-	Need        placement.Room `json:"need"`
-	Priority    int            `json:"priority"`
+	ID          string              `json:"id"`
+	Team        string              `json:"team"`
+	Need        placement.Resources `json:"need"`
+	Priority    int                 `json:"priority"`
 	duration    time.Duration
 	submittedAt time.Time
 }
@@ -55,7 +55,7 @@
 const shardCount = 3
 
 // setLimit changes a team's limit in the settings of controllers that start from now on.
-func (s *simulation) setLimit(team string, limit placement.Room) {
+func (s *simulation) setLimit(team string, limit placement.Resources) {
 	s.workers.mu.Lock()
 	s.workers.limits[team] = limit
 	s.workers.mu.Unlock()
@@ -70,11 +70,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		s := &simulation{t: t, ctx: ctx, network: fake.NewNet(), store: fake.NewStore(),
-			workers: &workerRecord{limits: map[string]placement.Room{}, fencingTokens: map[quota.Shard]int{}, running: map[string]task{}, ended: map[string]bool{}},
+			workers: &workerRecord{limits: map[string]placement.Resources{}, fencingTokens: map[quota.Shard]int{}, running: map[string]task{}, ended: map[string]bool{}},
 			limits:  map[string]quota.Limit{}, queues: map[quota.Shard][]task{}, pauses: map[string]time.Time{}}
 		s.network.Listen("state:1", s.store)
-		s.setLimit("red", placement.Room{Cores: 8, Accels: 4, RAM: 1e9})
-		s.setLimit("blue", placement.Room{Cores: 6, Accels: 100, RAM: 1e9})
+		s.setLimit("red", placement.Resources{Cores: 8, Accels: 4, RAM: 1e9})
+		s.setLimit("blue", placement.Resources{Cores: 6, Accels: 100, RAM: 1e9})
 		f(s)
 		cancel()
 		time.Sleep(5 * time.Minute)
@@ -109,7 +109,7 @@
 type controller struct {
 	*simulation
 	name      string
-	startedAt ids.Wall
+	startedAt ids.Timestamp
 	client    *state.Client
 	mirror    *state.Mirror
 	mu        sync.Mutex
@@ -120,7 +120,7 @@
 func (s *simulation) start(name string) context.CancelFunc {
 	ctx, cancel := context.WithCancel(s.ctx)
 	s.incarnations++
-	c := &controller{simulation: s, name: name, startedAt: ids.WallOf(time.Now()), terms: map[quota.Shard]*term{},
+	c := &controller{simulation: s, name: name, startedAt: ids.TimestampOf(time.Now()), terms: map[quota.Shard]*term{},
 		client: state.NewClient("state:1", s.network.Client(name), state.NewBudget(2000, 1000, 5, 0.5))}
 	c.mirror = state.NewMirror(c.client, quota.Prefix, 50*time.Millisecond)
 	c.mirror.NotifyChanges(func(change state.Change) {
@@ -320,7 +320,7 @@
 		}
 		demand, found := demands[next.Team]
 		if !found {
-			demand = quota.Demand{Unit: quota.AmountOf(next.Need), Rank: quota.Rank{Priority: next.Priority, Since: ids.WallOf(next.submittedAt)}}
+			demand = quota.Demand{Unit: quota.AmountOf(next.Need), Rank: quota.Rank{Priority: next.Priority, Since: ids.TimestampOf(next.submittedAt)}}
 		}
 		demand.Total = demand.Total.Plus(quota.AmountOf(next.Need))
 		demands[next.Team] = demand
@@ -335,9 +335,9 @@
 	for round := range rounds {
 		for shard := range quota.Shard(shardCount) {
 			for team := range s.limits {
-				need := placement.Room{Cores: float64(1 + rng.IntN(3)), RAM: 1}
+				need := placement.Resources{Cores: float64(1 + rng.IntN(3)), RAM: 1}
 				if team == "red" && rng.IntN(3) == 0 {
-					need = placement.Room{Cores: 0.5, Accels: float64(1 + rng.IntN(2))}
+					need = placement.Resources{Cores: 0.5, Accels: float64(1 + rng.IntN(2))}
 				}
 				s.submit(shard, task{ID: fmt.Sprintf("%s-%d-%d", team, round, shard), Team: team, Need: need, Priority: rng.IntN(2),
 					duration: time.Duration(500+rng.IntN(2500)) * time.Millisecond})
--- a/internal/quota/team.go
+++ b/internal/quota/team.go
@@ -27,16 +27,16 @@
 
 // usage is what a team's tasks of one shard may be using.
 type usage struct {
-	exact   placement.Room // as the jobs state it
+	exact   placement.Resources // as the jobs state it
 	rounded Amount
 	// grantedAt is when something was last granted.
 	grantedAt time.Time
 }
 
-func (u *usage) add(room placement.Room)    { u.set(u.exact.Plus(room)) }
-func (u *usage) remove(room placement.Room) { u.set(u.exact.Minus(room)) }
+func (u *usage) add(room placement.Resources)    { u.set(u.exact.Plus(room)) }
+func (u *usage) remove(room placement.Resources) { u.set(u.exact.Minus(room)) }
 
-func (u *usage) set(exact placement.Room) {
+func (u *usage) set(exact placement.Resources) {
 	u.exact = exact
 	u.rounded = AmountOf(exact).Minus(Amount{}) // never below zero
 }
--- a/internal/quota/tracker.go
+++ b/internal/quota/tracker.go
@@ -23,7 +23,7 @@
 	shards int
 	// limits are those of this process's settings, which started at startedAt.
 	limits    map[string]Limit
-	startedAt ids.Wall
+	startedAt ids.Timestamp
 	// loaded tells that the stored ledgers were read after the shard was taken over.
 	loaded   bool
 	teams    map[string]*teamQuota
@@ -33,7 +33,7 @@
 
 // NewBook tracks the quotas of one term of leading a shard. With one shard the limits of the
 // settings are in force at once: nothing is stored and there is nothing to load.
-func NewBook(shard Shard, shards int, limits map[string]Limit, startedAt ids.Wall) *Book {
+func NewBook(shard Shard, shards int, limits map[string]Limit, startedAt ids.Timestamp) *Book {
 	return &Book{
 		shard:     shard,
 		shards:    shards,
@@ -112,30 +112,30 @@
 }
 
 // Use counts what may be in use from now on.
-func (t *Book) Use(team string, room placement.Room) {
+func (t *Book) Use(team string, room placement.Resources) {
 	quota := t.team(team)
 	quota.usage.add(room)
 	quota.usage.grantedAt = t.now()
 }
 
 // Free counts off what is surely not in use any more.
-func (t *Book) Free(team string, room placement.Room) { t.team(team).usage.remove(room) }
+func (t *Book) Free(team string, room placement.Resources) { t.team(team).usage.remove(room) }
 
 // Used is what a team's tasks of this shard may be using.
-func (t *Book) Used(team string) placement.Room {
+func (t *Book) Used(team string) placement.Resources {
 	if quota := t.teams[team]; quota != nil {
 		return quota.usage.exact
 	}
-	return placement.Room{}
+	return placement.Resources{}
 }
 
 // Left is what may still be granted to a team. It is nothing for teams that the settings do
 // not know.
-func (t *Book) Left(team string) placement.Room {
+func (t *Book) Left(team string) placement.Resources {
 	const unlimited = 1e12 // of a resource without a limit
 	limit, configured := t.limits[team]
 	if !configured {
-		return placement.Room{}
+		return placement.Resources{}
 	}
 	quota := t.team(team)
 	allowed := Amount(limit)
@@ -143,7 +143,7 @@
 		limit, allowed = t.allowed(quota, limit)
 	}
 	room, used := allowed.Room(), quota.usage.exact
-	left := placement.Room{Cores: unlimited, Accels: unlimited, RAM: unlimited}
+	left := placement.Resources{Cores: unlimited, Accels: unlimited, RAM: unlimited}
 	if limit[Cores] != Unlimited {
 		left.Cores = room.Cores - used.Cores
 	}
--- a/internal/quota/transfer.go
+++ b/internal/quota/transfer.go
@@ -63,7 +63,7 @@
 
 // recordOutcome takes in what became of a transfer. Without an answer it stays under way, and
 // what it takes from this shard stays withheld, until a newer revision of the ledger is known.
-func (t *Book) recordOutcome(transfer *Transfer, at ids.Epoch, err error) {
+func (t *Book) recordOutcome(transfer *Transfer, at ids.StoreRevision, err error) {
 	quota := t.team(transfer.Team)
 	if quota.transfer != transfer {
 		return // a newer revision has settled it
--- a/internal/record/assignments_test.go
+++ b/internal/record/assignments_test.go
@@ -11,26 +11,26 @@
 )
 
 // assign is the assignment of a task.
-func assign(task int, machine ids.Machine, session ids.Session, attempt ids.Attempt, token ids.Generation) TaskPlace {
-	return TaskPlace{Task: task, At: Location{Machine: machine, Session: session, Attempt: attempt, Token: token}}
+func assign(task int, machine ids.Machine, session ids.Incarnation, attempt ids.Attempt, token ids.Generation) TaskAssignment {
+	return TaskAssignment{Task: task, At: Location{Machine: machine, Incarnation: session, Attempt: attempt, FencingToken: token}}
 }
 
 // storedAndReadBack is the assignments that a record has after it was stored.
-func storedAndReadBack(t *testing.T, assignments []TaskPlace) map[int]Location {
+func storedAndReadBack(t *testing.T, assignments []TaskAssignment) map[int]Location {
 	t.Helper()
-	stored, err := Decode(marshal(t, Record{Places: GroupPlaces(assignments)}))
+	stored, err := Decode(marshal(t, Record{Assignments: GroupAssignments(assignments)}))
 	if err != nil {
 		t.Fatal(err)
 	}
 	found := map[int]Location{}
-	stored.EachPlace(func(task int, location Location) {
+	stored.EachAssignment(func(task int, location Location) {
 		if _, twice := found[task]; twice {
 			t.Errorf("task %d is read back twice", task)
 		}
 		found[task] = location
 	})
-	if stored.Open() != len(found) {
-		t.Errorf("%d tasks are assigned, %d are counted", len(found), stored.Open())
+	if stored.AssignedTasks() != len(found) {
+		t.Errorf("%d tasks are assigned, %d are counted", len(found), stored.AssignedTasks())
 	}
 	return found
 }
@@ -39,25 +39,25 @@
 	// Guards against a form that other versions of the program can't read.
 	for _, c := range []struct {
 		name        string
-		assignments []TaskPlace
+		assignments []TaskAssignment
 		want        string
 	}{
 		{"none", nil, `[]`},
-		{"one machine loses its whole name", []TaskPlace{assign(0, "m-1", 1, 2, 3), assign(1, "m-1", 1, 2, 3)},
+		{"one machine loses its whole name", []TaskAssignment{assign(0, "m-1", 1, 2, 3), assign(1, "m-1", 1, 2, 3)},
 			`[{"g":3,"s":1,"a":2,"p":"m-1","on":":0-1"}]`},
 		{"names lose what they have in common, tasks are counted from the lowest",
-			[]TaskPlace{assign(7, "m-1", 1, 2, 3), assign(8, "m-2", 1, 2, 3), assign(10, "m-1", 1, 2, 3)},
+			[]TaskAssignment{assign(7, "m-1", 1, 2, 3), assign(8, "m-2", 1, 2, 3), assign(10, "m-1", 1, 2, 3)},
 			`[{"g":3,"s":1,"a":2,"p":"m-","b":7,"on":"1:0,3 2:1"}]`},
 		{"another attempt and another incarnation are spelled out",
-			[]TaskPlace{assign(0, "m-1", 1, 2, 3), assign(1, "m-2", 1, 2, 3), assign(2, "m-3", 1, 4, 3), assign(3, "m-4", 5, 2, 3)},
+			[]TaskAssignment{assign(0, "m-1", 1, 2, 3), assign(1, "m-2", 1, 2, 3), assign(2, "m-3", 1, 4, 3), assign(3, "m-4", 5, 2, 3)},
 			`[{"g":3,"s":1,"a":2,"p":"m-","on":"1:0 2:1 3/4:2 4/2/5:3"}]`},
-		{"of attempts equally frequent the lowest is left out", []TaskPlace{assign(0, "m-1", 1, 9, 3), assign(1, "m-2", 1, 8, 3)},
+		{"of attempts equally frequent the lowest is left out", []TaskAssignment{assign(0, "m-1", 1, 9, 3), assign(1, "m-2", 1, 8, 3)},
 			`[{"g":3,"s":1,"a":8,"p":"m-","on":"1/9:0 2:1"}]`},
-		{"each fencing token has a group", []TaskPlace{assign(0, "m-1", 1, 1, 4), assign(1, "m-1", 1, 1, 3)},
+		{"each fencing token has a group", []TaskAssignment{assign(0, "m-1", 1, 1, 4), assign(1, "m-1", 1, 1, 3)},
 			`[{"g":4,"s":1,"a":1,"p":"m-1","on":":0"},{"g":3,"s":1,"a":1,"p":"m-1","b":1,"on":":0"}]`},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			if got := string(marshal(t, GroupPlaces(c.assignments))); got != c.want {
+			if got := string(marshal(t, GroupAssignments(c.assignments))); got != c.want {
 				t.Errorf("stored as\n%s, not\n%s", got, c.want)
 			}
 			want := map[int]Location{}
@@ -74,14 +74,14 @@
 func TestAnyAssignmentsAreReadBackAsTheyWere(t *testing.T) {
 	for seed := range uint64(100) {
 		rng := rand.New(rand.NewPCG(seed, 11))
-		var assignments []TaskPlace
+		var assignments []TaskAssignment
 		want := map[int]Location{}
 		for task := range 1 + rng.IntN(200) {
 			if rng.IntN(4) == 0 {
 				continue
 			}
 			machine := ids.Machine(fmt.Sprintf("%s-%d", []string{"host", "hare", "x"}[rng.IntN(3)], rng.IntN(12)))
-			assignment := assign(task, machine, ids.Session(1+rng.IntN(3)), ids.Attempt(1+rng.IntN(3)), ids.Generation(1+rng.IntN(2)))
+			assignment := assign(task, machine, ids.Incarnation(1+rng.IntN(3)), ids.Attempt(1+rng.IntN(3)), ids.Generation(1+rng.IntN(2)))
 			assignments = append(assignments, assignment)
 			want[task] = assignment.At
 		}
@@ -94,21 +94,21 @@
 func TestTheSizeOfAssignmentsIsEstimatedFromAbove(t *testing.T) {
 	// Guards against a record that does not fit though its assignments were counted. Machines of
 	// a shard share much of their names, so prefixes are as long as here.
-	var assignments []TaskPlace
+	var assignments []TaskAssignment
 	for task := range 500 {
 		assignments = append(assignments, assign(task, ids.Machine(fmt.Sprintf("host-s2-%04d", task)), 1, 1, 7))
 	}
-	groups := GroupPlaces(assignments)
-	if stored, estimate := len(marshal(t, groups)), PlacesSize(groups); estimate < stored || estimate > stored+groupOverheadBytes {
+	groups := GroupAssignments(assignments)
+	if stored, estimate := len(marshal(t, groups)), AssignmentsSize(groups); estimate < stored || estimate > stored+groupOverheadBytes {
 		t.Errorf("%d bytes are estimated as %d", stored, estimate)
 	}
 }
 
 func TestUnreadableAssignmentsAreSkippedUpToTheNextGroup(t *testing.T) {
 	for _, entries := range []string{"1", "1/2/3/4:0", "1/x:0", "1/2/x:0", "1:x", "1:2-1"} {
-		r := Record{Places: []PlaceGroup{{Prefix: "m-", On: "0:0 " + entries + " 2:2"}, {Prefix: "m-", On: "3:3"}}}
+		r := Record{Assignments: []AssignmentGroup{{Prefix: "m-", Entries: "0:0 " + entries + " 2:2"}, {Prefix: "m-", Entries: "3:3"}}}
 		var tasks []int
-		r.EachPlace(func(task int, _ Location) { tasks = append(tasks, task) })
+		r.EachAssignment(func(task int, _ Location) { tasks = append(tasks, task) })
 		if !reflect.DeepEqual(tasks, []int{0, 3}) {
 			t.Errorf("%q: tasks %v are read", entries, tasks)
 		}
@@ -117,10 +117,10 @@
 
 func TestTheStoredNamesOfARecordStay(t *testing.T) {
 	// Guards against a rename in the code that changes what is stored.
-	r := Record{Spec: Spec{ID: "job-1", Team: "red", Shape: Array, Tasks: 2}, Status: Claimed, Submitted: 10, Ready: 11, Attempt: 2, Gen: 3,
-		Finished: ids.FirstOf(1), Places: GroupPlaces([]TaskPlace{assign(1, "m-1", 4, 2, 3)}), Trail: []Event{{12, "accepted"}},
-		FailedOn: 1, CancelledBy: "job-0", Writer: "w", Seq: 5}
-	r.Evict(1, 2, "drain", 1)
+	r := Record{Spec: Spec{ID: "job-1", Team: "red", Shape: Array, Tasks: 2}, Status: Claimed, Submitted: 10, ReadyAt: 11, Attempt: 2, Generation: 3,
+		Finished: ids.FirstIndexes(1), Assignments: GroupAssignments([]TaskAssignment{assign(1, "m-1", 4, 2, 3)}), Events: []Event{{12, "accepted"}},
+		FailedMachines: 1, CancelledBy: "job-0", Writer: "w", Seq: 5}
+	r.AddEviction(1, 2, "drain", 1)
 	want := `{"spec":` + string(marshal(t, r.Spec)) + `,"status":"claimed","submitted":10,"ready":11,"attempt":2,"generation":3,"finished":"0",` +
 		`"places":[{"g":3,"s":4,"a":2,"p":"m-1","b":1,"on":":0"}],"trail":[{"at":12,"what":"accepted"}],"failedOn":1,` +
 		`"evictions":[{"by":"drain","wave":1,"a":2,"tasks":"1"}],"cancelledBy":"job-0","writer":"w","seq":5}`
--- a/internal/record/cancellation.go
+++ b/internal/record/cancellation.go
@@ -29,8 +29,8 @@
 
 // Cancellation is a user's cancellation of a job, stored apart from the job's record.
 type Cancellation struct {
-	At     ids.Wall `json:"at"`
-	Writer string   `json:"writer"`
+	At     ids.Timestamp `json:"at"`
+	Writer string        `json:"writer"`
 }
 
 // Encode writes a cancellation as a JSON list of one.
@@ -57,9 +57,9 @@
 // ApplyTo turns the record of an unfinished job into that of one being cancelled. A record whose
 // status does not allow that stays as it is.
 func (c Cancellation) ApplyTo(r *Record) {
-	if !r.Status.May(Cancelling) {
+	if !r.Status.CanBecome(Cancelling) {
 		return
 	}
 	r.Status = Cancelling
-	r.Trail = append(r.Trail, Event{c.At, CancelledByUser})
+	r.Events = append(r.Events, Event{c.At, CancelledByUser})
 }
--- a/internal/record/encoding.go
+++ b/internal/record/encoding.go
@@ -23,10 +23,10 @@
 			return nil, false
 		case len(raw) <= limit:
 			return raw, true
-		case len(r.Spec.Awaits) > 0:
-			r.Spec.Awaits = nil
-		case len(r.Trail) > 0:
-			r.Trail = r.Trail[1:]
+		case len(r.Spec.DependsOn) > 0:
+			r.Spec.DependsOn = nil
+		case len(r.Events) > 0:
+			r.Events = r.Events[1:]
 		default:
 			return nil, false
 		}
@@ -48,12 +48,12 @@
 		if len(raw) <= limit {
 			return raw, true
 		}
-		if len(final.Trail) < 2 {
+		if len(final.Events) < 2 {
 			break
 		}
-		final.Trail = final.Trail[1:]
+		final.Events = final.Events[1:]
 	}
-	final.Spec.Awaits = nil
-	final.Finished = ids.FirstOf(final.Finished.Len())
+	final.Spec.DependsOn = nil
+	final.Finished = ids.FirstIndexes(final.Finished.Len())
 	return final.Encode(limit)
 }
--- a/internal/record/encoding_test.go
+++ b/internal/record/encoding_test.go
@@ -15,10 +15,10 @@
 func recordWith(dependencies, events, tasks int) *Record {
 	r := New(Spec{ID: "job-1", Team: "red", Shape: Array, Tasks: tasks}, 1000, "w")
 	for i := range dependencies {
-		r.Spec.Awaits = append(r.Spec.Awaits, ids.Job(fmt.Sprintf("job-77%05d", i)))
+		r.Spec.DependsOn = append(r.Spec.DependsOn, ids.Job(fmt.Sprintf("job-77%05d", i)))
 	}
 	for i := range events {
-		r.Trail = append(r.Trail, Event{ids.Wall(2000 + i), fmt.Sprintf("event %d", i)})
+		r.Events = append(r.Events, Event{ids.Timestamp(2000 + i), fmt.Sprintf("event %d", i)})
 	}
 	for task := 0; task < tasks; task += 2 {
 		r.Finished.Add(task)
@@ -40,7 +40,7 @@
 	whole := len(marshal(t, recordWith(20, 10, 4)))
 	withoutDependencies := len(marshal(t, recordWith(0, 10, 4)))
 	withoutEvents := recordWith(0, 0, 4)
-	withoutEvents.Trail = nil
+	withoutEvents.Events = nil
 	least := len(marshal(t, withoutEvents))
 	for _, c := range []struct {
 		limit, dependencies, events int // of the 20 dependencies and 11 events, what stays
@@ -56,11 +56,11 @@
 			t.Fatalf("limit %d: %d bytes, %v", c.limit, len(raw), ok)
 		}
 		stored := decoded(t, raw)
-		if len(stored.Spec.Awaits) != c.dependencies || len(stored.Trail) != c.events {
-			t.Errorf("limit %d: %d dependencies and %d events stay", c.limit, len(stored.Spec.Awaits), len(stored.Trail))
+		if len(stored.Spec.DependsOn) != c.dependencies || len(stored.Events) != c.events {
+			t.Errorf("limit %d: %d dependencies and %d events stay", c.limit, len(stored.Spec.DependsOn), len(stored.Events))
 		}
-		if c.events > 0 && stored.Trail[c.events-1].What != "event 9" {
-			t.Errorf("limit %d: the last event is %q", c.limit, stored.Trail[c.events-1].What)
+		if c.events > 0 && stored.Events[c.events-1].Message != "event 9" {
+			t.Errorf("limit %d: the last event is %q", c.limit, stored.Events[c.events-1].Message)
 		}
 	}
 	if raw, ok := recordWith(20, 10, 4).Encode(least - 1); ok || raw != nil {
@@ -71,10 +71,10 @@
 func TestAFinalRecordKeepsItsLastEventLongest(t *testing.T) {
 	// Guards against a user who can't see how a job ended.
 	r := recordWith(20, 10, 400)
-	r.Evict(1, 1, "drain", 1)
+	r.AddEviction(1, 1, "drain", 1)
 	before := string(marshal(t, r))
 	lastEventOnly := *recordWith(20, 0, 400)
-	lastEventOnly.Trail = r.Trail[len(r.Trail)-1:]
+	lastEventOnly.Events = r.Events[len(r.Events)-1:]
 	sizeWithDependencies := len(marshal(t, lastEventOnly))
 	for _, c := range []struct {
 		name                       string
@@ -92,14 +92,14 @@
 				t.Fatalf("%d bytes, %v", len(raw), ok)
 			}
 			stored := decoded(t, raw)
-			if len(stored.Spec.Awaits) != c.dependencies || stored.Finished.Runs() != c.spans || stored.Finished.Len() != 200 {
-				t.Errorf("%d dependencies and %d tasks in %d spans stay", len(stored.Spec.Awaits), stored.Finished.Len(), stored.Finished.Runs())
+			if len(stored.Spec.DependsOn) != c.dependencies || stored.Finished.SpanCount() != c.spans || stored.Finished.Len() != 200 {
+				t.Errorf("%d dependencies and %d tasks in %d spans stay", len(stored.Spec.DependsOn), stored.Finished.Len(), stored.Finished.SpanCount())
 			}
 			if len(stored.Evictions) > 0 {
 				t.Errorf("evictions %v stay", stored.Evictions)
 			}
-			if more := len(stored.Trail) > 1; more != c.moreEvents || stored.Trail[len(stored.Trail)-1].What != "event 9" {
-				t.Errorf("events %v stay", stored.Trail)
+			if more := len(stored.Events) > 1; more != c.moreEvents || stored.Events[len(stored.Events)-1].Message != "event 9" {
+				t.Errorf("events %v stay", stored.Events)
 			}
 		})
 	}
@@ -125,7 +125,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := recordWith(100, 10, 4)
-			want := r.Spec.Awaits
+			want := r.Spec.DependsOn
 			raw, ok := r.EncodeWaiting(c.limit)
 			if !ok || len(raw) > c.limit {
 				t.Fatalf("%d bytes, %v", len(raw), ok)
@@ -140,11 +140,11 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if !reflect.DeepEqual(back.Spec.Awaits, want) || len(back.Trail) != c.events {
-				t.Errorf("read back with dependencies %v and %d events", back.Spec.Awaits, len(back.Trail))
+			if !reflect.DeepEqual(back.Spec.DependsOn, want) || len(back.Events) != c.events {
+				t.Errorf("read back with dependencies %v and %d events", back.Spec.DependsOn, len(back.Events))
 			}
-			if len(r.Spec.Awaits) != 100 || len(r.Trail) != 11 {
-				t.Errorf("encoding left %d dependencies and %d events in the record", len(r.Spec.Awaits), len(r.Trail))
+			if len(r.Spec.DependsOn) != 100 || len(r.Events) != 11 {
+				t.Errorf("encoding left %d dependencies and %d events in the record", len(r.Spec.DependsOn), len(r.Events))
 			}
 		})
 	}
--- a/internal/record/eviction.go
+++ b/internal/record/eviction.go
@@ -13,10 +13,10 @@
 // services as they are, whose replicas count as down while they are not known to run; of other
 // tasks it forgets that they are interrupted (docs/drains.md).
 type Eviction struct {
-	Rollout string      `json:"by"`
-	Wave    int         `json:"wave"`
-	Attempt ids.Attempt `json:"a"`
-	Tasks   ids.Ranges  `json:"tasks"`
+	Rollout string       `json:"by"`
+	Wave    int          `json:"wave"`
+	Attempt ids.Attempt  `json:"a"`
+	Tasks   ids.IndexSet `json:"tasks"`
 }
 
 const (
@@ -38,9 +38,9 @@
 	return size <= limit/evictionShare
 }
 
-// Evict adds a task to the job's evictions, in place of an eviction of an earlier attempt.
-func (r *Record) Evict(task int, attempt ids.Attempt, rollout string, wave int) {
-	r.KeepEvictions(func(other int, _ ids.Attempt) bool { return other != task })
+// AddEviction adds a task to the job's evictions, in place of an eviction of an earlier attempt.
+func (r *Record) AddEviction(task int, attempt ids.Attempt, rollout string, wave int) {
+	r.RetainEvictions(func(other int, _ ids.Attempt) bool { return other != task })
 	for i := range r.Evictions {
 		eviction := &r.Evictions[i]
 		if eviction.Rollout == rollout && eviction.Wave == wave && eviction.Attempt == attempt {
@@ -56,20 +56,20 @@
 // EvictedAttempt returns the attempt under which a task was evicted, and whether it was.
 func (r *Record) EvictedAttempt(task int) (attempt ids.Attempt, evicted bool) {
 	for i := range r.Evictions {
-		if r.Evictions[i].Tasks.Has(task) {
+		if r.Evictions[i].Tasks.Contains(task) {
 			return r.Evictions[i].Attempt, true
 		}
 	}
 	return 0, false
 }
 
-// KeepEvictions drops the evictions of tasks for which keep is false, and reports whether there
+// RetainEvictions drops the evictions of tasks for which keep is false, and reports whether there
 // were any.
-func (r *Record) KeepEvictions(keep func(task int, attempt ids.Attempt) bool) (dropped bool) {
+func (r *Record) RetainEvictions(keep func(task int, attempt ids.Attempt) bool) (dropped bool) {
 	var kept []Eviction
 	for i := range r.Evictions {
 		eviction := r.Evictions[i]
-		var tasks ids.Ranges
+		var tasks ids.IndexSet
 		eviction.Tasks.Each(func(task int) {
 			if keep(task, eviction.Attempt) {
 				tasks.Add(task)
@@ -87,8 +87,8 @@
 	return dropped
 }
 
-// Evicted counts the evicted tasks.
-func (r *Record) Evicted() int {
+// EvictedTasks counts the evicted tasks.
+func (r *Record) EvictedTasks() int {
 	count := 0
 	for i := range r.Evictions {
 		count += r.Evictions[i].Tasks.Len()
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -10,25 +10,25 @@
 
 // Event is one entry of a job's event history.
 type Event struct {
-	At   ids.Wall `json:"at"`
-	What string   `json:"what"`
+	At      ids.Timestamp `json:"at"`
+	Message string        `json:"what"`
 }
 
 // Record is a job as it is stored.
 type Record struct {
-	Spec      Spec     `json:"spec"`
-	Status    Status   `json:"status"`
-	Submitted ids.Wall `json:"submitted"`
-	// Ready is when the last of the job's dependencies was done; zero without dependencies.
-	Ready    ids.Wall       `json:"ready,omitempty"`
-	Attempt  ids.Attempt    `json:"attempt"`
-	Gen      ids.Generation `json:"generation"` // of the leader that wrote the record last
-	Finished ids.Ranges     `json:"finished"`   // the tasks that are done
-	Places   []PlaceGroup   `json:"places,omitempty"`
-	Trail    []Event        `json:"trail,omitempty"` // oldest first
-	// FailedOn is the number of machines on which tasks of the job failed while none was
+	Spec      Spec          `json:"spec"`
+	Status    Status        `json:"status"`
+	Submitted ids.Timestamp `json:"submitted"`
+	// ReadyAt is when the last of the job's dependencies was done; zero without dependencies.
+	ReadyAt     ids.Timestamp     `json:"ready,omitempty"`
+	Attempt     ids.Attempt       `json:"attempt"`
+	Generation  ids.Generation    `json:"generation"` // of the leader that wrote the record last
+	Finished    ids.IndexSet      `json:"finished"`   // the tasks that are done
+	Assignments []AssignmentGroup `json:"places,omitempty"`
+	Events      []Event           `json:"trail,omitempty"` // oldest first
+	// FailedMachines is the number of machines on which tasks of the job failed while none was
 	// completed, so that a new leader need not find out again.
-	FailedOn int `json:"failedOn,omitempty"`
+	FailedMachines int `json:"failedOn,omitempty"`
 	// Evictions are the tasks that drains may stop, until they run again.
 	Evictions []Eviction `json:"evictions,omitempty"`
 	// CancelledBy is the dependency whose cancellation cancelled this job.
@@ -40,19 +40,19 @@
 }
 
 // New returns the record of a job that has just been accepted.
-func New(spec Spec, now ids.Wall, writer string) *Record {
+func New(spec Spec, now ids.Timestamp, writer string) *Record {
 	return &Record{
 		Spec:      spec,
 		Status:    Queued,
 		Submitted: now,
 		Writer:    writer,
-		Trail:     []Event{{now, "accepted"}},
+		Events:    []Event{{now, "accepted"}},
 	}
 }
 
-// Open counts the tasks that are assigned to a machine and so may run.
-func (r *Record) Open() int {
+// AssignedTasks counts the tasks that are assigned to a machine and so may run.
+func (r *Record) AssignedTasks() int {
 	assigned := 0
-	r.EachPlace(func(int, Location) { assigned++ })
+	r.EachAssignment(func(int, Location) { assigned++ })
 	return assigned
 }
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -11,10 +11,10 @@
 func TestTheStoredNamesOfADescriptionStay(t *testing.T) {
 	// Guards against a rename in the code that changes what is stored: other versions of the
 	// program read it, and whatever they don't find is lost.
-	spec := Spec{ID: "job-1", Class: "c", Team: "red", Shape: Gang, Priority: High, Tasks: 2, Need: placement.Room{Cores: 1},
-		Image: "i", ImageGB: 2, Types: []string{"t"}, Zone: "z", OneZone: true, Spread: true, Spot: true, Estimate: 3,
-		Checkpoint: 4, Save: 5, Due: 6, Awaits: nil}
-	want := `{"id":"job-1","class":"c","team":"red","shape":"gang","priority":2,"tasks":2,"need":` + string(marshal(t, spec.Need)) +
+	spec := Spec{ID: "job-1", Class: "c", Team: "red", Shape: Gang, Priority: High, Tasks: 2, Resources: placement.Resources{Cores: 1},
+		Image: "i", ImageGB: 2, InstanceTypes: []string{"t"}, Zone: "z", SingleZone: true, Spread: true, AllowSpot: true, EstimatedDuration: 3,
+		CheckpointInterval: 4, CheckpointDuration: 5, Deadline: 6, DependsOn: nil}
+	want := `{"id":"job-1","class":"c","team":"red","shape":"gang","priority":2,"tasks":2,"need":` + string(marshal(t, spec.Resources)) +
 		`,"image":"i","imageGb":2,"types":["t"],"zone":"z","oneZone":true,"spread":true,"spot":true,"estimate":3,"checkpoint":4,"save":5,"due":6}`
 	if got := string(marshal(t, spec)); got != want {
 		t.Errorf("stored as\n%s, not\n%s", got, want)
--- a/internal/record/status.go
+++ b/internal/record/status.go
@@ -22,8 +22,8 @@
 	Cancelling: {Cancelled},
 }
 
-// May reports whether the transition from one status to another is allowed.
-func (s Status) May(to Status) bool { return slices.Contains(transitions[s], to) }
+// CanBecome reports whether the transition from one status to another is allowed.
+func (s Status) CanBecome(to Status) bool { return slices.Contains(transitions[s], to) }
 
-// Over reports whether the status is terminal.
-func (s Status) Over() bool { return s == Cancelled || s == Done }
+// IsTerminal reports whether the status is terminal.
+func (s Status) IsTerminal() bool { return s == Cancelled || s == Done }
--- a/internal/record/waiting.go
+++ b/internal/record/waiting.go
@@ -24,12 +24,12 @@
 	if raw, err := json.Marshal([]*Record{r}); err == nil && len(raw) <= limit {
 		return raw, true
 	}
-	names, err := json.Marshal(packNames(r.Spec.Awaits))
+	names, err := json.Marshal(packNames(r.Spec.DependsOn))
 	if err != nil {
 		return nil, false
 	}
 	withoutNames := *r
-	withoutNames.Spec.Awaits = nil
+	withoutNames.Spec.DependsOn = nil
 	raw, ok := withoutNames.Encode(limit - len(names) - len("[,]"))
 	if !ok {
 		return nil, false
@@ -52,33 +52,33 @@
 		if err := json.Unmarshal(parts[1], &names); err != nil {
 			return nil, err
 		}
-		r.Spec.Awaits = unpackNames(names)
+		r.Spec.DependsOn = unpackNames(names)
 	}
 	return r, nil
 }
 
-// DescribedShare is the share of a value that the spec of a schedulable job may take: the rest
+// MaxSpecShare is the share of a value that the spec of a schedulable job may take: the rest
 // is for the state that it accumulates, such as assignments and events.
-const DescribedShare = 0.6
+const MaxSpecShare = 0.6
 
-// LeaveRoom drops the names of dependencies, which are all done, if they would leave too little
+// TrimDependencies drops the names of dependencies, which are all done, if they would leave too little
 // of a value of limit bytes for the job's assignments.
-func (r *Record) LeaveRoom(limit int) {
+func (r *Record) TrimDependencies(limit int) {
 	raw, err := json.Marshal(&r.Spec)
-	if err != nil || len(raw) > int(float64(limit)*DescribedShare) {
-		r.Spec.Awaits = nil
+	if err != nil || len(raw) > int(float64(limit)*MaxSpecShare) {
+		r.Spec.DependsOn = nil
 	}
 }
 
-// EndedBy turns the record of a job with unfinished dependencies into that of a job cancelled
+// MarkCancelledBy turns the record of a job with unfinished dependencies into that of a job cancelled
 // because the dependency by was cancelled. Such a job counts as cancelled from that moment on for
 // everyone who reads the records, before anything is stored. The events of the record are copied,
 // since the caller may share them.
-func (r *Record) EndedBy(by ids.Job) {
+func (r *Record) MarkCancelledBy(by ids.Job) {
 	r.Status = Cancelled
 	r.CancelledBy = by
-	events := append([]Event(nil), r.Trail...)
-	r.Trail = append(events, Event{ids.WallOf(time.Now()), dependencyCancelledMessage(by)})
+	events := append([]Event(nil), r.Events...)
+	r.Events = append(events, Event{ids.TimestampOf(time.Now()), dependencyCancelledMessage(by)})
 }
 
 // dependencyCancelledMessage is the event of a job that was cancelled with one of its
@@ -87,9 +87,11 @@
 	return "cancelled: it needs " + string(dependency) + ", which was cancelled"
 }
 
-// Since is when the job became eligible for scheduling: at its submission, or when the last of
+// EligibleSince is when the job became eligible for scheduling: at its submission, or when the last of
 // its dependencies was done.
-func (r *Record) Since() ids.Wall { return max(r.Submitted, r.Ready) }
+func (r *Record) EligibleSince() ids.Timestamp { return max(r.Submitted, r.ReadyAt) }
 
-// Awaited is how long the job waited for its dependencies, which counts against its deadline.
-func (r *Record) Awaited() time.Duration { return r.Since().Time().Sub(r.Submitted.Time()) }
+// DependencyWait is how long the job waited for its dependencies, which counts against its deadline.
+func (r *Record) DependencyWait() time.Duration {
+	return r.EligibleSince().Time().Sub(r.Submitted.Time())
+}
--- a/internal/rollout/command.go
+++ b/internal/rollout/command.go
@@ -18,7 +18,7 @@
 
 // apply changes a rollout's state; changed is false if it has that state already. A transition that
 // is not allowed and an unknown command are errors.
-func (r *Record) apply(command Command, now ids.Wall) (changed bool, err error) {
+func (r *Record) apply(command Command, now ids.Timestamp) (changed bool, err error) {
 	switch command {
 	case PauseIt:
 		if r.State == Paused {
@@ -40,7 +40,7 @@
 }
 
 // resume lets a paused or halted rollout go on. After a halt the leader looks at the wave first.
-func (r *Record) resume(now ids.Wall) error {
+func (r *Record) resume(now ids.Timestamp) error {
 	r.Resumed = r.State == Halted && r.Wave != nil
 	if r.State == Paused && r.Wave != nil {
 		r.Wave.restartDeadlines(now)
--- a/internal/rollout/fakefleet_test.go
+++ b/internal/rollout/fakefleet_test.go
@@ -13,7 +13,7 @@
 type fakeFleet struct {
 	mu       sync.Mutex
 	machines map[ids.Machine]*fakeMachine
-	hires    map[ids.Hire][]ids.Machine
+	hires    map[ids.ProvisioningRequest][]ids.Machine
 	next     int
 	// mostCordoned is the most machines that were cordoned at a time.
 	mostCordoned int
@@ -30,7 +30,7 @@
 }
 
 func newFleet(machines int) *fakeFleet {
-	f := &fakeFleet{machines: map[ids.Machine]*fakeMachine{}, hires: map[ids.Hire][]ids.Machine{}}
+	f := &fakeFleet{machines: map[ids.Machine]*fakeMachine{}, hires: map[ids.ProvisioningRequest][]ids.Machine{}}
 	for range machines {
 		f.add([]string{"north", "south"}[f.next%2])
 	}
@@ -74,7 +74,7 @@
 func (f *fakeFleet) BootTime(Kind) time.Duration { return 30 * time.Second }
 func (f *fakeFleet) StepTime() time.Duration     { return 5 * time.Second }
 
-func (f *fakeFleet) HireAnswer(name ids.Hire) ([]ids.Machine, bool) {
+func (f *fakeFleet) HireAnswer(name ids.ProvisioningRequest) ([]ids.Machine, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	machines, answered := f.hires[name]
--- a/internal/rollout/fleet.go
+++ b/internal/rollout/fleet.go
@@ -47,7 +47,7 @@
 	Weigh(name ids.Machine) Weight
 	// HireAnswer tells what a request for replacements has provisioned, once the cloud has
 	// answered it.
-	HireAnswer(name ids.Hire) (machines []ids.Machine, answered bool)
+	HireAnswer(name ids.ProvisioningRequest) (machines []ids.Machine, answered bool)
 }
 
 // Fleet is what the leader's cluster does for rollouts.
--- a/internal/rollout/orders.go
+++ b/internal/rollout/orders.go
@@ -26,7 +26,7 @@
 
 // HireRequest is a request for replacements that the cloud has not answered yet.
 type HireRequest struct {
-	Name ids.Hire
+	Name ids.ProvisioningRequest
 	ClassCount
 }
 
@@ -74,7 +74,7 @@
 	if record.State == Running {
 		deadline := record.Wave.DrainingSince + wallOf(spec.Deadline)
 		drain.Drain = true
-		drain.Stop = spec.AtDeadline == Stop && ids.WallOf(now) >= deadline
+		drain.Stop = spec.AtDeadline == Stop && ids.TimestampOf(now) >= deadline
 	}
 	o.addMachines(record.machinesIn(Draining), drain)
 	o.addReplacements(record)
--- a/internal/rollout/reconcile.go
+++ b/internal/rollout/reconcile.go
@@ -20,7 +20,7 @@
 	record  *Record
 	waiting *waitingMachines
 	view    View
-	now     ids.Wall
+	now     ids.Timestamp
 	changed bool // the record
 }
 
@@ -32,7 +32,7 @@
 		record:  record.clone(),
 		waiting: newWaitingMachines(waiting, maxParts),
 		view:    view,
-		now:     ids.WallOf(now),
+		now:     ids.TimestampOf(now),
 	}
 	if err := r.reconcile(yield); err != nil {
 		return nil, err
--- a/internal/rollout/record.go
+++ b/internal/rollout/record.go
@@ -19,17 +19,17 @@
 	Spec  Spec   `json:"spec"`
 	State State  `json:"state"`
 	// Why is the reason for the state, for operators.
-	Why       string   `json:"why,omitempty"`
-	StartedAt ids.Wall `json:"started"`
+	Why       string        `json:"why,omitempty"`
+	StartedAt ids.Timestamp `json:"started"`
 	// Total is how many machines were selected, Done how many of them are through.
 	Total int `json:"total"`
 	Done  int `json:"done"`
 	// Parts is in how many parts the waiting machines are stored.
 	Parts int `json:"parts"`
 	// Waves counts the waves started; the next one starts at NextWave at the earliest.
-	Waves    int      `json:"waves"`
-	NextWave ids.Wall `json:"nextWave,omitempty"`
-	Wave     *Wave    `json:"wave,omitempty"`
+	Waves    int           `json:"waves"`
+	NextWave ids.Timestamp `json:"nextWave,omitempty"`
+	Wave     *Wave         `json:"wave,omitempty"`
 	// Resumed tells that an operator has resumed it after a halt and the leader has not gone on
 	// yet.
 	Resumed bool `json:"resumed,omitempty"`
--- a/internal/rollout/replacements.go
+++ b/internal/rollout/replacements.go
@@ -32,7 +32,7 @@
 			wave.RequestCount++
 			wave.ObservingSince = 0
 			wave.Hires = append(wave.Hires, ReplacementRequest{
-				Name:        ids.Hire(fmt.Sprintf("%s%s-%d-%d", HirePrefix, r.record.ID, wave.Number, wave.RequestCount)),
+				Name:        ids.ProvisioningRequest(fmt.Sprintf("%s%s-%d-%d", HirePrefix, r.record.ID, wave.Number, wave.RequestCount)),
 				ClassCount:  ClassCount{needed.Kind, min(missing, maxPerRequest)},
 				RequestedAt: r.now,
 			})
@@ -184,7 +184,7 @@
 // discardFailedReplacements prepares a halted wave for being resumed: replacements that were not
 // ready are given up, and the time for which the rollout was halted counts against no deadline.
 // Whether those that were ready still are, the leader looks at again.
-func (w *Wave) discardFailedReplacements(now ids.Wall, failed func(ids.Machine) bool) {
+func (w *Wave) discardFailedReplacements(now ids.Timestamp, failed func(ids.Machine) bool) {
 	w.ObservingSince = 0
 	w.restartDeadlines(now)
 	for i := range w.Hires {
@@ -202,7 +202,7 @@
 }
 
 // restartDeadlines has the time for which a rollout did not go on count against no deadline.
-func (w *Wave) restartDeadlines(now ids.Wall) {
+func (w *Wave) restartDeadlines(now ids.Timestamp) {
 	if w.DrainingSince > 0 {
 		w.DrainingSince = now
 	}
--- a/internal/rollout/service.go
+++ b/internal/rollout/service.go
@@ -115,7 +115,7 @@
 		return nil, nil, fmt.Errorf("%w: the names of %d machines take %d values, of at most %d in one transaction: select fewer",
 			ErrBadSpec, selected.Len(), len(parts), s.Limits.maxParts())
 	}
-	startedAt := ids.WallOf(time.Now())
+	startedAt := ids.TimestampOf(time.Now())
 	record := &Record{
 		Version:   storedVersion,
 		ID:        newID(startedAt, rand.Uint32()),
@@ -130,7 +130,7 @@
 }
 
 // newID makes an id for a rollout that no other has.
-func newID(startedAt ids.Wall, random uint32) string {
+func newID(startedAt ids.Timestamp, random uint32) string {
 	return fmt.Sprintf("%x-%x", int64(startedAt), random)
 }
 
@@ -160,7 +160,7 @@
 			return nil, err
 		}
 		record := rollout.record.clone()
-		changed, err := record.apply(command, ids.WallOf(time.Now()))
+		changed, err := record.apply(command, ids.TimestampOf(time.Now()))
 		if err != nil || !changed {
 			return statusOf(rollout, nil), err
 		}
--- a/internal/rollout/status.go
+++ b/internal/rollout/status.go
@@ -6,14 +6,14 @@
 
 // Status is the state of a rollout, for operators.
 type Status struct {
-	Name      Name     `json:"name"`
-	State     State    `json:"state,omitempty"`
-	Why       string   `json:"why,omitempty"`
-	StartedAt ids.Wall `json:"started,omitempty"`
-	Total     int      `json:"total,omitempty"`
-	Done      int      `json:"done,omitempty"`
-	Waiting   int      `json:"waiting,omitempty"`
-	Wave      int      `json:"wave,omitempty"`
+	Name      Name          `json:"name"`
+	State     State         `json:"state,omitempty"`
+	Why       string        `json:"why,omitempty"`
+	StartedAt ids.Timestamp `json:"started,omitempty"`
+	Total     int           `json:"total,omitempty"`
+	Done      int           `json:"done,omitempty"`
+	Waiting   int           `json:"waiting,omitempty"`
+	Wave      int           `json:"wave,omitempty"`
 	// Machines are those of the present wave.
 	Machines []MachineStatus `json:"machines,omitempty"`
 	// Replacements are the requests of the present wave.
--- a/internal/rollout/wave.go
+++ b/internal/rollout/wave.go
@@ -147,4 +147,6 @@
 }
 
 // wallOf is a duration in the unit of wall times.
-func wallOf(seconds ids.Seconds) ids.Wall { return ids.Wall(seconds.Duration().Milliseconds()) }
+func wallOf(seconds ids.Seconds) ids.Timestamp {
+	return ids.Timestamp(seconds.Duration().Milliseconds())
+}
--- a/internal/rollout/wave_record.go
+++ b/internal/rollout/wave_record.go
@@ -29,9 +29,9 @@
 // ReplacementRequest provisions replacements. Its name is stored before it is sent and never used
 // for another one, so that it is idempotent: whoever leads may send it again.
 type ReplacementRequest struct {
-	Name ids.Hire `json:"name"`
+	Name ids.ProvisioningRequest `json:"name"`
 	ClassCount
-	RequestedAt ids.Wall `json:"asked"`
+	RequestedAt ids.Timestamp `json:"asked"`
 	// Answered tells that the cloud has answered; Machines are those that it provisioned.
 	Answered bool       `json:"answered,omitempty"`
 	Machines MachineSet `json:"machines"`
@@ -42,10 +42,10 @@
 // Wave is the machines that a rollout works on now.
 type Wave struct {
 	Number    int                         `json:"number"`
-	StartedAt ids.Wall                    `json:"began"`
+	StartedAt ids.Timestamp               `json:"began"`
 	Machines  map[MachineState]MachineSet `json:"machines"`
 	// DrainingSince is when the present step of draining began; zero before.
-	DrainingSince ids.Wall `json:"drainingSince,omitempty"`
+	DrainingSince ids.Timestamp `json:"drainingSince,omitempty"`
 	// Needed are the replacements that the wave needs.
 	Needed []ClassCount `json:"wanted,omitempty"`
 	// Hires are the requests for replacements so far.
@@ -53,7 +53,7 @@
 	// RequestCount numbers the wave's requests, also those that were given up.
 	RequestCount int `json:"hireCount,omitempty"`
 	// ObservingSince is since when all replacements are ready and observed; zero before.
-	ObservingSince ids.Wall `json:"observedSince,omitempty"`
+	ObservingSince ids.Timestamp `json:"observedSince,omitempty"`
 }
 
 // clone is a copy that shares nothing that changes.
--- a/internal/scenarios/drain_cluster_test.go
+++ b/internal/scenarios/drain_cluster_test.go
@@ -202,10 +202,10 @@
 // drainSettings are a node's settings.
 func (c *drainCluster) drainSettings(name string) *config.Settings {
 	settings := c.settings("a")
-	settings.HostName, settings.Others = ids.Node(name), nil
+	settings.HostName, settings.Peers = ids.Node(name), nil
 	for _, other := range drainNodes {
 		if other != name {
-			settings.Others = append(settings.Others, config.Other{HostName: ids.Node(other)})
+			settings.Peers = append(settings.Peers, config.Peer{HostName: ids.Node(other)})
 		}
 	}
 	if err := settings.ParseFeatures([]byte(c.features)); err != nil {
@@ -236,7 +236,7 @@
 	}
 	n.drains = &rollout.Service{Copy: copied, State: store, Leader: n, Writer: writer, Limits: limits,
 		Installation: func() rollout.Installation {
-			return rollout.Installation{Zones: settings.Params.Zones, Types: []string{"small"}, Shards: settings.Shards()}
+			return rollout.Installation{Zones: settings.Params.Zones, Types: []string{"small"}, Shards: settings.ShardCount()}
 		}}
 	jobs := &intake.JobService{Set: settings, State: store, Jobs: n.pool.Jobs(), LeaderNotifier: n, Writer: writer, Types: types}
 	c.net.Listen(name+":8080", (&intake.Site{Jobs: jobs, Heartbeats: n.pool, Ready: func() bool { return true },
--- a/internal/scenarios/shards_test.go
+++ b/internal/scenarios/shards_test.go
@@ -83,10 +83,10 @@
 // shardSettings are a node's settings.
 func (c *shardCluster) shardSettings(name string) *config.Settings {
 	settings := c.settings("a")
-	settings.HostName, settings.Others = ids.Node(name), nil
+	settings.HostName, settings.Peers = ids.Node(name), nil
 	for _, other := range shardNodes {
 		if other != name {
-			settings.Others = append(settings.Others, config.Other{HostName: ids.Node(other)})
+			settings.Peers = append(settings.Peers, config.Peer{HostName: ids.Node(other)})
 		}
 	}
 	settings.Features = &config.Features{Shards: proto.Uint32(uint32(c.count))}
--- a/internal/scenarios/test_cluster_test.go
+++ b/internal/scenarios/test_cluster_test.go
@@ -133,7 +133,7 @@
 	}
 	set.Params.Teams = append(set.Params.Teams, w.teams...)
 	if w.valueKB > 0 {
-		set.Params.State.ValueKB, set.Params.State.NowKB = w.valueKB, w.valueKB
+		set.Params.State.ValueKB, set.Params.State.CurrentValueKB = w.valueKB, w.valueKB
 	}
 	return set
 }
@@ -181,8 +181,8 @@
 	return ls
 }
 
-func types() []placement.Type {
-	return []placement.Type{{Label: "small", Cores: 4, RAM: 16, CacheGB: 20, PullGBPerS: 1, Price: 1, SpotPrice: 0.4, BootS: 30, Zones: []string{"north", "south"}}}
+func types() []placement.InstanceType {
+	return []placement.InstanceType{{Label: "small", Cores: 4, RAM: 16, CacheGB: 20, PullGBPerS: 1, Price: 1, SpotPrice: 0.4, BootS: 30, Zones: []string{"north", "south"}}}
 }
 
 // AllStopped asks the other node, if it lives and the network lets it.
--- a/internal/scheduler/assign.go
+++ b/internal/scheduler/assign.go
@@ -75,7 +75,7 @@
 // some were passed over.
 func (s *Scheduler) assignTasks(job *workload.Job, limit int, pass *Pass) (assigned int, reason string) {
 	spec := &job.Record.Spec
-	request := spec.Ask()
+	request := spec.PlacementRequest()
 	search := s.newSearch(job, &request, pass)
 	finished := &job.Record.Finished
 	for i := finished.NextMissing(0); i < spec.Tasks && assigned < limit; i = finished.NextMissing(i + 1) {
@@ -173,14 +173,14 @@
 
 // quotaLeft is how many more tasks of a job, of those wanted, its team's quota allows.
 func (s *Scheduler) QuotaLeft(spec *record.Spec, want int) int {
-	return s.Quota.Left(spec.Team).Count(spec.Need, want)
+	return s.Quota.Left(spec.Team).CountFitting(spec.Resources, want)
 }
 
 // assignableTasks is the same less what is reserved for jobs that go first, or for tasks that are moved.
 func (s *Scheduler) assignableTasks(job *workload.Job, want int, now time.Time) int {
 	spec := &job.Record.Spec
 	left := s.Quota.Left(spec.Team).Minus(s.reservedQuota(job, now)).Minus(s.cluster.QuotaForRelocated(job))
-	return left.Count(spec.Need, want)
+	return left.CountFitting(spec.Resources, want)
 }
 
 // protectStart protects the beginning of a job that starved: of a gang all tasks, of any other job
@@ -206,10 +206,10 @@
 
 // reservedForOther tells whether what is free on a machine was reserved for another job that goes
 // first.
-func (s *Scheduler) reservedForOther(machine ids.Machine, free placement.Room, job *workload.Job, now time.Time) bool {
+func (s *Scheduler) reservedForOther(machine ids.Machine, free placement.Resources, job *workload.Job, now time.Time) bool {
 	reservation, reserved := s.Reservations.On(machine, now)
 	return reserved && reservation.Job != job.ID() && s.outranks(reservation.Job, job, now) &&
-		!free.Minus(reservation.Need).Holds(job.Record.Spec.Need)
+		!free.Minus(reservation.Need).Holds(job.Record.Spec.Resources)
 }
 
 // outranks tells whether a reservation's job still goes before another one.
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -26,7 +26,7 @@
 		job.PendingReason = s.quotaReason(job, missing, pass.now)
 		return
 	}
-	request := spec.Ask()
+	request := spec.PlacementRequest()
 	search := s.newSearch(job, &request, pass)
 	nodes := search.cheapestTogether(s.gangZones(job), missing)
 	if nodes == nil {
@@ -75,7 +75,7 @@
 // gangZones are the zones to look in, one after the other; an empty name stands for all at once.
 func (s *Scheduler) gangZones(job *workload.Job) []string {
 	spec := &job.Record.Spec
-	if spec.OneZone && len(job.Assignments) == 0 && spec.Zone == "" {
+	if spec.SingleZone && len(job.Assignments) == 0 && spec.Zone == "" {
 		return s.Settings.Params.Zones // all tasks go to one: the cheapest
 	}
 	return []string{""}
@@ -127,7 +127,7 @@
 				continue
 			}
 			allowed := s.zones.Allowed(found.machine.Zone, n) - inZone[found.machine.Zone]
-			fitting := min(found.node.Free().Count(s.request.Need, n-len(nodes)), allowed)
+			fitting := min(found.node.Free().CountFitting(s.request.Resources, n-len(nodes)), allowed)
 			for range max(fitting, 0) {
 				nodes = append(nodes, found.node)
 				cost += found.score
--- a/internal/scheduler/pass.go
+++ b/internal/scheduler/pass.go
@@ -17,8 +17,8 @@
 	now time.Time
 	// noCapacity are needs for which no machine has room, noVictims those for which preempting others
 	// frees nothing.
-	noCapacity       map[placementKey][]placement.Room
-	noVictims        map[preemptionKey][]placement.Room
+	noCapacity       map[placementKey][]placement.Resources
+	noVictims        map[preemptionKey][]placement.Resources
 	preemptible      map[preemptionKey][]*capacity.Node
 	machinesExamined int
 	// quotaDemands are, by team, the tasks that only the team's allowance holds back.
@@ -26,7 +26,7 @@
 }
 
 func newPass(now time.Time) *Pass {
-	return &Pass{now: now, noCapacity: map[placementKey][]placement.Room{}, noVictims: map[preemptionKey][]placement.Room{},
+	return &Pass{now: now, noCapacity: map[placementKey][]placement.Resources{}, noVictims: map[preemptionKey][]placement.Resources{},
 		preemptible: map[preemptionKey][]*capacity.Node{}, quotaDemands: map[string]quota.Demand{}}
 }
 
@@ -40,16 +40,16 @@
 // addQuotaDemand notes that only its team's allowance keeps n tasks of a job from starting.
 func (p *Pass) addQuotaDemand(job *workload.Job, n int) {
 	spec := &job.Record.Spec
-	unit := spec.Need
+	unit := spec.Resources
 	if spec.Shape == record.Gang {
-		unit = spec.Need.Times(float64(n))
+		unit = spec.Resources.Times(float64(n))
 	}
 	demand, found := p.quotaDemands[spec.Team]
 	if !found {
 		demand.Unit = quota.AmountOf(unit)
-		demand.Rank = quota.Rank{Guaranteed: job.Guaranteed, Priority: int(job.EffectivePriority()), Since: job.Record.Since()}
+		demand.Rank = quota.Rank{Guaranteed: job.Guaranteed, Priority: int(job.EffectivePriority()), Since: job.Record.EligibleSince()}
 	}
-	demand.Total = demand.Total.Plus(quota.AmountOf(spec.Need.Times(float64(n))))
+	demand.Total = demand.Total.Plus(quota.AmountOf(spec.Resources.Times(float64(n))))
 	p.quotaDemands[spec.Team] = demand
 }
 
@@ -59,15 +59,15 @@
 	spot, accelerated bool
 }
 
-func placementKeyOf(request *placement.Ask) placementKey {
+func placementKeyOf(request *placement.Request) placementKey {
 	var types strings.Builder
-	for _, name := range request.Types {
+	for _, name := range request.InstanceTypes {
 		types.WriteString(name + ",")
 	}
-	return placementKey{types: types.String(), zone: request.Zone, spot: request.Spot, accelerated: request.Need.Accels > 0}
+	return placementKey{types: types.String(), zone: request.Zone, spot: request.AllowSpot, accelerated: request.Resources.Accels > 0}
 }
 
 // covered tells whether one of the amounts known not to be had lies within need.
-func covered(known []placement.Room, need placement.Room) bool {
-	return slices.ContainsFunc(known, func(amount placement.Room) bool { return need.Holds(amount) })
+func covered(known []placement.Resources, need placement.Resources) bool {
+	return slices.ContainsFunc(known, func(amount placement.Resources) bool { return need.Holds(amount) })
 }
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -23,7 +23,7 @@
 	placementKey
 }
 
-func preemptionKeyOf(job *workload.Job, request *placement.Ask) preemptionKey {
+func preemptionKeyOf(job *workload.Job, request *placement.Request) preemptionKey {
 	key := preemptionKey{priority: job.EffectivePriority(), guaranteed: job.Guaranteed, placementKey: placementKeyOf(request)}
 	if job.Guaranteed {
 		key.team = job.Record.Spec.Team
@@ -47,14 +47,14 @@
 
 // preempt frees room for one task of a job by stopping others, where the rules of priority and
 // guarantee allow it, at the least loss; it names the machine.
-func (s *Scheduler) preempt(job *workload.Job, request *placement.Ask, pass *Pass) (freed bool, machine string) {
+func (s *Scheduler) preempt(job *workload.Job, request *placement.Request, pass *Pass) (freed bool, machine string) {
 	key := preemptionKeyOf(job, request)
-	if covered(pass.noVictims[key], request.Need) {
+	if covered(pass.noVictims[key], request.Resources) {
 		return false, ""
 	}
 	freed, machine, noVictims := s.preemptCheapest(job, request, pass, anyVictims)
 	if noVictims {
-		pass.noVictims[key] = append(pass.noVictims[key], request.Need)
+		pass.noVictims[key] = append(pass.noVictims[key], request.Resources)
 	}
 	return freed, machine
 }
@@ -64,13 +64,13 @@
 
 // preemptWhereCached frees room on a machine that holds the image, by stopping tasks that exit at once;
 // it names the machine, also while that goes on.
-func (s *Scheduler) preemptWhereCached(job *workload.Job, request *placement.Ask, pass *Pass) (machine string) {
+func (s *Scheduler) preemptWhereCached(job *workload.Job, request *placement.Request, pass *Pass) (machine string) {
 	for name, reservation := range s.Reservations.All() {
 		if reservation.Job != job.ID() || pass.now.Sub(reservation.Made) >= recentReservation {
 			continue
 		}
 		node := s.Capacity.Node(name)
-		if node != nil && s.Capacity.HoldsImage(node, request.Image) && (node.Class == nil || !node.Free().Holds(request.Need)) {
+		if node != nil && s.Capacity.HoldsImage(node, request.Image) && (node.Class == nil || !node.Free().Holds(request.Resources)) {
 			return string(name) // not free yet
 		}
 		return ""
@@ -92,15 +92,15 @@
 
 // canPreemptWithoutAccelerators tells whether preempting others would make room on machines without
 // accelerators.
-func (s *Scheduler) canPreemptWithoutAccelerators(job *workload.Job, request *placement.Ask, pass *Pass) bool {
+func (s *Scheduler) canPreemptWithoutAccelerators(job *workload.Job, request *placement.Request, pass *Pass) bool {
 	zones := ZoneSpreadOf(job, s.Machines)
 	for _, node := range s.preemptionNodes(job, request, "", pass) {
 		machine := s.Machines.Machines[node.Name]
 		offer := s.Capacity.Type(machine.Type)
-		if offer.Accels > 0 || !offer.Room().Holds(request.Need) || zones.Allowed(machine.Zone, 1) == 0 {
+		if offer.Accels > 0 || !offer.Capacity().Holds(request.Resources) || zones.Allowed(machine.Zone, 1) == 0 {
 			continue
 		}
-		if _, _, enough := s.victimsOn(job, node, offer.Room().Minus(node.Used), request, pass.now); enough {
+		if _, _, enough := s.victimsOn(job, node, offer.Capacity().Minus(node.Used), request, pass.now); enough {
 			return true
 		}
 	}
@@ -109,7 +109,7 @@
 
 // preemptionNodes lists the nodes on which a job may preempt something, or where something is being
 // stopped; if an image is named, only those that hold it. Jobs alike share the list within a pass.
-func (s *Scheduler) preemptionNodes(job *workload.Job, request *placement.Ask, image string, pass *Pass) []*capacity.Node {
+func (s *Scheduler) preemptionNodes(job *workload.Job, request *placement.Request, image string, pass *Pass) []*capacity.Node {
 	key := preemptionKeyOf(job, request)
 	key.image = image
 	if nodes, known := pass.preemptible[key]; known {
@@ -127,7 +127,7 @@
 }
 
 // findPreemptionNodes looks at all jobs that a job may preempt.
-func (s *Scheduler) findPreemptionNodes(job *workload.Job, request *placement.Ask, now time.Time) []*capacity.Node {
+func (s *Scheduler) findPreemptionNodes(job *workload.Job, request *placement.Request, now time.Time) []*capacity.Node {
 	withVictims := map[*capacity.Node]bool{}
 	for _, other := range s.Jobs.Ordered() {
 		if len(other.Assignments) == 0 || !s.mayPreemptJob(other, job) {
@@ -158,7 +158,7 @@
 
 // preemptCheapest preempts others on the machine where that loses least among those that the filter
 // allows; noVictims tells that no machine was left to choose from.
-func (s *Scheduler) preemptCheapest(job *workload.Job, request *placement.Ask, pass *Pass, filter preemptionFilter) (freed bool, machine string, noVictims bool) {
+func (s *Scheduler) preemptCheapest(job *workload.Job, request *placement.Request, pass *Pass, filter preemptionFilter) (freed bool, machine string, noVictims bool) {
 	if job.Suspect() {
 		return false, "", false // nothing is stopped for what may fail anyway
 	}
@@ -179,7 +179,7 @@
 
 // cheapestPreemption picks the preemption that loses least, among MaxPreemptionCandidates from a random
 // node on.
-func (s *Scheduler) cheapestPreemption(job *workload.Job, request *placement.Ask, pass *Pass, filter preemptionFilter) (best *preemption, noVictims bool) {
+func (s *Scheduler) cheapestPreemption(job *workload.Job, request *placement.Request, pass *Pass, filter preemptionFilter) (best *preemption, noVictims bool) {
 	zones := ZoneSpreadOf(job, s.Machines)
 	noVictims = true
 	nodes := s.preemptionNodes(job, request, filter.image, pass)
@@ -194,11 +194,11 @@
 		}
 		machine := s.Machines.Machines[node.Name]
 		offer := s.Capacity.Type(machine.Type)
-		if !offer.Room().Holds(request.Need) {
+		if !offer.Capacity().Holds(request.Resources) {
 			continue
 		}
 		pass.machinesExamined++
-		victims, loss, enough := s.victimsOn(job, node, offer.Room().Minus(node.Used), request, pass.now)
+		victims, loss, enough := s.victimsOn(job, node, offer.Capacity().Minus(node.Used), request, pass.now)
 		if !enough {
 			continue
 		}
@@ -223,8 +223,8 @@
 const minPullRate = 0.01
 
 // placementLoss is what a request loses by going to a node, beside what is stopped there.
-func placementLoss(node *capacity.Node, machine *worker.Machine, offer *placement.Type, request *placement.Ask) (loss float64) {
-	if request.Long && offer.Accels > request.Need.Accels {
+func placementLoss(node *capacity.Node, machine *worker.Machine, offer *placement.InstanceType, request *placement.Request) (loss float64) {
+	if request.LongRunning && offer.Accels > request.Resources.Accels {
 		loss += acceleratorLoss
 	}
 	if !machine.Images.Has(request.Image) && node.ImagePulls[request.Image] == nil {
@@ -238,7 +238,7 @@
 const preemptionMargin = 10
 
 // carryOut stops what a preemption names and keeps its room for the job.
-func (s *Scheduler) carryOut(chosen *preemption, job *workload.Job, request *placement.Ask, now time.Time) {
+func (s *Scheduler) carryOut(chosen *preemption, job *workload.Job, request *placement.Request, now time.Time) {
 	longest := ids.Seconds(0)
 	for _, victim := range chosen.victims {
 		grace := victim.CheckpointGrace()
@@ -248,7 +248,7 @@
 		s.cluster.Stop(victim, grace, fmt.Sprintf("to make room for %s (%s)", job.ID(), job.EffectivePriority()))
 		longest = max(longest, victim.StopGrace)
 	}
-	s.Reservations.Set(chosen.node.Name, Reservation{Job: job.ID(), Need: request.Need, Made: now,
+	s.Reservations.Set(chosen.node.Name, Reservation{Job: job.ID(), Need: request.Resources, Made: now,
 		Until: now.Add((longest + preemptionMargin).Duration())})
 }
 
@@ -263,19 +263,19 @@
 
 // victimsOn picks whom to stop on a node so that the request fits, and tells what that loses; enough
 // tells whether it fits then.
-func (s *Scheduler) victimsOn(job *workload.Job, node *capacity.Node, free placement.Room, request *placement.Ask, now time.Time) (stop []*workload.Assignment, loss float64, enough bool) {
+func (s *Scheduler) victimsOn(job *workload.Job, node *capacity.Node, free placement.Resources, request *placement.Request, now time.Time) (stop []*workload.Assignment, loss float64, enough bool) {
 	critical := job.EffectivePriority() == record.Critical
 	var victims []victim
 	for assignment := range node.Assignments {
 		if assignment.Stopping {
-			free = free.Plus(assignment.Job.Record.Spec.Need)
+			free = free.Plus(assignment.Job.Record.Spec.Resources)
 		} else if s.mayPreempt(assignment, job) {
 			victims = append(victims, victim{assignment, assignment.PreemptionCost(now)})
 		}
 	}
 	slices.SortFunc(victims, func(x, y victim) int { return compareVictims(x, y, critical) })
 	for _, chosen := range victims {
-		if free.Holds(request.Need) {
+		if free.Holds(request.Resources) {
 			break
 		}
 		stop = append(stop, chosen.assignment)
@@ -283,9 +283,9 @@
 		if grace := chosen.assignment.CheckpointGrace(); critical && grace > 0 && !chosen.assignment.LittleToSave(now) {
 			loss += graceLoss * float64(grace)
 		}
-		free = free.Plus(chosen.assignment.Job.Record.Spec.Need)
+		free = free.Plus(chosen.assignment.Job.Record.Spec.Resources)
 	}
-	return stop, loss, free.Holds(request.Need)
+	return stop, loss, free.Holds(request.Resources)
 }
 
 // compareVictims orders whom to stop first: for critical work, which does not wait for others to save,
@@ -318,7 +318,7 @@
 	}
 	team, _ := s.Settings.Team(spec.Team)
 	used := s.Quota.Used(spec.Team)
-	if spec.Need.Accels > 0 {
+	if spec.Resources.Accels > 0 {
 		return used.Accels > team.GPUs
 	}
 	return used.Cores > team.CPUs
--- a/internal/scheduler/quota_preemption.go
+++ b/internal/scheduler/quota_preemption.go
@@ -16,7 +16,7 @@
 // it: given to lesser work again as it frees up, the job would never begin.
 type quotaReservation struct {
 	job   *workload.Job
-	need  placement.Room
+	need  placement.Resources
 	until time.Time
 }
 
@@ -24,11 +24,11 @@
 const quotaReservationTime = 2 * time.Second
 
 // reservedQuota is what a job must leave of its team's quota to one that goes first.
-func (s *Scheduler) reservedQuota(job *workload.Job, now time.Time) placement.Room {
+func (s *Scheduler) reservedQuota(job *workload.Job, now time.Time) placement.Resources {
 	reserved, found := s.quotaReservations[job.Record.Spec.Team]
 	if !found || reserved.job == job || !reserved.until.After(now) || !reserved.job.Schedulable() ||
 		job.EffectivePriority() >= reserved.job.EffectivePriority() {
-		return placement.Room{}
+		return placement.Resources{}
 	}
 	return reserved.need
 }
@@ -45,10 +45,10 @@
 	}
 	spec := &job.Record.Spec
 	team, _ := s.Settings.Team(spec.Team)
-	excess := quotaExcess(team, s.Quota.Used(spec.Team).Plus(spec.Need.Times(float64(tasks))))
+	excess := quotaExcess(team, s.Quota.Used(spec.Team).Plus(spec.Resources.Times(float64(tasks))))
 	left, excess, victims := s.lesserWork(job, team, excess)
-	if fitting := left.Count(spec.Need, tasks); fitting > 0 && (fitting == tasks || spec.Shape != record.Gang) {
-		s.quotaReservations[spec.Team] = quotaReservation{job: job, need: spec.Need.Times(float64(fitting)), until: now.Add(quotaReservationTime)}
+	if fitting := left.CountFitting(spec.Resources, tasks); fitting > 0 && (fitting == tasks || spec.Shape != record.Gang) {
+		s.quotaReservations[spec.Team] = quotaReservation{job: job, need: spec.Resources.Times(float64(fitting)), until: now.Add(quotaReservationTime)}
 	}
 	slices.SortFunc(victims, func(x, y *workload.Assignment) int { return compareLesserWork(x, y, now) })
 	reason := fmt.Sprintf("its team is at its limit and %s (%s) goes first", spec.ID, job.EffectivePriority())
@@ -56,7 +56,7 @@
 		if !exceeds(excess) {
 			break
 		}
-		need := victim.Job.Record.Spec.Need
+		need := victim.Job.Record.Spec.Resources
 		if excess.Cores > 0 && need.Cores > 0 || excess.Accels > 0 && need.Accels > 0 {
 			excess = excess.Minus(need)
 			s.cluster.Stop(victim, victim.CheckpointGrace(), reason)
@@ -66,10 +66,10 @@
 }
 
 // exceeds tells whether an amount of cores or accelerators is above none.
-func exceeds(excess placement.Room) bool { return excess.Cores > 0 || excess.Accels > 0 }
+func exceeds(excess placement.Resources) bool { return excess.Cores > 0 || excess.Accels > 0 }
 
 // quotaExcess is by how much usage exceeds a team's quota.
-func quotaExcess(team config.Team, usage placement.Room) placement.Room {
+func quotaExcess(team config.Team, usage placement.Resources) placement.Resources {
 	usage.Cores -= team.CPUsMax
 	usage.Accels -= team.GPUsMax
 	if team.CPUsMax == 0 {
@@ -84,8 +84,8 @@
 // lesserWork looks at all work of a job's team: left is the quota that work of the job's priority or
 // higher leaves, remaining the excess without what is being stopped of lesser work, and victims the rest
 // of that.
-func (s *Scheduler) lesserWork(job *workload.Job, team config.Team, excess placement.Room) (left, remaining placement.Room, victims []*workload.Assignment) {
-	left = placement.Room{Cores: team.CPUsMax, Accels: team.GPUsMax, RAM: unlimited}
+func (s *Scheduler) lesserWork(job *workload.Job, team config.Team, excess placement.Resources) (left, remaining placement.Resources, victims []*workload.Assignment) {
+	left = placement.Resources{Cores: team.CPUsMax, Accels: team.GPUsMax, RAM: unlimited}
 	if team.CPUsMax == 0 {
 		left.Cores = unlimited
 	}
@@ -93,7 +93,7 @@
 		left.Accels = unlimited
 	}
 	for _, other := range s.Jobs.All() {
-		need := other.Record.Spec.Need
+		need := other.Record.Spec.Resources
 		switch {
 		case other.Record.Spec.Team != job.Record.Spec.Team:
 			continue
@@ -122,7 +122,7 @@
 // PreemptForOtherShards stops lesser work of teams whose allowance a more urgent demand of another shard
 // is owed.
 func (s *Scheduler) PreemptForOtherShards() {
-	if s.Settings.Shards() == 1 || !s.cluster.StoreAvailable() {
+	if s.Settings.ShardCount() == 1 || !s.cluster.StoreAvailable() {
 		return
 	}
 	for _, team := range s.Settings.Params.Teams {
@@ -135,7 +135,7 @@
 
 // preemptLowerPriority stops work of a team below a priority until it frees what is named. What is being
 // stopped already counts.
-func (s *Scheduler) preemptLowerPriority(team string, below record.Priority, wanted placement.Room) {
+func (s *Scheduler) preemptLowerPriority(team string, below record.Priority, wanted placement.Resources) {
 	var victims []*workload.Assignment
 	for _, job := range s.Jobs.Ordered() {
 		if job.Record.Spec.Team != team || job.EffectivePriority() >= below {
@@ -143,7 +143,7 @@
 		}
 		for _, i := range workload.SortedTasks(job.Assignments) {
 			if assignment := job.Assignments[i]; assignment.Stopping {
-				wanted = wanted.Minus(job.Record.Spec.Need)
+				wanted = wanted.Minus(job.Record.Spec.Resources)
 			} else {
 				victims = append(victims, assignment)
 			}
@@ -155,7 +155,7 @@
 		if !exceeds(wanted) {
 			return
 		}
-		wanted = wanted.Minus(victim.Job.Record.Spec.Need)
+		wanted = wanted.Minus(victim.Job.Record.Spec.Resources)
 		s.cluster.Stop(victim, victim.CheckpointGrace(), "its team's limit is needed in another shard")
 	}
 }
--- a/internal/scheduler/ranking.go
+++ b/internal/scheduler/ranking.go
@@ -64,16 +64,16 @@
 // take it first.
 func (s *Scheduler) pendingJobs() []*workload.Job {
 	var pending []*workload.Job
-	demand := map[string]placement.Room{}
+	demand := map[string]placement.Resources{}
 	for _, job := range s.Jobs.Ordered() {
 		if !job.Schedulable() {
 			continue
 		}
 		spec := &job.Record.Spec
-		total := demand[spec.Team].Plus(spec.Need.Times(float64(job.Unfinished())))
+		total := demand[spec.Team].Plus(spec.Resources.Times(float64(job.Unfinished())))
 		demand[spec.Team] = total
 		team, _ := s.Settings.Team(spec.Team)
-		job.Guaranteed = withinGuarantee(team, spec.Need, total)
+		job.Guaranteed = withinGuarantee(team, spec.Resources, total)
 		if job.Unassigned() > 0 {
 			pending = append(pending, job)
 		}
@@ -84,7 +84,7 @@
 // withinGuarantee tells whether a team's demand, up to and with this job, lies inside its guarantee.
 // Work with accelerators is guaranteed by them alone: teams are not promised the cores beside them
 // separately.
-func withinGuarantee(team config.Team, need, demand placement.Room) bool {
+func withinGuarantee(team config.Team, need, demand placement.Resources) bool {
 	if need.Accels > 0 {
 		return demand.Accels <= team.GPUs
 	}
@@ -93,7 +93,7 @@
 
 // rank works out what a job is ranked by.
 func (s *Scheduler) rank(job *workload.Job, now time.Time) rankedJob {
-	age := max(0, now.Sub(job.Record.Since().Time()).Seconds())
+	age := max(0, now.Sub(job.Record.EligibleSince().Time()).Seconds())
 	priority := job.EffectivePriority()
 	if priority == record.Low && age > lowRisesAfter {
 		priority = record.Normal
@@ -132,12 +132,12 @@
 	if spec.Shape == record.Service {
 		return 0
 	}
-	takes := max(1, float64(spec.Estimate))
+	takes := max(1, float64(spec.EstimatedDuration))
 	if spec.Shape == record.Gang && !s.fitsWhereCached(job) {
 		takes += s.Estimates.ImagePullSeconds(spec)
 	}
 	halvingAge := max(minHalvingAge, min(maxHalvingAge, s.Estimates.QueueHorizon(job)/2))
-	return float64(job.Unfinished()) * spec.Need.Cores * takes / (1 + age/halvingAge)
+	return float64(job.Unfinished()) * spec.Resources.Cores * takes / (1 + age/halvingAge)
 }
 
 // fitsWhereCached tells whether machines that hold a gang's image have room for all of it. Large
@@ -148,7 +148,7 @@
 	missing := spec.Tasks - len(job.Assignments)
 	for node := range s.Capacity.WithImage(spec.Image) {
 		if node.Class != nil && s.Capacity.HoldsImage(node, spec.Image) {
-			missing -= node.Free().Count(spec.Need, missing)
+			missing -= node.Free().CountFitting(spec.Resources, missing)
 		}
 		if missing <= 0 {
 			return true
--- a/internal/scheduler/reservations.go
+++ b/internal/scheduler/reservations.go
@@ -19,7 +19,7 @@
 // Reservation keeps room on a machine for a job.
 type Reservation struct {
 	Job   ids.Job
-	Need  placement.Room // others may use what is beyond it
+	Need  placement.Resources // others may use what is beyond it
 	Made  time.Time
 	Until time.Time
 	// AsItEmpties tells that the machine is kept as it empties, and nothing was preempted.
@@ -124,7 +124,7 @@
 
 // reserveMachines keeps n machines for a starving job, those that are soonest free enough; it tells
 // whether it did, or has. It looks at every machine, but once in a while for a job that starves.
-func (s *Scheduler) reserveMachines(job *workload.Job, request *placement.Ask, n int, now time.Time) bool {
+func (s *Scheduler) reserveMachines(job *workload.Job, request *placement.Request, n int, now time.Time) bool {
 	if !wantsReservation(job, n, now) {
 		return false
 	}
@@ -136,7 +136,7 @@
 	if already {
 		return true
 	}
-	if job.Record.Spec.OneZone && n > 1 {
+	if job.Record.Spec.SingleZone && n > 1 {
 		nodes = inSoonestZone(nodes, n)
 	}
 	if len(nodes) < n {
@@ -147,7 +147,7 @@
 		until = now.Add(2 * reservationTime) // what runs there runs long
 	}
 	for _, found := range nodes[:n] {
-		s.Reservations.Set(found.node.Name, Reservation{Job: job.ID(), Need: request.Need, Made: now, Until: until, AsItEmpties: true})
+		s.Reservations.Set(found.node.Name, Reservation{Job: job.ID(), Need: request.Resources, Made: now, Until: until, AsItEmpties: true})
 	}
 	s.cluster.RecordEvent(job, "%d machines set aside for it, %s the first", n, nodes[0].node.Name)
 	return true
@@ -155,7 +155,7 @@
 
 // emptyingNodes lists the nodes that have room for a request once what ends by itself has ended, those
 // soonest free first; already tells that one is reserved for the job.
-func (s *Scheduler) emptyingNodes(job *workload.Job, request *placement.Ask, now time.Time) (nodes []emptyingNode, already bool) {
+func (s *Scheduler) emptyingNodes(job *workload.Job, request *placement.Request, now time.Time) (nodes []emptyingNode, already bool) {
 	for _, node := range s.Capacity.Nodes() {
 		machine := s.Machines.Machines[node.Name]
 		if machine == nil {
@@ -171,8 +171,8 @@
 		if offer == nil || machine.Going || !machine.Usable(now, s.reportInterval()) || !request.Allows(machine.Type, machine.Zone, machine.Spot) {
 			continue
 		}
-		onlyForAccelerated := request.Need.Accels == 0 && offer.Accels > 0
-		if onlyForAccelerated || !offer.Room().Minus(node.Used).Plus(node.Reclaimable).Holds(request.Need) {
+		onlyForAccelerated := request.Resources.Accels == 0 && offer.Accels > 0
+		if onlyForAccelerated || !offer.Capacity().Minus(node.Used).Plus(node.Reclaimable).Holds(request.Resources) {
 			continue
 		}
 		nodes = append(nodes, emptyingNode{node, machine.Zone, node.TimeUntilFree(now)})
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -37,7 +37,7 @@
 	// RecordEvent adds a line to a job's trail.
 	RecordEvent(job *workload.Job, format string, args ...any)
 	// QuotaForRelocated is what a job must leave of its team's quota to tasks that are moved.
-	QuotaForRelocated(job *workload.Job) placement.Room
+	QuotaForRelocated(job *workload.Job) placement.Resources
 	// YieldLock lets others at the cluster state for a moment; it tells whether planning may go on.
 	YieldLock() bool
 }
--- a/internal/scheduler/search.go
+++ b/internal/scheduler/search.go
@@ -18,7 +18,7 @@
 type search struct {
 	scheduler *Scheduler
 	job       *workload.Job
-	request   *placement.Ask
+	request   *placement.Request
 	pass      *Pass
 	zones     *ZoneSpread
 	classes   []*capacity.Class // that the request may use
@@ -40,10 +40,10 @@
 }
 
 // newSearch begins a search. It is exhausted at once if an earlier job of the pass found nothing.
-func (s *Scheduler) newSearch(job *workload.Job, request *placement.Ask, pass *Pass) *search {
+func (s *Scheduler) newSearch(job *workload.Job, request *placement.Request, pass *Pass) *search {
 	found := &search{scheduler: s, job: job, request: request, pass: pass, zones: ZoneSpreadOf(job, s.Machines),
-		avoidAccelerators: request.Long && request.Need.Accels == 0}
-	if covered(pass.noCapacity[placementKeyOf(request)], request.Need) {
+		avoidAccelerators: request.LongRunning && request.Resources.Accels == 0}
+	if covered(pass.noCapacity[placementKeyOf(request)], request.Resources) {
 		found.exhaustive = true
 		return found
 	}
@@ -56,7 +56,7 @@
 	s.classes, s.open = s.classes[:0], 0
 	for _, class := range s.scheduler.Capacity.Classes() {
 		if len(class.Open) == 0 || s.avoidAccelerators && class.Offer.Accels > 0 ||
-			!s.request.Allows(class.Type, class.Zone, class.Spot) || !class.Offer.Room().Holds(s.request.Need) {
+			!s.request.Allows(class.Type, class.Zone, class.Spot) || !class.Offer.Capacity().Holds(s.request.Resources) {
 			continue
 		}
 		s.classes = append(s.classes, class)
@@ -68,7 +68,7 @@
 // there is room.
 func (s *search) evaluate(node *capacity.Node, retry *workload.Retry) (found candidate, ok, room bool) {
 	s.pass.machinesExamined++
-	if !node.Class.Offer.Room().Minus(node.Used).Holds(s.request.Need) {
+	if !node.Class.Offer.Capacity().Minus(node.Used).Holds(s.request.Resources) {
 		return found, false, false
 	}
 	machine, usable := s.scheduler.Capacity.UsableMachine(node, s.pass.now, s.scheduler.reportInterval())
@@ -76,8 +76,8 @@
 		return found, false, false
 	}
 	view := s.scheduler.View(node, machine, s.job, retry, s.pass.now)
-	leaving := view.Going && (s.request.Need.Accels == 0 || view.Type.Accels == 0)
-	if view.Held || leaving || s.zones.Allowed(machine.Zone, 1) == 0 {
+	leaving := view.ScalingIn && (s.request.Resources.Accels == 0 || view.Type.Accels == 0)
+	if view.Reserved || leaving || s.zones.Allowed(machine.Zone, 1) == 0 {
 		return found, false, true
 	}
 	return candidate{node, machine, placement.Score(&view, s.request)}, true, true
@@ -112,7 +112,7 @@
 		return nil
 	}
 	var top candidate
-	for range int(s.scheduler.Settings.Own.SampleMachines) {
+	for range int(s.scheduler.Settings.Operator.SampleMachines) {
 		if node := s.nthOpen(s.scheduler.rng.IntN(s.open)); node != nil {
 			if found, ok, _ := s.evaluate(node, retry); ok && (top.node == nil || found.score < top.score) {
 				top = found
@@ -127,7 +127,7 @@
 		return nil
 	}
 	imageCached := top.machine.Images.Has(s.request.Image)
-	if !imageCached && (s.request.Long || top.node.ImagePulls[s.request.Image] == nil) {
+	if !imageCached && (s.request.LongRunning || top.node.ImagePulls[s.request.Image] == nil) {
 		return nil
 	}
 	return top.node
@@ -168,7 +168,7 @@
 	}
 	if !anyRoom && !s.avoidAccelerators {
 		key := placementKeyOf(s.request)
-		s.pass.noCapacity[key] = append(s.pass.noCapacity[key], s.request.Need)
+		s.pass.noCapacity[key] = append(s.pass.noCapacity[key], s.request.Resources)
 	}
 	slices.SortFunc(s.candidates, func(x, y candidate) int {
 		return cmp.Or(cmp.Compare(x.score, y.score), cmp.Compare(x.node.Name, y.node.Name))
@@ -181,7 +181,7 @@
 	var avoided *capacity.Node
 	passedOver := s.passedOver[:0]
 	for i, found := range s.candidates {
-		if found.node.Class == nil || !found.node.Free().Holds(s.request.Need) {
+		if found.node.Class == nil || !found.node.Free().Holds(s.request.Resources) {
 			continue // full now, so it leaves the list
 		}
 		if s.fits(found) {
@@ -210,22 +210,22 @@
 }
 
 // View is how placement sees a node for a task of a job.
-func (s *Scheduler) View(node *capacity.Node, machine *worker.Machine, job *workload.Job, retry *workload.Retry, now time.Time) placement.Machine {
+func (s *Scheduler) View(node *capacity.Node, machine *worker.Machine, job *workload.Job, retry *workload.Retry, now time.Time) placement.Candidate {
 	spec := &job.Record.Spec
-	view := placement.Machine{Name: node.Name, Type: node.Class.Offer, Zone: machine.Zone, Spot: machine.Spot, Going: machine.Going,
-		Free: node.Free(), Pulls: len(node.ImagePulls)}
-	view.Holds = machine.Images.Has(spec.Image)
-	view.Warm = view.Holds || node.ImagePulls[spec.Image] != nil
+	view := placement.Candidate{Name: node.Name, Type: node.Class.Offer, Zone: machine.Zone, Spot: machine.Spot, ScalingIn: machine.Going,
+		Free: node.Free(), OtherPulls: len(node.ImagePulls)}
+	view.ImageCached = machine.Images.Has(spec.Image)
+	view.ImageExpected = view.ImageCached || node.ImagePulls[spec.Image] != nil
 	for image, pull := range node.ImagePulls {
 		cached := machine.Images.Has(image)
 		if pull.TopPriority >= record.High && pull.TopPriority > job.EffectivePriority() && !cached {
-			view.Hush = true
+			view.PullsForHigherPriority = true
 		}
 		if cached {
-			view.Pulls--
+			view.OtherPulls--
 		}
 	}
-	view.Held = s.reservedForOther(node.Name, view.Free, job, now)
-	view.Avoid = retry != nil && retry.Avoid[node.Name]
+	view.Reserved = s.reservedForOther(node.Name, view.Free, job, now)
+	view.FailedBefore = retry != nil && retry.Avoid[node.Name]
 	return view
 }
--- a/internal/scheduler/zone_spread.go
+++ b/internal/scheduler/zone_spread.go
@@ -17,7 +17,7 @@
 // ZoneSpreadOf is nil when the job sets no rule on zones.
 func ZoneSpreadOf(job *workload.Job, machines *worker.Registry) *ZoneSpread {
 	spec := &job.Record.Spec
-	if !spec.OneZone && !spec.Spread {
+	if !spec.SingleZone && !spec.Spread {
 		return nil
 	}
 	spread := &ZoneSpread{spec: spec, byZone: map[string]int{}}
@@ -36,7 +36,7 @@
 	if s == nil {
 		return n
 	}
-	if s.spec.OneZone && (s.unknown > 0 || len(s.byZone) > 1 || len(s.byZone) == 1 && s.byZone[zone] == 0) {
+	if s.spec.SingleZone && (s.unknown > 0 || len(s.byZone) > 1 || len(s.byZone) == 1 && s.byZone[zone] == 0) {
 		return 0
 	}
 	if s.spec.Spread {
--- a/internal/state/client.go
+++ b/internal/state/client.go
@@ -71,7 +71,7 @@
 }
 
 // currentEpoch is how far the store is.
-func (c *Client) currentEpoch(ctx context.Context) (ids.Epoch, error) {
+func (c *Client) currentEpoch(ctx context.Context) (ids.StoreRevision, error) {
 	if err := c.budget.acquire(ctx, Normal, 0); err != nil {
 		return 0, err
 	}
@@ -82,7 +82,7 @@
 
 // List reads a page of at most limit keys below a prefix, in order; after is the last key of the
 // page before. more tells whether there is another page, and epoch how far the store was.
-func (c *Client) List(ctx context.Context, prefix, after string, limit int, urgency Urgency) (entries []Entry, more bool, epoch ids.Epoch, err error) {
+func (c *Client) List(ctx context.Context, prefix, after string, limit int, urgency Urgency) (entries []Entry, more bool, epoch ids.StoreRevision, err error) {
 	if err := c.budget.acquire(ctx, urgency, 0); err != nil {
 		return nil, false, 0, err
 	}
@@ -97,9 +97,9 @@
 
 // ListAll reads every page. The epoch is the first page's, so that watching from it on misses
 // nothing.
-func (c *Client) ListAll(ctx context.Context, prefix string, urgency Urgency) ([]Entry, ids.Epoch, error) {
+func (c *Client) ListAll(ctx context.Context, prefix string, urgency Urgency) ([]Entry, ids.StoreRevision, error) {
 	var all []Entry
-	var firstEpoch ids.Epoch
+	var firstEpoch ids.StoreRevision
 	after := ""
 	for page := 0; ; page++ {
 		entries, more, epoch, err := c.List(ctx, prefix, after, listPageSize, urgency)
@@ -119,7 +119,7 @@
 
 // Commit applies a transaction and returns the epoch of its changes. A typed error names the keys
 // whose conditions failed.
-func (c *Client) Commit(ctx context.Context, txn Txn, urgency Urgency) (ids.Epoch, error) {
+func (c *Client) Commit(ctx context.Context, txn Txn, urgency Urgency) (ids.StoreRevision, error) {
 	if err := c.budget.acquire(ctx, urgency, len(txn.Then)); err != nil {
 		return 0, err
 	}
@@ -136,7 +136,7 @@
 
 // watchChanges waits at most so long for changes below a prefix after an epoch. It returns all of
 // them up to the epoch that it returns; errCompacted if they are no longer kept.
-func (c *Client) watchChanges(ctx context.Context, prefix string, after ids.Epoch, wait time.Duration) (ids.Epoch, []Change, error) {
+func (c *Client) watchChanges(ctx context.Context, prefix string, after ids.StoreRevision, wait time.Duration) (ids.StoreRevision, []Change, error) {
 	if err := c.budget.acquire(ctx, Normal, 0); err != nil {
 		return 0, nil, err
 	}
--- a/internal/state/errors.go
+++ b/internal/state/errors.go
@@ -29,7 +29,7 @@
 	// Failed are the keys whose condition failed.
 	Failed []string
 	// Epoch is how far the store was.
-	Epoch ids.Epoch
+	Epoch ids.StoreRevision
 }
 
 func (c *Conflict) Error() string { return fmt.Sprintf("state: conditions failed: %v", c.Failed) }
--- a/internal/state/messages.go
+++ b/internal/state/messages.go
@@ -59,20 +59,20 @@
 
 // epochAnswer is what the store answers for a key that does not exist.
 type epochAnswer struct {
-	Epoch ids.Epoch `json:"epoch"`
+	Epoch ids.StoreRevision `json:"epoch"`
 }
 
 // listAnswer is one page of entries.
 type listAnswer struct {
-	Entries []Entry   `json:"entries"`
-	More    bool      `json:"more"`
-	Epoch   ids.Epoch `json:"epoch"`
+	Entries []Entry           `json:"entries"`
+	More    bool              `json:"more"`
+	Epoch   ids.StoreRevision `json:"epoch"`
 }
 
 // commitAnswer answers a transaction, applied or not.
 type commitAnswer struct {
-	Epoch      ids.Epoch `json:"epoch"`
-	FailedKeys []string  `json:"failed"`
+	Epoch      ids.StoreRevision `json:"epoch"`
+	FailedKeys []string          `json:"failed"`
 }
 
 // leaseAnswer names a new lease.
@@ -82,6 +82,6 @@
 
 // watchAnswer holds the changes after an epoch.
 type watchAnswer struct {
-	Epoch   ids.Epoch `json:"epoch"`
-	Changes []Change  `json:"news"`
+	Epoch   ids.StoreRevision `json:"epoch"`
+	Changes []Change          `json:"news"`
 }
--- a/internal/state/watchcache.go
+++ b/internal/state/watchcache.go
@@ -32,9 +32,9 @@
 	// mu guards all that follows. Nothing is called or waited for under it.
 	mu           sync.Mutex
 	entries      map[string]Entry
-	epoch        ids.Epoch    // up to which all changes are applied
-	lastRevision ids.Revision // of the newest change known
-	ready        bool         // entries were listed, and changes can be followed from epoch on
+	epoch        ids.StoreRevision // up to which all changes are applied
+	lastRevision ids.Revision      // of the newest change known
+	ready        bool              // entries were listed, and changes can be followed from epoch on
 	sync         syncState
 }
 
@@ -58,7 +58,7 @@
 }
 
 // All lists the copy in the order of keys, and the epoch that it is of.
-func (m *Mirror) All() ([]Entry, ids.Epoch) {
+func (m *Mirror) All() ([]Entry, ids.StoreRevision) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	byKey := func(x, y Entry) int { return cmp.Compare(x.Key, y.Key) }
@@ -141,7 +141,7 @@
 	sleep(ctx, m.watchInterval)
 }
 
-func (m *Mirror) currentEpoch() ids.Epoch {
+func (m *Mirror) currentEpoch() ids.StoreRevision {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.epoch
@@ -161,9 +161,9 @@
 }
 
 // newestEpoch is the epoch of the last change; 0 if there is none.
-func newestEpoch(changes []Change) (newest ids.Epoch) {
+func newestEpoch(changes []Change) (newest ids.StoreRevision) {
 	for _, change := range changes {
-		newest = max(newest, ids.Epoch(change.Revision))
+		newest = max(newest, ids.StoreRevision(change.Revision))
 	}
 	return newest
 }
@@ -183,7 +183,7 @@
 
 // replace makes the copy hold the entries listed at an epoch and returns what differs. It changes
 // nothing if the copy is newer.
-func (m *Mirror) replace(entries []Entry, epoch ids.Epoch) (changes []Change) {
+func (m *Mirror) replace(entries []Entry, epoch ids.StoreRevision) (changes []Change) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.ready && epoch < m.epoch {
@@ -208,7 +208,7 @@
 }
 
 // apply takes in what changed up to an epoch and notifies the listener of what is new.
-func (m *Mirror) apply(epoch ids.Epoch, changes []Change) {
+func (m *Mirror) apply(epoch ids.StoreRevision, changes []Change) {
 	m.notifyMu.Lock()
 	defer m.notifyMu.Unlock()
 	m.notify(m.merge(epoch, changes))
@@ -216,12 +216,12 @@
 
 // merge puts changes into the copy and returns those that it did not have yet: answers may overtake
 // one another. It reuses the list.
-func (m *Mirror) merge(epoch ids.Epoch, changes []Change) (applied []Change) {
+func (m *Mirror) merge(epoch ids.StoreRevision, changes []Change) (applied []Change) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	applied = changes[:0]
 	for _, change := range changes {
-		if ids.Epoch(change.Revision) <= m.epoch || change.Revision <= m.entries[change.Key()].Revision {
+		if ids.StoreRevision(change.Revision) <= m.epoch || change.Revision <= m.entries[change.Key()].Revision {
 			continue
 		}
 		applied = append(applied, change)
--- a/internal/state/watchcache_sync.go
+++ b/internal/state/watchcache_sync.go
@@ -146,7 +146,7 @@
 		// That there are no changes may mean that nobody looked: an outage may have begun since,
 		// or this node be refused. So the newest change known is asked for once more: an answer
 		// that lacks it is blind.
-		after = min(after, ids.Epoch(lastRevision)-1)
+		after = min(after, ids.StoreRevision(lastRevision)-1)
 	}
 	epoch, changes, err := m.client.watchChanges(ctx, m.prefix, after, 0)
 	switch {
--- a/internal/state/watchcache_test.go
+++ b/internal/state/watchcache_test.go
@@ -59,7 +59,7 @@
 	var applied sync.WaitGroup
 	applied.Go(func() {
 		for i := range changes {
-			cache.apply(ids.Epoch(i+1), []Change{{Put: "j/1", Revision: ids.Revision(i + 1)}})
+			cache.apply(ids.StoreRevision(i+1), []Change{{Put: "j/1", Revision: ids.Revision(i + 1)}})
 		}
 	})
 	for range changes {
--- a/internal/worker/commander.go
+++ b/internal/worker/commander.go
@@ -37,7 +37,7 @@
 }
 
 // Send posts commands and returns the worker's report if it gave one.
-func (c *Commander) Send(ctx context.Context, addr string, token ids.Generation, session ids.Session, orders []Order) (Outcome, *Report) {
+func (c *Commander) Send(ctx context.Context, addr string, token ids.Generation, session ids.Incarnation, orders []Order) (Outcome, *Report) {
 	ctx, cancel := context.WithTimeout(ctx, c.Timeout)
 	defer cancel()
 	measure.Process.Count("commands sent", 1)
--- a/internal/worker/machine.go
+++ b/internal/worker/machine.go
@@ -30,15 +30,15 @@
 
 // Liveness is what a machine's reports tell.
 type Liveness struct {
-	Heard       bool           // has reported to this leader
-	Session     ids.Session    // the worker's incarnation
-	Tick        ids.Tick       // sequence number of the newest report
-	Token       ids.Generation // highest fencing token that the worker has seen
-	Seen        time.Time      // when the newest report came in
-	HeartbeatAt time.Time      // when a heartbeat of its was last answered
-	LapseAt     time.Time      // lease expiry: from here on its worker has surely ended every task
-	TakenAt     time.Time      // when the spot instance is terminated; zero without a notice
-	Pieces      []Piece        // statuses of its tasks
+	Heard       bool               // has reported to this leader
+	Session     ids.Incarnation    // the worker's incarnation
+	Tick        ids.SequenceNumber // sequence number of the newest report
+	Token       ids.Generation     // highest fencing token that the worker has seen
+	Seen        time.Time          // when the newest report came in
+	HeartbeatAt time.Time          // when a heartbeat of its was last answered
+	LapseAt     time.Time          // lease expiry: from here on its worker has surely ended every task
+	TakenAt     time.Time          // when the spot instance is terminated; zero without a notice
+	Pieces      []Piece            // statuses of its tasks
 }
 
 // Reachability is what becomes of health probes and commands sent to a machine.
@@ -63,7 +63,7 @@
 	Task    string
 	Attempt ids.Attempt
 	Token   ids.Generation
-	Session ids.Session
+	Session ids.Incarnation
 }
 
 // Provisioning is a machine's life as an instance of the cloud.
@@ -90,8 +90,8 @@
 // Hints is what the controllers tell one another of a machine beside its identity.
 type Hints struct {
 	Images  Images
-	Hinted  ids.Session // the worker's incarnation, as an earlier leader knew it
-	HintSeq uint64      // sequence number of the last change of what others are told
+	Hinted  ids.Incarnation // the worker's incarnation, as an earlier leader knew it
+	HintSeq uint64          // sequence number of the last change of what others are told
 }
 
 // MayRevive tells whether clearing this attempt could let an unanswered start begin it anew.
--- a/internal/worker/messages.go
+++ b/internal/worker/messages.go
@@ -48,9 +48,9 @@
 	Zone    string      `json:"yard"`
 	Spot    bool        `json:"loaners"`
 	// Session is the worker's incarnation: it rises whenever the worker's lease expires.
-	Session ids.Session `json:"stint"`
+	Session ids.Incarnation `json:"stint"`
 	// Tick is the report's sequence number.
-	Tick ids.Tick `json:"tick"`
+	Tick ids.SequenceNumber `json:"tick"`
 	// Token is the highest fencing token that the worker has seen.
 	Token ids.Generation `json:"baton"`
 	// Warning is the time left until a spot machine is terminated; nil without a notice.
@@ -93,9 +93,9 @@
 // Reply answers a heartbeat, or is the body of direct commands. A worker drops one whose fencing
 // token is lower than the highest that it has seen.
 type Reply struct {
-	Token   ids.Generation `json:"baton"`
-	Session ids.Session    `json:"stint,omitempty"`
-	Orders  []Order        `json:"orders"`
+	Token   ids.Generation  `json:"baton"`
+	Session ids.Incarnation `json:"stint,omitempty"`
+	Orders  []Order         `json:"orders"`
 }
 
 // Redirect is the body of an answer with status 421: the worker is to report to another controller.
--- a/internal/worker/registry.go
+++ b/internal/worker/registry.go
@@ -67,7 +67,7 @@
 // token: a worker that has seen it drops the answers of every earlier leader, so that only ours
 // renew its lease.
 func (r *Registry) Note(machine *Machine, report *Report, now time.Time, answered bool, leaderToken ids.Generation) ReportResult {
-	expiry := now.Add(r.lease.Drifted())
+	expiry := now.Add(r.lease.WithClockDrift())
 	if machine.isOutdated(report) {
 		if answered && report.Session == machine.Session {
 			machine.LapseAt = Later(machine.LapseAt, expiry)
--- a/internal/workload/assignment.go
+++ b/internal/workload/assignment.go
@@ -16,7 +16,7 @@
 	Job         *Job
 	TaskIndex   int
 	Machine     ids.Machine
-	Incarnation ids.Session // of the worker to which the start goes
+	Incarnation ids.Incarnation // of the worker to which the start goes
 	Attempt     ids.Attempt
 	// FencingToken is the generation under which the start goes out.
 	FencingToken ids.Generation
@@ -29,7 +29,7 @@
 	// answer to a heartbeat, whose sequence number was OfferedAt.
 	StartSent          bool
 	OfferedInHeartbeat bool
-	OfferedAt          ids.Tick
+	OfferedAt          ids.SequenceNumber
 
 	// Confirmed tells that a report showed the task on its machine, with Status.
 	Confirmed    bool
@@ -84,24 +84,24 @@
 // CheckpointGrace is the grace period that lets a task save a checkpoint; 0 if it can't.
 func (a *Assignment) CheckpointGrace() ids.Seconds {
 	spec := &a.Job.Record.Spec
-	if spec.Checkpoint <= 0 {
+	if spec.CheckpointInterval <= 0 {
 		return 0
 	}
-	return spec.Save*1.2 + 1
+	return spec.CheckpointDuration*1.2 + 1
 }
 
 // LittleToSave tells whether what a task did since its last checkpoint is worth less than making
 // critical work wait for another one.
 func (a *Assignment) LittleToSave(now time.Time) bool {
 	spec := &a.Job.Record.Spec
-	if spec.Shape != record.Array || spec.Checkpoint <= 0 {
+	if spec.Shape != record.Array || spec.CheckpointInterval <= 0 {
 		return false
 	}
 	if a.RunningSince.IsZero() {
 		return true
 	}
-	sinceCheckpoint := math.Mod(now.Sub(a.RunningSince).Seconds(), float64(spec.Checkpoint))
-	return sinceCheckpoint <= 3*float64(spec.Save)
+	sinceCheckpoint := math.Mod(now.Sub(a.RunningSince).Seconds(), float64(spec.CheckpointInterval))
+	return sinceCheckpoint <= 3*float64(spec.CheckpointDuration)
 }
 
 // What a stop is taken to throw away, in seconds of a task's work, where that can't be told from how
@@ -115,16 +115,16 @@
 func (a *Assignment) PreemptionCost(now time.Time) float64 {
 	spec := &a.Job.Record.Spec
 	if a.RunningSince.IsZero() {
-		return notRunningCost * spec.Need.Cores
+		return notRunningCost * spec.Resources.Cores
 	}
 	ran := now.Sub(a.RunningSince).Seconds()
-	if spec.Checkpoint > 0 {
-		ran = float64(spec.Save)
+	if spec.CheckpointInterval > 0 {
+		ran = float64(spec.CheckpointDuration)
 	}
 	if spec.Shape == record.Service {
 		ran = replicaCost
 	}
-	return ran * spec.Need.Cores
+	return ran * spec.Resources.Cores
 }
 
 // ProtectedFrom tells whether the assignment is not to be preempted for a job now.
@@ -138,19 +138,19 @@
 	if spec.Shape == record.Service || a.RunningSince.IsZero() {
 		return false
 	}
-	return a.RunningSince.Add(spec.Estimate.Duration()).Before(now.Add(d))
+	return a.RunningSince.Add(spec.EstimatedDuration.Duration()).Before(now.Add(d))
 }
 
 // SortedTasks are the indices of assigned tasks, lowest first.
 func SortedTasks(assignments map[int]*Assignment) []int { return slices.Sorted(maps.Keys(assignments)) }
 
 // GroupAssignments are a job's assignments as its record keeps them.
-func GroupAssignments(assignments map[int]*Assignment) []record.PlaceGroup {
-	list := make([]record.TaskPlace, 0, len(assignments))
+func GroupAssignments(assignments map[int]*Assignment) []record.AssignmentGroup {
+	list := make([]record.TaskAssignment, 0, len(assignments))
 	for _, i := range SortedTasks(assignments) {
 		a := assignments[i]
-		at := record.Location{Machine: a.Machine, Session: a.Incarnation, Attempt: a.Attempt, Token: a.FencingToken}
-		list = append(list, record.TaskPlace{Task: i, At: at})
+		at := record.Location{Machine: a.Machine, Incarnation: a.Incarnation, Attempt: a.Attempt, FencingToken: a.FencingToken}
+		list = append(list, record.TaskAssignment{Task: i, At: at})
 	}
-	return record.GroupPlaces(list)
+	return record.GroupAssignments(list)
 }
--- a/internal/workload/failures.go
+++ b/internal/workload/failures.go
@@ -83,7 +83,9 @@
 }
 
 // machinesWithFailures is on how many machines tasks failed, also under earlier leaders.
-func (j *Job) machinesWithFailures() int { return max(len(j.Failures.ByMachine), j.Record.FailedOn) }
+func (j *Job) machinesWithFailures() int {
+	return max(len(j.Failures.ByMachine), j.Record.FailedMachines)
+}
 
 // Suspect tells that the job rather than a machine may be at fault: nothing is preempted for it.
 func (j *Job) Suspect() bool {
@@ -138,7 +140,7 @@
 // Outlasts tells whether a running task shows that a job with failures is good after all.
 func (a *Assignment) Outlasts(now time.Time) bool {
 	failures := &a.Job.Failures
-	if failures.Tasks == 0 && a.Job.Record.FailedOn == 0 {
+	if failures.Tasks == 0 && a.Job.Record.FailedMachines == 0 {
 		return false
 	}
 	return now.Sub(a.RunningSince) > outlastsAfter+2*failures.LongestRun
--- a/internal/workload/job.go
+++ b/internal/workload/job.go
@@ -90,7 +90,7 @@
 	n := j.Unfinished() - len(j.Assignments)
 	if j.FinishedMayBeAssigned {
 		for i := range j.Assignments {
-			if j.Record.Finished.Has(i) {
+			if j.Record.Finished.Contains(i) {
 				n++
 			}
 		}
@@ -152,7 +152,7 @@
 	if begun := j.HasLasted && j.Record.Attempt > 0; begun || len(j.Assignments) > 0 || j.Record.Finished.Len() > 0 {
 		return false
 	}
-	waitsSince := j.Record.Since().Time()
+	waitsSince := j.Record.EligibleSince().Time()
 	if j.UnassignedSince.After(waitsSince) {
 		waitsSince = j.UnassignedSince
 	}
--- a/internal/workload/record_size.go
+++ b/internal/workload/record_size.go
@@ -16,9 +16,9 @@
 
 // RecordEncodedSize notes what a record's assignments took of it, and what the rest did that can't
 // be given up.
-func (j *Job) RecordEncodedSize(assignments []record.PlaceGroup, size int) {
+func (j *Job) RecordEncodedSize(assignments []record.AssignmentGroup, size int) {
 	if n := len(j.Assignments); n > 0 {
-		taken := record.PlacesSize(assignments)
+		taken := record.AssignmentsSize(assignments)
 		j.EncodedSize.PerAssignment, j.EncodedSize.Rest = float64(taken)/float64(n), size-taken
 	}
 }
@@ -76,5 +76,5 @@
 // MayRecordFinished tells whether one more task may be noted as finished that no assignment accounts
 // for: not if forgetting such tasks was what made the record fit.
 func (j *Job) MayRecordFinished() bool {
-	return j.KeptRuns == 0 || j.Record.Finished.Runs() < j.KeptRuns
+	return j.KeptRuns == 0 || j.Record.Finished.SpanCount() < j.KeptRuns
 }
