--- a/cmd/pebbletrail/controller.go
+++ b/cmd/pebbletrail/controller.go
@@ -53,7 +53,7 @@
 	link        *peer.Link
 	types       *machineTypes
 	// rollouts is this node's copy of the stored rollouts; nil where drains are off.
-	rollouts *state.Mirror
+	rollouts *state.WatchCache
 }
 
 // newController connects the parts; nothing runs yet.
@@ -62,7 +62,7 @@
 	c := &controller{settings: settings, incarnation: incarnation}
 	c.state = state.NewClient(settings.Services.State, newHTTPClient(stateConnections, stateConnections),
 		state.NewBudget(settings.Params.State.RPS, settings.Params.State.WriteRPS, nodes, settings.Operator.OwnerShare))
-	c.state.Budget().SplitLeaderShare(settings.ShardCount())
+	c.state.Budget().SetShardCount(settings.ShardCount())
 	c.cloud = c.newCloud(cloudConnections)
 	commander := &worker.Commander{HTTP: newHTTPClient(machineConnections, settings.Sockets().ToMachines/2), Timeout: machineCommandTimeout}
 	c.shards = election.NewShards(settings, c.state, commander, incarnation)
@@ -75,7 +75,7 @@
 		pool.OnTerm = func(ctx context.Context, term *election.Term) { c.provision(ctx, pool, shard, term) }
 	}
 	if settings.DrainsEnabled() {
-		c.rollouts = state.NewMirror(c.state, rollout.Prefix, rolloutPollInterval)
+		c.rollouts = state.NewWatchCache(c.state, rollout.Prefix, rolloutPollInterval)
 	}
 	return c
 }
@@ -97,7 +97,7 @@
 	go c.link.Serve(cluster)
 	c.link.Run(ctx)
 	go c.types.run(ctx)
-	go c.state.Watch(ctx, record.KeysOf(0, c.settings.ShardCount()).Generation())
+	go c.state.ProbeHealth(ctx, record.KeysOf(0, c.settings.ShardCount()).Generation())
 	go logMeasures(ctx)
 	go c.shards.Run(ctx)
 	var operatorRoutes func(*echo.Echo)
@@ -141,19 +141,19 @@
 
 // provision rents and returns machines while this node leads a shard.
 func (c *controller) provision(ctx context.Context, pool *election.Elector, shard ids.Shard, term *election.Term) {
-	provisioner := &fleet.Provisioner{Cloud: c.cloud, Cluster: term.Cluster, Store: term.Committer, Gen: term.Generation,
-		Sure: func() bool { return pool.LeaseSurelyHeld(term) },
-		Keys: record.KeysOf(shard, c.settings.ShardCount()), Shard: shard,
-		ListEvery: max(minListInterval, c.settings.Params.Cloud.ListLagS.Duration()/2)}
+	provisioner := &fleet.Provisioner{Cloud: c.cloud, Cluster: term.Cluster, Store: term.Committer, Generation: term.Generation,
+		ConfirmLeadership: func() bool { return pool.LeaseSurelyHeld(term) },
+		Keys:              record.KeysOf(shard, c.settings.ShardCount()), Shard: shard,
+		ListInterval: max(minListInterval, c.settings.Params.Cloud.ListLagS.Duration()/2)}
 	if c.settings.ShardCount() > 1 {
 		provisioner.Cloud = c.newCloud(shardConnections)
-		provisioner.OthersLack = func() (time.Duration, int) { return c.shards.OtherShardsShortage(shard) }
+		provisioner.OtherShardsShortage = func() (time.Duration, int) { return c.shards.OtherShardsShortage(shard) }
 		provisioner.Owns = func(machine ids.Machine) bool { return c.shards.Owns(shard, machine) }
 	}
 	if types := c.types.known(); len(types) > 0 {
 		term.Cluster.SetMachineTypes(types)
 	}
-	provisioner.OnTypes = func(types []placement.InstanceType) { c.types.store(ctx, term.Committer, types) }
+	provisioner.OnMachineTypes = func(types []placement.InstanceType) { c.types.store(ctx, term.Committer, types) }
 	if c.rollouts != nil && c.settings.ShardCount() == 1 {
 		runner := &rollout.Runner{Copy: c.rollouts, Store: term.Committer, Fleet: term.Cluster, Writer: c.incarnation, Limits: c.storeLimits()}
 		go runner.Run(ctx)
--- a/internal/capacity/images.go
+++ b/internal/capacity/images.go
@@ -26,7 +26,7 @@
 
 // beginImagePull notes that a task waits for its image.
 func (x *Index) beginImagePull(node *Node, a *workload.Assignment) {
-	if a.AwaitsImage || a.Confirmed && a.Status != worker.Pulling {
+	if a.AwaitsImage || a.Confirmed && a.Status != worker.StatePulling {
 		return
 	}
 	a.AwaitsImage = true
--- a/internal/capacity/index.go
+++ b/internal/capacity/index.go
@@ -116,7 +116,7 @@
 // UsableMachine is a node's machine; usable tells whether new tasks may go there now.
 func (x *Index) UsableMachine(node *Node, now time.Time, reportInterval ids.Seconds) (machine *worker.Machine, usable bool) {
 	machine = x.machines.Machines[node.Name]
-	return machine, machine != nil && node.Class != nil && machine.Usable(now, reportInterval)
+	return machine, machine != nil && node.Class != nil && machine.Schedulable(now, reportInterval)
 }
 
 // Allocate counts an assignment on its node.
@@ -168,7 +168,7 @@
 // is known.
 func (x *Index) classOf(node *Node) *Class {
 	machine := x.machines.Machines[node.Name]
-	if machine == nil || !machine.Heard || machine.Deleting {
+	if machine == nil || !machine.HasReported || machine.Deleting {
 		return nil
 	}
 	key := InstanceClass{machine.Type, machine.Zone, machine.Spot}
--- a/internal/capacity/node.go
+++ b/internal/capacity/node.go
@@ -73,7 +73,7 @@
 			continue
 		}
 		since := a.RunningSince
-		if since.IsZero() || a.Status == worker.Pulling {
+		if since.IsZero() || a.Status == worker.StatePulling {
 			since = now
 		}
 		longest = max(longest, spec.EstimatedDuration.Duration()-now.Sub(since), time.Second)
--- a/internal/claim/apply.go
+++ b/internal/claim/apply.go
@@ -24,6 +24,6 @@
 		}
 	}
 	when = append([]state.Condition{{Key: c.Keys.Generation(), Revision: c.GenerationRevision}}, when...)
-	_, err := c.State.Commit(ctx, state.Txn{When: when, Then: ops}, state.Normal)
+	_, err := c.State.Commit(ctx, state.Txn{Conditions: when, Ops: ops}, state.Normal)
 	return err
 }
--- a/internal/claim/boots.go
+++ b/internal/claim/boots.go
@@ -15,11 +15,11 @@
 // its place, and hopeless that it is not waited for in any case.
 func (c *ClusterState) bootIsLate(machine *worker.Machine, now time.Time) (late, hopeless bool) {
 	machineType := c.capacity.Type(machine.Type)
-	if machine.Heard || !machine.Booting || machineType == nil {
+	if machine.HasReported || !machine.Booting || machineType == nil {
 		return false, false
 	}
 	due := time.Duration(c.settings.Operator.StuckBootFactor * float64(c.estimates.BootTime(machineType)))
-	age := now.Sub(machine.HeldSince)
+	age := now.Sub(machine.ProvisionedAt)
 	return age > due, age > 4*due
 }
 
@@ -50,7 +50,7 @@
 		return nil
 	}
 	slices.SortFunc(late, func(x, y *worker.Machine) int {
-		if order := x.HeldSince.Compare(y.HeldSince); order != 0 {
+		if order := x.ProvisionedAt.Compare(y.ProvisionedAt); order != 0 {
 			return order
 		}
 		return cmp.Compare(x.Name, y.Name)
@@ -77,7 +77,7 @@
 	on, late = map[string]int{}, map[string]int{}
 	replaced := c.replacedBoots(now)
 	for _, machine := range c.machines.Machines {
-		if machine.Heard || !machine.Booting || machine.Deleting || machine.Failed {
+		if machine.HasReported || !machine.Booting || machine.Deleting || machine.Failed {
 			continue
 		}
 		if l, _ := c.bootIsLate(machine, now); l {
@@ -109,13 +109,13 @@
 	n, lates, longest := 0, 0, time.Duration(0)
 	for _, machine := range c.machines.Machines {
 		machineType := c.capacity.Type(machine.Type)
-		if machine.Heard || !machine.Booting || machine.Deleting || machine.Failed || machineType == nil || !machineType.Capacity().Holds(request.Resources) || !request.Allows(machine.Type, machine.Zone, machine.Spot) {
+		if machine.HasReported || !machine.Booting || machine.Deleting || machine.Failed || machineType == nil || !machineType.Capacity().Holds(request.Resources) || !request.Allows(machine.Type, machine.Zone, machine.Spot) {
 			continue
 		}
 		n++
 		if l, _ := c.bootIsLate(machine, now); l {
 			lates++
-			longest = max(longest, now.Sub(machine.HeldSince))
+			longest = max(longest, now.Sub(machine.ProvisionedAt))
 		}
 	}
 	switch {
--- a/internal/claim/cluster_state.go
+++ b/internal/claim/cluster_state.go
@@ -253,8 +253,8 @@
 		return
 	}
 	for _, machine := range c.machines.Machines {
-		if !machine.Heard && machine.LapseAt.Equal(c.trustSilence) {
-			machine.LapseAt = at
+		if !machine.HasReported && machine.LeaseExpiresAt.Equal(c.trustSilence) {
+			machine.LeaseExpiresAt = at
 		}
 	}
 	c.trustSilence = at
--- a/internal/claim/cluster_state_test.go
+++ b/internal/claim/cluster_state_test.go
@@ -42,8 +42,8 @@
 	return []placement.InstanceType{{Label: "small", Cores: 4, RAM: 16, CacheGB: 20, PullGBPerS: 1, Price: 1, SpotPrice: 0.4, BootS: 30, Zones: []string{"north", "south"}}}
 }
 
-func (c *ClusterState) hear(name ids.Machine, zone string, tick ids.SequenceNumber, pieces ...worker.Piece) []worker.Order {
-	return c.ReconcileHeartbeat(&worker.Report{Machine: name, Addr: string(name) + ":1", Type: "small", Zone: zone, Session: 1, Tick: tick, Token: 7, Pieces: pieces}, true, true)
+func (c *ClusterState) hear(name ids.Machine, zone string, tick ids.SequenceNumber, pieces ...worker.TaskStatus) []worker.Command {
+	return c.ReconcileHeartbeat(&worker.Report{Machine: name, Addr: string(name) + ":1", Type: "small", Zone: zone, Incarnation: 1, Sequence: tick, FencingToken: 7, Tasks: pieces}, true, true)
 }
 
 func newRecord(id ids.Job, team string, p record.Priority, tasks int, cores float64) *record.Record {
@@ -175,14 +175,14 @@
 	cluster := testBook()
 	cluster.HandleRecord("job-1", 1, newRecord("job-1", "blue", record.Normal, 1, 1), now)
 	fail := func(m ids.Machine, a ids.Attempt, tick ids.SequenceNumber) {
-		cluster.hear(m, "north", tick, worker.Piece{Task: "job-1/0", Attempt: a, Status: worker.Running})
-		cluster.hear(m, "north", tick+1, worker.Piece{Task: "job-1/0", Attempt: a, Status: worker.Ended, Cause: worker.CauseError})
+		cluster.hear(m, "north", tick, worker.TaskStatus{Task: "job-1/0", Attempt: a, State: worker.StateRunning})
+		cluster.hear(m, "north", tick+1, worker.TaskStatus{Task: "job-1/0", Attempt: a, State: worker.StateExited, Cause: worker.CauseError})
 	}
 	for i := range 6 {
 		fail(ids.Machine(fmt.Sprint("m", i)), ids.Attempt(i+1), 1)
 	}
 	for i := range 6 {
-		if machine := cluster.machines.Machines[ids.Machine(fmt.Sprint("m", i))]; machine.Draining != "" {
+		if machine := cluster.machines.Machines[ids.Machine(fmt.Sprint("m", i))]; machine.DrainReason != "" {
 			t.Errorf("%s is drained for one job that fails everywhere", machine.Name)
 		}
 	}
@@ -193,18 +193,18 @@
 	for n := range 2 {
 		id := ids.Job(fmt.Sprint("job-10", n))
 		cluster.HandleRecord(id, ids.Revision(n+5), newRecord(id, "blue", record.Normal, 1, 1), now)
-		cluster.hear("bad", "north", ids.SequenceNumber(2*n+1), worker.Piece{Task: string(id) + "/0", Attempt: 1, Status: worker.Running})
-		cluster.hear("bad", "north", ids.SequenceNumber(2*n+2), worker.Piece{Task: string(id) + "/0", Attempt: 1, Status: worker.Ended, Cause: worker.CauseError})
-		if cluster.machines.Machines["bad"].Draining != "" {
+		cluster.hear("bad", "north", ids.SequenceNumber(2*n+1), worker.TaskStatus{Task: string(id) + "/0", Attempt: 1, State: worker.StateRunning})
+		cluster.hear("bad", "north", ids.SequenceNumber(2*n+2), worker.TaskStatus{Task: string(id) + "/0", Attempt: 1, State: worker.StateExited, Cause: worker.CauseError})
+		if cluster.machines.Machines["bad"].DrainReason != "" {
 			t.Error("condemned by jobs of which nothing completed yet")
 		}
 	}
 	for n := range 2 {
 		task := fmt.Sprintf("job-10%d/0", n)
-		cluster.hear("good", "north", ids.SequenceNumber(2*n+1), worker.Piece{Task: task, Attempt: 2, Status: worker.Running})
-		cluster.hear("good", "north", ids.SequenceNumber(2*n+2), worker.Piece{Task: task, Attempt: 2, Status: worker.Ended, Cause: worker.CauseDone})
+		cluster.hear("good", "north", ids.SequenceNumber(2*n+1), worker.TaskStatus{Task: task, Attempt: 2, State: worker.StateRunning})
+		cluster.hear("good", "north", ids.SequenceNumber(2*n+2), worker.TaskStatus{Task: task, Attempt: 2, State: worker.StateExited, Cause: worker.CauseDone})
 	}
-	if cluster.machines.Machines["bad"].Draining == "" {
+	if cluster.machines.Machines["bad"].DrainReason == "" {
 		t.Error("a machine on which different jobs fail is still used")
 	}
 }
@@ -218,8 +218,8 @@
 	cluster.Plan(now)
 	cluster.store()
 	machine := cluster.machines.Machines["m1"]
-	machine.LateStarts = nil // its answer came
-	done := worker.Piece{Task: "job-1/0", Attempt: 1, Status: worker.Ended, Cause: worker.CauseDone}
+	machine.UnconfirmedStarts = nil // its answer came
+	done := worker.TaskStatus{Task: "job-1/0", Attempt: 1, State: worker.StateExited, Cause: worker.CauseDone}
 	if o := cluster.hear("m1", "north", 2, done); len(o) != 0 {
 		t.Fatalf("ordered %v before the outcome was stored", o)
 	}
@@ -231,7 +231,7 @@
 		t.Fatalf("ordered %v", o)
 	}
 	// With a late start unaccounted for, a cleared attempt could begin anew.
-	machine.LateStarts = []worker.LateStart{{Task: "job-1/0", Attempt: 1, Token: 7, Session: 1}}
+	machine.UnconfirmedStarts = []worker.UnconfirmedStart{{Task: "job-1/0", Attempt: 1, FencingToken: 7, Incarnation: 1}}
 	if o := cluster.hear("m1", "north", 5, done); len(o) != 0 {
 		t.Fatalf("ordered %v although a late start may come", o)
 	}
@@ -251,7 +251,7 @@
 	silence := func(ns ...ids.Machine) {
 		for _, n := range ns {
 			machine := cluster.machines.Machines[n]
-			machine.Seen, machine.Doubted, machine.Probes = time.Now().Add(-6*time.Second), time.Now().Add(-5*time.Second), 2
+			machine.LastReportAt, machine.SuspectSince, machine.UnansweredProbes = time.Now().Add(-6*time.Second), time.Now().Add(-5*time.Second), 2
 		}
 	}
 	silence("n1")
@@ -474,7 +474,7 @@
 		t.Fatalf("%d batches for one task", len(bas))
 	}
 	at := bas[0].machine
-	cluster.batchAnswered(bas[0], worker.Uncertain)
+	cluster.batchAnswered(bas[0], worker.OutcomeUnknown)
 	cluster.hear(at, "north", 2)
 	cluster.HandleRecord("job-2", 2, newRecord("job-2", "blue", record.Normal, 12, 1), now)
 	cluster.Plan(now)
@@ -488,7 +488,7 @@
 			cluster.hear(ids.Machine(fmt.Sprint("m", i)), "north", tick) // its own beats, too
 		}
 	}
-	machine.Unreached, machine.Doubted = now.Add(-10*time.Second), now.Add(-10*time.Second)
+	machine.UnreachableSince, machine.SuspectSince = now.Add(-10*time.Second), now.Add(-10*time.Second)
 	if assignment := cluster.jobs.Get("job-1").Assignments[0]; assignment == nil || assignment.Machine != at {
 		t.Fatal("the uncertain start was given up without evidence")
 	}
@@ -506,11 +506,11 @@
 		other = "m1"
 	}
 	cluster.probeAnswered(other, false)
-	if cluster.machines.Machines[other].Usable(now, 2) {
+	if cluster.machines.Machines[other].Schedulable(now, 2) {
 		t.Error("a machine that left a question unanswered takes work")
 	}
 	cluster.probeAnswered(other, true)
-	if !cluster.machines.Machines[other].Usable(now, 2) {
+	if !cluster.machines.Machines[other].Schedulable(now, 2) {
 		t.Error("a machine that answers again takes no work")
 	}
 }
@@ -560,11 +560,11 @@
 	if o := cluster.hear("warm", "north", 2); len(o) != 0 {
 		t.Fatalf("a beat was answered with %v", o)
 	}
-	cluster.hear("cold", "north", 2, worker.Piece{Task: task["cold"], Attempt: 1, Status: worker.Pulling})
+	cluster.hear("cold", "north", 2, worker.TaskStatus{Task: task["cold"], Attempt: 1, State: worker.StatePulling})
 	if s := cluster.startsFor(); s["warm"] {
 		t.Fatal("started while the other still fetches")
 	}
-	cluster.hear("cold", "north", 3, worker.Piece{Task: task["cold"], Attempt: 1, Status: worker.Waiting})
+	cluster.hear("cold", "north", 3, worker.TaskStatus{Task: task["cold"], Attempt: 1, State: worker.StateWaiting})
 	if s := cluster.startsFor(); !s["warm"] {
 		t.Fatal("not started although the other waits for it")
 	}
@@ -581,13 +581,13 @@
 	for _, assignment := range job.Assignments {
 		task[assignment.Machine] = assignment.Task().String()
 	}
-	cluster.hear("cold", "north", 2, worker.Piece{Task: task["cold"], Attempt: 1, Status: worker.Waiting})
+	cluster.hear("cold", "north", 2, worker.TaskStatus{Task: task["cold"], Attempt: 1, State: worker.StateWaiting})
 	cluster.startsFor()
 	for _, machine := range cluster.machines.Machines {
-		machine.LateStarts = nil // the commands were answered
+		machine.UnconfirmedStarts = nil // the commands were answered
 	}
-	cluster.hear("warm", "north", 2, worker.Piece{Task: task["warm"], Attempt: 1, Status: worker.Waiting})
-	ended := worker.Piece{Task: task["warm"], Attempt: 1, Status: worker.Ended, Cause: worker.CauseIncomplete}
+	cluster.hear("warm", "north", 2, worker.TaskStatus{Task: task["warm"], Attempt: 1, State: worker.StateWaiting})
+	ended := worker.TaskStatus{Task: task["warm"], Attempt: 1, State: worker.StateExited, Cause: worker.CauseIncomplete}
 	cluster.hear("warm", "north", 3, ended)
 	cluster.Plan(now)
 	p := job.Assignments[0]
@@ -647,7 +647,7 @@
 	cluster.store()
 	with, without := cluster.jobs.Get("job-1").Assignments[0].Machine, cluster.jobs.Get("job-2").Assignments[0].Machine
 	for _, machine := range cluster.machines.Machines {
-		machine.Seen = now.Add(-3 * time.Second)
+		machine.LastReportAt = now.Add(-3 * time.Second)
 	}
 	asked := map[ids.Machine]bool{}
 	for _, probe := range cluster.dueProbes(now, 100) {
@@ -657,18 +657,18 @@
 		t.Fatalf("asked %v, not only %s, which has a replica", asked, with)
 	}
 	for _, machine := range cluster.machines.Machines {
-		machine.Seen = now
+		machine.LastReportAt = now
 	}
 	for _, name := range []ids.Machine{with, without} {
 		machine := cluster.machines.Machines[name]
-		machine.Seen, machine.Doubted, machine.Probes = now.Add(-4500*time.Millisecond), now.Add(-2*time.Second), 2
+		machine.LastReportAt, machine.SuspectSince, machine.UnansweredProbes = now.Add(-4500*time.Millisecond), now.Add(-2*time.Second), 2
 	}
 	if gone := cluster.MachinesToTerminate(now, map[ids.Machine]bool{}); len(gone) != 1 || gone[0] != with {
 		t.Fatalf("returned %v, not %s", gone, with)
 	}
 	// One unanswered question may be bad luck.
-	cluster.machines.Machines[without].Probes = 1
-	cluster.machines.Machines[without].Seen = now.Add(-12 * time.Second)
+	cluster.machines.Machines[without].UnansweredProbes = 1
+	cluster.machines.Machines[without].LastReportAt = now.Add(-12 * time.Second)
 	if gone := cluster.MachinesToTerminate(now, map[ids.Machine]bool{}); len(gone) != 1 {
 		t.Fatalf("returned %v after one question", gone)
 	}
@@ -695,9 +695,9 @@
 	if store() != 1 {
 		t.Fatal("the marker is not stored at once")
 	}
-	cluster.machines.Machines["m1"].LateStarts = nil
-	cluster.hear("m1", "north", 2, worker.Piece{Task: "job-1/0", Attempt: 1, Status: worker.Ended, Cause: worker.CauseDone},
-		worker.Piece{Task: "job-1/1", Attempt: 1, Status: worker.Running})
+	cluster.machines.Machines["m1"].UnconfirmedStarts = nil
+	cluster.hear("m1", "north", 2, worker.TaskStatus{Task: "job-1/0", Attempt: 1, State: worker.StateExited, Cause: worker.CauseDone},
+		worker.TaskStatus{Task: "job-1/1", Attempt: 1, State: worker.StateRunning})
 	if store() != 0 {
 		t.Fatal("an outcome that may wait is stored by itself")
 	}
--- a/internal/claim/collect.go
+++ b/internal/claim/collect.go
@@ -47,7 +47,7 @@
 			break
 		}
 	}
-	if !c.State.Budget().Tight() {
+	if !c.State.Budget().NearlyExhausted() {
 		c.collectWaiting(true, add) // told as cancelled already: these can wait
 	}
 	return group
@@ -57,7 +57,7 @@
 func (c *Committer) dueChanges(now time.Time) []*workload.Job {
 	cluster := c.Cluster
 	settle := outcomeDelay
-	if c.State.Budget().Tight() {
+	if c.State.Budget().NearlyExhausted() {
 		settle = outcomeDelayTight
 	}
 	return cluster.changes.Due(now, settle)
--- a/internal/claim/commit.go
+++ b/internal/claim/commit.go
@@ -1,8 +1,6 @@
 package claim
 
 import (
-	"github.com/pebbletrail/pebbletrail/internal/wait"
-
 	"context"
 	"encoding/json"
 	"errors"
@@ -13,6 +11,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/measure"
 	"github.com/pebbletrail/pebbletrail/internal/record"
 	"github.com/pebbletrail/pebbletrail/internal/state"
+	"github.com/pebbletrail/pebbletrail/internal/wait"
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
@@ -92,16 +91,16 @@
 	if len(group) == 0 {
 		return false
 	}
-	txn := state.Txn{When: []state.Condition{{Key: c.Keys.Generation(), Revision: c.GenerationRevision}}}
+	txn := state.Txn{Conditions: []state.Condition{{Key: c.Keys.Generation(), Revision: c.GenerationRevision}}}
 	for _, entry := range group {
-		txn.When = append(txn.When, entry.conditions...)
-		txn.Then = append(txn.Then, entry.ops...)
+		txn.Conditions = append(txn.Conditions, entry.conditions...)
+		txn.Ops = append(txn.Ops, entry.ops...)
 	}
 	began := time.Now()
 	epoch, err := c.State.Commit(ctx, txn, state.Urgent)
 	measure.Process.Took("commit", began)
-	measure.Process.Count("changes committed", len(txn.Then))
-	var conflict *state.Conflict
+	measure.Process.Count("changes committed", len(txn.Ops))
+	var conflict *state.ConflictError
 	switch {
 	case err == nil:
 		answered := time.Now()
@@ -121,7 +120,7 @@
 		c.repair(ctx, conflict, group)
 		return true
 	case errors.Is(err, state.ErrMalformed):
-		slog.Error("the state service calls a commit malformed", "err", err, "ops", len(txn.Then))
+		slog.Error("the state service calls a commit malformed", "err", err, "ops", len(txn.Ops))
 	default:
 		slog.Debug("commit not confirmed", "err", err)
 	}
@@ -186,10 +185,10 @@
 	cluster.mu.Unlock()
 	raw, _ := json.Marshal(GenerationRecord{next, c.Node, cluster.writer})
 	epoch, err := c.State.Commit(ctx, state.Txn{
-		When: []state.Condition{{Key: c.Keys.Generation(), Revision: c.GenerationRevision}},
-		Then: []state.Op{{Put: c.Keys.Generation(), Value: raw}},
+		Conditions: []state.Condition{{Key: c.Keys.Generation(), Revision: c.GenerationRevision}},
+		Ops:        []state.Op{{Put: c.Keys.Generation(), Value: raw}},
 	}, state.Urgent)
-	var conflict *state.Conflict
+	var conflict *state.ConflictError
 	switch {
 	case err == nil:
 		c.generationRaised(next, ids.Revision(epoch))
--- a/internal/claim/dispatch.go
+++ b/internal/claim/dispatch.go
@@ -18,12 +18,12 @@
 	address      string
 	incarnation  ids.Incarnation
 	fencingToken ids.Generation
-	commands     []worker.Order
+	commands     []worker.Command
 }
 
 // startsTask tells whether the batch begins an attempt.
 func (b *commandBatch) startsTask(task string, a ids.Attempt) bool {
-	return slices.ContainsFunc(b.commands, func(o worker.Order) bool {
+	return slices.ContainsFunc(b.commands, func(o worker.Command) bool {
 		return o.Verb == "start" && o.Task == task && o.Attempt == a
 	})
 }
@@ -47,9 +47,9 @@
 	for node := range c.pendingCommands {
 		machine := c.machines.Machines[node.Name]
 		switch {
-		case machine == nil || !machine.Heard || machine.Addr == "" || machine.Deleting || machine.Doubtful():
+		case machine == nil || !machine.HasReported || machine.Addr == "" || machine.Deleting || machine.Suspect():
 			delete(c.pendingCommands, node) // due again once it is heard
-		case !machine.Sending: // else the answer under way looks again
+		case !machine.CommandsInFlight: // else the answer under way looks again
 			due = append(due, node)
 		}
 	}
@@ -58,7 +58,7 @@
 	}
 	// Of a loss not noticed yet, the lost were heard longest ago.
 	slices.SortFunc(due, func(x, y *capacity.Node) int {
-		return c.machines.Machines[y.Name].Seen.Compare(c.machines.Machines[x.Name].Seen)
+		return c.machines.Machines[y.Name].LastReportAt.Compare(c.machines.Machines[x.Name].LastReportAt)
 	})
 	var out []commandBatch
 	for _, node := range due {
@@ -68,22 +68,22 @@
 		delete(c.pendingCommands, node)
 		name := node.Name
 		machine := c.machines.Machines[name]
-		batch := commandBatch{machine: name, address: machine.Addr, incarnation: machine.Session, fencingToken: c.generation}
+		batch := commandBatch{machine: name, address: machine.Addr, incarnation: machine.Incarnation, fencingToken: c.generation}
 		for assignment := range node.Assignments {
-			if assignment.Incarnation != machine.Session {
+			if assignment.Incarnation != machine.Incarnation {
 				continue
 			}
 			switch {
 			case assignment.Stopping && assignment.Confirmed && assignment.StopSentAt.Before(assignment.StopRequestedAt):
 				assignment.StopSentAt = now
-				batch.commands = append(batch.commands, worker.Stop(assignment.Task().String(), assignment.Attempt, assignment.StopGrace))
+				batch.commands = append(batch.commands, worker.StopCommand(assignment.Task().String(), assignment.Attempt, assignment.StopGrace))
 			case !assignment.Stopping && !assignment.StartSent && (!starting || read.Before(assignment.Job.ReadRequiredAfter)):
 				c.pendingCommands[node] = true // looked at again soon
 			case !assignment.Stopping && !assignment.StartSent && assignment.Job.StoredVersion >= assignment.MarkerVersion && !scheduler.GangStartAllowed(assignment, machine, c.machines):
 			case !assignment.Stopping && !assignment.StartSent && assignment.Job.StoredVersion >= assignment.MarkerVersion && assignment.FencingToken == c.generation:
 				assignment.StartSent = true
-				machine.LateStarts = append(machine.LateStarts, worker.LateStart{Task: assignment.Task().String(), Attempt: assignment.Attempt, Token: c.generation, Session: machine.Session})
-				batch.commands = append(batch.commands, worker.Start(assignment.Task(), assignment.Attempt))
+				machine.UnconfirmedStarts = append(machine.UnconfirmedStarts, worker.UnconfirmedStart{Task: assignment.Task().String(), Attempt: assignment.Attempt, FencingToken: c.generation, Incarnation: machine.Incarnation})
+				batch.commands = append(batch.commands, worker.StartCommand(assignment.Task(), assignment.Attempt))
 			case !assignment.Stopping && !assignment.StartSent && assignment.Job.StoredVersion >= assignment.MarkerVersion && assignment.MarkerVersion > 0:
 				// The generation rose between marker and start: the marker
 				// must carry the token that the start goes out with.
@@ -94,7 +94,7 @@
 			}
 		}
 		if len(batch.commands) > 0 {
-			machine.Sending = true
+			machine.CommandsInFlight = true
 			out = append(out, batch)
 		}
 	}
@@ -116,7 +116,7 @@
 	if machine == nil {
 		return
 	}
-	machine.Sending = false
+	machine.CommandsInFlight = false
 	if how == worker.NotSent {
 		// Nothing of it can arrive later, so what it would have started is only
 		// marked again.
@@ -132,18 +132,18 @@
 			}
 		}
 	}
-	c.recordReachability(machine, how == worker.Carried || how == worker.Refused)
-	if how == worker.Uncertain {
+	c.recordReachability(machine, how == worker.Executed || how == worker.Rejected)
+	if how == worker.OutcomeUnknown {
 		return // outstanding until shown, or turned away by session or token
 	}
-	kept := machine.LateStarts[:0]
-	for _, l := range machine.LateStarts {
-		ours := l.Session == batch.incarnation && l.Token == batch.fencingToken && batch.startsTask(l.Task, l.Attempt)
+	kept := machine.UnconfirmedStarts[:0]
+	for _, l := range machine.UnconfirmedStarts {
+		ours := l.Incarnation == batch.incarnation && l.FencingToken == batch.fencingToken && batch.startsTask(l.Task, l.Attempt)
 		if !ours {
 			kept = append(kept, l)
 		}
 	}
-	machine.LateStarts = kept
+	machine.UnconfirmedStarts = kept
 }
 
 // Dispatcher sends batches straight to the workers.
--- a/internal/claim/drain.go
+++ b/internal/claim/drain.go
@@ -23,12 +23,12 @@
 	slices.Sort(names)
 	for _, name := range names {
 		machine := c.machines.Machines[name]
-		if machine == nil || machine.Draining == "" && machine.TakenAt.IsZero() && !machine.Going {
+		if machine == nil || machine.DrainReason == "" && machine.SpotTerminationAt.IsZero() && !machine.DeleteWhenEmpty {
 			delete(c.leaving, name)
 			continue
 		}
-		taken := !machine.TakenAt.IsZero()
-		if !taken && machine.Draining == "" {
+		taken := !machine.SpotTerminationAt.IsZero()
+		if !taken && machine.DrainReason == "" {
 			c.relocateReplica(machine, now)
 			continue
 		}
@@ -42,7 +42,7 @@
 			why := drainReason(machine)
 			grace := assignment.CheckpointGrace()
 			if taken {
-				left := machine.TakenAt.Sub(now)
+				left := machine.SpotTerminationAt.Sub(now)
 				// Saving goes as late as is safe; what cannot save and cannot
 				// finish in time begins again elsewhere at once.
 				if grace > 0 && left > (grace+3).Duration() || grace == 0 && (assignment.FinishesWithin(left, now) || !c.StoreAvailable()) {
@@ -57,7 +57,7 @@
 
 // drainReason is why tasks are stopped on a machine on which tasks keep failing.
 func drainReason(machine *worker.Machine) string {
-	return "machine " + string(machine.Name) + " is drained: " + machine.Draining
+	return "machine " + string(machine.Name) + " is drained: " + machine.DrainReason
 }
 
 // relocationReservationTime is how long room is kept for a replica that is moved off a machine to be returned.
@@ -70,7 +70,7 @@
 		return
 	}
 	for assignment := range c.capacity.AssignmentsOn(machine.Name) {
-		if assignment.Job.Record.Spec.Shape != record.Service || assignment.Stopping || assignment.Status != worker.Running || now.Sub(assignment.RunningSince) < minRelocatableAge {
+		if assignment.Job.Record.Spec.Shape != record.Service || assignment.Stopping || assignment.Status != worker.StateRunning || now.Sub(assignment.RunningSince) < minRelocatableAge {
 			continue
 		}
 		request := assignment.Job.Record.Spec.PlacementRequest()
@@ -78,7 +78,7 @@
 		bestScore := 0.0
 		for node := range c.capacity.WithImage(request.Image) {
 			t, ok := c.capacity.UsableMachine(node, now, c.settings.Params.Workers.ReportS)
-			if !ok || node.Name == machine.Name || t.Zone != machine.Zone || t.Going || node.Class.Offer.Accels > 0 || !t.Images.Has(request.Image) ||
+			if !ok || node.Name == machine.Name || t.Zone != machine.Zone || t.DeleteWhenEmpty || node.Class.Offer.Accels > 0 || !t.Images.Has(request.Image) ||
 				!node.Free().Holds(request.Resources) || !request.Allows(t.Type, t.Zone, t.Spot) {
 				continue
 			}
--- a/internal/claim/drain_view.go
+++ b/internal/claim/drain_view.go
@@ -40,8 +40,8 @@
 		}
 		return gone
 	}
-	seen := rollout.Machine{Kind: rollout.Kind{Type: machine.Type, Zone: machine.Zone, Spot: machine.Spot}, Known: true, Up: machine.Heard && !machine.Doubtful(),
-		Failed: cluster.failureReason(machine, v.now), Reclaimed: !machine.TakenAt.IsZero(), Tasks: len(cluster.capacity.AssignmentsOn(name)), Rented: machine.HeldSince}
+	seen := rollout.Machine{Kind: rollout.Kind{Type: machine.Type, Zone: machine.Zone, Spot: machine.Spot}, Known: true, Up: machine.HasReported && !machine.Suspect(),
+		Failed: cluster.failureReason(machine, v.now), Reclaimed: !machine.SpotTerminationAt.IsZero(), Tasks: len(cluster.capacity.AssignmentsOn(name)), Rented: machine.ProvisionedAt}
 	for assignment := range cluster.capacity.AssignmentsOn(name) {
 		seen.Evicting = seen.Evicting || assignment.Evicting
 	}
@@ -101,9 +101,9 @@
 	switch {
 	case machine.Failed:
 		return "it stopped by itself"
-	case machine.Draining != "":
-		return machine.Draining
-	case machine.Heard && machine.Doubtful() && machine.Silent(now) > silentReportsFailed*c.settings.Params.Workers.ReportS.Duration():
+	case machine.DrainReason != "":
+		return machine.DrainReason
+	case machine.HasReported && machine.Suspect() && machine.SilentFor(now) > silentReportsFailed*c.settings.Params.Workers.ReportS.Duration():
 		return "nothing is heard of it any more"
 	}
 	return ""
--- a/internal/claim/emptying.go
+++ b/internal/claim/emptying.go
@@ -31,7 +31,7 @@
 // stop there one unit, all or none, and then what more the budgets allow.
 func (c *ClusterState) evictNextStep(name ids.Machine, order rollout.Order, meter *budget.Meter, now time.Time) {
 	machine := c.machines.Machines[name]
-	if machine == nil || !machine.Heard || machine.Doubtful() {
+	if machine == nil || !machine.HasReported || machine.Suspect() {
 		c.addBlocker(name, "nothing is heard of it")
 		return
 	}
@@ -275,7 +275,7 @@
 func (c *ClusterState) acceleratedMachineBooting(request *placement.Request) bool {
 	for _, machine := range c.machines.Machines {
 		machineType := c.capacity.Type(machine.Type)
-		if machine.Booting && !machine.Heard && machineType != nil && machineType.Accels > 0 && request.Resources.Accels == 0 && machineType.Capacity().Holds(request.Resources) && request.Allows(machine.Type, machine.Zone, machine.Spot) {
+		if machine.Booting && !machine.HasReported && machineType != nil && machineType.Accels > 0 && request.Resources.Accels == 0 && machineType.Capacity().Holds(request.Resources) && request.Allows(machine.Type, machine.Zone, machine.Spot) {
 			return true
 		}
 	}
@@ -304,7 +304,7 @@
 			machine, ok := c.capacity.UsableMachine(node, now, c.settings.Params.Workers.ReportS)
 			_, taken := reserved[node.Name]
 			_, reservedNow := c.scheduler.Reservations.On(node.Name, now)
-			if !ok || taken || reservedNow || machine.Going || !node.Free().Holds(request.Resources) {
+			if !ok || taken || reservedNow || machine.DeleteWhenEmpty || !node.Free().Holds(request.Resources) {
 				continue
 			}
 			view := c.scheduler.View(node, machine, job, nil, now)
--- a/internal/claim/evictions.go
+++ b/internal/claim/evictions.go
@@ -178,7 +178,7 @@
 	orders := maps.Clone(c.drains.orders.Machines)
 	for name := range c.leaving {
 		_, ordered := orders[name]
-		if machine := c.machines.Machines[name]; !ordered && machine != nil && machine.Draining != "" && machine.TakenAt.IsZero() {
+		if machine := c.machines.Machines[name]; !ordered && machine != nil && machine.DrainReason != "" && machine.SpotTerminationAt.IsZero() {
 			orders[name] = rollout.Order{Rollout: faulty, Drain: true, Stop: true}
 		}
 	}
@@ -219,9 +219,9 @@
 
 // replica is what this leader knows of one replica.
 func (c *ClusterState) replica(assignment *workload.Assignment) budget.Replica {
-	r := budget.Replica{Running: assignment.Confirmed && assignment.Status == worker.Running, RunningSince: assignment.RunningSince, Leaving: assignment.Stopping || assignment.Evicting}
-	if machine := c.machines.Machines[assignment.Machine]; machine != nil && machine.Heard && !machine.Doubtful() && machine.Session == assignment.Incarnation {
-		r.HeardAt = machine.Seen
+	r := budget.Replica{Running: assignment.Confirmed && assignment.Status == worker.StateRunning, RunningSince: assignment.RunningSince, Leaving: assignment.Stopping || assignment.Evicting}
+	if machine := c.machines.Machines[assignment.Machine]; machine != nil && machine.HasReported && !machine.Suspect() && machine.Incarnation == assignment.Incarnation {
+		r.HeardAt = machine.LastReportAt
 	}
 	return r
 }
@@ -251,7 +251,7 @@
 	case job.Record.Spec.Shape == record.Service:
 		return !c.replicaUp(assignment, now)
 	}
-	return !assignment.Confirmed || assignment.Status != worker.Running
+	return !assignment.Confirmed || assignment.Status != worker.StateRunning
 }
 
 // withdrawEvictions takes back permits of rollouts that empty nothing any more, where surely no
@@ -265,7 +265,7 @@
 			delete(drains.pending, assignment)
 			continue
 		}
-		if c.stillWanted(step, assignment) || machine == nil || !machine.Heard || machine.Token < c.firstGeneration || !assignment.Confirmed {
+		if c.stillWanted(step, assignment) || machine == nil || !machine.HasReported || machine.FencingToken < c.firstGeneration || !assignment.Confirmed {
 			continue
 		}
 		assignment.Evicting = false
@@ -325,9 +325,9 @@
 	machine := c.machines.Machines[cmp.Or(step.machine, assignment.Machine)]
 	switch step.rollout {
 	case consolidation:
-		return machine != nil && machine.Going
+		return machine != nil && machine.DeleteWhenEmpty
 	case faulty:
-		return machine != nil && machine.Draining != ""
+		return machine != nil && machine.DrainReason != ""
 	}
 	return c.drains.active(step.rollout)
 }
--- a/internal/claim/evictions_test.go
+++ b/internal/claim/evictions_test.go
@@ -36,7 +36,7 @@
 		t.Fatalf("%d places", len(job.Assignments))
 	}
 	for _, assignment := range job.Assignments {
-		assignment.StartSent, assignment.Confirmed, assignment.Status, assignment.RunningSince = true, true, worker.Running, now.Add(-time.Minute)
+		assignment.StartSent, assignment.Confirmed, assignment.Status, assignment.RunningSince = true, true, worker.StateRunning, now.Add(-time.Minute)
 	}
 	return cluster
 }
@@ -44,7 +44,7 @@
 // hear has a machine report.
 func hear(cluster *ClusterState, name ids.Machine, token ids.Generation, now time.Time) {
 	machine := cluster.machines.Ensure(name, now, now)
-	machine.Heard, machine.Type, machine.Zone, machine.Session, machine.Seen, machine.HeartbeatAt, machine.Token = true, "small", "north", 1, now, now, token
+	machine.HasReported, machine.Type, machine.Zone, machine.Incarnation, machine.LastReportAt, machine.LastAnsweredAt, machine.FencingToken = true, "small", "north", 1, now, now, token
 	cluster.capacity.Reindex(cluster.capacity.Ensure(name))
 }
 
@@ -126,7 +126,7 @@
 		now := time.Now()
 		cluster := drainBook(t, now)
 		for i := range c.down {
-			cluster.jobs.Get("job-1").Assignments[i].Status = worker.Pulling
+			cluster.jobs.Get("job-1").Assignments[i].Status = worker.StatePulling
 		}
 		hear(cluster, "m5", 1, now)
 		var from *workload.Assignment
@@ -149,7 +149,7 @@
 	now := time.Now()
 	cluster := drainBook(t, now)
 	for _, name := range []ids.Machine{"m1", "m2"} {
-		cluster.machines.Machines[name].Draining = "tasks keep failing there"
+		cluster.machines.Machines[name].DrainReason = "tasks keep failing there"
 		cluster.leaving[name] = true
 	}
 	cluster.stopOnLeavingMachines(now)
@@ -181,9 +181,9 @@
 	cluster.Plan(now)
 	cluster.store()
 	for _, assignment := range cluster.jobs.Get("job-2").Assignments {
-		assignment.StartSent, assignment.Confirmed, assignment.Status, assignment.RunningSince = true, true, worker.Running, now.Add(-time.Minute)
+		assignment.StartSent, assignment.Confirmed, assignment.Status, assignment.RunningSince = true, true, worker.StateRunning, now.Add(-time.Minute)
 	}
-	cluster.machines.Machines["m5"].Draining = "tasks keep failing there"
+	cluster.machines.Machines["m5"].DrainReason = "tasks keep failing there"
 	cluster.leaving["m5"] = true
 	for range 3 {
 		evictNow(cluster, now)
--- a/internal/claim/explain.go
+++ b/internal/claim/explain.go
@@ -44,8 +44,8 @@
 			st = "start not confirmed"
 		}
 		zone, heard := "?", "not heard by this leader"
-		if machine := c.machines.Machines[assignment.Machine]; machine != nil && machine.Heard {
-			zone, heard = machine.Zone, fmt.Sprintf("heard %.1fs ago", machine.Silent(now).Seconds())
+		if machine := c.machines.Machines[assignment.Machine]; machine != nil && machine.HasReported {
+			zone, heard = machine.Zone, fmt.Sprintf("heard %.1fs ago", machine.SilentFor(now).Seconds())
 		}
 		out = append(out, fmt.Sprintf("task %d attempt %d on %s (%s, %s): %s", i, assignment.Attempt, assignment.Machine, zone, heard, st))
 		if len(out) > 200 {
@@ -71,13 +71,13 @@
 	defer c.mu.Unlock()
 	heard, draining, cordoned := 0, 0, 0
 	for _, machine := range c.machines.Machines {
-		if machine.Heard {
+		if machine.HasReported {
 			heard++
 		}
 		if machine.Cordoned {
 			cordoned++
 		}
-		if machine.Draining != "" || !machine.TakenAt.IsZero() {
+		if machine.DrainReason != "" || !machine.SpotTerminationAt.IsZero() {
 			draining++
 		}
 	}
--- a/internal/claim/failing_jobs.go
+++ b/internal/claim/failing_jobs.go
@@ -44,10 +44,10 @@
 		if machine == nil {
 			continue
 		}
-		if machine.Faults += n; machine.Faults >= int(c.settings.Operator.FaultyAfter) && machine.Draining == "" {
-			machine.Draining = "tasks keep failing there"
+		if machine.TaskFailures += n; machine.TaskFailures >= int(c.settings.Operator.FaultyAfter) && machine.DrainReason == "" {
+			machine.DrainReason = "tasks keep failing there"
 			c.leaving[machine.Name] = true
-			slog.Warn("machine drained", "machine", machine.Name, "why", machine.Draining)
+			slog.Warn("machine drained", "machine", machine.Name, "why", machine.DrainReason)
 		}
 	}
 }
--- a/internal/claim/failing_jobs_test.go
+++ b/internal/claim/failing_jobs_test.go
@@ -17,15 +17,15 @@
 // play lets every machine report what is placed on it: ends tells how a task ends
 // at once, empty while it runs.
 func (c *ClusterState) play(tick ids.SequenceNumber, ends func(assignment *workload.Assignment) string) {
-	on := map[ids.Machine][]worker.Piece{}
+	on := map[ids.Machine][]worker.TaskStatus{}
 	for _, job := range c.jobs.All() {
 		for _, assignment := range job.Assignments {
 			if !assignment.StartSent {
 				continue // nobody has told its machine yet
 			}
-			pc := worker.Piece{Task: assignment.Task().String(), Attempt: assignment.Attempt, Status: worker.Running}
+			pc := worker.TaskStatus{Task: assignment.Task().String(), Attempt: assignment.Attempt, State: worker.StateRunning}
 			if how := ends(assignment); how != "" && assignment.Confirmed {
-				pc.Status, pc.Cause = worker.Ended, how
+				pc.State, pc.Cause = worker.StateExited, how
 			}
 			on[assignment.Machine] = append(on[assignment.Machine], pc)
 		}
@@ -85,7 +85,7 @@
 			t.Errorf("tried %d times in three minutes, up to %d tasks at once", starts, most)
 		}
 		for _, machine := range cluster.machines.Machines {
-			if machine.Draining != "" {
+			if machine.DrainReason != "" {
 				t.Fatalf("%s is blamed for it", machine.Name)
 			}
 		}
@@ -138,7 +138,7 @@
 		if s := cluster.jobs.Get("job-1").Record.Status; s != record.Done {
 			t.Errorf("half a minute later it is %s: %v", s, cluster.Explain("job-1"))
 		}
-		if cluster.machines.Machines[bad].Draining == "" {
+		if cluster.machines.Machines[bad].DrainReason == "" {
 			t.Error("the machine on which it failed is still used")
 		}
 	})
@@ -259,7 +259,7 @@
 			t.Fatal("it is not known to be on its way")
 		}
 		if late, _ := cluster.bootIsLate(machine, time.Now()); !late {
-			t.Errorf("rented %v ago, with boots of 30 s, it is not late", time.Since(machine.HeldSince))
+			t.Errorf("rented %v ago, with boots of 30 s, it is not late", time.Since(machine.ProvisionedAt))
 		}
 		cluster.HandleRecord("job-1", 1, newRecord("job-1", "blue", record.Normal, 40, 1), time.Now())
 		cluster.Plan(time.Now())
--- a/internal/claim/fairness_test.go
+++ b/internal/claim/fairness_test.go
@@ -164,13 +164,13 @@
 // end done.
 func (c *ClusterState) serve(tick ids.SequenceNumber, runs time.Duration, ended map[workload.TaskAttempt]bool) {
 	for name := range c.machines.Machines {
-		var ps []worker.Piece
+		var ps []worker.TaskStatus
 		for assignment := range c.capacity.AssignmentsOn(name) {
-			pc := worker.Piece{Task: assignment.Task().String(), Attempt: assignment.Attempt, Status: worker.Running}
+			pc := worker.TaskStatus{Task: assignment.Task().String(), Attempt: assignment.Attempt, State: worker.StateRunning}
 			if assignment.Stopping {
-				pc.Status, pc.Cause = worker.Ended, worker.CauseStopped
+				pc.State, pc.Cause = worker.StateExited, worker.CauseStopped
 			} else if time.Since(assignment.AssignedAt) >= runs {
-				pc.Status, pc.Cause = worker.Ended, worker.CauseDone
+				pc.State, pc.Cause = worker.StateExited, worker.CauseDone
 				ended[assignment.Key()] = true
 			}
 			ps = append(ps, pc)
--- a/internal/claim/fleet_test.go
+++ b/internal/claim/fleet_test.go
@@ -21,18 +21,18 @@
 // obey answers direct commands like a worker that does as told.
 func obey(name ids.Machine) http.Handler {
 	tick := ids.SequenceNumber(100)
-	pieces := []worker.Piece{}
+	pieces := []worker.TaskStatus{}
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		var in worker.Reply
+		var in worker.CommandBatch
 		json.NewDecoder(r.Body).Decode(&in)
-		for _, o := range in.Orders {
+		for _, o := range in.Commands {
 			if o.Verb == "start" {
-				pieces = append(pieces, worker.Piece{Task: o.Task, Attempt: o.Attempt, Status: worker.Running})
+				pieces = append(pieces, worker.TaskStatus{Task: o.Task, Attempt: o.Attempt, State: worker.StateRunning})
 			}
 		}
 		tick++
-		json.NewEncoder(w).Encode(&worker.Report{Machine: name, Addr: string(name) + ":1", Type: "small", Zone: "north", Session: 1,
-			Tick: tick, Token: 7, Pieces: pieces})
+		json.NewEncoder(w).Encode(&worker.Report{Machine: name, Addr: string(name) + ":1", Type: "small", Zone: "north", Incarnation: 1,
+			Sequence: tick, FencingToken: 7, Tasks: pieces})
 	})
 }
 
@@ -75,7 +75,7 @@
 			if known {
 				for name, machine := range cluster.machines.Machines {
 					if strings.HasPrefix(string(name), "lost") {
-						machine.Probes, machine.Doubted, machine.Asked = 2, now, now
+						machine.UnansweredProbes, machine.SuspectSince, machine.LastProbeAt = 2, now, now
 					}
 				}
 			}
@@ -116,7 +116,7 @@
 	cluster.Plan(now)
 	with := cluster.jobs.Get("job-1").Assignments[0].Machine
 	for _, machine := range cluster.machines.Machines {
-		machine.Seen = now.Add(-time.Minute)
+		machine.LastReportAt = now.Add(-time.Minute)
 	}
 	asked := map[ids.Machine]int{}
 	for round := range 20 {
@@ -156,7 +156,7 @@
 		t.Fatalf("batches %v", ba)
 	}
 	cluster.batchAnswered(ba[0], worker.NotSent)
-	if len(job.Assignments) != 0 || len(cluster.machines.Machines["m2"].LateStarts) != 0 {
+	if len(job.Assignments) != 0 || len(cluster.machines.Machines["m2"].UnconfirmedStarts) != 0 {
 		t.Fatal("a start that surely never arrives is kept")
 	}
 	// One that may arrive is.
@@ -165,8 +165,8 @@
 	job.StoredVersion = job.Version
 	cluster.versionStored(job)
 	ba = cluster.nextBatches(10)
-	cluster.batchAnswered(ba[0], worker.Uncertain)
-	if len(job.Assignments) != 1 || len(cluster.machines.Machines["m3"].LateStarts) != 1 {
+	cluster.batchAnswered(ba[0], worker.OutcomeUnknown)
+	if len(job.Assignments) != 1 || len(cluster.machines.Machines["m3"].UnconfirmedStarts) != 1 {
 		t.Fatal("a start that may yet arrive was given up")
 	}
 }
@@ -189,8 +189,8 @@
 	cluster.Plan(start)
 	heard := func(name string, ago time.Duration) {
 		machine := cluster.machines.Machines[ids.Machine(name)]
-		machine.Seen, machine.Probes = start.Add(-ago), 0
-		machine.Reached(true, start)
+		machine.LastReportAt, machine.UnansweredProbes = start.Add(-ago), 0
+		machine.RecordCall(true, start)
 	}
 	// The south fell silent 5 s ago; ten of its machines were asked twice since.
 	asked := 0
@@ -201,7 +201,7 @@
 			heard(name, 5*time.Second)
 			if asked++; asked <= 10 {
 				machine := cluster.machines.Machines[ids.Machine(name)]
-				machine.Probes, machine.Doubted, machine.Unreached = 2, start.Add(-2500*time.Millisecond), start.Add(-1500*time.Millisecond)
+				machine.UnansweredProbes, machine.SuspectSince, machine.UnreachableSince = 2, start.Add(-2500*time.Millisecond), start.Add(-1500*time.Millisecond)
 			}
 		}
 	}
@@ -214,7 +214,7 @@
 	// A minute later one of them is heard.
 	for i := range 40 {
 		if machine := cluster.machines.Machines[ids.Machine(fmt.Sprintf("m%02d", i))]; zone(i) == "south" {
-			machine.Probes, machine.Seen, machine.Doubted, machine.Unreached, machine.Failures = 20, start.Add(-time.Minute), start.Add(-58*time.Second), start.Add(-57*time.Second), 20
+			machine.UnansweredProbes, machine.LastReportAt, machine.SuspectSince, machine.UnreachableSince, machine.FailedCalls = 20, start.Add(-time.Minute), start.Add(-58*time.Second), start.Add(-57*time.Second), 20
 		}
 	}
 	cluster.hear("m01", "south", 2)
@@ -229,7 +229,7 @@
 		}
 	}
 	m := cluster.machines.Machines["m03"]
-	m.Probes, m.Doubted = 2, start.Add(-3*time.Second)
+	m.UnansweredProbes, m.SuspectSince = 2, start.Add(-3*time.Second)
 	if gone := cluster.MachinesToTerminate(start, map[ids.Machine]bool{}); len(gone) != 1 || gone[0] != "m03" {
 		t.Fatalf("returned %v, not the one that did not come back", gone)
 	}
@@ -261,7 +261,7 @@
 		name := ids.Machine(fmt.Sprint("s", i))
 		machine := cluster.machines.Ensure(name, now, now.Add(time.Minute))
 		machine.Zone, machine.Type, machine.Addr = "south", "small", string(name)+":1"
-		machine.Probes, machine.Doubted = 5, now.Add(time.Second)
+		machine.UnansweredProbes, machine.SuspectSince = 5, now.Add(time.Second)
 	}
 	cluster.trustSilence = now.Add(17*time.Second + 500*time.Millisecond)
 	if gone := cluster.MachinesToTerminate(now.Add(3*time.Second), map[ids.Machine]bool{}); len(gone) != 0 {
@@ -286,7 +286,7 @@
 	for i := range 4 {
 		cluster.hear(ids.Machine(fmt.Sprint("n", i)), "north", 1)
 		machine := cluster.machines.Machines[ids.Machine(fmt.Sprint("s", i))]
-		machine.Probes, machine.Doubted = 3, time.Now()
+		machine.UnansweredProbes, machine.SuspectSince = 3, time.Now()
 	}
 	if !cluster.UnreachableZones()["south"] {
 		t.Fatal("the south is not dark")
@@ -296,7 +296,7 @@
 	}
 	// The leases of all but one lapse; two of the tasks find a place.
 	for i := range 3 {
-		cluster.machines.Machines[ids.Machine(fmt.Sprint("s", i))].LapseAt = now
+		cluster.machines.Machines[ids.Machine(fmt.Sprint("s", i))].LeaseExpiresAt = now
 	}
 	cluster.ExpireLeases(now.Add(time.Second))
 	trail := func() (out []string) {
@@ -328,7 +328,7 @@
 	cluster.hear("m1", "north", 1)
 	cluster.HandleRecord("job-1", 1, newRecord("job-1", "blue", record.Normal, 2, 1), now)
 	cluster.Plan(now)
-	report := &worker.Report{Machine: "m1", Addr: "m1:1", Type: "small", Zone: "north", Session: 2, Tick: 2, Token: 7}
+	report := &worker.Report{Machine: "m1", Addr: "m1:1", Type: "small", Zone: "north", Incarnation: 2, Sequence: 2, FencingToken: 7}
 	cluster.ReconcileHeartbeat(report, true, true)
 	job := cluster.jobs.Get("job-1")
 	job.StoredVersion = job.Version
--- a/internal/claim/hints.go
+++ b/internal/claim/hints.go
@@ -34,7 +34,7 @@
 // markHintChanged notes that what the others should know of a machine changed.
 func (c *ClusterState) markHintChanged(machine *worker.Machine) {
 	c.hintSequence++
-	machine.HintSeq = c.hintSequence
+	machine.HintSequence = c.hintSequence
 }
 
 // Hints lists the machines heard of which something changed since a mark, or
@@ -47,8 +47,8 @@
 		since.Seq = 0
 	}
 	for _, machine := range c.machines.Machines {
-		if (machine.Heard || machine.Booting) && !machine.Deleting && machine.HintSeq > since.Seq {
-			out = append(out, Hint{machine.Name, machine.Addr, machine.Type, machine.Zone, machine.Spot, machine.Session, machine.Images.Copy(), !machine.Heard, time.Since(machine.HeldSince)})
+		if (machine.HasReported || machine.Booting) && !machine.Deleting && machine.HintSequence > since.Seq {
+			out = append(out, Hint{machine.Name, machine.Addr, machine.Type, machine.Zone, machine.Spot, machine.Incarnation, machine.Images.Copy(), !machine.HasReported, time.Since(machine.ProvisionedAt)})
 		}
 	}
 	return out, to
@@ -60,13 +60,13 @@
 	defer c.mu.Unlock()
 	for _, hint := range cache.hints {
 		machine := c.machines.Ensure(hint.Name, now, c.trustSilence)
-		if machine.Heard {
+		if machine.HasReported {
 			continue
 		}
-		machine.Addr, machine.Type, machine.Zone, machine.Spot, machine.Hinted = hint.Addr, hint.Type, hint.Zone, hint.Spot, hint.Session
+		machine.Addr, machine.Type, machine.Zone, machine.Spot, machine.HintedIncarnation = hint.Addr, hint.Type, hint.Zone, hint.Spot, hint.Session
 		machine.Images = hint.Images
 		if hint.Coming {
-			machine.Booting, machine.HeldSince = true, hint.rentedAt
+			machine.Booting, machine.ProvisionedAt = true, hint.rentedAt
 		}
 		for _, image := range hint.Images.Names {
 			c.capacity.AddImage(c.capacity.Ensure(hint.Name), image)
--- a/internal/claim/isolation.go
+++ b/internal/claim/isolation.go
@@ -12,12 +12,12 @@
 	overdue := c.settings.Params.Workers.ReportS.Duration() * 5 / 4
 	silent, heard := 0, 0
 	for _, machine := range c.machines.Machines {
-		if machine.Heard && machine.Silent(now) < overdue {
+		if machine.HasReported && machine.SilentFor(now) < overdue {
 			heard++
 		}
 	}
 	for _, s := range stranded {
-		if machine := c.machines.Machines[s.Machine]; machine != nil && machine.Silent(now) >= overdue && machine.Silent(now) > s.Ago+peerReportDelay {
+		if machine := c.machines.Machines[s.Machine]; machine != nil && machine.SilentFor(now) >= overdue && machine.SilentFor(now) > s.Ago+peerReportDelay {
 			silent++
 		}
 	}
--- a/internal/claim/lapses.go
+++ b/internal/claim/lapses.go
@@ -14,7 +14,7 @@
 	if machine := c.machines.Machines[assignment.Machine]; machine != nil {
 		// By what evidence, should it turn out to be wrong.
 		slog.Info("task gone", "task", assignment.Task(), "machine", assignment.Machine, "why", why, "attempt", assignment.Attempt, "token", assignment.FencingToken, "session", assignment.Incarnation,
-			"seen", assignment.Confirmed, "heard", machine.Heard, "reportToken", machine.Token, "reportSession", machine.Session, "reportTick", machine.Tick)
+			"seen", assignment.Confirmed, "heard", machine.HasReported, "reportToken", machine.FencingToken, "reportSession", machine.Incarnation, "reportTick", machine.Sequence)
 	}
 	if !job.Ended {
 		c.recordLoss(assignment, why)
@@ -48,7 +48,7 @@
 			continue
 		}
 		machine := c.machines.Ensure(name, now, c.trustSilence)
-		if now.Before(machine.LapseAt) {
+		if now.Before(machine.LeaseExpiresAt) {
 			continue
 		}
 		for assignment := range node.Assignments {
@@ -65,10 +65,10 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	why := "its machine was returned to the cloud"
-	if machine := c.machines.Machines[name]; machine != nil && machine.ReturnWhy != "" {
-		why += ": " + machine.ReturnWhy
+	if machine := c.machines.Machines[name]; machine != nil && machine.DeleteReason != "" {
+		why += ": " + machine.DeleteReason
 		if c.keptByRollout(name) {
-			c.drains.lostReplacements[name] = machine.ReturnWhy
+			c.drains.lostReplacements[name] = machine.DeleteReason
 		}
 	}
 	for assignment := range c.capacity.AssignmentsOn(name) {
--- a/internal/claim/listed.go
+++ b/internal/claim/listed.go
@@ -17,7 +17,7 @@
 	defer c.mu.Unlock()
 	for _, n := range names {
 		machine := c.machines.Ensure(n, now, c.trustSilence)
-		if !machine.Heard {
+		if !machine.HasReported {
 			machine.Type, machine.Zone, machine.Spot, machine.Booting = h.Type, h.Zone, h.Spot, true
 			c.markHintChanged(machine)
 		}
@@ -47,13 +47,13 @@
 		}
 		machine := c.machines.Ensure(listed.Name, now, c.trustSilence)
 		machine.ListedAt = now
-		if !machine.Heard {
+		if !machine.HasReported {
 			machine.Type, machine.Zone, machine.Spot, machine.Addr = listed.Type, listed.Zone, listed.Spot, listed.Addr
 			machine.Booting = listed.Status == "booting"
 		}
 		// The list describes a moment before now: the earliest is nearest.
-		if at := now.Add(-listed.Held.Duration()); at.Before(machine.HeldSince) {
-			machine.HeldSince = at
+		if at := now.Add(-listed.Held.Duration()); at.Before(machine.ProvisionedAt) {
+			machine.ProvisionedAt = at
 		}
 		machine.Failed = machine.Failed || listed.Status == "failed"
 	}
@@ -70,7 +70,7 @@
 // until it is gone, and a list lags by twice its nominal lag at most.
 func (c *ClusterState) missingFromCloud(machine *worker.Machine) bool {
 	lag := 3 * c.settings.Params.Cloud.ListLagS.Duration()
-	return !machine.Heard && c.listReadBegan.Sub(machine.Born) > lag && machine.ListedAt.Before(c.listReadBegan) && c.listReadBegan.Sub(machine.ListedAt) > lag
+	return !machine.HasReported && c.listReadBegan.Sub(machine.DiscoveredAt) > lag && machine.ListedAt.Before(c.listReadBegan) && c.listReadBegan.Sub(machine.ListedAt) > lag
 }
 
 // ConsolidationCandidate is a machine whose few services others might take over.
@@ -104,13 +104,13 @@
 		}
 		ps := node.Assignments
 		machine := c.machines.Machines[name]
-		if machine == nil || c.capacity.Type(machine.Type) == nil || !machine.Usable(now, c.settings.Params.Workers.ReportS) || now.Sub(machine.HeldSince) < time.Minute || machine.Going {
+		if machine == nil || c.capacity.Type(machine.Type) == nil || !machine.Schedulable(now, c.settings.Params.Workers.ReportS) || now.Sub(machine.ProvisionedAt) < time.Minute || machine.DeleteWhenEmpty {
 			continue
 		}
 		machineType := c.capacity.Type(machine.Type)
 		e := ConsolidationCandidate{Name: name}
 		for assignment := range ps {
-			if assignment.Job.Record.Spec.Shape != record.Service || assignment.Stopping || assignment.Status != worker.Running || now.Sub(assignment.RunningSince) < minRelocatableAge || assignment.Job.Record.Spec.Resources.Accels > 0 {
+			if assignment.Job.Record.Spec.Shape != record.Service || assignment.Stopping || assignment.Status != worker.StateRunning || now.Sub(assignment.RunningSince) < minRelocatableAge || assignment.Job.Record.Spec.Resources.Accels > 0 {
 				continue next
 			}
 			request := assignment.Job.Record.Spec.PlacementRequest()
@@ -139,7 +139,7 @@
 	if name != "" {
 		slog.Info("machine is being emptied", "machine", name)
 		if machine := c.machines.Machines[name]; machine != nil {
-			machine.Going = true
+			machine.DeleteWhenEmpty = true
 			c.leaving[name] = true
 		}
 	}
--- a/internal/claim/liveness_reset.go
+++ b/internal/claim/liveness_reset.go
@@ -7,9 +7,9 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, machine := range c.machines.Machines {
-		if machine.Heard {
-			machine.Probes, machine.Unreached, machine.Failures = 0, time.Time{}, 0
-			machine.Doubted, machine.Asked = now, time.Time{}
+		if machine.HasReported {
+			machine.UnansweredProbes, machine.UnreachableSince, machine.FailedCalls = 0, time.Time{}, 0
+			machine.SuspectSince, machine.LastProbeAt = now, time.Time{}
 		}
 	}
 }
--- a/internal/claim/needs.go
+++ b/internal/claim/needs.go
@@ -90,15 +90,15 @@
 	late := c.replacedBoots(now)
 	for _, machine := range c.machines.Sorted() {
 		machineType := c.capacity.Type(machine.Type)
-		if machineType == nil || machine.Failed || machine.Deleting || machine.Draining != "" || !machine.TakenAt.IsZero() {
+		if machineType == nil || machine.Failed || machine.Deleting || machine.DrainReason != "" || !machine.SpotTerminationAt.IsZero() {
 			continue
 		}
-		if machine.Heard && !machine.Usable(now, c.settings.Params.Workers.ReportS) || machine.Name == c.consolidating {
+		if machine.HasReported && !machine.Schedulable(now, c.settings.Params.Workers.ReportS) || machine.Name == c.consolidating {
 			continue
 		}
-		u := placement.Instance{Name: machine.Name, Type: machineType, Zone: machine.Zone, Spot: machine.Spot, Pending: !machine.Heard, Overdue: late[machine.Name], Free: machineType.Capacity(), Idle: machine.Heard}
+		u := placement.Instance{Name: machine.Name, Type: machineType, Zone: machine.Zone, Spot: machine.Spot, Pending: !machine.HasReported, Overdue: late[machine.Name], Free: machineType.Capacity(), Idle: machine.HasReported}
 		if node := c.capacity.Node(machine.Name); node != nil {
-			u.Free, u.Reclaimable, u.Idle = u.Free.Minus(node.Used), node.Reclaimable, machine.Heard && len(node.Assignments) == 0
+			u.Free, u.Reclaimable, u.Idle = u.Free.Minus(node.Used), node.Reclaimable, machine.HasReported && len(node.Assignments) == 0
 		}
 		ups = append(ups, u)
 	}
--- a/internal/claim/outcomes_test.go
+++ b/internal/claim/outcomes_test.go
@@ -35,7 +35,7 @@
 			end := newRecord(numbered(k), "red", record.Low, 1, 1)
 			end.Status = status
 			raw, _ := end.Encode(8192)
-			txn.Then = append(txn.Then, state.Op{Put: record.EndKey(numbered(k)), Value: raw})
+			txn.Ops = append(txn.Ops, state.Op{Put: record.EndKey(numbered(k)), Value: raw})
 		}
 		if _, err := h.state.Commit(context.Background(), txn, state.Urgent); err != nil {
 			t.Fatal(err)
@@ -125,7 +125,7 @@
 			cluster.HandleWaitingJob(id, 1, waits(id, record.Low, 0, numbered(100000+k)), time.Now())
 		}
 		raw, _ := newRecord(numbered(100110), "red", record.Low, 1, 1).Encode(8192)
-		if _, err := h.state.Commit(context.Background(), state.Txn{Then: []state.Op{{Put: record.JobKey(numbered(100110)), Value: raw}}}, state.Urgent); err != nil {
+		if _, err := h.state.Commit(context.Background(), state.Txn{Ops: []state.Op{{Put: record.JobKey(numbered(100110)), Value: raw}}}, state.Urgent); err != nil {
 			t.Fatal(err)
 		}
 		c.lookUpOnce(context.Background())
--- a/internal/claim/places.go
+++ b/internal/claim/places.go
@@ -65,5 +65,5 @@
 // noDirectStartOutstanding tells that no direct start of the place is unaccounted for.
 func (c *ClusterState) noDirectStartOutstanding(assignment *workload.Assignment) bool {
 	machine := c.machines.Machines[assignment.Machine]
-	return machine != nil && c.underCurrentGeneration(assignment) && !machine.MayRevive(assignment.Task().String(), assignment.Attempt)
+	return machine != nil && c.underCurrentGeneration(assignment) && !machine.MayRestart(assignment.Task().String(), assignment.Attempt)
 }
--- a/internal/claim/probe.go
+++ b/internal/claim/probe.go
@@ -24,13 +24,13 @@
 				_, report = d.Commander.Send(ctx, probe.address, probe.fencingToken, probe.incarnation, nil)
 				cancel()
 			} else {
-				report = d.Commander.Show(ctx, probe.address, probeTimeout)
+				report = d.Commander.FetchReport(ctx, probe.address, probeTimeout)
 			}
 			if report != nil && report.Machine != probe.machine {
 				report = nil
 			}
-			if report != nil && report.Token < probe.fencingToken {
-				if _, fenced := d.Commander.Send(ctx, probe.address, probe.fencingToken, report.Session, nil); fenced != nil && fenced.Machine == probe.machine {
+			if report != nil && report.FencingToken < probe.fencingToken {
+				if _, fenced := d.Commander.Send(ctx, probe.address, probe.fencingToken, report.Incarnation, nil); fenced != nil && fenced.Machine == probe.machine {
 					report = fenced
 				}
 			}
@@ -64,21 +64,21 @@
 	var ask []*worker.Machine
 	early := longestSilent{limit: int(c.earlyProbeTokens)}
 	for _, machine := range c.machines.Machines {
-		if machine.Deleting || machine.Probing || machine.Addr == "" {
+		if machine.Deleting || machine.ProbeInFlight || machine.Addr == "" {
 			continue
 		}
 		overdue := c.probeAfter(machine)
 		again := overdue / 2
-		if !machine.Heard {
+		if !machine.HasReported {
 			again = time.Second
 		}
-		if machine.Probes >= frequentProbes {
+		if machine.UnansweredProbes >= frequentProbes {
 			// Whoever left so many questions unanswered is judged already; its
 			// worker reports by itself once it is back.
 			again = max(again, c.settings.Params.Workers.ReportS.Duration()/2)
 		}
-		if now.Sub(machine.Asked) > again && (machine.Heard && (machine.Silent(now) > overdue || !machine.Unreached.IsZero()) || !machine.Heard && !machine.Booting) {
-			if machine.Heard && machine.Probes == 0 && machine.Unreached.IsZero() && machine.Silent(now) < report*5/4 && !c.hasReplicas(machine) {
+		if now.Sub(machine.LastProbeAt) > again && (machine.HasReported && (machine.SilentFor(now) > overdue || !machine.UnreachableSince.IsZero()) || !machine.HasReported && !machine.Booting) {
+			if machine.HasReported && machine.UnansweredProbes == 0 && machine.UnreachableSince.IsZero() && machine.SilentFor(now) < report*5/4 && !c.hasReplicas(machine) {
 				early.add(machine)
 			} else {
 				ask = append(ask, machine)
@@ -96,17 +96,17 @@
 			}
 			return 1
 		}
-		return x.Asked.Compare(y.Asked)
+		return x.LastProbeAt.Compare(y.LastProbeAt)
 	})
 	for _, machine := range ask[:max(0, min(len(ask), most-c.probesInFlight))] {
-		machine.Probing, machine.Asked = true, now
+		machine.ProbeInFlight, machine.LastProbeAt = true, now
 		c.probesInFlight++
-		if machine.Probes == 0 {
-			machine.Doubted = now
+		if machine.UnansweredProbes == 0 {
+			machine.SuspectSince = now
 		}
 		probe := probeRequest{machine: machine.Name, address: machine.Addr, fencingToken: c.generation}
-		if !machine.Heard {
-			probe.incarnation = machine.Hinted
+		if !machine.HasReported {
+			probe.incarnation = machine.HintedIncarnation
 		}
 		out = append(out, probe)
 	}
@@ -127,7 +127,7 @@
 }
 
 func (l *longestSilent) add(machine *worker.Machine) {
-	at, _ := slices.BinarySearchFunc(l.machines, machine, func(x, y *worker.Machine) int { return x.Seen.Compare(y.Seen) })
+	at, _ := slices.BinarySearchFunc(l.machines, machine, func(x, y *worker.Machine) int { return x.LastReportAt.Compare(y.LastReportAt) })
 	if at >= l.limit {
 		return
 	}
@@ -159,8 +159,8 @@
 // is owed; one that did not loses what was only marked for it: no start of that
 // went out, so it may go elsewhere at once.
 func (c *ClusterState) recordReachability(machine *worker.Machine, answered bool) {
-	doubted := machine.Doubtful()
-	machine.Reached(answered, time.Now())
+	doubted := machine.Suspect()
+	machine.RecordCall(answered, time.Now())
 	node := c.capacity.Node(machine.Name)
 	if node == nil {
 		return
@@ -184,9 +184,9 @@
 	defer c.mu.Unlock()
 	c.probesInFlight--
 	if machine := c.machines.Machines[name]; machine != nil {
-		machine.Probing = false
+		machine.ProbeInFlight = false
 		if !answered {
-			machine.Probes++
+			machine.UnansweredProbes++
 		}
 		c.recordReachability(machine, answered)
 	}
--- a/internal/claim/promote_test.go
+++ b/internal/claim/promote_test.go
@@ -20,7 +20,7 @@
 		n := min(500, len(records))
 		for _, rec := range records[:n] {
 			raw, _ := rec.EncodeWaiting(8192)
-			txn.Then = append(txn.Then, state.Op{Put: record.WaitKey(rec.Spec.ID), Value: raw})
+			txn.Ops = append(txn.Ops, state.Op{Put: record.WaitKey(rec.Spec.ID), Value: raw})
 		}
 		epoch, err := h.state.Commit(context.Background(), txn, state.Urgent)
 		if err != nil {
@@ -37,7 +37,7 @@
 // storeLive stores a claimable job and loads it.
 func (h *history) storeLive(t *testing.T, cluster *ClusterState, rec *record.Record) *workload.Job {
 	raw, _ := rec.Encode(8192)
-	epoch, err := h.state.Commit(context.Background(), state.Txn{Then: []state.Op{{Put: record.JobKey(rec.Spec.ID), Value: raw}}}, state.Urgent)
+	epoch, err := h.state.Commit(context.Background(), state.Txn{Ops: []state.Op{{Put: record.JobKey(rec.Spec.ID), Value: raw}}}, state.Urgent)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -99,7 +99,7 @@
 // so many changes a second.
 func (h *history) leader(writes float64) *state.Client {
 	c := state.NewClient("state:1", h.network.Client("a"), state.NewBudget(1000, writes, 1, 0.6))
-	c.Budget().SetLeader(true)
+	c.Budget().LeadershipChanged(true)
 	return c
 }
 
--- a/internal/claim/relocations.go
+++ b/internal/claim/relocations.go
@@ -61,9 +61,9 @@
 		switch {
 		case machine == nil || machine.Zone == "":
 			at[unknownZone]++
-		case c.unreachableZones[machine.Zone] && (!machine.Heard || machine.Doubtful()):
+		case c.unreachableZones[machine.Zone] && (!machine.HasReported || machine.Suspect()):
 			dark[machine.Zone]++
-			latest = worker.Later(latest, machine.LapseAt)
+			latest = worker.Later(latest, machine.LeaseExpiresAt)
 		default:
 			at[machine.Zone]++
 		}
--- a/internal/claim/repair.go
+++ b/internal/claim/repair.go
@@ -1,8 +1,6 @@
 package claim
 
 import (
-	"github.com/pebbletrail/pebbletrail/internal/wait"
-
 	"context"
 	"encoding/json"
 	"log/slog"
@@ -10,12 +8,13 @@
 
 	"github.com/pebbletrail/pebbletrail/internal/record"
 	"github.com/pebbletrail/pebbletrail/internal/state"
+	"github.com/pebbletrail/pebbletrail/internal/wait"
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
 // repair reads back the keys whose conditions failed: either an answer was
 // lost and the change is ours, or another controller wrote.
-func (c *Committer) repair(ctx context.Context, conflict *state.Conflict, group []groupEntry) {
+func (c *Committer) repair(ctx context.Context, conflict *state.ConflictError, group []groupEntry) {
 	cluster := c.Cluster
 	if conflict.Has(c.Keys.Generation()) {
 		entry, found, err := c.State.Get(ctx, c.Keys.Generation(), state.Urgent)
--- a/internal/claim/returns.go
+++ b/internal/claim/returns.go
@@ -23,19 +23,19 @@
 	liveness := c.updateZoneLiveness()
 	liveness.booting, _ = c.countBooting(now)
 	for _, machine := range c.machines.Machines {
-		if needed[machine.Name] || !machine.Heard || c.keptByRollout(machine.Name) {
-			machine.NeededAt = now
+		if needed[machine.Name] || !machine.HasReported || c.keptByRollout(machine.Name) {
+			machine.LastNeededAt = now
 		}
 		// Dear machines are not kept by cheap work that could run elsewhere.
 		machineType := c.capacity.Type(machine.Type)
-		machine.Going = machine.Name == c.consolidating || machineType != nil && machineType.Accels > 0 && now.Sub(machine.NeededAt).Seconds() > c.settings.Operator.IdleReturnS
-		if machine.Going {
+		machine.DeleteWhenEmpty = machine.Name == c.consolidating || machineType != nil && machineType.Accels > 0 && now.Sub(machine.LastNeededAt).Seconds() > c.settings.Operator.IdleReturnS
+		if machine.DeleteWhenEmpty {
 			c.leaving[machine.Name] = true
 		}
 		if why := c.terminationReason(machine, now, silentAfter, needed, liveness); why != "" || machine.Deleting {
 			if !machine.Deleting {
 				slog.Info("machine returned", "machine", machine.Name, "type", machine.Type, "spot", machine.Spot, "why", why)
-				machine.Deleting, machine.ReturnWhy = true, why
+				machine.Deleting, machine.DeleteReason = true, why
 			}
 			out = append(out, machine.Name)
 		}
@@ -58,29 +58,29 @@
 		return "it stopped by itself"
 	case c.missingFromCloud(machine):
 		return "the cloud does not list it"
-	case !machine.TakenAt.IsZero() && (now.After(machine.TakenAt) || empty):
+	case !machine.SpotTerminationAt.IsZero() && (now.After(machine.SpotTerminationAt) || empty):
 		return "the cloud takes it back"
-	case machine.Draining != "" && empty:
-		return machine.Draining
+	case machine.DrainReason != "" && empty:
+		return machine.DrainReason
 	case machine.Name == c.consolidating && empty:
 		return "its work was moved together with other work"
-	case machine.Heard && (machine.Silent(now) > silentAfter || machine.Probes >= 2 && machine.Silent(now) > c.silenceLimit(machine)) && liveness.isolatedFailure(machine):
+	case machine.HasReported && (machine.SilentFor(now) > silentAfter || machine.UnansweredProbes >= 2 && machine.SilentFor(now) > c.silenceLimit(machine)) && liveness.isolatedFailure(machine):
 		return "silent"
-	case machine.Heard && machine.Failures >= 3 && now.Sub(machine.Unreached) > c.silenceLimit(machine) && liveness.isolatedFailure(machine):
+	case machine.HasReported && machine.FailedCalls >= 3 && now.Sub(machine.UnreachableSince) > c.silenceLimit(machine) && liveness.isolatedFailure(machine):
 		return "nothing reaches it"
-	case !machine.Heard && machine.Booting:
+	case !machine.HasReported && machine.Booting:
 		return c.reasonToAbandonBoot(machine, kept, liveness.booting, now)
-	case !machine.Heard && !machine.Booting && liveness.isolatedFailure(machine) && (now.Sub(machine.Born) > 2*silentAfter || !empty && (machine.Probes >= 4 || machine.Addr == "" && now.Sub(machine.Born) > silentAfter)):
+	case !machine.HasReported && !machine.Booting && liveness.isolatedFailure(machine) && (now.Sub(machine.DiscoveredAt) > 2*silentAfter || !empty && (machine.UnansweredProbes >= 4 || machine.Addr == "" && now.Sub(machine.DiscoveredAt) > silentAfter)):
 		// It held tasks for an earlier leader and neither answers nor is
 		// listed: returning it proves its tasks gone.
 		return "up but never heard"
-	case !machine.Heard && !machine.Booting && liveness.zoneUnreachable(machine.Zone) && c.trustSilence.Sub(now) < c.settings.Params.Workers.LeaseS.Duration()*2/3 && c.hasRestartableReplica(machine, liveness):
+	case !machine.HasReported && !machine.Booting && liveness.zoneUnreachable(machine.Zone) && c.trustSilence.Sub(now) < c.settings.Params.Workers.LeaseS.Duration()*2/3 && c.hasRestartableReplica(machine, liveness):
 		return "its zone is dark, and its replicas can start elsewhere"
 	case order.Return && empty:
 		return fmt.Sprintf("rollout %s has emptied it", order.Rollout)
-	case machine.Heard && empty && !kept && c.otherShardsShort:
+	case machine.HasReported && empty && !kept && c.otherShardsShort:
 		return releasedForOtherShard
-	case machine.Heard && empty && !kept && now.Sub(machine.IdleSince).Seconds() > c.settings.Operator.IdleReturnS && now.Sub(machine.HeldSince) > time.Minute:
+	case machine.HasReported && empty && !kept && now.Sub(machine.IdleSince).Seconds() > c.settings.Operator.IdleReturnS && now.Sub(machine.ProvisionedAt) > time.Minute:
 		return "idle"
 	}
 	return ""
@@ -170,7 +170,7 @@
 	liveness := &fleetLiveness{storeAvailable: c.StoreAvailable(), zones: map[string]*zoneLiveness{}}
 	var silent []*worker.Machine
 	for _, other := range c.machines.Machines {
-		if other.Booting || other.Deleting || other.Failed || !other.Heard && other.Probes == 0 {
+		if other.Booting || other.Deleting || other.Failed || !other.HasReported && other.UnansweredProbes == 0 {
 			continue
 		}
 		zoneState := liveness.zones[other.Zone]
@@ -180,16 +180,16 @@
 		}
 		liveness.all++
 		zoneState.all++
-		if other.Heard && !other.Doubtful() {
-			liveness.lastHeard.add(other.Seen)
-			zoneState.lastHeard.add(other.Seen)
+		if other.HasReported && !other.Suspect() {
+			liveness.lastHeard.add(other.LastReportAt)
+			zoneState.lastHeard.add(other.LastReportAt)
 		} else {
 			silent = append(silent, other)
 		}
 	}
 	liveness.silent = len(silent)
 	for _, other := range silent {
-		if zoneState := liveness.zones[other.Zone]; other.Probes > 0 && zoneState.lastHeard.after(other.Doubted) == 0 {
+		if zoneState := liveness.zones[other.Zone]; other.UnansweredProbes > 0 && zoneState.lastHeard.after(other.SuspectSince) == 0 {
 			zoneState.unanswered++
 		}
 	}
@@ -223,9 +223,9 @@
 	now := time.Now()
 	slog.Info("heard from a zone again that was dark", "zone", zone)
 	for _, machine := range c.machines.Machines {
-		if machine.Zone == zone && machine.Doubtful() {
-			machine.Probes, machine.Unreached, machine.Failures = 0, time.Time{}, 0
-			machine.Doubted, machine.Asked, machine.Born = now, time.Time{}, now
+		if machine.Zone == zone && machine.Suspect() {
+			machine.UnansweredProbes, machine.UnreachableSince, machine.FailedCalls = 0, time.Time{}, 0
+			machine.SuspectSince, machine.LastProbeAt, machine.DiscoveredAt = now, time.Time{}, now
 		}
 	}
 }
@@ -242,10 +242,10 @@
 	if !l.storeAvailable {
 		return false
 	}
-	if zoneState := l.zones[machine.Zone]; zoneState != nil && (zoneState.unreachable || zoneState.all > 3 && zoneState.lastHeard.after(machine.Doubted.Add(probeTimeout)) < max(1, zoneState.all/4)) {
+	if zoneState := l.zones[machine.Zone]; zoneState != nil && (zoneState.unreachable || zoneState.all > 3 && zoneState.lastHeard.after(machine.SuspectSince.Add(probeTimeout)) < max(1, zoneState.all/4)) {
 		return false
 	}
-	since := l.lastHeard.after(machine.Doubted)
+	since := l.lastHeard.after(machine.SuspectSince)
 	return l.silent <= max(1, l.all*2/5) && since >= (l.all-l.silent+1)/2 && since > 0
 }
 
--- a/internal/claim/room_sharing.go
+++ b/internal/claim/room_sharing.go
@@ -54,8 +54,8 @@
 	leastLoss := 0.0
 	for name, node := range c.capacity.Nodes() {
 		machine := c.machines.Machines[name]
-		if machine == nil || machine.Draining != "" {
-			if machine != nil && machine.Draining == releasedForOtherShard {
+		if machine == nil || machine.DrainReason != "" {
+			if machine != nil && machine.DrainReason == releasedForOtherShard {
 				return // one at a time
 			}
 			continue
@@ -72,7 +72,7 @@
 		return
 	}
 	c.releasedAt = now
-	c.machines.Machines[least.Name].Draining = releasedForOtherShard
+	c.machines.Machines[least.Name].DrainReason = releasedForOtherShard
 	c.leaving[least.Name] = true
 	slog.Info("machine given up", "machine", least.Name, "why", releasedForOtherShard)
 }
--- a/internal/claim/scale_test.go
+++ b/internal/claim/scale_test.go
@@ -138,7 +138,7 @@
 				t.Fatalf("%s: %s has %d places and %v in use, the jobs know of %d", when, name, len(node.Assignments), node.Used, on[name])
 			}
 			open := node.Class != nil
-			if machine := cluster.machines.Machines[name]; open != (machine.Heard && on[name] < 4) {
+			if machine := cluster.machines.Machines[name]; open != (machine.HasReported && on[name] < 4) {
 				t.Fatalf("%s: %s with %d tasks is on a shelf: %v", when, name, on[name], open)
 			}
 			if open && !slices.Contains(node.Class.Open, node) {
@@ -151,14 +151,14 @@
 	}
 	check("placed")
 	for i, name := range []ids.Machine{"host-000001", "host-000002", "host-000003"} {
-		var pieces []worker.Piece
+		var pieces []worker.TaskStatus
 		for assignment := range cluster.capacity.AssignmentsOn(name) {
-			pieces = append(pieces, worker.Piece{Task: assignment.Task().String(), Attempt: assignment.Attempt, Status: worker.Running})
+			pieces = append(pieces, worker.TaskStatus{Task: assignment.Task().String(), Attempt: assignment.Attempt, State: worker.StateRunning})
 		}
 		cluster.hear(name, "north", ids.SequenceNumber(i+2), pieces...)
 		check("running")
 		for k := range pieces {
-			pieces[k].Status, pieces[k].Cause = worker.Ended, worker.CauseDone
+			pieces[k].State, pieces[k].Cause = worker.StateExited, worker.CauseDone
 		}
 		cluster.hear(name, "north", ids.SequenceNumber(i+3), pieces...)
 		check("done")
@@ -228,7 +228,7 @@
 	for name, machine := range cluster.machines.Machines {
 		var i int
 		fmt.Sscanf(string(name), "host-%d", &i)
-		machine.Seen = now.Add(-1100*time.Millisecond - time.Duration(i*7919%largestFleet)*time.Microsecond*10)
+		machine.LastReportAt = now.Add(-1100*time.Millisecond - time.Duration(i*7919%largestFleet)*time.Microsecond*10)
 	}
 	cluster.earlyProbeTokens, cluster.probesIssuedAt = 5, now.Add(-100*time.Millisecond)
 	asked := cluster.dueProbes(now, 1000)
@@ -236,7 +236,7 @@
 		t.Fatalf("%d machines asked, not the 5 saved up and 3 more", len(asked))
 	}
 	for _, question := range asked {
-		if silent := now.Sub(cluster.machines.Machines[question.machine].Seen); silent < 1100*time.Millisecond+(largestFleet-9)*10*time.Microsecond {
+		if silent := now.Sub(cluster.machines.Machines[question.machine].LastReportAt); silent < 1100*time.Millisecond+(largestFleet-9)*10*time.Microsecond {
 			t.Errorf("asked %s, silent for %v only", question.machine, silent)
 		}
 	}
@@ -272,14 +272,14 @@
 				questions++
 				next.probeAnswered(question.machine, true)
 				next.hear(question.machine, []string{"north", "south"}[i%2], 2)
-				next.machines.Machines[question.machine].Seen = now
+				next.machines.Machines[question.machine].LastReportAt = now
 			}
 		}
 		if questions != machines || rounds > machines/slots+1 {
 			t.Errorf("%d machines: %d questions in %d rounds", machines, questions, rounds)
 		}
 		for name, machine := range next.machines.Machines {
-			if !machine.Heard {
+			if !machine.HasReported {
 				t.Fatalf("%d machines: %s was not asked", machines, name)
 			}
 		}
--- a/internal/claim/settle.go
+++ b/internal/claim/settle.go
@@ -16,7 +16,7 @@
 // ReconcileHeartbeat settles outcomes from a report and returns the orders its machine
 // should get. answered tells that the worker gets a 200 for this report; beat
 // tells a beat from the answer to direct commands.
-func (c *ClusterState) ReconcileHeartbeat(report *worker.Report, answered, beat bool) []worker.Order {
+func (c *ClusterState) ReconcileHeartbeat(report *worker.Report, answered, beat bool) []worker.Command {
 	starting, read := c.StartsAllowed()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -30,18 +30,18 @@
 	if !known {
 		slog.Info("machine reports that nobody expected; adopted", "machine", report.Machine, "type", report.Type, "zone", report.Zone)
 	}
-	firstHeard := !machine.Heard
-	hadNotice := !machine.TakenAt.IsZero()
+	firstHeard := !machine.HasReported
+	hadNotice := !machine.SpotTerminationAt.IsZero()
 	moved := machine.Type != report.Type || machine.Zone != report.Zone || machine.Spot != report.Spot
-	idle := machine.Heard && !machine.Usable(now, c.settings.Params.Workers.ReportS)
-	doubted, lost := machine.Doubtful(), firstHeard || machine.Silent(now) > 2*c.settings.Params.Workers.ReportS.Duration()+time.Second
+	idle := machine.HasReported && !machine.Schedulable(now, c.settings.Params.Workers.ReportS)
+	doubted, lost := machine.Suspect(), firstHeard || machine.SilentFor(now) > 2*c.settings.Params.Workers.ReportS.Duration()+time.Second
 	booting := machine.Booting
-	v := c.machines.Note(machine, report, now, answered, c.generation)
+	v := c.machines.RecordReport(machine, report, now, answered, c.generation)
 	if !v.Fresh {
 		// A command's answer may overtake a beat that was sent before it. The
 		// beat's answer renews the lease all the same, so it must not come
 		// without the stops.
-		if report.Session == machine.Session {
+		if report.Incarnation == machine.Incarnation {
 			return c.commandsFor(machine, beat, false, read, now)
 		}
 		return nil
@@ -50,16 +50,16 @@
 		c.estimates.RecordBoot(machine, now)
 	}
 	node := c.capacity.Ensure(machine.Name)
-	if firstHeard || moved || v.Moved {
+	if firstHeard || moved || v.Restarted {
 		c.capacity.Reindex(node)
 		c.markHintChanged(machine)
 	}
-	if !machine.Unreached.IsZero() && lost {
+	if !machine.UnreachableSince.IsZero() && lost {
 		// It was silent for long and is heard again: that calls to it failed
 		// meanwhile says nothing of now. It is asked anew before it is judged.
-		machine.Unreached, machine.Failures, machine.Doubted, machine.Asked = now, 0, now, time.Time{}
+		machine.UnreachableSince, machine.FailedCalls, machine.SuspectSince, machine.LastProbeAt = now, 0, now, time.Time{}
 	}
-	if firstHeard || v.Moved || doubted {
+	if firstHeard || v.Restarted || doubted {
 		c.pendingCommands[node] = true // what was held back or placed there before may go out now
 	}
 	if idle {
@@ -69,16 +69,16 @@
 		machine.IdleSince = now
 		signal(c.planSignal)
 	}
-	if !hadNotice && !machine.TakenAt.IsZero() {
+	if !hadNotice && !machine.SpotTerminationAt.IsZero() {
 		c.leaving[machine.Name] = true
-		slog.Info("spot notice", "machine", machine.Name, "in", machine.TakenAt.Sub(now))
+		slog.Info("spot notice", "machine", machine.Name, "in", machine.SpotTerminationAt.Sub(now))
 		signal(c.planSignal)
 	}
 	// Everything of an earlier session is gone, as the worker forgot it when
 	// its lease lapsed.
 	for assignment := range c.capacity.AssignmentsOn(machine.Name) {
 		switch {
-		case assignment.Incarnation >= report.Session:
+		case assignment.Incarnation >= report.Incarnation:
 		case assignment.StartSent:
 			c.markLost(assignment, "its worker's lease lapsed")
 		default:
@@ -88,10 +88,10 @@
 			c.markChanged(assignment.Job)
 		}
 	}
-	listed := make(map[workload.TaskAttempt]bool, len(report.Pieces))
-	var orders []worker.Order
-	for i := range report.Pieces {
-		reported := &report.Pieces[i]
+	listed := make(map[workload.TaskAttempt]bool, len(report.Tasks))
+	var orders []worker.Command
+	for i := range report.Tasks {
+		reported := &report.Tasks[i]
 		t, err := ids.ParseTask(reported.Task)
 		if err != nil {
 			continue
@@ -106,10 +106,10 @@
 			// What is listed before a start went out is left from an earlier start
 			// of the same attempt there, whose outcome is known.
 			if assignment := job.Assignments[t.Index]; assignment != nil && assignment.Machine == machine.Name && assignment.Attempt == reported.Attempt && assignment.StartSent {
-				if assignment.Incarnation != report.Session {
+				if assignment.Incarnation != report.Incarnation {
 					continue // of an earlier session, and so of an earlier start
 				}
-				if reported.Status == worker.Ended {
+				if reported.State == worker.StateExited {
 					c.recordOutcome(assignment, reported, machine)
 				} else {
 					c.observeTask(assignment, reported, machine, now)
@@ -120,17 +120,17 @@
 		orders = append(orders, c.reconcileOrphan(job, key, reported, machine)...)
 	}
 	for assignment := range c.capacity.AssignmentsOn(machine.Name) {
-		if listed[assignment.Key()] || !assignment.StartSent || assignment.Incarnation != report.Session {
+		if listed[assignment.Key()] || !assignment.StartSent || assignment.Incarnation != report.Incarnation {
 			continue
 		}
 		switch {
 		case assignment.Confirmed:
 			c.markLost(assignment, "its worker reports it no longer")
-		case assignment.FencingToken < report.Token:
+		case assignment.FencingToken < report.FencingToken:
 			// The worker has seen a higher token than the start carries, so
 			// the start was never carried out and never will be.
 			c.markLost(assignment, "its start was turned away")
-		case assignment.Stopping && beat && c.noDirectStartOutstanding(assignment) && report.Tick > assignment.OfferedAt:
+		case assignment.Stopping && beat && c.noDirectStartOutstanding(assignment) && report.Sequence > assignment.OfferedAt:
 			// Starts in beat answers are carried out at once or never.
 			c.markLost(assignment, "its start was dropped")
 		}
@@ -154,30 +154,30 @@
 // a gang the same task may have been started again, under the same attempt, on the
 // machine where it had ended. Of other jobs every start has a number of its own; and
 // what is done is done.
-func (c *ClusterState) mayPredateRecord(job *workload.Job, report *worker.Report, reported *worker.Piece) bool {
-	return job.Record.Spec.Shape == record.Gang && report.Token < c.firstGeneration && !(reported.Status == worker.Ended && reported.Cause == worker.CauseDone)
+func (c *ClusterState) mayPredateRecord(job *workload.Job, report *worker.Report, reported *worker.TaskStatus) bool {
+	return job.Record.Spec.Shape == record.Gang && report.FencingToken < c.firstGeneration && !(reported.State == worker.StateExited && reported.Cause == worker.CauseDone)
 }
 
 // commandsFor repeats, in a beat's answer, what the machine still has to do.
 // Every command may be repeated; a start is named by task and attempt, so it
 // takes effect once.
-func (c *ClusterState) commandsFor(machine *worker.Machine, beat, starting bool, read, now time.Time) []worker.Order {
+func (c *ClusterState) commandsFor(machine *worker.Machine, beat, starting bool, read, now time.Time) []worker.Command {
 	if !beat {
 		return nil
 	}
-	var orders []worker.Order
+	var orders []worker.Command
 	for assignment := range c.capacity.AssignmentsOn(machine.Name) {
 		job := assignment.Job
 		switch {
-		case assignment.Incarnation != machine.Session:
+		case assignment.Incarnation != machine.Incarnation:
 		case assignment.Stopping:
-			if assignment.Confirmed && assignment.Status != worker.Ended {
-				orders = append(orders, worker.Stop(assignment.Task().String(), assignment.Attempt, assignment.RemainingGrace(now)))
+			if assignment.Confirmed && assignment.Status != worker.StateExited {
+				orders = append(orders, worker.StopCommand(assignment.Task().String(), assignment.Attempt, assignment.RemainingGrace(now)))
 			}
 		case !starting || read.Before(job.ReadRequiredAfter):
 		case !assignment.Confirmed && assignment.FencingToken == c.generation && job.StoredVersion >= assignment.MarkerVersion && !machine.Deleting && (assignment.StartSent || scheduler.GangStartAllowed(assignment, machine, c.machines)):
-			assignment.StartSent, assignment.OfferedInHeartbeat, assignment.OfferedAt = true, true, machine.Tick
-			orders = append(orders, worker.Start(assignment.Task(), assignment.Attempt))
+			assignment.StartSent, assignment.OfferedInHeartbeat, assignment.OfferedAt = true, true, machine.Sequence
+			orders = append(orders, worker.StartCommand(assignment.Task(), assignment.Attempt))
 		}
 	}
 	return orders
@@ -191,12 +191,12 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	machine := c.machines.Machines[report.Machine]
-	if machine == nil || report.Session != machine.Session || len(machine.LateStarts) == 0 {
+	if machine == nil || report.Incarnation != machine.Incarnation || len(machine.UnconfirmedStarts) == 0 {
 		return false
 	}
 	for assignment := range c.capacity.AssignmentsOn(machine.Name) {
-		if assignment.Stopping && !assignment.Confirmed && assignment.Job.Cancelled() && assignment.Incarnation == report.Session && c.underCurrentGeneration(assignment) &&
-			time.Since(assignment.StopRequestedAt) > grace && machine.MayRevive(assignment.Task().String(), assignment.Attempt) {
+		if assignment.Stopping && !assignment.Confirmed && assignment.Job.Cancelled() && assignment.Incarnation == report.Incarnation && c.underCurrentGeneration(assignment) &&
+			time.Since(assignment.StopRequestedAt) > grace && machine.MayRestart(assignment.Task().String(), assignment.Attempt) {
 			return true
 		}
 	}
@@ -204,33 +204,33 @@
 }
 
 // observeTask notes a task that is on its machine.
-func (c *ClusterState) observeTask(assignment *workload.Assignment, reported *worker.Piece, machine *worker.Machine, now time.Time) {
-	if !assignment.Confirmed || assignment.Status != reported.Status {
-		slog.Debug("seen", "class", assignment.Job.Record.Spec.Class, "job", assignment.Job.Record.Spec.ID, "task", assignment.TaskIndex, "machine", machine.Name, "status", reported.Status,
+func (c *ClusterState) observeTask(assignment *workload.Assignment, reported *worker.TaskStatus, machine *worker.Machine, now time.Time) {
+	if !assignment.Confirmed || assignment.Status != reported.State {
+		slog.Debug("seen", "class", assignment.Job.Record.Spec.Class, "job", assignment.Job.Record.Spec.ID, "task", assignment.TaskIndex, "machine", machine.Name, "status", reported.State,
 			"sincePlaced", now.Sub(assignment.AssignedAt).Round(time.Millisecond))
 	}
 	assignment.Confirmed, assignment.StartSent = true, true
 	node := c.capacity.Ensure(machine.Name)
-	if reported.Status != worker.Pulling {
+	if reported.State != worker.StatePulling {
 		c.capacity.EndImagePull(node, assignment)
 	}
 	if assignment.Stopping && assignment.StopSentAt.Before(assignment.StopRequestedAt) {
 		c.pendingCommands[node] = true
 	}
-	if assignment.Status != reported.Status && reported.Status == worker.Running {
+	if assignment.Status != reported.State && reported.State == worker.StateRunning {
 		assignment.RunningSince = now
 	}
-	if assignment.Status != reported.Status && assignment.Job.Record.Spec.Shape == record.Gang {
+	if assignment.Status != reported.State && assignment.Job.Record.Spec.Shape == record.Gang {
 		for _, other := range assignment.Job.Assignments {
 			if !other.StartSent {
 				c.queueCommand(other) // it waited for this one's image
 			}
 		}
 	}
-	if reported.Status == worker.Running && !assignment.RunningSince.IsZero() {
+	if reported.State == worker.StateRunning && !assignment.RunningSince.IsZero() {
 		c.checkOutlasted(assignment, now)
 	}
-	if reported.Status != worker.Pulling && assignment.Status != reported.Status {
+	if reported.State != worker.StatePulling && assignment.Status != reported.State {
 		spec := &assignment.Job.Record.Spec
 		cache := math.Inf(1)
 		if machineType := c.capacity.Type(machine.Type); machineType != nil {
@@ -239,11 +239,11 @@
 		c.capacity.ImageArrived(node, machine, spec.Image, spec.ImageGB, cache)
 		c.markHintChanged(machine)
 	}
-	assignment.Status = reported.Status
+	assignment.Status = reported.State
 }
 
 // recordOutcome takes in how an attempt ended.
-func (c *ClusterState) recordOutcome(assignment *workload.Assignment, reported *worker.Piece, machine *worker.Machine) {
+func (c *ClusterState) recordOutcome(assignment *workload.Assignment, reported *worker.TaskStatus, machine *worker.Machine) {
 	job, i := assignment.Job, assignment.TaskIndex
 	key := assignment.Key()
 	c.removeAssignment(assignment)
@@ -253,7 +253,7 @@
 	now := time.Now()
 	switch reported.Cause {
 	case worker.CauseDone:
-		machine.Faults = 0
+		machine.TaskFailures = 0
 		delete(job.Retries, i)
 		job.Record.Finished.Add(i)
 		delete(job.Failures.ByMachine, machine.Name)
@@ -265,14 +265,14 @@
 			}
 		}
 	case worker.CauseStopped:
-		if !reported.Saved && !job.Cancelled() {
+		if !reported.Checkpointed && !job.Cancelled() {
 			cause := "stopped for others"
-			if !machine.TakenAt.IsZero() {
+			if !machine.SpotTerminationAt.IsZero() {
 				cause = "spot"
 			}
 			c.recordRepeatedWork(assignment, cause, now)
 		}
-		c.recordEvent(job, "task %d stopped on %s: %s%s", i, machine.Name, assignment.StopReasonText(), savedText(reported.Saved))
+		c.recordEvent(job, "task %d stopped on %s: %s%s", i, machine.Name, assignment.StopReasonText(), savedText(reported.Checkpointed))
 	case worker.CausePeers:
 		c.recordRepeatedWork(assignment, "gang lost a task", now)
 		c.recordEvent(job, "task %d ended on %s: another task of the gang was gone", i, machine.Name)
@@ -300,8 +300,8 @@
 }
 
 // reconcileOrphan deals with a reported piece that no place accounts for.
-func (c *ClusterState) reconcileOrphan(job *workload.Job, key workload.TaskAttempt, reported *worker.Piece, machine *worker.Machine) []worker.Order {
-	if reported.Status == worker.Ended {
+func (c *ClusterState) reconcileOrphan(job *workload.Job, key workload.TaskAttempt, reported *worker.TaskStatus, machine *worker.Machine) []worker.Command {
+	if reported.State == worker.StateExited {
 		if job != nil && !job.Ended {
 			if v, ok := job.RecordedOutcomes[key]; ok && job.StoredVersion < v {
 				return nil // its outcome must be stored before it is cleared
@@ -318,16 +318,16 @@
 			}
 			delete(job.RecordedOutcomes, key)
 		}
-		if machine.MayRevive(reported.Task, reported.Attempt) {
+		if machine.MayRestart(reported.Task, reported.Attempt) {
 			return nil // cleared, a late start would begin it anew
 		}
-		return []worker.Order{worker.Clear(reported.Task, reported.Attempt)}
+		return []worker.Command{worker.ClearCommand(reported.Task, reported.Attempt)}
 	}
 	if job != nil && job.Assignments[key.Task.Index] == nil && key.Task.Index < job.Record.Spec.Tasks {
 		// It is there, whoever started it: until it is gone it must not be
 		// started elsewhere and counts against its team.
-		assignment := &workload.Assignment{Job: job, TaskIndex: key.Task.Index, Machine: machine.Name, Incarnation: machine.Session, Attempt: key.Attempt, FencingToken: c.generation,
-			StartSent: true, Confirmed: true, Status: reported.Status, AssignedAt: time.Now()}
+		assignment := &workload.Assignment{Job: job, TaskIndex: key.Task.Index, Machine: machine.Name, Incarnation: machine.Incarnation, Attempt: key.Attempt, FencingToken: c.generation,
+			StartSent: true, Confirmed: true, Status: reported.State, AssignedAt: time.Now()}
 		job.Record.Attempt = max(job.Record.Attempt, key.Attempt)
 		c.addAssignment(assignment)
 		if job.Cancelled() || job.Record.Finished.Contains(key.Task.Index) || job.Record.Spec.Shape == record.Gang {
@@ -342,5 +342,5 @@
 		return nil
 	}
 	slog.Info("stray task stopped", "task", reported.Task, "attempt", reported.Attempt, "machine", machine.Name)
-	return []worker.Order{worker.Stop(reported.Task, reported.Attempt, 0)}
+	return []worker.Command{worker.StopCommand(reported.Task, reported.Attempt, 0)}
 }
--- a/internal/claim/urgency_test.go
+++ b/internal/claim/urgency_test.go
@@ -115,7 +115,7 @@
 				end := newRecord(over, "red", record.Low, 1, 1)
 				end.Status = record.Done
 				raw, _ := end.Encode(8192)
-				if _, err := store.Commit(ctx, state.Txn{Then: []state.Op{{Put: record.EndKey(over), Value: raw}}}, state.Urgent); err != nil {
+				if _, err := store.Commit(ctx, state.Txn{Ops: []state.Op{{Put: record.EndKey(over), Value: raw}}}, state.Urgent); err != nil {
 					t.Fatal(err)
 				}
 				time.Sleep(5 * time.Millisecond)
@@ -164,7 +164,7 @@
 		if _, fits := full.Encode(lower); !ok || fits || len(old.jobs.Get("job-1").Assignments) < 100 {
 			t.Fatalf("a record of %d bytes with %d places shows nothing", len(raw), len(old.jobs.Get("job-1").Assignments))
 		}
-		epoch, err := store.Commit(ctx, state.Txn{Then: []state.Op{{Put: record.JobKey("job-1"), Value: raw}}}, state.Urgent)
+		epoch, err := store.Commit(ctx, state.Txn{Ops: []state.Op{{Put: record.JobKey("job-1"), Value: raw}}}, state.Urgent)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/claim/usage.go
+++ b/internal/claim/usage.go
@@ -37,7 +37,7 @@
 		}
 		cost := machineType.HourlyPrice(machine.Spot) / 3600 * dt
 		switch {
-		case !machine.Heard:
+		case !machine.HasReported:
 			s.boot += cost
 			continue
 		case len(c.capacity.AssignmentsOn(name)) == 0:
@@ -50,9 +50,9 @@
 			share := min(left, max(need.Cores/max(machineType.Cores, 1e-9), need.RAM/max(machineType.RAM, 1e-9), need.Accels/max(machineType.Accels, 1e-9)*indicator(machineType.Accels > 0)))
 			left -= share
 			switch {
-			case assignment.Status == worker.Running:
+			case assignment.Status == worker.StateRunning:
 				s.run += cost * share
-			case assignment.Status == worker.Waiting || assignment.Status == worker.Flushing:
+			case assignment.Status == worker.StateWaiting || assignment.Status == worker.StateCheckpointing:
 				s.wait += cost * share
 			default:
 				s.fetch += cost * share
--- a/internal/election/heartbeats.go
+++ b/internal/election/heartbeats.go
@@ -44,12 +44,12 @@
 }
 
 // Heartbeat answers a worker's report: a reply, or else a status and redirect.
-func (e *Elector) Heartbeat(ctx context.Context, report *worker.Report) (*worker.Reply, int, worker.Redirect) {
+func (e *Elector) Heartbeat(ctx context.Context, report *worker.Report) (*worker.CommandBatch, int, worker.Redirect) {
 	term := e.Term()
 	if term == nil {
 		if node, ok := e.Leader(); ok {
 			e.noteRedirect(report.Machine, node)
-			return nil, 421, worker.Redirect{AnswerTo: node}
+			return nil, 421, worker.Redirect{Node: node}
 		}
 		return nil, 503, worker.Redirect{}
 	}
@@ -64,7 +64,7 @@
 		return nil, 503, worker.Redirect{}
 	}
 	generation := term.Cluster.Generation()
-	if report.Token > generation {
+	if report.FencingToken > generation {
 		// The worker has heard of a later leader. It would drop our answer and
 		// yet stay with us, so it is sent on.
 		e.stepDown(term, "a worker has seen a higher token")
@@ -75,7 +75,7 @@
 	}
 	orders := term.Cluster.ReconcileHeartbeat(report, true, true)
 	if orders == nil {
-		orders = []worker.Order{}
+		orders = []worker.Command{}
 	}
-	return &worker.Reply{Token: generation, Orders: orders}, 200, worker.Redirect{}
+	return &worker.CommandBatch{FencingToken: generation, Commands: orders}, 200, worker.Redirect{}
 }
--- a/internal/election/layout.go
+++ b/internal/election/layout.go
@@ -75,8 +75,8 @@
 	value, _ := json.Marshal(layout{Shards: len(s.pools)})
 	leader, _ := json.Marshal(leaderRecord{Node: layoutLeader, Writer: string(layoutLeader)})
 	_, err = s.state.Commit(ctx, state.Txn{
-		When: []state.Condition{{Key: layoutKey}, {Key: whole.Leader()}},
-		Then: []state.Op{{Put: layoutKey, Value: value}, {Put: whole.Leader(), Value: leader}},
+		Conditions: []state.Condition{{Key: layoutKey}, {Key: whole.Leader()}},
+		Ops:        []state.Op{{Put: layoutKey, Value: value}, {Put: whole.Leader(), Value: leader}},
 	}, state.Urgent)
 	return err // whatever it was, the next try reads what is stored
 }
--- a/internal/election/ownership.go
+++ b/internal/election/ownership.go
@@ -108,7 +108,7 @@
 
 // resolveUnclaimed finds out, while there are machines that no hire names, whether they are the first
 // shard's.
-func (o *machineOwnership) resolveUnclaimed(ctx context.Context, hires *state.Mirror) {
+func (o *machineOwnership) resolveUnclaimed(ctx context.Context, hires *state.WatchCache) {
 	for ctx.Err() == nil {
 		wait.For(ctx, unclaimedCheckInterval)
 		o.mu.Lock()
--- a/internal/election/pool.go
+++ b/internal/election/pool.go
@@ -67,8 +67,8 @@
 	shard         ids.Shard
 	keys          record.ShardKeys
 	incarnation   string
-	poolMirror    *state.Mirror
-	jobMirror     *state.Mirror
+	poolMirror    *state.WatchCache
+	jobMirror     *state.WatchCache
 	pauses        pauseDetector
 	knownLeader   func() (ids.Node, bool) // who owns the pool
 	recordsReadAt func() time.Time        // of when the copy of the records is
@@ -88,15 +88,15 @@
 // its node's earlier ones.
 func NewElector(settings *config.Settings, c *state.Client, commander *worker.Commander, incarnation string) *Elector {
 	elector := newElector(settings, c, commander, incarnation, 0, newMirrors(c))
-	elector.jobMirror.NotifyChanges(elector.handleJobChange)
+	elector.jobMirror.OnChange(elector.handleJobChange)
 	return elector
 }
 
 // mirrors are this node's copies of what is stored, which all its shards share.
-type mirrors struct{ pool, jobs *state.Mirror }
+type mirrors struct{ pool, jobs *state.WatchCache }
 
 func newMirrors(c *state.Client) mirrors {
-	return mirrors{pool: state.NewMirror(c, record.PoolPrefix, 100*time.Millisecond), jobs: state.NewMirror(c, record.JobPrefix, 400*time.Millisecond)}
+	return mirrors{pool: state.NewWatchCache(c, record.PoolPrefix, 100*time.Millisecond), jobs: state.NewWatchCache(c, record.JobPrefix, 400*time.Millisecond)}
 }
 
 // newElector makes the client of one shard.
@@ -109,7 +109,7 @@
 }
 
 // Jobs is this node's copy of the live records.
-func (e *Elector) Jobs() *state.Mirror { return e.jobMirror }
+func (e *Elector) Jobs() *state.WatchCache { return e.jobMirror }
 
 // Run takes part until the context ends.
 func (e *Elector) Run(ctx context.Context) {
@@ -259,7 +259,7 @@
 	slog.Info("gave the machine pool up", "generation", term.Generation, "why", why)
 	term.Cluster.Close()
 	term.cancel()
-	e.State.Budget().SetLeader(false)
+	e.State.Budget().LeadershipChanged(false)
 }
 
 // ReceiveHints keeps a leader's hints for the case that this node comes next.
--- a/internal/election/process_pause_test.go
+++ b/internal/election/process_pause_test.go
@@ -27,7 +27,7 @@
 		close(term.loaded)
 		elector.term = term
 		beat := func(tick ids.SequenceNumber) int {
-			_, code, _ := elector.Heartbeat(context.Background(), &worker.Report{Machine: "host-000001", Addr: "x:1", Type: "small", Zone: "north", Session: 1, Tick: tick, Token: 7})
+			_, code, _ := elector.Heartbeat(context.Background(), &worker.Report{Machine: "host-000001", Addr: "x:1", Type: "small", Zone: "north", Incarnation: 1, Sequence: tick, FencingToken: 7})
 			return code
 		}
 		elector.pauses.lastPauseEnd(time.Now(), true)
--- a/internal/election/record_changes.go
+++ b/internal/election/record_changes.go
@@ -69,7 +69,7 @@
 	if ids.ShardOf(id, e.Settings.ShardCount()) == e.shard {
 		return "", false
 	}
-	entries, ready := e.jobMirror.Several(record.JobKey(id), record.CancelKey(id), record.WaitKey(id))
+	entries, ready := e.jobMirror.GetMany(record.JobKey(id), record.CancelKey(id), record.WaitKey(id))
 	stored, cancellation, waits := entries[0], entries[1], entries[2]
 	switch {
 	case !ready || stored.Key == "":
--- a/internal/election/redirect.go
+++ b/internal/election/redirect.go
@@ -89,7 +89,7 @@
 	e.stepDown(term, why)
 	ctx, cancel := context.WithTimeout(context.Background(), state.CallTimeout)
 	defer cancel()
-	if err := e.State.EndLease(ctx, term.lease); err != nil {
+	if err := e.State.RevokeLease(ctx, term.lease); err != nil {
 		slog.Debug("hold not ended", "err", err) // it lapses by itself
 	}
 }
--- a/internal/election/shards.go
+++ b/internal/election/shards.go
@@ -21,7 +21,7 @@
 	set             *config.Settings
 	pools           []*Elector
 	mirrors         mirrors
-	allowanceMirror *state.Mirror     // of the ledgers; nil with one shard
+	allowanceMirror *state.WatchCache // of the ledgers; nil with one shard
 	ownership       *machineOwnership // nil with one shard
 	shortagesMu     sync.Mutex
 	shortages       map[ids.Shard]reportedShortage
@@ -38,17 +38,17 @@
 	}
 	s := &Shards{set: settings, mirrors: newMirrors(c), state: c, shortages: map[ids.Shard]reportedShortage{}, Refuse: func(error) {}}
 	s.ownership = newMachineOwnership(s.mirrors.pool.AsOf)
-	s.allowanceMirror = state.NewMirror(c, quota.Prefix, 100*time.Millisecond)
+	s.allowanceMirror = state.NewWatchCache(c, quota.Prefix, 100*time.Millisecond)
 	for shard := range ids.Shard(settings.ShardCount()) {
 		s.pools = append(s.pools, newElector(settings, c, commander, incarnation, shard, s.mirrors))
 	}
-	s.mirrors.pool.NotifyChanges(s.ownership.handleChange)
-	s.mirrors.jobs.NotifyChanges(func(change state.Change) {
+	s.mirrors.pool.OnChange(s.ownership.handleChange)
+	s.mirrors.jobs.OnChange(func(change state.Change) {
 		for _, elector := range s.pools {
 			elector.handleJobChange(change)
 		}
 	})
-	s.allowanceMirror.NotifyChanges(func(change state.Change) {
+	s.allowanceMirror.OnChange(func(change state.Change) {
 		for _, elector := range s.pools {
 			elector.handleAllowanceChange(change)
 		}
@@ -89,7 +89,7 @@
 func (s *Shards) ForJob(job ids.Job) *Elector { return s.pools[ids.ShardOf(job, len(s.pools))] }
 
 // Jobs is this node's copy of the live records of all shards.
-func (s *Shards) Jobs() *state.Mirror { return s.mirrors.jobs }
+func (s *Shards) Jobs() *state.WatchCache { return s.mirrors.jobs }
 
 // Owns tells whether a machine belongs to a shard, as far as that is known already.
 func (s *Shards) Owns(shard ids.Shard, machine ids.Machine) bool {
@@ -101,7 +101,7 @@
 }
 
 // Heartbeat answers a worker's report, or sends it on to the leader of its machine's shard.
-func (s *Shards) Heartbeat(ctx context.Context, report *worker.Report) (*worker.Reply, int, worker.Redirect) {
+func (s *Shards) Heartbeat(ctx context.Context, report *worker.Report) (*worker.CommandBatch, int, worker.Redirect) {
 	if s.ownership == nil {
 		return s.pools[0].Heartbeat(ctx, report)
 	}
--- a/internal/election/takeover.go
+++ b/internal/election/takeover.go
@@ -56,7 +56,7 @@
 		// Only one process runs on a node: this hold's leader is dead, or an
 		// earlier term of ours whose answer got lost.
 		slog.Info("ending the hold of this node's earlier life", "writer", leader.Writer)
-		if err := e.State.EndLease(ctx, leader.Lease); err != nil && !errors.Is(err, state.ErrNoLease) {
+		if err := e.State.RevokeLease(ctx, leader.Lease); err != nil && !errors.Is(err, state.ErrNoLease) {
 			return err
 		}
 	}
@@ -71,7 +71,7 @@
 		}
 	}
 	sent := time.Now()
-	hold, err := e.State.NewLease(ctx, life)
+	hold, err := e.State.GrantLease(ctx, life)
 	if err != nil {
 		return err
 	}
@@ -80,10 +80,10 @@
 	oraw, _ := json.Marshal(leaderRecord{e.Settings.HostName, writer, hold, generation})
 	graw, _ := json.Marshal(claim.GenerationRecord{Generation: generation, Node: e.Settings.HostName, Writer: writer})
 	epoch, err := e.State.Commit(ctx, state.Txn{
-		When: []state.Condition{{Key: e.keys.Leader()}, {Key: e.keys.Generation(), Revision: ge.Revision}},
-		Then: []state.Op{{Put: e.keys.Leader(), Value: oraw, Lease: hold}, {Put: e.keys.Generation(), Value: graw}},
+		Conditions: []state.Condition{{Key: e.keys.Leader()}, {Key: e.keys.Generation(), Revision: ge.Revision}},
+		Ops:        []state.Op{{Put: e.keys.Leader(), Value: oraw, Lease: hold}, {Put: e.keys.Generation(), Value: graw}},
 	}, state.Urgent)
-	if errors.Is(err, state.ErrUnknown) {
+	if errors.Is(err, state.ErrOutcomeUnknown) {
 		// Read back what became of it.
 		entry, found, rerr := e.State.Get(ctx, e.keys.Generation(), state.Urgent)
 		var stored claim.GenerationRecord
@@ -118,7 +118,7 @@
 	cluster.StartsAllowed = func() (bool, time.Time) { return e.mayStartTasks(term), e.recordsReadAt() }
 	term.Committer.OnSuperseded = func(why string) { go e.stepDown(term, why) }
 	term.Committer.OnStored = term.Dispatcher.Wake
-	e.State.Budget().SetLeader(true)
+	e.State.Budget().LeadershipChanged(true)
 	e.mu.Lock()
 	cluster.ApplyHints(&e.hints, now)
 	e.term = term
@@ -140,7 +140,7 @@
 	for ctx.Err() == nil {
 		// The copy is warm; what it lacks is read after the takeover's commit.
 		err := e.jobMirror.Sync(ctx)
-		jobs, epoch := e.jobMirror.All()
+		jobs, epoch := e.jobMirror.Entries()
 		if err == nil {
 			term.OpenHires, _, err = e.State.ListAll(ctx, e.keys.Hires(), state.Urgent)
 		}
--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -35,8 +35,8 @@
 		history = &bootHistory{}
 		e.boots[machine.Type] = history
 	}
-	history.add(now.Sub(machine.HeldSince))
-	history.newestRental = worker.Later(history.newestRental, machine.HeldSince)
+	history.add(now.Sub(machine.ProvisionedAt))
+	history.newestRental = worker.Later(history.newestRental, machine.ProvisionedAt)
 }
 
 // BootTime is how long a boot of the type takes now, its nominal time at least.
@@ -50,7 +50,7 @@
 // Overtaken tells whether a machine of its type that was rented with it or after it is up.
 func (e *Estimator) Overtaken(machine *worker.Machine) bool {
 	history := e.boots[machine.Type]
-	return history != nil && history.newestRental.After(machine.HeldSince.Add(-rentedTogether))
+	return history != nil && history.newestRental.After(machine.ProvisionedAt.Add(-rentedTogether))
 }
 
 // minPullRate is assumed, in GB a second, of a machine type that names none.
--- a/internal/fleet/large_fleet_test.go
+++ b/internal/fleet/large_fleet_test.go
@@ -40,7 +40,7 @@
 		provisionAll(ctx, t, cluster, provisioner.Cloud, largestFleet)
 		provisioner.Step(ctx)
 		// The platform's rate is five calls a second, and its list lags by five seconds.
-		provisioner.Cloud, provisioner.ListEvery = NewCloud("cloud:1", network.Client("a"), 5), 2500*time.Millisecond
+		provisioner.Cloud, provisioner.ListInterval = NewCloud("cloud:1", network.Client("a"), 5), 2500*time.Millisecond
 		lists, slowest := map[time.Time]bool{}, time.Duration(0)
 		step := func() {
 			provisioner.Step(ctx)
--- a/internal/fleet/listing.go
+++ b/internal/fleet/listing.go
@@ -24,7 +24,7 @@
 // would otherwise hold up each request for as long as all the pages take.
 func (p *Provisioner) readList(ctx context.Context, now time.Time) {
 	if !p.list.reading {
-		if !p.list.began.IsZero() && now.Sub(p.list.began) <= p.ListEvery {
+		if !p.list.began.IsZero() && now.Sub(p.list.began) <= p.ListInterval {
 			return
 		}
 		p.list.reading, p.list.began, p.list.after = true, now, ""
--- a/internal/fleet/provisioner.go
+++ b/internal/fleet/provisioner.go
@@ -30,15 +30,15 @@
 	Cloud   *Cloud
 	Cluster *claim.ClusterState
 	Store   Store
-	// Gen makes the names of requests unique: it is this leader's alone.
-	Gen ids.Generation
-	// ListEvery spaces the reads of the machine list; it lags anyway.
-	ListEvery time.Duration
-	// Sure tells whether no other node can be leader yet; nil: none ever is. The cloud knows
+	// Generation makes the names of requests unique: it is this leader's alone.
+	Generation ids.Generation
+	// ListInterval spaces the reads of the machine list; it lags anyway.
+	ListInterval time.Duration
+	// ConfirmLeadership tells whether no other node can be leader yet; nil: none ever is. The cloud knows
 	// nothing of fencing tokens: a leader that stood still, or waited, for longer than its lease
 	// could delete the machines on which its successor has started work. So it is asked right
 	// before a deletion or request is sent.
-	Sure func() bool
+	ConfirmLeadership func() bool
 	// Keys are where the shard's requests are stored.
 	Keys record.ShardKeys
 	// Shard is told apart from others by its requests: where there are several, a request stays
@@ -46,11 +46,11 @@
 	Shard ids.Shard
 	// Owns tells whether a listed machine is this shard's; nil: all are.
 	Owns func(ids.Machine) bool
-	// OthersLack tells how long another shard has had a shortage of machines, and how many a
+	// OtherShardsShortage tells how long another shard has had a shortage of machines, and how many a
 	// shard has on average; nil: there is no other.
-	OthersLack func() (shortage time.Duration, average int)
-	// OnTypes is told the cloud's offer whenever it was read; nil: nobody is.
-	OnTypes func([]placement.InstanceType)
+	OtherShardsShortage func() (shortage time.Duration, average int)
+	// OnMachineTypes is told the cloud's offer whenever it was read; nil: nobody is.
+	OnMachineTypes func([]placement.InstanceType)
 
 	typesReadAt    time.Time
 	list           listing
@@ -78,7 +78,7 @@
 	}
 	p.readList(ctx, now)
 	p.retryRequests(ctx)
-	if p.Sure != nil && !p.Sure() {
+	if p.ConfirmLeadership != nil && !p.ConfirmLeadership() {
 		// Cut off or in an outage this leader hears of nothing: whatever it would decide might
 		// long be otherwise.
 		return
@@ -118,8 +118,8 @@
 	}
 	p.Cluster.SetMachineTypes(types)
 	p.typesReadAt = now
-	if p.OnTypes != nil {
-		p.OnTypes(types)
+	if p.OnMachineTypes != nil {
+		p.OnMachineTypes(types)
 	}
 	return true
 }
@@ -127,8 +127,8 @@
 // plan decides which machines to ask for and which of those there are stay needed. Other shards'
 // shortages count, and they are told of this one's.
 func (p *Provisioner) plan(now time.Time) (wanted []placement.ProvisioningRequest, needed map[ids.Machine]bool) {
-	if p.OthersLack != nil {
-		shortage, average := p.OthersLack()
+	if p.OtherShardsShortage != nil {
+		shortage, average := p.OtherShardsShortage()
 		p.Cluster.ShareCapacity(shortage, average, time.Now())
 	}
 	unreachable := p.Cluster.UnreachableZones()
@@ -138,7 +138,7 @@
 		_, isClosed := closed[zone]
 		return !isClosed && !unreachable[zone] && !p.isRefused(offer{instanceType, zone, spot}, now)
 	})
-	if p.OthersLack != nil {
+	if p.OtherShardsShortage != nil {
 		p.Cluster.SetShortage(len(wanted) == 0 && p.hasShortage(now), now)
 	}
 	return wanted, needed
--- a/internal/fleet/provisioner_test.go
+++ b/internal/fleet/provisioner_test.go
@@ -32,7 +32,7 @@
 	}
 	if s.lose > 0 {
 		s.lose--
-		return state.ErrUnknown
+		return state.ErrOutcomeUnknown
 	}
 	for _, op := range ops {
 		if op.Put != "" {
@@ -65,7 +65,7 @@
 	cluster := claim.NewClusterState(testSettings(), "w", 7, time.Now())
 	store := &requestStore{names: map[string]bool{}}
 	provisioner := &Provisioner{Cloud: NewCloud("cloud:1", network.Client("a"), 50), Cluster: cluster, Store: store,
-		Keys: record.KeysOf(0, 1), Gen: 7, ListEvery: time.Second}
+		Keys: record.KeysOf(0, 1), Generation: 7, ListInterval: time.Second}
 	return network, cloud, cluster, store, provisioner
 }
 
@@ -138,10 +138,10 @@
 			t.Fatalf("a machine that never came up was kept: %v", gone)
 		}
 		// Nobody requested this one; it reports, has nothing to do and is deleted.
-		cluster.ReconcileHeartbeat(&worker.Report{Machine: "host-000777", Type: "small", Zone: "north", Session: 1, Tick: 1}, true, true)
+		cluster.ReconcileHeartbeat(&worker.Report{Machine: "host-000777", Type: "small", Zone: "north", Incarnation: 1, Sequence: 1}, true, true)
 		cluster.HandleRecord("job-1", 99, nil, time.Now())
 		for i := range 90 {
-			cluster.ReconcileHeartbeat(&worker.Report{Machine: "host-000777", Type: "small", Zone: "north", Session: 1, Tick: ids.SequenceNumber(i + 2)}, true, true)
+			cluster.ReconcileHeartbeat(&worker.Report{Machine: "host-000777", Type: "small", Zone: "north", Incarnation: 1, Sequence: ids.SequenceNumber(i + 2)}, true, true)
 			provisioner.Step(ctx)
 			time.Sleep(time.Second)
 		}
@@ -164,14 +164,14 @@
 		}
 		time.Sleep(5 * time.Minute) // they never come up
 		asked := 0
-		provisioner.Sure = func() bool { asked++; return false }
+		provisioner.ConfirmLeadership = func() bool { asked++; return false }
 		cluster.HandleRecord("job-2", 2, job("job-2", 4), time.Now())
 		requests := len(cloud.Hires())
 		stepEverySecond(ctx, provisioner, 5)
 		if asked == 0 || len(cloud.Gone()) != 0 || len(cloud.Hires()) != requests {
 			t.Errorf("asked %d times; deleted %v, %d requests", asked, cloud.Gone(), len(cloud.Hires())-requests)
 		}
-		provisioner.Sure = func() bool { return true }
+		provisioner.ConfirmLeadership = func() bool { return true }
 		stepEverySecond(ctx, provisioner, 5)
 		if len(cloud.Gone()) == 0 || len(cloud.Hires()) == requests {
 			t.Errorf("the sure leader deleted %v and made %d requests", cloud.Gone(), len(cloud.Hires())-requests)
@@ -181,7 +181,7 @@
 
 // heartbeat is the report of a machine with a sequence number.
 func heartbeat(machine ids.Machine, sequence ids.SequenceNumber) *worker.Report {
-	return &worker.Report{Machine: machine, Addr: string(machine) + ":1", Type: "small", Zone: "north", Session: 1, Tick: sequence}
+	return &worker.Report{Machine: machine, Addr: string(machine) + ":1", Type: "small", Zone: "north", Incarnation: 1, Sequence: sequence}
 }
 
 // countProvisioned is how many machines the cloud has given in all.
--- a/internal/fleet/requests.go
+++ b/internal/fleet/requests.go
@@ -100,9 +100,9 @@
 // requestName names the next request. Generations of different shards may be alike, names may not.
 func (p *Provisioner) requestName() ids.ProvisioningRequest {
 	if p.Owns == nil {
-		return ids.ProvisioningRequest(fmt.Sprintf("h-%d-%d", p.Gen, p.requests.sequence))
+		return ids.ProvisioningRequest(fmt.Sprintf("h-%d-%d", p.Generation, p.requests.sequence))
 	}
-	return ids.ProvisioningRequest(fmt.Sprintf("h-s%d-%d-%d", p.Shard, p.Gen, p.requests.sequence))
+	return ids.ProvisioningRequest(fmt.Sprintf("h-s%d-%d-%d", p.Shard, p.Generation, p.requests.sequence))
 }
 
 func (p *Provisioner) storeAndSend(ctx context.Context, request provisioningRequest) {
@@ -132,8 +132,8 @@
 		return true
 	}
 	slog.Debug("provisioning request not stored", "request", request.Name, "err", err)
-	var conflict *state.Conflict
-	if !errors.As(err, &conflict) && (errors.Is(err, state.ErrUnknown) || request.attempted) {
+	var conflict *state.ConflictError
+	if !errors.As(err, &conflict) && (errors.Is(err, state.ErrOutcomeUnknown) || request.attempted) {
 		request.attempted = true
 		p.requests.unconfirmed = append(p.requests.unconfirmed, request)
 	}
@@ -143,7 +143,7 @@
 // sendRequest sends a stored request and takes in its answer. Without one it stays outstanding: it
 // is sent again under the same name.
 func (p *Provisioner) sendRequest(ctx context.Context, request provisioningRequest) {
-	machines, err := p.Cloud.provision(ctx, request, p.Sure)
+	machines, err := p.Cloud.provision(ctx, request, p.ConfirmLeadership)
 	switch {
 	case err == nil && p.Owns != nil && !p.storeMachines(ctx, request, machines):
 		return // sent again, which provisions nothing more
--- a/internal/fleet/scale_in.go
+++ b/internal/fleet/scale_in.go
@@ -22,7 +22,7 @@
 // deleteUnneeded deletes the machines that the cluster gives up.
 func (p *Provisioner) deleteUnneeded(ctx context.Context, needed map[ids.Machine]bool) {
 	for batch := range slices.Chunk(p.Cluster.MachinesToTerminate(time.Now(), needed), maxPerDeletion) {
-		if err := p.Cloud.delete(ctx, batch, p.Sure); err != nil {
+		if err := p.Cloud.delete(ctx, batch, p.ConfirmLeadership); err != nil {
 			slog.Debug("deletion not confirmed", "err", err)
 			return // asked again next round, until it is confirmed
 		}
--- a/internal/fleet/shards_test.go
+++ b/internal/fleet/shards_test.go
@@ -42,7 +42,7 @@
 		store := &valueStore{requestStore{names: map[string]bool{}}, map[string]string{}}
 		provisioner.Store, provisioner.Keys, provisioner.Shard = store, record.KeysOf(1, 3), 1
 		provisioner.Owns = func(ids.Machine) bool { return true }
-		provisioner.OthersLack = func() (time.Duration, int) { return 0, 1 }
+		provisioner.OtherShardsShortage = func() (time.Duration, int) { return 0, 1 }
 		cluster.HandleRecord("job-1", 1, job("job-1", 1), time.Now())
 		provisioner.Step(ctx)
 		key := "pool/~1/hire/h-s1-7-1"
--- a/internal/intake/cancel.go
+++ b/internal/intake/cancel.go
@@ -28,7 +28,7 @@
 		return summary, true, nil
 	}
 	for range cancelAttempts {
-		stored, err := s.records().current(ctx, id, state.Spare)
+		stored, err := s.records().current(ctx, id, state.Sheddable)
 		if err != nil || !stored.exists() {
 			return jobSummary{}, false, err
 		}
@@ -40,8 +40,8 @@
 		if err != nil {
 			return jobSummary{}, false, err
 		}
-		epoch, err := s.State.Commit(ctx, write.txn, state.Spare)
-		var conflict *state.Conflict
+		epoch, err := s.State.Commit(ctx, write.txn, state.Sheddable)
+		var conflict *state.ConflictError
 		switch {
 		case err == nil:
 			s.announceCancellation(ctx, rec, write, ids.Revision(epoch))
@@ -96,8 +96,8 @@
 	finalKey := record.EndKey(rec.Spec.ID)
 	return cancelWrite{
 		txn: state.Txn{
-			When: append(unchanged, state.Condition{Key: finalKey}),
-			Then: []state.Op{{Remove: entry.Key}, {Put: finalKey, Value: value}},
+			Conditions: append(unchanged, state.Condition{Key: finalKey}),
+			Ops:        []state.Op{{Remove: entry.Key}, {Put: finalKey, Value: value}},
 		},
 		notifyLeader: !stored.blocked(), // the leader follows the blocked jobs
 	}, nil
@@ -107,7 +107,7 @@
 // store no longer takes a record of that size, the request is stored at a key of its own.
 func (s *JobService) requestCancellation(stored storedRecord, unchanged []state.Condition) cancelWrite {
 	rec, entry := stored.record, stored.entry
-	write := cancelWrite{txn: state.Txn{When: unchanged}}
+	write := cancelWrite{txn: state.Txn{Conditions: unchanged}}
 	mark := record.Cancellation{At: ids.TimestampOf(time.Now()), Writer: s.Writer}
 	mark.ApplyTo(rec)
 	value, fits := rec.Encode(s.valueLimit())
@@ -119,10 +119,10 @@
 	}
 	if fits {
 		write.notifyLeader = true
-		write.txn.Then = []state.Op{{Put: entry.Key, Value: value}}
+		write.txn.Ops = []state.Op{{Put: entry.Key, Value: value}}
 		return write
 	}
-	write.txn.Then = []state.Op{{Put: record.CancelKey(rec.Spec.ID), Value: mark.Encode()}}
+	write.txn.Ops = []state.Op{{Put: record.CancelKey(rec.Spec.ID), Value: mark.Encode()}}
 	return write
 }
 
@@ -139,7 +139,7 @@
 	if !write.notifyLeader {
 		return // the leader follows what is stored apart from records
 	}
-	notified := s.LeaderNotifier.NotifyLeader(rec.Spec.ID, revision, rec, write.txn.Then[0].Value)
+	notified := s.LeaderNotifier.NotifyLeader(rec.Spec.ID, revision, rec, write.txn.Ops[0].Value)
 	select {
 	case <-notified:
 	case <-time.After(leaderNoticeTimeout):
--- a/internal/intake/cluster_test.go
+++ b/internal/intake/cluster_test.go
@@ -42,7 +42,7 @@
 func (c *testCluster) start(name string) {
 	_, _, service := newJobService()
 	service.State = state.NewClient("state:1", c.net.Client(name), state.NewBudget(1000, 1000, 1, 0.6))
-	service.Jobs = state.NewMirror(service.State, record.JobPrefix, time.Second)
+	service.Jobs = state.NewWatchCache(service.State, record.JobPrefix, time.Second)
 	service.Writer = name
 	service.Set.Params.Teams = append(service.Set.Params.Teams, config.Team{Name: "blue", CPUsMax: 8})
 	c.services[name] = service
@@ -131,7 +131,7 @@
 // commit changes the store as the leader does.
 func (c *testCluster) commit(ops ...state.Op) {
 	c.t.Helper()
-	if _, err := c.leader.Commit(c.t.Context(), state.Txn{Then: ops}, state.Urgent); err != nil {
+	if _, err := c.leader.Commit(c.t.Context(), state.Txn{Ops: ops}, state.Urgent); err != nil {
 		c.t.Fatal(err)
 	}
 }
--- a/internal/intake/connection_limiter_test.go
+++ b/internal/intake/connection_limiter_test.go
@@ -17,8 +17,8 @@
 // heartbeatStub answers every heartbeat.
 type heartbeatStub struct{}
 
-func (heartbeatStub) Heartbeat(context.Context, *worker.Report) (*worker.Reply, int, worker.Redirect) {
-	return &worker.Reply{Token: 1, Orders: []worker.Order{}}, 200, worker.Redirect{}
+func (heartbeatStub) Heartbeat(context.Context, *worker.Report) (*worker.CommandBatch, int, worker.Redirect) {
+	return &worker.CommandBatch{FencingToken: 1, Commands: []worker.Command{}}, 200, worker.Redirect{}
 }
 
 // send sends a request and returns the status of the answer, 0 if there is none, and its Retry-After.
--- a/internal/intake/dependencies.go
+++ b/internal/intake/dependencies.go
@@ -56,7 +56,7 @@
 // job that ends the new one from the start, if there is any. All dependencies must have been
 // accepted, and none be a service, which is never done.
 func (s *JobService) openDependencies(ctx context.Context, dependencies []ids.Job) (open []ids.Job, cause ids.Job, err error) {
-	reader := newDependencyReader(s.records(), state.Spare)
+	reader := newDependencyReader(s.records(), state.Sheddable)
 	if err := reader.prefetch(ctx, dependencies); err != nil {
 		return nil, "", err
 	}
--- a/internal/intake/dependency_reader.go
+++ b/internal/intake/dependency_reader.go
@@ -39,13 +39,13 @@
 // It is not safe for use by several goroutines.
 type dependencyReader struct {
 	records *recordReader
-	urgency state.Urgency
+	urgency state.Priority
 	states  map[ids.Job]*dependency
 	// finals are final records read in pages; nil for a job that has none.
 	finals map[ids.Job]*record.Record
 }
 
-func newDependencyReader(records *recordReader, urgency state.Urgency) *dependencyReader {
+func newDependencyReader(records *recordReader, urgency state.Priority) *dependencyReader {
 	return &dependencyReader{
 		records: records,
 		urgency: urgency,
@@ -166,7 +166,7 @@
 	if _, known := r.records.ended.get(id); known {
 		return true
 	}
-	_, live, _ := r.records.mirror.First(record.JobKey(id), record.WaitKey(id))
+	_, live, _ := r.records.mirror.GetFirst(record.JobKey(id), record.WaitKey(id))
 	return live
 }
 
--- a/internal/intake/dependency_reader_test.go
+++ b/internal/intake/dependency_reader_test.go
@@ -48,7 +48,7 @@
 				cluster.storeJob("job-2", record.Queued)
 				end := begin(cluster)
 				for _, service := range cluster.services {
-					go service.State.Watch(t.Context(), record.KeysOf(0, 1).Generation())
+					go service.State.ProbeHealth(t.Context(), record.KeysOf(0, 1).Generation())
 				}
 				expectRetryLater(t, cluster.nodes["b"], submissionWith("job-10", []string{"job-404"}))
 				expectRetryLater(t, cluster.nodes["b"], submissionWith("job-11", []string{"job-1", "job-2"}))
@@ -97,7 +97,7 @@
 			}
 		}
 		cluster.services["b"].State = state.NewClient("state:1", cluster.net.Client("b"), state.NewBudget(50, 50, 5, 0.45))
-		cluster.services["b"].Jobs = state.NewMirror(cluster.services["b"].State, record.JobPrefix, time.Second)
+		cluster.services["b"].Jobs = state.NewWatchCache(cluster.services["b"].State, record.JobPrefix, time.Second)
 		calls := 0
 		cluster.net.SetRule(func(from, _ string, _ *http.Request, _ []byte) fake.Fate {
 			if from == "b" {
--- a/internal/intake/explain.go
+++ b/internal/intake/explain.go
@@ -35,7 +35,7 @@
 // ask most, it tells what this controller knew last, and says so.
 func (s *Site) explainJob(ctx context.Context, id ids.Job) (explanation any, found bool, err error) {
 	records := s.Jobs.records()
-	stored, err := records.current(ctx, id, state.Spare)
+	stored, err := records.current(ctx, id, state.Sheddable)
 	if err != nil {
 		lastKnown := records.lastKnown(id)
 		if lastKnown == nil {
--- a/internal/intake/forecast.go
+++ b/internal/intake/forecast.go
@@ -39,7 +39,7 @@
 func newForecast(records *recordReader) *forecast {
 	return &forecast{
 		records:      records,
-		dependencies: newDependencyReader(records, state.Spare),
+		dependencies: newDependencyReader(records, state.Sheddable),
 		paths:        map[ids.Job]criticalPath{},
 	}
 }
@@ -78,7 +78,7 @@
 func (f *forecast) explainCancellation(ctx context.Context, rec *record.Record) ([]string, error) {
 	cause, between := rec.CancelledBy, []string{}
 	for range forecastJobs {
-		stored, err := f.records.stored(ctx, cause, state.Spare)
+		stored, err := f.records.stored(ctx, cause, state.Sheddable)
 		if err != nil {
 			return nil, err
 		}
@@ -223,7 +223,7 @@
 
 // dependents indexes the blocked jobs in the copy by their dependencies.
 func (r *recordReader) dependents() map[ids.Job][]*record.Record {
-	entries, _ := r.mirror.All()
+	entries, _ := r.mirror.Entries()
 	index := map[ids.Job][]*record.Record{}
 	for _, entry := range entries {
 		rec, err := record.DecodeWaiting(entry.Value)
--- a/internal/intake/intake_test.go
+++ b/internal/intake/intake_test.go
@@ -87,7 +87,7 @@
 	settings.Params.Teams = []config.Team{{Name: "red", CPUsMax: 8}}
 	client := state.NewClient("state:1", network.Client("a"), state.NewBudget(500, 500, 1, 0.6))
 	types := []placement.InstanceType{{Label: "small", Cores: 4, RAM: 16, Zones: []string{"north"}}}
-	return network, store, &JobService{Set: settings, State: client, Jobs: state.NewMirror(client, record.JobPrefix, time.Second),
+	return network, store, &JobService{Set: settings, State: client, Jobs: state.NewWatchCache(client, record.JobPrefix, time.Second),
 		LeaderNotifier: silentNotifier{}, Writer: "a", Types: func() []placement.InstanceType { return types }}
 }
 
@@ -201,7 +201,7 @@
 			return fake.Deliver
 		})
 		service.State = state.NewClient("state:1", network.Client("a"), state.NewBudget(200, 50, 5, 0.45))
-		service.Jobs = state.NewMirror(service.State, record.JobPrefix, time.Second)
+		service.Jobs = state.NewWatchCache(service.State, record.JobPrefix, time.Second)
 		handler := (&Site{Jobs: service, Ready: func() bool { return true }}).Handler()
 		if got := serve(handler, "POST", "/v2/runs", validSubmission()).Code; got != 201 {
 			t.Fatal(got)
--- a/internal/intake/job_service.go
+++ b/internal/intake/job_service.go
@@ -26,7 +26,7 @@
 	Set   *config.Settings
 	State *state.Client
 	// Jobs is this controller's copy of the records of unfinished jobs.
-	Jobs           *state.Mirror
+	Jobs           *state.WatchCache
 	LeaderNotifier LeaderNotifier
 	// Writer is this controller's incarnation, stored with each record that it writes.
 	Writer string
@@ -48,7 +48,7 @@
 	if summary, known := s.ended.get(id); known {
 		return summary, true, nil
 	}
-	stored, err := s.records().current(ctx, id, state.Spare)
+	stored, err := s.records().current(ctx, id, state.Sheddable)
 	if err != nil || !stored.exists() {
 		return jobSummary{}, false, err
 	}
--- a/internal/intake/record_reader.go
+++ b/internal/intake/record_reader.go
@@ -12,7 +12,7 @@
 // recordReader reads job records from the store and from the controller's copy of them.
 type recordReader struct {
 	store  *state.Client
-	mirror *state.Mirror // of the records of unfinished jobs
+	mirror *state.WatchCache // of the records of unfinished jobs
 	ended  *summaryCache
 }
 
@@ -34,7 +34,7 @@
 // read from the copy, brought up to date once for all requests that wait; only those that are not
 // in it cost a call each. A job that ends in between has its final record before its live one is
 // removed, so reading the live one first misses nothing.
-func (r *recordReader) current(ctx context.Context, id ids.Job, urgency state.Urgency) (storedRecord, error) {
+func (r *recordReader) current(ctx context.Context, id ids.Job, urgency state.Priority) (storedRecord, error) {
 	if r.store.Unavailable() {
 		return storedRecord{}, errStoreSilent
 	}
@@ -62,7 +62,7 @@
 
 // stored reads a record from the copy, which must be as recent as the caller needs it, or else the
 // final record from the store.
-func (r *recordReader) stored(ctx context.Context, id ids.Job, urgency state.Urgency) (storedRecord, error) {
+func (r *recordReader) stored(ctx context.Context, id ids.Job, urgency state.Priority) (storedRecord, error) {
 	live, err := r.live(id)
 	if err != nil || live.exists() {
 		return live, err
@@ -84,7 +84,7 @@
 // live reads the record of an unfinished job from the copy, however old that is. A cancellation
 // stored apart from the record is applied to it.
 func (r *recordReader) live(id ids.Job) (storedRecord, error) {
-	entries, ready := r.mirror.Several(record.JobKey(id), record.WaitKey(id), record.CancelKey(id))
+	entries, ready := r.mirror.GetMany(record.JobKey(id), record.WaitKey(id), record.CancelKey(id))
 	if !ready {
 		return storedRecord{}, errUnavailable
 	}
@@ -132,7 +132,7 @@
 
 // blocked reports that a job waits for its dependencies, as the copy has it.
 func (r *recordReader) blocked(id ids.Job) bool {
-	entry, found, _ := r.mirror.First(record.JobKey(id), record.WaitKey(id))
+	entry, found, _ := r.mirror.GetFirst(record.JobKey(id), record.WaitKey(id))
 	return found && entry.Key == record.WaitKey(id)
 }
 
--- a/internal/intake/server.go
+++ b/internal/intake/server.go
@@ -17,7 +17,7 @@
 // Heartbeats answers workers' heartbeats: with a reply, or, if that is nil, with a redirect, and
 // the HTTP status of either.
 type Heartbeats interface {
-	Heartbeat(ctx context.Context, rep *worker.Report) (*worker.Reply, int, worker.Redirect)
+	Heartbeat(ctx context.Context, rep *worker.Report) (*worker.CommandBatch, int, worker.Redirect)
 }
 
 // Site is the HTTP interface of a controller: for users, for workers' heartbeats, for health
--- a/internal/intake/submit.go
+++ b/internal/intake/submit.go
@@ -26,7 +26,7 @@
 	}
 	if refusal != nil || len(spec.DependsOn) > 0 {
 		// A job that was once accepted is never refused, so its record is looked for first.
-		accepted, err := s.records().current(ctx, spec.ID, state.Spare)
+		accepted, err := s.records().current(ctx, spec.ID, state.Sheddable)
 		switch {
 		case err != nil:
 			return jobSummary{}, false, err
@@ -52,10 +52,10 @@
 	}
 	id := rec.Spec.ID
 	epoch, err := s.State.Commit(ctx, state.Txn{
-		When: []state.Condition{{Key: record.JobKey(id)}, {Key: record.WaitKey(id)}, {Key: record.EndKey(id)}},
-		Then: []state.Op{{Put: key, Value: value}},
-	}, state.Spare)
-	var conflict *state.Conflict
+		Conditions: []state.Condition{{Key: record.JobKey(id)}, {Key: record.WaitKey(id)}, {Key: record.EndKey(id)}},
+		Ops:        []state.Op{{Put: key, Value: value}},
+	}, state.Sheddable)
+	var conflict *state.ConflictError
 	switch {
 	case err == nil:
 		if key == record.JobKey(id) {
@@ -65,7 +65,7 @@
 			s.ended.add(rec)
 		}
 		return summarize(rec), false, nil
-	case errors.As(err, &conflict) || errors.Is(err, state.ErrUnknown):
+	case errors.As(err, &conflict) || errors.Is(err, state.ErrOutcomeUnknown):
 		return s.readBack(ctx, id)
 	default:
 		return jobSummary{}, false, unavailable(err)
--- a/internal/peer/greeting.go
+++ b/internal/peer/greeting.go
@@ -93,7 +93,7 @@
 		return // an answer may still come, into what nobody looks at any more
 	}
 	l.receive(answer)
-	l.store.Budget().Borrowed(answer.Hello.Lent, sent)
+	l.store.Budget().AddBorrowed(answer.Hello.Lent, sent)
 	for shard, pool := range l.shards.Pools() {
 		if shard < len(answer.Shards) && answer.Shards[shard].Owner {
 			told := &answer.Shards[shard]
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -26,7 +26,7 @@
 func NewLink(settings *config.Settings, shards *election.Shards, store *state.Client) *Link {
 	link := &Link{settings: settings, shards: shards, store: store, connections: newConnections(settings)}
 	if store != nil {
-		store.Budget().SetTransfers(link.requestTransfer)
+		store.Budget().SetTransferSource(link.requestTransfer)
 	}
 	return link
 }
--- a/internal/peer/transfer.go
+++ b/internal/peer/transfer.go
@@ -58,7 +58,7 @@
 	defer l.demand.mu.Unlock()
 	if time.Since(l.demand.at) > demandInterval {
 		l.demand.at = time.Now()
-		l.demand.perPeer = demandFactor * l.store.Budget().Wants() / float64(len(l.settings.Peers))
+		l.demand.perPeer = demandFactor * l.store.Budget().UnmetDemand() / float64(len(l.settings.Peers))
 	}
 	return l.demand.perPeer
 }
--- a/internal/quota/ledger_test.go
+++ b/internal/quota/ledger_test.go
@@ -196,13 +196,13 @@
 	if left() != 1 {
 		t.Fatalf("%v left while two of three idle cores are offered", left())
 	}
-	tracker.recordOutcome(transfers[0], 0, state.ErrUnknown)
+	tracker.recordOutcome(transfers[0], 0, state.ErrOutcomeUnknown)
 	if again := tracker.dueTransfers(); left() != 1 || len(again) != 1 || again[0] != transfers[0] {
 		t.Fatalf("without an answer: %v left, %+v sent again", left(), again)
 	}
 	// Refused the second time: the first may still apply.
 	tracker.recordOutcome(transfers[0], 0, state.ErrRefused)
-	tracker.recordOutcome(transfers[0], 0, &state.Conflict{})
+	tracker.recordOutcome(transfers[0], 0, &state.ConflictError{})
 	if left() != 1 {
 		t.Fatalf("%v left although the first sending may have been applied", left())
 	}
--- a/internal/quota/rebalancer.go
+++ b/internal/quota/rebalancer.go
@@ -15,8 +15,8 @@
 
 // Store is what a Rebalancer needs of the state service.
 type Store interface {
-	Commit(ctx context.Context, txn state.Txn, urgency state.Urgency) (ids.StoreRevision, error)
-	Get(ctx context.Context, key string, urgency state.Urgency) (state.Entry, bool, error)
+	Commit(ctx context.Context, txn state.Txn, urgency state.Priority) (ids.StoreRevision, error)
+	Get(ctx context.Context, key string, urgency state.Priority) (state.Entry, bool, error)
 }
 
 // The write budget of one leader's transfers and requests: writes in a second, and at once.
@@ -129,7 +129,7 @@
 		return
 	}
 	key := RequestsKey(shard)
-	txn := state.Txn{When: []state.Condition{r.fence()}, Then: []state.Op{{Put: key, Value: encoded}}}
+	txn := state.Txn{Conditions: []state.Condition{r.fence()}, Ops: []state.Op{{Put: key, Value: encoded}}}
 	if at, err := r.store.Commit(ctx, txn, state.Normal); err == nil {
 		r.learn(state.Change{Put: key, Value: encoded, Revision: ids.Revision(at)})
 	}
--- a/internal/quota/simulation_test.go
+++ b/internal/quota/simulation_test.go
@@ -111,7 +111,7 @@
 	name      string
 	startedAt ids.Timestamp
 	client    *state.Client
-	mirror    *state.Mirror
+	mirror    *state.WatchCache
 	mu        sync.Mutex
 	terms     map[quota.Shard]*term
 }
@@ -122,8 +122,8 @@
 	s.incarnations++
 	c := &controller{simulation: s, name: name, startedAt: ids.TimestampOf(time.Now()), terms: map[quota.Shard]*term{},
 		client: state.NewClient("state:1", s.network.Client(name), state.NewBudget(2000, 1000, 5, 0.5))}
-	c.mirror = state.NewMirror(c.client, quota.Prefix, 50*time.Millisecond)
-	c.mirror.NotifyChanges(func(change state.Change) {
+	c.mirror = state.NewWatchCache(c.client, quota.Prefix, 50*time.Millisecond)
+	c.mirror.OnChange(func(change state.Change) {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		for _, t := range c.terms {
@@ -185,13 +185,13 @@
 		c.decode(last.Value, &number)
 	}
 	sent := time.Now()
-	lease, err := c.client.NewLease(ctx, leaseTime)
+	lease, err := c.client.GrantLease(ctx, leaseTime)
 	if err != nil {
 		return nil
 	}
 	at, err := c.client.Commit(ctx, state.Txn{
-		When: []state.Condition{{Key: leader}, {Key: generation, Revision: last.Revision}},
-		Then: []state.Op{{Put: leader, Value: []byte(fmt.Sprint(incarnation)), Lease: lease}, {Put: generation, Value: []byte(fmt.Sprint(number + 1))}},
+		Conditions: []state.Condition{{Key: leader}, {Key: generation, Revision: last.Revision}},
+		Ops:        []state.Op{{Put: leader, Value: []byte(fmt.Sprint(incarnation)), Lease: lease}, {Put: generation, Value: []byte(fmt.Sprint(number + 1))}},
 	}, state.Urgent)
 	if err != nil {
 		return nil
@@ -260,7 +260,7 @@
 	}
 	t.controller.mu.Unlock()
 	for _, record := range ended {
-		if _, err := t.controller.client.Commit(ctx, state.Txn{When: []state.Condition{t.fence}, Then: []state.Op{{Remove: t.key(record.ID)}}}, state.Urgent); err != nil {
+		if _, err := t.controller.client.Commit(ctx, state.Txn{Conditions: []state.Condition{t.fence}, Ops: []state.Op{{Remove: t.key(record.ID)}}}, state.Urgent); err != nil {
 			return
 		}
 		t.controller.mu.Lock()
@@ -278,8 +278,8 @@
 		var err error
 		for {
 			t.controller.waitWhilePaused(t.controller.name) // between deciding and writing
-			_, err = t.controller.client.Commit(ctx, state.Txn{When: []state.Condition{t.fence}, Then: []state.Op{{Put: t.key(next.ID), Value: encoded}}}, state.Urgent)
-			if err == nil || ctx.Err() != nil || !errors.Is(err, state.ErrUnknown) && !errors.Is(err, state.ErrRefused) {
+			_, err = t.controller.client.Commit(ctx, state.Txn{Conditions: []state.Condition{t.fence}, Ops: []state.Op{{Put: t.key(next.ID), Value: encoded}}}, state.Urgent)
+			if err == nil || ctx.Err() != nil || !errors.Is(err, state.ErrOutcomeUnknown) && !errors.Is(err, state.ErrRefused) {
 				break
 			}
 		}
--- a/internal/quota/transfer.go
+++ b/internal/quota/transfer.go
@@ -35,8 +35,8 @@
 	}
 	key := LedgerKey(t.Team)
 	return state.Txn{
-		When: []state.Condition{{Key: key, Revision: t.base}, fence},
-		Then: []state.Op{{Put: key, Value: encoded}},
+		Conditions: []state.Condition{{Key: key, Revision: t.base}, fence},
+		Ops:        []state.Op{{Put: key, Value: encoded}},
 	}, nil
 }
 
@@ -68,7 +68,7 @@
 	if quota.transfer != transfer {
 		return // a newer revision has settled it
 	}
-	var conflict *state.Conflict
+	var conflict *state.ConflictError
 	refused := errors.As(err, &conflict) || errors.Is(err, state.ErrRefused)
 	switch {
 	case err == nil:
--- a/internal/rollout/harness_test.go
+++ b/internal/rollout/harness_test.go
@@ -15,7 +15,7 @@
 type directStore struct{ client *state.Client }
 
 func (s directStore) ApplyIf(ctx context.Context, when []state.Condition, ops []state.Op) error {
-	_, err := s.client.Commit(ctx, state.Txn{When: when, Then: ops}, state.Normal)
+	_, err := s.client.Commit(ctx, state.Txn{Conditions: when, Ops: ops}, state.Normal)
 	return err
 }
 
@@ -51,7 +51,7 @@
 // controller is the commands' side of a controller.
 func (h *harness) controller(name string) *Service {
 	client := state.NewClient("state:1", h.network.Client(name), state.NewBudget(1000, 1000, 1, 0.6))
-	mirror := state.NewMirror(client, Prefix, 50*time.Millisecond)
+	mirror := state.NewWatchCache(client, Prefix, 50*time.Millisecond)
 	go mirror.Run(h.ctx)
 	return &Service{Copy: mirror, State: client, Leader: h, Writer: name, Limits: Limits{maxValueBytes, maxTxnOps},
 		Installation: func() Installation {
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -221,7 +221,7 @@
 	// the others go on.
 	runHarness(t, 4, func(h *harness) {
 		put := func(key, value string) {
-			txn := state.Txn{Then: []state.Op{{Put: key, Value: json.RawMessage(value)}}}
+			txn := state.Txn{Ops: []state.Op{{Put: key, Value: json.RawMessage(value)}}}
 			if _, err := h.service.State.Commit(h.ctx, txn, state.Urgent); err != nil {
 				t.Fatal(err)
 			}
--- a/internal/rollout/runner.go
+++ b/internal/rollout/runner.go
@@ -20,7 +20,7 @@
 //
 // Only the goroutine that calls Run uses it, so it needs no lock.
 type Runner struct {
-	Copy   *state.Mirror // of the keys below Prefix
+	Copy   *state.WatchCache // of the keys below Prefix
 	Store  Store
 	Fleet  Fleet
 	Writer string
@@ -55,7 +55,7 @@
 // reconcileAll makes one pass over all rollouts. It tells whether it wrote anything, so that the
 // mirror has to be read before the next pass.
 func (r *Runner) reconcileAll(ctx context.Context, now time.Time) (wrote bool) {
-	entries, _ := r.Copy.All()
+	entries, _ := r.Copy.Entries()
 	snapshot := readSnapshot(entries)
 	orders, wrote := r.reconcileActive(ctx, snapshot, now)
 	for name, reason := range snapshot.unreadable {
@@ -113,7 +113,7 @@
 		slog.Error("rollout can't be stored", "rollout", rollout.record.Spec.Name, "err", err)
 		return false
 	}
-	if err := r.Store.ApplyIf(ctx, txn.When, txn.Then); err != nil {
+	if err := r.Store.ApplyIf(ctx, txn.Conditions, txn.Ops); err != nil {
 		// Whether it was carried out, the next read tells; the same condition keeps a late
 		// copy of it and whatever is written next from both taking effect.
 		slog.Debug("rollout not stored", "rollout", rollout.record.Spec.Name, "err", err)
@@ -130,7 +130,7 @@
 // removeOrphanedParts removes parts of rollouts that have ended.
 func (r *Runner) removeOrphanedParts(ctx context.Context, orphans []state.Entry) (wrote bool) {
 	txn := removeTransaction(orphans, r.Limits)
-	err := r.Store.ApplyIf(ctx, txn.When, txn.Then)
+	err := r.Store.ApplyIf(ctx, txn.Conditions, txn.Ops)
 	return err == nil || !errors.Is(err, state.ErrRefused)
 }
 
--- a/internal/rollout/service.go
+++ b/internal/rollout/service.go
@@ -38,7 +38,7 @@
 // Service carries out the operators' commands, at any controller. All commands are idempotent. Its
 // fields are not changed after the start, so calls may run at the same time.
 type Service struct {
-	Copy         *state.Mirror // of the keys below Prefix
+	Copy         *state.WatchCache // of the keys below Prefix
 	State        *state.Client
 	Leader       Leader
 	Installation func() Installation
@@ -138,11 +138,11 @@
 // the next read: it met another change, or its answer was lost.
 func (s *Service) commit(ctx context.Context, txn *transaction) (stored bool, err error) {
 	_, err = s.State.Commit(ctx, txn.Txn, state.Normal)
-	var conflict *state.Conflict
+	var conflict *state.ConflictError
 	switch {
 	case err == nil:
 		return true, nil
-	case errors.As(err, &conflict), errors.Is(err, state.ErrUnknown):
+	case errors.As(err, &conflict), errors.Is(err, state.ErrOutcomeUnknown):
 		return false, nil
 	}
 	return false, fmt.Errorf("%w: %v", ErrNotNow, err)
@@ -226,6 +226,6 @@
 	if err := s.Copy.Sync(ctx); err != nil {
 		return nil, fmt.Errorf("%w: the state service does not answer: %v", ErrNotNow, err)
 	}
-	entries, _ := s.Copy.All()
+	entries, _ := s.Copy.Entries()
 	return readSnapshot(entries), nil
 }
--- a/internal/rollout/transaction.go
+++ b/internal/rollout/transaction.go
@@ -33,7 +33,7 @@
 
 // require makes the transaction depend on a key being unchanged since a revision; 0: absent.
 func (t *transaction) require(key string, revision ids.Revision) {
-	t.When = append(t.When, state.Condition{Key: key, Revision: revision})
+	t.Conditions = append(t.Conditions, state.Condition{Key: key, Revision: revision})
 }
 
 // put stores a value as JSON, with errValueTooLarge if it does not fit.
@@ -45,13 +45,13 @@
 	if len(encoded) > t.limits.ValueBytes {
 		return fmt.Errorf("%w: %d bytes at %s, of at most %d", errValueTooLarge, len(encoded), key, t.limits.ValueBytes)
 	}
-	t.Then = append(t.Then, state.Op{Put: key, Value: encoded})
+	t.Ops = append(t.Ops, state.Op{Put: key, Value: encoded})
 	return nil
 }
 
 // remove removes a key.
 func (t *transaction) remove(key string) {
-	t.Then = append(t.Then, state.Op{Remove: key})
+	t.Ops = append(t.Ops, state.Op{Remove: key})
 }
 
 // updateTransaction stores a change of a rollout. The rollout that has ended leaves the index; its
--- a/internal/scenarios/drain_cluster_test.go
+++ b/internal/scenarios/drain_cluster_test.go
@@ -221,7 +221,7 @@
 	ctx, cancel := context.WithCancel(c.ctx)
 	store := state.NewClient("state:1", c.net.Client(name), state.NewBudget(800, 400, 5, 0.6))
 	n := &drainNode{cluster: c, name: name, cancel: cancel}
-	copied := state.NewMirror(store, rollout.Prefix, 200*time.Millisecond)
+	copied := state.NewWatchCache(store, rollout.Prefix, 200*time.Millisecond)
 	limits := rollout.Limits{ValueBytes: int(settings.Params.State.ValueKB * 1024), TxnOps: settings.Params.State.TxnOps}
 	n.pool = election.NewElector(settings, store, &worker.Commander{HTTP: c.net.Client(name), Timeout: 3 * time.Second}, writer)
 	n.pool.Peers = n
@@ -229,8 +229,8 @@
 		term.Cluster.SetMachineTypes(types())
 		runner := &rollout.Runner{Copy: copied, Store: term.Committer, Fleet: term.Cluster, Writer: writer, Limits: limits}
 		go runner.Run(ctx)
-		p := &fleet.Provisioner{Cloud: fleet.NewCloud("cloud:1", c.net.Client(name), 20), Cluster: term.Cluster, Store: term.Committer, Gen: term.Generation,
-			Keys: record.KeysOf(0, 1), Sure: func() bool { return n.pool.LeaseSurelyHeld(term) }, ListEvery: 2 * time.Second}
+		p := &fleet.Provisioner{Cloud: fleet.NewCloud("cloud:1", c.net.Client(name), 20), Cluster: term.Cluster, Store: term.Committer, Generation: term.Generation,
+			Keys: record.KeysOf(0, 1), ConfirmLeadership: func() bool { return n.pool.LeaseSurelyHeld(term) }, ListInterval: 2 * time.Second}
 		p.Adopt(term.OpenHires)
 		p.Run(ctx)
 	}
@@ -245,7 +245,7 @@
 	c.mu.Lock()
 	c.up[name] = n
 	c.mu.Unlock()
-	go store.Watch(ctx, record.KeysOf(0, 1).Generation())
+	go store.ProbeHealth(ctx, record.KeysOf(0, 1).Generation())
 	go copied.Run(ctx)
 	go n.pool.Run(ctx)
 	return n
--- a/internal/scenarios/shards_test.go
+++ b/internal/scenarios/shards_test.go
@@ -75,7 +75,7 @@
 func (c *shardCluster) put(key string, value any) {
 	raw, _ := json.Marshal(value)
 	client := state.NewClient("state:1", c.net.Client("test"), state.NewBudget(1000, 1000, 1, 0.5))
-	if _, err := client.Commit(c.ctx, state.Txn{Then: []state.Op{{Put: key, Value: raw}}}, state.Urgent); err != nil {
+	if _, err := client.Commit(c.ctx, state.Txn{Ops: []state.Op{{Put: key, Value: raw}}}, state.Urgent); err != nil {
 		c.t.Fatal(err)
 	}
 }
@@ -99,7 +99,7 @@
 	writer := fmt.Sprintf("%s.%d", name, c.lives)
 	ctx, cancel := context.WithCancel(c.ctx)
 	store := state.NewClient("state:1", c.net.Client(name), state.NewBudget(800, 400, 5, 0.6))
-	store.Budget().SplitLeaderShare(c.count)
+	store.Budget().SetShardCount(c.count)
 	n := &shardNode{w: c.testCluster, name: name, cancel: cancel,
 		shards: election.NewShards(settings, store, &worker.Commander{HTTP: c.net.Client(name), Timeout: 3 * time.Second}, writer)}
 	n.shards.Refuse = func(err error) { n.refused = err }
@@ -114,7 +114,7 @@
 	c.mu.Lock()
 	c.up[name] = n
 	c.mu.Unlock()
-	go store.Watch(ctx, record.KeysOf(0, c.count).Generation())
+	go store.ProbeHealth(ctx, record.KeysOf(0, c.count).Generation())
 	go n.shards.Run(ctx)
 	return n
 }
--- a/internal/scenarios/test_cluster_test.go
+++ b/internal/scenarios/test_cluster_test.go
@@ -164,7 +164,7 @@
 	w.mu.Lock()
 	w.nodes[name] = n
 	w.mu.Unlock()
-	go store.Watch(ctx, record.KeysOf(0, 1).Generation())
+	go store.ProbeHealth(ctx, record.KeysOf(0, 1).Generation())
 	go n.pool.Run(ctx)
 	return n
 }
--- a/internal/scheduler/assign.go
+++ b/internal/scheduler/assign.go
@@ -143,7 +143,7 @@
 	image := job.Record.Spec.Image
 	s.Reservations.use(node.Name, job)
 	cached := machine.Images.Has(image) || node.ImagePulls[image] != nil
-	s.cluster.Assign(&workload.Assignment{Job: job, TaskIndex: task, Machine: machine.Name, Incarnation: machine.Session,
+	s.cluster.Assign(&workload.Assignment{Job: job, TaskIndex: task, Machine: machine.Name, Incarnation: machine.Incarnation,
 		Attempt: job.Record.Attempt, FencingToken: s.cluster.FencingToken(), AssignedAt: now})
 	slog.Debug("task assigned", "class", job.Record.Spec.Class, "job", job.ID(), "task", task, "attempt", job.Record.Attempt,
 		"machine", machine.Name, "type", machine.Type, "cached", cached,
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -59,7 +59,7 @@
 // begin.
 func (s *Scheduler) attemptMayGrow(job *workload.Job) bool {
 	for _, assignment := range job.Assignments {
-		waiting := assignment.Status == worker.Pulling || assignment.Status == worker.Waiting
+		waiting := assignment.Status == worker.StatePulling || assignment.Status == worker.StateWaiting
 		switch {
 		case assignment.Attempt != job.Record.Attempt || assignment.Stopping:
 			return false
@@ -178,8 +178,8 @@
 	if job.Record.Spec.Shape != record.Gang {
 		return true
 	}
-	for i := range machine.Pieces {
-		reported := &machine.Pieces[i]
+	for i := range machine.Tasks {
+		reported := &machine.Tasks[i]
 		if reported.Attempt == assignment.Attempt && reported.Task == assignment.Task().String() {
 			return false
 		}
@@ -189,7 +189,7 @@
 		return true
 	}
 	for _, other := range job.Assignments {
-		if other == assignment || other.Stopping || other.Confirmed && other.Status != worker.Pulling {
+		if other == assignment || other.Stopping || other.Confirmed && other.Status != worker.StatePulling {
 			continue
 		}
 		if holder := machines.Machines[other.Machine]; holder == nil || !holder.Images.Has(image) {
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -140,7 +140,7 @@
 	nodes := make([]*capacity.Node, 0, len(withVictims))
 	for node := range withVictims {
 		machine := s.Machines.Machines[node.Name]
-		if s.Capacity.Type(machine.Type) == nil || !machine.Usable(now, s.reportInterval()) || !request.Allows(machine.Type, machine.Zone, machine.Spot) {
+		if s.Capacity.Type(machine.Type) == nil || !machine.Schedulable(now, s.reportInterval()) || !request.Allows(machine.Type, machine.Zone, machine.Spot) {
 			continue
 		}
 		nodes = append(nodes, node)
--- a/internal/scheduler/reservations.go
+++ b/internal/scheduler/reservations.go
@@ -168,7 +168,7 @@
 			continue
 		}
 		offer := s.Capacity.Type(machine.Type)
-		if offer == nil || machine.Going || !machine.Usable(now, s.reportInterval()) || !request.Allows(machine.Type, machine.Zone, machine.Spot) {
+		if offer == nil || machine.DeleteWhenEmpty || !machine.Schedulable(now, s.reportInterval()) || !request.Allows(machine.Type, machine.Zone, machine.Spot) {
 			continue
 		}
 		onlyForAccelerated := request.Resources.Accels == 0 && offer.Accels > 0
--- a/internal/scheduler/search.go
+++ b/internal/scheduler/search.go
@@ -212,7 +212,7 @@
 // View is how placement sees a node for a task of a job.
 func (s *Scheduler) View(node *capacity.Node, machine *worker.Machine, job *workload.Job, retry *workload.Retry, now time.Time) placement.Candidate {
 	spec := &job.Record.Spec
-	view := placement.Candidate{Name: node.Name, Type: node.Class.Offer, Zone: machine.Zone, Spot: machine.Spot, ScalingIn: machine.Going,
+	view := placement.Candidate{Name: node.Name, Type: node.Class.Offer, Zone: machine.Zone, Spot: machine.Spot, ScalingIn: machine.DeleteWhenEmpty,
 		Free: node.Free(), OtherPulls: len(node.ImagePulls)}
 	view.ImageCached = machine.Images.Has(spec.Image)
 	view.ImageExpected = view.ImageCached || node.ImagePulls[spec.Image] != nil
--- a/internal/state/acquire.go
+++ b/internal/state/acquire.go
@@ -8,33 +8,33 @@
 	"github.com/pebbletrail/pebbletrail/internal/measure"
 )
 
-// Urgency orders calls when there are more than the limits allow.
-type Urgency int
+// Priority orders calls when there are more than the limits allow.
+type Priority int
 
 const (
 	// Urgent calls are lease renewals, outcomes of tasks and markers, which keep what runs alive.
-	Urgent Urgency = iota
+	Urgent Priority = iota
 	// Normal calls, for reading changes and for upkeep, wait for tokens.
 	Normal
-	// Spare calls, those of users, are shed at once while little is left, because a user told
+	// Sheddable calls, those of users, are shed at once while little is left, because a user told
 	// when to come back is better off than one kept waiting. Only for a token that is due within
 	// a fraction of a second they wait: a few requests that come together must not be sent away
 	// by a rate that serves them all.
-	Spare
+	Sheddable
 )
 
 // reserves are the shares of a bucket that calls leave untouched.
-var reserves = [...]float64{Urgent: 0, Normal: 0.25, Spare: 0.15}
+var reserves = [...]float64{Urgent: 0, Normal: 0.25, Sheddable: 0.15}
 
 // leaderReserve is the share of the leader's bucket that its users leave untouched.
 const leaderReserve = 0.5
 
 // maxWaits bound how long a call waits for tokens.
-var maxWaits = [...]time.Duration{Urgent: time.Second, Normal: 2 * time.Second, Spare: 300 * time.Millisecond}
+var maxWaits = [...]time.Duration{Urgent: time.Second, Normal: 2 * time.Second, Sheddable: 300 * time.Millisecond}
 
 // tokenRequest is one call that asks for tokens, perhaps several times.
 type tokenRequest struct {
-	urgency  Urgency
+	priority Priority
 	cost     cost
 	deadline time.Time
 	retried  bool         // it has asked before
@@ -56,11 +56,11 @@
 }
 
 // acquire waits for the tokens of a call that makes so many changes. The error is ErrRefused.
-func (b *Budget) acquire(ctx context.Context, urgency Urgency, writes int) error {
-	if urgency == Spare && writes > 0 && b.acquireByTransfer(ctx, writes) {
+func (b *Budget) acquire(ctx context.Context, priority Priority, writes int) error {
+	if priority == Sheddable && writes > 0 && b.acquireByTransfer(ctx, writes) {
 		return nil
 	}
-	request := &tokenRequest{urgency: urgency, cost: cost{1, float64(writes)}, deadline: time.Now().Add(maxWaits[urgency])}
+	request := &tokenRequest{priority: priority, cost: cost{1, float64(writes)}, deadline: time.Now().Add(maxWaits[priority])}
 	for {
 		wait, inTime := b.tryAcquire(request)
 		if !inTime {
@@ -94,7 +94,7 @@
 	b.refreshRates(time.Now())
 	bucket, reserved := b.bucketFor(request)
 	var ahead cost
-	if !request.retried && request.urgency == Spare {
+	if !request.retried && request.priority == Sheddable {
 		ahead = bucket.queued
 	}
 	wait = bucket.waitFor(request.cost, ahead, reserved)
@@ -107,7 +107,7 @@
 		return 0, true
 	}
 	inTime = !time.Now().Add(wait).After(request.deadline)
-	if inTime && request.urgency == Spare {
+	if inTime && request.priority == Sheddable {
 		request.enqueue(bucket)
 	}
 	return wait, inTime
@@ -115,8 +115,8 @@
 
 // bucketFor picks the bucket for a request, and the share of it to leave untouched.
 func (b *Budget) bucketFor(request *tokenRequest) (bucket *tokenBucket, reserved float64) {
-	reserved = reserves[request.urgency]
-	if request.urgency != Spare || !b.isLeader() {
+	reserved = reserves[request.priority]
+	if request.priority != Sheddable || !b.isLeader() {
 		return b.primary(), reserved
 	}
 	// The leader's changes must not crowd out its users, who have a part of their own and may
@@ -130,7 +130,7 @@
 // noteDemand counts what a request asks for, and whether it was there, on the bucket that is the
 // request's own.
 func (b *Budget) noteDemand(request *tokenRequest, bucket *tokenBucket, short bool) {
-	if request.urgency == Spare {
+	if request.priority == Sheddable {
 		bucket = &b.users
 	}
 	bucket.askedWrites += request.cost.writes
--- a/internal/state/acquire_test.go
+++ b/internal/state/acquire_test.go
@@ -20,7 +20,7 @@
 		for i := range 40 {
 			commits.Go(func() {
 				began := time.Now()
-				_, err := client.Commit(ctx, Txn{Then: []Op{{Put: fmt.Sprint(i), Value: []byte(`1`)}}}, Spare)
+				_, err := client.Commit(ctx, Txn{Ops: []Op{{Put: fmt.Sprint(i), Value: []byte(`1`)}}}, Sheddable)
 				took := time.Since(began)
 				mu.Lock()
 				defer mu.Unlock()
@@ -40,7 +40,7 @@
 		if refused < 30 || refused > 38 {
 			t.Fatalf("%d of 40 refused", refused)
 		}
-		if _, err := client.Commit(ctx, Txn{Then: []Op{{Put: "u", Value: []byte(`1`)}}}, Urgent); err != nil {
+		if _, err := client.Commit(ctx, Txn{Ops: []Op{{Put: "u", Value: []byte(`1`)}}}, Urgent); err != nil {
 			t.Fatalf("an urgent write after the burst: %v", err)
 		}
 	})
--- a/internal/state/budget.go
+++ b/internal/state/budget.go
@@ -64,17 +64,17 @@
 	return b
 }
 
-// SplitLeaderShare sets the number of shards: each that this node leads brings its part of the
+// SetShardCount sets the number of shards: each that this node leads brings its part of the
 // leader's share.
-func (b *Budget) SplitLeaderShare(shards int) {
+func (b *Budget) SetShardCount(shards int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.shards = shards
 	b.resizeLeaderBucket()
 }
 
-// SetLeader notes that this node leads one shard more, or one less.
-func (b *Budget) SetLeader(acquired bool) {
+// LeadershipChanged notes that this node leads one shard more, or one less.
+func (b *Budget) LeadershipChanged(acquired bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if acquired {
@@ -107,9 +107,9 @@
 // RetryAfter is when a refused user may find tokens again.
 func (b *Budget) RetryAfter() time.Duration { return retryAfter }
 
-// Tight tells whether most of the changes that this node may make are spoken for: what can wait
+// NearlyExhausted tells whether most of the changes that this node may make are spoken for: what can wait
 // should.
-func (b *Budget) Tight() bool {
+func (b *Budget) NearlyExhausted() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	writes := b.primary().writes
--- a/internal/state/client.go
+++ b/internal/state/client.go
@@ -62,8 +62,8 @@
 func (c *Client) Budget() *Budget { return c.budget }
 
 // Get reads a key; found is false when it does not exist.
-func (c *Client) Get(ctx context.Context, key string, urgency Urgency) (entry Entry, found bool, err error) {
-	if err := c.budget.acquire(ctx, urgency, 0); err != nil {
+func (c *Client) Get(ctx context.Context, key string, priority Priority) (entry Entry, found bool, err error) {
+	if err := c.budget.acquire(ctx, priority, 0); err != nil {
 		return entry, false, err
 	}
 	status, err := c.call(ctx, CallTimeout, http.MethodGet, "/kv/"+key, nil, &entry)
@@ -82,8 +82,8 @@
 
 // List reads a page of at most limit keys below a prefix, in order; after is the last key of the
 // page before. more tells whether there is another page, and epoch how far the store was.
-func (c *Client) List(ctx context.Context, prefix, after string, limit int, urgency Urgency) (entries []Entry, more bool, epoch ids.StoreRevision, err error) {
-	if err := c.budget.acquire(ctx, urgency, 0); err != nil {
+func (c *Client) List(ctx context.Context, prefix, after string, limit int, priority Priority) (entries []Entry, more bool, epoch ids.StoreRevision, err error) {
+	if err := c.budget.acquire(ctx, priority, 0); err != nil {
 		return nil, false, 0, err
 	}
 	query := url.Values{"under": {prefix}, "most": {strconv.Itoa(limit)}}
@@ -97,12 +97,12 @@
 
 // ListAll reads every page. The epoch is the first page's, so that watching from it on misses
 // nothing.
-func (c *Client) ListAll(ctx context.Context, prefix string, urgency Urgency) ([]Entry, ids.StoreRevision, error) {
+func (c *Client) ListAll(ctx context.Context, prefix string, priority Priority) ([]Entry, ids.StoreRevision, error) {
 	var all []Entry
 	var firstEpoch ids.StoreRevision
 	after := ""
 	for page := 0; ; page++ {
-		entries, more, epoch, err := c.List(ctx, prefix, after, listPageSize, urgency)
+		entries, more, epoch, err := c.List(ctx, prefix, after, listPageSize, priority)
 		if err != nil {
 			return nil, 0, err
 		}
@@ -119,14 +119,14 @@
 
 // Commit applies a transaction and returns the epoch of its changes. A typed error names the keys
 // whose conditions failed.
-func (c *Client) Commit(ctx context.Context, txn Txn, urgency Urgency) (ids.StoreRevision, error) {
-	if err := c.budget.acquire(ctx, urgency, len(txn.Then)); err != nil {
+func (c *Client) Commit(ctx context.Context, txn Txn, priority Priority) (ids.StoreRevision, error) {
+	if err := c.budget.acquire(ctx, priority, len(txn.Ops)); err != nil {
 		return 0, err
 	}
 	var answer commitAnswer
 	status, err := c.call(ctx, CallTimeout, http.MethodPost, "/commit", txn, &answer)
 	if err == nil && status == http.StatusConflict {
-		return 0, &Conflict{Failed: answer.FailedKeys, Epoch: answer.Epoch}
+		return 0, &ConflictError{FailedKeys: answer.FailedKeys, Epoch: answer.Epoch}
 	}
 	if err := requireStatus(http.StatusOK, status, err); err != nil {
 		return 0, err
@@ -160,7 +160,7 @@
 // something that no call of this kind can come to.
 func requireStatus(want, got int, err error) error {
 	if err == nil && got != want {
-		return fmt.Errorf("%w: status %d", ErrUnknown, got)
+		return fmt.Errorf("%w: status %d", ErrOutcomeUnknown, got)
 	}
 	return err
 }
@@ -176,7 +176,7 @@
 	response, err := c.http.Do(ctx, method, path, body)
 	var noResponse *httpjson.NoResponseError
 	if errors.As(err, &noResponse) {
-		return 0, fmt.Errorf("%w: %v", ErrUnknown, err)
+		return 0, fmt.Errorf("%w: %v", ErrOutcomeUnknown, err)
 	}
 	if err != nil {
 		return 0, err
@@ -191,7 +191,7 @@
 	}
 	if answer != nil && response.Status != http.StatusGone {
 		if err := json.Unmarshal(response.Body, answer); err != nil && response.Status == http.StatusOK {
-			return 0, fmt.Errorf("%w: %v", ErrUnknown, err)
+			return 0, fmt.Errorf("%w: %v", ErrOutcomeUnknown, err)
 		}
 	}
 	return response.Status, nil
@@ -214,5 +214,5 @@
 		}
 		return fmt.Errorf("%w: %.200s", ErrMalformed, response.Body)
 	}
-	return fmt.Errorf("%w: status %d", ErrUnknown, response.Status)
+	return fmt.Errorf("%w: status %d", ErrOutcomeUnknown, response.Status)
 }
--- a/internal/state/client_test.go
+++ b/internal/state/client_test.go
@@ -25,7 +25,7 @@
 // mustCommit makes changes that nothing may refuse.
 func mustCommit(ctx context.Context, t *testing.T, client *Client, changes ...Op) {
 	t.Helper()
-	if _, err := client.Commit(ctx, Txn{Then: changes}, Urgent); err != nil {
+	if _, err := client.Commit(ctx, Txn{Ops: changes}, Urgent); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -34,11 +34,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx := context.Background()
 		network, store, client := newClient()
-		put := Txn{When: []Condition{{Key: "k"}}, Then: []Op{{Put: "k", Value: []byte(`1`)}}}
+		put := Txn{Conditions: []Condition{{Key: "k"}}, Ops: []Op{{Put: "k", Value: []byte(`1`)}}}
 		if _, err := client.Commit(ctx, put, Urgent); err != nil {
 			t.Fatal(err)
 		}
-		var conflict *Conflict
+		var conflict *ConflictError
 		if _, err := client.Commit(ctx, put, Urgent); !errors.As(err, &conflict) || !conflict.Has("k") {
 			t.Fatalf("a second creation: %v", err)
 		}
@@ -48,14 +48,14 @@
 		}
 		store.SetDown(false)
 		network.SetRule(func(_, _ string, _ *http.Request, _ []byte) fake.Fate { return fake.LoseAnswer })
-		if _, err := client.Commit(ctx, Txn{Then: []Op{{Remove: "k"}}}, Urgent); !errors.Is(err, ErrUnknown) {
+		if _, err := client.Commit(ctx, Txn{Ops: []Op{{Remove: "k"}}}, Urgent); !errors.Is(err, ErrOutcomeUnknown) {
 			t.Fatalf("without an answer: %v", err)
 		}
 		if store.Value("k") != nil {
 			t.Fatal("it was carried out all the same")
 		}
 		network.SetRule(nil)
-		lease, err := client.NewLease(ctx, time.Second)
+		lease, err := client.GrantLease(ctx, time.Second)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -63,7 +63,7 @@
 		if err := client.RenewLease(ctx, lease); !errors.Is(err, ErrNoLease) {
 			t.Fatalf("an expired lease: %v", err)
 		}
-		if _, err := client.Commit(ctx, Txn{Then: []Op{{Put: "x", Value: []byte(`1`), Lease: lease}}}, Urgent); !errors.Is(err, ErrNoLease) {
+		if _, err := client.Commit(ctx, Txn{Ops: []Op{{Put: "x", Value: []byte(`1`), Lease: lease}}}, Urgent); !errors.Is(err, ErrNoLease) {
 			t.Fatalf("a put with it: %v", err)
 		}
 	})
--- a/internal/state/errors.go
+++ b/internal/state/errors.go
@@ -13,8 +13,8 @@
 	// ErrRefused means that the call was surely not executed: status 503 or 429, or no tokens in
 	// this node's own budget.
 	ErrRefused = errors.New("state: refused")
-	// ErrUnknown means that no answer came: the call may have been executed, or may yet be.
-	ErrUnknown = errors.New("state: no answer")
+	// ErrOutcomeUnknown means that no answer came: the call may have been executed, or may yet be.
+	ErrOutcomeUnknown = errors.New("state: no answer")
 	// ErrNoLease means that the lease named has expired or was ended.
 	ErrNoLease = errors.New("state: no such lease")
 	// ErrMalformed means that the store calls the request malformed: sending it again is in vain.
@@ -24,15 +24,17 @@
 	errCompacted = errors.New("state: history too old")
 )
 
-// Conflict is the error of a transaction whose conditions failed; nothing was changed.
-type Conflict struct {
-	// Failed are the keys whose condition failed.
-	Failed []string
+// ConflictError is the error of a transaction whose conditions failed; nothing was changed.
+type ConflictError struct {
+	// FailedKeys are the keys whose condition failed.
+	FailedKeys []string
 	// Epoch is how far the store was.
 	Epoch ids.StoreRevision
 }
 
-func (c *Conflict) Error() string { return fmt.Sprintf("state: conditions failed: %v", c.Failed) }
+func (c *ConflictError) Error() string {
+	return fmt.Sprintf("state: conditions failed: %v", c.FailedKeys)
+}
 
 // Has tells whether the condition on key is among the failed ones.
-func (c *Conflict) Has(key string) bool { return slices.Contains(c.Failed, key) }
+func (c *ConflictError) Has(key string) bool { return slices.Contains(c.FailedKeys, key) }
--- a/internal/state/health.go
+++ b/internal/state/health.go
@@ -33,9 +33,9 @@
 	return ok && age > unavailableAfter
 }
 
-// Watch probes the store by reading a key when nothing else calls it, so that the client
+// ProbeHealth probes the store by reading a key when nothing else calls it, so that the client
 // knows whether it is available. It returns when the context ends.
-func (c *Client) Watch(ctx context.Context, key string) {
+func (c *Client) ProbeHealth(ctx context.Context, key string) {
 	for ctx.Err() == nil {
 		if age, ok := c.SinceSuccess(); !ok || age > probeAfter {
 			// Only the time of the last success matters here, which Get notes.
--- a/internal/state/lease.go
+++ b/internal/state/lease.go
@@ -9,9 +9,9 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-// NewLease asks for a lease, to which keys may be attached. It expires after ttl if it isn't
+// GrantLease asks for a lease, to which keys may be attached. It expires after ttl if it isn't
 // renewed.
-func (c *Client) NewLease(ctx context.Context, ttl time.Duration) (ids.Lease, error) {
+func (c *Client) GrantLease(ctx context.Context, ttl time.Duration) (ids.Lease, error) {
 	if err := c.budget.acquire(ctx, Urgent, 0); err != nil {
 		return 0, err
 	}
@@ -25,8 +25,8 @@
 	return c.callOnLease(ctx, http.MethodPost, fmt.Sprintf("/holds/%d/renew", lease))
 }
 
-// EndLease ends a lease at once, and with it the keys attached; ErrNoLease if it has expired.
-func (c *Client) EndLease(ctx context.Context, lease ids.Lease) error {
+// RevokeLease ends a lease at once, and with it the keys attached; ErrNoLease if it has expired.
+func (c *Client) RevokeLease(ctx context.Context, lease ids.Lease) error {
 	return c.callOnLease(ctx, http.MethodDelete, fmt.Sprintf("/holds/%d", lease))
 }
 
--- a/internal/state/loans.go
+++ b/internal/state/loans.go
@@ -41,10 +41,10 @@
 	minLoan = 0.5
 )
 
-// Wants is how many more changes a second this node could use now; 0 if it gets by. It goes by what
+// UnmetDemand is how many more changes a second this node could use now; 0 if it gets by. It goes by what
 // was asked for lately, with a margin for what comes at random: one that asked for more only when
 // it had refused somebody would refuse somebody every time its loans end.
-func (b *Budget) Wants() float64 {
+func (b *Budget) UnmetDemand() float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	wanted, now := 0.0, time.Now()
@@ -109,8 +109,8 @@
 	return max(0, float64(t.writes.Limit())-needed)
 }
 
-// Borrowed adds changes a second that another node promised in answer to a request sent then.
-func (b *Budget) Borrowed(writeRate float64, sent time.Time) {
+// AddBorrowed adds changes a second that another node promised in answer to a request sent then.
+func (b *Budget) AddBorrowed(writeRate float64, sent time.Time) {
 	if !(writeRate > 0) { // not a number is nothing either
 		return
 	}
--- a/internal/state/loans_test.go
+++ b/internal/state/loans_test.go
@@ -13,17 +13,17 @@
 		ctx := context.Background()
 		const writeLimit = 50
 		idle, busy := NewBudget(1000, writeLimit, 2, 0.6), NewBudget(1000, writeLimit, 2, 0.6)
-		idle.SetLeader(true)
-		use := func(budget *Budget, urgency Urgency) (used int) {
-			for budget.acquire(withoutWaiting(ctx), urgency, 1) == nil {
+		idle.LeadershipChanged(true)
+		use := func(budget *Budget, priority Priority) (used int) {
+			for budget.acquire(withoutWaiting(ctx), priority, 1) == nil {
 				if used++; used > 1000 {
 					t.Fatal("no bound")
 				}
 			}
 			return used
 		}
-		use(busy, Spare) // the bursts that buckets begin with
-		use(idle, Spare)
+		use(busy, Sheddable) // the bursts that buckets begin with
+		use(idle, Sheddable)
 		everyTenth := func(step func()) {
 			step()
 			time.Sleep(100 * time.Millisecond)
@@ -32,11 +32,11 @@
 		for range 20 * 10 {
 			everyTenth(func() {
 				// One is busy, the other idle; they talk once a second.
-				used := use(busy, Spare)
+				used := use(busy, Sheddable)
 				busyTotal, total = busyTotal+used, total+used
 				if time.Now().UnixMilli()%1000 < 100 {
 					sent := time.Now()
-					busy.Borrowed(idle.Lend(busy.Wants()), sent)
+					busy.AddBorrowed(idle.Lend(busy.UnmetDemand()), sent)
 				}
 			})
 		}
@@ -46,10 +46,10 @@
 		}
 		// Cut off from one another, the promise ends and each keeps to its part.
 		time.Sleep(3 * time.Second)
-		use(busy, Spare)
+		use(busy, Sheddable)
 		busyTotal = 0
 		for range 50 {
-			everyTenth(func() { busyTotal += use(busy, Spare) })
+			everyTenth(func() { busyTotal += use(busy, Sheddable) })
 		}
 		if most := int(math.Floor(0.4*writeLimit/2*headroom*5)) + 2; busyTotal > most {
 			t.Errorf("%d changes in 5 s on a part of %d", busyTotal, most)
@@ -58,14 +58,14 @@
 		total = 0
 		for i := range 10 * 10 {
 			everyTenth(func() {
-				total += use(busy, Spare) + use(idle, Spare)
+				total += use(busy, Sheddable) + use(idle, Sheddable)
 				for idle.acquire(withoutWaiting(ctx), Urgent, 1) == nil {
 					total++
 				}
 				if i%10 == 0 {
 					sent := time.Now()
-					busy.Borrowed(idle.Lend(busy.Wants()), sent)
-					idle.Borrowed(busy.Lend(idle.Wants()), sent)
+					busy.AddBorrowed(idle.Lend(busy.UnmetDemand()), sent)
+					idle.AddBorrowed(busy.Lend(idle.UnmetDemand()), sent)
 				}
 			})
 		}
--- a/internal/state/messages.go
+++ b/internal/state/messages.go
@@ -35,8 +35,8 @@
 // Txn is a compare-and-swap transaction: its changes are applied as a whole if all of its
 // conditions hold, and not at all otherwise.
 type Txn struct {
-	When []Condition `json:"when"`
-	Then []Op        `json:"then,omitempty"`
+	Conditions []Condition `json:"when"`
+	Ops        []Op        `json:"then,omitempty"`
 }
 
 // Change is one change of a key that the store tells of: a put or a removal.
--- a/internal/state/throttle_test.go
+++ b/internal/state/throttle_test.go
@@ -36,8 +36,8 @@
 			}
 		}))
 		client := NewClient("state:1", network.Client("a"), NewBudget(100, 40, 1, 0.5))
-		client.Budget().SetLeader(true)
-		put := Txn{Then: []Op{{Put: "a", Value: []byte(`1`)}}}
+		client.Budget().LeadershipChanged(true)
+		put := Txn{Ops: []Op{{Put: "a", Value: []byte(`1`)}}}
 		send := func(duration time.Duration) (done int) {
 			for end := time.Now().Add(duration); time.Now().Before(end); {
 				if _, err := client.Commit(context.Background(), put, Urgent); err == nil {
--- a/internal/state/transfer.go
+++ b/internal/state/transfer.go
@@ -20,8 +20,8 @@
 	transferReserve = 0.5
 )
 
-// SetTransfers sets the way to the other controllers. It is called before the first call.
-func (b *Budget) SetTransfers(request RequestTransfer) { b.transferFrom = request }
+// SetTransferSource sets the way to the other controllers. It is called before the first call.
+func (b *Budget) SetTransferSource(request RequestTransfer) { b.transferFrom = request }
 
 // TransferOut takes changes out of this node's part for another controller. They are gone here
 // before the other one has them, so both never use the same.
@@ -70,7 +70,7 @@
 	defer b.mu.Unlock()
 	now := time.Now()
 	b.refreshRates(now)
-	reserved := reserves[Spare]
+	reserved := reserves[Sheddable]
 	if now.Before(b.noTransferUntil) || b.users.waitFor(cost{calls: 1}, cost{}, reserved) > 0 {
 		return false
 	}
--- a/internal/state/transfer_test.go
+++ b/internal/state/transfer_test.go
@@ -20,7 +20,7 @@
 
 // setSources has one controller ask the others in order.
 func setSources(budget *Budget, others ...*Budget) {
-	budget.SetTransfers(func(_ context.Context, changes int) bool {
+	budget.SetTransferSource(func(_ context.Context, changes int) bool {
 		for _, other := range others {
 			if other.TransferOut(changes) {
 				return true
@@ -38,7 +38,7 @@
 		setSources(budgets[0], budgets[1:]...)
 		began := time.Now()
 		for i := range 7 {
-			if err := budgets[0].acquire(context.Background(), Spare, 1); err != nil {
+			if err := budgets[0].acquire(context.Background(), Sheddable, 1); err != nil {
 				t.Errorf("submission %d: %v", i, err)
 			}
 		}
@@ -75,7 +75,7 @@
 		made := 0
 		for range 100 {
 			for _, budget := range budgets {
-				for made < 1000 && budget.acquire(withoutWaiting(context.Background()), Spare, 1) == nil {
+				for made < 1000 && budget.acquire(withoutWaiting(context.Background()), Sheddable, 1) == nil {
 					made++
 				}
 			}
@@ -93,16 +93,16 @@
 	synctest.Test(t, func(t *testing.T) {
 		budget := idleBudgets(1)[0]
 		asked := 0
-		budget.SetTransfers(func(context.Context, int) bool { asked++; return false })
+		budget.SetTransferSource(func(context.Context, int) bool { asked++; return false })
 		for range 100 {
-			_ = budget.acquire(withoutWaiting(context.Background()), Spare, 1) // only the questions count
+			_ = budget.acquire(withoutWaiting(context.Background()), Sheddable, 1) // only the questions count
 		}
 		if asked != 1 {
 			t.Errorf("the others were asked %d times at once", asked)
 		}
 		time.Sleep(transferPause)
 		for range 20 {
-			_ = budget.acquire(withoutWaiting(context.Background()), Spare, 1) // only the questions count
+			_ = budget.acquire(withoutWaiting(context.Background()), Sheddable, 1) // only the questions count
 		}
 		if asked != 2 {
 			t.Errorf("%d questions after the pause", asked)
--- a/internal/state/watchcache.go
+++ b/internal/state/watchcache.go
@@ -13,11 +13,11 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-// Mirror keeps a copy of the keys below a prefix, a little behind the store.
+// WatchCache keeps a copy of the keys below a prefix, a little behind the store.
 //
 // Run follows the store's changes. Sync brings the copy up to date on demand, by a goroutine of its
 // own that ends when nobody waits for it any more; it uses the context of Run.
-type Mirror struct {
+type WatchCache struct {
 	client *Client
 	prefix string
 	// watchInterval spaces the watches, so that a busy prefix does not eat the budget.
@@ -38,9 +38,9 @@
 	sync         syncState
 }
 
-// NewMirror makes an empty cache of the keys below a prefix; watchInterval spaces its watches.
-func NewMirror(client *Client, prefix string, watchInterval time.Duration) *Mirror {
-	return &Mirror{
+// NewWatchCache makes an empty cache of the keys below a prefix; watchInterval spaces its watches.
+func NewWatchCache(client *Client, prefix string, watchInterval time.Duration) *WatchCache {
+	return &WatchCache{
 		client:        client,
 		prefix:        prefix,
 		watchInterval: watchInterval,
@@ -49,16 +49,16 @@
 	}
 }
 
-// NotifyChanges has listener called with each change from now on, in order. It may read the cache,
+// OnChange has listener called with each change from now on, in order. It may read the cache,
 // but must not wait for it to be brought up to date.
-func (m *Mirror) NotifyChanges(listener func(Change)) {
+func (m *WatchCache) OnChange(listener func(Change)) {
 	m.notifyMu.Lock()
 	defer m.notifyMu.Unlock()
 	m.onChange = listener
 }
 
-// All lists the copy in the order of keys, and the epoch that it is of.
-func (m *Mirror) All() ([]Entry, ids.StoreRevision) {
+// Entries lists the copy in the order of keys, and the epoch that it is of.
+func (m *WatchCache) Entries() ([]Entry, ids.StoreRevision) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	byKey := func(x, y Entry) int { return cmp.Compare(x.Key, y.Key) }
@@ -68,15 +68,15 @@
 }
 
 // Get reads the copy; ready is false until the first listing is in.
-func (m *Mirror) Get(key string) (entry Entry, found, ready bool) {
+func (m *WatchCache) Get(key string) (entry Entry, found, ready bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	entry, found = m.entries[key]
 	return entry, found, m.ready
 }
 
-// Several reads several keys, all at one moment; the entry of a key that does not exist has no key.
-func (m *Mirror) Several(keys ...string) (entries []Entry, ready bool) {
+// GetMany reads several keys, all at one moment; the entry of a key that does not exist has no key.
+func (m *WatchCache) GetMany(keys ...string) (entries []Entry, ready bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	entries = make([]Entry, len(keys))
@@ -86,9 +86,9 @@
 	return entries, m.ready
 }
 
-// First reads the first of several keys that exists, all at one moment: a value may move from one
+// GetFirst reads the first of several keys that exists, all at one moment: a value may move from one
 // to another in between.
-func (m *Mirror) First(keys ...string) (entry Entry, found, ready bool) {
+func (m *WatchCache) GetFirst(keys ...string) (entry Entry, found, ready bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, key := range keys {
@@ -107,7 +107,7 @@
 )
 
 // Run keeps the copy until the context ends.
-func (m *Mirror) Run(ctx context.Context) {
+func (m *WatchCache) Run(ctx context.Context) {
 	m.setSyncContext(ctx)
 	for ctx.Err() == nil {
 		if !m.isReady() {
@@ -122,7 +122,7 @@
 }
 
 // watchOnce waits for changes and applies them, and sleeps until the next watch is due.
-func (m *Mirror) watchOnce(ctx context.Context) {
+func (m *WatchCache) watchOnce(ctx context.Context) {
 	_, changes, err := m.client.watchChanges(ctx, m.prefix, m.currentEpoch(), watchTimeout)
 	switch {
 	case errors.Is(err, errCompacted):
@@ -141,20 +141,20 @@
 	sleep(ctx, m.watchInterval)
 }
 
-func (m *Mirror) currentEpoch() ids.StoreRevision {
+func (m *WatchCache) currentEpoch() ids.StoreRevision {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.epoch
 }
 
-func (m *Mirror) isReady() bool {
+func (m *WatchCache) isReady() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.ready
 }
 
 // invalidate has the copy listed anew; it may be read meanwhile.
-func (m *Mirror) invalidate() {
+func (m *WatchCache) invalidate() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.ready = false
@@ -170,7 +170,7 @@
 
 // relist reads all anew and reports what differs from the copy as changes, so that a listener
 // misses nothing when the store has compacted its history.
-func (m *Mirror) relist(ctx context.Context) error {
+func (m *WatchCache) relist(ctx context.Context) error {
 	entries, epoch, err := m.client.ListAll(ctx, m.prefix, Normal)
 	if err != nil {
 		return err
@@ -183,7 +183,7 @@
 
 // replace makes the copy hold the entries listed at an epoch and returns what differs. It changes
 // nothing if the copy is newer.
-func (m *Mirror) replace(entries []Entry, epoch ids.StoreRevision) (changes []Change) {
+func (m *WatchCache) replace(entries []Entry, epoch ids.StoreRevision) (changes []Change) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.ready && epoch < m.epoch {
@@ -208,7 +208,7 @@
 }
 
 // apply takes in what changed up to an epoch and notifies the listener of what is new.
-func (m *Mirror) apply(epoch ids.StoreRevision, changes []Change) {
+func (m *WatchCache) apply(epoch ids.StoreRevision, changes []Change) {
 	m.notifyMu.Lock()
 	defer m.notifyMu.Unlock()
 	m.notify(m.merge(epoch, changes))
@@ -216,7 +216,7 @@
 
 // merge puts changes into the copy and returns those that it did not have yet: answers may overtake
 // one another. It reuses the list.
-func (m *Mirror) merge(epoch ids.StoreRevision, changes []Change) (applied []Change) {
+func (m *WatchCache) merge(epoch ids.StoreRevision, changes []Change) (applied []Change) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	applied = changes[:0]
@@ -237,7 +237,7 @@
 }
 
 // notify tells the listener of changes, in order. The caller holds notifyMu, but not mu.
-func (m *Mirror) notify(changes []Change) {
+func (m *WatchCache) notify(changes []Change) {
 	if m.onChange == nil {
 		return
 	}
--- a/internal/state/watchcache_sync.go
+++ b/internal/state/watchcache_sync.go
@@ -35,7 +35,7 @@
 // Sync returns once the copy is no older than the store was when Sync was called. One call to the
 // store, begun after all of them, serves everybody who waits; the copy may be read as if from the
 // store then.
-func (m *Mirror) Sync(ctx context.Context) error {
+func (m *WatchCache) Sync(ctx context.Context) error {
 	round := m.joinRound()
 	select {
 	case <-round.done:
@@ -47,7 +47,7 @@
 
 // joinRound is the next round to begin. It starts the goroutine that does the rounds if there is
 // none.
-func (m *Mirror) joinRound() *syncRound {
+func (m *WatchCache) joinRound() *syncRound {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.sync.next == nil {
@@ -62,7 +62,7 @@
 
 // runRounds does rounds while anybody waits. Its context is the cache's own: a round serves many,
 // and must not end with the one who asked first.
-func (m *Mirror) runRounds() {
+func (m *WatchCache) runRounds() {
 	for {
 		ctx, delay, wanted := m.nextRound()
 		if !wanted {
@@ -75,7 +75,7 @@
 
 // nextRound tells whether anybody waits for a round, its context and how long to wait before it. If
 // nobody does, whoever asks next starts the rounds again.
-func (m *Mirror) nextRound() (ctx context.Context, delay time.Duration, wanted bool) {
+func (m *WatchCache) nextRound() (ctx context.Context, delay time.Duration, wanted bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.sync.next == nil {
@@ -85,7 +85,7 @@
 	return m.sync.ctx, syncInterval - time.Since(m.sync.startedAt), true
 }
 
-func (m *Mirror) runRound(ctx context.Context) {
+func (m *WatchCache) runRound(ctx context.Context) {
 	round := m.beginRound()
 	ctx, cancel := context.WithTimeout(ctx, syncTimeout)
 	began := time.Now()
@@ -98,7 +98,7 @@
 }
 
 // beginRound takes the round that callers wait for: whoever asks from now on waits for another one.
-func (m *Mirror) beginRound() *syncRound {
+func (m *WatchCache) beginRound() *syncRound {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	round := m.sync.next
@@ -106,13 +106,13 @@
 	return round
 }
 
-func (m *Mirror) setAsOf(began time.Time) {
+func (m *WatchCache) setAsOf(began time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.sync.asOf = began
 }
 
-func (m *Mirror) setSyncContext(ctx context.Context) {
+func (m *WatchCache) setSyncContext(ctx context.Context) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.sync.ctx = ctx
@@ -121,14 +121,14 @@
 // AsOf is the latest time of which the copy surely has everything: when the last round that
 // succeeded began. A watch does not move it, since one may end well while the store serves nobody,
 // or everybody but this node.
-func (m *Mirror) AsOf() time.Time {
+func (m *WatchCache) AsOf() time.Time {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.sync.asOf
 }
 
 // catchUp reads what changed up to now, or all anew if it must.
-func (m *Mirror) catchUp(ctx context.Context) error {
+func (m *WatchCache) catchUp(ctx context.Context) error {
 	m.mu.Lock()
 	copied, lastRevision, ready := m.epoch, m.lastRevision, m.ready
 	m.mu.Unlock()
--- a/internal/state/watchcache_test.go
+++ b/internal/state/watchcache_test.go
@@ -27,8 +27,8 @@
 		}
 		set(1)
 		notified := map[string]bool{}
-		cache := NewMirror(client, "j/", 10*time.Millisecond)
-		cache.NotifyChanges(func(change Change) { notified[change.Key()] = change.Put != "" })
+		cache := NewWatchCache(client, "j/", 10*time.Millisecond)
+		cache.OnChange(func(change Change) { notified[change.Key()] = change.Put != "" })
 		go cache.Run(ctx)
 		time.Sleep(time.Second)
 		network.SetRule(func(_, _ string, r *http.Request, _ []byte) fake.Fate {
@@ -53,7 +53,7 @@
 
 func TestWatchCacheListenerMayBeSetWhileChangesArrive(t *testing.T) {
 	// As a plain field the listener raced with the changes that it is told of.
-	cache := NewMirror(nil, "j/", time.Second)
+	cache := NewWatchCache(nil, "j/", time.Second)
 	const changes = 50
 	var notified atomic.Int32
 	var applied sync.WaitGroup
@@ -63,7 +63,7 @@
 		}
 	})
 	for range changes {
-		cache.NotifyChanges(func(Change) { notified.Add(1) })
+		cache.OnChange(func(Change) { notified.Add(1) })
 	}
 	applied.Wait()
 	cache.apply(changes+1, []Change{{Put: "j/1", Revision: changes + 1}})
@@ -81,7 +81,7 @@
 			mustCommit(ctx, t, client, Op{Put: key, Value: []byte(value)})
 		}
 		put("j/1", `1`)
-		cache := NewMirror(client, "j/", time.Second)
+		cache := NewWatchCache(client, "j/", time.Second)
 		if err := cache.Sync(ctx); err != nil {
 			t.Fatal(err)
 		}
@@ -156,7 +156,7 @@
 			}
 			store.ServeHTTP(w, r)
 		}))
-		cache := NewMirror(client, "j/", 10*time.Millisecond)
+		cache := NewWatchCache(client, "j/", 10*time.Millisecond)
 		go cache.Run(ctx)
 		time.Sleep(time.Second)
 		blind.Store(true)
--- a/internal/worker/commander.go
+++ b/internal/worker/commander.go
@@ -17,15 +17,15 @@
 type Outcome int
 
 const (
-	// Carried means status 200: the commands were executed and the report shows the effects.
-	Carried Outcome = iota
-	// Refused means status 409: nothing was executed.
-	Refused
+	// Executed means status 200: the commands were executed and the report shows the effects.
+	Executed Outcome = iota
+	// Rejected means status 409: nothing was executed.
+	Rejected
 	// NotSent means that the worker did not get the commands and cannot get them later: no
 	// connection came about, or it calls the request malformed.
 	NotSent
-	// Uncertain means that the commands may have been, or may yet be, executed.
-	Uncertain
+	// OutcomeUnknown means that the commands may have been, or may yet be, executed.
+	OutcomeUnknown
 )
 
 // Commander sends commands straight to a worker's address. Quick starts go this way; what it cannot
@@ -37,11 +37,11 @@
 }
 
 // Send posts commands and returns the worker's report if it gave one.
-func (c *Commander) Send(ctx context.Context, addr string, token ids.Generation, session ids.Incarnation, orders []Order) (Outcome, *Report) {
+func (c *Commander) Send(ctx context.Context, addr string, token ids.Generation, session ids.Incarnation, commands []Command) (Outcome, *Report) {
 	ctx, cancel := context.WithTimeout(ctx, c.Timeout)
 	defer cancel()
 	measure.Process.Count("commands sent", 1)
-	request, err := newCommandRequest(ctx, addr, Reply{Token: token, Session: session, Orders: orders})
+	request, err := newCommandRequest(ctx, addr, CommandBatch{FencingToken: token, Incarnation: session, Commands: commands})
 	if err != nil {
 		return NotSent, nil
 	}
@@ -51,22 +51,22 @@
 	}
 	report, err := readReport(response)
 	if err != nil {
-		return Uncertain, nil
+		return OutcomeUnknown, nil
 	}
 	switch response.StatusCode {
 	case http.StatusOK:
-		return Carried, report
+		return Executed, report
 	case http.StatusConflict:
-		return Refused, report
+		return Rejected, report
 	case http.StatusBadRequest:
 		return NotSent, nil
 	}
-	return Uncertain, nil
+	return OutcomeUnknown, nil
 }
 
-func newCommandRequest(ctx context.Context, addr string, commands Reply) (*http.Request, error) {
-	if commands.Orders == nil {
-		commands.Orders = []Order{} // a list, if an empty one, whoever reads it
+func newCommandRequest(ctx context.Context, addr string, commands CommandBatch) (*http.Request, error) {
+	if commands.Commands == nil {
+		commands.Commands = []Command{} // a list, if an empty one, whoever reads it
 	}
 	raw, err := json.Marshal(commands)
 	if err != nil {
@@ -89,11 +89,11 @@
 	if errors.As(err, &operation) && operation.Op == "dial" {
 		return NotSent
 	}
-	return Uncertain
+	return OutcomeUnknown
 }
 
-// Show asks a worker for its report; nil when it does not answer in time.
-func (c *Commander) Show(ctx context.Context, addr string, timeout time.Duration) *Report {
+// FetchReport asks a worker for its report; nil when it does not answer in time.
+func (c *Commander) FetchReport(ctx context.Context, addr string, timeout time.Duration) *Report {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	measure.Process.Count("machines asked", 1)
--- a/internal/worker/commander_test.go
+++ b/internal/worker/commander_test.go
@@ -22,7 +22,7 @@
 		go machine.Run(ctx)
 		time.Sleep(100 * time.Millisecond)
 		commander := &Commander{HTTP: network.Client("a"), Timeout: time.Second}
-		start := []Order{{Verb: "start", Task: "job-1/0", Attempt: 1}}
+		start := []Command{{Verb: "start", Task: "job-1/0", Attempt: 1}}
 		for _, test := range []struct {
 			name       string
 			fate       fake.Fate
@@ -31,10 +31,10 @@
 			withReport bool
 		}{
 			{"no connection", fake.Refuse, leaderToken, NotSent, false},
-			{"request lost", fake.Swallow, leaderToken, Uncertain, false},
-			{"answer lost", fake.LoseAnswer, leaderToken, Uncertain, false},
-			{"answered", fake.Deliver, leaderToken, Carried, true},
-			{"older token", fake.Deliver, olderToken, Refused, true},
+			{"request lost", fake.Swallow, leaderToken, OutcomeUnknown, false},
+			{"answer lost", fake.LoseAnswer, leaderToken, OutcomeUnknown, false},
+			{"answered", fake.Deliver, leaderToken, Executed, true},
+			{"older token", fake.Deliver, olderToken, Rejected, true},
 		} {
 			network.SetRule(func(from, _ string, _ *http.Request, _ []byte) fake.Fate {
 				if from == "a" {
--- a/internal/worker/messages.go
+++ b/internal/worker/messages.go
@@ -8,24 +8,24 @@
 
 // The JSON names in this file are the workers' protocol; the Go names are the terms for them.
 
-// Piece is the status of a task as a worker reports it.
-type Piece struct {
+// TaskStatus is the status of a task as a worker reports it.
+type TaskStatus struct {
 	Task    string      `json:"piece"`
 	Attempt ids.Attempt `json:"try"`
-	Status  string      `json:"status"`
+	State   string      `json:"status"`
 	// Cause is why the task ended; empty while it has not.
 	Cause string `json:"cause,omitempty"`
-	// Saved tells that the task wrote a checkpoint before it ended.
-	Saved bool `json:"saved,omitempty"`
+	// Checkpointed tells that the task wrote a checkpoint before it ended.
+	Checkpointed bool `json:"saved,omitempty"`
 }
 
 // What a task's status can be.
 const (
-	Pulling  = "pulling"  // its image is being fetched
-	Waiting  = "waiting"  // for the other tasks of its gang
-	Running  = "running"  // it makes progress
-	Flushing = "flushing" // it was told to stop and writes a checkpoint
-	Ended    = "ended"    // see its cause; it stays in the reports until it is cleared
+	StatePulling       = "pulling"  // its image is being fetched
+	StateWaiting       = "waiting"  // for the other tasks of its gang
+	StateRunning       = "running"  // it makes progress
+	StateCheckpointing = "flushing" // it was told to stop and writes a checkpoint
+	StateExited        = "ended"    // see its cause; it stays in the reports until it is cleared
 )
 
 // What the cause of a task's end can be.
@@ -47,16 +47,16 @@
 	Type    string      `json:"build"`
 	Zone    string      `json:"yard"`
 	Spot    bool        `json:"loaners"`
-	// Session is the worker's incarnation: it rises whenever the worker's lease expires.
-	Session ids.Incarnation `json:"stint"`
-	// Tick is the report's sequence number.
-	Tick ids.SequenceNumber `json:"tick"`
-	// Token is the highest fencing token that the worker has seen.
-	Token ids.Generation `json:"baton"`
-	// Warning is the time left until a spot machine is terminated; nil without a notice.
-	Warning *ids.Seconds `json:"warningS"`
-	// Pieces are the statuses of all tasks on the machine.
-	Pieces []Piece `json:"pieces"`
+	// Incarnation is the worker's incarnation: it rises whenever the worker's lease expires.
+	Incarnation ids.Incarnation `json:"stint"`
+	// Sequence is the report's sequence number.
+	Sequence ids.SequenceNumber `json:"tick"`
+	// FencingToken is the highest fencing token that the worker has seen.
+	FencingToken ids.Generation `json:"baton"`
+	// SpotTerminationIn is the time left until a spot machine is terminated; nil without a notice.
+	SpotTerminationIn *ids.Seconds `json:"warningS"`
+	// Tasks are the statuses of all tasks on the machine.
+	Tasks []TaskStatus `json:"pieces"`
 }
 
 // The verbs of commands.
@@ -66,40 +66,40 @@
 	verbClear = "clear"
 )
 
-// Order is a command to a worker.
-type Order struct {
+// Command is a command to a worker.
+type Command struct {
 	Verb    string      `json:"verb"`
 	Task    string      `json:"piece"`
 	Attempt ids.Attempt `json:"try"`
-	// Leeway is the grace period of a stop; nil for other commands.
-	Leeway *ids.Seconds `json:"leewayS,omitempty"`
+	// GracePeriod is the grace period of a stop; nil for other commands.
+	GracePeriod *ids.Seconds `json:"leewayS,omitempty"`
 }
 
-// Start begins an attempt of a task.
-func Start(task ids.Task, attempt ids.Attempt) Order {
-	return Order{Verb: verbStart, Task: task.String(), Attempt: attempt}
+// StartCommand begins an attempt of a task.
+func StartCommand(task ids.Task, attempt ids.Attempt) Command {
+	return Command{Verb: verbStart, Task: task.String(), Attempt: attempt}
 }
 
-// Stop ends a task; a grace period of at least its checkpoint time lets it write a checkpoint.
-func Stop(task string, attempt ids.Attempt, grace ids.Seconds) Order {
-	return Order{Verb: verbStop, Task: task, Attempt: attempt, Leeway: &grace}
+// StopCommand ends a task; a grace period of at least its checkpoint time lets it write a checkpoint.
+func StopCommand(task string, attempt ids.Attempt, grace ids.Seconds) Command {
+	return Command{Verb: verbStop, Task: task, Attempt: attempt, GracePeriod: &grace}
 }
 
-// Clear takes a task that has ended out of the reports.
-func Clear(task string, attempt ids.Attempt) Order {
-	return Order{Verb: verbClear, Task: task, Attempt: attempt}
+// ClearCommand takes a task that has ended out of the reports.
+func ClearCommand(task string, attempt ids.Attempt) Command {
+	return Command{Verb: verbClear, Task: task, Attempt: attempt}
 }
 
-// Reply answers a heartbeat, or is the body of direct commands. A worker drops one whose fencing
+// CommandBatch answers a heartbeat, or is the body of direct commands. A worker drops one whose fencing
 // token is lower than the highest that it has seen.
-type Reply struct {
-	Token   ids.Generation  `json:"baton"`
-	Session ids.Incarnation `json:"stint,omitempty"`
-	Orders  []Order         `json:"orders"`
+type CommandBatch struct {
+	FencingToken ids.Generation  `json:"baton"`
+	Incarnation  ids.Incarnation `json:"stint,omitempty"`
+	Commands     []Command       `json:"orders"`
 }
 
 // Redirect is the body of an answer with status 421: the worker is to report to another controller.
 type Redirect struct {
-	// AnswerTo is that controller; empty if this one does not know it.
-	AnswerTo ids.Node `json:"answerTo,omitempty"`
+	// Node is that controller; empty if this one does not know it.
+	Node ids.Node `json:"answerTo,omitempty"`
 }
