--- a/internal/worker/registry.go
+++ b/internal/worker/registry.go
@@ -31,8 +31,8 @@
 	if machine == nil {
 		machine = &Machine{
 			Identity:     Identity{Name: name},
-			Liveness:     Liveness{Seen: now, LapseAt: notBefore},
-			Provisioning: Provisioning{Born: now, HeldSince: now, IdleSince: now, NeededAt: now},
+			Liveness:     Liveness{LastReportAt: now, LeaseExpiresAt: notBefore},
+			Provisioning: Provisioning{DiscoveredAt: now, ProvisionedAt: now, IdleSince: now, LastNeededAt: now},
 		}
 		r.Machines[name] = machine
 		r.sorted = nil
@@ -58,34 +58,34 @@
 
 // ReportResult is what a report means beside its list of tasks.
 type ReportResult struct {
-	Fresh bool // newer than all before; only then its list counts
-	Moved bool // the incarnation rose: all tasks of earlier ones are gone
+	Fresh     bool // newer than all before; only then its list counts
+	Restarted bool // the incarnation rose: all tasks of earlier ones are gone
 }
 
-// Note takes in a report. answered tells that the worker gets a 200 for it, which gives its lease
+// RecordReport takes in a report. answered tells that the worker gets a 200 for it, which gives its lease
 // full time from when it was sent, so at most from now. leaderToken is the present leader's fencing
 // token: a worker that has seen it drops the answers of every earlier leader, so that only ours
 // renew its lease.
-func (r *Registry) Note(machine *Machine, report *Report, now time.Time, answered bool, leaderToken ids.Generation) ReportResult {
+func (r *Registry) RecordReport(machine *Machine, report *Report, now time.Time, answered bool, leaderToken ids.Generation) ReportResult {
 	expiry := now.Add(r.lease.WithClockDrift())
 	if machine.isOutdated(report) {
-		if answered && report.Session == machine.Session {
-			machine.LapseAt = Later(machine.LapseAt, expiry)
+		if answered && report.Incarnation == machine.Incarnation {
+			machine.LeaseExpiresAt = Later(machine.LeaseExpiresAt, expiry)
 		}
 		return ReportResult{}
 	}
-	result := ReportResult{Fresh: true, Moved: machine.Heard && report.Session > machine.Session}
-	if !machine.Heard || result.Moved {
+	result := ReportResult{Fresh: true, Restarted: machine.HasReported && report.Incarnation > machine.Incarnation}
+	if !machine.HasReported || result.Restarted {
 		// The incarnation may have begun just now, and lasts a lease from then on even if none of
 		// its heartbeats is ever answered.
-		machine.LapseAt = Later(machine.LapseAt, expiry)
+		machine.LeaseExpiresAt = Later(machine.LeaseExpiresAt, expiry)
 	}
 	machine.update(report, now)
 	if answered {
-		if report.Token < leaderToken {
-			expiry = Later(machine.LapseAt, expiry)
+		if report.FencingToken < leaderToken {
+			expiry = Later(machine.LeaseExpiresAt, expiry)
 		}
-		machine.LapseAt, machine.HeartbeatAt = expiry, now
+		machine.LeaseExpiresAt, machine.LastAnsweredAt = expiry, now
 	}
 	machine.dropRejectedStarts()
 	return result
@@ -93,27 +93,27 @@
 
 // isOutdated tells that a report was overtaken by another one and says nothing new.
 func (m *Machine) isOutdated(report *Report) bool {
-	return m.Heard && (report.Session < m.Session || report.Session == m.Session && report.Tick <= m.Tick)
+	return m.HasReported && (report.Incarnation < m.Incarnation || report.Incarnation == m.Incarnation && report.Sequence <= m.Sequence)
 }
 
 // update takes over what a report says.
 func (m *Machine) update(report *Report, now time.Time) {
-	m.Heard, m.Booting = true, false
+	m.HasReported, m.Booting = true, false
 	m.Addr, m.Type, m.Zone, m.Spot = report.Addr, report.Type, report.Zone, report.Spot
-	m.Session, m.Tick, m.Token = report.Session, report.Tick, max(m.Token, report.Token)
-	m.Seen, m.Probes = now, 0
-	m.Pieces = report.Pieces
-	m.TakenAt = time.Time{}
-	if report.Warning != nil {
-		m.TakenAt = now.Add(report.Warning.Duration())
+	m.Incarnation, m.Sequence, m.FencingToken = report.Incarnation, report.Sequence, max(m.FencingToken, report.FencingToken)
+	m.LastReportAt, m.UnansweredProbes = now, 0
+	m.Tasks = report.Tasks
+	m.SpotTerminationAt = time.Time{}
+	if report.SpotTerminationIn != nil {
+		m.SpotTerminationAt = now.Add(report.SpotTerminationIn.Duration())
 	}
 }
 
 // dropRejectedStarts drops unanswered starts that the worker will not execute any more: it rejects
 // those of an earlier incarnation or with a lower fencing token.
 func (m *Machine) dropRejectedStarts() {
-	m.LateStarts = slices.DeleteFunc(m.LateStarts, func(start LateStart) bool {
-		return start.Session != m.Session || start.Token < m.Token
+	m.UnconfirmedStarts = slices.DeleteFunc(m.UnconfirmedStarts, func(start UnconfirmedStart) bool {
+		return start.Incarnation != m.Incarnation || start.FencingToken < m.FencingToken
 	})
 }
 
--- a/internal/worker/registry_test.go
+++ b/internal/worker/registry_test.go
@@ -9,27 +9,27 @@
 	now := time.Now()
 	registry := NewRegistry(20)
 	machine := registry.Ensure("m", now, now.Add(time.Minute))
-	if result := registry.Note(machine, &Report{Session: 2, Tick: 5, Token: 3}, now, true, 4); !result.Fresh {
+	if result := registry.RecordReport(machine, &Report{Incarnation: 2, Sequence: 5, FencingToken: 3}, now, true, 4); !result.Fresh {
 		t.Fatal("the first report is new")
 	}
-	if !machine.LapseAt.Equal(now.Add(time.Minute)) {
+	if !machine.LeaseExpiresAt.Equal(now.Add(time.Minute)) {
 		t.Error("before the worker has seen our token an earlier leader may still answer it")
 	}
-	if result := registry.Note(machine, &Report{Session: 1, Tick: 90}, now, false, 4); result.Fresh {
+	if result := registry.RecordReport(machine, &Report{Incarnation: 1, Sequence: 90}, now, false, 4); result.Fresh {
 		t.Error("a report of an earlier incarnation counted")
 	}
-	if result := registry.Note(machine, &Report{Session: 2, Tick: 5}, now, false, 4); result.Fresh {
+	if result := registry.RecordReport(machine, &Report{Incarnation: 2, Sequence: 5}, now, false, 4); result.Fresh {
 		t.Error("a report counted twice")
 	}
-	machine.LateStarts = []LateStart{{Task: "job-1/0", Attempt: 1, Token: 4, Session: 2}}
-	registry.Note(machine, &Report{Session: 2, Tick: 6, Token: 4}, now, true, 4)
-	if remaining := machine.LapseAt.Sub(now); remaining < 20*time.Second || remaining > 21*time.Second {
+	machine.UnconfirmedStarts = []UnconfirmedStart{{Task: "job-1/0", Attempt: 1, FencingToken: 4, Incarnation: 2}}
+	registry.RecordReport(machine, &Report{Incarnation: 2, Sequence: 6, FencingToken: 4}, now, true, 4)
+	if remaining := machine.LeaseExpiresAt.Sub(now); remaining < 20*time.Second || remaining > 21*time.Second {
 		t.Errorf("the lease surely expires after %v", remaining)
 	}
-	if !machine.MayRevive("job-1/0", 1) {
+	if !machine.MayRestart("job-1/0", 1) {
 		t.Error("the late start was forgotten too early")
 	}
-	if result := registry.Note(machine, &Report{Session: 3, Tick: 7, Token: 4}, now, false, 4); !result.Moved || machine.MayRevive("job-1/0", 1) {
+	if result := registry.RecordReport(machine, &Report{Incarnation: 3, Sequence: 7, FencingToken: 4}, now, false, 4); !result.Restarted || machine.MayRestart("job-1/0", 1) {
 		t.Error("a new incarnation rejects late starts")
 	}
 }
@@ -40,17 +40,17 @@
 	now := time.Now()
 	registry := NewRegistry(20)
 	machine := registry.Ensure("m", now, now.Add(-time.Minute))
-	registry.Note(machine, &Report{Session: 1, Tick: 1}, now, false, 4)
-	if remaining := machine.LapseAt.Sub(now); remaining < 20*time.Second {
+	registry.RecordReport(machine, &Report{Incarnation: 1, Sequence: 1}, now, false, 4)
+	if remaining := machine.LeaseExpiresAt.Sub(now); remaining < 20*time.Second {
 		t.Errorf("after its first report, it expires in %v", remaining)
 	}
 	now = now.Add(30 * time.Second)
-	registry.Note(machine, &Report{Session: 1, Tick: 2}, now, false, 4)
-	if machine.LapseAt.After(now) {
+	registry.RecordReport(machine, &Report{Incarnation: 1, Sequence: 2}, now, false, 4)
+	if machine.LeaseExpiresAt.After(now) {
 		t.Error("an answer to a probe renewed the lease")
 	}
-	registry.Note(machine, &Report{Session: 2, Tick: 3}, now, false, 4)
-	if remaining := machine.LapseAt.Sub(now); remaining < 20*time.Second {
+	registry.RecordReport(machine, &Report{Incarnation: 2, Sequence: 3}, now, false, 4)
+	if remaining := machine.LeaseExpiresAt.Sub(now); remaining < 20*time.Second {
 		t.Errorf("in a new incarnation, it expires in %v", remaining)
 	}
 }
