--- a/cmd/pebbletrail/controller.go
+++ b/cmd/pebbletrail/controller.go
@@ -117,16 +117,16 @@
 }
 
 // usersSite answers users and machines, and operators where operatorRoutes isn't nil.
-func (c *controller) usersSite(operatorRoutes func(*echo.Echo)) *intake.Site {
-	return &intake.Site{
-		Operators: operatorRoutes,
-		Version:   version,
-		Jobs: &intake.JobService{Set: c.settings, State: c.state, Jobs: c.shards.Jobs(), LeaderNotifier: c.link, Writer: c.incarnation,
-			Types: c.types.known},
-		Heartbeats: c.shards,
-		Ready:      c.ready,
-		Live:       c.link.Explain,
-		Status:     c.status,
+func (c *controller) usersSite(operatorRoutes func(*echo.Echo)) *intake.Server {
+	return &intake.Server{
+		OperatorRoutes: operatorRoutes,
+		Version:        version,
+		Jobs: &intake.JobService{Settings: c.settings, Store: c.state, Records: c.shards.Jobs(), LeaderNotifier: c.link, Writer: c.incarnation,
+			MachineTypes: c.types.known},
+		Heartbeats:      c.shards,
+		Ready:           c.ready,
+		ExplainByLeader: c.link.Explain,
+		NodeStatus:      c.status,
 	}
 }
 
--- a/cmd/pebbletrail/explain.go
+++ b/cmd/pebbletrail/explain.go
@@ -36,7 +36,7 @@
 // what holds now.
 func explanationText(explanation *intake.Explanation) string {
 	var text strings.Builder
-	fmt.Fprintf(&text, "%s: %s\n", explanation.UID, explanation.Status)
+	fmt.Fprintf(&text, "%s: %s\n", explanation.Job, explanation.Status)
 	for _, event := range explanation.Trail {
 		fmt.Fprintf(&text, "  %s  %s\n", event.At.Time().UTC().Format("15:04:05.000"), event.Message)
 	}
--- a/internal/intake/cancel.go
+++ b/internal/intake/cancel.go
@@ -40,7 +40,7 @@
 		if err != nil {
 			return jobSummary{}, false, err
 		}
-		epoch, err := s.State.Commit(ctx, write.txn, state.Sheddable)
+		epoch, err := s.Store.Commit(ctx, write.txn, state.Sheddable)
 		var conflict *state.ConflictError
 		switch {
 		case err == nil:
@@ -114,7 +114,7 @@
 	if !fits && !s.valueLimitFell.Load() {
 		// The record was written when values might be larger. As long as they may, it is
 		// stored where versions from before the lower limits look for it too.
-		value, fits = rec.Encode(int(s.Set.Params.State.CurrentValueKB * 1024))
+		value, fits = rec.Encode(int(s.Settings.Params.State.CurrentValueKB * 1024))
 		write.aboveLowerLimit = fits
 	}
 	if fits {
--- a/internal/intake/cluster_test.go
+++ b/internal/intake/cluster_test.go
@@ -41,12 +41,12 @@
 // start starts a node, or starts it again, which then remembers nothing.
 func (c *testCluster) start(name string) {
 	_, _, service := newJobService()
-	service.State = state.NewClient("state:1", c.net.Client(name), state.NewBudget(1000, 1000, 1, 0.6))
-	service.Jobs = state.NewWatchCache(service.State, record.JobPrefix, time.Second)
+	service.Store = state.NewClient("state:1", c.net.Client(name), state.NewBudget(1000, 1000, 1, 0.6))
+	service.Records = state.NewWatchCache(service.Store, record.JobPrefix, time.Second)
 	service.Writer = name
-	service.Set.Params.Teams = append(service.Set.Params.Teams, config.Team{Name: "blue", CPUsMax: 8})
+	service.Settings.Params.Teams = append(service.Settings.Params.Teams, config.Team{Name: "blue", CPUsMax: 8})
 	c.services[name] = service
-	c.nodes[name] = (&Site{Jobs: service, Ready: func() bool { return true }, Live: explainWithoutLeader}).Handler()
+	c.nodes[name] = (&Server{Jobs: service, Ready: func() bool { return true }, ExplainByLeader: explainWithoutLeader}).Handler()
 }
 
 // explainWithoutLeader is how the leader explains a job where there is none.
--- a/internal/intake/connection_limiter_test.go
+++ b/internal/intake/connection_limiter_test.go
@@ -49,7 +49,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		pipes := fake.NewPipes()
 		_, _, service := newJobService()
-		site := &Site{Jobs: service, Heartbeats: heartbeatStub{}, Ready: func() bool { return true }}
+		site := &Server{Jobs: service, Heartbeats: heartbeatStub{}, Ready: func() bool { return true }}
 		const workerCount = 100
 		limiter := &ConnectionLimiter{MaxConnections: 128, WorkerCount: func() int { return workerCount }, IdleTimeout: 20 * time.Second}
 		listener := pipes.Listen("a")
--- a/internal/intake/dependency_reader_test.go
+++ b/internal/intake/dependency_reader_test.go
@@ -48,7 +48,7 @@
 				cluster.storeJob("job-2", record.Queued)
 				end := begin(cluster)
 				for _, service := range cluster.services {
-					go service.State.ProbeHealth(t.Context(), record.KeysOf(0, 1).Generation())
+					go service.Store.ProbeHealth(t.Context(), record.KeysOf(0, 1).Generation())
 				}
 				expectRetryLater(t, cluster.nodes["b"], submissionWith("job-10", []string{"job-404"}))
 				expectRetryLater(t, cluster.nodes["b"], submissionWith("job-11", []string{"job-1", "job-2"}))
@@ -96,8 +96,8 @@
 				names = append(names, string(id))
 			}
 		}
-		cluster.services["b"].State = state.NewClient("state:1", cluster.net.Client("b"), state.NewBudget(50, 50, 5, 0.45))
-		cluster.services["b"].Jobs = state.NewWatchCache(cluster.services["b"].State, record.JobPrefix, time.Second)
+		cluster.services["b"].Store = state.NewClient("state:1", cluster.net.Client("b"), state.NewBudget(50, 50, 5, 0.45))
+		cluster.services["b"].Records = state.NewWatchCache(cluster.services["b"].Store, record.JobPrefix, time.Second)
 		calls := 0
 		cluster.net.SetRule(func(from, _ string, _ *http.Request, _ []byte) fake.Fate {
 			if from == "b" {
@@ -123,7 +123,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newTestCluster(t)
 		for _, service := range cluster.services {
-			service.Set.Params.State.ValueKB = 2
+			service.Settings.Params.State.ValueKB = 2
 		}
 		var names []string
 		for i := range 600 {
--- a/internal/intake/explain.go
+++ b/internal/intake/explain.go
@@ -12,14 +12,14 @@
 
 // Explanation is the answer of GET /v2/runs/{id}/explain.
 type Explanation struct {
-	UID    ids.Job `json:"uid"`
+	Job    ids.Job `json:"uid"`
 	Status string  `json:"status"`
 	// Trail is what happened to the job, oldest first.
 	Trail []record.Event `json:"trail"`
 	// Now is what the job waits for, and how the deadlines of its pipeline stand.
 	Now []string `json:"now,omitempty"`
-	// Owner is the leader that was asked; empty if none was.
-	Owner ids.Node `json:"owner,omitempty"`
+	// Leader is the leader that was asked; empty if none was.
+	Leader ids.Node `json:"owner,omitempty"`
 	// Note says what is missing in the explanation, and why.
 	Note string `json:"note,omitempty"`
 }
@@ -27,13 +27,13 @@
 // statusUnknown is the status in an explanation that the store could not confirm.
 const statusUnknown = "unknown"
 
-func (s *Site) explain(c echo.Context) error {
+func (s *Server) explain(c echo.Context) error {
 	return s.answerForJob(c, requestTimeout, s.explainJob)
 }
 
 // explainJob explains a job by its record. While the store does not answer, which is when operators
 // ask most, it tells what this controller knew last, and says so.
-func (s *Site) explainJob(ctx context.Context, id ids.Job) (explanation any, found bool, err error) {
+func (s *Server) explainJob(ctx context.Context, id ids.Job) (explanation any, found bool, err error) {
 	records := s.Jobs.records()
 	stored, err := records.current(ctx, id, state.Sheddable)
 	if err != nil {
@@ -41,7 +41,7 @@
 		if lastKnown == nil {
 			return nil, false, err
 		}
-		return Explanation{UID: id, Status: statusUnknown, Trail: lastKnown.Events,
+		return Explanation{Job: id, Status: statusUnknown, Trail: lastKnown.Events,
 			Note: "the state service does not answer this controller, which tells what it knew last; ask another one"}, true, nil
 	}
 	if !stored.exists() {
@@ -52,9 +52,9 @@
 
 // explainRecord tells a job's trail, the forecast of its pipeline, and, unless it is over or waits
 // for its dependencies, what the leader says of its tasks.
-func (s *Site) explainRecord(ctx context.Context, records *recordReader, rec *record.Record) Explanation {
+func (s *Server) explainRecord(ctx context.Context, records *recordReader, rec *record.Record) Explanation {
 	id := rec.Spec.ID
-	explanation := Explanation{UID: id, Status: string(summarize(rec).status), Trail: rec.Events}
+	explanation := Explanation{Job: id, Status: string(summarize(rec).status), Trail: rec.Events}
 	pipeline, err := newForecast(records).explain(ctx, rec)
 	if err != nil {
 		explanation.Note = err.Error()
@@ -63,7 +63,7 @@
 		explanation.Now = pipeline
 		return explanation
 	}
-	explanation.Now, explanation.Owner, err = s.Live(ctx, id)
+	explanation.Now, explanation.Leader, err = s.ExplainByLeader(ctx, id)
 	if err != nil {
 		explanation.Note = err.Error()
 	}
--- a/internal/intake/feasibility.go
+++ b/internal/intake/feasibility.go
@@ -14,7 +14,7 @@
 	if err := s.checkTeamLimits(spec); err != nil {
 		return err
 	}
-	offered := s.Types()
+	offered := s.MachineTypes()
 	if len(offered) == 0 {
 		return errUnavailable
 	}
@@ -31,7 +31,7 @@
 // checkTeamLimits rejects a job of which more must run at once than its team may ever use: all
 // tasks, or one of a job array.
 func (s *JobService) checkTeamLimits(spec *record.Spec) error {
-	team, known := s.Set.Team(spec.Team)
+	team, known := s.Settings.Team(spec.Team)
 	if !known {
 		return rejectedError{"unknown team " + spec.Team}
 	}
--- a/internal/intake/forecast_test.go
+++ b/internal/intake/forecast_test.go
@@ -61,7 +61,7 @@
 	// last job only, or of the wrong cause: the longest path counts, without what is done.
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newTestCluster(t)
-		go cluster.services["b"].State.ProbeHealth(t.Context(), record.KeysOf(0, 1).Generation())
+		go cluster.services["b"].Store.ProbeHealth(t.Context(), record.KeysOf(0, 1).Generation())
 		cluster.submitAll(submissionWithTimes("job-1", 30, 0), submissionWithTimes("job-2", 50, 0), submissionWithTimes("job-3", 20, 0, "job-1", "job-2"),
 			submissionWithTimes("job-4", 10, 100.4, "job-3", "job-1"), submissionWithTimes("job-5", 5, 300.4, "job-4"))
 		const hangs = "; it hangs on job-2 first"
--- a/internal/intake/intake_test.go
+++ b/internal/intake/intake_test.go
@@ -87,15 +87,15 @@
 	settings.Params.Teams = []config.Team{{Name: "red", CPUsMax: 8}}
 	client := state.NewClient("state:1", network.Client("a"), state.NewBudget(500, 500, 1, 0.6))
 	types := []placement.InstanceType{{Label: "small", Cores: 4, RAM: 16, Zones: []string{"north"}}}
-	return network, store, &JobService{Set: settings, State: client, Jobs: state.NewWatchCache(client, record.JobPrefix, time.Second),
-		LeaderNotifier: silentNotifier{}, Writer: "a", Types: func() []placement.InstanceType { return types }}
+	return network, store, &JobService{Settings: settings, Store: client, Records: state.NewWatchCache(client, record.JobPrefix, time.Second),
+		LeaderNotifier: silentNotifier{}, Writer: "a", MachineTypes: func() []placement.InstanceType { return types }}
 }
 
 // newSite is the HTTP side of such a node.
 func newSite() (*fake.Net, *fake.Store, http.Handler) {
 	network, store, service := newJobService()
-	return network, store, (&Site{Jobs: service, Ready: func() bool { return true }, Status: func() any { return nil },
-		Live: explainWithoutLeader}).Handler()
+	return network, store, (&Server{Jobs: service, Ready: func() bool { return true }, NodeStatus: func() any { return nil },
+		ExplainByLeader: explainWithoutLeader}).Handler()
 }
 
 // serve has a handler answer a request.
@@ -200,9 +200,9 @@
 			calls++
 			return fake.Deliver
 		})
-		service.State = state.NewClient("state:1", network.Client("a"), state.NewBudget(200, 50, 5, 0.45))
-		service.Jobs = state.NewWatchCache(service.State, record.JobPrefix, time.Second)
-		handler := (&Site{Jobs: service, Ready: func() bool { return true }}).Handler()
+		service.Store = state.NewClient("state:1", network.Client("a"), state.NewBudget(200, 50, 5, 0.45))
+		service.Records = state.NewWatchCache(service.Store, record.JobPrefix, time.Second)
+		handler := (&Server{Jobs: service, Ready: func() bool { return true }}).Handler()
 		if got := serve(handler, "POST", "/v2/runs", validSubmission()).Code; got != 201 {
 			t.Fatal(got)
 		}
@@ -241,7 +241,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		network, _, service := newJobService()
 		served := true
-		handler := (&Site{Jobs: service, Ready: func() bool { return served }}).Handler()
+		handler := (&Server{Jobs: service, Ready: func() bool { return served }}).Handler()
 		if got := serve(handler, "POST", "/v2/runs", validSubmission()).Code; got != 201 {
 			t.Fatal(got)
 		}
@@ -272,7 +272,7 @@
 	// Guards against a fleet in the middle of an upgrade whose controllers can't be told
 	// apart from outside.
 	synctest.Test(t, func(t *testing.T) {
-		handler := (&Site{Ready: func() bool { return true }, Version: "9.8.7"}).Handler()
+		handler := (&Server{Ready: func() bool { return true }, Version: "9.8.7"}).Handler()
 		if got := serve(handler, "GET", "/up", nil).Header().Get("Pebbletrail-Version"); got != "9.8.7" {
 			t.Errorf("the version told is %q", got)
 		}
--- a/internal/intake/job_service.go
+++ b/internal/intake/job_service.go
@@ -23,15 +23,15 @@
 // JobService carries out the users' requests on jobs. It reads and writes the records itself,
 // whichever controller leads. Its methods may be called from any goroutine.
 type JobService struct {
-	Set   *config.Settings
-	State *state.Client
-	// Jobs is this controller's copy of the records of unfinished jobs.
-	Jobs           *state.WatchCache
+	Settings *config.Settings
+	Store    *state.Client
+	// Records is this controller's copy of the records of unfinished jobs.
+	Records        *state.WatchCache
 	LeaderNotifier LeaderNotifier
 	// Writer is this controller's incarnation, stored with each record that it writes.
 	Writer string
-	// Types is the cloud's offer of machine types; empty while it is not known.
-	Types func() []placement.InstanceType
+	// MachineTypes is the cloud's offer of machine types; empty while it is not known.
+	MachineTypes func() []placement.InstanceType
 
 	// valueLimitFell is set once the store has refused a value of a size that it took before.
 	valueLimitFell atomic.Bool
@@ -40,7 +40,7 @@
 
 // records reads the job records for one request.
 func (s *JobService) records() *recordReader {
-	return &recordReader{store: s.State, mirror: s.Jobs, ended: &s.ended}
+	return &recordReader{store: s.Store, mirror: s.Records, ended: &s.ended}
 }
 
 // status answers a user's poll; found is false for a job that was never accepted.
@@ -56,4 +56,4 @@
 }
 
 // valueLimit is how many bytes a value in the store may have.
-func (s *JobService) valueLimit() int { return int(s.Set.Params.State.ValueKB * 1024) }
+func (s *JobService) valueLimit() int { return int(s.Settings.Params.State.ValueKB * 1024) }
--- a/internal/intake/listener.go
+++ b/internal/intake/listener.go
@@ -41,7 +41,7 @@
 }
 
 // Serve answers requests on a listener until it fails or closes, and returns why.
-func (s *Site) Serve(listener net.Listener, limiter *ConnectionLimiter) error {
+func (s *Server) Serve(listener net.Listener, limiter *ConnectionLimiter) error {
 	server := &http.Server{
 		Handler:           s.Handler(),
 		ReadHeaderTimeout: readHeaderTimeout,
@@ -57,7 +57,7 @@
 }
 
 // limit is the middleware that keeps each kind of caller to its part of the connections.
-func (s *Site) limit(from caller) echo.MiddlewareFunc {
+func (s *Server) limit(from caller) echo.MiddlewareFunc {
 	return func(next echo.HandlerFunc) echo.HandlerFunc {
 		return func(c echo.Context) error {
 			conn, ok := c.Request().Context().Value(limitedConnKey{}).(*limitedConn)
--- a/internal/intake/refusal.go
+++ b/internal/intake/refusal.go
@@ -25,7 +25,7 @@
 func errorBody(message string) map[string]string { return map[string]string{"error": message} }
 
 // answerError refuses a request: for good if the error is a rejectedError, else for now.
-func (s *Site) answerError(c echo.Context, err error) error {
+func (s *Server) answerError(c echo.Context, err error) error {
 	var rejected rejectedError
 	if errors.As(err, &rejected) {
 		return c.JSON(http.StatusUnprocessableEntity, errorBody(rejected.reason))
@@ -34,10 +34,10 @@
 }
 
 // answerUnavailable refuses a request for now and tells when to retry.
-func (s *Site) answerUnavailable(c echo.Context) error {
+func (s *Server) answerUnavailable(c echo.Context) error {
 	measure.Process.Count("users told to come back", 1)
-	after := s.Jobs.State.Budget().RetryAfter()
-	if s.Jobs.State.Unavailable() {
+	after := s.Jobs.Store.Budget().RetryAfter()
+	if s.Jobs.Store.Unavailable() {
 		after = outageRetryAfter
 	}
 	if !s.Ready() {
--- a/internal/intake/server.go
+++ b/internal/intake/server.go
@@ -20,19 +20,19 @@
 	Heartbeat(ctx context.Context, rep *worker.Report) (*worker.CommandBatch, int, worker.Redirect)
 }
 
-// Site is the HTTP interface of a controller: for users, for workers' heartbeats, for health
+// Server is the HTTP interface of a controller: for users, for workers' heartbeats, for health
 // checks and for operators.
-type Site struct {
+type Server struct {
 	Jobs       *JobService
 	Heartbeats Heartbeats
 	// Ready reports whether the controller can take requests.
 	Ready func() bool
-	// Live explains a job as the leader sees it, and names the leader.
-	Live func(ctx context.Context, id ids.Job) (lines []string, leader ids.Node, err error)
-	// Status describes the controller.
-	Status func() any
-	// Operators adds routes for operators; nil: there are none.
-	Operators func(*echo.Echo)
+	// ExplainByLeader explains a job as the leader sees it, and names the leader.
+	ExplainByLeader func(ctx context.Context, id ids.Job) (lines []string, leader ids.Node, err error)
+	// NodeStatus describes the controller.
+	NodeStatus func() any
+	// OperatorRoutes adds routes for operators; nil: there are none.
+	OperatorRoutes func(*echo.Echo)
 	// Version is the program's, told with the answers to health checks: while it is
 	// being replaced the controllers are told apart by it.
 	Version string
@@ -51,7 +51,7 @@
 const heartbeatBodyLimit = 16 << 20
 
 // Handler builds the routes.
-func (s *Site) Handler() http.Handler {
+func (s *Server) Handler() http.Handler {
 	e := echo.New()
 	e.HideBanner = true
 	e.POST("/agent/beat", s.heartbeat, s.limit(workerHeartbeat))
@@ -62,13 +62,13 @@
 	e.POST("/v2/runs/:id/cancel", s.cancel, users)
 	e.GET("/v2/runs/:id/explain", s.explain, users)
 	e.GET("/v2/status", s.nodeStatus, s.limit(unknown))
-	if s.Operators != nil {
-		s.Operators(e)
+	if s.OperatorRoutes != nil {
+		s.OperatorRoutes(e)
 	}
 	return e
 }
 
-func (s *Site) health(c echo.Context) error {
+func (s *Server) health(c echo.Context) error {
 	c.Response().Header().Set(versionHeader, s.Version)
 	if !s.Ready() {
 		return c.NoContent(http.StatusServiceUnavailable)
@@ -76,9 +76,9 @@
 	return c.NoContent(http.StatusOK)
 }
 
-func (s *Site) nodeStatus(c echo.Context) error { return c.JSON(http.StatusOK, s.Status()) }
+func (s *Server) nodeStatus(c echo.Context) error { return c.JSON(http.StatusOK, s.NodeStatus()) }
 
-func (s *Site) heartbeat(c echo.Context) error {
+func (s *Server) heartbeat(c echo.Context) error {
 	report := &worker.Report{}
 	body := io.LimitReader(c.Request().Body, heartbeatBodyLimit)
 	if err := json.NewDecoder(body).Decode(report); err != nil || report.Machine == "" {
@@ -91,7 +91,7 @@
 	return c.JSON(status, redirect)
 }
 
-func (s *Site) submit(c echo.Context) error {
+func (s *Server) submit(c echo.Context) error {
 	ctx, cancel := context.WithTimeout(c.Request().Context(), requestTimeout)
 	defer cancel()
 	spec, err := parse(c.Request().Body)
@@ -110,7 +110,7 @@
 	return c.JSON(http.StatusCreated, summary.answer())
 }
 
-func (s *Site) status(c echo.Context) error {
+func (s *Server) status(c echo.Context) error {
 	return s.answerForJob(c, statusTimeout, func(ctx context.Context, id ids.Job) (any, bool, error) {
 		defer measure.Process.Took("poll", time.Now())
 		summary, found, err := s.Jobs.status(ctx, id)
@@ -118,7 +118,7 @@
 	})
 }
 
-func (s *Site) cancel(c echo.Context) error {
+func (s *Server) cancel(c echo.Context) error {
 	return s.answerForJob(c, requestTimeout, func(ctx context.Context, id ids.Job) (any, bool, error) {
 		summary, found, err := s.Jobs.cancel(ctx, id)
 		return summary.answer(), found, err
@@ -126,7 +126,7 @@
 }
 
 // answerForJob answers a request about the job that its path names, within a timeout.
-func (s *Site) answerForJob(c echo.Context, timeout time.Duration, answer func(context.Context, ids.Job) (body any, found bool, err error)) error {
+func (s *Server) answerForJob(c echo.Context, timeout time.Duration, answer func(context.Context, ids.Job) (body any, found bool, err error)) error {
 	id, err := ids.ParseJob(c.Param("id"))
 	if err != nil {
 		return answerNoSuchJob(c)
--- a/internal/intake/submit.go
+++ b/internal/intake/submit.go
@@ -47,11 +47,11 @@
 
 // storeSubmission writes a new job's record, unless there is a record of the job already.
 func (s *JobService) storeSubmission(ctx context.Context, rec *record.Record, key string, value json.RawMessage) (summary jobSummary, known bool, err error) {
-	if s.State.Unavailable() {
+	if s.Store.Unavailable() {
 		return jobSummary{}, false, errStoreSilent
 	}
 	id := rec.Spec.ID
-	epoch, err := s.State.Commit(ctx, state.Txn{
+	epoch, err := s.Store.Commit(ctx, state.Txn{
 		Conditions: []state.Condition{{Key: record.JobKey(id)}, {Key: record.WaitKey(id)}, {Key: record.EndKey(id)}},
 		Ops:        []state.Op{{Put: key, Value: value}},
 	}, state.Sheddable)
@@ -89,5 +89,5 @@
 // room in the value for the job's assignments.
 func (s *JobService) encodeClaimable(rec record.Record) (value json.RawMessage, fits bool) {
 	rec.Spec.DependsOn = nil
-	return rec.Encode(int(s.Set.Params.State.ValueKB * 1024 * record.MaxSpecShare))
+	return rec.Encode(int(s.Settings.Params.State.ValueKB * 1024 * record.MaxSpecShare))
 }
--- a/internal/scenarios/drain_cluster_test.go
+++ b/internal/scenarios/drain_cluster_test.go
@@ -238,10 +238,10 @@
 		Installation: func() rollout.Installation {
 			return rollout.Installation{Zones: settings.Params.Zones, Types: []string{"small"}, Shards: settings.ShardCount()}
 		}}
-	jobs := &intake.JobService{Set: settings, State: store, Jobs: n.pool.Jobs(), LeaderNotifier: n, Writer: writer, Types: types}
-	c.net.Listen(name+":8080", (&intake.Site{Jobs: jobs, Heartbeats: n.pool, Ready: func() bool { return true },
-		Live:   func(context.Context, ids.Job) ([]string, ids.Node, error) { return nil, "", nil },
-		Status: func() any { return nil }}).Handler())
+	jobs := &intake.JobService{Settings: settings, Store: store, Records: n.pool.Jobs(), LeaderNotifier: n, Writer: writer, MachineTypes: types}
+	c.net.Listen(name+":8080", (&intake.Server{Jobs: jobs, Heartbeats: n.pool, Ready: func() bool { return true },
+		ExplainByLeader: func(context.Context, ids.Job) ([]string, ids.Node, error) { return nil, "", nil },
+		NodeStatus:      func() any { return nil }}).Handler())
 	c.mu.Lock()
 	c.up[name] = n
 	c.mu.Unlock()
--- a/internal/scenarios/shards_test.go
+++ b/internal/scenarios/shards_test.go
@@ -107,10 +107,10 @@
 		pool.Peers = shardPeers{cluster: c}
 		pool.OnTerm = func(_ context.Context, term *election.Term) { term.Cluster.SetMachineTypes(types()) }
 	}
-	jobs := &intake.JobService{Set: settings, State: store, Jobs: n.shards.Jobs(), LeaderNotifier: shardPeers{cluster: c}, Writer: writer, Types: types}
-	c.net.Listen(name+":8080", (&intake.Site{Jobs: jobs, Heartbeats: n.shards, Ready: func() bool { return true },
-		Live:   func(context.Context, ids.Job) ([]string, ids.Node, error) { return nil, "", nil },
-		Status: func() any { return nil }}).Handler())
+	jobs := &intake.JobService{Settings: settings, Store: store, Records: n.shards.Jobs(), LeaderNotifier: shardPeers{cluster: c}, Writer: writer, MachineTypes: types}
+	c.net.Listen(name+":8080", (&intake.Server{Jobs: jobs, Heartbeats: n.shards, Ready: func() bool { return true },
+		ExplainByLeader: func(context.Context, ids.Job) ([]string, ids.Node, error) { return nil, "", nil },
+		NodeStatus:      func() any { return nil }}).Handler())
 	c.mu.Lock()
 	c.up[name] = n
 	c.mu.Unlock()
--- a/internal/scenarios/test_cluster_test.go
+++ b/internal/scenarios/test_cluster_test.go
@@ -157,10 +157,10 @@
 			}
 		}
 	}
-	n.jobs = &intake.JobService{Set: settings, State: store, Jobs: n.pool.Jobs(), LeaderNotifier: n, Writer: writer, Types: types}
-	w.net.Listen(name+":8080", (&intake.Site{Jobs: n.jobs, Heartbeats: n.pool, Ready: func() bool { return true },
-		Live:   func(context.Context, ids.Job) ([]string, ids.Node, error) { return nil, "", nil },
-		Status: func() any { return nil }}).Handler())
+	n.jobs = &intake.JobService{Settings: settings, Store: store, Records: n.pool.Jobs(), LeaderNotifier: n, Writer: writer, MachineTypes: types}
+	w.net.Listen(name+":8080", (&intake.Server{Jobs: n.jobs, Heartbeats: n.pool, Ready: func() bool { return true },
+		ExplainByLeader: func(context.Context, ids.Job) ([]string, ids.Node, error) { return nil, "", nil },
+		NodeStatus:      func() any { return nil }}).Handler())
 	w.mu.Lock()
 	w.nodes[name] = n
 	w.mu.Unlock()
