--- a/cmd/pebbletrail/controller.go
+++ b/cmd/pebbletrail/controller.go
@@ -155,7 +155,7 @@
 	}
 	provisioner.OnMachineTypes = func(types []placement.InstanceType) { c.types.store(ctx, term.Committer, types) }
 	if c.rollouts != nil && c.settings.ShardCount() == 1 {
-		runner := &rollout.Runner{Copy: c.rollouts, Store: term.Committer, Fleet: term.Cluster, Writer: c.incarnation, Limits: c.storeLimits()}
+		runner := &rollout.Runner{Mirror: c.rollouts, Store: term.Committer, Fleet: term.Cluster, Writer: c.incarnation, Limits: c.storeLimits()}
 		go runner.Run(ctx)
 	}
 	provisioner.Adopt(term.OpenHires)
@@ -164,7 +164,7 @@
 
 // drainService carries out the operators' commands on rollouts.
 func (c *controller) drainService() *rollout.Service {
-	return &rollout.Service{Copy: c.rollouts, State: c.state, Leader: c.link, Writer: c.incarnation, Limits: c.storeLimits(),
+	return &rollout.Service{Mirror: c.rollouts, Client: c.state, Leader: c.link, Writer: c.incarnation, Limits: c.storeLimits(),
 		Installation: c.installation}
 }
 
--- a/cmd/pebbletrail/drain.go
+++ b/cmd/pebbletrail/drain.go
@@ -16,9 +16,9 @@
 		command rollout.Command
 		short   string
 	}{
-		{rollout.PauseIt, "Stops nothing more until it is resumed; machines stay closed to new work"},
-		{rollout.ResumeIt, "Goes on with a rollout that was paused or has halted"},
-		{rollout.AbortIt, "Ends a rollout; what is not empty yet goes back into service"},
+		{rollout.CommandPause, "Stops nothing more until it is resumed; machines stay closed to new work"},
+		{rollout.CommandResume, "Goes on with a rollout that was paused or has halted"},
+		{rollout.CommandAbort, "Ends a rollout; what is not empty yet goes back into service"},
 	} {
 		command.AddCommand(drainStateCommand(change.command, change.short))
 	}
--- a/cmd/pebbletrail/rollout_flags.go
+++ b/cmd/pebbletrail/rollout_flags.go
@@ -29,7 +29,7 @@
 	flags.IntVar(&f.spec.WaveSize, "wave", 1, "machines in a wave")
 	flags.DurationVar(&f.pause, "pause", 0, "between waves")
 	flags.DurationVar(&f.deadline, "deadline", 10*time.Minute, "of a step: until a replacement has to be up, and --at-deadline applies")
-	flags.StringVar(&f.atDeadline, "at-deadline", string(rollout.Wait), "what becomes of tasks that can't save: wait or stop")
+	flags.StringVar(&f.atDeadline, "at-deadline", string(rollout.WaitAtDeadline), "what becomes of tasks that can't save: wait or stop")
 	flags.DurationVar(&f.observe, "observe", time.Minute, "how long replacements are watched before the next wave")
 }
 
--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -10,15 +10,15 @@
 
 // Budget is the disruption budget of a team: how much of its work may be disrupted at a time.
 type Budget struct {
-	// Replicas is how many replicas of services may be unavailable; nil: no absolute limit.
-	Replicas *int
-	// Percent is what share of the desired replicas may be unavailable, rounded down; nil: no
+	// MaxUnavailable is how many replicas of services may be unavailable; nil: no absolute limit.
+	MaxUnavailable *int
+	// MaxUnavailablePercent is what share of the desired replicas may be unavailable, rounded down; nil: no
 	// relative limit. With both, the smaller counts.
-	Percent *int
-	// Interrupted is how many other tasks may be interrupted.
-	Interrupted int
-	// LastReplica tells that a service's last ready replica may be stopped.
-	LastReplica bool
+	MaxUnavailablePercent *int
+	// MaxInterrupted is how many other tasks may be interrupted.
+	MaxInterrupted int
+	// AllowLastReplica tells that a service's last ready replica may be stopped.
+	AllowLastReplica bool
 }
 
 // The default of a team without a setting.
@@ -31,19 +31,19 @@
 // last replica of a service.
 func Default() Budget {
 	replicas := defaultReplicas
-	return Budget{Replicas: &replicas, Interrupted: defaultInterrupted}
+	return Budget{MaxUnavailable: &replicas, MaxInterrupted: defaultInterrupted}
 }
 
 // Check reports a budget that is impossible, by the names of the settings.
 func (b Budget) Check() error {
 	switch {
-	case b.Replicas != nil && *b.Replicas < 0:
-		return fmt.Errorf("replicas_down: must be zero or more: %d", *b.Replicas)
-	case b.Percent != nil && (*b.Percent < 0 || *b.Percent > 100):
-		return fmt.Errorf("replicas_down_percent: must be 0 to 100: %d", *b.Percent)
-	case b.Interrupted < 0:
-		return fmt.Errorf("tasks_interrupted: must be zero or more: %d", b.Interrupted)
-	case b.LastReplica && b.forbidsReplicas():
+	case b.MaxUnavailable != nil && *b.MaxUnavailable < 0:
+		return fmt.Errorf("replicas_down: must be zero or more: %d", *b.MaxUnavailable)
+	case b.MaxUnavailablePercent != nil && (*b.MaxUnavailablePercent < 0 || *b.MaxUnavailablePercent > 100):
+		return fmt.Errorf("replicas_down_percent: must be 0 to 100: %d", *b.MaxUnavailablePercent)
+	case b.MaxInterrupted < 0:
+		return fmt.Errorf("tasks_interrupted: must be zero or more: %d", b.MaxInterrupted)
+	case b.AllowLastReplica && b.forbidsReplicas():
 		return fmt.Errorf("last_replica: contradicts a budget that lets no replica be down")
 	}
 	return nil
@@ -51,17 +51,17 @@
 
 // forbidsReplicas reports whether no replica may be stopped, however many there are.
 func (b Budget) forbidsReplicas() bool {
-	return b.Replicas != nil && *b.Replicas == 0 || b.Percent != nil && *b.Percent == 0
+	return b.MaxUnavailable != nil && *b.MaxUnavailable == 0 || b.MaxUnavailablePercent != nil && *b.MaxUnavailablePercent == 0
 }
 
-// Down is how many of the desired replicas may be unavailable at a time.
-func (b Budget) Down(desired int) int {
+// UnavailableAllowed is how many of the desired replicas may be unavailable at a time.
+func (b Budget) UnavailableAllowed(desired int) int {
 	maxUnavailable := desired
-	if b.Replicas != nil {
-		maxUnavailable = min(maxUnavailable, *b.Replicas)
+	if b.MaxUnavailable != nil {
+		maxUnavailable = min(maxUnavailable, *b.MaxUnavailable)
 	}
-	if b.Percent != nil {
-		maxUnavailable = min(maxUnavailable, desired**b.Percent/100)
+	if b.MaxUnavailablePercent != nil {
+		maxUnavailable = min(maxUnavailable, desired**b.MaxUnavailablePercent/100)
 	}
 	return maxUnavailable
 }
--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -12,26 +12,26 @@
 
 // replicaRequest asks for the eviction of one replica.
 func replicaRequest(team string, service ids.Job, ready bool) Request {
-	return Request{Team: team, Job: service, Service: true, Up: ready}
+	return Request{Team: team, Job: service, Service: true, Ready: ready}
 }
 
 func TestReplicaIsReadyOnlyWhenKnownToBe(t *testing.T) {
 	now := time.Now()
-	rules := Readiness{RunningFor: 5 * time.Second, HeardWithin: 3 * time.Second}
-	ready := Replica{Running: true, RunningSince: now.Add(-5 * time.Second), HeardAt: now.Add(-3 * time.Second)}
-	if !rules.Up(ready, now) {
+	rules := Readiness{MinRunning: 5 * time.Second, MaxHeartbeatAge: 3 * time.Second}
+	ready := Replica{Running: true, RunningSince: now.Add(-5 * time.Second), LastHeartbeat: now.Add(-3 * time.Second)}
+	if !rules.IsReady(ready, now) {
 		t.Error("a ready replica counts as unavailable")
 	}
 	for name, change := range map[string]func(*Replica){
 		"not running":                 func(r *Replica) { r.Running = false },
 		"not running for long enough": func(r *Replica) { r.RunningSince = r.RunningSince.Add(time.Millisecond) },
-		"no recent heartbeat":         func(r *Replica) { r.HeardAt = r.HeardAt.Add(-time.Millisecond) },
-		"being terminated":            func(r *Replica) { r.Leaving = true },
+		"no recent heartbeat":         func(r *Replica) { r.LastHeartbeat = r.LastHeartbeat.Add(-time.Millisecond) },
+		"being terminated":            func(r *Replica) { r.Terminating = true },
 	} {
 		t.Run(name, func(t *testing.T) {
 			changed := ready
 			change(&changed)
-			if rules.Up(changed, now) {
+			if rules.IsReady(changed, now) {
 				t.Error("counts as ready")
 			}
 		})
@@ -47,16 +47,16 @@
 		request        Request
 		denied         string
 	}{
-		{"a number", Budget{Replicas: pointerTo(2)}, 5, 4, 0, replicaRequest("red", "s", true), ""},
-		{"a number used up by a fault", Budget{Replicas: pointerTo(1)}, 5, 4, 0, replicaRequest("red", "s", true), "1 of its 5 replicas are down, of at most 1"},
-		{"a share", Budget{Percent: pointerTo(40)}, 5, 4, 0, replicaRequest("red", "s", true), ""},
-		{"a share, rounded down", Budget{Percent: pointerTo(39)}, 5, 4, 0, replicaRequest("red", "s", true), "of at most 1"},
-		{"the smaller counts", Budget{Replicas: pointerTo(3), Percent: pointerTo(20)}, 5, 4, 0, replicaRequest("red", "s", true), "of at most 1"},
-		{"zero", Budget{Replicas: pointerTo(0)}, 5, 5, 0, replicaRequest("red", "s", true), "of at most 0"},
-		{"one that starts is down already", Budget{Replicas: pointerTo(1)}, 5, 4, 0, replicaRequest("red", "s", false), ""},
-		{"one that starts, beside another", Budget{Replicas: pointerTo(1)}, 5, 3, 0, replicaRequest("red", "s", false), "2 of its 5"},
+		{"a number", Budget{MaxUnavailable: pointerTo(2)}, 5, 4, 0, replicaRequest("red", "s", true), ""},
+		{"a number used up by a fault", Budget{MaxUnavailable: pointerTo(1)}, 5, 4, 0, replicaRequest("red", "s", true), "1 of its 5 replicas are down, of at most 1"},
+		{"a share", Budget{MaxUnavailablePercent: pointerTo(40)}, 5, 4, 0, replicaRequest("red", "s", true), ""},
+		{"a share, rounded down", Budget{MaxUnavailablePercent: pointerTo(39)}, 5, 4, 0, replicaRequest("red", "s", true), "of at most 1"},
+		{"the smaller counts", Budget{MaxUnavailable: pointerTo(3), MaxUnavailablePercent: pointerTo(20)}, 5, 4, 0, replicaRequest("red", "s", true), "of at most 1"},
+		{"zero", Budget{MaxUnavailable: pointerTo(0)}, 5, 5, 0, replicaRequest("red", "s", true), "of at most 0"},
+		{"one that starts is down already", Budget{MaxUnavailable: pointerTo(1)}, 5, 4, 0, replicaRequest("red", "s", false), ""},
+		{"one that starts, beside another", Budget{MaxUnavailable: pointerTo(1)}, 5, 3, 0, replicaRequest("red", "s", false), "2 of its 5"},
 		{"the last replica", Default(), 1, 1, 0, replicaRequest("red", "s", true), "last replica of s"},
-		{"the last replica, allowed", Budget{Replicas: pointerTo(1), LastReplica: true}, 1, 1, 0, replicaRequest("red", "s", true), ""},
+		{"the last replica, allowed", Budget{MaxUnavailable: pointerTo(1), AllowLastReplica: true}, 1, 1, 0, replicaRequest("red", "s", true), ""},
 		{"another task", Default(), 0, 0, 0, Request{Team: "red", Job: "a", Tasks: 1}, ""},
 		{"another task too many", Default(), 0, 0, 1, Request{Team: "red", Job: "a", Tasks: 1}, "1 tasks are interrupted"},
 		{"a gang counts whole", Default(), 0, 0, 0, Request{Team: "red", Job: "g", Tasks: 2}, "2 more would be"},
@@ -109,7 +109,7 @@
 			t.Errorf("with %d of 3 ready: %v", c.ready, denial)
 		}
 	}
-	meter := NewMeter(NewBudgets(Budget{Replicas: pointerTo(3)}, nil))
+	meter := NewMeter(NewBudgets(Budget{MaxUnavailable: pointerTo(3)}, nil))
 	meter.CountService("red", "r", 3, 0)
 	if meter.Confirm(request) == nil {
 		t.Error("the last replica is stopped after the others failed")
@@ -118,10 +118,10 @@
 
 func TestImpossibleBudgetsAreRejected(t *testing.T) {
 	for name, budget := range map[string]Budget{
-		"a negative number":         {Replicas: pointerTo(-1)},
-		"over a hundred percent":    {Percent: pointerTo(101)},
-		"negative interruptions":    {Interrupted: -1},
-		"the last of none that may": {Replicas: pointerTo(0), LastReplica: true},
+		"a negative number":         {MaxUnavailable: pointerTo(-1)},
+		"over a hundred percent":    {MaxUnavailablePercent: pointerTo(101)},
+		"negative interruptions":    {MaxInterrupted: -1},
+		"the last of none that may": {MaxUnavailable: pointerTo(0), AllowLastReplica: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if budget.Check() == nil {
--- a/internal/budget/meter.go
+++ b/internal/budget/meter.go
@@ -55,8 +55,8 @@
 	Job  ids.Job
 	// Service tells a replica from other tasks.
 	Service bool
-	// Up tells that the replica is ready: then one more becomes unavailable.
-	Up bool
+	// Ready tells that the replica is ready: then one more becomes unavailable.
+	Ready bool
 	// Tasks is how many tasks of a job that is no service are interrupted.
 	Tasks int
 }
@@ -94,8 +94,8 @@
 	return denials
 }
 
-// Try tells what Permit would refuse, and counts nothing.
-func (m *Meter) Try(requests ...Request) []Denial {
+// DryRun tells what Permit would refuse, and counts nothing.
+func (m *Meter) DryRun(requests ...Request) []Denial {
 	denials := m.Permit(requests...)
 	if len(denials) == 0 {
 		m.revoke(requests)
@@ -110,7 +110,7 @@
 		switch {
 		case !request.Service:
 			used.interrupted -= request.Tasks
-		case request.Up:
+		case request.Ready:
 			used.unavailable--
 			m.ready[request.Job]++
 		}
@@ -123,9 +123,9 @@
 		return m.grantReplica(request)
 	}
 	used, budget := m.usage(request.Team), m.budgets.Of(request.Team)
-	if used.interrupted+request.Tasks > budget.Interrupted {
+	if used.interrupted+request.Tasks > budget.MaxInterrupted {
 		return denied(request, "%d tasks are interrupted and %d more would be, of at most %d at a time",
-			used.interrupted, request.Tasks, budget.Interrupted)
+			used.interrupted, request.Tasks, budget.MaxInterrupted)
 	}
 	used.interrupted += request.Tasks
 	return nil
@@ -136,17 +136,17 @@
 func (m *Meter) grantReplica(request Request) *Denial {
 	used, budget := m.usage(request.Team), m.budgets.Of(request.Team)
 	unavailable := used.unavailable
-	if request.Up {
+	if request.Ready {
 		unavailable++
 	}
-	if maxUnavailable := budget.Down(used.desired); unavailable > maxUnavailable {
+	if maxUnavailable := budget.UnavailableAllowed(used.desired); unavailable > maxUnavailable {
 		return denied(request, "%d of its %d replicas are down, of at most %d at a time",
 			used.unavailable, used.desired, maxUnavailable)
 	}
-	if !request.Up {
+	if !request.Ready {
 		return nil
 	}
-	if m.ready[request.Job] <= 1 && !budget.LastReplica {
+	if m.ready[request.Job] <= 1 && !budget.AllowLastReplica {
 		return denied(request, "it would stop the last replica of %s that is up", request.Job)
 	}
 	used.unavailable = unavailable
@@ -159,14 +159,14 @@
 // task stays counted as unavailable, and the eviction waits.
 func (m *Meter) Confirm(request Request) *Denial {
 	used, budget := m.usage(request.Team), m.budgets.Of(request.Team)
-	maxUnavailable := budget.Down(used.desired)
+	maxUnavailable := budget.UnavailableAllowed(used.desired)
 	switch {
-	case !request.Service && used.interrupted > budget.Interrupted:
-		return denied(request, "%d tasks are interrupted, of at most %d at a time", used.interrupted, budget.Interrupted)
+	case !request.Service && used.interrupted > budget.MaxInterrupted:
+		return denied(request, "%d tasks are interrupted, of at most %d at a time", used.interrupted, budget.MaxInterrupted)
 	case request.Service && used.unavailable > maxUnavailable:
 		return denied(request, "%d of its %d replicas are down since the permit, of at most %d at a time",
 			used.unavailable, used.desired, maxUnavailable)
-	case request.Service && request.Up && m.ready[request.Job] < 1 && !budget.LastReplica:
+	case request.Service && request.Ready && m.ready[request.Job] < 1 && !budget.AllowLastReplica:
 		return denied(request, "the other replicas of %s are down since the permit", request.Job)
 	}
 	return nil
--- a/internal/claim/allowances.go
+++ b/internal/claim/allowances.go
@@ -30,14 +30,14 @@
 func (c *ClusterState) HandleAllowanceChange(change state.Change) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.quota.Learn(change)
+	c.quota.Apply(change)
 	signal(c.planSignal)
 }
 
 // ExchangeAllowances moves allowances between the shards until the context ends, under a condition
 // that each write carries.
 func (c *ClusterState) ExchangeAllowances(ctx context.Context, store *state.Client, fence func() state.Condition, interval time.Duration) {
-	quota.NewExchange(c.quota, store, &c.mu, fence).Run(ctx, interval)
+	quota.NewRebalancer(c.quota, store, &c.mu, fence).Run(ctx, interval)
 }
 
 // QuotaFaults tells of each team that gets no new grants why.
--- a/internal/claim/cluster_state.go
+++ b/internal/claim/cluster_state.go
@@ -47,7 +47,7 @@
 	drains    *drainState // what rollouts want; nil where drains are off
 	termBegan time.Time   // the term
 
-	quota *quota.Book // what each team uses and may still have
+	quota *quota.Tracker // what each team uses and may still have
 	// shortageSince is since when the cloud refuses what waiting jobs need, othersLack whether
 	// another shard tells the same, and gaveUp when a machine was last given up for that.
 	shortageSince, releasedAt time.Time
@@ -110,7 +110,7 @@
 		jobs: workload.NewQueue(), changes: workload.NewChanges(),
 		leaving:          map[ids.Machine]bool{},
 		pendingCommands:  map[*capacity.Node]bool{},
-		quota:            quota.NewBook(shard, settings.ShardCount(), teamLimits(settings), processStart),
+		quota:            quota.NewTracker(shard, settings.ShardCount(), teamLimits(settings), processStart),
 		trustSilence:     trustSilence,
 		usage:            map[string]*classUsage{},
 		terminated:       map[ids.Machine]bool{},
--- a/internal/claim/cluster_state_test.go
+++ b/internal/claim/cluster_state_test.go
@@ -34,7 +34,7 @@
 // setTeams replaces the teams of the settings.
 func (c *ClusterState) setTeams(teams ...config.Team) {
 	c.settings.Params.Teams = teams
-	c.quota = quota.NewBook(0, 1, teamLimits(c.settings), 0)
+	c.quota = quota.NewTracker(0, 1, teamLimits(c.settings), 0)
 	c.scheduler.Quota = c.quota
 }
 
@@ -766,7 +766,7 @@
 	b.HandleRecord("job-1", 26, marked(6), now)
 	b.HandleRecord("job-1", 27, nil, now)
 	b.Load(map[ids.Job]*record.Record{}, map[ids.Job]ids.Revision{}, 27, now)
-	if b.jobs.Len() != 0 || b.quota.Used("red").Cores != 0 {
-		t.Errorf("%d jobs, %v cores of an ended job", b.jobs.Len(), b.quota.Used("red").Cores)
+	if b.jobs.Len() != 0 || b.quota.Usage("red").Cores != 0 {
+		t.Errorf("%d jobs, %v cores of an ended job", b.jobs.Len(), b.quota.Usage("red").Cores)
 	}
 }
--- a/internal/claim/drain_view.go
+++ b/internal/claim/drain_view.go
@@ -34,19 +34,19 @@
 	defer cluster.mu.Unlock()
 	machine := cluster.machines.Machines[name]
 	if machine == nil {
-		gone := rollout.Machine{Gone: cluster.terminated[name] || cluster.listIsConclusive()}
+		gone := rollout.Machine{Deleted: cluster.terminated[name] || cluster.listIsConclusive()}
 		if cluster.drains != nil {
 			gone.Failed = cluster.drains.lostReplacements[name]
 		}
 		return gone
 	}
-	seen := rollout.Machine{Kind: rollout.Kind{Type: machine.Type, Zone: machine.Zone, Spot: machine.Spot}, Known: true, Up: machine.HasReported && !machine.Suspect(),
-		Failed: cluster.failureReason(machine, v.now), Reclaimed: !machine.SpotTerminationAt.IsZero(), Tasks: len(cluster.capacity.AssignmentsOn(name)), Rented: machine.ProvisionedAt}
+	seen := rollout.Machine{Class: rollout.InstanceClass{Type: machine.Type, Zone: machine.Zone, Spot: machine.Spot}, Known: true, Ready: machine.HasReported && !machine.Suspect(),
+		Failed: cluster.failureReason(machine, v.now), Reclaimed: !machine.SpotTerminationAt.IsZero(), Tasks: len(cluster.capacity.AssignmentsOn(name)), ProvisionedAt: machine.ProvisionedAt}
 	for assignment := range cluster.capacity.AssignmentsOn(name) {
 		seen.Evicting = seen.Evicting || assignment.Evicting
 	}
 	if cluster.drains != nil {
-		seen.NoRoom = cluster.drains.noRoom[name]
+		seen.Unschedulable = cluster.drains.noRoom[name]
 	}
 	return seen
 }
@@ -60,8 +60,8 @@
 	return order, ok
 }
 
-// Weigh tells how many steps emptying a machine takes, and what blocks it now.
-func (v *drainView) Weigh(name ids.Machine) (weight rollout.Weight) {
+// DrainCost tells how many steps emptying a machine takes, and what blocks it now.
+func (v *drainView) DrainCost(name ids.Machine) (weight rollout.DrainCost) {
 	cluster := v.cluster
 	cluster.mu.Lock()
 	defer cluster.mu.Unlock()
@@ -79,7 +79,7 @@
 	units, whys := cluster.evictionUnits(machine, rollout.Order{})
 	weight.Blocked = whys
 	first, _ := firstOfEachTeam(units)
-	for _, denial := range v.meter.Try(cluster.evictionRequests(first, v.now)...) {
+	for _, denial := range v.meter.DryRun(cluster.evictionRequests(first, v.now)...) {
 		weight.Blocked = append(weight.Blocked, denial.String())
 	}
 	steps := map[string]int{}
@@ -122,7 +122,7 @@
 }
 
 // BootTime is about how long a machine of a kind takes until it is up.
-func (v *drainView) BootTime(kind rollout.Kind) time.Duration {
+func (v *drainView) BootTime(kind rollout.InstanceClass) time.Duration {
 	cluster := v.cluster
 	cluster.mu.Lock()
 	defer cluster.mu.Unlock()
@@ -136,11 +136,11 @@
 // carried out and told, and the replica counts as up again.
 func (v *drainView) StepTime() time.Duration {
 	cluster := v.cluster
-	return cluster.settings.Params.Workers.ReportS.Duration() + cluster.settings.Readiness().RunningFor
+	return cluster.settings.Params.Workers.ReportS.Duration() + cluster.settings.Readiness().MinRunning
 }
 
-// HireAnswer tells what a hire of replacements has rented.
-func (v *drainView) HireAnswer(name ids.ProvisioningRequest) (machines []ids.Machine, answered bool) {
+// ProvisionedMachines tells what a hire of replacements has rented.
+func (v *drainView) ProvisionedMachines(name ids.ProvisioningRequest) (machines []ids.Machine, answered bool) {
 	cluster := v.cluster
 	cluster.mu.Lock()
 	defer cluster.mu.Unlock()
@@ -152,13 +152,13 @@
 }
 
 // DrainProvisioning are the replacements that rollouts want rented and that have no answer yet.
-func (c *ClusterState) DrainProvisioning() []rollout.HireRequest {
+func (c *ClusterState) DrainProvisioning() []rollout.ProvisioningRequest {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.drains == nil || c.drains.orders == nil {
 		return nil
 	}
-	return slices.DeleteFunc(slices.Clone(c.drains.orders.Hires), func(h rollout.HireRequest) bool {
+	return slices.DeleteFunc(slices.Clone(c.drains.orders.Provisioning), func(h rollout.ProvisioningRequest) bool {
 		_, answered := c.drains.provisioned[h.Name]
 		return answered
 	})
@@ -168,7 +168,7 @@
 func (c *ClusterState) DrainProvisioned(name ids.ProvisioningRequest, machines []ids.Machine) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.drains != nil && strings.HasPrefix(string(name), rollout.HirePrefix) {
+	if c.drains != nil && strings.HasPrefix(string(name), rollout.ReplacementPrefix) {
 		c.drains.provisioned[name] = machines
 	}
 }
--- a/internal/claim/evictions.go
+++ b/internal/claim/evictions.go
@@ -214,14 +214,14 @@
 
 // replicaUp tells whether a replica counts as up.
 func (c *ClusterState) replicaUp(assignment *workload.Assignment, now time.Time) bool {
-	return c.drains.readiness.Up(c.replica(assignment), now)
+	return c.drains.readiness.IsReady(c.replica(assignment), now)
 }
 
 // replica is what this leader knows of one replica.
 func (c *ClusterState) replica(assignment *workload.Assignment) budget.Replica {
-	r := budget.Replica{Running: assignment.Confirmed && assignment.Status == worker.StateRunning, RunningSince: assignment.RunningSince, Leaving: assignment.Stopping || assignment.Evicting}
+	r := budget.Replica{Running: assignment.Confirmed && assignment.Status == worker.StateRunning, RunningSince: assignment.RunningSince, Terminating: assignment.Stopping || assignment.Evicting}
 	if machine := c.machines.Machines[assignment.Machine]; machine != nil && machine.HasReported && !machine.Suspect() && machine.Incarnation == assignment.Incarnation {
-		r.HeardAt = machine.LastReportAt
+		r.LastHeartbeat = machine.LastReportAt
 	}
 	return r
 }
@@ -361,8 +361,8 @@
 	switch spec.Shape {
 	case record.Service:
 		replica := c.replica(assignment)
-		replica.Leaving = false
-		request.Up = c.drains.readiness.Up(replica, now)
+		replica.Terminating = false
+		request.Ready = c.drains.readiness.IsReady(replica, now)
 	case record.Gang:
 		request.Tasks = len(job.Assignments)
 	default:
--- a/internal/claim/inheritance_test.go
+++ b/internal/claim/inheritance_test.go
@@ -118,7 +118,7 @@
 					}
 				}
 				now = now.Add(time.Second)
-				if used := cluster.quota.Used("red").Cores; used > 3 {
+				if used := cluster.quota.Usage("red").Cores; used > 3 {
 					t.Fatalf("its team has %v cores, 3 at most", used)
 				}
 			}
--- a/internal/claim/places.go
+++ b/internal/claim/places.go
@@ -13,7 +13,7 @@
 		assignment.Job.FinishedMayBeAssigned = true
 	}
 	c.capacity.Allocate(c.capacity.Ensure(assignment.Machine), assignment)
-	c.quota.Use(assignment.Job.Record.Spec.Team, assignment.Job.Record.Spec.Resources)
+	c.quota.AddUsage(assignment.Job.Record.Spec.Team, assignment.Job.Record.Spec.Resources)
 }
 
 // removeAssignment takes a place off the books: its task is proven not to be there.
@@ -29,7 +29,7 @@
 			machine.IdleSince = time.Now()
 		}
 	}
-	c.quota.Free(assignment.Job.Record.Spec.Team, assignment.Job.Record.Spec.Resources)
+	c.quota.RemoveUsage(assignment.Job.Record.Spec.Team, assignment.Job.Record.Spec.Resources)
 	if assignment.Job.Ended && len(assignment.Job.Assignments) == 0 {
 		c.removeJob(assignment.Job)
 	}
--- a/internal/claim/promote_test.go
+++ b/internal/claim/promote_test.go
@@ -166,8 +166,8 @@
 		if looks := examined(cluster) - before; looks > 20 || len(cluster.jobs.Get("job-500").Assignments) != 80 {
 			t.Errorf("%d machines were looked at for one job; %d of its tasks are placed", looks, len(cluster.jobs.Get("job-500").Assignments))
 		}
-		if cluster.quota.Used("red").Cores != 0 {
-			t.Errorf("those that wait hold %v cores of their team", cluster.quota.Used("red").Cores)
+		if cluster.quota.Usage("red").Cores != 0 {
+			t.Errorf("those that wait hold %v cores of their team", cluster.quota.Usage("red").Cores)
 		}
 	})
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -197,14 +197,14 @@
 		t.Fatalf("%v, %d shards", err, settings.ShardCount())
 	}
 	budgets := settings.DisruptionBudgets()
-	if down := budgets.Of(team).Down(10); down != 3 || budgets.Of(team).Interrupted != 7 {
-		t.Errorf("%d replicas down, %d tasks interrupted", down, budgets.Of(team).Interrupted)
+	if down := budgets.Of(team).UnavailableAllowed(10); down != 3 || budgets.Of(team).MaxInterrupted != 7 {
+		t.Errorf("%d replicas down, %d tasks interrupted", down, budgets.Of(team).MaxInterrupted)
 	}
-	if down := budgets.Of("another").Down(10); down != 5 || budgets.Of("another").Interrupted != 1 {
-		t.Errorf("by default %d replicas down, %d tasks interrupted", down, budgets.Of("another").Interrupted)
+	if down := budgets.Of("another").UnavailableAllowed(10); down != 5 || budgets.Of("another").MaxInterrupted != 1 {
+		t.Errorf("by default %d replicas down, %d tasks interrupted", down, budgets.Of("another").MaxInterrupted)
 	}
-	if settings.Readiness().RunningFor != 2*time.Second {
-		t.Errorf("ready after %v", settings.Readiness().RunningFor)
+	if settings.Readiness().MinRunning != 2*time.Second {
+		t.Errorf("ready after %v", settings.Readiness().MinRunning)
 	}
 }
 
--- a/internal/config/drains.go
+++ b/internal/config/drains.go
@@ -38,8 +38,8 @@
 	}
 	heartbeatInterval := s.Params.Workers.ReportS.Duration()
 	return budget.Readiness{
-		RunningFor:  ready,
-		HeardWithin: time.Duration(missedHeartbeats * float64(heartbeatInterval)),
+		MinRunning:      ready,
+		MaxHeartbeatAge: time.Duration(missedHeartbeats * float64(heartbeatInterval)),
 	}
 }
 
@@ -50,13 +50,13 @@
 		return result
 	}
 	if message.ReplicasDown != nil || message.ReplicasDownPercent != nil {
-		result.Replicas = intOf(message.ReplicasDown)
-		result.Percent = intOf(message.ReplicasDownPercent)
+		result.MaxUnavailable = intOf(message.ReplicasDown)
+		result.MaxUnavailablePercent = intOf(message.ReplicasDownPercent)
 	}
 	if message.TasksInterrupted != nil {
-		result.Interrupted = int(*message.TasksInterrupted)
+		result.MaxInterrupted = int(*message.TasksInterrupted)
 	}
-	result.LastReplica = message.LastReplica
+	result.AllowLastReplica = message.LastReplica
 	return result
 }
 
--- a/internal/fleet/replacements.go
+++ b/internal/fleet/replacements.go
@@ -11,7 +11,7 @@
 // are named by the rollout and stored with it, so that a new leader sends the same ones.
 func (p *Provisioner) provisionReplacements(ctx context.Context, now time.Time) {
 	for _, replacement := range p.Cluster.DrainProvisioning() {
-		kind := replacement.Kind
+		kind := replacement.Class
 		if p.requests.isOutstanding(replacement.Name) || p.isRefused(offer{kind.Type, kind.Zone, kind.Spot}, now) {
 			continue
 		}
--- a/internal/peer/drains.go
+++ b/internal/peer/drains.go
@@ -19,8 +19,8 @@
 func (s *Service) PlanDrain(in *DrainRequest, out *DrainPlan) error {
 	plan, err := planDrain(s.link.shards.Pools()[0], specFromWire(&in.Spec))
 	switch {
-	case errors.Is(err, rollout.ErrBadSpec):
-		out.Refused = strings.TrimPrefix(err.Error(), rollout.ErrBadSpec.Error()+": ")
+	case errors.Is(err, rollout.ErrInvalidSpec):
+		out.Refused = strings.TrimPrefix(err.Error(), rollout.ErrInvalidSpec.Error()+": ")
 		return nil
 	case err != nil:
 		return err
@@ -45,7 +45,7 @@
 	if cluster == nil {
 		return nil, election.ErrNotLeader
 	}
-	return rollout.MakePreview(spec, cluster.DrainPlanner(), time.Now())
+	return rollout.NewPreview(spec, cluster.DrainPlanner(), time.Now())
 }
 
 // PlanDrain asks the leader for the plan of a rollout. The error is a rollout.ErrBadSpec if the
@@ -64,7 +64,7 @@
 		return nil, err
 	}
 	if answer.Refused != "" {
-		return nil, fmt.Errorf("%w: %s", rollout.ErrBadSpec, answer.Refused)
+		return nil, fmt.Errorf("%w: %s", rollout.ErrInvalidSpec, answer.Refused)
 	}
 	return planFromWire(&answer.Plan), nil
 }
--- a/internal/peer/drains_test.go
+++ b/internal/peer/drains_test.go
@@ -28,7 +28,7 @@
 			if err != nil || len(plan.Waves) != 2 {
 				t.Errorf("%s plans %+v: %v", name, plan, err)
 			}
-			if _, err := link.PlanDrain(ctx, &rollout.Spec{Select: rollout.Selection{Zone: "south"}}); !errors.Is(err, rollout.ErrBadSpec) {
+			if _, err := link.PlanDrain(ctx, &rollout.Spec{Select: rollout.Selection{Zone: "south"}}); !errors.Is(err, rollout.ErrInvalidSpec) {
 				t.Errorf("%s, without machines: %v", name, err)
 			}
 			if waits, err := link.DrainWaits(ctx); err != nil || len(waits) != 0 {
--- a/internal/quota/explain.go
+++ b/internal/quota/explain.go
@@ -8,7 +8,7 @@
 )
 
 // Faults lists, for operators, the teams that get no new grants and why.
-func (t *Book) Faults() []string {
+func (t *Tracker) Faults() []string {
 	var faults []string
 	for _, name := range slices.Sorted(maps.Keys(t.teams)) {
 		quota := t.teams[name]
@@ -24,7 +24,7 @@
 }
 
 // Explain tells users why a team's quota keeps its work pending here; empty if it does not.
-func (t *Book) Explain(team string) string {
+func (t *Tracker) Explain(team string) string {
 	limit := t.limits[team]
 	if t.shards == 1 {
 		return "team " + team + " is at its limit"
@@ -40,14 +40,14 @@
 		return ""
 	case ledger == nil || !ledger.Open():
 		return "team " + team + ": not all shards have told what the team uses since its limit came into force"
-	case !ledger.Overhang.IsZero():
+	case !ledger.Overcommitted.IsZero():
 		return fmt.Sprintf("the limit of team %s was lowered to %v while more was in use; nothing new starts until enough has ended", team, ledger.Limit)
 	}
 	return t.explainShare(team, quota)
 }
 
 // explainShare tells which shard has the most of the allowance that this one lacks.
-func (t *Book) explainShare(team string, quota *teamQuota) string {
+func (t *Tracker) explainShare(team string, quota *teamQuota) string {
 	most, holder := int64(0), Shard(-1)
 	for i, account := range quota.ledger.Accounts {
 		amount := account.Allowance[Cores] + account.Allowance[Accelerators]
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -31,10 +31,10 @@
 	LimitAt ids.Timestamp `json:"limitAt"`
 	// Reserve is the part of the limit that is no shard's allowance.
 	Reserve Amount `json:"reserve"`
-	// Overhang is by how much the allowances exceed a limit that was lowered while they
+	// Overcommitted is by how much the allowances exceed a limit that was lowered while they
 	// were in use. It only falls, and nothing is granted until it is gone.
-	Overhang Amount    `json:"overhang"`
-	Accounts []Account `json:"accounts"`
+	Overcommitted Amount    `json:"overhang"`
+	Accounts      []Account `json:"accounts"`
 }
 
 // Why a stored ledger can't be used.
@@ -72,12 +72,12 @@
 		return fmt.Errorf("%w: %d", ErrShardCount, len(l.Accounts))
 	}
 	sum := l.Reserve
-	negative := l.Reserve.isNegative() || l.Overhang.isNegative()
+	negative := l.Reserve.isNegative() || l.Overcommitted.isNegative()
 	for _, account := range l.Accounts {
 		sum = sum.Plus(account.Allowance)
 		negative = negative || account.Allowance.isNegative()
 	}
-	whole := l.Limit.whole().Plus(l.Overhang)
+	whole := l.Limit.whole().Plus(l.Overcommitted)
 	if negative || l.Version < 1 || sum != whole {
 		return fmt.Errorf("%w: %v held and in reserve of %v", ErrUnbalanced, sum, whole)
 	}
@@ -109,7 +109,7 @@
 	short := l.Limit.limited(used).Minus(account.Allowance)
 	taken := short.Min(next.Reserve)
 	next.Reserve = next.Reserve.Minus(taken)
-	next.Overhang = next.Overhang.Plus(short.Minus(taken))
+	next.Overcommitted = next.Overcommitted.Plus(short.Minus(taken))
 	account.Allowance = account.Allowance.Plus(short)
 	account.Registered = true
 	return next
@@ -128,7 +128,7 @@
 
 // Give moves an amount that a shard does not use to another one.
 func (l *Ledger) Give(from, to Shard, amount Amount) (Ledger, error) {
-	if from == to || !l.Accounts[from].Allowance.Covers(amount) || !l.Overhang.Min(amount).IsZero() {
+	if from == to || !l.Accounts[from].Allowance.Covers(amount) || !l.Overcommitted.Min(amount).IsZero() {
 		return Ledger{}, fmt.Errorf("%w: give %v from shard %d to %d", errNotAllowed, amount, from, to)
 	}
 	next := l.clone()
@@ -144,8 +144,8 @@
 	}
 	next := l.clone()
 	next.Accounts[shard].Allowance = next.Accounts[shard].Allowance.Minus(amount)
-	repaid := amount.Min(next.Overhang)
-	next.Overhang = next.Overhang.Minus(repaid)
+	repaid := amount.Min(next.Overcommitted)
+	next.Overcommitted = next.Overcommitted.Minus(repaid)
 	next.Reserve = next.Reserve.Plus(amount.Minus(repaid))
 	return next, nil
 }
@@ -177,19 +177,19 @@
 		l.Reserve[resource] = after
 		l.unregister()
 	case after > before:
-		repaid := min(after-before, l.Overhang[resource])
-		l.Overhang[resource] -= repaid
+		repaid := min(after-before, l.Overcommitted[resource])
+		l.Overcommitted[resource] -= repaid
 		l.Reserve[resource] += after - before - repaid
 	default:
 		taken := min(before-after, l.Reserve[resource])
 		l.Reserve[resource] -= taken
-		l.Overhang[resource] += before - after - taken
+		l.Overcommitted[resource] += before - after - taken
 	}
 }
 
 // clear removes all amounts of a resource.
 func (l *Ledger) clear(resource Resource) {
-	l.Reserve[resource], l.Overhang[resource] = 0, 0
+	l.Reserve[resource], l.Overcommitted[resource] = 0, 0
 	for i := range l.Accounts {
 		l.Accounts[i].Allowance[resource] = 0
 	}
--- a/internal/quota/ledger_test.go
+++ b/internal/quota/ledger_test.go
@@ -53,7 +53,7 @@
 			case 4:
 				used[shard] = used[shard].Minus(amount)
 			case 5:
-				if grant := amount.Min(idle); ledger.Open() && ledger.Overhang.IsZero() {
+				if grant := amount.Min(idle); ledger.Open() && ledger.Overcommitted.IsZero() {
 					used[shard] = used[shard].Plus(grant)
 				}
 			case 6:
@@ -81,8 +81,8 @@
 				}
 				sum = sum.Plus(ledger.Limit.limited(used[i]))
 			}
-			if !ledger.Limit.limited(Amount(ledger.Limit)).Plus(ledger.Overhang).Covers(sum) {
-				t.Fatalf("seed %d, step %d: %v in use, limit %v, overcommitment %v", seed, step, sum, ledger.Limit, ledger.Overhang)
+			if !ledger.Limit.limited(Amount(ledger.Limit)).Plus(ledger.Overcommitted).Covers(sum) {
+				t.Fatalf("seed %d, step %d: %v in use, limit %v, overcommitment %v", seed, step, sum, ledger.Limit, ledger.Overcommitted)
 			}
 		}
 	}
@@ -118,15 +118,15 @@
 		{"empty", `{}`, "another number"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			tracker := NewBook(0, 3, map[string]Limit{"red": LimitOf(8, 0), "blue": LimitOf(8, 0)}, 1)
+			tracker := NewTracker(0, 3, map[string]Limit{"red": LimitOf(8, 0), "blue": LimitOf(8, 0)}, 1)
 			tracker.Load([]state.Entry{
 				{Key: LedgerKey("red"), Value: json.RawMessage(c.stored), Revision: 5},
 				{Key: LedgerKey("blue"), Value: encode(t, open), Revision: 6},
 			})
-			if left := tracker.Left("red"); left.Cores > 0 {
+			if left := tracker.Available("red"); left.Cores > 0 {
 				t.Errorf("%v may still be granted to red", left)
 			}
-			if left := tracker.Left("blue"); left.Cores != 2 {
+			if left := tracker.Available("blue"); left.Cores != 2 {
 				t.Errorf("blue may have %v, not the 2 of its allowance", left)
 			}
 			if faults := strings.Join(tracker.Faults(), "; "); !strings.Contains(faults, c.fault) || strings.Contains(faults, "blue") {
@@ -143,9 +143,9 @@
 
 // openTracker tracks shard 0 of two for team red, whose limit of eight cores is split into
 // allowances of so many cores for this shard and the other one.
-func openTracker(t *testing.T, own, other int64) *Book {
+func openTracker(t *testing.T, own, other int64) *Tracker {
 	t.Helper()
-	tracker := NewBook(0, 2, map[string]Limit{"red": LimitOf(8, 0)}, 1)
+	tracker := NewTracker(0, 2, map[string]Limit{"red": LimitOf(8, 0)}, 1)
 	ledger := NewLedger(LimitOf(8, 0), 1, 2)
 	ledger = ledger.Register(0, cores(own))
 	ledger = ledger.Register(1, cores(other))
@@ -154,20 +154,20 @@
 }
 
 // learnRequest has another shard request allowance of team red.
-func learnRequest(t *testing.T, tracker *Book, shard Shard, revision ids.Revision, request Request) {
+func learnRequest(t *testing.T, tracker *Tracker, shard Shard, revision ids.Revision, request Request) {
 	t.Helper()
 	raw := encode(t, Requests{Version: formVersion, Teams: map[string]Request{"red": request}})
-	tracker.Learn(state.Change{Put: RequestsKey(shard), Value: raw, Revision: revision})
+	tracker.Apply(state.Change{Put: RequestsKey(shard), Value: raw, Revision: revision})
 }
 
 // learnLedger has the stored ledger of team red change.
-func learnLedger(t *testing.T, tracker *Book, revision ids.Revision, ledger *Ledger) {
+func learnLedger(t *testing.T, tracker *Tracker, revision ids.Revision, ledger *Ledger) {
 	t.Helper()
-	tracker.Learn(state.Change{Put: LedgerKey("red"), Value: encode(t, ledger), Revision: revision})
+	tracker.Apply(state.Change{Put: LedgerKey("red"), Value: encode(t, ledger), Revision: revision})
 }
 
 // loadLedger has a tracker load the ledger of team red alone.
-func loadLedger(t *testing.T, tracker *Book, revision ids.Revision, ledger *Ledger) {
+func loadLedger(t *testing.T, tracker *Tracker, revision ids.Revision, ledger *Ledger) {
 	t.Helper()
 	tracker.Load([]state.Entry{{Key: LedgerKey("red"), Value: encode(t, ledger), Revision: revision}})
 }
@@ -186,13 +186,13 @@
 func TestAmountOfAnUncertainTransferIsWithheld(t *testing.T) {
 	t.Parallel()
 	tracker := openTracker(t, 6, 2)
-	tracker.Use("red", placement.Resources{Cores: 3})
+	tracker.AddUsage("red", placement.Resources{Cores: 3})
 	learnRequest(t, tracker, 1, 6, Request{Missing: cores(1), Wanted: cores(2)})
 	transfers := tracker.dueTransfers()
 	if len(transfers) != 1 || transfers[0].withheld != cores(2) {
 		t.Fatalf("%+v", transfers)
 	}
-	left := func() float64 { return tracker.Left("red").Cores }
+	left := func() float64 { return tracker.Available("red").Cores }
 	if left() != 1 {
 		t.Fatalf("%v left while two of three idle cores are offered", left())
 	}
@@ -272,9 +272,9 @@
 func TestHigherRankedRequestReclaimsAllowanceInUse(t *testing.T) {
 	t.Parallel()
 	tracker := openTracker(t, 6, 2)
-	tracker.Use("red", placement.Resources{Cores: 5})
+	tracker.AddUsage("red", placement.Resources{Cores: 5})
 	learnRequest(t, tracker, 1, 6, Request{Missing: cores(3), Wanted: cores(3), Rank: Rank{Guaranteed: true}})
-	if amount, _, owed := tracker.Owed("red"); !owed || amount != cores(2) {
+	if amount, _, owed := tracker.ReclaimNeeded("red"); !owed || amount != cores(2) {
 		t.Errorf("owed %v of what is in use, beside the idle core", amount)
 	}
 	if why := tracker.Explain("red"); !strings.Contains(why, "held by shard 1, not asked back yet") {
@@ -284,11 +284,11 @@
 
 func TestNothingIsGrantedWhileUsageMayExceedTheLimit(t *testing.T) {
 	t.Parallel()
-	learn := func(ledger Ledger) *Book {
+	learn := func(ledger Ledger) *Tracker {
 		t.Helper()
-		tracker := NewBook(0, 2, map[string]Limit{"red": LimitOf(8, 0)}, 1)
-		tracker.Use("red", placement.Resources{Cores: 1})
-		if learnLedger(t, tracker, 5, &ledger); tracker.Left("red").Cores > 0 {
+		tracker := NewTracker(0, 2, map[string]Limit{"red": LimitOf(8, 0)}, 1)
+		tracker.AddUsage("red", placement.Resources{Cores: 1})
+		if learnLedger(t, tracker, 5, &ledger); tracker.Available("red").Cores > 0 {
 			t.Error("granted before all that is stored was read")
 		}
 		tracker.Load(nil)
@@ -296,42 +296,42 @@
 	}
 	whole := NewLedger(LimitOf(8, 0), 1, 2)
 	half := whole.Register(0, cores(3))
-	if tracker := learn(half); tracker.Left("red").Cores > 0 || !strings.Contains(tracker.Explain("red"), "not all shards") {
-		t.Errorf("%v may be granted before shard 1 has told what it uses", tracker.Left("red"))
+	if tracker := learn(half); tracker.Available("red").Cores > 0 || !strings.Contains(tracker.Explain("red"), "not all shards") {
+		t.Errorf("%v may be granted before shard 1 has told what it uses", tracker.Available("red"))
 	}
 	both := half.Register(1, cores(4))
-	if tracker := learn(both); tracker.Left("red").Cores != 2 {
-		t.Errorf("%v may be granted of an allowance of 3 with 1 in use", tracker.Left("red"))
+	if tracker := learn(both); tracker.Available("red").Cores != 2 {
+		t.Errorf("%v may be granted of an allowance of 3 with 1 in use", tracker.Available("red"))
 	}
-	newer := NewBook(0, 2, map[string]Limit{"red": LimitOf(5, 0)}, 2)
+	newer := NewTracker(0, 2, map[string]Limit{"red": LimitOf(5, 0)}, 2)
 	loadLedger(t, newer, 5, &both)
-	if newer.Left("red").Cores > 0 {
-		t.Errorf("%v may be granted by a limit that newer settings have lowered", newer.Left("red"))
+	if newer.Available("red").Cores > 0 {
+		t.Errorf("%v may be granted by a limit that newer settings have lowered", newer.Available("red"))
 	}
 	lowered, err := both.SetLimit(LimitOf(5, 0), 2)
 	if err != nil {
 		t.Fatal(err)
 	}
 	tracker := learn(lowered)
-	if tracker.Left("red").Cores > 0 || !strings.Contains(tracker.Explain("red"), "was lowered") || len(tracker.Faults()) > 0 {
-		t.Errorf("after the limit was lowered %v may be granted: %s; alarms %v", tracker.Left("red"), tracker.Explain("red"), tracker.Faults())
+	if tracker.Available("red").Cores > 0 || !strings.Contains(tracker.Explain("red"), "was lowered") || len(tracker.Faults()) > 0 {
+		t.Errorf("after the limit was lowered %v may be granted: %s; alarms %v", tracker.Available("red"), tracker.Explain("red"), tracker.Faults())
 	}
 	// What is idle makes up for it first.
 	transfers := tracker.dueTransfers()
 	if len(transfers) != 1 || transfers[0].Reason != "returned" || transfers[0].withheld != cores(2) {
 		t.Fatalf("%+v", transfers)
 	}
-	if tracker.recordOutcome(transfers[0], 6, nil); tracker.Left("red").Cores != 0 || tracker.teams["red"].ledger.Overhang != cores(0) {
-		t.Errorf("%v may be granted of an allowance of 1 with 1 in use", tracker.Left("red"))
+	if tracker.recordOutcome(transfers[0], 6, nil); tracker.Available("red").Cores != 0 || tracker.teams["red"].ledger.Overcommitted != cores(0) {
+		t.Errorf("%v may be granted of an allowance of 1 with 1 in use", tracker.Available("red"))
 	}
 }
 
 func TestSingleShardGrantsBySettingsAndStoresNothing(t *testing.T) {
 	t.Parallel()
-	tracker := NewBook(0, 1, map[string]Limit{"red": LimitOf(8, 0)}, 1)
-	tracker.Use("red", placement.Resources{Cores: 2.5, Accels: 3})
+	tracker := NewTracker(0, 1, map[string]Limit{"red": LimitOf(8, 0)}, 1)
+	tracker.AddUsage("red", placement.Resources{Cores: 2.5, Accels: 3})
 	tracker.SetDemands(map[string]Demand{"red": {cores(1), cores(9), Rank{}}})
-	if left := tracker.Left("red"); left.Cores != 5.5 || left.Accels < 1e9 || tracker.Left("unknown").Cores > 0 {
+	if left := tracker.Available("red"); left.Cores != 5.5 || left.Accels < 1e9 || tracker.Available("unknown").Cores > 0 {
 		t.Errorf("%v left of eight cores", left)
 	}
 	if transfers := tracker.dueTransfers(); len(transfers) != 0 {
--- a/internal/quota/planner.go
+++ b/internal/quota/planner.go
@@ -11,14 +11,14 @@
 const transferInterval = time.Second
 
 // planTransfer decides which transfer a team's ledger needs most; nil if none.
-func (t *Book) planTransfer(team string, quota *teamQuota) *Transfer {
+func (t *Tracker) planTransfer(team string, quota *teamQuota) *Transfer {
 	plan := planner{tracker: t, team: team, quota: quota, now: t.now()}
 	return plan.next()
 }
 
 // planner decides on one team's next transfer.
 type planner struct {
-	tracker *Book
+	tracker *Tracker
 	team    string
 	quota   *teamQuota
 	now     time.Time
@@ -38,11 +38,11 @@
 	if !ledger.Accounts[shard].Registered {
 		return p.transfer("registered", ledger.Register(shard, p.quota.usage.rounded), Amount{}, nil)
 	}
-	if repaid := p.quota.idle().Min(ledger.Overhang); !repaid.IsZero() {
+	if repaid := p.quota.idle().Min(ledger.Overcommitted); !repaid.IsZero() {
 		next, err := ledger.Return(shard, repaid)
 		return p.transfer("returned", next, repaid, err)
 	}
-	if !ledger.Open() || !ledger.Overhang.IsZero() {
+	if !ledger.Open() || !ledger.Overcommitted.IsZero() {
 		return nil
 	}
 	return p.serveRequests()
--- a/internal/quota/rebalancer.go
+++ b/internal/quota/rebalancer.go
@@ -32,15 +32,15 @@
 	// lock guards the tracker. It is the granting leader's own lock, so it is never held
 	// during a call of the state service or of fence, which may wait for other locks.
 	lock    sync.Locker
-	tracker *Book
+	tracker *Tracker
 	store   Store
 	// fence is the condition that is met while this leader leads its shard.
 	fence   func() state.Condition
 	limiter *rate.Limiter
 }
 
-// NewExchange makes the rebalancer of one term. The lock is the one that guards the tracker.
-func NewExchange(tracker *Book, store Store, lock sync.Locker, fence func() state.Condition) *Rebalancer {
+// NewRebalancer makes the rebalancer of one term. The lock is the one that guards the tracker.
+func NewRebalancer(tracker *Tracker, store Store, lock sync.Locker, fence func() state.Condition) *Rebalancer {
 	return &Rebalancer{
 		lock:    lock,
 		tracker: tracker,
@@ -111,7 +111,7 @@
 func (r *Rebalancer) learn(change state.Change) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	r.tracker.Learn(change)
+	r.tracker.Apply(change)
 }
 
 // storeRequests stores what this shard requests, if that has changed enough. Requests grant
--- a/internal/quota/simulation_test.go
+++ b/internal/quota/simulation_test.go
@@ -127,7 +127,7 @@
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		for _, t := range c.terms {
-			t.tracker.Learn(change)
+			t.tracker.Apply(change)
 		}
 	})
 	go c.mirror.Run(ctx)
@@ -144,7 +144,7 @@
 	generation int
 	fence      state.Condition
 	lease      ids.Lease
-	tracker    *quota.Book
+	tracker    *quota.Tracker
 	rebalancer *quota.Rebalancer
 	renewed    atomic.Int64    // when, in nanoseconds
 	tasks      map[string]task // recorded, and what may be there
@@ -197,9 +197,9 @@
 		return nil
 	}
 	t := &term{controller: c, shard: shard, generation: number + 1, fence: state.Condition{Key: generation, Revision: ids.Revision(at)}, lease: lease,
-		tasks: map[string]task{}, tracker: quota.NewBook(shard, shardCount, c.limits, c.startedAt)}
+		tasks: map[string]task{}, tracker: quota.NewTracker(shard, shardCount, c.limits, c.startedAt)}
 	t.renewed.Store(sent.UnixNano())
-	t.rebalancer = quota.NewExchange(t.tracker, c.client, &c.mu, func() state.Condition { return t.fence })
+	t.rebalancer = quota.NewRebalancer(t.tracker, c.client, &c.mu, func() state.Condition { return t.fence })
 	c.workers.fence(shard, t.generation)
 	c.mu.Lock()
 	c.terms[shard] = t // news counts from before the listing on
@@ -216,7 +216,7 @@
 		var record task
 		c.decode(entry.Value, &record)
 		t.tasks[record.ID] = record
-		t.tracker.Use(record.Team, record.Need)
+		t.tracker.AddUsage(record.Team, record.Need)
 	}
 	t.tracker.Load(entries)
 	return t
@@ -265,7 +265,7 @@
 		}
 		t.controller.mu.Lock()
 		delete(t.tasks, record.ID)
-		t.tracker.Free(record.Team, record.Need)
+		t.tracker.RemoveUsage(record.Team, record.Need)
 		t.controller.mu.Unlock()
 	}
 }
@@ -308,12 +308,12 @@
 		if _, recorded := t.tasks[next.ID]; recorded {
 			continue
 		}
-		room := t.tracker.Left(next.Team)
+		room := t.tracker.Available(next.Team)
 		if t.controller.withoutLedger {
-			room = t.controller.workers.limits[next.Team].Minus(t.tracker.Used(next.Team))
+			room = t.controller.workers.limits[next.Team].Minus(t.tracker.Usage(next.Team))
 		}
 		if _, blocked := demands[next.Team]; !blocked && room.Holds(next.Need) {
-			t.tracker.Use(next.Team, next.Need)
+			t.tracker.AddUsage(next.Team, next.Need)
 			t.tasks[next.ID] = next
 			picked = append(picked, next)
 			continue
--- a/internal/quota/team.go
+++ b/internal/quota/team.go
@@ -96,7 +96,7 @@
 // usage exceeded a lowered limit and has not fallen yet.
 func (q *teamQuota) usable() Amount {
 	amount := q.allowance().Minus(q.withheld())
-	for resource, excess := range q.ledger.Overhang {
+	for resource, excess := range q.ledger.Overcommitted {
 		if excess > 0 {
 			amount[resource] = 0
 		}
--- a/internal/quota/tracker.go
+++ b/internal/quota/tracker.go
@@ -13,12 +13,12 @@
 	"github.com/pebbletrail/pebbletrail/internal/state"
 )
 
-// Book is one leader's side of the ledgers: what its shard may use, what its tasks use, and
+// Tracker is one leader's side of the ledgers: what its shard may use, what its tasks use, and
 // what is being transferred to other shards.
 //
 // It has no lock of its own. The lock of whoever grants guards it, since what is available
 // must not be given away between the question and the grant. No method blocks or calls out.
-type Book struct {
+type Tracker struct {
 	shard  Shard
 	shards int
 	// limits are those of this process's settings, which started at startedAt.
@@ -31,10 +31,10 @@
 	now      func() time.Time
 }
 
-// NewBook tracks the quotas of one term of leading a shard. With one shard the limits of the
+// NewTracker tracks the quotas of one term of leading a shard. With one shard the limits of the
 // settings are in force at once: nothing is stored and there is nothing to load.
-func NewBook(shard Shard, shards int, limits map[string]Limit, startedAt ids.Timestamp) *Book {
-	return &Book{
+func NewTracker(shard Shard, shards int, limits map[string]Limit, startedAt ids.Timestamp) *Tracker {
+	return &Tracker{
 		shard:     shard,
 		shards:    shards,
 		limits:    limits,
@@ -47,7 +47,7 @@
 }
 
 // team finds or adds a team's quota.
-func (t *Book) team(name string) *teamQuota {
+func (t *Tracker) team(name string) *teamQuota {
 	quota := t.teams[name]
 	if quota == nil {
 		quota = &teamQuota{ledgerView: ledgerView{shard: t.shard}}
@@ -57,7 +57,7 @@
 }
 
 // teamNames lists the teams of the settings and of the store, sorted.
-func (t *Book) teamNames() []string {
+func (t *Tracker) teamNames() []string {
 	names := slices.AppendSeq(slices.Collect(maps.Keys(t.limits)), maps.Keys(t.teams))
 	slices.Sort(names)
 	return slices.Compact(names)
@@ -66,16 +66,16 @@
 // Load applies all that is stored below Prefix, read after the shard was taken over. Every
 // change after that read must be applied too, so changes have to be followed from before it on:
 // a leader that missed what it was given would leave that unused.
-func (t *Book) Load(entries []state.Entry) {
+func (t *Tracker) Load(entries []state.Entry) {
 	for _, entry := range entries {
-		t.Learn(state.Change{Put: entry.Key, Value: entry.Value, Revision: entry.Revision})
+		t.Apply(state.Change{Put: entry.Key, Value: entry.Value, Revision: entry.Revision})
 	}
 	t.loaded = true
 }
 
-// Learn applies a change of a stored value, in the order of their revisions; older ones and
+// Apply applies a change of a stored value, in the order of their revisions; older ones and
 // keys of others are passed over.
-func (t *Book) Learn(change state.Change) {
+func (t *Tracker) Apply(change state.Change) {
 	if escaped, found := strings.CutPrefix(change.Key(), ledgerPrefix); found {
 		if team, err := url.PathUnescape(escaped); err == nil {
 			t.applyLedger(team, change)
@@ -89,7 +89,7 @@
 }
 
 // applyLedger replaces what is known of a team's ledger.
-func (t *Book) applyLedger(team string, change state.Change) {
+func (t *Tracker) applyLedger(team string, change state.Change) {
 	quota := t.team(team)
 	if !quota.apply(team, change, t.shards, t.now()) {
 		return
@@ -101,7 +101,7 @@
 }
 
 // applyRequests replaces what is known of a shard's requests.
-func (t *Book) applyRequests(shard Shard, change state.Change) {
+func (t *Tracker) applyRequests(shard Shard, change state.Change) {
 	now := t.now()
 	if !t.requests.apply(shard, change, now) || shard != t.shard {
 		return
@@ -111,27 +111,27 @@
 	}
 }
 
-// Use counts what may be in use from now on.
-func (t *Book) Use(team string, room placement.Resources) {
+// AddUsage counts what may be in use from now on.
+func (t *Tracker) AddUsage(team string, room placement.Resources) {
 	quota := t.team(team)
 	quota.usage.add(room)
 	quota.usage.grantedAt = t.now()
 }
 
-// Free counts off what is surely not in use any more.
-func (t *Book) Free(team string, room placement.Resources) { t.team(team).usage.remove(room) }
+// RemoveUsage counts off what is surely not in use any more.
+func (t *Tracker) RemoveUsage(team string, room placement.Resources) { t.team(team).usage.remove(room) }
 
-// Used is what a team's tasks of this shard may be using.
-func (t *Book) Used(team string) placement.Resources {
+// Usage is what a team's tasks of this shard may be using.
+func (t *Tracker) Usage(team string) placement.Resources {
 	if quota := t.teams[team]; quota != nil {
 		return quota.usage.exact
 	}
 	return placement.Resources{}
 }
 
-// Left is what may still be granted to a team. It is nothing for teams that the settings do
+// Available is what may still be granted to a team. It is nothing for teams that the settings do
 // not know.
-func (t *Book) Left(team string) placement.Resources {
+func (t *Tracker) Available(team string) placement.Resources {
 	const unlimited = 1e12 // of a resource without a limit
 	limit, configured := t.limits[team]
 	if !configured {
@@ -158,7 +158,7 @@
 
 // allowed is the limit in force and how much of it this shard may use now. Until the ledger
 // has the limit of newer settings nothing is granted by the old one.
-func (t *Book) allowed(quota *teamQuota, configured Limit) (Limit, Amount) {
+func (t *Tracker) allowed(quota *teamQuota, configured Limit) (Limit, Amount) {
 	ledger := quota.ledger
 	switch {
 	case !t.loaded || quota.fault != nil:
@@ -172,7 +172,7 @@
 }
 
 // SetDemands tells what the pending jobs of each team need; teams not named need nothing.
-func (t *Book) SetDemands(demands map[string]Demand) {
+func (t *Tracker) SetDemands(demands map[string]Demand) {
 	for name, quota := range t.teams {
 		quota.demand = demands[name]
 	}
@@ -183,7 +183,7 @@
 
 // requestsFor lists what all shards request of a team's allowance, this one too, the first to
 // be served first.
-func (t *Book) requestsFor(team string, quota *teamQuota) []shardRequest {
+func (t *Tracker) requestsFor(team string, quota *teamQuota) []shardRequest {
 	requests := t.requests.others(team)
 	if own, ok := quota.request(t.now()); ok {
 		requests = append(requests, own)
@@ -193,7 +193,7 @@
 
 // ownRequests is what to store for the other leaders to see; due tells whether that differs
 // enough from what is stored to be worth a write now.
-func (t *Book) ownRequests() (requests Requests, due bool) {
+func (t *Tracker) ownRequests() (requests Requests, due bool) {
 	now := t.now()
 	requests = Requests{Version: formVersion, Teams: map[string]Request{}}
 	for name, quota := range t.teams {
@@ -204,16 +204,16 @@
 	return requests, t.requests.writeDue(requests.Teams, now)
 }
 
-// Owed is what the first request of another shard still lacks of a team's allowance after all
+// ReclaimNeeded is what the first request of another shard still lacks of a team's allowance after all
 // that is idle here, if it outranks this shard's work by more than its age: lesser work of
 // the team may be preempted for it.
-func (t *Book) Owed(team string) (amount Amount, rank Rank, owed bool) {
+func (t *Tracker) ReclaimNeeded(team string) (amount Amount, rank Rank, owed bool) {
 	quota := t.teams[team]
 	if quota == nil || quota.ledger == nil {
 		return Amount{}, Rank{}, false
 	}
 	requests := t.requestsFor(team, quota)
-	if len(requests) == 0 || requests[0].shard == t.shard || !quota.ledger.Overhang.IsZero() {
+	if len(requests) == 0 || requests[0].shard == t.shard || !quota.ledger.Overcommitted.IsZero() {
 		return Amount{}, Rank{}, false
 	}
 	first := requests[0]
--- a/internal/quota/transfer.go
+++ b/internal/quota/transfer.go
@@ -43,7 +43,7 @@
 // dueTransfers decides what to send now, at most one transfer a team, the first to be served
 // first. Those without an answer come again: a transfer that is sent twice applies once, and
 // any later change of the ledger keeps it from being applied late.
-func (t *Book) dueTransfers() []*Transfer {
+func (t *Tracker) dueTransfers() []*Transfer {
 	if !t.loaded || t.shards == 1 {
 		return nil
 	}
@@ -63,7 +63,7 @@
 
 // recordOutcome takes in what became of a transfer. Without an answer it stays under way, and
 // what it takes from this shard stays withheld, until a newer revision of the ledger is known.
-func (t *Book) recordOutcome(transfer *Transfer, at ids.StoreRevision, err error) {
+func (t *Tracker) recordOutcome(transfer *Transfer, at ids.StoreRevision, err error) {
 	quota := t.team(transfer.Team)
 	if quota.transfer != transfer {
 		return // a newer revision has settled it
@@ -86,7 +86,7 @@
 
 // postpone takes back a transfer that was never sent: it is decided anew when the write
 // budget allows.
-func (t *Book) postpone(transfer *Transfer) {
+func (t *Tracker) postpone(transfer *Transfer) {
 	if quota := t.team(transfer.Team); quota.transfer == transfer && !transfer.uncertain {
 		quota.transfer = nil
 	}
--- a/internal/rehearsal/drain_faults.go
+++ b/internal/rehearsal/drain_faults.go
@@ -90,8 +90,8 @@
 		case <-time.After(resumeInterval):
 		}
 		if stored := r.storedRollout(); stored.State == rollout.Halted {
-			r.cluster.record(Event{Kind: RolloutHalted, Why: stored.Why})
-			if r.sendCommand(deadline, rollout.Path+"/"+string(rolloutName)+"/"+string(rollout.ResumeIt), nil) != nil {
+			r.cluster.record(Event{Kind: RolloutHalted, Why: stored.Reason})
+			if r.sendCommand(deadline, rollout.Path+"/"+string(rolloutName)+"/"+string(rollout.CommandResume), nil) != nil {
 				return // the run's deadline has passed
 			}
 			time.Sleep(resumeInterval)
--- a/internal/rehearsal/ledgers.go
+++ b/internal/rehearsal/ledgers.go
@@ -25,8 +25,8 @@
 		parts = append(parts, fmt.Sprintf("shard %d: %s", shard, amountText(account.Allowance)))
 	}
 	parts = append(parts, "reserve: "+amountText(l.Reserve))
-	if !l.Overhang.IsZero() {
-		parts = append(parts, "above the limit: "+amountText(l.Overhang))
+	if !l.Overcommitted.IsZero() {
+		parts = append(parts, "above the limit: "+amountText(l.Overcommitted))
 	}
 	return strings.Join(parts, "; ")
 }
--- a/internal/rollout/candidate.go
+++ b/internal/rollout/candidate.go
@@ -12,7 +12,7 @@
 	name    ids.Machine
 	part    int // of the waiting machines
 	machine Machine
-	weight  Weight
+	weight  DrainCost
 }
 
 // sortCandidates puts machines in the order in which waves take them, greedily: those that nothing
--- a/internal/rollout/command.go
+++ b/internal/rollout/command.go
@@ -11,32 +11,32 @@
 
 // The commands.
 const (
-	PauseIt  Command = "pause"
-	ResumeIt Command = "resume"
-	AbortIt  Command = "abort"
+	CommandPause  Command = "pause"
+	CommandResume Command = "resume"
+	CommandAbort  Command = "abort"
 )
 
 // apply changes a rollout's state; changed is false if it has that state already. A transition that
 // is not allowed and an unknown command are errors.
 func (r *Record) apply(command Command, now ids.Timestamp) (changed bool, err error) {
 	switch command {
-	case PauseIt:
+	case CommandPause:
 		if r.State == Paused {
 			return false, nil
 		}
 		return true, r.transition(Paused, "paused by an operator")
-	case ResumeIt:
+	case CommandResume:
 		if r.State == Running {
 			return false, nil
 		}
 		return true, r.resume(now)
-	case AbortIt:
+	case CommandAbort:
 		if r.State == Aborting || r.State == Ended {
 			return false, nil
 		}
 		return true, r.transition(Aborting, "aborted by an operator")
 	}
-	return false, fmt.Errorf("%w: unknown command %q", ErrBadSpec, command)
+	return false, fmt.Errorf("%w: unknown command %q", ErrInvalidSpec, command)
 }
 
 // resume lets a paused or halted rollout go on. After a halt the leader looks at the wave first.
--- a/internal/rollout/fakefleet_test.go
+++ b/internal/rollout/fakefleet_test.go
@@ -26,7 +26,7 @@
 // fakeMachine is a machine and what draining it takes.
 type fakeMachine struct {
 	Machine
-	weight Weight
+	weight DrainCost
 }
 
 func newFleet(machines int) *fakeFleet {
@@ -41,8 +41,8 @@
 	f.next++
 	name := ids.Machine(fmt.Sprintf("host-%06d", f.next))
 	f.machines[name] = &fakeMachine{
-		Machine: Machine{Kind: Kind{Type: "small", Zone: zone}, Known: true, Up: true, Tasks: 1},
-		weight:  Weight{Steps: 1},
+		Machine: Machine{Class: InstanceClass{Type: "small", Zone: zone}, Known: true, Ready: true, Tasks: 1},
+		weight:  DrainCost{Steps: 1},
 	}
 	return name
 }
@@ -53,10 +53,10 @@
 	if machine := f.machines[name]; machine != nil {
 		return machine.Machine
 	}
-	return Machine{Gone: true}
+	return Machine{Deleted: true}
 }
 
-func (f *fakeFleet) Weigh(name ids.Machine) Weight {
+func (f *fakeFleet) DrainCost(name ids.Machine) DrainCost {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.machines[name].weight
@@ -71,10 +71,10 @@
 	return names
 }
 
-func (f *fakeFleet) BootTime(Kind) time.Duration { return 30 * time.Second }
-func (f *fakeFleet) StepTime() time.Duration     { return 5 * time.Second }
+func (f *fakeFleet) BootTime(InstanceClass) time.Duration { return 30 * time.Second }
+func (f *fakeFleet) StepTime() time.Duration              { return 5 * time.Second }
 
-func (f *fakeFleet) HireAnswer(name ids.ProvisioningRequest) ([]ids.Machine, bool) {
+func (f *fakeFleet) ProvisionedMachines(name ids.ProvisioningRequest) ([]ids.Machine, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	machines, answered := f.hires[name]
@@ -98,12 +98,12 @@
 			machine.Tasks = 0
 		}
 	}
-	for _, request := range orders.Hires {
+	for _, request := range orders.Provisioning {
 		if f.hires[request.Name] != nil || f.provisionNothing {
 			continue
 		}
 		for range request.Count {
-			name := f.add(request.Kind.Zone)
+			name := f.add(request.Class.Zone)
 			f.hires[request.Name] = append(f.hires[request.Name], name)
 			if f.replacementsFail {
 				f.machines[name].Failed = "it is broken"
--- a/internal/rollout/fleet.go
+++ b/internal/rollout/fleet.go
@@ -8,14 +8,14 @@
 
 // Machine is what the leader knows of a machine.
 type Machine struct {
-	Kind Kind
+	Class InstanceClass
 	// Known tells that the leader knows the machine.
 	Known bool
-	// Gone is proof that there is no such machine any more: the cloud confirmed its deletion, or
+	// Deleted is proof that there is no such machine any more: the cloud confirmed its deletion, or
 	// lists it no longer.
-	Gone bool
-	// Up tells that it has sent this leader a heartbeat, and that its heartbeats are recent.
-	Up bool
+	Deleted bool
+	// Ready tells that it has sent this leader a heartbeat, and that its heartbeats are recent.
+	Ready bool
 	// Failed tells why it can't do its work; empty: it can.
 	Failed string
 	// Reclaimed tells that the cloud is about to take it back.
@@ -24,14 +24,14 @@
 	Tasks int
 	// Evicting tells that evictions of tasks on it are stored.
 	Evicting bool
-	// NoRoom tells that it is being drained and its tasks fit on no other machine.
-	NoRoom bool
-	// Rented is when it was provisioned, as far as known.
-	Rented time.Time
+	// Unschedulable tells that it is being drained and its tasks fit on no other machine.
+	Unschedulable bool
+	// ProvisionedAt is when it was provisioned, as far as known.
+	ProvisionedAt time.Time
 }
 
-// Weight is what draining a machine takes as things are now.
-type Weight struct {
+// DrainCost is what draining a machine takes as things are now.
+type DrainCost struct {
 	// Steps is about how many steps it takes under the disruption budgets.
 	Steps int
 	// Blocked are the reasons why it can't be drained.
@@ -42,12 +42,12 @@
 type View interface {
 	// Machine looks at one machine.
 	Machine(name ids.Machine) Machine
-	// Weigh tells what draining a machine takes. It evaluates all budgets, so it is asked only
+	// DrainCost tells what draining a machine takes. It evaluates all budgets, so it is asked only
 	// where machines are chosen.
-	Weigh(name ids.Machine) Weight
-	// HireAnswer tells what a request for replacements has provisioned, once the cloud has
+	DrainCost(name ids.Machine) DrainCost
+	// ProvisionedMachines tells what a request for replacements has provisioned, once the cloud has
 	// answered it.
-	HireAnswer(name ids.ProvisioningRequest) (machines []ids.Machine, answered bool)
+	ProvisionedMachines(name ids.ProvisioningRequest) (machines []ids.Machine, answered bool)
 }
 
 // Fleet is what the leader's cluster does for rollouts.
--- a/internal/rollout/harness_test.go
+++ b/internal/rollout/harness_test.go
@@ -53,7 +53,7 @@
 	client := state.NewClient("state:1", h.network.Client(name), state.NewBudget(1000, 1000, 1, 0.6))
 	mirror := state.NewWatchCache(client, Prefix, 50*time.Millisecond)
 	go mirror.Run(h.ctx)
-	return &Service{Copy: mirror, State: client, Leader: h, Writer: name, Limits: Limits{maxValueBytes, maxTxnOps},
+	return &Service{Mirror: mirror, Client: client, Leader: h, Writer: name, Limits: Limits{maxValueBytes, maxTxnOps},
 		Installation: func() Installation {
 			return Installation{Zones: []string{"north", "south"}, Types: []string{"small"}, Shards: 1}
 		}}
@@ -63,13 +63,13 @@
 func (h *harness) startLeader(name string) context.CancelFunc {
 	ctx, cancel := context.WithCancel(h.ctx)
 	service := h.controller(name)
-	go (&Runner{Copy: service.Copy, Store: directStore{service.State}, Fleet: h.fleet, Writer: name, Limits: service.Limits}).Run(ctx)
+	go (&Runner{Mirror: service.Mirror, Store: directStore{service.Client}, Fleet: h.fleet, Writer: name, Limits: service.Limits}).Run(ctx)
 	return cancel
 }
 
 func (h *harness) PlanDrain(_ context.Context, spec *Spec) (*Preview, error) {
 	time.Sleep(h.planDelay)
-	return MakePreview(spec, h.fleet, time.Now())
+	return NewPreview(spec, h.fleet, time.Now())
 }
 
 func (h *harness) DrainWaits(context.Context) (map[ids.Machine][]string, error) { return nil, nil }
@@ -90,5 +90,5 @@
 
 // wholeFleet describes a rollout over all machines.
 func wholeFleet(name Name) *Spec {
-	return &Spec{Name: name, Select: Selection{Older: true}, WaveSize: 10, Deadline: 60, AtDeadline: Wait}
+	return &Spec{Name: name, Select: Selection{Older: true}, WaveSize: 10, Deadline: 60, AtDeadline: WaitAtDeadline}
 }
--- a/internal/rollout/http.go
+++ b/internal/rollout/http.go
@@ -55,7 +55,7 @@
 		return s.Start(ctx, spec)
 	}))
 	operators.POST(Path+"/:name/:command", handle(func(ctx context.Context, c echo.Context) (any, error) {
-		return s.Do(ctx, Name(c.Param("name")), Command(c.Param("command")))
+		return s.Execute(ctx, Name(c.Param("name")), Command(c.Param("command")))
 	}))
 }
 
@@ -64,7 +64,7 @@
 	spec := &Spec{}
 	decoder := json.NewDecoder(io.LimitReader(c.Request().Body, maxBodyBytes))
 	if err := decoder.Decode(spec); err != nil {
-		return nil, errors.Join(ErrBadSpec, err)
+		return nil, errors.Join(ErrInvalidSpec, err)
 	}
 	spec.Select.Digest = "" // follows from the names
 	return spec, nil
@@ -101,11 +101,11 @@
 // statusCode is how a command's error is answered. What is none of the errors here may be retried.
 func statusCode(err error) int {
 	switch {
-	case errors.Is(err, ErrBadSpec):
+	case errors.Is(err, ErrInvalidSpec):
 		return http.StatusUnprocessableEntity
 	case errors.Is(err, ErrNotFound):
 		return http.StatusNotFound
-	case errors.Is(err, ErrOtherContents), errors.Is(err, ErrOverlap), errors.Is(err, ErrBadMove), errors.Is(err, ErrUnreadable):
+	case errors.Is(err, ErrSpecConflict), errors.Is(err, ErrOverlap), errors.Is(err, ErrInvalidTransition), errors.Is(err, ErrUnreadable):
 		return http.StatusConflict
 	}
 	return http.StatusServiceUnavailable
--- a/internal/rollout/orders.go
+++ b/internal/rollout/orders.go
@@ -24,8 +24,8 @@
 	Stop bool
 }
 
-// HireRequest is a request for replacements that the cloud has not answered yet.
-type HireRequest struct {
+// ProvisioningRequest is a request for replacements that the cloud has not answered yet.
+type ProvisioningRequest struct {
 	Name ids.ProvisioningRequest
 	ClassCount
 }
@@ -33,8 +33,8 @@
 // Orders are what all rollouts want of the leader. They follow from what is stored alone, and
 // carrying them out is idempotent.
 type Orders struct {
-	Machines map[ids.Machine]Order
-	Hires    []HireRequest
+	Machines     map[ids.Machine]Order
+	Provisioning []ProvisioningRequest
 	// ClosedZones are the zones being drained for good, where nothing new is provisioned, with
 	// the rollouts that drain them.
 	ClosedZones map[string]Name
@@ -74,7 +74,7 @@
 	if record.State == Running {
 		deadline := record.Wave.DrainingSince + wallOf(spec.Deadline)
 		drain.Drain = true
-		drain.Stop = spec.AtDeadline == Stop && ids.TimestampOf(now) >= deadline
+		drain.Stop = spec.AtDeadline == StopAtDeadline && ids.TimestampOf(now) >= deadline
 	}
 	o.addMachines(record.machinesIn(Draining), drain)
 	o.addReplacements(record)
@@ -88,13 +88,13 @@
 
 // addReplacements keeps the wave's replacements and asks for those that have not been provisioned.
 func (o *Orders) addReplacements(record *Record) {
-	for i := range record.Wave.Hires {
-		request := &record.Wave.Hires[i]
+	for i := range record.Wave.ReplacementRequests {
+		request := &record.Wave.ReplacementRequests[i]
 		for name := range request.Machines.All() {
 			o.Keep[name] = true
 		}
 		if !request.Answered && record.State == Running {
-			o.Hires = append(o.Hires, HireRequest{Name: request.Name, ClassCount: request.ClassCount})
+			o.Provisioning = append(o.Provisioning, ProvisioningRequest{Name: request.Name, ClassCount: request.ClassCount})
 		}
 	}
 }
--- a/internal/rollout/preview.go
+++ b/internal/rollout/preview.go
@@ -14,7 +14,7 @@
 	// Machines lists all machines that are up or being provisioned.
 	Machines() []ids.Machine
 	// BootTime is about how long a machine of an instance class takes until it is up.
-	BootTime(kind Kind) time.Duration
+	BootTime(kind InstanceClass) time.Duration
 	// StepTime is about how long one step of draining a machine takes.
 	StepTime() time.Duration
 }
@@ -37,8 +37,8 @@
 	Why  []string    `json:"why"`
 }
 
-// MakePreview selects a description's machines and plans its waves. It changes nothing.
-func MakePreview(spec *Spec, fleet Planner, now time.Time) (*Preview, error) {
+// NewPreview selects a description's machines and plans its waves. It changes nothing.
+func NewPreview(spec *Spec, fleet Planner, now time.Time) (*Preview, error) {
 	names, err := selectMachines(spec, fleet, now)
 	if err != nil {
 		return nil, err
@@ -46,7 +46,7 @@
 	preview := &Preview{Machines: names}
 	candidates := make([]candidate, len(names))
 	for i, name := range names {
-		candidates[i] = candidate{name: name, machine: fleet.Machine(name), weight: fleet.Weigh(name)}
+		candidates[i] = candidate{name: name, machine: fleet.Machine(name), weight: fleet.DrainCost(name)}
 		if blocked := candidates[i].weight.Blocked; len(blocked) > 0 {
 			preview.Blocked = append(preview.Blocked, BlockedMachine{name, blocked})
 		}
@@ -76,7 +76,7 @@
 	bootTime := time.Duration(0)
 	for i := range wave {
 		total += time.Duration(wave[i].weight.Steps) * fleet.StepTime()
-		bootTime = max(bootTime, fleet.BootTime(wave[i].machine.Kind))
+		bootTime = max(bootTime, fleet.BootTime(wave[i].machine.Class))
 	}
 	if spec.Replace {
 		total += bootTime + spec.Observe.Duration()
@@ -96,16 +96,16 @@
 	var selected []ids.Machine
 	for _, name := range names {
 		machine := fleet.Machine(name)
-		exists := machine.Known && !machine.Gone
+		exists := machine.Known && !machine.Deleted
 		if isNamed && !exists {
-			return nil, fmt.Errorf("%w: unknown machine %q", ErrBadSpec, name)
+			return nil, fmt.Errorf("%w: unknown machine %q", ErrInvalidSpec, name)
 		}
 		if exists && selection.matches(machine, now) {
 			selected = append(selected, name)
 		}
 	}
 	if len(selected) == 0 {
-		return nil, fmt.Errorf("%w: no machine is selected", ErrBadSpec)
+		return nil, fmt.Errorf("%w: no machine is selected", ErrInvalidSpec)
 	}
 	slices.Sort(selected)
 	return selected, nil
@@ -113,7 +113,7 @@
 
 // matches reports whether a machine has the zone, type and age that are selected.
 func (s *Selection) matches(machine Machine, now time.Time) bool {
-	return (s.Zone == "" || machine.Kind.Zone == s.Zone) &&
-		(s.Type == "" || machine.Kind.Type == s.Type) &&
-		(!s.Older || machine.Rented.Before(now))
+	return (s.Zone == "" || machine.Class.Zone == s.Zone) &&
+		(s.Type == "" || machine.Class.Type == s.Type) &&
+		(!s.Older || machine.ProvisionedAt.Before(now))
 }
--- a/internal/rollout/print.go
+++ b/internal/rollout/print.go
@@ -18,8 +18,8 @@
 		return text.String()
 	}
 	fmt.Fprintf(&text, "%s: %s, %d of %d machines through, %d wait their turn", s.Name, s.State, s.Done, s.Total, s.Waiting)
-	if s.Why != "" {
-		fmt.Fprintf(&text, " (%s)", s.Why)
+	if s.Reason != "" {
+		fmt.Fprintf(&text, " (%s)", s.Reason)
 	}
 	text.WriteString("\n")
 	for _, machine := range s.Machines {
--- a/internal/rollout/reconcile.go
+++ b/internal/rollout/reconcile.go
@@ -86,7 +86,7 @@
 func (r *reconciler) recordDeleted() error {
 	for _, state := range cordonedStates {
 		for _, name := range r.machinesIn(state) {
-			if !r.view.Machine(name).Gone {
+			if !r.view.Machine(name).Deleted {
 				continue
 			}
 			if err := r.transitionMachine(name, state, Returned); err != nil {
@@ -147,7 +147,7 @@
 			if err := r.transitionMachine(name, state, Waiting); err != nil {
 				return err
 			}
-			r.record.Wave.adjustNeeded(machine.Kind, -1)
+			r.record.Wave.adjustNeeded(machine.Class, -1)
 			r.waiting.add(name)
 		}
 	}
--- a/internal/rollout/record.go
+++ b/internal/rollout/record.go
@@ -18,8 +18,8 @@
 	ID    string `json:"id"`
 	Spec  Spec   `json:"spec"`
 	State State  `json:"state"`
-	// Why is the reason for the state, for operators.
-	Why       string        `json:"why,omitempty"`
+	// Reason is the reason for the state, for operators.
+	Reason    string        `json:"why,omitempty"`
 	StartedAt ids.Timestamp `json:"started"`
 	// Total is how many machines were selected, Done how many of them are through.
 	Total int `json:"total"`
@@ -85,7 +85,7 @@
 	const besidesMachines = 2048 // the description, requests and the common parts of names
 	maximum := int(float64(valueBytes-besidesMachines) / (setsPerMachine * storedBytesPerMachine))
 	if r.Spec.WaveSize > max(maximum, 1) && r.Total > maximum {
-		return fmt.Errorf("%w: wave size: a record of %d bytes holds waves of %d machines at most: %d", ErrBadSpec, valueBytes, maximum, r.Spec.WaveSize)
+		return fmt.Errorf("%w: wave size: a record of %d bytes holds waves of %d machines at most: %d", ErrInvalidSpec, valueBytes, maximum, r.Spec.WaveSize)
 	}
 	return nil
 }
@@ -110,8 +110,8 @@
 			}
 		}
 	}
-	if r.Why != "" {
-		text += ": " + r.Why
+	if r.Reason != "" {
+		text += ": " + r.Reason
 	}
 	return text
 }
--- a/internal/rollout/replacements.go
+++ b/internal/rollout/replacements.go
@@ -11,9 +11,9 @@
 // POST /hosts).
 const maxPerRequest = 50
 
-// HirePrefix begins the names of all requests for replacements; no other provisioning request's
+// ReplacementPrefix begins the names of all requests for replacements; no other provisioning request's
 // name begins so.
-const HirePrefix = "ro-"
+const ReplacementPrefix = "ro-"
 
 // replacementsDue reports whether missing replacements are to be requested now: with a surge from
 // the beginning, without one when the machines of the wave have been returned.
@@ -26,14 +26,14 @@
 func (r *reconciler) requestMissing() {
 	wave := r.record.Wave
 	for _, needed := range wave.Needed {
-		missing := needed.Count - wave.countRequested(needed.Kind)
+		missing := needed.Count - wave.countRequested(needed.Class)
 		for ; missing > 0; missing -= maxPerRequest {
 			r.changed = true
 			wave.RequestCount++
 			wave.ObservingSince = 0
-			wave.Hires = append(wave.Hires, ReplacementRequest{
-				Name:        ids.ProvisioningRequest(fmt.Sprintf("%s%s-%d-%d", HirePrefix, r.record.ID, wave.Number, wave.RequestCount)),
-				ClassCount:  ClassCount{needed.Kind, min(missing, maxPerRequest)},
+			wave.ReplacementRequests = append(wave.ReplacementRequests, ReplacementRequest{
+				Name:        ids.ProvisioningRequest(fmt.Sprintf("%s%s-%d-%d", ReplacementPrefix, r.record.ID, wave.Number, wave.RequestCount)),
+				ClassCount:  ClassCount{needed.Class, min(missing, maxPerRequest)},
 				RequestedAt: r.now,
 			})
 		}
@@ -44,8 +44,8 @@
 // halt, empty if it need not.
 func (r *reconciler) updateReplacements() (haltReason string) {
 	wave := r.record.Wave
-	for i := range wave.Hires {
-		request := &wave.Hires[i]
+	for i := range wave.ReplacementRequests {
+		request := &wave.ReplacementRequests[i]
 		r.recordAnswer(request)
 		if reason := r.updateReadiness(request); reason != "" {
 			return reason
@@ -55,7 +55,7 @@
 		}
 	}
 	// One that was provisioned in part, or lost machines to the cloud, leaves the rest to a new one.
-	wave.Hires = slices.DeleteFunc(wave.Hires, func(request ReplacementRequest) bool {
+	wave.ReplacementRequests = slices.DeleteFunc(wave.ReplacementRequests, func(request ReplacementRequest) bool {
 		return request.Answered && request.Count == 0
 	})
 	return ""
@@ -66,7 +66,7 @@
 	if request.Answered {
 		return
 	}
-	machines, answered := r.view.HireAnswer(request.Name)
+	machines, answered := r.view.ProvisionedMachines(request.Name)
 	if !answered {
 		return
 	}
@@ -89,11 +89,11 @@
 			request.Count--
 		case machine.Failed != "":
 			return fmt.Sprintf("replacement %s of wave %d failed: %s", name, r.record.Wave.Number, machine.Failed)
-		case machine.Gone && wasReady:
+		case machine.Deleted && wasReady:
 			return fmt.Sprintf("replacement %s of wave %d came up and is gone", name, r.record.Wave.Number)
-		case machine.Gone:
+		case machine.Deleted:
 			return fmt.Sprintf("replacement %s of wave %d is gone and never came up", name, r.record.Wave.Number)
-		case machine.Up && !wasReady:
+		case machine.Ready && !wasReady:
 			r.changed = true
 			request.Ready.Add(name)
 		}
@@ -108,7 +108,7 @@
 		return ""
 	}
 	return fmt.Sprintf("of %d replacements (%s) of wave %d the cloud has rented %d and %d are up, %.0f s after they were asked for",
-		request.Count, request.Kind, r.record.Wave.Number, request.Machines.Len(), ready, float64(deadline))
+		request.Count, request.Class, r.record.Wave.Number, request.Machines.Len(), ready, float64(deadline))
 }
 
 // replacementsReady reports whether every replacement that the wave needs is ready.
@@ -118,7 +118,7 @@
 	}
 	wave := r.record.Wave
 	return !slices.ContainsFunc(wave.Needed, func(needed ClassCount) bool {
-		return wave.countReady(needed.Kind) < needed.Count
+		return wave.countReady(needed.Class) < needed.Count
 	})
 }
 
@@ -149,9 +149,9 @@
 }
 
 // adjustNeeded changes how many replacements of a class the wave needs.
-func (w *Wave) adjustNeeded(class Kind, change int) {
+func (w *Wave) adjustNeeded(class InstanceClass, change int) {
 	for i := range w.Needed {
-		if w.Needed[i].Kind == class {
+		if w.Needed[i].Class == class {
 			w.Needed[i].Count = max(0, w.Needed[i].Count+change)
 			return
 		}
@@ -162,20 +162,20 @@
 }
 
 // countRequested is how many replacements of a class have been requested.
-func (w *Wave) countRequested(class Kind) (n int) {
-	for i := range w.Hires {
-		if w.Hires[i].Kind == class {
-			n += w.Hires[i].Count
+func (w *Wave) countRequested(class InstanceClass) (n int) {
+	for i := range w.ReplacementRequests {
+		if w.ReplacementRequests[i].Class == class {
+			n += w.ReplacementRequests[i].Count
 		}
 	}
 	return n
 }
 
 // countReady is how many replacements of a class are ready.
-func (w *Wave) countReady(class Kind) (n int) {
-	for i := range w.Hires {
-		if w.Hires[i].Kind == class {
-			n += w.Hires[i].Ready.Len()
+func (w *Wave) countReady(class InstanceClass) (n int) {
+	for i := range w.ReplacementRequests {
+		if w.ReplacementRequests[i].Class == class {
+			n += w.ReplacementRequests[i].Ready.Len()
 		}
 	}
 	return n
@@ -187,8 +187,8 @@
 func (w *Wave) discardFailedReplacements(now ids.Timestamp, failed func(ids.Machine) bool) {
 	w.ObservingSince = 0
 	w.restartDeadlines(now)
-	for i := range w.Hires {
-		request := &w.Hires[i]
+	for i := range w.ReplacementRequests {
+		request := &w.ReplacementRequests[i]
 		if !request.Answered {
 			continue
 		}
@@ -206,8 +206,8 @@
 	if w.DrainingSince > 0 {
 		w.DrainingSince = now
 	}
-	for i := range w.Hires {
-		w.Hires[i].RequestedAt = now
+	for i := range w.ReplacementRequests {
+		w.ReplacementRequests[i].RequestedAt = now
 	}
 }
 
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -57,7 +57,7 @@
 		h.startLeader("b")
 		spec := wholeFleet("wide")
 		spec.WaveSize = 3000
-		if _, err := h.service.Start(h.ctx, spec); !errors.Is(err, ErrBadSpec) || !strings.Contains(err.Error(), "wave size") {
+		if _, err := h.service.Start(h.ctx, spec); !errors.Is(err, ErrInvalidSpec) || !strings.Contains(err.Error(), "wave size") {
 			t.Errorf("%v", err)
 		}
 	})
@@ -87,7 +87,7 @@
 				change(spec)
 			}
 			_, err := service.Start(h.ctx, spec)
-			if !errors.Is(err, ErrBadSpec) || !strings.Contains(err.Error(), name) || strings.Contains(err.Error(), "\n") {
+			if !errors.Is(err, ErrInvalidSpec) || !strings.Contains(err.Error(), name) || strings.Contains(err.Error(), "\n") {
 				t.Errorf("%s: %v", name, err)
 			}
 		}
@@ -108,7 +108,7 @@
 		}
 		other := wholeFleet("spring")
 		other.WaveSize = 1
-		if _, err := h.service.Start(h.ctx, other); !errors.Is(err, ErrOtherContents) {
+		if _, err := h.service.Start(h.ctx, other); !errors.Is(err, ErrSpecConflict) {
 			t.Errorf("other contents: %v", err)
 		}
 		for _, step := range []struct {
@@ -116,18 +116,18 @@
 			state   State
 			err     error
 		}{
-			{PauseIt, Paused, nil},
-			{PauseIt, Paused, nil},
-			{ResumeIt, Running, nil},
-			{ResumeIt, Running, nil},
-			{PauseIt, Paused, nil},
-			{AbortIt, Aborting, nil},
-			{AbortIt, Aborting, nil},
-			{ResumeIt, Aborting, ErrBadMove},
-			{PauseIt, Aborting, ErrBadMove},
-			{"explode", Aborting, ErrBadSpec},
+			{CommandPause, Paused, nil},
+			{CommandPause, Paused, nil},
+			{CommandResume, Running, nil},
+			{CommandResume, Running, nil},
+			{CommandPause, Paused, nil},
+			{CommandAbort, Aborting, nil},
+			{CommandAbort, Aborting, nil},
+			{CommandResume, Aborting, ErrInvalidTransition},
+			{CommandPause, Aborting, ErrInvalidTransition},
+			{"explode", Aborting, ErrInvalidSpec},
 		} {
-			_, err := h.service.Do(h.ctx, "spring", step.command)
+			_, err := h.service.Execute(h.ctx, "spring", step.command)
 			status, statusErr := h.service.Status(h.ctx, "spring")
 			if statusErr != nil {
 				t.Fatal(statusErr)
@@ -136,7 +136,7 @@
 				t.Errorf("%s: %v, then %s, not %s", step.command, err, status.State, step.state)
 			}
 		}
-		if _, err := h.service.Do(h.ctx, "autumn", PauseIt); !errors.Is(err, ErrNotFound) {
+		if _, err := h.service.Execute(h.ctx, "autumn", CommandPause); !errors.Is(err, ErrNotFound) {
 			t.Errorf("unknown rollout: %v", err)
 		}
 	})
@@ -202,11 +202,11 @@
 				t.Fatal(err)
 			}
 			status := h.awaitState("spring", Halted, 3*time.Minute)
-			if !strings.Contains(status.Why, name) || status.Waiting != 6 {
-				t.Errorf("%s: halted for %q with %d waiting", name, status.Why, status.Waiting)
+			if !strings.Contains(status.Reason, name) || status.Waiting != 6 {
+				t.Errorf("%s: halted for %q with %d waiting", name, status.Reason, status.Waiting)
 			}
 			h.fleet.change(func(f *fakeFleet) { trouble(f, false) })
-			if _, err := h.service.Do(h.ctx, "spring", ResumeIt); err != nil {
+			if _, err := h.service.Execute(h.ctx, "spring", CommandResume); err != nil {
 				t.Fatal(err)
 			}
 			if status := h.awaitState("spring", Ended, 5*time.Minute); status.Done != 6 {
@@ -222,7 +222,7 @@
 	runHarness(t, 4, func(h *harness) {
 		put := func(key, value string) {
 			txn := state.Txn{Ops: []state.Op{{Put: key, Value: json.RawMessage(value)}}}
-			if _, err := h.service.State.Commit(h.ctx, txn, state.Urgent); err != nil {
+			if _, err := h.service.Client.Commit(h.ctx, txn, state.Urgent); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -241,7 +241,7 @@
 		}
 		for _, name := range []Name{"newer", "damaged", "strange", "unreadable"} {
 			listed := slices.ContainsFunc(statuses, func(status *Status) bool { return status.Name == name && strings.Contains(status.Note, "set aside") })
-			_, err := h.service.Do(h.ctx, name, AbortIt)
+			_, err := h.service.Execute(h.ctx, name, CommandAbort)
 			_, startErr := h.service.Start(h.ctx, wholeFleet(name))
 			if !listed || !errors.Is(err, ErrUnreadable) || !errors.Is(startErr, ErrUnreadable) {
 				t.Errorf("%s: listed %v; %v; %v", name, listed, err, startErr)
@@ -258,7 +258,7 @@
 	spec := wholeFleet("spring")
 	spec.Select = Selection{Zone: "north"}
 	spec.WaveSize, spec.Pause = 2, 60
-	preview, err := MakePreview(spec, fleet, time.Now())
+	preview, err := NewPreview(spec, fleet, time.Now())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -279,10 +279,10 @@
 		t.Error("a transition that is not listed is allowed")
 	}
 	wave := &Wave{Machines: map[MachineState]MachineSet{Empty: NewMachineSet("m1")}}
-	if err := wave.transition("m1", Empty, Waiting); !errors.Is(err, ErrBadMove) {
+	if err := wave.transition("m1", Empty, Waiting); !errors.Is(err, ErrInvalidTransition) {
 		t.Errorf("an empty machine goes back into service: %v", err)
 	}
-	if err := wave.transition("m2", Empty, Returned); !errors.Is(err, ErrBadMove) {
+	if err := wave.transition("m2", Empty, Returned); !errors.Is(err, ErrInvalidTransition) {
 		t.Errorf("a machine that is not in the wave is moved: %v", err)
 	}
 }
--- a/internal/rollout/runner.go
+++ b/internal/rollout/runner.go
@@ -20,7 +20,7 @@
 //
 // Only the goroutine that calls Run uses it, so it needs no lock.
 type Runner struct {
-	Copy   *state.WatchCache // of the keys below Prefix
+	Mirror *state.WatchCache // of the keys below Prefix
 	Store  Store
 	Fleet  Fleet
 	Writer string
@@ -36,7 +36,7 @@
 func (r *Runner) Run(ctx context.Context) {
 	stale := true // what an earlier leader wrote last may not be in the mirror yet
 	for ctx.Err() == nil {
-		if stale && r.Copy.Sync(ctx) == nil {
+		if stale && r.Mirror.Sync(ctx) == nil {
 			stale = false
 		}
 		if !stale {
@@ -55,7 +55,7 @@
 // reconcileAll makes one pass over all rollouts. It tells whether it wrote anything, so that the
 // mirror has to be read before the next pass.
 func (r *Runner) reconcileAll(ctx context.Context, now time.Time) (wrote bool) {
-	entries, _ := r.Copy.Entries()
+	entries, _ := r.Mirror.Entries()
 	snapshot := readSnapshot(entries)
 	orders, wrote := r.reconcileActive(ctx, snapshot, now)
 	for name, reason := range snapshot.unreadable {
@@ -97,7 +97,7 @@
 		return false
 	}
 	for name := range record.machinesIn(Draining).All() {
-		if view.Machine(name).NoRoom {
+		if view.Machine(name).Unschedulable {
 			return true
 		}
 	}
--- a/internal/rollout/service.go
+++ b/internal/rollout/service.go
@@ -16,15 +16,15 @@
 var (
 	// ErrNotFound tells that there is no rollout of the name.
 	ErrNotFound = errors.New("no such rollout")
-	// ErrOtherContents tells that the name was used for another description.
-	ErrOtherContents = errors.New("a rollout of this name exists and says something else")
+	// ErrSpecConflict tells that the name was used for another description.
+	ErrSpecConflict = errors.New("a rollout of this name exists and says something else")
 	// ErrOverlap tells that an active rollout has one of the machines.
 	ErrOverlap = errors.New("a machine is in another rollout")
 	// ErrUnreadable tells that what is stored is damaged or of a newer version.
 	ErrUnreadable = errors.New("the stored rollout can't be read by this version")
-	// ErrNotNow tells that the state service or the leader does not answer; the command may be
+	// ErrUnavailable tells that the state service or the leader does not answer; the command may be
 	// repeated.
-	ErrNotNow = errors.New("not now")
+	ErrUnavailable = errors.New("not now")
 )
 
 // Leader is what the leader is asked for, wherever it is.
@@ -38,8 +38,8 @@
 // Service carries out the operators' commands, at any controller. All commands are idempotent. Its
 // fields are not changed after the start, so calls may run at the same time.
 type Service struct {
-	Copy         *state.WatchCache // of the keys below Prefix
-	State        *state.Client
+	Mirror       *state.WatchCache // of the keys below Prefix
+	Client       *state.Client
 	Leader       Leader
 	Installation func() Installation
 	Writer       string
@@ -55,8 +55,8 @@
 		return nil, err
 	}
 	preview, err := s.Leader.PlanDrain(ctx, spec)
-	if err != nil && !errors.Is(err, ErrBadSpec) {
-		return nil, fmt.Errorf("%w: the leader makes no plan: %v", ErrNotNow, err)
+	if err != nil && !errors.Is(err, ErrInvalidSpec) {
+		return nil, fmt.Errorf("%w: the leader makes no plan: %v", ErrUnavailable, err)
 	}
 	return preview, err
 }
@@ -83,7 +83,7 @@
 			return nil, err
 		}
 	}
-	return nil, fmt.Errorf("%w: others change rollouts at the same time", ErrNotNow)
+	return nil, fmt.Errorf("%w: others change rollouts at the same time", ErrUnavailable)
 }
 
 // create plans a rollout and tries to store it. Whether that succeeded is not told.
@@ -113,7 +113,7 @@
 	parts := selected.Parts(s.Limits.ValueBytes)
 	if len(parts) > s.Limits.maxParts() {
 		return nil, nil, fmt.Errorf("%w: the names of %d machines take %d values, of at most %d in one transaction: select fewer",
-			ErrBadSpec, selected.Len(), len(parts), s.Limits.maxParts())
+			ErrInvalidSpec, selected.Len(), len(parts), s.Limits.maxParts())
 	}
 	startedAt := ids.TimestampOf(time.Now())
 	record := &Record{
@@ -137,7 +137,7 @@
 // commit tries to store a transaction. It is false without an error if that may be repeated after
 // the next read: it met another change, or its answer was lost.
 func (s *Service) commit(ctx context.Context, txn *transaction) (stored bool, err error) {
-	_, err = s.State.Commit(ctx, txn.Txn, state.Normal)
+	_, err = s.Client.Commit(ctx, txn.Txn, state.Normal)
 	var conflict *state.ConflictError
 	switch {
 	case err == nil:
@@ -145,11 +145,11 @@
 	case errors.As(err, &conflict), errors.Is(err, state.ErrOutcomeUnknown):
 		return false, nil
 	}
-	return false, fmt.Errorf("%w: %v", ErrNotNow, err)
+	return false, fmt.Errorf("%w: %v", ErrUnavailable, err)
 }
 
-// Do carries out a command on a stored rollout. One that has its effect already changes nothing.
-func (s *Service) Do(ctx context.Context, name Name, command Command) (*Status, error) {
+// Execute carries out a command on a stored rollout. One that has its effect already changes nothing.
+func (s *Service) Execute(ctx context.Context, name Name, command Command) (*Status, error) {
 	for range maxAttempts {
 		snapshot, err := s.readSnapshot(ctx)
 		if err != nil {
@@ -179,7 +179,7 @@
 			return statusOf(rollout, nil), nil
 		}
 	}
-	return nil, fmt.Errorf("%w: the rollout changes at the same time", ErrNotNow)
+	return nil, fmt.Errorf("%w: the rollout changes at the same time", ErrUnavailable)
 }
 
 // Status tells the state of a rollout and what its machines wait for.
@@ -223,9 +223,9 @@
 
 // readSnapshot brings the mirror up to date: an answer must not be older than the question.
 func (s *Service) readSnapshot(ctx context.Context) (*rolloutSnapshot, error) {
-	if err := s.Copy.Sync(ctx); err != nil {
-		return nil, fmt.Errorf("%w: the state service does not answer: %v", ErrNotNow, err)
+	if err := s.Mirror.Sync(ctx); err != nil {
+		return nil, fmt.Errorf("%w: the state service does not answer: %v", ErrUnavailable, err)
 	}
-	entries, _ := s.Copy.Entries()
+	entries, _ := s.Mirror.Entries()
 	return readSnapshot(entries), nil
 }
--- a/internal/rollout/snapshot.go
+++ b/internal/rollout/snapshot.go
@@ -144,7 +144,7 @@
 	case err != nil:
 		return nil, err
 	case !rollout.record.Spec.Same(spec):
-		return nil, fmt.Errorf("%w: %s", ErrOtherContents, spec.Name)
+		return nil, fmt.Errorf("%w: %s", ErrSpecConflict, spec.Name)
 	}
 	return rollout, nil
 }
--- a/internal/rollout/spec.go
+++ b/internal/rollout/spec.go
@@ -36,10 +36,10 @@
 
 // The choices of an operator.
 const (
-	// Wait lets them run to their end, however long that takes.
-	Wait AtDeadline = "wait"
-	// Stop stops them, within the disruption budgets.
-	Stop AtDeadline = "stop"
+	// WaitAtDeadline lets them run to their end, however long that takes.
+	WaitAtDeadline AtDeadline = "wait"
+	// StopAtDeadline stops them, within the disruption budgets.
+	StopAtDeadline AtDeadline = "stop"
 )
 
 // Spec is a rollout as its operator described it. Durations are in seconds.
@@ -67,13 +67,13 @@
 	Shards       int
 }
 
-// ErrBadSpec tells that a description can't be carried out.
-var ErrBadSpec = errors.New("not a rollout that can be carried out")
+// ErrInvalidSpec tells that a description can't be carried out.
+var ErrInvalidSpec = errors.New("not a rollout that can be carried out")
 
 // Check reports the first thing that is wrong with a description.
 func (s *Spec) Check(installation Installation) error {
 	bad := func(format string, args ...any) error {
-		return fmt.Errorf("%w: %s", ErrBadSpec, fmt.Sprintf(format, args...))
+		return fmt.Errorf("%w: %s", ErrInvalidSpec, fmt.Sprintf(format, args...))
 	}
 	selection := &s.Select
 	switch {
@@ -93,8 +93,8 @@
 		return bad("pause and observation must be zero or more")
 	case !(s.Deadline > 0):
 		return bad("deadline: must be above zero: %v", float64(s.Deadline))
-	case s.AtDeadline != Wait && s.AtDeadline != Stop:
-		return bad("at the deadline: must be %q or %q: %q", Wait, Stop, s.AtDeadline)
+	case s.AtDeadline != WaitAtDeadline && s.AtDeadline != StopAtDeadline:
+		return bad("at the deadline: must be %q or %q: %q", WaitAtDeadline, StopAtDeadline, s.AtDeadline)
 	}
 	return nil
 }
--- a/internal/rollout/states.go
+++ b/internal/rollout/states.go
@@ -69,8 +69,8 @@
 	Replaced: {Verified},
 }
 
-// ErrBadMove tells that a transition is not allowed.
-var ErrBadMove = errors.New("not an allowed move")
+// ErrInvalidTransition tells that a transition is not allowed.
+var ErrInvalidTransition = errors.New("not an allowed move")
 
 // canBecome reports whether a rollout may go from this state to another.
 func (s State) canBecome(to State) bool { return slices.Contains(stateTransitions[s], to) }
@@ -83,9 +83,9 @@
 // transition takes the rollout to another state, unless that is not allowed.
 func (r *Record) transition(to State, why string) error {
 	if !r.State.canBecome(to) {
-		return fmt.Errorf("%w: rollout %s is %s and can't be %s", ErrBadMove, r.Spec.Name, r.State, to)
+		return fmt.Errorf("%w: rollout %s is %s and can't be %s", ErrInvalidTransition, r.Spec.Name, r.State, to)
 	}
-	r.State, r.Why = to, why
+	r.State, r.Reason = to, why
 	return nil
 }
 
--- a/internal/rollout/status.go
+++ b/internal/rollout/status.go
@@ -8,7 +8,7 @@
 type Status struct {
 	Name      Name          `json:"name"`
 	State     State         `json:"state,omitempty"`
-	Why       string        `json:"why,omitempty"`
+	Reason    string        `json:"why,omitempty"`
 	StartedAt ids.Timestamp `json:"started,omitempty"`
 	Total     int           `json:"total,omitempty"`
 	Done      int           `json:"done,omitempty"`
@@ -44,7 +44,7 @@
 	status := &Status{
 		Name:      record.Spec.Name,
 		State:     record.State,
-		Why:       record.Why,
+		Reason:    record.Reason,
 		StartedAt: record.StartedAt,
 		Total:     record.Total,
 		Done:      record.Done,
@@ -69,10 +69,10 @@
 			s.Machines = append(s.Machines, machine)
 		}
 	}
-	for i := range record.Wave.Hires {
-		request := &record.Wave.Hires[i]
+	for i := range record.Wave.ReplacementRequests {
+		request := &record.Wave.ReplacementRequests[i]
 		s.Replacements = append(s.Replacements, ReplacementStatus{
-			Kind:        request.Kind.String(),
+			Kind:        request.Class.String(),
 			Requested:   request.Count,
 			Provisioned: request.Machines.Len(),
 			Ready:       request.Ready.Len(),
--- a/internal/rollout/transaction.go
+++ b/internal/rollout/transaction.go
@@ -84,7 +84,7 @@
 	txn.require(recordKey(name), 0)
 	active := activeIndex{Active: append(slices.Clone(snapshot.index.Active), name)}
 	if err := txn.put(indexKey, active); err != nil {
-		return nil, fmt.Errorf("%w: too many rollouts are under way", ErrBadSpec)
+		return nil, fmt.Errorf("%w: too many rollouts are under way", ErrInvalidSpec)
 	}
 	if err := txn.put(recordKey(name), record); err != nil {
 		return nil, err
--- a/internal/rollout/wave.go
+++ b/internal/rollout/wave.go
@@ -50,7 +50,7 @@
 	}
 	if r.record.Spec.Replace {
 		for _, name := range chosen {
-			wave.adjustNeeded(r.view.Machine(name).Kind, 1)
+			wave.adjustNeeded(r.view.Machine(name).Class, 1)
 		}
 	}
 	r.record.Wave = wave
@@ -63,8 +63,8 @@
 	var candidates []candidate
 	for part, name := range r.waiting.all() {
 		machine := r.view.Machine(name)
-		if !machine.Gone {
-			candidates = append(candidates, candidate{name: name, part: part, machine: machine, weight: r.view.Weigh(name)})
+		if !machine.Deleted {
+			candidates = append(candidates, candidate{name: name, part: part, machine: machine, weight: r.view.DrainCost(name)})
 		} else if r.waiting.remove(part, name) {
 			r.record.Done++
 		}
@@ -85,7 +85,7 @@
 func (r *reconciler) resumeWave() {
 	r.record.Wave.discardFailedReplacements(r.now, func(name ids.Machine) bool {
 		machine := r.view.Machine(name)
-		return machine.Gone || machine.Failed != ""
+		return machine.Deleted || machine.Failed != ""
 	})
 	r.record.Resumed, r.changed = false, true
 }
@@ -108,7 +108,7 @@
 func (r *reconciler) recordEmpty() error {
 	for _, name := range r.machinesIn(Draining) {
 		machine := r.view.Machine(name)
-		if !machine.Known || !machine.Up || machine.Tasks > 0 {
+		if !machine.Known || !machine.Ready || machine.Tasks > 0 {
 			continue
 		}
 		if err := r.transitionMachine(name, Draining, Empty); err != nil {
--- a/internal/rollout/wave_record.go
+++ b/internal/rollout/wave_record.go
@@ -6,14 +6,14 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-// Kind is the instance class of a machine, which its replacement shares.
-type Kind struct {
+// InstanceClass is the instance class of a machine, which its replacement shares.
+type InstanceClass struct {
 	Type string `json:"type"`
 	Zone string `json:"zone"`
 	Spot bool   `json:"spot,omitempty"`
 }
 
-func (k Kind) String() string {
+func (k InstanceClass) String() string {
 	if k.Spot {
 		return k.Type + " in " + k.Zone + " (spot)"
 	}
@@ -22,8 +22,8 @@
 
 // ClassCount is a number of machines of one instance class.
 type ClassCount struct {
-	Kind  Kind `json:"kind"`
-	Count int  `json:"count"`
+	Class InstanceClass `json:"kind"`
+	Count int           `json:"count"`
 }
 
 // ReplacementRequest provisions replacements. Its name is stored before it is sent and never used
@@ -48,8 +48,8 @@
 	DrainingSince ids.Timestamp `json:"drainingSince,omitempty"`
 	// Needed are the replacements that the wave needs.
 	Needed []ClassCount `json:"wanted,omitempty"`
-	// Hires are the requests for replacements so far.
-	Hires []ReplacementRequest `json:"hires,omitempty"`
+	// ReplacementRequests are the requests for replacements so far.
+	ReplacementRequests []ReplacementRequest `json:"hires,omitempty"`
 	// RequestCount numbers the wave's requests, also those that were given up.
 	RequestCount int `json:"hireCount,omitempty"`
 	// ObservingSince is since when all replacements are ready and observed; zero before.
@@ -64,9 +64,9 @@
 		copied.Machines[state] = set.Clone()
 	}
 	copied.Needed = append([]ClassCount(nil), w.Needed...)
-	copied.Hires = append([]ReplacementRequest(nil), w.Hires...)
-	for i := range copied.Hires {
-		request := &copied.Hires[i]
+	copied.ReplacementRequests = append([]ReplacementRequest(nil), w.ReplacementRequests...)
+	for i := range copied.ReplacementRequests {
+		request := &copied.ReplacementRequests[i]
 		request.Machines = request.Machines.Clone()
 		request.Ready = request.Ready.Clone()
 	}
@@ -76,7 +76,7 @@
 // transition takes a machine of the wave to another state.
 func (w *Wave) transition(name ids.Machine, from, to MachineState) error {
 	if set := w.Machines[from]; !from.canBecome(to) || !set.Has(name) {
-		return fmt.Errorf("%w: machine %s from %s to %s", ErrBadMove, name, from, to)
+		return fmt.Errorf("%w: machine %s from %s to %s", ErrInvalidTransition, name, from, to)
 	}
 	w.remove(name, from)
 	if to != Waiting { // waiting machines are stored beside the record
--- a/internal/rollout/wave_test.go
+++ b/internal/rollout/wave_test.go
@@ -12,7 +12,7 @@
 	// machine, which happens while the next wave is chosen.
 	fleet := newFleet(0)
 	for _, name := range []ids.Machine{"host-000007", "spare-1"} {
-		fleet.machines[name] = &fakeMachine{Machine: Machine{Known: true, Up: true, Tasks: 1}, weight: Weight{Steps: 1}}
+		fleet.machines[name] = &fakeMachine{Machine: Machine{Known: true, Ready: true, Tasks: 1}, weight: DrainCost{Steps: 1}}
 	}
 	record := &Record{Spec: *wholeFleet("spring"), State: Running, Total: 4, Parts: 1}
 	waiting := []MachineSet{NewMachineSet("gateway-1", "gateway-2", "host-000007", "spare-1")}
--- a/internal/scenarios/drain_cluster_test.go
+++ b/internal/scenarios/drain_cluster_test.go
@@ -227,14 +227,14 @@
 	n.pool.Peers = n
 	n.pool.OnTerm = func(ctx context.Context, term *election.Term) {
 		term.Cluster.SetMachineTypes(types())
-		runner := &rollout.Runner{Copy: copied, Store: term.Committer, Fleet: term.Cluster, Writer: writer, Limits: limits}
+		runner := &rollout.Runner{Mirror: copied, Store: term.Committer, Fleet: term.Cluster, Writer: writer, Limits: limits}
 		go runner.Run(ctx)
 		p := &fleet.Provisioner{Cloud: fleet.NewCloud("cloud:1", c.net.Client(name), 20), Cluster: term.Cluster, Store: term.Committer, Generation: term.Generation,
 			Keys: record.KeysOf(0, 1), ConfirmLeadership: func() bool { return n.pool.LeaseSurelyHeld(term) }, ListInterval: 2 * time.Second}
 		p.Adopt(term.OpenHires)
 		p.Run(ctx)
 	}
-	n.drains = &rollout.Service{Copy: copied, State: store, Leader: n, Writer: writer, Limits: limits,
+	n.drains = &rollout.Service{Mirror: copied, Client: store, Leader: n, Writer: writer, Limits: limits,
 		Installation: func() rollout.Installation {
 			return rollout.Installation{Zones: settings.Params.Zones, Types: []string{"small"}, Shards: settings.ShardCount()}
 		}}
@@ -318,7 +318,7 @@
 	if leader == nil {
 		return nil, election.ErrNotLeader
 	}
-	return rollout.MakePreview(spec, leader.pool.Cluster().DrainPlanner(), time.Now())
+	return rollout.NewPreview(spec, leader.pool.Cluster().DrainPlanner(), time.Now())
 }
 
 // DrainWaits asks the leader what machines wait for.
@@ -369,7 +369,7 @@
 
 // drain is a description of a rollout over a zone's machines, or those named.
 func drain(name string, machines ...ids.Machine) *rollout.Spec {
-	spec := &rollout.Spec{Name: rollout.Name(name), WaveSize: 2, Deadline: 60, AtDeadline: rollout.Wait}
+	spec := &rollout.Spec{Name: rollout.Name(name), WaveSize: 2, Deadline: 60, AtDeadline: rollout.WaitAtDeadline}
 	if spec.Select.Machines = machines; len(machines) == 0 {
 		spec.Select.Zone = "north"
 	}
@@ -387,7 +387,7 @@
 // do gives a command at some controller that does not lead.
 func (c *drainCluster) do(name string, command rollout.Command) {
 	c.t.Helper()
-	err := c.try(func(n *drainNode) error { _, err := n.drains.Do(c.ctx, rollout.Name(name), command); return err })
+	err := c.try(func(n *drainNode) error { _, err := n.drains.Execute(c.ctx, rollout.Name(name), command); return err })
 	if err != nil {
 		c.t.Fatalf("%s %s: %v", command, name, err)
 	}
@@ -396,7 +396,7 @@
 // try calls a controller until one can answer.
 func (c *drainCluster) try(call func(n *drainNode) error) (err error) {
 	for range 30 {
-		if err = call(c.follower()); err == nil || !strings.Contains(err.Error(), rollout.ErrNotNow.Error()) {
+		if err = call(c.follower()); err == nil || !strings.Contains(err.Error(), rollout.ErrUnavailable.Error()) {
 			return err
 		}
 		time.Sleep(time.Second)
--- a/internal/scenarios/drain_test.go
+++ b/internal/scenarios/drain_test.go
@@ -237,7 +237,7 @@
 		c.begin(drain("spring", c.in("north")...))
 		c.waitsFor("team blue: 0 of its 2 replicas are down, of at most 0")
 		c.hold(time.Minute, "nothing is stopped", func() bool { return c.rule.stopped("job-1") == 0 && c.rule.stopped("job-2") == 0 })
-		c.do("spring", rollout.AbortIt)
+		c.do("spring", rollout.CommandAbort)
 		c.reaches("spring", rollout.Ended, time.Minute)
 		c.until(time.Minute, "the machine is in service again", func() bool { return c.cordoned() == 0 })
 	})
@@ -254,7 +254,7 @@
 		c.begin(park)
 		c.until(time.Minute, "the south is cordoned", func() bool { return c.cordoned() == 2 })
 		c.service("job-1", 4, "cores", 1.5, "ramGb", 3)
-		c.do("park", rollout.AbortIt)
+		c.do("park", rollout.CommandAbort)
 		c.reaches("park", rollout.Ended, time.Minute)
 		first, second := drain("first", c.in("north")...), drain("second", c.in("south")...)
 		first.Surge, second.Surge = true, true
@@ -280,8 +280,8 @@
 			}
 			refused(drain("summer"), rollout.ErrOverlap)
 			other := drain("spring", c.in("north")[1])
-			refused(other, rollout.ErrOtherContents)
-			refused(drain("autumn", "host-999999"), rollout.ErrBadSpec)
+			refused(other, rollout.ErrSpecConflict)
+			refused(drain("autumn", "host-999999"), rollout.ErrInvalidSpec)
 			if _, err := c.follower().drains.Start(c.ctx, drain("spring", c.in("north")[0])); err != nil {
 				t.Errorf("the same start again: %v", err)
 			}
@@ -414,8 +414,8 @@
 				spec.WaveSize, spec.Deadline, spec.Observe = 1, 40, 60
 				c.begin(spec)
 				c.reaches("spring", rollout.Halted, 4*time.Minute)
-				if r := c.state("spring"); !strings.Contains(r.Why, failure.why) {
-					t.Errorf("halted for %q", r.Why)
+				if r := c.state("spring"); !strings.Contains(r.Reason, failure.why) {
+					t.Errorf("halted for %q", r.Reason)
 				}
 				c.until(time.Minute, "what is not empty is in service again", func() bool { return c.cordoned() == 0 })
 				waves := c.state("spring").Waves
@@ -423,7 +423,7 @@
 					r := c.state("spring")
 					return r.State == rollout.Halted && r.Waves == waves
 				})
-				c.do("spring", rollout.ResumeIt)
+				c.do("spring", rollout.CommandResume)
 				c.reaches("spring", rollout.Ended, 20*time.Minute)
 				for _, name := range before {
 					if slices.Contains(c.in("north"), name) {
@@ -454,7 +454,7 @@
 		spec.Observe = 90
 		c.begin(spec)
 		c.reaches("spring", rollout.Halted, 4*time.Minute)
-		if why := c.state("spring").Why; !strings.Contains(why, "replacement host-000003 of wave 1 failed: tasks keep failing there") {
+		if why := c.state("spring").Reason; !strings.Contains(why, "replacement host-000003 of wave 1 failed: tasks keep failing there") {
 			t.Errorf("halted for %q", why)
 		}
 	})
@@ -506,7 +506,7 @@
 				if trouble.after {
 					c.until(2*time.Minute, "the replacement is rented", func() bool {
 						wave := c.state("spring").Wave
-						return wave != nil && len(wave.Hires) > 0 && wave.Hires[0].Answered
+						return wave != nil && len(wave.ReplacementRequests) > 0 && wave.ReplacementRequests[0].Answered
 					})
 					trouble.begin(c)
 					c.waitsFor("the cloud has not confirmed its return")
@@ -517,7 +517,7 @@
 				c.hold(time.Minute, "nothing more is stopped", func() bool { return c.rule.stopped("job-1") == stops })
 				trouble.end(c)
 				if !trouble.after {
-					c.do("spring", rollout.ResumeIt)
+					c.do("spring", rollout.CommandResume)
 				}
 				c.reaches("spring", rollout.Ended, 15*time.Minute)
 			})
@@ -658,7 +658,7 @@
 				c.begin(spec)
 				c.waitsFor(scene.why)
 				c.hold(3*time.Minute, "nothing is stopped", func() bool { return c.rule.stopped("job-1") == 0 && c.running("job-1") == scene.replicas })
-				c.do("spring", rollout.AbortIt)
+				c.do("spring", rollout.CommandAbort)
 				c.reaches("spring", rollout.Ended, time.Minute)
 				c.until(time.Minute, "no machine stays cordoned", func() bool { return c.cordoned() == 0 })
 			})
@@ -676,7 +676,7 @@
 		},
 		"paused": func(c *drainCluster) {
 			c.rest(5 * time.Second)
-			c.do("spring", rollout.PauseIt)
+			c.do("spring", rollout.CommandPause)
 			stops := c.rule.stopped("job-1")
 			c.rest(3 * time.Second)
 			if n := c.rule.stopped("job-1"); n > stops+1 {
@@ -687,7 +687,7 @@
 			c.cloud.SetRoom(0)
 			c.reaches("spring", rollout.Halted, 5*time.Minute)
 		},
-		"aborting": func(c *drainCluster) { c.do("spring", rollout.AbortIt) },
+		"aborting": func(c *drainCluster) { c.do("spring", rollout.CommandAbort) },
 		"the leader has just ended": func(c *drainCluster) {
 			c.rest(8 * time.Second)
 			c.end(c.leader().name)
@@ -701,12 +701,12 @@
 				spec.WaveSize, spec.Surge, spec.Deadline, spec.Pause = 1, name == "halted", 30, 30
 				c.begin(spec)
 				before(c)
-				c.do("spring", rollout.AbortIt)
+				c.do("spring", rollout.CommandAbort)
 				c.reaches("spring", rollout.Ended, 3*time.Minute)
 				c.until(time.Minute, "no machine stays cordoned", func() bool { return c.cordoned() == 0 })
 				c.until(2*time.Minute, "all replicas are up", func() bool { return c.running("job-1") == 6 })
-				c.do("spring", rollout.AbortIt)
-				if _, err := c.follower().drains.Do(c.ctx, "spring", rollout.ResumeIt); !errors.Is(err, rollout.ErrBadMove) {
+				c.do("spring", rollout.CommandAbort)
+				if _, err := c.follower().drains.Execute(c.ctx, "spring", rollout.CommandResume); !errors.Is(err, rollout.ErrInvalidTransition) {
 					t.Errorf("one that ended is resumed: %v", err)
 				}
 			})
@@ -726,7 +726,7 @@
 		c.until(time.Minute, "all run", func() bool { return c.running("job-1") == 4 && c.running("job-2") == 2 && c.running("job-3") == 2 })
 		c.rest(8 * time.Second)
 		spec := drain("spring")
-		spec.AtDeadline = rollout.Stop
+		spec.AtDeadline = rollout.StopAtDeadline
 		c.begin(spec)
 		c.reaches("spring", rollout.Ended, 10*time.Minute)
 		c.until(time.Minute, "all run elsewhere", func() bool { return c.running("job-1") == 4 && c.running("job-2") == 2 && c.running("job-3") == 2 })
@@ -746,7 +746,7 @@
 
 func TestWorkThatCantSaveRunsToItsEndUnlessItsDeadlineIsOver(t *testing.T) {
 	t.Parallel()
-	for _, choice := range []rollout.AtDeadline{rollout.Wait, rollout.Stop} {
+	for _, choice := range []rollout.AtDeadline{rollout.WaitAtDeadline, rollout.StopAtDeadline} {
 		t.Run(string(choice), func(t *testing.T) {
 			t.Parallel()
 			drainScenario(t, 1, drainOptions{room: 10}, func(t *testing.T, c *drainCluster) {
@@ -757,7 +757,7 @@
 				c.begin(spec)
 				c.waitsFor("can't save and runs to its end")
 				c.hold(25*time.Second, "it runs on", func() bool { return c.rule.stopped("job-1") == 0 })
-				if choice == rollout.Stop {
+				if choice == rollout.StopAtDeadline {
 					c.reaches("spring", rollout.Ended, 3*time.Minute)
 					return
 				}
--- a/internal/scheduler/assign.go
+++ b/internal/scheduler/assign.go
@@ -173,13 +173,13 @@
 
 // quotaLeft is how many more tasks of a job, of those wanted, its team's quota allows.
 func (s *Scheduler) QuotaLeft(spec *record.Spec, want int) int {
-	return s.Quota.Left(spec.Team).CountFitting(spec.Resources, want)
+	return s.Quota.Available(spec.Team).CountFitting(spec.Resources, want)
 }
 
 // assignableTasks is the same less what is reserved for jobs that go first, or for tasks that are moved.
 func (s *Scheduler) assignableTasks(job *workload.Job, want int, now time.Time) int {
 	spec := &job.Record.Spec
-	left := s.Quota.Left(spec.Team).Minus(s.reservedQuota(job, now)).Minus(s.cluster.QuotaForRelocated(job))
+	left := s.Quota.Available(spec.Team).Minus(s.reservedQuota(job, now)).Minus(s.cluster.QuotaForRelocated(job))
 	return left.CountFitting(spec.Resources, want)
 }
 
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -317,7 +317,7 @@
 		return false
 	}
 	team, _ := s.Settings.Team(spec.Team)
-	used := s.Quota.Used(spec.Team)
+	used := s.Quota.Usage(spec.Team)
 	if spec.Resources.Accels > 0 {
 		return used.Accels > team.GPUs
 	}
--- a/internal/scheduler/quota_preemption.go
+++ b/internal/scheduler/quota_preemption.go
@@ -45,7 +45,7 @@
 	}
 	spec := &job.Record.Spec
 	team, _ := s.Settings.Team(spec.Team)
-	excess := quotaExcess(team, s.Quota.Used(spec.Team).Plus(spec.Resources.Times(float64(tasks))))
+	excess := quotaExcess(team, s.Quota.Usage(spec.Team).Plus(spec.Resources.Times(float64(tasks))))
 	left, excess, victims := s.lesserWork(job, team, excess)
 	if fitting := left.CountFitting(spec.Resources, tasks); fitting > 0 && (fitting == tasks || spec.Shape != record.Gang) {
 		s.quotaReservations[spec.Team] = quotaReservation{job: job, need: spec.Resources.Times(float64(fitting)), until: now.Add(quotaReservationTime)}
@@ -126,7 +126,7 @@
 		return
 	}
 	for _, team := range s.Settings.Params.Teams {
-		amount, rank, owed := s.Quota.Owed(team.Name)
+		amount, rank, owed := s.Quota.ReclaimNeeded(team.Name)
 		if priority := record.Priority(rank.Priority); owed && priority >= record.High {
 			s.preemptLowerPriority(team.Name, priority, amount.Room())
 		}
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -48,7 +48,7 @@
 	Jobs      *workload.Queue
 	Machines  *worker.Registry
 	Capacity  *capacity.Index
-	Quota     *quota.Book
+	Quota     *quota.Tracker
 	Estimates *estimate.Estimator
 }
 
