--- a/internal/claim/apply_test.go
+++ b/internal/claim/apply_test.go
@@ -16,7 +16,7 @@
 	// Guards against a leader's own key, such as a long list of machine types, that is
 	// refused for its size and sent again for ever.
 	synctest.Test(t, func(t *testing.T) {
-		network, store := fake.NewNet(), fake.NewStore()
+		network, store := fake.NewNetwork(), fake.NewStore()
 		network.Listen("state:1", store)
 		store.SetLimits(2048, 4)
 		client := state.NewClient("state:1", network.Client("a"), state.NewBudget(1000, 1000, 1, 0.6))
--- a/internal/claim/fleet_test.go
+++ b/internal/claim/fleet_test.go
@@ -46,10 +46,10 @@
 			defer synctest.Wait()
 			defer cancel()
 			const each = 200
-			cluster, n := fleet(t, 0), fake.NewNet()
-			n.SetRule(func(_, to string, _ *http.Request, _ []byte) fake.Fate {
+			cluster, n := fleet(t, 0), fake.NewNetwork()
+			n.SetRule(func(_, to string, _ *http.Request, _ []byte) fake.Outcome {
 				if strings.HasPrefix(to, "lost") {
-					return fake.Swallow
+					return fake.Drop
 				}
 				return fake.Deliver
 			})
--- a/internal/claim/outcomes_test.go
+++ b/internal/claim/outcomes_test.go
@@ -17,7 +17,7 @@
 // history is a store with the final records of many jobs, a client of it, and how many
 // calls that one made.
 type history struct {
-	network *fake.Net
+	network *fake.Network
 	store   *fake.Store
 	state   *state.Client
 	calls   int
@@ -25,9 +25,9 @@
 
 // newHistory stores that jobs first to first+n-1 are done, but for those cancelled.
 func newHistory(t *testing.T, first, n int, cancelled ...int) *history {
-	h := &history{store: fake.NewStore(), network: fake.NewNet()}
+	h := &history{store: fake.NewStore(), network: fake.NewNetwork()}
 	h.network.Listen("state:1", h.store)
-	h.network.SetRule(func(string, string, *http.Request, []byte) fake.Fate { h.calls++; return fake.Deliver })
+	h.network.SetRule(func(string, string, *http.Request, []byte) fake.Outcome { h.calls++; return fake.Deliver })
 	h.state = state.NewClient("state:1", h.network.Client("a"), state.NewBudget(1e6, 1e6, 1, 0.6))
 	put := func(status record.Status, numbers ...int) {
 		var txn state.Txn
--- a/internal/claim/promote_test.go
+++ b/internal/claim/promote_test.go
@@ -77,13 +77,13 @@
 			t.Error("a marker waits for the ends of those that were cancelled")
 		}
 		began := time.Now()
-		for h.store.Count(record.WaitPrefix) > 0 && time.Since(began) < 5*time.Minute {
+		for h.store.CountKeys(record.WaitPrefix) > 0 && time.Since(began) < 5*time.Minute {
 			c.CommitGroup(ctx)
 			time.Sleep(20 * time.Millisecond)
 		}
 		took := time.Since(began)
-		if h.store.TooLarge > 0 || h.store.Count(record.WaitPrefix) > 0 || h.store.Count(record.EndPrefix) != 1+2001 {
-			t.Fatalf("%d transactions were too large, %d jobs wait, %d ended", h.store.TooLarge, h.store.Count(record.WaitPrefix), h.store.Count(record.EndPrefix))
+		if h.store.TooLarge > 0 || h.store.CountKeys(record.WaitPrefix) > 0 || h.store.CountKeys(record.EndPrefix) != 1+2001 {
+			t.Fatalf("%d transactions were too large, %d jobs wait, %d ended", h.store.TooLarge, h.store.CountKeys(record.WaitPrefix), h.store.CountKeys(record.EndPrefix))
 		}
 		// Two changes for each, 12 in a transaction, 80 a second for this node.
 		if h.calls > 2000/6+10 || took > 90*time.Second {
@@ -128,9 +128,9 @@
 		if marker.StoredVersion != marker.Version || len(marker.Assignments) != 1 {
 			t.Error("a marker waits for the moves of hundreds")
 		}
-		for groups := 0; h.store.Count(record.WaitPrefix) > 1; groups++ {
+		for groups := 0; h.store.CountKeys(record.WaitPrefix) > 1; groups++ {
 			if c.CommitGroup(ctx); groups > 300/6+10 {
-				t.Fatalf("%d still wait after %d groups", h.store.Count(record.WaitPrefix), groups)
+				t.Fatalf("%d still wait after %d groups", h.store.CountKeys(record.WaitPrefix), groups)
 			}
 		}
 		if cluster.dependencies.graph.Len() != 1 || cluster.jobs.Len() != 2+301 {
--- a/internal/claim/urgency_test.go
+++ b/internal/claim/urgency_test.go
@@ -98,10 +98,10 @@
 	// Guards against passes over all that wait, and after a takeover against a call for
 	// each of thousands of ends.
 	synctest.Test(t, func(t *testing.T) {
-		n, s := fake.NewNet(), fake.NewStore()
+		n, s := fake.NewNetwork(), fake.NewStore()
 		n.Listen("state:1", s)
 		calls := 0
-		n.SetRule(func(string, string, *http.Request, []byte) fake.Fate { calls++; return fake.Deliver })
+		n.SetRule(func(string, string, *http.Request, []byte) fake.Outcome { calls++; return fake.Deliver })
 		store := state.NewClient("state:1", n.Client("a"), state.NewBudget(1000, 1000, 1, 0.6))
 		ctx := context.Background()
 		cluster := testBook()
@@ -146,7 +146,7 @@
 	// Guards against a value that no longer fits being sent again and again, and
 	// against taking tasks off a record that may be on machines.
 	synctest.Test(t, func(t *testing.T) {
-		n, s := fake.NewNet(), fake.NewStore()
+		n, s := fake.NewNetwork(), fake.NewStore()
 		n.Listen("state:1", s)
 		store := state.NewClient("state:1", n.Client("a"), state.NewBudget(1000, 1000, 1, 0.6))
 		ctx := context.Background()
--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -74,8 +74,8 @@
 	return &Cloud{capacity: capacity, provisioned: map[string][]string{}, types: json.RawMessage(defaultTypes)}
 }
 
-// Hires is what each provisioning request rented, by its name.
-func (c *Cloud) Hires() map[string][]string {
+// ProvisioningRequests is what each provisioning request rented, by its name.
+func (c *Cloud) ProvisioningRequests() map[string][]string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	requests := map[string][]string{}
@@ -92,15 +92,15 @@
 	c.down = down
 }
 
-// Host is a machine that the cloud has rented.
-type Host struct{ Name, Zone string }
+// Machine is a machine that the cloud has rented.
+type Machine struct{ Name, Zone string }
 
-// Hosts lists the machines rented and not deleted, in order.
-func (c *Cloud) Hosts() (hosts []Host) {
+// Machines lists the machines rented and not deleted, in order.
+func (c *Cloud) Machines() (hosts []Machine) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, machine := range c.machines {
-		hosts = append(hosts, Host{machine.Name, machine.Zone})
+		hosts = append(hosts, Machine{machine.Name, machine.Zone})
 	}
 	return hosts
 }
@@ -113,15 +113,15 @@
 	c.onDelete = f
 }
 
-// SetRoom sets how many more machines it rents.
-func (c *Cloud) SetRoom(machines int) {
+// SetCapacity sets how many more machines it rents.
+func (c *Cloud) SetCapacity(machines int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.capacity = machines
 }
 
-// Gone lists the machines deleted.
-func (c *Cloud) Gone() []string {
+// DeletedMachines lists the machines deleted.
+func (c *Cloud) DeletedMachines() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]string(nil), c.deleted...)
--- a/internal/fake/faults.go
+++ b/internal/fake/faults.go
@@ -5,39 +5,39 @@
 	"strings"
 )
 
-// Fate is what happens to one request.
-type Fate int
+// Outcome is what happens to one request.
+type Outcome int
 
 const (
 	// Deliver passes request and answer.
-	Deliver Fate = iota
+	Deliver Outcome = iota
 	// Refuse fails the connection attempt: nothing arrives, now or later.
 	Refuse
-	// Swallow drops the request; the caller hangs until it gives up.
-	Swallow
-	// LoseAnswer delivers the request but not the answer.
-	LoseAnswer
-	// Hold keeps the request back until Release; the caller hangs meanwhile.
-	Hold
-	// Copy delivers, and keeps a copy back until Release.
-	Copy
-	// Late delivers the request after Delay; the caller hangs and gives up. What
+	// Drop drops the request; the caller hangs until it gives up.
+	Drop
+	// DropResponse delivers the request but not the answer.
+	DropResponse
+	// HoldBack keeps the request back until Release; the caller hangs meanwhile.
+	HoldBack
+	// Duplicate delivers, and keeps a copy back until Release.
+	Duplicate
+	// Delay delivers the request after Delay; the caller hangs and gives up. What
 	// was sent after it may be delivered before it.
-	Late
-	// SlowAnswer delivers at once, and the answer after Delay.
-	SlowAnswer
+	Delay
+	// DelayResponse delivers at once, and the answer after Delay.
+	DelayResponse
 )
 
 // Rule decides a request's fate.
-type Rule = func(from, to string, r *http.Request, body []byte) Fate
+type Rule = func(from, to string, r *http.Request, body []byte) Outcome
 
 // isHost tells whether an address or a caller's name is a host's.
 func isHost(host, name string) bool { return host == name || strings.HasPrefix(host, name+":") }
 
-// Mute keeps a worker from reaching any controller, while direct commands reach it: a one-way
+// PartitionOutbound keeps a worker from reaching any controller, while direct commands reach it: a one-way
 // partition.
-func Mute(worker string) Rule {
-	return func(from, _ string, _ *http.Request, _ []byte) Fate {
+func PartitionOutbound(worker string) Rule {
+	return func(from, _ string, _ *http.Request, _ []byte) Outcome {
 		if isHost(from, worker) {
 			return Refuse
 		}
@@ -45,25 +45,25 @@
 	}
 }
 
-// Deaf has a worker's heartbeats arrive, while answers and direct commands to it are lost: the
+// PartitionInbound has a worker's heartbeats arrive, while answers and direct commands to it are lost: the
 // other one-way partition.
-func Deaf(worker string) Rule {
-	return func(from, to string, _ *http.Request, _ []byte) Fate {
+func PartitionInbound(worker string) Rule {
+	return func(from, to string, _ *http.Request, _ []byte) Outcome {
 		switch {
 		case isHost(from, worker):
-			return LoseAnswer
+			return DropResponse
 		case isHost(to, worker):
-			return Swallow
+			return Drop
 		}
 		return Deliver
 	}
 }
 
-// CopyReports keeps copies of a worker's heartbeats until Release, for the next leader.
-func CopyReports(worker string) Rule {
-	return func(from, _ string, r *http.Request, _ []byte) Fate {
+// DuplicateHeartbeats keeps copies of a worker's heartbeats until Release, for the next leader.
+func DuplicateHeartbeats(worker string) Rule {
+	return func(from, _ string, r *http.Request, _ []byte) Outcome {
 		if isHost(from, worker) && r.URL.Path == heartbeatPath {
-			return Copy
+			return Duplicate
 		}
 		return Deliver
 	}
--- a/internal/fake/helpers_test.go
+++ b/internal/fake/helpers_test.go
@@ -10,7 +10,7 @@
 )
 
 // sendRequest makes one request, as a host, and gives up after 2 s; 0 is no answer.
-func sendRequest(network *Net, from, method, url, body string) (int, string) {
+func sendRequest(network *Network, from, method, url, body string) (int, string) {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
 	request, _ := http.NewRequestWithContext(ctx, method, "http://"+url, bytes.NewReader([]byte(body)))
--- a/internal/fake/hooks_test.go
+++ b/internal/fake/hooks_test.go
@@ -12,9 +12,9 @@
 func TestHooksMayBeSetWhileFakesAreInUse(t *testing.T) {
 	// Tests set hooks after controllers have begun to call. As plain fields that was a data
 	// race, which only the race detector sees, and only now and then.
-	network, store := NewNet(), NewStore()
+	network, store := NewNetwork(), NewStore()
 	network.Listen("state:1", store)
-	worker := &Worker{Name: "m", Addr: "m:1", Net: network}
+	worker := &Worker{Name: "m", Address: "m:1", Network: network}
 	commit := func() {
 		body := strings.NewReader(`{"then":[{"put":"a","value":1}]}`)
 		if res, err := network.Client("a").Post("http://state:1/commit", "application/json", body); err != nil || res.StatusCode != 200 {
@@ -31,9 +31,9 @@
 		set, use func()
 	}{
 		{"changes", func() { store.NotifyChanges(func(string, json.RawMessage) {}) }, commit},
-		{"kept changes", func() { store.SetKeep(50) }, follow},
-		{"rule", func() { network.SetRule(func(string, string, *http.Request, []byte) Fate { return Deliver }) }, commit},
-		{"lag", func() { network.SetLag(func() time.Duration { return 0 }) }, commit},
+		{"kept changes", func() { store.SetHistoryLimit(50) }, follow},
+		{"rule", func() { network.SetRule(func(string, string, *http.Request, []byte) Outcome { return Deliver }) }, commit},
+		{"lag", func() { network.SetLatency(func() time.Duration { return 0 }) }, commit},
 		{"delay", func() { network.SetDelay(func() time.Duration { return 0 }) }, func() { network.nextDelay() }},
 		{"events", func() { worker.NotifyEvents(func(Event) {}) }, func() {
 			worker.mu.Lock()
--- a/internal/fake/net.go
+++ b/internal/fake/net.go
@@ -18,8 +18,8 @@
 	fromHeader = "Fake-From"
 )
 
-// Net joins hosts by name.
-type Net struct {
+// Network joins hosts by name.
+type Network struct {
 	// mu guards the fields below. No handler, rule or hook is called under it.
 	mu    sync.Mutex
 	hosts map[string]http.Handler
@@ -35,72 +35,74 @@
 	results map[string]bool
 }
 
-// NewNet makes an empty network.
-func NewNet() *Net { return &Net{hosts: map[string]http.Handler{}, results: map[string]bool{}} }
+// NewNetwork makes an empty network.
+func NewNetwork() *Network {
+	return &Network{hosts: map[string]http.Handler{}, results: map[string]bool{}}
+}
 
 // keepResult remembers that a task has completed.
-func (n *Net) keepResult(task string) {
+func (n *Network) keepResult(task string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.results[task] = true
 }
 
 // hasResult tells whether a task has completed.
-func (n *Net) hasResult(task string) bool {
+func (n *Network) hasResult(task string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.results[task]
 }
 
 // Listen puts a host on the network, in place of the one that listened there.
-func (n *Net) Listen(addr string, handler http.Handler) {
+func (n *Network) Listen(addr string, handler http.Handler) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.hosts[addr] = handler
 }
 
 // handler is who listens at an address; nil: nobody does.
-func (n *Net) handler(addr string) http.Handler {
+func (n *Network) handler(addr string) http.Handler {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.hosts[addr]
 }
 
 // SetRule changes the rule; nil delivers all.
-func (n *Net) SetRule(rule Rule) {
+func (n *Network) SetRule(rule Rule) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.rule = rule
 }
 
 // SetDelay sets how late the next Late request or SlowAnswer is delivered.
-func (n *Net) SetDelay(delay func() time.Duration) {
+func (n *Network) SetDelay(delay func() time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.delay = delay
 }
 
-// SetLag sets how long a request takes, and its answer again.
-func (n *Net) SetLag(latency func() time.Duration) {
+// SetLatency sets how long a request takes, and its answer again.
+func (n *Network) SetLatency(latency func() time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.latency = latency
 }
 
-// Current is the rule now.
-func (n *Net) Current() Rule {
+// CurrentRule is the rule now.
+func (n *Network) CurrentRule() Rule {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.rule
 }
 
 // Client is how one host calls the others.
-func (n *Net) Client(from string) *http.Client {
+func (n *Network) Client(from string) *http.Client {
 	return &http.Client{Transport: &transport{net: n, from: from}}
 }
 
-// Release delivers what was held back, in order, and tells how much that was.
-func (n *Net) Release() int {
+// ReleaseHeld delivers what was held back, in order, and tells how much that was.
+func (n *Network) ReleaseHeld() int {
 	n.mu.Lock()
 	heldBack := n.heldBack
 	n.heldBack = nil
@@ -128,7 +130,7 @@
 
 // transport is how one host reaches the others.
 type transport struct {
-	net  *Net
+	net  *Network
 	from string
 }
 
@@ -155,21 +157,21 @@
 }
 
 // carryOut has a fate happen to a request.
-func (t *transport) carryOut(fate Fate, d *delivery, handler http.Handler) (*http.Response, error) {
+func (t *transport) carryOut(fate Outcome, d *delivery, handler http.Handler) (*http.Response, error) {
 	ctx := d.request.Context()
 	switch fate {
-	case LoseAnswer:
+	case DropResponse:
 		_, _ = d.deliver(handler) // the answer is lost
-	case Late:
+	case Delay:
 		time.AfterFunc(t.net.nextDelay(), d.deliverLate)
-	case SlowAnswer:
+	case DelayResponse:
 		response, err := d.deliver(handler)
 		if sleep(ctx, t.net.nextDelay()) {
 			return response, err
 		}
-	case Hold:
+	case HoldBack:
 		t.net.holdBack(d)
-	case Copy:
+	case Duplicate:
 		t.net.holdBack(d)
 		return d.deliver(handler)
 	case Deliver:
@@ -186,7 +188,7 @@
 const defaultDelay = 2 * time.Second
 
 // nextDelay is how late the next late request or answer is.
-func (n *Net) nextDelay() time.Duration {
+func (n *Network) nextDelay() time.Duration {
 	n.mu.Lock()
 	delay := n.delay
 	n.mu.Unlock()
@@ -197,7 +199,7 @@
 }
 
 // holdBack keeps a request until Release.
-func (n *Net) holdBack(d *delivery) {
+func (n *Network) holdBack(d *delivery) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.heldBack = append(n.heldBack, d.deliverLate)
@@ -205,7 +207,7 @@
 
 // delivery is one request on its way.
 type delivery struct {
-	net     *Net
+	net     *Network
 	from    string
 	request *http.Request
 	body    []byte
--- a/internal/fake/store.go
+++ b/internal/fake/store.go
@@ -72,8 +72,8 @@
 	s.onChange = f
 }
 
-// SetKeep sets how many changes it remembers.
-func (s *Store) SetKeep(changes int) {
+// SetHistoryLimit sets how many changes it remembers.
+func (s *Store) SetHistoryLimit(changes int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.historyLimit = changes
@@ -94,9 +94,9 @@
 	s.down = down
 }
 
-// Refuse refuses one caller alone, or serves it again. Its open watches wait as in
+// RefuseCaller refuses one caller alone, or serves it again. Its open watches wait as in
 // an outage, and its leases run out.
-func (s *Store) Refuse(caller string, refuse bool) {
+func (s *Store) RefuseCaller(caller string, refuse bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expireLeases()
@@ -113,8 +113,8 @@
 	s.maxValueBytes, s.maxTxnOps = value, ops
 }
 
-// SetSlow has every call but watches take d longer, half before it is carried out.
-func (s *Store) SetSlow(d time.Duration) {
+// SetLatency has every call but watches take d longer, half before it is carried out.
+func (s *Store) SetLatency(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.latency = d
@@ -145,8 +145,8 @@
 	return s.TooLarge
 }
 
-// Count counts the keys below a prefix.
-func (s *Store) Count(prefix string) (count int) {
+// CountKeys counts the keys below a prefix.
+func (s *Store) CountKeys(prefix string) (count int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for key := range s.entries {
--- a/internal/fake/store_test.go
+++ b/internal/fake/store_test.go
@@ -18,11 +18,11 @@
 	// A lost answer's is carried out at once, a late one's after newer ones, where its
 	// conditions are judged.
 	synctest.Test(t, func(t *testing.T) {
-		network, store := NewNet(), NewStore()
+		network, store := NewNetwork(), NewStore()
 		network.Listen("s:1", store)
 		network.SetDelay(func() time.Duration { return 12 * time.Second })
-		fates := map[string]Fate{"lost": LoseAnswer, "late": Late, "void": Late, "slow": SlowAnswer}
-		network.SetRule(func(_, _ string, r *http.Request, body []byte) Fate {
+		fates := map[string]Outcome{"lost": DropResponse, "late": Delay, "void": Delay, "slow": DelayResponse}
+		network.SetRule(func(_, _ string, r *http.Request, body []byte) Outcome {
 			for key, fate := range fates {
 				if strings.Contains(string(body), key) {
 					return fate
@@ -53,11 +53,11 @@
 func TestRefusedCallersLeasesExpireWhileOthersAreServed(t *testing.T) {
 	// Its leases run out and its watches wait, while others are served.
 	synctest.Test(t, func(t *testing.T) {
-		network, store := NewNet(), NewStore()
+		network, store := NewNetwork(), NewStore()
 		network.Listen("s:1", store)
 		sendRequest(network, "a", "POST", "s:1/holds", `{"lifeMs":1000}`)
 		sendRequest(network, "a", "POST", "s:1/commit", `{"then":[{"put":"x","value":1,"permit":1}]}`)
-		store.Refuse("a", true)
+		store.RefuseCaller("a", true)
 		if code, _ := sendRequest(network, "a", "POST", "s:1/holds/1/renew", ""); code != 503 {
 			t.Errorf("a renewal got %d", code)
 		}
@@ -70,11 +70,11 @@
 		if store.Value("x") != nil {
 			t.Error("the lease did not run out")
 		}
-		store.Refuse("a", false)
+		store.RefuseCaller("a", false)
 		if code, answer := sendRequest(network, "a", "GET", "s:1/follow?under=&after=1&holdMs=1500", ""); code != 200 || !strings.Contains(answer, `"y"`) {
 			t.Errorf("a watch got %d %s afterwards", code, answer)
 		}
-		store.SetSlow(time.Second)
+		store.SetLatency(time.Second)
 		started := time.Now()
 		if code, _ := sendRequest(network, "b", "GET", "s:1/kv/y", ""); code != 200 || time.Since(started) != time.Second {
 			t.Errorf("a slow store answered %d after %v", code, time.Since(started))
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -35,26 +35,26 @@
 // Event is what a worker does to a task: a start carried out, or the task's end,
 // by itself, by command or with the worker's lease.
 type Event struct {
-	At      time.Time
-	Sent    time.Time // when the command was sent; zero for what needs none
-	Worker  *Worker
-	Session uint64 // the worker's incarnation
-	Task    string
-	Attempt uint64
-	Start   bool
-	Cause   string // of an end; "killed" for the end of a lease
+	At          time.Time
+	SentAt      time.Time // when the command was sent; zero for what needs none
+	Worker      *Worker
+	Incarnation uint64 // the worker's incarnation
+	Task        string
+	Attempt     uint64
+	Start       bool
+	Cause       string // of an end; "killed" for the end of a lease
 }
 
 // Worker is a fake of one machine's worker. Its exported fields but Starts are set before Run and
 // not changed afterwards.
 type Worker struct {
-	Name, Addr, Type, Zone string
-	Spot                   bool
-	Net                    *Net
-	// Nodes are the addresses of the controllers' users side, Names their names, for redirects.
-	Nodes, Names []string
-	// Report is the time between heartbeats, Lease how long the worker goes on without an answer.
-	Report, Lease time.Duration
+	Name, Address, Type, Zone string
+	Spot                      bool
+	Network                   *Network
+	// Controllers are the addresses of the controllers' users side, Names their names, for redirects.
+	Controllers, ControllerNames []string
+	// HeartbeatInterval is the time between heartbeats, Lease how long the worker goes on without an answer.
+	HeartbeatInterval, LeaseDuration time.Duration
 	// HTTP is how it calls the controllers; nil: over Net.
 	HTTP *http.Client
 
@@ -102,7 +102,7 @@
 
 // notifyStart tells the hook of a start, by a command sent then.
 func (w *Worker) notifyStart(task *taskStatus, sent time.Time) {
-	w.notifyEvent(Event{Sent: sent, Task: task.Task, Attempt: task.Attempt, Start: true})
+	w.notifyEvent(Event{SentAt: sent, Task: task.Task, Attempt: task.Attempt, Start: true})
 }
 
 // notifyEnd tells the hook of an end.
@@ -113,7 +113,7 @@
 // notifyEvent tells the hook, if there is one, of an event now.
 func (w *Worker) notifyEvent(event Event) {
 	if w.onEvent != nil {
-		event.At, event.Worker, event.Session = time.Now(), w, w.incarnation
+		event.At, event.Worker, event.Incarnation = time.Now(), w, w.incarnation
 		w.onEvent(event)
 	}
 }
@@ -121,10 +121,10 @@
 // Run sends heartbeats until the context ends.
 func (w *Worker) Run(ctx context.Context) {
 	w.mu.Lock()
-	w.incarnation, w.leaseExpiry, w.tasks = 1, time.Now().Add(w.Lease), map[string]*taskStatus{}
+	w.incarnation, w.leaseExpiry, w.tasks = 1, time.Now().Add(w.LeaseDuration), map[string]*taskStatus{}
 	w.heartbeatDue = make(chan struct{}, 1)
 	w.mu.Unlock()
-	w.Net.Listen(w.Addr, w)
+	w.Network.Listen(w.Address, w)
 	go w.watchLease(ctx) // ends with the context
 	w.sendHeartbeats(ctx)
 }
@@ -146,7 +146,7 @@
 	close(w.resumed)
 	w.resumed = nil
 	if w.expiredWhileHung {
-		w.expiredWhileHung, w.leaseExpiry = false, time.Now().Add(w.Lease)
+		w.expiredWhileHung, w.leaseExpiry = false, time.Now().Add(w.LeaseDuration)
 	}
 	for _, carryOut := range w.heldBack {
 		carryOut()
@@ -170,8 +170,8 @@
 	}
 }
 
-// End lets a running task end by itself, and tells whether there was one.
-func (w *Worker) End(task, cause string) bool {
+// EndTask lets a running task end by itself, and tells whether there was one.
+func (w *Worker) EndTask(task, cause string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.expireLease()
@@ -183,7 +183,7 @@
 		return false
 	}
 	if cause == causeDone {
-		w.Net.keepResult(task)
+		w.Network.keepResult(task)
 	}
 	w.endTask(running, cause)
 	return true
@@ -207,8 +207,8 @@
 	w.scheduleHeartbeat()
 }
 
-// TakeAway ends the machine with everything on it, also while it hangs.
-func (w *Worker) TakeAway() {
+// Terminate ends the machine with everything on it, also while it hangs.
+func (w *Worker) Terminate() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.silent = true
@@ -219,8 +219,8 @@
 	}
 }
 
-// SetStatus sets what a task is reported as.
-func (w *Worker) SetStatus(task, status string) {
+// SetTaskStatus sets what a task is reported as.
+func (w *Worker) SetTaskStatus(task, status string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if active := w.activeTask(task); active != nil {
@@ -229,8 +229,8 @@
 	}
 }
 
-// SetWarning has the cloud announce that it takes the machine away.
-func (w *Worker) SetWarning(in time.Duration) {
+// AnnouncePreemption has the cloud announce that it takes the machine away.
+func (w *Worker) AnnouncePreemption(in time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	seconds := in.Seconds()
@@ -245,8 +245,8 @@
 	w.silent = silent
 }
 
-// Live lists the tasks on the machine that have not ended, in order of their starts.
-func (w *Worker) Live() (tasks []string) {
+// ActiveTasks lists the tasks on the machine that have not ended, in order of their starts.
+func (w *Worker) ActiveTasks() (tasks []string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.expireLease()
@@ -268,8 +268,8 @@
 	return tasks
 }
 
-// Started counts how often a start of the task was carried out.
-func (w *Worker) Started(task string) (starts int) {
+// StartCount counts how often a start of the task was carried out.
+func (w *Worker) StartCount(task string) (starts int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, start := range w.Starts {
--- a/internal/fake/worker_commands.go
+++ b/internal/fake/worker_commands.go
@@ -37,7 +37,7 @@
 
 // acceptToken takes a token; a higher one counts as a change, though not often.
 func (w *Worker) acceptToken(token uint64) {
-	if token > w.token && time.Since(w.tokenRaisedAt) > w.Lease/2 {
+	if token > w.token && time.Since(w.tokenRaisedAt) > w.LeaseDuration/2 {
 		w.tokenRaisedAt = time.Now()
 		w.scheduleHeartbeat()
 	}
@@ -77,7 +77,7 @@
 	}
 	w.Starts = append(w.Starts, key)
 	w.notifyStart(task, sent)
-	if w.Net.hasResult(command.Task) {
+	if w.Network.hasResult(command.Task) {
 		w.endTask(task, causeDone)
 	}
 }
--- a/internal/fake/worker_heartbeat.go
+++ b/internal/fake/worker_heartbeat.go
@@ -60,7 +60,7 @@
 		started := time.Now()
 		wait := w.sendHeartbeat(ctx)
 		due := w.heartbeatDue
-		if wait < w.Report {
+		if wait < w.HeartbeatInterval {
 			due = nil // it looks for another controller first
 		}
 		select {
@@ -79,7 +79,7 @@
 	for _, task := range w.orderedTasks() {
 		tasks = append(tasks, *task)
 	}
-	return heartbeatMessage{Name: w.Name, Endpoint: w.Addr, Type: w.Type, Zone: w.Zone, Spot: w.Spot,
+	return heartbeatMessage{Name: w.Name, Endpoint: w.Address, Type: w.Type, Zone: w.Zone, Spot: w.Spot,
 		Incarnation: w.incarnation, Sequence: w.sequence, Token: w.token, PreemptionSeconds: w.preemptionWarning, Tasks: tasks}
 }
 
@@ -88,7 +88,7 @@
 	if w.HTTP != nil {
 		return w.HTTP
 	}
-	return w.Net.Client(w.Addr)
+	return w.Network.Client(w.Address)
 }
 
 // preparedHeartbeat is a heartbeat that is about to be sent.
@@ -109,7 +109,7 @@
 	}
 	prepared.incarnation, prepared.preparedAt = w.incarnation, time.Now()
 	prepared.body, _ = json.Marshal(w.heartbeat()) // plain data
-	prepared.controller = w.Nodes[w.controller]
+	prepared.controller = w.Controllers[w.controller]
 	return prepared, true
 }
 
@@ -118,7 +118,7 @@
 	w.awaitResumed(run)
 	prepared, ok := w.prepareHeartbeat()
 	if !ok {
-		return w.Report
+		return w.HeartbeatInterval
 	}
 	ctx, cancel := context.WithTimeout(run, heartbeatTimeout)
 	defer cancel()
@@ -137,12 +137,12 @@
 		return w.followRedirect(answer.RedirectTo)
 	}
 	if answer.Token < w.token || prepared.incarnation != w.incarnation {
-		return w.Report
+		return w.HeartbeatInterval
 	}
 	w.acceptToken(answer.Token)
-	w.leaseExpiry = prepared.preparedAt.Add(w.Lease)
+	w.leaseExpiry = prepared.preparedAt.Add(w.LeaseDuration)
 	w.execute(answer.Commands, sentAt(response.Header))
-	return w.Report
+	return w.HeartbeatInterval
 }
 
 // post sends a heartbeat.
@@ -157,14 +157,14 @@
 
 // tryNextController has the next heartbeat go to the next controller, after the wait returned.
 func (w *Worker) tryNextController() time.Duration {
-	w.controller = (w.controller + 1) % len(w.Nodes)
+	w.controller = (w.controller + 1) % len(w.Controllers)
 	return nextControllerWait
 }
 
 // followRedirect has the next heartbeat go to the controller of that name, after the wait returned,
 // or to the next one if there is no other controller of that name.
 func (w *Worker) followRedirect(name string) time.Duration {
-	other := slices.Index(w.Names, name)
+	other := slices.Index(w.ControllerNames, name)
 	if other < 0 || other == w.controller {
 		return w.tryNextController()
 	}
--- a/internal/fake/worker_lease.go
+++ b/internal/fake/worker_lease.go
@@ -16,7 +16,7 @@
 		wait := time.Until(w.leaseExpiry) + 1
 		w.mu.Unlock()
 		select {
-		case <-time.After(min(max(wait, 1), w.Lease)):
+		case <-time.After(min(max(wait, 1), w.LeaseDuration)):
 		case <-ctx.Done():
 		}
 	}
@@ -36,7 +36,7 @@
 	}
 	w.incarnation++
 	w.tasks, w.taskOrder = map[string]*taskStatus{}, nil
-	w.leaseExpiry = time.Now().Add(w.Lease)
+	w.leaseExpiry = time.Now().Add(w.LeaseDuration)
 	if w.resumed != nil {
 		w.leaseExpiry = time.Now().Add(whileHung) // renewed when it goes on
 		w.expiredWhileHung = true
--- a/internal/fake/worker_test.go
+++ b/internal/fake/worker_test.go
@@ -15,8 +15,8 @@
 )
 
 // newTestWorker is a worker of one controller, with a lease of 20 s.
-func newTestWorker(network *Net, heartbeatInterval time.Duration) *Worker {
-	return &Worker{Name: "m", Addr: "m:1", Net: network, Nodes: []string{"a:1"}, Report: heartbeatInterval, Lease: 20 * time.Second}
+func newTestWorker(network *Network, heartbeatInterval time.Duration) *Worker {
+	return &Worker{Name: "m", Address: "m:1", Network: network, Controllers: []string{"a:1"}, HeartbeatInterval: heartbeatInterval, LeaseDuration: 20 * time.Second}
 }
 
 func TestWorkerUnderPartitionsAndHangs(t *testing.T) {
@@ -31,18 +31,18 @@
 		incarnation uint64
 	}{
 		{"well", nil, 0, true, 200, 1, 1},
-		{"partitioned outbound", Mute("m"), 0, false, 200, 1, 2}, // no lease is renewed
-		{"partitioned inbound", Deaf("m"), 0, true, 0, 0, 2},
+		{"partitioned outbound", PartitionOutbound("m"), 0, false, 200, 1, 2}, // no lease is renewed
+		{"partitioned inbound", PartitionInbound("m"), 0, true, 0, 0, 2},
 		{"hung", nil, 5 * time.Second, false, 0, 1, 1},
 		{"hung beyond its lease", nil, 30 * time.Second, false, 0, 0, 2},
-		{"heartbeats copied", CopyReports("m"), 0, true, 200, 1, 1},
+		{"heartbeats copied", DuplicateHeartbeats("m"), 0, true, 200, 1, 1},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancel(context.Background())
 				defer synctest.Wait()
 				defer cancel()
-				network, ends := NewNet(), []string{}
+				network, ends := NewNetwork(), []string{}
 				var received atomic.Int32
 				network.Listen("a:1", http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 					received.Add(1)
@@ -65,12 +65,12 @@
 					t.Errorf("%d heartbeats arrived", arrived)
 				}
 				if test.hung > 0 {
-					if worker.End("job-1/0", "done") || worker.Started("job-1/0") > 0 {
+					if worker.EndTask("job-1/0", "done") || worker.StartCount("job-1/0") > 0 {
 						t.Error("something happened on it")
 					}
 					worker.SetHung(false)
 				}
-				if got := worker.Started("job-1/0"); got != test.starts {
+				if got := worker.StartCount("job-1/0"); got != test.starts {
 					t.Errorf("started %d times", got)
 				}
 				time.Sleep(25 * time.Second)
@@ -82,7 +82,7 @@
 					t.Errorf("no end of the lease was told: %v", ends)
 				}
 				worker.mu.Unlock()
-				if got := network.Release(); (got > 0) != (test.name == "heartbeats copied") {
+				if got := network.ReleaseHeld(); (got > 0) != (test.name == "heartbeats copied") {
 					t.Errorf("%d copies", got)
 				}
 			})
@@ -97,7 +97,7 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		defer synctest.Wait()
 		defer cancel()
-		network := NewNet()
+		network := NewNetwork()
 		var mu sync.Mutex
 		var heartbeats []string
 		network.Listen("a:1", http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
@@ -119,7 +119,7 @@
 		if answer := send("start", 2); !strings.Contains(answer, `"busy"`) {
 			t.Errorf("a second attempt there: %s", answer)
 		}
-		worker.End("job-1/0", "done")
+		worker.EndTask("job-1/0", "done")
 		time.Sleep(600 * time.Millisecond)
 		mu.Lock()
 		if last := heartbeats[len(heartbeats)-1]; !strings.Contains(last, `"done"`) {
--- a/internal/fleet/boots_test.go
+++ b/internal/fleet/boots_test.go
@@ -28,10 +28,10 @@
 func (f *bootingFleet) report(boot bootTime) {
 	f.tick++
 	deleted := map[string]bool{}
-	for _, machine := range f.cloud.Gone() {
+	for _, machine := range f.cloud.DeletedMachines() {
 		deleted[machine] = true
 	}
-	for _, machines := range f.cloud.Hires() {
+	for _, machines := range f.cloud.ProvisioningRequests() {
 		for _, machine := range machines {
 			if _, known := f.seenAt[machine]; !known {
 				f.seenAt[machine] = time.Now()
@@ -49,7 +49,7 @@
 func (f *bootingFleet) provisioned() int { return countProvisioned(f.cloud) }
 
 // kept is how many of them were not deleted.
-func (f *bootingFleet) kept() int { return f.provisioned() - len(f.cloud.Gone()) }
+func (f *bootingFleet) kept() int { return f.provisioned() - len(f.cloud.DeletedMachines()) }
 
 // runBoots runs a job of 12 tasks, a machine each, for some seconds and has check look at each.
 func runBoots(t *testing.T, seconds int, boot bootTime, check func(second int, fleet *bootingFleet)) {
@@ -82,8 +82,8 @@
 	runBoots(t, 400, slow, func(second int, fleet *bootingFleet) {
 		switch second {
 		case 150:
-			if n := fleet.provisioned(); n > 14 || len(fleet.cloud.Gone()) > 0 {
-				t.Errorf("%d provisioned for 12 tasks, %d given up while all are slow", n, len(fleet.cloud.Gone()))
+			if n := fleet.provisioned(); n > 14 || len(fleet.cloud.DeletedMachines()) > 0 {
+				t.Errorf("%d provisioned for 12 tasks, %d given up while all are slow", n, len(fleet.cloud.DeletedMachines()))
 			}
 		case 230:
 			if n := fleet.cluster.Summary()["placed"]; n != 12 {
@@ -122,7 +122,7 @@
 			if n := fleet.provisioned(); n > 12+len(broken)+1 {
 				t.Errorf("%d provisioned for 12 tasks", n)
 			}
-			if deleted := fleet.cloud.Gone(); len(deleted) != len(broken) {
+			if deleted := fleet.cloud.DeletedMachines(); len(deleted) != len(broken) {
 				t.Errorf("deleted %v", deleted)
 			}
 		}
@@ -139,7 +139,7 @@
 	}, func(second int, fleet *bootingFleet) {
 		if second == 329 {
 			if up := fleet.kept(); up != 12 {
-				t.Errorf("%d machines stay for 12 tasks: %v deleted of %d", up, fleet.cloud.Gone(), fleet.provisioned())
+				t.Errorf("%d machines stay for 12 tasks: %v deleted of %d", up, fleet.cloud.DeletedMachines(), fleet.provisioned())
 			}
 		}
 	})
--- a/internal/fleet/cloud_test.go
+++ b/internal/fleet/cloud_test.go
@@ -26,7 +26,7 @@
 		if _, err := provisioner.Cloud.provision(ctx, request, nil); !errors.Is(err, errUnavailable) {
 			t.Errorf("outage: %v", err)
 		}
-		network.SetRule(func(_, _ string, _ *http.Request, _ []byte) fake.Fate { return fake.Swallow })
+		network.SetRule(func(_, _ string, _ *http.Request, _ []byte) fake.Outcome { return fake.Drop })
 		if err := provisioner.Cloud.delete(ctx, []ids.Machine{"host-1"}, nil); !errors.Is(err, errOutcomeUnknown) {
 			t.Errorf("silence: %v", err)
 		}
--- a/internal/fleet/large_fleet_test.go
+++ b/internal/fleet/large_fleet_test.go
@@ -53,8 +53,8 @@
 			spec := record.Spec{ID: ids.Job(fmt.Sprint("job-", i)), Class: "c", Team: "red", Zone: "south", Shape: record.Service,
 				Tasks: 1, Resources: placement.Resources{Cores: 4, RAM: 4}}
 			cluster.HandleRecord(spec.ID, 1, record.New(spec, ids.TimestampOf(time.Now()), "user"), time.Now())
-			began, before := time.Now(), len(cloud.Hires())
-			for len(cloud.Hires()) == before && time.Since(began) < 10*time.Second {
+			began, before := time.Now(), len(cloud.ProvisioningRequests())
+			for len(cloud.ProvisioningRequests()) == before && time.Since(began) < 10*time.Second {
 				step()
 			}
 			slowest = max(slowest, time.Since(began))
--- a/internal/fleet/provisioner_test.go
+++ b/internal/fleet/provisioner_test.go
@@ -59,8 +59,8 @@
 }
 
 // setup makes a provisioner of a cloud that has so many machines.
-func setup(capacity int) (*fake.Net, *fake.Cloud, *claim.ClusterState, *requestStore, *Provisioner) {
-	network, cloud := fake.NewNet(), fake.NewCloud(capacity)
+func setup(capacity int) (*fake.Network, *fake.Cloud, *claim.ClusterState, *requestStore, *Provisioner) {
+	network, cloud := fake.NewNetwork(), fake.NewCloud(capacity)
 	network.Listen("cloud:1", cloud)
 	cluster := claim.NewClusterState(testSettings(), "w", 7, time.Now())
 	store := &requestStore{names: map[string]bool{}}
@@ -83,13 +83,13 @@
 		network, cloud, cluster, store, provisioner := setup(10)
 		cluster.HandleRecord("job-1", 1, job("job-1", 2), time.Now())
 		sent := map[string]int{}
-		network.SetRule(func(_, _ string, request *http.Request, body []byte) fake.Fate {
+		network.SetRule(func(_, _ string, request *http.Request, body []byte) fake.Outcome {
 			if request.Method == "POST" && request.URL.Path == "/hosts" {
 				for name := range store.names {
 					if strings.Contains(string(body), `"`+name+`"`) {
 						sent[name]++
 						if sent[name] == 1 {
-							return fake.LoseAnswer
+							return fake.DropResponse
 						}
 						return fake.Deliver
 					}
@@ -100,13 +100,13 @@
 		})
 		store.down = true
 		provisioner.Step(ctx)
-		if len(cloud.Hires()) != 0 {
+		if len(cloud.ProvisioningRequests()) != 0 {
 			t.Fatal("requested although the name could not be stored")
 		}
 		store.down = false
 		store.lose = 2 // an answer that never comes is no answer either
 		provisioner.Step(ctx)
-		if len(cloud.Hires()) != 0 {
+		if len(cloud.ProvisioningRequests()) != 0 {
 			t.Fatal("requested although nothing says that the name is stored")
 		}
 		stepEverySecond(ctx, provisioner, 6)
@@ -122,8 +122,8 @@
 		_, cloud, cluster, _, provisioner := setup(10)
 		provisioner.Adopt([]state.Entry{{Value: []byte(`{"hire":"h-3-1","build":"small","yard":"north","loaners":false,"count":2}`)}})
 		provisioner.Step(ctx)
-		if len(cloud.Hires()["h-3-1"]) != 2 || cluster.Summary()["machines"] != 2 {
-			t.Fatalf("requests %v, machines %v", cloud.Hires(), cluster.Summary()["machines"])
+		if len(cloud.ProvisioningRequests()["h-3-1"]) != 2 || cluster.Summary()["machines"] != 2 {
+			t.Fatalf("requests %v, machines %v", cloud.ProvisioningRequests(), cluster.Summary()["machines"])
 		}
 	})
 }
@@ -134,7 +134,7 @@
 		_, cloud, cluster, _, provisioner := setup(3)
 		cluster.HandleRecord("job-1", 1, job("job-1", 1), time.Now())
 		stepEverySecond(ctx, provisioner, 250)
-		if gone := cloud.Gone(); len(gone) == 0 || gone[0] != "host-000001" {
+		if gone := cloud.DeletedMachines(); len(gone) == 0 || gone[0] != "host-000001" {
 			t.Fatalf("a machine that never came up was kept: %v", gone)
 		}
 		// Nobody requested this one; it reports, has nothing to do and is deleted.
@@ -145,8 +145,8 @@
 			provisioner.Step(ctx)
 			time.Sleep(time.Second)
 		}
-		if !strings.Contains(strings.Join(cloud.Gone(), " "), "host-000777") {
-			t.Fatalf("the unknown machine was kept: %v", cloud.Gone())
+		if !strings.Contains(strings.Join(cloud.DeletedMachines(), " "), "host-000777") {
+			t.Fatalf("the unknown machine was kept: %v", cloud.DeletedMachines())
 		}
 	})
 }
@@ -159,22 +159,22 @@
 		_, cloud, cluster, _, provisioner := setup(10)
 		cluster.HandleRecord("job-1", 1, job("job-1", 2), time.Now())
 		provisioner.Step(ctx)
-		if len(cloud.Hires()) == 0 {
+		if len(cloud.ProvisioningRequests()) == 0 {
 			t.Fatal("nothing was provisioned")
 		}
 		time.Sleep(5 * time.Minute) // they never come up
 		asked := 0
 		provisioner.ConfirmLeadership = func() bool { asked++; return false }
 		cluster.HandleRecord("job-2", 2, job("job-2", 4), time.Now())
-		requests := len(cloud.Hires())
+		requests := len(cloud.ProvisioningRequests())
 		stepEverySecond(ctx, provisioner, 5)
-		if asked == 0 || len(cloud.Gone()) != 0 || len(cloud.Hires()) != requests {
-			t.Errorf("asked %d times; deleted %v, %d requests", asked, cloud.Gone(), len(cloud.Hires())-requests)
+		if asked == 0 || len(cloud.DeletedMachines()) != 0 || len(cloud.ProvisioningRequests()) != requests {
+			t.Errorf("asked %d times; deleted %v, %d requests", asked, cloud.DeletedMachines(), len(cloud.ProvisioningRequests())-requests)
 		}
 		provisioner.ConfirmLeadership = func() bool { return true }
 		stepEverySecond(ctx, provisioner, 5)
-		if len(cloud.Gone()) == 0 || len(cloud.Hires()) == requests {
-			t.Errorf("the sure leader deleted %v and made %d requests", cloud.Gone(), len(cloud.Hires())-requests)
+		if len(cloud.DeletedMachines()) == 0 || len(cloud.ProvisioningRequests()) == requests {
+			t.Errorf("the sure leader deleted %v and made %d requests", cloud.DeletedMachines(), len(cloud.ProvisioningRequests())-requests)
 		}
 	})
 }
@@ -186,7 +186,7 @@
 
 // countProvisioned is how many machines the cloud has given in all.
 func countProvisioned(cloud *fake.Cloud) (count int) {
-	for _, machines := range cloud.Hires() {
+	for _, machines := range cloud.ProvisioningRequests() {
 		count += len(machines)
 	}
 	return count
--- a/internal/fleet/shards_test.go
+++ b/internal/fleet/shards_test.go
@@ -62,10 +62,10 @@
 			t.Error("the cloud refuses what waits, and nobody is told")
 		}
 		stepEverySecond(ctx, provisioner, 300) // they never come up and are deleted
-		if len(cloud.Gone()) == 0 {
+		if len(cloud.DeletedMachines()) == 0 {
 			t.Fatal("nothing was deleted")
 		}
-		for _, machine := range cloud.Gone() {
+		for _, machine := range cloud.DeletedMachines() {
 			for storedAt, value := range store.values {
 				if strings.Contains(value, machine) && len(provisioner.requests.fulfilled) == 0 {
 					t.Errorf("%s still names %s", storedAt, machine)
@@ -116,7 +116,7 @@
 		cluster.ApplyHints(&received, time.Now())
 		cluster.HandleRecord("job-1", 1, job("job-1", 1), time.Now())
 		stepEverySecond(ctx, provisioner, 40)
-		if len(cloud.Hires()) == 0 {
+		if len(cloud.ProvisioningRequests()) == 0 {
 			t.Error("nothing was requested for a job that waits")
 		}
 	})
--- a/internal/intake/cluster_test.go
+++ b/internal/intake/cluster_test.go
@@ -20,7 +20,7 @@
 // records is up to the test.
 type testCluster struct {
 	t        *testing.T
-	net      *fake.Net
+	net      *fake.Network
 	store    *fake.Store
 	services map[string]*JobService
 	nodes    map[string]http.Handler
--- a/internal/intake/dependencies_test.go
+++ b/internal/intake/dependencies_test.go
@@ -171,7 +171,7 @@
 				waiting.Status = record.Done
 				end, _ := waiting.Encode(64 * 1024)
 				calls := 0
-				cluster.net.SetRule(func(from, _ string, _ *http.Request, _ []byte) fake.Fate {
+				cluster.net.SetRule(func(from, _ string, _ *http.Request, _ []byte) fake.Outcome {
 					if from != "b" {
 						return fake.Deliver
 					}
--- a/internal/intake/dependency_reader_test.go
+++ b/internal/intake/dependency_reader_test.go
@@ -33,10 +33,10 @@
 			return func() { cluster.store.SetDown(false) }
 		},
 		"refused alone": func(cluster *testCluster) func() {
-			cluster.store.Refuse("b", true)
-			return func() { cluster.store.Refuse("b", false) }
+			cluster.store.RefuseCaller("b", true)
+			return func() { cluster.store.RefuseCaller("b", false) }
 		},
-		"cut off":         func(cluster *testCluster) func() { return cluster.setRule(fake.Swallow, "/") },
+		"cut off":         func(cluster *testCluster) func() { return cluster.setRule(fake.Drop, "/") },
 		"no list":         func(cluster *testCluster) func() { cluster.start("b"); return cluster.setRule(fake.Refuse, "/kv") },
 		"no final record": func(cluster *testCluster) func() { return cluster.setRule(fake.Refuse, "/kv/end") },
 	} {
@@ -73,8 +73,8 @@
 }
 
 // setRule gives node b's calls of some paths a fate, until the function it returns is called.
-func (c *testCluster) setRule(fate fake.Fate, path string) (end func()) {
-	c.net.SetRule(func(from, _ string, req *http.Request, _ []byte) fake.Fate {
+func (c *testCluster) setRule(fate fake.Outcome, path string) (end func()) {
+	c.net.SetRule(func(from, _ string, req *http.Request, _ []byte) fake.Outcome {
 		if from == "b" && (req.URL.Path == path || strings.HasPrefix(req.URL.Path, path+"/") || path == "/") {
 			return fate
 		}
@@ -99,7 +99,7 @@
 		cluster.services["b"].Store = state.NewClient("state:1", cluster.net.Client("b"), state.NewBudget(50, 50, 5, 0.45))
 		cluster.services["b"].Records = state.NewWatchCache(cluster.services["b"].Store, record.JobPrefix, time.Second)
 		calls := 0
-		cluster.net.SetRule(func(from, _ string, _ *http.Request, _ []byte) fake.Fate {
+		cluster.net.SetRule(func(from, _ string, _ *http.Request, _ []byte) fake.Outcome {
 			if from == "b" {
 				calls++
 			}
--- a/internal/intake/forecast_test.go
+++ b/internal/intake/forecast_test.go
@@ -147,7 +147,7 @@
 		last := submissionWithTimes("job-9", 10, 60, "job-1699")
 		cluster.submitAll(last)
 		calls := 0
-		cluster.net.SetRule(func(from, _ string, _ *http.Request, _ []byte) fake.Fate {
+		cluster.net.SetRule(func(from, _ string, _ *http.Request, _ []byte) fake.Outcome {
 			if from == "b" {
 				calls++
 			}
--- a/internal/intake/intake_test.go
+++ b/internal/intake/intake_test.go
@@ -79,8 +79,8 @@
 }
 
 // newJobService is a node on a store of its own.
-func newJobService() (*fake.Net, *fake.Store, *JobService) {
-	network, store := fake.NewNet(), fake.NewStore()
+func newJobService() (*fake.Network, *fake.Store, *JobService) {
+	network, store := fake.NewNetwork(), fake.NewStore()
 	network.Listen("state:1", store)
 	settings := &config.Settings{Operator: config.DefaultOperator()}
 	settings.Params.State = config.StateLimits{RPS: 500, WriteRPS: 500, ValueKB: 8, TxnOps: 12}
@@ -92,7 +92,7 @@
 }
 
 // newSite is the HTTP side of such a node.
-func newSite() (*fake.Net, *fake.Store, http.Handler) {
+func newSite() (*fake.Network, *fake.Store, http.Handler) {
 	network, store, service := newJobService()
 	return network, store, (&Server{Jobs: service, Ready: func() bool { return true }, NodeStatus: func() any { return nil },
 		ExplainByLeader: explainWithoutLeader}).Handler()
@@ -164,9 +164,9 @@
 func TestSubmissionIsReadBackWhenTheStoresAnswerIsLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network, store, handler := newSite()
-		network.SetRule(func(_, _ string, request *http.Request, _ []byte) fake.Fate {
+		network.SetRule(func(_, _ string, request *http.Request, _ []byte) fake.Outcome {
 			if request.URL.Path == "/commit" {
-				return fake.LoseAnswer
+				return fake.DropResponse
 			}
 			return fake.Deliver
 		})
@@ -174,9 +174,9 @@
 		if response.Code != 200 || store.Value("job/job-1") == nil {
 			t.Fatalf("%d %s", response.Code, response.Body)
 		}
-		network.SetRule(func(_, _ string, request *http.Request, _ []byte) fake.Fate {
+		network.SetRule(func(_, _ string, request *http.Request, _ []byte) fake.Outcome {
 			if request.URL.Path == "/commit" {
-				return fake.Swallow
+				return fake.Drop
 			}
 			return fake.Deliver
 		})
@@ -194,7 +194,7 @@
 		network, _, service := newJobService()
 		calls := 0
 		var mu sync.Mutex
-		network.SetRule(func(string, string, *http.Request, []byte) fake.Fate {
+		network.SetRule(func(string, string, *http.Request, []byte) fake.Outcome {
 			mu.Lock()
 			defer mu.Unlock()
 			calls++
@@ -248,7 +248,7 @@
 		if got := serve(handler, "GET", "/v2/runs/job-1", nil).Code; got != 200 {
 			t.Fatal(got)
 		}
-		network.SetRule(func(string, string, *http.Request, []byte) fake.Fate { return fake.Swallow })
+		network.SetRule(func(string, string, *http.Request, []byte) fake.Outcome { return fake.Drop })
 		time.Sleep(3 * time.Second)
 		served = false
 		for _, request := range []struct{ method, path string }{
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -23,12 +23,12 @@
 
 // testCluster is controllers without their users' side, on one store.
 type testCluster struct {
-	net   *fake.Net
+	net   *fake.Network
 	pipes *fake.Pipes
 }
 
 func newTestCluster() *testCluster {
-	cluster := &testCluster{net: fake.NewNet(), pipes: fake.NewPipes()}
+	cluster := &testCluster{net: fake.NewNetwork(), pipes: fake.NewPipes()}
 	cluster.net.Listen("state:1", fake.NewStore())
 	return cluster
 }
--- a/internal/quota/leaders_test.go
+++ b/internal/quota/leaders_test.go
@@ -34,17 +34,17 @@
 				return rng.IntN(n) == 0
 			}
 			cut := ""
-			s.network.SetRule(func(from, _ string, r *http.Request, _ []byte) fake.Fate {
+			s.network.SetRule(func(from, _ string, r *http.Request, _ []byte) fake.Outcome {
 				mu.Lock()
 				isCut := from == cut
 				mu.Unlock()
 				switch {
 				case isCut:
-					return fake.Swallow
+					return fake.Drop
 				case isCommit(r) && chance(25):
-					return fake.LoseAnswer
+					return fake.DropResponse
 				case isCommit(r) && chance(40):
-					return fake.Late
+					return fake.Delay
 				}
 				return fake.Deliver
 			})
@@ -142,7 +142,7 @@
 	// and a grant costs less than one change of the state service beside its marker.
 	simulate(t, func(s *simulation) {
 		var changes atomic.Int64
-		s.network.SetRule(func(_, _ string, r *http.Request, body []byte) fake.Fate {
+		s.network.SetRule(func(_, _ string, r *http.Request, body []byte) fake.Outcome {
 			if isCommit(r) && strings.Contains(string(body), `"put":"quota/`) {
 				changes.Add(1)
 			}
--- a/internal/quota/simulation_test.go
+++ b/internal/quota/simulation_test.go
@@ -39,7 +39,7 @@
 type simulation struct {
 	t       *testing.T
 	ctx     context.Context
-	network *fake.Net
+	network *fake.Network
 	store   *fake.Store
 	workers *workerRecord
 	limits  map[string]quota.Limit
@@ -69,7 +69,7 @@
 	slog.SetDefault(slog.New(slog.NewTextHandler(io.Discard, nil)))
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		s := &simulation{t: t, ctx: ctx, network: fake.NewNet(), store: fake.NewStore(),
+		s := &simulation{t: t, ctx: ctx, network: fake.NewNetwork(), store: fake.NewStore(),
 			workers: &workerRecord{limits: map[string]placement.Resources{}, fencingTokens: map[quota.Shard]int{}, running: map[string]task{}, ended: map[string]bool{}},
 			limits:  map[string]quota.Limit{}, queues: map[quota.Shard][]task{}, pauses: map[string]time.Time{}}
 		s.network.Listen("state:1", s.store)
--- a/internal/rehearsal/cluster.go
+++ b/internal/rehearsal/cluster.go
@@ -43,7 +43,7 @@
 	onChange func(key string, value json.RawMessage)
 	teams    []Team
 	started  time.Time
-	network  *fake.Net // keeps the results of tasks
+	network  *fake.Network // keeps the results of tasks
 	cloud    *fakeCloud
 	http     *http.Client
 	// ctx ends the fake workers.
@@ -95,7 +95,7 @@
 		onChange: options.OnChange,
 		teams:    options.Teams,
 		started:  time.Now(),
-		network:  fake.NewNet(),
+		network:  fake.NewNetwork(),
 		cloud:    newFakeCloud(options.Machines, options.Accelerators),
 		http:     &http.Client{Timeout: callTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: idleConnections}},
 		ctx:      ctx,
--- a/internal/rehearsal/fake_machines.go
+++ b/internal/rehearsal/fake_machines.go
@@ -23,12 +23,12 @@
 		return "", err
 	}
 	endpoint = listener.Addr().String()
-	worker := &fake.Worker{Name: name, Addr: endpoint, Type: "standard", Zone: zone, Net: c.network, HTTP: c.http,
-		Report: heartbeatInterval, Lease: workerLease}
+	worker := &fake.Worker{Name: name, Address: endpoint, Type: "standard", Zone: zone, Network: c.network, HTTP: c.http,
+		HeartbeatInterval: heartbeatInterval, LeaseDuration: workerLease}
 	worker.NotifyEvents(c.recordTaskEvent)
 	for _, controller := range c.controllers {
-		worker.Nodes = append(worker.Nodes, controller.usersAddress)
-		worker.Names = append(worker.Names, controller.name)
+		worker.Controllers = append(worker.Controllers, controller.usersAddress)
+		worker.ControllerNames = append(worker.ControllerNames, controller.name)
 	}
 	ctx, stop := context.WithCancel(c.ctx)
 	server := &http.Server{Handler: worker, ReadHeaderTimeout: headerTimeout}
@@ -51,7 +51,7 @@
 	}
 	worker.stop()
 	_ = worker.server.Close() // only the listener's own error is told, and the machine is gone anyway
-	worker.TakeAway()
+	worker.Terminate()
 }
 
 // recordTaskEvent records what a worker does, and has tasks end by themselves once they have run.
@@ -65,7 +65,7 @@
 	if event.Start {
 		kind = TaskStarted
 		if plan.duration > 0 {
-			time.AfterFunc(plan.duration, func() { event.Worker.End(event.Task, causeDone) })
+			time.AfterFunc(plan.duration, func() { event.Worker.EndTask(event.Task, causeDone) })
 		}
 	}
 	c.record(Event{Kind: kind, Team: plan.team, Job: job, Task: event.Task, Where: event.Worker.Name, Why: event.Cause,
--- a/internal/rollout/harness_test.go
+++ b/internal/rollout/harness_test.go
@@ -23,7 +23,7 @@
 type harness struct {
 	t       *testing.T
 	ctx     context.Context
-	network *fake.Net
+	network *fake.Network
 	store   *fake.Store
 	fleet   *fakeFleet
 	service *Service
@@ -40,7 +40,7 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		defer synctest.Wait()
 		defer cancel()
-		h := &harness{t: t, ctx: ctx, network: fake.NewNet(), store: fake.NewStore(), fleet: newFleet(machines)}
+		h := &harness{t: t, ctx: ctx, network: fake.NewNetwork(), store: fake.NewStore(), fleet: newFleet(machines)}
 		h.network.Listen("state:1", h.store)
 		h.store.SetLimits(maxValueBytes, maxTxnOps)
 		h.service = h.controller("a")
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -46,7 +46,7 @@
 			t.Errorf("%d transactions were too large", n)
 		}
 		time.Sleep(2 * time.Second)
-		if n := h.store.Count(waitingPrefix); n > 0 {
+		if n := h.store.CountKeys(waitingPrefix); n > 0 {
 			t.Errorf("%d parts are left over", n)
 		}
 	})
@@ -91,7 +91,7 @@
 				t.Errorf("%s: %v", name, err)
 			}
 		}
-		if n := h.store.Count(Prefix); n > 0 {
+		if n := h.store.CountKeys(Prefix); n > 0 {
 			t.Errorf("%d keys were written", n)
 		}
 	})
@@ -164,10 +164,10 @@
 func TestLostAnswersDuplicateNothing(t *testing.T) {
 	runHarness(t, 6, func(h *harness) {
 		lost := 0
-		h.network.SetRule(func(from, _ string, r *http.Request, _ []byte) fake.Fate {
+		h.network.SetRule(func(from, _ string, r *http.Request, _ []byte) fake.Outcome {
 			if r.URL.Path == "/commit" && lost < 4 {
 				lost++
-				return fake.LoseAnswer
+				return fake.DropResponse
 			}
 			return fake.Deliver
 		})
--- a/internal/scenarios/apart_test.go
+++ b/internal/scenarios/apart_test.go
@@ -32,7 +32,7 @@
 	for _, task := range tasks {
 		n := 0
 		for _, k := range w.workers {
-			n += k.Started(task)
+			n += k.StartCount(task)
 		}
 		if n != 1 {
 			w.t.Errorf("%s was started %d times", task, n)
@@ -64,13 +64,13 @@
 		w.until(5*time.Second, "tasks run", func() bool { return w.everywhere("job-2", 4) })
 		var north []string
 		for _, k := range w.workers[:2] {
-			north = append(north, k.Live()...)
+			north = append(north, k.ActiveTasks()...)
 		}
 		time.Sleep(5 * time.Second)
-		w.net.SetRule(func(from, to string, _ *http.Request, _ []byte) fake.Fate {
+		w.net.SetRule(func(from, to string, _ *http.Request, _ []byte) fake.Outcome {
 			for _, h := range []string{from, to} {
 				if strings.HasPrefix(h, "s1:") || strings.HasPrefix(h, "s2:") {
-					return fake.Hold
+					return fake.HoldBack
 				}
 			}
 			return fake.Deliver
@@ -90,16 +90,16 @@
 			return true
 		})
 		w.net.SetRule(nil)
-		if w.net.Release() < 10 {
+		if w.net.ReleaseHeld() < 10 {
 			t.Fatal("nothing was held back")
 		}
 		w.until(30*time.Second, "all replicas run again", func() bool { return w.everywhere("job-1", 4) })
 		for _, job := range []string{"job-2", "job-3"} {
 			w.until(90*time.Second, job+" runs", func() bool {
 				for _, k := range w.workers {
-					for _, task := range k.Live() {
+					for _, task := range k.ActiveTasks() {
 						if !strings.HasPrefix(task, "job-1/") {
-							k.End(task, "done")
+							k.EndTask(task, "done")
 						}
 					}
 				}
@@ -123,17 +123,17 @@
 		time.Sleep(10 * time.Second)
 		old := w.leader()
 		other := map[string]string{"a": "b", "b": "a"}[old.name]
-		w.net.SetRule(func(from, _ string, _ *http.Request, body []byte) fake.Fate {
+		w.net.SetRule(func(from, _ string, _ *http.Request, body []byte) fake.Outcome {
 			if from == old.name && strings.Contains(string(body), `"verb":"start"`) {
-				return fake.Hold // the start, as the leader stops
+				return fake.HoldBack // the start, as the leader stops
 			}
 			return fake.Deliver
 		})
 		w.submit(old.name, spec("job-1", "array", 1))
 		time.Sleep(60 * time.Millisecond)
-		still := func(from, to string, _ *http.Request, _ []byte) fake.Fate {
+		still := func(from, to string, _ *http.Request, _ []byte) fake.Outcome {
 			if from == old.name || strings.HasPrefix(to, old.name+":") || to == old.name {
-				return fake.Hold
+				return fake.HoldBack
 			}
 			return fake.Deliver
 		}
@@ -146,7 +146,7 @@
 		w.until(5*time.Second, "new work runs", func() bool { return w.everywhere("job-2", 3) })
 		time.Sleep(12 * time.Second)
 		w.net.SetRule(nil)
-		if w.net.Release() == 0 {
+		if w.net.ReleaseHeld() == 0 {
 			t.Fatal("nothing was held back")
 		}
 		w.until(3*time.Second, "the old owner knows", func() bool { return old.pool.Cluster() == nil })
@@ -165,9 +165,9 @@
 		if term == nil || !a.pool.LeaseSurelyHeld(term) {
 			t.Fatal("an owner that renews is not sure")
 		}
-		w.net.SetRule(func(from, to string, _ *http.Request, _ []byte) fake.Fate {
+		w.net.SetRule(func(from, to string, _ *http.Request, _ []byte) fake.Outcome {
 			if from == "a" && to == "state:1" {
-				return fake.Swallow
+				return fake.Drop
 			}
 			return fake.Deliver
 		})
@@ -192,13 +192,13 @@
 		w.submit("b", spec("job-1", "standing", 4))
 		w.until(5*time.Second, "replicas run", func() bool { return w.everywhere("job-1", 4) })
 		cut := func(node string, what ...string) {
-			w.net.SetRule(func(from, to string, _ *http.Request, _ []byte) fake.Fate {
+			w.net.SetRule(func(from, to string, _ *http.Request, _ []byte) fake.Outcome {
 				if touches(from, to, "a", "b") {
 					return fake.Refuse
 				}
 				for _, x := range what {
 					if touches(from, to, node, x) {
-						return fake.Hold
+						return fake.HoldBack
 					}
 				}
 				return fake.Deliver
@@ -212,7 +212,7 @@
 		w.submit(other, spec("job-2", "array", 2))
 		w.until(6*time.Second, "new work runs", func() bool { return w.everywhere("job-2", 2) })
 		w.net.SetRule(nil)
-		w.net.Release()
+		w.net.ReleaseHeld()
 		time.Sleep(5 * time.Second)
 		second := w.leader()
 		cut(second.name, "m1", "m2")
@@ -221,7 +221,7 @@
 			t.Error("the owner that hears no worker keeps the pool")
 		}
 		w.net.SetRule(nil)
-		w.net.Release()
+		w.net.ReleaseHeld()
 		w.hold(25*time.Second, "and goes on", func() bool { return w.everywhere("job-1", 4) && w.everywhere("job-2", 2) })
 	})
 }
@@ -237,9 +237,9 @@
 		m1 := w.worker("m1", "north")
 		w.worker("m2", "south")
 		time.Sleep(10 * time.Second)
-		w.net.SetRule(func(from, _ string, r *http.Request, _ []byte) fake.Fate {
+		w.net.SetRule(func(from, _ string, r *http.Request, _ []byte) fake.Outcome {
 			if r.Method == "POST" && (from == "user" || r.URL.Path == "/agent/beat") {
-				return fake.Copy
+				return fake.Duplicate
 			}
 			return fake.Deliver
 		})
@@ -254,8 +254,8 @@
 			t.Fatalf("cancel answered %d", code)
 		}
 		for _, k := range w.workers {
-			k.End("job-1/0", "done")
-			k.End("job-1/1", "done")
+			k.EndTask("job-1/0", "done")
+			k.EndTask("job-1/1", "done")
 		}
 		w.until(8*time.Second, "done and cancelled", func() bool {
 			return w.status("a", "job-1") == "done" && w.status("b", "job-3") == "cancelled" && len(w.on("job-3/0")) == 0
@@ -276,7 +276,7 @@
 		time.Sleep(300 * time.Millisecond)
 		both() // in the middle of the election
 		time.Sleep(200 * time.Millisecond)
-		if w.net.Release() < 8 {
+		if w.net.ReleaseHeld() < 8 {
 			t.Fatal("no copies were kept")
 		}
 		m1.SetSilent(false)
@@ -306,7 +306,7 @@
 		w.start("a")
 		w.start("b")
 		time.Sleep(90 * time.Second) // older leaders' grace is over
-		w.net.SetRule(func(from, _ string, _ *http.Request, _ []byte) fake.Fate {
+		w.net.SetRule(func(from, _ string, _ *http.Request, _ []byte) fake.Outcome {
 			if strings.HasPrefix(from, "m1:") {
 				return fake.Refuse
 			}
@@ -317,8 +317,8 @@
 		w.submit("a", spec("job-1", "array", 1))
 		w.until(3*time.Second, "it runs", func() bool { return len(w.on("job-1/0")) == 1 })
 		w.worker("m2", "north")
-		w.hold(12*time.Second, "once, until the worker's lease ends", func() bool { return len(w.on("job-1/0")) == 1 && w.worn("m2").Started("job-1/0") == 0 })
-		w.until(25*time.Second, "then elsewhere", func() bool { return w.worn("m2").Started("job-1/0") == 1 })
+		w.hold(12*time.Second, "once, until the worker's lease ends", func() bool { return len(w.on("job-1/0")) == 1 && w.worn("m2").StartCount("job-1/0") == 0 })
+		w.until(25*time.Second, "then elsewhere", func() bool { return w.worn("m2").StartCount("job-1/0") == 1 })
 	})
 }
 
@@ -336,10 +336,10 @@
 		w.until(4*time.Second, "it runs", func() bool { return len(w.on("job-1/0")) == 1 })
 		in := w.leader().name
 		out := map[string]string{"a": "b", "b": "a"}[in]
-		w.net.SetRule(func(from, to string, _ *http.Request, _ []byte) fake.Fate {
+		w.net.SetRule(func(from, to string, _ *http.Request, _ []byte) fake.Outcome {
 			inside := func(h string) bool { return h == in || strings.HasPrefix(h, in+":") || strings.HasPrefix(h, "m1:") }
 			if inside(from) != inside(to) {
-				return fake.Hold
+				return fake.HoldBack
 			}
 			return fake.Deliver
 		})
--- a/internal/scenarios/cancel_start_test.go
+++ b/internal/scenarios/cancel_start_test.go
@@ -21,12 +21,12 @@
 		w.worker("m1", "north")
 		time.Sleep(10 * time.Second)
 		w.net.SetDelay(func() time.Duration { return 390 * time.Millisecond })
-		w.net.SetRule(func(from, to string, r *http.Request, body []byte) fake.Fate {
+		w.net.SetRule(func(from, to string, r *http.Request, body []byte) fake.Outcome {
 			switch {
 			case touches(from, to, "a", "b"):
 				return fake.Refuse
 			case InstanceClass(r, body) == "marker":
-				return fake.SlowAnswer
+				return fake.DelayResponse
 			}
 			return fake.Deliver
 		})
@@ -39,7 +39,7 @@
 				t.Fatalf("cancel answered %d %v", code, out)
 			}
 			time.Sleep(time.Second) // no user asks the leader, who would read the news for him
-			if n := w.worn("m1").Started(id + "/0"); n > 0 {
+			if n := w.worn("m1").StartCount(id + "/0"); n > 0 {
 				t.Errorf("%s was started after its user was told", id)
 			}
 		}
--- a/internal/scenarios/drain_cluster_test.go
+++ b/internal/scenarios/drain_cluster_test.go
@@ -125,7 +125,7 @@
 // runMachines boots what the cloud rents and ends what it takes back.
 func (c *drainCluster) runMachines() {
 	for c.ctx.Err() == nil {
-		for _, host := range c.cloud.Hosts() {
+		for _, host := range c.cloud.Machines() {
 			if c.known[host.Name] {
 				continue
 			}
@@ -154,17 +154,17 @@
 
 // boot starts a machine's worker.
 func (c *drainCluster) boot(name, zone string) {
-	k := &fake.Worker{Name: name, Addr: name + ":9000", Type: "small", Zone: zone, Net: c.net, Names: drainNodes,
-		Report: 2 * time.Second, Lease: 20 * time.Second}
+	k := &fake.Worker{Name: name, Address: name + ":9000", Type: "small", Zone: zone, Network: c.net, ControllerNames: drainNodes,
+		HeartbeatInterval: 2 * time.Second, LeaseDuration: 20 * time.Second}
 	k.NotifyEvents(func(e fake.Event) {
 		c.rule.Event(e)
 		c.hook(e)
 	})
 	for _, node := range drainNodes {
-		k.Nodes = append(k.Nodes, node+":8080")
+		k.Controllers = append(k.Controllers, node+":8080")
 	}
 	ctx, cancel := context.WithCancel(c.ctx)
-	deleted := slices.Contains(c.cloud.Gone(), name)
+	deleted := slices.Contains(c.cloud.DeletedMachines(), name)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if deleted {
@@ -196,7 +196,7 @@
 	}
 	cancel()
 	c.net.Listen(name+":9000", nil)
-	c.worn(name).TakeAway()
+	c.worn(name).Terminate()
 }
 
 // drainSettings are a node's settings.
@@ -358,7 +358,7 @@
 // running counts the tasks of a job that are on machines.
 func (c *drainCluster) running(id string) (n int) {
 	for _, k := range c.listWorkers() {
-		for _, task := range k.Live() {
+		for _, task := range k.ActiveTasks() {
 			if strings.HasPrefix(task, id+"/") {
 				n++
 			}
@@ -474,9 +474,9 @@
 			return
 		}
 		for _, k := range c.listWorkers() {
-			for _, task := range k.Live() {
+			for _, task := range k.ActiveTasks() {
 				if strings.HasPrefix(task, job) && rng.IntN(8) == 0 {
-					k.End(task, "done")
+					k.EndTask(task, "done")
 				}
 			}
 		}
@@ -485,9 +485,9 @@
 
 // cut keeps a controller from the state service and the other controllers, not from workers.
 func (c *drainCluster) cut(name string) {
-	c.net.SetRule(func(from, to string, _ *http.Request, _ []byte) fake.Fate {
+	c.net.SetRule(func(from, to string, _ *http.Request, _ []byte) fake.Outcome {
 		if from == name && to == "state:1" {
-			return fake.Swallow
+			return fake.Drop
 		}
 		return fake.Deliver
 	})
--- a/internal/scenarios/drain_test.go
+++ b/internal/scenarios/drain_test.go
@@ -30,7 +30,7 @@
 			t.Errorf("%d stops", n)
 		}
 		// The leader removes them at its next look after the end, which is a quarter of a second away.
-		c.until(2*time.Second, "no part is left over", func() bool { return c.store.Count("rollout/left/") == 0 })
+		c.until(2*time.Second, "no part is left over", func() bool { return c.store.CountKeys("rollout/left/") == 0 })
 	})
 }
 
@@ -70,18 +70,18 @@
 		c.net.SetRule(nil)
 	}},
 	{"it is refused by the state service", func(c *drainCluster, leader string) {
-		c.store.Refuse(leader, true)
+		c.store.RefuseCaller(leader, true)
 		c.rest(15 * time.Second)
-		c.store.Refuse(leader, false)
+		c.store.RefuseCaller(leader, false)
 	}},
 	{"it stands still", func(c *drainCluster, leader string) {
 		// What it sends waits, and is delivered after its successor has acted.
-		c.net.SetRule(func(from, to string, r *http.Request, _ []byte) fake.Fate {
+		c.net.SetRule(func(from, to string, r *http.Request, _ []byte) fake.Outcome {
 			switch {
 			case from == leader && r.URL.Path == "/follow":
-				return fake.Swallow // reads nothing late, and would take its time
+				return fake.Drop // reads nothing late, and would take its time
 			case from == leader:
-				return fake.Hold
+				return fake.HoldBack
 			case strings.HasPrefix(to, leader+":"):
 				return fake.Refuse
 			}
@@ -89,7 +89,7 @@
 		})
 		c.rest(10 * time.Second)
 		c.net.SetRule(nil)
-		c.net.Release()
+		c.net.ReleaseHeld()
 	}},
 }
 
@@ -207,10 +207,10 @@
 		c.service("job-1", 6)
 		c.net.SetDelay(func() time.Duration { return 12 * time.Second })
 		late, old := 0, c.leader().name
-		c.net.SetRule(func(from, to string, r *http.Request, body []byte) fake.Fate {
+		c.net.SetRule(func(from, to string, r *http.Request, body []byte) fake.Outcome {
 			if from == old && r.URL.Path == "/commit" && strings.Contains(string(body), `"evictions"`) {
 				late++
-				return fake.Late
+				return fake.Delay
 			}
 			return fake.Deliver
 		})
@@ -261,7 +261,7 @@
 		c.begin(first)
 		c.begin(second)
 		c.reaches("first", rollout.Ended, 10*time.Minute)
-		c.cloud.SetRoom(4)
+		c.cloud.SetCapacity(4)
 		c.reaches("second", rollout.Ended, 10*time.Minute)
 	})
 }
@@ -308,9 +308,9 @@
 		c.service("job-1", 6)
 		c.rule.knownWithin = 1500 * time.Millisecond
 		c.net.SetDelay(func() time.Duration { return 1900 * time.Millisecond })
-		c.net.SetRule(func(_, _ string, r *http.Request, body []byte) fake.Fate {
+		c.net.SetRule(func(_, _ string, r *http.Request, body []byte) fake.Outcome {
 			if r.URL.Path == "/commit" && strings.Contains(string(body), `"evictions"`) {
-				return fake.SlowAnswer
+				return fake.DelayResponse
 			}
 			return fake.Deliver
 		})
@@ -328,8 +328,8 @@
 					return
 				}
 				for _, name := range c.in("south") {
-					if tasks := c.worn(string(name)).Live(); len(tasks) > 0 {
-						c.worn(string(name)).End(tasks[0], "error")
+					if tasks := c.worn(string(name)).ActiveTasks(); len(tasks) > 0 {
+						c.worn(string(name)).EndTask(tasks[0], "error")
 						break
 					}
 				}
@@ -444,8 +444,8 @@
 			for c.ctx.Err() == nil {
 				c.rest(200 * time.Millisecond)
 				if k := c.worn("host-000003"); k != nil {
-					for _, task := range k.Live() {
-						k.End(task, "error")
+					for _, task := range k.ActiveTasks() {
+						k.EndTask(task, "error")
 					}
 				}
 			}
@@ -489,8 +489,8 @@
 	}{
 		{"down", func(c *drainCluster) { c.cloud.SetDown(true) }, func(c *drainCluster) { c.cloud.SetDown(false) }, false, 1},
 		{"down in the middle of a wave", func(c *drainCluster) { c.cloud.SetDown(true) }, func(c *drainCluster) { c.cloud.SetDown(false) }, true, 1},
-		{"out of the type", func(c *drainCluster) { c.cloud.SetRoom(0) }, func(c *drainCluster) { c.cloud.SetRoom(40) }, false, 1},
-		{"out of the type in the middle of a wave", func(c *drainCluster) { c.cloud.SetRoom(1) }, func(c *drainCluster) { c.cloud.SetRoom(40) }, false, 2},
+		{"out of the type", func(c *drainCluster) { c.cloud.SetCapacity(0) }, func(c *drainCluster) { c.cloud.SetCapacity(40) }, false, 1},
+		{"out of the type in the middle of a wave", func(c *drainCluster) { c.cloud.SetCapacity(1) }, func(c *drainCluster) { c.cloud.SetCapacity(40) }, false, 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -533,10 +533,10 @@
 	}{
 		{"one dies", func(c *drainCluster, machine string) { c.endMachine(machine) }},
 		{"its zone goes dark", func(c *drainCluster, _ string) {
-			c.net.SetRule(func(from, to string, _ *http.Request, _ []byte) fake.Fate {
+			c.net.SetRule(func(from, to string, _ *http.Request, _ []byte) fake.Outcome {
 				for _, name := range c.in("north") {
 					if strings.HasPrefix(from, string(name)) || strings.HasPrefix(to, string(name)) {
-						return fake.Swallow
+						return fake.Drop
 					}
 				}
 				return fake.Deliver
@@ -546,7 +546,7 @@
 		}},
 		{"a spot notice", func(c *drainCluster, machine string) {
 			c.rule.reclaim(machine)
-			c.worn(machine).SetWarning(20 * time.Second)
+			c.worn(machine).AnnouncePreemption(20 * time.Second)
 			c.rest(20 * time.Second)
 			c.endMachine(machine)
 		}},
@@ -601,11 +601,11 @@
 	drainScenario(t, 3, drainOptions{room: 40}, func(t *testing.T, c *drainCluster) {
 		c.service("job-1", 4)
 		machine := string(c.in("north")[0])
-		c.net.SetRule(fake.CopyReports(machine))
+		c.net.SetRule(fake.DuplicateHeartbeats(machine))
 		c.begin(drain("spring", c.in("north")...))
 		c.reaches("spring", rollout.Ended, 8*time.Minute)
 		c.net.SetRule(nil)
-		c.net.Release()
+		c.net.ReleaseHeld()
 		c.hold(time.Minute, "all replicas stay up", func() bool { return c.running("job-1") == 4 })
 	})
 }
@@ -684,7 +684,7 @@
 			}
 		},
 		"halted": func(c *drainCluster) {
-			c.cloud.SetRoom(0)
+			c.cloud.SetCapacity(0)
 			c.reaches("spring", rollout.Halted, 5*time.Minute)
 		},
 		"aborting": func(c *drainCluster) { c.do("spring", rollout.CommandAbort) },
@@ -763,7 +763,7 @@
 				}
 				c.hold(time.Minute, "it runs on", func() bool { return c.rule.stopped("job-1") == 0 })
 				for _, task := range []string{"job-1/0", "job-1/1"} {
-					c.worn(c.on(task)[0]).End(task, "done")
+					c.worn(c.on(task)[0]).EndTask(task, "done")
 				}
 				c.reaches("spring", rollout.Ended, 3*time.Minute)
 			})
--- a/internal/scenarios/faults_test.go
+++ b/internal/scenarios/faults_test.go
@@ -11,9 +11,9 @@
 
 // copies has every beat of a worker copied, for delivery later.
 func (w *testCluster) copies(worker string) {
-	w.net.SetRule(func(from, _ string, r *http.Request, _ []byte) fake.Fate {
+	w.net.SetRule(func(from, _ string, r *http.Request, _ []byte) fake.Outcome {
 		if strings.HasPrefix(from, worker+":") && r.URL.Path == "/agent/beat" {
-			return fake.Copy
+			return fake.Duplicate
 		}
 		return fake.Deliver
 	})
@@ -43,29 +43,29 @@
 			w.copies("m1")
 			s := spec("job-1", "array", 8)
 			w.submit("a", s)
-			w.until(4*time.Second, "all run", func() bool { return len(m1.Live()) == 4 })
+			w.until(4*time.Second, "all run", func() bool { return len(m1.ActiveTasks()) == 4 })
 			time.Sleep(7 * time.Second)
 			for _, k := range w.workers {
-				for _, task := range k.Live() {
-					k.End(task, "done")
+				for _, task := range k.ActiveTasks() {
+					k.EndTask(task, "done")
 				}
 			}
 			w.until(6*time.Second, "done", func() bool { return w.status("a", "job-1") == "done" })
 			time.Sleep(6 * time.Second) // stored and cleared
 			w.net.SetRule(nil)
 			w.submit("a", spec("job-2", "standing", 8))
-			w.until(4*time.Second, "the next one runs", func() bool { return len(m1.Live()) == 4 })
+			w.until(4*time.Second, "the next one runs", func() bool { return len(m1.ActiveTasks()) == 4 })
 			time.Sleep(late)
-			if w.net.Release() < 3 {
+			if w.net.ReleaseHeld() < 3 {
 				t.Fatal("no copies were kept")
 			}
 			w.hold(25*time.Second, "replicas go on, nothing old begins", func() bool {
-				return len(m1.Live()) == 4 && len(w.on("job-2/0")) == 1 && len(w.on("job-1/0")) == 0
+				return len(m1.ActiveTasks()) == 4 && len(w.on("job-2/0")) == 1 && len(w.on("job-1/0")) == 0
 			})
 			for _, k := range w.workers {
 				for i := range 8 {
 					for _, job := range []string{"job-1/", "job-2/"} {
-						if n := k.Started(job + string(rune('0'+i))); n > 1 {
+						if n := k.StartCount(job + string(rune('0'+i))); n > 1 {
 							t.Fatalf("%s%d started %d times on %s", job, i, n, k.Name)
 						}
 					}
@@ -91,7 +91,7 @@
 		w.until(4*time.Second, "it runs", func() bool { return len(w.on("job-1/0")) == 1 })
 		time.Sleep(7 * time.Second) // three beats
 		w.net.SetRule(nil)
-		m1.End("job-1/0", "done")
+		m1.EndTask("job-1/0", "done")
 		w.until(6*time.Second, "done", func() bool { return w.status("a", "job-1") == "done" })
 		time.Sleep(6 * time.Second)
 		w.submit("a", spec("job-2", "array", 1))
@@ -102,17 +102,17 @@
 		time.Sleep(200 * time.Millisecond)
 		a = w.start("a")
 		w.until(5*time.Second, "it owns the pool again", func() bool { return a.pool.Cluster() != nil })
-		if w.net.Release() < 2 {
+		if w.net.ReleaseHeld() < 2 {
 			t.Fatal("no copies were kept")
 		}
 		w.worker("m2", "south")
 		time.Sleep(4 * time.Second)
 		m1.SetSilent(false)
 		w.hold(30*time.Second, "job-2 goes on where it is", func() bool { return len(w.on("job-2/0")) == 1 && w.on("job-2/0")[0] == "m1" })
-		if m1.Started("job-1/0") != 1 || m1.Started("job-2/0") != 1 || len(w.on("job-1/0")) != 0 {
+		if m1.StartCount("job-1/0") != 1 || m1.StartCount("job-2/0") != 1 || len(w.on("job-1/0")) != 0 {
 			t.Fatal("something was started again")
 		}
-		m1.End("job-2/0", "done")
+		m1.EndTask("job-2/0", "done")
 		w.until(8*time.Second, "done", func() bool { return w.status("a", "job-2") == "done" && w.status("a", "job-1") == "done" })
 	})
 }
@@ -156,7 +156,7 @@
 		w.submit("b", spec("job-2", "array", 2))
 		w.until(5*time.Second, "new work runs", func() bool { return len(w.on("job-2/1")) == 1 })
 		for _, task := range []string{"job-1/0", "job-1/1", "job-1/2", "job-1/3"} {
-			n := w.worn("m1").Started(task) + w.worn("m2").Started(task)
+			n := w.worn("m1").StartCount(task) + w.worn("m2").StartCount(task)
 			if n != 1 || len(w.on(task)) != 1 {
 				t.Errorf("%s was started %d times and is on %v", task, n, w.on(task))
 			}
@@ -176,7 +176,7 @@
 		w.until(4*time.Second, "it runs", func() bool { return len(w.on("job-1/0")) == 1 })
 		time.Sleep(5 * time.Second)
 		m1.SetSilent(true)
-		m1.End("job-1/0", "error") // it went with the machine
+		m1.EndTask("job-1/0", "error") // it went with the machine
 		w.workers = nil
 		time.Sleep(200 * time.Millisecond)
 		w.worker("m1", "north")
@@ -197,7 +197,7 @@
 		w.submit("b", spec("job-2", "standing", 1))
 		w.submit("b", spec("job-3", "array", 9)) // more than there is room for
 		w.until(4*time.Second, "they run", func() bool { return len(w.on("job-1/0")) == 1 && len(w.on("job-2/0")) == 1 })
-		m1.End("job-1/0", "done")
+		m1.EndTask("job-1/0", "done")
 		w.until(5*time.Second, "done", func() bool { return w.status("a", "job-1") == "done" })
 		if code, _ := w.call("a", "POST", "/v2/runs/job-3/cancel", nil); code != 200 {
 			t.Fatalf("cancel answered %d", code)
--- a/internal/scenarios/gap_test.go
+++ b/internal/scenarios/gap_test.go
@@ -32,13 +32,13 @@
 
 // without cuts a node from what of the state service's paths, and from its peer.
 func (w *testCluster) without(n *testNode, paths ...string) {
-	w.net.SetRule(func(from, to string, r *http.Request, _ []byte) fake.Fate {
+	w.net.SetRule(func(from, to string, r *http.Request, _ []byte) fake.Outcome {
 		if touches(from, to, "a", "b") {
-			return fake.Swallow
+			return fake.Drop
 		}
 		for _, p := range paths {
 			if from == n.name && to == "state:1" && strings.HasPrefix(r.URL.Path, p) {
-				return fake.Swallow
+				return fake.Drop
 			}
 		}
 		return fake.Deliver
@@ -84,9 +84,9 @@
 			w.store.SetDown(true) // its hold lasts until the outage is over
 			down := time.Now()
 			time.Sleep(2 * time.Second)
-			w.net.SetRule(func(from, to string, _ *http.Request, _ []byte) fake.Fate {
+			w.net.SetRule(func(from, to string, _ *http.Request, _ []byte) fake.Outcome {
 				if touches(from, to, "a", "b") {
-					return fake.Swallow
+					return fake.Drop
 				}
 				return fake.Deliver
 			})
@@ -134,12 +134,12 @@
 	// nor start or stop anything until it has read them all.
 	scenario(t, func(t *testing.T, w *testCluster) {
 		leader, other := gapped(w)
-		w.net.SetRule(func(from, to string, r *http.Request, _ []byte) fake.Fate {
+		w.net.SetRule(func(from, to string, r *http.Request, _ []byte) fake.Outcome {
 			switch {
 			case touches(from, to, "a", "b"), from == leader.name && to == "state:1":
-				return fake.Swallow
+				return fake.Drop
 			case from == other.name && r.URL.Path == "/kv/none" && other.pool.Cluster() != nil:
-				return fake.Swallow // it reads nothing after its takeover
+				return fake.Drop // it reads nothing after its takeover
 			}
 			return fake.Deliver
 		})
@@ -162,12 +162,12 @@
 		w.start("a")
 		m1 := w.worker("m1", "north")
 		time.Sleep(10300 * time.Millisecond)
-		held := func(from, to string, r *http.Request, body []byte) fake.Fate {
+		held := func(from, to string, r *http.Request, body []byte) fake.Outcome {
 			switch {
 			case r.URL.Path == "/commands" && strings.Contains(string(body), `"start"`):
-				return fake.Hold
+				return fake.HoldBack
 			case r.URL.Path == "/agent/beat" && from != "user":
-				return fake.Swallow // so that no beat carries the start
+				return fake.Drop // so that no beat carries the start
 			case r.URL.Path == "/commit" && strings.Contains(string(body), "pool/generation\",\"value") && !strings.Contains(string(body), "pool/owner"):
 				return fake.Refuse // the token can't be raised
 			}
@@ -177,17 +177,17 @@
 		w.submit("a", spec("job-1", "array", 1))
 		time.Sleep(300 * time.Millisecond)
 		told := w.cancelled(w.nodes["a"], "job-1")
-		w.net.SetRule(func(from, to string, r *http.Request, body []byte) fake.Fate {
+		w.net.SetRule(func(from, to string, r *http.Request, body []byte) fake.Outcome {
 			if r.URL.Path == "/agent/beat" {
 				return fake.Deliver
 			}
 			return held(from, to, r, body)
 		})
 		time.Sleep(time.Until(told.Add(cancelS)))
-		if w.net.Release() == 0 {
+		if w.net.ReleaseHeld() == 0 {
 			t.Fatal("no start was held back")
 		}
-		w.hold(20*time.Second, "the late start begins nothing", func() bool { return len(m1.Live()) == 0 })
+		w.hold(20*time.Second, "the late start begins nothing", func() bool { return len(m1.ActiveTasks()) == 0 })
 		w.net.SetRule(nil)
 		w.until(40*time.Second, "the end is stored", func() bool { return w.store.Value("end/job-1") != nil })
 		w.submit("a", spec("job-2", "array", 1))
@@ -207,14 +207,14 @@
 		leader := w.leader()
 		other := w.nodes[map[string]string{"a": "b", "b": "a"}[leader.name]]
 		cut := false
-		w.net.SetRule(func(from, to string, r *http.Request, body []byte) fake.Fate {
+		w.net.SetRule(func(from, to string, r *http.Request, body []byte) fake.Outcome {
 			switch {
 			case r.URL.Path == "/commands" && strings.Contains(string(body), `"start"`):
-				return fake.Swallow // marked and sent, but it does not arrive
+				return fake.Drop // marked and sent, but it does not arrive
 			case strings.HasPrefix(from, "m1:"):
 				return fake.Refuse
 			case cut && (touches(from, to, "a", "b") || from == leader.name && to == "state:1"):
-				return fake.Swallow
+				return fake.Drop
 			}
 			return fake.Deliver
 		})
@@ -224,15 +224,15 @@
 		w.cancelled(other, "job-1")
 		w.store.SetDown(true)
 		time.Sleep(4 * time.Second)
-		w.net.SetRule(func(from, to string, _ *http.Request, _ []byte) fake.Fate {
+		w.net.SetRule(func(from, to string, _ *http.Request, _ []byte) fake.Outcome {
 			if touches(from, to, "a", "b") || from == leader.name && to == "state:1" {
-				return fake.Swallow
+				return fake.Drop
 			}
 			return fake.Deliver
 		})
-		w.hold(30*time.Second, "not started", func() bool { return m1.Started("job-1/0") == 0 })
+		w.hold(30*time.Second, "not started", func() bool { return m1.StartCount("job-1/0") == 0 })
 		w.store.SetDown(false)
 		w.net.SetRule(nil)
-		w.hold(30*time.Second, "not started", func() bool { return m1.Started("job-1/0") == 0 })
+		w.hold(30*time.Second, "not started", func() bool { return m1.StartCount("job-1/0") == 0 })
 	})
 }
--- a/internal/scenarios/mixed_test.go
+++ b/internal/scenarios/mixed_test.go
@@ -34,7 +34,7 @@
 			w.submit("b", awaiting(spec("job-91", "array", 1), "job-90"))
 			var mu sync.Mutex
 			rules := map[int]fake.Rule{}
-			w.net.SetRule(func(from, to string, r *http.Request, body []byte) fake.Fate {
+			w.net.SetRule(func(from, to string, r *http.Request, body []byte) fake.Outcome {
 				mu.Lock()
 				defer mu.Unlock()
 				for i := range 2 {
@@ -59,21 +59,21 @@
 					time.Sleep(spell)
 					w.worn(m).SetHung(false)
 				case 1, 2, 3:
-					set(i, []fake.Rule{fake.Mute(m), fake.Deaf(m), fake.CopyReports(m)}[how-1])
+					set(i, []fake.Rule{fake.PartitionOutbound(m), fake.PartitionInbound(m), fake.DuplicateHeartbeats(m)}[how-1])
 					time.Sleep(spell)
 					set(i, nil)
 					time.Sleep(d.ms(0, 3000))
-					w.net.Release()
+					w.net.ReleaseHeld()
 				case 4:
 					if o := w.leader(); o != nil {
-						w.store.Refuse(o.name, true)
+						w.store.RefuseCaller(o.name, true)
 						time.Sleep(spell)
-						w.store.Refuse(o.name, false)
+						w.store.RefuseCaller(o.name, false)
 					}
 				case 5:
-					w.store.SetSlow(d.ms(50, 800))
+					w.store.SetLatency(d.ms(50, 800))
 					time.Sleep(spell)
-					w.store.SetSlow(0)
+					w.store.SetLatency(0)
 				case 6:
 					w.mu.Lock()
 					n := w.nodes[d.node()]
@@ -88,8 +88,8 @@
 					time.Sleep(spell)
 					w.store.SetDown(false)
 				case 8, 9:
-					fate := []fake.Fate{fake.LoseAnswer, fake.Late}[how-8]
-					set(i, func(_, _ string, r *http.Request, body []byte) fake.Fate {
+					fate := []fake.Outcome{fake.DropResponse, fake.Delay}[how-8]
+					set(i, func(_, _ string, r *http.Request, body []byte) fake.Outcome {
 						if r.URL.Path == "/commit" && d.n(4) == 0 {
 							return fate
 						}
@@ -99,9 +99,9 @@
 					set(i, nil)
 				case 10:
 					if o := w.leader(); o != nil {
-						set(i, func(from, to string, _ *http.Request, _ []byte) fake.Fate {
+						set(i, func(from, to string, _ *http.Request, _ []byte) fake.Outcome {
 							if touches(from, to, "a", "b") || touches(from, to, o.name, "state") {
-								return fake.Swallow
+								return fake.Drop
 							}
 							return fake.Deliver
 						})
--- a/internal/scenarios/overlapping_failures_test.go
+++ b/internal/scenarios/overlapping_failures_test.go
@@ -52,8 +52,8 @@
 }
 
 // trouble sets the network's rule, and records the workers' reports beside it.
-func (g *meet) trouble(rule func(from, to string, r *http.Request, body []byte) fake.Fate) {
-	g.net.SetRule(func(from, to string, r *http.Request, body []byte) fake.Fate {
+func (g *meet) trouble(rule func(from, to string, r *http.Request, body []byte) fake.Outcome) {
+	g.net.SetRule(func(from, to string, r *http.Request, body []byte) fake.Outcome {
 		if name, _, ok := strings.Cut(from, ":"); ok && r.URL.Path == "/agent/beat" && name != "late" {
 			g.mu.Lock()
 			g.beats[name] = append(g.beats[name], bytes.Clone(body))
@@ -69,7 +69,7 @@
 // apart cuts machines off: how is unreachable by refusal, silence or holding back,
 // deaf (only their reports arrive) or mute (only direct commands do).
 func (g *meet) apart(how string, machines ...string) {
-	g.trouble(func(from, to string, _ *http.Request, _ []byte) fake.Fate {
+	g.trouble(func(from, to string, _ *http.Request, _ []byte) fake.Outcome {
 		for _, m := range machines {
 			out, in := strings.HasPrefix(from, m+":"), strings.HasPrefix(to, m+":")
 			switch {
@@ -77,11 +77,11 @@
 			case how == "refused" || how == "mute" && out:
 				return fake.Refuse
 			case how == "swallowed" || how == "deaf" && in:
-				return fake.Swallow
+				return fake.Drop
 			case how == "held":
-				return fake.Hold
+				return fake.HoldBack
 			case how == "deaf" && out:
-				return fake.LoseAnswer
+				return fake.DropResponse
 			}
 		}
 		return fake.Deliver
@@ -91,7 +91,7 @@
 // mended ends all troubles of the network; what was held back arrives.
 func (g *meet) mended() {
 	g.trouble(nil)
-	g.net.Release()
+	g.net.ReleaseHeld()
 }
 
 // replay delivers a copy of a report to every controller.
@@ -148,7 +148,7 @@
 // finish completes a task where it is.
 func (g *meet) finish(task string) bool {
 	for _, k := range g.workers {
-		if k.End(task, "done") {
+		if k.EndTask(task, "done") {
 			return true
 		}
 	}
@@ -161,7 +161,7 @@
 	for _, id := range jobs {
 		g.until(120*time.Second, id+" is done", func() bool {
 			for _, k := range g.workers {
-				for _, task := range k.Live() {
+				for _, task := range k.ActiveTasks() {
 					g.finish(task)
 				}
 			}
@@ -250,8 +250,8 @@
 					case "shows what runs elsewhere":
 						g.worker("m2", "south")
 						g.pass(5 * time.Second)
-						m1.End("job-1/0", "error")
-						g.until(20*time.Second, "it runs elsewhere", func() bool { return g.worn("m2").Started("job-1/0") == 1 })
+						m1.EndTask("job-1/0", "error")
+						g.until(20*time.Second, "it runs elsewhere", func() bool { return g.worn("m2").StartCount("job-1/0") == 1 })
 					case "of an earlier session":
 						m1.SetSilent(true)
 						g.pass(25 * time.Second)
@@ -360,8 +360,8 @@
 	t.Parallel()
 	// Guards against a successor that knows neither of machines which nobody has
 	// listed yet nor of what was claimed there by writes without an answer.
-	for _, fate := range []fake.Fate{fake.LoseAnswer, fake.Hold, fake.Swallow, fake.Copy} {
-		for _, starts := range []fake.Fate{fake.Deliver, fake.Hold, fake.LoseAnswer} {
+	for _, fate := range []fake.Outcome{fake.DropResponse, fake.HoldBack, fake.Drop, fake.Duplicate} {
+		for _, starts := range []fake.Outcome{fake.Deliver, fake.HoldBack, fake.DropResponse} {
 			t.Run(fmt.Sprint(fate, starts), func(t *testing.T) {
 				t.Parallel()
 				meeting(t, func(t *testing.T, g *meet) {
@@ -373,7 +373,7 @@
 					other := map[string]string{"a": "b", "b": "a"}[first.name]
 					n := 0
 					var mu sync.Mutex
-					g.trouble(func(from, to string, r *http.Request, body []byte) fake.Fate {
+					g.trouble(func(from, to string, r *http.Request, body []byte) fake.Outcome {
 						mu.Lock()
 						defer mu.Unlock()
 						switch {
@@ -451,7 +451,7 @@
 	// Guards against a start or stop, or only its answer, that takes effect or is
 	// known seconds later, or after cancel_s: the job is called off meanwhile, or the leader ends, and
 	// the beats of the machine get through or don't.
-	for _, fate := range []fake.Fate{fake.Hold, fake.LoseAnswer} {
+	for _, fate := range []fake.Outcome{fake.HoldBack, fake.DropResponse} {
 		for _, verb := range []string{"start", "stop"} {
 			for _, what := range []string{"called off", "leader ends", "both"} {
 				for _, late := range []struct {
@@ -464,7 +464,7 @@
 							g.worker("m1", "north")
 							g.worker("m2", "south")
 							time.Sleep(10300 * time.Millisecond) // between reports
-							g.trouble(func(from, to string, r *http.Request, body []byte) fake.Fate {
+							g.trouble(func(from, to string, r *http.Request, body []byte) fake.Outcome {
 								if r.URL.Path == "/commands" && strings.Contains(string(body), `"verb":"`+verb+`"`) {
 									return fate
 								}
@@ -486,7 +486,7 @@
 								g.start(first.name)
 							}
 							g.pass(late.by)
-							g.net.Release()
+							g.net.ReleaseHeld()
 							g.pass(3 * time.Second)
 							g.mended()
 							g.pass(40 * time.Second)
@@ -535,9 +535,9 @@
 					if shape == "gang" {
 						// One that lost a task ends as a whole.
 						for _, k := range g.workers {
-							for _, task := range k.Live() {
-								if len(k.Live()) < 4 {
-									k.End(task, "peers")
+							for _, task := range k.ActiveTasks() {
+								if len(k.ActiveTasks()) < 4 {
+									k.EndTask(task, "peers")
 								}
 							}
 						}
@@ -623,7 +623,7 @@
 					time.Sleep(10 * time.Second)
 					g.order("a", sized("job-1", "array", 4, 2))
 					g.until(6*time.Second, "it runs", g.runs("job-1", 4))
-					g.trouble(func(_, to string, r *http.Request, _ []byte) fake.Fate {
+					g.trouble(func(_, to string, r *http.Request, _ []byte) fake.Outcome {
 						if to == "state:1" && r.URL.Path == "/commit" || strings.HasSuffix(to, ":9000") {
 							g.rest(slow)
 						}
@@ -685,15 +685,15 @@
 					g.order("a", sized("job-1", "gang", 2, 3))
 					waits := func() bool {
 						for _, k := range g.workers {
-							k.SetStatus("job-1/0", "waiting")
-							k.SetStatus("job-1/1", "waiting")
+							k.SetTaskStatus("job-1/0", "waiting")
+							k.SetTaskStatus("job-1/1", "waiting")
 						}
 						return g.everywhere("job-1", 2)
 					}
 					g.until(5*time.Second, "both tasks are there", waits)
 					g.pass(5 * time.Second)
 					at := g.worn(g.on("job-1/0")[0])
-					at.End("job-1/0", "no_room")
+					at.EndTask("job-1/0", "no_room")
 					g.pass(100 * time.Millisecond)
 					time.Sleep(2 * time.Second)
 					var old []byte
@@ -756,7 +756,7 @@
 								g.worker(fmt.Sprintf("m%d", i+1), zone)
 							}
 							time.Sleep(10 * time.Second)
-							g.trouble(func(_, to string, r *http.Request, body []byte) fake.Fate {
+							g.trouble(func(_, to string, r *http.Request, body []byte) fake.Outcome {
 								if r.URL.Path == "/commit" && strings.Contains(string(body), `"places"`) || to == "m2:9000" {
 									g.rest(slow)
 								}
@@ -800,25 +800,25 @@
 						g.order(nodes[i%2], spec(fmt.Sprintf("job-%d", i+1), []string{"standing", "array"}[i/2], 2))
 					}
 					g.until(6*time.Second, "they run", func() bool { return g.everywhere("job-1", 2) && g.everywhere("job-4", 2) })
-					g.store.SetSlow(slow)
+					g.store.SetLatency(slow)
 					g.pass(3 * time.Second)
 					g.finish("job-4/0")
 					g.callOff("a", "job-1")
 					if refuses {
 						first := g.lead()
-						g.trouble(func(from, to string, _ *http.Request, _ []byte) fake.Fate {
+						g.trouble(func(from, to string, _ *http.Request, _ []byte) fake.Outcome {
 							if touches(from, to, "a", "b") {
 								return fake.Refuse // so that it isn't told either
 							}
 							return fake.Deliver
 						})
-						g.store.Refuse(first.name, true)
+						g.store.RefuseCaller(first.name, true)
 						g.callOff(map[string]string{"a": "b", "b": "a"}[first.name], "job-2")
 						g.pass(time.Second)
 						g.store.SetDown(true)
 						g.pass(50 * time.Second)
 						g.store.SetDown(false)
-						g.store.Refuse(first.name, false)
+						g.store.RefuseCaller(first.name, false)
 						g.mended()
 						g.pass(5 * time.Second)
 					} else {
@@ -826,7 +826,7 @@
 					}
 					g.callOff("b", "job-3")
 					g.pass(20 * time.Second)
-					g.store.SetSlow(0)
+					g.store.SetLatency(0)
 					g.pass(25 * time.Second)
 					g.toTheEnd("job-4")
 				})
@@ -857,9 +857,9 @@
 					other := map[string]string{"a": "b", "b": "a"}[first.name]
 					g.order(other, spec("job-5", "array", 2)) // waits for room, or its starts are on their way
 					if how == "cut off" {
-						g.trouble(func(from, to string, _ *http.Request, _ []byte) fake.Fate {
+						g.trouble(func(from, to string, _ *http.Request, _ []byte) fake.Outcome {
 							if touches(from, to, first.name, "state") || touches(from, to, first.name, other) {
-								return fake.Swallow
+								return fake.Drop
 							}
 							return fake.Deliver
 						})
--- a/internal/scenarios/oversize_test.go
+++ b/internal/scenarios/oversize_test.go
@@ -31,11 +31,11 @@
 	description := spec(job, "array", tasks)
 	description["cores"], description["ramGb"] = 0.01, 0.01
 	w.submit("a", description)
-	w.until(60*time.Second, "all tasks run", func() bool { return len(w.worn("m1").Live())+len(w.worn("m2").Live()) == tasks })
+	w.until(60*time.Second, "all tasks run", func() bool { return len(w.worn("m1").ActiveTasks())+len(w.worn("m2").ActiveTasks()) == tasks })
 	for _, k := range w.workers {
-		for _, task := range k.Live() {
+		for _, task := range k.ActiveTasks() {
 			if strings.ContainsAny(task[len(task)-1:], "02468") {
-				k.End(task, "done")
+				k.EndTask(task, "done")
 			}
 		}
 	}
@@ -83,15 +83,15 @@
 		}},
 		"the leader is refused": {fallen: true, before: func(w *testCluster) {
 			leader := w.leader()
-			w.store.Refuse(leader.name, true)
-			time.AfterFunc(12*time.Second, func() { w.store.Refuse(leader.name, false) })
+			w.store.RefuseCaller(leader.name, true)
+			time.AfterFunc(12*time.Second, func() { w.store.RefuseCaller(leader.name, false) })
 		}},
 		"as the last task ends": {fallen: true, before: func(w *testCluster) {
 			// The leader knows the end, but the cancellation is stored first, and the
 			// leader can write but not read.
 			leader := w.leader().name
 			time.Sleep(3 * time.Second) // it has read the records
-			w.net.SetRule(func(from, _ string, r *http.Request, body []byte) fake.Fate {
+			w.net.SetRule(func(from, _ string, r *http.Request, body []byte) fake.Outcome {
 				early := InstanceClass(r, body) == "outcome" && strings.Contains(string(body), "end/job-1") && w.store.Value("job/cancel/job-1") == nil
 				blind := from == leader && (r.URL.Path == "/follow" || r.URL.Path == "/kv/none") && w.store.Value("job/job-1") != nil
 				if early || blind {
@@ -126,7 +126,7 @@
 					_, out := w.call("b", "POST", "/v2/runs", awaiting(spec("job-3", "array", 1), "job-1"))
 					return out["status"] == "cancelled" || w.toldOnly("job-3", "cancelled")
 				})
-				w.until(40*time.Second, "nothing of it is left", func() bool { return w.store.Count("job/") == 0 })
+				w.until(40*time.Second, "nothing of it is left", func() bool { return w.store.CountKeys("job/") == 0 })
 				w.until(30*time.Second, "every node still tells so", func() bool { return w.both("job-1", "cancelled") && w.both("job-2", "cancelled") })
 				if w.store.TooLarge > 2 { // each node may find out once
 					t.Errorf("%d writes were too large", w.store.TooLarge)
@@ -142,7 +142,7 @@
 	for name, lose := range map[string]func(w *testCluster){
 		"the machines are lost": func(w *testCluster) {
 			for _, k := range w.workers {
-				w.net.Listen(k.Addr, nil)
+				w.net.Listen(k.Address, nil)
 				k.SetSilent(true)
 			}
 			w.worker("m3", "north")
@@ -152,8 +152,8 @@
 		"some complete, the others are stopped": func(w *testCluster) {
 			time.Sleep(5 * time.Second)
 			for _, k := range w.workers {
-				for i, task := range k.Live() {
-					k.End(task, []string{"done", "stopped", "stopped"}[i%3])
+				for i, task := range k.ActiveTasks() {
+					k.EndTask(task, []string{"done", "stopped", "stopped"}[i%3])
 				}
 			}
 		},
@@ -170,7 +170,7 @@
 				w.start("b")
 				lose(w)
 				var commits atomic.Int64
-				w.net.SetRule(func(_, _ string, r *http.Request, _ []byte) fake.Fate {
+				w.net.SetRule(func(_, _ string, r *http.Request, _ []byte) fake.Outcome {
 					if r.URL.Path == "/commit" {
 						commits.Add(1)
 					}
--- a/internal/scenarios/partition_test.go
+++ b/internal/scenarios/partition_test.go
@@ -16,7 +16,7 @@
 	t.Parallel()
 	// By reset and by silence, for a minute and a half: what it still believes to own
 	// must not come back with it, nor may the pool go back and forth.
-	for how, fate := range map[string]fake.Fate{"reset": fake.Refuse, "silence": fake.Swallow, "held back": fake.Hold} {
+	for how, fate := range map[string]fake.Outcome{"reset": fake.Refuse, "silence": fake.Drop, "held back": fake.HoldBack} {
 		scenario(t, func(t *testing.T, w *testCluster) {
 			w.listed = true
 			w.start("a")
@@ -29,7 +29,7 @@
 			old := w.leader()
 			other := map[string]string{"a": "b", "b": "a"}[old.name]
 			generation := old.pool.Cluster().Generation()
-			w.net.SetRule(func(from, to string, _ *http.Request, _ []byte) fake.Fate {
+			w.net.SetRule(func(from, to string, _ *http.Request, _ []byte) fake.Outcome {
 				if from == old.name || strings.HasPrefix(to, old.name+":") {
 					return fate
 				}
@@ -43,7 +43,7 @@
 			w.until(20*time.Second, "new work runs", func() bool { return w.everywhere("job-2", 2) })
 			w.hold(70*time.Second, "all goes on", func() bool { return w.everywhere("job-1", 4) && w.everywhere("job-2", 2) })
 			w.net.SetRule(nil)
-			w.net.Release()
+			w.net.ReleaseHeld()
 			w.until(3*time.Second, "the old owner follows", func() bool { return old.pool.Cluster() == nil })
 			w.hold(25*time.Second, "one change of owner, and all goes on", func() bool {
 				cluster := w.nodes[other].pool.Cluster()
@@ -65,7 +65,7 @@
 	scenario(t, func(t *testing.T, w *testCluster) {
 		const perSecond, perTxn, jobs = 200, 12, 400
 		changes := map[int64]int{}
-		w.net.SetRule(func(_, to string, r *http.Request, body []byte) fake.Fate {
+		w.net.SetRule(func(_, to string, r *http.Request, body []byte) fake.Outcome {
 			if r.URL.Path == "/commit" {
 				var txn struct{ Then []json.RawMessage }
 				json.Unmarshal(body, &txn)
@@ -98,8 +98,8 @@
 				time.Sleep(2 * time.Millisecond)
 				if i%20 == 0 {
 					for _, k := range []*fake.Worker{m1, m2} {
-						for _, task := range k.Live() {
-							k.End(task, "done")
+						for _, task := range k.ActiveTasks() {
+							k.EndTask(task, "done")
 						}
 					}
 				}
@@ -108,8 +108,8 @@
 		})
 		over := func() (n int) {
 			for _, k := range []*fake.Worker{m1, m2} {
-				for _, task := range k.Live() {
-					k.End(task, "done")
+				for _, task := range k.ActiveTasks() {
+					k.EndTask(task, "done")
 				}
 			}
 			for i := range jobs {
@@ -129,7 +129,7 @@
 		}
 		for i := range jobs {
 			task := ids.Task{Job: ids.Job(fmt.Sprintf("job-%d", i+1))}.String()
-			if n := m1.Started(task) + m2.Started(task); n != 1 {
+			if n := m1.StartCount(task) + m2.StartCount(task); n != 1 {
 				t.Fatalf("%s was started %d times", task, n)
 			}
 		}
--- a/internal/scenarios/pipeline_answers_test.go
+++ b/internal/scenarios/pipeline_answers_test.go
@@ -60,7 +60,7 @@
 				w.t.Errorf("its cancellation is answered %q", how)
 			}
 			w.until(5*time.Second, "what follows is cancelled", func() bool { return w.both("job-900001", "cancelled") })
-			w.until(20*time.Second, "the ends are stored", func() bool { return w.store.Count("job/wait/") == 0 })
+			w.until(20*time.Second, "the ends are stored", func() bool { return w.store.CountKeys("job/wait/") == 0 })
 			if !w.both(needed[0], "running") {
 				w.t.Error("what it awaited is touched")
 			}
@@ -70,7 +70,7 @@
 			w.until(5*time.Second, "it is cancelled, and what follows", func() bool {
 				return w.both("job-900000", "cancelled") && w.both("job-900001", "cancelled")
 			})
-			w.until(20*time.Second, "the ends are stored", func() bool { return w.store.Count("job/wait/") == 0 })
+			w.until(20*time.Second, "the ends are stored", func() bool { return w.store.CountKeys("job/wait/") == 0 })
 			if _, out := w.call("b", "GET", "/v2/runs/job-900001/explain", nil); !strings.Contains(fmt.Sprint(out["now"]), "cancelled with "+needed[149]) {
 				w.t.Errorf("explained as %v", out)
 			}
--- a/internal/scenarios/pipeline_handover_test.go
+++ b/internal/scenarios/pipeline_handover_test.go
@@ -60,9 +60,9 @@
 			if n := w.told("pending", 2, step.cancel-1); step.cancel > 1 && n != step.cancel-2 {
 				t.Errorf("%d of the %d before %d are called pending", n, step.cancel-2, step.cancel)
 			}
-			w.until(30*time.Second, "the ends are stored", func() bool { return w.store.Count("job/wait/") == step.waiting })
+			w.until(30*time.Second, "the ends are stored", func() bool { return w.store.CountKeys("job/wait/") == step.waiting })
 		}
-		w.until(30*time.Second, "the first's end too", func() bool { return w.store.Count("job/") == 0 && w.store.Count("end/") == 100 })
+		w.until(30*time.Second, "the first's end too", func() bool { return w.store.CountKeys("job/") == 0 && w.store.CountKeys("end/") == 100 })
 		w.hold(20*time.Second, "nothing of them starts", func() bool { return len(w.on("job-2/0"))+len(w.on("job-50/0")) == 0 })
 	})
 }
@@ -75,7 +75,7 @@
 		w.pair()
 		w.chainOf(40)
 		w.until(5*time.Second, "the first runs", func() bool { return w.everywhere("job-1", 1) })
-		w.net.SetRule(func(_, _ string, r *http.Request, body []byte) fake.Fate {
+		w.net.SetRule(func(_, _ string, r *http.Request, body []byte) fake.Outcome {
 			if moves(r, body) {
 				return fake.Refuse
 			}
@@ -87,13 +87,13 @@
 		time.Sleep(3 * time.Second)
 		o := w.leader()
 		o.kill()
-		if n := w.store.Count("job/wait/"); n != 39 {
+		if n := w.store.CountKeys("job/wait/"); n != 39 {
 			t.Fatalf("%d of 39 records are left", n)
 		}
 		w.until(10*time.Second, "another leads", func() bool { return w.leader() != nil && w.leader() != o })
 		w.net.SetRule(nil)
 		w.start(o.name)
-		w.until(40*time.Second, "the ends are stored", func() bool { return w.store.Count("job/") == 0 && w.store.Count("end/") == 40 })
+		w.until(40*time.Second, "the ends are stored", func() bool { return w.store.CountKeys("job/") == 0 && w.store.CountKeys("end/") == 40 })
 		if n := w.told("cancelled", 1, 40); n != 40 {
 			t.Errorf("%d of 40 are called cancelled", n)
 		}
@@ -106,16 +106,16 @@
 	// Guards against a job that waits for ever since the leader that stored the last end
 	// that it awaited was gone before it moved the job; and against one moved twice.
 	for name, fate := range map[string]struct {
-		end, move fake.Fate // of the transactions with the end, and with the move
+		end, move fake.Outcome // of the transactions with the end, and with the move
 	}{
 		"the end is stored, the move is not":         {fake.Deliver, fake.Refuse},
-		"the end's answer is lost":                   {fake.LoseAnswer, fake.Refuse},
-		"the move's answer is lost":                  {fake.Deliver, fake.LoseAnswer},
-		"the end is stored after the leader is gone": {fake.Late, fake.Refuse},
-		"the move is carried out late":               {fake.Deliver, fake.Late},
+		"the end's answer is lost":                   {fake.DropResponse, fake.Refuse},
+		"the move's answer is lost":                  {fake.Deliver, fake.DropResponse},
+		"the end is stored after the leader is gone": {fake.Delay, fake.Refuse},
+		"the move is carried out late":               {fake.Deliver, fake.Delay},
 	} {
 		for _, delay := range []time.Duration{300 * time.Millisecond, 1700 * time.Millisecond, 6 * time.Second} {
-			if fate.end != fake.Late && fate.move != fake.Late && delay > time.Second {
+			if fate.end != fake.Delay && fate.move != fake.Delay && delay > time.Second {
 				continue
 			}
 			variant(t, fmt.Sprint(name, " ", delay), func(t *testing.T, w *testCluster) {
@@ -127,7 +127,7 @@
 				w.net.SetDelay(func() time.Duration { return delay })
 				gone := func() { time.AfterFunc(50*time.Millisecond, o.kill) }
 				var hits atomic.Int32
-				w.net.SetRule(func(from, _ string, r *http.Request, body []byte) fake.Fate {
+				w.net.SetRule(func(from, _ string, r *http.Request, body []byte) fake.Outcome {
 					switch end := InstanceClass(r, body) == "outcome"; {
 					case from != o.name:
 					case moves(r, body):
@@ -151,7 +151,7 @@
 				w.ends("job-2")
 				w.ends("job-3")
 				w.until(30*time.Second, "all are done", func() bool { return w.told("done", 1, 3) == 3 })
-				if hits.Load() == 0 || w.store.Count("job/") != 0 || w.store.Count("end/") != 3 {
+				if hits.Load() == 0 || w.store.CountKeys("job/") != 0 || w.store.CountKeys("end/") != 3 {
 					t.Errorf("hit %d times; %s", hits.Load(), w.store)
 				}
 			})
@@ -167,8 +167,8 @@
 		"the leader stays": func(*testCluster, *testNode) {},
 		"the leader ends":  func(_ *testCluster, o *testNode) { o.kill() },
 		"the leader is refused": func(w *testCluster, o *testNode) {
-			w.store.Refuse(o.name, true)
-			time.AfterFunc(9*time.Second, func() { w.store.Refuse(o.name, false) })
+			w.store.RefuseCaller(o.name, true)
+			time.AfterFunc(9*time.Second, func() { w.store.RefuseCaller(o.name, false) })
 		},
 	} {
 		for _, delay := range []time.Duration{200 * time.Millisecond, 3 * time.Second, 12 * time.Second} {
@@ -179,14 +179,14 @@
 				o := w.leader()
 				w.net.SetDelay(func() time.Duration { return delay })
 				var late atomic.Int32
-				w.net.SetRule(func(from, _ string, r *http.Request, body []byte) fake.Fate {
+				w.net.SetRule(func(from, _ string, r *http.Request, body []byte) fake.Outcome {
 					switch {
 					case from != o.name || !moves(r, body):
 						return fake.Deliver
 					case late.Add(1) > 1:
 						return fake.Refuse
 					}
-					return fake.Late
+					return fake.Delay
 				})
 				w.ends("job-1")
 				w.until(15*time.Second, "a move is on its way", func() bool { return late.Load() > 0 })
@@ -200,7 +200,7 @@
 					w.start(o.name)
 				}
 				w.hold(40*time.Second, "it does not run", func() bool { return len(w.on("job-2/0"))+len(w.on("job-3/0")) == 0 })
-				if n := w.told("cancelled", 2, 3); n != 2 || w.store.Count("job/") != 0 {
+				if n := w.told("cancelled", 2, 3); n != 2 || w.store.CountKeys("job/") != 0 {
 					t.Errorf("%d of 2 are called cancelled; %s", n, w.store)
 				}
 			})
@@ -243,7 +243,7 @@
 		}
 		put(entries)
 		calls := map[string]int{}
-		w.net.SetRule(func(from, to string, r *http.Request, _ []byte) fake.Fate {
+		w.net.SetRule(func(from, to string, r *http.Request, _ []byte) fake.Outcome {
 			if to == "state:1" && !strings.HasPrefix(r.URL.Path, "/holds") && r.URL.Path != "/follow" && r.URL.Path != "/kv/none" {
 				w.mu.Lock()
 				calls[strings.SplitN(strings.TrimPrefix(r.URL.Path, "/"), "/", 2)[0]+" "+r.URL.Query().Get("under")]++
--- a/internal/scenarios/pipeline_test.go
+++ b/internal/scenarios/pipeline_test.go
@@ -21,9 +21,9 @@
 // ends lets every task of a job that is on a machine complete.
 func (w *testCluster) ends(job string) {
 	for _, k := range w.workers {
-		for _, task := range k.Live() {
+		for _, task := range k.ActiveTasks() {
 			if strings.HasPrefix(task, job+"/") {
-				k.End(task, "done")
+				k.EndTask(task, "done")
 			}
 		}
 	}
@@ -48,18 +48,18 @@
 		},
 		"a move's answer is lost": func(w *testCluster) {
 			lost := 0
-			w.net.SetRule(func(_, _ string, r *http.Request, body []byte) fake.Fate {
+			w.net.SetRule(func(_, _ string, r *http.Request, body []byte) fake.Outcome {
 				if r.URL.Path == "/commit" && strings.Contains(string(body), `"remove":"job/wait/`) && lost < 2 {
 					lost++
-					return fake.LoseAnswer
+					return fake.DropResponse
 				}
 				return fake.Deliver
 			})
 		},
 		"the leader is refused": func(w *testCluster) {
 			if o := w.leader(); o != nil {
-				w.store.Refuse(o.name, true)
-				time.AfterFunc(9*time.Second, func() { w.store.Refuse(o.name, false) })
+				w.store.RefuseCaller(o.name, true)
+				time.AfterFunc(9*time.Second, func() { w.store.RefuseCaller(o.name, false) })
 			}
 		},
 	} {
@@ -113,8 +113,8 @@
 		},
 		"while the leader is refused": func(w *testCluster) string {
 			o := w.leader()
-			w.store.Refuse(o.name, true)
-			time.AfterFunc(8*time.Second, func() { w.store.Refuse(o.name, false) })
+			w.store.RefuseCaller(o.name, true)
+			time.AfterFunc(8*time.Second, func() { w.store.RefuseCaller(o.name, false) })
 			return w.insistOn("job-1")
 		},
 		"as the leader ends": func(w *testCluster) string {
@@ -156,7 +156,7 @@
 					}
 				})
 				// Whoever reads the records can tell, before any of the ends is stored.
-				w.net.SetRule(func(_, _ string, r *http.Request, body []byte) fake.Fate {
+				w.net.SetRule(func(_, _ string, r *http.Request, body []byte) fake.Outcome {
 					if r.URL.Path == "/commit" && strings.Contains(string(body), `"remove":"job/wait/`) {
 						return fake.Refuse
 					}
@@ -191,7 +191,7 @@
 				if !w.both("job-60", "cancelled") {
 					t.Error("a job that names a cancelled one is not cancelled")
 				}
-				w.until(60*time.Second, "their ends are stored", func() bool { return w.store.Count("job/") == 0 })
+				w.until(60*time.Second, "their ends are stored", func() bool { return w.store.CountKeys("job/") == 0 })
 				w.hold(30*time.Second, "and nothing of them starts", func() bool { return len(w.on("job-2/0"))+len(w.on("job-50/0"))+len(w.on("job-30/0")) == 0 })
 				if code, out := w.call("a", "GET", "/v2/runs/job-30/explain", nil); code != 200 || !strings.Contains(fmt.Sprint(out["trail"]), "job-1, which was cancelled") {
 					t.Errorf("explained as %v", out)
@@ -226,20 +226,20 @@
 		w.submit("a", spec("job-1", "array", 1))
 		w.submit("b", awaiting(spec("job-2", "array", 1), "job-1"))
 		w.until(5*time.Second, "the first runs", func() bool { return w.everywhere("job-1", 1) })
-		w.net.SetRule(func(_, _ string, r *http.Request, body []byte) fake.Fate {
+		w.net.SetRule(func(_, _ string, r *http.Request, body []byte) fake.Outcome {
 			if InstanceClass(r, body) == "outcome" {
 				return fake.Refuse
 			}
 			return fake.Deliver
 		})
 		w.ends("job-1")
-		w.hold(10*time.Second, "the next waits", func() bool { return w.worn("m1").Started("job-2/0") == 0 && w.both("job-2", "pending") })
+		w.hold(10*time.Second, "the next waits", func() bool { return w.worn("m1").StartCount("job-2/0") == 0 && w.both("job-2", "pending") })
 		how := w.insistOn("job-1")
 		w.net.SetRule(nil)
 		if how != "cancelled" {
 			t.Fatalf("the cancellation is answered %q", how)
 		}
-		w.hold(20*time.Second, "and is cancelled with it", func() bool { return w.worn("m1").Started("job-2/0") == 0 && w.both("job-2", "cancelled") })
+		w.hold(20*time.Second, "and is cancelled with it", func() bool { return w.worn("m1").StartCount("job-2/0") == 0 && w.both("job-2", "cancelled") })
 	})
 }
 
--- a/internal/scenarios/rules_test.go
+++ b/internal/scenarios/rules_test.go
@@ -159,8 +159,8 @@
 	if num >= j.Tasks {
 		r.broken("invented", id, "%s starts; its job has %d tasks", e.Task, j.Tasks)
 	}
-	if after(e.Sent, j.cancelled) {
-		r.broken("ran_cancelled", id, "%s starts on %s by a command sent %v after its user was told", e.Task, k.Name, e.Sent.Sub(j.cancelled.at))
+	if after(e.SentAt, j.cancelled) {
+		r.broken("ran_cancelled", id, "%s starts on %s by a command sent %v after its user was told", e.Task, k.Name, e.SentAt.Sub(j.cancelled.at))
 	}
 	if after(e.At, j.cancelled) && e.At.Sub(j.cancelled.at) > r.cancelIn() {
 		r.broken("ran_cancelled", id, "%s starts on %s %v after its user was told", e.Task, k.Name, e.At.Sub(j.cancelled.at))
@@ -532,7 +532,7 @@
 				}
 				switch {
 				case s.on != nil:
-					r.Event(fake.Event{At: time.Now(), Sent: time.Now().Add(-s.sentEarlier), Worker: s.on, Session: 1, Task: s.task, Attempt: s.attempt, Start: s.start, Cause: s.cause})
+					r.Event(fake.Event{At: time.Now(), SentAt: time.Now().Add(-s.sentEarlier), Worker: s.on, Incarnation: 1, Task: s.task, Attempt: s.attempt, Start: s.start, Cause: s.cause})
 				case s.path != "":
 					raw, _ := json.Marshal(s.body)
 					sent := r.Sent(s.method, s.path, raw)
--- a/internal/scenarios/scenarios_test.go
+++ b/internal/scenarios/scenarios_test.go
@@ -21,12 +21,12 @@
 		time.Sleep(8 * time.Second)
 		w.submit("b", spec("job-1", "array", 2))
 		w.until(3*time.Second, "both tasks started quickly", func() bool { return len(w.on("job-1/0")) == 1 && len(w.on("job-1/1")) == 1 })
-		w.worn("m1").End("job-1/0", "done")
+		w.worn("m1").EndTask("job-1/0", "done")
 		time.Sleep(5 * time.Second)
 		if s := w.status("a", "job-1"); s != "running" {
 			t.Fatalf("half done, but called %q", s)
 		}
-		w.worn("m1").End("job-1/1", "done")
+		w.worn("m1").EndTask("job-1/1", "done")
 		w.until(4*time.Second, "told done", func() bool { return w.status("a", "job-1") == "done" && w.status("b", "job-1") == "done" })
 		// A repeat may come at any later time and gets the state, not a new job.
 		time.Sleep(3 * time.Minute)
@@ -48,27 +48,27 @@
 		time.Sleep(2 * time.Second)
 		// a's commits of places are held back; it is cut from the state service
 		// and from b, but not from the worker.
-		w.net.SetRule(func(from, to string, r *http.Request, body []byte) fake.Fate {
+		w.net.SetRule(func(from, to string, r *http.Request, body []byte) fake.Outcome {
 			switch {
 			case from == "a" && to == "state:1" && r.URL.Path == "/commit" && strings.Contains(string(body), `"places"`):
-				return fake.Hold
+				return fake.HoldBack
 			case from == "a" && to == "state:1" && !strings.HasPrefix(r.URL.Path, "/kv"):
-				return fake.Swallow
+				return fake.Drop
 			case from == "a" && to == "b" || from == "b" && to == "a":
-				return fake.Swallow
+				return fake.Drop
 			}
 			return fake.Deliver
 		})
 		w.submit("b", spec("job-2", "array", 1))
 		w.until(15*time.Second, "b takes over", func() bool { return b.pool.Cluster() != nil })
 		w.until(60*time.Second, "the task runs under b", func() bool { return len(w.on("job-2/0")) == 1 })
-		if n := w.net.Release(); n > 0 {
+		if n := w.net.ReleaseHeld(); n > 0 {
 			t.Logf("%d late transactions delivered", n)
 		}
 		w.hold(20*time.Second, "the task goes on undisturbed", func() bool { return len(w.on("job-2/0")) == 1 })
 		w.net.SetRule(nil)
 		w.until(10*time.Second, "a steps down", func() bool { return a.pool.Cluster() == nil })
-		if n := w.worn("m1").Started("job-2/0"); n != 1 {
+		if n := w.worn("m1").StartCount("job-2/0"); n != 1 {
 			t.Fatalf("started %d times", n)
 		}
 	})
@@ -81,9 +81,9 @@
 		w.worker("m1", "north")
 		w.worker("m2", "south")
 		time.Sleep(10300 * time.Millisecond) // between beats: the start goes straight to the worker
-		w.net.SetRule(func(from, to string, r *http.Request, body []byte) fake.Fate {
+		w.net.SetRule(func(from, to string, r *http.Request, body []byte) fake.Outcome {
 			if r.URL.Path == "/commands" && strings.Contains(string(body), `"start"`) {
-				return fake.Hold
+				return fake.HoldBack
 			}
 			return fake.Deliver
 		})
@@ -91,14 +91,14 @@
 		// The beats carry the same start, and it runs once.
 		w.until(6*time.Second, "it runs by way of a beat", func() bool { return len(w.on("job-3/0")) == 1 })
 		at := w.worn(w.on("job-3/0")[0])
-		at.End("job-3/0", "done")
+		at.EndTask("job-3/0", "done")
 		w.until(4*time.Second, "done", func() bool { return w.status("a", "job-3") == "done" })
 		time.Sleep(2 * time.Minute)
-		if w.net.Release() == 0 {
+		if w.net.ReleaseHeld() == 0 {
 			t.Fatal("no start was held back")
 		}
 		w.hold(10*time.Second, "the late start begins nothing", func() bool { return len(w.on("job-3/0")) == 0 })
-		if n := at.Started("job-3/0"); n != 1 {
+		if n := at.StartCount("job-3/0"); n != 1 {
 			t.Fatalf("started %d times", n)
 		}
 	})
@@ -113,10 +113,10 @@
 		w.submit("a", spec("job-4", "array", 1))
 		w.until(3*time.Second, "it runs", func() bool { return len(w.on("job-4/0")) == 1 })
 		// m1 and a are cut off together: a goes on answering m1.
-		w.net.SetRule(func(from, to string, r *http.Request, body []byte) fake.Fate {
+		w.net.SetRule(func(from, to string, r *http.Request, body []byte) fake.Outcome {
 			inside := func(h string) bool { return h == "a" || h == "a:8080" || strings.HasPrefix(h, "m1") }
 			if inside(from) != inside(to) {
-				return fake.Swallow
+				return fake.Drop
 			}
 			return fake.Deliver
 		})
@@ -129,7 +129,7 @@
 		if d := time.Since(took); d < 36*time.Second {
 			t.Fatalf("started elsewhere after only %v", d)
 		}
-		if len(m1.Live()) != 0 {
+		if len(m1.ActiveTasks()) != 0 {
 			t.Fatal("m1 still has it")
 		}
 		_ = a
@@ -177,12 +177,12 @@
 		if code, _ := w.call("a", "POST", "/v2/runs", spec("job-8", "array", 1)); code == 201 || code == 200 {
 			t.Fatalf("accepted (%d) what could not be stored", code)
 		}
-		w.worn("m1").End("job-7/0", "done")
+		w.worn("m1").EndTask("job-7/0", "done")
 		time.Sleep(2 * time.Second)
 		w.store.SetDown(false)
 		w.until(12*time.Second, "the outcome is told", func() bool { return w.status("a", "job-7") == "done" })
 		w.hold(10*time.Second, "the replica went on", func() bool { return len(w.on("job-6/0")) == 1 })
-		if n := w.worn("m1").Started("job-6/0"); n != 1 {
+		if n := w.worn("m1").StartCount("job-6/0"); n != 1 {
 			t.Fatalf("the replica was started %d times", n)
 		}
 	})
@@ -199,10 +199,10 @@
 		s["cores"] = 3
 		w.submit("a", s)
 		w.until(3*time.Second, "both tasks are there", func() bool { return len(w.on("job-9/0")) == 1 && len(w.on("job-9/1")) == 1 })
-		w.worn("m1").SetStatus("job-9/0", "waiting")
-		w.worn("m1").SetStatus("job-9/1", "waiting")
-		w.worn("m2").SetStatus("job-9/0", "waiting")
-		w.worn("m2").SetStatus("job-9/1", "waiting")
+		w.worn("m1").SetTaskStatus("job-9/0", "waiting")
+		w.worn("m1").SetTaskStatus("job-9/1", "waiting")
+		w.worn("m2").SetTaskStatus("job-9/0", "waiting")
+		w.worn("m2").SetTaskStatus("job-9/1", "waiting")
 		time.Sleep(5 * time.Second)
 		gone := w.on("job-9/0")[0]
 		w.worn(gone).SetSilent(true)
@@ -227,13 +227,13 @@
 			w.submit("a", s)
 			w.until(3*time.Second, "both tasks are there", func() bool { return len(w.on("job-10/0")) == 1 && len(w.on("job-10/1")) == 1 })
 			lost, other := w.worn(w.on("job-10/0")[0]), w.worn(w.on("job-10/1")[0])
-			other.SetStatus("job-10/1", status)
+			other.SetTaskStatus("job-10/1", status)
 			time.Sleep(5 * time.Second)
 			w.worker("m3", "north")
-			lost.End("job-10/0", "error")
+			lost.EndTask("job-10/0", "error")
 			// Until the old attempt's other task has ended, no new attempt begins.
 			w.hold(12*time.Second, "no second attempt beside the first", func() bool { return len(w.on("job-10/0")) == 0 })
-			other.End("job-10/1", "peers")
+			other.EndTask("job-10/1", "peers")
 			w.until(10*time.Second, "a new attempt of both", func() bool { return len(w.on("job-10/0")) == 1 && len(w.on("job-10/1")) == 1 })
 			for _, k := range w.workers {
 				for _, st := range k.Starts {
@@ -253,9 +253,9 @@
 		w.start("b")
 		w.worker("m1", "north")
 		time.Sleep(10 * time.Second)
-		w.net.SetRule(func(from, to string, r *http.Request, body []byte) fake.Fate {
+		w.net.SetRule(func(from, to string, r *http.Request, body []byte) fake.Outcome {
 			if r.URL.Path == "/commands" {
-				return fake.Hold
+				return fake.HoldBack
 			}
 			return fake.Deliver
 		})
@@ -265,7 +265,7 @@
 			t.Fatalf("cancel answered %d %v", code, out)
 		}
 		w.until(38*time.Second, "gone for good", func() bool { return w.store.Value("end/job-11") != nil })
-		w.net.Release()
+		w.net.ReleaseHeld()
 		w.hold(20*time.Second, "the late start is turned away", func() bool { return len(w.on("job-11/0")) == 0 })
 		if s := w.status("a", "job-11"); s != "cancelled" {
 			t.Fatalf("called %q", s)
@@ -303,16 +303,16 @@
 		w.worker("m1", "north")
 		time.Sleep(10 * time.Second)
 		lost := 0
-		w.net.SetRule(func(from, to string, r *http.Request, body []byte) fake.Fate {
+		w.net.SetRule(func(from, to string, r *http.Request, body []byte) fake.Outcome {
 			if r.URL.Path == "/commit" && strings.Contains(string(body), `"places"`) && lost < 2 {
 				lost++
-				return fake.LoseAnswer
+				return fake.DropResponse
 			}
 			return fake.Deliver
 		})
 		w.submit("a", spec("job-14", "array", 1))
 		w.until(12*time.Second, "it runs all the same", func() bool { return len(w.on("job-14/0")) == 1 })
-		w.worn("m1").End("job-14/0", "done")
+		w.worn("m1").EndTask("job-14/0", "done")
 		w.until(8*time.Second, "done", func() bool { return w.status("a", "job-14") == "done" })
 		if lost == 0 {
 			t.Fatal("no answer was lost")
@@ -333,7 +333,7 @@
 		again := w.start("a")
 		w.until(time.Second, "it owns the pool at once", func() bool { return again.pool.Cluster() != nil })
 		w.hold(30*time.Second, "the replica goes on", func() bool { return len(w.on("job-15/0")) == 1 })
-		if n := w.worn("m1").Started("job-15/0"); n != 1 {
+		if n := w.worn("m1").StartCount("job-15/0"); n != 1 {
 			t.Fatalf("started %d times", n)
 		}
 	})
@@ -372,7 +372,7 @@
 		time.Sleep(3 * time.Second)
 		for i := range 8 {
 			for _, k := range w.workers {
-				k.End("job-18/"+string(rune('0'+i)), "done")
+				k.EndTask("job-18/"+string(rune('0'+i)), "done")
 			}
 		}
 		time.Sleep(45 * time.Second)
@@ -431,9 +431,9 @@
 		time.Sleep(10 * time.Second)
 		w.submit("a", spec("job-19", "standing", 4))
 		w.until(3*time.Second, "it runs", func() bool { return len(w.on("job-19/3")) == 1 })
-		w.net.SetRule(func(from, to string, r *http.Request, body []byte) fake.Fate {
+		w.net.SetRule(func(from, to string, r *http.Request, body []byte) fake.Outcome {
 			if strings.HasPrefix(from, "m") && to == first.name+":8080" || from == first.name && strings.HasPrefix(to, "m") {
-				return fake.Swallow
+				return fake.Drop
 			}
 			return fake.Deliver
 		})
@@ -450,7 +450,7 @@
 		t.Logf("gave way %v after the cut", time.Since(cut))
 		w.hold(40*time.Second, "the replicas go on", func() bool { return len(w.on("job-19/3")) == 1 })
 		for _, k := range w.workers {
-			if k.Started("job-19/3") > 1 {
+			if k.StartCount("job-19/3") > 1 {
 				t.Fatal("restarted")
 			}
 		}
--- a/internal/scenarios/shards_test.go
+++ b/internal/scenarios/shards_test.go
@@ -61,9 +61,9 @@
 		for shard := range c.count {
 			for i := range machines {
 				k := c.worker(fmt.Sprintf("m%d-%d", shard, i), []string{"north", "south"}[i%2])
-				k.Names, k.Nodes = shardNodes, nil
+				k.ControllerNames, k.Controllers = shardNodes, nil
 				for _, name := range shardNodes {
-					k.Nodes = append(k.Nodes, name+":8080")
+					k.Controllers = append(k.Controllers, name+":8080")
 				}
 			}
 		}
@@ -181,9 +181,9 @@
 			return
 		}
 		for _, k := range c.workers {
-			for _, task := range k.Live() {
+			for _, task := range k.ActiveTasks() {
 				if rng.IntN(3) == 0 {
-					k.End(task, "done")
+					k.EndTask(task, "done")
 				}
 			}
 		}
@@ -226,13 +226,13 @@
 						time.Sleep(3 * time.Second)
 						c.startNode(victim)
 					case i%3 == 1:
-						c.store.Refuse(victim, true)
+						c.store.RefuseCaller(victim, true)
 						time.Sleep(8 * time.Second)
-						c.store.Refuse(victim, false)
+						c.store.RefuseCaller(victim, false)
 					default:
-						c.net.SetRule(func(from, _ string, r *http.Request, _ []byte) fake.Fate {
+						c.net.SetRule(func(from, _ string, r *http.Request, _ []byte) fake.Outcome {
 							if from == victim && r.URL.Path == "/commit" {
-								return fake.LoseAnswer
+								return fake.DropResponse
 							}
 							return fake.Deliver
 						})
@@ -291,7 +291,7 @@
 		for _, id := range chain(100) {
 			shards[ids.ShardOf(ids.Job(id), c.count)] = true
 			c.until(20*time.Second, id+" runs", func() bool { return len(c.on(id+"/0")) == 1 })
-			c.worn(c.on(id + "/0")[0]).End(id+"/0", "done")
+			c.worn(c.on(id + "/0")[0]).EndTask(id+"/0", "done")
 		}
 		if len(shards) != c.count {
 			t.Fatalf("the chain lies in %d shards", len(shards))
@@ -302,12 +302,12 @@
 			code, _ := c.call("b", "POST", "/v2/runs/"+second[2]+"/cancel", nil)
 			return code == 200
 		})
-		c.worn(c.on(second[0] + "/0")[0]).End(second[0]+"/0", "done")
+		c.worn(c.on(second[0] + "/0")[0]).EndTask(second[0]+"/0", "done")
 		c.until(20*time.Second, "what does not need the cancelled one goes on", func() bool { return len(c.on(second[1]+"/0")) == 1 })
 		for _, id := range second[2:] {
 			c.until(10*time.Second, id+" is told as cancelled", func() bool { return c.status("d", id) == "cancelled" })
 		}
-		c.until(30*time.Second, "their ends are stored", func() bool { return c.store.Count("job/wait/") == 0 })
+		c.until(30*time.Second, "their ends are stored", func() bool { return c.store.CountKeys("job/wait/") == 0 })
 	})
 }
 
@@ -321,7 +321,7 @@
 		c.put(key, map[string]any{"hire": "h-s2-1-1", "count": 1})
 		for _, name := range []string{"hired", "stranger"} {
 			k := c.worker(name, "north")
-			k.Names, k.Nodes = shardNodes, []string{"a:8080", "b:8080", "c:8080", "d:8080", "e:8080"}
+			k.ControllerNames, k.Controllers = shardNodes, []string{"a:8080", "b:8080", "c:8080", "d:8080", "e:8080"}
 		}
 		owners := func(machine ids.Machine) (all []int) {
 			for _, n := range c.up {
--- a/internal/scenarios/test_cluster_test.go
+++ b/internal/scenarios/test_cluster_test.go
@@ -73,7 +73,7 @@
 type testCluster struct {
 	t       *testing.T
 	ctx     context.Context
-	net     *fake.Net
+	net     *fake.Network
 	lag     atomic.Pointer[func() time.Duration] // how long the network takes; none is no time
 	store   *fake.Store
 	mu      sync.Mutex
@@ -101,9 +101,9 @@
 	slog.SetLogLoggerLevel(slog.LevelError)
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		w := &testCluster{t: t, ctx: ctx, net: fake.NewNet(), store: fake.NewStore(), nodes: map[string]*testNode{}}
+		w := &testCluster{t: t, ctx: ctx, net: fake.NewNetwork(), store: fake.NewStore(), nodes: map[string]*testNode{}}
 		w.net.Listen("state:1", w.store)
-		w.net.SetLag(func() time.Duration {
+		w.net.SetLatency(func() time.Duration {
 			if f := w.lag.Load(); f != nil {
 				return (*f)()
 			}
@@ -175,7 +175,7 @@
 	defer w.mu.Unlock()
 	if w.listed {
 		for _, k := range w.workers {
-			ls = append(ls, claim.ListedMachine{Name: ids.Machine(k.Name), Addr: k.Addr, Type: k.Type, Zone: k.Zone, Status: "running"})
+			ls = append(ls, claim.ListedMachine{Name: ids.Machine(k.Name), Addr: k.Address, Type: k.Type, Zone: k.Zone, Status: "running"})
 		}
 	}
 	return ls
@@ -199,7 +199,7 @@
 }
 
 func (w *testCluster) cutOff(from, to string) bool {
-	rule := w.net.Current()
+	rule := w.net.CurrentRule()
 	if rule == nil {
 		return false
 	}
@@ -266,8 +266,8 @@
 }
 
 func (w *testCluster) worker(name, zone string) *fake.Worker {
-	k := &fake.Worker{Name: name, Addr: name + ":9000", Type: "small", Zone: zone, Net: w.net,
-		Nodes: []string{"a:8080", "b:8080"}, Names: []string{"a", "b"}, Report: 2 * time.Second, Lease: 20 * time.Second}
+	k := &fake.Worker{Name: name, Address: name + ":9000", Type: "small", Zone: zone, Network: w.net,
+		Controllers: []string{"a:8080", "b:8080"}, ControllerNames: []string{"a", "b"}, HeartbeatInterval: 2 * time.Second, LeaseDuration: 20 * time.Second}
 	k.NotifyEvents(w.rules.Event)
 	w.mu.Lock()
 	w.workers = append(w.workers, k)
@@ -324,7 +324,7 @@
 // on lists where a task is, by worker name.
 func (w *testCluster) on(task string) (at []string) {
 	for _, k := range w.listWorkers() {
-		for _, t := range k.Live() {
+		for _, t := range k.ActiveTasks() {
 			if t == task {
 				at = append(at, k.Name)
 			}
@@ -363,7 +363,7 @@
 	w.rules.Overdue()
 	seen := map[string]string{}
 	for _, k := range w.listWorkers() {
-		for _, t := range k.Live() {
+		for _, t := range k.ActiveTasks() {
 			if o := seen[t]; o != "" {
 				w.t.Fatalf("%s runs on %s and on %s", t, o, k.Name)
 			}
--- a/internal/scenarios/users_test.go
+++ b/internal/scenarios/users_test.go
@@ -129,7 +129,7 @@
 					for end := time.Now().Add(time.Minute); time.Now().Before(end); time.Sleep(d.ms(50, 300)) {
 						for _, k := range w.workers {
 							for n := range 2 {
-								k.End(fmt.Sprintf("%s/%d", id, n), "done")
+								k.EndTask(fmt.Sprintf("%s/%d", id, n), "done")
 							}
 						}
 						if w.status(d.node(), id) == "done" {
@@ -181,7 +181,7 @@
 					wg.Go(func() {
 						time.Sleep(d.ms(0, 500))
 						for _, k := range w.workers {
-							k.End(id+"/0", "done")
+							k.EndTask(id+"/0", "done")
 						}
 					})
 					if i%4 != 3 {
@@ -249,7 +249,7 @@
 	// carried out at once, while others read what they wrote, or 2 to 12 s later,
 	// after newer ones of the same controller.
 	for _, what := range []string{"submission", "cancel", "marker", "outcome", "takeover", "raise", "any"} {
-		for fate, name := range map[fake.Fate]string{fake.LoseAnswer: "answer lost", fake.Late: "late"} {
+		for fate, name := range map[fake.Outcome]string{fake.DropResponse: "answer lost", fake.Delay: "late"} {
 			for seed := range uint64(3) {
 				t.Run(fmt.Sprintf("%s %s %d", what, name, seed), func(t *testing.T) {
 					t.Parallel()
@@ -265,11 +265,11 @@
 	ends := map[string]time.Time{}
 	for {
 		for _, k := range w.workers {
-			for _, task := range k.Live() {
+			for _, task := range k.ActiveTasks() {
 				if at := ends[task]; at.IsZero() {
 					ends[task] = time.Now().Add(d.ms(from, to))
 				} else if time.Now().After(at) {
-					k.End(task, "done")
+					k.EndTask(task, "done")
 				}
 			}
 		}
@@ -283,7 +283,7 @@
 	}
 }
 
-func lateWrites(t *testing.T, w *testCluster, d *dice, what string, fate fake.Fate, holdDies bool) {
+func lateWrites(t *testing.T, w *testCluster, d *dice, what string, fate fake.Outcome, holdDies bool) {
 	w.start("a")
 	w.start("b")
 	w.worker("m1", "north")
@@ -293,15 +293,15 @@
 	w.net.SetDelay(func() time.Duration { return d.ms(2000, 12000) })
 	var mu sync.Mutex // of hits
 	hits := 0
-	hit := func(from, to string, r *http.Request, body []byte) fake.Fate {
+	hit := func(from, to string, r *http.Request, body []byte) fake.Outcome {
 		k := InstanceClass(r, body)
 		mu.Lock()
 		defer mu.Unlock()
 		switch {
 		case holdDies && what == "takeover" && hits > 0 && hits < 3 && strings.HasSuffix(r.URL.Path, "/renew"):
-			return fake.Swallow // so that the hold is gone when the takeover is carried out
+			return fake.Drop // so that the hold is gone when the takeover is carried out
 		case what == "raise" && to != "state:1" && r.URL.Path == "/commands" && strings.Contains(string(body), `"start"`):
-			return fake.Hold // an uncertain start, which only a raised generation turns away
+			return fake.HoldBack // an uncertain start, which only a raised generation turns away
 		case k != "" && (what == "any" || k == what) && (hits == 0 || d.n(2) == 0):
 			hits++
 			return fate
@@ -377,7 +377,7 @@
 		w.insist(d, "POST", "/v2/runs/"+id+"/cancel", nil)
 	}
 	w.net.SetRule(nil)
-	w.net.Release()
+	w.net.ReleaseHeld()
 	time.Sleep(13 * time.Second) // the last late one is carried out
 	w.until(60*time.Second, "an owner", func() bool { return w.leader() != nil })
 	w.agreed(90*time.Second, ids...)
@@ -472,11 +472,11 @@
 				since := map[string]time.Time{}
 				for {
 					for _, k := range w.workers {
-						for _, task := range k.Live() {
+						for _, task := range k.ActiveTasks() {
 							if since[task].IsZero() {
 								since[task] = time.Now()
 							} else if time.Since(since[task]) > 800*time.Millisecond {
-								k.End(task, "done")
+								k.EndTask(task, "done")
 							}
 						}
 					}
--- a/internal/state/client_test.go
+++ b/internal/state/client_test.go
@@ -12,12 +12,12 @@
 )
 
 // newClient makes a client whose budget is ample, with its network and store.
-func newClient() (*fake.Net, *fake.Store, *Client) {
+func newClient() (*fake.Network, *fake.Store, *Client) {
 	return newClientWithBudget(NewBudget(1000, 1000, 1, 0.6))
 }
 
-func newClientWithBudget(budget *Budget) (*fake.Net, *fake.Store, *Client) {
-	network, store := fake.NewNet(), fake.NewStore()
+func newClientWithBudget(budget *Budget) (*fake.Network, *fake.Store, *Client) {
+	network, store := fake.NewNetwork(), fake.NewStore()
 	network.Listen("state:1", store)
 	return network, store, NewClient("state:1", network.Client("a"), budget)
 }
@@ -47,7 +47,7 @@
 			t.Fatalf("in an outage: %v", err)
 		}
 		store.SetDown(false)
-		network.SetRule(func(_, _ string, _ *http.Request, _ []byte) fake.Fate { return fake.LoseAnswer })
+		network.SetRule(func(_, _ string, _ *http.Request, _ []byte) fake.Outcome { return fake.DropResponse })
 		if _, err := client.Commit(ctx, Txn{Ops: []Op{{Remove: "k"}}}, Urgent); !errors.Is(err, ErrOutcomeUnknown) {
 			t.Fatalf("without an answer: %v", err)
 		}
--- a/internal/state/throttle_test.go
+++ b/internal/state/throttle_test.go
@@ -19,7 +19,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		var mu sync.Mutex
 		limit, taken, refused, second := 5, 0, 0, int64(0)
-		network := fake.NewNet()
+		network := fake.NewNetwork()
 		network.Listen("state:1", http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			mu.Lock()
 			defer mu.Unlock()
--- a/internal/state/watchcache_test.go
+++ b/internal/state/watchcache_test.go
@@ -20,7 +20,7 @@
 		defer synctest.Wait()
 		defer cancel()
 		network, store, client := newClient()
-		store.SetKeep(3)
+		store.SetHistoryLimit(3)
 		set := func(i int) {
 			t.Helper()
 			mustCommit(ctx, t, client, Op{Put: fmt.Sprintf("j/%d", i), Value: []byte(`1`)}, Op{Remove: fmt.Sprintf("j/%d", i-2)})
@@ -31,7 +31,7 @@
 		cache.OnChange(func(change Change) { notified[change.Key()] = change.Put != "" })
 		go cache.Run(ctx)
 		time.Sleep(time.Second)
-		network.SetRule(func(_, _ string, r *http.Request, _ []byte) fake.Fate {
+		network.SetRule(func(_, _ string, r *http.Request, _ []byte) fake.Outcome {
 			if r.URL.Path == "/follow" {
 				return fake.Refuse
 			}
@@ -87,7 +87,7 @@
 		}
 		put("j/1", `2`)
 		calls := 0
-		network.SetRule(func(_, _ string, _ *http.Request, _ []byte) fake.Fate {
+		network.SetRule(func(_, _ string, _ *http.Request, _ []byte) fake.Outcome {
 			calls++
 			return fake.Deliver
 		})
--- a/internal/worker/commander_test.go
+++ b/internal/worker/commander_test.go
@@ -14,8 +14,8 @@
 func TestSendTellsCommandsNotSentFromUncertainOnes(t *testing.T) {
 	const leaderToken, olderToken ids.Generation = 5, 4
 	synctest.Test(t, func(t *testing.T) {
-		network := fake.NewNet()
-		machine := &fake.Worker{Name: "m", Addr: "m:1", Net: network, Nodes: []string{"a:1"}, Report: time.Second, Lease: 30 * time.Second}
+		network := fake.NewNetwork()
+		machine := &fake.Worker{Name: "m", Address: "m:1", Network: network, Controllers: []string{"a:1"}, HeartbeatInterval: time.Second, LeaseDuration: 30 * time.Second}
 		ctx, cancel := context.WithCancel(context.Background())
 		defer synctest.Wait()
 		defer cancel()
@@ -25,18 +25,18 @@
 		start := []Command{{Verb: "start", Task: "job-1/0", Attempt: 1}}
 		for _, test := range []struct {
 			name       string
-			fate       fake.Fate
+			fate       fake.Outcome
 			token      ids.Generation
 			outcome    Outcome
 			withReport bool
 		}{
 			{"no connection", fake.Refuse, leaderToken, NotSent, false},
-			{"request lost", fake.Swallow, leaderToken, OutcomeUnknown, false},
-			{"answer lost", fake.LoseAnswer, leaderToken, OutcomeUnknown, false},
+			{"request lost", fake.Drop, leaderToken, OutcomeUnknown, false},
+			{"answer lost", fake.DropResponse, leaderToken, OutcomeUnknown, false},
 			{"answered", fake.Deliver, leaderToken, Executed, true},
 			{"older token", fake.Deliver, olderToken, Rejected, true},
 		} {
-			network.SetRule(func(from, _ string, _ *http.Request, _ []byte) fake.Fate {
+			network.SetRule(func(from, _ string, _ *http.Request, _ []byte) fake.Outcome {
 				if from == "a" {
 					return test.fate
 				}
@@ -50,7 +50,7 @@
 				t.Errorf("%s: report %v", test.name, report)
 			}
 		}
-		if n := machine.Started("job-1/0"); n != 1 {
+		if n := machine.StartCount("job-1/0"); n != 1 {
 			t.Errorf("started %d times", n)
 		}
 	})
