--- a/internal/claim/drain_view.go
+++ b/internal/claim/drain_view.go
@@ -19,11 +19,11 @@
 	meter   *budget.Meter // made when it is first needed
 }
 
-// DrainView looks at the fleet as it is now.
-func (c *ClusterState) DrainView() rollout.View { return c.drainView() }
+// RolloutView looks at the fleet as it is now.
+func (c *ClusterState) RolloutView() rollout.View { return c.drainView() }
 
-// DrainPlanner is what plans are made from.
-func (c *ClusterState) DrainPlanner() rollout.Planner { return c.drainView() }
+// RolloutPlanner is what plans are made from.
+func (c *ClusterState) RolloutPlanner() rollout.Planner { return c.drainView() }
 
 func (c *ClusterState) drainView() *drainView { return &drainView{cluster: c, now: time.Now()} }
 
--- a/internal/claim/hint_cache.go
+++ b/internal/claim/hint_cache.go
@@ -26,26 +26,26 @@
 // Receive takes in a leader's hints and how far in them they go; those of an earlier leader are
 // passed over.
 func (c *HintCache) Receive(hints []Hint, to HintPosition) {
-	if to.Gen < c.received.Gen {
+	if to.Generation < c.received.Generation {
 		return
 	}
-	if to.Whole || c.hints == nil {
+	if to.Complete || c.hints == nil {
 		c.hints = map[ids.Machine]receivedHint{}
 	}
 	now := time.Now()
 	for _, hint := range hints {
-		c.hints[hint.Name] = receivedHint{hint, now.Add(-hint.Held)}
+		c.hints[hint.Name] = receivedHint{hint, now.Add(-hint.RentedFor)}
 	}
-	to.At = c.received.At
-	if to.Whole {
-		to.At = now
+	to.ReceivedAt = c.received.ReceivedAt
+	if to.Complete {
+		to.ReceivedAt = now
 	}
 	c.received = to
 }
 
 // Position is what to ask a leader's hints from.
 func (c *HintCache) Position() HintPosition {
-	if time.Since(c.received.At) > wholeHintsInterval {
+	if time.Since(c.received.ReceivedAt) > wholeHintsInterval {
 		return HintPosition{}
 	}
 	return c.received
--- a/internal/claim/hints.go
+++ b/internal/claim/hints.go
@@ -10,25 +10,25 @@
 // Hint is what a leader tells the others of a machine, so that the next leader
 // need not find it out again. Nothing rests on it but time.
 type Hint struct {
-	Name    ids.Machine
-	Addr    string
-	Type    string
-	Zone    string
-	Spot    bool
-	Session ids.Incarnation
-	Images  worker.Images
-	// Coming tells that it is rented and not up yet, since Held ago. The cloud's
+	Name        ids.Machine
+	Address     string
+	Type        string
+	Zone        string
+	Spot        bool
+	Incarnation ids.Incarnation
+	Images      worker.Images
+	// Booting tells that it is rented and not up yet, since Held ago. The cloud's
 	// list lags, and a new leader that knows nothing of it would rent another.
-	Coming bool
-	Held   time.Duration
+	Booting   bool
+	RentedFor time.Duration
 }
 
 // HintPosition is how far in a leader's hints somebody is.
 type HintPosition struct {
-	Gen   ids.Generation
-	Seq   uint64
-	Whole bool // the hints that come with it are all there are
-	At    time.Time
+	Generation ids.Generation
+	Sequence   uint64
+	Complete   bool // the hints that come with it are all there are
+	ReceivedAt time.Time
 }
 
 // markHintChanged notes that what the others should know of a machine changed.
@@ -42,12 +42,12 @@
 func (c *ClusterState) Hints(since HintPosition) (out []Hint, to HintPosition) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	to = HintPosition{Gen: c.firstGeneration, Seq: c.hintSequence, Whole: since.Gen != c.firstGeneration}
-	if to.Whole {
-		since.Seq = 0
+	to = HintPosition{Generation: c.firstGeneration, Sequence: c.hintSequence, Complete: since.Generation != c.firstGeneration}
+	if to.Complete {
+		since.Sequence = 0
 	}
 	for _, machine := range c.machines.Machines {
-		if (machine.HasReported || machine.Booting) && !machine.Deleting && machine.HintSequence > since.Seq {
+		if (machine.HasReported || machine.Booting) && !machine.Deleting && machine.HintSequence > since.Sequence {
 			out = append(out, Hint{machine.Name, machine.Addr, machine.Type, machine.Zone, machine.Spot, machine.Incarnation, machine.Images.Copy(), !machine.HasReported, time.Since(machine.ProvisionedAt)})
 		}
 	}
@@ -63,9 +63,9 @@
 		if machine.HasReported {
 			continue
 		}
-		machine.Addr, machine.Type, machine.Zone, machine.Spot, machine.HintedIncarnation = hint.Addr, hint.Type, hint.Zone, hint.Spot, hint.Session
+		machine.Addr, machine.Type, machine.Zone, machine.Spot, machine.HintedIncarnation = hint.Address, hint.Type, hint.Zone, hint.Spot, hint.Incarnation
 		machine.Images = hint.Images
-		if hint.Coming {
+		if hint.Booting {
 			machine.Booting, machine.ProvisionedAt = true, hint.rentedAt
 		}
 		for _, image := range hint.Images.Names {
--- a/internal/claim/listed.go
+++ b/internal/claim/listed.go
@@ -26,13 +26,13 @@
 
 // ListedMachine is one machine of the cloud's list.
 type ListedMachine struct {
-	Name   ids.Machine `json:"uid"`
-	Addr   string      `json:"endpoint"`
-	Type   string      `json:"build"`
-	Zone   string      `json:"yard"`
-	Spot   bool        `json:"loaners"`
-	Status string      `json:"status"`
-	Held   ids.Seconds `json:"heldS"`
+	Name      ids.Machine `json:"uid"`
+	Address   string      `json:"endpoint"`
+	Type      string      `json:"build"`
+	Zone      string      `json:"yard"`
+	Spot      bool        `json:"loaners"`
+	Status    string      `json:"status"`
+	RentedFor ids.Seconds `json:"heldS"`
 }
 
 // ReconcileCloudList takes in the cloud's list. It lags, so that absence proves nothing and
@@ -48,11 +48,11 @@
 		machine := c.machines.Ensure(listed.Name, now, c.trustSilence)
 		machine.ListedAt = now
 		if !machine.HasReported {
-			machine.Type, machine.Zone, machine.Spot, machine.Addr = listed.Type, listed.Zone, listed.Spot, listed.Addr
+			machine.Type, machine.Zone, machine.Spot, machine.Addr = listed.Type, listed.Zone, listed.Spot, listed.Address
 			machine.Booting = listed.Status == "booting"
 		}
 		// The list describes a moment before now: the earliest is nearest.
-		if at := now.Add(-listed.Held.Duration()); at.Before(machine.ProvisionedAt) {
+		if at := now.Add(-listed.RentedFor.Duration()); at.Before(machine.ProvisionedAt) {
 			machine.ProvisionedAt = at
 		}
 		machine.Failed = machine.Failed || listed.Status == "failed"
--- a/internal/claim/room_sharing.go
+++ b/internal/claim/room_sharing.go
@@ -13,8 +13,8 @@
 
 // Shortage is how much a shard lacks machines.
 type Shortage struct {
-	// For is how long the cloud has refused what its waiting jobs need; 0: it has not.
-	For      time.Duration
+	// Duration is how long the cloud has refused what its waiting jobs need; 0: it has not.
+	Duration time.Duration
 	Machines int // that it has
 }
 
@@ -36,7 +36,7 @@
 	defer c.mu.Unlock()
 	lack := Shortage{Machines: len(c.machines.Machines)}
 	if !c.shortageSince.IsZero() {
-		lack.For = time.Since(c.shortageSince)
+		lack.Duration = time.Since(c.shortageSince)
 	}
 	return lack
 }
--- a/internal/election/shortage_reports.go
+++ b/internal/election/shortage_reports.go
@@ -34,7 +34,7 @@
 		}
 		total += lack.Machines
 		if ids.Shard(shard) != own {
-			longest = max(longest, lack.For)
+			longest = max(longest, lack.Duration)
 		}
 	}
 	return longest, total / len(s.pools)
--- a/internal/fleet/cloud_test.go
+++ b/internal/fleet/cloud_test.go
@@ -39,7 +39,7 @@
 	if err := json.Unmarshal([]byte(page), &answer); err != nil {
 		t.Fatal(err)
 	}
-	want := []claim.ListedMachine{{Name: "host-1", Addr: "10.1.0.1:9000", Type: "g8", Zone: "a", Spot: true, Status: "running", Held: 61.5}}
+	want := []claim.ListedMachine{{Name: "host-1", Address: "10.1.0.1:9000", Type: "g8", Zone: "a", Spot: true, Status: "running", RentedFor: 61.5}}
 	if got := answer.machines(); !slices.Equal(got, want) || !answer.More {
 		t.Errorf("%+v, more %v, want %+v and more", got, answer.More, want)
 	}
--- a/internal/fleet/messages.go
+++ b/internal/fleet/messages.go
@@ -35,13 +35,13 @@
 	machines := make([]claim.ListedMachine, len(a.Hosts))
 	for i, host := range a.Hosts {
 		machines[i] = claim.ListedMachine{
-			Name:   host.UID,
-			Addr:   host.Endpoint,
-			Type:   host.Build,
-			Zone:   host.Yard,
-			Spot:   host.Loaners,
-			Status: host.Status,
-			Held:   host.HeldS,
+			Name:      host.UID,
+			Address:   host.Endpoint,
+			Type:      host.Build,
+			Zone:      host.Yard,
+			Spot:      host.Loaners,
+			Status:    host.Status,
+			RentedFor: host.HeldS,
 		}
 	}
 	return machines
--- a/internal/fleet/shards_test.go
+++ b/internal/fleet/shards_test.go
@@ -58,7 +58,7 @@
 		// More is wanted than there is: the others are told.
 		cluster.HandleRecord("job-2", 2, job("job-2", 40), time.Now())
 		stepEverySecond(ctx, provisioner, 8)
-		if cluster.Shortage().For == 0 {
+		if cluster.Shortage().Duration == 0 {
 			t.Error("the cloud refuses what waits, and nobody is told")
 		}
 		stepEverySecond(ctx, provisioner, 300) // they never come up and are deleted
@@ -112,7 +112,7 @@
 		ctx := context.Background()
 		_, cloud, cluster, _, provisioner := setup(2)
 		var received claim.HintCache
-		received.Receive([]claim.Hint{{Name: "gone", Addr: "gone:1", Type: "small", Zone: "north", Session: 1}}, claim.HintPosition{Whole: true})
+		received.Receive([]claim.Hint{{Name: "gone", Address: "gone:1", Type: "small", Zone: "north", Incarnation: 1}}, claim.HintPosition{Complete: true})
 		cluster.ApplyHints(&received, time.Now())
 		cluster.HandleRecord("job-1", 1, job("job-1", 1), time.Now())
 		stepEverySecond(ctx, provisioner, 40)
--- a/internal/peer/convert.go
+++ b/internal/peer/convert.go
@@ -20,37 +20,37 @@
 func hintToWire(hint claim.Hint) Hint {
 	return Hint{
 		Name:    hint.Name,
-		Addr:    hint.Addr,
+		Addr:    hint.Address,
 		Type:    hint.Type,
 		Zone:    hint.Zone,
 		Spot:    hint.Spot,
-		Session: hint.Session,
+		Session: hint.Incarnation,
 		Images:  Images{Names: hint.Images.Names, Sizes: hint.Images.Sizes},
-		Coming:  hint.Coming,
-		Held:    hint.Held,
+		Coming:  hint.Booting,
+		Held:    hint.RentedFor,
 	}
 }
 
 func hintFromWire(hint Hint) claim.Hint {
 	return claim.Hint{
-		Name:    hint.Name,
-		Addr:    hint.Addr,
-		Type:    hint.Type,
-		Zone:    hint.Zone,
-		Spot:    hint.Spot,
-		Session: hint.Session,
-		Images:  worker.Images{Names: hint.Images.Names, Sizes: hint.Images.Sizes},
-		Coming:  hint.Coming,
-		Held:    hint.Held,
+		Name:        hint.Name,
+		Address:     hint.Addr,
+		Type:        hint.Type,
+		Zone:        hint.Zone,
+		Spot:        hint.Spot,
+		Incarnation: hint.Session,
+		Images:      worker.Images{Names: hint.Images.Names, Sizes: hint.Images.Sizes},
+		Booting:     hint.Coming,
+		RentedFor:   hint.Held,
 	}
 }
 
 func markToWire(mark claim.HintPosition) HintMark {
-	return HintMark{Gen: mark.Gen, Seq: mark.Seq, Whole: mark.Whole, At: mark.At}
+	return HintMark{Gen: mark.Generation, Seq: mark.Sequence, Whole: mark.Complete, At: mark.ReceivedAt}
 }
 
 func markFromWire(mark HintMark) claim.HintPosition {
-	return claim.HintPosition{Gen: mark.Gen, Seq: mark.Seq, Whole: mark.Whole, At: mark.At}
+	return claim.HintPosition{Generation: mark.Gen, Sequence: mark.Seq, Complete: mark.Whole, ReceivedAt: mark.At}
 }
 
 func strandToWire(strand claim.RedirectedWorker) Strand {
@@ -61,10 +61,10 @@
 	return claim.RedirectedWorker{Machine: strand.Machine, Ago: strand.Ago}
 }
 
-func lackToWire(lack claim.Shortage) Lack { return Lack{For: lack.For, Machines: lack.Machines} }
+func lackToWire(lack claim.Shortage) Lack { return Lack{For: lack.Duration, Machines: lack.Machines} }
 
 func lackFromWire(lack Lack) claim.Shortage {
-	return claim.Shortage{For: lack.For, Machines: lack.Machines}
+	return claim.Shortage{Duration: lack.For, Machines: lack.Machines}
 }
 
 func specToWire(spec *rollout.Spec) RolloutSpec {
--- a/internal/peer/drains.go
+++ b/internal/peer/drains.go
@@ -45,7 +45,7 @@
 	if cluster == nil {
 		return nil, election.ErrNotLeader
 	}
-	return rollout.NewPreview(spec, cluster.DrainPlanner(), time.Now())
+	return rollout.NewPreview(spec, cluster.RolloutPlanner(), time.Now())
 }
 
 // PlanDrain asks the leader for the plan of a rollout. The error is a rollout.ErrBadSpec if the
--- a/internal/rollout/fakefleet_test.go
+++ b/internal/rollout/fakefleet_test.go
@@ -81,7 +81,7 @@
 	return machines, answered
 }
 
-func (f *fakeFleet) DrainView() View { return f }
+func (f *fakeFleet) RolloutView() View { return f }
 
 // CarryOut does what is ordered at once.
 func (f *fakeFleet) CarryOut(orders *Orders) {
--- a/internal/rollout/fleet.go
+++ b/internal/rollout/fleet.go
@@ -52,8 +52,8 @@
 
 // Fleet is what the leader's cluster does for rollouts.
 type Fleet interface {
-	// DrainView looks at the fleet as it is now.
-	DrainView() View
+	// RolloutView looks at the fleet as it is now.
+	RolloutView() View
 	// CarryOut replaces the orders that are carried out. It is called again and again, and at
 	// once after a failover.
 	CarryOut(orders *Orders)
--- a/internal/rollout/runner.go
+++ b/internal/rollout/runner.go
@@ -76,7 +76,7 @@
 	if len(rollouts) == 0 {
 		return orders, false
 	}
-	view := r.Fleet.DrainView()
+	view := r.Fleet.RolloutView()
 	yield := false
 	for _, rollout := range rollouts {
 		change, err := reconcile(rollout.record, rollout.waiting, view, now, r.Limits.maxParts(), yield)
--- a/internal/scenarios/drain_cluster_test.go
+++ b/internal/scenarios/drain_cluster_test.go
@@ -318,7 +318,7 @@
 	if leader == nil {
 		return nil, election.ErrNotLeader
 	}
-	return rollout.NewPreview(spec, leader.pool.Cluster().DrainPlanner(), time.Now())
+	return rollout.NewPreview(spec, leader.pool.Cluster().RolloutPlanner(), time.Now())
 }
 
 // DrainWaits asks the leader what machines wait for.
--- a/internal/scenarios/test_cluster_test.go
+++ b/internal/scenarios/test_cluster_test.go
@@ -175,7 +175,7 @@
 	defer w.mu.Unlock()
 	if w.listed {
 		for _, k := range w.workers {
-			ls = append(ls, claim.ListedMachine{Name: ids.Machine(k.Name), Addr: k.Address, Type: k.Type, Zone: k.Zone, Status: "running"})
+			ls = append(ls, claim.ListedMachine{Name: ids.Machine(k.Name), Address: k.Address, Type: k.Type, Zone: k.Zone, Status: "running"})
 		}
 	}
 	return ls
