--- a/internal/rehearsal/drain.go
+++ b/internal/rehearsal/drain.go
@@ -16,7 +16,7 @@
 	Program     string // the controllers' program
 	Seed        uint64
 	Controllers int
-	Machines    int           // stand-ins, all of which are replaced
+	Machines    int           // all of which are replaced
 	Jobs        int           // low jobs beside the services
 	Longest     time.Duration // the run ends by then, whatever happens
 }
