--- a/internal/claim/cluster_state.go
+++ b/internal/claim/cluster_state.go
@@ -11,9 +11,12 @@
 
 	"github.com/pebbletrail/pebbletrail/internal/capacity"
 	"github.com/pebbletrail/pebbletrail/internal/config"
+	"github.com/pebbletrail/pebbletrail/internal/costs"
 	"github.com/pebbletrail/pebbletrail/internal/estimate"
 	"github.com/pebbletrail/pebbletrail/internal/ids"
+	"github.com/pebbletrail/pebbletrail/internal/liveness"
 	"github.com/pebbletrail/pebbletrail/internal/placement"
+	"github.com/pebbletrail/pebbletrail/internal/provisioning"
 	"github.com/pebbletrail/pebbletrail/internal/quota"
 	"github.com/pebbletrail/pebbletrail/internal/record"
 	"github.com/pebbletrail/pebbletrail/internal/scheduler"
@@ -34,7 +37,6 @@
 	// sending and storing never walk the whole fleet or all jobs.
 	capacity         *capacity.Index // assignments by machine, free capacity by instance class, images
 	estimates        *estimate.Estimator
-	leaving          map[ids.Machine]bool    // drained, taken back or to be returned
 	pendingCommands  map[*capacity.Node]bool // have starts or stops to send
 	changes          *workload.Changes       // of jobs, not stored yet
 	leasesCheckedAt  time.Time               // when lapses were last looked for
@@ -48,11 +50,6 @@
 	termBegan time.Time   // the term
 
 	quota *quota.Tracker // what each team uses and may still have
-	// shortageSince is since when the cloud refuses what waiting jobs need, othersLack whether
-	// another shard tells the same, and gaveUp when a machine was last given up for that.
-	shortageSince, releasedAt time.Time
-	otherShardsShort          bool
-	listReadBegan             time.Time // when the last whole reading of the cloud's list began
 
 	shard ids.Shard
 	keys  record.ShardKeys
@@ -62,21 +59,18 @@
 	// trustSilence is the earliest that an unheard machine's lapse counts: a
 	// predecessor may have gone on answering its worker until its own grace
 	// ended.
-	trustSilence       time.Time
-	raiseWanted        bool // the generation should rise to turn late starts away
-	scheduler          *scheduler.Scheduler
-	usage              map[string]*classUsage
-	closed             bool
-	loaded             bool // all records were read after the takeover
-	usageSampledAt     time.Time
-	costs              costReport
-	relocatedAt        time.Time
-	consolidating      ids.Machine // its services are being moved elsewhere
-	consolidatingSince time.Time
-	terminated         map[ids.Machine]bool // deletions the cloud confirmed
-	machineCount       atomic.Int64         // machines, as last counted
-	unreachableZones   map[string]bool      // zones of which nothing was heard at the last look
-	dependencies       dependencyState
+	trustSilence time.Time
+	raiseWanted  bool // the generation should rise to turn late starts away
+	scheduler    *scheduler.Scheduler
+	planner      *provisioning.Planner
+	zones        *liveness.Zones
+	closed       bool
+	loaded       bool // all records were read after the takeover
+	costs        costs.Account
+	relocatedAt  time.Time
+	terminated   map[ids.Machine]bool // deletions the cloud confirmed
+	machineCount atomic.Int64         // machines, as last counted
+	dependencies dependencyState
 	// cancellations are the revisions of those stored apart from their jobs' records.
 	cancellations map[ids.Job]ids.Revision
 
@@ -108,20 +102,19 @@
 		StatusInOtherShard: func(ids.Job) (record.Status, bool) { return "", false },
 		settings:           settings, writer: writer, generation: generation, firstGeneration: generation,
 		jobs: workload.NewQueue(), changes: workload.NewChanges(),
-		leaving:          map[ids.Machine]bool{},
-		pendingCommands:  map[*capacity.Node]bool{},
-		quota:            quota.NewTracker(shard, settings.ShardCount(), teamLimits(settings), processStart),
-		trustSilence:     trustSilence,
-		usage:            map[string]*classUsage{},
-		terminated:       map[ids.Machine]bool{},
-		unreachableZones: map[string]bool{},
-		dependencies:     newDependencyState(),
-		cancellations:    map[ids.Job]ids.Revision{},
-		StoreAvailable:   func() bool { return true },
-		StartsAllowed:    func() (bool, time.Time) { return true, time.Now() },
-		commitSignal:     make(chan struct{}, 1), planSignal: make(chan struct{}, 1),
+		pendingCommands: map[*capacity.Node]bool{},
+		quota:           quota.NewTracker(shard, settings.ShardCount(), teamLimits(settings), processStart),
+		trustSilence:    trustSilence,
+		zones:           liveness.NewZones(),
+		terminated:      map[ids.Machine]bool{},
+		dependencies:    newDependencyState(),
+		cancellations:   map[ids.Job]ids.Revision{},
+		StoreAvailable:  func() bool { return true },
+		StartsAllowed:   func() (bool, time.Time) { return true, time.Now() },
+		commitSignal:    make(chan struct{}, 1), planSignal: make(chan struct{}, 1),
 	}
 	c.scheduler = newScheduler(c)
+	c.planner = newPlanner(c)
 	return c
 }
 
--- a/internal/claim/drain.go
+++ b/internal/claim/drain.go
@@ -1,56 +1,59 @@
 package claim
 
 import (
-	"slices"
 	"time"
 
 	"github.com/pebbletrail/pebbletrail/internal/capacity"
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 	"github.com/pebbletrail/pebbletrail/internal/placement"
-	"github.com/pebbletrail/pebbletrail/internal/record"
+	"github.com/pebbletrail/pebbletrail/internal/provisioning"
 	"github.com/pebbletrail/pebbletrail/internal/scheduler"
 	"github.com/pebbletrail/pebbletrail/internal/worker"
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// stopOnLeavingMachines stops, in time to save or to start elsewhere, what is on machines
-// that will be taken or are faulty.
+// stopOnLeavingMachines stops, in time to save or to start elsewhere, what is on machines that the cloud
+// takes back or on which tasks keep failing, and relocates replicas off those to be deleted when empty.
 func (c *ClusterState) stopOnLeavingMachines(now time.Time) {
-	names := make([]ids.Machine, 0, len(c.leaving))
-	for name := range c.leaving {
-		names = append(names, name)
-	}
-	slices.Sort(names)
-	for _, name := range names {
-		machine := c.machines.Machines[name]
-		if machine == nil || machine.DrainReason == "" && machine.SpotTerminationAt.IsZero() && !machine.DeleteWhenEmpty {
-			delete(c.leaving, name)
-			continue
-		}
-		taken := !machine.SpotTerminationAt.IsZero()
-		if !taken && machine.DrainReason == "" {
+	for _, machine := range c.machines.Leaving() {
+		switch reclaimed := !machine.SpotTerminationAt.IsZero(); {
+		case reclaimed:
+			c.stopOnReclaimedMachine(machine, now)
+		case machine.DrainReason == "":
 			c.relocateReplica(machine, now)
+		case c.drains == nil: // else emptied within the budgets
+			c.stopOnFailingMachine(machine)
+		}
+	}
+}
+
+// reclaimMargin is how much longer than a task's grace period before the cloud takes its machine it is
+// stopped, in seconds.
+const reclaimMargin = 3
+
+// stopOnReclaimedMachine stops tasks as late as is safe for those that save; what cannot save and cannot
+// finish in time begins again elsewhere at once.
+func (c *ClusterState) stopOnReclaimedMachine(machine *worker.Machine, now time.Time) {
+	left := machine.SpotTerminationAt.Sub(now)
+	reason := "the cloud takes " + string(machine.Name) + " back"
+	for assignment := range c.capacity.AssignmentsOn(machine.Name) {
+		if assignment.Stopping {
 			continue
 		}
-		if !taken && c.drains != nil {
-			continue // emptied within the budgets
+		grace := assignment.CheckpointGrace()
+		mayWait := grace > 0 && left > (grace+reclaimMargin).Duration()
+		mayFinish := grace == 0 && (assignment.FinishesWithin(left, now) || !c.StoreAvailable())
+		if !mayWait && !mayFinish {
+			c.stopAssignment(assignment, grace, reason)
 		}
-		for assignment := range c.capacity.AssignmentsOn(name) {
-			if assignment.Stopping {
-				continue
-			}
-			why := drainReason(machine)
-			grace := assignment.CheckpointGrace()
-			if taken {
-				left := machine.SpotTerminationAt.Sub(now)
-				// Saving goes as late as is safe; what cannot save and cannot
-				// finish in time begins again elsewhere at once.
-				if grace > 0 && left > (grace+3).Duration() || grace == 0 && (assignment.FinishesWithin(left, now) || !c.StoreAvailable()) {
-					continue
-				}
-				why = "the cloud takes " + string(name) + " back"
-			}
-			c.stopAssignment(assignment, grace, why)
+	}
+}
+
+// stopOnFailingMachine stops everything on a machine on which tasks keep failing.
+func (c *ClusterState) stopOnFailingMachine(machine *worker.Machine) {
+	for assignment := range c.capacity.AssignmentsOn(machine.Name) {
+		if !assignment.Stopping {
+			c.stopAssignment(assignment, assignment.CheckpointGrace(), drainReason(machine))
 		}
 	}
 }
@@ -70,7 +73,7 @@
 		return
 	}
 	for assignment := range c.capacity.AssignmentsOn(machine.Name) {
-		if assignment.Job.Record.Spec.Shape != record.Service || assignment.Stopping || assignment.Status != worker.StateRunning || now.Sub(assignment.RunningSince) < minRelocatableAge {
+		if !provisioning.IsSettledReplica(assignment, now) {
 			continue
 		}
 		request := assignment.Job.Record.Spec.PlacementRequest()
--- a/internal/claim/drain_view.go
+++ b/internal/claim/drain_view.go
@@ -93,7 +93,7 @@
 // listIsConclusive tells that a machine this leader does not know is surely none: the cloud's list
 // was read to its end so long after the takeover that it would name it.
 func (c *ClusterState) listIsConclusive() bool {
-	return c.listReadBegan.Sub(c.termBegan) > 3*c.settings.Params.Cloud.ListLagS.Duration()
+	return c.planner.CloudListSince(c.termBegan) > c.planner.CloudListLag()
 }
 
 // failureReason tells why a machine can't do its work; empty: it can, as far as known.
--- a/internal/claim/evictions.go
+++ b/internal/claim/evictions.go
@@ -144,7 +144,7 @@
 // runEvictions looks at what may be stopped for rollouts, and has it stopped.
 func (c *ClusterState) runEvictions(now time.Time) {
 	drains := c.drains
-	if drains == nil || now.Sub(drains.lookedAt) < evictionInterval || len(drains.orders.Machines) == 0 && len(drains.evicted) == 0 && len(c.leaving) == 0 {
+	if drains == nil || now.Sub(drains.lookedAt) < evictionInterval || len(drains.orders.Machines) == 0 && len(drains.evicted) == 0 && !c.machines.AnyLeaving() {
 		return
 	}
 	drains.lookedAt = now
@@ -176,10 +176,10 @@
 // empties because tasks keep failing there.
 func (c *ClusterState) drainOrders() map[ids.Machine]rollout.Order {
 	orders := maps.Clone(c.drains.orders.Machines)
-	for name := range c.leaving {
-		_, ordered := orders[name]
-		if machine := c.machines.Machines[name]; !ordered && machine != nil && machine.DrainReason != "" && machine.SpotTerminationAt.IsZero() {
-			orders[name] = rollout.Order{Rollout: faulty, Drain: true, Stop: true}
+	for _, machine := range c.machines.Leaving() {
+		_, ordered := orders[machine.Name]
+		if !ordered && machine.DrainReason != "" && machine.SpotTerminationAt.IsZero() {
+			orders[machine.Name] = rollout.Order{Rollout: faulty, Drain: true, Stop: true}
 		}
 	}
 	return orders
--- a/internal/claim/evictions_test.go
+++ b/internal/claim/evictions_test.go
@@ -150,7 +150,7 @@
 	cluster := drainBook(t, now)
 	for _, name := range []ids.Machine{"m1", "m2"} {
 		cluster.machines.Machines[name].DrainReason = "tasks keep failing there"
-		cluster.leaving[name] = true
+		cluster.machines.MarkLeaving(name)
 	}
 	cluster.stopOnLeavingMachines(now)
 	if stopping(cluster) != 0 {
@@ -184,7 +184,7 @@
 		assignment.StartSent, assignment.Confirmed, assignment.Status, assignment.RunningSince = true, true, worker.StateRunning, now.Add(-time.Minute)
 	}
 	cluster.machines.Machines["m5"].DrainReason = "tasks keep failing there"
-	cluster.leaving["m5"] = true
+	cluster.machines.MarkLeaving("m5")
 	for range 3 {
 		evictNow(cluster, now)
 		cluster.store()
--- a/internal/claim/explain.go
+++ b/internal/claim/explain.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"maps"
 	"sort"
 	"time"
 
@@ -23,7 +22,7 @@
 	if job.PendingReason != "" {
 		out = append(out, "waits: "+job.PendingReason)
 		if job.Unassigned() > 0 && !job.Failing() {
-			out = append(out, c.describeBooting(job, now)...)
+			out = append(out, c.planner.DescribeBooting(job, now)...)
 		}
 	}
 	out = append(out, job.DescribeFailures(now)...)
@@ -91,6 +90,12 @@
 	}
 	return map[string]any{"generation": c.generation, "jobs": c.jobs.Len(), "placed": places, "machines": len(c.machines.Machines),
 		"heard": heard, "draining": draining, "cordoned": cordoned, "waiting": waiting,
-		"spent": map[string]any{"boot": roundMoney(c.costs.boot), "idle": roundMoney(c.costs.idle), "free": roundMoney(c.costs.free), "fetch": roundMoney(c.costs.fetch),
-			"wait": roundMoney(c.costs.wait), "run": roundMoney(c.costs.run), "againCoreSeconds": maps.Clone(c.costs.repeated)}}
+		"spent": c.costsSummary()}
+}
+
+// costsSummary is what the machines cost, by what they were doing, and the work to do again.
+func (c *ClusterState) costsSummary() map[string]any {
+	money, repeated := c.costs.Summary()
+	return map[string]any{"boot": money.Boot, "idle": money.Idle, "free": money.Free, "fetch": money.Pull,
+		"wait": money.Wait, "run": money.Run, "againCoreSeconds": repeated}
 }
--- a/internal/claim/failing_jobs.go
+++ b/internal/claim/failing_jobs.go
@@ -46,7 +46,7 @@
 		}
 		if machine.TaskFailures += n; machine.TaskFailures >= int(c.settings.Operator.FaultyAfter) && machine.DrainReason == "" {
 			machine.DrainReason = "tasks keep failing there"
-			c.leaving[machine.Name] = true
+			c.machines.MarkLeaving(machine.Name)
 			slog.Warn("machine drained", "machine", machine.Name, "why", machine.DrainReason)
 		}
 	}
--- a/internal/claim/failing_jobs_test.go
+++ b/internal/claim/failing_jobs_test.go
@@ -8,7 +8,9 @@
 	"time"
 
 	"github.com/pebbletrail/pebbletrail/internal/ids"
+	"github.com/pebbletrail/pebbletrail/internal/liveness"
 	"github.com/pebbletrail/pebbletrail/internal/placement"
+	"github.com/pebbletrail/pebbletrail/internal/provisioning"
 	"github.com/pebbletrail/pebbletrail/internal/record"
 	"github.com/pebbletrail/pebbletrail/internal/worker"
 	"github.com/pebbletrail/pebbletrail/internal/workload"
@@ -220,9 +222,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		cluster := fleet(t, 40)
 		cluster.settings.Params.Workers.ReportS = 10
-		sent := func(ago time.Duration) (out []RedirectedWorker) {
+		sent := func(ago time.Duration) (out []liveness.RedirectedWorker) {
 			for i := range 40 {
-				out = append(out, RedirectedWorker{ids.Machine(fmt.Sprintf("host-%06d", i)), ago})
+				out = append(out, liveness.RedirectedWorker{Machine: ids.Machine(fmt.Sprintf("host-%06d", i)), Ago: ago})
 			}
 			return out
 		}
@@ -258,7 +260,7 @@
 		if machine == nil || !machine.Booting {
 			t.Fatal("it is not known to be on its way")
 		}
-		if late, _ := cluster.bootIsLate(machine, time.Now()); !late {
+		if cluster.planner.LatenessOf(machine, time.Now()) == provisioning.NotLate {
 			t.Errorf("rented %v ago, with boots of 30 s, it is not late", time.Since(machine.ProvisionedAt))
 		}
 		cluster.HandleRecord("job-1", 1, newRecord("job-1", "blue", record.Normal, 40, 1), time.Now())
--- a/internal/claim/lapses.go
+++ b/internal/claim/lapses.go
@@ -24,7 +24,7 @@
 		return
 	}
 	if !job.Cancelled() {
-		c.recordRepeatedWork(assignment, "machine lost", time.Now())
+		c.costs.AddRepeated(assignment, "machine lost", time.Now())
 	}
 	c.markChanged(job)
 	// The evidence may be the cloud's word to this process alone: stored late,
--- a/internal/claim/planning.go
+++ b/internal/claim/planning.go
@@ -24,8 +24,8 @@
 	c.stopOnLeavingMachines(now)
 	c.runEvictions(now)
 	c.scheduler.PreemptForOtherShards()
-	if c.scheduler.Run(now) {
-		c.sampleUsage(now)
+	if c.scheduler.Run(now) && c.planner.SampleUsage(now) {
+		c.costs.Accrue(now, c.machines, c.capacity)
 	}
 }
 
--- a/internal/claim/probe.go
+++ b/internal/claim/probe.go
@@ -6,6 +6,8 @@
 	"time"
 
 	"github.com/pebbletrail/pebbletrail/internal/ids"
+	"github.com/pebbletrail/pebbletrail/internal/liveness"
+	"github.com/pebbletrail/pebbletrail/internal/provisioning"
 	"github.com/pebbletrail/pebbletrail/internal/worker"
 )
 
@@ -20,11 +22,11 @@
 			if probe.incarnation > 0 {
 				// No orders: only so that what older leaders sent is turned
 				// away from here on, and the answer tells what is there.
-				ctx, cancel := context.WithTimeout(ctx, probeTimeout)
+				ctx, cancel := context.WithTimeout(ctx, liveness.ProbeTimeout)
 				_, report = d.Commander.Send(ctx, probe.address, probe.fencingToken, probe.incarnation, nil)
 				cancel()
 			} else {
-				report = d.Commander.FetchReport(ctx, probe.address, probeTimeout)
+				report = d.Commander.FetchReport(ctx, probe.address, liveness.ProbeTimeout)
 			}
 			if report != nil && report.Machine != probe.machine {
 				report = nil
@@ -42,8 +44,6 @@
 	}
 }
 
-const probeTimeout = 800 * time.Millisecond
-
 type probeRequest struct {
 	machine      ids.Machine
 	address      string
@@ -150,7 +150,7 @@
 func (c *ClusterState) probeAfter(machine *worker.Machine) time.Duration {
 	after := c.settings.Params.Workers.ReportS.Duration() / 2
 	if c.hasReplicas(machine) {
-		after = min(after, maxReplicaSilence*5/8)
+		after = min(after, provisioning.MaxReplicaSilence*5/8)
 	}
 	return after
 }
--- a/internal/claim/relocations.go
+++ b/internal/claim/relocations.go
@@ -61,7 +61,7 @@
 		switch {
 		case machine == nil || machine.Zone == "":
 			at[unknownZone]++
-		case c.unreachableZones[machine.Zone] && (!machine.HasReported || machine.Suspect()):
+		case c.zones.Unreachable(machine.Zone) && (!machine.HasReported || machine.Suspect()):
 			dark[machine.Zone]++
 			latest = worker.Later(latest, machine.LeaseExpiresAt)
 		default:
--- a/internal/claim/settle.go
+++ b/internal/claim/settle.go
@@ -70,7 +70,7 @@
 		signal(c.planSignal)
 	}
 	if !hadNotice && !machine.SpotTerminationAt.IsZero() {
-		c.leaving[machine.Name] = true
+		c.machines.MarkLeaving(machine.Name)
 		slog.Info("spot notice", "machine", machine.Name, "in", machine.SpotTerminationAt.Sub(now))
 		signal(c.planSignal)
 	}
@@ -270,11 +270,11 @@
 			if !machine.SpotTerminationAt.IsZero() {
 				cause = "spot"
 			}
-			c.recordRepeatedWork(assignment, cause, now)
+			c.costs.AddRepeated(assignment, cause, now)
 		}
 		c.recordEvent(job, "task %d stopped on %s: %s%s", i, machine.Name, assignment.StopReasonText(), savedText(reported.Checkpointed))
 	case worker.CausePeers:
-		c.recordRepeatedWork(assignment, "gang lost a task", now)
+		c.costs.AddRepeated(assignment, "gang lost a task", now)
 		c.recordEvent(job, "task %d ended on %s: another task of the gang was gone", i, machine.Name)
 	case worker.CauseIncomplete:
 		c.recordEvent(job, "task %d ended on %s: the gang was not complete in time", i, machine.Name)
--- /dev/null
+++ b/internal/costs/costs.go
@@ -0,0 +1,120 @@
+// Package costs counts what the machines of a leader's shard cost, by what they were doing, and the work
+// that has to be done again. It answers an operator's question of where the money goes; nothing is
+// decided by it. It takes no lock: internal/claim's ClusterState guards it.
+package costs
+
+import (
+	"log/slog"
+	"maps"
+	"math"
+	"time"
+
+	"github.com/pebbletrail/pebbletrail/internal/capacity"
+	"github.com/pebbletrail/pebbletrail/internal/placement"
+	"github.com/pebbletrail/pebbletrail/internal/record"
+	"github.com/pebbletrail/pebbletrail/internal/worker"
+	"github.com/pebbletrail/pebbletrail/internal/workload"
+)
+
+// Money is what was spent, in the currency of the cloud's prices, by what machines were doing.
+type Money struct {
+	Boot float64 // not heard from yet
+	Idle float64 // with no task
+	Free float64 // capacity beside tasks
+	Pull float64 // tasks whose image is being pulled
+	Wait float64 // tasks of gangs that wait for the others, and checkpoints being saved
+	Run  float64 // tasks that run
+}
+
+// rounded is to a thousandth.
+func (m Money) rounded() Money {
+	round := func(amount float64) float64 { return math.Round(amount*1000) / 1000 }
+	return Money{round(m.Boot), round(m.Idle), round(m.Free), round(m.Pull), round(m.Wait), round(m.Run)}
+}
+
+// Account adds up costs.
+type Account struct {
+	money               Money
+	repeated            map[string]float64 // core-seconds to do again, by cause; nil before the first Accrue
+	accruedAt, loggedAt time.Time
+}
+
+// logInterval is how often the sums are logged.
+const logInterval = time.Minute
+
+// Accrue adds what the time since the last call cost.
+func (a *Account) Accrue(now time.Time, machines *worker.Registry, index *capacity.Index) {
+	if a.repeated == nil {
+		a.repeated = map[string]float64{}
+	}
+	if a.accruedAt.IsZero() {
+		a.accruedAt, a.loggedAt = now, now
+	}
+	hours := now.Sub(a.accruedAt).Seconds() / time.Hour.Seconds()
+	a.accruedAt = now
+	for name, machine := range machines.Machines {
+		if offer := index.Type(machine.Type); offer != nil && !machine.Failed {
+			a.accrueMachine(machine, offer, index.AssignmentsOn(name), offer.HourlyPrice(machine.Spot)*hours)
+		}
+	}
+	if now.Sub(a.loggedAt) >= logInterval {
+		a.loggedAt = now
+		money := a.money.rounded()
+		slog.Info("costs", "boot", money.Boot, "idle", money.Idle, "free", money.Free, "fetch", money.Pull, "wait", money.Wait, "run", money.Run,
+			"againCoreSeconds", a.repeated)
+	}
+}
+
+// accrueMachine splits a machine's cost among what its tasks do.
+func (a *Account) accrueMachine(machine *worker.Machine, offer *placement.InstanceType, assignments map[*workload.Assignment]bool, cost float64) {
+	switch {
+	case !machine.HasReported:
+		a.money.Boot += cost
+		return
+	case len(assignments) == 0:
+		a.money.Idle += cost
+		return
+	}
+	left := 1.0
+	for assignment := range assignments {
+		share := min(left, shareOf(offer, assignment.Job.Record.Spec.Resources))
+		left -= share
+		switch assignment.Status {
+		case worker.StateRunning:
+			a.money.Run += cost * share
+		case worker.StateWaiting, worker.StateCheckpointing:
+			a.money.Wait += cost * share
+		default:
+			a.money.Pull += cost * share
+		}
+	}
+	a.money.Free += cost * left
+}
+
+// shareOf is the part of a machine that a task takes, by the resource of which it takes most.
+func shareOf(offer *placement.InstanceType, need placement.Resources) float64 {
+	const least = 1e-9 // instead of a resource that a type does not have
+	share := max(need.Cores/max(offer.Cores, least), need.RAM/max(offer.RAM, least))
+	if offer.Accels > 0 {
+		share = max(share, need.Accels/offer.Accels)
+	}
+	return share
+}
+
+// AddRepeated counts the work lost with a task that was stopped or lost.
+func (a *Account) AddRepeated(assignment *workload.Assignment, cause string, now time.Time) {
+	spec := &assignment.Job.Record.Spec
+	if assignment.RunningSince.IsZero() || spec.Shape == record.Service || a.repeated == nil {
+		return
+	}
+	ran := now.Sub(assignment.RunningSince).Seconds()
+	if spec.CheckpointInterval > 0 {
+		ran = math.Mod(ran, float64(spec.CheckpointInterval))
+	}
+	a.repeated[cause] = math.Round(a.repeated[cause] + ran*spec.Resources.Cores)
+}
+
+// Summary is what was spent, rounded to a thousandth, and the core-seconds to do again by cause.
+func (a *Account) Summary() (Money, map[string]float64) {
+	return a.money.rounded(), maps.Clone(a.repeated)
+}
--- a/internal/election/redirect.go
+++ b/internal/election/redirect.go
@@ -5,8 +5,8 @@
 	"log/slog"
 	"time"
 
-	"github.com/pebbletrail/pebbletrail/internal/claim"
 	"github.com/pebbletrail/pebbletrail/internal/ids"
+	"github.com/pebbletrail/pebbletrail/internal/liveness"
 	"github.com/pebbletrail/pebbletrail/internal/state"
 )
 
@@ -42,7 +42,7 @@
 // RedirectedWorkers lists the workers that were lately sent to the present leader and came
 // back, or should be there by now: whether they have been, the leader knows. Those sent
 // to an earlier one say nothing of this one.
-func (e *Elector) RedirectedWorkers() (out []claim.RedirectedWorker) {
+func (e *Elector) RedirectedWorkers() (out []liveness.RedirectedWorker) {
 	leader, _ := e.knownLeader()
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -50,7 +50,7 @@
 		if s.to != leader || time.Since(s.last) >= redirectReturnTime {
 			delete(e.redirects, m)
 		} else if s.last != s.first || time.Since(s.first) > redirectArrivalTime {
-			out = append(out, claim.RedirectedWorker{Machine: m, Ago: time.Since(s.first)})
+			out = append(out, liveness.RedirectedWorker{Machine: m, Ago: time.Since(s.first)})
 		}
 	}
 	return out
@@ -59,7 +59,7 @@
 // HandleRedirectedWorkers is told by a peer which workers reach it but not this leader. If
 // those are most of the machines, this node is cut off from the workers and
 // gives the pool up, at once and for a while, to one that is not.
-func (e *Elector) HandleRedirectedWorkers(stranded []claim.RedirectedWorker) {
+func (e *Elector) HandleRedirectedWorkers(stranded []liveness.RedirectedWorker) {
 	term := e.Term()
 	if term == nil || len(stranded) == 0 || !term.Cluster.IsolatedFromWorkers(stranded, time.Now()) {
 		return
--- a/internal/election/shortage_reports.go
+++ b/internal/election/shortage_reports.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"github.com/pebbletrail/pebbletrail/internal/claim"
 	"github.com/pebbletrail/pebbletrail/internal/ids"
+	"github.com/pebbletrail/pebbletrail/internal/provisioning"
 )
 
 // shortageFresh is how long what is known of another shard's shortage holds.
@@ -12,12 +12,12 @@
 
 // reportedShortage is a lack and when it was told.
 type reportedShortage struct {
-	claim.Shortage
+	provisioning.Shortage
 	at time.Time
 }
 
 // ReportShortage takes in what the leader of another shard told.
-func (s *Shards) ReportShortage(shard ids.Shard, lack claim.Shortage) {
+func (s *Shards) ReportShortage(shard ids.Shard, lack provisioning.Shortage) {
 	s.shortagesMu.Lock()
 	defer s.shortagesMu.Unlock()
 	s.shortages[shard] = reportedShortage{lack, time.Now()}
@@ -41,7 +41,7 @@
 }
 
 // shortageOf is what is known of a shard, led here or elsewhere.
-func (s *Shards) shortageOf(shard ids.Shard, elector *Elector) (claim.Shortage, bool) {
+func (s *Shards) shortageOf(shard ids.Shard, elector *Elector) (provisioning.Shortage, bool) {
 	if cluster := elector.Cluster(); cluster != nil {
 		return cluster.Shortage(), true
 	}
--- a/internal/fleet/scale_in.go
+++ b/internal/fleet/scale_in.go
@@ -6,9 +6,9 @@
 	"slices"
 	"time"
 
-	"github.com/pebbletrail/pebbletrail/internal/claim"
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 	"github.com/pebbletrail/pebbletrail/internal/placement"
+	"github.com/pebbletrail/pebbletrail/internal/provisioning"
 )
 
 const (
@@ -52,7 +52,7 @@
 }
 
 // canDoWithout tells whether the machines that are up could take a machine's services as well.
-func (p *Provisioner) canDoWithout(candidate claim.ConsolidationCandidate, now time.Time) bool {
+func (p *Provisioner) canDoWithout(candidate provisioning.ConsolidationCandidate, now time.Time) bool {
 	demands, machines, types := p.Cluster.CapacityDemands(now)
 	others := slices.DeleteFunc(machines, func(machine placement.Instance) bool {
 		return machine.Name == candidate.Name || machine.Pending
--- a/internal/peer/convert.go
+++ b/internal/peer/convert.go
@@ -2,6 +2,8 @@
 
 import (
 	"github.com/pebbletrail/pebbletrail/internal/claim"
+	"github.com/pebbletrail/pebbletrail/internal/liveness"
+	"github.com/pebbletrail/pebbletrail/internal/provisioning"
 	"github.com/pebbletrail/pebbletrail/internal/rollout"
 	"github.com/pebbletrail/pebbletrail/internal/worker"
 )
@@ -53,18 +55,20 @@
 	return claim.HintPosition{Generation: mark.Gen, Sequence: mark.Seq, Complete: mark.Whole, ReceivedAt: mark.At}
 }
 
-func strandToWire(strand claim.RedirectedWorker) Strand {
+func strandToWire(strand liveness.RedirectedWorker) Strand {
 	return Strand{Machine: strand.Machine, Ago: strand.Ago}
 }
 
-func strandFromWire(strand Strand) claim.RedirectedWorker {
-	return claim.RedirectedWorker{Machine: strand.Machine, Ago: strand.Ago}
+func strandFromWire(strand Strand) liveness.RedirectedWorker {
+	return liveness.RedirectedWorker{Machine: strand.Machine, Ago: strand.Ago}
 }
 
-func lackToWire(lack claim.Shortage) Lack { return Lack{For: lack.Duration, Machines: lack.Machines} }
+func lackToWire(lack provisioning.Shortage) Lack {
+	return Lack{For: lack.Duration, Machines: lack.Machines}
+}
 
-func lackFromWire(lack Lack) claim.Shortage {
-	return claim.Shortage{Duration: lack.For, Machines: lack.Machines}
+func lackFromWire(lack Lack) provisioning.Shortage {
+	return provisioning.Shortage{Duration: lack.For, Machines: lack.Machines}
 }
 
 func specToWire(spec *rollout.Spec) RolloutSpec {
--- a/internal/peer/convert_test.go
+++ b/internal/peer/convert_test.go
@@ -7,6 +7,8 @@
 
 	"github.com/pebbletrail/pebbletrail/internal/claim"
 	"github.com/pebbletrail/pebbletrail/internal/ids"
+	"github.com/pebbletrail/pebbletrail/internal/liveness"
+	"github.com/pebbletrail/pebbletrail/internal/provisioning"
 	"github.com/pebbletrail/pebbletrail/internal/rollout"
 	"github.com/pebbletrail/pebbletrail/internal/worker"
 )
@@ -16,8 +18,8 @@
 	hint := claim.Hint{Name: "host-000001", Address: "10.1.0.1:9000", Type: "small", Zone: "north", Spot: true, Incarnation: 2,
 		Images: worker.Images{Names: []string{"img"}, Sizes: []float64{1.5}}, Booting: true, RentedFor: 3 * time.Second}
 	mark := claim.HintPosition{Generation: 7, Sequence: 12, Complete: true, ReceivedAt: time.Unix(1700000000, 0)}
-	strand := claim.RedirectedWorker{Machine: "host-000002", Ago: 3 * time.Second}
-	lack := claim.Shortage{Duration: 4 * time.Second, Machines: 5}
+	strand := liveness.RedirectedWorker{Machine: "host-000002", Ago: 3 * time.Second}
+	lack := provisioning.Shortage{Duration: 4 * time.Second, Machines: 5}
 	spec := rollout.Spec{Name: "spring", Replace: true, Surge: true, WaveSize: 2, Pause: 3, Deadline: 4, AtDeadline: "wait", Observe: 5,
 		Select: rollout.Selection{Machines: []ids.Machine{"host-000001"}, Digest: "d", Zone: "north", Type: "small", Older: true}}
 	plan := rollout.Preview{Machines: []ids.Machine{"host-000001"}, Waves: [][]ids.Machine{{"host-000001"}}, Takes: 6,
--- a/internal/worker/registry.go
+++ b/internal/worker/registry.go
@@ -16,11 +16,12 @@
 	Machines map[ids.Machine]*Machine
 	lease    ids.Seconds
 	sorted   []*Machine // by name; nil when machines have come or gone since
+	leaving  map[ids.Machine]bool
 }
 
 // NewRegistry makes an empty registry for workers with leases of a duration.
 func NewRegistry(lease ids.Seconds) *Registry {
-	return &Registry{Machines: map[ids.Machine]*Machine{}, lease: lease}
+	return &Registry{Machines: map[ids.Machine]*Machine{}, leaving: map[ids.Machine]bool{}, lease: lease}
 }
 
 // Ensure finds or adds a machine. notBefore is the earliest time at which the lease of a machine
@@ -124,3 +125,25 @@
 	}
 	return b
 }
+
+// MarkLeaving notes that a machine is drained, reclaimed by the cloud, or to be deleted once it is empty.
+func (r *Registry) MarkLeaving(name ids.Machine) { r.leaving[name] = true }
+
+// Leaving lists, by name, the machines that were marked as leaving and are so still; the others lose the
+// mark.
+func (r *Registry) Leaving() []*Machine {
+	var leaving []*Machine
+	for name := range r.leaving {
+		machine := r.Machines[name]
+		if machine == nil || machine.DrainReason == "" && machine.SpotTerminationAt.IsZero() && !machine.DeleteWhenEmpty {
+			delete(r.leaving, name)
+			continue
+		}
+		leaving = append(leaving, machine)
+	}
+	slices.SortFunc(leaving, func(x, y *Machine) int { return cmp.Compare(x.Name, y.Name) })
+	return leaving
+}
+
+// AnyLeaving tells whether a machine is marked as leaving.
+func (r *Registry) AnyLeaving() bool { return len(r.leaving) > 0 }
