--- a/internal/claim/cluster_state.go
+++ b/internal/claim/cluster_state.go
@@ -13,6 +13,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/config"
 	"github.com/pebbletrail/pebbletrail/internal/costs"
 	"github.com/pebbletrail/pebbletrail/internal/estimate"
+	"github.com/pebbletrail/pebbletrail/internal/eviction"
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 	"github.com/pebbletrail/pebbletrail/internal/liveness"
 	"github.com/pebbletrail/pebbletrail/internal/placement"
@@ -46,8 +47,8 @@
 	hintSequence     uint64                  // counts what the others should know
 	firstGeneration  ids.Generation          // the term's first generation
 
-	drains    *drainState // what rollouts want; nil where drains are off
-	termBegan time.Time   // the term
+	evictor   *eviction.Evictor // empties machines
+	termBegan time.Time         // the term
 
 	quota *quota.Tracker // what each team uses and may still have
 
@@ -67,7 +68,6 @@
 	closed       bool
 	loaded       bool // all records were read after the takeover
 	costs        costs.Account
-	relocatedAt  time.Time
 	terminated   map[ids.Machine]bool // deletions the cloud confirmed
 	machineCount atomic.Int64         // machines, as last counted
 	dependencies dependencyState
@@ -97,8 +97,8 @@
 	index := capacity.NewIndex(machines)
 	c := &ClusterState{
 		machines: machines, capacity: index, estimates: estimate.New(settings, index),
-		drains: newDrainState(settings), termBegan: time.Now(),
-		shard: shard, keys: record.KeysOf(shard, settings.ShardCount()),
+		termBegan: time.Now(),
+		shard:     shard, keys: record.KeysOf(shard, settings.ShardCount()),
 		StatusInOtherShard: func(ids.Job) (record.Status, bool) { return "", false },
 		settings:           settings, writer: writer, generation: generation, firstGeneration: generation,
 		jobs: workload.NewQueue(), changes: workload.NewChanges(),
@@ -114,6 +114,7 @@
 		commitSignal:    make(chan struct{}, 1), planSignal: make(chan struct{}, 1),
 	}
 	c.scheduler = newScheduler(c)
+	c.evictor = newEvictor(c)
 	c.planner = newPlanner(c)
 	return c
 }
--- a/internal/claim/evictions_test.go
+++ b/internal/claim/evictions_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"github.com/pebbletrail/pebbletrail/internal/config"
+	"github.com/pebbletrail/pebbletrail/internal/eviction"
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 	"github.com/pebbletrail/pebbletrail/internal/placement"
 	"github.com/pebbletrail/pebbletrail/internal/record"
@@ -19,9 +20,16 @@
 // machines, that are all up.
 func drainBook(t *testing.T, now time.Time) *ClusterState {
 	t.Helper()
-	cluster := testBook()
-	cluster.settings.Features = &config.Features{Drains: &config.Drains{}}
-	cluster.drains = newDrainState(cluster.settings)
+	return drainBookWith(t, now, &config.Drains{})
+}
+
+// drainBookWith is the same with other settings of drains.
+func drainBookWith(t *testing.T, now time.Time, drains *config.Drains) *ClusterState {
+	t.Helper()
+	settings := testSet()
+	settings.Features = &config.Features{Drains: drains}
+	cluster := NewClusterState(settings, "w", 7, time.Now())
+	cluster.SetMachineTypes(testTypes())
 	for i := range 4 {
 		hear(cluster, ids.Machine(fmt.Sprint("m", i+1)), 1, now)
 	}
@@ -59,8 +67,7 @@
 
 // evictNow looks at the evictions, whatever the time of the last look.
 func evictNow(cluster *ClusterState, now time.Time) {
-	cluster.drains.lookedAt = time.Time{}
-	cluster.runEvictions(now)
+	cluster.evictor.Look(now)
 }
 
 // stopping counts the replicas that are being stopped.
@@ -138,7 +145,7 @@
 		for _, node := range cluster.capacity.Nodes() {
 			cluster.capacity.ImageArrived(node, cluster.machines.Machines[node.Name], from.Job.Record.Spec.Image, 1, 100)
 		}
-		cluster.relocateReplica(cluster.machines.Machines[from.Machine], now)
+		cluster.evictor.RelocateReplica(cluster.machines.Machines[from.Machine], now)
 		if n := cluster.jobs.Get("job-1").Record.EvictedTasks(); n != c.moved || stopping(cluster) != 0 {
 			t.Errorf("with %d down: %d permits, %d stops without one", c.down, n, stopping(cluster))
 		}
@@ -152,7 +159,7 @@
 		cluster.machines.Machines[name].DrainReason = "tasks keep failing there"
 		cluster.machines.MarkLeaving(name)
 	}
-	cluster.stopOnLeavingMachines(now)
+	cluster.evictor.StopOnLeavingMachines(now)
 	if stopping(cluster) != 0 {
 		t.Fatal("stopped without a permit")
 	}
@@ -168,10 +175,8 @@
 	// Its tasks on other machines must be stopped with the one there, or they end as failed and
 	// nothing is saved.
 	now := time.Now()
-	cluster := drainBook(t, now)
 	interrupted := uint32(2)
-	cluster.settings.Features.Drains.DefaultBudget = &config.DisruptionBudget{TasksInterrupted: &interrupted}
-	cluster.drains.budgets = cluster.settings.DisruptionBudgets()
+	cluster := drainBookWith(t, now, &config.Drains{DefaultBudget: &config.DisruptionBudget{TasksInterrupted: &interrupted}})
 	for _, name := range []ids.Machine{"m5", "m6"} {
 		hear(cluster, name, cluster.firstGeneration, now)
 	}
@@ -206,13 +211,13 @@
 	cluster := drainBook(t, now)
 	cluster.SetMachineTypes(append(testTypes(), placement.InstanceType{Label: "dear", Cores: 8, Accels: 2, RAM: 64, Zones: []string{"north"}}))
 	job := cluster.jobs.Get("job-1")
-	if node := cluster.findRoom(job, nil, nil, now); node != nil {
+	if node := cluster.evictor.FindRoom(job, nil, nil, now); node != nil {
 		t.Fatalf("room on %s, which is full", node.Name)
 	}
 	hear(cluster, "m9", 1, now)
 	cluster.machines.Machines["m9"].Type = "dear"
 	cluster.capacity.Reindex(cluster.capacity.Ensure("m9"))
-	if node := cluster.findRoom(job, nil, nil, now); node == nil || node.Name != "m9" {
+	if node := cluster.evictor.FindRoom(job, nil, nil, now); node == nil || node.Name != "m9" {
 		t.Errorf("room on %v", node)
 	}
 }
@@ -224,22 +229,22 @@
 	off := testBook()
 	hear(off, "m1", 1, now)
 	off.Plan(now)
-	if off.drains != nil {
+	if off.evictor.Enabled() {
 		t.Error("drains are on without their feature")
 	}
 	cluster := drainBook(t, now)
 	for range 100 {
 		cluster.Plan(now)
 	}
-	if cluster.drains.lookCount != 0 {
-		t.Errorf("%d looks without a rollout", cluster.drains.lookCount)
+	if cluster.evictor.Looks() != 0 {
+		t.Errorf("%d looks without a rollout", cluster.evictor.Looks())
 	}
 	cluster.CarryOut(drainOrders("m1"))
 	for i := range 100 {
 		cluster.Plan(now.Add(time.Duration(i) * 10 * time.Millisecond))
 	}
-	if most := int(time.Second/evictionInterval) + 1; cluster.drains.lookCount > most {
-		t.Errorf("%d looks within a second", cluster.drains.lookCount)
+	if most := int(time.Second/eviction.Interval) + 1; cluster.evictor.Looks() > most {
+		t.Errorf("%d looks within a second", cluster.evictor.Looks())
 	}
 }
 
--- a/internal/claim/fleet_planning.go
+++ b/internal/claim/fleet_planning.go
@@ -8,37 +8,16 @@
 	"github.com/pebbletrail/pebbletrail/internal/measure"
 	"github.com/pebbletrail/pebbletrail/internal/placement"
 	"github.com/pebbletrail/pebbletrail/internal/provisioning"
-	"github.com/pebbletrail/pebbletrail/internal/rollout"
 )
 
 // newPlanner makes the planner of the fleet of a term.
 func newPlanner(c *ClusterState) *provisioning.Planner {
 	return provisioning.New(provisioning.State{Settings: c.settings, Jobs: c.jobs, Machines: c.machines, Capacity: c.capacity,
-		Estimates: c.estimates, Scheduler: c.scheduler, Rollouts: rolloutsOf{c}, Zones: c.zones,
+		Estimates: c.estimates, Scheduler: c.scheduler, Rollouts: c.evictor, Zones: c.zones,
 		StoreAvailable: func() bool { return c.StoreAvailable() },
 		TrustSilence:   func() time.Time { return c.trustSilence }})
 }
 
-// rolloutsOf tells the planner what rollouts want with machines.
-type rolloutsOf struct{ cluster *ClusterState }
-
-// Keeps tells that a machine replaces another one and is still observed.
-func (r rolloutsOf) Keeps(machine ids.Machine) bool { return r.cluster.keptByRollout(machine) }
-
-// OrderFor is what a rollout wants with a machine, if any does.
-func (r rolloutsOf) OrderFor(machine ids.Machine) (rollout.Order, bool) {
-	return r.cluster.drains.orderFor(machine)
-}
-
-// MayConsolidate tells that no rollout is moving replicas.
-func (r rolloutsOf) MayConsolidate() bool {
-	drains := r.cluster.drains
-	return drains == nil || drains.orders != nil && len(drains.orders.Machines) == 0
-}
-
-// SurgeDemands is what has to be rented before replicas can be moved.
-func (r rolloutsOf) SurgeDemands() []placement.Demand { return r.cluster.surgeDemands() }
-
 // CapacityDemands is what the fleet should provide, most important first, what is there, and which
 // machine types the cloud offers.
 func (c *ClusterState) CapacityDemands(now time.Time) (demands []placement.Demand, instances []placement.Instance, types []*placement.InstanceType) {
@@ -56,11 +35,6 @@
 	return c.planner.MachinesToTerminate(now, needed)
 }
 
-// keptByRollout tells that a machine replaces another one and is still observed.
-func (c *ClusterState) keptByRollout(name ids.Machine) bool {
-	return c.drains != nil && c.drains.orders != nil && c.drains.orders.Keep[name]
-}
-
 // CloudListRead notes that the cloud's list was read to its end, and when that reading began.
 func (c *ClusterState) CloudListRead(began time.Time) {
 	c.mu.Lock()
--- a/internal/claim/lapses.go
+++ b/internal/claim/lapses.go
@@ -67,9 +67,7 @@
 	why := "its machine was returned to the cloud"
 	if machine := c.machines.Machines[name]; machine != nil && machine.DeleteReason != "" {
 		why += ": " + machine.DeleteReason
-		if c.keptByRollout(name) {
-			c.drains.lostReplacements[name] = machine.DeleteReason
-		}
+		c.evictor.ReplacementLost(name, machine.DeleteReason)
 	}
 	for assignment := range c.capacity.AssignmentsOn(name) {
 		c.markLost(assignment, why)
--- a/internal/claim/planning.go
+++ b/internal/claim/planning.go
@@ -17,12 +17,12 @@
 func (c *ClusterState) Plan(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.closed || len(c.capacity.Types()) == 0 || c.drains.awaitsOrders() {
+	if c.closed || len(c.capacity.Types()) == 0 || c.evictor.AwaitsOrders() {
 		return
 	}
 	defer measure.Process.Took("planning pass", time.Now())
-	c.stopOnLeavingMachines(now)
-	c.runEvictions(now)
+	c.evictor.StopOnLeavingMachines(now)
+	c.evictor.Run(now)
 	c.scheduler.PreemptForOtherShards()
 	if c.scheduler.Run(now) && c.planner.SampleUsage(now) {
 		c.costs.Accrue(now, c.machines, c.capacity)
@@ -71,7 +71,7 @@
 
 // QuotaForRelocated is what a job must leave of its team's quota to tasks that rollouts move.
 func (c schedulerCluster) QuotaForRelocated(job *workload.Job) placement.Resources {
-	return c.quotaForRelocated(job)
+	return c.evictor.QuotaForRelocated(job)
 }
 
 // YieldLock lets heartbeats and commits at the cluster state for a moment.
--- a/internal/claim/recovery.go
+++ b/internal/claim/recovery.go
@@ -53,7 +53,7 @@
 			FencingToken: at.FencingToken, StartSent: true, AssignedAt: now, Stopping: job.Cancelled(), StopReason: "cancelled"})
 	})
 	job.Record.Assignments = nil
-	c.loadEvictions(job)
+	c.evictor.Load(job)
 	c.joinDependencies(job)
 	c.finishIfComplete(job)
 	return job
--- a/internal/claim/emptying.go
+++ b/internal/eviction/emptying.go
@@ -1,4 +1,4 @@
-package claim
+package eviction
 
 import (
 	"cmp"
@@ -29,88 +29,87 @@
 
 // evictNextStep decides the next step of emptying a machine: of each team that has anything to
 // stop there one unit, all or none, and then what more the budgets allow.
-func (c *ClusterState) evictNextStep(name ids.Machine, order rollout.Order, meter *budget.Meter, now time.Time) {
-	machine := c.machines.Machines[name]
+func (e *Evictor) evictNextStep(name ids.Machine, order rollout.Order, meter *budget.Meter, now time.Time) {
+	machine := e.Machines.Machines[name]
 	if machine == nil || !machine.HasReported || machine.Suspect() {
-		c.addBlocker(name, "nothing is heard of it")
+		e.addBlocker(name, "nothing is heard of it")
 		return
 	}
-	c.removeUnsentFrom(name)
-	units, whys := c.evictionUnits(machine, order)
-	c.addBlocker(name, whys...)
+	e.removeUnsentFrom(name)
+	units, whys := e.evictionUnits(machine, order)
+	e.addBlocker(name, whys...)
 	first, more := firstOfEachTeam(units)
 	if len(first) == 0 {
 		return
 	}
 	step := &evictionStep{rollout: order.Rollout, wave: order.Wave, machine: name, stored: map[*workload.Job]uint64{}}
 	reserved := map[ids.Machine]scheduler.Reservation{}
-	if why := c.unplaceableReasons(first, order, reserved, now); len(why) > 0 {
-		c.drains.noRoom[name] = true
-		c.addBlocker(name, why...)
+	if why := e.unplaceableReasons(first, order, reserved, now); len(why) > 0 {
+		e.noRoom[name] = true
+		e.addBlocker(name, why...)
 		return
 	}
-	if denials := meter.Permit(c.evictionRequests(first, now)...); len(denials) > 0 {
+	if denials := meter.Permit(e.evictionRequests(first, now)...); len(denials) > 0 {
 		measure.Process.Count(rollout.PermitsRefused, 1)
 		for _, denial := range denials {
-			c.addBlocker(name, denial.String())
+			e.addBlocker(name, denial.String())
 		}
 		return
 	}
 	granted := first
 	for _, unit := range more {
 		one := []evictionUnit{unit}
-		if len(c.unplaceableReasons(one, order, reserved, now)) == 0 && len(meter.Permit(c.evictionRequests(one, now)...)) == 0 {
+		if len(e.unplaceableReasons(one, order, reserved, now)) == 0 && len(meter.Permit(e.evictionRequests(one, now)...)) == 0 {
 			granted = append(granted, unit)
 		}
 	}
 	for host, reservation := range reserved {
-		c.scheduler.Reservations.Set(host, reservation)
+		e.Scheduler.Reservations.Set(host, reservation)
 	}
-	c.recordEvictions(granted, step)
+	e.recordEvictions(granted, step)
 }
 
 // recordEvictions notes permits on the jobs' records; the stops wait until all are stored.
-func (c *ClusterState) recordEvictions(units []evictionUnit, step *evictionStep) {
-	drains := c.drains
+func (e *Evictor) recordEvictions(units []evictionUnit, step *evictionStep) {
 	measure.Process.Count(rollout.PermitsGiven, len(units))
 	for _, unit := range units {
 		job := unit.job
 		for _, assignment := range unit.assignments {
 			assignment.Evicting = true
-			drains.pending[assignment] = step
+			e.pending[assignment] = step
 			job.Record.AddEviction(assignment.TaskIndex, assignment.Attempt, string(step.rollout), step.wave)
 		}
-		drains.evicted[job] = true
-		c.markChanged(job)
-		c.markUrgent(job)
+		e.evicted[job] = true
+		e.cluster.MarkChanged(job)
+		e.cluster.MarkUrgent(job)
 		step.stored[job] = job.Version
 	}
 }
 
 // removeUnsentFrom takes tasks off a machine that were never started there: it takes no permit.
-func (c *ClusterState) removeUnsentFrom(name ids.Machine) {
-	for _, assignment := range c.sortedAssignmentsOn(name) {
+func (e *Evictor) removeUnsentFrom(name ids.Machine) {
+	for _, assignment := range e.sortedAssignmentsOn(name) {
 		if !assignment.StartSent && !assignment.Stopping && !assignment.Evicting {
-			c.stopAssignment(assignment, 0, "its machine is drained")
+			e.cluster.Stop(assignment, 0, "its machine is drained")
 		}
 	}
 }
 
 // evictionRequests is what it takes of the teams' budgets to stop units together.
-func (c *ClusterState) evictionRequests(units []evictionUnit, now time.Time) []budget.Request {
+func (e *Evictor) evictionRequests(units []evictionUnit, now time.Time) []budget.Request {
 	requests := make([]budget.Request, len(units))
 	for i, unit := range units {
-		requests[i] = c.evictionRequest(unit.job, unit.assignments[0], now)
+		requests[i] = e.evictionRequest(unit.job, unit.assignments[0], now)
 	}
 	return requests
 }
 
 // evictionUnits lists what is to be stopped on a machine, and why the rest is not stopped now.
 // It changes nothing.
-func (c *ClusterState) evictionUnits(machine *worker.Machine, order rollout.Order) (units []evictionUnit, whys []string) {
-	limit := int(c.settings.Params.State.ValueKB * 1024)
+func (e *Evictor) evictionUnits(machine *worker.Machine, order rollout.Order) (units []evictionUnit, whys []string) {
+	limit := int(e.Settings.Params.State.ValueKB * 1024)
 	seen := map[*workload.Job]bool{}
-	for _, assignment := range c.sortedAssignmentsOn(machine.Name) {
+	for _, assignment := range e.sortedAssignmentsOn(machine.Name) {
 		job := assignment.Job
 		spec := &job.Record.Spec
 		switch {
@@ -148,9 +147,9 @@
 }
 
 // sortedAssignmentsOn lists what is or may be on a machine, in the order of the tasks' names.
-func (c *ClusterState) sortedAssignmentsOn(name ids.Machine) []*workload.Assignment {
+func (e *Evictor) sortedAssignmentsOn(name ids.Machine) []*workload.Assignment {
 	var places []*workload.Assignment
-	for assignment := range c.capacity.AssignmentsOn(name) {
+	for assignment := range e.Capacity.AssignmentsOn(name) {
 		places = append(places, assignment)
 	}
 	slices.SortFunc(places, func(x, y *workload.Assignment) int {
@@ -199,21 +198,21 @@
 
 // unplaceableReasons tells which replicas could not start elsewhere. With surge there has to be room
 // now, which is added to reserved; without it a place has to be possible at all.
-func (c *ClusterState) unplaceableReasons(units []evictionUnit, order rollout.Order, reserved map[ids.Machine]scheduler.Reservation, now time.Time) (whys []string) {
+func (e *Evictor) unplaceableReasons(units []evictionUnit, order rollout.Order, reserved map[ids.Machine]scheduler.Reservation, now time.Time) (whys []string) {
 	for _, unit := range units {
 		if !isService(&unit.job.Record.Spec) {
 			continue // it waits in the queue
 		}
 		assignment := unit.assignments[0]
-		zones := c.zonesWithout(assignment)
-		if !c.canStartSomewhere(&unit.job.Record.Spec, zones) {
+		zones := e.zonesWithout(assignment)
+		if !e.canStartSomewhere(&unit.job.Record.Spec, zones) {
 			whys = append(whys, fmt.Sprintf("%s could start in no other place that its job allows", assignment.Task()))
 			continue
 		}
 		if !order.Surge {
 			continue
 		}
-		node := c.findRoom(unit.job, zones, reserved, now)
+		node := e.FindRoom(unit.job, zones, reserved, now)
 		if node == nil {
 			whys = append(whys, fmt.Sprintf("%s has no room elsewhere yet", assignment.Task()))
 			continue
@@ -224,9 +223,9 @@
 }
 
 // zonesWithout is where a job's tasks are, but for one that is to be moved.
-func (c *ClusterState) zonesWithout(assignment *workload.Assignment) *scheduler.ZoneSpread {
-	spread := scheduler.ZoneSpreadOf(assignment.Job, c.machines)
-	if machine := c.machines.Machines[assignment.Machine]; machine != nil {
+func (e *Evictor) zonesWithout(assignment *workload.Assignment) *scheduler.ZoneSpread {
+	spread := scheduler.ZoneSpreadOf(assignment.Job, e.Machines)
+	if machine := e.Machines.Machines[assignment.Machine]; machine != nil {
 		spread.Remove(machine.Zone)
 	}
 	return spread
@@ -234,11 +233,11 @@
 
 // canStartSomewhere tells whether a job's rules leave any place for one more task, in a zone that is not
 // given up, on a machine of a type that holds it.
-func (c *ClusterState) canStartSomewhere(spec *record.Spec, zones *scheduler.ZoneSpread) bool {
+func (e *Evictor) canStartSomewhere(spec *record.Spec, zones *scheduler.ZoneSpread) bool {
 	request := spec.PlacementRequest()
-	for _, machineType := range c.capacity.Types() {
+	for _, machineType := range e.Capacity.Types() {
 		for _, zone := range machineType.Zones {
-			if _, closed := c.drains.orders.ClosedZones[zone]; closed || zones.Allowed(zone, 1) == 0 || !machineType.Capacity().Holds(request.Resources) {
+			if _, closed := e.orders.ClosedZones[zone]; closed || zones.Allowed(zone, 1) == 0 || !machineType.Capacity().Holds(request.Resources) {
 				continue
 			}
 			if request.Allows(machineType.Label, zone, false) || request.Allows(machineType.Label, zone, true) {
@@ -249,20 +248,20 @@
 	return false
 }
 
-// surgeDemands is the room that has to be rented before what is to be moved can be stopped: of
+// SurgeDemands is the room that has to be rented before what is to be moved can be stopped: of
 // rollouts that rent no replacements, for replicas that have no room elsewhere.
-func (c *ClusterState) surgeDemands() (demands []placement.Demand) {
-	if c.drains == nil || c.drains.orders == nil {
+func (e *Evictor) SurgeDemands() (demands []placement.Demand) {
+	if e.orders == nil {
 		return nil
 	}
-	for _, name := range slices.Sorted(maps.Keys(c.drains.noRoom)) {
-		order := c.drains.orders.Machines[name]
+	for _, name := range slices.Sorted(maps.Keys(e.noRoom)) {
+		order := e.orders.Machines[name]
 		if !order.Drain || !order.Surge || order.Replace {
 			continue
 		}
-		for _, assignment := range c.sortedAssignmentsOn(name) {
+		for _, assignment := range e.sortedAssignmentsOn(name) {
 			request := assignment.Job.Record.Spec.PlacementRequest()
-			if isService(&assignment.Job.Record.Spec) && !assignment.Stopping && !c.acceleratedMachineBooting(&request) {
+			if isService(&assignment.Job.Record.Spec) && !assignment.Stopping && !e.acceleratedMachineBooting(&request) {
 				demands = append(demands, placement.Demand{Request: request, Count: 1, Headroom: true})
 			}
 		}
@@ -272,9 +271,9 @@
 
 // acceleratedMachineBooting tells that a machine with accelerators is booting that work without them could use.
 // Rentals count no such machine as room for it, so that another would be rented at each look.
-func (c *ClusterState) acceleratedMachineBooting(request *placement.Request) bool {
-	for _, machine := range c.machines.Machines {
-		machineType := c.capacity.Type(machine.Type)
+func (e *Evictor) acceleratedMachineBooting(request *placement.Request) bool {
+	for _, machine := range e.Machines.Machines {
+		machineType := e.Capacity.Type(machine.Type)
 		if machine.Booting && !machine.HasReported && machineType != nil && machineType.Accels > 0 && request.Resources.Accels == 0 && machineType.Capacity().Holds(request.Resources) && request.Allows(machine.Type, machine.Zone, machine.Spot) {
 			return true
 		}
@@ -282,32 +281,32 @@
 	return false
 }
 
-// findRoom finds a machine with room for one more task of a job; nil if there is none. Work without
+// FindRoom finds a machine with room for one more task of a job; nil if there is none. Work without
 // accelerators takes a machine with some only where nothing else has room.
-func (c *ClusterState) findRoom(job *workload.Job, zones *scheduler.ZoneSpread, reserved map[ids.Machine]scheduler.Reservation, now time.Time) *capacity.Node {
-	if node := c.findRoomAmong(job, zones, reserved, now, false); node != nil {
+func (e *Evictor) FindRoom(job *workload.Job, zones *scheduler.ZoneSpread, reserved map[ids.Machine]scheduler.Reservation, now time.Time) *capacity.Node {
+	if node := e.roomAmong(job, zones, reserved, now, false); node != nil {
 		return node
 	}
-	return c.findRoomAmong(job, zones, reserved, now, true)
+	return e.roomAmong(job, zones, reserved, now, true)
 }
 
-// findRoomAmong finds room on machines with accelerators, or on those without.
-func (c *ClusterState) findRoomAmong(job *workload.Job, zones *scheduler.ZoneSpread, reserved map[ids.Machine]scheduler.Reservation, now time.Time, accelerators bool) *capacity.Node {
+// roomAmong finds room on machines with accelerators, or on those without.
+func (e *Evictor) roomAmong(job *workload.Job, zones *scheduler.ZoneSpread, reserved map[ids.Machine]scheduler.Reservation, now time.Time, accelerators bool) *capacity.Node {
 	request := job.Record.Spec.PlacementRequest()
 	var best *capacity.Node
 	bestScore := 0.0
-	for _, class := range c.capacity.Classes() {
+	for _, class := range e.Capacity.Classes() {
 		if !request.Allows(class.Type, class.Zone, class.Spot) || class.Offer.Accels > 0 != accelerators || zones.Allowed(class.Zone, 1) == 0 {
 			continue
 		}
 		for _, node := range class.Open {
-			machine, ok := c.capacity.UsableMachine(node, now, c.settings.Params.Workers.ReportS)
+			machine, ok := e.Capacity.UsableMachine(node, now, e.Settings.Params.Workers.ReportS)
 			_, taken := reserved[node.Name]
-			_, reservedNow := c.scheduler.Reservations.On(node.Name, now)
+			_, reservedNow := e.Scheduler.Reservations.On(node.Name, now)
 			if !ok || taken || reservedNow || machine.DeleteWhenEmpty || !node.Free().Holds(request.Resources) {
 				continue
 			}
-			view := c.scheduler.View(node, machine, job, nil, now)
+			view := e.Scheduler.View(node, machine, job, nil, now)
 			if score := placement.Score(&view, &request); best == nil || score < bestScore || score == bestScore && node.Name < best.Name {
 				best, bestScore = node, score
 			}
--- a/internal/claim/drain.go
+++ b/internal/eviction/leaving_machines.go
@@ -1,4 +1,4 @@
-package claim
+package eviction
 
 import (
 	"time"
@@ -12,17 +12,17 @@
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// stopOnLeavingMachines stops, in time to save or to start elsewhere, what is on machines that the cloud
+// StopOnLeavingMachines stops, in time to save or to start elsewhere, what is on machines that the cloud
 // takes back or on which tasks keep failing, and relocates replicas off those to be deleted when empty.
-func (c *ClusterState) stopOnLeavingMachines(now time.Time) {
-	for _, machine := range c.machines.Leaving() {
+func (e *Evictor) StopOnLeavingMachines(now time.Time) {
+	for _, machine := range e.Machines.Leaving() {
 		switch reclaimed := !machine.SpotTerminationAt.IsZero(); {
 		case reclaimed:
-			c.stopOnReclaimedMachine(machine, now)
+			e.stopOnReclaimedMachine(machine, now)
 		case machine.DrainReason == "":
-			c.relocateReplica(machine, now)
-		case c.drains == nil: // else emptied within the budgets
-			c.stopOnFailingMachine(machine)
+			e.RelocateReplica(machine, now)
+		case !e.Enabled(): // else emptied within the budgets
+			e.stopOnFailingMachine(machine)
 		}
 	}
 }
@@ -33,27 +33,27 @@
 
 // stopOnReclaimedMachine stops tasks as late as is safe for those that save; what cannot save and cannot
 // finish in time begins again elsewhere at once.
-func (c *ClusterState) stopOnReclaimedMachine(machine *worker.Machine, now time.Time) {
+func (e *Evictor) stopOnReclaimedMachine(machine *worker.Machine, now time.Time) {
 	left := machine.SpotTerminationAt.Sub(now)
 	reason := "the cloud takes " + string(machine.Name) + " back"
-	for assignment := range c.capacity.AssignmentsOn(machine.Name) {
+	for assignment := range e.Capacity.AssignmentsOn(machine.Name) {
 		if assignment.Stopping {
 			continue
 		}
 		grace := assignment.CheckpointGrace()
 		mayWait := grace > 0 && left > (grace+reclaimMargin).Duration()
-		mayFinish := grace == 0 && (assignment.FinishesWithin(left, now) || !c.StoreAvailable())
+		mayFinish := grace == 0 && (assignment.FinishesWithin(left, now) || !e.cluster.StoreAvailable())
 		if !mayWait && !mayFinish {
-			c.stopAssignment(assignment, grace, reason)
+			e.cluster.Stop(assignment, grace, reason)
 		}
 	}
 }
 
 // stopOnFailingMachine stops everything on a machine on which tasks keep failing.
-func (c *ClusterState) stopOnFailingMachine(machine *worker.Machine) {
-	for assignment := range c.capacity.AssignmentsOn(machine.Name) {
+func (e *Evictor) stopOnFailingMachine(machine *worker.Machine) {
+	for assignment := range e.Capacity.AssignmentsOn(machine.Name) {
 		if !assignment.Stopping {
-			c.stopAssignment(assignment, assignment.CheckpointGrace(), drainReason(machine))
+			e.cluster.Stop(assignment, assignment.CheckpointGrace(), drainReason(machine))
 		}
 	}
 }
@@ -66,26 +66,26 @@
 // relocationReservationTime is how long room is kept for a replica that is moved off a machine to be returned.
 const relocationReservationTime = 5 * time.Second
 
-// relocateReplica takes one replica at a time off a machine that is only kept by
+// RelocateReplica takes one replica at a time off a machine that is only kept by
 // it, when another machine has room and the image.
-func (c *ClusterState) relocateReplica(machine *worker.Machine, now time.Time) {
-	if now.Sub(c.relocatedAt) < 1500*time.Millisecond || !c.StoreAvailable() {
+func (e *Evictor) RelocateReplica(machine *worker.Machine, now time.Time) {
+	if now.Sub(e.relocatedAt) < 1500*time.Millisecond || !e.cluster.StoreAvailable() {
 		return
 	}
-	for assignment := range c.capacity.AssignmentsOn(machine.Name) {
+	for assignment := range e.Capacity.AssignmentsOn(machine.Name) {
 		if !provisioning.IsSettledReplica(assignment, now) {
 			continue
 		}
 		request := assignment.Job.Record.Spec.PlacementRequest()
 		var best *capacity.Node
 		bestScore := 0.0
-		for node := range c.capacity.WithImage(request.Image) {
-			t, ok := c.capacity.UsableMachine(node, now, c.settings.Params.Workers.ReportS)
+		for node := range e.Capacity.WithImage(request.Image) {
+			t, ok := e.Capacity.UsableMachine(node, now, e.Settings.Params.Workers.ReportS)
 			if !ok || node.Name == machine.Name || t.Zone != machine.Zone || t.DeleteWhenEmpty || node.Class.Offer.Accels > 0 || !t.Images.Has(request.Image) ||
 				!node.Free().Holds(request.Resources) || !request.Allows(t.Type, t.Zone, t.Spot) {
 				continue
 			}
-			pm := c.scheduler.View(node, t, assignment.Job, nil, now)
+			pm := e.Scheduler.View(node, t, assignment.Job, nil, now)
 			if s := placement.Score(&pm, &request); best == nil || s < bestScore || s == bestScore && node.Name < best.Name {
 				best, bestScore = node, s
 			}
@@ -93,15 +93,15 @@
 		if best == nil {
 			continue
 		}
-		c.relocatedAt = now
-		if !c.mayRelocate(assignment, now) {
+		e.relocatedAt = now
+		if !e.mayRelocate(assignment, now) {
 			return
 		}
-		c.scheduler.Reservations.Set(best.Name, scheduler.Reservation{Job: assignment.Job.ID(), Need: request.Resources, Made: now, Until: now.Add(relocationReservationTime)})
-		if c.drains == nil {
-			c.stopAssignment(assignment, assignment.CheckpointGrace(), relocationReason(machine.Name))
+		e.Scheduler.Reservations.Set(best.Name, scheduler.Reservation{Job: assignment.Job.ID(), Need: request.Resources, Made: now, Until: now.Add(relocationReservationTime)})
+		if !e.Enabled() {
+			e.cluster.Stop(assignment, assignment.CheckpointGrace(), relocationReason(machine.Name))
 		} else {
-			c.recordEvictions([]evictionUnit{{assignment.Job, []*workload.Assignment{assignment}}}, &evictionStep{rollout: consolidation, stored: map[*workload.Job]uint64{}})
+			e.recordEvictions([]evictionUnit{{assignment.Job, []*workload.Assignment{assignment}}}, &evictionStep{rollout: consolidation, stored: map[*workload.Job]uint64{}})
 		}
 		return
 	}
@@ -114,9 +114,9 @@
 
 // mayRelocate tells whether a replica may be moved that nobody has to move: where operators have set
 // budgets, only within these.
-func (c *ClusterState) mayRelocate(assignment *workload.Assignment, now time.Time) bool {
-	if c.drains == nil {
+func (e *Evictor) mayRelocate(assignment *workload.Assignment, now time.Time) bool {
+	if !e.Enabled() {
 		return true
 	}
-	return !assignment.Evicting && len(c.disruptionMeter(now).Permit(c.evictionRequest(assignment.Job, assignment, now))) == 0
+	return !assignment.Evicting && len(e.disruptionMeter(now).Permit(e.evictionRequest(assignment.Job, assignment, now))) == 0
 }
