--- a/internal/claim/allowances.go
+++ b/internal/claim/allowances.go
@@ -7,6 +7,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 	"github.com/pebbletrail/pebbletrail/internal/quota"
 	"github.com/pebbletrail/pebbletrail/internal/state"
+	"github.com/pebbletrail/pebbletrail/internal/wait"
 )
 
 // processStart is from when this process's settings are.
@@ -31,7 +32,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.quota.Apply(change)
-	signal(c.planSignal)
+	wait.Signal(c.planSignal)
 }
 
 // ExchangeAllowances moves allowances between the shards until the context ends, under a condition
--- a/internal/claim/cluster_state.go
+++ b/internal/claim/cluster_state.go
@@ -12,6 +12,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/capacity"
 	"github.com/pebbletrail/pebbletrail/internal/config"
 	"github.com/pebbletrail/pebbletrail/internal/costs"
+	"github.com/pebbletrail/pebbletrail/internal/dispatch"
 	"github.com/pebbletrail/pebbletrail/internal/estimate"
 	"github.com/pebbletrail/pebbletrail/internal/eviction"
 	"github.com/pebbletrail/pebbletrail/internal/ids"
@@ -21,6 +22,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/quota"
 	"github.com/pebbletrail/pebbletrail/internal/record"
 	"github.com/pebbletrail/pebbletrail/internal/scheduler"
+	"github.com/pebbletrail/pebbletrail/internal/wait"
 	"github.com/pebbletrail/pebbletrail/internal/worker"
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
@@ -36,16 +38,14 @@
 	machines   *worker.Registry
 	// What follows is kept up to date change by change, so that planning,
 	// sending and storing never walk the whole fleet or all jobs.
-	capacity         *capacity.Index // assignments by machine, free capacity by instance class, images
-	estimates        *estimate.Estimator
-	pendingCommands  map[*capacity.Node]bool // have starts or stops to send
-	changes          *workload.Changes       // of jobs, not stored yet
-	leasesCheckedAt  time.Time               // when lapses were last looked for
-	probesIssuedAt   time.Time               // when overdue machines were last looked for
-	probesInFlight   int                     // questions under way
-	earlyProbeTokens float64                 // questions before a report is overdue that may be asked now
-	hintSequence     uint64                  // counts what the others should know
-	firstGeneration  ids.Generation          // the term's first generation
+	capacity        *capacity.Index // assignments by machine, free capacity by instance class, images
+	estimates       *estimate.Estimator
+	commands        *dispatch.Queue // machines to which commands are to be sent
+	prober          *dispatch.Prober
+	changes         *workload.Changes // of jobs, not stored yet
+	leasesCheckedAt time.Time         // when lapses were last looked for
+	hintSequence    uint64            // counts what the others should know
+	firstGeneration ids.Generation    // the term's first generation
 
 	evictor   *eviction.Evictor // empties machines
 	termBegan time.Time         // the term
@@ -102,17 +102,18 @@
 		StatusInOtherShard: func(ids.Job) (record.Status, bool) { return "", false },
 		settings:           settings, writer: writer, generation: generation, firstGeneration: generation,
 		jobs: workload.NewQueue(), changes: workload.NewChanges(),
-		pendingCommands: map[*capacity.Node]bool{},
-		quota:           quota.NewTracker(shard, settings.ShardCount(), teamLimits(settings), processStart),
-		trustSilence:    trustSilence,
-		zones:           liveness.NewZones(),
-		terminated:      map[ids.Machine]bool{},
-		dependencies:    newDependencyState(),
-		cancellations:   map[ids.Job]ids.Revision{},
-		StoreAvailable:  func() bool { return true },
-		StartsAllowed:   func() (bool, time.Time) { return true, time.Now() },
-		commitSignal:    make(chan struct{}, 1), planSignal: make(chan struct{}, 1),
+		quota:          quota.NewTracker(shard, settings.ShardCount(), teamLimits(settings), processStart),
+		trustSilence:   trustSilence,
+		zones:          liveness.NewZones(),
+		terminated:     map[ids.Machine]bool{},
+		dependencies:   newDependencyState(),
+		cancellations:  map[ids.Job]ids.Revision{},
+		StoreAvailable: func() bool { return true },
+		StartsAllowed:  func() (bool, time.Time) { return true, time.Now() },
+		commitSignal:   make(chan struct{}, 1), planSignal: make(chan struct{}, 1),
 	}
+	c.commands = dispatch.NewQueue(machines, index, books{c})
+	c.prober = dispatch.NewProber(settings, machines, index)
 	c.scheduler = newScheduler(c)
 	c.evictor = newEvictor(c)
 	c.planner = newPlanner(c)
@@ -122,14 +123,6 @@
 // PlanWanted is ready to be read once something changed that planning should look at.
 func (c *ClusterState) PlanWanted() <-chan struct{} { return c.planSignal }
 
-// signal has whoever waits on a channel of one look again.
-func signal(c chan struct{}) {
-	select {
-	case c <- struct{}{}:
-	default:
-	}
-}
-
 // recordEvent appends to the job's trail, bounded.
 func (c *ClusterState) recordEvent(job *workload.Job, format string, args ...any) {
 	limit := int(c.settings.Operator.TrailEvents)
@@ -162,7 +155,7 @@
 		}
 	}
 	if job.Urgent {
-		signal(c.commitSignal)
+		wait.Signal(c.commitSignal)
 	}
 }
 
@@ -170,7 +163,7 @@
 // starts, or an end.
 func (c *ClusterState) markUrgent(job *workload.Job) {
 	job.Urgent = true
-	signal(c.commitSignal)
+	wait.Signal(c.commitSignal)
 }
 
 // removeJob takes a job out of the cluster state.
@@ -203,7 +196,7 @@
 		for _, i := range workload.SortedTasks(job.Assignments) {
 			if assignment := job.Assignments[i]; assignment.StartSent {
 				assignment.Stopping, assignment.StopReason, assignment.StopRequestedAt = true, "job done", time.Now()
-				c.queueCommand(assignment)
+				c.commands.AddFor(assignment)
 			} else {
 				c.removeAssignment(assignment)
 			}
--- a/internal/claim/cluster_state_test.go
+++ b/internal/claim/cluster_state_test.go
@@ -56,7 +56,7 @@
 	for _, job := range c.jobs.All() {
 		job.StoredVersion = job.Version
 	}
-	c.nextBatches(1000)
+	c.NextBatches(1000)
 }
 
 func TestTheTransitionTableHasNoWayOutOfAnEnd(t *testing.T) {
@@ -469,12 +469,12 @@
 	for _, job := range cluster.jobs.All() {
 		job.StoredVersion = job.Version
 	}
-	bas := cluster.nextBatches(1000)
+	bas := cluster.NextBatches(1000)
 	if len(bas) != 1 {
 		t.Fatalf("%d batches for one task", len(bas))
 	}
-	at := bas[0].machine
-	cluster.batchAnswered(bas[0], worker.OutcomeUnknown)
+	at := bas[0].Machine
+	cluster.BatchAnswered(bas[0], worker.OutcomeUnknown)
 	cluster.hear(at, "north", 2)
 	cluster.HandleRecord("job-2", 2, newRecord("job-2", "blue", record.Normal, 12, 1), now)
 	cluster.Plan(now)
@@ -483,7 +483,7 @@
 	}
 	machine := cluster.machines.Machines[at]
 	for tick := ids.SequenceNumber(3); tick < 6; tick++ {
-		cluster.probeAnswered(at, false)
+		cluster.ProbeAnswered(at, false)
 		for i := range 6 {
 			cluster.hear(ids.Machine(fmt.Sprint("m", i)), "north", tick) // its own beats, too
 		}
@@ -505,11 +505,11 @@
 	if at == other {
 		other = "m1"
 	}
-	cluster.probeAnswered(other, false)
+	cluster.ProbeAnswered(other, false)
 	if cluster.machines.Machines[other].Schedulable(now, 2) {
 		t.Error("a machine that left a question unanswered takes work")
 	}
-	cluster.probeAnswered(other, true)
+	cluster.ProbeAnswered(other, true)
 	if !cluster.machines.Machines[other].Schedulable(now, 2) {
 		t.Error("a machine that answers again takes no work")
 	}
@@ -534,9 +534,9 @@
 // startsFor lists the machines that get a start now.
 func (c *ClusterState) startsFor() map[ids.Machine]bool {
 	out := map[ids.Machine]bool{}
-	for _, batch := range c.nextBatches(1000) {
-		for _, o := range batch.commands {
-			out[batch.machine] = out[batch.machine] || o.Verb == "start"
+	for _, batch := range c.NextBatches(1000) {
+		for _, o := range batch.Commands {
+			out[batch.Machine] = out[batch.Machine] || o.Verb == "start"
 		}
 	}
 	return out
@@ -650,8 +650,8 @@
 		machine.LastReportAt = now.Add(-3 * time.Second)
 	}
 	asked := map[ids.Machine]bool{}
-	for _, probe := range cluster.dueProbes(now, 100) {
-		asked[probe.machine] = true
+	for _, probe := range cluster.DueProbes(now, 100) {
+		asked[probe.Machine] = true
 	}
 	if !asked[with] || len(asked) != 1 {
 		t.Fatalf("asked %v, not only %s, which has a replica", asked, with)
@@ -689,7 +689,7 @@
 		for _, entry := range group {
 			cluster.entryStored(entry, entry.job.Revision+1)
 		}
-		cluster.nextBatches(1000)
+		cluster.NextBatches(1000)
 		return len(group)
 	}
 	if store() != 1 {
--- a/internal/claim/commit.go
+++ b/internal/claim/commit.go
@@ -169,7 +169,7 @@
 	}
 	for _, assignment := range job.Assignments {
 		if !assignment.StartSent && assignment.MarkerVersion <= job.StoredVersion {
-			c.queueCommand(assignment)
+			c.commands.AddFor(assignment)
 		} else if !assignment.StartSent {
 			job.Urgent = true
 		}
@@ -206,7 +206,7 @@
 	cluster.generation, cluster.raiseWanted = g, false
 	for _, node := range cluster.capacity.Nodes() {
 		if len(node.Assignments) > 0 {
-			cluster.pendingCommands[node] = true // markers not sent yet must carry the new token
+			cluster.commands.Add(node) // markers not sent yet must carry the new token
 		}
 	}
 	cluster.mu.Unlock()
--- a/internal/claim/fleet_test.go
+++ b/internal/claim/fleet_test.go
@@ -10,6 +10,7 @@
 	"testing/synctest"
 	"time"
 
+	"github.com/pebbletrail/pebbletrail/internal/dispatch"
 	"github.com/pebbletrail/pebbletrail/internal/fake"
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 	"github.com/pebbletrail/pebbletrail/internal/record"
@@ -79,7 +80,7 @@
 					}
 				}
 			}
-			d := NewDispatcher(cluster, &worker.Commander{HTTP: n.Client("a"), Timeout: 3 * time.Second}, 16)
+			d := dispatch.New(cluster, &worker.Commander{HTTP: n.Client("a"), Timeout: 3 * time.Second}, 16, func() bool { return true })
 			go d.Run(ctx)
 			wait.For(ctx, time.Second)
 			cluster.mu.Lock()
@@ -120,13 +121,12 @@
 	}
 	asked := map[ids.Machine]int{}
 	for round := range 20 {
-		cluster.probesIssuedAt = time.Time{}
-		for k, probe := range cluster.dueProbes(now.Add(time.Duration(round)*time.Second), 20) {
-			if round == 0 && k == 0 && probe.machine != with {
-				t.Errorf("%s was asked first, not %s, which has a replica", probe.machine, with)
+		for k, probe := range cluster.DueProbes(now.Add(time.Duration(round)*time.Second), 20) {
+			if round == 0 && k == 0 && probe.Machine != with {
+				t.Errorf("%s was asked first, not %s, which has a replica", probe.Machine, with)
 			}
-			asked[probe.machine]++
-			cluster.probeAnswered(probe.machine, false)
+			asked[probe.Machine]++
+			cluster.ProbeAnswered(probe.Machine, false)
 		}
 	}
 	if len(asked) < 280 {
@@ -142,7 +142,7 @@
 	cluster.HandleRecord("job-1", 1, newRecord("job-1", "blue", record.Normal, 1, 1), now)
 	cluster.Plan(now)
 	job := cluster.jobs.Get("job-1")
-	cluster.probeAnswered("m1", false)
+	cluster.ProbeAnswered("m1", false)
 	if len(job.Assignments) != 0 {
 		t.Fatal("a task whose start never went out is kept on a silent machine")
 	}
@@ -151,11 +151,11 @@
 	cluster.Plan(now)
 	cluster.jobs.Get("job-1").StoredVersion = job.Version
 	cluster.versionStored(job)
-	ba := cluster.nextBatches(10)
-	if len(ba) != 1 || ba[0].machine != "m2" {
+	ba := cluster.NextBatches(10)
+	if len(ba) != 1 || ba[0].Machine != "m2" {
 		t.Fatalf("batches %v", ba)
 	}
-	cluster.batchAnswered(ba[0], worker.NotSent)
+	cluster.BatchAnswered(ba[0], worker.NotSent)
 	if len(job.Assignments) != 0 || len(cluster.machines.Machines["m2"].UnconfirmedStarts) != 0 {
 		t.Fatal("a start that surely never arrives is kept")
 	}
@@ -164,8 +164,8 @@
 	cluster.Plan(now)
 	job.StoredVersion = job.Version
 	cluster.versionStored(job)
-	ba = cluster.nextBatches(10)
-	cluster.batchAnswered(ba[0], worker.OutcomeUnknown)
+	ba = cluster.NextBatches(10)
+	cluster.BatchAnswered(ba[0], worker.OutcomeUnknown)
 	if len(job.Assignments) != 1 || len(cluster.machines.Machines["m3"].UnconfirmedStarts) != 1 {
 		t.Fatal("a start that may yet arrive was given up")
 	}
@@ -218,7 +218,7 @@
 		}
 	}
 	cluster.hear("m01", "south", 2)
-	cluster.probeAnswered("m01", true)
+	cluster.ProbeAnswered("m01", true)
 	if gone := cluster.MachinesToTerminate(start, map[ids.Machine]bool{}); len(gone) != 0 {
 		t.Fatalf("returned %v when the zone came back", gone)
 	}
@@ -336,7 +336,7 @@
 	cluster.Plan(now)
 	job.StoredVersion = job.Version
 	cluster.versionStored(job)
-	if got := cluster.nextBatches(10); len(got) != 1 || got[0].incarnation != 2 || len(got[0].commands) != 2 {
+	if got := cluster.NextBatches(10); len(got) != 1 || got[0].Incarnation != 2 || len(got[0].Commands) != 2 {
 		t.Fatalf("sent %+v", got)
 	}
 }
--- a/internal/claim/lapses.go
+++ b/internal/claim/lapses.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"github.com/pebbletrail/pebbletrail/internal/ids"
+	"github.com/pebbletrail/pebbletrail/internal/wait"
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
@@ -78,5 +79,5 @@
 	}
 	c.terminated[name] = true
 	c.scheduler.Reservations.Remove(name)
-	signal(c.planSignal)
+	wait.Signal(c.planSignal)
 }
--- a/internal/claim/machines.go
+++ b/internal/claim/machines.go
@@ -5,6 +5,6 @@
 // removeMachine takes a machine that is gone out of the registry and the indices.
 func (c *ClusterState) removeMachine(name ids.Machine) {
 	if node := c.capacity.Remove(name); node != nil {
-		delete(c.pendingCommands, node)
+		c.commands.Remove(node)
 	}
 }
--- a/internal/claim/outcomes.go
+++ b/internal/claim/outcomes.go
@@ -162,6 +162,6 @@
 	defer cluster.mu.Unlock()
 	if cluster.jobs.Get(id) == nil && !cluster.jobs.IsRetired(id) && !rec.Status.IsTerminal() {
 		cluster.addJob(rec, entry.Revision, now)
-		signal(cluster.planSignal)
+		wait.Signal(cluster.planSignal)
 	}
 }
--- a/internal/claim/pipeline.go
+++ b/internal/claim/pipeline.go
@@ -6,6 +6,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/dependency"
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 	"github.com/pebbletrail/pebbletrail/internal/record"
+	"github.com/pebbletrail/pebbletrail/internal/wait"
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
@@ -157,12 +158,12 @@
 // to be stored stored.
 func (c *ClusterState) applyGraphChanges(changes dependency.Changes) {
 	if changes.Resolved {
-		signal(c.commitSignal)
+		wait.Signal(c.commitSignal)
 	}
 	for _, id := range changes.InheritedChanged {
 		if job := c.jobs.Get(id); job != nil {
 			job.Inherited = c.dependencies.graph.InheritedUrgency(id)
-			signal(c.planSignal)
+			wait.Signal(c.planSignal)
 		}
 	}
 }
--- a/internal/claim/places.go
+++ b/internal/claim/places.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"github.com/pebbletrail/pebbletrail/internal/ids"
+	"github.com/pebbletrail/pebbletrail/internal/wait"
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
@@ -33,7 +34,7 @@
 	if assignment.Job.Ended && len(assignment.Job.Assignments) == 0 {
 		c.removeJob(assignment.Job)
 	}
-	signal(c.planSignal)
+	wait.Signal(c.planSignal)
 }
 
 // stopAssignment asks for a task to be stopped, or drops it if its start never went out.
@@ -47,14 +48,14 @@
 		return
 	}
 	assignment.Stopping, assignment.StopGrace, assignment.StopReason, assignment.StopRequestedAt = true, leeway, why, time.Now()
-	c.queueCommand(assignment)
+	c.commands.AddFor(assignment)
 	if !assignment.Confirmed && !c.noDirectStartOutstanding(assignment) && c.underCurrentGeneration(assignment) {
 		// A late start could yet begin it: raise the token so that the worker
 		// turns that away once it hears.
 		c.raiseWanted = true
-		signal(c.commitSignal)
+		wait.Signal(c.commitSignal)
 	}
-	signal(c.planSignal)
+	wait.Signal(c.planSignal)
 }
 
 // underCurrentGeneration tells whether the place's start went out under this generation.
--- a/internal/claim/promote.go
+++ b/internal/claim/promote.go
@@ -11,6 +11,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 	"github.com/pebbletrail/pebbletrail/internal/record"
 	"github.com/pebbletrail/pebbletrail/internal/state"
+	"github.com/pebbletrail/pebbletrail/internal/wait"
 )
 
 // collectWaiting collects what may be stored of jobs that wait: those that become
@@ -109,7 +110,7 @@
 	}
 	if c.jobs.Get(id) == nil {
 		c.addJob(entry.becomes, revision, now)
-		signal(c.planSignal)
+		wait.Signal(c.planSignal)
 	}
 }
 
--- a/internal/claim/recovery.go
+++ b/internal/claim/recovery.go
@@ -7,6 +7,7 @@
 
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 	"github.com/pebbletrail/pebbletrail/internal/record"
+	"github.com/pebbletrail/pebbletrail/internal/wait"
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
@@ -29,8 +30,8 @@
 			c.addJob(rec, revisions[id], now)
 		}
 	}
-	signal(c.planSignal)
-	signal(c.commitSignal)
+	wait.Signal(c.planSignal)
+	wait.Signal(c.commitSignal)
 }
 
 // discardJob takes back what news told of a job before the records were loaded.
@@ -74,7 +75,7 @@
 	if job == nil {
 		if rec != nil && !c.jobs.IsRetired(id) && !rec.Status.IsTerminal() {
 			c.addJob(rec, revision, now)
-			signal(c.planSignal)
+			wait.Signal(c.planSignal)
 		}
 		return
 	}
--- a/internal/claim/rollouts.go
+++ b/internal/claim/rollouts.go
@@ -4,6 +4,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/eviction"
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 	"github.com/pebbletrail/pebbletrail/internal/rollout"
+	"github.com/pebbletrail/pebbletrail/internal/wait"
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
@@ -36,7 +37,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.evictor.CarryOut(orders) {
-		signal(c.planSignal)
+		wait.Signal(c.planSignal)
 	}
 }
 
--- a/internal/claim/scale_test.go
+++ b/internal/claim/scale_test.go
@@ -221,27 +221,6 @@
 	}
 }
 
-func TestQuestionsBeforeReportsAreOverdueGoToTheLongestSilent(t *testing.T) {
-	t.Parallel()
-	cluster := fleet(t, largestFleet)
-	now := time.Now()
-	for name, machine := range cluster.machines.Machines {
-		var i int
-		fmt.Sscanf(string(name), "host-%d", &i)
-		machine.LastReportAt = now.Add(-1100*time.Millisecond - time.Duration(i*7919%largestFleet)*time.Microsecond*10)
-	}
-	cluster.earlyProbeTokens, cluster.probesIssuedAt = 5, now.Add(-100*time.Millisecond)
-	asked := cluster.dueProbes(now, 1000)
-	if len(asked) != 8 {
-		t.Fatalf("%d machines asked, not the 5 saved up and 3 more", len(asked))
-	}
-	for _, question := range asked {
-		if silent := now.Sub(cluster.machines.Machines[question.machine].LastReportAt); silent < 1100*time.Millisecond+(largestFleet-9)*10*time.Microsecond {
-			t.Errorf("asked %s, silent for %v only", question.machine, silent)
-		}
-	}
-}
-
 func TestATakeoverAsksEachMachineOfALargeFleetOnce(t *testing.T) {
 	t.Parallel()
 	// Counts what a new leader asks and looks at: both grow with the fleet and no faster,
@@ -264,15 +243,15 @@
 		questions, rounds := 0, 0
 		for ; rounds < 1000; rounds++ {
 			now = now.Add(101 * time.Millisecond)
-			asked := next.dueProbes(now, slots)
+			asked := next.DueProbes(now, slots)
 			if len(asked) == 0 || questions >= machines {
 				break
 			}
 			for i, question := range asked {
 				questions++
-				next.probeAnswered(question.machine, true)
-				next.hear(question.machine, []string{"north", "south"}[i%2], 2)
-				next.machines.Machines[question.machine].LastReportAt = now
+				next.ProbeAnswered(question.Machine, true)
+				next.hear(question.Machine, []string{"north", "south"}[i%2], 2)
+				next.machines.Machines[question.Machine].LastReportAt = now
 			}
 		}
 		if questions != machines || rounds > machines/slots+1 {
--- a/internal/claim/settle.go
+++ b/internal/claim/settle.go
@@ -9,6 +9,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/measure"
 	"github.com/pebbletrail/pebbletrail/internal/record"
 	"github.com/pebbletrail/pebbletrail/internal/scheduler"
+	"github.com/pebbletrail/pebbletrail/internal/wait"
 	"github.com/pebbletrail/pebbletrail/internal/worker"
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
@@ -60,19 +61,19 @@
 		machine.UnreachableSince, machine.FailedCalls, machine.SuspectSince, machine.LastProbeAt = now, 0, now, time.Time{}
 	}
 	if firstHeard || v.Restarted || doubted {
-		c.pendingCommands[node] = true // what was held back or placed there before may go out now
+		c.commands.Add(node) // what was held back or placed there before may go out now
 	}
 	if idle {
-		signal(c.planSignal)
+		wait.Signal(c.planSignal)
 	}
 	if firstHeard {
 		machine.IdleSince = now
-		signal(c.planSignal)
+		wait.Signal(c.planSignal)
 	}
 	if !hadNotice && !machine.SpotTerminationAt.IsZero() {
 		c.machines.MarkLeaving(machine.Name)
 		slog.Info("spot notice", "machine", machine.Name, "in", machine.SpotTerminationAt.Sub(now))
-		signal(c.planSignal)
+		wait.Signal(c.planSignal)
 	}
 	// Everything of an earlier session is gone, as the worker forgot it when
 	// its lease lapsed.
@@ -137,7 +138,7 @@
 	}
 	for assignment := range c.capacity.AssignmentsOn(machine.Name) {
 		if !assignment.StartSent {
-			c.pendingCommands[node] = true // its start may have waited for this report
+			c.commands.Add(node) // its start may have waited for this report
 			break
 		}
 	}
@@ -215,7 +216,7 @@
 		c.capacity.EndImagePull(node, assignment)
 	}
 	if assignment.Stopping && assignment.StopSentAt.Before(assignment.StopRequestedAt) {
-		c.pendingCommands[node] = true
+		c.commands.Add(node)
 	}
 	if assignment.Status != reported.State && reported.State == worker.StateRunning {
 		assignment.RunningSince = now
@@ -223,7 +224,7 @@
 	if assignment.Status != reported.State && assignment.Job.Record.Spec.Shape == record.Gang {
 		for _, other := range assignment.Job.Assignments {
 			if !other.StartSent {
-				c.queueCommand(other) // it waited for this one's image
+				c.commands.AddFor(other) // it waited for this one's image
 			}
 		}
 	}
--- a/internal/claim/urgency_test.go
+++ b/internal/claim/urgency_test.go
@@ -192,7 +192,7 @@
 		for tick := ids.SequenceNumber(2); job.Unfinished() > 0 && seconds < 300; tick++ {
 			cluster.Plan(time.Now())
 			c.CommitGroup(ctx)
-			cluster.nextBatches(1000)
+			cluster.NextBatches(1000)
 			cluster.play(tick, func(assignment *workload.Assignment) string {
 				if (assignment.TaskIndex*7+int(tick))%3 == 0 {
 					return "done"
--- /dev/null
+++ b/internal/dispatch/prober.go
@@ -0,0 +1,182 @@
+package dispatch
+
+import (
+	"slices"
+	"time"
+
+	"github.com/pebbletrail/pebbletrail/internal/capacity"
+	"github.com/pebbletrail/pebbletrail/internal/config"
+	"github.com/pebbletrail/pebbletrail/internal/ids"
+	"github.com/pebbletrail/pebbletrail/internal/provisioning"
+	"github.com/pebbletrail/pebbletrail/internal/worker"
+)
+
+// Probe asks a machine for its report.
+type Probe struct {
+	Machine      ids.Machine
+	Address      string
+	FencingToken ids.Generation
+	Incarnation  ids.Incarnation // believed, of a machine that has not reported yet
+}
+
+// Prober picks the machines to ask how they are: one that hangs, is cut off or dead says nothing, while
+// one that only lost its way here answers. After a takeover it asks all that are known, instead of
+// waiting until their workers have found the new leader, and shows them its token.
+type Prober struct {
+	machines *worker.Registry
+	capacity *capacity.Index
+	settings *config.Settings
+	pickedAt time.Time
+	inFlight int
+	// earlyTokens are the probes that may be sent now before a report is overdue.
+	earlyTokens float64
+}
+
+// NewProber makes a prober of the machines in a registry.
+func NewProber(settings *config.Settings, machines *worker.Registry, index *capacity.Index) *Prober {
+	return &Prober{settings: settings, machines: machines, capacity: index}
+}
+
+// reportInterval is how often workers report.
+func (p *Prober) reportInterval() time.Duration { return p.settings.Params.Workers.ReportS.Duration() }
+
+const (
+	// pickInterval spaces the looks for machines to probe.
+	pickInterval = 100 * time.Millisecond
+	// unheardRetry is after how long a machine that never reported is probed again.
+	unheardRetry = time.Second
+	// frequentProbes is how many probes in a row follow one another closely. Whoever left so many
+	// unanswered is judged already; its worker reports by itself once it is back.
+	frequentProbes = 4
+	// earlyProbesPerSecond is how many machines without replicas are probed in a second before their
+	// reports, which come up to a quarter later than their interval, are overdue: in a large fleet half
+	// of all machines are that silent at any time, and to probe each of them costs its leader as much as
+	// their reports do.
+	earlyProbesPerSecond = 30.0
+)
+
+// Due picks the machines to probe now, with at most so many probes in flight: those with replicas first,
+// then whoever waits longest, so that hundreds that are silent take turns.
+func (p *Prober) Due(now time.Time, limit int, fencingToken ids.Generation) (probes []Probe) {
+	if now.Sub(p.pickedAt) < pickInterval {
+		return nil
+	}
+	p.earlyTokens = min(earlyProbesPerSecond, p.earlyTokens+earlyProbesPerSecond*now.Sub(p.pickedAt).Seconds())
+	p.pickedAt = now
+	machines := p.silentMachines(now)
+	slices.SortFunc(machines, p.compareUrgency)
+	for _, machine := range machines[:max(0, min(len(machines), limit-p.inFlight))] {
+		p.inFlight++
+		machine.ProbeInFlight, machine.LastProbeAt = true, now
+		if machine.UnansweredProbes == 0 {
+			machine.SuspectSince = now
+		}
+		probe := Probe{Machine: machine.Name, Address: machine.Addr, FencingToken: fencingToken}
+		if !machine.HasReported {
+			probe.Incarnation = machine.HintedIncarnation
+		}
+		probes = append(probes, probe)
+	}
+	return probes
+}
+
+// silentMachines lists the machines to probe: all that are silent for too long, and of those whose reports
+// are not overdue yet the few that have been silent for longest.
+func (p *Prober) silentMachines(now time.Time) (silent []*worker.Machine) {
+	early := longestSilent{limit: int(p.earlyTokens)}
+	for _, machine := range p.machines.Machines {
+		switch {
+		case machine.Deleting || machine.ProbeInFlight || machine.Addr == "" || !p.isDue(machine, now):
+		case p.isEarly(machine, now):
+			early.add(machine)
+		default:
+			silent = append(silent, machine)
+		}
+	}
+	p.earlyTokens -= float64(len(early.machines))
+	return append(silent, early.machines...)
+}
+
+// isDue tells whether a machine has been silent for long enough to be probed, and was not probed just now.
+func (p *Prober) isDue(machine *worker.Machine, now time.Time) bool {
+	if !machine.HasReported {
+		return !machine.Booting && now.Sub(machine.LastProbeAt) > p.retryDelay(machine)
+	}
+	silent := machine.SilentFor(now) > p.probeAfter(machine) || !machine.UnreachableSince.IsZero()
+	return silent && now.Sub(machine.LastProbeAt) > p.retryDelay(machine)
+}
+
+// isEarly tells whether a machine's report is not overdue yet and nothing else speaks against it.
+func (p *Prober) isEarly(machine *worker.Machine, now time.Time) bool {
+	return machine.HasReported && machine.UnansweredProbes == 0 && machine.UnreachableSince.IsZero() &&
+		machine.SilentFor(now) < p.reportInterval()*5/4 && !p.hasReplicas(machine)
+}
+
+// retryDelay is after how long a machine is probed again.
+func (p *Prober) retryDelay(machine *worker.Machine) time.Duration {
+	delay := p.probeAfter(machine) / 2
+	if !machine.HasReported {
+		delay = unheardRetry
+	}
+	if machine.UnansweredProbes >= frequentProbes {
+		delay = max(delay, p.reportInterval()/2)
+	}
+	return delay
+}
+
+// probeAfter is the silence after which a machine is probed. Where replicas run, nobody waits long for a
+// report: while a machine hangs, they are down, and reports may be far apart.
+func (p *Prober) probeAfter(machine *worker.Machine) time.Duration {
+	after := p.reportInterval() / 2
+	if p.hasReplicas(machine) {
+		after = min(after, provisioning.MaxReplicaSilence*5/8)
+	}
+	return after
+}
+
+// hasReplicas tells whether replicas run on a machine.
+func (p *Prober) hasReplicas(machine *worker.Machine) bool {
+	node := p.capacity.Node(machine.Name)
+	return node != nil && node.Replicas > 0
+}
+
+// compareUrgency orders machines to probe.
+func (p *Prober) compareUrgency(x, y *worker.Machine) int {
+	if first, second := p.hasReplicas(x), p.hasReplicas(y); first != second {
+		if first {
+			return -1
+		}
+		return 1
+	}
+	return x.LastProbeAt.Compare(y.LastProbeAt)
+}
+
+// Answered takes in whether a machine answered its probe; it gives the machine if that is known still.
+func (p *Prober) Answered(name ids.Machine, answered bool) *worker.Machine {
+	p.inFlight--
+	machine := p.machines.Machines[name]
+	if machine == nil {
+		return nil
+	}
+	machine.ProbeInFlight = false
+	if !answered {
+		machine.UnansweredProbes++
+	}
+	return machine
+}
+
+// longestSilent keeps the few machines that have been silent for longest of the many, in a large fleet,
+// whose reports are not overdue yet.
+type longestSilent struct {
+	limit    int
+	machines []*worker.Machine // longest silent first
+}
+
+func (l *longestSilent) add(machine *worker.Machine) {
+	at, _ := slices.BinarySearchFunc(l.machines, machine, func(x, y *worker.Machine) int { return x.LastReportAt.Compare(y.LastReportAt) })
+	if at >= l.limit {
+		return
+	}
+	l.machines = slices.Insert(l.machines, at, machine)
+	l.machines = l.machines[:min(len(l.machines), l.limit)]
+}
--- a/internal/election/pool.go
+++ b/internal/election/pool.go
@@ -11,6 +11,7 @@
 
 	"github.com/pebbletrail/pebbletrail/internal/claim"
 	"github.com/pebbletrail/pebbletrail/internal/config"
+	"github.com/pebbletrail/pebbletrail/internal/dispatch"
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 	"github.com/pebbletrail/pebbletrail/internal/placement"
 	"github.com/pebbletrail/pebbletrail/internal/record"
@@ -45,7 +46,7 @@
 	Generation ids.Generation
 	Cluster    *claim.ClusterState
 	Committer  *claim.Committer
-	Dispatcher *claim.Dispatcher
+	Dispatcher *dispatch.Dispatcher
 	OpenHires  []state.Entry
 	lease      ids.Lease
 	began      time.Time
--- a/internal/election/takeover.go
+++ b/internal/election/takeover.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"github.com/pebbletrail/pebbletrail/internal/claim"
+	"github.com/pebbletrail/pebbletrail/internal/dispatch"
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 	"github.com/pebbletrail/pebbletrail/internal/record"
 	"github.com/pebbletrail/pebbletrail/internal/state"
@@ -113,8 +114,8 @@
 	tctx, cancel := context.WithCancel(ctx)
 	term := &Term{Generation: generation, Cluster: cluster, lease: hold, began: now, renewedAt: sent, loaded: make(chan struct{}), cancel: cancel}
 	term.Committer = claim.NewCommitter(cluster, e.State, e.Settings.HostName, revision)
-	term.Dispatcher = claim.NewDispatcher(cluster, e.Commander, e.Settings.Sockets().ToMachines/4)
-	term.Dispatcher.MayCommand = func() bool { return e.renewedSincePause(term) }
+	mayCommand := func() bool { return e.renewedSincePause(term) }
+	term.Dispatcher = dispatch.New(cluster, e.Commander, e.Settings.Sockets().ToMachines/4, mayCommand)
 	cluster.StartsAllowed = func() (bool, time.Time) { return e.mayStartTasks(term), e.recordsReadAt() }
 	term.Committer.OnSuperseded = func(why string) { go e.stepDown(term, why) }
 	term.Committer.OnStored = term.Dispatcher.Wake
--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -13,3 +13,11 @@
 	case <-time.After(duration):
 	}
 }
+
+// Signal has whoever waits on a channel of capacity one look again; it never blocks.
+func Signal(channel chan<- struct{}) {
+	select {
+	case channel <- struct{}{}:
+	default:
+	}
+}
--- a/internal/worker/messages.go
+++ b/internal/worker/messages.go
@@ -61,9 +61,9 @@
 
 // The verbs of commands.
 const (
-	verbStart = "start"
-	verbStop  = "stop"
-	verbClear = "clear"
+	VerbStart = "start"
+	VerbStop  = "stop"
+	VerbClear = "clear"
 )
 
 // Command is a command to a worker.
@@ -77,17 +77,17 @@
 
 // StartCommand begins an attempt of a task.
 func StartCommand(task ids.Task, attempt ids.Attempt) Command {
-	return Command{Verb: verbStart, Task: task.String(), Attempt: attempt}
+	return Command{Verb: VerbStart, Task: task.String(), Attempt: attempt}
 }
 
 // StopCommand ends a task; a grace period of at least its checkpoint time lets it write a checkpoint.
 func StopCommand(task string, attempt ids.Attempt, grace ids.Seconds) Command {
-	return Command{Verb: verbStop, Task: task, Attempt: attempt, GracePeriod: &grace}
+	return Command{Verb: VerbStop, Task: task, Attempt: attempt, GracePeriod: &grace}
 }
 
 // ClearCommand takes a task that has ended out of the reports.
 func ClearCommand(task string, attempt ids.Attempt) Command {
-	return Command{Verb: verbClear, Task: task, Attempt: attempt}
+	return Command{Verb: VerbClear, Task: task, Attempt: attempt}
 }
 
 // CommandBatch answers a heartbeat, or is the body of direct commands. A worker drops one whose fencing
