--- a/internal/claim/allowances.go
+++ b/internal/claim/allowances.go
@@ -13,13 +13,6 @@
 // processStart is from when this process's settings are.
 var processStart = ids.TimestampOf(time.Now())
 
-// LastGenerationRevision is the generation's revision that this leader's writes depend on.
-func (c *Committer) LastGenerationRevision() ids.Revision {
-	c.writeSlot <- struct{}{}
-	defer func() { <-c.writeSlot }()
-	return c.GenerationRevision
-}
-
 // LoadAllowances takes in the ledgers read at a takeover.
 func (c *ClusterState) LoadAllowances(entries []state.Entry) {
 	c.mu.Lock()
--- a/internal/claim/apply_test.go
+++ b/internal/claim/apply_test.go
@@ -22,7 +22,7 @@
 		client := state.NewClient("state:1", network.Client("a"), state.NewBudget(1000, 1000, 1, 0.6))
 		cluster := testBook()
 		cluster.settings.Params.State.ValueKB = 2
-		committer := NewCommitter(cluster, client, "a", 0)
+		committer := newCommitter(cluster, client)
 		long := []byte(`"` + strings.Repeat("x", 3000) + `"`)
 		err := committer.Apply(context.Background(), []state.Op{{Put: record.TypesKey, Value: long}})
 		if !errors.Is(err, state.ErrMalformed) || store.TooLarge > 0 {
--- a/internal/claim/cancellation.go
+++ b/internal/claim/cancellation.go
@@ -1,11 +1,8 @@
 package claim
 
 import (
-	"context"
-
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 	"github.com/pebbletrail/pebbletrail/internal/record"
-	"github.com/pebbletrail/pebbletrail/internal/state"
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
@@ -45,21 +42,3 @@
 	}
 	c.cancelJob(job)
 }
-
-// readCancellation finds out why a write was refused for a cancellation stored apart
-// from the job's record; it is false if the state service does not tell.
-func (c *Committer) readCancellation(ctx context.Context, id ids.Job) bool {
-	entry, found, err := c.State.Get(ctx, record.CancelKey(id), state.Urgent)
-	if err != nil {
-		return false
-	}
-	cluster := c.Cluster
-	cluster.mu.Lock()
-	defer cluster.mu.Unlock()
-	if found {
-		cluster.applyCancellation(id, entry.Revision)
-	} else {
-		delete(cluster.cancellations, id)
-	}
-	return true
-}
--- a/internal/claim/cluster_state_test.go
+++ b/internal/claim/cluster_state_test.go
@@ -6,6 +6,7 @@
 	"testing"
 	"time"
 
+	"github.com/pebbletrail/pebbletrail/internal/commit"
 	"github.com/pebbletrail/pebbletrail/internal/config"
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 	"github.com/pebbletrail/pebbletrail/internal/placement"
@@ -38,6 +39,11 @@
 	c.scheduler.Quota = c.quota
 }
 
+// newCommitter is a committer of a cluster state's changes.
+func newCommitter(cluster *ClusterState, store *state.Client) *commit.Committer {
+	return commit.New(cluster, store, "a", cluster.keys, 0, commit.Events{})
+}
+
 func testTypes() []placement.InstanceType {
 	return []placement.InstanceType{{Label: "small", Cores: 4, RAM: 16, CacheGB: 20, PullGBPerS: 1, Price: 1, SpotPrice: 0.4, BootS: 30, Zones: []string{"north", "south"}}}
 }
@@ -683,11 +689,11 @@
 	cluster.hear("m1", "north", 1)
 	cluster.HandleRecord("job-1", 1, newRecord("job-1", "blue", record.Normal, 2, 1), now)
 	cluster.Plan(now)
-	c := &Committer{Cluster: cluster, State: state.NewClient("s", nil, state.NewBudget(100, 100, 1, 0.6))}
+	limits := commit.LimitsOf(state.NewBudget(100, 100, 1, 0.6))
 	store := func() int {
-		group := c.collectGroup()
-		for _, entry := range group {
-			cluster.entryStored(entry, entry.job.Revision+1)
+		group, _ := cluster.CollectChanges(limits)
+		for _, change := range group {
+			cluster.changeStored(change, change.Job.Revision+1)
 		}
 		cluster.NextBatches(1000)
 		return len(group)
@@ -726,7 +732,7 @@
 	}
 	// A record that comes out larger all the same gives up what has not
 	// started, and the job goes on in smaller batches.
-	cluster.handleOversize(cluster.jobs.Get("job-2"), 8192)
+	cluster.handleOversize(cluster.jobs.Get("job-2"))
 	cluster.Plan(now)
 	if n := len(cluster.jobs.Get("job-2").Assignments); n == 0 || n > limit/2 {
 		t.Errorf("%d places after the record did not fit", n)
--- a/internal/claim/pipeline.go
+++ b/internal/claim/dependencies.go
@@ -10,26 +10,20 @@
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// waitingJob is the record of a job that awaits others, in the leader's memory.
-type waitingJob struct {
-	record   *record.Record
-	revision ids.Revision
-}
-
-func (waiting *waitingJob) id() ids.Job { return waiting.record.Spec.ID }
-
 // dependencyState is what the leader knows of jobs that await others.
 type dependencyState struct {
 	graph   *dependency.Graph
-	waiting map[ids.Job]*waitingJob
+	waiting map[ids.Job]*workload.WaitingJob
 	lookups map[ids.Job]time.Time // ended jobs of which it is not known how, and when to ask
+	// movedLast tells that the last group of changes moved waiting jobs.
+	movedLast bool
 	// departed are jobs of which news told, before the records were loaded, that they wait
 	// no more: the copy to load may be older. It is nil from then on.
 	departed map[ids.Job]ids.Revision
 }
 
 func newDependencyState() dependencyState {
-	return dependencyState{graph: dependency.New(), waiting: map[ids.Job]*waitingJob{}, lookups: map[ids.Job]time.Time{},
+	return dependencyState{graph: dependency.New(), waiting: map[ids.Job]*workload.WaitingJob{}, lookups: map[ids.Job]time.Time{},
 		departed: map[ids.Job]ids.Revision{}}
 }
 
@@ -40,7 +34,7 @@
 	defer c.mu.Unlock()
 	waiting := c.dependencies.waiting[id]
 	switch {
-	case rec == nil && waiting != nil && revision > waiting.revision:
+	case rec == nil && waiting != nil && revision > waiting.Revision:
 		// Its user cancelled it, or it is this leader's own move, whose answer is
 		// on its way or lost: then the next try of it finds out.
 		if !c.inShard(id) || !c.dependencies.graph.IsReady(id) && c.dependencies.graph.CancelledBy(id) == "" {
@@ -50,7 +44,7 @@
 	case rec == nil && waiting == nil && c.dependencies.departed != nil:
 		c.dependencies.departed[id] = revision
 	case rec != nil && c.isUnknown(id):
-		c.addWaitingJobs(now, &waitingJob{rec, revision})
+		c.addWaitingJobs(now, &workload.WaitingJob{Record: rec, Revision: revision})
 	}
 }
 
@@ -58,10 +52,10 @@
 func (c *ClusterState) LoadWaitingJobs(records map[ids.Job]*record.Record, revisions map[ids.Job]ids.Revision, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var added []*waitingJob
+	var added []*workload.WaitingJob
 	for id, rec := range records {
 		if c.isUnknown(id) && c.dependencies.departed[id] <= revisions[id] {
-			added = append(added, &waitingJob{rec, revisions[id]})
+			added = append(added, &workload.WaitingJob{Record: rec, Revision: revisions[id]})
 		}
 	}
 	c.dependencies.departed = nil
@@ -73,18 +67,18 @@
 	return c.dependencies.waiting[id] == nil && c.jobs.Get(id) == nil && !c.jobs.IsRetired(id)
 }
 
-func (c *ClusterState) addWaitingJobs(now time.Time, added ...*waitingJob) {
+func (c *ClusterState) addWaitingJobs(now time.Time, added ...*workload.WaitingJob) {
 	jobs := make([]dependency.Job, len(added))
 	for i, waiting := range added {
-		id, spec := waiting.id(), &waiting.record.Spec
+		id, spec := waiting.ID(), &waiting.Record.Spec
 		c.dependencies.waiting[id] = waiting
 		delete(c.dependencies.lookups, id)
 		jobs[i] = dependency.Job{ID: id, DependsOn: spec.DependsOn, Duration: c.estimates.JobDuration(spec),
-			Urgency: dependency.Urgency{Priority: int(spec.Priority), Deadline: deadline(waiting.record)}}
+			Urgency: dependency.Urgency{Priority: int(spec.Priority), Deadline: deadline(waiting.Record)}}
 	}
 	c.applyGraphChanges(c.dependencies.graph.Add(jobs...))
 	for _, waiting := range added {
-		for _, need := range waiting.record.Spec.DependsOn {
+		for _, need := range waiting.Record.Spec.DependsOn {
 			c.checkAwaited(need, now)
 		}
 	}
@@ -110,9 +104,9 @@
 }
 
 // removeWaitingJob takes a job out of those that wait; those that need it stay indexed.
-func (c *ClusterState) removeWaitingJob(waiting *waitingJob) {
-	delete(c.dependencies.waiting, waiting.id())
-	c.applyGraphChanges(c.dependencies.graph.Remove(waiting.id()))
+func (c *ClusterState) removeWaitingJob(waiting *workload.WaitingJob) {
+	delete(c.dependencies.waiting, waiting.ID())
+	c.applyGraphChanges(c.dependencies.graph.Remove(waiting.ID()))
 }
 
 // scheduleLookup has it looked up how a job ended.
@@ -171,7 +165,7 @@
 // refreshDurations takes in that fetches may take another time than thought.
 func (c *ClusterState) refreshDurations() {
 	c.applyGraphChanges(c.dependencies.graph.UpdateDurations(func(id ids.Job) time.Duration {
-		return c.estimates.JobDuration(&c.dependencies.waiting[id].record.Spec)
+		return c.estimates.JobDuration(&c.dependencies.waiting[id].Record.Spec)
 	}))
 }
 
--- a/internal/claim/inheritance_test.go
+++ b/internal/claim/inheritance_test.go
@@ -5,6 +5,7 @@
 	"testing/synctest"
 	"time"
 
+	"github.com/pebbletrail/pebbletrail/internal/commit"
 	"github.com/pebbletrail/pebbletrail/internal/config"
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 	"github.com/pebbletrail/pebbletrail/internal/record"
@@ -79,8 +80,8 @@
 		diamond(cluster, now)
 		cluster.jobEnded("job-1", record.Done)
 		waiting := cluster.dependencies.waiting["job-2"]
-		moved := *waiting.record
-		cluster.waitingJobMoved(groupEntry{waiting: waiting, becomes: &moved}, 5, now)
+		moved := *waiting.Record
+		cluster.waitingJobMoved(commit.Change{Waiting: waiting, Becomes: &moved}, 5, now)
 		if job := cluster.jobs.Get("job-2"); job == nil || job.EffectivePriority() != record.High || job.Inherited.Deadline.Sub(now) != 189*time.Second {
 			t.Errorf("the branch that moved is %+v", job)
 		}
--- a/internal/claim/other_shards.go
+++ b/internal/claim/other_shards.go
@@ -33,13 +33,6 @@
 	}
 }
 
-// cancelLookup gives up looking up how a job ended: it is live, and news will tell.
-func (c *ClusterState) cancelLookup(id ids.Job) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	delete(c.dependencies.lookups, id)
-}
-
 // HandleOtherShardChange takes in that something changed of a job of another shard.
 func (c *ClusterState) HandleOtherShardChange(id ids.Job, now time.Time) {
 	c.mu.Lock()
--- a/internal/claim/outcomes_test.go
+++ b/internal/claim/outcomes_test.go
@@ -8,6 +8,7 @@
 	"testing/synctest"
 	"time"
 
+	"github.com/pebbletrail/pebbletrail/internal/commit"
 	"github.com/pebbletrail/pebbletrail/internal/fake"
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 	"github.com/pebbletrail/pebbletrail/internal/record"
@@ -58,13 +59,14 @@
 func numbered(n int) ids.Job { return ids.Job(fmt.Sprintf("job-%d", n)) }
 
 // lookUpAll runs passes until nothing is left to look up, and tells how many.
-func lookUpAll(t *testing.T, c *Committer) (passes int) {
-	for len(c.Cluster.dependencies.lookups) > 0 {
+func lookUpAll(t *testing.T, cluster *ClusterState, c *commit.Committer) (passes int) {
+	t.Helper()
+	for len(cluster.dependencies.lookups) > 0 {
 		if passes++; passes > 100 {
-			t.Fatalf("%d are still not known", len(c.Cluster.dependencies.lookups))
+			t.Fatalf("%d are still not known", len(cluster.dependencies.lookups))
 		}
-		c.lookUpOnce(context.Background())
-		time.Sleep(lookupInterval)
+		c.LookUpOnce(context.Background())
+		time.Sleep(commit.LookupInterval)
 	}
 	return passes
 }
@@ -75,18 +77,18 @@
 	synctest.Test(t, func(t *testing.T) {
 		h := newHistory(t, 100000, 20000, 100400)
 		cluster := testBook()
-		c := NewCommitter(cluster, h.state, "a", 0)
+		c := newCommitter(cluster, h.state)
 		for k := range 50 {
 			id := numbered(200000 + k)
 			cluster.HandleWaitingJob(id, 1, waits(id, record.Low, 0, numbered(100000+400*k)), time.Now())
 		}
 		before := h.calls
-		c.lookUpOnce(context.Background())
-		if n := h.calls - before; n > lookupReadsPerPass+1 {
+		c.LookUpOnce(context.Background())
+		if n := h.calls - before; n > commit.LookupReadsPerPass+1 {
 			t.Errorf("one pass made %d calls", n)
 		}
-		lookUpAll(t, c)
-		if h.calls > 52 || h.store.Listed > 2*lookupPageSize {
+		lookUpAll(t, cluster, c)
+		if h.calls > 52 || h.store.Listed > 2*commit.LookupPageSize {
 			t.Errorf("50 ends of 20000 took %d calls and %d records in lists", h.calls, h.store.Listed)
 		}
 		if ready, cancelled := cluster.dependencies.graph.Counts(); ready != 49 || cancelled != 1 {
@@ -101,12 +103,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		h := newHistory(t, 100000, 20000)
 		cluster := testBook()
-		c := NewCommitter(cluster, h.state, "a", 0)
+		c := newCommitter(cluster, h.state)
 		for k := range 3000 {
 			id := numbered(200000 + k)
 			cluster.HandleWaitingJob(id, 1, waits(id, record.Low, 0, numbered(110000+k)), time.Now())
 		}
-		passes := lookUpAll(t, c)
+		passes := lookUpAll(t, cluster, c)
 		if ready, _ := cluster.dependencies.graph.Counts(); ready != 3000 || passes > 2 || h.calls > 6+1 {
 			t.Errorf("%d of 3000 are ready after %d passes and %d calls", ready, passes, h.calls)
 		}
@@ -119,7 +121,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		h := newHistory(t, 100000, 100)
 		cluster := testBook()
-		c := NewCommitter(cluster, h.state, "a", 0)
+		c := newCommitter(cluster, h.state)
 		for k := range 120 { // the last 20 did not end; one of them is live, unknown to the leader
 			id := numbered(200000 + k)
 			cluster.HandleWaitingJob(id, 1, waits(id, record.Low, 0, numbered(100000+k)), time.Now())
@@ -128,17 +130,17 @@
 		if _, err := h.state.Commit(context.Background(), state.Txn{Ops: []state.Op{{Put: record.JobKey(numbered(100110)), Value: raw}}}, state.Urgent); err != nil {
 			t.Fatal(err)
 		}
-		c.lookUpOnce(context.Background())
+		c.LookUpOnce(context.Background())
 		if ready, _ := cluster.dependencies.graph.Counts(); ready != 100 || cluster.jobs.Get(numbered(100110)) == nil {
 			t.Errorf("%d are ready, the live one is known: %v", ready, cluster.jobs.Get(numbered(100110)) != nil)
 		}
 		calls := h.calls
-		c.lookUpOnce(context.Background())
+		c.LookUpOnce(context.Background())
 		if h.calls > calls {
 			t.Errorf("%d calls at once for what was not there a moment ago", h.calls-calls)
 		}
 		time.Sleep(lookupRetryDelay)
-		c.lookUpOnce(context.Background())
+		c.LookUpOnce(context.Background())
 		if h.calls == calls {
 			t.Error("what was not there is not looked for again")
 		}
--- a/internal/claim/oversize.go
+++ b/internal/claim/oversize.go
@@ -12,7 +12,7 @@
 // place and it must not hold room for ever; from then on fewer tasks of the job are
 // claimed at a time. Tasks that may be on machines stay: the record becomes smaller as
 // they end, and is not tried again before it has changed.
-func (c *ClusterState) handleOversize(job *workload.Job, limit int) {
+func (c *ClusterState) handleOversize(job *workload.Job) {
 	if !job.Oversize {
 		slog.Warn("record too large to store; fewer tasks at a time", "job", job.Record.Spec.ID, "places", len(job.Assignments))
 	}
@@ -25,7 +25,7 @@
 		c.markChanged(job)
 	}
 	if single && len(job.Assignments) == 0 {
-		c.forgetScattered(job, limit)
+		c.forgetScattered(job)
 	}
 }
 
@@ -46,7 +46,7 @@
 // has no room for a single place: of the finished tasks only the longest runs are kept,
 // so that half of the value is free again for places. The others start again; as their
 // results are kept, they exit as done once they have their image.
-func (c *ClusterState) forgetScattered(job *workload.Job, limit int) {
+func (c *ClusterState) forgetScattered(job *workload.Job) {
 	if job.Record.Finished.SpanCount() < 2 {
 		return // that is not what makes it large
 	}
@@ -56,7 +56,7 @@
 		job.KeptRuns = runs
 		rec := job.Record
 		rec.Events = nil
-		if _, fits := rec.Encode(limit / 2); fits {
+		if _, fits := rec.Encode(c.ValueLimit() / 2); fits {
 			break
 		}
 	}
--- a/internal/claim/oversize_record_test.go
+++ b/internal/claim/oversize_record_test.go
@@ -6,6 +6,7 @@
 	"testing"
 	"time"
 
+	"github.com/pebbletrail/pebbletrail/internal/commit"
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 	"github.com/pebbletrail/pebbletrail/internal/record"
 	"github.com/pebbletrail/pebbletrail/internal/state"
@@ -46,20 +47,20 @@
 	// Guards against encoding a large record four times a second for nothing.
 	cluster := testBook()
 	job := cluster.addJob(newRecord("job-1", "blue", record.Low, 10, 1), 1, time.Now())
-	c := NewCommitter(cluster, state.NewClient("state:1", nil, state.NewBudget(1000, 1000, 1, 0.6)), "a", 0)
+	limits := commit.LimitsOf(state.NewBudget(1000, 1000, 1, 0.6))
 	cluster.markChanged(job)
 	cluster.markUrgent(job)
 	limit := cluster.settings.Params.State.ValueKB
 	cluster.settings.Params.State.ValueKB = 0.01
-	if group := c.collectGroup(); len(group) != 0 || job.OversizeVersion != job.Version {
+	if group, _ := cluster.CollectChanges(limits); len(group) != 0 || job.OversizeVersion != job.Version {
 		t.Fatalf("%d writes of a record that does not fit", len(group))
 	}
 	cluster.settings.Params.State.ValueKB = limit
-	if group := c.collectGroup(); len(group) != 0 {
+	if group, _ := cluster.CollectChanges(limits); len(group) != 0 {
 		t.Error("it is encoded again unchanged")
 	}
 	cluster.markChanged(job)
-	if group := c.collectGroup(); len(group) != 1 {
+	if group, _ := cluster.CollectChanges(limits); len(group) != 1 {
 		t.Errorf("%d writes once it has changed", len(group))
 	}
 }
--- a/internal/claim/pipeline_times_test.go
+++ b/internal/claim/pipeline_times_test.go
@@ -5,6 +5,7 @@
 	"testing/synctest"
 	"time"
 
+	"github.com/pebbletrail/pebbletrail/internal/commit"
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 	"github.com/pebbletrail/pebbletrail/internal/record"
 	"github.com/pebbletrail/pebbletrail/internal/workload"
@@ -15,13 +16,12 @@
 	// in which it could not start.
 	synctest.Test(t, func(t *testing.T) {
 		cluster := testBook()
-		committer := NewCommitter(cluster, nil, "a", 1)
 		cluster.HandleWaitingJob("job-2", 3, waits("job-2", record.Low, 0, "job-1"), time.Now())
 		time.Sleep(300 * time.Second)
 		cluster.mu.Lock()
 		defer cluster.mu.Unlock()
 		cluster.jobEnded("job-1", record.Done)
-		committer.collectWaiting(false, func(entry groupEntry) bool { cluster.entryStored(entry, 9); return true })
+		cluster.collectReadyMoves(func(change commit.Change) bool { cluster.changeStored(change, 9); return true })
 		job := cluster.jobs.Get("job-2")
 		if job == nil {
 			t.Fatal("it still waits")
--- a/internal/claim/production_test.go
+++ b/internal/claim/production_test.go
@@ -8,6 +8,7 @@
 	"testing"
 	"time"
 
+	"github.com/pebbletrail/pebbletrail/internal/commit"
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 	"github.com/pebbletrail/pebbletrail/internal/record"
 	"github.com/pebbletrail/pebbletrail/internal/workload"
@@ -67,7 +68,7 @@
 		sameJSON(t, name+" through the book", raw, want)
 	}
 	want := golden(t, "generation.json")
-	var generation GenerationRecord
+	var generation commit.GenerationRecord
 	if err := json.Unmarshal(want, &generation); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/claim/promote_test.go
+++ b/internal/claim/promote_test.go
@@ -62,7 +62,7 @@
 		h.state = h.leader(80)
 		cluster := testBook()
 		cluster.hear("m1", "north", 1)
-		c := NewCommitter(cluster, h.state, "a", 0)
+		c := newCommitter(cluster, h.state)
 		first := h.storeLive(t, cluster, newRecord("job-500", "red", record.Low, 1, 1))
 		h.storeWaiting(t, cluster, fan(2000, "job-500")...)
 		h.store.SetLimits(8192, cluster.settings.Params.State.TxnOps)
@@ -111,7 +111,7 @@
 		h := newHistory(t, 1, 1)
 		cluster := testBook()
 		cluster.hear("m1", "north", 1)
-		c := NewCommitter(cluster, h.state, "a", 0)
+		c := newCommitter(cluster, h.state)
 		h.storeLive(t, cluster, newRecord("job-500", "red", record.Low, 1, 1))
 		high := waits("job-9000", record.Low, 0, "job-500")
 		h.storeWaiting(t, cluster, append(fan(300, "job-500"), high, waits("job-9001", record.High, 0, "job-9000"))...)
@@ -151,9 +151,9 @@
 			records = append(records, waits(numbered(10000+k), record.High, 1000, numbered(1000+k), numbered(1+k%100)))
 		}
 		h.storeWaiting(t, cluster, records...)
-		c := NewCommitter(cluster, h.state, "a", 0)
+		c := newCommitter(cluster, h.state)
 		h.calls = 0
-		if passes := lookUpAll(t, c); passes > 3 || h.calls > 3 {
+		if passes := lookUpAll(t, cluster, c); passes > 3 || h.calls > 3 {
 			t.Errorf("the ends that they await took %d passes and %d calls", passes, h.calls)
 		}
 		if ranked := len(cluster.scheduler.Ranked(now)); ranked != 1 || len(cluster.jobs.Ordered()) != 1 {
--- a/internal/claim/urgency_test.go
+++ b/internal/claim/urgency_test.go
@@ -105,7 +105,7 @@
 		store := state.NewClient("state:1", n.Client("a"), state.NewBudget(1000, 1000, 1, 0.6))
 		ctx := context.Background()
 		cluster := testBook()
-		c := NewCommitter(cluster, store, "a", 0)
+		c := newCommitter(cluster, store)
 		records, revisions := map[ids.Job]*record.Record{}, map[ids.Job]ids.Revision{}
 		for i := range 3000 {
 			live, over := ids.Job(fmt.Sprintf("job-%d", 10000+i/10)), ids.Job(fmt.Sprintf("job-%d", 20000+i/10))
@@ -124,7 +124,7 @@
 		}
 		cluster.LoadWaitingJobs(records, revisions, time.Now())
 		calls = 0
-		c.lookUpOnce(ctx)
+		c.LookUpOnce(ctx)
 		if calls > 5 || len(cluster.dependencies.lookups) != 0 {
 			t.Errorf("%d calls for 300 ends, %d still not known", calls, len(cluster.dependencies.lookups))
 		}
@@ -176,7 +176,7 @@
 			t.Fatal(err)
 		}
 		cluster.Load(map[ids.Job]*record.Record{"job-1": stored}, map[ids.Job]ids.Revision{"job-1": ids.Revision(epoch)}, ids.Revision(epoch), time.Now())
-		c := NewCommitter(cluster, store, "a", 0)
+		c := newCommitter(cluster, store)
 		job := cluster.jobs.Get("job-1")
 		open := len(job.Assignments)
 		cluster.markChanged(job)
--- a/internal/claim/waiting_test.go
+++ b/internal/claim/waiting_test.go
@@ -8,8 +8,10 @@
 	"testing"
 	"time"
 
+	"github.com/pebbletrail/pebbletrail/internal/commit"
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 	"github.com/pebbletrail/pebbletrail/internal/record"
+	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
 // manyNeeds are the names of n jobs, which begin alike.
@@ -74,24 +76,28 @@
 		needed := c.needed
 		cluster := testBook()
 		cluster.settings.Params.State.ValueKB = limit / 1024
-		committer := NewCommitter(cluster, nil, "a", 1)
 		rec := newRecord("job-9", "blue", record.Normal, 4, 1)
 		rec.Spec.DependsOn = manyNeeds(c.needs)
 		if _, ok := rec.EncodeWaiting(limit); !ok {
 			t.Fatalf("%d names do not fit", c.needs)
 		}
 		cluster.mu.Lock()
-		cluster.addWaitingJobs(now, &waitingJob{rec, 3})
+		cluster.addWaitingJobs(now, &workload.WaitingJob{Record: rec, Revision: 3})
 		for _, need := range rec.Spec.DependsOn {
 			cluster.jobEnded(need, needed)
 		}
-		var moves []groupEntry
-		committer.collectWaiting(needed != record.Done, func(entry groupEntry) bool { moves = append(moves, entry); return true })
+		var moves []commit.Change
+		add := func(change commit.Change) bool { moves = append(moves, change); return true }
+		if needed == record.Done {
+			cluster.collectReadyMoves(add)
+		} else {
+			cluster.collectCancelledMoves(add)
+		}
 		cluster.mu.Unlock()
 		if len(moves) != 1 {
 			t.Fatalf("%s: %d moves", needed, len(moves))
 		}
-		raw := moves[0].ops[1].Value
+		raw := moves[0].Ops[1].Value
 		if len(raw) > limit {
 			t.Errorf("%s: %d bytes", needed, len(raw))
 		}
--- a/internal/election/pool.go
+++ b/internal/election/pool.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"github.com/pebbletrail/pebbletrail/internal/claim"
+	"github.com/pebbletrail/pebbletrail/internal/commit"
 	"github.com/pebbletrail/pebbletrail/internal/config"
 	"github.com/pebbletrail/pebbletrail/internal/dispatch"
 	"github.com/pebbletrail/pebbletrail/internal/ids"
@@ -45,7 +46,7 @@
 type Term struct {
 	Generation ids.Generation
 	Cluster    *claim.ClusterState
-	Committer  *claim.Committer
+	Committer  *commit.Committer
 	Dispatcher *dispatch.Dispatcher
 	OpenHires  []state.Entry
 	lease      ids.Lease
@@ -242,7 +243,7 @@
 	}
 	e.checkIsolation(term)
 	if entry, found, ready := e.poolMirror.Get(e.keys.Generation()); ready && found {
-		var stored claim.GenerationRecord
+		var stored commit.GenerationRecord
 		if json.Unmarshal(entry.Value, &stored) == nil && stored.Generation > term.Cluster.Generation() && !strings.HasPrefix(stored.Writer, e.incarnation+"/") {
 			e.stepDown(term, "another leader raised the generation")
 		}
--- a/internal/election/takeover.go
+++ b/internal/election/takeover.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"github.com/pebbletrail/pebbletrail/internal/claim"
+	"github.com/pebbletrail/pebbletrail/internal/commit"
 	"github.com/pebbletrail/pebbletrail/internal/dispatch"
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 	"github.com/pebbletrail/pebbletrail/internal/record"
@@ -61,7 +62,7 @@
 			return err
 		}
 	}
-	var previous claim.GenerationRecord
+	var previous commit.GenerationRecord
 	ge, found, err := e.State.Get(ctx, e.keys.Generation(), state.Urgent)
 	if err != nil {
 		return err
@@ -79,7 +80,7 @@
 	generation := previous.Generation + 1
 	writer := fmt.Sprintf("%s/%d", e.incarnation, generation)
 	oraw, _ := json.Marshal(leaderRecord{e.Settings.HostName, writer, hold, generation})
-	graw, _ := json.Marshal(claim.GenerationRecord{Generation: generation, Node: e.Settings.HostName, Writer: writer})
+	graw, _ := json.Marshal(commit.GenerationRecord{Generation: generation, Node: e.Settings.HostName, Writer: writer})
 	epoch, err := e.State.Commit(ctx, state.Txn{
 		Conditions: []state.Condition{{Key: e.keys.Leader()}, {Key: e.keys.Generation(), Revision: ge.Revision}},
 		Ops:        []state.Op{{Put: e.keys.Leader(), Value: oraw, Lease: hold}, {Put: e.keys.Generation(), Value: graw}},
@@ -87,7 +88,7 @@
 	if errors.Is(err, state.ErrOutcomeUnknown) {
 		// Read back what became of it.
 		entry, found, rerr := e.State.Get(ctx, e.keys.Generation(), state.Urgent)
-		var stored claim.GenerationRecord
+		var stored commit.GenerationRecord
 		if rerr == nil && found && json.Unmarshal(entry.Value, &stored) == nil && stored.Writer == writer {
 			epoch, err = ids.StoreRevision(entry.Revision), nil
 		}
@@ -100,7 +101,7 @@
 }
 
 // beginTerm starts a term.
-func (e *Elector) beginTerm(ctx context.Context, previous claim.GenerationRecord, generation ids.Generation, writer string, hold ids.Lease, revision ids.Revision, sent time.Time) {
+func (e *Elector) beginTerm(ctx context.Context, previous commit.GenerationRecord, generation ids.Generation, writer string, hold ids.Lease, revision ids.Revision, sent time.Time) {
 	now := time.Now()
 	w := &e.Settings.Params.Workers
 	trust := now.Add(e.Settings.LeaderGracePeriod().WithClockDrift() + w.LeaseS.WithClockDrift())
@@ -113,12 +114,13 @@
 	}
 	tctx, cancel := context.WithCancel(ctx)
 	term := &Term{Generation: generation, Cluster: cluster, lease: hold, began: now, renewedAt: sent, loaded: make(chan struct{}), cancel: cancel}
-	term.Committer = claim.NewCommitter(cluster, e.State, e.Settings.HostName, revision)
 	mayCommand := func() bool { return e.renewedSincePause(term) }
 	term.Dispatcher = dispatch.New(cluster, e.Commander, e.Settings.Sockets().ToMachines/4, mayCommand)
 	cluster.StartsAllowed = func() (bool, time.Time) { return e.mayStartTasks(term), e.recordsReadAt() }
-	term.Committer.OnSuperseded = func(why string) { go e.stepDown(term, why) }
-	term.Committer.OnStored = term.Dispatcher.Wake
+	term.Committer = commit.New(cluster, e.State, e.Settings.HostName, e.keys, revision, commit.Events{
+		Superseded: func(why string) { go e.stepDown(term, why) },
+		Stored:     term.Dispatcher.Wake,
+	})
 	e.State.Budget().LeadershipChanged(true)
 	e.mu.Lock()
 	cluster.ApplyHints(&e.hints, now)
@@ -196,7 +198,7 @@
 // watchLeader notes whose generation it is and since when.
 func (e *Elector) watchLeader() {
 	entry, found, ready := e.poolMirror.Get(e.keys.Generation())
-	var stored claim.GenerationRecord
+	var stored commit.GenerationRecord
 	if !ready || !found || json.Unmarshal(entry.Value, &stored) != nil {
 		return
 	}
@@ -212,7 +214,7 @@
 // for longer than the grace of whoever was before it; otherwise none is named, and
 // all must be asked. In a zone that is cut off there may be controllers, which
 // cannot confirm anything, and need not.
-func (e *Elector) possibleLeaders(previous claim.GenerationRecord, now time.Time) []ids.Node {
+func (e *Elector) possibleLeaders(previous commit.GenerationRecord, now time.Time) []ids.Node {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if previous.Writer == "" || previous.Node == e.Settings.HostName || previous.Writer != e.last.writer || now.Sub(e.last.since) < e.Settings.LeaderGracePeriod().WithClockDrift()+time.Second {
