--- a/internal/claim/cluster_state.go
+++ b/internal/claim/cluster_state.go
@@ -20,6 +20,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/placement"
 	"github.com/pebbletrail/pebbletrail/internal/provisioning"
 	"github.com/pebbletrail/pebbletrail/internal/quota"
+	"github.com/pebbletrail/pebbletrail/internal/reconcile"
 	"github.com/pebbletrail/pebbletrail/internal/record"
 	"github.com/pebbletrail/pebbletrail/internal/scheduler"
 	"github.com/pebbletrail/pebbletrail/internal/wait"
@@ -64,6 +65,7 @@
 	raiseWanted  bool // the generation should rise to turn late starts away
 	scheduler    *scheduler.Scheduler
 	planner      *provisioning.Planner
+	reconciler   *reconcile.Reconciler
 	zones        *liveness.Zones
 	closed       bool
 	loaded       bool // all records were read after the takeover
@@ -117,6 +119,7 @@
 	c.scheduler = newScheduler(c)
 	c.evictor = newEvictor(c)
 	c.planner = newPlanner(c)
+	c.reconciler = newReconciler(c)
 	return c
 }
 
--- a/internal/claim/lapses.go
+++ b/internal/claim/lapses.go
@@ -1,39 +1,12 @@
 package claim
 
 import (
-	"log/slog"
 	"time"
 
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 	"github.com/pebbletrail/pebbletrail/internal/wait"
-	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// markLost requeues a task proven not to be on its machine any more.
-func (c *ClusterState) markLost(assignment *workload.Assignment, why string) {
-	job := assignment.Job
-	if machine := c.machines.Machines[assignment.Machine]; machine != nil {
-		// By what evidence, should it turn out to be wrong.
-		slog.Info("task gone", "task", assignment.Task(), "machine", assignment.Machine, "why", why, "attempt", assignment.Attempt, "token", assignment.FencingToken, "session", assignment.Incarnation,
-			"seen", assignment.Confirmed, "heard", machine.HasReported, "reportToken", machine.FencingToken, "reportSession", machine.Incarnation, "reportTick", machine.Sequence)
-	}
-	if !job.Ended {
-		c.recordLoss(assignment, why)
-	}
-	c.removeAssignment(assignment)
-	if job.Ended {
-		return
-	}
-	if !job.Cancelled() {
-		c.costs.AddRepeated(assignment, "machine lost", time.Now())
-	}
-	c.markChanged(job)
-	// The evidence may be the cloud's word to this process alone: stored late,
-	// a successor would have to wait for it anew before it starts the task.
-	c.markUrgent(job)
-	c.finishIfComplete(job)
-}
-
 // ExpireLeases requeues what was on machines whose workers' leases have surely run
 // out, and returns whether anything did.
 func (c *ClusterState) ExpireLeases(now time.Time) {
@@ -55,7 +28,7 @@
 		for assignment := range node.Assignments {
 			// A start sent after the last answer belongs to the same lapsed
 			// session, which turns it away from here on.
-			c.markLost(assignment, "silent until its worker's lease had surely lapsed")
+			c.reconciler.MarkLost(assignment, "silent until its worker's lease had surely lapsed")
 		}
 	}
 }
@@ -71,7 +44,7 @@
 		c.evictor.ReplacementLost(name, machine.DeleteReason)
 	}
 	for assignment := range c.capacity.AssignmentsOn(name) {
-		c.markLost(assignment, why)
+		c.reconciler.MarkLost(assignment, why)
 	}
 	c.removeMachine(name)
 	if len(c.terminated) > 20000 {
--- a/internal/claim/planning.go
+++ b/internal/claim/planning.go
@@ -56,7 +56,7 @@
 
 // Restarted tells in a job's trail which lost tasks were assigned anew.
 func (c schedulerCluster) Restarted(job *workload.Job, assigned []*workload.Assignment) {
-	c.recordRestarts(job, assigned)
+	c.reconciler.RecordRestarts(job, assigned)
 }
 
 // Stop asks for a task to be stopped.
--- a/internal/dispatch/queue.go
+++ b/internal/dispatch/queue.go
@@ -49,8 +49,8 @@
 	RecordsRead time.Time
 }
 
-// mayStart tells whether starts of a job may go out.
-func (p *Permission) mayStart(job *workload.Job) bool {
+// MayStart tells whether starts of a job may go out.
+func (p *Permission) MayStart(job *workload.Job) bool {
 	return p.Starts && !p.RecordsRead.Before(job.ReadRequiredAfter)
 }
 
@@ -138,7 +138,7 @@
 			batch.Commands = append(batch.Commands, worker.StopCommand(assignment.Task().String(), assignment.Attempt, assignment.StopGrace))
 		}
 	case assignment.StartSent:
-	case !permission.mayStart(assignment.Job):
+	case !permission.MayStart(assignment.Job):
 		q.Add(node) // looked at again soon
 	case assignment.Job.StoredVersion < assignment.MarkerVersion:
 	case !scheduler.GangStartAllowed(assignment, machine, q.machines):
