--- a/internal/election/allowance_exchange.go
+++ b/internal/election/allowance_exchange.go
@@ -4,35 +4,17 @@
 	"context"
 	"time"
 
-	"github.com/pebbletrail/pebbletrail/internal/quota"
 	"github.com/pebbletrail/pebbletrail/internal/state"
 )
 
-// exchangeInterval spaces the looks at what allowance to move.
+// exchangeInterval spaces the checks for allowances to move.
 const exchangeInterval = 100 * time.Millisecond
 
-// loadAllowances reads the ledgers after the takeover's commit. News of them has been
-// followed since before it.
-func (e *Elector) loadAllowances(ctx context.Context, term *Term) error {
-	entries, _, err := e.State.ListAll(ctx, quota.Prefix, state.Urgent)
-	if err != nil {
-		return err
-	}
-	term.Cluster.LoadAllowances(entries)
-	return nil
-}
-
-// exchangeAllowances moves allowances between the shards until the term ends.
-func (e *Elector) exchangeAllowances(ctx context.Context, term *Term) {
+// exchangeAllowances moves allowances between the shards until the term ends. Each move is
+// conditional on the shard's generation, so that a superseded leader moves none.
+func (t *Term) exchangeAllowances(ctx context.Context, store *state.Client, generationKey string) {
 	fence := func() state.Condition {
-		return state.Condition{Key: e.keys.Generation(), Revision: term.Committer.LastGenerationRevision()}
-	}
-	term.Cluster.ExchangeAllowances(ctx, e.State, fence, exchangeInterval)
-}
-
-// handleAllowanceChange takes in news of a ledger.
-func (e *Elector) handleAllowanceChange(change state.Change) {
-	if cluster := e.Cluster(); cluster != nil {
-		cluster.HandleAllowanceChange(change)
+		return state.Condition{Key: generationKey, Revision: t.Committer.LastGenerationRevision()}
 	}
+	t.Cluster.ExchangeAllowances(ctx, store, fence, exchangeInterval)
 }
--- /dev/null
+++ b/internal/election/explain.go
@@ -0,0 +1,48 @@
+package election
+
+import (
+	"errors"
+
+	"github.com/pebbletrail/pebbletrail/internal/ids"
+)
+
+// ErrNotLeader tells that this node does not lead the shard.
+var ErrNotLeader = errors.New("not the pool's leader")
+
+// What users are told while the leader can't explain.
+const (
+	explainStoreSilent   = "the state service has not answered the pool's leader for a moment: nothing is started or stopped until it does"
+	explainLoading       = "the pool was taken over a moment ago: its new leader is still reading the records"
+	explainRecordUnknown = "the pool's leader has not read of this job yet"
+)
+
+// Explain tells why a job's tasks wait. It returns ErrNotLeader unless this node leads the shard. A
+// leader that was paused, or can't renew its lease, might tell what is no longer so: it tells that
+// instead.
+func (e *Elector) Explain(id ids.Job) ([]string, error) {
+	term := e.Term()
+	if term == nil {
+		return nil, ErrNotLeader
+	}
+	if !term.authority.leaseSurelyHeld() {
+		return []string{explainStoreSilent}, nil
+	}
+	if !term.isLoaded() {
+		return []string{explainLoading}, nil
+	}
+	lines := term.Cluster.Explain(id)
+	if lines == nil {
+		lines = []string{explainRecordUnknown}
+	}
+	return lines, nil
+}
+
+// isLoaded tells whether the records are loaded.
+func (t *Term) isLoaded() bool {
+	select {
+	case <-t.loaded:
+		return true
+	default:
+		return false
+	}
+}
--- /dev/null
+++ b/internal/election/helpers_test.go
@@ -0,0 +1,56 @@
+package election
+
+import (
+	"fmt"
+	"io"
+	"log/slog"
+	"testing"
+	"time"
+
+	"github.com/pebbletrail/pebbletrail/internal/claim"
+	"github.com/pebbletrail/pebbletrail/internal/config"
+	"github.com/pebbletrail/pebbletrail/internal/ids"
+	"github.com/pebbletrail/pebbletrail/internal/placement"
+	"github.com/pebbletrail/pebbletrail/internal/worker"
+)
+
+// testGeneration is that of the terms in tests.
+const testGeneration ids.Generation = 7
+
+// testSettings are those of a small pool.
+func testSettings() *config.Settings {
+	settings := &config.Settings{Operator: config.DefaultOperator()}
+	settings.Params.Workers = config.WorkerIntervals{ReportS: 2, LeaseS: 20, GangWaitS: 30, GangPeerS: 5, CancelS: 40}
+	settings.Params.State = config.StateLimits{RPS: 100, WriteRPS: 100, ValueKB: 8, TxnOps: 12}
+	settings.Params.Teams = []config.Team{{Name: "red", CPUs: 4, CPUsMax: 40}, {Name: "blue", CPUs: 4}}
+	settings.Params.Zones = []string{"north", "south"}
+	return settings
+}
+
+// clusterWithMachines is the cluster state of a leader that has heard so many machines of four cores.
+func clusterWithMachines(t *testing.T, machines int) *claim.ClusterState {
+	t.Helper()
+	defaultLogger := slog.Default()
+	slog.SetDefault(slog.New(slog.NewTextHandler(io.Discard, nil)))
+	t.Cleanup(func() { slog.SetDefault(defaultLogger) })
+	cluster := claim.NewClusterState(testSettings(), "w", testGeneration, time.Now())
+	cluster.SetMachineTypes([]placement.InstanceType{{Label: "small", Cores: 4, RAM: 16, CacheGB: 20, PullGBPerS: 1, Price: 1, SpotPrice: 0.4, BootS: 30, Zones: []string{"north", "south"}}})
+	for i := range machines {
+		name := ids.Machine(fmt.Sprintf("host-%06d", i))
+		cluster.ReconcileHeartbeat(&worker.Report{Machine: name, Addr: string(name) + ":1", Type: "small", Zone: []string{"north", "south"}[i%2], Incarnation: 1, Sequence: 1, FencingToken: testGeneration}, true, true)
+	}
+	return cluster
+}
+
+// leadWith makes an elector the leader of a term whose lease was granted just now. Its records are
+// not loaded yet, but count as read all the while: only renewals and pauses matter to its authority.
+func leadWith(elector *Elector, cluster *claim.ClusterState) *Term {
+	elector.current.term = &Term{
+		Generation: testGeneration,
+		Cluster:    cluster,
+		authority:  newAuthority(elector.settings, elector.pauses, time.Now, time.Now()),
+		loaded:     make(chan struct{}),
+		cancel:     func() {},
+	}
+	return elector.current.term
+}
--- a/internal/election/layout.go
+++ b/internal/election/layout.go
@@ -17,15 +17,15 @@
 // layoutKey says into how many shards the store is laid out; there is none with one.
 const layoutKey = record.PoolPrefix + "shards"
 
-// layout is its value.
-type layout struct {
-	Shards int `json:"shards"`
-}
-
-// layoutLeader stands as the leader of the pool as a whole where there are several shards.
-// Versions that know one shard take the pool for led by another controller and never lead it.
+// layoutLeader stands as the leader of the pool as a whole where there are several shards. Versions
+// that know one shard take the pool for led by another controller and never lead it.
 const layoutLeader ids.Node = "~shards"
 
+const (
+	layoutRetryDelay        = 200 * time.Millisecond
+	layoutCachePollInterval = 100 * time.Millisecond
+)
+
 // Why a store can't be used with the shards of the settings.
 var (
 	// ErrOtherLayout tells that the store is laid out for another number of shards.
@@ -34,84 +34,130 @@
 	ErrJobsStored = errors.New("the number of shards can't change while the store has jobs or a leader")
 )
 
-// ensureLayout makes sure that the store is laid out for this many shards before any is led. It is
-// false if the store can't be used, which Refuse is told.
-func (s *Shards) ensureLayout(ctx context.Context) bool {
+// isRefusal tells whether an error says that the store can't be used, whenever it is tried again.
+func isRefusal(err error) bool {
+	return errors.Is(err, ErrOtherLayout) || errors.Is(err, ErrJobsStored) || errors.Is(err, quota.ErrBadLedger)
+}
+
+// layoutRecord is the value of layoutKey.
+type layoutRecord struct {
+	Shards int `json:"shards"`
+}
+
+// storeLayout checks for how many shards the store is laid out, and lays it out.
+type storeLayout struct {
+	store  *state.Client
+	cache  *state.WatchCache // of the pool's keys
+	shards int               // of the settings
+}
+
+// ensure makes sure that the store is laid out for this many shards before any is led, and tries
+// again while the state service can't tell. It returns why the store can't be used (isRefusal), or
+// the context's error.
+func (l *storeLayout) ensure(ctx context.Context) error {
 	for ctx.Err() == nil {
-		err := s.tryLayout(ctx)
-		if err == nil {
-			return true
+		err := l.tryOnce(ctx)
+		if err == nil || isRefusal(err) {
+			return err
 		}
-		if errors.Is(err, ErrOtherLayout) || errors.Is(err, ErrJobsStored) || errors.Is(err, quota.ErrBadLedger) {
-			s.Refuse(err)
-			return false
-		}
-		wait.For(ctx, 200*time.Millisecond)
+		wait.For(ctx, layoutRetryDelay)
 	}
-	return false
+	return ctx.Err()
 }
 
-func (s *Shards) tryLayout(ctx context.Context) error {
+// tryOnce checks the layout, or lays the store out if it has neither a layout nor jobs or a leader.
+func (l *storeLayout) tryOnce(ctx context.Context) error {
 	// Read before the layout: once that is there, jobs and leaders are as they should be.
-	jobs, _, _, err := s.state.List(ctx, record.JobPrefix, "", 1, state.Urgent)
+	used, err := l.inUse(ctx)
 	if err != nil {
 		return err
 	}
-	whole := record.KeysOf(0, 1)
-	_, led, err := s.state.Get(ctx, whole.Leader(), state.Urgent)
-	if err != nil {
-		return err
-	}
-	entry, found, err := s.state.Get(ctx, layoutKey, state.Urgent)
+	entry, found, err := l.store.Get(ctx, layoutKey, state.Urgent)
 	switch {
 	case err != nil:
-		return err
+		return fmt.Errorf("read layout: %w", err)
 	case found:
-		return errors.Join(s.sameLayout(entry.Value), s.checkLedgers(ctx))
-	case len(jobs) > 0 || led:
+		return errors.Join(l.check(entry.Value), l.checkLedgers(ctx))
+	case used:
 		// The machines of the pool as one shard would be nobody's.
 		return ErrJobsStored
 	}
-	value, _ := json.Marshal(layout{Shards: len(s.pools)})
-	leader, _ := json.Marshal(leaderRecord{Node: layoutLeader, Writer: string(layoutLeader)})
-	_, err = s.state.Commit(ctx, state.Txn{
-		Conditions: []state.Condition{{Key: layoutKey}, {Key: whole.Leader()}},
-		Ops:        []state.Op{{Put: layoutKey, Value: value}, {Put: whole.Leader(), Value: leader}},
+	return l.create(ctx)
+}
+
+// inUse tells whether the store has jobs, or a leader of the pool as one shard.
+func (l *storeLayout) inUse(ctx context.Context) (bool, error) {
+	jobs, _, _, err := l.store.List(ctx, record.JobPrefix, "", 1, state.Urgent)
+	if err != nil {
+		return false, fmt.Errorf("list jobs: %w", err)
+	}
+	_, led, err := l.store.Get(ctx, singleShardKeys().Leader(), state.Urgent)
+	if err != nil {
+		return false, fmt.Errorf("read leader: %w", err)
+	}
+	return len(jobs) > 0 || led, nil
+}
+
+// singleShardKeys are the keys of the pool as one shard.
+func singleShardKeys() record.ShardKeys { return record.KeysOf(0, 1) }
+
+// create lays the store out, unless it has a layout or a leader meanwhile. Whatever its result was,
+// the next try reads what is stored.
+func (l *storeLayout) create(ctx context.Context) error {
+	layout, err := json.Marshal(layoutRecord{Shards: l.shards})
+	if err != nil {
+		return fmt.Errorf("encode layout: %w", err)
+	}
+	leader, err := json.Marshal(leaderRecord{Node: layoutLeader, Writer: string(layoutLeader)})
+	if err != nil {
+		return fmt.Errorf("encode leader of the layout: %w", err)
+	}
+	leaderKey := singleShardKeys().Leader()
+	_, err = l.store.Commit(ctx, state.Txn{
+		Conditions: []state.Condition{{Key: layoutKey}, {Key: leaderKey}},
+		Ops:        []state.Op{{Put: layoutKey, Value: layout}, {Put: leaderKey, Value: leader}},
 	}, state.Urgent)
-	return err // whatever it was, the next try reads what is stored
+	if err != nil {
+		return fmt.Errorf("commit layout: %w", err)
+	}
+	return nil
 }
 
-// checkLedgers refuses to begin with ledgers that can't be used. One that breaks later only
-// stops its team.
-func (s *Shards) checkLedgers(ctx context.Context) error {
-	entries, _, err := s.state.ListAll(ctx, quota.Prefix, state.Urgent)
+// checkLedgers refuses to begin with ledgers that can't be used. One that breaks later only stops
+// its team.
+func (l *storeLayout) checkLedgers(ctx context.Context) error {
+	entries, _, err := l.store.ListAll(ctx, quota.Prefix, state.Urgent)
 	if err != nil {
-		return err
+		return fmt.Errorf("read allowances: %w", err)
 	}
-	return quota.CheckStored(entries, len(s.pools))
+	return quota.CheckStored(entries, l.shards)
 }
 
-func (s *Shards) sameLayout(raw json.RawMessage) error {
-	var stored layout
-	if err := json.Unmarshal(raw, &stored); err != nil {
+// check tells whether a stored layout is that of the settings.
+func (l *storeLayout) check(value json.RawMessage) error {
+	var stored layoutRecord
+	if err := json.Unmarshal(value, &stored); err != nil {
 		return fmt.Errorf("%w: %v", ErrOtherLayout, err)
 	}
-	if stored.Shards != len(s.pools) {
-		return fmt.Errorf("%w: %d, not %d", ErrOtherLayout, stored.Shards, len(s.pools))
+	if stored.Shards != l.shards {
+		return fmt.Errorf("%w: %d, not %d", ErrOtherLayout, stored.Shards, l.shards)
 	}
 	return nil
 }
 
-// checkSingleLayout refuses a store that is laid out for several shards, by this node's copy of
-// the pool's keys, which costs no call.
-func (s *Shards) checkSingleLayout(ctx context.Context) {
+// findInCache waits for this node's copy of the pool's keys, which costs no call, and checks the
+// layout if there is one. Without one it is one shard, and nobody lays the store out anew while it
+// has a leader.
+func (l *storeLayout) findInCache(ctx context.Context) (found bool, err error) {
 	for ctx.Err() == nil {
-		if entry, found, ready := s.mirrors.pool.Get(layoutKey); found {
-			s.Refuse(s.sameLayout(entry.Value))
-			return
-		} else if ready {
-			return // one shard it is; nobody lays the store out anew while it has a leader
+		entry, found, ready := l.cache.Get(layoutKey)
+		if found {
+			return true, l.check(entry.Value)
+		}
+		if ready {
+			return false, nil
 		}
-		wait.For(ctx, 100*time.Millisecond)
+		wait.For(ctx, layoutCachePollInterval)
 	}
+	return false, ctx.Err()
 }
--- a/internal/election/leader_record_test.go
+++ b/internal/election/leader_record_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-func TestTheLeaderRecordOfTheProductionVersionIsReadAndWrittenBackAlike(t *testing.T) {
+func TestProductionLeaderRecordIsWrittenBackUnchanged(t *testing.T) {
 	// Guards against a field that one version drops, renames or reads otherwise. The file was written
 	// by the version that deploy/service.toml names as production.
 	stored, err := os.ReadFile("testdata/production/owner.json")
--- /dev/null
+++ b/internal/election/machine_ownership_test.go
@@ -0,0 +1,26 @@
+package election
+
+import (
+	"context"
+	"testing"
+
+	"github.com/pebbletrail/pebbletrail/internal/config"
+	"github.com/pebbletrail/pebbletrail/internal/ids"
+	"github.com/pebbletrail/pebbletrail/internal/state"
+	"github.com/pebbletrail/pebbletrail/internal/worker"
+)
+
+func TestHeartbeatOfAShardBeyondTheSettingsIsRejected(t *testing.T) {
+	// Guards against a node that is started with fewer shards than the store is laid out for: it
+	// crashed if a heartbeat came before it had read the layout and was refused.
+	settings, shardCount := testSettings(), uint32(2)
+	settings.Features = &config.Features{Shards: &shardCount}
+	shards := NewShards(settings, state.NewClient("state:1", nil, state.NewBudget(100, 100, 1, 0.5)), nil, "a.1")
+	shards.ownership.handleChange(state.Change{Put: "pool/~2/hire/first", Value: []byte(`{"hire":"first","hosts":["m1"]}`), Revision: 1})
+	if owner, known := shards.ownership.shardOf("m1"); !known || owner != ids.Shard(2) {
+		t.Fatalf("owned by %d, known %v", owner, known)
+	}
+	if reply, status, _ := shards.Heartbeat(context.Background(), &worker.Report{Machine: "m1"}); reply != nil || status != 503 {
+		t.Errorf("answered %v, %d", reply, status)
+	}
+}
--- a/internal/election/process_pause.go
+++ b/internal/election/process_pause.go
@@ -9,71 +9,71 @@
 	"github.com/pebbletrail/pebbletrail/internal/wait"
 )
 
-// A process may stand still for seconds or minutes, its clocks running on, and then
-// go on as if nothing had happened. Whatever a leader knew, another may own the pool
-// by then. Leases and holds are judged by the clock, but between a look at the clock
-// and the act there is always time to stand still; and what others sent meanwhile
-// waits to be answered. So a standstill is noticed as such, and before the leader
-// answers a beat or sends a command again, a renewal sent after it has to succeed.
+// A process may be paused for seconds or minutes, its clocks running on, and then go on as if
+// nothing had happened. Whatever a leader knew, another may lead the shard by then. Workers' and
+// leaders' leases are judged by the clock, but between a look at the clock and the act there is
+// always time for a pause; and what others sent meanwhile waits to be answered. So a pause is
+// detected as such, and before the leader answers a heartbeat or sends a command again, a renewal
+// sent after it has to succeed (docs/design.md, "The pool's claim").
 
 const (
 	pauseCheckInterval = 100 * time.Millisecond
-	pauseThreshold     = 1500 * time.Millisecond // without a tick: a hold may have run out, and no loaded processor delays one so long
+	// pauseThreshold is the time without a tick that counts as a pause: a lease may have expired, and
+	// no loaded processor delays a tick so long.
+	pauseThreshold = 1500 * time.Millisecond
 )
 
-// pauseDetector notices that this process stood still.
+// pauseDetector notices that this process was paused.
 type pauseDetector struct {
+	// onResume is called after each pause, outside the lock, by whoever notices it first.
+	onResume func()
+
+	// mu guards what follows; nothing is called under it.
 	mu        sync.Mutex
-	lastTick  time.Time // the last one
-	resumedAt time.Time // when the last standstill was over
-	// OnWake is told how long it took.
-	onResume func(time.Duration)
+	lastTick  time.Time // zero before the first
+	resumedAt time.Time // when the last pause was over; zero if there was none
+}
+
+func newPauseDetector(onResume func()) *pauseDetector {
+	return &pauseDetector{onResume: onResume}
 }
 
 // run ticks until the context ends.
-func (s *pauseDetector) run(ctx context.Context) {
+func (d *pauseDetector) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		s.lastPauseEnd(time.Now(), true)
+		d.tick(time.Now())
 		wait.For(ctx, pauseCheckInterval)
 	}
 }
 
-// lastPauseEnd is when the last standstill was over; zero if there was none. Whoever asks
-// first after one notices it: he may run before the next tick.
-func (s *pauseDetector) lastPauseEnd(now time.Time, tick bool) time.Time {
-	s.mu.Lock()
-	gap := time.Duration(0)
-	if !s.lastTick.IsZero() && now.Sub(s.lastTick) > pauseThreshold {
-		gap = now.Sub(s.lastTick)
-		s.resumedAt, s.lastTick = now, now
-	}
-	if tick {
-		s.lastTick = now
-	}
-	woke, told := s.resumedAt, s.onResume
-	s.mu.Unlock()
-	if gap > 0 {
-		slog.Warn("this process stood still", "for", gap.Round(time.Millisecond))
-		if told != nil {
-			told(gap)
-		}
-	}
-	return woke
-}
+// tick notes that this process is running.
+func (d *pauseDetector) tick(now time.Time) { d.check(now, true) }
+
+// lastResumedAt is when the last pause was over; zero if there was none. Whoever asks first after
+// one detects it, since that may be before the next tick.
+func (d *pauseDetector) lastResumedAt(now time.Time) time.Time { return d.check(now, false) }
 
-// renewedSincePause tells whether the leader has renewed its hold since this process last stood
-// still.
-func (e *Elector) renewedSincePause(term *Term) bool {
-	woke := e.pauses.lastPauseEnd(time.Now(), false)
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	return e.term == term && (woke.IsZero() || term.renewedAt.After(woke))
+// check detects a pause that is just over, and returns when the last one was.
+func (d *pauseDetector) check(now time.Time, tick bool) time.Time {
+	paused, resumedAt := d.update(now, tick)
+	if paused > 0 {
+		slog.Warn("process paused", "duration", paused.Round(time.Millisecond))
+		d.onResume()
+	}
+	return resumedAt
 }
 
-// processResumed begins to judge the machines anew: what looks silent was perhaps only not
-// listened to.
-func (e *Elector) processResumed(time.Duration) {
-	if cluster := e.Cluster(); cluster != nil {
-		cluster.ResetLiveness(time.Now())
+// update returns how long the pause lasted that is over just now, zero if there was none, and when
+// the last pause was over.
+func (d *pauseDetector) update(now time.Time, tick bool) (paused time.Duration, resumedAt time.Time) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if !d.lastTick.IsZero() && now.Sub(d.lastTick) > pauseThreshold {
+		paused = now.Sub(d.lastTick)
+		d.resumedAt, d.lastTick = now, now
+	}
+	if tick {
+		d.lastTick = now
 	}
+	return paused, d.resumedAt
 }
--- /dev/null
+++ b/internal/election/rebalance.go
@@ -0,0 +1,56 @@
+package election
+
+import (
+	"context"
+	"time"
+
+	"github.com/pebbletrail/pebbletrail/internal/ids"
+	"github.com/pebbletrail/pebbletrail/internal/wait"
+)
+
+const (
+	rebalanceInterval = 5 * time.Second
+	// minTermBeforeResigning is how long a term lasts at least before its leader resigns in favour of
+	// a controller that leads fewer shards.
+	minTermBeforeResigning = 15 * time.Second
+	// excessShards is by how many shards more a leader must lead than the controller that prefers one
+	// of them.
+	excessShards = 2
+)
+
+// rebalanceLeaders has this node resign from shards that it leads beyond its share, one at a time,
+// until the context ends.
+func rebalanceLeaders(ctx context.Context, electors []*Elector) {
+	for ctx.Err() == nil {
+		wait.For(ctx, rebalanceInterval)
+		resignExcess(electors)
+	}
+}
+
+// resignExcess resigns from one shard if the controller that prefers it is up and leads at least
+// two shards fewer than this one.
+func resignExcess(electors []*Elector) {
+	led := shardsLed(electors)
+	for _, elector := range electors {
+		term := elector.Term()
+		if term == nil || time.Since(term.began) < minTermBeforeResigning || elector.Peers == nil {
+			continue
+		}
+		own, preferred := elector.settings.HostName, preferredController(elector.settings, elector.shard)
+		if preferred != own && elector.Peers.Served(preferred) && led[own] >= led[preferred]+excessShards {
+			elector.resign(term, "another controller that is up leads fewer shards")
+			return
+		}
+	}
+}
+
+// shardsLed counts the shards that each controller leads, as far as this node knows.
+func shardsLed(electors []*Elector) map[ids.Node]int {
+	led := map[ids.Node]int{}
+	for _, elector := range electors {
+		if leader, known := elector.Leader(); known {
+			led[leader]++
+		}
+	}
+	return led
+}
--- /dev/null
+++ b/internal/election/redirects_test.go
@@ -0,0 +1,33 @@
+package election
+
+import (
+	"testing"
+	"testing/synctest"
+	"time"
+)
+
+func TestRedirectsToAnEarlierLeaderDoNotCountAgainstThePresentOne(t *testing.T) {
+	t.Parallel()
+	// Found on a day with a crash: the workers that had been redirected to the dead leader, or had
+	// been here since, made each new one resign a few seconds after its takeover.
+	synctest.Test(t, func(t *testing.T) {
+		redirects := newRedirectTracker()
+		redirects.record("m1", "b")
+		time.Sleep(3 * time.Second)
+		if got := redirects.overdue("b"); len(got) != 1 {
+			t.Errorf("not told of a worker that should have been there: %v", got)
+		}
+		if got := redirects.overdue("c"); len(got) != 0 {
+			t.Errorf("%v was redirected to an earlier leader", got)
+		}
+		redirects.record("m1", "c")
+		time.Sleep(time.Second)
+		if got := redirects.overdue("c"); len(got) != 0 {
+			t.Errorf("%v is only on its way", got)
+		}
+		redirects.record("m1", "c")
+		if got := redirects.overdue("c"); len(got) != 1 {
+			t.Errorf("not told of one that came back: %v", got)
+		}
+	})
+}
--- /dev/null
+++ b/internal/election/renewal.go
@@ -0,0 +1,41 @@
+package election
+
+import (
+	"context"
+	"errors"
+	"log/slog"
+	"time"
+
+	"github.com/pebbletrail/pebbletrail/internal/state"
+)
+
+// renewLease renews a term's lease, and steps down if the lease is surely lost, if another leader
+// has raised the generation, or if nobody can be reached.
+func (e *Elector) renewLease(ctx context.Context, term *Term) {
+	sentAt := time.Now()
+	ctx, cancel := context.WithTimeout(ctx, leaseDuration(e.settings)/2)
+	defer cancel()
+	err := e.store.RenewLease(ctx, term.lease)
+	switch {
+	case err == nil:
+		term.authority.renewed(sentAt)
+	case errors.Is(err, state.ErrNoLease):
+		e.stepDown(term, "lease expired")
+	default:
+		slog.Debug("lease not renewed", "shard", e.shard, "term", term.Generation, "err", err)
+	}
+	e.checkIsolation(term)
+	e.checkGeneration(term)
+}
+
+// checkGeneration steps down if another process has raised the generation.
+func (e *Elector) checkGeneration(term *Term) {
+	stored, known := e.candidate.cachedGeneration()
+	if known && stored.Generation > term.Cluster.Generation() && !e.candidate.isOwnWrite(stored) {
+		e.stepDown(term, "another leader raised the generation")
+	}
+}
+
+// LeaseSurelyHeld tells whether no other node can lead the shard: the term's lease, counted from
+// when the last good renewal was sent, has not expired by this node's clock.
+func (e *Elector) LeaseSurelyHeld(term *Term) bool { return term.authority.leaseSurelyHeld() }
--- a/internal/election/shortage_reports.go
+++ b/internal/election/shortage_reports.go
@@ -1,52 +1,43 @@
 package election
 
 import (
+	"sync"
 	"time"
 
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 	"github.com/pebbletrail/pebbletrail/internal/provisioning"
 )
 
-// shortageFresh is how long what is known of another shard's shortage holds.
-const shortageFresh = 3 * time.Second
+// shortageMaxAge is how long a report of another shard's shortage counts.
+const shortageMaxAge = 3 * time.Second
 
-// reportedShortage is a lack and when it was told.
+// reportedShortage is a shortage and when it was reported.
 type reportedShortage struct {
 	provisioning.Shortage
 	at time.Time
 }
 
-// ReportShortage takes in what the leader of another shard told.
-func (s *Shards) ReportShortage(shard ids.Shard, lack provisioning.Shortage) {
-	s.shortagesMu.Lock()
-	defer s.shortagesMu.Unlock()
-	s.shortages[shard] = reportedShortage{lack, time.Now()}
+// shortageReports is what the leaders of other shards reported of their shortages.
+type shortageReports struct {
+	// mu guards what follows; nothing is called under it.
+	mu      sync.Mutex
+	byShard map[ids.Shard]reportedShortage
 }
 
-// OtherShardsShortage is the longest lack of another shard, and the part of all machines that a shard
-// has on average.
-func (s *Shards) OtherShardsShortage(own ids.Shard) (longest time.Duration, part int) {
-	total := 0
-	for shard, elector := range s.pools {
-		lack, known := s.shortageOf(ids.Shard(shard), elector)
-		if !known {
-			continue
-		}
-		total += lack.Machines
-		if ids.Shard(shard) != own {
-			longest = max(longest, lack.Duration)
-		}
-	}
-	return longest, total / len(s.pools)
+func newShortageReports() *shortageReports {
+	return &shortageReports{byShard: map[ids.Shard]reportedShortage{}}
 }
 
-// shortageOf is what is known of a shard, led here or elsewhere.
-func (s *Shards) shortageOf(shard ids.Shard, elector *Elector) (provisioning.Shortage, bool) {
-	if cluster := elector.Cluster(); cluster != nil {
-		return cluster.Shortage(), true
-	}
-	s.shortagesMu.Lock()
-	defer s.shortagesMu.Unlock()
-	noted, known := s.shortages[shard]
-	return noted.Shortage, known && time.Since(noted.at) < shortageFresh
+func (r *shortageReports) report(shard ids.Shard, shortage provisioning.Shortage) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.byShard[shard] = reportedShortage{shortage, time.Now()}
+}
+
+// latest is the last report of a shard, unless it is too old.
+func (r *shortageReports) latest(shard ids.Shard) (shortage provisioning.Shortage, known bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	reported, known := r.byShard[shard]
+	return reported.Shortage, known && time.Since(reported.at) < shortageMaxAge
 }
--- /dev/null
+++ b/internal/election/term.go
@@ -0,0 +1,141 @@
+package election
+
+import (
+	"context"
+	"log/slog"
+	"time"
+
+	"github.com/pebbletrail/pebbletrail/internal/claim"
+	"github.com/pebbletrail/pebbletrail/internal/commit"
+	"github.com/pebbletrail/pebbletrail/internal/config"
+	"github.com/pebbletrail/pebbletrail/internal/dispatch"
+	"github.com/pebbletrail/pebbletrail/internal/ids"
+	"github.com/pebbletrail/pebbletrail/internal/state"
+	"github.com/pebbletrail/pebbletrail/internal/wait"
+)
+
+const (
+	// maxPlanInterval is the time between two planning passes when nothing changes, and
+	// minPlanInterval the pause after each.
+	maxPlanInterval = 500 * time.Millisecond
+	minPlanInterval = 25 * time.Millisecond
+	// commandSlotShare is the part of the sockets to machines that the dispatcher may use: one in so
+	// many.
+	commandSlotShare = 4
+)
+
+// Term is one term of leading a shard.
+type Term struct {
+	// Generation is the one the term began with; the cluster state's may rise during the term.
+	Generation ids.Generation
+	Cluster    *claim.ClusterState
+	Committer  *commit.Committer
+	Dispatcher *dispatch.Dispatcher
+	// OpenHires are the provisioning requests that were stored at the takeover. They are there once
+	// OnTerm is called.
+	OpenHires []state.Entry
+
+	lease     ids.Lease
+	began     time.Time
+	authority *authority
+	loaded    chan struct{} // closed once the records are loaded
+	cancel    context.CancelFunc
+}
+
+// beginTerm starts a term. Its goroutines end when the term's context does, which stepDown cancels.
+func (e *Elector) beginTerm(ctx context.Context, won *acquiredLeadership) {
+	now := time.Now()
+	termCtx, cancel := context.WithCancel(ctx)
+	term := e.newTerm(won, now)
+	term.cancel = cancel
+	e.store.Budget().LeadershipChanged(true)
+	e.current.begin(term, now)
+	slog.Info("leadership acquired", "shard", e.shard, "term", term.Generation, "node", e.settings.HostName)
+	go func() {
+		if e.loader.load(termCtx, term) {
+			e.runTerm(termCtx, term)
+		}
+	}()
+	go e.awaitPredecessorsStopped(termCtx, term, e.candidate.possibleLeaders(won.previous, now)...)
+}
+
+// newTerm makes a term and connects its parts; nothing runs yet.
+func (e *Elector) newTerm(won *acquiredLeadership, now time.Time) *Term {
+	term := &Term{
+		Generation: won.generation,
+		Cluster:    e.newClusterState(won, now),
+		lease:      won.lease,
+		began:      now,
+		authority:  newAuthority(e.settings, e.pauses, e.caches.jobs.AsOf, won.grantedAt),
+		loaded:     make(chan struct{}),
+	}
+	term.Cluster.StartsAllowed = func() (bool, time.Time) { return term.authority.mayStartTasks(), e.caches.jobs.AsOf() }
+	term.Dispatcher = dispatch.New(term.Cluster, e.commander, e.settings.Sockets().ToMachines/commandSlotShare, term.authority.renewedSincePause)
+	term.Committer = commit.New(term.Cluster, e.store, e.settings.HostName, e.keys, won.revision, commit.Events{
+		// The committer's own goroutine calls this, and goes on until the term's context ends.
+		Superseded: func(why string) { go e.stepDown(term, why) },
+		Stored:     term.Dispatcher.Wake,
+	})
+	return term
+}
+
+// newClusterState makes the cluster state of a term. It takes a worker that it has not heard for
+// possibly alive until the grace period of an earlier leader and then the worker's lease are over.
+func (e *Elector) newClusterState(won *acquiredLeadership, now time.Time) *claim.ClusterState {
+	trustSilence := now.Add(e.settings.LeaderGracePeriod().WithClockDrift() + e.settings.Params.Workers.LeaseS.WithClockDrift())
+	cluster := claim.NewShardState(e.settings, won.writer, won.generation, trustSilence, e.shard)
+	cluster.StatusInOtherShard = e.changes.statusInOtherShard
+	cluster.StoreAvailable = storeAvailable(e.settings, e.store)
+	return cluster
+}
+
+// storeAvailable tells whether the state service has answered within half a lease.
+func storeAvailable(settings *config.Settings, store *state.Client) func() bool {
+	maxAge := leaseDuration(settings) / 2
+	return func() bool {
+		age, ok := store.SinceSuccess()
+		return ok && age < maxAge
+	}
+}
+
+// runTerm starts what runs during a term once the records are loaded.
+func (e *Elector) runTerm(ctx context.Context, term *Term) {
+	go term.Committer.Run(ctx)
+	go term.Committer.RunLookups(ctx)
+	go term.Dispatcher.Run(ctx)
+	go term.plan(ctx)
+	if e.settings.ShardCount() > 1 {
+		go term.exchangeAllowances(ctx, e.store, e.keys.Generation())
+	}
+	if e.OnTerm != nil {
+		go e.OnTerm(ctx, term)
+	}
+}
+
+// plan assigns tasks to machines whenever something changed, at a bounded pace.
+func (t *Term) plan(ctx context.Context) {
+	for ctx.Err() == nil {
+		select {
+		case <-ctx.Done():
+			return
+		case <-t.Cluster.PlanWanted():
+		case <-time.After(maxPlanInterval):
+		}
+		now := time.Now()
+		t.Cluster.ExpireLeases(now)
+		t.Cluster.Plan(now)
+		t.Dispatcher.Wake()
+		wait.For(ctx, minPlanInterval)
+	}
+}
+
+// stepDown ends a term, unless it is over already.
+func (e *Elector) stepDown(term *Term, why string) {
+	if !e.current.end(term) {
+		return
+	}
+	slog.Info("leadership lost", "shard", e.shard, "term", term.Generation, "node", e.settings.HostName, "why", why)
+	term.Cluster.Close()
+	term.cancel()
+	e.store.Budget().LeadershipChanged(false)
+}
