--- a/cmd/pebbletrail/controller.go
+++ b/cmd/pebbletrail/controller.go
@@ -66,10 +66,10 @@
 	c.cloud = c.newCloud(cloudConnections)
 	commander := &worker.Commander{HTTP: newHTTPClient(machineConnections, settings.Sockets().ToMachines/2), Timeout: machineCommandTimeout}
 	c.shards = election.NewShards(settings, c.state, commander, incarnation)
-	c.shards.Refuse = exitRefusing
+	c.shards.OnRefused = exitRefusing
 	c.link = peer.NewLink(settings, c.shards, c.state)
 	c.types = &machineTypes{cloud: c.cloud, shards: c.shards}
-	for i, pool := range c.shards.Pools() {
+	for i, pool := range c.shards.Electors() {
 		shard := ids.Shard(i)
 		pool.Peers = c.link.ForShard(shard)
 		pool.OnTerm = func(ctx context.Context, term *election.Term) { c.provision(ctx, pool, shard, term) }
@@ -134,7 +134,7 @@
 func (c *controller) connectionLimiter() *intake.ConnectionLimiter {
 	return &intake.ConnectionLimiter{
 		MaxConnections: c.settings.Sockets().Inbound,
-		WorkerCount:    c.shards.Machines,
+		WorkerCount:    c.shards.MachineCount,
 		IdleTimeout:    max(minIdleTimeout, 3*c.settings.Params.Workers.ReportS.Duration()+idleGrace),
 	}
 }
@@ -158,7 +158,7 @@
 		runner := &rollout.Runner{Mirror: c.rollouts, Store: term.Committer, Fleet: term.Cluster, Writer: c.incarnation, Limits: c.storeLimits()}
 		go runner.Run(ctx)
 	}
-	provisioner.Adopt(term.OpenHires)
+	provisioner.Adopt(term.OpenProvisioningRequests)
 	provisioner.Run(ctx)
 }
 
--- a/cmd/pebbletrail/controller_status.go
+++ b/cmd/pebbletrail/controller_status.go
@@ -24,7 +24,7 @@
 
 // status describes the node for GET /v2/status.
 func (c *controller) status() any {
-	pools := c.shards.Pools()
+	pools := c.shards.Electors()
 	leader, _ := pools[0].Leader()
 	page := map[string]any{"node": c.settings.HostName, "version": version, "incarnation": c.incarnation, "owner": leader}
 	page["took"], page["counts"] = measure.Process.Summary()
--- a/cmd/pebbletrail/machine_types.go
+++ b/cmd/pebbletrail/machine_types.go
@@ -38,7 +38,7 @@
 	if len(types) > 0 {
 		return types
 	}
-	return m.shards.Types()
+	return m.shards.MachineTypes()
 }
 
 // run asks the cloud until types are known.
--- a/internal/election/failover_confirmation.go
+++ b/internal/election/failover_confirmation.go
@@ -11,9 +11,9 @@
 // confirmationRetryDelay is the wait before the earlier leaders are asked again.
 const confirmationRetryDelay = 500 * time.Millisecond
 
-// Superseded is told by a peer of a higher generation; the answer confirms that this node answers
+// ConfirmStopped is told by a peer of a higher generation; the answer confirms that this node answers
 // no heartbeats under an older one.
-func (e *Elector) Superseded(generation ids.Generation) bool {
+func (e *Elector) ConfirmStopped(generation ids.Generation) bool {
 	term := e.Term()
 	if term == nil {
 		return true
--- a/internal/election/layout.go
+++ b/internal/election/layout.go
@@ -28,15 +28,15 @@
 
 // Why a store can't be used with the shards of the settings.
 var (
-	// ErrOtherLayout tells that the store is laid out for another number of shards.
-	ErrOtherLayout = errors.New("the store is laid out for another number of shards")
+	// ErrLayoutMismatch tells that the store is laid out for another number of shards.
+	ErrLayoutMismatch = errors.New("the store is laid out for another number of shards")
 	// ErrJobsStored tells that the number of shards can't change while jobs are stored.
 	ErrJobsStored = errors.New("the number of shards can't change while the store has jobs or a leader")
 )
 
 // isRefusal tells whether an error says that the store can't be used, whenever it is tried again.
 func isRefusal(err error) bool {
-	return errors.Is(err, ErrOtherLayout) || errors.Is(err, ErrJobsStored) || errors.Is(err, quota.ErrBadLedger)
+	return errors.Is(err, ErrLayoutMismatch) || errors.Is(err, ErrJobsStored) || errors.Is(err, quota.ErrBadLedger)
 }
 
 // layoutRecord is the value of layoutKey.
@@ -137,10 +137,10 @@
 func (l *storeLayout) check(value json.RawMessage) error {
 	var stored layoutRecord
 	if err := json.Unmarshal(value, &stored); err != nil {
-		return fmt.Errorf("%w: %v", ErrOtherLayout, err)
+		return fmt.Errorf("%w: %v", ErrLayoutMismatch, err)
 	}
 	if stored.Shards != l.shards {
-		return fmt.Errorf("%w: %d, not %d", ErrOtherLayout, stored.Shards, l.shards)
+		return fmt.Errorf("%w: %d, not %d", ErrLayoutMismatch, stored.Shards, l.shards)
 	}
 	return nil
 }
--- a/internal/election/record_loading.go
+++ b/internal/election/record_loading.go
@@ -48,7 +48,7 @@
 		term.Cluster.LoadWaitingJobs(jobs.waiting, jobs.revisions, time.Now())
 		close(term.loaded)
 		slog.Info("records loaded", "shard", l.shard, "term", term.Generation, "jobs", len(jobs.records), "waiting", len(jobs.waiting),
-			"requests", len(term.OpenHires))
+			"requests", len(term.OpenProvisioningRequests))
 		return true
 	}
 	return false
@@ -62,7 +62,7 @@
 		return nil, 0, fmt.Errorf("read records: %w", err)
 	}
 	jobs, epoch = l.jobs.Entries()
-	if term.OpenHires, _, err = l.store.ListAll(ctx, l.keys.Hires(), state.Urgent); err != nil {
+	if term.OpenProvisioningRequests, _, err = l.store.ListAll(ctx, l.keys.Hires(), state.Urgent); err != nil {
 		return nil, 0, fmt.Errorf("read provisioning requests: %w", err)
 	}
 	if l.settings.ShardCount() > 1 {
--- a/internal/election/shards.go
+++ b/internal/election/shards.go
@@ -20,10 +20,10 @@
 // Shards is this controller's part in leading the shards of the machine pool, of which it may lead
 // none, one or several (docs/shards.md). All that it has is set before Run, or guards itself.
 type Shards struct {
-	// Refuse is called with the reason when the store is laid out for another number of shards, or
+	// OnRefused is called with the reason when the store is laid out for another number of shards, or
 	// when its layout can't be told from that of older versions: with ErrOtherLayout, ErrJobsStored
 	// or quota.ErrBadLedger. It is set before Run.
-	Refuse func(error)
+	OnRefused func(error)
 
 	electors  []*Elector // by shard
 	caches    watchCaches
@@ -38,7 +38,7 @@
 // NewShards makes the electors of all shards.
 func NewShards(settings *config.Settings, store *state.Client, commander *worker.Commander, incarnation string) *Shards {
 	if settings.ShardCount() == 1 {
-		return SingleShard(NewElector(settings, store, commander, incarnation))
+		return NewSingleShard(NewElector(settings, store, commander, incarnation))
 	}
 	caches := newWatchCaches(store)
 	electors := make([]*Elector, settings.ShardCount())
@@ -52,14 +52,14 @@
 	return s
 }
 
-// SingleShard wraps the elector of a pool that is one shard.
-func SingleShard(elector *Elector) *Shards {
+// NewSingleShard wraps the elector of a pool that is one shard.
+func NewSingleShard(elector *Elector) *Shards {
 	return newShards([]*Elector{elector}, elector.store, elector.caches)
 }
 
 func newShards(electors []*Elector, store *state.Client, caches watchCaches) *Shards {
 	return &Shards{
-		Refuse:    func(error) {},
+		OnRefused: func(error) {},
 		electors:  electors,
 		caches:    caches,
 		layout:    &storeLayout{store: store, cache: caches.pool, shards: len(electors)},
@@ -93,7 +93,7 @@
 	go s.allowances.Run(ctx)
 	if err := s.layout.ensure(ctx); err != nil {
 		if isRefusal(err) {
-			s.Refuse(err)
+			s.OnRefused(err)
 		}
 		return
 	}
@@ -108,12 +108,12 @@
 // checkSingleLayout refuses a store that is laid out for several shards.
 func (s *Shards) checkSingleLayout(ctx context.Context) {
 	if found, err := s.layout.findInCache(ctx); found {
-		s.Refuse(err)
+		s.OnRefused(err)
 	}
 }
 
-// Pools are the shards' electors, by shard.
-func (s *Shards) Pools() []*Elector { return s.electors }
+// Electors are the shards' electors, by shard.
+func (s *Shards) Electors() []*Elector { return s.electors }
 
 // ForJob is the elector of the shard that a job belongs to.
 func (s *Shards) ForJob(job ids.Job) *Elector { return s.electors[ids.ShardOf(job, len(s.electors))] }
@@ -145,8 +145,8 @@
 	return s.electors[owner].Heartbeat(ctx, report)
 }
 
-// Machines is how many machines may connect to this node.
-func (s *Shards) Machines() (count int) {
+// MachineCount is how many machines may connect to this node.
+func (s *Shards) MachineCount() (count int) {
 	for _, elector := range s.electors {
 		if cluster := elector.Cluster(); cluster != nil {
 			count += cluster.MachineCount()
@@ -155,8 +155,8 @@
 	return count
 }
 
-// Types reads the machine types that a leader has stored.
-func (s *Shards) Types() []placement.InstanceType { return s.caches.machineTypes() }
+// MachineTypes reads the machine types that a leader has stored.
+func (s *Shards) MachineTypes() []placement.InstanceType { return s.caches.machineTypes() }
 
 // ReportShortage takes in what the leader of another shard tells of its shard.
 func (s *Shards) ReportShortage(shard ids.Shard, shortage provisioning.Shortage) {
--- a/internal/election/term.go
+++ b/internal/election/term.go
@@ -31,9 +31,9 @@
 	Cluster    *claim.ClusterState
 	Committer  *commit.Committer
 	Dispatcher *dispatch.Dispatcher
-	// OpenHires are the provisioning requests that were stored at the takeover. They are there once
+	// OpenProvisioningRequests are the provisioning requests that were stored at the takeover. They are there once
 	// OnTerm is called.
-	OpenHires []state.Entry
+	OpenProvisioningRequests []state.Entry
 
 	lease     ids.Lease
 	began     time.Time
--- a/internal/peer/drains.go
+++ b/internal/peer/drains.go
@@ -17,7 +17,7 @@
 // PlanDrain makes the plan of a rollout, if this node leads. That its description can't be carried
 // out is part of the answer, since an error of a call keeps its text only.
 func (s *Service) PlanDrain(in *DrainRequest, out *DrainPlan) error {
-	plan, err := planDrain(s.link.shards.Pools()[0], specFromWire(&in.Spec))
+	plan, err := planDrain(s.link.shards.Electors()[0], specFromWire(&in.Spec))
 	switch {
 	case errors.Is(err, rollout.ErrInvalidSpec):
 		out.Refused = strings.TrimPrefix(err.Error(), rollout.ErrInvalidSpec.Error()+": ")
@@ -31,7 +31,7 @@
 
 // WaitsOfDrains tells what the machines being drained wait for, if this node leads.
 func (s *Service) WaitsOfDrains(_ *Empty, out *DrainWaits) error {
-	cluster := s.link.shards.Pools()[0].Cluster()
+	cluster := s.link.shards.Electors()[0].Cluster()
 	if cluster == nil {
 		return election.ErrNotLeader
 	}
@@ -51,7 +51,7 @@
 // PlanDrain asks the leader for the plan of a rollout. The error is a rollout.ErrBadSpec if the
 // description can't be carried out, and claim.ErrNotLeader if no leader is known.
 func (l *Link) PlanDrain(ctx context.Context, spec *rollout.Spec) (*rollout.Preview, error) {
-	pool := l.shards.Pools()[0]
+	pool := l.shards.Electors()[0]
 	if pool.Cluster() != nil {
 		return planDrain(pool, spec)
 	}
@@ -72,7 +72,7 @@
 // DrainWaits asks the leader what the machines being drained wait for. The error is
 // claim.ErrNotLeader if no leader is known.
 func (l *Link) DrainWaits(ctx context.Context) (map[ids.Machine][]string, error) {
-	pool := l.shards.Pools()[0]
+	pool := l.shards.Electors()[0]
 	if cluster := pool.Cluster(); cluster != nil {
 		return cluster.DrainBlockers(), nil
 	}
--- a/internal/peer/greeting.go
+++ b/internal/peer/greeting.go
@@ -53,7 +53,7 @@
 func (l *Link) hello(marks []claim.HintPosition) ShardsHello {
 	age, ok := l.store.SinceSuccess()
 	hello := ShardsHello{Hello: Hello{Node: l.settings.HostName, StateOK: ok && age < heardWithin}}
-	for shard, pool := range l.shards.Pools() {
+	for shard, pool := range l.shards.Electors() {
 		var mark *claim.HintPosition
 		if shard < len(marks) {
 			mark = &marks[shard]
@@ -94,7 +94,7 @@
 	}
 	l.receive(answer)
 	l.store.Budget().AddBorrowed(answer.Hello.Lent, sent)
-	for shard, pool := range l.shards.Pools() {
+	for shard, pool := range l.shards.Electors() {
 		if shard < len(answer.Shards) && answer.Shards[shard].Owner {
 			told := &answer.Shards[shard]
 			pool.ReceiveHints(convertAll(told.Hints, hintFromWire), markFromWire(told.Have))
@@ -121,7 +121,7 @@
 	if !hello.Hello.StateOK {
 		return // stepping down for a node that is not served itself would help nobody
 	}
-	for shard, pool := range l.shards.Pools() {
+	for shard, pool := range l.shards.Electors() {
 		if shard >= len(hello.Shards) {
 			break
 		}
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -43,7 +43,7 @@
 	client := c.net.Client(string(name))
 	store := state.NewClient("state:1", client, state.NewBudget(500, 200, 2, 0.6))
 	pool := election.NewElector(settings, store, &worker.Commander{HTTP: client, Timeout: time.Second}, string(name)+".1")
-	link := NewLink(settings, election.SingleShard(pool), store)
+	link := NewLink(settings, election.NewSingleShard(pool), store)
 	link.connections.dial = c.pipes.Dial
 	pool.Peers = link.ForShard(0)
 	go link.Serve(c.pipes.Listen(string(name)))
@@ -98,7 +98,7 @@
 			t.Errorf("explained by %s as %q: %v", leader, lines, err)
 		}
 		// A higher generation makes the leader step down.
-		if !a.Superseded(99) || a.Cluster() != nil {
+		if !a.ConfirmStopped(99) || a.Cluster() != nil {
 			t.Error("the leader stays although a peer is ahead")
 		}
 		if b.Cluster() != nil {
--- a/internal/peer/takeover.go
+++ b/internal/peer/takeover.go
@@ -9,15 +9,15 @@
 
 // Stopped confirms that no heartbeats are answered under older generations.
 func (s *Service) Stopped(in *Took, out *Confirmed) error {
-	out.Stopped = s.link.shards.Pools()[0].Superseded(in.Generation)
+	out.Stopped = s.link.shards.Electors()[0].ConfirmStopped(in.Generation)
 	return nil
 }
 
 // StoppedShard confirms that no heartbeats of a shard are answered under older generations. A shard
 // that this node does not have is not confirmed.
 func (s *Service) StoppedShard(in *ShardTook, out *Confirmed) error {
-	if pools := s.link.shards.Pools(); in.Shard >= 0 && int(in.Shard) < len(pools) {
-		out.Stopped = pools[in.Shard].Superseded(in.Generation)
+	if pools := s.link.shards.Electors(); in.Shard >= 0 && int(in.Shard) < len(pools) {
+		out.Stopped = pools[in.Shard].ConfirmStopped(in.Generation)
 	}
 	return nil
 }
--- a/internal/scenarios/drain_cluster_test.go
+++ b/internal/scenarios/drain_cluster_test.go
@@ -231,7 +231,7 @@
 		go runner.Run(ctx)
 		p := &fleet.Provisioner{Cloud: fleet.NewCloud("cloud:1", c.net.Client(name), 20), Cluster: term.Cluster, Store: term.Committer, Generation: term.Generation,
 			Keys: record.KeysOf(0, 1), ConfirmLeadership: func() bool { return n.pool.LeaseSurelyHeld(term) }, ListInterval: 2 * time.Second}
-		p.Adopt(term.OpenHires)
+		p.Adopt(term.OpenProvisioningRequests)
 		p.Run(ctx)
 	}
 	n.drains = &rollout.Service{Mirror: copied, Client: store, Leader: n, Writer: writer, Limits: limits,
@@ -295,7 +295,7 @@
 	all := true
 	for name, o := range n.cluster.up {
 		if name != n.name {
-			all = !n.cluster.cutOff(n.name, name) && o.pool.Superseded(generation) && all
+			all = !n.cluster.cutOff(n.name, name) && o.pool.ConfirmStopped(generation) && all
 		}
 	}
 	return all
--- a/internal/scenarios/shards_test.go
+++ b/internal/scenarios/shards_test.go
@@ -102,8 +102,8 @@
 	store.Budget().SetShardCount(c.count)
 	n := &shardNode{w: c.testCluster, name: name, cancel: cancel,
 		shards: election.NewShards(settings, store, &worker.Commander{HTTP: c.net.Client(name), Timeout: 3 * time.Second}, writer)}
-	n.shards.Refuse = func(err error) { n.refused = err }
-	for _, pool := range n.shards.Pools() {
+	n.shards.OnRefused = func(err error) { n.refused = err }
+	for _, pool := range n.shards.Electors() {
 		pool.Peers = shardPeers{cluster: c}
 		pool.OnTerm = func(_ context.Context, term *election.Term) { term.Cluster.SetMachineTypes(types()) }
 	}
@@ -134,7 +134,7 @@
 	defer c.mu.Unlock()
 	names := make([]string, c.count)
 	for name, n := range c.up {
-		for shard, pool := range n.shards.Pools() {
+		for shard, pool := range n.shards.Electors() {
 			if pool.Term() != nil {
 				names[shard] = name
 			}
@@ -377,7 +377,7 @@
 		c.count = 2
 		n := c.startNode("e")
 		time.Sleep(2 * time.Second)
-		if !errors.Is(n.refused, election.ErrOtherLayout) || !strings.Contains(n.refused.Error(), "3, not 2") {
+		if !errors.Is(n.refused, election.ErrLayoutMismatch) || !strings.Contains(n.refused.Error(), "3, not 2") {
 			t.Errorf("two shards on a store of three: %v", n.refused)
 		}
 		c.count = 3
--- a/internal/scenarios/test_cluster_test.go
+++ b/internal/scenarios/test_cluster_test.go
@@ -191,7 +191,7 @@
 	defer n.w.mu.Unlock()
 	n.asked = of
 	for name, o := range n.w.nodes {
-		if name != n.name && !n.w.cutOff(n.name, name) && o.pool.Superseded(generation) {
+		if name != n.name && !n.w.cutOff(n.name, name) && o.pool.ConfirmStopped(generation) {
 			return true
 		}
 	}
