--- a/internal/capacity/index.go
+++ b/internal/capacity/index.go
@@ -1,7 +1,7 @@
 // Package capacity indexes the machines of a leader's shard by the free capacity that tasks'
 // assignments leave on them and by the images that they hold. The index follows each assignment and
 // report, so that planning costs what changed and not the size of the fleet. It takes no lock:
-// internal/claim's ClusterState guards it.
+// internal/clusterstate's State guards it.
 package capacity
 
 import (
--- a/internal/claim/allowances.go
+++ b/internal/clusterstate/allowances.go
@@ -1,4 +1,4 @@
-package claim
+package clusterstate
 
 import (
 	"context"
@@ -14,14 +14,14 @@
 var processStart = ids.TimestampOf(time.Now())
 
 // LoadAllowances takes in the ledgers read at a takeover.
-func (c *ClusterState) LoadAllowances(entries []state.Entry) {
+func (c *State) LoadAllowances(entries []state.Entry) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.quota.Load(entries)
 }
 
-// HandleAllowanceChange takes in news of a ledger.
-func (c *ClusterState) HandleAllowanceChange(change state.Change) {
+// HandleAllowanceChange takes in a change of a ledger.
+func (c *State) HandleAllowanceChange(change state.Change) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.quota.Apply(change)
@@ -30,12 +30,12 @@
 
 // ExchangeAllowances moves allowances between the shards until the context ends, under a condition
 // that each write carries.
-func (c *ClusterState) ExchangeAllowances(ctx context.Context, store *state.Client, fence func() state.Condition, interval time.Duration) {
+func (c *State) ExchangeAllowances(ctx context.Context, store *state.Client, fence func() state.Condition, interval time.Duration) {
 	quota.NewRebalancer(c.quota, store, &c.mu, fence).Run(ctx, interval)
 }
 
 // QuotaFaults tells of each team that gets no new grants why.
-func (c *ClusterState) QuotaFaults() []string {
+func (c *State) QuotaFaults() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.quota.Faults()
--- a/internal/claim/places.go
+++ b/internal/clusterstate/assignments.go
@@ -1,4 +1,4 @@
-package claim
+package clusterstate
 
 import (
 	"time"
@@ -8,7 +8,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-func (c *ClusterState) addAssignment(assignment *workload.Assignment) {
+func (c *State) addAssignment(assignment *workload.Assignment) {
 	assignment.Job.Assignments[assignment.TaskIndex] = assignment
 	if assignment.Job.Record.Finished.Contains(assignment.TaskIndex) {
 		assignment.Job.FinishedMayBeAssigned = true
@@ -17,8 +17,8 @@
 	c.quota.AddUsage(assignment.Job.Record.Spec.Team, assignment.Job.Record.Spec.Resources)
 }
 
-// removeAssignment takes a place off the books: its task is proven not to be there.
-func (c *ClusterState) removeAssignment(assignment *workload.Assignment) {
+// removeAssignment removes an assignment: its task is proven not to be there.
+func (c *State) removeAssignment(assignment *workload.Assignment) {
 	delete(assignment.Job.Assignments, assignment.TaskIndex)
 	assignment.Job.HasLasted = assignment.Job.HasLasted || time.Since(assignment.AssignedAt) >= workload.StartProtectionTime
 	if len(assignment.Job.Assignments) == 0 {
@@ -38,16 +38,16 @@
 }
 
 // stopAssignment asks for a task to be stopped, or drops it if its start never went out.
-func (c *ClusterState) stopAssignment(assignment *workload.Assignment, leeway ids.Seconds, why string) {
+func (c *State) stopAssignment(assignment *workload.Assignment, grace ids.Seconds, why string) {
 	if !assignment.StartSent {
 		c.removeAssignment(assignment)
 		c.markChanged(assignment.Job)
 		return
 	}
-	if assignment.Stopping && leeway >= assignment.StopGrace {
+	if assignment.Stopping && grace >= assignment.StopGrace {
 		return
 	}
-	assignment.Stopping, assignment.StopGrace, assignment.StopReason, assignment.StopRequestedAt = true, leeway, why, time.Now()
+	assignment.Stopping, assignment.StopGrace, assignment.StopReason, assignment.StopRequestedAt = true, grace, why, time.Now()
 	c.commands.AddFor(assignment)
 	if !assignment.Confirmed && !c.noDirectStartOutstanding(assignment) && c.underCurrentGeneration(assignment) {
 		// A late start could yet begin it: raise the token so that the worker
@@ -58,13 +58,13 @@
 	wait.Signal(c.planSignal)
 }
 
-// underCurrentGeneration tells whether the place's start went out under this generation.
-func (c *ClusterState) underCurrentGeneration(assignment *workload.Assignment) bool {
+// underCurrentGeneration tells whether the assignment's start went out under this generation.
+func (c *State) underCurrentGeneration(assignment *workload.Assignment) bool {
 	return assignment.FencingToken == c.generation
 }
 
-// noDirectStartOutstanding tells that no direct start of the place is unaccounted for.
-func (c *ClusterState) noDirectStartOutstanding(assignment *workload.Assignment) bool {
+// noDirectStartOutstanding tells that no direct start of the assignment is unaccounted for.
+func (c *State) noDirectStartOutstanding(assignment *workload.Assignment) bool {
 	machine := c.machines.Machines[assignment.Machine]
 	return machine != nil && c.underCurrentGeneration(assignment) && !machine.MayRestart(assignment.Task().String(), assignment.Attempt)
 }
--- a/internal/claim/cancellation.go
+++ b/internal/clusterstate/cancellation.go
@@ -1,4 +1,4 @@
-package claim
+package clusterstate
 
 import (
 	"github.com/pebbletrail/pebbletrail/internal/ids"
@@ -8,7 +8,7 @@
 
 // HandleCancellation takes in that a job's cancellation is stored apart from its record,
 // or, with removed, that it is no longer.
-func (c *ClusterState) HandleCancellation(id ids.Job, revision ids.Revision, removed bool) {
+func (c *State) HandleCancellation(id ids.Job, revision ids.Revision, removed bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if revision <= c.cancellations[id] {
@@ -21,9 +21,9 @@
 	c.applyCancellation(id, revision)
 }
 
-// applyCancellation is LearnCancellation under the lock. A job that is loaded later is
+// applyCancellation is HandleCancellation under the lock. A job that is loaded later is
 // cancelled then, see addJob.
-func (c *ClusterState) applyCancellation(id ids.Job, revision ids.Revision) {
+func (c *State) applyCancellation(id ids.Job, revision ids.Revision) {
 	c.cancellations[id] = revision
 	if job := c.jobs.Get(id); job != nil && !job.Ended {
 		c.cancelConfirmed(job)
@@ -33,7 +33,7 @@
 
 // cancelConfirmed cancels a job whose user was told so by another controller. A completion
 // that only this memory knows came too late: what is told first stands.
-func (c *ClusterState) cancelConfirmed(job *workload.Job) {
+func (c *State) cancelConfirmed(job *workload.Job) {
 	if job.Cancelled() {
 		return
 	}
--- a/internal/claim/cloud_list.go
+++ b/internal/clusterstate/cloud_list.go
@@ -1,4 +1,4 @@
-package claim
+package clusterstate
 
 import (
 	"time"
@@ -7,14 +7,14 @@
 	"github.com/pebbletrail/pebbletrail/internal/placement"
 )
 
-// MachinesRented notes machines just rented.
-func (c *ClusterState) MachinesRented(names []ids.Machine, h placement.ProvisioningRequest, now time.Time) {
+// MachinesProvisioned notes machines just provisioned.
+func (c *State) MachinesProvisioned(names []ids.Machine, request placement.ProvisioningRequest, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, n := range names {
-		machine := c.machines.Ensure(n, now, c.trustSilence)
+	for _, name := range names {
+		machine := c.machines.Ensure(name, now, c.trustSilence)
 		if !machine.HasReported {
-			machine.Type, machine.Zone, machine.Spot, machine.Booting = h.Type, h.Zone, h.Spot, true
+			machine.Type, machine.Zone, machine.Spot, machine.Booting = request.Type, request.Zone, request.Spot, true
 			c.markHintChanged(machine)
 		}
 	}
@@ -22,22 +22,22 @@
 
 // ListedMachine is one machine of the cloud's list.
 type ListedMachine struct {
-	Name      ids.Machine `json:"uid"`
-	Address   string      `json:"endpoint"`
-	Type      string      `json:"build"`
-	Zone      string      `json:"yard"`
-	Spot      bool        `json:"loaners"`
-	Status    string      `json:"status"`
-	RentedFor ids.Seconds `json:"heldS"`
+	Name           ids.Machine
+	Address        string
+	Type           string
+	Zone           string
+	Spot           bool
+	Status         string
+	ProvisionedFor ids.Seconds
 }
 
 // ReconcileCloudList takes in the cloud's list. It lags, so that absence proves nothing and
 // only what it says outright counts.
-func (c *ClusterState) ReconcileCloudList(ls []ListedMachine, now time.Time) {
+func (c *State) ReconcileCloudList(list []ListedMachine, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for i := range ls {
-		listed := &ls[i]
+	for i := range list {
+		listed := &list[i]
 		if c.terminated[listed.Name] {
 			continue // the list is older than its deletion
 		}
@@ -48,7 +48,7 @@
 			machine.Booting = listed.Status == "booting"
 		}
 		// The list describes a moment before now: the earliest is nearest.
-		if at := now.Add(-listed.RentedFor.Duration()); at.Before(machine.ProvisionedAt) {
+		if at := now.Add(-listed.ProvisionedFor.Duration()); at.Before(machine.ProvisionedAt) {
 			machine.ProvisionedAt = at
 		}
 		machine.Failed = machine.Failed || listed.Status == "failed"
--- /dev/null
+++ b/internal/clusterstate/commands.go
@@ -0,0 +1,44 @@
+package clusterstate
+
+import (
+	"time"
+
+	"github.com/pebbletrail/pebbletrail/internal/dispatch"
+	"github.com/pebbletrail/pebbletrail/internal/ids"
+	"github.com/pebbletrail/pebbletrail/internal/worker"
+)
+
+// NextBatches takes the commands that may go out now, for at most so many machines.
+func (c *State) NextBatches(limit int) []dispatch.Batch {
+	starts, recordsRead := c.StartsAllowed()
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.closed {
+		return nil
+	}
+	permission := dispatch.Permission{FencingToken: c.generation, Starts: starts, RecordsRead: recordsRead}
+	return c.commands.NextBatches(limit, permission, time.Now())
+}
+
+// BatchAnswered takes in what became of a batch of commands.
+func (c *State) BatchAnswered(batch dispatch.Batch, outcome worker.Outcome) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.commands.Answered(batch, outcome)
+}
+
+// DueProbes takes the machines to probe now, with at most so many probes in flight.
+func (c *State) DueProbes(now time.Time, limit int) []dispatch.Probe {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.prober.Due(now, limit, c.generation)
+}
+
+// ProbeAnswered takes in whether a machine answered a probe.
+func (c *State) ProbeAnswered(name ids.Machine, answered bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if machine := c.prober.Answered(name, answered); machine != nil {
+		c.commands.RecordReachability(machine, answered)
+	}
+}
--- a/internal/claim/dependencies.go
+++ b/internal/clusterstate/dependencies.go
@@ -1,4 +1,4 @@
-package claim
+package clusterstate
 
 import (
 	"time"
@@ -17,7 +17,7 @@
 	lookups map[ids.Job]time.Time // ended jobs of which it is not known how, and when to ask
 	// movedLast tells that the last group of changes moved waiting jobs.
 	movedLast bool
-	// departed are jobs of which news told, before the records were loaded, that they wait
+	// departed are jobs of which a change told, before the records were loaded, that they wait
 	// no more: the copy to load may be older. It is nil from then on.
 	departed map[ids.Job]ids.Revision
 }
@@ -29,7 +29,7 @@
 
 // HandleWaitingJob takes in a job that awaits others, or that it no longer does; rec is
 // nil then.
-func (c *ClusterState) HandleWaitingJob(id ids.Job, revision ids.Revision, rec *record.Record, now time.Time) {
+func (c *State) HandleWaitingJob(id ids.Job, revision ids.Revision, rec *record.Record, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	waiting := c.dependencies.waiting[id]
@@ -49,7 +49,7 @@
 }
 
 // LoadWaitingJobs adds, at a takeover, the jobs that wait; those they await are loaded.
-func (c *ClusterState) LoadWaitingJobs(records map[ids.Job]*record.Record, revisions map[ids.Job]ids.Revision, now time.Time) {
+func (c *State) LoadWaitingJobs(records map[ids.Job]*record.Record, revisions map[ids.Job]ids.Revision, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var added []*workload.WaitingJob
@@ -63,11 +63,11 @@
 }
 
 // isUnknown tells whether nothing is known of a job yet.
-func (c *ClusterState) isUnknown(id ids.Job) bool {
+func (c *State) isUnknown(id ids.Job) bool {
 	return c.dependencies.waiting[id] == nil && c.jobs.Get(id) == nil && !c.jobs.IsRetired(id)
 }
 
-func (c *ClusterState) addWaitingJobs(now time.Time, added ...*workload.WaitingJob) {
+func (c *State) addWaitingJobs(now time.Time, added ...*workload.WaitingJob) {
 	jobs := make([]dependency.Job, len(added))
 	for i, waiting := range added {
 		id, spec := waiting.ID(), &waiting.Record.Spec
@@ -86,7 +86,7 @@
 
 // checkAwaited tells the graph of an awaited job's cancellation that is not stored as
 // an end yet, and has it looked up how the job ended if that is not known.
-func (c *ClusterState) checkAwaited(id ids.Job, now time.Time) {
+func (c *State) checkAwaited(id ids.Job, now time.Time) {
 	if c.dependencies.graph.Outcome(id) != dependency.Unknown {
 		return
 	}
@@ -104,32 +104,32 @@
 }
 
 // removeWaitingJob takes a job out of those that wait; those that need it stay indexed.
-func (c *ClusterState) removeWaitingJob(waiting *workload.WaitingJob) {
+func (c *State) removeWaitingJob(waiting *workload.WaitingJob) {
 	delete(c.dependencies.waiting, waiting.ID())
 	c.applyGraphChanges(c.dependencies.graph.Remove(waiting.ID()))
 }
 
 // scheduleLookup has it looked up how a job ended.
-func (c *ClusterState) scheduleLookup(id ids.Job, now time.Time) {
+func (c *State) scheduleLookup(id ids.Job, now time.Time) {
 	if _, asked := c.dependencies.lookups[id]; !asked {
 		c.dependencies.lookups[id] = now
 	}
 }
 
 // scheduleLookupIfAwaited has it looked up how a job ended, if others await it.
-func (c *ClusterState) scheduleLookupIfAwaited(id ids.Job) {
+func (c *State) scheduleLookupIfAwaited(id ids.Job) {
 	if c.dependencies.graph.HasDependents(id) && c.dependencies.graph.Outcome(id) == dependency.Unknown {
 		c.scheduleLookup(id, time.Now())
 	}
 }
 
 // cancelDependents cancels the waiting jobs that need a cancelled one.
-func (c *ClusterState) cancelDependents(id ids.Job) {
+func (c *State) cancelDependents(id ids.Job) {
 	c.applyGraphChanges(c.dependencies.graph.Cancel(id))
 }
 
 // joinDependencies takes in that a job that others may await became claimable.
-func (c *ClusterState) joinDependencies(job *workload.Job) {
+func (c *State) joinDependencies(job *workload.Job) {
 	id := job.Record.Spec.ID
 	delete(c.dependencies.lookups, id)
 	job.Inherited = c.dependencies.graph.InheritedUrgency(id)
@@ -139,7 +139,7 @@
 }
 
 // jobEnded takes in how a job ended, once that is stored.
-func (c *ClusterState) jobEnded(id ids.Job, how record.Status) {
+func (c *State) jobEnded(id ids.Job, how record.Status) {
 	delete(c.dependencies.lookups, id)
 	if how != record.Done {
 		c.cancelDependents(id)
@@ -150,7 +150,7 @@
 
 // applyGraphChanges takes in what a change of the graph means for claimable jobs, and has what is
 // to be stored stored.
-func (c *ClusterState) applyGraphChanges(changes dependency.Changes) {
+func (c *State) applyGraphChanges(changes dependency.Changes) {
 	if changes.Resolved {
 		wait.Signal(c.commitSignal)
 	}
@@ -163,7 +163,7 @@
 }
 
 // refreshDurations takes in that fetches may take another time than thought.
-func (c *ClusterState) refreshDurations() {
+func (c *State) refreshDurations() {
 	c.applyGraphChanges(c.dependencies.graph.UpdateDurations(func(id ids.Job) time.Duration {
 		return c.estimates.JobDuration(&c.dependencies.waiting[id].Record.Spec)
 	}))
--- a/internal/claim/evictions_test.go
+++ b/internal/clusterstate/evictions_test.go
@@ -1,4 +1,4 @@
-package claim
+package clusterstate
 
 import (
 	"fmt"
@@ -18,17 +18,17 @@
 
 // drainBook is a cluster state with drains on and a service of four replicas, one on each of four
 // machines, that are all up.
-func drainBook(t *testing.T, now time.Time) *ClusterState {
+func drainBook(t *testing.T, now time.Time) *State {
 	t.Helper()
 	return drainBookWith(t, now, &config.Drains{})
 }
 
 // drainBookWith is the same with other settings of drains.
-func drainBookWith(t *testing.T, now time.Time, drains *config.Drains) *ClusterState {
+func drainBookWith(t *testing.T, now time.Time, drains *config.Drains) *State {
 	t.Helper()
 	settings := testSet()
 	settings.Features = &config.Features{Drains: drains}
-	cluster := NewClusterState(settings, "w", 7, time.Now())
+	cluster := New(settings, "w", 7, time.Now())
 	cluster.SetMachineTypes(testTypes())
 	for i := range 4 {
 		hear(cluster, ids.Machine(fmt.Sprint("m", i+1)), 1, now)
@@ -50,7 +50,7 @@
 }
 
 // hear has a machine report.
-func hear(cluster *ClusterState, name ids.Machine, token ids.Generation, now time.Time) {
+func hear(cluster *State, name ids.Machine, token ids.Generation, now time.Time) {
 	machine := cluster.machines.Ensure(name, now, now)
 	machine.HasReported, machine.Type, machine.Zone, machine.Incarnation, machine.LastReportAt, machine.LastAnsweredAt, machine.FencingToken = true, "small", "north", 1, now, now, token
 	cluster.capacity.Reindex(cluster.capacity.Ensure(name))
@@ -66,12 +66,12 @@
 }
 
 // evictNow looks at the evictions, whatever the time of the last look.
-func evictNow(cluster *ClusterState, now time.Time) {
+func evictNow(cluster *State, now time.Time) {
 	cluster.evictor.Look(now)
 }
 
 // stopping counts the replicas that are being stopped.
-func stopping(cluster *ClusterState) (n int) {
+func stopping(cluster *State) (n int) {
 	for _, assignment := range cluster.jobs.Get("job-1").Assignments {
 		if assignment.Stopping {
 			n++
--- /dev/null
+++ b/internal/clusterstate/explain.go
@@ -0,0 +1,149 @@
+package clusterstate
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+	"time"
+
+	"github.com/pebbletrail/pebbletrail/internal/ids"
+	"github.com/pebbletrail/pebbletrail/internal/worker"
+	"github.com/pebbletrail/pebbletrail/internal/workload"
+)
+
+// maxExplainLines bounds an explanation.
+const maxExplainLines = 200
+
+// Explain tells why a job's tasks wait and where the others are, as the leader sees it.
+func (c *State) Explain(id ids.Job) []string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	job := c.jobs.Get(id)
+	if job == nil {
+		return nil
+	}
+	now := time.Now()
+	lines := c.describePending(job, now)
+	lines = append(lines, job.DescribeFailures(now)...)
+	lines = append(lines, c.describeZones(job, now)...)
+	for _, task := range workload.SortedTasks(job.Assignments) {
+		lines = append(lines, c.describeAssignment(job.Assignments[task], now))
+		if len(lines) > maxExplainLines {
+			return append(lines, "…")
+		}
+	}
+	return append(lines, describeRetries(job, now)...)
+}
+
+// describePending tells why tasks of a job wait.
+func (c *State) describePending(job *workload.Job, now time.Time) (lines []string) {
+	if job.PendingReason == "" {
+		return nil
+	}
+	lines = append(lines, "waits: "+job.PendingReason)
+	if job.Unassigned() > 0 && !job.Failing() {
+		lines = append(lines, c.planner.DescribeBooting(job, now)...)
+	}
+	return lines
+}
+
+// describeAssignment tells where a task is and how it stands.
+func (c *State) describeAssignment(assignment *workload.Assignment, now time.Time) string {
+	zone, reported := "?", "not heard by this leader"
+	if machine := c.machines.Machines[assignment.Machine]; machine != nil && machine.HasReported {
+		zone, reported = machine.Zone, fmt.Sprintf("heard %.1fs ago", machine.SilentFor(now).Seconds())
+	}
+	return fmt.Sprintf("task %d attempt %d on %s (%s, %s): %s", assignment.TaskIndex, assignment.Attempt, assignment.Machine, zone, reported, describeStatus(assignment))
+}
+
+// describeStatus tells how an assigned task stands.
+func describeStatus(assignment *workload.Assignment) string {
+	switch {
+	case assignment.Stopping && !assignment.Confirmed:
+		return "uncertain, to be stopped: " + assignment.StopReason
+	case assignment.Stopping:
+		return assignment.Status + ", stopping: " + assignment.StopReason
+	case assignment.Evicting:
+		return assignment.Status + ", to be moved by a rollout"
+	case !assignment.StartSent:
+		return "marked"
+	case !assignment.Confirmed:
+		return "start not confirmed"
+	}
+	return assignment.Status
+}
+
+// describeRetries tells of the tasks that failed when they are tried again.
+func describeRetries(job *workload.Job, now time.Time) (lines []string) {
+	for _, task := range slices.Sorted(maps.Keys(job.Retries)) {
+		if retry := job.Retries[task]; retry.NotBefore.After(now) {
+			lines = append(lines, fmt.Sprintf("task %d failed %d times, tried again in %.1fs", task, retry.Failures, retry.NotBefore.Sub(now).Seconds()))
+		}
+	}
+	return lines
+}
+
+// describeZones tells where a job's tasks are, by zone, and what those in a dark one
+// wait for.
+func (c *State) describeZones(job *workload.Job, now time.Time) (out []string) {
+	at, dark := map[string]int{}, map[string]int{}
+	var latest time.Time
+	for _, assignment := range job.Assignments {
+		machine := c.machines.Machines[assignment.Machine]
+		switch {
+		case machine != nil && c.zones.Unreachable(machine.Zone) && (!machine.HasReported || machine.Suspect()):
+			dark[machine.Zone]++
+			latest = worker.Later(latest, machine.LeaseExpiresAt)
+		default:
+			at[c.reconciler.ZoneOf(assignment.Machine)]++
+		}
+	}
+	if len(at) > 0 {
+		out = append(out, "on machines in "+workload.FormatByZone(at))
+	}
+	if len(dark) > 0 {
+		out = append(out, fmt.Sprintf("nothing is heard of %s: its tasks there may go on, and start elsewhere once their workers' leases have surely lapsed, in %.0fs at the latest, or the cloud has taken the machines back",
+			workload.FormatByZone(dark), max(0, latest.Sub(now).Seconds())))
+	}
+	from := job.Losses.CountByZone(func(task int) bool { return !job.Record.Finished.Contains(task) })
+	if len(from) > 0 {
+		out = append(out, fmt.Sprintf("lost in %s and not started again yet", workload.FormatByZone(from)))
+	}
+	return out
+}
+
+// Summary counts what the leader has, for operators.
+func (c *State) Summary() map[string]any {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	reporting, draining, cordoned := 0, 0, 0
+	for _, machine := range c.machines.Machines {
+		if machine.HasReported {
+			reporting++
+		}
+		if machine.Cordoned {
+			cordoned++
+		}
+		if machine.DrainReason != "" || !machine.SpotTerminationAt.IsZero() {
+			draining++
+		}
+	}
+	waiting := map[string]int{}
+	assigned := 0
+	for _, job := range c.jobs.All() {
+		assigned += len(job.Assignments)
+		if job.PendingReason != "" {
+			waiting[job.PendingReason]++
+		}
+	}
+	return map[string]any{"generation": c.generation, "jobs": c.jobs.Len(), "placed": assigned, "machines": len(c.machines.Machines),
+		"heard": reporting, "draining": draining, "cordoned": cordoned, "waiting": waiting,
+		"spent": c.costsSummary()}
+}
+
+// costsSummary is what the machines cost, by what they were doing, and the work to do again.
+func (c *State) costsSummary() map[string]any {
+	money, repeated := c.costs.Summary()
+	return map[string]any{"boot": money.Boot, "idle": money.Idle, "free": money.Free, "fetch": money.Pull,
+		"wait": money.Wait, "run": money.Run, "againCoreSeconds": repeated}
+}
--- a/internal/claim/failing_jobs_test.go
+++ b/internal/clusterstate/failing_jobs_test.go
@@ -1,4 +1,4 @@
-package claim
+package clusterstate
 
 import (
 	"fmt"
@@ -18,7 +18,7 @@
 
 // play lets every machine report what is placed on it: ends tells how a task ends
 // at once, empty while it runs.
-func (c *ClusterState) play(tick ids.SequenceNumber, ends func(assignment *workload.Assignment) string) {
+func (c *State) play(tick ids.SequenceNumber, ends func(assignment *workload.Assignment) string) {
 	on := map[ids.Machine][]worker.TaskStatus{}
 	for _, job := range c.jobs.All() {
 		for _, assignment := range job.Assignments {
@@ -248,7 +248,7 @@
 	// than a takeover takes.
 	synctest.Test(t, func(t *testing.T) {
 		a := fleet(t, 2)
-		a.MachinesRented([]ids.Machine{"host-000100"}, hireOf("small", "south"), time.Now())
+		a.MachinesProvisioned([]ids.Machine{"host-000100"}, hireOf("small", "south"), time.Now())
 		time.Sleep(40 * time.Second)
 		hs, to := a.Hints(HintPosition{})
 		var received HintCache
--- a/internal/claim/fairness_test.go
+++ b/internal/clusterstate/fairness_test.go
@@ -1,4 +1,4 @@
-package claim
+package clusterstate
 
 import (
 	"fmt"
@@ -162,7 +162,7 @@
 
 // serve lets a second pass on every machine: tasks placed run for a while, and
 // end done.
-func (c *ClusterState) serve(tick ids.SequenceNumber, runs time.Duration, ended map[workload.TaskAttempt]bool) {
+func (c *State) serve(tick ids.SequenceNumber, runs time.Duration, ended map[workload.TaskAttempt]bool) {
 	for name := range c.machines.Machines {
 		var ps []worker.TaskStatus
 		for assignment := range c.capacity.AssignmentsOn(name) {
--- a/internal/claim/hint_cache.go
+++ b/internal/clusterstate/hint_cache.go
@@ -1,4 +1,4 @@
-package claim
+package clusterstate
 
 import (
 	"time"
@@ -10,17 +10,17 @@
 // are not named.
 const wholeHintsInterval = 20 * time.Second
 
-// HintCache is what the last leader that was heard told of its machines, kept for the case that this
+// HintCache is what the last leader told of its machines, kept for the case that this
 // node leads next. Its owner guards it by a lock.
 type HintCache struct {
 	hints    map[ids.Machine]receivedHint
 	received HintPosition
 }
 
-// receivedHint is a hint with, by this node's clock, when the machine was rented.
+// receivedHint is a hint with, by this node's clock, when the machine was provisioned.
 type receivedHint struct {
 	Hint
-	rentedAt time.Time
+	provisionedAt time.Time
 }
 
 // Receive takes in a leader's hints and how far in them they go; those of an earlier leader are
@@ -34,7 +34,7 @@
 	}
 	now := time.Now()
 	for _, hint := range hints {
-		c.hints[hint.Name] = receivedHint{hint, now.Add(-hint.RentedFor)}
+		c.hints[hint.Name] = receivedHint{hint, now.Add(-hint.ProvisionedFor)}
 	}
 	to.ReceivedAt = c.received.ReceivedAt
 	if to.Complete {
--- a/internal/claim/hints.go
+++ b/internal/clusterstate/hints.go
@@ -1,4 +1,4 @@
-package claim
+package clusterstate
 
 import (
 	"time"
@@ -17,10 +17,10 @@
 	Spot        bool
 	Incarnation ids.Incarnation
 	Images      worker.Images
-	// Booting tells that it is rented and not up yet, since Held ago. The cloud's
-	// list lags, and a new leader that knows nothing of it would rent another.
-	Booting   bool
-	RentedFor time.Duration
+	// Booting tells that it is provisioned and not up yet, since RentedFor ago. The cloud's
+	// list lags, and a new leader that knows nothing of it would provision another.
+	Booting        bool
+	ProvisionedFor time.Duration
 }
 
 // HintPosition is how far in a leader's hints somebody is.
@@ -32,14 +32,14 @@
 }
 
 // markHintChanged notes that what the others should know of a machine changed.
-func (c *ClusterState) markHintChanged(machine *worker.Machine) {
+func (c *State) markHintChanged(machine *worker.Machine) {
 	c.hintSequence++
 	machine.HintSequence = c.hintSequence
 }
 
-// Hints lists the machines heard of which something changed since a mark, or
+// Hints lists the machines of which something changed since a position, or
 // all if it is not this leader's.
-func (c *ClusterState) Hints(since HintPosition) (out []Hint, to HintPosition) {
+func (c *State) Hints(since HintPosition) (out []Hint, to HintPosition) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	to = HintPosition{Generation: c.firstGeneration, Sequence: c.hintSequence, Complete: since.Generation != c.firstGeneration}
@@ -54,8 +54,8 @@
 	return out, to
 }
 
-// ApplyHints takes in what an earlier leader told of machines that this one has not heard of.
-func (c *ClusterState) ApplyHints(cache *HintCache, now time.Time) {
+// ApplyHints takes in what an earlier leader told of machines that have not reported to this one.
+func (c *State) ApplyHints(cache *HintCache, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, hint := range cache.hints {
@@ -66,7 +66,7 @@
 		machine.Addr, machine.Type, machine.Zone, machine.Spot, machine.HintedIncarnation = hint.Address, hint.Type, hint.Zone, hint.Spot, hint.Incarnation
 		machine.Images = hint.Images
 		if hint.Booting {
-			machine.Booting, machine.ProvisionedAt = true, hint.rentedAt
+			machine.Booting, machine.ProvisionedAt = true, hint.provisionedAt
 		}
 		for _, image := range hint.Images.Names {
 			c.capacity.AddImage(c.capacity.Ensure(hint.Name), image)
--- a/internal/claim/inheritance_test.go
+++ b/internal/clusterstate/inheritance_test.go
@@ -1,4 +1,4 @@
-package claim
+package clusterstate
 
 import (
 	"testing"
@@ -12,7 +12,7 @@
 )
 
 // diamond is a low job, two low ones that await it, and a high one that awaits both.
-func diamond(cluster *ClusterState, now time.Time) {
+func diamond(cluster *State, now time.Time) {
 	cluster.HandleRecord("job-1", 1, newRecord("job-1", "red", record.Low, 1, 1), now)
 	cluster.HandleWaitingJob("job-2", 2, waits("job-2", record.Low, 0, "job-1"), now)
 	cluster.HandleWaitingJob("job-3", 3, waits("job-3", record.Low, 0, "job-1"), now)
@@ -24,30 +24,30 @@
 	// urgent needs them any more, whoever cancelled what; and against one branch losing
 	// it because the other does.
 	for name, c := range map[string]struct {
-		change        func(cluster *ClusterState, now time.Time)
+		change        func(cluster *State, now time.Time)
 		first, branch record.Priority // of job-1 and job-3 afterwards
 	}{
-		"nothing": {func(*ClusterState, time.Time) {}, record.High, record.High},
-		"the urgent one is cancelled at another node": {func(cluster *ClusterState, now time.Time) {
+		"nothing": {func(*State, time.Time) {}, record.High, record.High},
+		"the urgent one is cancelled at another node": {func(cluster *State, now time.Time) {
 			cluster.HandleWaitingJob("job-4", 9, nil, now)
 		}, record.Low, record.Low},
-		"its end is read": {func(cluster *ClusterState, now time.Time) {
+		"its end is read": {func(cluster *State, now time.Time) {
 			cluster.HandleWaitingJob("job-4", 9, nil, now)
 			cluster.jobEnded("job-4", record.Cancelled)
 		}, record.Low, record.Low},
-		"one branch is cancelled at another node, so the urgent one is": {func(cluster *ClusterState, now time.Time) {
+		"one branch is cancelled at another node, so the urgent one is": {func(cluster *State, now time.Time) {
 			cluster.HandleWaitingJob("job-2", 9, nil, now)
 			cluster.jobEnded("job-2", record.Cancelled)
 		}, record.Low, record.Low},
-		"one branch is done": {func(cluster *ClusterState, now time.Time) {
+		"one branch is done": {func(cluster *State, now time.Time) {
 			cluster.HandleWaitingJob("job-2", 9, nil, now)
 			cluster.jobEnded("job-2", record.Done)
 		}, record.High, record.High},
-		"another urgent one needs one branch, the first goes": {func(cluster *ClusterState, now time.Time) {
+		"another urgent one needs one branch, the first goes": {func(cluster *State, now time.Time) {
 			cluster.HandleWaitingJob("job-5", 5, waits("job-5", record.High, 100, "job-3"), now)
 			cluster.HandleWaitingJob("job-4", 9, nil, now)
 		}, record.High, record.High},
-		"the first is cancelled": {func(cluster *ClusterState, now time.Time) {
+		"the first is cancelled": {func(cluster *State, now time.Time) {
 			cancelled := newRecord("job-1", "red", record.Low, 1, 1)
 			cancelled.Status = record.Cancelling
 			cluster.HandleRecord("job-1", 9, cancelled, now)
@@ -180,7 +180,7 @@
 	// leads: it reads the records before it knows the types.
 	synctest.Test(t, func(t *testing.T) {
 		now := time.Now()
-		cluster := NewClusterState(testSet(), "w", 7, now)
+		cluster := New(testSet(), "w", 7, now)
 		diamond(cluster, now)
 		first := cluster.jobs.Get("job-1")
 		before := first.Inherited.Deadline.Sub(now)
--- a/internal/claim/lookups.go
+++ b/internal/clusterstate/lookups.go
@@ -1,4 +1,4 @@
-package claim
+package clusterstate
 
 import (
 	"slices"
@@ -13,7 +13,7 @@
 const lookupRetryDelay = time.Second
 
 // DueLookups lists, in the order of their keys, the ended jobs to look up now.
-func (c *ClusterState) DueLookups(now time.Time) []ids.Job {
+func (c *State) DueLookups(now time.Time) []ids.Job {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var due []ids.Job
@@ -29,22 +29,22 @@
 }
 
 // RetryLookup puts off looking a job up that could not be read.
-func (c *ClusterState) RetryLookup(id ids.Job, now time.Time) {
+func (c *State) RetryLookup(id ids.Job, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.dependencies.lookups[id] = now.Add(lookupRetryDelay)
 }
 
 // LookupFound takes in how a job ended.
-func (c *ClusterState) LookupFound(id ids.Job, status record.Status) {
+func (c *State) LookupFound(id ids.Job, status record.Status) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.jobEnded(id, status)
 }
 
 // LookupMissed takes in that a job has no final record; readLive tells that it may be live after all, by a
-// write of this leader's without an answer. Of a live job of another shard news will tell.
-func (c *ClusterState) LookupMissed(id ids.Job, now time.Time) (readLive bool) {
+// write of this leader's without an answer. Of a live job of another shard a change will tell.
+func (c *State) LookupMissed(id ids.Job, now time.Time) (readLive bool) {
 	_, live := c.StatusInOtherShard(id)
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -57,7 +57,7 @@
 }
 
 // LiveRecordFound takes in a live record that this leader wrote but does not know of.
-func (c *ClusterState) LiveRecordFound(stored *record.Record, revision ids.Revision, now time.Time) {
+func (c *State) LiveRecordFound(stored *record.Record, revision ids.Revision, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	id := stored.Spec.ID
--- a/internal/claim/lapses.go
+++ b/internal/clusterstate/lost_machines.go
@@ -1,4 +1,4 @@
-package claim
+package clusterstate
 
 import (
 	"time"
@@ -7,12 +7,18 @@
 	"github.com/pebbletrail/pebbletrail/internal/wait"
 )
 
-// ExpireLeases requeues what was on machines whose workers' leases have surely run
-// out, and returns whether anything did.
-func (c *ClusterState) ExpireLeases(now time.Time) {
+// leaseCheckInterval is how often leases are looked at at most.
+const leaseCheckInterval = 200 * time.Millisecond
+
+// maxTerminatedMachines bounds the machines remembered as terminated: late reports of older ones are not
+// expected.
+const maxTerminatedMachines = 20000
+
+// ExpireLeases requeues what was on machines whose workers' leases have surely expired.
+func (c *State) ExpireLeases(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if now.Sub(c.leasesCheckedAt) < 200*time.Millisecond {
+	if now.Sub(c.leasesCheckedAt) < leaseCheckInterval {
 		return
 	}
 	c.leasesCheckedAt = now
@@ -26,8 +32,8 @@
 			continue
 		}
 		for assignment := range node.Assignments {
-			// A start sent after the last answer belongs to the same lapsed
-			// session, which turns it away from here on.
+			// A start sent after the last answer belongs to the same expired incarnation, which turns it
+			// away from here on.
 			c.reconciler.MarkLost(assignment, "silent until its worker's lease had surely lapsed")
 		}
 	}
@@ -35,7 +41,7 @@
 
 // MachineTerminated requeues everything on a machine that the cloud has confirmed
 // deleted, and forgets it.
-func (c *ClusterState) MachineTerminated(name ids.Machine) {
+func (c *State) MachineTerminated(name ids.Machine) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	why := "its machine was returned to the cloud"
@@ -47,10 +53,17 @@
 		c.reconciler.MarkLost(assignment, why)
 	}
 	c.removeMachine(name)
-	if len(c.terminated) > 20000 {
-		clear(c.terminated) // late news of machines that old is not expected
+	if len(c.terminated) > maxTerminatedMachines {
+		clear(c.terminated)
 	}
 	c.terminated[name] = true
 	c.scheduler.Reservations.Remove(name)
 	wait.Signal(c.planSignal)
 }
+
+// removeMachine takes a machine that is gone out of the registry and the indexes.
+func (c *State) removeMachine(name ids.Machine) {
+	if node := c.capacity.Remove(name); node != nil {
+		c.commands.Remove(node)
+	}
+}
--- a/internal/claim/other_shards.go
+++ b/internal/clusterstate/other_shards.go
@@ -1,4 +1,4 @@
-package claim
+package clusterstate
 
 import (
 	"time"
@@ -14,13 +14,13 @@
 // the records.
 
 // inShard tells whether a job belongs to this leader's shard.
-func (c *ClusterState) inShard(id ids.Job) bool {
+func (c *State) inShard(id ids.Job) bool {
 	return ids.ShardOf(id, c.settings.ShardCount()) == c.shard
 }
 
 // checkOtherShard tells the graph of the cancellation of an awaited job of another shard, and
 // has it looked up how the job ended once it is gone from the records.
-func (c *ClusterState) checkOtherShard(id ids.Job, now time.Time) {
+func (c *State) checkOtherShard(id ids.Job, now time.Time) {
 	if c.dependencies.graph.Outcome(id) != dependency.Unknown {
 		return
 	}
@@ -34,7 +34,7 @@
 }
 
 // HandleOtherShardChange takes in that something changed of a job of another shard.
-func (c *ClusterState) HandleOtherShardChange(id ids.Job, now time.Time) {
+func (c *State) HandleOtherShardChange(id ids.Job, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.dependencies.graph.HasDependents(id) {
--- a/internal/claim/outcomes_test.go
+++ b/internal/clusterstate/outcomes_test.go
@@ -1,4 +1,4 @@
-package claim
+package clusterstate
 
 import (
 	"context"
@@ -59,7 +59,7 @@
 func numbered(n int) ids.Job { return ids.Job(fmt.Sprintf("job-%d", n)) }
 
 // lookUpAll runs passes until nothing is left to look up, and tells how many.
-func lookUpAll(t *testing.T, cluster *ClusterState, c *commit.Committer) (passes int) {
+func lookUpAll(t *testing.T, cluster *State, c *commit.Committer) (passes int) {
 	t.Helper()
 	for len(cluster.dependencies.lookups) > 0 {
 		if passes++; passes > 100 {
--- a/internal/claim/oversize.go
+++ b/internal/clusterstate/oversize.go
@@ -1,4 +1,4 @@
-package claim
+package clusterstate
 
 import (
 	"log/slog"
@@ -7,12 +7,12 @@
 )
 
 // handleOversize deals with a job's record that does not fit into a value: written by an older
-// version under a larger limit, or with more places than the estimate allowed for. What
+// version under a larger limit, or with more assignments than the estimate allowed for. What
 // has not been started yet is taken back, since nothing of it may start without a stored
-// place and it must not hold room for ever; from then on fewer tasks of the job are
-// claimed at a time. Tasks that may be on machines stay: the record becomes smaller as
+// assignment and it must not hold room for ever; from then on fewer tasks of the job are
+// assigned at a time. Tasks that may be on machines stay: the record becomes smaller as
 // they end, and is not tried again before it has changed.
-func (c *ClusterState) handleOversize(job *workload.Job) {
+func (c *State) handleOversize(job *workload.Job) {
 	if !job.Oversize {
 		slog.Warn("record too large to store; fewer tasks at a time", "job", job.Record.Spec.ID, "places", len(job.Assignments))
 	}
@@ -29,9 +29,9 @@
 	}
 }
 
-// removeUnsentOf drops the places whose start never went out; it tells whether there
+// removeUnsentOf removes the assignments whose start never went out; it tells whether there
 // were any.
-func (c *ClusterState) removeUnsentOf(job *workload.Job) bool {
+func (c *State) removeUnsentOf(job *workload.Job) bool {
 	dropped := false
 	for _, i := range workload.SortedTasks(job.Assignments) {
 		if assignment := job.Assignments[i]; !assignment.StartSent {
@@ -42,11 +42,11 @@
 	return dropped
 }
 
-// forgetScattered makes a record fit that has no places left and yet is too large, or
-// has no room for a single place: of the finished tasks only the longest runs are kept,
-// so that half of the value is free again for places. The others start again; as their
+// forgetScattered makes a record fit that has no assignments left and yet is too large, or
+// has no room for a single one: of the finished tasks only the longest runs are kept,
+// so that half of the value is free again for assignments. The others start again; as their
 // results are kept, they exit as done once they have their image.
-func (c *ClusterState) forgetScattered(job *workload.Job) {
+func (c *State) forgetScattered(job *workload.Job) {
 	if job.Record.Finished.SpanCount() < 2 {
 		return // that is not what makes it large
 	}
--- a/internal/claim/pipeline_times_test.go
+++ b/internal/clusterstate/pipeline_times_test.go
@@ -1,4 +1,4 @@
-package claim
+package clusterstate
 
 import (
 	"testing"
--- a/internal/claim/promote_test.go
+++ b/internal/clusterstate/promote_test.go
@@ -1,4 +1,4 @@
-package claim
+package clusterstate
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 )
 
 // storeWaiting stores jobs that wait and loads them like a new leader.
-func (h *history) storeWaiting(t *testing.T, cluster *ClusterState, records ...*record.Record) {
+func (h *history) storeWaiting(t *testing.T, cluster *State, records ...*record.Record) {
 	byID, revisions := map[ids.Job]*record.Record{}, map[ids.Job]ids.Revision{}
 	for len(records) > 0 {
 		var txn state.Txn
@@ -35,7 +35,7 @@
 }
 
 // storeLive stores a claimable job and loads it.
-func (h *history) storeLive(t *testing.T, cluster *ClusterState, rec *record.Record) *workload.Job {
+func (h *history) storeLive(t *testing.T, cluster *State, rec *record.Record) *workload.Job {
 	raw, _ := rec.Encode(8192)
 	epoch, err := h.state.Commit(context.Background(), state.Txn{Ops: []state.Op{{Put: record.JobKey(rec.Spec.ID), Value: raw}}}, state.Urgent)
 	if err != nil {
--- a/internal/claim/fleet_planning.go
+++ b/internal/clusterstate/provisioning.go
@@ -1,4 +1,4 @@
-package claim
+package clusterstate
 
 import (
 	"time"
@@ -11,7 +11,7 @@
 )
 
 // newPlanner makes the planner of the fleet of a term.
-func newPlanner(c *ClusterState) *provisioning.Planner {
+func newPlanner(c *State) *provisioning.Planner {
 	return provisioning.New(provisioning.State{Settings: c.settings, Jobs: c.jobs, Machines: c.machines, Capacity: c.capacity,
 		Estimates: c.estimates, Scheduler: c.scheduler, Rollouts: c.evictor, Zones: c.zones,
 		StoreAvailable: func() bool { return c.StoreAvailable() },
@@ -20,7 +20,7 @@
 
 // CapacityDemands is what the fleet should provide, most important first, what is there, and which
 // machine types the cloud offers.
-func (c *ClusterState) CapacityDemands(now time.Time) (demands []placement.Demand, instances []placement.Instance, types []*placement.InstanceType) {
+func (c *State) CapacityDemands(now time.Time) (demands []placement.Demand, instances []placement.Instance, types []*placement.InstanceType) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	defer measure.Process.Took("weighing the fleet", time.Now())
@@ -29,21 +29,21 @@
 
 // MachinesToTerminate picks the machines to delete now, and marks them so that nothing more is assigned
 // there. Needed are those that a plan of the whole fleet keeps.
-func (c *ClusterState) MachinesToTerminate(now time.Time, needed map[ids.Machine]bool) []ids.Machine {
+func (c *State) MachinesToTerminate(now time.Time, needed map[ids.Machine]bool) []ids.Machine {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.planner.MachinesToTerminate(now, needed)
 }
 
 // CloudListRead notes that the cloud's list was read to its end, and when that reading began.
-func (c *ClusterState) CloudListRead(began time.Time) {
+func (c *State) CloudListRead(began time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.planner.CloudListRead(began)
 }
 
 // ConsolidationCandidates lists machines whose few replicas others might take over.
-func (c *ClusterState) ConsolidationCandidates(now time.Time) []provisioning.ConsolidationCandidate {
+func (c *State) ConsolidationCandidates(now time.Time) []provisioning.ConsolidationCandidate {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.planner.ConsolidationCandidates(now)
@@ -51,56 +51,56 @@
 
 // Consolidate begins to move a machine's replicas elsewhere, or with no name gives that up; it tells
 // whether there was something to give up.
-func (c *ClusterState) Consolidate(name ids.Machine, now time.Time) bool {
+func (c *State) Consolidate(name ids.Machine, now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.planner.Consolidate(name, now)
 }
 
 // SetShortage notes whether the cloud refuses now what waiting jobs need.
-func (c *ClusterState) SetShortage(refused bool, now time.Time) {
+func (c *State) SetShortage(refused bool, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.planner.SetShortage(refused, now)
 }
 
 // Shortage is how much this leader's shard lacks machines.
-func (c *ClusterState) Shortage() provisioning.Shortage {
+func (c *State) Shortage() provisioning.Shortage {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.planner.Shortage()
 }
 
 // ShareCapacity makes room for other shards, which have had a shortage for so long.
-func (c *ClusterState) ShareCapacity(othersShortage time.Duration, part int, now time.Time) {
+func (c *State) ShareCapacity(othersShortage time.Duration, part int, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.planner.ShareCapacity(othersShortage, part, now)
 }
 
-// UnreachableZones are the zones of which nothing is heard any more.
-func (c *ClusterState) UnreachableZones() map[string]bool {
+// UnreachableZones are the zones no machine of which reports any more.
+func (c *State) UnreachableZones() map[string]bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.zones.Update(c.machines, c.StoreAvailable()).UnreachableZones()
 }
 
 // IsolatedFromWorkers tells whether this controller has lost most machines while others reach them.
-func (c *ClusterState) IsolatedFromWorkers(redirected []liveness.RedirectedWorker, now time.Time) bool {
+func (c *State) IsolatedFromWorkers(redirected []liveness.RedirectedWorker, now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return liveness.IsolatedFromWorkers(c.machines, redirected, c.settings.Params.Workers.ReportS, now)
 }
 
-// HearsNoWorker tells whether next to no machine is heard or answers.
-func (c *ClusterState) HearsNoWorker(now time.Time) bool {
+// HearsNoWorker tells whether next to no machine reports or answers.
+func (c *State) HearsNoWorker(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return liveness.Measure(c.machines, c.StoreAvailable()).HearsNone(now)
 }
 
-// ResetLiveness gives every machine the time to be heard again.
-func (c *ClusterState) ResetLiveness(now time.Time) {
+// ResetLiveness gives every machine the time to report again.
+func (c *State) ResetLiveness(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	liveness.Reset(c.machines, now)
--- a/internal/claim/moves.go
+++ b/internal/clusterstate/ready_jobs.go
@@ -1,4 +1,4 @@
-package claim
+package clusterstate
 
 import (
 	"cmp"
@@ -17,7 +17,7 @@
 
 // collectReadyMoves collects the waiting jobs that become schedulable. After a group with such moves urgent
 // changes have one to themselves: an end that many depend on must not keep all else waiting.
-func (c *ClusterState) collectReadyMoves(add func(commit.Change) bool) {
+func (c *State) collectReadyMoves(add func(commit.Change) bool) {
 	if c.dependencies.movedLast && c.changes.HasUrgent() {
 		c.dependencies.movedLast = false
 		return
@@ -33,7 +33,7 @@
 }
 
 // collectCancelledMoves collects the waiting jobs that end because one that they depend on was cancelled.
-func (c *ClusterState) collectCancelledMoves(add func(commit.Change) bool) {
+func (c *State) collectCancelledMoves(add func(commit.Change) bool) {
 	for id := range c.dependencies.graph.Cancelled() {
 		if !c.inShard(id) {
 			continue
@@ -53,7 +53,7 @@
 
 // sortByPriority sorts this shard's waiting jobs, inherited priority included; the first submitted of
 // equals go first.
-func (c *ClusterState) sortByPriority(jobs iter.Seq[ids.Job]) []ids.Job {
+func (c *State) sortByPriority(jobs iter.Seq[ids.Job]) []ids.Job {
 	var ready []readyJob
 	for id := range jobs {
 		if !c.inShard(id) {
@@ -75,7 +75,7 @@
 
 // encodeReadyMove makes the change that moves a waiting job to the schedulable ones; ok is false when its
 // record does not fit a value.
-func (c *ClusterState) encodeReadyMove(id ids.Job) (change commit.Change, ok bool) {
+func (c *State) encodeReadyMove(id ids.Job) (change commit.Change, ok bool) {
 	waiting := c.dependencies.waiting[id]
 	moved := c.nextRecord(waiting)
 	moved.ReadyAt = ids.TimestampOf(time.Now())
@@ -87,7 +87,7 @@
 
 // encodeCancelledMove makes the change that ends a waiting job; ok is false when its record does not fit a
 // value.
-func (c *ClusterState) encodeCancelledMove(id ids.Job) (change commit.Change, ok bool) {
+func (c *State) encodeCancelledMove(id ids.Job) (change commit.Change, ok bool) {
 	waiting := c.dependencies.waiting[id]
 	moved := c.nextRecord(waiting)
 	moved.MarkCancelledBy(c.dependencies.graph.CancelledBy(id))
@@ -98,14 +98,14 @@
 }
 
 // nextRecord is a waiting job's record as this leader writes it next.
-func (c *ClusterState) nextRecord(waiting *workload.WaitingJob) *record.Record {
+func (c *State) nextRecord(waiting *workload.WaitingJob) *record.Record {
 	next := *waiting.Record
 	next.Generation, next.Writer, next.Seq = c.generation, c.writer, waiting.Record.Seq+1
 	return &next
 }
 
 // moveTo makes the change that moves a waiting job's record to another key.
-func (c *ClusterState) moveTo(key string, waiting *workload.WaitingJob, moved *record.Record, value []byte, fits bool) (change commit.Change, ok bool) {
+func (c *State) moveTo(key string, waiting *workload.WaitingJob, moved *record.Record, value []byte, fits bool) (change commit.Change, ok bool) {
 	if !fits {
 		slog.Error("waiting job's record does not fit", "job", waiting.ID())
 		return commit.Change{}, false
@@ -117,7 +117,7 @@
 }
 
 // waitingJobMoved takes in that a waiting job's move is stored.
-func (c *ClusterState) waitingJobMoved(change commit.Change, revision ids.Revision, now time.Time) {
+func (c *State) waitingJobMoved(change commit.Change, revision ids.Revision, now time.Time) {
 	id := change.Waiting.ID()
 	c.removeIfWaiting(change.Waiting)
 	if change.Terminal {
@@ -131,21 +131,21 @@
 }
 
 // removeIfWaiting takes a job out of those that wait, if it is still known in this form.
-func (c *ClusterState) removeIfWaiting(waiting *workload.WaitingJob) {
+func (c *State) removeIfWaiting(waiting *workload.WaitingJob) {
 	if c.dependencies.waiting[waiting.ID()] == waiting {
 		c.removeWaitingJob(waiting)
 	}
 }
 
 // MoveFound takes in that a waiting job's move was stored.
-func (c *ClusterState) MoveFound(waiting *workload.WaitingJob, stored *record.Record, revision ids.Revision) {
+func (c *State) MoveFound(waiting *workload.WaitingJob, stored *record.Record, revision ids.Revision) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.waitingJobMoved(commit.Change{Waiting: waiting, Becomes: stored}, revision, time.Now())
 }
 
 // MoveNotFound takes in that a waiting job is neither waiting nor schedulable any more.
-func (c *ClusterState) MoveNotFound(waiting *workload.WaitingJob) {
+func (c *State) MoveNotFound(waiting *workload.WaitingJob) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.removeIfWaiting(waiting)
--- a/internal/claim/recovery.go
+++ b/internal/clusterstate/recovery.go
@@ -1,4 +1,4 @@
-package claim
+package clusterstate
 
 import (
 	"bytes"
@@ -11,14 +11,14 @@
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// Load fills the cluster state with the records found at a takeover. Their claims lapsed
-// with their leader; their places stay until a report, a lapse or the cloud says
+// Load fills the cluster state with the records found at a takeover. Their claims ended
+// with their leader; their assignments stay until a report, an expired lease or the cloud tells
 // what became of them.
-func (c *ClusterState) Load(records map[ids.Job]*record.Record, revisions map[ids.Job]ids.Revision, at ids.Revision, now time.Time) {
+func (c *State) Load(records map[ids.Job]*record.Record, revisions map[ids.Job]ids.Revision, at ids.Revision, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	// News may have come before the list: what is not in it is kept only if it
-	// is newer than the list.
+	// Changes may have come before the list: what is not in it is kept only if it is newer than the
+	// list.
 	for id, job := range c.jobs.All() {
 		if s, listed := revisions[id]; job.Revision <= at && !listed || listed && s > job.Revision {
 			c.discardJob(job)
@@ -34,15 +34,15 @@
 	wait.Signal(c.commitSignal)
 }
 
-// discardJob takes back what news told of a job before the records were loaded.
-func (c *ClusterState) discardJob(job *workload.Job) {
+// discardJob takes back what changes told of a job before the records were loaded.
+func (c *State) discardJob(job *workload.Job) {
 	for _, i := range workload.SortedTasks(job.Assignments) {
 		c.removeAssignment(job.Assignments[i])
 	}
 	c.removeJob(job)
 }
 
-func (c *ClusterState) addJob(rec *record.Record, revision ids.Revision, now time.Time) *workload.Job {
+func (c *State) addJob(rec *record.Record, revision ids.Revision, now time.Time) *workload.Job {
 	job := workload.NewJob(rec, revision)
 	if c.cancellations[rec.Spec.ID] > 0 && job.Record.Status.CanBecome(record.Cancelling) {
 		job.Record.Status = record.Cancelling
@@ -61,14 +61,14 @@
 }
 
 // IsOwnWrite tells whether a record is this leader's own writing, without reading
-// all of it: most news is, and the cluster state knows it already.
-func (c *ClusterState) IsOwnWrite(raw json.RawMessage) bool {
+// all of it: most changes are, and the cluster state knows them already.
+func (c *State) IsOwnWrite(raw json.RawMessage) bool {
 	return bytes.Contains(raw, []byte(`"writer":"`+c.writer+`"`))
 }
 
 // HandleRecord takes in what another controller wrote: a new job or a cancellation.
 // rec is nil when the live record went away.
-func (c *ClusterState) HandleRecord(id ids.Job, revision ids.Revision, rec *record.Record, now time.Time) {
+func (c *State) HandleRecord(id ids.Job, revision ids.Revision, rec *record.Record, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	job := c.jobs.Get(id)
@@ -83,7 +83,7 @@
 		return // our own write; its answer or a read after it settles that
 	}
 	if !c.loaded {
-		// Nothing is this leader's yet: it may be the last leader's writing, whose places
+		// Nothing is this leader's yet: it may be the last leader's writing, whose assignments
 		// count like those in the records. To take it for a user's, who changes only the
 		// status, would lose them.
 		c.discardJob(job)
@@ -93,8 +93,8 @@
 		return
 	}
 	if rec == nil {
-		// Our own ending shows here too, as news that may outrun its answer.
-		// Another's ending is only written while no task is placed, and our
+		// Our own ending shows here too, as a change that may outrun its answer.
+		// Another's ending is only written while no task is assigned, and our
 		// next write on the job finds out.
 		if !job.Record.Status.IsTerminal() && len(job.Assignments) == 0 {
 			c.retireJob(job)
@@ -105,7 +105,7 @@
 }
 
 // applyForeignWrite takes over another controller's write on a known job.
-func (c *ClusterState) applyForeignWrite(job *workload.Job, revision ids.Revision, rec *record.Record) {
+func (c *State) applyForeignWrite(job *workload.Job, revision ids.Revision, rec *record.Record) {
 	job.Revision = revision
 	if rec.Status == record.Cancelling {
 		c.cancelConfirmed(job)
@@ -114,8 +114,8 @@
 }
 
 // retireJob drops a job whose end is stored. What may still be on machines stays
-// in the books until proven gone.
-func (c *ClusterState) retireJob(job *workload.Job) {
+// assigned until proven gone.
+func (c *State) retireJob(job *workload.Job) {
 	id := job.Record.Spec.ID
 	job.Ended = true
 	c.changes.Remove(job)
--- /dev/null
+++ b/internal/clusterstate/reports.go
@@ -0,0 +1,40 @@
+package clusterstate
+
+import (
+	"time"
+
+	"github.com/pebbletrail/pebbletrail/internal/dispatch"
+	"github.com/pebbletrail/pebbletrail/internal/measure"
+	"github.com/pebbletrail/pebbletrail/internal/reconcile"
+	"github.com/pebbletrail/pebbletrail/internal/worker"
+)
+
+// newReconciler makes the reconciler of a term.
+func newReconciler(c *State) *reconcile.Reconciler {
+	return reconcile.New(reconcile.State{Settings: c.settings, Jobs: c.jobs, Machines: c.machines, Capacity: c.capacity,
+		Estimates: c.estimates, Commands: c.commands, Costs: &c.costs, FirstGeneration: c.firstGeneration}, operations{c})
+}
+
+// ReconcileHeartbeat reconciles a worker's report and returns the commands that its machine should get.
+// answered tells that the worker gets a 200 for this report; heartbeat tells a heartbeat from the answer to
+// direct commands.
+func (c *State) ReconcileHeartbeat(report *worker.Report, answered, heartbeat bool) []worker.Command {
+	starts, recordsRead := c.StartsAllowed()
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	now := time.Now()
+	defer measure.Process.Took("report", now)
+	if c.terminated[report.Machine] {
+		return nil // held back on its way: the machine is gone
+	}
+	source := reconcile.Source{Heartbeat: heartbeat, Answered: answered, TrustSilence: c.trustSilence}
+	permission := dispatch.Permission{FencingToken: c.generation, Starts: starts, RecordsRead: recordsRead}
+	return c.reconciler.Report(report, source, permission, now)
+}
+
+// LeaseMustExpire tells whether a worker's lease must not be renewed; see reconcile.Reconciler.
+func (c *State) LeaseMustExpire(report *worker.Report, grace time.Duration) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.reconciler.LeaseMustExpire(report, grace, c.generation)
+}
--- a/internal/claim/scale_test.go
+++ b/internal/clusterstate/scale_test.go
@@ -1,4 +1,4 @@
-package claim
+package clusterstate
 
 import (
 	"fmt"
@@ -16,7 +16,7 @@
 )
 
 // fleet is a cluster state with n machines of four cores, in two zones.
-func fleet(t *testing.T, n int) *ClusterState {
+func fleet(t *testing.T, n int) *State {
 	old := slog.Default()
 	slog.SetDefault(slog.New(slog.NewTextHandler(io.Discard, nil)))
 	t.Cleanup(func() { slog.SetDefault(old) })
@@ -28,20 +28,20 @@
 }
 
 // examined is how many machines planning has looked at so far.
-func examined(cluster *ClusterState) int {
+func examined(cluster *State) int {
 	total, _ := cluster.scheduler.MachinesExamined()
 	return total
 }
 
 // mostExaminedPerLock is the most of them that it looked at while it held the lock once.
-func mostExaminedPerLock(cluster *ClusterState) int {
+func mostExaminedPerLock(cluster *State) int {
 	_, most := cluster.scheduler.MachinesExamined()
 	return most
 }
 
 // planAll plans until a pass places nothing more, as a leader's passes do one after the
 // other, and returns the most machines that one looked at while it held the lock.
-func planAll(cluster *ClusterState, now time.Time) (most int) {
+func planAll(cluster *State, now time.Time) (most int) {
 	for {
 		placed := countPlaces(cluster)
 		cluster.Plan(now)
@@ -51,7 +51,7 @@
 	}
 }
 
-func countPlaces(cluster *ClusterState) (n int) {
+func countPlaces(cluster *State) (n int) {
 	for _, job := range cluster.jobs.All() {
 		n += len(job.Assignments)
 	}
--- a/internal/claim/cluster_state_test.go
+++ b/internal/clusterstate/state_test.go
@@ -1,4 +1,4 @@
-package claim
+package clusterstate
 
 import (
 	"fmt"
@@ -26,21 +26,21 @@
 	return s
 }
 
-func testBook() *ClusterState {
-	cluster := NewClusterState(testSet(), "w", 7, time.Now())
+func testBook() *State {
+	cluster := New(testSet(), "w", 7, time.Now())
 	cluster.SetMachineTypes(testTypes())
 	return cluster
 }
 
 // setTeams replaces the teams of the settings.
-func (c *ClusterState) setTeams(teams ...config.Team) {
+func (c *State) setTeams(teams ...config.Team) {
 	c.settings.Params.Teams = teams
 	c.quota = quota.NewTracker(0, 1, teamLimits(c.settings), 0)
 	c.scheduler.Quota = c.quota
 }
 
 // newCommitter is a committer of a cluster state's changes.
-func newCommitter(cluster *ClusterState, store *state.Client) *commit.Committer {
+func newCommitter(cluster *State, store *state.Client) *commit.Committer {
 	return commit.New(cluster, store, "a", cluster.keys, 0, commit.Events{})
 }
 
@@ -48,7 +48,7 @@
 	return []placement.InstanceType{{Label: "small", Cores: 4, RAM: 16, CacheGB: 20, PullGBPerS: 1, Price: 1, SpotPrice: 0.4, BootS: 30, Zones: []string{"north", "south"}}}
 }
 
-func (c *ClusterState) hear(name ids.Machine, zone string, tick ids.SequenceNumber, pieces ...worker.TaskStatus) []worker.Command {
+func (c *State) hear(name ids.Machine, zone string, tick ids.SequenceNumber, pieces ...worker.TaskStatus) []worker.Command {
 	return c.ReconcileHeartbeat(&worker.Report{Machine: name, Addr: string(name) + ":1", Type: "small", Zone: zone, Incarnation: 1, Sequence: tick, FencingToken: 7, Tasks: pieces}, true, true)
 }
 
@@ -58,7 +58,7 @@
 }
 
 // store pretends that all changes were committed.
-func (c *ClusterState) store() {
+func (c *State) store() {
 	for _, job := range c.jobs.All() {
 		job.StoredVersion = job.Version
 	}
@@ -521,7 +521,7 @@
 	}
 }
 
-func gangBook(now time.Time) (*ClusterState, *workload.Job) {
+func gangBook(now time.Time) (*State, *workload.Job) {
 	cluster := testBook()
 	cluster.hear("warm", "north", 1)
 	cluster.hear("cold", "north", 1)
@@ -538,7 +538,7 @@
 }
 
 // startsFor lists the machines that get a start now.
-func (c *ClusterState) startsFor() map[ids.Machine]bool {
+func (c *State) startsFor() map[ids.Machine]bool {
 	out := map[ids.Machine]bool{}
 	for _, batch := range c.NextBatches(1000) {
 		for _, o := range batch.Commands {
--- a/internal/claim/changes.go
+++ b/internal/clusterstate/store_changes.go
@@ -1,4 +1,4 @@
-package claim
+package clusterstate
 
 import (
 	"time"
@@ -28,13 +28,13 @@
 )
 
 // Writer names this leader in what it writes.
-func (c *ClusterState) Writer() string { return c.writer }
+func (c *State) Writer() string { return c.writer }
 
 // CommitWanted is ready to be read once a change has to be stored at once.
-func (c *ClusterState) CommitWanted() <-chan struct{} { return c.commitSignal }
+func (c *State) CommitWanted() <-chan struct{} { return c.commitSignal }
 
 // ValueLimit is how many bytes a value may take.
-func (c *ClusterState) ValueLimit() int { return int(c.valueBytes()) }
+func (c *State) ValueLimit() int { return int(c.valueBytes()) }
 
 // changeGroup collects changes within the limits of one transaction.
 type changeGroup struct {
@@ -57,7 +57,7 @@
 
 // CollectChanges picks the changes to store now, most urgent first, within the limits of one transaction;
 // raise tells that the generation is to be raised before.
-func (c *ClusterState) CollectChanges(limits commit.Limits) (changes []commit.Change, raise bool) {
+func (c *State) CollectChanges(limits commit.Limits) (changes []commit.Change, raise bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	group := &changeGroup{maxOps: min(c.settings.Params.State.TxnOps, limits.Ops), size: txnBytes}
@@ -70,7 +70,7 @@
 }
 
 // collectChangedJobs collects the jobs whose changes are due.
-func (c *ClusterState) collectChangedJobs(limits commit.Limits, add func(commit.Change) bool) {
+func (c *State) collectChangedJobs(limits commit.Limits, add func(commit.Change) bool) {
 	delay := outcomeDelay
 	if limits.Scarce {
 		delay = scarceOutcomeDelay
@@ -89,7 +89,7 @@
 
 // encodeChange makes the change that stores a job as it is now; fits tells whether its record fits the
 // limit of values.
-func (c *ClusterState) encodeChange(job *workload.Job) (change commit.Change, fits bool) {
+func (c *State) encodeChange(job *workload.Job) (change commit.Change, fits bool) {
 	change = commit.Change{Job: job, Version: job.Version, Terminal: job.Record.Status.IsTerminal()}
 	stored := job.Record
 	stored.Generation, stored.Writer, stored.Seq = c.generation, c.writer, job.Version
@@ -140,7 +140,7 @@
 
 // ChangesStored takes in that changes are in the store. Starts of their jobs wait for a read of the records
 // begun after a time, if there is one.
-func (c *ClusterState) ChangesStored(changes []commit.Change, revision ids.Revision, readAfter time.Time) {
+func (c *State) ChangesStored(changes []commit.Change, revision ids.Revision, readAfter time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, change := range changes {
@@ -152,7 +152,7 @@
 }
 
 // changeStored takes in that one change is in the store.
-func (c *ClusterState) changeStored(change commit.Change, revision ids.Revision) {
+func (c *State) changeStored(change commit.Change, revision ids.Revision) {
 	if change.Waiting != nil {
 		c.waitingJobMoved(change, revision, time.Now())
 		return
@@ -170,7 +170,7 @@
 
 // versionStored notes what newly stored versions allow: starts whose marker is in the store go out, and
 // later changes may wait for one another again.
-func (c *ClusterState) versionStored(job *workload.Job) {
+func (c *State) versionStored(job *workload.Job) {
 	if job.StoredVersion >= job.Version {
 		c.changes.Remove(job)
 		job.Urgent = false
@@ -187,7 +187,7 @@
 }
 
 // GenerationRaised takes in this leader's new generation.
-func (c *ClusterState) GenerationRaised(generation ids.Generation) {
+func (c *State) GenerationRaised(generation ids.Generation) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.generation, c.raiseWanted = generation, false
@@ -200,7 +200,7 @@
 
 // CancellationFound takes in that a job's cancellation is stored apart from its record, or with a revision
 // of 0 that none is.
-func (c *ClusterState) CancellationFound(id ids.Job, revision ids.Revision) {
+func (c *State) CancellationFound(id ids.Job, revision ids.Revision) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if revision == 0 {
@@ -211,7 +211,7 @@
 }
 
 // RecordFound takes in a job's live record: this leader's own, whose answer was lost, or a user's.
-func (c *ClusterState) RecordFound(job *workload.Job, stored *record.Record, revision ids.Revision) {
+func (c *State) RecordFound(job *workload.Job, stored *record.Record, revision ids.Revision) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if stored.Writer != c.writer {
@@ -226,7 +226,7 @@
 
 // RecordEnded drops a job whose end is stored already, by this leader's own lost answer or by a cancellation
 // while nothing was assigned.
-func (c *ClusterState) RecordEnded(job *workload.Job) {
+func (c *State) RecordEnded(job *workload.Job) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, i := range workload.SortedTasks(job.Assignments) {
--- a/internal/costs/costs.go
+++ b/internal/costs/costs.go
@@ -1,6 +1,6 @@
 // Package costs counts what the machines of a leader's shard cost, by what they were doing, and the work
 // that has to be done again. It answers an operator's question of where the money goes; nothing is
-// decided by it. It takes no lock: internal/claim's ClusterState guards it.
+// decided by it. It takes no lock: internal/clusterstate's State guards it.
 package costs
 
 import (
--- a/internal/election/change_feed.go
+++ b/internal/election/change_feed.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/pebbletrail/pebbletrail/internal/claim"
+	"github.com/pebbletrail/pebbletrail/internal/clusterstate"
 	"github.com/pebbletrail/pebbletrail/internal/config"
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 	"github.com/pebbletrail/pebbletrail/internal/record"
@@ -16,7 +16,7 @@
 	settings *config.Settings
 	shard    ids.Shard
 	jobs     *state.WatchCache
-	cluster  func() *claim.ClusterState // of the present term; nil if there is none
+	cluster  func() *clusterstate.State // of the present term; nil if there is none
 }
 
 // handleJobChange takes in a change below the prefix of jobs.
--- a/internal/election/current_term.go
+++ b/internal/election/current_term.go
@@ -4,7 +4,7 @@
 	"sync"
 	"time"
 
-	"github.com/pebbletrail/pebbletrail/internal/claim"
+	"github.com/pebbletrail/pebbletrail/internal/clusterstate"
 )
 
 // currentTerm is the present term of an elector, or while it has none, the hints of the last leader
@@ -14,7 +14,7 @@
 	// nothing is waited for and no other service is called.
 	mu    sync.Mutex
 	term  *Term // nil while this node does not lead
-	hints claim.HintCache
+	hints clusterstate.HintCache
 }
 
 // get is the present term; nil if this node does not lead.
@@ -45,7 +45,7 @@
 }
 
 // receiveHints keeps a leader's hints, unless this node leads.
-func (c *currentTerm) receiveHints(hints []claim.Hint, to claim.HintPosition) {
+func (c *currentTerm) receiveHints(hints []clusterstate.Hint, to clusterstate.HintPosition) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.term == nil {
@@ -54,7 +54,7 @@
 }
 
 // hintPosition is how far the hints go.
-func (c *currentTerm) hintPosition() claim.HintPosition {
+func (c *currentTerm) hintPosition() clusterstate.HintPosition {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.hints.Position()
--- a/internal/election/elector.go
+++ b/internal/election/elector.go
@@ -5,7 +5,7 @@
 	"log/slog"
 	"time"
 
-	"github.com/pebbletrail/pebbletrail/internal/claim"
+	"github.com/pebbletrail/pebbletrail/internal/clusterstate"
 	"github.com/pebbletrail/pebbletrail/internal/config"
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 	"github.com/pebbletrail/pebbletrail/internal/record"
@@ -134,7 +134,7 @@
 func (e *Elector) Term() *Term { return e.current.get() }
 
 // Cluster is the cluster state of the present term; nil if this node does not lead the shard.
-func (e *Elector) Cluster() *claim.ClusterState {
+func (e *Elector) Cluster() *clusterstate.State {
 	if term := e.Term(); term != nil {
 		return term.Cluster
 	}
@@ -154,12 +154,12 @@
 }
 
 // ReceiveHints keeps a leader's hints for the case that this node leads next.
-func (e *Elector) ReceiveHints(hints []claim.Hint, to claim.HintPosition) {
+func (e *Elector) ReceiveHints(hints []clusterstate.Hint, to clusterstate.HintPosition) {
 	e.current.receiveHints(hints, to)
 }
 
 // HintPosition is what to ask the leader's hints from.
-func (e *Elector) HintPosition() claim.HintPosition { return e.current.hintPosition() }
+func (e *Elector) HintPosition() clusterstate.HintPosition { return e.current.hintPosition() }
 
 // HandleRecord passes on what another controller wrote to a job's record, if this node leads the
 // shard; rec is nil if the record is gone.
--- a/internal/election/helpers_test.go
+++ b/internal/election/helpers_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"github.com/pebbletrail/pebbletrail/internal/claim"
+	"github.com/pebbletrail/pebbletrail/internal/clusterstate"
 	"github.com/pebbletrail/pebbletrail/internal/config"
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 	"github.com/pebbletrail/pebbletrail/internal/placement"
@@ -28,12 +28,12 @@
 }
 
 // clusterWithMachines is the cluster state of a leader that has heard so many machines of four cores.
-func clusterWithMachines(t *testing.T, machines int) *claim.ClusterState {
+func clusterWithMachines(t *testing.T, machines int) *clusterstate.State {
 	t.Helper()
 	defaultLogger := slog.Default()
 	slog.SetDefault(slog.New(slog.NewTextHandler(io.Discard, nil)))
 	t.Cleanup(func() { slog.SetDefault(defaultLogger) })
-	cluster := claim.NewClusterState(testSettings(), "w", testGeneration, time.Now())
+	cluster := clusterstate.New(testSettings(), "w", testGeneration, time.Now())
 	cluster.SetMachineTypes([]placement.InstanceType{{Label: "small", Cores: 4, RAM: 16, CacheGB: 20, PullGBPerS: 1, Price: 1, SpotPrice: 0.4, BootS: 30, Zones: []string{"north", "south"}}})
 	for i := range machines {
 		name := ids.Machine(fmt.Sprintf("host-%06d", i))
@@ -44,7 +44,7 @@
 
 // leadWith makes an elector the leader of a term whose lease was granted just now. Its records are
 // not loaded yet, but count as read all the while: only renewals and pauses matter to its authority.
-func leadWith(elector *Elector, cluster *claim.ClusterState) *Term {
+func leadWith(elector *Elector, cluster *clusterstate.State) *Term {
 	elector.current.term = &Term{
 		Generation: testGeneration,
 		Cluster:    cluster,
--- a/internal/election/record_loading.go
+++ b/internal/election/record_loading.go
@@ -6,7 +6,7 @@
 	"log/slog"
 	"time"
 
-	"github.com/pebbletrail/pebbletrail/internal/claim"
+	"github.com/pebbletrail/pebbletrail/internal/clusterstate"
 	"github.com/pebbletrail/pebbletrail/internal/config"
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 	"github.com/pebbletrail/pebbletrail/internal/quota"
@@ -75,7 +75,7 @@
 
 // loadAllowances reads the ledgers after the takeover's commit. Their changes have been followed
 // since before it.
-func (l *recordLoader) loadAllowances(ctx context.Context, cluster *claim.ClusterState) error {
+func (l *recordLoader) loadAllowances(ctx context.Context, cluster *clusterstate.State) error {
 	entries, _, err := l.store.ListAll(ctx, quota.Prefix, state.Urgent)
 	if err != nil {
 		return fmt.Errorf("read allowances: %w", err)
@@ -86,7 +86,7 @@
 
 // decode decodes the records, and tells the cluster state of the cancellations that are stored
 // apart from them. One that can't be decoded is logged and passed over.
-func (l *recordLoader) decode(entries []state.Entry, cluster *claim.ClusterState) storedJobs {
+func (l *recordLoader) decode(entries []state.Entry, cluster *clusterstate.State) storedJobs {
 	jobs := storedJobs{
 		records:   map[ids.Job]*record.Record{},
 		waiting:   map[ids.Job]*record.Record{},
--- a/internal/election/term.go
+++ b/internal/election/term.go
@@ -5,7 +5,7 @@
 	"log/slog"
 	"time"
 
-	"github.com/pebbletrail/pebbletrail/internal/claim"
+	"github.com/pebbletrail/pebbletrail/internal/clusterstate"
 	"github.com/pebbletrail/pebbletrail/internal/commit"
 	"github.com/pebbletrail/pebbletrail/internal/config"
 	"github.com/pebbletrail/pebbletrail/internal/dispatch"
@@ -28,7 +28,7 @@
 type Term struct {
 	// Generation is the one the term began with; the cluster state's may rise during the term.
 	Generation ids.Generation
-	Cluster    *claim.ClusterState
+	Cluster    *clusterstate.State
 	Committer  *commit.Committer
 	Dispatcher *dispatch.Dispatcher
 	// OpenProvisioningRequests are the provisioning requests that were stored at the takeover. They are there once
@@ -81,9 +81,9 @@
 
 // newClusterState makes the cluster state of a term. It takes a worker that it has not heard for
 // possibly alive until the grace period of an earlier leader and then the worker's lease are over.
-func (e *Elector) newClusterState(won *acquiredLeadership, now time.Time) *claim.ClusterState {
+func (e *Elector) newClusterState(won *acquiredLeadership, now time.Time) *clusterstate.State {
 	trustSilence := now.Add(e.settings.LeaderGracePeriod().WithClockDrift() + e.settings.Params.Workers.LeaseS.WithClockDrift())
-	cluster := claim.NewShardState(e.settings, won.writer, won.generation, trustSilence, e.shard)
+	cluster := clusterstate.NewShard(e.settings, won.writer, won.generation, trustSilence, e.shard)
 	cluster.StatusInOtherShard = e.changes.statusInOtherShard
 	cluster.StoreAvailable = storeAvailable(e.settings, e.store)
 	return cluster
--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -1,6 +1,6 @@
 // Package estimate guesses how long things take: machines until they are up, images until they are
 // pulled, jobs until they are complete. It learns from the boots that it is told of. It takes no lock:
-// internal/claim's ClusterState guards it.
+// internal/clusterstate's State guards it.
 package estimate
 
 import (
--- a/internal/eviction/evictor.go
+++ b/internal/eviction/evictor.go
@@ -1,6 +1,6 @@
 // Package eviction empties machines gracefully: for rollouts, within the teams' disruption budgets and
 // with permits that are stored before any stop, and off machines that the cloud takes back, on which
-// tasks keep failing, or that are to be consolidated. It takes no lock but in View: internal/claim's
+// tasks keep failing, or that are to be consolidated. It takes no lock but in View: internal/clusterstate's
 // ClusterState guards it.
 package eviction
 
--- a/internal/fleet/boots_test.go
+++ b/internal/fleet/boots_test.go
@@ -6,14 +6,14 @@
 	"testing/synctest"
 	"time"
 
-	"github.com/pebbletrail/pebbletrail/internal/claim"
+	"github.com/pebbletrail/pebbletrail/internal/clusterstate"
 	"github.com/pebbletrail/pebbletrail/internal/fake"
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
 // bootingFleet has provisioned machines report once they have booted.
 type bootingFleet struct {
-	cluster *claim.ClusterState
+	cluster *clusterstate.State
 	cloud   *fake.Cloud
 	start   time.Time
 	seenAt  map[string]time.Time // when a machine was first there
--- a/internal/fleet/cloud.go
+++ b/internal/fleet/cloud.go
@@ -16,7 +16,7 @@
 
 	"golang.org/x/time/rate"
 
-	"github.com/pebbletrail/pebbletrail/internal/claim"
+	"github.com/pebbletrail/pebbletrail/internal/clusterstate"
 	"github.com/pebbletrail/pebbletrail/internal/httpjson"
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 	"github.com/pebbletrail/pebbletrail/internal/measure"
@@ -78,7 +78,7 @@
 
 // listPage reads the page of the machine list that follows a machine's name; more tells whether
 // there is another after it.
-func (c *Cloud) listPage(ctx context.Context, after ids.Machine) (page []claim.ListedMachine, more bool, err error) {
+func (c *Cloud) listPage(ctx context.Context, after ids.Machine) (page []clusterstate.ListedMachine, more bool, err error) {
 	query := url.Values{"most": {strconv.Itoa(listPageSize)}}
 	if after != "" {
 		query.Set("after", string(after))
--- a/internal/fleet/cloud_test.go
+++ b/internal/fleet/cloud_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"testing/synctest"
 
-	"github.com/pebbletrail/pebbletrail/internal/claim"
+	"github.com/pebbletrail/pebbletrail/internal/clusterstate"
 	"github.com/pebbletrail/pebbletrail/internal/fake"
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
@@ -39,7 +39,7 @@
 	if err := json.Unmarshal([]byte(page), &answer); err != nil {
 		t.Fatal(err)
 	}
-	want := []claim.ListedMachine{{Name: "host-1", Address: "10.1.0.1:9000", Type: "g8", Zone: "a", Spot: true, Status: "running", RentedFor: 61.5}}
+	want := []clusterstate.ListedMachine{{Name: "host-1", Address: "10.1.0.1:9000", Type: "g8", Zone: "a", Spot: true, Status: "running", ProvisionedFor: 61.5}}
 	if got := answer.machines(); !slices.Equal(got, want) || !answer.More {
 		t.Errorf("%+v, more %v, want %+v and more", got, answer.More, want)
 	}
--- a/internal/fleet/large_fleet_test.go
+++ b/internal/fleet/large_fleet_test.go
@@ -7,7 +7,7 @@
 	"testing/synctest"
 	"time"
 
-	"github.com/pebbletrail/pebbletrail/internal/claim"
+	"github.com/pebbletrail/pebbletrail/internal/clusterstate"
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 	"github.com/pebbletrail/pebbletrail/internal/placement"
 	"github.com/pebbletrail/pebbletrail/internal/record"
@@ -17,7 +17,7 @@
 const largestFleet = 6000
 
 // provisionAll provisions so many machines and has their workers report.
-func provisionAll(ctx context.Context, t *testing.T, cluster *claim.ClusterState, cloud *Cloud, count int) {
+func provisionAll(ctx context.Context, t *testing.T, cluster *clusterstate.State, cloud *Cloud, count int) {
 	t.Helper()
 	for i := range count / maxPerRequest {
 		request := provisioningRequest{Name: ids.ProvisioningRequest(fmt.Sprint("first-", i)), Type: "small", Zone: "north", Count: maxPerRequest}
--- a/internal/fleet/listing.go
+++ b/internal/fleet/listing.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"github.com/pebbletrail/pebbletrail/internal/claim"
+	"github.com/pebbletrail/pebbletrail/internal/clusterstate"
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
@@ -46,9 +46,9 @@
 }
 
 // ownedOf keeps of a page of the machine list what belongs to this shard.
-func (p *Provisioner) ownedOf(page []claim.ListedMachine) []claim.ListedMachine {
+func (p *Provisioner) ownedOf(page []clusterstate.ListedMachine) []clusterstate.ListedMachine {
 	if p.Owns == nil {
 		return page
 	}
-	return slices.DeleteFunc(slices.Clone(page), func(machine claim.ListedMachine) bool { return !p.Owns(machine.Name) })
+	return slices.DeleteFunc(slices.Clone(page), func(machine clusterstate.ListedMachine) bool { return !p.Owns(machine.Name) })
 }
--- a/internal/fleet/messages.go
+++ b/internal/fleet/messages.go
@@ -1,7 +1,7 @@
 package fleet
 
 import (
-	"github.com/pebbletrail/pebbletrail/internal/claim"
+	"github.com/pebbletrail/pebbletrail/internal/clusterstate"
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 	"github.com/pebbletrail/pebbletrail/internal/placement"
 )
@@ -31,17 +31,17 @@
 }
 
 // machines is the page in the project's terms.
-func (a listAnswer) machines() []claim.ListedMachine {
-	machines := make([]claim.ListedMachine, len(a.Hosts))
+func (a listAnswer) machines() []clusterstate.ListedMachine {
+	machines := make([]clusterstate.ListedMachine, len(a.Hosts))
 	for i, host := range a.Hosts {
-		machines[i] = claim.ListedMachine{
-			Name:      host.UID,
-			Address:   host.Endpoint,
-			Type:      host.Build,
-			Zone:      host.Yard,
-			Spot:      host.Loaners,
-			Status:    host.Status,
-			RentedFor: host.HeldS,
+		machines[i] = clusterstate.ListedMachine{
+			Name:           host.UID,
+			Address:        host.Endpoint,
+			Type:           host.Build,
+			Zone:           host.Yard,
+			Spot:           host.Loaners,
+			Status:         host.Status,
+			ProvisionedFor: host.HeldS,
 		}
 	}
 	return machines
--- a/internal/fleet/provisioner.go
+++ b/internal/fleet/provisioner.go
@@ -5,7 +5,7 @@
 	"log/slog"
 	"time"
 
-	"github.com/pebbletrail/pebbletrail/internal/claim"
+	"github.com/pebbletrail/pebbletrail/internal/clusterstate"
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 	"github.com/pebbletrail/pebbletrail/internal/placement"
 	"github.com/pebbletrail/pebbletrail/internal/record"
@@ -28,7 +28,7 @@
 // goroutine uses it: it has no lock.
 type Provisioner struct {
 	Cloud   *Cloud
-	Cluster *claim.ClusterState
+	Cluster *clusterstate.State
 	Store   Store
 	// Generation makes the names of requests unique: it is this leader's alone.
 	Generation ids.Generation
--- a/internal/fleet/provisioner_test.go
+++ b/internal/fleet/provisioner_test.go
@@ -8,7 +8,7 @@
 	"testing/synctest"
 	"time"
 
-	"github.com/pebbletrail/pebbletrail/internal/claim"
+	"github.com/pebbletrail/pebbletrail/internal/clusterstate"
 	"github.com/pebbletrail/pebbletrail/internal/config"
 	"github.com/pebbletrail/pebbletrail/internal/fake"
 	"github.com/pebbletrail/pebbletrail/internal/ids"
@@ -59,10 +59,10 @@
 }
 
 // setup makes a provisioner of a cloud that has so many machines.
-func setup(capacity int) (*fake.Network, *fake.Cloud, *claim.ClusterState, *requestStore, *Provisioner) {
+func setup(capacity int) (*fake.Network, *fake.Cloud, *clusterstate.State, *requestStore, *Provisioner) {
 	network, cloud := fake.NewNetwork(), fake.NewCloud(capacity)
 	network.Listen("cloud:1", cloud)
-	cluster := claim.NewClusterState(testSettings(), "w", 7, time.Now())
+	cluster := clusterstate.New(testSettings(), "w", 7, time.Now())
 	store := &requestStore{names: map[string]bool{}}
 	provisioner := &Provisioner{Cloud: NewCloud("cloud:1", network.Client("a"), 50), Cluster: cluster, Store: store,
 		Keys: record.KeysOf(0, 1), Generation: 7, ListInterval: time.Second}
--- a/internal/fleet/replacements.go
+++ b/internal/fleet/replacements.go
@@ -10,7 +10,7 @@
 // provisionReplacements asks for the machines that rollouts want in place of others. Their requests
 // are named by the rollout and stored with it, so that a new leader sends the same ones.
 func (p *Provisioner) provisionReplacements(ctx context.Context, now time.Time) {
-	for _, replacement := range p.Cluster.DrainProvisioning() {
+	for _, replacement := range p.Cluster.ReplacementsToProvision() {
 		kind := replacement.Class
 		if p.requests.isOutstanding(replacement.Name) || p.isRefused(offer{kind.Type, kind.Zone, kind.Spot}, now) {
 			continue
--- a/internal/fleet/requests.go
+++ b/internal/fleet/requests.go
@@ -85,7 +85,7 @@
 			continue
 		}
 		p.requests.addFulfilled(request)
-		p.Cluster.MachinesRented(request.Machines, request.wanted(), time.Now())
+		p.Cluster.MachinesProvisioned(request.Machines, request.wanted(), time.Now())
 	}
 }
 
@@ -167,8 +167,8 @@
 func (p *Provisioner) noteProvisioned(request provisioningRequest, machines []ids.Machine) {
 	slog.Info("machines provisioned", "request", request.Name, "type", request.Type, "zone", request.Zone, "spot", request.Spot,
 		"asked", request.Count, "got", len(machines))
-	p.Cluster.MachinesRented(machines, request.wanted(), time.Now())
-	p.Cluster.DrainProvisioned(request.Name, machines)
+	p.Cluster.MachinesProvisioned(machines, request.wanted(), time.Now())
+	p.Cluster.ReplacementsProvisioned(request.Name, machines)
 	if len(machines) < request.Count {
 		p.noteRefused(request.offer(), refusalPeriod)
 	}
--- a/internal/fleet/shards_test.go
+++ b/internal/fleet/shards_test.go
@@ -7,7 +7,7 @@
 	"testing/synctest"
 	"time"
 
-	"github.com/pebbletrail/pebbletrail/internal/claim"
+	"github.com/pebbletrail/pebbletrail/internal/clusterstate"
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 	"github.com/pebbletrail/pebbletrail/internal/placement"
 	"github.com/pebbletrail/pebbletrail/internal/record"
@@ -50,7 +50,7 @@
 			t.Fatalf("stored: %v", store.values)
 		}
 		// A successor knows the machine from what is stored.
-		next := &Provisioner{Cluster: claim.NewClusterState(testSettings(), "w", 8, time.Now())}
+		next := &Provisioner{Cluster: clusterstate.New(testSettings(), "w", 8, time.Now())}
 		next.Adopt([]state.Entry{{Key: key, Value: []byte(store.values[key])}})
 		if next.Cluster.Summary()["machines"] != 1 || len(next.requests.outstanding) != 0 {
 			t.Errorf("a successor knows %v machines and %d outstanding requests", next.Cluster.Summary()["machines"], len(next.requests.outstanding))
@@ -80,7 +80,7 @@
 
 func TestIdleMachinesAreGivenUpForShardsWithAShortage(t *testing.T) {
 	// Guards against jobs of a shard that wait for good while another one holds machines.
-	cluster := claim.NewClusterState(testSettings(), "w", 7, time.Now())
+	cluster := clusterstate.New(testSettings(), "w", 7, time.Now())
 	cluster.SetMachineTypes([]placement.InstanceType{{Label: "small", Cores: 4, RAM: 16, Zones: []string{"north"}}})
 	for _, machine := range []ids.Machine{"busy", "idle", "spare"} {
 		cluster.ReconcileHeartbeat(heartbeat(machine, 1), true, true)
@@ -111,8 +111,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx := context.Background()
 		_, cloud, cluster, _, provisioner := setup(2)
-		var received claim.HintCache
-		received.Receive([]claim.Hint{{Name: "gone", Address: "gone:1", Type: "small", Zone: "north", Incarnation: 1}}, claim.HintPosition{Complete: true})
+		var received clusterstate.HintCache
+		received.Receive([]clusterstate.Hint{{Name: "gone", Address: "gone:1", Type: "small", Zone: "north", Incarnation: 1}}, clusterstate.HintPosition{Complete: true})
 		cluster.ApplyHints(&received, time.Now())
 		cluster.HandleRecord("job-1", 1, job("job-1", 1), time.Now())
 		stepEverySecond(ctx, provisioner, 40)
--- a/internal/liveness/fleet.go
+++ b/internal/liveness/fleet.go
@@ -1,5 +1,5 @@
 // Package liveness judges which machines, and which zones, are heard from. One silent machine has
-// failed; many silent ones may be cut off, or this controller may be. It takes no lock: internal/claim's
+// failed; many silent ones may be cut off, or this controller may be. It takes no lock: internal/clusterstate's
 // ClusterState guards the machines.
 package liveness
 
--- a/internal/peer/convert.go
+++ b/internal/peer/convert.go
@@ -1,7 +1,7 @@
 package peer
 
 import (
-	"github.com/pebbletrail/pebbletrail/internal/claim"
+	"github.com/pebbletrail/pebbletrail/internal/clusterstate"
 	"github.com/pebbletrail/pebbletrail/internal/liveness"
 	"github.com/pebbletrail/pebbletrail/internal/provisioning"
 	"github.com/pebbletrail/pebbletrail/internal/rollout"
@@ -19,7 +19,7 @@
 	return converted
 }
 
-func hintToWire(hint claim.Hint) Hint {
+func hintToWire(hint clusterstate.Hint) Hint {
 	return Hint{
 		Name:    hint.Name,
 		Addr:    hint.Address,
@@ -29,30 +29,30 @@
 		Session: hint.Incarnation,
 		Images:  Images{Names: hint.Images.Names, Sizes: hint.Images.Sizes},
 		Coming:  hint.Booting,
-		Held:    hint.RentedFor,
+		Held:    hint.ProvisionedFor,
 	}
 }
 
-func hintFromWire(hint Hint) claim.Hint {
-	return claim.Hint{
-		Name:        hint.Name,
-		Address:     hint.Addr,
-		Type:        hint.Type,
-		Zone:        hint.Zone,
-		Spot:        hint.Spot,
-		Incarnation: hint.Session,
-		Images:      worker.Images{Names: hint.Images.Names, Sizes: hint.Images.Sizes},
-		Booting:     hint.Coming,
-		RentedFor:   hint.Held,
+func hintFromWire(hint Hint) clusterstate.Hint {
+	return clusterstate.Hint{
+		Name:           hint.Name,
+		Address:        hint.Addr,
+		Type:           hint.Type,
+		Zone:           hint.Zone,
+		Spot:           hint.Spot,
+		Incarnation:    hint.Session,
+		Images:         worker.Images{Names: hint.Images.Names, Sizes: hint.Images.Sizes},
+		Booting:        hint.Coming,
+		ProvisionedFor: hint.Held,
 	}
 }
 
-func markToWire(mark claim.HintPosition) HintMark {
+func markToWire(mark clusterstate.HintPosition) HintMark {
 	return HintMark{Gen: mark.Generation, Seq: mark.Sequence, Whole: mark.Complete, At: mark.ReceivedAt}
 }
 
-func markFromWire(mark HintMark) claim.HintPosition {
-	return claim.HintPosition{Generation: mark.Gen, Sequence: mark.Seq, Complete: mark.Whole, ReceivedAt: mark.At}
+func markFromWire(mark HintMark) clusterstate.HintPosition {
+	return clusterstate.HintPosition{Generation: mark.Gen, Sequence: mark.Seq, Complete: mark.Whole, ReceivedAt: mark.At}
 }
 
 func strandToWire(strand liveness.RedirectedWorker) Strand {
--- a/internal/peer/convert_test.go
+++ b/internal/peer/convert_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"github.com/pebbletrail/pebbletrail/internal/claim"
+	"github.com/pebbletrail/pebbletrail/internal/clusterstate"
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 	"github.com/pebbletrail/pebbletrail/internal/liveness"
 	"github.com/pebbletrail/pebbletrail/internal/provisioning"
@@ -15,9 +15,9 @@
 
 func TestConversionsKeepEveryField(t *testing.T) {
 	// Guards against a field that is added to a type, and to its message, but not copied.
-	hint := claim.Hint{Name: "host-000001", Address: "10.1.0.1:9000", Type: "small", Zone: "north", Spot: true, Incarnation: 2,
-		Images: worker.Images{Names: []string{"img"}, Sizes: []float64{1.5}}, Booting: true, RentedFor: 3 * time.Second}
-	mark := claim.HintPosition{Generation: 7, Sequence: 12, Complete: true, ReceivedAt: time.Unix(1700000000, 0)}
+	hint := clusterstate.Hint{Name: "host-000001", Address: "10.1.0.1:9000", Type: "small", Zone: "north", Spot: true, Incarnation: 2,
+		Images: worker.Images{Names: []string{"img"}, Sizes: []float64{1.5}}, Booting: true, ProvisionedFor: 3 * time.Second}
+	mark := clusterstate.HintPosition{Generation: 7, Sequence: 12, Complete: true, ReceivedAt: time.Unix(1700000000, 0)}
 	strand := liveness.RedirectedWorker{Machine: "host-000002", Ago: 3 * time.Second}
 	lack := provisioning.Shortage{Duration: 4 * time.Second, Machines: 5}
 	spec := rollout.Spec{Name: "spring", Replace: true, Surge: true, WaveSize: 2, Pause: 3, Deadline: 4, AtDeadline: "wait", Observe: 5,
--- a/internal/peer/drains_test.go
+++ b/internal/peer/drains_test.go
@@ -21,7 +21,7 @@
 		time.Sleep(2 * time.Second)
 		_, otherLink := cluster.start(ctx, "b", "a")
 		time.Sleep(3 * time.Second)
-		leader.Cluster().MachinesRented([]ids.Machine{"host-000001", "host-000002"}, placement.ProvisioningRequest{Type: "small", Zone: "north"}, time.Now())
+		leader.Cluster().MachinesProvisioned([]ids.Machine{"host-000001", "host-000002"}, placement.ProvisioningRequest{Type: "small", Zone: "north"}, time.Now())
 		spec := &rollout.Spec{Name: "spring", Select: rollout.Selection{Zone: "north"}, WaveSize: 1}
 		for name, link := range map[string]*Link{"the leader": leaderLink, "another": otherLink} {
 			plan, err := link.PlanDrain(ctx, spec)
--- a/internal/peer/greeting.go
+++ b/internal/peer/greeting.go
@@ -4,7 +4,7 @@
 	"context"
 	"time"
 
-	"github.com/pebbletrail/pebbletrail/internal/claim"
+	"github.com/pebbletrail/pebbletrail/internal/clusterstate"
 	"github.com/pebbletrail/pebbletrail/internal/election"
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
@@ -15,7 +15,7 @@
 // Greet exchanges health reports.
 func (s *Service) Greet(in *Hello, out *Hello) error {
 	s.link.receive(&ShardsHello{Hello: *in, Shards: []ShardHello{in.shard()}})
-	answer := s.link.hello([]claim.HintPosition{markFromWire(in.Have)})
+	answer := s.link.hello([]clusterstate.HintPosition{markFromWire(in.Have)})
 	*out = answer.Hello
 	out.Lent = s.link.store.Budget().Lend(in.Want)
 	return nil
@@ -40,8 +40,8 @@
 }
 
 // marks are how far in each shard's hints the sender is.
-func (h *ShardsHello) marks() []claim.HintPosition {
-	marks := make([]claim.HintPosition, len(h.Shards))
+func (h *ShardsHello) marks() []clusterstate.HintPosition {
+	marks := make([]clusterstate.HintPosition, len(h.Shards))
 	for i := range h.Shards {
 		marks[i] = markFromWire(h.Shards[i].Have)
 	}
@@ -50,11 +50,11 @@
 
 // hello is this node's health report. To a node whose marks in the hints are known, the leader of a
 // shard tells what came since.
-func (l *Link) hello(marks []claim.HintPosition) ShardsHello {
+func (l *Link) hello(marks []clusterstate.HintPosition) ShardsHello {
 	age, ok := l.store.SinceSuccess()
 	hello := ShardsHello{Hello: Hello{Node: l.settings.HostName, StateOK: ok && age < heardWithin}}
 	for shard, pool := range l.shards.Electors() {
-		var mark *claim.HintPosition
+		var mark *clusterstate.HintPosition
 		if shard < len(marks) {
 			mark = &marks[shard]
 		}
@@ -68,7 +68,7 @@
 
 // shardHello tells how this node stands to one shard. The hints since a mark are only told if it is
 // known.
-func shardHello(pool *election.Elector, since *claim.HintPosition) (hello ShardHello) {
+func shardHello(pool *election.Elector, since *clusterstate.HintPosition) (hello ShardHello) {
 	cluster := pool.Cluster()
 	if cluster == nil {
 		hello.Stranded = convertAll(pool.RedirectedWorkers(), strandToWire)
--- a/internal/provisioning/provisioning.go
+++ b/internal/provisioning/provisioning.go
@@ -1,7 +1,7 @@
 // Package provisioning decides how large a shard's fleet should be: what the queued jobs call for, what
 // headroom is kept, which machines boot too late, and which are terminated. It decides on values that it
 // reads and marks machines; the calls of the cloud are internal/fleet's. It takes no lock:
-// internal/claim's ClusterState guards it.
+// internal/clusterstate's State guards it.
 package provisioning
 
 import (
--- a/internal/reconcile/reconciler.go
+++ b/internal/reconcile/reconciler.go
@@ -1,6 +1,6 @@
 // Package reconcile squares what workers report with what the leader knows: tasks that run, outcomes,
 // orphans that no assignment accounts for, and tasks that are proven lost. It takes no lock:
-// internal/claim's ClusterState guards what it works on and calls it under its own.
+// internal/clusterstate's State guards what it works on and calls it under its own.
 package reconcile
 
 import (
--- a/internal/scenarios/scenarios_test.go
+++ b/internal/scenarios/scenarios_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"github.com/pebbletrail/pebbletrail/internal/claim"
+	"github.com/pebbletrail/pebbletrail/internal/clusterstate"
 	"github.com/pebbletrail/pebbletrail/internal/fake"
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
@@ -390,7 +390,7 @@
 	if n.pool.Cluster() == nil {
 		return 0
 	}
-	hs, _ := n.pool.Cluster().Hints(claim.HintPosition{})
+	hs, _ := n.pool.Cluster().Hints(clusterstate.HintPosition{})
 	return len(hs)
 }
 
--- a/internal/scenarios/test_cluster_test.go
+++ b/internal/scenarios/test_cluster_test.go
@@ -15,7 +15,7 @@
 	"testing/synctest"
 	"time"
 
-	"github.com/pebbletrail/pebbletrail/internal/claim"
+	"github.com/pebbletrail/pebbletrail/internal/clusterstate"
 	"github.com/pebbletrail/pebbletrail/internal/config"
 	"github.com/pebbletrail/pebbletrail/internal/election"
 	"github.com/pebbletrail/pebbletrail/internal/fake"
@@ -170,12 +170,12 @@
 }
 
 // list is the cloud's, in scenarios that have one.
-func (w *testCluster) list() (ls []claim.ListedMachine) {
+func (w *testCluster) list() (ls []clusterstate.ListedMachine) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.listed {
 		for _, k := range w.workers {
-			ls = append(ls, claim.ListedMachine{Name: ids.Machine(k.Name), Address: k.Address, Type: k.Type, Zone: k.Zone, Status: "running"})
+			ls = append(ls, clusterstate.ListedMachine{Name: ids.Machine(k.Name), Address: k.Address, Type: k.Type, Zone: k.Zone, Status: "running"})
 		}
 	}
 	return ls
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -1,6 +1,6 @@
 // Package scheduler decides which tasks are assigned to which machines: it ranks the jobs, searches
 // candidates, assigns gangs whole or not at all, preempts lesser work, reserves machines for jobs that
-// starve and keeps teams within their quotas. It takes no lock: internal/claim's ClusterState guards
+// starve and keeps teams within their quotas. It takes no lock: internal/clusterstate's State guards
 // what it works on, carries out what it decides and calls it under its own lock.
 package scheduler
 
--- a/internal/workload/job.go
+++ b/internal/workload/job.go
@@ -1,6 +1,6 @@
 // Package workload holds the jobs of a leader's shard in its memory: what is stored of each, where
 // its tasks are assigned, what failed and what was lost, and the decisions that need nothing else.
-// It takes no lock and calls nothing out: internal/claim's ClusterState guards it.
+// It takes no lock and calls nothing out: internal/clusterstate's State guards it.
 package workload
 
 import (
