--- a/internal/estimate/boot_history.go
+++ b/internal/estimate/boot_history.go
@@ -5,15 +5,14 @@
 	"time"
 )
 
-// bootHistory remembers how long machines of one type lately took to be heard. A type's nominal time
-// says little on a bad night: if all boots take many times as long, giving machines up by it would
-// rent for ever and never have one.
+// bootHistory holds the recent boot times of machines of one type, from provisioning to the first
+// report. The nominal boot time says little while the cloud is slow: if all boots take many times as
+// long, giving machines up by it would provision new ones for ever and never have one.
 type bootHistory struct {
-	durations    []time.Duration // the last few, newest last
-	newestRental time.Time       // when the last rented of those heard was rented
+	durations         []time.Duration // newest last, at most bootsKept
+	newestProvisioned time.Time       // the latest provisioning time of a machine that has come up
 }
 
-// bootsKept is how many boots are looked back on.
 const bootsKept = 8
 
 func (h *bootHistory) add(duration time.Duration) {
@@ -23,7 +22,7 @@
 	}
 }
 
-// typical is what three quarters of the last boots stayed below; 0 without any.
+// typical returns the 75th percentile of the recent boot times; 0 if there are none.
 func (h *bootHistory) typical() time.Duration {
 	if h == nil || len(h.durations) == 0 {
 		return 0
--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -1,6 +1,7 @@
-// Package estimate guesses how long things take: machines until they are up, images until they are
-// pulled, jobs until they are complete. It learns from the boots that it is told of. It takes no lock:
-// internal/clusterstate's State guards it.
+// Package estimate estimates durations: how long machines take to boot, images to be pulled and jobs to
+// complete. It learns boot times from the machines that have come up.
+//
+// The package has no lock: the lock of the cluster state that an Estimator belongs to guards it.
 package estimate
 
 import (
@@ -16,19 +17,19 @@
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// Estimator holds what was learned of boots beside the settings and the cloud's machine types.
+// Estimator estimates durations from the settings, the cloud's machine types and recent boots.
 type Estimator struct {
 	settings *config.Settings
 	capacity *capacity.Index
 	boots    map[string]*bootHistory // by machine type
 }
 
-// New makes an estimator that has seen no boot.
+// New returns an estimator that has seen no boots.
 func New(settings *config.Settings, index *capacity.Index) *Estimator {
 	return &Estimator{settings: settings, capacity: index, boots: map[string]*bootHistory{}}
 }
 
-// RecordBoot notes that a machine was heard for the first time since it was rented.
+// RecordBoot records the boot of a machine that has reported for the first time.
 func (e *Estimator) RecordBoot(machine *worker.Machine, now time.Time) {
 	history := e.boots[machine.Type]
 	if history == nil {
@@ -36,76 +37,81 @@
 		e.boots[machine.Type] = history
 	}
 	history.add(now.Sub(machine.ProvisionedAt))
-	history.newestRental = worker.Later(history.newestRental, machine.ProvisionedAt)
+	history.newestProvisioned = worker.Later(history.newestProvisioned, machine.ProvisionedAt)
 }
 
-// BootTime is how long a boot of the type takes now, its nominal time at least.
+// BootTime returns how long machines of a type currently take to boot, but no less than nominal.
 func (e *Estimator) BootTime(machineType *placement.InstanceType) time.Duration {
 	return max(machineType.BootS.Duration(), e.boots[machineType.Label].typical())
 }
 
-// rentedTogether is how far apart machines that one request rented may have been learned of.
+// rentedTogether is the largest difference between the recorded provisioning times of machines that one
+// request provisioned.
 const rentedTogether = 2 * time.Second
 
-// Overtaken tells whether a machine of its type that was rented with it or after it is up.
+// Overtaken reports whether a machine of the same type that was provisioned with this one, or after it,
+// has come up.
 func (e *Estimator) Overtaken(machine *worker.Machine) bool {
 	history := e.boots[machine.Type]
-	return history != nil && history.newestRental.After(machine.ProvisionedAt.Add(-rentedTogether))
+	return history != nil && history.newestProvisioned.After(machine.ProvisionedAt.Add(-rentedTogether))
 }
 
-// minPullRate is assumed, in GB a second, of a machine type that names none.
+// minPullRate, in GB per second, is assumed for machine types without a rate.
 const minPullRate = 0.01
 
-// pullSeconds is how long an image takes on a machine type.
-func pullSeconds(machineType *placement.InstanceType, imageGB float64) float64 {
+// PullSeconds returns how long a machine type takes to pull an image of a size in GB.
+func PullSeconds(machineType *placement.InstanceType, imageGB float64) float64 {
 	return imageGB / max(machineType.PullGBPerS, minPullRate)
 }
 
-// ImagePullSeconds is how long a task's image takes on the type that pulls it fastest.
+// ImagePullSeconds returns how long the pull of a spec's image takes on the fastest type that has room
+// for a task of it; 0 if no type has.
 func (e *Estimator) ImagePullSeconds(spec *record.Spec) float64 {
 	best := 0.0
 	for _, machineType := range e.capacity.Types() {
 		if !machineType.Capacity().Holds(spec.Resources) {
 			continue
 		}
-		if took := pullSeconds(machineType, spec.ImageGB); best == 0 || took < best {
-			best = took
+		if seconds := PullSeconds(machineType, spec.ImageGB); best == 0 || seconds < best {
+			best = seconds
 		}
 	}
 	return best
 }
 
-// ProvisionSeconds is how long a new machine for such tasks takes to be up with the image.
+// ProvisionSeconds returns how long it takes until a new machine for a task of a spec is up and has the
+// image; infinite if no type has room for the task.
 func (e *Estimator) ProvisionSeconds(spec *record.Spec) float64 {
 	best := math.Inf(1)
 	for _, machineType := range e.capacity.Types() {
 		if machineType.Capacity().Holds(spec.Resources) {
-			best = min(best, e.BootTime(machineType).Seconds()+pullSeconds(machineType, spec.ImageGB))
+			best = min(best, e.BootTime(machineType).Seconds()+PullSeconds(machineType, spec.ImageGB))
 		}
 	}
 	return best
 }
 
-// JobDuration is how long a job takes once it may start, by its own estimate.
+// JobDuration returns how long a job takes once it may start, by its own estimate.
 func (e *Estimator) JobDuration(spec *record.Spec) time.Duration {
 	return ids.Seconds(float64(spec.EstimatedDuration) + e.ImagePullSeconds(spec)).Duration()
 }
 
-// The least and the most of a queue's horizon, in seconds, and the part of a job's slack that it may
-// take: the rest is for arrivals in bunches and bad luck.
 const (
-	minHorizon   = 10
-	maxHorizon   = 60
+	// minHorizon and maxHorizon bound the horizon of a queue, in seconds.
+	minHorizon = 10
+	maxHorizon = 60
+	// slackDivisor limits the horizon to a part of the job's slack; the rest is kept for bursts of
+	// arrivals and delays.
 	slackDivisor = 4
 )
 
-// QueueHorizon is the time, in seconds, within which a queued job should get its turn: a queue that
-// the machines at hand work off sooner needs no new ones.
+// QueueHorizon returns the time, in seconds, within which a queued job should start. A queue that the
+// present machines clear within it needs no new ones.
 func (e *Estimator) QueueHorizon(job *workload.Job) float64 {
 	spec := &job.Record.Spec
 	if spec.Shape == record.Gang {
-		// A queued gang gains from a new machine only if the wait for a running one to end is longer
-		// than a boot and a pull.
+		// A new machine helps a queued gang only if waiting for a running one to end takes longer than
+		// booting a machine and pulling the image.
 		return e.ProvisionSeconds(spec)
 	}
 	if job.Guaranteed || job.EffectivePriority() >= record.High {
@@ -115,8 +121,8 @@
 	return max(minHorizon, min(maxHorizon, slack/slackDivisor))
 }
 
-// secondsLeft is the time until a job should be complete, by its own deadline, by that of jobs that
-// depend on it and by the objectives of its class.
+// secondsLeft returns the time until a job should be complete: the least of its own deadline, the
+// deadlines of jobs that depend on it and the objectives of its class.
 func (e *Estimator) secondsLeft(job *workload.Job) float64 {
 	spec := &job.Record.Spec
 	left := math.Inf(1)
--- a/internal/scheduler/assign.go
+++ b/internal/scheduler/assign.go
@@ -2,19 +2,30 @@
 
 import (
 	"log/slog"
+	"math/rand/v2"
 	"time"
 
 	"github.com/pebbletrail/pebbletrail/internal/capacity"
-	"github.com/pebbletrail/pebbletrail/internal/ids"
-	"github.com/pebbletrail/pebbletrail/internal/placement"
 	"github.com/pebbletrail/pebbletrail/internal/record"
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// assign assigns what it can of one job, and notes why the rest waits.
-func (s *Scheduler) assign(job *workload.Job, pass *Pass) {
+// assigner assigns the tasks of one job after the other and notes in Job.PendingReason why the rest of
+// them are pending.
+type assigner struct {
+	*State
+	cluster      Cluster
+	rng          *rand.Rand
+	reservations *Reservations
+	admission    *admission
+	reserver     *machineReserver
+	preemptor    *preemptor
+}
+
+// assign assigns as many tasks of a job as have room.
+func (a *assigner) assign(job *workload.Job, pass *planningPass) {
 	if job.Record.Spec.Shape == record.Gang {
-		s.assignGang(job, pass)
+		a.assignGang(job, pass)
 		return
 	}
 	unassigned := job.Unassigned()
@@ -26,57 +37,25 @@
 		job.PendingReason = job.BackOffReason()
 		return
 	}
-	limit, reason := s.assignable(job, unassigned, pass)
-	assigned, stopReason := s.assignTasks(job, limit, pass)
+	limit, reason := a.admission.limit(job, unassigned, pass)
+	assigned, stopReason := a.assignTasks(job, limit, pass)
 	if stopReason != "" {
 		reason = stopReason
 	}
-	s.tasksAssigned(job, assigned)
+	a.tasksAssigned(job, assigned)
 	job.PendingReason = reason
 	if assigned == unassigned {
 		job.PendingReason = ""
-		s.Reservations.removeJob(job)
+		a.reservations.removeJob(job)
 	}
 }
 
-// valueBytes is how large a stored value may be.
-func (s *Scheduler) valueBytes() float64 { return s.Settings.Params.State.ValueKB * 1024 }
-
-// assignable is how many tasks of a job its record and its team's quota allow to assign now, and why
-// that is none.
-func (s *Scheduler) assignable(job *workload.Job, unassigned int, pass *Pass) (limit int, reason string) {
-	allowed := s.assignableTasks(job, unassigned, pass.now)
-	open := job.MaxAssignedTasks(s.valueBytes()) - len(job.Assignments)
-	limit = min(unassigned, allowed, open)
-	if job.Failing() {
-		limit = min(limit, 1)
-	}
-	switch {
-	case open <= 0:
-		reason = "as many of its tasks are under way as a record of the state service holds"
-	case allowed <= 0:
-		pass.addQuotaDemand(job, min(unassigned, open))
-		reason = s.quotaReason(job, unassigned, pass.now)
-	}
-	return limit, reason
-}
-
-// quotaReason tells why a job's team has no quota left for it, and has lesser work of the team make
-// way where that may.
-func (s *Scheduler) quotaReason(job *workload.Job, tasks int, now time.Time) string {
-	reason := s.Quota.Explain(job.Record.Spec.Team)
-	if s.yieldQuota(job, tasks, now) {
-		reason += "; lesser work of its own makes way"
-	}
-	return reason
-}
-
-// assignTasks assigns up to limit tasks of an array or a service, lowest first; the reason tells why
-// some were passed over.
-func (s *Scheduler) assignTasks(job *workload.Job, limit int, pass *Pass) (assigned int, reason string) {
+// assignTasks assigns up to limit tasks of an array or a service, lowest index first. reason explains
+// why tasks were passed over; it is empty if none were.
+func (a *assigner) assignTasks(job *workload.Job, limit int, pass *planningPass) (assigned int, reason string) {
 	spec := &job.Record.Spec
 	request := spec.PlacementRequest()
-	search := s.newSearch(job, &request, pass)
+	search := a.newSearch(job, &request, pass)
 	finished := &job.Record.Finished
 	for i := finished.NextMissing(0); i < spec.Tasks && assigned < limit; i = finished.NextMissing(i + 1) {
 		if job.Assignments[i] != nil {
@@ -87,12 +66,12 @@
 			reason = "backing off after failures"
 			continue
 		}
-		node, why, goOn := s.nodeFor(job, retry, search)
-		if why != "" {
-			reason = why
+		node, pendingReason, tryNext := a.nodeFor(job, retry, search)
+		if pendingReason != "" {
+			reason = pendingReason
 		}
 		if node == nil {
-			if goOn {
+			if tryNext {
 				continue
 			}
 			break
@@ -101,101 +80,90 @@
 			job.Record.Attempt++
 		}
 		job.LastSlice = workload.ArraySlice{Attempt: job.Record.Attempt, LastTask: i}
-		s.assignTask(job, i, node, pass.now)
-		search.zones.Add(s.Machines.Machines[node.Name].Zone)
+		a.assignTask(job, i, node, pass.now)
+		search.zones.Add(a.Machines.Machines[node.Name].Zone)
 		assigned++
 	}
 	return assigned, reason
 }
 
-// nodeFor finds a node for one task. Without one it has room made where that may, and tells why the
-// task waits and whether to go on with the next: one that failed elsewhere before may find none where
-// others do.
-func (s *Scheduler) nodeFor(job *workload.Job, retry *workload.Retry, search *search) (node *capacity.Node, reason string, goOn bool) {
+// nodeFor returns a node for one task. If there is none, it makes room where that is allowed, and
+// reports why the task is pending and whether to try the job's next task: one that failed before may
+// find no machine where others do.
+func (a *assigner) nodeFor(job *workload.Job, retry *workload.Retry, search *search) (node *capacity.Node, reason string, tryNext bool) {
 	node = search.pick(retry)
 	if node == nil {
-		return nil, s.makeRoom(job, search), retry != nil
+		return nil, a.makeRoom(job, search), retry != nil
 	}
-	if job.EffectivePriority() == record.Critical && !s.Capacity.HoldsImage(node, search.request.Image) {
-		// A pull takes longer than stopping lesser work where the image is.
-		if machine := s.preemptWhereCached(job, search.request, search.pass); machine != "" {
+	if job.EffectivePriority() == record.Critical && !a.Capacity.HoldsImage(node, search.request.Image) {
+		// Pulling the image takes longer than stopping lesser work where it is cached.
+		if machine := a.preemptor.preemptWhereCached(job, search.request, search.pass); machine != "" {
 			return nil, "waits for room freed on " + machine, false
 		}
 	}
 	return node, "", true
 }
 
-// makeRoom preempts others for one task of a job, or reserves a machine for it; it tells what the task
-// waits for.
-func (s *Scheduler) makeRoom(job *workload.Job, search *search) (reason string) {
-	if freed, machine := s.preempt(job, search.request, search.pass); freed {
+// makeRoom preempts other tasks for one task of a job, or reserves a machine for it, and returns why the
+// task is pending.
+func (a *assigner) makeRoom(job *workload.Job, search *search) (reason string) {
+	if freed, machine := a.preemptor.preempt(job, search.request, search.pass); freed {
 		return "waits for room freed on " + machine
 	}
-	if s.reserveMachines(job, search.request, 1, search.pass.now) {
+	if a.reserver.reserve(job, search.request, 1, search.pass.now) {
 		return "waits for a machine set aside for it"
 	}
 	return "no machine has room"
 }
 
-// assignTask assigns one task to a node under the job's present attempt.
-func (s *Scheduler) assignTask(job *workload.Job, task int, node *capacity.Node, now time.Time) {
-	machine := s.Machines.Machines[node.Name]
+// assignTask assigns one task to a node under the job's current attempt.
+func (a *assigner) assignTask(job *workload.Job, task int, node *capacity.Node, now time.Time) {
+	machine := a.Machines.Machines[node.Name]
 	image := job.Record.Spec.Image
-	s.Reservations.use(node.Name, job)
+	a.reservations.use(node.Name, job)
 	cached := machine.Images.Has(image) || node.ImagePulls[image] != nil
-	s.cluster.Assign(&workload.Assignment{Job: job, TaskIndex: task, Machine: machine.Name, Incarnation: machine.Incarnation,
-		Attempt: job.Record.Attempt, FencingToken: s.cluster.FencingToken(), AssignedAt: now})
+	a.cluster.Assign(&workload.Assignment{Job: job, TaskIndex: task, Machine: machine.Name, Incarnation: machine.Incarnation,
+		Attempt: job.Record.Attempt, FencingToken: a.cluster.FencingToken(), AssignedAt: now})
 	slog.Debug("task assigned", "class", job.Record.Spec.Class, "job", job.ID(), "task", task, "attempt", job.Record.Attempt,
 		"machine", machine.Name, "type", machine.Type, "cached", cached,
 		"sinceSubmit", now.Sub(job.Record.Submitted.Time()).Round(time.Millisecond))
 }
 
-// tasksAssigned notes what a pass assigned of a job: the markers are to be stored in one version.
-func (s *Scheduler) tasksAssigned(job *workload.Job, count int) {
+// tasksAssigned is called after a pass has assigned count tasks of a job. The markers of all of them
+// belong to one version of the job.
+func (a *assigner) tasksAssigned(job *workload.Job, count int) {
 	if count == 0 {
 		return
 	}
-	s.cluster.Assigned(job)
-	var fresh []*workload.Assignment
+	a.cluster.Assigned(job)
+	var assigned []*workload.Assignment
 	for _, assignment := range job.Assignments {
 		if assignment.MarkerVersion == 0 {
 			assignment.MarkerVersion = job.Version
-			fresh = append(fresh, assignment)
+			assigned = append(assigned, assignment)
 		}
 	}
 	if !job.ReservationSoughtAt.IsZero() {
-		s.protectStart(job, fresh)
-		s.Reservations.removeJob(job) // it has begun, perhaps elsewhere
+		a.protectStart(job, assigned)
+		a.reservations.removeJob(job) // it has started, perhaps on other machines
 		job.ReservationSoughtAt = time.Time{}
 	}
-	s.cluster.Restarted(job, fresh)
-}
-
-// quotaLeft is how many more tasks of a job, of those wanted, its team's quota allows.
-func (s *Scheduler) QuotaLeft(spec *record.Spec, want int) int {
-	return s.Quota.Available(spec.Team).CountFitting(spec.Resources, want)
+	a.cluster.Restarted(job, assigned)
 }
 
-// assignableTasks is the same less what is reserved for jobs that go first, or for tasks that are moved.
-func (s *Scheduler) assignableTasks(job *workload.Job, want int, now time.Time) int {
-	spec := &job.Record.Spec
-	left := s.Quota.Available(spec.Team).Minus(s.reservedQuota(job, now)).Minus(s.cluster.QuotaForRelocated(job))
-	return left.CountFitting(spec.Resources, want)
-}
-
-// protectStart protects the beginning of a job that starved: of a gang all tasks, of any other job
-// one, on a machine that was reserved for it if there is one.
-func (s *Scheduler) protectStart(job *workload.Job, fresh []*workload.Assignment) {
+// protectStart protects the first tasks of a job that starved from preemption: all tasks of a gang, one
+// task of any other job, preferably on a machine that was reserved for it.
+func (a *assigner) protectStart(job *workload.Job, assigned []*workload.Assignment) {
 	until := time.Now().Add(workload.StartProtectionTime)
 	if job.Record.Spec.Shape == record.Gang {
-		for _, assignment := range fresh {
+		for _, assignment := range assigned {
 			assignment.ProtectedUntil = until
 		}
 		return
 	}
 	var protected *workload.Assignment
-	for _, assignment := range fresh {
-		if protected == nil || s.Reservations.isFor(assignment.Machine, job.ID()) {
+	for _, assignment := range assigned {
+		if protected == nil || a.reservations.isFor(assignment.Machine, job.ID()) {
 			protected = assignment
 		}
 	}
@@ -203,20 +171,3 @@
 		protected.ProtectedUntil = until
 	}
 }
-
-// reservedForOther tells whether what is free on a machine was reserved for another job that goes
-// first.
-func (s *Scheduler) reservedForOther(machine ids.Machine, free placement.Resources, job *workload.Job, now time.Time) bool {
-	reservation, reserved := s.Reservations.On(machine, now)
-	return reserved && reservation.Job != job.ID() && s.outranks(reservation.Job, job, now) &&
-		!free.Minus(reservation.Need).Holds(job.Record.Spec.Resources)
-}
-
-// outranks tells whether a reservation's job still goes before another one.
-func (s *Scheduler) outranks(id ids.Job, job *workload.Job, now time.Time) bool {
-	holder := s.Jobs.Get(id)
-	if holder == nil || !holder.Schedulable() {
-		return false
-	}
-	return holder.EffectivePriority() >= job.EffectivePriority() || holder.Starving(now) && job.EffectivePriority() < record.Critical
-}
--- /dev/null
+++ b/internal/scheduler/machine_reserver.go
@@ -0,0 +1,173 @@
+package scheduler
+
+import (
+	"cmp"
+	"slices"
+	"time"
+
+	"github.com/pebbletrail/pebbletrail/internal/capacity"
+	"github.com/pebbletrail/pebbletrail/internal/ids"
+	"github.com/pebbletrail/pebbletrail/internal/placement"
+	"github.com/pebbletrail/pebbletrail/internal/record"
+	"github.com/pebbletrail/pebbletrail/internal/worker"
+	"github.com/pebbletrail/pebbletrail/internal/workload"
+)
+
+// machineReserver reserves machines for starving jobs. A job whose tasks need much of a machine may be
+// first in the order and still never start, because smaller tasks take whatever is freed before there is
+// enough of it. While a machine is reserved only critical work is assigned there, until the tasks that
+// run on it have ended.
+type machineReserver struct {
+	*State
+	cluster      Cluster
+	reservations *Reservations
+}
+
+const (
+	// reservationTime is how long machines are reserved at most.
+	reservationTime = time.Minute
+	// reservationRetryDelay is the time after which machines are looked for again.
+	reservationRetryDelay = 5 * time.Second
+	// reservedFleetFraction bounds the reserved machines to one in so many of the fleet, except for a job
+	// that needs more at once.
+	reservedFleetFraction = 20
+)
+
+// wantsReservation reports whether machines should be reserved for a job that lacks room for so many
+// tasks. High-priority jobs preempt others instead, except for gangs of several tasks: on the most
+// expensive machines all jobs may be high, each that ends is followed by a gang of one, and a gang that
+// needs two machines at once would never start.
+func wantsReservation(job *workload.Job, tasks int, now time.Time) bool {
+	if job.EffectivePriority() >= record.High && (tasks < 2 || job.Record.Spec.Shape != record.Gang) {
+		return false
+	}
+	return !job.Suspect() && job.Starving(now) && now.Sub(job.ReservationSoughtAt) >= reservationRetryDelay
+}
+
+// emptyingNode is a node and the estimated time until it is free.
+type emptyingNode struct {
+	node  *capacity.Node
+	zone  string
+	after time.Duration
+}
+
+// reserve reserves the n machines that will be free soonest for a starving job. It reports whether
+// machines are reserved for the job, now or since an earlier call. It examines the whole fleet, at most
+// once every reservationRetryDelay for each starving job.
+func (r *machineReserver) reserve(job *workload.Job, request *placement.Request, n int, now time.Time) bool {
+	if !wantsReservation(job, n, now) {
+		return false
+	}
+	job.ReservationSoughtAt = now
+	if r.reservations.countEmptying(now)+n > max(2*n, len(r.Capacity.Nodes())/reservedFleetFraction) {
+		return false
+	}
+	nodes, already := r.emptyingNodes(job, request, now)
+	if already {
+		return true
+	}
+	if job.Record.Spec.SingleZone && n > 1 {
+		nodes = inSoonestZone(nodes, n)
+	}
+	if len(nodes) < n {
+		return false
+	}
+	until := now.Add(reservationTime)
+	if job.EffectivePriority() >= record.High {
+		until = now.Add(2 * reservationTime) // the tasks on such machines run long
+	}
+	for _, found := range nodes[:n] {
+		r.reservations.Set(found.node.Name, Reservation{Job: job.ID(), Need: request.Resources, Made: now, Until: until, AsItEmpties: true})
+	}
+	r.cluster.RecordEvent(job, "%d machines set aside for it, %s the first", n, nodes[0].node.Name)
+	return true
+}
+
+// emptyingNodes returns the nodes that have room for a request once the tasks that end by themselves
+// have ended, soonest free first. already reports that a machine is reserved for the job.
+func (r *machineReserver) emptyingNodes(job *workload.Job, request *placement.Request, now time.Time) (nodes []emptyingNode, already bool) {
+	for _, node := range r.Capacity.Nodes() {
+		machine := r.Machines.Machines[node.Name]
+		if machine == nil {
+			continue
+		}
+		if reservation, reserved := r.reservations.On(node.Name, now); reserved {
+			if reservation.Job == job.ID() {
+				return nil, true
+			}
+			continue
+		}
+		offer := r.Capacity.Type(machine.Type)
+		if offer == nil || machine.DeleteWhenEmpty || !machine.Schedulable(now, r.reportInterval()) || !request.Allows(machine.Type, machine.Zone, machine.Spot) {
+			continue
+		}
+		onlyForAccelerated := request.Resources.Accels == 0 && offer.Accels > 0
+		if onlyForAccelerated || !offer.Capacity().Minus(node.Used).Plus(node.Reclaimable).Holds(request.Resources) {
+			continue
+		}
+		nodes = append(nodes, emptyingNode{node, machine.Zone, node.TimeUntilFree(now)})
+	}
+	slices.SortFunc(nodes, func(x, y emptyingNode) int {
+		return cmp.Or(cmp.Compare(x.after, y.after), cmp.Compare(x.node.Name, y.node.Name))
+	})
+	return nodes, false
+}
+
+// inSoonestZone returns the nodes of the zone that is the first to have n of them, or all nodes if no
+// zone has so many.
+func inSoonestZone(nodes []emptyingNode, n int) []emptyingNode {
+	count := map[string]int{}
+	for _, found := range nodes {
+		count[found.zone]++
+		if count[found.zone] == n {
+			zone := found.zone
+			return slices.DeleteFunc(nodes, func(other emptyingNode) bool { return other.zone != zone })
+		}
+	}
+	return nodes
+}
+
+// reservedForOther reports whether a job has no room in what is free on a machine because of a
+// reservation for another job that goes before it.
+func (r *machineReserver) reservedForOther(machine ids.Machine, free placement.Resources, job *workload.Job, now time.Time) bool {
+	reservation, reserved := r.reservations.On(machine, now)
+	return reserved && reservation.Job != job.ID() && r.goesBefore(reservation.Job, job, now) &&
+		!free.Minus(reservation.Need).Holds(job.Record.Spec.Resources)
+}
+
+// goesBefore reports whether the job that a machine was reserved for still goes before another job.
+func (r *machineReserver) goesBefore(id ids.Job, job *workload.Job, now time.Time) bool {
+	holder := r.Jobs.Get(id)
+	if holder == nil || !holder.Schedulable() {
+		return false
+	}
+	return holder.EffectivePriority() >= job.EffectivePriority() || holder.Starving(now) && job.EffectivePriority() < record.Critical
+}
+
+// view implements Scheduler.View.
+func (r *machineReserver) view(node *capacity.Node, machine *worker.Machine, job *workload.Job, retry *workload.Retry, now time.Time) placement.Candidate {
+	view := candidateView(node, machine, job)
+	view.Reserved = r.reservedForOther(node.Name, view.Free, job, now)
+	view.FailedBefore = retry != nil && retry.Avoid[node.Name]
+	return view
+}
+
+// candidateView describes a node to the placement rules as a candidate for any task of a job, without
+// regard to reservations.
+func candidateView(node *capacity.Node, machine *worker.Machine, job *workload.Job) placement.Candidate {
+	image := job.Record.Spec.Image
+	view := placement.Candidate{Name: node.Name, Type: node.Class.Offer, Zone: machine.Zone, Spot: machine.Spot, ScalingIn: machine.DeleteWhenEmpty,
+		Free: node.Free(), OtherPulls: len(node.ImagePulls)}
+	view.ImageCached = machine.Images.Has(image)
+	view.ImageExpected = view.ImageCached || node.ImagePulls[image] != nil
+	for pulled, pull := range node.ImagePulls {
+		cached := machine.Images.Has(pulled)
+		if pull.TopPriority >= record.High && pull.TopPriority > job.EffectivePriority() && !cached {
+			view.PullsForHigherPriority = true
+		}
+		if cached {
+			view.OtherPulls--
+		}
+	}
+	return view
+}
--- a/internal/scheduler/pass.go
+++ b/internal/scheduler/pass.go
@@ -12,48 +12,56 @@
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// Pass is what one planning pass has found out so far, so that jobs alike do not find it out again.
-type Pass struct {
+// planningPass is one planning pass and what it has learned so far, which spares jobs with the same
+// needs a search of their own.
+type planningPass struct {
 	now time.Time
-	// noCapacity are needs for which no machine has room, noVictims those for which preempting others
-	// frees nothing.
-	noCapacity       map[placementKey][]placement.Resources
-	noVictims        map[preemptionKey][]placement.Resources
+	// noCapacity are the needs for which no machine has room.
+	noCapacity map[placementKey][]placement.Resources
+	// noVictims are the needs for which preemption can't free room on any machine.
+	noVictims map[preemptionKey][]placement.Resources
+	// preemptible are the nodes on which jobs may preempt something.
 	preemptible      map[preemptionKey][]*capacity.Node
 	machinesExamined int
-	// quotaDemands are, by team, the tasks that only the team's allowance holds back.
+	// quotaDemands are, by team, the tasks that are pending only because of the team's allowance.
 	quotaDemands map[string]quota.Demand
 }
 
-func newPass(now time.Time) *Pass {
-	return &Pass{now: now, noCapacity: map[placementKey][]placement.Resources{}, noVictims: map[preemptionKey][]placement.Resources{},
-		preemptible: map[preemptionKey][]*capacity.Node{}, quotaDemands: map[string]quota.Demand{}}
+func newPlanningPass(now time.Time) *planningPass {
+	return &planningPass{
+		now:          now,
+		noCapacity:   map[placementKey][]placement.Resources{},
+		noVictims:    map[preemptionKey][]placement.Resources{},
+		preemptible:  map[preemptionKey][]*capacity.Node{},
+		quotaDemands: map[string]quota.Demand{},
+	}
 }
 
-// forget drops what may be otherwise once others had the cluster state.
-func (p *Pass) forget() {
+// dropFindings drops what may have changed while the lock was released.
+func (p *planningPass) dropFindings() {
 	clear(p.noCapacity)
 	clear(p.preemptible)
 	clear(p.noVictims)
 }
 
-// addQuotaDemand notes that only its team's allowance keeps n tasks of a job from starting.
-func (p *Pass) addQuotaDemand(job *workload.Job, n int) {
+// addQuotaDemand records that tasks of a job are pending only because of its team's allowance. The job
+// that is first to be planned gives the demand of the team its unit and rank.
+func (p *planningPass) addQuotaDemand(job *workload.Job, tasks int) {
 	spec := &job.Record.Spec
 	unit := spec.Resources
 	if spec.Shape == record.Gang {
-		unit = spec.Resources.Times(float64(n))
+		unit = spec.Resources.Times(float64(tasks))
 	}
 	demand, found := p.quotaDemands[spec.Team]
 	if !found {
 		demand.Unit = quota.AmountOf(unit)
 		demand.Rank = quota.Rank{Guaranteed: job.Guaranteed, Priority: int(job.EffectivePriority()), Since: job.Record.EligibleSince()}
 	}
-	demand.Total = demand.Total.Plus(quota.AmountOf(spec.Resources.Times(float64(n))))
+	demand.Total = demand.Total.Plus(quota.AmountOf(spec.Resources.Times(float64(tasks))))
 	p.quotaDemands[spec.Team] = demand
 }
 
-// placementKey is what decides, beside the amount, which machines a request may use.
+// placementKey is what determines, besides the resources, which machines a request may use.
 type placementKey struct {
 	types, zone       string
 	spot, accelerated bool
@@ -67,7 +75,24 @@
 	return placementKey{types: types.String(), zone: request.Zone, spot: request.AllowSpot, accelerated: request.Resources.Accels > 0}
 }
 
-// covered tells whether one of the amounts known not to be had lies within need.
-func covered(known []placement.Resources, need placement.Resources) bool {
-	return slices.ContainsFunc(known, func(amount placement.Resources) bool { return need.Holds(amount) })
+// preemptionKey is what determines, besides the resources, on which machines a job may preempt others.
+type preemptionKey struct {
+	priority   record.Priority
+	guaranteed bool
+	team       string // of a guaranteed job
+	image      string // only machines that have it cached; empty: all
+	placementKey
+}
+
+func preemptionKeyOf(job *workload.Job, request *placement.Request) preemptionKey {
+	key := preemptionKey{priority: job.EffectivePriority(), guaranteed: job.Guaranteed, placementKey: placementKeyOf(request)}
+	if job.Guaranteed {
+		key.team = job.Record.Spec.Team
+	}
+	return key
+}
+
+// covered reports whether need includes an amount that is known to be unavailable.
+func covered(unavailable []placement.Resources, need placement.Resources) bool {
+	return slices.ContainsFunc(unavailable, func(amount placement.Resources) bool { return need.Holds(amount) })
 }
--- /dev/null
+++ b/internal/scheduler/preemption.go
@@ -0,0 +1,318 @@
+package scheduler
+
+import (
+	"cmp"
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"time"
+
+	"github.com/pebbletrail/pebbletrail/internal/capacity"
+	"github.com/pebbletrail/pebbletrail/internal/estimate"
+	"github.com/pebbletrail/pebbletrail/internal/ids"
+	"github.com/pebbletrail/pebbletrail/internal/placement"
+	"github.com/pebbletrail/pebbletrail/internal/record"
+	"github.com/pebbletrail/pebbletrail/internal/worker"
+	"github.com/pebbletrail/pebbletrail/internal/workload"
+)
+
+// preemptor frees room on machines by stopping tasks, where the rules of priority and guarantee allow
+// it and at the least loss.
+type preemptor struct {
+	*State
+	cluster      Cluster
+	rng          *rand.Rand
+	reservations *Reservations
+}
+
+// preemptionFilter restricts where tasks are preempted.
+type preemptionFilter struct {
+	image   string // only on machines that have it cached; empty: on all
+	accepts func(victims []*workload.Assignment) bool
+}
+
+// anyVictims accepts whatever the rules of preemption allow.
+var anyVictims = preemptionFilter{accepts: func([]*workload.Assignment) bool { return true }}
+
+// MaxPreemptionCandidates bounds the machines that are compared to find the one on which preemption
+// loses least. Comparing all machines of a fleet of thousands for each of hundreds of urgent tasks would
+// take longer than the workers' leases last.
+const MaxPreemptionCandidates = 200
+
+// preempt frees room for one task of a job on some machine, whose name it returns.
+func (p *preemptor) preempt(job *workload.Job, request *placement.Request, pass *planningPass) (freed bool, machine string) {
+	key := preemptionKeyOf(job, request)
+	if covered(pass.noVictims[key], request.Resources) {
+		return false, ""
+	}
+	freed, machine, noVictims := p.preemptCheapest(job, request, pass, anyVictims)
+	if noVictims {
+		pass.noVictims[key] = append(pass.noVictims[key], request.Resources)
+	}
+	return freed, machine
+}
+
+// recentReservation is how long after it was made a reservation counts as a preemption under way.
+const recentReservation = time.Second
+
+// preemptWhereCached frees room on a machine that has the image cached by stopping tasks that exit at
+// once. It returns the machine's name, also while an earlier call's tasks are being stopped, or an empty
+// string.
+func (p *preemptor) preemptWhereCached(job *workload.Job, request *placement.Request, pass *planningPass) (machine string) {
+	for name, reservation := range p.reservations.all() {
+		if reservation.Job != job.ID() || pass.now.Sub(reservation.Made) >= recentReservation {
+			continue
+		}
+		node := p.Capacity.Node(name)
+		if node != nil && p.Capacity.HoldsImage(node, request.Image) && (node.Class == nil || !node.Free().Holds(request.Resources)) {
+			return string(name) // not free yet
+		}
+		return ""
+	}
+	if len(p.Capacity.WithImage(request.Image)) == 0 {
+		return ""
+	}
+	// Lower priorities only: swapping one replica for another, as a guarantee would allow, gains nothing
+	// here and costs the other one its start.
+	exitAtOnce := func(victims []*workload.Assignment) bool {
+		return len(victims) > 0 && !slices.ContainsFunc(victims, func(victim *workload.Assignment) bool {
+			return victim.CheckpointGrace() > 0 || victim.Job.Record.Spec.Shape == record.Service ||
+				victim.Job.EffectivePriority() >= job.EffectivePriority()
+		})
+	}
+	_, machine, _ = p.preemptCheapest(job, request, pass, preemptionFilter{image: request.Image, accepts: exitAtOnce})
+	return machine
+}
+
+// canPreemptWithoutAccelerators reports whether preemption could free room for a task on a machine
+// without accelerators.
+func (p *preemptor) canPreemptWithoutAccelerators(job *workload.Job, request *placement.Request, pass *planningPass) bool {
+	zones := ZoneSpreadOf(job, p.Machines)
+	for _, node := range p.nodesWithVictims(job, request, "", pass) {
+		machine := p.Machines.Machines[node.Name]
+		offer := p.Capacity.Type(machine.Type)
+		if offer.Accels > 0 || !offer.Capacity().Holds(request.Resources) || zones.Allowed(machine.Zone, 1) == 0 {
+			continue
+		}
+		if _, _, enough := p.victimsOn(job, node, offer.Capacity().Minus(node.Used), request, pass.now); enough {
+			return true
+		}
+	}
+	return false
+}
+
+// nodesWithVictims returns the nodes with tasks that a job may preempt, or that are being stopped; if an
+// image is named, only those that have it cached. Jobs with the same rights share the list within a
+// pass.
+func (p *preemptor) nodesWithVictims(job *workload.Job, request *placement.Request, image string, pass *planningPass) []*capacity.Node {
+	key := preemptionKeyOf(job, request)
+	key.image = image
+	if nodes, known := pass.preemptible[key]; known {
+		return nodes
+	}
+	var nodes []*capacity.Node
+	if image != "" {
+		all := slices.Clone(p.nodesWithVictims(job, request, "", pass))
+		nodes = slices.DeleteFunc(all, func(node *capacity.Node) bool { return !p.Capacity.HoldsImage(node, image) })
+	} else {
+		nodes = p.findNodesWithVictims(job, request, pass.now)
+	}
+	pass.preemptible[key] = nodes
+	return nodes
+}
+
+// findNodesWithVictims examines all jobs that a job may preempt.
+func (p *preemptor) findNodesWithVictims(job *workload.Job, request *placement.Request, now time.Time) []*capacity.Node {
+	withVictims := map[*capacity.Node]bool{}
+	for _, other := range p.Jobs.Ordered() {
+		if len(other.Assignments) == 0 || !p.mayPreemptJob(other, job) {
+			continue
+		}
+		for _, assignment := range other.Assignments {
+			withVictims[p.Capacity.Node(assignment.Machine)] = true
+		}
+	}
+	nodes := make([]*capacity.Node, 0, len(withVictims))
+	for node := range withVictims {
+		machine := p.Machines.Machines[node.Name]
+		if p.Capacity.Type(machine.Type) == nil || !machine.Schedulable(now, p.reportInterval()) || !request.Allows(machine.Type, machine.Zone, machine.Spot) {
+			continue
+		}
+		nodes = append(nodes, node)
+	}
+	slices.SortFunc(nodes, func(x, y *capacity.Node) int { return cmp.Compare(x.Name, y.Name) })
+	return nodes
+}
+
+// preemption is a set of tasks to stop on a node, and what that loses.
+type preemption struct {
+	node    *capacity.Node
+	victims []*workload.Assignment
+	loss    float64
+}
+
+// preemptCheapest preempts others on the machine where that loses least among those that the filter
+// accepts. noVictims reports that stopping tasks would free enough room on no machine.
+func (p *preemptor) preemptCheapest(job *workload.Job, request *placement.Request, pass *planningPass, filter preemptionFilter) (freed bool, machine string, noVictims bool) {
+	if job.Suspect() {
+		return false, "", false // nothing is stopped for a job that is likely to fail
+	}
+	if job.EffectivePriority() < record.High && !job.Guaranteed || !p.cluster.StoreAvailable() {
+		return false, "", true
+	}
+	held := p.reservations.dropExpired(job.ID(), pass.now)
+	if held >= max(1, job.Unfinished()-len(job.Assignments)) {
+		return false, "", false
+	}
+	best, noVictims := p.cheapestPreemption(job, request, pass, filter)
+	if best == nil {
+		return false, "", noVictims
+	}
+	p.carryOut(best, job, request, pass.now)
+	return true, string(best.node.Name), false
+}
+
+// cheapestPreemption returns the preemption that loses least among the first MaxPreemptionCandidates
+// possible ones, starting at a random node if there may be more.
+func (p *preemptor) cheapestPreemption(job *workload.Job, request *placement.Request, pass *planningPass, filter preemptionFilter) (best *preemption, noVictims bool) {
+	zones := ZoneSpreadOf(job, p.Machines)
+	noVictims = true
+	nodes := p.nodesWithVictims(job, request, filter.image, pass)
+	first, candidates := 0, 0
+	if len(nodes) > MaxPreemptionCandidates {
+		first = p.rng.IntN(len(nodes))
+	}
+	for i := 0; i < len(nodes) && candidates < MaxPreemptionCandidates; i++ {
+		node := nodes[(first+i)%len(nodes)]
+		if _, reserved := p.reservations.all()[node.Name]; reserved {
+			continue
+		}
+		machine := p.Machines.Machines[node.Name]
+		offer := p.Capacity.Type(machine.Type)
+		if !offer.Capacity().Holds(request.Resources) {
+			continue
+		}
+		pass.machinesExamined++
+		victims, loss, enough := p.victimsOn(job, node, offer.Capacity().Minus(node.Used), request, pass.now)
+		if !enough {
+			continue
+		}
+		noVictims = false
+		if zones.Allowed(machine.Zone, 1) == 0 || !filter.accepts(victims) {
+			continue
+		}
+		candidates++
+		loss += placementLoss(node, machine, offer, request)
+		if best == nil || loss < best.loss {
+			best = &preemption{node, victims, loss}
+		}
+	}
+	return best, noVictims
+}
+
+// acceleratorLoss keeps services without accelerators off machines that have some: they would occupy the
+// expensive machine until they are cancelled.
+const acceleratorLoss = 1e6
+
+// placementLoss returns what it costs a request to use a node, besides what is stopped there.
+func placementLoss(node *capacity.Node, machine *worker.Machine, offer *placement.InstanceType, request *placement.Request) (loss float64) {
+	if request.LongRunning && offer.Accels > request.Resources.Accels {
+		loss += acceleratorLoss
+	}
+	if !machine.Images.Has(request.Image) && node.ImagePulls[request.Image] == nil {
+		loss += estimate.PullSeconds(offer, request.ImageGB)
+	}
+	return loss
+}
+
+// preemptionMargin is how many seconds the freed room stays reserved after the longest grace period of
+// the stopped tasks.
+const preemptionMargin = 10
+
+// carryOut stops the victims of a preemption and reserves their room for the job.
+func (p *preemptor) carryOut(chosen *preemption, job *workload.Job, request *placement.Request, now time.Time) {
+	longest := ids.Seconds(0)
+	for _, victim := range chosen.victims {
+		grace := victim.CheckpointGrace()
+		if job.EffectivePriority() == record.Critical && victim.LittleToSave(now) {
+			grace = 0
+		}
+		p.cluster.Stop(victim, grace, fmt.Sprintf("to make room for %s (%s)", job.ID(), job.EffectivePriority()))
+		longest = max(longest, victim.StopGrace)
+	}
+	p.reservations.Set(chosen.node.Name, Reservation{Job: job.ID(), Need: request.Resources, Made: now,
+		Until: now.Add((longest + preemptionMargin).Duration())})
+}
+
+// victim is a task that may be stopped, and the progress that this loses.
+type victim struct {
+	assignment *workload.Assignment
+	loss       float64
+}
+
+// graceLoss is the loss for each second of a victim's grace period that critical work has to wait.
+const graceLoss = 100
+
+// victimsOn chooses which tasks of a node to stop so that a request fits into its free resources and
+// theirs. It returns them and what stopping them loses; enough reports whether the request fits then.
+func (p *preemptor) victimsOn(job *workload.Job, node *capacity.Node, free placement.Resources, request *placement.Request, now time.Time) (stop []*workload.Assignment, loss float64, enough bool) {
+	critical := job.EffectivePriority() == record.Critical
+	var victims []victim
+	for assignment := range node.Assignments {
+		if assignment.Stopping {
+			free = free.Plus(assignment.Job.Record.Spec.Resources)
+		} else if p.mayPreempt(assignment, job) {
+			victims = append(victims, victim{assignment, assignment.PreemptionCost(now)})
+		}
+	}
+	slices.SortFunc(victims, func(x, y victim) int { return compareVictims(x, y, critical) })
+	for _, chosen := range victims {
+		if free.Holds(request.Resources) {
+			break
+		}
+		stop = append(stop, chosen.assignment)
+		loss += chosen.loss
+		if grace := chosen.assignment.CheckpointGrace(); critical && grace > 0 && !chosen.assignment.LittleToSave(now) {
+			loss += graceLoss * float64(grace)
+		}
+		free = free.Plus(chosen.assignment.Job.Record.Spec.Resources)
+	}
+	return stop, loss, free.Holds(request.Resources)
+}
+
+// compareVictims orders victims: for critical work, which does not wait for others to save, the shortest
+// grace period first; then the lowest priority, then the least loss.
+func compareVictims(x, y victim, critical bool) int {
+	byGrace := 0
+	if critical {
+		byGrace = cmp.Compare(x.assignment.CheckpointGrace(), y.assignment.CheckpointGrace())
+	}
+	return cmp.Or(byGrace,
+		cmp.Compare(x.assignment.Job.EffectivePriority(), y.assignment.Job.EffectivePriority()),
+		cmp.Compare(x.loss, y.loss),
+		cmp.Compare(x.assignment.Task().String(), y.assignment.Task().String()))
+}
+
+// mayPreempt reports whether a task may be stopped for a job: by the protocol's rule of preemption,
+// except that the first tasks of a job that starved are protected for a while.
+func (p *preemptor) mayPreempt(assignment *workload.Assignment, job *workload.Job) bool {
+	return p.mayPreemptJob(assignment.Job, job) && !assignment.ProtectedFrom(job)
+}
+
+// mayPreemptJob reports whether tasks of one job may be stopped for another: a job of higher priority, or
+// one within its team's guarantee if the victim's team uses more than its own.
+func (p *preemptor) mayPreemptJob(victim, job *workload.Job) bool {
+	if victim.EffectivePriority() < job.EffectivePriority() {
+		return true
+	}
+	spec := &victim.Record.Spec
+	if !job.Guaranteed || victim.Guaranteed || spec.Team == job.Record.Spec.Team {
+		return false
+	}
+	team, _ := p.Settings.Team(spec.Team)
+	used := p.Quota.Usage(spec.Team)
+	if spec.Resources.Accels > 0 {
+		return used.Accels > team.GPUs
+	}
+	return used.Cores > team.CPUs
+}
--- a/internal/scheduler/quota_preemption.go
+++ b/internal/scheduler/quota_preemption.go
@@ -12,43 +12,29 @@
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// quotaReservation is room of a team's quota that lesser work of its own leaves to a job that waits for
-// it: given to lesser work again as it frees up, the job would never begin.
-type quotaReservation struct {
-	job   *workload.Job
-	need  placement.Resources
-	until time.Time
+// quotaPreemptor stops tasks of a team to free quota for more urgent work of the same team.
+type quotaPreemptor struct {
+	*State
+	cluster      Cluster
+	reservations quotaReservations
 }
 
-// quotaReservationTime is how long that holds unless the job is found waiting again.
-const quotaReservationTime = 2 * time.Second
-
-// reservedQuota is what a job must leave of its team's quota to one that goes first.
-func (s *Scheduler) reservedQuota(job *workload.Job, now time.Time) placement.Resources {
-	reserved, found := s.quotaReservations[job.Record.Spec.Team]
-	if !found || reserved.job == job || !reserved.until.After(now) || !reserved.job.Schedulable() ||
-		job.EffectivePriority() >= reserved.job.EffectivePriority() {
-		return placement.Resources{}
-	}
-	return reserved.need
-}
-
-// unlimited stands for a quota that the settings leave out.
+// unlimited stands for a limit that the settings leave out.
 const unlimited = 1e12
 
-// yieldQuota stops lesser work of a job's own team when the team's quota is all that keeps high or
-// critical tasks from starting, and tells whether that is enough. What is being stopped already counts
-// as making way.
-func (s *Scheduler) yieldQuota(job *workload.Job, tasks int, now time.Time) bool {
-	if job.EffectivePriority() < record.High || !s.cluster.StoreAvailable() || job.Suspect() {
+// preemptFor stops lower-priority tasks of a job's team when only the team's quota keeps its high or
+// critical tasks from starting, and reports whether that frees enough. Tasks that are being stopped
+// already count as freed.
+func (q *quotaPreemptor) preemptFor(job *workload.Job, tasks int, now time.Time) bool {
+	if job.EffectivePriority() < record.High || !q.cluster.StoreAvailable() || job.Suspect() {
 		return false
 	}
 	spec := &job.Record.Spec
-	team, _ := s.Settings.Team(spec.Team)
-	excess := quotaExcess(team, s.Quota.Usage(spec.Team).Plus(spec.Resources.Times(float64(tasks))))
-	left, excess, victims := s.lesserWork(job, team, excess)
+	team, _ := q.Settings.Team(spec.Team)
+	excess := quotaExcess(team, q.Quota.Usage(spec.Team).Plus(spec.Resources.Times(float64(tasks))))
+	left, excess, victims := q.lesserWork(job, team, excess)
 	if fitting := left.CountFitting(spec.Resources, tasks); fitting > 0 && (fitting == tasks || spec.Shape != record.Gang) {
-		s.quotaReservations[spec.Team] = quotaReservation{job: job, need: spec.Resources.Times(float64(fitting)), until: now.Add(quotaReservationTime)}
+		q.reservations.set(job, spec.Resources.Times(float64(fitting)), now)
 	}
 	slices.SortFunc(victims, func(x, y *workload.Assignment) int { return compareLesserWork(x, y, now) })
 	reason := fmt.Sprintf("its team is at its limit and %s (%s) goes first", spec.ID, job.EffectivePriority())
@@ -59,16 +45,16 @@
 		need := victim.Job.Record.Spec.Resources
 		if excess.Cores > 0 && need.Cores > 0 || excess.Accels > 0 && need.Accels > 0 {
 			excess = excess.Minus(need)
-			s.cluster.Stop(victim, victim.CheckpointGrace(), reason)
+			q.cluster.Stop(victim, victim.CheckpointGrace(), reason)
 		}
 	}
 	return !exceeds(excess)
 }
 
-// exceeds tells whether an amount of cores or accelerators is above none.
+// exceeds reports whether an excess is above zero in cores or accelerators, the resources with limits.
 func exceeds(excess placement.Resources) bool { return excess.Cores > 0 || excess.Accels > 0 }
 
-// quotaExcess is by how much usage exceeds a team's quota.
+// quotaExcess returns how far usage lies above a team's limits; negative amounts are below them.
 func quotaExcess(team config.Team, usage placement.Resources) placement.Resources {
 	usage.Cores -= team.CPUsMax
 	usage.Accels -= team.GPUsMax
@@ -81,10 +67,10 @@
 	return usage
 }
 
-// lesserWork looks at all work of a job's team: left is the quota that work of the job's priority or
-// higher leaves, remaining the excess without what is being stopped of lesser work, and victims the rest
-// of that.
-func (s *Scheduler) lesserWork(job *workload.Job, team config.Team, excess placement.Resources) (left, remaining placement.Resources, victims []*workload.Assignment) {
+// lesserWork surveys the work of a job's team. left is the quota beside the team's work of the job's
+// priority or higher; remaining is the excess less what is being stopped of its lower-priority work;
+// victims are the tasks of that work that may be stopped.
+func (q *quotaPreemptor) lesserWork(job *workload.Job, team config.Team, excess placement.Resources) (left, remaining placement.Resources, victims []*workload.Assignment) {
 	left = placement.Resources{Cores: team.CPUsMax, Accels: team.GPUsMax, RAM: unlimited}
 	if team.CPUsMax == 0 {
 		left.Cores = unlimited
@@ -92,7 +78,7 @@
 	if team.GPUsMax == 0 {
 		left.Accels = unlimited
 	}
-	for _, other := range s.Jobs.All() {
+	for _, other := range q.Jobs.All() {
 		need := other.Record.Spec.Resources
 		switch {
 		case other.Record.Spec.Team != job.Record.Spec.Team:
@@ -112,33 +98,32 @@
 	return left, excess, victims
 }
 
-// compareLesserWork orders whom to stop first: by priority, then by what a stop loses.
+// compareLesserWork orders victims: lowest priority first, then least progress lost.
 func compareLesserWork(x, y *workload.Assignment, now time.Time) int {
 	return cmp.Or(cmp.Compare(x.Job.EffectivePriority(), y.Job.EffectivePriority()),
 		cmp.Compare(x.PreemptionCost(now), y.PreemptionCost(now)),
 		cmp.Compare(x.Task().String(), y.Task().String()))
 }
 
-// PreemptForOtherShards stops lesser work of teams whose allowance a more urgent demand of another shard
-// is owed.
-func (s *Scheduler) PreemptForOtherShards() {
-	if s.Settings.ShardCount() == 1 || !s.cluster.StoreAvailable() {
+// preemptForOtherShards implements Scheduler.PreemptForOtherShards.
+func (q *quotaPreemptor) preemptForOtherShards() {
+	if q.Settings.ShardCount() == 1 || !q.cluster.StoreAvailable() {
 		return
 	}
-	for _, team := range s.Settings.Params.Teams {
-		amount, rank, owed := s.Quota.ReclaimNeeded(team.Name)
+	for _, team := range q.Settings.Params.Teams {
+		amount, rank, owed := q.Quota.ReclaimNeeded(team.Name)
 		if priority := record.Priority(rank.Priority); owed && priority >= record.High {
-			s.preemptLowerPriority(team.Name, priority, amount.Room())
+			q.preemptBelow(team.Name, priority, amount.Room())
 		}
 	}
 }
 
-// preemptLowerPriority stops work of a team below a priority until it frees what is named. What is being
-// stopped already counts.
-func (s *Scheduler) preemptLowerPriority(team string, below record.Priority, wanted placement.Resources) {
+// preemptBelow stops tasks of a team below a priority until they free the wanted resources. Tasks that
+// are being stopped already count as freed.
+func (q *quotaPreemptor) preemptBelow(team string, priority record.Priority, wanted placement.Resources) {
 	var victims []*workload.Assignment
-	for _, job := range s.Jobs.Ordered() {
-		if job.Record.Spec.Team != team || job.EffectivePriority() >= below {
+	for _, job := range q.Jobs.Ordered() {
+		if job.Record.Spec.Team != team || job.EffectivePriority() >= priority {
 			continue
 		}
 		for _, i := range workload.SortedTasks(job.Assignments) {
@@ -150,19 +135,19 @@
 		}
 	}
 	now := time.Now()
-	slices.SortStableFunc(victims, func(x, y *workload.Assignment) int { return compareInMilliseconds(x, y, now) })
+	slices.SortStableFunc(victims, func(x, y *workload.Assignment) int { return compareRoundedLoss(x, y, now) })
 	for _, victim := range victims {
 		if !exceeds(wanted) {
 			return
 		}
 		wanted = wanted.Minus(victim.Job.Record.Spec.Resources)
-		s.cluster.Stop(victim, victim.CheckpointGrace(), "its team's limit is needed in another shard")
+		q.cluster.Stop(victim, victim.CheckpointGrace(), "its team's limit is needed in another shard")
 	}
 }
 
-// compareInMilliseconds orders whom to stop first like compareLesserWork, but takes losses that differ
-// by less than a thousandth of a core-second as equal.
-func compareInMilliseconds(x, y *workload.Assignment, now time.Time) int {
+// compareRoundedLoss orders victims like compareLesserWork, but treats losses as equal that differ by
+// less than a thousandth of a core-second.
+func compareRoundedLoss(x, y *workload.Assignment, now time.Time) int {
 	return cmp.Or(cmp.Compare(x.Job.EffectivePriority(), y.Job.EffectivePriority()),
 		int(1000*(x.PreemptionCost(now)-y.PreemptionCost(now))))
 }
--- a/internal/scheduler/ranking.go
+++ b/internal/scheduler/ranking.go
@@ -10,33 +10,35 @@
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// What is added to a job's priority to rank it.
+// ranker orders jobs for planning.
+type ranker struct{ *State }
+
+// The rank of a job is its priority plus one of these, except for failing jobs.
 const (
 	rankGuaranteed = 10
 	rankStarving   = 40
 	rankCritical   = 100
-	rankFailing    = -1 // instead of all else
+	// rankFailing replaces the rank of a failing job.
+	rankFailing = -1
 )
 
-// lowRisesAfter is the age, in seconds, from which low work counts as normal. Waiting work rises one
-// step at most, so that the lowest never starves.
+// lowRisesAfter is the age, in seconds, from which low priority is ranked as normal, so that it does not
+// starve. No job rises by more than one step.
 const lowRisesAfter = 45
 
-// rankedJob is a job with what it is ranked by: higher ranks first, of equals the smaller size.
+// rankedJob is a job and its sort keys: higher ranks come first, among equals smaller sizes.
 type rankedJob struct {
 	job  *workload.Job
 	rank int
 	size float64
 }
 
-// Ranked lists the schedulable jobs that have tasks to assign: critical work first, then what has
-// waited too long for its first start or lies within its team's guarantee, then by priority and age.
-// It notes which jobs lie within their team's guarantee.
-func (s *Scheduler) Ranked(now time.Time) []*workload.Job {
-	pending := s.pendingJobs()
+// ranked implements Scheduler.Ranked.
+func (r *ranker) ranked(now time.Time) []*workload.Job {
+	pending := r.pendingJobs()
 	ranked := make([]rankedJob, len(pending))
 	for i, job := range pending {
-		ranked[i] = s.rank(job, now)
+		ranked[i] = r.rank(job, now)
 	}
 	slices.SortStableFunc(ranked, compareRank)
 	jobs := make([]*workload.Job, len(ranked))
@@ -46,7 +48,7 @@
 	return jobs
 }
 
-// compareRank orders jobs for planning.
+// compareRank orders jobs by their sort keys.
 func compareRank(x, y rankedJob) int {
 	switch {
 	case x.rank != y.rank:
@@ -59,20 +61,19 @@
 	return 0
 }
 
-// pendingJobs are the schedulable jobs with tasks to assign, in the order of their submission. On the
-// way each schedulable job's place within its team's guarantee is worked out: those submitted first
-// take it first.
-func (s *Scheduler) pendingJobs() []*workload.Job {
+// pendingJobs returns the schedulable jobs that have tasks to assign, in the order of their submission.
+// It also sets Guaranteed of each schedulable job: a team's guarantee goes to its oldest jobs.
+func (r *ranker) pendingJobs() []*workload.Job {
 	var pending []*workload.Job
 	demand := map[string]placement.Resources{}
-	for _, job := range s.Jobs.Ordered() {
+	for _, job := range r.Jobs.Ordered() {
 		if !job.Schedulable() {
 			continue
 		}
 		spec := &job.Record.Spec
 		total := demand[spec.Team].Plus(spec.Resources.Times(float64(job.Unfinished())))
 		demand[spec.Team] = total
-		team, _ := s.Settings.Team(spec.Team)
+		team, _ := r.Settings.Team(spec.Team)
 		job.Guaranteed = withinGuarantee(team, spec.Resources, total)
 		if job.Unassigned() > 0 {
 			pending = append(pending, job)
@@ -81,9 +82,9 @@
 	return pending
 }
 
-// withinGuarantee tells whether a team's demand, up to and with this job, lies inside its guarantee.
-// Work with accelerators is guaranteed by them alone: teams are not promised the cores beside them
-// separately.
+// withinGuarantee reports whether a team's demand, up to and including a job with a need, lies within
+// the team's guarantee. For jobs with accelerators only these count: teams are not guaranteed the cores
+// that come with them separately.
 func withinGuarantee(team config.Team, need, demand placement.Resources) bool {
 	if need.Accels > 0 {
 		return demand.Accels <= team.GPUs
@@ -91,8 +92,8 @@
 	return demand.Cores <= team.CPUs
 }
 
-// rank works out what a job is ranked by.
-func (s *Scheduler) rank(job *workload.Job, now time.Time) rankedJob {
+// rank returns a job with its sort keys.
+func (r *ranker) rank(job *workload.Job, now time.Time) rankedJob {
 	age := max(0, now.Sub(job.Record.EligibleSince().Time()).Seconds())
 	priority := job.EffectivePriority()
 	if priority == record.Low && age > lowRisesAfter {
@@ -112,42 +113,43 @@
 		rank += rankCritical
 	}
 	if starving {
-		// The longest waiting first, whatever its size: few machines are reserved at a time, and small
-		// jobs, guaranteed or not, would take them all.
+		// The oldest first, whatever its size: few machines are reserved at a time, and small jobs,
+		// guaranteed or not, would take them all.
 		return rankedJob{job, rank, -age}
 	}
-	return rankedJob{job, rank, s.sizeOf(job, age)}
+	return rankedJob{job, rank, r.sizeOf(job, age)}
 }
 
-// The bounds of the age, in seconds, that halves what a job's size counts.
+// The age, in seconds, at which a job's size counts half lies within these bounds.
 const (
 	minHalvingAge = 5
 	maxHalvingAge = 20
 )
 
-// sizeOf orders equals: what is soonest complete goes first, as a job is worth nothing to its user
-// until its last task is done. Waiting makes up for size. Services have none.
-func (s *Scheduler) sizeOf(job *workload.Job, age float64) float64 {
+// sizeOf returns the size by which jobs of equal rank are ordered: the job that completes soonest goes
+// first, since a job is worth nothing to its user before its last task is done. The size shrinks with
+// the job's age, in seconds. Services have none.
+func (r *ranker) sizeOf(job *workload.Job, age float64) float64 {
 	spec := &job.Record.Spec
 	if spec.Shape == record.Service {
 		return 0
 	}
-	takes := max(1, float64(spec.EstimatedDuration))
-	if spec.Shape == record.Gang && !s.fitsWhereCached(job) {
-		takes += s.Estimates.ImagePullSeconds(spec)
+	taskSeconds := max(1, float64(spec.EstimatedDuration))
+	if spec.Shape == record.Gang && !r.fitsWhereCached(job) {
+		taskSeconds += r.Estimates.ImagePullSeconds(spec)
 	}
-	halvingAge := max(minHalvingAge, min(maxHalvingAge, s.Estimates.QueueHorizon(job)/2))
-	return float64(job.Unfinished()) * spec.Resources.Cores * takes / (1 + age/halvingAge)
+	halvingAge := max(minHalvingAge, min(maxHalvingAge, r.Estimates.QueueHorizon(job)/2))
+	return float64(job.Unfinished()) * spec.Resources.Cores * taskSeconds / (1 + age/halvingAge)
 }
 
-// fitsWhereCached tells whether machines that hold a gang's image have room for all of it. Large
-// images take a good part of a gang's time, so of two gangs alike the one that need not pull is
-// complete sooner.
-func (s *Scheduler) fitsWhereCached(job *workload.Job) bool {
+// fitsWhereCached reports whether the machines that have a gang's image cached have room for all of its
+// missing tasks. Pulling a large image takes a good part of a gang's time, so of two similar gangs the
+// one that need not pull completes sooner.
+func (r *ranker) fitsWhereCached(job *workload.Job) bool {
 	spec := &job.Record.Spec
 	missing := spec.Tasks - len(job.Assignments)
-	for node := range s.Capacity.WithImage(spec.Image) {
-		if node.Class != nil && s.Capacity.HoldsImage(node, spec.Image) {
+	for node := range r.Capacity.WithImage(spec.Image) {
+		if node.Class != nil && r.Capacity.HoldsImage(node, spec.Image) {
 			missing -= node.Free().CountFitting(spec.Resources, missing)
 		}
 		if missing <= 0 {
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -1,7 +1,14 @@
-// Package scheduler decides which tasks are assigned to which machines: it ranks the jobs, searches
-// candidates, assigns gangs whole or not at all, preempts lesser work, reserves machines for jobs that
-// starve and keeps teams within their quotas. It takes no lock: internal/clusterstate's State guards
-// what it works on, carries out what it decides and calls it under its own lock.
+// Package scheduler assigns tasks to machines. A planning pass ranks the jobs of a shard and, job by
+// job, searches for machines, assigns tasks, preempts work of lower priority where nothing has room,
+// reserves machines for jobs that starve and keeps teams within their quotas.
+//
+// Scheduler runs the passes. Each decision has an owner of its own: ranker orders the jobs, admission
+// limits how many tasks of a job may be assigned, search finds machines, preemptor and quotaPreemptor
+// choose the tasks to stop, machineReserver reserves machines, and assigner combines them.
+//
+// The package has no lock: the lock of the cluster state that a Scheduler belongs to guards all of it.
+// Every method is called under that lock, and so are the methods of Cluster, by which the cluster state
+// carries out what is decided here.
 package scheduler
 
 import (
@@ -15,34 +22,38 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 	"github.com/pebbletrail/pebbletrail/internal/placement"
 	"github.com/pebbletrail/pebbletrail/internal/quota"
+	"github.com/pebbletrail/pebbletrail/internal/record"
 	"github.com/pebbletrail/pebbletrail/internal/worker"
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// Cluster is what the scheduler asks of the cluster state. All of it is called under that one's lock.
+// Cluster carries out the scheduler's decisions. Its methods are called under the cluster state's lock.
 type Cluster interface {
-	// StoreAvailable tells whether the store has answered just now: while it does not, nothing that
-	// is stopped could be started again.
+	// StoreAvailable reports whether the state service has answered recently. Nothing is preempted
+	// while it has not: what is stopped then could not be started again.
 	StoreAvailable() bool
-	// FencingToken is what starts go out under now.
+	// FencingToken returns the token that starts carry now.
 	FencingToken() ids.Generation
-	// Assign puts an assignment on the books.
+	// Assign adds an assignment to its job, machine and team.
 	Assign(assignment *workload.Assignment)
-	// Assigned tells that a pass gave a job new assignments, whose markers are to be stored.
+	// Assigned is called after a pass has added assignments to a job: their markers have to be stored.
 	Assigned(job *workload.Job)
-	// Restarted tells which tasks were assigned anew, for the job's trail.
+	// Restarted records in the job's trail which of its lost tasks have new assignments.
 	Restarted(job *workload.Job, assigned []*workload.Assignment)
-	// Stop asks for a task to be stopped, with a grace period in which it may save.
+	// Stop requests that a task be stopped, with a grace period in which it may save a checkpoint.
 	Stop(assignment *workload.Assignment, grace ids.Seconds, reason string)
 	// RecordEvent adds a line to a job's trail.
 	RecordEvent(job *workload.Job, format string, args ...any)
-	// QuotaForRelocated is what a job must leave of its team's quota to tasks that are moved.
+	// QuotaForRelocated returns the part of its team's quota that a job must leave to tasks which are
+	// being relocated.
 	QuotaForRelocated(job *workload.Job) placement.Resources
-	// YieldLock lets others at the cluster state for a moment; it tells whether planning may go on.
+	// YieldLock releases the cluster state's lock and takes it again, and reports whether planning may
+	// go on.
 	YieldLock() bool
 }
 
-// State is what the scheduler reads of the shard; it changes none of it but by Cluster.
+// State is what the scheduler reads of its shard. It changes none of it, except through Cluster and in
+// the scheduling fields of jobs.
 type State struct {
 	Settings  *config.Settings
 	Jobs      *workload.Queue
@@ -52,62 +63,108 @@
 	Estimates *estimate.Estimator
 }
 
-// Scheduler plans for one shard.
+// reportInterval returns how often workers report.
+func (s *State) reportInterval() ids.Seconds { return s.Settings.Params.Workers.ReportS }
+
+// valueBytes returns the size limit of a stored value.
+func (s *State) valueBytes() float64 { return s.Settings.Params.State.ValueKB * 1024 }
+
+// Scheduler plans one shard during one term of its leader.
 type Scheduler struct {
-	State
-	cluster Cluster
-	rng     *rand.Rand
-	// Reservations are machines kept for jobs.
+	*State
+	// Reservations are the machines reserved for jobs.
 	Reservations *Reservations
-	// quotaReservations keep room of teams' quotas for jobs, by team.
-	quotaReservations map[string]quotaReservation
-	examined          examinedCount
-}
 
-// examinedCount counts how many machines planning looked at: in all, when it last took the lock, and
-// the most while it held it once.
-type examinedCount struct{ total, atLock, mostPerLock int }
+	cluster        Cluster
+	ranker         *ranker
+	admission      *admission
+	quotaPreemptor *quotaPreemptor
+	reserver       *machineReserver
+	assigner       *assigner
+	examined       examinedCount
+}
 
-// New makes the scheduler of one term.
+// New returns the scheduler of one term.
 func New(state State, cluster Cluster, rng *rand.Rand) *Scheduler {
-	return &Scheduler{State: state, cluster: cluster, rng: rng, Reservations: newReservations(), quotaReservations: map[string]quotaReservation{}}
+	shared := &state
+	reservations := newReservations()
+	reservedQuotas := quotaReservations{}
+	quotaPreemptor := &quotaPreemptor{State: shared, cluster: cluster, reservations: reservedQuotas}
+	admission := &admission{State: shared, cluster: cluster, reservations: reservedQuotas, preemptor: quotaPreemptor}
+	reserver := &machineReserver{State: shared, cluster: cluster, reservations: reservations}
+	preemptor := &preemptor{State: shared, cluster: cluster, rng: rng, reservations: reservations}
+	return &Scheduler{
+		State:          shared,
+		Reservations:   reservations,
+		cluster:        cluster,
+		ranker:         &ranker{shared},
+		admission:      admission,
+		quotaPreemptor: quotaPreemptor,
+		reserver:       reserver,
+		assigner: &assigner{State: shared, cluster: cluster, rng: rng, reservations: reservations,
+			admission: admission, reserver: reserver, preemptor: preemptor},
+	}
 }
 
-// MachinesExamined is how many machines planning has looked at so far, and the most of them while it
-// held the lock once.
-func (s *Scheduler) MachinesExamined() (total, mostPerLock int) {
-	return s.examined.total, s.examined.mostPerLock
+// Ranked returns the schedulable jobs that have tasks to assign, in the order in which a pass plans
+// them: critical jobs first, then those that starve, then those within their team's guarantee, then by
+// priority and size. It sets Job.Guaranteed of all schedulable jobs.
+func (s *Scheduler) Ranked(now time.Time) []*workload.Job { return s.ranker.ranked(now) }
+
+// QuotaLeft returns how many tasks like those of a spec, at most want, its team's quota has room for.
+func (s *Scheduler) QuotaLeft(spec *record.Spec, want int) int {
+	return s.admission.quotaLeft(spec, want)
+}
+
+// PreemptForOtherShards preempts work of teams whose allowance is owed to a more urgent demand of
+// another shard.
+func (s *Scheduler) PreemptForOtherShards() { s.quotaPreemptor.preemptForOtherShards() }
+
+// View describes a node to the placement rules as a candidate for a task of a job. A nil retry stands
+// for a task that has not failed.
+func (s *Scheduler) View(node *capacity.Node, machine *worker.Machine, job *workload.Job, retry *workload.Retry, now time.Time) placement.Candidate {
+	return s.reserver.view(node, machine, job, retry, now)
 }
 
-// MaxExaminedPerLock is after how many looks at machines a pass lets others at the cluster state
-// before it goes on. Hundreds of jobs that meet thousands of empty machines, or preempt what runs
-// there, would otherwise hold it, and with it all heartbeats, for longer than a worker waits for its
-// answer. To end the pass instead was tried: the next one began with the same jobs, and those behind
-// them waited.
+// MaxExaminedPerLock is how many machines a pass examines before it yields the cluster state's lock.
+// Hundreds of jobs that meet thousands of empty machines, or preempt what runs there, would otherwise
+// hold the lock, and with it all heartbeats, for longer than a worker waits for its answer. Ending the
+// pass there instead does not work: the next one begins with the same jobs, and those behind them are
+// never reached.
 const MaxExaminedPerLock = 50000
 
-// Run is one planning pass: it assigns what there is room for, in the order of the jobs' ranks. It
-// tells whether it went through to its end.
+// Run makes one planning pass: it assigns the tasks that have room, in the order of the jobs' ranks. It
+// reports whether the pass was completed.
 func (s *Scheduler) Run(now time.Time) bool {
-	pass := newPass(now)
-	s.examined.atLock = s.examined.total
+	pass := newPlanningPass(now)
+	s.examined.lockTaken(0)
 	for _, job := range s.Ranked(now) {
-		if s.examined.total+pass.machinesExamined-s.examined.atLock > MaxExaminedPerLock && !s.yieldLock(pass) {
+		if s.examined.sinceLock(pass.machinesExamined) > MaxExaminedPerLock && !s.yieldLock(pass) {
 			return false
 		}
 		if !s.Jobs.Holds(job) {
 			continue
 		}
-		s.assign(job, pass)
+		s.assigner.assign(job, pass)
 		logPendingReason(job)
 	}
 	s.Quota.SetDemands(pass.quotaDemands)
-	s.countExamined(pass)
+	s.examined.lockReleased(pass.machinesExamined)
 	s.examined.total += pass.machinesExamined
 	return true
 }
 
-// logPendingReason logs why a job waits when that has changed.
+// yieldLock lets heartbeats and commits take the cluster state's lock, and reports whether the pass may
+// go on. They may change what the pass has learned, so it drops that.
+func (s *Scheduler) yieldLock(pass *planningPass) bool {
+	s.examined.lockReleased(pass.machinesExamined)
+	mayContinue := s.cluster.YieldLock()
+	s.examined.lockTaken(pass.machinesExamined)
+	pass.dropFindings()
+	return mayContinue
+}
+
+// logPendingReason logs why a job is pending when the reason has changed.
 func logPendingReason(job *workload.Job) {
 	if job.PendingReason == job.LoggedReason {
 		return
@@ -117,20 +174,24 @@
 		"unfinished", job.Unfinished(), "assigned", len(job.Assignments))
 }
 
-// yieldLock lets others at the cluster state. What the pass has found out may be otherwise afterwards,
-// so it is found out again. It tells whether the pass may go on.
-func (s *Scheduler) yieldLock(pass *Pass) bool {
-	s.countExamined(pass)
-	goOn := s.cluster.YieldLock()
-	s.examined.atLock = s.examined.total + pass.machinesExamined
-	pass.forget()
-	return goOn
+// MachinesExamined returns how many machines the completed passes have examined, and the most that any
+// pass has examined without yielding the lock.
+func (s *Scheduler) MachinesExamined() (total, mostPerLock int) {
+	return s.examined.total, s.examined.mostPerLock
 }
 
-// countExamined notes how many machines were looked at since the lock was taken.
-func (s *Scheduler) countExamined(pass *Pass) {
-	s.examined.mostPerLock = max(s.examined.mostPerLock, s.examined.total+pass.machinesExamined-s.examined.atLock)
+// examinedCount counts the machines that passes examine. Its methods are given the count of the pass
+// under way.
+type examinedCount struct {
+	total       int // by completed passes
+	atLock      int // by completed passes and the one under way, when the lock was last taken
+	mostPerLock int // the most while the lock was held without a break
 }
 
-// reportInterval is how often workers report.
-func (s *Scheduler) reportInterval() ids.Seconds { return s.Settings.Params.Workers.ReportS }
+func (c *examinedCount) lockTaken(inPass int) { c.atLock = c.total + inPass }
+
+func (c *examinedCount) sinceLock(inPass int) int { return c.total + inPass - c.atLock }
+
+func (c *examinedCount) lockReleased(inPass int) {
+	c.mostPerLock = max(c.mostPerLock, c.sinceLock(inPass))
+}
--- a/internal/scheduler/search.go
+++ b/internal/scheduler/search.go
@@ -2,59 +2,65 @@
 
 import (
 	"cmp"
+	"math/rand/v2"
 	"slices"
-	"time"
 
 	"github.com/pebbletrail/pebbletrail/internal/capacity"
+	"github.com/pebbletrail/pebbletrail/internal/ids"
 	"github.com/pebbletrail/pebbletrail/internal/placement"
-	"github.com/pebbletrail/pebbletrail/internal/record"
 	"github.com/pebbletrail/pebbletrail/internal/worker"
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// search finds candidate machines for the tasks of one job in one pass. Each task goes to the best fit
-// among a few sampled machines; a sample that shows none with room and the image widens to all with
-// room, which are then listed once for all tasks of the job.
+// search finds machines for the tasks of one job in one pass. It takes the best of a few sampled
+// machines for each task. When no sampled machine has both room and the image, it lists all candidates
+// once, for all tasks of the job.
 type search struct {
-	scheduler *Scheduler
-	job       *workload.Job
-	request   *placement.Request
-	pass      *Pass
-	zones     *ZoneSpread
-	classes   []*capacity.Class // that the request may use
-	open      int               // nodes with capacity left in them
-	// avoidAccelerators passes over machines with accelerators unless preempting others makes no room
+	*State
+	rng       *rand.Rand
+	reserver  *machineReserver
+	preemptor *preemptor
+
+	job     *workload.Job
+	request *placement.Request
+	pass    *planningPass
+	zones   *ZoneSpread
+	classes []*capacity.Class // classes that the request may use
+	open    int               // nodes of these classes that have capacity left
+	// avoidAccelerators leaves machines with accelerators out, unless preemption can't make room
 	// elsewhere.
 	avoidAccelerators bool
 
-	exhaustive bool        // all candidates were listed
+	exhaustive bool        // all candidates have been listed
 	candidates []candidate // best first
-	passedOver []candidate // of the last look at the list, kept for its space
+	passedOver []candidate // buffer that best reuses
 }
 
-// candidate is a machine that a task may go to; lower scores are better.
+// candidate is a machine that a task may be assigned to; lower scores are better.
 type candidate struct {
 	node    *capacity.Node
 	machine *worker.Machine
 	score   float64
 }
 
-// newSearch begins a search. It is exhausted at once if an earlier job of the pass found nothing.
-func (s *Scheduler) newSearch(job *workload.Job, request *placement.Request, pass *Pass) *search {
-	found := &search{scheduler: s, job: job, request: request, pass: pass, zones: ZoneSpreadOf(job, s.Machines),
+// newSearch begins the search for a job. It has no candidates if an earlier job of the pass with the
+// same needs found none.
+func (a *assigner) newSearch(job *workload.Job, request *placement.Request, pass *planningPass) *search {
+	s := &search{State: a.State, rng: a.rng, reserver: a.reserver, preemptor: a.preemptor,
+		job: job, request: request, pass: pass, zones: ZoneSpreadOf(job, a.Machines),
 		avoidAccelerators: request.LongRunning && request.Resources.Accels == 0}
 	if covered(pass.noCapacity[placementKeyOf(request)], request.Resources) {
-		found.exhaustive = true
-		return found
+		s.exhaustive = true
+		return s
 	}
-	found.selectClasses()
-	return found
+	s.selectClasses()
+	return s
 }
 
-// selectClasses picks the instance classes that the request may use.
+// selectClasses selects the instance classes that the request may use.
 func (s *search) selectClasses() {
 	s.classes, s.open = s.classes[:0], 0
-	for _, class := range s.scheduler.Capacity.Classes() {
+	for _, class := range s.Capacity.Classes() {
 		if len(class.Open) == 0 || s.avoidAccelerators && class.Offer.Accels > 0 ||
 			!s.request.Allows(class.Type, class.Zone, class.Spot) || !class.Offer.Capacity().Holds(s.request.Resources) {
 			continue
@@ -64,18 +70,18 @@
 	}
 }
 
-// evaluate scores a machine, or tells that the task can't go there now; room tells whether at least
-// there is room.
-func (s *search) evaluate(node *capacity.Node, retry *workload.Retry) (found candidate, ok, room bool) {
+// evaluate scores a machine. ok reports whether the task may be assigned there, hasRoom whether the
+// machine at least has room for it.
+func (s *search) evaluate(node *capacity.Node, retry *workload.Retry) (found candidate, ok, hasRoom bool) {
 	s.pass.machinesExamined++
 	if !node.Class.Offer.Capacity().Minus(node.Used).Holds(s.request.Resources) {
 		return found, false, false
 	}
-	machine, usable := s.scheduler.Capacity.UsableMachine(node, s.pass.now, s.scheduler.reportInterval())
+	machine, usable := s.Capacity.UsableMachine(node, s.pass.now, s.reportInterval())
 	if !usable {
 		return found, false, false
 	}
-	view := s.scheduler.View(node, machine, s.job, retry, s.pass.now)
+	view := s.reserver.view(node, machine, s.job, retry, s.pass.now)
 	leaving := view.ScalingIn && (s.request.Resources.Accels == 0 || view.Type.Accels == 0)
 	if view.Reserved || leaving || s.zones.Allowed(machine.Zone, 1) == 0 {
 		return found, false, true
@@ -83,7 +89,7 @@
 	return candidate{node, machine, placement.Score(&view, s.request)}, true, true
 }
 
-// pick finds a machine for one more task, nil if there is none.
+// pick returns a node for one more task, or nil if none has room.
 func (s *search) pick(retry *workload.Retry) *capacity.Node {
 	if !s.exhaustive {
 		if node := s.sample(retry); node != nil {
@@ -95,25 +101,25 @@
 		if node := s.best(retry); node != nil {
 			return node
 		}
-		if !s.avoidAccelerators || s.scheduler.canPreemptWithoutAccelerators(s.job, s.request, s.pass) {
+		if !s.avoidAccelerators || s.preemptor.canPreemptWithoutAccelerators(s.job, s.request, s.pass) {
 			return nil
 		}
-		// A service would hold a machine with accelerators for good: it goes there only if preempting
-		// others makes no room elsewhere either.
+		// A service would occupy a machine with accelerators until it is cancelled, so it may use one
+		// only if preemption can't make room elsewhere either.
 		s.avoidAccelerators = false
 		s.selectClasses()
 		s.listAll()
 	}
 }
 
-// sample looks at a few machines only.
+// sample returns the best of a few random nodes, or nil if the task should not go to any of them.
 func (s *search) sample(retry *workload.Retry) *capacity.Node {
 	if s.open == 0 {
 		return nil
 	}
 	var top candidate
-	for range int(s.scheduler.Settings.Operator.SampleMachines) {
-		if node := s.nthOpen(s.scheduler.rng.IntN(s.open)); node != nil {
+	for range int(s.Settings.Operator.SampleMachines) {
+		if node := s.nthOpen(s.rng.IntN(s.open)); node != nil {
 			if found, ok, _ := s.evaluate(node, retry); ok && (top.node == nil || found.score < top.score) {
 				top = found
 			}
@@ -133,8 +139,8 @@
 	return top.node
 }
 
-// nthOpen is the nth of the nodes with capacity left; nil beyond the last one: the task assigned before
-// this one may have filled a node since they were counted.
+// nthOpen returns the nth node with capacity left. It returns nil if there are fewer: the previous
+// assignment may have filled a node since they were counted.
 func (s *search) nthOpen(n int) *capacity.Node {
 	for _, class := range s.classes {
 		if n < len(class.Open) {
@@ -145,7 +151,7 @@
 	return nil
 }
 
-// countOpen follows what was assigned meanwhile.
+// countOpen counts the open nodes again, since assignments fill nodes.
 func (s *search) countOpen() {
 	s.open = 0
 	for _, class := range s.classes {
@@ -159,8 +165,8 @@
 	anyRoom := false
 	for _, class := range s.classes {
 		for _, node := range class.Open {
-			found, ok, room := s.evaluate(node, nil)
-			anyRoom = anyRoom || room
+			found, ok, hasRoom := s.evaluate(node, nil)
+			anyRoom = anyRoom || hasRoom
 			if ok {
 				s.candidates = append(s.candidates, found)
 			}
@@ -175,8 +181,8 @@
 	})
 }
 
-// best takes the first of the list that still fits; those on which this very task failed before come
-// last. It costs what it passes over, and not the list.
+// best returns the first listed node that still has room, or nil if none has. Nodes on which the same
+// task failed before come last. The cost is that of the candidates passed over, not of the whole list.
 func (s *search) best(retry *workload.Retry) *capacity.Node {
 	var avoided *capacity.Node
 	passedOver := s.passedOver[:0]
@@ -184,7 +190,7 @@
 		if found.node.Class == nil || !found.node.Free().Holds(s.request.Resources) {
 			continue // full now, so it leaves the list
 		}
-		if s.fits(found) {
+		if s.allowed(found) {
 			if retry == nil || !retry.Avoid[found.node.Name] {
 				rest := s.candidates[i-len(passedOver):]
 				copy(rest, passedOver)
@@ -201,31 +207,65 @@
 	return avoided
 }
 
-// fits tells whether a machine with enough room is free for this job.
-func (s *search) fits(found candidate) bool {
+// allowed reports whether the job's zone rules and other jobs' reservations still allow a machine that
+// has room.
+func (s *search) allowed(found candidate) bool {
 	if s.zones.Allowed(found.machine.Zone, 1) == 0 {
 		return false
 	}
-	return !s.scheduler.reservedForOther(found.node.Name, found.node.Free(), s.job, s.pass.now)
+	return !s.reserver.reservedForOther(found.node.Name, found.node.Free(), s.job, s.pass.now)
 }
 
-// View is how placement sees a node for a task of a job.
-func (s *Scheduler) View(node *capacity.Node, machine *worker.Machine, job *workload.Job, retry *workload.Retry, now time.Time) placement.Candidate {
-	spec := &job.Record.Spec
-	view := placement.Candidate{Name: node.Name, Type: node.Class.Offer, Zone: machine.Zone, Spot: machine.Spot, ScalingIn: machine.DeleteWhenEmpty,
-		Free: node.Free(), OtherPulls: len(node.ImagePulls)}
-	view.ImageCached = machine.Images.Has(spec.Image)
-	view.ImageExpected = view.ImageCached || node.ImagePulls[spec.Image] != nil
-	for image, pull := range node.ImagePulls {
-		cached := machine.Images.Has(image)
-		if pull.TopPriority >= record.High && pull.TopPriority > job.EffectivePriority() && !cached {
-			view.PullsForHigherPriority = true
+// cheapestTogether returns nodes for n tasks at once, all in the one of the zones where that scores
+// best, or nil if no zone has room. An empty name stands for all zones together.
+func (s *search) cheapestTogether(zones []string, n int) (best []*capacity.Node) {
+	if !s.exhaustive {
+		s.listAll()
+	}
+	bestCost := 0.0
+	for _, zone := range zones {
+		if nodes, cost := s.together(zone, n); nodes != nil && (best == nil || cost < bestCost) {
+			best, bestCost = nodes, cost
 		}
-		if cached {
-			view.OtherPulls--
+	}
+	return best
+}
+
+// together returns nodes for n tasks at once in a zone, or in all zones if it is empty, and the sum of
+// their scores; nil if there is not enough room. Machines on which tasks of the job failed come last.
+func (s *search) together(zone string, n int) (nodes []*capacity.Node, cost float64) {
+	avoid := machinesToAvoid(s.job)
+	inZone := map[string]int{}
+	for _, avoided := range []bool{false, true} {
+		for _, found := range s.candidates {
+			if len(nodes) == n {
+				return nodes, cost
+			}
+			if avoid[found.node.Name] != avoided || zone != "" && found.machine.Zone != zone || found.node.Class == nil {
+				continue
+			}
+			allowed := s.zones.Allowed(found.machine.Zone, n) - inZone[found.machine.Zone]
+			fitting := min(found.node.Free().CountFitting(s.request.Resources, n-len(nodes)), allowed)
+			for range max(fitting, 0) {
+				nodes = append(nodes, found.node)
+				cost += found.score
+				inZone[found.machine.Zone]++
+			}
+		}
+	}
+	if len(nodes) < n {
+		return nil, 0
+	}
+	return nodes, cost
+}
+
+// machinesToAvoid returns the machines on which tasks of a job failed.
+func machinesToAvoid(job *workload.Job) map[ids.Machine]bool {
+	avoid := map[ids.Machine]bool{}
+	for _, retry := range job.Retries {
+		for machine := range retry.Avoid {
+			avoid[machine] = true
 		}
 	}
-	view.Reserved = s.reservedForOther(node.Name, view.Free, job, now)
-	view.FailedBefore = retry != nil && retry.Avoid[node.Name]
-	return view
+	return avoid
 }
--- a/internal/scheduler/zone_spread.go
+++ b/internal/scheduler/zone_spread.go
@@ -6,15 +6,15 @@
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// ZoneSpread counts a job's tasks by zone, for the rules on where one more may go. Nil stands for a
-// job without such rules.
+// ZoneSpread counts a job's tasks by zone and applies the job's rules on zones: all in one, or at most
+// half of them, rounded up, in any. A nil ZoneSpread stands for a job without such rules.
 type ZoneSpread struct {
 	spec    *record.Spec
 	byZone  map[string]int
 	unknown int // tasks on machines whose zone is not known
 }
 
-// ZoneSpreadOf is nil when the job sets no rule on zones.
+// ZoneSpreadOf counts a job's assigned tasks. It returns nil if the job has no rule on zones.
 func ZoneSpreadOf(job *workload.Job, machines *worker.Registry) *ZoneSpread {
 	spec := &job.Record.Spec
 	if !spec.SingleZone && !spec.Spread {
@@ -31,7 +31,7 @@
 	return spread
 }
 
-// Allowed is how many more tasks, at most n, may go to a zone.
+// Allowed returns how many more tasks, at most n, may be assigned in a zone.
 func (s *ZoneSpread) Allowed(zone string, n int) int {
 	if s == nil {
 		return n
