--- a/internal/provisioning/consolidation.go
+++ b/internal/provisioning/consolidation.go
@@ -14,68 +14,70 @@
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// consolidation is the machine whose replicas are being moved elsewhere, if any, and since when.
-type consolidation struct {
-	machine ids.Machine
-	since   time.Time
+// consolidator empties machines whose few replicas fit on others, one machine at a time.
+type consolidator struct {
+	*State
+	machine ids.Machine // being emptied; empty: none
+	since   time.Time   // when that began
 }
 
-// ConsolidationCandidate is a machine whose few replicas others might take over.
+// ConsolidationCandidate is a machine that may be emptied, with what its replicas need elsewhere.
 type ConsolidationCandidate struct {
 	Name  ids.Machine
 	Needs []placement.Demand
 }
 
 const (
-	// MinRelocatableAge is how long a replica must have run before it is moved: a start that is soon
+	// minRelocatableAge is how long a replica must have run before it is moved: a start that is soon
 	// undone is worth nothing.
-	MinRelocatableAge = 40 * time.Second
-	// consolidationTime is how long one machine may take to be emptied before others are looked at.
+	minRelocatableAge = 40 * time.Second
+	// consolidationTime is how long emptying one machine may take before other machines are considered.
 	consolidationTime = time.Minute
-	// minConsolidatedAge is how long a machine must have been rented before it is emptied or returned.
+	// minConsolidatedAge is the age from which a machine may be emptied or returned.
 	minConsolidatedAge = time.Minute
-	// mostCandidates bounds how many machines are offered.
-	mostCandidates = 6
+	// maxConsolidationCandidates bounds the candidates that are returned.
+	maxConsolidationCandidates = 6
 )
 
-// valuedCandidate is a candidate with the cores that it uses for its price.
+// valuedCandidate is a candidate and the cores that it uses for its price.
 type valuedCandidate struct {
 	ConsolidationCandidate
 	value float64
 }
 
-// ConsolidationCandidates lists machines that only replicas hold, least used for their price first; none
-// while one is being emptied, or while rollouts move replicas: one reason at a time to move those that
-// nobody has to move.
-func (p *Planner) ConsolidationCandidates(now time.Time) []ConsolidationCandidate {
-	if p.Machines.Machines[p.consolidation.machine] != nil && now.Sub(p.consolidation.since) < consolidationTime {
+// isEmptying reports whether a machine is being emptied.
+func (c *consolidator) isEmptying(machine ids.Machine) bool { return machine == c.machine }
+
+// candidates implements Planner.ConsolidationCandidates.
+func (c *consolidator) candidates(now time.Time) []ConsolidationCandidate {
+	if c.Machines.Machines[c.machine] != nil && now.Sub(c.since) < consolidationTime {
 		return nil
 	}
-	p.consolidation.machine = ""
-	if !p.Rollouts.MayConsolidate() {
+	c.machine = ""
+	if !c.Rollouts.MayConsolidate() {
 		return nil
 	}
 	var found []valuedCandidate
-	for _, node := range p.Capacity.Nodes() {
-		if candidate, ok := p.candidateOf(node, now); ok {
+	for _, node := range c.Capacity.Nodes() {
+		if candidate, ok := c.candidateOf(node, now); ok {
 			found = append(found, candidate)
 		}
 	}
 	slices.SortFunc(found, func(x, y valuedCandidate) int {
 		return cmp.Or(cmp.Compare(x.value, y.value), cmp.Compare(x.Name, y.Name))
 	})
-	candidates := make([]ConsolidationCandidate, min(len(found), mostCandidates))
+	candidates := make([]ConsolidationCandidate, min(len(found), maxConsolidationCandidates))
 	for i := range candidates {
 		candidates[i] = found[i].ConsolidationCandidate
 	}
 	return candidates
 }
 
-// candidateOf tells whether a node may be emptied, and what its replicas need elsewhere.
-func (p *Planner) candidateOf(node *capacity.Node, now time.Time) (candidate valuedCandidate, ok bool) {
-	machine := p.Machines.Machines[node.Name]
-	if len(node.Assignments) == 0 || machine == nil || p.Capacity.Type(machine.Type) == nil ||
-		!machine.Schedulable(now, p.reportInterval()) || now.Sub(machine.ProvisionedAt) < minConsolidatedAge || machine.DeleteWhenEmpty {
+// candidateOf returns a node as a candidate; ok reports whether it may be emptied.
+func (c *consolidator) candidateOf(node *capacity.Node, now time.Time) (candidate valuedCandidate, ok bool) {
+	machine := c.Machines.Machines[node.Name]
+	if len(node.Assignments) == 0 || machine == nil || c.Capacity.Type(machine.Type) == nil ||
+		!machine.Schedulable(now, c.reportInterval()) || now.Sub(machine.ProvisionedAt) < minConsolidatedAge || machine.DeleteWhenEmpty {
 		return candidate, false
 	}
 	candidate.Name = node.Name
@@ -88,27 +90,26 @@
 		request.Zone = machine.Zone
 		candidate.Needs = append(candidate.Needs, placement.Demand{Request: request, Count: 1, Headroom: true})
 	}
-	candidate.value = node.Used.Cores / p.machinePrice(machine)
+	candidate.value = node.Used.Cores / c.machinePrice(machine)
 	return candidate, true
 }
 
-// IsSettledReplica tells whether an assignment is a replica that has run long enough to be moved.
+// IsSettledReplica reports whether an assignment is a replica that has run long enough to be moved.
 func IsSettledReplica(assignment *workload.Assignment, now time.Time) bool {
 	return assignment.Job.Record.Spec.Shape == record.Service && !assignment.Stopping &&
-		assignment.Status == worker.StateRunning && now.Sub(assignment.RunningSince) >= MinRelocatableAge
+		assignment.Status == worker.StateRunning && now.Sub(assignment.RunningSince) >= minRelocatableAge
 }
 
-// Consolidate begins to move a machine's replicas elsewhere, or with no name gives that up; it tells
-// whether there was something to give up.
-func (p *Planner) Consolidate(name ids.Machine, now time.Time) bool {
-	previous := p.consolidation.machine
-	p.consolidation = consolidation{machine: name, since: now}
+// begin implements Planner.Consolidate.
+func (c *consolidator) begin(name ids.Machine, now time.Time) bool {
+	previous := c.machine
+	c.machine, c.since = name, now
 	if name != "" {
 		slog.Info("machine consolidation started", "machine", name)
-		if machine := p.Machines.Machines[name]; machine != nil {
+		if machine := c.Machines.Machines[name]; machine != nil {
 			machine.DeleteWhenEmpty = true
-			p.Machines.MarkLeaving(name)
+			c.Machines.MarkLeaving(name)
 		}
 	}
-	return previous != "" && p.Machines.Machines[previous] != nil
+	return previous != "" && c.Machines.Machines[previous] != nil
 }
--- a/internal/provisioning/headroom.go
+++ b/internal/provisioning/headroom.go
@@ -6,36 +6,44 @@
 	"slices"
 
 	"github.com/pebbletrail/pebbletrail/internal/config"
+	"github.com/pebbletrail/pebbletrail/internal/estimate"
 	"github.com/pebbletrail/pebbletrail/internal/placement"
 	"github.com/pebbletrail/pebbletrail/internal/record"
 )
 
-// youngSamples is up to how many samples too little is known, right after a takeover, to rent by them.
-const youngSamples = 60
+// headroomPlanner computes the capacity to keep free: some for critical work, and for classes that must
+// start sooner than a machine boots as much as they recently used.
+type headroomPlanner struct {
+	*State
+	usage *usageHistory
+}
+
+// minSamples is how many samples of a class it takes, for example after a takeover, before machines are
+// provisioned by them.
+const minSamples = 60
 
-// headroomDemands is the capacity to hold free: some for critical work, and as much as they lately
-// wanted for classes that are to start sooner than a machine boots.
-func (p *Planner) headroomDemands() (demands []placement.Demand) {
-	for _, class := range slices.Sorted(maps.Keys(p.usage.classes)) {
-		if demand := p.headroomOf(class, p.usage.classes[class]); demand.Count > 0 {
+// demands returns the headroom of all classes, sorted by class.
+func (h *headroomPlanner) demands() (demands []placement.Demand) {
+	for _, class := range slices.Sorted(maps.Keys(h.usage.classes)) {
+		if demand := h.demandOf(class, h.usage.classes[class]); demand.Count > 0 {
 			demands = append(demands, demand)
 		}
 	}
 	return demands
 }
 
-// headroomOf is the headroom of one class; none if its count is not above 0.
-func (p *Planner) headroomOf(class string, usage *classUsage) placement.Demand {
+// demandOf returns the headroom of one class; its count is 0 or less if the class needs none.
+func (h *headroomPlanner) demandOf(class string, usage *classUsage) placement.Demand {
 	demand := placement.Demand{Request: usage.request, Headroom: true}
 	current := max(usage.runningNow, usage.wantedNow)
 	switch {
 	case usage.critical:
-		demand.Count = max(1, int(math.Ceil(p.Settings.Operator.SpareShare*float64(usage.runningNow))))
+		demand.Count = max(1, int(math.Ceil(h.Settings.Operator.SpareShare*float64(usage.runningNow))))
 		demand.Spread, demand.Preempt, demand.ReclaimableShare = true, true, 1
-	case usage.shape == record.Array && p.hasObjective(class):
-		demand.Count = min(usage.highWatermark()-current, p.affordableHeadroom(usage))
-	case p.startsBeforeProvisioning(class, usage):
-		demand.NoScaleOut = len(usage.wanted) < youngSamples
+	case usage.shape == record.Array && hasObjective(h.Settings.Params.Objectives, class):
+		demand.Count = min(usage.highWatermark()-current, h.affordableTasks(usage))
+	case h.startsBeforeProvisioning(class, usage):
+		demand.NoScaleOut = len(usage.wanted) < minSamples
 		demand.Count = usage.expectedConcurrency() - current
 		if demand.NoScaleOut {
 			demand.Count = 2 * (usage.wantedNow + 1)
@@ -45,51 +53,44 @@
 	return demand
 }
 
-// hasObjective tells whether the settings expect anything of the class.
-func (p *Planner) hasObjective(class string) bool {
-	return slices.ContainsFunc(p.Settings.Params.Objectives, func(objective config.Objective) bool {
+// hasObjective reports whether there is an objective for a class. Objectives for guarantees apply to all
+// classes.
+func hasObjective(objectives []config.Objective, class string) bool {
+	return slices.ContainsFunc(objectives, func(objective config.Objective) bool {
 		return objective.Class == class || objective.Kind == config.ObjectiveGuarantee
 	})
 }
 
-// mostTasksOfAMachine bounds how many tasks one machine is taken to hold.
-const mostTasksOfAMachine = 1000
+// maxTasksPerMachine bounds how many tasks are counted on one machine.
+const maxTasksPerMachine = 1000
 
-// affordableHeadroom is how many tasks of a class capacity may be kept for, at a small share of what the
-// fleet costs.
-func (p *Planner) affordableHeadroom(usage *classUsage) int {
-	fleet := 0.0
-	for _, machine := range p.Machines.Machines {
-		fleet += p.machinePrice(machine)
+// affordableTasks returns for how many tasks of a class headroom may be kept, so that it costs no more
+// than the operator's share of the fleet's price.
+func (h *headroomPlanner) affordableTasks(usage *classUsage) int {
+	fleetPrice := 0.0
+	for _, machine := range h.Machines.Machines {
+		fleetPrice += h.machinePrice(machine)
 	}
 	cheapest := math.Inf(1)
-	for _, offer := range p.Capacity.Types() {
-		fitting := offer.Capacity().CountFitting(usage.request.Resources, mostTasksOfAMachine)
+	for _, offer := range h.Capacity.Types() {
+		fitting := offer.Capacity().CountFitting(usage.request.Resources, maxTasksPerMachine)
 		if fitting > 0 && usage.mayUse(offer) {
 			cheapest = min(cheapest, offer.Price/float64(fitting))
 		}
 	}
-	return int(p.Settings.Operator.BurstCostShare * fleet / cheapest)
+	return int(h.Settings.Operator.BurstCostShare * fleetPrice / cheapest)
 }
 
-// mayUse tells whether the class may use a machine type.
-func (u *classUsage) mayUse(offer *placement.InstanceType) bool {
-	return u.request.InstanceTypes == nil || u.request.Allows(offer.Label, u.request.Zone, false)
-}
-
-// minPullRate is assumed, in GB a second, of a machine type that names none.
-const minPullRate = 0.01
-
-// startsBeforeProvisioning tells whether a class is to start before a new machine could be up with its
-// image.
-func (p *Planner) startsBeforeProvisioning(class string, usage *classUsage) bool {
+// startsBeforeProvisioning reports whether an objective requires the class to start sooner than the
+// fastest new machine is up and has its image.
+func (h *headroomPlanner) startsBeforeProvisioning(class string, usage *classUsage) bool {
 	fastest := math.Inf(1)
-	for _, offer := range p.Capacity.Types() {
+	for _, offer := range h.Capacity.Types() {
 		if offer.Capacity().Holds(usage.request.Resources) && usage.mayUse(offer) {
-			fastest = min(fastest, float64(offer.BootS)+usage.request.ImageGB/max(offer.PullGBPerS, minPullRate))
+			fastest = min(fastest, float64(offer.BootS)+estimate.PullSeconds(offer, usage.request.ImageGB))
 		}
 	}
-	return slices.ContainsFunc(p.Settings.Params.Objectives, func(objective config.Objective) bool {
+	return slices.ContainsFunc(h.Settings.Params.Objectives, func(objective config.Objective) bool {
 		return objective.Kind == config.ObjectiveWait && objective.Class == class && float64(objective.WithinS) < fastest
 	})
 }
--- a/internal/provisioning/late_boots.go
+++ b/internal/provisioning/late_boots.go
@@ -11,29 +11,40 @@
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// Lateness is how a rented machine stands that was not heard from yet.
+// Lateness is how late a provisioned machine is that has not reported yet.
 type Lateness int
 
 const (
-	// NotLate tells that it may well come up, or has.
+	// NotLate is a machine that has reported or may be expected to soon.
 	NotLate Lateness = iota
-	// Late tells that it takes so long that another is rented in its place.
+	// Late is a machine for which a replacement may be provisioned while it boots.
 	Late
-	// Hopeless tells that it is not waited for in any case.
+	// Hopeless is a machine that is given up even if it is needed.
 	Hopeless
 )
 
-// hopelessFactor is after how many times what makes it late a machine is not waited for any more.
+// hopelessFactor is how many times the age that makes it late makes a machine hopeless.
 const hopelessFactor = 4
 
-// LatenessOf tells how a rented machine stands.
-func (p *Planner) LatenessOf(machine *worker.Machine, now time.Time) Lateness {
-	offer := p.Capacity.Type(machine.Type)
+// replacementDelay is how long it may take until the replacement of a late machine is provisioned.
+const replacementDelay = 10 * time.Second
+
+// bootTracker judges the machines that are booting.
+type bootTracker struct{ *State }
+
+// lateness implements Planner.LatenessOf.
+func (b *bootTracker) lateness(machine *worker.Machine, now time.Time) Lateness {
+	offer := b.Capacity.Type(machine.Type)
 	if machine.HasReported || !machine.Booting || offer == nil {
 		return NotLate
 	}
-	due := time.Duration(p.Settings.Operator.StuckBootFactor * float64(p.Estimates.BootTime(offer)))
-	switch age := now.Sub(machine.ProvisionedAt); {
+	due := time.Duration(b.Settings.Operator.StuckBootFactor * float64(b.Estimates.BootTime(offer)))
+	return latenessAt(now.Sub(machine.ProvisionedAt), due)
+}
+
+// latenessAt returns how late a machine of an age is that is late once it is older than due.
+func latenessAt(age, due time.Duration) Lateness {
+	switch {
 	case age > hopelessFactor*due:
 		return Hopeless
 	case age > due:
@@ -42,33 +53,30 @@
 	return NotLate
 }
 
-// replacementDelay is how long it may take until what is rented in place of a late machine is on its
-// way.
-const replacementDelay = 10 * time.Second
-
-// becameLateRecently tells that a machine is late only since a moment ago: what is rented in its place
-// is not on its way yet.
-func (p *Planner) becameLateRecently(machine *worker.Machine, now time.Time) bool {
-	return p.LatenessOf(machine, now.Add(-replacementDelay)) == NotLate
+// becameLateRecently reports whether a machine has become late so recently that its replacement may not
+// have been provisioned yet.
+func (b *bootTracker) becameLateRecently(machine *worker.Machine, now time.Time) bool {
+	return b.lateness(machine, now.Add(-replacementDelay)) == NotLate
 }
 
-// replacedBoots are the machines that others are rented in place of: those overtaken by others, and of
-// the rest those longest on their way until they cost a small share of the fleet's price, one of a type
-// at the least. What is left counts as coming: while all boots are slow, more would only be as slow. So a
-// need is rented for twice at most, however many boots go wrong, until the first are given up.
-func (p *Planner) replacedBoots(now time.Time) map[ids.Machine]bool {
-	late, fleetPrice := p.lateMachines(now)
+// replaced returns the late machines that others are provisioned in place of: all that were overtaken by
+// machines provisioned after them, and the oldest of the rest until their price reaches the operator's
+// share of the fleet's, but at least one of each type. The others count as coming: while all boots are
+// slow, more machines would only be as slow. So, however many boots fail, no demand is provisioned more
+// than twice until the first machines are given up.
+func (b *bootTracker) replaced(now time.Time) map[ids.Machine]bool {
+	late, fleetPrice := b.late(now)
 	if len(late) == 0 {
 		return nil
 	}
 	replaced, ofType, price := map[ids.Machine]bool{}, map[string]int{}, 0.0
 	for _, machine := range late {
-		if p.Estimates.Overtaken(machine) {
+		if b.Estimates.Overtaken(machine) {
 			replaced[machine.Name] = true
 			continue
 		}
-		machinePrice := p.machinePrice(machine)
-		if ofType[machine.Type] > 0 && price+machinePrice > p.Settings.Operator.BurstCostShare*fleetPrice {
+		machinePrice := b.machinePrice(machine)
+		if ofType[machine.Type] > 0 && price+machinePrice > b.Settings.Operator.BurstCostShare*fleetPrice {
 			continue
 		}
 		replaced[machine.Name] = true
@@ -78,17 +86,16 @@
 	return replaced
 }
 
-// lateMachines are the machines that are late, longest on their way first, and what the fleet costs an
-// hour.
-func (p *Planner) lateMachines(now time.Time) (late []*worker.Machine, fleetPrice float64) {
-	for _, machine := range p.Machines.Machines {
+// late returns the late machines, oldest first, and the price of the fleet per hour.
+func (b *bootTracker) late(now time.Time) (late []*worker.Machine, fleetPrice float64) {
+	for _, machine := range b.Machines.Machines {
 		if machine.Deleting {
 			continue
 		}
 		if !machine.Failed {
-			fleetPrice += p.machinePrice(machine)
+			fleetPrice += b.machinePrice(machine)
 		}
-		if p.LatenessOf(machine, now) != NotLate {
+		if b.lateness(machine, now) != NotLate {
 			late = append(late, machine)
 		}
 	}
@@ -98,11 +105,11 @@
 	return late, fleetPrice
 }
 
-// countBooting counts, by type, the machines on their way that cover a need.
-func (p *Planner) countBooting(now time.Time) map[string]int {
+// countComing counts, by type, the booting machines that no other is provisioned in place of.
+func (b *bootTracker) countComing(now time.Time) map[string]int {
 	count := map[string]int{}
-	replaced := p.replacedBoots(now)
-	for _, machine := range p.Machines.Machines {
+	replaced := b.replaced(now)
+	for _, machine := range b.Machines.Machines {
 		if isBooting(machine) && !replaced[machine.Name] {
 			count[machine.Type]++
 		}
@@ -110,38 +117,38 @@
 	return count
 }
 
-// isBooting tells whether a machine was rented and is waited for.
+// isBooting reports whether a machine was provisioned and is still expected to come up.
 func isBooting(machine *worker.Machine) bool {
 	return !machine.HasReported && machine.Booting && !machine.Deleting && !machine.Failed
 }
 
-// reasonToAbandonBoot tells why a rented machine that was not heard from yet is given up; empty while it
-// is waited for. One that is late is waited for as long as it is needed or what was rented in its place
-// is itself on its way: whichever is up first is used.
-func (p *Planner) reasonToAbandonBoot(machine *worker.Machine, needed bool, booting map[string]int, now time.Time) string {
-	switch p.LatenessOf(machine, now) {
+// reasonToAbandon returns why a booting machine is given up; it is empty while the machine is waited for.
+// A late machine is waited for as long as it is needed or its replacement is itself booting: whichever
+// is up first is used. coming counts the machines that are expected, by type.
+func (b *bootTracker) reasonToAbandon(machine *worker.Machine, needed bool, coming map[string]int, now time.Time) string {
+	switch b.lateness(machine, now) {
 	case Hopeless:
 		return "it does not come up"
 	case Late:
-		if !needed && booting[machine.Type] == 0 && !p.becameLateRecently(machine, now) {
+		if !needed && coming[machine.Type] == 0 && !b.becameLateRecently(machine, now) {
 			return "it is late, and no longer needed"
 		}
 	}
 	return ""
 }
 
-// DescribeBooting tells of the machines on their way that a waiting job could use, one line or none.
-func (p *Planner) DescribeBooting(job *workload.Job, now time.Time) []string {
+// describe implements Planner.DescribeBooting.
+func (b *bootTracker) describe(job *workload.Job, now time.Time) []string {
 	request := job.Record.Spec.PlacementRequest()
 	booting, late, longest := 0, 0, time.Duration(0)
-	for _, machine := range p.Machines.Machines {
-		offer := p.Capacity.Type(machine.Type)
+	for _, machine := range b.Machines.Machines {
+		offer := b.Capacity.Type(machine.Type)
 		if !isBooting(machine) || offer == nil || !offer.Capacity().Holds(request.Resources) ||
 			!request.Allows(machine.Type, machine.Zone, machine.Spot) {
 			continue
 		}
 		booting++
-		if p.LatenessOf(machine, now) != NotLate {
+		if b.lateness(machine, now) != NotLate {
 			late++
 			longest = max(longest, now.Sub(machine.ProvisionedAt))
 		}
--- /dev/null
+++ b/internal/provisioning/queue_demand.go
@@ -0,0 +1,117 @@
+package provisioning
+
+import (
+	"math"
+	"strings"
+	"time"
+
+	"github.com/pebbletrail/pebbletrail/internal/ids"
+	"github.com/pebbletrail/pebbletrail/internal/placement"
+	"github.com/pebbletrail/pebbletrail/internal/record"
+	"github.com/pebbletrail/pebbletrail/internal/workload"
+)
+
+// queuePlanner computes the capacity that queued jobs need.
+type queuePlanner struct{ *State }
+
+// demandGroup is what jobs have in common whose demands are added up.
+type demandGroup struct {
+	class      string
+	guaranteed bool
+	need       placement.Resources
+	zone       string
+	types      string
+	job        ids.Job // of a job whose tasks must share a zone, which is a group by itself
+}
+
+// roundingError is how far a sum of fractions may be too large.
+const roundingError = 0.01
+
+// demands returns the demands of the queued jobs, most important first, with one for each group of
+// similar jobs: rounding up the demand of each small job by itself would provision a machine for each.
+func (q *queuePlanner) demands(now time.Time) (demands []placement.Demand) {
+	sums := map[demandGroup]float64{}
+	positions := map[demandGroup]int{}
+	meanEstimates := q.meanEstimates()
+	for _, job := range q.Scheduler.Ranked(now) {
+		slots, reclaimable := q.unmetSlots(job, meanEstimates, now)
+		if slots <= 0 {
+			continue
+		}
+		request, group := q.groupOf(job)
+		if _, known := positions[group]; !known {
+			positions[group] = len(demands)
+			demands = append(demands, placement.Demand{Request: request, Spread: job.Record.Spec.Spread,
+				SameZone: group.job != "" && request.Zone == "", Preempt: job.EffectivePriority() >= record.High, ReclaimableShare: reclaimable})
+		}
+		sums[group] += slots
+	}
+	for group, position := range positions {
+		demands[position].Count = int(math.Ceil(sums[group] - roundingError))
+	}
+	return demands
+}
+
+// unmetSlots returns how many task slots a job's queued tasks need; several short tasks can share one
+// within the job's horizon. reclaimable is the share of the capacity now in use that will be free for
+// them in time. It depends on how long the tasks of the same class that now run take, and not only on
+// how short the queued job is.
+func (q *queuePlanner) unmetSlots(job *workload.Job, meanEstimates map[string]float64, now time.Time) (slots, reclaimable float64) {
+	if job.Failing() {
+		return 0, 0
+	}
+	spec := &job.Record.Spec
+	queued := job.Unfinished() - len(job.Assignments) - job.CountBackingOff(now)
+	queued = min(queued, q.Scheduler.QuotaLeft(spec, max(queued, 0)))
+	if queued <= 0 {
+		return 0, 0
+	}
+	slots, reclaimable = float64(queued), 1
+	estimate := float64(spec.EstimatedDuration)
+	if estimate <= 0 {
+		return slots, reclaimable
+	}
+	horizon := q.Estimates.QueueHorizon(job)
+	if spec.Shape == record.Array || spec.Shape == record.Gang && spec.Tasks == 1 {
+		taskSeconds := estimate
+		if spec.Shape == record.Gang {
+			taskSeconds += q.Estimates.ImagePullSeconds(spec) / 2 // about half of them have to pull
+		}
+		slots *= min(1, taskSeconds/horizon)
+	}
+	return slots, min(1, horizon/max(meanEstimates[spec.Class], estimate))
+}
+
+// meanEstimates returns, by class, the mean estimated duration in seconds of the assigned tasks.
+func (q *queuePlanner) meanEstimates() map[string]float64 {
+	sum, count := map[string]float64{}, map[string]float64{}
+	for _, job := range q.Jobs.Ordered() {
+		if assigned := float64(len(job.Assignments)); assigned > 0 {
+			spec := &job.Record.Spec
+			sum[spec.Class] += assigned * float64(spec.EstimatedDuration)
+			count[spec.Class] += assigned
+		}
+	}
+	for class := range sum {
+		sum[class] /= count[class]
+	}
+	return sum
+}
+
+// groupOf returns a job's request and the group that its demand belongs to. If all tasks of the job must
+// share a zone, the request names the zone in which some of them already are.
+func (q *queuePlanner) groupOf(job *workload.Job) (placement.Request, demandGroup) {
+	spec := &job.Record.Spec
+	request := spec.PlacementRequest()
+	group := demandGroup{class: spec.Class, guaranteed: job.Guaranteed, need: spec.Resources, types: strings.Join(spec.InstanceTypes, ",")}
+	if spec.SingleZone && spec.Tasks > 1 {
+		group.job = spec.ID
+		for _, assignment := range job.Assignments {
+			if machine := q.Machines.Machines[assignment.Machine]; machine != nil && machine.Zone != "" {
+				request.Zone = machine.Zone
+			}
+		}
+	}
+	group.zone = request.Zone
+	return request, group
+}
--- a/internal/provisioning/shortage.go
+++ b/internal/provisioning/shortage.go
@@ -7,75 +7,75 @@
 	"github.com/pebbletrail/pebbletrail/internal/capacity"
 )
 
-// Every shard rents machines of its own. When the cloud has no more, one shard may hold what another one
-// lacks: the others then return what they only keep for later, and, if that does not do, one machine
-// after the other of those that have more than their part.
-
-// Shortage is how much a shard lacks machines.
+// Shortage is how badly a shard is short of machines.
 type Shortage struct {
-	// Duration is how long the cloud has refused what its waiting jobs need; 0: it has not.
+	// Duration is how long the cloud has refused capacity that pending jobs need; 0 if it does not.
 	Duration time.Duration
-	Machines int // that it has
+	// Machines is how many machines the shard has.
+	Machines int
 }
 
-// shortage is since when this shard lacks machines, whether others do, and when a machine was last
-// released for them.
-type shortage struct {
-	since, releasedAt time.Time
-	ofOthers          bool
+// shortageTracker tracks this shard's shortage and gives capacity up during other shards' shortages.
+// Every shard provisions its own machines. When the cloud has no more, a shard may have machines that
+// another one needs. Then the others first return what they only keep as headroom; if that is not
+// enough, those with more than their part of the machines release one after the other.
+type shortageTracker struct {
+	*State
+	since      time.Time // when this shard's shortage began; zero without one
+	ofOthers   bool      // other shards have a shortage
+	releasedAt time.Time // when this shard last released a machine
 }
 
 const (
-	// longShortage is from when on a shortage takes machines from shards that have more.
+	// longShortage is how long a shortage lasts before other shards release machines.
 	longShortage = 10 * time.Second
-	// releaseInterval spaces the machines that a shard releases.
+	// releaseInterval is the least time between two machines that a shard releases.
 	releaseInterval = 5 * time.Second
-	// releasedForOtherShard is why such a machine is drained and returned.
+	// releasedForOtherShard is the reason with which such a machine is drained and terminated.
 	releasedForOtherShard = "its room is needed in another shard"
 )
 
-// SetShortage notes whether the cloud refuses now what waiting jobs need.
-func (p *Planner) SetShortage(refused bool, now time.Time) {
+// set implements Planner.SetShortage.
+func (s *shortageTracker) set(refused bool, now time.Time) {
 	switch {
 	case !refused:
-		p.shortage.since = time.Time{}
-	case p.shortage.since.IsZero():
-		p.shortage.since = now
+		s.since = time.Time{}
+	case s.since.IsZero():
+		s.since = now
 	}
 }
 
-// Shortage is how much this shard lacks machines.
-func (p *Planner) Shortage() Shortage {
-	current := Shortage{Machines: len(p.Machines.Machines)}
-	if !p.shortage.since.IsZero() {
-		current.Duration = time.Since(p.shortage.since)
+// current implements Planner.Shortage.
+func (s *shortageTracker) current() Shortage {
+	current := Shortage{Machines: len(s.Machines.Machines)}
+	if !s.since.IsZero() {
+		current.Duration = time.Since(s.since)
 	}
 	return current
 }
 
-// ShareCapacity makes room for other shards, which have had a shortage for so long: no headroom is kept,
-// and what is more than this shard's part is released, one machine at a time.
-func (p *Planner) ShareCapacity(othersShortage time.Duration, part int, now time.Time) {
-	p.shortage.ofOthers = othersShortage > 0
-	if othersShortage < longShortage || len(p.Machines.Machines) <= part || now.Sub(p.shortage.releasedAt) < releaseInterval || !p.StoreAvailable() {
+// shareCapacity implements Planner.ShareCapacity.
+func (s *shortageTracker) shareCapacity(othersShortage time.Duration, part int, now time.Time) {
+	s.ofOthers = othersShortage > 0
+	if othersShortage < longShortage || len(s.Machines.Machines) <= part || now.Sub(s.releasedAt) < releaseInterval || !s.StoreAvailable() {
 		return
 	}
-	node := p.cheapestToRelease(now)
+	node := s.cheapestToRelease(now)
 	if node == nil {
 		return
 	}
-	p.shortage.releasedAt = now
-	p.Machines.Machines[node.Name].DrainReason = releasedForOtherShard
-	p.Machines.MarkLeaving(node.Name)
+	s.releasedAt = now
+	s.Machines.Machines[node.Name].DrainReason = releasedForOtherShard
+	s.Machines.MarkLeaving(node.Name)
 	slog.Info("machine released for another shard", "machine", node.Name, "why", releasedForOtherShard)
 }
 
-// cheapestToRelease is the node on which stopping everything loses least; nil if there is none, or one
-// is being released.
-func (p *Planner) cheapestToRelease(now time.Time) (cheapest *capacity.Node) {
+// cheapestToRelease returns the node on which stopping all tasks loses least. It returns nil if there is
+// none or another machine is still being released.
+func (s *shortageTracker) cheapestToRelease(now time.Time) (cheapest *capacity.Node) {
 	leastLoss := 0.0
-	for name, node := range p.Capacity.Nodes() {
-		machine := p.Machines.Machines[name]
+	for name, node := range s.Capacity.Nodes() {
+		machine := s.Machines.Machines[name]
 		switch {
 		case machine == nil:
 			continue
--- a/internal/provisioning/usage.go
+++ b/internal/provisioning/usage.go
@@ -10,45 +10,48 @@
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// classUsages is how much each class of jobs used lately.
-type classUsages struct {
+// usageHistory samples how many tasks of each class of jobs run or could run.
+type usageHistory struct {
+	*State
 	classes   map[string]*classUsage
 	sampledAt time.Time
 }
 
-// classUsage remembers how much a class of jobs used lately, so that room is kept for work that must
-// start sooner than a machine boots.
+// classUsage is the recent usage of one class of jobs.
 type classUsage struct {
-	request    placement.Request
-	critical   bool
-	shape      record.Shape
-	wanted     []int // tasks wanted at once, one sample a second
-	running    []int // tasks assigned at once
+	// request, critical and shape are those of some job of the class.
+	request  placement.Request
+	critical bool
+	shape    record.Shape
+	// wanted and running are samples, oldest first, of how many tasks could run if there were machines,
+	// and of how many were assigned.
+	wanted     []int
+	running    []int
 	wantedNow  int
 	runningNow int
 }
 
 const (
 	sampleInterval = time.Second
-	// usageWindow is how many samples are looked back on.
+	// usageWindow is how many samples are kept.
 	usageWindow = 120
 )
 
-// SampleUsage notes once a second how much each class wants; it tells whether it did.
-func (p *Planner) SampleUsage(now time.Time) bool {
-	if !p.usage.sampledAt.IsZero() && now.Sub(p.usage.sampledAt) < sampleInterval {
+// sample implements Planner.SampleUsage.
+func (h *usageHistory) sample(now time.Time) bool {
+	if !h.sampledAt.IsZero() && now.Sub(h.sampledAt) < sampleInterval {
 		return false
 	}
-	p.usage.sampledAt = now
-	for _, usage := range p.usage.classes {
+	h.sampledAt = now
+	for _, usage := range h.classes {
 		usage.wantedNow, usage.runningNow = 0, 0
 	}
-	for _, job := range p.Jobs.All() {
-		p.usage.of(job.Record.Spec.Class).count(job, p.tasksWanted(job))
+	for _, job := range h.Jobs.All() {
+		h.ensure(job.Record.Spec.Class).count(job, h.tasksWanted(job))
 	}
-	for class, usage := range p.usage.classes {
+	for class, usage := range h.classes {
 		if usage.unused() {
-			delete(p.usage.classes, class) // users name the classes: one not seen for a window is forgotten
+			delete(h.classes, class) // users name the classes, so their number has to be bounded
 			continue
 		}
 		usage.wanted = appendSample(usage.wanted, usage.wantedNow)
@@ -57,30 +60,30 @@
 	return true
 }
 
-// of finds or adds a class.
-func (u *classUsages) of(class string) *classUsage {
-	usage := u.classes[class]
+// ensure returns the usage of a class and adds it if there is none.
+func (h *usageHistory) ensure(class string) *classUsage {
+	usage := h.classes[class]
 	if usage == nil {
 		usage = &classUsage{}
-		u.classes[class] = usage
+		h.classes[class] = usage
 	}
 	return usage
 }
 
-// tasksWanted is how many tasks of a job would run now if there were machines.
-func (p *Planner) tasksWanted(job *workload.Job) int {
+// tasksWanted returns how many tasks of a job would run now if there were machines for them.
+func (h *usageHistory) tasksWanted(job *workload.Job) int {
 	if !job.Schedulable() || job.Failing() {
 		return 0
 	}
 	spec := &job.Record.Spec
 	wanted := job.Unfinished()
 	if spec.Shape == record.Array {
-		wanted = min(wanted, len(job.Assignments)+p.Scheduler.QuotaLeft(spec, wanted))
+		wanted = min(wanted, len(job.Assignments)+h.Scheduler.QuotaLeft(spec, wanted))
 	}
 	return wanted
 }
 
-// count adds a job of the class to the sample.
+// count adds a job of the class to the current sample.
 func (u *classUsage) count(job *workload.Job, wanted int) {
 	spec := &job.Record.Spec
 	u.request, u.critical, u.shape = spec.PlacementRequest(), spec.Priority == record.Critical, spec.Shape
@@ -89,21 +92,18 @@
 	u.wantedNow += wanted
 }
 
-// unused tells that nothing of the class was there for a whole window.
+// unused reports whether the class has had no tasks for a whole window.
 func (u *classUsage) unused() bool {
 	return u.wantedNow == 0 && u.runningNow == 0 && len(u.running) == usageWindow &&
 		!slices.ContainsFunc(u.running, func(tasks int) bool { return tasks > 0 })
 }
 
-func appendSample(samples []int, sample int) []int {
-	samples = append(samples, sample)
-	if len(samples) > usageWindow {
-		samples = samples[1:]
-	}
-	return samples
+// mayUse reports whether the class may use a machine type.
+func (u *classUsage) mayUse(offer *placement.InstanceType) bool {
+	return u.request.InstanceTypes == nil || u.request.Allows(offer.Label, u.request.Zone, false)
 }
 
-// highWatermark is what the class rarely wants more of: nine of ten samples stayed below.
+// highWatermark returns the 90th percentile of the tasks that the class wanted.
 func (u *classUsage) highWatermark() int {
 	if len(u.wanted) == 0 {
 		return 0
@@ -112,15 +112,17 @@
 	return sorted[len(sorted)*9/10]
 }
 
-// Of the square root of the mean, what is kept beside it, and what rounding may take off.
 const (
+	// concurrencyMargin is how many standard deviations of a random arrival process, whose variance is
+	// its mean, are added to the mean.
 	concurrencyMargin = 0.7
+	// roundingAllowance keeps a result that is hardly above a whole number from being rounded up.
 	roundingAllowance = 0.05
 )
 
-// expectedConcurrency is how many tasks of the class to have room for: the mean assigned and most of its
-// square root, a margin for work that comes at random. Assigned ones only: a queue counts itself again
-// for every second that it waits, and has a demand of its own.
+// expectedConcurrency returns for how many tasks of the class to have room: the mean of those that were
+// assigned and a margin for random arrivals. Queued tasks do not count: a queue would be counted again
+// for every second that it waits, and it has a demand of its own.
 func (u *classUsage) expectedConcurrency() int {
 	if len(u.running) == 0 {
 		return 0
@@ -132,3 +134,12 @@
 	mean := float64(sum) / float64(len(u.running))
 	return int(math.Ceil(mean + concurrencyMargin*math.Sqrt(mean) - roundingAllowance))
 }
+
+// appendSample appends a sample and drops the oldest one beyond the window.
+func appendSample(samples []int, sample int) []int {
+	samples = append(samples, sample)
+	if len(samples) > usageWindow {
+		samples = samples[1:]
+	}
+	return samples
+}
