--- a/internal/capacity/consistency.go
+++ b/internal/capacity/consistency.go
@@ -5,12 +5,12 @@
 	"fmt"
 )
 
-// ErrInconsistent tells that the index differs from what it is made of.
+// ErrInconsistent is returned if the index differs from the machines and assignments that it indexes.
 var ErrInconsistent = errors.New("capacity index is inconsistent")
 
-// CheckConsistency looks at the whole index, which costs as much as the fleet is large: it is for
-// tests. A node must stand in its class's list where it says, and hold or pull the images it is
-// listed under.
+// CheckConsistency checks that each node is in its class's list at its recorded position, and that nodes
+// have or pull the images under which they are listed. It is meant for tests, since it visits the whole
+// fleet.
 func (x *Index) CheckConsistency() error {
 	for name, node := range x.nodes {
 		if node.Class != nil && node.Class.Open[node.position] != node {
--- a/internal/capacity/images.go
+++ b/internal/capacity/images.go
@@ -5,16 +5,16 @@
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// WithImage are the nodes that hold an image or pull it. Callers must not change the map.
+// WithImage returns the nodes that have an image cached or pull it. Callers must not change the map.
 func (x *Index) WithImage(image string) map[*Node]bool { return x.byImage[image] }
 
-// HoldsImage tells whether a node's machine holds an image.
+// HoldsImage reports whether a node's machine has an image cached.
 func (x *Index) HoldsImage(node *Node, image string) bool {
 	machine := x.machines.Machines[node.Name]
 	return machine != nil && machine.Images.Has(image)
 }
 
-// AddImage notes that a node holds an image or pulls it.
+// AddImage lists a node under an image that it has cached or pulls.
 func (x *Index) AddImage(node *Node, image string) {
 	holders := x.byImage[image]
 	if holders == nil {
@@ -24,13 +24,13 @@
 	holders[node] = true
 }
 
-// beginImagePull notes that a task waits for its image.
-func (x *Index) beginImagePull(node *Node, a *workload.Assignment) {
-	if a.AwaitsImage || a.Confirmed && a.Status != worker.StatePulling {
+// beginImagePull records that a task waits for its image, unless it is known to have the image already.
+func (x *Index) beginImagePull(node *Node, assignment *workload.Assignment) {
+	if assignment.AwaitsImage || assignment.Confirmed && assignment.Status != worker.StatePulling {
 		return
 	}
-	a.AwaitsImage = true
-	image := a.Job.Record.Spec.Image
+	assignment.AwaitsImage = true
+	image := assignment.Job.Record.Spec.Image
 	pull := node.ImagePulls[image]
 	if pull == nil {
 		pull = &ImagePull{}
@@ -38,26 +38,26 @@
 		x.AddImage(node, image)
 	}
 	pull.tasks++
-	pull.TopPriority = max(pull.TopPriority, a.Job.EffectivePriority())
+	pull.TopPriority = max(pull.TopPriority, assignment.Job.EffectivePriority())
 }
 
-// EndImagePull notes that a task waits for its image no longer.
-func (x *Index) EndImagePull(node *Node, a *workload.Assignment) {
-	if !a.AwaitsImage {
+// EndImagePull records that a task no longer waits for its image.
+func (x *Index) EndImagePull(node *Node, assignment *workload.Assignment) {
+	if !assignment.AwaitsImage {
 		return
 	}
-	a.AwaitsImage = false
-	image := a.Job.Record.Spec.Image
+	assignment.AwaitsImage = false
+	image := assignment.Job.Record.Spec.Image
 	if pull := node.ImagePulls[image]; pull != nil {
 		if pull.tasks--; pull.tasks <= 0 {
 			delete(node.ImagePulls, image)
-			x.reviewImageHolder(node, image)
+			x.unlistImage(node, image)
 		}
 	}
 }
 
-// reviewImageHolder takes a node out of those with an image if it neither holds nor pulls it.
-func (x *Index) reviewImageHolder(node *Node, image string) {
+// unlistImage takes a node off the list of an image that it neither has cached nor pulls.
+func (x *Index) unlistImage(node *Node, image string) {
 	if node.ImagePulls[image] != nil || x.HoldsImage(node, image) {
 		return
 	}
@@ -67,15 +67,15 @@
 	}
 }
 
-// ImageArrived notes that a machine holds an image of a size, which may push others out of its cache;
-// sizes in GB.
-func (x *Index) ImageArrived(node *Node, machine *worker.Machine, image string, size, cache float64) {
+// ImageArrived records that a machine has an image cached, which may evict others from the cache. The sizes
+// of the image and of the cache are in GB.
+func (x *Index) ImageArrived(node *Node, machine *worker.Machine, image string, sizeGB, cacheGB float64) {
 	before := machine.Images.Names
-	machine.Images.Use(image, size, cache)
+	machine.Images.Use(image, sizeGB, cacheGB)
 	x.AddImage(node, image)
 	for _, name := range before {
 		if !machine.Images.Has(name) {
-			x.reviewImageHolder(node, name)
+			x.unlistImage(node, name)
 		}
 	}
 }
--- a/internal/capacity/index.go
+++ b/internal/capacity/index.go
@@ -1,7 +1,8 @@
-// Package capacity indexes the machines of a leader's shard by the free capacity that tasks'
-// assignments leave on them and by the images that they hold. The index follows each assignment and
-// report, so that planning costs what changed and not the size of the fleet. It takes no lock:
-// internal/clusterstate's State guards it.
+// Package capacity indexes the machines of a shard by instance class, by the capacity that assignments
+// leave free on them, and by their cached images. The index is updated with each assignment and report, so
+// that planning need not visit the whole fleet.
+//
+// The package has no lock: the lock of the cluster state that an Index belongs to guards it.
 package capacity
 
 import (
@@ -15,13 +16,13 @@
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// InstanceClass is what all machines of a class have in common.
+// InstanceClass identifies a class: machines of one type and one market in one zone.
 type InstanceClass struct {
 	Type, Zone string
 	Spot       bool
 }
 
-// compare orders classes by type, zone and market.
+// compare orders classes by type, then zone, then market with on-demand first.
 func (c InstanceClass) compare(other InstanceClass) int {
 	spot := 0
 	if c.Spot != other.Spot {
@@ -33,14 +34,15 @@
 	return cmp.Or(cmp.Compare(c.Type, other.Type), cmp.Compare(c.Zone, other.Zone), spot)
 }
 
-// Class lists the nodes of an instance class that have capacity left.
+// Class is an instance class with its nodes that have capacity left, in no order.
 type Class struct {
 	InstanceClass
 	Offer *placement.InstanceType
 	Open  []*Node
 }
 
-// Index is all nodes of a shard.
+// Index indexes the nodes of a shard. The machines themselves stay in the registry; after a change of a
+// machine that concerns its class, Reindex has to be called.
 type Index struct {
 	machines *worker.Registry
 	types    map[string]*placement.InstanceType
@@ -50,13 +52,14 @@
 	byImage  map[string]map[*Node]bool
 }
 
-// NewIndex makes an empty index of the machines in a registry.
+// NewIndex returns an empty index of the machines in a registry.
 func NewIndex(machines *worker.Registry) *Index {
 	return &Index{machines: machines, types: map[string]*placement.InstanceType{}, nodes: map[ids.Machine]*Node{},
 		classes: map[InstanceClass]*Class{}, byImage: map[string]map[*Node]bool{}}
 }
 
-// SetTypes takes in what machine types the cloud offers.
+// SetTypes sets the machine types that the cloud offers, by their labels. Types that it offered before
+// stay known.
 func (x *Index) SetTypes(types []placement.InstanceType) {
 	for i := range types {
 		x.types[types[i].Label] = &types[i]
@@ -67,26 +70,26 @@
 		}
 	}
 	for _, node := range x.nodes {
-		x.Reindex(node) // machines may have been heard before their type was known
+		x.Reindex(node) // machines may have reported before their type was known
 	}
 }
 
-// Type is a machine type by its name; nil if the cloud does not offer it, as far as known.
+// Type returns a machine type by name; nil if it is not known.
 func (x *Index) Type(name string) *placement.InstanceType { return x.types[name] }
 
-// Types are all machine types by name. Callers must not change the map.
+// Types returns all machine types by name. Callers must not change the map.
 func (x *Index) Types() map[string]*placement.InstanceType { return x.types }
 
-// Classes are the instance classes, in a fixed order. Callers must not change the list.
+// Classes returns the instance classes, sorted. Callers must not change the list.
 func (x *Index) Classes() []*Class { return x.sorted }
 
-// Nodes are all nodes by name. Callers must not change the map.
+// Nodes returns all nodes by name. Callers must not change the map.
 func (x *Index) Nodes() map[ids.Machine]*Node { return x.nodes }
 
-// Node is a machine's node; nil if nothing was ever on it and no report came.
+// Node returns the node of a machine; nil if the machine has never reported or had an assignment.
 func (x *Index) Node(name ids.Machine) *Node { return x.nodes[name] }
 
-// Ensure finds or adds a machine's node.
+// Ensure returns the node of a machine and adds it if there is none.
 func (x *Index) Ensure(name ids.Machine) *Node {
 	node := x.nodes[name]
 	if node == nil {
@@ -96,8 +99,8 @@
 	return node
 }
 
-// AssignmentsOn are the tasks that are, or may be, on a machine. Callers must not change the map
-// but by Release.
+// AssignmentsOn returns the assignments to a machine, whose tasks are or may be there. Callers must not
+// change the map except by Release.
 func (x *Index) AssignmentsOn(name ids.Machine) map[*workload.Assignment]bool {
 	if node := x.nodes[name]; node != nil {
 		return node.Assignments
@@ -105,7 +108,7 @@
 	return nil
 }
 
-// AllocatedOn is the capacity taken on a machine.
+// AllocatedOn returns the capacity that assignments take on a machine.
 func (x *Index) AllocatedOn(name ids.Machine) placement.Resources {
 	if node := x.nodes[name]; node != nil {
 		return node.Used
@@ -113,33 +116,35 @@
 	return placement.Resources{}
 }
 
-// UsableMachine is a node's machine; usable tells whether new tasks may go there now.
+// UsableMachine returns a node's machine, or nil if it is gone; usable reports whether new tasks may be
+// assigned to it now.
 func (x *Index) UsableMachine(node *Node, now time.Time, reportInterval ids.Seconds) (machine *worker.Machine, usable bool) {
 	machine = x.machines.Machines[node.Name]
 	return machine, machine != nil && node.Class != nil && machine.Schedulable(now, reportInterval)
 }
 
-// Allocate counts an assignment on its node.
-func (x *Index) Allocate(node *Node, a *workload.Assignment) {
-	node.add(a)
-	x.beginImagePull(node, a)
+// Allocate adds an assignment to its node.
+func (x *Index) Allocate(node *Node, assignment *workload.Assignment) {
+	node.add(assignment)
+	x.beginImagePull(node, assignment)
 	x.Reindex(node)
 }
 
-// Release takes an assignment off its node, if it is counted there.
-func (x *Index) Release(node *Node, a *workload.Assignment) {
-	if !node.Assignments[a] {
+// Release removes an assignment from its node, if it is there.
+func (x *Index) Release(node *Node, assignment *workload.Assignment) {
+	if !node.Assignments[assignment] {
 		return
 	}
-	x.EndImagePull(node, a)
-	node.remove(a)
+	x.EndImagePull(node, assignment)
+	node.remove(assignment)
 	x.Reindex(node)
 }
 
-// minFree is the least capacity of cores and GB with which a node is listed.
+// minFree is the least number of free cores and GB of memory with which a node is listed in its class.
 const minFree = 1e-6
 
-// Reindex lists a node in its class, or takes it out when it is full, of no known class, or gone.
+// Reindex updates the list that a node is in. A node is in its class's list while it has capacity left and
+// its machine has reported and is not being deleted.
 func (x *Index) Reindex(node *Node) {
 	class := x.classOf(node)
 	if class != nil {
@@ -164,8 +169,8 @@
 	}
 }
 
-// classOf is the class that a node belongs to while its machine is in use; it is added once its type
-// is known.
+// classOf returns the class of a node whose machine is in use, and adds the class if its type is known. It
+// returns nil for other nodes.
 func (x *Index) classOf(node *Node) *Class {
 	machine := x.machines.Machines[node.Name]
 	if machine == nil || !machine.HasReported || machine.Deleting {
@@ -182,19 +187,19 @@
 	return class
 }
 
-// Remove takes a machine that is gone out of the index and out of the registry; it gives the node
-// that it had, if any.
+// Remove removes a machine that is gone from the index and from the registry. It returns the machine's
+// node, or nil if it had none.
 func (x *Index) Remove(name ids.Machine) *Node {
 	node, machine := x.nodes[name], x.machines.Machines[name]
-	// One never heard, with nothing on it, has no node, but is gone as well: else its deletion is
-	// asked for again and again.
+	// A machine that never reported and has no assignments has no node, but leaves the registry as well:
+	// otherwise its deletion would be requested again and again.
 	x.machines.Remove(name)
 	if node == nil {
 		return nil
 	}
 	if machine != nil {
 		for _, image := range machine.Images.Names {
-			x.reviewImageHolder(node, image)
+			x.unlistImage(node, image)
 		}
 	}
 	x.Reindex(node)
--- a/internal/capacity/node.go
+++ b/internal/capacity/node.go
@@ -10,37 +10,38 @@
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// Node is a machine with what is, or may be, on it. Its fields are changed by the Index alone.
+// Node is a machine and its assignments. Only the Index changes its fields.
 type Node struct {
 	Name        ids.Machine
 	Assignments map[*workload.Assignment]bool
-	// Used is what the assignments take, Reclaimable the part of it that ends by itself or may be
-	// preempted, and Replicas how many run until they are cancelled.
-	Used        placement.Resources
+	// Used is what the assignments take.
+	Used placement.Resources
+	// Reclaimable is the part of Used that belongs to tasks which end by themselves.
 	Reclaimable placement.Resources
-	Replicas    int
-	// ImagePulls are the images that its tasks still wait for.
+	// Replicas is the number of assignments of services, which run until they are cancelled.
+	Replicas int
+	// ImagePulls are the images that tasks of the node wait for.
 	ImagePulls map[string]*ImagePull
-	// Class is where the node is listed while it has capacity left; nil while it has none, or is of
-	// no known class, or not in use.
+	// Class is the class in whose list the node is; nil if it is full, not in use, or of an unknown type.
 	Class    *Class
-	position int // in the class's list
+	position int // in Class.Open; -1 without a class
 }
 
-// ImagePull is an image being pulled for some tasks of a node.
+// ImagePull is the pull of an image for some tasks of a node.
 type ImagePull struct {
-	tasks int
-	// TopPriority is the highest priority of the tasks that wait for it.
+	tasks int // that wait for the image
+	// TopPriority is the highest priority of the tasks that have waited for the pull.
 	TopPriority record.Priority
 }
 
-// Free is the capacity left on a node that is listed in its class.
+// Free returns the capacity that is left on a node. The node must be in its class's list: Class must not be
+// nil.
 func (n *Node) Free() placement.Resources { return n.Class.Offer.Capacity().Minus(n.Used) }
 
-// add counts an assignment.
-func (n *Node) add(a *workload.Assignment) {
-	spec := &a.Job.Record.Spec
-	n.Assignments[a] = true
+// add adds an assignment and updates the sums.
+func (n *Node) add(assignment *workload.Assignment) {
+	spec := &assignment.Job.Record.Spec
+	n.Assignments[assignment] = true
 	n.Used = n.Used.Plus(spec.Resources)
 	if spec.Shape == record.Service {
 		n.Replicas++
@@ -49,10 +50,10 @@
 	n.Reclaimable = n.Reclaimable.Plus(spec.Resources)
 }
 
-// remove takes an assignment out of the sums.
-func (n *Node) remove(a *workload.Assignment) {
-	spec := &a.Job.Record.Spec
-	delete(n.Assignments, a)
+// remove removes an assignment and updates the sums.
+func (n *Node) remove(assignment *workload.Assignment) {
+	spec := &assignment.Job.Record.Spec
+	delete(n.Assignments, assignment)
 	n.Used = n.Used.Minus(spec.Resources)
 	if spec.Shape == record.Service {
 		n.Replicas--
@@ -60,20 +61,21 @@
 		n.Reclaimable = n.Reclaimable.Minus(spec.Resources)
 	}
 	if len(n.Assignments) == 0 {
-		n.Used, n.Reclaimable = placement.Resources{}, placement.Resources{} // no rounding errors stay behind
+		n.Used, n.Reclaimable = placement.Resources{}, placement.Resources{} // drop accumulated rounding errors
 	}
 }
 
-// TimeUntilFree guesses when everything on a node that ends by itself has ended.
+// TimeUntilFree estimates how long it takes until all tasks on a node that end by themselves have ended. A
+// task that runs longer than its estimate counts as ending in a second.
 func (n *Node) TimeUntilFree(now time.Time) time.Duration {
 	longest := time.Duration(0)
-	for a := range n.Assignments {
-		spec := &a.Job.Record.Spec
+	for assignment := range n.Assignments {
+		spec := &assignment.Job.Record.Spec
 		if spec.Shape == record.Service {
 			continue
 		}
-		since := a.RunningSince
-		if since.IsZero() || a.Status == worker.StatePulling {
+		since := assignment.RunningSince
+		if since.IsZero() || assignment.Status == worker.StatePulling {
 			since = now
 		}
 		longest = max(longest, spec.EstimatedDuration.Duration()-now.Sub(since), time.Second)
--- a/internal/costs/costs.go
+++ b/internal/costs/costs.go
@@ -1,6 +1,7 @@
-// Package costs counts what the machines of a leader's shard cost, by what they were doing, and the work
-// that has to be done again. It answers an operator's question of where the money goes; nothing is
-// decided by it. It takes no lock: internal/clusterstate's State guards it.
+// Package costs accounts for the cost of a shard's machines by what they were doing, and for the work that
+// is lost and has to be repeated. It shows operators where the money goes; no decision depends on it.
+//
+// The package has no lock: the lock of the cluster state that an Account belongs to guards it.
 package costs
 
 import (
@@ -16,33 +17,32 @@
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// Money is what was spent, in the currency of the cloud's prices, by what machines were doing.
+// Money is a cost, in the currency of the cloud's prices, by what the machines were doing.
 type Money struct {
-	Boot float64 // not heard from yet
-	Idle float64 // with no task
-	Free float64 // capacity beside tasks
-	Pull float64 // tasks whose image is being pulled
-	Wait float64 // tasks of gangs that wait for the others, and checkpoints being saved
-	Run  float64 // tasks that run
+	Boot float64 // machines that have not reported yet
+	Idle float64 // machines without tasks
+	Free float64 // free capacity of machines with tasks
+	Pull float64 // tasks whose image is being pulled, or whose status is not known
+	Wait float64 // gang tasks that wait for the others, and checkpoints being saved
+	Run  float64 // running tasks
 }
 
-// rounded is to a thousandth.
+// rounded rounds to thousandths.
 func (m Money) rounded() Money {
 	round := func(amount float64) float64 { return math.Round(amount*1000) / 1000 }
 	return Money{round(m.Boot), round(m.Idle), round(m.Free), round(m.Pull), round(m.Wait), round(m.Run)}
 }
 
-// Account adds up costs.
+// Account adds up the costs of one term. The zero value is ready to use.
 type Account struct {
 	money               Money
-	repeated            map[string]float64 // core-seconds to do again, by cause; nil before the first Accrue
+	repeated            map[string]float64 // lost core-seconds by cause; nil before the first Accrue
 	accruedAt, loggedAt time.Time
 }
 
-// logInterval is how often the sums are logged.
 const logInterval = time.Minute
 
-// Accrue adds what the time since the last call cost.
+// Accrue adds the cost of the time since the previous call, and logs the sums every logInterval.
 func (a *Account) Accrue(now time.Time, machines *worker.Registry, index *capacity.Index) {
 	if a.repeated == nil {
 		a.repeated = map[string]float64{}
@@ -65,7 +65,7 @@
 	}
 }
 
-// accrueMachine splits a machine's cost among what its tasks do.
+// accrueMachine splits a machine's cost by what its tasks are doing.
 func (a *Account) accrueMachine(machine *worker.Machine, offer *placement.InstanceType, assignments map[*workload.Assignment]bool, cost float64) {
 	switch {
 	case !machine.HasReported:
@@ -91,9 +91,9 @@
 	a.money.Free += cost * left
 }
 
-// shareOf is the part of a machine that a task takes, by the resource of which it takes most.
+// shareOf returns the share of a machine that a task takes, by the resource of which it takes most.
 func shareOf(offer *placement.InstanceType, need placement.Resources) float64 {
-	const least = 1e-9 // instead of a resource that a type does not have
+	const least = 1e-9 // avoids a division by zero for resources that a type lacks
 	share := max(need.Cores/max(offer.Cores, least), need.RAM/max(offer.RAM, least))
 	if offer.Accels > 0 {
 		share = max(share, need.Accels/offer.Accels)
@@ -101,7 +101,8 @@
 	return share
 }
 
-// AddRepeated counts the work lost with a task that was stopped or lost.
+// AddRepeated adds the work that is lost with a task that was stopped or lost: what it has done since its
+// last checkpoint. It adds nothing before the first Accrue.
 func (a *Account) AddRepeated(assignment *workload.Assignment, cause string, now time.Time) {
 	spec := &assignment.Job.Record.Spec
 	if assignment.RunningSince.IsZero() || spec.Shape == record.Service || a.repeated == nil {
@@ -114,7 +115,7 @@
 	a.repeated[cause] = math.Round(a.repeated[cause] + ran*spec.Resources.Cores)
 }
 
-// Summary is what was spent, rounded to a thousandth, and the core-seconds to do again by cause.
+// Summary returns the costs, rounded to thousandths, and the lost core-seconds by cause.
 func (a *Account) Summary() (Money, map[string]float64) {
 	return a.money.rounded(), maps.Clone(a.repeated)
 }
--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -45,15 +45,15 @@
 	return max(machineType.BootS.Duration(), e.boots[machineType.Label].typical())
 }
 
-// rentedTogether is the largest difference between the recorded provisioning times of machines that one
+// provisionedTogether is the largest difference between the recorded provisioning times of machines that one
 // request provisioned.
-const rentedTogether = 2 * time.Second
+const provisionedTogether = 2 * time.Second
 
 // Overtaken reports whether a machine of the same type that was provisioned with this one, or after it,
 // has come up.
 func (e *Estimator) Overtaken(machine *worker.Machine) bool {
 	history := e.boots[machine.Type]
-	return history != nil && history.newestProvisioned.After(machine.ProvisionedAt.Add(-rentedTogether))
+	return history != nil && history.newestProvisioned.After(machine.ProvisionedAt.Add(-provisionedTogether))
 }
 
 // minPullRate, in GB per second, is assumed for machine types without a rate.
--- a/internal/liveness/fleet.go
+++ b/internal/liveness/fleet.go
@@ -1,6 +1,9 @@
-// Package liveness judges which machines, and which zones, are heard from. One silent machine has
-// failed; many silent ones may be cut off, or this controller may be. It takes no lock: internal/clusterstate's
-// ClusterState guards the machines.
+// Package liveness tells failed machines from network partitions by comparing the machines' silences. One
+// silent machine among many that report has failed; many silent ones may be cut off, or this controller
+// may be.
+//
+// The package has no lock: the lock of the cluster state that the machines and a Zones belong to guards
+// them.
 package liveness
 
 import (
@@ -11,32 +14,33 @@
 	"github.com/pebbletrail/pebbletrail/internal/worker"
 )
 
-// ProbeTimeout is how long a probe may take to be answered.
+// ProbeTimeout is how long a health probe may go unanswered before it counts as failed.
 const ProbeTimeout = 800 * time.Millisecond
 
-// Fleet is who is heard from and who is not, counted once for all machines that are judged by it.
+// Fleet counts the machines that report and those that are silent. One count serves for all machines
+// that are judged by it.
 type Fleet struct {
 	storeAvailable bool
 	zones          map[string]*zone
 	all, silent    int
-	lastHeard      heardTimes // of those heard
+	lastReports    reportTimes // of the machines that are not silent
 }
 
-// zone is the same of one zone. It is unreachable when half of its machines were probed in vain since
-// anyone there was last heard. Fewer may be lost at once, and in a small zone a second or more goes by
-// between the reports of the others.
+// zone counts the machines of one zone. It is unreachable if probes to half of its machines have gone
+// unanswered since any machine there last reported. Fewer machines may fail at once, and in a small zone
+// the reports of the others may be more than a second apart.
 type zone struct {
 	all         int
-	lastHeard   heardTimes
+	lastReports reportTimes
 	unanswered  int
 	unreachable bool
 }
 
-// minUnanswered is of how many machines at least a zone's probes are unanswered if it is unreachable.
+// minUnanswered is the least number of machines with unanswered probes in an unreachable zone.
 const minUnanswered = 3
 
-// Measure looks at who is heard from. While the store is not available nobody is judged: what ran on a
-// machine could not be started elsewhere.
+// Measure counts the machines that report. While the state service is not available no machine counts as
+// failed, since what runs on it could not be started elsewhere.
 func Measure(machines *worker.Registry, storeAvailable bool) *Fleet {
 	fleet := &Fleet{storeAvailable: storeAvailable, zones: map[string]*zone{}}
 	var silent []*worker.Machine
@@ -48,15 +52,15 @@
 		fleet.all++
 		zone.all++
 		if machine.HasReported && !machine.Suspect() {
-			fleet.lastHeard.add(machine.LastReportAt)
-			zone.lastHeard.add(machine.LastReportAt)
+			fleet.lastReports.add(machine.LastReportAt)
+			zone.lastReports.add(machine.LastReportAt)
 		} else {
 			silent = append(silent, machine)
 		}
 	}
 	fleet.silent = len(silent)
 	for _, machine := range silent {
-		if zone := fleet.zones[machine.Zone]; machine.UnansweredProbes > 0 && zone.lastHeard.after(machine.SuspectSince) == 0 {
+		if zone := fleet.zones[machine.Zone]; machine.UnansweredProbes > 0 && zone.lastReports.countAfter(machine.SuspectSince) == 0 {
 			zone.unanswered++
 		}
 	}
@@ -75,7 +79,7 @@
 	return found
 }
 
-// UnreachableZones are the zones of which nothing is heard any more.
+// UnreachableZones returns the zones from which no reports arrive any more.
 func (f *Fleet) UnreachableZones() map[string]bool {
 	unreachable := map[string]bool{}
 	for name, zone := range f.zones {
@@ -86,64 +90,64 @@
 	return unreachable
 }
 
-// ZoneReachable tells whether a zone has machines and is heard from.
+// ZoneReachable reports whether a zone has machines and is not unreachable.
 func (f *Fleet) ZoneReachable(name string) bool {
 	zone := f.zones[name]
 	return zone != nil && !zone.unreachable
 }
 
-// OnlyZoneUnreachable tells whether a zone, and not most of the fleet, is silent.
+// OnlyZoneUnreachable reports whether a zone is unreachable while most of the fleet is not silent.
 func (f *Fleet) OnlyZoneUnreachable(name string) bool {
 	zone := f.zones[name]
 	return f.storeAvailable && zone != nil && zone.unreachable && f.silent <= f.all*2/5
 }
 
-// smallZone is up to how many machines of a zone nothing follows from how many of them are heard.
+// smallZone is the size up to which a zone has too few machines to judge it by how many of them report.
 const smallZone = 3
 
-// IsIsolatedFailure tells whether a machine's silence is its own: since it was first probed in vain most
-// others have been heard, and not many more are silent. Reports come seconds apart, so right after this
-// controller is cut off only the first few machines look silent; what counts is who was heard after. The
-// same goes for its zone: where machines with replicas are probed sooner than others, they are the first
-// to look silent of a zone that is cut off.
+// IsIsolatedFailure reports whether a machine has failed by itself: most other machines have reported
+// since the first probe that it left unanswered, and few others are silent. Reports are seconds apart, so
+// right after this controller is cut off only a few machines seem silent; what counts is how many have
+// reported since. The same holds for the machine's zone: machines with replicas are probed sooner than
+// others, so they are the first to seem silent in a zone that is cut off.
 func (f *Fleet) IsIsolatedFailure(machine *worker.Machine) bool {
-	// While nothing can be stored, what ran there could not be started elsewhere; if all of a zone is
-	// cut off or down, the leases decide.
+	// While nothing can be stored, what runs there could not be started elsewhere. If a whole zone is cut
+	// off or down, its machines' leases decide.
 	if !f.storeAvailable {
 		return false
 	}
 	if zone := f.zones[machine.Zone]; zone != nil {
-		heardSince := func() int { return zone.lastHeard.after(machine.SuspectSince.Add(ProbeTimeout)) }
-		if zone.unreachable || zone.all > smallZone && heardSince() < max(1, zone.all/4) {
+		reportedSince := func() int { return zone.lastReports.countAfter(machine.SuspectSince.Add(ProbeTimeout)) }
+		if zone.unreachable || zone.all > smallZone && reportedSince() < max(1, zone.all/4) {
 			return false
 		}
 	}
-	heard := f.lastHeard.after(machine.SuspectSince)
-	return f.silent <= max(1, f.all*2/5) && heard >= (f.all-f.silent+1)/2 && heard > 0
+	reported := f.lastReports.countAfter(machine.SuspectSince)
+	return f.silent <= max(1, f.all*2/5) && reported >= (f.all-f.silent+1)/2 && reported > 0
 }
 
-// hearingWindow is within which time somebody must have been heard.
-const hearingWindow = 2 * time.Second
+// reportWindow is the time within which at least one machine of a reachable fleet reports.
+const reportWindow = 2 * time.Second
 
-// HearsNone tells whether next to no machine is heard or answers.
+// HearsNone reports whether hardly any machine reports or answers probes.
 func (f *Fleet) HearsNone(now time.Time) bool {
-	return f.storeAvailable && f.silent >= 2 && 4*f.silent >= 3*f.all && f.lastHeard.after(now.Add(-hearingWindow)) == 0
+	return f.storeAvailable && f.silent >= 2 && 4*f.silent >= 3*f.all && f.lastReports.countAfter(now.Add(-reportWindow)) == 0
 }
 
-// heardTimes are when machines were last heard. Most looks at the fleet find no machine silent and never
-// ask, so the times are put in order only for the first question.
-type heardTimes struct {
-	times   []time.Time
-	ordered bool
+// reportTimes are the times of machines' last reports. They are sorted only when they are first queried,
+// because most fleets have no silent machine and are never queried.
+type reportTimes struct {
+	times  []time.Time
+	sorted bool
 }
 
-func (h *heardTimes) add(at time.Time) { h.times, h.ordered = append(h.times, at), false }
+func (r *reportTimes) add(at time.Time) { r.times, r.sorted = append(r.times, at), false }
 
-// after counts the times after one.
-func (h *heardTimes) after(at time.Time) int {
-	if !h.ordered {
-		slices.SortFunc(h.times, time.Time.Compare)
-		h.ordered = true
+// countAfter counts the reports that came after a moment.
+func (r *reportTimes) countAfter(moment time.Time) int {
+	if !r.sorted {
+		slices.SortFunc(r.times, time.Time.Compare)
+		r.sorted = true
 	}
-	return len(h.times) - sort.Search(len(h.times), func(k int) bool { return h.times[k].After(at) })
+	return len(r.times) - sort.Search(len(r.times), func(i int) bool { return r.times[i].After(moment) })
 }
--- a/internal/liveness/isolation.go
+++ b/internal/liveness/isolation.go
@@ -7,26 +7,28 @@
 	"github.com/pebbletrail/pebbletrail/internal/worker"
 )
 
-// RedirectedWorker is a worker that a controller redirected to the leader, and that may not have got
-// there.
+// RedirectedWorker is a worker that another controller redirected to the leader and that may not have
+// reached it.
 type RedirectedWorker struct {
 	Machine ids.Machine
-	Ago     time.Duration // when it was first redirected
+	Ago     time.Duration // time since it was first redirected
 }
 
-// peerReportDelay bounds how late a peer's word arrives: a redirected worker is often here within a
-// millisecond, and must not count as missing because the word took longer.
+// peerReportDelay bounds how long after the redirection a peer's report of it arrives. A redirected worker
+// often reaches the leader within a millisecond and must not count as missing because the peer's report
+// took longer.
 const peerReportDelay = time.Second
 
-// IsolatedFromWorkers tells whether this controller has lost most machines while others reach them.
+// IsolatedFromWorkers reports whether this controller has lost contact with most machines while other
+// controllers reach them.
 func IsolatedFromWorkers(machines *worker.Registry, redirected []RedirectedWorker, reportInterval ids.Seconds, now time.Time) bool {
-	// Reports may be far apart, and after a takeover all come at once: only one that is overdue tells
-	// anything. To go by less made leaders resign wrongly.
+	// Reports may be far apart, and after a takeover all arrive at once: only an overdue one is evidence.
+	// A shorter limit made leaders resign for no reason.
 	overdue := reportInterval.Duration() * 5 / 4
-	silent, heard := 0, 0
+	silent, reporting := 0, 0
 	for _, machine := range machines.Machines {
 		if machine.HasReported && machine.SilentFor(now) < overdue {
-			heard++
+			reporting++
 		}
 	}
 	for _, other := range redirected {
@@ -35,5 +37,5 @@
 			silent++
 		}
 	}
-	return silent >= 2 && silent > heard
+	return silent >= 2 && silent > reporting
 }
--- a/internal/liveness/zones.go
+++ b/internal/liveness/zones.go
@@ -7,19 +7,19 @@
 	"github.com/pebbletrail/pebbletrail/internal/worker"
 )
 
-// Zones remembers which zones were unreachable at the last look. Work in a zone that is only cut off
-// goes on, and a third of the fleet is not rented anew for that: its machines are left until their
-// leases have surely expired. Nothing is rented there meanwhile.
+// Zones remembers which zones were unreachable at the last update. Tasks in a zone that is only cut off go
+// on running, so its machines are left alone until their leases have certainly expired, rather than
+// provisioning a third of the fleet again. Nothing is provisioned in the zone meanwhile.
 type Zones struct{ unreachable map[string]bool }
 
-// NewZones begins with all zones reachable.
+// NewZones returns a Zones in which all zones are reachable.
 func NewZones() *Zones { return &Zones{unreachable: map[string]bool{}} }
 
-// Unreachable tells whether a zone was unreachable at the last look.
+// Unreachable reports whether a zone was unreachable at the last update.
 func (z *Zones) Unreachable(name string) bool { return z.unreachable[name] }
 
-// Update measures the fleet. Where a zone is heard from again, its machines are judged anew and the
-// fleet is measured once more.
+// Update measures the fleet. If a zone has become reachable again, it resets the probes of the zone's
+// silent machines and measures the fleet once more.
 func (z *Zones) Update(machines *worker.Registry, storeAvailable bool) *Fleet {
 	fleet := Measure(machines, storeAvailable)
 	recovered := false
@@ -36,8 +36,8 @@
 	return fleet
 }
 
-// resetZone begins to judge a zone's machines anew: somebody there is heard again, so the others get the
-// time to be heard too.
+// resetZone resets the probes of a zone's silent machines: some machine there has reported again, so the
+// others get the time to do so too.
 func resetZone(machines *worker.Registry, name string) {
 	now := time.Now()
 	slog.Info("zone reachable again", "zone", name)
@@ -49,7 +49,7 @@
 	}
 }
 
-// Reset gives every machine that reported the time to be heard again.
+// Reset gives every machine that has reported the time to report again.
 func Reset(machines *worker.Registry, now time.Time) {
 	for _, machine := range machines.Machines {
 		if machine.HasReported {
@@ -58,7 +58,7 @@
 	}
 }
 
-// resetProbes forgets the probes and calls that a machine left unanswered.
+// resetProbes clears the counts of probes and calls that a machine left unanswered.
 func resetProbes(machine *worker.Machine, now time.Time) {
 	machine.UnansweredProbes, machine.FailedCalls = 0, 0
 	machine.UnreachableSince, machine.LastProbeAt = time.Time{}, time.Time{}
--- a/internal/provisioning/cloud_list.go
+++ b/internal/provisioning/cloud_list.go
@@ -6,8 +6,8 @@
 	"github.com/pebbletrail/pebbletrail/internal/worker"
 )
 
-// listLags is how many times its nominal lag the cloud's list is assumed to lag behind at most; this
-// includes a margin.
+// listLags is the assumed lag of the cloud's list in multiples of its nominal lag: the list may lag twice
+// as long as that, and one more is the margin.
 const listLags = 3
 
 // cloudList is what is known of the cloud's list of machines.
@@ -17,7 +17,9 @@
 }
 
 // lag returns how far the list may lag behind.
-func (l *cloudList) lag() time.Duration { return listLags * l.Settings.Params.Cloud.ListLagS.Duration() }
+func (l *cloudList) lag() time.Duration {
+	return listLags * l.Settings.Params.Cloud.ListLagS.Duration()
+}
 
 // since returns how long after a moment the last complete read of the list began.
 func (l *cloudList) since(moment time.Time) time.Duration { return l.readBegan.Sub(moment) }
--- a/internal/workload/assignment.go
+++ b/internal/workload/assignment.go
@@ -10,61 +10,62 @@
 	"github.com/pebbletrail/pebbletrail/internal/record"
 )
 
-// Assignment is a task on, or perhaps on, a machine. It counts against the team's quota and the
-// machine's capacity from before its marker is stored until it is proven gone.
+// Assignment is a task that is or may be on a machine. It counts against the team's quota and the machine's
+// capacity from before its marker is stored until the task is proven gone.
 type Assignment struct {
 	Job         *Job
 	TaskIndex   int
 	Machine     ids.Machine
-	Incarnation ids.Incarnation // of the worker to which the start goes
+	Incarnation ids.Incarnation // of the worker to which the start is sent
 	Attempt     ids.Attempt
-	// FencingToken is the generation under which the start goes out.
+	// FencingToken is the token that the start carries.
 	FencingToken ids.Generation
 	AssignedAt   time.Time
 
-	// MarkerVersion is the job's version that first holds the assignment: no start goes out before
-	// that is stored.
+	// MarkerVersion is the version of the job that first contains the assignment. No start is sent before
+	// that version is stored.
 	MarkerVersion uint64
-	// StartSent tells that a start may have gone out, OfferedInHeartbeat that one went out in the
-	// answer to a heartbeat, whose sequence number was OfferedAt.
-	StartSent          bool
+	// StartSent is set if a start may have been sent.
+	StartSent bool
+	// OfferedInHeartbeat is set if a start was sent in the response to a heartbeat, and OfferedAt is the
+	// sequence number of that heartbeat.
 	OfferedInHeartbeat bool
 	OfferedAt          ids.SequenceNumber
 
-	// Confirmed tells that a report showed the task on its machine, with Status.
+	// Confirmed is set once a report has shown the task on its machine, and Status is its last reported
+	// status.
 	Confirmed    bool
 	Status       string
 	RunningSince time.Time // when it was first reported running
-	// AwaitsImage tells that it counts among those that wait for an image there.
+	// AwaitsImage is set while the node counts the task among those that wait for its image.
 	AwaitsImage bool
 
-	// ProtectedUntil is until when it is preempted for critical work only.
+	// ProtectedUntil is the time until which only critical work may preempt the task.
 	ProtectedUntil time.Time
-	// Evicting tells that a rollout was permitted to stop it.
+	// Evicting is set if a rollout was permitted to stop the task.
 	Evicting bool
-	// Stopping tells that a stop was asked for, at StopRequestedAt, with StopGrace to save and why.
-	// StopSentAt is when it last went out.
+	// Stopping is set once a stop has been requested, which was at StopRequestedAt.
 	Stopping        bool
-	StopGrace       ids.Seconds
+	StopGrace       ids.Seconds // time that the task has to save a checkpoint
 	StopRequestedAt time.Time
-	StopSentAt      time.Time
+	StopSentAt      time.Time // when the stop was last sent
 	StopReason      string
 }
 
-// TaskAttempt names one start of a task on a machine.
+// TaskAttempt identifies one start of a task on a machine.
 type TaskAttempt struct {
 	Task    ids.Task
 	Attempt ids.Attempt
 	Machine ids.Machine
 }
 
-// Task is the task's name.
+// Task returns the task's name.
 func (a *Assignment) Task() ids.Task { return ids.Task{Job: a.Job.ID(), Index: a.TaskIndex} }
 
-// Key names this start of the task.
+// Key identifies this start of the task.
 func (a *Assignment) Key() TaskAttempt { return TaskAttempt{a.Task(), a.Attempt, a.Machine} }
 
-// StopReasonText is why the task was stopped, for the job's trail.
+// StopReasonText returns why the task was stopped, for the job's trail.
 func (a *Assignment) StopReasonText() string {
 	if a.StopReason == "" {
 		return "not asked for"
@@ -72,16 +73,19 @@
 	return a.StopReason
 }
 
-// RemainingGrace is what is left of a stop's grace period; a second stop with 0 ends a task that
-// saves for too long.
+// graceMargin is how long after twice its grace period a task that is still saving is stopped at once.
+const graceMargin = 3 * time.Second
+
+// RemainingGrace returns the grace period that a stop carries now. It becomes 0, so that a repeated stop
+// ends the task, once the task has been saving for far too long.
 func (a *Assignment) RemainingGrace(now time.Time) ids.Seconds {
-	if a.StopGrace == 0 || now.Sub(a.StopRequestedAt) > 2*a.StopGrace.Duration()+3*time.Second {
+	if a.StopGrace == 0 || now.Sub(a.StopRequestedAt) > 2*a.StopGrace.Duration()+graceMargin {
 		return 0
 	}
 	return a.StopGrace
 }
 
-// CheckpointGrace is the grace period that lets a task save a checkpoint; 0 if it can't.
+// CheckpointGrace returns the grace period that a task needs to save a checkpoint; 0 if it saves none.
 func (a *Assignment) CheckpointGrace() ids.Seconds {
 	spec := &a.Job.Record.Spec
 	if spec.CheckpointInterval <= 0 {
@@ -90,8 +94,8 @@
 	return spec.CheckpointDuration*1.2 + 1
 }
 
-// LittleToSave tells whether what a task did since its last checkpoint is worth less than making
-// critical work wait for another one.
+// LittleToSave reports whether a task's work since its last checkpoint is worth so little that critical
+// work need not wait for another checkpoint.
 func (a *Assignment) LittleToSave(now time.Time) bool {
 	spec := &a.Job.Record.Spec
 	if spec.Shape != record.Array || spec.CheckpointInterval <= 0 {
@@ -104,14 +108,13 @@
 	return sinceCheckpoint <= 3*float64(spec.CheckpointDuration)
 }
 
-// What a stop is taken to throw away, in seconds of a task's work, where that can't be told from how
-// long the task ran.
+// The assumed cost of a stop, in seconds of work, where it does not follow from how long the task ran.
 const (
 	notRunningCost = 0.1
 	replicaCost    = 1000
 )
 
-// PreemptionCost is the progress, in core-seconds, that a stop throws away.
+// PreemptionCost returns the progress, in core-seconds, that a stop of the task loses.
 func (a *Assignment) PreemptionCost(now time.Time) float64 {
 	spec := &a.Job.Record.Spec
 	if a.RunningSince.IsZero() {
@@ -127,12 +130,12 @@
 	return ran * spec.Resources.Cores
 }
 
-// ProtectedFrom tells whether the assignment is not to be preempted for a job now.
+// ProtectedFrom reports whether the task must not be preempted for a job at present.
 func (a *Assignment) ProtectedFrom(job *Job) bool {
 	return job.EffectivePriority() < record.Critical && time.Now().Before(a.ProtectedUntil)
 }
 
-// FinishesWithin guesses whether a task completes within d.
+// FinishesWithin reports whether a task should finish within d, by its job's estimate.
 func (a *Assignment) FinishesWithin(d time.Duration, now time.Time) bool {
 	spec := &a.Job.Record.Spec
 	if spec.Shape == record.Service || a.RunningSince.IsZero() {
@@ -141,16 +144,17 @@
 	return a.RunningSince.Add(spec.EstimatedDuration.Duration()).Before(now.Add(d))
 }
 
-// SortedTasks are the indices of assigned tasks, lowest first.
+// SortedTasks returns the indices of assigned tasks, lowest first.
 func SortedTasks(assignments map[int]*Assignment) []int { return slices.Sorted(maps.Keys(assignments)) }
 
-// GroupAssignments are a job's assignments as its record keeps them.
+// GroupAssignments returns a job's assignments in the form in which its record stores them.
 func GroupAssignments(assignments map[int]*Assignment) []record.AssignmentGroup {
 	list := make([]record.TaskAssignment, 0, len(assignments))
 	for _, i := range SortedTasks(assignments) {
-		a := assignments[i]
-		at := record.Location{Machine: a.Machine, Incarnation: a.Incarnation, Attempt: a.Attempt, FencingToken: a.FencingToken}
-		list = append(list, record.TaskAssignment{Task: i, At: at})
+		assignment := assignments[i]
+		location := record.Location{Machine: assignment.Machine, Incarnation: assignment.Incarnation,
+			Attempt: assignment.Attempt, FencingToken: assignment.FencingToken}
+		list = append(list, record.TaskAssignment{Task: i, At: location})
 	}
 	return record.GroupAssignments(list)
 }
--- a/internal/workload/changes.go
+++ b/internal/workload/changes.go
@@ -6,26 +6,26 @@
 	"time"
 )
 
-// Changes are the jobs of which something changed that is not stored yet.
+// Changes is the set of jobs with changes that are not stored yet.
 type Changes struct{ jobs map[*Job]bool }
 
-// NewChanges makes an empty set.
+// NewChanges returns an empty set.
 func NewChanges() *Changes { return &Changes{jobs: map[*Job]bool{}} }
 
-// Add notes that a job changed; the time of the oldest change that is not stored is kept.
+// Add adds a job that has changed. If it is in the set already, the time of its oldest change is kept.
 func (c *Changes) Add(job *Job) {
 	if !c.jobs[job] {
 		c.jobs[job], job.ChangedAt = true, time.Now()
 	}
 }
 
-// Remove takes a job out: all of it is stored, or nothing more will be.
+// Remove removes a job of which everything is stored, or nothing more will be.
 func (c *Changes) Remove(job *Job) { delete(c.jobs, job) }
 
-// All are the changed jobs, in no order.
+// All returns the changed jobs, in no order.
 func (c *Changes) All() []*Job { return slices.Collect(maps.Keys(c.jobs)) }
 
-// HasUrgent tells whether a change has to be stored before something can go on.
+// HasUrgent reports whether any of the jobs is urgent.
 func (c *Changes) HasUrgent() bool {
 	for job := range c.jobs {
 		if job.Urgent {
@@ -35,8 +35,9 @@
 	return false
 }
 
-// Due lists the jobs whose changes are to be stored now, most urgent first: urgent ones at once, the
-// others after a delay. One whose record did not fit is left out until it changes again.
+// Due returns the jobs whose changes are to be stored now, most urgent first: urgent jobs at once, the
+// others after a delay. A job whose record was too large is left out until it changes again. Jobs without
+// unstored changes leave the set.
 func (c *Changes) Due(now time.Time, delay time.Duration) []*Job {
 	var due []*Job
 	for job := range c.jobs {
@@ -52,7 +53,7 @@
 	return due
 }
 
-// compareUrgency orders changed jobs: urgent ones first, then by priority and submission.
+// compareUrgency orders changed jobs: urgent ones first, then by priority, then by submission.
 func compareUrgency(x, y *Job) int {
 	if x.Urgent != y.Urgent {
 		if x.Urgent {
--- a/internal/workload/failures.go
+++ b/internal/workload/failures.go
@@ -9,19 +9,18 @@
 	"github.com/pebbletrail/pebbletrail/internal/record"
 )
 
-// A failed task tells either of its machine or of its job: one submitted with a mistake fails
-// wherever it runs, until its user cancels it. It may take neither machines nor room nor anybody's
-// turn, and no machine is to be blamed for it. A good job that meets a bad machine or two must still
-// run soon.
+// A task fails because of its machine or because of its job. A job that was submitted with a mistake fails
+// wherever it runs, until its user cancels it: it must not take machines, room or turns from other jobs,
+// and no machine is to be blamed for it. A good job that meets a faulty machine or two must still run soon.
 
-// Retry is what is kept of the failed tries of one task.
+// Retry is the state of the retries of one task.
 type Retry struct {
-	Failures  int
-	NotBefore time.Time
+	Failures  int                  // in a row
+	NotBefore time.Time            // when the task may be assigned again
 	Avoid     map[ids.Machine]bool // machines on which it failed
 }
 
-// RetryOf is what is kept of the failed tries of a task; it is added if there was none.
+// RetryOf returns the state of a task's retries and adds it if there is none.
 func (j *Job) RetryOf(i int) *Retry {
 	retry := j.Retries[i]
 	if retry == nil {
@@ -31,20 +30,20 @@
 	return retry
 }
 
-// Backoff is how the waits between the tries of a failing task grow, in seconds.
+// Backoff is an exponential backoff; First and Max are the first and the longest delay in seconds.
 type Backoff struct{ First, Max float64 }
 
-// maxDoublings bounds the exponent; the longest wait is reached long before.
+// maxDoublings bounds the exponent; the longest delay is reached long before.
 const maxDoublings = 15
 
-// Delay is the wait after so many failures in a row: it doubles from the first to the longest.
+// Delay returns the delay after so many failures in a row: it doubles with each failure up to Max.
 func (b Backoff) Delay(failures int) time.Duration {
 	doublings := min(failures-1, maxDoublings)
-	wait := b.First * math.Pow(2, float64(doublings))
-	return ids.Seconds(min(wait, b.Max)).Duration()
+	delay := b.First * math.Pow(2, float64(doublings))
+	return ids.Seconds(min(delay, b.Max)).Duration()
 }
 
-// BackOff counts a failure of a task and puts off its next try.
+// BackOff counts a failure of a task and delays its next attempt.
 func (j *Job) BackOff(i int, now time.Time, backoff Backoff) *Retry {
 	retry := j.RetryOf(i)
 	retry.Failures++
@@ -52,25 +51,25 @@
 	return retry
 }
 
-// FailureHistory is what is known of a job's failed tasks since one last completed.
+// FailureHistory is the history of a job's failed tasks since one last completed.
 type FailureHistory struct {
-	ByMachine map[ids.Machine]int // how many failed there
-	Tasks     int
-	// Rounds counts the tries of the whole job since it counts as failing, and NotBefore is when
-	// the next one may begin.
+	ByMachine map[ids.Machine]int // failed tasks
+	Tasks     int                 // failed tasks
+	// Rounds counts the retries of the whole job since it has been failing, and NotBefore is when the next
+	// one may begin.
 	Rounds    int
 	NotBefore time.Time
-	// LongestRun is how long the longest of those that failed had run.
+	// LongestRun is the longest time that a failed task had run.
 	LongestRun time.Duration
 }
 
-// Failures on so many machines with nothing completed make a job suspect, and then failing.
+// Failures on so many machines, with no task completed, make a job suspect and failing.
 const (
 	suspectAfter = 2
 	failingAfter = 3
 )
 
-// AddFailure counts a failed task that had run since a time, zero if it never ran.
+// AddFailure adds a failed task. runningSince is zero if it never ran.
 func (f *FailureHistory) AddFailure(machine ids.Machine, runningSince, now time.Time) {
 	if f.ByMachine == nil {
 		f.ByMachine = map[ids.Machine]int{}
@@ -82,34 +81,36 @@
 	}
 }
 
-// machinesWithFailures is on how many machines tasks failed, also under earlier leaders.
+// machinesWithFailures returns on how many machines tasks failed, including failures under earlier
+// leaders.
 func (j *Job) machinesWithFailures() int {
 	return max(len(j.Failures.ByMachine), j.Record.FailedMachines)
 }
 
-// Suspect tells that the job rather than a machine may be at fault: nothing is preempted for it.
+// Suspect reports whether the job, rather than a machine, may be at fault. Nothing is preempted for such a
+// job.
 func (j *Job) Suspect() bool {
 	return j.Record.Finished.Len() == 0 && j.machinesWithFailures() >= suspectAfter
 }
 
-// Failing tells that the job fails wherever it runs: one task at a time is tried (of a gang, all),
-// after a wait of the whole job's, and no machine is rented for it.
+// Failing reports whether the job fails wherever it runs. One task at a time of such a job is retried, or
+// all tasks of a gang, with a backoff for the whole job, and no machine is provisioned for it.
 func (j *Job) Failing() bool {
 	return j.Record.Finished.Len() == 0 && j.machinesWithFailures() >= failingAfter
 }
 
-// BackingOff tells that a failing job is not to be tried now.
+// BackingOff reports whether a failing job is not to be retried now.
 func (j *Job) BackingOff(now time.Time) bool {
 	return j.Failing() && (now.Before(j.Failures.NotBefore) || j.Record.Spec.Shape != record.Gang && len(j.Assignments) > 0)
 }
 
-// BackOffReason tells the user and operators so.
+// BackOffReason explains to users and operators why a failing job is not retried now.
 func (j *Job) BackOffReason() string {
 	return fmt.Sprintf("its tasks fail wherever they run (%d failures on %d machines, none completed); tried again now and then, until it is cancelled",
 		j.Failures.Tasks, j.machinesWithFailures())
 }
 
-// DescribeFailures explains the job's failures, one line each.
+// DescribeFailures describes the job's failures to its user, in a few lines or none.
 func (j *Job) DescribeFailures(now time.Time) (lines []string) {
 	if j.Failing() {
 		lines = append(lines, j.BackOffReason())
@@ -122,7 +123,8 @@
 	return lines
 }
 
-// CountBackingOff counts the tasks that wait after a failure and need no room yet.
+// CountBackingOff returns the number of unassigned tasks that back off after a failure and need no room
+// yet.
 func (j *Job) CountBackingOff(now time.Time) int {
 	n := 0
 	for i, retry := range j.Retries {
@@ -133,11 +135,11 @@
 	return n
 }
 
-// outlastsAfter is how much longer than twice the longest failed run a task must run to show that the
-// job is good.
+// outlastsAfter is how much longer than twice the longest failed run a task must run to show that its job
+// is not at fault.
 const outlastsAfter = 30 * time.Second
 
-// Outlasts tells whether a running task shows that a job with failures is good after all.
+// Outlasts reports whether a running task shows that its job, which has failures, is not at fault.
 func (a *Assignment) Outlasts(now time.Time) bool {
 	failures := &a.Job.Failures
 	if failures.Tasks == 0 && a.Job.Record.FailedMachines == 0 {
--- a/internal/workload/losses.go
+++ b/internal/workload/losses.go
@@ -8,24 +8,24 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-// What operators ask first when a zone goes dark is what moved, what did not, and what the rest waits
-// for. The trail is bounded and many tasks are lost at once, so like events share a line.
-
-// LossHistory remembers, for the trail, tasks of a job that were lost and wait for a new assignment.
+// LossHistory remembers, for the job's trail, the tasks of a job that were lost and have no new assignment
+// yet. When a zone becomes unreachable, operators first ask which tasks have moved, which have not, and
+// what those wait for. The trail is bounded and many tasks are lost at once, so similar losses share a
+// line.
 type LossHistory struct {
-	zones map[int]string // task -> zone it was lost in
+	zones map[int]string // zone in which a task was lost, by task
 	last  lossEvent
 }
 
-// lossEvent is the last line of the trail about losses.
+// lossEvent is the latest line of the trail about losses.
 type lossEvent struct {
 	reason, zone string
 	count        int
 	text         string
 }
 
-// Add notes a lost task and gives the line for the trail, which replaces the last one if it tells of
-// the same and is still the last of the trail.
+// Add adds a lost task and returns the line for the trail. replaces reports whether the line replaces the
+// last one of the trail, lastOfTrail, because that is about losses in the same zone for the same reason.
 func (l *LossHistory) Add(task int, machine ids.Machine, zone, reason, lastOfTrail string) (line string, replaces bool) {
 	if l.zones == nil {
 		l.zones = map[int]string{}
@@ -42,14 +42,14 @@
 	return l.last.text, replaces
 }
 
-// Restarted takes a task that was assigned anew out of the history, and tells where it was lost.
+// Restarted removes a task that has a new assignment, and returns the zone in which it was lost, if it was.
 func (l *LossHistory) Restarted(task int) (zone string, lost bool) {
 	zone, lost = l.zones[task]
 	delete(l.zones, task)
 	return zone, lost
 }
 
-// CountByZone counts, by zone, the lost tasks that a filter accepts.
+// CountByZone returns, by zone, the number of lost tasks that accepts returns true for.
 func (l *LossHistory) CountByZone(accepts func(task int) bool) map[string]int {
 	count := map[string]int{}
 	for task, zone := range l.zones {
@@ -60,7 +60,7 @@
 	return count
 }
 
-// FormatByZone writes counts by zone in the order of the zones' names.
+// FormatByZone formats counts by zone, sorted by zone.
 func FormatByZone(count map[string]int) string {
 	var parts []string
 	for zone, n := range count {
--- a/internal/workload/queue.go
+++ b/internal/workload/queue.go
@@ -6,35 +6,35 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-// Queue is the jobs of a shard, by name and in the order of their submission, and the names of those
-// that ended lately. A job stays in it after its end for as long as tasks of it may be on machines.
+// Queue contains the jobs of a shard and the names of those that ended recently. A job stays in it after its
+// end as long as tasks of it may be on machines.
 type Queue struct {
 	byID    map[ids.Job]*Job
-	ordered []*Job
+	ordered []*Job // by submission
 	retired map[ids.Job]bool
-	// retiredOrder are the retired names, oldest first: their number is bounded.
+	// retiredOrder are the retired names, oldest first.
 	retiredOrder []ids.Job
 }
 
-// maxRetired bounds the names of ended jobs that are remembered: older news is not expected.
+// maxRetired bounds the retired names. Reports about jobs that ended longer ago are not expected.
 const maxRetired = 20000
 
-// NewQueue makes an empty queue.
+// NewQueue returns an empty queue.
 func NewQueue() *Queue { return &Queue{byID: map[ids.Job]*Job{}, retired: map[ids.Job]bool{}} }
 
-// Get is a job by name; nil if it is not known.
+// Get returns a job by name; nil if it is not in the queue.
 func (q *Queue) Get(id ids.Job) *Job { return q.byID[id] }
 
-// Holds tells whether this very job is in the queue.
+// Holds reports whether this job, and not another one of its name, is in the queue.
 func (q *Queue) Holds(job *Job) bool { return q.byID[job.ID()] == job }
 
-// All are the jobs by name. Callers must not change the map.
+// All returns the jobs by name. Callers must not change the map.
 func (q *Queue) All() map[ids.Job]*Job { return q.byID }
 
-// Ordered are the jobs in the order of their submission. Callers must not change the list.
+// Ordered returns the jobs in the order of their submission. Callers must not change the list.
 func (q *Queue) Ordered() []*Job { return q.ordered }
 
-// Len counts the jobs.
+// Len returns the number of jobs.
 func (q *Queue) Len() int { return len(q.byID) }
 
 // Add adds a job.
@@ -44,7 +44,7 @@
 	q.ordered = slices.Insert(q.ordered, at, job)
 }
 
-// Remove takes a job out.
+// Remove removes a job.
 func (q *Queue) Remove(job *Job) {
 	delete(q.byID, job.ID())
 	if at, ok := slices.BinarySearchFunc(q.ordered, job, CompareSubmission); ok {
@@ -52,7 +52,8 @@
 	}
 }
 
-// Retire remembers that a job's end is stored: late news of it is not that of a new job.
+// Retire remembers that a job's end is stored, so that a late message about it is not taken for one about a
+// new job.
 func (q *Queue) Retire(id ids.Job) {
 	if q.retired[id] {
 		return
@@ -65,8 +66,8 @@
 	}
 }
 
-// IsRetired tells whether a job's end was stored in this term.
+// IsRetired reports whether a job's end was stored in this term and is still remembered.
 func (q *Queue) IsRetired(id ids.Job) bool { return q.retired[id] }
 
-// Retired counts the retired names that are remembered.
+// Retired returns the number of retired names that are remembered.
 func (q *Queue) Retired() int { return len(q.retired) }
--- a/internal/workload/record_size.go
+++ b/internal/workload/record_size.go
@@ -7,61 +7,66 @@
 	"github.com/pebbletrail/pebbletrail/internal/record"
 )
 
-// EncodedSize is how many bytes the parts of a job's record took when it was last encoded.
+// EncodedSize is the size in bytes of the parts of a job's record, as it was last encoded.
 type EncodedSize struct {
-	PerAssignment float64 // what one assignment took
-	Rest          int     // all but the assignments
-	Description   int     // the description alone
+	PerAssignment float64 // mean of the assignments
+	Rest          int     // everything but the assignments
+	Description   int     // the description and the empty record around it; 0: not known yet
 }
 
-// RecordEncodedSize notes what a record's assignments took of it, and what the rest did that can't
-// be given up.
+// RecordEncodedSize records how much of an encoded record of a size in bytes its assignments take, and how
+// much the rest does.
 func (j *Job) RecordEncodedSize(assignments []record.AssignmentGroup, size int) {
 	if n := len(j.Assignments); n > 0 {
-		taken := record.AssignmentsSize(assignments)
-		j.EncodedSize.PerAssignment, j.EncodedSize.Rest = float64(taken)/float64(n), size-taken
+		assigned := record.AssignmentsSize(assignments)
+		j.EncodedSize.PerAssignment, j.EncodedSize.Rest = float64(assigned)/float64(n), size-assigned
 	}
 }
 
-// Of an encoded record, in bytes: what a job takes beside its description before anything of it is
-// assigned, what a description is taken for at most, what an assignment takes at first (its machine's
-// name and 20 more), and what one takes at the least once finished tasks have broken up the ranges.
+// Sizes of the parts of an encoded record, in bytes.
 const (
-	emptyRecordBytes     = 400
-	maxDescriptionBytes  = 1500
+	// emptyRecordBytes is the size of a record without its description and assignments.
+	emptyRecordBytes = 400
+	// maxDescriptionBytes bounds what a description is counted for.
+	maxDescriptionBytes = 1500
+	// firstAssignmentBytes is the size of an assignment before any was encoded: the name of its machine
+	// and 20 bytes more.
 	firstAssignmentBytes = 40
-	scatteredTaskBytes   = 5
+	// scatteredTaskBytes is the least size of an assignment whose neighbours on the machine have finished.
+	scatteredTaskBytes = 5
 )
 
-// Shares of a value that a record may fill, by what is known of it, and the fewest tasks that are
-// assigned at a time.
 const (
-	firstFillShare   = 0.92
-	fillShare        = 0.9
+	// firstFillShare and fillShare are the shares of a value that a record may fill, before and after its
+	// assignments were encoded.
+	firstFillShare = 0.92
+	fillShare      = 0.9
+	// assignmentMargin is the factor by which assignments may become larger than they were.
 	assignmentMargin = 1.25
-	minAssigned      = 4
+	// minAssigned is the number of tasks that may always be assigned.
+	minAssigned = 4
 )
 
-// MaxAssignedTasks bounds how many tasks of the job are assigned at a time, so that its record always
-// fits a value: a large array goes in batches. At first an assignment counts for as many bytes as its
-// machine's name and 20 more; then by what the assignments took when they were last stored, since many
-// small tasks share a machine. What is finished in between breaks the ranges up: once a machine's
-// tasks are no longer next to one another, each takes the bytes of its number.
+// MaxAssignedTasks returns how many tasks of the job may be assigned at a time, so that its record fits into
+// a value of the state service; large arrays are assigned in batches. The size of an assignment is assumed
+// at first, and measured once assignments were stored, since many small tasks share a machine. Finished
+// tasks break up the ranges in which tasks are stored: when a machine's tasks are no longer contiguous,
+// each takes the bytes of its number.
 func (j *Job) MaxAssignedTasks(valueBytes float64) int {
 	description := min(maxDescriptionBytes, float64(j.descriptionSize()))
-	n := int((valueBytes*firstFillShare - description) / firstAssignmentBytes)
+	tasks := int((valueBytes*firstFillShare - description) / firstAssignmentBytes)
 	if size := j.EncodedSize; size.PerAssignment > 0 {
-		each := assignmentMargin*max(size.PerAssignment, scatteredTaskBytes) + 1
-		n = max(n, int((valueBytes*fillShare-float64(size.Rest))/each))
+		perTask := assignmentMargin*max(size.PerAssignment, scatteredTaskBytes) + 1
+		tasks = max(tasks, int((valueBytes*fillShare-float64(size.Rest))/perTask))
 	}
 	if j.MaxAssigned > 0 {
-		n = min(n, j.MaxAssigned)
+		tasks = min(tasks, j.MaxAssigned)
 	}
-	return max(minAssigned, n)
+	return max(minAssigned, tasks)
 }
 
-// descriptionSize is about how many bytes of a record a job takes before any of it is assigned: small
-// values must not go to waste on a guess.
+// descriptionSize returns about how many bytes a job's record takes before any task is assigned. It is
+// measured rather than assumed, so that small values are not wasted.
 func (j *Job) descriptionSize() int {
 	if j.EncodedSize.Description == 0 {
 		raw, err := json.Marshal(&j.Record.Spec)
@@ -73,8 +78,8 @@
 	return j.EncodedSize.Description
 }
 
-// MayRecordFinished tells whether one more task may be noted as finished that no assignment accounts
-// for: not if forgetting such tasks was what made the record fit.
+// MayRecordFinished reports whether one more finished task without an assignment may be recorded. That is
+// not so if the record only fits because such tasks were left out.
 func (j *Job) MayRecordFinished() bool {
 	return j.KeptRuns == 0 || j.Record.Finished.SpanCount() < j.KeptRuns
 }
