--- a/internal/capacity/consistency.go
+++ b/internal/capacity/consistency.go
@@ -19,7 +19,7 @@
 	}
 	for image, holders := range x.byImage {
 		for node := range holders {
-			if node.ImagePulls[image] == nil && !x.HoldsImage(node, image) {
+			if node.ImagePulls[image] == nil && !x.HasImage(node, image) {
 				return fmt.Errorf("%w: %s neither holds nor pulls %s", ErrInconsistent, node.Name, image)
 			}
 		}
--- a/internal/capacity/images.go
+++ b/internal/capacity/images.go
@@ -8,8 +8,8 @@
 // WithImage returns the nodes that have an image cached or pull it. Callers must not change the map.
 func (x *Index) WithImage(image string) map[*Node]bool { return x.byImage[image] }
 
-// HoldsImage reports whether a node's machine has an image cached.
-func (x *Index) HoldsImage(node *Node, image string) bool {
+// HasImage reports whether a node's machine has an image cached.
+func (x *Index) HasImage(node *Node, image string) bool {
 	machine := x.machines.Machines[node.Name]
 	return machine != nil && machine.Images.Has(image)
 }
@@ -58,7 +58,7 @@
 
 // unlistImage takes a node off the list of an image that it neither has cached nor pulls.
 func (x *Index) unlistImage(node *Node, image string) {
-	if node.ImagePulls[image] != nil || x.HoldsImage(node, image) {
+	if node.ImagePulls[image] != nil || x.HasImage(node, image) {
 		return
 	}
 	delete(x.byImage[image], node)
--- a/internal/clusterstate/assignments.go
+++ b/internal/clusterstate/assignments.go
@@ -20,7 +20,7 @@
 // removeAssignment removes an assignment: its task is proven not to be there.
 func (c *State) removeAssignment(assignment *workload.Assignment) {
 	delete(assignment.Job.Assignments, assignment.TaskIndex)
-	assignment.Job.HasLasted = assignment.Job.HasLasted || time.Since(assignment.AssignedAt) >= workload.StartProtectionTime
+	assignment.Job.StartLasted = assignment.Job.StartLasted || time.Since(assignment.AssignedAt) >= workload.StartProtectionTime
 	if len(assignment.Job.Assignments) == 0 {
 		assignment.Job.UnassignedSince = time.Now()
 	}
--- a/internal/clusterstate/failing_jobs_test.go
+++ b/internal/clusterstate/failing_jobs_test.go
@@ -260,7 +260,7 @@
 		if machine == nil || !machine.Booting {
 			t.Fatal("it is not known to be on its way")
 		}
-		if cluster.planner.LatenessOf(machine, time.Now()) == provisioning.NotLate {
+		if cluster.planner.Lateness(machine, time.Now()) == provisioning.NotLate {
 			t.Errorf("rented %v ago, with boots of 30 s, it is not late", time.Since(machine.ProvisionedAt))
 		}
 		cluster.HandleRecord("job-1", 1, newRecord("job-1", "blue", record.Normal, 40, 1), time.Now())
--- a/internal/clusterstate/operations.go
+++ b/internal/clusterstate/operations.go
@@ -29,14 +29,14 @@
 	o.cluster.removeAssignment(assignment)
 }
 
-// Assigned has a job's new markers stored at once.
-func (o operations) Assigned(job *workload.Job) {
+// MarkersPending has a job's new markers stored at once.
+func (o operations) MarkersPending(job *workload.Job) {
 	o.cluster.markChanged(job)
 	o.cluster.markUrgent(job)
 }
 
-// Restarted tells in a job's trail which lost tasks were assigned anew.
-func (o operations) Restarted(job *workload.Job, assigned []*workload.Assignment) {
+// RecordRestarts tells in a job's trail which lost tasks were assigned anew.
+func (o operations) RecordRestarts(job *workload.Job, assigned []*workload.Assignment) {
 	o.cluster.reconciler.RecordRestarts(job, assigned)
 }
 
--- a/internal/clusterstate/provisioning.go
+++ b/internal/clusterstate/provisioning.go
@@ -96,7 +96,7 @@
 func (c *State) HearsNoWorker(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return liveness.Measure(c.machines, c.StoreAvailable()).HearsNone(now)
+	return liveness.Measure(c.machines, c.StoreAvailable()).LostContact(now)
 }
 
 // ResetLiveness gives every machine the time to report again.
--- a/internal/clusterstate/state.go
+++ b/internal/clusterstate/state.go
@@ -161,7 +161,7 @@
 // markChanged marks a job as changed.
 func (c *State) markChanged(job *workload.Job) {
 	job.Version++
-	if c.jobs.Holds(job) && !job.Ended {
+	if c.jobs.Contains(job) && !job.Ended {
 		c.changes.Add(job)
 		if job.Record.Status.IsTerminal() {
 			job.Urgent = true
--- a/internal/costs/costs.go
+++ b/internal/costs/costs.go
@@ -101,9 +101,9 @@
 	return share
 }
 
-// AddRepeated adds the work that is lost with a task that was stopped or lost: what it has done since its
+// AddLostWork adds the work that is lost with a task that was stopped or lost: what it has done since its
 // last checkpoint. It adds nothing before the first Accrue.
-func (a *Account) AddRepeated(assignment *workload.Assignment, cause string, now time.Time) {
+func (a *Account) AddLostWork(assignment *workload.Assignment, cause string, now time.Time) {
 	spec := &assignment.Job.Record.Spec
 	if assignment.RunningSince.IsZero() || spec.Shape == record.Service || a.repeated == nil {
 		return
--- a/internal/costs/costs_test.go
+++ b/internal/costs/costs_test.go
@@ -72,7 +72,7 @@
 		assignment := testAssignment(worker.StateRunning, 2)
 		assignment.RunningSince = start
 		c.change(assignment)
-		account.AddRepeated(assignment, "preempted", start.Add(100*time.Second))
+		account.AddLostWork(assignment, "preempted", start.Add(100*time.Second))
 		_, repeated := account.Summary()
 		if got, recorded := repeated["preempted"]; got != c.want || recorded != c.recorded {
 			t.Errorf("%s: %v core-seconds, recorded %v", c.name, got, recorded)
--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -49,9 +49,9 @@
 // request provisioned.
 const provisionedTogether = 2 * time.Second
 
-// Overtaken reports whether a machine of the same type that was provisioned with this one, or after it,
+// IsOvertaken reports whether a machine of the same type that was provisioned with this one, or after it,
 // has come up.
-func (e *Estimator) Overtaken(machine *worker.Machine) bool {
+func (e *Estimator) IsOvertaken(machine *worker.Machine) bool {
 	history := e.boots[machine.Type]
 	return history != nil && history.newestProvisioned.After(machine.ProvisionedAt.Add(-provisionedTogether))
 }
--- a/internal/estimate/estimate_test.go
+++ b/internal/estimate/estimate_test.go
@@ -57,12 +57,12 @@
 
 func TestMachinesAreOvertakenByLaterOnes(t *testing.T) {
 	estimator := testEstimator()
-	if estimator.Overtaken(bootedMachine(start)) {
+	if estimator.IsOvertaken(bootedMachine(start)) {
 		t.Error("overtaken by no machine")
 	}
 	estimator.RecordBoot(bootedMachine(start), start.Add(time.Minute))
 	for after, want := range map[time.Duration]bool{-time.Minute: true, time.Second: true, 2 * time.Second: false, time.Minute: false} {
-		if got := estimator.Overtaken(bootedMachine(start.Add(after))); got != want {
+		if got := estimator.IsOvertaken(bootedMachine(start.Add(after))); got != want {
 			t.Errorf("provisioned %v after the one that is up: overtaken %v", after, got)
 		}
 	}
--- a/internal/eviction/emptying.go
+++ b/internal/eviction/emptying.go
@@ -217,7 +217,7 @@
 			whys = append(whys, fmt.Sprintf("%s has no room elsewhere yet", assignment.Task()))
 			continue
 		}
-		reserved[node.Name] = scheduler.Reservation{Job: unit.job.ID(), Need: unit.job.Record.Spec.Resources, Made: now, Until: now.Add(evictionReservationTime)}
+		reserved[node.Name] = scheduler.Reservation{Job: unit.job.ID(), Need: unit.job.Record.Spec.Resources, CreatedAt: now, ExpiresAt: now.Add(evictionReservationTime)}
 	}
 	return whys
 }
@@ -306,7 +306,7 @@
 			if !ok || taken || reservedNow || machine.DeleteWhenEmpty || !node.Free().Holds(request.Resources) {
 				continue
 			}
-			view := e.Scheduler.View(node, machine, job, nil, now)
+			view := e.Scheduler.CandidateView(node, machine, job, nil, now)
 			if score := placement.Score(&view, &request); best == nil || score < bestScore || score == bestScore && node.Name < best.Name {
 				best, bestScore = node, score
 			}
--- a/internal/eviction/evictor.go
+++ b/internal/eviction/evictor.go
@@ -1,7 +1,7 @@
 // Package eviction empties machines gracefully: for rollouts, within the teams' disruption budgets and
 // with permits that are stored before any stop, and off machines that the cloud takes back, on which
 // tasks keep failing, or that are to be consolidated. It takes no lock but in View: internal/clusterstate's
-// ClusterState guards it.
+// State guards it.
 package eviction
 
 import (
@@ -280,7 +280,7 @@
 // clearFinishedEvictions takes evictions off the records of tasks that run again, or need not any more.
 func (e *Evictor) clearFinishedEvictions(now time.Time) {
 	for job := range e.evicted {
-		if !e.Jobs.Holds(job) || len(job.Record.Evictions) == 0 {
+		if !e.Jobs.Contains(job) || len(job.Record.Evictions) == 0 {
 			delete(e.evicted, job)
 			continue
 		}
--- a/internal/eviction/leaving_machines.go
+++ b/internal/eviction/leaving_machines.go
@@ -85,7 +85,7 @@
 				!node.Free().Holds(request.Resources) || !request.Allows(t.Type, t.Zone, t.Spot) {
 				continue
 			}
-			pm := e.Scheduler.View(node, t, assignment.Job, nil, now)
+			pm := e.Scheduler.CandidateView(node, t, assignment.Job, nil, now)
 			if s := placement.Score(&pm, &request); best == nil || s < bestScore || s == bestScore && node.Name < best.Name {
 				best, bestScore = node, s
 			}
@@ -97,7 +97,7 @@
 		if !e.mayRelocate(assignment, now) {
 			return
 		}
-		e.Scheduler.Reservations.Set(best.Name, scheduler.Reservation{Job: assignment.Job.ID(), Need: request.Resources, Made: now, Until: now.Add(relocationReservationTime)})
+		e.Scheduler.Reservations.Set(best.Name, scheduler.Reservation{Job: assignment.Job.ID(), Need: request.Resources, CreatedAt: now, ExpiresAt: now.Add(relocationReservationTime)})
 		if !e.Enabled() {
 			e.cluster.Stop(assignment, assignment.CheckpointGrace(), relocationReason(machine.Name))
 		} else {
--- a/internal/liveness/fleet.go
+++ b/internal/liveness/fleet.go
@@ -129,8 +129,8 @@
 // reportWindow is the time within which at least one machine of a reachable fleet reports.
 const reportWindow = 2 * time.Second
 
-// HearsNone reports whether hardly any machine reports or answers probes.
-func (f *Fleet) HearsNone(now time.Time) bool {
+// LostContact reports whether hardly any machine reports or answers probes.
+func (f *Fleet) LostContact(now time.Time) bool {
 	return f.storeAvailable && f.silent >= 2 && 4*f.silent >= 3*f.all && f.lastReports.countAfter(now.Add(-reportWindow)) == 0
 }
 
--- a/internal/liveness/liveness_test.go
+++ b/internal/liveness/liveness_test.go
@@ -66,7 +66,7 @@
 		if got := fleet.OnlyZoneUnreachable("north"); got != c.onlyZoneIsOut {
 			t.Errorf("%s: only the zone is unreachable: %v", c.name, got)
 		}
-		if got := fleet.HearsNone(now); got != c.controllerDeaf {
+		if got := fleet.LostContact(now); got != c.controllerDeaf {
 			t.Errorf("%s: no machine is heard: %v", c.name, got)
 		}
 	}
--- a/internal/provisioning/late_boots.go
+++ b/internal/provisioning/late_boots.go
@@ -71,7 +71,7 @@
 	}
 	replaced, ofType, price := map[ids.Machine]bool{}, map[string]int{}, 0.0
 	for _, machine := range late {
-		if b.Estimates.Overtaken(machine) {
+		if b.Estimates.IsOvertaken(machine) {
 			replaced[machine.Name] = true
 			continue
 		}
--- a/internal/provisioning/provisioning.go
+++ b/internal/provisioning/provisioning.go
@@ -154,8 +154,8 @@
 // in this call.
 func (p *Planner) SampleUsage(now time.Time) bool { return p.usage.sample(now) }
 
-// LatenessOf returns how late a provisioned machine is that has not reported yet.
-func (p *Planner) LatenessOf(machine *worker.Machine, now time.Time) Lateness {
+// Lateness returns how late a provisioned machine is that has not reported yet.
+func (p *Planner) Lateness(machine *worker.Machine, now time.Time) Lateness {
 	return p.boots.lateness(machine, now)
 }
 
--- a/internal/provisioning/provisioning_test.go
+++ b/internal/provisioning/provisioning_test.go
@@ -87,7 +87,7 @@
 		{time.Hour, false, NotLate},
 	} {
 		planner := testPlanner()
-		if got := planner.LatenessOf(addMachine(planner, "m", now, c.age, c.booting), now); got != c.want {
+		if got := planner.Lateness(addMachine(planner, "m", now, c.age, c.booting), now); got != c.want {
 			t.Errorf("age %v, booting %v: lateness %v, want %v", c.age, c.booting, got, c.want)
 		}
 	}
--- a/internal/reconcile/outcomes.go
+++ b/internal/reconcile/outcomes.go
@@ -28,7 +28,7 @@
 	case worker.CauseStopped:
 		r.recordStopped(assignment, reported, machine, now)
 	case worker.CausePeers:
-		r.Costs.AddRepeated(assignment, "gang lost a task", now)
+		r.Costs.AddLostWork(assignment, "gang lost a task", now)
 		r.cluster.RecordEvent(job, "task %d ended on %s: another task of the gang was gone", task, machine.Name)
 	case worker.CauseIncomplete:
 		r.cluster.RecordEvent(job, "task %d ended on %s: the gang was not complete in time", task, machine.Name)
@@ -36,7 +36,7 @@
 		r.recordFailure(assignment, reported.Cause, machine, now)
 	case worker.CauseNoRoom, worker.CauseBusy:
 		r.cluster.RecordEvent(job, "task %d refused by %s: %s", task, machine.Name, reported.Cause)
-		retry := job.RetryOf(task)
+		retry := job.EnsureRetry(task)
 		retry.NotBefore = now.Add(refusalRetryDelay)
 		retry.Avoid[machine.Name] = true
 	}
@@ -77,7 +77,7 @@
 		if !machine.SpotTerminationAt.IsZero() {
 			cause = "spot"
 		}
-		r.Costs.AddRepeated(assignment, cause, now)
+		r.Costs.AddLostWork(assignment, cause, now)
 	}
 	r.cluster.RecordEvent(assignment.Job, "task %d stopped on %s: %s%s", assignment.TaskIndex, machine.Name, assignment.StopReasonText(), saved)
 }
@@ -141,7 +141,7 @@
 		return
 	}
 	if !job.Cancelled() {
-		r.Costs.AddRepeated(assignment, "machine lost", time.Now())
+		r.Costs.AddLostWork(assignment, "machine lost", time.Now())
 	}
 	r.cluster.MarkChanged(job)
 	// The evidence may be the cloud's word to this process alone: stored late, a successor would have to
--- a/internal/scheduler/assign.go
+++ b/internal/scheduler/assign.go
@@ -95,7 +95,7 @@
 	if node == nil {
 		return nil, a.makeRoom(job, search), retry != nil
 	}
-	if job.EffectivePriority() == record.Critical && !a.Capacity.HoldsImage(node, search.request.Image) {
+	if job.EffectivePriority() == record.Critical && !a.Capacity.HasImage(node, search.request.Image) {
 		// Pulling the image takes longer than stopping lesser work where it is cached.
 		if machine := a.preemptor.preemptWhereCached(job, search.request, search.pass); machine != "" {
 			return nil, "waits for room freed on " + machine, false
@@ -135,7 +135,7 @@
 	if count == 0 {
 		return
 	}
-	a.cluster.Assigned(job)
+	a.cluster.MarkersPending(job)
 	var assigned []*workload.Assignment
 	for _, assignment := range job.Assignments {
 		if assignment.MarkerVersion == 0 {
@@ -148,7 +148,7 @@
 		a.reservations.removeJob(job) // it has started, perhaps on other machines
 		job.ReservationSoughtAt = time.Time{}
 	}
-	a.cluster.Restarted(job, assigned)
+	a.cluster.RecordRestarts(job, assigned)
 }
 
 // protectStart protects the first tasks of a job that starved from preemption: all tasks of a gang, one
--- a/internal/scheduler/machine_reserver.go
+++ b/internal/scheduler/machine_reserver.go
@@ -77,7 +77,7 @@
 		until = now.Add(2 * reservationTime) // the tasks on such machines run long
 	}
 	for _, found := range nodes[:n] {
-		r.reservations.Set(found.node.Name, Reservation{Job: job.ID(), Need: request.Resources, Made: now, Until: until, AsItEmpties: true})
+		r.reservations.Set(found.node.Name, Reservation{Job: job.ID(), Need: request.Resources, CreatedAt: now, ExpiresAt: until, AsItEmpties: true})
 	}
 	r.cluster.RecordEvent(job, "%d machines set aside for it, %s the first", n, nodes[0].node.Name)
 	return true
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -60,11 +60,11 @@
 // string.
 func (p *preemptor) preemptWhereCached(job *workload.Job, request *placement.Request, pass *planningPass) (machine string) {
 	for name, reservation := range p.reservations.all() {
-		if reservation.Job != job.ID() || pass.now.Sub(reservation.Made) >= recentReservation {
+		if reservation.Job != job.ID() || pass.now.Sub(reservation.CreatedAt) >= recentReservation {
 			continue
 		}
 		node := p.Capacity.Node(name)
-		if node != nil && p.Capacity.HoldsImage(node, request.Image) && (node.Class == nil || !node.Free().Holds(request.Resources)) {
+		if node != nil && p.Capacity.HasImage(node, request.Image) && (node.Class == nil || !node.Free().Holds(request.Resources)) {
 			return string(name) // not free yet
 		}
 		return ""
@@ -113,7 +113,7 @@
 	var nodes []*capacity.Node
 	if image != "" {
 		all := slices.Clone(p.nodesWithVictims(job, request, "", pass))
-		nodes = slices.DeleteFunc(all, func(node *capacity.Node) bool { return !p.Capacity.HoldsImage(node, image) })
+		nodes = slices.DeleteFunc(all, func(node *capacity.Node) bool { return !p.Capacity.HasImage(node, image) })
 	} else {
 		nodes = p.findNodesWithVictims(job, request, pass.now)
 	}
@@ -240,8 +240,8 @@
 		p.cluster.Stop(victim, grace, fmt.Sprintf("to make room for %s (%s)", job.ID(), job.EffectivePriority()))
 		longest = max(longest, victim.StopGrace)
 	}
-	p.reservations.Set(chosen.node.Name, Reservation{Job: job.ID(), Need: request.Resources, Made: now,
-		Until: now.Add((longest + preemptionMargin).Duration())})
+	p.reservations.Set(chosen.node.Name, Reservation{Job: job.ID(), Need: request.Resources, CreatedAt: now,
+		ExpiresAt: now.Add((longest + preemptionMargin).Duration())})
 }
 
 // victim is a task that may be stopped, and the progress that this loses.
--- a/internal/scheduler/ranking.go
+++ b/internal/scheduler/ranking.go
@@ -149,7 +149,7 @@
 	spec := &job.Record.Spec
 	missing := spec.Tasks - len(job.Assignments)
 	for node := range r.Capacity.WithImage(spec.Image) {
-		if node.Class != nil && r.Capacity.HoldsImage(node, spec.Image) {
+		if node.Class != nil && r.Capacity.HasImage(node, spec.Image) {
 			missing -= node.Free().CountFitting(spec.Resources, missing)
 		}
 		if missing <= 0 {
--- a/internal/scheduler/reservations.go
+++ b/internal/scheduler/reservations.go
@@ -12,9 +12,9 @@
 type Reservation struct {
 	Job ids.Job
 	// Need is the room that is kept; other jobs may use the rest of the machine.
-	Need  placement.Resources
-	Made  time.Time
-	Until time.Time
+	Need      placement.Resources
+	CreatedAt time.Time
+	ExpiresAt time.Time
 	// AsItEmpties is set if the machine is reserved while its tasks end by themselves, and not because
 	// some of them were preempted.
 	AsItEmpties bool
@@ -32,7 +32,7 @@
 // On returns the reservation of a machine that is in force now, if any.
 func (r *Reservations) On(machine ids.Machine, now time.Time) (reservation Reservation, reserved bool) {
 	reservation, reserved = r.byMachine[machine]
-	return reservation, reserved && reservation.Until.After(now)
+	return reservation, reserved && reservation.ExpiresAt.After(now)
 }
 
 // Set reserves a machine and replaces its previous reservation.
@@ -70,7 +70,7 @@
 // dropExpired drops the expired reservations and returns how many the job still has.
 func (r *Reservations) dropExpired(job ids.Job, now time.Time) (held int) {
 	for machine, reservation := range r.byMachine {
-		if !reservation.Until.After(now) {
+		if !reservation.ExpiresAt.After(now) {
 			delete(r.byMachine, machine)
 		} else if reservation.Job == job {
 			held++
@@ -82,7 +82,7 @@
 // countEmptying returns how many machines are reserved while they empty.
 func (r *Reservations) countEmptying(now time.Time) (count int) {
 	for _, reservation := range r.byMachine {
-		if reservation.AsItEmpties && reservation.Until.After(now) {
+		if reservation.AsItEmpties && reservation.ExpiresAt.After(now) {
 			count++
 		}
 	}
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -36,10 +36,10 @@
 	FencingToken() ids.Generation
 	// Assign adds an assignment to its job, machine and team.
 	Assign(assignment *workload.Assignment)
-	// Assigned is called after a pass has added assignments to a job: their markers have to be stored.
-	Assigned(job *workload.Job)
-	// Restarted records in the job's trail which of its lost tasks have new assignments.
-	Restarted(job *workload.Job, assigned []*workload.Assignment)
+	// MarkersPending is called after a pass has added assignments to a job: their markers have to be stored.
+	MarkersPending(job *workload.Job)
+	// RecordRestarts records in the job's trail which of its lost tasks have new assignments.
+	RecordRestarts(job *workload.Job, assigned []*workload.Assignment)
 	// Stop requests that a task be stopped, with a grace period in which it may save a checkpoint.
 	Stop(assignment *workload.Assignment, grace ids.Seconds, reason string)
 	// RecordEvent adds a line to a job's trail.
@@ -120,9 +120,9 @@
 // another shard.
 func (s *Scheduler) PreemptForOtherShards() { s.quotaPreemptor.preemptForOtherShards() }
 
-// View describes a node to the placement rules as a candidate for a task of a job. A nil retry stands
+// CandidateView describes a node to the placement rules as a candidate for a task of a job. A nil retry stands
 // for a task that has not failed.
-func (s *Scheduler) View(node *capacity.Node, machine *worker.Machine, job *workload.Job, retry *workload.Retry, now time.Time) placement.Candidate {
+func (s *Scheduler) CandidateView(node *capacity.Node, machine *worker.Machine, job *workload.Job, retry *workload.Retry, now time.Time) placement.Candidate {
 	return s.reserver.view(node, machine, job, retry, now)
 }
 
@@ -142,7 +142,7 @@
 		if s.examined.sinceLock(pass.machinesExamined) > MaxExaminedPerLock && !s.yieldLock(pass) {
 			return false
 		}
-		if !s.Jobs.Holds(job) {
+		if !s.Jobs.Contains(job) {
 			continue
 		}
 		s.assigner.assign(job, pass)
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -33,9 +33,9 @@
 	c.scheduler.Quota.AddUsage(assignment.Job.Record.Spec.Team, assignment.Job.Record.Spec.Resources)
 }
 
-func (c *fakeCluster) Assigned(job *workload.Job)                      { job.Version++ }
-func (c *fakeCluster) Restarted(*workload.Job, []*workload.Assignment) {}
-func (c *fakeCluster) RecordEvent(*workload.Job, string, ...any)       {}
+func (c *fakeCluster) MarkersPending(job *workload.Job)                     { job.Version++ }
+func (c *fakeCluster) RecordRestarts(*workload.Job, []*workload.Assignment) {}
+func (c *fakeCluster) RecordEvent(*workload.Job, string, ...any)            {}
 func (c *fakeCluster) QuotaForRelocated(*workload.Job) placement.Resources {
 	return placement.Resources{}
 }
@@ -218,8 +218,8 @@
 	job := workload.NewJob(record.New(record.Spec{ID: "job", Tasks: 1}, 0, "writer"), 1)
 	reservations := newReservations()
 	for machine, reservation := range map[ids.Machine]Reservation{
-		"own": {Job: "job", Until: now.Add(time.Minute), AsItEmpties: true}, "used": {Job: "job", Until: now.Add(time.Minute)},
-		"expired": {Job: "job", Until: now}, "other": {Job: "other", Until: now.Add(time.Minute), AsItEmpties: true},
+		"own": {Job: "job", ExpiresAt: now.Add(time.Minute), AsItEmpties: true}, "used": {Job: "job", ExpiresAt: now.Add(time.Minute)},
+		"expired": {Job: "job", ExpiresAt: now}, "other": {Job: "other", ExpiresAt: now.Add(time.Minute), AsItEmpties: true},
 	} {
 		reservations.Set(machine, reservation)
 	}
--- a/internal/workload/failures.go
+++ b/internal/workload/failures.go
@@ -20,8 +20,8 @@
 	Avoid     map[ids.Machine]bool // machines on which it failed
 }
 
-// RetryOf returns the state of a task's retries and adds it if there is none.
-func (j *Job) RetryOf(i int) *Retry {
+// EnsureRetry returns the state of a task's retries and adds it if there is none.
+func (j *Job) EnsureRetry(i int) *Retry {
 	retry := j.Retries[i]
 	if retry == nil {
 		retry = &Retry{Avoid: map[ids.Machine]bool{}}
@@ -45,7 +45,7 @@
 
 // BackOff counts a failure of a task and delays its next attempt.
 func (j *Job) BackOff(i int, now time.Time, backoff Backoff) *Retry {
-	retry := j.RetryOf(i)
+	retry := j.EnsureRetry(i)
 	retry.Failures++
 	retry.NotBefore = now.Add(backoff.Delay(retry.Failures))
 	return retry
--- a/internal/workload/job.go
+++ b/internal/workload/job.go
@@ -62,9 +62,9 @@
 	Guaranteed bool
 	// Inherited is the urgency that the job has from the jobs that depend on it.
 	Inherited dependency.Urgency
-	// HasLasted is set if, as far as this leader knows, tasks of the job were not all stopped again right
+	// StartLasted is set if, as far as this leader knows, tasks of the job were not all stopped again right
 	// after their start.
-	HasLasted bool
+	StartLasted bool
 	// UnassignedSince is when the last of the assignments was removed.
 	UnassignedSince time.Time
 	// ReservationSoughtAt is when the scheduler last looked for machines to reserve for the job.
@@ -76,7 +76,7 @@
 	version := max(stored.Seq, 1)
 	return &Job{Record: *stored, Revision: revision, Version: version, StoredVersion: version,
 		Assignments: map[int]*Assignment{}, Retries: map[int]*Retry{}, RecordedOutcomes: map[TaskAttempt]uint64{},
-		HasLasted: stored.Attempt > 0} // an earlier leader knew more
+		StartLasted: stored.Attempt > 0} // an earlier leader knew more
 }
 
 // ID returns the job's name.
@@ -154,7 +154,7 @@
 // critical work. A job whose tasks were all stopped again right after their start has not started; its
 // wait begins anew then, so that it does not displace others again at once.
 func (j *Job) Starving(now time.Time) bool {
-	if started := j.HasLasted && j.Record.Attempt > 0; started || len(j.Assignments) > 0 || j.Record.Finished.Len() > 0 {
+	if started := j.StartLasted && j.Record.Attempt > 0; started || len(j.Assignments) > 0 || j.Record.Finished.Len() > 0 {
 		return false
 	}
 	waitingSince := j.Record.EligibleSince().Time()
--- a/internal/workload/queue.go
+++ b/internal/workload/queue.go
@@ -25,8 +25,8 @@
 // Get returns a job by name; nil if it is not in the queue.
 func (q *Queue) Get(id ids.Job) *Job { return q.byID[id] }
 
-// Holds reports whether this job, and not another one of its name, is in the queue.
-func (q *Queue) Holds(job *Job) bool { return q.byID[job.ID()] == job }
+// Contains reports whether this job, and not another one of its name, is in the queue.
+func (q *Queue) Contains(job *Job) bool { return q.byID[job.ID()] == job }
 
 // All returns the jobs by name. Callers must not change the map.
 func (q *Queue) All() map[ids.Job]*Job { return q.byID }
--- a/internal/workload/workload_test.go
+++ b/internal/workload/workload_test.go
@@ -40,7 +40,7 @@
 	job := testJob("a", 0)
 	job.BackOff(3, testStart, backoff)
 	retry := job.BackOff(3, testStart, backoff)
-	if retry.Failures != 2 || !retry.NotBefore.Equal(testStart.Add(10*time.Second)) || job.RetryOf(3) != retry {
+	if retry.Failures != 2 || !retry.NotBefore.Equal(testStart.Add(10*time.Second)) || job.EnsureRetry(3) != retry {
 		t.Errorf("the retry after two failures is %+v", retry)
 	}
 	job.Assignments[4] = &Assignment{Job: job, TaskIndex: 4}
@@ -126,7 +126,7 @@
 	if got := jobIDs(queue.Ordered()); got != "e b a d" || queue.Len() != 4 || queue.Get("c") != nil {
 		t.Errorf("after a removal: %s, %d jobs", got, queue.Len())
 	}
-	if queue.Holds(testJob("a", 2)) || !queue.Holds(jobs["a"]) {
+	if queue.Contains(testJob("a", 2)) || !queue.Contains(jobs["a"]) {
 		t.Error("the queue confuses two jobs of one name")
 	}
 }
@@ -189,7 +189,7 @@
 	}{
 		{"waiting for long", func(*Job) {}, late, true},
 		{"not long enough", func(*Job) {}, testStart.Add(StarvationTime), false},
-		{"started", func(job *Job) { job.Record.Attempt, job.HasLasted = 1, true }, late, false},
+		{"started", func(job *Job) { job.Record.Attempt, job.StartLasted = 1, true }, late, false},
 		{"stopped right after the start", func(job *Job) { job.Record.Attempt = 1 }, late, true},
 		{"waits anew after that", func(job *Job) { job.Record.Attempt, job.UnassignedSince = 1, testStart.Add(2*time.Second) }, late, false},
 		{"has an assignment", func(job *Job) { job.Assignments[0] = &Assignment{} }, late, false},
