--- a/internal/scenarios/apart_test.go
+++ b/internal/scenarios/apart_test.go
@@ -40,7 +40,7 @@
 	}
 }
 
-func TestAZoneCutBeyondTheLeaseWithTheLeaderEndedMeanwhile(t *testing.T) {
+func TestZonePartitionBeyondLeaseDuringFailoverLosesNoWork(t *testing.T) {
 	t.Parallel()
 	// Guards against what the zone's held reports, commands and answers do when
 	// they arrive afterwards: its tasks ended with their leases and run elsewhere
@@ -110,7 +110,7 @@
 	})
 }
 
-func TestALeaderThatStoodStillIsTurnedAway(t *testing.T) {
+func TestStalledLeaderIsFencedBySuccessor(t *testing.T) {
 	t.Parallel()
 	// Guards against a leader that stands still with a start, its answers and its
 	// writes on their way: a successor works meanwhile, then they arrive.
@@ -155,7 +155,7 @@
 	})
 }
 
-func TestALeaderIsSureOnlyWithinItsHold(t *testing.T) {
+func TestLeaderIsCertainOnlyWithinItsLease(t *testing.T) {
 	t.Parallel()
 	// The cloud's deletions rest on it: they carry no token.
 	scenario(t, func(t *testing.T, w *testCluster) {
@@ -179,7 +179,7 @@
 	})
 }
 
-func TestALeaderCutFromTheStateAloneThenFromTheWorkersAlone(t *testing.T) {
+func TestLeaderPartitionedFromStateServiceThenFromWorkersKeepsTasksRunning(t *testing.T) {
 	t.Parallel()
 	// The controllers refuse one another all the while.
 	scenario(t, func(t *testing.T, w *testCluster) {
@@ -226,7 +226,7 @@
 	})
 }
 
-func TestAllControllersBackAtOnceAmidAnElectionWithLateCopies(t *testing.T) {
+func TestRestartOfAllControllersDuringElectionIgnoresDelayedDuplicates(t *testing.T) {
 	t.Parallel()
 	// Guards against copies of reports and repeats of submissions and cancels,
 	// carried out long ago, that arrive at processes which know of nothing yet.
@@ -297,7 +297,7 @@
 	})
 }
 
-func TestAMachineWhoseBeatsFindNoWay(t *testing.T) {
+func TestMachineWithUndeliverableHeartbeatsRunsTaskUntilLeaseExpiry(t *testing.T) {
 	t.Parallel()
 	// Found by a day with half as many machines again: the controllers had no
 	// sockets left for new workers, which answered questions all the same.
@@ -322,7 +322,7 @@
 	})
 }
 
-func TestACancelWhileTheLeaderIsCutOffWithAZone(t *testing.T) {
+func TestCancellationReachesZonePartitionedWithLeaderInTime(t *testing.T) {
 	t.Parallel()
 	// Found on a day with a zone cut off in which the leader was: it went on
 	// answering the zone's workers, and what a user had cancelled through another
@@ -355,7 +355,7 @@
 	})
 }
 
-func TestOnlyWhoMayStillAnswerIsAskedToConfirm(t *testing.T) {
+func TestNewLeaderAsksOnlyRecentLeadersForConfirmation(t *testing.T) {
 	t.Parallel()
 	// Guards against controllers cut off with a zone, which own nothing, keeping a
 	// new leader from trusting any lapse.
--- a/internal/scenarios/cancel_start_test.go
+++ b/internal/scenarios/cancel_start_test.go
@@ -9,7 +9,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/fake"
 )
 
-func TestALeaderCutOffFromItsPeersHearsOfACancelBeforeItSendsAStart(t *testing.T) {
+func TestLeaderPartitionedFromPeersReadsCancellationBeforeStart(t *testing.T) {
 	t.Parallel()
 	// Guards against a start sent after the user was told that the job is cancelled: the
 	// marker is stored and its answer takes a while; meanwhile the other node reads it,
--- a/internal/scenarios/drain_test.go
+++ b/internal/scenarios/drain_test.go
@@ -16,7 +16,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/rollout"
 )
 
-func TestAZoneIsEmptiedWithinTheBudget(t *testing.T) {
+func TestZoneDrainStaysWithinDisruptionBudget(t *testing.T) {
 	t.Parallel()
 	drainScenario(t, 4, drainOptions{room: 40}, func(t *testing.T, c *drainCluster) {
 		c.service("job-1", 6)
@@ -34,7 +34,7 @@
 	})
 }
 
-func TestAnEvictionWithoutAPermitIsNoticed(t *testing.T) {
+func TestDisruptionRuleDetectsEvictionsOverBudget(t *testing.T) {
 	t.Parallel()
 	// The planted fault: the controllers' budgets allow anything, the rule knows the true one.
 	noticed := false
@@ -175,7 +175,7 @@
 	}()
 }
 
-func TestALeaderThatFailsInTheMiddleOfAStepLosesNoPermit(t *testing.T) {
+func TestLeaderFailureDuringDrainStepRepeatsNoEviction(t *testing.T) {
 	t.Parallel()
 	for _, m := range failureMoments {
 		for _, failure := range leaderFailures {
@@ -200,7 +200,7 @@
 	}
 }
 
-func TestAPermitThatIsStoredLateIsVoid(t *testing.T) {
+func TestEvictionPermitStoredAfterFailoverIsVoid(t *testing.T) {
 	t.Parallel()
 	// The transaction that stores a permit gets no answer and arrives after the successor's.
 	drainScenario(t, 4, drainOptions{room: 40}, func(t *testing.T, c *drainCluster) {
@@ -225,7 +225,7 @@
 	})
 }
 
-func TestAMachineOfTwoTeamsWaitsForBoth(t *testing.T) {
+func TestDrainOfMachineSharedByTwoTeamsWaitsForBothBudgets(t *testing.T) {
 	t.Parallel()
 	// Neither team may lose anything more: nothing of either is stopped, and both are named.
 	features := `drains { teams { team: "red" budget { replicas_down: 1 } } teams { team: "blue" budget { replicas_down: 0 } } }`
@@ -243,7 +243,7 @@
 	})
 }
 
-func TestTwoRolloutsInEachOthersWayBothEnd(t *testing.T) {
+func TestConflictingRolloutsBothComplete(t *testing.T) {
 	t.Parallel()
 	// The cloud has no more machines: what one rollout has to move fits only where the other one
 	// has cordoned. The younger makes way, and ends once the cloud has machines again.
@@ -266,7 +266,7 @@
 	})
 }
 
-func TestASecondRolloutOverTheSameMachineIsRefused(t *testing.T) {
+func TestOverlappingRolloutIsRejected(t *testing.T) {
 	t.Parallel()
 	drainScenario(t, 2, drainOptions{room: 10, features: `drains { default_budget { replicas_down: 0 } }`, budget: map[string]teamBudget{"red": {0, 1}}},
 		func(t *testing.T, c *drainCluster) {
@@ -299,7 +299,7 @@
 		})
 }
 
-func TestAReplicaThatFailsAfterThePermitStopsTheNext(t *testing.T) {
+func TestReplicaFailureAfterPermitDelaysNextEviction(t *testing.T) {
 	t.Parallel()
 	// A neighbour fails by itself at the moment when a permit is stored, and the leader hears of that
 	// before it hears that the permit is: the stop waits until the neighbour is up again, since the
@@ -351,7 +351,7 @@
 	return spec
 }
 
-func TestMachinesAreReplacedInWaves(t *testing.T) {
+func TestRolloutReplacesMachinesInWaves(t *testing.T) {
 	t.Parallel()
 	for _, surge := range []bool{true, false} {
 		t.Run(fmt.Sprint("surge ", surge), func(t *testing.T) {
@@ -377,7 +377,7 @@
 	}
 }
 
-func TestABadReplacementHaltsTheRollout(t *testing.T) {
+func TestFailedReplacementMachineHaltsRollout(t *testing.T) {
 	t.Parallel()
 	for _, failure := range []struct {
 		name, why string
@@ -435,7 +435,7 @@
 	}
 }
 
-func TestAReplacementThatFailsItsWorkHaltsTheRollout(t *testing.T) {
+func TestReplacementMachineWithFailingTasksHaltsRollout(t *testing.T) {
 	t.Parallel()
 	// What was moved fits only on the replacement, and fails there again and again.
 	drainScenario(t, 1, drainOptions{room: 3}, func(t *testing.T, c *drainCluster) {
@@ -460,7 +460,7 @@
 	})
 }
 
-func TestAMovedReplicaKeepsItsPartOfTheLimit(t *testing.T) {
+func TestMovedReplicaKeepsItsQuota(t *testing.T) {
 	t.Parallel()
 	// The team is at its limit and lesser work waits: what a moved replica gives up for a moment
 	// must not go to that, or the replica would stay down and the rollout wait for ever.
@@ -476,7 +476,7 @@
 	})
 }
 
-func TestARolloutWaitsOutACloudThatHasNothing(t *testing.T) {
+func TestRolloutWaitsForCloudCapacity(t *testing.T) {
 	t.Parallel()
 	// With surge nothing is stopped while the cloud is down or has no machine: the wave halts at its
 	// deadline, and goes on when it is resumed. What was emptied before waits for its return.
@@ -525,7 +525,7 @@
 	}
 }
 
-func TestMachinesThatFailWhileTheyAreDrained(t *testing.T) {
+func TestRolloutCompletesDespiteFailuresDuringDrain(t *testing.T) {
 	t.Parallel()
 	for _, failure := range []struct {
 		name string
@@ -596,7 +596,7 @@
 	}
 }
 
-func TestLateReportsOfADrainedMachineChangeNothing(t *testing.T) {
+func TestDelayedHeartbeatsOfDrainedMachineChangeNothing(t *testing.T) {
 	t.Parallel()
 	drainScenario(t, 3, drainOptions{room: 40}, func(t *testing.T, c *drainCluster) {
 		c.service("job-1", 4)
@@ -610,7 +610,7 @@
 	})
 }
 
-func TestAJobCancelledInTheMiddleOfAWaveIsGoneInTime(t *testing.T) {
+func TestJobCancelledDuringDrainWaveStopsInTime(t *testing.T) {
 	t.Parallel()
 	drainScenario(t, 3, drainOptions{room: 40}, func(t *testing.T, c *drainCluster) {
 		c.service("job-1", 4)
@@ -626,7 +626,7 @@
 	})
 }
 
-func TestWhatCantBeMovedWaitsAndSaysWhy(t *testing.T) {
+func TestBlockedDrainWaitsAndReportsReason(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
 		name, features, why string
@@ -666,7 +666,7 @@
 	}
 }
 
-func TestAnAbortInEveryStateLeavesNoMachineCordoned(t *testing.T) {
+func TestAbortInAnyRolloutStateLeavesNoMachineCordoned(t *testing.T) {
 	t.Parallel()
 	for name, before := range map[string]func(c *drainCluster){
 		"just started": func(*drainCluster) {},
@@ -714,7 +714,7 @@
 	}
 }
 
-func TestLowWorkIsMovedAndAccountedFor(t *testing.T) {
+func TestDrainMovesPreemptibleWorkAndRecordsMoves(t *testing.T) {
 	t.Parallel()
 	// Low arrays are interrupted within the budget and go on elsewhere; work that saves is saved;
 	// normal work that can't save runs to its end, or is stopped after the deadline if the
@@ -744,7 +744,7 @@
 	})
 }
 
-func TestWorkThatCantSaveRunsToItsEndUnlessItsDeadlineIsOver(t *testing.T) {
+func TestTasksWithoutCheckpointFinishUnlessDrainDeadlinePasses(t *testing.T) {
 	t.Parallel()
 	for _, choice := range []rollout.AtDeadline{rollout.WaitAtDeadline, rollout.StopAtDeadline} {
 		t.Run(string(choice), func(t *testing.T) {
--- a/internal/scenarios/faults_test.go
+++ b/internal/scenarios/faults_test.go
@@ -30,7 +30,7 @@
 	return nil
 }
 
-func TestLateCopiesOfReportsChangeNothing(t *testing.T) {
+func TestDelayedHeartbeatCopiesChangeNothing(t *testing.T) {
 	t.Parallel()
 	// Guards against a copy, seconds or more than a lease old, that shows a task
 	// as running which has ended and was cleared, or lacks one that runs now.
@@ -78,7 +78,7 @@
 	}
 }
 
-func TestANewLeaderFirstHearsLateCopiesOfReports(t *testing.T) {
+func TestNewLeaderHearingDelayedHeartbeatsFirstKeepsTaskRunning(t *testing.T) {
 	t.Parallel()
 	// The copies show job-1 running and know nothing of job-2, which runs there
 	// now: the new leader hears them before anything else of that machine.
@@ -117,7 +117,7 @@
 	})
 }
 
-func TestProcessesBackWithinAFractionOfASecond(t *testing.T) {
+func TestControllersRestartedAtOnceKeepTasksRunning(t *testing.T) {
 	t.Parallel()
 	// The leader; the candidate in the middle of its takeover; all at once.
 	scenario(t, func(t *testing.T, w *testCluster) {
@@ -164,7 +164,7 @@
 	})
 }
 
-func TestAMachineBackAtOnceUnderItsName(t *testing.T) {
+func TestMachineBackUnderItsNameRunsLostTaskAgainOnce(t *testing.T) {
 	t.Parallel()
 	// It lost its tasks and counts from the beginning again: what ran there
 	// must run again, once.
@@ -186,7 +186,7 @@
 	})
 }
 
-func TestEveryAcceptedJobIsAnsweredForSoonAfterTroublesEnd(t *testing.T) {
+func TestAcceptedJobsAreKnownSoonAfterOutage(t *testing.T) {
 	t.Parallel()
 	// One unanswered for 75 s after that counts as forgotten, on any node.
 	scenario(t, func(t *testing.T, w *testCluster) {
--- a/internal/scenarios/gap_test.go
+++ b/internal/scenarios/gap_test.go
@@ -71,7 +71,7 @@
 	w.hold(after, job+" stays away", gone)
 }
 
-func TestWhatAnotherNodeCancelledEndsWithTheOldLeadersGrace(t *testing.T) {
+func TestTasksCancelledWhileLeaderIsIsolatedStopDespiteOutage(t *testing.T) {
 	t.Parallel()
 	// Guards against a leader that keeps cancelled tasks alive or starts them: it was
 	// refused alone when they were cancelled, then nobody was served for long.
@@ -109,7 +109,7 @@
 	}
 }
 
-func TestALeaderServedAgainReadsBeforeItRenewsLeases(t *testing.T) {
+func TestLeaderThatCannotReadRenewsNoWorkerLeases(t *testing.T) {
 	t.Parallel()
 	// Guards against a leader whose renewals succeed while it can't read what was
 	// cancelled: after an outage its hold has its full time, its reads may lag.
@@ -128,7 +128,7 @@
 	})
 }
 
-func TestALeaderThatTookOverRightBeforeTheOutageRenewsNothingUnread(t *testing.T) {
+func TestNewLeaderWithoutRecordsRenewsNoWorkerLeases(t *testing.T) {
 	t.Parallel()
 	// Guards against a successor without the records: it must neither answer beats
 	// nor start or stop anything until it has read them all.
@@ -154,7 +154,7 @@
 	})
 }
 
-func TestAStartThatMayArriveLateEndsWithItsWorkersSession(t *testing.T) {
+func TestDelayedStartOfCancelledTaskIsRejectedInNewWorkerIncarnation(t *testing.T) {
 	t.Parallel()
 	// Guards against a direct start held back while its job is cancelled and the token
 	// that would turn it away can't be raised: the session must not outlive cancel_s.
@@ -195,7 +195,7 @@
 	})
 }
 
-func TestNothingStartsOnceAnotherNodeMayHaveCancelledIt(t *testing.T) {
+func TestIsolatedLeaderStartsNothingAnotherNodeMayHaveCancelled(t *testing.T) {
 	t.Parallel()
 	// Guards against a start marked before the leader lost the state service and sent
 	// long after, by a beat's answer or directly, of a job that another node cancelled.
--- a/internal/scenarios/mixed_test.go
+++ b/internal/scenarios/mixed_test.go
@@ -10,7 +10,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/fake"
 )
 
-func TestTwoTroublesAtOnceWhileUsersSubmitAskAndCancel(t *testing.T) {
+func TestTwoConcurrentRandomFaultsBreakNoRule(t *testing.T) {
 	t.Parallel()
 	// Guards against rules that hold in each trouble alone: machines hang, are mute or
 	// deaf or have their reports copied, the state service refuses the leader, is slow or
--- a/internal/scenarios/overlapping_failures_test.go
+++ b/internal/scenarios/overlapping_failures_test.go
@@ -189,7 +189,7 @@
 	return s
 }
 
-func TestTheLeaderEndsWhileMachinesAreApart(t *testing.T) {
+func TestFailoverDuringMachinePartitionLosesNoWork(t *testing.T) {
 	t.Parallel()
 	// Guards against long tasks started anew while they go on where nobody asks or
 	// is heard, and against losing those that ended with their leases. A team is at
@@ -227,7 +227,7 @@
 	}
 }
 
-func TestOldReportsReachEveryControllerAsALeaderBegins(t *testing.T) {
+func TestStaleHeartbeatsDuringFailoverChangeNothing(t *testing.T) {
 	t.Parallel()
 	// Guards against a new leader that takes an old report, the first it hears of a
 	// machine, for what is there now: while the machine can't be asked, and while it
@@ -287,7 +287,7 @@
 	}
 }
 
-func TestTheLimitHoldsWhileCancelledWorkCantBeReached(t *testing.T) {
+func TestQuotaHoldsWhileCancelledTasksAreUnreachable(t *testing.T) {
 	t.Parallel()
 	// Guards against giving away the room of cancelled jobs before their tasks are
 	// gone: the team is at its limit, machines hang or can't be asked, and the
@@ -356,7 +356,7 @@
 	}
 }
 
-func TestNewMachinesGetWorkWhileWritesLagAndTheLeaderEnds(t *testing.T) {
+func TestFailoverWithUncertainWritesOnNewMachinesLosesNoWork(t *testing.T) {
 	t.Parallel()
 	// Guards against a successor that knows neither of machines which nobody has
 	// listed yet nor of what was claimed there by writes without an answer.
@@ -406,7 +406,7 @@
 	}
 }
 
-func TestTasksThatEndFarApartAcrossAChangeOfLeader(t *testing.T) {
+func TestTasksCompletingAcrossFailoversRunOnce(t *testing.T) {
 	t.Parallel()
 	// Guards against a job called done before its last task, and against done tasks
 	// run again: the leader ends before, while and after an end is stored, and old
@@ -446,7 +446,7 @@
 	}
 }
 
-func TestCommandsAndAnswersHeldUpForSeconds(t *testing.T) {
+func TestDelayedCommandsAndResponsesLoseNoWork(t *testing.T) {
 	t.Parallel()
 	// Guards against a start or stop, or only its answer, that takes effect or is
 	// known seconds later, or after cancel_s: the job is called off meanwhile, or the leader ends, and
@@ -502,7 +502,7 @@
 	}
 }
 
-func TestWorkBoundToOneZoneLosesMachines(t *testing.T) {
+func TestZoneBoundJobIsRescheduledWithinItsZone(t *testing.T) {
 	t.Parallel()
 	// Guards against tasks that go to another zone, where there is room, once their
 	// own has none or is dark; a new machine of the zone takes them.
@@ -549,7 +549,7 @@
 	}
 }
 
-func TestLeadersComeAndGo(t *testing.T) {
+func TestRepeatedFailoversLoseNoWork(t *testing.T) {
 	t.Parallel()
 	// Guards against what is lost or begun anew while leaders change ten times in
 	// two minutes, also inside an outage of the store, and while all are away.
@@ -609,7 +609,7 @@
 	}
 }
 
-func TestMoreWorkThanRoomOverSlowLinks(t *testing.T) {
+func TestUrgentJobsStartFirstOverSlowNetwork(t *testing.T) {
 	t.Parallel()
 	// Guards against work started twice, beyond the limit, or before urgent work
 	// that came later, while every call takes long; also if the leader ends.
@@ -669,7 +669,7 @@
 		}
 	}
 }
-func TestAnOldReportOfAGangsTaskReplacedWhereItEnded(t *testing.T) {
+func TestStaleHeartbeatOfReplacedGangTaskChangesNothing(t *testing.T) {
 	t.Parallel()
 	// Guards against a new leader that takes the end of an earlier start, under the
 	// same attempt on the same machine, for the end of the one that waits there now:
@@ -739,7 +739,7 @@
 	}
 }
 
-func TestUrgentWorkBeginsWhereItsTeamIsAtItsLimit(t *testing.T) {
+func TestUrgentJobStartsWhereTeamIsAtItsQuota(t *testing.T) {
 	t.Parallel()
 	// Guards against room of a team's limit, from which lesser work of its own made
 	// way, being given to lesser work again at once: the urgent job, and a gang as
@@ -784,7 +784,7 @@
 	}
 }
 
-func TestJobsAreCancelledWhileTheStoreIsSlowAndThenRefuses(t *testing.T) {
+func TestCancellationsHoldWhileStateServiceIsSlowOrUnavailable(t *testing.T) {
 	// Guards against cancels that win at one node and are unknown at another, or come
 	// too late, while every answer of the state service takes long; then it refuses the
 	// leader alone, and soon everybody for longer than cancel_s.
@@ -835,7 +835,7 @@
 	}
 }
 
-func TestJobsAreCancelledAsTheirLeaderGivesWay(t *testing.T) {
+func TestCancellationsHoldDuringLeadershipChange(t *testing.T) {
 	// Guards against cancelled tasks that stay or begin since the one leader does not
 	// learn of the cancel and the next one not yet of the tasks: the leader is cut from
 	// the state service and the other controller, and workers and users still reach it,
--- a/internal/scenarios/oversize_test.go
+++ b/internal/scenarios/oversize_test.go
@@ -65,7 +65,7 @@
 	return answers > 0
 }
 
-func TestACancellationIsStoredWhateverTheLimits(t *testing.T) {
+func TestCancellationIsStoredWhenRecordExceedsLimits(t *testing.T) {
 	// Guards against a user who can't cancel a job because its record was written under
 	// larger limits: the cancellation got 503 until enough of its tasks had ended. And
 	// against a cancellation stored apart from the record that a new leader, an end
@@ -136,7 +136,7 @@
 	}
 }
 
-func TestAJobWhoseFinishedTasksNoLongerFitRunsToItsEnd(t *testing.T) {
+func TestJobWhoseRecordExceedsLimitsRunsToCompletion(t *testing.T) {
 	// Guards against a record that can never be stored again: its machines are lost, so
 	// that no more tasks end, and which of them are done takes more than a value holds.
 	for name, lose := range map[string]func(w *testCluster){
--- a/internal/scenarios/partition_test.go
+++ b/internal/scenarios/partition_test.go
@@ -12,7 +12,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-func TestALeaderWithoutAnyNetworkIsReplacedOnceAndFollows(t *testing.T) {
+func TestIsolatedLeaderIsReplacedOnceAndFollows(t *testing.T) {
 	t.Parallel()
 	// By reset and by silence, for a minute and a half: what it still believes to own
 	// must not come back with it, nor may the pool go back and forth.
@@ -57,7 +57,7 @@
 	}
 }
 
-func TestASwarmOfSmallJobsStaysWithinTheLimits(t *testing.T) {
+func TestManySmallJobsStayWithinStateServiceLimits(t *testing.T) {
 	t.Parallel()
 	// Guards against a guest's hundreds of one-task jobs within a minute: each costs a
 	// creation, a claim and an end, and all together must stay below the changes that
--- a/internal/scenarios/pipeline_answers_test.go
+++ b/internal/scenarios/pipeline_answers_test.go
@@ -31,7 +31,7 @@
 	return needed
 }
 
-func TestAJobThatAwaitsManyFitsASmallValueAllItsLife(t *testing.T) {
+func TestJobWithManyDependenciesFitsSmallValueLimit(t *testing.T) {
 	t.Parallel()
 	// Guards against refusing a job that can run because the names of what it awaits do not
 	// fit beside its description, and against one that is stored but can then neither be
@@ -101,7 +101,7 @@
 	}
 }
 
-func TestAllNodesTellOfACancellationFromWhenItIsTold(t *testing.T) {
+func TestAllNodesReportConfirmedCancellation(t *testing.T) {
 	t.Parallel()
 	// Guards against a node that calls a job pending after the user was told, at another
 	// one, that what it awaits is cancelled: jobs far down, and such as are submitted at
--- a/internal/scenarios/pipeline_handover_test.go
+++ b/internal/scenarios/pipeline_handover_test.go
@@ -43,7 +43,7 @@
 	time.Sleep(10 * time.Second)
 }
 
-func TestInAChainOfAHundredWhatFollowsACancelledJobEndsAndNothingElse(t *testing.T) {
+func TestCancellationInLongChainReachesOnlyDependents(t *testing.T) {
 	t.Parallel()
 	// Guards against a cancellation that stops part of the way down, or goes up.
 	scenario(t, func(t *testing.T, w *testCluster) {
@@ -67,7 +67,7 @@
 	})
 }
 
-func TestTheNextLeaderStoresTheEndsThatTheLastDidNot(t *testing.T) {
+func TestNewLeaderStoresOutcomesOfCancelledDependents(t *testing.T) {
 	t.Parallel()
 	// Guards against jobs cancelled by definition whose records are forgotten, or start,
 	// when the leader that was to store their ends is gone.
@@ -101,7 +101,7 @@
 	})
 }
 
-func TestAJobBecomesReadyWhileTheLeaderChanges(t *testing.T) {
+func TestJobThatBecomesReadyDuringFailoverRuns(t *testing.T) {
 	t.Parallel()
 	// Guards against a job that waits for ever since the leader that stored the last end
 	// that it awaited was gone before it moved the job; and against one moved twice.
@@ -159,7 +159,7 @@
 	}
 }
 
-func TestALateMoveDoesNotBringACancelledJobBack(t *testing.T) {
+func TestDelayedTransactionDoesNotReviveCancelledJob(t *testing.T) {
 	t.Parallel()
 	// Guards against a move of an older leader, or of the same one, that is carried out
 	// after the job's user cancelled it while it waited.
@@ -208,7 +208,7 @@
 	}
 }
 
-func TestATakeoverWithTenThousandThatWaitTakesFewCalls(t *testing.T) {
+func TestFailoverWithTenThousandWaitingJobsTakesFewCalls(t *testing.T) {
 	t.Parallel()
 	// Guards against a call for each record that waits.
 	scenario(t, func(t *testing.T, w *testCluster) {
--- a/internal/scenarios/pipeline_test.go
+++ b/internal/scenarios/pipeline_test.go
@@ -33,7 +33,7 @@
 	return w.status("a", id) == status && w.status("b", id) == status
 }
 
-func TestADiamondRunsInItsOrderAcrossTakeovers(t *testing.T) {
+func TestDiamondOfDependenciesRunsInOrderAcrossFailovers(t *testing.T) {
 	// Guards against a start before the ends of all needed jobs are stored, and against
 	// an end that is lost to those that await it: the leader ends, or loses the state
 	// service alone, right as a stage does.
@@ -102,7 +102,7 @@
 	}
 }
 
-func TestACancellationGoesDownAPipeline(t *testing.T) {
+func TestCancellationPropagatesToDependents(t *testing.T) {
 	// Guards against a job that waits for ever, or starts, after one that it needs was
 	// cancelled, wherever in its life that was; and against nodes that disagree.
 	for name, cancel := range map[string]func(w *testCluster) string{
@@ -215,7 +215,7 @@
 	return ""
 }
 
-func TestAnEndThatOnlyTheLeaderKnowsStartsNothing(t *testing.T) {
+func TestOutcomeNotYetStoredStartsNoDependent(t *testing.T) {
 	// Guards against a next stage that starts on an outcome not stored yet: another node
 	// may confirm a cancellation first, or the leader may end.
 	scenario(t, func(t *testing.T, w *testCluster) {
@@ -243,7 +243,7 @@
 	})
 }
 
-func TestACancelledJobInTheMiddleLeavesTheOthersAlone(t *testing.T) {
+func TestCancelledJobLeavesIndependentBranchRunning(t *testing.T) {
 	scenario(t, func(t *testing.T, w *testCluster) {
 		w.start("a")
 		w.start("b")
@@ -266,7 +266,7 @@
 	})
 }
 
-func TestNamesThatWereNeverAcceptedAreRefused(t *testing.T) {
+func TestUnknownDependenciesAreRejected(t *testing.T) {
 	scenario(t, func(t *testing.T, w *testCluster) {
 		w.start("a")
 		w.start("b")
@@ -304,7 +304,7 @@
 	})
 }
 
-func TestAJobThatWaitsHoldsNothing(t *testing.T) {
+func TestJobWaitingForDependenciesUsesNoQuota(t *testing.T) {
 	// Guards against waiting jobs that take part of their team's limit, or start when
 	// there is room for them, and against reasons that do not name what they wait for.
 	scenario(t, func(t *testing.T, w *testCluster) {
--- a/internal/scenarios/rules_test.go
+++ b/internal/scenarios/rules_test.go
@@ -429,7 +429,7 @@
 	lookAfter   bool
 }
 
-func TestEachRuleCanBeBroken(t *testing.T) {
+func TestCheckerDetectsEachViolation(t *testing.T) {
 	t.Parallel()
 	// Guards against a checker that sees nothing: every rule is broken once, by as
 	// little as it takes, and the same without that is clean.
--- a/internal/scenarios/scenarios_test.go
+++ b/internal/scenarios/scenarios_test.go
@@ -11,7 +11,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-func TestAnArrayRunsToItsEndAndStaysDone(t *testing.T) {
+func TestArrayRunsToCompletionAndStaysDone(t *testing.T) {
 	t.Parallel()
 	scenario(t, func(t *testing.T, w *testCluster) {
 		w.start("a")
@@ -37,7 +37,7 @@
 	})
 }
 
-func TestTwoLeadersAtOnceAreHarmlessAndALateTransactionIsVoid(t *testing.T) {
+func TestConcurrentLeadersStartTaskOnceAndDelayedTransactionIsVoid(t *testing.T) {
 	t.Parallel()
 	scenario(t, func(t *testing.T, w *testCluster) {
 		a := w.start("a")
@@ -74,7 +74,7 @@
 	})
 }
 
-func TestAStartThatArrivesMinutesLateIsTurnedAway(t *testing.T) {
+func TestStartDelayedByMinutesIsRejected(t *testing.T) {
 	t.Parallel()
 	scenario(t, func(t *testing.T, w *testCluster) {
 		w.start("a")
@@ -104,7 +104,7 @@
 	})
 }
 
-func TestAWorkerSilentDuringATakeoverIsGivenItsTime(t *testing.T) {
+func TestTaskOfWorkerPartitionedDuringFailoverIsRescheduledAfterLeaseExpiry(t *testing.T) {
 	t.Parallel()
 	scenario(t, func(t *testing.T, w *testCluster) {
 		a := w.start("a")
@@ -136,7 +136,7 @@
 	})
 }
 
-func TestAConfirmedStopShortensTheWait(t *testing.T) {
+func TestFormerLeadersConfirmationShortensLeaseWait(t *testing.T) {
 	t.Parallel()
 	scenario(t, func(t *testing.T, w *testCluster) {
 		a := w.start("a")
@@ -158,7 +158,7 @@
 	})
 }
 
-func TestAnOutageLongerThanTheHoldWithAllControllersCrashedInIt(t *testing.T) {
+func TestCrashOfAllControllersDuringLongOutageLosesNoWork(t *testing.T) {
 	t.Parallel()
 	scenario(t, func(t *testing.T, w *testCluster) {
 		a, b := w.start("a"), w.start("b")
@@ -188,7 +188,7 @@
 	})
 }
 
-func TestAGangThatLosesATaskWhileWaitingIsCompleted(t *testing.T) {
+func TestWaitingGangReplacesLostTaskUnderSameAttempt(t *testing.T) {
 	t.Parallel()
 	scenario(t, func(t *testing.T, w *testCluster) {
 		w.start("a")
@@ -214,7 +214,7 @@
 	})
 }
 
-func TestAGangThatLosesATaskWhileRunningBeginsAgainAsAWhole(t *testing.T) {
+func TestRunningGangThatLosesTaskRestartsAsWhole(t *testing.T) {
 	t.Parallel()
 	for _, status := range []string{"running", "flushing"} {
 		scenario(t, func(t *testing.T, w *testCluster) {
@@ -246,7 +246,7 @@
 	}
 }
 
-func TestACancelRacingAStartLeavesNothingBehind(t *testing.T) {
+func TestCancellationRacingStartLeavesNoTask(t *testing.T) {
 	t.Parallel()
 	scenario(t, func(t *testing.T, w *testCluster) {
 		w.start("a")
@@ -273,7 +273,7 @@
 	})
 }
 
-func TestUncertainTasksCountAgainstTheLimit(t *testing.T) {
+func TestUncertainTasksCountAgainstQuota(t *testing.T) {
 	t.Parallel()
 	scenario(t, func(t *testing.T, w *testCluster) {
 		w.start("a")
@@ -296,7 +296,7 @@
 	})
 }
 
-func TestALostAnswerToACommitIsReadBack(t *testing.T) {
+func TestCommitWithLostResponseIsReadBack(t *testing.T) {
 	t.Parallel()
 	scenario(t, func(t *testing.T, w *testCluster) {
 		w.start("a")
@@ -320,7 +320,7 @@
 	})
 }
 
-func TestARestartedLeaderEndsItsDeadPredecessorsHold(t *testing.T) {
+func TestRestartedLeaderReleasesItsFormerLease(t *testing.T) {
 	t.Parallel()
 	scenario(t, func(t *testing.T, w *testCluster) {
 		a := w.start("a")
@@ -339,7 +339,7 @@
 	})
 }
 
-func TestSpreadIsKeptWithUncertainReplicas(t *testing.T) {
+func TestSpreadReplicaWaitsForMachineInOtherZone(t *testing.T) {
 	t.Parallel()
 	scenario(t, func(t *testing.T, w *testCluster) {
 		w.start("a")
@@ -355,7 +355,7 @@
 	})
 }
 
-func TestNothingIsStoppedThatAnOutageWouldKeepFromStarting(t *testing.T) {
+func TestConsolidationStopsNothingDuringOutage(t *testing.T) {
 	t.Parallel()
 	scenario(t, func(t *testing.T, w *testCluster) {
 		w.start("a")
@@ -394,7 +394,7 @@
 	return len(hs)
 }
 
-func TestANewLeaderAsksMachinesBeforeTheirWorkersFindIt(t *testing.T) {
+func TestNewLeaderProbesMachinesBeforeTheirHeartbeats(t *testing.T) {
 	t.Parallel()
 	scenario(t, func(t *testing.T, w *testCluster) {
 		a := w.start("a")
@@ -415,7 +415,7 @@
 	})
 }
 
-func TestALeaderCutOffFromTheWorkersReturnsNoneAndGivesWay(t *testing.T) {
+func TestLeaderPartitionedFromWorkersStepsDownWithoutScaleIn(t *testing.T) {
 	t.Parallel()
 	scenario(t, func(t *testing.T, w *testCluster) {
 		a := w.start("a")
--- a/internal/scenarios/shards_test.go
+++ b/internal/scenarios/shards_test.go
@@ -190,7 +190,7 @@
 	}
 }
 
-func TestLimitsHoldOverThreeLeadersThatFail(t *testing.T) {
+func TestQuotaHoldsAcrossFailingShardLeaders(t *testing.T) {
 	t.Parallel()
 	// Five controllers lead three shards; each has room for twice its team's limit. Jobs come
 	// at all nodes at the same moment, some are cancelled; leaders die, are refused by the
@@ -270,7 +270,7 @@
 	}
 }
 
-func TestJobsAwaitJobsOfOtherShards(t *testing.T) {
+func TestJobsDependOnJobsOfOtherShards(t *testing.T) {
 	t.Parallel()
 	// Each job awaits the one before it, wherever that is; then one in the middle of a second
 	// chain is cancelled, and what follows it ends with it.
@@ -311,7 +311,7 @@
 	})
 }
 
-func TestAMachineThatNobodyHiredBelongsToOneShardAndNoSooner(t *testing.T) {
+func TestUnknownMachineBelongsToOneShardOnlyAfterProvisioning(t *testing.T) {
 	t.Parallel()
 	// Guards against a machine that two leaders command: one whose hire is not answered yet,
 	// and that reports already, belongs to whom the answer will name.
@@ -345,7 +345,7 @@
 	})
 }
 
-func TestLeadersSpreadAndAShardIsGivenBack(t *testing.T) {
+func TestShardLeadershipSpreadsAndIsReturned(t *testing.T) {
 	t.Parallel()
 	shardScenario(t, 1, func(t *testing.T, c *shardCluster) {
 		spread := func() bool {
@@ -364,7 +364,7 @@
 	})
 }
 
-func TestAStoreOfAnotherLayoutIsRefused(t *testing.T) {
+func TestStoreWithDifferentShardLayoutIsRejected(t *testing.T) {
 	t.Parallel()
 	shardScenario(t, 1, func(t *testing.T, c *shardCluster) {
 		time.Sleep(5 * time.Second)
--- a/internal/scenarios/users_test.go
+++ b/internal/scenarios/users_test.go
@@ -94,7 +94,7 @@
 	}
 }
 
-func TestUsersAskAtAllNodesWithinMilliseconds(t *testing.T) {
+func TestNodesAnswerConsistentlyWithinMilliseconds(t *testing.T) {
 	t.Parallel()
 	// Guards against a node that answers something older, or with 404, than another
 	// one told just before: after an acceptance, an end and a confirmed cancel.
@@ -147,7 +147,7 @@
 	}
 }
 
-func TestACancelAQuestionOrARepeatMeetsTheEndOfTheLastTask(t *testing.T) {
+func TestRequestsRacingTaskCompletionGetConsistentAnswers(t *testing.T) {
 	t.Parallel()
 	// Guards against two winners: whatever is told first, every node tells from then on.
 	for seed := range uint64(4) {
@@ -242,7 +242,7 @@
 	return "cancel"
 }
 
-func TestTransactionsWhoseAnswersAreLostOrThatAreCarriedOutLate(t *testing.T) {
+func TestLostResponsesAndDelayedTransactionsAreReconciled(t *testing.T) {
 	t.Parallel()
 	// Guards against counting a transaction without an answer as one that was not
 	// carried out, or will not be: half of one kind, or of all, get none. They are
@@ -388,7 +388,7 @@
 	}
 }
 
-func TestJobsThatLackAFieldOrFitNothingAreRefusedByEveryNode(t *testing.T) {
+func TestInvalidOrUnschedulableJobsAreRejectedByEveryNode(t *testing.T) {
 	t.Parallel()
 	// Guards against accepting what can't run, and against refusing the repeat of what
 	// was accepted; also right after both controllers came back.
@@ -452,7 +452,7 @@
 	})
 }
 
-func TestJobsOfOneTaskFourASecondForTwoMinutes(t *testing.T) {
+func TestSteadyStreamOfSmallJobsCompletesAcrossFailover(t *testing.T) {
 	t.Parallel()
 	// Guards against jobs that starve or stay without an answer under a steady rate of
 	// small ones, a quarter of them cancelled, with a change of leader in the middle.
