--- a/internal/scenarios/disruption_rule_test.go
+++ b/internal/scenarios/disruption_rule_test.go
@@ -13,61 +13,61 @@
 // its budget. In its scenarios nothing but drains, cancellations and spot notices stops tasks, so
 // every other stop is a drain's doing.
 type disruptionRule struct {
-	say    func(rule, what string)
-	rules  *rules
-	budget map[string]teamBudget
+	report  func(rule, what string)
+	rules   *rules
+	budgets map[string]teamBudget
 
-	// stored tells whether the eviction of a task's attempt is in the store.
-	stored func(task string, attempt uint64) bool
-	// knownWithin is how long after a failure the leader may not know of it.
-	knownWithin time.Duration
+	// evictionStored tells whether the eviction of a task's attempt is in the store.
+	evictionStored func(task string, attempt uint64) bool
+	// detectionDelay is how long after a failure the leader may not know of it.
+	detectionDelay time.Duration
 
 	mu    sync.Mutex
-	tasks map[string]*watchedTask
-	// stops counts the drains' stops, by task.
-	stops map[string]int
+	tasks map[string]*observedTask
+	// evictions counts the drains' stops, by task.
+	evictions map[string]int
 	// reclaimed are machines with a spot notice: what is stopped there is the cloud's doing.
 	reclaimed map[string]bool
-	// over are gangs of which a task is done.
-	over map[string]bool
+	// completedGangs are gangs of which a task is done.
+	completedGangs map[string]bool
 }
 
 // teamBudget is what the rule allows a team to have down at a time.
 type teamBudget struct{ replicas, interrupted int }
 
-// watchedTask is where a task stands, as its workers saw it.
-type watchedTask struct {
-	began   bool
+// observedTask is where a task stands, as its workers saw it.
+type observedTask struct {
+	started bool
 	up      bool
 	downAt  time.Time
 	drained bool // it was last stopped by a drain
 }
 
-// defaultKnownWithin is two and a half report intervals, until silence counts, and the time of a
+// defaultDetectionDelay is two and a half report intervals, until silence counts, and the time of a
 // permit that was stored just before.
-const defaultKnownWithin = 12 * time.Second
+const defaultDetectionDelay = 12 * time.Second
 
 func newDisruptionRule(r *rules, say func(rule, what string), budget map[string]teamBudget) *disruptionRule {
-	return &disruptionRule{say: say, rules: r, budget: budget, tasks: map[string]*watchedTask{}, stops: map[string]int{}, knownWithin: defaultKnownWithin,
-		reclaimed: map[string]bool{}, over: map[string]bool{}}
+	return &disruptionRule{report: say, rules: r, budgets: budget, tasks: map[string]*observedTask{}, evictions: map[string]int{}, detectionDelay: defaultDetectionDelay,
+		reclaimed: map[string]bool{}, completedGangs: map[string]bool{}}
 }
 
 // Event takes what a worker did to a task.
 func (d *disruptionRule) Event(e fake.Event) {
-	d.rules.Event(e)
+	d.rules.TaskEvent(e)
 	job, _, _ := strings.Cut(e.Task, "/")
 	d.rules.mu.Lock()
-	wanted, cancelled := d.rules.job(job).wants, !d.rules.job(job).asked.never()
+	wanted, cancelled := d.rules.job(job).jobDescription, !d.rules.job(job).cancelRequested.isZero()
 	d.rules.mu.Unlock()
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	task := d.tasks[e.Task]
 	if task == nil {
-		task = &watchedTask{}
+		task = &observedTask{}
 		d.tasks[e.Task] = task
 	}
 	if e.Start {
-		task.began, task.up, task.drained = true, true, false
+		task.started, task.up, task.drained = true, true, false
 		return
 	}
 	if e.Cause == "busy" {
@@ -75,17 +75,17 @@
 	}
 	task.up, task.downAt = false, e.At
 	if e.Cause == "done" && wanted.Shape == "gang" {
-		d.over[job] = true // it is done as a whole, and the others are stopped for that
+		d.completedGangs[job] = true // it is done as a whole, and the others are stopped for that
 	}
-	task.drained = e.Cause == "stopped" && !cancelled && !d.reclaimed[e.Worker.Name] && !d.over[job]
+	task.drained = e.Cause == "stopped" && !cancelled && !d.reclaimed[e.Worker.Name] && !d.completedGangs[job]
 	if e.Cause == "done" || cancelled {
 		delete(d.tasks, e.Task)
 	}
 	if task.drained {
-		if !d.stored(e.Task, e.Attempt) {
-			d.say("disruption", fmt.Sprintf("%s (attempt %d) is stopped, and no permit for that is stored", e.Task, e.Attempt))
+		if !d.evictionStored(e.Task, e.Attempt) {
+			d.report("disruption", fmt.Sprintf("%s (attempt %d) is stopped, and no permit for that is stored", e.Task, e.Attempt))
 		}
-		d.stops[e.Task]++
+		d.evictions[e.Task]++
 		d.check(e, wanted.Team)
 	}
 }
@@ -96,9 +96,9 @@
 	for name, task := range d.tasks {
 		job, _, _ := strings.Cut(name, "/")
 		d.rules.mu.Lock()
-		wanted := d.rules.job(job).wants
+		wanted := d.rules.job(job).jobDescription
 		d.rules.mu.Unlock()
-		if wanted.Team != team || !task.began || task.up {
+		if wanted.Team != team || !task.started || task.up {
 			continue
 		}
 		if wanted.Shape != "standing" {
@@ -110,33 +110,33 @@
 		if task.drained {
 			byDrains++
 		}
-		if task.drained || e.At.Sub(task.downAt) > d.knownWithin {
+		if task.drained || e.At.Sub(task.downAt) > d.detectionDelay {
 			known++
 		}
 	}
-	allowed := d.budget[team]
+	allowed := d.budgets[team]
 	if byDrains > allowed.replicas || known > allowed.replicas {
-		d.say("disruption", fmt.Sprintf("the stop of %s on %s makes %d replicas of %s down, %d of them by drains, of at most %d",
+		d.report("disruption", fmt.Sprintf("the stop of %s on %s makes %d replicas of %s down, %d of them by drains, of at most %d",
 			e.Task, e.Worker.Name, known, team, byDrains, allowed.replicas))
 	}
 	if interrupted > allowed.interrupted {
-		d.say("disruption", fmt.Sprintf("the stop of %s on %s makes %d tasks of %s interrupted, of at most %d",
+		d.report("disruption", fmt.Sprintf("the stop of %s on %s makes %d tasks of %s interrupted, of at most %d",
 			e.Task, e.Worker.Name, interrupted, team, allowed.interrupted))
 	}
 }
 
-// reclaim notes a machine that the cloud takes back.
-func (d *disruptionRule) reclaim(machine string) {
+// noteSpotReclaim notes a machine that the cloud takes back.
+func (d *disruptionRule) noteSpotReclaim(machine string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.reclaimed[machine] = true
 }
 
-// stopped counts the drains' stops of a job's tasks.
-func (d *disruptionRule) stopped(job string) (n int) {
+// evictionsOf counts the drains' stops of a job's tasks.
+func (d *disruptionRule) evictionsOf(job string) (n int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for task, stops := range d.stops {
+	for task, stops := range d.evictions {
 		if strings.HasPrefix(task, job+"/") {
 			n += stops
 		}
--- a/internal/scenarios/drain_cluster_test.go
+++ b/internal/scenarios/drain_cluster_test.go
@@ -33,43 +33,43 @@
 
 // drainNode is a controller in a cluster with drains.
 type drainNode struct {
-	cluster *drainCluster
-	name    string
-	pool    *election.Elector
-	drains  *rollout.Service
-	cancel  context.CancelFunc
+	cluster  *drainCluster
+	name     string
+	elector  *election.Elector
+	rollouts *rollout.Service
+	cancel   context.CancelFunc
 }
 
 // drainCluster is five controllers, a cloud that rents and returns machines, and their workers.
 type drainCluster struct {
 	*testCluster
-	cloud    *fake.Cloud
-	rule     *disruptionRule
-	features string
-	// boots tells how long a machine takes to come up; negative: it never does.
-	boots func(name string) time.Duration
+	cloud      *fake.Cloud
+	disruption *disruptionRule
+	features   string
+	// bootTime tells how long a machine takes to come up; negative: it never does.
+	bootTime func(name string) time.Duration
 
-	hookMu   sync.Mutex
-	onEvent  func(e fake.Event)
-	up       map[string]*drainNode
-	machines map[string]context.CancelFunc // that run
-	known    map[string]bool               // machines of the cloud seen so far
+	listenerMu   sync.Mutex
+	listener     func(e fake.Event)
+	nodes        map[string]*drainNode
+	stopMachine  map[string]context.CancelFunc // that run
+	seenMachines map[string]bool               // machines of the cloud seen so far
 }
 
 // drainOptions vary a scenario.
 type drainOptions struct {
 	features string                // drainFeatures if empty
 	budget   map[string]teamBudget // what the rule allows; that of drainFeatures if nil
-	room     int                   // machines that the cloud has
+	capacity int                   // machines that the cloud has
 	teams    []config.Team         // beside red
 }
 
 // drainScenario runs f in a cluster with as many machines in each of the two zones as named.
 func drainScenario(t *testing.T, machines int, options drainOptions, f func(t *testing.T, c *drainCluster)) {
 	scenario(t, func(t *testing.T, w *testCluster) {
-		c := &drainCluster{testCluster: w, cloud: fake.NewCloud(options.room), features: options.features,
-			boots: func(string) time.Duration { return 2 * time.Second },
-			up:    map[string]*drainNode{}, machines: map[string]context.CancelFunc{}, known: map[string]bool{}}
+		c := &drainCluster{testCluster: w, cloud: fake.NewCloud(options.capacity), features: options.features,
+			bootTime: func(string) time.Duration { return 2 * time.Second },
+			nodes:    map[string]*drainNode{}, stopMachine: map[string]context.CancelFunc{}, seenMachines: map[string]bool{}}
 		if c.features == "" {
 			c.features = drainFeatures
 		}
@@ -78,21 +78,21 @@
 			budget = map[string]teamBudget{"red": {1, 2}}
 		}
 		w.teams = options.teams
-		w.rules.set = w.settings("a")
-		c.rule = newDisruptionRule(w.rules, func(rule, what string) { t.Errorf("rule broken: %s: %s", rule, what) }, budget)
-		c.rule.stored = c.evictionStored
-		w.net.Listen("cloud:1", c.cloud)
+		w.rules.settings = w.nodeSettings("a")
+		c.disruption = newDisruptionRule(w.rules, func(rule, what string) { t.Errorf("rule broken: %s: %s", rule, what) }, budget)
+		c.disruption.evictionStored = c.evictionStored
+		w.network.Listen("cloud:1", c.cloud)
 		for _, zone := range []string{"north", "south"} {
-			c.rent("first-"+zone, zone, machines)
+			c.provision("first-"+zone, zone, machines)
 		}
-		c.cloud.NotifyDeletions(c.endMachine)
+		c.cloud.NotifyDeletions(c.terminateMachine)
 		go c.runMachines()
 		for _, name := range drainNodes {
 			c.startNode(name)
 		}
-		c.until(30*time.Second, "a leader hears of all machines", func() bool {
+		c.eventually(30*time.Second, "a leader hears of all machines", func() bool {
 			leader := c.leader()
-			return leader != nil && leader.pool.Cluster().Summary()["heard"] == 2*machines
+			return leader != nil && leader.elector.Cluster().Summary()["heard"] == 2*machines
 		})
 		f(t, c)
 	})
@@ -113,10 +113,10 @@
 	return is && evicted == ids.Attempt(attempt)
 }
 
-// rent has the cloud rent machines past the controllers.
-func (c *drainCluster) rent(hire, zone string, count int) {
+// provision has the cloud rent machines past the controllers.
+func (c *drainCluster) provision(hire, zone string, count int) {
 	body := fmt.Sprintf(`{"hire":%q,"build":"small","yard":%q,"loaners":false,"count":%d}`, hire, zone, count)
-	res, err := c.net.Client("test").Post("http://cloud:1/hosts", "application/json", strings.NewReader(body))
+	res, err := c.network.Client("test").Post("http://cloud:1/hosts", "application/json", strings.NewReader(body))
 	if err != nil || res.StatusCode != 200 {
 		c.t.Fatal(res, err)
 	}
@@ -126,14 +126,14 @@
 func (c *drainCluster) runMachines() {
 	for c.ctx.Err() == nil {
 		for _, host := range c.cloud.Machines() {
-			if c.known[host.Name] {
+			if c.seenMachines[host.Name] {
 				continue
 			}
-			c.known[host.Name] = true
-			if boot := c.boots(host.Name); boot >= 0 {
+			c.seenMachines[host.Name] = true
+			if boot := c.bootTime(host.Name); boot >= 0 {
 				go func() {
 					c.rest(boot)
-					c.boot(host.Name, host.Zone)
+					c.startMachine(host.Name, host.Zone)
 				}()
 			}
 		}
@@ -152,13 +152,13 @@
 	}
 }
 
-// boot starts a machine's worker.
-func (c *drainCluster) boot(name, zone string) {
-	k := &fake.Worker{Name: name, Address: name + ":9000", Type: "small", Zone: zone, Network: c.net, ControllerNames: drainNodes,
+// startMachine starts a machine's worker.
+func (c *drainCluster) startMachine(name, zone string) {
+	k := &fake.Worker{Name: name, Address: name + ":9000", Type: "small", Zone: zone, Network: c.network, ControllerNames: drainNodes,
 		HeartbeatInterval: 2 * time.Second, LeaseDuration: 20 * time.Second}
 	k.NotifyEvents(func(e fake.Event) {
-		c.rule.Event(e)
-		c.hook(e)
+		c.disruption.Event(e)
+		c.notifyListener(e)
 	})
 	for _, node := range drainNodes {
 		k.Controllers = append(k.Controllers, node+":8080")
@@ -172,36 +172,36 @@
 		return
 	}
 	c.workers = append(c.workers, k)
-	c.machines[name] = cancel
+	c.stopMachine[name] = cancel
 	go k.Run(ctx)
 }
 
-// hook passes an event on to the scenario's own listener.
-func (c *drainCluster) hook(e fake.Event) {
-	c.hookMu.Lock()
-	defer c.hookMu.Unlock()
-	if c.onEvent != nil {
-		c.onEvent(e)
+// notifyListener passes an event on to the scenario's own listener.
+func (c *drainCluster) notifyListener(e fake.Event) {
+	c.listenerMu.Lock()
+	defer c.listenerMu.Unlock()
+	if c.listener != nil {
+		c.listener(e)
 	}
 }
 
-// endMachine takes a machine away with everything on it.
-func (c *drainCluster) endMachine(name string) {
+// terminateMachine takes a machine away with everything on it.
+func (c *drainCluster) terminateMachine(name string) {
 	c.mu.Lock()
-	cancel := c.machines[name]
-	delete(c.machines, name)
+	cancel := c.stopMachine[name]
+	delete(c.stopMachine, name)
 	c.mu.Unlock()
 	if cancel == nil {
 		return
 	}
 	cancel()
-	c.net.Listen(name+":9000", nil)
-	c.worn(name).Terminate()
+	c.network.Listen(name+":9000", nil)
+	c.workerNamed(name).Terminate()
 }
 
 // drainSettings are a node's settings.
 func (c *drainCluster) drainSettings(name string) *config.Settings {
-	settings := c.settings("a")
+	settings := c.nodeSettings("a")
 	settings.HostName, settings.Peers = ids.Node(name), nil
 	for _, other := range drainNodes {
 		if other != name {
@@ -216,50 +216,50 @@
 
 func (c *drainCluster) startNode(name string) *drainNode {
 	settings := c.drainSettings(name)
-	c.lives++
-	writer := fmt.Sprintf("%s.%d", name, c.lives)
+	c.processes++
+	writer := fmt.Sprintf("%s.%d", name, c.processes)
 	ctx, cancel := context.WithCancel(c.ctx)
-	store := state.NewClient("state:1", c.net.Client(name), state.NewBudget(800, 400, 5, 0.6))
+	store := state.NewClient("state:1", c.network.Client(name), state.NewBudget(800, 400, 5, 0.6))
 	n := &drainNode{cluster: c, name: name, cancel: cancel}
 	copied := state.NewWatchCache(store, rollout.Prefix, 200*time.Millisecond)
 	limits := rollout.Limits{ValueBytes: int(settings.Params.State.ValueKB * 1024), TxnOps: settings.Params.State.TxnOps}
-	n.pool = election.NewElector(settings, store, &worker.Commander{HTTP: c.net.Client(name), Timeout: 3 * time.Second}, writer)
-	n.pool.Peers = n
-	n.pool.OnTerm = func(ctx context.Context, term *election.Term) {
-		term.Cluster.SetMachineTypes(types())
+	n.elector = election.NewElector(settings, store, &worker.Commander{HTTP: c.network.Client(name), Timeout: 3 * time.Second}, writer)
+	n.elector.Peers = n
+	n.elector.OnTerm = func(ctx context.Context, term *election.Term) {
+		term.Cluster.SetMachineTypes(instanceTypes())
 		runner := &rollout.Runner{Mirror: copied, Store: term.Committer, Fleet: term.Cluster, Writer: writer, Limits: limits}
 		go runner.Run(ctx)
-		p := &fleet.Provisioner{Cloud: fleet.NewCloud("cloud:1", c.net.Client(name), 20), Cluster: term.Cluster, Store: term.Committer, Generation: term.Generation,
-			Keys: record.KeysOf(0, 1), ConfirmLeadership: func() bool { return n.pool.LeaseSurelyHeld(term) }, ListInterval: 2 * time.Second}
-		p.Adopt(term.OpenProvisioningRequests)
+		p := &fleet.Provisioner{Cloud: fleet.NewCloud("cloud:1", c.network.Client(name), 20), Cluster: term.Cluster, Store: term.Committer, Generation: term.Generation,
+			Keys: record.KeysOf(0, 1), ConfirmLeadership: func() bool { return n.elector.LeaseSurelyHeld(term) }, ListInterval: 2 * time.Second}
+		p.Adopt(term.OpenHires)
 		p.Run(ctx)
 	}
-	n.drains = &rollout.Service{Mirror: copied, Client: store, Leader: n, Writer: writer, Limits: limits,
+	n.rollouts = &rollout.Service{Mirror: copied, Client: store, Leader: n, Writer: writer, Limits: limits,
 		Installation: func() rollout.Installation {
 			return rollout.Installation{Zones: settings.Params.Zones, Types: []string{"small"}, Shards: settings.ShardCount()}
 		}}
-	jobs := &intake.JobService{Settings: settings, Store: store, Records: n.pool.Jobs(), LeaderNotifier: n, Writer: writer, MachineTypes: types}
-	c.net.Listen(name+":8080", (&intake.Server{Jobs: jobs, Heartbeats: n.pool, Ready: func() bool { return true },
+	jobs := &intake.JobService{Settings: settings, Store: store, Records: n.elector.Jobs(), LeaderNotifier: n, Writer: writer, MachineTypes: instanceTypes}
+	c.network.Listen(name+":8080", (&intake.Server{Jobs: jobs, Heartbeats: n.elector, Ready: func() bool { return true },
 		ExplainByLeader: func(context.Context, ids.Job) ([]string, ids.Node, error) { return nil, "", nil },
 		NodeStatus:      func() any { return nil }}).Handler())
 	c.mu.Lock()
-	c.up[name] = n
+	c.nodes[name] = n
 	c.mu.Unlock()
 	go store.ProbeHealth(ctx, record.KeysOf(0, 1).Generation())
 	go copied.Run(ctx)
-	go n.pool.Run(ctx)
+	go n.elector.Run(ctx)
 	return n
 }
 
-// end ends a node like a lost process.
-func (c *drainCluster) end(name string) {
+// stopNode ends a node like a lost process.
+func (c *drainCluster) stopNode(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if n := c.up[name]; n != nil {
+	if n := c.nodes[name]; n != nil {
 		n.cancel()
 	}
-	delete(c.up, name)
-	c.net.Listen(name+":8080", nil)
+	delete(c.nodes, name)
+	c.network.Listen(name+":8080", nil)
 }
 
 // leader is the node that leads; nil if none does.
@@ -267,7 +267,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, name := range drainNodes {
-		if n := c.up[name]; n != nil && n.pool.Cluster() != nil {
+		if n := c.nodes[name]; n != nil && n.elector.Cluster() != nil {
 			return n
 		}
 	}
@@ -279,7 +279,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, name := range drainNodes {
-		if n := c.up[name]; n != nil && n.pool.Cluster() == nil {
+		if n := c.nodes[name]; n != nil && n.elector.Cluster() == nil {
 			return n
 		}
 	}
@@ -293,9 +293,9 @@
 	n.cluster.mu.Lock()
 	defer n.cluster.mu.Unlock()
 	all := true
-	for name, o := range n.cluster.up {
+	for name, o := range n.cluster.nodes {
 		if name != n.name {
-			all = !n.cluster.cutOff(n.name, name) && o.pool.ConfirmStopped(generation) && all
+			all = !n.cluster.isPartitioned(n.name, name) && o.elector.Superseded(generation) && all
 		}
 	}
 	return all
@@ -304,7 +304,7 @@
 func (n *drainNode) Served(node ids.Node) bool {
 	n.cluster.mu.Lock()
 	defer n.cluster.mu.Unlock()
-	return n.cluster.up[string(node)] != nil
+	return n.cluster.nodes[string(node)] != nil
 }
 func (n *drainNode) NotifyLeader(ids.Job, ids.Revision, *record.Record, json.RawMessage) <-chan struct{} {
 	done := make(chan struct{})
@@ -318,7 +318,7 @@
 	if leader == nil {
 		return nil, election.ErrNotLeader
 	}
-	return rollout.NewPreview(spec, leader.pool.Cluster().RolloutPlanner(), time.Now())
+	return rollout.NewPreview(spec, leader.elector.Cluster().RolloutPlanner(), time.Now())
 }
 
 // DrainWaits asks the leader what machines wait for.
@@ -327,7 +327,7 @@
 	if leader == nil {
 		return nil, election.ErrNotLeader
 	}
-	return leader.pool.Cluster().DrainBlockers(), nil
+	return leader.elector.Cluster().DrainBlockers(), nil
 }
 
 // accept submits a job, at another node each time it is told to come back.
@@ -342,21 +342,21 @@
 	c.t.Fatalf("%v was never accepted", s["uid"])
 }
 
-// service submits a service and waits until it is up for long enough to count.
-func (c *drainCluster) service(id string, replicas int, changes ...any) {
+// startService submits a service and waits until it is up for long enough to count.
+func (c *drainCluster) startService(id string, replicas int, changes ...any) {
 	c.t.Helper()
-	s := spec(id, "standing", replicas)
+	s := newJob(id, "standing", replicas)
 	s["guessS"] = 0
 	for i := 0; i < len(changes); i += 2 {
 		s[changes[i].(string)] = changes[i+1]
 	}
 	c.accept(s)
-	c.until(time.Minute, id+" is up", func() bool { return c.running(id) == replicas })
+	c.eventually(time.Minute, id+" is up", func() bool { return c.runningCount(id) == replicas })
 	time.Sleep(8 * time.Second)
 }
 
-// running counts the tasks of a job that are on machines.
-func (c *drainCluster) running(id string) (n int) {
+// runningCount counts the tasks of a job that are on machines.
+func (c *drainCluster) runningCount(id string) (n int) {
 	for _, k := range c.listWorkers() {
 		for _, task := range k.ActiveTasks() {
 			if strings.HasPrefix(task, id+"/") {
@@ -367,8 +367,8 @@
 	return n
 }
 
-// drain is a description of a rollout over a zone's machines, or those named.
-func drain(name string, machines ...ids.Machine) *rollout.Spec {
+// newRollout is a description of a rollout over a zone's machines, or those named.
+func newRollout(name string, machines ...ids.Machine) *rollout.Spec {
 	spec := &rollout.Spec{Name: rollout.Name(name), WaveSize: 2, Deadline: 60, AtDeadline: rollout.WaitAtDeadline}
 	if spec.Select.Machines = machines; len(machines) == 0 {
 		spec.Select.Zone = "north"
@@ -376,25 +376,25 @@
 	return spec
 }
 
-// begin starts a rollout at some controller.
-func (c *drainCluster) begin(spec *rollout.Spec) {
+// startRollout starts a rollout at some controller.
+func (c *drainCluster) startRollout(spec *rollout.Spec) {
 	c.t.Helper()
-	if err := c.try(func(n *drainNode) error { _, err := n.drains.Start(c.ctx, spec); return err }); err != nil {
+	if err := c.callUntilAvailable(func(n *drainNode) error { _, err := n.rollouts.Start(c.ctx, spec); return err }); err != nil {
 		c.t.Fatalf("start of %s: %v", spec.Name, err)
 	}
 }
 
-// do gives a command at some controller that does not lead.
-func (c *drainCluster) do(name string, command rollout.Command) {
+// execute gives a command at some controller that does not lead.
+func (c *drainCluster) execute(name string, command rollout.Command) {
 	c.t.Helper()
-	err := c.try(func(n *drainNode) error { _, err := n.drains.Execute(c.ctx, rollout.Name(name), command); return err })
+	err := c.callUntilAvailable(func(n *drainNode) error { _, err := n.rollouts.Execute(c.ctx, rollout.Name(name), command); return err })
 	if err != nil {
 		c.t.Fatalf("%s %s: %v", command, name, err)
 	}
 }
 
-// try calls a controller until one can answer.
-func (c *drainCluster) try(call func(n *drainNode) error) (err error) {
+// callUntilAvailable calls a controller until one can answer.
+func (c *drainCluster) callUntilAvailable(call func(n *drainNode) error) (err error) {
 	for range 30 {
 		if err = call(c.follower()); err == nil || !strings.Contains(err.Error(), rollout.ErrUnavailable.Error()) {
 			return err
@@ -404,33 +404,33 @@
 	return err
 }
 
-// state is how a rollout is stored.
-func (c *drainCluster) state(name string) (r rollout.Record) {
+// rolloutRecord is how a rollout is stored.
+func (c *drainCluster) rolloutRecord(name string) (r rollout.Record) {
 	json.Unmarshal(c.store.Value("rollout/run/"+name), &r)
 	return r
 }
 
-// reaches waits until a rollout has a state.
-func (c *drainCluster) reaches(name string, s rollout.State, d time.Duration) {
+// awaitState waits until a rollout has a state.
+func (c *drainCluster) awaitState(name string, s rollout.State, d time.Duration) {
 	c.t.Helper()
-	for end := time.Now().Add(d); c.state(name).State != s; {
+	for end := time.Now().Add(d); c.rolloutRecord(name).State != s; {
 		if time.Now().After(end) {
 			waits, _ := c.follower().DrainWaits(c.ctx)
 			c.t.Fatalf("%s is not %s within %v: %s; waits: %v", name, s, d, c.store.Value("rollout/run/"+name), waits)
 		}
 		time.Sleep(100 * time.Millisecond)
-		c.never()
+		c.checkInvariants()
 	}
 }
 
-// waitsFor waits until some machine waits for a reason with a text in it.
-func (c *drainCluster) waitsFor(text string) {
+// awaitBlocker waits until some machine waits for a reason with a text in it.
+func (c *drainCluster) awaitBlocker(text string) {
 	c.t.Helper()
-	c.until(time.Minute, "a machine waits: "+text, func() bool { return c.waiting(text) })
+	c.eventually(time.Minute, "a machine waits: "+text, func() bool { return c.isBlockedBy(text) })
 }
 
-// waiting tells whether some machine waits for a reason with a text in it.
-func (c *drainCluster) waiting(text string) bool {
+// isBlockedBy tells whether some machine waits for a reason with a text in it.
+func (c *drainCluster) isBlockedBy(text string) bool {
 	waits, err := c.follower().DrainWaits(c.ctx)
 	if err != nil {
 		return false
@@ -443,12 +443,12 @@
 	return false
 }
 
-// in lists the machines of a zone that run.
-func (c *drainCluster) in(zone string) (names []ids.Machine) {
+// machinesIn lists the machines of a zone that run.
+func (c *drainCluster) machinesIn(zone string) (names []ids.Machine) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, k := range c.workers {
-		if _, runs := c.machines[k.Name]; runs && k.Zone == zone {
+		if _, runs := c.stopMachine[k.Name]; runs && k.Zone == zone {
 			names = append(names, ids.Machine(k.Name))
 		}
 	}
@@ -456,17 +456,17 @@
 	return names
 }
 
-// cordoned counts the machines that the leader keeps closed to new work.
-func (c *drainCluster) cordoned() int {
+// cordonedCount counts the machines that the leader keeps closed to new work.
+func (c *drainCluster) cordonedCount() int {
 	leader := c.leader()
 	if leader == nil {
 		return -1
 	}
-	return leader.pool.Cluster().Summary()["cordoned"].(int)
+	return leader.elector.Cluster().Summary()["cordoned"].(int)
 }
 
-// endSome lets tasks of a job end by themselves now and then, until the scenario ends.
-func (c *drainCluster) endSome(job string, rng *rand.Rand) {
+// completeRandomTasks lets tasks of a job end by themselves now and then, until the scenario ends.
+func (c *drainCluster) completeRandomTasks(job string, rng *rand.Rand) {
 	for c.ctx.Err() == nil {
 		select {
 		case <-time.After(time.Second):
@@ -483,9 +483,9 @@
 	}
 }
 
-// cut keeps a controller from the state service and the other controllers, not from workers.
-func (c *drainCluster) cut(name string) {
-	c.net.SetRule(func(from, to string, _ *http.Request, _ []byte) fake.Outcome {
+// partitionFromStateService keeps a controller from the state service and the other controllers, not from workers.
+func (c *drainCluster) partitionFromStateService(name string) {
+	c.network.SetRule(func(from, to string, _ *http.Request, _ []byte) fake.Outcome {
 		if from == name && to == "state:1" {
 			return fake.Drop
 		}
--- a/internal/scenarios/drain_test.go
+++ b/internal/scenarios/drain_test.go
@@ -18,19 +18,19 @@
 
 func TestZoneDrainStaysWithinDisruptionBudget(t *testing.T) {
 	t.Parallel()
-	drainScenario(t, 4, drainOptions{room: 40}, func(t *testing.T, c *drainCluster) {
-		c.service("job-1", 6)
-		c.begin(drain("spring"))
-		c.reaches("spring", rollout.Ended, 6*time.Minute)
-		c.until(30*time.Second, "all replicas are up", func() bool { return c.running("job-1") == 6 })
-		if left := c.in("north"); len(left) > 0 {
+	drainScenario(t, 4, drainOptions{capacity: 40}, func(t *testing.T, c *drainCluster) {
+		c.startService("job-1", 6)
+		c.startRollout(newRollout("spring"))
+		c.awaitState("spring", rollout.Ended, 6*time.Minute)
+		c.eventually(30*time.Second, "all replicas are up", func() bool { return c.runningCount("job-1") == 6 })
+		if left := c.machinesIn("north"); len(left) > 0 {
 			t.Errorf("%v still run", left)
 		}
-		if n := c.rule.stopped("job-1"); n == 0 || n > 6 {
+		if n := c.disruption.evictionsOf("job-1"); n == 0 || n > 6 {
 			t.Errorf("%d stops", n)
 		}
 		// The leader removes them at its next look after the end, which is a quarter of a second away.
-		c.until(2*time.Second, "no part is left over", func() bool { return c.store.CountKeys("rollout/left/") == 0 })
+		c.eventually(2*time.Second, "no part is left over", func() bool { return c.store.CountKeys("rollout/left/") == 0 })
 	})
 }
 
@@ -38,12 +38,12 @@
 	t.Parallel()
 	// The planted fault: the controllers' budgets allow anything, the rule knows the true one.
 	noticed := false
-	drainScenario(t, 4, drainOptions{room: 40, features: `drains { teams { team: "red" budget { replicas_down: 99 tasks_interrupted: 99 } } }`},
+	drainScenario(t, 4, drainOptions{capacity: 40, features: `drains { teams { team: "red" budget { replicas_down: 99 tasks_interrupted: 99 } } }`},
 		func(t *testing.T, c *drainCluster) {
-			c.rule.say = func(string, string) { noticed = true }
-			c.service("job-1", 8)
-			c.begin(drain("spring"))
-			c.reaches("spring", rollout.Ended, 6*time.Minute)
+			c.disruption.report = func(string, string) { noticed = true }
+			c.startService("job-1", 8)
+			c.startRollout(newRollout("spring"))
+			c.awaitState("spring", rollout.Ended, 6*time.Minute)
 		})
 	if !noticed {
 		t.Error("the rule does not notice several replicas stopped at a time")
@@ -58,16 +58,16 @@
 
 // leaderFailures end the leader, cut it off, or have it stand still for longer than its lease.
 var leaderFailures = []leaderFailure{
-	{"it ends", func(c *drainCluster, leader string) { c.end(leader) }},
+	{"it ends", func(c *drainCluster, leader string) { c.stopNode(leader) }},
 	{"it ends and comes back", func(c *drainCluster, leader string) {
-		c.end(leader)
+		c.stopNode(leader)
 		c.rest(300 * time.Millisecond)
 		c.startNode(leader)
 	}},
 	{"it is cut off from the state service", func(c *drainCluster, leader string) {
-		c.cut(leader)
+		c.partitionFromStateService(leader)
 		c.rest(20 * time.Second)
-		c.net.SetRule(nil)
+		c.network.SetRule(nil)
 	}},
 	{"it is refused by the state service", func(c *drainCluster, leader string) {
 		c.store.RefuseCaller(leader, true)
@@ -76,7 +76,7 @@
 	}},
 	{"it stands still", func(c *drainCluster, leader string) {
 		// What it sends waits, and is delivered after its successor has acted.
-		c.net.SetRule(func(from, to string, r *http.Request, _ []byte) fake.Outcome {
+		c.network.SetRule(func(from, to string, r *http.Request, _ []byte) fake.Outcome {
 			switch {
 			case from == leader && r.URL.Path == "/follow":
 				return fake.Drop // reads nothing late, and would take its time
@@ -88,29 +88,29 @@
 			return fake.Deliver
 		})
 		c.rest(10 * time.Second)
-		c.net.SetRule(nil)
-		c.net.ReleaseHeld()
+		c.network.SetRule(nil)
+		c.network.ReleaseHeld()
 	}},
 }
 
 // moment tells, from what the store carries out and the workers do, when a leader is to fail.
-type failureMoment struct {
-	name  string
-	store func(key string, value json.RawMessage) bool
-	event func(e fake.Event, drained bool) bool
+type leaderStep struct {
+	name     string
+	onChange func(key string, value json.RawMessage) bool
+	onEvent  func(e fake.Event, drained bool) bool
 }
 
-// failureMoments are those between permit and stop, stop and start, start and the permit's return.
-var failureMoments = []failureMoment{
-	{name: "the permit is stored", store: func(key string, value json.RawMessage) bool {
+// leaderSteps are those between permit and stop, stop and start, start and the permit's return.
+var leaderSteps = []leaderStep{
+	{name: "the permit is stored", onChange: func(key string, value json.RawMessage) bool {
 		return strings.HasPrefix(key, "job/") && strings.Contains(string(value), `"evictions"`)
 	}},
-	{name: "the task is stopped", event: func(e fake.Event, drained bool) bool { return !e.Start && e.Cause == "stopped" }},
-	{name: "the task starts elsewhere", event: func(e fake.Event, drained bool) bool { return e.Start && drained }},
-	{name: "the wave is stored", store: func(key string, value json.RawMessage) bool {
+	{name: "the task is stopped", onEvent: func(e fake.Event, drained bool) bool { return !e.Start && e.Cause == "stopped" }},
+	{name: "the task starts elsewhere", onEvent: func(e fake.Event, drained bool) bool { return e.Start && drained }},
+	{name: "the wave is stored", onChange: func(key string, value json.RawMessage) bool {
 		return strings.HasPrefix(key, "rollout/run/") && strings.Contains(string(value), `"draining"`)
 	}},
-	{name: "a machine is empty", store: func(key string, value json.RawMessage) bool {
+	{name: "a machine is empty", onChange: func(key string, value json.RawMessage) bool {
 		return strings.HasPrefix(key, "rollout/run/") && strings.Contains(string(value), `"empty"`)
 	}},
 }
@@ -123,22 +123,22 @@
 	}
 }
 
-// failAt has the leader fail at a moment, the first few times that it comes.
-func (c *drainCluster) failAt(m failureMoment, times int, fail func(c *drainCluster, leader string)) {
+// failLeaderAt has the leader fail at a moment, the first few times that it comes.
+func (c *drainCluster) failLeaderAt(m leaderStep, times int, fail func(c *drainCluster, leader string)) {
 	signal := make(chan struct{}, 1)
 	drained := map[string]bool{}
-	if m.store != nil {
+	if m.onChange != nil {
 		c.store.NotifyChanges(func(key string, value json.RawMessage) {
-			if m.store(key, value) {
+			if m.onChange(key, value) {
 				notify(signal)
 			}
 		})
 	}
-	if m.event != nil {
-		c.hookMu.Lock()
-		defer c.hookMu.Unlock()
-		c.onEvent = func(e fake.Event) {
-			if m.event(e, drained[e.Task]) {
+	if m.onEvent != nil {
+		c.listenerMu.Lock()
+		defer c.listenerMu.Unlock()
+		c.listener = func(e fake.Event) {
+			if m.onEvent(e, drained[e.Task]) {
 				notify(signal)
 			}
 			drained[e.Task] = !e.Start && e.Cause == "stopped"
@@ -162,7 +162,7 @@
 			}
 			for _, name := range drainNodes {
 				c.mu.Lock()
-				missing := c.up[name] == nil
+				missing := c.nodes[name] == nil
 				c.mu.Unlock()
 				if missing && c.ctx.Err() == nil {
 					c.startNode(name)
@@ -177,21 +177,21 @@
 
 func TestLeaderFailureDuringDrainStepRepeatsNoEviction(t *testing.T) {
 	t.Parallel()
-	for _, m := range failureMoments {
+	for _, m := range leaderSteps {
 		for _, failure := range leaderFailures {
 			t.Run(m.name+", "+failure.name, func(t *testing.T) {
 				t.Parallel()
-				drainScenario(t, 4, drainOptions{room: 40}, func(t *testing.T, c *drainCluster) {
-					c.service("job-1", 6)
-					c.failAt(m, 3, failure.fail)
-					c.begin(drain("spring"))
-					c.reaches("spring", rollout.Ended, 15*time.Minute)
-					c.until(2*time.Minute, "all replicas are up", func() bool { return c.running("job-1") == 6 })
-					c.until(time.Minute, "no machine stays cordoned", func() bool { return c.cordoned() == 0 })
-					if n := c.rule.stopped("job-1"); n > 6 {
+				drainScenario(t, 4, drainOptions{capacity: 40}, func(t *testing.T, c *drainCluster) {
+					c.startService("job-1", 6)
+					c.failLeaderAt(m, 3, failure.fail)
+					c.startRollout(newRollout("spring"))
+					c.awaitState("spring", rollout.Ended, 15*time.Minute)
+					c.eventually(2*time.Minute, "all replicas are up", func() bool { return c.runningCount("job-1") == 6 })
+					c.eventually(time.Minute, "no machine stays cordoned", func() bool { return c.cordonedCount() == 0 })
+					if n := c.disruption.evictionsOf("job-1"); n > 6 {
 						t.Errorf("%d stops of 6 replicas: a step was done twice", n)
 					}
-					c.until(time.Minute, "no eviction stays on the record", func() bool {
+					c.eventually(time.Minute, "no eviction stays on the record", func() bool {
 						return !strings.Contains(string(c.store.Value("job/job-1")), `"evictions"`)
 					})
 				})
@@ -203,23 +203,23 @@
 func TestEvictionPermitStoredAfterFailoverIsVoid(t *testing.T) {
 	t.Parallel()
 	// The transaction that stores a permit gets no answer and arrives after the successor's.
-	drainScenario(t, 4, drainOptions{room: 40}, func(t *testing.T, c *drainCluster) {
-		c.service("job-1", 6)
-		c.net.SetDelay(func() time.Duration { return 12 * time.Second })
+	drainScenario(t, 4, drainOptions{capacity: 40}, func(t *testing.T, c *drainCluster) {
+		c.startService("job-1", 6)
+		c.network.SetDelay(func() time.Duration { return 12 * time.Second })
 		late, old := 0, c.leader().name
-		c.net.SetRule(func(from, to string, r *http.Request, body []byte) fake.Outcome {
+		c.network.SetRule(func(from, to string, r *http.Request, body []byte) fake.Outcome {
 			if from == old && r.URL.Path == "/commit" && strings.Contains(string(body), `"evictions"`) {
 				late++
 				return fake.Delay
 			}
 			return fake.Deliver
 		})
-		c.begin(drain("spring"))
-		c.until(30*time.Second, "a permit is sent", func() bool { return late > 0 })
-		c.end(old)
-		c.reaches("spring", rollout.Ended, 8*time.Minute)
-		c.until(time.Minute, "all replicas are up", func() bool { return c.running("job-1") == 6 })
-		if n := c.rule.stopped("job-1"); n > 6 {
+		c.startRollout(newRollout("spring"))
+		c.eventually(30*time.Second, "a permit is sent", func() bool { return late > 0 })
+		c.stopNode(old)
+		c.awaitState("spring", rollout.Ended, 8*time.Minute)
+		c.eventually(time.Minute, "all replicas are up", func() bool { return c.runningCount("job-1") == 6 })
+		if n := c.disruption.evictionsOf("job-1"); n > 6 {
 			t.Errorf("%d stops", n)
 		}
 	})
@@ -229,17 +229,17 @@
 	t.Parallel()
 	// Neither team may lose anything more: nothing of either is stopped, and both are named.
 	features := `drains { teams { team: "red" budget { replicas_down: 1 } } teams { team: "blue" budget { replicas_down: 0 } } }`
-	options := drainOptions{room: 40, features: features, teams: []config.Team{{Name: "blue", CPUsMax: 8}},
+	options := drainOptions{capacity: 40, features: features, teams: []config.Team{{Name: "blue", CPUsMax: 8}},
 		budget: map[string]teamBudget{"red": {1, 1}, "blue": {0, 1}}}
 	drainScenario(t, 1, options, func(t *testing.T, c *drainCluster) {
-		c.service("job-1", 2, "spread", true)
-		c.service("job-2", 2, "owner", "blue", "spread", true)
-		c.begin(drain("spring", c.in("north")...))
-		c.waitsFor("team blue: 0 of its 2 replicas are down, of at most 0")
-		c.hold(time.Minute, "nothing is stopped", func() bool { return c.rule.stopped("job-1") == 0 && c.rule.stopped("job-2") == 0 })
-		c.do("spring", rollout.CommandAbort)
-		c.reaches("spring", rollout.Ended, time.Minute)
-		c.until(time.Minute, "the machine is in service again", func() bool { return c.cordoned() == 0 })
+		c.startService("job-1", 2, "spread", true)
+		c.startService("job-2", 2, "owner", "blue", "spread", true)
+		c.startRollout(newRollout("spring", c.machinesIn("north")...))
+		c.awaitBlocker("team blue: 0 of its 2 replicas are down, of at most 0")
+		c.consistently(time.Minute, "nothing is stopped", func() bool { return c.disruption.evictionsOf("job-1") == 0 && c.disruption.evictionsOf("job-2") == 0 })
+		c.execute("spring", rollout.CommandAbort)
+		c.awaitState("spring", rollout.Ended, time.Minute)
+		c.eventually(time.Minute, "the machine is in service again", func() bool { return c.cordonedCount() == 0 })
 	})
 }
 
@@ -247,49 +247,49 @@
 	t.Parallel()
 	// The cloud has no more machines: what one rollout has to move fits only where the other one
 	// has cordoned. The younger makes way, and ends once the cloud has machines again.
-	drainScenario(t, 2, drainOptions{room: 4}, func(t *testing.T, c *drainCluster) {
-		c.service("job-2", 2, "yard", "south", "cores", 0.1, "ramGb", 9) // one on each machine there
-		park := drain("park", c.in("south")...)
+	drainScenario(t, 2, drainOptions{capacity: 4}, func(t *testing.T, c *drainCluster) {
+		c.startService("job-2", 2, "yard", "south", "cores", 0.1, "ramGb", 9) // one on each machine there
+		park := newRollout("park", c.machinesIn("south")...)
 		park.Surge = true
-		c.begin(park)
-		c.until(time.Minute, "the south is cordoned", func() bool { return c.cordoned() == 2 })
-		c.service("job-1", 4, "cores", 1.5, "ramGb", 3)
-		c.do("park", rollout.CommandAbort)
-		c.reaches("park", rollout.Ended, time.Minute)
-		first, second := drain("first", c.in("north")...), drain("second", c.in("south")...)
+		c.startRollout(park)
+		c.eventually(time.Minute, "the south is cordoned", func() bool { return c.cordonedCount() == 2 })
+		c.startService("job-1", 4, "cores", 1.5, "ramGb", 3)
+		c.execute("park", rollout.CommandAbort)
+		c.awaitState("park", rollout.Ended, time.Minute)
+		first, second := newRollout("first", c.machinesIn("north")...), newRollout("second", c.machinesIn("south")...)
 		first.Surge, second.Surge = true, true
-		c.begin(first)
-		c.begin(second)
-		c.reaches("first", rollout.Ended, 10*time.Minute)
+		c.startRollout(first)
+		c.startRollout(second)
+		c.awaitState("first", rollout.Ended, 10*time.Minute)
 		c.cloud.SetCapacity(4)
-		c.reaches("second", rollout.Ended, 10*time.Minute)
+		c.awaitState("second", rollout.Ended, 10*time.Minute)
 	})
 }
 
 func TestOverlappingRolloutIsRejected(t *testing.T) {
 	t.Parallel()
-	drainScenario(t, 2, drainOptions{room: 10, features: `drains { default_budget { replicas_down: 0 } }`, budget: map[string]teamBudget{"red": {0, 1}}},
+	drainScenario(t, 2, drainOptions{capacity: 10, features: `drains { default_budget { replicas_down: 0 } }`, budget: map[string]teamBudget{"red": {0, 1}}},
 		func(t *testing.T, c *drainCluster) {
-			c.service("job-1", 4)
-			c.begin(drain("spring", c.in("north")[0]))
+			c.startService("job-1", 4)
+			c.startRollout(newRollout("spring", c.machinesIn("north")[0]))
 			refused := func(spec *rollout.Spec, want error) {
 				t.Helper()
-				if _, err := c.follower().drains.Start(c.ctx, spec); !errors.Is(err, want) {
+				if _, err := c.follower().rollouts.Start(c.ctx, spec); !errors.Is(err, want) {
 					t.Errorf("%s: %v, not %v", spec.Name, err, want)
 				}
 			}
-			refused(drain("summer"), rollout.ErrOverlap)
-			other := drain("spring", c.in("north")[1])
+			refused(newRollout("summer"), rollout.ErrOverlap)
+			other := newRollout("spring", c.machinesIn("north")[1])
 			refused(other, rollout.ErrSpecConflict)
-			refused(drain("autumn", "host-999999"), rollout.ErrInvalidSpec)
-			if _, err := c.follower().drains.Start(c.ctx, drain("spring", c.in("north")[0])); err != nil {
+			refused(newRollout("autumn", "host-999999"), rollout.ErrInvalidSpec)
+			if _, err := c.follower().rollouts.Start(c.ctx, newRollout("spring", c.machinesIn("north")[0])); err != nil {
 				t.Errorf("the same start again: %v", err)
 			}
 			// Of two starts over the same machine at the same moment one is taken.
 			taken := make(chan error, 2)
 			for i, n := range []*drainNode{c.follower(), c.leader()} {
 				go func() {
-					_, err := n.drains.Start(c.ctx, drain(fmt.Sprint("both-", i), c.in("south")...))
+					_, err := n.rollouts.Start(c.ctx, newRollout(fmt.Sprint("both-", i), c.machinesIn("south")...))
 					taken <- err
 				}()
 			}
@@ -304,11 +304,11 @@
 	// A neighbour fails by itself at the moment when a permit is stored, and the leader hears of that
 	// before it hears that the permit is: the stop waits until the neighbour is up again, since the
 	// budget is used up.
-	drainScenario(t, 3, drainOptions{room: 40}, func(t *testing.T, c *drainCluster) {
-		c.service("job-1", 6)
-		c.rule.knownWithin = 1500 * time.Millisecond
-		c.net.SetDelay(func() time.Duration { return 1900 * time.Millisecond })
-		c.net.SetRule(func(_, _ string, r *http.Request, body []byte) fake.Outcome {
+	drainScenario(t, 3, drainOptions{capacity: 40}, func(t *testing.T, c *drainCluster) {
+		c.startService("job-1", 6)
+		c.disruption.detectionDelay = 1500 * time.Millisecond
+		c.network.SetDelay(func() time.Duration { return 1900 * time.Millisecond })
+		c.network.SetRule(func(_, _ string, r *http.Request, body []byte) fake.Outcome {
 			if r.URL.Path == "/commit" && strings.Contains(string(body), `"evictions"`) {
 				return fake.DelayResponse
 			}
@@ -327,9 +327,9 @@
 				case <-c.ctx.Done():
 					return
 				}
-				for _, name := range c.in("south") {
-					if tasks := c.worn(string(name)).ActiveTasks(); len(tasks) > 0 {
-						c.worn(string(name)).EndTask(tasks[0], "error")
+				for _, name := range c.machinesIn("south") {
+					if tasks := c.workerNamed(string(name)).ActiveTasks(); len(tasks) > 0 {
+						c.workerNamed(string(name)).EndTask(tasks[0], "error")
 						break
 					}
 				}
@@ -339,14 +339,14 @@
 				}
 			}
 		}()
-		c.begin(drain("spring"))
-		c.reaches("spring", rollout.Ended, 10*time.Minute)
+		c.startRollout(newRollout("spring"))
+		c.awaitState("spring", rollout.Ended, 10*time.Minute)
 	})
 }
 
-// replacing is a rollout that replaces a zone's machines.
-func replacing(name string, c *drainCluster) *rollout.Spec {
-	spec := drain(name, c.in("north")...)
+// newReplacement is a rollout that replaces a zone's machines.
+func newReplacement(name string, c *drainCluster) *rollout.Spec {
+	spec := newRollout(name, c.machinesIn("north")...)
 	spec.Replace, spec.Surge, spec.Observe = true, true, 20
 	return spec
 }
@@ -356,20 +356,20 @@
 	for _, surge := range []bool{true, false} {
 		t.Run(fmt.Sprint("surge ", surge), func(t *testing.T) {
 			t.Parallel()
-			drainScenario(t, 4, drainOptions{room: 60}, func(t *testing.T, c *drainCluster) {
-				c.service("job-1", 6)
-				before := c.in("north")
-				spec := replacing("spring", c)
+			drainScenario(t, 4, drainOptions{capacity: 60}, func(t *testing.T, c *drainCluster) {
+				c.startService("job-1", 6)
+				before := c.machinesIn("north")
+				spec := newReplacement("spring", c)
 				spec.Surge = surge
-				c.begin(spec)
-				c.until(10*time.Minute, "it has begun", func() bool { return c.state("spring").Waves > 0 })
-				c.reaches("spring", rollout.Ended, 15*time.Minute)
+				c.startRollout(spec)
+				c.eventually(10*time.Minute, "it has begun", func() bool { return c.rolloutRecord("spring").Waves > 0 })
+				c.awaitState("spring", rollout.Ended, 15*time.Minute)
 				for _, name := range before {
-					if slices.Contains(c.in("north"), name) {
+					if slices.Contains(c.machinesIn("north"), name) {
 						t.Errorf("%s still runs", name)
 					}
 				}
-				if r := c.state("spring"); r.Done != 4 || r.Waves != 2 {
+				if r := c.rolloutRecord("spring"); r.Done != 4 || r.Waves != 2 {
 					t.Errorf("%d machines through in %d waves", r.Done, r.Waves)
 				}
 			})
@@ -385,19 +385,19 @@
 		after     func(c *drainCluster, name string)
 	}{
 		{name: "it never comes up", why: "0 are up", boots: func(string) time.Duration { return -1 }},
-		{name: "it dies while it is observed", why: "replacement", after: func(c *drainCluster, name string) { c.endMachine(name) }},
+		{name: "it dies while it is observed", why: "replacement", after: func(c *drainCluster, name string) { c.terminateMachine(name) }},
 	} {
 		t.Run(failure.name, func(t *testing.T) {
 			t.Parallel()
-			drainScenario(t, 4, drainOptions{room: 60}, func(t *testing.T, c *drainCluster) {
-				c.service("job-1", 6)
+			drainScenario(t, 4, drainOptions{capacity: 60}, func(t *testing.T, c *drainCluster) {
+				c.startService("job-1", 6)
 				for i := range 3 {
-					c.accept(with(spec(fmt.Sprint("job-", 10+i), "array", 1), "urgency", "low"))
+					c.accept(with(newJob(fmt.Sprint("job-", 10+i), "array", 1), "urgency", "low"))
 				}
-				before := c.in("north")
-				good := c.boots
+				before := c.machinesIn("north")
+				good := c.bootTime
 				bad := false
-				c.boots = func(name string) time.Duration {
+				c.bootTime = func(name string) time.Duration {
 					if !bad {
 						bad = true
 						if failure.boots != nil {
@@ -410,23 +410,23 @@
 					}
 					return good(name)
 				}
-				spec := replacing("spring", c)
+				spec := newReplacement("spring", c)
 				spec.WaveSize, spec.Deadline, spec.Observe = 1, 40, 60
-				c.begin(spec)
-				c.reaches("spring", rollout.Halted, 4*time.Minute)
-				if r := c.state("spring"); !strings.Contains(r.Reason, failure.why) {
+				c.startRollout(spec)
+				c.awaitState("spring", rollout.Halted, 4*time.Minute)
+				if r := c.rolloutRecord("spring"); !strings.Contains(r.Reason, failure.why) {
 					t.Errorf("halted for %q", r.Reason)
 				}
-				c.until(time.Minute, "what is not empty is in service again", func() bool { return c.cordoned() == 0 })
-				waves := c.state("spring").Waves
-				c.hold(2*time.Minute, "nothing begins without an operator", func() bool {
-					r := c.state("spring")
+				c.eventually(time.Minute, "what is not empty is in service again", func() bool { return c.cordonedCount() == 0 })
+				waves := c.rolloutRecord("spring").Waves
+				c.consistently(2*time.Minute, "nothing begins without an operator", func() bool {
+					r := c.rolloutRecord("spring")
 					return r.State == rollout.Halted && r.Waves == waves
 				})
-				c.do("spring", rollout.CommandResume)
-				c.reaches("spring", rollout.Ended, 20*time.Minute)
+				c.execute("spring", rollout.CommandResume)
+				c.awaitState("spring", rollout.Ended, 20*time.Minute)
 				for _, name := range before {
-					if slices.Contains(c.in("north"), name) {
+					if slices.Contains(c.machinesIn("north"), name) {
 						t.Errorf("%s still runs", name)
 					}
 				}
@@ -438,23 +438,23 @@
 func TestReplacementMachineWithFailingTasksHaltsRollout(t *testing.T) {
 	t.Parallel()
 	// What was moved fits only on the replacement, and fails there again and again.
-	drainScenario(t, 1, drainOptions{room: 3}, func(t *testing.T, c *drainCluster) {
-		c.service("job-1", 2, "cores", 4, "ramGb", 16)
+	drainScenario(t, 1, drainOptions{capacity: 3}, func(t *testing.T, c *drainCluster) {
+		c.startService("job-1", 2, "cores", 4, "ramGb", 16)
 		go func() {
 			for c.ctx.Err() == nil {
 				c.rest(200 * time.Millisecond)
-				if k := c.worn("host-000003"); k != nil {
+				if k := c.workerNamed("host-000003"); k != nil {
 					for _, task := range k.ActiveTasks() {
 						k.EndTask(task, "error")
 					}
 				}
 			}
 		}()
-		spec := replacing("spring", c)
+		spec := newReplacement("spring", c)
 		spec.Observe = 90
-		c.begin(spec)
-		c.reaches("spring", rollout.Halted, 4*time.Minute)
-		if why := c.state("spring").Reason; !strings.Contains(why, "replacement host-000003 of wave 1 failed: tasks keep failing there") {
+		c.startRollout(spec)
+		c.awaitState("spring", rollout.Halted, 4*time.Minute)
+		if why := c.rolloutRecord("spring").Reason; !strings.Contains(why, "replacement host-000003 of wave 1 failed: tasks keep failing there") {
 			t.Errorf("halted for %q", why)
 		}
 	})
@@ -464,15 +464,15 @@
 	t.Parallel()
 	// The team is at its limit and lesser work waits: what a moved replica gives up for a moment
 	// must not go to that, or the replica would stay down and the rollout wait for ever.
-	drainScenario(t, 4, drainOptions{room: 40}, func(t *testing.T, c *drainCluster) {
-		c.service("job-1", 6)
+	drainScenario(t, 4, drainOptions{capacity: 40}, func(t *testing.T, c *drainCluster) {
+		c.startService("job-1", 6)
 		for i := range 6 {
-			c.accept(with(spec(fmt.Sprint("job-", 10+i), "array", 1), "urgency", "low"))
+			c.accept(with(newJob(fmt.Sprint("job-", 10+i), "array", 1), "urgency", "low"))
 		}
 		c.rest(time.Minute) // low work that has waited for long goes before what is submitted later
-		c.begin(drain("spring"))
-		c.reaches("spring", rollout.Ended, 6*time.Minute)
-		c.until(time.Minute, "all replicas are up", func() bool { return c.running("job-1") == 6 })
+		c.startRollout(newRollout("spring"))
+		c.awaitState("spring", rollout.Ended, 6*time.Minute)
+		c.eventually(time.Minute, "all replicas are up", func() bool { return c.runningCount("job-1") == 6 })
 	})
 }
 
@@ -495,31 +495,31 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			trouble := c
-			drainScenario(t, 3, drainOptions{room: 40}, func(t *testing.T, c *drainCluster) {
-				c.service("job-1", 6)
-				spec := replacing("spring", c)
+			drainScenario(t, 3, drainOptions{capacity: 40}, func(t *testing.T, c *drainCluster) {
+				c.startService("job-1", 6)
+				spec := newReplacement("spring", c)
 				spec.WaveSize = trouble.wave
 				if !trouble.after {
 					trouble.begin(c)
 				}
-				c.begin(spec)
+				c.startRollout(spec)
 				if trouble.after {
-					c.until(2*time.Minute, "the replacement is rented", func() bool {
-						wave := c.state("spring").Wave
+					c.eventually(2*time.Minute, "the replacement is rented", func() bool {
+						wave := c.rolloutRecord("spring").Wave
 						return wave != nil && len(wave.ReplacementRequests) > 0 && wave.ReplacementRequests[0].Answered
 					})
 					trouble.begin(c)
-					c.waitsFor("the cloud has not confirmed its return")
+					c.awaitBlocker("the cloud has not confirmed its return")
 				} else {
-					c.reaches("spring", rollout.Halted, 5*time.Minute)
+					c.awaitState("spring", rollout.Halted, 5*time.Minute)
 				}
-				stops := c.rule.stopped("job-1")
-				c.hold(time.Minute, "nothing more is stopped", func() bool { return c.rule.stopped("job-1") == stops })
+				stops := c.disruption.evictionsOf("job-1")
+				c.consistently(time.Minute, "nothing more is stopped", func() bool { return c.disruption.evictionsOf("job-1") == stops })
 				trouble.end(c)
 				if !trouble.after {
-					c.do("spring", rollout.CommandResume)
+					c.execute("spring", rollout.CommandResume)
 				}
-				c.reaches("spring", rollout.Ended, 15*time.Minute)
+				c.awaitState("spring", rollout.Ended, 15*time.Minute)
 			})
 		})
 	}
@@ -531,10 +531,10 @@
 		name string
 		fail func(c *drainCluster, machine string)
 	}{
-		{"one dies", func(c *drainCluster, machine string) { c.endMachine(machine) }},
+		{"one dies", func(c *drainCluster, machine string) { c.terminateMachine(machine) }},
 		{"its zone goes dark", func(c *drainCluster, _ string) {
-			c.net.SetRule(func(from, to string, _ *http.Request, _ []byte) fake.Outcome {
-				for _, name := range c.in("north") {
+			c.network.SetRule(func(from, to string, _ *http.Request, _ []byte) fake.Outcome {
+				for _, name := range c.machinesIn("north") {
 					if strings.HasPrefix(from, string(name)) || strings.HasPrefix(to, string(name)) {
 						return fake.Drop
 					}
@@ -542,18 +542,18 @@
 				return fake.Deliver
 			})
 			c.rest(40 * time.Second)
-			c.net.SetRule(nil)
+			c.network.SetRule(nil)
 		}},
 		{"a spot notice", func(c *drainCluster, machine string) {
-			c.rule.reclaim(machine)
-			c.worn(machine).AnnouncePreemption(20 * time.Second)
+			c.disruption.noteSpotReclaim(machine)
+			c.workerNamed(machine).AnnouncePreemption(20 * time.Second)
 			c.rest(20 * time.Second)
-			c.endMachine(machine)
+			c.terminateMachine(machine)
 		}},
 		{"it hangs", func(c *drainCluster, machine string) {
-			c.worn(machine).SetHung(true)
+			c.workerNamed(machine).SetHung(true)
 			c.rest(30 * time.Second)
-			c.worn(machine).SetHung(false)
+			c.workerNamed(machine).SetHung(false)
 		}},
 		{"the state service is down", func(c *drainCluster, _ string) {
 			c.store.SetDown(true)
@@ -562,7 +562,7 @@
 		}},
 		{"all controllers are lost", func(c *drainCluster, _ string) {
 			for _, name := range drainNodes {
-				c.end(name)
+				c.stopNode(name)
 			}
 			c.rest(10 * time.Second)
 			for _, name := range drainNodes {
@@ -572,11 +572,11 @@
 	} {
 		t.Run(failure.name, func(t *testing.T) {
 			t.Parallel()
-			drainScenario(t, 4, drainOptions{room: 60}, func(t *testing.T, c *drainCluster) {
-				c.service("job-1", 6)
-				c.begin(drain("spring"))
+			drainScenario(t, 4, drainOptions{capacity: 60}, func(t *testing.T, c *drainCluster) {
+				c.startService("job-1", 6)
+				c.startRollout(newRollout("spring"))
 				draining := func() string {
-					r := c.state("spring")
+					r := c.rolloutRecord("spring")
 					if r.Wave == nil {
 						return ""
 					}
@@ -586,11 +586,11 @@
 					}
 					return ""
 				}
-				c.until(2*time.Minute, "a machine is drained", func() bool { return draining() != "" })
+				c.eventually(2*time.Minute, "a machine is drained", func() bool { return draining() != "" })
 				failure.fail(c, draining())
-				c.reaches("spring", rollout.Ended, 15*time.Minute)
-				c.until(2*time.Minute, "all replicas are up", func() bool { return c.running("job-1") == 6 })
-				c.until(time.Minute, "no machine stays cordoned", func() bool { return c.cordoned() == 0 })
+				c.awaitState("spring", rollout.Ended, 15*time.Minute)
+				c.eventually(2*time.Minute, "all replicas are up", func() bool { return c.runningCount("job-1") == 6 })
+				c.eventually(time.Minute, "no machine stays cordoned", func() bool { return c.cordonedCount() == 0 })
 			})
 		})
 	}
@@ -598,31 +598,31 @@
 
 func TestDelayedHeartbeatsOfDrainedMachineChangeNothing(t *testing.T) {
 	t.Parallel()
-	drainScenario(t, 3, drainOptions{room: 40}, func(t *testing.T, c *drainCluster) {
-		c.service("job-1", 4)
-		machine := string(c.in("north")[0])
-		c.net.SetRule(fake.DuplicateHeartbeats(machine))
-		c.begin(drain("spring", c.in("north")...))
-		c.reaches("spring", rollout.Ended, 8*time.Minute)
-		c.net.SetRule(nil)
-		c.net.ReleaseHeld()
-		c.hold(time.Minute, "all replicas stay up", func() bool { return c.running("job-1") == 4 })
+	drainScenario(t, 3, drainOptions{capacity: 40}, func(t *testing.T, c *drainCluster) {
+		c.startService("job-1", 4)
+		machine := string(c.machinesIn("north")[0])
+		c.network.SetRule(fake.DuplicateHeartbeats(machine))
+		c.startRollout(newRollout("spring", c.machinesIn("north")...))
+		c.awaitState("spring", rollout.Ended, 8*time.Minute)
+		c.network.SetRule(nil)
+		c.network.ReleaseHeld()
+		c.consistently(time.Minute, "all replicas stay up", func() bool { return c.runningCount("job-1") == 4 })
 	})
 }
 
 func TestJobCancelledDuringDrainWaveStopsInTime(t *testing.T) {
 	t.Parallel()
-	drainScenario(t, 3, drainOptions{room: 40}, func(t *testing.T, c *drainCluster) {
-		c.service("job-1", 4)
-		c.service("job-2", 3)
-		c.begin(drain("spring"))
-		c.until(2*time.Minute, "a permit is stored", func() bool {
+	drainScenario(t, 3, drainOptions{capacity: 40}, func(t *testing.T, c *drainCluster) {
+		c.startService("job-1", 4)
+		c.startService("job-2", 3)
+		c.startRollout(newRollout("spring"))
+		c.eventually(2*time.Minute, "a permit is stored", func() bool {
 			return strings.Contains(string(c.store.Value("job/job-1")), `"evictions"`) || strings.Contains(string(c.store.Value("job/job-2")), `"evictions"`)
 		})
 		c.call("b", "POST", "/v2/runs/job-1/cancel", nil)
-		c.until(40*time.Second, "its tasks are gone", func() bool { return c.running("job-1") == 0 })
-		c.reaches("spring", rollout.Ended, 8*time.Minute)
-		c.until(time.Minute, "the other service is up", func() bool { return c.running("job-2") == 3 })
+		c.eventually(40*time.Second, "its tasks are gone", func() bool { return c.runningCount("job-1") == 0 })
+		c.awaitState("spring", rollout.Ended, 8*time.Minute)
+		c.eventually(time.Minute, "the other service is up", func() bool { return c.runningCount("job-2") == 3 })
 	})
 }
 
@@ -644,23 +644,25 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			scene := c
-			drainScenario(t, 2, drainOptions{room: scene.room, features: scene.features, budget: map[string]teamBudget{"red": scene.budget}}, func(t *testing.T, c *drainCluster) {
-				c.service("job-1", scene.replicas, scene.changes...)
-				spec := drain("spring")
+			drainScenario(t, 2, drainOptions{capacity: scene.room, features: scene.features, budget: map[string]teamBudget{"red": scene.budget}}, func(t *testing.T, c *drainCluster) {
+				c.startService("job-1", scene.replicas, scene.changes...)
+				spec := newRollout("spring")
 				spec.Surge, spec.WaveSize = scene.surge, 4
 				if scene.everything {
 					spec.Select = rollout.Selection{Older: true}
 				}
-				preview, err := c.follower().drains.Plan(c.ctx, spec)
+				preview, err := c.follower().rollouts.Plan(c.ctx, spec)
 				if err != nil || len(preview.Waves) == 0 {
 					t.Fatal(preview, err)
 				}
-				c.begin(spec)
-				c.waitsFor(scene.why)
-				c.hold(3*time.Minute, "nothing is stopped", func() bool { return c.rule.stopped("job-1") == 0 && c.running("job-1") == scene.replicas })
-				c.do("spring", rollout.CommandAbort)
-				c.reaches("spring", rollout.Ended, time.Minute)
-				c.until(time.Minute, "no machine stays cordoned", func() bool { return c.cordoned() == 0 })
+				c.startRollout(spec)
+				c.awaitBlocker(scene.why)
+				c.consistently(3*time.Minute, "nothing is stopped", func() bool {
+					return c.disruption.evictionsOf("job-1") == 0 && c.runningCount("job-1") == scene.replicas
+				})
+				c.execute("spring", rollout.CommandAbort)
+				c.awaitState("spring", rollout.Ended, time.Minute)
+				c.eventually(time.Minute, "no machine stays cordoned", func() bool { return c.cordonedCount() == 0 })
 			})
 		})
 	}
@@ -672,41 +674,41 @@
 		"just started": func(*drainCluster) {},
 		"running":      func(c *drainCluster) { c.rest(15 * time.Second) },
 		"between waves": func(c *drainCluster) {
-			c.until(4*time.Minute, "a wave is through", func() bool { return c.state("spring").Done > 0 })
+			c.eventually(4*time.Minute, "a wave is through", func() bool { return c.rolloutRecord("spring").Done > 0 })
 		},
 		"paused": func(c *drainCluster) {
 			c.rest(5 * time.Second)
-			c.do("spring", rollout.CommandPause)
-			stops := c.rule.stopped("job-1")
+			c.execute("spring", rollout.CommandPause)
+			stops := c.disruption.evictionsOf("job-1")
 			c.rest(3 * time.Second)
-			if n := c.rule.stopped("job-1"); n > stops+1 {
+			if n := c.disruption.evictionsOf("job-1"); n > stops+1 {
 				c.t.Errorf("%d more replicas stopped while paused", n-stops)
 			}
 		},
 		"halted": func(c *drainCluster) {
 			c.cloud.SetCapacity(0)
-			c.reaches("spring", rollout.Halted, 5*time.Minute)
+			c.awaitState("spring", rollout.Halted, 5*time.Minute)
 		},
-		"aborting": func(c *drainCluster) { c.do("spring", rollout.CommandAbort) },
+		"aborting": func(c *drainCluster) { c.execute("spring", rollout.CommandAbort) },
 		"the leader has just ended": func(c *drainCluster) {
 			c.rest(8 * time.Second)
-			c.end(c.leader().name)
+			c.stopNode(c.leader().name)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			drainScenario(t, 3, drainOptions{room: 40}, func(t *testing.T, c *drainCluster) {
-				c.service("job-1", 6)
-				spec := replacing("spring", c)
+			drainScenario(t, 3, drainOptions{capacity: 40}, func(t *testing.T, c *drainCluster) {
+				c.startService("job-1", 6)
+				spec := newReplacement("spring", c)
 				spec.WaveSize, spec.Surge, spec.Deadline, spec.Pause = 1, name == "halted", 30, 30
-				c.begin(spec)
+				c.startRollout(spec)
 				before(c)
-				c.do("spring", rollout.CommandAbort)
-				c.reaches("spring", rollout.Ended, 3*time.Minute)
-				c.until(time.Minute, "no machine stays cordoned", func() bool { return c.cordoned() == 0 })
-				c.until(2*time.Minute, "all replicas are up", func() bool { return c.running("job-1") == 6 })
-				c.do("spring", rollout.CommandAbort)
-				if _, err := c.follower().drains.Execute(c.ctx, "spring", rollout.CommandResume); !errors.Is(err, rollout.ErrInvalidTransition) {
+				c.execute("spring", rollout.CommandAbort)
+				c.awaitState("spring", rollout.Ended, 3*time.Minute)
+				c.eventually(time.Minute, "no machine stays cordoned", func() bool { return c.cordonedCount() == 0 })
+				c.eventually(2*time.Minute, "all replicas are up", func() bool { return c.runningCount("job-1") == 6 })
+				c.execute("spring", rollout.CommandAbort)
+				if _, err := c.follower().rollouts.Execute(c.ctx, "spring", rollout.CommandResume); !errors.Is(err, rollout.ErrInvalidTransition) {
 					t.Errorf("one that ended is resumed: %v", err)
 				}
 			})
@@ -719,20 +721,24 @@
 	// Low arrays are interrupted within the budget and go on elsewhere; work that saves is saved;
 	// normal work that can't save runs to its end, or is stopped after the deadline if the
 	// operator chose so; a gang is moved whole.
-	drainScenario(t, 4, drainOptions{room: 60}, func(t *testing.T, c *drainCluster) {
-		c.accept(with(spec("job-1", "array", 4), "urgency", "low"))
-		c.accept(with(with(spec("job-2", "array", 2), "bookmarkS", 10), "stashS", 1))
-		c.accept(with(with(spec("job-3", "gang", 2), "bookmarkS", 10), "stashS", 1))
-		c.until(time.Minute, "all run", func() bool { return c.running("job-1") == 4 && c.running("job-2") == 2 && c.running("job-3") == 2 })
+	drainScenario(t, 4, drainOptions{capacity: 60}, func(t *testing.T, c *drainCluster) {
+		c.accept(with(newJob("job-1", "array", 4), "urgency", "low"))
+		c.accept(with(with(newJob("job-2", "array", 2), "bookmarkS", 10), "stashS", 1))
+		c.accept(with(with(newJob("job-3", "gang", 2), "bookmarkS", 10), "stashS", 1))
+		c.eventually(time.Minute, "all run", func() bool {
+			return c.runningCount("job-1") == 4 && c.runningCount("job-2") == 2 && c.runningCount("job-3") == 2
+		})
 		c.rest(8 * time.Second)
-		spec := drain("spring")
+		spec := newRollout("spring")
 		spec.AtDeadline = rollout.StopAtDeadline
-		c.begin(spec)
-		c.reaches("spring", rollout.Ended, 10*time.Minute)
-		c.until(time.Minute, "all run elsewhere", func() bool { return c.running("job-1") == 4 && c.running("job-2") == 2 && c.running("job-3") == 2 })
-		go c.endSome("job-", rand.New(rand.NewPCG(1, 1)))
+		c.startRollout(spec)
+		c.awaitState("spring", rollout.Ended, 10*time.Minute)
+		c.eventually(time.Minute, "all run elsewhere", func() bool {
+			return c.runningCount("job-1") == 4 && c.runningCount("job-2") == 2 && c.runningCount("job-3") == 2
+		})
+		go c.completeRandomTasks("job-", rand.New(rand.NewPCG(1, 1)))
 		for _, id := range []string{"job-1", "job-2", "job-3"} {
-			c.until(2*time.Minute, id+" is done", func() bool { return c.status("b", id) == "done" })
+			c.eventually(2*time.Minute, id+" is done", func() bool { return c.status("b", id) == "done" })
 		}
 		moved := 0
 		for _, id := range []string{"job-1", "job-2", "job-3"} {
@@ -749,23 +755,23 @@
 	for _, choice := range []rollout.AtDeadline{rollout.WaitAtDeadline, rollout.StopAtDeadline} {
 		t.Run(string(choice), func(t *testing.T) {
 			t.Parallel()
-			drainScenario(t, 1, drainOptions{room: 10}, func(t *testing.T, c *drainCluster) {
-				c.accept(with(spec("job-1", "array", 2), "yard", "north"))
-				c.until(time.Minute, "it runs", func() bool { return c.running("job-1") == 2 })
-				spec := drain("spring", c.in("north")...)
+			drainScenario(t, 1, drainOptions{capacity: 10}, func(t *testing.T, c *drainCluster) {
+				c.accept(with(newJob("job-1", "array", 2), "yard", "north"))
+				c.eventually(time.Minute, "it runs", func() bool { return c.runningCount("job-1") == 2 })
+				spec := newRollout("spring", c.machinesIn("north")...)
 				spec.AtDeadline, spec.Deadline = choice, 30
-				c.begin(spec)
-				c.waitsFor("can't save and runs to its end")
-				c.hold(25*time.Second, "it runs on", func() bool { return c.rule.stopped("job-1") == 0 })
+				c.startRollout(spec)
+				c.awaitBlocker("can't save and runs to its end")
+				c.consistently(25*time.Second, "it runs on", func() bool { return c.disruption.evictionsOf("job-1") == 0 })
 				if choice == rollout.StopAtDeadline {
-					c.reaches("spring", rollout.Ended, 3*time.Minute)
+					c.awaitState("spring", rollout.Ended, 3*time.Minute)
 					return
 				}
-				c.hold(time.Minute, "it runs on", func() bool { return c.rule.stopped("job-1") == 0 })
+				c.consistently(time.Minute, "it runs on", func() bool { return c.disruption.evictionsOf("job-1") == 0 })
 				for _, task := range []string{"job-1/0", "job-1/1"} {
-					c.worn(c.on(task)[0]).EndTask(task, "done")
+					c.workerNamed(c.machinesRunning(task)[0]).EndTask(task, "done")
 				}
-				c.reaches("spring", rollout.Ended, 3*time.Minute)
+				c.awaitState("spring", rollout.Ended, 3*time.Minute)
 			})
 		})
 	}
--- a/internal/scenarios/faults_test.go
+++ b/internal/scenarios/faults_test.go
@@ -9,9 +9,9 @@
 	"github.com/pebbletrail/pebbletrail/internal/fake"
 )
 
-// copies has every beat of a worker copied, for delivery later.
-func (w *testCluster) copies(worker string) {
-	w.net.SetRule(func(from, _ string, r *http.Request, _ []byte) fake.Outcome {
+// duplicateHeartbeats has every beat of a worker copied, for delivery later.
+func (w *testCluster) duplicateHeartbeats(worker string) {
+	w.network.SetRule(func(from, _ string, r *http.Request, _ []byte) fake.Outcome {
 		if strings.HasPrefix(from, worker+":") && r.URL.Path == "/agent/beat" {
 			return fake.Duplicate
 		}
@@ -23,7 +23,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, n := range w.nodes {
-		if n.pool.Cluster() != nil {
+		if n.elector.Cluster() != nil {
 			return n
 		}
 	}
@@ -36,31 +36,31 @@
 	// as running which has ended and was cleared, or lacks one that runs now.
 	for _, late := range []time.Duration{3 * time.Second, 35 * time.Second} {
 		scenario(t, func(t *testing.T, w *testCluster) {
-			w.start("a")
-			m1 := w.worker("m1", "north")
-			w.worker("m2", "south")
+			w.startNode("a")
+			m1 := w.startWorker("m1", "north")
+			w.startWorker("m2", "south")
 			time.Sleep(10 * time.Second)
-			w.copies("m1")
-			s := spec("job-1", "array", 8)
+			w.duplicateHeartbeats("m1")
+			s := newJob("job-1", "array", 8)
 			w.submit("a", s)
-			w.until(4*time.Second, "all run", func() bool { return len(m1.ActiveTasks()) == 4 })
+			w.eventually(4*time.Second, "all run", func() bool { return len(m1.ActiveTasks()) == 4 })
 			time.Sleep(7 * time.Second)
 			for _, k := range w.workers {
 				for _, task := range k.ActiveTasks() {
 					k.EndTask(task, "done")
 				}
 			}
-			w.until(6*time.Second, "done", func() bool { return w.status("a", "job-1") == "done" })
+			w.eventually(6*time.Second, "done", func() bool { return w.status("a", "job-1") == "done" })
 			time.Sleep(6 * time.Second) // stored and cleared
-			w.net.SetRule(nil)
-			w.submit("a", spec("job-2", "standing", 8))
-			w.until(4*time.Second, "the next one runs", func() bool { return len(m1.ActiveTasks()) == 4 })
+			w.network.SetRule(nil)
+			w.submit("a", newJob("job-2", "standing", 8))
+			w.eventually(4*time.Second, "the next one runs", func() bool { return len(m1.ActiveTasks()) == 4 })
 			time.Sleep(late)
-			if w.net.ReleaseHeld() < 3 {
+			if w.network.ReleaseHeld() < 3 {
 				t.Fatal("no copies were kept")
 			}
-			w.hold(25*time.Second, "replicas go on, nothing old begins", func() bool {
-				return len(m1.ActiveTasks()) == 4 && len(w.on("job-2/0")) == 1 && len(w.on("job-1/0")) == 0
+			w.consistently(25*time.Second, "replicas go on, nothing old begins", func() bool {
+				return len(m1.ActiveTasks()) == 4 && len(w.machinesRunning("job-2/0")) == 1 && len(w.machinesRunning("job-1/0")) == 0
 			})
 			for _, k := range w.workers {
 				for i := range 8 {
@@ -83,37 +83,37 @@
 	// The copies show job-1 running and know nothing of job-2, which runs there
 	// now: the new leader hears them before anything else of that machine.
 	scenario(t, func(t *testing.T, w *testCluster) {
-		a := w.start("a")
-		m1 := w.worker("m1", "north")
+		a := w.startNode("a")
+		m1 := w.startWorker("m1", "north")
 		time.Sleep(10 * time.Second)
-		w.copies("m1")
-		w.submit("a", spec("job-1", "array", 1))
-		w.until(4*time.Second, "it runs", func() bool { return len(w.on("job-1/0")) == 1 })
+		w.duplicateHeartbeats("m1")
+		w.submit("a", newJob("job-1", "array", 1))
+		w.eventually(4*time.Second, "it runs", func() bool { return len(w.machinesRunning("job-1/0")) == 1 })
 		time.Sleep(7 * time.Second) // three beats
-		w.net.SetRule(nil)
+		w.network.SetRule(nil)
 		m1.EndTask("job-1/0", "done")
-		w.until(6*time.Second, "done", func() bool { return w.status("a", "job-1") == "done" })
+		w.eventually(6*time.Second, "done", func() bool { return w.status("a", "job-1") == "done" })
 		time.Sleep(6 * time.Second)
-		w.submit("a", spec("job-2", "array", 1))
-		w.until(4*time.Second, "the next one runs", func() bool { return len(w.on("job-2/0")) == 1 })
+		w.submit("a", newJob("job-2", "array", 1))
+		w.eventually(4*time.Second, "the next one runs", func() bool { return len(w.machinesRunning("job-2/0")) == 1 })
 		time.Sleep(5 * time.Second)
 		m1.SetSilent(true)
 		a.kill()
 		time.Sleep(200 * time.Millisecond)
-		a = w.start("a")
-		w.until(5*time.Second, "it owns the pool again", func() bool { return a.pool.Cluster() != nil })
-		if w.net.ReleaseHeld() < 2 {
+		a = w.startNode("a")
+		w.eventually(5*time.Second, "it owns the pool again", func() bool { return a.elector.Cluster() != nil })
+		if w.network.ReleaseHeld() < 2 {
 			t.Fatal("no copies were kept")
 		}
-		w.worker("m2", "south")
+		w.startWorker("m2", "south")
 		time.Sleep(4 * time.Second)
 		m1.SetSilent(false)
-		w.hold(30*time.Second, "job-2 goes on where it is", func() bool { return len(w.on("job-2/0")) == 1 && w.on("job-2/0")[0] == "m1" })
-		if m1.StartCount("job-1/0") != 1 || m1.StartCount("job-2/0") != 1 || len(w.on("job-1/0")) != 0 {
+		w.consistently(30*time.Second, "job-2 goes on where it is", func() bool { return len(w.machinesRunning("job-2/0")) == 1 && w.machinesRunning("job-2/0")[0] == "m1" })
+		if m1.StartCount("job-1/0") != 1 || m1.StartCount("job-2/0") != 1 || len(w.machinesRunning("job-1/0")) != 0 {
 			t.Fatal("something was started again")
 		}
 		m1.EndTask("job-2/0", "done")
-		w.until(8*time.Second, "done", func() bool { return w.status("a", "job-2") == "done" && w.status("a", "job-1") == "done" })
+		w.eventually(8*time.Second, "done", func() bool { return w.status("a", "job-2") == "done" && w.status("a", "job-1") == "done" })
 	})
 }
 
@@ -121,20 +121,20 @@
 	t.Parallel()
 	// The leader; the candidate in the middle of its takeover; all at once.
 	scenario(t, func(t *testing.T, w *testCluster) {
-		w.start("a")
-		w.start("b")
-		w.worker("m1", "north")
-		w.worker("m2", "south")
+		w.startNode("a")
+		w.startNode("b")
+		w.startWorker("m1", "north")
+		w.startWorker("m2", "south")
 		time.Sleep(10 * time.Second)
-		w.submit("a", spec("job-1", "standing", 4))
-		w.until(4*time.Second, "it runs", func() bool { return len(w.on("job-1/3")) == 1 })
+		w.submit("a", newJob("job-1", "standing", 4))
+		w.eventually(4*time.Second, "it runs", func() bool { return len(w.machinesRunning("job-1/3")) == 1 })
 		again := func(n *testNode) {
 			n.kill()
 			time.Sleep(150 * time.Millisecond)
-			w.start(n.name)
+			w.startNode(n.name)
 		}
 		settled := func() {
-			w.until(10*time.Second, "an owner", func() bool { return w.leader() != nil })
+			w.eventually(10*time.Second, "an owner", func() bool { return w.leader() != nil })
 			time.Sleep(6 * time.Second)
 		}
 		again(w.leader())
@@ -142,23 +142,23 @@
 		first := w.leader()
 		first.kill()
 		// The other takes over about a hold's life later, and ends right then.
-		w.until(5*time.Second, "a takeover", func() bool { return w.leader() != nil })
+		w.eventually(5*time.Second, "a takeover", func() bool { return w.leader() != nil })
 		again(w.leader())
 		time.Sleep(100 * time.Millisecond)
-		w.start(first.name)
+		w.startNode(first.name)
 		settled()
 		for _, n := range []*testNode{w.nodes["a"], w.nodes["b"]} {
 			n.kill()
 		}
-		w.start("a")
-		w.start("b")
+		w.startNode("a")
+		w.startNode("b")
 		settled()
-		w.submit("b", spec("job-2", "array", 2))
-		w.until(5*time.Second, "new work runs", func() bool { return len(w.on("job-2/1")) == 1 })
+		w.submit("b", newJob("job-2", "array", 2))
+		w.eventually(5*time.Second, "new work runs", func() bool { return len(w.machinesRunning("job-2/1")) == 1 })
 		for _, task := range []string{"job-1/0", "job-1/1", "job-1/2", "job-1/3"} {
-			n := w.worn("m1").StartCount(task) + w.worn("m2").StartCount(task)
-			if n != 1 || len(w.on(task)) != 1 {
-				t.Errorf("%s was started %d times and is on %v", task, n, w.on(task))
+			n := w.workerNamed("m1").StartCount(task) + w.workerNamed("m2").StartCount(task)
+			if n != 1 || len(w.machinesRunning(task)) != 1 {
+				t.Errorf("%s was started %d times and is on %v", task, n, w.machinesRunning(task))
 			}
 		}
 	})
@@ -169,20 +169,20 @@
 	// It lost its tasks and counts from the beginning again: what ran there
 	// must run again, once.
 	scenario(t, func(t *testing.T, w *testCluster) {
-		w.start("a")
-		m1 := w.worker("m1", "north")
+		w.startNode("a")
+		m1 := w.startWorker("m1", "north")
 		time.Sleep(10 * time.Second)
-		w.submit("a", spec("job-1", "array", 1))
-		w.until(4*time.Second, "it runs", func() bool { return len(w.on("job-1/0")) == 1 })
+		w.submit("a", newJob("job-1", "array", 1))
+		w.eventually(4*time.Second, "it runs", func() bool { return len(w.machinesRunning("job-1/0")) == 1 })
 		time.Sleep(5 * time.Second)
 		m1.SetSilent(true)
 		m1.EndTask("job-1/0", "error") // it went with the machine
 		w.workers = nil
 		time.Sleep(200 * time.Millisecond)
-		w.worker("m1", "north")
-		w.worker("m2", "south")
-		w.until(60*time.Second, "it runs again", func() bool { return len(w.on("job-1/0")) == 1 })
-		w.hold(20*time.Second, "once", func() bool { return len(w.on("job-1/0")) == 1 })
+		w.startWorker("m1", "north")
+		w.startWorker("m2", "south")
+		w.eventually(60*time.Second, "it runs again", func() bool { return len(w.machinesRunning("job-1/0")) == 1 })
+		w.consistently(20*time.Second, "once", func() bool { return len(w.machinesRunning("job-1/0")) == 1 })
 	})
 }
 
@@ -190,15 +190,15 @@
 	t.Parallel()
 	// One unanswered for 75 s after that counts as forgotten, on any node.
 	scenario(t, func(t *testing.T, w *testCluster) {
-		a, b := w.start("a"), w.start("b")
-		m1 := w.worker("m1", "north")
+		a, b := w.startNode("a"), w.startNode("b")
+		m1 := w.startWorker("m1", "north")
 		time.Sleep(10 * time.Second)
-		w.submit("a", spec("job-1", "array", 1))
-		w.submit("b", spec("job-2", "standing", 1))
-		w.submit("b", spec("job-3", "array", 9)) // more than there is room for
-		w.until(4*time.Second, "they run", func() bool { return len(w.on("job-1/0")) == 1 && len(w.on("job-2/0")) == 1 })
+		w.submit("a", newJob("job-1", "array", 1))
+		w.submit("b", newJob("job-2", "standing", 1))
+		w.submit("b", newJob("job-3", "array", 9)) // more than there is room for
+		w.eventually(4*time.Second, "they run", func() bool { return len(w.machinesRunning("job-1/0")) == 1 && len(w.machinesRunning("job-2/0")) == 1 })
 		m1.EndTask("job-1/0", "done")
-		w.until(5*time.Second, "done", func() bool { return w.status("a", "job-1") == "done" })
+		w.eventually(5*time.Second, "done", func() bool { return w.status("a", "job-1") == "done" })
 		if code, _ := w.call("a", "POST", "/v2/runs/job-3/cancel", nil); code != 200 {
 			t.Fatalf("cancel answered %d", code)
 		}
@@ -207,8 +207,8 @@
 		a.kill()
 		b.kill()
 		time.Sleep(time.Second)
-		w.start("a")
-		w.start("b")
+		w.startNode("a")
+		w.startNode("b")
 		time.Sleep(30 * time.Second)
 		for _, n := range []string{"a", "b"} {
 			if code, _ := w.call(n, "GET", "/v2/runs/job-2", nil); code != 503 {
@@ -217,7 +217,7 @@
 		}
 		w.store.SetDown(false)
 		want := map[string]string{"job-1": "done", "job-2": "running", "job-3": "cancelled"}
-		w.until(20*time.Second, "each node knows each job", func() bool {
+		w.eventually(20*time.Second, "each node knows each job", func() bool {
 			for _, n := range []string{"a", "b"} {
 				for id, s := range want {
 					if w.status(n, id) != s {
@@ -228,10 +228,10 @@
 			return true
 		})
 		for id, s := range want {
-			if code, out := w.call("b", "POST", "/v2/runs", spec(id, "array", 1)); code != 200 || out["status"] != s {
+			if code, out := w.call("b", "POST", "/v2/runs", newJob(id, "array", 1)); code != 200 || out["status"] != s {
 				t.Errorf("a repeat of %s got %d %v", id, code, out)
 			}
 		}
-		w.hold(30*time.Second, "the cancelled one stays away", func() bool { return len(w.on("job-3/0")) == 0 && w.status("a", "job-3") == "cancelled" })
+		w.consistently(30*time.Second, "the cancelled one stays away", func() bool { return len(w.machinesRunning("job-3/0")) == 0 && w.status("a", "job-3") == "cancelled" })
 	})
 }
--- a/internal/scenarios/mixed_test.go
+++ b/internal/scenarios/mixed_test.go
@@ -18,23 +18,23 @@
 	// cut from the state service and the other controller, two of these at a time, for up to beyond
 	// a lease. Some jobs await others. Once all is over, every job comes to its end.
 	for seed := range uint64(4) {
-		variant(t, fmt.Sprint(seed), func(t *testing.T, w *testCluster) {
-			d := newDice(seed)
-			w.listed = true
-			w.start("a")
-			w.start("b")
+		parallelScenario(t, fmt.Sprint(seed), func(t *testing.T, w *testCluster) {
+			d := newRandomSource(seed)
+			w.inCloudList = true
+			w.startNode("a")
+			w.startNode("b")
 			machines := []string{"m1", "m2", "m3", "m4"}
 			for i, m := range machines {
-				w.worker(m, []string{"north", "south"}[i%2])
+				w.startWorker(m, []string{"north", "south"}[i%2])
 			}
 			time.Sleep(10 * time.Second)
-			w.lags(d)
-			w.net.SetDelay(func() time.Duration { return d.ms(2000, 12000) })
-			w.submit("a", spec("job-90", "array", 1))
-			w.submit("b", awaiting(spec("job-91", "array", 1), "job-90"))
+			w.setRandomLatency(d)
+			w.network.SetDelay(func() time.Duration { return d.milliseconds(2000, 12000) })
+			w.submit("a", newJob("job-90", "array", 1))
+			w.submit("b", dependingOn(newJob("job-91", "array", 1), "job-90"))
 			var mu sync.Mutex
 			rules := map[int]fake.Rule{}
-			w.net.SetRule(func(from, to string, r *http.Request, body []byte) fake.Outcome {
+			w.network.SetRule(func(from, to string, r *http.Request, body []byte) fake.Outcome {
 				mu.Lock()
 				defer mu.Unlock()
 				for i := range 2 {
@@ -52,18 +52,18 @@
 				rules[i] = r
 			}
 			trouble := func(i int) {
-				m, how, spell := machines[d.n(4)], d.n(11), d.ms(2000, 28000)
+				m, how, spell := machines[d.intn(4)], d.intn(11), d.milliseconds(2000, 28000)
 				switch how {
 				case 0:
-					w.worn(m).SetHung(true)
+					w.workerNamed(m).SetHung(true)
 					time.Sleep(spell)
-					w.worn(m).SetHung(false)
+					w.workerNamed(m).SetHung(false)
 				case 1, 2, 3:
 					set(i, []fake.Rule{fake.PartitionOutbound(m), fake.PartitionInbound(m), fake.DuplicateHeartbeats(m)}[how-1])
 					time.Sleep(spell)
 					set(i, nil)
-					time.Sleep(d.ms(0, 3000))
-					w.net.ReleaseHeld()
+					time.Sleep(d.milliseconds(0, 3000))
+					w.network.ReleaseHeld()
 				case 4:
 					if o := w.leader(); o != nil {
 						w.store.RefuseCaller(o.name, true)
@@ -71,7 +71,7 @@
 						w.store.RefuseCaller(o.name, false)
 					}
 				case 5:
-					w.store.SetLatency(d.ms(50, 800))
+					w.store.SetLatency(d.milliseconds(50, 800))
 					time.Sleep(spell)
 					w.store.SetLatency(0)
 				case 6:
@@ -80,8 +80,8 @@
 					w.mu.Unlock()
 					if n != nil {
 						n.kill()
-						time.Sleep(d.ms(100, 8000))
-						w.start(n.name)
+						time.Sleep(d.milliseconds(100, 8000))
+						w.startNode(n.name)
 					}
 				case 7:
 					w.store.SetDown(true)
@@ -90,7 +90,7 @@
 				case 8, 9:
 					fate := []fake.Outcome{fake.DropResponse, fake.Delay}[how-8]
 					set(i, func(_, _ string, r *http.Request, body []byte) fake.Outcome {
-						if r.URL.Path == "/commit" && d.n(4) == 0 {
+						if r.URL.Path == "/commit" && d.intn(4) == 0 {
 							return fate
 						}
 						return fake.Deliver
@@ -100,7 +100,7 @@
 				case 10:
 					if o := w.leader(); o != nil {
 						set(i, func(from, to string, _ *http.Request, _ []byte) fake.Outcome {
-							if touches(from, to, "a", "b") || touches(from, to, o.name, "state") {
+							if isBetween(from, to, "a", "b") || isBetween(from, to, o.name, "state") {
 								return fake.Drop
 							}
 							return fake.Deliver
@@ -112,11 +112,11 @@
 			}
 			over := make(chan struct{})
 			var users, troubles, ends sync.WaitGroup
-			ends.Go(func() { w.tasksEnd(over, d, 1000, 15000) })
+			ends.Go(func() { w.completeTasksUntil(over, d, 1000, 15000) })
 			for i := range 2 {
 				troubles.Go(func() {
 					for range 6 {
-						time.Sleep(d.ms(0, 5000))
+						time.Sleep(d.milliseconds(0, 5000))
 						trouble(i)
 					}
 				})
@@ -126,25 +126,25 @@
 			for i := range 40 {
 				id := fmt.Sprintf("job-%d", i+1)
 				ids = append(ids, id)
-				s := spec(id, []string{"array", "array", "standing"}[i%3], 1+d.n(3))
+				s := newJob(id, []string{"array", "array", "standing"}[i%3], 1+d.intn(3))
 				s["spread"], s["together"] = i%4 == 1, i%4 == 2
 				if i%5 == 0 {
 					s["yard"] = "north"
 				}
 				if i%7 < 2 {
-					awaiting(s, []string{"job-90", "job-91"}[i%7])
+					dependingOn(s, []string{"job-90", "job-91"}[i%7])
 				}
 				specs = append(specs, s)
 				users.Go(func() {
-					time.Sleep(time.Duration(i) * d.ms(1000, 2500))
-					w.insist(d, "POST", "/v2/runs", s)
-					if i%3 == 2 || d.n(3) == 0 {
-						time.Sleep(d.ms(0, 20000))
+					time.Sleep(time.Duration(i) * d.milliseconds(1000, 2500))
+					w.requestUntilDecided(d, "POST", "/v2/runs", s)
+					if i%3 == 2 || d.intn(3) == 0 {
+						time.Sleep(d.milliseconds(0, 20000))
 						for code := 0; code != 200 && code != 404; {
-							code, _ = w.insist(d, "POST", "/v2/runs/"+id+"/cancel", nil)
+							code, _ = w.requestUntilDecided(d, "POST", "/v2/runs/"+id+"/cancel", nil)
 						}
 					}
-					w.closely(d, s)
+					w.askAllNodes(d, s)
 				})
 			}
 			troubles.Wait()
@@ -152,20 +152,20 @@
 			// Whoever got no answer for a minute asks once more.
 			for i, id := range ids {
 				if i%3 == 2 {
-					w.insist(d, "POST", "/v2/runs/"+id+"/cancel", nil)
-				} else if code, _ := w.insist(d, "POST", "/v2/runs", specs[i]); code != 200 && code != 201 {
+					w.requestUntilDecided(d, "POST", "/v2/runs/"+id+"/cancel", nil)
+				} else if code, _ := w.requestUntilDecided(d, "POST", "/v2/runs", specs[i]); code != 200 && code != 201 {
 					t.Errorf("a submission of %s got %d", id, code)
 				}
 			}
 			for i, id := range ids {
 				if i%3 != 2 {
-					w.agreed(90*time.Second, id)
+					w.awaitAgreement(90*time.Second, id)
 				} else if code, _ := w.call("a", "GET", "/v2/runs/"+id, nil); code == 200 {
-					w.agreed(90*time.Second, id)
+					w.awaitAgreement(90*time.Second, id)
 				}
 			}
-			w.agreed(90*time.Second, "job-90", "job-91")
-			w.hold(45*time.Second, "", func() bool { return true })
+			w.awaitAgreement(90*time.Second, "job-90", "job-91")
+			w.consistently(45*time.Second, "", func() bool { return true })
 			close(over)
 			ends.Wait()
 		})
--- a/internal/scenarios/overlapping_failures_test.go
+++ b/internal/scenarios/overlapping_failures_test.go
@@ -15,26 +15,26 @@
 
 // The scenarios in which two troubles meet.
 
-// meet is a test cluster with what brings troubles about, and with users that ask.
-type meet struct {
+// faultCluster is a test cluster with what brings troubles about, and with users that ask.
+type faultCluster struct {
 	*testCluster
-	mu    sync.Mutex
-	jobs  []string            // accepted
-	beats map[string][][]byte // every report of a worker, by its name
+	mu         sync.Mutex
+	jobs       []string            // accepted
+	heartbeats map[string][][]byte // every report of a worker, by its name
 }
 
-// meeting is a scenario in which users ask about all jobs at all nodes all along.
-func meeting(t *testing.T, f func(t *testing.T, g *meet)) {
+// faultScenario is a scenario in which users ask about all jobs at all nodes all along.
+func faultScenario(t *testing.T, f func(t *testing.T, g *faultCluster)) {
 	scenario(t, func(t *testing.T, w *testCluster) {
-		g := &meet{testCluster: w, beats: map[string][][]byte{}}
-		w.listed = true
-		g.trouble(nil)
-		w.start("a")
-		w.start("b")
+		g := &faultCluster{testCluster: w, heartbeats: map[string][][]byte{}}
+		w.inCloudList = true
+		g.setFaults(nil)
+		w.startNode("a")
+		w.startNode("b")
 		for _, node := range []string{"a", "b"} {
 			go func() {
 				for w.ctx.Err() == nil {
-					g.poll(node)
+					g.pollJobs(node)
 					g.rest(500 * time.Millisecond)
 				}
 			}()
@@ -44,19 +44,19 @@
 }
 
 // rest sleeps, at most until the scenario ends.
-func (g *meet) rest(d time.Duration) {
+func (g *faultCluster) rest(d time.Duration) {
 	select {
 	case <-g.ctx.Done():
 	case <-time.After(d):
 	}
 }
 
-// trouble sets the network's rule, and records the workers' reports beside it.
-func (g *meet) trouble(rule func(from, to string, r *http.Request, body []byte) fake.Outcome) {
-	g.net.SetRule(func(from, to string, r *http.Request, body []byte) fake.Outcome {
+// setFaults sets the network's rule, and records the workers' reports beside it.
+func (g *faultCluster) setFaults(rule func(from, to string, r *http.Request, body []byte) fake.Outcome) {
+	g.network.SetRule(func(from, to string, r *http.Request, body []byte) fake.Outcome {
 		if name, _, ok := strings.Cut(from, ":"); ok && r.URL.Path == "/agent/beat" && name != "late" {
 			g.mu.Lock()
-			g.beats[name] = append(g.beats[name], bytes.Clone(body))
+			g.heartbeats[name] = append(g.heartbeats[name], bytes.Clone(body))
 			g.mu.Unlock()
 		}
 		if rule == nil {
@@ -66,10 +66,10 @@
 	})
 }
 
-// apart cuts machines off: how is unreachable by refusal, silence or holding back,
+// partition cuts machines off: how is unreachable by refusal, silence or holding back,
 // deaf (only their reports arrive) or mute (only direct commands do).
-func (g *meet) apart(how string, machines ...string) {
-	g.trouble(func(from, to string, _ *http.Request, _ []byte) fake.Outcome {
+func (g *faultCluster) partition(how string, machines ...string) {
+	g.setFaults(func(from, to string, _ *http.Request, _ []byte) fake.Outcome {
 		for _, m := range machines {
 			out, in := strings.HasPrefix(from, m+":"), strings.HasPrefix(to, m+":")
 			switch {
@@ -88,31 +88,31 @@
 	})
 }
 
-// mended ends all troubles of the network; what was held back arrives.
-func (g *meet) mended() {
-	g.trouble(nil)
-	g.net.ReleaseHeld()
+// heal ends all troubles of the network; what was held back arrives.
+func (g *faultCluster) heal() {
+	g.setFaults(nil)
+	g.network.ReleaseHeld()
 }
 
-// replay delivers a copy of a report to every controller.
-func (g *meet) replay(report []byte) {
+// deliverToControllers delivers a copy of a report to every controller.
+func (g *faultCluster) deliverToControllers(report []byte) {
 	for _, node := range []string{"a", "b"} {
 		req, _ := http.NewRequestWithContext(g.ctx, "POST", "http://"+node+":8080/agent/beat", bytes.NewReader(report))
-		if res, err := g.net.Client("late:1").Do(req); err == nil {
+		if res, err := g.network.Client("late:1").Do(req); err == nil {
 			res.Body.Close()
 		}
 	}
 }
 
-func (g *meet) lastBeat(worker string) []byte {
+func (g *faultCluster) lastHeartbeat(worker string) []byte {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.beats[worker][len(g.beats[worker])-1]
+	return g.heartbeats[worker][len(g.heartbeats[worker])-1]
 }
 
-func (g *meet) order(node string, s map[string]any) {
+func (g *faultCluster) submitJob(node string, s map[string]any) {
 	g.t.Helper()
-	g.until(20*time.Second, "accepted", func() bool {
+	g.eventually(20*time.Second, "accepted", func() bool {
 		code, _ := g.call(node, "POST", "/v2/runs", s)
 		return code == 200 || code == 201
 	})
@@ -121,16 +121,16 @@
 	g.mu.Unlock()
 }
 
-func (g *meet) callOff(node, id string) {
+func (g *faultCluster) cancelJob(node, id string) {
 	g.t.Helper()
-	g.until(20*time.Second, "called off", func() bool {
+	g.eventually(20*time.Second, "called off", func() bool {
 		code, out := g.call(node, "POST", "/v2/runs/"+id+"/cancel", nil)
 		return code == 200 && out["status"] == "cancelled"
 	})
 }
 
-// poll is users asking one node for all jobs.
-func (g *meet) poll(node string) {
+// pollJobs is users asking one node for all jobs.
+func (g *faultCluster) pollJobs(node string) {
 	g.mu.Lock()
 	jobs := slices.Clone(g.jobs)
 	g.mu.Unlock()
@@ -139,14 +139,14 @@
 	}
 }
 
-// pass lets time go by.
-func (g *meet) pass(d time.Duration) {
+// passTime lets time go by.
+func (g *faultCluster) passTime(d time.Duration) {
 	g.t.Helper()
-	g.hold(d, "", func() bool { return true })
+	g.consistently(d, "", func() bool { return true })
 }
 
-// finish completes a task where it is.
-func (g *meet) finish(task string) bool {
+// completeTask completes a task where it is.
+func (g *faultCluster) completeTask(task string) bool {
 	for _, k := range g.workers {
 		if k.EndTask(task, "done") {
 			return true
@@ -155,14 +155,14 @@
 	return false
 }
 
-// toTheEnd completes all that runs until the jobs are done.
-func (g *meet) toTheEnd(jobs ...string) {
+// completeJobs completes all that runs until the jobs are done.
+func (g *faultCluster) completeJobs(jobs ...string) {
 	g.t.Helper()
 	for _, id := range jobs {
-		g.until(120*time.Second, id+" is done", func() bool {
+		g.eventually(120*time.Second, id+" is done", func() bool {
 			for _, k := range g.workers {
 				for _, task := range k.ActiveTasks() {
-					g.finish(task)
+					g.completeTask(task)
 				}
 			}
 			return g.status("a", id) == "done" && g.status("b", id) == "done"
@@ -170,21 +170,21 @@
 	}
 }
 
-// lead waits until a node leads, and names it.
-func (g *meet) lead() *testNode {
+// awaitLeader waits until a node leads, and names it.
+func (g *faultCluster) awaitLeader() *testNode {
 	g.t.Helper()
-	g.until(20*time.Second, "a leader", func() bool { return g.leader() != nil })
+	g.eventually(20*time.Second, "a leader", func() bool { return g.leader() != nil })
 	return g.leader()
 }
 
 // runs tells whether the first n tasks of a job are on machines.
-func (g *meet) runs(id string, n int) func() bool {
-	return func() bool { return g.everywhere(id, n) }
+func (g *faultCluster) runs(id string, n int) func() bool {
+	return func() bool { return g.allRunning(id, n) }
 }
 
 // sized is a spec with tasks of so many cores.
 func sized(id, shape string, tasks int, cores float64) map[string]any {
-	s := spec(id, shape, tasks)
+	s := newJob(id, shape, tasks)
 	s["cores"] = cores
 	return s
 }
@@ -198,29 +198,29 @@
 		for _, cut := range [][]string{{"m1"}, {"m2", "m3"}, {"m1", "m2", "m3"}} {
 			t.Run(how+fmt.Sprint(len(cut)), func(t *testing.T) {
 				t.Parallel()
-				meeting(t, func(t *testing.T, g *meet) {
+				faultScenario(t, func(t *testing.T, g *faultCluster) {
 					for i, zone := range []string{"north", "south", "south"} {
-						g.worker(fmt.Sprintf("m%d", i+1), zone)
+						g.startWorker(fmt.Sprintf("m%d", i+1), zone)
 					}
 					time.Sleep(10 * time.Second)
-					g.order("a", spec("job-1", "array", 4))
-					g.order("b", spec("job-2", "standing", 4))
-					g.until(6*time.Second, "they run", func() bool { return g.everywhere("job-1", 4) && g.everywhere("job-2", 4) })
-					g.pass(5 * time.Second)
-					old := g.lead()
+					g.submitJob("a", newJob("job-1", "array", 4))
+					g.submitJob("b", newJob("job-2", "standing", 4))
+					g.eventually(6*time.Second, "they run", func() bool { return g.allRunning("job-1", 4) && g.allRunning("job-2", 4) })
+					g.passTime(5 * time.Second)
+					old := g.awaitLeader()
 					other := map[string]string{"a": "b", "b": "a"}[old.name]
-					g.apart(how, cut...)
-					g.pass(time.Second)
+					g.partition(how, cut...)
+					g.passTime(time.Second)
 					old.kill()
-					g.pass(2 * time.Second)
-					g.start(old.name)
-					g.order(other, spec("job-3", "array", 4))
-					g.pass(2 * time.Second)
-					g.callOff(other, "job-2")
-					g.pass(45 * time.Second)
-					g.mended()
-					g.pass(5 * time.Second)
-					g.toTheEnd("job-1", "job-3")
+					g.passTime(2 * time.Second)
+					g.startNode(old.name)
+					g.submitJob(other, newJob("job-3", "array", 4))
+					g.passTime(2 * time.Second)
+					g.cancelJob(other, "job-2")
+					g.passTime(45 * time.Second)
+					g.heal()
+					g.passTime(5 * time.Second)
+					g.completeJobs("job-1", "job-3")
 				})
 			})
 		}
@@ -236,51 +236,51 @@
 		for _, how := range []string{"", "refused", "held", "deaf"} {
 			t.Run(what+how, func(t *testing.T) {
 				t.Parallel()
-				meeting(t, func(t *testing.T, g *meet) {
-					m1 := g.worker("m1", "north")
+				faultScenario(t, func(t *testing.T, g *faultCluster) {
+					m1 := g.startWorker("m1", "north")
 					time.Sleep(10 * time.Second)
-					empty := g.lastBeat("m1")
-					g.order("a", spec("job-1", "array", 3))
-					g.until(5*time.Second, "it runs", g.runs("job-1", 3))
-					g.pass(5 * time.Second)
-					old := g.lastBeat("m1")
+					empty := g.lastHeartbeat("m1")
+					g.submitJob("a", newJob("job-1", "array", 3))
+					g.eventually(5*time.Second, "it runs", g.runs("job-1", 3))
+					g.passTime(5 * time.Second)
+					old := g.lastHeartbeat("m1")
 					switch what {
 					case "shows nothing":
 						old = empty
 					case "shows what runs elsewhere":
-						g.worker("m2", "south")
-						g.pass(5 * time.Second)
+						g.startWorker("m2", "south")
+						g.passTime(5 * time.Second)
 						m1.EndTask("job-1/0", "error")
-						g.until(20*time.Second, "it runs elsewhere", func() bool { return g.worn("m2").StartCount("job-1/0") == 1 })
+						g.eventually(20*time.Second, "it runs elsewhere", func() bool { return g.workerNamed("m2").StartCount("job-1/0") == 1 })
 					case "of an earlier session":
 						m1.SetSilent(true)
-						g.pass(25 * time.Second)
+						g.passTime(25 * time.Second)
 						m1.SetSilent(false)
-						g.until(20*time.Second, "it runs again", g.runs("job-1", 3))
+						g.eventually(20*time.Second, "it runs again", g.runs("job-1", 3))
 					case "shows what is done":
-						g.finish("job-1/0")
+						g.completeTask("job-1/0")
 					}
-					g.pass(8 * time.Second)
-					first := g.lead()
+					g.passTime(8 * time.Second)
+					first := g.awaitLeader()
 					first.kill()
 					if how != "" {
-						g.apart(how, "m1")
-					}
-					if g.worn("m2") == nil {
-						g.worker("m2", "south")
-					}
-					g.lead()
-					g.replay(old)
-					g.start(first.name)
-					g.pass(3 * time.Second)
-					g.replay(old)
-					g.order("a", spec("job-2", "array", 5))
-					g.pass(6 * time.Second)
-					g.mended()
-					g.pass(3 * time.Second)
-					g.replay(old)
-					g.pass(25 * time.Second)
-					g.toTheEnd("job-1", "job-2")
+						g.partition(how, "m1")
+					}
+					if g.workerNamed("m2") == nil {
+						g.startWorker("m2", "south")
+					}
+					g.awaitLeader()
+					g.deliverToControllers(old)
+					g.startNode(first.name)
+					g.passTime(3 * time.Second)
+					g.deliverToControllers(old)
+					g.submitJob("a", newJob("job-2", "array", 5))
+					g.passTime(6 * time.Second)
+					g.heal()
+					g.passTime(3 * time.Second)
+					g.deliverToControllers(old)
+					g.passTime(25 * time.Second)
+					g.completeJobs("job-1", "job-2")
 				})
 			})
 		}
@@ -296,60 +296,60 @@
 		for _, after := range []bool{false, true} {
 			t.Run(fmt.Sprint(how, after), func(t *testing.T) {
 				t.Parallel()
-				meeting(t, func(t *testing.T, g *meet) {
+				faultScenario(t, func(t *testing.T, g *faultCluster) {
 					for i, zone := range []string{"north", "south", "north", "south"} {
-						g.worker(fmt.Sprintf("m%d", i+1), zone)
+						g.startWorker(fmt.Sprintf("m%d", i+1), zone)
 					}
 					time.Sleep(10 * time.Second)
 					for i := range 4 {
-						g.order("a", sized(fmt.Sprintf("job-%d", i+1), "standing", 1, 2))
-						g.until(5*time.Second, "it runs", g.runs(fmt.Sprintf("job-%d", i+1), 1))
+						g.submitJob("a", sized(fmt.Sprintf("job-%d", i+1), "standing", 1, 2))
+						g.eventually(5*time.Second, "it runs", g.runs(fmt.Sprintf("job-%d", i+1), 1))
 					}
 					var cut []string
 					for _, id := range []string{"job-1/0", "job-3/0", "job-4/0"} {
-						cut = append(cut, g.on(id)...)
+						cut = append(cut, g.machinesRunning(id)...)
 					}
-					g.order("b", sized("job-5", "array", 6, 2))
-					g.pass(4 * time.Second)
-					g.apart(how, cut...)
+					g.submitJob("b", sized("job-5", "array", 6, 2))
+					g.passTime(4 * time.Second)
+					g.partition(how, cut...)
 					if how == "hung" {
 						for _, name := range cut {
-							g.worn(name).SetHung(true)
+							g.workerNamed(name).SetHung(true)
 						}
 					}
-					g.pass(500 * time.Millisecond)
-					first := g.lead()
+					g.passTime(500 * time.Millisecond)
+					first := g.awaitLeader()
 					change := func() {
 						first.kill()
-						g.pass(time.Second)
-						g.start(first.name)
+						g.passTime(time.Second)
+						g.startNode(first.name)
 					}
 					if !after {
 						change()
 					}
 					for i, id := range []string{"job-1", "job-3", "job-4"} {
-						g.callOff([]string{"a", "b"}[i%2], id)
+						g.cancelJob([]string{"a", "b"}[i%2], id)
 					}
 					if after {
 						change()
 					}
 					if how == "hung" { // some go on within their leases, some beyond
-						g.pass(12 * time.Second)
-						g.worn(cut[0]).SetHung(false)
-						g.pass(33 * time.Second)
+						g.passTime(12 * time.Second)
+						g.workerNamed(cut[0]).SetHung(false)
+						g.passTime(33 * time.Second)
 						for _, name := range cut {
-							g.worn(name).SetHung(false)
+							g.workerNamed(name).SetHung(false)
 						}
 					} else {
-						g.pass(45 * time.Second)
+						g.passTime(45 * time.Second)
 					}
-					g.mended()
-					g.pass(3 * time.Second)
-					if len(g.on("job-2/0")) != 1 {
+					g.heal()
+					g.passTime(3 * time.Second)
+					if len(g.machinesRunning("job-2/0")) != 1 {
 						t.Error("job-2, which nobody called off, is gone")
 					}
-					g.callOff("a", "job-2")
-					g.toTheEnd("job-5")
+					g.cancelJob("a", "job-2")
+					g.completeJobs("job-5")
 				})
 			})
 		}
@@ -364,16 +364,16 @@
 		for _, starts := range []fake.Outcome{fake.Deliver, fake.HoldBack, fake.DropResponse} {
 			t.Run(fmt.Sprint(fate, starts), func(t *testing.T) {
 				t.Parallel()
-				meeting(t, func(t *testing.T, g *meet) {
+				faultScenario(t, func(t *testing.T, g *faultCluster) {
 					g.testCluster.mu.Lock()
-					g.listed = false
+					g.inCloudList = false
 					g.testCluster.mu.Unlock()
 					time.Sleep(10 * time.Second)
-					first := g.lead()
+					first := g.awaitLeader()
 					other := map[string]string{"a": "b", "b": "a"}[first.name]
 					n := 0
 					var mu sync.Mutex
-					g.trouble(func(from, to string, r *http.Request, body []byte) fake.Outcome {
+					g.setFaults(func(from, to string, r *http.Request, body []byte) fake.Outcome {
 						mu.Lock()
 						defer mu.Unlock()
 						switch {
@@ -387,19 +387,19 @@
 						return fake.Deliver
 					})
 					for i := range 4 {
-						g.worker(fmt.Sprintf("m%d", i+1), []string{"north", "south"}[i%2])
+						g.startWorker(fmt.Sprintf("m%d", i+1), []string{"north", "south"}[i%2])
 					}
 					for i := range 6 {
-						g.order(other, sized(fmt.Sprintf("job-%d", i+1), "array", 1, 2))
+						g.submitJob(other, sized(fmt.Sprintf("job-%d", i+1), "array", 1, 2))
 					}
-					g.pass(1500 * time.Millisecond)
+					g.passTime(1500 * time.Millisecond)
 					first.kill()
-					g.pass(time.Second)
-					g.start(first.name)
-					g.pass(5 * time.Second)
-					g.mended()
-					g.pass(30 * time.Second)
-					g.toTheEnd("job-1", "job-2", "job-3", "job-4", "job-5", "job-6")
+					g.passTime(time.Second)
+					g.startNode(first.name)
+					g.passTime(5 * time.Second)
+					g.heal()
+					g.passTime(30 * time.Second)
+					g.completeJobs("job-1", "job-2", "job-3", "job-4", "job-5", "job-6")
 				})
 			})
 		}
@@ -415,31 +415,31 @@
 		for _, lag := range []time.Duration{0, 300 * time.Millisecond, 2 * time.Second, 6 * time.Second} {
 			t.Run(fmt.Sprint(shape, lag), func(t *testing.T) {
 				t.Parallel()
-				meeting(t, func(t *testing.T, g *meet) {
-					g.worker("m1", "north")
-					g.worker("m2", "south")
+				faultScenario(t, func(t *testing.T, g *faultCluster) {
+					g.startWorker("m1", "north")
+					g.startWorker("m2", "south")
 					time.Sleep(10 * time.Second)
-					g.order("a", sized("job-1", "array", shape, 2))
-					g.until(5*time.Second, "it runs", g.runs("job-1", shape))
-					g.pass(5 * time.Second)
+					g.submitJob("a", sized("job-1", "array", shape, 2))
+					g.eventually(5*time.Second, "it runs", g.runs("job-1", shape))
+					g.passTime(5 * time.Second)
 					var tasks []string
 					for i := range shape {
 						tasks = append(tasks, fmt.Sprintf("job-1/%d", i))
 					}
 					for _, task := range tasks {
-						old := g.lastBeat(g.on(task)[0])
-						g.finish(task)
-						g.pass(lag)
-						first := g.lead()
+						old := g.lastHeartbeat(g.machinesRunning(task)[0])
+						g.completeTask(task)
+						g.passTime(lag)
+						first := g.awaitLeader()
 						first.kill()
-						g.pass(400 * time.Millisecond)
-						g.start(first.name)
-						g.lead()
-						g.replay(old)
-						g.pass(25 * time.Second)
-					}
-					g.until(5*time.Second, "done", func() bool { return g.status("a", "job-1") == "done" && g.status("b", "job-1") == "done" })
-					g.once(tasks...)
+						g.passTime(400 * time.Millisecond)
+						g.startNode(first.name)
+						g.awaitLeader()
+						g.deliverToControllers(old)
+						g.passTime(25 * time.Second)
+					}
+					g.eventually(5*time.Second, "done", func() bool { return g.status("a", "job-1") == "done" && g.status("b", "job-1") == "done" })
+					g.requireStartedOnce(tasks...)
 				})
 			})
 		}
@@ -460,11 +460,11 @@
 				}{{5 * time.Second, false}, {5 * time.Second, true}, {45 * time.Second, false}} {
 					t.Run(fmt.Sprint(fate, verb, what, late.by, late.mute), func(t *testing.T) {
 						t.Parallel()
-						meeting(t, func(t *testing.T, g *meet) {
-							g.worker("m1", "north")
-							g.worker("m2", "south")
+						faultScenario(t, func(t *testing.T, g *faultCluster) {
+							g.startWorker("m1", "north")
+							g.startWorker("m2", "south")
 							time.Sleep(10300 * time.Millisecond) // between reports
-							g.trouble(func(from, to string, r *http.Request, body []byte) fake.Outcome {
+							g.setFaults(func(from, to string, r *http.Request, body []byte) fake.Outcome {
 								if r.URL.Path == "/commands" && strings.Contains(string(body), `"verb":"`+verb+`"`) {
 									return fate
 								}
@@ -473,27 +473,27 @@
 								}
 								return fake.Deliver
 							})
-							g.order("a", sized("job-1", "array", 4, 2))
-							g.order("b", sized("job-2", "array", 4, 2))
-							g.pass(400 * time.Millisecond)
+							g.submitJob("a", sized("job-1", "array", 4, 2))
+							g.submitJob("b", sized("job-2", "array", 4, 2))
+							g.passTime(400 * time.Millisecond)
 							if what != "leader ends" {
-								g.callOff("b", "job-1")
+								g.cancelJob("b", "job-1")
 							}
 							if what != "called off" {
-								first := g.lead()
+								first := g.awaitLeader()
 								first.kill()
-								g.pass(200 * time.Millisecond)
-								g.start(first.name)
+								g.passTime(200 * time.Millisecond)
+								g.startNode(first.name)
 							}
-							g.pass(late.by)
-							g.net.ReleaseHeld()
-							g.pass(3 * time.Second)
-							g.mended()
-							g.pass(40 * time.Second)
+							g.passTime(late.by)
+							g.network.ReleaseHeld()
+							g.passTime(3 * time.Second)
+							g.heal()
+							g.passTime(40 * time.Second)
 							if what == "leader ends" {
-								g.toTheEnd("job-1")
+								g.completeJobs("job-1")
 							}
-							g.toTheEnd("job-2")
+							g.completeJobs("job-2")
 						})
 					})
 				}
@@ -510,28 +510,28 @@
 		for _, shape := range []string{"array", "standing", "gang"} {
 			t.Run(how+shape, func(t *testing.T) {
 				t.Parallel()
-				meeting(t, func(t *testing.T, g *meet) {
+				faultScenario(t, func(t *testing.T, g *faultCluster) {
 					for i, zone := range []string{"north", "north", "south", "south"} {
-						g.worker(fmt.Sprintf("m%d", i+1), zone)
+						g.startWorker(fmt.Sprintf("m%d", i+1), zone)
 					}
 					time.Sleep(10 * time.Second)
 					s := sized("job-1", shape, 4, 2)
 					s["yard"] = "north"
-					g.order("a", s)
-					g.until(6*time.Second, "it runs", g.runs("job-1", 4))
-					g.pass(4 * time.Second)
-					g.apart(how, "m1")
-					g.pass(2 * time.Second)
-					first := g.lead()
+					g.submitJob("a", s)
+					g.eventually(6*time.Second, "it runs", g.runs("job-1", 4))
+					g.passTime(4 * time.Second)
+					g.partition(how, "m1")
+					g.passTime(2 * time.Second)
+					first := g.awaitLeader()
 					first.kill()
-					g.pass(time.Second)
-					g.start(first.name)
-					g.pass(20 * time.Second)
-					g.apart(how, "m1", "m2")
-					g.pass(40 * time.Second)
-					g.worker("m5", "north")
-					g.pass(20 * time.Second)
-					g.mended()
+					g.passTime(time.Second)
+					g.startNode(first.name)
+					g.passTime(20 * time.Second)
+					g.partition(how, "m1", "m2")
+					g.passTime(40 * time.Second)
+					g.startWorker("m5", "north")
+					g.passTime(20 * time.Second)
+					g.heal()
 					if shape == "gang" {
 						// One that lost a task ends as a whole.
 						for _, k := range g.workers {
@@ -542,7 +542,7 @@
 							}
 						}
 					}
-					g.until(90*time.Second, "it runs in its zone", g.runs("job-1", 4))
+					g.eventually(90*time.Second, "it runs in its zone", g.runs("job-1", 4))
 				})
 			})
 		}
@@ -557,14 +557,14 @@
 		for _, how := range []string{"one", "outage", "all", "away"} {
 			t.Run(fmt.Sprint(gap, how), func(t *testing.T) {
 				t.Parallel()
-				meeting(t, func(t *testing.T, g *meet) {
-					g.worker("m1", "north")
-					g.worker("m2", "south")
+				faultScenario(t, func(t *testing.T, g *faultCluster) {
+					g.startWorker("m1", "north")
+					g.startWorker("m2", "south")
 					time.Sleep(10 * time.Second)
-					g.order("a", spec("job-1", "standing", 4))
-					g.order("b", spec("job-2", "array", 2))
-					g.until(6*time.Second, "they run", func() bool { return g.everywhere("job-1", 4) && g.everywhere("job-2", 2) })
-					g.order("a", spec("job-3", "array", 6)) // four wait
+					g.submitJob("a", newJob("job-1", "standing", 4))
+					g.submitJob("b", newJob("job-2", "array", 2))
+					g.eventually(6*time.Second, "they run", func() bool { return g.allRunning("job-1", 4) && g.allRunning("job-2", 2) })
+					g.submitJob("a", newJob("job-3", "array", 6)) // four wait
 					for i := range 10 {
 						if how == "outage" {
 							g.store.SetDown(i%5 >= 3)
@@ -581,7 +581,7 @@
 								}
 							}
 						}
-						g.pass(gap)
+						g.passTime(gap)
 						if how == "away" && i == 5 {
 							for _, name := range []string{"a", "b"} {
 								if n := g.nodes[name]; n != nil {
@@ -589,20 +589,20 @@
 									down = append(down, name)
 								}
 							}
-							g.pass(25 * time.Second) // longer than the lease
+							g.passTime(25 * time.Second) // longer than the lease
 						}
 						for _, name := range down {
-							g.start(name)
+							g.startNode(name)
 						}
-						g.pass(11 * time.Second)
+						g.passTime(11 * time.Second)
 					}
 					g.store.SetDown(false)
-					g.until(60*time.Second, "replicas run", g.runs("job-1", 4))
+					g.eventually(60*time.Second, "replicas run", g.runs("job-1", 4))
 					if how == "one" && gap < time.Second {
-						g.once("job-1/0", "job-1/1", "job-1/2", "job-1/3", "job-2/0", "job-2/1")
+						g.requireStartedOnce("job-1/0", "job-1/1", "job-1/2", "job-1/3", "job-2/0", "job-2/1")
 					}
-					g.callOff("a", "job-1")
-					g.toTheEnd("job-2", "job-3")
+					g.cancelJob("a", "job-1")
+					g.completeJobs("job-2", "job-3")
 				})
 			})
 		}
@@ -617,13 +617,13 @@
 		for _, ends := range []bool{false, true} {
 			t.Run(fmt.Sprint(slow, ends), func(t *testing.T) {
 				t.Parallel()
-				meeting(t, func(t *testing.T, g *meet) {
-					g.worker("m1", "north")
-					g.worker("m2", "south")
+				faultScenario(t, func(t *testing.T, g *faultCluster) {
+					g.startWorker("m1", "north")
+					g.startWorker("m2", "south")
 					time.Sleep(10 * time.Second)
-					g.order("a", sized("job-1", "array", 4, 2))
-					g.until(6*time.Second, "it runs", g.runs("job-1", 4))
-					g.trouble(func(_, to string, r *http.Request, _ []byte) fake.Outcome {
+					g.submitJob("a", sized("job-1", "array", 4, 2))
+					g.eventually(6*time.Second, "it runs", g.runs("job-1", 4))
+					g.setFaults(func(_, to string, r *http.Request, _ []byte) fake.Outcome {
 						if to == "state:1" && r.URL.Path == "/commit" || strings.HasSuffix(to, ":9000") {
 							g.rest(slow)
 						}
@@ -638,28 +638,28 @@
 						} else {
 							late = append(late, s["uid"].(string))
 						}
-						g.order([]string{"a", "b"}[i%2], s)
+						g.submitJob([]string{"a", "b"}[i%2], s)
 					}
 					if ends {
-						first := g.lead()
+						first := g.awaitLeader()
 						first.kill()
-						g.pass(500 * time.Millisecond)
-						g.start(first.name)
-						g.lead()
+						g.passTime(500 * time.Millisecond)
+						g.startNode(first.name)
+						g.awaitLeader()
 					}
-					g.pass(5 * time.Second)
-					g.toTheEnd(append(append([]string{"job-1"}, urgent...), late...)...)
+					g.passTime(5 * time.Second)
+					g.completeJobs(append(append([]string{"job-1"}, urgent...), late...)...)
 					last := time.Time{}
 					for _, id := range urgent {
 						for i := range 2 {
-							if at := g.rules.Began(fmt.Sprintf("%s/%d", id, i)); at.After(last) {
+							if at := g.rules.FirstStart(fmt.Sprintf("%s/%d", id, i)); at.After(last) {
 								last = at
 							}
 						}
 					}
 					for _, id := range late {
 						for i := range 2 {
-							if at := g.rules.Began(fmt.Sprintf("%s/%d", id, i)); at.Before(last) {
+							if at := g.rules.FirstStart(fmt.Sprintf("%s/%d", id, i)); at.Before(last) {
 								t.Errorf("%s/%d began %v before the last urgent task", id, i, last.Sub(at))
 							}
 						}
@@ -678,27 +678,27 @@
 		for _, how := range []string{"", "refused", "held", "deaf"} {
 			t.Run(fmt.Sprint(session, how), func(t *testing.T) {
 				t.Parallel()
-				meeting(t, func(t *testing.T, g *meet) {
-					g.worker("m1", "north")
-					g.worker("m2", "south")
+				faultScenario(t, func(t *testing.T, g *faultCluster) {
+					g.startWorker("m1", "north")
+					g.startWorker("m2", "south")
 					time.Sleep(10 * time.Second)
-					g.order("a", sized("job-1", "gang", 2, 3))
+					g.submitJob("a", sized("job-1", "gang", 2, 3))
 					waits := func() bool {
 						for _, k := range g.workers {
 							k.SetTaskStatus("job-1/0", "waiting")
 							k.SetTaskStatus("job-1/1", "waiting")
 						}
-						return g.everywhere("job-1", 2)
+						return g.allRunning("job-1", 2)
 					}
-					g.until(5*time.Second, "both tasks are there", waits)
-					g.pass(5 * time.Second)
-					at := g.worn(g.on("job-1/0")[0])
+					g.eventually(5*time.Second, "both tasks are there", waits)
+					g.passTime(5 * time.Second)
+					at := g.workerNamed(g.machinesRunning("job-1/0")[0])
 					at.EndTask("job-1/0", "no_room")
-					g.pass(100 * time.Millisecond)
+					g.passTime(100 * time.Millisecond)
 					time.Sleep(2 * time.Second)
 					var old []byte
 					g.mu.Lock()
-					for _, beat := range g.beats[at.Name] {
+					for _, beat := range g.heartbeats[at.Name] {
 						if strings.Contains(string(beat), `"no_room"`) {
 							old = beat
 						}
@@ -707,31 +707,31 @@
 					if old == nil {
 						t.Fatal("no report shows the end")
 					}
-					g.until(10*time.Second, "it is replaced", waits)
+					g.eventually(10*time.Second, "it is replaced", waits)
 					if session {
 						at.SetSilent(true)
-						g.until(25*time.Second, "its lease lapsed", func() bool { return len(g.on("job-1/0")) == 0 })
+						g.eventually(25*time.Second, "its lease lapsed", func() bool { return len(g.machinesRunning("job-1/0")) == 0 })
 						at.SetSilent(false)
-						g.until(15*time.Second, "it is replaced again", waits)
+						g.eventually(15*time.Second, "it is replaced again", waits)
 					}
-					if g.on("job-1/0")[0] != at.Name || strings.TrimSuffix(at.Starts[len(at.Starts)-1], "#1") == at.Starts[len(at.Starts)-1] {
-						t.Fatalf("not replaced there under the same attempt: %v on %v", at.Starts, g.on("job-1/0"))
+					if g.machinesRunning("job-1/0")[0] != at.Name || strings.TrimSuffix(at.Starts[len(at.Starts)-1], "#1") == at.Starts[len(at.Starts)-1] {
+						t.Fatalf("not replaced there under the same attempt: %v on %v", at.Starts, g.machinesRunning("job-1/0"))
 					}
-					g.pass(3 * time.Second)
-					first := g.lead()
+					g.passTime(3 * time.Second)
+					first := g.awaitLeader()
 					first.kill()
-					g.worker("m3", "south")
+					g.startWorker("m3", "south")
 					if how != "" {
-						g.apart(how, at.Name)
+						g.partition(how, at.Name)
 					}
-					g.lead()
-					g.replay(old)
-					g.start(first.name)
-					g.pass(8 * time.Second)
-					g.mended()
-					g.pass(25 * time.Second)
-					if !g.everywhere("job-1", 2) {
-						t.Errorf("its tasks are on %v and %v", g.on("job-1/0"), g.on("job-1/1"))
+					g.awaitLeader()
+					g.deliverToControllers(old)
+					g.startNode(first.name)
+					g.passTime(8 * time.Second)
+					g.heal()
+					g.passTime(25 * time.Second)
+					if !g.allRunning("job-1", 2) {
+						t.Errorf("its tasks are on %v and %v", g.machinesRunning("job-1/0"), g.machinesRunning("job-1/1"))
 					}
 				})
 			})
@@ -751,31 +751,31 @@
 				for _, after := range []time.Duration{0, 5 * time.Second} {
 					t.Run(fmt.Sprint(shape, urgency, slow, after), func(t *testing.T) {
 						t.Parallel()
-						meeting(t, func(t *testing.T, g *meet) {
+						faultScenario(t, func(t *testing.T, g *faultCluster) {
 							for i, zone := range []string{"north", "south", "south"} {
-								g.worker(fmt.Sprintf("m%d", i+1), zone)
+								g.startWorker(fmt.Sprintf("m%d", i+1), zone)
 							}
 							time.Sleep(10 * time.Second)
-							g.trouble(func(_, to string, r *http.Request, body []byte) fake.Outcome {
+							g.setFaults(func(_, to string, r *http.Request, body []byte) fake.Outcome {
 								if r.URL.Path == "/commit" && strings.Contains(string(body), `"places"`) || to == "m2:9000" {
 									g.rest(slow)
 								}
 								return fake.Deliver
 							})
 							for i, u := range []string{"low", "normal"} {
-								s := spec(fmt.Sprintf("job-%d", i+1), "array", 12)
+								s := newJob(fmt.Sprintf("job-%d", i+1), "array", 12)
 								s["urgency"] = u
-								g.order("a", s)
+								g.submitJob("a", s)
 							}
-							g.pass(after)
+							g.passTime(after)
 							s := sized("job-3", shape, 4, 2)
 							s["urgency"] = urgency
-							g.order("b", s)
-							g.until(60*time.Second, "the urgent job runs", g.runs("job-3", 4))
+							g.submitJob("b", s)
+							g.eventually(60*time.Second, "the urgent job runs", g.runs("job-3", 4))
 							for i := range 4 {
-								g.finish(fmt.Sprintf("job-3/%d", i))
+								g.completeTask(fmt.Sprintf("job-3/%d", i))
 							}
-							g.toTheEnd("job-3", "job-2", "job-1")
+							g.completeJobs("job-3", "job-2", "job-1")
 						})
 					})
 				}
@@ -792,43 +792,43 @@
 		for _, refuses := range []bool{false, true} {
 			t.Run(fmt.Sprint(slow, refuses), func(t *testing.T) {
 				t.Parallel()
-				meeting(t, func(t *testing.T, g *meet) {
-					g.worker("m1", "north")
-					g.worker("m2", "south")
+				faultScenario(t, func(t *testing.T, g *faultCluster) {
+					g.startWorker("m1", "north")
+					g.startWorker("m2", "south")
 					time.Sleep(10 * time.Second)
 					for i := range 4 {
-						g.order(nodes[i%2], spec(fmt.Sprintf("job-%d", i+1), []string{"standing", "array"}[i/2], 2))
+						g.submitJob(nodeNames[i%2], newJob(fmt.Sprintf("job-%d", i+1), []string{"standing", "array"}[i/2], 2))
 					}
-					g.until(6*time.Second, "they run", func() bool { return g.everywhere("job-1", 2) && g.everywhere("job-4", 2) })
+					g.eventually(6*time.Second, "they run", func() bool { return g.allRunning("job-1", 2) && g.allRunning("job-4", 2) })
 					g.store.SetLatency(slow)
-					g.pass(3 * time.Second)
-					g.finish("job-4/0")
-					g.callOff("a", "job-1")
+					g.passTime(3 * time.Second)
+					g.completeTask("job-4/0")
+					g.cancelJob("a", "job-1")
 					if refuses {
-						first := g.lead()
-						g.trouble(func(from, to string, _ *http.Request, _ []byte) fake.Outcome {
-							if touches(from, to, "a", "b") {
+						first := g.awaitLeader()
+						g.setFaults(func(from, to string, _ *http.Request, _ []byte) fake.Outcome {
+							if isBetween(from, to, "a", "b") {
 								return fake.Refuse // so that it isn't told either
 							}
 							return fake.Deliver
 						})
 						g.store.RefuseCaller(first.name, true)
-						g.callOff(map[string]string{"a": "b", "b": "a"}[first.name], "job-2")
-						g.pass(time.Second)
+						g.cancelJob(map[string]string{"a": "b", "b": "a"}[first.name], "job-2")
+						g.passTime(time.Second)
 						g.store.SetDown(true)
-						g.pass(50 * time.Second)
+						g.passTime(50 * time.Second)
 						g.store.SetDown(false)
 						g.store.RefuseCaller(first.name, false)
-						g.mended()
-						g.pass(5 * time.Second)
+						g.heal()
+						g.passTime(5 * time.Second)
 					} else {
-						g.callOff("b", "job-2")
+						g.cancelJob("b", "job-2")
 					}
-					g.callOff("b", "job-3")
-					g.pass(20 * time.Second)
+					g.cancelJob("b", "job-3")
+					g.passTime(20 * time.Second)
 					g.store.SetLatency(0)
-					g.pass(25 * time.Second)
-					g.toTheEnd("job-4")
+					g.passTime(25 * time.Second)
+					g.completeJobs("job-4")
 				})
 			})
 		}
@@ -844,21 +844,21 @@
 		for _, after := range []time.Duration{0, 800 * time.Millisecond, 3 * time.Second} {
 			t.Run(fmt.Sprint(how, after), func(t *testing.T) {
 				t.Parallel()
-				meeting(t, func(t *testing.T, g *meet) {
-					g.worker("m1", "north")
-					g.worker("m2", "south")
+				faultScenario(t, func(t *testing.T, g *faultCluster) {
+					g.startWorker("m1", "north")
+					g.startWorker("m2", "south")
 					time.Sleep(10 * time.Second)
 					for i := range 4 {
-						g.order(nodes[i%2], spec(fmt.Sprintf("job-%d", i+1), []string{"standing", "array"}[i%2], 2))
+						g.submitJob(nodeNames[i%2], newJob(fmt.Sprintf("job-%d", i+1), []string{"standing", "array"}[i%2], 2))
 					}
-					g.until(6*time.Second, "they run", func() bool { return g.everywhere("job-1", 2) && g.everywhere("job-4", 2) })
-					g.pass(3 * time.Second)
-					first := g.lead()
+					g.eventually(6*time.Second, "they run", func() bool { return g.allRunning("job-1", 2) && g.allRunning("job-4", 2) })
+					g.passTime(3 * time.Second)
+					first := g.awaitLeader()
 					other := map[string]string{"a": "b", "b": "a"}[first.name]
-					g.order(other, spec("job-5", "array", 2)) // waits for room, or its starts are on their way
+					g.submitJob(other, newJob("job-5", "array", 2)) // waits for room, or its starts are on their way
 					if how == "cut off" {
-						g.trouble(func(from, to string, _ *http.Request, _ []byte) fake.Outcome {
-							if touches(from, to, first.name, "state") || touches(from, to, first.name, other) {
+						g.setFaults(func(from, to string, _ *http.Request, _ []byte) fake.Outcome {
+							if isBetween(from, to, first.name, "state") || isBetween(from, to, first.name, other) {
 								return fake.Drop
 							}
 							return fake.Deliver
@@ -866,26 +866,26 @@
 					} else {
 						first.kill()
 					}
-					g.pass(after)
-					g.callOff(other, "job-1")
+					g.passTime(after)
+					g.cancelJob(other, "job-1")
 					if how == "ends and returns" {
-						g.start(first.name)
+						g.startNode(first.name)
 					}
-					g.callOff(other, "job-2")
-					g.pass(time.Second)
-					g.callOff(other, "job-5")
-					g.pass(45 * time.Second)
-					if n := g.nodes[other]; n.pool.Cluster() == nil && how != "ends and returns" {
+					g.cancelJob(other, "job-2")
+					g.passTime(time.Second)
+					g.cancelJob(other, "job-5")
+					g.passTime(45 * time.Second)
+					if n := g.nodes[other]; n.elector.Cluster() == nil && how != "ends and returns" {
 						t.Error("the other does not lead")
 					}
-					g.mended()
+					g.heal()
 					if how == "ends" {
-						g.start(first.name)
+						g.startNode(first.name)
 					}
-					g.pass(5 * time.Second)
-					g.callOff(first.name, "job-3")
-					g.pass(5 * time.Second)
-					g.toTheEnd("job-4")
+					g.passTime(5 * time.Second)
+					g.cancelJob(first.name, "job-3")
+					g.passTime(5 * time.Second)
+					g.completeJobs("job-4")
 				})
 			})
 		}
--- a/internal/scenarios/oversize_test.go
+++ b/internal/scenarios/oversize_test.go
@@ -23,15 +23,17 @@
 // lower limits then, and the leader of before is gone.
 func storeLargeRecord(t *testing.T, w *testCluster, job string) {
 	t.Helper()
-	before := w.start("a")
-	w.worker("m1", "north")
-	w.worker("m2", "south")
+	before := w.startNode("a")
+	w.startWorker("m1", "north")
+	w.startWorker("m2", "south")
 	time.Sleep(5 * time.Second)
 	const tasks = 600
-	description := spec(job, "array", tasks)
+	description := newJob(job, "array", tasks)
 	description["cores"], description["ramGb"] = 0.01, 0.01
 	w.submit("a", description)
-	w.until(60*time.Second, "all tasks run", func() bool { return len(w.worn("m1").ActiveTasks())+len(w.worn("m2").ActiveTasks()) == tasks })
+	w.eventually(60*time.Second, "all tasks run", func() bool {
+		return len(w.workerNamed("m1").ActiveTasks())+len(w.workerNamed("m2").ActiveTasks()) == tasks
+	})
 	for _, k := range w.workers {
 		for _, task := range k.ActiveTasks() {
 			if strings.ContainsAny(task[len(task)-1:], "02468") {
@@ -39,19 +41,19 @@
 			}
 		}
 	}
-	w.until(30*time.Second, "the outcomes are stored", func() bool {
+	w.eventually(30*time.Second, "the outcomes are stored", func() bool {
 		_, out := w.call("a", "GET", "/v2/runs/"+job, nil)
 		return out["done"] == tasks/2.0 && len(w.store.Value("job/"+job)) > lowerValueBytes+500
 	})
 	before.kill()
-	w.next = lowerLimits
-	w.start("a")
-	w.start("b")
-	w.until(10*time.Second, "a new leader", func() bool { return w.leader() != nil })
+	w.upcomingLimits = lowerLimits
+	w.startNode("a")
+	w.startNode("b")
+	w.eventually(10*time.Second, "a new leader", func() bool { return w.leader() != nil })
 }
 
-// toldOnly tells whether a node answers that a job stands so, and no node answers otherwise.
-func (w *testCluster) toldOnly(id, status string) bool {
+// isReportedAs tells whether a node answers that a job stands so, and no node answers otherwise.
+func (w *testCluster) isReportedAs(id, status string) bool {
 	answers := 0
 	for _, node := range []string{"a", "b"} {
 		switch w.status(node, id) {
@@ -79,7 +81,7 @@
 		"the leader ends after it": {fallen: true, after: func(w *testCluster) {
 			leader := w.leader()
 			leader.kill()
-			time.AfterFunc(20*time.Second, func() { w.start(leader.name) })
+			time.AfterFunc(20*time.Second, func() { w.startNode(leader.name) })
 		}},
 		"the leader is refused": {fallen: true, before: func(w *testCluster) {
 			leader := w.leader()
@@ -91,43 +93,43 @@
 			// leader can write but not read.
 			leader := w.leader().name
 			time.Sleep(3 * time.Second) // it has read the records
-			w.net.SetRule(func(from, _ string, r *http.Request, body []byte) fake.Outcome {
-				early := InstanceClass(r, body) == "outcome" && strings.Contains(string(body), "end/job-1") && w.store.Value("job/cancel/job-1") == nil
+			w.network.SetRule(func(from, _ string, r *http.Request, body []byte) fake.Outcome {
+				early := transactionKind(r, body) == "outcome" && strings.Contains(string(body), "end/job-1") && w.store.Value("job/cancel/job-1") == nil
 				blind := from == leader && (r.URL.Path == "/follow" || r.URL.Path == "/kv/none") && w.store.Value("job/job-1") != nil
 				if early || blind {
 					return fake.Refuse
 				}
 				return fake.Deliver
 			})
-			w.ends("job-1")
+			w.completeJob("job-1")
 			time.Sleep(12 * time.Second) // the watch that was open is over
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			scenario(t, func(t *testing.T, w *testCluster) {
 				storeLargeRecord(t, w, "job-1")
-				w.submit("b", awaiting(spec("job-2", "array", 1), "job-1"))
+				w.submit("b", dependingOn(newJob("job-2", "array", 1), "job-1"))
 				if trouble.fallen {
 					w.store.SetLimits(lowerValueBytes, lowerTxnOps)
 				}
 				if trouble.before != nil {
 					trouble.before(w)
 				}
-				if how := w.insistOn("job-1"); how != "cancelled" {
+				if how := w.cancelUntilAnswered("job-1"); how != "cancelled" {
 					t.Fatalf("the cancellation is answered %q", how)
 				}
 				if trouble.after != nil {
 					trouble.after(w)
 				}
-				w.until(10*time.Second, "it is told, with what needs it, by who can be asked", func() bool {
-					return w.toldOnly("job-1", "cancelled") && w.toldOnly("job-2", "cancelled")
+				w.eventually(10*time.Second, "it is told, with what needs it, by who can be asked", func() bool {
+					return w.isReportedAs("job-1", "cancelled") && w.isReportedAs("job-2", "cancelled")
 				})
-				w.until(10*time.Second, "a job that names it ends with it", func() bool {
-					_, out := w.call("b", "POST", "/v2/runs", awaiting(spec("job-3", "array", 1), "job-1"))
-					return out["status"] == "cancelled" || w.toldOnly("job-3", "cancelled")
+				w.eventually(10*time.Second, "a job that names it ends with it", func() bool {
+					_, out := w.call("b", "POST", "/v2/runs", dependingOn(newJob("job-3", "array", 1), "job-1"))
+					return out["status"] == "cancelled" || w.isReportedAs("job-3", "cancelled")
 				})
-				w.until(40*time.Second, "nothing of it is left", func() bool { return w.store.CountKeys("job/") == 0 })
-				w.until(30*time.Second, "every node still tells so", func() bool { return w.both("job-1", "cancelled") && w.both("job-2", "cancelled") })
+				w.eventually(40*time.Second, "nothing of it is left", func() bool { return w.store.CountKeys("job/") == 0 })
+				w.eventually(30*time.Second, "every node still tells so", func() bool { return w.bothReport("job-1", "cancelled") && w.bothReport("job-2", "cancelled") })
 				if w.store.TooLarge > 2 { // each node may find out once
 					t.Errorf("%d writes were too large", w.store.TooLarge)
 				}
@@ -142,11 +144,11 @@
 	for name, lose := range map[string]func(w *testCluster){
 		"the machines are lost": func(w *testCluster) {
 			for _, k := range w.workers {
-				w.net.Listen(k.Address, nil)
+				w.network.Listen(k.Address, nil)
 				k.SetSilent(true)
 			}
-			w.worker("m3", "north")
-			w.worker("m4", "south")
+			w.startWorker("m3", "north")
+			w.startWorker("m4", "south")
 		},
 		// What the workers still report as done would be noted again and again.
 		"some complete, the others are stopped": func(w *testCluster) {
@@ -162,15 +164,15 @@
 			scenario(t, func(t *testing.T, w *testCluster) {
 				storeLargeRecord(t, w, "job-1")
 				w.store.SetLimits(800, lowerTxnOps)
-				w.next = "\n[params.state.next]\nvalue_kb = 0.78\ntxn_ops = 4\n"
+				w.upcomingLimits = "\n[params.state.next]\nvalue_kb = 0.78\ntxn_ops = 4\n"
 				for _, name := range []string{"a", "b"} {
 					w.nodes[name].kill()
 				}
-				w.start("a")
-				w.start("b")
+				w.startNode("a")
+				w.startNode("b")
 				lose(w)
 				var commits atomic.Int64
-				w.net.SetRule(func(_, _ string, r *http.Request, _ []byte) fake.Outcome {
+				w.network.SetRule(func(_, _ string, r *http.Request, _ []byte) fake.Outcome {
 					if r.URL.Path == "/commit" {
 						commits.Add(1)
 					}
@@ -180,7 +182,7 @@
 					if time.Sleep(time.Second); w.store.Value("end/job-1") != nil {
 						break
 					}
-					w.ends("job-1")
+					w.completeJob("job-1")
 				}
 				if commits.Load() > 100 {
 					t.Errorf("%d transactions", commits.Load())
--- a/internal/scenarios/partition_test.go
+++ b/internal/scenarios/partition_test.go
@@ -18,38 +18,38 @@
 	// must not come back with it, nor may the pool go back and forth.
 	for how, fate := range map[string]fake.Outcome{"reset": fake.Refuse, "silence": fake.Drop, "held back": fake.HoldBack} {
 		scenario(t, func(t *testing.T, w *testCluster) {
-			w.listed = true
-			w.start("a")
-			w.start("b")
-			w.worker("m1", "north")
-			w.worker("m2", "south")
+			w.inCloudList = true
+			w.startNode("a")
+			w.startNode("b")
+			w.startWorker("m1", "north")
+			w.startWorker("m2", "south")
 			time.Sleep(10 * time.Second)
-			w.submit("a", spec("job-1", "standing", 4))
-			w.until(4*time.Second, "it runs", func() bool { return w.everywhere("job-1", 4) })
+			w.submit("a", newJob("job-1", "standing", 4))
+			w.eventually(4*time.Second, "it runs", func() bool { return w.allRunning("job-1", 4) })
 			old := w.leader()
 			other := map[string]string{"a": "b", "b": "a"}[old.name]
-			generation := old.pool.Cluster().Generation()
-			w.net.SetRule(func(from, to string, _ *http.Request, _ []byte) fake.Outcome {
+			generation := old.elector.Cluster().Generation()
+			w.network.SetRule(func(from, to string, _ *http.Request, _ []byte) fake.Outcome {
 				if from == old.name || strings.HasPrefix(to, old.name+":") {
 					return fate
 				}
 				return fake.Deliver
 			})
-			w.until(4*time.Second, "a successor", func() bool { return w.nodes[other].pool.Cluster() != nil })
-			w.until(4*time.Second, "it takes work", func() bool {
-				code, _ := w.call(other, "POST", "/v2/runs", spec("job-2", "array", 2))
+			w.eventually(4*time.Second, "a successor", func() bool { return w.nodes[other].elector.Cluster() != nil })
+			w.eventually(4*time.Second, "it takes work", func() bool {
+				code, _ := w.call(other, "POST", "/v2/runs", newJob("job-2", "array", 2))
 				return code == 201 || code == 200
 			})
-			w.until(20*time.Second, "new work runs", func() bool { return w.everywhere("job-2", 2) })
-			w.hold(70*time.Second, "all goes on", func() bool { return w.everywhere("job-1", 4) && w.everywhere("job-2", 2) })
-			w.net.SetRule(nil)
-			w.net.ReleaseHeld()
-			w.until(3*time.Second, "the old owner follows", func() bool { return old.pool.Cluster() == nil })
-			w.hold(25*time.Second, "one change of owner, and all goes on", func() bool {
-				cluster := w.nodes[other].pool.Cluster()
-				return cluster != nil && cluster.Generation() <= generation+2 && w.everywhere("job-1", 4) && w.everywhere("job-2", 2)
+			w.eventually(20*time.Second, "new work runs", func() bool { return w.allRunning("job-2", 2) })
+			w.consistently(70*time.Second, "all goes on", func() bool { return w.allRunning("job-1", 4) && w.allRunning("job-2", 2) })
+			w.network.SetRule(nil)
+			w.network.ReleaseHeld()
+			w.eventually(3*time.Second, "the old owner follows", func() bool { return old.elector.Cluster() == nil })
+			w.consistently(25*time.Second, "one change of owner, and all goes on", func() bool {
+				cluster := w.nodes[other].elector.Cluster()
+				return cluster != nil && cluster.Generation() <= generation+2 && w.allRunning("job-1", 4) && w.allRunning("job-2", 2)
 			})
-			w.once("job-1/0", "job-1/1", "job-1/2", "job-1/3", "job-2/0", "job-2/1")
+			w.requireStartedOnce("job-1/0", "job-1/1", "job-1/2", "job-1/3", "job-2/0", "job-2/1")
 			if s := w.status(old.name, "job-2"); s != "running" {
 				t.Errorf("%s: the old owner calls a running job %q", how, s)
 			}
@@ -65,7 +65,7 @@
 	scenario(t, func(t *testing.T, w *testCluster) {
 		const perSecond, perTxn, jobs = 200, 12, 400
 		changes := map[int64]int{}
-		w.net.SetRule(func(_, to string, r *http.Request, body []byte) fake.Outcome {
+		w.network.SetRule(func(_, to string, r *http.Request, body []byte) fake.Outcome {
 			if r.URL.Path == "/commit" {
 				var txn struct{ Then []json.RawMessage }
 				json.Unmarshal(body, &txn)
@@ -78,14 +78,14 @@
 			}
 			return fake.Deliver
 		})
-		w.start("a")
-		w.start("b")
-		m1, m2 := w.worker("m1", "north"), w.worker("m2", "south")
+		w.startNode("a")
+		w.startNode("b")
+		m1, m2 := w.startWorker("m1", "north"), w.startWorker("m2", "south")
 		time.Sleep(10 * time.Second)
-		w.until(100*time.Second, "all are accepted", func() bool {
+		w.eventually(100*time.Second, "all are accepted", func() bool {
 			n := 0
 			for i := range jobs {
-				s := spec(fmt.Sprintf("job-%d", i+1), "array", 1)
+				s := newJob(fmt.Sprintf("job-%d", i+1), "array", 1)
 				s["cores"], s["ramGb"], s["guessS"] = 0.1, 0.1, 2
 				code, _ := w.call([]string{"a", "b"}[i%2], "POST", "/v2/runs", s)
 				switch code {
@@ -119,7 +119,7 @@
 			}
 			return n
 		}
-		w.until(60*time.Second, "all are done", func() bool { return over() == jobs })
+		w.eventually(60*time.Second, "all are done", func() bool { return over() == jobs })
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		for sec, n := range changes {
--- a/internal/scenarios/pipeline_answers_test.go
+++ b/internal/scenarios/pipeline_answers_test.go
@@ -8,26 +8,26 @@
 	"time"
 )
 
-// tiny is a job whose task takes so little that hundreds run at once.
-func tiny(id string) map[string]any {
-	s := spec(id, "array", 1)
+// newSmallJob is a job whose task takes so little that hundreds run at once.
+func newSmallJob(id string) map[string]any {
+	s := newJob(id, "array", 1)
 	s["cores"], s["ramGb"] = 0.02, 0.05
 	return s
 }
 
-// fan submits many jobs, one that awaits all of them, and one that awaits that.
-func (w *testCluster) fan(d *dice, many int) (needed []string) {
+// submitFanIn submits many jobs, one that awaits all of them, and one that awaits that.
+func (w *testCluster) submitFanIn(d *randomSource, many int) (needed []string) {
 	w.t.Helper()
 	for i := range many {
 		id := fmt.Sprintf("job-%06d", 412+37*i)
 		needed = append(needed, id)
-		if code, _ := w.insist(d, "POST", "/v2/runs", tiny(id)); code != 201 {
+		if code, _ := w.requestUntilDecided(d, "POST", "/v2/runs", newSmallJob(id)); code != 201 {
 			w.t.Fatalf("the submission of %s got %d", id, code)
 		}
 		time.Sleep(30 * time.Millisecond)
 	}
-	w.submit("a", awaiting(tiny("job-900000"), needed...))
-	w.submit("b", awaiting(tiny("job-900001"), "job-900000"))
+	w.submit("a", dependingOn(newSmallJob("job-900000"), needed...))
+	w.submit("b", dependingOn(newSmallJob("job-900001"), "job-900000"))
 	return needed
 }
 
@@ -39,55 +39,55 @@
 	for name, play := range map[string]func(w *testCluster, needed []string){
 		"it runs": func(w *testCluster, needed []string) {
 			for _, id := range needed[1:] {
-				w.ends(id)
+				w.completeJob(id)
 			}
-			w.hold(8*time.Second, "it waits for the last of them", func() bool { return w.both("job-900000", "pending") })
-			w.ends(needed[0])
-			w.until(15*time.Second, "it runs", func() bool { return w.everywhere("job-900000", 1) })
-			w.ends("job-900000")
-			w.until(15*time.Second, "what follows runs", func() bool { return w.everywhere("job-900001", 1) })
-			w.ends("job-900001")
-			w.until(15*time.Second, "all are done", func() bool { return w.both("job-900000", "done") && w.both("job-900001", "done") })
+			w.consistently(8*time.Second, "it waits for the last of them", func() bool { return w.bothReport("job-900000", "pending") })
+			w.completeJob(needed[0])
+			w.eventually(15*time.Second, "it runs", func() bool { return w.allRunning("job-900000", 1) })
+			w.completeJob("job-900000")
+			w.eventually(15*time.Second, "what follows runs", func() bool { return w.allRunning("job-900001", 1) })
+			w.completeJob("job-900001")
+			w.eventually(15*time.Second, "all are done", func() bool { return w.bothReport("job-900000", "done") && w.bothReport("job-900001", "done") })
 			// Their ends are looked up by a node that remembers none of them.
 			w.nodes["b"].kill()
-			w.start("b")
-			w.until(10*time.Second, "it answers", func() bool { return w.status("b", needed[0]) == "done" })
-			w.submit("b", awaiting(tiny("job-900002"), needed...))
-			w.until(15*time.Second, "it starts at once", func() bool { return w.everywhere("job-900002", 1) })
+			w.startNode("b")
+			w.eventually(10*time.Second, "it answers", func() bool { return w.status("b", needed[0]) == "done" })
+			w.submit("b", dependingOn(newSmallJob("job-900002"), needed...))
+			w.eventually(15*time.Second, "it starts at once", func() bool { return w.allRunning("job-900002", 1) })
 		},
 		"its user cancels it": func(w *testCluster, needed []string) {
-			if how := w.insistOn("job-900000"); how != "cancelled" {
+			if how := w.cancelUntilAnswered("job-900000"); how != "cancelled" {
 				w.t.Errorf("its cancellation is answered %q", how)
 			}
-			w.until(5*time.Second, "what follows is cancelled", func() bool { return w.both("job-900001", "cancelled") })
-			w.until(20*time.Second, "the ends are stored", func() bool { return w.store.CountKeys("job/wait/") == 0 })
-			if !w.both(needed[0], "running") {
+			w.eventually(5*time.Second, "what follows is cancelled", func() bool { return w.bothReport("job-900001", "cancelled") })
+			w.eventually(20*time.Second, "the ends are stored", func() bool { return w.store.CountKeys("job/wait/") == 0 })
+			if !w.bothReport(needed[0], "running") {
 				w.t.Error("what it awaited is touched")
 			}
 		},
 		"one that it needs is cancelled": func(w *testCluster, needed []string) {
-			w.insistOn(needed[149])
-			w.until(5*time.Second, "it is cancelled, and what follows", func() bool {
-				return w.both("job-900000", "cancelled") && w.both("job-900001", "cancelled")
+			w.cancelUntilAnswered(needed[149])
+			w.eventually(5*time.Second, "it is cancelled, and what follows", func() bool {
+				return w.bothReport("job-900000", "cancelled") && w.bothReport("job-900001", "cancelled")
 			})
-			w.until(20*time.Second, "the ends are stored", func() bool { return w.store.CountKeys("job/wait/") == 0 })
+			w.eventually(20*time.Second, "the ends are stored", func() bool { return w.store.CountKeys("job/wait/") == 0 })
 			if _, out := w.call("b", "GET", "/v2/runs/job-900001/explain", nil); !strings.Contains(fmt.Sprint(out["now"]), "cancelled with "+needed[149]) {
 				w.t.Errorf("explained as %v", out)
 			}
 		},
 	} {
-		variant(t, name, func(t *testing.T, w *testCluster) {
-			w.valueKB = 2
+		parallelScenario(t, name, func(t *testing.T, w *testCluster) {
+			w.valueLimitKB = 2
 			w.store.SetLimits(2048, 12)
-			w.start("a")
-			w.start("b")
-			w.worker("m1", "north")
-			w.worker("m2", "south")
+			w.startNode("a")
+			w.startNode("b")
+			w.startWorker("m1", "north")
+			w.startWorker("m2", "south")
 			time.Sleep(10 * time.Second)
-			needed := w.fan(newDice(1), 150)
-			w.until(20*time.Second, "they run", func() bool {
+			needed := w.submitFanIn(newRandomSource(1), 150)
+			w.eventually(20*time.Second, "they run", func() bool {
 				for _, id := range needed {
-					if !w.everywhere(id, 1) {
+					if !w.allRunning(id, 1) {
 						return false
 					}
 				}
@@ -107,32 +107,32 @@
 	// one, that what it awaits is cancelled: jobs far down, and such as are submitted at
 	// the same moment.
 	for seed := range uint64(3) {
-		variant(t, fmt.Sprint(seed), func(t *testing.T, w *testCluster) {
-			d := newDice(seed)
-			w.start("a")
-			w.start("b")
-			w.worker("m1", "north")
+		parallelScenario(t, fmt.Sprint(seed), func(t *testing.T, w *testCluster) {
+			d := newRandomSource(seed)
+			w.startNode("a")
+			w.startNode("b")
+			w.startWorker("m1", "north")
 			time.Sleep(10 * time.Second)
-			w.lags(d)
+			w.setRandomLatency(d)
 			for round := range 5 {
 				first := fmt.Sprintf("job-%d00", round+1)
-				w.insist(d, "POST", "/v2/runs", spec(first, "array", 1))
+				w.requestUntilDecided(d, "POST", "/v2/runs", newJob(first, "array", 1))
 				followers, last := []string{}, first
 				for i := range 6 {
 					id := fmt.Sprintf("job-%d%02d", round+1, i+1)
-					if code, _ := w.insist(d, "POST", "/v2/runs", awaiting(spec(id, "array", 1), last)); code != 201 {
+					if code, _ := w.requestUntilDecided(d, "POST", "/v2/runs", dependingOn(newJob(id, "array", 1), last)); code != 201 {
 						t.Fatalf("a submission got %d", code)
 					}
 					followers, last = append(followers, id), id
 				}
-				time.Sleep(d.ms(0, 3000)) // it may wait, start or run
+				time.Sleep(d.milliseconds(0, 3000)) // it may wait, start or run
 				var wg sync.WaitGroup
 				var mu sync.Mutex
 				for i := range 10 {
 					wg.Go(func() {
-						time.Sleep(d.ms(0, 40))
+						time.Sleep(d.milliseconds(0, 40))
 						id := fmt.Sprintf("job-%d%02d", round+1, 50+i)
-						if code, _ := w.insist(d, "POST", "/v2/runs", awaiting(spec(id, "array", 1), []string{first, last}[i%2])); code == 201 || code == 200 {
+						if code, _ := w.requestUntilDecided(d, "POST", "/v2/runs", dependingOn(newJob(id, "array", 1), []string{first, last}[i%2])); code == 201 || code == 200 {
 							mu.Lock()
 							followers = append(followers, id)
 							mu.Unlock()
@@ -141,27 +141,27 @@
 						}
 					})
 				}
-				time.Sleep(d.ms(0, 30))
-				if _, how := w.insist(d, "POST", "/v2/runs/"+first+"/cancel", nil); how != "cancelled" {
+				time.Sleep(d.milliseconds(0, 30))
+				if _, how := w.requestUntilDecided(d, "POST", "/v2/runs/"+first+"/cancel", nil); how != "cancelled" {
 					t.Fatalf("the cancellation is answered %q", how)
 				}
 				mu.Lock()
 				told := append([]string{}, followers...)
 				mu.Unlock()
-				w.cancelledAtAll(told)
+				w.requireCancelledAtAllNodes(told)
 				wg.Wait()
-				w.cancelledAtAll(followers)
+				w.requireCancelledAtAllNodes(followers)
 			}
 		})
 	}
 }
 
-// cancelledAtAll asks all nodes at one moment whether these jobs are cancelled.
-func (w *testCluster) cancelledAtAll(jobs []string) {
+// requireCancelledAtAllNodes asks all nodes at one moment whether these jobs are cancelled.
+func (w *testCluster) requireCancelledAtAllNodes(jobs []string) {
 	w.t.Helper()
 	var wg sync.WaitGroup
 	for _, id := range jobs {
-		for _, n := range nodes {
+		for _, n := range nodeNames {
 			wg.Go(func() {
 				if code, out := w.call(n, "GET", "/v2/runs/"+id, nil); code == 200 && out["status"] != "cancelled" {
 					w.t.Errorf("%s calls %s %v", n, id, out["status"])
--- a/internal/scenarios/pipeline_handover_test.go
+++ b/internal/scenarios/pipeline_handover_test.go
@@ -11,35 +11,35 @@
 	"github.com/pebbletrail/pebbletrail/internal/fake"
 )
 
-// moves tells whether a request moves waiting jobs to where they end or are claimed.
-func moves(r *http.Request, body []byte) bool {
+// movesWaitingJobs tells whether a request moves waiting jobs to where they end or are claimed.
+func movesWaitingJobs(r *http.Request, body []byte) bool {
 	return r.URL.Path == "/commit" && strings.Contains(string(body), `"remove":"job/wait/`) && strings.Contains(string(body), `pool/generation`)
 }
 
-// chainOf submits jobs 1 to n, each of which awaits the one before.
-func (w *testCluster) chainOf(n int) {
-	w.submit("a", spec("job-1", "array", 1))
+// submitChain submits jobs 1 to n, each of which awaits the one before.
+func (w *testCluster) submitChain(n int) {
+	w.submit("a", newJob("job-1", "array", 1))
 	for i := 2; i <= n; i++ {
-		w.submit(nodes[i%2], awaiting(spec(fmt.Sprintf("job-%d", i), "array", 1), fmt.Sprintf("job-%d", i-1)))
+		w.submit(nodeNames[i%2], dependingOn(newJob(fmt.Sprintf("job-%d", i), "array", 1), fmt.Sprintf("job-%d", i-1)))
 	}
 }
 
-// told counts the jobs from one number to another that both nodes call by a status.
-func (w *testCluster) told(status string, from, to int) (n int) {
+// countReported counts the jobs from one number to another that both nodes call by a status.
+func (w *testCluster) countReported(status string, from, to int) (n int) {
 	for i := from; i <= to; i++ {
-		if w.both(fmt.Sprintf("job-%d", i), status) {
+		if w.bothReport(fmt.Sprintf("job-%d", i), status) {
 			n++
 		}
 	}
 	return n
 }
 
-// pair starts two nodes and two machines.
-func (w *testCluster) pair() {
-	w.start("a")
-	w.start("b")
-	w.worker("m1", "north")
-	w.worker("m2", "south")
+// startPair starts two nodes and two machines.
+func (w *testCluster) startPair() {
+	w.startNode("a")
+	w.startNode("b")
+	w.startWorker("m1", "north")
+	w.startWorker("m2", "south")
 	time.Sleep(10 * time.Second)
 }
 
@@ -47,23 +47,23 @@
 	t.Parallel()
 	// Guards against a cancellation that stops part of the way down, or goes up.
 	scenario(t, func(t *testing.T, w *testCluster) {
-		w.pair()
-		w.chainOf(100)
-		w.until(5*time.Second, "the first runs", func() bool { return w.everywhere("job-1", 1) })
+		w.startPair()
+		w.submitChain(100)
+		w.eventually(5*time.Second, "the first runs", func() bool { return w.allRunning("job-1", 1) })
 		for _, step := range []struct{ cancel, waiting int }{{100, 98}, {50, 48}, {1, 0}} { // last, middle, first
-			if how := w.insistOn(fmt.Sprintf("job-%d", step.cancel)); how != "cancelled" {
+			if how := w.cancelUntilAnswered(fmt.Sprintf("job-%d", step.cancel)); how != "cancelled" {
 				t.Fatalf("the cancellation of %d is answered %q", step.cancel, how)
 			}
-			if n := w.told("cancelled", step.cancel, 100); n != 101-step.cancel {
+			if n := w.countReported("cancelled", step.cancel, 100); n != 101-step.cancel {
 				t.Errorf("%d of the %d from %d on are called cancelled", n, 101-step.cancel, step.cancel)
 			}
-			if n := w.told("pending", 2, step.cancel-1); step.cancel > 1 && n != step.cancel-2 {
+			if n := w.countReported("pending", 2, step.cancel-1); step.cancel > 1 && n != step.cancel-2 {
 				t.Errorf("%d of the %d before %d are called pending", n, step.cancel-2, step.cancel)
 			}
-			w.until(30*time.Second, "the ends are stored", func() bool { return w.store.CountKeys("job/wait/") == step.waiting })
+			w.eventually(30*time.Second, "the ends are stored", func() bool { return w.store.CountKeys("job/wait/") == step.waiting })
 		}
-		w.until(30*time.Second, "the first's end too", func() bool { return w.store.CountKeys("job/") == 0 && w.store.CountKeys("end/") == 100 })
-		w.hold(20*time.Second, "nothing of them starts", func() bool { return len(w.on("job-2/0"))+len(w.on("job-50/0")) == 0 })
+		w.eventually(30*time.Second, "the first's end too", func() bool { return w.store.CountKeys("job/") == 0 && w.store.CountKeys("end/") == 100 })
+		w.consistently(20*time.Second, "nothing of them starts", func() bool { return len(w.machinesRunning("job-2/0"))+len(w.machinesRunning("job-50/0")) == 0 })
 	})
 }
 
@@ -72,16 +72,16 @@
 	// Guards against jobs cancelled by definition whose records are forgotten, or start,
 	// when the leader that was to store their ends is gone.
 	scenario(t, func(t *testing.T, w *testCluster) {
-		w.pair()
-		w.chainOf(40)
-		w.until(5*time.Second, "the first runs", func() bool { return w.everywhere("job-1", 1) })
-		w.net.SetRule(func(_, _ string, r *http.Request, body []byte) fake.Outcome {
-			if moves(r, body) {
+		w.startPair()
+		w.submitChain(40)
+		w.eventually(5*time.Second, "the first runs", func() bool { return w.allRunning("job-1", 1) })
+		w.network.SetRule(func(_, _ string, r *http.Request, body []byte) fake.Outcome {
+			if movesWaitingJobs(r, body) {
 				return fake.Refuse
 			}
 			return fake.Deliver
 		})
-		if how := w.insistOn("job-1"); how != "cancelled" {
+		if how := w.cancelUntilAnswered("job-1"); how != "cancelled" {
 			t.Fatalf("the cancellation is answered %q", how)
 		}
 		time.Sleep(3 * time.Second)
@@ -90,14 +90,14 @@
 		if n := w.store.CountKeys("job/wait/"); n != 39 {
 			t.Fatalf("%d of 39 records are left", n)
 		}
-		w.until(10*time.Second, "another leads", func() bool { return w.leader() != nil && w.leader() != o })
-		w.net.SetRule(nil)
-		w.start(o.name)
-		w.until(40*time.Second, "the ends are stored", func() bool { return w.store.CountKeys("job/") == 0 && w.store.CountKeys("end/") == 40 })
-		if n := w.told("cancelled", 1, 40); n != 40 {
+		w.eventually(10*time.Second, "another leads", func() bool { return w.leader() != nil && w.leader() != o })
+		w.network.SetRule(nil)
+		w.startNode(o.name)
+		w.eventually(40*time.Second, "the ends are stored", func() bool { return w.store.CountKeys("job/") == 0 && w.store.CountKeys("end/") == 40 })
+		if n := w.countReported("cancelled", 1, 40); n != 40 {
 			t.Errorf("%d of 40 are called cancelled", n)
 		}
-		w.hold(10*time.Second, "nothing of them starts", func() bool { return len(w.on("job-2/0")) == 0 })
+		w.consistently(10*time.Second, "nothing of them starts", func() bool { return len(w.machinesRunning("job-2/0")) == 0 })
 	})
 }
 
@@ -118,19 +118,19 @@
 			if fate.end != fake.Delay && fate.move != fake.Delay && delay > time.Second {
 				continue
 			}
-			variant(t, fmt.Sprint(name, " ", delay), func(t *testing.T, w *testCluster) {
-				w.pair()
-				w.chainOf(2)
-				w.submit("a", awaiting(spec("job-3", "array", 1), "job-1"))
-				w.until(5*time.Second, "the first runs", func() bool { return w.everywhere("job-1", 1) })
+			parallelScenario(t, fmt.Sprint(name, " ", delay), func(t *testing.T, w *testCluster) {
+				w.startPair()
+				w.submitChain(2)
+				w.submit("a", dependingOn(newJob("job-3", "array", 1), "job-1"))
+				w.eventually(5*time.Second, "the first runs", func() bool { return w.allRunning("job-1", 1) })
 				o := w.leader()
-				w.net.SetDelay(func() time.Duration { return delay })
+				w.network.SetDelay(func() time.Duration { return delay })
 				gone := func() { time.AfterFunc(50*time.Millisecond, o.kill) }
 				var hits atomic.Int32
-				w.net.SetRule(func(from, _ string, r *http.Request, body []byte) fake.Outcome {
-					switch end := InstanceClass(r, body) == "outcome"; {
+				w.network.SetRule(func(from, _ string, r *http.Request, body []byte) fake.Outcome {
+					switch end := transactionKind(r, body) == "outcome"; {
 					case from != o.name:
-					case moves(r, body):
+					case movesWaitingJobs(r, body):
 						if hits.Add(1) == 1 {
 							gone()
 						}
@@ -143,14 +143,14 @@
 					}
 					return fake.Deliver
 				})
-				w.ends("job-1")
-				w.until(15*time.Second, "another leads", func() bool { return w.leader() != nil && w.leader() != o })
-				w.until(40*time.Second, "those that awaited it run", func() bool { return w.everywhere("job-2", 1) && w.everywhere("job-3", 1) })
-				w.start(o.name)
+				w.completeJob("job-1")
+				w.eventually(15*time.Second, "another leads", func() bool { return w.leader() != nil && w.leader() != o })
+				w.eventually(40*time.Second, "those that awaited it run", func() bool { return w.allRunning("job-2", 1) && w.allRunning("job-3", 1) })
+				w.startNode(o.name)
 				time.Sleep(delay)
-				w.ends("job-2")
-				w.ends("job-3")
-				w.until(30*time.Second, "all are done", func() bool { return w.told("done", 1, 3) == 3 })
+				w.completeJob("job-2")
+				w.completeJob("job-3")
+				w.eventually(30*time.Second, "all are done", func() bool { return w.countReported("done", 1, 3) == 3 })
 				if hits.Load() == 0 || w.store.CountKeys("job/") != 0 || w.store.CountKeys("end/") != 3 {
 					t.Errorf("hit %d times; %s", hits.Load(), w.store)
 				}
@@ -172,35 +172,35 @@
 		},
 	} {
 		for _, delay := range []time.Duration{200 * time.Millisecond, 3 * time.Second, 12 * time.Second} {
-			variant(t, fmt.Sprint(name, " ", delay), func(t *testing.T, w *testCluster) {
-				w.pair()
-				w.chainOf(3)
-				w.until(5*time.Second, "the first runs", func() bool { return w.everywhere("job-1", 1) })
+			parallelScenario(t, fmt.Sprint(name, " ", delay), func(t *testing.T, w *testCluster) {
+				w.startPair()
+				w.submitChain(3)
+				w.eventually(5*time.Second, "the first runs", func() bool { return w.allRunning("job-1", 1) })
 				o := w.leader()
-				w.net.SetDelay(func() time.Duration { return delay })
+				w.network.SetDelay(func() time.Duration { return delay })
 				var late atomic.Int32
-				w.net.SetRule(func(from, _ string, r *http.Request, body []byte) fake.Outcome {
+				w.network.SetRule(func(from, _ string, r *http.Request, body []byte) fake.Outcome {
 					switch {
-					case from != o.name || !moves(r, body):
+					case from != o.name || !movesWaitingJobs(r, body):
 						return fake.Deliver
 					case late.Add(1) > 1:
 						return fake.Refuse
 					}
 					return fake.Delay
 				})
-				w.ends("job-1")
-				w.until(15*time.Second, "a move is on its way", func() bool { return late.Load() > 0 })
+				w.completeJob("job-1")
+				w.eventually(15*time.Second, "a move is on its way", func() bool { return late.Load() > 0 })
 				trouble(w, o)
-				if how := w.insistOn("job-2"); how != "cancelled" {
+				if how := w.cancelUntilAnswered("job-2"); how != "cancelled" {
 					t.Fatalf("the cancellation is answered %q", how)
 				}
 				time.Sleep(delay + time.Second)
-				w.net.SetRule(nil)
-				if w.told("cancelled", 2, 3); w.nodes[o.name] == nil {
-					w.start(o.name)
+				w.network.SetRule(nil)
+				if w.countReported("cancelled", 2, 3); w.nodes[o.name] == nil {
+					w.startNode(o.name)
 				}
-				w.hold(40*time.Second, "it does not run", func() bool { return len(w.on("job-2/0"))+len(w.on("job-3/0")) == 0 })
-				if n := w.told("cancelled", 2, 3); n != 2 || w.store.CountKeys("job/") != 0 {
+				w.consistently(40*time.Second, "it does not run", func() bool { return len(w.machinesRunning("job-2/0"))+len(w.machinesRunning("job-3/0")) == 0 })
+				if n := w.countReported("cancelled", 2, 3); n != 2 || w.store.CountKeys("job/") != 0 {
 					t.Errorf("%d of 2 are called cancelled; %s", n, w.store)
 				}
 			})
@@ -212,9 +212,9 @@
 	t.Parallel()
 	// Guards against a call for each record that waits.
 	scenario(t, func(t *testing.T, w *testCluster) {
-		w.start("a")
+		w.startNode("a")
 		time.Sleep(3 * time.Second)
-		w.submit("a", spec("job-1", "array", 1))
+		w.submit("a", newJob("job-1", "array", 1))
 		w.nodes["a"].kill()
 		put := func(entries map[string]string) {
 			var ops []string
@@ -222,7 +222,7 @@
 				ops = append(ops, fmt.Sprintf(`{"put":%q,"value":%s}`, key, value))
 			}
 			body := `{"when":[],"then":[` + strings.Join(ops, ",") + `]}`
-			res, err := w.net.Client("seed").Post("http://state:1/commit", "application/json", strings.NewReader(body))
+			res, err := w.network.Client("seed").Post("http://state:1/commit", "application/json", strings.NewReader(body))
 			if err != nil || res.StatusCode != 200 {
 				t.Fatal(res, err)
 			}
@@ -243,7 +243,7 @@
 		}
 		put(entries)
 		calls := map[string]int{}
-		w.net.SetRule(func(from, to string, r *http.Request, _ []byte) fake.Outcome {
+		w.network.SetRule(func(from, to string, r *http.Request, _ []byte) fake.Outcome {
 			if to == "state:1" && !strings.HasPrefix(r.URL.Path, "/holds") && r.URL.Path != "/follow" && r.URL.Path != "/kv/none" {
 				w.mu.Lock()
 				calls[strings.SplitN(strings.TrimPrefix(r.URL.Path, "/"), "/", 2)[0]+" "+r.URL.Query().Get("under")]++
@@ -251,9 +251,9 @@
 			}
 			return fake.Deliver
 		})
-		w.start("b")
-		w.worker("m1", "north")
-		w.until(20*time.Second, "the one that waits for nobody runs", func() bool { return w.everywhere("job-1", 1) })
+		w.startNode("b")
+		w.startWorker("m1", "north")
+		w.eventually(20*time.Second, "the one that waits for nobody runs", func() bool { return w.allRunning("job-1", 1) })
 		time.Sleep(3 * time.Second)
 		w.mu.Lock()
 		defer w.mu.Unlock()
--- a/internal/scenarios/pipeline_test.go
+++ b/internal/scenarios/pipeline_test.go
@@ -13,13 +13,13 @@
 )
 
 // after is a job's description that awaits others.
-func awaiting(s map[string]any, jobs ...string) map[string]any {
+func dependingOn(s map[string]any, jobs ...string) map[string]any {
 	s["awaits"] = jobs
 	return s
 }
 
-// ends lets every task of a job that is on a machine complete.
-func (w *testCluster) ends(job string) {
+// completeJob lets every task of a job that is on a machine complete.
+func (w *testCluster) completeJob(job string) {
 	for _, k := range w.workers {
 		for _, task := range k.ActiveTasks() {
 			if strings.HasPrefix(task, job+"/") {
@@ -29,7 +29,7 @@
 	}
 }
 
-func (w *testCluster) both(id, status string) bool {
+func (w *testCluster) bothReport(id, status string) bool {
 	return w.status("a", id) == status && w.status("b", id) == status
 }
 
@@ -43,12 +43,12 @@
 			if o := w.leader(); o != nil {
 				o.kill()
 				time.Sleep(300 * time.Millisecond)
-				w.start(o.name)
+				w.startNode(o.name)
 			}
 		},
 		"a move's answer is lost": func(w *testCluster) {
 			lost := 0
-			w.net.SetRule(func(_, _ string, r *http.Request, body []byte) fake.Outcome {
+			w.network.SetRule(func(_, _ string, r *http.Request, body []byte) fake.Outcome {
 				if r.URL.Path == "/commit" && strings.Contains(string(body), `"remove":"job/wait/`) && lost < 2 {
 					lost++
 					return fake.DropResponse
@@ -65,36 +65,36 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			scenario(t, func(t *testing.T, w *testCluster) {
-				w.start("a")
-				w.start("b")
-				w.worker("m1", "north")
-				w.worker("m2", "south")
+				w.startNode("a")
+				w.startNode("b")
+				w.startWorker("m1", "north")
+				w.startWorker("m2", "south")
 				time.Sleep(10 * time.Second)
-				w.submit("a", spec("job-1", "array", 2))
-				w.submit("b", awaiting(spec("job-2", "array", 2), "job-1"))
-				w.submit("a", awaiting(spec("job-3", "gang", 2), "job-1", "job-1"))
-				w.submit("b", awaiting(spec("job-4", "array", 1), "job-2", "job-3"))
-				w.until(5*time.Second, "the first runs", func() bool { return w.everywhere("job-1", 2) })
-				w.hold(4*time.Second, "the others wait", func() bool {
-					return w.both("job-2", "pending") && w.both("job-4", "pending") && len(w.on("job-2/0"))+len(w.on("job-3/0")) == 0
+				w.submit("a", newJob("job-1", "array", 2))
+				w.submit("b", dependingOn(newJob("job-2", "array", 2), "job-1"))
+				w.submit("a", dependingOn(newJob("job-3", "gang", 2), "job-1", "job-1"))
+				w.submit("b", dependingOn(newJob("job-4", "array", 1), "job-2", "job-3"))
+				w.eventually(5*time.Second, "the first runs", func() bool { return w.allRunning("job-1", 2) })
+				w.consistently(4*time.Second, "the others wait", func() bool {
+					return w.bothReport("job-2", "pending") && w.bothReport("job-4", "pending") && len(w.machinesRunning("job-2/0"))+len(w.machinesRunning("job-3/0")) == 0
 				})
-				w.ends("job-1")
+				w.completeJob("job-1")
 				trouble(w)
-				w.until(40*time.Second, "the second stage runs", func() bool { return w.everywhere("job-2", 2) && w.everywhere("job-3", 2) })
-				w.ends("job-2")
+				w.eventually(40*time.Second, "the second stage runs", func() bool { return w.allRunning("job-2", 2) && w.allRunning("job-3", 2) })
+				w.completeJob("job-2")
 				trouble(w)
-				w.hold(15*time.Second, "the last waits for both", func() bool { return len(w.on("job-4/0")) == 0 })
-				w.ends("job-3")
+				w.consistently(15*time.Second, "the last waits for both", func() bool { return len(w.machinesRunning("job-4/0")) == 0 })
+				w.completeJob("job-3")
 				trouble(w)
-				w.until(40*time.Second, "the last runs", func() bool { return w.everywhere("job-4", 1) })
-				w.ends("job-4")
-				w.until(20*time.Second, "all done", func() bool {
-					return w.both("job-1", "done") && w.both("job-2", "done") && w.both("job-3", "done") && w.both("job-4", "done")
+				w.eventually(40*time.Second, "the last runs", func() bool { return w.allRunning("job-4", 1) })
+				w.completeJob("job-4")
+				w.eventually(20*time.Second, "all done", func() bool {
+					return w.bothReport("job-1", "done") && w.bothReport("job-2", "done") && w.bothReport("job-3", "done") && w.bothReport("job-4", "done")
 				})
 				// What is submitted when those it awaits are over starts at once.
-				w.submit("a", awaiting(spec("job-5", "array", 1), "job-4", "job-1"))
-				w.until(15*time.Second, "it runs", func() bool { return w.everywhere("job-5", 1) })
-				if code, out := w.call("b", "POST", "/v2/runs", awaiting(spec("job-4", "array", 1), "job-99")); code != 200 || out["status"] != "done" {
+				w.submit("a", dependingOn(newJob("job-5", "array", 1), "job-4", "job-1"))
+				w.eventually(15*time.Second, "it runs", func() bool { return w.allRunning("job-5", 1) })
+				if code, out := w.call("b", "POST", "/v2/runs", dependingOn(newJob("job-4", "array", 1), "job-99")); code != 200 || out["status"] != "done" {
 					t.Errorf("a repeat of an accepted job got %d %v", code, out)
 				}
 			})
@@ -106,57 +106,57 @@
 	// Guards against a job that waits for ever, or starts, after one that it needs was
 	// cancelled, wherever in its life that was; and against nodes that disagree.
 	for name, cancel := range map[string]func(w *testCluster) string{
-		"running": func(w *testCluster) string { return w.insistOn("job-1") },
+		"running": func(w *testCluster) string { return w.cancelUntilAnswered("job-1") },
 		"at its end": func(w *testCluster) string {
-			w.ends("job-1")
-			return w.insistOn("job-1")
+			w.completeJob("job-1")
+			return w.cancelUntilAnswered("job-1")
 		},
 		"while the leader is refused": func(w *testCluster) string {
 			o := w.leader()
 			w.store.RefuseCaller(o.name, true)
 			time.AfterFunc(8*time.Second, func() { w.store.RefuseCaller(o.name, false) })
-			return w.insistOn("job-1")
+			return w.cancelUntilAnswered("job-1")
 		},
 		"as the leader ends": func(w *testCluster) string {
 			o := w.leader()
 			o.kill()
-			time.AfterFunc(3*time.Second, func() { w.start(o.name) })
-			return w.insistOn("job-1")
+			time.AfterFunc(3*time.Second, func() { w.startNode(o.name) })
+			return w.cancelUntilAnswered("job-1")
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			scenario(t, func(t *testing.T, w *testCluster) {
-				w.start("a")
-				w.start("b")
-				w.worker("m1", "north")
-				w.worker("m2", "south")
+				w.startNode("a")
+				w.startNode("b")
+				w.startWorker("m1", "north")
+				w.startWorker("m2", "south")
 				time.Sleep(10 * time.Second)
-				w.submit("a", spec("job-1", "array", 1))
+				w.submit("a", newJob("job-1", "array", 1))
 				last := "job-1"
 				var chain []string
 				for i := 2; i < 12; i++ { // a long chain, and a wide fan at its end
 					id := fmt.Sprintf("job-%d", i)
-					w.submit("b", awaiting(spec(id, "array", 1), last))
+					w.submit("b", dependingOn(newJob(id, "array", 1), last))
 					chain, last = append(chain, id), id
 				}
 				for i := 20; i < 40; i++ {
 					id := fmt.Sprintf("job-%d", i)
-					w.submit("a", awaiting(spec(id, "array", 1), last, "job-1"))
+					w.submit("a", dependingOn(newJob(id, "array", 1), last, "job-1"))
 					chain = append(chain, id)
 				}
-				w.until(5*time.Second, "the first runs", func() bool { return w.everywhere("job-1", 1) })
+				w.eventually(5*time.Second, "the first runs", func() bool { return w.allRunning("job-1", 1) })
 				var wg sync.WaitGroup
 				wg.Go(func() { // a submission that races with the cancellation
 					time.Sleep(15 * time.Millisecond)
 					for range 20 {
-						if code, _ := w.call("b", "POST", "/v2/runs", awaiting(spec("job-50", "array", 1), "job-1")); code == 200 || code == 201 {
+						if code, _ := w.call("b", "POST", "/v2/runs", dependingOn(newJob("job-50", "array", 1), "job-1")); code == 200 || code == 201 {
 							return
 						}
 						time.Sleep(time.Second)
 					}
 				})
 				// Whoever reads the records can tell, before any of the ends is stored.
-				w.net.SetRule(func(_, _ string, r *http.Request, body []byte) fake.Outcome {
+				w.network.SetRule(func(_, _ string, r *http.Request, body []byte) fake.Outcome {
 					if r.URL.Path == "/commit" && strings.Contains(string(body), `"remove":"job/wait/`) {
 						return fake.Refuse
 					}
@@ -164,7 +164,7 @@
 				})
 				how := cancel(w)
 				if how != "done" {
-					w.until(2*time.Second, "all that follow are told as cancelled", func() bool {
+					w.eventually(2*time.Second, "all that follow are told as cancelled", func() bool {
 						for _, id := range slices.Backward(chain) { // the last first: no answer may rest on another
 							if w.status("a", id) != "cancelled" && w.status("b", id) != "cancelled" {
 								return false
@@ -173,26 +173,28 @@
 						return true
 					})
 				}
-				w.net.SetRule(nil)
+				w.network.SetRule(nil)
 				wg.Wait()
 				if how == "done" {
-					w.until(30*time.Second, "the next one goes on", func() bool { return w.everywhere("job-2", 1) })
+					w.eventually(30*time.Second, "the next one goes on", func() bool { return w.allRunning("job-2", 1) })
 					return
 				}
-				w.until(25*time.Second, "all that follow are cancelled at both nodes", func() bool {
+				w.eventually(25*time.Second, "all that follow are cancelled at both nodes", func() bool {
 					for _, id := range append(chain, "job-50") {
-						if !w.both(id, "cancelled") {
+						if !w.bothReport(id, "cancelled") {
 							return false
 						}
 					}
 					return true
 				})
-				w.submit("a", awaiting(spec("job-60", "array", 1), "job-11"))
-				if !w.both("job-60", "cancelled") {
+				w.submit("a", dependingOn(newJob("job-60", "array", 1), "job-11"))
+				if !w.bothReport("job-60", "cancelled") {
 					t.Error("a job that names a cancelled one is not cancelled")
 				}
-				w.until(60*time.Second, "their ends are stored", func() bool { return w.store.CountKeys("job/") == 0 })
-				w.hold(30*time.Second, "and nothing of them starts", func() bool { return len(w.on("job-2/0"))+len(w.on("job-50/0"))+len(w.on("job-30/0")) == 0 })
+				w.eventually(60*time.Second, "their ends are stored", func() bool { return w.store.CountKeys("job/") == 0 })
+				w.consistently(30*time.Second, "and nothing of them starts", func() bool {
+					return len(w.machinesRunning("job-2/0"))+len(w.machinesRunning("job-50/0"))+len(w.machinesRunning("job-30/0")) == 0
+				})
 				if code, out := w.call("a", "GET", "/v2/runs/job-30/explain", nil); code != 200 || !strings.Contains(fmt.Sprint(out["trail"]), "job-1, which was cancelled") {
 					t.Errorf("explained as %v", out)
 				}
@@ -201,8 +203,8 @@
 	}
 }
 
-// insistOn cancels a job as its user does, until it is answered.
-func (w *testCluster) insistOn(job string) string {
+// cancelUntilAnswered cancels a job as its user does, until it is answered.
+func (w *testCluster) cancelUntilAnswered(job string) string {
 	for range 40 {
 		for _, n := range []string{"a", "b"} {
 			if code, out := w.call(n, "POST", "/v2/runs/"+job+"/cancel", nil); code == 200 {
@@ -219,60 +221,62 @@
 	// Guards against a next stage that starts on an outcome not stored yet: another node
 	// may confirm a cancellation first, or the leader may end.
 	scenario(t, func(t *testing.T, w *testCluster) {
-		w.start("a")
-		w.start("b")
-		w.worker("m1", "north")
+		w.startNode("a")
+		w.startNode("b")
+		w.startWorker("m1", "north")
 		time.Sleep(10 * time.Second)
-		w.submit("a", spec("job-1", "array", 1))
-		w.submit("b", awaiting(spec("job-2", "array", 1), "job-1"))
-		w.until(5*time.Second, "the first runs", func() bool { return w.everywhere("job-1", 1) })
-		w.net.SetRule(func(_, _ string, r *http.Request, body []byte) fake.Outcome {
-			if InstanceClass(r, body) == "outcome" {
+		w.submit("a", newJob("job-1", "array", 1))
+		w.submit("b", dependingOn(newJob("job-2", "array", 1), "job-1"))
+		w.eventually(5*time.Second, "the first runs", func() bool { return w.allRunning("job-1", 1) })
+		w.network.SetRule(func(_, _ string, r *http.Request, body []byte) fake.Outcome {
+			if transactionKind(r, body) == "outcome" {
 				return fake.Refuse
 			}
 			return fake.Deliver
 		})
-		w.ends("job-1")
-		w.hold(10*time.Second, "the next waits", func() bool { return w.worn("m1").StartCount("job-2/0") == 0 && w.both("job-2", "pending") })
-		how := w.insistOn("job-1")
-		w.net.SetRule(nil)
+		w.completeJob("job-1")
+		w.consistently(10*time.Second, "the next waits", func() bool { return w.workerNamed("m1").StartCount("job-2/0") == 0 && w.bothReport("job-2", "pending") })
+		how := w.cancelUntilAnswered("job-1")
+		w.network.SetRule(nil)
 		if how != "cancelled" {
 			t.Fatalf("the cancellation is answered %q", how)
 		}
-		w.hold(20*time.Second, "and is cancelled with it", func() bool { return w.worn("m1").StartCount("job-2/0") == 0 && w.both("job-2", "cancelled") })
+		w.consistently(20*time.Second, "and is cancelled with it", func() bool {
+			return w.workerNamed("m1").StartCount("job-2/0") == 0 && w.bothReport("job-2", "cancelled")
+		})
 	})
 }
 
 func TestCancelledJobLeavesIndependentBranchRunning(t *testing.T) {
 	scenario(t, func(t *testing.T, w *testCluster) {
-		w.start("a")
-		w.start("b")
-		w.worker("m1", "north")
+		w.startNode("a")
+		w.startNode("b")
+		w.startWorker("m1", "north")
 		time.Sleep(10 * time.Second)
-		w.submit("a", spec("job-1", "array", 1))
-		w.submit("a", awaiting(spec("job-2", "array", 1), "job-1"))
-		w.submit("b", awaiting(spec("job-3", "array", 1), "job-1"))
-		w.submit("b", awaiting(spec("job-4", "array", 1), "job-2", "job-3"))
-		if how := w.insistOn("job-2"); how != "cancelled" {
+		w.submit("a", newJob("job-1", "array", 1))
+		w.submit("a", dependingOn(newJob("job-2", "array", 1), "job-1"))
+		w.submit("b", dependingOn(newJob("job-3", "array", 1), "job-1"))
+		w.submit("b", dependingOn(newJob("job-4", "array", 1), "job-2", "job-3"))
+		if how := w.cancelUntilAnswered("job-2"); how != "cancelled" {
 			t.Fatalf("a job that waits is called %q when cancelled", how)
 		}
-		if !w.both("job-4", "cancelled") || !w.both("job-3", "pending") {
+		if !w.bothReport("job-4", "cancelled") || !w.bothReport("job-3", "pending") {
 			t.Errorf("the last is %s, the other branch %s", w.status("a", "job-4"), w.status("a", "job-3"))
 		}
-		w.until(5*time.Second, "the first runs", func() bool { return w.everywhere("job-1", 1) })
-		w.ends("job-1")
-		w.until(10*time.Second, "the other branch runs", func() bool { return w.everywhere("job-3", 1) })
-		w.hold(20*time.Second, "the cancelled ones do not", func() bool { return len(w.on("job-2/0"))+len(w.on("job-4/0")) == 0 })
+		w.eventually(5*time.Second, "the first runs", func() bool { return w.allRunning("job-1", 1) })
+		w.completeJob("job-1")
+		w.eventually(10*time.Second, "the other branch runs", func() bool { return w.allRunning("job-3", 1) })
+		w.consistently(20*time.Second, "the cancelled ones do not", func() bool { return len(w.machinesRunning("job-2/0"))+len(w.machinesRunning("job-4/0")) == 0 })
 	})
 }
 
 func TestUnknownDependenciesAreRejected(t *testing.T) {
 	scenario(t, func(t *testing.T, w *testCluster) {
-		w.start("a")
-		w.start("b")
+		w.startNode("a")
+		w.startNode("b")
 		time.Sleep(10 * time.Second)
-		w.submit("a", spec("job-1", "array", 1))
-		w.submit("a", spec("job-2", "standing", 1))
+		w.submit("a", newJob("job-1", "array", 1))
+		w.submit("a", newJob("job-2", "standing", 1))
 		n := 10
 		for _, c := range []struct {
 			awaits any
@@ -283,7 +287,7 @@
 			{nil, 201}, {[]string{}, 201}, {[]string{"job-1", "job-1"}, 201},
 		} {
 			n++
-			s := spec(fmt.Sprintf("job-%d", n), "array", 1)
+			s := newJob(fmt.Sprintf("job-%d", n), "array", 1)
 			s["awaits"] = c.awaits
 			if n == 13 {
 				s["awaits"] = []string{"job-13"} // itself was never accepted either
@@ -295,9 +299,9 @@
 				}
 			}
 		}
-		w.net.SetRule(nil)
+		w.network.SetRule(nil)
 		w.store.SetDown(true)
-		if code, _ := w.call("a", "POST", "/v2/runs", awaiting(spec("job-90", "array", 1), "job-404")); code != 503 {
+		if code, _ := w.call("a", "POST", "/v2/runs", dependingOn(newJob("job-90", "array", 1), "job-404")); code != 503 {
 			t.Errorf("what can't be decided now gets %d", code)
 		}
 		w.store.SetDown(false)
@@ -308,19 +312,19 @@
 	// Guards against waiting jobs that take part of their team's limit, or start when
 	// there is room for them, and against reasons that do not name what they wait for.
 	scenario(t, func(t *testing.T, w *testCluster) {
-		w.start("a")
-		w.start("b")
-		w.worker("m1", "north")
-		w.worker("m2", "north")
+		w.startNode("a")
+		w.startNode("b")
+		w.startWorker("m1", "north")
+		w.startWorker("m2", "north")
 		time.Sleep(10 * time.Second)
-		w.submit("a", spec("job-1", "array", 1))
+		w.submit("a", newJob("job-1", "array", 1))
 		for i := range 30 {
-			s := spec(fmt.Sprintf("job-%d", 100+i), "array", 8)
+			s := newJob(fmt.Sprintf("job-%d", 100+i), "array", 8)
 			s["dueS"] = 30
-			w.submit("b", awaiting(s, "job-1"))
+			w.submit("b", dependingOn(s, "job-1"))
 		}
-		w.submit("a", spec("job-2", "array", 7)) // with job-1 all that the team may have
-		w.until(5*time.Second, "those that wait for nobody run", func() bool { return w.everywhere("job-1", 1) && w.everywhere("job-2", 7) })
+		w.submit("a", newJob("job-2", "array", 7)) // with job-1 all that the team may have
+		w.eventually(5*time.Second, "those that wait for nobody run", func() bool { return w.allRunning("job-1", 1) && w.allRunning("job-2", 7) })
 		time.Sleep(25 * time.Second)
 		_, out := w.call("b", "GET", "/v2/runs/job-100/explain", nil)
 		if now := fmt.Sprint(out["now"]); !strings.Contains(now, "awaits job-1: running") || !strings.Contains(now, "at risk") {
--- a/internal/scenarios/shards_test.go
+++ b/internal/scenarios/shards_test.go
@@ -30,37 +30,37 @@
 
 // shardNode is a controller in a cluster of several shards.
 type shardNode struct {
-	w       *testCluster
-	name    string
-	shards  *election.Shards
-	cancel  context.CancelFunc
-	refused error
+	cluster      *testCluster
+	name         string
+	shards       *election.Shards
+	cancel       context.CancelFunc
+	startupError error
 }
 
 // shardCluster is controllers that lead three shards of the machines of a testCluster.
 type shardCluster struct {
 	*testCluster
-	count int
-	up    map[string]*shardNode
+	shardCount int
+	nodes      map[string]*shardNode
 }
 
 // shardScenario runs f in a cluster of three shards, with as many machines in each as named.
 func shardScenario(t *testing.T, machines int, f func(t *testing.T, c *shardCluster)) {
 	scenario(t, func(t *testing.T, w *testCluster) {
-		c := &shardCluster{testCluster: w, count: 3, up: map[string]*shardNode{}}
-		for shard := range c.count {
+		c := &shardCluster{testCluster: w, shardCount: 3, nodes: map[string]*shardNode{}}
+		for shard := range c.shardCount {
 			var hosts []string
 			for i := range machines {
 				hosts = append(hosts, fmt.Sprintf("m%d-%d", shard, i))
 			}
-			c.put(record.KeysOf(ids.Shard(shard), c.count).Hires()+"first", map[string]any{"hire": "first", "hosts": hosts})
+			c.storeValue(record.KeysOf(ids.Shard(shard), c.shardCount).Hires()+"first", map[string]any{"hire": "first", "hosts": hosts})
 		}
 		for _, name := range shardNodes {
 			c.startNode(name)
 		}
-		for shard := range c.count {
+		for shard := range c.shardCount {
 			for i := range machines {
-				k := c.worker(fmt.Sprintf("m%d-%d", shard, i), []string{"north", "south"}[i%2])
+				k := c.startWorker(fmt.Sprintf("m%d-%d", shard, i), []string{"north", "south"}[i%2])
 				k.ControllerNames, k.Controllers = shardNodes, nil
 				for _, name := range shardNodes {
 					k.Controllers = append(k.Controllers, name+":8080")
@@ -71,10 +71,10 @@
 	})
 }
 
-// put writes a key past all faults.
-func (c *shardCluster) put(key string, value any) {
+// storeValue writes a key past all faults.
+func (c *shardCluster) storeValue(key string, value any) {
 	raw, _ := json.Marshal(value)
-	client := state.NewClient("state:1", c.net.Client("test"), state.NewBudget(1000, 1000, 1, 0.5))
+	client := state.NewClient("state:1", c.network.Client("test"), state.NewBudget(1000, 1000, 1, 0.5))
 	if _, err := client.Commit(c.ctx, state.Txn{Ops: []state.Op{{Put: key, Value: raw}}}, state.Urgent); err != nil {
 		c.t.Fatal(err)
 	}
@@ -82,59 +82,59 @@
 
 // shardSettings are a node's settings.
 func (c *shardCluster) shardSettings(name string) *config.Settings {
-	settings := c.settings("a")
+	settings := c.nodeSettings("a")
 	settings.HostName, settings.Peers = ids.Node(name), nil
 	for _, other := range shardNodes {
 		if other != name {
 			settings.Peers = append(settings.Peers, config.Peer{HostName: ids.Node(other)})
 		}
 	}
-	settings.Features = &config.Features{Shards: proto.Uint32(uint32(c.count))}
+	settings.Features = &config.Features{Shards: proto.Uint32(uint32(c.shardCount))}
 	return settings
 }
 
 func (c *shardCluster) startNode(name string) *shardNode {
 	settings := c.shardSettings(name)
-	c.lives++
-	writer := fmt.Sprintf("%s.%d", name, c.lives)
+	c.processes++
+	writer := fmt.Sprintf("%s.%d", name, c.processes)
 	ctx, cancel := context.WithCancel(c.ctx)
-	store := state.NewClient("state:1", c.net.Client(name), state.NewBudget(800, 400, 5, 0.6))
-	store.Budget().SetShardCount(c.count)
-	n := &shardNode{w: c.testCluster, name: name, cancel: cancel,
-		shards: election.NewShards(settings, store, &worker.Commander{HTTP: c.net.Client(name), Timeout: 3 * time.Second}, writer)}
-	n.shards.OnRefused = func(err error) { n.refused = err }
-	for _, pool := range n.shards.Electors() {
+	store := state.NewClient("state:1", c.network.Client(name), state.NewBudget(800, 400, 5, 0.6))
+	store.Budget().SetShardCount(c.shardCount)
+	n := &shardNode{cluster: c.testCluster, name: name, cancel: cancel,
+		shards: election.NewShards(settings, store, &worker.Commander{HTTP: c.network.Client(name), Timeout: 3 * time.Second}, writer)}
+	n.shards.Refuse = func(err error) { n.startupError = err }
+	for _, pool := range n.shards.Pools() {
 		pool.Peers = shardPeers{cluster: c}
-		pool.OnTerm = func(_ context.Context, term *election.Term) { term.Cluster.SetMachineTypes(types()) }
+		pool.OnTerm = func(_ context.Context, term *election.Term) { term.Cluster.SetMachineTypes(instanceTypes()) }
 	}
-	jobs := &intake.JobService{Settings: settings, Store: store, Records: n.shards.Jobs(), LeaderNotifier: shardPeers{cluster: c}, Writer: writer, MachineTypes: types}
-	c.net.Listen(name+":8080", (&intake.Server{Jobs: jobs, Heartbeats: n.shards, Ready: func() bool { return true },
+	jobs := &intake.JobService{Settings: settings, Store: store, Records: n.shards.Jobs(), LeaderNotifier: shardPeers{cluster: c}, Writer: writer, MachineTypes: instanceTypes}
+	c.network.Listen(name+":8080", (&intake.Server{Jobs: jobs, Heartbeats: n.shards, Ready: func() bool { return true },
 		ExplainByLeader: func(context.Context, ids.Job) ([]string, ids.Node, error) { return nil, "", nil },
 		NodeStatus:      func() any { return nil }}).Handler())
 	c.mu.Lock()
-	c.up[name] = n
+	c.nodes[name] = n
 	c.mu.Unlock()
-	go store.ProbeHealth(ctx, record.KeysOf(0, c.count).Generation())
+	go store.ProbeHealth(ctx, record.KeysOf(0, c.shardCount).Generation())
 	go n.shards.Run(ctx)
 	return n
 }
 
-// end ends a node like a lost process.
-func (c *shardCluster) end(name string) {
+// stopNode ends a node like a lost process.
+func (c *shardCluster) stopNode(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.up[name].cancel()
-	delete(c.up, name)
-	c.net.Listen(name+":8080", nil)
+	c.nodes[name].cancel()
+	delete(c.nodes, name)
+	c.network.Listen(name+":8080", nil)
 }
 
 // leaders names who leads each shard; empty where nobody does.
 func (c *shardCluster) leaders() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	names := make([]string, c.count)
-	for name, n := range c.up {
-		for shard, pool := range n.shards.Electors() {
+	names := make([]string, c.shardCount)
+	for name, n := range c.nodes {
+		for shard, pool := range n.shards.Pools() {
 			if pool.Term() != nil {
 				names[shard] = name
 			}
@@ -152,7 +152,7 @@
 func (p shardPeers) Served(node ids.Node) bool {
 	p.cluster.mu.Lock()
 	defer p.cluster.mu.Unlock()
-	return p.cluster.up[string(node)] != nil
+	return p.cluster.nodes[string(node)] != nil
 }
 func (shardPeers) NotifyLeader(ids.Job, ids.Revision, *record.Record, json.RawMessage) <-chan struct{} {
 	done := make(chan struct{})
@@ -172,8 +172,8 @@
 	c.t.Fatalf("%v was never accepted", s["uid"])
 }
 
-// endTasks lets whatever runs for a while end by itself, until the scenario ends.
-func (c *shardCluster) endTasks(rng *rand.Rand) {
+// completeRandomTasks lets whatever runs for a while end by itself, until the scenario ends.
+func (c *shardCluster) completeRandomTasks(rng *rand.Rand) {
 	for c.ctx.Err() == nil {
 		select {
 		case <-time.After(time.Second):
@@ -201,7 +201,7 @@
 			t.Parallel()
 			shardScenario(t, 4, func(t *testing.T, c *shardCluster) {
 				rng := rand.New(rand.NewPCG(seed, 9))
-				go c.endTasks(rand.New(rand.NewPCG(seed, 10)))
+				go c.completeRandomTasks(rand.New(rand.NewPCG(seed, 10)))
 				time.Sleep(5 * time.Second)
 				if led := c.leaders(); slices.Contains(led, "") {
 					t.Fatalf("led by %q", led)
@@ -209,7 +209,7 @@
 				const jobs = 24
 				for i := range jobs {
 					id := fmt.Sprint("job-", i)
-					s := spec(id, "array", 1+rng.IntN(4))
+					s := newJob(id, "array", 1+rng.IntN(4))
 					if i%6 == 0 {
 						s["shape"], s["pieces"] = "gang", 3
 					}
@@ -218,11 +218,11 @@
 				cancelled := map[string]bool{}
 				for i := range 6 {
 					time.Sleep(time.Duration(2+rng.IntN(6)) * time.Second)
-					victim := c.leaders()[rng.IntN(c.count)]
+					victim := c.leaders()[rng.IntN(c.shardCount)]
 					switch {
 					case victim == "":
 					case i%3 == 0:
-						c.end(victim)
+						c.stopNode(victim)
 						time.Sleep(3 * time.Second)
 						c.startNode(victim)
 					case i%3 == 1:
@@ -230,29 +230,29 @@
 						time.Sleep(8 * time.Second)
 						c.store.RefuseCaller(victim, false)
 					default:
-						c.net.SetRule(func(from, _ string, r *http.Request, _ []byte) fake.Outcome {
+						c.network.SetRule(func(from, _ string, r *http.Request, _ []byte) fake.Outcome {
 							if from == victim && r.URL.Path == "/commit" {
 								return fake.DropResponse
 							}
 							return fake.Deliver
 						})
 						time.Sleep(4 * time.Second)
-						c.net.SetRule(nil)
+						c.network.SetRule(nil)
 					}
 					id := fmt.Sprint("job-", rng.IntN(jobs))
 					if code, out := c.call(shardNodes[rng.IntN(5)], "POST", "/v2/runs/"+id+"/cancel", nil); code == 200 {
 						cancelled[id] = out["status"] == "cancelled"
 					}
-					c.never()
+					c.checkInvariants()
 				}
 				for _, name := range shardNodes {
-					c.end(name)
+					c.stopNode(name)
 				}
 				time.Sleep(2 * time.Second)
 				for _, name := range shardNodes {
 					c.startNode(name)
 				}
-				c.until(5*time.Minute, "every job is over, at every node", func() bool {
+				c.eventually(5*time.Minute, "every job is over, at every node", func() bool {
 					for i := range jobs {
 						id := fmt.Sprint("job-", i)
 						want := "done"
@@ -278,7 +278,7 @@
 		time.Sleep(5 * time.Second)
 		chain := func(first int) (names []string) {
 			for i := range 6 {
-				s := spec(fmt.Sprint("job-", first+i), "array", 1)
+				s := newJob(fmt.Sprint("job-", first+i), "array", 1)
 				if i > 0 {
 					s["awaits"] = []string{names[i-1]}
 				}
@@ -289,25 +289,25 @@
 		}
 		shards := map[ids.Shard]bool{}
 		for _, id := range chain(100) {
-			shards[ids.ShardOf(ids.Job(id), c.count)] = true
-			c.until(20*time.Second, id+" runs", func() bool { return len(c.on(id+"/0")) == 1 })
-			c.worn(c.on(id + "/0")[0]).EndTask(id+"/0", "done")
+			shards[ids.ShardOf(ids.Job(id), c.shardCount)] = true
+			c.eventually(20*time.Second, id+" runs", func() bool { return len(c.machinesRunning(id+"/0")) == 1 })
+			c.workerNamed(c.machinesRunning(id + "/0")[0]).EndTask(id+"/0", "done")
 		}
-		if len(shards) != c.count {
+		if len(shards) != c.shardCount {
 			t.Fatalf("the chain lies in %d shards", len(shards))
 		}
 		second := chain(200)
-		c.until(20*time.Second, "the first runs", func() bool { return len(c.on(second[0]+"/0")) == 1 })
-		c.until(10*time.Second, "the cancellation is confirmed", func() bool {
+		c.eventually(20*time.Second, "the first runs", func() bool { return len(c.machinesRunning(second[0]+"/0")) == 1 })
+		c.eventually(10*time.Second, "the cancellation is confirmed", func() bool {
 			code, _ := c.call("b", "POST", "/v2/runs/"+second[2]+"/cancel", nil)
 			return code == 200
 		})
-		c.worn(c.on(second[0] + "/0")[0]).EndTask(second[0]+"/0", "done")
-		c.until(20*time.Second, "what does not need the cancelled one goes on", func() bool { return len(c.on(second[1]+"/0")) == 1 })
+		c.workerNamed(c.machinesRunning(second[0] + "/0")[0]).EndTask(second[0]+"/0", "done")
+		c.eventually(20*time.Second, "what does not need the cancelled one goes on", func() bool { return len(c.machinesRunning(second[1]+"/0")) == 1 })
 		for _, id := range second[2:] {
-			c.until(10*time.Second, id+" is told as cancelled", func() bool { return c.status("d", id) == "cancelled" })
+			c.eventually(10*time.Second, id+" is told as cancelled", func() bool { return c.status("d", id) == "cancelled" })
 		}
-		c.until(30*time.Second, "their ends are stored", func() bool { return c.store.CountKeys("job/wait/") == 0 })
+		c.eventually(30*time.Second, "their ends are stored", func() bool { return c.store.CountKeys("job/wait/") == 0 })
 	})
 }
 
@@ -317,15 +317,15 @@
 	// and that reports already, belongs to whom the answer will name.
 	shardScenario(t, 1, func(t *testing.T, c *shardCluster) {
 		time.Sleep(5 * time.Second)
-		key := record.KeysOf(2, c.count).Hires() + "h-s2-1-1"
-		c.put(key, map[string]any{"hire": "h-s2-1-1", "count": 1})
+		key := record.KeysOf(2, c.shardCount).Hires() + "h-s2-1-1"
+		c.storeValue(key, map[string]any{"hire": "h-s2-1-1", "count": 1})
 		for _, name := range []string{"hired", "stranger"} {
-			k := c.worker(name, "north")
+			k := c.startWorker(name, "north")
 			k.ControllerNames, k.Controllers = shardNodes, []string{"a:8080", "b:8080", "c:8080", "d:8080", "e:8080"}
 		}
 		owners := func(machine ids.Machine) (all []int) {
-			for _, n := range c.up {
-				for shard := range c.count {
+			for _, n := range c.nodes {
+				for shard := range c.shardCount {
 					if n.shards.Owns(ids.Shard(shard), machine) && !slices.Contains(all, shard) {
 						all = append(all, shard)
 					}
@@ -337,7 +337,7 @@
 		if hired, stranger := owners("hired"), owners("stranger"); len(hired)+len(stranger) > 0 {
 			t.Fatalf("while a hire is open its machine belongs to %v, a stranger to %v", hired, stranger)
 		}
-		c.put(key, map[string]any{"hire": "h-s2-1-1", "count": 1, "hosts": []string{"hired"}})
+		c.storeValue(key, map[string]any{"hire": "h-s2-1-1", "count": 1, "hosts": []string{"hired"}})
 		time.Sleep(5 * time.Second)
 		if hired, stranger := owners("hired"), owners("stranger"); !slices.Equal(hired, []int{2}) || !slices.Equal(stranger, []int{0}) {
 			t.Errorf("the hired machine belongs to %v, the stranger to %v", hired, stranger)
@@ -352,15 +352,15 @@
 			led := c.leaders()
 			return !slices.Contains(led, "") && led[0] != led[1] && led[1] != led[2] && led[0] != led[2]
 		}
-		c.until(time.Minute, "each of three controllers leads a shard", spread)
+		c.eventually(time.Minute, "each of three controllers leads a shard", spread)
 		for _, name := range []string{"a", "b", "d", "e"} {
-			c.end(name)
+			c.stopNode(name)
 		}
-		c.until(time.Minute, "the one left leads all", func() bool { return slices.Equal(c.leaders(), []string{"c", "c", "c"}) })
+		c.eventually(time.Minute, "the one left leads all", func() bool { return slices.Equal(c.leaders(), []string{"c", "c", "c"}) })
 		for _, name := range []string{"a", "b", "d", "e"} {
 			c.startNode(name)
 		}
-		c.until(2*time.Minute, "shards are given back", spread)
+		c.eventually(2*time.Minute, "shards are given back", spread)
 	})
 }
 
@@ -369,36 +369,36 @@
 	shardScenario(t, 1, func(t *testing.T, c *shardCluster) {
 		time.Sleep(5 * time.Second)
 		// A version that knows one shard only never leads here.
-		old := c.start("a")
+		old := c.testCluster.startNode("a")
 		time.Sleep(20 * time.Second)
-		if old.pool.Term() != nil {
+		if old.elector.Term() != nil {
 			t.Error("a controller of one shard leads the pool beside the leaders of three")
 		}
-		c.count = 2
+		c.shardCount = 2
 		n := c.startNode("e")
 		time.Sleep(2 * time.Second)
-		if !errors.Is(n.refused, election.ErrLayoutMismatch) || !strings.Contains(n.refused.Error(), "3, not 2") {
-			t.Errorf("two shards on a store of three: %v", n.refused)
+		if !errors.Is(n.startupError, election.ErrOtherLayout) || !strings.Contains(n.startupError.Error(), "3, not 2") {
+			t.Errorf("two shards on a store of three: %v", n.startupError)
 		}
-		c.count = 3
-		c.end("d")
-		c.put(quota.LedgerKey("red"), map[string]any{"form": 9})
+		c.shardCount = 3
+		c.stopNode("d")
+		c.storeValue(quota.LedgerKey("red"), map[string]any{"form": 9})
 		n = c.startNode("d")
 		time.Sleep(2 * time.Second)
-		if !errors.Is(n.refused, quota.ErrBadLedger) || !strings.Contains(n.refused.Error(), "newer form") {
-			t.Errorf("a ledger of a newer version: %v", n.refused)
+		if !errors.Is(n.startupError, quota.ErrBadLedger) || !strings.Contains(n.startupError.Error(), "newer form") {
+			t.Errorf("a ledger of a newer version: %v", n.startupError)
 		}
 	})
 	scenario(t, func(t *testing.T, w *testCluster) {
-		w.start("a")
-		w.worker("m1", "north")
+		w.startNode("a")
+		w.startWorker("m1", "north")
 		time.Sleep(8 * time.Second)
-		w.submit("a", spec("job-1", "array", 1))
-		c := &shardCluster{testCluster: w, count: 3, up: map[string]*shardNode{}}
+		w.submit("a", newJob("job-1", "array", 1))
+		c := &shardCluster{testCluster: w, shardCount: 3, nodes: map[string]*shardNode{}}
 		n := c.startNode("e")
 		time.Sleep(2 * time.Second)
-		if !errors.Is(n.refused, election.ErrJobsStored) {
-			t.Errorf("three shards on a store with a job of one: %v", n.refused)
+		if !errors.Is(n.startupError, election.ErrJobsStored) {
+			t.Errorf("three shards on a store with a job of one: %v", n.startupError)
 		}
 	})
 }
