--- a/internal/scenarios/test_cluster_test.go
+++ b/internal/scenarios/test_cluster_test.go
@@ -27,7 +27,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/worker"
 )
 
-const settings = `
+const settingsTemplate = `
 host_name = "NODE"
 area = "north"
 client_listen = "NODE:8080"
@@ -71,29 +71,29 @@
 
 // testCluster is two controllers and what surrounds them, in memory.
 type testCluster struct {
-	t       *testing.T
-	ctx     context.Context
-	net     *fake.Network
-	lag     atomic.Pointer[func() time.Duration] // how long the network takes; none is no time
-	store   *fake.Store
-	mu      sync.Mutex
-	nodes   map[string]*testNode
-	workers []*fake.Worker
-	lives   int
-	rules   *rules
-	listed  bool    // the leader is told the machines by the cloud's list
-	next    string  // the limits to come of nodes started from now on, as settings
-	valueKB float64 // the limit of values, if not that of the settings
-	teams   []config.Team
+	t              *testing.T
+	ctx            context.Context
+	network        *fake.Network
+	latency        atomic.Pointer[func() time.Duration] // how long the network takes; none is no time
+	store          *fake.Store
+	mu             sync.Mutex
+	nodes          map[string]*testNode
+	workers        []*fake.Worker
+	processes      int
+	rules          *rules
+	inCloudList    bool    // the leader is told the machines by the cloud's list
+	upcomingLimits string  // the limits to come of nodes started from now on, as settings
+	valueLimitKB   float64 // the limit of values, if not that of the settings
+	teams          []config.Team
 }
 
 type testNode struct {
-	w      *testCluster
-	name   string
-	pool   *election.Elector
-	asked  []ids.Node // who was last asked to confirm that it stopped
-	jobs   *intake.JobService
-	cancel context.CancelFunc
+	cluster              *testCluster
+	name                 string
+	elector              *election.Elector
+	askedForConfirmation []ids.Node // who was last asked to confirm that it stopped
+	jobs                 *intake.JobService
+	cancel               context.CancelFunc
 }
 
 // scenario runs f in a cluster of its own, under a clock of its own.
@@ -101,79 +101,79 @@
 	slog.SetLogLoggerLevel(slog.LevelError)
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		w := &testCluster{t: t, ctx: ctx, net: fake.NewNetwork(), store: fake.NewStore(), nodes: map[string]*testNode{}}
-		w.net.Listen("state:1", w.store)
-		w.net.SetLatency(func() time.Duration {
-			if f := w.lag.Load(); f != nil {
+		w := &testCluster{t: t, ctx: ctx, network: fake.NewNetwork(), store: fake.NewStore(), nodes: map[string]*testNode{}}
+		w.network.Listen("state:1", w.store)
+		w.network.SetLatency(func() time.Duration {
+			if f := w.latency.Load(); f != nil {
 				return (*f)()
 			}
 			return 0
 		})
-		w.rules = newRules(w.settings("a"), func(rule, what string) { t.Errorf("rule broken: %s: %s", rule, what) })
+		w.rules = newRules(w.nodeSettings("a"), func(rule, what string) { t.Errorf("rule broken: %s: %s", rule, what) })
 		defer synctest.Wait()
 		defer cancel()
-		defer w.rules.Overdue()
+		defer w.rules.CheckCancelled()
 		f(t, w)
 	})
 }
 
-// variant is one of several scenarios of a test, which go on beside one another.
-func variant(t *testing.T, name string, f func(t *testing.T, w *testCluster)) {
+// parallelScenario is one of several scenarios of a test, which go on beside one another.
+func parallelScenario(t *testing.T, name string, f func(t *testing.T, w *testCluster)) {
 	t.Run(name, func(t *testing.T) {
 		t.Parallel()
 		scenario(t, f)
 	})
 }
 
-func (w *testCluster) settings(name string) *config.Settings {
+func (w *testCluster) nodeSettings(name string) *config.Settings {
 	other := map[string]string{"a": "b", "b": "a"}[name]
-	set, err := config.Parse([]byte(strings.NewReplacer("NODE", name, "OTHER", other).Replace(settings + w.next)))
+	set, err := config.Parse([]byte(strings.NewReplacer("NODE", name, "OTHER", other).Replace(settingsTemplate + w.upcomingLimits)))
 	if err != nil {
 		w.t.Fatal(err)
 	}
 	set.Params.Teams = append(set.Params.Teams, w.teams...)
-	if w.valueKB > 0 {
-		set.Params.State.ValueKB, set.Params.State.CurrentValueKB = w.valueKB, w.valueKB
+	if w.valueLimitKB > 0 {
+		set.Params.State.ValueKB, set.Params.State.CurrentValueKB = w.valueLimitKB, w.valueLimitKB
 	}
 	return set
 }
 
-func (w *testCluster) start(name string) *testNode {
-	settings := w.settings(name)
-	w.lives++
-	writer := fmt.Sprintf("%s.%d", name, w.lives)
+func (w *testCluster) startNode(name string) *testNode {
+	settings := w.nodeSettings(name)
+	w.processes++
+	writer := fmt.Sprintf("%s.%d", name, w.processes)
 	ctx, cancel := context.WithCancel(w.ctx)
-	store := state.NewClient("state:1", w.net.Client(name), state.NewBudget(400, 200, 2, 0.6))
-	n := &testNode{w: w, name: name, cancel: cancel}
-	n.pool = election.NewElector(settings, store, &worker.Commander{HTTP: w.net.Client(name), Timeout: 3 * time.Second}, writer)
-	n.pool.Peers = n
-	n.pool.OnTerm = func(ctx context.Context, term *election.Term) {
-		term.Cluster.SetMachineTypes(types())
+	store := state.NewClient("state:1", w.network.Client(name), state.NewBudget(400, 200, 2, 0.6))
+	n := &testNode{cluster: w, name: name, cancel: cancel}
+	n.elector = election.NewElector(settings, store, &worker.Commander{HTTP: w.network.Client(name), Timeout: 3 * time.Second}, writer)
+	n.elector.Peers = n
+	n.elector.OnTerm = func(ctx context.Context, term *election.Term) {
+		term.Cluster.SetMachineTypes(instanceTypes())
 		for ctx.Err() == nil {
-			term.Cluster.ReconcileCloudList(w.list(), time.Now())
+			term.Cluster.ReconcileCloudList(w.cloudList(), time.Now())
 			select {
 			case <-ctx.Done():
 			case <-time.After(2 * time.Second):
 			}
 		}
 	}
-	n.jobs = &intake.JobService{Settings: settings, Store: store, Records: n.pool.Jobs(), LeaderNotifier: n, Writer: writer, MachineTypes: types}
-	w.net.Listen(name+":8080", (&intake.Server{Jobs: n.jobs, Heartbeats: n.pool, Ready: func() bool { return true },
+	n.jobs = &intake.JobService{Settings: settings, Store: store, Records: n.elector.Jobs(), LeaderNotifier: n, Writer: writer, MachineTypes: instanceTypes}
+	w.network.Listen(name+":8080", (&intake.Server{Jobs: n.jobs, Heartbeats: n.elector, Ready: func() bool { return true },
 		ExplainByLeader: func(context.Context, ids.Job) ([]string, ids.Node, error) { return nil, "", nil },
 		NodeStatus:      func() any { return nil }}).Handler())
 	w.mu.Lock()
 	w.nodes[name] = n
 	w.mu.Unlock()
 	go store.ProbeHealth(ctx, record.KeysOf(0, 1).Generation())
-	go n.pool.Run(ctx)
+	go n.elector.Run(ctx)
 	return n
 }
 
-// list is the cloud's, in scenarios that have one.
-func (w *testCluster) list() (ls []clusterstate.ListedMachine) {
+// cloudList is the cloud's, in scenarios that have one.
+func (w *testCluster) cloudList() (ls []claim.ListedMachine) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.listed {
+	if w.inCloudList {
 		for _, k := range w.workers {
 			ls = append(ls, clusterstate.ListedMachine{Name: ids.Machine(k.Name), Address: k.Address, Type: k.Type, Zone: k.Zone, Status: "running"})
 		}
@@ -181,25 +181,25 @@
 	return ls
 }
 
-func types() []placement.InstanceType {
+func instanceTypes() []placement.InstanceType {
 	return []placement.InstanceType{{Label: "small", Cores: 4, RAM: 16, CacheGB: 20, PullGBPerS: 1, Price: 1, SpotPrice: 0.4, BootS: 30, Zones: []string{"north", "south"}}}
 }
 
 // AllStopped asks the other node, if it lives and the network lets it.
 func (n *testNode) AllStopped(_ context.Context, generation ids.Generation, of ...ids.Node) bool {
-	n.w.mu.Lock()
-	defer n.w.mu.Unlock()
-	n.asked = of
-	for name, o := range n.w.nodes {
-		if name != n.name && !n.w.cutOff(n.name, name) && o.pool.ConfirmStopped(generation) {
+	n.cluster.mu.Lock()
+	defer n.cluster.mu.Unlock()
+	n.askedForConfirmation = of
+	for name, o := range n.cluster.nodes {
+		if name != n.name && !n.cluster.isPartitioned(n.name, name) && o.elector.Superseded(generation) {
 			return true
 		}
 	}
 	return false
 }
 
-func (w *testCluster) cutOff(from, to string) bool {
-	rule := w.net.CurrentRule()
+func (w *testCluster) isPartitioned(from, to string) bool {
+	rule := w.network.CurrentRule()
 	if rule == nil {
 		return false
 	}
@@ -209,10 +209,10 @@
 
 // Alone tells that the other node is down or out of reach.
 func (n *testNode) Alone() bool {
-	n.w.mu.Lock()
-	defer n.w.mu.Unlock()
-	for name := range n.w.nodes {
-		if name != n.name && !n.w.cutOff(n.name, name) {
+	n.cluster.mu.Lock()
+	defer n.cluster.mu.Unlock()
+	for name := range n.cluster.nodes {
+		if name != n.name && !n.cluster.isPartitioned(n.name, name) {
 			return false
 		}
 	}
@@ -221,37 +221,37 @@
 
 // Served tells that another node lives and can be reached.
 func (n *testNode) Served(other ids.Node) bool {
-	n.w.mu.Lock()
-	defer n.w.mu.Unlock()
-	return n.w.nodes[string(other)] != nil && !n.w.cutOff(n.name, string(other))
+	n.cluster.mu.Lock()
+	defer n.cluster.mu.Unlock()
+	return n.cluster.nodes[string(other)] != nil && !n.cluster.isPartitioned(n.name, string(other))
 }
 
 // NotifyLeader passes writes on: to its own pool at once, to the others as fast as the
 // network is.
 func (n *testNode) NotifyLeader(id ids.Job, revision ids.Revision, rec *record.Record, raw json.RawMessage) <-chan struct{} {
 	done := make(chan struct{})
-	if lag := n.w.lag.Load(); lag != nil && n.pool.Cluster() == nil {
+	if lag := n.cluster.latency.Load(); lag != nil && n.elector.Cluster() == nil {
 		go func() {
 			defer close(done)
 			select {
 			case <-time.After((*lag)()):
-				n.tell(id, revision, rec)
-			case <-n.w.ctx.Done():
+				n.deliverRecord(id, revision, rec)
+			case <-n.cluster.ctx.Done():
 			}
 		}()
 		return done
 	}
-	n.tell(id, revision, rec)
+	n.deliverRecord(id, revision, rec)
 	close(done)
 	return done
 }
 
-func (n *testNode) tell(id ids.Job, revision ids.Revision, rec *record.Record) {
-	n.w.mu.Lock()
-	defer n.w.mu.Unlock()
-	for name, o := range n.w.nodes {
-		if name == n.name || !n.w.cutOff(n.name, name) {
-			o.pool.HandleRecord(id, revision, rec)
+func (n *testNode) deliverRecord(id ids.Job, revision ids.Revision, rec *record.Record) {
+	n.cluster.mu.Lock()
+	defer n.cluster.mu.Unlock()
+	for name, o := range n.cluster.nodes {
+		if name == n.name || !n.cluster.isPartitioned(n.name, name) {
+			o.elector.HandleRecord(id, revision, rec)
 		}
 	}
 }
@@ -259,16 +259,16 @@
 // kill ends a node like a lost process.
 func (n *testNode) kill() {
 	n.cancel()
-	n.w.mu.Lock()
-	delete(n.w.nodes, n.name)
-	n.w.mu.Unlock()
-	n.w.net.Listen(n.name+":8080", nil)
+	n.cluster.mu.Lock()
+	delete(n.cluster.nodes, n.name)
+	n.cluster.mu.Unlock()
+	n.cluster.network.Listen(n.name+":8080", nil)
 }
 
-func (w *testCluster) worker(name, zone string) *fake.Worker {
-	k := &fake.Worker{Name: name, Address: name + ":9000", Type: "small", Zone: zone, Network: w.net,
+func (w *testCluster) startWorker(name, zone string) *fake.Worker {
+	k := &fake.Worker{Name: name, Address: name + ":9000", Type: "small", Zone: zone, Network: w.network,
 		Controllers: []string{"a:8080", "b:8080"}, ControllerNames: []string{"a", "b"}, HeartbeatInterval: 2 * time.Second, LeaseDuration: 20 * time.Second}
-	k.NotifyEvents(w.rules.Event)
+	k.NotifyEvents(w.rules.TaskEvent)
 	w.mu.Lock()
 	w.workers = append(w.workers, k)
 	w.mu.Unlock()
@@ -276,8 +276,8 @@
 	return k
 }
 
-// spec is a job of team red with tasks of one core.
-func spec(id, shape string, tasks int) map[string]any {
+// newJob is a job of team red with tasks of one core.
+func newJob(id, shape string, tasks int) map[string]any {
 	return map[string]any{"uid": id, "jobkind": "c", "owner": "red", "shape": shape, "urgency": "normal", "pieces": tasks,
 		"cores": 1, "accelerators": 0, "ramGb": 1, "bundle": "img", "pullGb": 1, "together": false, "spread": false,
 		"loaners": false, "guessS": 10, "bookmarkS": 0, "stashS": 0}
@@ -285,14 +285,14 @@
 
 func (w *testCluster) call(node, method, path string, body any) (int, map[string]any) {
 	raw, _ := json.Marshal(body)
-	return w.observe(node, method, path, raw, func() (int, map[string]any) { return w.request(node, method, path, raw) })
+	return w.observeCall(node, method, path, raw, func() (int, map[string]any) { return w.request(node, method, path, raw) })
 }
 
 func (w *testCluster) request(node, method, path string, raw []byte) (int, map[string]any) {
 	ctx, cancel := context.WithTimeout(w.ctx, 5*time.Second)
 	defer cancel()
 	req, _ := http.NewRequestWithContext(ctx, method, "http://"+node+":8080"+path, bytes.NewReader(raw))
-	res, err := w.net.Client("user").Do(req)
+	res, err := w.network.Client("user").Do(req)
 	if err != nil {
 		return 0, nil
 	}
@@ -321,8 +321,8 @@
 	return slices.Clone(w.workers)
 }
 
-// on lists where a task is, by worker name.
-func (w *testCluster) on(task string) (at []string) {
+// machinesRunning lists where a task is, by worker name.
+func (w *testCluster) machinesRunning(task string) (at []string) {
 	for _, k := range w.listWorkers() {
 		for _, t := range k.ActiveTasks() {
 			if t == task {
@@ -333,34 +333,34 @@
 	return at
 }
 
-// until waits for a condition, at most d.
-func (w *testCluster) until(d time.Duration, what string, f func() bool) {
+// eventually waits for a condition, at most d.
+func (w *testCluster) eventually(d time.Duration, what string, f func() bool) {
 	w.t.Helper()
 	for end := time.Now().Add(d); !f(); {
 		if time.Now().After(end) {
 			w.t.Fatalf("not within %v: %s; store: %s", d, what, w.store)
 		}
 		time.Sleep(100 * time.Millisecond)
-		w.never()
+		w.checkInvariants()
 	}
 }
 
-// hold watches that a condition stays true for d.
-func (w *testCluster) hold(d time.Duration, what string, f func() bool) {
+// consistently watches that a condition stays true for d.
+func (w *testCluster) consistently(d time.Duration, what string, f func() bool) {
 	w.t.Helper()
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
 		if !f() {
 			w.t.Fatalf("no longer true: %s", what)
 		}
-		w.never()
+		w.checkInvariants()
 	}
 }
 
-// never samples what holds in every scenario, besides the rules that watch each event:
+// checkInvariants samples what holds in every scenario, besides the rules that watch each event:
 // no task on two machines.
-func (w *testCluster) never() {
+func (w *testCluster) checkInvariants() {
 	w.t.Helper()
-	w.rules.Overdue()
+	w.rules.CheckCancelled()
 	seen := map[string]string{}
 	for _, k := range w.listWorkers() {
 		for _, t := range k.ActiveTasks() {
@@ -372,7 +372,7 @@
 	}
 }
 
-func (w *testCluster) worn(name string) *fake.Worker {
+func (w *testCluster) workerNamed(name string) *fake.Worker {
 	for _, k := range w.listWorkers() {
 		if k.Name == name {
 			return k
--- a/internal/scenarios/users_test.go
+++ b/internal/scenarios/users_test.go
@@ -13,39 +13,41 @@
 	"github.com/pebbletrail/pebbletrail/internal/fake"
 )
 
-// dice are drawn by many at once.
-type dice struct {
-	mu sync.Mutex
-	r  *rand.Rand
+// randomSource are drawn by many at once.
+type randomSource struct {
+	mu     sync.Mutex
+	source *rand.Rand
 }
 
-func newDice(seed uint64) *dice { return &dice{r: rand.New(rand.NewPCG(seed, 1))} }
+func newRandomSource(seed uint64) *randomSource {
+	return &randomSource{source: rand.New(rand.NewPCG(seed, 1))}
+}
 
-func (d *dice) n(n int) int {
+func (d *randomSource) intn(n int) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.r.IntN(n)
+	return d.source.IntN(n)
 }
 
-func (d *dice) ms(from, to int) time.Duration {
-	return time.Duration(from+d.n(to-from+1)) * time.Millisecond
+func (d *randomSource) milliseconds(from, to int) time.Duration {
+	return time.Duration(from+d.intn(to-from+1)) * time.Millisecond
 }
 
-func (d *dice) node() string { return []string{"a", "b"}[d.n(2)] }
+func (d *randomSource) node() string { return []string{"a", "b"}[d.intn(2)] }
 
-// lags makes calls take a few milliseconds, and one in twenty a few hundred.
-func (w *testCluster) lags(d *dice) {
+// setRandomLatency makes calls take a few milliseconds, and one in twenty a few hundred.
+func (w *testCluster) setRandomLatency(d *randomSource) {
 	lag := func() time.Duration {
-		if d.n(20) == 0 {
-			return d.ms(50, 200)
+		if d.intn(20) == 0 {
+			return d.milliseconds(50, 200)
 		}
-		return d.ms(1, 8)
+		return d.milliseconds(1, 8)
 	}
-	w.lag.Store(&lag)
+	w.latency.Store(&lag)
 }
 
-// insist asks as users do, now at one node and now at another, until it is decided.
-func (w *testCluster) insist(d *dice, method, path string, body any) (code int, status string) {
+// requestUntilDecided asks as users do, now at one node and now at another, until it is decided.
+func (w *testCluster) requestUntilDecided(d *randomSource, method, path string, body any) (code int, status string) {
 	for end := time.Now().Add(time.Minute); time.Now().Before(end); time.Sleep(time.Second) {
 		var out map[string]any
 		code, out = w.call(d.node(), method, path, body)
@@ -58,15 +60,15 @@
 	return code, ""
 }
 
-// nodes are all controllers' names; a scenario's users ask at each.
-var nodes = []string{"a", "b"}
+// nodeNames are all controllers' names; a scenario's users ask at each.
+var nodeNames = []string{"a", "b"}
 
-// closely asks at all nodes within milliseconds, and repeats the submission.
-func (w *testCluster) closely(d *dice, s map[string]any) {
+// askAllNodes asks at all nodes within milliseconds, and repeats the submission.
+func (w *testCluster) askAllNodes(d *randomSource, s map[string]any) {
 	var wg sync.WaitGroup
 	for range 3 {
-		for _, n := range nodes {
-			gap := d.ms(0, 6)
+		for _, n := range nodeNames {
+			gap := d.milliseconds(0, 6)
 			wg.Go(func() {
 				time.Sleep(gap)
 				if gap%3 == 0 {
@@ -80,13 +82,13 @@
 	wg.Wait()
 }
 
-// agreed waits until all nodes call a job the same, which is over.
-func (w *testCluster) agreed(within time.Duration, ids ...string) {
+// awaitAgreement waits until all nodes call a job the same, which is over.
+func (w *testCluster) awaitAgreement(within time.Duration, ids ...string) {
 	w.t.Helper()
 	for _, id := range ids {
 		last := map[string]string{}
-		w.until(within, id+" is over and told alike by all", func() bool {
-			for _, n := range nodes {
+		w.eventually(within, id+" is over and told alike by all", func() bool {
+			for _, n := range nodeNames {
 				last[n] = w.status(n, id)
 			}
 			return last["a"] == last["b"] && (last["a"] == "done" || last["a"] == "cancelled")
@@ -99,41 +101,41 @@
 	// Guards against a node that answers something older, or with 404, than another
 	// one told just before: after an acceptance, an end and a confirmed cancel.
 	for seed := range uint64(4) {
-		variant(t, fmt.Sprint(seed), func(t *testing.T, w *testCluster) {
-			d := newDice(seed)
-			w.start("a")
-			w.start("b")
-			w.worker("m1", "north")
-			w.worker("m2", "south")
+		parallelScenario(t, fmt.Sprint(seed), func(t *testing.T, w *testCluster) {
+			d := newRandomSource(seed)
+			w.startNode("a")
+			w.startNode("b")
+			w.startWorker("m1", "north")
+			w.startWorker("m2", "south")
 			time.Sleep(10 * time.Second)
-			w.lags(d)
+			w.setRandomLatency(d)
 			var ids []string
 			var wg sync.WaitGroup
 			for i := range 24 {
 				id := fmt.Sprintf("job-%d", i+1)
 				ids = append(ids, id)
-				s := spec(id, "array", 1+d.n(2))
+				s := newJob(id, "array", 1+d.intn(2))
 				wg.Go(func() {
-					time.Sleep(d.ms(0, 20000))
-					if code, _ := w.insist(d, "POST", "/v2/runs", s); code != 201 {
+					time.Sleep(d.milliseconds(0, 20000))
+					if code, _ := w.requestUntilDecided(d, "POST", "/v2/runs", s); code != 201 {
 						t.Errorf("a submission of %s got %d", id, code)
 						return
 					}
-					w.closely(d, s)
-					if how := d.n(4); how < 2 {
-						time.Sleep(time.Duration(how) * d.ms(0, 1500))
-						w.insist(d, "POST", "/v2/runs/"+id+"/cancel", nil)
-						w.closely(d, s)
+					w.askAllNodes(d, s)
+					if how := d.intn(4); how < 2 {
+						time.Sleep(time.Duration(how) * d.milliseconds(0, 1500))
+						w.requestUntilDecided(d, "POST", "/v2/runs/"+id+"/cancel", nil)
+						w.askAllNodes(d, s)
 						return
 					}
-					for end := time.Now().Add(time.Minute); time.Now().Before(end); time.Sleep(d.ms(50, 300)) {
+					for end := time.Now().Add(time.Minute); time.Now().Before(end); time.Sleep(d.milliseconds(50, 300)) {
 						for _, k := range w.workers {
 							for n := range 2 {
 								k.EndTask(fmt.Sprintf("%s/%d", id, n), "done")
 							}
 						}
 						if w.status(d.node(), id) == "done" {
-							w.closely(d, s)
+							w.askAllNodes(d, s)
 							return
 						}
 					}
@@ -141,8 +143,8 @@
 				})
 			}
 			wg.Wait()
-			w.agreed(10*time.Second, ids...)
-			w.hold(45*time.Second, "", func() bool { return true })
+			w.awaitAgreement(10*time.Second, ids...)
+			w.consistently(45*time.Second, "", func() bool { return true })
 		})
 	}
 }
@@ -151,27 +153,27 @@
 	t.Parallel()
 	// Guards against two winners: whatever is told first, every node tells from then on.
 	for seed := range uint64(4) {
-		variant(t, fmt.Sprint(seed), func(t *testing.T, w *testCluster) {
-			d := newDice(seed)
-			w.start("a")
-			w.start("b")
-			w.worker("m1", "north")
-			w.worker("m2", "south")
+		parallelScenario(t, fmt.Sprint(seed), func(t *testing.T, w *testCluster) {
+			d := newRandomSource(seed)
+			w.startNode("a")
+			w.startNode("b")
+			w.startWorker("m1", "north")
+			w.startWorker("m2", "south")
 			time.Sleep(10 * time.Second)
-			w.lags(d)
+			w.setRandomLatency(d)
 			for round := range 6 {
 				var wg sync.WaitGroup
 				var ids []string
 				for i := range 8 {
 					id := fmt.Sprintf("job-%d%d", round+1, i)
 					ids = append(ids, id)
-					if code, _ := w.insist(d, "POST", "/v2/runs", spec(id, "array", 1)); code != 201 {
+					if code, _ := w.requestUntilDecided(d, "POST", "/v2/runs", newJob(id, "array", 1)); code != 201 {
 						t.Fatalf("a submission got %d", code)
 					}
 				}
-				w.until(20*time.Second, "they run", func() bool {
+				w.eventually(20*time.Second, "they run", func() bool {
 					for _, id := range ids {
-						if !w.everywhere(id, 1) {
+						if !w.allRunning(id, 1) {
 							return false
 						}
 					}
@@ -179,34 +181,34 @@
 				})
 				for i, id := range ids {
 					wg.Go(func() {
-						time.Sleep(d.ms(0, 500))
+						time.Sleep(d.milliseconds(0, 500))
 						for _, k := range w.workers {
 							k.EndTask(id+"/0", "done")
 						}
 					})
 					if i%4 != 3 {
 						wg.Go(func() {
-							time.Sleep(d.ms(0, 800))
-							w.insist(d, "POST", "/v2/runs/"+id+"/cancel", nil)
-							w.closely(d, spec(id, "array", 1))
+							time.Sleep(d.milliseconds(0, 800))
+							w.requestUntilDecided(d, "POST", "/v2/runs/"+id+"/cancel", nil)
+							w.askAllNodes(d, newJob(id, "array", 1))
 						})
 					}
 					for range 4 {
 						wg.Go(func() {
-							time.Sleep(d.ms(0, 1200))
-							w.closely(d, spec(id, "array", 1))
+							time.Sleep(d.milliseconds(0, 1200))
+							w.askAllNodes(d, newJob(id, "array", 1))
 						})
 					}
 				}
 				wg.Wait()
-				w.agreed(10*time.Second, ids...)
+				w.awaitAgreement(10*time.Second, ids...)
 			}
 		})
 	}
 }
 
-// InstanceClass names what a transaction to the state service does.
-func InstanceClass(r *http.Request, body []byte) string {
+// transactionKind names what a transaction to the state service does.
+func transactionKind(r *http.Request, body []byte) string {
 	var txn struct {
 		When []struct {
 			Key   string
@@ -253,21 +255,23 @@
 			for seed := range uint64(3) {
 				t.Run(fmt.Sprintf("%s %s %d", what, name, seed), func(t *testing.T) {
 					t.Parallel()
-					scenario(t, func(t *testing.T, w *testCluster) { lateWrites(t, w, newDice(seed), what, fate, seed%2 == 1) })
+					scenario(t, func(t *testing.T, w *testCluster) {
+						runTransactionFaults(t, w, newRandomSource(seed), what, fate, seed%2 == 1)
+					})
 				})
 			}
 		}
 	}
 }
 
-// tasksEnd has every task complete after a while, until over.
-func (w *testCluster) tasksEnd(over <-chan struct{}, d *dice, from, to int) {
+// completeTasksUntil has every task complete after a while, until over.
+func (w *testCluster) completeTasksUntil(over <-chan struct{}, d *randomSource, from, to int) {
 	ends := map[string]time.Time{}
 	for {
 		for _, k := range w.workers {
 			for _, task := range k.ActiveTasks() {
 				if at := ends[task]; at.IsZero() {
-					ends[task] = time.Now().Add(d.ms(from, to))
+					ends[task] = time.Now().Add(d.milliseconds(from, to))
 				} else if time.Now().After(at) {
 					k.EndTask(task, "done")
 				}
@@ -283,18 +287,18 @@
 	}
 }
 
-func lateWrites(t *testing.T, w *testCluster, d *dice, what string, fate fake.Outcome, holdDies bool) {
-	w.start("a")
-	w.start("b")
-	w.worker("m1", "north")
-	w.worker("m2", "south")
+func runTransactionFaults(t *testing.T, w *testCluster, d *randomSource, what string, fate fake.Outcome, holdDies bool) {
+	w.startNode("a")
+	w.startNode("b")
+	w.startWorker("m1", "north")
+	w.startWorker("m2", "south")
 	time.Sleep(10 * time.Second)
-	w.lags(d)
-	w.net.SetDelay(func() time.Duration { return d.ms(2000, 12000) })
+	w.setRandomLatency(d)
+	w.network.SetDelay(func() time.Duration { return d.milliseconds(2000, 12000) })
 	var mu sync.Mutex // of hits
 	hits := 0
 	hit := func(from, to string, r *http.Request, body []byte) fake.Outcome {
-		k := InstanceClass(r, body)
+		k := transactionKind(r, body)
 		mu.Lock()
 		defer mu.Unlock()
 		switch {
@@ -302,29 +306,29 @@
 			return fake.Drop // so that the hold is gone when the takeover is carried out
 		case what == "raise" && to != "state:1" && r.URL.Path == "/commands" && strings.Contains(string(body), `"start"`):
 			return fake.HoldBack // an uncertain start, which only a raised generation turns away
-		case k != "" && (what == "any" || k == what) && (hits == 0 || d.n(2) == 0):
+		case k != "" && (what == "any" || k == what) && (hits == 0 || d.intn(2) == 0):
 			hits++
 			return fate
 		}
 		return fake.Deliver
 	}
-	w.submit("a", spec("job-90", "array", 1)) // a pipeline, on which others hang
-	w.submit("b", awaiting(spec("job-91", "array", 1), "job-90"))
-	w.net.SetRule(hit)
+	w.submit("a", newJob("job-90", "array", 1)) // a pipeline, on which others hang
+	w.submit("b", dependingOn(newJob("job-91", "array", 1), "job-90"))
+	w.network.SetRule(hit)
 	over := make(chan struct{})
 	var wg, askers sync.WaitGroup
 	ids := []string{"job-90", "job-91"}
 	for i := range 16 {
 		id := fmt.Sprintf("job-%d", i+1)
 		ids = append(ids, id)
-		s := spec(id, "array", 1)
+		s := newJob(id, "array", 1)
 		cancelled := i%2 == 0
 		if i%4 < 2 {
-			awaiting(s, []string{"job-90", "job-91"}[i%8/4])
+			dependingOn(s, []string{"job-90", "job-91"}[i%8/4])
 		}
 		wg.Go(func() {
-			time.Sleep(time.Duration(i) * d.ms(500, 2000))
-			code, _ := w.insist(d, "POST", "/v2/runs", s)
+			time.Sleep(time.Duration(i) * d.milliseconds(500, 2000))
+			code, _ := w.requestUntilDecided(d, "POST", "/v2/runs", s)
 			if code != 200 && code != 201 {
 				t.Errorf("a submission of %s got %d", id, code)
 				return
@@ -336,30 +340,30 @@
 						return
 					case <-w.ctx.Done():
 						return
-					case <-time.After(d.ms(300, 900)):
+					case <-time.After(d.milliseconds(300, 900)):
 						w.call(d.node(), "GET", "/v2/runs/"+id, nil)
 					}
 				}
 			})
 			if what == "raise" {
-				time.Sleep(d.ms(50, 500)) // while the start is uncertain
+				time.Sleep(d.milliseconds(50, 500)) // while the start is uncertain
 			} else {
-				time.Sleep(d.ms(100, 6000))
+				time.Sleep(d.milliseconds(100, 6000))
 			}
 			if cancelled {
-				if code, _ := w.insist(d, "POST", "/v2/runs/"+id+"/cancel", nil); code != 200 {
+				if code, _ := w.requestUntilDecided(d, "POST", "/v2/runs/"+id+"/cancel", nil); code != 200 {
 					t.Errorf("a cancel of %s got %d", id, code)
 				}
 			}
 		})
 	}
-	askers.Go(func() { w.tasksEnd(over, d, 1000, 5000) })
+	askers.Go(func() { w.completeTasksUntil(over, d, 1000, 5000) })
 	time.Sleep(5 * time.Second)
 	if what == "takeover" || what == "any" {
 		if o := w.leader(); o != nil {
 			o.kill()
 			time.Sleep(4 * time.Second)
-			w.start(o.name)
+			w.startNode(o.name)
 		}
 	}
 	wg.Wait()
@@ -372,15 +376,15 @@
 	for i := 0; spared() && i < 60; i++ {
 		id := fmt.Sprintf("job-%d", 200+i)
 		ids = append(ids, id)
-		w.insist(d, "POST", "/v2/runs", spec(id, "array", 1))
-		time.Sleep(d.ms(10, 300))
-		w.insist(d, "POST", "/v2/runs/"+id+"/cancel", nil)
+		w.requestUntilDecided(d, "POST", "/v2/runs", newJob(id, "array", 1))
+		time.Sleep(d.milliseconds(10, 300))
+		w.requestUntilDecided(d, "POST", "/v2/runs/"+id+"/cancel", nil)
 	}
-	w.net.SetRule(nil)
-	w.net.ReleaseHeld()
+	w.network.SetRule(nil)
+	w.network.ReleaseHeld()
 	time.Sleep(13 * time.Second) // the last late one is carried out
-	w.until(60*time.Second, "an owner", func() bool { return w.leader() != nil })
-	w.agreed(90*time.Second, ids...)
+	w.eventually(60*time.Second, "an owner", func() bool { return w.leader() != nil })
+	w.awaitAgreement(90*time.Second, ids...)
 	close(over)
 	askers.Wait()
 	if hits == 0 {
@@ -393,21 +397,21 @@
 	// Guards against accepting what can't run, and against refusing the repeat of what
 	// was accepted; also right after both controllers came back.
 	scenario(t, func(t *testing.T, w *testCluster) {
-		w.start("a")
-		w.start("b")
-		w.worker("m1", "north")
+		w.startNode("a")
+		w.startNode("b")
+		w.startWorker("m1", "north")
 		time.Sleep(10 * time.Second)
-		w.submit("a", spec("job-1", "array", 1))
-		w.submit("b", spec("job-2", "array", 1))
+		w.submit("a", newJob("job-1", "array", 1))
+		w.submit("b", newJob("job-2", "array", 1))
 		w.call("b", "POST", "/v2/runs/job-2/cancel", nil)
 		check := func() {
 			n := 0
 			refused := func(want int, change func(s map[string]any)) {
 				n++
 				id := fmt.Sprintf("job-%d", 100+n)
-				s := spec(id, "array", 1)
+				s := newJob(id, "array", 1)
 				change(s)
-				for _, node := range nodes {
+				for _, node := range nodeNames {
 					if code, out := w.call(node, "POST", "/v2/runs", s); code != want {
 						t.Errorf("%s answers %d %v, not %d, to %v", node, code, out, want, s)
 					}
@@ -416,14 +420,14 @@
 					}
 				}
 				for known, status := range map[string]string{"job-1": "running", "job-2": "cancelled"} {
-					for _, node := range nodes {
-						if code, out := w.call(node, "POST", "/v2/runs", spec(known, "array", 1)); code != 200 || out["status"] != status {
+					for _, node := range nodeNames {
+						if code, out := w.call(node, "POST", "/v2/runs", newJob(known, "array", 1)); code != 200 || out["status"] != status {
 							t.Errorf("%s answers %d %v to a repeat of %s", node, code, out, known)
 						}
 					}
 				}
 			}
-			for f := range spec("job-9", "array", 1) {
+			for f := range newJob("job-9", "array", 1) {
 				refused(400, func(s map[string]any) { delete(s, f) })
 				refused(400, func(s map[string]any) { s[f] = nil })
 				refused(400, func(s map[string]any) { s[f] = []int{1} })
@@ -440,14 +444,14 @@
 			refused(422, func(s map[string]any) { s["shape"], s["pieces"] = "gang", 9 })
 			refused(422, func(s map[string]any) { s["shape"], s["pieces"] = "standing", 9 })
 		}
-		w.until(5*time.Second, "it runs", func() bool { return w.status("b", "job-1") == "running" })
+		w.eventually(5*time.Second, "it runs", func() bool { return w.status("b", "job-1") == "running" })
 		check()
-		for _, n := range nodes {
+		for _, n := range nodeNames {
 			w.nodes[n].kill()
 		}
-		w.start("a")
-		w.start("b")
-		w.until(10*time.Second, "both answer", func() bool { return w.status("a", "job-1") == "running" && w.status("b", "job-1") == "running" })
+		w.startNode("a")
+		w.startNode("b")
+		w.eventually(10*time.Second, "both answer", func() bool { return w.status("a", "job-1") == "running" && w.status("b", "job-1") == "running" })
 		check()
 	})
 }
@@ -457,15 +461,15 @@
 	// Guards against jobs that starve or stay without an answer under a steady rate of
 	// small ones, a quarter of them cancelled, with a change of leader in the middle.
 	for seed := range uint64(2) {
-		variant(t, fmt.Sprint(seed), func(t *testing.T, w *testCluster) {
-			d := newDice(seed)
-			w.start("a")
-			w.start("b")
-			w.worker("m1", "north")
-			w.worker("m2", "south")
-			w.worker("m3", "south")
+		parallelScenario(t, fmt.Sprint(seed), func(t *testing.T, w *testCluster) {
+			d := newRandomSource(seed)
+			w.startNode("a")
+			w.startNode("b")
+			w.startWorker("m1", "north")
+			w.startWorker("m2", "south")
+			w.startWorker("m3", "south")
 			time.Sleep(10 * time.Second)
-			w.lags(d)
+			w.setRandomLatency(d)
 			over := make(chan struct{})
 			var wg, ends sync.WaitGroup
 			ends.Go(func() {
@@ -496,18 +500,18 @@
 					time.Sleep(time.Duration(i) * 250 * time.Millisecond)
 					id := fmt.Sprintf("job-%d", i+1)
 					began := time.Now()
-					if code, _ := w.insist(d, "POST", "/v2/runs", spec(id, "array", 1)); code != 201 && code != 200 {
+					if code, _ := w.requestUntilDecided(d, "POST", "/v2/runs", newJob(id, "array", 1)); code != 201 && code != 200 {
 						t.Errorf("the submission of %s got %d", id, code)
 						return
 					}
 					if i%4 == 0 {
-						time.Sleep(d.ms(0, 2500))
-						if code, _ := w.insist(d, "POST", "/v2/runs/"+id+"/cancel", nil); code != 200 {
+						time.Sleep(d.milliseconds(0, 2500))
+						if code, _ := w.requestUntilDecided(d, "POST", "/v2/runs/"+id+"/cancel", nil); code != 200 {
 							t.Errorf("the cancel of %s got %d", id, code)
 						}
 					}
 					for {
-						code, status := w.insist(d, "GET", "/v2/runs/"+id, nil)
+						code, status := w.requestUntilDecided(d, "GET", "/v2/runs/"+id, nil)
 						took := time.Since(began)
 						if code != 200 || took > 30*time.Second {
 							t.Errorf("%s after %v: %d %q", id, took, code, status)
@@ -529,7 +533,7 @@
 			} else {
 				o.kill()
 				time.Sleep(5 * time.Second)
-				w.start(o.name)
+				w.startNode(o.name)
 			}
 			wg.Wait()
 			close(over)
