--- a/internal/scenarios/disruption_rule_test.go
+++ b/internal/scenarios/disruption_rule_test.go
@@ -47,81 +47,81 @@
 // permit that was stored just before.
 const defaultDetectionDelay = 12 * time.Second
 
-func newDisruptionRule(r *rules, say func(rule, what string), budget map[string]teamBudget) *disruptionRule {
-	return &disruptionRule{report: say, rules: r, budgets: budget, tasks: map[string]*observedTask{}, evictions: map[string]int{}, detectionDelay: defaultDetectionDelay,
+func newDisruptionRule(r *rules, report func(rule, what string), budget map[string]teamBudget) *disruptionRule {
+	return &disruptionRule{report: report, rules: r, budgets: budget, tasks: map[string]*observedTask{}, evictions: map[string]int{}, detectionDelay: defaultDetectionDelay,
 		reclaimed: map[string]bool{}, completedGangs: map[string]bool{}}
 }
 
 // Event takes what a worker did to a task.
-func (d *disruptionRule) Event(e fake.Event) {
-	d.rules.TaskEvent(e)
-	job, _, _ := strings.Cut(e.Task, "/")
+func (d *disruptionRule) Event(event fake.Event) {
+	d.rules.TaskEvent(event)
+	job, _, _ := strings.Cut(event.Task, "/")
 	d.rules.mu.Lock()
-	wanted, cancelled := d.rules.job(job).jobDescription, !d.rules.job(job).cancelRequested.isZero()
+	description, cancelled := d.rules.job(job).jobDescription, !d.rules.job(job).cancelRequested.isZero()
 	d.rules.mu.Unlock()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	task := d.tasks[e.Task]
+	task := d.tasks[event.Task]
 	if task == nil {
 		task = &observedTask{}
-		d.tasks[e.Task] = task
+		d.tasks[event.Task] = task
 	}
-	if e.Start {
+	if event.Start {
 		task.started, task.up, task.drained = true, true, false
 		return
 	}
-	if e.Cause == "busy" {
+	if event.Cause == "busy" {
 		return
 	}
-	task.up, task.downAt = false, e.At
-	if e.Cause == "done" && wanted.Shape == "gang" {
+	task.up, task.downAt = false, event.At
+	if event.Cause == "done" && description.Shape == "gang" {
 		d.completedGangs[job] = true // it is done as a whole, and the others are stopped for that
 	}
-	task.drained = e.Cause == "stopped" && !cancelled && !d.reclaimed[e.Worker.Name] && !d.completedGangs[job]
-	if e.Cause == "done" || cancelled {
-		delete(d.tasks, e.Task)
+	task.drained = event.Cause == "stopped" && !cancelled && !d.reclaimed[event.Worker.Name] && !d.completedGangs[job]
+	if event.Cause == "done" || cancelled {
+		delete(d.tasks, event.Task)
 	}
 	if task.drained {
-		if !d.evictionStored(e.Task, e.Attempt) {
-			d.report("disruption", fmt.Sprintf("%s (attempt %d) is stopped, and no permit for that is stored", e.Task, e.Attempt))
+		if !d.evictionStored(event.Task, event.Attempt) {
+			d.report("disruption", fmt.Sprintf("%s (attempt %d) is stopped, and no permit for that is stored", event.Task, event.Attempt))
 		}
-		d.evictions[e.Task]++
-		d.check(e, wanted.Team)
+		d.evictions[event.Task]++
+		d.check(event, description.Team)
 	}
 }
 
 // check looks at a team right after a drain stopped one of its tasks.
-func (d *disruptionRule) check(e fake.Event, team string) {
-	byDrains, known, interrupted := 0, 0, 0
+func (d *disruptionRule) check(event fake.Event, team string) {
+	evicted, knownDown, interrupted := 0, 0, 0
 	for name, task := range d.tasks {
 		job, _, _ := strings.Cut(name, "/")
 		d.rules.mu.Lock()
-		wanted := d.rules.job(job).jobDescription
+		description := d.rules.job(job).jobDescription
 		d.rules.mu.Unlock()
-		if wanted.Team != team || !task.started || task.up {
+		if description.Team != team || !task.started || task.up {
 			continue
 		}
-		if wanted.Shape != "standing" {
+		if description.Shape != "standing" {
 			if task.drained {
 				interrupted++
 			}
 			continue
 		}
 		if task.drained {
-			byDrains++
+			evicted++
 		}
-		if task.drained || e.At.Sub(task.downAt) > d.detectionDelay {
-			known++
+		if task.drained || event.At.Sub(task.downAt) > d.detectionDelay {
+			knownDown++
 		}
 	}
 	allowed := d.budgets[team]
-	if byDrains > allowed.replicas || known > allowed.replicas {
+	if evicted > allowed.replicas || knownDown > allowed.replicas {
 		d.report("disruption", fmt.Sprintf("the stop of %s on %s makes %d replicas of %s down, %d of them by drains, of at most %d",
-			e.Task, e.Worker.Name, known, team, byDrains, allowed.replicas))
+			event.Task, event.Worker.Name, knownDown, team, evicted, allowed.replicas))
 	}
 	if interrupted > allowed.interrupted {
 		d.report("disruption", fmt.Sprintf("the stop of %s on %s makes %d tasks of %s interrupted, of at most %d",
-			e.Task, e.Worker.Name, interrupted, team, allowed.interrupted))
+			event.Task, event.Worker.Name, interrupted, team, allowed.interrupted))
 	}
 }
 
--- a/internal/scenarios/drain_cluster_test.go
+++ b/internal/scenarios/drain_cluster_test.go
@@ -50,7 +50,7 @@
 	bootTime func(name string) time.Duration
 
 	listenerMu   sync.Mutex
-	listener     func(e fake.Event)
+	listener     func(event fake.Event)
 	nodes        map[string]*drainNode
 	stopMachine  map[string]context.CancelFunc // that run
 	seenMachines map[string]bool               // machines of the cloud seen so far
@@ -65,9 +65,9 @@
 }
 
 // drainScenario runs f in a cluster with as many machines in each of the two zones as named.
-func drainScenario(t *testing.T, machines int, options drainOptions, f func(t *testing.T, c *drainCluster)) {
-	scenario(t, func(t *testing.T, w *testCluster) {
-		c := &drainCluster{testCluster: w, cloud: fake.NewCloud(options.capacity), features: options.features,
+func drainScenario(t *testing.T, machines int, options drainOptions, run func(t *testing.T, c *drainCluster)) {
+	scenario(t, func(t *testing.T, base *testCluster) {
+		c := &drainCluster{testCluster: base, cloud: fake.NewCloud(options.capacity), features: options.features,
 			bootTime: func(string) time.Duration { return 2 * time.Second },
 			nodes:    map[string]*drainNode{}, stopMachine: map[string]context.CancelFunc{}, seenMachines: map[string]bool{}}
 		if c.features == "" {
@@ -77,11 +77,11 @@
 		if budget == nil {
 			budget = map[string]teamBudget{"red": {1, 2}}
 		}
-		w.teams = options.teams
-		w.rules.settings = w.nodeSettings("a")
-		c.disruption = newDisruptionRule(w.rules, func(rule, what string) { t.Errorf("rule broken: %s: %s", rule, what) }, budget)
+		base.teams = options.teams
+		base.rules.settings = base.nodeSettings("a")
+		c.disruption = newDisruptionRule(base.rules, func(rule, what string) { t.Errorf("rule broken: %s: %s", rule, what) }, budget)
 		c.disruption.evictionStored = c.evictionStored
-		w.network.Listen("cloud:1", c.cloud)
+		base.network.Listen("cloud:1", c.cloud)
 		for _, zone := range []string{"north", "south"} {
 			c.provision("first-"+zone, zone, machines)
 		}
@@ -94,7 +94,7 @@
 			leader := c.leader()
 			return leader != nil && leader.elector.Cluster().Summary()["heard"] == 2*machines
 		})
-		f(t, c)
+		run(t, c)
 	})
 }
 
@@ -114,8 +114,8 @@
 }
 
 // provision has the cloud rent machines past the controllers.
-func (c *drainCluster) provision(hire, zone string, count int) {
-	body := fmt.Sprintf(`{"hire":%q,"build":"small","yard":%q,"loaners":false,"count":%d}`, hire, zone, count)
+func (c *drainCluster) provision(request, zone string, count int) {
+	body := fmt.Sprintf(`{"hire":%q,"build":"small","yard":%q,"loaners":false,"count":%d}`, request, zone, count)
 	res, err := c.network.Client("test").Post("http://cloud:1/hosts", "application/json", strings.NewReader(body))
 	if err != nil || res.StatusCode != 200 {
 		c.t.Fatal(res, err)
@@ -154,14 +154,14 @@
 
 // startMachine starts a machine's worker.
 func (c *drainCluster) startMachine(name, zone string) {
-	k := &fake.Worker{Name: name, Address: name + ":9000", Type: "small", Zone: zone, Network: c.network, ControllerNames: drainNodes,
+	worker := &fake.Worker{Name: name, Address: name + ":9000", Type: "small", Zone: zone, Network: c.network, ControllerNames: drainNodes,
 		HeartbeatInterval: 2 * time.Second, LeaseDuration: 20 * time.Second}
-	k.NotifyEvents(func(e fake.Event) {
-		c.disruption.Event(e)
-		c.notifyListener(e)
+	worker.NotifyEvents(func(event fake.Event) {
+		c.disruption.Event(event)
+		c.notifyListener(event)
 	})
 	for _, node := range drainNodes {
-		k.Controllers = append(k.Controllers, node+":8080")
+		worker.Controllers = append(worker.Controllers, node+":8080")
 	}
 	ctx, cancel := context.WithCancel(c.ctx)
 	deleted := slices.Contains(c.cloud.DeletedMachines(), name)
@@ -171,17 +171,17 @@
 		cancel()
 		return
 	}
-	c.workers = append(c.workers, k)
+	c.workers = append(c.workers, worker)
 	c.stopMachine[name] = cancel
-	go k.Run(ctx)
+	go worker.Run(ctx)
 }
 
 // notifyListener passes an event on to the scenario's own listener.
-func (c *drainCluster) notifyListener(e fake.Event) {
+func (c *drainCluster) notifyListener(event fake.Event) {
 	c.listenerMu.Lock()
 	defer c.listenerMu.Unlock()
 	if c.listener != nil {
-		c.listener(e)
+		c.listener(event)
 	}
 }
 
@@ -221,20 +221,20 @@
 	ctx, cancel := context.WithCancel(c.ctx)
 	store := state.NewClient("state:1", c.network.Client(name), state.NewBudget(800, 400, 5, 0.6))
 	n := &drainNode{cluster: c, name: name, cancel: cancel}
-	copied := state.NewWatchCache(store, rollout.Prefix, 200*time.Millisecond)
+	rolloutCache := state.NewWatchCache(store, rollout.Prefix, 200*time.Millisecond)
 	limits := rollout.Limits{ValueBytes: int(settings.Params.State.ValueKB * 1024), TxnOps: settings.Params.State.TxnOps}
 	n.elector = election.NewElector(settings, store, &worker.Commander{HTTP: c.network.Client(name), Timeout: 3 * time.Second}, writer)
 	n.elector.Peers = n
 	n.elector.OnTerm = func(ctx context.Context, term *election.Term) {
 		term.Cluster.SetMachineTypes(instanceTypes())
-		runner := &rollout.Runner{Mirror: copied, Store: term.Committer, Fleet: term.Cluster, Writer: writer, Limits: limits}
+		runner := &rollout.Runner{Mirror: rolloutCache, Store: term.Committer, Fleet: term.Cluster, Writer: writer, Limits: limits}
 		go runner.Run(ctx)
-		p := &fleet.Provisioner{Cloud: fleet.NewCloud("cloud:1", c.network.Client(name), 20), Cluster: term.Cluster, Store: term.Committer, Generation: term.Generation,
+		provisioner := &fleet.Provisioner{Cloud: fleet.NewCloud("cloud:1", c.network.Client(name), 20), Cluster: term.Cluster, Store: term.Committer, Generation: term.Generation,
 			Keys: record.KeysOf(0, 1), ConfirmLeadership: func() bool { return n.elector.LeaseSurelyHeld(term) }, ListInterval: 2 * time.Second}
-		p.Adopt(term.OpenHires)
-		p.Run(ctx)
+		provisioner.Adopt(term.OpenHires)
+		provisioner.Run(ctx)
 	}
-	n.rollouts = &rollout.Service{Mirror: copied, Client: store, Leader: n, Writer: writer, Limits: limits,
+	n.rollouts = &rollout.Service{Mirror: rolloutCache, Client: store, Leader: n, Writer: writer, Limits: limits,
 		Installation: func() rollout.Installation {
 			return rollout.Installation{Zones: settings.Params.Zones, Types: []string{"small"}, Shards: settings.ShardCount()}
 		}}
@@ -246,7 +246,7 @@
 	c.nodes[name] = n
 	c.mu.Unlock()
 	go store.ProbeHealth(ctx, record.KeysOf(0, 1).Generation())
-	go copied.Run(ctx)
+	go rolloutCache.Run(ctx)
 	go n.elector.Run(ctx)
 	return n
 }
@@ -293,9 +293,9 @@
 	n.cluster.mu.Lock()
 	defer n.cluster.mu.Unlock()
 	all := true
-	for name, o := range n.cluster.nodes {
+	for name, other := range n.cluster.nodes {
 		if name != n.name {
-			all = !n.cluster.isPartitioned(n.name, name) && o.elector.Superseded(generation) && all
+			all = !n.cluster.isPartitioned(n.name, name) && other.elector.Superseded(generation) && all
 		}
 	}
 	return all
@@ -331,34 +331,34 @@
 }
 
 // accept submits a job, at another node each time it is told to come back.
-func (c *drainCluster) accept(s map[string]any) {
+func (c *drainCluster) accept(job map[string]any) {
 	c.t.Helper()
 	for try := range 60 {
-		if code, _ := c.call(drainNodes[try%len(drainNodes)], "POST", "/v2/runs", s); code == 201 || code == 200 {
+		if code, _ := c.call(drainNodes[try%len(drainNodes)], "POST", "/v2/runs", job); code == 201 || code == 200 {
 			return
 		}
 		time.Sleep(time.Second)
 	}
-	c.t.Fatalf("%v was never accepted", s["uid"])
+	c.t.Fatalf("%v was never accepted", job["uid"])
 }
 
 // startService submits a service and waits until it is up for long enough to count.
 func (c *drainCluster) startService(id string, replicas int, changes ...any) {
 	c.t.Helper()
-	s := newJob(id, "standing", replicas)
-	s["guessS"] = 0
+	job := newJob(id, "standing", replicas)
+	job["guessS"] = 0
 	for i := 0; i < len(changes); i += 2 {
-		s[changes[i].(string)] = changes[i+1]
+		job[changes[i].(string)] = changes[i+1]
 	}
-	c.accept(s)
+	c.accept(job)
 	c.eventually(time.Minute, id+" is up", func() bool { return c.runningCount(id) == replicas })
 	time.Sleep(8 * time.Second)
 }
 
 // runningCount counts the tasks of a job that are on machines.
 func (c *drainCluster) runningCount(id string) (n int) {
-	for _, k := range c.listWorkers() {
-		for _, task := range k.ActiveTasks() {
+	for _, worker := range c.listWorkers() {
+		for _, task := range worker.ActiveTasks() {
 			if strings.HasPrefix(task, id+"/") {
 				n++
 			}
@@ -411,12 +411,12 @@
 }
 
 // awaitState waits until a rollout has a state.
-func (c *drainCluster) awaitState(name string, s rollout.State, d time.Duration) {
+func (c *drainCluster) awaitState(name string, want rollout.State, timeout time.Duration) {
 	c.t.Helper()
-	for end := time.Now().Add(d); c.rolloutRecord(name).State != s; {
+	for end := time.Now().Add(timeout); c.rolloutRecord(name).State != want; {
 		if time.Now().After(end) {
-			waits, _ := c.follower().DrainWaits(c.ctx)
-			c.t.Fatalf("%s is not %s within %v: %s; waits: %v", name, s, d, c.store.Value("rollout/run/"+name), waits)
+			blockers, _ := c.follower().DrainWaits(c.ctx)
+			c.t.Fatalf("%s is not %s within %v: %s; waits: %v", name, want, timeout, c.store.Value("rollout/run/"+name), blockers)
 		}
 		time.Sleep(100 * time.Millisecond)
 		c.checkInvariants()
@@ -431,12 +431,12 @@
 
 // isBlockedBy tells whether some machine waits for a reason with a text in it.
 func (c *drainCluster) isBlockedBy(text string) bool {
-	waits, err := c.follower().DrainWaits(c.ctx)
+	blockers, err := c.follower().DrainWaits(c.ctx)
 	if err != nil {
 		return false
 	}
-	for _, whys := range waits {
-		if strings.Contains(strings.Join(whys, "; "), text) {
+	for _, reasons := range blockers {
+		if strings.Contains(strings.Join(reasons, "; "), text) {
 			return true
 		}
 	}
@@ -447,9 +447,9 @@
 func (c *drainCluster) machinesIn(zone string) (names []ids.Machine) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, k := range c.workers {
-		if _, runs := c.stopMachine[k.Name]; runs && k.Zone == zone {
-			names = append(names, ids.Machine(k.Name))
+	for _, worker := range c.workers {
+		if _, runs := c.stopMachine[worker.Name]; runs && worker.Zone == zone {
+			names = append(names, ids.Machine(worker.Name))
 		}
 	}
 	slices.Sort(names)
@@ -473,10 +473,10 @@
 		case <-c.ctx.Done():
 			return
 		}
-		for _, k := range c.listWorkers() {
-			for _, task := range k.ActiveTasks() {
+		for _, worker := range c.listWorkers() {
+			for _, task := range worker.ActiveTasks() {
 				if strings.HasPrefix(task, job) && rng.IntN(8) == 0 {
-					k.EndTask(task, "done")
+					worker.EndTask(task, "done")
 				}
 			}
 		}
@@ -494,7 +494,7 @@
 }
 
 // with changes one field of a submission.
-func with(s map[string]any, field string, value any) map[string]any {
-	s[field] = value
-	return s
+func with(job map[string]any, field string, value any) map[string]any {
+	job[field] = value
+	return job
 }
--- a/internal/scenarios/drain_test.go
+++ b/internal/scenarios/drain_test.go
@@ -97,7 +97,7 @@
 type leaderStep struct {
 	name     string
 	onChange func(key string, value json.RawMessage) bool
-	onEvent  func(e fake.Event, drained bool) bool
+	onEvent  func(event fake.Event, drained bool) bool
 }
 
 // leaderSteps are those between permit and stop, stop and start, start and the permit's return.
@@ -105,8 +105,8 @@
 	{name: "the permit is stored", onChange: func(key string, value json.RawMessage) bool {
 		return strings.HasPrefix(key, "job/") && strings.Contains(string(value), `"evictions"`)
 	}},
-	{name: "the task is stopped", onEvent: func(e fake.Event, drained bool) bool { return !e.Start && e.Cause == "stopped" }},
-	{name: "the task starts elsewhere", onEvent: func(e fake.Event, drained bool) bool { return e.Start && drained }},
+	{name: "the task is stopped", onEvent: func(event fake.Event, drained bool) bool { return !event.Start && event.Cause == "stopped" }},
+	{name: "the task starts elsewhere", onEvent: func(event fake.Event, drained bool) bool { return event.Start && drained }},
 	{name: "the wave is stored", onChange: func(key string, value json.RawMessage) bool {
 		return strings.HasPrefix(key, "rollout/run/") && strings.Contains(string(value), `"draining"`)
 	}},
@@ -124,24 +124,24 @@
 }
 
 // failLeaderAt has the leader fail at a moment, the first few times that it comes.
-func (c *drainCluster) failLeaderAt(m leaderStep, times int, fail func(c *drainCluster, leader string)) {
+func (c *drainCluster) failLeaderAt(step leaderStep, times int, fail func(c *drainCluster, leader string)) {
 	signal := make(chan struct{}, 1)
 	drained := map[string]bool{}
-	if m.onChange != nil {
+	if step.onChange != nil {
 		c.store.NotifyChanges(func(key string, value json.RawMessage) {
-			if m.onChange(key, value) {
+			if step.onChange(key, value) {
 				notify(signal)
 			}
 		})
 	}
-	if m.onEvent != nil {
+	if step.onEvent != nil {
 		c.listenerMu.Lock()
 		defer c.listenerMu.Unlock()
-		c.listener = func(e fake.Event) {
-			if m.onEvent(e, drained[e.Task]) {
+		c.listener = func(event fake.Event) {
+			if step.onEvent(event, drained[event.Task]) {
 				notify(signal)
 			}
-			drained[e.Task] = !e.Start && e.Cause == "stopped"
+			drained[event.Task] = !event.Start && event.Cause == "stopped"
 		}
 	}
 	go func() {
@@ -177,13 +177,13 @@
 
 func TestLeaderFailureDuringDrainStepRepeatsNoEviction(t *testing.T) {
 	t.Parallel()
-	for _, m := range leaderSteps {
+	for _, step := range leaderSteps {
 		for _, failure := range leaderFailures {
-			t.Run(m.name+", "+failure.name, func(t *testing.T) {
+			t.Run(step.name+", "+failure.name, func(t *testing.T) {
 				t.Parallel()
 				drainScenario(t, 4, drainOptions{capacity: 40}, func(t *testing.T, c *drainCluster) {
 					c.startService("job-1", 6)
-					c.failLeaderAt(m, 3, failure.fail)
+					c.failLeaderAt(step, 3, failure.fail)
 					c.startRollout(newRollout("spring"))
 					c.awaitState("spring", rollout.Ended, 15*time.Minute)
 					c.eventually(2*time.Minute, "all replicas are up", func() bool { return c.runningCount("job-1") == 6 })
@@ -206,17 +206,17 @@
 	drainScenario(t, 4, drainOptions{capacity: 40}, func(t *testing.T, c *drainCluster) {
 		c.startService("job-1", 6)
 		c.network.SetDelay(func() time.Duration { return 12 * time.Second })
-		late, old := 0, c.leader().name
+		delayed, leader := 0, c.leader().name
 		c.network.SetRule(func(from, to string, r *http.Request, body []byte) fake.Outcome {
-			if from == old && r.URL.Path == "/commit" && strings.Contains(string(body), `"evictions"`) {
-				late++
+			if from == leader && r.URL.Path == "/commit" && strings.Contains(string(body), `"evictions"`) {
+				delayed++
 				return fake.Delay
 			}
 			return fake.Deliver
 		})
 		c.startRollout(newRollout("spring"))
-		c.eventually(30*time.Second, "a permit is sent", func() bool { return late > 0 })
-		c.stopNode(old)
+		c.eventually(30*time.Second, "a permit is sent", func() bool { return delayed > 0 })
+		c.stopNode(leader)
 		c.awaitState("spring", rollout.Ended, 8*time.Minute)
 		c.eventually(time.Minute, "all replicas are up", func() bool { return c.runningCount("job-1") == 6 })
 		if n := c.disruption.evictionsOf("job-1"); n > 6 {
@@ -272,28 +272,28 @@
 		func(t *testing.T, c *drainCluster) {
 			c.startService("job-1", 4)
 			c.startRollout(newRollout("spring", c.machinesIn("north")[0]))
-			refused := func(spec *rollout.Spec, want error) {
+			requireRejected := func(spec *rollout.Spec, want error) {
 				t.Helper()
 				if _, err := c.follower().rollouts.Start(c.ctx, spec); !errors.Is(err, want) {
 					t.Errorf("%s: %v, not %v", spec.Name, err, want)
 				}
 			}
-			refused(newRollout("summer"), rollout.ErrOverlap)
+			requireRejected(newRollout("summer"), rollout.ErrOverlap)
 			other := newRollout("spring", c.machinesIn("north")[1])
-			refused(other, rollout.ErrSpecConflict)
-			refused(newRollout("autumn", "host-999999"), rollout.ErrInvalidSpec)
+			requireRejected(other, rollout.ErrSpecConflict)
+			requireRejected(newRollout("autumn", "host-999999"), rollout.ErrInvalidSpec)
 			if _, err := c.follower().rollouts.Start(c.ctx, newRollout("spring", c.machinesIn("north")[0])); err != nil {
 				t.Errorf("the same start again: %v", err)
 			}
 			// Of two starts over the same machine at the same moment one is taken.
-			taken := make(chan error, 2)
+			results := make(chan error, 2)
 			for i, n := range []*drainNode{c.follower(), c.leader()} {
 				go func() {
 					_, err := n.rollouts.Start(c.ctx, newRollout(fmt.Sprint("both-", i), c.machinesIn("south")...))
-					taken <- err
+					results <- err
 				}()
 			}
-			if a, b := <-taken, <-taken; (a == nil) == (b == nil) {
+			if a, b := <-results, <-results; (a == nil) == (b == nil) {
 				t.Errorf("of two starts at the same moment: %v and %v", a, b)
 			}
 		})
@@ -314,16 +314,16 @@
 			}
 			return fake.Deliver
 		})
-		failed := make(chan struct{}, 1)
+		permitStored := make(chan struct{}, 1)
 		c.store.NotifyChanges(func(key string, value json.RawMessage) {
 			if key == "job/job-1" && strings.Contains(string(value), `"evictions"`) {
-				notify(failed)
+				notify(permitStored)
 			}
 		})
 		go func() {
 			for range 3 {
 				select {
-				case <-failed:
+				case <-permitStored:
 				case <-c.ctx.Done():
 					return
 				}
@@ -334,8 +334,8 @@
 					}
 				}
 				c.rest(20 * time.Second)
-				for len(failed) > 0 {
-					<-failed
+				for len(permitStored) > 0 {
+					<-permitStored
 				}
 			}
 		}()
@@ -443,9 +443,9 @@
 		go func() {
 			for c.ctx.Err() == nil {
 				c.rest(200 * time.Millisecond)
-				if k := c.workerNamed("host-000003"); k != nil {
-					for _, task := range k.ActiveTasks() {
-						k.EndTask(task, "error")
+				if worker := c.workerNamed("host-000003"); worker != nil {
+					for _, task := range worker.ActiveTasks() {
+						worker.EndTask(task, "error")
 					}
 				}
 			}
@@ -494,29 +494,29 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			trouble := c
+			outage := c
 			drainScenario(t, 3, drainOptions{capacity: 40}, func(t *testing.T, c *drainCluster) {
 				c.startService("job-1", 6)
 				spec := newReplacement("spring", c)
-				spec.WaveSize = trouble.wave
-				if !trouble.after {
-					trouble.begin(c)
+				spec.WaveSize = outage.wave
+				if !outage.after {
+					outage.begin(c)
 				}
 				c.startRollout(spec)
-				if trouble.after {
+				if outage.after {
 					c.eventually(2*time.Minute, "the replacement is rented", func() bool {
 						wave := c.rolloutRecord("spring").Wave
 						return wave != nil && len(wave.ReplacementRequests) > 0 && wave.ReplacementRequests[0].Answered
 					})
-					trouble.begin(c)
+					outage.begin(c)
 					c.awaitBlocker("the cloud has not confirmed its return")
 				} else {
 					c.awaitState("spring", rollout.Halted, 5*time.Minute)
 				}
 				stops := c.disruption.evictionsOf("job-1")
 				c.consistently(time.Minute, "nothing more is stopped", func() bool { return c.disruption.evictionsOf("job-1") == stops })
-				trouble.end(c)
-				if !trouble.after {
+				outage.end(c)
+				if !outage.after {
 					c.execute("spring", rollout.CommandResume)
 				}
 				c.awaitState("spring", rollout.Ended, 15*time.Minute)
@@ -643,12 +643,12 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			scene := c
-			drainScenario(t, 2, drainOptions{capacity: scene.room, features: scene.features, budget: map[string]teamBudget{"red": scene.budget}}, func(t *testing.T, c *drainCluster) {
-				c.startService("job-1", scene.replicas, scene.changes...)
+			blocked := c
+			drainScenario(t, 2, drainOptions{capacity: blocked.room, features: blocked.features, budget: map[string]teamBudget{"red": blocked.budget}}, func(t *testing.T, c *drainCluster) {
+				c.startService("job-1", blocked.replicas, blocked.changes...)
 				spec := newRollout("spring")
-				spec.Surge, spec.WaveSize = scene.surge, 4
-				if scene.everything {
+				spec.Surge, spec.WaveSize = blocked.surge, 4
+				if blocked.everything {
 					spec.Select = rollout.Selection{Older: true}
 				}
 				preview, err := c.follower().rollouts.Plan(c.ctx, spec)
@@ -656,9 +656,9 @@
 					t.Fatal(preview, err)
 				}
 				c.startRollout(spec)
-				c.awaitBlocker(scene.why)
+				c.awaitBlocker(blocked.why)
 				c.consistently(3*time.Minute, "nothing is stopped", func() bool {
-					return c.disruption.evictionsOf("job-1") == 0 && c.runningCount("job-1") == scene.replicas
+					return c.disruption.evictionsOf("job-1") == 0 && c.runningCount("job-1") == blocked.replicas
 				})
 				c.execute("spring", rollout.CommandAbort)
 				c.awaitState("spring", rollout.Ended, time.Minute)
@@ -670,7 +670,7 @@
 
 func TestAbortInAnyRolloutStateLeavesNoMachineCordoned(t *testing.T) {
 	t.Parallel()
-	for name, before := range map[string]func(c *drainCluster){
+	for name, prepare := range map[string]func(c *drainCluster){
 		"just started": func(*drainCluster) {},
 		"running":      func(c *drainCluster) { c.rest(15 * time.Second) },
 		"between waves": func(c *drainCluster) {
@@ -702,7 +702,7 @@
 				spec := newReplacement("spring", c)
 				spec.WaveSize, spec.Surge, spec.Deadline, spec.Pause = 1, name == "halted", 30, 30
 				c.startRollout(spec)
-				before(c)
+				prepare(c)
 				c.execute("spring", rollout.CommandAbort)
 				c.awaitState("spring", rollout.Ended, 3*time.Minute)
 				c.eventually(time.Minute, "no machine stays cordoned", func() bool { return c.cordonedCount() == 0 })
--- a/internal/scenarios/pipeline_handover_test.go
+++ b/internal/scenarios/pipeline_handover_test.go
@@ -17,17 +17,17 @@
 }
 
 // submitChain submits jobs 1 to n, each of which awaits the one before.
-func (w *testCluster) submitChain(n int) {
-	w.submit("a", newJob("job-1", "array", 1))
+func (c *testCluster) submitChain(n int) {
+	c.submit("a", newJob("job-1", "array", 1))
 	for i := 2; i <= n; i++ {
-		w.submit(nodeNames[i%2], dependingOn(newJob(fmt.Sprintf("job-%d", i), "array", 1), fmt.Sprintf("job-%d", i-1)))
+		c.submit(nodeNames[i%2], dependingOn(newJob(fmt.Sprintf("job-%d", i), "array", 1), fmt.Sprintf("job-%d", i-1)))
 	}
 }
 
 // countReported counts the jobs from one number to another that both nodes call by a status.
-func (w *testCluster) countReported(status string, from, to int) (n int) {
+func (c *testCluster) countReported(status string, from, to int) (n int) {
 	for i := from; i <= to; i++ {
-		if w.bothReport(fmt.Sprintf("job-%d", i), status) {
+		if c.bothReport(fmt.Sprintf("job-%d", i), status) {
 			n++
 		}
 	}
@@ -35,35 +35,35 @@
 }
 
 // startPair starts two nodes and two machines.
-func (w *testCluster) startPair() {
-	w.startNode("a")
-	w.startNode("b")
-	w.startWorker("m1", "north")
-	w.startWorker("m2", "south")
+func (c *testCluster) startPair() {
+	c.startNode("a")
+	c.startNode("b")
+	c.startWorker("m1", "north")
+	c.startWorker("m2", "south")
 	time.Sleep(10 * time.Second)
 }
 
 func TestCancellationInLongChainReachesOnlyDependents(t *testing.T) {
 	t.Parallel()
 	// Guards against a cancellation that stops part of the way down, or goes up.
-	scenario(t, func(t *testing.T, w *testCluster) {
-		w.startPair()
-		w.submitChain(100)
-		w.eventually(5*time.Second, "the first runs", func() bool { return w.allRunning("job-1", 1) })
+	scenario(t, func(t *testing.T, c *testCluster) {
+		c.startPair()
+		c.submitChain(100)
+		c.eventually(5*time.Second, "the first runs", func() bool { return c.allRunning("job-1", 1) })
 		for _, step := range []struct{ cancel, waiting int }{{100, 98}, {50, 48}, {1, 0}} { // last, middle, first
-			if how := w.cancelUntilAnswered(fmt.Sprintf("job-%d", step.cancel)); how != "cancelled" {
-				t.Fatalf("the cancellation of %d is answered %q", step.cancel, how)
+			if status := c.cancelUntilAnswered(fmt.Sprintf("job-%d", step.cancel)); status != "cancelled" {
+				t.Fatalf("the cancellation of %d is answered %q", step.cancel, status)
 			}
-			if n := w.countReported("cancelled", step.cancel, 100); n != 101-step.cancel {
+			if n := c.countReported("cancelled", step.cancel, 100); n != 101-step.cancel {
 				t.Errorf("%d of the %d from %d on are called cancelled", n, 101-step.cancel, step.cancel)
 			}
-			if n := w.countReported("pending", 2, step.cancel-1); step.cancel > 1 && n != step.cancel-2 {
+			if n := c.countReported("pending", 2, step.cancel-1); step.cancel > 1 && n != step.cancel-2 {
 				t.Errorf("%d of the %d before %d are called pending", n, step.cancel-2, step.cancel)
 			}
-			w.eventually(30*time.Second, "the ends are stored", func() bool { return w.store.CountKeys("job/wait/") == step.waiting })
+			c.eventually(30*time.Second, "the ends are stored", func() bool { return c.store.CountKeys("job/wait/") == step.waiting })
 		}
-		w.eventually(30*time.Second, "the first's end too", func() bool { return w.store.CountKeys("job/") == 0 && w.store.CountKeys("end/") == 100 })
-		w.consistently(20*time.Second, "nothing of them starts", func() bool { return len(w.machinesRunning("job-2/0"))+len(w.machinesRunning("job-50/0")) == 0 })
+		c.eventually(30*time.Second, "the first's end too", func() bool { return c.store.CountKeys("job/") == 0 && c.store.CountKeys("end/") == 100 })
+		c.consistently(20*time.Second, "nothing of them starts", func() bool { return len(c.machinesRunning("job-2/0"))+len(c.machinesRunning("job-50/0")) == 0 })
 	})
 }
 
@@ -71,33 +71,33 @@
 	t.Parallel()
 	// Guards against jobs cancelled by definition whose records are forgotten, or start,
 	// when the leader that was to store their ends is gone.
-	scenario(t, func(t *testing.T, w *testCluster) {
-		w.startPair()
-		w.submitChain(40)
-		w.eventually(5*time.Second, "the first runs", func() bool { return w.allRunning("job-1", 1) })
-		w.network.SetRule(func(_, _ string, r *http.Request, body []byte) fake.Outcome {
+	scenario(t, func(t *testing.T, c *testCluster) {
+		c.startPair()
+		c.submitChain(40)
+		c.eventually(5*time.Second, "the first runs", func() bool { return c.allRunning("job-1", 1) })
+		c.network.SetRule(func(_, _ string, r *http.Request, body []byte) fake.Outcome {
 			if movesWaitingJobs(r, body) {
 				return fake.Refuse
 			}
 			return fake.Deliver
 		})
-		if how := w.cancelUntilAnswered("job-1"); how != "cancelled" {
-			t.Fatalf("the cancellation is answered %q", how)
+		if status := c.cancelUntilAnswered("job-1"); status != "cancelled" {
+			t.Fatalf("the cancellation is answered %q", status)
 		}
 		time.Sleep(3 * time.Second)
-		o := w.leader()
-		o.kill()
-		if n := w.store.CountKeys("job/wait/"); n != 39 {
+		leader := c.leader()
+		leader.kill()
+		if n := c.store.CountKeys("job/wait/"); n != 39 {
 			t.Fatalf("%d of 39 records are left", n)
 		}
-		w.eventually(10*time.Second, "another leads", func() bool { return w.leader() != nil && w.leader() != o })
-		w.network.SetRule(nil)
-		w.startNode(o.name)
-		w.eventually(40*time.Second, "the ends are stored", func() bool { return w.store.CountKeys("job/") == 0 && w.store.CountKeys("end/") == 40 })
-		if n := w.countReported("cancelled", 1, 40); n != 40 {
+		c.eventually(10*time.Second, "another leads", func() bool { return c.leader() != nil && c.leader() != leader })
+		c.network.SetRule(nil)
+		c.startNode(leader.name)
+		c.eventually(40*time.Second, "the ends are stored", func() bool { return c.store.CountKeys("job/") == 0 && c.store.CountKeys("end/") == 40 })
+		if n := c.countReported("cancelled", 1, 40); n != 40 {
 			t.Errorf("%d of 40 are called cancelled", n)
 		}
-		w.consistently(10*time.Second, "nothing of them starts", func() bool { return len(w.machinesRunning("job-2/0")) == 0 })
+		c.consistently(10*time.Second, "nothing of them starts", func() bool { return len(c.machinesRunning("job-2/0")) == 0 })
 	})
 }
 
@@ -105,7 +105,7 @@
 	t.Parallel()
 	// Guards against a job that waits for ever since the leader that stored the last end
 	// that it awaited was gone before it moved the job; and against one moved twice.
-	for name, fate := range map[string]struct {
+	for name, outcomes := range map[string]struct {
 		end, move fake.Outcome // of the transactions with the end, and with the move
 	}{
 		"the end is stored, the move is not":         {fake.Deliver, fake.Refuse},
@@ -115,44 +115,44 @@
 		"the move is carried out late":               {fake.Deliver, fake.Delay},
 	} {
 		for _, delay := range []time.Duration{300 * time.Millisecond, 1700 * time.Millisecond, 6 * time.Second} {
-			if fate.end != fake.Delay && fate.move != fake.Delay && delay > time.Second {
+			if outcomes.end != fake.Delay && outcomes.move != fake.Delay && delay > time.Second {
 				continue
 			}
-			parallelScenario(t, fmt.Sprint(name, " ", delay), func(t *testing.T, w *testCluster) {
-				w.startPair()
-				w.submitChain(2)
-				w.submit("a", dependingOn(newJob("job-3", "array", 1), "job-1"))
-				w.eventually(5*time.Second, "the first runs", func() bool { return w.allRunning("job-1", 1) })
-				o := w.leader()
-				w.network.SetDelay(func() time.Duration { return delay })
-				gone := func() { time.AfterFunc(50*time.Millisecond, o.kill) }
+			parallelScenario(t, fmt.Sprint(name, " ", delay), func(t *testing.T, c *testCluster) {
+				c.startPair()
+				c.submitChain(2)
+				c.submit("a", dependingOn(newJob("job-3", "array", 1), "job-1"))
+				c.eventually(5*time.Second, "the first runs", func() bool { return c.allRunning("job-1", 1) })
+				leader := c.leader()
+				c.network.SetDelay(func() time.Duration { return delay })
+				killLeaderSoon := func() { time.AfterFunc(50*time.Millisecond, leader.kill) }
 				var hits atomic.Int32
-				w.network.SetRule(func(from, _ string, r *http.Request, body []byte) fake.Outcome {
+				c.network.SetRule(func(from, _ string, r *http.Request, body []byte) fake.Outcome {
 					switch end := transactionKind(r, body) == "outcome"; {
-					case from != o.name:
+					case from != leader.name:
 					case movesWaitingJobs(r, body):
 						if hits.Add(1) == 1 {
-							gone()
+							killLeaderSoon()
 						}
-						return fate.move
-					case end && fate.end != fake.Deliver:
+						return outcomes.move
+					case end && outcomes.end != fake.Deliver:
 						if hits.Add(1) == 1 {
-							gone()
+							killLeaderSoon()
 						}
-						return fate.end
+						return outcomes.end
 					}
 					return fake.Deliver
 				})
-				w.completeJob("job-1")
-				w.eventually(15*time.Second, "another leads", func() bool { return w.leader() != nil && w.leader() != o })
-				w.eventually(40*time.Second, "those that awaited it run", func() bool { return w.allRunning("job-2", 1) && w.allRunning("job-3", 1) })
-				w.startNode(o.name)
+				c.completeJob("job-1")
+				c.eventually(15*time.Second, "another leads", func() bool { return c.leader() != nil && c.leader() != leader })
+				c.eventually(40*time.Second, "those that awaited it run", func() bool { return c.allRunning("job-2", 1) && c.allRunning("job-3", 1) })
+				c.startNode(leader.name)
 				time.Sleep(delay)
-				w.completeJob("job-2")
-				w.completeJob("job-3")
-				w.eventually(30*time.Second, "all are done", func() bool { return w.countReported("done", 1, 3) == 3 })
-				if hits.Load() == 0 || w.store.CountKeys("job/") != 0 || w.store.CountKeys("end/") != 3 {
-					t.Errorf("hit %d times; %s", hits.Load(), w.store)
+				c.completeJob("job-2")
+				c.completeJob("job-3")
+				c.eventually(30*time.Second, "all are done", func() bool { return c.countReported("done", 1, 3) == 3 })
+				if hits.Load() == 0 || c.store.CountKeys("job/") != 0 || c.store.CountKeys("end/") != 3 {
+					t.Errorf("hit %d times; %s", hits.Load(), c.store)
 				}
 			})
 		}
@@ -163,45 +163,45 @@
 	t.Parallel()
 	// Guards against a move of an older leader, or of the same one, that is carried out
 	// after the job's user cancelled it while it waited.
-	for name, trouble := range map[string]func(w *testCluster, o *testNode){
+	for name, injectFault := range map[string]func(c *testCluster, leader *testNode){
 		"the leader stays": func(*testCluster, *testNode) {},
-		"the leader ends":  func(_ *testCluster, o *testNode) { o.kill() },
-		"the leader is refused": func(w *testCluster, o *testNode) {
-			w.store.RefuseCaller(o.name, true)
-			time.AfterFunc(9*time.Second, func() { w.store.RefuseCaller(o.name, false) })
+		"the leader ends":  func(_ *testCluster, leader *testNode) { leader.kill() },
+		"the leader is refused": func(c *testCluster, leader *testNode) {
+			c.store.RefuseCaller(leader.name, true)
+			time.AfterFunc(9*time.Second, func() { c.store.RefuseCaller(leader.name, false) })
 		},
 	} {
 		for _, delay := range []time.Duration{200 * time.Millisecond, 3 * time.Second, 12 * time.Second} {
-			parallelScenario(t, fmt.Sprint(name, " ", delay), func(t *testing.T, w *testCluster) {
-				w.startPair()
-				w.submitChain(3)
-				w.eventually(5*time.Second, "the first runs", func() bool { return w.allRunning("job-1", 1) })
-				o := w.leader()
-				w.network.SetDelay(func() time.Duration { return delay })
-				var late atomic.Int32
-				w.network.SetRule(func(from, _ string, r *http.Request, body []byte) fake.Outcome {
+			parallelScenario(t, fmt.Sprint(name, " ", delay), func(t *testing.T, c *testCluster) {
+				c.startPair()
+				c.submitChain(3)
+				c.eventually(5*time.Second, "the first runs", func() bool { return c.allRunning("job-1", 1) })
+				leader := c.leader()
+				c.network.SetDelay(func() time.Duration { return delay })
+				var moves atomic.Int32
+				c.network.SetRule(func(from, _ string, r *http.Request, body []byte) fake.Outcome {
 					switch {
-					case from != o.name || !movesWaitingJobs(r, body):
+					case from != leader.name || !movesWaitingJobs(r, body):
 						return fake.Deliver
-					case late.Add(1) > 1:
+					case moves.Add(1) > 1:
 						return fake.Refuse
 					}
 					return fake.Delay
 				})
-				w.completeJob("job-1")
-				w.eventually(15*time.Second, "a move is on its way", func() bool { return late.Load() > 0 })
-				trouble(w, o)
-				if how := w.cancelUntilAnswered("job-2"); how != "cancelled" {
-					t.Fatalf("the cancellation is answered %q", how)
+				c.completeJob("job-1")
+				c.eventually(15*time.Second, "a move is on its way", func() bool { return moves.Load() > 0 })
+				injectFault(c, leader)
+				if status := c.cancelUntilAnswered("job-2"); status != "cancelled" {
+					t.Fatalf("the cancellation is answered %q", status)
 				}
 				time.Sleep(delay + time.Second)
-				w.network.SetRule(nil)
-				if w.countReported("cancelled", 2, 3); w.nodes[o.name] == nil {
-					w.startNode(o.name)
+				c.network.SetRule(nil)
+				if c.countReported("cancelled", 2, 3); c.nodes[leader.name] == nil {
+					c.startNode(leader.name)
 				}
-				w.consistently(40*time.Second, "it does not run", func() bool { return len(w.machinesRunning("job-2/0"))+len(w.machinesRunning("job-3/0")) == 0 })
-				if n := w.countReported("cancelled", 2, 3); n != 2 || w.store.CountKeys("job/") != 0 {
-					t.Errorf("%d of 2 are called cancelled; %s", n, w.store)
+				c.consistently(40*time.Second, "it does not run", func() bool { return len(c.machinesRunning("job-2/0"))+len(c.machinesRunning("job-3/0")) == 0 })
+				if n := c.countReported("cancelled", 2, 3); n != 2 || c.store.CountKeys("job/") != 0 {
+					t.Errorf("%d of 2 are called cancelled; %s", n, c.store)
 				}
 			})
 		}
@@ -211,52 +211,52 @@
 func TestFailoverWithTenThousandWaitingJobsTakesFewCalls(t *testing.T) {
 	t.Parallel()
 	// Guards against a call for each record that waits.
-	scenario(t, func(t *testing.T, w *testCluster) {
-		w.startNode("a")
+	scenario(t, func(t *testing.T, c *testCluster) {
+		c.startNode("a")
 		time.Sleep(3 * time.Second)
-		w.submit("a", newJob("job-1", "array", 1))
-		w.nodes["a"].kill()
-		put := func(entries map[string]string) {
+		c.submit("a", newJob("job-1", "array", 1))
+		c.nodes["a"].kill()
+		storeAll := func(entries map[string]string) {
 			var ops []string
 			for key, value := range entries {
 				ops = append(ops, fmt.Sprintf(`{"put":%q,"value":%s}`, key, value))
 			}
 			body := `{"when":[],"then":[` + strings.Join(ops, ",") + `]}`
-			res, err := w.network.Client("seed").Post("http://state:1/commit", "application/json", strings.NewReader(body))
+			res, err := c.network.Client("seed").Post("http://state:1/commit", "application/json", strings.NewReader(body))
 			if err != nil || res.StatusCode != 200 {
 				t.Fatal(res, err)
 			}
 		}
-		stored := func(id, status, awaits string) string {
+		storedJob := func(id, status, dependencies string) string {
 			return fmt.Sprintf(`{"spec":{"id":%q,"team":"red","shape":"array","priority":0,"tasks":1,"need":{"cores":1},"awaits":[%s]},`+
-				`"status":%q,"submitted":1700000000000,"attempt":0,"generation":0,"finished":"","writer":"u","seq":1}`, id, awaits, status)
+				`"status":%q,"submitted":1700000000000,"attempt":0,"generation":0,"finished":"","writer":"u","seq":1}`, id, dependencies, status)
 		}
 		const waiting, ended = 10000, 300
 		entries := map[string]string{}
 		for i := range ended {
 			id := fmt.Sprintf("job-%d", 5000+i)
-			entries["end/"+id] = stored(id, "done", "")
+			entries["end/"+id] = storedJob(id, "done", "")
 		}
 		for i := range waiting {
 			id := fmt.Sprintf("job-%d", 100000+i)
-			entries["job/wait/"+id] = "[" + stored(id, "queued", fmt.Sprintf(`"job-1","job-%d"`, 5000+i%ended)) + "]"
+			entries["job/wait/"+id] = "[" + storedJob(id, "queued", fmt.Sprintf(`"job-1","job-%d"`, 5000+i%ended)) + "]"
 		}
-		put(entries)
+		storeAll(entries)
 		calls := map[string]int{}
-		w.network.SetRule(func(from, to string, r *http.Request, _ []byte) fake.Outcome {
+		c.network.SetRule(func(from, to string, r *http.Request, _ []byte) fake.Outcome {
 			if to == "state:1" && !strings.HasPrefix(r.URL.Path, "/holds") && r.URL.Path != "/follow" && r.URL.Path != "/kv/none" {
-				w.mu.Lock()
+				c.mu.Lock()
 				calls[strings.SplitN(strings.TrimPrefix(r.URL.Path, "/"), "/", 2)[0]+" "+r.URL.Query().Get("under")]++
-				w.mu.Unlock()
+				c.mu.Unlock()
 			}
 			return fake.Deliver
 		})
-		w.startNode("b")
-		w.startWorker("m1", "north")
-		w.eventually(20*time.Second, "the one that waits for nobody runs", func() bool { return w.allRunning("job-1", 1) })
+		c.startNode("b")
+		c.startWorker("m1", "north")
+		c.eventually(20*time.Second, "the one that waits for nobody runs", func() bool { return c.allRunning("job-1", 1) })
 		time.Sleep(3 * time.Second)
-		w.mu.Lock()
-		defer w.mu.Unlock()
+		c.mu.Lock()
+		defer c.mu.Unlock()
 		if calls["kv job/"] > waiting/1000+2 || calls["kv end/"] > 2 || calls["kv "] > 20 || calls["commit "] > 20 {
 			t.Errorf("the takeover took %v", calls)
 		}
--- a/internal/scenarios/rules_test.go
+++ b/internal/scenarios/rules_test.go
@@ -76,24 +76,24 @@
 	unansweredSince time.Time // since when no poll for it succeeded
 }
 
-func newRules(settings *config.Settings, say func(rule, what string)) *rules {
-	return &rules{report: say, settings: settings, jobs: map[string]*observedJob{}, running: map[string][]fake.Event{}, reported: map[string]bool{}, firstStarts: map[string]time.Time{}}
+func newRules(settings *config.Settings, report func(rule, what string)) *rules {
+	return &rules{report: report, settings: settings, jobs: map[string]*observedJob{}, running: map[string][]fake.Event{}, reported: map[string]bool{}, firstStarts: map[string]time.Time{}}
 }
 
 func (r *rules) violated(rule, job, format string, args ...any) {
-	if k := rule + " " + job; !r.reported[k] {
-		r.reported[k] = true
+	if key := rule + " " + job; !r.reported[key] {
+		r.reported[key] = true
 		r.report(rule, fmt.Sprintf(format, args...))
 	}
 }
 
 func (r *rules) job(id string) *observedJob {
-	j := r.jobs[id]
-	if j == nil {
-		j = &observedJob{completed: map[int]bool{}}
-		r.jobs[id] = j
+	job := r.jobs[id]
+	if job == nil {
+		job = &observedJob{completed: map[int]bool{}}
+		r.jobs[id] = job
 	}
-	return j
+	return job
 }
 
 // afterMoment tells whether t is after an answer came.
@@ -122,65 +122,65 @@
 }
 
 // TaskEvent takes what a worker did to a task.
-func (r *rules) TaskEvent(e fake.Event) {
+func (r *rules) TaskEvent(event fake.Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	id, n, _ := strings.Cut(e.Task, "/")
-	num, _ := strconv.Atoi(n)
-	j := r.job(id)
-	if !e.Start {
-		var left []fake.Event
-		for _, s := range r.running[e.Task] {
-			if s.Worker != e.Worker || s.Attempt != e.Attempt {
-				left = append(left, s)
+	jobID, number, _ := strings.Cut(event.Task, "/")
+	index, _ := strconv.Atoi(number)
+	job := r.job(jobID)
+	if !event.Start {
+		var remaining []fake.Event
+		for _, start := range r.running[event.Task] {
+			if start.Worker != event.Worker || start.Attempt != event.Attempt {
+				remaining = append(remaining, start)
 			}
 		}
-		r.running[e.Task] = left
-		if e.Cause == "done" {
-			j.completed[num] = true
+		r.running[event.Task] = remaining
+		if event.Cause == "done" {
+			job.completed[index] = true
 		}
-		if afterMoment(e.At, j.cancelled) && e.At.Sub(j.cancelled.at) > r.cancelLimit() && e.Cause != "busy" {
-			r.violated("ran_cancelled", id, "%s was on %s until %v after its user was told", e.Task, e.Worker.Name, e.At.Sub(j.cancelled.at))
+		if afterMoment(event.At, job.cancelled) && event.At.Sub(job.cancelled.at) > r.cancelLimit() && event.Cause != "busy" {
+			r.violated("ran_cancelled", jobID, "%s was on %s until %v after its user was told", event.Task, event.Worker.Name, event.At.Sub(job.cancelled.at))
 		}
 		return
 	}
-	k := e.Worker
-	for _, s := range r.running[e.Task] {
-		r.violated("ran_twice", e.Task, "%s starts on %s (attempt %d) while it is on %s (attempt %d)", e.Task, k.Name, e.Attempt, s.Worker.Name, s.Attempt)
+	machine := event.Worker
+	for _, start := range r.running[event.Task] {
+		r.violated("ran_twice", event.Task, "%s starts on %s (attempt %d) while it is on %s (attempt %d)", event.Task, machine.Name, event.Attempt, start.Worker.Name, start.Attempt)
 	}
-	r.running[e.Task] = append(r.running[e.Task], e)
-	if r.firstStarts[e.Task].IsZero() {
-		r.firstStarts[e.Task] = e.At
+	r.running[event.Task] = append(r.running[event.Task], event)
+	if r.firstStarts[event.Task].IsZero() {
+		r.firstStarts[event.Task] = event.At
 	}
-	if !j.submitted {
-		r.violated("invented", id, "%s starts, but nobody submitted it", e.Task)
+	if !job.submitted {
+		r.violated("invented", jobID, "%s starts, but nobody submitted it", event.Task)
 		return
 	}
-	if num >= j.Tasks {
-		r.violated("invented", id, "%s starts; its job has %d tasks", e.Task, j.Tasks)
+	if index >= job.Tasks {
+		r.violated("invented", jobID, "%s starts; its job has %d tasks", event.Task, job.Tasks)
 	}
-	if afterMoment(e.SentAt, j.cancelled) {
-		r.violated("ran_cancelled", id, "%s starts on %s by a command sent %v after its user was told", e.Task, k.Name, e.SentAt.Sub(j.cancelled.at))
+	if afterMoment(event.SentAt, job.cancelled) {
+		r.violated("ran_cancelled", jobID, "%s starts on %s by a command sent %v after its user was told", event.Task, machine.Name, event.SentAt.Sub(job.cancelled.at))
 	}
-	if afterMoment(e.At, j.cancelled) && e.At.Sub(j.cancelled.at) > r.cancelLimit() {
-		r.violated("ran_cancelled", id, "%s starts on %s %v after its user was told", e.Task, k.Name, e.At.Sub(j.cancelled.at))
+	if afterMoment(event.At, job.cancelled) && event.At.Sub(job.cancelled.at) > r.cancelLimit() {
+		r.violated("ran_cancelled", jobID, "%s starts on %s %v after its user was told", event.Task, machine.Name, event.At.Sub(job.cancelled.at))
 	}
-	for _, need := range j.Dependencies {
+	for _, need := range job.Dependencies {
 		if !r.job(need).isComplete() {
-			r.violated("too_early", id, "%s starts on %s, but %s, which it awaits, is not done", e.Task, k.Name, need)
+			r.violated("too_early", jobID, "%s starts on %s, but %s, which it awaits, is not done", event.Task, machine.Name, need)
 		}
 	}
-	r.checkQuota(j.Team)
-	r.checkPlacement(j, e)
+	r.checkQuota(job.Team)
+	r.checkPlacement(job, event)
 }
 
 // isComplete tells whether all of a job's tasks have completed.
-func (j *observedJob) isComplete() bool {
-	if !j.submitted {
+func (job *observedJob) isComplete() bool {
+	if !job.submitted {
 		return false
 	}
-	for n := range j.Tasks {
-		if !j.completed[n] && !(j.Shape == "gang" && len(j.completed) > 0) {
+	for index := range job.Tasks {
+		if !job.completed[index] && !(job.Shape == "gang" && len(job.completed) > 0) {
 			return false
 		}
 	}
@@ -189,62 +189,62 @@
 
 // earliestInDependencies finds, among the jobs that one awaits, directly or not, the one of which f
 // gives the earliest time; zero if there is none.
-func (r *rules) earliestInDependencies(j *observedJob, f func(*observedJob) moment) (at time.Time) {
-	for _, need := range j.Dependencies {
-		n := r.job(need)
-		for _, t := range []time.Time{f(n).at, r.earliestInDependencies(n, f)} {
-			if !t.IsZero() && (at.IsZero() || t.Before(at)) {
-				at = t
+func (r *rules) earliestInDependencies(job *observedJob, momentOf func(*observedJob) moment) (earliest time.Time) {
+	for _, id := range job.Dependencies {
+		dependency := r.job(id)
+		for _, candidate := range []time.Time{momentOf(dependency).at, r.earliestInDependencies(dependency, momentOf)} {
+			if !candidate.IsZero() && (earliest.IsZero() || candidate.Before(earliest)) {
+				earliest = candidate
 			}
 		}
 	}
-	return at
+	return earliest
 }
 
 func (r *rules) checkQuota(team string) {
-	var cores, accels float64
+	var cores, accelerators float64
 	for _, starts := range r.running {
-		for _, s := range starts {
-			id, _, _ := strings.Cut(s.Task, "/")
-			if o := r.jobs[id]; o.Team == team {
-				cores += o.Cores
-				accels += o.Accels
+		for _, start := range starts {
+			jobID, _, _ := strings.Cut(start.Task, "/")
+			if job := r.jobs[jobID]; job.Team == team {
+				cores += job.Cores
+				accelerators += job.Accels
 			}
 		}
 	}
 	for _, t := range r.settings.Params.Teams {
-		if t.Name == team && (t.CPUsMax > 0 && cores > t.CPUsMax || t.GPUsMax > 0 && accels > t.GPUsMax) {
-			r.violated("quota", team, "team %s uses %v cores and %v accelerators", team, cores, accels)
+		if t.Name == team && (t.CPUsMax > 0 && cores > t.CPUsMax || t.GPUsMax > 0 && accelerators > t.GPUsMax) {
+			r.violated("quota", team, "team %s uses %v cores and %v accelerators", team, cores, accelerators)
 		}
 	}
 }
 
-func (r *rules) checkPlacement(j *observedJob, e fake.Event) {
-	k, allowed := e.Worker, j.Types == nil
-	for _, t := range j.Types {
-		allowed = allowed || t == k.Type
+func (r *rules) checkPlacement(job *observedJob, event fake.Event) {
+	machine, allowed := event.Worker, job.Types == nil
+	for _, machineType := range job.Types {
+		allowed = allowed || machineType == machine.Type
 	}
 	if !allowed {
-		r.violated("wrong_place", j.UID, "%s starts on type %s, its job allows %v", e.Task, k.Type, j.Types)
+		r.violated("wrong_place", job.UID, "%s starts on type %s, its job allows %v", event.Task, machine.Type, job.Types)
 	}
-	if j.Zone != "" && j.Zone != k.Zone {
-		r.violated("wrong_place", j.UID, "%s starts in %s, its job allows %s", e.Task, k.Zone, j.Zone)
+	if job.Zone != "" && job.Zone != machine.Zone {
+		r.violated("wrong_place", job.UID, "%s starts in %s, its job allows %s", event.Task, machine.Zone, job.Zone)
 	}
-	if k.Spot && !j.Spot {
-		r.violated("wrong_place", j.UID, "%s starts on a spot machine", e.Task)
+	if machine.Spot && !job.Spot {
+		r.violated("wrong_place", job.UID, "%s starts on a spot machine", event.Task)
 	}
-	here := 0
-	for n := range j.Tasks {
-		for _, s := range r.running[fmt.Sprintf("%s/%d", j.UID, n)] {
-			if s.Worker.Zone == k.Zone {
-				here++
-			} else if j.Together {
-				r.violated("wrong_place", j.UID, "%s starts in %s while %s is in %s", e.Task, k.Zone, s.Task, s.Worker.Zone)
+	inZone := 0
+	for n := range job.Tasks {
+		for _, start := range r.running[fmt.Sprintf("%s/%d", job.UID, n)] {
+			if start.Worker.Zone == machine.Zone {
+				inZone++
+			} else if job.Together {
+				r.violated("wrong_place", job.UID, "%s starts in %s while %s is in %s", event.Task, machine.Zone, start.Task, start.Worker.Zone)
 			}
 		}
 	}
-	if j.Spread && here > (j.Tasks+1)/2 {
-		r.violated("wrong_place", j.UID, "%s starts as number %d of %d in %s", e.Task, here, j.Tasks, k.Zone)
+	if job.Spread && inZone > (job.Tasks+1)/2 {
+		r.violated("wrong_place", job.UID, "%s starts as number %d of %d in %s", event.Task, inZone, job.Tasks, machine.Zone)
 	}
 }
 
@@ -254,108 +254,108 @@
 	defer r.mu.Unlock()
 	now := r.nextMoment()
 	if path == "/v2/runs" {
-		var w jobDescription
-		if json.Unmarshal(body, &w) != nil || w.UID == "" {
+		var description jobDescription
+		if json.Unmarshal(body, &description) != nil || description.UID == "" {
 			return now
 		}
-		if j := r.job(w.UID); !j.submitted {
-			j.jobDescription, j.submitted = w, true
+		if job := r.job(description.UID); !job.submitted {
+			job.jobDescription, job.submitted = description, true
 		}
 		return now
 	}
-	id, what, _ := strings.Cut(strings.TrimPrefix(path, "/v2/runs/"), "/")
-	if what == "cancel" && method == "POST" {
-		setOnce(&r.job(id).cancelRequested, now)
+	jobID, action, _ := strings.Cut(strings.TrimPrefix(path, "/v2/runs/"), "/")
+	if action == "cancel" && method == "POST" {
+		setOnce(&r.job(jobID).cancelRequested, now)
 	}
 	return now
 }
 
 // ResponseReceived takes the answer to a request that was sent at a moment; 0 is none.
-func (r *rules) ResponseReceived(sent moment, node, method, path string, body []byte, code int, out map[string]any) {
+func (r *rules) ResponseReceived(sent moment, node, method, path string, body []byte, code int, response map[string]any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.nextMoment()
 	submission := path == "/v2/runs"
-	id, what, _ := strings.Cut(strings.TrimPrefix(path, "/v2/runs/"), "/")
+	jobID, action, _ := strings.Cut(strings.TrimPrefix(path, "/v2/runs/"), "/")
 	if submission {
-		var w jobDescription
-		if json.Unmarshal(body, &w) != nil || w.UID == "" {
+		var description jobDescription
+		if json.Unmarshal(body, &description) != nil || description.UID == "" {
 			if code == 200 || code == 201 {
 				r.violated("invented", "", "%s accepts %s", node, body)
 			}
 			return
 		}
-		id = w.UID
-	} else if what != "" && what != "cancel" {
+		jobID = description.UID
+	} else if action != "" && action != "cancel" {
 		return
 	}
-	j := r.job(id)
+	job := r.job(jobID)
 	if method == "GET" {
-		r.checkPolls(j, id, sent.at, now.at, code == 200 || code == 404)
+		r.checkPolls(job, jobID, sent.at, now.at, code == 200 || code == 404)
 	}
-	status, _ := out["status"].(string)
+	status, _ := response["status"].(string)
 	switch {
 	case submission && (code == 400 || code == 422):
-		if sent.after(j.accepted) {
-			r.violated("forgotten", id, "%s answers %d to a repeat of an accepted %s", node, code, id)
+		if sent.after(job.accepted) {
+			r.violated("forgotten", jobID, "%s answers %d to a repeat of an accepted %s", node, code, jobID)
 		}
-		if j.accepted.isZero() {
-			j.submitted = false // it may come again, and be another one then
+		if job.accepted.isZero() {
+			job.submitted = false // it may come again, and be another one then
 		}
 		return
 	case code == 404:
-		if sent.after(j.accepted) {
-			r.violated("forgotten", id, "%s answers 404 for an accepted %s", node, id)
+		if sent.after(job.accepted) {
+			r.violated("forgotten", jobID, "%s answers 404 for an accepted %s", node, jobID)
 		}
 		return
 	case code != 200 && code != 201:
 		return
 	}
-	if !j.submitted {
-		r.violated("invented", id, "%s answers %d %q for %s, which nobody submitted", node, code, status, id)
+	if !job.submitted {
+		r.violated("invented", jobID, "%s answers %d %q for %s, which nobody submitted", node, code, status, jobID)
 		return
 	}
-	if code == 201 && sent.after(j.accepted) {
-		r.violated("went_back", id, "%s accepts a known %s once more", node, id)
+	if code == 201 && sent.after(job.accepted) {
+		r.violated("went_back", jobID, "%s accepts a known %s once more", node, jobID)
 	}
-	if what == "cancel" && status != "cancelled" && status != "done" {
-		r.violated("went_back", id, "%s answers a cancel of %s with %q", node, id, status)
+	if action == "cancel" && status != "cancelled" && status != "done" {
+		r.violated("went_back", jobID, "%s answers a cancel of %s with %q", node, jobID, status)
 	}
 	switch status {
 	case "done":
-		for n := range j.Tasks {
+		for index := range job.Tasks {
 			// Of a gang, all are done when one is; but all must have run for that.
-			task := fmt.Sprintf("%s/%d", id, n)
-			if !j.completed[n] && !(j.Shape == "gang" && len(j.completed) > 0 && !r.firstStarts[task].IsZero()) {
-				r.violated("not_done", id, "%s calls %s done, but %s has not completed", node, id, task)
+			task := fmt.Sprintf("%s/%d", jobID, index)
+			if !job.completed[index] && !(job.Shape == "gang" && len(job.completed) > 0 && !r.firstStarts[task].IsZero()) {
+				r.violated("not_done", jobID, "%s calls %s done, but %s has not completed", node, jobID, task)
 			}
 		}
-		if !j.cancelled.isZero() {
-			r.violated("went_back", id, "%s calls %s done, which was called cancelled", node, id)
+		if !job.cancelled.isZero() {
+			r.violated("went_back", jobID, "%s calls %s done, which was called cancelled", node, jobID)
 		}
 	case "cancelled":
-		if j.cancelRequested.isZero() && r.earliestInDependencies(j, func(n *observedJob) moment { return n.cancelRequested }).IsZero() {
-			r.violated("went_back", id, "%s calls %s cancelled, which its user did not", node, id)
+		if job.cancelRequested.isZero() && r.earliestInDependencies(job, func(index *observedJob) moment { return index.cancelRequested }).IsZero() {
+			r.violated("went_back", jobID, "%s calls %s cancelled, which its user did not", node, jobID)
 		}
-		if !j.done.isZero() {
-			r.violated("went_back", id, "%s calls %s cancelled, which was called done", node, id)
+		if !job.done.isZero() {
+			r.violated("went_back", jobID, "%s calls %s cancelled, which was called done", node, jobID)
 		}
 	case "pending", "running":
-		if sent.after(j.done) || sent.after(j.cancelled) {
-			r.violated("went_back", id, "%s calls %s %s, whose end was told %v before it was asked", node, id, status, sent.at.Sub(maxTime(j.done.at, j.cancelled.at)))
+		if sent.after(job.done) || sent.after(job.cancelled) {
+			r.violated("went_back", jobID, "%s calls %s %s, whose end was told %v before it was asked", node, jobID, status, sent.at.Sub(maxTime(job.done.at, job.cancelled.at)))
 		}
-		if at := r.earliestInDependencies(j, func(n *observedJob) moment { return n.cancelled }); !at.IsZero() && now.at.Sub(at) > r.cancelLimit() {
-			r.violated("orphaned", id, "%s calls %s %s %v after a job before it was told cancelled", node, id, status, now.at.Sub(at))
+		if at := r.earliestInDependencies(job, func(index *observedJob) moment { return index.cancelled }); !at.IsZero() && now.at.Sub(at) > r.cancelLimit() {
+			r.violated("orphaned", jobID, "%s calls %s %s %v after a job before it was told cancelled", node, jobID, status, now.at.Sub(at))
 		}
 	default:
-		r.violated("went_back", id, "%s calls %s %q", node, id, status)
+		r.violated("went_back", jobID, "%s calls %s %q", node, jobID, status)
 	}
-	setOnce(&j.accepted, now)
+	setOnce(&job.accepted, now)
 	if status == "done" {
-		setOnce(&j.done, now)
+		setOnce(&job.done, now)
 	}
 	if status == "cancelled" {
-		setOnce(&j.cancelled, now)
+		setOnce(&job.cancelled, now)
 	}
 }
 
@@ -366,32 +366,32 @@
 	return b
 }
 
-func (r *rules) checkPolls(j *observedJob, id string, sent, now time.Time, good bool) {
+func (r *rules) checkPolls(job *observedJob, id string, sent, now time.Time, answered bool) {
 	for len(r.polls) > 0 && now.Sub(r.polls[0].at) > 90*time.Second {
 		r.polls = r.polls[1:]
 	}
-	r.polls = append(r.polls, pollResult{now, id, good})
-	if good || j.accepted.isZero() {
-		j.unansweredSince = time.Time{}
+	r.polls = append(r.polls, pollResult{now, id, answered})
+	if answered || job.accepted.isZero() {
+		job.unansweredSince = time.Time{}
 		return
 	}
-	if j.unansweredSince.IsZero() {
-		j.unansweredSince = sent
+	if job.unansweredSince.IsZero() {
+		job.unansweredSince = sent
 	}
-	if now.Sub(j.unansweredSince) < 90*time.Second {
+	if now.Sub(job.unansweredSince) < 90*time.Second {
 		return
 	}
-	others, answered := 0, 0
-	for _, p := range r.polls {
-		if p.job != id {
+	others, othersAnswered := 0, 0
+	for _, poll := range r.polls {
+		if poll.job != id {
 			others++
-			if p.answered {
-				answered++
+			if poll.answered {
+				othersAnswered++
 			}
 		}
 	}
-	if 2*answered > others {
-		r.violated("forgotten", id, "no poll for %s was answered for %v, most others were", id, now.Sub(j.unansweredSince))
+	if 2*othersAnswered > others {
+		r.violated("forgotten", id, "no poll for %s was answered for %v, most others were", id, now.Sub(job.unansweredSince))
 	}
 }
 
@@ -401,9 +401,9 @@
 	defer r.mu.Unlock()
 	now := time.Now()
 	for task, starts := range r.running {
-		id, _, _ := strings.Cut(task, "/")
-		if j := r.jobs[id]; len(starts) > 0 && !j.cancelled.isZero() && now.Sub(j.cancelled.at) > r.cancelLimit() {
-			r.violated("ran_cancelled", id, "%s is still on %s %v after its user was told", task, starts[0].Worker.Name, now.Sub(j.cancelled.at))
+		jobID, _, _ := strings.Cut(task, "/")
+		if job := r.jobs[jobID]; len(starts) > 0 && !job.cancelled.isZero() && now.Sub(job.cancelled.at) > r.cancelLimit() {
+			r.violated("ran_cancelled", jobID, "%s is still on %s %v after its user was told", task, starts[0].Worker.Name, now.Sub(job.cancelled.at))
 		}
 	}
 }
@@ -437,14 +437,14 @@
 	south := &fake.Worker{Name: "m2", Type: "small", Zone: "south"}
 	spot := &fake.Worker{Name: "m3", Type: "small", Zone: "north", Spot: true}
 	large := &fake.Worker{Name: "m4", Type: "large", Zone: "north"}
-	with := func(s map[string]any, more ...any) map[string]any {
+	with := func(job map[string]any, more ...any) map[string]any {
 		for i := 0; i < len(more); i += 2 {
-			s[more[i].(string)] = more[i+1]
+			job[more[i].(string)] = more[i+1]
 		}
-		return s
+		return job
 	}
-	submit := func(s map[string]any, code int, status string) observation {
-		return observation{method: "POST", path: "/v2/runs", body: s, code: code, status: status}
+	submit := func(job map[string]any, code int, status string) observation {
+		return observation{method: "POST", path: "/v2/runs", body: job, code: code, status: status}
 	}
 	get := func(id string, code int, status string) observation {
 		return observation{method: "GET", path: "/v2/runs/" + id, code: code, status: status}
@@ -452,11 +452,11 @@
 	cancel := func(id string, status string) observation {
 		return observation{method: "POST", path: "/v2/runs/" + id + "/cancel", code: 200, status: status}
 	}
-	start := func(k *fake.Worker, task string, attempt uint64) observation {
-		return observation{worker: k, task: task, attempt: attempt, start: true}
+	start := func(worker *fake.Worker, task string, attempt uint64) observation {
+		return observation{worker: worker, task: task, attempt: attempt, start: true}
 	}
-	end := func(k *fake.Worker, task string, attempt uint64, cause string) observation {
-		return observation{worker: k, task: task, attempt: attempt, cause: cause}
+	end := func(worker *fake.Worker, task string, attempt uint64, cause string) observation {
+		return observation{worker: worker, task: task, attempt: attempt, cause: cause}
 	}
 	atOnce := func(s observation) observation { s.sameInstant = true; return s }
 	later := func(d time.Duration, s observation) observation { s.wait = d; return s }
@@ -467,7 +467,7 @@
 	for range 20 {
 		starving = append(starving, later(5*time.Second, get("job-1", 503, "")), get("job-2", 200, "pending"), get("job-3", 200, "pending"))
 	}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name, rule string
 		steps      []observation
 	}{
@@ -522,11 +522,11 @@
 		{"asked before", "", []observation{submit(one(), 201, "pending"), cancel("job-1", "cancelled"),
 			{method: "GET", path: "/v2/runs/job-1", code: 200, status: "running", sentBeforeLastResponse: true}}},
 	} {
-		scenario(t, func(t *testing.T, w *testCluster) {
+		scenario(t, func(t *testing.T, c *testCluster) {
 			got := map[string]bool{}
-			r := newRules(w.nodeSettings("a"), func(rule, what string) { got[rule] = true })
+			r := newRules(c.nodeSettings("a"), func(rule, what string) { got[rule] = true })
 			last := moment{}
-			for _, s := range c.steps {
+			for _, s := range test.steps {
 				if !s.sameInstant {
 					time.Sleep(s.wait + time.Millisecond)
 				}
@@ -550,17 +550,17 @@
 					r.CheckCancelled()
 				}
 			}
-			if c.rule == "" && len(got) > 0 || c.rule != "" && (len(got) != 1 || !got[c.rule]) {
-				t.Errorf("%s: broken are %v, not %q", c.name, got, c.rule)
+			if test.rule == "" && len(got) > 0 || test.rule != "" && (len(got) != 1 || !got[test.rule]) {
+				t.Errorf("%s: broken are %v, not %q", test.name, got, test.rule)
 			}
 		})
 	}
 }
 
 // observeCall has the rules watch a user's call.
-func (w *testCluster) observeCall(node, method, path string, body []byte, call func() (int, map[string]any)) (int, map[string]any) {
-	sent := w.rules.RequestSent(method, path, body)
+func (c *testCluster) observeCall(node, method, path string, body []byte, call func() (int, map[string]any)) (int, map[string]any) {
+	sent := c.rules.RequestSent(method, path, body)
 	code, out := call()
-	w.rules.ResponseReceived(sent, node, method, path, body, code, out)
+	c.rules.ResponseReceived(sent, node, method, path, body, code, out)
 	return code, out
 }
--- a/internal/scenarios/shards_test.go
+++ b/internal/scenarios/shards_test.go
@@ -45,9 +45,9 @@
 }
 
 // shardScenario runs f in a cluster of three shards, with as many machines in each as named.
-func shardScenario(t *testing.T, machines int, f func(t *testing.T, c *shardCluster)) {
-	scenario(t, func(t *testing.T, w *testCluster) {
-		c := &shardCluster{testCluster: w, shardCount: 3, nodes: map[string]*shardNode{}}
+func shardScenario(t *testing.T, machines int, run func(t *testing.T, c *shardCluster)) {
+	scenario(t, func(t *testing.T, base *testCluster) {
+		c := &shardCluster{testCluster: base, shardCount: 3, nodes: map[string]*shardNode{}}
 		for shard := range c.shardCount {
 			var hosts []string
 			for i := range machines {
@@ -60,14 +60,14 @@
 		}
 		for shard := range c.shardCount {
 			for i := range machines {
-				k := c.startWorker(fmt.Sprintf("m%d-%d", shard, i), []string{"north", "south"}[i%2])
-				k.ControllerNames, k.Controllers = shardNodes, nil
+				worker := c.startWorker(fmt.Sprintf("m%d-%d", shard, i), []string{"north", "south"}[i%2])
+				worker.ControllerNames, worker.Controllers = shardNodes, nil
 				for _, name := range shardNodes {
-					k.Controllers = append(k.Controllers, name+":8080")
+					worker.Controllers = append(worker.Controllers, name+":8080")
 				}
 			}
 		}
-		f(t, c)
+		run(t, c)
 	})
 }
 
@@ -161,15 +161,15 @@
 }
 
 // accept submits a job, at another node each time it is told to come back.
-func (c *shardCluster) accept(node int, s map[string]any) {
+func (c *shardCluster) accept(node int, job map[string]any) {
 	c.t.Helper()
 	for try := range 60 {
-		if code, _ := c.call(shardNodes[(node+try)%len(shardNodes)], "POST", "/v2/runs", s); code == 201 || code == 200 {
+		if code, _ := c.call(shardNodes[(node+try)%len(shardNodes)], "POST", "/v2/runs", job); code == 201 || code == 200 {
 			return
 		}
 		time.Sleep(time.Second)
 	}
-	c.t.Fatalf("%v was never accepted", s["uid"])
+	c.t.Fatalf("%v was never accepted", job["uid"])
 }
 
 // completeRandomTasks lets whatever runs for a while end by itself, until the scenario ends.
@@ -180,10 +180,10 @@
 		case <-c.ctx.Done():
 			return
 		}
-		for _, k := range c.workers {
-			for _, task := range k.ActiveTasks() {
+		for _, worker := range c.workers {
+			for _, task := range worker.ActiveTasks() {
 				if rng.IntN(3) == 0 {
-					k.EndTask(task, "done")
+					worker.EndTask(task, "done")
 				}
 			}
 		}
@@ -203,35 +203,35 @@
 				rng := rand.New(rand.NewPCG(seed, 9))
 				go c.completeRandomTasks(rand.New(rand.NewPCG(seed, 10)))
 				time.Sleep(5 * time.Second)
-				if led := c.leaders(); slices.Contains(led, "") {
-					t.Fatalf("led by %q", led)
+				if leaders := c.leaders(); slices.Contains(leaders, "") {
+					t.Fatalf("led by %q", leaders)
 				}
 				const jobs = 24
 				for i := range jobs {
 					id := fmt.Sprint("job-", i)
-					s := newJob(id, "array", 1+rng.IntN(4))
+					job := newJob(id, "array", 1+rng.IntN(4))
 					if i%6 == 0 {
-						s["shape"], s["pieces"] = "gang", 3
+						job["shape"], job["pieces"] = "gang", 3
 					}
-					c.accept(i, s)
+					c.accept(i, job)
 				}
 				cancelled := map[string]bool{}
 				for i := range 6 {
 					time.Sleep(time.Duration(2+rng.IntN(6)) * time.Second)
-					victim := c.leaders()[rng.IntN(c.shardCount)]
+					leader := c.leaders()[rng.IntN(c.shardCount)]
 					switch {
-					case victim == "":
+					case leader == "":
 					case i%3 == 0:
-						c.stopNode(victim)
+						c.stopNode(leader)
 						time.Sleep(3 * time.Second)
-						c.startNode(victim)
+						c.startNode(leader)
 					case i%3 == 1:
-						c.store.RefuseCaller(victim, true)
+						c.store.RefuseCaller(leader, true)
 						time.Sleep(8 * time.Second)
-						c.store.RefuseCaller(victim, false)
+						c.store.RefuseCaller(leader, false)
 					default:
 						c.network.SetRule(func(from, _ string, r *http.Request, _ []byte) fake.Outcome {
-							if from == victim && r.URL.Path == "/commit" {
+							if from == leader && r.URL.Path == "/commit" {
 								return fake.DropResponse
 							}
 							return fake.Deliver
@@ -278,12 +278,12 @@
 		time.Sleep(5 * time.Second)
 		chain := func(first int) (names []string) {
 			for i := range 6 {
-				s := newJob(fmt.Sprint("job-", first+i), "array", 1)
+				job := newJob(fmt.Sprint("job-", first+i), "array", 1)
 				if i > 0 {
-					s["awaits"] = []string{names[i-1]}
+					job["awaits"] = []string{names[i-1]}
 				}
-				names = append(names, s["uid"].(string))
-				c.accept(i, s)
+				names = append(names, job["uid"].(string))
+				c.accept(i, job)
 			}
 			return names
 		}
@@ -320,27 +320,27 @@
 		key := record.KeysOf(2, c.shardCount).Hires() + "h-s2-1-1"
 		c.storeValue(key, map[string]any{"hire": "h-s2-1-1", "count": 1})
 		for _, name := range []string{"hired", "stranger"} {
-			k := c.startWorker(name, "north")
-			k.ControllerNames, k.Controllers = shardNodes, []string{"a:8080", "b:8080", "c:8080", "d:8080", "e:8080"}
+			worker := c.startWorker(name, "north")
+			worker.ControllerNames, worker.Controllers = shardNodes, []string{"a:8080", "b:8080", "c:8080", "d:8080", "e:8080"}
 		}
-		owners := func(machine ids.Machine) (all []int) {
+		owners := func(machine ids.Machine) (shards []int) {
 			for _, n := range c.nodes {
 				for shard := range c.shardCount {
-					if n.shards.Owns(ids.Shard(shard), machine) && !slices.Contains(all, shard) {
-						all = append(all, shard)
+					if n.shards.Owns(ids.Shard(shard), machine) && !slices.Contains(shards, shard) {
+						shards = append(shards, shard)
 					}
 				}
 			}
-			return all
+			return shards
 		}
 		time.Sleep(5 * time.Second)
-		if hired, stranger := owners("hired"), owners("stranger"); len(hired)+len(stranger) > 0 {
-			t.Fatalf("while a hire is open its machine belongs to %v, a stranger to %v", hired, stranger)
+		if provisioned, unknown := owners("hired"), owners("stranger"); len(provisioned)+len(unknown) > 0 {
+			t.Fatalf("while a hire is open its machine belongs to %v, a stranger to %v", provisioned, unknown)
 		}
 		c.storeValue(key, map[string]any{"hire": "h-s2-1-1", "count": 1, "hosts": []string{"hired"}})
 		time.Sleep(5 * time.Second)
-		if hired, stranger := owners("hired"), owners("stranger"); !slices.Equal(hired, []int{2}) || !slices.Equal(stranger, []int{0}) {
-			t.Errorf("the hired machine belongs to %v, the stranger to %v", hired, stranger)
+		if provisioned, unknown := owners("hired"), owners("stranger"); !slices.Equal(provisioned, []int{2}) || !slices.Equal(unknown, []int{0}) {
+			t.Errorf("the hired machine belongs to %v, the stranger to %v", provisioned, unknown)
 		}
 	})
 }
@@ -369,36 +369,36 @@
 	shardScenario(t, 1, func(t *testing.T, c *shardCluster) {
 		time.Sleep(5 * time.Second)
 		// A version that knows one shard only never leads here.
-		old := c.testCluster.startNode("a")
+		oneShardNode := c.testCluster.startNode("a")
 		time.Sleep(20 * time.Second)
-		if old.elector.Term() != nil {
+		if oneShardNode.elector.Term() != nil {
 			t.Error("a controller of one shard leads the pool beside the leaders of three")
 		}
 		c.shardCount = 2
-		n := c.startNode("e")
+		node := c.startNode("e")
 		time.Sleep(2 * time.Second)
-		if !errors.Is(n.startupError, election.ErrOtherLayout) || !strings.Contains(n.startupError.Error(), "3, not 2") {
-			t.Errorf("two shards on a store of three: %v", n.startupError)
+		if !errors.Is(node.startupError, election.ErrOtherLayout) || !strings.Contains(node.startupError.Error(), "3, not 2") {
+			t.Errorf("two shards on a store of three: %v", node.startupError)
 		}
 		c.shardCount = 3
 		c.stopNode("d")
 		c.storeValue(quota.LedgerKey("red"), map[string]any{"form": 9})
-		n = c.startNode("d")
+		node = c.startNode("d")
 		time.Sleep(2 * time.Second)
-		if !errors.Is(n.startupError, quota.ErrBadLedger) || !strings.Contains(n.startupError.Error(), "newer form") {
-			t.Errorf("a ledger of a newer version: %v", n.startupError)
+		if !errors.Is(node.startupError, quota.ErrBadLedger) || !strings.Contains(node.startupError.Error(), "newer form") {
+			t.Errorf("a ledger of a newer version: %v", node.startupError)
 		}
 	})
-	scenario(t, func(t *testing.T, w *testCluster) {
-		w.startNode("a")
-		w.startWorker("m1", "north")
+	scenario(t, func(t *testing.T, single *testCluster) {
+		single.startNode("a")
+		single.startWorker("m1", "north")
 		time.Sleep(8 * time.Second)
-		w.submit("a", newJob("job-1", "array", 1))
-		c := &shardCluster{testCluster: w, shardCount: 3, nodes: map[string]*shardNode{}}
-		n := c.startNode("e")
+		single.submit("a", newJob("job-1", "array", 1))
+		c := &shardCluster{testCluster: single, shardCount: 3, nodes: map[string]*shardNode{}}
+		node := c.startNode("e")
 		time.Sleep(2 * time.Second)
-		if !errors.Is(n.startupError, election.ErrJobsStored) {
-			t.Errorf("three shards on a store with a job of one: %v", n.startupError)
+		if !errors.Is(node.startupError, election.ErrJobsStored) {
+			t.Errorf("three shards on a store with a job of one: %v", node.startupError)
 		}
 	})
 }
--- a/internal/scenarios/test_cluster_test.go
+++ b/internal/scenarios/test_cluster_test.go
@@ -97,60 +97,60 @@
 }
 
 // scenario runs f in a cluster of its own, under a clock of its own.
-func scenario(t *testing.T, f func(t *testing.T, w *testCluster)) {
+func scenario(t *testing.T, run func(t *testing.T, c *testCluster)) {
 	slog.SetLogLoggerLevel(slog.LevelError)
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		w := &testCluster{t: t, ctx: ctx, network: fake.NewNetwork(), store: fake.NewStore(), nodes: map[string]*testNode{}}
-		w.network.Listen("state:1", w.store)
-		w.network.SetLatency(func() time.Duration {
-			if f := w.latency.Load(); f != nil {
-				return (*f)()
+		c := &testCluster{t: t, ctx: ctx, network: fake.NewNetwork(), store: fake.NewStore(), nodes: map[string]*testNode{}}
+		c.network.Listen("state:1", c.store)
+		c.network.SetLatency(func() time.Duration {
+			if latency := c.latency.Load(); latency != nil {
+				return (*latency)()
 			}
 			return 0
 		})
-		w.rules = newRules(w.nodeSettings("a"), func(rule, what string) { t.Errorf("rule broken: %s: %s", rule, what) })
+		c.rules = newRules(c.nodeSettings("a"), func(rule, what string) { t.Errorf("rule broken: %s: %s", rule, what) })
 		defer synctest.Wait()
 		defer cancel()
-		defer w.rules.CheckCancelled()
-		f(t, w)
+		defer c.rules.CheckCancelled()
+		run(t, c)
 	})
 }
 
 // parallelScenario is one of several scenarios of a test, which go on beside one another.
-func parallelScenario(t *testing.T, name string, f func(t *testing.T, w *testCluster)) {
+func parallelScenario(t *testing.T, name string, run func(t *testing.T, c *testCluster)) {
 	t.Run(name, func(t *testing.T) {
 		t.Parallel()
-		scenario(t, f)
+		scenario(t, run)
 	})
 }
 
-func (w *testCluster) nodeSettings(name string) *config.Settings {
+func (c *testCluster) nodeSettings(name string) *config.Settings {
 	other := map[string]string{"a": "b", "b": "a"}[name]
-	set, err := config.Parse([]byte(strings.NewReplacer("NODE", name, "OTHER", other).Replace(settingsTemplate + w.upcomingLimits)))
+	set, err := config.Parse([]byte(strings.NewReplacer("NODE", name, "OTHER", other).Replace(settingsTemplate + c.upcomingLimits)))
 	if err != nil {
-		w.t.Fatal(err)
+		c.t.Fatal(err)
 	}
-	set.Params.Teams = append(set.Params.Teams, w.teams...)
-	if w.valueLimitKB > 0 {
-		set.Params.State.ValueKB, set.Params.State.CurrentValueKB = w.valueLimitKB, w.valueLimitKB
+	set.Params.Teams = append(set.Params.Teams, c.teams...)
+	if c.valueLimitKB > 0 {
+		set.Params.State.ValueKB, set.Params.State.CurrentValueKB = c.valueLimitKB, c.valueLimitKB
 	}
 	return set
 }
 
-func (w *testCluster) startNode(name string) *testNode {
-	settings := w.nodeSettings(name)
-	w.processes++
-	writer := fmt.Sprintf("%s.%d", name, w.processes)
-	ctx, cancel := context.WithCancel(w.ctx)
-	store := state.NewClient("state:1", w.network.Client(name), state.NewBudget(400, 200, 2, 0.6))
-	n := &testNode{cluster: w, name: name, cancel: cancel}
-	n.elector = election.NewElector(settings, store, &worker.Commander{HTTP: w.network.Client(name), Timeout: 3 * time.Second}, writer)
+func (c *testCluster) startNode(name string) *testNode {
+	settings := c.nodeSettings(name)
+	c.processes++
+	writer := fmt.Sprintf("%s.%d", name, c.processes)
+	ctx, cancel := context.WithCancel(c.ctx)
+	store := state.NewClient("state:1", c.network.Client(name), state.NewBudget(400, 200, 2, 0.6))
+	n := &testNode{cluster: c, name: name, cancel: cancel}
+	n.elector = election.NewElector(settings, store, &worker.Commander{HTTP: c.network.Client(name), Timeout: 3 * time.Second}, writer)
 	n.elector.Peers = n
 	n.elector.OnTerm = func(ctx context.Context, term *election.Term) {
 		term.Cluster.SetMachineTypes(instanceTypes())
 		for ctx.Err() == nil {
-			term.Cluster.ReconcileCloudList(w.cloudList(), time.Now())
+			term.Cluster.ReconcileCloudList(c.cloudList(), time.Now())
 			select {
 			case <-ctx.Done():
 			case <-time.After(2 * time.Second):
@@ -158,27 +158,27 @@
 		}
 	}
 	n.jobs = &intake.JobService{Settings: settings, Store: store, Records: n.elector.Jobs(), LeaderNotifier: n, Writer: writer, MachineTypes: instanceTypes}
-	w.network.Listen(name+":8080", (&intake.Server{Jobs: n.jobs, Heartbeats: n.elector, Ready: func() bool { return true },
+	c.network.Listen(name+":8080", (&intake.Server{Jobs: n.jobs, Heartbeats: n.elector, Ready: func() bool { return true },
 		ExplainByLeader: func(context.Context, ids.Job) ([]string, ids.Node, error) { return nil, "", nil },
 		NodeStatus:      func() any { return nil }}).Handler())
-	w.mu.Lock()
-	w.nodes[name] = n
-	w.mu.Unlock()
+	c.mu.Lock()
+	c.nodes[name] = n
+	c.mu.Unlock()
 	go store.ProbeHealth(ctx, record.KeysOf(0, 1).Generation())
 	go n.elector.Run(ctx)
 	return n
 }
 
 // cloudList is the cloud's, in scenarios that have one.
-func (w *testCluster) cloudList() (ls []claim.ListedMachine) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.inCloudList {
-		for _, k := range w.workers {
-			ls = append(ls, clusterstate.ListedMachine{Name: ids.Machine(k.Name), Address: k.Address, Type: k.Type, Zone: k.Zone, Status: "running"})
+func (c *testCluster) cloudList() (machines []claim.ListedMachine) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.inCloudList {
+		for _, worker := range c.workers {
+			machines = append(machines, claim.ListedMachine{Name: ids.Machine(worker.Name), Address: worker.Address, Type: worker.Type, Zone: worker.Zone, Status: "running"})
 		}
 	}
-	return ls
+	return machines
 }
 
 func instanceTypes() []placement.InstanceType {
@@ -190,16 +190,16 @@
 	n.cluster.mu.Lock()
 	defer n.cluster.mu.Unlock()
 	n.askedForConfirmation = of
-	for name, o := range n.cluster.nodes {
-		if name != n.name && !n.cluster.isPartitioned(n.name, name) && o.elector.Superseded(generation) {
+	for name, other := range n.cluster.nodes {
+		if name != n.name && !n.cluster.isPartitioned(n.name, name) && other.elector.Superseded(generation) {
 			return true
 		}
 	}
 	return false
 }
 
-func (w *testCluster) isPartitioned(from, to string) bool {
-	rule := w.network.CurrentRule()
+func (c *testCluster) isPartitioned(from, to string) bool {
+	rule := c.network.CurrentRule()
 	if rule == nil {
 		return false
 	}
@@ -249,9 +249,9 @@
 func (n *testNode) deliverRecord(id ids.Job, revision ids.Revision, rec *record.Record) {
 	n.cluster.mu.Lock()
 	defer n.cluster.mu.Unlock()
-	for name, o := range n.cluster.nodes {
+	for name, other := range n.cluster.nodes {
 		if name == n.name || !n.cluster.isPartitioned(n.name, name) {
-			o.elector.HandleRecord(id, revision, rec)
+			other.elector.HandleRecord(id, revision, rec)
 		}
 	}
 }
@@ -265,15 +265,15 @@
 	n.cluster.network.Listen(n.name+":8080", nil)
 }
 
-func (w *testCluster) startWorker(name, zone string) *fake.Worker {
-	k := &fake.Worker{Name: name, Address: name + ":9000", Type: "small", Zone: zone, Network: w.network,
+func (c *testCluster) startWorker(name, zone string) *fake.Worker {
+	worker := &fake.Worker{Name: name, Address: name + ":9000", Type: "small", Zone: zone, Network: c.network,
 		Controllers: []string{"a:8080", "b:8080"}, ControllerNames: []string{"a", "b"}, HeartbeatInterval: 2 * time.Second, LeaseDuration: 20 * time.Second}
-	k.NotifyEvents(w.rules.TaskEvent)
-	w.mu.Lock()
-	w.workers = append(w.workers, k)
-	w.mu.Unlock()
-	go k.Run(w.ctx)
-	return k
+	worker.NotifyEvents(c.rules.TaskEvent)
+	c.mu.Lock()
+	c.workers = append(c.workers, worker)
+	c.mu.Unlock()
+	go worker.Run(c.ctx)
+	return worker
 }
 
 // newJob is a job of team red with tasks of one core.
@@ -283,16 +283,16 @@
 		"loaners": false, "guessS": 10, "bookmarkS": 0, "stashS": 0}
 }
 
-func (w *testCluster) call(node, method, path string, body any) (int, map[string]any) {
+func (c *testCluster) call(node, method, path string, body any) (int, map[string]any) {
 	raw, _ := json.Marshal(body)
-	return w.observeCall(node, method, path, raw, func() (int, map[string]any) { return w.request(node, method, path, raw) })
+	return c.observeCall(node, method, path, raw, func() (int, map[string]any) { return c.request(node, method, path, raw) })
 }
 
-func (w *testCluster) request(node, method, path string, raw []byte) (int, map[string]any) {
-	ctx, cancel := context.WithTimeout(w.ctx, 5*time.Second)
+func (c *testCluster) request(node, method, path string, raw []byte) (int, map[string]any) {
+	ctx, cancel := context.WithTimeout(c.ctx, 5*time.Second)
 	defer cancel()
 	req, _ := http.NewRequestWithContext(ctx, method, "http://"+node+":8080"+path, bytes.NewReader(raw))
-	res, err := w.network.Client("user").Do(req)
+	res, err := c.network.Client("user").Do(req)
 	if err != nil {
 		return 0, nil
 	}
@@ -301,81 +301,81 @@
 	return res.StatusCode, out
 }
 
-func (w *testCluster) submit(node string, s map[string]any) {
-	w.t.Helper()
-	if code, out := w.call(node, "POST", "/v2/runs", s); code != 201 {
-		w.t.Fatalf("submission answered %d %v", code, out)
+func (c *testCluster) submit(node string, job map[string]any) {
+	c.t.Helper()
+	if code, out := c.call(node, "POST", "/v2/runs", job); code != 201 {
+		c.t.Fatalf("submission answered %d %v", code, out)
 	}
 }
 
-func (w *testCluster) status(node, id string) string {
-	_, out := w.call(node, "GET", "/v2/runs/"+id, nil)
+func (c *testCluster) status(node, id string) string {
+	_, out := c.call(node, "GET", "/v2/runs/"+id, nil)
 	s, _ := out["status"].(string)
 	return s
 }
 
 // listWorkers are the workers that there are by now.
-func (w *testCluster) listWorkers() []*fake.Worker {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return slices.Clone(w.workers)
+func (c *testCluster) listWorkers() []*fake.Worker {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return slices.Clone(c.workers)
 }
 
 // machinesRunning lists where a task is, by worker name.
-func (w *testCluster) machinesRunning(task string) (at []string) {
-	for _, k := range w.listWorkers() {
-		for _, t := range k.ActiveTasks() {
-			if t == task {
-				at = append(at, k.Name)
+func (c *testCluster) machinesRunning(task string) (machines []string) {
+	for _, worker := range c.listWorkers() {
+		for _, active := range worker.ActiveTasks() {
+			if active == task {
+				machines = append(machines, worker.Name)
 			}
 		}
 	}
-	return at
+	return machines
 }
 
 // eventually waits for a condition, at most d.
-func (w *testCluster) eventually(d time.Duration, what string, f func() bool) {
-	w.t.Helper()
-	for end := time.Now().Add(d); !f(); {
+func (c *testCluster) eventually(timeout time.Duration, what string, condition func() bool) {
+	c.t.Helper()
+	for end := time.Now().Add(timeout); !condition(); {
 		if time.Now().After(end) {
-			w.t.Fatalf("not within %v: %s; store: %s", d, what, w.store)
+			c.t.Fatalf("not within %v: %s; store: %s", timeout, what, c.store)
 		}
 		time.Sleep(100 * time.Millisecond)
-		w.checkInvariants()
+		c.checkInvariants()
 	}
 }
 
 // consistently watches that a condition stays true for d.
-func (w *testCluster) consistently(d time.Duration, what string, f func() bool) {
-	w.t.Helper()
-	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
-		if !f() {
-			w.t.Fatalf("no longer true: %s", what)
+func (c *testCluster) consistently(duration time.Duration, what string, condition func() bool) {
+	c.t.Helper()
+	for end := time.Now().Add(duration); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
+		if !condition() {
+			c.t.Fatalf("no longer true: %s", what)
 		}
-		w.checkInvariants()
+		c.checkInvariants()
 	}
 }
 
 // checkInvariants samples what holds in every scenario, besides the rules that watch each event:
 // no task on two machines.
-func (w *testCluster) checkInvariants() {
-	w.t.Helper()
-	w.rules.CheckCancelled()
-	seen := map[string]string{}
-	for _, k := range w.listWorkers() {
-		for _, t := range k.ActiveTasks() {
-			if o := seen[t]; o != "" {
-				w.t.Fatalf("%s runs on %s and on %s", t, o, k.Name)
+func (c *testCluster) checkInvariants() {
+	c.t.Helper()
+	c.rules.CheckCancelled()
+	runningOn := map[string]string{}
+	for _, worker := range c.listWorkers() {
+		for _, task := range worker.ActiveTasks() {
+			if other := runningOn[task]; other != "" {
+				c.t.Fatalf("%s runs on %s and on %s", task, other, worker.Name)
 			}
-			seen[t] = k.Name
+			runningOn[task] = worker.Name
 		}
 	}
 }
 
-func (w *testCluster) workerNamed(name string) *fake.Worker {
-	for _, k := range w.listWorkers() {
-		if k.Name == name {
-			return k
+func (c *testCluster) workerNamed(name string) *fake.Worker {
+	for _, worker := range c.listWorkers() {
+		if worker.Name == name {
+			return worker
 		}
 	}
 	return nil
