--- a/internal/scenarios/assertions_test.go
+++ b/internal/scenarios/assertions_test.go
@@ -29,6 +29,42 @@
 	}
 }
 
+// awaitTask waits until a task is on a machine.
+func (c *testCluster) awaitTask(timeout time.Duration, task string) {
+	c.t.Helper()
+	c.eventually(timeout, task+" runs", func() bool { return c.isRunning(task) })
+}
+
+// awaitRunning waits until each of a job's first tasks is on a machine.
+func (c *testCluster) awaitRunning(timeout time.Duration, job string, tasks int) {
+	c.t.Helper()
+	c.eventually(timeout, fmt.Sprintf("%d tasks of %s run", tasks, job), func() bool { return c.allRunning(job, tasks) })
+}
+
+// awaitStatus waits until a node reports a job's status.
+func (c *testCluster) awaitStatus(timeout time.Duration, node, job, status string) {
+	c.t.Helper()
+	c.eventually(timeout, job+" is "+status, func() bool { return c.status(node, job) == status })
+}
+
+// awaitLeadership waits until a node leads.
+func (c *testCluster) awaitLeadership(timeout time.Duration, node *testNode) {
+	c.t.Helper()
+	c.eventually(timeout, node.name+" leads", func() bool { return node.elector.Cluster() != nil })
+}
+
+// awaitAnyLeader waits until some node leads.
+func (c *testCluster) awaitAnyLeader(timeout time.Duration) {
+	c.t.Helper()
+	c.eventually(timeout, "a leader", func() bool { return c.leader() != nil })
+}
+
+// awaitStepDown waits until a node no longer leads.
+func (c *testCluster) awaitStepDown(timeout time.Duration, node *testNode) {
+	c.t.Helper()
+	c.eventually(timeout, node.name+" steps down", func() bool { return node.elector.Cluster() == nil })
+}
+
 // checkInvariants samples what holds in every scenario, besides the rules that watch each event:
 // no task on two machines.
 func (c *testCluster) checkInvariants() {
@@ -57,9 +93,23 @@
 	return machines
 }
 
+// isRunning tells whether a task is on one machine, and on no other.
+func (c *testCluster) isRunning(task string) bool { return len(c.machinesRunning(task)) == 1 }
+
+// isAbsent tells whether none of the tasks is on a machine.
+func (c *testCluster) isAbsent(tasks ...string) bool {
+	for _, task := range tasks {
+		if len(c.machinesRunning(task)) > 0 {
+			return false
+		}
+	}
+	return true
+}
+
+// allRunning tells whether each of a job's first tasks is on one machine.
 func (c *testCluster) allRunning(job string, tasks int) bool {
 	for i := range tasks {
-		if len(c.machinesRunning(fmt.Sprintf("%s/%d", job, i))) != 1 {
+		if !c.isRunning(fmt.Sprintf("%s/%d", job, i)) {
 			return false
 		}
 	}
@@ -86,7 +136,7 @@
 	c.t.Helper()
 	gone := func() bool {
 		for i := range tasks {
-			if len(c.machinesRunning(job+"/"+string(rune('0'+i)))) > 0 {
+			if !c.isAbsent(fmt.Sprintf("%s/%d", job, i)) {
 				return false
 			}
 		}
@@ -113,7 +163,7 @@
 // isReportedAs tells whether a node answers that a job stands so, and no node answers otherwise.
 func (c *testCluster) isReportedAs(id, status string) bool {
 	answers := 0
-	for _, node := range []string{"a", "b"} {
+	for _, node := range nodeNames {
 		switch c.status(node, id) {
 		case status:
 			answers++
--- a/internal/scenarios/cancellation_outage_test.go
+++ b/internal/scenarios/cancellation_outage_test.go
@@ -17,17 +17,13 @@
 // startWithReplicas is a test cluster in which replicas run on two machines, under a leader that is
 // cut from the other controller.
 func startWithReplicas(c *testCluster) (leader, other *testNode) {
-	c.startNode("a")
-	c.startNode("b")
-	c.startWorker("m1", "north")
-	c.startWorker("m2", "south")
-	time.Sleep(10 * time.Second)
+	c.startPair()
 	c.submit("a", newJob("job-1", "standing", 4))
 	c.submit("b", newJob("job-2", "standing", 2))
 	c.eventually(5*time.Second, "replicas run", func() bool { return c.allRunning("job-1", 4) && c.allRunning("job-2", 2) })
 	time.Sleep(3 * time.Second)
 	leader = c.leader()
-	return leader, c.nodes[map[string]string{"a": "b", "b": "a"}[leader.name]]
+	return leader, c.nodes[otherNode(leader.name)]
 }
 
 // partitionFromPeerAndState cuts a node from what of the state service's paths, and from its peer.
@@ -65,7 +61,7 @@
 				return fake.Deliver
 			})
 			c.eventually(time.Until(outageStart.Add(min(outage, 16*time.Second))), "", func() bool {
-				if len(c.machinesRunning("job-2/0")) != 1 {
+				if !c.isRunning("job-2/0") {
 					t.Fatalf("what nobody cancelled ended after %v of the outage", time.Since(outageStart))
 				}
 				return time.Since(outageStart) > min(outage, 16*time.Second)-time.Second
@@ -78,7 +74,7 @@
 			c.store.SetDown(false)
 			c.network.SetRule(nil)
 			c.requireStopped(confirmedAt, "job-1", 4, 40*time.Second)
-			c.eventually(20*time.Second, "what was not cancelled runs", func() bool { return c.allRunning("job-2", 2) })
+			c.awaitRunning(20*time.Second, "job-2", 2)
 		})
 	}
 }
@@ -97,7 +93,7 @@
 			t.Fatal("it did not keep the pool: the story shows nothing")
 		}
 		c.network.SetRule(nil)
-		c.eventually(20*time.Second, "what was not cancelled runs", func() bool { return c.allRunning("job-2", 2) })
+		c.awaitRunning(20*time.Second, "job-2", 2)
 		c.eventually(20*time.Second, "the end is stored", func() bool { return c.store.Value("end/job-1") != nil })
 	})
 }
@@ -118,13 +114,13 @@
 			return fake.Deliver
 		})
 		confirmedAt := c.confirmCancellation(other, "job-1")
-		c.eventually(5*time.Second, "the other took over", func() bool { return other.elector.Cluster() != nil })
+		c.awaitLeadership(5*time.Second, other)
 		c.store.SetDown(true)
 		c.requireStopped(confirmedAt, "job-1", 4, 30*time.Second)
 		c.store.SetDown(false)
 		c.network.SetRule(nil)
 		c.requireStopped(confirmedAt, "job-1", 4, 30*time.Second)
-		c.eventually(30*time.Second, "what was not cancelled runs", func() bool { return c.allRunning("job-2", 2) })
+		c.awaitRunning(30*time.Second, "job-2", 2)
 	})
 }
 
@@ -165,7 +161,7 @@
 		c.network.SetRule(nil)
 		c.eventually(40*time.Second, "the end is stored", func() bool { return c.store.Value("end/job-1") != nil })
 		c.submit("a", newJob("job-2", "array", 1))
-		c.eventually(10*time.Second, "the machine takes new work", func() bool { return len(c.machinesRunning("job-2/0")) == 1 })
+		c.awaitTask(10*time.Second, "job-2/0")
 	})
 }
 
@@ -179,7 +175,7 @@
 		m1 := c.startWorker("m1", "north")
 		time.Sleep(10 * time.Second)
 		leader := c.leader()
-		other := c.nodes[map[string]string{"a": "b", "b": "a"}[leader.name]]
+		other := c.nodes[otherNode(leader.name)]
 		isolated := false
 		c.network.SetRule(func(from, to string, r *http.Request, body []byte) fake.Outcome {
 			switch {
--- a/internal/scenarios/cancellation_test.go
+++ b/internal/scenarios/cancellation_test.go
@@ -30,7 +30,7 @@
 		}
 		c.eventually(38*time.Second, "gone for good", func() bool { return c.store.Value("end/job-11") != nil })
 		c.network.ReleaseHeld()
-		c.consistently(20*time.Second, "the late start is turned away", func() bool { return len(c.machinesRunning("job-11/0")) == 0 })
+		c.consistently(20*time.Second, "the late start is turned away", func() bool { return c.isAbsent("job-11/0") })
 		if s := c.status("a", "job-11"); s != "cancelled" {
 			t.Fatalf("called %q", s)
 		}
@@ -48,9 +48,9 @@
 		c.startWorker("m1", "north")
 		time.Sleep(10 * time.Second)
 		c.submit("a", newJob("job-1", "standing", 1))
-		c.eventually(4*time.Second, "it runs", func() bool { return len(c.machinesRunning("job-1/0")) == 1 })
+		c.awaitTask(4*time.Second, "job-1/0")
 		leader := c.leader().name
-		other := map[string]string{"a": "b", "b": "a"}[leader]
+		other := otherNode(leader)
 		c.network.SetRule(func(from, to string, _ *http.Request, _ []byte) fake.Outcome {
 			inside := func(host string) bool {
 				return host == leader || strings.HasPrefix(host, leader+":") || strings.HasPrefix(host, "m1:")
@@ -65,7 +65,7 @@
 			return code == 200
 		})
 		confirmedAt := time.Now()
-		c.eventually(40*time.Second, "it is gone within cancel_s", func() bool { return len(c.machinesRunning("job-1/0")) == 0 })
+		c.eventually(40*time.Second, "it is gone within cancel_s", func() bool { return c.isAbsent("job-1/0") })
 		if elapsed := time.Since(confirmedAt); elapsed < 15*time.Second {
 			t.Errorf("gone after %v: work in the zone did not go on for a while", elapsed)
 		}
@@ -79,7 +79,7 @@
 	// stores the cancel and tells the user, but can't tell the leader.
 	scenario(t, func(t *testing.T, c *testCluster) {
 		a := c.startNode("a")
-		c.eventually(5*time.Second, "a owns the pool", func() bool { return a.elector.Cluster() != nil })
+		c.awaitLeadership(5*time.Second, a)
 		c.startNode("b")
 		c.startWorker("m1", "north")
 		time.Sleep(10 * time.Second)
@@ -120,9 +120,7 @@
 			t.Run(fmt.Sprint(latency, unavailable), func(t *testing.T) {
 				t.Parallel()
 				faultScenario(t, func(t *testing.T, c *faultCluster) {
-					c.startWorker("m1", "north")
-					c.startWorker("m2", "south")
-					time.Sleep(10 * time.Second)
+					c.startWorkers("north", "south")
 					for i := range 4 {
 						c.submitJob(nodeNames[i%2], newJob(fmt.Sprintf("job-%d", i+1), []string{"standing", "array"}[i/2], 2))
 					}
@@ -140,7 +138,7 @@
 							return fake.Deliver
 						})
 						c.store.RefuseCaller(leader.name, true)
-						c.cancelJob(map[string]string{"a": "b", "b": "a"}[leader.name], "job-2")
+						c.cancelJob(otherNode(leader.name), "job-2")
 						c.passTime(time.Second)
 						c.store.SetDown(true)
 						c.passTime(50 * time.Second)
@@ -172,16 +170,14 @@
 			t.Run(fmt.Sprint(event, cancelDelay), func(t *testing.T) {
 				t.Parallel()
 				faultScenario(t, func(t *testing.T, c *faultCluster) {
-					c.startWorker("m1", "north")
-					c.startWorker("m2", "south")
-					time.Sleep(10 * time.Second)
+					c.startWorkers("north", "south")
 					for i := range 4 {
 						c.submitJob(nodeNames[i%2], newJob(fmt.Sprintf("job-%d", i+1), []string{"standing", "array"}[i%2], 2))
 					}
 					c.eventually(6*time.Second, "they run", func() bool { return c.allRunning("job-1", 2) && c.allRunning("job-4", 2) })
 					c.passTime(3 * time.Second)
 					leader := c.awaitLeader()
-					other := map[string]string{"a": "b", "b": "a"}[leader.name]
+					other := otherNode(leader.name)
 					c.submitJob(other, newJob("job-5", "array", 2)) // waits for room, or its starts are on their way
 					if event == "cut off" {
 						c.setFaults(func(from, to string, _ *http.Request, _ []byte) fake.Outcome {
@@ -229,19 +225,16 @@
 			t.Run(fmt.Sprint(kind, failoverLast), func(t *testing.T) {
 				t.Parallel()
 				faultScenario(t, func(t *testing.T, c *faultCluster) {
-					for i, zone := range []string{"north", "south", "north", "south"} {
-						c.startWorker(fmt.Sprintf("m%d", i+1), zone)
-					}
-					time.Sleep(10 * time.Second)
+					c.startWorkers("north", "south", "north", "south")
 					for i := range 4 {
-						c.submitJob("a", sized(fmt.Sprintf("job-%d", i+1), "standing", 1, 2))
-						c.eventually(5*time.Second, "it runs", c.runs(fmt.Sprintf("job-%d", i+1), 1))
+						c.submitJob("a", newJob(fmt.Sprintf("job-%d", i+1), "standing", 1).with("cores", 2))
+						c.awaitRunning(5*time.Second, fmt.Sprintf("job-%d", i+1), 1)
 					}
 					var unreachable []string
 					for _, id := range []string{"job-1/0", "job-3/0", "job-4/0"} {
 						unreachable = append(unreachable, c.machinesRunning(id)...)
 					}
-					c.submitJob("b", sized("job-5", "array", 6, 2))
+					c.submitJob("b", newJob("job-5", "array", 6).with("cores", 2))
 					c.passTime(4 * time.Second)
 					c.partition(kind, unreachable...)
 					if kind == "hung" {
@@ -260,7 +253,7 @@
 						failOver()
 					}
 					for i, id := range []string{"job-1", "job-3", "job-4"} {
-						c.cancelJob([]string{"a", "b"}[i%2], id)
+						c.cancelJob(nodeNames[i%2], id)
 					}
 					if failoverLast {
 						failOver()
@@ -277,7 +270,7 @@
 					}
 					c.heal()
 					c.passTime(3 * time.Second)
-					if len(c.machinesRunning("job-2/0")) != 1 {
+					if !c.isRunning("job-2/0") {
 						t.Error("job-2, which nobody called off, is gone")
 					}
 					c.cancelJob("a", "job-2")
--- a/internal/scenarios/checker_test.go
+++ b/internal/scenarios/checker_test.go
@@ -37,13 +37,7 @@
 	south := &fake.Worker{Name: "m2", Type: "small", Zone: "south"}
 	spot := &fake.Worker{Name: "m3", Type: "small", Zone: "north", Spot: true}
 	large := &fake.Worker{Name: "m4", Type: "large", Zone: "north"}
-	with := func(job map[string]any, more ...any) map[string]any {
-		for i := 0; i < len(more); i += 2 {
-			job[more[i].(string)] = more[i+1]
-		}
-		return job
-	}
-	submit := func(job map[string]any, code int, status string) observation {
+	submit := func(job jobSpec, code int, status string) observation {
 		return observation{method: "POST", path: "/v2/runs", body: job, code: code, status: status}
 	}
 	get := func(id string, code int, status string) observation {
@@ -60,9 +54,9 @@
 	}
 	atOnce := func(s observation) observation { s.sameInstant = true; return s }
 	later := func(d time.Duration, s observation) observation { s.wait = d; return s }
-	one := func() map[string]any { return newJob("job-1", "array", 1) }
-	two := func() map[string]any { return newJob("job-1", "array", 2) }
-	after1 := func() map[string]any { return with(newJob("job-2", "array", 1), "awaits", []string{"job-1"}) }
+	one := func() jobSpec { return newJob("job-1", "array", 1) }
+	two := func() jobSpec { return newJob("job-1", "array", 2) }
+	after1 := func() jobSpec { return newJob("job-2", "array", 1).with("awaits", []string{"job-1"}) }
 	var starving []observation
 	for range 20 {
 		starving = append(starving, later(5*time.Second, get("job-1", 503, "")), get("job-2", 200, "pending"), get("job-3", 200, "pending"))
@@ -78,12 +72,12 @@
 			{wait: time.Second, worker: south, task: "job-1/0", attempt: 1, cause: "x"}, {worker: small, task: "job-1/0", attempt: 1, cause: "stopped", checkCancelled: true},
 			later(time.Minute, get("job-1", 200, "cancelled"))}},
 		{"elsewhere", "ran_twice", []observation{submit(one(), 201, "pending"), start(small, "job-1/0", 1), start(south, "job-1/0", 2)}},
-		{"limit", "quota", []observation{submit(with(two(), "cores", 5), 201, "pending"), start(small, "job-1/0", 1), start(small, "job-1/1", 1)}},
-		{"type", "wrong_place", []observation{submit(with(one(), "builds", []string{"small"}), 201, "pending"), start(large, "job-1/0", 1)}},
-		{"zone", "wrong_place", []observation{submit(with(one(), "yard", "north"), 201, "pending"), start(south, "job-1/0", 1)}},
+		{"limit", "quota", []observation{submit(two().with("cores", 5), 201, "pending"), start(small, "job-1/0", 1), start(small, "job-1/1", 1)}},
+		{"type", "wrong_place", []observation{submit(one().with("builds", []string{"small"}), 201, "pending"), start(large, "job-1/0", 1)}},
+		{"zone", "wrong_place", []observation{submit(one().with("yard", "north"), 201, "pending"), start(south, "job-1/0", 1)}},
 		{"spot", "wrong_place", []observation{submit(one(), 201, "pending"), start(spot, "job-1/0", 1)}},
-		{"together", "wrong_place", []observation{submit(with(two(), "together", true), 201, "pending"), start(small, "job-1/0", 1), start(south, "job-1/1", 1)}},
-		{"spread", "wrong_place", []observation{submit(with(two(), "spread", true), 201, "pending"), start(small, "job-1/0", 1), start(large, "job-1/1", 1)}},
+		{"together", "wrong_place", []observation{submit(two().with("together", true), 201, "pending"), start(small, "job-1/0", 1), start(south, "job-1/1", 1)}},
+		{"spread", "wrong_place", []observation{submit(two().with("spread", true), 201, "pending"), start(small, "job-1/0", 1), start(large, "job-1/1", 1)}},
 		{"still there", "ran_cancelled", []observation{submit(one(), 201, "pending"), start(small, "job-1/0", 1), cancel("job-1", "cancelled"), {wait: 41 * time.Second, checkCancelled: true}}},
 		{"ends late", "ran_cancelled", []observation{submit(one(), 201, "pending"), start(small, "job-1/0", 1), cancel("job-1", "cancelled"), later(41*time.Second, end(small, "job-1/0", 1, "stopped"))}},
 		{"starts late", "ran_cancelled", []observation{submit(one(), 201, "pending"), cancel("job-1", "cancelled"),
--- a/internal/scenarios/cluster_test.go
+++ b/internal/scenarios/cluster_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"fmt"
 	"log/slog"
 	"slices"
 	"strings"
@@ -60,6 +61,9 @@
 max_sockets = 400
 `
 
+// zones are those in which there are machines.
+var zones = []string{"north", "south"}
+
 // testCluster is two controllers and what surrounds them, in memory.
 type testCluster struct {
 	t              *testing.T
@@ -108,7 +112,7 @@
 }
 
 func (c *testCluster) nodeSettings(name string) *config.Settings {
-	other := map[string]string{"a": "b", "b": "a"}[name]
+	other := otherNode(name)
 	set, err := config.Parse([]byte(strings.NewReplacer("NODE", name, "OTHER", other).Replace(settingsTemplate + c.upcomingLimits)))
 	if err != nil {
 		c.t.Fatal(err)
@@ -121,7 +125,7 @@
 }
 
 func instanceTypes() []placement.InstanceType {
-	return []placement.InstanceType{{Label: "small", Cores: 4, RAM: 16, CacheGB: 20, PullGBPerS: 1, Price: 1, SpotPrice: 0.4, BootS: 30, Zones: []string{"north", "south"}}}
+	return []placement.InstanceType{{Label: "small", Cores: 4, RAM: 16, CacheGB: 20, PullGBPerS: 1, Price: 1, SpotPrice: 0.4, BootS: 30, Zones: zones}}
 }
 
 // cloudList is the cloud's, in scenarios that have one.
@@ -138,7 +142,7 @@
 
 func (c *testCluster) startWorker(name, zone string) *fake.Worker {
 	worker := &fake.Worker{Name: name, Address: name + ":9000", Type: "small", Zone: zone, Network: c.network,
-		Controllers: []string{"a:8080", "b:8080"}, ControllerNames: []string{"a", "b"}, HeartbeatInterval: 2 * time.Second, LeaseDuration: 20 * time.Second}
+		Controllers: apiAddresses(nodeNames), ControllerNames: nodeNames, HeartbeatInterval: 2 * time.Second, LeaseDuration: 20 * time.Second}
 	worker.NotifyEvents(c.rules.TaskEvent)
 	c.mu.Lock()
 	c.workers = append(c.workers, worker)
@@ -174,11 +178,29 @@
 	return nil
 }
 
-// startPair starts two nodes and two machines.
+// settleTime is enough for a first leader to be elected and to hear from all machines.
+const settleTime = 10 * time.Second
+
+// startPair starts both controllers and a machine in each zone, and lets them settle.
 func (c *testCluster) startPair() {
 	c.startNode("a")
 	c.startNode("b")
-	c.startWorker("m1", "north")
-	c.startWorker("m2", "south")
-	time.Sleep(10 * time.Second)
+	c.startWorkers("north", "south")
+}
+
+// startWorkers starts machines m1, m2 and so on, one in each of the zones named, and lets them
+// settle.
+func (c *testCluster) startWorkers(zones ...string) {
+	for i, zone := range zones {
+		c.startWorker(fmt.Sprintf("m%d", i+1), zone)
+	}
+	time.Sleep(settleTime)
+}
+
+// sleep waits for d, but not beyond the end of the scenario: for goroutines beside its timeline.
+func (c *testCluster) sleep(d time.Duration) {
+	select {
+	case <-time.After(d):
+	case <-c.ctx.Done():
+	}
 }
--- a/internal/scenarios/delayed_commands_test.go
+++ b/internal/scenarios/delayed_commands_test.go
@@ -26,15 +26,15 @@
 		})
 		c.submit("a", newJob("job-3", "array", 1))
 		// The beats carry the same start, and it runs once.
-		c.eventually(6*time.Second, "it runs by way of a beat", func() bool { return len(c.machinesRunning("job-3/0")) == 1 })
+		c.awaitTask(6*time.Second, "job-3/0")
 		machine := c.workerNamed(c.machinesRunning("job-3/0")[0])
 		machine.EndTask("job-3/0", "done")
-		c.eventually(4*time.Second, "done", func() bool { return c.status("a", "job-3") == "done" })
+		c.awaitStatus(4*time.Second, "a", "job-3", "done")
 		time.Sleep(2 * time.Minute)
 		if c.network.ReleaseHeld() == 0 {
 			t.Fatal("no start was held back")
 		}
-		c.consistently(10*time.Second, "the late start begins nothing", func() bool { return len(c.machinesRunning("job-3/0")) == 0 })
+		c.consistently(10*time.Second, "the late start begins nothing", func() bool { return c.isAbsent("job-3/0") })
 		if n := machine.StartCount("job-3/0"); n != 1 {
 			t.Fatalf("started %d times", n)
 		}
@@ -68,17 +68,14 @@
 								}
 								return fake.Deliver
 							})
-							c.submitJob("a", sized("job-1", "array", 4, 2))
-							c.submitJob("b", sized("job-2", "array", 4, 2))
+							c.submitJob("a", newJob("job-1", "array", 4).with("cores", 2))
+							c.submitJob("b", newJob("job-2", "array", 4).with("cores", 2))
 							c.passTime(400 * time.Millisecond)
 							if event != "leader ends" {
 								c.cancelJob("b", "job-1")
 							}
 							if event != "called off" {
-								leader := c.awaitLeader()
-								leader.kill()
-								c.passTime(200 * time.Millisecond)
-								c.startNode(leader.name)
+								c.restartLeader(200 * time.Millisecond)
 							}
 							c.passTime(delay.by)
 							c.network.ReleaseHeld()
@@ -111,7 +108,7 @@
 					c.testCluster.mu.Unlock()
 					time.Sleep(10 * time.Second)
 					leader := c.awaitLeader()
-					other := map[string]string{"a": "b", "b": "a"}[leader.name]
+					other := otherNode(leader.name)
 					writes := 0
 					var mu sync.Mutex
 					c.setFaults(func(from, to string, r *http.Request, body []byte) fake.Outcome {
@@ -128,10 +125,10 @@
 						return fake.Deliver
 					})
 					for i := range 4 {
-						c.startWorker(fmt.Sprintf("m%d", i+1), []string{"north", "south"}[i%2])
+						c.startWorker(fmt.Sprintf("m%d", i+1), zones[i%2])
 					}
 					for i := range 6 {
-						c.submitJob(other, sized(fmt.Sprintf("job-%d", i+1), "array", 1, 2))
+						c.submitJob(other, newJob(fmt.Sprintf("job-%d", i+1), "array", 1).with("cores", 2))
 					}
 					c.passTime(1500 * time.Millisecond)
 					leader.kill()
--- a/internal/scenarios/dependencies_cancellation_test.go
+++ b/internal/scenarios/dependencies_cancellation_test.go
@@ -36,30 +36,26 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			scenario(t, func(t *testing.T, c *testCluster) {
-				c.startNode("a")
-				c.startNode("b")
-				c.startWorker("m1", "north")
-				c.startWorker("m2", "south")
-				time.Sleep(10 * time.Second)
+				c.startPair()
 				c.submit("a", newJob("job-1", "array", 1))
 				last := "job-1"
 				var chain []string
 				for i := 2; i < 12; i++ { // a long chain, and a wide fan at its end
 					id := fmt.Sprintf("job-%d", i)
-					c.submit("b", dependingOn(newJob(id, "array", 1), last))
+					c.submit("b", newJob(id, "array", 1).dependingOn(last))
 					chain, last = append(chain, id), id
 				}
 				for i := 20; i < 40; i++ {
 					id := fmt.Sprintf("job-%d", i)
-					c.submit("a", dependingOn(newJob(id, "array", 1), last, "job-1"))
+					c.submit("a", newJob(id, "array", 1).dependingOn(last, "job-1"))
 					chain = append(chain, id)
 				}
-				c.eventually(5*time.Second, "the first runs", func() bool { return c.allRunning("job-1", 1) })
+				c.awaitRunning(5*time.Second, "job-1", 1)
 				var submission sync.WaitGroup
 				submission.Go(func() { // a submission that races with the cancellation
 					time.Sleep(15 * time.Millisecond)
 					for range 20 {
-						if code, _ := c.call("b", "POST", "/v2/runs", dependingOn(newJob("job-50", "array", 1), "job-1")); code == 200 || code == 201 {
+						if code, _ := c.call("b", "POST", "/v2/runs", newJob("job-50", "array", 1).dependingOn("job-1")); code == 200 || code == 201 {
 							return
 						}
 						time.Sleep(time.Second)
@@ -86,7 +82,7 @@
 				c.network.SetRule(nil)
 				submission.Wait()
 				if status == "done" {
-					c.eventually(30*time.Second, "the next one goes on", func() bool { return c.allRunning("job-2", 1) })
+					c.awaitRunning(30*time.Second, "job-2", 1)
 					return
 				}
 				c.eventually(25*time.Second, "all that follow are cancelled at both nodes", func() bool {
@@ -97,13 +93,13 @@
 					}
 					return true
 				})
-				c.submit("a", dependingOn(newJob("job-60", "array", 1), "job-11"))
+				c.submit("a", newJob("job-60", "array", 1).dependingOn("job-11"))
 				if !c.bothReport("job-60", "cancelled") {
 					t.Error("a job that names a cancelled one is not cancelled")
 				}
 				c.eventually(60*time.Second, "their ends are stored", func() bool { return c.store.CountKeys("job/") == 0 })
 				c.consistently(30*time.Second, "and nothing of them starts", func() bool {
-					return len(c.machinesRunning("job-2/0"))+len(c.machinesRunning("job-50/0"))+len(c.machinesRunning("job-30/0")) == 0
+					return c.isAbsent("job-2/0", "job-50/0", "job-30/0")
 				})
 				if code, out := c.call("a", "GET", "/v2/runs/job-30/explain", nil); code != 200 || !strings.Contains(fmt.Sprint(out["trail"]), "job-1, which was cancelled") {
 					t.Errorf("explained as %v", out)
@@ -120,19 +116,19 @@
 		c.startWorker("m1", "north")
 		time.Sleep(10 * time.Second)
 		c.submit("a", newJob("job-1", "array", 1))
-		c.submit("a", dependingOn(newJob("job-2", "array", 1), "job-1"))
-		c.submit("b", dependingOn(newJob("job-3", "array", 1), "job-1"))
-		c.submit("b", dependingOn(newJob("job-4", "array", 1), "job-2", "job-3"))
+		c.submit("a", newJob("job-2", "array", 1).dependingOn("job-1"))
+		c.submit("b", newJob("job-3", "array", 1).dependingOn("job-1"))
+		c.submit("b", newJob("job-4", "array", 1).dependingOn("job-2", "job-3"))
 		if status := c.cancelUntilAnswered("job-2"); status != "cancelled" {
 			t.Fatalf("a job that waits is called %q when cancelled", status)
 		}
 		if !c.bothReport("job-4", "cancelled") || !c.bothReport("job-3", "pending") {
 			t.Errorf("the last is %s, the other branch %s", c.status("a", "job-4"), c.status("a", "job-3"))
 		}
-		c.eventually(5*time.Second, "the first runs", func() bool { return c.allRunning("job-1", 1) })
+		c.awaitRunning(5*time.Second, "job-1", 1)
 		c.completeJob("job-1")
-		c.eventually(10*time.Second, "the other branch runs", func() bool { return c.allRunning("job-3", 1) })
-		c.consistently(20*time.Second, "the cancelled ones do not", func() bool { return len(c.machinesRunning("job-2/0"))+len(c.machinesRunning("job-4/0")) == 0 })
+		c.awaitRunning(10*time.Second, "job-3", 1)
+		c.consistently(20*time.Second, "the cancelled ones do not", func() bool { return c.isAbsent("job-2/0", "job-4/0") })
 	})
 }
 
@@ -155,7 +151,7 @@
 				followers, previous := []string{}, first
 				for i := range 6 {
 					id := fmt.Sprintf("job-%d%02d", round+1, i+1)
-					if code, _ := c.requestUntilDecided(random, "POST", "/v2/runs", dependingOn(newJob(id, "array", 1), previous)); code != 201 {
+					if code, _ := c.requestUntilDecided(random, "POST", "/v2/runs", newJob(id, "array", 1).dependingOn(previous)); code != 201 {
 						t.Fatalf("a submission got %d", code)
 					}
 					followers, previous = append(followers, id), id
@@ -167,7 +163,7 @@
 					submissions.Go(func() {
 						time.Sleep(random.milliseconds(0, 40))
 						id := fmt.Sprintf("job-%d%02d", round+1, 50+i)
-						if code, _ := c.requestUntilDecided(random, "POST", "/v2/runs", dependingOn(newJob(id, "array", 1), []string{first, previous}[i%2])); code == 201 || code == 200 {
+						if code, _ := c.requestUntilDecided(random, "POST", "/v2/runs", newJob(id, "array", 1).dependingOn([]string{first, previous}[i%2])); code == 201 || code == 200 {
 							mu.Lock()
 							followers = append(followers, id)
 							mu.Unlock()
@@ -197,7 +193,7 @@
 	scenario(t, func(t *testing.T, c *testCluster) {
 		c.startPair()
 		c.submitChain(100)
-		c.eventually(5*time.Second, "the first runs", func() bool { return c.allRunning("job-1", 1) })
+		c.awaitRunning(5*time.Second, "job-1", 1)
 		for _, step := range []struct{ cancel, waiting int }{{100, 98}, {50, 48}, {1, 0}} { // last, middle, first
 			if status := c.cancelUntilAnswered(fmt.Sprintf("job-%d", step.cancel)); status != "cancelled" {
 				t.Fatalf("the cancellation of %d is answered %q", step.cancel, status)
@@ -211,6 +207,6 @@
 			c.eventually(30*time.Second, "the ends are stored", func() bool { return c.store.CountKeys("job/wait/") == step.waiting })
 		}
 		c.eventually(30*time.Second, "the first's end too", func() bool { return c.store.CountKeys("job/") == 0 && c.store.CountKeys("end/") == 100 })
-		c.consistently(20*time.Second, "nothing of them starts", func() bool { return len(c.machinesRunning("job-2/0"))+len(c.machinesRunning("job-50/0")) == 0 })
+		c.consistently(20*time.Second, "nothing of them starts", func() bool { return c.isAbsent("job-2/0", "job-50/0") })
 	})
 }
--- a/internal/scenarios/dependencies_failover_test.go
+++ b/internal/scenarios/dependencies_failover_test.go
@@ -18,7 +18,7 @@
 	scenario(t, func(t *testing.T, c *testCluster) {
 		c.startPair()
 		c.submitChain(40)
-		c.eventually(5*time.Second, "the first runs", func() bool { return c.allRunning("job-1", 1) })
+		c.awaitRunning(5*time.Second, "job-1", 1)
 		c.network.SetRule(func(_, _ string, r *http.Request, body []byte) fake.Outcome {
 			if movesWaitingJobs(r, body) {
 				return fake.Refuse
@@ -41,7 +41,7 @@
 		if n := c.countReported("cancelled", 1, 40); n != 40 {
 			t.Errorf("%d of 40 are called cancelled", n)
 		}
-		c.consistently(10*time.Second, "nothing of them starts", func() bool { return len(c.machinesRunning("job-2/0")) == 0 })
+		c.consistently(10*time.Second, "nothing of them starts", func() bool { return c.isAbsent("job-2/0") })
 	})
 }
 
@@ -65,8 +65,8 @@
 			parallelScenario(t, fmt.Sprint(name, " ", delay), func(t *testing.T, c *testCluster) {
 				c.startPair()
 				c.submitChain(2)
-				c.submit("a", dependingOn(newJob("job-3", "array", 1), "job-1"))
-				c.eventually(5*time.Second, "the first runs", func() bool { return c.allRunning("job-1", 1) })
+				c.submit("a", newJob("job-3", "array", 1).dependingOn("job-1"))
+				c.awaitRunning(5*time.Second, "job-1", 1)
 				leader := c.leader()
 				c.network.SetDelay(func() time.Duration { return delay })
 				killLeaderSoon := func() { time.AfterFunc(50*time.Millisecond, leader.kill) }
@@ -119,7 +119,7 @@
 			parallelScenario(t, fmt.Sprint(name, " ", delay), func(t *testing.T, c *testCluster) {
 				c.startPair()
 				c.submitChain(3)
-				c.eventually(5*time.Second, "the first runs", func() bool { return c.allRunning("job-1", 1) })
+				c.awaitRunning(5*time.Second, "job-1", 1)
 				leader := c.leader()
 				c.network.SetDelay(func() time.Duration { return delay })
 				var moves atomic.Int32
@@ -143,7 +143,7 @@
 				if c.countReported("cancelled", 2, 3); c.nodes[leader.name] == nil {
 					c.startNode(leader.name)
 				}
-				c.consistently(40*time.Second, "it does not run", func() bool { return len(c.machinesRunning("job-2/0"))+len(c.machinesRunning("job-3/0")) == 0 })
+				c.consistently(40*time.Second, "it does not run", func() bool { return c.isAbsent("job-2/0", "job-3/0") })
 				if n := c.countReported("cancelled", 2, 3); n != 2 || c.store.CountKeys("job/") != 0 {
 					t.Errorf("%d of 2 are called cancelled; %s", n, c.store)
 				}
@@ -197,7 +197,7 @@
 		})
 		c.startNode("b")
 		c.startWorker("m1", "north")
-		c.eventually(20*time.Second, "the one that waits for nobody runs", func() bool { return c.allRunning("job-1", 1) })
+		c.awaitRunning(20*time.Second, "job-1", 1)
 		time.Sleep(3 * time.Second)
 		c.mu.Lock()
 		defer c.mu.Unlock()
--- a/internal/scenarios/dependencies_test.go
+++ b/internal/scenarios/dependencies_test.go
@@ -42,36 +42,32 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			scenario(t, func(t *testing.T, c *testCluster) {
-				c.startNode("a")
-				c.startNode("b")
-				c.startWorker("m1", "north")
-				c.startWorker("m2", "south")
-				time.Sleep(10 * time.Second)
+				c.startPair()
 				c.submit("a", newJob("job-1", "array", 2))
-				c.submit("b", dependingOn(newJob("job-2", "array", 2), "job-1"))
-				c.submit("a", dependingOn(newJob("job-3", "gang", 2), "job-1", "job-1"))
-				c.submit("b", dependingOn(newJob("job-4", "array", 1), "job-2", "job-3"))
-				c.eventually(5*time.Second, "the first runs", func() bool { return c.allRunning("job-1", 2) })
+				c.submit("b", newJob("job-2", "array", 2).dependingOn("job-1"))
+				c.submit("a", newJob("job-3", "gang", 2).dependingOn("job-1", "job-1"))
+				c.submit("b", newJob("job-4", "array", 1).dependingOn("job-2", "job-3"))
+				c.awaitRunning(5*time.Second, "job-1", 2)
 				c.consistently(4*time.Second, "the others wait", func() bool {
-					return c.bothReport("job-2", "pending") && c.bothReport("job-4", "pending") && len(c.machinesRunning("job-2/0"))+len(c.machinesRunning("job-3/0")) == 0
+					return c.bothReport("job-2", "pending") && c.bothReport("job-4", "pending") && c.isAbsent("job-2/0", "job-3/0")
 				})
 				c.completeJob("job-1")
 				injectFault(c)
 				c.eventually(40*time.Second, "the second stage runs", func() bool { return c.allRunning("job-2", 2) && c.allRunning("job-3", 2) })
 				c.completeJob("job-2")
 				injectFault(c)
-				c.consistently(15*time.Second, "the last waits for both", func() bool { return len(c.machinesRunning("job-4/0")) == 0 })
+				c.consistently(15*time.Second, "the last waits for both", func() bool { return c.isAbsent("job-4/0") })
 				c.completeJob("job-3")
 				injectFault(c)
-				c.eventually(40*time.Second, "the last runs", func() bool { return c.allRunning("job-4", 1) })
+				c.awaitRunning(40*time.Second, "job-4", 1)
 				c.completeJob("job-4")
 				c.eventually(20*time.Second, "all done", func() bool {
 					return c.bothReport("job-1", "done") && c.bothReport("job-2", "done") && c.bothReport("job-3", "done") && c.bothReport("job-4", "done")
 				})
 				// What is submitted when those it awaits are over starts at once.
-				c.submit("a", dependingOn(newJob("job-5", "array", 1), "job-4", "job-1"))
-				c.eventually(15*time.Second, "it runs", func() bool { return c.allRunning("job-5", 1) })
-				if code, out := c.call("b", "POST", "/v2/runs", dependingOn(newJob("job-4", "array", 1), "job-99")); code != 200 || out["status"] != "done" {
+				c.submit("a", newJob("job-5", "array", 1).dependingOn("job-4", "job-1"))
+				c.awaitRunning(15*time.Second, "job-5", 1)
+				if code, out := c.call("b", "POST", "/v2/runs", newJob("job-4", "array", 1).dependingOn("job-99")); code != 200 || out["status"] != "done" {
 					t.Errorf("a repeat of an accepted job got %d %v", code, out)
 				}
 			})
@@ -88,8 +84,8 @@
 		c.startWorker("m1", "north")
 		time.Sleep(10 * time.Second)
 		c.submit("a", newJob("job-1", "array", 1))
-		c.submit("b", dependingOn(newJob("job-2", "array", 1), "job-1"))
-		c.eventually(5*time.Second, "the first runs", func() bool { return c.allRunning("job-1", 1) })
+		c.submit("b", newJob("job-2", "array", 1).dependingOn("job-1"))
+		c.awaitRunning(5*time.Second, "job-1", 1)
 		c.network.SetRule(func(_, _ string, r *http.Request, body []byte) fake.Outcome {
 			if transactionKind(r, body) == "outcome" {
 				return fake.Refuse
@@ -131,7 +127,7 @@
 			if n == 13 {
 				job["awaits"] = []string{"job-13"} // itself was never accepted either
 			}
-			for i, node := range []string{"a", "b"} {
+			for i, node := range nodeNames {
 				code, out := c.call(node, "POST", "/v2/runs", job)
 				if want := test.want; code != want && !(i == 1 && want == 201 && code == 200) {
 					t.Errorf("%s answers %d %v, not %d, to awaits %v", node, code, out, want, job["awaits"])
@@ -140,7 +136,7 @@
 		}
 		c.network.SetRule(nil)
 		c.store.SetDown(true)
-		if code, _ := c.call("a", "POST", "/v2/runs", dependingOn(newJob("job-90", "array", 1), "job-404")); code != 503 {
+		if code, _ := c.call("a", "POST", "/v2/runs", newJob("job-90", "array", 1).dependingOn("job-404")); code != 503 {
 			t.Errorf("what can't be decided now gets %d", code)
 		}
 		c.store.SetDown(false)
@@ -160,7 +156,7 @@
 		for i := range 30 {
 			job := newJob(fmt.Sprintf("job-%d", 100+i), "array", 8)
 			job["dueS"] = 30
-			c.submit("b", dependingOn(job, "job-1"))
+			c.submit("b", job.dependingOn("job-1"))
 		}
 		c.submit("a", newJob("job-2", "array", 7)) // with job-1 all that the team may have
 		c.eventually(5*time.Second, "those that wait for nobody run", func() bool { return c.allRunning("job-1", 1) && c.allRunning("job-2", 7) })
@@ -184,17 +180,17 @@
 			}
 			c.consistently(8*time.Second, "it waits for the last of them", func() bool { return c.bothReport("job-900000", "pending") })
 			c.completeJob(needed[0])
-			c.eventually(15*time.Second, "it runs", func() bool { return c.allRunning("job-900000", 1) })
+			c.awaitRunning(15*time.Second, "job-900000", 1)
 			c.completeJob("job-900000")
-			c.eventually(15*time.Second, "what follows runs", func() bool { return c.allRunning("job-900001", 1) })
+			c.awaitRunning(15*time.Second, "job-900001", 1)
 			c.completeJob("job-900001")
 			c.eventually(15*time.Second, "all are done", func() bool { return c.bothReport("job-900000", "done") && c.bothReport("job-900001", "done") })
 			// Their ends are looked up by a node that remembers none of them.
 			c.nodes["b"].kill()
 			c.startNode("b")
 			c.eventually(10*time.Second, "it answers", func() bool { return c.status("b", needed[0]) == "done" })
-			c.submit("b", dependingOn(newSmallJob("job-900002"), needed...))
-			c.eventually(15*time.Second, "it starts at once", func() bool { return c.allRunning("job-900002", 1) })
+			c.submit("b", newSmallJob("job-900002").dependingOn(needed...))
+			c.awaitRunning(15*time.Second, "job-900002", 1)
 		},
 		"its user cancels it": func(c *testCluster, needed []string) {
 			if status := c.cancelUntilAnswered("job-900000"); status != "cancelled" {
@@ -220,11 +216,7 @@
 		parallelScenario(t, name, func(t *testing.T, c *testCluster) {
 			c.valueLimitKB = 2
 			c.store.SetLimits(2048, 12)
-			c.startNode("a")
-			c.startNode("b")
-			c.startWorker("m1", "north")
-			c.startWorker("m2", "south")
-			time.Sleep(10 * time.Second)
+			c.startPair()
 			needed := c.submitFanIn(newRandomSource(1), 150)
 			c.eventually(20*time.Second, "they run", func() bool {
 				for _, id := range needed {
--- a/internal/scenarios/drain_budget_test.go
+++ b/internal/scenarios/drain_budget_test.go
@@ -100,7 +100,7 @@
 						break
 					}
 				}
-				c.rest(20 * time.Second)
+				c.sleep(20 * time.Second)
 				for len(permitStored) > 0 {
 					<-permitStored
 				}
@@ -118,9 +118,9 @@
 	drainScenario(t, 4, drainOptions{capacity: 40}, func(t *testing.T, c *drainCluster) {
 		c.startService("job-1", 6)
 		for i := range 6 {
-			c.accept(with(newJob(fmt.Sprint("job-", 10+i), "array", 1), "urgency", "low"))
+			c.submitToAny(0, newJob(fmt.Sprint("job-", 10+i), "array", 1).with("urgency", "low"))
 		}
-		c.rest(time.Minute) // low work that has waited for long goes before what is submitted later
+		c.sleep(time.Minute) // low work that has waited for long goes before what is submitted later
 		c.startRollout(newRollout("spring"))
 		c.awaitState("spring", rollout.Ended, 6*time.Minute)
 		c.eventually(time.Minute, "all replicas are up", func() bool { return c.runningCount("job-1") == 6 })
@@ -175,13 +175,13 @@
 	// normal work that can't save runs to its end, or is stopped after the deadline if the
 	// operator chose so; a gang is moved whole.
 	drainScenario(t, 4, drainOptions{capacity: 60}, func(t *testing.T, c *drainCluster) {
-		c.accept(with(newJob("job-1", "array", 4), "urgency", "low"))
-		c.accept(with(with(newJob("job-2", "array", 2), "bookmarkS", 10), "stashS", 1))
-		c.accept(with(with(newJob("job-3", "gang", 2), "bookmarkS", 10), "stashS", 1))
+		c.submitToAny(0, newJob("job-1", "array", 4).with("urgency", "low"))
+		c.submitToAny(0, newJob("job-2", "array", 2).with("bookmarkS", 10).with("stashS", 1))
+		c.submitToAny(0, newJob("job-3", "gang", 2).with("bookmarkS", 10).with("stashS", 1))
 		c.eventually(time.Minute, "all run", func() bool {
 			return c.runningCount("job-1") == 4 && c.runningCount("job-2") == 2 && c.runningCount("job-3") == 2
 		})
-		c.rest(8 * time.Second)
+		c.sleep(8 * time.Second)
 		spec := newRollout("spring")
 		spec.AtDeadline = rollout.StopAtDeadline
 		c.startRollout(spec)
@@ -191,7 +191,7 @@
 		})
 		go c.completeRandomTasks("job-", rand.New(rand.NewPCG(1, 1)))
 		for _, id := range []string{"job-1", "job-2", "job-3"} {
-			c.eventually(2*time.Minute, id+" is done", func() bool { return c.status("b", id) == "done" })
+			c.awaitStatus(2*time.Minute, "b", id, "done")
 		}
 		moved := 0
 		for _, id := range []string{"job-1", "job-2", "job-3"} {
@@ -209,7 +209,7 @@
 		t.Run(string(choice), func(t *testing.T) {
 			t.Parallel()
 			drainScenario(t, 1, drainOptions{capacity: 10}, func(t *testing.T, c *drainCluster) {
-				c.accept(with(newJob("job-1", "array", 2), "yard", "north"))
+				c.submitToAny(0, newJob("job-1", "array", 2).with("yard", "north"))
 				c.eventually(time.Minute, "it runs", func() bool { return c.runningCount("job-1") == 2 })
 				spec := newRollout("spring", c.machinesIn("north")...)
 				spec.AtDeadline, spec.Deadline = choice, 30
--- a/internal/scenarios/drain_cluster_test.go
+++ b/internal/scenarios/drain_cluster_test.go
@@ -60,12 +60,12 @@
 		c.disruption = newDisruptionRule(base.rules, func(rule, what string) { t.Errorf("rule broken: %s: %s", rule, what) }, budget)
 		c.disruption.evictionStored = c.evictionStored
 		base.network.Listen("cloud:1", c.cloud)
-		for _, zone := range []string{"north", "south"} {
+		for _, zone := range zones {
 			c.provision("first-"+zone, zone, machines)
 		}
 		c.cloud.NotifyDeletions(c.terminateMachine)
 		go c.runMachines()
-		for _, name := range drainNodes {
+		for _, name := range fiveNodeNames {
 			c.startNode(name)
 		}
 		c.eventually(30*time.Second, "a leader hears of all machines", func() bool {
@@ -91,29 +91,11 @@
 	return is && evicted == ids.Attempt(attempt)
 }
 
-// The other controllers, as one of them sees them.
-
-// accept submits a job, at another node each time it is told to come back.
-func (c *drainCluster) accept(job map[string]any) {
-	c.t.Helper()
-	for try := range 60 {
-		if code, _ := c.call(drainNodes[try%len(drainNodes)], "POST", "/v2/runs", job); code == 201 || code == 200 {
-			return
-		}
-		time.Sleep(time.Second)
-	}
-	c.t.Fatalf("%v was never accepted", job["uid"])
-}
-
 // startService submits a service and waits until it is up for long enough to count.
 func (c *drainCluster) startService(id string, replicas int, changes ...any) {
 	c.t.Helper()
-	job := newJob(id, "standing", replicas)
-	job["guessS"] = 0
-	for i := 0; i < len(changes); i += 2 {
-		job[changes[i].(string)] = changes[i+1]
-	}
-	c.accept(job)
+	job := newJob(id, "standing", replicas).with("guessS", 0).with(changes...)
+	c.submitToAny(0, job)
 	c.eventually(time.Minute, id+" is up", func() bool { return c.runningCount(id) == replicas })
 	time.Sleep(8 * time.Second)
 }
--- a/internal/scenarios/drain_commands_test.go
+++ b/internal/scenarios/drain_commands_test.go
@@ -69,15 +69,15 @@
 	t.Parallel()
 	for name, prepare := range map[string]func(c *drainCluster){
 		"just started": func(*drainCluster) {},
-		"running":      func(c *drainCluster) { c.rest(15 * time.Second) },
+		"running":      func(c *drainCluster) { c.sleep(15 * time.Second) },
 		"between waves": func(c *drainCluster) {
 			c.eventually(4*time.Minute, "a wave is through", func() bool { return c.rolloutRecord("spring").Done > 0 })
 		},
 		"paused": func(c *drainCluster) {
-			c.rest(5 * time.Second)
+			c.sleep(5 * time.Second)
 			c.execute("spring", rollout.CommandPause)
 			stops := c.disruption.evictionsOf("job-1")
-			c.rest(3 * time.Second)
+			c.sleep(3 * time.Second)
 			if n := c.disruption.evictionsOf("job-1"); n > stops+1 {
 				c.t.Errorf("%d more replicas stopped while paused", n-stops)
 			}
@@ -88,7 +88,7 @@
 		},
 		"aborting": func(c *drainCluster) { c.execute("spring", rollout.CommandAbort) },
 		"the leader has just ended": func(c *drainCluster) {
-			c.rest(8 * time.Second)
+			c.sleep(8 * time.Second)
 			c.stopNode(c.leader().name)
 		},
 	} {
--- a/internal/scenarios/drain_failover_test.go
+++ b/internal/scenarios/drain_failover_test.go
@@ -22,17 +22,17 @@
 	{"it ends", func(c *drainCluster, leader string) { c.stopNode(leader) }},
 	{"it ends and comes back", func(c *drainCluster, leader string) {
 		c.stopNode(leader)
-		c.rest(300 * time.Millisecond)
+		c.sleep(300 * time.Millisecond)
 		c.startNode(leader)
 	}},
 	{"it is cut off from the state service", func(c *drainCluster, leader string) {
 		c.partitionFromStateService(leader)
-		c.rest(20 * time.Second)
+		c.sleep(20 * time.Second)
 		c.network.SetRule(nil)
 	}},
 	{"it is refused by the state service", func(c *drainCluster, leader string) {
 		c.store.RefuseCaller(leader, true)
-		c.rest(15 * time.Second)
+		c.sleep(15 * time.Second)
 		c.store.RefuseCaller(leader, false)
 	}},
 	{"it stands still", func(c *drainCluster, leader string) {
@@ -48,7 +48,7 @@
 			}
 			return fake.Deliver
 		})
-		c.rest(10 * time.Second)
+		c.sleep(10 * time.Second)
 		c.network.SetRule(nil)
 		c.network.ReleaseHeld()
 	}},
@@ -119,9 +119,9 @@
 				if c.ctx.Err() != nil || c.leader() != nil {
 					break
 				}
-				c.rest(time.Second)
+				c.sleep(time.Second)
 			}
-			for _, name := range drainNodes {
+			for _, name := range fiveNodeNames {
 				c.mu.Lock()
 				missing := c.nodes[name] == nil
 				c.mu.Unlock()
--- a/internal/scenarios/drain_failures_test.go
+++ b/internal/scenarios/drain_failures_test.go
@@ -26,31 +26,31 @@
 				}
 				return fake.Deliver
 			})
-			c.rest(40 * time.Second)
+			c.sleep(40 * time.Second)
 			c.network.SetRule(nil)
 		}},
 		{"a spot notice", func(c *drainCluster, machine string) {
 			c.disruption.noteSpotReclaim(machine)
 			c.workerNamed(machine).AnnouncePreemption(20 * time.Second)
-			c.rest(20 * time.Second)
+			c.sleep(20 * time.Second)
 			c.terminateMachine(machine)
 		}},
 		{"it hangs", func(c *drainCluster, machine string) {
 			c.workerNamed(machine).SetHung(true)
-			c.rest(30 * time.Second)
+			c.sleep(30 * time.Second)
 			c.workerNamed(machine).SetHung(false)
 		}},
 		{"the state service is down", func(c *drainCluster, _ string) {
 			c.store.SetDown(true)
-			c.rest(15 * time.Second)
+			c.sleep(15 * time.Second)
 			c.store.SetDown(false)
 		}},
 		{"all controllers are lost", func(c *drainCluster, _ string) {
-			for _, name := range drainNodes {
+			for _, name := range fiveNodeNames {
 				c.stopNode(name)
 			}
-			c.rest(10 * time.Second)
-			for _, name := range drainNodes {
+			c.sleep(10 * time.Second)
+			for _, name := range fiveNodeNames {
 				c.startNode(name)
 			}
 		}},
--- a/internal/scenarios/drain_machines_test.go
+++ b/internal/scenarios/drain_machines_test.go
@@ -31,7 +31,7 @@
 			c.seenMachines[host.Name] = true
 			if boot := c.bootTime(host.Name); boot >= 0 {
 				go func() {
-					c.rest(boot)
+					c.sleep(boot)
 					c.startMachine(host.Name, host.Zone)
 				}()
 			}
@@ -43,25 +43,14 @@
 	}
 }
 
-// rest waits, but not beyond the scenario's end.
-func (c *drainCluster) rest(d time.Duration) {
-	select {
-	case <-time.After(d):
-	case <-c.ctx.Done():
-	}
-}
-
 // startMachine starts a machine's worker.
 func (c *drainCluster) startMachine(name, zone string) {
-	worker := &fake.Worker{Name: name, Address: name + ":9000", Type: "small", Zone: zone, Network: c.network, ControllerNames: drainNodes,
+	worker := &fake.Worker{Name: name, Address: name + ":9000", Type: "small", Zone: zone, Network: c.network, Controllers: apiAddresses(fiveNodeNames), ControllerNames: fiveNodeNames,
 		HeartbeatInterval: 2 * time.Second, LeaseDuration: 20 * time.Second}
 	worker.NotifyEvents(func(event fake.Event) {
 		c.disruption.Event(event)
 		c.notifyListener(event)
 	})
-	for _, node := range drainNodes {
-		worker.Controllers = append(worker.Controllers, node+":8080")
-	}
 	ctx, cancel := context.WithCancel(c.ctx)
 	deleted := slices.Contains(c.cloud.DeletedMachines(), name)
 	c.mu.Lock()
--- a/internal/scenarios/drain_node_test.go
+++ b/internal/scenarios/drain_node_test.go
@@ -2,101 +2,92 @@
 
 import (
 	"context"
-	"encoding/json"
-	"fmt"
 	"time"
 
 	"github.com/pebbletrail/pebbletrail/internal/config"
 	"github.com/pebbletrail/pebbletrail/internal/election"
 	"github.com/pebbletrail/pebbletrail/internal/fleet"
 	"github.com/pebbletrail/pebbletrail/internal/ids"
-	"github.com/pebbletrail/pebbletrail/internal/intake"
 	"github.com/pebbletrail/pebbletrail/internal/record"
 	"github.com/pebbletrail/pebbletrail/internal/rollout"
 	"github.com/pebbletrail/pebbletrail/internal/state"
-	"github.com/pebbletrail/pebbletrail/internal/worker"
 )
 
-// drainNodes are the controllers of scenarios with drains.
-var drainNodes = []string{"a", "b", "c", "d", "e"}
-
-// drainNode is a controller in a cluster with drains.
+// drainNode is a controller in a cluster with rollouts.
 type drainNode struct {
+	*process
+	silentNotifier
 	cluster  *drainCluster
-	name     string
 	elector  *election.Elector
 	rollouts *rollout.Service
-	cancel   context.CancelFunc
 }
 
 // drainSettings are a node's settings.
 func (c *drainCluster) drainSettings(name string) *config.Settings {
-	settings := c.nodeSettings("a")
-	settings.HostName, settings.Peers = ids.Node(name), nil
-	for _, other := range drainNodes {
-		if other != name {
-			settings.Peers = append(settings.Peers, config.Peer{HostName: ids.Node(other)})
-		}
-	}
+	settings := c.fiveNodeSettings(name)
 	if err := settings.ParseFeatures([]byte(c.features)); err != nil {
 		c.t.Fatal(err)
 	}
 	return settings
 }
 
+// startNode starts a controller that carries out rollouts and provisions machines while it leads.
 func (c *drainCluster) startNode(name string) *drainNode {
-	settings := c.drainSettings(name)
-	c.processes++
-	writer := fmt.Sprintf("%s.%d", name, c.processes)
-	ctx, cancel := context.WithCancel(c.ctx)
-	store := state.NewClient("state:1", c.network.Client(name), state.NewBudget(800, 400, 5, 0.6))
-	n := &drainNode{cluster: c, name: name, cancel: cancel}
-	rolloutCache := state.NewWatchCache(store, rollout.Prefix, 200*time.Millisecond)
-	limits := rollout.Limits{ValueBytes: int(settings.Params.State.ValueKB * 1024), TxnOps: settings.Params.State.TxnOps}
-	n.elector = election.NewElector(settings, store, &worker.Commander{HTTP: c.network.Client(name), Timeout: 3 * time.Second}, writer)
+	n := &drainNode{process: c.newProcess(name, c.drainSettings(name), fiveNodeBudget()), cluster: c}
+	rolloutCache := state.NewWatchCache(n.store, rollout.Prefix, 200*time.Millisecond)
+	limits := rollout.Limits{ValueBytes: int(n.settings.Params.State.ValueKB * 1024), TxnOps: n.settings.Params.State.TxnOps}
+	n.elector = election.NewElector(n.settings, n.store, n.commander(), n.writer)
 	n.elector.Peers = n
 	n.elector.OnTerm = func(ctx context.Context, term *election.Term) {
 		term.Cluster.SetMachineTypes(instanceTypes())
-		runner := &rollout.Runner{Mirror: rolloutCache, Store: term.Committer, Fleet: term.Cluster, Writer: writer, Limits: limits}
+		runner := &rollout.Runner{Mirror: rolloutCache, Store: term.Committer, Fleet: term.Cluster, Writer: n.writer, Limits: limits}
 		go runner.Run(ctx)
-		provisioner := &fleet.Provisioner{Cloud: fleet.NewCloud("cloud:1", c.network.Client(name), 20), Cluster: term.Cluster, Store: term.Committer, Generation: term.Generation,
-			Keys: record.KeysOf(0, 1), ConfirmLeadership: func() bool { return n.elector.LeaseSurelyHeld(term) }, ListInterval: 2 * time.Second}
-		provisioner.Adopt(term.OpenHires)
-		provisioner.Run(ctx)
+		n.provision(ctx, term)
 	}
-	n.rollouts = &rollout.Service{Mirror: rolloutCache, Client: store, Leader: n, Writer: writer, Limits: limits,
+	n.rollouts = &rollout.Service{Mirror: rolloutCache, Client: n.store, Leader: n, Writer: n.writer, Limits: limits,
 		Installation: func() rollout.Installation {
-			return rollout.Installation{Zones: settings.Params.Zones, Types: []string{"small"}, Shards: settings.ShardCount()}
+			return rollout.Installation{Zones: n.settings.Params.Zones, Types: []string{"small"}, Shards: n.settings.ShardCount()}
 		}}
-	jobs := &intake.JobService{Settings: settings, Store: store, Records: n.elector.Jobs(), LeaderNotifier: n, Writer: writer, MachineTypes: instanceTypes}
-	c.network.Listen(name+":8080", (&intake.Server{Jobs: jobs, Heartbeats: n.elector, Ready: func() bool { return true },
-		ExplainByLeader: func(context.Context, ids.Job) ([]string, ids.Node, error) { return nil, "", nil },
-		NodeStatus:      func() any { return nil }}).Handler())
+	n.serve(n.elector.Jobs(), n.elector, n)
 	c.mu.Lock()
 	c.nodes[name] = n
 	c.mu.Unlock()
-	go store.ProbeHealth(ctx, record.KeysOf(0, 1).Generation())
-	go rolloutCache.Run(ctx)
-	go n.elector.Run(ctx)
+	go n.store.ProbeHealth(n.ctx, record.KeysOf(0, 1).Generation())
+	go rolloutCache.Run(n.ctx)
+	go n.elector.Run(n.ctx)
 	return n
 }
 
-// stopNode ends a node like a lost process.
+// provision has the leader rent and return machines until its term ends.
+func (n *drainNode) provision(ctx context.Context, term *election.Term) {
+	provisioner := &fleet.Provisioner{
+		Cloud:             fleet.NewCloud("cloud:1", n.cluster.network.Client(n.name), 20),
+		Cluster:           term.Cluster,
+		Store:             term.Committer,
+		Generation:        term.Generation,
+		Keys:              record.KeysOf(0, 1),
+		ConfirmLeadership: func() bool { return n.elector.LeaseSurelyHeld(term) },
+		ListInterval:      2 * time.Second,
+	}
+	provisioner.Adopt(term.OpenHires)
+	provisioner.Run(ctx)
+}
+
+// stopNode ends a node, if it runs, as a lost process does.
 func (c *drainCluster) stopNode(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if n := c.nodes[name]; n != nil {
-		n.cancel()
+		n.crash()
 	}
 	delete(c.nodes, name)
-	c.network.Listen(name+":8080", nil)
 }
 
-// leader is the node that leads; nil if none does.
+// leader returns the node that leads, or nil.
 func (c *drainCluster) leader() *drainNode {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, name := range drainNodes {
+	for _, name := range fiveNodeNames {
 		if n := c.nodes[name]; n != nil && n.elector.Cluster() != nil {
 			return n
 		}
@@ -104,11 +95,11 @@
 	return nil
 }
 
-// follower is a node that is up and does not lead.
+// follower returns a node that runs and does not lead.
 func (c *drainCluster) follower() *drainNode {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, name := range drainNodes {
+	for _, name := range fiveNodeNames {
 		if n := c.nodes[name]; n != nil && n.elector.Cluster() == nil {
 			return n
 		}
@@ -117,6 +108,7 @@
 	return nil
 }
 
+// AllStopped tells whether every other running node can be reached and has been superseded.
 func (n *drainNode) AllStopped(_ context.Context, generation ids.Generation, _ ...ids.Node) bool {
 	n.cluster.mu.Lock()
 	defer n.cluster.mu.Unlock()
@@ -129,20 +121,16 @@
 	return all
 }
 
+// Alone is never true: of five controllers some are always up.
 func (n *drainNode) Alone() bool { return false }
 
+// Served tells whether another node runs.
 func (n *drainNode) Served(node ids.Node) bool {
 	n.cluster.mu.Lock()
 	defer n.cluster.mu.Unlock()
 	return n.cluster.nodes[string(node)] != nil
 }
 
-func (n *drainNode) NotifyLeader(ids.Job, ids.Revision, *record.Record, json.RawMessage) <-chan struct{} {
-	done := make(chan struct{})
-	close(done)
-	return done
-}
-
 // PlanDrain asks the leader for a plan.
 func (n *drainNode) PlanDrain(_ context.Context, spec *rollout.Spec) (*rollout.Preview, error) {
 	leader := n.cluster.leader()
@@ -152,7 +140,7 @@
 	return rollout.NewPreview(spec, leader.elector.Cluster().RolloutPlanner(), time.Now())
 }
 
-// DrainWaits asks the leader what machines wait for.
+// DrainWaits asks the leader what blocks the drain of each machine.
 func (n *drainNode) DrainWaits(context.Context) (map[ids.Machine][]string, error) {
 	leader := n.cluster.leader()
 	if leader == nil {
--- a/internal/scenarios/drain_replacement_test.go
+++ b/internal/scenarios/drain_replacement_test.go
@@ -51,7 +51,7 @@
 			drainScenario(t, 4, drainOptions{capacity: 60}, func(t *testing.T, c *drainCluster) {
 				c.startService("job-1", 6)
 				for i := range 3 {
-					c.accept(with(newJob(fmt.Sprint("job-", 10+i), "array", 1), "urgency", "low"))
+					c.submitToAny(0, newJob(fmt.Sprint("job-", 10+i), "array", 1).with("urgency", "low"))
 				}
 				before := c.machinesIn("north")
 				good := c.bootTime
@@ -63,7 +63,7 @@
 							return failure.boots(name)
 						}
 						go func() {
-							c.rest(12 * time.Second)
+							c.sleep(12 * time.Second)
 							failure.after(c, name)
 						}()
 					}
@@ -101,7 +101,7 @@
 		c.startService("job-1", 2, "cores", 4, "ramGb", 16)
 		go func() {
 			for c.ctx.Err() == nil {
-				c.rest(200 * time.Millisecond)
+				c.sleep(200 * time.Millisecond)
 				if worker := c.workerNamed("host-000003"); worker != nil {
 					for _, task := range worker.ActiveTasks() {
 						worker.EndTask(task, "error")
--- a/internal/scenarios/drain_rollout_test.go
+++ b/internal/scenarios/drain_rollout_test.go
@@ -55,7 +55,7 @@
 
 // rolloutRecord is how a rollout is stored.
 func (c *drainCluster) rolloutRecord(name string) (r rollout.Record) {
-	json.Unmarshal(c.store.Value("rollout/run/"+name), &r)
+	_ = json.Unmarshal(c.store.Value("rollout/run/"+name), &r) // one that is not stored yet has no state
 	return r
 }
 
--- a/internal/scenarios/fault_cluster_test.go
+++ b/internal/scenarios/fault_cluster_test.go
@@ -28,11 +28,11 @@
 		c.setFaults(nil)
 		base.startNode("a")
 		base.startNode("b")
-		for _, node := range []string{"a", "b"} {
+		for _, node := range nodeNames {
 			go func() {
 				for base.ctx.Err() == nil {
 					c.pollJobs(node)
-					c.rest(500 * time.Millisecond)
+					c.sleep(500 * time.Millisecond)
 				}
 			}()
 		}
@@ -40,14 +40,6 @@
 	})
 }
 
-// rest sleeps, at most until the scenario ends.
-func (c *faultCluster) rest(d time.Duration) {
-	select {
-	case <-c.ctx.Done():
-	case <-time.After(d):
-	}
-}
-
 // passTime lets time go by.
 func (c *faultCluster) passTime(d time.Duration) {
 	c.t.Helper()
@@ -99,10 +91,10 @@
 
 // deliverToControllers delivers a copy of a report to every controller.
 func (c *faultCluster) deliverToControllers(report []byte) {
-	for _, node := range []string{"a", "b"} {
+	for _, node := range nodeNames {
 		req, _ := http.NewRequestWithContext(c.ctx, "POST", "http://"+node+":8080/agent/beat", bytes.NewReader(report))
 		if res, err := c.network.Client("late:1").Do(req); err == nil {
-			res.Body.Close()
+			_ = res.Body.Close() // of a response in memory
 		}
 	}
 }
@@ -113,14 +105,14 @@
 	return c.heartbeats[worker][len(c.heartbeats[worker])-1]
 }
 
-func (c *faultCluster) submitJob(node string, job map[string]any) {
+func (c *faultCluster) submitJob(node string, job jobSpec) {
 	c.t.Helper()
 	c.eventually(20*time.Second, "accepted", func() bool {
 		code, _ := c.call(node, "POST", "/v2/runs", job)
 		return code == 200 || code == 201
 	})
 	c.mu.Lock()
-	c.jobs = append(c.jobs, job["uid"].(string))
+	c.jobs = append(c.jobs, job.id())
 	c.mu.Unlock()
 }
 
@@ -170,11 +162,15 @@
 // awaitLeader waits until a node leads, and names it.
 func (c *faultCluster) awaitLeader() *testNode {
 	c.t.Helper()
-	c.eventually(20*time.Second, "a leader", func() bool { return c.leader() != nil })
+	c.awaitAnyLeader(20 * time.Second)
 	return c.leader()
 }
 
-// runs tells whether the first n tasks of a job are on machines.
-func (c *faultCluster) runs(id string, n int) func() bool {
-	return func() bool { return c.allRunning(id, n) }
+// restartLeader kills the leader and starts its node anew after a while.
+func (c *faultCluster) restartLeader(downtime time.Duration) {
+	c.t.Helper()
+	leader := c.awaitLeader()
+	leader.kill()
+	c.passTime(downtime)
+	c.startNode(leader.name)
 }
--- a/internal/scenarios/gang_test.go
+++ b/internal/scenarios/gang_test.go
@@ -10,13 +10,11 @@
 	t.Parallel()
 	scenario(t, func(t *testing.T, c *testCluster) {
 		c.startNode("a")
-		c.startWorker("m1", "north")
-		c.startWorker("m2", "south")
-		time.Sleep(10 * time.Second)
+		c.startWorkers("north", "south")
 		job := newJob("job-9", "gang", 2)
 		job["cores"] = 3
 		c.submit("a", job)
-		c.eventually(3*time.Second, "both tasks are there", func() bool { return len(c.machinesRunning("job-9/0")) == 1 && len(c.machinesRunning("job-9/1")) == 1 })
+		c.eventually(3*time.Second, "both tasks are there", func() bool { return c.isRunning("job-9/0") && c.isRunning("job-9/1") })
 		c.workerNamed("m1").SetTaskStatus("job-9/0", "waiting")
 		c.workerNamed("m1").SetTaskStatus("job-9/1", "waiting")
 		c.workerNamed("m2").SetTaskStatus("job-9/0", "waiting")
@@ -40,22 +38,20 @@
 	for _, status := range []string{"running", "flushing"} {
 		scenario(t, func(t *testing.T, c *testCluster) {
 			c.startNode("a")
-			c.startWorker("m1", "north")
-			c.startWorker("m2", "south")
-			time.Sleep(10 * time.Second)
+			c.startWorkers("north", "south")
 			job := newJob("job-10", "gang", 2)
 			job["cores"] = 3
 			c.submit("a", job)
-			c.eventually(3*time.Second, "both tasks are there", func() bool { return len(c.machinesRunning("job-10/0")) == 1 && len(c.machinesRunning("job-10/1")) == 1 })
+			c.eventually(3*time.Second, "both tasks are there", func() bool { return c.isRunning("job-10/0") && c.isRunning("job-10/1") })
 			lost, remaining := c.workerNamed(c.machinesRunning("job-10/0")[0]), c.workerNamed(c.machinesRunning("job-10/1")[0])
 			remaining.SetTaskStatus("job-10/1", status)
 			time.Sleep(5 * time.Second)
 			c.startWorker("m3", "north")
 			lost.EndTask("job-10/0", "error")
 			// Until the old attempt's other task has ended, no new attempt begins.
-			c.consistently(12*time.Second, "no second attempt beside the first", func() bool { return len(c.machinesRunning("job-10/0")) == 0 })
+			c.consistently(12*time.Second, "no second attempt beside the first", func() bool { return c.isAbsent("job-10/0") })
 			remaining.EndTask("job-10/1", "peers")
-			c.eventually(10*time.Second, "a new attempt of both", func() bool { return len(c.machinesRunning("job-10/0")) == 1 && len(c.machinesRunning("job-10/1")) == 1 })
+			c.eventually(10*time.Second, "a new attempt of both", func() bool { return c.isRunning("job-10/0") && c.isRunning("job-10/1") })
 			for _, worker := range c.workers {
 				for _, start := range worker.Starts {
 					if !strings.HasSuffix(start, "#1") && !strings.HasSuffix(start, "#2") {
--- a/internal/scenarios/job_status_test.go
+++ b/internal/scenarios/job_status_test.go
@@ -16,7 +16,7 @@
 		c.eventually(15*time.Second, "a beat answered", func() bool { return c.store.Value("pool/owner") != nil })
 		time.Sleep(8 * time.Second)
 		c.submit("b", newJob("job-1", "array", 2))
-		c.eventually(3*time.Second, "both tasks started quickly", func() bool { return len(c.machinesRunning("job-1/0")) == 1 && len(c.machinesRunning("job-1/1")) == 1 })
+		c.eventually(3*time.Second, "both tasks started quickly", func() bool { return c.isRunning("job-1/0") && c.isRunning("job-1/1") })
 		c.workerNamed("m1").EndTask("job-1/0", "done")
 		time.Sleep(5 * time.Second)
 		if s := c.status("a", "job-1"); s != "running" {
@@ -29,7 +29,7 @@
 		if code, out := c.call("b", "POST", "/v2/runs", newJob("job-1", "array", 2)); code != 200 || out["status"] != "done" {
 			t.Fatalf("a late repeat got %d %v", code, out)
 		}
-		c.consistently(10*time.Second, "nothing starts again", func() bool { return len(c.machinesRunning("job-1/0")) == 0 })
+		c.consistently(10*time.Second, "nothing starts again", func() bool { return c.isAbsent("job-1/0") })
 	})
 }
 
@@ -40,11 +40,7 @@
 	for seed := range uint64(4) {
 		parallelScenario(t, fmt.Sprint(seed), func(t *testing.T, c *testCluster) {
 			random := newRandomSource(seed)
-			c.startNode("a")
-			c.startNode("b")
-			c.startWorker("m1", "north")
-			c.startWorker("m2", "south")
-			time.Sleep(10 * time.Second)
+			c.startPair()
 			c.setRandomLatency(random)
 			var ids []string
 			var users sync.WaitGroup
@@ -92,11 +88,7 @@
 	for seed := range uint64(4) {
 		parallelScenario(t, fmt.Sprint(seed), func(t *testing.T, c *testCluster) {
 			random := newRandomSource(seed)
-			c.startNode("a")
-			c.startNode("b")
-			c.startWorker("m1", "north")
-			c.startWorker("m2", "south")
-			time.Sleep(10 * time.Second)
+			c.startPair()
 			c.setRandomLatency(random)
 			for round := range 6 {
 				var requests sync.WaitGroup
@@ -154,9 +146,9 @@
 		c.submit("a", newJob("job-1", "array", 1))
 		c.submit("b", newJob("job-2", "standing", 1))
 		c.submit("b", newJob("job-3", "array", 9)) // more than there is room for
-		c.eventually(4*time.Second, "they run", func() bool { return len(c.machinesRunning("job-1/0")) == 1 && len(c.machinesRunning("job-2/0")) == 1 })
+		c.eventually(4*time.Second, "they run", func() bool { return c.isRunning("job-1/0") && c.isRunning("job-2/0") })
 		m1.EndTask("job-1/0", "done")
-		c.eventually(5*time.Second, "done", func() bool { return c.status("a", "job-1") == "done" })
+		c.awaitStatus(5*time.Second, "a", "job-1", "done")
 		if code, _ := c.call("a", "POST", "/v2/runs/job-3/cancel", nil); code != 200 {
 			t.Fatalf("cancel answered %d", code)
 		}
@@ -168,7 +160,7 @@
 		c.startNode("a")
 		c.startNode("b")
 		time.Sleep(30 * time.Second)
-		for _, node := range []string{"a", "b"} {
+		for _, node := range nodeNames {
 			if code, _ := c.call(node, "GET", "/v2/runs/job-2", nil); code != 503 {
 				t.Fatalf("%s answered %d for what it cannot know in the outage", node, code)
 			}
@@ -176,7 +168,7 @@
 		c.store.SetDown(false)
 		want := map[string]string{"job-1": "done", "job-2": "running", "job-3": "cancelled"}
 		c.eventually(20*time.Second, "each node knows each job", func() bool {
-			for _, node := range []string{"a", "b"} {
+			for _, node := range nodeNames {
 				for id, status := range want {
 					if c.status(node, id) != status {
 						return false
@@ -190,7 +182,7 @@
 				t.Errorf("a repeat of %s got %d %v", id, code, out)
 			}
 		}
-		c.consistently(30*time.Second, "the cancelled one stays away", func() bool { return len(c.machinesRunning("job-3/0")) == 0 && c.status("a", "job-3") == "cancelled" })
+		c.consistently(30*time.Second, "the cancelled one stays away", func() bool { return c.isAbsent("job-3/0") && c.status("a", "job-3") == "cancelled" })
 	})
 }
 
@@ -208,7 +200,7 @@
 		c.call("b", "POST", "/v2/runs/job-2/cancel", nil)
 		checkAll := func() {
 			count := 0
-			requireRejected := func(want int, change func(job map[string]any)) {
+			requireRejected := func(want int, change func(job jobSpec)) {
 				count++
 				id := fmt.Sprintf("job-%d", 100+count)
 				job := newJob(id, "array", 1)
@@ -230,23 +222,23 @@
 				}
 			}
 			for field := range newJob("job-9", "array", 1) {
-				requireRejected(400, func(job map[string]any) { delete(job, field) })
-				requireRejected(400, func(job map[string]any) { job[field] = nil })
-				requireRejected(400, func(job map[string]any) { job[field] = []int{1} })
+				requireRejected(400, func(job jobSpec) { delete(job, field) })
+				requireRejected(400, func(job jobSpec) { job[field] = nil })
+				requireRejected(400, func(job jobSpec) { job[field] = []int{1} })
 			}
 			for field, value := range map[string]any{"pieces": 0, "shape": "round", "urgency": "soon", "cores": -1, "dueS": -5, "pullGb": "1"} {
-				requireRejected(400, func(job map[string]any) { job[field] = value })
+				requireRejected(400, func(job jobSpec) { job[field] = value })
 			}
-			requireRejected(400, func(job map[string]any) { job["pieces"] = 1.5 })
-			requireRejected(400, func(job map[string]any) { job["pieces"] = 100001 })
+			requireRejected(400, func(job jobSpec) { job["pieces"] = 1.5 })
+			requireRejected(400, func(job jobSpec) { job["pieces"] = 100001 })
 			for field, value := range map[string]any{"owner": "nobody", "cores": 4.5, "accelerators": 1, "ramGb": 17, "builds": []string{"large"}, "yard": "east"} {
-				requireRejected(422, func(job map[string]any) { job[field] = value })
+				requireRejected(422, func(job jobSpec) { job[field] = value })
 			}
-			requireRejected(422, func(job map[string]any) { job["builds"] = []string{} })
-			requireRejected(422, func(job map[string]any) { job["shape"], job["pieces"] = "gang", 9 })
-			requireRejected(422, func(job map[string]any) { job["shape"], job["pieces"] = "standing", 9 })
+			requireRejected(422, func(job jobSpec) { job["builds"] = []string{} })
+			requireRejected(422, func(job jobSpec) { job["shape"], job["pieces"] = "gang", 9 })
+			requireRejected(422, func(job jobSpec) { job["shape"], job["pieces"] = "standing", 9 })
 		}
-		c.eventually(5*time.Second, "it runs", func() bool { return c.status("b", "job-1") == "running" })
+		c.awaitStatus(5*time.Second, "b", "job-1", "running")
 		checkAll()
 		for _, count := range nodeNames {
 			c.nodes[count].kill()
@@ -268,11 +260,9 @@
 			t.Run(fmt.Sprint(count, delay), func(t *testing.T) {
 				t.Parallel()
 				faultScenario(t, func(t *testing.T, c *faultCluster) {
-					c.startWorker("m1", "north")
-					c.startWorker("m2", "south")
-					time.Sleep(10 * time.Second)
-					c.submitJob("a", sized("job-1", "array", count, 2))
-					c.eventually(5*time.Second, "it runs", c.runs("job-1", count))
+					c.startWorkers("north", "south")
+					c.submitJob("a", newJob("job-1", "array", count).with("cores", 2))
+					c.awaitRunning(5*time.Second, "job-1", count)
 					c.passTime(5 * time.Second)
 					var tasks []string
 					for i := range count {
@@ -282,10 +272,7 @@
 						stale := c.lastHeartbeat(c.machinesRunning(task)[0])
 						c.completeTask(task)
 						c.passTime(delay)
-						leader := c.awaitLeader()
-						leader.kill()
-						c.passTime(400 * time.Millisecond)
-						c.startNode(leader.name)
+						c.restartLeader(400 * time.Millisecond)
 						c.awaitLeader()
 						c.deliverToControllers(stale)
 						c.passTime(25 * time.Second)
--- a/internal/scenarios/jobs_test.go
+++ b/internal/scenarios/jobs_test.go
@@ -6,44 +6,40 @@
 	"time"
 )
 
-// newJob is a job of team red with tasks of one core.
-func newJob(id, shape string, tasks int) map[string]any {
-	return map[string]any{"uid": id, "jobkind": "c", "owner": "red", "shape": shape, "urgency": "normal", "pieces": tasks,
+// jobSpec is what a user submits, by the names of the API's fields. It is a map so that a test can
+// leave a field out or give it a value of the wrong type.
+type jobSpec map[string]any
+
+// newJob describes a job of team red with tasks of one core.
+func newJob(id, shape string, tasks int) jobSpec {
+	return jobSpec{"uid": id, "jobkind": "c", "owner": "red", "shape": shape, "urgency": "normal", "pieces": tasks,
 		"cores": 1, "accelerators": 0, "ramGb": 1, "bundle": "img", "pullGb": 1, "together": false, "spread": false,
 		"loaners": false, "guessS": 10, "bookmarkS": 0, "stashS": 0}
 }
 
-// with changes one field of a submission.
-func with(job map[string]any, field string, value any) map[string]any {
-	job[field] = value
-	return job
+// newSmallJob describes a job with a task so small that hundreds of them run at once.
+func newSmallJob(id string) jobSpec {
+	return newJob(id, "array", 1).with("cores", 0.02, "ramGb", 0.05)
 }
 
-// sized is a spec with tasks of so many cores.
-func sized(id, shape string, tasks int, cores float64) map[string]any {
-	job := newJob(id, shape, tasks)
-	job["cores"] = cores
-	return job
-}
+func (j jobSpec) id() string { return j["uid"].(string) }
 
-// newSmallJob is a job whose task takes so little that hundreds run at once.
-func newSmallJob(id string) map[string]any {
-	job := newJob(id, "array", 1)
-	job["cores"], job["ramGb"] = 0.02, 0.05
-	return job
+// with sets fields, given as names and values in turn, and returns the job itself.
+func (j jobSpec) with(fields ...any) jobSpec {
+	for i := 0; i < len(fields); i += 2 {
+		j[fields[i].(string)] = fields[i+1]
+	}
+	return j
 }
 
-// after is a job's description that awaits others.
-func dependingOn(job map[string]any, jobs ...string) map[string]any {
-	job["awaits"] = jobs
-	return job
-}
+// dependingOn makes the job wait for others, and returns the job itself.
+func (j jobSpec) dependingOn(jobs ...string) jobSpec { return j.with("awaits", jobs) }
 
 // submitChain submits jobs 1 to n, each of which awaits the one before.
 func (c *testCluster) submitChain(n int) {
 	c.submit("a", newJob("job-1", "array", 1))
 	for i := 2; i <= n; i++ {
-		c.submit(nodeNames[i%2], dependingOn(newJob(fmt.Sprintf("job-%d", i), "array", 1), fmt.Sprintf("job-%d", i-1)))
+		c.submit(nodeNames[i%2], newJob(fmt.Sprintf("job-%d", i), "array", 1).dependingOn(fmt.Sprintf("job-%d", i-1)))
 	}
 }
 
@@ -58,8 +54,8 @@
 		}
 		time.Sleep(30 * time.Millisecond)
 	}
-	c.submit("a", dependingOn(newSmallJob("job-900000"), needed...))
-	c.submit("b", dependingOn(newSmallJob("job-900001"), "job-900000"))
+	c.submit("a", newSmallJob("job-900000").dependingOn(needed...))
+	c.submit("b", newSmallJob("job-900001").dependingOn("job-900000"))
 	return needed
 }
 
--- a/internal/scenarios/leadership_test.go
+++ b/internal/scenarios/leadership_test.go
@@ -41,11 +41,11 @@
 	for observed, want := range map[time.Duration]int{5 * time.Second: 0, 30 * time.Second: 1} {
 		scenario(t, func(t *testing.T, c *testCluster) {
 			a := c.startNode("a")
-			c.eventually(5*time.Second, "a owns the pool", func() bool { return a.elector.Cluster() != nil })
+			c.awaitLeadership(5*time.Second, a)
 			b := c.startNode("b")
 			time.Sleep(observed)
 			a.kill()
-			c.eventually(5*time.Second, "b owns the pool", func() bool { return b.elector.Cluster() != nil })
+			c.awaitLeadership(5*time.Second, b)
 			time.Sleep(time.Second)
 			c.mu.Lock()
 			defer c.mu.Unlock()
@@ -63,11 +63,11 @@
 		c.startWorker("m1", "north")
 		time.Sleep(8 * time.Second)
 		c.submit("a", newJob("job-5", "array", 1))
-		c.eventually(3*time.Second, "it runs", func() bool { return len(c.machinesRunning("job-5/0")) == 1 })
+		c.awaitTask(3*time.Second, "job-5/0")
 		c.workerNamed("m1").SetSilent(true)
 		b := c.startNode("b")
 		a.kill()
-		c.eventually(10*time.Second, "b owns the pool", func() bool { return b.elector.Cluster() != nil })
+		c.awaitLeadership(10*time.Second, b)
 		failoverAt := time.Now()
 		c.startNode("a")
 		c.startWorker("m2", "south")
@@ -88,12 +88,12 @@
 		c.startWorker("m1", "north")
 		time.Sleep(10 * time.Second)
 		c.submit("a", newJob("job-15", "standing", 1))
-		c.eventually(3*time.Second, "it runs", func() bool { return len(c.machinesRunning("job-15/0")) == 1 })
+		c.awaitTask(3*time.Second, "job-15/0")
 		a.kill()
 		time.Sleep(100 * time.Millisecond)
 		restarted := c.startNode("a")
-		c.eventually(time.Second, "it owns the pool at once", func() bool { return restarted.elector.Cluster() != nil })
-		c.consistently(30*time.Second, "the replica goes on", func() bool { return len(c.machinesRunning("job-15/0")) == 1 })
+		c.awaitLeadership(time.Second, restarted)
+		c.consistently(30*time.Second, "the replica goes on", func() bool { return c.isRunning("job-15/0") })
 		if n := c.workerNamed("m1").StartCount("job-15/0"); n != 1 {
 			t.Fatalf("started %d times", n)
 		}
@@ -125,7 +125,7 @@
 		successor.elector.ReceiveHints(leader.elector.Cluster().Hints(successor.elector.HintPosition()))
 		c.workerNamed("m1").SetSilent(true) // so that only being asked tells of it
 		leader.kill()
-		c.eventually(5*time.Second, "a successor", func() bool { return successor.elector.Cluster() != nil })
+		c.awaitLeadership(5*time.Second, successor)
 		c.eventually(2*time.Second, "m1 is known", func() bool { return knownMachines(successor) == 1 })
 	})
 }
@@ -136,13 +136,9 @@
 	// writes on their way: a successor works meanwhile, then they arrive.
 	scenario(t, func(t *testing.T, c *testCluster) {
 		c.inCloudList = true
-		c.startNode("a")
-		c.startNode("b")
-		c.startWorker("m1", "north")
-		c.startWorker("m2", "south")
-		time.Sleep(10 * time.Second)
+		c.startPair()
 		stalled := c.leader()
-		successor := map[string]string{"a": "b", "b": "a"}[stalled.name]
+		successor := otherNode(stalled.name)
 		c.network.SetRule(func(from, _ string, _ *http.Request, body []byte) fake.Outcome {
 			if from == stalled.name && strings.Contains(string(body), `"verb":"start"`) {
 				return fake.HoldBack // the start, as the leader stops
@@ -161,16 +157,16 @@
 		c.eventually(8*time.Second, "a successor", func() bool {
 			return c.nodes[successor].elector.Cluster() != nil
 		})
-		c.eventually(30*time.Second, "the job runs", func() bool { return len(c.machinesRunning("job-1/0")) == 1 })
+		c.awaitTask(30*time.Second, "job-1/0")
 		c.submit(successor, newJob("job-2", "array", 3))
-		c.eventually(5*time.Second, "new work runs", func() bool { return c.allRunning("job-2", 3) })
+		c.awaitRunning(5*time.Second, "job-2", 3)
 		time.Sleep(12 * time.Second)
 		c.network.SetRule(nil)
 		if c.network.ReleaseHeld() == 0 {
 			t.Fatal("nothing was held back")
 		}
-		c.eventually(3*time.Second, "the old owner knows", func() bool { return stalled.elector.Cluster() == nil })
-		c.consistently(25*time.Second, "what runs goes on", func() bool { return c.allRunning("job-2", 3) && len(c.machinesRunning("job-1/0")) == 1 })
+		c.awaitStepDown(3*time.Second, stalled)
+		c.consistently(25*time.Second, "what runs goes on", func() bool { return c.allRunning("job-2", 3) && c.isRunning("job-1/0") })
 		c.requireStartedOnce("job-1/0", "job-2/0", "job-2/1", "job-2/2")
 	})
 }
@@ -179,7 +175,7 @@
 	t.Parallel()
 	scenario(t, func(t *testing.T, c *testCluster) {
 		a := c.startNode("a")
-		c.eventually(5*time.Second, "a owns the pool", func() bool { return a.elector.Cluster() != nil })
+		c.awaitLeadership(5*time.Second, a)
 		c.startWorker("m1", "north")
 		time.Sleep(8 * time.Second)
 		b := c.startNode("b")
@@ -198,14 +194,14 @@
 			return fake.Deliver
 		})
 		c.submit("b", newJob("job-2", "array", 1))
-		c.eventually(15*time.Second, "b takes over", func() bool { return b.elector.Cluster() != nil })
-		c.eventually(60*time.Second, "the task runs under b", func() bool { return len(c.machinesRunning("job-2/0")) == 1 })
+		c.awaitLeadership(15*time.Second, b)
+		c.awaitTask(60*time.Second, "job-2/0")
 		if n := c.network.ReleaseHeld(); n > 0 {
 			t.Logf("%d late transactions delivered", n)
 		}
-		c.consistently(20*time.Second, "the task goes on undisturbed", func() bool { return len(c.machinesRunning("job-2/0")) == 1 })
+		c.consistently(20*time.Second, "the task goes on undisturbed", func() bool { return c.isRunning("job-2/0") })
 		c.network.SetRule(nil)
-		c.eventually(10*time.Second, "a steps down", func() bool { return a.elector.Cluster() == nil })
+		c.awaitStepDown(10*time.Second, a)
 		if n := c.workerNamed("m1").StartCount("job-2/0"); n != 1 {
 			t.Fatalf("started %d times", n)
 		}
--- a/internal/scenarios/partition_test.go
+++ b/internal/scenarios/partition_test.go
@@ -17,15 +17,11 @@
 	for kind, outcome := range map[string]fake.Outcome{"reset": fake.Refuse, "silence": fake.Drop, "held back": fake.HoldBack} {
 		scenario(t, func(t *testing.T, c *testCluster) {
 			c.inCloudList = true
-			c.startNode("a")
-			c.startNode("b")
-			c.startWorker("m1", "north")
-			c.startWorker("m2", "south")
-			time.Sleep(10 * time.Second)
+			c.startPair()
 			c.submit("a", newJob("job-1", "standing", 4))
-			c.eventually(4*time.Second, "it runs", func() bool { return c.allRunning("job-1", 4) })
+			c.awaitRunning(4*time.Second, "job-1", 4)
 			isolated := c.leader()
-			successor := map[string]string{"a": "b", "b": "a"}[isolated.name]
+			successor := otherNode(isolated.name)
 			generation := isolated.elector.Cluster().Generation()
 			c.network.SetRule(func(from, to string, _ *http.Request, _ []byte) fake.Outcome {
 				if from == isolated.name || strings.HasPrefix(to, isolated.name+":") {
@@ -33,16 +29,16 @@
 				}
 				return fake.Deliver
 			})
-			c.eventually(4*time.Second, "a successor", func() bool { return c.nodes[successor].elector.Cluster() != nil })
+			c.awaitLeadership(4*time.Second, c.nodes[successor])
 			c.eventually(4*time.Second, "it takes work", func() bool {
 				code, _ := c.call(successor, "POST", "/v2/runs", newJob("job-2", "array", 2))
 				return code == 201 || code == 200
 			})
-			c.eventually(20*time.Second, "new work runs", func() bool { return c.allRunning("job-2", 2) })
+			c.awaitRunning(20*time.Second, "job-2", 2)
 			c.consistently(70*time.Second, "all goes on", func() bool { return c.allRunning("job-1", 4) && c.allRunning("job-2", 2) })
 			c.network.SetRule(nil)
 			c.network.ReleaseHeld()
-			c.eventually(3*time.Second, "the old owner follows", func() bool { return isolated.elector.Cluster() == nil })
+			c.awaitStepDown(3*time.Second, isolated)
 			c.consistently(25*time.Second, "one change of owner, and all goes on", func() bool {
 				cluster := c.nodes[successor].elector.Cluster()
 				return cluster != nil && cluster.Generation() <= generation+2 && c.allRunning("job-1", 4) && c.allRunning("job-2", 2)
@@ -74,9 +70,9 @@
 		spread := newJob("job-1", "standing", 4)
 		spread["spread"], spread["urgency"] = true, "critical"
 		c.submit("a", spread)
-		c.eventually(5*time.Second, "replicas run", func() bool { return c.allRunning("job-1", 4) })
+		c.awaitRunning(5*time.Second, "job-1", 4)
 		c.submit("b", newJob("job-2", "array", 4))
-		c.eventually(5*time.Second, "tasks run", func() bool { return c.allRunning("job-2", 4) })
+		c.awaitRunning(5*time.Second, "job-2", 4)
 		var north []string
 		for _, worker := range c.workers[:2] {
 			north = append(north, worker.ActiveTasks()...)
@@ -98,7 +94,7 @@
 		c.startNode(leader.name)
 		c.consistently(32*time.Second, "work in the other zone goes on", func() bool {
 			for _, task := range north {
-				if len(c.machinesRunning(task)) == 0 {
+				if c.isAbsent(task) {
 					return false
 				}
 			}
@@ -108,7 +104,7 @@
 		if c.network.ReleaseHeld() < 10 {
 			t.Fatal("nothing was held back")
 		}
-		c.eventually(30*time.Second, "all replicas run again", func() bool { return c.allRunning("job-1", 4) })
+		c.awaitRunning(30*time.Second, "job-1", 4)
 		for _, job := range []string{"job-2", "job-3"} {
 			c.eventually(90*time.Second, job+" runs", func() bool {
 				for _, worker := range c.workers {
@@ -130,13 +126,9 @@
 	// The controllers refuse one another all the while.
 	scenario(t, func(t *testing.T, c *testCluster) {
 		c.inCloudList = true
-		c.startNode("a")
-		c.startNode("b")
-		c.startWorker("m1", "north")
-		c.startWorker("m2", "south")
-		time.Sleep(10 * time.Second)
+		c.startPair()
 		c.submit("b", newJob("job-1", "standing", 4))
-		c.eventually(5*time.Second, "replicas run", func() bool { return c.allRunning("job-1", 4) })
+		c.awaitRunning(5*time.Second, "job-1", 4)
 		partition := func(node string, hosts ...string) {
 			c.network.SetRule(func(from, to string, _ *http.Request, _ []byte) fake.Outcome {
 				if isBetween(from, to, "a", "b") {
@@ -152,11 +144,11 @@
 		}
 		first := c.leader()
 		partition(first.name, "state")
-		successor := map[string]string{"a": "b", "b": "a"}[first.name]
-		c.eventually(6*time.Second, "the other owns the pool", func() bool { return c.nodes[successor].elector.Cluster() != nil })
+		successor := otherNode(first.name)
+		c.awaitLeadership(6*time.Second, c.nodes[successor])
 		c.consistently(30*time.Second, "replicas go on", func() bool { return c.allRunning("job-1", 4) })
 		c.submit(successor, newJob("job-2", "array", 2))
-		c.eventually(6*time.Second, "new work runs", func() bool { return c.allRunning("job-2", 2) })
+		c.awaitRunning(6*time.Second, "job-2", 2)
 		c.network.SetRule(nil)
 		c.network.ReleaseHeld()
 		time.Sleep(5 * time.Second)
@@ -187,7 +179,7 @@
 		}
 		time.Sleep(10 * time.Second)
 		c.submit("a", newJob("job-19", "standing", 4))
-		c.eventually(3*time.Second, "it runs", func() bool { return len(c.machinesRunning("job-19/3")) == 1 })
+		c.awaitTask(3*time.Second, "job-19/3")
 		c.network.SetRule(func(from, to string, r *http.Request, body []byte) fake.Outcome {
 			if strings.HasPrefix(from, "m") && to == leader.name+":8080" || from == leader.name && strings.HasPrefix(to, "m") {
 				return fake.Drop
@@ -205,7 +197,7 @@
 			return successor.elector.Cluster() != nil
 		})
 		t.Logf("gave way %v after the cut", time.Since(partitionedAt))
-		c.consistently(40*time.Second, "the replicas go on", func() bool { return len(c.machinesRunning("job-19/3")) == 1 })
+		c.consistently(40*time.Second, "the replicas go on", func() bool { return c.isRunning("job-19/3") })
 		for _, worker := range c.workers {
 			if worker.StartCount("job-19/3") > 1 {
 				t.Fatal("restarted")
@@ -221,7 +213,7 @@
 		m1 := c.startWorker("m1", "north")
 		time.Sleep(8 * time.Second)
 		c.submit("a", newJob("job-4", "array", 1))
-		c.eventually(3*time.Second, "it runs", func() bool { return len(c.machinesRunning("job-4/0")) == 1 })
+		c.awaitTask(3*time.Second, "job-4/0")
 		// m1 and a are cut off together: a goes on answering m1.
 		c.network.SetRule(func(from, to string, r *http.Request, body []byte) fake.Outcome {
 			inside := func(host string) bool { return host == "a" || host == "a:8080" || strings.HasPrefix(host, "m1") }
@@ -232,7 +224,7 @@
 		})
 		b := c.startNode("b")
 		c.startWorker("m2", "south")
-		c.eventually(15*time.Second, "b owns the pool", func() bool { return b.elector.Cluster() != nil })
+		c.awaitLeadership(15*time.Second, b)
 		failoverAt := time.Now()
 		// While a still answers, the task is on m1 and must not start on m2.
 		c.eventually(3*time.Minute, "it runs on m2", func() bool {
@@ -267,10 +259,10 @@
 		c.startWorker("m1", "north")
 		c.eventually(5*time.Second, "the owner found it", func() bool { return c.leader().elector.Cluster().Summary()["heard"] == 1 })
 		c.submit("a", newJob("job-1", "array", 1))
-		c.eventually(3*time.Second, "it runs", func() bool { return len(c.machinesRunning("job-1/0")) == 1 })
+		c.awaitTask(3*time.Second, "job-1/0")
 		c.startWorker("m2", "north")
 		c.consistently(12*time.Second, "once, until the worker's lease ends", func() bool {
-			return len(c.machinesRunning("job-1/0")) == 1 && c.workerNamed("m2").StartCount("job-1/0") == 0
+			return c.isRunning("job-1/0") && c.workerNamed("m2").StartCount("job-1/0") == 0
 		})
 		c.eventually(25*time.Second, "then elsewhere", func() bool { return c.workerNamed("m2").StartCount("job-1/0") == 1 })
 	})
@@ -286,16 +278,13 @@
 			t.Run(kind+fmt.Sprint(len(machines)), func(t *testing.T) {
 				t.Parallel()
 				faultScenario(t, func(t *testing.T, c *faultCluster) {
-					for i, zone := range []string{"north", "south", "south"} {
-						c.startWorker(fmt.Sprintf("m%d", i+1), zone)
-					}
-					time.Sleep(10 * time.Second)
+					c.startWorkers("north", "south", "south")
 					c.submitJob("a", newJob("job-1", "array", 4))
 					c.submitJob("b", newJob("job-2", "standing", 4))
 					c.eventually(6*time.Second, "they run", func() bool { return c.allRunning("job-1", 4) && c.allRunning("job-2", 4) })
 					c.passTime(5 * time.Second)
 					leader := c.awaitLeader()
-					other := map[string]string{"a": "b", "b": "a"}[leader.name]
+					other := otherNode(leader.name)
 					c.partition(kind, machines...)
 					c.passTime(time.Second)
 					leader.kill()
--- a/internal/scenarios/random_faults_test.go
+++ b/internal/scenarios/random_faults_test.go
@@ -25,13 +25,13 @@
 			c.startNode("b")
 			machines := []string{"m1", "m2", "m3", "m4"}
 			for i, machine := range machines {
-				c.startWorker(machine, []string{"north", "south"}[i%2])
+				c.startWorker(machine, zones[i%2])
 			}
 			time.Sleep(10 * time.Second)
 			c.setRandomLatency(random)
 			c.network.SetDelay(func() time.Duration { return random.milliseconds(2000, 12000) })
 			c.submit("a", newJob("job-90", "array", 1))
-			c.submit("b", dependingOn(newJob("job-91", "array", 1), "job-90"))
+			c.submit("b", newJob("job-91", "array", 1).dependingOn("job-90"))
 			var mu sync.Mutex
 			rules := map[int]fake.Rule{}
 			c.network.SetRule(func(from, to string, r *http.Request, body []byte) fake.Outcome {
@@ -122,7 +122,7 @@
 				})
 			}
 			var ids []string
-			var specs []map[string]any
+			var specs []jobSpec
 			for i := range 40 {
 				id := fmt.Sprintf("job-%d", i+1)
 				ids = append(ids, id)
@@ -132,7 +132,7 @@
 					job["yard"] = "north"
 				}
 				if i%7 < 2 {
-					dependingOn(job, []string{"job-90", "job-91"}[i%7])
+					job.dependingOn([]string{"job-90", "job-91"}[i%7])
 				}
 				specs = append(specs, job)
 				users.Go(func() {
--- a/internal/scenarios/random_test.go
+++ b/internal/scenarios/random_test.go
@@ -26,4 +26,4 @@
 	return time.Duration(low+random.intn(high-low+1)) * time.Millisecond
 }
 
-func (random *randomSource) node() string { return []string{"a", "b"}[random.intn(2)] }
+func (random *randomSource) node() string { return nodeNames[random.intn(2)] }
--- a/internal/scenarios/record_limits_test.go
+++ b/internal/scenarios/record_limits_test.go
@@ -49,7 +49,7 @@
 	c.upcomingLimits = lowerLimits
 	c.startNode("a")
 	c.startNode("b")
-	c.eventually(10*time.Second, "a new leader", func() bool { return c.leader() != nil })
+	c.awaitAnyLeader(10 * time.Second)
 }
 
 func TestCancellationIsStoredWhenRecordExceedsLimits(t *testing.T) {
@@ -93,7 +93,7 @@
 		t.Run(name, func(t *testing.T) {
 			scenario(t, func(t *testing.T, c *testCluster) {
 				storeLargeRecord(t, c, "job-1")
-				c.submit("b", dependingOn(newJob("job-2", "array", 1), "job-1"))
+				c.submit("b", newJob("job-2", "array", 1).dependingOn("job-1"))
 				if test.fallen {
 					c.store.SetLimits(lowerValueBytes, lowerTxnOps)
 				}
@@ -110,7 +110,7 @@
 					return c.isReportedAs("job-1", "cancelled") && c.isReportedAs("job-2", "cancelled")
 				})
 				c.eventually(10*time.Second, "a job that names it ends with it", func() bool {
-					_, out := c.call("b", "POST", "/v2/runs", dependingOn(newJob("job-3", "array", 1), "job-1"))
+					_, out := c.call("b", "POST", "/v2/runs", newJob("job-3", "array", 1).dependingOn("job-1"))
 					return out["status"] == "cancelled" || c.isReportedAs("job-3", "cancelled")
 				})
 				c.eventually(40*time.Second, "nothing of it is left", func() bool { return c.store.CountKeys("job/") == 0 })
@@ -150,7 +150,7 @@
 				storeLargeRecord(t, c, "job-1")
 				c.store.SetLimits(800, lowerTxnOps)
 				c.upcomingLimits = "\n[params.state.next]\nvalue_kb = 0.78\ntxn_ops = 4\n"
-				for _, name := range []string{"a", "b"} {
+				for _, name := range nodeNames {
 					c.nodes[name].kill()
 				}
 				c.startNode("a")
--- a/internal/scenarios/restart_test.go
+++ b/internal/scenarios/restart_test.go
@@ -13,20 +13,16 @@
 	t.Parallel()
 	// The leader; the candidate in the middle of its takeover; all at once.
 	scenario(t, func(t *testing.T, c *testCluster) {
-		c.startNode("a")
-		c.startNode("b")
-		c.startWorker("m1", "north")
-		c.startWorker("m2", "south")
-		time.Sleep(10 * time.Second)
+		c.startPair()
 		c.submit("a", newJob("job-1", "standing", 4))
-		c.eventually(4*time.Second, "it runs", func() bool { return len(c.machinesRunning("job-1/3")) == 1 })
+		c.awaitTask(4*time.Second, "job-1/3")
 		restart := func(n *testNode) {
 			n.kill()
 			time.Sleep(150 * time.Millisecond)
 			c.startNode(n.name)
 		}
 		awaitStableLeader := func() {
-			c.eventually(10*time.Second, "an owner", func() bool { return c.leader() != nil })
+			c.awaitAnyLeader(10 * time.Second)
 			time.Sleep(6 * time.Second)
 		}
 		restart(c.leader())
@@ -34,7 +30,7 @@
 		leader := c.leader()
 		leader.kill()
 		// The other takes over about a hold's life later, and ends right then.
-		c.eventually(5*time.Second, "a takeover", func() bool { return c.leader() != nil })
+		c.awaitAnyLeader(5 * time.Second)
 		restart(c.leader())
 		time.Sleep(100 * time.Millisecond)
 		c.startNode(leader.name)
@@ -46,10 +42,10 @@
 		c.startNode("b")
 		awaitStableLeader()
 		c.submit("b", newJob("job-2", "array", 2))
-		c.eventually(5*time.Second, "new work runs", func() bool { return len(c.machinesRunning("job-2/1")) == 1 })
+		c.awaitTask(5*time.Second, "job-2/1")
 		for _, task := range []string{"job-1/0", "job-1/1", "job-1/2", "job-1/3"} {
 			n := c.workerNamed("m1").StartCount(task) + c.workerNamed("m2").StartCount(task)
-			if n != 1 || len(c.machinesRunning(task)) != 1 {
+			if n != 1 || !c.isRunning(task) {
 				t.Errorf("%s was started %d times and is on %v", task, n, c.machinesRunning(task))
 			}
 		}
@@ -88,12 +84,12 @@
 			worker.EndTask("job-1/1", "done")
 		}
 		c.eventually(8*time.Second, "done and cancelled", func() bool {
-			return c.status("a", "job-1") == "done" && c.status("b", "job-3") == "cancelled" && len(c.machinesRunning("job-3/0")) == 0
+			return c.status("a", "job-1") == "done" && c.status("b", "job-3") == "cancelled" && c.isAbsent("job-3/0")
 		})
 		time.Sleep(8 * time.Second)
 		c.network.SetRule(nil)
 		restartBoth := func() {
-			for _, name := range []string{"a", "b"} {
+			for _, name := range nodeNames {
 				if node := c.nodes[name]; node != nil {
 					node.kill()
 				}
@@ -110,7 +106,7 @@
 			t.Fatal("no copies were kept")
 		}
 		m1.SetSilent(false)
-		c.eventually(10*time.Second, "an owner", func() bool { return c.leader() != nil })
+		c.awaitAnyLeader(10 * time.Second)
 		want := map[string]string{"job-1": "done", "job-2": "running", "job-3": "cancelled"}
 		c.eventually(20*time.Second, "each node knows each job", func() bool {
 			for id, status := range want {
@@ -121,7 +117,7 @@
 			return true
 		})
 		c.consistently(30*time.Second, "nothing old begins, nothing stops", func() bool {
-			return c.allRunning("job-2", 2) && len(c.machinesRunning("job-1/0"))+len(c.machinesRunning("job-1/1"))+len(c.machinesRunning("job-3/0"))+len(c.machinesRunning("job-3/1")) == 0
+			return c.allRunning("job-2", 2) && c.isAbsent("job-1/0", "job-1/1", "job-3/0", "job-3/1")
 		})
 		c.requireStartedOnce("job-1/0", "job-1/1", "job-2/0", "job-2/1", "job-3/0", "job-3/1")
 	})
@@ -135,7 +131,7 @@
 		time.Sleep(10 * time.Second)
 		c.submit("a", newJob("job-6", "standing", 1))
 		c.submit("a", newJob("job-7", "array", 1))
-		c.eventually(3*time.Second, "both run", func() bool { return len(c.machinesRunning("job-6/0")) == 1 && len(c.machinesRunning("job-7/0")) == 1 })
+		c.eventually(3*time.Second, "both run", func() bool { return c.isRunning("job-6/0") && c.isRunning("job-7/0") })
 		c.store.SetDown(true)
 		time.Sleep(8 * time.Second)
 		a.kill()
@@ -149,8 +145,8 @@
 		c.workerNamed("m1").EndTask("job-7/0", "done")
 		time.Sleep(2 * time.Second)
 		c.store.SetDown(false)
-		c.eventually(12*time.Second, "the outcome is told", func() bool { return c.status("a", "job-7") == "done" })
-		c.consistently(10*time.Second, "the replica went on", func() bool { return len(c.machinesRunning("job-6/0")) == 1 })
+		c.awaitStatus(12*time.Second, "a", "job-7", "done")
+		c.consistently(10*time.Second, "the replica went on", func() bool { return c.isRunning("job-6/0") })
 		if n := c.workerNamed("m1").StartCount("job-6/0"); n != 1 {
 			t.Fatalf("the replica was started %d times", n)
 		}
@@ -166,7 +162,7 @@
 		m1 := c.startWorker("m1", "north")
 		time.Sleep(10 * time.Second)
 		c.submit("a", newJob("job-1", "array", 1))
-		c.eventually(4*time.Second, "it runs", func() bool { return len(c.machinesRunning("job-1/0")) == 1 })
+		c.awaitTask(4*time.Second, "job-1/0")
 		time.Sleep(5 * time.Second)
 		m1.SetSilent(true)
 		m1.EndTask("job-1/0", "error") // it went with the machine
@@ -174,8 +170,8 @@
 		time.Sleep(200 * time.Millisecond)
 		c.startWorker("m1", "north")
 		c.startWorker("m2", "south")
-		c.eventually(60*time.Second, "it runs again", func() bool { return len(c.machinesRunning("job-1/0")) == 1 })
-		c.consistently(20*time.Second, "once", func() bool { return len(c.machinesRunning("job-1/0")) == 1 })
+		c.awaitTask(60*time.Second, "job-1/0")
+		c.consistently(20*time.Second, "once", func() bool { return c.isRunning("job-1/0") })
 	})
 }
 
@@ -188,9 +184,7 @@
 			t.Run(fmt.Sprint(downtime, pattern), func(t *testing.T) {
 				t.Parallel()
 				faultScenario(t, func(t *testing.T, c *faultCluster) {
-					c.startWorker("m1", "north")
-					c.startWorker("m2", "south")
-					time.Sleep(10 * time.Second)
+					c.startWorkers("north", "south")
 					c.submitJob("a", newJob("job-1", "standing", 4))
 					c.submitJob("b", newJob("job-2", "array", 2))
 					c.eventually(6*time.Second, "they run", func() bool { return c.allRunning("job-1", 4) && c.allRunning("job-2", 2) })
@@ -204,7 +198,7 @@
 							leader.kill()
 							down = append(down, leader.name)
 						} else if pattern != "outage" {
-							for _, name := range []string{"a", "b"} {
+							for _, name := range nodeNames {
 								if node := c.nodes[name]; node != nil {
 									node.kill()
 									down = append(down, name)
@@ -213,7 +207,7 @@
 						}
 						c.passTime(downtime)
 						if pattern == "away" && i == 5 {
-							for _, name := range []string{"a", "b"} {
+							for _, name := range nodeNames {
 								if node := c.nodes[name]; node != nil {
 									node.kill()
 									down = append(down, name)
@@ -227,7 +221,7 @@
 						c.passTime(11 * time.Second)
 					}
 					c.store.SetDown(false)
-					c.eventually(60*time.Second, "replicas run", c.runs("job-1", 4))
+					c.awaitRunning(60*time.Second, "job-1", 4)
 					if pattern == "one" && downtime < time.Second {
 						c.requireStartedOnce("job-1/0", "job-1/1", "job-1/2", "job-1/3", "job-2/0", "job-2/1")
 					}
--- a/internal/scenarios/scheduling_test.go
+++ b/internal/scenarios/scheduling_test.go
@@ -20,17 +20,17 @@
 		job := newJob("job-12", "array", 2) // the team's limit is 8 cores
 		job["cores"] = 4
 		c.submit("a", job)
-		c.eventually(3*time.Second, "one runs", func() bool { return len(c.machinesRunning("job-12/0")) == 1 })
+		c.awaitTask(3*time.Second, "job-12/0")
 		c.workerNamed("m1").SetSilent(true)
 		c.startWorker("m2", "south")
 		c.startWorker("m3", "south")
-		c.eventually(10*time.Second, "the other runs", func() bool { return len(c.machinesRunning("job-12/1")) == 1 })
+		c.awaitTask(10*time.Second, "job-12/1")
 		job = newJob("job-13", "array", 1)
 		job["cores"] = 4
 		c.submit("a", job)
 		// m1 is silent: its task may be there until the lease has lapsed.
-		c.consistently(10*time.Second, "no third task of four cores", func() bool { return len(c.machinesRunning("job-13/0")) == 0 })
-		c.eventually(40*time.Second, "all is known again", func() bool { return len(c.machinesRunning("job-12/0")) == 1 && len(c.machinesRunning("job-12/1")) == 1 })
+		c.consistently(10*time.Second, "no third task of four cores", func() bool { return c.isAbsent("job-13/0") })
+		c.eventually(40*time.Second, "all is known again", func() bool { return c.isRunning("job-12/0") && c.isRunning("job-12/1") })
 	})
 }
 
@@ -46,7 +46,7 @@
 		c.submit("a", job)
 		c.consistently(10*time.Second, "only one replica in the one zone", func() bool { return len(c.machinesRunning("job-16/0"))+len(c.machinesRunning("job-16/1")) <= 1 })
 		c.startWorker("m3", "south")
-		c.eventually(10*time.Second, "the other follows", func() bool { return len(c.machinesRunning("job-16/0")) == 1 && len(c.machinesRunning("job-16/1")) == 1 })
+		c.eventually(10*time.Second, "the other follows", func() bool { return c.isRunning("job-16/0") && c.isRunning("job-16/1") })
 	})
 }
 
@@ -59,11 +59,11 @@
 		time.Sleep(10 * time.Second)
 		job := newJob("job-17", "standing", 1)
 		c.submit("a", job)
-		c.eventually(3*time.Second, "it runs", func() bool { return len(c.machinesRunning("job-17/0")) == 1 })
+		c.awaitTask(3*time.Second, "job-17/0")
 		machine := c.machinesRunning("job-17/0")[0]
 		// The image must be on the other machine too, or nothing moves there.
 		c.submit("a", newJob("job-18", "array", 8))
-		c.eventually(3*time.Second, "arrays run", func() bool { return len(c.machinesRunning("job-18/0")) == 1 })
+		c.awaitTask(3*time.Second, "job-18/0")
 		time.Sleep(3 * time.Second)
 		for i := range 8 {
 			for _, worker := range c.workers {
@@ -74,7 +74,7 @@
 		c.store.SetDown(true)
 		time.Sleep(2 * time.Second)
 		c.nodes["a"].elector.Cluster().Consolidate(ids.Machine(machine), time.Now())
-		c.consistently(10*time.Second, "not moved while nothing can be stored", func() bool { return len(c.machinesRunning("job-17/0")) == 1 })
+		c.consistently(10*time.Second, "not moved while nothing can be stored", func() bool { return c.isRunning("job-17/0") })
 		c.store.SetDown(false)
 		c.eventually(10*time.Second, "moved afterwards", func() bool {
 			machines := c.machinesRunning("job-17/0")
@@ -92,21 +92,15 @@
 			t.Run(kind+shape, func(t *testing.T) {
 				t.Parallel()
 				faultScenario(t, func(t *testing.T, c *faultCluster) {
-					for i, zone := range []string{"north", "north", "south", "south"} {
-						c.startWorker(fmt.Sprintf("m%d", i+1), zone)
-					}
-					time.Sleep(10 * time.Second)
-					job := sized("job-1", shape, 4, 2)
+					c.startWorkers("north", "north", "south", "south")
+					job := newJob("job-1", shape, 4).with("cores", 2)
 					job["yard"] = "north"
 					c.submitJob("a", job)
-					c.eventually(6*time.Second, "it runs", c.runs("job-1", 4))
+					c.awaitRunning(6*time.Second, "job-1", 4)
 					c.passTime(4 * time.Second)
 					c.partition(kind, "m1")
 					c.passTime(2 * time.Second)
-					leader := c.awaitLeader()
-					leader.kill()
-					c.passTime(time.Second)
-					c.startNode(leader.name)
+					c.restartLeader(time.Second)
 					c.passTime(20 * time.Second)
 					c.partition(kind, "m1", "m2")
 					c.passTime(40 * time.Second)
@@ -123,7 +117,7 @@
 							}
 						}
 					}
-					c.eventually(90*time.Second, "it runs in its zone", c.runs("job-1", 4))
+					c.awaitRunning(90*time.Second, "job-1", 4)
 				})
 			})
 		}
@@ -139,33 +133,28 @@
 			t.Run(fmt.Sprint(latency, failover), func(t *testing.T) {
 				t.Parallel()
 				faultScenario(t, func(t *testing.T, c *faultCluster) {
-					c.startWorker("m1", "north")
-					c.startWorker("m2", "south")
-					time.Sleep(10 * time.Second)
-					c.submitJob("a", sized("job-1", "array", 4, 2))
-					c.eventually(6*time.Second, "it runs", c.runs("job-1", 4))
+					c.startWorkers("north", "south")
+					c.submitJob("a", newJob("job-1", "array", 4).with("cores", 2))
+					c.awaitRunning(6*time.Second, "job-1", 4)
 					c.setFaults(func(_, to string, r *http.Request, _ []byte) fake.Outcome {
 						if to == "state:1" && r.URL.Path == "/commit" || strings.HasSuffix(to, ":9000") {
-							c.rest(latency)
+							c.sleep(latency)
 						}
 						return fake.Deliver
 					})
 					var normal, urgent []string
 					for i := range 8 {
-						job := sized(fmt.Sprintf("job-%d", i+2), "array", 2, 2)
+						job := newJob(fmt.Sprintf("job-%d", i+2), "array", 2).with("cores", 2)
 						if i >= 6 {
 							job["urgency"] = "critical"
-							urgent = append(urgent, job["uid"].(string))
+							urgent = append(urgent, job.id())
 						} else {
-							normal = append(normal, job["uid"].(string))
+							normal = append(normal, job.id())
 						}
-						c.submitJob([]string{"a", "b"}[i%2], job)
+						c.submitJob(nodeNames[i%2], job)
 					}
 					if failover {
-						leader := c.awaitLeader()
-						leader.kill()
-						c.passTime(500 * time.Millisecond)
-						c.startNode(leader.name)
+						c.restartLeader(500 * time.Millisecond)
 						c.awaitLeader()
 					}
 					c.passTime(5 * time.Second)
@@ -204,13 +193,10 @@
 					t.Run(fmt.Sprint(shape, urgency, latency, submitDelay), func(t *testing.T) {
 						t.Parallel()
 						faultScenario(t, func(t *testing.T, c *faultCluster) {
-							for i, zone := range []string{"north", "south", "south"} {
-								c.startWorker(fmt.Sprintf("m%d", i+1), zone)
-							}
-							time.Sleep(10 * time.Second)
+							c.startWorkers("north", "south", "south")
 							c.setFaults(func(_, to string, r *http.Request, body []byte) fake.Outcome {
 								if r.URL.Path == "/commit" && strings.Contains(string(body), `"places"`) || to == "m2:9000" {
-									c.rest(latency)
+									c.sleep(latency)
 								}
 								return fake.Deliver
 							})
@@ -220,10 +206,10 @@
 								c.submitJob("a", job)
 							}
 							c.passTime(submitDelay)
-							urgent := sized("job-3", shape, 4, 2)
+							urgent := newJob("job-3", shape, 4).with("cores", 2)
 							urgent["urgency"] = urgency
 							c.submitJob("b", urgent)
-							c.eventually(60*time.Second, "the urgent job runs", c.runs("job-3", 4))
+							c.awaitRunning(60*time.Second, "job-3", 4)
 							for i := range 4 {
 								c.completeTask(fmt.Sprintf("job-3/%d", i))
 							}
--- a/internal/scenarios/shard_cluster_test.go
+++ b/internal/scenarios/shard_cluster_test.go
@@ -15,9 +15,6 @@
 	"github.com/pebbletrail/pebbletrail/internal/state"
 )
 
-// shardNodes are the controllers of scenarios with several shards.
-var shardNodes = []string{"a", "b", "c", "d", "e"}
-
 // shardCluster is controllers that lead three shards of the machines of a testCluster.
 type shardCluster struct {
 	*testCluster
@@ -36,16 +33,13 @@
 			}
 			c.storeValue(record.KeysOf(ids.Shard(shard), c.shardCount).Hires()+"first", map[string]any{"hire": "first", "hosts": hosts})
 		}
-		for _, name := range shardNodes {
+		for _, name := range fiveNodeNames {
 			c.startNode(name)
 		}
 		for shard := range c.shardCount {
 			for i := range machines {
-				worker := c.startWorker(fmt.Sprintf("m%d-%d", shard, i), []string{"north", "south"}[i%2])
-				worker.ControllerNames, worker.Controllers = shardNodes, nil
-				for _, name := range shardNodes {
-					worker.Controllers = append(worker.Controllers, name+":8080")
-				}
+				worker := c.startWorker(fmt.Sprintf("m%d-%d", shard, i), zones[i%2])
+				worker.ControllerNames, worker.Controllers = fiveNodeNames, apiAddresses(fiveNodeNames)
 			}
 		}
 		run(t, c)
@@ -63,13 +57,7 @@
 
 // shardSettings are a node's settings.
 func (c *shardCluster) shardSettings(name string) *config.Settings {
-	settings := c.nodeSettings("a")
-	settings.HostName, settings.Peers = ids.Node(name), nil
-	for _, other := range shardNodes {
-		if other != name {
-			settings.Peers = append(settings.Peers, config.Peer{HostName: ids.Node(other)})
-		}
-	}
+	settings := c.fiveNodeSettings(name)
 	settings.Features = &config.Features{Shards: proto.Uint32(uint32(c.shardCount))}
 	return settings
 }
@@ -80,8 +68,8 @@
 	defer c.mu.Unlock()
 	names := make([]string, c.shardCount)
 	for name, n := range c.nodes {
-		for shard, pool := range n.shards.Pools() {
-			if pool.Term() != nil {
+		for shard, elector := range n.shards.Pools() {
+			if elector.Term() != nil {
 				names[shard] = name
 			}
 		}
@@ -89,18 +77,6 @@
 	return names
 }
 
-// accept submits a job, at another node each time it is told to come back.
-func (c *shardCluster) accept(node int, job map[string]any) {
-	c.t.Helper()
-	for try := range 60 {
-		if code, _ := c.call(shardNodes[(node+try)%len(shardNodes)], "POST", "/v2/runs", job); code == 201 || code == 200 {
-			return
-		}
-		time.Sleep(time.Second)
-	}
-	c.t.Fatalf("%v was never accepted", job["uid"])
-}
-
 // completeRandomTasks lets whatever runs for a while end by itself, until the scenario ends.
 func (c *shardCluster) completeRandomTasks(rng *rand.Rand) {
 	for c.ctx.Err() == nil {
--- a/internal/scenarios/shards_test.go
+++ b/internal/scenarios/shards_test.go
@@ -40,7 +40,7 @@
 					if i%6 == 0 {
 						job["shape"], job["pieces"] = "gang", 3
 					}
-					c.accept(i, job)
+					c.submitToAny(i, job)
 				}
 				cancelled := map[string]bool{}
 				for i := range 6 {
@@ -67,16 +67,16 @@
 						c.network.SetRule(nil)
 					}
 					id := fmt.Sprint("job-", rng.IntN(jobs))
-					if code, out := c.call(shardNodes[rng.IntN(5)], "POST", "/v2/runs/"+id+"/cancel", nil); code == 200 {
+					if code, out := c.call(fiveNodeNames[rng.IntN(5)], "POST", "/v2/runs/"+id+"/cancel", nil); code == 200 {
 						cancelled[id] = out["status"] == "cancelled"
 					}
 					c.checkInvariants()
 				}
-				for _, name := range shardNodes {
+				for _, name := range fiveNodeNames {
 					c.stopNode(name)
 				}
 				time.Sleep(2 * time.Second)
-				for _, name := range shardNodes {
+				for _, name := range fiveNodeNames {
 					c.startNode(name)
 				}
 				c.eventually(5*time.Minute, "every job is over, at every node", func() bool {
@@ -86,7 +86,7 @@
 						if cancelled[id] {
 							want = "cancelled"
 						}
-						if c.status(shardNodes[i%5], id) != want {
+						if c.status(fiveNodeNames[i%5], id) != want {
 							return false
 						}
 					}
@@ -109,28 +109,28 @@
 				if i > 0 {
 					job["awaits"] = []string{names[i-1]}
 				}
-				names = append(names, job["uid"].(string))
-				c.accept(i, job)
+				names = append(names, job.id())
+				c.submitToAny(i, job)
 			}
 			return names
 		}
 		shards := map[ids.Shard]bool{}
 		for _, id := range chain(100) {
 			shards[ids.ShardOf(ids.Job(id), c.shardCount)] = true
-			c.eventually(20*time.Second, id+" runs", func() bool { return len(c.machinesRunning(id+"/0")) == 1 })
+			c.eventually(20*time.Second, id+" runs", func() bool { return c.isRunning(id + "/0") })
 			c.workerNamed(c.machinesRunning(id + "/0")[0]).EndTask(id+"/0", "done")
 		}
 		if len(shards) != c.shardCount {
 			t.Fatalf("the chain lies in %d shards", len(shards))
 		}
 		second := chain(200)
-		c.eventually(20*time.Second, "the first runs", func() bool { return len(c.machinesRunning(second[0]+"/0")) == 1 })
+		c.eventually(20*time.Second, "the first runs", func() bool { return c.isRunning(second[0] + "/0") })
 		c.eventually(10*time.Second, "the cancellation is confirmed", func() bool {
 			code, _ := c.call("b", "POST", "/v2/runs/"+second[2]+"/cancel", nil)
 			return code == 200
 		})
 		c.workerNamed(c.machinesRunning(second[0] + "/0")[0]).EndTask(second[0]+"/0", "done")
-		c.eventually(20*time.Second, "what does not need the cancelled one goes on", func() bool { return len(c.machinesRunning(second[1]+"/0")) == 1 })
+		c.eventually(20*time.Second, "what does not need the cancelled one goes on", func() bool { return c.isRunning(second[1] + "/0") })
 		for _, id := range second[2:] {
 			c.eventually(10*time.Second, id+" is told as cancelled", func() bool { return c.status("d", id) == "cancelled" })
 		}
@@ -148,7 +148,7 @@
 		c.storeValue(key, map[string]any{"hire": "h-s2-1-1", "count": 1})
 		for _, name := range []string{"hired", "stranger"} {
 			worker := c.startWorker(name, "north")
-			worker.ControllerNames, worker.Controllers = shardNodes, []string{"a:8080", "b:8080", "c:8080", "d:8080", "e:8080"}
+			worker.ControllerNames, worker.Controllers = fiveNodeNames, apiAddresses(fiveNodeNames)
 		}
 		owners := func(machine ids.Machine) (shards []int) {
 			for _, n := range c.nodes {
--- a/internal/scenarios/stale_heartbeats_test.go
+++ b/internal/scenarios/stale_heartbeats_test.go
@@ -26,7 +26,7 @@
 					worker.EndTask(task, "done")
 				}
 			}
-			c.eventually(6*time.Second, "done", func() bool { return c.status("a", "job-1") == "done" })
+			c.awaitStatus(6*time.Second, "a", "job-1", "done")
 			time.Sleep(6 * time.Second) // stored and cleared
 			c.network.SetRule(nil)
 			c.submit("a", newJob("job-2", "standing", 8))
@@ -36,7 +36,7 @@
 				t.Fatal("no copies were kept")
 			}
 			c.consistently(25*time.Second, "replicas go on, nothing old begins", func() bool {
-				return len(m1.ActiveTasks()) == 4 && len(c.machinesRunning("job-2/0")) == 1 && len(c.machinesRunning("job-1/0")) == 0
+				return len(m1.ActiveTasks()) == 4 && c.isRunning("job-2/0") && c.isAbsent("job-1/0")
 			})
 			for _, worker := range c.workers {
 				for i := range 8 {
@@ -64,28 +64,28 @@
 		time.Sleep(10 * time.Second)
 		c.duplicateHeartbeats("m1")
 		c.submit("a", newJob("job-1", "array", 1))
-		c.eventually(4*time.Second, "it runs", func() bool { return len(c.machinesRunning("job-1/0")) == 1 })
+		c.awaitTask(4*time.Second, "job-1/0")
 		time.Sleep(7 * time.Second) // three beats
 		c.network.SetRule(nil)
 		m1.EndTask("job-1/0", "done")
-		c.eventually(6*time.Second, "done", func() bool { return c.status("a", "job-1") == "done" })
+		c.awaitStatus(6*time.Second, "a", "job-1", "done")
 		time.Sleep(6 * time.Second)
 		c.submit("a", newJob("job-2", "array", 1))
-		c.eventually(4*time.Second, "the next one runs", func() bool { return len(c.machinesRunning("job-2/0")) == 1 })
+		c.awaitTask(4*time.Second, "job-2/0")
 		time.Sleep(5 * time.Second)
 		m1.SetSilent(true)
 		a.kill()
 		time.Sleep(200 * time.Millisecond)
 		a = c.startNode("a")
-		c.eventually(5*time.Second, "it owns the pool again", func() bool { return a.elector.Cluster() != nil })
+		c.awaitLeadership(5*time.Second, a)
 		if c.network.ReleaseHeld() < 2 {
 			t.Fatal("no copies were kept")
 		}
 		c.startWorker("m2", "south")
 		time.Sleep(4 * time.Second)
 		m1.SetSilent(false)
-		c.consistently(30*time.Second, "job-2 goes on where it is", func() bool { return len(c.machinesRunning("job-2/0")) == 1 && c.machinesRunning("job-2/0")[0] == "m1" })
-		if m1.StartCount("job-1/0") != 1 || m1.StartCount("job-2/0") != 1 || len(c.machinesRunning("job-1/0")) != 0 {
+		c.consistently(30*time.Second, "job-2 goes on where it is", func() bool { return c.isRunning("job-2/0") && c.machinesRunning("job-2/0")[0] == "m1" })
+		if m1.StartCount("job-1/0") != 1 || m1.StartCount("job-2/0") != 1 || !c.isAbsent("job-1/0") {
 			t.Fatal("something was started again")
 		}
 		m1.EndTask("job-2/0", "done")
@@ -107,7 +107,7 @@
 					time.Sleep(10 * time.Second)
 					empty := c.lastHeartbeat("m1")
 					c.submitJob("a", newJob("job-1", "array", 3))
-					c.eventually(5*time.Second, "it runs", c.runs("job-1", 3))
+					c.awaitRunning(5*time.Second, "job-1", 3)
 					c.passTime(5 * time.Second)
 					stale := c.lastHeartbeat("m1")
 					switch content {
@@ -122,7 +122,7 @@
 						m1.SetSilent(true)
 						c.passTime(25 * time.Second)
 						m1.SetSilent(false)
-						c.eventually(20*time.Second, "it runs again", c.runs("job-1", 3))
+						c.awaitRunning(20*time.Second, "job-1", 3)
 					case "shows what is done":
 						c.completeTask("job-1/0")
 					}
@@ -163,10 +163,8 @@
 			t.Run(fmt.Sprint(newIncarnation, kind), func(t *testing.T) {
 				t.Parallel()
 				faultScenario(t, func(t *testing.T, c *faultCluster) {
-					c.startWorker("m1", "north")
-					c.startWorker("m2", "south")
-					time.Sleep(10 * time.Second)
-					c.submitJob("a", sized("job-1", "gang", 2, 3))
+					c.startWorkers("north", "south")
+					c.submitJob("a", newJob("job-1", "gang", 2).with("cores", 3))
 					bothWaiting := func() bool {
 						for _, worker := range c.workers {
 							worker.SetTaskStatus("job-1/0", "waiting")
@@ -194,7 +192,7 @@
 					c.eventually(10*time.Second, "it is replaced", bothWaiting)
 					if newIncarnation {
 						machine.SetSilent(true)
-						c.eventually(25*time.Second, "its lease lapsed", func() bool { return len(c.machinesRunning("job-1/0")) == 0 })
+						c.eventually(25*time.Second, "its lease lapsed", func() bool { return c.isAbsent("job-1/0") })
 						machine.SetSilent(false)
 						c.eventually(15*time.Second, "it is replaced again", bothWaiting)
 					}
--- a/internal/scenarios/transactions_test.go
+++ b/internal/scenarios/transactions_test.go
@@ -34,11 +34,7 @@
 }
 
 func runTransactionFaults(t *testing.T, c *testCluster, random *randomSource, kind string, fate fake.Outcome, dropRenewals bool) {
-	c.startNode("a")
-	c.startNode("b")
-	c.startWorker("m1", "north")
-	c.startWorker("m2", "south")
-	time.Sleep(10 * time.Second)
+	c.startPair()
 	c.setRandomLatency(random)
 	c.network.SetDelay(func() time.Duration { return random.milliseconds(2000, 12000) })
 	var mu sync.Mutex // of hits
@@ -59,7 +55,7 @@
 		return fake.Deliver
 	}
 	c.submit("a", newJob("job-90", "array", 1)) // a pipeline, on which others hang
-	c.submit("b", dependingOn(newJob("job-91", "array", 1), "job-90"))
+	c.submit("b", newJob("job-91", "array", 1).dependingOn("job-90"))
 	c.network.SetRule(faults)
 	done := make(chan struct{})
 	var users, background sync.WaitGroup
@@ -70,7 +66,7 @@
 		job := newJob(id, "array", 1)
 		cancelled := i%2 == 0
 		if i%4 < 2 {
-			dependingOn(job, []string{"job-90", "job-91"}[i%8/4])
+			job.dependingOn([]string{"job-90", "job-91"}[i%8/4])
 		}
 		users.Go(func() {
 			time.Sleep(time.Duration(i) * random.milliseconds(500, 2000))
@@ -129,7 +125,7 @@
 	c.network.SetRule(nil)
 	c.network.ReleaseHeld()
 	time.Sleep(13 * time.Second) // the last late one is carried out
-	c.eventually(60*time.Second, "an owner", func() bool { return c.leader() != nil })
+	c.awaitAnyLeader(60 * time.Second)
 	c.awaitAgreement(90*time.Second, ids...)
 	close(done)
 	background.Wait()
@@ -153,9 +149,9 @@
 			return fake.Deliver
 		})
 		c.submit("a", newJob("job-14", "array", 1))
-		c.eventually(12*time.Second, "it runs all the same", func() bool { return len(c.machinesRunning("job-14/0")) == 1 })
+		c.awaitTask(12*time.Second, "job-14/0")
 		c.workerNamed("m1").EndTask("job-14/0", "done")
-		c.eventually(8*time.Second, "done", func() bool { return c.status("a", "job-14") == "done" })
+		c.awaitStatus(8*time.Second, "a", "job-14", "done")
 		if lost == 0 {
 			t.Fatal("no answer was lost")
 		}
@@ -173,7 +169,9 @@
 		c.network.SetRule(func(_, to string, r *http.Request, body []byte) fake.Outcome {
 			if r.URL.Path == "/commit" {
 				var txn struct{ Then []json.RawMessage }
-				json.Unmarshal(body, &txn)
+				if err := json.Unmarshal(body, &txn); err != nil {
+					t.Errorf("a transaction that is no JSON: %v", err)
+				}
 				c.mu.Lock()
 				changes[time.Now().Unix()] += len(txn.Then)
 				c.mu.Unlock()
@@ -192,7 +190,7 @@
 			for i := range jobs {
 				job := newJob(fmt.Sprintf("job-%d", i+1), "array", 1)
 				job["cores"], job["ramGb"], job["guessS"] = 0.1, 0.1, 2
-				code, _ := c.call([]string{"a", "b"}[i%2], "POST", "/v2/runs", job)
+				code, _ := c.call(nodeNames[i%2], "POST", "/v2/runs", job)
 				switch code {
 				case 200, 201:
 					count++
--- a/internal/scenarios/users_test.go
+++ b/internal/scenarios/users_test.go
@@ -24,11 +24,19 @@
 	return code, ""
 }
 
-// nodeNames are all controllers' names; a scenario's users ask at each.
+// nodeNames are the controllers of a testCluster; users ask each of them.
 var nodeNames = []string{"a", "b"}
 
+// otherNode names the other one of the two.
+func otherNode(name string) string {
+	if name == nodeNames[0] {
+		return nodeNames[1]
+	}
+	return nodeNames[0]
+}
+
 // askAllNodes asks at all nodes within milliseconds, and repeats the submission.
-func (c *testCluster) askAllNodes(random *randomSource, job map[string]any) {
+func (c *testCluster) askAllNodes(random *randomSource, job jobSpec) {
 	var wg sync.WaitGroup
 	for range 3 {
 		for _, node := range nodeNames {
@@ -38,7 +46,7 @@
 				if delay%3 == 0 {
 					c.call(node, "POST", "/v2/runs", job)
 				} else {
-					c.call(node, "GET", fmt.Sprintf("/v2/runs/%s", job["uid"]), nil)
+					c.call(node, "GET", "/v2/runs/"+job.id(), nil)
 				}
 			})
 		}
@@ -68,11 +76,11 @@
 		return 0, nil
 	}
 	out := map[string]any{}
-	json.NewDecoder(res.Body).Decode(&out)
+	_ = json.NewDecoder(res.Body).Decode(&out) // a response without a JSON body has no fields
 	return res.StatusCode, out
 }
 
-func (c *testCluster) submit(node string, job map[string]any) {
+func (c *testCluster) submit(node string, job jobSpec) {
 	c.t.Helper()
 	if code, out := c.call(node, "POST", "/v2/runs", job); code != 201 {
 		c.t.Fatalf("submission answered %d %v", code, out)
@@ -88,7 +96,7 @@
 // cancelUntilAnswered cancels a job as its user does, until it is answered.
 func (c *testCluster) cancelUntilAnswered(job string) string {
 	for range 40 {
-		for _, node := range []string{"a", "b"} {
+		for _, node := range nodeNames {
 			if code, out := c.call(node, "POST", "/v2/runs/"+job+"/cancel", nil); code == 200 {
 				return fmt.Sprint(out["status"])
 			}
