--- a/internal/scenarios/cancellation_outage_test.go
+++ b/internal/scenarios/cancellation_outage_test.go
@@ -41,10 +41,11 @@
 	})
 }
 
+// TestTasksCancelledWhileLeaderIsIsolatedStopDespiteOutage guards against a leader that keeps
+// cancelled tasks alive, or starts them: the state service refuses the leader alone while the
+// other node confirms the cancellation, then serves nobody for a while.
 func TestTasksCancelledWhileLeaderIsIsolatedStopDespiteOutage(t *testing.T) {
 	t.Parallel()
-	// Guards against a leader that keeps cancelled tasks alive or starts them: it was
-	// refused alone when they were cancelled, then nobody was served for long.
 	for _, outage := range []time.Duration{8 * time.Second, 25 * time.Second, 77 * time.Second} {
 		scenario(t, func(t *testing.T, c *testCluster) {
 			leader, other := startWithReplicas(c)
@@ -79,10 +80,11 @@
 	}
 }
 
+// TestLeaderThatCannotReadRenewsNoWorkerLeases guards against a leader that renews its own lease
+// but can't read which jobs were cancelled: after an outage its lease has its full duration, while
+// its reads may lag behind.
 func TestLeaderThatCannotReadRenewsNoWorkerLeases(t *testing.T) {
 	t.Parallel()
-	// Guards against a leader whose renewals succeed while it can't read what was
-	// cancelled: after an outage its hold has its full time, its reads may lag.
 	scenario(t, func(t *testing.T, c *testCluster) {
 		leader, other := startWithReplicas(c)
 		c.partitionFromPeerAndState(leader, "/kv", "/follow")
@@ -98,10 +100,11 @@
 	})
 }
 
+// TestNewLeaderWithoutRecordsRenewsNoWorkerLeases guards against a successor that has not read the
+// records yet: until it has read all of them, it must not answer heartbeats, nor start or stop a
+// task.
 func TestNewLeaderWithoutRecordsRenewsNoWorkerLeases(t *testing.T) {
 	t.Parallel()
-	// Guards against a successor without the records: it must neither answer beats
-	// nor start or stop anything until it has read them all.
 	scenario(t, func(t *testing.T, c *testCluster) {
 		leader, other := startWithReplicas(c)
 		c.network.SetRule(func(from, to string, r *http.Request, _ []byte) fake.Outcome {
@@ -124,10 +127,11 @@
 	})
 }
 
+// TestDelayedStartOfCancelledTaskIsRejectedInNewWorkerIncarnation guards against a direct start
+// that is held back while its job is cancelled and the fencing token that would reject it can't be
+// raised: the worker's incarnation must not outlive the cancellation limit.
 func TestDelayedStartOfCancelledTaskIsRejectedInNewWorkerIncarnation(t *testing.T) {
 	t.Parallel()
-	// Guards against a direct start held back while its job is cancelled and the token
-	// that would turn it away can't be raised: the session must not outlive cancel_s.
 	scenario(t, func(t *testing.T, c *testCluster) {
 		c.startNode("a")
 		m1 := c.startWorker("m1", "north")
@@ -165,10 +169,11 @@
 	})
 }
 
+// TestIsolatedLeaderStartsNothingAnotherNodeMayHaveCancelled guards against a start that was
+// assigned before the leader lost the state service and is sent long after, in a heartbeat's
+// response or directly, when another node may have cancelled its job.
 func TestIsolatedLeaderStartsNothingAnotherNodeMayHaveCancelled(t *testing.T) {
 	t.Parallel()
-	// Guards against a start marked before the leader lost the state service and sent
-	// long after, by a beat's answer or directly, of a job that another node cancelled.
 	scenario(t, func(t *testing.T, c *testCluster) {
 		c.startNode("a")
 		c.startNode("b")
--- a/internal/scenarios/cancellation_test.go
+++ b/internal/scenarios/cancellation_test.go
@@ -10,6 +10,8 @@
 	"github.com/pebbletrail/pebbletrail/internal/fake"
 )
 
+// TestCancellationRacingStartLeavesNoTask cancels a job while the start of its task is on its way:
+// the job's end is stored, and the start, when it arrives, is rejected.
 func TestCancellationRacingStartLeavesNoTask(t *testing.T) {
 	t.Parallel()
 	scenario(t, func(t *testing.T, c *testCluster) {
@@ -37,11 +39,12 @@
 	})
 }
 
+// TestCancellationReachesZonePartitionedWithLeaderInTime guards against a leader that, partitioned
+// together with a zone, goes on renewing the leases of that zone's workers: a task cancelled
+// through the other node must stop within the cancellation limit. Found in a run with a
+// partitioned zone.
 func TestCancellationReachesZonePartitionedWithLeaderInTime(t *testing.T) {
 	t.Parallel()
-	// Found on a day with a zone cut off in which the leader was: it went on
-	// answering the zone's workers, and what a user had cancelled through another
-	// node ran beyond the time allowed for that.
 	scenario(t, func(t *testing.T, c *testCluster) {
 		c.startNode("a")
 		c.startNode("b")
@@ -72,11 +75,12 @@
 	})
 }
 
+// TestLeaderPartitionedFromPeersReadsCancellationBeforeStart guards against a start that is sent
+// after the user was told that the job is cancelled: the assignment is stored and its response
+// takes a while. Meanwhile the other node reads it, stores the cancellation and tells the user,
+// but can't reach the leader.
 func TestLeaderPartitionedFromPeersReadsCancellationBeforeStart(t *testing.T) {
 	t.Parallel()
-	// Guards against a start sent after the user was told that the job is cancelled: the
-	// marker is stored and its answer takes a while; meanwhile the other node reads it,
-	// stores the cancel and tells the user, but can't tell the leader.
 	scenario(t, func(t *testing.T, c *testCluster) {
 		a := c.startNode("a")
 		c.awaitLeadership(5*time.Second, a)
@@ -111,10 +115,11 @@
 	})
 }
 
+// TestCancellationsHoldWhileStateServiceIsSlowOrUnavailable guards against cancellations that one
+// node confirms and another doesn't know, or that take effect too late: every response of the
+// state service is slow, then it refuses the leader alone, and soon everyone for longer than the
+// cancellation limit.
 func TestCancellationsHoldWhileStateServiceIsSlowOrUnavailable(t *testing.T) {
-	// Guards against cancels that win at one node and are unknown at another, or come
-	// too late, while every answer of the state service takes long; then it refuses the
-	// leader alone, and soon everybody for longer than cancel_s.
 	for _, latency := range []time.Duration{300 * time.Millisecond, 900 * time.Millisecond} {
 		for _, unavailable := range []bool{false, true} {
 			t.Run(fmt.Sprint(latency, unavailable), func(t *testing.T) {
@@ -160,11 +165,11 @@
 	}
 }
 
+// TestCancellationsHoldDuringLeadershipChange guards against cancelled tasks that go on or start
+// because the former leader doesn't learn of the cancellation, nor the new leader of the tasks.
+// The leader is partitioned from the state service and its peer but not from workers and users, or
+// its process ends; jobs are cancelled through the other node, at once and later.
 func TestCancellationsHoldDuringLeadershipChange(t *testing.T) {
-	// Guards against cancelled tasks that stay or begin since the one leader does not
-	// learn of the cancel and the next one not yet of the tasks: the leader is cut from
-	// the state service and the other controller, and workers and users still reach it,
-	// or its process ends; jobs are cancelled through the other, at once and later on.
 	for _, event := range []string{"cut off", "ends", "ends and returns"} {
 		for _, cancelDelay := range []time.Duration{0, 800 * time.Millisecond, 3 * time.Second} {
 			t.Run(fmt.Sprint(event, cancelDelay), func(t *testing.T) {
@@ -215,11 +220,11 @@
 	}
 }
 
+// TestQuotaHoldsWhileCancelledTasksAreUnreachable guards against giving away the quota of
+// cancelled jobs before their tasks are gone. The team is at its quota, machines hang or are
+// partitioned, and the leader fails over before or after the cancellations.
 func TestQuotaHoldsWhileCancelledTasksAreUnreachable(t *testing.T) {
 	t.Parallel()
-	// Guards against giving away the room of cancelled jobs before their tasks are
-	// gone: the team is at its limit, machines hang or can't be asked, and the
-	// leader changes before or after the cancellations.
 	for _, kind := range []string{"refused", "swallowed", "held", "deaf", "mute", "hung"} {
 		for _, failoverLast := range []bool{false, true} {
 			t.Run(fmt.Sprint(kind, failoverLast), func(t *testing.T) {
--- a/internal/scenarios/checker_test.go
+++ b/internal/scenarios/checker_test.go
@@ -29,10 +29,10 @@
 	checkCancelled bool
 }
 
+// TestCheckerDetectsEachViolation guards against a checker that sees nothing: each rule is broken
+// once, by as little as possible, and the same steps without that are clean.
 func TestCheckerDetectsEachViolation(t *testing.T) {
 	t.Parallel()
-	// Guards against a checker that sees nothing: every rule is broken once, by as
-	// little as it takes, and the same without that is clean.
 	small := &fake.Worker{Name: "m1", Type: "small", Zone: "north"}
 	south := &fake.Worker{Name: "m2", Type: "small", Zone: "south"}
 	spot := &fake.Worker{Name: "m3", Type: "small", Zone: "north", Spot: true}
--- a/internal/scenarios/delayed_commands_test.go
+++ b/internal/scenarios/delayed_commands_test.go
@@ -11,6 +11,8 @@
 	"github.com/pebbletrail/pebbletrail/internal/fake"
 )
 
+// TestStartDelayedByMinutesIsRejected delivers a start two minutes late, after heartbeats had
+// carried the same start and the task has completed: it must not start again.
 func TestStartDelayedByMinutesIsRejected(t *testing.T) {
 	t.Parallel()
 	scenario(t, func(t *testing.T, c *testCluster) {
@@ -41,11 +43,11 @@
 	})
 }
 
+// TestDelayedCommandsAndResponsesLoseNoWork guards against a start or stop, or its response alone,
+// that arrives seconds late or after the cancellation limit. Meanwhile the job is cancelled, the
+// leader fails over, or both; the machine's heartbeats arrive or not.
 func TestDelayedCommandsAndResponsesLoseNoWork(t *testing.T) {
 	t.Parallel()
-	// Guards against a start or stop, or only its answer, that takes effect or is
-	// known seconds later, or after cancel_s: the job is called off meanwhile, or the leader ends, and
-	// the beats of the machine get through or don't.
 	for _, outcome := range []fake.Outcome{fake.HoldBack, fake.DropResponse} {
 		for _, verb := range []string{"start", "stop"} {
 			for _, event := range []string{"called off", "leader ends", "both"} {
@@ -94,10 +96,11 @@
 	}
 }
 
+// TestFailoverWithUncertainWritesOnNewMachinesLosesNoWork guards against a new leader that knows
+// neither of machines that nobody has listed yet, nor of the tasks assigned there by writes whose
+// response was lost.
 func TestFailoverWithUncertainWritesOnNewMachinesLosesNoWork(t *testing.T) {
 	t.Parallel()
-	// Guards against a successor that knows neither of machines which nobody has
-	// listed yet nor of what was claimed there by writes without an answer.
 	for _, writeOutcome := range []fake.Outcome{fake.DropResponse, fake.HoldBack, fake.Drop, fake.Duplicate} {
 		for _, startOutcome := range []fake.Outcome{fake.Deliver, fake.HoldBack, fake.DropResponse} {
 			t.Run(fmt.Sprint(writeOutcome, startOutcome), func(t *testing.T) {
--- a/internal/scenarios/dependencies_cancellation_test.go
+++ b/internal/scenarios/dependencies_cancellation_test.go
@@ -12,9 +12,10 @@
 	"github.com/pebbletrail/pebbletrail/internal/fake"
 )
 
+// TestCancellationPropagatesToDependents guards against a job that waits forever, or starts, after
+// a job it depends on was cancelled, in whatever state that was, and against nodes that disagree
+// about it.
 func TestCancellationPropagatesToDependents(t *testing.T) {
-	// Guards against a job that waits for ever, or starts, after one that it needs was
-	// cancelled, wherever in its life that was; and against nodes that disagree.
 	for name, cancel := range map[string]func(c *testCluster) string{
 		"running": func(c *testCluster) string { return c.cancelUntilAnswered("job-1") },
 		"at its end": func(c *testCluster) string {
@@ -109,6 +110,8 @@
 	}
 }
 
+// TestCancelledJobLeavesIndependentBranchRunning cancels one of two branches of a diamond: what
+// depends on it ends, and the other branch runs.
 func TestCancelledJobLeavesIndependentBranchRunning(t *testing.T) {
 	scenario(t, func(t *testing.T, c *testCluster) {
 		c.startNode("a")
@@ -132,11 +135,11 @@
 	})
 }
 
+// TestAllNodesReportConfirmedCancellation guards against a node that reports a job as pending
+// after another node has confirmed the cancellation of what it depends on, for jobs far down the
+// chain and for jobs submitted at the same moment.
 func TestAllNodesReportConfirmedCancellation(t *testing.T) {
 	t.Parallel()
-	// Guards against a node that calls a job pending after the user was told, at another
-	// one, that what it awaits is cancelled: jobs far down, and such as are submitted at
-	// the same moment.
 	for seed := range uint64(3) {
 		parallelScenario(t, fmt.Sprint(seed), func(t *testing.T, c *testCluster) {
 			random := newRandomSource(seed)
@@ -187,9 +190,10 @@
 	}
 }
 
+// TestCancellationInLongChainReachesOnlyDependents guards against a cancellation that stops part
+// of the way down a chain of a hundred jobs, or that goes up.
 func TestCancellationInLongChainReachesOnlyDependents(t *testing.T) {
 	t.Parallel()
-	// Guards against a cancellation that stops part of the way down, or goes up.
 	scenario(t, func(t *testing.T, c *testCluster) {
 		c.startPair()
 		c.submitChain(100)
--- a/internal/scenarios/dependencies_failover_test.go
+++ b/internal/scenarios/dependencies_failover_test.go
@@ -11,10 +11,11 @@
 	"github.com/pebbletrail/pebbletrail/internal/fake"
 )
 
+// TestNewLeaderStoresOutcomesOfCancelledDependents guards against dependents of a cancelled job
+// whose records are forgotten, or that start, when the leader that was to store their outcomes is
+// gone.
 func TestNewLeaderStoresOutcomesOfCancelledDependents(t *testing.T) {
 	t.Parallel()
-	// Guards against jobs cancelled by definition whose records are forgotten, or start,
-	// when the leader that was to store their ends is gone.
 	scenario(t, func(t *testing.T, c *testCluster) {
 		c.startPair()
 		c.submitChain(40)
@@ -45,10 +46,11 @@
 	})
 }
 
+// TestJobThatBecomesReadyDuringFailoverRuns guards against a job that waits forever because the
+// leader that stored the last outcome it depended on was gone before it made the job schedulable,
+// and against one that is moved twice.
 func TestJobThatBecomesReadyDuringFailoverRuns(t *testing.T) {
 	t.Parallel()
-	// Guards against a job that waits for ever since the leader that stored the last end
-	// that it awaited was gone before it moved the job; and against one moved twice.
 	for name, outcomes := range map[string]struct {
 		end, move fake.Outcome // of the transactions with the end, and with the move
 	}{
@@ -103,10 +105,11 @@
 	}
 }
 
+// TestDelayedTransactionDoesNotReviveCancelledJob guards against a transaction that makes a
+// waiting job schedulable, by a former leader or the present one, and is executed after its user
+// has cancelled the job.
 func TestDelayedTransactionDoesNotReviveCancelledJob(t *testing.T) {
 	t.Parallel()
-	// Guards against a move of an older leader, or of the same one, that is carried out
-	// after the job's user cancelled it while it waited.
 	for name, injectFault := range map[string]func(c *testCluster, leader *testNode){
 		"the leader stays": func(*testCluster, *testNode) {},
 		"the leader ends":  func(_ *testCluster, leader *testNode) { leader.kill() },
@@ -152,9 +155,10 @@
 	}
 }
 
+// TestFailoverWithTenThousandWaitingJobsTakesFewCalls guards against one call to the state service
+// for each record of a waiting job.
 func TestFailoverWithTenThousandWaitingJobsTakesFewCalls(t *testing.T) {
 	t.Parallel()
-	// Guards against a call for each record that waits.
 	scenario(t, func(t *testing.T, c *testCluster) {
 		c.startNode("a")
 		time.Sleep(3 * time.Second)
--- a/internal/scenarios/dependencies_test.go
+++ b/internal/scenarios/dependencies_test.go
@@ -10,10 +10,10 @@
 	"github.com/pebbletrail/pebbletrail/internal/fake"
 )
 
+// TestDiamondOfDependenciesRunsInOrderAcrossFailovers guards against a start before the outcomes
+// of all dependencies are stored, and against an outcome that is lost to those that wait for it:
+// the leader fails over, or the state service refuses it alone, right as a stage completes.
 func TestDiamondOfDependenciesRunsInOrderAcrossFailovers(t *testing.T) {
-	// Guards against a start before the ends of all needed jobs are stored, and against
-	// an end that is lost to those that await it: the leader ends, or loses the state
-	// service alone, right as a stage does.
 	for name, injectFault := range map[string]func(c *testCluster){
 		"none": func(*testCluster) {},
 		"the leader ends": func(c *testCluster) {
@@ -75,9 +75,9 @@
 	}
 }
 
+// TestOutcomeNotYetStoredStartsNoDependent guards against a next stage that starts on an outcome
+// that isn't stored yet: another node may confirm a cancellation first, or the leader may fail.
 func TestOutcomeNotYetStoredStartsNoDependent(t *testing.T) {
-	// Guards against a next stage that starts on an outcome not stored yet: another node
-	// may confirm a cancellation first, or the leader may end.
 	scenario(t, func(t *testing.T, c *testCluster) {
 		c.startNode("a")
 		c.startNode("b")
@@ -105,6 +105,8 @@
 	})
 }
 
+// TestUnknownDependenciesAreRejected submits jobs whose dependencies were never accepted, or are
+// not well formed: every node rejects them, and answers 503 while it can't decide.
 func TestUnknownDependenciesAreRejected(t *testing.T) {
 	scenario(t, func(t *testing.T, c *testCluster) {
 		c.startNode("a")
@@ -143,9 +145,10 @@
 	})
 }
 
+// TestJobWaitingForDependenciesUsesNoQuota guards against waiting jobs that take part of their
+// team's quota or start while there is room, and against explanations that don't name what a job
+// waits for.
 func TestJobWaitingForDependenciesUsesNoQuota(t *testing.T) {
-	// Guards against waiting jobs that take part of their team's limit, or start when
-	// there is room for them, and against reasons that do not name what they wait for.
 	scenario(t, func(t *testing.T, c *testCluster) {
 		c.startNode("a")
 		c.startNode("b")
@@ -168,11 +171,11 @@
 	})
 }
 
+// TestJobWithManyDependenciesFitsSmallValueLimit guards against rejecting a job because the names
+// of its dependencies don't fit beside its description, and against a job that is stored but can't
+// be started or cancelled afterwards, by its user or through a dependency.
 func TestJobWithManyDependenciesFitsSmallValueLimit(t *testing.T) {
 	t.Parallel()
-	// Guards against refusing a job that can run because the names of what it awaits do not
-	// fit beside its description, and against one that is stored but can then neither be
-	// started nor cancelled, by its user or by one that it needs.
 	for name, play := range map[string]func(c *testCluster, needed []string){
 		"it runs": func(c *testCluster, needed []string) {
 			for _, id := range needed[1:] {
--- a/internal/scenarios/drain_budget_test.go
+++ b/internal/scenarios/drain_budget_test.go
@@ -14,6 +14,8 @@
 	"github.com/pebbletrail/pebbletrail/internal/rollout"
 )
 
+// TestZoneDrainStaysWithinDisruptionBudget drains all machines of a zone: each replica moves at
+// most once, and nothing of the rollout is left in the state service.
 func TestZoneDrainStaysWithinDisruptionBudget(t *testing.T) {
 	t.Parallel()
 	drainScenario(t, 4, drainOptions{capacity: 40}, func(t *testing.T, c *drainCluster) {
@@ -32,9 +34,10 @@
 	})
 }
 
+// TestDisruptionRuleDetectsEvictionsOverBudget plants a fault: the controllers' budgets allow
+// anything, and the rule, which knows the true budget, must notice.
 func TestDisruptionRuleDetectsEvictionsOverBudget(t *testing.T) {
 	t.Parallel()
-	// The planted fault: the controllers' budgets allow anything, the rule knows the true one.
 	noticed := false
 	drainScenario(t, 4, drainOptions{capacity: 40, features: `drains { teams { team: "red" budget { replicas_down: 99 tasks_interrupted: 99 } } }`},
 		func(t *testing.T, c *drainCluster) {
@@ -48,9 +51,11 @@
 	}
 }
 
+// TestDrainOfMachineSharedByTwoTeamsWaitsForBothBudgets drains a machine with replicas of two
+// teams, one of which may lose none: nothing of either team is stopped, and the team that blocks
+// the drain is named.
 func TestDrainOfMachineSharedByTwoTeamsWaitsForBothBudgets(t *testing.T) {
 	t.Parallel()
-	// Neither team may lose anything more: nothing of either is stopped, and both are named.
 	features := `drains { teams { team: "red" budget { replicas_down: 1 } } teams { team: "blue" budget { replicas_down: 0 } } }`
 	options := drainOptions{capacity: 40, features: features, teams: []config.Team{{Name: "blue", CPUsMax: 8}},
 		budget: map[string]teamBudget{"red": {1, 1}, "blue": {0, 1}}}
@@ -66,11 +71,11 @@
 	})
 }
 
+// TestReplicaFailureAfterPermitDelaysNextEviction lets a replica fail by itself at the moment when
+// an eviction permit is stored. The leader learns of the failure before it learns that the permit
+// is stored: the eviction waits until the replica is up again, since the budget is used up.
 func TestReplicaFailureAfterPermitDelaysNextEviction(t *testing.T) {
 	t.Parallel()
-	// A neighbour fails by itself at the moment when a permit is stored, and the leader hears of that
-	// before it hears that the permit is: the stop waits until the neighbour is up again, since the
-	// budget is used up.
 	drainScenario(t, 3, drainOptions{capacity: 40}, func(t *testing.T, c *drainCluster) {
 		c.startService("job-1", 6)
 		c.disruption.detectionDelay = 1500 * time.Millisecond
@@ -111,10 +116,11 @@
 	})
 }
 
+// TestMovedReplicaKeepsItsQuota has a team at its quota, with work of lower urgency waiting: the
+// quota that a moved replica gives up for a moment must not go to that work, or the replica would
+// stay down and the rollout wait forever.
 func TestMovedReplicaKeepsItsQuota(t *testing.T) {
 	t.Parallel()
-	// The team is at its limit and lesser work waits: what a moved replica gives up for a moment
-	// must not go to that, or the replica would stay down and the rollout wait for ever.
 	drainScenario(t, 4, drainOptions{capacity: 40}, func(t *testing.T, c *drainCluster) {
 		c.startService("job-1", 6)
 		for i := range 6 {
@@ -127,6 +133,8 @@
 	})
 }
 
+// TestBlockedDrainWaitsAndReportsReason drains machines whose work can't be moved: nothing is
+// stopped, the reason is reported, and an abort uncordons the machines.
 func TestBlockedDrainWaitsAndReportsReason(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
@@ -169,11 +177,11 @@
 	}
 }
 
+// TestDrainMovesPreemptibleWorkAndRecordsMoves drains machines with arrays of low urgency, work
+// with checkpoints and a gang: all of it goes on elsewhere, and the explanation of a moved job
+// tells so.
 func TestDrainMovesPreemptibleWorkAndRecordsMoves(t *testing.T) {
 	t.Parallel()
-	// Low arrays are interrupted within the budget and go on elsewhere; work that saves is saved;
-	// normal work that can't save runs to its end, or is stopped after the deadline if the
-	// operator chose so; a gang is moved whole.
 	drainScenario(t, 4, drainOptions{capacity: 60}, func(t *testing.T, c *drainCluster) {
 		c.submitToAny(0, newJob("job-1", "array", 4).with("urgency", "low"))
 		c.submitToAny(0, newJob("job-2", "array", 2).with("bookmarkS", 10).with("stashS", 1))
@@ -203,6 +211,9 @@
 	})
 }
 
+// TestTasksWithoutCheckpointFinishUnlessDrainDeadlinePasses drains a machine whose tasks can't
+// save a checkpoint: they run to completion, or are stopped after the deadline if the operator
+// chose that.
 func TestTasksWithoutCheckpointFinishUnlessDrainDeadlinePasses(t *testing.T) {
 	t.Parallel()
 	for _, choice := range []rollout.AtDeadline{rollout.WaitAtDeadline, rollout.StopAtDeadline} {
--- a/internal/scenarios/drain_commands_test.go
+++ b/internal/scenarios/drain_commands_test.go
@@ -9,10 +9,11 @@
 	"github.com/pebbletrail/pebbletrail/internal/rollout"
 )
 
+// TestConflictingRolloutsBothComplete runs two rollouts while the cloud has no more machines, so
+// that the tasks of one fit only on machines that the other has cordoned. The younger one gives
+// way, and completes once the cloud has machines again.
 func TestConflictingRolloutsBothComplete(t *testing.T) {
 	t.Parallel()
-	// The cloud has no more machines: what one rollout has to move fits only where the other one
-	// has cordoned. The younger makes way, and ends once the cloud has machines again.
 	drainScenario(t, 2, drainOptions{capacity: 4}, func(t *testing.T, c *drainCluster) {
 		c.startService("job-2", 2, "yard", "south", "cores", 0.1, "ramGb", 9) // one on each machine there
 		park := newRollout("park", c.machinesIn("south")...)
@@ -32,6 +33,9 @@
 	})
 }
 
+// TestOverlappingRolloutIsRejected starts rollouts over machines that another rollout has, of the
+// same name with another selection, and of unknown machines; of two starts at the same moment one
+// is accepted.
 func TestOverlappingRolloutIsRejected(t *testing.T) {
 	t.Parallel()
 	drainScenario(t, 2, drainOptions{capacity: 10, features: `drains { default_budget { replicas_down: 0 } }`, budget: map[string]teamBudget{"red": {0, 1}}},
@@ -65,6 +69,8 @@
 		})
 }
 
+// TestAbortInAnyRolloutStateLeavesNoMachineCordoned aborts a rollout in each of its states: it
+// ends, all machines are uncordoned and all replicas are up.
 func TestAbortInAnyRolloutStateLeavesNoMachineCordoned(t *testing.T) {
 	t.Parallel()
 	for name, prepare := range map[string]func(c *drainCluster){
--- a/internal/scenarios/drain_failover_test.go
+++ b/internal/scenarios/drain_failover_test.go
@@ -136,6 +136,8 @@
 	}()
 }
 
+// TestLeaderFailureDuringDrainStepRepeatsNoEviction has the leader fail in each way at each step
+// of a drain: no eviction is repeated, and no cordon or eviction is left over.
 func TestLeaderFailureDuringDrainStepRepeatsNoEviction(t *testing.T) {
 	t.Parallel()
 	for _, step := range leaderSteps {
@@ -161,9 +163,10 @@
 	}
 }
 
+// TestEvictionPermitStoredAfterFailoverIsVoid delays the transaction that stores an eviction
+// permit until the successor has written: the permit must not count.
 func TestEvictionPermitStoredAfterFailoverIsVoid(t *testing.T) {
 	t.Parallel()
-	// The transaction that stores a permit gets no answer and arrives after the successor's.
 	drainScenario(t, 4, drainOptions{capacity: 40}, func(t *testing.T, c *drainCluster) {
 		c.startService("job-1", 6)
 		c.network.SetDelay(func() time.Duration { return 12 * time.Second })
--- a/internal/scenarios/drain_failures_test.go
+++ b/internal/scenarios/drain_failures_test.go
@@ -10,6 +10,8 @@
 	"github.com/pebbletrail/pebbletrail/internal/rollout"
 )
 
+// TestRolloutCompletesDespiteFailuresDuringDrain lets machines, a zone, the state service or all
+// controllers fail while a machine is drained: the rollout completes with all replicas up.
 func TestRolloutCompletesDespiteFailuresDuringDrain(t *testing.T) {
 	t.Parallel()
 	for _, failure := range []struct {
@@ -81,6 +83,8 @@
 	}
 }
 
+// TestDelayedHeartbeatsOfDrainedMachineChangeNothing delivers copies of a machine's heartbeats
+// after the machine was drained and returned.
 func TestDelayedHeartbeatsOfDrainedMachineChangeNothing(t *testing.T) {
 	t.Parallel()
 	drainScenario(t, 3, drainOptions{capacity: 40}, func(t *testing.T, c *drainCluster) {
@@ -95,6 +99,8 @@
 	})
 }
 
+// TestJobCancelledDuringDrainWaveStopsInTime cancels a service once an eviction of a wave is
+// stored: it is gone within the limit, and the rollout completes.
 func TestJobCancelledDuringDrainWaveStopsInTime(t *testing.T) {
 	t.Parallel()
 	drainScenario(t, 3, drainOptions{capacity: 40}, func(t *testing.T, c *drainCluster) {
--- a/internal/scenarios/drain_replacement_test.go
+++ b/internal/scenarios/drain_replacement_test.go
@@ -10,6 +10,8 @@
 	"github.com/pebbletrail/pebbletrail/internal/rollout"
 )
 
+// TestRolloutReplacesMachinesInWaves replaces the machines of a zone, with the replacements
+// provisioned before or after the drain.
 func TestRolloutReplacesMachinesInWaves(t *testing.T) {
 	t.Parallel()
 	for _, surge := range []bool{true, false} {
@@ -36,6 +38,8 @@
 	}
 }
 
+// TestFailedReplacementMachineHaltsRollout has the first replacement never boot, or die while it
+// is observed: the rollout halts, and goes on only when an operator resumes it.
 func TestFailedReplacementMachineHaltsRollout(t *testing.T) {
 	t.Parallel()
 	for _, failure := range []struct {
@@ -94,9 +98,10 @@
 	}
 }
 
+// TestReplacementMachineWithFailingTasksHaltsRollout has the moved tasks fail again and again on
+// the replacement, the only machine they fit on.
 func TestReplacementMachineWithFailingTasksHaltsRollout(t *testing.T) {
 	t.Parallel()
-	// What was moved fits only on the replacement, and fails there again and again.
 	drainScenario(t, 1, drainOptions{capacity: 3}, func(t *testing.T, c *drainCluster) {
 		c.startService("job-1", 2, "cores", 4, "ramGb", 16)
 		go func() {
@@ -119,10 +124,11 @@
 	})
 }
 
+// TestRolloutWaitsForCloudCapacity takes the cloud or its capacity away. With surge nothing is
+// stopped meanwhile: the wave halts at its deadline, and goes on when it is resumed. Machines
+// drained before wait for the cloud to confirm their return.
 func TestRolloutWaitsForCloudCapacity(t *testing.T) {
 	t.Parallel()
-	// With surge nothing is stopped while the cloud is down or has no machine: the wave halts at its
-	// deadline, and goes on when it is resumed. What was emptied before waits for its return.
 	for _, c := range []struct {
 		name  string
 		begin func(c *drainCluster)
--- a/internal/scenarios/gang_test.go
+++ b/internal/scenarios/gang_test.go
@@ -6,6 +6,8 @@
 	"time"
 )
 
+// TestWaitingGangReplacesLostTaskUnderSameAttempt loses the machine of one task of a gang while
+// both tasks wait for each other: the task is replaced under the same attempt.
 func TestWaitingGangReplacesLostTaskUnderSameAttempt(t *testing.T) {
 	t.Parallel()
 	scenario(t, func(t *testing.T, c *testCluster) {
@@ -33,6 +35,8 @@
 	})
 }
 
+// TestRunningGangThatLosesTaskRestartsAsWhole ends one task of a running gang: no new attempt
+// starts beside the old one's remaining task.
 func TestRunningGangThatLosesTaskRestartsAsWhole(t *testing.T) {
 	t.Parallel()
 	for _, status := range []string{"running", "flushing"} {
--- a/internal/scenarios/job_status_test.go
+++ b/internal/scenarios/job_status_test.go
@@ -7,6 +7,8 @@
 	"time"
 )
 
+// TestArrayRunsToCompletionAndStaysDone runs an array and repeats its submission three minutes
+// after its completion.
 func TestArrayRunsToCompletionAndStaysDone(t *testing.T) {
 	t.Parallel()
 	scenario(t, func(t *testing.T, c *testCluster) {
@@ -33,10 +35,11 @@
 	})
 }
 
+// TestNodesAnswerConsistentlyWithinMilliseconds guards against a node whose answer is older than
+// what another node just told, or is 404, right after an acceptance, a completion and a confirmed
+// cancellation.
 func TestNodesAnswerConsistentlyWithinMilliseconds(t *testing.T) {
 	t.Parallel()
-	// Guards against a node that answers something older, or with 404, than another
-	// one told just before: after an acceptance, an end and a confirmed cancel.
 	for seed := range uint64(4) {
 		parallelScenario(t, fmt.Sprint(seed), func(t *testing.T, c *testCluster) {
 			random := newRandomSource(seed)
@@ -82,9 +85,11 @@
 	}
 }
 
+// TestRequestsRacingTaskCompletionGetConsistentAnswers guards against two winners when a
+// cancellation, a status request or a repeated submission meets the completion of a job's last
+// task: whatever is answered first holds at every node from then on.
 func TestRequestsRacingTaskCompletionGetConsistentAnswers(t *testing.T) {
 	t.Parallel()
-	// Guards against two winners: whatever is told first, every node tells from then on.
 	for seed := range uint64(4) {
 		parallelScenario(t, fmt.Sprint(seed), func(t *testing.T, c *testCluster) {
 			random := newRandomSource(seed)
@@ -136,9 +141,11 @@
 	}
 }
 
+// TestAcceptedJobsAreKnownSoonAfterOutage has all controllers crash in an outage of the state
+// service: soon after, each node knows each accepted job. A job unanswered for 75 s counts as
+// forgotten.
 func TestAcceptedJobsAreKnownSoonAfterOutage(t *testing.T) {
 	t.Parallel()
-	// One unanswered for 75 s after that counts as forgotten, on any node.
 	scenario(t, func(t *testing.T, c *testCluster) {
 		a, b := c.startNode("a"), c.startNode("b")
 		m1 := c.startWorker("m1", "north")
@@ -186,10 +193,11 @@
 	})
 }
 
+// TestInvalidOrUnschedulableJobsAreRejectedByEveryNode guards against accepting jobs that can't
+// run, and against rejecting the repeated submission of an accepted job, also right after both
+// controllers restarted.
 func TestInvalidOrUnschedulableJobsAreRejectedByEveryNode(t *testing.T) {
 	t.Parallel()
-	// Guards against accepting what can't run, and against refusing the repeat of what
-	// was accepted; also right after both controllers came back.
 	scenario(t, func(t *testing.T, c *testCluster) {
 		c.startNode("a")
 		c.startNode("b")
@@ -250,11 +258,11 @@
 	})
 }
 
+// TestTasksCompletingAcrossFailoversRunOnce guards against a job reported as done before its last
+// task, and against completed tasks that run again: the leader fails over before, while and after
+// an outcome is stored, and stale heartbeats show the tasks still running.
 func TestTasksCompletingAcrossFailoversRunOnce(t *testing.T) {
 	t.Parallel()
-	// Guards against a job called done before its last task, and against done tasks
-	// run again: the leader ends before, while and after an end is stored, and old
-	// reports show the tasks still running.
 	for _, count := range []int{2, 3} {
 		for _, delay := range []time.Duration{0, 300 * time.Millisecond, 2 * time.Second, 6 * time.Second} {
 			t.Run(fmt.Sprint(count, delay), func(t *testing.T) {
@@ -285,10 +293,11 @@
 	}
 }
 
+// TestSteadyStreamOfSmallJobsCompletesAcrossFailover guards against jobs that starve or stay
+// unanswered under four single-task jobs a second for two minutes, a quarter of them cancelled,
+// with a failover in the middle.
 func TestSteadyStreamOfSmallJobsCompletesAcrossFailover(t *testing.T) {
 	t.Parallel()
-	// Guards against jobs that starve or stay without an answer under a steady rate of
-	// small ones, a quarter of them cancelled, with a change of leader in the middle.
 	for seed := range uint64(2) {
 		parallelScenario(t, fmt.Sprint(seed), func(t *testing.T, c *testCluster) {
 			random := newRandomSource(seed)
--- a/internal/scenarios/leadership_test.go
+++ b/internal/scenarios/leadership_test.go
@@ -10,9 +10,10 @@
 	"github.com/pebbletrail/pebbletrail/internal/fake"
 )
 
+// TestLeaderIsCertainOnlyWithinItsLease checks LeaseSurelyHeld, on which the deletion of machines
+// rests: the cloud's API takes no fencing token.
 func TestLeaderIsCertainOnlyWithinItsLease(t *testing.T) {
 	t.Parallel()
-	// The cloud's deletions rest on it: they carry no token.
 	scenario(t, func(t *testing.T, c *testCluster) {
 		a := c.startNode("a")
 		time.Sleep(5 * time.Second)
@@ -34,10 +35,11 @@
 	})
 }
 
+// TestNewLeaderAsksOnlyRecentLeadersForConfirmation guards against controllers that are
+// partitioned with a zone and lead nothing, and yet keep a new leader from trusting any lease
+// expiry.
 func TestNewLeaderAsksOnlyRecentLeadersForConfirmation(t *testing.T) {
 	t.Parallel()
-	// Guards against controllers cut off with a zone, which own nothing, keeping a
-	// new leader from trusting any lapse.
 	for observed, want := range map[time.Duration]int{5 * time.Second: 0, 30 * time.Second: 1} {
 		scenario(t, func(t *testing.T, c *testCluster) {
 			a := c.startNode("a")
@@ -56,6 +58,8 @@
 	}
 }
 
+// TestFormerLeadersConfirmationShortensLeaseWait has the former leader's node confirm that it
+// stopped, so that the new leader needn't wait for leases that the former one might have renewed.
 func TestFormerLeadersConfirmationShortensLeaseWait(t *testing.T) {
 	t.Parallel()
 	scenario(t, func(t *testing.T, c *testCluster) {
@@ -81,6 +85,8 @@
 	})
 }
 
+// TestRestartedLeaderReleasesItsFormerLease restarts the leader's process: it leads again within a
+// second, without waiting for its former lease to expire.
 func TestRestartedLeaderReleasesItsFormerLease(t *testing.T) {
 	t.Parallel()
 	scenario(t, func(t *testing.T, c *testCluster) {
@@ -109,6 +115,8 @@
 	return len(hints)
 }
 
+// TestNewLeaderProbesMachinesBeforeTheirHeartbeats has a new leader find a machine whose
+// heartbeats don't arrive, by the hints that the former leader had passed on.
 func TestNewLeaderProbesMachinesBeforeTheirHeartbeats(t *testing.T) {
 	t.Parallel()
 	scenario(t, func(t *testing.T, c *testCluster) {
@@ -130,10 +138,10 @@
 	})
 }
 
+// TestStalledLeaderIsFencedBySuccessor guards against a leader that stalls with a start, responses
+// and writes on their way, which arrive after a successor has acted.
 func TestStalledLeaderIsFencedBySuccessor(t *testing.T) {
 	t.Parallel()
-	// Guards against a leader that stands still with a start, its answers and its
-	// writes on their way: a successor works meanwhile, then they arrive.
 	scenario(t, func(t *testing.T, c *testCluster) {
 		c.inCloudList = true
 		c.startPair()
@@ -171,6 +179,9 @@
 	})
 }
 
+// TestConcurrentLeadersStartTaskOnceAndDelayedTransactionIsVoid partitions the leader from the
+// state service and its peer but not from the worker, and delivers its held-back writes after the
+// other node has taken over.
 func TestConcurrentLeadersStartTaskOnceAndDelayedTransactionIsVoid(t *testing.T) {
 	t.Parallel()
 	scenario(t, func(t *testing.T, c *testCluster) {
--- a/internal/scenarios/partition_test.go
+++ b/internal/scenarios/partition_test.go
@@ -10,10 +10,11 @@
 	"github.com/pebbletrail/pebbletrail/internal/fake"
 )
 
+// TestIsolatedLeaderIsReplacedOnceAndFollows cuts the leader off from everything for a minute and
+// a half, by connection resets, dropped packets or held-back requests. Afterwards it must not lead
+// on, nor may leadership go back and forth.
 func TestIsolatedLeaderIsReplacedOnceAndFollows(t *testing.T) {
 	t.Parallel()
-	// By reset and by silence, for a minute and a half: what it still believes to own
-	// must not come back with it, nor may the pool go back and forth.
 	for kind, outcome := range map[string]fake.Outcome{"reset": fake.Refuse, "silence": fake.Drop, "held back": fake.HoldBack} {
 		scenario(t, func(t *testing.T, c *testCluster) {
 			c.inCloudList = true
@@ -51,11 +52,11 @@
 	}
 }
 
+// TestZonePartitionBeyondLeaseDuringFailoverLosesNoWork guards against what held-back heartbeats,
+// commands and responses of a partitioned zone do when they arrive at last: the zone's tasks ended
+// with their leases and run anew, while those of the other zone never stopped.
 func TestZonePartitionBeyondLeaseDuringFailoverLosesNoWork(t *testing.T) {
 	t.Parallel()
-	// Guards against what the zone's held reports, commands and answers do when
-	// they arrive afterwards: its tasks ended with their leases and run elsewhere
-	// or anew, and what ran in the other zone never stopped.
 	scenario(t, func(t *testing.T, c *testCluster) {
 		c.inCloudList = true
 		c.startNode("a")
@@ -121,9 +122,11 @@
 	})
 }
 
+// TestLeaderPartitionedFromStateServiceThenFromWorkersKeepsTasksRunning partitions first the
+// leader from the state service, then its successor from the workers. The controllers can't reach
+// each other all along.
 func TestLeaderPartitionedFromStateServiceThenFromWorkersKeepsTasksRunning(t *testing.T) {
 	t.Parallel()
-	// The controllers refuse one another all the while.
 	scenario(t, func(t *testing.T, c *testCluster) {
 		c.inCloudList = true
 		c.startPair()
@@ -164,6 +167,8 @@
 	})
 }
 
+// TestLeaderPartitionedFromWorkersStepsDownWithoutScaleIn partitions the leader from all workers:
+// it steps down, and returns none of the machines that it can't hear.
 func TestLeaderPartitionedFromWorkersStepsDownWithoutScaleIn(t *testing.T) {
 	t.Parallel()
 	scenario(t, func(t *testing.T, c *testCluster) {
@@ -206,6 +211,9 @@
 	})
 }
 
+// TestTaskOfWorkerPartitionedDuringFailoverIsRescheduledAfterLeaseExpiry partitions a worker
+// together with the leader, which goes on renewing the worker's lease: the new leader starts the
+// task elsewhere only once the lease must have expired.
 func TestTaskOfWorkerPartitionedDuringFailoverIsRescheduledAfterLeaseExpiry(t *testing.T) {
 	t.Parallel()
 	scenario(t, func(t *testing.T, c *testCluster) {
@@ -241,10 +249,11 @@
 	})
 }
 
+// TestMachineWithUndeliverableHeartbeatsRunsTaskUntilLeaseExpiry runs a task on a machine that can
+// be probed and commanded but whose heartbeats are refused. Found in a run in which the
+// controllers had no sockets left for new workers.
 func TestMachineWithUndeliverableHeartbeatsRunsTaskUntilLeaseExpiry(t *testing.T) {
 	t.Parallel()
-	// Found by a day with half as many machines again: the controllers had no
-	// sockets left for new workers, which answered questions all the same.
 	scenario(t, func(t *testing.T, c *testCluster) {
 		c.inCloudList = true
 		c.startNode("a")
@@ -268,11 +277,12 @@
 	})
 }
 
+// TestFailoverDuringMachinePartitionLosesNoWork guards against long tasks that are started anew
+// while they go on where the leader can't reach them, and against losing tasks that ended with
+// their leases. The team is at its quota, a job is cancelled meanwhile, and another one waits for
+// its quota.
 func TestFailoverDuringMachinePartitionLosesNoWork(t *testing.T) {
 	t.Parallel()
-	// Guards against long tasks started anew while they go on where nobody asks or
-	// is heard, and against losing those that ended with their leases. A team is at
-	// its limit, a job is called off meanwhile, and another waits for its room.
 	for _, kind := range []string{"refused", "swallowed", "held", "deaf", "mute"} {
 		for _, machines := range [][]string{{"m1"}, {"m2", "m3"}, {"m1", "m2", "m3"}} {
 			t.Run(kind+fmt.Sprint(len(machines)), func(t *testing.T) {
--- a/internal/scenarios/random_faults_test.go
+++ b/internal/scenarios/random_faults_test.go
@@ -10,13 +10,14 @@
 	"github.com/pebbletrail/pebbletrail/internal/fake"
 )
 
+// TestTwoConcurrentRandomFaultsBreakNoRule guards against rules that hold under each fault alone.
+// Two random faults at a time last for up to more than a lease: machines hang, lose their inbound
+// or outbound traffic or have heartbeats duplicated; the state service refuses the leader, is
+// slow, is down, loses responses or delays transactions; a controller restarts, or the leader is
+// partitioned from the state service and its peer. Some jobs depend on others. Afterwards every
+// job ends.
 func TestTwoConcurrentRandomFaultsBreakNoRule(t *testing.T) {
 	t.Parallel()
-	// Guards against rules that hold in each trouble alone: machines hang, are mute or
-	// deaf or have their reports copied, the state service refuses the leader, is slow or
-	// out for all, loses answers or carries transactions out late, the leader ends, or is
-	// cut from the state service and the other controller, two of these at a time, for up to beyond
-	// a lease. Some jobs await others. Once all is over, every job comes to its end.
 	for seed := range uint64(4) {
 		parallelScenario(t, fmt.Sprint(seed), func(t *testing.T, c *testCluster) {
 			random := newRandomSource(seed)
--- a/internal/scenarios/record_limits_test.go
+++ b/internal/scenarios/record_limits_test.go
@@ -52,11 +52,11 @@
 	c.awaitAnyLeader(10 * time.Second)
 }
 
+// TestCancellationIsStoredWhenRecordExceedsLimits guards against a job that can't be cancelled
+// because its record was written under larger limits of the state service: cancellations got 503
+// until enough tasks had ended. It also guards against a cancellation, stored apart from the
+// record, that a new leader, a completion at the same moment or another node overlooks.
 func TestCancellationIsStoredWhenRecordExceedsLimits(t *testing.T) {
-	// Guards against a user who can't cancel a job because its record was written under
-	// larger limits: the cancellation got 503 until enough of its tasks had ended. And
-	// against a cancellation stored apart from the record that a new leader, an end
-	// reached at the same moment or another node passes over.
 	for name, test := range map[string]struct {
 		fallen        bool // the limits are lower already
 		before, after func(c *testCluster)
@@ -123,9 +123,10 @@
 	}
 }
 
+// TestJobWhoseRecordExceedsLimitsRunsToCompletion guards against a record that can never be stored
+// again, since the set of completed tasks takes more than a value may hold: the machines are lost,
+// or tasks stop, so that no more tasks complete.
 func TestJobWhoseRecordExceedsLimitsRunsToCompletion(t *testing.T) {
-	// Guards against a record that can never be stored again: its machines are lost, so
-	// that no more tasks end, and which of them are done takes more than a value holds.
 	for name, injectFault := range map[string]func(c *testCluster){
 		"the machines are lost": func(c *testCluster) {
 			for _, worker := range c.workers {
--- a/internal/scenarios/restart_test.go
+++ b/internal/scenarios/restart_test.go
@@ -9,9 +9,10 @@
 	"github.com/pebbletrail/pebbletrail/internal/fake"
 )
 
+// TestControllersRestartedAtOnceKeepTasksRunning restarts, within a fraction of a second, the
+// leader, then the candidate in the middle of its failover, then all controllers.
 func TestControllersRestartedAtOnceKeepTasksRunning(t *testing.T) {
 	t.Parallel()
-	// The leader; the candidate in the middle of its takeover; all at once.
 	scenario(t, func(t *testing.T, c *testCluster) {
 		c.startPair()
 		c.submit("a", newJob("job-1", "standing", 4))
@@ -52,10 +53,11 @@
 	})
 }
 
+// TestRestartOfAllControllersDuringElectionIgnoresDelayedDuplicates guards against duplicated
+// heartbeats, submissions and cancellations, executed long ago, that arrive at processes that have
+// just started.
 func TestRestartOfAllControllersDuringElectionIgnoresDelayedDuplicates(t *testing.T) {
 	t.Parallel()
-	// Guards against copies of reports and repeats of submissions and cancels,
-	// carried out long ago, that arrive at processes which know of nothing yet.
 	scenario(t, func(t *testing.T, c *testCluster) {
 		c.inCloudList = true
 		c.startNode("a")
@@ -123,6 +125,9 @@
 	})
 }
 
+// TestCrashOfAllControllersDuringLongOutageLosesNoWork crashes all controllers in an outage of the
+// state service that is longer than the leader's lease: nothing is accepted meanwhile, and a task
+// completed in it is reported afterwards.
 func TestCrashOfAllControllersDuringLongOutageLosesNoWork(t *testing.T) {
 	t.Parallel()
 	scenario(t, func(t *testing.T, c *testCluster) {
@@ -153,10 +158,10 @@
 	})
 }
 
+// TestMachineBackUnderItsNameRunsLostTaskAgainOnce restarts a machine under its former name. It
+// has lost its tasks and its sequence numbers begin anew: what ran there must run again, once.
 func TestMachineBackUnderItsNameRunsLostTaskAgainOnce(t *testing.T) {
 	t.Parallel()
-	// It lost its tasks and counts from the beginning again: what ran there
-	// must run again, once.
 	scenario(t, func(t *testing.T, c *testCluster) {
 		c.startNode("a")
 		m1 := c.startWorker("m1", "north")
@@ -175,10 +180,11 @@
 	})
 }
 
+// TestRepeatedFailoversLoseNoWork guards against tasks that are lost or started anew while
+// leadership changes ten times in two minutes, also during an outage of the state service, and
+// while all controllers are down for longer than a lease.
 func TestRepeatedFailoversLoseNoWork(t *testing.T) {
 	t.Parallel()
-	// Guards against what is lost or begun anew while leaders change ten times in
-	// two minutes, also inside an outage of the store, and while all are away.
 	for _, downtime := range []time.Duration{50 * time.Millisecond, 900 * time.Millisecond, 5 * time.Second} {
 		for _, pattern := range []string{"one", "outage", "all", "away"} {
 			t.Run(fmt.Sprint(downtime, pattern), func(t *testing.T) {
--- a/internal/scenarios/scheduling_test.go
+++ b/internal/scenarios/scheduling_test.go
@@ -11,6 +11,8 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
+// TestUncertainTasksCountAgainstQuota silences a machine: its task counts against the team's quota
+// until its lease has expired.
 func TestUncertainTasksCountAgainstQuota(t *testing.T) {
 	t.Parallel()
 	scenario(t, func(t *testing.T, c *testCluster) {
@@ -34,6 +36,8 @@
 	})
 }
 
+// TestSpreadReplicaWaitsForMachineInOtherZone submits two spread replicas with machines in one
+// zone only: the second replica waits for a machine in the other zone.
 func TestSpreadReplicaWaitsForMachineInOtherZone(t *testing.T) {
 	t.Parallel()
 	scenario(t, func(t *testing.T, c *testCluster) {
@@ -50,6 +54,8 @@
 	})
 }
 
+// TestConsolidationStopsNothingDuringOutage asks the leader to move a replica while the state
+// service is down: it must not stop what it could not start elsewhere.
 func TestConsolidationStopsNothingDuringOutage(t *testing.T) {
 	t.Parallel()
 	scenario(t, func(t *testing.T, c *testCluster) {
@@ -83,10 +89,10 @@
 	})
 }
 
+// TestZoneBoundJobIsRescheduledWithinItsZone guards against tasks that go to another zone with
+// room when their own zone has none or is unreachable; a new machine of their zone takes them.
 func TestZoneBoundJobIsRescheduledWithinItsZone(t *testing.T) {
 	t.Parallel()
-	// Guards against tasks that go to another zone, where there is room, once their
-	// own has none or is dark; a new machine of the zone takes them.
 	for _, kind := range []string{"refused", "held", "deaf"} {
 		for _, shape := range []string{"array", "standing", "gang"} {
 			t.Run(kind+shape, func(t *testing.T) {
@@ -124,10 +130,10 @@
 	}
 }
 
+// TestUrgentJobsStartFirstOverSlowNetwork guards against tasks that start twice, over quota, or
+// before urgent tasks submitted later, while every call is slow, also across a failover.
 func TestUrgentJobsStartFirstOverSlowNetwork(t *testing.T) {
 	t.Parallel()
-	// Guards against work started twice, beyond the limit, or before urgent work
-	// that came later, while every call takes long; also if the leader ends.
 	for _, latency := range []time.Duration{100 * time.Millisecond, 350 * time.Millisecond} {
 		for _, failover := range []bool{false, true} {
 			t.Run(fmt.Sprint(latency, failover), func(t *testing.T) {
@@ -180,12 +186,12 @@
 	}
 }
 
+// TestUrgentJobStartsWhereTeamIsAtItsQuota guards against quota that tasks of lower urgency gave
+// up by preemption being given to such tasks again at once. The urgent job, above all a gang as
+// large as the quota, never started, and other tasks were stopped, or unassigned before their
+// start, again and again.
 func TestUrgentJobStartsWhereTeamIsAtItsQuota(t *testing.T) {
 	t.Parallel()
-	// Guards against room of a team's limit, from which lesser work of its own made
-	// way, being given to lesser work again at once: the urgent job, and a gang as
-	// large as the limit above all, never began, and the rest was stopped, or dropped
-	// before its starts went out, again and again, so that nothing of the team ran.
 	for _, shape := range []string{"gang", "array"} {
 		for _, urgency := range []string{"high", "critical"} {
 			for _, latency := range []time.Duration{0, 60 * time.Millisecond, 200 * time.Millisecond} {
--- a/internal/scenarios/shards_test.go
+++ b/internal/scenarios/shards_test.go
@@ -17,12 +17,12 @@
 	"github.com/pebbletrail/pebbletrail/internal/record"
 )
 
+// TestQuotaHoldsAcrossFailingShardLeaders runs three shards, each with room for twice its team's
+// quota. Jobs are submitted at all nodes at the same moment, and some are cancelled; leaders
+// crash, are refused by the state service or lose responses, and once all crash. The rules are
+// checked at each start, quota among them.
 func TestQuotaHoldsAcrossFailingShardLeaders(t *testing.T) {
 	t.Parallel()
-	// Five controllers lead three shards; each has room for twice its team's limit. Jobs come
-	// at all nodes at the same moment, some are cancelled; leaders die, are refused by the
-	// state service, lose answers, and all of them end once. The rules are checked at each
-	// start, quota among them.
 	for seed := range uint64(3) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
@@ -97,10 +97,10 @@
 	}
 }
 
+// TestJobsDependOnJobsOfOtherShards runs a chain of jobs, each depending on the one before, across
+// shards; then cancels a job in the middle of a second chain, and its dependents end with it.
 func TestJobsDependOnJobsOfOtherShards(t *testing.T) {
 	t.Parallel()
-	// Each job awaits the one before it, wherever that is; then one in the middle of a second
-	// chain is cancelled, and what follows it ends with it.
 	shardScenario(t, 2, func(t *testing.T, c *shardCluster) {
 		time.Sleep(5 * time.Second)
 		chain := func(first int) (names []string) {
@@ -138,10 +138,11 @@
 	})
 }
 
+// TestUnknownMachineBelongsToOneShardOnlyAfterProvisioning guards against a machine commanded by
+// two leaders: a machine that sends heartbeats while its provisioning request is unanswered
+// belongs to the shard that the answer will name.
 func TestUnknownMachineBelongsToOneShardOnlyAfterProvisioning(t *testing.T) {
 	t.Parallel()
-	// Guards against a machine that two leaders command: one whose hire is not answered yet,
-	// and that reports already, belongs to whom the answer will name.
 	shardScenario(t, 1, func(t *testing.T, c *shardCluster) {
 		time.Sleep(5 * time.Second)
 		key := record.KeysOf(2, c.shardCount).Hires() + "h-s2-1-1"
@@ -172,6 +173,8 @@
 	})
 }
 
+// TestShardLeadershipSpreadsAndIsReturned spreads the shards over three controllers, leaves one
+// controller to lead all, and has it return shards when the others are back.
 func TestShardLeadershipSpreadsAndIsReturned(t *testing.T) {
 	t.Parallel()
 	shardScenario(t, 1, func(t *testing.T, c *shardCluster) {
@@ -191,6 +194,8 @@
 	})
 }
 
+// TestStoreWithDifferentShardLayoutIsRejected starts controllers on a store that another number of
+// shards, or a newer version, has written.
 func TestStoreWithDifferentShardLayoutIsRejected(t *testing.T) {
 	t.Parallel()
 	shardScenario(t, 1, func(t *testing.T, c *shardCluster) {
--- a/internal/scenarios/stale_heartbeats_test.go
+++ b/internal/scenarios/stale_heartbeats_test.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
+// TestDelayedHeartbeatCopiesChangeNothing guards against a copy of a heartbeat, seconds old or
+// older than a lease, that shows a completed task as running or lacks one that runs now.
 func TestDelayedHeartbeatCopiesChangeNothing(t *testing.T) {
 	t.Parallel()
-	// Guards against a copy, seconds or more than a lease old, that shows a task
-	// as running which has ended and was cleared, or lacks one that runs now.
 	for _, delay := range []time.Duration{3 * time.Second, 35 * time.Second} {
 		scenario(t, func(t *testing.T, c *testCluster) {
 			c.startNode("a")
@@ -54,10 +54,11 @@
 	}
 }
 
+// TestNewLeaderHearingDelayedHeartbeatsFirstKeepsTaskRunning delivers copies of heartbeats to a
+// new leader before anything else of that machine: they show job-1 running, and know nothing of
+// job-2, which runs there now.
 func TestNewLeaderHearingDelayedHeartbeatsFirstKeepsTaskRunning(t *testing.T) {
 	t.Parallel()
-	// The copies show job-1 running and know nothing of job-2, which runs there
-	// now: the new leader hears them before anything else of that machine.
 	scenario(t, func(t *testing.T, c *testCluster) {
 		a := c.startNode("a")
 		m1 := c.startWorker("m1", "north")
@@ -93,11 +94,11 @@
 	})
 }
 
+// TestStaleHeartbeatsDuringFailoverChangeNothing guards against a new leader that takes a stale
+// heartbeat, the first it hears of a machine, for the machine's present state, whether the machine
+// can be probed or not.
 func TestStaleHeartbeatsDuringFailoverChangeNothing(t *testing.T) {
 	t.Parallel()
-	// Guards against a new leader that takes an old report, the first it hears of a
-	// machine, for what is there now: while the machine can't be asked, and while it
-	// can.
 	for _, content := range []string{"shows what runs elsewhere", "shows nothing", "of an earlier session", "shows what is done"} {
 		for _, kind := range []string{"", "refused", "held", "deaf"} {
 			t.Run(content+kind, func(t *testing.T) {
@@ -153,11 +154,12 @@
 	}
 }
 
+// TestStaleHeartbeatOfReplacedGangTaskChangesNothing guards against a new leader that takes the
+// end of an earlier start, under the same attempt on the same machine, for the end of the task
+// that waits there now and starts it elsewhere. The worker's incarnation may have changed in
+// between.
 func TestStaleHeartbeatOfReplacedGangTaskChangesNothing(t *testing.T) {
 	t.Parallel()
-	// Guards against a new leader that takes the end of an earlier start, under the
-	// same attempt on the same machine, for the end of the one that waits there now:
-	// it would start the task elsewhere. Its session may have changed in between.
 	for _, newIncarnation := range []bool{false, true} {
 		for _, kind := range []string{"", "refused", "held", "deaf"} {
 			t.Run(fmt.Sprint(newIncarnation, kind), func(t *testing.T) {
--- a/internal/scenarios/transactions_test.go
+++ b/internal/scenarios/transactions_test.go
@@ -13,12 +13,12 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
+// TestLostResponsesAndDelayedTransactionsAreReconciled guards against counting a transaction
+// without a response as one that was not executed, or never will be. Half of the transactions of
+// one kind, or of all kinds, get no response: they are executed at once, while others read what
+// they wrote, or 2 to 12 s later, after newer ones of the same controller.
 func TestLostResponsesAndDelayedTransactionsAreReconciled(t *testing.T) {
 	t.Parallel()
-	// Guards against counting a transaction without an answer as one that was not
-	// carried out, or will not be: half of one kind, or of all, get none. They are
-	// carried out at once, while others read what they wrote, or 2 to 12 s later,
-	// after newer ones of the same controller.
 	for _, kind := range []string{"submission", "cancel", "marker", "outcome", "takeover", "raise", "any"} {
 		for fate, name := range map[fake.Outcome]string{fake.DropResponse: "answer lost", fake.Delay: "late"} {
 			for seed := range uint64(3) {
@@ -134,6 +134,8 @@
 	}
 }
 
+// TestCommitWithLostResponseIsReadBack loses the responses to the first transactions with
+// assignments: the leader reads them back, and the task runs.
 func TestCommitWithLostResponseIsReadBack(t *testing.T) {
 	t.Parallel()
 	scenario(t, func(t *testing.T, c *testCluster) {
@@ -158,11 +160,12 @@
 	})
 }
 
+// TestManySmallJobsStayWithinStateServiceLimits guards against a burst of hundreds of single-task
+// jobs within a minute. Each costs a creation, an assignment and an outcome: together they must
+// stay within the operations a second of the state service, each transaction within its own limit,
+// and no job may be lost.
 func TestManySmallJobsStayWithinStateServiceLimits(t *testing.T) {
 	t.Parallel()
-	// Guards against a guest's hundreds of one-task jobs within a minute: each costs a
-	// creation, a claim and an end, and all together must stay below the changes that
-	// the state service takes, a transaction below its own, and none be lost.
 	scenario(t, func(t *testing.T, c *testCluster) {
 		const perSecond, perTxn, jobs = 200, 12, 400
 		changes := map[int64]int{}
