--- a/internal/scenarios/assertions_test.go
+++ b/internal/scenarios/assertions_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// eventually waits for a condition, at most d.
+// eventually waits until a condition holds, and fails the test if it doesn't within the timeout.
 func (c *testCluster) eventually(timeout time.Duration, what string, condition func() bool) {
 	c.t.Helper()
 	for end := time.Now().Add(timeout); !condition(); {
@@ -18,7 +18,7 @@
 	}
 }
 
-// consistently watches that a condition stays true for d.
+// consistently fails the test unless a condition holds for the whole duration.
 func (c *testCluster) consistently(duration time.Duration, what string, condition func() bool) {
 	c.t.Helper()
 	for end := time.Now().Add(duration); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
@@ -65,8 +65,8 @@
 	c.eventually(timeout, node.name+" steps down", func() bool { return node.elector.Cluster() == nil })
 }
 
-// checkInvariants samples what holds in every scenario, besides the rules that watch each event:
-// no task on two machines.
+// checkInvariants samples what must hold in every scenario, besides the rules that watch each
+// event: no task is on two machines, and no cancelled task runs on beyond the limit.
 func (c *testCluster) checkInvariants() {
 	c.t.Helper()
 	c.rules.CheckCancelled()
@@ -81,7 +81,7 @@
 	}
 }
 
-// machinesRunning lists where a task is, by worker name.
+// machinesRunning names the machines that a task is on.
 func (c *testCluster) machinesRunning(task string) (machines []string) {
 	for _, worker := range c.listWorkers() {
 		for _, active := range worker.ActiveTasks() {
@@ -130,8 +130,8 @@
 	}
 }
 
-// requireStopped checks that a job's tasks are gone within cancel_s of its confirmed
-// cancellation, and stay away.
+// requireStopped checks that a job's tasks stop within the limit after the cancellation was
+// confirmed, and don't start again.
 func (c *testCluster) requireStopped(confirmedAt time.Time, job string, tasks int, stableFor time.Duration) {
 	c.t.Helper()
 	gone := func() bool {
@@ -142,15 +142,16 @@
 		}
 		return true
 	}
-	c.eventually(time.Until(confirmedAt.Add(cancelLimit)), job+" gone within cancel_s", gone)
-	c.consistently(stableFor, job+" stays away", gone)
+	c.eventually(time.Until(confirmedAt.Add(cancelLimit)), job+" stops within the cancellation limit", gone)
+	c.consistently(stableFor, job+" does not start again", gone)
 }
 
+// bothReport tells whether both nodes report a job with a status.
 func (c *testCluster) bothReport(id, status string) bool {
 	return c.status("a", id) == status && c.status("b", id) == status
 }
 
-// countReported counts the jobs from one number to another that both nodes call by a status.
+// countReported counts the jobs from one number to another that both nodes report with a status.
 func (c *testCluster) countReported(status string, from, to int) (n int) {
 	for i := from; i <= to; i++ {
 		if c.bothReport(fmt.Sprintf("job-%d", i), status) {
@@ -160,7 +161,7 @@
 	return n
 }
 
-// isReportedAs tells whether a node answers that a job stands so, and no node answers otherwise.
+// isReportedAs tells whether some node reports a job with a status, and no node with another.
 func (c *testCluster) isReportedAs(id, status string) bool {
 	answers := 0
 	for _, node := range nodeNames {
@@ -175,12 +176,13 @@
 	return answers > 0
 }
 
-// awaitAgreement waits until all nodes call a job the same, which is over.
+// awaitAgreement waits, for one job after another, until it has ended and all nodes report the
+// same.
 func (c *testCluster) awaitAgreement(within time.Duration, ids ...string) {
 	c.t.Helper()
 	for _, id := range ids {
 		last := map[string]string{}
-		c.eventually(within, id+" is over and told alike by all", func() bool {
+		c.eventually(within, id+" has ended and all nodes report the same", func() bool {
 			for _, node := range nodeNames {
 				last[node] = c.status(node, id)
 			}
@@ -189,7 +191,7 @@
 	}
 }
 
-// requireCancelledAtAllNodes asks all nodes at one moment whether these jobs are cancelled.
+// requireCancelledAtAllNodes asks all nodes at the same moment whether the jobs are cancelled.
 func (c *testCluster) requireCancelledAtAllNodes(jobs []string) {
 	c.t.Helper()
 	var wg sync.WaitGroup
@@ -197,7 +199,7 @@
 		for _, node := range nodeNames {
 			wg.Go(func() {
 				if code, out := c.call(node, "GET", "/v2/runs/"+id, nil); code == 200 && out["status"] != "cancelled" {
-					c.t.Errorf("%s calls %s %v", node, id, out["status"])
+					c.t.Errorf("%s reports %s as %v", node, id, out["status"])
 				}
 			})
 		}
--- a/internal/scenarios/cancellation_outage_test.go
+++ b/internal/scenarios/cancellation_outage_test.go
@@ -9,13 +9,13 @@
 	"github.com/pebbletrail/pebbletrail/internal/fake"
 )
 
-// The gap: the state service refuses the leader alone, another controller confirms
-// cancellations, and then it is out for all, for longer than cancel_s, while workers
-// go on reporting to the old leader. cancel_s is 40 s here, a lease 20 s.
+// cancelLimit is cancel_s of the settings. In the scenarios of this file the state service refuses
+// the leader alone, the other controller confirms cancellations, and then the state service is down
+// for longer than this limit, while workers go on sending heartbeats to the former leader. A
+// worker's lease is 20 s.
 const cancelLimit = 40 * time.Second
 
-// startWithReplicas is a test cluster in which replicas run on two machines, under a leader that is
-// cut from the other controller.
+// startWithReplicas starts a cluster in which replicas run on two machines.
 func startWithReplicas(c *testCluster) (leader, other *testNode) {
 	c.startPair()
 	c.submit("a", newJob("job-1", "standing", 4))
@@ -52,7 +52,7 @@
 			c.partitionFromPeerAndState(leader, "/")
 			time.Sleep(300 * time.Millisecond)
 			confirmedAt := c.confirmCancellation(other, "job-1")
-			c.store.SetDown(true) // its hold lasts until the outage is over
+			c.store.SetDown(true) // its lease lasts until the outage is over
 			outageStart := time.Now()
 			time.Sleep(2 * time.Second)
 			c.network.SetRule(func(from, to string, _ *http.Request, _ []byte) fake.Outcome {
@@ -63,7 +63,7 @@
 			})
 			c.eventually(time.Until(outageStart.Add(min(outage, 16*time.Second))), "", func() bool {
 				if !c.isRunning("job-2/0") {
-					t.Fatalf("what nobody cancelled ended after %v of the outage", time.Since(outageStart))
+					t.Fatalf("a job that nobody cancelled stopped after %v of the outage", time.Since(outageStart))
 				}
 				return time.Since(outageStart) > min(outage, 16*time.Second)-time.Second
 			})
@@ -88,15 +88,15 @@
 	scenario(t, func(t *testing.T, c *testCluster) {
 		leader, other := startWithReplicas(c)
 		c.partitionFromPeerAndState(leader, "/kv", "/follow")
-		time.Sleep(14 * time.Second) // its open watch is over
+		time.Sleep(14 * time.Second) // its open watch has ended
 		confirmedAt := c.confirmCancellation(other, "job-1")
 		c.requireStopped(confirmedAt, "job-1", 4, 10*time.Second)
 		if leader.elector.Cluster() == nil {
-			t.Fatal("it did not keep the pool: the story shows nothing")
+			t.Fatal("it did not go on leading: the scenario shows nothing")
 		}
 		c.network.SetRule(nil)
 		c.awaitRunning(20*time.Second, "job-2", 2)
-		c.eventually(20*time.Second, "the end is stored", func() bool { return c.store.Value("end/job-1") != nil })
+		c.eventually(20*time.Second, "the outcome is stored", func() bool { return c.store.Value("end/job-1") != nil })
 	})
 }
 
@@ -112,7 +112,7 @@
 			case isBetween(from, to, "a", "b"), from == leader.name && to == "state:1":
 				return fake.Drop
 			case from == other.name && r.URL.Path == "/kv/none" && other.elector.Cluster() != nil:
-				return fake.Drop // it reads nothing after its takeover
+				return fake.Drop // it reads nothing once it leads
 			}
 			return fake.Deliver
 		})
@@ -141,9 +141,9 @@
 			case r.URL.Path == "/commands" && strings.Contains(string(body), `"start"`):
 				return fake.HoldBack
 			case r.URL.Path == "/agent/beat" && from != "user":
-				return fake.Drop // so that no beat carries the start
+				return fake.Drop // so that no heartbeat's response carries the start
 			case r.URL.Path == "/commit" && strings.Contains(string(body), "pool/generation\",\"value") && !strings.Contains(string(body), "pool/owner"):
-				return fake.Refuse // the token can't be raised
+				return fake.Refuse // the fencing token can't be raised
 			}
 			return fake.Deliver
 		}
@@ -161,9 +161,9 @@
 		if c.network.ReleaseHeld() == 0 {
 			t.Fatal("no start was held back")
 		}
-		c.consistently(20*time.Second, "the late start begins nothing", func() bool { return len(m1.ActiveTasks()) == 0 })
+		c.consistently(20*time.Second, "the delayed start is rejected", func() bool { return len(m1.ActiveTasks()) == 0 })
 		c.network.SetRule(nil)
-		c.eventually(40*time.Second, "the end is stored", func() bool { return c.store.Value("end/job-1") != nil })
+		c.eventually(40*time.Second, "the outcome is stored", func() bool { return c.store.Value("end/job-1") != nil })
 		c.submit("a", newJob("job-2", "array", 1))
 		c.awaitTask(10*time.Second, "job-2/0")
 	})
@@ -185,7 +185,7 @@
 		c.network.SetRule(func(from, to string, r *http.Request, body []byte) fake.Outcome {
 			switch {
 			case r.URL.Path == "/commands" && strings.Contains(string(body), `"start"`):
-				return fake.Drop // marked and sent, but it does not arrive
+				return fake.Drop // assigned and sent, but it doesn't arrive
 			case strings.HasPrefix(from, "m1:"):
 				return fake.Refuse
 			case isolated && (isBetween(from, to, "a", "b") || from == leader.name && to == "state:1"):
@@ -194,7 +194,7 @@
 			return fake.Deliver
 		})
 		c.submit("a", newJob("job-1", "array", 1))
-		c.eventually(2*time.Second, "marked", func() bool { return strings.Contains(string(c.store.Value("job/job-1")), `"places"`) })
+		c.eventually(2*time.Second, "assigned", func() bool { return strings.Contains(string(c.store.Value("job/job-1")), `"places"`) })
 		isolated = true
 		c.confirmCancellation(other, "job-1")
 		c.store.SetDown(true)
--- a/internal/scenarios/cancellation_test.go
+++ b/internal/scenarios/cancellation_test.go
@@ -26,15 +26,15 @@
 			return fake.Deliver
 		})
 		c.submit("a", newJob("job-11", "array", 1))
-		time.Sleep(300 * time.Millisecond) // the marker is stored, the start under way
+		time.Sleep(300 * time.Millisecond) // the assignment is stored, the start is on its way
 		if code, out := c.call("b", "POST", "/v2/runs/job-11/cancel", nil); code != 200 || out["status"] != "cancelled" {
 			t.Fatalf("cancel answered %d %v", code, out)
 		}
-		c.eventually(38*time.Second, "gone for good", func() bool { return c.store.Value("end/job-11") != nil })
+		c.eventually(38*time.Second, "its outcome is stored", func() bool { return c.store.Value("end/job-11") != nil })
 		c.network.ReleaseHeld()
-		c.consistently(20*time.Second, "the late start is turned away", func() bool { return c.isAbsent("job-11/0") })
+		c.consistently(20*time.Second, "the delayed start is rejected", func() bool { return c.isAbsent("job-11/0") })
 		if s := c.status("a", "job-11"); s != "cancelled" {
-			t.Fatalf("called %q", s)
+			t.Fatalf("reported as %q", s)
 		}
 	})
 }
@@ -63,14 +63,14 @@
 			}
 			return fake.Deliver
 		})
-		c.eventually(20*time.Second, "told cancelled", func() bool {
+		c.eventually(20*time.Second, "cancellation confirmed", func() bool {
 			code, _ := c.call(other, "POST", "/v2/runs/job-1/cancel", nil)
 			return code == 200
 		})
 		confirmedAt := time.Now()
-		c.eventually(40*time.Second, "it is gone within cancel_s", func() bool { return c.isAbsent("job-1/0") })
+		c.eventually(40*time.Second, "it stops within the cancellation limit", func() bool { return c.isAbsent("job-1/0") })
 		if elapsed := time.Since(confirmedAt); elapsed < 15*time.Second {
-			t.Errorf("gone after %v: work in the zone did not go on for a while", elapsed)
+			t.Errorf("stopped after %v: work in the zone did not go on for a while", elapsed)
 		}
 	})
 }
@@ -97,17 +97,17 @@
 			}
 			return fake.Deliver
 		})
-		for i := range 16 { // at different moments of the leader's reading of the news
+		for i := range 16 { // at different moments of the leader's reading of changes
 			id := fmt.Sprintf("job-%d", i+1)
 			time.Sleep(3*time.Second + time.Duration(i)*25*time.Millisecond)
 			c.submit("a", newJob(id, "array", 1))
-			time.Sleep(50 * time.Millisecond) // the marker is stored
+			time.Sleep(50 * time.Millisecond) // the assignment is stored
 			if code, out := c.call("b", "POST", "/v2/runs/"+id+"/cancel", nil); code != 200 || out["status"] != "cancelled" {
 				t.Fatalf("cancel answered %d %v", code, out)
 			}
-			time.Sleep(time.Second) // no user asks the leader, who would read the news for him
+			time.Sleep(time.Second) // no user asks the leader, which would read the changes for that
 			if n := c.workerNamed("m1").StartCount(id + "/0"); n > 0 {
-				t.Errorf("%s was started after its user was told", id)
+				t.Errorf("%s was started after its cancellation was confirmed", id)
 			}
 		}
 		c.network.SetRule(nil)
@@ -138,7 +138,7 @@
 						leader := c.awaitLeader()
 						c.setFaults(func(from, to string, _ *http.Request, _ []byte) fake.Outcome {
 							if isBetween(from, to, "a", "b") {
-								return fake.Refuse // so that it isn't told either
+								return fake.Refuse // so that it isn't notified either
 							}
 							return fake.Deliver
 						})
@@ -183,7 +183,7 @@
 					c.passTime(3 * time.Second)
 					leader := c.awaitLeader()
 					other := otherNode(leader.name)
-					c.submitJob(other, newJob("job-5", "array", 2)) // waits for room, or its starts are on their way
+					c.submitJob(other, newJob("job-5", "array", 2)) // waits for quota, or its starts are on their way
 					if event == "cut off" {
 						c.setFaults(func(from, to string, _ *http.Request, _ []byte) fake.Outcome {
 							if isBetween(from, to, leader.name, "state") || isBetween(from, to, leader.name, other) {
@@ -204,7 +204,7 @@
 					c.cancelJob(other, "job-5")
 					c.passTime(45 * time.Second)
 					if n := c.nodes[other]; n.elector.Cluster() == nil && event != "ends and returns" {
-						t.Error("the other does not lead")
+						t.Error("the other node does not lead")
 					}
 					c.heal()
 					if event == "ends" {
@@ -225,9 +225,9 @@
 // partitioned, and the leader fails over before or after the cancellations.
 func TestQuotaHoldsWhileCancelledTasksAreUnreachable(t *testing.T) {
 	t.Parallel()
-	for _, kind := range []string{"refused", "swallowed", "held", "deaf", "mute", "hung"} {
+	for _, kind := range []partitionKind{connectionRefused, packetsDropped, requestsHeldBack, inboundLost, outboundRefused, machinesHang} {
 		for _, failoverLast := range []bool{false, true} {
-			t.Run(fmt.Sprint(kind, failoverLast), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s, failover last %t", kind, failoverLast), func(t *testing.T) {
 				t.Parallel()
 				faultScenario(t, func(t *testing.T, c *faultCluster) {
 					c.startWorkers("north", "south", "north", "south")
@@ -242,7 +242,7 @@
 					c.submitJob("b", newJob("job-5", "array", 6).with("cores", 2))
 					c.passTime(4 * time.Second)
 					c.partition(kind, unreachable...)
-					if kind == "hung" {
+					if kind == machinesHang {
 						for _, name := range unreachable {
 							c.workerNamed(name).SetHung(true)
 						}
@@ -263,7 +263,7 @@
 					if failoverLast {
 						failOver()
 					}
-					if kind == "hung" { // some go on within their leases, some beyond
+					if kind == machinesHang { // one resumes within its lease, the others after its expiry
 						c.passTime(12 * time.Second)
 						c.workerNamed(unreachable[0]).SetHung(false)
 						c.passTime(33 * time.Second)
@@ -276,7 +276,7 @@
 					c.heal()
 					c.passTime(3 * time.Second)
 					if !c.isRunning("job-2/0") {
-						t.Error("job-2, which nobody called off, is gone")
+						t.Error("job-2, which nobody cancelled, is gone")
 					}
 					c.cancelJob("a", "job-2")
 					c.completeJobs("job-5")
--- a/internal/scenarios/checker_test.go
+++ b/internal/scenarios/checker_test.go
@@ -8,25 +8,24 @@
 	"github.com/pebbletrail/pebbletrail/internal/fake"
 )
 
-// observation is one thing that the checker sees: an answer or an event.
+// observation is one thing that the checker sees: a request with its response, or a task event.
 type observation struct {
 	wait time.Duration
-	// An answer: method, path, body, and what came. With early, the request is
-	// sent before the last one was answered.
+	// A request with its response.
 	method, path           string
-	body                   map[string]any
+	body                   jobSpec
 	code                   int
 	status                 string
 	sentBeforeLastResponse bool
-	sameInstant            bool // sent at the very instant of the last answer
-	// Or an event.
+	sameInstant            bool // sent at the very instant of the last response
+	// Or a task event on a worker.
 	worker         *fake.Worker
 	task           string
 	attempt        uint64
 	start          bool
 	cause          string
-	commandAge     time.Duration
-	checkCancelled bool
+	commandAge     time.Duration // since the command was sent
+	checkCancelled bool          // looks for overdue cancelled tasks afterwards
 }
 
 // TestCheckerDetectsEachViolation guards against a checker that sees nothing: each rule is broken
@@ -56,7 +55,7 @@
 	later := func(d time.Duration, s observation) observation { s.wait = d; return s }
 	one := func() jobSpec { return newJob("job-1", "array", 1) }
 	two := func() jobSpec { return newJob("job-1", "array", 2) }
-	after1 := func() jobSpec { return newJob("job-2", "array", 1).with("awaits", []string{"job-1"}) }
+	dependent := func() jobSpec { return newJob("job-2", "array", 1).dependingOn("job-1") }
 	var starving []observation
 	for range 20 {
 		starving = append(starving, later(5*time.Second, get("job-1", 503, "")), get("job-2", 200, "pending"), get("job-3", 200, "pending"))
@@ -71,48 +70,48 @@
 		{"a cancel", "", []observation{submit(one(), 201, "pending"), start(small, "job-1/0", 1), cancel("job-1", "cancelled"),
 			{wait: time.Second, worker: south, task: "job-1/0", attempt: 1, cause: "x"}, {worker: small, task: "job-1/0", attempt: 1, cause: "stopped", checkCancelled: true},
 			later(time.Minute, get("job-1", 200, "cancelled"))}},
-		{"elsewhere", "ran_twice", []observation{submit(one(), 201, "pending"), start(small, "job-1/0", 1), start(south, "job-1/0", 2)}},
-		{"limit", "quota", []observation{submit(two().with("cores", 5), 201, "pending"), start(small, "job-1/0", 1), start(small, "job-1/1", 1)}},
-		{"type", "wrong_place", []observation{submit(one().with("builds", []string{"small"}), 201, "pending"), start(large, "job-1/0", 1)}},
-		{"zone", "wrong_place", []observation{submit(one().with("yard", "north"), 201, "pending"), start(south, "job-1/0", 1)}},
-		{"spot", "wrong_place", []observation{submit(one(), 201, "pending"), start(spot, "job-1/0", 1)}},
-		{"together", "wrong_place", []observation{submit(two().with("together", true), 201, "pending"), start(small, "job-1/0", 1), start(south, "job-1/1", 1)}},
-		{"spread", "wrong_place", []observation{submit(two().with("spread", true), 201, "pending"), start(small, "job-1/0", 1), start(large, "job-1/1", 1)}},
-		{"still there", "ran_cancelled", []observation{submit(one(), 201, "pending"), start(small, "job-1/0", 1), cancel("job-1", "cancelled"), {wait: 41 * time.Second, checkCancelled: true}}},
-		{"ends late", "ran_cancelled", []observation{submit(one(), 201, "pending"), start(small, "job-1/0", 1), cancel("job-1", "cancelled"), later(41*time.Second, end(small, "job-1/0", 1, "stopped"))}},
-		{"starts late", "ran_cancelled", []observation{submit(one(), 201, "pending"), cancel("job-1", "cancelled"),
+		{"elsewhere", ruleRanTwice, []observation{submit(one(), 201, "pending"), start(small, "job-1/0", 1), start(south, "job-1/0", 2)}},
+		{"limit", ruleQuota, []observation{submit(two().with("cores", 5), 201, "pending"), start(small, "job-1/0", 1), start(small, "job-1/1", 1)}},
+		{"type", ruleWrongPlace, []observation{submit(one().with("builds", []string{"small"}), 201, "pending"), start(large, "job-1/0", 1)}},
+		{"zone", ruleWrongPlace, []observation{submit(one().with("yard", "north"), 201, "pending"), start(south, "job-1/0", 1)}},
+		{"spot", ruleWrongPlace, []observation{submit(one(), 201, "pending"), start(spot, "job-1/0", 1)}},
+		{"together", ruleWrongPlace, []observation{submit(two().with("together", true), 201, "pending"), start(small, "job-1/0", 1), start(south, "job-1/1", 1)}},
+		{"spread", ruleWrongPlace, []observation{submit(two().with("spread", true), 201, "pending"), start(small, "job-1/0", 1), start(large, "job-1/1", 1)}},
+		{"still there", ruleRanCancelled, []observation{submit(one(), 201, "pending"), start(small, "job-1/0", 1), cancel("job-1", "cancelled"), {wait: 41 * time.Second, checkCancelled: true}}},
+		{"ends late", ruleRanCancelled, []observation{submit(one(), 201, "pending"), start(small, "job-1/0", 1), cancel("job-1", "cancelled"), later(41*time.Second, end(small, "job-1/0", 1, "stopped"))}},
+		{"starts late", ruleRanCancelled, []observation{submit(one(), 201, "pending"), cancel("job-1", "cancelled"),
 			{wait: 41 * time.Second, worker: small, task: "job-1/0", attempt: 1, start: true, commandAge: 50 * time.Second}}},
-		{"told to start afterwards", "ran_cancelled", []observation{submit(one(), 201, "pending"), cancel("job-1", "cancelled"), later(time.Second, start(small, "job-1/0", 1))}},
-		{"gone", "forgotten", []observation{submit(one(), 201, "pending"), get("job-1", 404, "")}},
-		{"a cancel finds nothing", "forgotten", []observation{submit(one(), 201, "pending"), {method: "POST", path: "/v2/runs/job-1/cancel", code: 404}}},
-		{"repeat 400", "forgotten", []observation{submit(one(), 201, "pending"), submit(one(), 400, "")}},
-		{"repeat 422", "forgotten", []observation{submit(one(), 201, "pending"), submit(one(), 422, "")}},
-		{"unanswered", "forgotten", append([]observation{submit(one(), 201, "pending"), submit(newJob("job-2", "array", 1), 201, "pending"), submit(newJob("job-3", "array", 1), 201, "pending")}, starving...)},
-		{"a poll", "invented", []observation{get("job-1", 200, "pending")}},
-		{"a cancelled nothing", "invented", []observation{cancel("job-1", "cancelled")}},
-		{"a start", "invented", []observation{start(small, "job-1/0", 1)}},
-		{"a task too many", "invented", []observation{submit(one(), 201, "pending"), start(small, "job-1/1", 1)}},
-		{"half done", "not_done", []observation{submit(two(), 201, "pending"), start(small, "job-1/0", 1), end(small, "job-1/0", 1, "done"), get("job-1", 200, "done")}},
-		{"stopped is not done", "not_done", []observation{submit(one(), 201, "pending"), start(small, "job-1/0", 1), end(small, "job-1/0", 1, "stopped"), get("job-1", 200, "done")}},
-		{"done, then running", "went_back", []observation{submit(one(), 201, "pending"), start(small, "job-1/0", 1), end(small, "job-1/0", 1, "done"), get("job-1", 200, "done"), get("job-1", 200, "running")}},
-		{"done, then running at the same instant", "went_back", []observation{submit(one(), 201, "pending"), start(small, "job-1/0", 1), end(small, "job-1/0", 1, "done"), get("job-1", 200, "done"), atOnce(get("job-1", 200, "running"))}},
-		{"cancelled, then pending at the same instant", "went_back", []observation{submit(one(), 201, "pending"), cancel("job-1", "cancelled"), atOnce(get("job-1", 200, "pending"))}},
-		{"accepted twice at the same instant", "went_back", []observation{submit(one(), 201, "pending"), atOnce(submit(one(), 201, "pending"))}},
-		{"gone at the same instant", "forgotten", []observation{submit(one(), 201, "pending"), atOnce(get("job-1", 404, ""))}},
-		{"a gang of which one never ran", "not_done", []observation{submit(newJob("job-1", "gang", 2), 201, "pending"), start(small, "job-1/0", 1), end(small, "job-1/0", 1, "done"), get("job-1", 200, "done")}},
+		{"told to start afterwards", ruleRanCancelled, []observation{submit(one(), 201, "pending"), cancel("job-1", "cancelled"), later(time.Second, start(small, "job-1/0", 1))}},
+		{"gone", ruleForgotten, []observation{submit(one(), 201, "pending"), get("job-1", 404, "")}},
+		{"a cancel finds nothing", ruleForgotten, []observation{submit(one(), 201, "pending"), {method: "POST", path: "/v2/runs/job-1/cancel", code: 404}}},
+		{"repeat 400", ruleForgotten, []observation{submit(one(), 201, "pending"), submit(one(), 400, "")}},
+		{"repeat 422", ruleForgotten, []observation{submit(one(), 201, "pending"), submit(one(), 422, "")}},
+		{"unanswered", ruleForgotten, append([]observation{submit(one(), 201, "pending"), submit(newJob("job-2", "array", 1), 201, "pending"), submit(newJob("job-3", "array", 1), 201, "pending")}, starving...)},
+		{"a poll", ruleInvented, []observation{get("job-1", 200, "pending")}},
+		{"a cancelled nothing", ruleInvented, []observation{cancel("job-1", "cancelled")}},
+		{"a start", ruleInvented, []observation{start(small, "job-1/0", 1)}},
+		{"a task too many", ruleInvented, []observation{submit(one(), 201, "pending"), start(small, "job-1/1", 1)}},
+		{"half done", ruleNotDone, []observation{submit(two(), 201, "pending"), start(small, "job-1/0", 1), end(small, "job-1/0", 1, "done"), get("job-1", 200, "done")}},
+		{"stopped is not done", ruleNotDone, []observation{submit(one(), 201, "pending"), start(small, "job-1/0", 1), end(small, "job-1/0", 1, "stopped"), get("job-1", 200, "done")}},
+		{"done, then running", ruleWentBack, []observation{submit(one(), 201, "pending"), start(small, "job-1/0", 1), end(small, "job-1/0", 1, "done"), get("job-1", 200, "done"), get("job-1", 200, "running")}},
+		{"done, then running at the same instant", ruleWentBack, []observation{submit(one(), 201, "pending"), start(small, "job-1/0", 1), end(small, "job-1/0", 1, "done"), get("job-1", 200, "done"), atOnce(get("job-1", 200, "running"))}},
+		{"cancelled, then pending at the same instant", ruleWentBack, []observation{submit(one(), 201, "pending"), cancel("job-1", "cancelled"), atOnce(get("job-1", 200, "pending"))}},
+		{"accepted twice at the same instant", ruleWentBack, []observation{submit(one(), 201, "pending"), atOnce(submit(one(), 201, "pending"))}},
+		{"gone at the same instant", ruleForgotten, []observation{submit(one(), 201, "pending"), atOnce(get("job-1", 404, ""))}},
+		{"a gang of which one never ran", ruleNotDone, []observation{submit(newJob("job-1", "gang", 2), 201, "pending"), start(small, "job-1/0", 1), end(small, "job-1/0", 1, "done"), get("job-1", 200, "done")}},
 		{"a gang is done when one of it is", "", []observation{submit(newJob("job-1", "gang", 2), 201, "pending"), start(small, "job-1/0", 1), start(south, "job-1/1", 1), end(small, "job-1/0", 1, "done"), get("job-1", 200, "done")}},
-		{"cancelled, then pending", "went_back", []observation{submit(one(), 201, "pending"), cancel("job-1", "cancelled"), submit(one(), 200, "pending")}},
-		{"cancelled, then done", "went_back", []observation{submit(one(), 201, "pending"), start(small, "job-1/0", 1), cancel("job-1", "cancelled"), end(small, "job-1/0", 1, "done"), get("job-1", 200, "done")}},
-		{"done, then cancelled", "went_back", []observation{submit(one(), 201, "pending"), start(small, "job-1/0", 1), end(small, "job-1/0", 1, "done"), get("job-1", 200, "done"), cancel("job-1", "cancelled")}},
-		{"cancelled by nobody", "went_back", []observation{submit(one(), 201, "pending"), get("job-1", 200, "cancelled")}},
-		{"a pipeline", "", []observation{submit(one(), 201, "pending"), submit(after1(), 201, "pending"), start(small, "job-1/0", 1), end(small, "job-1/0", 1, "done"),
+		{"cancelled, then pending", ruleWentBack, []observation{submit(one(), 201, "pending"), cancel("job-1", "cancelled"), submit(one(), 200, "pending")}},
+		{"cancelled, then done", ruleWentBack, []observation{submit(one(), 201, "pending"), start(small, "job-1/0", 1), cancel("job-1", "cancelled"), end(small, "job-1/0", 1, "done"), get("job-1", 200, "done")}},
+		{"done, then cancelled", ruleWentBack, []observation{submit(one(), 201, "pending"), start(small, "job-1/0", 1), end(small, "job-1/0", 1, "done"), get("job-1", 200, "done"), cancel("job-1", "cancelled")}},
+		{"cancelled by nobody", ruleWentBack, []observation{submit(one(), 201, "pending"), get("job-1", 200, "cancelled")}},
+		{"a pipeline", "", []observation{submit(one(), 201, "pending"), submit(dependent(), 201, "pending"), start(small, "job-1/0", 1), end(small, "job-1/0", 1, "done"),
 			start(small, "job-2/0", 1), end(small, "job-2/0", 1, "done"), get("job-2", 200, "done")}},
-		{"a cancelled pipeline", "", []observation{submit(one(), 201, "pending"), submit(after1(), 201, "pending"), cancel("job-1", "cancelled"), get("job-2", 200, "pending"),
+		{"a cancelled pipeline", "", []observation{submit(one(), 201, "pending"), submit(dependent(), 201, "pending"), cancel("job-1", "cancelled"), get("job-2", 200, "pending"),
 			later(39*time.Second, get("job-2", 200, "cancelled"))}},
-		{"before its need is done", "too_early", []observation{submit(one(), 201, "pending"), submit(after1(), 201, "pending"), start(small, "job-1/0", 1), start(south, "job-2/0", 1)}},
-		{"still waits", "orphaned", []observation{submit(one(), 201, "pending"), submit(after1(), 201, "pending"), cancel("job-1", "cancelled"), later(41*time.Second, get("job-2", 200, "pending"))}},
-		{"accepted twice", "went_back", []observation{submit(one(), 201, "pending"), submit(one(), 201, "pending")}},
-		{"a cancel that is none", "went_back", []observation{submit(one(), 201, "pending"), cancel("job-1", "running")}},
+		{"before its need is done", ruleTooEarly, []observation{submit(one(), 201, "pending"), submit(dependent(), 201, "pending"), start(small, "job-1/0", 1), start(south, "job-2/0", 1)}},
+		{"still waits", ruleOrphaned, []observation{submit(one(), 201, "pending"), submit(dependent(), 201, "pending"), cancel("job-1", "cancelled"), later(41*time.Second, get("job-2", 200, "pending"))}},
+		{"accepted twice", ruleWentBack, []observation{submit(one(), 201, "pending"), submit(one(), 201, "pending")}},
+		{"a cancel that is none", ruleWentBack, []observation{submit(one(), 201, "pending"), cancel("job-1", "running")}},
 		{"asked before", "", []observation{submit(one(), 201, "pending"), cancel("job-1", "cancelled"),
 			{method: "GET", path: "/v2/runs/job-1", code: 200, status: "running", sentBeforeLastResponse: true}}},
 	} {
@@ -131,7 +130,7 @@
 					raw, _ := json.Marshal(s.body)
 					sent := r.RequestSent(s.method, s.path, raw)
 					if s.sentBeforeLastResponse {
-						sent = last // with the one before, so before its answer
+						sent = last // together with the last request, so before its response
 					}
 					last = sent
 					out := map[string]any{}
--- a/internal/scenarios/cluster_test.go
+++ b/internal/scenarios/cluster_test.go
@@ -19,6 +19,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/placement"
 )
 
+// settingsTemplate is the settings file of a controller, whose names are filled in.
 const settingsTemplate = `
 host_name = "NODE"
 area = "north"
@@ -64,25 +65,26 @@
 // zones are those in which there are machines.
 var zones = []string{"north", "south"}
 
-// testCluster is two controllers and what surrounds them, in memory.
+// testCluster is two controllers with what surrounds them: a network, a state service, workers and
+// users, all in memory. Its methods make up the steps of a scenario's timeline.
 type testCluster struct {
 	t              *testing.T
 	ctx            context.Context
 	network        *fake.Network
-	latency        atomic.Pointer[func() time.Duration] // how long the network takes; none is no time
+	latency        atomic.Pointer[func() time.Duration] // of the network; nil is none
 	store          *fake.Store
 	mu             sync.Mutex
 	nodes          map[string]*testNode
 	workers        []*fake.Worker
 	processes      int
 	rules          *rules
-	inCloudList    bool    // the leader is told the machines by the cloud's list
-	upcomingLimits string  // the limits to come of nodes started from now on, as settings
-	valueLimitKB   float64 // the limit of values, if not that of the settings
+	inCloudList    bool    // the leader learns of the machines from the cloud's list
+	upcomingLimits string  // settings of limits to come, for nodes started from now on
+	valueLimitKB   float64 // of the state service, if it differs from the settings'
 	teams          []config.Team
 }
 
-// scenario runs f in a cluster of its own, under a clock of its own.
+// scenario runs a scenario in a cluster of its own, under a fake clock of its own.
 func scenario(t *testing.T, run func(t *testing.T, c *testCluster)) {
 	slog.SetLogLoggerLevel(slog.LevelError)
 	synctest.Test(t, func(t *testing.T) {
@@ -103,7 +105,7 @@
 	})
 }
 
-// parallelScenario is one of several scenarios of a test, which go on beside one another.
+// parallelScenario runs a scenario as a subtest, in parallel with the others of the test.
 func parallelScenario(t *testing.T, name string, run func(t *testing.T, c *testCluster)) {
 	t.Run(name, func(t *testing.T) {
 		t.Parallel()
@@ -111,24 +113,26 @@
 	})
 }
 
+// nodeSettings are those of one of the two controllers.
 func (c *testCluster) nodeSettings(name string) *config.Settings {
 	other := otherNode(name)
-	set, err := config.Parse([]byte(strings.NewReplacer("NODE", name, "OTHER", other).Replace(settingsTemplate + c.upcomingLimits)))
+	settings, err := config.Parse([]byte(strings.NewReplacer("NODE", name, "OTHER", other).Replace(settingsTemplate + c.upcomingLimits)))
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	set.Params.Teams = append(set.Params.Teams, c.teams...)
+	settings.Params.Teams = append(settings.Params.Teams, c.teams...)
 	if c.valueLimitKB > 0 {
-		set.Params.State.ValueKB, set.Params.State.CurrentValueKB = c.valueLimitKB, c.valueLimitKB
+		settings.Params.State.ValueKB, settings.Params.State.CurrentValueKB = c.valueLimitKB, c.valueLimitKB
 	}
-	return set
+	return settings
 }
 
+// instanceTypes are those that the cloud offers.
 func instanceTypes() []placement.InstanceType {
 	return []placement.InstanceType{{Label: "small", Cores: 4, RAM: 16, CacheGB: 20, PullGBPerS: 1, Price: 1, SpotPrice: 0.4, BootS: 30, Zones: zones}}
 }
 
-// cloudList is the cloud's, in scenarios that have one.
+// cloudList is the cloud's list of machines: empty unless the scenario has inCloudList.
 func (c *testCluster) cloudList() (machines []claim.ListedMachine) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -140,6 +144,7 @@
 	return machines
 }
 
+// startWorker starts a machine with its worker.
 func (c *testCluster) startWorker(name, zone string) *fake.Worker {
 	worker := &fake.Worker{Name: name, Address: name + ":9000", Type: "small", Zone: zone, Network: c.network,
 		Controllers: apiAddresses(nodeNames), ControllerNames: nodeNames, HeartbeatInterval: 2 * time.Second, LeaseDuration: 20 * time.Second}
@@ -151,13 +156,14 @@
 	return worker
 }
 
-// listWorkers are the workers that there are by now.
+// listWorkers returns the workers started so far.
 func (c *testCluster) listWorkers() []*fake.Worker {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.Clone(c.workers)
 }
 
+// workerNamed returns the first worker of a name, or nil.
 func (c *testCluster) workerNamed(name string) *fake.Worker {
 	for _, worker := range c.listWorkers() {
 		if worker.Name == name {
@@ -167,6 +173,7 @@
 	return nil
 }
 
+// leader returns a node that leads, or nil.
 func (c *testCluster) leader() *testNode {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/scenarios/delayed_commands_test.go
+++ b/internal/scenarios/delayed_commands_test.go
@@ -19,7 +19,7 @@
 		c.startNode("a")
 		c.startWorker("m1", "north")
 		c.startWorker("m2", "south")
-		time.Sleep(10300 * time.Millisecond) // between beats: the start goes straight to the worker
+		time.Sleep(10300 * time.Millisecond) // between heartbeats: the start goes directly to the worker
 		c.network.SetRule(func(from, to string, r *http.Request, body []byte) fake.Outcome {
 			if r.URL.Path == "/commands" && strings.Contains(string(body), `"start"`) {
 				return fake.HoldBack
@@ -27,7 +27,7 @@
 			return fake.Deliver
 		})
 		c.submit("a", newJob("job-3", "array", 1))
-		// The beats carry the same start, and it runs once.
+		// A heartbeat's response carries the same start, and the task runs once.
 		c.awaitTask(6*time.Second, "job-3/0")
 		machine := c.workerNamed(c.machinesRunning("job-3/0")[0])
 		machine.EndTask("job-3/0", "done")
@@ -36,7 +36,7 @@
 		if c.network.ReleaseHeld() == 0 {
 			t.Fatal("no start was held back")
 		}
-		c.consistently(10*time.Second, "the late start begins nothing", func() bool { return c.isAbsent("job-3/0") })
+		c.consistently(10*time.Second, "the delayed start is rejected", func() bool { return c.isAbsent("job-3/0") })
 		if n := machine.StartCount("job-3/0"); n != 1 {
 			t.Fatalf("started %d times", n)
 		}
@@ -60,7 +60,7 @@
 						faultScenario(t, func(t *testing.T, c *faultCluster) {
 							c.startWorker("m1", "north")
 							c.startWorker("m2", "south")
-							time.Sleep(10300 * time.Millisecond) // between reports
+							time.Sleep(10300 * time.Millisecond) // between heartbeats
 							c.setFaults(func(from, to string, r *http.Request, body []byte) fake.Outcome {
 								if r.URL.Path == "/commands" && strings.Contains(string(body), `"verb":"`+verb+`"`) {
 									return outcome
@@ -121,7 +121,7 @@
 						case r.URL.Path == "/commands" && strings.Contains(string(body), `"verb":"start"`):
 							return startOutcome
 						case from == leader.name && r.URL.Path == "/commit" && strings.Contains(string(body), `"places"`):
-							if writes++; writes > 2 { // the first claims get through
+							if writes++; writes > 2 { // the first assignments get through
 								return writeOutcome
 							}
 						}
--- a/internal/scenarios/dependencies_cancellation_test.go
+++ b/internal/scenarios/dependencies_cancellation_test.go
@@ -41,7 +41,7 @@
 				c.submit("a", newJob("job-1", "array", 1))
 				last := "job-1"
 				var chain []string
-				for i := 2; i < 12; i++ { // a long chain, and a wide fan at its end
+				for i := 2; i < 12; i++ { // a long chain, and many dependents of its last job
 					id := fmt.Sprintf("job-%d", i)
 					c.submit("b", newJob(id, "array", 1).dependingOn(last))
 					chain, last = append(chain, id), id
@@ -62,7 +62,7 @@
 						time.Sleep(time.Second)
 					}
 				})
-				// Whoever reads the records can tell, before any of the ends is stored.
+				// The records suffice to tell before any outcome of a dependent is stored.
 				c.network.SetRule(func(_, _ string, r *http.Request, body []byte) fake.Outcome {
 					if r.URL.Path == "/commit" && strings.Contains(string(body), `"remove":"job/wait/`) {
 						return fake.Refuse
@@ -71,8 +71,8 @@
 				})
 				status := cancel(c)
 				if status != "done" {
-					c.eventually(2*time.Second, "all that follow are told as cancelled", func() bool {
-						for _, id := range slices.Backward(chain) { // the last first: no answer may rest on another
+					c.eventually(2*time.Second, "all dependents are reported as cancelled", func() bool {
+						for _, id := range slices.Backward(chain) { // the last first: no answer may depend on an earlier one
 							if c.status("a", id) != "cancelled" && c.status("b", id) != "cancelled" {
 								return false
 							}
@@ -86,7 +86,7 @@
 					c.awaitRunning(30*time.Second, "job-2", 1)
 					return
 				}
-				c.eventually(25*time.Second, "all that follow are cancelled at both nodes", func() bool {
+				c.eventually(25*time.Second, "all dependents are cancelled at both nodes", func() bool {
 					for _, id := range append(chain, "job-50") {
 						if !c.bothReport(id, "cancelled") {
 							return false
@@ -96,10 +96,10 @@
 				})
 				c.submit("a", newJob("job-60", "array", 1).dependingOn("job-11"))
 				if !c.bothReport("job-60", "cancelled") {
-					t.Error("a job that names a cancelled one is not cancelled")
+					t.Error("a job that depends on a cancelled one is not cancelled")
 				}
-				c.eventually(60*time.Second, "their ends are stored", func() bool { return c.store.CountKeys("job/") == 0 })
-				c.consistently(30*time.Second, "and nothing of them starts", func() bool {
+				c.eventually(60*time.Second, "their outcomes are stored", func() bool { return c.store.CountKeys("job/") == 0 })
+				c.consistently(30*time.Second, "none of them starts", func() bool {
 					return c.isAbsent("job-2/0", "job-50/0", "job-30/0")
 				})
 				if code, out := c.call("a", "GET", "/v2/runs/job-30/explain", nil); code != 200 || !strings.Contains(fmt.Sprint(out["trail"]), "job-1, which was cancelled") {
@@ -123,15 +123,15 @@
 		c.submit("b", newJob("job-3", "array", 1).dependingOn("job-1"))
 		c.submit("b", newJob("job-4", "array", 1).dependingOn("job-2", "job-3"))
 		if status := c.cancelUntilAnswered("job-2"); status != "cancelled" {
-			t.Fatalf("a job that waits is called %q when cancelled", status)
+			t.Fatalf("a cancelled waiting job is reported as %q", status)
 		}
 		if !c.bothReport("job-4", "cancelled") || !c.bothReport("job-3", "pending") {
-			t.Errorf("the last is %s, the other branch %s", c.status("a", "job-4"), c.status("a", "job-3"))
+			t.Errorf("the last job is %s, the other branch %s", c.status("a", "job-4"), c.status("a", "job-3"))
 		}
 		c.awaitRunning(5*time.Second, "job-1", 1)
 		c.completeJob("job-1")
 		c.awaitRunning(10*time.Second, "job-3", 1)
-		c.consistently(20*time.Second, "the cancelled ones do not", func() bool { return c.isAbsent("job-2/0", "job-4/0") })
+		c.consistently(20*time.Second, "the cancelled ones do not run", func() bool { return c.isAbsent("job-2/0", "job-4/0") })
 	})
 }
 
@@ -177,7 +177,7 @@
 				}
 				time.Sleep(random.milliseconds(0, 30))
 				if _, status := c.requestUntilDecided(random, "POST", "/v2/runs/"+first+"/cancel", nil); status != "cancelled" {
-					t.Fatalf("the cancellation is answered %q", status)
+					t.Fatalf("the cancellation is answered with %q", status)
 				}
 				mu.Lock()
 				confirmed := append([]string{}, followers...)
@@ -203,14 +203,14 @@
 				t.Fatalf("the cancellation of %d is answered %q", step.cancel, status)
 			}
 			if n := c.countReported("cancelled", step.cancel, 100); n != 101-step.cancel {
-				t.Errorf("%d of the %d from %d on are called cancelled", n, 101-step.cancel, step.cancel)
+				t.Errorf("%d of the %d from %d on are reported as cancelled", n, 101-step.cancel, step.cancel)
 			}
 			if n := c.countReported("pending", 2, step.cancel-1); step.cancel > 1 && n != step.cancel-2 {
-				t.Errorf("%d of the %d before %d are called pending", n, step.cancel-2, step.cancel)
+				t.Errorf("%d of the %d before %d are reported as pending", n, step.cancel-2, step.cancel)
 			}
-			c.eventually(30*time.Second, "the ends are stored", func() bool { return c.store.CountKeys("job/wait/") == step.waiting })
+			c.eventually(30*time.Second, "the outcomes are stored", func() bool { return c.store.CountKeys("job/wait/") == step.waiting })
 		}
-		c.eventually(30*time.Second, "the first's end too", func() bool { return c.store.CountKeys("job/") == 0 && c.store.CountKeys("end/") == 100 })
-		c.consistently(20*time.Second, "nothing of them starts", func() bool { return c.isAbsent("job-2/0", "job-50/0") })
+		c.eventually(30*time.Second, "the outcome of the first too", func() bool { return c.store.CountKeys("job/") == 0 && c.store.CountKeys("end/") == 100 })
+		c.consistently(20*time.Second, "none of them starts", func() bool { return c.isAbsent("job-2/0", "job-50/0") })
 	})
 }
--- a/internal/scenarios/dependencies_failover_test.go
+++ b/internal/scenarios/dependencies_failover_test.go
@@ -27,7 +27,7 @@
 			return fake.Deliver
 		})
 		if status := c.cancelUntilAnswered("job-1"); status != "cancelled" {
-			t.Fatalf("the cancellation is answered %q", status)
+			t.Fatalf("the cancellation is answered with %q", status)
 		}
 		time.Sleep(3 * time.Second)
 		leader := c.leader()
@@ -38,11 +38,11 @@
 		c.eventually(10*time.Second, "another leads", func() bool { return c.leader() != nil && c.leader() != leader })
 		c.network.SetRule(nil)
 		c.startNode(leader.name)
-		c.eventually(40*time.Second, "the ends are stored", func() bool { return c.store.CountKeys("job/") == 0 && c.store.CountKeys("end/") == 40 })
+		c.eventually(40*time.Second, "the outcomes are stored", func() bool { return c.store.CountKeys("job/") == 0 && c.store.CountKeys("end/") == 40 })
 		if n := c.countReported("cancelled", 1, 40); n != 40 {
-			t.Errorf("%d of 40 are called cancelled", n)
+			t.Errorf("%d of 40 are reported as cancelled", n)
 		}
-		c.consistently(10*time.Second, "nothing of them starts", func() bool { return c.isAbsent("job-2/0") })
+		c.consistently(10*time.Second, "none of them starts", func() bool { return c.isAbsent("job-2/0") })
 	})
 }
 
@@ -91,7 +91,7 @@
 				})
 				c.completeJob("job-1")
 				c.eventually(15*time.Second, "another leads", func() bool { return c.leader() != nil && c.leader() != leader })
-				c.eventually(40*time.Second, "those that awaited it run", func() bool { return c.allRunning("job-2", 1) && c.allRunning("job-3", 1) })
+				c.eventually(40*time.Second, "its dependents run", func() bool { return c.allRunning("job-2", 1) && c.allRunning("job-3", 1) })
 				c.startNode(leader.name)
 				time.Sleep(delay)
 				c.completeJob("job-2")
@@ -136,10 +136,10 @@
 					return fake.Delay
 				})
 				c.completeJob("job-1")
-				c.eventually(15*time.Second, "a move is on its way", func() bool { return moves.Load() > 0 })
+				c.eventually(15*time.Second, "a transaction is on its way", func() bool { return moves.Load() > 0 })
 				injectFault(c, leader)
 				if status := c.cancelUntilAnswered("job-2"); status != "cancelled" {
-					t.Fatalf("the cancellation is answered %q", status)
+					t.Fatalf("the cancellation is answered with %q", status)
 				}
 				time.Sleep(delay + time.Second)
 				c.network.SetRule(nil)
@@ -148,7 +148,7 @@
 				}
 				c.consistently(40*time.Second, "it does not run", func() bool { return c.isAbsent("job-2/0", "job-3/0") })
 				if n := c.countReported("cancelled", 2, 3); n != 2 || c.store.CountKeys("job/") != 0 {
-					t.Errorf("%d of 2 are called cancelled; %s", n, c.store)
+					t.Errorf("%d of 2 are reported as cancelled; %s", n, c.store)
 				}
 			})
 		}
@@ -206,7 +206,7 @@
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		if calls["kv job/"] > waiting/1000+2 || calls["kv end/"] > 2 || calls["kv "] > 20 || calls["commit "] > 20 {
-			t.Errorf("the takeover took %v", calls)
+			t.Errorf("the failover took %v", calls)
 		}
 	})
 }
--- a/internal/scenarios/dependencies_test.go
+++ b/internal/scenarios/dependencies_test.go
@@ -64,7 +64,7 @@
 				c.eventually(20*time.Second, "all done", func() bool {
 					return c.bothReport("job-1", "done") && c.bothReport("job-2", "done") && c.bothReport("job-3", "done") && c.bothReport("job-4", "done")
 				})
-				// What is submitted when those it awaits are over starts at once.
+				// A job whose dependencies are done already starts at once.
 				c.submit("a", newJob("job-5", "array", 1).dependingOn("job-4", "job-1"))
 				c.awaitRunning(15*time.Second, "job-5", 1)
 				if code, out := c.call("b", "POST", "/v2/runs", newJob("job-4", "array", 1).dependingOn("job-99")); code != 200 || out["status"] != "done" {
@@ -93,13 +93,13 @@
 			return fake.Deliver
 		})
 		c.completeJob("job-1")
-		c.consistently(10*time.Second, "the next waits", func() bool { return c.workerNamed("m1").StartCount("job-2/0") == 0 && c.bothReport("job-2", "pending") })
+		c.consistently(10*time.Second, "the dependent waits", func() bool { return c.workerNamed("m1").StartCount("job-2/0") == 0 && c.bothReport("job-2", "pending") })
 		status := c.cancelUntilAnswered("job-1")
 		c.network.SetRule(nil)
 		if status != "cancelled" {
-			t.Fatalf("the cancellation is answered %q", status)
+			t.Fatalf("the cancellation is answered with %q", status)
 		}
-		c.consistently(20*time.Second, "and is cancelled with it", func() bool {
+		c.consistently(20*time.Second, "the dependent is cancelled with it", func() bool {
 			return c.workerNamed("m1").StartCount("job-2/0") == 0 && c.bothReport("job-2", "cancelled")
 		})
 	})
@@ -127,12 +127,12 @@
 			job := newJob(fmt.Sprintf("job-%d", n), "array", 1)
 			job["awaits"] = test.awaits
 			if n == 13 {
-				job["awaits"] = []string{"job-13"} // itself was never accepted either
+				job["awaits"] = []string{"job-13"} // the job itself was never accepted either
 			}
 			for i, node := range nodeNames {
 				code, out := c.call(node, "POST", "/v2/runs", job)
 				if want := test.want; code != want && !(i == 1 && want == 201 && code == 200) {
-					t.Errorf("%s answers %d %v, not %d, to awaits %v", node, code, out, want, job["awaits"])
+					t.Errorf("%s answers %d %v, not %d, to dependencies %v", node, code, out, want, job["awaits"])
 				}
 			}
 		}
@@ -161,8 +161,8 @@
 			job["dueS"] = 30
 			c.submit("b", job.dependingOn("job-1"))
 		}
-		c.submit("a", newJob("job-2", "array", 7)) // with job-1 all that the team may have
-		c.eventually(5*time.Second, "those that wait for nobody run", func() bool { return c.allRunning("job-1", 1) && c.allRunning("job-2", 7) })
+		c.submit("a", newJob("job-2", "array", 7)) // with job-1 the whole quota of the team
+		c.eventually(5*time.Second, "the jobs without dependencies run", func() bool { return c.allRunning("job-1", 1) && c.allRunning("job-2", 7) })
 		time.Sleep(25 * time.Second)
 		_, out := c.call("b", "GET", "/v2/runs/job-100/explain", nil)
 		if now := fmt.Sprint(out["now"]); !strings.Contains(now, "awaits job-1: running") || !strings.Contains(now, "at risk") {
@@ -181,14 +181,14 @@
 			for _, id := range needed[1:] {
 				c.completeJob(id)
 			}
-			c.consistently(8*time.Second, "it waits for the last of them", func() bool { return c.bothReport("job-900000", "pending") })
+			c.consistently(8*time.Second, "it waits for the last dependency", func() bool { return c.bothReport("job-900000", "pending") })
 			c.completeJob(needed[0])
 			c.awaitRunning(15*time.Second, "job-900000", 1)
 			c.completeJob("job-900000")
 			c.awaitRunning(15*time.Second, "job-900001", 1)
 			c.completeJob("job-900001")
 			c.eventually(15*time.Second, "all are done", func() bool { return c.bothReport("job-900000", "done") && c.bothReport("job-900001", "done") })
-			// Their ends are looked up by a node that remembers none of them.
+			// A node that remembers none of the outcomes looks them up.
 			c.nodes["b"].kill()
 			c.startNode("b")
 			c.eventually(10*time.Second, "it answers", func() bool { return c.status("b", needed[0]) == "done" })
@@ -197,20 +197,20 @@
 		},
 		"its user cancels it": func(c *testCluster, needed []string) {
 			if status := c.cancelUntilAnswered("job-900000"); status != "cancelled" {
-				c.t.Errorf("its cancellation is answered %q", status)
+				c.t.Errorf("its cancellation is answered with %q", status)
 			}
-			c.eventually(5*time.Second, "what follows is cancelled", func() bool { return c.bothReport("job-900001", "cancelled") })
-			c.eventually(20*time.Second, "the ends are stored", func() bool { return c.store.CountKeys("job/wait/") == 0 })
+			c.eventually(5*time.Second, "its dependent is cancelled", func() bool { return c.bothReport("job-900001", "cancelled") })
+			c.eventually(20*time.Second, "the outcomes are stored", func() bool { return c.store.CountKeys("job/wait/") == 0 })
 			if !c.bothReport(needed[0], "running") {
-				c.t.Error("what it awaited is touched")
+				c.t.Error("a job that it depends on is affected")
 			}
 		},
 		"one that it needs is cancelled": func(c *testCluster, needed []string) {
 			c.cancelUntilAnswered(needed[149])
-			c.eventually(5*time.Second, "it is cancelled, and what follows", func() bool {
+			c.eventually(5*time.Second, "it is cancelled, and its dependent", func() bool {
 				return c.bothReport("job-900000", "cancelled") && c.bothReport("job-900001", "cancelled")
 			})
-			c.eventually(20*time.Second, "the ends are stored", func() bool { return c.store.CountKeys("job/wait/") == 0 })
+			c.eventually(20*time.Second, "the outcomes are stored", func() bool { return c.store.CountKeys("job/wait/") == 0 })
 			if _, out := c.call("b", "GET", "/v2/runs/job-900001/explain", nil); !strings.Contains(fmt.Sprint(out["now"]), "cancelled with "+needed[149]) {
 				c.t.Errorf("explained as %v", out)
 			}
--- a/internal/scenarios/disruption_rule_test.go
+++ b/internal/scenarios/disruption_rule_test.go
@@ -19,16 +19,16 @@
 
 	// evictionStored tells whether the eviction of a task's attempt is in the store.
 	evictionStored func(task string, attempt uint64) bool
-	// detectionDelay is how long after a failure the leader may not know of it.
+	// detectionDelay is how long a failure may stay unknown to the leader.
 	detectionDelay time.Duration
 
 	mu    sync.Mutex
 	tasks map[string]*observedTask
-	// evictions counts the drains' stops, by task.
+	// evictions counts the stops by drains, by task.
 	evictions map[string]int
-	// reclaimed are machines with a spot notice: what is stopped there is the cloud's doing.
+	// reclaimed are machines with a spot reclaim notice: the cloud stops what runs there.
 	reclaimed map[string]bool
-	// completedGangs are gangs of which a task is done.
+	// completedGangs are gangs of which a task is done, so that the others are stopped.
 	completedGangs map[string]bool
 }
 
@@ -40,7 +40,7 @@
 	started bool
 	up      bool
 	downAt  time.Time
-	drained bool // it was last stopped by a drain
+	drained bool // a drain stopped it last
 }
 
 // defaultDetectionDelay is two and a half report intervals, until silence counts, and the time of a
@@ -75,7 +75,7 @@
 	}
 	task.up, task.downAt = false, event.At
 	if event.Cause == "done" && description.Shape == "gang" {
-		d.completedGangs[job] = true // it is done as a whole, and the others are stopped for that
+		d.completedGangs[job] = true
 	}
 	task.drained = event.Cause == "stopped" && !cancelled && !d.reclaimed[event.Worker.Name] && !d.completedGangs[job]
 	if event.Cause == "done" || cancelled {
@@ -83,7 +83,7 @@
 	}
 	if task.drained {
 		if !d.evictionStored(event.Task, event.Attempt) {
-			d.report("disruption", fmt.Sprintf("%s (attempt %d) is stopped, and no permit for that is stored", event.Task, event.Attempt))
+			d.report(ruleDisruption, fmt.Sprintf("%s (attempt %d) is stopped, and no permit for that is stored", event.Task, event.Attempt))
 		}
 		d.evictions[event.Task]++
 		d.check(event, description.Team)
@@ -116,11 +116,11 @@
 	}
 	allowed := d.budgets[team]
 	if evicted > allowed.replicas || knownDown > allowed.replicas {
-		d.report("disruption", fmt.Sprintf("the stop of %s on %s makes %d replicas of %s down, %d of them by drains, of at most %d",
+		d.report(ruleDisruption, fmt.Sprintf("the stop of %s on %s makes %d replicas of %s down, %d of them by drains, of at most %d",
 			event.Task, event.Worker.Name, knownDown, team, evicted, allowed.replicas))
 	}
 	if interrupted > allowed.interrupted {
-		d.report("disruption", fmt.Sprintf("the stop of %s on %s makes %d tasks of %s interrupted, of at most %d",
+		d.report(ruleDisruption, fmt.Sprintf("the stop of %s on %s makes %d tasks of %s interrupted, of at most %d",
 			event.Task, event.Worker.Name, interrupted, team, allowed.interrupted))
 	}
 }
--- a/internal/scenarios/drain_budget_test.go
+++ b/internal/scenarios/drain_budget_test.go
@@ -29,8 +29,8 @@
 		if n := c.disruption.evictionsOf("job-1"); n == 0 || n > 6 {
 			t.Errorf("%d stops", n)
 		}
-		// The leader removes them at its next look after the end, which is a quarter of a second away.
-		c.eventually(2*time.Second, "no part is left over", func() bool { return c.store.CountKeys("rollout/left/") == 0 })
+		// The leader removes them when it next looks at its rollouts, within a quarter of a second.
+		c.eventually(2*time.Second, "the state service holds nothing of the rollout", func() bool { return c.store.CountKeys("rollout/left/") == 0 })
 	})
 }
 
@@ -67,7 +67,7 @@
 		c.consistently(time.Minute, "nothing is stopped", func() bool { return c.disruption.evictionsOf("job-1") == 0 && c.disruption.evictionsOf("job-2") == 0 })
 		c.execute("spring", rollout.CommandAbort)
 		c.awaitState("spring", rollout.Ended, time.Minute)
-		c.eventually(time.Minute, "the machine is in service again", func() bool { return c.cordonedCount() == 0 })
+		c.eventually(time.Minute, "the machine is uncordoned", func() bool { return c.cordonedCount() == 0 })
 	})
 }
 
@@ -126,7 +126,7 @@
 		for i := range 6 {
 			c.submitToAny(0, newJob(fmt.Sprint("job-", 10+i), "array", 1).with("urgency", "low"))
 		}
-		c.sleep(time.Minute) // low work that has waited for long goes before what is submitted later
+		c.sleep(time.Minute) // work of low urgency that has waited long goes before later submissions
 		c.startRollout(newRollout("spring"))
 		c.awaitState("spring", rollout.Ended, 6*time.Minute)
 		c.eventually(time.Minute, "all replicas are up", func() bool { return c.runningCount("job-1") == 6 })
@@ -197,7 +197,7 @@
 		c.eventually(time.Minute, "all run elsewhere", func() bool {
 			return c.runningCount("job-1") == 4 && c.runningCount("job-2") == 2 && c.runningCount("job-3") == 2
 		})
-		go c.completeRandomTasks("job-", rand.New(rand.NewPCG(1, 1)))
+		go c.completeRandomTasks("job-", 8, rand.New(rand.NewPCG(1, 1)))
 		for _, id := range []string{"job-1", "job-2", "job-3"} {
 			c.awaitStatus(2*time.Minute, "b", id, "done")
 		}
@@ -206,7 +206,7 @@
 			moved += strings.Count(string(c.store.Value("end/"+id)), "by rollout spring, wave")
 		}
 		if moved == 0 {
-			t.Error("no trail tells of a move")
+			t.Error("no explanation tells of a move")
 		}
 	})
 }
--- a/internal/scenarios/drain_cluster_test.go
+++ b/internal/scenarios/drain_cluster_test.go
@@ -24,22 +24,22 @@
 	cloud      *fake.Cloud
 	disruption *disruptionRule
 	features   string
-	// bootTime tells how long a machine takes to come up; negative: it never does.
+	// bootTime tells how long a machine takes to boot, or neverBoots.
 	bootTime func(name string) time.Duration
 
 	listenerMu   sync.Mutex
 	listener     func(event fake.Event)
 	nodes        map[string]*drainNode
-	stopMachine  map[string]context.CancelFunc // that run
-	seenMachines map[string]bool               // machines of the cloud seen so far
+	stopMachine  map[string]context.CancelFunc // of machines that run, by name
+	seenMachines map[string]bool               // machines of the cloud's that runMachines has handled
 }
 
 // drainOptions vary a scenario.
 type drainOptions struct {
-	features string                // drainFeatures if empty
-	budget   map[string]teamBudget // what the rule allows; that of drainFeatures if nil
-	capacity int                   // machines that the cloud has
-	teams    []config.Team         // beside red
+	features string                // empty: drainFeatures
+	budget   map[string]teamBudget // that the rule allows; nil: that of drainFeatures
+	capacity int                   // machines that the cloud can provision
+	teams    []config.Team         // besides red
 }
 
 // drainScenario runs f in a cluster with as many machines in each of the two zones as named.
@@ -68,7 +68,7 @@
 		for _, name := range fiveNodeNames {
 			c.startNode(name)
 		}
-		c.eventually(30*time.Second, "a leader hears of all machines", func() bool {
+		c.eventually(30*time.Second, "a leader has heard from all machines", func() bool {
 			leader := c.leader()
 			return leader != nil && leader.elector.Cluster().Summary()["heard"] == 2*machines
 		})
--- a/internal/scenarios/drain_commands_test.go
+++ b/internal/scenarios/drain_commands_test.go
@@ -15,7 +15,7 @@
 func TestConflictingRolloutsBothComplete(t *testing.T) {
 	t.Parallel()
 	drainScenario(t, 2, drainOptions{capacity: 4}, func(t *testing.T, c *drainCluster) {
-		c.startService("job-2", 2, "yard", "south", "cores", 0.1, "ramGb", 9) // one on each machine there
+		c.startService("job-2", 2, "yard", "south", "cores", 0.1, "ramGb", 9) // one replica on each machine there
 		park := newRollout("park", c.machinesIn("south")...)
 		park.Surge = true
 		c.startRollout(park)
@@ -55,7 +55,7 @@
 			if _, err := c.follower().rollouts.Start(c.ctx, newRollout("spring", c.machinesIn("north")[0])); err != nil {
 				t.Errorf("the same start again: %v", err)
 			}
-			// Of two starts over the same machine at the same moment one is taken.
+			// Of two starts over the same machine at the same moment one is accepted.
 			results := make(chan error, 2)
 			for i, n := range []*drainNode{c.follower(), c.leader()} {
 				go func() {
@@ -77,7 +77,7 @@
 		"just started": func(*drainCluster) {},
 		"running":      func(c *drainCluster) { c.sleep(15 * time.Second) },
 		"between waves": func(c *drainCluster) {
-			c.eventually(4*time.Minute, "a wave is through", func() bool { return c.rolloutRecord("spring").Done > 0 })
+			c.eventually(4*time.Minute, "a wave is complete", func() bool { return c.rolloutRecord("spring").Done > 0 })
 		},
 		"paused": func(c *drainCluster) {
 			c.sleep(5 * time.Second)
@@ -112,7 +112,7 @@
 				c.eventually(2*time.Minute, "all replicas are up", func() bool { return c.runningCount("job-1") == 6 })
 				c.execute("spring", rollout.CommandAbort)
 				if _, err := c.follower().rollouts.Execute(c.ctx, "spring", rollout.CommandResume); !errors.Is(err, rollout.ErrInvalidTransition) {
-					t.Errorf("one that ended is resumed: %v", err)
+					t.Errorf("a rollout that ended is resumed: %v", err)
 				}
 			})
 		})
--- a/internal/scenarios/drain_failover_test.go
+++ b/internal/scenarios/drain_failover_test.go
@@ -36,11 +36,11 @@
 		c.store.RefuseCaller(leader, false)
 	}},
 	{"it stands still", func(c *drainCluster, leader string) {
-		// What it sends waits, and is delivered after its successor has acted.
+		// Its requests are held back and delivered after its successor has acted.
 		c.network.SetRule(func(from, to string, r *http.Request, _ []byte) fake.Outcome {
 			switch {
 			case from == leader && r.URL.Path == "/follow":
-				return fake.Drop // reads nothing late, and would take its time
+				return fake.Drop // an open watch that would only take time
 			case from == leader:
 				return fake.HoldBack
 			case strings.HasPrefix(to, leader+":"):
@@ -115,7 +115,7 @@
 			if leader := c.leader(); leader != nil {
 				fail(c, leader.name)
 			}
-			for range 30 { // others come back before the next failure
+			for range 30 { // another leader takes over before the next failure
 				if c.ctx.Err() != nil || c.leader() != nil {
 					break
 				}
@@ -152,7 +152,7 @@
 					c.eventually(2*time.Minute, "all replicas are up", func() bool { return c.runningCount("job-1") == 6 })
 					c.eventually(time.Minute, "no machine stays cordoned", func() bool { return c.cordonedCount() == 0 })
 					if n := c.disruption.evictionsOf("job-1"); n > 6 {
-						t.Errorf("%d stops of 6 replicas: a step was done twice", n)
+						t.Errorf("%d stops of 6 replicas: a step was repeated", n)
 					}
 					c.eventually(time.Minute, "no eviction stays on the record", func() bool {
 						return !strings.Contains(string(c.store.Value("job/job-1")), `"evictions"`)
--- a/internal/scenarios/drain_machines_test.go
+++ b/internal/scenarios/drain_machines_test.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"fmt"
-	"math/rand/v2"
 	"slices"
 	"strings"
 	"time"
@@ -12,7 +11,10 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-// provision has the cloud rent machines past the controllers.
+// neverBoots is the boot time of a machine that never boots.
+const neverBoots time.Duration = -1
+
+// provision has the cloud provision machines that no controller requested.
 func (c *drainCluster) provision(request, zone string, count int) {
 	body := fmt.Sprintf(`{"hire":%q,"build":"small","yard":%q,"loaners":false,"count":%d}`, request, zone, count)
 	res, err := c.network.Client("test").Post("http://cloud:1/hosts", "application/json", strings.NewReader(body))
@@ -21,7 +23,7 @@
 	}
 }
 
-// runMachines boots what the cloud rents and ends what it takes back.
+// runMachines boots the machines that the cloud provisions, until the scenario ends.
 func (c *drainCluster) runMachines() {
 	for c.ctx.Err() == nil {
 		for _, host := range c.cloud.Machines() {
@@ -29,7 +31,7 @@
 				continue
 			}
 			c.seenMachines[host.Name] = true
-			if boot := c.bootTime(host.Name); boot >= 0 {
+			if boot := c.bootTime(host.Name); boot != neverBoots {
 				go func() {
 					c.sleep(boot)
 					c.startMachine(host.Name, host.Zone)
@@ -43,7 +45,7 @@
 	}
 }
 
-// startMachine starts a machine's worker.
+// startMachine starts the worker of a machine, unless the cloud has deleted the machine.
 func (c *drainCluster) startMachine(name, zone string) {
 	worker := &fake.Worker{Name: name, Address: name + ":9000", Type: "small", Zone: zone, Network: c.network, Controllers: apiAddresses(fiveNodeNames), ControllerNames: fiveNodeNames,
 		HeartbeatInterval: 2 * time.Second, LeaseDuration: 20 * time.Second}
@@ -64,7 +66,7 @@
 	go worker.Run(ctx)
 }
 
-// notifyListener passes an event on to the scenario's own listener.
+// notifyListener passes an event on to the scenario's listener, if it has one.
 func (c *drainCluster) notifyListener(event fake.Event) {
 	c.listenerMu.Lock()
 	defer c.listenerMu.Unlock()
@@ -73,7 +75,7 @@
 	}
 }
 
-// terminateMachine takes a machine away with everything on it.
+// terminateMachine ends a machine with everything on it, if it runs.
 func (c *drainCluster) terminateMachine(name string) {
 	c.mu.Lock()
 	cancel := c.stopMachine[name]
@@ -87,7 +89,7 @@
 	c.workerNamed(name).Terminate()
 }
 
-// machinesIn lists the machines of a zone that run.
+// machinesIn names the running machines of a zone, in order.
 func (c *drainCluster) machinesIn(zone string) (names []ids.Machine) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -100,7 +102,7 @@
 	return names
 }
 
-// cordonedCount counts the machines that the leader keeps closed to new work.
+// cordonedCount counts the machines that the leader has cordoned: -1 without a leader.
 func (c *drainCluster) cordonedCount() int {
 	leader := c.leader()
 	if leader == nil {
@@ -120,21 +122,3 @@
 	}
 	return n
 }
-
-// completeRandomTasks lets tasks of a job end by themselves now and then, until the scenario ends.
-func (c *drainCluster) completeRandomTasks(job string, rng *rand.Rand) {
-	for c.ctx.Err() == nil {
-		select {
-		case <-time.After(time.Second):
-		case <-c.ctx.Done():
-			return
-		}
-		for _, worker := range c.listWorkers() {
-			for _, task := range worker.ActiveTasks() {
-				if strings.HasPrefix(task, job) && rng.IntN(8) == 0 {
-					worker.EndTask(task, "done")
-				}
-			}
-		}
-	}
-}
--- a/internal/scenarios/drain_replacement_test.go
+++ b/internal/scenarios/drain_replacement_test.go
@@ -23,7 +23,7 @@
 				spec := newReplacement("spring", c)
 				spec.Surge = surge
 				c.startRollout(spec)
-				c.eventually(10*time.Minute, "it has begun", func() bool { return c.rolloutRecord("spring").Waves > 0 })
+				c.eventually(10*time.Minute, "its first wave has begun", func() bool { return c.rolloutRecord("spring").Waves > 0 })
 				c.awaitState("spring", rollout.Ended, 15*time.Minute)
 				for _, name := range before {
 					if slices.Contains(c.machinesIn("north"), name) {
@@ -31,7 +31,7 @@
 					}
 				}
 				if r := c.rolloutRecord("spring"); r.Done != 4 || r.Waves != 2 {
-					t.Errorf("%d machines through in %d waves", r.Done, r.Waves)
+					t.Errorf("%d machines complete in %d waves", r.Done, r.Waves)
 				}
 			})
 		})
@@ -47,7 +47,7 @@
 		boots     func(name string) time.Duration
 		after     func(c *drainCluster, name string)
 	}{
-		{name: "it never comes up", why: "0 are up", boots: func(string) time.Duration { return -1 }},
+		{name: "it never boots", why: "0 are up", boots: func(string) time.Duration { return neverBoots }},
 		{name: "it dies while it is observed", why: "replacement", after: func(c *drainCluster, name string) { c.terminateMachine(name) }},
 	} {
 		t.Run(failure.name, func(t *testing.T) {
@@ -80,9 +80,9 @@
 				if r := c.rolloutRecord("spring"); !strings.Contains(r.Reason, failure.why) {
 					t.Errorf("halted for %q", r.Reason)
 				}
-				c.eventually(time.Minute, "what is not empty is in service again", func() bool { return c.cordonedCount() == 0 })
+				c.eventually(time.Minute, "machines that are not empty are uncordoned", func() bool { return c.cordonedCount() == 0 })
 				waves := c.rolloutRecord("spring").Waves
-				c.consistently(2*time.Minute, "nothing begins without an operator", func() bool {
+				c.consistently(2*time.Minute, "it goes on only when an operator resumes it", func() bool {
 					r := c.rolloutRecord("spring")
 					return r.State == rollout.Halted && r.Waves == waves
 				})
@@ -133,7 +133,7 @@
 		name  string
 		begin func(c *drainCluster)
 		end   func(c *drainCluster)
-		after bool // the trouble begins once the wave's replacement is rented
+		after bool // the outage begins once the wave's replacement is provisioned
 		wave  int
 	}{
 		{"down", func(c *drainCluster) { c.cloud.SetDown(true) }, func(c *drainCluster) { c.cloud.SetDown(false) }, false, 1},
@@ -153,7 +153,7 @@
 				}
 				c.startRollout(spec)
 				if outage.after {
-					c.eventually(2*time.Minute, "the replacement is rented", func() bool {
+					c.eventually(2*time.Minute, "the replacement is provisioned", func() bool {
 						wave := c.rolloutRecord("spring").Wave
 						return wave != nil && len(wave.ReplacementRequests) > 0 && wave.ReplacementRequests[0].Answered
 					})
--- a/internal/scenarios/drain_rollout_test.go
+++ b/internal/scenarios/drain_rollout_test.go
@@ -9,7 +9,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/rollout"
 )
 
-// newRollout is a description of a rollout over a zone's machines, or those named.
+// newRollout describes a drain of the machines named, or else of those in the north.
 func newRollout(name string, machines ...ids.Machine) *rollout.Spec {
 	spec := &rollout.Spec{Name: rollout.Name(name), WaveSize: 2, Deadline: 60, AtDeadline: rollout.WaitAtDeadline}
 	if spec.Select.Machines = machines; len(machines) == 0 {
@@ -18,14 +18,14 @@
 	return spec
 }
 
-// newReplacement is a rollout that replaces a zone's machines.
+// newReplacement describes a rollout that replaces the machines that are in the north now.
 func newReplacement(name string, c *drainCluster) *rollout.Spec {
 	spec := newRollout(name, c.machinesIn("north")...)
 	spec.Replace, spec.Surge, spec.Observe = true, true, 20
 	return spec
 }
 
-// startRollout starts a rollout at some controller.
+// startRollout starts a rollout at a controller that does not lead.
 func (c *drainCluster) startRollout(spec *rollout.Spec) {
 	c.t.Helper()
 	if err := c.callUntilAvailable(func(n *drainNode) error { _, err := n.rollouts.Start(c.ctx, spec); return err }); err != nil {
@@ -33,7 +33,7 @@
 	}
 }
 
-// execute gives a command at some controller that does not lead.
+// execute gives a command for a rollout at a controller that does not lead.
 func (c *drainCluster) execute(name string, command rollout.Command) {
 	c.t.Helper()
 	err := c.callUntilAvailable(func(n *drainNode) error { _, err := n.rollouts.Execute(c.ctx, rollout.Name(name), command); return err })
@@ -55,7 +55,7 @@
 
 // rolloutRecord is how a rollout is stored.
 func (c *drainCluster) rolloutRecord(name string) (r rollout.Record) {
-	_ = json.Unmarshal(c.store.Value("rollout/run/"+name), &r) // one that is not stored yet has no state
+	_ = json.Unmarshal(c.store.Value("rollout/run/"+name), &r) // a rollout that isn't stored yet has no state
 	return r
 }
 
@@ -65,7 +65,7 @@
 	for end := time.Now().Add(timeout); c.rolloutRecord(name).State != want; {
 		if time.Now().After(end) {
 			blockers, _ := c.follower().DrainWaits(c.ctx)
-			c.t.Fatalf("%s is not %s within %v: %s; waits: %v", name, want, timeout, c.store.Value("rollout/run/"+name), blockers)
+			c.t.Fatalf("%s is not %s within %v: %s; blocked: %v", name, want, timeout, c.store.Value("rollout/run/"+name), blockers)
 		}
 		time.Sleep(100 * time.Millisecond)
 		c.checkInvariants()
@@ -75,7 +75,7 @@
 // awaitBlocker waits until some machine waits for a reason with a text in it.
 func (c *drainCluster) awaitBlocker(text string) {
 	c.t.Helper()
-	c.eventually(time.Minute, "a machine waits: "+text, func() bool { return c.isBlockedBy(text) })
+	c.eventually(time.Minute, "a drain is blocked: "+text, func() bool { return c.isBlockedBy(text) })
 }
 
 // isBlockedBy tells whether some machine waits for a reason with a text in it.
--- a/internal/scenarios/fault_cluster_test.go
+++ b/internal/scenarios/fault_cluster_test.go
@@ -12,15 +12,16 @@
 	"github.com/pebbletrail/pebbletrail/internal/fake"
 )
 
-// faultCluster is a test cluster with what brings troubles about, and with users that ask.
+// faultCluster is a testCluster with network faults, records of all heartbeats, and users that poll
+// the status of all accepted jobs at both nodes twice a second.
 type faultCluster struct {
 	*testCluster
 	mu         sync.Mutex
-	jobs       []string            // accepted
-	heartbeats map[string][][]byte // every report of a worker, by its name
+	jobs       []string            // accepted ones, which users ask about
+	heartbeats map[string][][]byte // bodies of all heartbeats, by worker
 }
 
-// faultScenario is a scenario in which users ask about all jobs at all nodes all along.
+// faultScenario runs a scenario in a faultCluster whose controllers have just started.
 func faultScenario(t *testing.T, run func(t *testing.T, c *faultCluster)) {
 	scenario(t, func(t *testing.T, base *testCluster) {
 		c := &faultCluster{testCluster: base, heartbeats: map[string][][]byte{}}
@@ -40,13 +41,13 @@
 	})
 }
 
-// passTime lets time go by.
-func (c *faultCluster) passTime(d time.Duration) {
+// passTime lets time pass, checking the invariants all along.
+func (c *faultCluster) passTime(duration time.Duration) {
 	c.t.Helper()
-	c.consistently(d, "", func() bool { return true })
+	c.consistently(duration, "", func() bool { return true })
 }
 
-// setFaults sets the network's rule, and records the workers' reports beside it.
+// setFaults sets the network's rule, nil for none, and goes on recording the workers' heartbeats.
 func (c *faultCluster) setFaults(faults func(from, to string, r *http.Request, body []byte) fake.Outcome) {
 	c.network.SetRule(func(from, to string, r *http.Request, body []byte) fake.Outcome {
 		if name, _, ok := strings.Cut(from, ":"); ok && r.URL.Path == "/agent/beat" && name != "late" {
@@ -61,50 +62,72 @@
 	})
 }
 
-// partition cuts machines off: how is unreachable by refusal, silence or holding back,
-// deaf (only their reports arrive) or mute (only direct commands do).
-func (c *faultCluster) partition(kind string, machines ...string) {
+// partitionKind is how machines are partitioned from the controllers.
+type partitionKind string
+
+// The kinds of partition.
+const (
+	noPartition       partitionKind = ""                    // none
+	connectionRefused partitionKind = "connections refused" // in both directions
+	packetsDropped    partitionKind = "packets dropped"     // in both directions
+	requestsHeldBack  partitionKind = "requests held back"  // in both directions, until the network heals
+	inboundLost       partitionKind = "inbound lost"        // heartbeats arrive; their responses and direct commands don't
+	outboundRefused   partitionKind = "outbound refused"    // direct commands arrive; heartbeats don't
+	machinesHang      partitionKind = "machines hang"       // none: the scenario has the machines hang instead
+)
+
+// partition partitions machines from the controllers, until the network heals.
+func (c *faultCluster) partition(kind partitionKind, machines ...string) {
 	c.setFaults(func(from, to string, _ *http.Request, _ []byte) fake.Outcome {
 		for _, machine := range machines {
 			outbound, inbound := strings.HasPrefix(from, machine+":"), strings.HasPrefix(to, machine+":")
-			switch {
-			case !outbound && !inbound:
-			case kind == "refused" || kind == "mute" && outbound:
-				return fake.Refuse
-			case kind == "swallowed" || kind == "deaf" && inbound:
-				return fake.Drop
-			case kind == "held":
-				return fake.HoldBack
-			case kind == "deaf" && outbound:
-				return fake.DropResponse
+			if outbound || inbound {
+				return kind.outcome(outbound)
 			}
 		}
 		return fake.Deliver
 	})
 }
 
-// heal ends all troubles of the network; what was held back arrives.
+// outcome is what happens to a request from a partitioned machine, or to one.
+func (k partitionKind) outcome(outbound bool) fake.Outcome {
+	switch {
+	case k == connectionRefused, k == outboundRefused && outbound:
+		return fake.Refuse
+	case k == packetsDropped, k == inboundLost && !outbound:
+		return fake.Drop
+	case k == requestsHeldBack:
+		return fake.HoldBack
+	case k == inboundLost:
+		return fake.DropResponse
+	}
+	return fake.Deliver
+}
+
+// heal ends all network faults and delivers what was held back.
 func (c *faultCluster) heal() {
 	c.setFaults(nil)
 	c.network.ReleaseHeld()
 }
 
-// deliverToControllers delivers a copy of a report to every controller.
-func (c *faultCluster) deliverToControllers(report []byte) {
+// deliverToControllers delivers a copy of a heartbeat to every controller.
+func (c *faultCluster) deliverToControllers(heartbeat []byte) {
 	for _, node := range nodeNames {
-		req, _ := http.NewRequestWithContext(c.ctx, "POST", "http://"+node+":8080/agent/beat", bytes.NewReader(report))
+		req, _ := http.NewRequestWithContext(c.ctx, "POST", "http://"+apiAddress(node)+"/agent/beat", bytes.NewReader(heartbeat))
 		if res, err := c.network.Client("late:1").Do(req); err == nil {
 			_ = res.Body.Close() // of a response in memory
 		}
 	}
 }
 
+// lastHeartbeat returns the body of the latest heartbeat of a worker.
 func (c *faultCluster) lastHeartbeat(worker string) []byte {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.heartbeats[worker][len(c.heartbeats[worker])-1]
 }
 
+// submitJob submits a job at a node until it is accepted, and has users poll it from then on.
 func (c *faultCluster) submitJob(node string, job jobSpec) {
 	c.t.Helper()
 	c.eventually(20*time.Second, "accepted", func() bool {
@@ -116,15 +139,16 @@
 	c.mu.Unlock()
 }
 
+// cancelJob cancels a job at a node until the node confirms.
 func (c *faultCluster) cancelJob(node, id string) {
 	c.t.Helper()
-	c.eventually(20*time.Second, "called off", func() bool {
+	c.eventually(20*time.Second, "cancellation confirmed", func() bool {
 		code, out := c.call(node, "POST", "/v2/runs/"+id+"/cancel", nil)
 		return code == 200 && out["status"] == "cancelled"
 	})
 }
 
-// pollJobs is users asking one node for all jobs.
+// pollJobs asks a node for the status of every accepted job.
 func (c *faultCluster) pollJobs(node string) {
 	c.mu.Lock()
 	jobs := slices.Clone(c.jobs)
@@ -134,7 +158,7 @@
 	}
 }
 
-// completeTask completes a task where it is.
+// completeTask has a task complete on the machine it is on.
 func (c *faultCluster) completeTask(task string) bool {
 	for _, worker := range c.workers {
 		if worker.EndTask(task, "done") {
@@ -144,7 +168,7 @@
 	return false
 }
 
-// completeJobs completes all that runs until the jobs are done.
+// completeJobs has all running tasks complete until the jobs are done.
 func (c *faultCluster) completeJobs(jobs ...string) {
 	c.t.Helper()
 	for _, id := range jobs {
@@ -159,14 +183,14 @@
 	}
 }
 
-// awaitLeader waits until a node leads, and names it.
+// awaitLeader waits until a node leads, and returns it.
 func (c *faultCluster) awaitLeader() *testNode {
 	c.t.Helper()
 	c.awaitAnyLeader(20 * time.Second)
 	return c.leader()
 }
 
-// restartLeader kills the leader and starts its node anew after a while.
+// restartLeader kills the leader, and starts its node again after the downtime.
 func (c *faultCluster) restartLeader(downtime time.Duration) {
 	c.t.Helper()
 	leader := c.awaitLeader()
--- a/internal/scenarios/gang_test.go
+++ b/internal/scenarios/gang_test.go
@@ -16,7 +16,7 @@
 		job := newJob("job-9", "gang", 2)
 		job["cores"] = 3
 		c.submit("a", job)
-		c.eventually(3*time.Second, "both tasks are there", func() bool { return c.isRunning("job-9/0") && c.isRunning("job-9/1") })
+		c.eventually(3*time.Second, "both tasks are on machines", func() bool { return c.isRunning("job-9/0") && c.isRunning("job-9/1") })
 		c.workerNamed("m1").SetTaskStatus("job-9/0", "waiting")
 		c.workerNamed("m1").SetTaskStatus("job-9/1", "waiting")
 		c.workerNamed("m2").SetTaskStatus("job-9/0", "waiting")
@@ -46,13 +46,13 @@
 			job := newJob("job-10", "gang", 2)
 			job["cores"] = 3
 			c.submit("a", job)
-			c.eventually(3*time.Second, "both tasks are there", func() bool { return c.isRunning("job-10/0") && c.isRunning("job-10/1") })
+			c.eventually(3*time.Second, "both tasks are on machines", func() bool { return c.isRunning("job-10/0") && c.isRunning("job-10/1") })
 			lost, remaining := c.workerNamed(c.machinesRunning("job-10/0")[0]), c.workerNamed(c.machinesRunning("job-10/1")[0])
 			remaining.SetTaskStatus("job-10/1", status)
 			time.Sleep(5 * time.Second)
 			c.startWorker("m3", "north")
 			lost.EndTask("job-10/0", "error")
-			// Until the old attempt's other task has ended, no new attempt begins.
+			// No new attempt starts until the other task of the old attempt has ended.
 			c.consistently(12*time.Second, "no second attempt beside the first", func() bool { return c.isAbsent("job-10/0") })
 			remaining.EndTask("job-10/1", "peers")
 			c.eventually(10*time.Second, "a new attempt of both", func() bool { return c.isRunning("job-10/0") && c.isRunning("job-10/1") })
--- a/internal/scenarios/job_status_test.go
+++ b/internal/scenarios/job_status_test.go
@@ -15,21 +15,21 @@
 		c.startNode("a")
 		c.startNode("b")
 		c.startWorker("m1", "north")
-		c.eventually(15*time.Second, "a beat answered", func() bool { return c.store.Value("pool/owner") != nil })
+		c.eventually(15*time.Second, "a leader", func() bool { return c.store.Value("pool/owner") != nil })
 		time.Sleep(8 * time.Second)
 		c.submit("b", newJob("job-1", "array", 2))
-		c.eventually(3*time.Second, "both tasks started quickly", func() bool { return c.isRunning("job-1/0") && c.isRunning("job-1/1") })
+		c.eventually(3*time.Second, "both tasks start quickly", func() bool { return c.isRunning("job-1/0") && c.isRunning("job-1/1") })
 		c.workerNamed("m1").EndTask("job-1/0", "done")
 		time.Sleep(5 * time.Second)
 		if s := c.status("a", "job-1"); s != "running" {
-			t.Fatalf("half done, but called %q", s)
+			t.Fatalf("half done, but reported as %q", s)
 		}
 		c.workerNamed("m1").EndTask("job-1/1", "done")
-		c.eventually(4*time.Second, "told done", func() bool { return c.status("a", "job-1") == "done" && c.status("b", "job-1") == "done" })
-		// A repeat may come at any later time and gets the state, not a new job.
+		c.eventually(4*time.Second, "reported as done", func() bool { return c.status("a", "job-1") == "done" && c.status("b", "job-1") == "done" })
+		// A repeated submission may come at any later time and gets the status, not a new job.
 		time.Sleep(3 * time.Minute)
 		if code, out := c.call("b", "POST", "/v2/runs", newJob("job-1", "array", 2)); code != 200 || out["status"] != "done" {
-			t.Fatalf("a late repeat got %d %v", code, out)
+			t.Fatalf("a late repeated submission got %d %v", code, out)
 		}
 		c.consistently(10*time.Second, "nothing starts again", func() bool { return c.isAbsent("job-1/0") })
 	})
@@ -152,7 +152,7 @@
 		time.Sleep(10 * time.Second)
 		c.submit("a", newJob("job-1", "array", 1))
 		c.submit("b", newJob("job-2", "standing", 1))
-		c.submit("b", newJob("job-3", "array", 9)) // more than there is room for
+		c.submit("b", newJob("job-3", "array", 9)) // more than the team's quota
 		c.eventually(4*time.Second, "they run", func() bool { return c.isRunning("job-1/0") && c.isRunning("job-2/0") })
 		m1.EndTask("job-1/0", "done")
 		c.awaitStatus(5*time.Second, "a", "job-1", "done")
@@ -169,12 +169,12 @@
 		time.Sleep(30 * time.Second)
 		for _, node := range nodeNames {
 			if code, _ := c.call(node, "GET", "/v2/runs/job-2", nil); code != 503 {
-				t.Fatalf("%s answered %d for what it cannot know in the outage", node, code)
+				t.Fatalf("%s answered %d for a status that it can't know in the outage", node, code)
 			}
 		}
 		c.store.SetDown(false)
 		want := map[string]string{"job-1": "done", "job-2": "running", "job-3": "cancelled"}
-		c.eventually(20*time.Second, "each node knows each job", func() bool {
+		c.eventually(20*time.Second, "each node reports each job's status", func() bool {
 			for _, node := range nodeNames {
 				for id, status := range want {
 					if c.status(node, id) != status {
@@ -186,10 +186,10 @@
 		})
 		for id, status := range want {
 			if code, out := c.call("b", "POST", "/v2/runs", newJob(id, "array", 1)); code != 200 || out["status"] != status {
-				t.Errorf("a repeat of %s got %d %v", id, code, out)
+				t.Errorf("a repeated submission of %s got %d %v", id, code, out)
 			}
 		}
-		c.consistently(30*time.Second, "the cancelled one stays away", func() bool { return c.isAbsent("job-3/0") && c.status("a", "job-3") == "cancelled" })
+		c.consistently(30*time.Second, "the cancelled job does not start", func() bool { return c.isAbsent("job-3/0") && c.status("a", "job-3") == "cancelled" })
 	})
 }
 
@@ -218,13 +218,13 @@
 						t.Errorf("%s answers %d %v, not %d, to %v", node, code, out, want, job)
 					}
 					if code, _ := c.call(node, "GET", "/v2/runs/"+id, nil); code != 404 {
-						t.Errorf("%s answers %d for a job refused", node, code)
+						t.Errorf("%s answers %d for a rejected job", node, code)
 					}
 				}
 				for known, status := range map[string]string{"job-1": "running", "job-2": "cancelled"} {
 					for _, node := range nodeNames {
 						if code, out := c.call(node, "POST", "/v2/runs", newJob(known, "array", 1)); code != 200 || out["status"] != status {
-							t.Errorf("%s answers %d %v to a repeat of %s", node, code, out, known)
+							t.Errorf("%s answers %d %v to a repeated submission of %s", node, code, out, known)
 						}
 					}
 				}
@@ -310,27 +310,7 @@
 			c.setRandomLatency(random)
 			done := make(chan struct{})
 			var users, completions sync.WaitGroup
-			completions.Go(func() {
-				since := map[string]time.Time{}
-				for {
-					for _, worker := range c.workers {
-						for _, task := range worker.ActiveTasks() {
-							if since[task].IsZero() {
-								since[task] = time.Now()
-							} else if time.Since(since[task]) > 800*time.Millisecond {
-								worker.EndTask(task, "done")
-							}
-						}
-					}
-					select {
-					case <-done:
-						return
-					case <-c.ctx.Done():
-						return
-					case <-time.After(100 * time.Millisecond):
-					}
-				}
-			})
+			completions.Go(func() { c.completeTasksAfter(800*time.Millisecond, done) })
 			var mu sync.Mutex
 			slowest := time.Duration(0)
 			for i := range 480 {
@@ -367,7 +347,7 @@
 			}
 			time.Sleep(time.Minute)
 			if leader := c.leader(); leader == nil {
-				t.Error("nobody owns the pool")
+				t.Error("no node leads")
 			} else {
 				leader.kill()
 				time.Sleep(5 * time.Second)
--- a/internal/scenarios/jobs_test.go
+++ b/internal/scenarios/jobs_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"math/rand/v2"
 	"strings"
 	"time"
 )
@@ -22,6 +23,7 @@
 	return newJob(id, "array", 1).with("cores", 0.02, "ramGb", 0.05)
 }
 
+// id returns the ID of the job.
 func (j jobSpec) id() string { return j["uid"].(string) }
 
 // with sets fields, given as names and values in turn, and returns the job itself.
@@ -35,7 +37,7 @@
 // dependingOn makes the job wait for others, and returns the job itself.
 func (j jobSpec) dependingOn(jobs ...string) jobSpec { return j.with("awaits", jobs) }
 
-// submitChain submits jobs 1 to n, each of which awaits the one before.
+// submitChain submits jobs 1 to n, each of which depends on the one before.
 func (c *testCluster) submitChain(n int) {
 	c.submit("a", newJob("job-1", "array", 1))
 	for i := 2; i <= n; i++ {
@@ -43,7 +45,7 @@
 	}
 }
 
-// submitFanIn submits many jobs, one that awaits all of them, and one that awaits that.
+// submitFanIn submits many jobs, one that depends on all of them, and one that depends on that.
 func (c *testCluster) submitFanIn(random *randomSource, count int) (needed []string) {
 	c.t.Helper()
 	for i := range count {
@@ -59,7 +61,7 @@
 	return needed
 }
 
-// completeJob lets every task of a job that is on a machine complete.
+// completeJob has every task of a job that is on a machine complete.
 func (c *testCluster) completeJob(job string) {
 	for _, worker := range c.workers {
 		for _, task := range worker.ActiveTasks() {
@@ -70,7 +72,7 @@
 	}
 }
 
-// completeTasksUntil has every task complete after a while, until over.
+// completeTasksUntil has every task complete a random time after its start, until stopped.
 func (c *testCluster) completeTasksUntil(stop <-chan struct{}, random *randomSource, minMS, maxMS int) {
 	endTimes := map[string]time.Time{}
 	for {
@@ -92,3 +94,45 @@
 		}
 	}
 }
+
+// completeRandomTasks has each running task whose name begins with a prefix complete with a chance
+// of one in so many, every second until the scenario ends.
+func (c *testCluster) completeRandomTasks(prefix string, oneIn int, rng *rand.Rand) {
+	for c.ctx.Err() == nil {
+		select {
+		case <-time.After(time.Second):
+		case <-c.ctx.Done():
+			return
+		}
+		for _, worker := range c.listWorkers() {
+			for _, task := range worker.ActiveTasks() {
+				if strings.HasPrefix(task, prefix) && rng.IntN(oneIn) == 0 {
+					worker.EndTask(task, "done")
+				}
+			}
+		}
+	}
+}
+
+// completeTasksAfter has every task complete a time after it was first seen, until stopped.
+func (c *testCluster) completeTasksAfter(duration time.Duration, stop <-chan struct{}) {
+	seen := map[string]time.Time{}
+	for {
+		for _, worker := range c.workers {
+			for _, task := range worker.ActiveTasks() {
+				if seen[task].IsZero() {
+					seen[task] = time.Now()
+				} else if time.Since(seen[task]) > duration {
+					worker.EndTask(task, "done")
+				}
+			}
+		}
+		select {
+		case <-stop:
+			return
+		case <-c.ctx.Done():
+			return
+		case <-time.After(100 * time.Millisecond):
+		}
+	}
+}
--- a/internal/scenarios/leadership_test.go
+++ b/internal/scenarios/leadership_test.go
@@ -19,7 +19,7 @@
 		time.Sleep(5 * time.Second)
 		term := a.elector.Term()
 		if term == nil || !a.elector.LeaseSurelyHeld(term) {
-			t.Fatal("an owner that renews is not sure")
+			t.Fatal("a leader that renews its lease is not certain of it")
 		}
 		c.network.SetRule(func(from, to string, _ *http.Request, _ []byte) fake.Outcome {
 			if from == "a" && to == "state:1" {
@@ -29,7 +29,7 @@
 		})
 		time.Sleep(1600 * time.Millisecond)
 		if a.elector.LeaseSurelyHeld(term) {
-			t.Error("an owner whose hold may have run out is sure")
+			t.Error("a leader whose lease may have expired is certain of it")
 		}
 		c.network.SetRule(nil)
 	})
@@ -52,7 +52,7 @@
 			c.mu.Lock()
 			defer c.mu.Unlock()
 			if len(b.askedForConfirmation) != want || want == 1 && b.askedForConfirmation[0] != "a" {
-				t.Errorf("after %v of seeing a own the pool, asked %v", observed, b.askedForConfirmation)
+				t.Errorf("after %v of a's leadership, asked %v", observed, b.askedForConfirmation)
 			}
 		})
 	}
@@ -80,7 +80,7 @@
 			return len(machines) == 1 && machines[0] == "m2"
 		})
 		if elapsed := time.Since(failoverAt); elapsed > 30*time.Second {
-			t.Fatalf("took %v although the old owner's node confirmed", elapsed)
+			t.Fatalf("took %v although the former leader's node confirmed", elapsed)
 		}
 	})
 }
@@ -106,7 +106,7 @@
 	})
 }
 
-// knownMachines counts the machines that a node, if it owns the pool, has heard.
+// knownMachines counts the machines that a node has heard from, if it leads.
 func knownMachines(n *testNode) int {
 	if n.elector.Cluster() == nil {
 		return 0
@@ -131,7 +131,7 @@
 			leader, successor = b, a
 		}
 		successor.elector.ReceiveHints(leader.elector.Cluster().Hints(successor.elector.HintPosition()))
-		c.workerNamed("m1").SetSilent(true) // so that only being asked tells of it
+		c.workerNamed("m1").SetSilent(true) // so that only a probe can find it
 		leader.kill()
 		c.awaitLeadership(5*time.Second, successor)
 		c.eventually(2*time.Second, "m1 is known", func() bool { return knownMachines(successor) == 1 })
@@ -149,7 +149,7 @@
 		successor := otherNode(stalled.name)
 		c.network.SetRule(func(from, _ string, _ *http.Request, body []byte) fake.Outcome {
 			if from == stalled.name && strings.Contains(string(body), `"verb":"start"`) {
-				return fake.HoldBack // the start, as the leader stops
+				return fake.HoldBack // the start, as the leader stalls
 			}
 			return fake.Deliver
 		})
@@ -191,8 +191,8 @@
 		time.Sleep(8 * time.Second)
 		b := c.startNode("b")
 		time.Sleep(2 * time.Second)
-		// a's commits of places are held back; it is cut from the state service
-		// and from b, but not from the worker.
+		// The state service holds back a's commits of assignments; a is partitioned from the
+		// state service and from b, but not from the worker.
 		c.network.SetRule(func(from, to string, r *http.Request, body []byte) fake.Outcome {
 			switch {
 			case from == "a" && to == "state:1" && r.URL.Path == "/commit" && strings.Contains(string(body), `"places"`):
--- a/internal/scenarios/network_test.go
+++ b/internal/scenarios/network_test.go
@@ -9,13 +9,14 @@
 	"github.com/pebbletrail/pebbletrail/internal/fake"
 )
 
-// isBetween tells whether a request goes between two hosts, in either direction;
-// names end where a port begins.
+// isBetween tells whether a request goes between two hosts, in either direction. Hosts are given
+// without their ports.
 func isBetween(from, to, first, second string) bool {
 	is := func(host, name string) bool { return host == name || strings.HasPrefix(host, name+":") }
 	return is(from, first) && is(to, second) || is(from, second) && is(to, first)
 }
 
+// isPartitioned tells whether a request from one node to another would not be delivered.
 func (c *testCluster) isPartitioned(from, to string) bool {
 	rule := c.network.CurrentRule()
 	if rule == nil {
@@ -27,16 +28,16 @@
 
 // setRandomLatency makes calls take a few milliseconds, and one in twenty a few hundred.
 func (c *testCluster) setRandomLatency(random *randomSource) {
-	lag := func() time.Duration {
+	latency := func() time.Duration {
 		if random.intn(20) == 0 {
 			return random.milliseconds(50, 200)
 		}
 		return random.milliseconds(1, 8)
 	}
-	c.latency.Store(&lag)
+	c.latency.Store(&latency)
 }
 
-// duplicateHeartbeats has every beat of a worker copied, for delivery later.
+// duplicateHeartbeats has every heartbeat of a worker duplicated, for delivery later.
 func (c *testCluster) duplicateHeartbeats(worker string) {
 	c.network.SetRule(func(from, _ string, r *http.Request, _ []byte) fake.Outcome {
 		if strings.HasPrefix(from, worker+":") && r.URL.Path == "/agent/beat" {
@@ -46,7 +47,7 @@
 	})
 }
 
-// transactionKind names what a transaction to the state service does.
+// transactionKind tells what a request to the state service commits: "" if it is no transaction.
 func transactionKind(r *http.Request, body []byte) string {
 	var txn struct {
 		When []struct {
@@ -83,7 +84,7 @@
 	return "cancel"
 }
 
-// movesWaitingJobs tells whether a request moves waiting jobs to where they end or are claimed.
+// movesWaitingJobs tells whether a request commits that jobs no longer wait for dependencies.
 func movesWaitingJobs(r *http.Request, body []byte) bool {
 	return r.URL.Path == "/commit" && strings.Contains(string(body), `"remove":"job/wait/`) && strings.Contains(string(body), `pool/generation`)
 }
--- a/internal/scenarios/node_test.go
+++ b/internal/scenarios/node_test.go
@@ -15,7 +15,7 @@
 type testNode struct {
 	*process
 	elector              *election.Elector
-	askedForConfirmation []ids.Node // who was last asked to confirm that it stopped
+	askedForConfirmation []ids.Node // the nodes last asked to confirm that they stopped
 }
 
 // startNode starts a controller, as a new process if there was one of that name before.
--- a/internal/scenarios/partition_test.go
+++ b/internal/scenarios/partition_test.go
@@ -31,22 +31,22 @@
 				return fake.Deliver
 			})
 			c.awaitLeadership(4*time.Second, c.nodes[successor])
-			c.eventually(4*time.Second, "it takes work", func() bool {
+			c.eventually(4*time.Second, "it accepts a job", func() bool {
 				code, _ := c.call(successor, "POST", "/v2/runs", newJob("job-2", "array", 2))
 				return code == 201 || code == 200
 			})
 			c.awaitRunning(20*time.Second, "job-2", 2)
-			c.consistently(70*time.Second, "all goes on", func() bool { return c.allRunning("job-1", 4) && c.allRunning("job-2", 2) })
+			c.consistently(70*time.Second, "all tasks go on", func() bool { return c.allRunning("job-1", 4) && c.allRunning("job-2", 2) })
 			c.network.SetRule(nil)
 			c.network.ReleaseHeld()
 			c.awaitStepDown(3*time.Second, isolated)
-			c.consistently(25*time.Second, "one change of owner, and all goes on", func() bool {
+			c.consistently(25*time.Second, "leadership changed once, and all tasks go on", func() bool {
 				cluster := c.nodes[successor].elector.Cluster()
 				return cluster != nil && cluster.Generation() <= generation+2 && c.allRunning("job-1", 4) && c.allRunning("job-2", 2)
 			})
 			c.requireStartedOnce("job-1/0", "job-1/1", "job-1/2", "job-1/3", "job-2/0", "job-2/1")
 			if s := c.status(isolated.name, "job-2"); s != "running" {
-				t.Errorf("%s: the old owner calls a running job %q", kind, s)
+				t.Errorf("%s: the former leader reports a running job as %q", kind, s)
 			}
 		})
 	}
@@ -88,7 +88,7 @@
 			return fake.Deliver
 		})
 		time.Sleep(4 * time.Second)
-		c.submit("a", newJob("job-3", "array", 4)) // over the limit until the others are gone
+		c.submit("a", newJob("job-3", "array", 4)) // over quota until the others are gone
 		leader := c.leader()
 		leader.kill()
 		time.Sleep(4 * time.Second)
@@ -118,7 +118,7 @@
 				return c.status("a", job) == "done" && c.status("b", job) == "done"
 			})
 		}
-		c.requireStartedOnce(north...) // nothing had happened to them
+		c.requireStartedOnce(north...) // they were not affected
 	})
 }
 
@@ -157,13 +157,13 @@
 		time.Sleep(5 * time.Second)
 		second := c.leader()
 		partition(second.name, "m1", "m2")
-		c.consistently(35*time.Second, "replicas go on, since the deaf owner gives way", func() bool { return c.allRunning("job-1", 4) && c.allRunning("job-2", 2) })
+		c.consistently(35*time.Second, "replicas go on, since the leader that hears no worker steps down", func() bool { return c.allRunning("job-1", 4) && c.allRunning("job-2", 2) })
 		if c.leader() == second {
-			t.Error("the owner that hears no worker keeps the pool")
+			t.Error("the leader that hears no worker goes on leading")
 		}
 		c.network.SetRule(nil)
 		c.network.ReleaseHeld()
-		c.consistently(25*time.Second, "and goes on", func() bool { return c.allRunning("job-1", 4) && c.allRunning("job-2", 2) })
+		c.consistently(25*time.Second, "all tasks go on", func() bool { return c.allRunning("job-1", 4) && c.allRunning("job-2", 2) })
 	})
 }
 
@@ -177,7 +177,7 @@
 		for _, machine := range []string{"m1", "m2", "m3", "m4"} {
 			c.startWorker(machine, "north")
 		}
-		c.eventually(10*time.Second, "an owner", func() bool { return a.elector.Cluster() != nil || b.elector.Cluster() != nil })
+		c.eventually(10*time.Second, "a leader", func() bool { return a.elector.Cluster() != nil || b.elector.Cluster() != nil })
 		leader, successor := a, b
 		if a.elector.Cluster() == nil {
 			leader, successor = b, a
@@ -192,10 +192,10 @@
 			return fake.Deliver
 		})
 		partitionedAt := time.Now()
-		c.eventually(18*time.Second, "the other node owns the pool", func() bool {
+		c.eventually(18*time.Second, "the other node leads", func() bool {
 			if cluster := leader.elector.Cluster(); cluster != nil {
 				if terminated := cluster.MachinesToTerminate(time.Now(), nil); len(terminated) > 0 {
-					t.Fatalf("returned %v although this node alone is cut off", terminated)
+					t.Fatalf("returned %v although this node alone is partitioned", terminated)
 				}
 				leader.elector.HandleRedirectedWorkers(successor.elector.RedirectedWorkers())
 			}
@@ -222,7 +222,7 @@
 		time.Sleep(8 * time.Second)
 		c.submit("a", newJob("job-4", "array", 1))
 		c.awaitTask(3*time.Second, "job-4/0")
-		// m1 and a are cut off together: a goes on answering m1.
+		// m1 and a are partitioned together: a goes on answering m1's heartbeats.
 		c.network.SetRule(func(from, to string, r *http.Request, body []byte) fake.Outcome {
 			inside := func(host string) bool { return host == "a" || host == "a:8080" || strings.HasPrefix(host, "m1") }
 			if inside(from) != inside(to) {
@@ -240,10 +240,10 @@
 			return len(machines) == 1 && machines[0] == "m2"
 		})
 		if elapsed := time.Since(failoverAt); elapsed < 36*time.Second {
-			t.Fatalf("started elsewhere after only %v", elapsed)
+			t.Fatalf("started on m2 after only %v", elapsed)
 		}
 		if len(m1.ActiveTasks()) != 0 {
-			t.Fatal("m1 still has it")
+			t.Fatal("the task is still on m1")
 		}
 		_ = a
 	})
@@ -258,7 +258,7 @@
 		c.inCloudList = true
 		c.startNode("a")
 		c.startNode("b")
-		time.Sleep(90 * time.Second) // older leaders' grace is over
+		time.Sleep(90 * time.Second) // longer than any former leader may renew leases
 		c.network.SetRule(func(from, _ string, _ *http.Request, _ []byte) fake.Outcome {
 			if strings.HasPrefix(from, "m1:") {
 				return fake.Refuse
@@ -266,14 +266,14 @@
 			return fake.Deliver
 		})
 		c.startWorker("m1", "north")
-		c.eventually(5*time.Second, "the owner found it", func() bool { return c.leader().elector.Cluster().Summary()["heard"] == 1 })
+		c.eventually(5*time.Second, "the leader found m1", func() bool { return c.leader().elector.Cluster().Summary()["heard"] == 1 })
 		c.submit("a", newJob("job-1", "array", 1))
 		c.awaitTask(3*time.Second, "job-1/0")
 		c.startWorker("m2", "north")
-		c.consistently(12*time.Second, "once, until the worker's lease ends", func() bool {
+		c.consistently(12*time.Second, "it runs on m1 only until the worker's lease expires", func() bool {
 			return c.isRunning("job-1/0") && c.workerNamed("m2").StartCount("job-1/0") == 0
 		})
-		c.eventually(25*time.Second, "then elsewhere", func() bool { return c.workerNamed("m2").StartCount("job-1/0") == 1 })
+		c.eventually(25*time.Second, "it runs on m2", func() bool { return c.workerNamed("m2").StartCount("job-1/0") == 1 })
 	})
 }
 
@@ -283,9 +283,9 @@
 // its quota.
 func TestFailoverDuringMachinePartitionLosesNoWork(t *testing.T) {
 	t.Parallel()
-	for _, kind := range []string{"refused", "swallowed", "held", "deaf", "mute"} {
+	for _, kind := range []partitionKind{connectionRefused, packetsDropped, requestsHeldBack, inboundLost, outboundRefused} {
 		for _, machines := range [][]string{{"m1"}, {"m2", "m3"}, {"m1", "m2", "m3"}} {
-			t.Run(kind+fmt.Sprint(len(machines)), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s, %d machines", kind, len(machines)), func(t *testing.T) {
 				t.Parallel()
 				faultScenario(t, func(t *testing.T, c *faultCluster) {
 					c.startWorkers("north", "south", "south")
--- a/internal/scenarios/random_faults_test.go
+++ b/internal/scenarios/random_faults_test.go
@@ -150,7 +150,7 @@
 			}
 			faults.Wait()
 			users.Wait()
-			// Whoever got no answer for a minute asks once more.
+			// A user without an answer for a minute asks once more.
 			for i, id := range ids {
 				if i%3 == 2 {
 					c.requestUntilDecided(random, "POST", "/v2/runs/"+id+"/cancel", nil)
--- a/internal/scenarios/random_test.go
+++ b/internal/scenarios/random_test.go
@@ -6,24 +6,28 @@
 	"time"
 )
 
-// randomSource are drawn by many at once.
+// randomSource is a random number generator for several goroutines, with a fixed seed.
 type randomSource struct {
 	mu     sync.Mutex
 	source *rand.Rand
 }
 
+// newRandomSource returns the generator of a seed.
 func newRandomSource(seed uint64) *randomSource {
 	return &randomSource{source: rand.New(rand.NewPCG(seed, 1))}
 }
 
-func (random *randomSource) intn(n int) int {
-	random.mu.Lock()
-	defer random.mu.Unlock()
-	return random.source.IntN(n)
+// intn returns a number from 0 to n-1.
+func (s *randomSource) intn(n int) int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.source.IntN(n)
 }
 
-func (random *randomSource) milliseconds(low, high int) time.Duration {
-	return time.Duration(low+random.intn(high-low+1)) * time.Millisecond
+// milliseconds returns a duration from low to high, both included.
+func (s *randomSource) milliseconds(low, high int) time.Duration {
+	return time.Duration(low+s.intn(high-low+1)) * time.Millisecond
 }
 
-func (random *randomSource) node() string { return nodeNames[random.intn(2)] }
+// node returns the name of either node.
+func (s *randomSource) node() string { return nodeNames[s.intn(2)] }
--- a/internal/scenarios/record_limits_test.go
+++ b/internal/scenarios/record_limits_test.go
@@ -10,17 +10,16 @@
 	"github.com/pebbletrail/pebbletrail/internal/fake"
 )
 
-// lowerLimits are limits to come under which the record that storeLargeRecord makes does
-// not fit.
+// lowerLimits are limits to come that are too small for the record of storeLargeRecord.
 const (
 	lowerLimits     = "\n[params.state.next]\nvalue_kb = 2.0\ntxn_ops = 4\n"
 	lowerValueBytes = 2048
 	lowerTxnOps     = 4
 )
 
-// storeLargeRecord has a leader without limits to come place an array whose every other
-// task completes, so that its record takes more than the lower limit. Both nodes know the
-// lower limits then, and the leader of before is gone.
+// storeLargeRecord has a leader that knows of no limits to come run an array, of which every other
+// task completes, so that its record exceeds the lower limits. Then that leader is killed, and both
+// nodes start with the lower limits to come.
 func storeLargeRecord(t *testing.T, c *testCluster, job string) {
 	t.Helper()
 	leader := c.startNode("a")
@@ -58,7 +57,7 @@
 // record, that a new leader, a completion at the same moment or another node overlooks.
 func TestCancellationIsStoredWhenRecordExceedsLimits(t *testing.T) {
 	for name, test := range map[string]struct {
-		fallen        bool // the limits are lower already
+		fallen        bool // the limits of the state service are lower already
 		before, after func(c *testCluster)
 	}{
 		"the limits still hold": {},
@@ -74,8 +73,8 @@
 			time.AfterFunc(12*time.Second, func() { c.store.RefuseCaller(leader.name, false) })
 		}},
 		"as the last task ends": {fallen: true, before: func(c *testCluster) {
-			// The leader knows the end, but the cancellation is stored first, and the
-			// leader can write but not read.
+			// The leader knows that the job is done, but the cancellation is stored first, and
+			// the leader can write but not read.
 			leader := c.leader().name
 			time.Sleep(3 * time.Second) // it has read the records
 			c.network.SetRule(func(from, _ string, r *http.Request, body []byte) fake.Outcome {
@@ -87,7 +86,7 @@
 				return fake.Deliver
 			})
 			c.completeJob("job-1")
-			time.Sleep(12 * time.Second) // the watch that was open is over
+			time.Sleep(12 * time.Second) // the watch that was open has ended
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -101,21 +100,21 @@
 					test.before(c)
 				}
 				if status := c.cancelUntilAnswered("job-1"); status != "cancelled" {
-					t.Fatalf("the cancellation is answered %q", status)
+					t.Fatalf("the cancellation is answered with %q", status)
 				}
 				if test.after != nil {
 					test.after(c)
 				}
-				c.eventually(10*time.Second, "it is told, with what needs it, by who can be asked", func() bool {
+				c.eventually(10*time.Second, "it and its dependent are reported as cancelled", func() bool {
 					return c.isReportedAs("job-1", "cancelled") && c.isReportedAs("job-2", "cancelled")
 				})
-				c.eventually(10*time.Second, "a job that names it ends with it", func() bool {
+				c.eventually(10*time.Second, "a new dependent ends with it", func() bool {
 					_, out := c.call("b", "POST", "/v2/runs", newJob("job-3", "array", 1).dependingOn("job-1"))
 					return out["status"] == "cancelled" || c.isReportedAs("job-3", "cancelled")
 				})
-				c.eventually(40*time.Second, "nothing of it is left", func() bool { return c.store.CountKeys("job/") == 0 })
-				c.eventually(30*time.Second, "every node still tells so", func() bool { return c.bothReport("job-1", "cancelled") && c.bothReport("job-2", "cancelled") })
-				if c.store.TooLarge > 2 { // each node may find out once
+				c.eventually(40*time.Second, "no record of it is left", func() bool { return c.store.CountKeys("job/") == 0 })
+				c.eventually(30*time.Second, "every node still reports so", func() bool { return c.bothReport("job-1", "cancelled") && c.bothReport("job-2", "cancelled") })
+				if c.store.TooLarge > 2 { // each node may learn the lower limits from one failure
 					t.Errorf("%d writes were too large", c.store.TooLarge)
 				}
 			})
@@ -136,7 +135,7 @@
 			c.startWorker("m3", "north")
 			c.startWorker("m4", "south")
 		},
-		// What the workers still report as done would be noted again and again.
+		// Outcomes that the workers go on reporting must not be stored again and again.
 		"some complete, the others are stopped": func(c *testCluster) {
 			time.Sleep(5 * time.Second)
 			for _, worker := range c.workers {
--- a/internal/scenarios/restart_test.go
+++ b/internal/scenarios/restart_test.go
@@ -30,7 +30,7 @@
 		awaitStableLeader()
 		leader := c.leader()
 		leader.kill()
-		// The other takes over about a hold's life later, and ends right then.
+		// The other node takes over once the leader's lease has expired, and crashes right then.
 		c.awaitAnyLeader(5 * time.Second)
 		restart(c.leader())
 		time.Sleep(100 * time.Millisecond)
@@ -105,12 +105,12 @@
 		restartBoth() // in the middle of the election
 		time.Sleep(200 * time.Millisecond)
 		if c.network.ReleaseHeld() < 8 {
-			t.Fatal("no copies were kept")
+			t.Fatal("no duplicates were held back")
 		}
 		m1.SetSilent(false)
 		c.awaitAnyLeader(10 * time.Second)
 		want := map[string]string{"job-1": "done", "job-2": "running", "job-3": "cancelled"}
-		c.eventually(20*time.Second, "each node knows each job", func() bool {
+		c.eventually(20*time.Second, "each node reports each job's status", func() bool {
 			for id, status := range want {
 				if c.status("a", id) != status || c.status("b", id) != status {
 					return false
@@ -118,7 +118,7 @@
 			}
 			return true
 		})
-		c.consistently(30*time.Second, "nothing old begins, nothing stops", func() bool {
+		c.consistently(30*time.Second, "no past task starts, no running task stops", func() bool {
 			return c.allRunning("job-2", 2) && c.isAbsent("job-1/0", "job-1/1", "job-3/0", "job-3/1")
 		})
 		c.requireStartedOnce("job-1/0", "job-1/1", "job-2/0", "job-2/1", "job-3/0", "job-3/1")
@@ -170,13 +170,13 @@
 		c.awaitTask(4*time.Second, "job-1/0")
 		time.Sleep(5 * time.Second)
 		m1.SetSilent(true)
-		m1.EndTask("job-1/0", "error") // it went with the machine
+		m1.EndTask("job-1/0", "error") // it was lost with the machine
 		c.workers = nil
 		time.Sleep(200 * time.Millisecond)
 		c.startWorker("m1", "north")
 		c.startWorker("m2", "south")
 		c.awaitTask(60*time.Second, "job-1/0")
-		c.consistently(20*time.Second, "once", func() bool { return c.isRunning("job-1/0") })
+		c.consistently(20*time.Second, "it runs once", func() bool { return c.isRunning("job-1/0") })
 	})
 }
 
@@ -194,7 +194,7 @@
 					c.submitJob("a", newJob("job-1", "standing", 4))
 					c.submitJob("b", newJob("job-2", "array", 2))
 					c.eventually(6*time.Second, "they run", func() bool { return c.allRunning("job-1", 4) && c.allRunning("job-2", 2) })
-					c.submitJob("a", newJob("job-3", "array", 6)) // four wait
+					c.submitJob("a", newJob("job-3", "array", 6)) // four of its tasks wait for quota
 					for i := range 10 {
 						if pattern == "outage" {
 							c.store.SetDown(i%5 >= 3)
@@ -219,7 +219,7 @@
 									down = append(down, name)
 								}
 							}
-							c.passTime(25 * time.Second) // longer than the lease
+							c.passTime(25 * time.Second) // longer than a worker's lease
 						}
 						for _, name := range down {
 							c.startNode(name)
--- a/internal/scenarios/rules_responses_test.go
+++ b/internal/scenarios/rules_responses_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// RequestSent takes a user's request on its way; it returns when that was.
+// RequestSent observes that a user sends a request, and returns the moment.
 func (r *rules) RequestSent(method, path string, body []byte) moment {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -29,7 +29,7 @@
 	return now
 }
 
-// ResponseReceived takes the answer to a request that was sent at a moment; 0 is none.
+// ResponseReceived observes the response to a request sent at a moment; code 0 is no response.
 func (r *rules) ResponseReceived(sent moment, node, method, path string, body []byte, code int, response map[string]any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -40,7 +40,7 @@
 		var description jobDescription
 		if json.Unmarshal(body, &description) != nil || description.UID == "" {
 			if code == 200 || code == 201 {
-				r.violated("invented", "", "%s accepts %s", node, body)
+				r.violated(ruleInvented, "", "%s accepts %s", node, body)
 			}
 			return
 		}
@@ -56,58 +56,58 @@
 	switch {
 	case submission && (code == 400 || code == 422):
 		if sent.after(job.accepted) {
-			r.violated("forgotten", jobID, "%s answers %d to a repeat of an accepted %s", node, code, jobID)
+			r.violated(ruleForgotten, jobID, "%s answers %d to a repeat of an accepted %s", node, code, jobID)
 		}
 		if job.accepted.isZero() {
-			job.submitted = false // it may come again, and be another one then
+			job.submitted = false // another job may be submitted under this ID
 		}
 		return
 	case code == 404:
 		if sent.after(job.accepted) {
-			r.violated("forgotten", jobID, "%s answers 404 for an accepted %s", node, jobID)
+			r.violated(ruleForgotten, jobID, "%s answers 404 for an accepted %s", node, jobID)
 		}
 		return
 	case code != 200 && code != 201:
 		return
 	}
 	if !job.submitted {
-		r.violated("invented", jobID, "%s answers %d %q for %s, which nobody submitted", node, code, status, jobID)
+		r.violated(ruleInvented, jobID, "%s answers %d %q for %s, which nobody submitted", node, code, status, jobID)
 		return
 	}
 	if code == 201 && sent.after(job.accepted) {
-		r.violated("went_back", jobID, "%s accepts a known %s once more", node, jobID)
+		r.violated(ruleWentBack, jobID, "%s accepts a known %s once more", node, jobID)
 	}
 	if action == "cancel" && status != "cancelled" && status != "done" {
-		r.violated("went_back", jobID, "%s answers a cancel of %s with %q", node, jobID, status)
+		r.violated(ruleWentBack, jobID, "%s answers a cancel of %s with %q", node, jobID, status)
 	}
 	switch status {
 	case "done":
 		for index := range job.Tasks {
-			// Of a gang, all are done when one is; but all must have run for that.
+			// A gang is done when one of its tasks is, but all of them must have run.
 			task := fmt.Sprintf("%s/%d", jobID, index)
 			if !job.completed[index] && !(job.Shape == "gang" && len(job.completed) > 0 && !r.firstStarts[task].IsZero()) {
-				r.violated("not_done", jobID, "%s calls %s done, but %s has not completed", node, jobID, task)
+				r.violated(ruleNotDone, jobID, "%s calls %s done, but %s has not completed", node, jobID, task)
 			}
 		}
 		if !job.cancelled.isZero() {
-			r.violated("went_back", jobID, "%s calls %s done, which was called cancelled", node, jobID)
+			r.violated(ruleWentBack, jobID, "%s calls %s done, which was called cancelled", node, jobID)
 		}
 	case "cancelled":
 		if job.cancelRequested.isZero() && r.earliestInDependencies(job, func(index *observedJob) moment { return index.cancelRequested }).IsZero() {
-			r.violated("went_back", jobID, "%s calls %s cancelled, which its user did not", node, jobID)
+			r.violated(ruleWentBack, jobID, "%s calls %s cancelled, which its user did not", node, jobID)
 		}
 		if !job.done.isZero() {
-			r.violated("went_back", jobID, "%s calls %s cancelled, which was called done", node, jobID)
+			r.violated(ruleWentBack, jobID, "%s calls %s cancelled, which was called done", node, jobID)
 		}
 	case "pending", "running":
 		if sent.after(job.done) || sent.after(job.cancelled) {
-			r.violated("went_back", jobID, "%s calls %s %s, whose end was told %v before it was asked", node, jobID, status, sent.at.Sub(maxTime(job.done.at, job.cancelled.at)))
+			r.violated(ruleWentBack, jobID, "%s calls %s %s, whose end was told %v before it was asked", node, jobID, status, sent.at.Sub(maxTime(job.done.at, job.cancelled.at)))
 		}
 		if at := r.earliestInDependencies(job, func(index *observedJob) moment { return index.cancelled }); !at.IsZero() && now.at.Sub(at) > r.cancelLimit() {
-			r.violated("orphaned", jobID, "%s calls %s %s %v after a job before it was told cancelled", node, jobID, status, now.at.Sub(at))
+			r.violated(ruleOrphaned, jobID, "%s calls %s %s %v after a job before it was told cancelled", node, jobID, status, now.at.Sub(at))
 		}
 	default:
-		r.violated("went_back", jobID, "%s calls %s %q", node, jobID, status)
+		r.violated(ruleWentBack, jobID, "%s calls %s %q", node, jobID, status)
 	}
 	setOnce(&job.accepted, now)
 	if status == "done" {
@@ -118,8 +118,8 @@
 	}
 }
 
-// earliestInDependencies finds, among the jobs that one awaits, directly or not, the one of which f
-// gives the earliest time; zero if there is none.
+// earliestInDependencies returns the earliest time of a moment among the jobs that a job depends on,
+// directly or not: zero if none has had it.
 func (r *rules) earliestInDependencies(job *observedJob, momentOf func(*observedJob) moment) (earliest time.Time) {
 	for _, id := range job.Dependencies {
 		dependency := r.job(id)
--- a/internal/scenarios/scheduling_test.go
+++ b/internal/scenarios/scheduling_test.go
@@ -19,7 +19,7 @@
 		c.startNode("a")
 		c.startWorker("m1", "north")
 		time.Sleep(10 * time.Second)
-		job := newJob("job-12", "array", 2) // the team's limit is 8 cores
+		job := newJob("job-12", "array", 2) // the team's quota is 8 cores
 		job["cores"] = 4
 		c.submit("a", job)
 		c.awaitTask(3*time.Second, "job-12/0")
@@ -30,9 +30,9 @@
 		job = newJob("job-13", "array", 1)
 		job["cores"] = 4
 		c.submit("a", job)
-		// m1 is silent: its task may be there until the lease has lapsed.
+		// m1 is silent: its task may be there until the lease has expired.
 		c.consistently(10*time.Second, "no third task of four cores", func() bool { return c.isAbsent("job-13/0") })
-		c.eventually(40*time.Second, "all is known again", func() bool { return c.isRunning("job-12/0") && c.isRunning("job-12/1") })
+		c.eventually(40*time.Second, "both tasks run", func() bool { return c.isRunning("job-12/0") && c.isRunning("job-12/1") })
 	})
 }
 
@@ -48,9 +48,9 @@
 		job := newJob("job-16", "standing", 2)
 		job["spread"] = true
 		c.submit("a", job)
-		c.consistently(10*time.Second, "only one replica in the one zone", func() bool { return len(c.machinesRunning("job-16/0"))+len(c.machinesRunning("job-16/1")) <= 1 })
+		c.consistently(10*time.Second, "only one replica in the only zone with machines", func() bool { return len(c.machinesRunning("job-16/0"))+len(c.machinesRunning("job-16/1")) <= 1 })
 		c.startWorker("m3", "south")
-		c.eventually(10*time.Second, "the other follows", func() bool { return c.isRunning("job-16/0") && c.isRunning("job-16/1") })
+		c.eventually(10*time.Second, "the other replica runs too", func() bool { return c.isRunning("job-16/0") && c.isRunning("job-16/1") })
 	})
 }
 
@@ -67,7 +67,7 @@
 		c.submit("a", job)
 		c.awaitTask(3*time.Second, "job-17/0")
 		machine := c.machinesRunning("job-17/0")[0]
-		// The image must be on the other machine too, or nothing moves there.
+		// The image must be in the other machine's cache too, or nothing moves there.
 		c.submit("a", newJob("job-18", "array", 8))
 		c.awaitTask(3*time.Second, "job-18/0")
 		time.Sleep(3 * time.Second)
@@ -93,9 +93,9 @@
 // room when their own zone has none or is unreachable; a new machine of their zone takes them.
 func TestZoneBoundJobIsRescheduledWithinItsZone(t *testing.T) {
 	t.Parallel()
-	for _, kind := range []string{"refused", "held", "deaf"} {
+	for _, kind := range []partitionKind{connectionRefused, requestsHeldBack, inboundLost} {
 		for _, shape := range []string{"array", "standing", "gang"} {
-			t.Run(kind+shape, func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s, %s", kind, shape), func(t *testing.T) {
 				t.Parallel()
 				faultScenario(t, func(t *testing.T, c *faultCluster) {
 					c.startWorkers("north", "north", "south", "south")
@@ -114,7 +114,7 @@
 					c.passTime(20 * time.Second)
 					c.heal()
 					if shape == "gang" {
-						// One that lost a task ends as a whole.
+						// A gang that lost a task ends as a whole.
 						for _, worker := range c.workers {
 							for _, task := range worker.ActiveTasks() {
 								if len(worker.ActiveTasks()) < 4 {
@@ -176,7 +176,7 @@
 					for _, id := range normal {
 						for i := range 2 {
 							if started := c.rules.FirstStart(fmt.Sprintf("%s/%d", id, i)); started.Before(lastUrgentStart) {
-								t.Errorf("%s/%d began %v before the last urgent task", id, i, lastUrgentStart.Sub(started))
+								t.Errorf("%s/%d started %v before the last urgent task", id, i, lastUrgentStart.Sub(started))
 							}
 						}
 					}
--- a/internal/scenarios/shard_cluster_test.go
+++ b/internal/scenarios/shard_cluster_test.go
@@ -3,9 +3,7 @@
 import (
 	"encoding/json"
 	"fmt"
-	"math/rand/v2"
 	"testing"
-	"time"
 
 	"google.golang.org/protobuf/proto"
 
@@ -15,14 +13,14 @@
 	"github.com/pebbletrail/pebbletrail/internal/state"
 )
 
-// shardCluster is controllers that lead three shards of the machines of a testCluster.
+// shardCluster is five controllers that lead three shards of the machines of a testCluster.
 type shardCluster struct {
 	*testCluster
 	shardCount int
 	nodes      map[string]*shardNode
 }
 
-// shardScenario runs f in a cluster of three shards, with as many machines in each as named.
+// shardScenario runs a scenario with three shards and a number of machines in each.
 func shardScenario(t *testing.T, machines int, run func(t *testing.T, c *shardCluster)) {
 	scenario(t, func(t *testing.T, base *testCluster) {
 		c := &shardCluster{testCluster: base, shardCount: 3, nodes: map[string]*shardNode{}}
@@ -46,7 +44,7 @@
 	})
 }
 
-// storeValue writes a key past all faults.
+// storeValue writes a key to the state service as no controller would.
 func (c *shardCluster) storeValue(key string, value any) {
 	raw, _ := json.Marshal(value)
 	client := state.NewClient("state:1", c.network.Client("test"), state.NewBudget(1000, 1000, 1, 0.5))
@@ -62,7 +60,7 @@
 	return settings
 }
 
-// leaders names who leads each shard; empty where nobody does.
+// leaders names the node that leads each shard: empty where none does.
 func (c *shardCluster) leaders() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -76,21 +74,3 @@
 	}
 	return names
 }
-
-// completeRandomTasks lets whatever runs for a while end by itself, until the scenario ends.
-func (c *shardCluster) completeRandomTasks(rng *rand.Rand) {
-	for c.ctx.Err() == nil {
-		select {
-		case <-time.After(time.Second):
-		case <-c.ctx.Done():
-			return
-		}
-		for _, worker := range c.workers {
-			for _, task := range worker.ActiveTasks() {
-				if rng.IntN(3) == 0 {
-					worker.EndTask(task, "done")
-				}
-			}
-		}
-	}
-}
--- a/internal/scenarios/shards_test.go
+++ b/internal/scenarios/shards_test.go
@@ -28,7 +28,7 @@
 			t.Parallel()
 			shardScenario(t, 4, func(t *testing.T, c *shardCluster) {
 				rng := rand.New(rand.NewPCG(seed, 9))
-				go c.completeRandomTasks(rand.New(rand.NewPCG(seed, 10)))
+				go c.completeRandomTasks("", 3, rand.New(rand.NewPCG(seed, 10)))
 				time.Sleep(5 * time.Second)
 				if leaders := c.leaders(); slices.Contains(leaders, "") {
 					t.Fatalf("led by %q", leaders)
@@ -79,7 +79,7 @@
 				for _, name := range fiveNodeNames {
 					c.startNode(name)
 				}
-				c.eventually(5*time.Minute, "every job is over, at every node", func() bool {
+				c.eventually(5*time.Minute, "every node reports every job's end", func() bool {
 					for i := range jobs {
 						id := fmt.Sprint("job-", i)
 						want := "done"
@@ -121,7 +121,7 @@
 			c.workerNamed(c.machinesRunning(id + "/0")[0]).EndTask(id+"/0", "done")
 		}
 		if len(shards) != c.shardCount {
-			t.Fatalf("the chain lies in %d shards", len(shards))
+			t.Fatalf("the chain spans %d shards", len(shards))
 		}
 		second := chain(200)
 		c.eventually(20*time.Second, "the first runs", func() bool { return c.isRunning(second[0] + "/0") })
@@ -130,11 +130,11 @@
 			return code == 200
 		})
 		c.workerNamed(c.machinesRunning(second[0] + "/0")[0]).EndTask(second[0]+"/0", "done")
-		c.eventually(20*time.Second, "what does not need the cancelled one goes on", func() bool { return c.isRunning(second[1] + "/0") })
+		c.eventually(20*time.Second, "the job before the cancelled one runs", func() bool { return c.isRunning(second[1] + "/0") })
 		for _, id := range second[2:] {
-			c.eventually(10*time.Second, id+" is told as cancelled", func() bool { return c.status("d", id) == "cancelled" })
+			c.eventually(10*time.Second, id+" is reported as cancelled", func() bool { return c.status("d", id) == "cancelled" })
 		}
-		c.eventually(30*time.Second, "their ends are stored", func() bool { return c.store.CountKeys("job/wait/") == 0 })
+		c.eventually(30*time.Second, "their outcomes are stored", func() bool { return c.store.CountKeys("job/wait/") == 0 })
 	})
 }
 
@@ -163,12 +163,12 @@
 		}
 		time.Sleep(5 * time.Second)
 		if provisioned, unknown := owners("hired"), owners("stranger"); len(provisioned)+len(unknown) > 0 {
-			t.Fatalf("while a hire is open its machine belongs to %v, a stranger to %v", provisioned, unknown)
+			t.Fatalf("while its request is pending the machine belongs to %v, an unknown one to %v", provisioned, unknown)
 		}
 		c.storeValue(key, map[string]any{"hire": "h-s2-1-1", "count": 1, "hosts": []string{"hired"}})
 		time.Sleep(5 * time.Second)
 		if provisioned, unknown := owners("hired"), owners("stranger"); !slices.Equal(provisioned, []int{2}) || !slices.Equal(unknown, []int{0}) {
-			t.Errorf("the hired machine belongs to %v, the stranger to %v", provisioned, unknown)
+			t.Errorf("the provisioned machine belongs to %v, the unknown one to %v", provisioned, unknown)
 		}
 	})
 }
@@ -186,11 +186,11 @@
 		for _, name := range []string{"a", "b", "d", "e"} {
 			c.stopNode(name)
 		}
-		c.eventually(time.Minute, "the one left leads all", func() bool { return slices.Equal(c.leaders(), []string{"c", "c", "c"}) })
+		c.eventually(time.Minute, "the only controller leads all shards", func() bool { return slices.Equal(c.leaders(), []string{"c", "c", "c"}) })
 		for _, name := range []string{"a", "b", "d", "e"} {
 			c.startNode(name)
 		}
-		c.eventually(2*time.Minute, "shards are given back", spread)
+		c.eventually(2*time.Minute, "the shards are spread again", spread)
 	})
 }
 
@@ -200,11 +200,11 @@
 	t.Parallel()
 	shardScenario(t, 1, func(t *testing.T, c *shardCluster) {
 		time.Sleep(5 * time.Second)
-		// A version that knows one shard only never leads here.
+		// A version that knows of one shard only never leads here.
 		oneShardNode := c.testCluster.startNode("a")
 		time.Sleep(20 * time.Second)
 		if oneShardNode.elector.Term() != nil {
-			t.Error("a controller of one shard leads the pool beside the leaders of three")
+			t.Error("a controller of one shard leads beside the leaders of three")
 		}
 		c.shardCount = 2
 		node := c.startNode("e")
--- a/internal/scenarios/stale_heartbeats_test.go
+++ b/internal/scenarios/stale_heartbeats_test.go
@@ -27,15 +27,15 @@
 				}
 			}
 			c.awaitStatus(6*time.Second, "a", "job-1", "done")
-			time.Sleep(6 * time.Second) // stored and cleared
+			time.Sleep(6 * time.Second) // its outcome is stored and the task cleared
 			c.network.SetRule(nil)
 			c.submit("a", newJob("job-2", "standing", 8))
-			c.eventually(4*time.Second, "the next one runs", func() bool { return len(m1.ActiveTasks()) == 4 })
+			c.eventually(4*time.Second, "the replicas run", func() bool { return len(m1.ActiveTasks()) == 4 })
 			time.Sleep(delay)
 			if c.network.ReleaseHeld() < 3 {
-				t.Fatal("no copies were kept")
+				t.Fatal("no duplicates were held back")
 			}
-			c.consistently(25*time.Second, "replicas go on, nothing old begins", func() bool {
+			c.consistently(25*time.Second, "replicas go on, no past task starts", func() bool {
 				return len(m1.ActiveTasks()) == 4 && c.isRunning("job-2/0") && c.isAbsent("job-1/0")
 			})
 			for _, worker := range c.workers {
@@ -48,7 +48,7 @@
 				}
 			}
 			if s := c.status("a", "job-1"); s != "done" {
-				t.Fatalf("a done job is called %q", s)
+				t.Fatalf("a completed job is reported as %q", s)
 			}
 		})
 	}
@@ -66,7 +66,7 @@
 		c.duplicateHeartbeats("m1")
 		c.submit("a", newJob("job-1", "array", 1))
 		c.awaitTask(4*time.Second, "job-1/0")
-		time.Sleep(7 * time.Second) // three beats
+		time.Sleep(7 * time.Second) // three heartbeats
 		c.network.SetRule(nil)
 		m1.EndTask("job-1/0", "done")
 		c.awaitStatus(6*time.Second, "a", "job-1", "done")
@@ -80,12 +80,12 @@
 		a = c.startNode("a")
 		c.awaitLeadership(5*time.Second, a)
 		if c.network.ReleaseHeld() < 2 {
-			t.Fatal("no copies were kept")
+			t.Fatal("no duplicates were held back")
 		}
 		c.startWorker("m2", "south")
 		time.Sleep(4 * time.Second)
 		m1.SetSilent(false)
-		c.consistently(30*time.Second, "job-2 goes on where it is", func() bool { return c.isRunning("job-2/0") && c.machinesRunning("job-2/0")[0] == "m1" })
+		c.consistently(30*time.Second, "job-2 goes on on m1", func() bool { return c.isRunning("job-2/0") && c.machinesRunning("job-2/0")[0] == "m1" })
 		if m1.StartCount("job-1/0") != 1 || m1.StartCount("job-2/0") != 1 || !c.isAbsent("job-1/0") {
 			t.Fatal("something was started again")
 		}
@@ -100,8 +100,8 @@
 func TestStaleHeartbeatsDuringFailoverChangeNothing(t *testing.T) {
 	t.Parallel()
 	for _, content := range []string{"shows what runs elsewhere", "shows nothing", "of an earlier session", "shows what is done"} {
-		for _, kind := range []string{"", "refused", "held", "deaf"} {
-			t.Run(content+kind, func(t *testing.T) {
+		for _, kind := range []partitionKind{noPartition, connectionRefused, requestsHeldBack, inboundLost} {
+			t.Run(fmt.Sprintf("%s, %s", content, kind), func(t *testing.T) {
 				t.Parallel()
 				faultScenario(t, func(t *testing.T, c *faultCluster) {
 					m1 := c.startWorker("m1", "north")
@@ -130,7 +130,7 @@
 					c.passTime(8 * time.Second)
 					leader := c.awaitLeader()
 					leader.kill()
-					if kind != "" {
+					if kind != noPartition {
 						c.partition(kind, "m1")
 					}
 					if c.workerNamed("m2") == nil {
@@ -161,8 +161,8 @@
 func TestStaleHeartbeatOfReplacedGangTaskChangesNothing(t *testing.T) {
 	t.Parallel()
 	for _, newIncarnation := range []bool{false, true} {
-		for _, kind := range []string{"", "refused", "held", "deaf"} {
-			t.Run(fmt.Sprint(newIncarnation, kind), func(t *testing.T) {
+		for _, kind := range []partitionKind{noPartition, connectionRefused, requestsHeldBack, inboundLost} {
+			t.Run(fmt.Sprintf("new incarnation %t, %s", newIncarnation, kind), func(t *testing.T) {
 				t.Parallel()
 				faultScenario(t, func(t *testing.T, c *faultCluster) {
 					c.startWorkers("north", "south")
@@ -174,7 +174,7 @@
 						}
 						return c.allRunning("job-1", 2)
 					}
-					c.eventually(5*time.Second, "both tasks are there", bothWaiting)
+					c.eventually(5*time.Second, "both tasks are on machines", bothWaiting)
 					c.passTime(5 * time.Second)
 					machine := c.workerNamed(c.machinesRunning("job-1/0")[0])
 					machine.EndTask("job-1/0", "no_room")
@@ -189,12 +189,12 @@
 					}
 					c.mu.Unlock()
 					if stale == nil {
-						t.Fatal("no report shows the end")
+						t.Fatal("no heartbeat shows the end")
 					}
 					c.eventually(10*time.Second, "it is replaced", bothWaiting)
 					if newIncarnation {
 						machine.SetSilent(true)
-						c.eventually(25*time.Second, "its lease lapsed", func() bool { return c.isAbsent("job-1/0") })
+						c.eventually(25*time.Second, "its lease has expired", func() bool { return c.isAbsent("job-1/0") })
 						machine.SetSilent(false)
 						c.eventually(15*time.Second, "it is replaced again", bothWaiting)
 					}
@@ -205,7 +205,7 @@
 					leader := c.awaitLeader()
 					leader.kill()
 					c.startWorker("m3", "south")
-					if kind != "" {
+					if kind != noPartition {
 						c.partition(kind, machine.Name)
 					}
 					c.awaitLeader()
--- a/internal/scenarios/transactions_test.go
+++ b/internal/scenarios/transactions_test.go
@@ -20,12 +20,12 @@
 func TestLostResponsesAndDelayedTransactionsAreReconciled(t *testing.T) {
 	t.Parallel()
 	for _, kind := range []string{"submission", "cancel", "marker", "outcome", "takeover", "raise", "any"} {
-		for fate, name := range map[fake.Outcome]string{fake.DropResponse: "answer lost", fake.Delay: "late"} {
+		for outcome, name := range map[fake.Outcome]string{fake.DropResponse: "answer lost", fake.Delay: "late"} {
 			for seed := range uint64(3) {
 				t.Run(fmt.Sprintf("%s %s %d", kind, name, seed), func(t *testing.T) {
 					t.Parallel()
 					scenario(t, func(t *testing.T, c *testCluster) {
-						runTransactionFaults(t, c, newRandomSource(seed), kind, fate, seed%2 == 1)
+						runTransactionFaults(t, c, newRandomSource(seed), kind, outcome, seed%2 == 1)
 					})
 				})
 			}
@@ -33,7 +33,9 @@
 	}
 }
 
-func runTransactionFaults(t *testing.T, c *testCluster, random *randomSource, kind string, fate fake.Outcome, dropRenewals bool) {
+// runTransactionFaults runs jobs, some of them cancelled, while half of the transactions of a kind
+// have an outcome other than delivery. With dropRenewals the leader's first renewals are lost too.
+func runTransactionFaults(t *testing.T, c *testCluster, random *randomSource, kind string, outcome fake.Outcome, dropRenewals bool) {
 	c.startPair()
 	c.setRandomLatency(random)
 	c.network.SetDelay(func() time.Duration { return random.milliseconds(2000, 12000) })
@@ -45,16 +47,16 @@
 		defer mu.Unlock()
 		switch {
 		case dropRenewals && kind == "takeover" && hits > 0 && hits < 3 && strings.HasSuffix(r.URL.Path, "/renew"):
-			return fake.Drop // so that the hold is gone when the takeover is carried out
+			return fake.Drop // so that the lease has expired when the takeover is executed
 		case kind == "raise" && to != "state:1" && r.URL.Path == "/commands" && strings.Contains(string(body), `"start"`):
-			return fake.HoldBack // an uncertain start, which only a raised generation turns away
+			return fake.HoldBack // an uncertain start, which only a raised generation rejects
 		case actual != "" && (kind == "any" || actual == kind) && (hits == 0 || random.intn(2) == 0):
 			hits++
-			return fate
+			return outcome
 		}
 		return fake.Deliver
 	}
-	c.submit("a", newJob("job-90", "array", 1)) // a pipeline, on which others hang
+	c.submit("a", newJob("job-90", "array", 1)) // a chain on which other jobs depend
 	c.submit("b", newJob("job-91", "array", 1).dependingOn("job-90"))
 	c.network.SetRule(faults)
 	done := make(chan struct{})
@@ -109,7 +111,7 @@
 		}
 	}
 	users.Wait()
-	// Luck may have spared all of the kind: then more jobs come until one is hit.
+	// Chance may have left out all of the kind: then more jobs are submitted until one is hit.
 	noneHit := func() bool {
 		mu.Lock()
 		defer mu.Unlock()
@@ -124,7 +126,7 @@
 	}
 	c.network.SetRule(nil)
 	c.network.ReleaseHeld()
-	time.Sleep(13 * time.Second) // the last late one is carried out
+	time.Sleep(13 * time.Second) // the last delayed one is executed
 	c.awaitAnyLeader(60 * time.Second)
 	c.awaitAgreement(90*time.Second, ids...)
 	close(done)
@@ -155,7 +157,7 @@
 		c.workerNamed("m1").EndTask("job-14/0", "done")
 		c.awaitStatus(8*time.Second, "a", "job-14", "done")
 		if lost == 0 {
-			t.Fatal("no answer was lost")
+			t.Fatal("no response was lost")
 		}
 	})
 }
--- a/internal/scenarios/users_test.go
+++ b/internal/scenarios/users_test.go
@@ -10,7 +10,8 @@
 	"time"
 )
 
-// requestUntilDecided asks as users do, now at one node and now at another, until it is decided.
+// requestUntilDecided sends a request as users do, to either node at random once a second, until one
+// accepts or rejects it, for a minute at most.
 func (c *testCluster) requestUntilDecided(random *randomSource, method, path string, body any) (code int, status string) {
 	for end := time.Now().Add(time.Minute); time.Now().Before(end); time.Sleep(time.Second) {
 		var out map[string]any
@@ -35,7 +36,7 @@
 	return nodeNames[0]
 }
 
-// askAllNodes asks at all nodes within milliseconds, and repeats the submission.
+// askAllNodes asks all nodes for a job's status, or repeats its submission, within milliseconds.
 func (c *testCluster) askAllNodes(random *randomSource, job jobSpec) {
 	var wg sync.WaitGroup
 	for range 3 {
@@ -54,12 +55,13 @@
 	wg.Wait()
 }
 
+// call sends a user's request to a node, observed by the rules: status code 0 is no response.
 func (c *testCluster) call(node, method, path string, body any) (int, map[string]any) {
 	raw, _ := json.Marshal(body)
 	return c.observeCall(node, method, path, raw, func() (int, map[string]any) { return c.request(node, method, path, raw) })
 }
 
-// observeCall has the rules watch a user's call.
+// observeCall has the rules observe a user's request and its response.
 func (c *testCluster) observeCall(node, method, path string, body []byte, call func() (int, map[string]any)) (int, map[string]any) {
 	sent := c.rules.RequestSent(method, path, body)
 	code, out := call()
@@ -67,10 +69,11 @@
 	return code, out
 }
 
+// request sends a request and decodes the fields of its response.
 func (c *testCluster) request(node, method, path string, raw []byte) (int, map[string]any) {
 	ctx, cancel := context.WithTimeout(c.ctx, 5*time.Second)
 	defer cancel()
-	req, _ := http.NewRequestWithContext(ctx, method, "http://"+node+":8080"+path, bytes.NewReader(raw))
+	req, _ := http.NewRequestWithContext(ctx, method, "http://"+apiAddress(node)+path, bytes.NewReader(raw))
 	res, err := c.network.Client("user").Do(req)
 	if err != nil {
 		return 0, nil
@@ -80,6 +83,7 @@
 	return res.StatusCode, out
 }
 
+// submit submits a job, which the node must accept at once.
 func (c *testCluster) submit(node string, job jobSpec) {
 	c.t.Helper()
 	if code, out := c.call(node, "POST", "/v2/runs", job); code != 201 {
@@ -87,13 +91,14 @@
 	}
 }
 
+// status asks a node for the status of a job: "" if it doesn't tell.
 func (c *testCluster) status(node, id string) string {
 	_, out := c.call(node, "GET", "/v2/runs/"+id, nil)
 	s, _ := out["status"].(string)
 	return s
 }
 
-// cancelUntilAnswered cancels a job as its user does, until it is answered.
+// cancelUntilAnswered cancels a job as its user does, until a node answers, and returns the status.
 func (c *testCluster) cancelUntilAnswered(job string) string {
 	for range 40 {
 		for _, node := range nodeNames {
@@ -107,7 +112,7 @@
 	return ""
 }
 
-// confirmCancellation has a node confirm a cancellation, and returns when it did.
+// confirmCancellation cancels a job at a node until it confirms, and returns when it did.
 func (c *testCluster) confirmCancellation(node *testNode, job string) time.Time {
 	c.t.Helper()
 	c.eventually(3*time.Second, "cancellation of "+job+" confirmed", func() bool {
