--- a/internal/scenarios/cancellation_outage_test.go
+++ b/internal/scenarios/cancellation_outage_test.go
@@ -138,11 +138,11 @@
 		time.Sleep(10300 * time.Millisecond)
 		faults := func(from, to string, r *http.Request, body []byte) fake.Outcome {
 			switch {
-			case r.URL.Path == "/commands" && strings.Contains(string(body), `"start"`):
+			case isStartCommand(r, body):
 				return fake.HoldBack
-			case r.URL.Path == "/agent/beat" && from != "user":
+			case isHeartbeat(r) && from != "user":
 				return fake.Drop // so that no heartbeat's response carries the start
-			case r.URL.Path == "/commit" && strings.Contains(string(body), "pool/generation\",\"value") && !strings.Contains(string(body), "pool/owner"):
+			case isCommit(r) && strings.Contains(string(body), "pool/generation\",\"value") && !strings.Contains(string(body), "pool/owner"):
 				return fake.Refuse // the fencing token can't be raised
 			}
 			return fake.Deliver
@@ -152,7 +152,7 @@
 		time.Sleep(300 * time.Millisecond)
 		confirmedAt := c.confirmCancellation(c.nodes["a"], "job-1")
 		c.network.SetRule(func(from, to string, r *http.Request, body []byte) fake.Outcome {
-			if r.URL.Path == "/agent/beat" {
+			if isHeartbeat(r) {
 				return fake.Deliver
 			}
 			return faults(from, to, r, body)
@@ -184,7 +184,7 @@
 		isolated := false
 		c.network.SetRule(func(from, to string, r *http.Request, body []byte) fake.Outcome {
 			switch {
-			case r.URL.Path == "/commands" && strings.Contains(string(body), `"start"`):
+			case isStartCommand(r, body):
 				return fake.Drop // assigned and sent, but it doesn't arrive
 			case strings.HasPrefix(from, "m1:"):
 				return fake.Refuse
--- a/internal/scenarios/cancellation_test.go
+++ b/internal/scenarios/cancellation_test.go
@@ -92,7 +92,7 @@
 			switch {
 			case isBetween(from, to, "a", "b"):
 				return fake.Refuse
-			case transactionKind(r, body) == "marker":
+			case kindOfTransaction(r, body) == storesAssignment:
 				return fake.DelayResponse
 			}
 			return fake.Deliver
--- a/internal/scenarios/delayed_commands_test.go
+++ b/internal/scenarios/delayed_commands_test.go
@@ -21,7 +21,7 @@
 		c.startWorker("m2", "south")
 		time.Sleep(10300 * time.Millisecond) // between heartbeats: the start goes directly to the worker
 		c.network.SetRule(func(from, to string, r *http.Request, body []byte) fake.Outcome {
-			if r.URL.Path == "/commands" && strings.Contains(string(body), `"start"`) {
+			if isStartCommand(r, body) {
 				return fake.HoldBack
 			}
 			return fake.Deliver
@@ -65,7 +65,7 @@
 								if r.URL.Path == "/commands" && strings.Contains(string(body), `"verb":"`+verb+`"`) {
 									return outcome
 								}
-								if delay.mute && r.URL.Path == "/agent/beat" {
+								if delay.mute && isHeartbeat(r) {
 									return fake.Refuse
 								}
 								return fake.Deliver
@@ -120,7 +120,7 @@
 						switch {
 						case r.URL.Path == "/commands" && strings.Contains(string(body), `"verb":"start"`):
 							return startOutcome
-						case from == leader.name && r.URL.Path == "/commit" && strings.Contains(string(body), `"places"`):
+						case from == leader.name && isAssignment(r, body):
 							if writes++; writes > 2 { // the first assignments get through
 								return writeOutcome
 							}
--- a/internal/scenarios/dependencies_cancellation_test.go
+++ b/internal/scenarios/dependencies_cancellation_test.go
@@ -64,7 +64,7 @@
 				})
 				// The records suffice to tell before any outcome of a dependent is stored.
 				c.network.SetRule(func(_, _ string, r *http.Request, body []byte) fake.Outcome {
-					if r.URL.Path == "/commit" && strings.Contains(string(body), `"remove":"job/wait/`) {
+					if removesWaitingJobs(r, body) {
 						return fake.Refuse
 					}
 					return fake.Deliver
--- a/internal/scenarios/dependencies_failover_test.go
+++ b/internal/scenarios/dependencies_failover_test.go
@@ -21,7 +21,7 @@
 		c.submitChain(40)
 		c.awaitRunning(5*time.Second, "job-1", 1)
 		c.network.SetRule(func(_, _ string, r *http.Request, body []byte) fake.Outcome {
-			if movesWaitingJobs(r, body) {
+			if leaderRemovesWaitingJobs(r, body) {
 				return fake.Refuse
 			}
 			return fake.Deliver
@@ -74,9 +74,9 @@
 				killLeaderSoon := func() { time.AfterFunc(50*time.Millisecond, leader.kill) }
 				var hits atomic.Int32
 				c.network.SetRule(func(from, _ string, r *http.Request, body []byte) fake.Outcome {
-					switch end := transactionKind(r, body) == "outcome"; {
+					switch end := kindOfTransaction(r, body) == storesOutcome; {
 					case from != leader.name:
-					case movesWaitingJobs(r, body):
+					case leaderRemovesWaitingJobs(r, body):
 						if hits.Add(1) == 1 {
 							killLeaderSoon()
 						}
@@ -128,7 +128,7 @@
 				var moves atomic.Int32
 				c.network.SetRule(func(from, _ string, r *http.Request, body []byte) fake.Outcome {
 					switch {
-					case from != leader.name || !movesWaitingJobs(r, body):
+					case from != leader.name || !leaderRemovesWaitingJobs(r, body):
 						return fake.Deliver
 					case moves.Add(1) > 1:
 						return fake.Refuse
--- a/internal/scenarios/dependencies_test.go
+++ b/internal/scenarios/dependencies_test.go
@@ -26,7 +26,7 @@
 		"a move's answer is lost": func(c *testCluster) {
 			lost := 0
 			c.network.SetRule(func(_, _ string, r *http.Request, body []byte) fake.Outcome {
-				if r.URL.Path == "/commit" && strings.Contains(string(body), `"remove":"job/wait/`) && lost < 2 {
+				if removesWaitingJobs(r, body) && lost < 2 {
 					lost++
 					return fake.DropResponse
 				}
@@ -87,7 +87,7 @@
 		c.submit("b", newJob("job-2", "array", 1).dependingOn("job-1"))
 		c.awaitRunning(5*time.Second, "job-1", 1)
 		c.network.SetRule(func(_, _ string, r *http.Request, body []byte) fake.Outcome {
-			if transactionKind(r, body) == "outcome" {
+			if kindOfTransaction(r, body) == storesOutcome {
 				return fake.Refuse
 			}
 			return fake.Deliver
--- a/internal/scenarios/drain_budget_test.go
+++ b/internal/scenarios/drain_budget_test.go
@@ -81,7 +81,7 @@
 		c.disruption.detectionDelay = 1500 * time.Millisecond
 		c.network.SetDelay(func() time.Duration { return 1900 * time.Millisecond })
 		c.network.SetRule(func(_, _ string, r *http.Request, body []byte) fake.Outcome {
-			if r.URL.Path == "/commit" && strings.Contains(string(body), `"evictions"`) {
+			if isEviction(r, body) {
 				return fake.DelayResponse
 			}
 			return fake.Deliver
--- a/internal/scenarios/drain_failover_test.go
+++ b/internal/scenarios/drain_failover_test.go
@@ -172,7 +172,7 @@
 		c.network.SetDelay(func() time.Duration { return 12 * time.Second })
 		delayed, leader := 0, c.leader().name
 		c.network.SetRule(func(from, to string, r *http.Request, body []byte) fake.Outcome {
-			if from == leader && r.URL.Path == "/commit" && strings.Contains(string(body), `"evictions"`) {
+			if from == leader && isEviction(r, body) {
 				delayed++
 				return fake.Delay
 			}
--- a/internal/scenarios/fault_cluster_test.go
+++ b/internal/scenarios/fault_cluster_test.go
@@ -50,7 +50,7 @@
 // setFaults sets the network's rule, nil for none, and goes on recording the workers' heartbeats.
 func (c *faultCluster) setFaults(faults func(from, to string, r *http.Request, body []byte) fake.Outcome) {
 	c.network.SetRule(func(from, to string, r *http.Request, body []byte) fake.Outcome {
-		if name, _, ok := strings.Cut(from, ":"); ok && r.URL.Path == "/agent/beat" && name != "late" {
+		if name, _, ok := strings.Cut(from, ":"); ok && isHeartbeat(r) && name != "late" {
 			c.mu.Lock()
 			c.heartbeats[name] = append(c.heartbeats[name], bytes.Clone(body))
 			c.mu.Unlock()
--- /dev/null
+++ b/internal/scenarios/fault_injector_test.go
@@ -0,0 +1,153 @@
+package scenarios
+
+import (
+	"net/http"
+	"sync"
+	"time"
+
+	"github.com/pebbletrail/pebbletrail/internal/fake"
+)
+
+// concurrentFaults is how many faults a faultInjector has at a time.
+const concurrentFaults = 2
+
+// faultInjector injects random faults, several at a time.
+type faultInjector struct {
+	cluster  *testCluster
+	random   *randomSource
+	machines []string
+
+	mu    sync.Mutex
+	rules [concurrentFaults]fake.Rule // the network faults, by the slot of each fault
+}
+
+// newFaultInjector takes over the rule of the cluster's network.
+func newFaultInjector(c *testCluster, random *randomSource, machines []string) *faultInjector {
+	injector := &faultInjector{cluster: c, random: random, machines: machines}
+	c.network.SetRule(injector.outcome)
+	return injector
+}
+
+// outcome is that of the first network fault that concerns a request.
+func (i *faultInjector) outcome(from, to string, r *http.Request, body []byte) fake.Outcome {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	for _, rule := range i.rules {
+		if rule != nil {
+			if outcome := rule(from, to, r, body); outcome != fake.Deliver {
+				return outcome
+			}
+		}
+	}
+	return fake.Deliver
+}
+
+// setRule sets the network fault of a slot, nil for none.
+func (i *faultInjector) setRule(slot int, rule fake.Rule) {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	i.rules[slot] = rule
+}
+
+// setRuleFor sets the network fault of a slot for a while.
+func (i *faultInjector) setRuleFor(duration time.Duration, slot int, rule fake.Rule) {
+	i.setRule(slot, rule)
+	time.Sleep(duration)
+	i.setRule(slot, nil)
+}
+
+// inject injects a random fault for 2 to 28 s, and returns when it is over.
+func (i *faultInjector) inject(slot int) {
+	machine, kind, duration := i.machines[i.random.intn(len(i.machines))], i.random.intn(11), i.random.milliseconds(2000, 28000)
+	switch kind {
+	case 0:
+		i.hang(machine, duration)
+	case 1:
+		i.disturbMachine(slot, fake.PartitionOutbound(machine), duration)
+	case 2:
+		i.disturbMachine(slot, fake.PartitionInbound(machine), duration)
+	case 3:
+		i.disturbMachine(slot, fake.DuplicateHeartbeats(machine), duration)
+	case 4:
+		i.refuseLeader(duration)
+	case 5:
+		i.cluster.store.SetLatency(i.random.milliseconds(50, 800))
+		time.Sleep(duration)
+		i.cluster.store.SetLatency(0)
+	case 6:
+		i.restartNode()
+	case 7:
+		i.cluster.store.SetDown(true)
+		time.Sleep(duration)
+		i.cluster.store.SetDown(false)
+	case 8:
+		i.setRuleFor(duration, slot, i.disturbCommits(fake.DropResponse))
+	case 9:
+		i.setRuleFor(duration, slot, i.disturbCommits(fake.Delay))
+	case 10:
+		i.isolateLeader(slot, duration)
+	}
+}
+
+// hang has a machine hang.
+func (i *faultInjector) hang(machine string, duration time.Duration) {
+	i.cluster.workerNamed(machine).SetHung(true)
+	time.Sleep(duration)
+	i.cluster.workerNamed(machine).SetHung(false)
+}
+
+// disturbMachine applies a rule to the traffic of a machine, and delivers what was held back up to
+// 3 s after its end.
+func (i *faultInjector) disturbMachine(slot int, rule fake.Rule, duration time.Duration) {
+	i.setRuleFor(duration, slot, rule)
+	time.Sleep(i.random.milliseconds(0, 3000))
+	i.cluster.network.ReleaseHeld()
+}
+
+// refuseLeader has the state service refuse the leader alone.
+func (i *faultInjector) refuseLeader(duration time.Duration) {
+	leader := i.cluster.leader()
+	if leader == nil {
+		return
+	}
+	i.cluster.store.RefuseCaller(leader.name, true)
+	time.Sleep(duration)
+	i.cluster.store.RefuseCaller(leader.name, false)
+}
+
+// restartNode kills either node, if it runs, and starts it again.
+func (i *faultInjector) restartNode() {
+	i.cluster.mu.Lock()
+	node := i.cluster.nodes[i.random.node()]
+	i.cluster.mu.Unlock()
+	if node == nil {
+		return
+	}
+	node.kill()
+	time.Sleep(i.random.milliseconds(100, 8000))
+	i.cluster.startNode(node.name)
+}
+
+// disturbCommits gives one commit in four another outcome than delivery.
+func (i *faultInjector) disturbCommits(outcome fake.Outcome) fake.Rule {
+	return func(_, _ string, r *http.Request, _ []byte) fake.Outcome {
+		if isCommit(r) && i.random.intn(4) == 0 {
+			return outcome
+		}
+		return fake.Deliver
+	}
+}
+
+// isolateLeader partitions the leader from its peer and the state service.
+func (i *faultInjector) isolateLeader(slot int, duration time.Duration) {
+	leader := i.cluster.leader()
+	if leader == nil {
+		return
+	}
+	i.setRuleFor(duration, slot, func(from, to string, _ *http.Request, _ []byte) fake.Outcome {
+		if isBetween(from, to, "a", "b") || isBetween(from, to, leader.name, "state") {
+			return fake.Drop
+		}
+		return fake.Deliver
+	})
+}
--- a/internal/scenarios/leadership_test.go
+++ b/internal/scenarios/leadership_test.go
@@ -195,7 +195,7 @@
 		// state service and from b, but not from the worker.
 		c.network.SetRule(func(from, to string, r *http.Request, body []byte) fake.Outcome {
 			switch {
-			case from == "a" && to == "state:1" && r.URL.Path == "/commit" && strings.Contains(string(body), `"places"`):
+			case from == "a" && to == "state:1" && isAssignment(r, body):
 				return fake.HoldBack
 			case from == "a" && to == "state:1" && !strings.HasPrefix(r.URL.Path, "/kv"):
 				return fake.Drop
--- a/internal/scenarios/network_test.go
+++ b/internal/scenarios/network_test.go
@@ -40,15 +40,61 @@
 // duplicateHeartbeats has every heartbeat of a worker duplicated, for delivery later.
 func (c *testCluster) duplicateHeartbeats(worker string) {
 	c.network.SetRule(func(from, _ string, r *http.Request, _ []byte) fake.Outcome {
-		if strings.HasPrefix(from, worker+":") && r.URL.Path == "/agent/beat" {
+		if strings.HasPrefix(from, worker+":") && isHeartbeat(r) {
 			return fake.Duplicate
 		}
 		return fake.Deliver
 	})
 }
 
-// transactionKind tells what a request to the state service commits: "" if it is no transaction.
-func transactionKind(r *http.Request, body []byte) string {
+// isHeartbeat tells whether a request is a worker's heartbeat.
+func isHeartbeat(r *http.Request) bool { return r.URL.Path == "/agent/beat" }
+
+// isStartCommand tells whether a request has a worker start a task.
+func isStartCommand(r *http.Request, body []byte) bool {
+	return r.URL.Path == "/commands" && strings.Contains(string(body), `"start"`)
+}
+
+// isCommit tells whether a request is a transaction to the state service.
+func isCommit(r *http.Request) bool { return r.URL.Path == "/commit" }
+
+// isAssignment tells whether a request commits assignments of tasks.
+func isAssignment(r *http.Request, body []byte) bool {
+	return isCommit(r) && strings.Contains(string(body), `"places"`)
+}
+
+// isEviction tells whether a request commits permits for evictions.
+func isEviction(r *http.Request, body []byte) bool {
+	return isCommit(r) && strings.Contains(string(body), `"evictions"`)
+}
+
+// removesWaitingJobs tells whether a request commits that jobs no longer wait for dependencies.
+func removesWaitingJobs(r *http.Request, body []byte) bool {
+	return isCommit(r) && strings.Contains(string(body), `"remove":"job/wait/`)
+}
+
+// leaderRemovesWaitingJobs tells the same of a leader's request.
+func leaderRemovesWaitingJobs(r *http.Request, body []byte) bool {
+	return removesWaitingJobs(r, body) && strings.Contains(string(body), `pool/generation`)
+}
+
+// transactionKind is what a transaction to the state service does.
+type transactionKind string
+
+// The kinds of transaction.
+const (
+	noTransaction    transactionKind = ""
+	anyTransaction   transactionKind = "any" // for scenarios with faults of every kind
+	acquiresLease    transactionKind = "lease acquisition"
+	raisesGeneration transactionKind = "generation raise"
+	storesOutcome    transactionKind = "outcome"
+	storesAssignment transactionKind = "assignment"
+	createsJob       transactionKind = "submission"
+	cancelsJob       transactionKind = "cancellation"
+)
+
+// kindOfTransaction tells what a request to the state service commits.
+func kindOfTransaction(r *http.Request, body []byte) transactionKind {
 	var txn struct {
 		When []struct {
 			Key   string
@@ -56,35 +102,35 @@
 		}
 		Then []struct{ Put, Remove string }
 	}
-	if r.URL.Path != "/commit" || json.Unmarshal(body, &txn) != nil {
-		return ""
+	if !isCommit(r) || json.Unmarshal(body, &txn) != nil {
+		return noTransaction
 	}
-	var byLeader, creates, raisesGeneration, acquiresLease, storesOutcome bool
+	var byLeader, creates, raises, acquires, ends bool
 	for _, condition := range txn.When {
 		byLeader = byLeader || condition.Key == "pool/generation"
-		creates = creates || strings.HasPrefix(condition.Key, "job/") && !strings.HasPrefix(condition.Key, "job/cancel/") && condition.Stamp == 0
+		creates = creates || isJobKey(condition.Key) && condition.Stamp == 0
 	}
 	for _, op := range txn.Then {
-		acquiresLease = acquiresLease || op.Put == "pool/owner"
-		raisesGeneration = raisesGeneration || op.Put == "pool/generation"
-		storesOutcome = storesOutcome || strings.HasPrefix(op.Put, "end/")
+		acquires = acquires || op.Put == "pool/owner"
+		raises = raises || op.Put == "pool/generation"
+		ends = ends || strings.HasPrefix(op.Put, "end/")
 	}
 	switch {
-	case acquiresLease:
-		return "takeover"
-	case raisesGeneration:
-		return "raise"
-	case byLeader && storesOutcome:
-		return "outcome"
+	case acquires:
+		return acquiresLease
+	case raises:
+		return raisesGeneration
+	case byLeader && ends:
+		return storesOutcome
 	case byLeader:
-		return "marker"
+		return storesAssignment
 	case creates:
-		return "submission"
+		return createsJob
 	}
-	return "cancel"
+	return cancelsJob
 }
 
-// movesWaitingJobs tells whether a request commits that jobs no longer wait for dependencies.
-func movesWaitingJobs(r *http.Request, body []byte) bool {
-	return r.URL.Path == "/commit" && strings.Contains(string(body), `"remove":"job/wait/`) && strings.Contains(string(body), `pool/generation`)
+// isJobKey tells whether a key is that of a job's record.
+func isJobKey(key string) bool {
+	return strings.HasPrefix(key, "job/") && !strings.HasPrefix(key, "job/cancel/")
 }
--- a/internal/scenarios/record_limits_test.go
+++ b/internal/scenarios/record_limits_test.go
@@ -78,7 +78,7 @@
 			leader := c.leader().name
 			time.Sleep(3 * time.Second) // it has read the records
 			c.network.SetRule(func(from, _ string, r *http.Request, body []byte) fake.Outcome {
-				beforeCancellation := transactionKind(r, body) == "outcome" && strings.Contains(string(body), "end/job-1") && c.store.Value("job/cancel/job-1") == nil
+				beforeCancellation := kindOfTransaction(r, body) == storesOutcome && strings.Contains(string(body), "end/job-1") && c.store.Value("job/cancel/job-1") == nil
 				unreadable := from == leader && (r.URL.Path == "/follow" || r.URL.Path == "/kv/none") && c.store.Value("job/job-1") != nil
 				if beforeCancellation || unreadable {
 					return fake.Refuse
@@ -158,7 +158,7 @@
 				injectFault(c)
 				var commits atomic.Int64
 				c.network.SetRule(func(_, _ string, r *http.Request, _ []byte) fake.Outcome {
-					if r.URL.Path == "/commit" {
+					if isCommit(r) {
 						commits.Add(1)
 					}
 					return fake.Deliver
--- a/internal/scenarios/restart_test.go
+++ b/internal/scenarios/restart_test.go
@@ -66,7 +66,7 @@
 		c.startWorker("m2", "south")
 		time.Sleep(10 * time.Second)
 		c.network.SetRule(func(from, _ string, r *http.Request, _ []byte) fake.Outcome {
-			if r.Method == "POST" && (from == "user" || r.URL.Path == "/agent/beat") {
+			if r.Method == "POST" && (from == "user" || isHeartbeat(r)) {
 				return fake.Duplicate
 			}
 			return fake.Deliver
--- a/internal/scenarios/scheduling_test.go
+++ b/internal/scenarios/scheduling_test.go
@@ -143,7 +143,7 @@
 					c.submitJob("a", newJob("job-1", "array", 4).with("cores", 2))
 					c.awaitRunning(6*time.Second, "job-1", 4)
 					c.setFaults(func(_, to string, r *http.Request, _ []byte) fake.Outcome {
-						if to == "state:1" && r.URL.Path == "/commit" || strings.HasSuffix(to, ":9000") {
+						if to == "state:1" && isCommit(r) || strings.HasSuffix(to, ":9000") {
 							c.sleep(latency)
 						}
 						return fake.Deliver
@@ -201,7 +201,7 @@
 						faultScenario(t, func(t *testing.T, c *faultCluster) {
 							c.startWorkers("north", "south", "south")
 							c.setFaults(func(_, to string, r *http.Request, body []byte) fake.Outcome {
-								if r.URL.Path == "/commit" && strings.Contains(string(body), `"places"`) || to == "m2:9000" {
+								if isAssignment(r, body) || to == "m2:9000" {
 									c.sleep(latency)
 								}
 								return fake.Deliver
--- a/internal/scenarios/shards_test.go
+++ b/internal/scenarios/shards_test.go
@@ -58,7 +58,7 @@
 						c.store.RefuseCaller(leader, false)
 					default:
 						c.network.SetRule(func(from, _ string, r *http.Request, _ []byte) fake.Outcome {
-							if from == leader && r.URL.Path == "/commit" {
+							if from == leader && isCommit(r) {
 								return fake.DropResponse
 							}
 							return fake.Deliver
--- a/internal/scenarios/transactions_test.go
+++ b/internal/scenarios/transactions_test.go
@@ -19,8 +19,8 @@
 // they wrote, or 2 to 12 s later, after newer ones of the same controller.
 func TestLostResponsesAndDelayedTransactionsAreReconciled(t *testing.T) {
 	t.Parallel()
-	for _, kind := range []string{"submission", "cancel", "marker", "outcome", "takeover", "raise", "any"} {
-		for outcome, name := range map[fake.Outcome]string{fake.DropResponse: "answer lost", fake.Delay: "late"} {
+	for _, kind := range []transactionKind{createsJob, cancelsJob, storesAssignment, storesOutcome, acquiresLease, raisesGeneration, anyTransaction} {
+		for outcome, name := range map[fake.Outcome]string{fake.DropResponse: "response lost", fake.Delay: "delayed"} {
 			for seed := range uint64(3) {
 				t.Run(fmt.Sprintf("%s %s %d", kind, name, seed), func(t *testing.T) {
 					t.Parallel()
@@ -35,22 +35,22 @@
 
 // runTransactionFaults runs jobs, some of them cancelled, while half of the transactions of a kind
 // have an outcome other than delivery. With dropRenewals the leader's first renewals are lost too.
-func runTransactionFaults(t *testing.T, c *testCluster, random *randomSource, kind string, outcome fake.Outcome, dropRenewals bool) {
+func runTransactionFaults(t *testing.T, c *testCluster, random *randomSource, kind transactionKind, outcome fake.Outcome, dropRenewals bool) {
 	c.startPair()
 	c.setRandomLatency(random)
 	c.network.SetDelay(func() time.Duration { return random.milliseconds(2000, 12000) })
 	var mu sync.Mutex // of hits
 	hits := 0
 	faults := func(from, to string, r *http.Request, body []byte) fake.Outcome {
-		actual := transactionKind(r, body)
+		actual := kindOfTransaction(r, body)
 		mu.Lock()
 		defer mu.Unlock()
 		switch {
-		case dropRenewals && kind == "takeover" && hits > 0 && hits < 3 && strings.HasSuffix(r.URL.Path, "/renew"):
+		case dropRenewals && kind == acquiresLease && hits > 0 && hits < 3 && strings.HasSuffix(r.URL.Path, "/renew"):
 			return fake.Drop // so that the lease has expired when the takeover is executed
-		case kind == "raise" && to != "state:1" && r.URL.Path == "/commands" && strings.Contains(string(body), `"start"`):
+		case kind == raisesGeneration && to != "state:1" && isStartCommand(r, body):
 			return fake.HoldBack // an uncertain start, which only a raised generation rejects
-		case actual != "" && (kind == "any" || actual == kind) && (hits == 0 || random.intn(2) == 0):
+		case actual != noTransaction && (kind == anyTransaction || actual == kind) && (hits == 0 || random.intn(2) == 0):
 			hits++
 			return outcome
 		}
@@ -89,7 +89,7 @@
 					}
 				}
 			})
-			if kind == "raise" {
+			if kind == raisesGeneration {
 				time.Sleep(random.milliseconds(50, 500)) // while the start is uncertain
 			} else {
 				time.Sleep(random.milliseconds(100, 6000))
@@ -103,7 +103,7 @@
 	}
 	background.Go(func() { c.completeTasksUntil(done, random, 1000, 5000) })
 	time.Sleep(5 * time.Second)
-	if kind == "takeover" || kind == "any" {
+	if kind == acquiresLease || kind == anyTransaction {
 		if leader := c.leader(); leader != nil {
 			leader.kill()
 			time.Sleep(4 * time.Second)
@@ -146,7 +146,7 @@
 		time.Sleep(10 * time.Second)
 		lost := 0
 		c.network.SetRule(func(from, to string, r *http.Request, body []byte) fake.Outcome {
-			if r.URL.Path == "/commit" && strings.Contains(string(body), `"places"`) && lost < 2 {
+			if isAssignment(r, body) && lost < 2 {
 				lost++
 				return fake.DropResponse
 			}
@@ -172,7 +172,7 @@
 		const perSecond, perTxn, jobs = 200, 12, 400
 		changes := map[int64]int{}
 		c.network.SetRule(func(_, to string, r *http.Request, body []byte) fake.Outcome {
-			if r.URL.Path == "/commit" {
+			if isCommit(r) {
 				var txn struct{ Then []json.RawMessage }
 				if err := json.Unmarshal(body, &txn); err != nil {
 					t.Errorf("a transaction that is no JSON: %v", err)
