--- a/internal/scenarios/assertions_test.go
+++ b/internal/scenarios/assertions_test.go
@@ -29,6 +29,12 @@
 	}
 }
 
+// passTime lets time pass, checking the invariants all along.
+func (c *testCluster) passTime(duration time.Duration) {
+	c.t.Helper()
+	c.consistently(duration, "", func() bool { return true })
+}
+
 // awaitTask waits until a task is on a machine.
 func (c *testCluster) awaitTask(timeout time.Duration, task string) {
 	c.t.Helper()
--- a/internal/scenarios/cancellation_outage_test.go
+++ b/internal/scenarios/cancellation_outage_test.go
@@ -9,13 +9,11 @@
 	"github.com/pebbletrail/pebbletrail/internal/fake"
 )
 
-// cancelLimit is cancel_s of the settings. In the scenarios of this file the state service refuses
-// the leader alone, the other controller confirms cancellations, and then the state service is down
-// for longer than this limit, while workers go on sending heartbeats to the former leader. A
-// worker's lease is 20 s.
-const cancelLimit = 40 * time.Second
+// The scenarios of this file: the state service refuses the leader alone, the other controller
+// confirms cancellations, and then the state service is down for everyone, for longer than
+// cancelLimit, while workers go on sending heartbeats to the former leader.
 
-// startWithReplicas starts a cluster in which replicas run on two machines.
+// startWithReplicas starts a cluster in which the replicas of job-1 and job-2 run on two machines.
 func startWithReplicas(c *testCluster) (leader, other *testNode) {
 	c.startPair()
 	c.submit("a", newJob("job-1", "standing", 4))
@@ -26,7 +24,18 @@
 	return leader, c.nodes[otherNode(leader.name)]
 }
 
-// partitionFromPeerAndState cuts a node from what of the state service's paths, and from its peer.
+// partitionPeers partitions the two controllers from each other.
+func (c *testCluster) partitionPeers() {
+	c.network.SetRule(func(from, to string, _ *http.Request, _ []byte) fake.Outcome {
+		if isBetween(from, to, "a", "b") {
+			return fake.Drop
+		}
+		return fake.Deliver
+	})
+}
+
+// partitionFromPeerAndState partitions a node from its peer, and from the state service for requests
+// whose path begins with one of those named.
 func (c *testCluster) partitionFromPeerAndState(n *testNode, paths ...string) {
 	c.network.SetRule(func(from, to string, r *http.Request, _ []byte) fake.Outcome {
 		if isBetween(from, to, "a", "b") {
@@ -52,15 +61,11 @@
 			c.partitionFromPeerAndState(leader, "/")
 			time.Sleep(300 * time.Millisecond)
 			confirmedAt := c.confirmCancellation(other, "job-1")
-			c.store.SetDown(true) // its lease lasts until the outage is over
+			c.store.SetDown(true) // the leader's lease lasts until the outage is over
 			outageStart := time.Now()
 			time.Sleep(2 * time.Second)
-			c.network.SetRule(func(from, to string, _ *http.Request, _ []byte) fake.Outcome {
-				if isBetween(from, to, "a", "b") {
-					return fake.Drop
-				}
-				return fake.Deliver
-			})
+			c.partitionPeers()
+			// What nobody cancelled runs on for a while.
 			c.eventually(time.Until(outageStart.Add(min(outage, 16*time.Second))), "", func() bool {
 				if !c.isRunning("job-2/0") {
 					t.Fatalf("a job that nobody cancelled stopped after %v of the outage", time.Since(outageStart))
@@ -194,7 +199,9 @@
 			return fake.Deliver
 		})
 		c.submit("a", newJob("job-1", "array", 1))
-		c.eventually(2*time.Second, "assigned", func() bool { return strings.Contains(string(c.store.Value("job/job-1")), `"places"`) })
+		c.eventually(2*time.Second, "assigned", func() bool {
+			return strings.Contains(string(c.store.Value("job/job-1")), `"places"`)
+		})
 		isolated = true
 		c.confirmCancellation(other, "job-1")
 		c.store.SetDown(true)
--- a/internal/scenarios/cancellation_test.go
+++ b/internal/scenarios/cancellation_test.go
@@ -111,7 +111,7 @@
 			}
 		}
 		c.network.SetRule(nil)
-		c.consistently(45*time.Second, "all gone", func() bool { return true })
+		c.passTime(cancelLimit + 5*time.Second) // the rules check that all tasks stop
 	})
 }
 
@@ -122,14 +122,16 @@
 func TestCancellationsHoldWhileStateServiceIsSlowOrUnavailable(t *testing.T) {
 	for _, latency := range []time.Duration{300 * time.Millisecond, 900 * time.Millisecond} {
 		for _, unavailable := range []bool{false, true} {
-			t.Run(fmt.Sprint(latency, unavailable), func(t *testing.T) {
+			t.Run(fmt.Sprintf("latency %v, unavailable %t", latency, unavailable), func(t *testing.T) {
 				t.Parallel()
 				faultScenario(t, func(t *testing.T, c *faultCluster) {
 					c.startWorkers("north", "south")
 					for i := range 4 {
 						c.submitJob(nodeNames[i%2], newJob(fmt.Sprintf("job-%d", i+1), []string{"standing", "array"}[i/2], 2))
 					}
-					c.eventually(6*time.Second, "they run", func() bool { return c.allRunning("job-1", 2) && c.allRunning("job-4", 2) })
+					c.eventually(6*time.Second, "they run", func() bool {
+						return c.allRunning("job-1", 2) && c.allRunning("job-4", 2)
+					})
 					c.store.SetLatency(latency)
 					c.passTime(3 * time.Second)
 					c.completeTask("job-4/0")
@@ -157,7 +159,7 @@
 					c.cancelJob("b", "job-3")
 					c.passTime(20 * time.Second)
 					c.store.SetLatency(0)
-					c.passTime(25 * time.Second)
+					c.passTime(leaseDuration + 5*time.Second)
 					c.completeJobs("job-4")
 				})
 			})
@@ -170,21 +172,23 @@
 // The leader is partitioned from the state service and its peer but not from workers and users, or
 // its process ends; jobs are cancelled through the other node, at once and later.
 func TestCancellationsHoldDuringLeadershipChange(t *testing.T) {
-	for _, event := range []string{"cut off", "ends", "ends and returns"} {
+	for _, event := range []string{"leader partitioned", "leader crashes", "leader restarts"} {
 		for _, cancelDelay := range []time.Duration{0, 800 * time.Millisecond, 3 * time.Second} {
-			t.Run(fmt.Sprint(event, cancelDelay), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s, cancelled after %v", event, cancelDelay), func(t *testing.T) {
 				t.Parallel()
 				faultScenario(t, func(t *testing.T, c *faultCluster) {
 					c.startWorkers("north", "south")
 					for i := range 4 {
 						c.submitJob(nodeNames[i%2], newJob(fmt.Sprintf("job-%d", i+1), []string{"standing", "array"}[i%2], 2))
 					}
-					c.eventually(6*time.Second, "they run", func() bool { return c.allRunning("job-1", 2) && c.allRunning("job-4", 2) })
+					c.eventually(6*time.Second, "they run", func() bool {
+						return c.allRunning("job-1", 2) && c.allRunning("job-4", 2)
+					})
 					c.passTime(3 * time.Second)
 					leader := c.awaitLeader()
 					other := otherNode(leader.name)
 					c.submitJob(other, newJob("job-5", "array", 2)) // waits for quota, or its starts are on their way
-					if event == "cut off" {
+					if event == "leader partitioned" {
 						c.setFaults(func(from, to string, _ *http.Request, _ []byte) fake.Outcome {
 							if isBetween(from, to, leader.name, "state") || isBetween(from, to, leader.name, other) {
 								return fake.Drop
@@ -196,18 +200,18 @@
 					}
 					c.passTime(cancelDelay)
 					c.cancelJob(other, "job-1")
-					if event == "ends and returns" {
+					if event == "leader restarts" {
 						c.startNode(leader.name)
 					}
 					c.cancelJob(other, "job-2")
 					c.passTime(time.Second)
 					c.cancelJob(other, "job-5")
-					c.passTime(45 * time.Second)
-					if n := c.nodes[other]; n.elector.Cluster() == nil && event != "ends and returns" {
+					c.passTime(cancelLimit + 5*time.Second)
+					if n := c.nodes[other]; n.elector.Cluster() == nil && event != "leader restarts" {
 						t.Error("the other node does not lead")
 					}
 					c.heal()
-					if event == "ends" {
+					if event == "leader crashes" {
 						c.startNode(leader.name)
 					}
 					c.passTime(5 * time.Second)
@@ -271,12 +275,12 @@
 							c.workerNamed(name).SetHung(false)
 						}
 					} else {
-						c.passTime(45 * time.Second)
+						c.passTime(cancelLimit + 5*time.Second)
 					}
 					c.heal()
 					c.passTime(3 * time.Second)
 					if !c.isRunning("job-2/0") {
-						t.Error("job-2, which nobody cancelled, is gone")
+						t.Error("job-2, which nobody cancelled, does not run")
 					}
 					c.cancelJob("a", "job-2")
 					c.completeJobs("job-5")
--- a/internal/scenarios/cluster_test.go
+++ b/internal/scenarios/cluster_test.go
@@ -62,6 +62,13 @@
 max_sockets = 400
 `
 
+// The times of the settings, by which scenarios are laid out.
+const (
+	heartbeatInterval = 2 * time.Second  // report_s: between heartbeats of a worker
+	leaseDuration     = 20 * time.Second // lease_s: how long a worker runs on after its last answered heartbeat
+	cancelLimit       = 40 * time.Second // cancel_s: when a task must have stopped after its cancellation was confirmed
+)
+
 // zones are those in which there are machines.
 var zones = []string{"north", "south"}
 
@@ -147,7 +154,7 @@
 // startWorker starts a machine with its worker.
 func (c *testCluster) startWorker(name, zone string) *fake.Worker {
 	worker := &fake.Worker{Name: name, Address: name + ":9000", Type: "small", Zone: zone, Network: c.network,
-		Controllers: apiAddresses(nodeNames), ControllerNames: nodeNames, HeartbeatInterval: 2 * time.Second, LeaseDuration: 20 * time.Second}
+		Controllers: apiAddresses(nodeNames), ControllerNames: nodeNames, HeartbeatInterval: heartbeatInterval, LeaseDuration: leaseDuration}
 	worker.NotifyEvents(c.rules.TaskEvent)
 	c.mu.Lock()
 	c.workers = append(c.workers, worker)
--- a/internal/scenarios/delayed_commands_test.go
+++ b/internal/scenarios/delayed_commands_test.go
@@ -50,12 +50,12 @@
 	t.Parallel()
 	for _, outcome := range []fake.Outcome{fake.HoldBack, fake.DropResponse} {
 		for _, verb := range []string{"start", "stop"} {
-			for _, event := range []string{"called off", "leader ends", "both"} {
+			for _, event := range []string{"cancellation", "failover", "both"} {
 				for _, delay := range []struct {
-					by   time.Duration
-					mute bool
+					by           time.Duration
+					noHeartbeats bool
 				}{{5 * time.Second, false}, {5 * time.Second, true}, {45 * time.Second, false}} {
-					t.Run(fmt.Sprint(outcome, verb, event, delay.by, delay.mute), func(t *testing.T) {
+					t.Run(fmt.Sprintf("%v of %s, %s, %v, no heartbeats %t", outcome, verb, event, delay.by, delay.noHeartbeats), func(t *testing.T) {
 						t.Parallel()
 						faultScenario(t, func(t *testing.T, c *faultCluster) {
 							c.startWorker("m1", "north")
@@ -65,7 +65,7 @@
 								if r.URL.Path == "/commands" && strings.Contains(string(body), `"verb":"`+verb+`"`) {
 									return outcome
 								}
-								if delay.mute && isHeartbeat(r) {
+								if delay.noHeartbeats && isHeartbeat(r) {
 									return fake.Refuse
 								}
 								return fake.Deliver
@@ -73,18 +73,18 @@
 							c.submitJob("a", newJob("job-1", "array", 4).with("cores", 2))
 							c.submitJob("b", newJob("job-2", "array", 4).with("cores", 2))
 							c.passTime(400 * time.Millisecond)
-							if event != "leader ends" {
+							if event != "failover" {
 								c.cancelJob("b", "job-1")
 							}
-							if event != "called off" {
+							if event != "cancellation" {
 								c.restartLeader(200 * time.Millisecond)
 							}
 							c.passTime(delay.by)
 							c.network.ReleaseHeld()
 							c.passTime(3 * time.Second)
 							c.heal()
-							c.passTime(40 * time.Second)
-							if event == "leader ends" {
+							c.passTime(cancelLimit)
+							if event == "failover" {
 								c.completeJobs("job-1")
 							}
 							c.completeJobs("job-2")
@@ -103,7 +103,7 @@
 	t.Parallel()
 	for _, writeOutcome := range []fake.Outcome{fake.DropResponse, fake.HoldBack, fake.Drop, fake.Duplicate} {
 		for _, startOutcome := range []fake.Outcome{fake.Deliver, fake.HoldBack, fake.DropResponse} {
-			t.Run(fmt.Sprint(writeOutcome, startOutcome), func(t *testing.T) {
+			t.Run(fmt.Sprintf("writes %v, starts %v", writeOutcome, startOutcome), func(t *testing.T) {
 				t.Parallel()
 				faultScenario(t, func(t *testing.T, c *faultCluster) {
 					c.testCluster.mu.Lock()
--- a/internal/scenarios/dependencies_cancellation_test.go
+++ b/internal/scenarios/dependencies_cancellation_test.go
@@ -17,18 +17,18 @@
 // about it.
 func TestCancellationPropagatesToDependents(t *testing.T) {
 	for name, cancel := range map[string]func(c *testCluster) string{
-		"running": func(c *testCluster) string { return c.cancelUntilAnswered("job-1") },
-		"at its end": func(c *testCluster) string {
+		"of a running job": func(c *testCluster) string { return c.cancelUntilAnswered("job-1") },
+		"as the job completes": func(c *testCluster) string {
 			c.completeJob("job-1")
 			return c.cancelUntilAnswered("job-1")
 		},
-		"while the leader is refused": func(c *testCluster) string {
+		"while the state service refuses the leader": func(c *testCluster) string {
 			leader := c.leader()
 			c.store.RefuseCaller(leader.name, true)
 			time.AfterFunc(8*time.Second, func() { c.store.RefuseCaller(leader.name, false) })
 			return c.cancelUntilAnswered("job-1")
 		},
-		"as the leader ends": func(c *testCluster) string {
+		"as the leader fails over": func(c *testCluster) string {
 			leader := c.leader()
 			leader.kill()
 			time.AfterFunc(3*time.Second, func() { c.startNode(leader.name) })
@@ -98,7 +98,9 @@
 				if !c.bothReport("job-60", "cancelled") {
 					t.Error("a job that depends on a cancelled one is not cancelled")
 				}
-				c.eventually(60*time.Second, "their outcomes are stored", func() bool { return c.store.CountKeys("job/") == 0 })
+				c.eventually(60*time.Second, "their outcomes are stored", func() bool {
+					return c.store.CountKeys("job/") == 0
+				})
 				c.consistently(30*time.Second, "none of them starts", func() bool {
 					return c.isAbsent("job-2/0", "job-50/0", "job-30/0")
 				})
@@ -131,7 +133,9 @@
 		c.awaitRunning(5*time.Second, "job-1", 1)
 		c.completeJob("job-1")
 		c.awaitRunning(10*time.Second, "job-3", 1)
-		c.consistently(20*time.Second, "the cancelled ones do not run", func() bool { return c.isAbsent("job-2/0", "job-4/0") })
+		c.consistently(20*time.Second, "the cancelled ones do not run", func() bool {
+			return c.isAbsent("job-2/0", "job-4/0")
+		})
 	})
 }
 
@@ -208,9 +212,13 @@
 			if n := c.countReported("pending", 2, step.cancel-1); step.cancel > 1 && n != step.cancel-2 {
 				t.Errorf("%d of the %d before %d are reported as pending", n, step.cancel-2, step.cancel)
 			}
-			c.eventually(30*time.Second, "the outcomes are stored", func() bool { return c.store.CountKeys("job/wait/") == step.waiting })
+			c.eventually(30*time.Second, "the outcomes are stored", func() bool {
+				return c.store.CountKeys("job/wait/") == step.waiting
+			})
 		}
-		c.eventually(30*time.Second, "the outcome of the first too", func() bool { return c.store.CountKeys("job/") == 0 && c.store.CountKeys("end/") == 100 })
+		c.eventually(30*time.Second, "the outcome of the first too", func() bool {
+			return c.store.CountKeys("job/") == 0 && c.store.CountKeys("end/") == 100
+		})
 		c.consistently(20*time.Second, "none of them starts", func() bool { return c.isAbsent("job-2/0", "job-50/0") })
 	})
 }
--- a/internal/scenarios/dependencies_failover_test.go
+++ b/internal/scenarios/dependencies_failover_test.go
@@ -38,7 +38,9 @@
 		c.eventually(10*time.Second, "another leads", func() bool { return c.leader() != nil && c.leader() != leader })
 		c.network.SetRule(nil)
 		c.startNode(leader.name)
-		c.eventually(40*time.Second, "the outcomes are stored", func() bool { return c.store.CountKeys("job/") == 0 && c.store.CountKeys("end/") == 40 })
+		c.eventually(40*time.Second, "the outcomes are stored", func() bool {
+			return c.store.CountKeys("job/") == 0 && c.store.CountKeys("end/") == 40
+		})
 		if n := c.countReported("cancelled", 1, 40); n != 40 {
 			t.Errorf("%d of 40 are reported as cancelled", n)
 		}
@@ -54,11 +56,11 @@
 	for name, outcomes := range map[string]struct {
 		end, move fake.Outcome // of the transactions with the end, and with the move
 	}{
-		"the end is stored, the move is not":         {fake.Deliver, fake.Refuse},
-		"the end's answer is lost":                   {fake.DropResponse, fake.Refuse},
-		"the move's answer is lost":                  {fake.Deliver, fake.DropResponse},
-		"the end is stored after the leader is gone": {fake.Delay, fake.Refuse},
-		"the move is carried out late":               {fake.Deliver, fake.Delay},
+		"outcome stored, dependents not moved": {fake.Deliver, fake.Refuse},
+		"response to outcome lost":             {fake.DropResponse, fake.Refuse},
+		"response to move lost":                {fake.Deliver, fake.DropResponse},
+		"outcome stored after failover":        {fake.Delay, fake.Refuse},
+		"move executed late":                   {fake.Deliver, fake.Delay},
 	} {
 		for _, delay := range []time.Duration{300 * time.Millisecond, 1700 * time.Millisecond, 6 * time.Second} {
 			if outcomes.end != fake.Delay && outcomes.move != fake.Delay && delay > time.Second {
@@ -90,8 +92,12 @@
 					return fake.Deliver
 				})
 				c.completeJob("job-1")
-				c.eventually(15*time.Second, "another leads", func() bool { return c.leader() != nil && c.leader() != leader })
-				c.eventually(40*time.Second, "its dependents run", func() bool { return c.allRunning("job-2", 1) && c.allRunning("job-3", 1) })
+				c.eventually(15*time.Second, "another leads", func() bool {
+					return c.leader() != nil && c.leader() != leader
+				})
+				c.eventually(40*time.Second, "its dependents run", func() bool {
+					return c.allRunning("job-2", 1) && c.allRunning("job-3", 1)
+				})
 				c.startNode(leader.name)
 				time.Sleep(delay)
 				c.completeJob("job-2")
@@ -111,9 +117,9 @@
 func TestDelayedTransactionDoesNotReviveCancelledJob(t *testing.T) {
 	t.Parallel()
 	for name, injectFault := range map[string]func(c *testCluster, leader *testNode){
-		"the leader stays": func(*testCluster, *testNode) {},
-		"the leader ends":  func(_ *testCluster, leader *testNode) { leader.kill() },
-		"the leader is refused": func(c *testCluster, leader *testNode) {
+		"no failover": func(*testCluster, *testNode) {},
+		"failover":    func(_ *testCluster, leader *testNode) { leader.kill() },
+		"state service refuses leader": func(c *testCluster, leader *testNode) {
 			c.store.RefuseCaller(leader.name, true)
 			time.AfterFunc(9*time.Second, func() { c.store.RefuseCaller(leader.name, false) })
 		},
--- a/internal/scenarios/dependencies_test.go
+++ b/internal/scenarios/dependencies_test.go
@@ -15,15 +15,15 @@
 // the leader fails over, or the state service refuses it alone, right as a stage completes.
 func TestDiamondOfDependenciesRunsInOrderAcrossFailovers(t *testing.T) {
 	for name, injectFault := range map[string]func(c *testCluster){
-		"none": func(*testCluster) {},
-		"the leader ends": func(c *testCluster) {
+		"no fault": func(*testCluster) {},
+		"failover": func(c *testCluster) {
 			if leader := c.leader(); leader != nil {
 				leader.kill()
 				time.Sleep(300 * time.Millisecond)
 				c.startNode(leader.name)
 			}
 		},
-		"a move's answer is lost": func(c *testCluster) {
+		"response to move lost": func(c *testCluster) {
 			lost := 0
 			c.network.SetRule(func(_, _ string, r *http.Request, body []byte) fake.Outcome {
 				if removesWaitingJobs(r, body) && lost < 2 {
@@ -33,7 +33,7 @@
 				return fake.Deliver
 			})
 		},
-		"the leader is refused": func(c *testCluster) {
+		"state service refuses leader": func(c *testCluster) {
 			if leader := c.leader(); leader != nil {
 				c.store.RefuseCaller(leader.name, true)
 				time.AfterFunc(9*time.Second, func() { c.store.RefuseCaller(leader.name, false) })
@@ -53,7 +53,9 @@
 				})
 				c.completeJob("job-1")
 				injectFault(c)
-				c.eventually(40*time.Second, "the second stage runs", func() bool { return c.allRunning("job-2", 2) && c.allRunning("job-3", 2) })
+				c.eventually(40*time.Second, "the second stage runs", func() bool {
+					return c.allRunning("job-2", 2) && c.allRunning("job-3", 2)
+				})
 				c.completeJob("job-2")
 				injectFault(c)
 				c.consistently(15*time.Second, "the last waits for both", func() bool { return c.isAbsent("job-4/0") })
@@ -93,7 +95,9 @@
 			return fake.Deliver
 		})
 		c.completeJob("job-1")
-		c.consistently(10*time.Second, "the dependent waits", func() bool { return c.workerNamed("m1").StartCount("job-2/0") == 0 && c.bothReport("job-2", "pending") })
+		c.consistently(10*time.Second, "the dependent waits", func() bool {
+			return c.workerNamed("m1").StartCount("job-2/0") == 0 && c.bothReport("job-2", "pending")
+		})
 		status := c.cancelUntilAnswered("job-1")
 		c.network.SetRule(nil)
 		if status != "cancelled" {
@@ -162,7 +166,9 @@
 			c.submit("b", job.dependingOn("job-1"))
 		}
 		c.submit("a", newJob("job-2", "array", 7)) // with job-1 the whole quota of the team
-		c.eventually(5*time.Second, "the jobs without dependencies run", func() bool { return c.allRunning("job-1", 1) && c.allRunning("job-2", 7) })
+		c.eventually(5*time.Second, "the jobs without dependencies run", func() bool {
+			return c.allRunning("job-1", 1) && c.allRunning("job-2", 7)
+		})
 		time.Sleep(25 * time.Second)
 		_, out := c.call("b", "GET", "/v2/runs/job-100/explain", nil)
 		if now := fmt.Sprint(out["now"]); !strings.Contains(now, "awaits job-1: running") || !strings.Contains(now, "at risk") {
@@ -181,13 +187,17 @@
 			for _, id := range needed[1:] {
 				c.completeJob(id)
 			}
-			c.consistently(8*time.Second, "it waits for the last dependency", func() bool { return c.bothReport("job-900000", "pending") })
+			c.consistently(8*time.Second, "it waits for the last dependency", func() bool {
+				return c.bothReport("job-900000", "pending")
+			})
 			c.completeJob(needed[0])
 			c.awaitRunning(15*time.Second, "job-900000", 1)
 			c.completeJob("job-900000")
 			c.awaitRunning(15*time.Second, "job-900001", 1)
 			c.completeJob("job-900001")
-			c.eventually(15*time.Second, "all are done", func() bool { return c.bothReport("job-900000", "done") && c.bothReport("job-900001", "done") })
+			c.eventually(15*time.Second, "all are done", func() bool {
+				return c.bothReport("job-900000", "done") && c.bothReport("job-900001", "done")
+			})
 			// A node that remembers none of the outcomes looks them up.
 			c.nodes["b"].kill()
 			c.startNode("b")
@@ -199,18 +209,24 @@
 			if status := c.cancelUntilAnswered("job-900000"); status != "cancelled" {
 				c.t.Errorf("its cancellation is answered with %q", status)
 			}
-			c.eventually(5*time.Second, "its dependent is cancelled", func() bool { return c.bothReport("job-900001", "cancelled") })
-			c.eventually(20*time.Second, "the outcomes are stored", func() bool { return c.store.CountKeys("job/wait/") == 0 })
+			c.eventually(5*time.Second, "its dependent is cancelled", func() bool {
+				return c.bothReport("job-900001", "cancelled")
+			})
+			c.eventually(20*time.Second, "the outcomes are stored", func() bool {
+				return c.store.CountKeys("job/wait/") == 0
+			})
 			if !c.bothReport(needed[0], "running") {
 				c.t.Error("a job that it depends on is affected")
 			}
 		},
-		"one that it needs is cancelled": func(c *testCluster, needed []string) {
+		"a dependency is cancelled": func(c *testCluster, needed []string) {
 			c.cancelUntilAnswered(needed[149])
 			c.eventually(5*time.Second, "it is cancelled, and its dependent", func() bool {
 				return c.bothReport("job-900000", "cancelled") && c.bothReport("job-900001", "cancelled")
 			})
-			c.eventually(20*time.Second, "the outcomes are stored", func() bool { return c.store.CountKeys("job/wait/") == 0 })
+			c.eventually(20*time.Second, "the outcomes are stored", func() bool {
+				return c.store.CountKeys("job/wait/") == 0
+			})
 			if _, out := c.call("b", "GET", "/v2/runs/job-900001/explain", nil); !strings.Contains(fmt.Sprint(out["now"]), "cancelled with "+needed[149]) {
 				c.t.Errorf("explained as %v", out)
 			}
--- a/internal/scenarios/drain_budget_test.go
+++ b/internal/scenarios/drain_budget_test.go
@@ -30,7 +30,9 @@
 			t.Errorf("%d stops", n)
 		}
 		// The leader removes them when it next looks at its rollouts, within a quarter of a second.
-		c.eventually(2*time.Second, "the state service holds nothing of the rollout", func() bool { return c.store.CountKeys("rollout/left/") == 0 })
+		c.eventually(2*time.Second, "the state service holds nothing of the rollout", func() bool {
+			return c.store.CountKeys("rollout/left/") == 0
+		})
 	})
 }
 
@@ -64,7 +66,9 @@
 		c.startService("job-2", 2, "owner", "blue", "spread", true)
 		c.startRollout(newRollout("spring", c.machinesIn("north")...))
 		c.awaitBlocker("team blue: 0 of its 2 replicas are down, of at most 0")
-		c.consistently(time.Minute, "nothing is stopped", func() bool { return c.disruption.evictionsOf("job-1") == 0 && c.disruption.evictionsOf("job-2") == 0 })
+		c.consistently(time.Minute, "nothing is stopped", func() bool {
+			return c.disruption.evictionsOf("job-1") == 0 && c.disruption.evictionsOf("job-2") == 0
+		})
 		c.execute("spring", rollout.CommandAbort)
 		c.awaitState("spring", rollout.Ended, time.Minute)
 		c.eventually(time.Minute, "the machine is uncordoned", func() bool { return c.cordonedCount() == 0 })
--- a/internal/scenarios/drain_cluster_test.go
+++ b/internal/scenarios/drain_cluster_test.go
@@ -18,7 +18,7 @@
 // drainFeatures are the budgets of team red in most scenarios: one replica, two other tasks.
 const drainFeatures = `drains { teams { team: "red" budget { replicas_down: 1 tasks_interrupted: 2 } } }`
 
-// drainCluster is five controllers, a cloud that rents and returns machines, and their workers.
+// drainCluster is five controllers, a cloud that provisions and deletes machines, and their workers.
 type drainCluster struct {
 	*testCluster
 	cloud      *fake.Cloud
@@ -42,7 +42,7 @@
 	teams    []config.Team         // besides red
 }
 
-// drainScenario runs f in a cluster with as many machines in each of the two zones as named.
+// drainScenario runs a scenario in a cluster with a number of machines in each of the two zones.
 func drainScenario(t *testing.T, machines int, options drainOptions, run func(t *testing.T, c *drainCluster)) {
 	scenario(t, func(t *testing.T, base *testCluster) {
 		c := &drainCluster{testCluster: base, cloud: fake.NewCloud(options.capacity), features: options.features,
@@ -91,7 +91,8 @@
 	return is && evicted == ids.Attempt(attempt)
 }
 
-// startService submits a service and waits until it is up for long enough to count.
+// startService submits a service, with fields changed as by jobSpec.with, and waits until it has been
+// up for long enough that its replicas count as available.
 func (c *drainCluster) startService(id string, replicas int, changes ...any) {
 	c.t.Helper()
 	job := newJob(id, "standing", replicas).with("guessS", 0).with(changes...)
@@ -100,7 +101,7 @@
 	time.Sleep(8 * time.Second)
 }
 
-// partitionFromStateService keeps a controller from the state service and the other controllers, not from workers.
+// partitionFromStateService partitions a controller from the state service alone.
 func (c *drainCluster) partitionFromStateService(name string) {
 	c.network.SetRule(func(from, to string, _ *http.Request, _ []byte) fake.Outcome {
 		if from == name && to == "state:1" {
--- a/internal/scenarios/drain_failover_test.go
+++ b/internal/scenarios/drain_failover_test.go
@@ -17,25 +17,25 @@
 	fail func(c *drainCluster, leader string)
 }
 
-// leaderFailures end the leader, cut it off, or have it stand still for longer than its lease.
+// leaderFailures are crashes, partitions and stalls, the latter for longer than its lease.
 var leaderFailures = []leaderFailure{
-	{"it ends", func(c *drainCluster, leader string) { c.stopNode(leader) }},
-	{"it ends and comes back", func(c *drainCluster, leader string) {
+	{"it crashes", func(c *drainCluster, leader string) { c.stopNode(leader) }},
+	{"it restarts", func(c *drainCluster, leader string) {
 		c.stopNode(leader)
 		c.sleep(300 * time.Millisecond)
 		c.startNode(leader)
 	}},
-	{"it is cut off from the state service", func(c *drainCluster, leader string) {
+	{"it is partitioned from the state service", func(c *drainCluster, leader string) {
 		c.partitionFromStateService(leader)
 		c.sleep(20 * time.Second)
 		c.network.SetRule(nil)
 	}},
-	{"it is refused by the state service", func(c *drainCluster, leader string) {
+	{"the state service refuses it", func(c *drainCluster, leader string) {
 		c.store.RefuseCaller(leader, true)
 		c.sleep(15 * time.Second)
 		c.store.RefuseCaller(leader, false)
 	}},
-	{"it stands still", func(c *drainCluster, leader string) {
+	{"it stalls", func(c *drainCluster, leader string) {
 		// Its requests are held back and delivered after its successor has acted.
 		c.network.SetRule(func(from, to string, r *http.Request, _ []byte) fake.Outcome {
 			switch {
--- a/internal/scenarios/drain_failures_test.go
+++ b/internal/scenarios/drain_failures_test.go
@@ -19,7 +19,7 @@
 		fail func(c *drainCluster, machine string)
 	}{
 		{"one dies", func(c *drainCluster, machine string) { c.terminateMachine(machine) }},
-		{"its zone goes dark", func(c *drainCluster, _ string) {
+		{"its zone is partitioned", func(c *drainCluster, _ string) {
 			c.network.SetRule(func(from, to string, _ *http.Request, _ []byte) fake.Outcome {
 				for _, name := range c.machinesIn("north") {
 					if strings.HasPrefix(from, string(name)) || strings.HasPrefix(to, string(name)) {
@@ -31,7 +31,7 @@
 			c.sleep(40 * time.Second)
 			c.network.SetRule(nil)
 		}},
-		{"a spot notice", func(c *drainCluster, machine string) {
+		{"a spot reclaim", func(c *drainCluster, machine string) {
 			c.disruption.noteSpotReclaim(machine)
 			c.workerNamed(machine).AnnouncePreemption(20 * time.Second)
 			c.sleep(20 * time.Second)
@@ -100,7 +100,7 @@
 }
 
 // TestJobCancelledDuringDrainWaveStopsInTime cancels a service once an eviction of a wave is
-// stored: it is gone within the limit, and the rollout completes.
+// stored: it stops within the limit, and the rollout completes.
 func TestJobCancelledDuringDrainWaveStopsInTime(t *testing.T) {
 	t.Parallel()
 	drainScenario(t, 3, drainOptions{capacity: 40}, func(t *testing.T, c *drainCluster) {
@@ -111,7 +111,7 @@
 			return strings.Contains(string(c.store.Value("job/job-1")), `"evictions"`) || strings.Contains(string(c.store.Value("job/job-2")), `"evictions"`)
 		})
 		c.call("b", "POST", "/v2/runs/job-1/cancel", nil)
-		c.eventually(40*time.Second, "its tasks are gone", func() bool { return c.runningCount("job-1") == 0 })
+		c.eventually(40*time.Second, "its tasks stop", func() bool { return c.runningCount("job-1") == 0 })
 		c.awaitState("spring", rollout.Ended, 8*time.Minute)
 		c.eventually(time.Minute, "the other service is up", func() bool { return c.runningCount("job-2") == 3 })
 	})
--- a/internal/scenarios/drain_machines_test.go
+++ b/internal/scenarios/drain_machines_test.go
@@ -48,7 +48,7 @@
 // startMachine starts the worker of a machine, unless the cloud has deleted the machine.
 func (c *drainCluster) startMachine(name, zone string) {
 	worker := &fake.Worker{Name: name, Address: name + ":9000", Type: "small", Zone: zone, Network: c.network, Controllers: apiAddresses(fiveNodeNames), ControllerNames: fiveNodeNames,
-		HeartbeatInterval: 2 * time.Second, LeaseDuration: 20 * time.Second}
+		HeartbeatInterval: heartbeatInterval, LeaseDuration: leaseDuration}
 	worker.NotifyEvents(func(event fake.Event) {
 		c.disruption.Event(event)
 		c.notifyListener(event)
--- a/internal/scenarios/drain_node_test.go
+++ b/internal/scenarios/drain_node_test.go
@@ -58,7 +58,7 @@
 	return n
 }
 
-// provision has the leader rent and return machines until its term ends.
+// provision has the leader provision and delete machines until its term ends.
 func (n *drainNode) provision(ctx context.Context, term *election.Term) {
 	provisioner := &fleet.Provisioner{
 		Cloud:             fleet.NewCloud("cloud:1", n.cluster.network.Client(n.name), 20),
--- a/internal/scenarios/drain_replacement_test.go
+++ b/internal/scenarios/drain_replacement_test.go
@@ -23,7 +23,9 @@
 				spec := newReplacement("spring", c)
 				spec.Surge = surge
 				c.startRollout(spec)
-				c.eventually(10*time.Minute, "its first wave has begun", func() bool { return c.rolloutRecord("spring").Waves > 0 })
+				c.eventually(10*time.Minute, "its first wave has begun", func() bool {
+					return c.rolloutRecord("spring").Waves > 0
+				})
 				c.awaitState("spring", rollout.Ended, 15*time.Minute)
 				for _, name := range before {
 					if slices.Contains(c.machinesIn("north"), name) {
@@ -80,7 +82,9 @@
 				if r := c.rolloutRecord("spring"); !strings.Contains(r.Reason, failure.why) {
 					t.Errorf("halted for %q", r.Reason)
 				}
-				c.eventually(time.Minute, "machines that are not empty are uncordoned", func() bool { return c.cordonedCount() == 0 })
+				c.eventually(time.Minute, "machines that are not empty are uncordoned", func() bool {
+					return c.cordonedCount() == 0
+				})
 				waves := c.rolloutRecord("spring").Waves
 				c.consistently(2*time.Minute, "it goes on only when an operator resumes it", func() bool {
 					r := c.rolloutRecord("spring")
@@ -163,7 +167,9 @@
 					c.awaitState("spring", rollout.Halted, 5*time.Minute)
 				}
 				stops := c.disruption.evictionsOf("job-1")
-				c.consistently(time.Minute, "nothing more is stopped", func() bool { return c.disruption.evictionsOf("job-1") == stops })
+				c.consistently(time.Minute, "nothing more is stopped", func() bool {
+					return c.disruption.evictionsOf("job-1") == stops
+				})
 				outage.end(c)
 				if !outage.after {
 					c.execute("spring", rollout.CommandResume)
--- a/internal/scenarios/fault_cluster_test.go
+++ b/internal/scenarios/fault_cluster_test.go
@@ -41,12 +41,6 @@
 	})
 }
 
-// passTime lets time pass, checking the invariants all along.
-func (c *faultCluster) passTime(duration time.Duration) {
-	c.t.Helper()
-	c.consistently(duration, "", func() bool { return true })
-}
-
 // setFaults sets the network's rule, nil for none, and goes on recording the workers' heartbeats.
 func (c *faultCluster) setFaults(faults func(from, to string, r *http.Request, body []byte) fake.Outcome) {
 	c.network.SetRule(func(from, to string, r *http.Request, body []byte) fake.Outcome {
--- a/internal/scenarios/gang_test.go
+++ b/internal/scenarios/gang_test.go
@@ -16,7 +16,9 @@
 		job := newJob("job-9", "gang", 2)
 		job["cores"] = 3
 		c.submit("a", job)
-		c.eventually(3*time.Second, "both tasks are on machines", func() bool { return c.isRunning("job-9/0") && c.isRunning("job-9/1") })
+		c.eventually(3*time.Second, "both tasks are on machines", func() bool {
+			return c.isRunning("job-9/0") && c.isRunning("job-9/1")
+		})
 		c.workerNamed("m1").SetTaskStatus("job-9/0", "waiting")
 		c.workerNamed("m1").SetTaskStatus("job-9/1", "waiting")
 		c.workerNamed("m2").SetTaskStatus("job-9/0", "waiting")
@@ -46,16 +48,22 @@
 			job := newJob("job-10", "gang", 2)
 			job["cores"] = 3
 			c.submit("a", job)
-			c.eventually(3*time.Second, "both tasks are on machines", func() bool { return c.isRunning("job-10/0") && c.isRunning("job-10/1") })
+			c.eventually(3*time.Second, "both tasks are on machines", func() bool {
+				return c.isRunning("job-10/0") && c.isRunning("job-10/1")
+			})
 			lost, remaining := c.workerNamed(c.machinesRunning("job-10/0")[0]), c.workerNamed(c.machinesRunning("job-10/1")[0])
 			remaining.SetTaskStatus("job-10/1", status)
 			time.Sleep(5 * time.Second)
 			c.startWorker("m3", "north")
 			lost.EndTask("job-10/0", "error")
 			// No new attempt starts until the other task of the old attempt has ended.
-			c.consistently(12*time.Second, "no second attempt beside the first", func() bool { return c.isAbsent("job-10/0") })
+			c.consistently(12*time.Second, "no second attempt beside the first", func() bool {
+				return c.isAbsent("job-10/0")
+			})
 			remaining.EndTask("job-10/1", "peers")
-			c.eventually(10*time.Second, "a new attempt of both", func() bool { return c.isRunning("job-10/0") && c.isRunning("job-10/1") })
+			c.eventually(10*time.Second, "a new attempt of both", func() bool {
+				return c.isRunning("job-10/0") && c.isRunning("job-10/1")
+			})
 			for _, worker := range c.workers {
 				for _, start := range worker.Starts {
 					if !strings.HasSuffix(start, "#1") && !strings.HasSuffix(start, "#2") {
--- a/internal/scenarios/job_status_test.go
+++ b/internal/scenarios/job_status_test.go
@@ -18,14 +18,18 @@
 		c.eventually(15*time.Second, "a leader", func() bool { return c.store.Value("pool/owner") != nil })
 		time.Sleep(8 * time.Second)
 		c.submit("b", newJob("job-1", "array", 2))
-		c.eventually(3*time.Second, "both tasks start quickly", func() bool { return c.isRunning("job-1/0") && c.isRunning("job-1/1") })
+		c.eventually(3*time.Second, "both tasks start quickly", func() bool {
+			return c.isRunning("job-1/0") && c.isRunning("job-1/1")
+		})
 		c.workerNamed("m1").EndTask("job-1/0", "done")
 		time.Sleep(5 * time.Second)
 		if s := c.status("a", "job-1"); s != "running" {
 			t.Fatalf("half done, but reported as %q", s)
 		}
 		c.workerNamed("m1").EndTask("job-1/1", "done")
-		c.eventually(4*time.Second, "reported as done", func() bool { return c.status("a", "job-1") == "done" && c.status("b", "job-1") == "done" })
+		c.eventually(4*time.Second, "reported as done", func() bool {
+			return c.status("a", "job-1") == "done" && c.status("b", "job-1") == "done"
+		})
 		// A repeated submission may come at any later time and gets the status, not a new job.
 		time.Sleep(3 * time.Minute)
 		if code, out := c.call("b", "POST", "/v2/runs", newJob("job-1", "array", 2)); code != 200 || out["status"] != "done" {
@@ -80,7 +84,7 @@
 			}
 			users.Wait()
 			c.awaitAgreement(10*time.Second, ids...)
-			c.consistently(45*time.Second, "", func() bool { return true })
+			c.passTime(cancelLimit + 5*time.Second)
 		})
 	}
 }
@@ -189,7 +193,9 @@
 				t.Errorf("a repeated submission of %s got %d %v", id, code, out)
 			}
 		}
-		c.consistently(30*time.Second, "the cancelled job does not start", func() bool { return c.isAbsent("job-3/0") && c.status("a", "job-3") == "cancelled" })
+		c.consistently(30*time.Second, "the cancelled job does not start", func() bool {
+			return c.isAbsent("job-3/0") && c.status("a", "job-3") == "cancelled"
+		})
 	})
 }
 
@@ -253,7 +259,9 @@
 		}
 		c.startNode("a")
 		c.startNode("b")
-		c.eventually(10*time.Second, "both answer", func() bool { return c.status("a", "job-1") == "running" && c.status("b", "job-1") == "running" })
+		c.eventually(10*time.Second, "both answer", func() bool {
+			return c.status("a", "job-1") == "running" && c.status("b", "job-1") == "running"
+		})
 		checkAll()
 	})
 }
@@ -265,7 +273,7 @@
 	t.Parallel()
 	for _, count := range []int{2, 3} {
 		for _, delay := range []time.Duration{0, 300 * time.Millisecond, 2 * time.Second, 6 * time.Second} {
-			t.Run(fmt.Sprint(count, delay), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%d tasks, failover after %v", count, delay), func(t *testing.T) {
 				t.Parallel()
 				faultScenario(t, func(t *testing.T, c *faultCluster) {
 					c.startWorkers("north", "south")
@@ -283,9 +291,11 @@
 						c.restartLeader(400 * time.Millisecond)
 						c.awaitLeader()
 						c.deliverToControllers(stale)
-						c.passTime(25 * time.Second)
+						c.passTime(leaseDuration + 5*time.Second)
 					}
-					c.eventually(5*time.Second, "done", func() bool { return c.status("a", "job-1") == "done" && c.status("b", "job-1") == "done" })
+					c.eventually(5*time.Second, "done", func() bool {
+						return c.status("a", "job-1") == "done" && c.status("b", "job-1") == "done"
+					})
 					c.requireStartedOnce(tasks...)
 				})
 			})
--- a/internal/scenarios/leadership_test.go
+++ b/internal/scenarios/leadership_test.go
@@ -174,7 +174,9 @@
 			t.Fatal("nothing was held back")
 		}
 		c.awaitStepDown(3*time.Second, stalled)
-		c.consistently(25*time.Second, "what runs goes on", func() bool { return c.allRunning("job-2", 3) && c.isRunning("job-1/0") })
+		c.consistently(25*time.Second, "what runs goes on", func() bool {
+			return c.allRunning("job-2", 3) && c.isRunning("job-1/0")
+		})
 		c.requireStartedOnce("job-1/0", "job-2/0", "job-2/1", "job-2/2")
 	})
 }
--- a/internal/scenarios/partition_test.go
+++ b/internal/scenarios/partition_test.go
@@ -15,7 +15,7 @@
 // on, nor may leadership go back and forth.
 func TestIsolatedLeaderIsReplacedOnceAndFollows(t *testing.T) {
 	t.Parallel()
-	for kind, outcome := range map[string]fake.Outcome{"reset": fake.Refuse, "silence": fake.Drop, "held back": fake.HoldBack} {
+	for kind, outcome := range map[string]fake.Outcome{"connections refused": fake.Refuse, "packets dropped": fake.Drop, "requests held back": fake.HoldBack} {
 		scenario(t, func(t *testing.T, c *testCluster) {
 			c.inCloudList = true
 			c.startPair()
@@ -36,7 +36,9 @@
 				return code == 201 || code == 200
 			})
 			c.awaitRunning(20*time.Second, "job-2", 2)
-			c.consistently(70*time.Second, "all tasks go on", func() bool { return c.allRunning("job-1", 4) && c.allRunning("job-2", 2) })
+			c.consistently(70*time.Second, "all tasks go on", func() bool {
+				return c.allRunning("job-1", 4) && c.allRunning("job-2", 2)
+			})
 			c.network.SetRule(nil)
 			c.network.ReleaseHeld()
 			c.awaitStepDown(3*time.Second, isolated)
@@ -157,13 +159,17 @@
 		time.Sleep(5 * time.Second)
 		second := c.leader()
 		partition(second.name, "m1", "m2")
-		c.consistently(35*time.Second, "replicas go on, since the leader that hears no worker steps down", func() bool { return c.allRunning("job-1", 4) && c.allRunning("job-2", 2) })
+		c.consistently(35*time.Second, "replicas go on, since the leader that hears no worker steps down", func() bool {
+			return c.allRunning("job-1", 4) && c.allRunning("job-2", 2)
+		})
 		if c.leader() == second {
 			t.Error("the leader that hears no worker goes on leading")
 		}
 		c.network.SetRule(nil)
 		c.network.ReleaseHeld()
-		c.consistently(25*time.Second, "all tasks go on", func() bool { return c.allRunning("job-1", 4) && c.allRunning("job-2", 2) })
+		c.consistently(25*time.Second, "all tasks go on", func() bool {
+			return c.allRunning("job-1", 4) && c.allRunning("job-2", 2)
+		})
 	})
 }
 
@@ -177,7 +183,9 @@
 		for _, machine := range []string{"m1", "m2", "m3", "m4"} {
 			c.startWorker(machine, "north")
 		}
-		c.eventually(10*time.Second, "a leader", func() bool { return a.elector.Cluster() != nil || b.elector.Cluster() != nil })
+		c.eventually(10*time.Second, "a leader", func() bool {
+			return a.elector.Cluster() != nil || b.elector.Cluster() != nil
+		})
 		leader, successor := a, b
 		if a.elector.Cluster() == nil {
 			leader, successor = b, a
@@ -201,7 +209,7 @@
 			}
 			return successor.elector.Cluster() != nil
 		})
-		t.Logf("gave way %v after the cut", time.Since(partitionedAt))
+		t.Logf("stepped down %v after the partition", time.Since(partitionedAt))
 		c.consistently(40*time.Second, "the replicas go on", func() bool { return c.isRunning("job-19/3") })
 		for _, worker := range c.workers {
 			if worker.StartCount("job-19/3") > 1 {
@@ -266,7 +274,9 @@
 			return fake.Deliver
 		})
 		c.startWorker("m1", "north")
-		c.eventually(5*time.Second, "the leader found m1", func() bool { return c.leader().elector.Cluster().Summary()["heard"] == 1 })
+		c.eventually(5*time.Second, "the leader found m1", func() bool {
+			return c.leader().elector.Cluster().Summary()["heard"] == 1
+		})
 		c.submit("a", newJob("job-1", "array", 1))
 		c.awaitTask(3*time.Second, "job-1/0")
 		c.startWorker("m2", "north")
@@ -291,7 +301,9 @@
 					c.startWorkers("north", "south", "south")
 					c.submitJob("a", newJob("job-1", "array", 4))
 					c.submitJob("b", newJob("job-2", "standing", 4))
-					c.eventually(6*time.Second, "they run", func() bool { return c.allRunning("job-1", 4) && c.allRunning("job-2", 4) })
+					c.eventually(6*time.Second, "they run", func() bool {
+						return c.allRunning("job-1", 4) && c.allRunning("job-2", 4)
+					})
 					c.passTime(5 * time.Second)
 					leader := c.awaitLeader()
 					other := otherNode(leader.name)
@@ -303,7 +315,7 @@
 					c.submitJob(other, newJob("job-3", "array", 4))
 					c.passTime(2 * time.Second)
 					c.cancelJob(other, "job-2")
-					c.passTime(45 * time.Second)
+					c.passTime(cancelLimit + 5*time.Second)
 					c.heal()
 					c.passTime(5 * time.Second)
 					c.completeJobs("job-1", "job-3")
--- a/internal/scenarios/random_faults_test.go
+++ b/internal/scenarios/random_faults_test.go
@@ -82,7 +82,7 @@
 				}
 			}
 			c.awaitAgreement(90*time.Second, "job-90", "job-91")
-			c.consistently(45*time.Second, "", func() bool { return true })
+			c.passTime(cancelLimit + 5*time.Second)
 			close(done)
 			completions.Wait()
 		})
--- a/internal/scenarios/record_limits_test.go
+++ b/internal/scenarios/record_limits_test.go
@@ -57,22 +57,22 @@
 // record, that a new leader, a completion at the same moment or another node overlooks.
 func TestCancellationIsStoredWhenRecordExceedsLimits(t *testing.T) {
 	for name, test := range map[string]struct {
-		fallen        bool // the limits of the state service are lower already
+		lowered       bool // the limits of the state service are lower already
 		before, after func(c *testCluster)
 	}{
-		"the limits still hold": {},
-		"the limits fell":       {fallen: true},
-		"the leader ends after it": {fallen: true, after: func(c *testCluster) {
+		"limits unchanged": {},
+		"limits lowered":   {lowered: true},
+		"limits lowered, failover afterwards": {lowered: true, after: func(c *testCluster) {
 			leader := c.leader()
 			leader.kill()
 			time.AfterFunc(20*time.Second, func() { c.startNode(leader.name) })
 		}},
-		"the leader is refused": {fallen: true, before: func(c *testCluster) {
+		"limits lowered, state service refuses leader": {lowered: true, before: func(c *testCluster) {
 			leader := c.leader()
 			c.store.RefuseCaller(leader.name, true)
 			time.AfterFunc(12*time.Second, func() { c.store.RefuseCaller(leader.name, false) })
 		}},
-		"as the last task ends": {fallen: true, before: func(c *testCluster) {
+		"limits lowered, job completes at the same moment": {lowered: true, before: func(c *testCluster) {
 			// The leader knows that the job is done, but the cancellation is stored first, and
 			// the leader can write but not read.
 			leader := c.leader().name
@@ -93,7 +93,7 @@
 			scenario(t, func(t *testing.T, c *testCluster) {
 				storeLargeRecord(t, c, "job-1")
 				c.submit("b", newJob("job-2", "array", 1).dependingOn("job-1"))
-				if test.fallen {
+				if test.lowered {
 					c.store.SetLimits(lowerValueBytes, lowerTxnOps)
 				}
 				if test.before != nil {
@@ -112,8 +112,12 @@
 					_, out := c.call("b", "POST", "/v2/runs", newJob("job-3", "array", 1).dependingOn("job-1"))
 					return out["status"] == "cancelled" || c.isReportedAs("job-3", "cancelled")
 				})
-				c.eventually(40*time.Second, "no record of it is left", func() bool { return c.store.CountKeys("job/") == 0 })
-				c.eventually(30*time.Second, "every node still reports so", func() bool { return c.bothReport("job-1", "cancelled") && c.bothReport("job-2", "cancelled") })
+				c.eventually(40*time.Second, "no record of it is left", func() bool {
+					return c.store.CountKeys("job/") == 0
+				})
+				c.eventually(30*time.Second, "every node still reports so", func() bool {
+					return c.bothReport("job-1", "cancelled") && c.bothReport("job-2", "cancelled")
+				})
 				if c.store.TooLarge > 2 { // each node may learn the lower limits from one failure
 					t.Errorf("%d writes were too large", c.store.TooLarge)
 				}
@@ -136,7 +140,7 @@
 			c.startWorker("m4", "south")
 		},
 		// Outcomes that the workers go on reporting must not be stored again and again.
-		"some complete, the others are stopped": func(c *testCluster) {
+		"some tasks complete, the others are stopped": func(c *testCluster) {
 			time.Sleep(5 * time.Second)
 			for _, worker := range c.workers {
 				for i, task := range worker.ActiveTasks() {
--- a/internal/scenarios/restart_test.go
+++ b/internal/scenarios/restart_test.go
@@ -186,24 +186,26 @@
 func TestRepeatedFailoversLoseNoWork(t *testing.T) {
 	t.Parallel()
 	for _, downtime := range []time.Duration{50 * time.Millisecond, 900 * time.Millisecond, 5 * time.Second} {
-		for _, pattern := range []string{"one", "outage", "all", "away"} {
-			t.Run(fmt.Sprint(downtime, pattern), func(t *testing.T) {
+		for _, pattern := range []string{"leader restarts", "outages", "all restart", "all down beyond lease"} {
+			t.Run(fmt.Sprintf("%s, downtime %v", pattern, downtime), func(t *testing.T) {
 				t.Parallel()
 				faultScenario(t, func(t *testing.T, c *faultCluster) {
 					c.startWorkers("north", "south")
 					c.submitJob("a", newJob("job-1", "standing", 4))
 					c.submitJob("b", newJob("job-2", "array", 2))
-					c.eventually(6*time.Second, "they run", func() bool { return c.allRunning("job-1", 4) && c.allRunning("job-2", 2) })
+					c.eventually(6*time.Second, "they run", func() bool {
+						return c.allRunning("job-1", 4) && c.allRunning("job-2", 2)
+					})
 					c.submitJob("a", newJob("job-3", "array", 6)) // four of its tasks wait for quota
 					for i := range 10 {
-						if pattern == "outage" {
+						if pattern == "outages" {
 							c.store.SetDown(i%5 >= 3)
 						}
 						var down []string
-						if leader := c.leader(); leader != nil && pattern != "all" {
+						if leader := c.leader(); leader != nil && pattern != "all restart" {
 							leader.kill()
 							down = append(down, leader.name)
-						} else if pattern != "outage" {
+						} else if pattern != "outages" {
 							for _, name := range nodeNames {
 								if node := c.nodes[name]; node != nil {
 									node.kill()
@@ -212,14 +214,14 @@
 							}
 						}
 						c.passTime(downtime)
-						if pattern == "away" && i == 5 {
+						if pattern == "all down beyond lease" && i == 5 {
 							for _, name := range nodeNames {
 								if node := c.nodes[name]; node != nil {
 									node.kill()
 									down = append(down, name)
 								}
 							}
-							c.passTime(25 * time.Second) // longer than a worker's lease
+							c.passTime(leaseDuration + 5*time.Second) // longer than a worker's lease
 						}
 						for _, name := range down {
 							c.startNode(name)
@@ -228,7 +230,7 @@
 					}
 					c.store.SetDown(false)
 					c.awaitRunning(60*time.Second, "job-1", 4)
-					if pattern == "one" && downtime < time.Second {
+					if pattern == "leader restarts" && downtime < time.Second {
 						c.requireStartedOnce("job-1/0", "job-1/1", "job-1/2", "job-1/3", "job-2/0", "job-2/1")
 					}
 					c.cancelJob("a", "job-1")
--- a/internal/scenarios/rules_responses_test.go
+++ b/internal/scenarios/rules_responses_test.go
@@ -86,28 +86,28 @@
 			// A gang is done when one of its tasks is, but all of them must have run.
 			task := fmt.Sprintf("%s/%d", jobID, index)
 			if !job.completed[index] && !(job.Shape == "gang" && len(job.completed) > 0 && !r.firstStarts[task].IsZero()) {
-				r.violated(ruleNotDone, jobID, "%s calls %s done, but %s has not completed", node, jobID, task)
+				r.violated(ruleNotDone, jobID, "%s reports %s as done, but %s has not completed", node, jobID, task)
 			}
 		}
 		if !job.cancelled.isZero() {
-			r.violated(ruleWentBack, jobID, "%s calls %s done, which was called cancelled", node, jobID)
+			r.violated(ruleWentBack, jobID, "%s reports %s as done, which was reported as cancelled", node, jobID)
 		}
 	case "cancelled":
 		if job.cancelRequested.isZero() && r.earliestInDependencies(job, func(index *observedJob) moment { return index.cancelRequested }).IsZero() {
-			r.violated(ruleWentBack, jobID, "%s calls %s cancelled, which its user did not", node, jobID)
+			r.violated(ruleWentBack, jobID, "%s reports %s as cancelled, which its user did not cancel", node, jobID)
 		}
 		if !job.done.isZero() {
-			r.violated(ruleWentBack, jobID, "%s calls %s cancelled, which was called done", node, jobID)
+			r.violated(ruleWentBack, jobID, "%s reports %s as cancelled, which was reported as done", node, jobID)
 		}
 	case "pending", "running":
 		if sent.after(job.done) || sent.after(job.cancelled) {
-			r.violated(ruleWentBack, jobID, "%s calls %s %s, whose end was told %v before it was asked", node, jobID, status, sent.at.Sub(maxTime(job.done.at, job.cancelled.at)))
+			r.violated(ruleWentBack, jobID, "%s reports %s as %s, whose end was reported %v before the request", node, jobID, status, sent.at.Sub(maxTime(job.done.at, job.cancelled.at)))
 		}
 		if at := r.earliestInDependencies(job, func(index *observedJob) moment { return index.cancelled }); !at.IsZero() && now.at.Sub(at) > r.cancelLimit() {
-			r.violated(ruleOrphaned, jobID, "%s calls %s %s %v after a job before it was told cancelled", node, jobID, status, now.at.Sub(at))
+			r.violated(ruleOrphaned, jobID, "%s reports %s as %s %v after the cancellation of a dependency was confirmed", node, jobID, status, now.at.Sub(at))
 		}
 	default:
-		r.violated(ruleWentBack, jobID, "%s calls %s %q", node, jobID, status)
+		r.violated(ruleWentBack, jobID, "%s reports %s as %q", node, jobID, status)
 	}
 	setOnce(&job.accepted, now)
 	if status == "done" {
--- a/internal/scenarios/scheduling_test.go
+++ b/internal/scenarios/scheduling_test.go
@@ -32,7 +32,9 @@
 		c.submit("a", job)
 		// m1 is silent: its task may be there until the lease has expired.
 		c.consistently(10*time.Second, "no third task of four cores", func() bool { return c.isAbsent("job-13/0") })
-		c.eventually(40*time.Second, "both tasks run", func() bool { return c.isRunning("job-12/0") && c.isRunning("job-12/1") })
+		c.eventually(40*time.Second, "both tasks run", func() bool {
+			return c.isRunning("job-12/0") && c.isRunning("job-12/1")
+		})
 	})
 }
 
@@ -48,9 +50,13 @@
 		job := newJob("job-16", "standing", 2)
 		job["spread"] = true
 		c.submit("a", job)
-		c.consistently(10*time.Second, "only one replica in the only zone with machines", func() bool { return len(c.machinesRunning("job-16/0"))+len(c.machinesRunning("job-16/1")) <= 1 })
+		c.consistently(10*time.Second, "only one replica in the only zone with machines", func() bool {
+			return len(c.machinesRunning("job-16/0"))+len(c.machinesRunning("job-16/1")) <= 1
+		})
 		c.startWorker("m3", "south")
-		c.eventually(10*time.Second, "the other replica runs too", func() bool { return c.isRunning("job-16/0") && c.isRunning("job-16/1") })
+		c.eventually(10*time.Second, "the other replica runs too", func() bool {
+			return c.isRunning("job-16/0") && c.isRunning("job-16/1")
+		})
 	})
 }
 
@@ -80,7 +86,9 @@
 		c.store.SetDown(true)
 		time.Sleep(2 * time.Second)
 		c.nodes["a"].elector.Cluster().Consolidate(ids.Machine(machine), time.Now())
-		c.consistently(10*time.Second, "not moved while nothing can be stored", func() bool { return c.isRunning("job-17/0") })
+		c.consistently(10*time.Second, "not moved while nothing can be stored", func() bool {
+			return c.isRunning("job-17/0")
+		})
 		c.store.SetDown(false)
 		c.eventually(10*time.Second, "moved afterwards", func() bool {
 			machines := c.machinesRunning("job-17/0")
@@ -109,7 +117,7 @@
 					c.restartLeader(time.Second)
 					c.passTime(20 * time.Second)
 					c.partition(kind, "m1", "m2")
-					c.passTime(40 * time.Second)
+					c.passTime(cancelLimit)
 					c.startWorker("m5", "north")
 					c.passTime(20 * time.Second)
 					c.heal()
@@ -136,7 +144,7 @@
 	t.Parallel()
 	for _, latency := range []time.Duration{100 * time.Millisecond, 350 * time.Millisecond} {
 		for _, failover := range []bool{false, true} {
-			t.Run(fmt.Sprint(latency, failover), func(t *testing.T) {
+			t.Run(fmt.Sprintf("latency %v, failover %t", latency, failover), func(t *testing.T) {
 				t.Parallel()
 				faultScenario(t, func(t *testing.T, c *faultCluster) {
 					c.startWorkers("north", "south")
@@ -196,7 +204,7 @@
 		for _, urgency := range []string{"high", "critical"} {
 			for _, latency := range []time.Duration{0, 60 * time.Millisecond, 200 * time.Millisecond} {
 				for _, submitDelay := range []time.Duration{0, 5 * time.Second} {
-					t.Run(fmt.Sprint(shape, urgency, latency, submitDelay), func(t *testing.T) {
+					t.Run(fmt.Sprintf("%s %s, latency %v, submitted after %v", urgency, shape, latency, submitDelay), func(t *testing.T) {
 						t.Parallel()
 						faultScenario(t, func(t *testing.T, c *faultCluster) {
 							c.startWorkers("north", "south", "south")
--- a/internal/scenarios/shards_test.go
+++ b/internal/scenarios/shards_test.go
@@ -107,7 +107,7 @@
 			for i := range 6 {
 				job := newJob(fmt.Sprint("job-", first+i), "array", 1)
 				if i > 0 {
-					job["awaits"] = []string{names[i-1]}
+					job.dependingOn(names[i-1])
 				}
 				names = append(names, job.id())
 				c.submitToAny(i, job)
@@ -130,9 +130,13 @@
 			return code == 200
 		})
 		c.workerNamed(c.machinesRunning(second[0] + "/0")[0]).EndTask(second[0]+"/0", "done")
-		c.eventually(20*time.Second, "the job before the cancelled one runs", func() bool { return c.isRunning(second[1] + "/0") })
+		c.eventually(20*time.Second, "the job before the cancelled one runs", func() bool {
+			return c.isRunning(second[1] + "/0")
+		})
 		for _, id := range second[2:] {
-			c.eventually(10*time.Second, id+" is reported as cancelled", func() bool { return c.status("d", id) == "cancelled" })
+			c.eventually(10*time.Second, id+" is reported as cancelled", func() bool {
+				return c.status("d", id) == "cancelled"
+			})
 		}
 		c.eventually(30*time.Second, "their outcomes are stored", func() bool { return c.store.CountKeys("job/wait/") == 0 })
 	})
@@ -147,7 +151,7 @@
 		time.Sleep(5 * time.Second)
 		key := record.KeysOf(2, c.shardCount).Hires() + "h-s2-1-1"
 		c.storeValue(key, map[string]any{"hire": "h-s2-1-1", "count": 1})
-		for _, name := range []string{"hired", "stranger"} {
+		for _, name := range []string{"provisioned", "unknown"} {
 			worker := c.startWorker(name, "north")
 			worker.ControllerNames, worker.Controllers = fiveNodeNames, apiAddresses(fiveNodeNames)
 		}
@@ -162,12 +166,12 @@
 			return shards
 		}
 		time.Sleep(5 * time.Second)
-		if provisioned, unknown := owners("hired"), owners("stranger"); len(provisioned)+len(unknown) > 0 {
+		if provisioned, unknown := owners("provisioned"), owners("unknown"); len(provisioned)+len(unknown) > 0 {
 			t.Fatalf("while its request is pending the machine belongs to %v, an unknown one to %v", provisioned, unknown)
 		}
-		c.storeValue(key, map[string]any{"hire": "h-s2-1-1", "count": 1, "hosts": []string{"hired"}})
+		c.storeValue(key, map[string]any{"hire": "h-s2-1-1", "count": 1, "hosts": []string{"provisioned"}})
 		time.Sleep(5 * time.Second)
-		if provisioned, unknown := owners("hired"), owners("stranger"); !slices.Equal(provisioned, []int{2}) || !slices.Equal(unknown, []int{0}) {
+		if provisioned, unknown := owners("provisioned"), owners("unknown"); !slices.Equal(provisioned, []int{2}) || !slices.Equal(unknown, []int{0}) {
 			t.Errorf("the provisioned machine belongs to %v, the unknown one to %v", provisioned, unknown)
 		}
 	})
@@ -186,7 +190,9 @@
 		for _, name := range []string{"a", "b", "d", "e"} {
 			c.stopNode(name)
 		}
-		c.eventually(time.Minute, "the only controller leads all shards", func() bool { return slices.Equal(c.leaders(), []string{"c", "c", "c"}) })
+		c.eventually(time.Minute, "the only controller leads all shards", func() bool {
+			return slices.Equal(c.leaders(), []string{"c", "c", "c"})
+		})
 		for _, name := range []string{"a", "b", "d", "e"} {
 			c.startNode(name)
 		}
--- a/internal/scenarios/stale_heartbeats_test.go
+++ b/internal/scenarios/stale_heartbeats_test.go
@@ -85,12 +85,16 @@
 		c.startWorker("m2", "south")
 		time.Sleep(4 * time.Second)
 		m1.SetSilent(false)
-		c.consistently(30*time.Second, "job-2 goes on on m1", func() bool { return c.isRunning("job-2/0") && c.machinesRunning("job-2/0")[0] == "m1" })
+		c.consistently(30*time.Second, "job-2 goes on on m1", func() bool {
+			return c.isRunning("job-2/0") && c.machinesRunning("job-2/0")[0] == "m1"
+		})
 		if m1.StartCount("job-1/0") != 1 || m1.StartCount("job-2/0") != 1 || !c.isAbsent("job-1/0") {
 			t.Fatal("something was started again")
 		}
 		m1.EndTask("job-2/0", "done")
-		c.eventually(8*time.Second, "done", func() bool { return c.status("a", "job-2") == "done" && c.status("a", "job-1") == "done" })
+		c.eventually(8*time.Second, "done", func() bool {
+			return c.status("a", "job-2") == "done" && c.status("a", "job-1") == "done"
+		})
 	})
 }
 
@@ -99,7 +103,7 @@
 // can be probed or not.
 func TestStaleHeartbeatsDuringFailoverChangeNothing(t *testing.T) {
 	t.Parallel()
-	for _, content := range []string{"shows what runs elsewhere", "shows nothing", "of an earlier session", "shows what is done"} {
+	for _, content := range []string{"shows tasks that run elsewhere", "shows no tasks", "of an earlier incarnation", "shows completed task"} {
 		for _, kind := range []partitionKind{noPartition, connectionRefused, requestsHeldBack, inboundLost} {
 			t.Run(fmt.Sprintf("%s, %s", content, kind), func(t *testing.T) {
 				t.Parallel()
@@ -112,19 +116,21 @@
 					c.passTime(5 * time.Second)
 					stale := c.lastHeartbeat("m1")
 					switch content {
-					case "shows nothing":
+					case "shows no tasks":
 						stale = empty
-					case "shows what runs elsewhere":
+					case "shows tasks that run elsewhere":
 						c.startWorker("m2", "south")
 						c.passTime(5 * time.Second)
 						m1.EndTask("job-1/0", "error")
-						c.eventually(20*time.Second, "it runs elsewhere", func() bool { return c.workerNamed("m2").StartCount("job-1/0") == 1 })
-					case "of an earlier session":
+						c.eventually(20*time.Second, "it runs elsewhere", func() bool {
+							return c.workerNamed("m2").StartCount("job-1/0") == 1
+						})
+					case "of an earlier incarnation":
 						m1.SetSilent(true)
-						c.passTime(25 * time.Second)
+						c.passTime(leaseDuration + 5*time.Second)
 						m1.SetSilent(false)
 						c.awaitRunning(20*time.Second, "job-1", 3)
-					case "shows what is done":
+					case "shows completed task":
 						c.completeTask("job-1/0")
 					}
 					c.passTime(8 * time.Second)
@@ -146,7 +152,7 @@
 					c.heal()
 					c.passTime(3 * time.Second)
 					c.deliverToControllers(stale)
-					c.passTime(25 * time.Second)
+					c.passTime(leaseDuration + 5*time.Second)
 					c.completeJobs("job-1", "job-2")
 				})
 			})
@@ -213,7 +219,7 @@
 					c.startNode(leader.name)
 					c.passTime(8 * time.Second)
 					c.heal()
-					c.passTime(25 * time.Second)
+					c.passTime(leaseDuration + 5*time.Second)
 					if !c.allRunning("job-1", 2) {
 						t.Errorf("its tasks are on %v and %v", c.machinesRunning("job-1/0"), c.machinesRunning("job-1/1"))
 					}
