--- a/internal/scenarios/checker_test.go
+++ b/internal/scenarios/checker_test.go
@@ -64,56 +64,233 @@
 		name, rule string
 		steps      []observation
 	}{
-		{"a job from submission to completion", "", []observation{submit(two(), 201, "pending"), start(small, "job-1/0", 1), start(south, "job-1/1", 1), get("job-1", 200, "running"),
-			end(small, "job-1/0", 1, "killed"), start(south, "job-1/0", 2), end(south, "job-1/0", 2, "done"), end(south, "job-1/1", 1, "done"),
-			get("job-1", 200, "running"), get("job-1", 200, "done"), submit(two(), 200, "done"), cancel("job-1", "done"), get("job-9", 404, "")}},
-		{"a cancelled job", "", []observation{submit(one(), 201, "pending"), start(small, "job-1/0", 1), cancel("job-1", "cancelled"),
-			{wait: time.Second, worker: south, task: "job-1/0", attempt: 1, cause: "x"}, {worker: small, task: "job-1/0", attempt: 1, cause: "stopped", checkCancelled: true},
-			later(time.Minute, get("job-1", 200, "cancelled"))}},
-		{"started on a second machine", ruleRanTwice, []observation{submit(one(), 201, "pending"), start(small, "job-1/0", 1), start(south, "job-1/0", 2)}},
-		{"over quota", ruleQuota, []observation{submit(two().with("cores", 5), 201, "pending"), start(small, "job-1/0", 1), start(small, "job-1/1", 1)}},
-		{"wrong type", ruleWrongPlace, []observation{submit(one().with("builds", []string{"small"}), 201, "pending"), start(large, "job-1/0", 1)}},
-		{"wrong zone", ruleWrongPlace, []observation{submit(one().with("yard", "north"), 201, "pending"), start(south, "job-1/0", 1)}},
-		{"spot not allowed", ruleWrongPlace, []observation{submit(one(), 201, "pending"), start(spot, "job-1/0", 1)}},
-		{"not together", ruleWrongPlace, []observation{submit(two().with("together", true), 201, "pending"), start(small, "job-1/0", 1), start(south, "job-1/1", 1)}},
-		{"not spread", ruleWrongPlace, []observation{submit(two().with("spread", true), 201, "pending"), start(small, "job-1/0", 1), start(large, "job-1/1", 1)}},
-		{"still running after the limit", ruleRanCancelled, []observation{submit(one(), 201, "pending"), start(small, "job-1/0", 1), cancel("job-1", "cancelled"), {wait: 41 * time.Second, checkCancelled: true}}},
-		{"stops after the limit", ruleRanCancelled, []observation{submit(one(), 201, "pending"), start(small, "job-1/0", 1), cancel("job-1", "cancelled"), later(41*time.Second, end(small, "job-1/0", 1, "stopped"))}},
-		{"starts after the limit", ruleRanCancelled, []observation{submit(one(), 201, "pending"), cancel("job-1", "cancelled"),
-			{wait: 41 * time.Second, worker: small, task: "job-1/0", attempt: 1, start: true, commandAge: 50 * time.Second}}},
-		{"command sent after cancellation", ruleRanCancelled, []observation{submit(one(), 201, "pending"), cancel("job-1", "cancelled"), later(time.Second, start(small, "job-1/0", 1))}},
-		{"unknown afterwards", ruleForgotten, []observation{submit(one(), 201, "pending"), get("job-1", 404, "")}},
-		{"unknown to a cancellation", ruleForgotten, []observation{submit(one(), 201, "pending"), {method: "POST", path: "/v2/runs/job-1/cancel", code: 404}}},
-		{"repeated submission gets 400", ruleForgotten, []observation{submit(one(), 201, "pending"), submit(one(), 400, "")}},
-		{"repeated submission gets 422", ruleForgotten, []observation{submit(one(), 201, "pending"), submit(one(), 422, "")}},
-		{"unanswered", ruleForgotten, append([]observation{submit(one(), 201, "pending"), submit(newJob("job-2", "array", 1), 201, "pending"), submit(newJob("job-3", "array", 1), 201, "pending")}, starving...)},
-		{"status of a job never submitted", ruleInvented, []observation{get("job-1", 200, "pending")}},
-		{"cancellation of a job never submitted", ruleInvented, []observation{cancel("job-1", "cancelled")}},
-		{"start of a job never submitted", ruleInvented, []observation{start(small, "job-1/0", 1)}},
-		{"start of one task too many", ruleInvented, []observation{submit(one(), 201, "pending"), start(small, "job-1/1", 1)}},
-		{"half of the tasks done", ruleNotDone, []observation{submit(two(), 201, "pending"), start(small, "job-1/0", 1), end(small, "job-1/0", 1, "done"), get("job-1", 200, "done")}},
-		{"stopped is not done", ruleNotDone, []observation{submit(one(), 201, "pending"), start(small, "job-1/0", 1), end(small, "job-1/0", 1, "stopped"), get("job-1", 200, "done")}},
-		{"done, then running", ruleWentBack, []observation{submit(one(), 201, "pending"), start(small, "job-1/0", 1), end(small, "job-1/0", 1, "done"), get("job-1", 200, "done"), get("job-1", 200, "running")}},
-		{"done, then running at the same instant", ruleWentBack, []observation{submit(one(), 201, "pending"), start(small, "job-1/0", 1), end(small, "job-1/0", 1, "done"), get("job-1", 200, "done"), atOnce(get("job-1", 200, "running"))}},
-		{"cancelled, then pending at the same instant", ruleWentBack, []observation{submit(one(), 201, "pending"), cancel("job-1", "cancelled"), atOnce(get("job-1", 200, "pending"))}},
-		{"accepted twice at the same instant", ruleWentBack, []observation{submit(one(), 201, "pending"), atOnce(submit(one(), 201, "pending"))}},
-		{"unknown at the same instant", ruleForgotten, []observation{submit(one(), 201, "pending"), atOnce(get("job-1", 404, ""))}},
-		{"a gang of which one never ran", ruleNotDone, []observation{submit(newJob("job-1", "gang", 2), 201, "pending"), start(small, "job-1/0", 1), end(small, "job-1/0", 1, "done"), get("job-1", 200, "done")}},
-		{"a gang is done when one of it is", "", []observation{submit(newJob("job-1", "gang", 2), 201, "pending"), start(small, "job-1/0", 1), start(south, "job-1/1", 1), end(small, "job-1/0", 1, "done"), get("job-1", 200, "done")}},
-		{"cancelled, then pending", ruleWentBack, []observation{submit(one(), 201, "pending"), cancel("job-1", "cancelled"), submit(one(), 200, "pending")}},
-		{"cancelled, then done", ruleWentBack, []observation{submit(one(), 201, "pending"), start(small, "job-1/0", 1), cancel("job-1", "cancelled"), end(small, "job-1/0", 1, "done"), get("job-1", 200, "done")}},
-		{"done, then cancelled", ruleWentBack, []observation{submit(one(), 201, "pending"), start(small, "job-1/0", 1), end(small, "job-1/0", 1, "done"), get("job-1", 200, "done"), cancel("job-1", "cancelled")}},
-		{"cancelled by no user", ruleWentBack, []observation{submit(one(), 201, "pending"), get("job-1", 200, "cancelled")}},
-		{"dependent after its dependency", "", []observation{submit(one(), 201, "pending"), submit(dependent(), 201, "pending"), start(small, "job-1/0", 1), end(small, "job-1/0", 1, "done"),
-			start(small, "job-2/0", 1), end(small, "job-2/0", 1, "done"), get("job-2", 200, "done")}},
-		{"dependent of a cancelled job", "", []observation{submit(one(), 201, "pending"), submit(dependent(), 201, "pending"), cancel("job-1", "cancelled"), get("job-2", 200, "pending"),
-			later(39*time.Second, get("job-2", 200, "cancelled"))}},
-		{"dependent before its dependency", ruleTooEarly, []observation{submit(one(), 201, "pending"), submit(dependent(), 201, "pending"), start(small, "job-1/0", 1), start(south, "job-2/0", 1)}},
-		{"dependent still pending after the limit", ruleOrphaned, []observation{submit(one(), 201, "pending"), submit(dependent(), 201, "pending"), cancel("job-1", "cancelled"), later(41*time.Second, get("job-2", 200, "pending"))}},
-		{"accepted twice", ruleWentBack, []observation{submit(one(), 201, "pending"), submit(one(), 201, "pending")}},
-		{"cancellation answered as running", ruleWentBack, []observation{submit(one(), 201, "pending"), cancel("job-1", "running")}},
-		{"request sent before the cancellation was confirmed", "", []observation{submit(one(), 201, "pending"), cancel("job-1", "cancelled"),
-			{method: "GET", path: "/v2/runs/job-1", code: 200, status: "running", sentBeforeLastResponse: true}}},
+		{name: "a job from submission to completion", steps: []observation{
+			submit(two(), 201, "pending"),
+			start(small, "job-1/0", 1),
+			start(south, "job-1/1", 1),
+			get("job-1", 200, "running"),
+			end(small, "job-1/0", 1, "killed"),
+			start(south, "job-1/0", 2),
+			end(south, "job-1/0", 2, "done"),
+			end(south, "job-1/1", 1, "done"),
+			get("job-1", 200, "running"),
+			get("job-1", 200, "done"),
+			submit(two(), 200, "done"),
+			cancel("job-1", "done"),
+			get("job-9", 404, ""),
+		}},
+		{name: "a cancelled job", steps: []observation{
+			submit(one(), 201, "pending"),
+			start(small, "job-1/0", 1),
+			cancel("job-1", "cancelled"),
+			{wait: time.Second, worker: south, task: "job-1/0", attempt: 1, cause: "x"},
+			{worker: small, task: "job-1/0", attempt: 1, cause: "stopped", checkCancelled: true},
+			later(time.Minute, get("job-1", 200, "cancelled")),
+		}},
+		{name: "started on a second machine", rule: ruleRanTwice, steps: []observation{
+			submit(one(), 201, "pending"),
+			start(small, "job-1/0", 1),
+			start(south, "job-1/0", 2),
+		}},
+		{name: "over quota", rule: ruleQuota, steps: []observation{
+			submit(two().with("cores", 5), 201, "pending"),
+			start(small, "job-1/0", 1),
+			start(small, "job-1/1", 1),
+		}},
+		{name: "wrong type", rule: ruleWrongPlace, steps: []observation{
+			submit(one().with("builds", []string{"small"}), 201, "pending"),
+			start(large, "job-1/0", 1),
+		}},
+		{name: "wrong zone", rule: ruleWrongPlace, steps: []observation{
+			submit(one().with("yard", "north"), 201, "pending"),
+			start(south, "job-1/0", 1),
+		}},
+		{name: "spot not allowed", rule: ruleWrongPlace, steps: []observation{
+			submit(one(), 201, "pending"),
+			start(spot, "job-1/0", 1),
+		}},
+		{name: "not together", rule: ruleWrongPlace, steps: []observation{
+			submit(two().with("together", true), 201, "pending"),
+			start(small, "job-1/0", 1),
+			start(south, "job-1/1", 1),
+		}},
+		{name: "not spread", rule: ruleWrongPlace, steps: []observation{
+			submit(two().with("spread", true), 201, "pending"),
+			start(small, "job-1/0", 1),
+			start(large, "job-1/1", 1),
+		}},
+		{name: "still running after the limit", rule: ruleRanCancelled, steps: []observation{
+			submit(one(), 201, "pending"),
+			start(small, "job-1/0", 1),
+			cancel("job-1", "cancelled"),
+			{wait: 41 * time.Second, checkCancelled: true},
+		}},
+		{name: "stops after the limit", rule: ruleRanCancelled, steps: []observation{
+			submit(one(), 201, "pending"),
+			start(small, "job-1/0", 1),
+			cancel("job-1", "cancelled"),
+			later(41*time.Second, end(small, "job-1/0", 1, "stopped")),
+		}},
+		{name: "starts after the limit", rule: ruleRanCancelled, steps: []observation{
+			submit(one(), 201, "pending"),
+			cancel("job-1", "cancelled"),
+			{wait: 41 * time.Second, worker: small, task: "job-1/0", attempt: 1, start: true, commandAge: 50 * time.Second},
+		}},
+		{name: "command sent after cancellation", rule: ruleRanCancelled, steps: []observation{
+			submit(one(), 201, "pending"),
+			cancel("job-1", "cancelled"),
+			later(time.Second, start(small, "job-1/0", 1)),
+		}},
+		{name: "unknown afterwards", rule: ruleForgotten, steps: []observation{
+			submit(one(), 201, "pending"),
+			get("job-1", 404, ""),
+		}},
+		{name: "unknown to a cancellation", rule: ruleForgotten, steps: []observation{
+			submit(one(), 201, "pending"),
+			{method: "POST", path: "/v2/runs/job-1/cancel", code: 404},
+		}},
+		{name: "repeated submission gets 400", rule: ruleForgotten, steps: []observation{
+			submit(one(), 201, "pending"),
+			submit(one(), 400, ""),
+		}},
+		{name: "repeated submission gets 422", rule: ruleForgotten, steps: []observation{
+			submit(one(), 201, "pending"),
+			submit(one(), 422, ""),
+		}},
+		{name: "unanswered", rule: ruleForgotten, steps: append([]observation{
+			submit(one(), 201, "pending"),
+			submit(newJob("job-2", "array", 1), 201, "pending"),
+			submit(newJob("job-3", "array", 1), 201, "pending"),
+		}, starving...)},
+		{name: "status of a job never submitted", rule: ruleInvented, steps: []observation{
+			get("job-1", 200, "pending"),
+		}},
+		{name: "cancellation of a job never submitted", rule: ruleInvented, steps: []observation{
+			cancel("job-1", "cancelled"),
+		}},
+		{name: "start of a job never submitted", rule: ruleInvented, steps: []observation{
+			start(small, "job-1/0", 1),
+		}},
+		{name: "start of one task too many", rule: ruleInvented, steps: []observation{
+			submit(one(), 201, "pending"),
+			start(small, "job-1/1", 1),
+		}},
+		{name: "half of the tasks done", rule: ruleNotDone, steps: []observation{
+			submit(two(), 201, "pending"),
+			start(small, "job-1/0", 1),
+			end(small, "job-1/0", 1, "done"),
+			get("job-1", 200, "done"),
+		}},
+		{name: "stopped is not done", rule: ruleNotDone, steps: []observation{
+			submit(one(), 201, "pending"),
+			start(small, "job-1/0", 1),
+			end(small, "job-1/0", 1, "stopped"),
+			get("job-1", 200, "done"),
+		}},
+		{name: "done, then running", rule: ruleWentBack, steps: []observation{
+			submit(one(), 201, "pending"),
+			start(small, "job-1/0", 1),
+			end(small, "job-1/0", 1, "done"),
+			get("job-1", 200, "done"),
+			get("job-1", 200, "running"),
+		}},
+		{name: "done, then running at the same instant", rule: ruleWentBack, steps: []observation{
+			submit(one(), 201, "pending"),
+			start(small, "job-1/0", 1),
+			end(small, "job-1/0", 1, "done"),
+			get("job-1", 200, "done"),
+			atOnce(get("job-1", 200, "running")),
+		}},
+		{name: "cancelled, then pending at the same instant", rule: ruleWentBack, steps: []observation{
+			submit(one(), 201, "pending"),
+			cancel("job-1", "cancelled"),
+			atOnce(get("job-1", 200, "pending")),
+		}},
+		{name: "accepted twice at the same instant", rule: ruleWentBack, steps: []observation{
+			submit(one(), 201, "pending"),
+			atOnce(submit(one(), 201, "pending")),
+		}},
+		{name: "unknown at the same instant", rule: ruleForgotten, steps: []observation{
+			submit(one(), 201, "pending"),
+			atOnce(get("job-1", 404, "")),
+		}},
+		{name: "a gang of which one never ran", rule: ruleNotDone, steps: []observation{
+			submit(newJob("job-1", "gang", 2), 201, "pending"),
+			start(small, "job-1/0", 1),
+			end(small, "job-1/0", 1, "done"),
+			get("job-1", 200, "done"),
+		}},
+		{name: "a gang is done when one of it is", steps: []observation{
+			submit(newJob("job-1", "gang", 2), 201, "pending"),
+			start(small, "job-1/0", 1),
+			start(south, "job-1/1", 1),
+			end(small, "job-1/0", 1, "done"),
+			get("job-1", 200, "done"),
+		}},
+		{name: "cancelled, then pending", rule: ruleWentBack, steps: []observation{
+			submit(one(), 201, "pending"),
+			cancel("job-1", "cancelled"),
+			submit(one(), 200, "pending"),
+		}},
+		{name: "cancelled, then done", rule: ruleWentBack, steps: []observation{
+			submit(one(), 201, "pending"),
+			start(small, "job-1/0", 1),
+			cancel("job-1", "cancelled"),
+			end(small, "job-1/0", 1, "done"),
+			get("job-1", 200, "done"),
+		}},
+		{name: "done, then cancelled", rule: ruleWentBack, steps: []observation{
+			submit(one(), 201, "pending"),
+			start(small, "job-1/0", 1),
+			end(small, "job-1/0", 1, "done"),
+			get("job-1", 200, "done"),
+			cancel("job-1", "cancelled"),
+		}},
+		{name: "cancelled by no user", rule: ruleWentBack, steps: []observation{
+			submit(one(), 201, "pending"),
+			get("job-1", 200, "cancelled"),
+		}},
+		{name: "dependent after its dependency", steps: []observation{
+			submit(one(), 201, "pending"),
+			submit(dependent(), 201, "pending"),
+			start(small, "job-1/0", 1),
+			end(small, "job-1/0", 1, "done"),
+			start(small, "job-2/0", 1),
+			end(small, "job-2/0", 1, "done"),
+			get("job-2", 200, "done"),
+		}},
+		{name: "dependent of a cancelled job", steps: []observation{
+			submit(one(), 201, "pending"),
+			submit(dependent(), 201, "pending"),
+			cancel("job-1", "cancelled"),
+			get("job-2", 200, "pending"),
+			later(39*time.Second, get("job-2", 200, "cancelled")),
+		}},
+		{name: "dependent before its dependency", rule: ruleTooEarly, steps: []observation{
+			submit(one(), 201, "pending"),
+			submit(dependent(), 201, "pending"),
+			start(small, "job-1/0", 1),
+			start(south, "job-2/0", 1),
+		}},
+		{name: "dependent still pending after the limit", rule: ruleOrphaned, steps: []observation{
+			submit(one(), 201, "pending"),
+			submit(dependent(), 201, "pending"),
+			cancel("job-1", "cancelled"),
+			later(41*time.Second, get("job-2", 200, "pending")),
+		}},
+		{name: "accepted twice", rule: ruleWentBack, steps: []observation{
+			submit(one(), 201, "pending"),
+			submit(one(), 201, "pending"),
+		}},
+		{name: "cancellation answered as running", rule: ruleWentBack, steps: []observation{
+			submit(one(), 201, "pending"),
+			cancel("job-1", "running"),
+		}},
+		{name: "request sent before the cancellation was confirmed", steps: []observation{
+			submit(one(), 201, "pending"),
+			cancel("job-1", "cancelled"),
+			{method: "GET", path: "/v2/runs/job-1", code: 200, status: "running", sentBeforeLastResponse: true},
+		}},
 	} {
 		scenario(t, func(t *testing.T, c *testCluster) {
 			got := map[string]bool{}
@@ -125,7 +302,8 @@
 				}
 				switch {
 				case s.worker != nil:
-					r.TaskEvent(fake.Event{At: time.Now(), SentAt: time.Now().Add(-s.commandAge), Worker: s.worker, Incarnation: 1, Task: s.task, Attempt: s.attempt, Start: s.start, Cause: s.cause})
+					r.TaskEvent(fake.Event{At: time.Now(), SentAt: time.Now().Add(-s.commandAge), Worker: s.worker, Incarnation: 1,
+						Task: s.task, Attempt: s.attempt, Start: s.start, Cause: s.cause})
 				case s.path != "":
 					raw, _ := json.Marshal(s.body)
 					sent := r.RequestSent(s.method, s.path, raw)
--- a/internal/scenarios/disruption_rule_test.go
+++ b/internal/scenarios/disruption_rule_test.go
@@ -9,9 +9,9 @@
 	"github.com/pebbletrail/pebbletrail/internal/fake"
 )
 
-// disruptionRule watches, by the workers' own record, that no drain takes more of a team down than
-// its budget. In its scenarios nothing but drains, cancellations and spot notices stops tasks, so
-// every other stop is a drain's doing.
+// disruptionRule checks, by the task events on the workers, that no drain takes more of a team down
+// than its budget. In its scenarios only drains, cancellations and spot reclaims stop tasks, so that
+// every other stop is an eviction by a drain.
 type disruptionRule struct {
 	report  func(rule, what string)
 	rules   *rules
@@ -22,9 +22,9 @@
 	// detectionDelay is how long a failure may stay unknown to the leader.
 	detectionDelay time.Duration
 
-	mu    sync.Mutex
+	mu    sync.Mutex // guards the fields below; rules.mu may be taken under it
 	tasks map[string]*observedTask
-	// evictions counts the stops by drains, by task.
+	// evictions counts the evictions of each task.
 	evictions map[string]int
 	// reclaimed are machines with a spot reclaim notice: the cloud stops what runs there.
 	reclaimed map[string]bool
@@ -35,7 +35,7 @@
 // teamBudget is what the rule allows a team to have down at a time.
 type teamBudget struct{ replicas, interrupted int }
 
-// observedTask is where a task stands, as its workers saw it.
+// observedTask is what the task events tell of a task.
 type observedTask struct {
 	started bool
 	up      bool
@@ -43,16 +43,25 @@
 	drained bool // a drain stopped it last
 }
 
-// defaultDetectionDelay is two and a half report intervals, until silence counts, and the time of a
-// permit that was stored just before.
+// defaultDetectionDelay is two and a half heartbeat intervals, until silence counts, and the time of
+// a permit that was stored just before.
 const defaultDetectionDelay = 12 * time.Second
 
-func newDisruptionRule(r *rules, report func(rule, what string), budget map[string]teamBudget) *disruptionRule {
-	return &disruptionRule{report: report, rules: r, budgets: budget, tasks: map[string]*observedTask{}, evictions: map[string]int{}, detectionDelay: defaultDetectionDelay,
-		reclaimed: map[string]bool{}, completedGangs: map[string]bool{}}
+// newDisruptionRule returns a checker of these budgets, which passes events on to the rules.
+func newDisruptionRule(r *rules, report func(rule, what string), budgets map[string]teamBudget) *disruptionRule {
+	return &disruptionRule{
+		report:         report,
+		rules:          r,
+		budgets:        budgets,
+		detectionDelay: defaultDetectionDelay,
+		tasks:          map[string]*observedTask{},
+		evictions:      map[string]int{},
+		reclaimed:      map[string]bool{},
+		completedGangs: map[string]bool{},
+	}
 }
 
-// Event takes what a worker did to a task.
+// Event observes that a task started or ended on a worker.
 func (d *disruptionRule) Event(event fake.Event) {
 	d.rules.TaskEvent(event)
 	job, _, _ := strings.Cut(event.Task, "/")
@@ -82,16 +91,22 @@
 		delete(d.tasks, event.Task)
 	}
 	if task.drained {
-		if !d.evictionStored(event.Task, event.Attempt) {
-			d.report(ruleDisruption, fmt.Sprintf("%s (attempt %d) is stopped, and no permit for that is stored", event.Task, event.Attempt))
-		}
-		d.evictions[event.Task]++
-		d.check(event, description.Team)
+		d.checkEviction(event, description.Team)
+	}
+}
+
+// checkEviction reports an eviction without a stored permit, or beyond the team's budget. The caller
+// holds mu.
+func (d *disruptionRule) checkEviction(event fake.Event, team string) {
+	if !d.evictionStored(event.Task, event.Attempt) {
+		d.report(ruleDisruption, fmt.Sprintf("%s (attempt %d) is stopped, and no permit for that is stored", event.Task, event.Attempt))
 	}
+	d.evictions[event.Task]++
+	d.checkBudget(event, team)
 }
 
-// check looks at a team right after a drain stopped one of its tasks.
-func (d *disruptionRule) check(event fake.Event, team string) {
+// checkBudget checks what a team has down right after a drain stopped one of its tasks.
+func (d *disruptionRule) checkBudget(event fake.Event, team string) {
 	evicted, knownDown, interrupted := 0, 0, 0
 	for name, task := range d.tasks {
 		job, _, _ := strings.Cut(name, "/")
@@ -125,14 +140,14 @@
 	}
 }
 
-// noteSpotReclaim notes a machine that the cloud takes back.
+// noteSpotReclaim notes that the cloud reclaims a machine.
 func (d *disruptionRule) noteSpotReclaim(machine string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.reclaimed[machine] = true
 }
 
-// evictionsOf counts the drains' stops of a job's tasks.
+// evictionsOf counts the evictions of a job's tasks.
 func (d *disruptionRule) evictionsOf(job string) (n int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/scenarios/rules_responses_test.go
+++ b/internal/scenarios/rules_responses_test.go
@@ -3,118 +3,188 @@
 import (
 	"encoding/json"
 	"fmt"
+	"net/http"
 	"strings"
 	"time"
 )
 
+const (
+	submissionPath = "/v2/runs"
+	jobPath        = "/v2/runs/" // followed by the job's ID and, for some requests, an action
+	cancelAction   = "cancel"
+)
+
+// response is a response to a user's request that concerns a job.
+type response struct {
+	sent, received moment // of the request, and of the response
+	node           string
+	job            string // its ID
+	submission     bool
+	cancellation   bool
+	code           int // 0: there was none
+	status         string
+}
+
+// decodeDescription reads a submission, and tells whether it names a job.
+func decodeDescription(body []byte) (description jobDescription, ok bool) {
+	err := json.Unmarshal(body, &description)
+	return description, err == nil && description.UID != ""
+}
+
+// splitJobPath returns the job's ID and the action of a request other than a submission.
+func splitJobPath(path string) (job, action string) {
+	job, action, _ = strings.Cut(strings.TrimPrefix(path, jobPath), "/")
+	return job, action
+}
+
 // RequestSent observes that a user sends a request, and returns the moment.
 func (r *rules) RequestSent(method, path string, body []byte) moment {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.nextMoment()
-	if path == "/v2/runs" {
-		var description jobDescription
-		if json.Unmarshal(body, &description) != nil || description.UID == "" {
-			return now
-		}
-		if job := r.job(description.UID); !job.submitted {
-			job.jobDescription, job.submitted = description, true
+	if path == submissionPath {
+		if description, ok := decodeDescription(body); ok {
+			if job := r.job(description.UID); !job.submitted {
+				job.jobDescription, job.submitted = description, true
+			}
 		}
 		return now
 	}
-	jobID, action, _ := strings.Cut(strings.TrimPrefix(path, "/v2/runs/"), "/")
-	if action == "cancel" && method == "POST" {
-		setOnce(&r.job(jobID).cancelRequested, now)
+	if job, action := splitJobPath(path); action == cancelAction && method == http.MethodPost {
+		setOnce(&r.job(job).cancelRequested, now)
 	}
 	return now
 }
 
 // ResponseReceived observes the response to a request sent at a moment; code 0 is no response.
-func (r *rules) ResponseReceived(sent moment, node, method, path string, body []byte, code int, response map[string]any) {
+func (r *rules) ResponseReceived(sent moment, node, method, path string, body []byte, code int, fields map[string]any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	now := r.nextMoment()
-	submission := path == "/v2/runs"
-	jobID, action, _ := strings.Cut(strings.TrimPrefix(path, "/v2/runs/"), "/")
-	if submission {
-		var description jobDescription
-		if json.Unmarshal(body, &description) != nil || description.UID == "" {
-			if code == 200 || code == 201 {
+	status, _ := fields["status"].(string)
+	received := response{sent: sent, received: r.nextMoment(), node: node, submission: path == submissionPath, code: code, status: status}
+	if received.submission {
+		description, ok := decodeDescription(body)
+		if !ok {
+			if code == http.StatusOK || code == http.StatusCreated {
 				r.violated(ruleInvented, "", "%s accepts %s", node, body)
 			}
 			return
 		}
-		jobID = description.UID
-	} else if action != "" && action != "cancel" {
-		return
+		received.job = description.UID
+	} else {
+		var action string
+		received.job, action = splitJobPath(path)
+		received.cancellation = action == cancelAction
+		if action != "" && !received.cancellation {
+			return
+		}
 	}
-	job := r.job(jobID)
-	if method == "GET" {
-		r.checkPolls(job, jobID, sent.at, now.at, code == 200 || code == 404)
+	job := r.job(received.job)
+	if method == http.MethodGet {
+		r.checkPolls(job, received.job, sent.at, received.received.at, code == http.StatusOK || code == http.StatusNotFound)
 	}
-	status, _ := response["status"].(string)
+	if r.checkCode(job, received) {
+		r.checkStatus(job, received)
+		r.recordStatus(job, received)
+	}
+}
+
+// checkCode reports a job that is unknown or rejected after it was accepted, and one that is known
+// though nobody submitted it. It tells whether the response has a status of a known job.
+func (r *rules) checkCode(job *observedJob, received response) bool {
 	switch {
-	case submission && (code == 400 || code == 422):
-		if sent.after(job.accepted) {
-			r.violated(ruleForgotten, jobID, "%s answers %d to a repeat of an accepted %s", node, code, jobID)
+	case received.submission && (received.code == http.StatusBadRequest || received.code == http.StatusUnprocessableEntity):
+		if received.sent.after(job.accepted) {
+			r.violated(ruleForgotten, received.job, "%s answers %d to a repeated submission of an accepted %s", received.node, received.code, received.job)
 		}
 		if job.accepted.isZero() {
 			job.submitted = false // another job may be submitted under this ID
 		}
-		return
-	case code == 404:
-		if sent.after(job.accepted) {
-			r.violated(ruleForgotten, jobID, "%s answers 404 for an accepted %s", node, jobID)
+		return false
+	case received.code == http.StatusNotFound:
+		if received.sent.after(job.accepted) {
+			r.violated(ruleForgotten, received.job, "%s answers 404 for an accepted %s", received.node, received.job)
 		}
-		return
-	case code != 200 && code != 201:
-		return
+		return false
+	case received.code != http.StatusOK && received.code != http.StatusCreated:
+		return false
 	}
 	if !job.submitted {
-		r.violated(ruleInvented, jobID, "%s answers %d %q for %s, which nobody submitted", node, code, status, jobID)
-		return
+		r.violated(ruleInvented, received.job, "%s answers %d %q for %s, which nobody submitted", received.node, received.code, received.status, received.job)
+		return false
 	}
-	if code == 201 && sent.after(job.accepted) {
-		r.violated(ruleWentBack, jobID, "%s accepts a known %s once more", node, jobID)
+	return true
+}
+
+// checkStatus reports a status that contradicts what was reported, requested or run before.
+func (r *rules) checkStatus(job *observedJob, received response) {
+	if received.code == http.StatusCreated && received.sent.after(job.accepted) {
+		r.violated(ruleWentBack, received.job, "%s accepts a known %s once more", received.node, received.job)
 	}
-	if action == "cancel" && status != "cancelled" && status != "done" {
-		r.violated(ruleWentBack, jobID, "%s answers a cancel of %s with %q", node, jobID, status)
+	if received.cancellation && received.status != "cancelled" && received.status != "done" {
+		r.violated(ruleWentBack, received.job, "%s answers a cancellation of %s with %q", received.node, received.job, received.status)
 	}
-	switch status {
+	switch received.status {
 	case "done":
-		for index := range job.Tasks {
-			// A gang is done when one of its tasks is, but all of them must have run.
-			task := fmt.Sprintf("%s/%d", jobID, index)
-			if !job.completed[index] && !(job.Shape == "gang" && len(job.completed) > 0 && !r.firstStarts[task].IsZero()) {
-				r.violated(ruleNotDone, jobID, "%s reports %s as done, but %s has not completed", node, jobID, task)
-			}
-		}
-		if !job.cancelled.isZero() {
-			r.violated(ruleWentBack, jobID, "%s reports %s as done, which was reported as cancelled", node, jobID)
-		}
+		r.checkDone(job, received)
 	case "cancelled":
-		if job.cancelRequested.isZero() && r.earliestInDependencies(job, func(index *observedJob) moment { return index.cancelRequested }).IsZero() {
-			r.violated(ruleWentBack, jobID, "%s reports %s as cancelled, which its user did not cancel", node, jobID)
-		}
-		if !job.done.isZero() {
-			r.violated(ruleWentBack, jobID, "%s reports %s as cancelled, which was reported as done", node, jobID)
-		}
+		r.checkReportedCancelled(job, received)
 	case "pending", "running":
-		if sent.after(job.done) || sent.after(job.cancelled) {
-			r.violated(ruleWentBack, jobID, "%s reports %s as %s, whose end was reported %v before the request", node, jobID, status, sent.at.Sub(maxTime(job.done.at, job.cancelled.at)))
-		}
-		if at := r.earliestInDependencies(job, func(index *observedJob) moment { return index.cancelled }); !at.IsZero() && now.at.Sub(at) > r.cancelLimit() {
-			r.violated(ruleOrphaned, jobID, "%s reports %s as %s %v after the cancellation of a dependency was confirmed", node, jobID, status, now.at.Sub(at))
-		}
+		r.checkUnfinished(job, received)
 	default:
-		r.violated(ruleWentBack, jobID, "%s reports %s as %q", node, jobID, status)
+		r.violated(ruleWentBack, received.job, "%s reports %s as %q", received.node, received.job, received.status)
+	}
+}
+
+// checkDone reports a job that is reported as done before all its tasks have completed, or after it
+// was reported as cancelled.
+func (r *rules) checkDone(job *observedJob, received response) {
+	for index := range job.Tasks {
+		// A gang is done when one of its tasks is, but all of them must have run.
+		task := fmt.Sprintf("%s/%d", received.job, index)
+		if !job.completed[index] && !(job.Shape == "gang" && len(job.completed) > 0 && !r.firstStarts[task].IsZero()) {
+			r.violated(ruleNotDone, received.job, "%s reports %s as done, but %s has not completed", received.node, received.job, task)
+		}
+	}
+	if !job.cancelled.isZero() {
+		r.violated(ruleWentBack, received.job, "%s reports %s as done, which was reported as cancelled", received.node, received.job)
 	}
-	setOnce(&job.accepted, now)
-	if status == "done" {
-		setOnce(&job.done, now)
+}
+
+// checkReportedCancelled reports a job that is reported as cancelled though nobody cancelled it or a
+// job that it depends on, or after it was reported as done.
+func (r *rules) checkReportedCancelled(job *observedJob, received response) {
+	requested := func(dependency *observedJob) moment { return dependency.cancelRequested }
+	if job.cancelRequested.isZero() && r.earliestInDependencies(job, requested).IsZero() {
+		r.violated(ruleWentBack, received.job, "%s reports %s as cancelled, which its user did not cancel", received.node, received.job)
+	}
+	if !job.done.isZero() {
+		r.violated(ruleWentBack, received.job, "%s reports %s as cancelled, which was reported as done", received.node, received.job)
+	}
+}
+
+// checkUnfinished reports a job that is reported as pending or running though its end was reported
+// before, or for too long after the cancellation of a job that it depends on.
+func (r *rules) checkUnfinished(job *observedJob, received response) {
+	if received.sent.after(job.done) || received.sent.after(job.cancelled) {
+		r.violated(ruleWentBack, received.job, "%s reports %s as %s, whose end was reported %v before the request",
+			received.node, received.job, received.status, received.sent.at.Sub(maxTime(job.done.at, job.cancelled.at)))
+	}
+	confirmed := r.earliestInDependencies(job, func(dependency *observedJob) moment { return dependency.cancelled })
+	if now := received.received.at; !confirmed.IsZero() && now.Sub(confirmed) > r.cancelLimit() {
+		r.violated(ruleOrphaned, received.job, "%s reports %s as %s %v after the cancellation of a dependency was confirmed",
+			received.node, received.job, received.status, now.Sub(confirmed))
+	}
+}
+
+// recordStatus records when a job was first reported as accepted, done or cancelled.
+func (r *rules) recordStatus(job *observedJob, received response) {
+	setOnce(&job.accepted, received.received)
+	if received.status == "done" {
+		setOnce(&job.done, received.received)
 	}
-	if status == "cancelled" {
-		setOnce(&job.cancelled, now)
+	if received.status == "cancelled" {
+		setOnce(&job.cancelled, received.received)
 	}
 }
 
