--- a/internal/scenarios/cancellation_outage_test.go
+++ b/internal/scenarios/cancellation_outage_test.go
@@ -58,9 +58,11 @@
 	for _, outage := range []time.Duration{8 * time.Second, 25 * time.Second, 77 * time.Second} {
 		scenario(t, func(t *testing.T, c *testCluster) {
 			leader, other := startWithReplicas(c)
+			// The leader is isolated, and the other node confirms a cancellation.
 			c.partitionFromPeerAndState(leader, "/")
 			time.Sleep(300 * time.Millisecond)
 			confirmedAt := c.confirmCancellation(other, "job-1")
+			// Then the state service is down for everyone.
 			c.store.SetDown(true) // the leader's lease lasts until the outage is over
 			outageStart := time.Now()
 			time.Sleep(2 * time.Second)
@@ -72,6 +74,7 @@
 				}
 				return time.Since(outageStart) > min(outage, 16*time.Second)-time.Second
 			})
+			// The outage ends within the cancellation limit, or goes on beyond it.
 			if remaining := time.Until(outageStart.Add(outage)); outage < cancelLimit {
 				time.Sleep(remaining)
 				c.store.SetDown(false)
@@ -92,8 +95,10 @@
 	t.Parallel()
 	scenario(t, func(t *testing.T, c *testCluster) {
 		leader, other := startWithReplicas(c)
+		// The leader can write to the state service but not read.
 		c.partitionFromPeerAndState(leader, "/kv", "/follow")
 		time.Sleep(14 * time.Second) // its open watch has ended
+		// The other node confirms a cancellation.
 		confirmedAt := c.confirmCancellation(other, "job-1")
 		c.requireStopped(confirmedAt, "job-1", 4, 10*time.Second)
 		if leader.elector.Cluster() == nil {
@@ -112,6 +117,7 @@
 	t.Parallel()
 	scenario(t, func(t *testing.T, c *testCluster) {
 		leader, other := startWithReplicas(c)
+		// The leader is isolated, and its successor can't read the records.
 		c.network.SetRule(func(from, to string, r *http.Request, _ []byte) fake.Outcome {
 			switch {
 			case isBetween(from, to, "a", "b"), from == leader.name && to == "state:1":
@@ -123,6 +129,7 @@
 		})
 		confirmedAt := c.confirmCancellation(other, "job-1")
 		c.awaitLeadership(5*time.Second, other)
+		// Then the state service is down for everyone, for longer than the cancellation limit.
 		c.store.SetDown(true)
 		c.requireStopped(confirmedAt, "job-1", 4, 30*time.Second)
 		c.store.SetDown(false)
@@ -153,6 +160,7 @@
 			return fake.Deliver
 		}
 		c.network.SetRule(faults)
+		// The start is held back, and the job is cancelled.
 		c.submit("a", newJob("job-1", "array", 1))
 		time.Sleep(300 * time.Millisecond)
 		confirmedAt := c.confirmCancellation(c.nodes["a"], "job-1")
@@ -162,6 +170,7 @@
 			}
 			return faults(from, to, r, body)
 		})
+		// The start arrives when the cancellation limit is over.
 		time.Sleep(time.Until(confirmedAt.Add(cancelLimit)))
 		if c.network.ReleaseHeld() == 0 {
 			t.Fatal("no start was held back")
@@ -183,7 +192,7 @@
 		c.startNode("a")
 		c.startNode("b")
 		m1 := c.startWorker("m1", "north")
-		time.Sleep(10 * time.Second)
+		time.Sleep(settleTime)
 		leader := c.leader()
 		other := c.nodes[otherNode(leader.name)]
 		isolated := false
@@ -202,10 +211,12 @@
 		c.eventually(2*time.Second, "assigned", func() bool {
 			return strings.Contains(string(c.store.Value("job/job-1")), `"places"`)
 		})
+		// The leader is isolated, the other node confirms a cancellation, and the state service fails.
 		isolated = true
 		c.confirmCancellation(other, "job-1")
 		c.store.SetDown(true)
 		time.Sleep(4 * time.Second)
+		// The leader reaches the machine again.
 		c.network.SetRule(func(from, to string, _ *http.Request, _ []byte) fake.Outcome {
 			if isBetween(from, to, "a", "b") || from == leader.name && to == "state:1" {
 				return fake.Drop
--- a/internal/scenarios/cancellation_test.go
+++ b/internal/scenarios/cancellation_test.go
@@ -18,7 +18,7 @@
 		c.startNode("a")
 		c.startNode("b")
 		c.startWorker("m1", "north")
-		time.Sleep(10 * time.Second)
+		time.Sleep(settleTime)
 		c.network.SetRule(func(from, to string, r *http.Request, body []byte) fake.Outcome {
 			if r.URL.Path == "/commands" {
 				return fake.HoldBack
@@ -31,6 +31,7 @@
 			t.Fatalf("cancel answered %d %v", code, out)
 		}
 		c.eventually(38*time.Second, "its outcome is stored", func() bool { return c.store.Value("end/job-11") != nil })
+		// The start arrives.
 		c.network.ReleaseHeld()
 		c.consistently(20*time.Second, "the delayed start is rejected", func() bool { return c.isAbsent("job-11/0") })
 		if s := c.status("a", "job-11"); s != "cancelled" {
@@ -49,9 +50,10 @@
 		c.startNode("a")
 		c.startNode("b")
 		c.startWorker("m1", "north")
-		time.Sleep(10 * time.Second)
+		time.Sleep(settleTime)
 		c.submit("a", newJob("job-1", "standing", 1))
 		c.awaitTask(4*time.Second, "job-1/0")
+		// The leader and the machine are partitioned together from the rest.
 		leader := c.leader().name
 		other := otherNode(leader)
 		c.network.SetRule(func(from, to string, _ *http.Request, _ []byte) fake.Outcome {
@@ -86,7 +88,7 @@
 		c.awaitLeadership(5*time.Second, a)
 		c.startNode("b")
 		c.startWorker("m1", "north")
-		time.Sleep(10 * time.Second)
+		time.Sleep(settleTime)
 		c.network.SetDelay(func() time.Duration { return 390 * time.Millisecond })
 		c.network.SetRule(func(from, to string, r *http.Request, body []byte) fake.Outcome {
 			switch {
--- a/internal/scenarios/cluster_test.go
+++ b/internal/scenarios/cluster_test.go
@@ -192,6 +192,14 @@
 	return nil
 }
 
+// leaderFirst returns two nodes in order, the one that leads first.
+func leaderFirst(a, b *testNode) (leader, successor *testNode) {
+	if a.elector.Cluster() == nil {
+		return b, a
+	}
+	return a, b
+}
+
 // settleTime is enough for a first leader to be elected and to hear from all machines.
 const settleTime = 10 * time.Second
 
--- a/internal/scenarios/delayed_commands_test.go
+++ b/internal/scenarios/delayed_commands_test.go
@@ -32,6 +32,7 @@
 		machine := c.workerNamed(c.machinesRunning("job-3/0")[0])
 		machine.EndTask("job-3/0", "done")
 		c.awaitStatus(4*time.Second, "a", "job-3", "done")
+		// The start that was held back arrives.
 		time.Sleep(2 * time.Minute)
 		if c.network.ReleaseHeld() == 0 {
 			t.Fatal("no start was held back")
@@ -109,7 +110,7 @@
 					c.testCluster.mu.Lock()
 					c.inCloudList = false
 					c.testCluster.mu.Unlock()
-					time.Sleep(10 * time.Second)
+					time.Sleep(settleTime)
 					leader := c.awaitLeader()
 					other := otherNode(leader.name)
 					writes := 0
@@ -127,6 +128,7 @@
 						}
 						return fake.Deliver
 					})
+					// New machines get work while writes of the leader get no response.
 					for i := range 4 {
 						c.startWorker(fmt.Sprintf("m%d", i+1), zones[i%2])
 					}
@@ -134,6 +136,7 @@
 						c.submitJob(other, newJob(fmt.Sprintf("job-%d", i+1), "array", 1).with("cores", 2))
 					}
 					c.passTime(1500 * time.Millisecond)
+					// The leader restarts.
 					leader.kill()
 					c.passTime(time.Second)
 					c.startNode(leader.name)
--- a/internal/scenarios/dependencies_cancellation_test.go
+++ b/internal/scenarios/dependencies_cancellation_test.go
@@ -119,7 +119,7 @@
 		c.startNode("a")
 		c.startNode("b")
 		c.startWorker("m1", "north")
-		time.Sleep(10 * time.Second)
+		time.Sleep(settleTime)
 		c.submit("a", newJob("job-1", "array", 1))
 		c.submit("a", newJob("job-2", "array", 1).dependingOn("job-1"))
 		c.submit("b", newJob("job-3", "array", 1).dependingOn("job-1"))
@@ -150,7 +150,7 @@
 			c.startNode("a")
 			c.startNode("b")
 			c.startWorker("m1", "north")
-			time.Sleep(10 * time.Second)
+			time.Sleep(settleTime)
 			c.setRandomLatency(random)
 			for round := range 5 {
 				first := fmt.Sprintf("job-%d00", round+1)
--- a/internal/scenarios/dependencies_test.go
+++ b/internal/scenarios/dependencies_test.go
@@ -84,7 +84,7 @@
 		c.startNode("a")
 		c.startNode("b")
 		c.startWorker("m1", "north")
-		time.Sleep(10 * time.Second)
+		time.Sleep(settleTime)
 		c.submit("a", newJob("job-1", "array", 1))
 		c.submit("b", newJob("job-2", "array", 1).dependingOn("job-1"))
 		c.awaitRunning(5*time.Second, "job-1", 1)
@@ -115,7 +115,7 @@
 	scenario(t, func(t *testing.T, c *testCluster) {
 		c.startNode("a")
 		c.startNode("b")
-		time.Sleep(10 * time.Second)
+		time.Sleep(settleTime)
 		c.submit("a", newJob("job-1", "array", 1))
 		c.submit("a", newJob("job-2", "standing", 1))
 		n := 10
@@ -158,7 +158,7 @@
 		c.startNode("b")
 		c.startWorker("m1", "north")
 		c.startWorker("m2", "north")
-		time.Sleep(10 * time.Second)
+		time.Sleep(settleTime)
 		c.submit("a", newJob("job-1", "array", 1))
 		for i := range 30 {
 			job := newJob(fmt.Sprintf("job-%d", 100+i), "array", 8)
--- a/internal/scenarios/gang_test.go
+++ b/internal/scenarios/gang_test.go
@@ -13,9 +13,7 @@
 	scenario(t, func(t *testing.T, c *testCluster) {
 		c.startNode("a")
 		c.startWorkers("north", "south")
-		job := newJob("job-9", "gang", 2)
-		job["cores"] = 3
-		c.submit("a", job)
+		c.submit("a", newJob("job-9", "gang", 2).with("cores", 3))
 		c.eventually(3*time.Second, "both tasks are on machines", func() bool {
 			return c.isRunning("job-9/0") && c.isRunning("job-9/1")
 		})
@@ -45,9 +43,7 @@
 		scenario(t, func(t *testing.T, c *testCluster) {
 			c.startNode("a")
 			c.startWorkers("north", "south")
-			job := newJob("job-10", "gang", 2)
-			job["cores"] = 3
-			c.submit("a", job)
+			c.submit("a", newJob("job-10", "gang", 2).with("cores", 3))
 			c.eventually(3*time.Second, "both tasks are on machines", func() bool {
 				return c.isRunning("job-10/0") && c.isRunning("job-10/1")
 			})
--- a/internal/scenarios/job_status_test.go
+++ b/internal/scenarios/job_status_test.go
@@ -153,7 +153,7 @@
 	scenario(t, func(t *testing.T, c *testCluster) {
 		a, b := c.startNode("a"), c.startNode("b")
 		m1 := c.startWorker("m1", "north")
-		time.Sleep(10 * time.Second)
+		time.Sleep(settleTime)
 		c.submit("a", newJob("job-1", "array", 1))
 		c.submit("b", newJob("job-2", "standing", 1))
 		c.submit("b", newJob("job-3", "array", 9)) // more than the team's quota
@@ -208,7 +208,7 @@
 		c.startNode("a")
 		c.startNode("b")
 		c.startWorker("m1", "north")
-		time.Sleep(10 * time.Second)
+		time.Sleep(settleTime)
 		c.submit("a", newJob("job-1", "array", 1))
 		c.submit("b", newJob("job-2", "array", 1))
 		c.call("b", "POST", "/v2/runs/job-2/cancel", nil)
@@ -316,7 +316,7 @@
 			c.startWorker("m1", "north")
 			c.startWorker("m2", "south")
 			c.startWorker("m3", "south")
-			time.Sleep(10 * time.Second)
+			time.Sleep(settleTime)
 			c.setRandomLatency(random)
 			done := make(chan struct{})
 			var users, completions sync.WaitGroup
--- a/internal/scenarios/leadership_test.go
+++ b/internal/scenarios/leadership_test.go
@@ -68,11 +68,13 @@
 		time.Sleep(8 * time.Second)
 		c.submit("a", newJob("job-5", "array", 1))
 		c.awaitTask(3*time.Second, "job-5/0")
+		// The machine falls silent and the leader crashes.
 		c.workerNamed("m1").SetSilent(true)
 		b := c.startNode("b")
 		a.kill()
 		c.awaitLeadership(10*time.Second, b)
 		failoverAt := time.Now()
+		// The former leader's node is back, and confirms that it leads no more.
 		c.startNode("a")
 		c.startWorker("m2", "south")
 		c.eventually(35*time.Second, "it runs on m2", func() bool {
@@ -92,7 +94,7 @@
 	scenario(t, func(t *testing.T, c *testCluster) {
 		a := c.startNode("a")
 		c.startWorker("m1", "north")
-		time.Sleep(10 * time.Second)
+		time.Sleep(settleTime)
 		c.submit("a", newJob("job-15", "standing", 1))
 		c.awaitTask(3*time.Second, "job-15/0")
 		a.kill()
@@ -126,10 +128,7 @@
 		c.eventually(12*time.Second, "heard", func() bool {
 			return knownMachines(a) == 1 || knownMachines(b) == 1
 		})
-		leader, successor := a, b
-		if a.elector.Cluster() == nil {
-			leader, successor = b, a
-		}
+		leader, successor := leaderFirst(a, b)
 		successor.elector.ReceiveHints(leader.elector.Cluster().Hints(successor.elector.HintPosition()))
 		c.workerNamed("m1").SetSilent(true) // so that only a probe can find it
 		leader.kill()
@@ -145,6 +144,7 @@
 	scenario(t, func(t *testing.T, c *testCluster) {
 		c.inCloudList = true
 		c.startPair()
+		// The leader stalls: a start, then everything else is held back.
 		stalled := c.leader()
 		successor := otherNode(stalled.name)
 		c.network.SetRule(func(from, _ string, _ *http.Request, body []byte) fake.Outcome {
@@ -162,13 +162,13 @@
 			return fake.Deliver
 		}
 		c.network.SetRule(holdBackAll)
-		c.eventually(8*time.Second, "a successor", func() bool {
-			return c.nodes[successor].elector.Cluster() != nil
-		})
+		// A successor takes over and works.
+		c.awaitLeadership(8*time.Second, c.nodes[successor])
 		c.awaitTask(30*time.Second, "job-1/0")
 		c.submit(successor, newJob("job-2", "array", 3))
 		c.awaitRunning(5*time.Second, "job-2", 3)
 		time.Sleep(12 * time.Second)
+		// What was held back arrives.
 		c.network.SetRule(nil)
 		if c.network.ReleaseHeld() == 0 {
 			t.Fatal("nothing was held back")
@@ -209,10 +209,12 @@
 		c.submit("b", newJob("job-2", "array", 1))
 		c.awaitLeadership(15*time.Second, b)
 		c.awaitTask(60*time.Second, "job-2/0")
+		// The writes of the former leader arrive.
 		if n := c.network.ReleaseHeld(); n > 0 {
-			t.Logf("%d late transactions delivered", n)
+			t.Logf("%d delayed transactions delivered", n)
 		}
 		c.consistently(20*time.Second, "the task goes on undisturbed", func() bool { return c.isRunning("job-2/0") })
+		// The network heals.
 		c.network.SetRule(nil)
 		c.awaitStepDown(10*time.Second, a)
 		if n := c.workerNamed("m1").StartCount("job-2/0"); n != 1 {
--- a/internal/scenarios/partition_test.go
+++ b/internal/scenarios/partition_test.go
@@ -21,6 +21,7 @@
 			c.startPair()
 			c.submit("a", newJob("job-1", "standing", 4))
 			c.awaitRunning(4*time.Second, "job-1", 4)
+			// The leader is isolated for a minute and a half.
 			isolated := c.leader()
 			successor := otherNode(isolated.name)
 			generation := isolated.elector.Cluster().Generation()
@@ -30,6 +31,7 @@
 				}
 				return fake.Deliver
 			})
+			// The other node takes over and accepts work.
 			c.awaitLeadership(4*time.Second, c.nodes[successor])
 			c.eventually(4*time.Second, "it accepts a job", func() bool {
 				code, _ := c.call(successor, "POST", "/v2/runs", newJob("job-2", "array", 2))
@@ -39,6 +41,7 @@
 			c.consistently(70*time.Second, "all tasks go on", func() bool {
 				return c.allRunning("job-1", 4) && c.allRunning("job-2", 2)
 			})
+			// The network heals: the former leader follows.
 			c.network.SetRule(nil)
 			c.network.ReleaseHeld()
 			c.awaitStepDown(3*time.Second, isolated)
@@ -69,13 +72,12 @@
 		for _, machine := range []string{"s1", "s2"} {
 			c.startWorker(machine, "south")
 		}
-		time.Sleep(10 * time.Second)
-		spread := newJob("job-1", "standing", 4)
-		spread["spread"], spread["urgency"] = true, "critical"
-		c.submit("a", spread)
+		time.Sleep(settleTime)
+		c.submit("a", newJob("job-1", "standing", 4).with("spread", true, "urgency", "critical"))
 		c.awaitRunning(5*time.Second, "job-1", 4)
 		c.submit("b", newJob("job-2", "array", 4))
 		c.awaitRunning(5*time.Second, "job-2", 4)
+		// The south is partitioned, and the leader restarts meanwhile.
 		var north []string
 		for _, worker := range c.workers[:2] {
 			north = append(north, worker.ActiveTasks()...)
@@ -95,6 +97,7 @@
 		leader.kill()
 		time.Sleep(4 * time.Second)
 		c.startNode(leader.name)
+		// Beyond the lease of the workers in the south.
 		c.consistently(32*time.Second, "work in the other zone goes on", func() bool {
 			for _, task := range north {
 				if c.isAbsent(task) {
@@ -103,13 +106,14 @@
 			}
 			return true
 		})
+		// The network heals, and all that was held back arrives.
 		c.network.SetRule(nil)
 		if c.network.ReleaseHeld() < 10 {
 			t.Fatal("nothing was held back")
 		}
 		c.awaitRunning(30*time.Second, "job-1", 4)
 		for _, job := range []string{"job-2", "job-3"} {
-			c.eventually(90*time.Second, job+" runs", func() bool {
+			c.eventually(90*time.Second, job+" is done", func() bool {
 				for _, worker := range c.workers {
 					for _, task := range worker.ActiveTasks() {
 						if !strings.HasPrefix(task, "job-1/") {
@@ -147,6 +151,7 @@
 				return fake.Deliver
 			})
 		}
+		// The leader is partitioned from the state service: the other node takes over.
 		first := c.leader()
 		partition(first.name, "state")
 		successor := otherNode(first.name)
@@ -157,6 +162,7 @@
 		c.network.SetRule(nil)
 		c.network.ReleaseHeld()
 		time.Sleep(5 * time.Second)
+		// The new leader is partitioned from the workers: it steps down.
 		second := c.leader()
 		partition(second.name, "m1", "m2")
 		c.consistently(35*time.Second, "replicas go on, since the leader that hears no worker steps down", func() bool {
@@ -186,13 +192,11 @@
 		c.eventually(10*time.Second, "a leader", func() bool {
 			return a.elector.Cluster() != nil || b.elector.Cluster() != nil
 		})
-		leader, successor := a, b
-		if a.elector.Cluster() == nil {
-			leader, successor = b, a
-		}
-		time.Sleep(10 * time.Second)
+		leader, successor := leaderFirst(a, b)
+		time.Sleep(settleTime)
 		c.submit("a", newJob("job-19", "standing", 4))
 		c.awaitTask(3*time.Second, "job-19/3")
+		// The leader is partitioned from all workers.
 		c.network.SetRule(func(from, to string, r *http.Request, body []byte) fake.Outcome {
 			if strings.HasPrefix(from, "m") && to == leader.name+":8080" || from == leader.name && strings.HasPrefix(to, "m") {
 				return fake.Drop
@@ -225,7 +229,7 @@
 func TestTaskOfWorkerPartitionedDuringFailoverIsRescheduledAfterLeaseExpiry(t *testing.T) {
 	t.Parallel()
 	scenario(t, func(t *testing.T, c *testCluster) {
-		a := c.startNode("a")
+		c.startNode("a")
 		m1 := c.startWorker("m1", "north")
 		time.Sleep(8 * time.Second)
 		c.submit("a", newJob("job-4", "array", 1))
@@ -253,7 +257,6 @@
 		if len(m1.ActiveTasks()) != 0 {
 			t.Fatal("the task is still on m1")
 		}
-		_ = a
 	})
 }
 
@@ -273,12 +276,14 @@
 			}
 			return fake.Deliver
 		})
+		// The leader finds m1 by a probe, and starts a task there directly.
 		c.startWorker("m1", "north")
 		c.eventually(5*time.Second, "the leader found m1", func() bool {
 			return c.leader().elector.Cluster().Summary()["heard"] == 1
 		})
 		c.submit("a", newJob("job-1", "array", 1))
 		c.awaitTask(3*time.Second, "job-1/0")
+		// Without answered heartbeats the lease of m1 expires.
 		c.startWorker("m2", "north")
 		c.consistently(12*time.Second, "it runs on m1 only until the worker's lease expires", func() bool {
 			return c.isRunning("job-1/0") && c.workerNamed("m2").StartCount("job-1/0") == 0
@@ -305,6 +310,7 @@
 						return c.allRunning("job-1", 4) && c.allRunning("job-2", 4)
 					})
 					c.passTime(5 * time.Second)
+					// The machines are partitioned, and the leader restarts.
 					leader := c.awaitLeader()
 					other := otherNode(leader.name)
 					c.partition(kind, machines...)
@@ -312,10 +318,12 @@
 					leader.kill()
 					c.passTime(2 * time.Second)
 					c.startNode(leader.name)
+					// A third job waits for quota, and the second one is cancelled.
 					c.submitJob(other, newJob("job-3", "array", 4))
 					c.passTime(2 * time.Second)
 					c.cancelJob(other, "job-2")
 					c.passTime(cancelLimit + 5*time.Second)
+					// The network heals after the leases and the cancellation limit.
 					c.heal()
 					c.passTime(5 * time.Second)
 					c.completeJobs("job-1", "job-3")
--- a/internal/scenarios/restart_test.go
+++ b/internal/scenarios/restart_test.go
@@ -26,8 +26,10 @@
 			c.awaitAnyLeader(10 * time.Second)
 			time.Sleep(6 * time.Second)
 		}
+		// The leader restarts.
 		restart(c.leader())
 		awaitStableLeader()
+		// The leader crashes, and the candidate restarts in the middle of its failover.
 		leader := c.leader()
 		leader.kill()
 		// The other node takes over once the leader's lease has expired, and crashes right then.
@@ -36,6 +38,7 @@
 		time.Sleep(100 * time.Millisecond)
 		c.startNode(leader.name)
 		awaitStableLeader()
+		// Both controllers restart.
 		for _, n := range []*testNode{c.nodes["a"], c.nodes["b"]} {
 			n.kill()
 		}
@@ -64,7 +67,8 @@
 		c.startNode("b")
 		m1 := c.startWorker("m1", "north")
 		c.startWorker("m2", "south")
-		time.Sleep(10 * time.Second)
+		time.Sleep(settleTime)
+		// Copies of all heartbeats and of the users' requests are held back.
 		c.network.SetRule(func(from, _ string, r *http.Request, _ []byte) fake.Outcome {
 			if r.Method == "POST" && (from == "user" || isHeartbeat(r)) {
 				return fake.Duplicate
@@ -100,6 +104,7 @@
 			c.startNode("a")
 			c.startNode("b")
 		}
+		// Both controllers restart, twice, and hear the copies during the election.
 		restartBoth()
 		time.Sleep(300 * time.Millisecond)
 		restartBoth() // in the middle of the election
@@ -133,10 +138,11 @@
 	scenario(t, func(t *testing.T, c *testCluster) {
 		a, b := c.startNode("a"), c.startNode("b")
 		c.startWorker("m1", "north")
-		time.Sleep(10 * time.Second)
+		time.Sleep(settleTime)
 		c.submit("a", newJob("job-6", "standing", 1))
 		c.submit("a", newJob("job-7", "array", 1))
 		c.eventually(3*time.Second, "both run", func() bool { return c.isRunning("job-6/0") && c.isRunning("job-7/0") })
+		// The state service is down for 14 s, and both controllers restart meanwhile.
 		c.store.SetDown(true)
 		time.Sleep(8 * time.Second)
 		a.kill()
@@ -149,6 +155,7 @@
 		}
 		c.workerNamed("m1").EndTask("job-7/0", "done")
 		time.Sleep(2 * time.Second)
+		// The state service is back.
 		c.store.SetDown(false)
 		c.awaitStatus(12*time.Second, "a", "job-7", "done")
 		c.consistently(10*time.Second, "the replica went on", func() bool { return c.isRunning("job-6/0") })
@@ -165,10 +172,11 @@
 	scenario(t, func(t *testing.T, c *testCluster) {
 		c.startNode("a")
 		m1 := c.startWorker("m1", "north")
-		time.Sleep(10 * time.Second)
+		time.Sleep(settleTime)
 		c.submit("a", newJob("job-1", "array", 1))
 		c.awaitTask(4*time.Second, "job-1/0")
 		time.Sleep(5 * time.Second)
+		// The machine restarts within a fraction of a second.
 		m1.SetSilent(true)
 		m1.EndTask("job-1/0", "error") // it was lost with the machine
 		c.workers = nil
--- a/internal/scenarios/scheduling_test.go
+++ b/internal/scenarios/scheduling_test.go
@@ -18,7 +18,7 @@
 	scenario(t, func(t *testing.T, c *testCluster) {
 		c.startNode("a")
 		c.startWorker("m1", "north")
-		time.Sleep(10 * time.Second)
+		time.Sleep(settleTime)
 		job := newJob("job-12", "array", 2) // the team's quota is 8 cores
 		job["cores"] = 4
 		c.submit("a", job)
@@ -46,10 +46,8 @@
 		c.startNode("a")
 		c.startWorker("m1", "north")
 		c.startWorker("m2", "north")
-		time.Sleep(10 * time.Second)
-		job := newJob("job-16", "standing", 2)
-		job["spread"] = true
-		c.submit("a", job)
+		time.Sleep(settleTime)
+		c.submit("a", newJob("job-16", "standing", 2).with("spread", true))
 		c.consistently(10*time.Second, "only one replica in the only zone with machines", func() bool {
 			return len(c.machinesRunning("job-16/0"))+len(c.machinesRunning("job-16/1")) <= 1
 		})
@@ -68,7 +66,7 @@
 		c.startNode("a")
 		c.startWorker("m1", "north")
 		c.startWorker("m2", "north")
-		time.Sleep(10 * time.Second)
+		time.Sleep(settleTime)
 		job := newJob("job-17", "standing", 1)
 		c.submit("a", job)
 		c.awaitTask(3*time.Second, "job-17/0")
@@ -107,9 +105,7 @@
 				t.Parallel()
 				faultScenario(t, func(t *testing.T, c *faultCluster) {
 					c.startWorkers("north", "north", "south", "south")
-					job := newJob("job-1", shape, 4).with("cores", 2)
-					job["yard"] = "north"
-					c.submitJob("a", job)
+					c.submitJob("a", newJob("job-1", shape, 4).with("cores", 2).with("yard", "north"))
 					c.awaitRunning(6*time.Second, "job-1", 4)
 					c.passTime(4 * time.Second)
 					c.partition(kind, "m1")
@@ -215,9 +211,7 @@
 								return fake.Deliver
 							})
 							for i, lower := range []string{"low", "normal"} {
-								job := newJob(fmt.Sprintf("job-%d", i+1), "array", 12)
-								job["urgency"] = lower
-								c.submitJob("a", job)
+								c.submitJob("a", newJob(fmt.Sprintf("job-%d", i+1), "array", 12).with("urgency", lower))
 							}
 							c.passTime(submitDelay)
 							urgent := newJob("job-3", shape, 4).with("cores", 2)
--- a/internal/scenarios/stale_heartbeats_test.go
+++ b/internal/scenarios/stale_heartbeats_test.go
@@ -16,7 +16,8 @@
 			c.startNode("a")
 			m1 := c.startWorker("m1", "north")
 			c.startWorker("m2", "south")
-			time.Sleep(10 * time.Second)
+			time.Sleep(settleTime)
+			// Copies of heartbeats with job-1 running are held back.
 			c.duplicateHeartbeats("m1")
 			c.submit("a", newJob("job-1", "array", 8))
 			c.eventually(4*time.Second, "all run", func() bool { return len(m1.ActiveTasks()) == 4 })
@@ -28,9 +29,11 @@
 			}
 			c.awaitStatus(6*time.Second, "a", "job-1", "done")
 			time.Sleep(6 * time.Second) // its outcome is stored and the task cleared
+			// The replicas of job-2 run in place of job-1.
 			c.network.SetRule(nil)
 			c.submit("a", newJob("job-2", "standing", 8))
 			c.eventually(4*time.Second, "the replicas run", func() bool { return len(m1.ActiveTasks()) == 4 })
+			// The copies arrive.
 			time.Sleep(delay)
 			if c.network.ReleaseHeld() < 3 {
 				t.Fatal("no duplicates were held back")
@@ -62,11 +65,13 @@
 	scenario(t, func(t *testing.T, c *testCluster) {
 		a := c.startNode("a")
 		m1 := c.startWorker("m1", "north")
-		time.Sleep(10 * time.Second)
+		time.Sleep(settleTime)
+		// Copies of heartbeats with job-1 running are held back.
 		c.duplicateHeartbeats("m1")
 		c.submit("a", newJob("job-1", "array", 1))
 		c.awaitTask(4*time.Second, "job-1/0")
 		time.Sleep(7 * time.Second) // three heartbeats
+		// Job-1 completes, and job-2 runs on the same machine.
 		c.network.SetRule(nil)
 		m1.EndTask("job-1/0", "done")
 		c.awaitStatus(6*time.Second, "a", "job-1", "done")
@@ -74,6 +79,7 @@
 		c.submit("a", newJob("job-2", "array", 1))
 		c.awaitTask(4*time.Second, "job-2/0")
 		time.Sleep(5 * time.Second)
+		// The leader restarts and hears the copies first.
 		m1.SetSilent(true)
 		a.kill()
 		time.Sleep(200 * time.Millisecond)
@@ -84,6 +90,7 @@
 		}
 		c.startWorker("m2", "south")
 		time.Sleep(4 * time.Second)
+		// The machine is heard from again.
 		m1.SetSilent(false)
 		c.consistently(30*time.Second, "job-2 goes on on m1", func() bool {
 			return c.isRunning("job-2/0") && c.machinesRunning("job-2/0")[0] == "m1"
@@ -109,11 +116,12 @@
 				t.Parallel()
 				faultScenario(t, func(t *testing.T, c *faultCluster) {
 					m1 := c.startWorker("m1", "north")
-					time.Sleep(10 * time.Second)
+					time.Sleep(settleTime)
 					empty := c.lastHeartbeat("m1")
 					c.submitJob("a", newJob("job-1", "array", 3))
 					c.awaitRunning(5*time.Second, "job-1", 3)
 					c.passTime(5 * time.Second)
+					// A heartbeat becomes stale.
 					stale := c.lastHeartbeat("m1")
 					switch content {
 					case "shows no tasks":
@@ -134,6 +142,7 @@
 						c.completeTask("job-1/0")
 					}
 					c.passTime(8 * time.Second)
+					// The leader crashes, and the machine may be partitioned: the stale heartbeat arrives first.
 					leader := c.awaitLeader()
 					leader.kill()
 					if kind != noPartition {
@@ -144,6 +153,7 @@
 					}
 					c.awaitLeader()
 					c.deliverToControllers(stale)
+					// It arrives again while both nodes are up, and once more when the network has healed.
 					c.startNode(leader.name)
 					c.passTime(3 * time.Second)
 					c.deliverToControllers(stale)
@@ -182,6 +192,7 @@
 					}
 					c.eventually(5*time.Second, "both tasks are on machines", bothWaiting)
 					c.passTime(5 * time.Second)
+					// A task of the gang ends, which a heartbeat shows, and is replaced under the same attempt.
 					machine := c.workerNamed(c.machinesRunning("job-1/0")[0])
 					machine.EndTask("job-1/0", "no_room")
 					c.passTime(100 * time.Millisecond)
@@ -208,6 +219,7 @@
 						t.Fatalf("not replaced there under the same attempt: %v on %v", machine.Starts, c.machinesRunning("job-1/0"))
 					}
 					c.passTime(3 * time.Second)
+					// The leader crashes, and its successor hears the stale heartbeat first.
 					leader := c.awaitLeader()
 					leader.kill()
 					c.startWorker("m3", "south")
--- a/internal/scenarios/transactions_test.go
+++ b/internal/scenarios/transactions_test.go
@@ -143,7 +143,7 @@
 	scenario(t, func(t *testing.T, c *testCluster) {
 		c.startNode("a")
 		c.startWorker("m1", "north")
-		time.Sleep(10 * time.Second)
+		time.Sleep(settleTime)
 		lost := 0
 		c.network.SetRule(func(from, to string, r *http.Request, body []byte) fake.Outcome {
 			if isAssignment(r, body) && lost < 2 {
@@ -189,7 +189,7 @@
 		c.startNode("a")
 		c.startNode("b")
 		m1, m2 := c.startWorker("m1", "north"), c.startWorker("m2", "south")
-		time.Sleep(10 * time.Second)
+		time.Sleep(settleTime)
 		c.eventually(100*time.Second, "all are accepted", func() bool {
 			count := 0
 			for i := range jobs {
