--- a/internal/scenarios/drain_budget_test.go
+++ b/internal/scenarios/drain_budget_test.go
@@ -22,7 +22,7 @@
 		c.startService("job-1", 6)
 		c.startRollout(newRollout("spring"))
 		c.awaitState("spring", rollout.Ended, 6*time.Minute)
-		c.eventually(30*time.Second, "all replicas are up", func() bool { return c.runningCount("job-1") == 6 })
+		c.awaitTaskCount(30*time.Second, "job-1", 6)
 		if left := c.machinesIn("north"); len(left) > 0 {
 			t.Errorf("%v still run", left)
 		}
@@ -71,7 +71,7 @@
 		})
 		c.execute("spring", rollout.CommandAbort)
 		c.awaitState("spring", rollout.Ended, time.Minute)
-		c.eventually(time.Minute, "the machine is uncordoned", func() bool { return c.cordonedCount() == 0 })
+		c.awaitNoneCordoned(time.Minute)
 	})
 }
 
@@ -133,7 +133,7 @@
 		c.sleep(time.Minute) // work of low urgency that has waited long goes before later submissions
 		c.startRollout(newRollout("spring"))
 		c.awaitState("spring", rollout.Ended, 6*time.Minute)
-		c.eventually(time.Minute, "all replicas are up", func() bool { return c.runningCount("job-1") == 6 })
+		c.awaitTaskCount(time.Minute, "job-1", 6)
 	})
 }
 
@@ -141,27 +141,28 @@
 // stopped, the reason is reported, and an abort uncordons the machines.
 func TestBlockedDrainWaitsAndReportsReason(t *testing.T) {
 	t.Parallel()
-	for _, c := range []struct {
-		name, features, why string
-		budget              teamBudget
-		replicas            int
-		changes             []any
-		surge, everything   bool
-		room                int
+	for _, test := range []struct {
+		name, features     string
+		reason             string // part of what is reported
+		budget             teamBudget
+		replicas           int
+		changes            []any // of the service's fields
+		surge, allMachines bool
+		capacity           int
 	}{
-		{name: "a budget of zero", features: `drains { default_budget { replicas_down: 0 } }`, why: "of at most 0", replicas: 4, room: 40},
-		{name: "one replica", why: "last replica of job-1", budget: teamBudget{1, 2}, replicas: 1, everything: true, room: 40},
-		{name: "a zone that is given up", why: "no other place that its job allows", budget: teamBudget{1, 2}, replicas: 2, changes: []any{"spread", true}, room: 40},
-		{name: "no room anywhere", why: "has no room elsewhere", budget: teamBudget{1, 2}, replicas: 4, changes: []any{"cores", 2, "ramGb", 8}, surge: true, everything: true, room: 4},
+		{name: "a budget of zero", features: `drains { default_budget { replicas_down: 0 } }`, reason: "of at most 0", replicas: 4, capacity: 40},
+		{name: "one replica", reason: "last replica of job-1", budget: teamBudget{1, 2}, replicas: 1, allMachines: true, capacity: 40},
+		{name: "replicas spread over zones", reason: "no other place that its job allows", budget: teamBudget{1, 2}, replicas: 2, changes: []any{"spread", true}, capacity: 40},
+		{name: "no room anywhere", reason: "has no room elsewhere", budget: teamBudget{1, 2}, replicas: 4, changes: []any{"cores", 2, "ramGb", 8}, surge: true, allMachines: true, capacity: 4},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
-			blocked := c
-			drainScenario(t, 2, drainOptions{capacity: blocked.room, features: blocked.features, budget: map[string]teamBudget{"red": blocked.budget}}, func(t *testing.T, c *drainCluster) {
-				c.startService("job-1", blocked.replicas, blocked.changes...)
+			options := drainOptions{capacity: test.capacity, features: test.features, budget: map[string]teamBudget{"red": test.budget}}
+			drainScenario(t, 2, options, func(t *testing.T, c *drainCluster) {
+				c.startService("job-1", test.replicas, test.changes...)
 				spec := newRollout("spring")
-				spec.Surge, spec.WaveSize = blocked.surge, 4
-				if blocked.everything {
+				spec.Surge, spec.WaveSize = test.surge, 4
+				if test.allMachines {
 					spec.Select = rollout.Selection{Older: true}
 				}
 				preview, err := c.follower().rollouts.Plan(c.ctx, spec)
@@ -169,13 +170,13 @@
 					t.Fatal(preview, err)
 				}
 				c.startRollout(spec)
-				c.awaitBlocker(blocked.why)
+				c.awaitBlocker(test.reason)
 				c.consistently(3*time.Minute, "nothing is stopped", func() bool {
-					return c.disruption.evictionsOf("job-1") == 0 && c.runningCount("job-1") == blocked.replicas
+					return c.disruption.evictionsOf("job-1") == 0 && c.runningCount("job-1") == test.replicas
 				})
 				c.execute("spring", rollout.CommandAbort)
 				c.awaitState("spring", rollout.Ended, time.Minute)
-				c.eventually(time.Minute, "no machine stays cordoned", func() bool { return c.cordonedCount() == 0 })
+				c.awaitNoneCordoned(time.Minute)
 			})
 		})
 	}
@@ -188,8 +189,8 @@
 	t.Parallel()
 	drainScenario(t, 4, drainOptions{capacity: 60}, func(t *testing.T, c *drainCluster) {
 		c.submitToAny(0, newJob("job-1", "array", 4).with("urgency", "low"))
-		c.submitToAny(0, newJob("job-2", "array", 2).with("bookmarkS", 10).with("stashS", 1))
-		c.submitToAny(0, newJob("job-3", "gang", 2).with("bookmarkS", 10).with("stashS", 1))
+		c.submitToAny(0, newJob("job-2", "array", 2).with("bookmarkS", 10, "stashS", 1))
+		c.submitToAny(0, newJob("job-3", "gang", 2).with("bookmarkS", 10, "stashS", 1))
 		c.eventually(time.Minute, "all run", func() bool {
 			return c.runningCount("job-1") == 4 && c.runningCount("job-2") == 2 && c.runningCount("job-3") == 2
 		})
@@ -225,7 +226,7 @@
 			t.Parallel()
 			drainScenario(t, 1, drainOptions{capacity: 10}, func(t *testing.T, c *drainCluster) {
 				c.submitToAny(0, newJob("job-1", "array", 2).with("yard", "north"))
-				c.eventually(time.Minute, "it runs", func() bool { return c.runningCount("job-1") == 2 })
+				c.awaitTaskCount(time.Minute, "job-1", 2)
 				spec := newRollout("spring", c.machinesIn("north")...)
 				spec.AtDeadline, spec.Deadline = choice, 30
 				c.startRollout(spec)
--- a/internal/scenarios/drain_commands_test.go
+++ b/internal/scenarios/drain_commands_test.go
@@ -108,8 +108,8 @@
 				prepare(c)
 				c.execute("spring", rollout.CommandAbort)
 				c.awaitState("spring", rollout.Ended, 3*time.Minute)
-				c.eventually(time.Minute, "no machine stays cordoned", func() bool { return c.cordonedCount() == 0 })
-				c.eventually(2*time.Minute, "all replicas are up", func() bool { return c.runningCount("job-1") == 6 })
+				c.awaitNoneCordoned(time.Minute)
+				c.awaitTaskCount(2*time.Minute, "job-1", 6)
 				c.execute("spring", rollout.CommandAbort)
 				if _, err := c.follower().rollouts.Execute(c.ctx, "spring", rollout.CommandResume); !errors.Is(err, rollout.ErrInvalidTransition) {
 					t.Errorf("a rollout that ended is resumed: %v", err)
--- a/internal/scenarios/drain_failover_test.go
+++ b/internal/scenarios/drain_failover_test.go
@@ -54,14 +54,16 @@
 	}},
 }
 
-// moment tells, from what the store carries out and the workers do, when a leader is to fail.
+// leaderStep is a step of a drain at which the leader is to fail, told by a change in the state
+// service or by a task event.
 type leaderStep struct {
 	name     string
 	onChange func(key string, value json.RawMessage) bool
 	onEvent  func(event fake.Event, drained bool) bool
 }
 
-// leaderSteps are those between permit and stop, stop and start, start and the permit's return.
+// leaderSteps are the steps between an eviction's permit, the stop, the new start and the return of
+// the permit, and those of a wave.
 var leaderSteps = []leaderStep{
 	{name: "the permit is stored", onChange: func(key string, value json.RawMessage) bool {
 		return strings.HasPrefix(key, "job/") && strings.Contains(string(value), `"evictions"`)
@@ -76,7 +78,7 @@
 	}},
 }
 
-// notify tells a listener, unless it has not looked since the last time.
+// notify signals a listener, unless its last signal is still pending.
 func notify(listener chan struct{}) {
 	select {
 	case listener <- struct{}{}:
@@ -84,56 +86,67 @@
 	}
 }
 
-// failLeaderAt has the leader fail at a moment, the first few times that it comes.
+// failLeaderAt has the leader fail at a step, the first few times that it comes.
 func (c *drainCluster) failLeaderAt(step leaderStep, times int, fail func(c *drainCluster, leader string)) {
-	signal := make(chan struct{}, 1)
-	drained := map[string]bool{}
+	reached := c.signalStep(step)
+	go func() {
+		for range times {
+			select {
+			case <-reached:
+			case <-c.ctx.Done():
+				return
+			}
+			if leader := c.leader(); leader != nil {
+				fail(c, leader.name)
+			}
+			c.recoverFromFailure()
+			for len(reached) > 0 {
+				<-reached
+			}
+		}
+	}()
+}
+
+// signalStep returns a channel that is signalled each time a step is reached.
+func (c *drainCluster) signalStep(step leaderStep) chan struct{} {
+	reached := make(chan struct{}, 1)
 	if step.onChange != nil {
 		c.store.NotifyChanges(func(key string, value json.RawMessage) {
 			if step.onChange(key, value) {
-				notify(signal)
+				notify(reached)
 			}
 		})
 	}
 	if step.onEvent != nil {
+		drained := map[string]bool{}
 		c.listenerMu.Lock()
 		defer c.listenerMu.Unlock()
 		c.listener = func(event fake.Event) {
 			if step.onEvent(event, drained[event.Task]) {
-				notify(signal)
+				notify(reached)
 			}
 			drained[event.Task] = !event.Start && event.Cause == "stopped"
 		}
 	}
-	go func() {
-		for range times {
-			select {
-			case <-signal:
-			case <-c.ctx.Done():
-				return
-			}
-			if leader := c.leader(); leader != nil {
-				fail(c, leader.name)
-			}
-			for range 30 { // another leader takes over before the next failure
-				if c.ctx.Err() != nil || c.leader() != nil {
-					break
-				}
-				c.sleep(time.Second)
-			}
-			for _, name := range fiveNodeNames {
-				c.mu.Lock()
-				missing := c.nodes[name] == nil
-				c.mu.Unlock()
-				if missing && c.ctx.Err() == nil {
-					c.startNode(name)
-				}
-			}
-			for len(signal) > 0 {
-				<-signal
-			}
+	return reached
+}
+
+// recoverFromFailure waits up to 30 s for a leader, and starts the nodes that are down.
+func (c *drainCluster) recoverFromFailure() {
+	for range 30 {
+		if c.ctx.Err() != nil || c.leader() != nil {
+			break
 		}
-	}()
+		c.sleep(time.Second)
+	}
+	for _, name := range fiveNodeNames {
+		c.mu.Lock()
+		missing := c.nodes[name] == nil
+		c.mu.Unlock()
+		if missing && c.ctx.Err() == nil {
+			c.startNode(name)
+		}
+	}
 }
 
 // TestLeaderFailureDuringDrainStepRepeatsNoEviction has the leader fail in each way at each step
@@ -149,8 +162,8 @@
 					c.failLeaderAt(step, 3, failure.fail)
 					c.startRollout(newRollout("spring"))
 					c.awaitState("spring", rollout.Ended, 15*time.Minute)
-					c.eventually(2*time.Minute, "all replicas are up", func() bool { return c.runningCount("job-1") == 6 })
-					c.eventually(time.Minute, "no machine stays cordoned", func() bool { return c.cordonedCount() == 0 })
+					c.awaitTaskCount(2*time.Minute, "job-1", 6)
+					c.awaitNoneCordoned(time.Minute)
 					if n := c.disruption.evictionsOf("job-1"); n > 6 {
 						t.Errorf("%d stops of 6 replicas: a step was repeated", n)
 					}
@@ -182,7 +195,7 @@
 		c.eventually(30*time.Second, "a permit is sent", func() bool { return delayed > 0 })
 		c.stopNode(leader)
 		c.awaitState("spring", rollout.Ended, 8*time.Minute)
-		c.eventually(time.Minute, "all replicas are up", func() bool { return c.runningCount("job-1") == 6 })
+		c.awaitTaskCount(time.Minute, "job-1", 6)
 		if n := c.disruption.evictionsOf("job-1"); n > 6 {
 			t.Errorf("%d stops", n)
 		}
--- a/internal/scenarios/drain_failures_test.go
+++ b/internal/scenarios/drain_failures_test.go
@@ -76,8 +76,8 @@
 				c.eventually(2*time.Minute, "a machine is drained", func() bool { return draining() != "" })
 				failure.fail(c, draining())
 				c.awaitState("spring", rollout.Ended, 15*time.Minute)
-				c.eventually(2*time.Minute, "all replicas are up", func() bool { return c.runningCount("job-1") == 6 })
-				c.eventually(time.Minute, "no machine stays cordoned", func() bool { return c.cordonedCount() == 0 })
+				c.awaitTaskCount(2*time.Minute, "job-1", 6)
+				c.awaitNoneCordoned(time.Minute)
 			})
 		})
 	}
@@ -113,6 +113,6 @@
 		c.call("b", "POST", "/v2/runs/job-1/cancel", nil)
 		c.eventually(40*time.Second, "its tasks stop", func() bool { return c.runningCount("job-1") == 0 })
 		c.awaitState("spring", rollout.Ended, 8*time.Minute)
-		c.eventually(time.Minute, "the other service is up", func() bool { return c.runningCount("job-2") == 3 })
+		c.awaitTaskCount(time.Minute, "job-2", 3)
 	})
 }
--- a/internal/scenarios/drain_machines_test.go
+++ b/internal/scenarios/drain_machines_test.go
@@ -122,3 +122,15 @@
 	}
 	return n
 }
+
+// awaitTaskCount waits until so many tasks of a job are on machines.
+func (c *drainCluster) awaitTaskCount(timeout time.Duration, job string, tasks int) {
+	c.t.Helper()
+	c.eventually(timeout, fmt.Sprintf("%d tasks of %s run", tasks, job), func() bool { return c.runningCount(job) == tasks })
+}
+
+// awaitNoneCordoned waits until a leader has no machine cordoned.
+func (c *drainCluster) awaitNoneCordoned(timeout time.Duration) {
+	c.t.Helper()
+	c.eventually(timeout, "no machine is cordoned", func() bool { return c.cordonedCount() == 0 })
+}
--- a/internal/scenarios/drain_replacement_test.go
+++ b/internal/scenarios/drain_replacement_test.go
@@ -45,12 +45,13 @@
 func TestFailedReplacementMachineHaltsRollout(t *testing.T) {
 	t.Parallel()
 	for _, failure := range []struct {
-		name, why string
-		boots     func(name string) time.Duration
-		after     func(c *drainCluster, name string)
+		name   string
+		reason string // part of why the rollout halts
+		boots  func(name string) time.Duration
+		after  func(c *drainCluster, name string)
 	}{
-		{name: "it never boots", why: "0 are up", boots: func(string) time.Duration { return neverBoots }},
-		{name: "it dies while it is observed", why: "replacement", after: func(c *drainCluster, name string) { c.terminateMachine(name) }},
+		{name: "it never boots", reason: "0 are up", boots: func(string) time.Duration { return neverBoots }},
+		{name: "it dies while it is observed", reason: "replacement", after: func(c *drainCluster, name string) { c.terminateMachine(name) }},
 	} {
 		t.Run(failure.name, func(t *testing.T) {
 			t.Parallel()
@@ -79,7 +80,7 @@
 				spec.WaveSize, spec.Deadline, spec.Observe = 1, 40, 60
 				c.startRollout(spec)
 				c.awaitState("spring", rollout.Halted, 4*time.Minute)
-				if r := c.rolloutRecord("spring"); !strings.Contains(r.Reason, failure.why) {
+				if r := c.rolloutRecord("spring"); !strings.Contains(r.Reason, failure.reason) {
 					t.Errorf("halted for %q", r.Reason)
 				}
 				c.eventually(time.Minute, "machines that are not empty are uncordoned", func() bool {
@@ -133,35 +134,34 @@
 // drained before wait for the cloud to confirm their return.
 func TestRolloutWaitsForCloudCapacity(t *testing.T) {
 	t.Parallel()
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name  string
 		begin func(c *drainCluster)
 		end   func(c *drainCluster)
 		after bool // the outage begins once the wave's replacement is provisioned
-		wave  int
+		wave  int  // machines in it
 	}{
 		{"down", func(c *drainCluster) { c.cloud.SetDown(true) }, func(c *drainCluster) { c.cloud.SetDown(false) }, false, 1},
 		{"down in the middle of a wave", func(c *drainCluster) { c.cloud.SetDown(true) }, func(c *drainCluster) { c.cloud.SetDown(false) }, true, 1},
-		{"out of the type", func(c *drainCluster) { c.cloud.SetCapacity(0) }, func(c *drainCluster) { c.cloud.SetCapacity(40) }, false, 1},
-		{"out of the type in the middle of a wave", func(c *drainCluster) { c.cloud.SetCapacity(1) }, func(c *drainCluster) { c.cloud.SetCapacity(40) }, false, 2},
+		{"without capacity", func(c *drainCluster) { c.cloud.SetCapacity(0) }, func(c *drainCluster) { c.cloud.SetCapacity(40) }, false, 1},
+		{"without capacity in the middle of a wave", func(c *drainCluster) { c.cloud.SetCapacity(1) }, func(c *drainCluster) { c.cloud.SetCapacity(40) }, false, 2},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
-			outage := c
 			drainScenario(t, 3, drainOptions{capacity: 40}, func(t *testing.T, c *drainCluster) {
 				c.startService("job-1", 6)
 				spec := newReplacement("spring", c)
-				spec.WaveSize = outage.wave
-				if !outage.after {
-					outage.begin(c)
+				spec.WaveSize = test.wave
+				if !test.after {
+					test.begin(c)
 				}
 				c.startRollout(spec)
-				if outage.after {
+				if test.after {
 					c.eventually(2*time.Minute, "the replacement is provisioned", func() bool {
 						wave := c.rolloutRecord("spring").Wave
 						return wave != nil && len(wave.ReplacementRequests) > 0 && wave.ReplacementRequests[0].Answered
 					})
-					outage.begin(c)
+					test.begin(c)
 					c.awaitBlocker("the cloud has not confirmed its return")
 				} else {
 					c.awaitState("spring", rollout.Halted, 5*time.Minute)
@@ -170,8 +170,8 @@
 				c.consistently(time.Minute, "nothing more is stopped", func() bool {
 					return c.disruption.evictionsOf("job-1") == stops
 				})
-				outage.end(c)
-				if !outage.after {
+				test.end(c)
+				if !test.after {
 					c.execute("spring", rollout.CommandResume)
 				}
 				c.awaitState("spring", rollout.Ended, 15*time.Minute)
