--- a/internal/scenarios/cluster_test.go
+++ b/internal/scenarios/cluster_test.go
@@ -12,7 +12,7 @@
 	"testing/synctest"
 	"time"
 
-	"github.com/pebbletrail/pebbletrail/internal/claim"
+	"github.com/pebbletrail/pebbletrail/internal/clusterstate"
 	"github.com/pebbletrail/pebbletrail/internal/config"
 	"github.com/pebbletrail/pebbletrail/internal/fake"
 	"github.com/pebbletrail/pebbletrail/internal/ids"
@@ -140,12 +140,12 @@
 }
 
 // cloudList is the cloud's list of machines: empty unless the scenario has inCloudList.
-func (c *testCluster) cloudList() (machines []claim.ListedMachine) {
+func (c *testCluster) cloudList() (machines []clusterstate.ListedMachine) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.inCloudList {
 		for _, worker := range c.workers {
-			machines = append(machines, claim.ListedMachine{Name: ids.Machine(worker.Name), Address: worker.Address, Type: worker.Type, Zone: worker.Zone, Status: "running"})
+			machines = append(machines, clusterstate.ListedMachine{Name: ids.Machine(worker.Name), Address: worker.Address, Type: worker.Type, Zone: worker.Zone, Status: "running"})
 		}
 	}
 	return machines
--- a/internal/scenarios/drain_node_test.go
+++ b/internal/scenarios/drain_node_test.go
@@ -69,7 +69,7 @@
 		ConfirmLeadership: func() bool { return n.elector.LeaseSurelyHeld(term) },
 		ListInterval:      2 * time.Second,
 	}
-	provisioner.Adopt(term.OpenHires)
+	provisioner.Adopt(term.OpenProvisioningRequests)
 	provisioner.Run(ctx)
 }
 
@@ -115,7 +115,7 @@
 	all := true
 	for name, other := range n.cluster.nodes {
 		if name != n.name {
-			all = !n.cluster.isPartitioned(n.name, name) && other.elector.Superseded(generation) && all
+			all = !n.cluster.isPartitioned(n.name, name) && other.elector.ConfirmStopped(generation) && all
 		}
 	}
 	return all
--- a/internal/scenarios/leadership_test.go
+++ b/internal/scenarios/leadership_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"github.com/pebbletrail/pebbletrail/internal/claim"
+	"github.com/pebbletrail/pebbletrail/internal/clusterstate"
 	"github.com/pebbletrail/pebbletrail/internal/fake"
 )
 
@@ -113,7 +113,7 @@
 	if n.elector.Cluster() == nil {
 		return 0
 	}
-	hints, _ := n.elector.Cluster().Hints(claim.HintPosition{})
+	hints, _ := n.elector.Cluster().Hints(clusterstate.HintPosition{})
 	return len(hints)
 }
 
--- a/internal/scenarios/node_test.go
+++ b/internal/scenarios/node_test.go
@@ -51,7 +51,7 @@
 	defer n.cluster.mu.Unlock()
 	n.askedForConfirmation = of
 	for name, other := range n.cluster.nodes {
-		if name != n.name && !n.cluster.isPartitioned(n.name, name) && other.elector.Superseded(generation) {
+		if name != n.name && !n.cluster.isPartitioned(n.name, name) && other.elector.ConfirmStopped(generation) {
 			return true
 		}
 	}
--- a/internal/scenarios/shard_cluster_test.go
+++ b/internal/scenarios/shard_cluster_test.go
@@ -66,7 +66,7 @@
 	defer c.mu.Unlock()
 	names := make([]string, c.shardCount)
 	for name, n := range c.nodes {
-		for shard, elector := range n.shards.Pools() {
+		for shard, elector := range n.shards.Electors() {
 			if elector.Term() != nil {
 				names[shard] = name
 			}
--- a/internal/scenarios/shard_node_test.go
+++ b/internal/scenarios/shard_node_test.go
@@ -20,8 +20,8 @@
 	n := &shardNode{process: c.newProcess(name, c.shardSettings(name), fiveNodeBudget())}
 	n.store.Budget().SetShardCount(c.shardCount)
 	n.shards = election.NewShards(n.settings, n.store, n.commander(), n.writer)
-	n.shards.Refuse = func(err error) { n.startupError = err }
-	for _, elector := range n.shards.Pools() {
+	n.shards.OnRefused = func(err error) { n.startupError = err }
+	for _, elector := range n.shards.Electors() {
 		elector.Peers = shardPeers{cluster: c}
 		elector.OnTerm = func(_ context.Context, term *election.Term) { term.Cluster.SetMachineTypes(instanceTypes()) }
 	}
--- a/internal/scenarios/shards_test.go
+++ b/internal/scenarios/shards_test.go
@@ -215,7 +215,7 @@
 		c.shardCount = 2
 		node := c.startNode("e")
 		time.Sleep(2 * time.Second)
-		if !errors.Is(node.startupError, election.ErrOtherLayout) || !strings.Contains(node.startupError.Error(), "3, not 2") {
+		if !errors.Is(node.startupError, election.ErrLayoutMismatch) || !strings.Contains(node.startupError.Error(), "3, not 2") {
 			t.Errorf("two shards on a store of three: %v", node.startupError)
 		}
 		c.shardCount = 3
