--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -287,10 +287,13 @@
 	if critical {
 		byGrace = cmp.Compare(x.assignment.CheckpointGrace(), y.assignment.CheckpointGrace())
 	}
-	return cmp.Or(byGrace,
+	order := cmp.Or(byGrace,
 		cmp.Compare(x.assignment.Job.EffectivePriority(), y.assignment.Job.EffectivePriority()),
-		cmp.Compare(x.loss, y.loss),
-		cmp.Compare(x.assignment.Task().String(), y.assignment.Task().String()))
+		cmp.Compare(x.loss, y.loss))
+	if order != 0 {
+		return order
+	}
+	return cmp.Compare(x.assignment.Task().String(), y.assignment.Task().String())
 }
 
 // mayPreempt reports whether a task may be stopped for a job: by the protocol's rule of preemption,
--- a/internal/scheduler/quota_preemption.go
+++ b/internal/scheduler/quota_preemption.go
@@ -100,9 +100,12 @@
 
 // compareLesserWork orders victims: lowest priority first, then least progress lost.
 func compareLesserWork(x, y *workload.Assignment, now time.Time) int {
-	return cmp.Or(cmp.Compare(x.Job.EffectivePriority(), y.Job.EffectivePriority()),
-		cmp.Compare(x.PreemptionCost(now), y.PreemptionCost(now)),
-		cmp.Compare(x.Task().String(), y.Task().String()))
+	order := cmp.Or(cmp.Compare(x.Job.EffectivePriority(), y.Job.EffectivePriority()),
+		cmp.Compare(x.PreemptionCost(now), y.PreemptionCost(now)))
+	if order != 0 {
+		return order
+	}
+	return cmp.Compare(x.Task().String(), y.Task().String())
 }
 
 // preemptForOtherShards implements Scheduler.PreemptForOtherShards.
--- a/internal/scheduler/search.go
+++ b/internal/scheduler/search.go
@@ -1,9 +1,9 @@
 package scheduler
 
 import (
-	"cmp"
 	"math/rand/v2"
 	"slices"
+	"strings"
 
 	"github.com/pebbletrail/pebbletrail/internal/capacity"
 	"github.com/pebbletrail/pebbletrail/internal/ids"
@@ -176,9 +176,19 @@
 		key := placementKeyOf(s.request)
 		s.pass.noCapacity[key] = append(s.pass.noCapacity[key], s.request.Resources)
 	}
-	slices.SortFunc(s.candidates, func(x, y candidate) int {
-		return cmp.Or(cmp.Compare(x.score, y.score), cmp.Compare(x.node.Name, y.node.Name))
-	})
+	slices.SortFunc(s.candidates, compareCandidates)
+}
+
+// compareCandidates orders candidates by their scores, and by their names among equals. It is written out
+// because a job's list is as long as the fleet: cmp.Or would compare the names each time.
+func compareCandidates(x, y candidate) int {
+	switch {
+	case x.score < y.score:
+		return -1
+	case x.score > y.score:
+		return 1
+	}
+	return strings.Compare(string(x.node.Name), string(y.node.Name))
 }
 
 // best returns the first listed node that still has room, or nil if none has. Nodes on which the same
