--- /dev/null
+++ b/internal/docs/architecture_test.go
@@ -0,0 +1,58 @@
+package docs
+
+import (
+	"bufio"
+	"os"
+	"path/filepath"
+	"regexp"
+	"strconv"
+	"testing"
+)
+
+// repository is the root of the repository as seen from this package.
+const repository = "../.."
+
+// codeReference is how docs/architecture.md names a function: its file and line, and its name.
+var codeReference = regexp.MustCompile("`([a-z_/]+\\.go):([0-9]+)` `([A-Za-z]+)`")
+
+// TestArchitecturePageNamesFunctionsWhereTheyAre fails when a function that the page names moved. The message
+// tells where it is now.
+func TestArchitecturePageNamesFunctionsWhereTheyAre(t *testing.T) {
+	page, err := os.ReadFile(filepath.Join(repository, "docs", "architecture.md"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	references := codeReference.FindAllStringSubmatch(string(page), -1)
+	if len(references) < 30 {
+		t.Errorf("the page has only %d references to functions", len(references))
+	}
+	for _, reference := range references {
+		file, line, name := reference[1], reference[2], reference[3]
+		t.Run(file+"/"+name, func(t *testing.T) {
+			if found := lineOfFunction(t, file, name); strconv.Itoa(found) != line {
+				t.Errorf("the page says %s:%s, but the function is at line %d (0: nowhere)", file, line, found)
+			}
+		})
+	}
+}
+
+// lineOfFunction returns the line on which a file declares a function or method, or 0.
+func lineOfFunction(t *testing.T, file, name string) int {
+	t.Helper()
+	source, err := os.Open(filepath.Join(repository, file))
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = source.Close() }) // it was only read
+	declaration := regexp.MustCompile(`^func (\([^)]*\) )?` + name + `\(`)
+	lines := bufio.NewScanner(source)
+	for number := 1; lines.Scan(); number++ {
+		if declaration.MatchString(lines.Text()) {
+			return number
+		}
+	}
+	if err := lines.Err(); err != nil {
+		t.Fatal(err)
+	}
+	return 0
+}
