--- /dev/null
+++ b/internal/eviction/disruption.go
@@ -0,0 +1,97 @@
+package eviction
+
+import (
+	"time"
+
+	"github.com/pebbletrail/pebbletrail/internal/budget"
+	"github.com/pebbletrail/pebbletrail/internal/record"
+	"github.com/pebbletrail/pebbletrail/internal/worker"
+	"github.com/pebbletrail/pebbletrail/internal/workload"
+)
+
+// disruptionCounter counts what every team has down or interrupted, against its disruption budget.
+type disruptionCounter struct {
+	*State
+	budgets   *budget.Budgets // nil where drains are disabled
+	readiness budget.Readiness
+}
+
+// newDisruptionCounter returns one that is enabled where drains are, which needs a cluster of one shard.
+func newDisruptionCounter(state *State) *disruptionCounter {
+	counter := &disruptionCounter{State: state}
+	if state.Settings.DrainsEnabled() && state.Settings.ShardCount() == 1 {
+		counter.budgets, counter.readiness = state.Settings.DisruptionBudgets(), state.Settings.Readiness()
+	}
+	return counter
+}
+
+// enabled reports whether drains are enabled.
+func (d *disruptionCounter) enabled() bool { return d.budgets != nil }
+
+// meter returns a meter of what every team has down or interrupted now.
+func (d *disruptionCounter) meter(now time.Time) *budget.Meter {
+	meter := budget.NewMeter(d.budgets)
+	for id, job := range d.Jobs.All() {
+		spec := &job.Record.Spec
+		switch {
+		case !job.Schedulable():
+		case spec.Shape == record.Service:
+			up := 0
+			for _, assignment := range job.Assignments {
+				if d.replicaUp(assignment, now) {
+					up++
+				}
+			}
+			meter.CountService(spec.Team, id, spec.Tasks, up)
+		case len(job.Record.Evictions) > 0:
+			meter.CountInterrupted(spec.Team, job.Record.EvictedTasks())
+		}
+	}
+	return meter
+}
+
+// replicaUp reports whether a replica counts as up.
+func (d *disruptionCounter) replicaUp(assignment *workload.Assignment, now time.Time) bool {
+	return d.readiness.IsReady(d.replica(assignment), now)
+}
+
+// replica returns what this leader knows of one replica.
+func (d *disruptionCounter) replica(assignment *workload.Assignment) budget.Replica {
+	replica := budget.Replica{
+		Running:      assignment.Confirmed && assignment.Status == worker.StateRunning,
+		RunningSince: assignment.RunningSince,
+		Terminating:  assignment.Stopping || assignment.Evicting,
+	}
+	machine := d.Machines.Machines[assignment.Machine]
+	if machine != nil && machine.HasReported && !machine.Suspect() && machine.Incarnation == assignment.Incarnation {
+		replica.LastHeartbeat = machine.LastReportAt
+	}
+	return replica
+}
+
+// requests returns what it takes of the teams' budgets to stop units together.
+func (d *disruptionCounter) requests(units []evictionUnit, now time.Time) []budget.Request {
+	requests := make([]budget.Request, len(units))
+	for i, unit := range units {
+		requests[i] = d.request(unit.job, unit.assignments[0], now)
+	}
+	return requests
+}
+
+// request returns what it takes of a team's budget to stop a task, or its whole gang. The replica of a pending
+// eviction counts as up in its request, although it counts as down in the meter.
+func (d *disruptionCounter) request(job *workload.Job, assignment *workload.Assignment, now time.Time) budget.Request {
+	spec := &job.Record.Spec
+	request := budget.Request{Team: spec.Team, Job: spec.ID, Service: spec.Shape == record.Service}
+	switch spec.Shape {
+	case record.Service:
+		replica := d.replica(assignment)
+		replica.Terminating = false
+		request.Ready = d.readiness.IsReady(replica, now)
+	case record.Gang:
+		request.Tasks = len(job.Assignments)
+	default:
+		request.Tasks = 1
+	}
+	return request
+}
--- /dev/null
+++ b/internal/eviction/drain.go
@@ -0,0 +1,221 @@
+package eviction
+
+import (
+	"fmt"
+	"slices"
+	"time"
+
+	"github.com/pebbletrail/pebbletrail/internal/budget"
+	"github.com/pebbletrail/pebbletrail/internal/ids"
+	"github.com/pebbletrail/pebbletrail/internal/measure"
+	"github.com/pebbletrail/pebbletrail/internal/record"
+	"github.com/pebbletrail/pebbletrail/internal/rollout"
+	"github.com/pebbletrail/pebbletrail/internal/scheduler"
+	"github.com/pebbletrail/pebbletrail/internal/worker"
+	"github.com/pebbletrail/pebbletrail/internal/workload"
+)
+
+// drainer decides the next step of emptying a machine, within the teams' budgets.
+type drainer struct {
+	*State
+	cluster    Cluster
+	disruption *disruptionCounter
+	permits    *permitTracker
+	blockers   *blockerList
+	rooms      *roomFinder
+}
+
+// evictNextStep decides the next step of emptying a machine: of each team that has anything to stop there one
+// unit, all or none, and then what more the budgets allow.
+func (d *drainer) evictNextStep(name ids.Machine, order rollout.Order, meter *budget.Meter, now time.Time) {
+	machine := d.Machines.Machines[name]
+	if machine == nil || !machine.HasReported || machine.Suspect() {
+		d.blockers.add(name, "nothing is heard of it")
+		return
+	}
+	d.removeUnsent(name)
+	units, reasons := d.units(machine, order)
+	d.blockers.add(name, reasons...)
+	first, more := firstOfEachTeam(units)
+	if len(first) == 0 {
+		return
+	}
+	reserved := map[ids.Machine]scheduler.Reservation{}
+	if reasons := d.unplaceableReasons(first, order, reserved, now); len(reasons) > 0 {
+		d.blockers.addNoRoom(name, reasons)
+		return
+	}
+	if denials := meter.Permit(d.disruption.requests(first, now)...); len(denials) > 0 {
+		measure.Process.Count(rollout.PermitsRefused, 1)
+		for _, denial := range denials {
+			d.blockers.add(name, denial.String())
+		}
+		return
+	}
+	granted := append(first, d.permitMore(more, order, reserved, meter, now)...)
+	for host, reservation := range reserved {
+		d.Scheduler.Reservations.Set(host, reservation)
+	}
+	step := &evictionStep{rollout: order.Rollout, wave: order.Wave, machine: name, stored: map[*workload.Job]uint64{}}
+	d.permits.grant(granted, step)
+}
+
+// permitMore returns those of further units that have room elsewhere and are within the budgets.
+func (d *drainer) permitMore(
+	units []evictionUnit, order rollout.Order, reserved map[ids.Machine]scheduler.Reservation, meter *budget.Meter, now time.Time,
+) (granted []evictionUnit) {
+	for _, unit := range units {
+		one := []evictionUnit{unit}
+		if len(d.unplaceableReasons(one, order, reserved, now)) > 0 {
+			continue
+		}
+		if len(meter.Permit(d.disruption.requests(one, now)...)) == 0 {
+			granted = append(granted, unit)
+		}
+	}
+	return granted
+}
+
+// removeUnsent removes tasks from a machine that were never started there, which takes no permit.
+func (d *drainer) removeUnsent(name ids.Machine) {
+	for _, assignment := range d.sortedAssignmentsOn(name) {
+		if !assignment.StartSent && !assignment.Stopping && !assignment.Evicting {
+			d.cluster.Stop(assignment, 0, "its machine is drained")
+		}
+	}
+}
+
+// units returns what is to be stopped on a machine, and why the rest is not stopped now. It changes nothing.
+func (d *drainer) units(machine *worker.Machine, order rollout.Order) (units []evictionUnit, reasons []string) {
+	seen := map[*workload.Job]bool{}
+	for _, assignment := range d.sortedAssignmentsOn(machine.Name) {
+		if assignment.Stopping || assignment.Evicting || !assignment.StartSent {
+			continue
+		}
+		if reason := d.blockedReason(assignment, order); reason != "" {
+			reasons = append(reasons, reason)
+			continue
+		}
+		job := assignment.Job
+		if !isGang(&job.Record.Spec) {
+			units = append(units, evictionUnit{job, []*workload.Assignment{assignment}})
+			continue
+		}
+		if seen[job] {
+			continue
+		}
+		seen[job] = true
+		if reason := gangBlocker(job); reason != "" {
+			reasons = append(reasons, reason)
+			continue
+		}
+		units = append(units, wholeGang(job))
+	}
+	return units, reasons
+}
+
+// blockedReason returns why a task can't be stopped now; empty if it can.
+func (d *drainer) blockedReason(assignment *workload.Assignment, order rollout.Order) string {
+	maxRecordBytes := int(d.Settings.Params.State.ValueKB * 1024)
+	spec := &assignment.Job.Record.Spec
+	switch {
+	case !assignment.Confirmed:
+		return fmt.Sprintf("the start of %s is not confirmed yet", assignment.Task())
+	case !isService(spec) && !mayInterrupt(spec, order):
+		return fmt.Sprintf("%s can't save and runs to its end", assignment.Task())
+	case !assignment.Job.Record.EvictionsFit(maxRecordBytes):
+		return fmt.Sprintf("the record of %s has no room for more evictions", spec.ID)
+	}
+	return ""
+}
+
+// sortedAssignmentsOn returns what is or may be on a machine, ordered by job and task.
+func (s *State) sortedAssignmentsOn(name ids.Machine) []*workload.Assignment {
+	var assignments []*workload.Assignment
+	for assignment := range s.Capacity.AssignmentsOn(name) {
+		assignments = append(assignments, assignment)
+	}
+	slices.SortFunc(assignments, compareTasks)
+	return assignments
+}
+
+func isService(spec *record.Spec) bool { return spec.Shape == record.Service }
+
+func isGang(spec *record.Spec) bool { return spec.Shape == record.Gang }
+
+// mayInterrupt reports whether a task that is no replica may be stopped for a drain: one that saves
+// checkpoints, or of low priority, at once; all others only when the operator chose so for after the deadline.
+func mayInterrupt(spec *record.Spec, order rollout.Order) bool {
+	return spec.CheckpointInterval > 0 || spec.Priority == record.Low || order.Stop
+}
+
+// gangBlocker returns why a gang can't be stopped as a whole now; empty if it can.
+func gangBlocker(job *workload.Job) string {
+	for _, assignment := range job.Assignments {
+		if !assignment.Confirmed || assignment.Stopping || assignment.Evicting {
+			return fmt.Sprintf("not all tasks of gang %s are known to be on their machines", job.Record.Spec.ID)
+		}
+	}
+	return ""
+}
+
+// wholeGang returns all tasks of a gang as one unit.
+func wholeGang(job *workload.Job) evictionUnit {
+	gang := evictionUnit{job: job}
+	for _, task := range workload.SortedTasks(job.Assignments) {
+		gang.assignments = append(gang.assignments, job.Assignments[task])
+	}
+	return gang
+}
+
+// firstOfEachTeam splits units into the first of each team and the others.
+func firstOfEachTeam(units []evictionUnit) (first, more []evictionUnit) {
+	seen := map[string]bool{}
+	for _, unit := range units {
+		if seen[unit.team()] {
+			more = append(more, unit)
+			continue
+		}
+		seen[unit.team()] = true
+		first = append(first, unit)
+	}
+	return first, more
+}
+
+// evictionReservationTime is how long room elsewhere is reserved for a replica that is to be moved there: its
+// permit has to be stored, the stop carried out and reported.
+const evictionReservationTime = 10 * time.Second
+
+// unplaceableReasons returns which replicas could not start elsewhere. With surge there has to be room now,
+// which is added to reserved; without it a place has to be possible at all.
+func (d *drainer) unplaceableReasons(
+	units []evictionUnit, order rollout.Order, reserved map[ids.Machine]scheduler.Reservation, now time.Time,
+) (reasons []string) {
+	for _, unit := range units {
+		spec := &unit.job.Record.Spec
+		if !isService(spec) {
+			continue // it is queued again
+		}
+		assignment := unit.assignments[0]
+		zones := d.rooms.zonesWithout(assignment)
+		if !d.rooms.canStartSomewhere(spec, zones) {
+			reasons = append(reasons, fmt.Sprintf("%s could start in no other place that its job allows", assignment.Task()))
+			continue
+		}
+		if !order.Surge {
+			continue
+		}
+		node := d.rooms.find(unit.job, zones, reserved, now)
+		if node == nil {
+			reasons = append(reasons, fmt.Sprintf("%s has no room elsewhere yet", assignment.Task()))
+			continue
+		}
+		reserved[node.Name] = reservationFor(unit.job, now, evictionReservationTime)
+	}
+	return reasons
+}
+
+// reservationFor returns a reservation of room for one task of a job.
+func reservationFor(job *workload.Job, now time.Time, duration time.Duration) scheduler.Reservation {
+	return scheduler.Reservation{Job: job.ID(), Need: job.Record.Spec.Resources, CreatedAt: now, ExpiresAt: now.Add(duration)}
+}
--- /dev/null
+++ b/internal/eviction/permits.go
@@ -0,0 +1,216 @@
+package eviction
+
+import (
+	"cmp"
+	"fmt"
+	"maps"
+	"slices"
+	"time"
+
+	"github.com/pebbletrail/pebbletrail/internal/budget"
+	"github.com/pebbletrail/pebbletrail/internal/ids"
+	"github.com/pebbletrail/pebbletrail/internal/measure"
+	"github.com/pebbletrail/pebbletrail/internal/placement"
+	"github.com/pebbletrail/pebbletrail/internal/record"
+	"github.com/pebbletrail/pebbletrail/internal/rollout"
+	"github.com/pebbletrail/pebbletrail/internal/worker"
+	"github.com/pebbletrail/pebbletrail/internal/workload"
+)
+
+// evictionUnit is what is stopped together: a task, or a whole gang.
+type evictionUnit struct {
+	job         *workload.Job
+	assignments []*workload.Assignment
+}
+
+func (u *evictionUnit) team() string { return u.job.Record.Spec.Team }
+
+// evictionStep is tasks whose permits were granted together: none is stopped before the permits of all of
+// them are stored.
+type evictionStep struct {
+	rollout rollout.Name
+	wave    int
+	// machine is the one that is drained; a gang's other tasks are elsewhere. After a failover it is not
+	// known, and for a relocated replica it is not set: then it is the assignment's machine.
+	machine ids.Machine
+	stored  map[*workload.Job]uint64 // by job, the version that holds its permits
+}
+
+// isStored reports whether the permits of the whole step are stored.
+func (s *evictionStep) isStored() bool {
+	for job, version := range s.stored {
+		if job.StoredVersion < version {
+			return false
+		}
+	}
+	return true
+}
+
+// permitTracker tracks evictions in progress: from the permit, through the stop, until the task runs again.
+type permitTracker struct {
+	*State
+	cluster    Cluster
+	orders     *orderBook
+	disruption *disruptionCounter
+	blockers   *blockerList
+	// pending are evictions that were decided and whose tasks are not stopped yet.
+	pending map[*workload.Assignment]*evictionStep
+	// evicted are the jobs whose records hold evictions.
+	evicted map[*workload.Job]bool
+}
+
+// grant records permits in the jobs' records; the stops wait until all are stored.
+func (p *permitTracker) grant(units []evictionUnit, step *evictionStep) {
+	measure.Process.Count(rollout.PermitsGiven, len(units))
+	for _, unit := range units {
+		job := unit.job
+		for _, assignment := range unit.assignments {
+			assignment.Evicting = true
+			p.pending[assignment] = step
+			job.Record.AddEviction(assignment.TaskIndex, assignment.Attempt, string(step.rollout), step.wave)
+		}
+		p.evicted[job] = true
+		p.cluster.MarkChanged(job)
+		p.cluster.MarkUrgent(job)
+		step.stored[job] = job.Version
+	}
+}
+
+// load takes in the permits of a record just read.
+func (p *permitTracker) load(job *workload.Job) {
+	p.evicted[job] = true
+	for i := range job.Record.Evictions {
+		stored := &job.Record.Evictions[i]
+		step := &evictionStep{rollout: rollout.Name(stored.Rollout), wave: stored.Wave}
+		stored.Tasks.Each(func(task int) {
+			if assignment := job.Assignments[task]; assignment != nil && assignment.Attempt == stored.Attempt {
+				assignment.Evicting = true
+				p.pending[assignment] = step
+			}
+		})
+	}
+}
+
+// clearFinished removes evictions from the records of tasks that run again, or need not any more.
+func (p *permitTracker) clearFinished(now time.Time) {
+	for job := range p.evicted {
+		if !p.Jobs.Contains(job) || len(job.Record.Evictions) == 0 {
+			delete(p.evicted, job)
+			continue
+		}
+		stillDown := func(task int, attempt ids.Attempt) bool { return p.stillDown(job, task, attempt, now) }
+		if job.Record.RetainEvictions(stillDown) {
+			p.cluster.MarkChanged(job)
+		}
+	}
+}
+
+// stillDown reports whether a task that was evicted under an attempt does not run again yet.
+func (p *permitTracker) stillDown(job *workload.Job, task int, attempt ids.Attempt, now time.Time) bool {
+	assignment := job.Assignments[task]
+	switch {
+	case !job.Schedulable() || job.Record.Finished.Contains(task):
+		return false
+	case assignment == nil || assignment.Attempt == attempt:
+		return true
+	case job.Record.Spec.Shape == record.Service:
+		return !p.disruption.replicaUp(assignment, now)
+	}
+	return !assignment.Confirmed || assignment.Status != worker.StateRunning
+}
+
+// withdraw takes back permits that are not wanted any more, where surely no stop is on its way.
+func (p *permitTracker) withdraw() {
+	for assignment, step := range p.pending {
+		job := assignment.Job
+		if job.Assignments[assignment.TaskIndex] != assignment || assignment.Stopping {
+			delete(p.pending, assignment)
+			continue
+		}
+		if p.stillWanted(step, assignment) || p.mayBeStopped(assignment) {
+			continue
+		}
+		assignment.Evicting = false
+		delete(p.pending, assignment)
+		job.Record.RetainEvictions(func(task int, attempt ids.Attempt) bool {
+			return task != assignment.TaskIndex || attempt != assignment.Attempt
+		})
+		p.cluster.MarkChanged(job)
+	}
+}
+
+// mayBeStopped reports whether an earlier leader's stop may still take effect. This leader sent none; those of
+// earlier leaders are rejected once the machine has seen this term's fencing token.
+func (p *permitTracker) mayBeStopped(assignment *workload.Assignment) bool {
+	machine := p.Machines.Machines[assignment.Machine]
+	return machine == nil || !machine.HasReported || machine.FencingToken < p.FirstGeneration || !assignment.Confirmed
+}
+
+// stopStored stops the tasks whose permits are stored, if the budgets still allow it.
+func (p *permitTracker) stopStored(meter *budget.Meter, now time.Time) {
+	pending := slices.SortedFunc(maps.Keys(p.pending), compareTasks)
+	for _, assignment := range pending {
+		step := p.pending[assignment]
+		if !step.isStored() || !p.stillWanted(step, assignment) || !assignment.Confirmed {
+			continue
+		}
+		if denial := meter.Confirm(p.disruption.request(assignment.Job, assignment, now)); denial != nil {
+			p.blockers.add(assignment.Machine, denial.String())
+			continue
+		}
+		delete(p.pending, assignment)
+		p.cluster.Stop(assignment, assignment.CheckpointGrace(), p.stopReason(step, assignment))
+	}
+}
+
+// compareTasks orders assignments by job and task.
+func compareTasks(x, y *workload.Assignment) int {
+	return cmp.Or(cmp.Compare(x.Job.Record.Spec.ID, y.Job.Record.Spec.ID), cmp.Compare(x.TaskIndex, y.TaskIndex))
+}
+
+// stillWanted reports whether what an eviction was decided for is still wanted.
+func (p *permitTracker) stillWanted(step *evictionStep, assignment *workload.Assignment) bool {
+	machine := p.drainedMachine(step, assignment)
+	switch step.rollout {
+	case consolidation:
+		return machine != nil && machine.DeleteWhenEmpty
+	case faulty:
+		return machine != nil && machine.DrainReason != ""
+	}
+	return p.orders.draining(step.rollout)
+}
+
+// drainedMachine returns the machine that a task is evicted for; nil if it is not known any more.
+func (p *permitTracker) drainedMachine(step *evictionStep, assignment *workload.Assignment) *worker.Machine {
+	return p.Machines.Machines[cmp.Or(step.machine, assignment.Machine)]
+}
+
+// stopReason returns what the job's events say of a stop.
+func (p *permitTracker) stopReason(step *evictionStep, assignment *workload.Assignment) string {
+	switch step.rollout {
+	case consolidation:
+		return relocationReason(assignment.Machine)
+	case faulty:
+		return drainReason(p.drainedMachine(step, assignment))
+	}
+	return fmt.Sprintf("moved from %s by rollout %s, wave %d", assignment.Machine, step.rollout, step.wave)
+}
+
+// quotaForRelocated returns what evicted tasks of a job's team that are not assigned again take of its quota,
+// but for those of jobs that are less important.
+func (p *permitTracker) quotaForRelocated(job *workload.Job) (kept placement.Resources) {
+	for moved := range p.evicted {
+		if moved == job || moved.Record.Spec.Team != job.Record.Spec.Team || !moved.Schedulable() ||
+			job.EffectivePriority() > moved.EffectivePriority() {
+			continue
+		}
+		for i := range moved.Record.Evictions {
+			moved.Record.Evictions[i].Tasks.Each(func(task int) {
+				if moved.Assignments[task] == nil && !moved.Record.Finished.Contains(task) {
+					kept = kept.Plus(moved.Record.Spec.Resources)
+				}
+			})
+		}
+	}
+	return kept
+}
--- /dev/null
+++ b/internal/eviction/room.go
@@ -0,0 +1,93 @@
+package eviction
+
+import (
+	"time"
+
+	"github.com/pebbletrail/pebbletrail/internal/capacity"
+	"github.com/pebbletrail/pebbletrail/internal/ids"
+	"github.com/pebbletrail/pebbletrail/internal/placement"
+	"github.com/pebbletrail/pebbletrail/internal/record"
+	"github.com/pebbletrail/pebbletrail/internal/scheduler"
+	"github.com/pebbletrail/pebbletrail/internal/workload"
+)
+
+// roomFinder finds room elsewhere for tasks that are to be moved.
+type roomFinder struct {
+	*State
+	orders *orderBook
+}
+
+// zonesWithout returns in which zones a job's tasks are, but for one that is to be moved.
+func (f *roomFinder) zonesWithout(assignment *workload.Assignment) *scheduler.ZoneSpread {
+	spread := scheduler.ZoneSpreadOf(assignment.Job, f.Machines)
+	if machine := f.Machines.Machines[assignment.Machine]; machine != nil {
+		spread.Remove(machine.Zone)
+	}
+	return spread
+}
+
+// canStartSomewhere reports whether a job's rules leave any possible place for one more task: in a zone that
+// is not given up, on a machine of a type that is large enough. The orders must be known.
+func (f *roomFinder) canStartSomewhere(spec *record.Spec, zones *scheduler.ZoneSpread) bool {
+	request := spec.PlacementRequest()
+	for _, machineType := range f.Capacity.Types() {
+		for _, zone := range machineType.Zones {
+			_, closed := f.orders.current.ClosedZones[zone]
+			if closed || zones.Allowed(zone, 1) == 0 || !machineType.Capacity().Holds(request.Resources) {
+				continue
+			}
+			if request.Allows(machineType.Label, zone, false) || request.Allows(machineType.Label, zone, true) {
+				return true
+			}
+		}
+	}
+	return false
+}
+
+// find returns a machine with room for one more task of a job; nil if there is none. Work without accelerators
+// gets a machine with some only where nothing else has room.
+func (f *roomFinder) find(
+	job *workload.Job, zones *scheduler.ZoneSpread, reserved map[ids.Machine]scheduler.Reservation, now time.Time,
+) *capacity.Node {
+	if node := f.findAmong(job, zones, reserved, now, false); node != nil {
+		return node
+	}
+	return f.findAmong(job, zones, reserved, now, true)
+}
+
+// findAmong returns the machine with the best score among those with accelerators, or among those without.
+func (f *roomFinder) findAmong(
+	job *workload.Job, zones *scheduler.ZoneSpread, reserved map[ids.Machine]scheduler.Reservation, now time.Time, accelerators bool,
+) *capacity.Node {
+	request := job.Record.Spec.PlacementRequest()
+	var best bestNode
+	for _, class := range f.Capacity.Classes() {
+		if !request.Allows(class.Type, class.Zone, class.Spot) || class.Offer.Accels > 0 != accelerators || zones.Allowed(class.Zone, 1) == 0 {
+			continue
+		}
+		for _, node := range class.Open {
+			machine, ok := f.Capacity.UsableMachine(node, now, f.reportInterval())
+			_, taken := reserved[node.Name]
+			_, reservedNow := f.Scheduler.Reservations.On(node.Name, now)
+			if !ok || taken || reservedNow || machine.DeleteWhenEmpty || !node.Free().Holds(request.Resources) {
+				continue
+			}
+			view := f.Scheduler.CandidateView(node, machine, job, nil, now)
+			best.consider(node, placement.Score(&view, &request))
+		}
+	}
+	return best.node
+}
+
+// bestNode is the node with the lowest score of those considered, and of equal ones the first by name.
+type bestNode struct {
+	node  *capacity.Node
+	score float64
+}
+
+// consider replaces the best node by one that is better.
+func (b *bestNode) consider(node *capacity.Node, score float64) {
+	if b.node == nil || score < b.score || score == b.score && node.Name < b.node.Name {
+		b.node, b.score = node, score
+	}
+}
--- /dev/null
+++ b/internal/eviction/surge.go
@@ -0,0 +1,59 @@
+package eviction
+
+import (
+	"maps"
+	"slices"
+
+	"github.com/pebbletrail/pebbletrail/internal/placement"
+	"github.com/pebbletrail/pebbletrail/internal/worker"
+)
+
+// surgePlanner decides which capacity must be provisioned before replicas can be moved.
+type surgePlanner struct {
+	*State
+	orders   *orderBook
+	blockers *blockerList
+}
+
+// demands returns the room that has to be provisioned before what is to be moved can be stopped: of rollouts
+// that provision no replacements, for replicas that have no room elsewhere.
+func (s *surgePlanner) demands() (demands []placement.Demand) {
+	if !s.orders.known() {
+		return nil
+	}
+	for _, name := range slices.Sorted(maps.Keys(s.blockers.noRoom)) {
+		order, _ := s.orders.of(name)
+		if !order.Drain || !order.Surge || order.Replace {
+			continue
+		}
+		for _, assignment := range s.sortedAssignmentsOn(name) {
+			request := assignment.Job.Record.Spec.PlacementRequest()
+			if isService(&assignment.Job.Record.Spec) && !assignment.Stopping && !s.acceleratedMachineBooting(&request) {
+				demands = append(demands, placement.Demand{Request: request, Count: 1, Headroom: true})
+			}
+		}
+	}
+	return demands
+}
+
+// acceleratedMachineBooting reports whether a machine with accelerators is booting that could run work without
+// them. Provisioning does not count such a machine as room for that work, so that another would be provisioned
+// at each look.
+func (s *surgePlanner) acceleratedMachineBooting(request *placement.Request) bool {
+	if request.Resources.Accels != 0 {
+		return false
+	}
+	for _, machine := range s.Machines.Machines {
+		if machine.Booting && !machine.HasReported && s.hasSpareAccelerators(machine, request) {
+			return true
+		}
+	}
+	return false
+}
+
+// hasSpareAccelerators reports whether a machine has accelerators and could run a task.
+func (s *surgePlanner) hasSpareAccelerators(machine *worker.Machine, request *placement.Request) bool {
+	machineType := s.Capacity.Type(machine.Type)
+	return machineType != nil && machineType.Accels > 0 && machineType.Capacity().Holds(request.Resources) &&
+		request.Allows(machine.Type, machine.Zone, machine.Spot)
+}
