--- /dev/null
+++ b/internal/reconcile/answer.go
@@ -0,0 +1,71 @@
+package reconcile
+
+import (
+	"time"
+
+	"github.com/pebbletrail/pebbletrail/internal/dispatch"
+	"github.com/pebbletrail/pebbletrail/internal/ids"
+	"github.com/pebbletrail/pebbletrail/internal/scheduler"
+	"github.com/pebbletrail/pebbletrail/internal/worker"
+	"github.com/pebbletrail/pebbletrail/internal/workload"
+)
+
+// answerer decides which commands a heartbeat's answer carries, and whether it may renew the lease.
+type answerer struct{ *State }
+
+// commands repeats, in a heartbeat's answer, what the machine still has to do. Every command may be repeated;
+// a start is named by task and attempt, so it takes effect once.
+func (a *answerer) commands(
+	machine *worker.Machine, source Source, permission dispatch.Permission, now time.Time,
+) (commands []worker.Command) {
+	if !source.Heartbeat {
+		return nil
+	}
+	for assignment := range a.Capacity.AssignmentsOn(machine.Name) {
+		if assignment.Incarnation != machine.Incarnation {
+			continue
+		}
+		if assignment.Stopping {
+			if assignment.Confirmed && assignment.Status != worker.StateExited {
+				task := assignment.Task().String()
+				commands = append(commands, worker.StopCommand(task, assignment.Attempt, assignment.RemainingGrace(now)))
+			}
+			continue
+		}
+		if a.mayStart(assignment, machine, permission) {
+			assignment.StartSent, assignment.OfferedInHeartbeat, assignment.OfferedAt = true, true, machine.Sequence
+			commands = append(commands, worker.StartCommand(assignment.Task(), assignment.Attempt))
+		}
+	}
+	return commands
+}
+
+// mayStart reports whether an assignment's start may be sent in the answer to its machine's heartbeat.
+func (a *answerer) mayStart(assignment *workload.Assignment, machine *worker.Machine, permission dispatch.Permission) bool {
+	job := assignment.Job
+	if !permission.MayStart(job) || assignment.Confirmed || assignment.FencingToken != permission.FencingToken {
+		return false
+	}
+	if job.StoredVersion < assignment.MarkerVersion || machine.Deleting {
+		return false
+	}
+	return assignment.StartSent || scheduler.GangStartAllowed(assignment, machine, a.Machines)
+}
+
+// leaseMustExpire reports whether a direct start may still arrive of a task whose job was cancelled longer than
+// a grace period ago.
+func (a *answerer) leaseMustExpire(report *worker.Report, grace time.Duration, fencingToken ids.Generation) bool {
+	machine := a.Machines.Machines[report.Machine]
+	if machine == nil || report.Incarnation != machine.Incarnation || len(machine.UnconfirmedStarts) == 0 {
+		return false
+	}
+	for assignment := range a.Capacity.AssignmentsOn(machine.Name) {
+		stoppedUnseen := assignment.Stopping && !assignment.Confirmed && time.Since(assignment.StopRequestedAt) > grace
+		current := assignment.Incarnation == report.Incarnation && assignment.FencingToken == fencingToken
+		mayStart := stoppedUnseen && current && assignment.Job.Cancelled()
+		if mayStart && machine.MayRestart(assignment.Task().String(), assignment.Attempt) {
+			return true
+		}
+	}
+	return false
+}
--- /dev/null
+++ b/internal/reconcile/orphans.go
@@ -0,0 +1,91 @@
+package reconcile
+
+import (
+	"log/slog"
+	"time"
+
+	"github.com/pebbletrail/pebbletrail/internal/ids"
+	"github.com/pebbletrail/pebbletrail/internal/record"
+	"github.com/pebbletrail/pebbletrail/internal/worker"
+	"github.com/pebbletrail/pebbletrail/internal/workload"
+)
+
+// orphanReconciler decides about reported tasks that no assignment accounts for, and about outcomes that a
+// worker still keeps.
+type orphanReconciler struct {
+	cluster  Cluster
+	outcomes *outcomeRecorder
+}
+
+// reconcile clears, adopts or stops a reported task.
+func (o *orphanReconciler) reconcile(reported *reportedTask, fencingToken ids.Generation) []worker.Command {
+	if reported.exited() {
+		return o.clearOutcome(reported)
+	}
+	job, index := reported.job, reported.index()
+	if job != nil && job.Assignments[index] == nil && index < job.Record.Spec.Tasks {
+		o.adopt(reported, fencingToken)
+		return nil
+	}
+	slog.Info("orphaned task stopped", "task", reported.Task, "attempt", reported.Attempt, "machine", reported.machine.Name)
+	return []worker.Command{worker.StopCommand(reported.Task, reported.Attempt, 0)}
+}
+
+// clearOutcome has a worker clear the outcome of a task that ended, once that is stored.
+func (o *orphanReconciler) clearOutcome(reported *reportedTask) []worker.Command {
+	if job := reported.job; job != nil && !job.Ended {
+		if version, recorded := job.RecordedOutcomes[reported.key]; recorded && job.StoredVersion < version {
+			return nil // its outcome must be stored before it is cleared
+		}
+		if o.keepResult(reported) {
+			return nil
+		}
+		delete(job.RecordedOutcomes, reported.key)
+	}
+	if reported.machine.MayRestart(reported.Task, reported.Attempt) {
+		return nil // cleared, a late start would begin it anew
+	}
+	return []worker.Command{worker.ClearCommand(reported.Task, reported.Attempt)}
+}
+
+// keepResult records that a task is done which nobody expected there: a result is kept wherever it comes from.
+// It reports whether it was new.
+func (o *orphanReconciler) keepResult(reported *reportedTask) bool {
+	job, index := reported.job, reported.index()
+	wanted := !job.Record.Finished.Contains(index) && index < job.Record.Spec.Tasks && job.Assignments[index] == nil
+	if reported.Cause != worker.CauseDone || !wanted || job.Cancelled() || !job.MayRecordFinished() {
+		return false
+	}
+	job.Record.Finished.Add(index)
+	o.outcomes.recorded(job, reported.key)
+	return true
+}
+
+// adopt adds an assignment for a task that is on a machine, whoever started it: until it is gone it must not
+// be started elsewhere and counts against its team's quota.
+func (o *orphanReconciler) adopt(reported *reportedTask, fencingToken ids.Generation) {
+	job, machine := reported.job, reported.machine
+	assignment := &workload.Assignment{
+		Job:          job,
+		TaskIndex:    reported.index(),
+		Machine:      machine.Name,
+		Incarnation:  machine.Incarnation,
+		Attempt:      reported.Attempt,
+		FencingToken: fencingToken,
+		StartSent:    true,
+		Confirmed:    true,
+		Status:       reported.State,
+		AssignedAt:   time.Now(),
+	}
+	job.Record.Attempt = max(job.Record.Attempt, reported.Attempt)
+	o.cluster.Assign(assignment)
+	if job.Cancelled() || job.Record.Finished.Contains(reported.index()) || job.Record.Spec.Shape == record.Gang {
+		o.cluster.Stop(assignment, 0, "not expected there")
+	} else {
+		o.cluster.RecordEvent(job, "task %d found on %s and kept", assignment.TaskIndex, machine.Name)
+	}
+	if !job.Ended {
+		o.cluster.MarkChanged(job)
+		assignment.MarkerVersion = job.Version
+	}
+}
