--- a/internal/commit/committer.go
+++ b/internal/commit/committer.go
@@ -1,12 +1,16 @@
 // Package commit writes a leader's changes to the store in groups, each conditional on the generation and
 // on every job's own revision, so that a superseded leader can change nothing. Where a condition fails it
-// reads back what happened. It holds no lock while it calls the store: what changed, and what became of
-// it, the cluster state tells and learns under its own.
+// reads back what happened.
+//
+// Committer is the entry point. conflictResolver reads back what became of jobs whose conditions failed, and
+// finalRecordReader looks up how jobs ended that others depend on.
+//
+// No lock of the cluster state is held while the store is called: the methods of Cluster lock that state
+// themselves. Committer's own write slot lets one write of the leader be in flight at a time.
 package commit
 
 import (
 	"context"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"log/slog"
@@ -17,95 +21,48 @@
 	"github.com/pebbletrail/pebbletrail/internal/record"
 	"github.com/pebbletrail/pebbletrail/internal/state"
 	"github.com/pebbletrail/pebbletrail/internal/wait"
-	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// GenerationRecord is the value at the generation's key. It persists, so that the number never falls.
-type GenerationRecord struct {
-	Generation ids.Generation `json:"generation"`
-	Node       ids.Node       `json:"node"`
-	Writer     string         `json:"writer"`
-}
-
-// Change is what a transaction stores of one job.
-type Change struct {
-	// Job is the job whose record changed, up to Version; nil of a move.
-	Job     *workload.Job
-	Version uint64
-	// Waiting is a job that waited for others and moves on, and Becomes its record after that; nil of a
-	// changed record.
-	Waiting *workload.WaitingJob
-	Becomes *record.Record
-	// Terminal tells that the final record is written.
-	Terminal bool
-
-	Ops        []state.Op
-	Conditions []state.Condition
-	Size       int // of the operations, in bytes
-}
-
-// Limits bound one group of changes.
-type Limits struct {
-	Ops int
-	// Scarce tells that the store takes few more changes now: what can wait is left out.
-	Scarce bool
-}
-
-// LimitsOf are the limits that follow from what is left of a budget for the store.
-func LimitsOf(budget *state.Budget) Limits {
-	return Limits{Ops: max(2, budget.WriteBurst()), Scarce: budget.NearlyExhausted()}
-}
-
 // Cluster is the cluster state, which locks itself.
 type Cluster interface {
-	// Writer names this leader in what it writes.
+	// Writer returns the name of this leader in what it writes.
 	Writer() string
-	// Generation is this leader's present one.
+	// Generation returns this leader's present generation.
 	Generation() ids.Generation
 	// CommitWanted is ready to be read once a change has to be stored at once.
 	CommitWanted() <-chan struct{}
-	// CollectChanges picks the changes to store now, most urgent first; raise tells that the generation
+	// CollectChanges picks the changes to store now, most urgent first; raise reports that the generation
 	// is to be raised before.
 	CollectChanges(limits Limits) (changes []Change, raise bool)
-	// ChangesStored takes in that changes are in the store. Starts of their jobs wait for a read of the
-	// records begun after a time, if there is one.
+	// ChangesStored records that changes are stored. Starts of their jobs wait for a read of the records
+	// begun after readAfter, unless it is zero.
 	ChangesStored(changes []Change, revision ids.Revision, readAfter time.Time)
-	// GenerationRaised takes in this leader's new generation.
+	// GenerationRaised records this leader's new generation.
 	GenerationRaised(generation ids.Generation)
-	// ValueLimit is how many bytes a value may take.
+	// ValueLimit returns how many bytes a value may take.
 	ValueLimit() int
 
 	Conflicts
 	Lookups
 }
 
-// Conflicts is what the cluster state learns where conditions failed.
-type Conflicts interface {
-	// CancellationFound takes in that a job's cancellation is stored apart from its record, or with a
-	// revision of 0 that none is.
-	CancellationFound(id ids.Job, revision ids.Revision)
-	// RecordFound takes in a job's live record: this leader's own, whose answer was lost, or a user's.
-	RecordFound(job *workload.Job, stored *record.Record, revision ids.Revision)
-	// RecordEnded takes in that a job's final record is stored.
-	RecordEnded(job *workload.Job)
-	// MoveFound takes in that a waiting job's move was stored, MoveNotFound that the job is gone.
-	MoveFound(waiting *workload.WaitingJob, stored *record.Record, revision ids.Revision)
-	MoveNotFound(waiting *workload.WaitingJob)
-}
-
-// Committer writes the changes of one term.
+// Committer writes the changes of one term. It is safe for concurrent use.
 type Committer struct {
 	cluster Cluster
 	store   *state.Client
 	node    ids.Node
 	keys    record.ShardKeys
-	// superseded is called once another leader is known to have taken over, and stored after each
-	// stored group: starts may go out.
+	// superseded is called once another leader is known to have taken over.
 	superseded func(why string)
-	stored     func()
+	// stored is called after each stored group: starts may be sent.
+	stored func()
 
-	// writeSlot lets one write of the leader go out at a time: each is conditional on the generation's
-	// revision, and raising it changes that. It guards generationRevision.
+	conflicts    *conflictResolver
+	finalRecords *finalRecordReader
+
+	// writeSlot lets one write of the leader be in flight at a time: each is conditional on the generation's
+	// revision, and raising it changes that. It guards generationRevision. It is held while the store and
+	// the cluster state are called, so nothing that holds the cluster state's lock may take it.
 	writeSlot          chan struct{}
 	generationRevision ids.Revision
 }
@@ -114,21 +71,30 @@
 type Events struct {
 	// Superseded is called once another leader is known to have taken over.
 	Superseded func(why string)
-	// Stored is called after each stored group: starts may go out.
+	// Stored is called after each stored group: starts may be sent.
 	Stored func()
 }
 
-// New makes the committer of a term that began with a revision of the generation.
+// New returns the committer of a term that began with a revision of the generation.
 func New(cluster Cluster, store *state.Client, node ids.Node, keys record.ShardKeys, revision ids.Revision, events Events) *Committer {
-	c := &Committer{cluster: cluster, store: store, node: node, keys: keys, generationRevision: revision, writeSlot: make(chan struct{}, 1),
-		superseded: events.Superseded, stored: events.Stored}
-	if c.superseded == nil {
-		c.superseded = func(string) {}
+	if events.Superseded == nil {
+		events.Superseded = func(string) {}
+	}
+	if events.Stored == nil {
+		events.Stored = func() {}
 	}
-	if c.stored == nil {
-		c.stored = func() {}
+	return &Committer{
+		cluster:            cluster,
+		store:              store,
+		node:               node,
+		keys:               keys,
+		superseded:         events.Superseded,
+		stored:             events.Stored,
+		conflicts:          &conflictResolver{cluster: cluster, store: store, stored: events.Stored},
+		finalRecords:       &finalRecordReader{cluster: cluster, store: store},
+		writeSlot:          make(chan struct{}, 1),
+		generationRevision: revision,
 	}
-	return c
 }
 
 const (
@@ -136,7 +102,7 @@
 	commitInterval = 250 * time.Millisecond
 	// retryDelay is the wait after a commit whose outcome is not known, or that was refused.
 	retryDelay = 100 * time.Millisecond
-	// slowCommit is the time of a commit after which its answer alone does not let starts go out: it
+	// slowCommit is the time of a commit after which its answer alone does not let starts be sent: it
 	// tells of when the commit was carried out, and users may have cancelled the job through another
 	// controller since. The next read of the records tells.
 	slowCommit = 150 * time.Millisecond
@@ -157,18 +123,13 @@
 	}
 }
 
-// lock takes the right to write; it gives the function that returns it.
+// lock takes the write slot and returns the function that releases it.
 func (c *Committer) lock() (unlock func()) {
 	c.writeSlot <- struct{}{}
 	return func() { <-c.writeSlot }
 }
 
-// generationCondition is what every write of this leader is conditional on.
-func (c *Committer) generationCondition() state.Condition {
-	return state.Condition{Key: c.keys.Generation(), Revision: c.generationRevision}
-}
-
-// CommitGroup writes one group; more tells that there may be another.
+// CommitGroup writes one group; it reports whether there may be another.
 func (c *Committer) CommitGroup(ctx context.Context) (more bool) {
 	defer c.lock()()
 	changes, raise := c.cluster.CollectChanges(LimitsOf(c.store.Budget()))
@@ -188,12 +149,12 @@
 	revision, err := c.store.Commit(ctx, txn, state.Urgent)
 	measure.Process.Took("commit", began)
 	measure.Process.Count("changes committed", len(txn.Ops))
-	c.takeIn(ctx, changes, ids.Revision(revision), began, err)
+	c.recordCommit(ctx, changes, ids.Revision(revision), began, err)
 	return true
 }
 
-// takeIn deals with the outcome of a group's commit.
-func (c *Committer) takeIn(ctx context.Context, changes []Change, revision ids.Revision, began time.Time, err error) {
+// recordCommit records the outcome of a group's commit. The caller holds the write slot.
+func (c *Committer) recordCommit(ctx context.Context, changes []Change, revision ids.Revision, began time.Time, err error) {
 	var conflict *state.ConflictError
 	switch {
 	case err == nil:
@@ -217,42 +178,14 @@
 	wait.For(ctx, retryDelay)
 }
 
-// raiseGeneration raises the generation while this leader goes on, so that workers turn away whatever
-// direct start is still under way.
-func (c *Committer) raiseGeneration(ctx context.Context) {
-	next := c.cluster.Generation() + 1
-	value, err := json.Marshal(GenerationRecord{next, c.node, c.cluster.Writer()})
-	if err != nil {
-		slog.Error("generation not encoded", "err", err)
-		wait.For(ctx, retryDelay)
+// resolveConflict reads back the keys whose conditions failed: either an answer was lost and the change
+// is this leader's own, or another controller wrote. The caller holds the write slot.
+func (c *Committer) resolveConflict(ctx context.Context, conflict *state.ConflictError, changes []Change) {
+	if conflict.Has(c.keys.Generation()) {
+		c.readGeneration(ctx)
 		return
 	}
-	revision, err := c.store.Commit(ctx, state.Txn{
-		Conditions: []state.Condition{c.generationCondition()},
-		Ops:        []state.Op{{Put: c.keys.Generation(), Value: value}},
-	}, state.Urgent)
-	var conflict *state.ConflictError
-	switch {
-	case err == nil:
-		c.generationRaised(next, ids.Revision(revision))
-	case errors.As(err, &conflict):
-		c.resolveConflict(ctx, conflict, nil)
-	default:
-		wait.For(ctx, retryDelay)
-	}
-}
-
-// generationRaised takes in that the generation was raised.
-func (c *Committer) generationRaised(generation ids.Generation, revision ids.Revision) {
-	c.cluster.GenerationRaised(generation)
-	c.generationRevision = revision
-	slog.Info("generation raised to turn late starts away", "generation", generation)
-}
-
-// LastGenerationRevision is the revision of the generation that this leader's writes are conditional on.
-func (c *Committer) LastGenerationRevision() ids.Revision {
-	defer c.lock()()
-	return c.generationRevision
+	c.conflicts.resolve(ctx, conflict, changes)
 }
 
 // Apply writes other keys of the leader's, such as provisioning requests, under the same condition as
@@ -275,3 +208,9 @@
 	_, err := c.store.Commit(ctx, state.Txn{Conditions: conditions, Ops: ops}, state.Normal)
 	return err
 }
+
+// RunLookups looks up how jobs ended that others depend on, until the context ends.
+func (c *Committer) RunLookups(ctx context.Context) { c.finalRecords.run(ctx) }
+
+// LookUpOnce is one pass of RunLookups.
+func (c *Committer) LookUpOnce(ctx context.Context) { c.finalRecords.lookUp(ctx) }
--- a/internal/commit/conflict.go
+++ b/internal/commit/conflict.go
@@ -2,117 +2,124 @@
 
 import (
 	"context"
-	"encoding/json"
 	"log/slog"
 
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 	"github.com/pebbletrail/pebbletrail/internal/record"
 	"github.com/pebbletrail/pebbletrail/internal/state"
-	"github.com/pebbletrail/pebbletrail/internal/wait"
+	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// resolveConflict reads back the keys whose conditions failed: either an answer was lost and the change
-// is this leader's own, or another controller wrote. What can't be read now is read at the next conflict.
-func (c *Committer) resolveConflict(ctx context.Context, conflict *state.ConflictError, changes []Change) {
-	if conflict.Has(c.keys.Generation()) {
-		c.readGeneration(ctx)
-		return
-	}
+// Conflicts is what the cluster state learns where conditions failed. It locks itself.
+type Conflicts interface {
+	// CancellationFound records that a job's cancellation is stored apart from its record, or with a
+	// revision of 0 that none is.
+	CancellationFound(id ids.Job, revision ids.Revision)
+	// RecordFound records a job's live record: this leader's own, whose answer was lost, or a user's.
+	RecordFound(job *workload.Job, stored *record.Record, revision ids.Revision)
+	// RecordEnded records that a job's final record is stored.
+	RecordEnded(job *workload.Job)
+	// MoveFound records that a waiting job's move was stored, MoveNotFound that the job is gone.
+	MoveFound(waiting *workload.WaitingJob, stored *record.Record, revision ids.Revision)
+	MoveNotFound(waiting *workload.WaitingJob)
+}
+
+// conflictResolver reads back what became of jobs whose conditions failed.
+type conflictResolver struct {
+	cluster Conflicts
+	store   *state.Client
+	// stored is called once a job's live record is known.
+	stored func()
+}
+
+// resolve reads back the changes whose conditions failed. What can't be read now is read at the next conflict.
+func (r *conflictResolver) resolve(ctx context.Context, conflict *state.ConflictError, changes []Change) {
 	for _, change := range changes {
-		if !c.resolveChange(ctx, conflict, change) {
+		if !r.resolveChange(ctx, conflict, change) {
 			return
 		}
 	}
 }
 
-// readGeneration finds out whether this leader raised the generation itself, or was superseded.
-func (c *Committer) readGeneration(ctx context.Context) {
-	entry, found, err := c.store.Get(ctx, c.keys.Generation(), state.Urgent)
-	if err != nil {
-		wait.For(ctx, retryDelay)
-		return
-	}
-	var stored GenerationRecord
-	if found && json.Unmarshal(entry.Value, &stored) == nil && stored.Writer == c.cluster.Writer() {
-		c.generationRaised(stored.Generation, entry.Revision)
-		return
-	}
-	c.superseded("another leader raised the generation")
-}
-
-// resolveChange reads back what became of one change; it is false if the store does not tell.
-func (c *Committer) resolveChange(ctx context.Context, conflict *state.ConflictError, change Change) bool {
+// resolveChange reads back what became of one change; it returns false if the store does not tell.
+func (r *conflictResolver) resolveChange(ctx context.Context, conflict *state.ConflictError, change Change) bool {
 	if change.Waiting != nil {
-		return !conflict.Has(record.WaitKey(change.Waiting.ID())) || c.readMove(ctx, change)
+		return !conflict.Has(record.WaitKey(change.Waiting.ID())) || r.readMove(ctx, change)
 	}
 	id := change.Job.ID()
-	if conflict.Has(record.CancelKey(id)) && !c.readCancellation(ctx, id) {
+	if conflict.Has(record.CancelKey(id)) && !r.readCancellation(ctx, id) {
 		return false
 	}
 	if !conflict.Has(record.JobKey(id)) && !conflict.Has(record.EndKey(id)) {
 		return true
 	}
-	return c.readRecord(ctx, change)
+	return r.readRecord(ctx, change)
 }
 
 // readCancellation finds out whether a cancellation is stored apart from the job's record.
-func (c *Committer) readCancellation(ctx context.Context, id ids.Job) bool {
-	entry, found, err := c.store.Get(ctx, record.CancelKey(id), state.Urgent)
+func (r *conflictResolver) readCancellation(ctx context.Context, id ids.Job) bool {
+	entry, found, err := r.store.Get(ctx, record.CancelKey(id), state.Urgent)
 	if err != nil {
 		return false
 	}
 	if !found {
 		entry.Revision = 0
 	}
-	c.cluster.CancellationFound(id, entry.Revision)
+	r.cluster.CancellationFound(id, entry.Revision)
 	return true
 }
 
 // readRecord reads a job's live record or, without one, its final one.
-func (c *Committer) readRecord(ctx context.Context, change Change) bool {
+func (r *conflictResolver) readRecord(ctx context.Context, change Change) bool {
 	id := change.Job.ID()
-	live, found, err := c.store.Get(ctx, record.JobKey(id), state.Urgent)
-	if err != nil {
+	stored, revision, ok := r.readLive(ctx, id)
+	if !ok {
 		return false
 	}
-	if found {
-		stored, err := record.Decode(live.Value)
-		if err != nil {
-			slog.Error("unreadable record", "job", id, "err", err)
-			return false
-		}
-		c.cluster.RecordFound(change.Job, stored, live.Revision)
-		c.stored()
+	if stored != nil {
+		r.cluster.RecordFound(change.Job, stored, revision)
+		r.stored()
 		return true
 	}
-	_, found, err = c.store.Get(ctx, record.EndKey(id), state.Urgent)
+	_, found, err := r.store.Get(ctx, record.EndKey(id), state.Urgent)
 	if err != nil {
 		return false
 	}
 	if !found {
 		slog.Error("job record missing", "job", id)
 	}
-	c.cluster.RecordEnded(change.Job)
+	r.cluster.RecordEnded(change.Job)
 	return true
 }
 
 // readMove finds out what became of a waiting job whose move met a conflict: an answer was lost, or its
 // user cancelled it.
-func (c *Committer) readMove(ctx context.Context, change Change) bool {
-	id := change.Waiting.ID()
-	live, found, err := c.store.Get(ctx, record.JobKey(id), state.Urgent)
-	if err != nil {
+func (r *conflictResolver) readMove(ctx context.Context, change Change) bool {
+	stored, revision, ok := r.readLive(ctx, change.Waiting.ID())
+	switch {
+	case !ok:
 		return false
+	case stored == nil:
+		r.cluster.MoveNotFound(change.Waiting)
+	default:
+		r.cluster.MoveFound(change.Waiting, stored, revision)
+	}
+	return true
+}
+
+// readLive reads a job's live record, nil if there is none; ok is false if the store does not tell.
+func (r *conflictResolver) readLive(ctx context.Context, id ids.Job) (stored *record.Record, revision ids.Revision, ok bool) {
+	entry, found, err := r.store.Get(ctx, record.JobKey(id), state.Urgent)
+	if err != nil {
+		return nil, 0, false
 	}
 	if !found {
-		c.cluster.MoveNotFound(change.Waiting)
-		return true
+		return nil, 0, true
 	}
-	stored, err := record.Decode(live.Value)
+	stored, err = record.Decode(entry.Value)
 	if err != nil {
 		slog.Error("unreadable record", "job", id, "err", err)
-		return false
+		return nil, 0, false
 	}
-	c.cluster.MoveFound(change.Waiting, stored, live.Revision)
-	return true
+	return stored, entry.Revision, true
 }
--- a/internal/commit/lookups.go
+++ b/internal/commit/lookups.go
@@ -19,48 +19,55 @@
 	// pagedLookupThreshold is from how many on pages of final records are tried: after a takeover with
 	// thousands that wait.
 	pagedLookupThreshold = 40
-	// LookupPageSize is how many final records a page holds, and lookupPagesPerPass how many pages one
-	// pass reads at most.
-	LookupPageSize, lookupPagesPerPass = 500, 5
+	// LookupPageSize is how many final records a page holds.
+	LookupPageSize = 500
+	// lookupPagesPerPass is how many pages one pass reads at most.
+	lookupPagesPerPass = 5
 	// minLookupsPerPage is how many wanted records a page must cover to be worth reading.
 	minLookupsPerPage = 8
 	// LookupReadsPerPass is how many records one pass reads one by one at most.
 	LookupReadsPerPass = 20
 )
 
-// Lookups is what the cluster state wants to know of ended jobs.
+// Lookups is what the cluster state wants to know of ended jobs. It locks itself.
 type Lookups interface {
 	// DueLookups lists, in the order of their keys, the ended jobs to look up now.
 	DueLookups(now time.Time) []ids.Job
-	// RetryLookup puts off looking a job up that could not be read.
+	// RetryLookup postpones the lookup of a job that could not be read.
 	RetryLookup(id ids.Job, now time.Time)
-	// LookupFound takes in how a job ended.
+	// LookupFound records how a job ended.
 	LookupFound(id ids.Job, status record.Status)
-	// LookupMissed takes in that a job has no final record; readLive tells that it may be live after
+	// LookupMissed records that a job has no final record; readLive reports that it may be live after
 	// all, by a write of this leader's without an answer.
 	LookupMissed(id ids.Job, now time.Time) (readLive bool)
-	// LiveRecordFound takes in a live record.
+	// LiveRecordFound records a live record.
 	LiveRecordFound(stored *record.Record, revision ids.Revision, now time.Time)
 }
 
-// RunLookups finds out how jobs ended that others depend on, until the context ends.
-func (c *Committer) RunLookups(ctx context.Context) {
+// finalRecordReader looks up the final records of jobs that others depend on.
+type finalRecordReader struct {
+	cluster Lookups
+	store   *state.Client
+}
+
+// run looks up until the context ends.
+func (r *finalRecordReader) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		c.LookUpOnce(ctx)
+		r.lookUp(ctx)
 		wait.For(ctx, LookupInterval)
 	}
 }
 
-// LookUpOnce is one pass: pages while they cover enough of what is wanted, then records one by one. What
-// it does not get to is left to the next pass.
-func (c *Committer) LookUpOnce(ctx context.Context) {
+// lookUp is one pass: pages while they cover enough of what is wanted, then records one by one. What it does
+// not get to is left to the next pass.
+func (r *finalRecordReader) lookUp(ctx context.Context) {
 	now := time.Now()
-	wanted := c.cluster.DueLookups(now)
+	wanted := r.cluster.DueLookups(now)
 	for page := 0; len(wanted) >= pagedLookupThreshold; page++ {
 		if page == lookupPagesPerPass {
 			return
 		}
-		covered, ok := c.lookUpPage(ctx, wanted, now)
+		covered, ok := r.lookUpPage(ctx, wanted, now)
 		if !ok {
 			break
 		}
@@ -70,19 +77,19 @@
 		}
 	}
 	for _, id := range wanted[:min(len(wanted), LookupReadsPerPass)] {
-		entry, found, err := c.store.Get(ctx, record.EndKey(id), state.Normal)
+		entry, found, err := r.store.Get(ctx, record.EndKey(id), state.Normal)
 		if err != nil {
-			c.cluster.RetryLookup(id, now) // the others must not wait for one that can't be read
+			r.cluster.RetryLookup(id, now) // the others must not wait for one that can't be read
 			return
 		}
-		c.applyLookup(ctx, id, entry, found, now)
+		r.applyLookup(ctx, id, entry, found, now)
 	}
 }
 
-// lookUpPage reads the page of final records that begins at the first wanted one, and tells how many of
+// lookUpPage reads the page of final records that begins at the first wanted one, and returns how many of
 // the wanted lie within it.
-func (c *Committer) lookUpPage(ctx context.Context, wanted []ids.Job, now time.Time) (covered int, ok bool) {
-	entries, more, _, err := c.store.List(ctx, record.EndPrefix, justBefore(record.EndKey(wanted[0])), LookupPageSize, state.Normal)
+func (r *finalRecordReader) lookUpPage(ctx context.Context, wanted []ids.Job, now time.Time) (covered int, ok bool) {
+	entries, more, _, err := r.store.List(ctx, record.EndPrefix, justBefore(record.EndKey(wanted[0])), LookupPageSize, state.Normal)
 	if err != nil {
 		return 0, false
 	}
@@ -96,43 +103,43 @@
 			break
 		}
 		entry, found := byKey[key]
-		c.applyLookup(ctx, id, entry, found, now)
+		r.applyLookup(ctx, id, entry, found, now)
 		covered++
 	}
 	return covered, true
 }
 
-// justBefore is a key that comes before another, and after every other job's key that does: they end in
+// justBefore returns a key that comes before another, and after every other job's key that does: they end in
 // digits.
 func justBefore(key string) string {
 	last := len(key) - 1
 	return key[:last] + string(key[last]-1) + "~"
 }
 
-// applyLookup takes in what was found of a job that ended.
-func (c *Committer) applyLookup(ctx context.Context, id ids.Job, entry state.Entry, found bool, now time.Time) {
+// applyLookup records what was found of a job that ended.
+func (r *finalRecordReader) applyLookup(ctx context.Context, id ids.Job, entry state.Entry, found bool, now time.Time) {
 	if !found {
-		if c.cluster.LookupMissed(id, now) {
-			c.findLive(ctx, id, now)
+		if r.cluster.LookupMissed(id, now) {
+			r.findLive(ctx, id, now)
 		}
 		return
 	}
 	stored, err := record.Decode(entry.Value)
 	if err != nil || !stored.Status.IsTerminal() {
 		slog.Error("unreadable record", "key", entry.Key, "err", err)
-		c.cluster.RetryLookup(id, now)
+		r.cluster.RetryLookup(id, now)
 		return
 	}
-	c.cluster.LookupFound(id, stored.Status)
+	r.cluster.LookupFound(id, stored.Status)
 }
 
-// findLive takes in a live record that this leader wrote but does not know of.
-func (c *Committer) findLive(ctx context.Context, id ids.Job, now time.Time) {
-	entry, found, err := c.store.Get(ctx, record.JobKey(id), state.Normal)
+// findLive finds a live record that this leader wrote but does not know of.
+func (r *finalRecordReader) findLive(ctx context.Context, id ids.Job, now time.Time) {
+	entry, found, err := r.store.Get(ctx, record.JobKey(id), state.Normal)
 	if err != nil || !found {
 		return
 	}
 	if stored, err := record.Decode(entry.Value); err == nil {
-		c.cluster.LiveRecordFound(stored, entry.Revision, now)
+		r.cluster.LiveRecordFound(stored, entry.Revision, now)
 	}
 }
