--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -1,6 +1,10 @@
-// Package dispatch sends commands and probes straight to the workers: starts whose markers are stored,
-// stops, and questions to machines whose reports are overdue. Which of them are due follows from the
-// cluster state, whose lock guards Queue and Prober; Dispatcher runs beside it and holds no lock.
+// Package dispatch sends commands and probes straight to the workers: starts whose markers are stored, stops,
+// and probes of machines whose reports are overdue.
+//
+// Queue decides which commands are due and Prober which machines to probe. Neither has a lock: the lock of the
+// cluster state that they belong to guards them, every method is called under it, and so are the methods of
+// Jobs. Dispatcher sends what they choose. It holds no lock; the methods of Cluster lock the cluster state
+// themselves.
 package dispatch
 
 import (
@@ -15,35 +19,42 @@
 
 // Cluster is what the dispatcher asks of the cluster state, which locks itself.
 type Cluster interface {
-	// NextBatches takes what may go out now, for at most so many machines.
+	// NextBatches takes the commands that may be sent now, to at most limit machines.
 	NextBatches(limit int) []Batch
-	// BatchAnswered takes in what became of a batch.
+	// BatchAnswered records what became of a batch.
 	BatchAnswered(batch Batch, outcome worker.Outcome)
-	// DueProbes takes the machines to probe now, with at most so many probes in flight.
+	// DueProbes takes the machines to probe now, with at most limit probes in flight.
 	DueProbes(now time.Time, limit int) []Probe
-	// ProbeAnswered takes in whether a machine answered a probe.
+	// ProbeAnswered records whether a machine answered a probe.
 	ProbeAnswered(machine ids.Machine, answered bool)
-	// ReconcileHeartbeat takes in a machine's report.
+	// ReconcileHeartbeat reconciles a machine's report.
 	ReconcileHeartbeat(report *worker.Report, answered, heartbeat bool) []worker.Command
 }
 
-// Dispatcher sends what is due, in calls of their own. At most as many batches are under way as it has
-// slots, since each holds a socket; each call ends by itself after its timeout or with the context.
+// Dispatcher sends what is due, each batch and probe in a goroutine of its own. At most as many batches are in
+// flight as it has slots, since each holds a socket. Nobody waits for these goroutines: each ends by itself,
+// after the call's timeout or with the context of Run.
 type Dispatcher struct {
 	cluster   Cluster
 	commander *worker.Commander
-	// mayCommand tells whether this leader may still give commands.
+	// mayCommand reports whether this leader may still give commands.
 	mayCommand func() bool
 	slots      chan struct{}
 	wake       chan struct{}
 }
 
-// New makes a dispatcher with so many slots.
+// New returns a dispatcher that has at most slots batches in flight.
 func New(cluster Cluster, commander *worker.Commander, slots int, mayCommand func() bool) *Dispatcher {
-	return &Dispatcher{cluster: cluster, commander: commander, mayCommand: mayCommand, slots: make(chan struct{}, slots), wake: make(chan struct{}, 1)}
+	return &Dispatcher{
+		cluster:    cluster,
+		commander:  commander,
+		mayCommand: mayCommand,
+		slots:      make(chan struct{}, slots),
+		wake:       make(chan struct{}, 1),
+	}
 }
 
-// Wake asks for a look at what may go out.
+// Wake has Run look at once at what is due.
 func (d *Dispatcher) Wake() { wait.Signal(d.wake) }
 
 // lookInterval is how often the dispatcher looks when nobody wakes it.
@@ -71,7 +82,7 @@
 	}
 }
 
-// send sends a batch and takes in what became of it.
+// send sends a batch, and records what became of it.
 func (d *Dispatcher) send(ctx context.Context, batch Batch) {
 	outcome, report := d.commander.Send(ctx, batch.Address, batch.FencingToken, batch.Incarnation, batch.Commands)
 	<-d.slots
@@ -86,7 +97,8 @@
 func (d *Dispatcher) probe(ctx context.Context, probe Probe) {
 	report := d.fetchReport(ctx, probe)
 	if report != nil && report.FencingToken < probe.FencingToken {
-		if _, fenced := d.commander.Send(ctx, probe.Address, probe.FencingToken, report.Incarnation, nil); fenced != nil && fenced.Machine == probe.Machine {
+		_, fenced := d.commander.Send(ctx, probe.Address, probe.FencingToken, report.Incarnation, nil)
+		if fenced != nil && fenced.Machine == probe.Machine {
 			report = fenced
 		}
 	}
@@ -99,8 +111,8 @@
 // fetchReport asks a machine for its report; nil if it does not answer, or another one does.
 func (d *Dispatcher) fetchReport(ctx context.Context, probe Probe) (report *worker.Report) {
 	if probe.Incarnation > 0 {
-		// No commands: only so that what earlier leaders sent is turned away from here on, and the
-		// answer tells what is there.
+		// No commands: only so that what earlier leaders sent is rejected from now on, and the answer tells
+		// what is there.
 		ctx, cancel := context.WithTimeout(ctx, liveness.ProbeTimeout)
 		defer cancel()
 		_, report = d.commander.Send(ctx, probe.Address, probe.FencingToken, probe.Incarnation, nil)
--- a/internal/dispatch/prober.go
+++ b/internal/dispatch/prober.go
@@ -19,33 +19,34 @@
 	Incarnation  ids.Incarnation // believed, of a machine that has not reported yet
 }
 
-// Prober picks the machines to ask how they are: one that hangs, is cut off or dead says nothing, while
-// one that only lost its way here answers. After a takeover it asks all that are known, instead of
-// waiting until their workers have found the new leader, and shows them its token.
+// Prober picks the machines to probe for their reports: one that hangs, is partitioned or dead does not answer,
+// while one that only lost its connection to the leader does. After a failover it probes all that are known,
+// instead of waiting until their workers have found the new leader, and shows them its fencing token. The lock of
+// the cluster state guards it.
 type Prober struct {
 	machines *worker.Registry
 	capacity *capacity.Index
 	settings *config.Settings
-	pickedAt time.Time
+	pickedAt time.Time // when machines were last picked
 	inFlight int
 	// earlyTokens are the probes that may be sent now before a report is overdue.
 	earlyTokens float64
 }
 
-// NewProber makes a prober of the machines in a registry.
+// NewProber returns a prober of the machines in a registry.
 func NewProber(settings *config.Settings, machines *worker.Registry, index *capacity.Index) *Prober {
 	return &Prober{settings: settings, machines: machines, capacity: index}
 }
 
-// reportInterval is how often workers report.
+// reportInterval returns how often workers report.
 func (p *Prober) reportInterval() time.Duration { return p.settings.Params.Workers.ReportS.Duration() }
 
 const (
-	// pickInterval spaces the looks for machines to probe.
+	// pickInterval is the least time between two searches for machines to probe.
 	pickInterval = 100 * time.Millisecond
 	// unheardRetry is after how long a machine that never reported is probed again.
 	unheardRetry = time.Second
-	// frequentProbes is how many probes in a row follow one another closely. Whoever left so many
+	// frequentProbes is how many probes in a row follow one another closely. A machine that left so many
 	// unanswered is judged already; its worker reports by itself once it is back.
 	frequentProbes = 4
 	// earlyProbesPerSecond is how many machines without replicas are probed in a second before their
@@ -55,8 +56,8 @@
 	earlyProbesPerSecond = 30.0
 )
 
-// Due picks the machines to probe now, with at most so many probes in flight: those with replicas first,
-// then whoever waits longest, so that hundreds that are silent take turns.
+// Due picks the machines to probe now, with at most limit probes in flight: those with replicas first, then the
+// ones whose last probe is longest ago, so that hundreds that are silent take turns.
 func (p *Prober) Due(now time.Time, limit int, fencingToken ids.Generation) (probes []Probe) {
 	if now.Sub(p.pickedAt) < pickInterval {
 		return nil
@@ -80,7 +81,7 @@
 	return probes
 }
 
-// silentMachines lists the machines to probe: all that are silent for too long, and of those whose reports
+// silentMachines returns the machines to probe: all that are silent for too long, and of those whose reports
 // are not overdue yet the few that have been silent for longest.
 func (p *Prober) silentMachines(now time.Time) (silent []*worker.Machine) {
 	early := longestSilent{limit: int(p.earlyTokens)}
@@ -97,7 +98,7 @@
 	return append(silent, early.machines...)
 }
 
-// isDue tells whether a machine has been silent for long enough to be probed, and was not probed just now.
+// isDue reports whether a machine has been silent for long enough to be probed, and was not probed just now.
 func (p *Prober) isDue(machine *worker.Machine, now time.Time) bool {
 	if !machine.HasReported {
 		return !machine.Booting && now.Sub(machine.LastProbeAt) > p.retryDelay(machine)
@@ -106,13 +107,13 @@
 	return silent && now.Sub(machine.LastProbeAt) > p.retryDelay(machine)
 }
 
-// isEarly tells whether a machine's report is not overdue yet and nothing else speaks against it.
+// isEarly reports whether a machine's report is not overdue yet and nothing else speaks against it.
 func (p *Prober) isEarly(machine *worker.Machine, now time.Time) bool {
 	return machine.HasReported && machine.UnansweredProbes == 0 && machine.UnreachableSince.IsZero() &&
 		machine.SilentFor(now) < p.reportInterval()*5/4 && !p.hasReplicas(machine)
 }
 
-// retryDelay is after how long a machine is probed again.
+// retryDelay returns after how long a machine is probed again.
 func (p *Prober) retryDelay(machine *worker.Machine) time.Duration {
 	delay := p.probeAfter(machine) / 2
 	if !machine.HasReported {
@@ -124,8 +125,8 @@
 	return delay
 }
 
-// probeAfter is the silence after which a machine is probed. Where replicas run, nobody waits long for a
-// report: while a machine hangs, they are down, and reports may be far apart.
+// probeAfter returns the silence after which a machine is probed. It is short where replicas run: while a machine
+// hangs, they are down, and reports may be far apart.
 func (p *Prober) probeAfter(machine *worker.Machine) time.Duration {
 	after := p.reportInterval() / 2
 	if p.hasReplicas(machine) {
@@ -134,13 +135,13 @@
 	return after
 }
 
-// hasReplicas tells whether replicas run on a machine.
+// hasReplicas reports whether replicas run on a machine.
 func (p *Prober) hasReplicas(machine *worker.Machine) bool {
 	node := p.capacity.Node(machine.Name)
 	return node != nil && node.Replicas > 0
 }
 
-// compareUrgency orders machines to probe.
+// compareUrgency orders machines by how urgent it is to probe them.
 func (p *Prober) compareUrgency(x, y *worker.Machine) int {
 	if first, second := p.hasReplicas(x), p.hasReplicas(y); first != second {
 		if first {
@@ -151,7 +152,7 @@
 	return x.LastProbeAt.Compare(y.LastProbeAt)
 }
 
-// Answered takes in whether a machine answered its probe; it gives the machine if that is known still.
+// Answered records whether a machine answered its probe. It returns the machine; nil if it is not known any more.
 func (p *Prober) Answered(name ids.Machine, answered bool) *worker.Machine {
 	p.inFlight--
 	machine := p.machines.Machines[name]
@@ -172,8 +173,10 @@
 	machines []*worker.Machine // longest silent first
 }
 
+// add keeps a machine if it is among the longest silent so far.
 func (l *longestSilent) add(machine *worker.Machine) {
-	at, _ := slices.BinarySearchFunc(l.machines, machine, func(x, y *worker.Machine) int { return x.LastReportAt.Compare(y.LastReportAt) })
+	byLastReport := func(x, y *worker.Machine) int { return x.LastReportAt.Compare(y.LastReportAt) }
+	at, _ := slices.BinarySearchFunc(l.machines, machine, byLastReport)
 	if at >= l.limit {
 		return
 	}
