--- /dev/null
+++ b/internal/commit/committer_test.go
@@ -0,0 +1,196 @@
+package commit
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"net/http"
+	"strings"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/pebbletrail/pebbletrail/internal/fake"
+	"github.com/pebbletrail/pebbletrail/internal/ids"
+	"github.com/pebbletrail/pebbletrail/internal/record"
+	"github.com/pebbletrail/pebbletrail/internal/state"
+	"github.com/pebbletrail/pebbletrail/internal/workload"
+)
+
+// fakeCluster has changes to store, and records what it learns. No job is to be looked up.
+type fakeCluster struct {
+	Lookups
+	changes []Change
+	raise   bool
+	learned []string
+}
+
+func (c *fakeCluster) learn(format string, args ...any) {
+	c.learned = append(c.learned, fmt.Sprintf(format, args...))
+}
+
+func (c *fakeCluster) CollectChanges(Limits) ([]Change, bool) {
+	raise := c.raise
+	c.raise = false
+	return c.changes, raise
+}
+
+func (c *fakeCluster) ChangesStored(changes []Change, _ ids.Revision, readAfter time.Time) {
+	c.learn("%d stored, read first %v", len(changes), !readAfter.IsZero())
+}
+
+func (c *fakeCluster) RecordFound(job *workload.Job, stored *record.Record, _ ids.Revision) {
+	c.learn("%s found, by %s", job.ID(), stored.Writer)
+}
+
+func (c *fakeCluster) MoveFound(waiting *workload.WaitingJob, _ *record.Record, _ ids.Revision) {
+	c.learn("%s moved", waiting.ID())
+}
+
+func (c *fakeCluster) Writer() string                      { return "leader" }
+func (c *fakeCluster) Generation() ids.Generation          { return 7 }
+func (c *fakeCluster) CommitWanted() <-chan struct{}       { return nil }
+func (c *fakeCluster) GenerationRaised(g ids.Generation)   { c.learn("generation %d", g) }
+func (c *fakeCluster) ValueLimit() int                     { return 1000 }
+func (c *fakeCluster) RecordEnded(j *workload.Job)         { c.learn("%s ended", j.ID()) }
+func (c *fakeCluster) MoveNotFound(w *workload.WaitingJob) { c.learn("%s gone", w.ID()) }
+func (c *fakeCluster) CancellationFound(id ids.Job, revision ids.Revision) {
+	c.learn("%s cancelled %v", id, revision > 0)
+}
+
+// fixture is a committer of a fake cluster at a fake store.
+type fixture struct {
+	*Committer
+	cluster *fakeCluster
+	network *fake.Network
+	server  *fake.Store
+}
+
+// newFixture returns one whose other events are learned by the cluster too.
+func newFixture() *fixture {
+	f := &fixture{cluster: &fakeCluster{}, network: fake.NewNetwork(), server: fake.NewStore()}
+	f.network.Listen("state:1", f.server)
+	client := state.NewClient("state:1", f.network.Client("leader"), state.NewBudget(1000, 1000, 1, 0.6))
+	events := Events{Superseded: func(string) { f.cluster.learn("superseded") }, Stored: func() { f.cluster.learn("starts") }}
+	f.Committer = New(f.cluster, client, "node", record.KeysOf(0, 1), 0, events)
+	return f
+}
+
+// put stores a value.
+func (f *fixture) put(t *testing.T, key string, value any) {
+	t.Helper()
+	raw, err := json.Marshal(value)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if _, err := f.store.Commit(context.Background(), state.Txn{Ops: []state.Op{{Put: key, Value: raw}}}, state.Urgent); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// learned returns what the cluster learned, and forgets it.
+func (f *fixture) learned() string {
+	defer func() { f.cluster.learned = nil }()
+	return strings.Join(f.cluster.learned, "; ")
+}
+
+// testRecord returns a record of a job that another writer stored.
+func testRecord(id ids.Job, status record.Status) *record.Record {
+	stored := record.New(record.Spec{ID: id, Tasks: 1}, 1, "user")
+	stored.Status = status
+	return stored
+}
+
+// jobChange stores a job's record at its key, conditional on a revision of a key.
+func jobChange(key string, revision ids.Revision) Change {
+	value := json.RawMessage(`{"writer":"leader"}`)
+	return Change{Job: workload.NewJob(testRecord("job", record.Queued), 0), Ops: []state.Op{{Put: record.JobKey("job"), Value: value}},
+		Conditions: []state.Condition{{Key: key, Revision: revision}}}
+}
+
+// moveChange moves a waiting job, conditional on a revision of its key.
+func moveChange(revision ids.Revision) Change {
+	change := jobChange(record.WaitKey("job"), revision)
+	change.Job, change.Waiting = nil, &workload.WaitingJob{Record: testRecord("job", record.Queued)}
+	return change
+}
+
+func TestAConflictIsLookedUp(t *testing.T) {
+	jobKey, endKey, cancelKey := record.JobKey("job"), record.EndKey("job"), record.CancelKey("job")
+	for _, c := range []struct {
+		name   string
+		key    string // a key that was written
+		value  any
+		change Change
+		want   string
+	}{
+		{"no conflict", "other", 1, jobChange(jobKey, 0), "1 stored, read first false; starts"},
+		{"a user wrote the job", jobKey, testRecord("job", record.Queued), jobChange(jobKey, 0), "job found, by user; starts"},
+		{"the job's record is unreadable", jobKey, "x", jobChange(jobKey, 0), ""},
+		{"the job ended", endKey, testRecord("job", record.Done), jobChange(endKey, 0), "job ended"},
+		{"a user cancelled the job", cancelKey, 1, jobChange(cancelKey, 0), "job cancelled true"},
+		{"the cancellation is gone", "other", 1, jobChange(cancelKey, 99), "job cancelled false"},
+		{"the waiting job moved", jobKey, testRecord("job", record.Queued), moveChange(99), "job moved"},
+		{"the waiting job is gone", "other", 1, moveChange(99), "job gone"},
+		{"another leader took over", record.KeysOf(0, 1).Generation(), GenerationRecord{8, "other", "other"}, jobChange(jobKey, 0), "superseded"},
+	} {
+		synctest.Test(t, func(t *testing.T) {
+			f := newFixture()
+			f.put(t, c.key, c.value)
+			f.cluster.changes = []Change{c.change}
+			if !f.CommitGroup(context.Background()) {
+				t.Errorf("%s: no other group is looked for", c.name)
+			}
+			if got := f.learned(); got != c.want {
+				t.Errorf("%s: learned %q, want %q", c.name, got, c.want)
+			}
+		})
+	}
+}
+
+func TestACommitWithoutAnAnswerIsReadBack(t *testing.T) {
+	for _, c := range []struct {
+		fate  fake.Outcome
+		raise bool
+		want  string
+	}{
+		{fake.DropResponse, false, "job found, by leader; starts"},
+		{fake.Drop, false, "1 stored, read first false; starts"},
+		{fake.DropResponse, true, "generation 8"},
+	} {
+		synctest.Test(t, func(t *testing.T) {
+			f := newFixture()
+			f.cluster.changes, f.cluster.raise = []Change{jobChange(record.JobKey("job"), 0)}, c.raise
+			f.network.SetRule(func(string, string, *http.Request, []byte) fake.Outcome { return c.fate })
+			f.CommitGroup(context.Background())
+			if got := f.learned(); got != "" {
+				t.Errorf("%v: learned %q without an answer", c.fate, got)
+			}
+			f.network.SetRule(nil)
+			f.CommitGroup(context.Background())
+			if got := f.learned(); got != c.want {
+				t.Errorf("%v, raised %v: learned %q, want %q", c.fate, c.raise, got, c.want)
+			}
+		})
+	}
+}
+
+func TestWritesAreConditionalOnTheRaisedGeneration(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		f := newFixture()
+		f.cluster.raise = true
+		f.CommitGroup(context.Background())
+		if got := f.learned(); got != "generation 8" || f.LastGenerationRevision() == 0 {
+			t.Errorf("learned %q, revision %d", got, f.LastGenerationRevision())
+		}
+		if err := f.Apply(context.Background(), []state.Op{{Put: "key", Value: []byte("1")}}); err != nil {
+			t.Errorf("apply: %v", err)
+		}
+		f.put(t, f.keys.Generation(), GenerationRecord{9, "other", "other"})
+		var conflict *state.ConflictError
+		if err := f.Apply(context.Background(), []state.Op{{Put: "key", Value: []byte("2")}}); !errors.As(err, &conflict) {
+			t.Errorf("apply after another leader took over: %v", err)
+		}
+	})
+}
--- a/internal/dispatch/prober_test.go
+++ b/internal/dispatch/prober_test.go
@@ -21,7 +21,8 @@
 	for i := range largestFleet {
 		machine := machines.Ensure(ids.Machine(fmt.Sprintf("host-%06d", i)), now, now)
 		machine.HasReported, machine.Addr = true, "m:1"
-		machine.LastReportAt = now.Add(-1100*time.Millisecond - time.Duration(i*7919%largestFleet)*time.Microsecond*10)
+		silence := 1100*time.Millisecond + time.Duration(i*7919%largestFleet)*time.Microsecond*10
+		machine.LastReportAt = now.Add(-silence)
 	}
 	settings := &config.Settings{}
 	settings.Params.Workers.ReportS = 2
@@ -32,8 +33,46 @@
 		t.Fatalf("%d machines probed, not the 5 saved up and 3 more", len(probes))
 	}
 	for _, probe := range probes {
-		if silent := now.Sub(machines.Machines[probe.Machine].LastReportAt); silent < 1100*time.Millisecond+(largestFleet-9)*10*time.Microsecond {
+		silent := now.Sub(machines.Machines[probe.Machine].LastReportAt)
+		if silent < 1100*time.Millisecond+(largestFleet-9)*10*time.Microsecond {
 			t.Errorf("probed %s, silent for %v only", probe.Machine, silent)
 		}
 	}
 }
+
+func TestSilentMachinesTakeTurnsAndThoseWithReplicasComeFirst(t *testing.T) {
+	began := time.Now()
+	machines := worker.NewRegistry(20)
+	index := capacity.NewIndex(machines)
+	for i := range 5 {
+		machine := machines.Ensure(ids.Machine(fmt.Sprintf("m%d", i)), began, began)
+		machine.HasReported, machine.Addr, machine.LastReportAt = true, "m:1", began.Add(-time.Minute)
+		machine.LastProbeAt = began.Add(time.Duration(i-10) * time.Second)
+	}
+	index.Ensure("m4").Replicas = 1
+	machines.Machines["m0"].Deleting = true
+	settings := &config.Settings{}
+	settings.Params.Workers.ReportS = 2
+	prober := NewProber(settings, machines, index)
+	for i, want := range []string{"[m4 m1]", "[m2]", "[m4 m3]", "[m4 m1 m2]"} {
+		now := began.Add(time.Duration(i) * 1100 * time.Millisecond)
+		var names []ids.Machine
+		for _, probe := range prober.Due(now, 2+i%2, leaderToken) {
+			names = append(names, probe.Machine)
+		}
+		if fmt.Sprint(names) != want {
+			t.Errorf("look %d: probed %v, want %s", i, names, want)
+		}
+		if i == 0 {
+			continue // no answer comes in time
+		}
+		for _, machine := range machines.Machines {
+			if machine.ProbeInFlight {
+				prober.Answered(machine.Name, false)
+			}
+		}
+	}
+	if machine := machines.Machines["m4"]; machine.UnansweredProbes != 3 || !machine.SuspectSince.Equal(began) {
+		t.Errorf("m4 left %d probes unanswered, the first at %v", machine.UnansweredProbes, machine.SuspectSince.Sub(began))
+	}
+}
