--- a/internal/reconcile/reconciler.go
+++ b/internal/reconcile/reconciler.go
@@ -115,7 +115,8 @@
 	}
 	r.machines.record(machine, before, result.Restarted, now)
 	r.dropEarlierIncarnations(machine, report)
-	listed, commands := r.tasks.reconcile(machine, report, permission.FencingToken, now)
+	listed := make(map[workload.TaskAttempt]bool, len(report.Tasks))
+	commands := r.tasks.reconcile(machine, report, listed, permission.FencingToken, now)
 	r.reconcileMissing(machine, report, source, listed)
 	r.queueUnsentStarts(machine)
 	commands = append(commands, r.answers.commands(machine, source, permission, now)...)
--- a/internal/reconcile/tasks.go
+++ b/internal/reconcile/tasks.go
@@ -34,12 +34,11 @@
 	orphans  *orphanReconciler
 }
 
-// reconcile takes in the tasks that a report lists. It returns which they are, and what their machine is to do
-// with those that no assignment accounts for.
+// reconcile takes in the tasks that a report lists and notes in listed which they are. It returns what their
+// machine is to do with those that no assignment accounts for.
 func (t *taskReconciler) reconcile(
-	machine *worker.Machine, report *worker.Report, fencingToken ids.Generation, now time.Time,
-) (listed map[workload.TaskAttempt]bool, commands []worker.Command) {
-	listed = make(map[workload.TaskAttempt]bool, len(report.Tasks))
+	machine *worker.Machine, report *worker.Report, listed map[workload.TaskAttempt]bool, fencingToken ids.Generation, now time.Time,
+) (commands []worker.Command) {
 	for i := range report.Tasks {
 		status := &report.Tasks[i]
 		task, err := ids.ParseTask(status.Task)
@@ -54,7 +53,7 @@
 		}
 		commands = append(commands, t.orphans.reconcile(&reported, fencingToken)...)
 	}
-	return listed, commands
+	return commands
 }
 
 // mayPredateRecord reports whether a report may be older than what the record says of a gang. Until a worker
