--- a/internal/clusterstate/apply_test.go
+++ b/internal/clusterstate/apply_test.go
@@ -12,7 +12,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/state"
 )
 
-func TestAValueOverTheLimitIsNotSent(t *testing.T) {
+func TestApplyRejectsOversizeValueBeforeSending(t *testing.T) {
 	// Guards against a leader's own key, such as a long list of machine types, that is
 	// refused for its size and sent again for ever.
 	synctest.Test(t, func(t *testing.T) {
@@ -20,7 +20,7 @@
 		network.Listen("state:1", store)
 		store.SetLimits(2048, 4)
 		client := state.NewClient("state:1", network.Client("a"), state.NewBudget(1000, 1000, 1, 0.6))
-		cluster := testBook()
+		cluster := newTestState()
 		cluster.settings.Params.State.ValueKB = 2
 		committer := newCommitter(cluster, client)
 		long := []byte(`"` + strings.Repeat("x", 3000) + `"`)
--- a/internal/clusterstate/evictions_test.go
+++ b/internal/clusterstate/evictions_test.go
@@ -16,29 +16,29 @@
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// drainBook is a cluster state with drains on and a service of four replicas, one on each of four
+// newStateWithDrains is a cluster state with drains on and a service of four replicas, one on each of four
 // machines, that are all up.
-func drainBook(t *testing.T, now time.Time) *State {
+func newStateWithDrains(t *testing.T, now time.Time) *State {
 	t.Helper()
-	return drainBookWith(t, now, &config.Drains{})
+	return newStateWithDrainSettings(t, now, &config.Drains{})
 }
 
-// drainBookWith is the same with other settings of drains.
-func drainBookWith(t *testing.T, now time.Time, drains *config.Drains) *State {
+// newStateWithDrainSettings is the same with other settings of drains.
+func newStateWithDrainSettings(t *testing.T, now time.Time, drains *config.Drains) *State {
 	t.Helper()
-	settings := testSet()
+	settings := newTestSettings()
 	settings.Features = &config.Features{Drains: drains}
 	cluster := New(settings, "w", 7, time.Now())
-	cluster.SetMachineTypes(testTypes())
+	cluster.SetMachineTypes(testInstanceTypes())
 	for i := range 4 {
-		hear(cluster, ids.Machine(fmt.Sprint("m", i+1)), 1, now)
+		markReported(cluster, ids.Machine(fmt.Sprint("m", i+1)), 1, now)
 	}
 	service := newRecord("job-1", "red", record.Normal, 4, 4)
 	service.Spec.Shape = record.Service
 	cluster.HandleRecord("job-1", 1, service, now)
 	cluster.CarryOut(rollout.NewOrders())
 	cluster.Plan(now)
-	cluster.store()
+	cluster.markAllStored()
 	job := cluster.jobs.Get("job-1")
 	if len(job.Assignments) != 4 {
 		t.Fatalf("%d places", len(job.Assignments))
@@ -49,15 +49,15 @@
 	return cluster
 }
 
-// hear has a machine report.
-func hear(cluster *State, name ids.Machine, token ids.Generation, now time.Time) {
+// markReported has a machine report.
+func markReported(cluster *State, name ids.Machine, token ids.Generation, now time.Time) {
 	machine := cluster.machines.Ensure(name, now, now)
 	machine.HasReported, machine.Type, machine.Zone, machine.Incarnation, machine.LastReportAt, machine.LastAnsweredAt, machine.FencingToken = true, "small", "north", 1, now, now, token
 	cluster.capacity.Reindex(cluster.capacity.Ensure(name))
 }
 
-// drainOrders empty the machines named.
-func drainOrders(names ...ids.Machine) *rollout.Orders {
+// newDrainOrders empty the machines named.
+func newDrainOrders(names ...ids.Machine) *rollout.Orders {
 	orders := rollout.NewOrders()
 	for _, name := range names {
 		orders.Machines[name] = rollout.Order{Rollout: "spring", Wave: 1, Drain: true}
@@ -65,134 +65,134 @@
 	return orders
 }
 
-// evictNow looks at the evictions, whatever the time of the last look.
-func evictNow(cluster *State, now time.Time) {
+// runEviction looks at the evictions, whatever the time of the last look.
+func runEviction(cluster *State, now time.Time) {
 	cluster.evictor.Look(now)
 }
 
-// stopping counts the replicas that are being stopped.
-func stopping(cluster *State) (n int) {
+// countStoppingReplicas counts the replicas that are being stopped.
+func countStoppingReplicas(cluster *State) (count int) {
 	for _, assignment := range cluster.jobs.Get("job-1").Assignments {
 		if assignment.Stopping {
-			n++
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-func TestNothingIsStoppedBeforeItsPermitIsStoredOrWithoutTheStore(t *testing.T) {
+func TestEvictionWaitsForStoredPermitAndAvailableStore(t *testing.T) {
 	now := time.Now()
-	cluster := drainBook(t, now)
-	cluster.CarryOut(drainOrders("m1", "m2"))
-	evictNow(cluster, now)
-	if n := cluster.jobs.Get("job-1").Record.EvictedTasks(); n != 1 || stopping(cluster) != 0 {
-		t.Fatalf("%d permits, %d stops before they are stored", n, stopping(cluster))
+	cluster := newStateWithDrains(t, now)
+	cluster.CarryOut(newDrainOrders("m1", "m2"))
+	runEviction(cluster, now)
+	if n := cluster.jobs.Get("job-1").Record.EvictedTasks(); n != 1 || countStoppingReplicas(cluster) != 0 {
+		t.Fatalf("%d permits, %d stops before they are stored", n, countStoppingReplicas(cluster))
 	}
-	cluster.store()
+	cluster.markAllStored()
 	cluster.StoreAvailable = func() bool { return false }
-	evictNow(cluster, now)
-	if stopping(cluster) != 0 {
+	runEviction(cluster, now)
+	if countStoppingReplicas(cluster) != 0 {
 		t.Error("stopped while nothing could be started again")
 	}
 	if !strings.Contains(fmt.Sprint(cluster.DrainBlockers()), "the state service does not answer") {
 		t.Errorf("waits: %v", cluster.DrainBlockers())
 	}
 	cluster.StoreAvailable = func() bool { return true }
-	evictNow(cluster, now)
-	if stopping(cluster) != 1 || cluster.jobs.Get("job-1").Record.EvictedTasks() != 1 {
-		t.Errorf("%d stops, %d permits", stopping(cluster), cluster.jobs.Get("job-1").Record.EvictedTasks())
+	runEviction(cluster, now)
+	if countStoppingReplicas(cluster) != 1 || cluster.jobs.Get("job-1").Record.EvictedTasks() != 1 {
+		t.Errorf("%d stops, %d permits", countStoppingReplicas(cluster), cluster.jobs.Get("job-1").Record.EvictedTasks())
 	}
 }
 
-func TestAPermitIsWithdrawnOnlyWhenNoEarlierStopCanTakeEffect(t *testing.T) {
+func TestEvictionPermitWithdrawnOnlyAfterMachineSawNewFencingToken(t *testing.T) {
 	// The stop of an earlier leader may be on its way until the machine has seen this one's token.
 	now := time.Now()
-	cluster := drainBook(t, now)
-	cluster.CarryOut(drainOrders("m1"))
-	evictNow(cluster, now)
-	cluster.store()
+	cluster := newStateWithDrains(t, now)
+	cluster.CarryOut(newDrainOrders("m1"))
+	runEviction(cluster, now)
+	cluster.markAllStored()
 	cluster.CarryOut(rollout.NewOrders())
-	evictNow(cluster, now)
+	runEviction(cluster, now)
 	if n := cluster.jobs.Get("job-1").Record.EvictedTasks(); n != 1 {
 		t.Fatalf("%d permits are left while an earlier stop may arrive", n)
 	}
 	for i := range 4 {
-		hear(cluster, ids.Machine(fmt.Sprint("m", i+1)), cluster.firstGeneration, now)
+		markReported(cluster, ids.Machine(fmt.Sprint("m", i+1)), cluster.firstGeneration, now)
 	}
-	evictNow(cluster, now)
-	if n := cluster.jobs.Get("job-1").Record.EvictedTasks(); n != 0 || stopping(cluster) != 0 {
-		t.Errorf("%d permits are left, %d stops", n, stopping(cluster))
+	runEviction(cluster, now)
+	if n := cluster.jobs.Get("job-1").Record.EvictedTasks(); n != 0 || countStoppingReplicas(cluster) != 0 {
+		t.Errorf("%d permits are left, %d stops", n, countStoppingReplicas(cluster))
 	}
 }
 
-func TestTheLeadersOwnMovesAskTheBudget(t *testing.T) {
-	for _, c := range []struct {
+func TestRelocationRespectsDisruptionBudget(t *testing.T) {
+	for _, test := range []struct {
 		down  int
 		moved int
 	}{{0, 1}, {1, 0}} {
 		now := time.Now()
-		cluster := drainBook(t, now)
-		for i := range c.down {
+		cluster := newStateWithDrains(t, now)
+		for i := range test.down {
 			cluster.jobs.Get("job-1").Assignments[i].Status = worker.StatePulling
 		}
-		hear(cluster, "m5", 1, now)
-		var from *workload.Assignment
+		markReported(cluster, "m5", 1, now)
+		var source *workload.Assignment
 		for i, assignment := range cluster.jobs.Get("job-1").Assignments {
-			if i >= c.down {
-				from = assignment
+			if i >= test.down {
+				source = assignment
 			}
 		}
 		for _, node := range cluster.capacity.Nodes() {
-			cluster.capacity.ImageArrived(node, cluster.machines.Machines[node.Name], from.Job.Record.Spec.Image, 1, 100)
+			cluster.capacity.ImageArrived(node, cluster.machines.Machines[node.Name], source.Job.Record.Spec.Image, 1, 100)
 		}
-		cluster.evictor.RelocateReplica(cluster.machines.Machines[from.Machine], now)
-		if n := cluster.jobs.Get("job-1").Record.EvictedTasks(); n != c.moved || stopping(cluster) != 0 {
-			t.Errorf("with %d down: %d permits, %d stops without one", c.down, n, stopping(cluster))
+		cluster.evictor.RelocateReplica(cluster.machines.Machines[source.Machine], now)
+		if n := cluster.jobs.Get("job-1").Record.EvictedTasks(); n != test.moved || countStoppingReplicas(cluster) != 0 {
+			t.Errorf("with %d down: %d permits, %d stops without one", test.down, n, countStoppingReplicas(cluster))
 		}
 	}
 }
 
-func TestAMachineOnWhichTasksFailIsEmptiedWithinTheBudget(t *testing.T) {
+func TestQuarantinedMachineDrainedWithinDisruptionBudget(t *testing.T) {
 	now := time.Now()
-	cluster := drainBook(t, now)
+	cluster := newStateWithDrains(t, now)
 	for _, name := range []ids.Machine{"m1", "m2"} {
 		cluster.machines.Machines[name].DrainReason = "tasks keep failing there"
 		cluster.machines.MarkLeaving(name)
 	}
 	cluster.evictor.StopOnLeavingMachines(now)
-	if stopping(cluster) != 0 {
+	if countStoppingReplicas(cluster) != 0 {
 		t.Fatal("stopped without a permit")
 	}
-	evictNow(cluster, now)
-	cluster.store()
-	evictNow(cluster, now)
-	if n := stopping(cluster); n != 1 {
+	runEviction(cluster, now)
+	cluster.markAllStored()
+	runEviction(cluster, now)
+	if n := countStoppingReplicas(cluster); n != 1 {
 		t.Errorf("%d replicas stopped at a time", n)
 	}
 }
 
-func TestAGangIsMovedWholeOffAMachineOnWhichTasksFail(t *testing.T) {
+func TestGangEvictedWholeFromQuarantinedMachine(t *testing.T) {
 	// Its tasks on other machines must be stopped with the one there, or they end as failed and
 	// nothing is saved.
 	now := time.Now()
 	interrupted := uint32(2)
-	cluster := drainBookWith(t, now, &config.Drains{DefaultBudget: &config.DisruptionBudget{TasksInterrupted: &interrupted}})
+	cluster := newStateWithDrainSettings(t, now, &config.Drains{DefaultBudget: &config.DisruptionBudget{TasksInterrupted: &interrupted}})
 	for _, name := range []ids.Machine{"m5", "m6"} {
-		hear(cluster, name, cluster.firstGeneration, now)
+		markReported(cluster, name, cluster.firstGeneration, now)
 	}
 	gang := newRecord("job-2", "red", record.Normal, 2, 4)
 	gang.Spec.Shape, gang.Spec.CheckpointInterval, gang.Spec.CheckpointDuration = record.Gang, 10, 1
 	cluster.HandleRecord("job-2", 1, gang, now)
 	cluster.Plan(now)
-	cluster.store()
+	cluster.markAllStored()
 	for _, assignment := range cluster.jobs.Get("job-2").Assignments {
 		assignment.StartSent, assignment.Confirmed, assignment.Status, assignment.RunningSince = true, true, worker.StateRunning, now.Add(-time.Minute)
 	}
 	cluster.machines.Machines["m5"].DrainReason = "tasks keep failing there"
 	cluster.machines.MarkLeaving("m5")
 	for range 3 {
-		evictNow(cluster, now)
-		cluster.store()
+		runEviction(cluster, now)
+		cluster.markAllStored()
 	}
 	stopped := 0
 	for _, assignment := range cluster.jobs.Get("job-2").Assignments {
@@ -205,16 +205,16 @@
 	}
 }
 
-func TestRoomElsewhereMayBeOnAMachineWithAccelerators(t *testing.T) {
+func TestEvictionFindsRoomOnAcceleratorMachine(t *testing.T) {
 	// Where nothing else has room, or a rollout that rents first would wait for ever.
 	now := time.Now()
-	cluster := drainBook(t, now)
-	cluster.SetMachineTypes(append(testTypes(), placement.InstanceType{Label: "dear", Cores: 8, Accels: 2, RAM: 64, Zones: []string{"north"}}))
+	cluster := newStateWithDrains(t, now)
+	cluster.SetMachineTypes(append(testInstanceTypes(), placement.InstanceType{Label: "dear", Cores: 8, Accels: 2, RAM: 64, Zones: []string{"north"}}))
 	job := cluster.jobs.Get("job-1")
 	if node := cluster.evictor.FindRoom(job, nil, nil, now); node != nil {
 		t.Fatalf("room on %s, which is full", node.Name)
 	}
-	hear(cluster, "m9", 1, now)
+	markReported(cluster, "m9", 1, now)
 	cluster.machines.Machines["m9"].Type = "dear"
 	cluster.capacity.Reindex(cluster.capacity.Ensure("m9"))
 	if node := cluster.evictor.FindRoom(job, nil, nil, now); node == nil || node.Name != "m9" {
@@ -222,24 +222,24 @@
 	}
 }
 
-func TestWithoutDrainsAPassLooksAtNoBudget(t *testing.T) {
+func TestPlanningChecksNoBudgetWithoutDrains(t *testing.T) {
 	// Counted: a pass costs nothing more where drains are off, and one look in evictEvery where
 	// a rollout is under way.
 	now := time.Now()
-	off := testBook()
-	hear(off, "m1", 1, now)
+	off := newTestState()
+	markReported(off, "m1", 1, now)
 	off.Plan(now)
 	if off.evictor.Enabled() {
 		t.Error("drains are on without their feature")
 	}
-	cluster := drainBook(t, now)
+	cluster := newStateWithDrains(t, now)
 	for range 100 {
 		cluster.Plan(now)
 	}
 	if cluster.evictor.Looks() != 0 {
 		t.Errorf("%d looks without a rollout", cluster.evictor.Looks())
 	}
-	cluster.CarryOut(drainOrders("m1"))
+	cluster.CarryOut(newDrainOrders("m1"))
 	for i := range 100 {
 		cluster.Plan(now.Add(time.Duration(i) * 10 * time.Millisecond))
 	}
@@ -248,7 +248,7 @@
 	}
 }
 
-func TestEvictionsSurviveInTheRecord(t *testing.T) {
+func TestEvictionsSurviveRecordRoundTrip(t *testing.T) {
 	rec := newRecord("job-1", "red", record.Normal, 3, 1)
 	rec.AddEviction(0, 1, "spring", 1)
 	rec.AddEviction(1, 1, "spring", 1)
@@ -257,20 +257,20 @@
 	if !fits {
 		t.Fatal("does not fit")
 	}
-	back, err := record.Decode(raw)
-	if err != nil || back.EvictedTasks() != 2 {
-		t.Fatalf("%d evicted tasks: %v", back.EvictedTasks(), err)
+	decoded, err := record.Decode(raw)
+	if err != nil || decoded.EvictedTasks() != 2 {
+		t.Fatalf("%d evicted tasks: %v", decoded.EvictedTasks(), err)
 	}
-	if attempt, evicted := back.EvictedAttempt(0); !evicted || attempt != 2 {
+	if attempt, evicted := decoded.EvictedAttempt(0); !evicted || attempt != 2 {
 		t.Errorf("task 0 under attempt %d", attempt)
 	}
-	if !back.RetainEvictions(func(task int, _ ids.Attempt) bool { return task != 0 }) || back.EvictedTasks() != 1 {
-		t.Errorf("%d left", back.EvictedTasks())
+	if !decoded.RetainEvictions(func(task int, _ ids.Attempt) bool { return task != 0 }) || decoded.EvictedTasks() != 1 {
+		t.Errorf("%d left", decoded.EvictedTasks())
 	}
 	for i := range 2000 {
-		back.AddEviction(2*i, 1, "spring", 3)
+		decoded.AddEviction(2*i, 1, "spring", 3)
 	}
-	if back.EvictionsFit(8192) {
+	if decoded.EvictionsFit(8192) {
 		t.Error("thousands of evictions take no more than their share of a value")
 	}
 }
--- a/internal/clusterstate/failing_jobs_test.go
+++ b/internal/clusterstate/failing_jobs_test.go
@@ -16,20 +16,20 @@
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// play lets every machine report what is placed on it: ends tells how a task ends
+// heartbeatAll lets every machine report what is placed on it: ends tells how a task ends
 // at once, empty while it runs.
-func (c *State) play(tick ids.SequenceNumber, ends func(assignment *workload.Assignment) string) {
-	on := map[ids.Machine][]worker.TaskStatus{}
+func (c *State) heartbeatAll(sequence ids.SequenceNumber, exitCause func(assignment *workload.Assignment) string) {
+	statuses := map[ids.Machine][]worker.TaskStatus{}
 	for _, job := range c.jobs.All() {
 		for _, assignment := range job.Assignments {
 			if !assignment.StartSent {
 				continue // nobody has told its machine yet
 			}
-			pc := worker.TaskStatus{Task: assignment.Task().String(), Attempt: assignment.Attempt, State: worker.StateRunning}
-			if how := ends(assignment); how != "" && assignment.Confirmed {
-				pc.State, pc.Cause = worker.StateExited, how
+			status := worker.TaskStatus{Task: assignment.Task().String(), Attempt: assignment.Attempt, State: worker.StateRunning}
+			if cause := exitCause(assignment); cause != "" && assignment.Confirmed {
+				status.State, status.Cause = worker.StateExited, cause
 			}
-			on[assignment.Machine] = append(on[assignment.Machine], pc)
+			statuses[assignment.Machine] = append(statuses[assignment.Machine], status)
 		}
 	}
 	zones := map[ids.Machine]string{}
@@ -37,36 +37,36 @@
 		zones[machine.Name] = machine.Zone
 	}
 	for name, zone := range zones {
-		c.hear(name, zone, tick, on[name]...)
+		c.heartbeat(name, zone, sequence, statuses[name]...)
 	}
 }
 
-func TestAJobSubmittedWithAMistakeTakesLittleAndHarmsNobody(t *testing.T) {
+func TestBrokenJobBacksOffWithoutHarmingOthers(t *testing.T) {
 	t.Parallel()
 	// Found on days with such jobs: each cost machines their name and was rented
 	// for, and all of its tasks were tried again and again.
 	synctest.Test(t, func(t *testing.T) {
-		cluster := fleet(t, 30)
+		cluster := newStateWithMachines(t, 30)
 		bad := newRecord("job-1", "blue", record.High, 60, 1)
 		cluster.HandleRecord("job-1", 1, bad, time.Now())
 		good := newRecord("job-2", "blue", record.Normal, 60, 1)
 		good.Spec.Class = "g"
 		cluster.HandleRecord("job-2", 1, good, time.Now())
 		starts, most := 0, 0
-		for tick := ids.SequenceNumber(2); tick < 180; tick++ { // three minutes, a report a second
+		for sequence := ids.SequenceNumber(2); sequence < 180; sequence++ { // three minutes, a report a second
 			now := time.Now()
 			before := cluster.jobs.Get("job-1").Record.Attempt
 			cluster.Plan(now)
-			if tick > 10 && cluster.jobs.Get("job-1").Record.Attempt > before {
+			if sequence > 10 && cluster.jobs.Get("job-1").Record.Attempt > before {
 				starts++
 				most = max(most, len(cluster.jobs.Get("job-1").Assignments))
 			}
-			cluster.store()
-			if tick > 10 {
+			cluster.markAllStored()
+			if sequence > 10 {
 				demands, _, _ := cluster.CapacityDemands(now)
-				for _, d := range demands {
-					if d.Request.Image == "i" && !d.Headroom && d.Count > 0 && cluster.jobs.Get("job-2").Unassigned() == 0 {
-						t.Fatalf("rented for %d tasks that fail wherever they run", d.Count)
+				for _, demand := range demands {
+					if demand.Request.Image == "i" && !demand.Headroom && demand.Count > 0 && cluster.jobs.Get("job-2").Unassigned() == 0 {
+						t.Fatalf("rented for %d tasks that fail wherever they run", demand.Count)
 					}
 				}
 				for _, assignment := range cluster.jobs.Get("job-2").Assignments {
@@ -75,7 +75,7 @@
 					}
 				}
 			}
-			cluster.play(tick, func(assignment *workload.Assignment) string {
+			cluster.heartbeatAll(sequence, func(assignment *workload.Assignment) string {
 				if assignment.Job.Record.Spec.ID == "job-1" {
 					return worker.CauseError
 				}
@@ -99,12 +99,12 @@
 			t.Errorf("explained as %s", lines)
 		}
 		// A new leader knows it from the record, and does not start all of it again.
-		heir := fleet(t, 30)
-		r := cluster.jobs.Get("job-1").Record
-		r.Assignments = nil
-		heir.HandleRecord("job-1", 1, &r, time.Now())
-		heir.Plan(time.Now())
-		if n := len(heir.jobs.Get("job-1").Assignments); n != 1 {
+		successor := newStateWithMachines(t, 30)
+		stored := cluster.jobs.Get("job-1").Record
+		stored.Assignments = nil
+		successor.HandleRecord("job-1", 1, &stored, time.Now())
+		successor.Plan(time.Now())
+		if n := len(successor.jobs.Get("job-1").Assignments); n != 1 {
 			t.Errorf("a new owner starts %d tasks of it", n)
 		}
 		// A cancel ends it at once.
@@ -117,19 +117,19 @@
 	})
 }
 
-func TestAGoodJobOnABadMachineRunsSoonAndTheMachineIsFoundOut(t *testing.T) {
+func TestJobFailingOnBadMachineCompletesAndMachineIsQuarantined(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		cluster := fleet(t, 4)
+		cluster := newStateWithMachines(t, 4)
 		cluster.HandleRecord("job-1", 1, newRecord("job-1", "blue", record.Normal, 8, 1), time.Now())
 		var bad ids.Machine
-		for tick := ids.SequenceNumber(2); tick < 30; tick++ {
+		for sequence := ids.SequenceNumber(2); sequence < 30; sequence++ {
 			cluster.Plan(time.Now())
-			cluster.store()
+			cluster.markAllStored()
 			if bad == "" {
 				bad = cluster.jobs.Get("job-1").Assignments[0].Machine
 			}
-			cluster.play(tick, func(assignment *workload.Assignment) string {
+			cluster.heartbeatAll(sequence, func(assignment *workload.Assignment) string {
 				if assignment.Machine == bad {
 					return worker.CauseError
 				}
@@ -137,8 +137,8 @@
 			})
 			time.Sleep(time.Second)
 		}
-		if s := cluster.jobs.Get("job-1").Record.Status; s != record.Done {
-			t.Errorf("half a minute later it is %s: %v", s, cluster.Explain("job-1"))
+		if status := cluster.jobs.Get("job-1").Record.Status; status != record.Done {
+			t.Errorf("half a minute later it is %s: %v", status, cluster.Explain("job-1"))
 		}
 		if cluster.machines.Machines[bad].DrainReason == "" {
 			t.Error("the machine on which it failed is still used")
@@ -146,20 +146,20 @@
 	})
 }
 
-func TestAReplicaThatLastsClearsItsJob(t *testing.T) {
+func TestLongRunningReplicaClearsFailingState(t *testing.T) {
 	t.Parallel()
 	// It failed on three machines that were bad, and never completes by nature: it
 	// must not count as failing for ever.
 	synctest.Test(t, func(t *testing.T) {
-		cluster := fleet(t, 8)
+		cluster := newStateWithMachines(t, 8)
 		rec := newRecord("job-1", "blue", record.Critical, 2, 1)
 		rec.Spec.Shape = record.Service
 		cluster.HandleRecord("job-1", 1, rec, time.Now())
 		failed := map[ids.Machine]bool{}
-		for tick := ids.SequenceNumber(2); tick < 120; tick++ {
+		for sequence := ids.SequenceNumber(2); sequence < 120; sequence++ {
 			cluster.Plan(time.Now())
-			cluster.store()
-			cluster.play(tick, func(assignment *workload.Assignment) string {
+			cluster.markAllStored()
+			cluster.heartbeatAll(sequence, func(assignment *workload.Assignment) string {
 				if failed[assignment.Machine] || len(failed) < 3 {
 					failed[assignment.Machine] = true
 					return worker.CauseError
@@ -175,19 +175,19 @@
 	})
 }
 
-func TestAVastArrayIsNotHeldUpByItsRecord(t *testing.T) {
+func TestRecordSizeDoesNotThrottleLargeArray(t *testing.T) {
 	t.Parallel()
 	// Found by hunt: 25,000 tasks of seconds on values of 8 KiB, of which 150 were
 	// under way at a time, were not done in seven minutes.
 	synctest.Test(t, func(t *testing.T) {
-		cluster := fleet(t, 200)
+		cluster := newStateWithMachines(t, 200)
 		rec := newRecord("job-1", "blue", record.Low, 25000, 0.25)
 		rec.Spec.Resources.RAM = 0.9
 		cluster.HandleRecord("job-1", 1, rec, time.Now())
 		job := cluster.jobs.Get("job-1")
 		limit := int(cluster.settings.Params.State.ValueKB * 1024)
 		most, seconds := 0, 0
-		for tick := ids.SequenceNumber(2); job.Unfinished() > 0 && seconds < 600; tick++ {
+		for sequence := ids.SequenceNumber(2); job.Unfinished() > 0 && seconds < 600; sequence++ {
 			cluster.Plan(time.Now())
 			full := job.Record
 			full.Generation, full.Writer, full.Seq = cluster.generation, cluster.writer, job.Version
@@ -197,10 +197,10 @@
 				t.Fatalf("%d places do not fit", len(job.Assignments))
 			}
 			job.RecordEncodedSize(full.Assignments, len(raw))
-			cluster.store()
+			cluster.markAllStored()
 			most = max(most, len(job.Assignments))
-			cluster.play(tick, func(assignment *workload.Assignment) string {
-				if time.Since(assignment.AssignedAt) >= 4*time.Second && (assignment.TaskIndex*7+int(tick))%3 > 0 {
+			cluster.heartbeatAll(sequence, func(assignment *workload.Assignment) string {
+				if time.Since(assignment.AssignedAt) >= 4*time.Second && (assignment.TaskIndex*7+int(sequence))%3 > 0 {
 					return worker.CauseDone // out of order, so that ranges break up
 				}
 				return ""
@@ -214,47 +214,47 @@
 	})
 }
 
-func TestOnlyWorkersThatAreOverdueAndMissingMakeALeaderGiveWay(t *testing.T) {
+func TestLeaderIsolatedOnlyByOverdueRedirectedWorkers(t *testing.T) {
 	t.Parallel()
 	// Found on a day of an earlier deployment: a leader gave way nine seconds after its
 	// takeover for workers that were there, since their peer's word took longer than
 	// they did.
 	synctest.Test(t, func(t *testing.T) {
-		cluster := fleet(t, 40)
+		cluster := newStateWithMachines(t, 40)
 		cluster.settings.Params.Workers.ReportS = 10
-		sent := func(ago time.Duration) (out []liveness.RedirectedWorker) {
+		redirectedWorkers := func(ago time.Duration) (workers []liveness.RedirectedWorker) {
 			for i := range 40 {
-				out = append(out, liveness.RedirectedWorker{Machine: ids.Machine(fmt.Sprintf("host-%06d", i)), Ago: ago})
+				workers = append(workers, liveness.RedirectedWorker{Machine: ids.Machine(fmt.Sprintf("host-%06d", i)), Ago: ago})
 			}
-			return out
+			return workers
 		}
 		time.Sleep(9 * time.Second) // all reported at once, and none since
-		if cluster.IsolatedFromWorkers(sent(9*time.Second), time.Now()) || cluster.IsolatedFromWorkers(sent(3*time.Second), time.Now()) {
+		if cluster.IsolatedFromWorkers(redirectedWorkers(9*time.Second), time.Now()) || cluster.IsolatedFromWorkers(redirectedWorkers(3*time.Second), time.Now()) {
 			t.Error("gives way for workers that are not overdue")
 		}
 		time.Sleep(4 * time.Second)
-		if cluster.IsolatedFromWorkers(sent(13*time.Second-50*time.Millisecond), time.Now()) {
+		if cluster.IsolatedFromWorkers(redirectedWorkers(13*time.Second-50*time.Millisecond), time.Now()) {
 			t.Error("gives way for workers that arrived right after they were sent on")
 		}
-		if !cluster.IsolatedFromWorkers(sent(3*time.Second), time.Now()) {
+		if !cluster.IsolatedFromWorkers(redirectedWorkers(3*time.Second), time.Now()) {
 			t.Error("keeps the pool, though nobody is heard and others reach another node")
 		}
 	})
 }
 
-func TestANewLeaderKnowsWhatItsPredecessorRented(t *testing.T) {
+func TestNewLeaderKnowsPendingInstancesFromHints(t *testing.T) {
 	t.Parallel()
 	// Guards against renting twice after a takeover: the cloud's list lags by more
 	// than a takeover takes.
 	synctest.Test(t, func(t *testing.T) {
-		a := fleet(t, 2)
-		a.MachinesProvisioned([]ids.Machine{"host-000100"}, hireOf("small", "south"), time.Now())
+		predecessor := newStateWithMachines(t, 2)
+		predecessor.MachinesProvisioned([]ids.Machine{"host-000100"}, newProvisioningRequest("small", "south"), time.Now())
 		time.Sleep(40 * time.Second)
-		hs, to := a.Hints(HintPosition{})
+		hints, position := predecessor.Hints(HintPosition{})
 		var received HintCache
-		received.Receive(hs, to)
+		received.Receive(hints, position)
 		time.Sleep(25 * time.Second)
-		cluster := testBook()
+		cluster := newTestState()
 		cluster.ApplyHints(&received, time.Now())
 		machine := cluster.machines.Machines["host-000100"]
 		if machine == nil || !machine.Booting {
@@ -271,35 +271,35 @@
 	})
 }
 
-func hireOf(label, zone string) placement.ProvisioningRequest {
+func newProvisioningRequest(label, zone string) placement.ProvisioningRequest {
 	return placement.ProvisioningRequest{Type: label, Zone: zone, Count: 1}
 }
 
-func TestPlacesReadBackAsTheyWere(t *testing.T) {
+func TestAssignmentsRoundTripThroughRecord(t *testing.T) {
 	t.Parallel()
 	// Sessions, attempts and tokens apart, and names of which one begins another.
-	places := map[int]*workload.Assignment{}
+	assignments := map[int]*workload.Assignment{}
 	for i := range 400 {
-		places[i*7%1000] = &workload.Assignment{TaskIndex: i * 7 % 1000, Machine: ids.Machine(fmt.Sprintf("host-%d", i%37)), Incarnation: ids.Incarnation(1 + i%11/10),
+		assignments[i*7%1000] = &workload.Assignment{TaskIndex: i * 7 % 1000, Machine: ids.Machine(fmt.Sprintf("host-%d", i%37)), Incarnation: ids.Incarnation(1 + i%11/10),
 			Attempt: ids.Attempt(1 + i%5/3*i), FencingToken: ids.Generation(3 + i%100/97)}
 	}
-	rec := &record.Record{Assignments: workload.GroupAssignments(places)}
+	rec := &record.Record{Assignments: workload.GroupAssignments(assignments)}
 	raw, ok := rec.Encode(1 << 20)
 	if !ok {
 		t.Fatal("not encoded")
 	}
-	back, err := record.Decode(raw)
+	decodedRecord, err := record.Decode(raw)
 	if err != nil {
 		t.Fatal(err)
 	}
-	n := 0
-	back.EachAssignment(func(i int, at record.Location) {
-		n++
-		if assignment := places[i]; assignment == nil || at != (record.Location{Machine: assignment.Machine, Incarnation: assignment.Incarnation, Attempt: assignment.Attempt, FencingToken: assignment.FencingToken}) {
-			t.Errorf("task %d is read back as %v", i, at)
+	decoded := 0
+	decodedRecord.EachAssignment(func(i int, location record.Location) {
+		decoded++
+		if assignment := assignments[i]; assignment == nil || location != (record.Location{Machine: assignment.Machine, Incarnation: assignment.Incarnation, Attempt: assignment.Attempt, FencingToken: assignment.FencingToken}) {
+			t.Errorf("task %d is read back as %v", i, location)
 		}
 	})
-	if n != len(places) {
-		t.Errorf("%d of %d places read back", n, len(places))
+	if decoded != len(assignments) {
+		t.Errorf("%d of %d places read back", decoded, len(assignments))
 	}
 }
--- a/internal/clusterstate/fairness_test.go
+++ b/internal/clusterstate/fairness_test.go
@@ -16,38 +16,38 @@
 // TestNothingStarvesUnderASteadyStreamOfSmallerWork: "soonest complete first"
 // must not leave the largest job of a class, low priority or the smallest team
 // behind: each begins within four minutes, under more work than there is room.
-func TestNothingStarvesUnderASteadyStreamOfSmallerWork(t *testing.T) {
+func TestNoJobStarvesUnderSteadyStreamOfSmallerJobs(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		cluster := fleet(t, 10)
+		cluster := newStateWithMachines(t, 10)
 		const runs = 10 * time.Second
-		tick, ended := ids.SequenceNumber(1), map[workload.TaskAttempt]bool{}
+		sequence, ended := ids.SequenceNumber(1), map[workload.TaskAttempt]bool{}
 		begun := map[ids.Job]time.Duration{}
 		large := map[ids.Job]time.Time{}
-		add := func(id ids.Job, team string, p record.Priority, tasks int, cores float64, est ids.Seconds) {
-			rec := newRecord(id, team, p, tasks, cores)
-			rec.Spec.EstimatedDuration = est
+		submitJob := func(id ids.Job, team string, priority record.Priority, tasks int, cores float64, estimate ids.Seconds) {
+			rec := newRecord(id, team, priority, tasks, cores)
+			rec.Spec.EstimatedDuration = estimate
 			cluster.HandleRecord(id, ids.Revision(cluster.jobs.Retired()+cluster.jobs.Len()+1), rec, time.Now())
 		}
 		for second := range 420 {
 			if second == 30 {
-				for id, f := range map[ids.Job]func(ids.Job){
-					"job-90001": func(id ids.Job) { add(id, "blue", record.Normal, 700, 1, 60) },
-					"job-90002": func(id ids.Job) { add(id, "blue", record.Low, 150, 4, 180) },
-					"job-90003": func(id ids.Job) { add(id, "red", record.Low, 2, 4, 300) },
+				for id, submit := range map[ids.Job]func(ids.Job){
+					"job-90001": func(id ids.Job) { submitJob(id, "blue", record.Normal, 700, 1, 60) },
+					"job-90002": func(id ids.Job) { submitJob(id, "blue", record.Low, 150, 4, 180) },
+					"job-90003": func(id ids.Job) { submitJob(id, "red", record.Low, 2, 4, 300) },
 				} {
-					f(id)
+					submit(id)
 					large[id] = time.Now()
 				}
 			}
 			// Half as much again as ten machines of four cores can do.
 			for i := range 3 {
-				add(ids.Job(fmt.Sprintf("job-%d", second*3+i)), "blue", record.Normal, 2, 1, 10)
+				submitJob(ids.Job(fmt.Sprintf("job-%d", second*3+i)), "blue", record.Normal, 2, 1, 10)
 			}
 			cluster.Plan(time.Now())
-			cluster.store()
-			tick++
-			cluster.serve(tick, runs, ended)
+			cluster.markAllStored()
+			sequence++
+			cluster.runTasks(sequence, runs, ended)
 			for id, since := range large {
 				if job := cluster.jobs.Get(id); begun[id] == 0 && (job == nil || job.Record.Attempt > 0) {
 					begun[id] = time.Since(since) + 1
@@ -67,12 +67,12 @@
 	})
 }
 
-func TestOfThoseThatStarveTheLongestWaitingGoesFirst(t *testing.T) {
+func TestLongestStarvingJobRanksFirst(t *testing.T) {
 	t.Parallel()
 	// Guards against small jobs within their teams' guarantees that take every machine
 	// set aside, as they come, while the largest job waits for one machine for ever.
 	now := time.Now()
-	cluster := fleet(t, 4)
+	cluster := newStateWithMachines(t, 4)
 	large := newRecord("job-1", "blue", record.Low, 150, 4)
 	large.Submitted = ids.TimestampOf(now.Add(-3 * time.Minute))
 	cluster.HandleRecord("job-1", 1, large, now)
@@ -86,53 +86,53 @@
 	}
 }
 
-func TestTheBeginningOfAJobThatStarvedIsKeptForAMoment(t *testing.T) {
+func TestStartOfStarvedJobProtectedFromPreemptionBriefly(t *testing.T) {
 	t.Parallel()
 	// Guards against a task that is placed on the machine set aside for it and stopped in
 	// the same pass for work within another team's guarantee.
 	synctest.Test(t, func(t *testing.T) {
-		cluster := fleet(t, 1)
+		cluster := newStateWithMachines(t, 1)
 		cluster.setTeams(config.Team{Name: "red", CPUs: 4}, config.Team{Name: "blue"})
 		cluster.HandleRecord("job-1", 1, newRecord("job-1", "blue", record.Low, 1, 4), time.Now())
 		cluster.jobs.Get("job-1").ReservationSoughtAt = time.Now() // machines were looked for to set aside
 		cluster.Plan(time.Now())
-		place := cluster.jobs.Get("job-1").Assignments[0]
-		if place == nil {
+		assignment := cluster.jobs.Get("job-1").Assignments[0]
+		if assignment == nil {
 			t.Fatal("it did not begin")
 		}
-		cluster.store()
+		cluster.markAllStored()
 		cluster.HandleRecord("job-2", 2, newRecord("job-2", "red", record.Normal, 1, 4), time.Now())
 		cluster.Plan(time.Now())
-		if place.Stopping {
+		if assignment.Stopping {
 			t.Error("it is stopped at once for a guarantee")
 		}
 		time.Sleep(workload.StartProtectionTime + time.Second)
-		cluster.serve(2, time.Hour, map[workload.TaskAttempt]bool{})
+		cluster.runTasks(2, time.Hour, map[workload.TaskAttempt]bool{})
 		cluster.Plan(time.Now())
-		if !place.Stopping && cluster.jobs.Get("job-1").Assignments[0] != nil {
+		if !assignment.Stopping && cluster.jobs.Get("job-1").Assignments[0] != nil {
 			t.Error("the guarantee is kept waiting for longer")
 		}
 	})
 }
 
-func TestAJobStoppedRightAfterItsFirstStartDoesNotStarve(t *testing.T) {
+func TestJobPreemptedRightAfterFirstStartDoesNotStarve(t *testing.T) {
 	t.Parallel()
 	// Guards against counting a start that was taken back at once as the beginning: such
 	// a job waited for ever beside a stream of smaller work.
 	synctest.Test(t, func(t *testing.T) {
-		cluster := fleet(t, 10)
-		tick, ended := ids.SequenceNumber(1), map[workload.TaskAttempt]bool{}
+		cluster := newStateWithMachines(t, 10)
+		sequence, ended := ids.SequenceNumber(1), map[workload.TaskAttempt]bool{}
 		cluster.HandleRecord("job-90001", 1, newRecord("job-90001", "blue", record.Low, 150, 4), time.Now())
 		cluster.Plan(time.Now())
 		large := cluster.jobs.Get("job-90001")
-		cluster.store()
-		tick++
-		cluster.serve(tick, time.Minute, ended)
+		cluster.markAllStored()
+		sequence++
+		cluster.runTasks(sequence, time.Minute, ended)
 		for _, i := range workload.SortedTasks(large.Assignments) {
 			cluster.stopAssignment(large.Assignments[i], 0, "for others")
 		}
-		tick++
-		cluster.serve(tick, time.Minute, ended)
+		sequence++
+		cluster.runTasks(sequence, time.Minute, ended)
 		if large.Record.Attempt == 0 || len(large.Assignments) > 0 {
 			t.Fatalf("attempt %d, %d places: it did not begin and end", large.Record.Attempt, len(large.Assignments))
 		}
@@ -147,9 +147,9 @@
 				cluster.HandleRecord(id, ids.Revision(second*100+i+2), newRecord(id, "blue", record.Normal, 2, 1), time.Now())
 			}
 			cluster.Plan(time.Now())
-			cluster.store()
-			tick++
-			cluster.serve(tick, 10*time.Second, ended)
+			cluster.markAllStored()
+			sequence++
+			cluster.runTasks(sequence, 10*time.Second, ended)
 			time.Sleep(time.Second)
 		}
 		if took := time.Since(began); took > 4*time.Minute {
@@ -160,22 +160,22 @@
 	})
 }
 
-// serve lets a second pass on every machine: tasks placed run for a while, and
+// runTasks lets a second pass on every machine: tasks placed run for a while, and
 // end done.
-func (c *State) serve(tick ids.SequenceNumber, runs time.Duration, ended map[workload.TaskAttempt]bool) {
+func (c *State) runTasks(sequence ids.SequenceNumber, duration time.Duration, ended map[workload.TaskAttempt]bool) {
 	for name := range c.machines.Machines {
-		var ps []worker.TaskStatus
+		var statuses []worker.TaskStatus
 		for assignment := range c.capacity.AssignmentsOn(name) {
-			pc := worker.TaskStatus{Task: assignment.Task().String(), Attempt: assignment.Attempt, State: worker.StateRunning}
+			status := worker.TaskStatus{Task: assignment.Task().String(), Attempt: assignment.Attempt, State: worker.StateRunning}
 			if assignment.Stopping {
-				pc.State, pc.Cause = worker.StateExited, worker.CauseStopped
-			} else if time.Since(assignment.AssignedAt) >= runs {
-				pc.State, pc.Cause = worker.StateExited, worker.CauseDone
+				status.State, status.Cause = worker.StateExited, worker.CauseStopped
+			} else if time.Since(assignment.AssignedAt) >= duration {
+				status.State, status.Cause = worker.StateExited, worker.CauseDone
 				ended[assignment.Key()] = true
 			}
-			ps = append(ps, pc)
+			statuses = append(statuses, status)
 		}
-		c.hear(name, c.machines.Machines[name].Zone, tick, ps...)
+		c.heartbeat(name, c.machines.Machines[name].Zone, sequence, statuses...)
 	}
 	for _, job := range c.changes.All() {
 		if job.Record.Status.IsTerminal() {
@@ -185,43 +185,43 @@
 	}
 }
 
-func TestInABurstAfterALossEveryTeamAndTheLargestBegin(t *testing.T) {
+func TestEveryTeamAndLargestJobStartInBurstAfterMachineLoss(t *testing.T) {
 	t.Parallel()
 	// A third of the machines is lost with all that ran there, and three times as
 	// much comes in as fits: each class, team and largest job, a gang over half of
 	// what is left too, begins within four minutes.
 	synctest.Test(t, func(t *testing.T) {
-		cluster := fleet(t, 30)
+		cluster := newStateWithMachines(t, 30)
 		var teams []config.Team
 		for i := range 10 {
 			teams = append(teams, config.Team{Name: fmt.Sprint("team-", i), CPUs: 4})
 		}
 		cluster.setTeams(teams...)
-		n, begun := 0, map[string]time.Duration{}
-		last := map[string]time.Time{} // when a class or team last submitted
+		submitted, started := 0, map[string]time.Duration{}
+		lastSubmitted := map[string]time.Time{} // when a class or team last submitted
 		jobs := map[ids.Job]string{}
-		add := func(what string, team int, shape record.Shape, p record.Priority, tasks int, cores float64) {
-			n++
-			rec := newRecord(ids.Job(fmt.Sprint("job-", n)), fmt.Sprint("team-", team), p, tasks, cores)
-			rec.Spec.Shape, rec.Spec.Class, rec.Spec.Image = shape, what, "image-"+what
+		submitJob := func(class string, team int, shape record.Shape, priority record.Priority, tasks int, cores float64) {
+			submitted++
+			rec := newRecord(ids.Job(fmt.Sprint("job-", submitted)), fmt.Sprint("team-", team), priority, tasks, cores)
+			rec.Spec.Shape, rec.Spec.Class, rec.Spec.Image = shape, class, "image-"+class
 			if shape == record.Service {
 				rec.Spec.EstimatedDuration = 0
 			}
-			cluster.HandleRecord(rec.Spec.ID, ids.Revision(n), rec, time.Now())
-			jobs[rec.Spec.ID] = what
-			for _, of := range []string{what, rec.Spec.Team} {
-				begun[of], last[of] = 0, time.Now()
+			cluster.HandleRecord(rec.Spec.ID, ids.Revision(submitted), rec, time.Now())
+			jobs[rec.Spec.ID] = class
+			for _, group := range []string{class, rec.Spec.Team} {
+				started[group], lastSubmitted[group] = 0, time.Now()
 			}
 		}
 		ended := map[workload.TaskAttempt]bool{}
 		pass := func(second int) {
 			cluster.Plan(time.Now())
-			cluster.store()
-			cluster.serve(ids.SequenceNumber(second+2), 10*time.Second, ended)
+			cluster.markAllStored()
+			cluster.runTasks(ids.SequenceNumber(second+2), 10*time.Second, ended)
 			time.Sleep(time.Second)
 		}
 		for i := range 40 {
-			add("array", i%10, record.Array, record.Normal, 6, 1)
+			submitJob("array", i%10, record.Array, record.Normal, 6, 1)
 		}
 		for second := range 20 {
 			pass(second)
@@ -229,48 +229,48 @@
 		for i := range 10 {
 			cluster.MachineTerminated(ids.Machine(fmt.Sprintf("host-%06d", i)))
 		}
-		clear(begun)
-		add("largest array", 0, record.Array, record.Low, 150, 4)
-		add("largest gang", 1, record.Gang, record.High, 10, 4)
+		clear(started)
+		submitJob("largest array", 0, record.Array, record.Low, 150, 4)
+		submitJob("largest gang", 1, record.Gang, record.High, 10, 4)
 		for second := range 120 + 240 { // the last of each has its four minutes too
 			if second < 120 {
 				for i := range 10 {
-					add("array", i, record.Array, record.Normal, 3, 1)
+					submitJob("array", i, record.Array, record.Normal, 3, 1)
 				}
 				if second%10 == 0 {
-					add("service", second/10%10, record.Service, record.Critical, 2, 1)
-					add("low", second/10%10, record.Array, record.Low, 4, 2)
+					submitJob("service", second/10%10, record.Service, record.Critical, 2, 1)
+					submitJob("low", second/10%10, record.Array, record.Low, 4, 2)
 				}
 			}
 			pass(20 + second)
-			for id, what := range jobs {
+			for id, class := range jobs {
 				if job := cluster.jobs.Get(id); job != nil && job.Record.Attempt > 0 && len(job.Assignments) > 0 {
-					for _, of := range []string{what, job.Record.Spec.Team} {
-						if begun[of] == 0 {
-							begun[of] = time.Since(last[of])
+					for _, group := range []string{class, job.Record.Spec.Team} {
+						if started[group] == 0 {
+							started[group] = time.Since(lastSubmitted[group])
 						}
 					}
 				}
 			}
 		}
-		for of, after := range begun {
+		for group, after := range started {
 			if after == 0 || after > 4*time.Minute {
-				t.Errorf("%s: nothing begun (%v)", of, after)
+				t.Errorf("%s: nothing begun (%v)", group, after)
 			}
 		}
-		if len(begun) != 15 {
-			t.Errorf("looked at %d classes and teams", len(begun))
+		if len(started) != 15 {
+			t.Errorf("looked at %d classes and teams", len(started))
 		}
 	})
 }
 
-func TestAGangOfTwoBeginsBesideAStreamOfGangsOfOne(t *testing.T) {
+func TestGangOfTwoStartsDespiteStreamOfSingleTaskGangs(t *testing.T) {
 	t.Parallel()
 	// Found on a day of the ops deployments: gangs that need two large machines of one
 	// zone at once waited for up to six minutes, since each that became free was
 	// taken by a gang of one, just as high.
 	synctest.Test(t, func(t *testing.T) {
-		cluster := fleet(t, 8) // four in each zone
+		cluster := newStateWithMachines(t, 8) // four in each zone
 		cluster.settings.Params.Teams[1].CPUs = 0
 		gang := func(id ids.Job, tasks int) {
 			rec := newRecord(id, "blue", record.High, tasks, 4)
@@ -278,22 +278,22 @@
 			cluster.HandleRecord(id, 1, rec, time.Now())
 		}
 		began, submitted := time.Duration(0), time.Now()
-		left := map[*workload.Assignment]time.Duration{}
-		for sec := range 400 {
-			if sec%9 == 0 { // more than fits, all the time
-				gang(ids.Job(fmt.Sprintf("job-%d", 100+sec)), 1)
+		remaining := map[*workload.Assignment]time.Duration{}
+		for second := range 400 {
+			if second%9 == 0 { // more than fits, all the time
+				gang(ids.Job(fmt.Sprintf("job-%d", 100+second)), 1)
 			}
-			if sec == 60 {
+			if second == 60 {
 				gang("job-2", 2)
 				submitted = time.Now()
 			}
 			cluster.Plan(time.Now())
-			cluster.store()
-			cluster.play(ids.SequenceNumber(sec+2), func(assignment *workload.Assignment) string {
-				if _, ok := left[assignment]; !ok {
-					left[assignment] = time.Duration(70+assignment.Job.Record.Submitted.Time().Second()) * time.Second // 70 to 130 s
+			cluster.markAllStored()
+			cluster.heartbeatAll(ids.SequenceNumber(second+2), func(assignment *workload.Assignment) string {
+				if _, ok := remaining[assignment]; !ok {
+					remaining[assignment] = time.Duration(70+assignment.Job.Record.Submitted.Time().Second()) * time.Second // 70 to 130 s
 				}
-				if left[assignment] -= time.Second; left[assignment] <= 0 {
+				if remaining[assignment] -= time.Second; remaining[assignment] <= 0 {
 					return worker.CauseDone
 				}
 				return ""
--- a/internal/clusterstate/fleet_test.go
+++ b/internal/clusterstate/fleet_test.go
@@ -19,49 +19,49 @@
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// obey answers direct commands like a worker that does as told.
-func obey(name ids.Machine) http.Handler {
-	tick := ids.SequenceNumber(100)
-	pieces := []worker.TaskStatus{}
+// newWorkerHandler answers direct commands like a worker that does as told.
+func newWorkerHandler(name ids.Machine) http.Handler {
+	sequence := ids.SequenceNumber(100)
+	tasks := []worker.TaskStatus{}
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		var in worker.CommandBatch
-		json.NewDecoder(r.Body).Decode(&in)
-		for _, o := range in.Commands {
-			if o.Verb == "start" {
-				pieces = append(pieces, worker.TaskStatus{Task: o.Task, Attempt: o.Attempt, State: worker.StateRunning})
+		var batch worker.CommandBatch
+		json.NewDecoder(r.Body).Decode(&batch)
+		for _, command := range batch.Commands {
+			if command.Verb == "start" {
+				tasks = append(tasks, worker.TaskStatus{Task: command.Task, Attempt: command.Attempt, State: worker.StateRunning})
 			}
 		}
-		tick++
+		sequence++
 		json.NewEncoder(w).Encode(&worker.Report{Machine: name, Addr: string(name) + ":1", Type: "small", Zone: "north", Incarnation: 1,
-			Sequence: tick, FencingToken: 7, Tasks: pieces})
+			Sequence: sequence, FencingToken: 7, Tasks: tasks})
 	})
 }
 
-func TestLivingMachinesDoNotWaitForHundredsOfSilentOnes(t *testing.T) {
+func TestDispatchToLiveMachinesNotBlockedBySilentOnes(t *testing.T) {
 	t.Parallel()
 	// Guards against sends to machines that were lost a moment ago, or long ago,
 	// holding all the places of the dispatcher for seconds each.
-	for _, known := range []bool{false, true} {
+	for _, knownSilent := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(context.Background())
 			defer synctest.Wait()
 			defer cancel()
 			const each = 200
-			cluster, n := fleet(t, 0), fake.NewNetwork()
-			n.SetRule(func(_, to string, _ *http.Request, _ []byte) fake.Outcome {
+			cluster, network := newStateWithMachines(t, 0), fake.NewNetwork()
+			network.SetRule(func(_, to string, _ *http.Request, _ []byte) fake.Outcome {
 				if strings.HasPrefix(to, "lost") {
 					return fake.Drop
 				}
 				return fake.Deliver
 			})
 			for i := range each {
-				cluster.hear(ids.Machine(fmt.Sprintf("lost-%03d", i)), "south", 1)
+				cluster.heartbeat(ids.Machine(fmt.Sprintf("lost-%03d", i)), "south", 1)
 			}
 			time.Sleep(100 * time.Millisecond)
 			for i := range each {
 				name := ids.Machine(fmt.Sprintf("host-%03d", i))
-				n.Listen(string(name)+":1", obey(name))
-				cluster.hear(name, "north", 1)
+				network.Listen(string(name)+":1", newWorkerHandler(name))
+				cluster.heartbeat(name, "north", 1)
 			}
 			now := time.Now()
 			for i := range 2 * 4 * each / 100 {
@@ -73,72 +73,72 @@
 				job.StoredVersion = job.Version
 				cluster.versionStored(job)
 			}
-			if known {
+			if knownSilent {
 				for name, machine := range cluster.machines.Machines {
 					if strings.HasPrefix(string(name), "lost") {
 						machine.UnansweredProbes, machine.SuspectSince, machine.LastProbeAt = 2, now, now
 					}
 				}
 			}
-			d := dispatch.New(cluster, &worker.Commander{HTTP: n.Client("a"), Timeout: 3 * time.Second}, 16, func() bool { return true })
-			go d.Run(ctx)
+			dispatcher := dispatch.New(cluster, &worker.Commander{HTTP: network.Client("a"), Timeout: 3 * time.Second}, 16, func() bool { return true })
+			go dispatcher.Run(ctx)
 			wait.For(ctx, time.Second)
 			cluster.mu.Lock()
 			defer cluster.mu.Unlock()
-			seen, sent := 0, 0
+			confirmed, sent := 0, 0
 			for name, node := range cluster.capacity.Nodes() {
 				for assignment := range node.Assignments {
 					if assignment.Confirmed {
-						seen++
+						confirmed++
 					} else if assignment.StartSent && strings.HasPrefix(string(name), "lost") {
 						sent++
 					}
 				}
 			}
-			if seen != 4*each {
-				t.Errorf("known %v: %d of %d tasks on living machines started within a second", known, seen, 4*each)
+			if confirmed != 4*each {
+				t.Errorf("known %v: %d of %d tasks on living machines started within a second", knownSilent, confirmed, 4*each)
 			}
-			if known && sent > 0 {
+			if knownSilent && sent > 0 {
 				t.Errorf("%d starts went out to machines known to be silent", sent)
 			}
 		})
 	}
 }
 
-func TestAskingTakesTurnsAndReplicasGoFirst(t *testing.T) {
+func TestProbesRotateAndMachinesWithReplicasGoFirst(t *testing.T) {
 	t.Parallel()
 	// Guards against hundreds of silent machines using up the questions, again
 	// and again the same ones, while one with a replica waits.
-	cluster := fleet(t, 300)
+	cluster := newStateWithMachines(t, 300)
 	now := time.Now()
-	svc := newRecord("job-1", "blue", record.Critical, 1, 1)
-	svc.Spec.Shape = record.Service
-	cluster.HandleRecord("job-1", 1, svc, now)
+	service := newRecord("job-1", "blue", record.Critical, 1, 1)
+	service.Spec.Shape = record.Service
+	cluster.HandleRecord("job-1", 1, service, now)
 	cluster.Plan(now)
-	with := cluster.jobs.Get("job-1").Assignments[0].Machine
+	machineWithReplica := cluster.jobs.Get("job-1").Assignments[0].Machine
 	for _, machine := range cluster.machines.Machines {
 		machine.LastReportAt = now.Add(-time.Minute)
 	}
-	asked := map[ids.Machine]int{}
+	probed := map[ids.Machine]int{}
 	for round := range 20 {
 		for k, probe := range cluster.DueProbes(now.Add(time.Duration(round)*time.Second), 20) {
-			if round == 0 && k == 0 && probe.Machine != with {
-				t.Errorf("%s was asked first, not %s, which has a replica", probe.Machine, with)
+			if round == 0 && k == 0 && probe.Machine != machineWithReplica {
+				t.Errorf("%s was asked first, not %s, which has a replica", probe.Machine, machineWithReplica)
 			}
-			asked[probe.Machine]++
+			probed[probe.Machine]++
 			cluster.ProbeAnswered(probe.Machine, false)
 		}
 	}
-	if len(asked) < 280 {
-		t.Errorf("400 questions went to %d of 300 silent machines", len(asked))
+	if len(probed) < 280 {
+		t.Errorf("400 questions went to %d of 300 silent machines", len(probed))
 	}
 }
 
-func TestAMarkedTaskGoesElsewhereOnceItsMachineDoesNotAnswer(t *testing.T) {
+func TestAssignmentDroppedOnlyIfStartCannotArrive(t *testing.T) {
 	t.Parallel()
 	now := time.Now()
-	cluster := testBook()
-	cluster.hear("m1", "north", 1)
+	cluster := newTestState()
+	cluster.heartbeat("m1", "north", 1)
 	cluster.HandleRecord("job-1", 1, newRecord("job-1", "blue", record.Normal, 1, 1), now)
 	cluster.Plan(now)
 	job := cluster.jobs.Get("job-1")
@@ -147,112 +147,112 @@
 		t.Fatal("a task whose start never went out is kept on a silent machine")
 	}
 	// A connection that did not come about leaves nothing under way either.
-	cluster.hear("m2", "north", 1)
+	cluster.heartbeat("m2", "north", 1)
 	cluster.Plan(now)
 	cluster.jobs.Get("job-1").StoredVersion = job.Version
 	cluster.versionStored(job)
-	ba := cluster.NextBatches(10)
-	if len(ba) != 1 || ba[0].Machine != "m2" {
-		t.Fatalf("batches %v", ba)
+	batches := cluster.NextBatches(10)
+	if len(batches) != 1 || batches[0].Machine != "m2" {
+		t.Fatalf("batches %v", batches)
 	}
-	cluster.BatchAnswered(ba[0], worker.NotSent)
+	cluster.BatchAnswered(batches[0], worker.NotSent)
 	if len(job.Assignments) != 0 || len(cluster.machines.Machines["m2"].UnconfirmedStarts) != 0 {
 		t.Fatal("a start that surely never arrives is kept")
 	}
 	// One that may arrive is.
-	cluster.hear("m3", "north", 1)
+	cluster.heartbeat("m3", "north", 1)
 	cluster.Plan(now)
 	job.StoredVersion = job.Version
 	cluster.versionStored(job)
-	ba = cluster.NextBatches(10)
-	cluster.BatchAnswered(ba[0], worker.OutcomeUnknown)
+	batches = cluster.NextBatches(10)
+	cluster.BatchAnswered(batches[0], worker.OutcomeUnknown)
 	if len(job.Assignments) != 1 || len(cluster.machines.Machines["m3"].UnconfirmedStarts) != 1 {
 		t.Fatal("a start that may yet arrive was given up")
 	}
 }
 
-func TestAZoneThatGoesDarkIsNotMistakenForItsFirstSilentMachines(t *testing.T) {
+func TestUnreachableZoneNotMistakenForSingleSilentMachines(t *testing.T) {
 	t.Parallel()
 	// Machines with replicas are asked sooner than others, so of a zone cut off
 	// they alone look silent for some seconds. And when the zone is heard again,
 	// those not heard yet must not be given up for having been silent in the cut.
-	cluster := testBook()
+	cluster := newTestState()
 	cluster.settings.Params.Workers.ReportS = 10
 	start := time.Now()
-	zone := func(i int) string { return []string{"north", "south"}[i%2] }
+	zoneOf := func(i int) string { return []string{"north", "south"}[i%2] }
 	for i := range 40 {
-		cluster.hear(ids.Machine(fmt.Sprintf("m%02d", i)), zone(i), 1)
+		cluster.heartbeat(ids.Machine(fmt.Sprintf("m%02d", i)), zoneOf(i), 1)
 	}
-	svc := newRecord("job-1", "blue", record.Critical, 20, 2)
-	svc.Spec.Shape = record.Service
-	cluster.HandleRecord("job-1", 1, svc, start)
+	service := newRecord("job-1", "blue", record.Critical, 20, 2)
+	service.Spec.Shape = record.Service
+	cluster.HandleRecord("job-1", 1, service, start)
 	cluster.Plan(start)
-	heard := func(name string, ago time.Duration) {
+	reported := func(name string, ago time.Duration) {
 		machine := cluster.machines.Machines[ids.Machine(name)]
 		machine.LastReportAt, machine.UnansweredProbes = start.Add(-ago), 0
 		machine.RecordCall(true, start)
 	}
 	// The south fell silent 5 s ago; ten of its machines were asked twice since.
-	asked := 0
+	probed := 0
 	for i := range 40 {
 		name := fmt.Sprintf("m%02d", i)
-		heard(name, time.Duration(i)*20*time.Millisecond)
-		if zone(i) == "south" {
-			heard(name, 5*time.Second)
-			if asked++; asked <= 10 {
+		reported(name, time.Duration(i)*20*time.Millisecond)
+		if zoneOf(i) == "south" {
+			reported(name, 5*time.Second)
+			if probed++; probed <= 10 {
 				machine := cluster.machines.Machines[ids.Machine(name)]
 				machine.UnansweredProbes, machine.SuspectSince, machine.UnreachableSince = 2, start.Add(-2500*time.Millisecond), start.Add(-1500*time.Millisecond)
 			}
 		}
 	}
-	if gone := cluster.MachinesToTerminate(start, map[ids.Machine]bool{}); len(gone) != 0 {
-		t.Fatalf("returned %v of a zone that is dark", gone)
+	if terminated := cluster.MachinesToTerminate(start, map[ids.Machine]bool{}); len(terminated) != 0 {
+		t.Fatalf("returned %v of a zone that is dark", terminated)
 	}
 	if !cluster.UnreachableZones()["south"] || cluster.UnreachableZones()["north"] {
 		t.Fatalf("dark: %v", cluster.UnreachableZones())
 	}
 	// A minute later one of them is heard.
 	for i := range 40 {
-		if machine := cluster.machines.Machines[ids.Machine(fmt.Sprintf("m%02d", i))]; zone(i) == "south" {
+		if machine := cluster.machines.Machines[ids.Machine(fmt.Sprintf("m%02d", i))]; zoneOf(i) == "south" {
 			machine.UnansweredProbes, machine.LastReportAt, machine.SuspectSince, machine.UnreachableSince, machine.FailedCalls = 20, start.Add(-time.Minute), start.Add(-58*time.Second), start.Add(-57*time.Second), 20
 		}
 	}
-	cluster.hear("m01", "south", 2)
+	cluster.heartbeat("m01", "south", 2)
 	cluster.ProbeAnswered("m01", true)
-	if gone := cluster.MachinesToTerminate(start, map[ids.Machine]bool{}); len(gone) != 0 {
-		t.Fatalf("returned %v when the zone came back", gone)
+	if terminated := cluster.MachinesToTerminate(start, map[ids.Machine]bool{}); len(terminated) != 0 {
+		t.Fatalf("returned %v when the zone came back", terminated)
 	}
 	// Whoever stays silent although the others came back is given up.
 	for i := range 40 {
 		if name := fmt.Sprintf("m%02d", i); name != "m03" {
-			heard(name, 0)
+			reported(name, 0)
 		}
 	}
-	m := cluster.machines.Machines["m03"]
-	m.UnansweredProbes, m.SuspectSince = 2, start.Add(-3*time.Second)
-	if gone := cluster.MachinesToTerminate(start, map[ids.Machine]bool{}); len(gone) != 1 || gone[0] != "m03" {
-		t.Fatalf("returned %v, not the one that did not come back", gone)
+	missing := cluster.machines.Machines["m03"]
+	missing.UnansweredProbes, missing.SuspectSince = 2, start.Add(-3*time.Second)
+	if terminated := cluster.MachinesToTerminate(start, map[ids.Machine]bool{}); len(terminated) != 1 || terminated[0] != "m03" {
+		t.Fatalf("returned %v, not the one that did not come back", terminated)
 	}
 }
 
-func TestAfterATakeoverReplicasOfADarkZoneMoveOnTheCloudsWord(t *testing.T) {
+func TestTakeoverTerminatesMachinesOfUnreachableZoneOnceLeasesExpired(t *testing.T) {
 	t.Parallel()
 	// Guards against a new leader that waits for leases it knows nothing of: the
 	// replicas had ended long before. Where the rule of zones leaves no room
 	// elsewhere, returning the machines would gain nothing.
 	now := time.Now()
-	cluster := testBook()
+	cluster := newTestState()
 	for i := range 9 {
-		cluster.hear(ids.Machine(fmt.Sprint("n", i)), "north", 1)
+		cluster.heartbeat(ids.Machine(fmt.Sprint("n", i)), "north", 1)
 	}
-	service := func(id ids.Job, tasks int, at map[int]string) {
+	service := func(id ids.Job, tasks int, machineOf map[int]string) {
 		rec := newRecord(id, "blue", record.Critical, tasks, 1)
 		rec.Spec.Shape, rec.Spec.Spread, rec.Status = record.Service, true, record.Claimed
-		places := map[int]*workload.Assignment{}
-		for i, m := range at {
-			places[i] = &workload.Assignment{TaskIndex: i, Machine: ids.Machine(m), Incarnation: 1, Attempt: 1, FencingToken: 3}
+		assignments := map[int]*workload.Assignment{}
+		for i, name := range machineOf {
+			assignments[i] = &workload.Assignment{TaskIndex: i, Machine: ids.Machine(name), Incarnation: 1, Attempt: 1, FencingToken: 3}
 		}
-		rec.Assignments = workload.GroupAssignments(places)
+		rec.Assignments = workload.GroupAssignments(assignments)
 		cluster.Load(map[ids.Job]*record.Record{id: rec}, map[ids.Job]ids.Revision{id: 1}, 0, now)
 	}
 	service("job-1", 5, map[int]string{0: "n0", 1: "n1", 2: "s0", 3: "s0", 4: "s1"}) // one may move
@@ -264,8 +264,8 @@
 		machine.UnansweredProbes, machine.SuspectSince = 5, now.Add(time.Second)
 	}
 	cluster.trustSilence = now.Add(17*time.Second + 500*time.Millisecond)
-	if gone := cluster.MachinesToTerminate(now.Add(3*time.Second), map[ids.Machine]bool{}); len(gone) != 0 {
-		t.Fatalf("returned %v while the leases may still last", gone)
+	if terminated := cluster.MachinesToTerminate(now.Add(3*time.Second), map[ids.Machine]bool{}); len(terminated) != 0 {
+		t.Fatalf("returned %v while the leases may still last", terminated)
 	}
 	gone := cluster.MachinesToTerminate(now.Add(5*time.Second), map[ids.Machine]bool{})
 	if len(gone) != 2 || gone[0] != "s0" || gone[1] != "s1" {
@@ -273,18 +273,18 @@
 	}
 }
 
-func TestAUserIsToldWhatMovedAndWhatWaits(t *testing.T) {
+func TestExplainReportsLostRestartedAndPendingTasks(t *testing.T) {
 	t.Parallel()
 	now := time.Now()
-	cluster := testBook()
+	cluster := newTestState()
 	for i := range 4 {
-		cluster.hear(ids.Machine(fmt.Sprint("s", i)), "south", 1)
+		cluster.heartbeat(ids.Machine(fmt.Sprint("s", i)), "south", 1)
 	}
 	cluster.HandleRecord("job-1", 1, newRecord("job-1", "blue", record.Normal, 16, 1), now)
 	cluster.Plan(now)
-	cluster.store()
+	cluster.markAllStored()
 	for i := range 4 {
-		cluster.hear(ids.Machine(fmt.Sprint("n", i)), "north", 1)
+		cluster.heartbeat(ids.Machine(fmt.Sprint("n", i)), "north", 1)
 		machine := cluster.machines.Machines[ids.Machine(fmt.Sprint("s", i))]
 		machine.UnansweredProbes, machine.SuspectSince = 3, time.Now()
 	}
@@ -299,18 +299,18 @@
 		cluster.machines.Machines[ids.Machine(fmt.Sprint("s", i))].LeaseExpiresAt = now
 	}
 	cluster.ExpireLeases(now.Add(time.Second))
-	trail := func() (out []string) {
-		for _, e := range cluster.jobs.Get("job-1").Record.Events {
-			out = append(out, e.Message)
+	eventMessages := func() (out []string) {
+		for _, event := range cluster.jobs.Get("job-1").Record.Events {
+			out = append(out, event.Message)
 		}
 		return out
 	}
-	if tr := trail(); len(tr) > 3 || !strings.Contains(strings.Join(tr, "\n"), "tasks gone in south") {
-		t.Errorf("the trail of twelve tasks lost at once: %q", tr)
+	if events := eventMessages(); len(events) > 3 || !strings.Contains(strings.Join(events, "\n"), "tasks gone in south") {
+		t.Errorf("the trail of twelve tasks lost at once: %q", events)
 	}
 	cluster.jobs.Get("job-1").MaxAssigned = 4 + 2
 	cluster.Plan(now)
-	got := strings.Join(append(trail(), cluster.Explain("job-1")...), "\n")
+	got := strings.Join(append(eventMessages(), cluster.Explain("job-1")...), "\n")
 	for _, want := range []string{"tasks lost in south (2) start again: north (2)", "lost in south (10) and not started again yet", "on machines in north (2)", "nothing is heard of south (4)"} {
 		if !strings.Contains(got, want) {
 			t.Errorf("not told: %q, only\n%s", want, got)
@@ -318,14 +318,14 @@
 	}
 }
 
-func TestATaskMarkedForASessionThatEndsMeanwhileIsPlacedAnew(t *testing.T) {
+func TestTaskReassignedWhenWorkerIncarnationEndsBeforeStart(t *testing.T) {
 	t.Parallel()
 	// Found on a day with a zone cut off: when it came back, replicas were marked
 	// for workers whose sessions ended before the marker was stored. No start went
 	// out, nothing reported them, and they stayed down for good.
 	now := time.Now()
-	cluster := testBook()
-	cluster.hear("m1", "north", 1)
+	cluster := newTestState()
+	cluster.heartbeat("m1", "north", 1)
 	cluster.HandleRecord("job-1", 1, newRecord("job-1", "blue", record.Normal, 2, 1), now)
 	cluster.Plan(now)
 	report := &worker.Report{Machine: "m1", Addr: "m1:1", Type: "small", Zone: "north", Incarnation: 2, Sequence: 2, FencingToken: 7}
--- a/internal/clusterstate/oversize_record_test.go
+++ b/internal/clusterstate/oversize_record_test.go
@@ -12,7 +12,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/state"
 )
 
-func TestAFinalRecordFitsAndTellsHowItEnded(t *testing.T) {
+func TestFinalRecordFitsLimitAndKeepsOutcome(t *testing.T) {
 	// Guards against an end, or the cancellation of a queued job, that can't be stored
 	// because of what nobody needs any more, and against losing why the job ended.
 	rec := newRecord("job-1", "red", record.Low, 4000, 1)
@@ -43,9 +43,9 @@
 	}
 }
 
-func TestARecordThatDoesNotFitIsNotTriedAgainUnchanged(t *testing.T) {
+func TestOversizeRecordNotEncodedAgainUnchanged(t *testing.T) {
 	// Guards against encoding a large record four times a second for nothing.
-	cluster := testBook()
+	cluster := newTestState()
 	job := cluster.addJob(newRecord("job-1", "blue", record.Low, 10, 1), 1, time.Now())
 	limits := commit.LimitsOf(state.NewBudget(1000, 1000, 1, 0.6))
 	cluster.markChanged(job)
--- a/internal/clusterstate/pipeline_times_test.go
+++ b/internal/clusterstate/pipeline_times_test.go
@@ -11,12 +11,12 @@
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-func TestWaitingCountsFromTheEndOfTheLastJobAwaited(t *testing.T) {
+func TestStarvationCountsFromLastDependencyEnd(t *testing.T) {
 	// Guards against a job that goes before others, or has machines set aside, for the time
 	// in which it could not start.
 	synctest.Test(t, func(t *testing.T) {
-		cluster := testBook()
-		cluster.HandleWaitingJob("job-2", 3, waits("job-2", record.Low, 0, "job-1"), time.Now())
+		cluster := newTestState()
+		cluster.HandleWaitingJob("job-2", 3, newWaitingRecord("job-2", record.Low, 0, "job-1"), time.Now())
 		time.Sleep(300 * time.Second)
 		cluster.mu.Lock()
 		defer cluster.mu.Unlock()
--- a/internal/clusterstate/production_test.go
+++ b/internal/clusterstate/production_test.go
@@ -18,7 +18,7 @@
 // names as production. While the service is upgraded both versions work on the same
 // records, and the leader may be of either.
 
-func golden(t *testing.T, name string) []byte {
+func readProductionFile(t *testing.T, name string) []byte {
 	t.Helper()
 	raw, err := os.ReadFile(filepath.Join("testdata/production", name))
 	if err != nil {
@@ -27,25 +27,25 @@
 	return raw
 }
 
-func sameJSON(t *testing.T, name string, raw, want []byte) {
+func checkSameJSON(t *testing.T, name string, raw, want []byte) {
 	t.Helper()
-	var a, b any
-	if err := json.Unmarshal(raw, &a); err != nil {
+	var gotValue, wantValue any
+	if err := json.Unmarshal(raw, &gotValue); err != nil {
 		t.Fatal(err)
 	}
-	if err := json.Unmarshal(want, &b); err != nil {
+	if err := json.Unmarshal(want, &wantValue); err != nil {
 		t.Fatal(err)
 	}
-	if !reflect.DeepEqual(a, b) {
+	if !reflect.DeepEqual(gotValue, wantValue) {
 		t.Errorf("%s is written back as\n%s, not\n%s", name, raw, want)
 	}
 }
 
-func TestRecordsOfTheProductionVersionAreReadAndWrittenBackAlike(t *testing.T) {
+func TestProductionRecordsRoundTripUnchanged(t *testing.T) {
 	// Guards against a field that one version drops, renames or reads otherwise: what
 	// production wrote comes back to the letter, with every place in its place.
 	for _, name := range []string{"queued.json", "claimed.json", "cancelling.json", "done.json"} {
-		want := golden(t, name)
+		want := readProductionFile(t, name)
 		rec, err := record.Decode(want)
 		if err != nil {
 			t.Fatalf("%s: %v", name, err)
@@ -54,29 +54,29 @@
 		if !ok {
 			t.Fatal(name)
 		}
-		sameJSON(t, name, raw, want)
+		checkSameJSON(t, name, raw, want)
 		// Through the cluster state of a new leader as well.
 		if rec.Status.IsTerminal() {
 			continue
 		}
-		cluster := testBook()
+		cluster := newTestState()
 		cluster.Load(map[ids.Job]*record.Record{"job-1": rec}, map[ids.Job]ids.Revision{"job-1": 3}, 3, time.Now())
 		job := cluster.jobs.Get("job-1")
-		back := job.Record
-		back.Assignments = workload.GroupAssignments(job.Assignments)
-		raw, _ = back.Encode(8192)
-		sameJSON(t, name+" through the book", raw, want)
+		reencoded := job.Record
+		reencoded.Assignments = workload.GroupAssignments(job.Assignments)
+		raw, _ = reencoded.Encode(8192)
+		checkSameJSON(t, name+" through the book", raw, want)
 	}
-	want := golden(t, "generation.json")
+	want := readProductionFile(t, "generation.json")
 	var generation commit.GenerationRecord
 	if err := json.Unmarshal(want, &generation); err != nil {
 		t.Fatal(err)
 	}
 	raw, _ := json.Marshal(generation)
-	sameJSON(t, "generation.json", raw, want)
+	checkSameJSON(t, "generation.json", raw, want)
 }
 
-func TestTheProductionVersionFindsWhatItNeeds(t *testing.T) {
+func TestProductionVersionCanReadNewRecords(t *testing.T) {
 	// Guards against records that an old leader would take for something else. One that
 	// awaits others it must pass over: it would start it at once, and drop what it awaits.
 	rec := newRecord("job-2", "blue", record.Normal, 4, 1)
@@ -86,8 +86,8 @@
 	if err := json.Unmarshal(raw, &old); !ok || err == nil {
 		t.Errorf("a waiting job's record reads as an object: %s", raw)
 	}
-	if back, err := record.DecodeWaiting(raw); err != nil || back.Spec.DependsOn[0] != "job-1" {
-		t.Errorf("read back as %v, %v", back, err)
+	if decoded, err := record.DecodeWaiting(raw); err != nil || decoded.Spec.DependsOn[0] != "job-1" {
+		t.Errorf("read back as %v, %v", decoded, err)
 	}
 	if _, err := record.Decode(raw); err == nil {
 		t.Error("a waiting job's record is taken for a claimable one's")
@@ -101,13 +101,13 @@
 	delete(old, "ready")
 	delete(old["spec"].(map[string]any), "awaits")
 	var known map[string]any
-	if err := json.Unmarshal(golden(t, "claimed.json"), &known); err != nil {
+	if err := json.Unmarshal(readProductionFile(t, "claimed.json"), &known); err != nil {
 		t.Fatal(err)
 	}
 	for _, part := range []struct{ got, want map[string]any }{{old, known}, {old["spec"].(map[string]any), known["spec"].(map[string]any)}} {
-		for f := range part.got {
-			if _, ok := part.want[f]; !ok {
-				t.Errorf("production knows no field %q", f)
+		for field := range part.got {
+			if _, ok := part.want[field]; !ok {
+				t.Errorf("production knows no field %q", field)
 			}
 		}
 	}
--- a/internal/clusterstate/scale_test.go
+++ b/internal/clusterstate/scale_test.go
@@ -15,20 +15,20 @@
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// fleet is a cluster state with n machines of four cores, in two zones.
-func fleet(t *testing.T, n int) *State {
-	old := slog.Default()
+// newStateWithMachines is a cluster state with n machines of four cores, in two zones.
+func newStateWithMachines(t *testing.T, count int) *State {
+	previous := slog.Default()
 	slog.SetDefault(slog.New(slog.NewTextHandler(io.Discard, nil)))
-	t.Cleanup(func() { slog.SetDefault(old) })
-	cluster := testBook()
-	for i := range n {
-		cluster.hear(ids.Machine(fmt.Sprintf("host-%06d", i)), []string{"north", "south"}[i%2], 1)
+	t.Cleanup(func() { slog.SetDefault(previous) })
+	cluster := newTestState()
+	for i := range count {
+		cluster.heartbeat(ids.Machine(fmt.Sprintf("host-%06d", i)), []string{"north", "south"}[i%2], 1)
 	}
 	return cluster
 }
 
-// examined is how many machines planning has looked at so far.
-func examined(cluster *State) int {
+// machinesExamined is how many machines planning has looked at so far.
+func machinesExamined(cluster *State) int {
 	total, _ := cluster.scheduler.MachinesExamined()
 	return total
 }
@@ -39,60 +39,60 @@
 	return most
 }
 
-// planAll plans until a pass places nothing more, as a leader's passes do one after the
+// planUntilStable plans until a pass places nothing more, as a leader's passes do one after the
 // other, and returns the most machines that one looked at while it held the lock.
-func planAll(cluster *State, now time.Time) (most int) {
+func planUntilStable(cluster *State, now time.Time) (most int) {
 	for {
-		placed := countPlaces(cluster)
+		placed := countAssignments(cluster)
 		cluster.Plan(now)
-		if countPlaces(cluster) == placed {
+		if countAssignments(cluster) == placed {
 			return mostExaminedPerLock(cluster)
 		}
 	}
 }
 
-func countPlaces(cluster *State) (n int) {
+func countAssignments(cluster *State) (count int) {
 	for _, job := range cluster.jobs.All() {
-		n += len(job.Assignments)
+		count += len(job.Assignments)
 	}
-	return n
+	return count
 }
 
 // Counts machines looked at, not time: that a pass costs what changed, and not
 // the fleet times the jobs or tasks, must not be lost unseen.
-func TestPlanningCostsWhatChangedAndNotTheFleet(t *testing.T) {
+func TestPlanningCostFollowsChangesNotFleetSize(t *testing.T) {
 	t.Parallel()
 	now := time.Now()
 	const machines, jobs = 4000, 800
-	cluster := fleet(t, machines)
-	cost := func(f func()) int {
-		before := examined(cluster)
-		f()
-		planAll(cluster, now)
-		return examined(cluster) - before
+	cluster := newStateWithMachines(t, machines)
+	cost := func(change func()) int {
+		before := machinesExamined(cluster)
+		change()
+		planUntilStable(cluster, now)
+		return machinesExamined(cluster) - before
 	}
-	add := func(id, tasks int, cores float64) {
-		rec := newRecord(ids.Job(fmt.Sprintf("job-%d", id)), "blue", record.Normal, tasks, cores)
-		rec.Spec.Image = fmt.Sprint("image-", id%20)
-		cluster.HandleRecord(rec.Spec.ID, ids.Revision(id+1), rec, now)
+	submitJob := func(number, tasks int, cores float64) {
+		rec := newRecord(ids.Job(fmt.Sprintf("job-%d", number)), "blue", record.Normal, tasks, cores)
+		rec.Spec.Image = fmt.Sprint("image-", number%20)
+		cluster.HandleRecord(rec.Spec.ID, ids.Revision(number+1), rec, now)
 	}
 	// Filling: a job may look at every machine once, however many tasks it has.
 	full := cost(func() {
 		for i := range jobs {
-			add(i, 20, 1)
+			submitJob(i, 20, 1)
 		}
 	})
-	if placed := countPlaces(cluster); placed != machines*4 {
+	if placed := countAssignments(cluster); placed != machines*4 {
 		t.Fatalf("%d tasks on %d cores", placed, machines*4)
 	}
 	if most := jobs * (machines + 20*5); full > most {
-		t.Errorf("placing %d tasks of %d jobs looked at %d machines, more than %d", countPlaces(cluster), jobs, full, most)
+		t.Errorf("placing %d tasks of %d jobs looked at %d machines, more than %d", countAssignments(cluster), jobs, full, most)
 	}
-	cluster.store()
+	cluster.markAllStored()
 	// Full: hundreds of waiting jobs find that out once, not each anew.
 	if n := cost(func() {
 		for i := range 300 {
-			add(1000+i, 20, 1)
+			submitJob(1000+i, 20, 1)
 		}
 	}); n > 100 {
 		t.Errorf("300 jobs that find no room looked at %d machines", n)
@@ -114,32 +114,32 @@
 	}
 }
 
-func TestIndexesAgreeWithWhatIsPlaced(t *testing.T) {
+func TestCapacityIndexMatchesAssignments(t *testing.T) {
 	t.Parallel()
 	now := time.Now()
-	cluster := fleet(t, 40)
+	cluster := newStateWithMachines(t, 40)
 	for i := range 30 {
 		rec := newRecord(ids.Job(fmt.Sprintf("job-%d", i)), "blue", record.Normal, 7, 1)
 		rec.Spec.Image = fmt.Sprint("image-", i%5)
 		cluster.HandleRecord(rec.Spec.ID, ids.Revision(i+1), rec, now)
 	}
 	cluster.Plan(now)
-	cluster.store()
+	cluster.markAllStored()
 	check := func(when string) {
 		t.Helper()
-		on := map[ids.Machine]int{}
+		assigned := map[ids.Machine]int{}
 		for _, job := range cluster.jobs.All() {
 			for _, assignment := range job.Assignments {
-				on[assignment.Machine]++
+				assigned[assignment.Machine]++
 			}
 		}
 		for name, node := range cluster.capacity.Nodes() {
-			if len(node.Assignments) != on[name] || node.Used.Cores != float64(on[name]) {
-				t.Fatalf("%s: %s has %d places and %v in use, the jobs know of %d", when, name, len(node.Assignments), node.Used, on[name])
+			if len(node.Assignments) != assigned[name] || node.Used.Cores != float64(assigned[name]) {
+				t.Fatalf("%s: %s has %d places and %v in use, the jobs know of %d", when, name, len(node.Assignments), node.Used, assigned[name])
 			}
 			open := node.Class != nil
-			if machine := cluster.machines.Machines[name]; open != (machine.HasReported && on[name] < 4) {
-				t.Fatalf("%s: %s with %d tasks is on a shelf: %v", when, name, on[name], open)
+			if machine := cluster.machines.Machines[name]; open != (machine.HasReported && assigned[name] < 4) {
+				t.Fatalf("%s: %s with %d tasks is on a shelf: %v", when, name, assigned[name], open)
 			}
 			if open && !slices.Contains(node.Class.Open, node) {
 				t.Fatalf("%s: %s is not listed in its class", when, name)
@@ -151,16 +151,16 @@
 	}
 	check("placed")
 	for i, name := range []ids.Machine{"host-000001", "host-000002", "host-000003"} {
-		var pieces []worker.TaskStatus
+		var statuses []worker.TaskStatus
 		for assignment := range cluster.capacity.AssignmentsOn(name) {
-			pieces = append(pieces, worker.TaskStatus{Task: assignment.Task().String(), Attempt: assignment.Attempt, State: worker.StateRunning})
+			statuses = append(statuses, worker.TaskStatus{Task: assignment.Task().String(), Attempt: assignment.Attempt, State: worker.StateRunning})
 		}
-		cluster.hear(name, "north", ids.SequenceNumber(i+2), pieces...)
+		cluster.heartbeat(name, "north", ids.SequenceNumber(i+2), statuses...)
 		check("running")
-		for k := range pieces {
-			pieces[k].State, pieces[k].Cause = worker.StateExited, worker.CauseDone
+		for k := range statuses {
+			statuses[k].State, statuses[k].Cause = worker.StateExited, worker.CauseDone
 		}
-		cluster.hear(name, "north", ids.SequenceNumber(i+3), pieces...)
+		cluster.heartbeat(name, "north", ids.SequenceNumber(i+3), statuses...)
 		check("done")
 	}
 	cluster.MachineTerminated("host-000004")
@@ -169,44 +169,44 @@
 	check("placed again")
 }
 
-// largestFleet is how many machines the service is to run at: about 4,000, and half as
+// largestFleetSize is how many machines the service is to run at: about 4,000, and half as
 // many again on some days.
-const largestFleet = 6000
+const largestFleetSize = 6000
 
-func TestAPassLetsHeartbeatsInInALargeFleet(t *testing.T) {
+func TestPlanningYieldsLockToHeartbeatsInLargeFleet(t *testing.T) {
 	t.Parallel()
 	// Guards against a pass that looks at all machines for each of hundreds of jobs, as
 	// after a total loss, while every heartbeat waits for it.
 	now := time.Now()
-	for _, machines := range []int{400, largestFleet} {
-		cluster := fleet(t, machines)
+	for _, machines := range []int{400, largestFleetSize} {
+		cluster := newStateWithMachines(t, machines)
 		for i := range 300 {
 			rec := newRecord(ids.Job(fmt.Sprintf("job-%d", i)), "blue", record.Normal, machines/100, 1)
 			rec.Spec.Image = fmt.Sprint("image-", i)
 			cluster.HandleRecord(rec.Spec.ID, ids.Revision(i+1), rec, now)
 		}
-		most := planAll(cluster, now)
+		most := planUntilStable(cluster, now)
 		if limit := scheduler.MaxExaminedPerLock + 2*machines; most > limit {
 			t.Errorf("%d machines: a pass looked at %d without a break, more than %d", machines, most, limit)
 		}
-		if placed := countPlaces(cluster); placed != 300*(machines/100) {
+		if placed := countAssignments(cluster); placed != 300*(machines/100) {
 			t.Errorf("%d machines: %d tasks placed", machines, placed)
 		}
-		t.Logf("%d machines: %d looks in all, %d without a break at most", machines, examined(cluster), most)
+		t.Logf("%d machines: %d looks in all, %d without a break at most", machines, machinesExamined(cluster), most)
 	}
 }
 
-func TestOnlyTheRecordBoundsHowManyTasksOfAJobAreUnderWay(t *testing.T) {
+func TestOnlyRecordSizeBoundsAssignedTasks(t *testing.T) {
 	t.Parallel()
 	// Guards against a fixed bound smaller than a large fleet, although the values of the
 	// state service would hold more.
 	now := time.Now()
-	cluster := fleet(t, largestFleet)
+	cluster := newStateWithMachines(t, largestFleetSize)
 	cluster.settings.Params.State.ValueKB = 56 // as much as a transaction carries
-	cluster.HandleRecord("job-1", 1, newRecord("job-1", "blue", record.Normal, 4*largestFleet, 1), now)
+	cluster.HandleRecord("job-1", 1, newRecord("job-1", "blue", record.Normal, 4*largestFleetSize, 1), now)
 	job := cluster.jobs.Get("job-1")
 	for range 20 {
-		planAll(cluster, now)
+		planUntilStable(cluster, now)
 		stored := job.Record
 		stored.Assignments = workload.GroupAssignments(job.Assignments)
 		raw, fits := stored.Encode(int(cluster.settings.Params.State.ValueKB * 1024))
@@ -214,85 +214,85 @@
 			t.Fatalf("the record of %d places does not fit", len(job.Assignments))
 		}
 		job.RecordEncodedSize(stored.Assignments, len(raw))
-		cluster.store()
+		cluster.markAllStored()
 	}
-	if len(job.Assignments) < largestFleet {
+	if len(job.Assignments) < largestFleetSize {
 		t.Errorf("%d tasks are under way at a time", len(job.Assignments))
 	}
 }
 
-func TestATakeoverAsksEachMachineOfALargeFleetOnce(t *testing.T) {
+func TestTakeoverProbesEachMachineOnce(t *testing.T) {
 	t.Parallel()
 	// Counts what a new leader asks and looks at: both grow with the fleet and no faster,
 	// and no machine is asked twice when it answers.
 	const slots = 240
-	for _, machines := range []int{400, largestFleet} {
+	for _, machines := range []int{400, largestFleetSize} {
 		now := time.Now()
-		last := fleet(t, machines)
-		last.HandleRecord("job-1", 1, newRecord("job-1", "blue", record.Normal, machines, 1), now)
-		planAll(last, now)
-		hints, position := last.Hints(HintPosition{})
-		stored := last.jobs.Get("job-1").Record
-		stored.Assignments = workload.GroupAssignments(last.jobs.Get("job-1").Assignments)
+		predecessor := newStateWithMachines(t, machines)
+		predecessor.HandleRecord("job-1", 1, newRecord("job-1", "blue", record.Normal, machines, 1), now)
+		planUntilStable(predecessor, now)
+		hints, position := predecessor.Hints(HintPosition{})
+		stored := predecessor.jobs.Get("job-1").Record
+		stored.Assignments = workload.GroupAssignments(predecessor.jobs.Get("job-1").Assignments)
 
-		next := testBook()
+		successor := newTestState()
 		var known HintCache
 		known.Receive(hints, position)
-		next.ApplyHints(&known, now)
-		next.Load(map[ids.Job]*record.Record{"job-1": &stored}, map[ids.Job]ids.Revision{"job-1": 1}, 1, now)
-		questions, rounds := 0, 0
+		successor.ApplyHints(&known, now)
+		successor.Load(map[ids.Job]*record.Record{"job-1": &stored}, map[ids.Job]ids.Revision{"job-1": 1}, 1, now)
+		probes, rounds := 0, 0
 		for ; rounds < 1000; rounds++ {
 			now = now.Add(101 * time.Millisecond)
-			asked := next.DueProbes(now, slots)
-			if len(asked) == 0 || questions >= machines {
+			due := successor.DueProbes(now, slots)
+			if len(due) == 0 || probes >= machines {
 				break
 			}
-			for i, question := range asked {
-				questions++
-				next.ProbeAnswered(question.Machine, true)
-				next.hear(question.Machine, []string{"north", "south"}[i%2], 2)
-				next.machines.Machines[question.Machine].LastReportAt = now
+			for i, probe := range due {
+				probes++
+				successor.ProbeAnswered(probe.Machine, true)
+				successor.heartbeat(probe.Machine, []string{"north", "south"}[i%2], 2)
+				successor.machines.Machines[probe.Machine].LastReportAt = now
 			}
 		}
-		if questions != machines || rounds > machines/slots+1 {
-			t.Errorf("%d machines: %d questions in %d rounds", machines, questions, rounds)
+		if probes != machines || rounds > machines/slots+1 {
+			t.Errorf("%d machines: %d questions in %d rounds", machines, probes, rounds)
 		}
-		for name, machine := range next.machines.Machines {
+		for name, machine := range successor.machines.Machines {
 			if !machine.HasReported {
 				t.Fatalf("%d machines: %s was not asked", machines, name)
 			}
 		}
-		t.Logf("%d machines: %d questions in %d rounds", machines, questions, rounds)
+		t.Logf("%d machines: %d questions in %d rounds", machines, probes, rounds)
 	}
 }
 
-func TestDisplacingWorkInALargeFleetWeighsAFewMachinesForEachTask(t *testing.T) {
+func TestPreemptionExaminesFewMachinesPerTaskInLargeFleet(t *testing.T) {
 	t.Parallel()
 	// Guards against weighing the whole fleet for each of hundreds of urgent tasks, as after
 	// a spot wave: at 6,000 machines the leader stood still until its lease had lapsed.
 	now := time.Now()
-	cluster := fleet(t, largestFleet)
-	for i := range largestFleet / 30 {
+	cluster := newStateWithMachines(t, largestFleetSize)
+	for i := range largestFleetSize / 30 {
 		rec := newRecord(ids.Job(fmt.Sprintf("job-%d", i)), "blue", record.Normal, 200, 1)
 		rec.Spec.Image = fmt.Sprint("image-", i%20)
 		cluster.HandleRecord(rec.Spec.ID, ids.Revision(i+1), rec, now)
 	}
-	planAll(cluster, now)
-	if placed := countPlaces(cluster); placed != 4*largestFleet {
+	planUntilStable(cluster, now)
+	if placed := countAssignments(cluster); placed != 4*largestFleetSize {
 		t.Fatalf("%d tasks fill the fleet", placed)
 	}
 	const urgent = 150
-	r := newRecord("job-900000", "blue", record.Critical, urgent, 1)
-	r.Spec.Shape, r.Spec.Image = record.Service, "image-new"
-	cluster.HandleRecord(r.Spec.ID, 1, r, now)
-	before := examined(cluster)
+	service := newRecord("job-900000", "blue", record.Critical, urgent, 1)
+	service.Spec.Shape, service.Spec.Image = record.Service, "image-new"
+	cluster.HandleRecord(service.Spec.ID, 1, service, now)
+	before := machinesExamined(cluster)
 	for pass := range 2*urgent + 10 {
 		cluster.Plan(now.Add(time.Duration(pass) * 25 * time.Millisecond))
 	}
 	if placed := len(cluster.jobs.Get("job-900000").Assignments); placed != urgent {
 		t.Errorf("%d of %d urgent tasks found a place", placed, urgent)
 	}
-	if looks := examined(cluster) - before; looks > 5*urgent*scheduler.MaxPreemptionCandidates {
+	if looks := machinesExamined(cluster) - before; looks > 5*urgent*scheduler.MaxPreemptionCandidates {
 		t.Errorf("%d machines were looked at for %d tasks", looks, urgent)
 	}
 }
--- a/internal/clusterstate/state_test.go
+++ b/internal/clusterstate/state_test.go
@@ -17,18 +17,18 @@
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-func testSet() *config.Settings {
-	s := &config.Settings{Operator: config.DefaultOperator()}
-	s.Params.Workers = config.WorkerIntervals{ReportS: 2, LeaseS: 20, GangWaitS: 30, GangPeerS: 5, CancelS: 40}
-	s.Params.State = config.StateLimits{RPS: 100, WriteRPS: 100, ValueKB: 8, TxnOps: 12}
-	s.Params.Teams = []config.Team{{Name: "red", CPUs: 4, CPUsMax: 40}, {Name: "blue", CPUs: 4}}
-	s.Params.Zones = []string{"north", "south"}
-	return s
-}
-
-func testBook() *State {
-	cluster := New(testSet(), "w", 7, time.Now())
-	cluster.SetMachineTypes(testTypes())
+func newTestSettings() *config.Settings {
+	settings := &config.Settings{Operator: config.DefaultOperator()}
+	settings.Params.Workers = config.WorkerIntervals{ReportS: 2, LeaseS: 20, GangWaitS: 30, GangPeerS: 5, CancelS: 40}
+	settings.Params.State = config.StateLimits{RPS: 100, WriteRPS: 100, ValueKB: 8, TxnOps: 12}
+	settings.Params.Teams = []config.Team{{Name: "red", CPUs: 4, CPUsMax: 40}, {Name: "blue", CPUs: 4}}
+	settings.Params.Zones = []string{"north", "south"}
+	return settings
+}
+
+func newTestState() *State {
+	cluster := New(newTestSettings(), "w", 7, time.Now())
+	cluster.SetMachineTypes(testInstanceTypes())
 	return cluster
 }
 
@@ -44,28 +44,28 @@
 	return commit.New(cluster, store, "a", cluster.keys, 0, commit.Events{})
 }
 
-func testTypes() []placement.InstanceType {
+func testInstanceTypes() []placement.InstanceType {
 	return []placement.InstanceType{{Label: "small", Cores: 4, RAM: 16, CacheGB: 20, PullGBPerS: 1, Price: 1, SpotPrice: 0.4, BootS: 30, Zones: []string{"north", "south"}}}
 }
 
-func (c *State) hear(name ids.Machine, zone string, tick ids.SequenceNumber, pieces ...worker.TaskStatus) []worker.Command {
-	return c.ReconcileHeartbeat(&worker.Report{Machine: name, Addr: string(name) + ":1", Type: "small", Zone: zone, Incarnation: 1, Sequence: tick, FencingToken: 7, Tasks: pieces}, true, true)
+func (c *State) heartbeat(name ids.Machine, zone string, sequence ids.SequenceNumber, tasks ...worker.TaskStatus) []worker.Command {
+	return c.ReconcileHeartbeat(&worker.Report{Machine: name, Addr: string(name) + ":1", Type: "small", Zone: zone, Incarnation: 1, Sequence: sequence, FencingToken: 7, Tasks: tasks}, true, true)
 }
 
-func newRecord(id ids.Job, team string, p record.Priority, tasks int, cores float64) *record.Record {
-	return record.New(record.Spec{ID: id, Class: "c", Team: team, Shape: record.Array, Priority: p, Tasks: tasks, EstimatedDuration: 10,
+func newRecord(id ids.Job, team string, priority record.Priority, tasks int, cores float64) *record.Record {
+	return record.New(record.Spec{ID: id, Class: "c", Team: team, Shape: record.Array, Priority: priority, Tasks: tasks, EstimatedDuration: 10,
 		Resources: placement.Resources{Cores: cores, RAM: 1}, Image: "i", ImageGB: 1}, ids.TimestampOf(time.Now()), "user")
 }
 
-// store pretends that all changes were committed.
-func (c *State) store() {
+// markAllStored pretends that all changes were committed.
+func (c *State) markAllStored() {
 	for _, job := range c.jobs.All() {
 		job.StoredVersion = job.Version
 	}
 	c.NextBatches(1000)
 }
 
-func TestTheTransitionTableHasNoWayOutOfAnEnd(t *testing.T) {
+func TestStatusTransitionsNeverLeaveTerminalStatus(t *testing.T) {
 	t.Parallel()
 	for _, from := range []record.Status{record.Queued, record.Claimed, record.Cancelling, record.Cancelled, record.Done} {
 		for _, to := range []record.Status{record.Queued, record.Claimed, record.Cancelling, record.Cancelled, record.Done} {
@@ -79,9 +79,9 @@
 	}
 }
 
-func TestRecordsStaySmallAndReadBack(t *testing.T) {
+func TestLargeRecordFitsLimitAndRoundTrips(t *testing.T) {
 	t.Parallel()
-	cluster := testBook()
+	cluster := newTestState()
 	rec := newRecord("job-1", "red", record.Low, 100000, 1)
 	job := cluster.addJob(rec, 1, time.Now())
 	for i := range 99000 {
@@ -92,26 +92,26 @@
 	for i := range cluster.maxAssignedTasks(job) {
 		cluster.addAssignment(&workload.Assignment{Job: job, TaskIndex: i * 40, Machine: ids.Machine(fmt.Sprintf("host-%06d", i)), Incarnation: 1, Attempt: 9, FencingToken: 7})
 	}
-	out := job.Record
-	out.Assignments = workload.GroupAssignments(job.Assignments)
-	raw, ok := out.Encode(8 * 1024)
+	stored := job.Record
+	stored.Assignments = workload.GroupAssignments(job.Assignments)
+	raw, ok := stored.Encode(8 * 1024)
 	if !ok {
 		t.Fatal("does not fit")
 	}
-	back, err := record.Decode(raw)
-	if err != nil || back.AssignedTasks() != cluster.maxAssignedTasks(job) || back.Finished.Len() != job.Record.Finished.Len() {
-		t.Fatalf("%v; %d open, %d finished", err, back.AssignedTasks(), back.Finished.Len())
+	decoded, err := record.Decode(raw)
+	if err != nil || decoded.AssignedTasks() != cluster.maxAssignedTasks(job) || decoded.Finished.Len() != job.Record.Finished.Len() {
+		t.Fatalf("%v; %d open, %d finished", err, decoded.AssignedTasks(), decoded.Finished.Len())
 	}
 }
 
-func TestPreemptionFollowsPriorityAndGuarantee(t *testing.T) {
+func TestPreemptionFollowsPriorityAndQuota(t *testing.T) {
 	t.Parallel()
 	now := time.Now()
-	cluster := testBook()
-	cluster.hear("m1", "north", 1)
+	cluster := newTestState()
+	cluster.heartbeat("m1", "north", 1)
 	cluster.HandleRecord("job-1", 1, newRecord("job-1", "blue", record.Normal, 4, 1), now)
 	cluster.Plan(now)
-	cluster.store()
+	cluster.markAllStored()
 	if len(cluster.capacity.AssignmentsOn("m1")) != 4 {
 		t.Fatal("not placed")
 	}
@@ -140,10 +140,10 @@
 	}
 }
 
-func TestSmallJobsGoFirstUntilLargeOnesHaveWaited(t *testing.T) {
+func TestSmallJobsRankFirstUntilLargeJobHasWaited(t *testing.T) {
 	t.Parallel()
 	now := time.Now()
-	cluster := testBook()
+	cluster := newTestState()
 	large, small := newRecord("job-1", "blue", record.Normal, 60, 1), newRecord("job-2", "blue", record.Normal, 5, 1)
 	large.Submitted = ids.TimestampOf(now.Add(-time.Second))
 	cluster.HandleRecord("job-1", 1, large, now)
@@ -157,10 +157,10 @@
 	}
 }
 
-func TestLowPriorityRisesOneStepAndNoMore(t *testing.T) {
+func TestLowPriorityRisesAtMostOneLevelOnceStarted(t *testing.T) {
 	t.Parallel()
 	now := time.Now()
-	cluster := testBook()
+	cluster := newTestState()
 	low, high := newRecord("job-1", "blue", record.Low, 60, 1), newRecord("job-2", "blue", record.High, 60, 1)
 	low.Submitted, low.Attempt = ids.TimestampOf(now.Add(-time.Hour)), 1
 	cluster.HandleRecord("job-1", 1, low, now)
@@ -175,14 +175,14 @@
 	}
 }
 
-func TestAJobsOwnMistakeDoesNotCondemnMachines(t *testing.T) {
+func TestMachineQuarantinedOnlyForFailuresOfDifferentJobs(t *testing.T) {
 	t.Parallel()
 	now := time.Now()
-	cluster := testBook()
+	cluster := newTestState()
 	cluster.HandleRecord("job-1", 1, newRecord("job-1", "blue", record.Normal, 1, 1), now)
-	fail := func(m ids.Machine, a ids.Attempt, tick ids.SequenceNumber) {
-		cluster.hear(m, "north", tick, worker.TaskStatus{Task: "job-1/0", Attempt: a, State: worker.StateRunning})
-		cluster.hear(m, "north", tick+1, worker.TaskStatus{Task: "job-1/0", Attempt: a, State: worker.StateExited, Cause: worker.CauseError})
+	fail := func(name ids.Machine, attempt ids.Attempt, sequence ids.SequenceNumber) {
+		cluster.heartbeat(name, "north", sequence, worker.TaskStatus{Task: "job-1/0", Attempt: attempt, State: worker.StateRunning})
+		cluster.heartbeat(name, "north", sequence+1, worker.TaskStatus{Task: "job-1/0", Attempt: attempt, State: worker.StateExited, Cause: worker.CauseError})
 	}
 	for i := range 6 {
 		fail(ids.Machine(fmt.Sprint("m", i)), ids.Attempt(i+1), 1)
@@ -199,75 +199,75 @@
 	for n := range 2 {
 		id := ids.Job(fmt.Sprint("job-10", n))
 		cluster.HandleRecord(id, ids.Revision(n+5), newRecord(id, "blue", record.Normal, 1, 1), now)
-		cluster.hear("bad", "north", ids.SequenceNumber(2*n+1), worker.TaskStatus{Task: string(id) + "/0", Attempt: 1, State: worker.StateRunning})
-		cluster.hear("bad", "north", ids.SequenceNumber(2*n+2), worker.TaskStatus{Task: string(id) + "/0", Attempt: 1, State: worker.StateExited, Cause: worker.CauseError})
+		cluster.heartbeat("bad", "north", ids.SequenceNumber(2*n+1), worker.TaskStatus{Task: string(id) + "/0", Attempt: 1, State: worker.StateRunning})
+		cluster.heartbeat("bad", "north", ids.SequenceNumber(2*n+2), worker.TaskStatus{Task: string(id) + "/0", Attempt: 1, State: worker.StateExited, Cause: worker.CauseError})
 		if cluster.machines.Machines["bad"].DrainReason != "" {
 			t.Error("condemned by jobs of which nothing completed yet")
 		}
 	}
 	for n := range 2 {
 		task := fmt.Sprintf("job-10%d/0", n)
-		cluster.hear("good", "north", ids.SequenceNumber(2*n+1), worker.TaskStatus{Task: task, Attempt: 2, State: worker.StateRunning})
-		cluster.hear("good", "north", ids.SequenceNumber(2*n+2), worker.TaskStatus{Task: task, Attempt: 2, State: worker.StateExited, Cause: worker.CauseDone})
+		cluster.heartbeat("good", "north", ids.SequenceNumber(2*n+1), worker.TaskStatus{Task: task, Attempt: 2, State: worker.StateRunning})
+		cluster.heartbeat("good", "north", ids.SequenceNumber(2*n+2), worker.TaskStatus{Task: task, Attempt: 2, State: worker.StateExited, Cause: worker.CauseDone})
 	}
 	if cluster.machines.Machines["bad"].DrainReason == "" {
 		t.Error("a machine on which different jobs fail is still used")
 	}
 }
 
-func TestOutcomesAreClearedOnlyOnceStored(t *testing.T) {
+func TestTaskClearedOnlyOnceOutcomeIsStored(t *testing.T) {
 	t.Parallel()
 	now := time.Now()
-	cluster := testBook()
-	cluster.hear("m1", "north", 1)
+	cluster := newTestState()
+	cluster.heartbeat("m1", "north", 1)
 	cluster.HandleRecord("job-1", 1, newRecord("job-1", "blue", record.Normal, 1, 1), now)
 	cluster.Plan(now)
-	cluster.store()
+	cluster.markAllStored()
 	machine := cluster.machines.Machines["m1"]
 	machine.UnconfirmedStarts = nil // its answer came
 	done := worker.TaskStatus{Task: "job-1/0", Attempt: 1, State: worker.StateExited, Cause: worker.CauseDone}
-	if o := cluster.hear("m1", "north", 2, done); len(o) != 0 {
-		t.Fatalf("ordered %v before the outcome was stored", o)
+	if commands := cluster.heartbeat("m1", "north", 2, done); len(commands) != 0 {
+		t.Fatalf("ordered %v before the outcome was stored", commands)
 	}
-	if o := cluster.hear("m1", "north", 3, done); len(o) != 0 {
-		t.Fatalf("ordered %v before the outcome was stored", o)
+	if commands := cluster.heartbeat("m1", "north", 3, done); len(commands) != 0 {
+		t.Fatalf("ordered %v before the outcome was stored", commands)
 	}
-	cluster.store()
-	if o := cluster.hear("m1", "north", 4, done); len(o) != 1 || o[0].Verb != "clear" {
-		t.Fatalf("ordered %v", o)
+	cluster.markAllStored()
+	if commands := cluster.heartbeat("m1", "north", 4, done); len(commands) != 1 || commands[0].Verb != "clear" {
+		t.Fatalf("ordered %v", commands)
 	}
 	// With a late start unaccounted for, a cleared attempt could begin anew.
 	machine.UnconfirmedStarts = []worker.UnconfirmedStart{{Task: "job-1/0", Attempt: 1, FencingToken: 7, Incarnation: 1}}
-	if o := cluster.hear("m1", "north", 5, done); len(o) != 0 {
-		t.Fatalf("ordered %v although a late start may come", o)
+	if commands := cluster.heartbeat("m1", "north", 5, done); len(commands) != 0 {
+		t.Fatalf("ordered %v although a late start may come", commands)
 	}
 }
 
-func TestSilenceOfAWholeZoneIsLeftToTheLeases(t *testing.T) {
+func TestSilentZoneIsLeftToLeaseExpiry(t *testing.T) {
 	t.Parallel()
-	cluster := testBook()
+	cluster := newTestState()
 	names := []ids.Machine{"n1", "n2", "n3", "n4", "n5", "s1", "s2", "s3"}
-	for _, n := range names {
+	for _, name := range names {
 		zone := "north"
-		if n[0] == 's' {
+		if name[0] == 's' {
 			zone = "south"
 		}
-		cluster.hear(n, zone, 1)
+		cluster.heartbeat(name, zone, 1)
 	}
-	silence := func(ns ...ids.Machine) {
-		for _, n := range ns {
-			machine := cluster.machines.Machines[n]
+	silence := func(silent ...ids.Machine) {
+		for _, name := range silent {
+			machine := cluster.machines.Machines[name]
 			machine.LastReportAt, machine.SuspectSince, machine.UnansweredProbes = time.Now().Add(-6*time.Second), time.Now().Add(-5*time.Second), 2
 		}
 	}
 	silence("n1")
-	if gone := cluster.MachinesToTerminate(time.Now(), map[ids.Machine]bool{}); len(gone) != 1 || gone[0] != "n1" {
-		t.Fatalf("one silent machine: returned %v", gone)
+	if terminated := cluster.MachinesToTerminate(time.Now(), map[ids.Machine]bool{}); len(terminated) != 1 || terminated[0] != "n1" {
+		t.Fatalf("one silent machine: returned %v", terminated)
 	}
 	silence("s1", "s2", "s3")
-	for _, n := range cluster.MachinesToTerminate(time.Now(), map[ids.Machine]bool{}) {
-		if n[0] == 's' {
-			t.Errorf("%s returned although all of its zone is silent", n)
+	for _, name := range cluster.MachinesToTerminate(time.Now(), map[ids.Machine]bool{}) {
+		if name[0] == 's' {
+			t.Errorf("%s returned although all of its zone is silent", name)
 		}
 	}
 	if !cluster.UnreachableZones()["south"] || cluster.UnreachableZones()["north"] {
@@ -275,12 +275,12 @@
 	}
 }
 
-func TestTeamLimitsHoldForWhatMayBeThere(t *testing.T) {
+func TestTeamLimitBoundsAssignments(t *testing.T) {
 	t.Parallel()
 	now := time.Now()
-	cluster := testBook()
+	cluster := newTestState()
 	for i := range 20 {
-		cluster.hear(ids.Machine(fmt.Sprint("m", i)), "north", 1)
+		cluster.heartbeat(ids.Machine(fmt.Sprint("m", i)), "north", 1)
 	}
 	cluster.HandleRecord("job-1", 1, newRecord("job-1", "red", record.Normal, 60, 1), now)
 	cluster.Plan(now)
@@ -290,16 +290,16 @@
 	}
 }
 
-func TestATeamsOwnLesserWorkMakesWayAtItsLimit(t *testing.T) {
+func TestTeamAtLimitPreemptsOwnLowerPriorityWork(t *testing.T) {
 	t.Parallel()
 	now := time.Now()
-	cluster := testBook()
+	cluster := newTestState()
 	for i := range 20 {
-		cluster.hear(ids.Machine(fmt.Sprint("m", i)), "north", 1)
+		cluster.heartbeat(ids.Machine(fmt.Sprint("m", i)), "north", 1)
 	}
 	cluster.HandleRecord("job-1", 1, newRecord("job-1", "red", record.Normal, 60, 1), now)
 	cluster.Plan(now)
-	cluster.store()
+	cluster.markAllStored()
 	cluster.HandleRecord("job-2", 2, newRecord("job-2", "red", record.Critical, 1, 2), now)
 	cluster.Plan(now)
 	cluster.Plan(now)
@@ -314,23 +314,23 @@
 	}
 }
 
-func TestReplicasTakeRoomWhereTheirImageIs(t *testing.T) {
+func TestReplicaWaitsBrieflyForPreemptionWhereImageIsCached(t *testing.T) {
 	t.Parallel()
 	now := time.Now()
-	cluster := testBook()
-	cluster.hear("warm", "north", 1)
-	cluster.hear("cold", "north", 1)
+	cluster := newTestState()
+	cluster.heartbeat("warm", "north", 1)
+	cluster.heartbeat("cold", "north", 1)
 	cluster.capacity.ImageArrived(cluster.capacity.Ensure("warm"), cluster.machines.Machines["warm"], "svc", 5, 20)
 	cluster.HandleRecord("job-1", 1, newRecord("job-1", "blue", record.Normal, 4, 1), now)
 	cluster.capacity.ImageArrived(cluster.capacity.Ensure("warm"), cluster.machines.Machines["warm"], "i", 1, 20) // so that the array goes there
 	cluster.Plan(now)
-	cluster.store()
+	cluster.markAllStored()
 	if len(cluster.capacity.AssignmentsOn("warm")) != 4 {
 		t.Fatal("the array is elsewhere")
 	}
-	svc := newRecord("job-2", "blue", record.Critical, 1, 1)
-	svc.Spec.Shape, svc.Spec.Image, svc.Spec.ImageGB = record.Service, "svc", 5
-	cluster.HandleRecord("job-2", 2, svc, now)
+	service := newRecord("job-2", "blue", record.Critical, 1, 1)
+	service.Spec.Shape, service.Spec.Image, service.Spec.ImageGB = record.Service, "svc", 5
+	cluster.HandleRecord("job-2", 2, service, now)
 	cluster.Plan(now)
 	cluster.Plan(now.Add(30 * time.Millisecond)) // while the stop is under way it waits
 	if len(cluster.jobs.Get("job-2").Assignments) != 0 {
@@ -342,18 +342,18 @@
 	}
 }
 
-func TestRoomFreedForOneJobIsNotLostToOthers(t *testing.T) {
+func TestPreemptionSurplusUsedByAllCriticalJobs(t *testing.T) {
 	t.Parallel()
 	now := time.Now()
-	cluster := testBook()
-	for _, m := range []ids.Machine{"m1", "m2", "m3"} {
-		cluster.hear(m, "north", 1)
+	cluster := newTestState()
+	for _, name := range []ids.Machine{"m1", "m2", "m3"} {
+		cluster.heartbeat(name, "north", 1)
 	}
 	cluster.HandleRecord("job-1", 1, newRecord("job-1", "blue", record.Normal, 3, 4), now)
 	cluster.Plan(now)
-	cluster.store()
-	for m := range cluster.machines.Machines {
-		for assignment := range cluster.capacity.AssignmentsOn(m) {
+	cluster.markAllStored()
+	for name := range cluster.machines.Machines {
+		for assignment := range cluster.capacity.AssignmentsOn(name) {
 			assignment.Confirmed = true
 		}
 	}
@@ -362,8 +362,8 @@
 		cluster.HandleRecord(id, ids.Revision(i+2), newRecord(id, "blue", record.Critical, 1, 1), now)
 	}
 	cluster.Plan(now) // each displaces a task of four cores for one core
-	for m := range cluster.machines.Machines {
-		for assignment := range cluster.capacity.AssignmentsOn(m) {
+	for name := range cluster.machines.Machines {
+		for assignment := range cluster.capacity.AssignmentsOn(name) {
 			if assignment.Stopping {
 				cluster.removeAssignment(assignment)
 			}
@@ -374,18 +374,18 @@
 		cluster.HandleRecord(id, ids.Revision(i+9), newRecord(id, "blue", record.Critical, 1, 1), now)
 	}
 	cluster.Plan(now.Add(50 * time.Millisecond))
-	n := 0
+	assigned := 0
 	for id, job := range cluster.jobs.All() {
 		if id != "job-1" {
-			n += len(job.Assignments)
+			assigned += len(job.Assignments)
 		}
 	}
-	if n != 12 {
-		t.Errorf("%d of 12 critical tasks placed on twelve free cores", n)
+	if assigned != 12 {
+		t.Errorf("%d of 12 critical tasks placed on twelve free cores", assigned)
 	}
 }
 
-func TestCriticalWorkWaitsForASaveOnlyIfMuchWouldBeLost(t *testing.T) {
+func TestCheckpointSkippedWhenLittleWorkWouldBeLost(t *testing.T) {
 	t.Parallel()
 	now := time.Now()
 	job := &workload.Job{Record: *newRecord("job-1", "blue", record.Low, 1, 4)}
@@ -398,23 +398,23 @@
 	}
 }
 
-func TestReplicasAreNotSwappedForAnImage(t *testing.T) {
+func TestReplicaNotPreemptedForImageLocality(t *testing.T) {
 	t.Parallel()
 	now := time.Now()
-	cluster := testBook()
-	cluster.hear("warm", "north", 1)
-	cluster.hear("cold", "north", 1)
+	cluster := newTestState()
+	cluster.heartbeat("warm", "north", 1)
+	cluster.heartbeat("cold", "north", 1)
 	cluster.capacity.ImageArrived(cluster.capacity.Ensure("warm"), cluster.machines.Machines["warm"], "svc", 5, 20)
-	svc := func(id ids.Job, team string, tasks int) *record.Record {
+	newService := func(id ids.Job, team string, tasks int) *record.Record {
 		rec := newRecord(id, team, record.Critical, tasks, 1)
 		rec.Spec.Shape, rec.Spec.Image, rec.Spec.ImageGB = record.Service, "svc", 5
 		return rec
 	}
 	// red runs more than its guarantee of four cores, blue nothing yet.
-	cluster.HandleRecord("job-1", 1, svc("job-1", "red", 5), now)
+	cluster.HandleRecord("job-1", 1, newService("job-1", "red", 5), now)
 	cluster.Plan(now)
-	cluster.store()
-	cluster.HandleRecord("job-2", 2, svc("job-2", "blue", 1), now)
+	cluster.markAllStored()
+	cluster.HandleRecord("job-2", 2, newService("job-2", "blue", 1), now)
 	cluster.Plan(now)
 	for _, assignment := range cluster.jobs.Get("job-1").Assignments {
 		if assignment.Stopping {
@@ -426,31 +426,31 @@
 	}
 }
 
-func TestAMissWidensTheSampleToAll(t *testing.T) {
+func TestCandidateSearchWidensToAllMachinesAfterMiss(t *testing.T) {
 	t.Parallel()
 	now := time.Now()
-	cluster := testBook()
-	one := func(id ids.Job, cores float64) {
+	cluster := newTestState()
+	planSingleTask := func(id ids.Job, cores float64) {
 		cluster.HandleRecord(id, 1, newRecord(id, "blue", record.Normal, 1, cores), now)
 		cluster.Plan(now)
 	}
 	for i := range 60 {
-		cluster.hear(ids.Machine(fmt.Sprintf("m%02d", i)), "north", 1)
+		cluster.heartbeat(ids.Machine(fmt.Sprintf("m%02d", i)), "north", 1)
 	}
 	for i := range 59 {
-		one(ids.Job(fmt.Sprintf("job-%d", i)), 3)
+		planSingleTask(ids.Job(fmt.Sprintf("job-%d", i)), 3)
 	}
-	cluster.hear("wide", "north", 1)
-	one("job-100", 4) // only two machines of sixty-one have room for it
-	one("job-101", 4)
-	one("job-102", 4)
+	cluster.heartbeat("wide", "north", 1)
+	planSingleTask("job-100", 4) // only two machines of sixty-one have room for it
+	planSingleTask("job-101", 4)
+	planSingleTask("job-102", 4)
 	if n := len(cluster.jobs.Get("job-100").Assignments) + len(cluster.jobs.Get("job-101").Assignments) + len(cluster.jobs.Get("job-102").Assignments); n != 2 {
 		t.Fatalf("%d of 2 that fit were placed", n)
 	}
-	cluster.hear("warm", "north", 1)
+	cluster.heartbeat("warm", "north", 1)
 	cluster.capacity.ImageArrived(cluster.capacity.Ensure("warm"), cluster.machines.Machines["warm"], "other", 1, 20)
 	for i := range 5 {
-		cluster.hear(ids.Machine(fmt.Sprintf("cold%d", i)), "north", 1)
+		cluster.heartbeat(ids.Machine(fmt.Sprintf("cold%d", i)), "north", 1)
 	}
 	rec := newRecord("job-200", "blue", record.Normal, 1, 1)
 	rec.Spec.Image = "other"
@@ -461,54 +461,54 @@
 	}
 }
 
-func TestAMachineThatReportsButCannotBeReachedIsReplaced(t *testing.T) {
+func TestMachineWithOneWayPartitionIsReplaced(t *testing.T) {
 	t.Parallel()
 	// Guards against a cut of one direction: its beats come in, so that it looks
 	// well, but no start and no answer ever reaches it.
 	now := time.Now()
-	cluster := testBook()
+	cluster := newTestState()
 	for i := range 6 {
-		cluster.hear(ids.Machine(fmt.Sprint("m", i)), "north", 1)
+		cluster.heartbeat(ids.Machine(fmt.Sprint("m", i)), "north", 1)
 	}
 	cluster.HandleRecord("job-1", 1, newRecord("job-1", "blue", record.Normal, 1, 1), now)
 	cluster.Plan(now)
 	for _, job := range cluster.jobs.All() {
 		job.StoredVersion = job.Version
 	}
-	bas := cluster.NextBatches(1000)
-	if len(bas) != 1 {
-		t.Fatalf("%d batches for one task", len(bas))
+	batches := cluster.NextBatches(1000)
+	if len(batches) != 1 {
+		t.Fatalf("%d batches for one task", len(batches))
 	}
-	at := bas[0].Machine
-	cluster.BatchAnswered(bas[0], worker.OutcomeUnknown)
-	cluster.hear(at, "north", 2)
+	unreachable := batches[0].Machine
+	cluster.BatchAnswered(batches[0], worker.OutcomeUnknown)
+	cluster.heartbeat(unreachable, "north", 2)
 	cluster.HandleRecord("job-2", 2, newRecord("job-2", "blue", record.Normal, 12, 1), now)
 	cluster.Plan(now)
-	if n := len(cluster.capacity.AssignmentsOn(at)); n != 1 {
+	if n := len(cluster.capacity.AssignmentsOn(unreachable)); n != 1 {
 		t.Fatalf("%d tasks on a machine that does not answer, not only the uncertain one", n)
 	}
-	machine := cluster.machines.Machines[at]
-	for tick := ids.SequenceNumber(3); tick < 6; tick++ {
-		cluster.ProbeAnswered(at, false)
+	machine := cluster.machines.Machines[unreachable]
+	for sequence := ids.SequenceNumber(3); sequence < 6; sequence++ {
+		cluster.ProbeAnswered(unreachable, false)
 		for i := range 6 {
-			cluster.hear(ids.Machine(fmt.Sprint("m", i)), "north", tick) // its own beats, too
+			cluster.heartbeat(ids.Machine(fmt.Sprint("m", i)), "north", sequence) // its own beats, too
 		}
 	}
 	machine.UnreachableSince, machine.SuspectSince = now.Add(-10*time.Second), now.Add(-10*time.Second)
-	if assignment := cluster.jobs.Get("job-1").Assignments[0]; assignment == nil || assignment.Machine != at {
+	if assignment := cluster.jobs.Get("job-1").Assignments[0]; assignment == nil || assignment.Machine != unreachable {
 		t.Fatal("the uncertain start was given up without evidence")
 	}
-	if gone := cluster.MachinesToTerminate(time.Now(), map[ids.Machine]bool{}); len(gone) != 1 || gone[0] != at {
-		t.Fatalf("returned %v, not %s alone", gone, at)
+	if terminated := cluster.MachinesToTerminate(time.Now(), map[ids.Machine]bool{}); len(terminated) != 1 || terminated[0] != unreachable {
+		t.Fatalf("returned %v, not %s alone", terminated, unreachable)
 	}
-	cluster.MachineTerminated(at) // the cloud's word is the evidence
+	cluster.MachineTerminated(unreachable) // the cloud's word is the evidence
 	cluster.Plan(now)
-	if assignment := cluster.jobs.Get("job-1").Assignments[0]; assignment == nil || assignment.Machine == at {
+	if assignment := cluster.jobs.Get("job-1").Assignments[0]; assignment == nil || assignment.Machine == unreachable {
 		t.Fatal("the job does not go on elsewhere")
 	}
 	// One answered question makes a machine whole again.
 	other := ids.Machine("m0")
-	if at == other {
+	if unreachable == other {
 		other = "m1"
 	}
 	cluster.ProbeAnswered(other, false)
@@ -521,10 +521,10 @@
 	}
 }
 
-func gangBook(now time.Time) (*State, *workload.Job) {
-	cluster := testBook()
-	cluster.hear("warm", "north", 1)
-	cluster.hear("cold", "north", 1)
+func newStateWithGang(now time.Time) (*State, *workload.Job) {
+	cluster := newTestState()
+	cluster.heartbeat("warm", "north", 1)
+	cluster.heartbeat("cold", "north", 1)
 	cluster.capacity.ImageArrived(cluster.capacity.Ensure("warm"), cluster.machines.Machines["warm"], "i", 1, 20)
 	rec := newRecord("job-1", "blue", record.High, 2, 3)
 	rec.Spec.Shape = record.Gang
@@ -537,94 +537,94 @@
 	return cluster, cluster.jobs.Get("job-1")
 }
 
-// startsFor lists the machines that get a start now.
-func (c *State) startsFor() map[ids.Machine]bool {
-	out := map[ids.Machine]bool{}
+// machinesWithStarts lists the machines that get a start now.
+func (c *State) machinesWithStarts() map[ids.Machine]bool {
+	machines := map[ids.Machine]bool{}
 	for _, batch := range c.NextBatches(1000) {
-		for _, o := range batch.Commands {
-			out[batch.Machine] = out[batch.Machine] || o.Verb == "start"
+		for _, command := range batch.Commands {
+			machines[batch.Machine] = machines[batch.Machine] || command.Verb == "start"
 		}
 	}
-	return out
+	return machines
 }
 
-func TestAGangsTaskThatHasItsImageStartsWhenTheOthersHaveTheirs(t *testing.T) {
+func TestGangTaskWithCachedImageStartsOnceOthersPulled(t *testing.T) {
 	t.Parallel()
 	// Guards against tasks that give up waiting while others fetch a large
 	// image, again and again.
-	cluster, job := gangBook(time.Now())
+	cluster, job := newStateWithGang(time.Now())
 	if len(job.Assignments) != 2 {
 		t.Fatal("not placed")
 	}
-	if s := cluster.startsFor(); !s["cold"] || s["warm"] {
-		t.Fatalf("started on %v", s)
+	if started := cluster.machinesWithStarts(); !started["cold"] || started["warm"] {
+		t.Fatalf("started on %v", started)
 	}
 	task := map[ids.Machine]string{}
 	for _, assignment := range job.Assignments {
 		task[assignment.Machine] = assignment.Task().String()
 	}
-	if o := cluster.hear("warm", "north", 2); len(o) != 0 {
-		t.Fatalf("a beat was answered with %v", o)
+	if commands := cluster.heartbeat("warm", "north", 2); len(commands) != 0 {
+		t.Fatalf("a beat was answered with %v", commands)
 	}
-	cluster.hear("cold", "north", 2, worker.TaskStatus{Task: task["cold"], Attempt: 1, State: worker.StatePulling})
-	if s := cluster.startsFor(); s["warm"] {
+	cluster.heartbeat("cold", "north", 2, worker.TaskStatus{Task: task["cold"], Attempt: 1, State: worker.StatePulling})
+	if started := cluster.machinesWithStarts(); started["warm"] {
 		t.Fatal("started while the other still fetches")
 	}
-	cluster.hear("cold", "north", 3, worker.TaskStatus{Task: task["cold"], Attempt: 1, State: worker.StateWaiting})
-	if s := cluster.startsFor(); !s["warm"] {
+	cluster.heartbeat("cold", "north", 3, worker.TaskStatus{Task: task["cold"], Attempt: 1, State: worker.StateWaiting})
+	if started := cluster.machinesWithStarts(); !started["warm"] {
 		t.Fatal("not started although the other waits for it")
 	}
 }
 
-func TestATaskReplacedWhereItEndedIsClearedFirst(t *testing.T) {
+func TestTaskReassignedToSameMachineIsClearedFirst(t *testing.T) {
 	t.Parallel()
 	// Guards against taking the old outcome of an attempt for that of its
 	// replacement on the same machine, which then was placed anew at each pass.
 	now := time.Now()
-	cluster, job := gangBook(now)
-	cluster.startsFor()
+	cluster, job := newStateWithGang(now)
+	cluster.machinesWithStarts()
 	task := map[ids.Machine]string{}
 	for _, assignment := range job.Assignments {
 		task[assignment.Machine] = assignment.Task().String()
 	}
-	cluster.hear("cold", "north", 2, worker.TaskStatus{Task: task["cold"], Attempt: 1, State: worker.StateWaiting})
-	cluster.startsFor()
+	cluster.heartbeat("cold", "north", 2, worker.TaskStatus{Task: task["cold"], Attempt: 1, State: worker.StateWaiting})
+	cluster.machinesWithStarts()
 	for _, machine := range cluster.machines.Machines {
 		machine.UnconfirmedStarts = nil // the commands were answered
 	}
-	cluster.hear("warm", "north", 2, worker.TaskStatus{Task: task["warm"], Attempt: 1, State: worker.StateWaiting})
+	cluster.heartbeat("warm", "north", 2, worker.TaskStatus{Task: task["warm"], Attempt: 1, State: worker.StateWaiting})
 	ended := worker.TaskStatus{Task: task["warm"], Attempt: 1, State: worker.StateExited, Cause: worker.CauseIncomplete}
-	cluster.hear("warm", "north", 3, ended)
+	cluster.heartbeat("warm", "north", 3, ended)
 	cluster.Plan(now)
-	p := job.Assignments[0]
-	if p == nil || p.Machine != "warm" {
-		p = job.Assignments[1]
+	replacement := job.Assignments[0]
+	if replacement == nil || replacement.Machine != "warm" {
+		replacement = job.Assignments[1]
 	}
-	if p == nil || p.Machine != "warm" || p.Attempt != 1 {
-		t.Fatalf("replaced by %+v", p)
+	if replacement == nil || replacement.Machine != "warm" || replacement.Attempt != 1 {
+		t.Fatalf("replaced by %+v", replacement)
 	}
 	job.StoredVersion = job.Version
 	cluster.versionStored(job)
-	if s := cluster.startsFor(); s["warm"] {
+	if started := cluster.machinesWithStarts(); started["warm"] {
 		t.Fatal("started while the worker still lists the ended one")
 	}
-	if o := cluster.hear("warm", "north", 4, ended); len(o) != 1 || o[0].Verb != "clear" {
-		t.Fatalf("ordered %v", o)
+	if commands := cluster.heartbeat("warm", "north", 4, ended); len(commands) != 1 || commands[0].Verb != "clear" {
+		t.Fatalf("ordered %v", commands)
 	}
-	if job.Assignments[p.TaskIndex] != p {
+	if job.Assignments[replacement.TaskIndex] != replacement {
 		t.Fatal("the old outcome was taken for the new one's")
 	}
-	if o := cluster.hear("warm", "north", 5); len(o) != 1 || o[0].Verb != "start" {
-		t.Fatalf("after it was cleared, ordered %v", o)
+	if commands := cluster.heartbeat("warm", "north", 5); len(commands) != 1 || commands[0].Verb != "start" {
+		t.Fatalf("after it was cleared, ordered %v", commands)
 	}
 }
 
-func TestOfGangsAlikeTheOneThatNeedNotFetchGoesFirst(t *testing.T) {
+func TestGangWithCachedImageGoesFirstAmongEqualGangs(t *testing.T) {
 	t.Parallel()
 	now := time.Now()
-	cluster := testBook()
+	cluster := newTestState()
 	cluster.settings.Params.Teams[1].CPUs = 0 // neither is guaranteed
-	cluster.hear("m1", "north", 1)
+	cluster.heartbeat("m1", "north", 1)
 	cluster.capacity.ImageArrived(cluster.capacity.Ensure("m1"), cluster.machines.Machines["m1"], "held", 8, 20)
 	for id, image := range map[ids.Job]string{"job-1": "other", "job-2": "held"} {
 		rec := newRecord(id, "blue", record.High, 1, 4)
@@ -637,60 +637,60 @@
 	}
 }
 
-func TestReplicasOnASilentMachineDoNotWaitForALongReportInterval(t *testing.T) {
+func TestSilentMachineWithReplicaTerminatedBeforeReportInterval(t *testing.T) {
 	t.Parallel()
-	cluster := testBook()
+	cluster := newTestState()
 	cluster.settings.Params.Workers.ReportS = 10
 	now := time.Now()
 	for i := range 8 {
-		cluster.hear(ids.Machine(fmt.Sprint("m", i)), "north", 1)
+		cluster.heartbeat(ids.Machine(fmt.Sprint("m", i)), "north", 1)
 	}
-	svc := newRecord("job-1", "blue", record.Critical, 1, 4)
-	svc.Spec.Shape = record.Service
-	cluster.HandleRecord("job-1", 1, svc, now)
+	service := newRecord("job-1", "blue", record.Critical, 1, 4)
+	service.Spec.Shape = record.Service
+	cluster.HandleRecord("job-1", 1, service, now)
 	cluster.HandleRecord("job-2", 2, newRecord("job-2", "blue", record.Normal, 1, 4), now)
 	cluster.Plan(now)
-	cluster.store()
-	with, without := cluster.jobs.Get("job-1").Assignments[0].Machine, cluster.jobs.Get("job-2").Assignments[0].Machine
+	cluster.markAllStored()
+	withReplica, withoutReplica := cluster.jobs.Get("job-1").Assignments[0].Machine, cluster.jobs.Get("job-2").Assignments[0].Machine
 	for _, machine := range cluster.machines.Machines {
 		machine.LastReportAt = now.Add(-3 * time.Second)
 	}
-	asked := map[ids.Machine]bool{}
+	probed := map[ids.Machine]bool{}
 	for _, probe := range cluster.DueProbes(now, 100) {
-		asked[probe.Machine] = true
+		probed[probe.Machine] = true
 	}
-	if !asked[with] || len(asked) != 1 {
-		t.Fatalf("asked %v, not only %s, which has a replica", asked, with)
+	if !probed[withReplica] || len(probed) != 1 {
+		t.Fatalf("asked %v, not only %s, which has a replica", probed, withReplica)
 	}
 	for _, machine := range cluster.machines.Machines {
 		machine.LastReportAt = now
 	}
-	for _, name := range []ids.Machine{with, without} {
+	for _, name := range []ids.Machine{withReplica, withoutReplica} {
 		machine := cluster.machines.Machines[name]
 		machine.LastReportAt, machine.SuspectSince, machine.UnansweredProbes = now.Add(-4500*time.Millisecond), now.Add(-2*time.Second), 2
 	}
-	if gone := cluster.MachinesToTerminate(now, map[ids.Machine]bool{}); len(gone) != 1 || gone[0] != with {
-		t.Fatalf("returned %v, not %s", gone, with)
+	if terminated := cluster.MachinesToTerminate(now, map[ids.Machine]bool{}); len(terminated) != 1 || terminated[0] != withReplica {
+		t.Fatalf("returned %v, not %s", terminated, withReplica)
 	}
 	// One unanswered question may be bad luck.
-	cluster.machines.Machines[without].UnansweredProbes = 1
-	cluster.machines.Machines[without].LastReportAt = now.Add(-12 * time.Second)
-	if gone := cluster.MachinesToTerminate(now, map[ids.Machine]bool{}); len(gone) != 1 {
-		t.Fatalf("returned %v after one question", gone)
+	cluster.machines.Machines[withoutReplica].UnansweredProbes = 1
+	cluster.machines.Machines[withoutReplica].LastReportAt = now.Add(-12 * time.Second)
+	if terminated := cluster.MachinesToTerminate(now, map[ids.Machine]bool{}); len(terminated) != 1 {
+		t.Fatalf("returned %v after one question", terminated)
 	}
 }
 
-func TestWhatOnlyThisLeaderKnowsIsStoredAtOnce(t *testing.T) {
+func TestChangesOnlyThisLeaderKnowsAreStoredAtOnce(t *testing.T) {
 	t.Parallel()
 	// Outcomes wait for one another, since workers report them until they are
 	// cleared. That a machine is gone, the next leader would learn much later.
 	now := time.Now()
-	cluster := testBook()
-	cluster.hear("m1", "north", 1)
+	cluster := newTestState()
+	cluster.heartbeat("m1", "north", 1)
 	cluster.HandleRecord("job-1", 1, newRecord("job-1", "blue", record.Normal, 2, 1), now)
 	cluster.Plan(now)
 	limits := commit.LimitsOf(state.NewBudget(100, 100, 1, 0.6))
-	store := func() int {
+	commitOnce := func() int {
 		group, _ := cluster.CollectChanges(limits)
 		for _, change := range group {
 			cluster.changeStored(change, change.Job.Revision+1)
@@ -698,25 +698,25 @@
 		cluster.NextBatches(1000)
 		return len(group)
 	}
-	if store() != 1 {
+	if commitOnce() != 1 {
 		t.Fatal("the marker is not stored at once")
 	}
 	cluster.machines.Machines["m1"].UnconfirmedStarts = nil
-	cluster.hear("m1", "north", 2, worker.TaskStatus{Task: "job-1/0", Attempt: 1, State: worker.StateExited, Cause: worker.CauseDone},
+	cluster.heartbeat("m1", "north", 2, worker.TaskStatus{Task: "job-1/0", Attempt: 1, State: worker.StateExited, Cause: worker.CauseDone},
 		worker.TaskStatus{Task: "job-1/1", Attempt: 1, State: worker.StateRunning})
-	if store() != 0 {
+	if commitOnce() != 0 {
 		t.Fatal("an outcome that may wait is stored by itself")
 	}
 	cluster.MachineTerminated("m1")
-	if store() != 1 {
+	if commitOnce() != 1 {
 		t.Fatal("that a machine is gone waits")
 	}
 }
 
-func TestAJobTooLargeForItsRecordSaysSoAndHoldsNoRoom(t *testing.T) {
+func TestJobTooLargeForRecordExplainsAndReservesNothing(t *testing.T) {
 	t.Parallel()
 	now := time.Now()
-	cluster := fleet(t, 100)
+	cluster := newStateWithMachines(t, 100)
 	limit := cluster.maxAssignedTasks(&workload.Job{Record: *newRecord("job-2", "blue", record.Normal, 200, 1)}) // it follows from what the description leaves
 	gang := newRecord("job-1", "blue", record.High, limit+1, 1)
 	gang.Spec.Shape = record.Gang
@@ -739,7 +739,7 @@
 	}
 }
 
-func TestNewsOfTheLastLeadersWritesBeforeTheRecordsAreRead(t *testing.T) {
+func TestPreviousLeadersWriteSeenBeforeTakeoverListingIsKept(t *testing.T) {
 	// Found by transactions without answers around a takeover, two starts of one task:
 	// the last leader's marker reached the new one as news, before it had read the
 	// records, and was taken for a user's write, which places nothing.
@@ -752,7 +752,7 @@
 		return rec
 	}
 	for name, listed := range map[string]ids.Revision{"the list is as new": 26, "the list is older": 25, "not in the list": 0, "newer": 27} {
-		cluster := testBook()
+		cluster := newTestState()
 		cluster.HandleRecord("job-1", 25, newRecord("job-1", "red", record.Normal, 2, 1), now)
 		cluster.HandleRecord("job-1", 26, marked(6), now)
 		records, revisions := map[ids.Job]*record.Record{}, map[ids.Job]ids.Revision{}
@@ -768,7 +768,7 @@
 		}
 	}
 	// What ended before the records were read is not there either.
-	b := testBook()
+	b := newTestState()
 	b.HandleRecord("job-1", 26, marked(6), now)
 	b.HandleRecord("job-1", 27, nil, now)
 	b.Load(map[ids.Job]*record.Record{}, map[ids.Job]ids.Revision{}, 27, now)
