--- a/internal/clusterstate/dispatch_test.go
+++ b/internal/clusterstate/dispatch_test.go
@@ -40,23 +40,24 @@
 			time.Sleep(100 * time.Millisecond)
 			for i := range each {
 				name := ids.Machine(fmt.Sprintf("host-%03d", i))
-				network.Listen(string(name)+":1", newWorkerHandler(name))
+				network.Listen(string(name)+":1", newWorkerHandler(t, name))
 				cluster.heartbeat(name, "north", 1)
 			}
 			now := time.Now()
 			for i := range 2 * 4 * each / 100 {
 				id := ids.Job(fmt.Sprint("job-", i))
-				cluster.HandleRecord(id, ids.Revision(i+1), newRecord(id, "blue", record.Normal, 100, 1), now)
+				cluster.submit(ids.Revision(i+1), newRecord(id, "blue", record.Normal, 100, 1), now)
 			}
 			cluster.Plan(now)
 			for _, job := range cluster.jobs.All() {
-				job.StoredVersion = job.Version
-				cluster.versionStored(job)
+				cluster.markStored(job)
 			}
 			if knownSilent {
 				for name, machine := range cluster.machines.Machines {
 					if strings.HasPrefix(string(name), "lost") {
-						machine.UnansweredProbes, machine.SuspectSince, machine.LastProbeAt = 2, now, now
+						machine.UnansweredProbes = 2
+						machine.SuspectSince = now
+						machine.LastProbeAt = now
 					}
 				}
 			}
@@ -90,7 +91,7 @@
 	now := time.Now()
 	cluster := newTestState()
 	cluster.heartbeat("m1", "north", 1)
-	cluster.HandleRecord("job-1", 1, newRecord("job-1", "blue", record.Normal, 1, 1), now)
+	cluster.submit(1, newRecord("job-1", "blue", record.Normal, 1, 1), now)
 	cluster.Plan(now)
 	job := cluster.jobs.Get("job-1")
 	cluster.ProbeAnswered("m1", false)
@@ -100,8 +101,7 @@
 	// A connection that did not come about leaves nothing under way either.
 	cluster.heartbeat("m2", "north", 1)
 	cluster.Plan(now)
-	cluster.jobs.Get("job-1").StoredVersion = job.Version
-	cluster.versionStored(job)
+	cluster.markStored(job)
 	batches := cluster.NextBatches(10)
 	if len(batches) != 1 || batches[0].Machine != "m2" {
 		t.Fatalf("batches %v", batches)
@@ -113,8 +113,7 @@
 	// One that may arrive is.
 	cluster.heartbeat("m3", "north", 1)
 	cluster.Plan(now)
-	job.StoredVersion = job.Version
-	cluster.versionStored(job)
+	cluster.markStored(job)
 	batches = cluster.NextBatches(10)
 	cluster.BatchAnswered(batches[0], worker.OutcomeUnknown)
 	if len(job.Assignments) != 1 || len(cluster.machines.Machines["m3"].UnconfirmedStarts) != 1 {
@@ -130,16 +129,14 @@
 	now := time.Now()
 	cluster := newTestState()
 	cluster.heartbeat("m1", "north", 1)
-	cluster.HandleRecord("job-1", 1, newRecord("job-1", "blue", record.Normal, 2, 1), now)
+	cluster.submit(1, newRecord("job-1", "blue", record.Normal, 2, 1), now)
 	cluster.Plan(now)
 	report := &worker.Report{Machine: "m1", Addr: "m1:1", Type: "small", Zone: "north", Incarnation: 2, Sequence: 2, FencingToken: 7}
 	cluster.ReconcileHeartbeat(report, true, true)
 	job := cluster.jobs.Get("job-1")
-	job.StoredVersion = job.Version
-	cluster.versionStored(job)
+	cluster.markStored(job)
 	cluster.Plan(now)
-	job.StoredVersion = job.Version
-	cluster.versionStored(job)
+	cluster.markStored(job)
 	if got := cluster.NextBatches(10); len(got) != 1 || got[0].Incarnation != 2 || len(got[0].Commands) != 2 {
 		t.Fatalf("sent %+v", got)
 	}
@@ -200,8 +197,7 @@
 	if replacement == nil || replacement.Machine != "warm" || replacement.Attempt != 1 {
 		t.Fatalf("replaced by %+v", replacement)
 	}
-	job.StoredVersion = job.Version
-	cluster.versionStored(job)
+	cluster.markStored(job)
 	if started := cluster.machinesWithStarts(); started["warm"] {
 		t.Fatal("started while the worker still lists the ended one")
 	}
--- a/internal/clusterstate/eviction_test.go
+++ b/internal/clusterstate/eviction_test.go
@@ -21,13 +21,13 @@
 	cluster := newStateWithDrains(t, now)
 	cluster.CarryOut(newDrainOrders("m1", "m2"))
 	runEviction(cluster, now)
-	if n := cluster.jobs.Get("job-1").Record.EvictedTasks(); n != 1 || countStoppingReplicas(cluster) != 0 {
-		t.Fatalf("%d permits, %d stops before they are stored", n, countStoppingReplicas(cluster))
+	if n := cluster.jobs.Get("job-1").Record.EvictedTasks(); n != 1 || cluster.countStopping("job-1") != 0 {
+		t.Fatalf("%d permits, %d stops before they are stored", n, cluster.countStopping("job-1"))
 	}
 	cluster.markAllStored()
 	cluster.StoreAvailable = func() bool { return false }
 	runEviction(cluster, now)
-	if countStoppingReplicas(cluster) != 0 {
+	if cluster.countStopping("job-1") != 0 {
 		t.Error("stopped while nothing could be started again")
 	}
 	if !strings.Contains(fmt.Sprint(cluster.DrainBlockers()), "the state service does not answer") {
@@ -35,8 +35,8 @@
 	}
 	cluster.StoreAvailable = func() bool { return true }
 	runEviction(cluster, now)
-	if countStoppingReplicas(cluster) != 1 || cluster.jobs.Get("job-1").Record.EvictedTasks() != 1 {
-		t.Errorf("%d stops, %d permits", countStoppingReplicas(cluster), cluster.jobs.Get("job-1").Record.EvictedTasks())
+	if cluster.countStopping("job-1") != 1 || cluster.jobs.Get("job-1").Record.EvictedTasks() != 1 {
+		t.Errorf("%d stops, %d permits", cluster.countStopping("job-1"), cluster.jobs.Get("job-1").Record.EvictedTasks())
 	}
 }
 
@@ -56,8 +56,8 @@
 		markReported(cluster, ids.Machine(fmt.Sprint("m", i+1)), cluster.firstGeneration, now)
 	}
 	runEviction(cluster, now)
-	if n := cluster.jobs.Get("job-1").Record.EvictedTasks(); n != 0 || countStoppingReplicas(cluster) != 0 {
-		t.Errorf("%d permits are left, %d stops", n, countStoppingReplicas(cluster))
+	if n := cluster.jobs.Get("job-1").Record.EvictedTasks(); n != 0 || cluster.countStopping("job-1") != 0 {
+		t.Errorf("%d permits are left, %d stops", n, cluster.countStopping("job-1"))
 	}
 }
 
@@ -69,11 +69,11 @@
 		now := time.Now()
 		cluster := newStateWithDrains(t, now)
 		for i := range test.down {
-			cluster.jobs.Get("job-1").Assignments[i].Status = worker.StatePulling
+			cluster.assignmentsOf("job-1")[i].Status = worker.StatePulling
 		}
 		markReported(cluster, "m5", 1, now)
 		var source *workload.Assignment
-		for i, assignment := range cluster.jobs.Get("job-1").Assignments {
+		for i, assignment := range cluster.assignmentsOf("job-1") {
 			if i >= test.down {
 				source = assignment
 			}
@@ -82,8 +82,8 @@
 			cluster.capacity.ImageArrived(node, cluster.machines.Machines[node.Name], source.Job.Record.Spec.Image, 1, 100)
 		}
 		cluster.evictor.RelocateReplica(cluster.machines.Machines[source.Machine], now)
-		if n := cluster.jobs.Get("job-1").Record.EvictedTasks(); n != test.moved || countStoppingReplicas(cluster) != 0 {
-			t.Errorf("with %d down: %d permits, %d stops without one", test.down, n, countStoppingReplicas(cluster))
+		if n := cluster.jobs.Get("job-1").Record.EvictedTasks(); n != test.moved || cluster.countStopping("job-1") != 0 {
+			t.Errorf("with %d down: %d permits, %d stops without one", test.down, n, cluster.countStopping("job-1"))
 		}
 	}
 }
@@ -96,13 +96,13 @@
 		cluster.machines.MarkLeaving(name)
 	}
 	cluster.evictor.StopOnLeavingMachines(now)
-	if countStoppingReplicas(cluster) != 0 {
+	if cluster.countStopping("job-1") != 0 {
 		t.Fatal("stopped without a permit")
 	}
 	runEviction(cluster, now)
 	cluster.markAllStored()
 	runEviction(cluster, now)
-	if n := countStoppingReplicas(cluster); n != 1 {
+	if n := cluster.countStopping("job-1"); n != 1 {
 		t.Errorf("%d replicas stopped at a time", n)
 	}
 }
@@ -116,13 +116,17 @@
 	for _, name := range []ids.Machine{"m5", "m6"} {
 		markReported(cluster, name, cluster.firstGeneration, now)
 	}
-	gang := newRecord("job-2", "red", record.Normal, 2, 4)
-	gang.Spec.Shape, gang.Spec.CheckpointInterval, gang.Spec.CheckpointDuration = record.Gang, 10, 1
+	gang := newGangRecord("job-2", "red", record.Normal, 2, 4)
+	gang.Spec.CheckpointInterval = 10
+	gang.Spec.CheckpointDuration = 1
 	cluster.HandleRecord("job-2", 1, gang, now)
 	cluster.Plan(now)
 	cluster.markAllStored()
-	for _, assignment := range cluster.jobs.Get("job-2").Assignments {
-		assignment.StartSent, assignment.Confirmed, assignment.Status, assignment.RunningSince = true, true, worker.StateRunning, now.Add(-time.Minute)
+	for _, assignment := range cluster.assignmentsOf("job-2") {
+		assignment.StartSent = true
+		assignment.Confirmed = true
+		assignment.Status = worker.StateRunning
+		assignment.RunningSince = now.Add(-time.Minute)
 	}
 	cluster.machines.Machines["m5"].DrainReason = "tasks keep failing there"
 	cluster.machines.MarkLeaving("m5")
@@ -131,7 +135,7 @@
 		cluster.markAllStored()
 	}
 	stopped := 0
-	for _, assignment := range cluster.jobs.Get("job-2").Assignments {
+	for _, assignment := range cluster.assignmentsOf("job-2") {
 		if assignment.Stopping && assignment.StopGrace > 0 {
 			stopped++
 		}
--- a/internal/clusterstate/failing_jobs_test.go
+++ b/internal/clusterstate/failing_jobs_test.go
@@ -31,7 +31,7 @@
 			cluster.Plan(now)
 			if sequence > 10 && cluster.jobs.Get("job-1").Record.Attempt > before {
 				starts++
-				most = max(most, len(cluster.jobs.Get("job-1").Assignments))
+				most = max(most, len(cluster.assignmentsOf("job-1")))
 			}
 			cluster.markAllStored()
 			if sequence > 10 {
@@ -41,7 +41,7 @@
 						t.Fatalf("rented for %d tasks that fail wherever they run", demand.Count)
 					}
 				}
-				for _, assignment := range cluster.jobs.Get("job-2").Assignments {
+				for _, assignment := range cluster.assignmentsOf("job-2") {
 					if assignment.Stopping {
 						t.Fatal("good work was stopped for it")
 					}
@@ -63,7 +63,7 @@
 				t.Fatalf("%s is blamed for it", machine.Name)
 			}
 		}
-		if n := len(cluster.jobs.Get("job-2").Assignments); n != 60 {
+		if n := len(cluster.assignmentsOf("job-2")); n != 60 {
 			t.Errorf("%d of 60 tasks of a good job run", n)
 		}
 		lines := strings.Join(cluster.Explain("job-1"), "\n")
@@ -76,12 +76,12 @@
 		stored.Assignments = nil
 		successor.HandleRecord("job-1", 1, &stored, time.Now())
 		successor.Plan(time.Now())
-		if n := len(successor.jobs.Get("job-1").Assignments); n != 1 {
+		if n := len(successor.assignmentsOf("job-1")); n != 1 {
 			t.Errorf("a new owner starts %d tasks of it", n)
 		}
 		// A cancel ends it at once.
 		cluster.HandleRecord("job-1", 99, &record.Record{Spec: bad.Spec, Status: record.Cancelling, Writer: "user"}, time.Now())
-		for _, assignment := range cluster.jobs.Get("job-1").Assignments {
+		for _, assignment := range cluster.assignmentsOf("job-1") {
 			if !assignment.Stopping {
 				t.Error("a task goes on after the cancel")
 			}
@@ -93,13 +93,13 @@
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newStateWithMachines(t, 4)
-		cluster.HandleRecord("job-1", 1, newRecord("job-1", "blue", record.Normal, 8, 1), time.Now())
+		cluster.submit(1, newRecord("job-1", "blue", record.Normal, 8, 1), time.Now())
 		var bad ids.Machine
 		for sequence := ids.SequenceNumber(2); sequence < 30; sequence++ {
 			cluster.Plan(time.Now())
 			cluster.markAllStored()
 			if bad == "" {
-				bad = cluster.jobs.Get("job-1").Assignments[0].Machine
+				bad = cluster.assignmentsOf("job-1")[0].Machine
 			}
 			cluster.heartbeatAll(sequence, func(assignment *workload.Assignment) string {
 				if assignment.Machine == bad {
@@ -124,8 +124,7 @@
 	// must not count as failing for ever.
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newStateWithMachines(t, 8)
-		rec := newRecord("job-1", "blue", record.Critical, 2, 1)
-		rec.Spec.Shape = record.Service
+		rec := newServiceRecord("job-1", "blue", record.Critical, 2, 1)
 		cluster.HandleRecord("job-1", 1, rec, time.Now())
 		failed := map[ids.Machine]bool{}
 		for sequence := ids.SequenceNumber(2); sequence < 120; sequence++ {
@@ -151,7 +150,7 @@
 	t.Parallel()
 	now := time.Now()
 	cluster := newTestState()
-	cluster.HandleRecord("job-1", 1, newRecord("job-1", "blue", record.Normal, 1, 1), now)
+	cluster.submit(1, newRecord("job-1", "blue", record.Normal, 1, 1), now)
 	fail := func(name ids.Machine, attempt ids.Attempt, sequence ids.SequenceNumber) {
 		cluster.heartbeat(name, "north", sequence, worker.TaskStatus{Task: "job-1/0", Attempt: attempt, State: worker.StateRunning})
 		cluster.heartbeat(name, "north", sequence+1, worker.TaskStatus{Task: "job-1/0", Attempt: attempt, State: worker.StateExited, Cause: worker.CauseError})
@@ -170,7 +169,7 @@
 	// Jobs that fail on one machine and complete on another condemn it.
 	for n := range 2 {
 		id := ids.Job(fmt.Sprint("job-10", n))
-		cluster.HandleRecord(id, ids.Revision(n+5), newRecord(id, "blue", record.Normal, 1, 1), now)
+		cluster.submit(ids.Revision(n+5), newRecord(id, "blue", record.Normal, 1, 1), now)
 		cluster.heartbeat("bad", "north", ids.SequenceNumber(2*n+1), worker.TaskStatus{Task: string(id) + "/0", Attempt: 1, State: worker.StateRunning})
 		cluster.heartbeat("bad", "north", ids.SequenceNumber(2*n+2), worker.TaskStatus{Task: string(id) + "/0", Attempt: 1, State: worker.StateExited, Cause: worker.CauseError})
 		if cluster.machines.Machines["bad"].DrainReason != "" {
--- a/internal/clusterstate/helpers_dependencies_test.go
+++ b/internal/clusterstate/helpers_dependencies_test.go
@@ -86,7 +86,8 @@
 			t.Fatal(err)
 		}
 		for _, rec := range records[:n] {
-			byID[rec.Spec.ID], revisions[rec.Spec.ID] = rec, ids.Revision(epoch)
+			byID[rec.Spec.ID] = rec
+			revisions[rec.Spec.ID] = ids.Revision(epoch)
 		}
 		records = records[n:]
 	}
@@ -100,7 +101,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cluster.HandleRecord(rec.Spec.ID, ids.Revision(epoch), rec, time.Now())
+	cluster.submit(ids.Revision(epoch), rec, time.Now())
 	return cluster.jobs.Get(rec.Spec.ID)
 }
 
@@ -122,10 +123,10 @@
 
 // addDiamondPipeline is a low job, two low ones that await it, and a high one that awaits both.
 func addDiamondPipeline(cluster *State, now time.Time) {
-	cluster.HandleRecord("job-1", 1, newRecord("job-1", "red", record.Low, 1, 1), now)
-	cluster.HandleWaitingJob("job-2", 2, newWaitingRecord("job-2", record.Low, 0, "job-1"), now)
-	cluster.HandleWaitingJob("job-3", 3, newWaitingRecord("job-3", record.Low, 0, "job-1"), now)
-	cluster.HandleWaitingJob("job-4", 4, newWaitingRecord("job-4", record.High, 200, "job-2", "job-3"), now)
+	cluster.submit(1, newRecord("job-1", "red", record.Low, 1, 1), now)
+	cluster.submitWaiting(2, newWaitingRecord("job-2", record.Low, 0, "job-1"), now)
+	cluster.submitWaiting(3, newWaitingRecord("job-3", record.Low, 0, "job-1"), now)
+	cluster.submitWaiting(4, newWaitingRecord("job-4", record.High, 200, "job-2", "job-3"), now)
 }
 
 // newDependencyIDs are the names of n jobs, which begin alike.
--- a/internal/clusterstate/helpers_eviction_test.go
+++ b/internal/clusterstate/helpers_eviction_test.go
@@ -10,16 +10,17 @@
 	"github.com/pebbletrail/pebbletrail/internal/record"
 	"github.com/pebbletrail/pebbletrail/internal/rollout"
 	"github.com/pebbletrail/pebbletrail/internal/worker"
+	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// newStateWithDrains is a cluster state with drains on and a service of four replicas, one on each of four
-// machines, that are all up.
+// newStateWithDrains is a cluster state with drains enabled and a service of four replicas, which run on
+// the machines m1 to m4, one on each.
 func newStateWithDrains(t *testing.T, now time.Time) *State {
 	t.Helper()
 	return newStateWithDrainSettings(t, now, &config.Drains{})
 }
 
-// newStateWithDrainSettings is the same with other settings of drains.
+// newStateWithDrainSettings is newStateWithDrains with the given settings of drains.
 func newStateWithDrainSettings(t *testing.T, now time.Time, drains *config.Drains) *State {
 	t.Helper()
 	settings := newTestSettings()
@@ -29,23 +30,30 @@
 	for i := range 4 {
 		markReported(cluster, ids.Machine(fmt.Sprint("m", i+1)), 1, now)
 	}
-	service := newRecord("job-1", "red", record.Normal, 4, 4)
-	service.Spec.Shape = record.Service
+	service := newServiceRecord("job-1", "red", record.Normal, 4, 4)
 	cluster.HandleRecord("job-1", 1, service, now)
 	cluster.CarryOut(rollout.NewOrders())
 	cluster.Plan(now)
 	cluster.markAllStored()
 	job := cluster.jobs.Get("job-1")
 	if len(job.Assignments) != 4 {
-		t.Fatalf("%d places", len(job.Assignments))
+		t.Fatalf("%d of 4 replicas are assigned", len(job.Assignments))
 	}
 	for _, assignment := range job.Assignments {
-		assignment.StartSent, assignment.Confirmed, assignment.Status, assignment.RunningSince = true, true, worker.StateRunning, now.Add(-time.Minute)
+		markRunning(assignment, now.Add(-time.Minute))
 	}
 	return cluster
 }
 
-// newDrainOrders empty the machines named.
+// markRunning makes an assignment one whose task runs and has been reported since then.
+func markRunning(assignment *workload.Assignment, since time.Time) {
+	assignment.StartSent = true
+	assignment.Confirmed = true
+	assignment.Status = worker.StateRunning
+	assignment.RunningSince = since
+}
+
+// newDrainOrders are a rollout's orders to drain the named machines.
 func newDrainOrders(names ...ids.Machine) *rollout.Orders {
 	orders := rollout.NewOrders()
 	for _, name := range names {
@@ -54,17 +62,7 @@
 	return orders
 }
 
-// runEviction looks at the evictions, whatever the time of the last look.
+// runEviction looks for evictions to permit and to carry out, whenever the last look was.
 func runEviction(cluster *State, now time.Time) {
 	cluster.evictor.Look(now)
 }
-
-// countStoppingReplicas counts the replicas that are being stopped.
-func countStoppingReplicas(cluster *State) (count int) {
-	for _, assignment := range cluster.jobs.Get("job-1").Assignments {
-		if assignment.Stopping {
-			count++
-		}
-	}
-	return count
-}
--- a/internal/clusterstate/helpers_test.go
+++ b/internal/clusterstate/helpers_test.go
@@ -20,6 +20,10 @@
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
+// testGeneration is the fencing token of the term of a test state.
+const testGeneration = 7
+
+// newTestSettings are settings of two zones and of two teams, of which red has a limit.
 func newTestSettings() *config.Settings {
 	settings := &config.Settings{Operator: config.DefaultOperator()}
 	settings.Params.Workers = config.WorkerIntervals{ReportS: 2, LeaseS: 20, GangWaitS: 30, GangPeerS: 5, CancelS: 40}
@@ -29,14 +33,29 @@
 	return settings
 }
 
+// newTestState is an empty cluster state that knows the instance types.
 func newTestState() *State {
-	cluster := New(newTestSettings(), "w", 7, time.Now())
+	cluster := New(newTestSettings(), "w", testGeneration, time.Now())
 	cluster.SetMachineTypes(testInstanceTypes())
 	return cluster
 }
 
+// testCacheGB is the size of the image cache of a machine of testInstanceTypes.
+const testCacheGB = 20
+
+// testInstanceTypes is an offer of one instance type of four cores in two zones.
 func testInstanceTypes() []placement.InstanceType {
-	return []placement.InstanceType{{Label: "small", Cores: 4, RAM: 16, CacheGB: 20, PullGBPerS: 1, Price: 1, SpotPrice: 0.4, BootS: 30, Zones: []string{"north", "south"}}}
+	return []placement.InstanceType{{
+		Label:      "small",
+		Cores:      4,
+		RAM:        16,
+		CacheGB:    testCacheGB,
+		PullGBPerS: 1,
+		Price:      1,
+		SpotPrice:  0.4,
+		BootS:      30,
+		Zones:      []string{"north", "south"},
+	}}
 }
 
 // setTeams replaces the teams of the settings.
@@ -46,27 +65,123 @@
 	c.scheduler.Quota = c.quota
 }
 
-// newCommitter is a committer of a cluster state's changes.
+// newCommitter returns a committer of a cluster state's changes.
 func newCommitter(cluster *State, store *state.Client) *commit.Committer {
 	return commit.New(cluster, store, "a", cluster.keys, 0, commit.Events{})
 }
 
+// newRecord is the record of a new job: an array whose tasks run for 10 s and need an image of 1 GB.
 func newRecord(id ids.Job, team string, priority record.Priority, tasks int, cores float64) *record.Record {
-	return record.New(record.Spec{ID: id, Class: "c", Team: team, Shape: record.Array, Priority: priority, Tasks: tasks, EstimatedDuration: 10,
-		Resources: placement.Resources{Cores: cores, RAM: 1}, Image: "i", ImageGB: 1}, ids.TimestampOf(time.Now()), "user")
+	spec := record.Spec{
+		ID:                id,
+		Class:             "c",
+		Team:              team,
+		Shape:             record.Array,
+		Priority:          priority,
+		Tasks:             tasks,
+		EstimatedDuration: 10,
+		Resources:         placement.Resources{Cores: cores, RAM: 1},
+		Image:             "i",
+		ImageGB:           1,
+	}
+	return record.New(spec, ids.TimestampOf(time.Now()), "user")
 }
 
+// newWaitingRecord is the record of a job of team red with one task, which waits for its dependencies.
+// Deadline 0 means none.
 func newWaitingRecord(id ids.Job, priority record.Priority, deadline ids.Seconds, dependsOn ...ids.Job) *record.Record {
 	rec := newRecord(id, "red", priority, 1, 1)
-	rec.Spec.DependsOn, rec.Spec.Deadline = dependsOn, deadline
+	rec.Spec.DependsOn = dependsOn
+	rec.Spec.Deadline = deadline
+	return rec
+}
+
+// newServiceRecord is newRecord for a service.
+func newServiceRecord(id ids.Job, team string, priority record.Priority, replicas int, cores float64) *record.Record {
+	rec := newRecord(id, team, priority, replicas, cores)
+	rec.Spec.Shape = record.Service
+	return rec
+}
+
+// newGangRecord is newRecord for a gang.
+func newGangRecord(id ids.Job, team string, priority record.Priority, tasks int, cores float64) *record.Record {
+	rec := newRecord(id, team, priority, tasks, cores)
+	rec.Spec.Shape = record.Gang
 	return rec
 }
 
+// submit hands a job's record to the state, as if a user had submitted the job.
+func (c *State) submit(revision ids.Revision, rec *record.Record, now time.Time) {
+	c.HandleRecord(rec.Spec.ID, revision, rec, now)
+}
+
+// submitWaiting is submit for a job that waits for its dependencies.
+func (c *State) submitWaiting(revision ids.Revision, rec *record.Record, now time.Time) {
+	c.HandleWaitingJob(rec.Spec.ID, revision, rec, now)
+}
+
+// assignmentsOf returns a job's assignments by task index.
+func (c *State) assignmentsOf(id ids.Job) map[int]*workload.Assignment {
+	return c.jobs.Get(id).Assignments
+}
+
+// addMachines has machines of a zone report for the first time; their names are the prefix and a number
+// from 0 on.
+func (c *State) addMachines(prefix string, count int, zone string) {
+	for i := range count {
+		c.heartbeat(ids.Machine(fmt.Sprint(prefix, i)), zone, 1)
+	}
+}
+
+// cacheImage notes that a machine has an image of so many GB in its cache.
+func (c *State) cacheImage(name ids.Machine, image string, sizeGB float64) {
+	c.capacity.ImageArrived(c.capacity.Ensure(name), c.machines.Machines[name], image, sizeGB, testCacheGB)
+}
+
+// machinesToTerminate lists the machines to terminate now if the plan of the fleet needs none of them.
+func (c *State) machinesToTerminate(now time.Time) []ids.Machine {
+	return c.MachinesToTerminate(now, map[ids.Machine]bool{})
+}
+
+// countStopping counts a job's tasks that are being stopped.
+func (c *State) countStopping(id ids.Job) (count int) {
+	for _, assignment := range c.assignmentsOf(id) {
+		if assignment.Stopping {
+			count++
+		}
+	}
+	return count
+}
+
+// markStored notes that the record of a job's current version is stored, so that its starts may go out.
+func (c *State) markStored(job *workload.Job) {
+	job.StoredVersion = job.Version
+	c.versionStored(job)
+}
+
+// newReport is a report without tasks of a machine in its first incarnation, which has seen the test
+// state's fencing token.
+func newReport(name ids.Machine, zone string, sequence ids.SequenceNumber) *worker.Report {
+	return &worker.Report{
+		Machine:      name,
+		Addr:         string(name) + ":1",
+		Type:         "small",
+		Zone:         zone,
+		Incarnation:  1,
+		Sequence:     sequence,
+		FencingToken: testGeneration,
+	}
+}
+
+// heartbeat reconciles a heartbeat of a machine that reports these tasks, and returns the commands in its
+// answer.
 func (c *State) heartbeat(name ids.Machine, zone string, sequence ids.SequenceNumber, tasks ...worker.TaskStatus) []worker.Command {
-	return c.ReconcileHeartbeat(&worker.Report{Machine: name, Addr: string(name) + ":1", Type: "small", Zone: zone, Incarnation: 1, Sequence: sequence, FencingToken: 7, Tasks: tasks}, true, true)
+	report := newReport(name, zone, sequence)
+	report.Tasks = tasks
+	return c.ReconcileHeartbeat(report, true, true)
 }
 
-// markAllStored pretends that all changes were committed.
+// markAllStored pretends that all changes were committed and that all commands went out.
 func (c *State) markAllStored() {
 	for _, job := range c.jobs.All() {
 		job.StoredVersion = job.Version
@@ -74,18 +189,19 @@
 	c.NextBatches(1000)
 }
 
-// heartbeatAll lets every machine report what is placed on it: ends tells how a task ends
-// at once, empty while it runs.
+// heartbeatAll has every machine report the tasks whose starts were sent to it. exitCause returns the cause
+// with which a task exits now, or an empty string while it runs.
 func (c *State) heartbeatAll(sequence ids.SequenceNumber, exitCause func(assignment *workload.Assignment) string) {
 	statuses := map[ids.Machine][]worker.TaskStatus{}
 	for _, job := range c.jobs.All() {
 		for _, assignment := range job.Assignments {
 			if !assignment.StartSent {
-				continue // nobody has told its machine yet
+				continue
 			}
 			status := worker.TaskStatus{Task: assignment.Task().String(), Attempt: assignment.Attempt, State: worker.StateRunning}
 			if cause := exitCause(assignment); cause != "" && assignment.Confirmed {
-				status.State, status.Cause = worker.StateExited, cause
+				status.State = worker.StateExited
+				status.Cause = cause
 			}
 			statuses[assignment.Machine] = append(statuses[assignment.Machine], status)
 		}
@@ -99,17 +215,19 @@
 	}
 }
 
-// runTasks lets a second pass on every machine: tasks placed run for a while, and
-// end done.
+// runTasks has every machine report its tasks: those to be stopped exit, those assigned for the duration
+// are done (and noted in ended), the others run. Jobs that ended with them are retired.
 func (c *State) runTasks(sequence ids.SequenceNumber, duration time.Duration, ended map[workload.TaskAttempt]bool) {
 	for name := range c.machines.Machines {
 		var statuses []worker.TaskStatus
 		for assignment := range c.capacity.AssignmentsOn(name) {
 			status := worker.TaskStatus{Task: assignment.Task().String(), Attempt: assignment.Attempt, State: worker.StateRunning}
 			if assignment.Stopping {
-				status.State, status.Cause = worker.StateExited, worker.CauseStopped
+				status.State = worker.StateExited
+				status.Cause = worker.CauseStopped
 			} else if time.Since(assignment.AssignedAt) >= duration {
-				status.State, status.Cause = worker.StateExited, worker.CauseDone
+				status.State = worker.StateExited
+				status.Cause = worker.CauseDone
 				ended[assignment.Key()] = true
 			}
 			statuses = append(statuses, status)
@@ -124,7 +242,7 @@
 	}
 }
 
-// machinesWithStarts lists the machines that get a start now.
+// machinesWithStarts sends the pending commands and returns the machines that get a start.
 func (c *State) machinesWithStarts() map[ids.Machine]bool {
 	machines := map[ids.Machine]bool{}
 	for _, batch := range c.NextBatches(1000) {
@@ -135,15 +253,24 @@
 	return machines
 }
 
-// markReported has a machine report.
+// markReported makes a machine in the north one that has reported and answered just now, in its first
+// incarnation, and has seen the fencing token.
 func markReported(cluster *State, name ids.Machine, token ids.Generation, now time.Time) {
 	machine := cluster.machines.Ensure(name, now, now)
-	machine.HasReported, machine.Type, machine.Zone, machine.Incarnation, machine.LastReportAt, machine.LastAnsweredAt, machine.FencingToken = true, "small", "north", 1, now, now, token
+	machine.HasReported = true
+	machine.Type = "small"
+	machine.Zone = "north"
+	machine.Incarnation = 1
+	machine.LastReportAt = now
+	machine.LastAnsweredAt = now
+	machine.FencingToken = token
 	cluster.capacity.Reindex(cluster.capacity.Ensure(name))
 }
 
-// newStateWithMachines is a cluster state with n machines of four cores, in two zones.
+// newStateWithMachines is a cluster state with machines of four cores, in two zones. It discards what is
+// logged, for the rest of the test.
 func newStateWithMachines(t *testing.T, count int) *State {
+	t.Helper()
 	previous := slog.Default()
 	slog.SetDefault(slog.New(slog.NewTextHandler(io.Discard, nil)))
 	t.Cleanup(func() { slog.SetDefault(previous) })
@@ -154,20 +281,20 @@
 	return cluster
 }
 
-// machinesExamined is how many machines planning has looked at so far.
+// machinesExamined returns how many machines planning has examined so far.
 func machinesExamined(cluster *State) int {
 	total, _ := cluster.scheduler.MachinesExamined()
 	return total
 }
 
-// mostExaminedPerLock is the most of them that it looked at while it held the lock once.
+// mostExaminedPerLock returns the most machines that planning has examined while it held the lock once.
 func mostExaminedPerLock(cluster *State) int {
 	_, most := cluster.scheduler.MachinesExamined()
 	return most
 }
 
-// planUntilStable plans until a pass places nothing more, as a leader's passes do one after the
-// other, and returns the most machines that one looked at while it held the lock.
+// planUntilStable runs planning passes until one assigns nothing more, and returns the most machines that
+// one of them examined while it held the lock once.
 func planUntilStable(cluster *State, now time.Time) (most int) {
 	for {
 		placed := countAssignments(cluster)
@@ -178,6 +305,7 @@
 	}
 }
 
+// countAssignments counts the assignments of all jobs.
 func countAssignments(cluster *State) (count int) {
 	for _, job := range cluster.jobs.All() {
 		count += len(job.Assignments)
@@ -185,44 +313,50 @@
 	return count
 }
 
+// newProvisioningRequest is a request for one machine.
 func newProvisioningRequest(label, zone string) placement.ProvisioningRequest {
 	return placement.ProvisioningRequest{Type: label, Zone: zone, Count: 1}
 }
 
+// newStateWithGang is a cluster state with a gang of two tasks, whose assignments are stored: one on the
+// machine "warm", which has the image in its cache, and one on "cold", which has not.
 func newStateWithGang(now time.Time) (*State, *workload.Job) {
 	cluster := newTestState()
 	cluster.heartbeat("warm", "north", 1)
 	cluster.heartbeat("cold", "north", 1)
-	cluster.capacity.ImageArrived(cluster.capacity.Ensure("warm"), cluster.machines.Machines["warm"], "i", 1, 20)
-	rec := newRecord("job-1", "blue", record.High, 2, 3)
-	rec.Spec.Shape = record.Gang
+	cluster.cacheImage("warm", "i", 1)
+	rec := newGangRecord("job-1", "blue", record.High, 2, 3)
 	cluster.HandleRecord("job-1", 1, rec, now)
 	cluster.Plan(now)
 	for _, job := range cluster.jobs.All() {
-		job.StoredVersion = job.Version
-		cluster.versionStored(job)
+		cluster.markStored(job)
 	}
 	return cluster, cluster.jobs.Get("job-1")
 }
 
-// newWorkerHandler answers direct commands like a worker that does as told.
-func newWorkerHandler(name ids.Machine) http.Handler {
+// newWorkerHandler answers direct commands like a worker that carries them out at once.
+func newWorkerHandler(t *testing.T, name ids.Machine) http.Handler {
 	sequence := ids.SequenceNumber(100)
 	tasks := []worker.TaskStatus{}
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		var batch worker.CommandBatch
-		json.NewDecoder(r.Body).Decode(&batch)
+		if err := json.NewDecoder(r.Body).Decode(&batch); err != nil {
+			t.Errorf("read the commands sent to %s: %v", name, err)
+		}
 		for _, command := range batch.Commands {
 			if command.Verb == "start" {
 				tasks = append(tasks, worker.TaskStatus{Task: command.Task, Attempt: command.Attempt, State: worker.StateRunning})
 			}
 		}
 		sequence++
-		json.NewEncoder(w).Encode(&worker.Report{Machine: name, Addr: string(name) + ":1", Type: "small", Zone: "north", Incarnation: 1,
-			Sequence: sequence, FencingToken: 7, Tasks: tasks})
+		report := newReport(name, "north", sequence)
+		report.Tasks = tasks
+		if err := json.NewEncoder(w).Encode(report); err != nil {
+			t.Errorf("answer as %s: %v", name, err)
+		}
 	})
 }
 
-// largestFleetSize is how many machines the service is to run at: about 4,000, and half as
-// many again on some days.
+// largestFleetSize is the number of machines that the service must cope with: usually about 4,000, and half
+// as many again at times.
 const largestFleetSize = 6000
--- a/internal/clusterstate/liveness_test.go
+++ b/internal/clusterstate/liveness_test.go
@@ -46,11 +46,10 @@
 	// and again the same ones, while one with a replica waits.
 	cluster := newStateWithMachines(t, 300)
 	now := time.Now()
-	service := newRecord("job-1", "blue", record.Critical, 1, 1)
-	service.Spec.Shape = record.Service
+	service := newServiceRecord("job-1", "blue", record.Critical, 1, 1)
 	cluster.HandleRecord("job-1", 1, service, now)
 	cluster.Plan(now)
-	machineWithReplica := cluster.jobs.Get("job-1").Assignments[0].Machine
+	machineWithReplica := cluster.assignmentsOf("job-1")[0].Machine
 	for _, machine := range cluster.machines.Machines {
 		machine.LastReportAt = now.Add(-time.Minute)
 	}
@@ -75,10 +74,8 @@
 	// well, but no start and no answer ever reaches it.
 	now := time.Now()
 	cluster := newTestState()
-	for i := range 6 {
-		cluster.heartbeat(ids.Machine(fmt.Sprint("m", i)), "north", 1)
-	}
-	cluster.HandleRecord("job-1", 1, newRecord("job-1", "blue", record.Normal, 1, 1), now)
+	cluster.addMachines("m", 6, "north")
+	cluster.submit(1, newRecord("job-1", "blue", record.Normal, 1, 1), now)
 	cluster.Plan(now)
 	for _, job := range cluster.jobs.All() {
 		job.StoredVersion = job.Version
@@ -90,7 +87,7 @@
 	unreachable := batches[0].Machine
 	cluster.BatchAnswered(batches[0], worker.OutcomeUnknown)
 	cluster.heartbeat(unreachable, "north", 2)
-	cluster.HandleRecord("job-2", 2, newRecord("job-2", "blue", record.Normal, 12, 1), now)
+	cluster.submit(2, newRecord("job-2", "blue", record.Normal, 12, 1), now)
 	cluster.Plan(now)
 	if n := len(cluster.capacity.AssignmentsOn(unreachable)); n != 1 {
 		t.Fatalf("%d tasks on a machine that does not answer, not only the uncertain one", n)
@@ -102,16 +99,17 @@
 			cluster.heartbeat(ids.Machine(fmt.Sprint("m", i)), "north", sequence) // its own beats, too
 		}
 	}
-	machine.UnreachableSince, machine.SuspectSince = now.Add(-10*time.Second), now.Add(-10*time.Second)
-	if assignment := cluster.jobs.Get("job-1").Assignments[0]; assignment == nil || assignment.Machine != unreachable {
+	machine.UnreachableSince = now.Add(-10 * time.Second)
+	machine.SuspectSince = now.Add(-10 * time.Second)
+	if assignment := cluster.assignmentsOf("job-1")[0]; assignment == nil || assignment.Machine != unreachable {
 		t.Fatal("the uncertain start was given up without evidence")
 	}
-	if terminated := cluster.MachinesToTerminate(time.Now(), map[ids.Machine]bool{}); len(terminated) != 1 || terminated[0] != unreachable {
+	if terminated := cluster.machinesToTerminate(time.Now()); len(terminated) != 1 || terminated[0] != unreachable {
 		t.Fatalf("returned %v, not %s alone", terminated, unreachable)
 	}
 	cluster.MachineTerminated(unreachable) // the cloud's word is the evidence
 	cluster.Plan(now)
-	if assignment := cluster.jobs.Get("job-1").Assignments[0]; assignment == nil || assignment.Machine == unreachable {
+	if assignment := cluster.assignmentsOf("job-1")[0]; assignment == nil || assignment.Machine == unreachable {
 		t.Fatal("the job does not go on elsewhere")
 	}
 	// One answered question makes a machine whole again.
@@ -134,16 +132,13 @@
 	cluster := newTestState()
 	cluster.settings.Params.Workers.ReportS = 10
 	now := time.Now()
-	for i := range 8 {
-		cluster.heartbeat(ids.Machine(fmt.Sprint("m", i)), "north", 1)
-	}
-	service := newRecord("job-1", "blue", record.Critical, 1, 4)
-	service.Spec.Shape = record.Service
+	cluster.addMachines("m", 8, "north")
+	service := newServiceRecord("job-1", "blue", record.Critical, 1, 4)
 	cluster.HandleRecord("job-1", 1, service, now)
-	cluster.HandleRecord("job-2", 2, newRecord("job-2", "blue", record.Normal, 1, 4), now)
+	cluster.submit(2, newRecord("job-2", "blue", record.Normal, 1, 4), now)
 	cluster.Plan(now)
 	cluster.markAllStored()
-	withReplica, withoutReplica := cluster.jobs.Get("job-1").Assignments[0].Machine, cluster.jobs.Get("job-2").Assignments[0].Machine
+	withReplica, withoutReplica := cluster.assignmentsOf("job-1")[0].Machine, cluster.assignmentsOf("job-2")[0].Machine
 	for _, machine := range cluster.machines.Machines {
 		machine.LastReportAt = now.Add(-3 * time.Second)
 	}
@@ -159,15 +154,17 @@
 	}
 	for _, name := range []ids.Machine{withReplica, withoutReplica} {
 		machine := cluster.machines.Machines[name]
-		machine.LastReportAt, machine.SuspectSince, machine.UnansweredProbes = now.Add(-4500*time.Millisecond), now.Add(-2*time.Second), 2
+		machine.LastReportAt = now.Add(-4500 * time.Millisecond)
+		machine.SuspectSince = now.Add(-2 * time.Second)
+		machine.UnansweredProbes = 2
 	}
-	if terminated := cluster.MachinesToTerminate(now, map[ids.Machine]bool{}); len(terminated) != 1 || terminated[0] != withReplica {
+	if terminated := cluster.machinesToTerminate(now); len(terminated) != 1 || terminated[0] != withReplica {
 		t.Fatalf("returned %v, not %s", terminated, withReplica)
 	}
 	// One unanswered question may be bad luck.
 	cluster.machines.Machines[withoutReplica].UnansweredProbes = 1
 	cluster.machines.Machines[withoutReplica].LastReportAt = now.Add(-12 * time.Second)
-	if terminated := cluster.MachinesToTerminate(now, map[ids.Machine]bool{}); len(terminated) != 1 {
+	if terminated := cluster.machinesToTerminate(now); len(terminated) != 1 {
 		t.Fatalf("returned %v after one question", terminated)
 	}
 }
--- a/internal/clusterstate/lookups_test.go
+++ b/internal/clusterstate/lookups_test.go
@@ -20,7 +20,7 @@
 		committer := newCommitter(cluster, history.client)
 		for k := range 50 {
 			id := numberedJob(200000 + k)
-			cluster.HandleWaitingJob(id, 1, newWaitingRecord(id, record.Low, 0, numberedJob(100000+400*k)), time.Now())
+			cluster.submitWaiting(1, newWaitingRecord(id, record.Low, 0, numberedJob(100000+400*k)), time.Now())
 		}
 		before := history.calls
 		committer.LookUpOnce(context.Background())
@@ -46,7 +46,7 @@
 		committer := newCommitter(cluster, history.client)
 		for k := range 3000 {
 			id := numberedJob(200000 + k)
-			cluster.HandleWaitingJob(id, 1, newWaitingRecord(id, record.Low, 0, numberedJob(110000+k)), time.Now())
+			cluster.submitWaiting(1, newWaitingRecord(id, record.Low, 0, numberedJob(110000+k)), time.Now())
 		}
 		passes := runLookupsUntilDone(t, cluster, committer)
 		if ready, _ := cluster.dependencies.graph.Counts(); ready != 3000 || passes > 2 || history.calls > 6+1 {
@@ -64,7 +64,7 @@
 		committer := newCommitter(cluster, history.client)
 		for k := range 120 { // the last 20 did not end; one of them is live, unknown to the leader
 			id := numberedJob(200000 + k)
-			cluster.HandleWaitingJob(id, 1, newWaitingRecord(id, record.Low, 0, numberedJob(100000+k)), time.Now())
+			cluster.submitWaiting(1, newWaitingRecord(id, record.Low, 0, numberedJob(100000+k)), time.Now())
 		}
 		raw, _ := newRecord(numberedJob(100110), "red", record.Low, 1, 1).Encode(8192)
 		if _, err := history.client.Commit(context.Background(), state.Txn{Ops: []state.Op{{Put: record.JobKey(numberedJob(100110)), Value: raw}}}, state.Urgent); err != nil {
--- a/internal/clusterstate/planning_cost_test.go
+++ b/internal/clusterstate/planning_cost_test.go
@@ -28,7 +28,7 @@
 	submitJob := func(number, tasks int, cores float64) {
 		rec := newRecord(ids.Job(fmt.Sprintf("job-%d", number)), "blue", record.Normal, tasks, cores)
 		rec.Spec.Image = fmt.Sprint("image-", number%20)
-		cluster.HandleRecord(rec.Spec.ID, ids.Revision(number+1), rec, now)
+		cluster.submit(ids.Revision(number+1), rec, now)
 	}
 	// Filling: a job may look at every machine once, however many tasks it has.
 	full := cost(func() {
@@ -75,7 +75,7 @@
 	for i := range 30 {
 		rec := newRecord(ids.Job(fmt.Sprintf("job-%d", i)), "blue", record.Normal, 7, 1)
 		rec.Spec.Image = fmt.Sprint("image-", i%5)
-		cluster.HandleRecord(rec.Spec.ID, ids.Revision(i+1), rec, now)
+		cluster.submit(ids.Revision(i+1), rec, now)
 	}
 	cluster.Plan(now)
 	cluster.markAllStored()
@@ -112,7 +112,8 @@
 		cluster.heartbeat(name, "north", ids.SequenceNumber(i+2), statuses...)
 		check("running")
 		for k := range statuses {
-			statuses[k].State, statuses[k].Cause = worker.StateExited, worker.CauseDone
+			statuses[k].State = worker.StateExited
+			statuses[k].Cause = worker.CauseDone
 		}
 		cluster.heartbeat(name, "north", ids.SequenceNumber(i+3), statuses...)
 		check("done")
@@ -133,7 +134,7 @@
 		for i := range 300 {
 			rec := newRecord(ids.Job(fmt.Sprintf("job-%d", i)), "blue", record.Normal, machines/100, 1)
 			rec.Spec.Image = fmt.Sprint("image-", i)
-			cluster.HandleRecord(rec.Spec.ID, ids.Revision(i+1), rec, now)
+			cluster.submit(ids.Revision(i+1), rec, now)
 		}
 		most := planUntilStable(cluster, now)
 		if limit := scheduler.MaxExaminedPerLock + 2*machines; most > limit {
@@ -155,21 +156,21 @@
 	for i := range largestFleetSize / 30 {
 		rec := newRecord(ids.Job(fmt.Sprintf("job-%d", i)), "blue", record.Normal, 200, 1)
 		rec.Spec.Image = fmt.Sprint("image-", i%20)
-		cluster.HandleRecord(rec.Spec.ID, ids.Revision(i+1), rec, now)
+		cluster.submit(ids.Revision(i+1), rec, now)
 	}
 	planUntilStable(cluster, now)
 	if placed := countAssignments(cluster); placed != 4*largestFleetSize {
 		t.Fatalf("%d tasks fill the fleet", placed)
 	}
 	const urgent = 150
-	service := newRecord("job-900000", "blue", record.Critical, urgent, 1)
-	service.Spec.Shape, service.Spec.Image = record.Service, "image-new"
-	cluster.HandleRecord(service.Spec.ID, 1, service, now)
+	service := newServiceRecord("job-900000", "blue", record.Critical, urgent, 1)
+	service.Spec.Image = "image-new"
+	cluster.submit(1, service, now)
 	before := machinesExamined(cluster)
 	for pass := range 2*urgent + 10 {
 		cluster.Plan(now.Add(time.Duration(pass) * 25 * time.Millisecond))
 	}
-	if placed := len(cluster.jobs.Get("job-900000").Assignments); placed != urgent {
+	if placed := len(cluster.assignmentsOf("job-900000")); placed != urgent {
 		t.Errorf("%d of %d urgent tasks found a place", placed, urgent)
 	}
 	if looks := machinesExamined(cluster) - before; looks > 5*urgent*scheduler.MaxPreemptionCandidates {
--- a/internal/clusterstate/preemption_test.go
+++ b/internal/clusterstate/preemption_test.go
@@ -16,14 +16,14 @@
 	now := time.Now()
 	cluster := newTestState()
 	cluster.heartbeat("m1", "north", 1)
-	cluster.HandleRecord("job-1", 1, newRecord("job-1", "blue", record.Normal, 4, 1), now)
+	cluster.submit(1, newRecord("job-1", "blue", record.Normal, 4, 1), now)
 	cluster.Plan(now)
 	cluster.markAllStored()
 	if len(cluster.capacity.AssignmentsOn("m1")) != 4 {
 		t.Fatal("not placed")
 	}
 	// Same priority, beyond its guarantee: waits.
-	cluster.HandleRecord("job-2", 2, newRecord("job-2", "red", record.Normal, 5, 1), now)
+	cluster.submit(2, newRecord("job-2", "red", record.Normal, 5, 1), now)
 	cluster.Plan(now)
 	for assignment := range cluster.capacity.AssignmentsOn("m1") {
 		if assignment.Stopping {
@@ -31,7 +31,7 @@
 		}
 	}
 	// Critical work displaces what is lower, and only as much as it needs.
-	cluster.HandleRecord("job-3", 3, newRecord("job-3", "red", record.Critical, 1, 2), now)
+	cluster.submit(3, newRecord("job-3", "red", record.Critical, 1, 2), now)
 	cluster.Plan(now)
 	stopped := 0
 	for assignment := range cluster.capacity.AssignmentsOn("m1") {
@@ -51,13 +51,11 @@
 	t.Parallel()
 	now := time.Now()
 	cluster := newTestState()
-	for i := range 20 {
-		cluster.heartbeat(ids.Machine(fmt.Sprint("m", i)), "north", 1)
-	}
-	cluster.HandleRecord("job-1", 1, newRecord("job-1", "red", record.Normal, 60, 1), now)
+	cluster.addMachines("m", 20, "north")
+	cluster.submit(1, newRecord("job-1", "red", record.Normal, 60, 1), now)
 	cluster.Plan(now)
 	cluster.Plan(now)
-	if n := len(cluster.jobs.Get("job-1").Assignments); n != 40 {
+	if n := len(cluster.assignmentsOf("job-1")); n != 40 {
 		t.Errorf("%d cores placed of a limit of 40", n)
 	}
 }
@@ -66,17 +64,15 @@
 	t.Parallel()
 	now := time.Now()
 	cluster := newTestState()
-	for i := range 20 {
-		cluster.heartbeat(ids.Machine(fmt.Sprint("m", i)), "north", 1)
-	}
-	cluster.HandleRecord("job-1", 1, newRecord("job-1", "red", record.Normal, 60, 1), now)
+	cluster.addMachines("m", 20, "north")
+	cluster.submit(1, newRecord("job-1", "red", record.Normal, 60, 1), now)
 	cluster.Plan(now)
 	cluster.markAllStored()
-	cluster.HandleRecord("job-2", 2, newRecord("job-2", "red", record.Critical, 1, 2), now)
+	cluster.submit(2, newRecord("job-2", "red", record.Critical, 1, 2), now)
 	cluster.Plan(now)
 	cluster.Plan(now)
 	stopping := 0
-	for _, assignment := range cluster.jobs.Get("job-1").Assignments {
+	for _, assignment := range cluster.assignmentsOf("job-1") {
 		if assignment.Stopping {
 			stopping++
 		}
@@ -93,7 +89,7 @@
 	for _, name := range []ids.Machine{"m1", "m2", "m3"} {
 		cluster.heartbeat(name, "north", 1)
 	}
-	cluster.HandleRecord("job-1", 1, newRecord("job-1", "blue", record.Normal, 3, 4), now)
+	cluster.submit(1, newRecord("job-1", "blue", record.Normal, 3, 4), now)
 	cluster.Plan(now)
 	cluster.markAllStored()
 	for name := range cluster.machines.Machines {
@@ -103,7 +99,7 @@
 	}
 	for i := range 3 {
 		id := ids.Job(fmt.Sprint("job-2", i))
-		cluster.HandleRecord(id, ids.Revision(i+2), newRecord(id, "blue", record.Critical, 1, 1), now)
+		cluster.submit(ids.Revision(i+2), newRecord(id, "blue", record.Critical, 1, 1), now)
 	}
 	cluster.Plan(now) // each displaces a task of four cores for one core
 	for name := range cluster.machines.Machines {
@@ -115,7 +111,7 @@
 	}
 	for i := range 9 {
 		id := ids.Job(fmt.Sprint("job-3", i))
-		cluster.HandleRecord(id, ids.Revision(i+9), newRecord(id, "blue", record.Critical, 1, 1), now)
+		cluster.submit(ids.Revision(i+9), newRecord(id, "blue", record.Critical, 1, 1), now)
 	}
 	cluster.Plan(now.Add(50 * time.Millisecond))
 	assigned := 0
@@ -133,7 +129,8 @@
 	t.Parallel()
 	now := time.Now()
 	job := &workload.Job{Record: *newRecord("job-1", "blue", record.Low, 1, 4)}
-	job.Record.Spec.CheckpointInterval, job.Record.Spec.CheckpointDuration = 60, 5
+	job.Record.Spec.CheckpointInterval = 60
+	job.Record.Spec.CheckpointDuration = 5
 	for ran, want := range map[time.Duration]bool{2 * time.Second: true, 40 * time.Second: false, 65 * time.Second: true} {
 		assignment := &workload.Assignment{Job: job, RunningSince: now.Add(-ran)}
 		if assignment.LittleToSave(now) != want {
--- a/internal/clusterstate/queue_order_test.go
+++ b/internal/clusterstate/queue_order_test.go
@@ -33,7 +33,8 @@
 	now := time.Now()
 	cluster := newTestState()
 	low, high := newRecord("job-1", "blue", record.Low, 60, 1), newRecord("job-2", "blue", record.High, 60, 1)
-	low.Submitted, low.Attempt = ids.TimestampOf(now.Add(-time.Hour)), 1
+	low.Submitted = ids.TimestampOf(now.Add(-time.Hour))
+	low.Attempt = 1
 	cluster.HandleRecord("job-1", 1, low, now)
 	cluster.HandleRecord("job-2", 2, high, now)
 	if jobs := cluster.scheduler.Ranked(now); jobs[0].Record.Spec.ID != "job-2" {
@@ -52,12 +53,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		now := time.Now()
 		waited := newRecord("job-1", "blue", record.Low, 50, 1)
-		waited.Submitted, waited.ReadyAt = ids.TimestampOf(now.Add(-200*time.Second)), ids.TimestampOf(now)
+		waited.Submitted = ids.TimestampOf(now.Add(-200 * time.Second))
+		waited.ReadyAt = ids.TimestampOf(now)
 		waited.Spec.Deadline = 250
 		cluster := newTestState()
 		cluster.settings.Params.Teams[1].CPUs = 0
 		cluster.HandleRecord("job-1", 1, waited, now)
-		cluster.HandleRecord("job-2", 2, newRecord("job-2", "blue", record.Normal, 1, 1), now)
+		cluster.submit(2, newRecord("job-2", "blue", record.Normal, 1, 1), now)
 		cluster.jobs.Get("job-2").Record.Submitted = ids.TimestampOf(now.Add(60 * time.Second))
 		job := cluster.jobs.Get("job-1")
 		for _, test := range []struct {
@@ -69,7 +71,7 @@
 				t.Errorf("%v after it is ready it goes first: %v, starves: %v", test.after, first, job.Starving(at))
 			}
 		}
-		cluster.HandleRecord("job-3", 3, newRecord("job-3", "blue", record.Low, 1, 1), now) // among low jobs it rises after 45 s
+		cluster.submit(3, newRecord("job-3", "blue", record.Low, 1, 1), now) // among low jobs it rises after 45 s
 		cluster.jobs.Get("job-3").Record.Submitted = ids.TimestampOf(now.Add(20 * time.Second))
 		for after, first := range map[time.Duration]bool{44 * time.Second: false, 46 * time.Second: true} {
 			order := cluster.scheduler.Ranked(now.Add(after))
@@ -92,7 +94,7 @@
 	// in which it could not start.
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newTestState()
-		cluster.HandleWaitingJob("job-2", 3, newWaitingRecord("job-2", record.Low, 0, "job-1"), time.Now())
+		cluster.submitWaiting(3, newWaitingRecord("job-2", record.Low, 0, "job-1"), time.Now())
 		time.Sleep(300 * time.Second)
 		cluster.mu.Lock()
 		defer cluster.mu.Unlock()
--- a/internal/clusterstate/record_limits_test.go
+++ b/internal/clusterstate/record_limits_test.go
@@ -32,7 +32,9 @@
 		for sequence := ids.SequenceNumber(2); job.Unfinished() > 0 && seconds < 600; sequence++ {
 			cluster.Plan(time.Now())
 			full := job.Record
-			full.Generation, full.Writer, full.Seq = cluster.generation, cluster.writer, job.Version
+			full.Generation = cluster.generation
+			full.Writer = cluster.writer
+			full.Seq = job.Version
 			full.Assignments = workload.GroupAssignments(job.Assignments)
 			raw, ok := full.Encode(limit)
 			if !ok {
@@ -63,7 +65,7 @@
 	now := time.Now()
 	cluster := newStateWithMachines(t, largestFleetSize)
 	cluster.settings.Params.State.ValueKB = 56 // as much as a transaction carries
-	cluster.HandleRecord("job-1", 1, newRecord("job-1", "blue", record.Normal, 4*largestFleetSize, 1), now)
+	cluster.submit(1, newRecord("job-1", "blue", record.Normal, 4*largestFleetSize, 1), now)
 	job := cluster.jobs.Get("job-1")
 	for range 20 {
 		planUntilStable(cluster, now)
@@ -116,21 +118,24 @@
 		old.HandleRecord("job-1", 1, rec, time.Now())
 		old.Plan(time.Now())
 		full := old.jobs.Get("job-1").Record
-		full.Status, full.Assignments, full.Writer = record.Claimed, workload.GroupAssignments(old.jobs.Get("job-1").Assignments), "old"
+		full.Status = record.Claimed
+		full.Assignments = workload.GroupAssignments(old.assignmentsOf("job-1"))
+		full.Writer = "old"
 		for k := range 12 {
 			full.Events = append(full.Events, record.Event{Message: fmt.Sprintf("event %d %s", k, strings.Repeat("x", 60))})
 		}
 		raw, ok := full.Encode(8192)
 		const lower = 520
-		if _, fits := full.Encode(lower); !ok || fits || len(old.jobs.Get("job-1").Assignments) < 100 {
-			t.Fatalf("a record of %d bytes with %d places shows nothing", len(raw), len(old.jobs.Get("job-1").Assignments))
+		if _, fits := full.Encode(lower); !ok || fits || len(old.assignmentsOf("job-1")) < 100 {
+			t.Fatalf("a record of %d bytes with %d places shows nothing", len(raw), len(old.assignmentsOf("job-1")))
 		}
 		epoch, err := client.Commit(ctx, state.Txn{Ops: []state.Op{{Put: record.JobKey("job-1"), Value: raw}}}, state.Urgent)
 		if err != nil {
 			t.Fatal(err)
 		}
 		cluster := newStateWithMachines(t, 60)
-		cluster.settings.Params.State.ValueKB, cluster.settings.Params.State.TxnOps = lower/1024.0, 4
+		cluster.settings.Params.State.ValueKB = lower / 1024.0
+		cluster.settings.Params.State.TxnOps = 4
 		store.SetLimits(lower, 4)
 		stored, err := record.Decode(raw)
 		if err != nil {
@@ -178,10 +183,9 @@
 	now := time.Now()
 	cluster := newStateWithMachines(t, 100)
 	limit := cluster.maxAssignedTasks(&workload.Job{Record: *newRecord("job-2", "blue", record.Normal, 200, 1)}) // it follows from what the description leaves
-	gang := newRecord("job-1", "blue", record.High, limit+1, 1)
-	gang.Spec.Shape = record.Gang
+	gang := newGangRecord("job-1", "blue", record.High, limit+1, 1)
 	cluster.HandleRecord("job-1", 1, gang, now)
-	cluster.HandleRecord("job-2", 2, newRecord("job-2", "blue", record.Normal, limit+50, 1), now)
+	cluster.submit(2, newRecord("job-2", "blue", record.Normal, limit+50, 1), now)
 	cluster.Plan(now)
 	cluster.Plan(now)
 	if job := cluster.jobs.Get("job-1"); len(job.Assignments) != 0 || !strings.Contains(job.PendingReason, "record") {
@@ -194,7 +198,7 @@
 	// started, and the job goes on in smaller batches.
 	cluster.handleOversize(cluster.jobs.Get("job-2"))
 	cluster.Plan(now)
-	if n := len(cluster.jobs.Get("job-2").Assignments); n == 0 || n > limit/2 {
+	if n := len(cluster.assignmentsOf("job-2")); n == 0 || n > limit/2 {
 		t.Errorf("%d places after the record did not fit", n)
 	}
 }
--- a/internal/clusterstate/starvation_test.go
+++ b/internal/clusterstate/starvation_test.go
@@ -79,7 +79,7 @@
 	for i := range 20 {
 		small := newRecord(ids.Job(fmt.Sprintf("job-%d", 10+i)), "red", record.Normal, 1, 1)
 		small.Submitted = ids.TimestampOf(now.Add(-2 * time.Minute))
-		cluster.HandleRecord(small.Spec.ID, ids.Revision(10+i), small, now)
+		cluster.submit(ids.Revision(10+i), small, now)
 	}
 	if first := cluster.scheduler.Ranked(now)[0].Record.Spec.ID; first != "job-1" {
 		t.Errorf("%s goes first", first)
@@ -93,15 +93,15 @@
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newStateWithMachines(t, 1)
 		cluster.setTeams(config.Team{Name: "red", CPUs: 4}, config.Team{Name: "blue"})
-		cluster.HandleRecord("job-1", 1, newRecord("job-1", "blue", record.Low, 1, 4), time.Now())
+		cluster.submit(1, newRecord("job-1", "blue", record.Low, 1, 4), time.Now())
 		cluster.jobs.Get("job-1").ReservationSoughtAt = time.Now() // machines were looked for to set aside
 		cluster.Plan(time.Now())
-		assignment := cluster.jobs.Get("job-1").Assignments[0]
+		assignment := cluster.assignmentsOf("job-1")[0]
 		if assignment == nil {
 			t.Fatal("it did not begin")
 		}
 		cluster.markAllStored()
-		cluster.HandleRecord("job-2", 2, newRecord("job-2", "red", record.Normal, 1, 4), time.Now())
+		cluster.submit(2, newRecord("job-2", "red", record.Normal, 1, 4), time.Now())
 		cluster.Plan(time.Now())
 		if assignment.Stopping {
 			t.Error("it is stopped at once for a guarantee")
@@ -109,7 +109,7 @@
 		time.Sleep(workload.StartProtectionTime + time.Second)
 		cluster.runTasks(2, time.Hour, map[workload.TaskAttempt]bool{})
 		cluster.Plan(time.Now())
-		if !assignment.Stopping && cluster.jobs.Get("job-1").Assignments[0] != nil {
+		if !assignment.Stopping && cluster.assignmentsOf("job-1")[0] != nil {
 			t.Error("the guarantee is kept waiting for longer")
 		}
 	})
@@ -122,7 +122,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newStateWithMachines(t, 10)
 		sequence, ended := ids.SequenceNumber(1), map[workload.TaskAttempt]bool{}
-		cluster.HandleRecord("job-90001", 1, newRecord("job-90001", "blue", record.Low, 150, 4), time.Now())
+		cluster.submit(1, newRecord("job-90001", "blue", record.Low, 150, 4), time.Now())
 		cluster.Plan(time.Now())
 		large := cluster.jobs.Get("job-90001")
 		cluster.markAllStored()
@@ -144,7 +144,7 @@
 			}
 			for i := range jobs {
 				id := ids.Job(fmt.Sprintf("job-%d", second*100+i))
-				cluster.HandleRecord(id, ids.Revision(second*100+i+2), newRecord(id, "blue", record.Normal, 2, 1), time.Now())
+				cluster.submit(ids.Revision(second*100+i+2), newRecord(id, "blue", record.Normal, 2, 1), time.Now())
 			}
 			cluster.Plan(time.Now())
 			cluster.markAllStored()
@@ -178,11 +178,13 @@
 		submitJob := func(class string, team int, shape record.Shape, priority record.Priority, tasks int, cores float64) {
 			submitted++
 			rec := newRecord(ids.Job(fmt.Sprint("job-", submitted)), fmt.Sprint("team-", team), priority, tasks, cores)
-			rec.Spec.Shape, rec.Spec.Class, rec.Spec.Image = shape, class, "image-"+class
+			rec.Spec.Shape = shape
+			rec.Spec.Class = class
+			rec.Spec.Image = "image-" + class
 			if shape == record.Service {
 				rec.Spec.EstimatedDuration = 0
 			}
-			cluster.HandleRecord(rec.Spec.ID, ids.Revision(submitted), rec, time.Now())
+			cluster.submit(ids.Revision(submitted), rec, time.Now())
 			jobs[rec.Spec.ID] = class
 			for _, group := range []string{class, rec.Spec.Team} {
 				started[group], lastSubmitted[group] = 0, time.Now()
@@ -248,8 +250,9 @@
 		cluster := newStateWithMachines(t, 8) // four in each zone
 		cluster.settings.Params.Teams[1].CPUs = 0
 		gang := func(id ids.Job, tasks int) {
-			rec := newRecord(id, "blue", record.High, tasks, 4)
-			rec.Spec.Shape, rec.Spec.SingleZone, rec.Spec.EstimatedDuration = record.Gang, true, 100
+			rec := newGangRecord(id, "blue", record.High, tasks, 4)
+			rec.Spec.SingleZone = true
+			rec.Spec.EstimatedDuration = 100
 			cluster.HandleRecord(id, 1, rec, time.Now())
 		}
 		began, submitted := time.Duration(0), time.Now()
--- a/internal/clusterstate/store_changes_test.go
+++ b/internal/clusterstate/store_changes_test.go
@@ -42,7 +42,7 @@
 	now := time.Now()
 	cluster := newTestState()
 	cluster.heartbeat("m1", "north", 1)
-	cluster.HandleRecord("job-1", 1, newRecord("job-1", "blue", record.Normal, 1, 1), now)
+	cluster.submit(1, newRecord("job-1", "blue", record.Normal, 1, 1), now)
 	cluster.Plan(now)
 	cluster.markAllStored()
 	machine := cluster.machines.Machines["m1"]
@@ -72,7 +72,7 @@
 	now := time.Now()
 	cluster := newTestState()
 	cluster.heartbeat("m1", "north", 1)
-	cluster.HandleRecord("job-1", 1, newRecord("job-1", "blue", record.Normal, 2, 1), now)
+	cluster.submit(1, newRecord("job-1", "blue", record.Normal, 2, 1), now)
 	cluster.Plan(now)
 	limits := commit.LimitsOf(state.NewBudget(100, 100, 1, 0.6))
 	commitOnce := func() int {
--- a/internal/clusterstate/takeover_test.go
+++ b/internal/clusterstate/takeover_test.go
@@ -34,7 +34,7 @@
 		if cluster.planner.Lateness(machine, time.Now()) == provisioning.NotLate {
 			t.Errorf("rented %v ago, with boots of 30 s, it is not late", time.Since(machine.ProvisionedAt))
 		}
-		cluster.HandleRecord("job-1", 1, newRecord("job-1", "blue", record.Normal, 40, 1), time.Now())
+		cluster.submit(1, newRecord("job-1", "blue", record.Normal, 40, 1), time.Now())
 		cluster.Plan(time.Now())
 		if lines := fmt.Sprint(cluster.Explain("job-1")); !strings.Contains(lines, "1 machines it could use are booting, 1 of them late") {
 			t.Errorf("explained as %s", lines)
@@ -50,11 +50,11 @@
 	for _, machines := range []int{400, largestFleetSize} {
 		now := time.Now()
 		predecessor := newStateWithMachines(t, machines)
-		predecessor.HandleRecord("job-1", 1, newRecord("job-1", "blue", record.Normal, machines, 1), now)
+		predecessor.submit(1, newRecord("job-1", "blue", record.Normal, machines, 1), now)
 		planUntilStable(predecessor, now)
 		hints, position := predecessor.Hints(HintPosition{})
 		stored := predecessor.jobs.Get("job-1").Record
-		stored.Assignments = workload.GroupAssignments(predecessor.jobs.Get("job-1").Assignments)
+		stored.Assignments = workload.GroupAssignments(predecessor.assignmentsOf("job-1"))
 
 		successor := newTestState()
 		var known HintCache
@@ -95,13 +95,16 @@
 	now := time.Now()
 	marked := func(generation ids.Generation) *record.Record {
 		rec := newRecord("job-1", "red", record.Normal, 2, 1)
-		rec.Status, rec.Attempt, rec.Generation, rec.Writer = record.Claimed, 1, generation, "a.1/6"
+		rec.Status = record.Claimed
+		rec.Attempt = 1
+		rec.Generation = generation
+		rec.Writer = "a.1/6"
 		rec.Assignments = []record.AssignmentGroup{{FencingToken: generation, Incarnation: 1, Attempt: 1, Prefix: "m1", Entries: ":0-1"}}
 		return rec
 	}
 	for name, listed := range map[string]ids.Revision{"the list is as new": 26, "the list is older": 25, "not in the list": 0, "newer": 27} {
 		cluster := newTestState()
-		cluster.HandleRecord("job-1", 25, newRecord("job-1", "red", record.Normal, 2, 1), now)
+		cluster.submit(25, newRecord("job-1", "red", record.Normal, 2, 1), now)
 		cluster.HandleRecord("job-1", 26, marked(6), now)
 		records, revisions := map[ids.Job]*record.Record{}, map[ids.Job]ids.Revision{}
 		switch listed {
--- a/internal/clusterstate/unreachable_zones_test.go
+++ b/internal/clusterstate/unreachable_zones_test.go
@@ -25,15 +25,17 @@
 	silence := func(silent ...ids.Machine) {
 		for _, name := range silent {
 			machine := cluster.machines.Machines[name]
-			machine.LastReportAt, machine.SuspectSince, machine.UnansweredProbes = time.Now().Add(-6*time.Second), time.Now().Add(-5*time.Second), 2
+			machine.LastReportAt = time.Now().Add(-6 * time.Second)
+			machine.SuspectSince = time.Now().Add(-5 * time.Second)
+			machine.UnansweredProbes = 2
 		}
 	}
 	silence("n1")
-	if terminated := cluster.MachinesToTerminate(time.Now(), map[ids.Machine]bool{}); len(terminated) != 1 || terminated[0] != "n1" {
+	if terminated := cluster.machinesToTerminate(time.Now()); len(terminated) != 1 || terminated[0] != "n1" {
 		t.Fatalf("one silent machine: returned %v", terminated)
 	}
 	silence("s1", "s2", "s3")
-	for _, name := range cluster.MachinesToTerminate(time.Now(), map[ids.Machine]bool{}) {
+	for _, name := range cluster.machinesToTerminate(time.Now()) {
 		if name[0] == 's' {
 			t.Errorf("%s returned although all of its zone is silent", name)
 		}
@@ -55,13 +57,13 @@
 	for i := range 40 {
 		cluster.heartbeat(ids.Machine(fmt.Sprintf("m%02d", i)), zoneOf(i), 1)
 	}
-	service := newRecord("job-1", "blue", record.Critical, 20, 2)
-	service.Spec.Shape = record.Service
+	service := newServiceRecord("job-1", "blue", record.Critical, 20, 2)
 	cluster.HandleRecord("job-1", 1, service, start)
 	cluster.Plan(start)
 	reported := func(name string, ago time.Duration) {
 		machine := cluster.machines.Machines[ids.Machine(name)]
-		machine.LastReportAt, machine.UnansweredProbes = start.Add(-ago), 0
+		machine.LastReportAt = start.Add(-ago)
+		machine.UnansweredProbes = 0
 		machine.RecordCall(true, start)
 	}
 	// The south fell silent 5 s ago; ten of its machines were asked twice since.
@@ -73,11 +75,13 @@
 			reported(name, 5*time.Second)
 			if probed++; probed <= 10 {
 				machine := cluster.machines.Machines[ids.Machine(name)]
-				machine.UnansweredProbes, machine.SuspectSince, machine.UnreachableSince = 2, start.Add(-2500*time.Millisecond), start.Add(-1500*time.Millisecond)
+				machine.UnansweredProbes = 2
+				machine.SuspectSince = start.Add(-2500 * time.Millisecond)
+				machine.UnreachableSince = start.Add(-1500 * time.Millisecond)
 			}
 		}
 	}
-	if terminated := cluster.MachinesToTerminate(start, map[ids.Machine]bool{}); len(terminated) != 0 {
+	if terminated := cluster.machinesToTerminate(start); len(terminated) != 0 {
 		t.Fatalf("returned %v of a zone that is dark", terminated)
 	}
 	if !cluster.UnreachableZones()["south"] || cluster.UnreachableZones()["north"] {
@@ -86,12 +90,16 @@
 	// A minute later one of them is heard.
 	for i := range 40 {
 		if machine := cluster.machines.Machines[ids.Machine(fmt.Sprintf("m%02d", i))]; zoneOf(i) == "south" {
-			machine.UnansweredProbes, machine.LastReportAt, machine.SuspectSince, machine.UnreachableSince, machine.FailedCalls = 20, start.Add(-time.Minute), start.Add(-58*time.Second), start.Add(-57*time.Second), 20
+			machine.UnansweredProbes = 20
+			machine.LastReportAt = start.Add(-time.Minute)
+			machine.SuspectSince = start.Add(-58 * time.Second)
+			machine.UnreachableSince = start.Add(-57 * time.Second)
+			machine.FailedCalls = 20
 		}
 	}
 	cluster.heartbeat("m01", "south", 2)
 	cluster.ProbeAnswered("m01", true)
-	if terminated := cluster.MachinesToTerminate(start, map[ids.Machine]bool{}); len(terminated) != 0 {
+	if terminated := cluster.machinesToTerminate(start); len(terminated) != 0 {
 		t.Fatalf("returned %v when the zone came back", terminated)
 	}
 	// Whoever stays silent although the others came back is given up.
@@ -101,8 +109,9 @@
 		}
 	}
 	missing := cluster.machines.Machines["m03"]
-	missing.UnansweredProbes, missing.SuspectSince = 2, start.Add(-3*time.Second)
-	if terminated := cluster.MachinesToTerminate(start, map[ids.Machine]bool{}); len(terminated) != 1 || terminated[0] != "m03" {
+	missing.UnansweredProbes = 2
+	missing.SuspectSince = start.Add(-3 * time.Second)
+	if terminated := cluster.machinesToTerminate(start); len(terminated) != 1 || terminated[0] != "m03" {
 		t.Fatalf("returned %v, not the one that did not come back", terminated)
 	}
 }
@@ -114,12 +123,11 @@
 	// elsewhere, returning the machines would gain nothing.
 	now := time.Now()
 	cluster := newTestState()
-	for i := range 9 {
-		cluster.heartbeat(ids.Machine(fmt.Sprint("n", i)), "north", 1)
-	}
+	cluster.addMachines("n", 9, "north")
 	service := func(id ids.Job, tasks int, machineOf map[int]string) {
-		rec := newRecord(id, "blue", record.Critical, tasks, 1)
-		rec.Spec.Shape, rec.Spec.Spread, rec.Status = record.Service, true, record.Claimed
+		rec := newServiceRecord(id, "blue", record.Critical, tasks, 1)
+		rec.Spec.Spread = true
+		rec.Status = record.Claimed
 		assignments := map[int]*workload.Assignment{}
 		for i, name := range machineOf {
 			assignments[i] = &workload.Assignment{TaskIndex: i, Machine: ids.Machine(name), Incarnation: 1, Attempt: 1, FencingToken: 3}
@@ -132,14 +140,17 @@
 	for i := range 4 {
 		name := ids.Machine(fmt.Sprint("s", i))
 		machine := cluster.machines.Ensure(name, now, now.Add(time.Minute))
-		machine.Zone, machine.Type, machine.Addr = "south", "small", string(name)+":1"
-		machine.UnansweredProbes, machine.SuspectSince = 5, now.Add(time.Second)
+		machine.Zone = "south"
+		machine.Type = "small"
+		machine.Addr = string(name) + ":1"
+		machine.UnansweredProbes = 5
+		machine.SuspectSince = now.Add(time.Second)
 	}
 	cluster.trustSilence = now.Add(17*time.Second + 500*time.Millisecond)
-	if terminated := cluster.MachinesToTerminate(now.Add(3*time.Second), map[ids.Machine]bool{}); len(terminated) != 0 {
+	if terminated := cluster.machinesToTerminate(now.Add(3 * time.Second)); len(terminated) != 0 {
 		t.Fatalf("returned %v while the leases may still last", terminated)
 	}
-	gone := cluster.MachinesToTerminate(now.Add(5*time.Second), map[ids.Machine]bool{})
+	gone := cluster.machinesToTerminate(now.Add(5 * time.Second))
 	if len(gone) != 2 || gone[0] != "s0" || gone[1] != "s1" {
 		t.Fatalf("returned %v, not s0 and s1", gone)
 	}
@@ -149,16 +160,15 @@
 	t.Parallel()
 	now := time.Now()
 	cluster := newTestState()
-	for i := range 4 {
-		cluster.heartbeat(ids.Machine(fmt.Sprint("s", i)), "south", 1)
-	}
-	cluster.HandleRecord("job-1", 1, newRecord("job-1", "blue", record.Normal, 16, 1), now)
+	cluster.addMachines("s", 4, "south")
+	cluster.submit(1, newRecord("job-1", "blue", record.Normal, 16, 1), now)
 	cluster.Plan(now)
 	cluster.markAllStored()
 	for i := range 4 {
 		cluster.heartbeat(ids.Machine(fmt.Sprint("n", i)), "north", 1)
 		machine := cluster.machines.Machines[ids.Machine(fmt.Sprint("s", i))]
-		machine.UnansweredProbes, machine.SuspectSince = 3, time.Now()
+		machine.UnansweredProbes = 3
+		machine.SuspectSince = time.Now()
 	}
 	if !cluster.UnreachableZones()["south"] {
 		t.Fatal("the south is not dark")
--- a/internal/clusterstate/urgency_inheritance_test.go
+++ b/internal/clusterstate/urgency_inheritance_test.go
@@ -38,7 +38,7 @@
 			cluster.jobEnded("job-2", record.Done)
 		}, record.High, record.High},
 		"another urgent one needs one branch, the first goes": {func(cluster *State, now time.Time) {
-			cluster.HandleWaitingJob("job-5", 5, newWaitingRecord("job-5", record.High, 100, "job-3"), now)
+			cluster.submitWaiting(5, newWaitingRecord("job-5", record.High, 100, "job-3"), now)
 			cluster.HandleWaitingJob("job-4", 9, nil, now)
 		}, record.High, record.High},
 		"the first is cancelled": {func(cluster *State, now time.Time) {
@@ -92,12 +92,12 @@
 			cluster.setTeams(config.Team{Name: "red", CPUsMax: 3}, cluster.settings.Params.Teams[1])
 			cluster.heartbeat("m1", "north", 1)
 			cluster.heartbeat("m2", "north", 1)
-			cluster.HandleRecord("job-1", 1, newRecord("job-1", "blue", record.Normal, 8, 1), now)
+			cluster.submit(1, newRecord("job-1", "blue", record.Normal, 8, 1), now)
 			cluster.Plan(now)
 			cluster.markAllStored()
-			cluster.HandleRecord("job-2", 2, newRecord("job-2", "red", record.Low, 8, 1), now)
+			cluster.submit(2, newRecord("job-2", "red", record.Low, 8, 1), now)
 			if hasUrgentDependent {
-				cluster.HandleWaitingJob("job-3", 3, newWaitingRecord("job-3", record.High, 0, "job-2"), now)
+				cluster.submitWaiting(3, newWaitingRecord("job-3", record.High, 0, "job-2"), now)
 			}
 			for range 10 {
 				cluster.Plan(now)
@@ -121,7 +121,7 @@
 			if hasUrgentDependent {
 				want = 3
 			}
-			if low, normal := len(cluster.jobs.Get("job-2").Assignments), len(cluster.jobs.Get("job-1").Assignments); low != want || normal != 8-want {
+			if low, normal := len(cluster.assignmentsOf("job-2")), len(cluster.assignmentsOf("job-1")); low != want || normal != 8-want {
 				t.Errorf("needed by a high job: %v; %d of its tasks are placed, and %d of the normal job's", hasUrgentDependent, low, normal)
 			}
 		}
@@ -150,12 +150,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newTestState()
 		now := time.Now()
-		cluster.HandleRecord("job-1", 1, newRecord("job-1", "red", record.Low, 1, 1), now)
-		cluster.HandleRecord("job-2", 2, newRecord("job-2", "red", record.Normal, 1, 1), now)
-		cluster.HandleWaitingJob("job-3", 3, newWaitingRecord("job-3", record.Low, 0, "job-1"), now)
+		cluster.submit(1, newRecord("job-1", "red", record.Low, 1, 1), now)
+		cluster.submit(2, newRecord("job-2", "red", record.Normal, 1, 1), now)
+		cluster.submitWaiting(3, newWaitingRecord("job-3", record.Low, 0, "job-1"), now)
 		// The last is learned of before one in the middle.
-		cluster.HandleWaitingJob("job-5", 5, newWaitingRecord("job-5", record.High, 100, "job-4"), now)
-		cluster.HandleWaitingJob("job-4", 4, newWaitingRecord("job-4", record.Low, 0, "job-3"), now)
+		cluster.submitWaiting(5, newWaitingRecord("job-5", record.High, 100, "job-4"), now)
+		cluster.submitWaiting(4, newWaitingRecord("job-4", record.Low, 0, "job-3"), now)
 		first := cluster.jobs.Get("job-1")
 		if first.EffectivePriority() != record.High {
 			t.Errorf("the first has priority %s", first.EffectivePriority())
@@ -183,7 +183,7 @@
 		records, revisions := map[ids.Job]*record.Record{}, map[ids.Job]ids.Revision{}
 		job := func(n int) ids.Job { return ids.Job(fmt.Sprintf("job-%d", n)) }
 		for n := range 2 {
-			cluster.HandleRecord(job(n), 1, newRecord(job(n), "red", record.Low, 1, 1), now)
+			cluster.submit(1, newRecord(job(n), "red", record.Low, 1, 1), now)
 		}
 		// Two jobs a layer, each of which awaits both of the layer before. The estimates
 		// are such that no two paths take the same time.
@@ -192,13 +192,13 @@
 			rec.Spec.EstimatedDuration = 1 + ids.Seconds(n%2)*ids.Seconds(math.Exp2(float64(n/2)))*1e-6
 			records[job(n)], revisions[job(n)] = rec, 1
 		}
-		cluster.HandleRecord("job-100", 1, newRecord("job-100", "red", record.Low, 1, 1), now)
+		cluster.submit(1, newRecord("job-100", "red", record.Low, 1, 1), now)
 		for n := 101; n <= 5100; n++ {
 			records[job(n)], revisions[job(n)] = newWaitingRecord(job(n), record.Low, 0, job(n-1)), 1
 		}
 		cluster.LoadWaitingJobs(records, revisions, now)
-		cluster.HandleWaitingJob("job-90", 2, newWaitingRecord("job-90", record.Critical, 1e7, "job-80", "job-81"), now)
-		cluster.HandleWaitingJob("job-6000", 2, newWaitingRecord("job-6000", record.High, 100000, "job-5100"), now)
+		cluster.submitWaiting(2, newWaitingRecord("job-90", record.Critical, 1e7, "job-80", "job-81"), now)
+		cluster.submitWaiting(2, newWaitingRecord("job-6000", record.High, 100000, "job-5100"), now)
 		if priority := cluster.jobs.Get("job-0").EffectivePriority(); priority != record.Critical {
 			t.Errorf("the ladder's first has priority %s", priority)
 		}
--- a/internal/clusterstate/waiting_jobs_test.go
+++ b/internal/clusterstate/waiting_jobs_test.go
@@ -101,7 +101,7 @@
 		now := time.Now()
 		cluster := newStateWithMachines(t, 20)
 		history := newJobHistory(t, 1, 100)
-		cluster.HandleRecord("job-500", 1, newRecord("job-500", "blue", record.Low, 100, 1), now)
+		cluster.submit(1, newRecord("job-500", "blue", record.Low, 100, 1), now)
 		records := newDependents(5000, "job-500")
 		for k := range 5000 {
 			records = append(records, newWaitingRecord(numberedJob(10000+k), record.High, 1000, numberedJob(1000+k), numberedJob(1+k%100)))
@@ -119,8 +119,8 @@
 		cluster.markAllStored()
 		before := machinesExamined(cluster)
 		cluster.Plan(now)
-		if looks := machinesExamined(cluster) - before; looks > 20 || len(cluster.jobs.Get("job-500").Assignments) != 80 {
-			t.Errorf("%d machines were looked at for one job; %d of its tasks are placed", looks, len(cluster.jobs.Get("job-500").Assignments))
+		if looks := machinesExamined(cluster) - before; looks > 20 || len(cluster.assignmentsOf("job-500")) != 80 {
+			t.Errorf("%d machines were looked at for one job; %d of its tasks are placed", looks, len(cluster.assignmentsOf("job-500")))
 		}
 		if cluster.quota.Usage("red").Cores != 0 {
 			t.Errorf("those that wait hold %v cores of their team", cluster.quota.Usage("red").Cores)
@@ -145,7 +145,7 @@
 			live, over := ids.Job(fmt.Sprintf("job-%d", 10000+i/10)), ids.Job(fmt.Sprintf("job-%d", 20000+i/10))
 			id := ids.Job(fmt.Sprintf("job-%d", 30000+i))
 			if i%10 == 0 {
-				cluster.HandleRecord(live, 1, newRecord(live, "red", record.Low, 1, 1), time.Now())
+				cluster.submit(1, newRecord(live, "red", record.Low, 1, 1), time.Now())
 				end := newRecord(over, "red", record.Low, 1, 1)
 				end.Status = record.Done
 				raw, _ := end.Encode(8192)
