--- a/internal/clusterstate/helpers_test.go
+++ b/internal/clusterstate/helpers_test.go
@@ -3,9 +3,7 @@
 import (
 	"fmt"
 	"log/slog"
-	"maps"
 	"os"
-	"slices"
 	"testing"
 	"time"
 
@@ -240,9 +238,10 @@
 	return cluster, cluster.jobs.Get("job-1")
 }
 
-// removeStoppingAssignments removes the assignments that are being stopped, as if their tasks had exited.
+// removeStoppingAssignments removes the assignments that are being stopped, as if their tasks had exited,
+// in the random order of the machines.
 func (c *State) removeStoppingAssignments() {
-	for _, name := range slices.Sorted(maps.Keys(c.machines.Machines)) {
+	for name := range c.machines.Machines {
 		for assignment := range c.capacity.AssignmentsOn(name) {
 			if assignment.Stopping {
 				c.removeAssignment(assignment)
--- a/internal/clusterstate/starvation_test.go
+++ b/internal/clusterstate/starvation_test.go
@@ -31,10 +31,19 @@
 		}
 		for second := range 420 {
 			if second == 30 {
-				submitJob("job-90001", "blue", record.Normal, 700, 1, 60)
-				submitJob("job-90002", "blue", record.Low, 150, 4, 180)
-				submitJob("job-90003", "red", record.Low, 2, 4, 300)
-				for _, id := range []ids.Job{"job-90001", "job-90002", "job-90003"} {
+				// Submitted in the random order of a map.
+				for id, job := range map[ids.Job]struct {
+					team     string
+					priority record.Priority
+					tasks    int
+					cores    float64
+					estimate ids.Seconds
+				}{
+					"job-90001": {"blue", record.Normal, 700, 1, 60},
+					"job-90002": {"blue", record.Low, 150, 4, 180},
+					"job-90003": {"red", record.Low, 2, 4, 300},
+				} {
+					submitJob(id, job.team, job.priority, job.tasks, job.cores, job.estimate)
 					submittedAt[id] = time.Now()
 				}
 			}
