--- a/internal/reconcile/reconciler_test.go
+++ b/internal/reconcile/reconciler_test.go
@@ -128,7 +128,7 @@
 		{"it was reported before", func(*workload.Assignment, *worker.Report, *fakeCluster) {}, "its worker reports it no longer"},
 		{"its start may be on its way", func(a *workload.Assignment, _ *worker.Report, _ *fakeCluster) { a.Confirmed = false }, ""},
 		{"no start was sent", func(a *workload.Assignment, _ *worker.Report, _ *fakeCluster) {
-			a.Confirmed, a.StartSent = false, false
+			a.Confirmed, a.StartSent, a.FencingToken = false, false, earlierToken
 		}, ""},
 		{"its start carries a lower token than the worker has seen", func(a *workload.Assignment, _ *worker.Report, _ *fakeCluster) {
 			a.Confirmed, a.FencingToken = false, earlierToken
