--- a/cmd/pebbletrail/controller.go
+++ b/cmd/pebbletrail/controller.go
@@ -69,10 +69,10 @@
 	c.shards.OnRefused = exitRefusing
 	c.link = peer.NewLink(settings, c.shards, c.state)
 	c.types = &machineTypes{cloud: c.cloud, shards: c.shards}
-	for i, pool := range c.shards.Electors() {
+	for i, elector := range c.shards.Electors() {
 		shard := ids.Shard(i)
-		pool.Peers = c.link.ForShard(shard)
-		pool.OnTerm = func(ctx context.Context, term *election.Term) { c.provision(ctx, pool, shard, term) }
+		elector.Peers = c.link.ForShard(shard)
+		elector.OnTerm = func(ctx context.Context, term *election.Term) { c.provision(ctx, elector, shard, term) }
 	}
 	if settings.DrainsEnabled() {
 		c.rollouts = state.NewWatchCache(c.state, rollout.Prefix, rolloutPollInterval)
@@ -140,9 +140,9 @@
 }
 
 // provision rents and returns machines while this node leads a shard.
-func (c *controller) provision(ctx context.Context, pool *election.Elector, shard ids.Shard, term *election.Term) {
+func (c *controller) provision(ctx context.Context, elector *election.Elector, shard ids.Shard, term *election.Term) {
 	provisioner := &fleet.Provisioner{Cloud: c.cloud, Cluster: term.Cluster, Store: term.Committer, Generation: term.Generation,
-		ConfirmLeadership: func() bool { return pool.LeaseSurelyHeld(term) },
+		ConfirmLeadership: func() bool { return elector.LeaseSurelyHeld(term) },
 		Keys:              record.KeysOf(shard, c.settings.ShardCount()), Shard: shard,
 		ListInterval: max(minListInterval, c.settings.Params.Cloud.ListLagS.Duration()/2)}
 	if c.settings.ShardCount() > 1 {
--- a/cmd/pebbletrail/controller_status.go
+++ b/cmd/pebbletrail/controller_status.go
@@ -24,15 +24,15 @@
 
 // status describes the node for GET /v2/status.
 func (c *controller) status() any {
-	pools := c.shards.Electors()
-	leader, _ := pools[0].Leader()
+	electors := c.shards.Electors()
+	leader, _ := electors[0].Leader()
 	page := map[string]any{"node": c.settings.HostName, "version": version, "incarnation": c.incarnation, "owner": leader}
 	page["took"], page["counts"] = measure.Process.Summary()
-	if len(pools) > 1 {
-		page["shards"] = statusOfShards(pools)
+	if len(electors) > 1 {
+		page["shards"] = statusOfShards(electors)
 		return page
 	}
-	if cluster := pools[0].Cluster(); cluster != nil {
+	if cluster := electors[0].Cluster(); cluster != nil {
 		page["pool"] = cluster.Summary()
 	}
 	return page
@@ -47,11 +47,11 @@
 	Alarms []string `json:"alarms,omitempty"`
 }
 
-func statusOfShards(pools []*election.Elector) (all []shardStatus) {
-	for shard, pool := range pools {
-		leader, _ := pool.Leader()
+func statusOfShards(electors []*election.Elector) (all []shardStatus) {
+	for shard, elector := range electors {
+		leader, _ := elector.Leader()
 		status := shardStatus{Shard: shard, Leader: leader}
-		if cluster := pool.Cluster(); cluster != nil {
+		if cluster := elector.Cluster(); cluster != nil {
 			status.Pool, status.Alarms = cluster.Summary(), cluster.QuotaFaults()
 		}
 		all = append(all, status)
--- a/internal/clusterstate/assignments.go
+++ b/internal/clusterstate/assignments.go
@@ -52,7 +52,7 @@
 	if !assignment.Confirmed && !c.noDirectStartOutstanding(assignment) && c.underCurrentGeneration(assignment) {
 		// A late start could yet begin it: raise the token so that the worker
 		// turns that away once it hears.
-		c.raiseWanted = true
+		c.raisePending = true
 		wait.Signal(c.commitSignal)
 	}
 	wait.Signal(c.planSignal)
--- a/internal/clusterstate/dependencies.go
+++ b/internal/clusterstate/dependencies.go
@@ -111,7 +111,7 @@
 
 // scheduleLookup has it looked up how a job ended.
 func (c *State) scheduleLookup(id ids.Job, now time.Time) {
-	if _, asked := c.dependencies.lookups[id]; !asked {
+	if _, scheduled := c.dependencies.lookups[id]; !scheduled {
 		c.dependencies.lookups[id] = now
 	}
 }
--- a/internal/clusterstate/hints.go
+++ b/internal/clusterstate/hints.go
@@ -39,7 +39,7 @@
 
 // Hints lists the machines of which something changed since a position, or
 // all if it is not this leader's.
-func (c *State) Hints(since HintPosition) (out []Hint, to HintPosition) {
+func (c *State) Hints(since HintPosition) (hints []Hint, to HintPosition) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	to = HintPosition{Generation: c.firstGeneration, Sequence: c.hintSequence, Complete: since.Generation != c.firstGeneration}
@@ -48,10 +48,10 @@
 	}
 	for _, machine := range c.machines.Machines {
 		if (machine.HasReported || machine.Booting) && !machine.Deleting && machine.HintSequence > since.Sequence {
-			out = append(out, Hint{machine.Name, machine.Addr, machine.Type, machine.Zone, machine.Spot, machine.Incarnation, machine.Images.Copy(), !machine.HasReported, time.Since(machine.ProvisionedAt)})
+			hints = append(hints, Hint{machine.Name, machine.Addr, machine.Type, machine.Zone, machine.Spot, machine.Incarnation, machine.Images.Copy(), !machine.HasReported, time.Since(machine.ProvisionedAt)})
 		}
 	}
-	return out, to
+	return hints, to
 }
 
 // ApplyHints takes in what an earlier leader told of machines that have not reported to this one.
--- a/internal/clusterstate/state.go
+++ b/internal/clusterstate/state.go
@@ -72,8 +72,8 @@
 
 	// generation is the fencing token that commands carry now. raiseWanted tells that it should rise, to turn
 	// late starts away.
-	generation  ids.Generation
-	raiseWanted bool
+	generation   ids.Generation
+	raisePending bool
 	// trustSilence is the earliest that the lease of an unheard machine counts as expired: an earlier leader
 	// may have gone on answering its worker until its own grace period ended.
 	trustSilence    time.Time
--- a/internal/clusterstate/store_changes.go
+++ b/internal/clusterstate/store_changes.go
@@ -66,7 +66,7 @@
 	if !limits.Scarce {
 		c.collectCancelledMoves(group.add) // told as cancelled already: these can wait
 	}
-	return group.changes, c.raiseWanted
+	return group.changes, c.raisePending
 }
 
 // collectChangedJobs collects the jobs whose changes are due.
@@ -190,7 +190,7 @@
 func (c *State) GenerationRaised(generation ids.Generation) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.generation, c.raiseWanted = generation, false
+	c.generation, c.raisePending = generation, false
 	for _, node := range c.capacity.Nodes() {
 		if len(node.Assignments) > 0 {
 			c.commands.Add(node) // markers not sent yet must carry the new token
--- a/internal/election/record_loading.go
+++ b/internal/election/record_loading.go
@@ -62,7 +62,7 @@
 		return nil, 0, fmt.Errorf("read records: %w", err)
 	}
 	jobs, epoch = l.jobs.Entries()
-	if term.OpenProvisioningRequests, _, err = l.store.ListAll(ctx, l.keys.Hires(), state.Urgent); err != nil {
+	if term.OpenProvisioningRequests, _, err = l.store.ListAll(ctx, l.keys.ProvisioningRequests(), state.Urgent); err != nil {
 		return nil, 0, fmt.Errorf("read provisioning requests: %w", err)
 	}
 	if l.settings.ShardCount() > 1 {
--- a/internal/fleet/provisioner_test.go
+++ b/internal/fleet/provisioner_test.go
@@ -36,9 +36,9 @@
 	}
 	for _, op := range ops {
 		if op.Put != "" {
-			s.names[strings.TrimPrefix(op.Put, record.KeysOf(0, 1).Hires())] = true
+			s.names[strings.TrimPrefix(op.Put, record.KeysOf(0, 1).ProvisioningRequests())] = true
 		} else {
-			delete(s.names, strings.TrimPrefix(op.Remove, record.KeysOf(0, 1).Hires()))
+			delete(s.names, strings.TrimPrefix(op.Remove, record.KeysOf(0, 1).ProvisioningRequests()))
 		}
 	}
 	return nil
--- a/internal/fleet/requests.go
+++ b/internal/fleet/requests.go
@@ -203,5 +203,5 @@
 }
 
 func (p *Provisioner) requestKey(name ids.ProvisioningRequest) string {
-	return p.Keys.Hires() + string(name)
+	return p.Keys.ProvisioningRequests() + string(name)
 }
--- a/internal/peer/convert.go
+++ b/internal/peer/convert.go
@@ -55,20 +55,20 @@
 	return clusterstate.HintPosition{Generation: mark.Gen, Sequence: mark.Seq, Complete: mark.Whole, ReceivedAt: mark.At}
 }
 
-func strandToWire(strand liveness.RedirectedWorker) Strand {
-	return Strand{Machine: strand.Machine, Ago: strand.Ago}
+func redirectedWorkerToWire(redirected liveness.RedirectedWorker) Strand {
+	return Strand{Machine: redirected.Machine, Ago: redirected.Ago}
 }
 
-func strandFromWire(strand Strand) liveness.RedirectedWorker {
-	return liveness.RedirectedWorker{Machine: strand.Machine, Ago: strand.Ago}
+func redirectedWorkerFromWire(redirected Strand) liveness.RedirectedWorker {
+	return liveness.RedirectedWorker{Machine: redirected.Machine, Ago: redirected.Ago}
 }
 
-func lackToWire(lack provisioning.Shortage) Lack {
-	return Lack{For: lack.Duration, Machines: lack.Machines}
+func shortageToWire(shortage provisioning.Shortage) Lack {
+	return Lack{For: shortage.Duration, Machines: shortage.Machines}
 }
 
-func lackFromWire(lack Lack) provisioning.Shortage {
-	return provisioning.Shortage{Duration: lack.For, Machines: lack.Machines}
+func shortageFromWire(shortage Lack) provisioning.Shortage {
+	return provisioning.Shortage{Duration: shortage.For, Machines: shortage.Machines}
 }
 
 func specToWire(spec *rollout.Spec) RolloutSpec {
--- a/internal/peer/convert_test.go
+++ b/internal/peer/convert_test.go
@@ -18,8 +18,8 @@
 	hint := clusterstate.Hint{Name: "host-000001", Address: "10.1.0.1:9000", Type: "small", Zone: "north", Spot: true, Incarnation: 2,
 		Images: worker.Images{Names: []string{"img"}, Sizes: []float64{1.5}}, Booting: true, ProvisionedFor: 3 * time.Second}
 	mark := clusterstate.HintPosition{Generation: 7, Sequence: 12, Complete: true, ReceivedAt: time.Unix(1700000000, 0)}
-	strand := liveness.RedirectedWorker{Machine: "host-000002", Ago: 3 * time.Second}
-	lack := provisioning.Shortage{Duration: 4 * time.Second, Machines: 5}
+	redirected := liveness.RedirectedWorker{Machine: "host-000002", Ago: 3 * time.Second}
+	shortage := provisioning.Shortage{Duration: 4 * time.Second, Machines: 5}
 	spec := rollout.Spec{Name: "spring", Replace: true, Surge: true, WaveSize: 2, Pause: 3, Deadline: 4, AtDeadline: "wait", Observe: 5,
 		Select: rollout.Selection{Machines: []ids.Machine{"host-000001"}, Digest: "d", Zone: "north", Type: "small", Older: true}}
 	plan := rollout.Preview{Machines: []ids.Machine{"host-000001"}, Waves: [][]ids.Machine{{"host-000001"}}, Takes: 6,
@@ -28,8 +28,8 @@
 	for name, testCase := range map[string]struct{ original, onWire, back any }{
 		"hint":   {hint, hintToWire(hint), hintFromWire(hintToWire(hint))},
 		"mark":   {mark, markToWire(mark), markFromWire(markToWire(mark))},
-		"strand": {strand, strandToWire(strand), strandFromWire(strandToWire(strand))},
-		"lack":   {lack, lackToWire(lack), lackFromWire(lackToWire(lack))},
+		"strand": {redirected, redirectedWorkerToWire(redirected), redirectedWorkerFromWire(redirectedWorkerToWire(redirected))},
+		"lack":   {shortage, shortageToWire(shortage), shortageFromWire(shortageToWire(shortage))},
 		"spec":   {spec, specOnWire, *specFromWire(&specOnWire)},
 		"plan":   {plan, planOnWire, *planFromWire(&planOnWire)},
 	} {
--- a/internal/peer/drains.go
+++ b/internal/peer/drains.go
@@ -40,8 +40,8 @@
 }
 
 // planDrain makes a plan from the cluster state of this node, or returns claim.ErrNotLeader.
-func planDrain(pool *election.Elector, spec *rollout.Spec) (*rollout.Preview, error) {
-	cluster := pool.Cluster()
+func planDrain(elector *election.Elector, spec *rollout.Spec) (*rollout.Preview, error) {
+	cluster := elector.Cluster()
 	if cluster == nil {
 		return nil, election.ErrNotLeader
 	}
@@ -51,11 +51,11 @@
 // PlanDrain asks the leader for the plan of a rollout. The error is a rollout.ErrBadSpec if the
 // description can't be carried out, and claim.ErrNotLeader if no leader is known.
 func (l *Link) PlanDrain(ctx context.Context, spec *rollout.Spec) (*rollout.Preview, error) {
-	pool := l.shards.Electors()[0]
-	if pool.Cluster() != nil {
-		return planDrain(pool, spec)
+	elector := l.shards.Electors()[0]
+	if elector.Cluster() != nil {
+		return planDrain(elector, spec)
 	}
-	leader, known := pool.Leader()
+	leader, known := elector.Leader()
 	if !known {
 		return nil, election.ErrNotLeader
 	}
@@ -72,11 +72,11 @@
 // DrainWaits asks the leader what the machines being drained wait for. The error is
 // claim.ErrNotLeader if no leader is known.
 func (l *Link) DrainWaits(ctx context.Context) (map[ids.Machine][]string, error) {
-	pool := l.shards.Electors()[0]
-	if cluster := pool.Cluster(); cluster != nil {
+	elector := l.shards.Electors()[0]
+	if cluster := elector.Cluster(); cluster != nil {
 		return cluster.DrainBlockers(), nil
 	}
-	leader, known := pool.Leader()
+	leader, known := elector.Leader()
 	if !known {
 		return nil, election.ErrNotLeader
 	}
--- a/internal/peer/greeting.go
+++ b/internal/peer/greeting.go
@@ -53,12 +53,12 @@
 func (l *Link) hello(marks []clusterstate.HintPosition) ShardsHello {
 	age, ok := l.store.SinceSuccess()
 	hello := ShardsHello{Hello: Hello{Node: l.settings.HostName, StateOK: ok && age < heardWithin}}
-	for shard, pool := range l.shards.Electors() {
+	for shard, elector := range l.shards.Electors() {
 		var mark *clusterstate.HintPosition
 		if shard < len(marks) {
 			mark = &marks[shard]
 		}
-		hello.Shards = append(hello.Shards, shardHello(pool, mark))
+		hello.Shards = append(hello.Shards, shardHello(elector, mark))
 	}
 	if len(hello.Shards) == 1 {
 		hello.Hello.setShard(hello.Shards[0])
@@ -68,14 +68,14 @@
 
 // shardHello tells how this node stands to one shard. The hints since a mark are only told if it is
 // known.
-func shardHello(pool *election.Elector, since *clusterstate.HintPosition) (hello ShardHello) {
-	cluster := pool.Cluster()
+func shardHello(elector *election.Elector, since *clusterstate.HintPosition) (hello ShardHello) {
+	cluster := elector.Cluster()
 	if cluster == nil {
-		hello.Stranded = convertAll(pool.RedirectedWorkers(), strandToWire)
-		hello.Have = markToWire(pool.HintPosition())
+		hello.Stranded = convertAll(elector.RedirectedWorkers(), redirectedWorkerToWire)
+		hello.Have = markToWire(elector.HintPosition())
 		return hello
 	}
-	hello.Owner, hello.Lack = true, lackToWire(cluster.Shortage())
+	hello.Owner, hello.Lack = true, shortageToWire(cluster.Shortage())
 	if since != nil {
 		hints, mark := cluster.Hints(*since)
 		hello.Hints, hello.Have = convertAll(hints, hintToWire), markToWire(mark)
@@ -94,10 +94,10 @@
 	}
 	l.receive(answer)
 	l.store.Budget().AddBorrowed(answer.Hello.Lent, sent)
-	for shard, pool := range l.shards.Electors() {
+	for shard, elector := range l.shards.Electors() {
 		if shard < len(answer.Shards) && answer.Shards[shard].Owner {
-			told := &answer.Shards[shard]
-			pool.ReceiveHints(convertAll(told.Hints, hintFromWire), markFromWire(told.Have))
+			received := &answer.Shards[shard]
+			elector.ReceiveHints(convertAll(received.Hints, hintFromWire), markFromWire(received.Have))
 		}
 	}
 }
@@ -121,14 +121,14 @@
 	if !hello.Hello.StateOK {
 		return // stepping down for a node that is not served itself would help nobody
 	}
-	for shard, pool := range l.shards.Electors() {
+	for shard, elector := range l.shards.Electors() {
 		if shard >= len(hello.Shards) {
 			break
 		}
-		told := &hello.Shards[shard]
-		pool.HandleRedirectedWorkers(convertAll(told.Stranded, strandFromWire))
-		if len(hello.Shards) > 1 && told.Owner {
-			l.shards.ReportShortage(ids.Shard(shard), lackFromWire(told.Lack))
+		received := &hello.Shards[shard]
+		elector.HandleRedirectedWorkers(convertAll(received.Stranded, redirectedWorkerFromWire))
+		if len(hello.Shards) > 1 && received.Owner {
+			l.shards.ReportShortage(ids.Shard(shard), shortageFromWire(received.Lack))
 		}
 	}
 }
--- a/internal/peer/jobs.go
+++ b/internal/peer/jobs.go
@@ -16,16 +16,16 @@
 
 // Learn takes in another controller's write of a job's record.
 func (s *Service) Learn(in *Wrote, _ *Empty) error {
-	pool := s.link.shards.ForJob(in.Job)
+	elector := s.link.shards.ForJob(in.Job)
 	if len(in.Raw) == 0 {
-		pool.HandleRecord(in.Job, in.Stamp, nil)
+		elector.HandleRecord(in.Job, in.Stamp, nil)
 		return nil
 	}
 	rec, err := record.Decode(json.RawMessage(in.Raw))
 	if err != nil {
 		return err
 	}
-	pool.HandleRecord(in.Job, in.Stamp, rec)
+	elector.HandleRecord(in.Job, in.Stamp, rec)
 	return nil
 }
 
@@ -40,13 +40,13 @@
 // it knows, or can't be told. The goroutine that tells it ends within the timeouts of one call.
 func (l *Link) NotifyLeader(id ids.Job, stamp ids.Revision, rec *record.Record, raw json.RawMessage) <-chan struct{} {
 	done := make(chan struct{})
-	pool := l.shards.ForJob(id)
-	if pool.Cluster() != nil {
-		pool.HandleRecord(id, stamp, rec)
+	elector := l.shards.ForJob(id)
+	if elector.Cluster() != nil {
+		elector.HandleRecord(id, stamp, rec)
 		close(done)
 		return done
 	}
-	leader, known := pool.Leader()
+	leader, known := elector.Leader()
 	if !known {
 		close(done)
 		return done
@@ -63,11 +63,11 @@
 
 // Explain asks the leader why a job's tasks wait, and names it. Users read the texts of its errors.
 func (l *Link) Explain(ctx context.Context, id ids.Job) (lines []string, leader ids.Node, err error) {
-	pool := l.shards.ForJob(id)
-	if lines, err := pool.Explain(id); err == nil {
+	elector := l.shards.ForJob(id)
+	if lines, err := elector.Explain(id); err == nil {
 		return lines, l.settings.HostName, nil
 	}
-	leader, known := pool.Leader()
+	leader, known := elector.Leader()
 	if !known {
 		return nil, "", errNoKnownLeader
 	}
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -42,15 +42,15 @@
 	settings.Params.Limits.MaxSockets = 100
 	client := c.net.Client(string(name))
 	store := state.NewClient("state:1", client, state.NewBudget(500, 200, 2, 0.6))
-	pool := election.NewElector(settings, store, &worker.Commander{HTTP: client, Timeout: time.Second}, string(name)+".1")
-	link := NewLink(settings, election.NewSingleShard(pool), store)
+	elector := election.NewElector(settings, store, &worker.Commander{HTTP: client, Timeout: time.Second}, string(name)+".1")
+	link := NewLink(settings, election.NewSingleShard(elector), store)
 	link.connections.dial = c.pipes.Dial
-	pool.Peers = link.ForShard(0)
+	elector.Peers = link.ForShard(0)
 	go link.Serve(c.pipes.Listen(string(name)))
 	link.Run(ctx)
-	go pool.Run(ctx)
+	go elector.Run(ctx)
 	go callRepeatedly(ctx, store)
-	return pool, link
+	return elector, link
 }
 
 // callRepeatedly keeps a controller's view of the store fresh.
--- a/internal/peer/takeover.go
+++ b/internal/peer/takeover.go
@@ -16,8 +16,8 @@
 // StoppedShard confirms that no heartbeats of a shard are answered under older generations. A shard
 // that this node does not have is not confirmed.
 func (s *Service) StoppedShard(in *ShardTook, out *Confirmed) error {
-	if pools := s.link.shards.Electors(); in.Shard >= 0 && int(in.Shard) < len(pools) {
-		out.Stopped = pools[in.Shard].ConfirmStopped(in.Generation)
+	if electors := s.link.shards.Electors(); in.Shard >= 0 && int(in.Shard) < len(electors) {
+		out.Stopped = electors[in.Shard].ConfirmStopped(in.Generation)
 	}
 	return nil
 }
--- a/internal/record/keys.go
+++ b/internal/record/keys.go
@@ -66,5 +66,5 @@
 // Generation is the key of the shard's last generation, which each failover raises.
 func (k ShardKeys) Generation() string { return k.prefix + "generation" }
 
-// Hires is the prefix of the shard's provisioning requests.
-func (k ShardKeys) Hires() string { return k.prefix + "hire/" }
+// ProvisioningRequests is the prefix of the shard's provisioning requests.
+func (k ShardKeys) ProvisioningRequests() string { return k.prefix + "hire/" }
--- a/internal/scenarios/shard_cluster_test.go
+++ b/internal/scenarios/shard_cluster_test.go
@@ -29,7 +29,7 @@
 			for i := range machines {
 				hosts = append(hosts, fmt.Sprintf("m%d-%d", shard, i))
 			}
-			c.storeValue(record.KeysOf(ids.Shard(shard), c.shardCount).Hires()+"first", map[string]any{"hire": "first", "hosts": hosts})
+			c.storeValue(record.KeysOf(ids.Shard(shard), c.shardCount).ProvisioningRequests()+"first", map[string]any{"hire": "first", "hosts": hosts})
 		}
 		for _, name := range fiveNodeNames {
 			c.startNode(name)
--- a/internal/scenarios/shards_test.go
+++ b/internal/scenarios/shards_test.go
@@ -149,7 +149,7 @@
 	t.Parallel()
 	shardScenario(t, 1, func(t *testing.T, c *shardCluster) {
 		time.Sleep(5 * time.Second)
-		key := record.KeysOf(2, c.shardCount).Hires() + "h-s2-1-1"
+		key := record.KeysOf(2, c.shardCount).ProvisioningRequests() + "h-s2-1-1"
 		c.storeValue(key, map[string]any{"hire": "h-s2-1-1", "count": 1})
 		for _, name := range []string{"provisioned", "unknown"} {
 			worker := c.startWorker(name, "north")
--- a/internal/wirenames/names_test.go
+++ b/internal/wirenames/names_test.go
@@ -174,7 +174,7 @@
 	keys := []string{record.PoolPrefix, record.TypesKey, record.JobKey("J"), record.EndKey("J"), record.WaitKey("J"), record.CancelKey("J"),
 		quota.Prefix, rollout.Prefix}
 	for _, shard := range []record.ShardKeys{record.KeysOf(0, 1), record.KeysOf(2, 3)} {
-		keys = append(keys, shard.Leader(), shard.Generation(), shard.Hires())
+		keys = append(keys, shard.Leader(), shard.Generation(), shard.ProvisioningRequests())
 	}
 	return keys
 }
