--- a/cmd/pebbletrail/controller.go
+++ b/cmd/pebbletrail/controller.go
@@ -139,7 +139,7 @@
 	}
 }
 
-// provision rents and returns machines while this node leads a shard.
+// provision provisions and terminates machines while this node leads a shard.
 func (c *controller) provision(ctx context.Context, elector *election.Elector, shard ids.Shard, term *election.Term) {
 	provisioner := &fleet.Provisioner{Cloud: c.cloud, Cluster: term.Cluster, Store: term.Committer, Generation: term.Generation,
 		ConfirmLeadership: func() bool { return elector.LeaseSurelyHeld(term) },
--- a/cmd/pebbletrail/explain.go
+++ b/cmd/pebbletrail/explain.go
@@ -32,7 +32,7 @@
 	return command
 }
 
-// explanationText is an explanation for people: the events of the job's trail, oldest first, then
+// explanationText is an explanation for people: the job's events, oldest first, then
 // what holds now.
 func explanationText(explanation *intake.Explanation) string {
 	var text strings.Builder
--- a/internal/clusterstate/dependencies.go
+++ b/internal/clusterstate/dependencies.go
@@ -162,7 +162,7 @@
 	}
 }
 
-// refreshDurations takes in that fetches may take another time than thought.
+// refreshDurations takes in that image pulls may take another time than thought.
 func (c *State) refreshDurations() {
 	c.applyGraphChanges(c.dependencies.graph.UpdateDurations(func(id ids.Job) time.Duration {
 		return c.estimates.JobDuration(&c.dependencies.waiting[id].Record.Spec)
--- a/internal/clusterstate/explain.go
+++ b/internal/clusterstate/explain.go
@@ -83,7 +83,7 @@
 	return lines
 }
 
-// describeZones tells where a job's tasks are, by zone, and what those in a dark one
+// describeZones tells where a job's tasks are, by zone, and what those in an unreachable one
 // wait for.
 func (c *State) describeZones(job *workload.Job, now time.Time) (lines []string) {
 	at, dark := map[string]int{}, map[string]int{}
--- a/internal/clusterstate/operations.go
+++ b/internal/clusterstate/operations.go
@@ -35,7 +35,7 @@
 	o.cluster.markUrgent(job)
 }
 
-// RecordRestarts tells in a job's trail which lost tasks were assigned anew.
+// RecordRestarts tells in a job's events which lost tasks were assigned anew.
 func (o operations) RecordRestarts(job *workload.Job, assigned []*workload.Assignment) {
 	o.cluster.reconciler.RecordRestarts(job, assigned)
 }
@@ -59,7 +59,7 @@
 // FinishIfComplete moves a job to its final status when nothing is left of it.
 func (o operations) FinishIfComplete(job *workload.Job) { o.cluster.finishIfComplete(job) }
 
-// RecordEvent adds a line to a job's trail.
+// RecordEvent adds an event to a job.
 func (o operations) RecordEvent(job *workload.Job, format string, args ...any) {
 	o.cluster.recordEvent(job, format, args...)
 }
--- a/internal/clusterstate/state.go
+++ b/internal/clusterstate/state.go
@@ -143,7 +143,7 @@
 // PlanWanted is ready to be read once something changed that planning should look at.
 func (c *State) PlanWanted() <-chan struct{} { return c.planSignal }
 
-// recordEvent appends to the job's trail, bounded.
+// recordEvent appends to the job's events, whose number is bounded.
 func (c *State) recordEvent(job *workload.Job, format string, args ...any) {
 	limit := int(c.settings.Operator.TrailEvents)
 	what := fmt.Sprintf(format, args...)
--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -16,12 +16,12 @@
 // machineBooting is the status of all machines of a Cloud.
 const machineBooting = "booting"
 
-// defaultTypes is the machine type that a Cloud rents.
+// defaultTypes is the machine type that a Cloud provisions.
 const defaultTypes = `{"builds":[{"label":"small","cores":4,"accelerators":0,"ramGb":16,"localGb":20,"pullGbPerS":1,"price":1,"marketPrice":0.4,"bootS":30,"yards":["north","south"]}]}`
 
 // The cloud's messages.
 type (
-	// cloudMachine is a rented machine.
+	// cloudMachine is a provisioned machine.
 	cloudMachine struct {
 		Name          string  `json:"uid"`
 		Endpoint      string  `json:"endpoint"`
@@ -32,12 +32,12 @@
 		HeldSeconds   float64 `json:"heldS"`
 		provisionedAt time.Time
 	}
-	// machineList is a page of the machines rented.
+	// machineList is a page of the machines provisioned.
 	machineList struct {
 		Machines []*cloudMachine `json:"hosts"`
 		More     bool            `json:"more"`
 	}
-	// provisioningRequest asks for machines; the same name again rents nothing more.
+	// provisioningRequest asks for machines; the same name again provisions nothing more.
 	provisioningRequest struct {
 		Name  string `json:"hire"`
 		Type  string `json:"build"`
@@ -45,24 +45,24 @@
 		Spot  bool   `json:"loaners"`
 		Count int    `json:"count"`
 	}
-	// machineNames names machines that were rented, or are to be deleted.
+	// machineNames names machines that were provisioned, or are to be deleted.
 	machineNames struct {
 		Names []string `json:"hosts"`
 	}
 )
 
-// Cloud is a fake of the cloud's interface. It rents names only; a test starts the workers that it
+// Cloud is a fake of the cloud's interface. It provisions names only; a test starts the workers that it
 // wants to come up.
 type Cloud struct {
 	// mu guards the fields below. onDelete is called under it.
 	mu    sync.Mutex
 	types json.RawMessage
-	// provisioned are the machines rented, by name of the request.
+	// provisioned are the machines provisioned, by name of the request.
 	provisioned map[string][]string
 	machines    []*cloudMachine
 	deleted     []string
 	lastNumber  int
-	// capacity is how many more machines it rents.
+	// capacity is how many more machines it provisions.
 	capacity int
 	down     bool
 	// onDelete is told of each machine before its deletion is confirmed; nil: nobody is.
@@ -74,7 +74,7 @@
 	return &Cloud{capacity: capacity, provisioned: map[string][]string{}, types: json.RawMessage(defaultTypes)}
 }
 
-// ProvisioningRequests is what each provisioning request rented, by its name.
+// ProvisioningRequests is what each provisioning request provisioned, by its name.
 func (c *Cloud) ProvisioningRequests() map[string][]string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -92,10 +92,10 @@
 	c.down = down
 }
 
-// Machine is a machine that the cloud has rented.
+// Machine is a machine that the cloud has provisioned.
 type Machine struct{ Name, Zone string }
 
-// Machines lists the machines rented and not deleted, in order.
+// Machines lists the machines provisioned and not deleted, in order.
 func (c *Cloud) Machines() (hosts []Machine) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -113,7 +113,7 @@
 	c.onDelete = f
 }
 
-// SetCapacity sets how many more machines it rents.
+// SetCapacity sets how many more machines it provisions.
 func (c *Cloud) SetCapacity(machines int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -169,7 +169,7 @@
 	return page
 }
 
-// provision rents as many machines as there is room for; a repeated request rents nothing.
+// provision provisions as many machines as there is room for; a repeated request provisions nothing.
 func (c *Cloud) provision(w http.ResponseWriter, r *http.Request) {
 	var request provisioningRequest
 	if !readJSON(w, r, &request) {
@@ -193,7 +193,7 @@
 	writeJSON(w, http.StatusOK, machineNames{names})
 }
 
-// addMachine rents one machine.
+// addMachine provisions one machine.
 func (c *Cloud) addMachine(request *provisioningRequest) (name string) {
 	c.lastNumber++
 	name = fmt.Sprintf("host-%06d", c.lastNumber)
--- a/internal/fleet/provisioner.go
+++ b/internal/fleet/provisioner.go
@@ -35,7 +35,7 @@
 	// ListInterval spaces the reads of the machine list; it lags anyway.
 	ListInterval time.Duration
 	// ConfirmLeadership tells whether no other node can be leader yet; nil: none ever is. The cloud knows
-	// nothing of fencing tokens: a leader that stood still, or waited, for longer than its lease
+	// nothing of fencing tokens: a leader that was paused, or waited, for longer than its lease
 	// could delete the machines on which its successor has started work. So it is asked right
 	// before a deletion or request is sent.
 	ConfirmLeadership func() bool
--- a/internal/intake/explain.go
+++ b/internal/intake/explain.go
@@ -50,7 +50,7 @@
 	return s.explainRecord(ctx, records, stored.record), true, nil
 }
 
-// explainRecord tells a job's trail, the forecast of its pipeline, and, unless it is over or waits
+// explainRecord tells a job's events, the forecast of its pipeline, and, unless it is over or waits
 // for its dependencies, what the leader says of its tasks.
 func (s *Server) explainRecord(ctx context.Context, records *recordReader, rec *record.Record) Explanation {
 	id := rec.Spec.ID
--- a/internal/quota/rebalancer.go
+++ b/internal/quota/rebalancer.go
@@ -83,7 +83,7 @@
 }
 
 // commit sends one transfer. One without an answer, or that conflicts, is settled by what is
-// stored: the news may be long in coming.
+// stored: the change may be long in coming.
 func (r *Rebalancer) commit(ctx context.Context, transfer *Transfer) {
 	txn, err := transfer.Txn(r.fence())
 	if err != nil {
@@ -100,7 +100,7 @@
 	}
 }
 
-// refresh reads a team's ledger. If that fails, the news of it has to be waited for.
+// refresh reads a team's ledger. If that fails, a change of it has to be waited for.
 func (r *Rebalancer) refresh(ctx context.Context, team string) {
 	entry, found, err := r.store.Get(ctx, LedgerKey(team), state.Normal)
 	if err == nil && found {
--- a/internal/quota/transfer.go
+++ b/internal/quota/transfer.go
@@ -75,7 +75,7 @@
 		encoded, _ := json.Marshal(transfer.next) // Txn has encoded the same ledger before
 		t.applyLedger(transfer.Team, state.Change{Put: LedgerKey(transfer.Team), Value: encoded, Revision: ids.Revision(at)})
 	case refused && !transfer.uncertain:
-		quota.transfer = nil // surely not applied; news of what is stored follows
+		quota.transfer = nil // surely not applied; a change tells what is stored
 	case errors.Is(err, state.ErrMalformed):
 		quota.transfer = nil
 		quota.fault = fmt.Errorf("the ledger of team %s can't be stored: %w", transfer.Team, err)
--- a/internal/rehearsal/drain.go
+++ b/internal/rehearsal/drain.go
@@ -31,7 +31,7 @@
 }
 
 // drainTeams are three teams with a service each; the last one has low jobs too.
-// Together they fit on the machines, so that none is rented but in place of another.
+// Together they fit on the machines, so that none is provisioned but in place of another.
 func drainTeams(machines int) []drainTeam {
 	cores := float64(machines)
 	return []drainTeam{
@@ -52,7 +52,7 @@
 	// readyTime is how long a replica has to run to count as up.
 	readyTime = 2 * time.Second
 	// cloudCapacityFactor is how many times the machines the cloud has: a new leader, which has not
-	// had a heartbeat of all machines yet, rents some more, and none is returned for being idle here.
+	// had a heartbeat of all machines yet, provisions some more, and none is returned for being idle here.
 	cloudCapacityFactor = 4
 	// minLowTaskDuration is how long a task of a low job takes at least, and again as long at most.
 	minLowTaskDuration = 8 * time.Second
--- a/internal/rehearsal/drain_faults.go
+++ b/internal/rehearsal/drain_faults.go
@@ -8,7 +8,7 @@
 )
 
 // injectFaults has controllers, machines and a replacement fail, wave by wave: the leader is killed
-// twice, one controller stands still for longer than its lease, three machines stop by themselves,
+// twice, one controller is paused for longer than its lease, three machines stop by themselves,
 // and one replacement never comes up, which halts the rollout until it is resumed.
 func (r *drainRun) injectFaults(rng *rand.Rand, deadline time.Time) error {
 	for i, inject := range []func(){
@@ -71,7 +71,7 @@
 	}
 }
 
-// failNextReplacement has the next machine that is rented never come up.
+// failNextReplacement has the next machine that is provisioned never come up.
 func (r *drainRun) failNextReplacement() {
 	r.cluster.cloud.failNextBoot()
 	r.cluster.record(Event{Kind: FaultInjected, Where: "cloud", Why: "the next machine rented never comes up"})
--- a/internal/rehearsal/drain_scenario.go
+++ b/internal/rehearsal/drain_scenario.go
@@ -84,7 +84,7 @@
 }
 
 // awaitMachines waits until the leader has had a heartbeat of every machine: for what is submitted
-// before, it would rent others.
+// before, it would provision others.
 func (r *drainRun) awaitMachines(deadline time.Time) error {
 	return waitUntil(deadline, "all machines were heard", func() bool {
 		for _, controller := range r.cluster.controllers {
--- a/internal/rehearsal/fake_cloud.go
+++ b/internal/rehearsal/fake_cloud.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// machineTypeJSON is the machine type that the fake cloud rents, with so many accelerators.
+// machineTypeJSON is the machine type that the fake cloud provisions, with so many accelerators.
 const machineTypeJSON = `{"label":"standard","cores":8,"accelerators":%d,"ramGb":64,"localGb":50,"pullGbPerS":1,"price":1,"marketPrice":0.4,"bootS":2,"yards":["north","south"]}`
 
-// cloudMachine is a rented machine.
+// cloudMachine is a provisioned machine.
 type cloudMachine struct {
 	Name          string  `json:"uid"`
 	Endpoint      string  `json:"endpoint"`
@@ -31,32 +31,32 @@
 	machineFailed  = "failed"
 )
 
-// provisioningRequest asks for machines; the same name again rents nothing more.
+// provisioningRequest asks for machines; the same name again provisions nothing more.
 type provisioningRequest struct {
 	Name  string `json:"hire"`
 	Zone  string `json:"yard"`
 	Count int    `json:"count"`
 }
 
-// machineNames names machines that were rented, or are to be deleted.
+// machineNames names machines that were provisioned, or are to be deleted.
 type machineNames struct {
 	Names []string `json:"hosts"`
 }
 
-// fakeCloud answers like the cloud, and starts a worker for each machine rented.
+// fakeCloud answers like the cloud, and starts a worker for each machine provisioned.
 type fakeCloud struct {
 	// accelerators are those of each machine.
 	accelerators int
 
 	// mu guards the fields below. boot and stop are called under it.
 	mu sync.Mutex
-	// capacity is how many more machines it rents.
+	// capacity is how many more machines it provisions.
 	capacity   int
 	lastNumber int
 	machines   []*cloudMachine
-	// provisioned are the machines rented, by name of the request.
+	// provisioned are the machines provisioned, by name of the request.
 	provisioned map[string][]string
-	// nextBootFails has the next machine that is rented never come up.
+	// nextBootFails has the next machine that is provisioned never come up.
 	nextBootFails bool
 	// boot starts a machine's worker and returns its address; stop ends it with all on it.
 	boot func(name, zone string) (endpoint string, err error)
@@ -98,7 +98,7 @@
 	return listed
 }
 
-// handleProvision rents as many machines as there is room for; a repeated request rents nothing.
+// handleProvision provisions as many machines as there is room for; a repeated request provisions nothing.
 func (c *fakeCloud) handleProvision(w http.ResponseWriter, r *http.Request) {
 	var request provisioningRequest
 	if json.NewDecoder(r.Body).Decode(&request) != nil || request.Name == "" {
@@ -167,7 +167,7 @@
 	_ = json.NewEncoder(w).Encode(body) // fails only if the caller has gone away
 }
 
-// provision rents machines that no controller asked for.
+// provision provisions machines that no controller asked for.
 func (c *fakeCloud) provision(zone string, count int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -176,7 +176,7 @@
 	}
 }
 
-// failNextBoot has the next machine that is rented never come up.
+// failNextBoot has the next machine that is provisioned never come up.
 func (c *fakeCloud) failNextBoot() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -38,11 +38,11 @@
 	Assign(assignment *workload.Assignment)
 	// MarkersPending is called after a pass has added assignments to a job: their markers have to be stored.
 	MarkersPending(job *workload.Job)
-	// RecordRestarts records in the job's trail which of its lost tasks have new assignments.
+	// RecordRestarts records in the job's events which of its lost tasks have new assignments.
 	RecordRestarts(job *workload.Job, assigned []*workload.Assignment)
 	// Stop requests that a task be stopped, with a grace period in which it may save a checkpoint.
 	Stop(assignment *workload.Assignment, grace ids.Seconds, reason string)
-	// RecordEvent adds a line to a job's trail.
+	// RecordEvent adds an event to a job.
 	RecordEvent(job *workload.Job, format string, args ...any)
 	// QuotaForRelocated returns the part of its team's quota that a job must leave to tasks which are
 	// being relocated.
--- a/internal/worker/messages.go
+++ b/internal/worker/messages.go
@@ -21,7 +21,7 @@
 
 // What a task's status can be.
 const (
-	StatePulling       = "pulling"  // its image is being fetched
+	StatePulling       = "pulling"  // its image is being pulled
 	StateWaiting       = "waiting"  // for the other tasks of its gang
 	StateRunning       = "running"  // it makes progress
 	StateCheckpointing = "flushing" // it was told to stop and writes a checkpoint
--- a/internal/workload/assignment.go
+++ b/internal/workload/assignment.go
@@ -65,7 +65,7 @@
 // Key identifies this start of the task.
 func (a *Assignment) Key() TaskAttempt { return TaskAttempt{a.Task(), a.Attempt, a.Machine} }
 
-// StopReasonText returns why the task was stopped, for the job's trail.
+// StopReasonText returns why the task was stopped, for the job's events.
 func (a *Assignment) StopReasonText() string {
 	if a.StopReason == "" {
 		return "not asked for"
--- a/internal/workload/losses.go
+++ b/internal/workload/losses.go
@@ -8,30 +8,30 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-// LossHistory remembers, for the job's trail, the tasks of a job that were lost and have no new assignment
+// LossHistory remembers, for the job's events, the tasks of a job that were lost and have no new assignment
 // yet. When a zone becomes unreachable, operators first ask which tasks have moved, which have not, and
-// what those wait for. The trail is bounded and many tasks are lost at once, so similar losses share a
+// what those wait for. The list of events is bounded and many tasks are lost at once, so similar losses share a
 // line.
 type LossHistory struct {
 	zones map[int]string // zone in which a task was lost, by task
 	last  lossEvent
 }
 
-// lossEvent is the latest line of the trail about losses.
+// lossEvent is the latest line of the events about losses.
 type lossEvent struct {
 	reason, zone string
 	count        int
 	text         string
 }
 
-// Add adds a lost task and returns the line for the trail. replaces reports whether the line replaces the
-// last one of the trail, lastOfTrail, because that is about losses in the same zone for the same reason.
-func (l *LossHistory) Add(task int, machine ids.Machine, zone, reason, lastOfTrail string) (line string, replaces bool) {
+// Add adds a lost task and returns the line for the events. replaces reports whether the line replaces the
+// last event, lastEvent, because that is about losses in the same zone for the same reason.
+func (l *LossHistory) Add(task int, machine ids.Machine, zone, reason, lastEvent string) (line string, replaces bool) {
 	if l.zones == nil {
 		l.zones = map[int]string{}
 	}
 	l.zones[task] = zone
-	replaces = l.last.count > 0 && lastOfTrail == l.last.text && l.last.reason == reason && l.last.zone == zone
+	replaces = l.last.count > 0 && lastEvent == l.last.text && l.last.reason == reason && l.last.zone == zone
 	if replaces {
 		l.last.count++
 		l.last.text = fmt.Sprintf("%d tasks gone in %s, task %d on %s the last: %s", l.last.count, zone, task, machine, reason)
