--- a/cmd/pebbletrail/check_test.go
+++ b/cmd/pebbletrail/check_test.go
@@ -29,7 +29,7 @@
 	}
 }
 
-func TestTheSampleSettingsNameEveryField(t *testing.T) {
+func TestSampleSettingsNameEveryField(t *testing.T) {
 	raw, err := os.ReadFile(sampleSettings)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/commit/committer_test.go
+++ b/internal/commit/committer_test.go
@@ -116,7 +116,7 @@
 	return change
 }
 
-func TestAConflictIsLookedUp(t *testing.T) {
+func TestConflictIsLookedUp(t *testing.T) {
 	jobKey, endKey, cancelKey := record.JobKey("job"), record.EndKey("job"), record.CancelKey("job")
 	for _, c := range []struct {
 		name   string
@@ -149,7 +149,7 @@
 	}
 }
 
-func TestACommitWithoutAnAnswerIsReadBack(t *testing.T) {
+func TestCommitWithoutAnAnswerIsReadBack(t *testing.T) {
 	for _, c := range []struct {
 		fate  fake.Outcome
 		raise bool
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -139,7 +139,7 @@
 	}
 }
 
-func TestTheDocumentedExampleIsTheDefaults(t *testing.T) {
+func TestDocumentedExampleEqualsDefaults(t *testing.T) {
 	raw, err := os.ReadFile("../../docs/operators.textproto")
 	if err != nil {
 		t.Fatal(err)
@@ -227,7 +227,7 @@
 	}
 }
 
-func TestTheFeaturesFileOfTheLandingsIsGood(t *testing.T) {
+func TestDeployedFeaturesFileIsValid(t *testing.T) {
 	settings := parsed(t, good)
 	if err := settings.LoadFeatures("../../deploy/features.textproto"); err != nil || !settings.DrainsEnabled() {
 		t.Errorf("drains %v: %v", settings.DrainsEnabled(), err)
--- a/internal/dependency/graph_test.go
+++ b/internal/dependency/graph_test.go
@@ -103,7 +103,7 @@
 	}
 }
 
-func TestALongChainNeedsNoDeepStackAndOnePassPerChange(t *testing.T) {
+func TestLongChainNeedsNoDeepStackAndOnePassPerChange(t *testing.T) {
 	// Guards against work that grows with the square of a chain's length.
 	const n = 5000
 	g := New()
@@ -126,7 +126,7 @@
 	}
 }
 
-func TestAChainOfTwentyThousandIsCancelledWithItsFirstJob(t *testing.T) {
+func TestChainOfTwentyThousandIsCancelledWithItsFirstJob(t *testing.T) {
 	// Guards against a stack frame, or a pass, for each dependent.
 	const n = 20000
 	g := New()
@@ -145,7 +145,7 @@
 	}
 }
 
-func TestACycleDoesNotKeepTheGraphBusyForEver(t *testing.T) {
+func TestCycleDoesNotKeepTheGraphBusyForEver(t *testing.T) {
 	// Guards against a broken record that makes the leader loop for ever.
 	g := New()
 	g.Add(due(job(1), 1, 100, 5, job(2)), due(job(2), 2, 50, 5, job(1)), due(job(3), 3, 40, 5, job(3)))
@@ -171,7 +171,7 @@
 	}
 }
 
-func TestACancelledJobStaysCancelledWhenItsPrerequisiteIsReportedDone(t *testing.T) {
+func TestCancelledJobStaysCancelledWhenItsPrerequisiteIsReportedDone(t *testing.T) {
 	// Guards against a start of a job that users were told is cancelled.
 	g := New()
 	g.Add(due(job(2), 0, 0, 1, job(1)))
--- a/internal/dispatch/queue_test.go
+++ b/internal/dispatch/queue_test.go
@@ -63,7 +63,7 @@
 	return batches, strings.Join(parts, ", ")
 }
 
-func TestACommandIsSentWhenItIsDue(t *testing.T) {
+func TestCommandIsSentWhenItIsDue(t *testing.T) {
 	const start, stop = "m: start job-m/0", "m: stop job-m/0"
 	for _, c := range []struct {
 		name   string
@@ -107,7 +107,7 @@
 	assignment.StartSent, assignment.Confirmed, assignment.Stopping, assignment.StopRequestedAt = true, seen, true, time.Now()
 }
 
-func TestAMarkerIsStoredAgainWhenTheGenerationRose(t *testing.T) {
+func TestMarkerIsStoredAgainWhenTheGenerationRose(t *testing.T) {
 	queue, jobs := testQueue()
 	assignment, _ := assign(queue, jobs, "m", time.Now())
 	assignment.FencingToken = leaderToken - 1
@@ -121,7 +121,7 @@
 	}
 }
 
-func TestAStartWithoutAnAnswerStaysOutstanding(t *testing.T) {
+func TestStartWithoutAnAnswerStaysOutstanding(t *testing.T) {
 	for _, c := range []struct {
 		name                  string
 		outcome               worker.Outcome
--- a/internal/eviction/evictor_test.go
+++ b/internal/eviction/evictor_test.go
@@ -116,7 +116,7 @@
 // permits returns how many evictions the service's record holds.
 func (f *fixture) permits() int { return f.web.Record.EvictedTasks() }
 
-func TestATaskIsStoppedOnlyOnceItsPermitIsStoredAndStillHolds(t *testing.T) {
+func TestTaskIsStoppedOnlyOnceItsPermitIsStoredAndStillHolds(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		change func(*fixture)
@@ -148,7 +148,7 @@
 	}
 }
 
-func TestAPermitIsWithdrawnOnlyWhenNoEarlierStopCanTakeEffect(t *testing.T) {
+func TestPermitIsWithdrawnOnlyWhenNoEarlierStopCanTakeEffect(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		change func(*worker.Machine, *workload.Assignment)
@@ -173,7 +173,7 @@
 	}
 }
 
-func TestAnEvictionEndsWhenTheTaskIsUpAgain(t *testing.T) {
+func TestEvictionEndsWhenTheTaskIsUpAgain(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		change func(*fixture)
@@ -204,7 +204,7 @@
 	return assignment
 }
 
-func TestADrainTellsWhatItWaitsFor(t *testing.T) {
+func TestDrainTellsWhatItWaitsFor(t *testing.T) {
 	stop := rollout.Order{Stop: true}
 	for _, c := range []struct {
 		name   string
@@ -242,7 +242,7 @@
 	}
 }
 
-func TestWithSurgeAReplicaIsEvictedOnlyWhenThereIsRoomForIt(t *testing.T) {
+func TestSurgeEvictsReplicaOnlyWhenThereIsRoomForIt(t *testing.T) {
 	for _, c := range []struct {
 		name             string
 		change           func(*fixture)
--- a/internal/fleet/production_test.go
+++ b/internal/fleet/production_test.go
@@ -9,7 +9,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/placement"
 )
 
-func TestWhatTheProductionVersionStoredOfTheCloudIsReadAndWrittenBackAlike(t *testing.T) {
+func TestProductionCloudRecordsAreWrittenBackUnchanged(t *testing.T) {
 	// Guards against a request for machines, or the machine types, that another version
 	// reads otherwise. The files were written by the version that deploy/service.toml
 	// names.
--- a/internal/ids/ids_test.go
+++ b/internal/ids/ids_test.go
@@ -50,7 +50,7 @@
 	}
 }
 
-func TestAClockMayBeOffByItsDriftAndTheAllowance(t *testing.T) {
+func TestClockMayBeOffByDriftAndAllowance(t *testing.T) {
 	if got, want := Seconds(10).WithClockDrift(), 10*time.Second+111*time.Millisecond; got != want {
 		t.Errorf("10 s may take %v, not %v", got, want)
 	}
--- a/internal/ids/ranges_test.go
+++ b/internal/ids/ranges_test.go
@@ -34,7 +34,7 @@
 	}
 }
 
-func TestTheLongestSpansAreKept(t *testing.T) {
+func TestLongestSpansAreKept(t *testing.T) {
 	var set IndexSet
 	for _, index := range []int{0, 2, 3, 5, 7, 8, 9, 12} {
 		set.Add(index)
--- a/internal/liveness/liveness_test.go
+++ b/internal/liveness/liveness_test.go
@@ -72,7 +72,7 @@
 	}
 }
 
-func TestWhoHasReportedSinceDecidesWhatIsSilent(t *testing.T) {
+func TestReportsSinceDecideWhichMachinesAreSilent(t *testing.T) {
 	for _, c := range []struct {
 		name      string
 		perZone   int
@@ -117,7 +117,7 @@
 	}
 }
 
-func TestALeaderIsIsolatedIfOthersReachMoreWorkers(t *testing.T) {
+func TestLeaderIsIsolatedIfOthersReachMoreWorkers(t *testing.T) {
 	for _, c := range []struct {
 		name       string
 		silent     int // of six machines
--- a/internal/placement/scaleout_test.go
+++ b/internal/placement/scaleout_test.go
@@ -67,7 +67,7 @@
 	}
 }
 
-func TestAGangWaitsForAnAcceleratedInstanceThatIsFreeInTime(t *testing.T) {
+func TestGangWaitsForAnAcceleratedInstanceThatIsFreeInTime(t *testing.T) {
 	gang := Demand{Request: Request{Resources: Resources{Accels: 8}}, Count: 1, Preempt: true, ReclaimableShare: 1}
 	busy := []Instance{{Name: "g", Type: big, Zone: "n", Reclaimable: big.Capacity()}}
 	if requests, _ := PlanScaleOut([]Demand{gang}, busy, []*InstanceType{small, big}, allOffered); len(requests) != 0 {
--- a/internal/quota/ledger_test.go
+++ b/internal/quota/ledger_test.go
@@ -99,7 +99,7 @@
 	}
 }
 
-func TestAnUnusableLedgerStopsOnlyItsTeam(t *testing.T) {
+func TestUnusableLedgerStopsOnlyItsTeam(t *testing.T) {
 	t.Parallel()
 	good := string(encode(t, NewLedger(LimitOf(8, 0), 1, 3)))
 	open := NewLedger(LimitOf(8, 0), 1, 3)
--- a/internal/reconcile/reconciler_test.go
+++ b/internal/reconcile/reconciler_test.go
@@ -119,7 +119,7 @@
 // lastEvent returns the last event of a job.
 func lastEvent(job *workload.Job) string { return job.Record.Events[len(job.Record.Events)-1].Message }
 
-func TestATaskThatIsNotReportedIsLostOnceItCannotStartAnyMore(t *testing.T) {
+func TestTaskThatIsNotReportedIsLostOnceItCannotStartAnyMore(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		change func(*workload.Assignment, *worker.Report, *fakeCluster)
@@ -161,7 +161,7 @@
 	}
 }
 
-func TestAnOrphanedTaskIsAdoptedOrStopped(t *testing.T) {
+func TestOrphanedTaskIsAdoptedOrStopped(t *testing.T) {
 	for _, c := range []struct {
 		name              string
 		shape             record.Shape
@@ -201,7 +201,7 @@
 	}
 }
 
-func TestAnOutcomeIsClearedOnlyOnceItIsStored(t *testing.T) {
+func TestOutcomeIsClearedOnlyOnceItIsStored(t *testing.T) {
 	reconciler, cluster := testReconciler()
 	job := addJob(reconciler, record.Array)
 	assign(cluster, job)
@@ -224,7 +224,7 @@
 	}
 }
 
-func TestAResultIsKeptWhereverItComesFrom(t *testing.T) {
+func TestResultIsKeptWhereverItComesFrom(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		cause  string
@@ -282,7 +282,7 @@
 	}
 }
 
-func TestAnAnswerCarriesTheCommandsThatAreStillDue(t *testing.T) {
+func TestAnswerCarriesTheCommandsThatAreStillDue(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		change   func(*workload.Assignment, *worker.Machine)
@@ -339,7 +339,7 @@
 	}
 }
 
-func TestAMachineIsDrainedWhenTasksOfGoodJobsKeepFailingThere(t *testing.T) {
+func TestMachineIsDrainedWhenTasksOfGoodJobsKeepFailingThere(t *testing.T) {
 	for _, good := range []bool{true, false} {
 		reconciler, cluster := testReconciler()
 		reconciler.Settings.Operator.FaultyAfter = 2
--- a/internal/record/assignments_test.go
+++ b/internal/record/assignments_test.go
@@ -91,7 +91,7 @@
 	}
 }
 
-func TestTheSizeOfAssignmentsIsEstimatedFromAbove(t *testing.T) {
+func TestSizeOfAssignmentsIsEstimatedFromAbove(t *testing.T) {
 	// Guards against a record that does not fit though its assignments were counted. Machines of
 	// a shard share much of their names, so prefixes are as long as here.
 	var assignments []TaskAssignment
@@ -115,7 +115,7 @@
 	}
 }
 
-func TestTheStoredNamesOfARecordStay(t *testing.T) {
+func TestStoredNamesOfRecordsStay(t *testing.T) {
 	// Guards against a rename in the code that changes what is stored.
 	r := Record{Spec: Spec{ID: "job-1", Team: "red", Shape: Array, Tasks: 2}, Status: Claimed, Submitted: 10, ReadyAt: 11, Attempt: 2, Generation: 3,
 		Finished: ids.FirstIndexes(1), Assignments: GroupAssignments([]TaskAssignment{assign(1, "m-1", 4, 2, 3)}), Events: []Event{{12, "accepted"}},
--- a/internal/record/encoding_test.go
+++ b/internal/record/encoding_test.go
@@ -36,7 +36,7 @@
 	return r
 }
 
-func TestALiveRecordLosesDependenciesAndThenItsOldestEvents(t *testing.T) {
+func TestLiveRecordLosesDependenciesAndThenItsOldestEvents(t *testing.T) {
 	whole := len(marshal(t, recordWith(20, 10, 4)))
 	withoutDependencies := len(marshal(t, recordWith(0, 10, 4)))
 	withoutEvents := recordWith(0, 0, 4)
@@ -68,7 +68,7 @@
 	}
 }
 
-func TestAFinalRecordKeepsItsLastEventLongest(t *testing.T) {
+func TestFinalRecordKeepsItsLastEventLongest(t *testing.T) {
 	// Guards against a user who can't see how a job ended.
 	r := recordWith(20, 10, 400)
 	r.AddEviction(1, 1, "drain", 1)
@@ -111,7 +111,7 @@
 	}
 }
 
-func TestAWaitingRecordIsReadBackInBothForms(t *testing.T) {
+func TestWaitingRecordIsReadBackInBothForms(t *testing.T) {
 	whole := len(marshal(t, []*Record{recordWith(100, 10, 4)}))
 	for _, c := range []struct {
 		name   string
@@ -153,7 +153,7 @@
 	}
 }
 
-func TestWhatIsNoWaitingRecordIsRefused(t *testing.T) {
+func TestOtherRecordsAreRefusedAsWaitingRecords(t *testing.T) {
 	for _, raw := range []string{``, `{}`, `[]`, `[null]`, `[1]`, `[{},"job-:1",2]`, `[{},1]`, `"x"`} {
 		if r, err := DecodeWaiting(json.RawMessage(raw)); err == nil {
 			t.Errorf("%s is read as %+v", raw, r)
@@ -181,7 +181,7 @@
 	}
 }
 
-func TestACancellationIsReadBack(t *testing.T) {
+func TestCancellationIsReadBack(t *testing.T) {
 	cancellation := Cancellation{At: 5, Writer: "w"}
 	raw := cancellation.Encode()
 	if string(raw) != `[{"at":5,"writer":"w"}]` {
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -8,7 +8,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/placement"
 )
 
-func TestTheStoredNamesOfADescriptionStay(t *testing.T) {
+func TestStoredNamesOfDescriptionsStay(t *testing.T) {
 	// Guards against a rename in the code that changes what is stored: other versions of the
 	// program read it, and whatever they don't find is lost.
 	spec := Spec{ID: "job-1", Class: "c", Team: "red", Shape: Gang, Priority: High, Tasks: 2, Resources: placement.Resources{Cores: 1},
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -163,7 +163,7 @@
 	}
 }
 
-func TestATeamsQuotaGoesToItsMoreUrgentWork(t *testing.T) {
+func TestTeamQuotaGoesToItsMoreUrgentWork(t *testing.T) {
 	now := time.Now()
 	scheduler, cluster := testScheduler(now)
 	lesser := addJob(scheduler, "lesser", "red", record.Normal, 9, now)
--- a/internal/state/throttle_test.go
+++ b/internal/state/throttle_test.go
@@ -12,7 +12,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/fake"
 )
 
-func TestARefusalForTooManyChangesSlowsTheSenderAtOnce(t *testing.T) {
+func TestRefusalForTooManyChangesSlowsTheSenderAtOnce(t *testing.T) {
 	// Guards against a node that goes on at its old pace when the store takes
 	// less than announced: most of what it sends would be refused, for as long as that
 	// lasts; and against one that stays slow afterwards.
