--- a/internal/clusterstate/limits.go
+++ b/internal/clusterstate/limits.go
@@ -21,6 +21,11 @@
 // bytesPerKB is how many bytes the store's limits mean by a kilobyte.
 const bytesPerKB = 1024
 
+// valueLimit is the same in whole bytes.
+func valueLimit(settings *config.Settings) int {
+	return int(settings.Params.State.ValueKB * bytesPerKB)
+}
+
 // maxAssignedTasks bounds how many tasks of a job are assigned at a time, so that its record fits a value.
 func (c *State) maxAssignedTasks(job *workload.Job) int {
 	return job.MaxAssignedTasks(c.valueBytes())
--- a/internal/clusterstate/operations.go
+++ b/internal/clusterstate/operations.go
@@ -2,9 +2,11 @@
 
 import (
 	"runtime"
+	"time"
 
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 	"github.com/pebbletrail/pebbletrail/internal/placement"
+	"github.com/pebbletrail/pebbletrail/internal/record"
 	"github.com/pebbletrail/pebbletrail/internal/wait"
 	"github.com/pebbletrail/pebbletrail/internal/worker"
 	"github.com/pebbletrail/pebbletrail/internal/workload"
@@ -70,6 +72,19 @@
 // RequestPlan has planning look again.
 func (o operations) RequestPlan() { wait.Signal(o.cluster.planSignal) }
 
+// RequestCommit has changes stored at once.
+func (o operations) RequestCommit() { wait.Signal(o.cluster.commitSignal) }
+
+// AddJob adds a job that became schedulable.
+func (o operations) AddJob(stored *record.Record, revision ids.Revision, now time.Time) {
+	o.cluster.addJob(stored, revision, now)
+}
+
+// StatusInOtherShard is the status of a live job of another shard.
+func (o operations) StatusInOtherShard(id ids.Job) (status record.Status, live bool) {
+	return o.cluster.StatusInOtherShard(id)
+}
+
 // Terminated tells that the cloud confirmed a machine's deletion.
 func (o operations) Terminated(machine ids.Machine) bool { return o.cluster.terminated[machine] }
 
--- a/internal/clusterstate/queue_order_test.go
+++ b/internal/clusterstate/queue_order_test.go
@@ -112,8 +112,8 @@
 		time.Sleep(300 * time.Second)
 		cluster.mu.Lock()
 		defer cluster.mu.Unlock()
-		cluster.jobEnded("job-1", record.Done)
-		cluster.collectReadyMoves(func(change commit.Change) bool {
+		cluster.dependencies.jobEnded("job-1", record.Done)
+		cluster.dependencies.collectReadyMoves(func(change commit.Change) bool {
 			cluster.changeStored(change, 9)
 			return true
 		})
--- a/internal/clusterstate/recovery.go
+++ b/internal/clusterstate/recovery.go
@@ -55,7 +55,7 @@
 	})
 	job.Record.Assignments = nil
 	c.evictor.Load(job)
-	c.joinDependencies(job)
+	c.dependencies.join(job)
 	c.finishIfComplete(job)
 	return job
 }
@@ -122,6 +122,6 @@
 	if len(job.Assignments) == 0 {
 		c.removeJob(job)
 	}
-	c.scheduleLookupIfAwaited(id)
+	c.dependencies.scheduleLookupIfAwaited(id)
 	c.jobs.Retire(id)
 }
--- a/internal/clusterstate/state.go
+++ b/internal/clusterstate/state.go
@@ -58,7 +58,7 @@
 	changes *workload.Changes
 	// cancellations are the revisions of those stored apart from their jobs' records.
 	cancellations map[ids.Job]ids.Revision
-	dependencies  dependencyState
+	dependencies  *dependencyTracker
 	// terminated are the machines whose deletion the cloud confirmed.
 	terminated map[ids.Machine]bool
 
@@ -121,7 +121,6 @@
 		zones:              liveness.NewZones(),
 		changes:            workload.NewChanges(),
 		cancellations:      map[ids.Job]ids.Revision{},
-		dependencies:       newDependencyState(),
 		terminated:         map[ids.Machine]bool{},
 		generation:         generation,
 		trustSilence:       trustSilence,
@@ -131,6 +130,7 @@
 		commitSignal:       make(chan struct{}, 1),
 		planSignal:         make(chan struct{}, 1),
 	}
+	c.dependencies = newDependencyTracker(c)
 	c.commands = dispatch.NewQueue(machines, index, operations{c})
 	c.prober = dispatch.NewProber(settings, machines, index)
 	c.scheduler = newScheduler(c)
@@ -202,7 +202,7 @@
 	for _, i := range workload.SortedTasks(job.Assignments) {
 		c.stopAssignment(job.Assignments[i], 0, "cancelled")
 	}
-	c.cancelDependents(job.Record.Spec.ID)
+	c.dependencies.cancelDependents(job.Record.Spec.ID)
 	c.finishIfComplete(job)
 }
 
@@ -234,7 +234,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.capacity.SetTypes(types)
-	c.refreshDurations()
+	c.dependencies.refreshDurations()
 }
 
 // Generation is the token that this leader's commands carry now.
--- a/internal/clusterstate/store_changes.go
+++ b/internal/clusterstate/store_changes.go
@@ -34,7 +34,7 @@
 func (c *State) CommitWanted() <-chan struct{} { return c.commitSignal }
 
 // ValueLimit is how many bytes a value may take.
-func (c *State) ValueLimit() int { return int(c.valueBytes()) }
+func (c *State) ValueLimit() int { return valueLimit(c.settings) }
 
 // changeGroup collects changes within the limits of one transaction.
 type changeGroup struct {
@@ -61,10 +61,10 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	group := &changeGroup{maxOps: min(c.settings.Params.State.TxnOps, limits.Ops), size: txnBytes}
-	c.collectReadyMoves(group.add)
+	c.dependencies.collectReadyMoves(group.add)
 	c.collectChangedJobs(limits, group.add)
 	if !limits.Scarce {
-		c.collectCancelledMoves(group.add) // told as cancelled already: these can wait
+		c.dependencies.collectCancelledMoves(group.add) // told as cancelled already: these can wait
 	}
 	return group.changes, c.raisePending
 }
@@ -154,7 +154,7 @@
 // changeStored takes in that one change is in the store.
 func (c *State) changeStored(change commit.Change, revision ids.Revision) {
 	if change.Waiting != nil {
-		c.waitingJobMoved(change, revision, time.Now())
+		c.dependencies.waitingJobMoved(change, revision, time.Now())
 		return
 	}
 	job := change.Job
@@ -163,7 +163,7 @@
 	c.versionStored(job)
 	if change.Terminal {
 		delete(c.cancellations, job.ID())
-		c.jobEnded(job.ID(), job.Record.Status)
+		c.dependencies.jobEnded(job.ID(), job.Record.Status)
 		c.retireJob(job)
 	}
 }
--- a/internal/clusterstate/takeover_test.go
+++ b/internal/clusterstate/takeover_test.go
@@ -163,7 +163,7 @@
 		if _, due := cluster.dependencies.lookups["job-2"]; !due || waiting["job-2"] != nil || waiting["job-4"] == nil {
 			t.Errorf("the removed job is looked up: %v; waiting jobs: %v", due, waiting)
 		}
-		cluster.jobEnded("job-2", record.Cancelled)
+		cluster.dependencies.jobEnded("job-2", record.Cancelled)
 		if cancelledBy := cluster.dependencies.graph.CancelledBy("job-3"); cancelledBy != "job-2" {
 			t.Errorf("its dependent is cancelled by %q, want job-2", cancelledBy)
 		}
--- a/internal/clusterstate/waiting_jobs_test.go
+++ b/internal/clusterstate/waiting_jobs_test.go
@@ -74,7 +74,7 @@
 		dependents := append(newDependents(300, "job-500"), high, newWaitingRecord("job-9001", record.High, 0, "job-9000"))
 		history.storeWaitingJobs(t, cluster, dependents...)
 		assigned := history.storeLiveJob(t, cluster, newRecord("job-501", "red", record.Normal, 1, 1))
-		cluster.jobEnded("job-500", record.Done)
+		cluster.dependencies.jobEnded("job-500", record.Done)
 		cluster.Plan(time.Now())
 		committer.CommitGroup(ctx)
 		if cluster.jobs.Get("job-9000") == nil {
@@ -171,7 +171,7 @@
 		if got := len(cluster.scheduler.Ranked(time.Now())); got != 300 {
 			t.Errorf("%d jobs are ranked, want 300", got)
 		}
-		cluster.jobEnded("job-10000", record.Done)
+		cluster.dependencies.jobEnded("job-10000", record.Done)
 		if ready, _ := cluster.dependencies.graph.Counts(); ready != 10 {
 			t.Errorf("the end of a job made %d jobs ready, want 10", ready)
 		}
@@ -206,9 +206,9 @@
 				t.Fatalf("%d dependencies do not fit", test.dependencies)
 			}
 			cluster.mu.Lock()
-			cluster.addWaitingJobs(now, &workload.WaitingJob{Record: rec, Revision: 3})
+			cluster.dependencies.addWaitingJobs(now, &workload.WaitingJob{Record: rec, Revision: 3})
 			for _, dependency := range rec.Spec.DependsOn {
-				cluster.jobEnded(dependency, outcome)
+				cluster.dependencies.jobEnded(dependency, outcome)
 			}
 			var moves []commit.Change
 			add := func(change commit.Change) bool {
@@ -216,9 +216,9 @@
 				return true
 			}
 			if outcome == record.Done {
-				cluster.collectReadyMoves(add)
+				cluster.dependencies.collectReadyMoves(add)
 			} else {
-				cluster.collectCancelledMoves(add)
+				cluster.dependencies.collectCancelledMoves(add)
 			}
 			cluster.mu.Unlock()
 			if len(moves) != 1 {
