--- a/cmd/pebbletrail/controller.go
+++ b/cmd/pebbletrail/controller.go
@@ -179,5 +179,5 @@
 
 // storeLimits are the state service's limits as rollouts use them.
 func (c *controller) storeLimits() rollout.Limits {
-	return rollout.Limits{ValueBytes: int(c.settings.Params.State.ValueKB * 1024), TxnOps: c.settings.Params.State.TxnOps}
+	return rollout.Limits{ValueBytes: int(c.settings.Params.State.ValueBytes()), TxnOps: c.settings.Params.State.TxnOps}
 }
--- a/internal/capacity/index.go
+++ b/internal/capacity/index.go
@@ -108,14 +108,6 @@
 	return nil
 }
 
-// AllocatedOn returns the capacity that assignments take on a machine.
-func (x *Index) AllocatedOn(name ids.Machine) placement.Resources {
-	if node := x.nodes[name]; node != nil {
-		return node.Used
-	}
-	return placement.Resources{}
-}
-
 // UsableMachine returns a node's machine, or nil if it is gone; usable reports whether new tasks may be
 // assigned to it now.
 func (x *Index) UsableMachine(node *Node, now time.Time, reportInterval ids.Seconds) (machine *worker.Machine, usable bool) {
--- a/internal/clusterstate/limits.go
+++ b/internal/clusterstate/limits.go
@@ -15,18 +15,10 @@
 	return limits
 }
 
-// valueBytes is how large a stored value may be.
-func (c *State) valueBytes() float64 { return c.settings.Params.State.ValueKB * bytesPerKB }
-
-// bytesPerKB is how many bytes the store's limits mean by a kilobyte.
-const bytesPerKB = 1024
-
-// valueLimit is the same in whole bytes.
-func valueLimit(settings *config.Settings) int {
-	return int(settings.Params.State.ValueKB * bytesPerKB)
-}
+// valueLimit is how many whole bytes a stored value may take.
+func valueLimit(settings *config.Settings) int { return int(settings.Params.State.ValueBytes()) }
 
 // maxAssignedTasks bounds how many tasks of a job are assigned at a time, so that its record fits a value.
 func (c *State) maxAssignedTasks(job *workload.Job) int {
-	return job.MaxAssignedTasks(c.valueBytes())
+	return job.MaxAssignedTasks(c.settings.Params.State.ValueBytes())
 }
--- a/internal/config/statelimits.go
+++ b/internal/config/statelimits.go
@@ -17,6 +17,15 @@
 // carries 64 KiB in all, conditions and keys included, and a larger value would never be sent.
 const maxValueKB = 56
 
+// bytesPerKB is how many bytes the store's limits mean by a kilobyte.
+const bytesPerKB = 1024
+
+// ValueBytes is how many bytes a value may take, before and after the next limits come into force.
+func (s *StateLimits) ValueBytes() float64 { return s.ValueKB * bytesPerKB }
+
+// CurrentValueBytes is how many bytes a value may take until the next limits come into force.
+func (s *StateLimits) CurrentValueBytes() float64 { return s.CurrentValueKB * bytesPerKB }
+
 // applyNext lowers the limits to those announced, so that whatever is written fits before and
 // after the moment at which they come into force.
 func (s *StateLimits) applyNext() {
--- a/internal/eviction/drain.go
+++ b/internal/eviction/drain.go
@@ -116,7 +116,7 @@
 
 // blockedReason returns why a task can't be stopped now; empty if it can.
 func (d *drainer) blockedReason(assignment *workload.Assignment, order rollout.Order) string {
-	maxRecordBytes := int(d.Settings.Params.State.ValueKB * 1024)
+	maxRecordBytes := int(d.Settings.Params.State.ValueBytes())
 	spec := &assignment.Job.Record.Spec
 	switch {
 	case !assignment.Confirmed:
--- a/internal/intake/cancel.go
+++ b/internal/intake/cancel.go
@@ -114,7 +114,7 @@
 	if !fits && !s.valueLimitFell.Load() {
 		// The record was written when values might be larger. As long as they may, it is
 		// stored where versions from before the lower limits look for it too.
-		value, fits = rec.Encode(int(s.Settings.Params.State.CurrentValueKB * 1024))
+		value, fits = rec.Encode(int(s.Settings.Params.State.CurrentValueBytes()))
 		write.aboveLowerLimit = fits
 	}
 	if fits {
--- a/internal/intake/job_service.go
+++ b/internal/intake/job_service.go
@@ -56,4 +56,4 @@
 }
 
 // valueLimit is how many bytes a value in the store may have.
-func (s *JobService) valueLimit() int { return int(s.Settings.Params.State.ValueKB * 1024) }
+func (s *JobService) valueLimit() int { return int(s.Settings.Params.State.ValueBytes()) }
--- a/internal/intake/submit.go
+++ b/internal/intake/submit.go
@@ -89,5 +89,5 @@
 // room in the value for the job's assignments.
 func (s *JobService) encodeClaimable(rec record.Record) (value json.RawMessage, fits bool) {
 	rec.Spec.DependsOn = nil
-	return rec.Encode(int(s.Settings.Params.State.ValueKB * 1024 * record.MaxSpecShare))
+	return rec.Encode(int(s.Settings.Params.State.ValueBytes() * record.MaxSpecShare))
 }
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -67,7 +67,7 @@
 func (s *State) reportInterval() ids.Seconds { return s.Settings.Params.Workers.ReportS }
 
 // valueBytes returns the size limit of a stored value.
-func (s *State) valueBytes() float64 { return s.Settings.Params.State.ValueKB * 1024 }
+func (s *State) valueBytes() float64 { return s.Settings.Params.State.ValueBytes() }
 
 // Scheduler plans one shard during one term of its leader.
 type Scheduler struct {
