--- a/internal/wirenames/names_test.go
+++ b/internal/wirenames/names_test.go
@@ -46,6 +46,10 @@
 		{"command-line", commandLine(files)},
 		{"settings", settings(t)},
 		{"peer-messages", peerMessages()},
+		{"enum-values", enumValues(files)},
+		{"user-texts", userTexts(files)},
+		{"log-attributes", logAttributes(files)},
+		{"file-names", fileNames(files)},
 	} {
 		t.Run(list.name, func(t *testing.T) { compareWithList(t, list.name, list.names) })
 	}
--- /dev/null
+++ b/internal/wirenames/texts_test.go
@@ -0,0 +1,113 @@
+package wirenames
+
+import (
+	"go/ast"
+	"go/token"
+	"regexp"
+	"strconv"
+	"strings"
+)
+
+// enumValues lists the texts of constants, and those of lists and maps of texts: the values of states,
+// kinds, ranks and commands that are stored, sent or read.
+func enumValues(files []*ast.File) (values []string) {
+	add := func(expressions ...ast.Expr) {
+		for _, expression := range expressions {
+			if text, ok := stringValue(expression); ok && text != "" {
+				values = append(values, strconv.Quote(text))
+			}
+		}
+	}
+	inspect(files, func(node ast.Node) {
+		switch node := node.(type) {
+		case *ast.GenDecl:
+			if node.Tok != token.CONST {
+				return
+			}
+			for _, spec := range node.Specs {
+				add(spec.(*ast.ValueSpec).Values...)
+			}
+		case *ast.CompositeLit:
+			for _, element := range node.Elts {
+				if pair, ok := element.(*ast.KeyValueExpr); ok {
+					add(pair.Key, pair.Value)
+					continue
+				}
+				add(element)
+			}
+		}
+	})
+	return values
+}
+
+// userTexts lists the texts of more than one word, or with a value in them, that are no messages of the
+// log and no errors: explanations of jobs, states of rollouts, reports and the help of commands.
+func userTexts(files []*ast.File) (texts []string) {
+	messages := messagesForPeople(files)
+	inspect(files, func(node ast.Node) {
+		expression, ok := node.(ast.Expr)
+		if !ok || messages[node] {
+			return
+		}
+		if text, ok := stringValue(expression); ok && strings.ContainsAny(text, " %") {
+			texts = append(texts, strconv.Quote(text))
+		}
+	})
+	return texts
+}
+
+// messagesForPeople returns the literals that are the text of a log line or of an error, and those of struct tags.
+func messagesForPeople(files []*ast.File) map[ast.Node]bool {
+	messages := map[ast.Node]bool{}
+	inspect(files, func(node ast.Node) {
+		switch node := node.(type) {
+		case *ast.Field:
+			if node.Tag != nil {
+				messages[node.Tag] = true
+			}
+		case *ast.CallExpr:
+			if len(node.Args) > 0 && (isCallOf(node, "slog", "") || isCallOf(node, "errors", "New") || isCallOf(node, "fmt", "Errorf")) {
+				messages[node.Args[0]] = true
+			}
+		}
+	})
+	return messages
+}
+
+// logAttributes lists the levels and the keys of the attributes of log lines.
+func logAttributes(files []*ast.File) (names []string) {
+	inspect(files, func(node ast.Node) {
+		call, ok := node.(*ast.CallExpr)
+		if !ok || !isCallOf(call, "slog", "") {
+			return
+		}
+		method := call.Fun.(*ast.SelectorExpr).Sel.Name
+		for i := 1; i < len(call.Args); i += 2 {
+			if key, ok := stringValue(call.Args[i]); ok {
+				names = append(names, method+" "+key)
+			}
+		}
+	})
+	return names
+}
+
+// fileName matches the name of a file, or its ending.
+var fileName = regexp.MustCompile(`^[a-z0-9%-]*\.[a-z.]+$`)
+
+// fileNames lists the files that commands read and write, by name or ending.
+func fileNames(files []*ast.File) (names []string) {
+	inspect(files, func(node ast.Node) {
+		if expression, ok := node.(ast.Expr); ok {
+			if text, ok := stringValue(expression); ok && fileName.MatchString(text) {
+				names = append(names, text)
+			}
+		}
+	})
+	return names
+}
+
+// isCallOf tells whether a call is of a package's function; any function if its name is empty.
+func isCallOf(call *ast.CallExpr, packageName, function string) bool {
+	selector, ok := call.Fun.(*ast.SelectorExpr)
+	return ok && isIdent(selector.X, packageName) && (function == "" || selector.Sel.Name == function)
+}
