--- a/internal/election/allowance_exchange.go
+++ b/internal/election/allowance_exchange.go
@@ -7,11 +7,11 @@
 	"github.com/pebbletrail/pebbletrail/internal/state"
 )
 
-// exchangeInterval spaces the checks for allowances to move.
+// exchangeInterval is the interval between checks for allowances to move.
 const exchangeInterval = 100 * time.Millisecond
 
-// exchangeAllowances moves allowances between the shards until the term ends. Each move is
-// conditional on the shard's generation, so that a superseded leader moves none.
+// exchangeAllowances moves quota allowances between the shards until the term ends. Each move is
+// conditional on the shard's generation, so that a superseded leader can't move any.
 func (t *Term) exchangeAllowances(ctx context.Context, store *state.Client, generationKey string) {
 	fence := func() state.Condition {
 		return state.Condition{Key: generationKey, Revision: t.Committer.LastGenerationRevision()}
--- a/internal/election/authority.go
+++ b/internal/election/authority.go
@@ -7,29 +7,31 @@
 	"github.com/pebbletrail/pebbletrail/internal/config"
 )
 
-// leaseMarginDivisor gives the part of a lease by which its leader takes it for expired early.
+// leaseMarginDivisor sets the safety margin: a leader treats its lease as expired this fraction of the
+// lease's duration early.
 const leaseMarginDivisor = 100
 
-// authority tells what the leader of one term may still do, by when its lease was last renewed, when
-// the records were last read as a whole, and whether its process was paused. An outage of the
-// state service ends all of it, and stepping down does for good.
+// authority decides what the leader of one term may still do. The decision depends on when the lease was
+// last renewed, when the records were last read completely, and whether the process was paused. During an
+// outage of the state service the leader loses all permissions; stepping down revokes them permanently.
 type authority struct {
 	settings      *config.Settings
 	pauses        *pauseDetector
-	recordsReadAt func() time.Time // when the last complete read of the records began
+	recordsReadAt func() time.Time // returns when the last complete read of the records began
 
-	// mu guards what follows; nothing is called under it.
+	// mu guards the fields below. No other lock is acquired while it is held.
 	mu        sync.Mutex
-	renewedAt time.Time // when the last renewal that succeeded was sent
+	renewedAt time.Time // when the last successful renewal was sent
 	ended     bool      // the term is over
 }
 
-// newAuthority makes the authority of a term whose lease was asked for at grantedAt.
+// newAuthority returns the authority of a term whose lease was requested at grantedAt.
 func newAuthority(settings *config.Settings, pauses *pauseDetector, recordsReadAt func() time.Time, grantedAt time.Time) *authority {
 	return &authority{settings: settings, pauses: pauses, recordsReadAt: recordsReadAt, renewedAt: grantedAt}
 }
 
-// renewed notes a renewal that succeeded, by when it was sent: the lease surely lasts from then on.
+// renewed records a successful renewal that was sent at sentAt. The state service received it later, so
+// the lease lasts at least its duration from sentAt.
 func (a *authority) renewed(sentAt time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -38,30 +40,30 @@
 	}
 }
 
-// end notes that the term is over.
+// end records that the term is over.
 func (a *authority) end() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.ended = true
 }
 
-// mayAnswerHeartbeats tells whether this node may still answer heartbeats. A successor trusts that
-// it stops a fixed time after its last good renewal, and users that what they cancelled is gone in
-// time: what this node has not read of, it may keep alive for so long after its last complete read
-// only.
+// mayAnswerHeartbeats reports whether this node may still answer heartbeats. A successor relies on this
+// node to stop answering a fixed time after its last successful renewal. Users rely on cancelled tasks to
+// end in time: until this node has read of a cancellation, its answers keep the worker's lease and thus the
+// task alive, so it must also stop answering the same time after its last complete read of the records.
 func (a *authority) mayAnswerHeartbeats() bool {
 	return a.confirmedWithin(a.settings.LeaderGracePeriod().Duration())
 }
 
-// mayStartTasks tells whether this node may still start tasks: a job may have been cancelled, by a
-// node that can't reach this one, since its records were last read. Twice the lease's duration
-// allows for slow answers.
+// mayStartTasks reports whether this node may still start tasks. Since the records were last read, a
+// controller that can't reach this node may have cancelled a job. The limit of twice the lease's duration
+// allows for slow responses of the state service.
 func (a *authority) mayStartTasks() bool {
 	return a.confirmedWithin(2 * leaseDuration(a.settings))
 }
 
-// confirmedWithin tells whether the last good renewal and the last complete read of the records
-// both began less than age ago.
+// confirmedWithin reports whether the last successful renewal and the last complete read of the records
+// both began less than age ago, in a process that has not been paused since the renewal.
 func (a *authority) confirmedWithin(age time.Duration) bool {
 	if !a.renewedSincePause() {
 		return false
@@ -72,8 +74,8 @@
 	return !a.ended && time.Since(a.renewedAt) < age && time.Since(recordsReadAt) < age
 }
 
-// leaseSurelyHeld tells whether no other node can lead the shard: the lease, counted from when the
-// last good renewal was sent, has not expired by this node's clock.
+// leaseSurelyHeld reports whether no other node can lead the shard: by this node's clock, the lease,
+// counted from when the last successful renewal was sent, has not expired.
 func (a *authority) leaseSurelyHeld() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -81,7 +83,7 @@
 	return !a.ended && time.Since(a.renewedAt) < duration-duration/leaseMarginDivisor
 }
 
-// renewedSincePause tells whether the lease has been renewed since this process was last paused.
+// renewedSincePause reports whether the lease has been renewed since this process was last paused.
 func (a *authority) renewedSincePause() bool {
 	resumedAt := a.pauses.lastResumedAt(time.Now())
 	a.mu.Lock()
--- a/internal/election/campaign.go
+++ b/internal/election/campaign.go
@@ -14,24 +14,25 @@
 	"github.com/pebbletrail/pebbletrail/internal/wait"
 )
 
-// cacheCatchUpDelay gives the copy of the pool's keys time to show a leader that the store has.
+// cacheCatchUpDelay is the time allowed for the cache of the pool's keys to receive a leader key that is
+// already in the store.
 const cacheCatchUpDelay = 100 * time.Millisecond
 
-// errOtherLeader tells that another controller leads the shard.
+// errOtherLeader is returned if another controller leads the shard.
 var errOtherLeader = errors.New("another controller leads the shard")
 
-// acquiredLeadership is what a campaign that succeeded came to.
+// acquiredLeadership is the result of a successful campaign.
 type acquiredLeadership struct {
-	previous   commit.GenerationRecord // zero if nobody led the shard before
+	previous   commit.GenerationRecord // zero if the shard had no leader before
 	generation ids.Generation
-	writer     string // tells this term's writes from all others
+	writer     string // identifies the writes of this term
 	lease      ids.Lease
-	grantedAt  time.Time    // when the grant of the lease was asked for
-	revision   ids.Revision // of the generation in the store
+	grantedAt  time.Time    // when the grant of the lease was requested
+	revision   ids.Revision // of the stored generation
 }
 
-// campaign tries to become the shard's leader: one transaction binds the leader key to a new lease
-// and raises the generation. Unless it succeeds, the lease expires by itself.
+// campaign tries to become the shard's leader: one transaction writes the leader key, attached to a new
+// lease, and increments the generation. If the transaction fails, the lease is left to expire.
 func (c *candidate) campaign(ctx context.Context) (*acquiredLeadership, error) {
 	if err := c.ensureVacancy(ctx); err != nil {
 		return nil, err
@@ -59,8 +60,8 @@
 	return won, nil
 }
 
-// ensureVacancy makes sure by the store itself that no other controller leads the shard, and
-// revokes the lease of an earlier process of this node.
+// ensureVacancy reads the leader key from the store and returns an error if another controller leads the
+// shard. If the leader is an earlier process or term of this node, its lease is revoked.
 func (c *candidate) ensureVacancy(ctx context.Context) error {
 	entry, found, err := c.store.Get(ctx, c.keys.Leader(), state.Urgent)
 	if err != nil {
@@ -77,8 +78,8 @@
 		wait.For(ctx, cacheCatchUpDelay)
 		return fmt.Errorf("%w: %s", errOtherLeader, leader.Node)
 	}
-	// Only one process runs on a node: this lease's leader is dead, or an earlier term of ours
-	// whose answer got lost.
+	// Only one process runs on a node: the lease belongs to a process that has exited, or to an earlier
+	// term of this process whose commit response was lost.
 	slog.Info("revoking lease of an earlier process of this node", "shard", c.shard, "term", leader.Generation, "writer", leader.Writer)
 	if err := c.store.RevokeLease(ctx, leader.Lease); err != nil && !errors.Is(err, state.ErrNoLease) {
 		return fmt.Errorf("revoke leader lease %d: %w", leader.Lease, err)
@@ -86,7 +87,7 @@
 	return nil
 }
 
-// readGeneration reads the last generation from the store; without one both results are zero.
+// readGeneration returns the stored generation and its revision. Both are zero if no generation is stored.
 func (c *candidate) readGeneration(ctx context.Context) (commit.GenerationRecord, ids.Revision, error) {
 	entry, found, err := c.store.Get(ctx, c.keys.Generation(), state.Urgent)
 	if err != nil {
@@ -99,8 +100,8 @@
 	return generation, entry.Revision, err
 }
 
-// commit stores the new leader and generation, unless there is a leader or the generation has
-// changed since it was read. It returns the generation's revision.
+// commit stores the new leader and generation and returns the generation's revision. It fails if there is
+// a leader or if the generation has changed since it was read with revision previous.
 func (c *candidate) commit(ctx context.Context, won *acquiredLeadership, previous ids.Revision) (ids.Revision, error) {
 	leader, err := json.Marshal(leaderRecord{Node: c.settings.HostName, Writer: won.writer, Lease: won.lease, Generation: won.generation})
 	if err != nil {
@@ -128,8 +129,8 @@
 	return ids.Revision(epoch), nil
 }
 
-// committedRevision reads back what became of a commit without a known outcome: the revision of the
-// generation if this writer wrote it.
+// committedRevision reads back the outcome of a commit whose response was lost. If writer wrote the stored
+// generation, the commit succeeded and the generation's revision is returned.
 func (c *candidate) committedRevision(ctx context.Context, writer string) (revision ids.Revision, committed bool) {
 	entry, found, err := c.store.Get(ctx, c.keys.Generation(), state.Urgent)
 	if err != nil || !found {
--- a/internal/election/candidate.go
+++ b/internal/election/candidate.go
@@ -14,17 +14,18 @@
 )
 
 const (
-	// campaignDelay is how much longer each controller waits than the one that prefers the shard
-	// more, so that the leaders spread.
+	// campaignDelay is multiplied by a controller's preference rank for a shard. The product is the delay
+	// before the controller campaigns, so that the shards spread over the controllers.
 	campaignDelay = 150 * time.Millisecond
-	// vacancyMemory is how long a vacancy that is not seen any more counts as the same one.
+	// vacancyMemory is the longest gap between two observations of a vacancy that count as the same
+	// vacancy.
 	vacancyMemory = time.Second
-	// observationMargin is how much longer than a grace period a leader must have been observed
-	// before nobody else may be answering heartbeats.
+	// observationMargin is added to the grace period of a leader: once this node has observed one leader
+	// for longer than the sum, no earlier leader can still be answering heartbeats.
 	observationMargin = time.Second
 )
 
-// candidate decides when this node campaigns for a shard, and campaigns.
+// candidate decides when this node campaigns for a shard, and runs the campaigns.
 type candidate struct {
 	settings    *config.Settings
 	store       *state.Client
@@ -33,18 +34,19 @@
 	keys        record.ShardKeys
 	incarnation string
 
-	// What follows is used by the election loop alone (Elector.participate), and needs no lock:
-	// vacantSince is since when the shard has been seen without a leader, and vacancySeenAt when it
-	// last was.
+	// The next fields are used only by the election loop (Elector.participate) and need no lock.
+	// vacantSince and vacancySeenAt are when the current vacancy of the shard was first and last observed.
 	vacantSince, vacancySeenAt time.Time
 	observed                   observedGeneration
 
-	// mu guards what follows, since whoever resigns sets it; nothing is called under it.
+	// mu guards the field below, which any goroutine that resigns sets. No other lock is acquired while mu
+	// is held.
 	mu             sync.Mutex
-	suspendedUntil time.Time // no campaign before
+	suspendedUntil time.Time // this node does not campaign before
 }
 
-// observedGeneration is whose generation this node has seen in the store, and since when.
+// observedGeneration is the writer of the generation that this node last saw in the store, and when the
+// node first saw it.
 type observedGeneration struct {
 	writer string
 	since  time.Time
@@ -61,7 +63,7 @@
 	}
 }
 
-// suspend has this node not campaign for a while, so that others do.
+// suspend keeps this node from campaigning for a duration, so that another controller can win the shard.
 func (c *candidate) suspend(duration time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -74,7 +76,8 @@
 	return time.Now().Before(c.suspendedUntil)
 }
 
-// cachedLeader reads the shard's leader from this node's copy. While there is no copy, none is found.
+// cachedLeader returns the shard's leader from this node's cache. Until the cache is filled, no leader is
+// found.
 func (c *candidate) cachedLeader() (leader leaderRecord, found bool, err error) {
 	entry, found, ready := c.cache.Get(c.keys.Leader())
 	if !ready || !found {
@@ -84,7 +87,7 @@
 	return leader, true, err
 }
 
-// cachedGeneration reads the shard's generation from this node's copy.
+// cachedGeneration returns the shard's generation from this node's cache.
 func (c *candidate) cachedGeneration() (generation commit.GenerationRecord, known bool) {
 	entry, found, ready := c.cache.Get(c.keys.Generation())
 	if !ready || !found {
@@ -94,13 +97,13 @@
 	return generation, err == nil
 }
 
-// isOwnWrite tells whether this process wrote a generation, in whatever term.
+// isOwnWrite reports whether this process wrote a generation, in any of its terms.
 func (c *candidate) isOwnWrite(generation commit.GenerationRecord) bool {
 	return strings.HasPrefix(generation.Writer, c.incarnation+"/")
 }
 
-// seesVacancy tells whether the shard looks as if it had no leader, or one that was an earlier
-// process of this very node.
+// seesVacancy reports whether, by this node's cache, the shard has no leader or its leader is an earlier
+// process of this node. It reports false while campaigns are suspended.
 func (c *candidate) seesVacancy() bool {
 	if c.suspended() {
 		return false
@@ -116,12 +119,13 @@
 	return err == nil && leader.Node == c.settings.HostName
 }
 
-// isTurn tells whether it is this node's turn to campaign for a shard without a leader.
+// isTurn reports whether this node has waited for the controllers that prefer the shard more, and may
+// campaign for it now. The caller has observed that the shard has no leader.
 func (c *candidate) isTurn(now time.Time) bool {
 	if c.settings.ShardCount() == 1 {
 		return true
 	}
-	// A shard that was led since it was last seen vacant is vacant anew.
+	// A longer gap between observations means that the shard had a leader in between.
 	if c.vacantSince.IsZero() || now.Sub(c.vacancySeenAt) > vacancyMemory {
 		c.vacantSince = now
 	}
@@ -129,14 +133,14 @@
 	return now.Sub(c.vacantSince) >= time.Duration(c.preferenceRank())*campaignDelay
 }
 
-// preferenceRank is how many controllers prefer the shard more than this one does.
+// preferenceRank returns the number of controllers that prefer the shard more than this one does.
 func (c *candidate) preferenceRank() int {
 	names := controllerNames(c.settings)
 	own := slices.Index(names, c.settings.HostName)
 	return (own - int(c.shard)%len(names) + len(names)) % len(names)
 }
 
-// controllerNames are all controllers' names in order, the same at each of them.
+// controllerNames returns the names of all controllers, sorted, so that every controller has the same list.
 func controllerNames(settings *config.Settings) []ids.Node {
 	names := []ids.Node{settings.HostName}
 	for _, peer := range settings.Peers {
@@ -146,13 +150,13 @@
 	return names
 }
 
-// preferredController is the controller that is to lead a shard if all are up.
+// preferredController returns the controller that should lead a shard if all controllers are up.
 func preferredController(settings *config.Settings, shard ids.Shard) ids.Node {
 	names := controllerNames(settings)
 	return names[int(shard)%len(names)]
 }
 
-// observeGeneration notes whose generation is stored and since when.
+// observeGeneration records the writer of the generation in the cache, and when this node first saw it.
 func (c *candidate) observeGeneration() {
 	stored, known := c.cachedGeneration()
 	if known && stored.Writer != c.observed.writer {
@@ -160,10 +164,11 @@
 	}
 }
 
-// possibleLeaders names the controllers that may still be answering heartbeats under an older
-// generation: only the last leader, if this node has observed it for longer than the grace period of
-// whoever led before it; otherwise none is named, and all must be asked. In a zone that is cut off
-// there may be controllers, which cannot confirm anything, and need not.
+// possibleLeaders returns the controllers that may still be answering heartbeats under an older generation.
+// If this node has observed the last leader for longer than the grace period of the leader before it, only
+// the last leader is returned. Otherwise the result is nil, and all controllers must be asked. Naming only
+// the last leader keeps a takeover from waiting for controllers in an unreachable zone, which can't confirm
+// that they have stopped and don't need to.
 func (c *candidate) possibleLeaders(previous commit.GenerationRecord, now time.Time) []ids.Node {
 	if previous.Writer == "" || previous.Node == c.settings.HostName || previous.Writer != c.observed.writer {
 		return nil
--- a/internal/election/change_feed.go
+++ b/internal/election/change_feed.go
@@ -10,16 +10,16 @@
 	"github.com/pebbletrail/pebbletrail/internal/state"
 )
 
-// changeFeed passes changes of what is stored on to the cluster state, if this node leads the
-// shard. It has no state of its own, so it needs no lock.
+// changeFeed forwards changes of stored records to the cluster state while this node leads the shard. It
+// is stateless and needs no lock.
 type changeFeed struct {
 	settings *config.Settings
 	shard    ids.Shard
 	jobs     *state.WatchCache
-	cluster  func() *clusterstate.State // of the present term; nil if there is none
+	cluster  func() *clusterstate.State // returns the cluster state of the current term, nil if there is none
 }
 
-// handleJobChange takes in a change below the prefix of jobs.
+// handleJobChange handles a change of a key with the prefix of jobs.
 func (f *changeFeed) handleJobChange(change state.Change) {
 	id, kind := record.ParseKey(change.Key())
 	switch {
@@ -38,7 +38,7 @@
 	return ids.ShardOf(id, f.settings.ShardCount()) == f.shard
 }
 
-// handleWaitingChange passes on a change of a job that awaits others.
+// handleWaitingChange forwards a change of a job that waits for the jobs that it depends on.
 func (f *changeFeed) handleWaitingChange(id ids.Job, change state.Change) {
 	cluster := f.cluster()
 	if cluster == nil {
@@ -51,22 +51,22 @@
 	}
 }
 
-// handleOtherShardChange passes on a change of a live job of another shard.
+// handleOtherShardChange forwards the information that a job of another shard has changed.
 func (f *changeFeed) handleOtherShardChange(id ids.Job) {
 	if cluster := f.cluster(); cluster != nil {
 		cluster.HandleOtherShardChange(id, time.Now())
 	}
 }
 
-// handleCancellationChange passes on a change of a cancellation that is stored apart from its job's
-// record.
+// handleCancellationChange forwards a change of a cancellation that is stored under a key of its own, apart
+// from its job's record.
 func (f *changeFeed) handleCancellationChange(id ids.Job, change state.Change) {
 	if cluster := f.cluster(); cluster != nil {
 		cluster.HandleCancellation(id, change.Revision, change.Put == "")
 	}
 }
 
-// handleRecordChange passes on a change of a record, unless the leader wrote it itself.
+// handleRecordChange forwards a change of a job's record, unless this leader made the change.
 func (f *changeFeed) handleRecordChange(id ids.Job, change state.Change) {
 	if change.Put == "" {
 		f.handleRecord(id, change.Revision, nil)
@@ -81,22 +81,22 @@
 	}
 }
 
-// handleRecord passes on a record as it is stored; nil if it is gone.
+// handleRecord forwards a stored record; rec is nil if the record was deleted.
 func (f *changeFeed) handleRecord(id ids.Job, revision ids.Revision, rec *record.Record) {
 	if cluster := f.cluster(); cluster != nil {
 		cluster.HandleRecord(id, revision, rec, time.Now())
 	}
 }
 
-// handleAllowanceChange passes on a change of a ledger.
+// handleAllowanceChange forwards a change of an allowance ledger.
 func (f *changeFeed) handleAllowanceChange(change state.Change) {
 	if cluster := f.cluster(); cluster != nil {
 		cluster.HandleAllowanceChange(change)
 	}
 }
 
-// statusInOtherShard reads the status of a job of another shard from this node's copy; live is
-// false if there is no such job. The cluster state calls it under its lock.
+// statusInOtherShard returns the status of a job of another shard from this node's cache; live is false if
+// the cache has no such job. The cluster state calls it while holding its lock.
 func (f *changeFeed) statusInOtherShard(id ids.Job) (status record.Status, live bool) {
 	if f.inShard(id) {
 		return "", false
--- a/internal/election/current_term.go
+++ b/internal/election/current_term.go
@@ -7,24 +7,24 @@
 	"github.com/pebbletrail/pebbletrail/internal/clusterstate"
 )
 
-// currentTerm is the present term of an elector, or while it has none, the hints of the last leader
-// that was heard.
+// currentTerm holds the current term of an elector. While the elector has no term, it holds the hints that
+// were last received from the shard's leader.
 type currentTerm struct {
-	// mu guards what follows. The cluster state's lock and the authority's may be taken under it;
-	// nothing is waited for and no other service is called.
+	// mu guards the fields below. The locks of the cluster state and of the authority may be acquired while
+	// it is held, but no operation that blocks or calls another service may run.
 	mu    sync.Mutex
 	term  *Term // nil while this node does not lead
 	hints clusterstate.HintCache
 }
 
-// get is the present term; nil if this node does not lead.
+// get returns the current term; nil if this node does not lead the shard.
 func (c *currentTerm) get() *Term {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.term
 }
 
-// begin makes a term the present one, and gives it the last leader's hints.
+// begin sets the current term and applies the last leader's hints to its cluster state.
 func (c *currentTerm) begin(term *Term, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -32,7 +32,7 @@
 	c.term = term
 }
 
-// end makes a term not the present one any more; it is false if it is not.
+// end ends a term. It returns false if the term is not the current one.
 func (c *currentTerm) end(term *Term) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -44,7 +44,7 @@
 	return true
 }
 
-// receiveHints keeps a leader's hints, unless this node leads.
+// receiveHints stores hints of the shard's leader, unless this node leads the shard.
 func (c *currentTerm) receiveHints(hints []clusterstate.Hint, to clusterstate.HintPosition) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -53,7 +53,7 @@
 	}
 }
 
-// hintPosition is how far the hints go.
+// hintPosition returns the position up to which hints have been received.
 func (c *currentTerm) hintPosition() clusterstate.HintPosition {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/election/elector.go
+++ b/internal/election/elector.go
@@ -15,32 +15,33 @@
 )
 
 const (
-	// renewalsPerLease is how many renewals are sent while a lease lasts.
+	// renewalsPerLease is the number of renewals sent during one lease duration.
 	renewalsPerLease = 5
-	// vacancyCheckInterval spaces the looks at whether the shard has a leader.
+	// vacancyCheckInterval is the interval between checks whether the shard has a leader.
 	vacancyCheckInterval = 50 * time.Millisecond
-	// campaignRetryDelay is the wait after a campaign that failed.
+	// campaignRetryDelay is the delay after a failed campaign.
 	campaignRetryDelay = 200 * time.Millisecond
 )
 
-// Peers is what an elector asks of the other controllers.
+// Peers is the interface through which an elector queries the other controllers.
 type Peers interface {
-	// AllStopped asks the named controllers, or every other if none is named, to confirm that they
-	// answer no heartbeats under an older generation; it is true once all have.
+	// AllStopped asks the named controllers, or all others if none is named, to confirm that they no longer
+	// answer heartbeats under a generation older than this one. It reports whether all have confirmed.
 	AllStopped(ctx context.Context, generation ids.Generation, of ...ids.Node) bool
-	// Alone tells that none of the other controllers has been heard lately.
+	// Alone reports whether there are other controllers and none of them has been heard recently.
 	Alone() bool
-	// Served tells that another controller is up and served by the state service.
+	// Served reports whether another controller is up and the state service answers it.
 	Served(node ids.Node) bool
 }
 
-// Elector takes part in the leader election of one shard, and leads the shard during its terms. All
-// that it has is set before Run, or guards itself.
+// Elector takes part in the leader election of one shard, and leads the shard during its terms. Its fields
+// either don't change after Run is called or are safe for concurrent use.
 type Elector struct {
-	// Peers are the other controllers; nil if there are none. It is set before Run.
+	// Peers gives access to the other controllers; nil if there are none. It must be set before Run.
 	Peers Peers
-	// OnTerm starts what else runs during a term, such as the fleet's provisioner; it is called in a
-	// goroutine of the term, and its context ends with the term. It is set before Run.
+	// OnTerm runs additional components during a term, such as the fleet's provisioner. It is called in a
+	// goroutine of its own once the records are loaded; its context ends with the term. It must be set
+	// before Run.
 	OnTerm func(ctx context.Context, term *Term)
 
 	settings  *config.Settings
@@ -57,15 +58,16 @@
 	current   currentTerm
 }
 
-// NewElector makes the elector of a pool that is one shard; incarnation tells this process from
-// its node's earlier ones.
+// NewElector returns the elector of a pool with a single shard. incarnation distinguishes this process from
+// earlier processes on its node.
 func NewElector(settings *config.Settings, store *state.Client, commander *worker.Commander, incarnation string) *Elector {
 	elector := newElector(settings, store, commander, incarnation, 0, newWatchCaches(store))
 	elector.caches.jobs.OnChange(elector.changes.handleJobChange)
 	return elector
 }
 
-// newElector makes the elector of one shard. Whoever makes it has its change feed told of changes.
+// newElector returns the elector of one shard. The caller connects the elector's change feed to the watch
+// caches.
 func newElector(settings *config.Settings, store *state.Client, commander *worker.Commander, incarnation string, shard ids.Shard, caches watchCaches) *Elector {
 	keys := record.KeysOf(shard, settings.ShardCount())
 	elector := &Elector{
@@ -84,21 +86,23 @@
 	return elector
 }
 
-// leaseDuration is how long a leader's lease lasts from its last renewal.
+// leaseDuration returns how long a leader's lease lasts after its last renewal.
 func leaseDuration(settings *config.Settings) time.Duration {
 	return time.Duration(settings.Operator.PoolHoldMs) * time.Millisecond
 }
 
-// Jobs is this node's copy of the live records.
+// Jobs returns this node's cache of the live records.
 func (e *Elector) Jobs() *state.WatchCache { return e.caches.jobs }
 
-// Run takes part in the election, and leads the pool whenever it is elected, until the context ends.
+// Run takes part in the election of a pool with a single shard, and leads the pool whenever this node is
+// elected, until the context ends.
 func (e *Elector) Run(ctx context.Context) {
 	e.caches.run(ctx)
 	e.participate(ctx)
 }
 
-// participate takes part in leading the shard until the context ends.
+// participate runs the election loop of the shard until the context ends: it campaigns while the shard has
+// no leader, and renews the lease while this node leads.
 func (e *Elector) participate(ctx context.Context) {
 	go e.pauses.run(ctx)
 	for ctx.Err() == nil {
@@ -124,16 +128,16 @@
 	}
 }
 
-// refreshRecords brings the copy of the records up to date, on which the authority to answer
-// heartbeats and to start tasks depends.
+// refreshRecords updates the cache of the records. The authority to answer heartbeats and to start tasks
+// depends on the cache's age.
 func (e *Elector) refreshRecords(ctx context.Context) {
-	_ = e.caches.jobs.Sync(ctx) // after a failure the copy's age tells
+	_ = e.caches.jobs.Sync(ctx) // after a failure the cache's age keeps growing, which the authority checks
 }
 
-// Term is the present term; nil if this node does not lead the shard.
+// Term returns the current term; nil if this node does not lead the shard.
 func (e *Elector) Term() *Term { return e.current.get() }
 
-// Cluster is the cluster state of the present term; nil if this node does not lead the shard.
+// Cluster returns the cluster state of the current term; nil if this node does not lead the shard.
 func (e *Elector) Cluster() *clusterstate.State {
 	if term := e.Term(); term != nil {
 		return term.Cluster
@@ -141,7 +145,7 @@
 	return nil
 }
 
-// Leader is who leads the shard as far as this node knows.
+// Leader returns the shard's leader, as far as this node knows.
 func (e *Elector) Leader() (node ids.Node, known bool) {
 	if e.Term() != nil {
 		return e.settings.HostName, true
@@ -153,22 +157,22 @@
 	return leader.Node, true
 }
 
-// ReceiveHints keeps a leader's hints for the case that this node leads next.
+// ReceiveHints stores hints of the shard's leader, in case this node leads the shard next.
 func (e *Elector) ReceiveHints(hints []clusterstate.Hint, to clusterstate.HintPosition) {
 	e.current.receiveHints(hints, to)
 }
 
-// HintPosition is what to ask the leader's hints from.
+// HintPosition returns the position from which to request the leader's next hints.
 func (e *Elector) HintPosition() clusterstate.HintPosition { return e.current.hintPosition() }
 
-// HandleRecord passes on what another controller wrote to a job's record, if this node leads the
-// shard; rec is nil if the record is gone.
+// HandleRecord forwards to the cluster state a job's record that another controller wrote, if this node leads
+// the shard. rec is nil if the record was deleted.
 func (e *Elector) HandleRecord(id ids.Job, revision ids.Revision, rec *record.Record) {
 	e.changes.handleRecord(id, revision, rec)
 }
 
-// processResumed has the machines judged anew after a pause: one that looks silent was perhaps
-// only not listened to.
+// processResumed resets the liveness of all machines after a pause of this process: the reports of machines
+// that seem silent may not have been processed during the pause.
 func (e *Elector) processResumed() {
 	if cluster := e.Cluster(); cluster != nil {
 		cluster.ResetLiveness(time.Now())
--- a/internal/election/failover_confirmation.go
+++ b/internal/election/failover_confirmation.go
@@ -8,11 +8,12 @@
 	"github.com/pebbletrail/pebbletrail/internal/wait"
 )
 
-// confirmationRetryDelay is the wait before the earlier leaders are asked again.
+// confirmationRetryDelay is the delay before the earlier leaders are asked again.
 const confirmationRetryDelay = 500 * time.Millisecond
 
-// ConfirmStopped is told by a peer of a higher generation; the answer confirms that this node answers
-// no heartbeats under an older one.
+// ConfirmStopped handles a peer's request to confirm that this node answers no heartbeats under a generation
+// older than the given one. It steps down if this node leads under an older generation, and returns false if
+// the generation of this node's term is at least as high.
 func (e *Elector) ConfirmStopped(generation ids.Generation) bool {
 	term := e.Term()
 	if term == nil {
@@ -25,8 +26,9 @@
 	return true
 }
 
-// awaitPredecessorsStopped shortens the wait for silent workers' lease expiry once those who may
-// still be answering them confirm that they have stopped. It ends then, or with the term.
+// awaitPredecessorsStopped asks the controllers that may still be answering heartbeats to confirm that they
+// have stopped, until all have confirmed or the term ends. Once they have, the leases of silent workers count
+// as expired one worker lease later, without the wait for a predecessor's grace period.
 func (e *Elector) awaitPredecessorsStopped(ctx context.Context, term *Term, of ...ids.Node) {
 	for ctx.Err() == nil {
 		if e.Peers == nil {
--- a/internal/election/heartbeats.go
+++ b/internal/election/heartbeats.go
@@ -8,10 +8,11 @@
 	"github.com/pebbletrail/pebbletrail/internal/worker"
 )
 
-// heartbeatLoadTimeout is how long a heartbeat waits for the records to be loaded.
+// heartbeatLoadTimeout bounds how long a heartbeat waits for the records to be loaded.
 const heartbeatLoadTimeout = 1500 * time.Millisecond
 
-// Heartbeat answers a worker's heartbeat: a reply, or else an HTTP status and perhaps a redirect.
+// Heartbeat answers a worker's heartbeat. If it returns no commands, the HTTP status tells why, and the
+// redirect may name the leader.
 func (e *Elector) Heartbeat(ctx context.Context, report *worker.Report) (*worker.CommandBatch, int, worker.Redirect) {
 	term := e.Term()
 	if term == nil {
@@ -22,8 +23,8 @@
 	}
 	generation := term.Cluster.Generation()
 	if report.FencingToken > generation {
-		// The worker has heard of a later leader. It would drop our answer and yet stay with us, so
-		// it is turned away.
+		// The worker knows a newer leader. It would discard this node's response but keep reporting to this
+		// node, so the heartbeat is rejected.
 		e.stepDown(term, "a worker has seen a higher fencing token")
 		return rejectHeartbeat()
 	}
@@ -32,12 +33,12 @@
 	}
 	commands := term.Cluster.ReconcileHeartbeat(report, true, true)
 	if commands == nil {
-		commands = []worker.Command{} // an empty list on the wire
+		commands = []worker.Command{} // encoded as an empty list, not as null
 	}
 	return &worker.CommandBatch{FencingToken: generation, Commands: commands}, http.StatusOK, worker.Redirect{}
 }
 
-// redirectHeartbeat sends a worker to the leader, if one is known.
+// redirectHeartbeat redirects a worker to the leader, or rejects the heartbeat if no leader is known.
 func (e *Elector) redirectHeartbeat(report *worker.Report) (*worker.CommandBatch, int, worker.Redirect) {
 	leader, known := e.Leader()
 	if !known {
@@ -47,13 +48,14 @@
 	return nil, http.StatusMisdirectedRequest, worker.Redirect{Node: leader}
 }
 
-// rejectHeartbeat answers a heartbeat that nobody may answer just now: it renews no lease.
+// rejectHeartbeat returns the response to a heartbeat that no controller can accept at present. It does not
+// renew the worker's lease.
 func rejectHeartbeat() (*worker.CommandBatch, int, worker.Redirect) {
 	return nil, http.StatusServiceUnavailable, worker.Redirect{}
 }
 
-// awaitLoaded waits until the records are loaded; it is false if the context ends or the time is
-// over first.
+// awaitLoaded waits until the records are loaded. It returns false if the context ends or the timeout
+// expires first.
 func (t *Term) awaitLoaded(ctx context.Context, timeout time.Duration) bool {
 	select {
 	case <-t.loaded:
--- a/internal/election/helpers_test.go
+++ b/internal/election/helpers_test.go
@@ -14,10 +14,10 @@
 	"github.com/pebbletrail/pebbletrail/internal/worker"
 )
 
-// testGeneration is that of the terms in tests.
+// testGeneration is the generation of terms in tests.
 const testGeneration ids.Generation = 7
 
-// testSettings are those of a small pool.
+// testSettings returns the settings of a small pool.
 func testSettings() *config.Settings {
 	settings := &config.Settings{Operator: config.DefaultOperator()}
 	settings.Params.Workers = config.WorkerIntervals{ReportS: 2, LeaseS: 20, GangWaitS: 30, GangPeerS: 5, CancelS: 40}
@@ -27,7 +27,8 @@
 	return settings
 }
 
-// clusterWithMachines is the cluster state of a leader that has heard so many machines of four cores.
+// clusterWithMachines returns the cluster state of a leader to which the given number of machines, of four
+// cores each, have reported.
 func clusterWithMachines(t *testing.T, machines int) *clusterstate.State {
 	t.Helper()
 	defaultLogger := slog.Default()
@@ -42,8 +43,9 @@
 	return cluster
 }
 
-// leadWith makes an elector the leader of a term whose lease was granted just now. Its records are
-// not loaded yet, but count as read all the while: only renewals and pauses matter to its authority.
+// leadWith makes an elector the leader of a term whose lease was granted just now. The term's records are not
+// loaded yet, but the authority always takes them for freshly read, so that it depends only on renewals and
+// pauses.
 func leadWith(elector *Elector, cluster *clusterstate.State) *Term {
 	elector.current.term = &Term{
 		Generation: testGeneration,
--- a/internal/election/isolation.go
+++ b/internal/election/isolation.go
@@ -10,16 +10,16 @@
 )
 
 const (
-	// isolationMinTerm is how long a term lasts at least before its leader may find itself cut off
-	// from all workers.
+	// isolationMinTerm is the minimum duration of a term before its leader may resign because it hears no
+	// worker.
 	isolationMinTerm = 5 * time.Second
-	// resignationPause is how long this node does not campaign after it resigned.
+	// resignationPause is how long this node does not campaign for a shard after it resigned from it.
 	resignationPause = 20 * time.Second
 )
 
-// HandleRedirectedWorkers is told by a peer which workers reach it but not this leader. If those
-// are most of the machines, this node is cut off from the workers and resigns, at once and for a
-// while, in favour of one that is not.
+// HandleRedirectedWorkers handles a peer's list of workers that reach the peer but may not reach this leader.
+// If those that are silent here outnumber the workers that report, this leader is cut off from the workers: it
+// resigns immediately and does not campaign for a while, so that another controller is elected.
 func (e *Elector) HandleRedirectedWorkers(unheard []liveness.RedirectedWorker) {
 	term := e.Term()
 	if term == nil || len(unheard) == 0 || !term.Cluster.IsolatedFromWorkers(unheard, time.Now()) {
@@ -28,9 +28,9 @@
 	e.resign(term, "cut off from the workers, which reach another node")
 }
 
-// checkIsolation resigns if no worker is heard or answers, and no other controller can be reached
-// to tell whether they reach it. A leader that hears nobody keeps no lease alive, so little is lost
-// if another fares no better.
+// checkIsolation resigns if hardly any worker reports or answers, and no other controller can be reached to
+// ask whether the workers reach it. Such a leader renews hardly any worker lease, so little is lost if the
+// next leader can't reach the workers either.
 func (e *Elector) checkIsolation(term *Term) {
 	if e.Peers == nil || !e.Peers.Alone() || time.Since(term.began) < isolationMinTerm || !term.Cluster.HearsNoWorker(time.Now()) {
 		return
@@ -38,13 +38,14 @@
 	e.resign(term, "no worker is heard, and no other controller")
 }
 
-// resign steps down at once, and leaves the shard to others for a while.
+// resign steps down immediately, and keeps this node from campaigning for the shard for a while.
 func (e *Elector) resign(term *Term, why string) {
 	e.candidate.suspend(resignationPause)
 	e.stepDown(term, why)
 	ctx, cancel := context.WithTimeout(context.Background(), state.CallTimeout)
 	defer cancel()
 	if err := e.store.RevokeLease(ctx, term.lease); err != nil {
-		slog.Debug("lease not released", "shard", e.shard, "term", term.Generation, "err", err) // it expires by itself
+		// The lease is left to expire.
+		slog.Debug("lease not released", "shard", e.shard, "term", term.Generation, "err", err)
 	}
 }
--- a/internal/election/layout.go
+++ b/internal/election/layout.go
@@ -14,11 +14,12 @@
 	"github.com/pebbletrail/pebbletrail/internal/wait"
 )
 
-// layoutKey says into how many shards the store is laid out; there is none with one.
+// layoutKey is the key under which the store records its number of shards. It does not exist in a store with
+// a single shard.
 const layoutKey = record.PoolPrefix + "shards"
 
-// layoutLeader stands as the leader of the pool as a whole where there are several shards. Versions
-// that know one shard take the pool for led by another controller and never lead it.
+// layoutLeader is stored as the leader of the single-shard pool in a store with several shards. Versions of
+// the program that support only one shard conclude that another controller leads the pool, and never lead it.
 const layoutLeader ids.Node = "~shards"
 
 const (
@@ -26,33 +27,33 @@
 	layoutCachePollInterval = 100 * time.Millisecond
 )
 
-// Why a store can't be used with the shards of the settings.
+// Reasons why a store can't be used with the configured number of shards.
 var (
-	// ErrLayoutMismatch tells that the store is laid out for another number of shards.
+	// ErrLayoutMismatch means that the store is laid out for a different number of shards.
 	ErrLayoutMismatch = errors.New("the store is laid out for another number of shards")
-	// ErrJobsStored tells that the number of shards can't change while jobs are stored.
+	// ErrJobsStored means that the number of shards can't change while jobs or a leader are stored.
 	ErrJobsStored = errors.New("the number of shards can't change while the store has jobs or a leader")
 )
 
-// isRefusal tells whether an error says that the store can't be used, whenever it is tried again.
+// isRefusal reports whether an error means that the store can't be used, so that a retry is useless.
 func isRefusal(err error) bool {
 	return errors.Is(err, ErrLayoutMismatch) || errors.Is(err, ErrJobsStored) || errors.Is(err, quota.ErrBadLedger)
 }
 
-// layoutRecord is the value of layoutKey.
+// layoutRecord is the value stored under layoutKey.
 type layoutRecord struct {
 	Shards int `json:"shards"`
 }
 
-// storeLayout checks for how many shards the store is laid out, and lays it out.
+// storeLayout checks for which number of shards the store is laid out, and initializes the layout.
 type storeLayout struct {
 	store  *state.Client
 	cache  *state.WatchCache // of the pool's keys
-	shards int               // of the settings
+	shards int               // configured number of shards
 }
 
-// ensure makes sure that the store is laid out for this many shards before any is led, and tries
-// again while the state service can't tell. It returns why the store can't be used (isRefusal), or
+// ensure checks or creates the store's layout, and retries while the state service fails. It must succeed
+// before this node campaigns for any shard. It returns the reason why the store can't be used (isRefusal), or
 // the context's error.
 func (l *storeLayout) ensure(ctx context.Context) error {
 	for ctx.Err() == nil {
@@ -65,9 +66,10 @@
 	return ctx.Err()
 }
 
-// tryOnce checks the layout, or lays the store out if it has neither a layout nor jobs or a leader.
+// tryOnce checks the layout. If the store has no layout, no jobs and no leader, it creates the layout.
 func (l *storeLayout) tryOnce(ctx context.Context) error {
-	// Read before the layout: once that is there, jobs and leaders are as they should be.
+	// Whether the store is in use is checked before the layout is read: jobs and leaders that are stored once a
+	// layout exists conform to it.
 	used, err := l.inUse(ctx)
 	if err != nil {
 		return err
@@ -79,13 +81,13 @@
 	case found:
 		return errors.Join(l.check(entry.Value), l.checkLedgers(ctx))
 	case used:
-		// The machines of the pool as one shard would be nobody's.
+		// The machines of the single-shard pool would belong to no shard.
 		return ErrJobsStored
 	}
 	return l.create(ctx)
 }
 
-// inUse tells whether the store has jobs, or a leader of the pool as one shard.
+// inUse reports whether the store contains jobs, or a leader of the single-shard pool.
 func (l *storeLayout) inUse(ctx context.Context) (bool, error) {
 	jobs, _, _, err := l.store.List(ctx, record.JobPrefix, "", 1, state.Urgent)
 	if err != nil {
@@ -98,11 +100,11 @@
 	return len(jobs) > 0 || led, nil
 }
 
-// singleShardKeys are the keys of the pool as one shard.
+// singleShardKeys returns the keys of a pool with a single shard.
 func singleShardKeys() record.ShardKeys { return record.KeysOf(0, 1) }
 
-// create lays the store out, unless it has a layout or a leader meanwhile. Whatever its result was,
-// the next try reads what is stored.
+// create stores the layout. It fails if a layout or a leader has been stored since the check. After an error
+// with an unknown outcome, the next attempt reads what was stored.
 func (l *storeLayout) create(ctx context.Context) error {
 	layout, err := json.Marshal(layoutRecord{Shards: l.shards})
 	if err != nil {
@@ -123,8 +125,8 @@
 	return nil
 }
 
-// checkLedgers refuses to begin with ledgers that can't be used. One that breaks later only stops
-// its team.
+// checkLedgers returns an error if a stored allowance ledger can't be used; the controller then does not
+// start. A ledger that becomes unusable later stops only its team.
 func (l *storeLayout) checkLedgers(ctx context.Context) error {
 	entries, _, err := l.store.ListAll(ctx, quota.Prefix, state.Urgent)
 	if err != nil {
@@ -133,7 +135,7 @@
 	return quota.CheckStored(entries, l.shards)
 }
 
-// check tells whether a stored layout is that of the settings.
+// check returns ErrLayoutMismatch unless a stored layout has the configured number of shards.
 func (l *storeLayout) check(value json.RawMessage) error {
 	var stored layoutRecord
 	if err := json.Unmarshal(value, &stored); err != nil {
@@ -145,9 +147,9 @@
 	return nil
 }
 
-// findInCache waits for this node's copy of the pool's keys, which costs no call, and checks the
-// layout if there is one. Without one it is one shard, and nobody lays the store out anew while it
-// has a leader.
+// findInCache waits until this node's cache of the pool's keys is filled, which takes no extra call to the
+// store, and checks the layout if there is one. A store without a layout has a single shard, and no
+// controller creates a layout while the pool has a leader.
 func (l *storeLayout) findInCache(ctx context.Context) (found bool, err error) {
 	for ctx.Err() == nil {
 		entry, found, ready := l.cache.Get(layoutKey)
--- a/internal/election/leader_record.go
+++ b/internal/election/leader_record.go
@@ -8,8 +8,8 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-// leaderRecord is the value of a shard's leader key. The key is attached to the lease, so it goes
-// away when its leader stops renewing.
+// leaderRecord is the value of a shard's leader key. The key is attached to the leader's lease, so it is
+// deleted when the lease expires.
 type leaderRecord struct {
 	Node       ids.Node       `json:"node"`
 	Writer     string         `json:"writer"`
@@ -17,7 +17,7 @@
 	Generation ids.Generation `json:"generation"`
 }
 
-// decodeLeader reads the value of a leader key.
+// decodeLeader decodes the value of a leader key.
 func decodeLeader(value json.RawMessage) (leader leaderRecord, err error) {
 	if err := json.Unmarshal(value, &leader); err != nil {
 		return leaderRecord{}, fmt.Errorf("decode leader record: %w", err)
@@ -25,7 +25,7 @@
 	return leader, nil
 }
 
-// decodeGeneration reads the value of a generation key.
+// decodeGeneration decodes the value of a generation key.
 func decodeGeneration(value json.RawMessage) (generation commit.GenerationRecord, err error) {
 	if err := json.Unmarshal(value, &generation); err != nil {
 		return commit.GenerationRecord{}, fmt.Errorf("decode generation record: %w", err)
--- a/internal/election/leader_record_test.go
+++ b/internal/election/leader_record_test.go
@@ -8,8 +8,8 @@
 )
 
 func TestProductionLeaderRecordIsWrittenBackUnchanged(t *testing.T) {
-	// Guards against a field that one version drops, renames or reads otherwise. The file was written
-	// by the version that deploy/service.toml names as production.
+	// Guards against a field of the stored record that is dropped, renamed or interpreted differently. The file
+	// was written by the version that deploy/service.toml names as production.
 	stored, err := os.ReadFile("testdata/production/owner.json")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/election/machine_ownership.go
+++ b/internal/election/machine_ownership.go
@@ -13,41 +13,42 @@
 	"github.com/pebbletrail/pebbletrail/internal/wait"
 )
 
-// unclaimedCheckInterval spaces the readings of the store for the sake of machines that no
+// unclaimedCheckInterval is the interval at which the store is read while there are machines that no
 // provisioning request names.
 const unclaimedCheckInterval = 500 * time.Millisecond
 
-// The parts of a provisioning request's key, which is pool/~SHARD/hire/NAME.
+// Parts of a provisioning request's key, which has the form pool/~SHARD/hire/NAME.
 const (
 	shardKeyPrefix   = record.PoolPrefix + "~"
 	requestKeyPrefix = "hire/"
 )
 
-// machineOwnership tells which shard each machine belongs to: the one whose stored provisioning
-// request names it (docs/shards.md, "Whose machine"). A machine that no request names belongs to the
-// first shard, but only once a reading of the store that began after the machine was first seen
-// shows no request without an answer: its own was stored before it was sent.
+// machineOwnership maps each machine to the shard that it belongs to: the shard whose stored provisioning
+// request names the machine (docs/shards.md, "Whose machine"). A machine that no request names belongs to the
+// first shard. That is certain only once a read of the store that began after the machine was first seen shows
+// no unanswered request: a request is stored before it is sent, so the machine's own request would be among
+// those read.
 type machineOwnership struct {
-	requestsReadAt func() time.Time // when the last complete read of the requests began
+	requestsReadAt func() time.Time // returns when the last complete read of the requests began
 
-	// mu guards what follows; nothing is called under it.
+	// mu guards the fields below. No other lock is acquired while it is held.
 	mu         sync.Mutex
 	requests   map[string]provisioningRequest // by key
-	machines   map[ids.Machine]ids.Shard      // that the requests name
-	unanswered int                            // requests without an answer
-	unclaimed  map[ids.Machine]time.Time      // that no request names, with when they were first seen
-	adopted    map[ids.Machine]bool           // that nobody provisioned, and the first shard has
+	machines   map[ids.Machine]ids.Shard      // machines that requests name
+	unanswered int                            // number of unanswered requests
+	unclaimed  map[ids.Machine]time.Time      // machines that no request names, and when first seen
+	adopted    map[ids.Machine]bool           // machines without a request, assigned to the first shard
 }
 
-// storedRequest is what matters here of the stored form of a provisioning request.
+// storedRequest contains the fields of a stored provisioning request that are used here.
 type storedRequest struct {
 	Hosts []ids.Machine `json:"hosts"`
 }
 
-// provisioningRequest is a stored request and the shard that it is of.
+// provisioningRequest is a stored provisioning request of a shard.
 type provisioningRequest struct {
 	shard    ids.Shard
-	machines []ids.Machine // nil until the request is answered
+	machines []ids.Machine // provisioned machines; nil until the request is answered
 }
 
 func (r provisioningRequest) answered() bool { return r.machines != nil }
@@ -62,7 +63,8 @@
 	}
 }
 
-// requestShard is the shard whose provisioning request is stored at a key, if one is.
+// requestShard returns the shard of the provisioning request with the given key; isRequest is false if the
+// key is not one of a provisioning request.
 func requestShard(key string) (shard ids.Shard, isRequest bool) {
 	rest, found := strings.CutPrefix(key, shardKeyPrefix)
 	if !found {
@@ -75,8 +77,8 @@
 	return shard, true
 }
 
-// decodeRequest reads the value of a provisioning request's key. One that can't be read counts as
-// not answered: which machines it provisioned is not known.
+// decodeRequest decodes a stored provisioning request. If the value can't be decoded, the request counts as
+// unanswered, since the machines that it provisioned are not known.
 func decodeRequest(shard ids.Shard, value json.RawMessage) provisioningRequest {
 	var stored storedRequest
 	if json.Unmarshal(value, &stored) != nil {
@@ -85,7 +87,7 @@
 	return provisioningRequest{shard: shard, machines: stored.Hosts}
 }
 
-// handleChange takes in a change of a key of the pool.
+// handleChange handles a change of one of the pool's keys.
 func (o *machineOwnership) handleChange(change state.Change) {
 	shard, isRequest := requestShard(change.Key())
 	if !isRequest {
@@ -99,7 +101,7 @@
 	}
 }
 
-// removeRequest forgets the request at a key, if there is one. The caller holds the lock.
+// removeRequest removes the request with the given key, if there is one. The caller holds mu.
 func (o *machineOwnership) removeRequest(key string) {
 	request, known := o.requests[key]
 	if !known {
@@ -114,7 +116,7 @@
 	}
 }
 
-// addRequest takes in the request at a key. The caller holds the lock.
+// addRequest adds a request and its machines. The caller holds mu.
 func (o *machineOwnership) addRequest(key string, request provisioningRequest) {
 	o.requests[key] = request
 	if !request.answered() {
@@ -125,7 +127,7 @@
 	}
 }
 
-// shardOf is the shard that a machine belongs to, if that is known already.
+// shardOf returns the shard that a machine belongs to; known is false if that is not known yet.
 func (o *machineOwnership) shardOf(machine ids.Machine) (shard ids.Shard, known bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -142,8 +144,8 @@
 	return 0, false
 }
 
-// resolveUnclaimed finds out, while there are machines that no request names, whether they are the
-// first shard's, until the context ends.
+// resolveUnclaimed determines whether machines that no request names belong to the first shard. It runs until
+// the context ends and reads the store only while there are such machines.
 func (o *machineOwnership) resolveUnclaimed(ctx context.Context, requests *state.WatchCache) {
 	for ctx.Err() == nil {
 		wait.For(ctx, unclaimedCheckInterval)
@@ -159,7 +161,7 @@
 	return len(o.unclaimed) > 0
 }
 
-// adoptUnclaimed gives the first shard the machines that surely nobody provisioned.
+// adoptUnclaimed assigns to the first shard the machines that certainly have no provisioning request.
 func (o *machineOwnership) adoptUnclaimed() {
 	readAt := o.requestsReadAt()
 	o.mu.Lock()
--- a/internal/election/process_pause.go
+++ b/internal/election/process_pause.go
@@ -9,36 +9,36 @@
 	"github.com/pebbletrail/pebbletrail/internal/wait"
 )
 
-// A process may be paused for seconds or minutes, its clocks running on, and then go on as if
-// nothing had happened. Whatever a leader knew, another may lead the shard by then. Workers' and
-// leaders' leases are judged by the clock, but between a look at the clock and the act there is
-// always time for a pause; and what others sent meanwhile waits to be answered. So a pause is
-// detected as such, and before the leader answers a heartbeat or sends a command again, a renewal
-// sent after it has to succeed (docs/design.md, "The pool's claim").
+// A process may be paused for seconds or minutes while its clocks keep running, and then continue without
+// noticing. Another controller may lead the shard by then. The expiry of workers' and leaders' leases is
+// decided by the clock, but the process can be paused between reading the clock and acting on it, and requests
+// that arrived during the pause still wait to be answered. Pauses are therefore detected explicitly: after a
+// pause, a renewal that was sent after it must succeed before the leader answers a heartbeat or sends a command
+// (docs/design.md, "The pool's claim").
 
 const (
 	pauseCheckInterval = 100 * time.Millisecond
-	// pauseThreshold is the time without a tick that counts as a pause: a lease may have expired, and
-	// no loaded processor delays a tick so long.
+	// pauseThreshold is the time without a tick that counts as a pause. A lease may expire within it, and a
+	// loaded processor alone does not delay a tick that long.
 	pauseThreshold = 1500 * time.Millisecond
 )
 
-// pauseDetector notices that this process was paused.
+// pauseDetector detects pauses of this process.
 type pauseDetector struct {
-	// onResume is called after each pause, outside the lock, by whoever notices it first.
+	// onResume is called once after each pause, without mu held, by the call that detects the pause.
 	onResume func()
 
-	// mu guards what follows; nothing is called under it.
+	// mu guards the fields below. No other lock is acquired while it is held.
 	mu        sync.Mutex
-	lastTick  time.Time // zero before the first
-	resumedAt time.Time // when the last pause was over; zero if there was none
+	lastTick  time.Time // zero before the first tick
+	resumedAt time.Time // end of the last pause; zero if there was none
 }
 
 func newPauseDetector(onResume func()) *pauseDetector {
 	return &pauseDetector{onResume: onResume}
 }
 
-// run ticks until the context ends.
+// run calls tick periodically until the context ends.
 func (d *pauseDetector) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		d.tick(time.Now())
@@ -46,14 +46,14 @@
 	}
 }
 
-// tick notes that this process is running.
+// tick records that this process is running.
 func (d *pauseDetector) tick(now time.Time) { d.check(now, true) }
 
-// lastResumedAt is when the last pause was over; zero if there was none. Whoever asks first after
-// one detects it, since that may be before the next tick.
+// lastResumedAt returns the end of the last pause; zero if there was none. It also checks for a pause itself,
+// since it may be called after a pause and before the next tick.
 func (d *pauseDetector) lastResumedAt(now time.Time) time.Time { return d.check(now, false) }
 
-// check detects a pause that is just over, and returns when the last one was.
+// check detects a pause that has just ended, and returns the end of the last pause.
 func (d *pauseDetector) check(now time.Time, tick bool) time.Time {
 	paused, resumedAt := d.update(now, tick)
 	if paused > 0 {
@@ -63,8 +63,8 @@
 	return resumedAt
 }
 
-// update returns how long the pause lasted that is over just now, zero if there was none, and when
-// the last pause was over.
+// update returns the duration of the pause that has just ended, zero if there was none, and the end of the
+// last pause.
 func (d *pauseDetector) update(now time.Time, tick bool) (paused time.Duration, resumedAt time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/election/process_pause_test.go
+++ b/internal/election/process_pause_test.go
@@ -13,8 +13,8 @@
 
 func TestLeaderRenewsItsLeaseAfterAPauseBeforeItActs(t *testing.T) {
 	t.Parallel()
-	// Guards against the first moments after a pause, in which what waited on its connections is
-	// answered and machines look silent that nobody listened to.
+	// Guards against a leader that, right after a pause, answers requests that waited on its connections, or
+	// treats machines as silent whose reports it did not read during the pause.
 	synctest.Test(t, func(t *testing.T) {
 		elector := NewElector(testSettings(), nil, nil, "a.1")
 		cluster := clusterWithMachines(t, 12)
@@ -28,12 +28,12 @@
 		if status := heartbeat(2); status != http.StatusOK {
 			t.Fatalf("a heartbeat got %d", status)
 		}
-		// It is paused for longer than its lease, well within its grace period.
+		// The leader is paused for longer than its lease, but much less than its grace period.
 		time.Sleep(5 * time.Second)
 		if status := heartbeat(3); status != http.StatusServiceUnavailable {
 			t.Errorf("right after the pause a heartbeat got %d", status)
 		}
-		elector.pauses.tick(time.Now()) // its detector ticks again
+		elector.pauses.tick(time.Now()) // the pause detector runs again
 		if term.authority.renewedSincePause() {
 			t.Error("commands may go out before a renewal")
 		}
@@ -48,7 +48,7 @@
 		if status := heartbeat(4); status != http.StatusOK || !term.authority.renewedSincePause() {
 			t.Errorf("once it has renewed a heartbeat gets %d", status)
 		}
-		// A busy processor is no pause.
+		// Short delays, as on a busy processor, don't count as a pause.
 		for range 20 {
 			time.Sleep(900 * time.Millisecond)
 			elector.pauses.tick(time.Now())
--- a/internal/election/rebalance.go
+++ b/internal/election/rebalance.go
@@ -10,16 +10,16 @@
 
 const (
 	rebalanceInterval = 5 * time.Second
-	// minTermBeforeResigning is how long a term lasts at least before its leader resigns in favour of
-	// a controller that leads fewer shards.
+	// minTermBeforeResigning is the minimum duration of a term before its leader resigns in favour of a
+	// controller that leads fewer shards.
 	minTermBeforeResigning = 15 * time.Second
-	// excessShards is by how many shards more a leader must lead than the controller that prefers one
-	// of them.
+	// excessShards is the minimum difference between the numbers of shards that this node and the controller
+	// that prefers a shard lead, for this node to resign from the shard.
 	excessShards = 2
 )
 
-// rebalanceLeaders has this node resign from shards that it leads beyond its share, one at a time,
-// until the context ends.
+// rebalanceLeaders periodically resigns from one shard if this node leads more than its share, until the
+// context ends.
 func rebalanceLeaders(ctx context.Context, electors []*Elector) {
 	for ctx.Err() == nil {
 		wait.For(ctx, rebalanceInterval)
@@ -27,8 +27,8 @@
 	}
 }
 
-// resignExcess resigns from one shard if the controller that prefers it is up and leads at least
-// two shards fewer than this one.
+// resignExcess resigns from one shard if the controller that prefers it is up and leads at least two shards
+// fewer than this node.
 func resignExcess(electors []*Elector) {
 	led := shardsLed(electors)
 	for _, elector := range electors {
@@ -44,7 +44,7 @@
 	}
 }
 
-// shardsLed counts the shards that each controller leads, as far as this node knows.
+// shardsLed returns the number of shards that each controller leads, as far as this node knows.
 func shardsLed(electors []*Elector) map[ids.Node]int {
 	led := map[ids.Node]int{}
 	for _, elector := range electors {
--- a/internal/election/record_loading.go
+++ b/internal/election/record_loading.go
@@ -15,11 +15,11 @@
 	"github.com/pebbletrail/pebbletrail/internal/wait"
 )
 
-// loadRetryDelay is the wait after a reading that failed.
+// loadRetryDelay is the delay after a failed read.
 const loadRetryDelay = 100 * time.Millisecond
 
-// recordLoader reads what is stored into the cluster state of a new term. The takeover's commit
-// keeps older leaders from changing any of it.
+// recordLoader loads the stored records into the cluster state of a new term. Earlier leaders can't change
+// them meanwhile, since the commit of the takeover incremented the generation.
 type recordLoader struct {
 	settings *config.Settings
 	store    *state.Client
@@ -28,14 +28,14 @@
 	shard    ids.Shard
 }
 
-// storedJobs are the live records by job.
+// storedJobs contains the live records, by job.
 type storedJobs struct {
 	records   map[ids.Job]*record.Record // of the leader's shard
-	waiting   map[ids.Job]*record.Record // of jobs that await others, of all shards
+	waiting   map[ids.Job]*record.Record // of jobs that wait for the jobs they depend on, of all shards
 	revisions map[ids.Job]ids.Revision
 }
 
-// load reads everything, again until it succeeds. It is false if the term ends first.
+// load loads all records, and retries until it succeeds. It returns false if the term ends first.
 func (l *recordLoader) load(ctx context.Context, term *Term) bool {
 	for ctx.Err() == nil {
 		entries, epoch, err := l.read(ctx, term)
@@ -54,10 +54,10 @@
 	return false
 }
 
-// read lists the live records, and reads the provisioning requests and the allowances into the
-// term.
+// read returns the live records and their store revision, and reads the provisioning requests and the
+// allowances into the term.
 func (l *recordLoader) read(ctx context.Context, term *Term) (jobs []state.Entry, epoch ids.StoreRevision, err error) {
-	// The copy is warm; what it lacks is read after the takeover's commit.
+	// The cache is already filled; Sync reads only the changes that it lacks, after the takeover's commit.
 	if err := l.jobs.Sync(ctx); err != nil {
 		return nil, 0, fmt.Errorf("read records: %w", err)
 	}
@@ -73,8 +73,8 @@
 	return jobs, epoch, nil
 }
 
-// loadAllowances reads the ledgers after the takeover's commit. Their changes have been followed
-// since before it.
+// loadAllowances loads the allowance ledgers. They are read after the takeover's commit, and changes of them
+// have been watched since before it.
 func (l *recordLoader) loadAllowances(ctx context.Context, cluster *clusterstate.State) error {
 	entries, _, err := l.store.ListAll(ctx, quota.Prefix, state.Urgent)
 	if err != nil {
@@ -84,8 +84,8 @@
 	return nil
 }
 
-// decode decodes the records, and tells the cluster state of the cancellations that are stored
-// apart from them. One that can't be decoded is logged and passed over.
+// decode decodes the records, and reports to the cluster state the cancellations that are stored under keys
+// of their own. A record that can't be decoded is logged and skipped.
 func (l *recordLoader) decode(entries []state.Entry, cluster *clusterstate.State) storedJobs {
 	jobs := storedJobs{
 		records:   map[ids.Job]*record.Record{},
--- a/internal/election/redirects.go
+++ b/internal/election/redirects.go
@@ -8,27 +8,27 @@
 	"github.com/pebbletrail/pebbletrail/internal/liveness"
 )
 
-// A redirected worker reports to the leader within redirectArrivalTime. One that does not get
-// through is back within redirectReturnTime: it waits 4 s for an answer, and another before it tries
-// the next node.
+// A redirected worker reports to the leader within redirectArrivalTime. A worker that can't reach the leader
+// reports to this node again within redirectReturnTime: it waits 4 s for an answer, and 1 s more before it
+// tries the next node.
 const (
 	redirectArrivalTime = 2500 * time.Millisecond
 	redirectReturnTime  = 10 * time.Second
 )
 
-// maxRedirects bounds the redirects that are remembered: beyond it all are forgotten.
+// maxRedirects bounds the number of tracked redirects. If it is exceeded, all of them are dropped.
 const maxRedirects = 20000
 
-// redirect is a worker redirected to the leader, perhaps again and again.
+// redirect records the first and the last time that a worker was redirected to a leader.
 type redirect struct {
 	leader      ids.Node
 	first, last time.Time
 }
 
-// redirectTracker remembers the workers that this node has redirected to the leader, so that the
-// leader learns which of them can't reach it.
+// redirectTracker tracks the workers that this node has redirected to the leader, so that the leader can be
+// told which workers may not reach it.
 type redirectTracker struct {
-	// mu guards what follows; nothing is called under it.
+	// mu guards the field below. No other lock is acquired while it is held.
 	mu        sync.Mutex
 	byMachine map[ids.Machine]redirect
 }
@@ -37,7 +37,7 @@
 	return &redirectTracker{byMachine: map[ids.Machine]redirect{}}
 }
 
-// record notes that a worker is redirected to the leader just now.
+// record records that a worker is redirected to the leader now.
 func (t *redirectTracker) record(machine ids.Machine, leader ids.Node) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -53,8 +53,8 @@
 	t.byMachine[machine] = noted
 }
 
-// overdue lists the workers that were lately redirected to the present leader and came back, or
-// should be there by now, and forgets those that are of no use any more.
+// overdue returns the workers that were redirected to the leader and either reported to this node again, or
+// should have reached the leader by now. It drops redirects to other leaders and redirects that are too old.
 func (t *redirectTracker) overdue(leader ids.Node) (workers []liveness.RedirectedWorker) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -68,9 +68,10 @@
 	return workers
 }
 
-// RedirectedWorkers lists the workers that were lately redirected to the present leader and came
-// back, or should be there by now: whether they have been, the leader knows. Those redirected to an
-// earlier one say nothing of this one.
+// RedirectedWorkers returns the workers that were recently redirected to the current leader and either
+// reported to this node again, or should have reached the leader by now. The leader knows whether they have
+// reached it. Workers redirected to an earlier leader are left out, since they say nothing about the current
+// one.
 func (e *Elector) RedirectedWorkers() []liveness.RedirectedWorker {
 	leader, _ := e.Leader()
 	return e.redirects.overdue(leader)
--- a/internal/election/redirects_test.go
+++ b/internal/election/redirects_test.go
@@ -8,8 +8,8 @@
 
 func TestRedirectsToAnEarlierLeaderDoNotCountAgainstThePresentOne(t *testing.T) {
 	t.Parallel()
-	// Found on a day with a crash: the workers that had been redirected to the dead leader, or had
-	// been here since, made each new one resign a few seconds after its takeover.
+	// After a leader crashed, the workers that had been redirected to it, or had reported to this node since,
+	// made each new leader resign a few seconds after its takeover.
 	synctest.Test(t, func(t *testing.T) {
 		redirects := newRedirectTracker()
 		redirects.record("m1", "b")
--- a/internal/election/renewal.go
+++ b/internal/election/renewal.go
@@ -9,8 +9,8 @@
 	"github.com/pebbletrail/pebbletrail/internal/state"
 )
 
-// renewLease renews a term's lease, and steps down if the lease is surely lost, if another leader
-// has raised the generation, or if nobody can be reached.
+// renewLease renews a term's lease. It steps down if the state service no longer has the lease, if another
+// leader has incremented the generation, or if neither workers nor other controllers can be reached.
 func (e *Elector) renewLease(ctx context.Context, term *Term) {
 	sentAt := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, leaseDuration(e.settings)/2)
@@ -28,7 +28,7 @@
 	e.checkGeneration(term)
 }
 
-// checkGeneration steps down if another process has raised the generation.
+// checkGeneration steps down if another process has incremented the generation.
 func (e *Elector) checkGeneration(term *Term) {
 	stored, known := e.candidate.cachedGeneration()
 	if known && stored.Generation > term.Cluster.Generation() && !e.candidate.isOwnWrite(stored) {
@@ -36,6 +36,6 @@
 	}
 }
 
-// LeaseSurelyHeld tells whether no other node can lead the shard: the term's lease, counted from
-// when the last good renewal was sent, has not expired by this node's clock.
+// LeaseSurelyHeld reports whether no other node can lead the shard: by this node's clock, the term's lease,
+// counted from when the last successful renewal was sent, has not expired.
 func (e *Elector) LeaseSurelyHeld(term *Term) bool { return term.authority.leaseSurelyHeld() }
--- a/internal/election/shards.go
+++ b/internal/election/shards.go
@@ -14,15 +14,16 @@
 	"github.com/pebbletrail/pebbletrail/internal/worker"
 )
 
-// allowanceWatchInterval spaces the watches of the allowance ledgers.
+// allowanceWatchInterval is the interval between watches of the allowance ledgers.
 const allowanceWatchInterval = 100 * time.Millisecond
 
-// Shards is this controller's part in leading the shards of the machine pool, of which it may lead
-// none, one or several (docs/shards.md). All that it has is set before Run, or guards itself.
+// Shards runs the elections of all shards of the machine pool on this controller, which may lead none, one or
+// several of them (docs/shards.md). Its fields either don't change after Run is called or are safe for
+// concurrent use.
 type Shards struct {
-	// OnRefused is called with the reason when the store is laid out for another number of shards, or
-	// when its layout can't be told from that of older versions: with ErrOtherLayout, ErrJobsStored
-	// or quota.ErrBadLedger. It is set before Run.
+	// OnRefused is called with the reason if the store can't be used: ErrLayoutMismatch if it is laid out for
+	// another number of shards, ErrJobsStored if it has no layout but is in use, possibly by an older version,
+	// or quota.ErrBadLedger. It must be set before Run.
 	OnRefused func(error)
 
 	electors  []*Elector // by shard
@@ -30,12 +31,12 @@
 	layout    *storeLayout
 	shortages *shortageReports
 
-	// With one shard these are nil.
-	allowances *state.WatchCache // of the ledgers
+	// With a single shard these are nil.
+	allowances *state.WatchCache // of the allowance ledgers
 	ownership  *machineOwnership
 }
 
-// NewShards makes the electors of all shards.
+// NewShards returns a Shards with the electors of all shards.
 func NewShards(settings *config.Settings, store *state.Client, commander *worker.Commander, incarnation string) *Shards {
 	if settings.ShardCount() == 1 {
 		return NewSingleShard(NewElector(settings, store, commander, incarnation))
@@ -52,7 +53,7 @@
 	return s
 }
 
-// NewSingleShard wraps the elector of a pool that is one shard.
+// NewSingleShard returns a Shards for a pool with a single shard, whose elector is given.
 func NewSingleShard(elector *Elector) *Shards {
 	return newShards([]*Elector{elector}, elector.store, elector.caches)
 }
@@ -67,7 +68,7 @@
 	}
 }
 
-// followChanges has the electors told of what changes in the store.
+// followChanges registers the electors and the machine ownership as listeners of changes in the store.
 func (s *Shards) followChanges() {
 	s.caches.pool.OnChange(s.ownership.handleChange)
 	s.caches.jobs.OnChange(func(change state.Change) {
@@ -82,7 +83,8 @@
 	})
 }
 
-// Run takes part in the elections until the context ends, or returns once the store can't be used.
+// Run takes part in the elections until the context ends. With several shards, it returns early if the store
+// can't be used.
 func (s *Shards) Run(ctx context.Context) {
 	if s.ownership == nil {
 		go s.checkSingleLayout(ctx)
@@ -105,23 +107,23 @@
 	<-ctx.Done()
 }
 
-// checkSingleLayout refuses a store that is laid out for several shards.
+// checkSingleLayout calls OnRefused if the store is laid out for several shards.
 func (s *Shards) checkSingleLayout(ctx context.Context) {
 	if found, err := s.layout.findInCache(ctx); found {
 		s.OnRefused(err)
 	}
 }
 
-// Electors are the shards' electors, by shard.
+// Electors returns the electors of all shards, by shard.
 func (s *Shards) Electors() []*Elector { return s.electors }
 
-// ForJob is the elector of the shard that a job belongs to.
+// ForJob returns the elector of the shard that a job belongs to.
 func (s *Shards) ForJob(job ids.Job) *Elector { return s.electors[ids.ShardOf(job, len(s.electors))] }
 
-// Jobs is this node's copy of the live records of all shards.
+// Jobs returns this node's cache of the live records of all shards.
 func (s *Shards) Jobs() *state.WatchCache { return s.caches.jobs }
 
-// Owns tells whether a machine belongs to a shard, as far as that is known already.
+// Owns reports whether a machine is known to belong to a shard.
 func (s *Shards) Owns(shard ids.Shard, machine ids.Machine) bool {
 	if s.ownership == nil {
 		return true
@@ -137,15 +139,15 @@
 	}
 	owner, known := s.ownership.shardOf(report.Machine)
 	if !known || int(owner) >= len(s.electors) {
-		// Its provisioning request is not answered yet, or nobody provisioned it: soon one shard
-		// surely owns it. Or the store is laid out for more shards than this node's settings name,
-		// which refuses the node once it has read that.
+		// If the owner is unknown, the machine's provisioning request is not answered yet or the machine has
+		// none; its owner will soon be known. If the owner is beyond the configured shards, the store is laid
+		// out for more shards, and this node reports that through OnRefused once it has read the layout.
 		return nil, http.StatusServiceUnavailable, worker.Redirect{}
 	}
 	return s.electors[owner].Heartbeat(ctx, report)
 }
 
-// MachineCount is how many machines may connect to this node.
+// MachineCount returns the number of machines that may connect to this node.
 func (s *Shards) MachineCount() (count int) {
 	for _, elector := range s.electors {
 		if cluster := elector.Cluster(); cluster != nil {
@@ -155,16 +157,16 @@
 	return count
 }
 
-// MachineTypes reads the machine types that a leader has stored.
+// MachineTypes returns the machine types that a leader has stored; nil if there are none.
 func (s *Shards) MachineTypes() []placement.InstanceType { return s.caches.machineTypes() }
 
-// ReportShortage takes in what the leader of another shard tells of its shard.
+// ReportShortage records a shortage report from the leader of another shard.
 func (s *Shards) ReportShortage(shard ids.Shard, shortage provisioning.Shortage) {
 	s.shortages.report(shard, shortage)
 }
 
-// OtherShardsShortage is the duration of the longest shortage of another shard, and how many
-// machines a shard has on average.
+// OtherShardsShortage returns the duration of the longest shortage among the other shards, and the average
+// number of machines per shard.
 func (s *Shards) OtherShardsShortage(own ids.Shard) (longest time.Duration, averageMachines int) {
 	total := 0
 	for i, elector := range s.electors {
@@ -181,7 +183,8 @@
 	return longest, total / len(s.electors)
 }
 
-// shortageOf is what is known of a shard, led here or elsewhere.
+// shortageOf returns the shortage of a shard, from its cluster state if this node leads it, or else from the
+// last report of its leader.
 func (s *Shards) shortageOf(shard ids.Shard, elector *Elector) (provisioning.Shortage, bool) {
 	if cluster := elector.Cluster(); cluster != nil {
 		return cluster.Shortage(), true
--- a/internal/election/shortage_reports.go
+++ b/internal/election/shortage_reports.go
@@ -8,18 +8,18 @@
 	"github.com/pebbletrail/pebbletrail/internal/provisioning"
 )
 
-// shortageMaxAge is how long a report of another shard's shortage counts.
+// shortageMaxAge is how long a report of another shard's shortage is valid.
 const shortageMaxAge = 3 * time.Second
 
-// reportedShortage is a shortage and when it was reported.
+// reportedShortage is a shortage and the time of its report.
 type reportedShortage struct {
 	provisioning.Shortage
 	at time.Time
 }
 
-// shortageReports is what the leaders of other shards reported of their shortages.
+// shortageReports holds the last shortage report of each other shard's leader.
 type shortageReports struct {
-	// mu guards what follows; nothing is called under it.
+	// mu guards the field below. No other lock is acquired while it is held.
 	mu      sync.Mutex
 	byShard map[ids.Shard]reportedShortage
 }
@@ -34,7 +34,7 @@
 	r.byShard[shard] = reportedShortage{shortage, time.Now()}
 }
 
-// latest is the last report of a shard, unless it is too old.
+// latest returns the last report of a shard; known is false if there is none or it is too old.
 func (r *shortageReports) latest(shard ids.Shard) (shortage provisioning.Shortage, known bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/election/term.go
+++ b/internal/election/term.go
@@ -15,24 +15,25 @@
 )
 
 const (
-	// maxPlanInterval is the time between two planning passes when nothing changes, and
-	// minPlanInterval the pause after each.
+	// maxPlanInterval is the time between two planning passes when nothing changes; minPlanInterval is the
+	// delay after each pass.
 	maxPlanInterval = 500 * time.Millisecond
 	minPlanInterval = 25 * time.Millisecond
-	// commandSlotShare is the part of the sockets to machines that the dispatcher may use: one in so
-	// many.
+	// commandSlotShare is the divisor of the number of sockets to machines that gives the number that the
+	// dispatcher may use.
 	commandSlotShare = 4
 )
 
-// Term is one term of leading a shard.
+// Term is a term in which this node leads a shard.
 type Term struct {
-	// Generation is the one the term began with; the cluster state's may rise during the term.
+	// Generation is the generation with which the term began. The cluster state's generation may increase
+	// during the term.
 	Generation ids.Generation
 	Cluster    *clusterstate.State
 	Committer  *commit.Committer
 	Dispatcher *dispatch.Dispatcher
-	// OpenProvisioningRequests are the provisioning requests that were stored at the takeover. They are there once
-	// OnTerm is called.
+	// OpenProvisioningRequests are the provisioning requests that were stored at the takeover. They are set
+	// before OnTerm is called.
 	OpenProvisioningRequests []state.Entry
 
 	lease     ids.Lease
@@ -42,7 +43,7 @@
 	cancel    context.CancelFunc
 }
 
-// beginTerm starts a term. Its goroutines end when the term's context does, which stepDown cancels.
+// beginTerm starts a term. The term's goroutines end when its context is cancelled, which stepDown does.
 func (e *Elector) beginTerm(ctx context.Context, won *acquiredLeadership) {
 	now := time.Now()
 	termCtx, cancel := context.WithCancel(ctx)
@@ -59,7 +60,7 @@
 	go e.awaitPredecessorsStopped(termCtx, term, e.candidate.possibleLeaders(won.previous, now)...)
 }
 
-// newTerm makes a term and connects its parts; nothing runs yet.
+// newTerm returns a term with its components connected, but starts none of them.
 func (e *Elector) newTerm(won *acquiredLeadership, now time.Time) *Term {
 	term := &Term{
 		Generation: won.generation,
@@ -72,15 +73,15 @@
 	term.Cluster.StartsAllowed = func() (bool, time.Time) { return term.authority.mayStartTasks(), e.caches.jobs.AsOf() }
 	term.Dispatcher = dispatch.New(term.Cluster, e.commander, e.settings.Sockets().ToMachines/commandSlotShare, term.authority.renewedSincePause)
 	term.Committer = commit.New(term.Cluster, e.store, e.settings.HostName, e.keys, won.revision, commit.Events{
-		// The committer's own goroutine calls this, and goes on until the term's context ends.
+		// The committer calls Superseded in its own goroutine, which runs until the term's context ends.
 		Superseded: func(why string) { go e.stepDown(term, why) },
 		Stored:     term.Dispatcher.Wake,
 	})
 	return term
 }
 
-// newClusterState makes the cluster state of a term. It takes a worker that it has not heard for
-// possibly alive until the grace period of an earlier leader and then the worker's lease are over.
+// newClusterState returns the cluster state of a term. A worker that has not reported to it counts as possibly
+// alive until the grace period of an earlier leader and, after that, the worker's lease have expired.
 func (e *Elector) newClusterState(won *acquiredLeadership, now time.Time) *clusterstate.State {
 	trustSilence := now.Add(e.settings.LeaderGracePeriod().WithClockDrift() + e.settings.Params.Workers.LeaseS.WithClockDrift())
 	cluster := clusterstate.NewShard(e.settings, won.writer, won.generation, trustSilence, e.shard)
@@ -89,7 +90,8 @@
 	return cluster
 }
 
-// storeAvailable tells whether the state service has answered within half a lease.
+// storeAvailable returns a function that reports whether the state service has answered within the last half
+// of a lease's duration.
 func storeAvailable(settings *config.Settings, store *state.Client) func() bool {
 	maxAge := leaseDuration(settings) / 2
 	return func() bool {
@@ -98,7 +100,7 @@
 	}
 }
 
-// runTerm starts what runs during a term once the records are loaded.
+// runTerm starts the components of a term. It is called once the records are loaded.
 func (e *Elector) runTerm(ctx context.Context, term *Term) {
 	go term.Committer.Run(ctx)
 	go term.Committer.RunLookups(ctx)
@@ -112,7 +114,8 @@
 	}
 }
 
-// plan assigns tasks to machines whenever something changed, at a bounded pace.
+// plan runs a planning pass, which assigns tasks to machines, after each change, at a bounded rate, and at
+// least every maxPlanInterval.
 func (t *Term) plan(ctx context.Context) {
 	for ctx.Err() == nil {
 		select {
@@ -129,7 +132,7 @@
 	}
 }
 
-// stepDown ends a term, unless it is over already.
+// stepDown ends a term, unless it has ended already.
 func (e *Elector) stepDown(term *Term, why string) {
 	if !e.current.end(term) {
 		return
--- a/internal/election/watch_caches.go
+++ b/internal/election/watch_caches.go
@@ -10,13 +10,13 @@
 	"github.com/pebbletrail/pebbletrail/internal/state"
 )
 
-// How the watches are spaced.
+// Intervals between watches.
 const (
 	poolWatchInterval = 100 * time.Millisecond
 	jobWatchInterval  = 400 * time.Millisecond
 )
 
-// watchCaches are this node's copies of what is stored, which all its shards share.
+// watchCaches holds this node's caches of stored records, which all its electors share.
 type watchCaches struct {
 	pool *state.WatchCache // leaders, generations, provisioning requests and the layout
 	jobs *state.WatchCache // the live records
@@ -29,13 +29,13 @@
 	}
 }
 
-// run follows the store until the context ends.
+// run starts the watches of the store, which end with the context.
 func (c watchCaches) run(ctx context.Context) {
 	go c.pool.Run(ctx)
 	go c.jobs.Run(ctx)
 }
 
-// machineTypes reads the machine types that a leader has stored.
+// machineTypes returns the machine types that a leader has stored; nil if there are none.
 func (c watchCaches) machineTypes() []placement.InstanceType {
 	entry, found, _ := c.pool.Get(record.TypesKey)
 	if !found {
--- a/internal/liveness/fleet.go
+++ b/internal/liveness/fleet.go
@@ -1,6 +1,6 @@
-// Package liveness tells failed machines from network partitions by comparing the machines' silences. One
-// silent machine among many that report has failed; many silent ones may be cut off, or this controller
-// may be.
+// Package liveness distinguishes failed machines from network partitions by comparing which machines report
+// and which are silent. A single silent machine among many that report has failed; if many machines are
+// silent, they or this controller may be cut off from the network.
 //
 // The package has no lock: the lock of the cluster state that the machines and a Zones belong to guards
 // them.
@@ -17,8 +17,8 @@
 // ProbeTimeout is how long a health probe may go unanswered before it counts as failed.
 const ProbeTimeout = 800 * time.Millisecond
 
-// Fleet counts the machines that report and those that are silent. One count serves for all machines
-// that are judged by it.
+// Fleet contains the numbers of reporting and of silent machines at one moment, which are used to judge each
+// machine.
 type Fleet struct {
 	storeAvailable bool
 	zones          map[string]*zone
@@ -26,9 +26,10 @@
 	lastReports    reportTimes // of the machines that are not silent
 }
 
-// zone counts the machines of one zone. It is unreachable if probes to half of its machines have gone
-// unanswered since any machine there last reported. Fewer machines may fail at once, and in a small zone
-// the reports of the others may be more than a second apart.
+// zone contains the counts of one zone's machines. The zone is unreachable if half of its machines have left
+// probes unanswered and no machine in the zone has reported since. A smaller number of machines may have failed
+// at the same time by themselves, and in a small zone the reports of the others may be more than a second
+// apart.
 type zone struct {
 	all         int
 	lastReports reportTimes
@@ -36,11 +37,11 @@
 	unreachable bool
 }
 
-// minUnanswered is the least number of machines with unanswered probes in an unreachable zone.
+// minUnanswered is the minimum number of machines with unanswered probes for a zone to be unreachable.
 const minUnanswered = 3
 
-// Measure counts the machines that report. While the state service is not available no machine counts as
-// failed, since what runs on it could not be started elsewhere.
+// Measure counts the machines that report and those that are silent. While the state service is not available,
+// no machine counts as failed, since its tasks could not be started elsewhere.
 func Measure(machines *worker.Registry, storeAvailable bool) *Fleet {
 	fleet := &Fleet{storeAvailable: storeAvailable, zones: map[string]*zone{}}
 	var silent []*worker.Machine
@@ -79,7 +80,7 @@
 	return found
 }
 
-// UnreachableZones returns the zones from which no reports arrive any more.
+// UnreachableZones returns the set of unreachable zones.
 func (f *Fleet) UnreachableZones() map[string]bool {
 	unreachable := map[string]bool{}
 	for name, zone := range f.zones {
@@ -102,17 +103,18 @@
 	return f.storeAvailable && zone != nil && zone.unreachable && f.silent <= f.all*2/5
 }
 
-// smallZone is the size up to which a zone has too few machines to judge it by how many of them report.
+// smallZone is the number of machines up to which a zone is too small for the share of its machines that
+// report to be meaningful.
 const smallZone = 3
 
-// IsIsolatedFailure reports whether a machine has failed by itself: most other machines have reported
-// since the first probe that it left unanswered, and few others are silent. Reports are seconds apart, so
-// right after this controller is cut off only a few machines seem silent; what counts is how many have
-// reported since. The same holds for the machine's zone: machines with replicas are probed sooner than
-// others, so they are the first to seem silent in a zone that is cut off.
+// IsIsolatedFailure reports whether a machine has failed by itself: most other machines have reported since
+// the first probe that the machine left unanswered, and few others are silent. Reports are seconds apart, so
+// right after this controller is cut off, only a few machines seem silent; the number of machines that have
+// reported since that probe is therefore decisive. The same applies to the machine's zone: machines with
+// replicas are probed sooner than others, so they are the first to seem silent in a zone that is cut off.
 func (f *Fleet) IsIsolatedFailure(machine *worker.Machine) bool {
-	// While nothing can be stored, what runs there could not be started elsewhere. If a whole zone is cut
-	// off or down, its machines' leases decide.
+	// While the state service is not available, the machine's tasks could not be started elsewhere. If a whole
+	// zone is cut off or down, its machines are lost only when their leases expire.
 	if !f.storeAvailable {
 		return false
 	}
@@ -126,16 +128,17 @@
 	return f.silent <= max(1, f.all*2/5) && reported >= (f.all-f.silent+1)/2 && reported > 0
 }
 
-// reportWindow is the time within which at least one machine of a reachable fleet reports.
+// reportWindow is the time within which at least one machine of a reachable fleet always reports.
 const reportWindow = 2 * time.Second
 
-// LostContact reports whether hardly any machine reports or answers probes.
+// LostContact reports whether hardly any machine reports or answers probes while the state service is
+// available.
 func (f *Fleet) LostContact(now time.Time) bool {
 	return f.storeAvailable && f.silent >= 2 && 4*f.silent >= 3*f.all && f.lastReports.countAfter(now.Add(-reportWindow)) == 0
 }
 
-// reportTimes are the times of machines' last reports. They are sorted only when they are first queried,
-// because most fleets have no silent machine and are never queried.
+// reportTimes contains the times of machines' last reports. The times are sorted only at the first query,
+// since they are never queried if no machine is silent, which is the usual case.
 type reportTimes struct {
 	times  []time.Time
 	sorted bool
@@ -143,7 +146,7 @@
 
 func (r *reportTimes) add(at time.Time) { r.times, r.sorted = append(r.times, at), false }
 
-// countAfter counts the reports that came after a moment.
+// countAfter returns the number of reports after a moment.
 func (r *reportTimes) countAfter(moment time.Time) int {
 	if !r.sorted {
 		slices.SortFunc(r.times, time.Time.Compare)
--- a/internal/liveness/liveness_test.go
+++ b/internal/liveness/liveness_test.go
@@ -11,7 +11,7 @@
 
 var now = time.Now()
 
-// fleetOf returns a registry with machines that have reported just now: perZone in each of the zones
+// fleetOf returns a registry with machines that have just reported: perZone machines in each of the zones
 // north, south and west, named after their zone and number.
 func fleetOf(perZone int) *worker.Registry {
 	machines := worker.NewRegistry(20)
@@ -24,7 +24,7 @@
 	return machines
 }
 
-// silence makes the first machines of a zone silent for ten seconds and their probes unanswered.
+// silence makes the first count machines of a zone silent for ten seconds, with unanswered probes.
 func silence(machines *worker.Registry, zone string, count int) {
 	for i := range count {
 		machine := machines.Machines[ids.Machine(fmt.Sprintf("%s%d", zone, i))]
@@ -76,7 +76,7 @@
 	for _, c := range []struct {
 		name      string
 		perZone   int
-		silent    int             // of the north
+		silent    int             // number of silent machines in zone north
 		overdue   map[string]bool // zones whose other machines last reported before the silence
 		isolated  bool
 		zoneIsOut bool
--- a/internal/liveness/zones.go
+++ b/internal/liveness/zones.go
@@ -7,9 +7,9 @@
 	"github.com/pebbletrail/pebbletrail/internal/worker"
 )
 
-// Zones remembers which zones were unreachable at the last update. Tasks in a zone that is only cut off go
-// on running, so its machines are left alone until their leases have certainly expired, rather than
-// provisioning a third of the fleet again. Nothing is provisioned in the zone meanwhile.
+// Zones records which zones were unreachable at the last update. Tasks in a zone that is only cut off keep
+// running, so the zone's machines are not replaced until their leases have certainly expired; replacing them
+// at once would provision a third of the fleet again. Nothing is provisioned in an unreachable zone.
 type Zones struct{ unreachable map[string]bool }
 
 // NewZones returns a Zones in which all zones are reachable.
@@ -36,8 +36,8 @@
 	return fleet
 }
 
-// resetZone resets the probes of a zone's silent machines: some machine there has reported again, so the
-// others get the time to do so too.
+// resetZone resets the probes of a zone's silent machines: a machine of the zone has reported again, so the
+// others are given time to report too.
 func resetZone(machines *worker.Registry, name string) {
 	now := time.Now()
 	slog.Info("zone reachable again", "zone", name)
@@ -49,7 +49,7 @@
 	}
 }
 
-// Reset gives every machine that has reported the time to report again.
+// Reset resets the probes of all machines that have ever reported, so that each has time to report again.
 func Reset(machines *worker.Registry, now time.Time) {
 	for _, machine := range machines.Machines {
 		if machine.HasReported {
--- a/internal/workload/assignment.go
+++ b/internal/workload/assignment.go
@@ -10,45 +10,46 @@
 	"github.com/pebbletrail/pebbletrail/internal/record"
 )
 
-// Assignment is a task that is or may be on a machine. It counts against the team's quota and the machine's
-// capacity from before its marker is stored until the task is proven gone.
+// Assignment is the assignment of a task to a machine, on which the task is or may be present. It counts
+// against the team's quota and the machine's capacity from before it is stored in the job's record until the
+// task is known to be gone from the machine.
 type Assignment struct {
 	Job         *Job
 	TaskIndex   int
 	Machine     ids.Machine
-	Incarnation ids.Incarnation // of the worker to which the start is sent
+	Incarnation ids.Incarnation // of the worker to which the start command is sent
 	Attempt     ids.Attempt
-	// FencingToken is the token that the start carries.
+	// FencingToken is the token that is sent with the start command.
 	FencingToken ids.Generation
 	AssignedAt   time.Time
 
-	// MarkerVersion is the version of the job that first contains the assignment. No start is sent before
-	// that version is stored.
+	// MarkerVersion is the first version of the job's record that contains the assignment. No start command
+	// is sent before that version is stored.
 	MarkerVersion uint64
-	// StartSent is set if a start may have been sent.
+	// StartSent is set if a start command may have been sent.
 	StartSent bool
-	// OfferedInHeartbeat is set if a start was sent in the response to a heartbeat, and OfferedAt is the
-	// sequence number of that heartbeat.
+	// OfferedInHeartbeat is set if a start command was sent in the response to a heartbeat, and OfferedAt is
+	// the sequence number of that heartbeat.
 	OfferedInHeartbeat bool
 	OfferedAt          ids.SequenceNumber
 
-	// Confirmed is set once a report has shown the task on its machine, and Status is its last reported
+	// Confirmed is set once a report has shown the task on its machine. Status is the task's last reported
 	// status.
 	Confirmed    bool
 	Status       string
-	RunningSince time.Time // when it was first reported running
-	// AwaitsImage is set while the node counts the task among those that wait for its image.
+	RunningSince time.Time // when the task was first reported as running
+	// AwaitsImage is set while the task is counted among the machine's tasks that wait for an image.
 	AwaitsImage bool
 
 	// ProtectedUntil is the time until which only critical work may preempt the task.
 	ProtectedUntil time.Time
 	// Evicting is set if a rollout was permitted to stop the task.
 	Evicting bool
-	// Stopping is set once a stop has been requested, which was at StopRequestedAt.
+	// Stopping is set once a stop has been requested; StopRequestedAt is the time of the request.
 	Stopping        bool
 	StopGrace       ids.Seconds // time that the task has to save a checkpoint
 	StopRequestedAt time.Time
-	StopSentAt      time.Time // when the stop was last sent
+	StopSentAt      time.Time // when the stop command was last sent
 	StopReason      string
 }
 
@@ -62,7 +63,7 @@
 // Task returns the task's name.
 func (a *Assignment) Task() ids.Task { return ids.Task{Job: a.Job.ID(), Index: a.TaskIndex} }
 
-// Key identifies this start of the task.
+// Key returns the identity of this start of the task.
 func (a *Assignment) Key() TaskAttempt { return TaskAttempt{a.Task(), a.Attempt, a.Machine} }
 
 // StopReasonText returns why the task was stopped, for the job's events.
@@ -73,11 +74,12 @@
 	return a.StopReason
 }
 
-// graceMargin is how long after twice its grace period a task that is still saving is stopped at once.
+// graceMargin is added to twice the grace period: a task that is still saving its checkpoint after that time
+// is stopped without a grace period.
 const graceMargin = 3 * time.Second
 
-// RemainingGrace returns the grace period that a stop carries now. It becomes 0, so that a repeated stop
-// ends the task, once the task has been saving for far too long.
+// RemainingGrace returns the grace period to send with a stop command now. It is 0 once the task has been
+// saving for far too long, so that a repeated stop command ends the task immediately.
 func (a *Assignment) RemainingGrace(now time.Time) ids.Seconds {
 	if a.StopGrace == 0 || now.Sub(a.StopRequestedAt) > 2*a.StopGrace.Duration()+graceMargin {
 		return 0
@@ -85,7 +87,7 @@
 	return a.StopGrace
 }
 
-// CheckpointGrace returns the grace period that a task needs to save a checkpoint; 0 if it saves none.
+// CheckpointGrace returns the grace period that a task needs to save a checkpoint; 0 if the task saves none.
 func (a *Assignment) CheckpointGrace() ids.Seconds {
 	spec := &a.Job.Record.Spec
 	if spec.CheckpointInterval <= 0 {
@@ -108,7 +110,7 @@
 	return sinceCheckpoint <= 3*float64(spec.CheckpointDuration)
 }
 
-// The assumed cost of a stop, in seconds of work, where it does not follow from how long the task ran.
+// The assumed cost of a stop, in seconds of work, of tasks whose cost does not depend on how long they ran.
 const (
 	notRunningCost = 0.1
 	replicaCost    = 1000
@@ -130,7 +132,7 @@
 	return ran * spec.Resources.Cores
 }
 
-// ProtectedFrom reports whether the task must not be preempted for a job at present.
+// ProtectedFrom reports whether the task must currently not be preempted for a job.
 func (a *Assignment) ProtectedFrom(job *Job) bool {
 	return job.EffectivePriority() < record.Critical && time.Now().Before(a.ProtectedUntil)
 }
--- a/internal/workload/changes.go
+++ b/internal/workload/changes.go
@@ -19,10 +19,10 @@
 	}
 }
 
-// Remove removes a job of which everything is stored, or nothing more will be.
+// Remove removes a job whose changes are all stored, or will not be stored any more.
 func (c *Changes) Remove(job *Job) { delete(c.jobs, job) }
 
-// All returns the changed jobs, in no order.
+// All returns the changed jobs in unspecified order.
 func (c *Changes) All() []*Job { return slices.Collect(maps.Keys(c.jobs)) }
 
 // HasUrgent reports whether any of the jobs is urgent.
@@ -35,9 +35,9 @@
 	return false
 }
 
-// Due returns the jobs whose changes are to be stored now, most urgent first: urgent jobs at once, the
-// others after a delay. A job whose record was too large is left out until it changes again. Jobs without
-// unstored changes leave the set.
+// Due returns the jobs whose changes are to be stored now, most urgent first. Changes of urgent jobs are due
+// immediately, those of other jobs after a delay. A job whose record was too large to be stored is left out
+// until it changes again. Jobs without unstored changes are removed from the set.
 func (c *Changes) Due(now time.Time, delay time.Duration) []*Job {
 	var due []*Job
 	for job := range c.jobs {
--- a/internal/workload/failures.go
+++ b/internal/workload/failures.go
@@ -9,18 +9,19 @@
 	"github.com/pebbletrail/pebbletrail/internal/record"
 )
 
-// A task fails because of its machine or because of its job. A job that was submitted with a mistake fails
-// wherever it runs, until its user cancels it: it must not take machines, room or turns from other jobs,
-// and no machine is to be blamed for it. A good job that meets a faulty machine or two must still run soon.
+// A task fails because of its machine or because of its job. A job that was submitted with an error fails on
+// every machine until its user cancels it. Such a job must not take machines, capacity or scheduling turns
+// from other jobs, and its failures must not count against the machines. A job without errors whose tasks
+// fail on one or two faulty machines must still run soon.
 
-// Retry is the state of the retries of one task.
+// Retry is the retry state of one task.
 type Retry struct {
 	Failures  int                  // in a row
 	NotBefore time.Time            // when the task may be assigned again
 	Avoid     map[ids.Machine]bool // machines on which it failed
 }
 
-// EnsureRetry returns the state of a task's retries and adds it if there is none.
+// EnsureRetry returns the retry state of a task, and creates it if there is none.
 func (j *Job) EnsureRetry(i int) *Retry {
 	retry := j.Retries[i]
 	if retry == nil {
@@ -36,14 +37,15 @@
 // maxDoublings bounds the exponent; the longest delay is reached long before.
 const maxDoublings = 15
 
-// Delay returns the delay after so many failures in a row: it doubles with each failure up to Max.
+// Delay returns the delay after the given number of failures in a row. It doubles with each failure, up to
+// Max.
 func (b Backoff) Delay(failures int) time.Duration {
 	doublings := min(failures-1, maxDoublings)
 	delay := b.First * math.Pow(2, float64(doublings))
 	return ids.Seconds(min(delay, b.Max)).Duration()
 }
 
-// BackOff counts a failure of a task and delays its next attempt.
+// BackOff counts a failure of a task and delays the task's next attempt.
 func (j *Job) BackOff(i int, now time.Time, backoff Backoff) *Retry {
 	retry := j.EnsureRetry(i)
 	retry.Failures++
@@ -51,25 +53,26 @@
 	return retry
 }
 
-// FailureHistory is the history of a job's failed tasks since one last completed.
+// FailureHistory is the history of a job's failed tasks since a task of the job last completed.
 type FailureHistory struct {
 	ByMachine map[ids.Machine]int // failed tasks
 	Tasks     int                 // failed tasks
-	// Rounds counts the retries of the whole job since it has been failing, and NotBefore is when the next
-	// one may begin.
+	// Rounds counts the retries of the whole job since it started failing, and NotBefore is when the next
+	// retry may begin.
 	Rounds    int
 	NotBefore time.Time
 	// LongestRun is the longest time that a failed task had run.
 	LongestRun time.Duration
 }
 
-// Failures on so many machines, with no task completed, make a job suspect and failing.
+// The numbers of machines with failures from which a job without completed tasks counts as suspect and as
+// failing.
 const (
 	suspectAfter = 2
 	failingAfter = 3
 )
 
-// AddFailure adds a failed task. runningSince is zero if it never ran.
+// AddFailure adds a failed task. runningSince is zero if the task never ran.
 func (f *FailureHistory) AddFailure(machine ids.Machine, runningSince, now time.Time) {
 	if f.ByMachine == nil {
 		f.ByMachine = map[ids.Machine]int{}
@@ -81,8 +84,8 @@
 	}
 }
 
-// machinesWithFailures returns on how many machines tasks failed, including failures under earlier
-// leaders.
+// machinesWithFailures returns the number of machines on which tasks failed, including failures under
+// earlier leaders.
 func (j *Job) machinesWithFailures() int {
 	return max(len(j.Failures.ByMachine), j.Record.FailedMachines)
 }
@@ -93,24 +96,24 @@
 	return j.Record.Finished.Len() == 0 && j.machinesWithFailures() >= suspectAfter
 }
 
-// Failing reports whether the job fails wherever it runs. One task at a time of such a job is retried, or
-// all tasks of a gang, with a backoff for the whole job, and no machine is provisioned for it.
+// Failing reports whether the job fails on every machine. Such a job is retried with a backoff for the whole
+// job, one task at a time or all tasks of a gang together, and no machine is provisioned for it.
 func (j *Job) Failing() bool {
 	return j.Record.Finished.Len() == 0 && j.machinesWithFailures() >= failingAfter
 }
 
-// BackingOff reports whether a failing job is not to be retried now.
+// BackingOff reports whether the job is failing and must not be retried now.
 func (j *Job) BackingOff(now time.Time) bool {
 	return j.Failing() && (now.Before(j.Failures.NotBefore) || j.Record.Spec.Shape != record.Gang && len(j.Assignments) > 0)
 }
 
-// BackOffReason explains to users and operators why a failing job is not retried now.
+// BackOffReason returns the explanation for users and operators why a failing job is not retried now.
 func (j *Job) BackOffReason() string {
 	return fmt.Sprintf("its tasks fail wherever they run (%d failures on %d machines, none completed); tried again now and then, until it is cancelled",
 		j.Failures.Tasks, j.machinesWithFailures())
 }
 
-// DescribeFailures describes the job's failures to its user, in a few lines or none.
+// DescribeFailures returns a description of the job's failures for its user; nil if there are none.
 func (j *Job) DescribeFailures(now time.Time) (lines []string) {
 	if j.Failing() {
 		lines = append(lines, j.BackOffReason())
@@ -123,7 +126,7 @@
 	return lines
 }
 
-// CountBackingOff returns the number of unassigned tasks that back off after a failure and need no room
+// CountBackingOff returns the number of unassigned tasks that back off after a failure and need no capacity
 // yet.
 func (j *Job) CountBackingOff(now time.Time) int {
 	n := 0
--- a/internal/workload/job.go
+++ b/internal/workload/job.go
@@ -15,12 +15,12 @@
 
 // Job is a job in the leader's memory.
 type Job struct {
-	// Record is the job as it would be stored now, except for its assignments.
+	// Record is the job's record as it would be stored now, except for the assignments.
 	Record record.Record
 	// Revision is the revision of the stored record; writes are conditional on it.
 	Revision ids.Revision
-	// Version counts the changes made in memory. StoredVersion is the newest version that is known to be
-	// stored.
+	// Version is incremented with each change in memory. StoredVersion is the newest version that is known to
+	// be stored.
 	Version, StoredVersion uint64
 	// Ended is set once the final record is stored.
 	Ended bool
@@ -31,41 +31,43 @@
 	Retries  map[int]*Retry
 	Failures FailureHistory
 	Losses   LossHistory
-	// RecordedOutcomes are the outcomes that Record contains, each with the version that added it: the
+	// RecordedOutcomes are the task outcomes that Record contains, each with the version that added it. The
 	// worker is told to clear an outcome only after that version is stored.
 	RecordedOutcomes map[TaskAttempt]uint64
-	// ReadRequiredAfter delays starts until the records have been read by a read that began later.
+	// ReadRequiredAfter delays starts of the job's tasks: the records must first be read by a read that began
+	// after this time.
 	ReadRequiredAfter time.Time
 	// FinishedMayBeAssigned is set if a finished task may still be on a machine.
 	FinishedMayBeAssigned bool
 
-	// ChangedAt is when the oldest change was made that is not stored yet.
+	// ChangedAt is the time of the oldest change that is not stored yet.
 	ChangedAt time.Time
-	// Urgent is set if something waits for the changes to be stored.
+	// Urgent is set if another operation waits for the changes to be stored.
 	Urgent bool
 
 	EncodedSize EncodedSize
-	// MaxAssigned bounds the tasks that are assigned at a time after a record was too large to be stored;
-	// 0: no bound.
+	// MaxAssigned bounds the number of tasks that are assigned at a time, after a record of the job was too
+	// large to be stored; 0: no bound.
 	MaxAssigned int
 	// Oversize is set if the record was too large to be stored when it was last encoded, and
 	// OversizeVersion is the version that was encoded then.
 	Oversize        bool
 	OversizeVersion uint64
-	// KeptRuns is how many runs of finished tasks were kept to make the record fit; 0: all.
+	// KeptRuns is the number of runs of consecutive finished tasks that were kept to make the record fit into a
+	// value of the state service; 0: all.
 	KeptRuns int
 
-	// PendingReason is why tasks are pending, LoggedReason the reason that was last logged.
+	// PendingReason is the reason why tasks are pending, and LoggedReason is the reason that was last logged.
 	PendingReason, LoggedReason string
 	LastSlice                   ArraySlice
-	// Guaranteed is set if the job lies within its team's guarantee.
+	// Guaranteed is set if the job is within its team's guarantee.
 	Guaranteed bool
-	// Inherited is the urgency that the job has from the jobs that depend on it.
+	// Inherited is the urgency that the job inherits from the jobs that depend on it.
 	Inherited dependency.Urgency
-	// StartLasted is set if, as far as this leader knows, tasks of the job were not all stopped again right
-	// after their start.
+	// StartLasted is set if the job was started and, as far as this leader knows, its tasks were not all
+	// stopped again right after their start.
 	StartLasted bool
-	// UnassignedSince is when the last of the assignments was removed.
+	// UnassignedSince is when the job's last assignment was removed.
 	UnassignedSince time.Time
 	// ReservationSoughtAt is when the scheduler last looked for machines to reserve for the job.
 	ReservationSoughtAt time.Time
@@ -76,10 +78,10 @@
 	version := max(stored.Seq, 1)
 	return &Job{Record: *stored, Revision: revision, Version: version, StoredVersion: version,
 		Assignments: map[int]*Assignment{}, Retries: map[int]*Retry{}, RecordedOutcomes: map[TaskAttempt]uint64{},
-		StartLasted: stored.Attempt > 0} // an earlier leader knew more
+		StartLasted: stored.Attempt > 0} // assumed, since only an earlier leader knew whether the start lasted
 }
 
-// ID returns the job's name.
+// ID returns the job's ID.
 func (j *Job) ID() ids.Job { return j.Record.Spec.ID }
 
 // Unfinished returns the number of tasks that are not finished.
@@ -103,12 +105,12 @@
 	return n
 }
 
-// Cancelled reports whether the job's user has been told, or is about to be told, that it is cancelled.
+// Cancelled reports whether the job's user has been told, or is about to be told, that the job is cancelled.
 func (j *Job) Cancelled() bool {
 	return j.Record.Status == record.Cancelling || j.Record.Status == record.Cancelled
 }
 
-// EffectivePriority returns the job's priority or that of a job which depends on it, whichever is higher.
+// EffectivePriority returns the highest of the job's own priority and those of the jobs that depend on it.
 func (j *Job) EffectivePriority() record.Priority {
 	return max(j.Record.Spec.Priority, record.Priority(j.Inherited.Priority))
 }
@@ -128,31 +130,31 @@
 	return 0
 }
 
-// ArraySlice is a range of an array's tasks that were assigned under one attempt, up to LastTask.
+// ArraySlice is a range of tasks of an array, up to LastTask, that were assigned under the same attempt.
 type ArraySlice struct {
 	Attempt  ids.Attempt
 	LastTask int
 }
 
-// ContinuesSlice reports whether assigning tasks from index i on continues the last slice. If so, they
-// share its attempt, under which no higher task was assigned before. A record that had to name an attempt
-// for every few tasks would have room for a fraction of them.
+// ContinuesSlice reports whether assigning tasks from index i on continues the last slice. If so, the tasks
+// share the slice's attempt, under which no task with a higher index has been assigned. A record that had to
+// contain a separate attempt for every few tasks would have room for only a fraction of the assignments.
 func (j *Job) ContinuesSlice(i int) bool {
 	return j.Record.Spec.Shape == record.Array && j.LastSlice.Attempt == j.Record.Attempt && j.Record.Attempt > 0 && i > j.LastSlice.LastTask
 }
 
-// StarvationTime is how long a job waits for its first start before it goes ahead of all but critical
-// work. With it, even the largest jobs start within four minutes.
+// StarvationTime is how long a job waits for its first start before it is scheduled ahead of all but critical
+// jobs. With this value, even the largest jobs start within four minutes.
 const StarvationTime = 100 * time.Second
 
-// StartProtectionTime is how long the first tasks of a job that starved are protected from preemption for
-// other than critical work: a start counts for its user only after that time (protocol, "How aims are
+// StartProtectionTime is how long the first tasks of a job that starved are protected from preemption, except
+// for critical jobs. A start counts for the job's user only if it lasts that long (protocol, "How aims are
 // counted").
 const StartProtectionTime = 30 * time.Second
 
-// Starving reports whether a job has waited so long for its first start that it goes ahead of all but
-// critical work. A job whose tasks were all stopped again right after their start has not started; its
-// wait begins anew then, so that it does not displace others again at once.
+// Starving reports whether a job has waited so long for its first start that it is scheduled ahead of all but
+// critical jobs. A job whose tasks were all stopped again right after their start counts as not started. Its
+// wait restarts when they are stopped, so that it does not immediately preempt other jobs again.
 func (j *Job) Starving(now time.Time) bool {
 	if started := j.StartLasted && j.Record.Attempt > 0; started || len(j.Assignments) > 0 || j.Record.Finished.Len() > 0 {
 		return false
--- a/internal/workload/losses.go
+++ b/internal/workload/losses.go
@@ -8,24 +8,24 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-// LossHistory remembers, for the job's events, the tasks of a job that were lost and have no new assignment
-// yet. When a zone becomes unreachable, operators first ask which tasks have moved, which have not, and
-// what those wait for. The list of events is bounded and many tasks are lost at once, so similar losses share a
-// line.
+// LossHistory records, for the job's events, the tasks of a job that were lost and have no new assignment
+// yet. When a zone becomes unreachable, operators first need to know which tasks have moved, which have not,
+// and what the latter wait for. The list of events is bounded and many tasks may be lost at once, so similar
+// losses share a line.
 type LossHistory struct {
-	zones map[int]string // zone in which a task was lost, by task
+	zones map[int]string // zone in which each task was lost, by task index
 	last  lossEvent
 }
 
-// lossEvent is the latest line of the events about losses.
+// lossEvent is a line of the job's events about one or more losses.
 type lossEvent struct {
 	reason, zone string
 	count        int
 	text         string
 }
 
-// Add adds a lost task and returns the line for the events. replaces reports whether the line replaces the
-// last event, lastEvent, because that is about losses in the same zone for the same reason.
+// Add adds a lost task and returns the line for the job's events. replaces reports whether the line replaces
+// the job's last event, lastEvent, because that event is about losses in the same zone for the same reason.
 func (l *LossHistory) Add(task int, machine ids.Machine, zone, reason, lastEvent string) (line string, replaces bool) {
 	if l.zones == nil {
 		l.zones = map[int]string{}
@@ -42,7 +42,8 @@
 	return l.last.text, replaces
 }
 
-// Restarted removes a task that has a new assignment, and returns the zone in which it was lost, if it was.
+// Restarted removes a task that has a new assignment, and returns the zone in which the task was lost. lost
+// is false if the task had not been lost.
 func (l *LossHistory) Restarted(task int) (zone string, lost bool) {
 	zone, lost = l.zones[task]
 	delete(l.zones, task)
--- a/internal/workload/queue.go
+++ b/internal/workload/queue.go
@@ -6,45 +6,45 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-// Queue contains the jobs of a shard and the names of those that ended recently. A job stays in it after its
-// end as long as tasks of it may be on machines.
+// Queue contains the jobs of a shard and the IDs of jobs that ended recently. A job that has ended stays in
+// the queue while tasks of the job may still be on machines.
 type Queue struct {
 	byID    map[ids.Job]*Job
 	ordered []*Job // by submission
 	retired map[ids.Job]bool
-	// retiredOrder are the retired names, oldest first.
+	// retiredOrder contains the retired IDs, oldest first.
 	retiredOrder []ids.Job
 }
 
-// maxRetired bounds the retired names. Reports about jobs that ended longer ago are not expected.
+// maxRetired bounds the number of retired IDs. Reports about jobs that ended longer ago are not expected.
 const maxRetired = 20000
 
 // NewQueue returns an empty queue.
 func NewQueue() *Queue { return &Queue{byID: map[ids.Job]*Job{}, retired: map[ids.Job]bool{}} }
 
-// Get returns a job by name; nil if it is not in the queue.
+// Get returns a job by ID; nil if the job is not in the queue.
 func (q *Queue) Get(id ids.Job) *Job { return q.byID[id] }
 
-// Contains reports whether this job, and not another one of its name, is in the queue.
+// Contains reports whether this very job, and not another job with the same ID, is in the queue.
 func (q *Queue) Contains(job *Job) bool { return q.byID[job.ID()] == job }
 
-// All returns the jobs by name. Callers must not change the map.
+// All returns the jobs by ID. Callers must not change the map.
 func (q *Queue) All() map[ids.Job]*Job { return q.byID }
 
-// Ordered returns the jobs in the order of their submission. Callers must not change the list.
+// Ordered returns the jobs in order of submission. Callers must not change the slice.
 func (q *Queue) Ordered() []*Job { return q.ordered }
 
 // Len returns the number of jobs.
 func (q *Queue) Len() int { return len(q.byID) }
 
-// Add adds a job.
+// Add adds a job to the queue.
 func (q *Queue) Add(job *Job) {
 	q.byID[job.ID()] = job
 	at, _ := slices.BinarySearchFunc(q.ordered, job, CompareSubmission)
 	q.ordered = slices.Insert(q.ordered, at, job)
 }
 
-// Remove removes a job.
+// Remove removes a job from the queue.
 func (q *Queue) Remove(job *Job) {
 	delete(q.byID, job.ID())
 	if at, ok := slices.BinarySearchFunc(q.ordered, job, CompareSubmission); ok {
@@ -52,8 +52,8 @@
 	}
 }
 
-// Retire remembers that a job's end is stored, so that a late message about it is not taken for one about a
-// new job.
+// Retire records the ID of a job whose final record is stored, so that a late message about the job is not
+// mistaken for one about a new job.
 func (q *Queue) Retire(id ids.Job) {
 	if q.retired[id] {
 		return
@@ -66,8 +66,8 @@
 	}
 }
 
-// IsRetired reports whether a job's end was stored in this term and is still remembered.
+// IsRetired reports whether a job's final record was stored in this term and its ID is still recorded.
 func (q *Queue) IsRetired(id ids.Job) bool { return q.retired[id] }
 
-// Retired returns the number of retired names that are remembered.
+// Retired returns the number of recorded IDs of retired jobs.
 func (q *Queue) Retired() int { return len(q.retired) }
--- a/internal/workload/record_size.go
+++ b/internal/workload/record_size.go
@@ -7,15 +7,15 @@
 	"github.com/pebbletrail/pebbletrail/internal/record"
 )
 
-// EncodedSize is the size in bytes of the parts of a job's record, as it was last encoded.
+// EncodedSize contains the sizes in bytes of the parts of a job's record when it was last encoded.
 type EncodedSize struct {
-	PerAssignment float64 // mean of the assignments
-	Rest          int     // everything but the assignments
-	Description   int     // the description and the empty record around it; 0: not known yet
+	PerAssignment float64 // mean size of an assignment
+	Rest          int     // everything except the assignments
+	Description   int     // the description and an otherwise empty record; 0: not known yet
 }
 
-// RecordEncodedSize records how much of an encoded record of a size in bytes its assignments take, and how
-// much the rest does.
+// RecordEncodedSize records the size of the assignments in an encoded record, and that of the rest. size is
+// the size of the whole record in bytes.
 func (j *Job) RecordEncodedSize(assignments []record.AssignmentGroup, size int) {
 	if n := len(j.Assignments); n > 0 {
 		assigned := record.AssignmentsSize(assignments)
@@ -27,31 +27,32 @@
 const (
 	// emptyRecordBytes is the size of a record without its description and assignments.
 	emptyRecordBytes = 400
-	// maxDescriptionBytes bounds what a description is counted for.
+	// maxDescriptionBytes is the largest size that is assumed for a description.
 	maxDescriptionBytes = 1500
-	// firstAssignmentBytes is the size of an assignment before any was encoded: the name of its machine
-	// and 20 bytes more.
+	// firstAssignmentBytes is the size assumed for an assignment before any was encoded: the name of its
+	// machine and 20 bytes more.
 	firstAssignmentBytes = 40
-	// scatteredTaskBytes is the least size of an assignment whose neighbours on the machine have finished.
+	// scatteredTaskBytes is the minimum size of an assignment when the tasks with adjacent indices on the same
+	// machine have finished.
 	scatteredTaskBytes = 5
 )
 
 const (
-	// firstFillShare and fillShare are the shares of a value that a record may fill, before and after its
-	// assignments were encoded.
+	// firstFillShare and fillShare are the fractions of a value's maximum size that a record may fill, before
+	// and after its assignments were first encoded.
 	firstFillShare = 0.92
 	fillShare      = 0.9
-	// assignmentMargin is the factor by which assignments may become larger than they were.
+	// assignmentMargin is the factor by which assignments may grow beyond their last encoded size.
 	assignmentMargin = 1.25
 	// minAssigned is the number of tasks that may always be assigned.
 	minAssigned = 4
 )
 
-// MaxAssignedTasks returns how many tasks of the job may be assigned at a time, so that its record fits into
-// a value of the state service; large arrays are assigned in batches. The size of an assignment is assumed
-// at first, and measured once assignments were stored, since many small tasks share a machine. Finished
-// tasks break up the ranges in which tasks are stored: when a machine's tasks are no longer contiguous,
-// each takes the bytes of its number.
+// MaxAssignedTasks returns how many tasks of the job may be assigned at a time, so that the job's record fits
+// into a value of the state service; large arrays are assigned in batches. The size of an assignment is
+// assumed at first. Once assignments have been encoded, their mean size is used, which is smaller if many
+// small tasks share a machine. Finished tasks break up the ranges of task indices in which assignments are
+// stored: if the tasks on a machine are not contiguous, each takes the bytes of its own index.
 func (j *Job) MaxAssignedTasks(valueBytes float64) int {
 	description := min(maxDescriptionBytes, float64(j.descriptionSize()))
 	tasks := int((valueBytes*firstFillShare - description) / firstAssignmentBytes)
@@ -65,8 +66,9 @@
 	return max(minAssigned, tasks)
 }
 
-// descriptionSize returns about how many bytes a job's record takes before any task is assigned. It is
-// measured rather than assumed, so that small values are not wasted.
+// descriptionSize returns the approximate size in bytes of a job's record before any task is assigned. The
+// description is encoded to determine its size, because an assumed size would waste space if the maximum size
+// of a value is small.
 func (j *Job) descriptionSize() int {
 	if j.EncodedSize.Description == 0 {
 		raw, err := json.Marshal(&j.Record.Spec)
@@ -78,8 +80,8 @@
 	return j.EncodedSize.Description
 }
 
-// MayRecordFinished reports whether one more finished task without an assignment may be recorded. That is
-// not so if the record only fits because such tasks were left out.
+// MayRecordFinished reports whether one more finished task without an assignment may be recorded. It may not
+// if such tasks had to be left out to make the record fit.
 func (j *Job) MayRecordFinished() bool {
 	return j.KeptRuns == 0 || j.Record.Finished.SpanCount() < j.KeptRuns
 }
--- a/internal/workload/waiting.go
+++ b/internal/workload/waiting.go
@@ -5,12 +5,11 @@
 	"github.com/pebbletrail/pebbletrail/internal/record"
 )
 
-// WaitingJob is a job that waits for others that it depends on: its stored record, and the revision of
-// that.
+// WaitingJob is the stored record of a job that waits for the jobs it depends on, with the record's revision.
 type WaitingJob struct {
 	Record   *record.Record
 	Revision ids.Revision
 }
 
-// ID is the job's name.
+// ID returns the job's ID.
 func (w *WaitingJob) ID() ids.Job { return w.Record.Spec.ID }
