--- a/internal/election/campaign.go
+++ b/internal/election/campaign.go
@@ -65,7 +65,7 @@
 func (c *candidate) ensureVacancy(ctx context.Context) error {
 	entry, found, err := c.store.Get(ctx, c.keys.Leader(), state.Urgent)
 	if err != nil {
-		return fmt.Errorf("read leader: %w", err)
+		return fmt.Errorf("read leader key: %w", err)
 	}
 	if !found {
 		return nil
@@ -80,7 +80,7 @@
 	}
 	// Only one process runs on a node: the lease belongs to a process that has exited, or to an earlier
 	// term of this process whose commit response was lost.
-	slog.Info("revoking lease of an earlier process of this node", "shard", c.shard, "term", leader.Generation, "writer", leader.Writer)
+	slog.Info("revoking leader lease of an earlier process of this node", "shard", c.shard, "term", leader.Generation, "writer", leader.Writer)
 	if err := c.store.RevokeLease(ctx, leader.Lease); err != nil && !errors.Is(err, state.ErrNoLease) {
 		return fmt.Errorf("revoke leader lease %d: %w", leader.Lease, err)
 	}
@@ -91,7 +91,7 @@
 func (c *candidate) readGeneration(ctx context.Context) (commit.GenerationRecord, ids.Revision, error) {
 	entry, found, err := c.store.Get(ctx, c.keys.Generation(), state.Urgent)
 	if err != nil {
-		return commit.GenerationRecord{}, 0, fmt.Errorf("read generation: %w", err)
+		return commit.GenerationRecord{}, 0, fmt.Errorf("read generation key: %w", err)
 	}
 	if !found {
 		return commit.GenerationRecord{}, entry.Revision, nil
--- a/internal/election/explain.go
+++ b/internal/election/explain.go
@@ -7,7 +7,7 @@
 )
 
 // ErrNotLeader is returned if this node does not lead the shard.
-var ErrNotLeader = errors.New("not the pool's leader")
+var ErrNotLeader = errors.New("this node does not lead the shard")
 
 // Explanations returned to users while the leader does not know the current reasons.
 const (
--- a/internal/election/explain_test.go
+++ b/internal/election/explain_test.go
@@ -20,7 +20,7 @@
 			Resources: placement.Resources{Cores: 1, RAM: 1}, Image: "i", ImageGB: 1}, ids.TimestampOf(time.Now()), "user"), time.Now())
 		cluster.Plan(time.Now())
 		if _, err := elector.Explain("job-1"); err == nil {
-			t.Error("a node that does not lead explains")
+			t.Error("Explain succeeded on a node that does not lead the shard")
 		}
 		term := leadWith(elector, cluster)
 		for _, step := range []struct {
@@ -35,7 +35,7 @@
 		} {
 			lines, err := elector.Explain(step.id)
 			if err != nil || len(lines) == 0 || !strings.Contains(lines[0], step.want) {
-				t.Errorf("want %q: %v, %v", step.want, lines, err)
+				t.Errorf("Explain: want a first line with %q; got %v, error %v", step.want, lines, err)
 			}
 			step.then()
 		}
--- a/internal/election/isolation.go
+++ b/internal/election/isolation.go
@@ -46,6 +46,6 @@
 	defer cancel()
 	if err := e.store.RevokeLease(ctx, term.lease); err != nil {
 		// The lease is left to expire.
-		slog.Debug("lease not released", "shard", e.shard, "term", term.Generation, "err", err)
+		slog.Debug("revoking leader lease after resignation failed", "shard", e.shard, "term", term.Generation, "err", err)
 	}
 }
--- a/internal/election/layout.go
+++ b/internal/election/layout.go
@@ -30,7 +30,7 @@
 // Reasons why a store can't be used with the configured number of shards.
 var (
 	// ErrLayoutMismatch means that the store is laid out for a different number of shards.
-	ErrLayoutMismatch = errors.New("the store is laid out for another number of shards")
+	ErrLayoutMismatch = errors.New("the store is laid out for a different number of shards")
 	// ErrJobsStored means that the number of shards can't change while jobs or a leader are stored.
 	ErrJobsStored = errors.New("the number of shards can't change while the store has jobs or a leader")
 )
@@ -77,7 +77,7 @@
 	entry, found, err := l.store.Get(ctx, layoutKey, state.Urgent)
 	switch {
 	case err != nil:
-		return fmt.Errorf("read layout: %w", err)
+		return fmt.Errorf("read shard layout: %w", err)
 	case found:
 		return errors.Join(l.check(entry.Value), l.checkLedgers(ctx))
 	case used:
@@ -91,11 +91,11 @@
 func (l *storeLayout) inUse(ctx context.Context) (bool, error) {
 	jobs, _, _, err := l.store.List(ctx, record.JobPrefix, "", 1, state.Urgent)
 	if err != nil {
-		return false, fmt.Errorf("list jobs: %w", err)
+		return false, fmt.Errorf("check for stored jobs: %w", err)
 	}
 	_, led, err := l.store.Get(ctx, singleShardKeys().Leader(), state.Urgent)
 	if err != nil {
-		return false, fmt.Errorf("read leader: %w", err)
+		return false, fmt.Errorf("read leader key of the single-shard pool: %w", err)
 	}
 	return len(jobs) > 0 || led, nil
 }
@@ -108,11 +108,11 @@
 func (l *storeLayout) create(ctx context.Context) error {
 	layout, err := json.Marshal(layoutRecord{Shards: l.shards})
 	if err != nil {
-		return fmt.Errorf("encode layout: %w", err)
+		return fmt.Errorf("encode shard layout: %w", err)
 	}
 	leader, err := json.Marshal(leaderRecord{Node: layoutLeader, Writer: string(layoutLeader)})
 	if err != nil {
-		return fmt.Errorf("encode leader of the layout: %w", err)
+		return fmt.Errorf("encode placeholder leader record: %w", err)
 	}
 	leaderKey := singleShardKeys().Leader()
 	_, err = l.store.Commit(ctx, state.Txn{
@@ -120,7 +120,7 @@
 		Ops:        []state.Op{{Put: layoutKey, Value: layout}, {Put: leaderKey, Value: leader}},
 	}, state.Urgent)
 	if err != nil {
-		return fmt.Errorf("commit layout: %w", err)
+		return fmt.Errorf("commit shard layout: %w", err)
 	}
 	return nil
 }
@@ -130,7 +130,7 @@
 func (l *storeLayout) checkLedgers(ctx context.Context) error {
 	entries, _, err := l.store.ListAll(ctx, quota.Prefix, state.Urgent)
 	if err != nil {
-		return fmt.Errorf("read allowances: %w", err)
+		return fmt.Errorf("read allowance ledgers: %w", err)
 	}
 	return quota.CheckStored(entries, l.shards)
 }
@@ -139,10 +139,10 @@
 func (l *storeLayout) check(value json.RawMessage) error {
 	var stored layoutRecord
 	if err := json.Unmarshal(value, &stored); err != nil {
-		return fmt.Errorf("%w: %v", ErrLayoutMismatch, err)
+		return fmt.Errorf("%w: decode shard layout: %v", ErrLayoutMismatch, err)
 	}
 	if stored.Shards != l.shards {
-		return fmt.Errorf("%w: %d, not %d", ErrLayoutMismatch, stored.Shards, l.shards)
+		return fmt.Errorf("%w: %d, not %d as configured", ErrLayoutMismatch, stored.Shards, l.shards)
 	}
 	return nil
 }
--- a/internal/election/leader_record_test.go
+++ b/internal/election/leader_record_test.go
@@ -24,6 +24,6 @@
 	}
 	var before, after any
 	if json.Unmarshal(stored, &before) != nil || json.Unmarshal(written, &after) != nil || !reflect.DeepEqual(before, after) {
-		t.Errorf("written back as\n%s, not\n%s", written, stored)
+		t.Errorf("leader record encoded as\n%s, want\n%s", written, stored)
 	}
 }
--- a/internal/election/machine_ownership_test.go
+++ b/internal/election/machine_ownership_test.go
@@ -18,9 +18,9 @@
 	shards := NewShards(settings, state.NewClient("state:1", nil, state.NewBudget(100, 100, 1, 0.5)), nil, "a.1")
 	shards.ownership.handleChange(state.Change{Put: "pool/~2/hire/first", Value: []byte(`{"hire":"first","hosts":["m1"]}`), Revision: 1})
 	if owner, known := shards.ownership.shardOf("m1"); !known || owner != ids.Shard(2) {
-		t.Fatalf("owned by %d, known %v", owner, known)
+		t.Fatalf("owner of m1: shard %d, known %v", owner, known)
 	}
 	if reply, status, _ := shards.Heartbeat(context.Background(), &worker.Report{Machine: "m1"}); reply != nil || status != 503 {
-		t.Errorf("answered %v, %d", reply, status)
+		t.Errorf("heartbeat of m1: reply %v, status %d; want none and 503", reply, status)
 	}
 }
--- a/internal/election/process_pause_test.go
+++ b/internal/election/process_pause_test.go
@@ -26,19 +26,19 @@
 		}
 		elector.pauses.tick(time.Now())
 		if status := heartbeat(2); status != http.StatusOK {
-			t.Fatalf("a heartbeat got %d", status)
+			t.Fatalf("heartbeat before the pause: status %d, want 200", status)
 		}
 		// The leader is paused for longer than its lease, but much less than its grace period.
 		time.Sleep(5 * time.Second)
 		if status := heartbeat(3); status != http.StatusServiceUnavailable {
-			t.Errorf("right after the pause a heartbeat got %d", status)
+			t.Errorf("heartbeat right after the pause: status %d, want 503", status)
 		}
 		elector.pauses.tick(time.Now()) // the pause detector runs again
 		if term.authority.renewedSincePause() {
-			t.Error("commands may go out before a renewal")
+			t.Error("commands may be sent after the pause before a renewal")
 		}
 		if silent := cluster.MachinesToTerminate(time.Now(), nil); len(silent) != 0 {
-			t.Errorf("takes %v for silent", silent)
+			t.Errorf("machines treated as silent after the pause: %v, want none", silent)
 		}
 		if _, err := elector.Explain("job-1"); err != nil {
 			t.Error(err)
@@ -46,7 +46,7 @@
 		time.Sleep(100 * time.Millisecond)
 		term.authority.renewed(time.Now())
 		if status := heartbeat(4); status != http.StatusOK || !term.authority.renewedSincePause() {
-			t.Errorf("once it has renewed a heartbeat gets %d", status)
+			t.Errorf("heartbeat after the renewal: status %d, want 200 and commands allowed", status)
 		}
 		// Short delays, as on a busy processor, don't count as a pause.
 		for range 20 {
@@ -54,7 +54,7 @@
 			elector.pauses.tick(time.Now())
 		}
 		if !term.authority.renewedSincePause() {
-			t.Error("short delays count as a pause")
+			t.Error("delays below the threshold count as a pause")
 		}
 	})
 }
--- a/internal/election/record_loading.go
+++ b/internal/election/record_loading.go
@@ -59,11 +59,11 @@
 func (l *recordLoader) read(ctx context.Context, term *Term) (jobs []state.Entry, epoch ids.StoreRevision, err error) {
 	// The cache is already filled; Sync reads only the changes that it lacks, after the takeover's commit.
 	if err := l.jobs.Sync(ctx); err != nil {
-		return nil, 0, fmt.Errorf("read records: %w", err)
+		return nil, 0, fmt.Errorf("refresh cached job records: %w", err)
 	}
 	jobs, epoch = l.jobs.Entries()
 	if term.OpenProvisioningRequests, _, err = l.store.ListAll(ctx, l.keys.ProvisioningRequests(), state.Urgent); err != nil {
-		return nil, 0, fmt.Errorf("read provisioning requests: %w", err)
+		return nil, 0, fmt.Errorf("list provisioning requests: %w", err)
 	}
 	if l.settings.ShardCount() > 1 {
 		if err := l.loadAllowances(ctx, term.Cluster); err != nil {
@@ -78,7 +78,7 @@
 func (l *recordLoader) loadAllowances(ctx context.Context, cluster *clusterstate.State) error {
 	entries, _, err := l.store.ListAll(ctx, quota.Prefix, state.Urgent)
 	if err != nil {
-		return fmt.Errorf("read allowances: %w", err)
+		return fmt.Errorf("read allowance ledgers: %w", err)
 	}
 	cluster.LoadAllowances(entries)
 	return nil
@@ -106,7 +106,7 @@
 		}
 		rec, err := decode(entry.Value)
 		if err != nil {
-			slog.Error("unreadable record", "key", entry.Key, "err", err)
+			slog.Error("decoding of stored job record failed; job skipped", "key", entry.Key, "err", err)
 			continue
 		}
 		into[rec.Spec.ID], jobs.revisions[rec.Spec.ID] = rec, entry.Revision
--- a/internal/election/redirects_test.go
+++ b/internal/election/redirects_test.go
@@ -15,19 +15,19 @@
 		redirects.record("m1", "b")
 		time.Sleep(3 * time.Second)
 		if got := redirects.overdue("b"); len(got) != 1 {
-			t.Errorf("not told of a worker that should have been there: %v", got)
+			t.Errorf("overdue workers after the arrival time: %v, want m1", got)
 		}
 		if got := redirects.overdue("c"); len(got) != 0 {
-			t.Errorf("%v was redirected to an earlier leader", got)
+			t.Errorf("overdue workers include %v, redirected to an earlier leader", got)
 		}
 		redirects.record("m1", "c")
 		time.Sleep(time.Second)
 		if got := redirects.overdue("c"); len(got) != 0 {
-			t.Errorf("%v is only on its way", got)
+			t.Errorf("overdue workers include %v before the arrival time", got)
 		}
 		redirects.record("m1", "c")
 		if got := redirects.overdue("c"); len(got) != 1 {
-			t.Errorf("not told of one that came back: %v", got)
+			t.Errorf("overdue workers after a second redirect: %v, want m1", got)
 		}
 	})
 }
--- a/internal/election/renewal.go
+++ b/internal/election/renewal.go
@@ -22,7 +22,7 @@
 	case errors.Is(err, state.ErrNoLease):
 		e.stepDown(term, "lease expired")
 	default:
-		slog.Debug("lease not renewed", "shard", e.shard, "term", term.Generation, "err", err)
+		slog.Debug("renewal of leader lease failed", "shard", e.shard, "term", term.Generation, "err", err)
 	}
 	e.checkIsolation(term)
 	e.checkGeneration(term)
--- a/internal/liveness/liveness_test.go
+++ b/internal/liveness/liveness_test.go
@@ -64,10 +64,10 @@
 			t.Errorf("%s: zone unreachable %v, reachable %v", c.name, got, fleet.ZoneReachable("north"))
 		}
 		if got := fleet.OnlyZoneUnreachable("north"); got != c.onlyZoneIsOut {
-			t.Errorf("%s: only the zone is unreachable: %v", c.name, got)
+			t.Errorf("%s: only zone north unreachable %v", c.name, got)
 		}
 		if got := fleet.LostContact(now); got != c.controllerDeaf {
-			t.Errorf("%s: no machine is heard: %v", c.name, got)
+			t.Errorf("%s: contact with the machines lost %v", c.name, got)
 		}
 	}
 }
@@ -106,14 +106,14 @@
 	silence(machines, "north", 6)
 	zones.Update(machines, true)
 	if !zones.Unreachable("north") || zones.Unreachable("south") {
-		t.Fatal("the silent zone is not the unreachable one")
+		t.Fatal("the silent zone is not the only unreachable zone")
 	}
 	first := machines.Machines["north0"]
 	first.LastReportAt, first.UnansweredProbes = now, 0
 	fleet := zones.Update(machines, true)
 	other := machines.Machines["north1"]
 	if zones.Unreachable("north") || other.UnansweredProbes != 0 || fleet.silent != 0 {
-		t.Errorf("after a report: unreachable %v, %d probes unanswered, %d machines silent", zones.Unreachable("north"), other.UnansweredProbes, fleet.silent)
+		t.Errorf("after a report from the zone: unreachable %v, %d probes unanswered, %d machines silent", zones.Unreachable("north"), other.UnansweredProbes, fleet.silent)
 	}
 }
 
@@ -142,7 +142,7 @@
 			}
 		}
 		if got := IsolatedFromWorkers(machines, redirected, 2, now); got != c.want {
-			t.Errorf("%s: isolated %v", c.name, got)
+			t.Errorf("%s: leader isolated from workers %v", c.name, got)
 		}
 	}
 }
--- a/internal/workload/record_size.go
+++ b/internal/workload/record_size.go
@@ -73,7 +73,7 @@
 	if j.EncodedSize.Description == 0 {
 		raw, err := json.Marshal(&j.Record.Spec)
 		if err != nil {
-			slog.Error("job description can't be encoded", "job", j.ID(), "err", err)
+			slog.Error("encoding of job description failed", "job", j.ID(), "err", err)
 		}
 		j.EncodedSize.Description = len(raw) + emptyRecordBytes
 	}
--- a/internal/workload/workload_test.go
+++ b/internal/workload/workload_test.go
@@ -41,7 +41,7 @@
 	job.BackOff(3, testStart, backoff)
 	retry := job.BackOff(3, testStart, backoff)
 	if retry.Failures != 2 || !retry.NotBefore.Equal(testStart.Add(10*time.Second)) || job.EnsureRetry(3) != retry {
-		t.Errorf("the retry after two failures is %+v", retry)
+		t.Errorf("retry state after two failures: %+v", retry)
 	}
 	job.Assignments[4] = &Assignment{Job: job, TaskIndex: 4}
 	job.BackOff(4, testStart, backoff)
@@ -69,7 +69,7 @@
 		job := testJob("a", 0)
 		job.EncodedSize, job.MaxAssigned = c.size, c.maxAssigned
 		if got := job.MaxAssignedTasks(c.valueBytes); got != c.want {
-			t.Errorf("%s: %d tasks, want %d", c.name, got, c.want)
+			t.Errorf("%s: %d tasks may be assigned, want %d", c.name, got, c.want)
 		}
 	}
 }
@@ -101,7 +101,7 @@
 		lastLine = line
 	}
 	if zone, lost := losses.Restarted(4); zone != "south" || !lost {
-		t.Errorf("task 4 was lost in %q: %v", zone, lost)
+		t.Errorf("Restarted(4): zone %q, lost %v; want south, true", zone, lost)
 	}
 	if _, lost := losses.Restarted(4); lost {
 		t.Error("a task that was assigned again counts as lost")
@@ -127,7 +127,7 @@
 		t.Errorf("after a removal: %s, %d jobs", got, queue.Len())
 	}
 	if queue.Contains(testJob("a", 2)) || !queue.Contains(jobs["a"]) {
-		t.Error("the queue confuses two jobs of one name")
+		t.Error("the queue mistakes a job for another one with the same ID")
 	}
 }
 
@@ -139,11 +139,11 @@
 		queue.Retire(name(i))
 	}
 	if queue.Retired() != maxRetired {
-		t.Errorf("%d names are remembered, want %d", queue.Retired(), maxRetired)
+		t.Errorf("%d retired IDs are recorded, want %d", queue.Retired(), maxRetired)
 	}
 	for i, want := range map[int]bool{0: false, 1: false, 2: true, maxRetired + 1: true} {
 		if got := queue.IsRetired(name(i)); got != want {
-			t.Errorf("name %d is retired: %v, want %v", i, got, want)
+			t.Errorf("ID %d is retired: %v, want %v", i, got, want)
 		}
 	}
 }
@@ -168,7 +168,7 @@
 	add("stored", 0, func(job *Job) { job.StoredVersion = job.Version })
 	add("ended", 0, func(job *Job) { job.Ended = true })
 	if got := jobIDs(changes.Due(testStart.Add(delay), delay)); got != "urgent high older plain" {
-		t.Errorf("due: %s", got)
+		t.Errorf("due jobs: %s", got)
 	}
 	if got := len(changes.All()); got != 6 || !changes.HasUrgent() {
 		t.Errorf("%d jobs have changes, urgent %v", got, changes.HasUrgent())
