--- a/internal/election/authority.go
+++ b/internal/election/authority.go
@@ -30,9 +30,9 @@
 	return &authority{settings: settings, pauses: pauses, recordsReadAt: recordsReadAt, renewedAt: grantedAt}
 }
 
-// renewed records a successful renewal that was sent at sentAt. The state service received it later, so
+// recordRenewal records a successful renewal that was sent at sentAt. The state service received it later, so
 // the lease lasts at least its duration from sentAt.
-func (a *authority) renewed(sentAt time.Time) {
+func (a *authority) recordRenewal(sentAt time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if sentAt.After(a.renewedAt) {
@@ -74,9 +74,9 @@
 	return !a.ended && time.Since(a.renewedAt) < age && time.Since(recordsReadAt) < age
 }
 
-// leaseSurelyHeld reports whether no other node can lead the shard: by this node's clock, the lease,
+// holdsLease reports whether no other node can lead the shard: by this node's clock, the lease,
 // counted from when the last successful renewal was sent, has not expired.
-func (a *authority) leaseSurelyHeld() bool {
+func (a *authority) holdsLease() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	duration := leaseDuration(a.settings)
--- a/internal/election/campaign.go
+++ b/internal/election/campaign.go
@@ -47,17 +47,17 @@
 		return nil, fmt.Errorf("grant leader lease: %w", err)
 	}
 	generation := previous.Generation + 1
-	won := &acquiredLeadership{
+	acquired := &acquiredLeadership{
 		previous:   previous,
 		generation: generation,
 		writer:     fmt.Sprintf("%s/%d", c.incarnation, generation),
 		lease:      lease,
 		grantedAt:  grantedAt,
 	}
-	if won.revision, err = c.commit(ctx, won, previousRevision); err != nil {
+	if acquired.revision, err = c.commit(ctx, acquired, previousRevision); err != nil {
 		return nil, err
 	}
-	return won, nil
+	return acquired, nil
 }
 
 // ensureVacancy reads the leader key from the store and returns an error if another controller leads the
@@ -102,31 +102,31 @@
 
 // commit stores the new leader and generation and returns the generation's revision. It fails if there is
 // a leader or if the generation has changed since it was read with revision previous.
-func (c *candidate) commit(ctx context.Context, won *acquiredLeadership, previous ids.Revision) (ids.Revision, error) {
-	leader, err := json.Marshal(leaderRecord{Node: c.settings.HostName, Writer: won.writer, Lease: won.lease, Generation: won.generation})
+func (c *candidate) commit(ctx context.Context, acquired *acquiredLeadership, previous ids.Revision) (ids.Revision, error) {
+	leader, err := json.Marshal(leaderRecord{Node: c.settings.HostName, Writer: acquired.writer, Lease: acquired.lease, Generation: acquired.generation})
 	if err != nil {
 		return 0, fmt.Errorf("encode leader record: %w", err)
 	}
-	generation, err := json.Marshal(commit.GenerationRecord{Generation: won.generation, Node: c.settings.HostName, Writer: won.writer})
+	generation, err := json.Marshal(commit.GenerationRecord{Generation: acquired.generation, Node: c.settings.HostName, Writer: acquired.writer})
 	if err != nil {
 		return 0, fmt.Errorf("encode generation record: %w", err)
 	}
-	epoch, err := c.store.Commit(ctx, state.Txn{
+	storeRevision, err := c.store.Commit(ctx, state.Txn{
 		Conditions: []state.Condition{{Key: c.keys.Leader()}, {Key: c.keys.Generation(), Revision: previous}},
 		Ops: []state.Op{
-			{Put: c.keys.Leader(), Value: leader, Lease: won.lease},
+			{Put: c.keys.Leader(), Value: leader, Lease: acquired.lease},
 			{Put: c.keys.Generation(), Value: generation},
 		},
 	}, state.Urgent)
 	if errors.Is(err, state.ErrOutcomeUnknown) {
-		if revision, committed := c.committedRevision(ctx, won.writer); committed {
+		if revision, committed := c.committedRevision(ctx, acquired.writer); committed {
 			return revision, nil
 		}
 	}
 	if err != nil {
-		return 0, fmt.Errorf("commit leader and generation %d: %w", won.generation, err)
+		return 0, fmt.Errorf("commit leader and generation %d: %w", acquired.generation, err)
 	}
-	return ids.Revision(epoch), nil
+	return ids.Revision(storeRevision), nil
 }
 
 // committedRevision reads back the outcome of a commit whose response was lost. If writer wrote the stored
--- a/internal/election/candidate.go
+++ b/internal/election/candidate.go
@@ -17,9 +17,9 @@
 	// campaignDelay is multiplied by a controller's preference rank for a shard. The product is the delay
 	// before the controller campaigns, so that the shards spread over the controllers.
 	campaignDelay = 150 * time.Millisecond
-	// vacancyMemory is the longest gap between two observations of a vacancy that count as the same
+	// maxVacancyGap is the longest gap between two observations of a vacancy that count as the same
 	// vacancy.
-	vacancyMemory = time.Second
+	maxVacancyGap = time.Second
 	// observationMargin is added to the grace period of a leader: once this node has observed one leader
 	// for longer than the sum, no earlier leader can still be answering heartbeats.
 	observationMargin = time.Second
@@ -34,10 +34,10 @@
 	keys        record.ShardKeys
 	incarnation string
 
-	// The next fields are used only by the election loop (Elector.participate) and need no lock.
-	// vacantSince and vacancySeenAt are when the current vacancy of the shard was first and last observed.
-	vacantSince, vacancySeenAt time.Time
-	observed                   observedGeneration
+	// The next fields are used only by the election loop (Elector.runElection) and need no lock.
+	// vacantSince and vacancyLastSeenAt are when the current vacancy of the shard was first and last observed.
+	vacantSince, vacancyLastSeenAt time.Time
+	observed                       observedGeneration
 
 	// mu guards the field below, which any goroutine that resigns sets. No other lock is acquired while mu
 	// is held.
@@ -126,10 +126,10 @@
 		return true
 	}
 	// A longer gap between observations means that the shard had a leader in between.
-	if c.vacantSince.IsZero() || now.Sub(c.vacancySeenAt) > vacancyMemory {
+	if c.vacantSince.IsZero() || now.Sub(c.vacancyLastSeenAt) > maxVacancyGap {
 		c.vacantSince = now
 	}
-	c.vacancySeenAt = now
+	c.vacancyLastSeenAt = now
 	return now.Sub(c.vacantSince) >= time.Duration(c.preferenceRank())*campaignDelay
 }
 
--- a/internal/election/elector.go
+++ b/internal/election/elector.go
@@ -27,7 +27,7 @@
 type Peers interface {
 	// AllStopped asks the named controllers, or all others if none is named, to confirm that they no longer
 	// answer heartbeats under a generation older than this one. It reports whether all have confirmed.
-	AllStopped(ctx context.Context, generation ids.Generation, of ...ids.Node) bool
+	AllStopped(ctx context.Context, generation ids.Generation, nodes ...ids.Node) bool
 	// Alone reports whether there are other controllers and none of them has been heard recently.
 	Alone() bool
 	// Served reports whether another controller is up and the state service answers it.
@@ -98,12 +98,12 @@
 // elected, until the context ends.
 func (e *Elector) Run(ctx context.Context) {
 	e.caches.run(ctx)
-	e.participate(ctx)
+	e.runElection(ctx)
 }
 
-// participate runs the election loop of the shard until the context ends: it campaigns while the shard has
+// runElection runs the election loop of the shard until the context ends: it campaigns while the shard has
 // no leader, and renews the lease while this node leads.
-func (e *Elector) participate(ctx context.Context) {
+func (e *Elector) runElection(ctx context.Context) {
 	go e.pauses.run(ctx)
 	for ctx.Err() == nil {
 		if term := e.Term(); term != nil {
@@ -118,13 +118,13 @@
 			wait.For(ctx, vacancyCheckInterval)
 			continue
 		}
-		won, err := e.candidate.campaign(ctx)
+		acquired, err := e.candidate.campaign(ctx)
 		if err != nil {
 			slog.Debug("campaign failed", "shard", e.shard, "err", err)
 			wait.For(ctx, campaignRetryDelay)
 			continue
 		}
-		e.beginTerm(ctx, won)
+		e.beginTerm(ctx, acquired)
 	}
 }
 
--- a/internal/election/explain.go
+++ b/internal/election/explain.go
@@ -24,7 +24,7 @@
 	if term == nil {
 		return nil, ErrNotLeader
 	}
-	if !term.authority.leaseSurelyHeld() {
+	if !term.authority.holdsLease() {
 		return []string{explainStoreSilent}, nil
 	}
 	if !term.isLoaded() {
--- a/internal/election/explain_test.go
+++ b/internal/election/explain_test.go
@@ -11,7 +11,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/record"
 )
 
-func TestExplainTellsCurrentReasonsOrThatTheyAreNot(t *testing.T) {
+func TestExplainReturnsReasonsOnlyWhileTheyAreCurrent(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		elector := NewElector(testSettings(), nil, nil, "a.1")
@@ -22,7 +22,7 @@
 		if _, err := elector.Explain("job-1"); err == nil {
 			t.Error("Explain succeeded on a node that does not lead the shard")
 		}
-		term := leadWith(elector, cluster)
+		term := startTestTerm(elector, cluster)
 		for _, step := range []struct {
 			want string
 			id   ids.Job
--- a/internal/election/failover_confirmation.go
+++ b/internal/election/failover_confirmation.go
@@ -29,12 +29,12 @@
 // awaitPredecessorsStopped asks the controllers that may still be answering heartbeats to confirm that they
 // have stopped, until all have confirmed or the term ends. Once they have, the leases of silent workers count
 // as expired one worker lease later, without the wait for a predecessor's grace period.
-func (e *Elector) awaitPredecessorsStopped(ctx context.Context, term *Term, of ...ids.Node) {
+func (e *Elector) awaitPredecessorsStopped(ctx context.Context, term *Term, nodes ...ids.Node) {
 	for ctx.Err() == nil {
 		if e.Peers == nil {
 			return
 		}
-		if e.Peers.AllStopped(ctx, term.Generation, of...) {
+		if e.Peers.AllStopped(ctx, term.Generation, nodes...) {
 			now := time.Now()
 			term.Cluster.TrustSilenceFrom(now.Add(e.settings.Params.Workers.LeaseS.WithClockDrift()))
 			return
--- a/internal/election/helpers_test.go
+++ b/internal/election/helpers_test.go
@@ -43,10 +43,10 @@
 	return cluster
 }
 
-// leadWith makes an elector the leader of a term whose lease was granted just now. The term's records are not
-// loaded yet, but the authority always takes them for freshly read, so that it depends only on renewals and
-// pauses.
-func leadWith(elector *Elector, cluster *clusterstate.State) *Term {
+// startTestTerm makes an elector the leader of a term whose lease was granted just now. The term's records
+// are not loaded yet, but the authority always takes them for freshly read, so that it depends only on
+// renewals and pauses.
+func startTestTerm(elector *Elector, cluster *clusterstate.State) *Term {
 	elector.current.term = &Term{
 		Generation: testGeneration,
 		Cluster:    cluster,
--- a/internal/election/isolation.go
+++ b/internal/election/isolation.go
@@ -17,12 +17,12 @@
 	resignationPause = 20 * time.Second
 )
 
-// HandleRedirectedWorkers handles a peer's list of workers that reach the peer but may not reach this leader.
-// If those that are silent here outnumber the workers that report, this leader is cut off from the workers: it
-// resigns immediately and does not campaign for a while, so that another controller is elected.
-func (e *Elector) HandleRedirectedWorkers(unheard []liveness.RedirectedWorker) {
+// HandleRedirectedWorkers handles a peer's list of workers that reach the peer but may not reach this
+// leader. If those that are silent here outnumber the workers that report, this leader is cut off from the
+// workers: it resigns immediately and does not campaign for a while, so that another controller is elected.
+func (e *Elector) HandleRedirectedWorkers(redirected []liveness.RedirectedWorker) {
 	term := e.Term()
-	if term == nil || len(unheard) == 0 || !term.Cluster.IsolatedFromWorkers(unheard, time.Now()) {
+	if term == nil || len(redirected) == 0 || !term.Cluster.IsolatedFromWorkers(redirected, time.Now()) {
 		return
 	}
 	e.resign(term, "cut off from the workers, which reach another node")
@@ -32,16 +32,16 @@
 // ask whether the workers reach it. Such a leader renews hardly any worker lease, so little is lost if the
 // next leader can't reach the workers either.
 func (e *Elector) checkIsolation(term *Term) {
-	if e.Peers == nil || !e.Peers.Alone() || time.Since(term.began) < isolationMinTerm || !term.Cluster.HearsNoWorker(time.Now()) {
+	if e.Peers == nil || !e.Peers.Alone() || time.Since(term.beganAt) < isolationMinTerm || !term.Cluster.HearsNoWorker(time.Now()) {
 		return
 	}
 	e.resign(term, "no worker is heard, and no other controller")
 }
 
 // resign steps down immediately, and keeps this node from campaigning for the shard for a while.
-func (e *Elector) resign(term *Term, why string) {
+func (e *Elector) resign(term *Term, reason string) {
 	e.candidate.suspend(resignationPause)
-	e.stepDown(term, why)
+	e.stepDown(term, reason)
 	ctx, cancel := context.WithTimeout(context.Background(), state.CallTimeout)
 	defer cancel()
 	if err := e.store.RevokeLease(ctx, term.lease); err != nil {
--- a/internal/election/layout.go
+++ b/internal/election/layout.go
@@ -18,9 +18,10 @@
 // a single shard.
 const layoutKey = record.PoolPrefix + "shards"
 
-// layoutLeader is stored as the leader of the single-shard pool in a store with several shards. Versions of
-// the program that support only one shard conclude that another controller leads the pool, and never lead it.
-const layoutLeader ids.Node = "~shards"
+// placeholderLeader is stored as the leader of the single-shard pool in a store with several shards. Versions
+// of the program that support only one shard conclude that another controller leads the pool, and never lead
+// it.
+const placeholderLeader ids.Node = "~shards"
 
 const (
 	layoutRetryDelay        = 200 * time.Millisecond
@@ -35,8 +36,8 @@
 	ErrJobsStored = errors.New("the number of shards can't change while the store has jobs or a leader")
 )
 
-// isRefusal reports whether an error means that the store can't be used, so that a retry is useless.
-func isRefusal(err error) bool {
+// isStoreUnusable reports whether an error means that the store can't be used, so that a retry is useless.
+func isStoreUnusable(err error) bool {
 	return errors.Is(err, ErrLayoutMismatch) || errors.Is(err, ErrJobsStored) || errors.Is(err, quota.ErrBadLedger)
 }
 
@@ -53,12 +54,12 @@
 }
 
 // ensure checks or creates the store's layout, and retries while the state service fails. It must succeed
-// before this node campaigns for any shard. It returns the reason why the store can't be used (isRefusal), or
-// the context's error.
+// before this node campaigns for any shard. It returns the reason why the store can't be used
+// (isStoreUnusable), or the context's error.
 func (l *storeLayout) ensure(ctx context.Context) error {
 	for ctx.Err() == nil {
-		err := l.tryOnce(ctx)
-		if err == nil || isRefusal(err) {
+		err := l.checkOrCreate(ctx)
+		if err == nil || isStoreUnusable(err) {
 			return err
 		}
 		wait.For(ctx, layoutRetryDelay)
@@ -66,8 +67,8 @@
 	return ctx.Err()
 }
 
-// tryOnce checks the layout. If the store has no layout, no jobs and no leader, it creates the layout.
-func (l *storeLayout) tryOnce(ctx context.Context) error {
+// checkOrCreate checks the layout. If the store has no layout, no jobs and no leader, it creates the layout.
+func (l *storeLayout) checkOrCreate(ctx context.Context) error {
 	// Whether the store is in use is checked before the layout is read: jobs and leaders that are stored once a
 	// layout exists conform to it.
 	used, err := l.inUse(ctx)
@@ -110,7 +111,7 @@
 	if err != nil {
 		return fmt.Errorf("encode shard layout: %w", err)
 	}
-	leader, err := json.Marshal(leaderRecord{Node: layoutLeader, Writer: string(layoutLeader)})
+	leader, err := json.Marshal(leaderRecord{Node: placeholderLeader, Writer: string(placeholderLeader)})
 	if err != nil {
 		return fmt.Errorf("encode placeholder leader record: %w", err)
 	}
@@ -147,10 +148,10 @@
 	return nil
 }
 
-// findInCache waits until this node's cache of the pool's keys is filled, which takes no extra call to the
+// checkCached waits until this node's cache of the pool's keys is filled, which takes no extra call to the
 // store, and checks the layout if there is one. A store without a layout has a single shard, and no
 // controller creates a layout while the pool has a leader.
-func (l *storeLayout) findInCache(ctx context.Context) (found bool, err error) {
+func (l *storeLayout) checkCached(ctx context.Context) (found bool, err error) {
 	for ctx.Err() == nil {
 		entry, found, ready := l.cache.Get(layoutKey)
 		if found {
--- a/internal/election/leader_record_test.go
+++ b/internal/election/leader_record_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-func TestProductionLeaderRecordIsWrittenBackUnchanged(t *testing.T) {
+func TestProductionLeaderRecordIsEncodedUnchanged(t *testing.T) {
 	// Guards against a field of the stored record that is dropped, renamed or interpreted differently. The file
 	// was written by the version that deploy/service.toml names as production.
 	stored, err := os.ReadFile("testdata/production/owner.json")
--- a/internal/election/machine_ownership.go
+++ b/internal/election/machine_ownership.go
@@ -24,20 +24,20 @@
 )
 
 // machineOwnership maps each machine to the shard that it belongs to: the shard whose stored provisioning
-// request names the machine (docs/shards.md, "Whose machine"). A machine that no request names belongs to the
-// first shard. That is certain only once a read of the store that began after the machine was first seen shows
-// no unanswered request: a request is stored before it is sent, so the machine's own request would be among
-// those read.
+// request names the machine (docs/shards.md, "Whose machine"). A machine that no request names belongs to
+// the first shard. That is certain only once a read of the store that began after the machine was first
+// seen shows no unanswered request: a request is stored before it is sent, so the machine's own request
+// would be among those read.
 type machineOwnership struct {
 	requestsReadAt func() time.Time // returns when the last complete read of the requests began
 
 	// mu guards the fields below. No other lock is acquired while it is held.
-	mu         sync.Mutex
-	requests   map[string]provisioningRequest // by key
-	machines   map[ids.Machine]ids.Shard      // machines that requests name
-	unanswered int                            // number of unanswered requests
-	unclaimed  map[ids.Machine]time.Time      // machines that no request names, and when first seen
-	adopted    map[ids.Machine]bool           // machines without a request, assigned to the first shard
+	mu                 sync.Mutex
+	requests           map[string]provisioningRequest // by key
+	machines           map[ids.Machine]ids.Shard      // machines that requests name
+	unanswered         int                            // number of unanswered requests
+	unclaimed          map[ids.Machine]time.Time      // machines that no request names, and when first seen
+	firstShardMachines map[ids.Machine]bool           // machines without a request, assigned to the first shard
 }
 
 // storedRequest contains the fields of a stored provisioning request that are used here.
@@ -55,17 +55,17 @@
 
 func newMachineOwnership(requestsReadAt func() time.Time) *machineOwnership {
 	return &machineOwnership{
-		requestsReadAt: requestsReadAt,
-		requests:       map[string]provisioningRequest{},
-		machines:       map[ids.Machine]ids.Shard{},
-		unclaimed:      map[ids.Machine]time.Time{},
-		adopted:        map[ids.Machine]bool{},
+		requestsReadAt:     requestsReadAt,
+		requests:           map[string]provisioningRequest{},
+		machines:           map[ids.Machine]ids.Shard{},
+		unclaimed:          map[ids.Machine]time.Time{},
+		firstShardMachines: map[ids.Machine]bool{},
 	}
 }
 
-// requestShard returns the shard of the provisioning request with the given key; isRequest is false if the
+// parseRequestKey returns the shard of the provisioning request with the given key; isRequest is false if the
 // key is not one of a provisioning request.
-func requestShard(key string) (shard ids.Shard, isRequest bool) {
+func parseRequestKey(key string) (shard ids.Shard, isRequest bool) {
 	rest, found := strings.CutPrefix(key, shardKeyPrefix)
 	if !found {
 		return 0, false
@@ -89,7 +89,7 @@
 
 // handleChange handles a change of one of the pool's keys.
 func (o *machineOwnership) handleChange(change state.Change) {
-	shard, isRequest := requestShard(change.Key())
+	shard, isRequest := parseRequestKey(change.Key())
 	if !isRequest {
 		return
 	}
@@ -135,7 +135,7 @@
 		delete(o.unclaimed, machine)
 		return shard, true
 	}
-	if o.adopted[machine] {
+	if o.firstShardMachines[machine] {
 		return 0, true
 	}
 	if _, seen := o.unclaimed[machine]; !seen {
@@ -150,7 +150,7 @@
 	for ctx.Err() == nil {
 		wait.For(ctx, unclaimedCheckInterval)
 		if o.hasUnclaimed() && requests.Sync(ctx) == nil {
-			o.adoptUnclaimed()
+			o.assignUnclaimed()
 		}
 	}
 }
@@ -161,8 +161,8 @@
 	return len(o.unclaimed) > 0
 }
 
-// adoptUnclaimed assigns to the first shard the machines that certainly have no provisioning request.
-func (o *machineOwnership) adoptUnclaimed() {
+// assignUnclaimed assigns to the first shard the machines that certainly have no provisioning request.
+func (o *machineOwnership) assignUnclaimed() {
 	readAt := o.requestsReadAt()
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -172,7 +172,7 @@
 	for machine, seenAt := range o.unclaimed {
 		if seenAt.Before(readAt) {
 			delete(o.unclaimed, machine)
-			o.adopted[machine] = true
+			o.firstShardMachines[machine] = true
 		}
 	}
 }
--- a/internal/election/machine_ownership_test.go
+++ b/internal/election/machine_ownership_test.go
@@ -10,7 +10,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/worker"
 )
 
-func TestHeartbeatOfAShardBeyondTheSettingsIsRejected(t *testing.T) {
+func TestHeartbeatForAShardBeyondTheConfiguredOnesIsRejected(t *testing.T) {
 	// A node that is configured with fewer shards than the store is laid out for crashed if a heartbeat arrived
 	// before the node had read the layout.
 	settings, shardCount := testSettings(), uint32(2)
--- a/internal/election/process_pause.go
+++ b/internal/election/process_pause.go
@@ -11,10 +11,10 @@
 
 // A process may be paused for seconds or minutes while its clocks keep running, and then continue without
 // noticing. Another controller may lead the shard by then. The expiry of workers' and leaders' leases is
-// decided by the clock, but the process can be paused between reading the clock and acting on it, and requests
-// that arrived during the pause still wait to be answered. Pauses are therefore detected explicitly: after a
-// pause, a renewal that was sent after it must succeed before the leader answers a heartbeat or sends a command
-// (docs/design.md, "The pool's claim").
+// decided by the clock, but the process can be paused between reading the clock and acting on it, and
+// requests that arrived during the pause still wait to be answered. Pauses are therefore detected
+// explicitly: after a pause, a renewal that was sent after it must succeed before the leader answers a
+// heartbeat or sends a command (docs/design.md, "The pool's claim").
 
 const (
 	pauseCheckInterval = 100 * time.Millisecond
--- a/internal/election/process_pause_test.go
+++ b/internal/election/process_pause_test.go
@@ -18,7 +18,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		elector := NewElector(testSettings(), nil, nil, "a.1")
 		cluster := clusterWithMachines(t, 12)
-		term := leadWith(elector, cluster)
+		term := startTestTerm(elector, cluster)
 		close(term.loaded)
 		heartbeat := func(sequence ids.SequenceNumber) (status int) {
 			_, status, _ = elector.Heartbeat(context.Background(), &worker.Report{Machine: "host-000001", Addr: "x:1", Type: "small", Zone: "north", Incarnation: 1, Sequence: sequence, FencingToken: testGeneration})
@@ -44,7 +44,7 @@
 			t.Error(err)
 		}
 		time.Sleep(100 * time.Millisecond)
-		term.authority.renewed(time.Now())
+		term.authority.recordRenewal(time.Now())
 		if status := heartbeat(4); status != http.StatusOK || !term.authority.renewedSincePause() {
 			t.Errorf("heartbeat after the renewal: status %d, want 200 and commands allowed", status)
 		}
--- a/internal/election/record_loading.go
+++ b/internal/election/record_loading.go
@@ -38,13 +38,13 @@
 // load loads all records, and retries until it succeeds. It returns false if the term ends first.
 func (l *recordLoader) load(ctx context.Context, term *Term) bool {
 	for ctx.Err() == nil {
-		entries, epoch, err := l.read(ctx, term)
+		entries, storeRevision, err := l.read(ctx, term)
 		if err != nil {
 			wait.For(ctx, loadRetryDelay)
 			continue
 		}
 		jobs := l.decode(entries, term.Cluster)
-		term.Cluster.Load(jobs.records, jobs.revisions, ids.Revision(epoch), time.Now())
+		term.Cluster.Load(jobs.records, jobs.revisions, ids.Revision(storeRevision), time.Now())
 		term.Cluster.LoadWaitingJobs(jobs.waiting, jobs.revisions, time.Now())
 		close(term.loaded)
 		slog.Info("records loaded", "shard", l.shard, "term", term.Generation, "jobs", len(jobs.records), "waiting", len(jobs.waiting),
@@ -56,12 +56,12 @@
 
 // read returns the live records and their store revision, and reads the provisioning requests and the
 // allowances into the term.
-func (l *recordLoader) read(ctx context.Context, term *Term) (jobs []state.Entry, epoch ids.StoreRevision, err error) {
+func (l *recordLoader) read(ctx context.Context, term *Term) (jobs []state.Entry, storeRevision ids.StoreRevision, err error) {
 	// The cache is already filled; Sync reads only the changes that it lacks, after the takeover's commit.
 	if err := l.jobs.Sync(ctx); err != nil {
 		return nil, 0, fmt.Errorf("refresh cached job records: %w", err)
 	}
-	jobs, epoch = l.jobs.Entries()
+	jobs, storeRevision = l.jobs.Entries()
 	if term.OpenProvisioningRequests, _, err = l.store.ListAll(ctx, l.keys.ProvisioningRequests(), state.Urgent); err != nil {
 		return nil, 0, fmt.Errorf("list provisioning requests: %w", err)
 	}
@@ -70,7 +70,7 @@
 			return nil, 0, err
 		}
 	}
-	return jobs, epoch, nil
+	return jobs, storeRevision, nil
 }
 
 // loadAllowances loads the allowance ledgers. They are read after the takeover's commit, and changes of them
@@ -93,11 +93,11 @@
 		revisions: map[ids.Job]ids.Revision{},
 	}
 	for _, entry := range entries {
-		into, decode := jobs.records, record.Decode
+		target, decode := jobs.records, record.Decode
 		id, kind := record.ParseKey(entry.Key)
 		switch {
 		case kind == record.WaitingRecord:
-			into, decode = jobs.waiting, record.DecodeWaiting
+			target, decode = jobs.waiting, record.DecodeWaiting
 		case ids.ShardOf(id, l.settings.ShardCount()) != l.shard:
 			continue
 		case kind == record.StoredCancellation:
@@ -109,7 +109,7 @@
 			slog.Error("decoding of stored job record failed; job skipped", "key", entry.Key, "err", err)
 			continue
 		}
-		into[rec.Spec.ID], jobs.revisions[rec.Spec.ID] = rec, entry.Revision
+		target[rec.Spec.ID], jobs.revisions[rec.Spec.ID] = rec, entry.Revision
 	}
 	return jobs
 }
--- a/internal/election/redirects.go
+++ b/internal/election/redirects.go
@@ -45,12 +45,12 @@
 		clear(t.byMachine)
 	}
 	now := time.Now()
-	noted := t.byMachine[machine]
-	if noted.leader != leader || now.Sub(noted.last) > redirectReturnTime {
-		noted = redirect{leader: leader, first: now}
+	tracked := t.byMachine[machine]
+	if tracked.leader != leader || now.Sub(tracked.last) > redirectReturnTime {
+		tracked = redirect{leader: leader, first: now}
 	}
-	noted.last = now
-	t.byMachine[machine] = noted
+	tracked.last = now
+	t.byMachine[machine] = tracked
 }
 
 // overdue returns the workers that were redirected to the leader and either reported to this node again, or
@@ -58,11 +58,11 @@
 func (t *redirectTracker) overdue(leader ids.Node) (workers []liveness.RedirectedWorker) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for machine, noted := range t.byMachine {
-		if noted.leader != leader || time.Since(noted.last) >= redirectReturnTime {
+	for machine, tracked := range t.byMachine {
+		if tracked.leader != leader || time.Since(tracked.last) >= redirectReturnTime {
 			delete(t.byMachine, machine)
-		} else if noted.last != noted.first || time.Since(noted.first) > redirectArrivalTime {
-			workers = append(workers, liveness.RedirectedWorker{Machine: machine, Ago: time.Since(noted.first)})
+		} else if tracked.last != tracked.first || time.Since(tracked.first) > redirectArrivalTime {
+			workers = append(workers, liveness.RedirectedWorker{Machine: machine, Ago: time.Since(tracked.first)})
 		}
 	}
 	return workers
--- a/internal/election/redirects_test.go
+++ b/internal/election/redirects_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func TestRedirectsToAnEarlierLeaderDoNotCountAgainstThePresentOne(t *testing.T) {
+func TestRedirectsToAnEarlierLeaderDoNotCountAgainstTheCurrentOne(t *testing.T) {
 	t.Parallel()
 	// After a leader crashed, the workers that had been redirected to it, or had reported to this node since,
 	// made each new leader resign a few seconds after its takeover.
--- a/internal/election/renewal.go
+++ b/internal/election/renewal.go
@@ -18,7 +18,7 @@
 	err := e.store.RenewLease(ctx, term.lease)
 	switch {
 	case err == nil:
-		term.authority.renewed(sentAt)
+		term.authority.recordRenewal(sentAt)
 	case errors.Is(err, state.ErrNoLease):
 		e.stepDown(term, "lease expired")
 	default:
@@ -38,4 +38,4 @@
 
 // LeaseSurelyHeld reports whether no other node can lead the shard: by this node's clock, the term's lease,
 // counted from when the last successful renewal was sent, has not expired.
-func (e *Elector) LeaseSurelyHeld(term *Term) bool { return term.authority.leaseSurelyHeld() }
+func (e *Elector) LeaseSurelyHeld(term *Term) bool { return term.authority.holdsLease() }
--- a/internal/election/shards.go
+++ b/internal/election/shards.go
@@ -49,7 +49,7 @@
 	s := newShards(electors, store, caches)
 	s.ownership = newMachineOwnership(caches.pool.AsOf)
 	s.allowances = state.NewWatchCache(store, quota.Prefix, allowanceWatchInterval)
-	s.followChanges()
+	s.registerListeners()
 	return s
 }
 
@@ -68,8 +68,8 @@
 	}
 }
 
-// followChanges registers the electors and the machine ownership as listeners of changes in the store.
-func (s *Shards) followChanges() {
+// registerListeners registers the electors and the machine ownership as listeners of changes in the store.
+func (s *Shards) registerListeners() {
 	s.caches.pool.OnChange(s.ownership.handleChange)
 	s.caches.jobs.OnChange(func(change state.Change) {
 		for _, elector := range s.electors {
@@ -94,7 +94,7 @@
 	s.caches.run(ctx)
 	go s.allowances.Run(ctx)
 	if err := s.layout.ensure(ctx); err != nil {
-		if isRefusal(err) {
+		if isStoreUnusable(err) {
 			s.OnRefused(err)
 		}
 		return
@@ -102,14 +102,14 @@
 	go s.ownership.resolveUnclaimed(ctx, s.caches.pool)
 	go rebalanceLeaders(ctx, s.electors)
 	for _, elector := range s.electors {
-		go elector.participate(ctx)
+		go elector.runElection(ctx)
 	}
 	<-ctx.Done()
 }
 
 // checkSingleLayout calls OnRefused if the store is laid out for several shards.
 func (s *Shards) checkSingleLayout(ctx context.Context) {
-	if found, err := s.layout.findInCache(ctx); found {
+	if found, err := s.layout.checkCached(ctx); found {
 		s.OnRefused(err)
 	}
 }
--- a/internal/election/term.go
+++ b/internal/election/term.go
@@ -19,9 +19,9 @@
 	// delay after each pass.
 	maxPlanInterval = 500 * time.Millisecond
 	minPlanInterval = 25 * time.Millisecond
-	// commandSlotShare is the divisor of the number of sockets to machines that gives the number that the
+	// commandSlotDivisor is the divisor of the number of sockets to machines that gives the number that the
 	// dispatcher may use.
-	commandSlotShare = 4
+	commandSlotDivisor = 4
 )
 
 // Term is a term in which this node leads a shard.
@@ -37,17 +37,17 @@
 	OpenProvisioningRequests []state.Entry
 
 	lease     ids.Lease
-	began     time.Time
+	beganAt   time.Time
 	authority *authority
 	loaded    chan struct{} // closed once the records are loaded
 	cancel    context.CancelFunc
 }
 
 // beginTerm starts a term. The term's goroutines end when its context is cancelled, which stepDown does.
-func (e *Elector) beginTerm(ctx context.Context, won *acquiredLeadership) {
+func (e *Elector) beginTerm(ctx context.Context, acquired *acquiredLeadership) {
 	now := time.Now()
 	termCtx, cancel := context.WithCancel(ctx)
-	term := e.newTerm(won, now)
+	term := e.newTerm(acquired, now)
 	term.cancel = cancel
 	e.store.Budget().LeadershipChanged(true)
 	e.current.begin(term, now)
@@ -57,42 +57,43 @@
 			e.runTerm(termCtx, term)
 		}
 	}()
-	go e.awaitPredecessorsStopped(termCtx, term, e.candidate.possibleLeaders(won.previous, now)...)
+	go e.awaitPredecessorsStopped(termCtx, term, e.candidate.possibleLeaders(acquired.previous, now)...)
 }
 
 // newTerm returns a term with its components connected, but starts none of them.
-func (e *Elector) newTerm(won *acquiredLeadership, now time.Time) *Term {
+func (e *Elector) newTerm(acquired *acquiredLeadership, now time.Time) *Term {
 	term := &Term{
-		Generation: won.generation,
-		Cluster:    e.newClusterState(won, now),
-		lease:      won.lease,
-		began:      now,
-		authority:  newAuthority(e.settings, e.pauses, e.caches.jobs.AsOf, won.grantedAt),
+		Generation: acquired.generation,
+		Cluster:    e.newClusterState(acquired, now),
+		lease:      acquired.lease,
+		beganAt:    now,
+		authority:  newAuthority(e.settings, e.pauses, e.caches.jobs.AsOf, acquired.grantedAt),
 		loaded:     make(chan struct{}),
 	}
 	term.Cluster.StartsAllowed = func() (bool, time.Time) { return term.authority.mayStartTasks(), e.caches.jobs.AsOf() }
-	term.Dispatcher = dispatch.New(term.Cluster, e.commander, e.settings.Sockets().ToMachines/commandSlotShare, term.authority.renewedSincePause)
-	term.Committer = commit.New(term.Cluster, e.store, e.settings.HostName, e.keys, won.revision, commit.Events{
+	term.Dispatcher = dispatch.New(term.Cluster, e.commander, e.settings.Sockets().ToMachines/commandSlotDivisor, term.authority.renewedSincePause)
+	term.Committer = commit.New(term.Cluster, e.store, e.settings.HostName, e.keys, acquired.revision, commit.Events{
 		// The committer calls Superseded in its own goroutine, which runs until the term's context ends.
-		Superseded: func(why string) { go e.stepDown(term, why) },
+		Superseded: func(reason string) { go e.stepDown(term, reason) },
 		Stored:     term.Dispatcher.Wake,
 	})
 	return term
 }
 
-// newClusterState returns the cluster state of a term. A worker that has not reported to it counts as possibly
-// alive until the grace period of an earlier leader and, after that, the worker's lease have expired.
-func (e *Elector) newClusterState(won *acquiredLeadership, now time.Time) *clusterstate.State {
+// newClusterState returns the cluster state of a term. A worker that has not reported to it counts as
+// possibly alive until the grace period of an earlier leader and, after that, the worker's lease have
+// expired.
+func (e *Elector) newClusterState(acquired *acquiredLeadership, now time.Time) *clusterstate.State {
 	trustSilence := now.Add(e.settings.LeaderGracePeriod().WithClockDrift() + e.settings.Params.Workers.LeaseS.WithClockDrift())
-	cluster := clusterstate.NewShard(e.settings, won.writer, won.generation, trustSilence, e.shard)
+	cluster := clusterstate.NewShard(e.settings, acquired.writer, acquired.generation, trustSilence, e.shard)
 	cluster.StatusInOtherShard = e.changes.statusInOtherShard
-	cluster.StoreAvailable = storeAvailable(e.settings, e.store)
+	cluster.StoreAvailable = newStoreAvailabilityCheck(e.settings, e.store)
 	return cluster
 }
 
-// storeAvailable returns a function that reports whether the state service has answered within the last half
-// of a lease's duration.
-func storeAvailable(settings *config.Settings, store *state.Client) func() bool {
+// newStoreAvailabilityCheck returns a function that reports whether the state service has answered within the
+// last half of a lease's duration.
+func newStoreAvailabilityCheck(settings *config.Settings, store *state.Client) func() bool {
 	maxAge := leaseDuration(settings) / 2
 	return func() bool {
 		age, ok := store.SinceSuccess()
@@ -133,11 +134,11 @@
 }
 
 // stepDown ends a term, unless it has ended already.
-func (e *Elector) stepDown(term *Term, why string) {
+func (e *Elector) stepDown(term *Term, reason string) {
 	if !e.current.end(term) {
 		return
 	}
-	slog.Info("leadership lost", "shard", e.shard, "term", term.Generation, "node", e.settings.HostName, "why", why)
+	slog.Info("leadership lost", "shard", e.shard, "term", term.Generation, "node", e.settings.HostName, "why", reason)
 	term.Cluster.Close()
 	term.cancel()
 	e.store.Budget().LeadershipChanged(false)
--- a/internal/liveness/fleet.go
+++ b/internal/liveness/fleet.go
@@ -22,16 +22,16 @@
 type Fleet struct {
 	storeAvailable bool
 	zones          map[string]*zone
-	all, silent    int
+	total, silent  int
 	lastReports    reportTimes // of the machines that are not silent
 }
 
-// zone contains the counts of one zone's machines. The zone is unreachable if half of its machines have left
-// probes unanswered and no machine in the zone has reported since. A smaller number of machines may have failed
-// at the same time by themselves, and in a small zone the reports of the others may be more than a second
-// apart.
+// zone contains the counts of one zone's machines. The zone is unreachable if half of its machines have
+// left probes unanswered and no machine in the zone has reported since. A smaller number of machines may
+// have failed at the same time by themselves, and in a small zone the reports of the others may be more
+// than a second apart.
 type zone struct {
-	all         int
+	total       int
 	lastReports reportTimes
 	unanswered  int
 	unreachable bool
@@ -40,8 +40,8 @@
 // minUnanswered is the minimum number of machines with unanswered probes for a zone to be unreachable.
 const minUnanswered = 3
 
-// Measure counts the machines that report and those that are silent. While the state service is not available,
-// no machine counts as failed, since its tasks could not be started elsewhere.
+// Measure counts the machines that report and those that are silent. While the state service is not
+// available, no machine counts as failed, since its tasks could not be started elsewhere.
 func Measure(machines *worker.Registry, storeAvailable bool) *Fleet {
 	fleet := &Fleet{storeAvailable: storeAvailable, zones: map[string]*zone{}}
 	var silent []*worker.Machine
@@ -50,8 +50,8 @@
 			continue
 		}
 		zone := fleet.ensureZone(machine.Zone)
-		fleet.all++
-		zone.all++
+		fleet.total++
+		zone.total++
 		if machine.HasReported && !machine.Suspect() {
 			fleet.lastReports.add(machine.LastReportAt)
 			zone.lastReports.add(machine.LastReportAt)
@@ -66,7 +66,7 @@
 		}
 	}
 	for _, zone := range fleet.zones {
-		zone.unreachable = zone.unanswered >= max(minUnanswered, zone.all/2)
+		zone.unreachable = zone.unanswered >= max(minUnanswered, zone.total/2)
 	}
 	return fleet
 }
@@ -100,7 +100,7 @@
 // OnlyZoneUnreachable reports whether a zone is unreachable while most of the fleet is not silent.
 func (f *Fleet) OnlyZoneUnreachable(name string) bool {
 	zone := f.zones[name]
-	return f.storeAvailable && zone != nil && zone.unreachable && f.silent <= f.all*2/5
+	return f.storeAvailable && zone != nil && zone.unreachable && f.silent <= f.total*2/5
 }
 
 // smallZone is the number of machines up to which a zone is too small for the share of its machines that
@@ -120,12 +120,12 @@
 	}
 	if zone := f.zones[machine.Zone]; zone != nil {
 		reportedSince := func() int { return zone.lastReports.countAfter(machine.SuspectSince.Add(ProbeTimeout)) }
-		if zone.unreachable || zone.all > smallZone && reportedSince() < max(1, zone.all/4) {
+		if zone.unreachable || zone.total > smallZone && reportedSince() < max(1, zone.total/4) {
 			return false
 		}
 	}
 	reported := f.lastReports.countAfter(machine.SuspectSince)
-	return f.silent <= max(1, f.all*2/5) && reported >= (f.all-f.silent+1)/2 && reported > 0
+	return f.silent <= max(1, f.total*2/5) && reported >= (f.total-f.silent+1)/2 && reported > 0
 }
 
 // reportWindow is the time within which at least one machine of a reachable fleet always reports.
@@ -134,7 +134,7 @@
 // LostContact reports whether hardly any machine reports or answers probes while the state service is
 // available.
 func (f *Fleet) LostContact(now time.Time) bool {
-	return f.storeAvailable && f.silent >= 2 && 4*f.silent >= 3*f.all && f.lastReports.countAfter(now.Add(-reportWindow)) == 0
+	return f.storeAvailable && f.silent >= 2 && 4*f.silent >= 3*f.total && f.lastReports.countAfter(now.Add(-reportWindow)) == 0
 }
 
 // reportTimes contains the times of machines' last reports. The times are sorted only at the first query,
--- a/internal/liveness/isolation.go
+++ b/internal/liveness/isolation.go
@@ -31,9 +31,9 @@
 			reporting++
 		}
 	}
-	for _, other := range redirected {
-		machine := machines.Machines[other.Machine]
-		if machine != nil && machine.SilentFor(now) >= overdue && machine.SilentFor(now) > other.Ago+peerReportDelay {
+	for _, missing := range redirected {
+		machine := machines.Machines[missing.Machine]
+		if machine != nil && machine.SilentFor(now) >= overdue && machine.SilentFor(now) > missing.Ago+peerReportDelay {
 			silent++
 		}
 	}
--- a/internal/liveness/liveness_test.go
+++ b/internal/liveness/liveness_test.go
@@ -32,25 +32,25 @@
 	}
 }
 
-func TestSilentMachinesAreToldFromPartitions(t *testing.T) {
+func TestFailedMachinesAreDistinguishedFromPartitions(t *testing.T) {
 	for _, c := range []struct {
-		name           string
-		perZone        int
-		silent         map[string]int
-		storeDown      bool
-		isolated       bool // north0 has failed by itself
-		zoneIsOut      bool // north is unreachable
-		onlyZoneIsOut  bool
-		controllerDeaf bool
+		name                string
+		perZone             int
+		silent              map[string]int
+		storeDown           bool
+		isolated            bool // north0 has failed by itself
+		zoneUnreachable     bool // north is unreachable
+		onlyZoneUnreachable bool
+		lostContact         bool
 	}{
 		{name: "one of many", perZone: 6, silent: map[string]int{"north": 1}, isolated: true},
 		{name: "one, while nothing can be stored", perZone: 6, silent: map[string]int{"north": 1}, storeDown: true},
 		{name: "half of a zone, while the rest reports", perZone: 6, silent: map[string]int{"north": 3}, isolated: true},
-		{name: "a whole zone", perZone: 6, silent: map[string]int{"north": 6}, zoneIsOut: true, onlyZoneIsOut: true},
+		{name: "a whole zone", perZone: 6, silent: map[string]int{"north": 6}, zoneUnreachable: true, onlyZoneUnreachable: true},
 		{name: "a whole small zone", perZone: 2, silent: map[string]int{"north": 2}, isolated: true},
-		{name: "two zones", perZone: 6, silent: map[string]int{"north": 6, "south": 6}, zoneIsOut: true},
-		{name: "all", perZone: 6, silent: map[string]int{"north": 6, "south": 6, "west": 6}, zoneIsOut: true, controllerDeaf: true},
-		{name: "all, while nothing can be stored", perZone: 6, silent: map[string]int{"north": 6, "south": 6, "west": 6}, storeDown: true, zoneIsOut: true},
+		{name: "two zones", perZone: 6, silent: map[string]int{"north": 6, "south": 6}, zoneUnreachable: true},
+		{name: "all", perZone: 6, silent: map[string]int{"north": 6, "south": 6, "west": 6}, zoneUnreachable: true, lostContact: true},
+		{name: "all, while nothing can be stored", perZone: 6, silent: map[string]int{"north": 6, "south": 6, "west": 6}, storeDown: true, zoneUnreachable: true},
 	} {
 		machines := fleetOf(c.perZone)
 		for zone, count := range c.silent {
@@ -60,29 +60,29 @@
 		if got := fleet.IsIsolatedFailure(machines.Machines["north0"]); got != c.isolated {
 			t.Errorf("%s: isolated failure %v", c.name, got)
 		}
-		if got := fleet.UnreachableZones()["north"]; got != c.zoneIsOut || fleet.ZoneReachable("north") == got {
+		if got := fleet.UnreachableZones()["north"]; got != c.zoneUnreachable || fleet.ZoneReachable("north") == got {
 			t.Errorf("%s: zone unreachable %v, reachable %v", c.name, got, fleet.ZoneReachable("north"))
 		}
-		if got := fleet.OnlyZoneUnreachable("north"); got != c.onlyZoneIsOut {
+		if got := fleet.OnlyZoneUnreachable("north"); got != c.onlyZoneUnreachable {
 			t.Errorf("%s: only zone north unreachable %v", c.name, got)
 		}
-		if got := fleet.LostContact(now); got != c.controllerDeaf {
+		if got := fleet.LostContact(now); got != c.lostContact {
 			t.Errorf("%s: contact with the machines lost %v", c.name, got)
 		}
 	}
 }
 
-func TestReportsSinceDecideWhichMachinesAreSilent(t *testing.T) {
+func TestReportsDuringTheSilenceDecideWhatHasFailed(t *testing.T) {
 	for _, c := range []struct {
-		name      string
-		perZone   int
-		silent    int             // number of silent machines in zone north
-		overdue   map[string]bool // zones whose other machines last reported before the silence
-		isolated  bool
-		zoneIsOut bool
+		name            string
+		perZone         int
+		silent          int             // number of silent machines in zone north
+		overdue         map[string]bool // zones whose other machines last reported before the silence
+		isolated        bool
+		zoneUnreachable bool
 	}{
 		{name: "all have", perZone: 6, silent: 3, isolated: true},
-		{name: "nobody in the zone", perZone: 6, silent: 3, overdue: map[string]bool{"north": true}, zoneIsOut: true},
+		{name: "nobody in the zone", perZone: 6, silent: 3, overdue: map[string]bool{"north": true}, zoneUnreachable: true},
 		{name: "nobody in the zone, too few silent", perZone: 6, silent: 2, overdue: map[string]bool{"north": true}},
 		{name: "few in all", perZone: 3, silent: 1, overdue: map[string]bool{"north": true, "south": true}},
 	} {
@@ -94,14 +94,14 @@
 		}
 		silence(machines, "north", c.silent)
 		fleet := Measure(machines, true)
-		isolated, zoneIsOut := fleet.IsIsolatedFailure(machines.Machines["north0"]), fleet.UnreachableZones()["north"]
-		if isolated != c.isolated || zoneIsOut != c.zoneIsOut {
-			t.Errorf("%s: isolated failure %v, zone unreachable %v", c.name, isolated, zoneIsOut)
+		isolated, zoneUnreachable := fleet.IsIsolatedFailure(machines.Machines["north0"]), fleet.UnreachableZones()["north"]
+		if isolated != c.isolated || zoneUnreachable != c.zoneUnreachable {
+			t.Errorf("%s: isolated failure %v, zone unreachable %v", c.name, isolated, zoneUnreachable)
 		}
 	}
 }
 
-func TestMachinesOfAZoneThatReportsAgainGetTime(t *testing.T) {
+func TestRecoveredZoneResetsTheProbesOfItsMachines(t *testing.T) {
 	machines, zones := fleetOf(6), NewZones()
 	silence(machines, "north", 6)
 	zones.Update(machines, true)
--- a/internal/workload/failures.go
+++ b/internal/workload/failures.go
@@ -68,8 +68,8 @@
 // The numbers of machines with failures from which a job without completed tasks counts as suspect and as
 // failing.
 const (
-	suspectAfter = 2
-	failingAfter = 3
+	minSuspectMachines = 2
+	minFailingMachines = 3
 )
 
 // AddFailure adds a failed task. runningSince is zero if the task never ran.
@@ -93,13 +93,13 @@
 // Suspect reports whether the job, rather than a machine, may be at fault. Nothing is preempted for such a
 // job.
 func (j *Job) Suspect() bool {
-	return j.Record.Finished.Len() == 0 && j.machinesWithFailures() >= suspectAfter
+	return j.Record.Finished.Len() == 0 && j.machinesWithFailures() >= minSuspectMachines
 }
 
 // Failing reports whether the job fails on every machine. Such a job is retried with a backoff for the whole
 // job, one task at a time or all tasks of a gang together, and no machine is provisioned for it.
 func (j *Job) Failing() bool {
-	return j.Record.Finished.Len() == 0 && j.machinesWithFailures() >= failingAfter
+	return j.Record.Finished.Len() == 0 && j.machinesWithFailures() >= minFailingMachines
 }
 
 // BackingOff reports whether the job is failing and must not be retried now.
@@ -138,9 +138,9 @@
 	return n
 }
 
-// outlastsAfter is how much longer than twice the longest failed run a task must run to show that its job
+// outlastMargin is how much longer than twice the longest failed run a task must run to show that its job
 // is not at fault.
-const outlastsAfter = 30 * time.Second
+const outlastMargin = 30 * time.Second
 
 // Outlasts reports whether a running task shows that its job, which has failures, is not at fault.
 func (a *Assignment) Outlasts(now time.Time) bool {
@@ -148,5 +148,5 @@
 	if failures.Tasks == 0 && a.Job.Record.FailedMachines == 0 {
 		return false
 	}
-	return now.Sub(a.RunningSince) > outlastsAfter+2*failures.LongestRun
+	return now.Sub(a.RunningSince) > outlastMargin+2*failures.LongestRun
 }
--- a/internal/workload/record_size.go
+++ b/internal/workload/record_size.go
@@ -29,19 +29,19 @@
 	emptyRecordBytes = 400
 	// maxDescriptionBytes is the largest size that is assumed for a description.
 	maxDescriptionBytes = 1500
-	// firstAssignmentBytes is the size assumed for an assignment before any was encoded: the name of its
+	// initialAssignmentBytes is the size assumed for an assignment before any was encoded: the name of its
 	// machine and 20 bytes more.
-	firstAssignmentBytes = 40
+	initialAssignmentBytes = 40
 	// scatteredTaskBytes is the minimum size of an assignment when the tasks with adjacent indices on the same
 	// machine have finished.
 	scatteredTaskBytes = 5
 )
 
 const (
-	// firstFillShare and fillShare are the fractions of a value's maximum size that a record may fill, before
+	// initialFillShare and fillShare are the fractions of a value's maximum size that a record may fill, before
 	// and after its assignments were first encoded.
-	firstFillShare = 0.92
-	fillShare      = 0.9
+	initialFillShare = 0.92
+	fillShare        = 0.9
 	// assignmentMargin is the factor by which assignments may grow beyond their last encoded size.
 	assignmentMargin = 1.25
 	// minAssigned is the number of tasks that may always be assigned.
@@ -55,7 +55,7 @@
 // stored: if the tasks on a machine are not contiguous, each takes the bytes of its own index.
 func (j *Job) MaxAssignedTasks(valueBytes float64) int {
 	description := min(maxDescriptionBytes, float64(j.descriptionSize()))
-	tasks := int((valueBytes*firstFillShare - description) / firstAssignmentBytes)
+	tasks := int((valueBytes*initialFillShare - description) / initialAssignmentBytes)
 	if size := j.EncodedSize; size.PerAssignment > 0 {
 		perTask := assignmentMargin*max(size.PerAssignment, scatteredTaskBytes) + 1
 		tasks = max(tasks, int((valueBytes*fillShare-float64(size.Rest))/perTask))
--- a/internal/workload/workload_test.go
+++ b/internal/workload/workload_test.go
@@ -28,7 +28,7 @@
 	return strings.Join(names, " ")
 }
 
-func TestBackoffDoublesUpToItsLongestDelay(t *testing.T) {
+func TestBackoffDoublesUpToTheMaximumDelay(t *testing.T) {
 	backoff := Backoff{First: 5, Max: 60}
 	for failures, want := range map[int]time.Duration{
 		1: 5 * time.Second, 2: 10 * time.Second, 3: 20 * time.Second, 4: 40 * time.Second, 5: time.Minute, 1000: time.Minute,
@@ -50,7 +50,7 @@
 	}
 }
 
-func TestAssignedTasksAreBoundedByTheRecordsSize(t *testing.T) {
+func TestAssignedTasksAreBoundedByTheRecordSize(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		valueBytes  float64
@@ -74,7 +74,7 @@
 	}
 }
 
-func TestSimilarLossesShareALineOfTheTrail(t *testing.T) {
+func TestSimilarLossesShareAnEventLine(t *testing.T) {
 	var losses LossHistory
 	lastLine := "accepted"
 	for _, c := range []struct {
@@ -112,7 +112,7 @@
 	}
 }
 
-func TestQueueKeepsTheOrderOfSubmission(t *testing.T) {
+func TestQueueIsOrderedBySubmission(t *testing.T) {
 	queue := NewQueue()
 	jobs := map[ids.Job]*Job{}
 	for id, submitted := range map[ids.Job]int{"d": 3, "b": 1, "c": 1, "a": 2, "e": 0} {
@@ -131,7 +131,7 @@
 	}
 }
 
-func TestQueueForgetsTheOldestRetiredNames(t *testing.T) {
+func TestQueueDropsTheOldestRetiredIDs(t *testing.T) {
 	queue := NewQueue()
 	name := func(i int) ids.Job { return ids.Job(strconv.Itoa(i)) }
 	queue.Retire(name(0))
@@ -148,7 +148,7 @@
 	}
 }
 
-func TestDueChangesComeInTheOrderOfTheirUrgency(t *testing.T) {
+func TestDueChangesAreOrderedByUrgency(t *testing.T) {
 	const delay = time.Second
 	changes := NewChanges()
 	add := func(id ids.Job, submitted int, change func(*Job)) *Job {
@@ -203,7 +203,7 @@
 	}
 }
 
-func TestFailuresOnSeveralMachinesPointAtTheJob(t *testing.T) {
+func TestFailuresOnSeveralMachinesMakeTheJobSuspect(t *testing.T) {
 	for _, c := range []struct {
 		machines         []ids.Machine
 		earlier          int // machines with failures under earlier leaders
@@ -230,7 +230,7 @@
 	}
 }
 
-func TestStopsCostTheProgressSinceTheLastCheckpoint(t *testing.T) {
+func TestPreemptionCostIsTheProgressSinceTheLastCheckpoint(t *testing.T) {
 	now := testStart.Add(100 * time.Second)
 	for _, c := range []struct {
 		name         string
