--- a/internal/election/authority.go
+++ b/internal/election/authority.go
@@ -19,7 +19,7 @@
 	pauses        *pauseDetector
 	recordsReadAt func() time.Time // returns when the last complete read of the records began
 
-	// mu guards the fields below. No other lock is acquired while it is held.
+	// mu guards the fields below. No other lock is acquired and no callback runs while it is held.
 	mu        sync.Mutex
 	renewedAt time.Time // when the last successful renewal was sent
 	ended     bool      // the term is over
--- a/internal/election/candidate.go
+++ b/internal/election/candidate.go
@@ -39,8 +39,8 @@
 	vacantSince, vacancyLastSeenAt time.Time
 	observed                       observedGeneration
 
-	// mu guards the field below, which any goroutine that resigns sets. No other lock is acquired while mu
-	// is held.
+	// mu guards the field below, which any goroutine that resigns sets. No other lock is acquired and no
+	// callback runs while mu is held.
 	mu             sync.Mutex
 	suspendedUntil time.Time // this node does not campaign before
 }
--- a/internal/election/doc.go
+++ b/internal/election/doc.go
@@ -21,10 +21,11 @@
 // # Locks
 //
 // Locks are acquired in this order: the lock under which a watch cache calls its listener,
-// currentTerm.mu, the cluster state's lock, and then one of the leaf locks, under which no other lock is
-// acquired: those of authority, candidate, redirectTracker, shortageReports, machineOwnership,
-// pauseDetector and of the watch cache's entries. The callbacks that the cluster state calls under its
-// lock, StatusInOtherShard and StoreAvailable, must therefore not call Elector.Term. A caller of the
-// authority or the pause detector must not hold the cluster state's lock either, since the first call
-// after a pause of the process resets the liveness of the machines in the cluster state.
+// currentTerm.mu, the cluster state's lock, and then one of the leaf locks, under which no other lock
+// is acquired and no callback runs: those of authority, candidate, redirectTracker, shortageReports,
+// machineOwnership, pauseDetector and of the watch cache's entries. The callbacks that the cluster
+// state calls under its lock, StatusInOtherShard and StoreAvailable, must therefore not call
+// Elector.Term. A caller of the authority or the pause detector must not hold the cluster state's lock
+// either, since the first call after a pause of the process resets the liveness of the machines in the
+// cluster state.
 package election
--- a/internal/election/machine_ownership.go
+++ b/internal/election/machine_ownership.go
@@ -31,7 +31,7 @@
 type machineOwnership struct {
 	requestsReadAt func() time.Time // returns when the last complete read of the requests began
 
-	// mu guards the fields below. No other lock is acquired while it is held.
+	// mu guards the fields below. No other lock is acquired and no callback runs while it is held.
 	mu                 sync.Mutex
 	requests           map[string]provisioningRequest // by key
 	machines           map[ids.Machine]ids.Shard      // machines that requests name
--- a/internal/election/process_pause.go
+++ b/internal/election/process_pause.go
@@ -28,7 +28,7 @@
 	// onResume is called once after each pause, without mu held, by the call that detects the pause.
 	onResume func()
 
-	// mu guards the fields below. No other lock is acquired while it is held.
+	// mu guards the fields below. No other lock is acquired and no callback runs while it is held.
 	mu        sync.Mutex
 	lastTick  time.Time // zero before the first tick
 	resumedAt time.Time // end of the last pause; zero if there was none
--- a/internal/election/redirects.go
+++ b/internal/election/redirects.go
@@ -28,7 +28,7 @@
 // redirectTracker tracks the workers that this node has redirected to the leader, so that the leader can be
 // told which workers may not reach it.
 type redirectTracker struct {
-	// mu guards the field below. No other lock is acquired while it is held.
+	// mu guards the field below. No other lock is acquired and no callback runs while it is held.
 	mu        sync.Mutex
 	byMachine map[ids.Machine]redirect
 }
--- a/internal/election/shortage_reports.go
+++ b/internal/election/shortage_reports.go
@@ -19,7 +19,7 @@
 
 // shortageReports holds the last shortage report of each other shard's leader.
 type shortageReports struct {
-	// mu guards the field below. No other lock is acquired while it is held.
+	// mu guards the field below. No other lock is acquired and no callback runs while it is held.
 	mu      sync.Mutex
 	byShard map[ids.Shard]reportedShortage
 }
--- a/internal/workload/assignment.go
+++ b/internal/workload/assignment.go
@@ -60,7 +60,7 @@
 	Machine ids.Machine
 }
 
-// Task returns the task's name.
+// Task returns the task's job ID and index.
 func (a *Assignment) Task() ids.Task { return ids.Task{Job: a.Job.ID(), Index: a.TaskIndex} }
 
 // Key returns the identity of this start of the task.
--- a/internal/workload/failures.go
+++ b/internal/workload/failures.go
@@ -16,7 +16,7 @@
 
 // Retry is the retry state of one task.
 type Retry struct {
-	Failures  int                  // in a row
+	Failures  int                  // consecutive failures
 	NotBefore time.Time            // when the task may be assigned again
 	Avoid     map[ids.Machine]bool // machines on which it failed
 }
@@ -34,7 +34,7 @@
 // Backoff is an exponential backoff; First and Max are the first and the longest delay in seconds.
 type Backoff struct{ First, Max float64 }
 
-// maxDoublings bounds the exponent; the longest delay is reached long before.
+// maxDoublings bounds the exponent; the longest delay is reached with far fewer doublings.
 const maxDoublings = 15
 
 // Delay returns the delay after the given number of failures in a row. It doubles with each failure, up to
--- a/internal/workload/job.go
+++ b/internal/workload/job.go
@@ -115,7 +115,7 @@
 	return max(j.Record.Spec.Priority, record.Priority(j.Inherited.Priority))
 }
 
-// CompareSubmission orders jobs by their time of submission, then by name.
+// CompareSubmission orders jobs by their time of submission, then by ID.
 func CompareSubmission(x, y *Job) int {
 	switch a, b := &x.Record, &y.Record; {
 	case a.Submitted < b.Submitted:
