--- a/internal/election/explain_test.go
+++ b/internal/election/explain_test.go
@@ -11,7 +11,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/record"
 )
 
-func TestExplainTellsCurrentReasonsOrThatTheyAreNot(t *testing.T) {
+func TestExplainReturnsReasonsOnlyWhileTheyAreCurrent(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		elector := NewElector(testSettings(), nil, nil, "a.1")
@@ -20,9 +20,9 @@
 			Resources: placement.Resources{Cores: 1, RAM: 1}, Image: "i", ImageGB: 1}, ids.TimestampOf(time.Now()), "user"), time.Now())
 		cluster.Plan(time.Now())
 		if _, err := elector.Explain("job-1"); err == nil {
-			t.Error("a node that does not lead explains")
+			t.Error("Explain succeeded on a node that does not lead the shard")
 		}
-		term := leadWith(elector, cluster)
+		term := startTestTerm(elector, cluster)
 		for _, step := range []struct {
 			want string
 			id   ids.Job
@@ -35,7 +35,7 @@
 		} {
 			lines, err := elector.Explain(step.id)
 			if err != nil || len(lines) == 0 || !strings.Contains(lines[0], step.want) {
-				t.Errorf("want %q: %v, %v", step.want, lines, err)
+				t.Errorf("Explain: want a first line with %q; got %v, error %v", step.want, lines, err)
 			}
 			step.then()
 		}
--- a/internal/election/leader_record_test.go
+++ b/internal/election/leader_record_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-func TestProductionLeaderRecordIsWrittenBackUnchanged(t *testing.T) {
-	// Guards against a field that one version drops, renames or reads otherwise. The file was written
-	// by the version that deploy/service.toml names as production.
+func TestProductionLeaderRecordIsEncodedUnchanged(t *testing.T) {
+	// Guards against a field of the stored record that is dropped, renamed or interpreted differently. The file
+	// was written by the version that deploy/service.toml names as production.
 	stored, err := os.ReadFile("testdata/production/owner.json")
 	if err != nil {
 		t.Fatal(err)
@@ -24,6 +24,6 @@
 	}
 	var before, after any
 	if json.Unmarshal(stored, &before) != nil || json.Unmarshal(written, &after) != nil || !reflect.DeepEqual(before, after) {
-		t.Errorf("written back as\n%s, not\n%s", written, stored)
+		t.Errorf("leader record encoded as\n%s, want\n%s", written, stored)
 	}
 }
--- a/internal/election/record_loading.go
+++ b/internal/election/record_loading.go
@@ -15,11 +15,11 @@
 	"github.com/pebbletrail/pebbletrail/internal/wait"
 )
 
-// loadRetryDelay is the wait after a reading that failed.
+// loadRetryDelay is the delay after a failed read.
 const loadRetryDelay = 100 * time.Millisecond
 
-// recordLoader reads what is stored into the cluster state of a new term. The takeover's commit
-// keeps older leaders from changing any of it.
+// recordLoader loads the stored records into the cluster state of a new term. Earlier leaders can't change
+// them meanwhile, since the commit of the takeover incremented the generation.
 type recordLoader struct {
 	settings *config.Settings
 	store    *state.Client
@@ -28,23 +28,23 @@
 	shard    ids.Shard
 }
 
-// storedJobs are the live records by job.
+// storedJobs contains the live records, by job.
 type storedJobs struct {
 	records   map[ids.Job]*record.Record // of the leader's shard
-	waiting   map[ids.Job]*record.Record // of jobs that await others, of all shards
+	waiting   map[ids.Job]*record.Record // of jobs that wait for the jobs they depend on, of all shards
 	revisions map[ids.Job]ids.Revision
 }
 
-// load reads everything, again until it succeeds. It is false if the term ends first.
+// load loads all records, and retries until it succeeds. It returns false if the term ends first.
 func (l *recordLoader) load(ctx context.Context, term *Term) bool {
 	for ctx.Err() == nil {
-		entries, epoch, err := l.read(ctx, term)
+		entries, storeRevision, err := l.read(ctx, term)
 		if err != nil {
 			wait.For(ctx, loadRetryDelay)
 			continue
 		}
 		jobs := l.decode(entries, term.Cluster)
-		term.Cluster.Load(jobs.records, jobs.revisions, ids.Revision(epoch), time.Now())
+		term.Cluster.Load(jobs.records, jobs.revisions, ids.Revision(storeRevision), time.Now())
 		term.Cluster.LoadWaitingJobs(jobs.waiting, jobs.revisions, time.Now())
 		close(term.loaded)
 		slog.Info("records loaded", "shard", l.shard, "term", term.Generation, "jobs", len(jobs.records), "waiting", len(jobs.waiting),
@@ -54,38 +54,38 @@
 	return false
 }
 
-// read lists the live records, and reads the provisioning requests and the allowances into the
-// term.
-func (l *recordLoader) read(ctx context.Context, term *Term) (jobs []state.Entry, epoch ids.StoreRevision, err error) {
-	// The copy is warm; what it lacks is read after the takeover's commit.
+// read returns the live records and their store revision, and reads the provisioning requests and the
+// allowances into the term.
+func (l *recordLoader) read(ctx context.Context, term *Term) (jobs []state.Entry, storeRevision ids.StoreRevision, err error) {
+	// The cache is already filled; Sync reads only the changes that it lacks, after the takeover's commit.
 	if err := l.jobs.Sync(ctx); err != nil {
-		return nil, 0, fmt.Errorf("read records: %w", err)
+		return nil, 0, fmt.Errorf("refresh cached job records: %w", err)
 	}
-	jobs, epoch = l.jobs.Entries()
+	jobs, storeRevision = l.jobs.Entries()
 	if term.OpenProvisioningRequests, _, err = l.store.ListAll(ctx, l.keys.ProvisioningRequests(), state.Urgent); err != nil {
-		return nil, 0, fmt.Errorf("read provisioning requests: %w", err)
+		return nil, 0, fmt.Errorf("list provisioning requests: %w", err)
 	}
 	if l.settings.ShardCount() > 1 {
 		if err := l.loadAllowances(ctx, term.Cluster); err != nil {
 			return nil, 0, err
 		}
 	}
-	return jobs, epoch, nil
+	return jobs, storeRevision, nil
 }
 
-// loadAllowances reads the ledgers after the takeover's commit. Their changes have been followed
-// since before it.
+// loadAllowances loads the allowance ledgers. They are read after the takeover's commit, and changes of them
+// have been watched since before it.
 func (l *recordLoader) loadAllowances(ctx context.Context, cluster *clusterstate.State) error {
 	entries, _, err := l.store.ListAll(ctx, quota.Prefix, state.Urgent)
 	if err != nil {
-		return fmt.Errorf("read allowances: %w", err)
+		return fmt.Errorf("read allowance ledgers: %w", err)
 	}
 	cluster.LoadAllowances(entries)
 	return nil
 }
 
-// decode decodes the records, and tells the cluster state of the cancellations that are stored
-// apart from them. One that can't be decoded is logged and passed over.
+// decode decodes the records, and reports to the cluster state the cancellations that are stored under keys
+// of their own. A record that can't be decoded is logged and skipped.
 func (l *recordLoader) decode(entries []state.Entry, cluster *clusterstate.State) storedJobs {
 	jobs := storedJobs{
 		records:   map[ids.Job]*record.Record{},
@@ -93,11 +93,11 @@
 		revisions: map[ids.Job]ids.Revision{},
 	}
 	for _, entry := range entries {
-		into, decode := jobs.records, record.Decode
+		target, decode := jobs.records, record.Decode
 		id, kind := record.ParseKey(entry.Key)
 		switch {
 		case kind == record.WaitingRecord:
-			into, decode = jobs.waiting, record.DecodeWaiting
+			target, decode = jobs.waiting, record.DecodeWaiting
 		case ids.ShardOf(id, l.settings.ShardCount()) != l.shard:
 			continue
 		case kind == record.StoredCancellation:
@@ -106,10 +106,10 @@
 		}
 		rec, err := decode(entry.Value)
 		if err != nil {
-			slog.Error("unreadable record", "key", entry.Key, "err", err)
+			slog.Error("decoding of stored job record failed; job skipped", "key", entry.Key, "err", err)
 			continue
 		}
-		into[rec.Spec.ID], jobs.revisions[rec.Spec.ID] = rec, entry.Revision
+		target[rec.Spec.ID], jobs.revisions[rec.Spec.ID] = rec, entry.Revision
 	}
 	return jobs
 }
--- a/internal/election/redirects_test.go
+++ b/internal/election/redirects_test.go
@@ -6,28 +6,28 @@
 	"time"
 )
 
-func TestRedirectsToAnEarlierLeaderDoNotCountAgainstThePresentOne(t *testing.T) {
+func TestRedirectsToAnEarlierLeaderDoNotCountAgainstTheCurrentOne(t *testing.T) {
 	t.Parallel()
-	// Found on a day with a crash: the workers that had been redirected to the dead leader, or had
-	// been here since, made each new one resign a few seconds after its takeover.
+	// After a leader crashed, the workers that had been redirected to it, or had reported to this node since,
+	// made each new leader resign a few seconds after its takeover.
 	synctest.Test(t, func(t *testing.T) {
 		redirects := newRedirectTracker()
 		redirects.record("m1", "b")
 		time.Sleep(3 * time.Second)
 		if got := redirects.overdue("b"); len(got) != 1 {
-			t.Errorf("not told of a worker that should have been there: %v", got)
+			t.Errorf("overdue workers after the arrival time: %v, want m1", got)
 		}
 		if got := redirects.overdue("c"); len(got) != 0 {
-			t.Errorf("%v was redirected to an earlier leader", got)
+			t.Errorf("overdue workers include %v, redirected to an earlier leader", got)
 		}
 		redirects.record("m1", "c")
 		time.Sleep(time.Second)
 		if got := redirects.overdue("c"); len(got) != 0 {
-			t.Errorf("%v is only on its way", got)
+			t.Errorf("overdue workers include %v before the arrival time", got)
 		}
 		redirects.record("m1", "c")
 		if got := redirects.overdue("c"); len(got) != 1 {
-			t.Errorf("not told of one that came back: %v", got)
+			t.Errorf("overdue workers after a second redirect: %v, want m1", got)
 		}
 	})
 }
--- a/internal/liveness/liveness_test.go
+++ b/internal/liveness/liveness_test.go
@@ -11,7 +11,7 @@
 
 var now = time.Now()
 
-// fleetOf returns a registry with machines that have reported just now: perZone in each of the zones
+// fleetOf returns a registry with machines that have just reported: perZone machines in each of the zones
 // north, south and west, named after their zone and number.
 func fleetOf(perZone int) *worker.Registry {
 	machines := worker.NewRegistry(20)
@@ -24,7 +24,7 @@
 	return machines
 }
 
-// silence makes the first machines of a zone silent for ten seconds and their probes unanswered.
+// silence makes the first count machines of a zone silent for ten seconds, with unanswered probes.
 func silence(machines *worker.Registry, zone string, count int) {
 	for i := range count {
 		machine := machines.Machines[ids.Machine(fmt.Sprintf("%s%d", zone, i))]
@@ -32,25 +32,25 @@
 	}
 }
 
-func TestSilentMachinesAreToldFromPartitions(t *testing.T) {
+func TestFailedMachinesAreDistinguishedFromPartitions(t *testing.T) {
 	for _, c := range []struct {
-		name           string
-		perZone        int
-		silent         map[string]int
-		storeDown      bool
-		isolated       bool // north0 has failed by itself
-		zoneIsOut      bool // north is unreachable
-		onlyZoneIsOut  bool
-		controllerDeaf bool
+		name                string
+		perZone             int
+		silent              map[string]int
+		storeDown           bool
+		isolated            bool // north0 has failed by itself
+		zoneUnreachable     bool // north is unreachable
+		onlyZoneUnreachable bool
+		lostContact         bool
 	}{
 		{name: "one of many", perZone: 6, silent: map[string]int{"north": 1}, isolated: true},
 		{name: "one, while nothing can be stored", perZone: 6, silent: map[string]int{"north": 1}, storeDown: true},
 		{name: "half of a zone, while the rest reports", perZone: 6, silent: map[string]int{"north": 3}, isolated: true},
-		{name: "a whole zone", perZone: 6, silent: map[string]int{"north": 6}, zoneIsOut: true, onlyZoneIsOut: true},
+		{name: "a whole zone", perZone: 6, silent: map[string]int{"north": 6}, zoneUnreachable: true, onlyZoneUnreachable: true},
 		{name: "a whole small zone", perZone: 2, silent: map[string]int{"north": 2}, isolated: true},
-		{name: "two zones", perZone: 6, silent: map[string]int{"north": 6, "south": 6}, zoneIsOut: true},
-		{name: "all", perZone: 6, silent: map[string]int{"north": 6, "south": 6, "west": 6}, zoneIsOut: true, controllerDeaf: true},
-		{name: "all, while nothing can be stored", perZone: 6, silent: map[string]int{"north": 6, "south": 6, "west": 6}, storeDown: true, zoneIsOut: true},
+		{name: "two zones", perZone: 6, silent: map[string]int{"north": 6, "south": 6}, zoneUnreachable: true},
+		{name: "all", perZone: 6, silent: map[string]int{"north": 6, "south": 6, "west": 6}, zoneUnreachable: true, lostContact: true},
+		{name: "all, while nothing can be stored", perZone: 6, silent: map[string]int{"north": 6, "south": 6, "west": 6}, storeDown: true, zoneUnreachable: true},
 	} {
 		machines := fleetOf(c.perZone)
 		for zone, count := range c.silent {
@@ -60,29 +60,29 @@
 		if got := fleet.IsIsolatedFailure(machines.Machines["north0"]); got != c.isolated {
 			t.Errorf("%s: isolated failure %v", c.name, got)
 		}
-		if got := fleet.UnreachableZones()["north"]; got != c.zoneIsOut || fleet.ZoneReachable("north") == got {
+		if got := fleet.UnreachableZones()["north"]; got != c.zoneUnreachable || fleet.ZoneReachable("north") == got {
 			t.Errorf("%s: zone unreachable %v, reachable %v", c.name, got, fleet.ZoneReachable("north"))
 		}
-		if got := fleet.OnlyZoneUnreachable("north"); got != c.onlyZoneIsOut {
-			t.Errorf("%s: only the zone is unreachable: %v", c.name, got)
+		if got := fleet.OnlyZoneUnreachable("north"); got != c.onlyZoneUnreachable {
+			t.Errorf("%s: only zone north unreachable %v", c.name, got)
 		}
-		if got := fleet.LostContact(now); got != c.controllerDeaf {
-			t.Errorf("%s: no machine is heard: %v", c.name, got)
+		if got := fleet.LostContact(now); got != c.lostContact {
+			t.Errorf("%s: contact with the machines lost %v", c.name, got)
 		}
 	}
 }
 
-func TestReportsSinceDecideWhichMachinesAreSilent(t *testing.T) {
+func TestReportsDuringTheSilenceDecideWhatHasFailed(t *testing.T) {
 	for _, c := range []struct {
-		name      string
-		perZone   int
-		silent    int             // of the north
-		overdue   map[string]bool // zones whose other machines last reported before the silence
-		isolated  bool
-		zoneIsOut bool
+		name            string
+		perZone         int
+		silent          int             // number of silent machines in zone north
+		overdue         map[string]bool // zones whose other machines last reported before the silence
+		isolated        bool
+		zoneUnreachable bool
 	}{
 		{name: "all have", perZone: 6, silent: 3, isolated: true},
-		{name: "nobody in the zone", perZone: 6, silent: 3, overdue: map[string]bool{"north": true}, zoneIsOut: true},
+		{name: "nobody in the zone", perZone: 6, silent: 3, overdue: map[string]bool{"north": true}, zoneUnreachable: true},
 		{name: "nobody in the zone, too few silent", perZone: 6, silent: 2, overdue: map[string]bool{"north": true}},
 		{name: "few in all", perZone: 3, silent: 1, overdue: map[string]bool{"north": true, "south": true}},
 	} {
@@ -94,26 +94,26 @@
 		}
 		silence(machines, "north", c.silent)
 		fleet := Measure(machines, true)
-		isolated, zoneIsOut := fleet.IsIsolatedFailure(machines.Machines["north0"]), fleet.UnreachableZones()["north"]
-		if isolated != c.isolated || zoneIsOut != c.zoneIsOut {
-			t.Errorf("%s: isolated failure %v, zone unreachable %v", c.name, isolated, zoneIsOut)
+		isolated, zoneUnreachable := fleet.IsIsolatedFailure(machines.Machines["north0"]), fleet.UnreachableZones()["north"]
+		if isolated != c.isolated || zoneUnreachable != c.zoneUnreachable {
+			t.Errorf("%s: isolated failure %v, zone unreachable %v", c.name, isolated, zoneUnreachable)
 		}
 	}
 }
 
-func TestMachinesOfAZoneThatReportsAgainGetTime(t *testing.T) {
+func TestRecoveredZoneResetsTheProbesOfItsMachines(t *testing.T) {
 	machines, zones := fleetOf(6), NewZones()
 	silence(machines, "north", 6)
 	zones.Update(machines, true)
 	if !zones.Unreachable("north") || zones.Unreachable("south") {
-		t.Fatal("the silent zone is not the unreachable one")
+		t.Fatal("the silent zone is not the only unreachable zone")
 	}
 	first := machines.Machines["north0"]
 	first.LastReportAt, first.UnansweredProbes = now, 0
 	fleet := zones.Update(machines, true)
 	other := machines.Machines["north1"]
 	if zones.Unreachable("north") || other.UnansweredProbes != 0 || fleet.silent != 0 {
-		t.Errorf("after a report: unreachable %v, %d probes unanswered, %d machines silent", zones.Unreachable("north"), other.UnansweredProbes, fleet.silent)
+		t.Errorf("after a report from the zone: unreachable %v, %d probes unanswered, %d machines silent", zones.Unreachable("north"), other.UnansweredProbes, fleet.silent)
 	}
 }
 
@@ -142,7 +142,7 @@
 			}
 		}
 		if got := IsolatedFromWorkers(machines, redirected, 2, now); got != c.want {
-			t.Errorf("%s: isolated %v", c.name, got)
+			t.Errorf("%s: leader isolated from workers %v", c.name, got)
 		}
 	}
 }
--- a/internal/workload/workload_test.go
+++ b/internal/workload/workload_test.go
@@ -28,7 +28,7 @@
 	return strings.Join(names, " ")
 }
 
-func TestBackoffDoublesUpToItsLongestDelay(t *testing.T) {
+func TestBackoffDoublesUpToTheMaximumDelay(t *testing.T) {
 	backoff := Backoff{First: 5, Max: 60}
 	for failures, want := range map[int]time.Duration{
 		1: 5 * time.Second, 2: 10 * time.Second, 3: 20 * time.Second, 4: 40 * time.Second, 5: time.Minute, 1000: time.Minute,
@@ -41,7 +41,7 @@
 	job.BackOff(3, testStart, backoff)
 	retry := job.BackOff(3, testStart, backoff)
 	if retry.Failures != 2 || !retry.NotBefore.Equal(testStart.Add(10*time.Second)) || job.EnsureRetry(3) != retry {
-		t.Errorf("the retry after two failures is %+v", retry)
+		t.Errorf("retry state after two failures: %+v", retry)
 	}
 	job.Assignments[4] = &Assignment{Job: job, TaskIndex: 4}
 	job.BackOff(4, testStart, backoff)
@@ -50,7 +50,7 @@
 	}
 }
 
-func TestAssignedTasksAreBoundedByTheRecordsSize(t *testing.T) {
+func TestAssignedTasksAreBoundedByTheRecordSize(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		valueBytes  float64
@@ -69,12 +69,12 @@
 		job := testJob("a", 0)
 		job.EncodedSize, job.MaxAssigned = c.size, c.maxAssigned
 		if got := job.MaxAssignedTasks(c.valueBytes); got != c.want {
-			t.Errorf("%s: %d tasks, want %d", c.name, got, c.want)
+			t.Errorf("%s: %d tasks may be assigned, want %d", c.name, got, c.want)
 		}
 	}
 }
 
-func TestSimilarLossesShareALineOfTheTrail(t *testing.T) {
+func TestSimilarLossesShareAnEventLine(t *testing.T) {
 	var losses LossHistory
 	lastLine := "accepted"
 	for _, c := range []struct {
@@ -101,7 +101,7 @@
 		lastLine = line
 	}
 	if zone, lost := losses.Restarted(4); zone != "south" || !lost {
-		t.Errorf("task 4 was lost in %q: %v", zone, lost)
+		t.Errorf("Restarted(4): zone %q, lost %v; want south, true", zone, lost)
 	}
 	if _, lost := losses.Restarted(4); lost {
 		t.Error("a task that was assigned again counts as lost")
@@ -112,7 +112,7 @@
 	}
 }
 
-func TestQueueKeepsTheOrderOfSubmission(t *testing.T) {
+func TestQueueIsOrderedBySubmission(t *testing.T) {
 	queue := NewQueue()
 	jobs := map[ids.Job]*Job{}
 	for id, submitted := range map[ids.Job]int{"d": 3, "b": 1, "c": 1, "a": 2, "e": 0} {
@@ -127,11 +127,11 @@
 		t.Errorf("after a removal: %s, %d jobs", got, queue.Len())
 	}
 	if queue.Contains(testJob("a", 2)) || !queue.Contains(jobs["a"]) {
-		t.Error("the queue confuses two jobs of one name")
+		t.Error("the queue mistakes a job for another one with the same ID")
 	}
 }
 
-func TestQueueForgetsTheOldestRetiredNames(t *testing.T) {
+func TestQueueDropsTheOldestRetiredIDs(t *testing.T) {
 	queue := NewQueue()
 	name := func(i int) ids.Job { return ids.Job(strconv.Itoa(i)) }
 	queue.Retire(name(0))
@@ -139,16 +139,16 @@
 		queue.Retire(name(i))
 	}
 	if queue.Retired() != maxRetired {
-		t.Errorf("%d names are remembered, want %d", queue.Retired(), maxRetired)
+		t.Errorf("%d retired IDs are recorded, want %d", queue.Retired(), maxRetired)
 	}
 	for i, want := range map[int]bool{0: false, 1: false, 2: true, maxRetired + 1: true} {
 		if got := queue.IsRetired(name(i)); got != want {
-			t.Errorf("name %d is retired: %v, want %v", i, got, want)
+			t.Errorf("ID %d is retired: %v, want %v", i, got, want)
 		}
 	}
 }
 
-func TestDueChangesComeInTheOrderOfTheirUrgency(t *testing.T) {
+func TestDueChangesAreOrderedByUrgency(t *testing.T) {
 	const delay = time.Second
 	changes := NewChanges()
 	add := func(id ids.Job, submitted int, change func(*Job)) *Job {
@@ -168,7 +168,7 @@
 	add("stored", 0, func(job *Job) { job.StoredVersion = job.Version })
 	add("ended", 0, func(job *Job) { job.Ended = true })
 	if got := jobIDs(changes.Due(testStart.Add(delay), delay)); got != "urgent high older plain" {
-		t.Errorf("due: %s", got)
+		t.Errorf("due jobs: %s", got)
 	}
 	if got := len(changes.All()); got != 6 || !changes.HasUrgent() {
 		t.Errorf("%d jobs have changes, urgent %v", got, changes.HasUrgent())
@@ -203,7 +203,7 @@
 	}
 }
 
-func TestFailuresOnSeveralMachinesPointAtTheJob(t *testing.T) {
+func TestFailuresOnSeveralMachinesMakeTheJobSuspect(t *testing.T) {
 	for _, c := range []struct {
 		machines         []ids.Machine
 		earlier          int // machines with failures under earlier leaders
@@ -230,7 +230,7 @@
 	}
 }
 
-func TestStopsCostTheProgressSinceTheLastCheckpoint(t *testing.T) {
+func TestPreemptionCostIsTheProgressSinceTheLastCheckpoint(t *testing.T) {
 	now := testStart.Add(100 * time.Second)
 	for _, c := range []struct {
 		name         string
