--- a/internal/clusterstate/allowances.go
+++ b/internal/clusterstate/allowances.go
@@ -10,17 +10,17 @@
 	"github.com/pebbletrail/pebbletrail/internal/wait"
 )
 
-// processStart is from when this process's settings are.
+// processStart is when this process started, which dates the limits in its settings.
 var processStart = ids.TimestampOf(time.Now())
 
-// LoadAllowances takes in the ledgers read at a takeover.
+// LoadAllowances loads the allowance ledgers that were read at a takeover.
 func (c *State) LoadAllowances(entries []state.Entry) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.quota.Load(entries)
 }
 
-// HandleAllowanceChange takes in a change of a ledger.
+// HandleAllowanceChange applies a change of an allowance ledger.
 func (c *State) HandleAllowanceChange(change state.Change) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -28,13 +28,13 @@
 	wait.Signal(c.planSignal)
 }
 
-// ExchangeAllowances moves allowances between the shards until the context ends, under a condition
-// that each write carries.
+// ExchangeAllowances moves allowances between the shards at an interval until the context ends. Each write
+// is conditional on what fence returns.
 func (c *State) ExchangeAllowances(ctx context.Context, store *state.Client, fence func() state.Condition, interval time.Duration) {
 	quota.NewRebalancer(c.quota, store, &c.mu, fence).Run(ctx, interval)
 }
 
-// QuotaFaults tells of each team that gets no new grants why.
+// QuotaFaults returns, for each team that gets no new grants, the reason.
 func (c *State) QuotaFaults() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/clusterstate/assignments.go
+++ b/internal/clusterstate/assignments.go
@@ -17,7 +17,7 @@
 	c.quota.AddUsage(assignment.Job.Record.Spec.Team, assignment.Job.Record.Spec.Resources)
 }
 
-// removeAssignment removes an assignment: its task is proven not to be there.
+// removeAssignment removes an assignment whose task is proven not to be on the machine.
 func (c *State) removeAssignment(assignment *workload.Assignment) {
 	delete(assignment.Job.Assignments, assignment.TaskIndex)
 	assignment.Job.StartLasted = assignment.Job.StartLasted || time.Since(assignment.AssignedAt) >= workload.StartProtectionTime
@@ -37,7 +37,7 @@
 	wait.Signal(c.planSignal)
 }
 
-// stopAssignment asks for a task to be stopped, or drops it if its start never went out.
+// stopAssignment requests that a task be stopped, or removes its assignment if its start was never sent.
 func (c *State) stopAssignment(assignment *workload.Assignment, grace ids.Seconds, why string) {
 	if !assignment.StartSent {
 		c.removeAssignment(assignment)
@@ -50,20 +50,22 @@
 	assignment.Stopping, assignment.StopGrace, assignment.StopReason, assignment.StopRequestedAt = true, grace, why, time.Now()
 	c.commands.AddFor(assignment)
 	if !assignment.Confirmed && !c.noDirectStartOutstanding(assignment) && c.underCurrentGeneration(assignment) {
-		// A late start could yet begin it: raise the token so that the worker
-		// turns that away once it hears.
+		// A start that is still in flight could begin the task: raise the fencing token, so that the worker
+		// rejects the start once it has seen the token.
 		c.raisePending = true
 		wait.Signal(c.commitSignal)
 	}
 	wait.Signal(c.planSignal)
 }
 
-// underCurrentGeneration tells whether the assignment's start went out under this generation.
+// underCurrentGeneration reports whether the assignment carries the current generation as its fencing
+// token.
 func (c *State) underCurrentGeneration(assignment *workload.Assignment) bool {
 	return assignment.FencingToken == c.generation
 }
 
-// noDirectStartOutstanding tells that no direct start of the assignment is unaccounted for.
+// noDirectStartOutstanding reports whether every start of the assignment that was sent directly to the
+// machine is accounted for.
 func (c *State) noDirectStartOutstanding(assignment *workload.Assignment) bool {
 	machine := c.machines.Machines[assignment.Machine]
 	return machine != nil && c.underCurrentGeneration(assignment) && !machine.MayRestart(assignment.Task().String(), assignment.Attempt)
--- a/internal/clusterstate/cancellation.go
+++ b/internal/clusterstate/cancellation.go
@@ -6,8 +6,8 @@
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// HandleCancellation takes in that a job's cancellation is stored apart from its record,
-// or, with removed, that it is no longer.
+// HandleCancellation records that a job's cancellation is stored apart from its record, or, if removed is
+// set, that it no longer is.
 func (c *State) HandleCancellation(id ids.Job, revision ids.Revision, removed bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -21,8 +21,8 @@
 	c.applyCancellation(id, revision)
 }
 
-// applyCancellation is HandleCancellation under the lock. A job that is loaded later is
-// cancelled then, see addJob.
+// applyCancellation implements HandleCancellation for a stored cancellation, with the lock held. A job that
+// is loaded later is cancelled by addJob.
 func (c *State) applyCancellation(id ids.Job, revision ids.Revision) {
 	c.cancellations[id] = revision
 	if job := c.jobs.Get(id); job != nil && !job.Ended {
@@ -31,8 +31,9 @@
 	}
 }
 
-// cancelConfirmed cancels a job whose user was told so by another controller. A completion
-// that only this memory knows came too late: what is told first stands.
+// cancelConfirmed cancels a job whose cancellation another controller has confirmed to the user. If the job
+// is done but its end is not stored yet, it still ends as cancelled, since that is what the user was told
+// first.
 func (c *State) cancelConfirmed(job *workload.Job) {
 	if job.Cancelled() {
 		return
--- a/internal/clusterstate/cloud_list.go
+++ b/internal/clusterstate/cloud_list.go
@@ -7,7 +7,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/placement"
 )
 
-// MachinesProvisioned notes machines just provisioned.
+// MachinesProvisioned records machines that were just provisioned.
 func (c *State) MachinesProvisioned(names []ids.Machine, request placement.ProvisioningRequest, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -20,7 +20,7 @@
 	}
 }
 
-// ListedMachine is one machine of the cloud's list.
+// ListedMachine is a machine in the cloud's list.
 type ListedMachine struct {
 	Name           ids.Machine
 	Address        string
@@ -31,15 +31,15 @@
 	ProvisionedFor ids.Seconds
 }
 
-// ReconcileCloudList takes in the cloud's list. It lags, so that absence proves nothing and
-// only what it says outright counts.
+// ReconcileCloudList updates the machines from the cloud's list. The list lags, so a machine's absence from
+// it proves nothing, and only what the list states is used.
 func (c *State) ReconcileCloudList(list []ListedMachine, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for i := range list {
 		listed := &list[i]
 		if c.terminated[listed.Name] {
-			continue // the list is older than its deletion
+			continue // the list is older than the machine's deletion
 		}
 		machine := c.machines.Ensure(listed.Name, now, c.trustSilence)
 		machine.ListedAt = now
@@ -47,7 +47,8 @@
 			machine.Type, machine.Zone, machine.Spot, machine.Addr = listed.Type, listed.Zone, listed.Spot, listed.Address
 			machine.Booting = listed.Status == "booting"
 		}
-		// The list describes a moment before now: the earliest is nearest.
+		// The list describes a moment before now, so each of these times is too late: the earliest is the
+		// closest.
 		if at := now.Add(-listed.ProvisionedFor.Duration()); at.Before(machine.ProvisionedAt) {
 			machine.ProvisionedAt = at
 		}
--- a/internal/clusterstate/commands.go
+++ b/internal/clusterstate/commands.go
@@ -8,7 +8,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/worker"
 )
 
-// NextBatches takes the commands that may go out now, for at most so many machines.
+// NextBatches takes the commands that may be sent now, to at most limit machines.
 func (c *State) NextBatches(limit int) []dispatch.Batch {
 	starts, recordsRead := c.StartsAllowed()
 	c.mu.Lock()
@@ -20,21 +20,21 @@
 	return c.commands.NextBatches(limit, permission, time.Now())
 }
 
-// BatchAnswered takes in what became of a batch of commands.
+// BatchAnswered records the outcome of a batch of commands.
 func (c *State) BatchAnswered(batch dispatch.Batch, outcome worker.Outcome) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.commands.Answered(batch, outcome)
 }
 
-// DueProbes takes the machines to probe now, with at most so many probes in flight.
+// DueProbes takes the machines to probe now, with at most limit probes in flight.
 func (c *State) DueProbes(now time.Time, limit int) []dispatch.Probe {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.prober.Due(now, limit, c.generation)
 }
 
-// ProbeAnswered takes in whether a machine answered a probe.
+// ProbeAnswered records whether a machine answered a probe.
 func (c *State) ProbeAnswered(name ids.Machine, answered bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/clusterstate/dependencies.go
+++ b/internal/clusterstate/dependencies.go
@@ -10,51 +10,51 @@
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// HandleWaitingJob takes in a job that awaits others, or that it no longer does; rec is
-// nil then.
+// HandleWaitingJob records that a job waits for other jobs, or, if rec is nil, that it no longer does.
 func (c *State) HandleWaitingJob(id ids.Job, revision ids.Revision, rec *record.Record, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.dependencies.handleWaitingJob(id, revision, rec, now)
 }
 
-// LoadWaitingJobs adds, at a takeover, the jobs that wait; those they await are loaded.
+// LoadWaitingJobs adds the waiting jobs at a takeover. The jobs that they depend on must be loaded already.
 func (c *State) LoadWaitingJobs(records map[ids.Job]*record.Record, revisions map[ids.Job]ids.Revision, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.dependencies.load(records, revisions, now)
 }
 
-// HandleOtherShardChange takes in that something changed of a job of another shard.
+// HandleOtherShardChange updates the dependents of a job of another shard after that job changed.
 func (c *State) HandleOtherShardChange(id ids.Job, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.dependencies.handleOtherShardChange(id, now)
 }
 
-// DueLookups lists, in the order of their keys, the ended jobs to look up now.
+// DueLookups returns the ended jobs whose outcomes are to be looked up now, in the order of their keys.
 func (c *State) DueLookups(now time.Time) []ids.Job {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.dependencies.dueLookups(now)
 }
 
-// RetryLookup puts off looking a job up that could not be read.
+// RetryLookup postpones the lookup of a job that could not be read.
 func (c *State) RetryLookup(id ids.Job, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.dependencies.retryLookup(id, now)
 }
 
-// LookupFound takes in how a job ended.
+// LookupFound records how a job ended.
 func (c *State) LookupFound(id ids.Job, status record.Status) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.dependencies.jobEnded(id, status)
 }
 
-// LookupMissed takes in that a job has no final record; readLive tells that it may be live after all, by a
-// write of this leader's without an answer. Of a live job of another shard a change will tell.
+// LookupMissed records that a job has no final record. readLive reports whether the job may be live after
+// all, because of a write by this leader that was not answered. A job that is live in another shard needs
+// no other lookup: its end will arrive as a change.
 func (c *State) LookupMissed(id ids.Job, now time.Time) (readLive bool) {
 	_, live := c.StatusInOtherShard(id)
 	c.mu.Lock()
@@ -62,7 +62,7 @@
 	return c.dependencies.lookupMissed(id, live, now)
 }
 
-// LiveRecordFound takes in a live record that this leader wrote but does not know of.
+// LiveRecordFound adds the job of a live record that this leader wrote without learning that it was stored.
 func (c *State) LiveRecordFound(stored *record.Record, revision ids.Revision, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -73,14 +73,14 @@
 	}
 }
 
-// MoveFound takes in that a waiting job's move was stored.
+// MoveFound records that the move of a waiting job to the schedulable jobs was stored.
 func (c *State) MoveFound(waiting *workload.WaitingJob, stored *record.Record, revision ids.Revision) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.dependencies.waitingJobMoved(commit.Change{Waiting: waiting, Becomes: stored}, revision, time.Now())
 }
 
-// MoveNotFound takes in that a waiting job is neither waiting nor schedulable any more.
+// MoveNotFound records that a job is stored neither as waiting nor as schedulable any more.
 func (c *State) MoveNotFound(waiting *workload.WaitingJob) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/clusterstate/dependency_lookups.go
+++ b/internal/clusterstate/dependency_lookups.go
@@ -8,17 +8,18 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-// lookupRetryDelay is when an ended job that was not found is looked up again.
+// lookupRetryDelay is the delay after which an ended job that was not found is looked up again.
 const lookupRetryDelay = time.Second
 
-// scheduleLookup has it looked up how a job ended.
+// scheduleLookup schedules a lookup of how a job ended.
 func (t *dependencyTracker) scheduleLookup(id ids.Job, now time.Time) {
 	if _, scheduled := t.lookups[id]; !scheduled {
 		t.lookups[id] = now
 	}
 }
 
-// scheduleLookupIfAwaited has it looked up how a job ended, if others await it.
+// scheduleLookupIfAwaited schedules a lookup of how a job ended if waiting jobs depend on it and its
+// outcome is not known.
 func (t *dependencyTracker) scheduleLookupIfAwaited(id ids.Job) {
 	if t.graph.HasDependents(id) && t.graph.Outcome(id) == dependency.Unknown {
 		t.scheduleLookup(id, time.Now())
@@ -30,7 +31,7 @@
 	var due []ids.Job
 	for id, at := range t.lookups {
 		if job := t.jobs.Get(id); t.waiting[id] != nil || job != nil && !job.Ended {
-			delete(t.lookups, id) // here after all: it was learned of later
+			delete(t.lookups, id) // the job became known after the lookup was scheduled
 		} else if !at.After(now) {
 			due = append(due, id)
 		}
@@ -44,7 +45,7 @@
 	t.lookups[id] = now.Add(lookupRetryDelay)
 }
 
-// lookupMissed implements State.LookupMissed; live tells that the job is live in another shard.
+// lookupMissed implements State.LookupMissed; live is set if the job is live in another shard.
 func (t *dependencyTracker) lookupMissed(id ids.Job, live bool, now time.Time) (readLive bool) {
 	if live {
 		delete(t.lookups, id)
--- a/internal/clusterstate/dependency_tracker.go
+++ b/internal/clusterstate/dependency_tracker.go
@@ -11,11 +11,11 @@
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// dependencyTracker keeps the jobs that wait for others: their graph, their records, and which ended jobs are
-// to be looked up. A leader assigns, stores and ends the jobs of its own shard only. Jobs may wait for jobs of
-// other shards, so the graph of every leader holds the waiting jobs of all shards; of a job of another shard it
-// learns from its node's copy of the records that it was cancelled or went away. The cluster state's lock guards
-// it.
+// dependencyTracker tracks the jobs that wait for other jobs: their records, their dependency graph, and
+// the ended jobs whose outcomes are to be looked up. A leader assigns, stores and ends the jobs of its own
+// shard only. Jobs may wait for jobs of other shards, so the graph of every leader holds the waiting jobs
+// of all shards. A leader learns from its node's copy of the records that a job of another shard was
+// cancelled or removed. The cluster state's lock guards the tracker.
 type dependencyTracker struct {
 	settings  *config.Settings
 	shard     ids.Shard
@@ -27,29 +27,30 @@
 
 	graph   *dependency.Graph
 	waiting map[ids.Job]*workload.WaitingJob
-	// lookups are the ended jobs of which it is not known how they ended, and when to look them up.
+	// lookups holds the ended jobs whose outcomes are not known, and when to look each one up.
 	lookups map[ids.Job]time.Time
-	// movedLast tells that the last group of changes moved waiting jobs.
+	// movedLast is set if the last group of changes moved waiting jobs.
 	movedLast bool
-	// departed are the jobs of which a change told, before the records were loaded, that they wait no more: the
-	// copy to load may be older. It is nil from then on.
+	// departed holds the jobs that, according to changes received before the records were loaded, no longer
+	// wait: the records to load may be older than these changes. It is nil once the records are loaded.
 	departed map[ids.Job]ids.Revision
 }
 
-// dependencyCluster is what the tracker asks of the cluster state, under its lock.
+// dependencyCluster is the part of the cluster state that the tracker uses. Its methods are called with the
+// cluster state's lock held.
 type dependencyCluster interface {
 	// AddJob adds a job that became schedulable.
 	AddJob(stored *record.Record, revision ids.Revision, now time.Time)
-	// FencingToken is the generation that this leader writes under.
+	// FencingToken returns the generation that this leader writes under.
 	FencingToken() ids.Generation
-	// StatusInOtherShard is the status of a live job of another shard; live is false if there is none.
+	// StatusInOtherShard returns the status of a live job of another shard; live is false if there is none.
 	StatusInOtherShard(id ids.Job) (status record.Status, live bool)
-	// RequestCommit has changes stored at once, RequestPlan has planning look again.
+	// RequestCommit requests that changes be stored at once, RequestPlan requests a planning pass.
 	RequestCommit()
 	RequestPlan()
 }
 
-// newDependencyTracker makes the tracker of one term.
+// newDependencyTracker returns the tracker of one term.
 func newDependencyTracker(c *State) *dependencyTracker {
 	return &dependencyTracker{
 		settings:  c.settings,
@@ -66,7 +67,7 @@
 	}
 }
 
-// inShard tells whether a job belongs to this leader's shard.
+// inShard reports whether a job belongs to this leader's shard.
 func (t *dependencyTracker) inShard(id ids.Job) bool {
 	return ids.ShardOf(id, t.settings.ShardCount()) == t.shard
 }
@@ -76,8 +77,8 @@
 	waiting := t.waiting[id]
 	switch {
 	case rec == nil && waiting != nil && revision > waiting.Revision:
-		// Its user cancelled it, or it is this leader's own move, whose answer is
-		// on its way or lost: then the next try of it finds out.
+		// Either the job's user cancelled it, or this leader moved it and the answer is in flight or lost.
+		// In the latter case the next attempt at the move finds out.
 		if !t.inShard(id) || !t.graph.IsReady(id) && t.graph.CancelledBy(id) == "" {
 			t.removeWaitingJob(waiting)
 			t.checkAwaited(id, now)
@@ -101,12 +102,12 @@
 	t.addWaitingJobs(now, added...)
 }
 
-// isUnknown tells whether nothing is known of a job yet.
+// isUnknown reports whether this leader does not know a job.
 func (t *dependencyTracker) isUnknown(id ids.Job) bool {
 	return t.waiting[id] == nil && t.jobs.Get(id) == nil && !t.jobs.IsRetired(id)
 }
 
-// addWaitingJobs adds jobs that wait for others.
+// addWaitingJobs adds jobs that wait for other jobs.
 func (t *dependencyTracker) addWaitingJobs(now time.Time, added ...*workload.WaitingJob) {
 	jobs := make([]dependency.Job, len(added))
 	for i, waiting := range added {
@@ -124,8 +125,9 @@
 	}
 }
 
-// checkAwaited tells the graph of an awaited job's cancellation that is not stored as
-// an end yet, and has it looked up how the job ended if that is not known.
+// checkAwaited checks a job that waiting jobs depend on, unless its outcome is known. It cancels the
+// dependents if the job is cancelled, even if its end is not stored yet, and schedules a lookup of its
+// outcome if the job has ended or is not known.
 func (t *dependencyTracker) checkAwaited(id ids.Job, now time.Time) {
 	if t.graph.Outcome(id) != dependency.Unknown {
 		return
@@ -143,8 +145,8 @@
 	}
 }
 
-// checkOtherShard tells the graph of the cancellation of an awaited job of another shard, and
-// has it looked up how the job ended once it is gone from the records.
+// checkOtherShard does the same as checkAwaited for a job of another shard. It schedules a lookup once the
+// job is gone from the live records.
 func (t *dependencyTracker) checkOtherShard(id ids.Job, now time.Time) {
 	if t.graph.Outcome(id) != dependency.Unknown {
 		return
@@ -165,18 +167,18 @@
 	}
 }
 
-// removeWaitingJob takes a job out of those that wait; those that need it stay indexed.
+// removeWaitingJob removes a job from the waiting ones; the graph keeps its dependents.
 func (t *dependencyTracker) removeWaitingJob(waiting *workload.WaitingJob) {
 	delete(t.waiting, waiting.ID())
 	t.applyGraphChanges(t.graph.Remove(waiting.ID()))
 }
 
-// cancelDependents cancels the waiting jobs that need a cancelled one.
+// cancelDependents cancels the waiting jobs that depend on a cancelled job.
 func (t *dependencyTracker) cancelDependents(id ids.Job) {
 	t.applyGraphChanges(t.graph.Cancel(id))
 }
 
-// join takes in that a job that others may await became claimable.
+// join updates the tracker for a job that became schedulable and that waiting jobs may depend on.
 func (t *dependencyTracker) join(job *workload.Job) {
 	id := job.Record.Spec.ID
 	delete(t.lookups, id)
@@ -186,7 +188,7 @@
 	}
 }
 
-// jobEnded takes in how a job ended, once that is stored.
+// jobEnded records how a job ended, once that is stored.
 func (t *dependencyTracker) jobEnded(id ids.Job, how record.Status) {
 	delete(t.lookups, id)
 	if how != record.Done {
@@ -196,8 +198,8 @@
 	t.applyGraphChanges(t.graph.Finish(id))
 }
 
-// applyGraphChanges takes in what a change of the graph means for claimable jobs, and has what is
-// to be stored stored.
+// applyGraphChanges requests a commit if a change of the graph made waiting jobs ready or cancelled them,
+// and updates the urgency that schedulable jobs inherit.
 func (t *dependencyTracker) applyGraphChanges(changes dependency.Changes) {
 	if changes.Resolved {
 		t.cluster.RequestCommit()
@@ -210,14 +212,15 @@
 	}
 }
 
-// refreshDurations takes in that image pulls may take another time than thought.
+// refreshDurations updates the estimated durations of the waiting jobs, since the time for image pulls may
+// have changed.
 func (t *dependencyTracker) refreshDurations() {
 	t.applyGraphChanges(t.graph.UpdateDurations(func(id ids.Job) time.Duration {
 		return t.estimates.JobDuration(&t.waiting[id].Record.Spec)
 	}))
 }
 
-// deadline is when a job should be complete; it counts from its submission.
+// deadline returns when a job should be complete, counted from its submission; zero if it has no deadline.
 func deadline(rec *record.Record) time.Time {
 	if rec.Spec.Deadline <= 0 {
 		return time.Time{}
--- a/internal/clusterstate/dispatch_test.go
+++ b/internal/clusterstate/dispatch_test.go
@@ -151,8 +151,8 @@
 
 func TestGangTaskWithCachedImageStartsOnceOthersPulled(t *testing.T) {
 	t.Parallel()
-	// Guards against tasks that time out waiting for the gang, again and again, while others pull a
-	// large image.
+	// Guards against gang tasks that repeatedly time out waiting for the other tasks of the gang while
+	// those pull a large image.
 	cluster, job := newStateWithGang(time.Now())
 	if len(job.Assignments) != 2 {
 		t.Fatal("the gang is not assigned")
@@ -176,8 +176,8 @@
 
 func TestTaskReassignedToSameMachineIsClearedFirst(t *testing.T) {
 	t.Parallel()
-	// Guards against taking the outcome of an old attempt for that of its replacement on the same
-	// machine, which was then reassigned in each planning pass.
+	// Guards against applying the outcome of an old attempt to its replacement on the same machine, which
+	// was then reassigned in each planning pass.
 	now := time.Now()
 	cluster, job := newStateWithGang(now)
 	cluster.machinesWithStarts()
--- a/internal/clusterstate/eviction_test.go
+++ b/internal/clusterstate/eviction_test.go
@@ -151,8 +151,8 @@
 }
 
 func TestEvictionFindsRoomOnAcceleratorMachine(t *testing.T) {
-	// Applies where nothing else has room; otherwise a rollout that provisions replacements first would
-	// wait forever.
+	// Only accelerator machines have room here. If they were not used, a rollout that provisions
+	// replacements first would wait forever.
 	now := time.Now()
 	cluster := newStateWithDrains(t, now)
 	accelerated := placement.InstanceType{Label: "accelerated", Cores: 8, Accels: 2, RAM: 64, Zones: []string{"north"}}
@@ -170,8 +170,8 @@
 }
 
 func TestPlanningChecksNoBudgetWithoutDrains(t *testing.T) {
-	// A planning pass costs nothing more where drains are disabled, and at most one look per
-	// eviction.Interval while a rollout is in progress.
+	// Guards against budget checks in planning passes while drains are disabled, and against more than one
+	// per eviction.Interval while a rollout is in progress.
 	now := time.Now()
 	off := newTestState()
 	markReported(off, "m1", 1, now)
--- a/internal/clusterstate/explain.go
+++ b/internal/clusterstate/explain.go
@@ -11,10 +11,11 @@
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// maxExplainLines bounds an explanation.
+// maxExplainLines bounds the lines of an explanation.
 const maxExplainLines = 200
 
-// Explain tells why a job's tasks wait and where the others are, as the leader sees it.
+// Explain returns lines for the user that tell why a job's pending tasks wait and where its other tasks
+// are, as far as this leader knows.
 func (c *State) Explain(id ids.Job) []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -35,7 +36,7 @@
 	return append(lines, describeRetries(job, now)...)
 }
 
-// describePending tells why tasks of a job wait.
+// describePending returns why tasks of a job are pending.
 func (c *State) describePending(job *workload.Job, now time.Time) (lines []string) {
 	if job.PendingReason == "" {
 		return nil
@@ -47,7 +48,7 @@
 	return lines
 }
 
-// describeAssignment tells where a task is and how it stands.
+// describeAssignment returns where an assigned task is and its state.
 func (c *State) describeAssignment(assignment *workload.Assignment, now time.Time) string {
 	zone, reported := "?", "not heard by this leader"
 	if machine := c.machines.Machines[assignment.Machine]; machine != nil && machine.HasReported {
@@ -56,7 +57,7 @@
 	return fmt.Sprintf("task %d attempt %d on %s (%s, %s): %s", assignment.TaskIndex, assignment.Attempt, assignment.Machine, zone, reported, describeStatus(assignment))
 }
 
-// describeStatus tells how an assigned task stands.
+// describeStatus returns the state of an assigned task.
 func describeStatus(assignment *workload.Assignment) string {
 	switch {
 	case assignment.Stopping && !assignment.Confirmed:
@@ -73,7 +74,7 @@
 	return assignment.Status
 }
 
-// describeRetries tells of the tasks that failed when they are tried again.
+// describeRetries returns when each failed task of a job is tried again.
 func describeRetries(job *workload.Job, now time.Time) (lines []string) {
 	for _, task := range slices.Sorted(maps.Keys(job.Retries)) {
 		if retry := job.Retries[task]; retry.NotBefore.After(now) {
@@ -83,8 +84,8 @@
 	return lines
 }
 
-// describeZones tells where a job's tasks are, by zone, and what those in an unreachable one
-// wait for.
+// describeZones returns how many of a job's tasks are in each zone, and what the tasks in an unreachable
+// zone wait for.
 func (c *State) describeZones(job *workload.Job, now time.Time) (lines []string) {
 	at, dark := map[string]int{}, map[string]int{}
 	var latest time.Time
@@ -112,7 +113,7 @@
 	return lines
 }
 
-// Summary counts what the leader has, for operators.
+// Summary returns counts of the leader's jobs, assignments and machines and its costs, for operators.
 func (c *State) Summary() map[string]any {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -141,7 +142,8 @@
 		"spent": c.costsSummary()}
 }
 
-// costsSummary is what the machines cost, by what they were doing, and the work to do again.
+// costsSummary returns the cost of the machines, by what they were doing, and the core-seconds of work that
+// had to be repeated.
 func (c *State) costsSummary() map[string]any {
 	money, repeated := c.costs.Summary()
 	return map[string]any{"boot": money.Boot, "idle": money.Idle, "free": money.Free, "fetch": money.Pull,
--- a/internal/clusterstate/failing_jobs_test.go
+++ b/internal/clusterstate/failing_jobs_test.go
@@ -15,8 +15,8 @@
 
 func TestBrokenJobBacksOffWithoutHarmingOthers(t *testing.T) {
 	t.Parallel()
-	// Regression: such a job got machines quarantined and new ones provisioned, and all of its tasks
-	// were retried again and again.
+	// Regression: a job whose tasks fail wherever they run got machines quarantined and new ones
+	// provisioned, and all of its tasks were retried again and again.
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newStateWithMachines(30)
 		bad := newRecord("job-1", "blue", record.High, 60, 1)
@@ -25,7 +25,8 @@
 		good.Spec.Class = "g"
 		cluster.submit(1, good, time.Now())
 		starts, most := 0, 0
-		for sequence := ids.SequenceNumber(2); sequence < 180; sequence++ { // three minutes, one heartbeat per second
+		// Three minutes with one heartbeat per second.
+		for sequence := ids.SequenceNumber(2); sequence < 180; sequence++ {
 			now := time.Now()
 			before := cluster.jobs.Get("job-1").Record.Attempt
 			cluster.Plan(now)
@@ -71,7 +72,7 @@
 		if !strings.Contains(lines, "fail wherever they run") || !strings.Contains(lines, "next try in") {
 			t.Errorf("explained as %s", lines)
 		}
-		// A new leader knows from the record that the job fails, and does not start all of its tasks
+		// A new leader learns from the record that the job fails, and does not start all of its tasks
 		// again.
 		successor := newStateWithMachines(30)
 		stored := cluster.jobs.Get("job-1").Record
@@ -81,7 +82,7 @@
 		if n := len(successor.assignmentsOf("job-1")); n != 1 {
 			t.Errorf("a new leader assigns %d of its tasks, want 1", n)
 		}
-		// A cancellation stops it at once.
+		// A cancellation stops the job's tasks at once.
 		cancelled := &record.Record{Spec: bad.Spec, Status: record.Cancelling, Writer: "user"}
 		cluster.submit(99, cancelled, time.Now())
 		for _, assignment := range cluster.assignmentsOf("job-1") {
@@ -123,8 +124,8 @@
 
 func TestLongRunningReplicaClearsFailingState(t *testing.T) {
 	t.Parallel()
-	// A service whose replicas failed on three bad machines never completes, by its nature: it must not
-	// count as failing forever.
+	// Guards against a service that counts as failing forever after its replicas failed on three bad
+	// machines: unlike other jobs, a service never completes.
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newStateWithMachines(8)
 		rec := newServiceRecord("job-1", "blue", record.Critical, 2, 1)
--- a/internal/clusterstate/helpers_dependencies_test.go
+++ b/internal/clusterstate/helpers_dependencies_test.go
@@ -68,8 +68,8 @@
 // numberedJob returns the ID of the job of this number.
 func numberedJob(number int) ids.Job { return ids.Job(fmt.Sprintf("job-%d", number)) }
 
-// runLookupsUntilDone runs lookup passes until no outcome is left to look up, and returns how many there
-// were.
+// runLookupsUntilDone runs lookup passes until no outcome is left to look up, and returns the number of
+// passes.
 func runLookupsUntilDone(t *testing.T, cluster *State, committer *commit.Committer) (passes int) {
 	t.Helper()
 	for len(cluster.dependencies.lookups) > 0 {
@@ -106,7 +106,7 @@
 	cluster.LoadWaitingJobs(byID, revisions, time.Now())
 }
 
-// storeJobRecord stores the record of a ready job and returns its revision.
+// storeJobRecord stores the live record of a job and returns its revision.
 func (history *jobHistory) storeJobRecord(t *testing.T, rec *record.Record) ids.Revision {
 	t.Helper()
 	raw, _ := rec.Encode(testValueBytes)
@@ -118,14 +118,14 @@
 	return ids.Revision(revision)
 }
 
-// storeLiveJob stores the record of a ready job and hands it to the cluster state.
+// storeLiveJob stores the live record of a job and passes it to the cluster state.
 func (history *jobHistory) storeLiveJob(t *testing.T, cluster *State, rec *record.Record) *workload.Job {
 	t.Helper()
 	cluster.submit(history.storeJobRecord(t, rec), rec, time.Now())
 	return cluster.jobs.Get(rec.Spec.ID)
 }
 
-// newDependents returns the records of count low-priority jobs, from job-1000 on, that depend on one.
+// newDependents returns the records of count low-priority jobs, from job-1000 on, that depend on one job.
 func newDependents(count int, dependency ids.Job) (records []*record.Record) {
 	for i := range count {
 		records = append(records, newWaitingRecord(numberedJob(1000+i), record.Low, 0, dependency))
@@ -133,8 +133,8 @@
 	return records
 }
 
-// newLeaderClient returns a client of the same store that has the leader's share of so many writes per
-// second.
+// newLeaderClient returns a client of the same store whose budget is the leader's share of the given number
+// of writes per second.
 func (history *jobHistory) newLeaderClient(writes float64) *state.Client {
 	client := state.NewClient(testStoreAddress, history.network.Client("a"), state.NewBudget(1000, writes, 1, 0.6))
 	client.Budget().LeadershipChanged(true)
--- a/internal/clusterstate/helpers_eviction_test.go
+++ b/internal/clusterstate/helpers_eviction_test.go
@@ -13,14 +13,14 @@
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// newStateWithDrains is a cluster state with drains enabled and a service of four replicas, which run on
-// the machines m1 to m4, one on each.
+// newStateWithDrains returns a cluster state with drains enabled and a service of four replicas, which run
+// on the machines m1 to m4, one on each.
 func newStateWithDrains(t *testing.T, now time.Time) *State {
 	t.Helper()
 	return newStateWithDrainSettings(t, now, &config.Drains{})
 }
 
-// newStateWithDrainSettings is newStateWithDrains with the given settings of drains.
+// newStateWithDrainSettings is like newStateWithDrains, with the given settings of drains.
 func newStateWithDrainSettings(t *testing.T, now time.Time, drains *config.Drains) *State {
 	t.Helper()
 	settings := newTestSettings()
@@ -45,7 +45,7 @@
 	return cluster
 }
 
-// markRunning makes an assignment one whose task runs and has been reported since then.
+// markRunning marks an assignment as started and its task as running, and reported, since a time.
 func markRunning(assignment *workload.Assignment, since time.Time) {
 	assignment.StartSent = true
 	assignment.Confirmed = true
@@ -53,7 +53,7 @@
 	assignment.RunningSince = since
 }
 
-// newDrainOrders are a rollout's orders to drain the named machines.
+// newDrainOrders returns a rollout's orders to drain the named machines.
 func newDrainOrders(names ...ids.Machine) *rollout.Orders {
 	orders := rollout.NewOrders()
 	for _, name := range names {
@@ -62,7 +62,7 @@
 	return orders
 }
 
-// runEviction looks for evictions to permit and to carry out, whenever the last look was.
+// runEviction runs an eviction pass, however short ago the last one was.
 func runEviction(cluster *State, now time.Time) {
 	cluster.evictor.Look(now)
 }
--- a/internal/clusterstate/helpers_test.go
+++ b/internal/clusterstate/helpers_test.go
@@ -24,16 +24,16 @@
 	os.Exit(m.Run())
 }
 
-// testStoreAddress is where the tests' store listens.
+// testStoreAddress is the address of the tests' store.
 const testStoreAddress = "state:1"
 
-// testValueBytes is the limit of a value in the tests' stores.
+// testValueBytes is the size limit of a value in the tests' stores.
 const testValueBytes = 8192
 
 // testGeneration is the fencing token of the term of a test state.
 const testGeneration = 7
 
-// newTestSettings are settings of two zones and of two teams, of which red has a limit.
+// newTestSettings returns settings with two zones and two teams, of which only red has a limit.
 func newTestSettings() *config.Settings {
 	settings := &config.Settings{Operator: config.DefaultOperator()}
 	settings.Params.Workers = config.WorkerIntervals{ReportS: 2, LeaseS: 20, GangWaitS: 30, GangPeerS: 5, CancelS: 40}
@@ -43,7 +43,7 @@
 	return settings
 }
 
-// newTestState is an empty cluster state that knows the instance types.
+// newTestState returns an empty cluster state that knows the instance types.
 func newTestState() *State {
 	cluster := New(newTestSettings(), "w", testGeneration, time.Now())
 	cluster.SetMachineTypes(testInstanceTypes())
@@ -53,7 +53,7 @@
 // testCacheGB is the size of the image cache of a machine of testInstanceTypes.
 const testCacheGB = 20
 
-// testInstanceTypes is an offer of one instance type of four cores in two zones.
+// testInstanceTypes returns the cloud's instance types: one of four cores in two zones.
 func testInstanceTypes() []placement.InstanceType {
 	return []placement.InstanceType{{
 		Label:      "small",
@@ -80,7 +80,7 @@
 	return commit.New(cluster, store, "a", cluster.keys, 0, commit.Events{})
 }
 
-// newRecord is the record of a new job: an array whose tasks run for 10 s and need an image of 1 GB.
+// newRecord returns the record of a new job: an array whose tasks run for 10 s and need an image of 1 GB.
 func newRecord(id ids.Job, team string, priority record.Priority, tasks int, cores float64) *record.Record {
 	spec := record.Spec{
 		ID:                id,
@@ -97,7 +97,7 @@
 	return record.New(spec, ids.TimestampOf(time.Now()), "user")
 }
 
-// newWaitingRecord is the record of a job of team red with one task, which waits for its dependencies.
+// newWaitingRecord returns the record of a job of team red with one task, which waits for its dependencies.
 // Deadline 0 means none.
 func newWaitingRecord(id ids.Job, priority record.Priority, deadline ids.Seconds, dependsOn ...ids.Job) *record.Record {
 	rec := newRecord(id, "red", priority, 1, 1)
@@ -106,26 +106,26 @@
 	return rec
 }
 
-// newServiceRecord is newRecord for a service.
+// newServiceRecord is like newRecord, for a service.
 func newServiceRecord(id ids.Job, team string, priority record.Priority, replicas int, cores float64) *record.Record {
 	rec := newRecord(id, team, priority, replicas, cores)
 	rec.Spec.Shape = record.Service
 	return rec
 }
 
-// newGangRecord is newRecord for a gang.
+// newGangRecord is like newRecord, for a gang.
 func newGangRecord(id ids.Job, team string, priority record.Priority, tasks int, cores float64) *record.Record {
 	rec := newRecord(id, team, priority, tasks, cores)
 	rec.Spec.Shape = record.Gang
 	return rec
 }
 
-// submit hands a job's record to the state, as if a user had submitted the job.
+// submit passes a job's record to the cluster state, as if a user had submitted the job.
 func (c *State) submit(revision ids.Revision, rec *record.Record, now time.Time) {
 	c.HandleRecord(rec.Spec.ID, revision, rec, now)
 }
 
-// submitWaiting is submit for a job that waits for its dependencies.
+// submitWaiting is like submit, for a job that waits for its dependencies.
 func (c *State) submitWaiting(revision ids.Revision, rec *record.Record, now time.Time) {
 	c.HandleWaitingJob(rec.Spec.ID, revision, rec, now)
 }
@@ -135,7 +135,7 @@
 	return c.jobs.Get(id).Assignments
 }
 
-// machinesToTerminate lists the machines to terminate now if the plan of the fleet needs none of them.
+// machinesToTerminate returns the machines to terminate now if the plan of the fleet needs none of them.
 func (c *State) machinesToTerminate(now time.Time) []ids.Machine {
 	return c.MachinesToTerminate(now, map[ids.Machine]bool{})
 }
@@ -150,13 +150,13 @@
 	return count
 }
 
-// markStored notes that the record of a job's current version is stored, so that its starts may go out.
+// markStored records that the current version of a job's record is stored, so that its starts may be sent.
 func (c *State) markStored(job *workload.Job) {
 	job.StoredVersion = job.Version
 	c.versionStored(job)
 }
 
-// markAllStored pretends that all changes were committed and that all commands went out.
+// markAllStored marks all changes as stored and all pending commands as sent.
 func (c *State) markAllStored() {
 	for _, job := range c.jobs.All() {
 		job.StoredVersion = job.Version
@@ -175,8 +175,8 @@
 	return machines
 }
 
-// newStateWithMachines is a cluster state with machines of four cores, host-000000 and so on, in turn in the
-// north and the south.
+// newStateWithMachines returns a cluster state with machines of four cores, host-000000 and so on,
+// alternately in the north and the south.
 func newStateWithMachines(count int) *State {
 	cluster := newTestState()
 	for i := range count {
@@ -191,14 +191,14 @@
 	return total
 }
 
-// mostExaminedPerLock returns the most machines that planning has examined while it held the lock once.
+// mostExaminedPerLock returns the most machines that planning has examined without releasing the lock.
 func mostExaminedPerLock(cluster *State) int {
 	_, most := cluster.scheduler.MachinesExamined()
 	return most
 }
 
 // planUntilStable runs planning passes until one assigns nothing more, and returns the most machines that
-// one of them examined while it held the lock once.
+// planning has examined without releasing the lock.
 func planUntilStable(cluster *State, now time.Time) (most int) {
 	for {
 		assigned := countAssignments(cluster)
@@ -217,13 +217,13 @@
 	return count
 }
 
-// newProvisioningRequest is a request for one machine.
+// newProvisioningRequest returns a request for one machine.
 func newProvisioningRequest(label, zone string) placement.ProvisioningRequest {
 	return placement.ProvisioningRequest{Type: label, Zone: zone, Count: 1}
 }
 
-// newStateWithGang is a cluster state with a gang of two tasks, whose assignments are stored: one on the
-// machine "warm", which has the image in its cache, and one on "cold", which has not.
+// newStateWithGang returns a cluster state with a gang of two tasks, whose assignments are stored: one on
+// the machine "warm", which has the image in its cache, and one on "cold", which does not.
 func newStateWithGang(now time.Time) (*State, *workload.Job) {
 	cluster := newTestState()
 	cluster.heartbeat("warm", "north", 1)
@@ -259,6 +259,6 @@
 	return network, store, client
 }
 
-// largestFleetSize is the number of machines that the service must cope with: usually about 4,000, and half
-// as many again at times.
+// largestFleetSize is the largest number of machines that the service must support: usually there are about
+// 4,000, and at times half as many again.
 const largestFleetSize = 6000
--- a/internal/clusterstate/helpers_workers_test.go
+++ b/internal/clusterstate/helpers_workers_test.go
@@ -12,20 +12,20 @@
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// addMachines has machines of a zone report for the first time; their names are the prefix and a number
-// from 0 on.
+// addMachines adds machines of a zone by their first heartbeats. They are named with the prefix and a
+// number from 0 on.
 func (c *State) addMachines(prefix string, count int, zone string) {
 	for i := range count {
 		c.heartbeat(ids.Machine(fmt.Sprint(prefix, i)), zone, 1)
 	}
 }
 
-// cacheImage notes that a machine has an image of so many GB in its cache.
+// cacheImage records that a machine has an image of sizeGB in its cache.
 func (c *State) cacheImage(name ids.Machine, image string, sizeGB float64) {
 	c.capacity.ImageArrived(c.capacity.Ensure(name), c.machines.Machines[name], image, sizeGB, testCacheGB)
 }
 
-// newReport is a report without tasks of a machine in its first incarnation, which has seen the test
+// newReport returns a report without tasks, of a machine in its first incarnation that has seen the test
 // state's fencing token.
 func newReport(name ids.Machine, zone string, sequence ids.SequenceNumber) *worker.Report {
 	return &worker.Report{
@@ -39,7 +39,7 @@
 	}
 }
 
-// heartbeat reconciles a heartbeat of a machine that reports these tasks, and returns the commands in its
+// heartbeat reconciles a heartbeat of a machine that reports these tasks, and returns the commands in the
 // answer.
 func (c *State) heartbeat(name ids.Machine, zone string, sequence ids.SequenceNumber, tasks ...worker.TaskStatus) []worker.Command {
 	report := newReport(name, zone, sequence)
@@ -47,8 +47,8 @@
 	return c.ReconcileHeartbeat(report, true, true)
 }
 
-// heartbeatAll has every machine report the tasks whose starts were sent to it. exitCause returns the cause
-// with which a task exits now, or an empty string while it runs.
+// heartbeatAll reconciles a heartbeat of every machine, which reports the tasks whose starts were sent to
+// it. exitCause returns the cause with which a task exits now, or an empty string while it runs.
 func (c *State) heartbeatAll(sequence ids.SequenceNumber, exitCause func(assignment *workload.Assignment) string) {
 	statuses := map[ids.Machine][]worker.TaskStatus{}
 	for _, job := range c.jobs.All() {
@@ -73,8 +73,9 @@
 	}
 }
 
-// runTasks has every machine report its tasks: those to be stopped exit, those assigned for the duration
-// are done (and noted in ended), the others run. Jobs that ended with them are retired.
+// runTasks reconciles a heartbeat of every machine with its tasks: those to be stopped have exited, those
+// assigned for at least the duration are done (and recorded in ended), the others run. Jobs that end by
+// that are retired.
 func (c *State) runTasks(sequence ids.SequenceNumber, duration time.Duration, ended map[workload.TaskAttempt]bool) {
 	for name := range c.machines.Machines {
 		var statuses []worker.TaskStatus
@@ -100,8 +101,8 @@
 	}
 }
 
-// markReported makes a machine in the north one that has reported and answered just now, in its first
-// incarnation, and has seen the fencing token.
+// markReported marks a machine as one of the north that has reported and answered just now, is in its first
+// incarnation and has seen the fencing token.
 func markReported(cluster *State, name ids.Machine, token ids.Generation, now time.Time) {
 	machine := cluster.machines.Ensure(name, now, now)
 	machine.HasReported = true
@@ -114,7 +115,8 @@
 	cluster.capacity.Reindex(cluster.capacity.Ensure(name))
 }
 
-// taskNamesByMachine returns the task names of a job's assignments, of which each is on another machine.
+// taskNamesByMachine returns the task names of a job's assignments, each of which is on a different
+// machine.
 func taskNamesByMachine(job *workload.Job) map[ids.Machine]string {
 	names := map[ids.Machine]string{}
 	for _, assignment := range job.Assignments {
@@ -123,22 +125,23 @@
 	return names
 }
 
-// newStatus is a worker's status of the first attempt of a task.
+// newStatus returns a worker's status of the first attempt of a task.
 func newStatus(task, taskState string) worker.TaskStatus {
 	return worker.TaskStatus{Task: task, Attempt: 1, State: taskState}
 }
 
-// newExitedStatus is a worker's status of the first attempt of a task that has exited.
+// newExitedStatus returns a worker's status of the first attempt of a task that has exited.
 func newExitedStatus(task, cause string) worker.TaskStatus {
 	return worker.TaskStatus{Task: task, Attempt: 1, State: worker.StateExited, Cause: cause}
 }
 
-// newRunningStatus is a worker's status of an assigned task that runs.
+// newRunningStatus returns a worker's status of an assigned task that runs.
 func newRunningStatus(assignment *workload.Assignment) worker.TaskStatus {
 	return worker.TaskStatus{Task: assignment.Task().String(), Attempt: assignment.Attempt, State: worker.StateRunning}
 }
 
-// newWorkerHandler answers direct commands like a worker that carries them out at once.
+// newWorkerHandler returns a handler that answers direct commands like a worker that carries them out at
+// once.
 func newWorkerHandler(t *testing.T, name ids.Machine) http.Handler {
 	sequence := ids.SequenceNumber(100)
 	tasks := []worker.TaskStatus{}
--- a/internal/clusterstate/hint_cache.go
+++ b/internal/clusterstate/hint_cache.go
@@ -6,25 +6,25 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-// wholeHintsInterval is after how long all hints are asked for again, since machines that went away
-// are not named.
+// wholeHintsInterval is the interval at which all hints are requested again, since changed hints do not
+// name machines that are gone.
 const wholeHintsInterval = 20 * time.Second
 
-// HintCache is what the last leader told of its machines, kept for the case that this
-// node leads next. Its owner guards it by a lock.
+// HintCache holds the hints that the last leader gave of its machines, in case this node leads next. Its
+// owner guards it with a lock.
 type HintCache struct {
 	hints    map[ids.Machine]receivedHint
 	received HintPosition
 }
 
-// receivedHint is a hint with, by this node's clock, when the machine was provisioned.
+// receivedHint is a hint with the time at which the machine was provisioned, by this node's clock.
 type receivedHint struct {
 	Hint
 	provisionedAt time.Time
 }
 
-// Receive takes in a leader's hints and how far in them they go; those of an earlier leader are
-// passed over.
+// Receive records a leader's hints and the position that they reach. It ignores the hints of an earlier
+// leader than the last.
 func (c *HintCache) Receive(hints []Hint, to HintPosition) {
 	if to.Generation < c.received.Generation {
 		return
@@ -43,7 +43,7 @@
 	c.received = to
 }
 
-// Position is what to ask a leader's hints from.
+// Position returns the position from which to request a leader's hints.
 func (c *HintCache) Position() HintPosition {
 	if time.Since(c.received.ReceivedAt) > wholeHintsInterval {
 		return HintPosition{}
--- a/internal/clusterstate/hints.go
+++ b/internal/clusterstate/hints.go
@@ -7,8 +7,8 @@
 	"github.com/pebbletrail/pebbletrail/internal/worker"
 )
 
-// Hint is what a leader tells the others of a machine, so that the next leader
-// need not find it out again. Nothing rests on it but time.
+// Hint describes a machine to the other controllers, so that the next leader need not find out the same
+// again. Hints only save time: nothing depends on them for correctness.
 type Hint struct {
 	Name        ids.Machine
 	Address     string
@@ -17,28 +17,28 @@
 	Spot        bool
 	Incarnation ids.Incarnation
 	Images      worker.Images
-	// Booting tells that it is provisioned and not up yet, since RentedFor ago. The cloud's
-	// list lags, and a new leader that knows nothing of it would provision another.
+	// Booting is set if the machine was provisioned ProvisionedFor ago and is not up yet. The cloud's list
+	// lags, so a new leader that does not know of the machine would provision another one.
 	Booting        bool
 	ProvisionedFor time.Duration
 }
 
-// HintPosition is how far in a leader's hints somebody is.
+// HintPosition is a position in the sequence of a leader's hints.
 type HintPosition struct {
 	Generation ids.Generation
 	Sequence   uint64
-	Complete   bool // the hints that come with it are all there are
+	Complete   bool // the hints sent with the position are all that there are
 	ReceivedAt time.Time
 }
 
-// markHintChanged notes that what the others should know of a machine changed.
+// markHintChanged records that the hint of a machine changed.
 func (c *State) markHintChanged(machine *worker.Machine) {
 	c.hintSequence++
 	machine.HintSequence = c.hintSequence
 }
 
-// Hints lists the machines of which something changed since a position, or
-// all if it is not this leader's.
+// Hints returns the hints that changed since a position, or all hints if the position is not one of this
+// term, and the position that they reach.
 func (c *State) Hints(since HintPosition) (hints []Hint, to HintPosition) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -54,7 +54,7 @@
 	return hints, to
 }
 
-// ApplyHints takes in what an earlier leader told of machines that have not reported to this one.
+// ApplyHints applies the hints of an earlier leader to machines that have not reported to this one.
 func (c *State) ApplyHints(cache *HintCache, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/clusterstate/image_locality_test.go
+++ b/internal/clusterstate/image_locality_test.go
@@ -32,7 +32,8 @@
 	if len(cluster.assignmentsOf("job-2")) != 0 {
 		t.Fatal("assigned where it must pull its image, although the machine that has it is being freed by preemption")
 	}
-	cluster.Plan(now.Add(3 * time.Second)) // the preempted task did not stop: an image pull is better than no start
+	// The preempted task did not stop: an image pull is better than no start.
+	cluster.Plan(now.Add(3 * time.Second))
 	if assignment := cluster.assignmentsOf("job-2")[0]; assignment == nil || assignment.Machine != "cold" {
 		t.Fatalf("assigned as %+v, want the machine without its image", assignment)
 	}
--- a/internal/clusterstate/limits.go
+++ b/internal/clusterstate/limits.go
@@ -6,7 +6,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// teamLimits are the limits of the settings by team.
+// teamLimits returns the limits in the settings by team.
 func teamLimits(settings *config.Settings) map[string]quota.Limit {
 	limits := map[string]quota.Limit{}
 	for _, team := range settings.Params.Teams {
@@ -15,10 +15,11 @@
 	return limits
 }
 
-// valueLimit is how many whole bytes a stored value may take.
+// valueLimit returns the size limit of a stored value, in whole bytes.
 func valueLimit(settings *config.Settings) int { return int(settings.Params.State.ValueBytes()) }
 
-// maxAssignedTasks bounds how many tasks of a job are assigned at a time, so that its record fits a value.
+// maxAssignedTasks returns how many tasks of a job may be assigned at a time, so that its record fits a
+// stored value.
 func (c *State) maxAssignedTasks(job *workload.Job) int {
 	return job.MaxAssignedTasks(c.settings.Params.State.ValueBytes())
 }
--- a/internal/clusterstate/liveness_test.go
+++ b/internal/clusterstate/liveness_test.go
@@ -15,7 +15,7 @@
 func TestLeaderIsolatedOnlyByOverdueRedirectedWorkers(t *testing.T) {
 	t.Parallel()
 	// Regression: a leader stepped down nine seconds after its takeover because of workers that had
-	// reached it, since its peer's message about redirecting them arrived after they did.
+	// reached it: its peer's message about redirecting them arrived after the workers' reports.
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newStateWithMachines(40)
 		cluster.settings.Params.Workers.ReportS = 10
@@ -43,8 +43,8 @@
 
 func TestProbesRotateAndMachinesWithReplicasGoFirst(t *testing.T) {
 	t.Parallel()
-	// Guards against probing the same silent machines of hundreds again and again while one with a
-	// replica waits.
+	// Guards against probing the same few of hundreds of silent machines again and again while a machine
+	// with a replica is not probed.
 	cluster := newStateWithMachines(300)
 	now := time.Now()
 	service := newServiceRecord("job-1", "blue", record.Critical, 1, 1)
@@ -97,7 +97,8 @@
 	for sequence := ids.SequenceNumber(3); sequence < 6; sequence++ {
 		cluster.ProbeAnswered(unreachable, false)
 		for i := range 6 {
-			cluster.heartbeat(ids.Machine(fmt.Sprint("m", i)), "north", sequence) // its own heartbeats, too
+			// The unreachable machine's own heartbeats arrive, too.
+			cluster.heartbeat(ids.Machine(fmt.Sprint("m", i)), "north", sequence)
 		}
 	}
 	machine.UnreachableSince = now.Add(-10 * time.Second)
@@ -108,7 +109,7 @@
 	if terminated := cluster.machinesToTerminate(time.Now()); len(terminated) != 1 || terminated[0] != unreachable {
 		t.Fatalf("terminating %v, want %s alone", terminated, unreachable)
 	}
-	cluster.MachineTerminated(unreachable) // confirmed by the cloud, which is the evidence
+	cluster.MachineTerminated(unreachable) // the cloud confirmed it, so the start cannot take effect any more
 	cluster.Plan(now)
 	if assignment := cluster.assignmentsOf("job-1")[0]; assignment == nil || assignment.Machine == unreachable {
 		t.Fatal("the task is not reassigned elsewhere")
--- a/internal/clusterstate/lookups_test.go
+++ b/internal/clusterstate/lookups_test.go
@@ -37,8 +37,8 @@
 }
 
 func TestLookupOfAdjacentOutcomesReadsPages(t *testing.T) {
-	// Guards against one call for each of thousands of outcomes, and against pages that skip the first
-	// or last outcome wanted.
+	// Guards against one call for each of thousands of outcomes, and against pages that leave out the first
+	// or the last wanted outcome.
 	synctest.Test(t, func(t *testing.T) {
 		history := newJobHistory(t, 100000, 20000)
 		cluster := newTestState()
@@ -55,7 +55,7 @@
 }
 
 func TestLookupRetriesMissingOutcomeAfterDelay(t *testing.T) {
-	// Guards against taking a page without the wanted record for an answer on how the job ended, and
+	// Guards against treating a page without the wanted record as an answer on how the job ended, and
 	// against one missing record delaying the others.
 	synctest.Test(t, func(t *testing.T) {
 		history := newJobHistory(t, 100000, 100)
--- a/internal/clusterstate/lost_machines.go
+++ b/internal/clusterstate/lost_machines.go
@@ -7,14 +7,14 @@
 	"github.com/pebbletrail/pebbletrail/internal/wait"
 )
 
-// leaseCheckInterval is how often leases are looked at at most.
+// leaseCheckInterval is the least time between two checks of the leases.
 const leaseCheckInterval = 200 * time.Millisecond
 
-// maxTerminatedMachines bounds the machines remembered as terminated: late reports of older ones are not
-// expected.
+// maxTerminatedMachines bounds how many terminated machines are remembered: late reports of older ones are
+// not expected.
 const maxTerminatedMachines = 20000
 
-// ExpireLeases requeues what was on machines whose workers' leases have surely expired.
+// ExpireLeases requeues the tasks on machines whose workers' leases have certainly expired.
 func (c *State) ExpireLeases(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -32,15 +32,15 @@
 			continue
 		}
 		for assignment := range node.Assignments {
-			// A start sent after the last answer belongs to the same expired incarnation, which turns it
-			// away from here on.
+			// A start sent after the last answer is meant for the same incarnation, which has expired and
+			// rejects the start from now on.
 			c.reconciler.MarkLost(assignment, "silent until its worker's lease had surely lapsed")
 		}
 	}
 }
 
-// MachineTerminated requeues everything on a machine that the cloud has confirmed
-// deleted, and forgets it.
+// MachineTerminated requeues the tasks on a machine whose deletion the cloud has confirmed, and removes the
+// machine.
 func (c *State) MachineTerminated(name ids.Machine) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -61,7 +61,7 @@
 	wait.Signal(c.planSignal)
 }
 
-// removeMachine takes a machine that is gone out of the registry and the indexes.
+// removeMachine removes a machine that is gone from the registry and the indexes.
 func (c *State) removeMachine(name ids.Machine) {
 	if node := c.capacity.Remove(name); node != nil {
 		c.commands.Remove(node)
--- a/internal/clusterstate/operations.go
+++ b/internal/clusterstate/operations.go
@@ -12,53 +12,55 @@
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// operations carries out what the packages that decide want changed: scheduler, eviction, reconcile and
-// dispatch each see the part of it that their Cluster interface names. All of it is called under the cluster
-// state's lock.
+// operations gives the packages that decide access to the cluster state: scheduler, eviction, reconcile,
+// dispatch and the dependency tracker each use the part of it that their own interface names. Its methods
+// are called with the cluster state's lock held.
 type operations struct{ cluster *State }
 
-// StoreAvailable tells whether the store has answered just now.
+// StoreAvailable reports whether the store has answered recently.
 func (o operations) StoreAvailable() bool { return o.cluster.StoreAvailable() }
 
-// FencingToken is what starts go out under now.
+// FencingToken returns the fencing token that starts carry now.
 func (o operations) FencingToken() ids.Generation { return o.cluster.generation }
 
 // Assign adds an assignment.
 func (o operations) Assign(assignment *workload.Assignment) { o.cluster.addAssignment(assignment) }
 
-// RemoveAssignment removes an assignment: its task is proven not to be there.
+// RemoveAssignment removes an assignment whose task is proven not to be on the machine.
 func (o operations) RemoveAssignment(assignment *workload.Assignment) {
 	o.cluster.removeAssignment(assignment)
 }
 
-// MarkersPending has a job's new markers stored at once.
+// MarkersPending requests that the markers of a job's new assignments be stored at once. A marker is an
+// assignment in the stored record of its job; the task's start is sent only after its marker is stored.
 func (o operations) MarkersPending(job *workload.Job) {
 	o.cluster.markChanged(job)
 	o.cluster.markUrgent(job)
 }
 
-// RecordRestarts tells in a job's events which lost tasks were assigned anew.
+// RecordRestarts records in a job's events which lost tasks were assigned again.
 func (o operations) RecordRestarts(job *workload.Job, assigned []*workload.Assignment) {
 	o.cluster.reconciler.RecordRestarts(job, assigned)
 }
 
-// Stop asks for a task to be stopped.
+// Stop requests that a task be stopped.
 func (o operations) Stop(assignment *workload.Assignment, grace ids.Seconds, reason string) {
 	o.cluster.stopAssignment(assignment, grace, reason)
 }
 
-// NoDirectStartOutstanding tells that every start sent straight to the machine is accounted for.
+// NoDirectStartOutstanding reports whether every start that was sent directly to the machine is accounted
+// for.
 func (o operations) NoDirectStartOutstanding(assignment *workload.Assignment) bool {
 	return o.cluster.noDirectStartOutstanding(assignment)
 }
 
-// MarkChanged notes that a job's record changed.
+// MarkChanged records that a job's record changed.
 func (o operations) MarkChanged(job *workload.Job) { o.cluster.markChanged(job) }
 
-// MarkUrgent has a job's record stored at once.
+// MarkUrgent requests that a job's record be stored at once.
 func (o operations) MarkUrgent(job *workload.Job) { o.cluster.markUrgent(job) }
 
-// FinishIfComplete moves a job to its final status when nothing is left of it.
+// FinishIfComplete moves a job to its final status if none of its tasks is left to run or to stop.
 func (o operations) FinishIfComplete(job *workload.Job) { o.cluster.finishIfComplete(job) }
 
 // RecordEvent adds an event to a job.
@@ -66,13 +68,13 @@
 	o.cluster.recordEvent(job, format, args...)
 }
 
-// HintChanged notes that what the other controllers should know of a machine changed.
+// HintChanged records that the hint of a machine changed.
 func (o operations) HintChanged(machine *worker.Machine) { o.cluster.markHintChanged(machine) }
 
-// RequestPlan has planning look again.
+// RequestPlan requests a planning pass.
 func (o operations) RequestPlan() { wait.Signal(o.cluster.planSignal) }
 
-// RequestCommit has changes stored at once.
+// RequestCommit requests that changes be stored at once.
 func (o operations) RequestCommit() { wait.Signal(o.cluster.commitSignal) }
 
 // AddJob adds a job that became schedulable.
@@ -80,28 +82,28 @@
 	o.cluster.addJob(stored, revision, now)
 }
 
-// StatusInOtherShard is the status of a live job of another shard.
+// StatusInOtherShard returns the status of a live job of another shard.
 func (o operations) StatusInOtherShard(id ids.Job) (status record.Status, live bool) {
 	return o.cluster.StatusInOtherShard(id)
 }
 
-// Terminated tells that the cloud confirmed a machine's deletion.
+// Terminated reports whether the cloud confirmed a machine's deletion.
 func (o operations) Terminated(machine ids.Machine) bool { return o.cluster.terminated[machine] }
 
-// CloudListConclusive tells that a machine which this leader does not know is surely none: the cloud's
-// list was read to its end so long after the takeover that it would name it.
+// CloudListConclusive reports whether a machine that this leader does not know certainly does not exist:
+// the cloud's list was read to its end so long after the takeover that it would name the machine.
 func (o operations) CloudListConclusive() bool {
 	planner := o.cluster.planner
 	return planner.CloudListSince(o.cluster.termBegan) > planner.CloudListLag()
 }
 
-// QuotaForRelocated is what a job must leave of its team's quota to tasks that rollouts move.
+// QuotaForRelocated returns how much of its team's quota a job must leave to tasks that rollouts move.
 func (o operations) QuotaForRelocated(job *workload.Job) placement.Resources {
 	return o.cluster.evictor.QuotaForRelocated(job)
 }
 
-// YieldLock lets heartbeats and commits at the cluster state for a moment; it tells whether planning may
-// go on.
+// YieldLock releases the lock for a moment, so that heartbeats and commits can take it, and reports whether
+// planning may go on.
 func (o operations) YieldLock() bool {
 	o.cluster.mu.Unlock()
 	runtime.Gosched()
--- a/internal/clusterstate/oversize.go
+++ b/internal/clusterstate/oversize.go
@@ -6,12 +6,12 @@
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// handleOversize deals with a job's record that does not fit into a value: written by an older
-// version under a larger limit, or with more assignments than the estimate allowed for. What
-// has not been started yet is taken back, since nothing of it may start without a stored
-// assignment and it must not hold room for ever; from then on fewer tasks of the job are
-// assigned at a time. Tasks that may be on machines stay: the record becomes smaller as
-// they end, and is not tried again before it has changed.
+// handleOversize handles a job whose record does not fit a stored value: an older version wrote it under a
+// larger limit, or it has more assignments than the size estimate allowed for. Assignments whose starts
+// were not sent are removed, since no task may start without a stored assignment and they must not hold
+// capacity forever. From then on fewer tasks of the job are assigned at a time. Assignments of tasks that
+// may be on machines stay: the record becomes smaller as they end, and is not encoded again before it has
+// changed.
 func (c *State) handleOversize(job *workload.Job) {
 	if !job.Oversize {
 		slog.Warn("record too large to store; fewer tasks at a time", "job", job.Record.Spec.ID, "places", len(job.Assignments))
@@ -29,7 +29,7 @@
 	}
 }
 
-// removeUnsentOf removes the assignments whose start never went out; it tells whether there
+// removeUnsentOf removes the assignments of a job whose starts were never sent, and reports whether there
 // were any.
 func (c *State) removeUnsentOf(job *workload.Job) bool {
 	dropped := false
@@ -42,13 +42,13 @@
 	return dropped
 }
 
-// forgetScattered makes a record fit that has no assignments left and yet is too large, or
-// has no room for a single one: of the finished tasks only the longest runs are kept,
-// so that half of the value is free again for assignments. The others start again; as their
-// results are kept, they exit as done once they have their image.
+// forgetScattered shrinks a record that has no assignments left and is still too large, or has no space for
+// a single one. Of the finished tasks it keeps only the longest runs of consecutive ones, so that half of
+// the value is free for assignments. The other finished tasks start again; as their results are kept, they
+// exit as done once they have their image.
 func (c *State) forgetScattered(job *workload.Job) {
 	if job.Record.Finished.SpanCount() < 2 {
-		return // that is not what makes it large
+		return // finished tasks are not what makes the record large
 	}
 	for runs := job.Record.Finished.SpanCount(); runs > 1; {
 		runs /= 2
--- a/internal/clusterstate/planning.go
+++ b/internal/clusterstate/planning.go
@@ -8,8 +8,8 @@
 	"github.com/pebbletrail/pebbletrail/internal/scheduler"
 )
 
-// Plan assigns what there is room for, after it has looked at what must be stopped; the committer then
-// stores the assignments' markers.
+// Plan runs a planning pass: it stops the tasks that must be stopped, then assigns as many pending tasks as
+// there is room for. The committer then stores the markers of the new assignments.
 func (c *State) Plan(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -25,7 +25,7 @@
 	}
 }
 
-// newScheduler makes the scheduler of a term. Its random choices follow from the term.
+// newScheduler returns the scheduler of a term. Its random numbers are seeded from the term.
 func newScheduler(c *State) *scheduler.Scheduler {
 	state := scheduler.State{Settings: c.settings, Jobs: c.jobs, Machines: c.machines, Capacity: c.capacity, Quota: c.quota, Estimates: c.estimates}
 	rng := rand.New(rand.NewPCG(uint64(c.generation), uint64(len(c.writer))))
--- a/internal/clusterstate/planning_cost_test.go
+++ b/internal/clusterstate/planning_cost_test.go
@@ -12,8 +12,8 @@
 	"github.com/pebbletrail/pebbletrail/internal/worker"
 )
 
-// Counts examined machines instead of time: the cost of a pass must follow what changed and not grow
-// with the fleet times the jobs or tasks.
+// The test counts examined machines instead of measuring time: the cost of a pass must depend on what
+// changed, and must not grow with the number of machines times the number of jobs or tasks.
 func TestPlanningCostFollowsChangesNotFleetSize(t *testing.T) {
 	t.Parallel()
 	now := time.Now()
@@ -43,7 +43,7 @@
 		t.Errorf("assigning %d tasks of %d jobs examined %d machines, more than %d", countAssignments(cluster), jobs, full, most)
 	}
 	cluster.markAllStored()
-	// A full fleet: hundreds of pending jobs find that out once, not each of them.
+	// A full fleet: hundreds of pending jobs must not each search it for room.
 	if n := cost(func() {
 		for i := range 300 {
 			submitJob(1000+i, 20, 1)
@@ -62,7 +62,7 @@
 	if n := len(cluster.capacity.AssignmentsOn("host-000007")); n != 4 {
 		t.Errorf("%d tasks are assigned to the four cores that became free", n)
 	}
-	// Nothing changed: only the head of the queue is looked at.
+	// Nothing changed: only the head of the queue is examined.
 	if n := cost(func() {}); n > 100 {
 		t.Errorf("nothing changed, and %d machines were examined", n)
 	}
@@ -152,8 +152,8 @@
 
 func TestPreemptionExaminesFewMachinesPerTaskInLargeFleet(t *testing.T) {
 	t.Parallel()
-	// Guards against weighing the whole fleet for each of hundreds of urgent tasks, as after a wave of
-	// spot preemptions: with 6,000 machines the leader was blocked until its lease had expired.
+	// Guards against examining the whole fleet for each of hundreds of urgent tasks, as after many spot
+	// preemptions at once: with 6,000 machines the leader was blocked until its lease had expired.
 	now := time.Now()
 	cluster := newStateWithMachines(largestFleetSize)
 	for i := range largestFleetSize / 30 {
--- a/internal/clusterstate/queue_order_test.go
+++ b/internal/clusterstate/queue_order_test.go
@@ -42,7 +42,7 @@
 	if jobs := cluster.scheduler.Ranked(now); jobs[0].Record.Spec.ID != "job-2" {
 		t.Error("the low job that has run before ranks above the high one")
 	}
-	// A job that has never started ranks first after so long.
+	// A job that has waited as long and has never started ranks first.
 	cluster.jobs.Get("job-1").Record.Attempt = 0
 	if jobs := cluster.scheduler.Ranked(now); jobs[0].Record.Spec.ID != "job-1" {
 		t.Error("the low job that never started does not rank first")
@@ -51,7 +51,7 @@
 
 func TestQueueTimeCountsFromReadinessAndDeadlineFromSubmission(t *testing.T) {
 	// Guards against a job that waited long for its dependencies counting as starving, or rising above
-	// its priority, as soon as it is ready; and against a deadline that starts anew.
+	// its priority, as soon as it is ready; and against counting its deadline from then on.
 	synctest.Test(t, func(t *testing.T) {
 		now := time.Now()
 		waited := newRecord("job-1", "blue", record.Low, 50, 1)
@@ -104,7 +104,7 @@
 }
 
 func TestStarvationCountsFromLastDependencyEnd(t *testing.T) {
-	// Guards against a job that ranks above others, or has machines reserved, because of the time in
+	// Guards against a job that ranks above others, or has machines reserved, because of the time during
 	// which it could not start.
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newTestState()
--- a/internal/clusterstate/ready_jobs.go
+++ b/internal/clusterstate/ready_jobs.go
@@ -14,8 +14,9 @@
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// collectReadyMoves collects the waiting jobs that become schedulable. After a group with such moves urgent
-// changes have one to themselves: an end that many depend on must not keep all else waiting.
+// collectReadyMoves collects the moves of waiting jobs that become schedulable. After a group with such
+// moves, urgent changes get a group to themselves: the end of a job with many dependents must not delay all
+// else.
 func (t *dependencyTracker) collectReadyMoves(add func(commit.Change) bool) {
 	if t.movedLast && t.changes.HasUrgent() {
 		t.movedLast = false
@@ -31,7 +32,8 @@
 	}
 }
 
-// collectCancelledMoves collects the waiting jobs that end because one that they depend on was cancelled.
+// collectCancelledMoves collects the moves of waiting jobs that end because a job that they depend on was
+// cancelled.
 func (t *dependencyTracker) collectCancelledMoves(add func(commit.Change) bool) {
 	for id := range t.graph.Cancelled() {
 		if !t.inShard(id) {
@@ -43,20 +45,20 @@
 	}
 }
 
-// readyJob is a waiting job with what it is sorted by.
+// readyJob is a ready job with the properties that it is sorted by.
 type readyJob struct {
 	id        ids.Job
 	priority  int
 	submitted ids.Timestamp
 }
 
-// sortByPriority sorts this shard's waiting jobs, inherited priority included; the first submitted of
-// equals go first.
+// sortByPriority returns those of the waiting jobs that belong to this shard, sorted by priority, inherited
+// priority included, and then by the time of submission.
 func (t *dependencyTracker) sortByPriority(jobs iter.Seq[ids.Job]) []ids.Job {
 	var ready []readyJob
 	for id := range jobs {
 		if !t.inShard(id) {
-			continue // its shard's leader moves it
+			continue // the leader of the job's shard moves it
 		}
 		waiting := t.waiting[id].Record
 		priority := max(int(waiting.Spec.Priority), t.graph.InheritedUrgency(id).Priority)
@@ -72,8 +74,8 @@
 	return sorted
 }
 
-// encodeReadyMove makes the change that moves a waiting job to the schedulable ones; ok is false when its
-// record does not fit a value.
+// encodeReadyMove returns the change that moves a waiting job to the schedulable ones; ok is false if its
+// record does not fit a stored value.
 func (t *dependencyTracker) encodeReadyMove(id ids.Job) (change commit.Change, ok bool) {
 	waiting := t.waiting[id]
 	moved := t.nextRecord(waiting)
@@ -84,8 +86,8 @@
 	return t.moveTo(record.JobKey(id), waiting, moved, value, ok)
 }
 
-// encodeCancelledMove makes the change that ends a waiting job; ok is false when its record does not fit a
-// value.
+// encodeCancelledMove returns the change that ends a waiting job as cancelled; ok is false if its record
+// does not fit a stored value.
 func (t *dependencyTracker) encodeCancelledMove(id ids.Job) (change commit.Change, ok bool) {
 	waiting := t.waiting[id]
 	moved := t.nextRecord(waiting)
@@ -96,14 +98,16 @@
 	return change, ok
 }
 
-// nextRecord is a waiting job's record as this leader writes it next.
+// nextRecord returns a copy of a waiting job's record with the generation, writer and version of this
+// leader's next write.
 func (t *dependencyTracker) nextRecord(waiting *workload.WaitingJob) *record.Record {
 	next := *waiting.Record
 	next.Generation, next.Writer, next.Seq = t.cluster.FencingToken(), t.writer, waiting.Record.Seq+1
 	return &next
 }
 
-// moveTo makes the change that moves a waiting job's record to another key.
+// moveTo returns the change that moves a waiting job's record to another key; ok is false if the record
+// does not fit a stored value.
 func (t *dependencyTracker) moveTo(key string, waiting *workload.WaitingJob, moved *record.Record, value []byte, fits bool) (change commit.Change, ok bool) {
 	if !fits {
 		slog.Error("waiting job's record does not fit", "job", waiting.ID())
@@ -115,7 +119,7 @@
 		Ops:        []state.Op{{Remove: from}, {Put: key, Value: value}}}, true
 }
 
-// waitingJobMoved takes in that a waiting job's move is stored.
+// waitingJobMoved records that a waiting job's move is stored.
 func (t *dependencyTracker) waitingJobMoved(change commit.Change, revision ids.Revision, now time.Time) {
 	id := change.Waiting.ID()
 	t.removeIfWaiting(change.Waiting)
@@ -129,7 +133,7 @@
 	}
 }
 
-// removeIfWaiting takes a job out of those that wait, if it is still known in this form.
+// removeIfWaiting removes a waiting job, unless it was removed or replaced before.
 func (t *dependencyTracker) removeIfWaiting(waiting *workload.WaitingJob) {
 	if t.waiting[waiting.ID()] == waiting {
 		t.removeWaitingJob(waiting)
--- a/internal/clusterstate/record_compatibility_test.go
+++ b/internal/clusterstate/record_compatibility_test.go
@@ -45,8 +45,8 @@
 }
 
 func TestProductionRecordsRoundTripUnchanged(t *testing.T) {
-	// Guards against a field that one version drops, renames or reads otherwise: what production wrote
-	// is written back unchanged, with every assignment kept.
+	// Guards against a field that one version drops, renames or interprets differently: what the production
+	// version wrote must be written back unchanged, with every assignment.
 	for _, name := range []string{"queued.json", "claimed.json", "cancelling.json", "done.json"} {
 		t.Run(name, func(t *testing.T) {
 			want := readProductionFile(t, name)
@@ -82,12 +82,12 @@
 }
 
 func TestProductionVersionCanReadNewRecords(t *testing.T) {
-	// Guards against records that a leader of the production version would take for something else. It
-	// must skip a waiting job's record: it would start the job at once and drop its dependencies.
+	// Guards against records that a leader of the production version would misread. It must skip a waiting
+	// job's record: otherwise it would start the job at once and drop its dependencies.
 	rec := newRecord("job-2", "blue", record.Normal, 4, 1)
 	rec.Spec.DependsOn = []ids.Job{"job-1"}
 	raw, ok := rec.EncodeWaiting(testValueBytes)
-	var old map[string]any // any type that reads objects only, as production's does
+	var old map[string]any // any type that decodes only JSON objects, as in the production version
 	if err := json.Unmarshal(raw, &old); !ok || err == nil {
 		t.Errorf("a waiting job's record reads as a JSON object: %s", raw)
 	}
@@ -97,7 +97,7 @@
 	if _, err := record.Decode(raw); err == nil {
 		t.Error("a waiting job's record is taken for a ready job's")
 	}
-	// Once the job is ready, its record's only new fields are ones that may be lost.
+	// Once the job is ready, the only new fields of its record are ones that may be lost.
 	rec.ReadyAt = 1700000000000
 	raw, _ = rec.Encode(testValueBytes)
 	if err := json.Unmarshal(raw, &old); err != nil {
@@ -121,13 +121,13 @@
 	}
 }
 
-// firstPipelineVersionDir holds records written by the first version with pipelines, which still called
-// itself 0.1.0: any version may have been running.
+// firstPipelineVersionDir holds records written by the first version with pipelines, which still had the
+// version number 0.1.0: any version may have been running.
 const firstPipelineVersionDir = "testdata/0.1.0-pipelines"
 
 func TestFirstPipelineVersionRecordsRoundTripUnchanged(t *testing.T) {
-	// Guards against a change of the stored form of a job that waits, or has waited, for dependencies:
-	// that version may have stored it, and may read it again.
+	// Guards against a change of the stored form of a job that waits, or has waited, for dependencies: the
+	// first version with pipelines may have stored the record, and may read it again.
 	for _, test := range []struct {
 		name   string
 		decode func(json.RawMessage) (*record.Record, error)
--- a/internal/clusterstate/record_encoding_test.go
+++ b/internal/clusterstate/record_encoding_test.go
@@ -119,8 +119,8 @@
 }
 
 func TestFinalRecordFitsLimitAndKeepsOutcome(t *testing.T) {
-	// Guards against an outcome, or the cancellation of a queued job, that can't be stored because of
-	// parts that nobody needs any more, and against losing why the job ended.
+	// Guards against an outcome, or the cancellation of a queued job, that cannot be stored because of
+	// parts of the record that are no longer needed, and against losing why the job ended.
 	rec := newRecord("job-1", "red", record.Low, 4000, 1)
 	for i := 0; i < 4000; i += 2 {
 		rec.Finished.Add(i)
@@ -165,8 +165,8 @@
 }
 
 func TestStoredCancellationRoundTripsAndIsNotAJobRecord(t *testing.T) {
-	// Guards against a version without such keys taking one for a job's record, and against a controller
-	// that can't read what another has stored.
+	// Guards against a version without cancellation keys decoding a cancellation as a job's record, and
+	// against a controller that cannot read what another has stored.
 	raw := record.Cancellation{At: 1700000000000, Writer: "a.1"}.Encode()
 	if _, err := record.Decode(raw); err == nil {
 		t.Errorf("%s is decoded as a record", raw)
@@ -186,8 +186,8 @@
 }
 
 func TestWaitingRecordRoundTripsInBothForms(t *testing.T) {
-	// Guards against IDs that are lost, cut or changed when they are packed, and against no longer
-	// reading records of the first form, in which all IDs are spelled out.
+	// Guards against IDs that are lost, truncated or changed when they are packed, and against failing to
+	// read records of the first form, in which all IDs are spelled out.
 	for name, dependencies := range map[string][]ids.Job{
 		"one":             {"job-1"},
 		"one is a prefix": {"job-1", "job-12"},
--- a/internal/clusterstate/record_limits_test.go
+++ b/internal/clusterstate/record_limits_test.go
@@ -59,8 +59,8 @@
 
 func TestOnlyRecordSizeBoundsAssignedTasks(t *testing.T) {
 	t.Parallel()
-	// Guards against a fixed limit on a job's tasks that is smaller than a large fleet, although the
-	// store's values would hold more.
+	// Guards against a fixed limit on a job's assigned tasks that is smaller than a large fleet, although
+	// a stored value has space for more.
 	now := time.Now()
 	cluster := newStateWithMachines(largestFleetSize)
 	cluster.settings.Params.State.ValueKB = 56 // as much as a transaction carries
@@ -83,7 +83,7 @@
 }
 
 func TestOversizeRecordNotEncodedAgainUnchanged(t *testing.T) {
-	// Guards against encoding a large record four times a second for nothing.
+	// Guards against encoding an unchanged large record four times a second.
 	cluster := newTestState()
 	job := cluster.addJob(newRecord("job-1", "blue", record.Low, 10, 1), 1, time.Now())
 	limits := commit.LimitsOf(state.NewBudget(1000, 1000, 1, 0.6))
@@ -105,8 +105,8 @@
 }
 
 func TestRecordsRewrittenSmallerAfterValueLimitDrops(t *testing.T) {
-	// Guards against sending a value that no longer fits again and again, and against removing tasks
-	// from a record that may be on machines.
+	// Guards against sending a value that no longer fits again and again, and against removing from the
+	// record the assignments of tasks that may be on machines.
 	synctest.Test(t, func(t *testing.T) {
 		_, store, client := newTestStore()
 		ctx := context.Background()
@@ -181,7 +181,7 @@
 	t.Parallel()
 	now := time.Now()
 	cluster := newStateWithMachines(100)
-	// The limit follows from the space that the spec leaves in the record.
+	// The limit follows from the space that the job's description leaves in the record.
 	limit := cluster.maxAssignedTasks(&workload.Job{Record: *newRecord("job-2", "blue", record.Normal, 200, 1)})
 	gang := newGangRecord("job-1", "blue", record.High, limit+1, 1)
 	cluster.submit(1, gang, now)
@@ -194,8 +194,8 @@
 	if job := cluster.jobs.Get("job-2"); len(job.Assignments) != limit || !strings.Contains(job.PendingReason, "record") {
 		t.Errorf("the array has %d assignments, want %d; its pending reason is %q", len(job.Assignments), limit, job.PendingReason)
 	}
-	// If a record comes out larger all the same, the assignments that have not started are dropped and
-	// the job goes on in smaller batches.
+	// If a record is larger than estimated all the same, the assignments whose starts were not sent are
+	// removed and fewer tasks are assigned at a time.
 	cluster.handleOversize(cluster.jobs.Get("job-2"))
 	cluster.Plan(now)
 	if n := len(cluster.assignmentsOf("job-2")); n == 0 || n > limit/2 {
--- a/internal/clusterstate/recovery.go
+++ b/internal/clusterstate/recovery.go
@@ -11,14 +11,14 @@
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// Load fills the cluster state with the records found at a takeover. Their claims ended
-// with their leader; their assignments stay until a report, an expired lease or the cloud tells
-// what became of them.
+// Load fills the cluster state with the records read at a takeover. The claims in them ended with the
+// leader that made them; their assignments stay until a report, an expired lease or the cloud shows what
+// became of the tasks.
 func (c *State) Load(records map[ids.Job]*record.Record, revisions map[ids.Job]ids.Revision, at ids.Revision, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	// Changes may have come before the list: what is not in it is kept only if it is newer than the
-	// list.
+	// Changes may have arrived before the list. A job known from them is discarded if the list has a newer
+	// record of it, or lacks it and is at least as new.
 	for id, job := range c.jobs.All() {
 		if s, listed := revisions[id]; job.Revision <= at && !listed || listed && s > job.Revision {
 			c.discardJob(job)
@@ -34,7 +34,8 @@
 	wait.Signal(c.commitSignal)
 }
 
-// discardJob takes back what changes told of a job before the records were loaded.
+// discardJob removes a job, with its assignments, that was known from changes before the records were
+// loaded.
 func (c *State) discardJob(job *workload.Job) {
 	for _, i := range workload.SortedTasks(job.Assignments) {
 		c.removeAssignment(job.Assignments[i])
@@ -60,14 +61,14 @@
 	return job
 }
 
-// IsOwnWrite tells whether a record is this leader's own writing, without reading
-// all of it: most changes are, and the cluster state knows them already.
+// IsOwnWrite reports whether this leader wrote a record, without decoding the record: most changes are this
+// leader's own writes, which the cluster state knows already.
 func (c *State) IsOwnWrite(raw json.RawMessage) bool {
 	return bytes.Contains(raw, []byte(`"writer":"`+c.writer+`"`))
 }
 
-// HandleRecord takes in what another controller wrote: a new job or a cancellation.
-// rec is nil when the live record went away.
+// HandleRecord applies a change of a job's live record by another controller: a new job or a cancellation.
+// rec is nil if the live record was removed.
 func (c *State) HandleRecord(id ids.Job, revision ids.Revision, rec *record.Record, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -80,12 +81,12 @@
 		return
 	}
 	if revision <= job.Revision || rec != nil && rec.Writer == c.writer {
-		return // our own write; its answer or a read after it settles that
+		return // this leader's own write: its answer, or a read after it, shows the outcome
 	}
 	if !c.loaded {
-		// Nothing is this leader's yet: it may be the last leader's writing, whose assignments
-		// count like those in the records. To take it for a user's, who changes only the
-		// status, would lose them.
+		// This leader has written nothing yet, so the record may be the previous leader's, whose
+		// assignments count like those in the loaded records. Handling it like a user's write, which
+		// changes only the status, would lose them.
 		c.discardJob(job)
 		if rec != nil && !rec.Status.IsTerminal() {
 			c.addJob(rec, revision, now)
@@ -93,9 +94,9 @@
 		return
 	}
 	if rec == nil {
-		// Our own ending shows here too, as a change that may outrun its answer.
-		// Another's ending is only written while no task is assigned, and our
-		// next write on the job finds out.
+		// If this leader ended the job, its own write arrives here too, possibly before the answer to it.
+		// Another controller ends a job only while no task is assigned; if one is by now, this leader's
+		// next write of the job finds out.
 		if !job.Record.Status.IsTerminal() && len(job.Assignments) == 0 {
 			c.retireJob(job)
 		}
@@ -104,7 +105,7 @@
 	c.applyForeignWrite(job, revision, rec)
 }
 
-// applyForeignWrite takes over another controller's write on a known job.
+// applyForeignWrite applies another controller's write to a known job.
 func (c *State) applyForeignWrite(job *workload.Job, revision ids.Revision, rec *record.Record) {
 	job.Revision = revision
 	if rec.Status == record.Cancelling {
@@ -113,8 +114,8 @@
 	c.markChanged(job)
 }
 
-// retireJob drops a job whose end is stored. What may still be on machines stays
-// assigned until proven gone.
+// retireJob drops a job whose end is stored. Tasks that may still be on machines stay assigned until they
+// are proven gone.
 func (c *State) retireJob(job *workload.Job) {
 	id := job.Record.Spec.ID
 	job.Ended = true
--- a/internal/clusterstate/reports.go
+++ b/internal/clusterstate/reports.go
@@ -9,15 +9,15 @@
 	"github.com/pebbletrail/pebbletrail/internal/worker"
 )
 
-// newReconciler makes the reconciler of a term.
+// newReconciler returns the reconciler of a term.
 func newReconciler(c *State) *reconcile.Reconciler {
 	return reconcile.New(reconcile.State{Settings: c.settings, Jobs: c.jobs, Machines: c.machines, Capacity: c.capacity,
 		Estimates: c.estimates, Commands: c.commands, Costs: &c.costs, FirstGeneration: c.firstGeneration}, operations{c})
 }
 
-// ReconcileHeartbeat reconciles a worker's report and returns the commands that its machine should get.
-// answered tells that the worker gets a 200 for this report; heartbeat tells a heartbeat from the answer to
-// direct commands.
+// ReconcileHeartbeat reconciles a worker's report and returns the commands for its machine. answered is set
+// if the worker gets a 200 for this report; heartbeat is set if the report is a heartbeat, not the answer
+// to direct commands.
 func (c *State) ReconcileHeartbeat(report *worker.Report, answered, heartbeat bool) []worker.Command {
 	starts, recordsRead := c.StartsAllowed()
 	c.mu.Lock()
@@ -25,14 +25,15 @@
 	now := time.Now()
 	defer measure.Process.Took("report", now)
 	if c.terminated[report.Machine] {
-		return nil // held back on its way: the machine is gone
+		return nil // the report was delayed: the machine is gone already
 	}
 	source := reconcile.Source{Heartbeat: heartbeat, Answered: answered, TrustSilence: c.trustSilence}
 	permission := dispatch.Permission{FencingToken: c.generation, Starts: starts, RecordsRead: recordsRead}
 	return c.reconciler.Report(report, source, permission, now)
 }
 
-// LeaseMustExpire tells whether a worker's lease must not be renewed; see reconcile.Reconciler.
+// LeaseMustExpire reports whether a worker's lease must not be renewed; see
+// reconcile.Reconciler.LeaseMustExpire.
 func (c *State) LeaseMustExpire(report *worker.Report, grace time.Duration) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/clusterstate/starvation_test.go
+++ b/internal/clusterstate/starvation_test.go
@@ -13,8 +13,8 @@
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// Ranking jobs by the soonest completion must not starve the largest job of a class, low priority or the
-// smallest team: each starts within four minutes, with more work than capacity.
+// Ranking jobs by the soonest completion must not starve the largest job of a class, jobs of low priority
+// or the smallest team: each must start within four minutes while there is more work than capacity.
 func TestNoJobStarvesUnderSteadyStreamOfSmallerJobs(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -47,7 +47,7 @@
 					submittedAt[id] = time.Now()
 				}
 			}
-			// Half as much again as ten machines of four cores can run.
+			// This is half as much again as ten machines of four cores can run.
 			for i := range 3 {
 				submitJob(ids.Job(fmt.Sprintf("job-%d", second*3+i)), "blue", record.Normal, 2, 1, 10)
 			}
@@ -76,8 +76,8 @@
 
 func TestLongestStarvingJobRanksFirst(t *testing.T) {
 	t.Parallel()
-	// Guards against small jobs within their teams' guarantees that take every reserved machine, one
-	// after the other, while the largest job waits for one machine forever.
+	// Guards against small jobs within their teams' guarantees that get every reserved machine, one after
+	// the other, while the largest job waits forever for a single machine.
 	now := time.Now()
 	cluster := newStateWithMachines(4)
 	large := newRecord("job-1", "blue", record.Low, 150, 4)
@@ -125,7 +125,7 @@
 func TestJobPreemptedRightAfterFirstStartDoesNotStarve(t *testing.T) {
 	t.Parallel()
 	// Guards against counting a start that was preempted at once as the job's first start: such a job
-	// waited forever beside a stream of smaller jobs.
+	// waited forever while smaller jobs kept arriving.
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newStateWithMachines(10)
 		sequence := ids.SequenceNumber(1)
--- a/internal/clusterstate/state.go
+++ b/internal/clusterstate/state.go
@@ -1,6 +1,7 @@
-// Package clusterstate holds what the leader of a shard knows: jobs, assignments and machines, under one
-// lock. Each of its methods takes the lock, calls one of the packages that decide (scheduler, provisioning,
-// eviction, reconcile, dispatch, quota) and gives them what they may change; see docs/architecture.md.
+// Package clusterstate implements the in-memory state of a shard's leader: jobs, assignments and machines,
+// under one lock. Each exported method of State takes the lock and calls one of the packages that decide
+// (scheduler, provisioning, eviction, reconcile, dispatch, quota), which change the state through the
+// operations passed to them; see docs/architecture.md.
 package clusterstate
 
 import (
@@ -29,40 +30,41 @@
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// State is what the leader of a shard knows in one term: jobs, assignments and machines.
+// State is the in-memory state of a shard's leader during one term: jobs, assignments and machines.
 //
-// Its lock guards every field but the constant ones. The lock is held for a moment only: never over a call
-// to the store, the cloud or a worker, and planning yields it between jobs. What comes before and after it
-// in the order of locks is told in internal/election's package comment.
+// Its lock guards every field but the constant ones. The lock is held only briefly: never during a call to
+// the store, the cloud or a worker, and planning yields it between jobs. The package comment of
+// internal/election gives the order in which it is taken with other locks.
 type State struct {
 	mu sync.Mutex
 
-	// What stays as it is for the whole term.
+	// These fields are constant during the term.
 	settings        *config.Settings
 	shard           ids.Shard
 	keys            record.ShardKeys
-	writer          string         // names this leader in what it writes
-	firstGeneration ids.Generation // the one that the term began with
+	writer          string         // identifies this leader in the records that it writes
+	firstGeneration ids.Generation // the generation with which the term began
 	termBegan       time.Time
 
-	// What follows is kept up to date change by change, so that planning, sending and storing never walk the
+	// These are updated with each change, so that planning, sending and storing never iterate over the
 	// whole fleet or all jobs.
 	jobs      *workload.Queue
 	machines  *worker.Registry
 	capacity  *capacity.Index // assignments by machine, free capacity by instance type, images
 	estimates *estimate.Estimator
-	quota     *quota.Tracker // what each team uses and may still have
+	quota     *quota.Tracker // what each team uses and has left of its quota
 	zones     *liveness.Zones
 	costs     costs.Account
-	// changes are the jobs whose records are to be stored.
+	// changes holds the jobs whose records are to be stored.
 	changes *workload.Changes
-	// cancellations are the revisions of those stored apart from their jobs' records.
+	// cancellations holds the revisions of the cancellations that are stored apart from their jobs'
+	// records.
 	cancellations map[ids.Job]ids.Revision
 	dependencies  *dependencyTracker
-	// terminated are the machines whose deletion the cloud confirmed.
+	// terminated holds the machines whose deletion the cloud confirmed.
 	terminated map[ids.Machine]bool
 
-	// Who decides.
+	// These components make the decisions.
 	scheduler  *scheduler.Scheduler
 	planner    *provisioning.Planner
 	evictor    *eviction.Evictor
@@ -70,39 +72,42 @@
 	commands   *dispatch.Queue
 	prober     *dispatch.Prober
 
-	// generation is the fencing token that commands carry now. raiseWanted tells that it should rise, to turn
-	// late starts away.
+	// generation is the fencing token that commands carry now. raisePending is set if it should be raised,
+	// so that workers reject late starts.
 	generation   ids.Generation
 	raisePending bool
-	// trustSilence is the earliest that the lease of an unheard machine counts as expired: an earlier leader
-	// may have gone on answering its worker until its own grace period ended.
+	// trustSilence is the earliest time at which the lease of a machine that has not reported counts as
+	// expired: an earlier leader may have gone on answering the worker until that leader's grace period
+	// ended.
 	trustSilence    time.Time
 	leasesCheckedAt time.Time
-	hintSequence    uint64 // counts changes of what the other controllers should know
+	hintSequence    uint64 // counts the changes of hints
 	closed          bool
-	loaded          bool         // all records were read after the takeover
-	machineCount    atomic.Int64 // machines, as last counted
+	loaded          bool         // all records were loaded after the takeover
+	machineCount    atomic.Int64 // number of machines when last counted
 
-	// StatusInOtherShard is the status of a live job of another shard, by this node's copy of the records;
-	// live is false if there is none. It and the two functions below are set before the term begins.
+	// StatusInOtherShard returns the status of a live job of another shard, according to this node's copy
+	// of the records; live is false if there is none. It and the two functions below are set before the
+	// term begins.
 	StatusInOtherShard func(id ids.Job) (status record.Status, live bool)
-	// StoreAvailable tells whether the store has answered just now. While it does not, nothing that is
-	// stopped could be started again, so nothing is stopped that could go on.
+	// StoreAvailable reports whether the store has answered recently. While it does not, no stopped task
+	// could be started again, so no task is stopped that could go on.
 	StoreAvailable func() bool
-	// StartsAllowed tells whether starts may go out, and of when what was read of the records is: another
-	// node may have confirmed since, unknown to this one, that a job is cancelled. It is called without the
-	// lock.
+	// StartsAllowed reports whether starts may be sent, and the time of the last complete read of the
+	// records: another node may have confirmed since, unknown to this one, that a job is cancelled. It is
+	// called without the lock.
 	StartsAllowed func() (ok bool, read time.Time)
 
 	commitSignal, planSignal chan struct{}
 }
 
-// New makes the cluster state of one term of leading the first shard.
+// New returns the cluster state of one term of leading the first shard.
 func New(settings *config.Settings, writer string, generation ids.Generation, trustSilence time.Time) *State {
 	return NewShard(settings, writer, generation, trustSilence, 0)
 }
 
-// NewShard makes the cluster state of one term of leading a shard.
+// NewShard returns the cluster state of one term of leading a shard. Before trustSilence, no lease of a
+// machine that has not reported counts as expired.
 func NewShard(settings *config.Settings, writer string, generation ids.Generation, trustSilence time.Time, shard ids.Shard) *State {
 	machines := worker.NewRegistry(settings.Params.Workers.LeaseS)
 	index := capacity.NewIndex(machines)
@@ -140,10 +145,12 @@
 	return c
 }
 
-// PlanWanted is ready to be read once something changed that planning should look at.
+// PlanWanted returns a channel that is ready to be read once something changed that requires a planning
+// pass.
 func (c *State) PlanWanted() <-chan struct{} { return c.planSignal }
 
-// recordEvent appends to the job's events, whose number is bounded.
+// recordEvent appends to the job's events and drops the oldest beyond the limit. A repetition of the last
+// event only updates its time.
 func (c *State) recordEvent(job *workload.Job, format string, args ...any) {
 	limit := int(c.settings.Operator.TrailEvents)
 	what := fmt.Sprintf(format, args...)
@@ -158,7 +165,8 @@
 	}
 }
 
-// markChanged marks a job as changed.
+// markChanged records that a job changed, and sets a queued or claimed job's status by whether it has
+// assignments.
 func (c *State) markChanged(job *workload.Job) {
 	job.Version++
 	if c.jobs.Contains(job) && !job.Ended {
@@ -179,20 +187,20 @@
 	}
 }
 
-// markUrgent marks a job's change as one that others wait for: a marker before
-// starts, or an end.
+// markUrgent marks a job's change as one to store at once, since something waits for it: starts for their
+// markers, or other jobs and users for an end.
 func (c *State) markUrgent(job *workload.Job) {
 	job.Urgent = true
 	wait.Signal(c.commitSignal)
 }
 
-// removeJob takes a job out of the cluster state.
+// removeJob removes a job from the cluster state.
 func (c *State) removeJob(job *workload.Job) {
 	c.jobs.Remove(job)
 	c.changes.Remove(job)
 }
 
-// cancelJob stops everything of a job whose user was, or is about to be, told.
+// cancelJob stops all tasks of a job whose cancellation was confirmed to the user, or is about to be.
 func (c *State) cancelJob(job *workload.Job) {
 	if job.Cancelled() || job.Record.Status == record.Done {
 		return
@@ -206,7 +214,7 @@
 	c.finishIfComplete(job)
 }
 
-// finishIfComplete moves a job to its final status when nothing is left of it.
+// finishIfComplete moves a job to its final status if none of its tasks is left to run or to stop.
 func (c *State) finishIfComplete(job *workload.Job) {
 	switch {
 	case job.Record.Status.IsTerminal():
@@ -229,7 +237,7 @@
 	}
 }
 
-// SetMachineTypes stores the cloud's offer.
+// SetMachineTypes records the machine types that the cloud offers.
 func (c *State) SetMachineTypes(types []placement.InstanceType) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -237,22 +245,22 @@
 	c.dependencies.refreshDurations()
 }
 
-// Generation is the token that this leader's commands carry now.
+// Generation returns the fencing token that this leader's commands carry now.
 func (c *State) Generation() ids.Generation {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.generation
 }
 
-// Close ends the cluster state: nothing more is planned or sent from it.
+// Close closes the cluster state: nothing more is planned or sent from it.
 func (c *State) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.closed = true
 }
 
-// TrustSilenceFrom moves the time from which silent workers' leases count as expired forward, once
-// no other controller can be answering them any more.
+// TrustSilenceFrom lets the leases of workers that have not reported count as expired from an earlier time
+// on, once no other controller can be answering them any more.
 func (c *State) TrustSilenceFrom(at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -267,6 +275,6 @@
 	c.trustSilence = at
 }
 
-// MachineCount is how many machines there are, as far as this leader knows. It takes
-// no lock: every user's call asks.
+// MachineCount returns the number of machines that this leader knew when they were last counted. It takes
+// no lock, since every user's request calls it.
 func (c *State) MachineCount() int { return int(c.machineCount.Load()) }
--- a/internal/clusterstate/store_changes.go
+++ b/internal/clusterstate/store_changes.go
@@ -11,29 +11,30 @@
 )
 
 const (
-	// outcomeDelay is how long outcomes of unfinished jobs may wait for one another before they are
-	// stored. Nothing is lost by that: until stored they are not cleared, so the next leader would learn
-	// them from the workers again; and what others wait for, markers and ends, is never kept waiting.
+	// outcomeDelay is how long task outcomes of unfinished jobs may be delayed, so that several are stored
+	// together. No outcome is lost: workers report it until it is stored and cleared, so the next leader
+	// would learn it again. Changes that something waits for, markers and ends, are not delayed.
 	outcomeDelay = 4 * time.Second
-	// scarceOutcomeDelay is the same while changes are scarce: new work and ends need them more.
+	// scarceOutcomeDelay replaces outcomeDelay while the store takes few more changes: new work and ends
+	// need them more.
 	scarceOutcomeDelay = 12 * time.Second
 )
 
-// maxTxnBytes is how much of a transaction's 64 KiB its changes may fill; its conditions and the rest of
-// its text take less than txnBytes and changeBytes say.
+// maxTxnBytes is how much of a transaction's 64 KiB its changes may fill. The text around the values,
+// conditions included, takes less than txnBytes in a transaction and changeBytes in each change.
 const (
 	maxTxnBytes = 60 * 1024
 	txnBytes    = 256
 	changeBytes = 200
 )
 
-// Writer names this leader in what it writes.
+// Writer returns the name that identifies this leader in the records that it writes.
 func (c *State) Writer() string { return c.writer }
 
-// CommitWanted is ready to be read once a change has to be stored at once.
+// CommitWanted returns a channel that is ready to be read once a change must be stored at once.
 func (c *State) CommitWanted() <-chan struct{} { return c.commitSignal }
 
-// ValueLimit is how many bytes a value may take.
+// ValueLimit returns the size limit of a stored value in bytes.
 func (c *State) ValueLimit() int { return valueLimit(c.settings) }
 
 // changeGroup collects changes within the limits of one transaction.
@@ -44,7 +45,7 @@
 	changes []commit.Change
 }
 
-// add adds a change if it fits.
+// add adds a change if it fits, and reports whether it did.
 func (g *changeGroup) add(change commit.Change) bool {
 	if g.ops+len(change.Ops) > g.maxOps || g.size+change.Size > maxTxnBytes {
 		return false
@@ -55,8 +56,8 @@
 	return true
 }
 
-// CollectChanges picks the changes to store now, most urgent first, within the limits of one transaction;
-// raise tells that the generation is to be raised before.
+// CollectChanges returns the changes to store now, most urgent first, within the limits of one transaction;
+// raise is set if the generation must be raised first.
 func (c *State) CollectChanges(limits commit.Limits) (changes []commit.Change, raise bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -64,12 +65,13 @@
 	c.dependencies.collectReadyMoves(group.add)
 	c.collectChangedJobs(limits, group.add)
 	if !limits.Scarce {
-		c.dependencies.collectCancelledMoves(group.add) // told as cancelled already: these can wait
+		// Users see these jobs as cancelled already, so storing that can wait.
+		c.dependencies.collectCancelledMoves(group.add)
 	}
 	return group.changes, c.raisePending
 }
 
-// collectChangedJobs collects the jobs whose changes are due.
+// collectChangedJobs collects the changes of jobs that are due to be stored.
 func (c *State) collectChangedJobs(limits commit.Limits, add func(commit.Change) bool) {
 	delay := outcomeDelay
 	if limits.Scarce {
@@ -87,8 +89,8 @@
 	}
 }
 
-// encodeChange makes the change that stores a job as it is now; fits tells whether its record fits the
-// limit of values.
+// encodeChange returns the change that stores a job as it is now; fits is false if its record does not fit
+// a stored value.
 func (c *State) encodeChange(job *workload.Job) (change commit.Change, fits bool) {
 	change = commit.Change{Job: job, Version: job.Version, Terminal: job.Record.Status.IsTerminal()}
 	stored := job.Record
@@ -107,7 +109,7 @@
 		job.RecordEncodedSize(stored.Assignments, len(value)-droppableEventBytes(stored.Events))
 	}
 	id := job.ID()
-	// A cancellation stored apart from the record must not be passed over either.
+	// The write must also fail if a cancellation was stored apart from the record meanwhile.
 	cancellation := state.Condition{Key: record.CancelKey(id), Revision: c.cancellations[id]}
 	change.Conditions = []state.Condition{{Key: record.JobKey(id), Revision: job.Revision}, cancellation}
 	change.Size = len(value) + changeBytes
@@ -124,13 +126,13 @@
 }
 
 const (
-	// keptEvents is how many of a record's last events are not given up for assignments.
+	// keptEvents is how many of a record's last events are kept when others are dropped for assignments.
 	keptEvents = 2
-	// eventBytes is about what an event takes beside its message.
+	// eventBytes is the approximate size of an event without its message.
 	eventBytes = 35
 )
 
-// droppableEventBytes is about how many bytes the events would give up for assignments.
+// droppableEventBytes returns the approximate size of the events that may be dropped for assignments.
 func droppableEventBytes(events []record.Event) (bytes int) {
 	for i := range events[:max(0, len(events)-keptEvents)] {
 		bytes += len(events[i].Message) + eventBytes
@@ -138,8 +140,8 @@
 	return bytes
 }
 
-// ChangesStored takes in that changes are in the store. Starts of their jobs wait for a read of the records
-// begun after a time, if there is one.
+// ChangesStored records that changes are stored. If readAfter is not zero, starts of their jobs wait for a
+// read of the records that began after it.
 func (c *State) ChangesStored(changes []commit.Change, revision ids.Revision, readAfter time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -151,14 +153,14 @@
 	}
 }
 
-// changeStored takes in that one change is in the store.
+// changeStored records that one change is stored.
 func (c *State) changeStored(change commit.Change, revision ids.Revision) {
 	if change.Waiting != nil {
 		c.dependencies.waitingJobMoved(change, revision, time.Now())
 		return
 	}
 	job := change.Job
-	job.Revision = max(job.Revision, revision) // a cancellation may be known that was stored after it
+	job.Revision = max(job.Revision, revision) // a cancellation that was stored after the change may be known
 	job.StoredVersion = max(job.StoredVersion, change.Version)
 	c.versionStored(job)
 	if change.Terminal {
@@ -168,8 +170,8 @@
 	}
 }
 
-// versionStored notes what newly stored versions allow: starts whose marker is in the store go out, and
-// later changes may wait for one another again.
+// versionStored handles a newly stored version of a job: starts whose markers are stored now are sent, and
+// later changes may be delayed again.
 func (c *State) versionStored(job *workload.Job) {
 	if job.StoredVersion >= job.Version {
 		c.changes.Remove(job)
@@ -186,20 +188,20 @@
 	}
 }
 
-// GenerationRaised takes in this leader's new generation.
+// GenerationRaised records this leader's new generation.
 func (c *State) GenerationRaised(generation ids.Generation) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.generation, c.raisePending = generation, false
 	for _, node := range c.capacity.Nodes() {
 		if len(node.Assignments) > 0 {
-			c.commands.Add(node) // markers not sent yet must carry the new token
+			c.commands.Add(node) // the markers of starts that were not sent yet must carry the new token
 		}
 	}
 }
 
-// CancellationFound takes in that a job's cancellation is stored apart from its record, or with a revision
-// of 0 that none is.
+// CancellationFound records that a job's cancellation is stored apart from its record, or, if revision is
+// 0, that none is.
 func (c *State) CancellationFound(id ids.Job, revision ids.Revision) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -210,7 +212,7 @@
 	c.applyCancellation(id, revision)
 }
 
-// RecordFound takes in a job's live record: this leader's own, whose answer was lost, or a user's.
+// RecordFound applies a job's live record: this leader's own write, whose answer was lost, or a user's.
 func (c *State) RecordFound(job *workload.Job, stored *record.Record, revision ids.Revision) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -224,8 +226,8 @@
 	c.versionStored(job)
 }
 
-// RecordEnded drops a job whose end is stored already, by this leader's own lost answer or by a cancellation
-// while nothing was assigned.
+// RecordEnded drops a job whose end is stored already, either by this leader's own write, whose answer was
+// lost, or by a cancellation while nothing was assigned.
 func (c *State) RecordEnded(job *workload.Job) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/clusterstate/store_changes_test.go
+++ b/internal/clusterstate/store_changes_test.go
@@ -15,8 +15,8 @@
 )
 
 func TestApplyRejectsOversizeValueBeforeSending(t *testing.T) {
-	// Guards against a leader's own key, such as a long list of instance types, that is refused for its
-	// size and sent again forever.
+	// Guards against a value of the leader's own, such as a long list of instance types, that the store
+	// rejects for its size and that is sent again forever.
 	synctest.Test(t, func(t *testing.T) {
 		_, store, client := newTestStore()
 		store.SetLimits(2048, 4)
@@ -65,8 +65,8 @@
 
 func TestChangesOnlyThisLeaderKnowsAreStoredAtOnce(t *testing.T) {
 	t.Parallel()
-	// Outcomes are batched, since workers report them until they are cleared. That a machine was
-	// terminated, the next leader would learn much later.
+	// Outcomes are batched, since workers report them until they are cleared. The termination of a machine
+	// is stored at once, since the next leader would learn of it much later.
 	now := time.Now()
 	cluster := newTestState()
 	cluster.heartbeat("m1", "north", 1)
--- a/internal/clusterstate/takeover_test.go
+++ b/internal/clusterstate/takeover_test.go
@@ -15,8 +15,8 @@
 
 func TestNewLeaderKnowsPendingInstancesFromHints(t *testing.T) {
 	t.Parallel()
-	// Guards against provisioning twice after a takeover: the cloud's list lags by more than a takeover
-	// takes.
+	// Guards against provisioning twice after a takeover: the lag of the cloud's list is longer than a
+	// takeover.
 	synctest.Test(t, func(t *testing.T) {
 		predecessor := newStateWithMachines(2)
 		predecessor.MachinesProvisioned([]ids.Machine{"host-000100"}, newProvisioningRequest("small", "south"), time.Now())
@@ -44,8 +44,8 @@
 
 func TestTakeoverProbesEachMachineOnce(t *testing.T) {
 	t.Parallel()
-	// Counts a new leader's probes: they grow no faster than the fleet, and a machine that answers is
-	// not probed twice.
+	// Guards against a number of probes by a new leader that grows faster than the fleet, and against
+	// probing a machine that answers twice.
 	const slots = 240
 	for _, machines := range []int{400, largestFleetSize} {
 		t.Run(fmt.Sprintf("%d machines", machines), func(t *testing.T) {
@@ -92,7 +92,7 @@
 func TestPreviousLeadersWriteSeenBeforeTakeoverListingIsKept(t *testing.T) {
 	// Regression: when transactions stayed unanswered around a takeover, one task was started twice. The
 	// previous leader's assignment write reached the new leader as a change, before it had listed the
-	// records, and was taken for a user's write, which assigns nothing.
+	// records, and was handled like a user's write, which contains no assignments.
 	t.Parallel()
 	now := time.Now()
 	assignedRecord := func(generation ids.Generation) *record.Record {
--- a/internal/clusterstate/unreachable_zones_test.go
+++ b/internal/clusterstate/unreachable_zones_test.go
@@ -48,9 +48,9 @@
 
 func TestUnreachableZoneNotMistakenForSingleSilentMachines(t *testing.T) {
 	t.Parallel()
-	// Machines with replicas are probed sooner than others, so in a partitioned zone only they look
-	// silent for some seconds. And when the zone is reachable again, machines that have not reported yet
-	// must not be terminated for their silence during the partition.
+	// Machines with replicas are probed sooner than others, so for some seconds only they look silent in a
+	// partitioned zone. When the zone is reachable again, machines that have not reported yet must not be
+	// terminated for their silence during the partition.
 	cluster := newTestState()
 	cluster.settings.Params.Workers.ReportS = 10
 	start := time.Now()
@@ -119,9 +119,9 @@
 
 func TestTakeoverTerminatesMachinesOfUnreachableZoneOnceLeasesExpired(t *testing.T) {
 	t.Parallel()
-	// Guards against a new leader that waits for leases it knows nothing of: the replicas had ended long
-	// before. Where the zone spread rule leaves no room elsewhere, terminating the machines would gain
-	// nothing.
+	// Guards against a new leader that waits for leases that it knows nothing of although the replicas
+	// ended long ago. Where the zone spread rule leaves no room elsewhere, terminating the machines would
+	// gain nothing.
 	now := time.Now()
 	cluster := newTestState()
 	cluster.addMachines("n", 9, "north")
--- a/internal/clusterstate/urgency_inheritance_test.go
+++ b/internal/clusterstate/urgency_inheritance_test.go
@@ -15,8 +15,8 @@
 
 func TestDiamondDependencyInheritsAndReleasesUrgency(t *testing.T) {
 	// Guards against jobs that keep an inherited priority, and preempt others, when no urgent job
-	// depends on them any more, whichever controller cancelled what; and against one branch losing it
-	// because the other does.
+	// depends on them any more, whichever controller cancelled it; and against one branch losing the
+	// inherited priority because the other branch loses it.
 	for name, test := range map[string]struct {
 		change        func(cluster *State, now time.Time)
 		first, branch record.Priority // effective of job-1 and inherited by job-3, afterwards
@@ -87,8 +87,8 @@
 }
 
 func TestInheritedPriorityPreemptsWithinTeamLimit(t *testing.T) {
-	// Guards against a pipeline delayed by work of lower priority on a full fleet, and against its
-	// inherited priority lifting it over its team's limit.
+	// Guards against a pipeline that is delayed by work of lower priority on a full fleet, and against
+	// exceeding the team's limit because of an inherited priority.
 	for _, hasUrgentDependent := range []bool{false, true} {
 		t.Run(fmt.Sprintf("urgent dependent %v", hasUrgentDependent), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -126,8 +126,8 @@
 }
 
 func TestInheritedDeadlineIncludesImagePullsOnceInstanceTypesKnown(t *testing.T) {
-	// Guards against deadlines that leave no time for image pulls for a leader's whole term: it loads
-	// the records before it knows the instance types.
+	// Guards against inherited deadlines that leave no time for image pulls during a leader's whole term:
+	// the leader loads the records before it knows the instance types.
 	synctest.Test(t, func(t *testing.T) {
 		now := time.Now()
 		cluster := New(newTestSettings(), "w", testGeneration, now)
@@ -143,7 +143,7 @@
 
 func TestPipelineInheritsAndReleasesUrgency(t *testing.T) {
 	// Guards against a pipeline whose urgent last job is delayed because its first jobs wait behind
-	// other users' jobs; and against keeping the urgency when the last job is gone.
+	// other users' jobs, and against first jobs that keep the urgency when the last job is gone.
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newTestState()
 		now := time.Now()
@@ -172,8 +172,8 @@
 }
 
 func TestLaddersAndLongChainsLoadWithoutPathExplosion(t *testing.T) {
-	// Guards against a takeover, or a change of one job, that takes a step for each path through a
-	// pipeline: a ladder of 40 layers has 2^40 paths.
+	// Guards against a takeover, or a change of one job, whose cost grows with the number of paths through
+	// a pipeline: a ladder of 40 layers has 2^40 paths.
 	synctest.Test(t, func(t *testing.T) {
 		now := time.Now()
 		cluster := newTestState()
--- a/internal/clusterstate/waiting_jobs_test.go
+++ b/internal/clusterstate/waiting_jobs_test.go
@@ -18,8 +18,8 @@
 )
 
 func TestDependentsOfCancelledJobEndInBoundedTransactions(t *testing.T) {
-	// Guards against transactions over the limits, against more of them than needed, and against
-	// outcomes that delay an assignment write for which starts wait.
+	// Guards against transactions that exceed the limits, against more transactions than needed, and
+	// against outcomes that delay an assignment write for which starts wait.
 	synctest.Test(t, func(t *testing.T) {
 		ctx := context.Background()
 		history := newJobHistory(t, 1, 1)
@@ -61,8 +61,8 @@
 }
 
 func TestReadyDependentsDoNotDelayAssignmentCommits(t *testing.T) {
-	// Guards against the moves of jobs that became ready filling every transaction while starts wait for
-	// their assignment write; and against moving the urgent jobs last.
+	// Guards against the moves of ready jobs filling every transaction while starts wait for their
+	// assignment write, and against moving the urgent jobs last.
 	synctest.Test(t, func(t *testing.T) {
 		ctx := context.Background()
 		history := newJobHistory(t, 1, 1)
@@ -98,7 +98,7 @@
 }
 
 func TestWaitingJobsAddNoPlanningCost(t *testing.T) {
-	// Guards against planning, and its count of each team's usage, walking the waiting jobs.
+	// Guards against planning passes, and counts of a team's usage, that iterate over the waiting jobs.
 	synctest.Test(t, func(t *testing.T) {
 		now := time.Now()
 		cluster := newStateWithMachines(20)
@@ -133,8 +133,8 @@
 }
 
 func TestWaitingJobsCostFollowsChanges(t *testing.T) {
-	// Guards against passes over all waiting jobs, and after a takeover against one call for each of
-	// thousands of outcomes.
+	// Guards against iterating over all waiting jobs when one job changes, and against one call for each of
+	// thousands of outcomes after a takeover.
 	synctest.Test(t, func(t *testing.T) {
 		network, _, client := newTestStore()
 		calls := 0
@@ -183,8 +183,8 @@
 }
 
 func TestFullWaitingRecordCanStillBeMoved(t *testing.T) {
-	// Guards against a record that can be stored while the job waits, but neither as ready nor as ended,
-	// so that the job would be stuck.
+	// Guards against a record that can be stored while the job waits but that is too large as the record of
+	// a ready or an ended job, so that the job would wait forever.
 	const limit = 2048
 	now := time.Now()
 	for _, test := range []struct {
