--- a/internal/clusterstate/dispatch_test.go
+++ b/internal/clusterstate/dispatch_test.go
@@ -85,7 +85,7 @@
 					t.Errorf("%d of %d tasks on live machines started within a second", confirmed, liveTasks)
 				}
 				if knownSilent && sent > 0 {
-					t.Errorf("%d starts went out to machines known to be silent", sent)
+					t.Errorf("%d starts were sent to machines known to be silent", sent)
 				}
 			})
 		})
@@ -102,7 +102,7 @@
 	job := cluster.jobs.Get("job-1")
 	cluster.ProbeAnswered("m1", false)
 	if len(job.Assignments) != 0 {
-		t.Fatal("the assignment is kept though its start was never sent and its machine is silent")
+		t.Fatal("the assignment is kept although its start was never sent and its machine is silent")
 	}
 	// A start for which no connection was established cannot arrive either.
 	cluster.heartbeat("m2", "north", 1)
@@ -110,11 +110,11 @@
 	cluster.markStored(job)
 	batches := cluster.NextBatches(10)
 	if len(batches) != 1 || batches[0].Machine != "m2" {
-		t.Fatalf("batches %v", batches)
+		t.Fatalf("batches %v, want one to m2", batches)
 	}
 	cluster.BatchAnswered(batches[0], worker.NotSent)
 	if len(job.Assignments) != 0 || len(cluster.machines.Machines["m2"].UnconfirmedStarts) != 0 {
-		t.Fatal("the assignment is kept though its start cannot arrive")
+		t.Fatal("the assignment is kept although its start cannot arrive")
 	}
 	// A start whose outcome is unknown may arrive, so its assignment is kept.
 	cluster.heartbeat("m3", "north", 1)
@@ -123,7 +123,7 @@
 	batches = cluster.NextBatches(10)
 	cluster.BatchAnswered(batches[0], worker.OutcomeUnknown)
 	if len(job.Assignments) != 1 || len(cluster.machines.Machines["m3"].UnconfirmedStarts) != 1 {
-		t.Fatal("the assignment is dropped though its start may still arrive")
+		t.Fatal("the assignment is removed although its start may still arrive")
 	}
 }
 
@@ -145,7 +145,7 @@
 	cluster.Plan(now)
 	cluster.markStored(job)
 	if got := cluster.NextBatches(10); len(got) != 1 || got[0].Incarnation != 2 || len(got[0].Commands) != 2 {
-		t.Fatalf("sent %+v", got)
+		t.Fatalf("sent %+v, want one batch with both starts to the second incarnation", got)
 	}
 }
 
@@ -158,19 +158,19 @@
 		t.Fatal("the gang is not assigned")
 	}
 	if started := cluster.machinesWithStarts(); !started["cold"] || started["warm"] {
-		t.Fatalf("started on %v", started)
+		t.Fatalf("starts were sent to %v, want only cold", started)
 	}
 	tasks := taskNamesByMachine(job)
 	if commands := cluster.heartbeat("warm", "north", 2); len(commands) != 0 {
-		t.Fatalf("the heartbeat was answered with %v", commands)
+		t.Fatalf("the heartbeat was answered with %v, want no commands", commands)
 	}
 	cluster.heartbeat("cold", "north", 2, newStatus(tasks["cold"], worker.StatePulling))
 	if started := cluster.machinesWithStarts(); started["warm"] {
-		t.Fatal("started while the other task still pulls its image")
+		t.Fatal("the start was sent while the other task still pulls its image")
 	}
 	cluster.heartbeat("cold", "north", 3, newStatus(tasks["cold"], worker.StateWaiting))
 	if started := cluster.machinesWithStarts(); !started["warm"] {
-		t.Fatal("not started although the other task waits for it")
+		t.Fatal("the start was not sent although the other task waits for the gang")
 	}
 }
 
@@ -196,19 +196,19 @@
 		replacement = job.Assignments[1]
 	}
 	if replacement == nil || replacement.Machine != "warm" || replacement.Attempt != 1 {
-		t.Fatalf("reassigned as %+v", replacement)
+		t.Fatalf("reassigned as %+v, want the first attempt on warm", replacement)
 	}
 	cluster.markStored(job)
 	if started := cluster.machinesWithStarts(); started["warm"] {
-		t.Fatal("started while the worker still lists the exited task")
+		t.Fatal("the start was sent while the worker still lists the exited task")
 	}
 	if commands := cluster.heartbeat("warm", "north", 4, ended); len(commands) != 1 || commands[0].Verb != "clear" {
-		t.Fatalf("commands %v, want one clear", commands)
+		t.Fatalf("the heartbeat was answered with %v, want one clear", commands)
 	}
 	if job.Assignments[replacement.TaskIndex] != replacement {
-		t.Fatal("the old outcome was taken for the new attempt's")
+		t.Fatal("the outcome of the old attempt was applied to the new one")
 	}
 	if commands := cluster.heartbeat("warm", "north", 5); len(commands) != 1 || commands[0].Verb != "start" {
-		t.Fatalf("after the task was cleared: commands %v, want one start", commands)
+		t.Fatalf("after the task was cleared the heartbeat was answered with %v, want one start", commands)
 	}
 }
--- a/internal/clusterstate/eviction_test.go
+++ b/internal/clusterstate/eviction_test.go
@@ -22,21 +22,21 @@
 	cluster.CarryOut(newDrainOrders("m1", "m2"))
 	runEviction(cluster, now)
 	if n := cluster.jobs.Get("job-1").Record.EvictedTasks(); n != 1 || cluster.countStopping("job-1") != 0 {
-		t.Fatalf("%d permits, %d stops before the permits are stored", n, cluster.countStopping("job-1"))
+		t.Fatalf("%d permits and %d stops before the permit is stored, want 1 and 0", n, cluster.countStopping("job-1"))
 	}
 	cluster.markAllStored()
 	cluster.StoreAvailable = func() bool { return false }
 	runEviction(cluster, now)
 	if cluster.countStopping("job-1") != 0 {
-		t.Error("stopped while the store is unavailable, so that nothing could be restarted")
+		t.Error("a replica is stopped while the store is unavailable, so that it could not be restarted")
 	}
 	if !strings.Contains(fmt.Sprint(cluster.DrainBlockers()), "the state service does not answer") {
-		t.Errorf("drain blockers: %v", cluster.DrainBlockers())
+		t.Errorf("drain blockers %v do not name the unavailable store", cluster.DrainBlockers())
 	}
 	cluster.StoreAvailable = func() bool { return true }
 	runEviction(cluster, now)
 	if cluster.countStopping("job-1") != 1 || cluster.jobs.Get("job-1").Record.EvictedTasks() != 1 {
-		t.Errorf("%d stops, %d permits", cluster.countStopping("job-1"), cluster.jobs.Get("job-1").Record.EvictedTasks())
+		t.Errorf("%d stops and %d permits once the store is available, want one each", cluster.countStopping("job-1"), cluster.jobs.Get("job-1").Record.EvictedTasks())
 	}
 }
 
@@ -51,14 +51,14 @@
 	cluster.CarryOut(rollout.NewOrders())
 	runEviction(cluster, now)
 	if n := cluster.jobs.Get("job-1").Record.EvictedTasks(); n != 1 {
-		t.Fatalf("%d permits are left while a stop of an earlier leader may arrive", n)
+		t.Fatalf("%d permits are left while a stop of an earlier leader may arrive, want 1", n)
 	}
 	for i := range 4 {
 		markReported(cluster, ids.Machine(fmt.Sprint("m", i+1)), cluster.firstGeneration, now)
 	}
 	runEviction(cluster, now)
 	if n := cluster.jobs.Get("job-1").Record.EvictedTasks(); n != 0 || cluster.countStopping("job-1") != 0 {
-		t.Errorf("%d permits are left, %d stops", n, cluster.countStopping("job-1"))
+		t.Errorf("%d permits are left and %d stops were sent, want none", n, cluster.countStopping("job-1"))
 	}
 }
 
@@ -89,7 +89,7 @@
 			}
 			cluster.evictor.RelocateReplica(cluster.machines.Machines[source.Machine], now)
 			if n := cluster.jobs.Get("job-1").Record.EvictedTasks(); n != test.moved || cluster.countStopping("job-1") != 0 {
-				t.Errorf("%d permits, want %d; %d stops without a permit", n, test.moved, cluster.countStopping("job-1"))
+				t.Errorf("%d permits, want %d; %d stops without a stored permit", n, test.moved, cluster.countStopping("job-1"))
 			}
 		})
 	}
@@ -104,7 +104,7 @@
 	}
 	cluster.evictor.StopOnLeavingMachines(now)
 	if cluster.countStopping("job-1") != 0 {
-		t.Fatal("a replica is stopped without a permit")
+		t.Fatal("a replica is stopped without a stored permit")
 	}
 	runEviction(cluster, now)
 	cluster.markAllStored()
@@ -159,13 +159,13 @@
 	cluster.SetMachineTypes(append(testInstanceTypes(), accelerated))
 	job := cluster.jobs.Get("job-1")
 	if node := cluster.evictor.FindRoom(job, nil, nil, now); node != nil {
-		t.Fatalf("room on %s, which is full", node.Name)
+		t.Fatalf("found room on %s, which is full", node.Name)
 	}
 	markReported(cluster, "m9", 1, now)
 	cluster.machines.Machines["m9"].Type = accelerated.Label
 	cluster.capacity.Reindex(cluster.capacity.Ensure("m9"))
 	if node := cluster.evictor.FindRoom(job, nil, nil, now); node == nil || node.Name != "m9" {
-		t.Errorf("room on %v, want m9", node)
+		t.Errorf("found room on %v, want m9", node)
 	}
 }
 
@@ -184,13 +184,13 @@
 		cluster.Plan(now)
 	}
 	if cluster.evictor.Looks() != 0 {
-		t.Errorf("%d looks without a rollout", cluster.evictor.Looks())
+		t.Errorf("%d budget checks without a rollout", cluster.evictor.Looks())
 	}
 	cluster.CarryOut(newDrainOrders("m1"))
 	for i := range 100 {
 		cluster.Plan(now.Add(time.Duration(i) * 10 * time.Millisecond))
 	}
 	if most := int(time.Second/eviction.Interval) + 1; cluster.evictor.Looks() > most {
-		t.Errorf("%d looks within a second", cluster.evictor.Looks())
+		t.Errorf("%d budget checks within a second", cluster.evictor.Looks())
 	}
 }
--- a/internal/clusterstate/failing_jobs_test.go
+++ b/internal/clusterstate/failing_jobs_test.go
@@ -58,11 +58,11 @@
 			time.Sleep(time.Second)
 		}
 		if starts == 0 || starts > 8 || most != 1 {
-			t.Errorf("%d attempts in three minutes, up to %d tasks at once", starts, most)
+			t.Errorf("the broken job had %d attempts in three minutes, with up to %d tasks at once", starts, most)
 		}
 		for _, machine := range cluster.machines.Machines {
 			if machine.DrainReason != "" {
-				t.Fatalf("%s is quarantined for it", machine.Name)
+				t.Fatalf("%s is quarantined because of the broken job", machine.Name)
 			}
 		}
 		if n := len(cluster.assignmentsOf("job-2")); n != 60 {
@@ -70,7 +70,7 @@
 		}
 		lines := strings.Join(cluster.Explain("job-1"), "\n")
 		if !strings.Contains(lines, "fail wherever they run") || !strings.Contains(lines, "next try in") {
-			t.Errorf("explained as %s", lines)
+			t.Errorf("the explanation does not name the failures and the next try: %s", lines)
 		}
 		// A new leader learns from the record that the job fails, and does not start all of its tasks
 		// again.
@@ -80,14 +80,14 @@
 		successor.submit(1, &stored, time.Now())
 		successor.Plan(time.Now())
 		if n := len(successor.assignmentsOf("job-1")); n != 1 {
-			t.Errorf("a new leader assigns %d of its tasks, want 1", n)
+			t.Errorf("a new leader assigns %d tasks of the broken job, want 1", n)
 		}
 		// A cancellation stops the job's tasks at once.
 		cancelled := &record.Record{Spec: bad.Spec, Status: record.Cancelling, Writer: "user"}
 		cluster.submit(99, cancelled, time.Now())
 		for _, assignment := range cluster.assignmentsOf("job-1") {
 			if !assignment.Stopping {
-				t.Error("a task goes on after the cancellation")
+				t.Error("a task of the broken job is not being stopped after the cancellation")
 			}
 		}
 	})
@@ -114,10 +114,10 @@
 			time.Sleep(time.Second)
 		}
 		if status := cluster.jobs.Get("job-1").Record.Status; status != record.Done {
-			t.Errorf("half a minute later the job is %s: %v", status, cluster.Explain("job-1"))
+			t.Errorf("after half a minute the status of the job is %s: %v", status, cluster.Explain("job-1"))
 		}
 		if cluster.machines.Machines[bad].DrainReason == "" {
-			t.Error("the machine on which it failed is not quarantined")
+			t.Error("the machine on which the job failed is not quarantined")
 		}
 	})
 }
@@ -145,7 +145,7 @@
 		}
 		job := cluster.jobs.Get("job-1")
 		if job.Failing() || len(job.Assignments) != 2 {
-			t.Errorf("failing %v, %d of 2 replicas run", job.Failing(), len(job.Assignments))
+			t.Errorf("the service counts as failing: %v; %d of 2 replicas are assigned", job.Failing(), len(job.Assignments))
 		}
 	})
 }
@@ -171,7 +171,7 @@
 		}
 	}
 	if retry := cluster.jobs.Get("job-1").Retries[0]; retry.Failures != 6 || time.Until(retry.NotBefore) < 30*time.Second {
-		t.Errorf("%d failures, next try in %v", retry.Failures, time.Until(retry.NotBefore))
+		t.Errorf("the job has %d failures, want 6, and its next try is in %v", retry.Failures, time.Until(retry.NotBefore))
 	}
 	// A machine on which several jobs fail that complete elsewhere is quarantined.
 	for n := range 2 {
@@ -179,7 +179,7 @@
 		cluster.submit(ids.Revision(n+5), newRecord(id, "blue", record.Normal, 1, 1), now)
 		runTask("bad", ids.SequenceNumber(2*n+1), string(id)+"/0", 1, worker.CauseError)
 		if cluster.machines.Machines["bad"].DrainReason != "" {
-			t.Error("quarantined for jobs none of which has completed elsewhere yet")
+			t.Error("the machine is quarantined for jobs none of which has completed elsewhere yet")
 		}
 	}
 	for n := range 2 {
--- a/internal/clusterstate/helpers_dependencies_test.go
+++ b/internal/clusterstate/helpers_dependencies_test.go
@@ -74,7 +74,7 @@
 	t.Helper()
 	for len(cluster.dependencies.lookups) > 0 {
 		if passes++; passes > 100 {
-			t.Fatalf("%d outcomes are still not known", len(cluster.dependencies.lookups))
+			t.Fatalf("%d outcomes are still not known after 100 lookup passes", len(cluster.dependencies.lookups))
 		}
 		committer.LookUpOnce(context.Background())
 		time.Sleep(commit.LookupInterval)
--- a/internal/clusterstate/helpers_workers_test.go
+++ b/internal/clusterstate/helpers_workers_test.go
@@ -148,7 +148,7 @@
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		var batch worker.CommandBatch
 		if err := json.NewDecoder(r.Body).Decode(&batch); err != nil {
-			t.Errorf("read the commands sent to %s: %v", name, err)
+			t.Errorf("decode the commands sent to %s: %v", name, err)
 		}
 		for _, command := range batch.Commands {
 			if command.Verb == "start" {
@@ -159,7 +159,7 @@
 		report := newReport(name, "north", sequence)
 		report.Tasks = tasks
 		if err := json.NewEncoder(w).Encode(report); err != nil {
-			t.Errorf("answer as %s: %v", name, err)
+			t.Errorf("encode the answer of %s: %v", name, err)
 		}
 	})
 }
--- a/internal/clusterstate/image_locality_test.go
+++ b/internal/clusterstate/image_locality_test.go
@@ -30,12 +30,12 @@
 	cluster.Plan(now)
 	cluster.Plan(now.Add(30 * time.Millisecond)) // it waits while the preemption is in progress
 	if len(cluster.assignmentsOf("job-2")) != 0 {
-		t.Fatal("assigned where it must pull its image, although the machine that has it is being freed by preemption")
+		t.Fatal("assigned to a machine without the image, although the machine that has it is being freed by preemption")
 	}
 	// The preempted task did not stop: an image pull is better than no start.
 	cluster.Plan(now.Add(3 * time.Second))
 	if assignment := cluster.assignmentsOf("job-2")[0]; assignment == nil || assignment.Machine != "cold" {
-		t.Fatalf("assigned as %+v, want the machine without its image", assignment)
+		t.Fatalf("assigned as %+v, want the machine without the image", assignment)
 	}
 }
 
@@ -101,7 +101,7 @@
 	cluster.submit(1, rec, now)
 	cluster.Plan(now)
 	if assignment := cluster.assignmentsOf("job-200")[0]; assignment == nil || assignment.Machine != "warm" {
-		t.Fatalf("assigned as %+v, not to the machine with its image", assignment)
+		t.Fatalf("assigned as %+v, want the machine with the image", assignment)
 	}
 }
 
@@ -120,6 +120,6 @@
 	}
 	cluster.Plan(now)
 	if len(cluster.assignmentsOf("job-2")) != 1 || len(cluster.assignmentsOf("job-1")) != 0 {
-		t.Fatal("the machine goes to the gang that must pull, although a gang waits whose image is cached there")
+		t.Fatal("the machine is not assigned to the gang whose image is cached there")
 	}
 }
--- a/internal/clusterstate/liveness_test.go
+++ b/internal/clusterstate/liveness_test.go
@@ -28,15 +28,15 @@
 		time.Sleep(9 * time.Second) // all have reported once, and none since
 		for _, ago := range []time.Duration{9 * time.Second, 3 * time.Second} {
 			if cluster.IsolatedFromWorkers(redirectedWorkers(ago), time.Now()) {
-				t.Errorf("isolated by workers redirected %v ago that are not overdue", ago)
+				t.Errorf("the leader counts as isolated by workers redirected %v ago that are not overdue", ago)
 			}
 		}
 		time.Sleep(4 * time.Second)
 		if cluster.IsolatedFromWorkers(redirectedWorkers(13*time.Second-50*time.Millisecond), time.Now()) {
-			t.Error("isolated by workers that reported right after they were redirected")
+			t.Error("the leader counts as isolated by workers that reported right after they were redirected")
 		}
 		if !cluster.IsolatedFromWorkers(redirectedWorkers(3*time.Second), time.Now()) {
-			t.Error("not isolated, though no worker reports here and workers reach another controller")
+			t.Error("the leader does not count as isolated, although no worker reports to it and workers reach another controller")
 		}
 	})
 }
@@ -58,7 +58,7 @@
 	for round := range 20 {
 		for position, probe := range cluster.DueProbes(now.Add(time.Duration(round)*time.Second), 20) {
 			if round == 0 && position == 0 && probe.Machine != machineWithReplica {
-				t.Errorf("%s was probed first, not %s, which has a replica", probe.Machine, machineWithReplica)
+				t.Errorf("%s was probed first, want %s, which has a replica", probe.Machine, machineWithReplica)
 			}
 			probed[probe.Machine]++
 			cluster.ProbeAnswered(probe.Machine, false)
@@ -104,7 +104,7 @@
 	machine.UnreachableSince = now.Add(-10 * time.Second)
 	machine.SuspectSince = now.Add(-10 * time.Second)
 	if assignment := cluster.assignmentsOf("job-1")[0]; assignment == nil || assignment.Machine != unreachable {
-		t.Fatal("the unconfirmed start was dropped without evidence")
+		t.Fatal("the assignment with the unconfirmed start was removed without proof that its task does not run")
 	}
 	if terminated := cluster.machinesToTerminate(time.Now()); len(terminated) != 1 || terminated[0] != unreachable {
 		t.Fatalf("terminating %v, want %s alone", terminated, unreachable)
@@ -162,7 +162,7 @@
 		machine.UnansweredProbes = 2
 	}
 	if terminated := cluster.machinesToTerminate(now); len(terminated) != 1 || terminated[0] != withReplica {
-		t.Fatalf("terminating %v, want %s", terminated, withReplica)
+		t.Fatalf("terminating %v, want only %s, which has a replica", terminated, withReplica)
 	}
 	// A single unanswered probe may be a lost message.
 	cluster.machines.Machines[withoutReplica].UnansweredProbes = 1
--- a/internal/clusterstate/lookups_test.go
+++ b/internal/clusterstate/lookups_test.go
@@ -24,14 +24,14 @@
 		before := history.calls
 		committer.LookUpOnce(context.Background())
 		if n := history.calls - before; n > commit.LookupReadsPerPass+1 {
-			t.Errorf("one pass made %d calls", n)
+			t.Errorf("one pass made %d calls, more than its limit", n)
 		}
 		runLookupsUntilDone(t, cluster, committer)
 		if history.calls > 52 || history.store.Listed > 2*commit.LookupPageSize {
 			t.Errorf("50 outcomes of 20000 took %d calls and %d listed records", history.calls, history.store.Listed)
 		}
 		if ready, cancelled := cluster.dependencies.graph.Counts(); ready != 49 || cancelled != 1 {
-			t.Errorf("%d jobs are ready and %d cancelled", ready, cancelled)
+			t.Errorf("%d jobs are ready and %d cancelled, want 49 and 1", ready, cancelled)
 		}
 	})
 }
@@ -69,17 +69,17 @@
 		history.storeJobRecord(t, newRecord(liveJob, "red", record.Low, 1, 1))
 		committer.LookUpOnce(context.Background())
 		if ready, _ := cluster.dependencies.graph.Counts(); ready != 100 || cluster.jobs.Get(liveJob) == nil {
-			t.Errorf("%d jobs are ready; the live dependency is known: %v", ready, cluster.jobs.Get(liveJob) != nil)
+			t.Errorf("%d jobs are ready, want 100; the live dependency is known: %v", ready, cluster.jobs.Get(liveJob) != nil)
 		}
 		calls := history.calls
 		committer.LookUpOnce(context.Background())
 		if history.calls > calls {
-			t.Errorf("%d calls at once for outcomes that were missing a moment ago", history.calls-calls)
+			t.Errorf("%d calls before the retry delay for outcomes that were missing", history.calls-calls)
 		}
 		time.Sleep(lookupRetryDelay)
 		committer.LookUpOnce(context.Background())
 		if history.calls == calls {
-			t.Error("missing outcomes are not looked up again")
+			t.Error("missing outcomes are not looked up again after the retry delay")
 		}
 	})
 }
--- a/internal/clusterstate/oversize.go
+++ b/internal/clusterstate/oversize.go
@@ -14,7 +14,7 @@
 // changed.
 func (c *State) handleOversize(job *workload.Job) {
 	if !job.Oversize {
-		slog.Warn("record too large to store; fewer tasks at a time", "job", job.Record.Spec.ID, "places", len(job.Assignments))
+		slog.Warn("job record too large to store; assigning fewer tasks of the job at a time", "job", job.Record.Spec.ID, "places", len(job.Assignments))
 	}
 	job.Oversize = true
 	job.PendingReason = "its places do not fit into a record of the state service"
--- a/internal/clusterstate/planning_cost_test.go
+++ b/internal/clusterstate/planning_cost_test.go
@@ -57,14 +57,14 @@
 			cluster.removeAssignment(assignment)
 		}
 	}); n > 100 {
-		t.Errorf("one machine was freed, and %d were examined", n)
+		t.Errorf("%d machines were examined after one was freed", n)
 	}
 	if n := len(cluster.capacity.AssignmentsOn("host-000007")); n != 4 {
-		t.Errorf("%d tasks are assigned to the four cores that became free", n)
+		t.Errorf("%d tasks are assigned to the four cores that became free, want 4", n)
 	}
 	// Nothing changed: only the head of the queue is examined.
 	if n := cost(func() {}); n > 100 {
-		t.Errorf("nothing changed, and %d machines were examined", n)
+		t.Errorf("%d machines were examined although nothing changed", n)
 	}
 }
 
@@ -90,7 +90,7 @@
 		for name, node := range cluster.capacity.Nodes() {
 			want, got := assigned[name], len(node.Assignments)
 			if got != want || node.Used.Cores != float64(want) {
-				t.Fatalf("%s: %s has %d assignments and %v in use, the jobs have %d there", when, name, got, node.Used, want)
+				t.Fatalf("%s: %s has %d assignments and %v in use, but the jobs have %d there", when, name, got, node.Used, want)
 			}
 			open := node.Class != nil
 			if machine := cluster.machines.Machines[name]; open != (machine.HasReported && assigned[name] < 4) {
@@ -143,7 +143,7 @@
 				t.Errorf("a pass examined %d machines without releasing the lock, more than %d", most, limit)
 			}
 			if assigned := countAssignments(cluster); assigned != 300*(machines/100) {
-				t.Errorf("%d tasks are assigned", assigned)
+				t.Errorf("%d tasks are assigned, want those of all jobs", assigned)
 			}
 			t.Logf("%d machines examined in all, at most %d without releasing the lock", machinesExamined(cluster), most)
 		})
@@ -177,6 +177,6 @@
 		t.Errorf("%d of %d urgent tasks are assigned", assigned, urgent)
 	}
 	if count := machinesExamined(cluster) - before; count > 5*urgent*scheduler.MaxPreemptionCandidates {
-		t.Errorf("%d machines were examined for %d tasks", count, urgent)
+		t.Errorf("%d machines were examined for %d urgent tasks", count, urgent)
 	}
 }
--- a/internal/clusterstate/preemption_test.go
+++ b/internal/clusterstate/preemption_test.go
@@ -27,17 +27,17 @@
 	cluster.Plan(now)
 	for assignment := range cluster.capacity.AssignmentsOn("m1") {
 		if assignment.Stopping {
-			t.Fatal("preempted by a job of the same priority")
+			t.Fatal("a task is preempted by a job of the same priority")
 		}
 	}
 	// A critical job preempts lower priorities, and only as much as it needs.
 	cluster.submit(3, newRecord("job-3", "red", record.Critical, 1, 2), now)
 	cluster.Plan(now)
 	if stopping := cluster.countStopping("job-1"); stopping != 2 {
-		t.Fatalf("%d tasks of one core are preempted for a task of two", stopping)
+		t.Fatalf("%d tasks of one core are preempted for a task of two cores", stopping)
 	}
 	if job := cluster.jobs.Get("job-3"); !strings.Contains(job.PendingReason, "m1") {
-		t.Errorf("its pending reason is %q", job.PendingReason)
+		t.Errorf("the pending reason of the critical job is %q, want one that names m1", job.PendingReason)
 	}
 }
 
@@ -67,7 +67,7 @@
 	cluster.Plan(now)
 	stopping, reason := cluster.countStopping("job-1"), cluster.jobs.Get("job-2").PendingReason
 	if stopping != 2 || !strings.Contains(reason, "limit") {
-		t.Errorf("%d tasks of one core are preempted for a task of two; its pending reason is %q", stopping, reason)
+		t.Errorf("%d tasks of one core are preempted for a task of two cores, whose pending reason is %q", stopping, reason)
 	}
 }
 
@@ -125,7 +125,7 @@
 		t.Run(test.runtime.String(), func(t *testing.T) {
 			assignment := &workload.Assignment{Job: job, RunningSince: now.Add(-test.runtime)}
 			if got := assignment.LittleToSave(now); got != test.littleToSave {
-				t.Errorf("little to save: %v, want %v", got, test.littleToSave)
+				t.Errorf("LittleToSave returns %v, want %v", got, test.littleToSave)
 			}
 		})
 	}
--- a/internal/clusterstate/queue_order_test.go
+++ b/internal/clusterstate/queue_order_test.go
@@ -75,7 +75,7 @@
 		} {
 			at := now.Add(test.after)
 			if first := cluster.scheduler.Ranked(at)[0] == job; first != test.first || job.Starving(at) != test.starves {
-				t.Errorf("%v after it is ready it ranks first: %v, starves: %v", test.after, first, job.Starving(at))
+				t.Errorf("%v after the job became ready it ranks first: %v, and starves: %v", test.after, first, job.Starving(at))
 			}
 		}
 		// Among low jobs it rises after 45 s.
@@ -90,15 +90,15 @@
 		} {
 			ranked := cluster.scheduler.Ranked(now.Add(test.after))
 			if got := ranked[1] == job; got != test.second {
-				t.Errorf("%v after it is ready it ranks above a small low job: %v", test.after, got)
+				t.Errorf("%v after the job became ready it ranks above a small low job: %v", test.after, got)
 			}
 		}
 		if left := deadline(&job.Record).Sub(now); left != 50*time.Second {
-			t.Errorf("its deadline is in %v", left)
+			t.Errorf("the deadline of the job is in %v, want 50 s", left)
 		}
 		// Of the 50 s left it runs for 10; the horizon is a quarter of the rest.
 		if horizon := cluster.estimates.QueueHorizon(job); horizon != 10 {
-			t.Errorf("its queue horizon is %v s", horizon)
+			t.Errorf("the queue horizon of the job is %v s, want 10 s", horizon)
 		}
 	})
 }
@@ -125,7 +125,7 @@
 			t.Error("the job counts as waiting since its submission")
 		}
 		if got := job.Record.EligibleSince(); got != ids.TimestampOf(time.Now()) {
-			t.Errorf("its queue time counts from %v", got.Time())
+			t.Errorf("the queue time of the job counts from %v", got.Time())
 		}
 		if !job.Starving(time.Now().Add(workload.StarvationTime + time.Second)) {
 			t.Error("the job never counts as starving")
--- a/internal/clusterstate/record_compatibility_test.go
+++ b/internal/clusterstate/record_compatibility_test.go
@@ -52,7 +52,7 @@
 			want := readProductionFile(t, name)
 			rec, err := record.Decode(want)
 			if err != nil {
-				t.Fatalf("%s: %v", name, err)
+				t.Fatalf("decode %s: %v", name, err)
 			}
 			raw, fits := rec.Encode(testValueBytes)
 			if !fits {
@@ -89,13 +89,13 @@
 	raw, ok := rec.EncodeWaiting(testValueBytes)
 	var old map[string]any // any type that decodes only JSON objects, as in the production version
 	if err := json.Unmarshal(raw, &old); !ok || err == nil {
-		t.Errorf("a waiting job's record reads as a JSON object: %s", raw)
+		t.Errorf("a waiting job's record is a JSON object, which the production version would decode: %s", raw)
 	}
 	if decoded, err := record.DecodeWaiting(raw); err != nil || decoded.Spec.DependsOn[0] != "job-1" {
-		t.Errorf("decoded as %v, %v", decoded, err)
+		t.Errorf("the waiting job's record is decoded as %v, %v", decoded, err)
 	}
 	if _, err := record.Decode(raw); err == nil {
-		t.Error("a waiting job's record is taken for a ready job's")
+		t.Error("a waiting job's record is decoded as a ready job's")
 	}
 	// Once the job is ready, the only new fields of its record are ones that may be lost.
 	rec.ReadyAt = 1700000000000
@@ -115,7 +115,7 @@
 	} {
 		for field := range part.got {
 			if _, ok := part.want[field]; !ok {
-				t.Errorf("production knows no field %q", field)
+				t.Errorf("the production version does not know the field %q", field)
 			}
 		}
 	}
@@ -144,10 +144,10 @@
 			}
 			rec, err := test.decode(want)
 			if err != nil {
-				t.Fatalf("%s: %v", test.name, err)
+				t.Fatalf("decode %s: %v", test.name, err)
 			}
 			if len(rec.Spec.DependsOn) != 2 || rec.Spec.DependsOn[1] != "job-000012" {
-				t.Errorf("%s: depends on %v", test.name, rec.Spec.DependsOn)
+				t.Errorf("%s: the job depends on %v", test.name, rec.Spec.DependsOn)
 			}
 			raw, fits := test.encode(rec, testValueBytes)
 			if !fits {
--- a/internal/clusterstate/record_encoding_test.go
+++ b/internal/clusterstate/record_encoding_test.go
@@ -87,7 +87,7 @@
 	}
 	decoded, err := record.Decode(raw)
 	if err != nil || decoded.AssignedTasks() != cluster.maxAssignedTasks(job) || decoded.Finished.Len() != job.Record.Finished.Len() {
-		t.Fatalf("%v; %d tasks assigned, %d finished", err, decoded.AssignedTasks(), decoded.Finished.Len())
+		t.Fatalf("decode the record: %v; %d tasks assigned, %d finished", err, decoded.AssignedTasks(), decoded.Finished.Len())
 	}
 }
 
@@ -102,7 +102,7 @@
 	}
 	decoded, err := record.Decode(raw)
 	if err != nil || decoded.EvictedTasks() != 2 {
-		t.Fatalf("%d evicted tasks: %v", decoded.EvictedTasks(), err)
+		t.Fatalf("%d evicted tasks decoded, want 2: %v", decoded.EvictedTasks(), err)
 	}
 	if attempt, evicted := decoded.EvictedAttempt(0); !evicted || attempt != 2 {
 		t.Errorf("task 0 is evicted in attempt %d, want 2", attempt)
@@ -114,7 +114,7 @@
 		decoded.AddEviction(2*i, 1, "spring", 3)
 	}
 	if decoded.EvictionsFit(testValueBytes) {
-		t.Error("thousands of evictions count as fitting their share of a value")
+		t.Error("thousands of evictions count as fitting their share of a stored value")
 	}
 }
 
@@ -135,14 +135,14 @@
 	rec.Events = append(rec.Events, record.Event{Message: "cancelled: it needs job-7"})
 	raw, fits := rec.EncodeFinal(2048)
 	if !fits || len(raw) > 2048 {
-		t.Fatalf("the final record has %d bytes", len(raw))
+		t.Fatalf("the final record has %d bytes, more than its limit", len(raw))
 	}
 	var got record.Record
 	if err := json.Unmarshal(raw, &got); err != nil {
 		t.Fatal(err)
 	}
 	if got.Finished.Len() != 2000 || len(got.Events) == 0 || got.Events[len(got.Events)-1].Message != "cancelled: it needs job-7" {
-		t.Errorf("%d tasks are decoded as done, events %v", got.Finished.Len(), got.Events)
+		t.Errorf("%d finished tasks are decoded, want 2000; events %v", got.Finished.Len(), got.Events)
 	}
 	if rec.Finished.SpanCount() != 2000 || len(rec.Spec.DependsOn) != 200 {
 		t.Error("encoding a final record changed it")
@@ -155,12 +155,12 @@
 	for _, from := range statuses {
 		for _, to := range statuses {
 			if from.IsTerminal() && from.CanBecome(to) {
-				t.Errorf("%s may become %s", from, to)
+				t.Errorf("the terminal status %s may become %s", from, to)
 			}
 		}
 	}
 	if record.Cancelling.CanBecome(record.Done) || !record.Claimed.CanBecome(record.Cancelling) || !record.Queued.CanBecome(record.Cancelled) {
-		t.Error("a transition between statuses is missing or one too many")
+		t.Error("a status transition is missing, or one is allowed that must not be")
 	}
 }
 
@@ -169,14 +169,14 @@
 	// against a controller that cannot read what another has stored.
 	raw := record.Cancellation{At: 1700000000000, Writer: "a.1"}.Encode()
 	if _, err := record.Decode(raw); err == nil {
-		t.Errorf("%s is decoded as a record", raw)
+		t.Errorf("the cancellation %s is decoded as a job's record", raw)
 	}
 	decoded, err := record.DecodeCancellation(raw)
 	if err != nil || decoded.At != 1700000000000 || decoded.Writer != "a.1" {
-		t.Errorf("decoded as %+v, %v", decoded, err)
+		t.Errorf("the cancellation is decoded as %+v, %v", decoded, err)
 	}
 	if id, kind := record.ParseKey(record.CancelKey("job-7")); id != "job-7" || kind != record.StoredCancellation {
-		t.Errorf("its key is parsed as that of %s, %v", id, kind)
+		t.Errorf("the key of the cancellation is parsed as that of %s, kind %v", id, kind)
 	}
 	for _, wrong := range []string{`[]`, `{}`, `[1]`, `x`} {
 		if _, err := record.DecodeCancellation(json.RawMessage(wrong)); err == nil {
@@ -200,17 +200,17 @@
 			rec.Spec.DependsOn = dependencies
 			spelled, ok := rec.EncodeWaiting(64 * 1024)
 			if !ok || !strings.Contains(string(spelled), `"awaits":["job-`) {
-				t.Fatalf("with enough space the record is %s", spelled)
+				t.Fatalf("with enough space the IDs are not spelled out: %s", spelled)
 			}
 			var list []*record.Record // what the first version with pipelines reads
 			if err := json.Unmarshal(spelled, &list); err != nil || len(list) != 1 {
-				t.Errorf("not in the first version's form: %s", spelled)
+				t.Errorf("the record is not in the form of the first version with pipelines: %s", spelled)
 			}
 			forms := []json.RawMessage{spelled}
 			if packed, ok := rec.EncodeWaiting(len(spelled) - 1); ok && len(dependencies) > 1 {
 				forms = append(forms, packed)
 			} else if len(dependencies) > 10 {
-				t.Errorf("%d IDs are not packed", len(dependencies))
+				t.Errorf("%d dependency IDs are not packed", len(dependencies))
 			}
 			for _, raw := range forms {
 				decoded, err := record.DecodeWaiting(raw)
@@ -223,7 +223,7 @@
 					t.Errorf("%s is decoded as %+v", raw, decoded)
 				}
 				if _, err := record.Decode(raw); err == nil {
-					t.Errorf("decoded as a ready job's record: %s", raw)
+					t.Errorf("a waiting job's record is decoded as a ready job's: %s", raw)
 				}
 			}
 			if !slices.Equal(rec.Spec.DependsOn, dependencies) {
@@ -233,7 +233,7 @@
 	}
 	for _, bad := range []string{`[]`, `{}`, `[null]`, `[{"spec":{}},"job-:1","x"]`, `[{"spec":{}},7]`, `["job-:1"]`} {
 		if rec, err := record.DecodeWaiting(json.RawMessage(bad)); err == nil {
-			t.Errorf("%s is decoded as %+v", bad, rec)
+			t.Errorf("the malformed record %s is decoded as %+v", bad, rec)
 		}
 	}
 }
--- a/internal/clusterstate/record_limits_test.go
+++ b/internal/clusterstate/record_limits_test.go
@@ -52,7 +52,7 @@
 			seconds++
 		}
 		if most < 700 || seconds > 200 {
-			t.Errorf("at most %d tasks were assigned at a time, done after %d s", most, seconds)
+			t.Errorf("at most %d tasks were assigned at a time; the job took %d s", most, seconds)
 		}
 	})
 }
@@ -78,7 +78,7 @@
 		cluster.markAllStored()
 	}
 	if len(job.Assignments) < largestFleetSize {
-		t.Errorf("%d tasks are assigned at a time", len(job.Assignments))
+		t.Errorf("%d tasks are assigned at a time, fewer than there are machines", len(job.Assignments))
 	}
 }
 
@@ -92,7 +92,7 @@
 	limit := cluster.settings.Params.State.ValueKB
 	cluster.settings.Params.State.ValueKB = 0.01
 	if group, _ := cluster.CollectChanges(limits); len(group) != 0 || job.OversizeVersion != job.Version {
-		t.Fatalf("%d writes of a record that does not fit", len(group))
+		t.Fatalf("%d changes, want none, of a record that does not fit", len(group))
 	}
 	cluster.settings.Params.State.ValueKB = limit
 	if group, _ := cluster.CollectChanges(limits); len(group) != 0 {
@@ -100,7 +100,7 @@
 	}
 	cluster.markChanged(job)
 	if group, _ := cluster.CollectChanges(limits); len(group) != 1 {
-		t.Errorf("%d writes once the record has changed, want 1", len(group))
+		t.Errorf("%d changes once the record has changed, want 1", len(group))
 	}
 }
 
@@ -125,7 +125,7 @@
 		raw, fitsBefore := full.Encode(testValueBytes)
 		const lower = 520
 		if _, fitsAfter := full.Encode(lower); !fitsBefore || fitsAfter || len(predecessor.assignmentsOf("job-1")) < 100 {
-			t.Fatalf("a record of %d bytes with %d assignments is no test of the limit", len(raw), len(predecessor.assignmentsOf("job-1")))
+			t.Fatalf("a record of %d bytes with %d assignments does not test the lower limit", len(raw), len(predecessor.assignmentsOf("job-1")))
 		}
 		revision, err := client.Commit(ctx, state.Txn{Ops: []state.Op{{Put: record.JobKey("job-1"), Value: raw}}}, state.Urgent)
 		if err != nil {
@@ -199,6 +199,6 @@
 	cluster.handleOversize(cluster.jobs.Get("job-2"))
 	cluster.Plan(now)
 	if n := len(cluster.assignmentsOf("job-2")); n == 0 || n > limit/2 {
-		t.Errorf("%d assignments after the record did not fit", n)
+		t.Errorf("%d assignments after the record was too large", n)
 	}
 }
--- a/internal/clusterstate/starvation_test.go
+++ b/internal/clusterstate/starvation_test.go
@@ -63,7 +63,7 @@
 			time.Sleep(time.Second)
 		}
 		if len(ended) < 1000 {
-			t.Fatalf("only %d tasks ended: the stream did not flow", len(ended))
+			t.Fatalf("only %d tasks ended, so the smaller jobs did not keep the machines busy", len(ended))
 		}
 		for id := range submittedAt {
 			if startedAfter[id] == 0 || startedAfter[id] > 4*time.Minute {
@@ -111,13 +111,13 @@
 		cluster.submit(2, newRecord("job-2", "red", record.Normal, 1, 4), time.Now())
 		cluster.Plan(time.Now())
 		if assignment.Stopping {
-			t.Error("it is preempted at once for a guarantee")
+			t.Error("the starved job is preempted right after its start for a guarantee")
 		}
 		time.Sleep(workload.StartProtectionTime + time.Second)
 		cluster.runTasks(2, time.Hour, map[workload.TaskAttempt]bool{})
 		cluster.Plan(time.Now())
 		if !assignment.Stopping && cluster.assignmentsOf("job-1")[0] != nil {
-			t.Error("it is not preempted for a guarantee after its protection time")
+			t.Error("the starved job is not preempted for a guarantee after its protection time")
 		}
 	})
 }
@@ -142,7 +142,7 @@
 		sequence++
 		cluster.runTasks(sequence, time.Minute, ended)
 		if large.Record.Attempt == 0 || len(large.Assignments) > 0 {
-			t.Fatalf("attempt %d, %d assignments: it was not started and preempted", large.Record.Attempt, len(large.Assignments))
+			t.Fatalf("attempt %d, %d assignments: the large job was not started and preempted", large.Record.Attempt, len(large.Assignments))
 		}
 		began := time.Now()
 		for second := 0; len(large.Assignments) == 0 && second < 400; second++ {
@@ -161,9 +161,9 @@
 			time.Sleep(time.Second)
 		}
 		if took := time.Since(began); took > 4*time.Minute {
-			t.Errorf("it ran again after %v", took)
+			t.Errorf("the large job ran again after %v", took)
 		} else if took < 20*time.Second {
-			t.Errorf("it ran again after %v: there was free capacity beside the stream", took)
+			t.Errorf("the large job ran again after %v: the smaller jobs left capacity free", took)
 		}
 	})
 }
--- a/internal/clusterstate/state.go
+++ b/internal/clusterstate/state.go
@@ -154,7 +154,7 @@
 func (c *State) recordEvent(job *workload.Job, format string, args ...any) {
 	limit := int(c.settings.Operator.TrailEvents)
 	what := fmt.Sprintf(format, args...)
-	slog.Debug("job", "id", job.Record.Spec.ID, "what", what)
+	slog.Debug("job event", "id", job.Record.Spec.ID, "what", what)
 	if n := len(job.Record.Events); n > 0 && job.Record.Events[n-1].Message == what {
 		job.Record.Events[n-1].At = ids.TimestampOf(time.Now())
 		return
--- a/internal/clusterstate/store_changes_test.go
+++ b/internal/clusterstate/store_changes_test.go
@@ -26,10 +26,10 @@
 		oversize := []byte(`"` + strings.Repeat("x", 3000) + `"`)
 		err := committer.Apply(context.Background(), []state.Op{{Put: record.TypesKey, Value: oversize}})
 		if !errors.Is(err, state.ErrMalformed) || store.TooLarge > 0 {
-			t.Errorf("%v; %d transactions were too large", err, store.TooLarge)
+			t.Errorf("Apply returned %v; %d transactions were too large", err, store.TooLarge)
 		}
 		if err := committer.Apply(context.Background(), []state.Op{{Put: record.TypesKey, Value: []byte(`1`)}}); err != nil {
-			t.Errorf("a small value: %v", err)
+			t.Errorf("apply a small value: %v", err)
 		}
 	})
 }
@@ -46,20 +46,20 @@
 	machine.UnconfirmedStarts = nil // the start was answered
 	done := newExitedStatus("job-1/0", worker.CauseDone)
 	if commands := cluster.heartbeat("m1", "north", 2, done); len(commands) != 0 {
-		t.Fatalf("commands %v before the outcome was stored, want none", commands)
+		t.Fatalf("the heartbeat was answered with %v before the outcome was stored, want no commands", commands)
 	}
 	if commands := cluster.heartbeat("m1", "north", 3, done); len(commands) != 0 {
-		t.Fatalf("commands %v before the outcome was stored, want none", commands)
+		t.Fatalf("the heartbeat was answered with %v before the outcome was stored, want no commands", commands)
 	}
 	cluster.markAllStored()
 	if commands := cluster.heartbeat("m1", "north", 4, done); len(commands) != 1 || commands[0].Verb != "clear" {
-		t.Fatalf("commands %v, want one clear", commands)
+		t.Fatalf("the heartbeat was answered with %v, want one clear", commands)
 	}
 	// If a start may still arrive late, a cleared attempt could start again.
 	lateStart := worker.UnconfirmedStart{Task: "job-1/0", Attempt: 1, FencingToken: testGeneration, Incarnation: 1}
 	machine.UnconfirmedStarts = []worker.UnconfirmedStart{lateStart}
 	if commands := cluster.heartbeat("m1", "north", 5, done); len(commands) != 0 {
-		t.Fatalf("commands %v although a late start may arrive, want none", commands)
+		t.Fatalf("the heartbeat was answered with %v although a late start may arrive, want no commands", commands)
 	}
 }
 
@@ -89,7 +89,7 @@
 	running := newStatus("job-1/1", worker.StateRunning)
 	cluster.heartbeat("m1", "north", 2, done, running)
 	if commitOnce() != 0 {
-		t.Fatal("an outcome that could be batched is stored by itself")
+		t.Fatal("an outcome that could be batched is stored alone")
 	}
 	cluster.MachineTerminated("m1")
 	if commitOnce() != 1 {
--- a/internal/clusterstate/takeover_test.go
+++ b/internal/clusterstate/takeover_test.go
@@ -37,7 +37,7 @@
 		cluster.submit(1, newRecord("job-1", "blue", record.Normal, 40, 1), time.Now())
 		cluster.Plan(time.Now())
 		if lines := fmt.Sprint(cluster.Explain("job-1")); !strings.Contains(lines, "1 machines it could use are booting, 1 of them late") {
-			t.Errorf("explained as %s", lines)
+			t.Errorf("the explanation does not name the late booting machine: %s", lines)
 		}
 	})
 }
@@ -77,7 +77,7 @@
 				}
 			}
 			if probes != machines || rounds > machines/slots+1 {
-				t.Errorf("%d probes in %d rounds", probes, rounds)
+				t.Errorf("%d probes in %d rounds, want one probe of each machine", probes, rounds)
 			}
 			for name, machine := range successor.machines.Machines {
 				if !machine.HasReported {
@@ -131,7 +131,7 @@
 			}
 			cluster.Load(records, revisions, max(listed, 25), now)
 			if job := cluster.jobs.Get("job-1"); job == nil || len(job.Assignments) != 2 || job.Revision != max(26, listed) {
-				t.Errorf("the assignments are lost: %+v", job)
+				t.Errorf("the assignments are lost, or the revision is wrong: %+v", job)
 			}
 		})
 	}
@@ -165,7 +165,7 @@
 		}
 		cluster.dependencies.jobEnded("job-2", record.Cancelled)
 		if cancelledBy := cluster.dependencies.graph.CancelledBy("job-3"); cancelledBy != "job-2" {
-			t.Errorf("its dependent is cancelled by %q, want job-2", cancelledBy)
+			t.Errorf("the dependent of the removed job is cancelled by %q, want job-2", cancelledBy)
 		}
 		cluster.HandleWaitingJob("job-9", 10, nil, now)
 		if len(cluster.dependencies.departed) != 0 {
--- a/internal/clusterstate/unreachable_zones_test.go
+++ b/internal/clusterstate/unreachable_zones_test.go
@@ -83,7 +83,7 @@
 		}
 	}
 	if terminated := cluster.machinesToTerminate(start); len(terminated) != 0 {
-		t.Fatalf("terminating %v of an unreachable zone", terminated)
+		t.Fatalf("terminating %v, which are in an unreachable zone", terminated)
 	}
 	if !cluster.UnreachableZones()["south"] || cluster.UnreachableZones()["north"] {
 		t.Fatalf("unreachable zones: %v, want south", cluster.UnreachableZones())
@@ -176,7 +176,7 @@
 	}
 	explained := strings.Join(cluster.Explain("job-1"), "\n")
 	if !strings.Contains(explained, "nothing is heard of south (16)") || !strings.Contains(explained, "leases") {
-		t.Errorf("explained while the zone is unreachable: %s", explained)
+		t.Errorf("the explanation while the zone is unreachable is %s", explained)
 	}
 	// The leases of all machines but one expire; two of the lost tasks are reassigned.
 	for i := range 3 {
@@ -190,7 +190,7 @@
 		return messages
 	}
 	if events := eventMessages(); len(events) > 3 || !strings.Contains(strings.Join(events, "\n"), "tasks gone in south") {
-		t.Errorf("events after twelve tasks were lost at once: %q", events)
+		t.Errorf("the events after twelve tasks were lost at once are %q", events)
 	}
 	cluster.jobs.Get("job-1").MaxAssigned = 4 + 2
 	cluster.Plan(now)
@@ -202,7 +202,7 @@
 		"nothing is heard of south (4)",
 	} {
 		if !strings.Contains(got, want) {
-			t.Errorf("%q is missing in\n%s", want, got)
+			t.Errorf("%q is missing in the events and the explanation:\n%s", want, got)
 		}
 	}
 }
--- a/internal/clusterstate/urgency_inheritance_test.go
+++ b/internal/clusterstate/urgency_inheritance_test.go
@@ -81,7 +81,7 @@
 			t.Fatal("the branch did not become ready")
 		}
 		if left := job.Inherited.Deadline.Sub(now); job.EffectivePriority() != record.High || left != 189*time.Second {
-			t.Errorf("the branch that became ready is %+v", job)
+			t.Errorf("the branch that became ready lost its inherited urgency: %+v", job)
 		}
 	})
 }
@@ -110,7 +110,7 @@
 					cluster.removeStoppingAssignments()
 					now = now.Add(time.Second)
 					if used := cluster.quota.Usage("red").Cores; used > 3 {
-						t.Fatalf("its team uses %v cores, more than its limit of 3", used)
+						t.Fatalf("team red uses %v cores, more than its limit of 3", used)
 					}
 				}
 				want := 0
@@ -155,18 +155,18 @@
 		cluster.submitWaiting(4, newWaitingRecord("job-4", record.Low, 0, "job-3"), now)
 		first := cluster.jobs.Get("job-1")
 		if first.EffectivePriority() != record.High {
-			t.Errorf("the first job has priority %s", first.EffectivePriority())
+			t.Errorf("the first job has priority %s, want that of the last job", first.EffectivePriority())
 		}
 		// 100 s less three estimates of 10 s and image pulls of 1 s.
 		if left := first.Inherited.Deadline.Sub(now); left < 66*time.Second || left > 68*time.Second {
-			t.Errorf("the first job has %v left", left)
+			t.Errorf("the first job has %v left until its inherited deadline", left)
 		}
 		if ranked := cluster.scheduler.Ranked(now); len(ranked) != 2 || ranked[0] != first {
-			t.Errorf("%d jobs are ranked, want 2 and the first job on top", len(ranked))
+			t.Errorf("%d jobs are ranked, want 2, with the first job of the pipeline first", len(ranked))
 		}
 		cluster.HandleWaitingJob("job-5", 9, nil, now)
 		if first.EffectivePriority() != record.Low || !first.Inherited.Deadline.IsZero() {
-			t.Errorf("with the last job gone the first still has priority %s and deadline %v", first.EffectivePriority(), first.Inherited.Deadline)
+			t.Errorf("when the last job is gone, the first job still has priority %s and deadline %v", first.EffectivePriority(), first.Inherited.Deadline)
 		}
 	})
 }
@@ -196,7 +196,7 @@
 		cluster.submitWaiting(2, newWaitingRecord("job-90", record.Critical, 1e7, "job-80", "job-81"), now)
 		cluster.submitWaiting(2, newWaitingRecord("job-6000", record.High, 100000, "job-5100"), now)
 		if priority := cluster.jobs.Get("job-0").EffectivePriority(); priority != record.Critical {
-			t.Errorf("the ladder's first job has priority %s", priority)
+			t.Errorf("the ladder's first job has priority %s, want that of its last job", priority)
 		}
 		first := cluster.jobs.Get("job-100")
 		// 100,000 s less the estimates of 10 s and image pulls of 1 s of 5,001 jobs.
--- a/internal/clusterstate/waiting_jobs_test.go
+++ b/internal/clusterstate/waiting_jobs_test.go
@@ -92,7 +92,7 @@
 			}
 		}
 		if cluster.dependencies.graph.Len() != 1 || cluster.jobs.Len() != 2+301 {
-			t.Errorf("%d jobs wait, %d are known", cluster.dependencies.graph.Len(), cluster.jobs.Len())
+			t.Errorf("%d jobs wait, want 1; %d are known", cluster.dependencies.graph.Len(), cluster.jobs.Len())
 		}
 	})
 }
@@ -113,10 +113,10 @@
 		committer := newCommitter(cluster, history.client)
 		history.calls = 0
 		if passes := runLookupsUntilDone(t, cluster, committer); passes > 3 || history.calls > 3 {
-			t.Errorf("the outcomes of their dependencies took %d passes and %d calls", passes, history.calls)
+			t.Errorf("the outcomes of the dependencies took %d passes and %d calls", passes, history.calls)
 		}
 		if ranked := len(cluster.scheduler.Ranked(now)); ranked != 1 || len(cluster.jobs.Ordered()) != 1 {
-			t.Errorf("%d jobs are ranked, %d are queued", ranked, len(cluster.jobs.Ordered()))
+			t.Errorf("%d jobs are ranked and %d are queued, want one each", ranked, len(cluster.jobs.Ordered()))
 		}
 		cluster.Plan(now)
 		cluster.markAllStored()
@@ -124,7 +124,7 @@
 		cluster.Plan(now)
 		count, assigned := machinesExamined(cluster)-before, len(cluster.assignmentsOf("job-500"))
 		if count > 20 || assigned != 80 {
-			t.Errorf("%d machines were examined for one job; %d of its tasks are assigned", count, assigned)
+			t.Errorf("%d machines were examined for one job, %d tasks of which are assigned", count, assigned)
 		}
 		if cluster.quota.Usage("red").Cores != 0 {
 			t.Errorf("the waiting jobs count as %v cores of their team", cluster.quota.Usage("red").Cores)
@@ -203,7 +203,7 @@
 			rec := newRecord("job-9", "blue", record.Normal, 4, 1)
 			rec.Spec.DependsOn = newDependencyIDs(test.dependencies)
 			if _, ok := rec.EncodeWaiting(limit); !ok {
-				t.Fatalf("%d dependencies do not fit", test.dependencies)
+				t.Fatalf("a waiting record with %d dependencies does not fit", test.dependencies)
 			}
 			cluster.mu.Lock()
 			cluster.dependencies.addWaitingJobs(now, &workload.WaitingJob{Record: rec, Revision: 3})
@@ -226,10 +226,10 @@
 			}
 			raw := moves[0].Ops[1].Value
 			if len(raw) > limit {
-				t.Errorf("the moved record has %d bytes", len(raw))
+				t.Errorf("the moved record has %d bytes, more than the limit", len(raw))
 			}
 			if outcome == record.Done && float64(len(raw)) > limit*record.MaxSpecShare {
-				t.Errorf("%d bytes leave too little space for assignments", len(raw))
+				t.Errorf("a moved record of %d bytes leaves too little space for assignments", len(raw))
 			}
 			decoded, err := record.Decode(raw)
 			if err != nil {
@@ -239,7 +239,7 @@
 				return
 			}
 			if lastEvent := decoded.Events[len(decoded.Events)-1].Message; !strings.Contains(lastEvent, "which was cancelled") {
-				t.Errorf("the moved record is decoded as %+v", decoded)
+				t.Errorf("the last event of the moved record does not name the cancelled dependency: %+v", decoded)
 			}
 		})
 	}
