--- a/internal/clusterstate/assignments.go
+++ b/internal/clusterstate/assignments.go
@@ -38,7 +38,7 @@
 }
 
 // stopAssignment requests that a task be stopped, or removes its assignment if its start was never sent.
-func (c *State) stopAssignment(assignment *workload.Assignment, grace ids.Seconds, why string) {
+func (c *State) stopAssignment(assignment *workload.Assignment, grace ids.Seconds, reason string) {
 	if !assignment.StartSent {
 		c.removeAssignment(assignment)
 		c.markChanged(assignment.Job)
@@ -47,7 +47,7 @@
 	if assignment.Stopping && grace >= assignment.StopGrace {
 		return
 	}
-	assignment.Stopping, assignment.StopGrace, assignment.StopReason, assignment.StopRequestedAt = true, grace, why, time.Now()
+	assignment.Stopping, assignment.StopGrace, assignment.StopReason, assignment.StopRequestedAt = true, grace, reason, time.Now()
 	c.commands.AddFor(assignment)
 	if !assignment.Confirmed && !c.noDirectStartOutstanding(assignment) && c.underCurrentGeneration(assignment) {
 		// A start that is still in flight could begin the task: raise the fencing token, so that the worker
--- a/internal/clusterstate/cancellation.go
+++ b/internal/clusterstate/cancellation.go
@@ -26,15 +26,15 @@
 func (c *State) applyCancellation(id ids.Job, revision ids.Revision) {
 	c.cancellations[id] = revision
 	if job := c.jobs.Get(id); job != nil && !job.Ended {
-		c.cancelConfirmed(job)
+		c.applyConfirmedCancellation(job)
 		c.markChanged(job)
 	}
 }
 
-// cancelConfirmed cancels a job whose cancellation another controller has confirmed to the user. If the job
-// is done but its end is not stored yet, it still ends as cancelled, since that is what the user was told
-// first.
-func (c *State) cancelConfirmed(job *workload.Job) {
+// applyConfirmedCancellation cancels a job whose cancellation another controller has confirmed to the user.
+// If the job is done but its end is not stored yet, it still ends as cancelled, since that is what the user
+// was told first.
+func (c *State) applyConfirmedCancellation(job *workload.Job) {
 	if job.Cancelled() {
 		return
 	}
--- a/internal/clusterstate/cloud_list.go
+++ b/internal/clusterstate/cloud_list.go
@@ -12,7 +12,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, name := range names {
-		machine := c.machines.Ensure(name, now, c.trustSilence)
+		machine := c.machines.Ensure(name, now, c.earliestLeaseExpiry)
 		if !machine.HasReported {
 			machine.Type, machine.Zone, machine.Spot, machine.Booting = request.Type, request.Zone, request.Spot, true
 			c.markHintChanged(machine)
@@ -41,7 +41,7 @@
 		if c.terminated[listed.Name] {
 			continue // the list is older than the machine's deletion
 		}
-		machine := c.machines.Ensure(listed.Name, now, c.trustSilence)
+		machine := c.machines.Ensure(listed.Name, now, c.earliestLeaseExpiry)
 		machine.ListedAt = now
 		if !machine.HasReported {
 			machine.Type, machine.Zone, machine.Spot, machine.Addr = listed.Type, listed.Zone, listed.Spot, listed.Address
--- a/internal/clusterstate/dependencies.go
+++ b/internal/clusterstate/dependencies.go
@@ -49,7 +49,7 @@
 func (c *State) LookupFound(id ids.Job, status record.Status) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.dependencies.jobEnded(id, status)
+	c.dependencies.recordOutcome(id, status)
 }
 
 // LookupMissed records that a job has no final record. readLive reports whether the job may be live after
@@ -77,7 +77,7 @@
 func (c *State) MoveFound(waiting *workload.WaitingJob, stored *record.Record, revision ids.Revision) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.dependencies.waitingJobMoved(commit.Change{Waiting: waiting, Becomes: stored}, revision, time.Now())
+	c.dependencies.recordMove(commit.Change{Waiting: waiting, Becomes: stored}, revision, time.Now())
 }
 
 // MoveNotFound records that a job is stored neither as waiting nor as schedulable any more.
--- a/internal/clusterstate/dependency_lookups.go
+++ b/internal/clusterstate/dependency_lookups.go
@@ -18,9 +18,9 @@
 	}
 }
 
-// scheduleLookupIfAwaited schedules a lookup of how a job ended if waiting jobs depend on it and its
+// scheduleLookupIfPrerequisite schedules a lookup of how a job ended if waiting jobs depend on it and its
 // outcome is not known.
-func (t *dependencyTracker) scheduleLookupIfAwaited(id ids.Job) {
+func (t *dependencyTracker) scheduleLookupIfPrerequisite(id ids.Job) {
 	if t.graph.HasDependents(id) && t.graph.Outcome(id) == dependency.Unknown {
 		t.scheduleLookup(id, time.Now())
 	}
@@ -29,10 +29,10 @@
 // dueLookups implements State.DueLookups.
 func (t *dependencyTracker) dueLookups(now time.Time) []ids.Job {
 	var due []ids.Job
-	for id, at := range t.lookups {
+	for id, dueAt := range t.lookups {
 		if job := t.jobs.Get(id); t.waiting[id] != nil || job != nil && !job.Ended {
 			delete(t.lookups, id) // the job became known after the lookup was scheduled
-		} else if !at.After(now) {
+		} else if !dueAt.After(now) {
 			due = append(due, id)
 		}
 	}
--- a/internal/clusterstate/dependency_tracker.go
+++ b/internal/clusterstate/dependency_tracker.go
@@ -29,11 +29,12 @@
 	waiting map[ids.Job]*workload.WaitingJob
 	// lookups holds the ended jobs whose outcomes are not known, and when to look each one up.
 	lookups map[ids.Job]time.Time
-	// movedLast is set if the last group of changes moved waiting jobs.
-	movedLast bool
-	// departed holds the jobs that, according to changes received before the records were loaded, no longer
-	// wait: the records to load may be older than these changes. It is nil once the records are loaded.
-	departed map[ids.Job]ids.Revision
+	// lastGroupMovedJobs is set if the last group of changes moved waiting jobs.
+	lastGroupMovedJobs bool
+	// removedBeforeLoad holds the jobs that, according to changes received before the records were loaded,
+	// no longer wait: the records to load may be older than these changes. It is nil once the records are
+	// loaded.
+	removedBeforeLoad map[ids.Job]ids.Revision
 }
 
 // dependencyCluster is the part of the cluster state that the tracker uses. Its methods are called with the
@@ -53,17 +54,17 @@
 // newDependencyTracker returns the tracker of one term.
 func newDependencyTracker(c *State) *dependencyTracker {
 	return &dependencyTracker{
-		settings:  c.settings,
-		shard:     c.shard,
-		writer:    c.writer,
-		jobs:      c.jobs,
-		changes:   c.changes,
-		estimates: c.estimates,
-		cluster:   operations{c},
-		graph:     dependency.New(),
-		waiting:   map[ids.Job]*workload.WaitingJob{},
-		lookups:   map[ids.Job]time.Time{},
-		departed:  map[ids.Job]ids.Revision{},
+		settings:          c.settings,
+		shard:             c.shard,
+		writer:            c.writer,
+		jobs:              c.jobs,
+		changes:           c.changes,
+		estimates:         c.estimates,
+		cluster:           operations{c},
+		graph:             dependency.New(),
+		waiting:           map[ids.Job]*workload.WaitingJob{},
+		lookups:           map[ids.Job]time.Time{},
+		removedBeforeLoad: map[ids.Job]ids.Revision{},
 	}
 }
 
@@ -81,10 +82,10 @@
 		// In the latter case the next attempt at the move finds out.
 		if !t.inShard(id) || !t.graph.IsReady(id) && t.graph.CancelledBy(id) == "" {
 			t.removeWaitingJob(waiting)
-			t.checkAwaited(id, now)
+			t.checkPrerequisite(id, now)
 		}
-	case rec == nil && waiting == nil && t.departed != nil:
-		t.departed[id] = revision
+	case rec == nil && waiting == nil && t.removedBeforeLoad != nil:
+		t.removedBeforeLoad[id] = revision
 	case rec != nil && t.isUnknown(id):
 		t.addWaitingJobs(now, &workload.WaitingJob{Record: rec, Revision: revision})
 	}
@@ -94,11 +95,11 @@
 func (t *dependencyTracker) load(records map[ids.Job]*record.Record, revisions map[ids.Job]ids.Revision, now time.Time) {
 	var added []*workload.WaitingJob
 	for id, rec := range records {
-		if t.isUnknown(id) && t.departed[id] <= revisions[id] {
+		if t.isUnknown(id) && t.removedBeforeLoad[id] <= revisions[id] {
 			added = append(added, &workload.WaitingJob{Record: rec, Revision: revisions[id]})
 		}
 	}
-	t.departed = nil
+	t.removedBeforeLoad = nil
 	t.addWaitingJobs(now, added...)
 }
 
@@ -119,22 +120,22 @@
 	}
 	t.applyGraphChanges(t.graph.Add(jobs...))
 	for _, waiting := range added {
-		for _, need := range waiting.Record.Spec.DependsOn {
-			t.checkAwaited(need, now)
+		for _, prerequisite := range waiting.Record.Spec.DependsOn {
+			t.checkPrerequisite(prerequisite, now)
 		}
 	}
 }
 
-// checkAwaited checks a job that waiting jobs depend on, unless its outcome is known. It cancels the
+// checkPrerequisite checks a job that waiting jobs depend on, unless its outcome is known. It cancels the
 // dependents if the job is cancelled, even if its end is not stored yet, and schedules a lookup of its
 // outcome if the job has ended or is not known.
-func (t *dependencyTracker) checkAwaited(id ids.Job, now time.Time) {
+func (t *dependencyTracker) checkPrerequisite(id ids.Job, now time.Time) {
 	if t.graph.Outcome(id) != dependency.Unknown {
 		return
 	}
 	job := t.jobs.Get(id)
 	if !t.inShard(id) && t.waiting[id] == nil {
-		t.checkOtherShard(id, now)
+		t.checkPrerequisiteInOtherShard(id, now)
 		return
 	}
 	switch {
@@ -145,17 +146,17 @@
 	}
 }
 
-// checkOtherShard does the same as checkAwaited for a job of another shard. It schedules a lookup once the
-// job is gone from the live records.
-func (t *dependencyTracker) checkOtherShard(id ids.Job, now time.Time) {
+// checkPrerequisiteInOtherShard does the same as checkPrerequisite for a job of another shard. It schedules
+// a lookup once the job is gone from the live records.
+func (t *dependencyTracker) checkPrerequisiteInOtherShard(id ids.Job, now time.Time) {
 	if t.graph.Outcome(id) != dependency.Unknown {
 		return
 	}
-	how, live := t.cluster.StatusInOtherShard(id)
+	status, live := t.cluster.StatusInOtherShard(id)
 	switch {
 	case !live:
 		t.scheduleLookup(id, now)
-	case how == record.Cancelling || how == record.Cancelled:
+	case status == record.Cancelling || status == record.Cancelled:
 		t.cancelDependents(id)
 	}
 }
@@ -163,7 +164,7 @@
 // handleOtherShardChange implements State.HandleOtherShardChange.
 func (t *dependencyTracker) handleOtherShardChange(id ids.Job, now time.Time) {
 	if t.graph.HasDependents(id) {
-		t.checkAwaited(id, now)
+		t.checkPrerequisite(id, now)
 	}
 }
 
@@ -178,8 +179,8 @@
 	t.applyGraphChanges(t.graph.Cancel(id))
 }
 
-// join updates the tracker for a job that became schedulable and that waiting jobs may depend on.
-func (t *dependencyTracker) join(job *workload.Job) {
+// handleAddedJob updates the tracker for a job that became schedulable and that waiting jobs may depend on.
+func (t *dependencyTracker) handleAddedJob(job *workload.Job) {
 	id := job.Record.Spec.ID
 	delete(t.lookups, id)
 	job.Inherited = t.graph.InheritedUrgency(id)
@@ -188,10 +189,10 @@
 	}
 }
 
-// jobEnded records how a job ended, once that is stored.
-func (t *dependencyTracker) jobEnded(id ids.Job, how record.Status) {
+// recordOutcome records how a job ended, once that is stored.
+func (t *dependencyTracker) recordOutcome(id ids.Job, status record.Status) {
 	delete(t.lookups, id)
-	if how != record.Done {
+	if status != record.Done {
 		t.cancelDependents(id)
 		return
 	}
--- a/internal/clusterstate/explain.go
+++ b/internal/clusterstate/explain.go
@@ -87,28 +87,28 @@
 // describeZones returns how many of a job's tasks are in each zone, and what the tasks in an unreachable
 // zone wait for.
 func (c *State) describeZones(job *workload.Job, now time.Time) (lines []string) {
-	at, dark := map[string]int{}, map[string]int{}
-	var latest time.Time
+	reachable, unreachable := map[string]int{}, map[string]int{}
+	var lastExpiry time.Time
 	for _, assignment := range job.Assignments {
 		machine := c.machines.Machines[assignment.Machine]
 		switch {
 		case machine != nil && c.zones.Unreachable(machine.Zone) && (!machine.HasReported || machine.Suspect()):
-			dark[machine.Zone]++
-			latest = worker.Later(latest, machine.LeaseExpiresAt)
+			unreachable[machine.Zone]++
+			lastExpiry = worker.Later(lastExpiry, machine.LeaseExpiresAt)
 		default:
-			at[c.reconciler.ZoneOf(assignment.Machine)]++
+			reachable[c.reconciler.ZoneOf(assignment.Machine)]++
 		}
 	}
-	if len(at) > 0 {
-		lines = append(lines, "on machines in "+workload.FormatByZone(at))
+	if len(reachable) > 0 {
+		lines = append(lines, "on machines in "+workload.FormatByZone(reachable))
 	}
-	if len(dark) > 0 {
+	if len(unreachable) > 0 {
 		lines = append(lines, fmt.Sprintf("nothing is heard of %s: its tasks there may go on, and start elsewhere once their workers' leases have surely lapsed, in %.0fs at the latest, or the cloud has taken the machines back",
-			workload.FormatByZone(dark), max(0, latest.Sub(now).Seconds())))
+			workload.FormatByZone(unreachable), max(0, lastExpiry.Sub(now).Seconds())))
 	}
-	from := job.Losses.CountByZone(func(task int) bool { return !job.Record.Finished.Contains(task) })
-	if len(from) > 0 {
-		lines = append(lines, fmt.Sprintf("lost in %s and not started again yet", workload.FormatByZone(from)))
+	lost := job.Losses.CountByZone(func(task int) bool { return !job.Record.Finished.Contains(task) })
+	if len(lost) > 0 {
+		lines = append(lines, fmt.Sprintf("lost in %s and not started again yet", workload.FormatByZone(lost)))
 	}
 	return lines
 }
--- a/internal/clusterstate/helpers_test.go
+++ b/internal/clusterstate/helpers_test.go
@@ -153,7 +153,7 @@
 // markStored records that the current version of a job's record is stored, so that its starts may be sent.
 func (c *State) markStored(job *workload.Job) {
 	job.StoredVersion = job.Version
-	c.versionStored(job)
+	c.recordStoredVersion(job)
 }
 
 // markAllStored marks all changes as stored and all pending commands as sent.
--- a/internal/clusterstate/hint_cache.go
+++ b/internal/clusterstate/hint_cache.go
@@ -6,9 +6,9 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-// wholeHintsInterval is the interval at which all hints are requested again, since changed hints do not
+// completeHintsInterval is the interval at which all hints are requested again, since changed hints do not
 // name machines that are gone.
-const wholeHintsInterval = 20 * time.Second
+const completeHintsInterval = 20 * time.Second
 
 // HintCache holds the hints that the last leader gave of its machines, in case this node leads next. Its
 // owner guards it with a lock.
@@ -25,27 +25,27 @@
 
 // Receive records a leader's hints and the position that they reach. It ignores the hints of an earlier
 // leader than the last.
-func (c *HintCache) Receive(hints []Hint, to HintPosition) {
-	if to.Generation < c.received.Generation {
+func (c *HintCache) Receive(hints []Hint, position HintPosition) {
+	if position.Generation < c.received.Generation {
 		return
 	}
-	if to.Complete || c.hints == nil {
+	if position.Complete || c.hints == nil {
 		c.hints = map[ids.Machine]receivedHint{}
 	}
 	now := time.Now()
 	for _, hint := range hints {
 		c.hints[hint.Name] = receivedHint{hint, now.Add(-hint.ProvisionedFor)}
 	}
-	to.ReceivedAt = c.received.ReceivedAt
-	if to.Complete {
-		to.ReceivedAt = now
+	position.ReceivedAt = c.received.ReceivedAt
+	if position.Complete {
+		position.ReceivedAt = now
 	}
-	c.received = to
+	c.received = position
 }
 
 // Position returns the position from which to request a leader's hints.
 func (c *HintCache) Position() HintPosition {
-	if time.Since(c.received.ReceivedAt) > wholeHintsInterval {
+	if time.Since(c.received.ReceivedAt) > completeHintsInterval {
 		return HintPosition{}
 	}
 	return c.received
--- a/internal/clusterstate/hints.go
+++ b/internal/clusterstate/hints.go
@@ -39,11 +39,11 @@
 
 // Hints returns the hints that changed since a position, or all hints if the position is not one of this
 // term, and the position that they reach.
-func (c *State) Hints(since HintPosition) (hints []Hint, to HintPosition) {
+func (c *State) Hints(since HintPosition) (hints []Hint, position HintPosition) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	to = HintPosition{Generation: c.firstGeneration, Sequence: c.hintSequence, Complete: since.Generation != c.firstGeneration}
-	if to.Complete {
+	position = HintPosition{Generation: c.firstGeneration, Sequence: c.hintSequence, Complete: since.Generation != c.firstGeneration}
+	if position.Complete {
 		since.Sequence = 0
 	}
 	for _, machine := range c.machines.Machines {
@@ -51,7 +51,7 @@
 			hints = append(hints, Hint{machine.Name, machine.Addr, machine.Type, machine.Zone, machine.Spot, machine.Incarnation, machine.Images.Copy(), !machine.HasReported, time.Since(machine.ProvisionedAt)})
 		}
 	}
-	return hints, to
+	return hints, position
 }
 
 // ApplyHints applies the hints of an earlier leader to machines that have not reported to this one.
@@ -59,7 +59,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, hint := range cache.hints {
-		machine := c.machines.Ensure(hint.Name, now, c.trustSilence)
+		machine := c.machines.Ensure(hint.Name, now, c.earliestLeaseExpiry)
 		if machine.HasReported {
 			continue
 		}
--- a/internal/clusterstate/lost_machines.go
+++ b/internal/clusterstate/lost_machines.go
@@ -27,7 +27,7 @@
 		if len(node.Assignments) == 0 {
 			continue
 		}
-		machine := c.machines.Ensure(name, now, c.trustSilence)
+		machine := c.machines.Ensure(name, now, c.earliestLeaseExpiry)
 		if now.Before(machine.LeaseExpiresAt) {
 			continue
 		}
@@ -44,13 +44,13 @@
 func (c *State) MachineTerminated(name ids.Machine) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	why := "its machine was returned to the cloud"
+	reason := "its machine was returned to the cloud"
 	if machine := c.machines.Machines[name]; machine != nil && machine.DeleteReason != "" {
-		why += ": " + machine.DeleteReason
+		reason += ": " + machine.DeleteReason
 		c.evictor.ReplacementLost(name, machine.DeleteReason)
 	}
 	for assignment := range c.capacity.AssignmentsOn(name) {
-		c.reconciler.MarkLost(assignment, why)
+		c.reconciler.MarkLost(assignment, reason)
 	}
 	c.removeMachine(name)
 	if len(c.terminated) > maxTerminatedMachines {
--- a/internal/clusterstate/oversize.go
+++ b/internal/clusterstate/oversize.go
@@ -19,34 +19,34 @@
 	job.Oversize = true
 	job.PendingReason = "its places do not fit into a record of the state service"
 	job.OversizeVersion = job.Version
-	single := len(job.Assignments) <= 1
-	if claimed := min(len(job.Assignments), c.maxAssignedTasks(job)); c.removeUnsentOf(job) {
-		job.MaxAssigned = max(1, claimed/2)
+	hadAtMostOne := len(job.Assignments) <= 1
+	if assigned := min(len(job.Assignments), c.maxAssignedTasks(job)); c.removeUnsentAssignments(job) {
+		job.MaxAssigned = max(1, assigned/2)
 		c.markChanged(job)
 	}
-	if single && len(job.Assignments) == 0 {
-		c.forgetScattered(job)
+	if hadAtMostOne && len(job.Assignments) == 0 {
+		c.dropScatteredFinishedTasks(job)
 	}
 }
 
-// removeUnsentOf removes the assignments of a job whose starts were never sent, and reports whether there
-// were any.
-func (c *State) removeUnsentOf(job *workload.Job) bool {
-	dropped := false
+// removeUnsentAssignments removes the assignments of a job whose starts were never sent, and reports
+// whether there were any.
+func (c *State) removeUnsentAssignments(job *workload.Job) bool {
+	removed := false
 	for _, i := range workload.SortedTasks(job.Assignments) {
 		if assignment := job.Assignments[i]; !assignment.StartSent {
 			c.removeAssignment(assignment)
-			dropped = true
+			removed = true
 		}
 	}
-	return dropped
+	return removed
 }
 
-// forgetScattered shrinks a record that has no assignments left and is still too large, or has no space for
-// a single one. Of the finished tasks it keeps only the longest runs of consecutive ones, so that half of
-// the value is free for assignments. The other finished tasks start again; as their results are kept, they
-// exit as done once they have their image.
-func (c *State) forgetScattered(job *workload.Job) {
+// dropScatteredFinishedTasks shrinks a record that has no assignments left and is still too large, or has
+// no space for a single one. Of the finished tasks it keeps only the longest runs of consecutive ones, so
+// that half of the value is free for assignments. The other finished tasks start again; as their results
+// are kept, they exit as done once they have their image.
+func (c *State) dropScatteredFinishedTasks(job *workload.Job) {
 	if job.Record.Finished.SpanCount() < 2 {
 		return // finished tasks are not what makes the record large
 	}
--- a/internal/clusterstate/queue_order_test.go
+++ b/internal/clusterstate/queue_order_test.go
@@ -112,9 +112,9 @@
 		time.Sleep(300 * time.Second)
 		cluster.mu.Lock()
 		defer cluster.mu.Unlock()
-		cluster.dependencies.jobEnded("job-1", record.Done)
+		cluster.dependencies.recordOutcome("job-1", record.Done)
 		cluster.dependencies.collectReadyMoves(func(change commit.Change) bool {
-			cluster.changeStored(change, 9)
+			cluster.recordStoredChange(change, 9)
 			return true
 		})
 		job := cluster.jobs.Get("job-2")
--- a/internal/clusterstate/ready_jobs.go
+++ b/internal/clusterstate/ready_jobs.go
@@ -18,17 +18,17 @@
 // moves, urgent changes get a group to themselves: the end of a job with many dependents must not delay all
 // else.
 func (t *dependencyTracker) collectReadyMoves(add func(commit.Change) bool) {
-	if t.movedLast && t.changes.HasUrgent() {
-		t.movedLast = false
+	if t.lastGroupMovedJobs && t.changes.HasUrgent() {
+		t.lastGroupMovedJobs = false
 		return
 	}
-	t.movedLast = false
+	t.lastGroupMovedJobs = false
 	for _, id := range t.sortByPriority(t.graph.Ready()) {
 		change, ok := t.encodeReadyMove(id)
 		if ok && !add(change) {
 			return
 		}
-		t.movedLast = t.movedLast || ok
+		t.lastGroupMovedJobs = t.lastGroupMovedJobs || ok
 	}
 }
 
@@ -83,7 +83,7 @@
 	moved.TrimDependencies(valueLimit(t.settings))
 	moved.Events = append(slices.Clone(moved.Events), record.Event{At: moved.ReadyAt, Message: "all jobs that it awaited are done"})
 	value, ok := moved.Encode(valueLimit(t.settings))
-	return t.moveTo(record.JobKey(id), waiting, moved, value, ok)
+	return t.newMove(record.JobKey(id), waiting, moved, value, ok)
 }
 
 // encodeCancelledMove returns the change that ends a waiting job as cancelled; ok is false if its record
@@ -93,7 +93,7 @@
 	moved := t.nextRecord(waiting)
 	moved.MarkCancelledBy(t.graph.CancelledBy(id))
 	value, ok := moved.EncodeFinal(valueLimit(t.settings))
-	change, ok = t.moveTo(record.EndKey(id), waiting, moved, value, ok)
+	change, ok = t.newMove(record.EndKey(id), waiting, moved, value, ok)
 	change.Terminal = true
 	return change, ok
 }
@@ -106,9 +106,9 @@
 	return &next
 }
 
-// moveTo returns the change that moves a waiting job's record to another key; ok is false if the record
+// newMove returns the change that moves a waiting job's record to another key; ok is false if the record
 // does not fit a stored value.
-func (t *dependencyTracker) moveTo(key string, waiting *workload.WaitingJob, moved *record.Record, value []byte, fits bool) (change commit.Change, ok bool) {
+func (t *dependencyTracker) newMove(key string, waiting *workload.WaitingJob, moved *record.Record, value []byte, fits bool) (change commit.Change, ok bool) {
 	if !fits {
 		slog.Error("waiting job's record too large to store; the job is not moved", "job", waiting.ID())
 		return commit.Change{}, false
@@ -119,12 +119,12 @@
 		Ops:        []state.Op{{Remove: from}, {Put: key, Value: value}}}, true
 }
 
-// waitingJobMoved records that a waiting job's move is stored.
-func (t *dependencyTracker) waitingJobMoved(change commit.Change, revision ids.Revision, now time.Time) {
+// recordMove records that a waiting job's move is stored.
+func (t *dependencyTracker) recordMove(change commit.Change, revision ids.Revision, now time.Time) {
 	id := change.Waiting.ID()
 	t.removeIfWaiting(change.Waiting)
 	if change.Terminal {
-		t.jobEnded(id, record.Cancelled)
+		t.recordOutcome(id, record.Cancelled)
 		return
 	}
 	if t.jobs.Get(id) == nil {
--- a/internal/clusterstate/recovery.go
+++ b/internal/clusterstate/recovery.go
@@ -14,13 +14,13 @@
 // Load fills the cluster state with the records read at a takeover. The claims in them ended with the
 // leader that made them; their assignments stay until a report, an expired lease or the cloud shows what
 // became of the tasks.
-func (c *State) Load(records map[ids.Job]*record.Record, revisions map[ids.Job]ids.Revision, at ids.Revision, now time.Time) {
+func (c *State) Load(records map[ids.Job]*record.Record, revisions map[ids.Job]ids.Revision, listRevision ids.Revision, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	// Changes may have arrived before the list. A job known from them is discarded if the list has a newer
 	// record of it, or lacks it and is at least as new.
 	for id, job := range c.jobs.All() {
-		if s, listed := revisions[id]; job.Revision <= at && !listed || listed && s > job.Revision {
+		if listedRevision, listed := revisions[id]; job.Revision <= listRevision && !listed || listed && listedRevision > job.Revision {
 			c.discardJob(job)
 		}
 	}
@@ -49,14 +49,14 @@
 		job.Record.Status = record.Cancelling
 	}
 	c.jobs.Add(job)
-	rec.EachAssignment(func(i int, at record.Location) {
-		c.machines.Ensure(at.Machine, now, c.trustSilence)
-		c.addAssignment(&workload.Assignment{Job: job, TaskIndex: i, Machine: at.Machine, Incarnation: at.Incarnation, Attempt: at.Attempt,
-			FencingToken: at.FencingToken, StartSent: true, AssignedAt: now, Stopping: job.Cancelled(), StopReason: "cancelled"})
+	rec.EachAssignment(func(i int, location record.Location) {
+		c.machines.Ensure(location.Machine, now, c.earliestLeaseExpiry)
+		c.addAssignment(&workload.Assignment{Job: job, TaskIndex: i, Machine: location.Machine, Incarnation: location.Incarnation, Attempt: location.Attempt,
+			FencingToken: location.FencingToken, StartSent: true, AssignedAt: now, Stopping: job.Cancelled(), StopReason: "cancelled"})
 	})
 	job.Record.Assignments = nil
 	c.evictor.Load(job)
-	c.dependencies.join(job)
+	c.dependencies.handleAddedJob(job)
 	c.finishIfComplete(job)
 	return job
 }
@@ -109,7 +109,7 @@
 func (c *State) applyForeignWrite(job *workload.Job, revision ids.Revision, rec *record.Record) {
 	job.Revision = revision
 	if rec.Status == record.Cancelling {
-		c.cancelConfirmed(job)
+		c.applyConfirmedCancellation(job)
 	}
 	c.markChanged(job)
 }
@@ -123,6 +123,6 @@
 	if len(job.Assignments) == 0 {
 		c.removeJob(job)
 	}
-	c.dependencies.scheduleLookupIfAwaited(id)
+	c.dependencies.scheduleLookupIfPrerequisite(id)
 	c.jobs.Retire(id)
 }
--- a/internal/clusterstate/starvation_test.go
+++ b/internal/clusterstate/starvation_test.go
@@ -201,7 +201,7 @@
 			}
 		}
 		ended := map[workload.TaskAttempt]bool{}
-		pass := func(second int) {
+		runPass := func(second int) {
 			cluster.Plan(time.Now())
 			cluster.markAllStored()
 			cluster.runTasks(ids.SequenceNumber(second+2), 10*time.Second, ended)
@@ -211,7 +211,7 @@
 			submitJob("array", i%10, record.Array, record.Normal, 6, 1)
 		}
 		for second := range 20 {
-			pass(second)
+			runPass(second)
 		}
 		for i := range 10 {
 			cluster.MachineTerminated(ids.Machine(fmt.Sprintf("host-%06d", i)))
@@ -229,7 +229,7 @@
 					submitJob("low", second/10%10, record.Array, record.Low, 4, 2)
 				}
 			}
-			pass(20 + second)
+			runPass(20 + second)
 			for id, class := range classes {
 				if job := cluster.jobs.Get(id); job != nil && job.Record.Attempt > 0 && len(job.Assignments) > 0 {
 					for _, group := range []string{class, job.Record.Spec.Team} {
--- a/internal/clusterstate/state.go
+++ b/internal/clusterstate/state.go
@@ -76,15 +76,15 @@
 	// so that workers reject late starts.
 	generation   ids.Generation
 	raisePending bool
-	// trustSilence is the earliest time at which the lease of a machine that has not reported counts as
-	// expired: an earlier leader may have gone on answering the worker until that leader's grace period
+	// earliestLeaseExpiry is the earliest time at which the lease of a machine that has not reported counts
+	// as expired: an earlier leader may have gone on answering the worker until that leader's grace period
 	// ended.
-	trustSilence    time.Time
-	leasesCheckedAt time.Time
-	hintSequence    uint64 // counts the changes of hints
-	closed          bool
-	loaded          bool         // all records were loaded after the takeover
-	machineCount    atomic.Int64 // number of machines when last counted
+	earliestLeaseExpiry time.Time
+	leasesCheckedAt     time.Time
+	hintSequence        uint64 // counts the changes of hints
+	closed              bool
+	loaded              bool         // all records were loaded after the takeover
+	machineCount        atomic.Int64 // number of machines when last counted
 
 	// StatusInOtherShard returns the status of a live job of another shard, according to this node's copy
 	// of the records; live is false if there is none. It and the two functions below are set before the
@@ -102,38 +102,38 @@
 }
 
 // New returns the cluster state of one term of leading the first shard.
-func New(settings *config.Settings, writer string, generation ids.Generation, trustSilence time.Time) *State {
-	return NewShard(settings, writer, generation, trustSilence, 0)
+func New(settings *config.Settings, writer string, generation ids.Generation, earliestLeaseExpiry time.Time) *State {
+	return NewShard(settings, writer, generation, earliestLeaseExpiry, 0)
 }
 
-// NewShard returns the cluster state of one term of leading a shard. Before trustSilence, no lease of a
-// machine that has not reported counts as expired.
-func NewShard(settings *config.Settings, writer string, generation ids.Generation, trustSilence time.Time, shard ids.Shard) *State {
+// NewShard returns the cluster state of one term of leading a shard. Before earliestLeaseExpiry, no lease
+// of a machine that has not reported counts as expired.
+func NewShard(settings *config.Settings, writer string, generation ids.Generation, earliestLeaseExpiry time.Time, shard ids.Shard) *State {
 	machines := worker.NewRegistry(settings.Params.Workers.LeaseS)
 	index := capacity.NewIndex(machines)
 	c := &State{
-		settings:           settings,
-		shard:              shard,
-		keys:               record.KeysOf(shard, settings.ShardCount()),
-		writer:             writer,
-		firstGeneration:    generation,
-		termBegan:          time.Now(),
-		jobs:               workload.NewQueue(),
-		machines:           machines,
-		capacity:           index,
-		estimates:          estimate.New(settings, index),
-		quota:              quota.NewTracker(shard, settings.ShardCount(), teamLimits(settings), processStart),
-		zones:              liveness.NewZones(),
-		changes:            workload.NewChanges(),
-		cancellations:      map[ids.Job]ids.Revision{},
-		terminated:         map[ids.Machine]bool{},
-		generation:         generation,
-		trustSilence:       trustSilence,
-		StatusInOtherShard: func(ids.Job) (record.Status, bool) { return "", false },
-		StoreAvailable:     func() bool { return true },
-		StartsAllowed:      func() (bool, time.Time) { return true, time.Now() },
-		commitSignal:       make(chan struct{}, 1),
-		planSignal:         make(chan struct{}, 1),
+		settings:            settings,
+		shard:               shard,
+		keys:                record.KeysOf(shard, settings.ShardCount()),
+		writer:              writer,
+		firstGeneration:     generation,
+		termBegan:           time.Now(),
+		jobs:                workload.NewQueue(),
+		machines:            machines,
+		capacity:            index,
+		estimates:           estimate.New(settings, index),
+		quota:               quota.NewTracker(shard, settings.ShardCount(), teamLimits(settings), processStart),
+		zones:               liveness.NewZones(),
+		changes:             workload.NewChanges(),
+		cancellations:       map[ids.Job]ids.Revision{},
+		terminated:          map[ids.Machine]bool{},
+		generation:          generation,
+		earliestLeaseExpiry: earliestLeaseExpiry,
+		StatusInOtherShard:  func(ids.Job) (record.Status, bool) { return "", false },
+		StoreAvailable:      func() bool { return true },
+		StartsAllowed:       func() (bool, time.Time) { return true, time.Now() },
+		commitSignal:        make(chan struct{}, 1),
+		planSignal:          make(chan struct{}, 1),
 	}
 	c.dependencies = newDependencyTracker(c)
 	c.commands = dispatch.NewQueue(machines, index, operations{c})
@@ -153,13 +153,13 @@
 // event only updates its time.
 func (c *State) recordEvent(job *workload.Job, format string, args ...any) {
 	limit := int(c.settings.Operator.TrailEvents)
-	what := fmt.Sprintf(format, args...)
-	slog.Debug("job event", "id", job.Record.Spec.ID, "what", what)
-	if n := len(job.Record.Events); n > 0 && job.Record.Events[n-1].Message == what {
+	message := fmt.Sprintf(format, args...)
+	slog.Debug("job event", "id", job.Record.Spec.ID, "what", message)
+	if n := len(job.Record.Events); n > 0 && job.Record.Events[n-1].Message == message {
 		job.Record.Events[n-1].At = ids.TimestampOf(time.Now())
 		return
 	}
-	job.Record.Events = append(job.Record.Events, record.Event{At: ids.TimestampOf(time.Now()), Message: what})
+	job.Record.Events = append(job.Record.Events, record.Event{At: ids.TimestampOf(time.Now()), Message: message})
 	if len(job.Record.Events) > limit {
 		job.Record.Events = append([]record.Event(nil), job.Record.Events[len(job.Record.Events)-limit:]...)
 	}
@@ -264,15 +264,15 @@
 func (c *State) TrustSilenceFrom(at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !at.Before(c.trustSilence) {
+	if !at.Before(c.earliestLeaseExpiry) {
 		return
 	}
 	for _, machine := range c.machines.Machines {
-		if !machine.HasReported && machine.LeaseExpiresAt.Equal(c.trustSilence) {
+		if !machine.HasReported && machine.LeaseExpiresAt.Equal(c.earliestLeaseExpiry) {
 			machine.LeaseExpiresAt = at
 		}
 	}
-	c.trustSilence = at
+	c.earliestLeaseExpiry = at
 }
 
 // MachineCount returns the number of machines that this leader knew when they were last counted. It takes
--- a/internal/clusterstate/store_changes.go
+++ b/internal/clusterstate/store_changes.go
@@ -149,30 +149,30 @@
 		if change.Job != nil && !readAfter.IsZero() {
 			change.Job.ReadRequiredAfter = readAfter
 		}
-		c.changeStored(change, revision)
+		c.recordStoredChange(change, revision)
 	}
 }
 
-// changeStored records that one change is stored.
-func (c *State) changeStored(change commit.Change, revision ids.Revision) {
+// recordStoredChange records that one change is stored.
+func (c *State) recordStoredChange(change commit.Change, revision ids.Revision) {
 	if change.Waiting != nil {
-		c.dependencies.waitingJobMoved(change, revision, time.Now())
+		c.dependencies.recordMove(change, revision, time.Now())
 		return
 	}
 	job := change.Job
 	job.Revision = max(job.Revision, revision) // a cancellation that was stored after the change may be known
 	job.StoredVersion = max(job.StoredVersion, change.Version)
-	c.versionStored(job)
+	c.recordStoredVersion(job)
 	if change.Terminal {
 		delete(c.cancellations, job.ID())
-		c.dependencies.jobEnded(job.ID(), job.Record.Status)
+		c.dependencies.recordOutcome(job.ID(), job.Record.Status)
 		c.retireJob(job)
 	}
 }
 
-// versionStored handles a newly stored version of a job: starts whose markers are stored now are sent, and
-// later changes may be delayed again.
-func (c *State) versionStored(job *workload.Job) {
+// recordStoredVersion handles a newly stored version of a job: starts whose markers are stored now are
+// sent, and later changes may be delayed again.
+func (c *State) recordStoredVersion(job *workload.Job) {
 	if job.StoredVersion >= job.Version {
 		c.changes.Remove(job)
 		job.Urgent = false
@@ -223,7 +223,7 @@
 	job.ReadRequiredAfter = time.Now()
 	job.Revision = revision
 	job.StoredVersion = max(job.StoredVersion, min(stored.Seq, job.Version))
-	c.versionStored(job)
+	c.recordStoredVersion(job)
 }
 
 // RecordEnded drops a job whose end is stored already, either by this leader's own write, whose answer was
--- a/internal/clusterstate/store_changes_test.go
+++ b/internal/clusterstate/store_changes_test.go
@@ -76,7 +76,7 @@
 	commitOnce := func() int {
 		group, _ := cluster.CollectChanges(limits)
 		for _, change := range group {
-			cluster.changeStored(change, change.Job.Revision+1)
+			cluster.recordStoredChange(change, change.Job.Revision+1)
 		}
 		cluster.NextBatches(1000)
 		return len(group)
--- a/internal/clusterstate/takeover_test.go
+++ b/internal/clusterstate/takeover_test.go
@@ -163,12 +163,12 @@
 		if _, due := cluster.dependencies.lookups["job-2"]; !due || waiting["job-2"] != nil || waiting["job-4"] == nil {
 			t.Errorf("the removed job is looked up: %v; waiting jobs: %v", due, waiting)
 		}
-		cluster.dependencies.jobEnded("job-2", record.Cancelled)
+		cluster.dependencies.recordOutcome("job-2", record.Cancelled)
 		if cancelledBy := cluster.dependencies.graph.CancelledBy("job-3"); cancelledBy != "job-2" {
 			t.Errorf("the dependent of the removed job is cancelled by %q, want job-2", cancelledBy)
 		}
 		cluster.HandleWaitingJob("job-9", 10, nil, now)
-		if len(cluster.dependencies.departed) != 0 {
+		if len(cluster.dependencies.removedBeforeLoad) != 0 {
 			t.Error("a removal seen after the listing is remembered")
 		}
 	})
--- a/internal/clusterstate/unreachable_zones_test.go
+++ b/internal/clusterstate/unreachable_zones_test.go
@@ -23,7 +23,7 @@
 		}
 		cluster.heartbeat(name, zone, 1)
 	}
-	silence := func(silent ...ids.Machine) {
+	markSilent := func(silent ...ids.Machine) {
 		for _, name := range silent {
 			machine := cluster.machines.Machines[name]
 			machine.LastReportAt = time.Now().Add(-6 * time.Second)
@@ -31,11 +31,11 @@
 			machine.UnansweredProbes = 2
 		}
 	}
-	silence("n1")
+	markSilent("n1")
 	if terminated := cluster.machinesToTerminate(time.Now()); len(terminated) != 1 || terminated[0] != "n1" {
 		t.Fatalf("one silent machine: terminating %v, want n1", terminated)
 	}
-	silence("s1", "s2", "s3")
+	markSilent("s1", "s2", "s3")
 	for _, name := range cluster.machinesToTerminate(time.Now()) {
 		if name[0] == 's' {
 			t.Errorf("%s is to be terminated although all of its zone is silent", name)
@@ -61,7 +61,7 @@
 	service := newServiceRecord("job-1", "blue", record.Critical, 20, 2)
 	cluster.submit(1, service, start)
 	cluster.Plan(start)
-	reported := func(name string, ago time.Duration) {
+	setLastReport := func(name string, ago time.Duration) {
 		machine := cluster.machines.Machines[ids.Machine(name)]
 		machine.LastReportAt = start.Add(-ago)
 		machine.UnansweredProbes = 0
@@ -71,9 +71,9 @@
 	probed := 0
 	for i := range 40 {
 		name := fmt.Sprintf("m%02d", i)
-		reported(name, time.Duration(i)*20*time.Millisecond)
+		setLastReport(name, time.Duration(i)*20*time.Millisecond)
 		if zoneOf(i) == "south" {
-			reported(name, 5*time.Second)
+			setLastReport(name, 5*time.Second)
 			if probed++; probed <= 10 {
 				machine := cluster.machines.Machines[ids.Machine(name)]
 				machine.UnansweredProbes = 2
@@ -106,7 +106,7 @@
 	// A machine that stays silent although the others report again is terminated.
 	for i := range 40 {
 		if name := fmt.Sprintf("m%02d", i); name != "m03" {
-			reported(name, 0)
+			setLastReport(name, 0)
 		}
 	}
 	missing := cluster.machines.Machines["m03"]
@@ -148,7 +148,7 @@
 		machine.UnansweredProbes = 5
 		machine.SuspectSince = now.Add(time.Second)
 	}
-	cluster.trustSilence = now.Add(17*time.Second + 500*time.Millisecond)
+	cluster.earliestLeaseExpiry = now.Add(17*time.Second + 500*time.Millisecond)
 	if terminated := cluster.machinesToTerminate(now.Add(3 * time.Second)); len(terminated) != 0 {
 		t.Fatalf("terminating %v while the leases may not have expired", terminated)
 	}
--- a/internal/clusterstate/urgency_inheritance_test.go
+++ b/internal/clusterstate/urgency_inheritance_test.go
@@ -27,15 +27,15 @@
 		}, record.Low, record.Low},
 		"the cancelled urgent job's outcome is looked up": {func(cluster *State, now time.Time) {
 			cluster.HandleWaitingJob("job-4", 9, nil, now)
-			cluster.dependencies.jobEnded("job-4", record.Cancelled)
+			cluster.dependencies.recordOutcome("job-4", record.Cancelled)
 		}, record.Low, record.Low},
 		"another controller cancels one branch and so the urgent job": {func(cluster *State, now time.Time) {
 			cluster.HandleWaitingJob("job-2", 9, nil, now)
-			cluster.dependencies.jobEnded("job-2", record.Cancelled)
+			cluster.dependencies.recordOutcome("job-2", record.Cancelled)
 		}, record.Low, record.Low},
 		"one branch is done": {func(cluster *State, now time.Time) {
 			cluster.HandleWaitingJob("job-2", 9, nil, now)
-			cluster.dependencies.jobEnded("job-2", record.Done)
+			cluster.dependencies.recordOutcome("job-2", record.Done)
 		}, record.High, record.High},
 		"another urgent job depends on one branch, the first is gone": {func(cluster *State, now time.Time) {
 			cluster.submitWaiting(5, newWaitingRecord("job-5", record.High, 100, "job-3"), now)
@@ -72,10 +72,10 @@
 		now := time.Now()
 		cluster := newTestState()
 		addDiamondPipeline(cluster, now)
-		cluster.dependencies.jobEnded("job-1", record.Done)
+		cluster.dependencies.recordOutcome("job-1", record.Done)
 		waiting := cluster.dependencies.waiting["job-2"]
 		moved := *waiting.Record
-		cluster.dependencies.waitingJobMoved(commit.Change{Waiting: waiting, Becomes: &moved}, 5, now)
+		cluster.dependencies.recordMove(commit.Change{Waiting: waiting, Becomes: &moved}, 5, now)
 		job := cluster.jobs.Get("job-2")
 		if job == nil {
 			t.Fatal("the branch did not become ready")
--- a/internal/clusterstate/waiting_jobs_test.go
+++ b/internal/clusterstate/waiting_jobs_test.go
@@ -74,7 +74,7 @@
 		dependents := append(newDependents(300, "job-500"), high, newWaitingRecord("job-9001", record.High, 0, "job-9000"))
 		history.storeWaitingJobs(t, cluster, dependents...)
 		assigned := history.storeLiveJob(t, cluster, newRecord("job-501", "red", record.Normal, 1, 1))
-		cluster.dependencies.jobEnded("job-500", record.Done)
+		cluster.dependencies.recordOutcome("job-500", record.Done)
 		cluster.Plan(time.Now())
 		committer.CommitGroup(ctx)
 		if cluster.jobs.Get("job-9000") == nil {
@@ -171,7 +171,7 @@
 		if got := len(cluster.scheduler.Ranked(time.Now())); got != 300 {
 			t.Errorf("%d jobs are ranked, want 300", got)
 		}
-		cluster.dependencies.jobEnded("job-10000", record.Done)
+		cluster.dependencies.recordOutcome("job-10000", record.Done)
 		if ready, _ := cluster.dependencies.graph.Counts(); ready != 10 {
 			t.Errorf("the end of a job made %d jobs ready, want 10", ready)
 		}
@@ -208,7 +208,7 @@
 			cluster.mu.Lock()
 			cluster.dependencies.addWaitingJobs(now, &workload.WaitingJob{Record: rec, Revision: 3})
 			for _, dependency := range rec.Spec.DependsOn {
-				cluster.dependencies.jobEnded(dependency, outcome)
+				cluster.dependencies.recordOutcome(dependency, outcome)
 			}
 			var moves []commit.Change
 			add := func(change commit.Change) bool {
