--- a/internal/clusterstate/helpers_dependencies_test.go
+++ b/internal/clusterstate/helpers_dependencies_test.go
@@ -65,7 +65,7 @@
 	return history
 }
 
-// numberedJob returns the ID of the job of this number.
+// numberedJob returns the ID of the job with the given number.
 func numberedJob(number int) ids.Job { return ids.Job(fmt.Sprintf("job-%d", number)) }
 
 // runLookupsUntilDone runs lookup passes until no outcome is left to look up, and returns the number of
--- a/internal/clusterstate/helpers_eviction_test.go
+++ b/internal/clusterstate/helpers_eviction_test.go
@@ -62,7 +62,7 @@
 	return orders
 }
 
-// runEviction runs an eviction pass, however short ago the last one was.
+// runEviction runs an eviction pass, regardless of when the last one ran.
 func runEviction(cluster *State, now time.Time) {
 	cluster.evictor.Look(now)
 }
--- a/internal/clusterstate/helpers_workers_test.go
+++ b/internal/clusterstate/helpers_workers_test.go
@@ -101,8 +101,8 @@
 	}
 }
 
-// markReported marks a machine as one of the north that has reported and answered just now, is in its first
-// incarnation and has seen the fencing token.
+// markReported marks a machine of the north as having reported and answered just now, in its first
+// incarnation, and as having seen the fencing token.
 func markReported(cluster *State, name ids.Machine, token ids.Generation, now time.Time) {
 	machine := cluster.machines.Ensure(name, now, now)
 	machine.HasReported = true
