--- a/internal/clusterstate/helpers_workers_test.go
+++ b/internal/clusterstate/helpers_workers_test.go
@@ -74,8 +74,8 @@
 }
 
 // runTasks reconciles a heartbeat of every machine with its tasks: those to be stopped have exited, those
-// assigned for at least the duration are done (and recorded in ended), the others run. Jobs that end by
-// that are retired.
+// assigned for at least the duration are done (and recorded in ended), the others run. Jobs that end
+// in this way are retired.
 func (c *State) runTasks(sequence ids.SequenceNumber, duration time.Duration, ended map[workload.TaskAttempt]bool) {
 	for name := range c.machines.Machines {
 		var statuses []worker.TaskStatus
