--- a/internal/clusterstate/dependency_lookups.go
+++ b/internal/clusterstate/dependency_lookups.go
@@ -8,18 +8,19 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-// lookupRetryDelay is when an ended job that was not found is looked up again.
+// lookupRetryDelay is the delay after which an ended job that was not found is looked up again.
 const lookupRetryDelay = time.Second
 
-// scheduleLookup has it looked up how a job ended.
+// scheduleLookup schedules a lookup of how a job ended.
 func (t *dependencyTracker) scheduleLookup(id ids.Job, now time.Time) {
 	if _, scheduled := t.lookups[id]; !scheduled {
 		t.lookups[id] = now
 	}
 }
 
-// scheduleLookupIfAwaited has it looked up how a job ended, if others await it.
-func (t *dependencyTracker) scheduleLookupIfAwaited(id ids.Job) {
+// scheduleLookupIfPrerequisite schedules a lookup of how a job ended if waiting jobs depend on it and its
+// outcome is not known.
+func (t *dependencyTracker) scheduleLookupIfPrerequisite(id ids.Job) {
 	if t.graph.HasDependents(id) && t.graph.Outcome(id) == dependency.Unknown {
 		t.scheduleLookup(id, time.Now())
 	}
@@ -28,10 +29,10 @@
 // dueLookups implements State.DueLookups.
 func (t *dependencyTracker) dueLookups(now time.Time) []ids.Job {
 	var due []ids.Job
-	for id, at := range t.lookups {
+	for id, dueAt := range t.lookups {
 		if job := t.jobs.Get(id); t.waiting[id] != nil || job != nil && !job.Ended {
-			delete(t.lookups, id) // here after all: it was learned of later
-		} else if !at.After(now) {
+			delete(t.lookups, id) // the job became known after the lookup was scheduled
+		} else if !dueAt.After(now) {
 			due = append(due, id)
 		}
 	}
@@ -44,7 +45,7 @@
 	t.lookups[id] = now.Add(lookupRetryDelay)
 }
 
-// lookupMissed implements State.LookupMissed; live tells that the job is live in another shard.
+// lookupMissed implements State.LookupMissed; live is set if the job is live in another shard.
 func (t *dependencyTracker) lookupMissed(id ids.Job, live bool, now time.Time) (readLive bool) {
 	if live {
 		delete(t.lookups, id)
--- a/internal/clusterstate/hint_cache.go
+++ b/internal/clusterstate/hint_cache.go
@@ -6,46 +6,46 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-// wholeHintsInterval is after how long all hints are asked for again, since machines that went away
-// are not named.
-const wholeHintsInterval = 20 * time.Second
+// completeHintsInterval is the interval at which all hints are requested again, since changed hints do not
+// name machines that are gone.
+const completeHintsInterval = 20 * time.Second
 
-// HintCache is what the last leader told of its machines, kept for the case that this
-// node leads next. Its owner guards it by a lock.
+// HintCache holds the hints that the last leader gave of its machines, in case this node leads next. Its
+// owner guards it with a lock.
 type HintCache struct {
 	hints    map[ids.Machine]receivedHint
 	received HintPosition
 }
 
-// receivedHint is a hint with, by this node's clock, when the machine was provisioned.
+// receivedHint is a hint with the time at which the machine was provisioned, by this node's clock.
 type receivedHint struct {
 	Hint
 	provisionedAt time.Time
 }
 
-// Receive takes in a leader's hints and how far in them they go; those of an earlier leader are
-// passed over.
-func (c *HintCache) Receive(hints []Hint, to HintPosition) {
-	if to.Generation < c.received.Generation {
+// Receive records a leader's hints and the position that they reach. It ignores the hints of an earlier
+// leader than the last.
+func (c *HintCache) Receive(hints []Hint, position HintPosition) {
+	if position.Generation < c.received.Generation {
 		return
 	}
-	if to.Complete || c.hints == nil {
+	if position.Complete || c.hints == nil {
 		c.hints = map[ids.Machine]receivedHint{}
 	}
 	now := time.Now()
 	for _, hint := range hints {
 		c.hints[hint.Name] = receivedHint{hint, now.Add(-hint.ProvisionedFor)}
 	}
-	to.ReceivedAt = c.received.ReceivedAt
-	if to.Complete {
-		to.ReceivedAt = now
+	position.ReceivedAt = c.received.ReceivedAt
+	if position.Complete {
+		position.ReceivedAt = now
 	}
-	c.received = to
+	c.received = position
 }
 
-// Position is what to ask a leader's hints from.
+// Position returns the position from which to request a leader's hints.
 func (c *HintCache) Position() HintPosition {
-	if time.Since(c.received.ReceivedAt) > wholeHintsInterval {
+	if time.Since(c.received.ReceivedAt) > completeHintsInterval {
 		return HintPosition{}
 	}
 	return c.received
--- a/internal/clusterstate/liveness_test.go
+++ b/internal/clusterstate/liveness_test.go
@@ -15,7 +15,7 @@
 func TestLeaderIsolatedOnlyByOverdueRedirectedWorkers(t *testing.T) {
 	t.Parallel()
 	// Regression: a leader stepped down nine seconds after its takeover because of workers that had
-	// reached it, since its peer's message about redirecting them arrived after they did.
+	// reached it: its peer's message about redirecting them arrived after the workers' reports.
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newStateWithMachines(40)
 		cluster.settings.Params.Workers.ReportS = 10
@@ -28,23 +28,23 @@
 		time.Sleep(9 * time.Second) // all have reported once, and none since
 		for _, ago := range []time.Duration{9 * time.Second, 3 * time.Second} {
 			if cluster.IsolatedFromWorkers(redirectedWorkers(ago), time.Now()) {
-				t.Errorf("isolated by workers redirected %v ago that are not overdue", ago)
+				t.Errorf("the leader counts as isolated by workers redirected %v ago that are not overdue", ago)
 			}
 		}
 		time.Sleep(4 * time.Second)
 		if cluster.IsolatedFromWorkers(redirectedWorkers(13*time.Second-50*time.Millisecond), time.Now()) {
-			t.Error("isolated by workers that reported right after they were redirected")
+			t.Error("the leader counts as isolated by workers that reported right after they were redirected")
 		}
 		if !cluster.IsolatedFromWorkers(redirectedWorkers(3*time.Second), time.Now()) {
-			t.Error("not isolated, though no worker reports here and workers reach another controller")
+			t.Error("the leader does not count as isolated, although no worker reports to it and workers reach another controller")
 		}
 	})
 }
 
 func TestProbesRotateAndMachinesWithReplicasGoFirst(t *testing.T) {
 	t.Parallel()
-	// Guards against probing the same silent machines of hundreds again and again while one with a
-	// replica waits.
+	// Guards against probing the same few of hundreds of silent machines again and again while a machine
+	// with a replica is not probed.
 	cluster := newStateWithMachines(300)
 	now := time.Now()
 	service := newServiceRecord("job-1", "blue", record.Critical, 1, 1)
@@ -58,7 +58,7 @@
 	for round := range 20 {
 		for position, probe := range cluster.DueProbes(now.Add(time.Duration(round)*time.Second), 20) {
 			if round == 0 && position == 0 && probe.Machine != machineWithReplica {
-				t.Errorf("%s was probed first, not %s, which has a replica", probe.Machine, machineWithReplica)
+				t.Errorf("%s was probed first, want %s, which has a replica", probe.Machine, machineWithReplica)
 			}
 			probed[probe.Machine]++
 			cluster.ProbeAnswered(probe.Machine, false)
@@ -97,18 +97,19 @@
 	for sequence := ids.SequenceNumber(3); sequence < 6; sequence++ {
 		cluster.ProbeAnswered(unreachable, false)
 		for i := range 6 {
-			cluster.heartbeat(ids.Machine(fmt.Sprint("m", i)), "north", sequence) // its own heartbeats, too
+			// The unreachable machine's own heartbeats arrive, too.
+			cluster.heartbeat(ids.Machine(fmt.Sprint("m", i)), "north", sequence)
 		}
 	}
 	machine.UnreachableSince = now.Add(-10 * time.Second)
 	machine.SuspectSince = now.Add(-10 * time.Second)
 	if assignment := cluster.assignmentsOf("job-1")[0]; assignment == nil || assignment.Machine != unreachable {
-		t.Fatal("the unconfirmed start was dropped without evidence")
+		t.Fatal("the assignment with the unconfirmed start was removed without proof that its task does not run")
 	}
 	if terminated := cluster.machinesToTerminate(time.Now()); len(terminated) != 1 || terminated[0] != unreachable {
 		t.Fatalf("terminating %v, want %s alone", terminated, unreachable)
 	}
-	cluster.MachineTerminated(unreachable) // confirmed by the cloud, which is the evidence
+	cluster.MachineTerminated(unreachable) // the cloud confirmed it, so the start cannot take effect any more
 	cluster.Plan(now)
 	if assignment := cluster.assignmentsOf("job-1")[0]; assignment == nil || assignment.Machine == unreachable {
 		t.Fatal("the task is not reassigned elsewhere")
@@ -161,7 +162,7 @@
 		machine.UnansweredProbes = 2
 	}
 	if terminated := cluster.machinesToTerminate(now); len(terminated) != 1 || terminated[0] != withReplica {
-		t.Fatalf("terminating %v, want %s", terminated, withReplica)
+		t.Fatalf("terminating %v, want only %s, which has a replica", terminated, withReplica)
 	}
 	// A single unanswered probe may be a lost message.
 	cluster.machines.Machines[withoutReplica].UnansweredProbes = 1
--- a/internal/clusterstate/oversize.go
+++ b/internal/clusterstate/oversize.go
@@ -6,49 +6,49 @@
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// handleOversize deals with a job's record that does not fit into a value: written by an older
-// version under a larger limit, or with more assignments than the estimate allowed for. What
-// has not been started yet is taken back, since nothing of it may start without a stored
-// assignment and it must not hold room for ever; from then on fewer tasks of the job are
-// assigned at a time. Tasks that may be on machines stay: the record becomes smaller as
-// they end, and is not tried again before it has changed.
+// handleOversize handles a job whose record does not fit a stored value: an older version wrote it under a
+// larger limit, or it has more assignments than the size estimate allowed for. Assignments whose starts
+// were not sent are removed, since no task may start without a stored assignment and they must not hold
+// capacity forever. From then on fewer tasks of the job are assigned at a time. Assignments of tasks that
+// may be on machines stay: the record becomes smaller as they end, and is not encoded again before it has
+// changed.
 func (c *State) handleOversize(job *workload.Job) {
 	if !job.Oversize {
-		slog.Warn("record too large to store; fewer tasks at a time", "job", job.Record.Spec.ID, "places", len(job.Assignments))
+		slog.Warn("job record too large to store; assigning fewer tasks of the job at a time", "job", job.Record.Spec.ID, "places", len(job.Assignments))
 	}
 	job.Oversize = true
 	job.PendingReason = "its places do not fit into a record of the state service"
 	job.OversizeVersion = job.Version
-	single := len(job.Assignments) <= 1
-	if claimed := min(len(job.Assignments), c.maxAssignedTasks(job)); c.removeUnsentOf(job) {
-		job.MaxAssigned = max(1, claimed/2)
+	hadAtMostOne := len(job.Assignments) <= 1
+	if assigned := min(len(job.Assignments), c.maxAssignedTasks(job)); c.removeUnsentAssignments(job) {
+		job.MaxAssigned = max(1, assigned/2)
 		c.markChanged(job)
 	}
-	if single && len(job.Assignments) == 0 {
-		c.forgetScattered(job)
+	if hadAtMostOne && len(job.Assignments) == 0 {
+		c.dropScatteredFinishedTasks(job)
 	}
 }
 
-// removeUnsentOf removes the assignments whose start never went out; it tells whether there
-// were any.
-func (c *State) removeUnsentOf(job *workload.Job) bool {
-	dropped := false
+// removeUnsentAssignments removes the assignments of a job whose starts were never sent, and reports
+// whether there were any.
+func (c *State) removeUnsentAssignments(job *workload.Job) bool {
+	removed := false
 	for _, i := range workload.SortedTasks(job.Assignments) {
 		if assignment := job.Assignments[i]; !assignment.StartSent {
 			c.removeAssignment(assignment)
-			dropped = true
+			removed = true
 		}
 	}
-	return dropped
+	return removed
 }
 
-// forgetScattered makes a record fit that has no assignments left and yet is too large, or
-// has no room for a single one: of the finished tasks only the longest runs are kept,
-// so that half of the value is free again for assignments. The others start again; as their
-// results are kept, they exit as done once they have their image.
-func (c *State) forgetScattered(job *workload.Job) {
+// dropScatteredFinishedTasks shrinks a record that has no assignments left and is still too large, or has
+// no space for a single one. Of the finished tasks it keeps only the longest runs of consecutive ones, so
+// that half of the value is free for assignments. The other finished tasks start again; as their results
+// are kept, they exit as done once they have their image.
+func (c *State) dropScatteredFinishedTasks(job *workload.Job) {
 	if job.Record.Finished.SpanCount() < 2 {
-		return // that is not what makes it large
+		return // finished tasks are not what makes the record large
 	}
 	for runs := job.Record.Finished.SpanCount(); runs > 1; {
 		runs /= 2
--- a/internal/clusterstate/queue_order_test.go
+++ b/internal/clusterstate/queue_order_test.go
@@ -42,7 +42,7 @@
 	if jobs := cluster.scheduler.Ranked(now); jobs[0].Record.Spec.ID != "job-2" {
 		t.Error("the low job that has run before ranks above the high one")
 	}
-	// A job that has never started ranks first after so long.
+	// A job that has waited as long and has never started ranks first.
 	cluster.jobs.Get("job-1").Record.Attempt = 0
 	if jobs := cluster.scheduler.Ranked(now); jobs[0].Record.Spec.ID != "job-1" {
 		t.Error("the low job that never started does not rank first")
@@ -51,7 +51,7 @@
 
 func TestQueueTimeCountsFromReadinessAndDeadlineFromSubmission(t *testing.T) {
 	// Guards against a job that waited long for its dependencies counting as starving, or rising above
-	// its priority, as soon as it is ready; and against a deadline that starts anew.
+	// its priority, as soon as it is ready; and against counting its deadline from then on.
 	synctest.Test(t, func(t *testing.T) {
 		now := time.Now()
 		waited := newRecord("job-1", "blue", record.Low, 50, 1)
@@ -75,7 +75,7 @@
 		} {
 			at := now.Add(test.after)
 			if first := cluster.scheduler.Ranked(at)[0] == job; first != test.first || job.Starving(at) != test.starves {
-				t.Errorf("%v after it is ready it ranks first: %v, starves: %v", test.after, first, job.Starving(at))
+				t.Errorf("%v after the job became ready it ranks first: %v, and starves: %v", test.after, first, job.Starving(at))
 			}
 		}
 		// Among low jobs it rises after 45 s.
@@ -90,21 +90,21 @@
 		} {
 			ranked := cluster.scheduler.Ranked(now.Add(test.after))
 			if got := ranked[1] == job; got != test.second {
-				t.Errorf("%v after it is ready it ranks above a small low job: %v", test.after, got)
+				t.Errorf("%v after the job became ready it ranks above a small low job: %v", test.after, got)
 			}
 		}
 		if left := deadline(&job.Record).Sub(now); left != 50*time.Second {
-			t.Errorf("its deadline is in %v", left)
+			t.Errorf("the deadline of the job is in %v, want 50 s", left)
 		}
 		// Of the 50 s left it runs for 10; the horizon is a quarter of the rest.
 		if horizon := cluster.estimates.QueueHorizon(job); horizon != 10 {
-			t.Errorf("its queue horizon is %v s", horizon)
+			t.Errorf("the queue horizon of the job is %v s, want 10 s", horizon)
 		}
 	})
 }
 
 func TestStarvationCountsFromLastDependencyEnd(t *testing.T) {
-	// Guards against a job that ranks above others, or has machines reserved, because of the time in
+	// Guards against a job that ranks above others, or has machines reserved, because of the time during
 	// which it could not start.
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newTestState()
@@ -112,9 +112,9 @@
 		time.Sleep(300 * time.Second)
 		cluster.mu.Lock()
 		defer cluster.mu.Unlock()
-		cluster.dependencies.jobEnded("job-1", record.Done)
+		cluster.dependencies.recordOutcome("job-1", record.Done)
 		cluster.dependencies.collectReadyMoves(func(change commit.Change) bool {
-			cluster.changeStored(change, 9)
+			cluster.recordStoredChange(change, 9)
 			return true
 		})
 		job := cluster.jobs.Get("job-2")
@@ -125,7 +125,7 @@
 			t.Error("the job counts as waiting since its submission")
 		}
 		if got := job.Record.EligibleSince(); got != ids.TimestampOf(time.Now()) {
-			t.Errorf("its queue time counts from %v", got.Time())
+			t.Errorf("the queue time of the job counts from %v", got.Time())
 		}
 		if !job.Starving(time.Now().Add(workload.StarvationTime + time.Second)) {
 			t.Error("the job never counts as starving")
--- a/internal/clusterstate/record_limits_test.go
+++ b/internal/clusterstate/record_limits_test.go
@@ -52,15 +52,15 @@
 			seconds++
 		}
 		if most < 700 || seconds > 200 {
-			t.Errorf("at most %d tasks were assigned at a time, done after %d s", most, seconds)
+			t.Errorf("at most %d tasks were assigned at a time; the job took %d s", most, seconds)
 		}
 	})
 }
 
 func TestOnlyRecordSizeBoundsAssignedTasks(t *testing.T) {
 	t.Parallel()
-	// Guards against a fixed limit on a job's tasks that is smaller than a large fleet, although the
-	// store's values would hold more.
+	// Guards against a fixed limit on a job's assigned tasks that is smaller than a large fleet, although
+	// a stored value has space for more.
 	now := time.Now()
 	cluster := newStateWithMachines(largestFleetSize)
 	cluster.settings.Params.State.ValueKB = 56 // as much as a transaction carries
@@ -78,12 +78,12 @@
 		cluster.markAllStored()
 	}
 	if len(job.Assignments) < largestFleetSize {
-		t.Errorf("%d tasks are assigned at a time", len(job.Assignments))
+		t.Errorf("%d tasks are assigned at a time, fewer than there are machines", len(job.Assignments))
 	}
 }
 
 func TestOversizeRecordNotEncodedAgainUnchanged(t *testing.T) {
-	// Guards against encoding a large record four times a second for nothing.
+	// Guards against encoding an unchanged large record four times a second.
 	cluster := newTestState()
 	job := cluster.addJob(newRecord("job-1", "blue", record.Low, 10, 1), 1, time.Now())
 	limits := commit.LimitsOf(state.NewBudget(1000, 1000, 1, 0.6))
@@ -92,7 +92,7 @@
 	limit := cluster.settings.Params.State.ValueKB
 	cluster.settings.Params.State.ValueKB = 0.01
 	if group, _ := cluster.CollectChanges(limits); len(group) != 0 || job.OversizeVersion != job.Version {
-		t.Fatalf("%d writes of a record that does not fit", len(group))
+		t.Fatalf("%d changes, want none, of a record that does not fit", len(group))
 	}
 	cluster.settings.Params.State.ValueKB = limit
 	if group, _ := cluster.CollectChanges(limits); len(group) != 0 {
@@ -100,13 +100,13 @@
 	}
 	cluster.markChanged(job)
 	if group, _ := cluster.CollectChanges(limits); len(group) != 1 {
-		t.Errorf("%d writes once the record has changed, want 1", len(group))
+		t.Errorf("%d changes once the record has changed, want 1", len(group))
 	}
 }
 
 func TestRecordsRewrittenSmallerAfterValueLimitDrops(t *testing.T) {
-	// Guards against sending a value that no longer fits again and again, and against removing tasks
-	// from a record that may be on machines.
+	// Guards against sending a value that no longer fits again and again, and against removing from the
+	// record the assignments of tasks that may be on machines.
 	synctest.Test(t, func(t *testing.T) {
 		_, store, client := newTestStore()
 		ctx := context.Background()
@@ -125,7 +125,7 @@
 		raw, fitsBefore := full.Encode(testValueBytes)
 		const lower = 520
 		if _, fitsAfter := full.Encode(lower); !fitsBefore || fitsAfter || len(predecessor.assignmentsOf("job-1")) < 100 {
-			t.Fatalf("a record of %d bytes with %d assignments is no test of the limit", len(raw), len(predecessor.assignmentsOf("job-1")))
+			t.Fatalf("a record of %d bytes with %d assignments does not test the lower limit", len(raw), len(predecessor.assignmentsOf("job-1")))
 		}
 		revision, err := client.Commit(ctx, state.Txn{Ops: []state.Op{{Put: record.JobKey("job-1"), Value: raw}}}, state.Urgent)
 		if err != nil {
@@ -181,7 +181,7 @@
 	t.Parallel()
 	now := time.Now()
 	cluster := newStateWithMachines(100)
-	// The limit follows from the space that the spec leaves in the record.
+	// The limit follows from the space that the job's description leaves in the record.
 	limit := cluster.maxAssignedTasks(&workload.Job{Record: *newRecord("job-2", "blue", record.Normal, 200, 1)})
 	gang := newGangRecord("job-1", "blue", record.High, limit+1, 1)
 	cluster.submit(1, gang, now)
@@ -194,11 +194,11 @@
 	if job := cluster.jobs.Get("job-2"); len(job.Assignments) != limit || !strings.Contains(job.PendingReason, "record") {
 		t.Errorf("the array has %d assignments, want %d; its pending reason is %q", len(job.Assignments), limit, job.PendingReason)
 	}
-	// If a record comes out larger all the same, the assignments that have not started are dropped and
-	// the job goes on in smaller batches.
+	// If a record is larger than estimated all the same, the assignments whose starts were not sent are
+	// removed and fewer tasks are assigned at a time.
 	cluster.handleOversize(cluster.jobs.Get("job-2"))
 	cluster.Plan(now)
 	if n := len(cluster.assignmentsOf("job-2")); n == 0 || n > limit/2 {
-		t.Errorf("%d assignments after the record did not fit", n)
+		t.Errorf("%d assignments after the record was too large", n)
 	}
 }
--- a/internal/clusterstate/starvation_test.go
+++ b/internal/clusterstate/starvation_test.go
@@ -13,8 +13,8 @@
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// Ranking jobs by the soonest completion must not starve the largest job of a class, low priority or the
-// smallest team: each starts within four minutes, with more work than capacity.
+// Ranking jobs by the soonest completion must not starve the largest job of a class, jobs of low priority
+// or the smallest team: each must start within four minutes while there is more work than capacity.
 func TestNoJobStarvesUnderSteadyStreamOfSmallerJobs(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -47,7 +47,7 @@
 					submittedAt[id] = time.Now()
 				}
 			}
-			// Half as much again as ten machines of four cores can run.
+			// This is half as much again as ten machines of four cores can run.
 			for i := range 3 {
 				submitJob(ids.Job(fmt.Sprintf("job-%d", second*3+i)), "blue", record.Normal, 2, 1, 10)
 			}
@@ -63,7 +63,7 @@
 			time.Sleep(time.Second)
 		}
 		if len(ended) < 1000 {
-			t.Fatalf("only %d tasks ended: the stream did not flow", len(ended))
+			t.Fatalf("only %d tasks ended, so the smaller jobs did not keep the machines busy", len(ended))
 		}
 		for id := range submittedAt {
 			if startedAfter[id] == 0 || startedAfter[id] > 4*time.Minute {
@@ -76,8 +76,8 @@
 
 func TestLongestStarvingJobRanksFirst(t *testing.T) {
 	t.Parallel()
-	// Guards against small jobs within their teams' guarantees that take every reserved machine, one
-	// after the other, while the largest job waits for one machine forever.
+	// Guards against small jobs within their teams' guarantees that get every reserved machine, one after
+	// the other, while the largest job waits forever for a single machine.
 	now := time.Now()
 	cluster := newStateWithMachines(4)
 	large := newRecord("job-1", "blue", record.Low, 150, 4)
@@ -111,13 +111,13 @@
 		cluster.submit(2, newRecord("job-2", "red", record.Normal, 1, 4), time.Now())
 		cluster.Plan(time.Now())
 		if assignment.Stopping {
-			t.Error("it is preempted at once for a guarantee")
+			t.Error("the starved job is preempted right after its start for a guarantee")
 		}
 		time.Sleep(workload.StartProtectionTime + time.Second)
 		cluster.runTasks(2, time.Hour, map[workload.TaskAttempt]bool{})
 		cluster.Plan(time.Now())
 		if !assignment.Stopping && cluster.assignmentsOf("job-1")[0] != nil {
-			t.Error("it is not preempted for a guarantee after its protection time")
+			t.Error("the starved job is not preempted for a guarantee after its protection time")
 		}
 	})
 }
@@ -125,7 +125,7 @@
 func TestJobPreemptedRightAfterFirstStartDoesNotStarve(t *testing.T) {
 	t.Parallel()
 	// Guards against counting a start that was preempted at once as the job's first start: such a job
-	// waited forever beside a stream of smaller jobs.
+	// waited forever while smaller jobs kept arriving.
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newStateWithMachines(10)
 		sequence := ids.SequenceNumber(1)
@@ -142,7 +142,7 @@
 		sequence++
 		cluster.runTasks(sequence, time.Minute, ended)
 		if large.Record.Attempt == 0 || len(large.Assignments) > 0 {
-			t.Fatalf("attempt %d, %d assignments: it was not started and preempted", large.Record.Attempt, len(large.Assignments))
+			t.Fatalf("attempt %d, %d assignments: the large job was not started and preempted", large.Record.Attempt, len(large.Assignments))
 		}
 		began := time.Now()
 		for second := 0; len(large.Assignments) == 0 && second < 400; second++ {
@@ -161,9 +161,9 @@
 			time.Sleep(time.Second)
 		}
 		if took := time.Since(began); took > 4*time.Minute {
-			t.Errorf("it ran again after %v", took)
+			t.Errorf("the large job ran again after %v", took)
 		} else if took < 20*time.Second {
-			t.Errorf("it ran again after %v: there was free capacity beside the stream", took)
+			t.Errorf("the large job ran again after %v: the smaller jobs left capacity free", took)
 		}
 	})
 }
@@ -201,7 +201,7 @@
 			}
 		}
 		ended := map[workload.TaskAttempt]bool{}
-		pass := func(second int) {
+		runPass := func(second int) {
 			cluster.Plan(time.Now())
 			cluster.markAllStored()
 			cluster.runTasks(ids.SequenceNumber(second+2), 10*time.Second, ended)
@@ -211,7 +211,7 @@
 			submitJob("array", i%10, record.Array, record.Normal, 6, 1)
 		}
 		for second := range 20 {
-			pass(second)
+			runPass(second)
 		}
 		for i := range 10 {
 			cluster.MachineTerminated(ids.Machine(fmt.Sprintf("host-%06d", i)))
@@ -229,7 +229,7 @@
 					submitJob("low", second/10%10, record.Array, record.Low, 4, 2)
 				}
 			}
-			pass(20 + second)
+			runPass(20 + second)
 			for id, class := range classes {
 				if job := cluster.jobs.Get(id); job != nil && job.Record.Attempt > 0 && len(job.Assignments) > 0 {
 					for _, group := range []string{class, job.Record.Spec.Team} {
--- a/internal/clusterstate/store_changes_test.go
+++ b/internal/clusterstate/store_changes_test.go
@@ -15,8 +15,8 @@
 )
 
 func TestApplyRejectsOversizeValueBeforeSending(t *testing.T) {
-	// Guards against a leader's own key, such as a long list of instance types, that is refused for its
-	// size and sent again forever.
+	// Guards against a value of the leader's own, such as a long list of instance types, that the store
+	// rejects for its size and that is sent again forever.
 	synctest.Test(t, func(t *testing.T) {
 		_, store, client := newTestStore()
 		store.SetLimits(2048, 4)
@@ -26,10 +26,10 @@
 		oversize := []byte(`"` + strings.Repeat("x", 3000) + `"`)
 		err := committer.Apply(context.Background(), []state.Op{{Put: record.TypesKey, Value: oversize}})
 		if !errors.Is(err, state.ErrMalformed) || store.TooLarge > 0 {
-			t.Errorf("%v; %d transactions were too large", err, store.TooLarge)
+			t.Errorf("Apply returned %v; %d transactions were too large", err, store.TooLarge)
 		}
 		if err := committer.Apply(context.Background(), []state.Op{{Put: record.TypesKey, Value: []byte(`1`)}}); err != nil {
-			t.Errorf("a small value: %v", err)
+			t.Errorf("apply a small value: %v", err)
 		}
 	})
 }
@@ -46,27 +46,27 @@
 	machine.UnconfirmedStarts = nil // the start was answered
 	done := newExitedStatus("job-1/0", worker.CauseDone)
 	if commands := cluster.heartbeat("m1", "north", 2, done); len(commands) != 0 {
-		t.Fatalf("commands %v before the outcome was stored, want none", commands)
+		t.Fatalf("the heartbeat was answered with %v before the outcome was stored, want no commands", commands)
 	}
 	if commands := cluster.heartbeat("m1", "north", 3, done); len(commands) != 0 {
-		t.Fatalf("commands %v before the outcome was stored, want none", commands)
+		t.Fatalf("the heartbeat was answered with %v before the outcome was stored, want no commands", commands)
 	}
 	cluster.markAllStored()
 	if commands := cluster.heartbeat("m1", "north", 4, done); len(commands) != 1 || commands[0].Verb != "clear" {
-		t.Fatalf("commands %v, want one clear", commands)
+		t.Fatalf("the heartbeat was answered with %v, want one clear", commands)
 	}
 	// If a start may still arrive late, a cleared attempt could start again.
 	lateStart := worker.UnconfirmedStart{Task: "job-1/0", Attempt: 1, FencingToken: testGeneration, Incarnation: 1}
 	machine.UnconfirmedStarts = []worker.UnconfirmedStart{lateStart}
 	if commands := cluster.heartbeat("m1", "north", 5, done); len(commands) != 0 {
-		t.Fatalf("commands %v although a late start may arrive, want none", commands)
+		t.Fatalf("the heartbeat was answered with %v although a late start may arrive, want no commands", commands)
 	}
 }
 
 func TestChangesOnlyThisLeaderKnowsAreStoredAtOnce(t *testing.T) {
 	t.Parallel()
-	// Outcomes are batched, since workers report them until they are cleared. That a machine was
-	// terminated, the next leader would learn much later.
+	// Outcomes are batched, since workers report them until they are cleared. The termination of a machine
+	// is stored at once, since the next leader would learn of it much later.
 	now := time.Now()
 	cluster := newTestState()
 	cluster.heartbeat("m1", "north", 1)
@@ -76,7 +76,7 @@
 	commitOnce := func() int {
 		group, _ := cluster.CollectChanges(limits)
 		for _, change := range group {
-			cluster.changeStored(change, change.Job.Revision+1)
+			cluster.recordStoredChange(change, change.Job.Revision+1)
 		}
 		cluster.NextBatches(1000)
 		return len(group)
@@ -89,7 +89,7 @@
 	running := newStatus("job-1/1", worker.StateRunning)
 	cluster.heartbeat("m1", "north", 2, done, running)
 	if commitOnce() != 0 {
-		t.Fatal("an outcome that could be batched is stored by itself")
+		t.Fatal("an outcome that could be batched is stored alone")
 	}
 	cluster.MachineTerminated("m1")
 	if commitOnce() != 1 {
--- a/internal/clusterstate/takeover_test.go
+++ b/internal/clusterstate/takeover_test.go
@@ -15,8 +15,8 @@
 
 func TestNewLeaderKnowsPendingInstancesFromHints(t *testing.T) {
 	t.Parallel()
-	// Guards against provisioning twice after a takeover: the cloud's list lags by more than a takeover
-	// takes.
+	// Guards against provisioning twice after a takeover: the lag of the cloud's list is longer than a
+	// takeover.
 	synctest.Test(t, func(t *testing.T) {
 		predecessor := newStateWithMachines(2)
 		predecessor.MachinesProvisioned([]ids.Machine{"host-000100"}, newProvisioningRequest("small", "south"), time.Now())
@@ -37,15 +37,15 @@
 		cluster.submit(1, newRecord("job-1", "blue", record.Normal, 40, 1), time.Now())
 		cluster.Plan(time.Now())
 		if lines := fmt.Sprint(cluster.Explain("job-1")); !strings.Contains(lines, "1 machines it could use are booting, 1 of them late") {
-			t.Errorf("explained as %s", lines)
+			t.Errorf("the explanation does not name the late booting machine: %s", lines)
 		}
 	})
 }
 
 func TestTakeoverProbesEachMachineOnce(t *testing.T) {
 	t.Parallel()
-	// Counts a new leader's probes: they grow no faster than the fleet, and a machine that answers is
-	// not probed twice.
+	// Guards against a number of probes by a new leader that grows faster than the fleet, and against
+	// probing a machine that answers twice.
 	const slots = 240
 	for _, machines := range []int{400, largestFleetSize} {
 		t.Run(fmt.Sprintf("%d machines", machines), func(t *testing.T) {
@@ -77,7 +77,7 @@
 				}
 			}
 			if probes != machines || rounds > machines/slots+1 {
-				t.Errorf("%d probes in %d rounds", probes, rounds)
+				t.Errorf("%d probes in %d rounds, want one probe of each machine", probes, rounds)
 			}
 			for name, machine := range successor.machines.Machines {
 				if !machine.HasReported {
@@ -92,7 +92,7 @@
 func TestPreviousLeadersWriteSeenBeforeTakeoverListingIsKept(t *testing.T) {
 	// Regression: when transactions stayed unanswered around a takeover, one task was started twice. The
 	// previous leader's assignment write reached the new leader as a change, before it had listed the
-	// records, and was taken for a user's write, which assigns nothing.
+	// records, and was handled like a user's write, which contains no assignments.
 	t.Parallel()
 	now := time.Now()
 	assignedRecord := func(generation ids.Generation) *record.Record {
@@ -131,7 +131,7 @@
 			}
 			cluster.Load(records, revisions, max(listed, 25), now)
 			if job := cluster.jobs.Get("job-1"); job == nil || len(job.Assignments) != 2 || job.Revision != max(26, listed) {
-				t.Errorf("the assignments are lost: %+v", job)
+				t.Errorf("the assignments are lost, or the revision is wrong: %+v", job)
 			}
 		})
 	}
@@ -163,12 +163,12 @@
 		if _, due := cluster.dependencies.lookups["job-2"]; !due || waiting["job-2"] != nil || waiting["job-4"] == nil {
 			t.Errorf("the removed job is looked up: %v; waiting jobs: %v", due, waiting)
 		}
-		cluster.dependencies.jobEnded("job-2", record.Cancelled)
+		cluster.dependencies.recordOutcome("job-2", record.Cancelled)
 		if cancelledBy := cluster.dependencies.graph.CancelledBy("job-3"); cancelledBy != "job-2" {
-			t.Errorf("its dependent is cancelled by %q, want job-2", cancelledBy)
+			t.Errorf("the dependent of the removed job is cancelled by %q, want job-2", cancelledBy)
 		}
 		cluster.HandleWaitingJob("job-9", 10, nil, now)
-		if len(cluster.dependencies.departed) != 0 {
+		if len(cluster.dependencies.removedBeforeLoad) != 0 {
 			t.Error("a removal seen after the listing is remembered")
 		}
 	})
--- a/internal/clusterstate/unreachable_zones_test.go
+++ b/internal/clusterstate/unreachable_zones_test.go
@@ -23,7 +23,7 @@
 		}
 		cluster.heartbeat(name, zone, 1)
 	}
-	silence := func(silent ...ids.Machine) {
+	markSilent := func(silent ...ids.Machine) {
 		for _, name := range silent {
 			machine := cluster.machines.Machines[name]
 			machine.LastReportAt = time.Now().Add(-6 * time.Second)
@@ -31,11 +31,11 @@
 			machine.UnansweredProbes = 2
 		}
 	}
-	silence("n1")
+	markSilent("n1")
 	if terminated := cluster.machinesToTerminate(time.Now()); len(terminated) != 1 || terminated[0] != "n1" {
 		t.Fatalf("one silent machine: terminating %v, want n1", terminated)
 	}
-	silence("s1", "s2", "s3")
+	markSilent("s1", "s2", "s3")
 	for _, name := range cluster.machinesToTerminate(time.Now()) {
 		if name[0] == 's' {
 			t.Errorf("%s is to be terminated although all of its zone is silent", name)
@@ -48,9 +48,9 @@
 
 func TestUnreachableZoneNotMistakenForSingleSilentMachines(t *testing.T) {
 	t.Parallel()
-	// Machines with replicas are probed sooner than others, so in a partitioned zone only they look
-	// silent for some seconds. And when the zone is reachable again, machines that have not reported yet
-	// must not be terminated for their silence during the partition.
+	// Machines with replicas are probed sooner than others, so for some seconds only they look silent in a
+	// partitioned zone. When the zone is reachable again, machines that have not reported yet must not be
+	// terminated for their silence during the partition.
 	cluster := newTestState()
 	cluster.settings.Params.Workers.ReportS = 10
 	start := time.Now()
@@ -61,7 +61,7 @@
 	service := newServiceRecord("job-1", "blue", record.Critical, 20, 2)
 	cluster.submit(1, service, start)
 	cluster.Plan(start)
-	reported := func(name string, ago time.Duration) {
+	setLastReport := func(name string, ago time.Duration) {
 		machine := cluster.machines.Machines[ids.Machine(name)]
 		machine.LastReportAt = start.Add(-ago)
 		machine.UnansweredProbes = 0
@@ -71,9 +71,9 @@
 	probed := 0
 	for i := range 40 {
 		name := fmt.Sprintf("m%02d", i)
-		reported(name, time.Duration(i)*20*time.Millisecond)
+		setLastReport(name, time.Duration(i)*20*time.Millisecond)
 		if zoneOf(i) == "south" {
-			reported(name, 5*time.Second)
+			setLastReport(name, 5*time.Second)
 			if probed++; probed <= 10 {
 				machine := cluster.machines.Machines[ids.Machine(name)]
 				machine.UnansweredProbes = 2
@@ -83,7 +83,7 @@
 		}
 	}
 	if terminated := cluster.machinesToTerminate(start); len(terminated) != 0 {
-		t.Fatalf("terminating %v of an unreachable zone", terminated)
+		t.Fatalf("terminating %v, which are in an unreachable zone", terminated)
 	}
 	if !cluster.UnreachableZones()["south"] || cluster.UnreachableZones()["north"] {
 		t.Fatalf("unreachable zones: %v, want south", cluster.UnreachableZones())
@@ -106,7 +106,7 @@
 	// A machine that stays silent although the others report again is terminated.
 	for i := range 40 {
 		if name := fmt.Sprintf("m%02d", i); name != "m03" {
-			reported(name, 0)
+			setLastReport(name, 0)
 		}
 	}
 	missing := cluster.machines.Machines["m03"]
@@ -119,9 +119,9 @@
 
 func TestTakeoverTerminatesMachinesOfUnreachableZoneOnceLeasesExpired(t *testing.T) {
 	t.Parallel()
-	// Guards against a new leader that waits for leases it knows nothing of: the replicas had ended long
-	// before. Where the zone spread rule leaves no room elsewhere, terminating the machines would gain
-	// nothing.
+	// Guards against a new leader that waits for leases that it knows nothing of although the replicas
+	// ended long ago. Where the zone spread rule leaves no room elsewhere, terminating the machines would
+	// gain nothing.
 	now := time.Now()
 	cluster := newTestState()
 	cluster.addMachines("n", 9, "north")
@@ -148,7 +148,7 @@
 		machine.UnansweredProbes = 5
 		machine.SuspectSince = now.Add(time.Second)
 	}
-	cluster.trustSilence = now.Add(17*time.Second + 500*time.Millisecond)
+	cluster.earliestLeaseExpiry = now.Add(17*time.Second + 500*time.Millisecond)
 	if terminated := cluster.machinesToTerminate(now.Add(3 * time.Second)); len(terminated) != 0 {
 		t.Fatalf("terminating %v while the leases may not have expired", terminated)
 	}
@@ -176,7 +176,7 @@
 	}
 	explained := strings.Join(cluster.Explain("job-1"), "\n")
 	if !strings.Contains(explained, "nothing is heard of south (16)") || !strings.Contains(explained, "leases") {
-		t.Errorf("explained while the zone is unreachable: %s", explained)
+		t.Errorf("the explanation while the zone is unreachable is %s", explained)
 	}
 	// The leases of all machines but one expire; two of the lost tasks are reassigned.
 	for i := range 3 {
@@ -190,7 +190,7 @@
 		return messages
 	}
 	if events := eventMessages(); len(events) > 3 || !strings.Contains(strings.Join(events, "\n"), "tasks gone in south") {
-		t.Errorf("events after twelve tasks were lost at once: %q", events)
+		t.Errorf("the events after twelve tasks were lost at once are %q", events)
 	}
 	cluster.jobs.Get("job-1").MaxAssigned = 4 + 2
 	cluster.Plan(now)
@@ -202,7 +202,7 @@
 		"nothing is heard of south (4)",
 	} {
 		if !strings.Contains(got, want) {
-			t.Errorf("%q is missing in\n%s", want, got)
+			t.Errorf("%q is missing in the events and the explanation:\n%s", want, got)
 		}
 	}
 }
--- a/internal/clusterstate/urgency_inheritance_test.go
+++ b/internal/clusterstate/urgency_inheritance_test.go
@@ -15,8 +15,8 @@
 
 func TestDiamondDependencyInheritsAndReleasesUrgency(t *testing.T) {
 	// Guards against jobs that keep an inherited priority, and preempt others, when no urgent job
-	// depends on them any more, whichever controller cancelled what; and against one branch losing it
-	// because the other does.
+	// depends on them any more, whichever controller cancelled it; and against one branch losing the
+	// inherited priority because the other branch loses it.
 	for name, test := range map[string]struct {
 		change        func(cluster *State, now time.Time)
 		first, branch record.Priority // effective of job-1 and inherited by job-3, afterwards
@@ -27,15 +27,15 @@
 		}, record.Low, record.Low},
 		"the cancelled urgent job's outcome is looked up": {func(cluster *State, now time.Time) {
 			cluster.HandleWaitingJob("job-4", 9, nil, now)
-			cluster.dependencies.jobEnded("job-4", record.Cancelled)
+			cluster.dependencies.recordOutcome("job-4", record.Cancelled)
 		}, record.Low, record.Low},
 		"another controller cancels one branch and so the urgent job": {func(cluster *State, now time.Time) {
 			cluster.HandleWaitingJob("job-2", 9, nil, now)
-			cluster.dependencies.jobEnded("job-2", record.Cancelled)
+			cluster.dependencies.recordOutcome("job-2", record.Cancelled)
 		}, record.Low, record.Low},
 		"one branch is done": {func(cluster *State, now time.Time) {
 			cluster.HandleWaitingJob("job-2", 9, nil, now)
-			cluster.dependencies.jobEnded("job-2", record.Done)
+			cluster.dependencies.recordOutcome("job-2", record.Done)
 		}, record.High, record.High},
 		"another urgent job depends on one branch, the first is gone": {func(cluster *State, now time.Time) {
 			cluster.submitWaiting(5, newWaitingRecord("job-5", record.High, 100, "job-3"), now)
@@ -72,23 +72,23 @@
 		now := time.Now()
 		cluster := newTestState()
 		addDiamondPipeline(cluster, now)
-		cluster.dependencies.jobEnded("job-1", record.Done)
+		cluster.dependencies.recordOutcome("job-1", record.Done)
 		waiting := cluster.dependencies.waiting["job-2"]
 		moved := *waiting.Record
-		cluster.dependencies.waitingJobMoved(commit.Change{Waiting: waiting, Becomes: &moved}, 5, now)
+		cluster.dependencies.recordMove(commit.Change{Waiting: waiting, Becomes: &moved}, 5, now)
 		job := cluster.jobs.Get("job-2")
 		if job == nil {
 			t.Fatal("the branch did not become ready")
 		}
 		if left := job.Inherited.Deadline.Sub(now); job.EffectivePriority() != record.High || left != 189*time.Second {
-			t.Errorf("the branch that became ready is %+v", job)
+			t.Errorf("the branch that became ready lost its inherited urgency: %+v", job)
 		}
 	})
 }
 
 func TestInheritedPriorityPreemptsWithinTeamLimit(t *testing.T) {
-	// Guards against a pipeline delayed by work of lower priority on a full fleet, and against its
-	// inherited priority lifting it over its team's limit.
+	// Guards against a pipeline that is delayed by work of lower priority on a full fleet, and against
+	// exceeding the team's limit because of an inherited priority.
 	for _, hasUrgentDependent := range []bool{false, true} {
 		t.Run(fmt.Sprintf("urgent dependent %v", hasUrgentDependent), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -110,7 +110,7 @@
 					cluster.removeStoppingAssignments()
 					now = now.Add(time.Second)
 					if used := cluster.quota.Usage("red").Cores; used > 3 {
-						t.Fatalf("its team uses %v cores, more than its limit of 3", used)
+						t.Fatalf("team red uses %v cores, more than its limit of 3", used)
 					}
 				}
 				want := 0
@@ -126,8 +126,8 @@
 }
 
 func TestInheritedDeadlineIncludesImagePullsOnceInstanceTypesKnown(t *testing.T) {
-	// Guards against deadlines that leave no time for image pulls for a leader's whole term: it loads
-	// the records before it knows the instance types.
+	// Guards against inherited deadlines that leave no time for image pulls during a leader's whole term:
+	// the leader loads the records before it knows the instance types.
 	synctest.Test(t, func(t *testing.T) {
 		now := time.Now()
 		cluster := New(newTestSettings(), "w", testGeneration, now)
@@ -143,7 +143,7 @@
 
 func TestPipelineInheritsAndReleasesUrgency(t *testing.T) {
 	// Guards against a pipeline whose urgent last job is delayed because its first jobs wait behind
-	// other users' jobs; and against keeping the urgency when the last job is gone.
+	// other users' jobs, and against first jobs that keep the urgency when the last job is gone.
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newTestState()
 		now := time.Now()
@@ -155,25 +155,25 @@
 		cluster.submitWaiting(4, newWaitingRecord("job-4", record.Low, 0, "job-3"), now)
 		first := cluster.jobs.Get("job-1")
 		if first.EffectivePriority() != record.High {
-			t.Errorf("the first job has priority %s", first.EffectivePriority())
+			t.Errorf("the first job has priority %s, want that of the last job", first.EffectivePriority())
 		}
 		// 100 s less three estimates of 10 s and image pulls of 1 s.
 		if left := first.Inherited.Deadline.Sub(now); left < 66*time.Second || left > 68*time.Second {
-			t.Errorf("the first job has %v left", left)
+			t.Errorf("the first job has %v left until its inherited deadline", left)
 		}
 		if ranked := cluster.scheduler.Ranked(now); len(ranked) != 2 || ranked[0] != first {
-			t.Errorf("%d jobs are ranked, want 2 and the first job on top", len(ranked))
+			t.Errorf("%d jobs are ranked, want 2, with the first job of the pipeline first", len(ranked))
 		}
 		cluster.HandleWaitingJob("job-5", 9, nil, now)
 		if first.EffectivePriority() != record.Low || !first.Inherited.Deadline.IsZero() {
-			t.Errorf("with the last job gone the first still has priority %s and deadline %v", first.EffectivePriority(), first.Inherited.Deadline)
+			t.Errorf("when the last job is gone, the first job still has priority %s and deadline %v", first.EffectivePriority(), first.Inherited.Deadline)
 		}
 	})
 }
 
 func TestLaddersAndLongChainsLoadWithoutPathExplosion(t *testing.T) {
-	// Guards against a takeover, or a change of one job, that takes a step for each path through a
-	// pipeline: a ladder of 40 layers has 2^40 paths.
+	// Guards against a takeover, or a change of one job, whose cost grows with the number of paths through
+	// a pipeline: a ladder of 40 layers has 2^40 paths.
 	synctest.Test(t, func(t *testing.T) {
 		now := time.Now()
 		cluster := newTestState()
@@ -196,7 +196,7 @@
 		cluster.submitWaiting(2, newWaitingRecord("job-90", record.Critical, 1e7, "job-80", "job-81"), now)
 		cluster.submitWaiting(2, newWaitingRecord("job-6000", record.High, 100000, "job-5100"), now)
 		if priority := cluster.jobs.Get("job-0").EffectivePriority(); priority != record.Critical {
-			t.Errorf("the ladder's first job has priority %s", priority)
+			t.Errorf("the ladder's first job has priority %s, want that of its last job", priority)
 		}
 		first := cluster.jobs.Get("job-100")
 		// 100,000 s less the estimates of 10 s and image pulls of 1 s of 5,001 jobs.
--- a/internal/clusterstate/waiting_jobs_test.go
+++ b/internal/clusterstate/waiting_jobs_test.go
@@ -18,8 +18,8 @@
 )
 
 func TestDependentsOfCancelledJobEndInBoundedTransactions(t *testing.T) {
-	// Guards against transactions over the limits, against more of them than needed, and against
-	// outcomes that delay an assignment write for which starts wait.
+	// Guards against transactions that exceed the limits, against more transactions than needed, and
+	// against outcomes that delay an assignment write for which starts wait.
 	synctest.Test(t, func(t *testing.T) {
 		ctx := context.Background()
 		history := newJobHistory(t, 1, 1)
@@ -61,8 +61,8 @@
 }
 
 func TestReadyDependentsDoNotDelayAssignmentCommits(t *testing.T) {
-	// Guards against the moves of jobs that became ready filling every transaction while starts wait for
-	// their assignment write; and against moving the urgent jobs last.
+	// Guards against the moves of ready jobs filling every transaction while starts wait for their
+	// assignment write, and against moving the urgent jobs last.
 	synctest.Test(t, func(t *testing.T) {
 		ctx := context.Background()
 		history := newJobHistory(t, 1, 1)
@@ -74,7 +74,7 @@
 		dependents := append(newDependents(300, "job-500"), high, newWaitingRecord("job-9001", record.High, 0, "job-9000"))
 		history.storeWaitingJobs(t, cluster, dependents...)
 		assigned := history.storeLiveJob(t, cluster, newRecord("job-501", "red", record.Normal, 1, 1))
-		cluster.dependencies.jobEnded("job-500", record.Done)
+		cluster.dependencies.recordOutcome("job-500", record.Done)
 		cluster.Plan(time.Now())
 		committer.CommitGroup(ctx)
 		if cluster.jobs.Get("job-9000") == nil {
@@ -92,13 +92,13 @@
 			}
 		}
 		if cluster.dependencies.graph.Len() != 1 || cluster.jobs.Len() != 2+301 {
-			t.Errorf("%d jobs wait, %d are known", cluster.dependencies.graph.Len(), cluster.jobs.Len())
+			t.Errorf("%d jobs wait, want 1; %d are known", cluster.dependencies.graph.Len(), cluster.jobs.Len())
 		}
 	})
 }
 
 func TestWaitingJobsAddNoPlanningCost(t *testing.T) {
-	// Guards against planning, and its count of each team's usage, walking the waiting jobs.
+	// Guards against planning passes, and counts of a team's usage, that iterate over the waiting jobs.
 	synctest.Test(t, func(t *testing.T) {
 		now := time.Now()
 		cluster := newStateWithMachines(20)
@@ -113,10 +113,10 @@
 		committer := newCommitter(cluster, history.client)
 		history.calls = 0
 		if passes := runLookupsUntilDone(t, cluster, committer); passes > 3 || history.calls > 3 {
-			t.Errorf("the outcomes of their dependencies took %d passes and %d calls", passes, history.calls)
+			t.Errorf("the outcomes of the dependencies took %d passes and %d calls", passes, history.calls)
 		}
 		if ranked := len(cluster.scheduler.Ranked(now)); ranked != 1 || len(cluster.jobs.Ordered()) != 1 {
-			t.Errorf("%d jobs are ranked, %d are queued", ranked, len(cluster.jobs.Ordered()))
+			t.Errorf("%d jobs are ranked and %d are queued, want one each", ranked, len(cluster.jobs.Ordered()))
 		}
 		cluster.Plan(now)
 		cluster.markAllStored()
@@ -124,7 +124,7 @@
 		cluster.Plan(now)
 		count, assigned := machinesExamined(cluster)-before, len(cluster.assignmentsOf("job-500"))
 		if count > 20 || assigned != 80 {
-			t.Errorf("%d machines were examined for one job; %d of its tasks are assigned", count, assigned)
+			t.Errorf("%d machines were examined for one job, %d tasks of which are assigned", count, assigned)
 		}
 		if cluster.quota.Usage("red").Cores != 0 {
 			t.Errorf("the waiting jobs count as %v cores of their team", cluster.quota.Usage("red").Cores)
@@ -133,8 +133,8 @@
 }
 
 func TestWaitingJobsCostFollowsChanges(t *testing.T) {
-	// Guards against passes over all waiting jobs, and after a takeover against one call for each of
-	// thousands of outcomes.
+	// Guards against iterating over all waiting jobs when one job changes, and against one call for each of
+	// thousands of outcomes after a takeover.
 	synctest.Test(t, func(t *testing.T) {
 		network, _, client := newTestStore()
 		calls := 0
@@ -171,7 +171,7 @@
 		if got := len(cluster.scheduler.Ranked(time.Now())); got != 300 {
 			t.Errorf("%d jobs are ranked, want 300", got)
 		}
-		cluster.dependencies.jobEnded("job-10000", record.Done)
+		cluster.dependencies.recordOutcome("job-10000", record.Done)
 		if ready, _ := cluster.dependencies.graph.Counts(); ready != 10 {
 			t.Errorf("the end of a job made %d jobs ready, want 10", ready)
 		}
@@ -183,8 +183,8 @@
 }
 
 func TestFullWaitingRecordCanStillBeMoved(t *testing.T) {
-	// Guards against a record that can be stored while the job waits, but neither as ready nor as ended,
-	// so that the job would be stuck.
+	// Guards against a record that can be stored while the job waits but that is too large as the record of
+	// a ready or an ended job, so that the job would wait forever.
 	const limit = 2048
 	now := time.Now()
 	for _, test := range []struct {
@@ -203,12 +203,12 @@
 			rec := newRecord("job-9", "blue", record.Normal, 4, 1)
 			rec.Spec.DependsOn = newDependencyIDs(test.dependencies)
 			if _, ok := rec.EncodeWaiting(limit); !ok {
-				t.Fatalf("%d dependencies do not fit", test.dependencies)
+				t.Fatalf("a waiting record with %d dependencies does not fit", test.dependencies)
 			}
 			cluster.mu.Lock()
 			cluster.dependencies.addWaitingJobs(now, &workload.WaitingJob{Record: rec, Revision: 3})
 			for _, dependency := range rec.Spec.DependsOn {
-				cluster.dependencies.jobEnded(dependency, outcome)
+				cluster.dependencies.recordOutcome(dependency, outcome)
 			}
 			var moves []commit.Change
 			add := func(change commit.Change) bool {
@@ -226,10 +226,10 @@
 			}
 			raw := moves[0].Ops[1].Value
 			if len(raw) > limit {
-				t.Errorf("the moved record has %d bytes", len(raw))
+				t.Errorf("the moved record has %d bytes, more than the limit", len(raw))
 			}
 			if outcome == record.Done && float64(len(raw)) > limit*record.MaxSpecShare {
-				t.Errorf("%d bytes leave too little space for assignments", len(raw))
+				t.Errorf("a moved record of %d bytes leaves too little space for assignments", len(raw))
 			}
 			decoded, err := record.Decode(raw)
 			if err != nil {
@@ -239,7 +239,7 @@
 				return
 			}
 			if lastEvent := decoded.Events[len(decoded.Events)-1].Message; !strings.Contains(lastEvent, "which was cancelled") {
-				t.Errorf("the moved record is decoded as %+v", decoded)
+				t.Errorf("the last event of the moved record does not name the cancelled dependency: %+v", decoded)
 			}
 		})
 	}
