--- a/internal/capacity/consistency.go
+++ b/internal/capacity/consistency.go
@@ -5,12 +5,12 @@
 	"fmt"
 )
 
-// ErrInconsistent is returned if the index differs from the machines and assignments that it indexes.
+// ErrInconsistent is returned if the index does not agree with the machines and assignments it describes.
 var ErrInconsistent = errors.New("capacity index is inconsistent")
 
-// CheckConsistency checks that each node is in its class's list at its recorded position, and that nodes
-// have or pull the images under which they are listed. It is meant for tests, since it visits the whole
-// fleet.
+// CheckConsistency returns an error if a node is not at its recorded position in its class's list, or if
+// it is listed under an image that it neither has cached nor is pulling. It is meant for tests, since it
+// visits the whole fleet.
 func (x *Index) CheckConsistency() error {
 	for name, node := range x.nodes {
 		if node.Class != nil && node.Class.Open[node.position] != node {
--- a/internal/capacity/images.go
+++ b/internal/capacity/images.go
@@ -5,7 +5,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// WithImage returns the nodes that have an image cached or pull it. Callers must not change the map.
+// WithImage returns the nodes that have an image cached or are pulling it. Callers must not change the map.
 func (x *Index) WithImage(image string) map[*Node]bool { return x.byImage[image] }
 
 // HasImage reports whether a node's machine has an image cached.
@@ -14,7 +14,7 @@
 	return machine != nil && machine.Images.Has(image)
 }
 
-// AddImage lists a node under an image that it has cached or pulls.
+// AddImage adds a node to the list of an image that it has cached or is pulling.
 func (x *Index) AddImage(node *Node, image string) {
 	holders := x.byImage[image]
 	if holders == nil {
@@ -24,7 +24,7 @@
 	holders[node] = true
 }
 
-// beginImagePull records that a task waits for its image, unless it is known to have the image already.
+// beginImagePull records that a task waits for its image, unless its status shows that it no longer does.
 func (x *Index) beginImagePull(node *Node, assignment *workload.Assignment) {
 	if assignment.AwaitsImage || assignment.Confirmed && assignment.Status != worker.StatePulling {
 		return
@@ -56,7 +56,8 @@
 	}
 }
 
-// unlistImage takes a node off the list of an image that it neither has cached nor pulls.
+// unlistImage removes a node from the list of an image unless the node has the image cached or is pulling
+// it.
 func (x *Index) unlistImage(node *Node, image string) {
 	if node.ImagePulls[image] != nil || x.HasImage(node, image) {
 		return
@@ -67,8 +68,8 @@
 	}
 }
 
-// ImageArrived records that a machine has an image cached, which may evict others from the cache. The sizes
-// of the image and of the cache are in GB.
+// ImageArrived records that a machine has cached an image. Other images may be evicted from the cache. The
+// sizes of the image and of the cache are in GB.
 func (x *Index) ImageArrived(node *Node, machine *worker.Machine, image string, sizeGB, cacheGB float64) {
 	before := machine.Images.Names
 	machine.Images.Use(image, sizeGB, cacheGB)
--- a/internal/capacity/index.go
+++ b/internal/capacity/index.go
@@ -1,8 +1,8 @@
-// Package capacity indexes the machines of a shard by instance class, by the capacity that assignments
-// leave free on them, and by their cached images. The index is updated with each assignment and report, so
-// that planning need not visit the whole fleet.
+// Package capacity indexes the machines of a shard by instance class, by free capacity and by cached image.
+// The index is updated with each assignment and each worker report, so that planning need not visit the
+// whole fleet.
 //
-// The package has no lock: the lock of the cluster state that an Index belongs to guards it.
+// The package has no lock of its own: an Index is guarded by the lock of the cluster state that owns it.
 package capacity
 
 import (
@@ -16,13 +16,14 @@
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// InstanceClass identifies a class: machines of one type and one market in one zone.
+// InstanceClass identifies a class of machines by their type, their zone and their market (spot or
+// on-demand).
 type InstanceClass struct {
 	Type, Zone string
 	Spot       bool
 }
 
-// compare orders classes by type, then zone, then market with on-demand first.
+// compare orders classes by type, then by zone, then by market, on-demand first.
 func (c InstanceClass) compare(other InstanceClass) int {
 	spot := 0
 	if c.Spot != other.Spot {
@@ -34,15 +35,15 @@
 	return cmp.Or(cmp.Compare(c.Type, other.Type), cmp.Compare(c.Zone, other.Zone), spot)
 }
 
-// Class is an instance class with its nodes that have capacity left, in no order.
+// Class is an instance class. Open lists its nodes that have capacity left, in no particular order.
 type Class struct {
 	InstanceClass
 	Offer *placement.InstanceType
 	Open  []*Node
 }
 
-// Index indexes the nodes of a shard. The machines themselves stay in the registry; after a change of a
-// machine that concerns its class, Reindex has to be called.
+// Index indexes the nodes of a shard. The machines themselves are in the registry. Reindex must be called
+// after each change of a machine that affects its class or whether the machine is in use.
 type Index struct {
 	machines *worker.Registry
 	types    map[string]*placement.InstanceType
@@ -52,14 +53,14 @@
 	byImage  map[string]map[*Node]bool
 }
 
-// NewIndex returns an empty index of the machines in a registry.
+// NewIndex returns an empty index for the machines of a registry.
 func NewIndex(machines *worker.Registry) *Index {
 	return &Index{machines: machines, types: map[string]*placement.InstanceType{}, nodes: map[ids.Machine]*Node{},
 		classes: map[InstanceClass]*Class{}, byImage: map[string]map[*Node]bool{}}
 }
 
-// SetTypes sets the machine types that the cloud offers, by their labels. Types that it offered before
-// stay known.
+// SetTypes adds the machine types that the cloud offers, or replaces those with the same label. Types that
+// the cloud no longer offers stay known.
 func (x *Index) SetTypes(types []placement.InstanceType) {
 	for i := range types {
 		x.types[types[i].Label] = &types[i]
@@ -70,26 +71,26 @@
 		}
 	}
 	for _, node := range x.nodes {
-		x.Reindex(node) // machines may have reported before their type was known
+		x.Reindex(node) // the machine may have reported before its type was known
 	}
 }
 
-// Type returns a machine type by name; nil if it is not known.
+// Type returns the machine type with a name, or nil if it is not known.
 func (x *Index) Type(name string) *placement.InstanceType { return x.types[name] }
 
 // Types returns all machine types by name. Callers must not change the map.
 func (x *Index) Types() map[string]*placement.InstanceType { return x.types }
 
-// Classes returns the instance classes, sorted. Callers must not change the list.
+// Classes returns the instance classes in sorted order. Callers must not change the slice.
 func (x *Index) Classes() []*Class { return x.sorted }
 
 // Nodes returns all nodes by name. Callers must not change the map.
 func (x *Index) Nodes() map[ids.Machine]*Node { return x.nodes }
 
-// Node returns the node of a machine; nil if the machine has never reported or had an assignment.
+// Node returns the node of a machine, or nil if the machine has neither reported nor had an assignment.
 func (x *Index) Node(name ids.Machine) *Node { return x.nodes[name] }
 
-// Ensure returns the node of a machine and adds it if there is none.
+// Ensure returns the node of a machine. It adds the node if the index has none.
 func (x *Index) Ensure(name ids.Machine) *Node {
 	node := x.nodes[name]
 	if node == nil {
@@ -99,8 +100,8 @@
 	return node
 }
 
-// AssignmentsOn returns the assignments to a machine, whose tasks are or may be there. Callers must not
-// change the map except by Release.
+// AssignmentsOn returns the assignments to a machine. Their tasks run there, or may run there. Callers must
+// not change the map except through Release.
 func (x *Index) AssignmentsOn(name ids.Machine) map[*workload.Assignment]bool {
 	if node := x.nodes[name]; node != nil {
 		return node.Assignments
@@ -108,8 +109,8 @@
 	return nil
 }
 
-// UsableMachine returns a node's machine, or nil if it is gone; usable reports whether new tasks may be
-// assigned to it now.
+// UsableMachine returns the machine of a node, or nil if the registry does not contain it. usable reports
+// whether new tasks may be assigned to the machine now.
 func (x *Index) UsableMachine(node *Node, now time.Time, reportInterval ids.Seconds) (machine *worker.Machine, usable bool) {
 	machine = x.machines.Machines[node.Name]
 	return machine, machine != nil && node.Class != nil && machine.Schedulable(now, reportInterval)
@@ -122,7 +123,7 @@
 	x.Reindex(node)
 }
 
-// Release removes an assignment from its node, if it is there.
+// Release removes an assignment from a node. It does nothing if the node does not have the assignment.
 func (x *Index) Release(node *Node, assignment *workload.Assignment) {
 	if !node.Assignments[assignment] {
 		return
@@ -132,11 +133,11 @@
 	x.Reindex(node)
 }
 
-// minFree is the least number of free cores and GB of memory with which a node is listed in its class.
+// minFree is the minimum of free cores, and of free memory in GB, for a node to be listed in its class.
 const minFree = 1e-6
 
-// Reindex updates the list that a node is in. A node is in its class's list while it has capacity left and
-// its machine has reported and is not being deleted.
+// Reindex adds a node to the list of its class or removes it. A node is listed while it has capacity left
+// and its machine has reported, is not being deleted and has a known type.
 func (x *Index) Reindex(node *Node) {
 	class := x.classOf(node)
 	if class != nil {
@@ -161,8 +162,8 @@
 	}
 }
 
-// classOf returns the class of a node whose machine is in use, and adds the class if its type is known. It
-// returns nil for other nodes.
+// classOf returns the class of a node, which it creates if necessary. It returns nil if the node's machine
+// has not reported, is being deleted or has an unknown type.
 func (x *Index) classOf(node *Node) *Class {
 	machine := x.machines.Machines[node.Name]
 	if machine == nil || !machine.HasReported || machine.Deleting {
@@ -179,12 +180,12 @@
 	return class
 }
 
-// Remove removes a machine that is gone from the index and from the registry. It returns the machine's
-// node, or nil if it had none.
+// Remove removes a machine that no longer exists from the index and from the registry. It returns the
+// machine's node, or nil if it had none.
 func (x *Index) Remove(name ids.Machine) *Node {
 	node, machine := x.nodes[name], x.machines.Machines[name]
-	// A machine that never reported and has no assignments has no node, but leaves the registry as well:
-	// otherwise its deletion would be requested again and again.
+	// The machine is removed from the registry even if it has no node because it never reported and has no
+	// assignments. Otherwise its deletion would be requested again and again.
 	x.machines.Remove(name)
 	if node == nil {
 		return nil
--- a/internal/capacity/index_test.go
+++ b/internal/capacity/index_test.go
@@ -19,7 +19,7 @@
 
 var testType = placement.InstanceType{Label: "small", Cores: 4, RAM: 16, CacheGB: 2}
 
-// testIndex returns an index of some machines that have reported.
+// testIndex returns an index with the given number of machines, all of which have reported.
 func testIndex(machines int) *Index {
 	registry := worker.NewRegistry(20)
 	index := NewIndex(registry)
@@ -38,7 +38,7 @@
 	return &workload.Assignment{Job: workload.NewJob(record.New(spec, ids.TimestampOf(testStart), "writer"), 1)}
 }
 
-// checkSums compares the sums and the list of a node with what its assignments add up to.
+// checkSums checks the resource sums and the list memberships of a node against its assignments and images.
 func checkSums(t *testing.T, index *Index, node *Node) {
 	t.Helper()
 	var used, reclaimable float64
@@ -91,7 +91,7 @@
 				i := rng.IntN(len(allocated))
 				node = allocated[i].node
 				index.Release(node, allocated[i].assignment)
-				index.Release(node, allocated[i].assignment) // the second one must change nothing
+				index.Release(node, allocated[i].assignment) // the second call must have no effect
 				allocated = slices.Delete(allocated, i, i+1)
 			}
 		case 4:
--- a/internal/capacity/node.go
+++ b/internal/capacity/node.go
@@ -10,35 +10,36 @@
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// Node is a machine and its assignments. Only the Index changes its fields.
+// Node holds the assignments and the allocated capacity of a machine. Only Index changes its fields.
 type Node struct {
 	Name        ids.Machine
 	Assignments map[*workload.Assignment]bool
-	// Used is what the assignments take.
+	// Used is the sum of the resources of all assignments.
 	Used placement.Resources
-	// Reclaimable is the part of Used that belongs to tasks which end by themselves.
+	// Reclaimable is the part of Used that belongs to tasks which end by themselves, that is, to arrays and
+	// gangs.
 	Reclaimable placement.Resources
 	// Replicas is the number of assignments of services, which run until they are cancelled.
 	Replicas int
-	// ImagePulls are the images that tasks of the node wait for.
+	// ImagePulls contains, by image, the pulls that tasks of the node wait for.
 	ImagePulls map[string]*ImagePull
-	// Class is the class in whose list the node is; nil if it is full, not in use, or of an unknown type.
+	// Class is the class that lists the node. It is nil if the node is full, its machine is not in use, or
+	// its machine type is unknown.
 	Class    *Class
-	position int // in Class.Open; -1 without a class
+	position int // index in Class.Open, or -1 if Class is nil
 }
 
-// ImagePull is the pull of an image for some tasks of a node.
+// ImagePull is the pull of an image to a node.
 type ImagePull struct {
-	tasks int // that wait for the image
-	// TopPriority is the highest priority of the tasks that have waited for the pull.
+	tasks int // number of tasks that wait for the image
+	// TopPriority is the highest priority of all tasks that wait or have waited for the pull.
 	TopPriority record.Priority
 }
 
-// Free returns the capacity that is left on a node. The node must be in its class's list: Class must not be
-// nil.
+// Free returns the unallocated capacity of a node. Class must not be nil.
 func (n *Node) Free() placement.Resources { return n.Class.Offer.Capacity().Minus(n.Used) }
 
-// add adds an assignment and updates the sums.
+// add adds an assignment and updates the resource sums.
 func (n *Node) add(assignment *workload.Assignment) {
 	spec := &assignment.Job.Record.Spec
 	n.Assignments[assignment] = true
@@ -50,7 +51,7 @@
 	n.Reclaimable = n.Reclaimable.Plus(spec.Resources)
 }
 
-// remove removes an assignment and updates the sums.
+// remove removes an assignment and updates the resource sums.
 func (n *Node) remove(assignment *workload.Assignment) {
 	spec := &assignment.Job.Record.Spec
 	delete(n.Assignments, assignment)
@@ -65,8 +66,8 @@
 	}
 }
 
-// TimeUntilFree estimates how long it takes until all tasks on a node that end by themselves have ended. A
-// task that runs longer than its estimate counts as ending in a second.
+// TimeUntilFree estimates the time until all array and gang tasks on a node have ended. A task that already
+// runs longer than its estimated duration is assumed to end in a second.
 func (n *Node) TimeUntilFree(now time.Time) time.Duration {
 	longest := time.Duration(0)
 	for assignment := range n.Assignments {
--- a/internal/estimate/boot_history.go
+++ b/internal/estimate/boot_history.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// bootHistory holds the recent boot times of machines of one type, from provisioning to the first
-// report. The nominal boot time says little while the cloud is slow: if all boots take many times as
-// long, giving machines up by it would provision new ones for ever and never have one.
+// bootHistory holds the recent boot times, from provisioning to the first report, of machines of one type.
+// The nominal boot time can't be used while the cloud is slow: if all boots take many times as long,
+// machines would be given up and replaced by new ones again and again, and none would ever come up.
 type bootHistory struct {
 	durations         []time.Duration // newest last, at most bootsKept
-	newestProvisioned time.Time       // the latest provisioning time of a machine that has come up
+	newestProvisioned time.Time       // latest provisioning time of the machines that have booted
 }
 
 const bootsKept = 8
@@ -22,7 +22,7 @@
 	}
 }
 
-// typical returns the 75th percentile of the recent boot times; 0 if there are none.
+// typical returns the 75th percentile of the recent boot times, or 0 if there are none.
 func (h *bootHistory) typical() time.Duration {
 	if h == nil || len(h.durations) == 0 {
 		return 0
--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -1,7 +1,7 @@
-// Package estimate estimates durations: how long machines take to boot, images to be pulled and jobs to
-// complete. It learns boot times from the machines that have come up.
+// Package estimate estimates how long machines take to boot, images take to be pulled and jobs take to
+// complete. Estimates of boot times are based on the machines that have booted recently.
 //
-// The package has no lock: the lock of the cluster state that an Estimator belongs to guards it.
+// The package has no lock of its own: an Estimator is guarded by the lock of the cluster state that owns it.
 package estimate
 
 import (
@@ -24,12 +24,12 @@
 	boots    map[string]*bootHistory // by machine type
 }
 
-// New returns an estimator that has seen no boots.
+// New returns an estimator without recorded boots.
 func New(settings *config.Settings, index *capacity.Index) *Estimator {
 	return &Estimator{settings: settings, capacity: index, boots: map[string]*bootHistory{}}
 }
 
-// RecordBoot records the boot of a machine that has reported for the first time.
+// RecordBoot records the boot time of a machine that has reported for the first time.
 func (e *Estimator) RecordBoot(machine *worker.Machine, now time.Time) {
 	history := e.boots[machine.Type]
 	if history == nil {
@@ -40,32 +40,33 @@
 	history.newestProvisioned = worker.Later(history.newestProvisioned, machine.ProvisionedAt)
 }
 
-// BootTime returns how long machines of a type currently take to boot, but no less than nominal.
+// BootTime returns how long machines of a type currently take to boot, but at least their nominal time.
 func (e *Estimator) BootTime(machineType *placement.InstanceType) time.Duration {
 	return max(machineType.BootS.Duration(), e.boots[machineType.Label].typical())
 }
 
-// provisionedTogether is the largest difference between the recorded provisioning times of machines that one
-// request provisioned.
+// provisionedTogether is the maximum difference between the recorded provisioning times of machines that
+// were provisioned by the same request.
 const provisionedTogether = 2 * time.Second
 
-// IsOvertaken reports whether a machine of the same type that was provisioned with this one, or after it,
-// has come up.
+// IsOvertaken reports whether another machine of the same type that was provisioned together with the
+// given one, or after it, has booted already.
 func (e *Estimator) IsOvertaken(machine *worker.Machine) bool {
 	history := e.boots[machine.Type]
 	return history != nil && history.newestProvisioned.After(machine.ProvisionedAt.Add(-provisionedTogether))
 }
 
-// minPullRate, in GB per second, is assumed for machine types without a rate.
+// minPullRate is the pull rate, in GB per second, that is assumed for machine types with a lower rate or
+// none.
 const minPullRate = 0.01
 
-// PullSeconds returns how long a machine type takes to pull an image of a size in GB.
+// PullSeconds returns the time, in seconds, that a machine type takes to pull an image of imageGB.
 func PullSeconds(machineType *placement.InstanceType, imageGB float64) float64 {
 	return imageGB / max(machineType.PullGBPerS, minPullRate)
 }
 
-// ImagePullSeconds returns how long the pull of a spec's image takes on the fastest type that has room
-// for a task of it; 0 if no type has.
+// ImagePullSeconds returns the time, in seconds, that the pull of a spec's image takes on the fastest
+// machine type with room for one task, or 0 if no type has room.
 func (e *Estimator) ImagePullSeconds(spec *record.Spec) float64 {
 	best := 0.0
 	for _, machineType := range e.capacity.Types() {
@@ -79,8 +80,8 @@
 	return best
 }
 
-// ProvisionSeconds returns how long it takes until a new machine for a task of a spec is up and has the
-// image; infinite if no type has room for the task.
+// ProvisionSeconds returns the time, in seconds, until a new machine for a task of a spec has booted and
+// has pulled the image. It is infinite if no machine type has room for the task.
 func (e *Estimator) ProvisionSeconds(spec *record.Spec) float64 {
 	best := math.Inf(1)
 	for _, machineType := range e.capacity.Types() {
@@ -91,26 +92,27 @@
 	return best
 }
 
-// JobDuration returns how long a job takes once it may start, by its own estimate.
+// JobDuration returns how long a job takes from its start, including the image pull, according to the
+// duration estimate in its spec.
 func (e *Estimator) JobDuration(spec *record.Spec) time.Duration {
 	return ids.Seconds(float64(spec.EstimatedDuration) + e.ImagePullSeconds(spec)).Duration()
 }
 
 const (
-	// minHorizon and maxHorizon bound the horizon of a queue, in seconds.
+	// minHorizon and maxHorizon are the bounds, in seconds, of the queue horizon of jobs other than gangs.
 	minHorizon = 10
 	maxHorizon = 60
-	// slackDivisor limits the horizon to a part of the job's slack; the rest is kept for bursts of
-	// arrivals and delays.
+	// slackDivisor limits the queue horizon to a fraction of the job's slack. The rest of the slack is
+	// kept for delays and for bursts of submissions.
 	slackDivisor = 4
 )
 
-// QueueHorizon returns the time, in seconds, within which a queued job should start. A queue that the
-// present machines clear within it needs no new ones.
+// QueueHorizon returns the time, in seconds, within which a queued job should start. No machines need to
+// be provisioned for queued tasks that existing machines can start within this time.
 func (e *Estimator) QueueHorizon(job *workload.Job) float64 {
 	spec := &job.Record.Spec
 	if spec.Shape == record.Gang {
-		// A new machine helps a queued gang only if waiting for a running one to end takes longer than
+		// A new machine helps a queued gang only if waiting for a running gang to end takes longer than
 		// booting a machine and pulling the image.
 		return e.ProvisionSeconds(spec)
 	}
@@ -121,8 +123,8 @@
 	return max(minHorizon, min(maxHorizon, slack/slackDivisor))
 }
 
-// secondsLeft returns the time until a job should be complete: the least of its own deadline, the
-// deadlines of jobs that depend on it and the objectives of its class.
+// secondsLeft returns the time, in seconds, in which a job should be completed: the minimum over its own
+// deadline, the deadlines of jobs that depend on it and the objectives of its class.
 func (e *Estimator) secondsLeft(job *workload.Job) float64 {
 	spec := &job.Record.Spec
 	left := math.Inf(1)
--- a/internal/estimate/estimate_test.go
+++ b/internal/estimate/estimate_test.go
@@ -16,7 +16,7 @@
 
 var start = time.Date(2030, 1, 2, 3, 4, 5, 0, time.UTC)
 
-// testTypes are a small type and a large one that boots slower and pulls faster.
+// testTypes are a small machine type and a large one that boots more slowly and pulls images faster.
 var testTypes = []placement.InstanceType{
 	{Label: "small", Cores: 4, RAM: 16, PullGBPerS: 0.5, BootS: 30},
 	{Label: "large", Cores: 16, RAM: 64, PullGBPerS: 2, BootS: 60},
@@ -73,7 +73,7 @@
 		cores           float64
 		pull, provision float64 // seconds
 	}{
-		{2, 5, 50}, // pulled fastest by the large type, provisioned fastest as a small one
+		{2, 5, 50}, // the large type pulls fastest, the small type is provisioned fastest
 		{8, 5, 65},
 		{99, 0, math.Inf(1)},
 	} {
--- a/internal/placement/offers.go
+++ b/internal/placement/offers.go
@@ -1,19 +1,19 @@
 package placement
 
-// offer is an instance that can be provisioned, and how many tasks of a demand it takes.
+// offer is an instance that can be provisioned, with the number of a demand's tasks that it has room for.
 type offer struct {
 	instanceType *InstanceType
 	zone         string
 	spot         bool
-	tasks        int // zero: there is no offer
+	tasks        int // 0 means that there is no offer
 }
 
-// zoneBalanceWeight raises the cost of a zone by this share for each instance there, so that
-// offers of about the same price spread over the zones.
+// zoneBalanceWeight is the fraction by which the cost of an offer rises for each instance in its zone, so
+// that instances of similar price are spread over the zones.
 const zoneBalanceWeight = 0.01
 
-// cheapestOffer finds the offer with the lowest price per task, for up to left of the demand's
-// tasks. PerZone counts the instances of each zone.
+// cheapestOffer returns the offer with the lowest price per task for up to left tasks of a demand. perZone
+// is the number of instances in each zone.
 func (p *plan) cheapestOffer(demand *Demand, left int, perZone map[string]int) offer {
 	var best offer
 	bestCost := 0.0
@@ -44,7 +44,7 @@
 }
 
 // fitsWithoutAccelerators reports whether the demand's tasks could run on an instance type without
-// accelerators, whether or not it can be had just now.
+// accelerators, even if that type can't be provisioned at the moment.
 func (p *plan) fitsWithoutAccelerators(demand *Demand) bool {
 	for _, instanceType := range p.types {
 		if instanceType.Accels > 0 || !instanceType.Capacity().Holds(demand.Request.Resources) {
@@ -57,8 +57,9 @@
 	return false
 }
 
-// bestZone picks the zone for a demand that must be in one: the one with most capacity for it
-// already, among those where the rest can be provisioned.
+// bestZone returns the zone for a demand whose tasks must all run in one zone. It prefers zones in which
+// the missing capacity can be provisioned, and among these the zone whose instances have room for most
+// of the tasks.
 func (p *plan) bestZone(demand *Demand) string {
 	covered := map[string]int{}
 	for i := range p.instances {
@@ -84,8 +85,8 @@
 	return best
 }
 
-// isOfferedIn reports whether an instance for some of the demand's tasks can be provisioned in a
-// zone.
+// isOfferedIn reports whether an instance with room for at least one of the demand's tasks can be
+// provisioned in a zone.
 func (p *plan) isOfferedIn(zone string, demand *Demand, tasks int) bool {
 	inZone := *demand
 	inZone.Request.Zone = zone
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -1,4 +1,3 @@
-// Package placement makes the placement decisions as pure functions: how well a task fits a
-// machine, and which instances to provision for unmet demand. It keeps no state and makes no
-// calls.
+// Package placement makes placement decisions: it scores how well a task fits a machine, and plans which
+// instances to provision for unmet demand. Its functions keep no state and perform no I/O.
 package placement
--- a/internal/placement/scaleout.go
+++ b/internal/placement/scaleout.go
@@ -7,18 +7,19 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-// Demand is capacity that is wanted: for queued tasks, or as headroom for tasks that must start
-// sooner than an instance boots.
+// Demand is a demand for capacity: for queued tasks, or as headroom for future tasks that must start
+// sooner than a new instance can boot.
 type Demand struct {
 	Request Request
-	Count   int  // tasks
-	Spread  bool // over zones
-	// SameZone means all in one zone, whichever. Capacity in different zones does not add up for it.
+	Count   int  // number of tasks
+	Spread  bool // the tasks must be spread over zones
+	// SameZone requires all tasks to be in one zone, which may be any. Capacity in different zones must not
+	// be added up for such a demand.
 	SameZone   bool
-	Preempt    bool // may preempt the tasks of job arrays
-	Headroom   bool // capacity to keep free: no task is queued yet
-	NoScaleOut bool // keeps instances that there are, but is no reason to scale out
-	// ReclaimableShare is the share of an instance's reclaimable capacity that will be free in time.
+	Preempt    bool // the tasks may preempt tasks of job arrays
+	Headroom   bool // the capacity is kept free for tasks that are not queued yet
+	NoScaleOut bool // existing instances are kept for the demand, but none are provisioned
+	// ReclaimableShare is the fraction of an instance's reclaimable capacity that will be free in time.
 	ReclaimableShare float64
 }
 
@@ -30,10 +31,10 @@
 	Spot        bool
 	Free        Resources // not allocated
 	Reclaimable Resources // allocated to tasks that end by themselves or may be preempted
-	Pending     bool      // has been requested, or is booting
-	Idle        bool      // has no task
-	// Overdue means pending for so long that it may never come. It covers only demand for which nothing
-	// can be provisioned.
+	Pending     bool      // has been requested or is booting
+	Idle        bool      // has no tasks
+	// Overdue is set if the instance has been pending for so long that it may never come up. Its capacity
+	// is counted only for demand for which no instance can be provisioned.
 	Overdue bool
 }
 
@@ -45,13 +46,14 @@
 	Count int
 }
 
-// OfferFilter reports whether such an instance is worth requesting: the cloud has not refused it
-// lately.
+// OfferFilter reports whether an instance of a type, zone and market should be requested, which is the
+// case unless the cloud has refused such a request recently.
 type OfferFilter func(instanceType, zone string, spot bool) bool
 
-// PlanScaleOut decides which instances to provision for the demands that running and pending instances
-// do not cover, and which idle instances are still needed. Demands come in order of importance. It
-// uses the instances as its working copy and changes them.
+// PlanScaleOut decides which instances to provision for demands that the running and pending instances do
+// not cover. needed contains the existing instances that the demands use; other idle ones may be
+// terminated. Demands must be sorted by importance, most important first. PlanScaleOut modifies the
+// elements of instances.
 func PlanScaleOut(demands []Demand, instances []Instance, types []*InstanceType, offered OfferFilter) (requests []ProvisioningRequest, needed map[ids.Machine]bool) {
 	p := newPlan(instances, types, offered)
 	var unmet []Demand
@@ -73,20 +75,20 @@
 	return p.requests, p.needed
 }
 
-// plan is the state of one scale-out decision: the instances, as demands take capacity of them,
-// and the requests so far.
+// plan is the state of one call of PlanScaleOut: the instances, with the capacity that the demands so far
+// leave on them, and the provisioning requests so far.
 type plan struct {
 	types     []*InstanceType
 	offered   OfferFilter
-	instances []Instance // those that there are, then those requested, which have no name
-	order     []int      // of instances: which to use first
+	instances []Instance // the existing ones, then those that the plan requests, which have no name
+	order     []int      // indices of instances, in the order in which to use them
 	perZone   map[string]int
 	requests  []ProvisioningRequest
 	needed    map[ids.Machine]bool
 }
 
-// Instances are used in the order of their price and these additions to it, so that those left
-// idle can be terminated: busy ones first, then pending ones, then idle ones.
+// These amounts are added to the price of an instance in the order of use: busy instances come first,
+// then pending ones, then idle ones, so that instances which stay idle can be terminated.
 const (
 	idlePrice    = 1e6
 	pendingPrice = 5e5
@@ -118,8 +120,8 @@
 	return p
 }
 
-// sortByKey sorts indices by their keys. It is stable, so that decisions do not depend on chance.
-// Order must be a permutation of its indices.
+// sortByKey sorts indices by their keys. The sort is stable, so that the plan is deterministic. order must
+// be a permutation of its own indices.
 func sortByKey(order []int, key func(index int) float64) {
 	keys := make([]float64, len(order))
 	for _, i := range order {
@@ -128,8 +130,8 @@
 	slices.SortStableFunc(order, func(x, y int) int { return cmp.Compare(keys[x], keys[y]) })
 }
 
-// cover takes capacity of the instances that are late, or of those that are not, for up to left
-// of the demand's tasks, and returns how many find none.
+// cover allocates capacity for up to left tasks of a demand, on overdue instances if late is set and on
+// all other instances if it is not. It returns the number of tasks that remain without capacity.
 func (p *plan) cover(demand *Demand, left int, late bool) int {
 	for _, i := range p.order {
 		instance := &p.instances[i]
@@ -147,7 +149,7 @@
 	return left
 }
 
-// take allocates capacity: what is free first, then what will be.
+// take allocates capacity of an instance: first free capacity, then reclaimable capacity.
 func (i *Instance) take(amount Resources) {
 	i.Free = i.Free.Minus(amount)
 	if short := (Resources{}).Minus(i.Free).positive(); short != (Resources{}) {
@@ -156,8 +158,8 @@
 	}
 }
 
-// provision requests instances for up to left of the demand's tasks, and returns for how many it
-// cannot.
+// provision requests instances for up to left tasks of a demand and returns the number of tasks for which
+// no instance can be provisioned.
 func (p *plan) provision(demand *Demand, left int) int {
 	for left > 0 && !demand.NoScaleOut {
 		best := p.cheapestOffer(demand, left, p.perZone)
@@ -179,7 +181,7 @@
 	return left
 }
 
-// addRequest requests one more instance of an offer.
+// addRequest adds one instance of an offer to the requests.
 func (p *plan) addRequest(chosen offer) {
 	for i := range p.requests {
 		request := &p.requests[i]
@@ -191,12 +193,12 @@
 	p.requests = append(p.requests, ProvisioningRequest{Type: chosen.instanceType.Label, Zone: chosen.zone, Spot: chosen.spot, Count: 1})
 }
 
-// anyNumber is a limit that no count of tasks on an instance reaches.
+// anyNumber is a limit for CountFitting that is higher than the number of tasks on any instance.
 const anyNumber = 1 << 20
 
-// coverWithAccelerators puts tasks for which no other instance can be had on instances with
-// accelerators: those that are needed anyhow, and only then others, which stay for as long as the
-// tasks are queued.
+// coverWithAccelerators allocates capacity on existing instances with accelerators for tasks that need no
+// accelerators and for which no other instance is available. It uses instances that are needed by other
+// demands first. Other instances that it uses are kept only for as long as the tasks are queued.
 func (p *plan) coverWithAccelerators(demand *Demand) {
 	left := demand.Count
 	for _, neededAnyhow := range []bool{true, false} {
@@ -209,7 +211,7 @@
 			}
 			count := instance.Free.Plus(instance.Reclaimable).CountFitting(demand.Request.Resources, left)
 			if !neededAnyhow && 2*count < instance.Type.Capacity().CountFitting(demand.Request.Resources, anyNumber) {
-				continue // less than half full is not worth it
+				continue // an instance is not kept if the tasks would fill less than half of it
 			}
 			left -= count
 			instance.Free = instance.Free.Minus(demand.Request.Resources.Times(float64(count)))
@@ -218,11 +220,11 @@
 	}
 }
 
-// tasksOn returns how many of the demand's tasks, at most limit, an instance has capacity for.
+// tasksOn returns the number of the demand's tasks, at most limit, for which an instance has capacity.
 func (d *Demand) tasksOn(instance *Instance, limit int) int {
-	// Accelerators cost so much more than cores that tasks without them may run on instances that
-	// have them while those are there anyhow, but are no reason to have them, nor to be counted
-	// on to find capacity.
+	// Accelerators are much more expensive than cores. So tasks that need none may run on instances with
+	// accelerators that exist for other tasks, but such instances are neither provisioned nor counted as
+	// capacity for them.
 	if !d.Request.Allows(instance.Type.Label, instance.Zone, instance.Spot) || d.Request.Resources.Accels == 0 && instance.Type.Accels > 0 {
 		return 0
 	}
--- a/internal/placement/scaleout_test.go
+++ b/internal/placement/scaleout_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// allOffered and noneOffered are clouds that have, or refuse, every instance.
+// allOffered and noneOffered are the OfferFilters of clouds that provide or refuse all instances.
 func allOffered(string, string, bool) bool  { return true }
 func noneOffered(string, string, bool) bool { return false }
 
@@ -52,8 +52,8 @@
 	if needed["g"] || len(requests) == 0 || requests[0].Type != "small" {
 		t.Fatalf("plain tasks: requests %+v, needed %v", requests, needed)
 	}
-	// While no instance without accelerators is to be had, one that is there stays, if it has
-	// much to do.
+	// While no instance without accelerators can be provisioned, an existing one with accelerators is
+	// kept if the queued tasks fill at least half of it.
 	if _, needed = PlanScaleOut([]Demand{plain}, accelerated(), types, noneOffered); needed["g"] {
 		t.Fatal("64 cores kept for 8 tasks of one")
 	}
@@ -76,7 +76,8 @@
 }
 
 func TestCapacityInTwoZonesDoesNotAddUpForADemandInOneZone(t *testing.T) {
-	// Guards against a gang that waits for ever beside one free instance in each of two zones.
+	// Guards against a fault in which a gang of two tasks waited forever: each of two zones had one free
+	// instance, and the planner counted both although the gang needs two instances in one zone.
 	inBothZones := &InstanceType{Label: "big", Cores: 64, Accels: 8, RAM: 256, PullGBPerS: 0.25, Price: 24, SpotPrice: 10, Zones: []string{"n", "s"}, BootS: 30}
 	types := []*InstanceType{inBothZones}
 	gang := Demand{Request: Request{Resources: Resources{Accels: 8}}, Count: 2, SameZone: true, ReclaimableShare: 1}
@@ -90,7 +91,7 @@
 	if len(requests) != 1 || requests[0].Count != 1 {
 		t.Fatalf("requests %+v", requests)
 	}
-	// Where none is to be had, the other zone is taken.
+	// If one zone offers no instances, the other zone is chosen.
 	requests, _ = PlanScaleOut([]Demand{gang}, oneInEach(), types, func(_, zone string, _ bool) bool { return zone == "s" })
 	if len(requests) != 1 || requests[0].Zone != "s" {
 		t.Fatalf("requests %+v", requests)
--- a/internal/placement/score.go
+++ b/internal/placement/score.go
@@ -6,7 +6,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-// Request is what one task requests of its machine.
+// Request holds the requirements of one task for its machine.
 type Request struct {
 	Resources     Resources
 	InstanceTypes []string // allowed instance types; nil allows any
@@ -14,10 +14,10 @@
 	AllowSpot     bool     // whether spot instances are allowed
 	Image         string
 	ImageGB       float64
-	LongRunning   bool // runs until it is cancelled
+	LongRunning   bool // the task runs until it is cancelled
 }
 
-// Allows reports whether the task may run on such an instance at all.
+// Allows reports whether the task may run on an instance of the given type, zone and market.
 func (r *Request) Allows(instanceType, zone string, spot bool) bool {
 	if spot && !r.AllowSpot || r.Zone != "" && r.Zone != zone {
 		return false
@@ -25,7 +25,7 @@
 	return r.InstanceTypes == nil || slices.Contains(r.InstanceTypes, instanceType)
 }
 
-// Candidate is a candidate for the placement of a task.
+// Candidate is an instance on which a task may be placed.
 type Candidate struct {
 	Name                   ids.Machine
 	Type                   *InstanceType
@@ -34,31 +34,31 @@
 	Free                   Resources
 	ImageExpected          bool // has the task's image in its cache or is pulling it
 	ImageCached            bool // has the task's image in its cache, so that the task starts at once
-	OtherPulls             int  // pulls of other images under way, which share its rate
+	OtherPulls             int  // number of pulls of other images in progress, which share the pull rate
 	PullsForHigherPriority bool // pulls images for tasks of higher priority, which must not be slowed
-	FailedBefore           bool // failed this very task before
+	FailedBefore           bool // this task failed on the candidate before
 	Reserved               bool // its free capacity is reserved for another job
-	// ScalingIn means to be terminated once it is idle. One with accelerators still takes tasks that
-	// need them.
+	// ScalingIn is set if the instance will be terminated once it is idle. An instance with accelerators
+	// still accepts tasks that need accelerators.
 	ScalingIn bool
 }
 
-// What a drawback of a candidate counts in its score, in rough seconds.
+// These constants weigh the drawbacks of a candidate in its score, which is in approximate seconds.
 const (
-	slowedPullPenalty         = 30   // slows a pull for tasks of higher priority
-	fragmentationWeight       = 2    // per resource, times the share that is left over
+	slowedPullPenalty         = 30   // would slow down a pull for tasks of higher priority
+	fragmentationWeight       = 2    // per resource, multiplied by the fraction left unused
 	unusedAcceleratorsPenalty = 3    // has accelerators that the task does not use
-	keptAcceleratorsPenalty   = 60   // and the task would keep the instance from scaling in
-	onDemandPenalty           = 2    // is no spot instance, which the task would accept
-	failedBeforePenalty       = 1000 // failed the task before
-	expectedPullShare         = 2    // half of a pull under way is still to come
-	minPullGBPerS             = 0.01
-	minTypeCapacity           = 1 // keeps the shares of resources finite
+	keptAcceleratorsPenalty   = 60   // in addition, if a long-running task would prevent scale-in of the instance
+	onDemandPenalty           = 2    // is an on-demand instance although the task accepts spot instances
+	failedBeforePenalty       = 1000 // the task failed on the candidate before
+	expectedPullShare         = 2    // divisor of the pull time: a pull in progress is assumed to be half done
+	minPullGBPerS             = 0.01 // assumed for instance types without a rate
+	minTypeCapacity           = 1    // avoids division by zero
 )
 
-// Score rates a candidate in rough seconds; less is better. A pull counts as the time it takes,
-// capacity left over as fragmentation; instances with accelerators and on-demand instances are
-// kept for the tasks that need them.
+// Score returns the score of a candidate in approximate seconds. Lower scores are better. The score
+// includes the time of the image pull and a penalty for fragmentation, which is the capacity left unused.
+// Further penalties keep instances with accelerators and on-demand instances free for tasks that need them.
 func Score(candidate *Candidate, request *Request) float64 {
 	score := pullCost(candidate, request)
 	left := candidate.Free.Minus(request.Resources)
@@ -78,7 +78,7 @@
 	return score
 }
 
-// pullCost is what the pull of the task's image counts.
+// pullCost returns the contribution of the task's image pull to the score.
 func pullCost(candidate *Candidate, request *Request) float64 {
 	if candidate.ImageCached && candidate.ImageExpected {
 		return 0
--- a/internal/placement/score_test.go
+++ b/internal/placement/score_test.go
@@ -11,7 +11,8 @@
 	big   = &InstanceType{Label: "big", Cores: 64, Accels: 8, RAM: 256, PullGBPerS: 0.25, Price: 24, SpotPrice: 10, Zones: []string{"n"}, BootS: 30}
 )
 
-// bestOf is the name of the candidate with the lowest score among those that the task fits.
+// bestOf returns the name of the candidate with the lowest score among those that the request allows and
+// that have room for it.
 func bestOf(candidates []Candidate, request Request) ids.Machine {
 	var best ids.Machine
 	bestScore := 0.0
@@ -45,7 +46,7 @@
 }
 
 func TestScoreAddsUpTheDrawbacksOfACandidate(t *testing.T) {
-	request := Request{Resources: small.Capacity(), Image: "img", ImageGB: 2} // fills the instance; a pull alone takes 8 s
+	request := Request{Resources: small.Capacity(), Image: "img", ImageGB: 2} // fills the instance; a pull without concurrent pulls takes 8 s
 	onBig := Request{Resources: Resources{Cores: 64, RAM: 256}, ImageGB: 2}
 	longOnBig := onBig
 	longOnBig.LongRunning = true
--- a/internal/scheduler/admission.go
+++ b/internal/scheduler/admission.go
@@ -8,8 +8,8 @@
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// admission limits how many tasks of a job may be assigned, by its team's quota and the size of its
-// record.
+// admission limits how many tasks of a job may be assigned: the team's quota must cover them and their
+// assignments must fit into the job's stored record.
 type admission struct {
 	*State
 	cluster      Cluster
@@ -17,7 +17,8 @@
 	preemptor    *quotaPreemptor
 }
 
-// limit returns how many of a job's unassigned tasks may be assigned now, and if that is none why.
+// limit returns how many of a job's unassigned tasks may be assigned now. If the quota or the size of
+// the record allows none, reason explains it.
 func (a *admission) limit(job *workload.Job, unassigned int, pass *planningPass) (limit int, reason string) {
 	allowed := a.allowedByQuota(job, unassigned, pass.now)
 	fitRecord := job.MaxAssignedTasks(a.valueBytes()) - len(job.Assignments)
@@ -40,16 +41,16 @@
 	return a.Quota.Available(spec.Team).CountFitting(spec.Resources, want)
 }
 
-// allowedByQuota returns how many tasks of a job, at most want, its team's quota has room for beside
-// what is reserved for jobs of higher priority and for tasks that are being relocated.
+// allowedByQuota returns how many tasks of a job, at most want, its team's quota allows, without the
+// parts reserved for jobs of higher priority and for tasks that are being relocated.
 func (a *admission) allowedByQuota(job *workload.Job, want int, now time.Time) int {
 	spec := &job.Record.Spec
 	left := a.Quota.Available(spec.Team).Minus(a.reservations.reservedFrom(job, now)).Minus(a.cluster.QuotaForRelocated(job))
 	return left.CountFitting(spec.Resources, want)
 }
 
-// quotaReason explains why a team's quota has no room for a job's tasks, after it has preempted work of
-// lower priority in the team where that is allowed.
+// quotaReason preempts tasks of lower priority in the job's team if that is allowed, and explains why
+// the team's quota does not allow the job's tasks now.
 func (a *admission) quotaReason(job *workload.Job, tasks int, now time.Time) string {
 	reason := a.Quota.Explain(job.Record.Spec.Team)
 	if a.preemptor.preemptFor(job, tasks, now) {
@@ -58,26 +59,28 @@
 	return reason
 }
 
-// quotaReservations are kept by team, one each. Without one, quota that is freed for a pending job would
-// go to the team's lesser jobs again, and the pending job would never start.
+// quotaReservations holds at most one reservation for each team. Without a reservation, the quota that
+// preemption frees for a pending job would go to the team's jobs of lower priority again, and the pending
+// job would never start.
 type quotaReservations map[string]quotaReservation
 
-// quotaReservation is a part of its team's quota that is kept for a job.
+// quotaReservation reserves a part of a team's quota for a job.
 type quotaReservation struct {
 	job   *workload.Job
 	need  placement.Resources
 	until time.Time
 }
 
-// quotaReservationTime is how long a reservation lasts unless it is renewed.
+// quotaReservationTime is the time after which a reservation expires unless it is renewed.
 const quotaReservationTime = 2 * time.Second
 
-// set reserves quota of a job's team for the job.
+// set reserves a part of the quota of a job's team for the job.
 func (r quotaReservations) set(job *workload.Job, need placement.Resources, now time.Time) {
 	r[job.Record.Spec.Team] = quotaReservation{job: job, need: need, until: now.Add(quotaReservationTime)}
 }
 
-// reservedFrom returns what a job must leave of its team's quota to a job of higher priority.
+// reservedFrom returns the part of its team's quota that a job must not use, because it is reserved for
+// a job of higher priority.
 func (r quotaReservations) reservedFrom(job *workload.Job, now time.Time) placement.Resources {
 	reserved, found := r[job.Record.Spec.Team]
 	if !found || reserved.job == job || !reserved.until.After(now) || !reserved.job.Schedulable() ||
--- a/internal/scheduler/assign.go
+++ b/internal/scheduler/assign.go
@@ -10,8 +10,8 @@
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// assigner assigns the tasks of one job after the other and notes in Job.PendingReason why the rest of
-// them are pending.
+// assigner assigns the tasks of one job at a time. It sets Job.PendingReason to explain why the job's
+// remaining tasks are pending.
 type assigner struct {
 	*State
 	cluster      Cluster
@@ -22,7 +22,7 @@
 	preemptor    *preemptor
 }
 
-// assign assigns as many tasks of a job as have room.
+// assign assigns as many of a job's tasks as limits and free machines allow.
 func (a *assigner) assign(job *workload.Job, pass *planningPass) {
 	if job.Record.Spec.Shape == record.Gang {
 		a.assignGang(job, pass)
@@ -51,7 +51,7 @@
 }
 
 // assignTasks assigns up to limit tasks of an array or a service, lowest index first. reason explains
-// why tasks were passed over; it is empty if none were.
+// why tasks were skipped; it is empty if none were.
 func (a *assigner) assignTasks(job *workload.Job, limit int, pass *planningPass) (assigned int, reason string) {
 	spec := &job.Record.Spec
 	request := spec.PlacementRequest()
@@ -87,16 +87,16 @@
 	return assigned, reason
 }
 
-// nodeFor returns a node for one task. If there is none, it makes room where that is allowed, and
-// reports why the task is pending and whether to try the job's next task: one that failed before may
-// find no machine where others do.
+// nodeFor returns a node for one task. If no node has room, it tries to free capacity or to reserve a
+// machine, and returns why the task is pending. tryNext reports whether the job's next task should be
+// tried: a task that failed before avoids machines on which other tasks may still run.
 func (a *assigner) nodeFor(job *workload.Job, retry *workload.Retry, search *search) (node *capacity.Node, reason string, tryNext bool) {
 	node = search.pick(retry)
 	if node == nil {
 		return nil, a.makeRoom(job, search), retry != nil
 	}
 	if job.EffectivePriority() == record.Critical && !a.Capacity.HasImage(node, search.request.Image) {
-		// Pulling the image takes longer than stopping lesser work where it is cached.
+		// Pulling the image takes longer than stopping tasks of lower priority where it is cached.
 		if machine := a.preemptor.preemptWhereCached(job, search.request, search.pass); machine != "" {
 			return nil, "waits for room freed on " + machine, false
 		}
@@ -104,8 +104,8 @@
 	return node, "", true
 }
 
-// makeRoom preempts other tasks for one task of a job, or reserves a machine for it, and returns why the
-// task is pending.
+// makeRoom preempts other tasks for one task of a job. If that is not possible, it tries to reserve a
+// machine. It returns why the task is pending.
 func (a *assigner) makeRoom(job *workload.Job, search *search) (reason string) {
 	if freed, machine := a.preemptor.preempt(job, search.request, search.pass); freed {
 		return "waits for room freed on " + machine
@@ -116,7 +116,7 @@
 	return "no machine has room"
 }
 
-// assignTask assigns one task to a node under the job's current attempt.
+// assignTask assigns one task to a node as part of the job's current attempt.
 func (a *assigner) assignTask(job *workload.Job, task int, node *capacity.Node, now time.Time) {
 	machine := a.Machines.Machines[node.Name]
 	image := job.Record.Spec.Image
@@ -129,8 +129,8 @@
 		"sinceSubmit", now.Sub(job.Record.Submitted.Time()).Round(time.Millisecond))
 }
 
-// tasksAssigned is called after a pass has assigned count tasks of a job. The markers of all of them
-// belong to one version of the job.
+// tasksAssigned completes the assignment of count tasks of a job: it requests that their markers are
+// stored, all with one version of the job, and removes the reservations of a job that starved.
 func (a *assigner) tasksAssigned(job *workload.Job, count int) {
 	if count == 0 {
 		return
@@ -145,14 +145,14 @@
 	}
 	if !job.ReservationSoughtAt.IsZero() {
 		a.protectStart(job, assigned)
-		a.reservations.removeJob(job) // it has started, perhaps on other machines
+		a.reservations.removeJob(job) // the job may have started on machines that were not reserved
 		job.ReservationSoughtAt = time.Time{}
 	}
 	a.cluster.RecordRestarts(job, assigned)
 }
 
-// protectStart protects the first tasks of a job that starved from preemption: all tasks of a gang, one
-// task of any other job, preferably on a machine that was reserved for it.
+// protectStart protects the first tasks of a job that starved from preemption: all tasks of a gang, or
+// one task of any other job, preferably one on a machine that was reserved for the job.
 func (a *assigner) protectStart(job *workload.Job, assigned []*workload.Assignment) {
 	until := time.Now().Add(workload.StartProtectionTime)
 	if job.Record.Spec.Shape == record.Gang {
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -10,8 +10,8 @@
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// assignGang assigns all missing tasks of a gang or none. A task that is lost while the others still
-// wait for one another is replaced under the same attempt.
+// assignGang assigns either all unassigned tasks of a gang or none. A task that is lost while the other
+// tasks still wait for the whole gang is replaced within the same attempt.
 func (a *assigner) assignGang(job *workload.Job, pass *planningPass) {
 	spec := &job.Record.Spec
 	missing := spec.Tasks - len(job.Assignments)
@@ -38,7 +38,8 @@
 	a.startGang(job, nodes, pass)
 }
 
-// gangBlocked returns why a gang can't be assigned now even if there is room; it is empty if it can.
+// gangBlocked returns why a gang must not be assigned now even if machines have room, or an empty string
+// if it may be assigned.
 func (a *assigner) gangBlocked(job *workload.Job, now time.Time) string {
 	switch {
 	case job.BackingOff(now):
@@ -56,9 +57,9 @@
 	return ""
 }
 
-// attemptMayGrow reports whether tasks may still join the current attempt of a gang: all of its tasks
-// wait for one another. Once one of them has run or is being stopped, the others end by themselves, and
-// only after that may the next attempt begin.
+// attemptMayGrow reports whether more tasks may join the current attempt of a gang, which requires that
+// all assigned tasks still wait for the whole gang. Once one task has run or is being stopped, the other
+// tasks end by themselves, and the next attempt must not begin before they have.
 func attemptMayGrow(job *workload.Job, token ids.Generation) bool {
 	for _, assignment := range job.Assignments {
 		waiting := assignment.Status == worker.StatePulling || assignment.Status == worker.StateWaiting
@@ -74,8 +75,8 @@
 	return true
 }
 
-// gangZones returns the zones in which to look for a gang's machines, each by itself; an empty name
-// stands for all zones together.
+// gangZones returns the zones that are searched separately for a gang's machines. An empty name means
+// all zones together.
 func gangZones(job *workload.Job, zones []string) []string {
 	spec := &job.Record.Spec
 	if spec.SingleZone && len(job.Assignments) == 0 && spec.Zone == "" {
@@ -84,7 +85,7 @@
 	return []string{""}
 }
 
-// startGang assigns a gang's missing tasks, one to each of the nodes.
+// startGang assigns a gang's unassigned tasks in order, one to each element of nodes.
 func (a *assigner) startGang(job *workload.Job, nodes []*capacity.Node, pass *planningPass) {
 	if len(job.Assignments) == 0 {
 		job.Record.Attempt++
@@ -101,8 +102,8 @@
 	a.reservations.removeJob(job)
 }
 
-// makeRoomForGang preempts other tasks for a gang's missing tasks, or reserves machines for them, and
-// notes why the gang is pending.
+// makeRoomForGang preempts other tasks for the unassigned tasks of a gang, or reserves machines for
+// them, and sets the reason why the gang is pending.
 func (a *assigner) makeRoomForGang(job *workload.Job, search *search, missing int) {
 	job.PendingReason = "not all tasks of the gang have room at once"
 	for range missing {
@@ -117,11 +118,13 @@
 	}
 }
 
-// GangStartAllowed reports whether the start of an assigned task may be sent now. It delays starts of
-// gang tasks in two cases. A task whose image is cached would only wait for those that have to pull it,
-// and give up after gang_wait_s, long before a large image has arrived; so it starts once the others are
-// waiting for it. And when a task ended and was replaced under the same attempt, the worker has to clear
-// the old one first, or it would mistake the start for that of the task it knows.
+// GangStartAllowed reports whether the start of an assigned task may be sent now. It delays the starts
+// of gang tasks in two cases:
+//   - The machine has the image cached, and other tasks of the gang still have to pull it. The task would
+//     wait for them and give up after gang_wait_s, long before a large image is pulled, so it starts only
+//     when the others have the image.
+//   - The machine still reports an ended task with the same index and attempt. The worker has to clear
+//     that task first, or it would take the start of the replacement for a repeated start of that task.
 func GangStartAllowed(assignment *workload.Assignment, machine *worker.Machine, machines *worker.Registry) bool {
 	job := assignment.Job
 	if job.Record.Spec.Shape != record.Gang {
--- a/internal/scheduler/machine_reserver.go
+++ b/internal/scheduler/machine_reserver.go
@@ -13,10 +13,10 @@
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// machineReserver reserves machines for starving jobs. A job whose tasks need much of a machine may be
-// first in the order and still never start, because smaller tasks take whatever is freed before there is
-// enough of it. While a machine is reserved only critical work is assigned there, until the tasks that
-// run on it have ended.
+// machineReserver reserves machines for starving jobs. A job whose tasks need a large part of a machine
+// may have the highest rank and still never start, because smaller tasks take all capacity that becomes
+// free before there is enough for one large task. Until the tasks that run on a reserved machine have
+// ended, only critical jobs may use its reserved capacity.
 type machineReserver struct {
 	*State
 	cluster      Cluster
@@ -24,19 +24,19 @@
 }
 
 const (
-	// reservationTime is how long machines are reserved at most.
+	// reservationTime is the duration of a reservation for a job below high priority.
 	reservationTime = time.Minute
-	// reservationRetryDelay is the time after which machines are looked for again.
+	// reservationRetryDelay is the least time between two searches for machines to reserve for a job.
 	reservationRetryDelay = 5 * time.Second
-	// reservedFleetFraction bounds the reserved machines to one in so many of the fleet, except for a job
-	// that needs more at once.
+	// reservedFleetFraction is the divisor that limits reservations: at most the number of machines
+	// divided by it may be reserved, except for a job that needs more machines at once.
 	reservedFleetFraction = 20
 )
 
-// wantsReservation reports whether machines should be reserved for a job that lacks room for so many
-// tasks. High-priority jobs preempt others instead, except for gangs of several tasks: on the most
-// expensive machines all jobs may be high, each that ends is followed by a gang of one, and a gang that
-// needs two machines at once would never start.
+// wantsReservation reports whether machines should be reserved for a job that has no room for the given
+// number of tasks. High-priority jobs preempt others instead, except for gangs of several tasks: on the
+// most expensive machines, all jobs may have high priority. Each job that ends there is replaced by a
+// gang of one task, and a gang that needs two machines at once would never start.
 func wantsReservation(job *workload.Job, tasks int, now time.Time) bool {
 	if job.EffectivePriority() >= record.High && (tasks < 2 || job.Record.Spec.Shape != record.Gang) {
 		return false
@@ -44,7 +44,7 @@
 	return !job.Suspect() && job.Starving(now) && now.Sub(job.ReservationSoughtAt) >= reservationRetryDelay
 }
 
-// emptyingNode is a node and the estimated time until it is free.
+// emptyingNode is a node with the estimated time until its tasks have ended.
 type emptyingNode struct {
 	node  *capacity.Node
 	zone  string
@@ -52,7 +52,7 @@
 }
 
 // reserve reserves the n machines that will be free soonest for a starving job. It reports whether
-// machines are reserved for the job, now or since an earlier call. It examines the whole fleet, at most
+// machines are reserved for the job, by this call or an earlier one. It examines the whole fleet, at most
 // once every reservationRetryDelay for each starving job.
 func (r *machineReserver) reserve(job *workload.Job, request *placement.Request, n int, now time.Time) bool {
 	if !wantsReservation(job, n, now) {
@@ -74,7 +74,7 @@
 	}
 	until := now.Add(reservationTime)
 	if job.EffectivePriority() >= record.High {
-		until = now.Add(2 * reservationTime) // the tasks on such machines run long
+		until = now.Add(2 * reservationTime) // tasks on the machines that such gangs need run for long
 	}
 	for _, found := range nodes[:n] {
 		r.reservations.Set(found.node.Name, Reservation{Job: job.ID(), Need: request.Resources, CreatedAt: now, ExpiresAt: until, AsItEmpties: true})
@@ -83,8 +83,8 @@
 	return true
 }
 
-// emptyingNodes returns the nodes that have room for a request once the tasks that end by themselves
-// have ended, soonest free first. already reports that a machine is reserved for the job.
+// emptyingNodes returns the nodes that will have room for a request when their array and gang tasks have
+// ended, in the order in which that is expected. already reports that a machine is reserved for the job.
 func (r *machineReserver) emptyingNodes(job *workload.Job, request *placement.Request, now time.Time) (nodes []emptyingNode, already bool) {
 	for _, node := range r.Capacity.Nodes() {
 		machine := r.Machines.Machines[node.Name]
@@ -113,8 +113,8 @@
 	return nodes, false
 }
 
-// inSoonestZone returns the nodes of the zone that is the first to have n of them, or all nodes if no
-// zone has so many.
+// inSoonestZone returns the nodes of the zone in which n nodes will be free soonest, or all nodes if no
+// zone has n of them. The nodes must be sorted, soonest free first.
 func inSoonestZone(nodes []emptyingNode, n int) []emptyingNode {
 	count := map[string]int{}
 	for _, found := range nodes {
@@ -127,15 +127,15 @@
 	return nodes
 }
 
-// reservedForOther reports whether a job has no room in what is free on a machine because of a
-// reservation for another job that goes before it.
+// reservedForOther reports whether the free capacity of a machine, less what is reserved there for
+// another job that takes precedence, is too small for a task of the job.
 func (r *machineReserver) reservedForOther(machine ids.Machine, free placement.Resources, job *workload.Job, now time.Time) bool {
 	reservation, reserved := r.reservations.On(machine, now)
 	return reserved && reservation.Job != job.ID() && r.goesBefore(reservation.Job, job, now) &&
 		!free.Minus(reservation.Need).Holds(job.Record.Spec.Resources)
 }
 
-// goesBefore reports whether the job that a machine was reserved for still goes before another job.
+// goesBefore reports whether the job with a reservation still takes precedence over another job.
 func (r *machineReserver) goesBefore(id ids.Job, job *workload.Job, now time.Time) bool {
 	holder := r.Jobs.Get(id)
 	if holder == nil || !holder.Schedulable() {
@@ -144,7 +144,7 @@
 	return holder.EffectivePriority() >= job.EffectivePriority() || holder.Starving(now) && job.EffectivePriority() < record.Critical
 }
 
-// view implements Scheduler.View.
+// view implements Scheduler.CandidateView.
 func (r *machineReserver) view(node *capacity.Node, machine *worker.Machine, job *workload.Job, retry *workload.Retry, now time.Time) placement.Candidate {
 	view := candidateView(node, machine, job)
 	view.Reserved = r.reservedForOther(node.Name, view.Free, job, now)
@@ -152,8 +152,8 @@
 	return view
 }
 
-// candidateView describes a node to the placement rules as a candidate for any task of a job, without
-// regard to reservations.
+// candidateView describes a node as a placement candidate for any task of a job. It ignores reservations
+// and earlier failures.
 func candidateView(node *capacity.Node, machine *worker.Machine, job *workload.Job) placement.Candidate {
 	image := job.Record.Spec.Image
 	view := placement.Candidate{Name: node.Name, Type: node.Class.Offer, Zone: machine.Zone, Spot: machine.Spot, ScalingIn: machine.DeleteWhenEmpty,
--- a/internal/scheduler/pass.go
+++ b/internal/scheduler/pass.go
@@ -12,18 +12,18 @@
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// planningPass is one planning pass and what it has learned so far, which spares jobs with the same
-// needs a search of their own.
+// planningPass is the state of one planning pass. It caches the results of searches, so that jobs with
+// the same requirements need not search again.
 type planningPass struct {
 	now time.Time
-	// noCapacity are the needs for which no machine has room.
+	// noCapacity lists amounts of resources for which no machine has room.
 	noCapacity map[placementKey][]placement.Resources
-	// noVictims are the needs for which preemption can't free room on any machine.
+	// noVictims lists amounts of resources that preemption can't free on any machine.
 	noVictims map[preemptionKey][]placement.Resources
-	// preemptible are the nodes on which jobs may preempt something.
+	// preemptible lists the nodes with tasks that jobs may preempt.
 	preemptible      map[preemptionKey][]*capacity.Node
 	machinesExamined int
-	// quotaDemands are, by team, the tasks that are pending only because of the team's allowance.
+	// quotaDemands holds, by team, the demand of tasks that are pending only because of the team's quota.
 	quotaDemands map[string]quota.Demand
 }
 
@@ -37,15 +37,15 @@
 	}
 }
 
-// dropFindings drops what may have changed while the lock was released.
+// dropFindings clears the cached search results, which may be outdated after the lock was released.
 func (p *planningPass) dropFindings() {
 	clear(p.noCapacity)
 	clear(p.preemptible)
 	clear(p.noVictims)
 }
 
-// addQuotaDemand records that tasks of a job are pending only because of its team's allowance. The job
-// that is first to be planned gives the demand of the team its unit and rank.
+// addQuotaDemand records that tasks of a job are pending only because of its team's quota. The first
+// such job of a pass determines the unit and the rank of its team's demand.
 func (p *planningPass) addQuotaDemand(job *workload.Job, tasks int) {
 	spec := &job.Record.Spec
 	unit := spec.Resources
@@ -61,7 +61,8 @@
 	p.quotaDemands[spec.Team] = demand
 }
 
-// placementKey is what determines, besides the resources, which machines a request may use.
+// placementKey holds the properties of a request, besides its resources, that determine which machines
+// it may use.
 type placementKey struct {
 	types, zone       string
 	spot, accelerated bool
@@ -75,12 +76,13 @@
 	return placementKey{types: types.String(), zone: request.Zone, spot: request.AllowSpot, accelerated: request.Resources.Accels > 0}
 }
 
-// preemptionKey is what determines, besides the resources, on which machines a job may preempt others.
+// preemptionKey holds the properties of a job and its request, besides the resources, that determine on
+// which machines the job may preempt others.
 type preemptionKey struct {
 	priority   record.Priority
 	guaranteed bool
-	team       string // of a guaranteed job
-	image      string // only machines that have it cached; empty: all
+	team       string // set only for guaranteed jobs
+	image      string // if not empty, only machines that have this image cached
 	placementKey
 }
 
@@ -92,7 +94,8 @@
 	return key
 }
 
-// covered reports whether need includes an amount that is known to be unavailable.
+// covered reports whether need is at least as large, in all resources, as an amount that is known to be
+// unavailable.
 func covered(unavailable []placement.Resources, need placement.Resources) bool {
 	return slices.ContainsFunc(unavailable, func(amount placement.Resources) bool { return need.Holds(amount) })
 }
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -16,8 +16,8 @@
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// preemptor frees room on machines by stopping tasks, where the rules of priority and guarantee allow
-// it and at the least loss.
+// preemptor frees capacity on machines by stopping tasks. Among the tasks that the rules on priorities and
+// guarantees allow to be stopped, it chooses those for which the loss is least.
 type preemptor struct {
 	*State
 	cluster      Cluster
@@ -25,21 +25,21 @@
 	reservations *Reservations
 }
 
-// preemptionFilter restricts where tasks are preempted.
+// preemptionFilter restricts on which machines tasks are preempted.
 type preemptionFilter struct {
-	image   string // only on machines that have it cached; empty: on all
+	image   string // if not empty, only machines that have this image cached
 	accepts func(victims []*workload.Assignment) bool
 }
 
-// anyVictims accepts whatever the rules of preemption allow.
+// anyVictims accepts all preemptions that the rules allow.
 var anyVictims = preemptionFilter{accepts: func([]*workload.Assignment) bool { return true }}
 
-// MaxPreemptionCandidates bounds the machines that are compared to find the one on which preemption
-// loses least. Comparing all machines of a fleet of thousands for each of hundreds of urgent tasks would
-// take longer than the workers' leases last.
+// MaxPreemptionCandidates is the maximum number of machines that are compared to find the one on which
+// preemption loses least. Comparing thousands of machines for each of hundreds of urgent tasks would take
+// longer than the duration of a worker's lease.
 const MaxPreemptionCandidates = 200
 
-// preempt frees room for one task of a job on some machine, whose name it returns.
+// preempt frees capacity for one task of a job on some machine and returns the machine's name.
 func (p *preemptor) preempt(job *workload.Job, request *placement.Request, pass *planningPass) (freed bool, machine string) {
 	key := preemptionKeyOf(job, request)
 	if covered(pass.noVictims[key], request.Resources) {
@@ -52,12 +52,12 @@
 	return freed, machine
 }
 
-// recentReservation is how long after it was made a reservation counts as a preemption under way.
+// recentReservation is the age below which a reservation counts as a preemption that is in progress.
 const recentReservation = time.Second
 
-// preemptWhereCached frees room on a machine that has the image cached by stopping tasks that exit at
-// once. It returns the machine's name, also while an earlier call's tasks are being stopped, or an empty
-// string.
+// preemptWhereCached frees capacity on a machine that has the image cached by stopping tasks that need no
+// grace period. It returns the machine's name, also if tasks that an earlier call stopped there have not
+// ended yet, or an empty string if no capacity is being freed.
 func (p *preemptor) preemptWhereCached(job *workload.Job, request *placement.Request, pass *planningPass) (machine string) {
 	for name, reservation := range p.reservations.all() {
 		if reservation.Job != job.ID() || pass.now.Sub(reservation.CreatedAt) >= recentReservation {
@@ -65,15 +65,15 @@
 		}
 		node := p.Capacity.Node(name)
 		if node != nil && p.Capacity.HasImage(node, request.Image) && (node.Class == nil || !node.Free().Holds(request.Resources)) {
-			return string(name) // not free yet
+			return string(name) // the stopped tasks have not ended yet
 		}
 		return ""
 	}
 	if len(p.Capacity.WithImage(request.Image)) == 0 {
 		return ""
 	}
-	// Lower priorities only: swapping one replica for another, as a guarantee would allow, gains nothing
-	// here and costs the other one its start.
+	// Only tasks of lower priority are stopped. A guarantee would also allow stopping tasks of the same
+	// priority, but exchanging one replica for another gains nothing and delays the other job's replica.
 	exitAtOnce := func(victims []*workload.Assignment) bool {
 		return len(victims) > 0 && !slices.ContainsFunc(victims, func(victim *workload.Assignment) bool {
 			return victim.CheckpointGrace() > 0 || victim.Job.Record.Spec.Shape == record.Service ||
@@ -84,8 +84,8 @@
 	return machine
 }
 
-// canPreemptWithoutAccelerators reports whether preemption could free room for a task on a machine
-// without accelerators.
+// canPreemptWithoutAccelerators reports whether preemption could free capacity for a task of a job on a
+// machine without accelerators.
 func (p *preemptor) canPreemptWithoutAccelerators(job *workload.Job, request *placement.Request, pass *planningPass) bool {
 	zones := ZoneSpreadOf(job, p.Machines)
 	for _, node := range p.nodesWithVictims(job, request, "", pass) {
@@ -101,9 +101,9 @@
 	return false
 }
 
-// nodesWithVictims returns the nodes with tasks that a job may preempt, or that are being stopped; if an
-// image is named, only those that have it cached. Jobs with the same rights share the list within a
-// pass.
+// nodesWithVictims returns the nodes with tasks that a job may preempt, including tasks that are already
+// being stopped. If image is not empty, it returns only nodes that have the image cached. Within a pass,
+// jobs with the same preemption key share the list.
 func (p *preemptor) nodesWithVictims(job *workload.Job, request *placement.Request, image string, pass *planningPass) []*capacity.Node {
 	key := preemptionKeyOf(job, request)
 	key.image = image
@@ -121,7 +121,8 @@
 	return nodes
 }
 
-// findNodesWithVictims examines all jobs that a job may preempt.
+// findNodesWithVictims computes the list for nodesWithVictims. It examines the assignments of all jobs
+// whose tasks the job may preempt.
 func (p *preemptor) findNodesWithVictims(job *workload.Job, request *placement.Request, now time.Time) []*capacity.Node {
 	withVictims := map[*capacity.Node]bool{}
 	for _, other := range p.Jobs.Ordered() {
@@ -144,18 +145,18 @@
 	return nodes
 }
 
-// preemption is a set of tasks to stop on a node, and what that loses.
+// preemption is a set of tasks to stop on a node, with the cost of stopping them.
 type preemption struct {
 	node    *capacity.Node
 	victims []*workload.Assignment
 	loss    float64
 }
 
-// preemptCheapest preempts others on the machine where that loses least among those that the filter
-// accepts. noVictims reports that stopping tasks would free enough room on no machine.
+// preemptCheapest preempts tasks on the machine where that loses least, among the machines and victims
+// that the filter accepts. noVictims reports that preemption can't free enough capacity on any machine.
 func (p *preemptor) preemptCheapest(job *workload.Job, request *placement.Request, pass *planningPass, filter preemptionFilter) (freed bool, machine string, noVictims bool) {
 	if job.Suspect() {
-		return false, "", false // nothing is stopped for a job that is likely to fail
+		return false, "", false // no task is stopped for a job that is likely to fail
 	}
 	if job.EffectivePriority() < record.High && !job.Guaranteed || !p.cluster.StoreAvailable() {
 		return false, "", true
@@ -173,7 +174,7 @@
 }
 
 // cheapestPreemption returns the preemption that loses least among the first MaxPreemptionCandidates
-// possible ones, starting at a random node if there may be more.
+// possible ones. If more nodes than that have victims, it starts at a random one of them.
 func (p *preemptor) cheapestPreemption(job *workload.Job, request *placement.Request, pass *planningPass, filter preemptionFilter) (best *preemption, noVictims bool) {
 	zones := ZoneSpreadOf(job, p.Machines)
 	noVictims = true
@@ -210,11 +211,12 @@
 	return best, noVictims
 }
 
-// acceleratorLoss keeps services without accelerators off machines that have some: they would occupy the
-// expensive machine until they are cancelled.
+// acceleratorLoss is the cost of placing a long-running task on a machine with more accelerators than the
+// task needs. It is high because the task would occupy the expensive machine until it is cancelled.
 const acceleratorLoss = 1e6
 
-// placementLoss returns what it costs a request to use a node, besides what is stopped there.
+// placementLoss returns the cost of placing a task on a node, without the cost of stopping other tasks
+// there.
 func placementLoss(node *capacity.Node, machine *worker.Machine, offer *placement.InstanceType, request *placement.Request) (loss float64) {
 	if request.LongRunning && offer.Accels > request.Resources.Accels {
 		loss += acceleratorLoss
@@ -225,11 +227,11 @@
 	return loss
 }
 
-// preemptionMargin is how many seconds the freed room stays reserved after the longest grace period of
-// the stopped tasks.
+// preemptionMargin is the time, in seconds, for which the freed capacity stays reserved after the longest
+// grace period of the stopped tasks.
 const preemptionMargin = 10
 
-// carryOut stops the victims of a preemption and reserves their room for the job.
+// carryOut stops the victims of a preemption and reserves the freed capacity for the job.
 func (p *preemptor) carryOut(chosen *preemption, job *workload.Job, request *placement.Request, now time.Time) {
 	longest := ids.Seconds(0)
 	for _, victim := range chosen.victims {
@@ -244,17 +246,18 @@
 		ExpiresAt: now.Add((longest + preemptionMargin).Duration())})
 }
 
-// victim is a task that may be stopped, and the progress that this loses.
+// victim is a task that may be stopped, with the cost of stopping it.
 type victim struct {
 	assignment *workload.Assignment
 	loss       float64
 }
 
-// graceLoss is the loss for each second of a victim's grace period that critical work has to wait.
+// graceLoss is the cost of each second for which a critical job waits for a victim's grace period.
 const graceLoss = 100
 
-// victimsOn chooses which tasks of a node to stop so that a request fits into its free resources and
-// theirs. It returns them and what stopping them loses; enough reports whether the request fits then.
+// victimsOn chooses which tasks of a node to stop so that a request fits into the node's free resources
+// and those of the stopped tasks. It returns these tasks and the cost of stopping them. enough reports
+// whether the request fits after they have ended.
 func (p *preemptor) victimsOn(job *workload.Job, node *capacity.Node, free placement.Resources, request *placement.Request, now time.Time) (stop []*workload.Assignment, loss float64, enough bool) {
 	critical := job.EffectivePriority() == record.Critical
 	var victims []victim
@@ -280,8 +283,8 @@
 	return stop, loss, free.Holds(request.Resources)
 }
 
-// compareVictims orders victims: for critical work, which does not wait for others to save, the shortest
-// grace period first; then the lowest priority, then the least loss.
+// compareVictims orders victims by priority, lowest first, then by loss, least first. For a critical job,
+// which must not wait until others have saved their checkpoints, the shortest grace period comes first.
 func compareVictims(x, y victim, critical bool) int {
 	byGrace := 0
 	if critical {
@@ -296,14 +299,14 @@
 	return cmp.Compare(x.assignment.Task().String(), y.assignment.Task().String())
 }
 
-// mayPreempt reports whether a task may be stopped for a job: by the protocol's rule of preemption,
-// except that the first tasks of a job that starved are protected for a while.
+// mayPreempt reports whether a task may be stopped for a job. The protocol's preemption rule applies,
+// except that the first tasks of a job that starved are protected for a limited time.
 func (p *preemptor) mayPreempt(assignment *workload.Assignment, job *workload.Job) bool {
 	return p.mayPreemptJob(assignment.Job, job) && !assignment.ProtectedFrom(job)
 }
 
-// mayPreemptJob reports whether tasks of one job may be stopped for another: a job of higher priority, or
-// one within its team's guarantee if the victim's team uses more than its own.
+// mayPreemptJob reports whether tasks of victim may be stopped for job: job must either have higher
+// priority, or lie within its team's guarantee while victim's team uses more than its own guarantee.
 func (p *preemptor) mayPreemptJob(victim, job *workload.Job) bool {
 	if victim.EffectivePriority() < job.EffectivePriority() {
 		return true
--- a/internal/scheduler/quota_preemption.go
+++ b/internal/scheduler/quota_preemption.go
@@ -12,19 +12,19 @@
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// quotaPreemptor stops tasks of a team to free quota for more urgent work of the same team.
+// quotaPreemptor stops tasks of a team to free quota for more urgent tasks of the same team.
 type quotaPreemptor struct {
 	*State
 	cluster      Cluster
 	reservations quotaReservations
 }
 
-// unlimited stands for a limit that the settings leave out.
+// unlimited replaces a limit that the settings do not specify.
 const unlimited = 1e12
 
-// preemptFor stops lower-priority tasks of a job's team when only the team's quota keeps its high or
-// critical tasks from starting, and reports whether that frees enough. Tasks that are being stopped
-// already count as freed.
+// preemptFor stops lower-priority tasks of a job's team if the job has high or critical priority and is
+// pending only because of the team's quota. It reports whether that frees enough quota. Tasks that are
+// already being stopped count as freed.
 func (q *quotaPreemptor) preemptFor(job *workload.Job, tasks int, now time.Time) bool {
 	if job.EffectivePriority() < record.High || !q.cluster.StoreAvailable() || job.Suspect() {
 		return false
@@ -51,10 +51,10 @@
 	return !exceeds(excess)
 }
 
-// exceeds reports whether an excess is above zero in cores or accelerators, the resources with limits.
+// exceeds reports whether cores or accelerators, the resources with limits, are in excess.
 func exceeds(excess placement.Resources) bool { return excess.Cores > 0 || excess.Accels > 0 }
 
-// quotaExcess returns how far usage lies above a team's limits; negative amounts are below them.
+// quotaExcess returns how far usage exceeds a team's limits. Negative amounts are below the limits.
 func quotaExcess(team config.Team, usage placement.Resources) placement.Resources {
 	usage.Cores -= team.CPUsMax
 	usage.Accels -= team.GPUsMax
@@ -67,9 +67,9 @@
 	return usage
 }
 
-// lesserWork surveys the work of a job's team. left is the quota beside the team's work of the job's
-// priority or higher; remaining is the excess less what is being stopped of its lower-priority work;
-// victims are the tasks of that work that may be stopped.
+// lesserWork examines the tasks of a job's team. left is the quota that tasks of the job's priority or
+// higher leave free. victims are the lower-priority tasks that may be stopped. remaining is the excess
+// minus the resources of lower-priority tasks that are already being stopped.
 func (q *quotaPreemptor) lesserWork(job *workload.Job, team config.Team, excess placement.Resources) (left, remaining placement.Resources, victims []*workload.Assignment) {
 	left = placement.Resources{Cores: team.CPUsMax, Accels: team.GPUsMax, RAM: unlimited}
 	if team.CPUsMax == 0 {
@@ -98,7 +98,7 @@
 	return left, excess, victims
 }
 
-// compareLesserWork orders victims: lowest priority first, then least progress lost.
+// compareLesserWork orders victims by priority, lowest first, then by lost progress, least first.
 func compareLesserWork(x, y *workload.Assignment, now time.Time) int {
 	order := cmp.Or(cmp.Compare(x.Job.EffectivePriority(), y.Job.EffectivePriority()),
 		cmp.Compare(x.PreemptionCost(now), y.PreemptionCost(now)))
@@ -121,8 +121,8 @@
 	}
 }
 
-// preemptBelow stops tasks of a team below a priority until they free the wanted resources. Tasks that
-// are being stopped already count as freed.
+// preemptBelow stops tasks of a team that have a lower priority than the given one until the wanted
+// resources are freed. Tasks that are already being stopped count as freed.
 func (q *quotaPreemptor) preemptBelow(team string, priority record.Priority, wanted placement.Resources) {
 	var victims []*workload.Assignment
 	for _, job := range q.Jobs.Ordered() {
@@ -148,8 +148,8 @@
 	}
 }
 
-// compareRoundedLoss orders victims like compareLesserWork, but treats losses as equal that differ by
-// less than a thousandth of a core-second.
+// compareRoundedLoss orders victims by priority and loss like compareLesserWork, but treats losses that
+// differ by less than a thousandth of a core-second as equal.
 func compareRoundedLoss(x, y *workload.Assignment, now time.Time) int {
 	return cmp.Or(cmp.Compare(x.Job.EffectivePriority(), y.Job.EffectivePriority()),
 		int(1000*(x.PreemptionCost(now)-y.PreemptionCost(now))))
--- a/internal/scheduler/ranking.go
+++ b/internal/scheduler/ranking.go
@@ -13,20 +13,21 @@
 // ranker orders jobs for planning.
 type ranker struct{ *State }
 
-// The rank of a job is its priority plus one of these, except for failing jobs.
+// The rank of a job is its priority plus those of these increments that apply, unless the job is failing.
 const (
 	rankGuaranteed = 10
 	rankStarving   = 40
 	rankCritical   = 100
-	// rankFailing replaces the rank of a failing job.
+	// rankFailing is the whole rank of a failing job.
 	rankFailing = -1
 )
 
-// lowRisesAfter is the age, in seconds, from which low priority is ranked as normal, so that it does not
-// starve. No job rises by more than one step.
+// lowRisesAfter is the age, in seconds, above which a job of low priority is ranked as one of normal
+// priority, so that it does not starve. No priority is raised by more than one level.
 const lowRisesAfter = 45
 
-// rankedJob is a job and its sort keys: higher ranks come first, among equals smaller sizes.
+// rankedJob is a job with its sort keys. Higher ranks come first; jobs of equal rank are ordered by size,
+// smallest first.
 type rankedJob struct {
 	job  *workload.Job
 	rank int
@@ -61,8 +62,8 @@
 	return 0
 }
 
-// pendingJobs returns the schedulable jobs that have tasks to assign, in the order of their submission.
-// It also sets Guaranteed of each schedulable job: a team's guarantee goes to its oldest jobs.
+// pendingJobs returns the schedulable jobs that have unassigned tasks, in the order of their submission.
+// It also sets Guaranteed of each schedulable job: the oldest jobs of a team use its guarantee first.
 func (r *ranker) pendingJobs() []*workload.Job {
 	var pending []*workload.Job
 	demand := map[string]placement.Resources{}
@@ -82,9 +83,10 @@
 	return pending
 }
 
-// withinGuarantee reports whether a team's demand, up to and including a job with a need, lies within
-// the team's guarantee. For jobs with accelerators only these count: teams are not guaranteed the cores
-// that come with them separately.
+// withinGuarantee reports whether the demand of a team lies within the team's guarantee. demand is the
+// sum over the team's jobs up to and including the one whose tasks have the given need. For a job with
+// accelerators only accelerators are compared, because teams have no separate guarantee for the cores
+// that are used together with accelerators.
 func withinGuarantee(team config.Team, need, demand placement.Resources) bool {
 	if need.Accels > 0 {
 		return demand.Accels <= team.GPUs
@@ -92,7 +94,7 @@
 	return demand.Cores <= team.CPUs
 }
 
-// rank returns a job with its sort keys.
+// rank computes the sort keys of a job.
 func (r *ranker) rank(job *workload.Job, now time.Time) rankedJob {
 	age := max(0, now.Sub(job.Record.EligibleSince().Time()).Seconds())
 	priority := job.EffectivePriority()
@@ -113,22 +115,22 @@
 		rank += rankCritical
 	}
 	if starving {
-		// The oldest first, whatever its size: few machines are reserved at a time, and small jobs,
-		// guaranteed or not, would take them all.
+		// The oldest job comes first, whatever its size: few machines are reserved at a time, and small
+		// jobs, guaranteed or not, would take them all.
 		return rankedJob{job, rank, -age}
 	}
 	return rankedJob{job, rank, r.sizeOf(job, age)}
 }
 
-// The age, in seconds, at which a job's size counts half lies within these bounds.
+// These are the bounds, in seconds, of the age at which a job's size is halved for the ranking.
 const (
 	minHalvingAge = 5
 	maxHalvingAge = 20
 )
 
-// sizeOf returns the size by which jobs of equal rank are ordered: the job that completes soonest goes
-// first, since a job is worth nothing to its user before its last task is done. The size shrinks with
-// the job's age, in seconds. Services have none.
+// sizeOf returns the size by which jobs of equal rank are ordered. The job with the least remaining work
+// comes first, since a job has no value for its user before its last task is done. The size decreases
+// with the job's age, which is given in seconds. The size of services is 0.
 func (r *ranker) sizeOf(job *workload.Job, age float64) float64 {
 	spec := &job.Record.Spec
 	if spec.Shape == record.Service {
@@ -142,9 +144,9 @@
 	return float64(job.Unfinished()) * spec.Resources.Cores * taskSeconds / (1 + age/halvingAge)
 }
 
-// fitsWhereCached reports whether the machines that have a gang's image cached have room for all of its
-// missing tasks. Pulling a large image takes a good part of a gang's time, so of two similar gangs the
-// one that need not pull completes sooner.
+// fitsWhereCached reports whether the machines that have a gang's image cached have room for all of the
+// gang's unassigned tasks. Pulling a large image takes a considerable part of a gang's time, so of two
+// similar gangs the one that need not pull its image completes sooner.
 func (r *ranker) fitsWhereCached(job *workload.Job) bool {
 	spec := &job.Record.Spec
 	missing := spec.Tasks - len(job.Assignments)
--- a/internal/scheduler/reservations.go
+++ b/internal/scheduler/reservations.go
@@ -8,19 +8,19 @@
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// Reservation keeps room on a machine for a job.
+// Reservation reserves a part of a machine's capacity for a job.
 type Reservation struct {
 	Job ids.Job
-	// Need is the room that is kept; other jobs may use the rest of the machine.
+	// Need is the reserved amount. Other jobs may use the rest of the machine.
 	Need      placement.Resources
 	CreatedAt time.Time
 	ExpiresAt time.Time
-	// AsItEmpties is set if the machine is reserved while its tasks end by themselves, and not because
-	// some of them were preempted.
+	// AsItEmpties is set if the reservation waits until running tasks end by themselves. It is not set
+	// if tasks were preempted to free the reserved capacity.
 	AsItEmpties bool
 }
 
-// Reservations are the reserved machines, with one reservation each.
+// Reservations holds the reservations of machines, at most one for each machine.
 type Reservations struct {
 	byMachine map[ids.Machine]Reservation
 }
@@ -29,36 +29,37 @@
 	return &Reservations{byMachine: map[ids.Machine]Reservation{}}
 }
 
-// On returns the reservation of a machine that is in force now, if any.
+// On returns the reservation of a machine and reports whether there is one that has not expired.
 func (r *Reservations) On(machine ids.Machine, now time.Time) (reservation Reservation, reserved bool) {
 	reservation, reserved = r.byMachine[machine]
 	return reservation, reserved && reservation.ExpiresAt.After(now)
 }
 
-// Set reserves a machine and replaces its previous reservation.
+// Set sets the reservation of a machine and replaces the previous one, if any.
 func (r *Reservations) Set(machine ids.Machine, reservation Reservation) {
 	r.byMachine[machine] = reservation
 }
 
-// Remove drops the reservation of a machine.
+// Remove removes the reservation of a machine.
 func (r *Reservations) Remove(machine ids.Machine) { delete(r.byMachine, machine) }
 
-// all returns the reservations by machine, with those that expired. Callers must not change the map.
+// all returns the reservations by machine, including expired ones. Callers must not change the map.
 func (r *Reservations) all() map[ids.Machine]Reservation { return r.byMachine }
 
-// isFor reports whether a machine's reservation, expired or not, is the job's.
+// isFor reports whether a machine has a reservation, expired or not, for a job.
 func (r *Reservations) isFor(machine ids.Machine, job ids.Job) bool {
 	return r.byMachine[machine].Job == job
 }
 
-// use drops a machine's reservation if it is the job's, which has got a task there.
+// use removes a machine's reservation if it is for a job. It is called when a task of the job is assigned
+// to the machine.
 func (r *Reservations) use(machine ids.Machine, job *workload.Job) {
 	if reservation, reserved := r.byMachine[machine]; reserved && reservation.Job == job.ID() {
 		delete(r.byMachine, machine)
 	}
 }
 
-// removeJob drops all reservations of a job, whose tasks may have been assigned elsewhere.
+// removeJob removes all reservations for a job, also on machines to which no task of it was assigned.
 func (r *Reservations) removeJob(job *workload.Job) {
 	for machine, reservation := range r.byMachine {
 		if reservation.Job == job.ID() {
@@ -67,7 +68,7 @@
 	}
 }
 
-// dropExpired drops the expired reservations and returns how many the job still has.
+// dropExpired removes all expired reservations and returns how many remain for a job.
 func (r *Reservations) dropExpired(job ids.Job, now time.Time) (held int) {
 	for machine, reservation := range r.byMachine {
 		if !reservation.ExpiresAt.After(now) {
@@ -79,7 +80,7 @@
 	return held
 }
 
-// countEmptying returns how many machines are reserved while they empty.
+// countEmptying returns the number of unexpired reservations that wait until running tasks end.
 func (r *Reservations) countEmptying(now time.Time) (count int) {
 	for _, reservation := range r.byMachine {
 		if reservation.AsItEmpties && reservation.ExpiresAt.After(now) {
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -1,14 +1,14 @@
-// Package scheduler assigns tasks to machines. A planning pass ranks the jobs of a shard and, job by
-// job, searches for machines, assigns tasks, preempts work of lower priority where nothing has room,
-// reserves machines for jobs that starve and keeps teams within their quotas.
+// Package scheduler assigns tasks to machines. A planning pass ranks the jobs of a shard and processes
+// them in that order: it searches for machines, assigns tasks, preempts tasks of lower priority if no
+// machine has room, reserves machines for starving jobs and keeps teams within their quotas.
 //
-// Scheduler runs the passes. Each decision has an owner of its own: ranker orders the jobs, admission
+// Scheduler runs the passes. Each kind of decision has its own type: ranker orders the jobs, admission
 // limits how many tasks of a job may be assigned, search finds machines, preemptor and quotaPreemptor
-// choose the tasks to stop, machineReserver reserves machines, and assigner combines them.
+// choose the tasks to stop, machineReserver reserves machines, and assigner combines these decisions.
 //
-// The package has no lock: the lock of the cluster state that a Scheduler belongs to guards all of it.
-// Every method is called under that lock, and so are the methods of Cluster, by which the cluster state
-// carries out what is decided here.
+// The package has no lock of its own. The lock of the cluster state that owns a Scheduler guards all of
+// the Scheduler's data: every method is called while that lock is held, and so are the methods of
+// Cluster, through which the cluster state executes the scheduler's decisions.
 package scheduler
 
 import (
@@ -27,33 +27,35 @@
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// Cluster carries out the scheduler's decisions. Its methods are called under the cluster state's lock.
+// Cluster executes the scheduler's decisions. Its methods are called while the cluster state's lock is
+// held.
 type Cluster interface {
-	// StoreAvailable reports whether the state service has answered recently. Nothing is preempted
-	// while it has not: what is stopped then could not be started again.
+	// StoreAvailable reports whether the state service has answered recently. While it has not, no task
+	// is preempted, because a stopped task could not be started again.
 	StoreAvailable() bool
-	// FencingToken returns the token that starts carry now.
+	// FencingToken returns the fencing token that the current leader sends with each task start.
 	FencingToken() ids.Generation
-	// Assign adds an assignment to its job, machine and team.
+	// Assign registers an assignment with its job and machine and counts it in its team's quota usage.
 	Assign(assignment *workload.Assignment)
-	// MarkersPending is called after a pass has added assignments to a job: their markers have to be stored.
+	// MarkersPending is called after a pass has added assignments to a job. It requests that the
+	// assignments' markers are stored: no task is started before its marker is.
 	MarkersPending(job *workload.Job)
-	// RecordRestarts records in the job's events which of its lost tasks have new assignments.
+	// RecordRestarts adds an event to a job that names its lost tasks which have new assignments.
 	RecordRestarts(job *workload.Job, assigned []*workload.Assignment)
-	// Stop requests that a task be stopped, with a grace period in which it may save a checkpoint.
+	// Stop requests that a task is stopped, with a grace period in which the task may save a checkpoint.
 	Stop(assignment *workload.Assignment, grace ids.Seconds, reason string)
 	// RecordEvent adds an event to a job.
 	RecordEvent(job *workload.Job, format string, args ...any)
-	// QuotaForRelocated returns the part of its team's quota that a job must leave to tasks which are
-	// being relocated.
+	// QuotaForRelocated returns the part of the team's quota that a job must leave free for tasks that
+	// are being relocated to other machines.
 	QuotaForRelocated(job *workload.Job) placement.Resources
-	// YieldLock releases the cluster state's lock and takes it again, and reports whether planning may
-	// go on.
+	// YieldLock releases the cluster state's lock, acquires it again, and reports whether planning may
+	// continue.
 	YieldLock() bool
 }
 
-// State is what the scheduler reads of its shard. It changes none of it, except through Cluster and in
-// the scheduling fields of jobs.
+// State holds the data of a shard that the scheduler reads. The scheduler changes this data only through
+// Cluster, except for the scheduling fields of jobs, which it sets itself.
 type State struct {
 	Settings  *config.Settings
 	Jobs      *workload.Queue
@@ -63,16 +65,16 @@
 	Estimates *estimate.Estimator
 }
 
-// reportInterval returns how often workers report.
+// reportInterval returns the time between two reports of a worker.
 func (s *State) reportInterval() ids.Seconds { return s.Settings.Params.Workers.ReportS }
 
-// valueBytes returns the size limit of a stored value.
+// valueBytes returns the size limit, in bytes, of a value in the state service.
 func (s *State) valueBytes() float64 { return s.Settings.Params.State.ValueBytes() }
 
-// Scheduler plans one shard during one term of its leader.
+// Scheduler plans the tasks of one shard during one term of the shard's leader.
 type Scheduler struct {
 	*State
-	// Reservations are the machines reserved for jobs.
+	// Reservations holds the machines that are reserved for jobs.
 	Reservations *Reservations
 
 	cluster        Cluster
@@ -84,7 +86,7 @@
 	examined       examinedCount
 }
 
-// New returns the scheduler of one term.
+// New returns the scheduler for one term of a shard's leader.
 func New(state State, cluster Cluster, rng *rand.Rand) *Scheduler {
 	shared := &state
 	reservations := newReservations()
@@ -106,35 +108,35 @@
 	}
 }
 
-// Ranked returns the schedulable jobs that have tasks to assign, in the order in which a pass plans
-// them: critical jobs first, then those that starve, then those within their team's guarantee, then by
-// priority and size. It sets Job.Guaranteed of all schedulable jobs.
+// Ranked returns the schedulable jobs that have unassigned tasks, in the order in which a pass plans
+// them: critical jobs first, then starving jobs, then jobs within their team's guarantee, then by
+// priority and size; failing jobs come last. It also sets Job.Guaranteed of all schedulable jobs.
 func (s *Scheduler) Ranked(now time.Time) []*workload.Job { return s.ranker.ranked(now) }
 
-// QuotaLeft returns how many tasks like those of a spec, at most want, its team's quota has room for.
+// QuotaLeft returns how many more tasks of a job spec, at most want, the quota of its team allows.
 func (s *Scheduler) QuotaLeft(spec *record.Spec, want int) int {
 	return s.admission.quotaLeft(spec, want)
 }
 
-// PreemptForOtherShards preempts work of teams whose allowance is owed to a more urgent demand of
-// another shard.
+// PreemptForOtherShards preempts tasks of teams that have to give up a part of this shard's quota
+// allowance to a more urgent demand in another shard.
 func (s *Scheduler) PreemptForOtherShards() { s.quotaPreemptor.preemptForOtherShards() }
 
-// CandidateView describes a node to the placement rules as a candidate for a task of a job. A nil retry stands
-// for a task that has not failed.
+// CandidateView describes a node as a placement candidate for a task of a job. A nil retry means that
+// the task has not failed before.
 func (s *Scheduler) CandidateView(node *capacity.Node, machine *worker.Machine, job *workload.Job, retry *workload.Retry, now time.Time) placement.Candidate {
 	return s.reserver.view(node, machine, job, retry, now)
 }
 
-// MaxExaminedPerLock is how many machines a pass examines before it yields the cluster state's lock.
-// Hundreds of jobs that meet thousands of empty machines, or preempt what runs there, would otherwise
-// hold the lock, and with it all heartbeats, for longer than a worker waits for its answer. Ending the
-// pass there instead does not work: the next one begins with the same jobs, and those behind them are
-// never reached.
+// MaxExaminedPerLock is the number of machines that a pass examines before it yields the cluster state's
+// lock. Without a limit, assigning hundreds of jobs to thousands of empty machines, or preempting the tasks
+// on them, would hold the lock, and thereby block all heartbeats, for longer than a worker waits for its
+// answer. The pass must not end at the limit: the next pass would begin with the same jobs and never reach
+// the jobs of lower rank.
 const MaxExaminedPerLock = 50000
 
-// Run makes one planning pass: it assigns the tasks that have room, in the order of the jobs' ranks. It
-// reports whether the pass was completed.
+// Run makes one planning pass: it assigns tasks, in the order of their jobs' ranks, to the machines that
+// have room for them. It reports whether the pass was completed.
 func (s *Scheduler) Run(now time.Time) bool {
 	pass := newPlanningPass(now)
 	s.examined.lockTaken(0)
@@ -154,8 +156,9 @@
 	return true
 }
 
-// yieldLock lets heartbeats and commits take the cluster state's lock, and reports whether the pass may
-// go on. They may change what the pass has learned, so it drops that.
+// yieldLock lets heartbeats and commits acquire the cluster state's lock, and reports whether the pass
+// may continue. It clears the cached search results of the pass, since machines and assignments may
+// change meanwhile.
 func (s *Scheduler) yieldLock(pass *planningPass) bool {
 	s.examined.lockReleased(pass.machinesExamined)
 	mayContinue := s.cluster.YieldLock()
@@ -164,7 +167,7 @@
 	return mayContinue
 }
 
-// logPendingReason logs why a job is pending when the reason has changed.
+// logPendingReason logs why a job is pending if the reason differs from the last one logged.
 func logPendingReason(job *workload.Job) {
 	if job.PendingReason == job.LoggedReason {
 		return
@@ -174,18 +177,18 @@
 		"unfinished", job.Unfinished(), "assigned", len(job.Assignments))
 }
 
-// MachinesExamined returns how many machines the completed passes have examined, and the most that any
-// pass has examined without yielding the lock.
+// MachinesExamined returns the number of machines that all completed passes have examined, and the
+// highest number that a pass has examined without yielding the lock.
 func (s *Scheduler) MachinesExamined() (total, mostPerLock int) {
 	return s.examined.total, s.examined.mostPerLock
 }
 
-// examinedCount counts the machines that passes examine. Its methods are given the count of the pass
-// under way.
+// examinedCount counts the machines that passes examine. The argument of its methods is the number that
+// the current pass has examined so far.
 type examinedCount struct {
-	total       int // by completed passes
-	atLock      int // by completed passes and the one under way, when the lock was last taken
-	mostPerLock int // the most while the lock was held without a break
+	total       int // in completed passes
+	atLock      int // in completed passes and the current one, when the lock was last acquired
+	mostPerLock int // maximum between acquiring and releasing the lock
 }
 
 func (c *examinedCount) lockTaken(inPass int) { c.atLock = c.total + inPass }
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -17,7 +17,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// fakeCluster records what the scheduler decides.
+// fakeCluster applies the scheduler's decisions and records which tasks it stops.
 type fakeCluster struct {
 	scheduler *Scheduler
 	stopped   []string
@@ -45,8 +45,8 @@
 	c.stopped = append(c.stopped, assignment.Task().String())
 }
 
-// testScheduler returns a scheduler of two machines with four cores each, for the teams red, with a
-// guarantee of four cores and a limit of six, and blue, with neither.
+// testScheduler returns a scheduler for two machines with four cores each and two teams: "red" has a
+// guarantee of four cores and a limit of six, "blue" has no guarantee and no limit.
 func testScheduler(now time.Time) (*Scheduler, *fakeCluster) {
 	settings := &config.Settings{Operator: config.DefaultOperator()}
 	settings.Params.Workers = config.WorkerIntervals{ReportS: 2, LeaseS: 20}
@@ -68,7 +68,7 @@
 	return scheduler, cluster
 }
 
-// addJob adds an array of tasks with one core each that was submitted before now.
+// addJob adds an array job whose tasks need one core each.
 func addJob(scheduler *Scheduler, id ids.Job, team string, priority record.Priority, tasks int, submitted time.Time) *workload.Job {
 	spec := record.Spec{ID: id, Class: "class", Team: team, Shape: record.Array, Priority: priority, Tasks: tasks, EstimatedDuration: 10,
 		Resources: placement.Resources{Cores: 1, RAM: 1}, Image: "image"}
@@ -77,7 +77,7 @@
 	return job
 }
 
-// run assigns the tasks of a job to a machine and lets them run since a time.
+// run assigns all tasks of a job to a machine, as running since the given time.
 func run(cluster *fakeCluster, job *workload.Job, machine ids.Machine, since time.Time) {
 	for task := range job.Record.Spec.Tasks {
 		cluster.Assign(&workload.Assignment{Job: job, TaskIndex: task, Machine: machine, Status: worker.StateRunning, RunningSince: since})
@@ -190,7 +190,7 @@
 		name             string
 		single, spread   bool
 		north, south     int
-		inNorth, inSouth int // of ten more
+		inNorth, inSouth int // how many of ten more tasks are allowed
 	}{
 		{name: "no rule", north: 3, inNorth: 10, inSouth: 10},
 		{name: "one zone, none yet", single: true, inNorth: 10, inSouth: 10},
--- a/internal/scheduler/search.go
+++ b/internal/scheduler/search.go
@@ -12,9 +12,9 @@
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// search finds machines for the tasks of one job in one pass. It takes the best of a few sampled
-// machines for each task. When no sampled machine has both room and the image, it lists all candidates
-// once, for all tasks of the job.
+// search finds machines for the tasks of one job in one pass. For each task it first takes the best of a
+// few random machines. When none of them is suitable, it lists all candidates once and uses that list for
+// all further tasks of the job.
 type search struct {
 	*State
 	rng       *rand.Rand
@@ -26,25 +26,25 @@
 	pass    *planningPass
 	zones   *ZoneSpread
 	classes []*capacity.Class // classes that the request may use
-	open    int               // nodes of these classes that have capacity left
-	// avoidAccelerators leaves machines with accelerators out, unless preemption can't make room
-	// elsewhere.
+	open    int               // number of nodes of these classes that have capacity left
+	// avoidAccelerators excludes machines with accelerators. pick resets it if no other machine has room
+	// and preemption can't free capacity there either.
 	avoidAccelerators bool
 
-	exhaustive bool        // all candidates have been listed
-	candidates []candidate // best first
-	passedOver []candidate // buffer that best reuses
+	exhaustive bool        // candidates holds all candidates
+	candidates []candidate // sorted, best first
+	passedOver []candidate // buffer that best reuses between calls
 }
 
-// candidate is a machine that a task may be assigned to; lower scores are better.
+// candidate is a machine to which a task may be assigned. Lower scores are better.
 type candidate struct {
 	node    *capacity.Node
 	machine *worker.Machine
 	score   float64
 }
 
-// newSearch begins the search for a job. It has no candidates if an earlier job of the pass with the
-// same needs found none.
+// newSearch returns a search for the tasks of a job. The search has no candidates if an earlier job of
+// the pass with the same requirements found no machine with room.
 func (a *assigner) newSearch(job *workload.Job, request *placement.Request, pass *planningPass) *search {
 	s := &search{State: a.State, rng: a.rng, reserver: a.reserver, preemptor: a.preemptor,
 		job: job, request: request, pass: pass, zones: ZoneSpreadOf(job, a.Machines),
@@ -70,8 +70,8 @@
 	}
 }
 
-// evaluate scores a machine. ok reports whether the task may be assigned there, hasRoom whether the
-// machine at least has room for it.
+// evaluate scores a machine. ok reports whether the task may be assigned to it. hasRoom reports whether
+// a usable machine has room for the task, even if other rules exclude it.
 func (s *search) evaluate(node *capacity.Node, retry *workload.Retry) (found candidate, ok, hasRoom bool) {
 	s.pass.machinesExamined++
 	if !node.Class.Offer.Capacity().Minus(node.Used).Holds(s.request.Resources) {
@@ -89,7 +89,7 @@
 	return candidate{node, machine, placement.Score(&view, s.request)}, true, true
 }
 
-// pick returns a node for one more task, or nil if none has room.
+// pick returns a node for one more task, or nil if no suitable node has room.
 func (s *search) pick(retry *workload.Retry) *capacity.Node {
 	if !s.exhaustive {
 		if node := s.sample(retry); node != nil {
@@ -104,15 +104,17 @@
 		if !s.avoidAccelerators || s.preemptor.canPreemptWithoutAccelerators(s.job, s.request, s.pass) {
 			return nil
 		}
-		// A service would occupy a machine with accelerators until it is cancelled, so it may use one
-		// only if preemption can't make room elsewhere either.
+		// A service would occupy a machine with accelerators until it is cancelled. So it may use one
+		// only if no other machine has room and preemption can't free capacity on one.
 		s.avoidAccelerators = false
 		s.selectClasses()
 		s.listAll()
 	}
 }
 
-// sample returns the best of a few random nodes, or nil if the task should not go to any of them.
+// sample returns the best of a few random nodes. It returns nil if no sampled node is allowed, if the task
+// failed on the best one before, or if the best one does not have the image cached. A node that is still
+// pulling the image is accepted for tasks that are not long-running.
 func (s *search) sample(retry *workload.Retry) *capacity.Node {
 	if s.open == 0 {
 		return nil
@@ -139,8 +141,8 @@
 	return top.node
 }
 
-// nthOpen returns the nth node with capacity left. It returns nil if there are fewer: the previous
-// assignment may have filled a node since they were counted.
+// nthOpen returns the node with index n among those that have capacity left. It returns nil if there are
+// fewer: an assignment may have filled a node since the nodes were counted.
 func (s *search) nthOpen(n int) *capacity.Node {
 	for _, class := range s.classes {
 		if n < len(class.Open) {
@@ -151,7 +153,7 @@
 	return nil
 }
 
-// countOpen counts the open nodes again, since assignments fill nodes.
+// countOpen counts the nodes that have capacity left. Assignments reduce their number.
 func (s *search) countOpen() {
 	s.open = 0
 	for _, class := range s.classes {
@@ -159,7 +161,7 @@
 	}
 }
 
-// listAll lists all machines with room, best first.
+// listAll lists all machines to which tasks of the job may be assigned, best first.
 func (s *search) listAll() {
 	s.exhaustive, s.candidates = true, s.candidates[:0]
 	anyRoom := false
@@ -179,8 +181,8 @@
 	slices.SortFunc(s.candidates, compareCandidates)
 }
 
-// compareCandidates orders candidates by their scores, and by their names among equals. It is written out
-// because a job's list is as long as the fleet: cmp.Or would compare the names each time.
+// compareCandidates orders candidates by score, and by name if the scores are equal. It does not use
+// cmp.Or, which would compare the names each time: a job's list may contain the whole fleet.
 func compareCandidates(x, y candidate) int {
 	switch {
 	case x.score < y.score:
@@ -191,14 +193,15 @@
 	return strings.Compare(string(x.node.Name), string(y.node.Name))
 }
 
-// best returns the first listed node that still has room, or nil if none has. Nodes on which the same
-// task failed before come last. The cost is that of the candidates passed over, not of the whole list.
+// best returns the first listed node that is still allowed and has room, or nil if there is none. It
+// prefers nodes on which the task has not failed before. The cost of a call is proportional to the number
+// of candidates that it skips, not to the length of the list.
 func (s *search) best(retry *workload.Retry) *capacity.Node {
 	var avoided *capacity.Node
 	passedOver := s.passedOver[:0]
 	for i, found := range s.candidates {
 		if found.node.Class == nil || !found.node.Free().Holds(s.request.Resources) {
-			continue // full now, so it leaves the list
+			continue // the node is full by now and is removed from the list
 		}
 		if s.allowed(found) {
 			if retry == nil || !retry.Avoid[found.node.Name] {
@@ -217,8 +220,8 @@
 	return avoided
 }
 
-// allowed reports whether the job's zone rules and other jobs' reservations still allow a machine that
-// has room.
+// allowed reports whether the job's zone rules and the reservations for other jobs still allow the use of
+// a machine that has room.
 func (s *search) allowed(found candidate) bool {
 	if s.zones.Allowed(found.machine.Zone, 1) == 0 {
 		return false
@@ -226,8 +229,8 @@
 	return !s.reserver.reservedForOther(found.node.Name, found.node.Free(), s.job, s.pass.now)
 }
 
-// cheapestTogether returns nodes for n tasks at once, all in the one of the zones where that scores
-// best, or nil if no zone has room. An empty name stands for all zones together.
+// cheapestTogether returns nodes for n tasks, all in the zone with the lowest sum of scores, or nil if no
+// zone has room for all n. An empty zone name means all zones together.
 func (s *search) cheapestTogether(zones []string, n int) (best []*capacity.Node) {
 	if !s.exhaustive {
 		s.listAll()
@@ -241,8 +244,9 @@
 	return best
 }
 
-// together returns nodes for n tasks at once in a zone, or in all zones if it is empty, and the sum of
-// their scores; nil if there is not enough room. Machines on which tasks of the job failed come last.
+// together returns nodes for n tasks in one zone, or in all zones if zone is empty, and the sum of their
+// scores. It returns nil if there is not enough room. Machines on which tasks of the job failed are used
+// only if the others have too little room.
 func (s *search) together(zone string, n int) (nodes []*capacity.Node, cost float64) {
 	avoid := machinesToAvoid(s.job)
 	inZone := map[string]int{}
--- a/internal/scheduler/zone_spread.go
+++ b/internal/scheduler/zone_spread.go
@@ -6,15 +6,15 @@
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// ZoneSpread counts a job's tasks by zone and applies the job's rules on zones: all in one, or at most
-// half of them, rounded up, in any. A nil ZoneSpread stands for a job without such rules.
+// ZoneSpread counts a job's tasks by zone and applies the job's zone rules: either all tasks run in one
+// zone, or at most half of them, rounded up, in each. A nil ZoneSpread represents a job without zone rules.
 type ZoneSpread struct {
 	spec    *record.Spec
 	byZone  map[string]int
-	unknown int // tasks on machines whose zone is not known
+	unknown int // number of tasks on machines whose zone is not known
 }
 
-// ZoneSpreadOf counts a job's assigned tasks. It returns nil if the job has no rule on zones.
+// ZoneSpreadOf returns the ZoneSpread of a job's assigned tasks, or nil if the job has no zone rules.
 func ZoneSpreadOf(job *workload.Job, machines *worker.Registry) *ZoneSpread {
 	spec := &job.Record.Spec
 	if !spec.SingleZone && !spec.Spread {
@@ -52,7 +52,7 @@
 	}
 }
 
-// Remove counts one task less in a zone.
+// Remove counts one task fewer in a zone.
 func (s *ZoneSpread) Remove(zone string) {
 	if s == nil || zone == "" {
 		return
