--- a/internal/capacity/consistency.go
+++ b/internal/capacity/consistency.go
@@ -14,13 +14,13 @@
 func (x *Index) CheckConsistency() error {
 	for name, node := range x.nodes {
 		if node.Class != nil && node.Class.Open[node.position] != node {
-			return fmt.Errorf("%w: %s is not where its class lists it", ErrInconsistent, name)
+			return fmt.Errorf("%w: node %s is not at its recorded position in the list of its class", ErrInconsistent, name)
 		}
 	}
 	for image, holders := range x.byImage {
 		for node := range holders {
 			if node.ImagePulls[image] == nil && !x.HasImage(node, image) {
-				return fmt.Errorf("%w: %s neither holds nor pulls %s", ErrInconsistent, node.Name, image)
+				return fmt.Errorf("%w: node %s is listed under an image that it neither has cached nor is pulling: %s", ErrInconsistent, node.Name, image)
 			}
 		}
 	}
--- a/internal/capacity/index_test.go
+++ b/internal/capacity/index_test.go
@@ -53,16 +53,16 @@
 		}
 	}
 	if math.Abs(node.Used.Cores-used) > 1e-9 || math.Abs(node.Reclaimable.Cores-reclaimable) > 1e-9 || node.Replicas != replicas {
-		t.Fatalf("%s: used %v, reclaimable %v, %d replicas; want %v, %v, %d", node.Name, node.Used.Cores, node.Reclaimable.Cores, node.Replicas, used, reclaimable, replicas)
+		t.Fatalf("node %s: used %v cores, reclaimable %v cores, %d replicas; want %v, %v, %d", node.Name, node.Used.Cores, node.Reclaimable.Cores, node.Replicas, used, reclaimable, replicas)
 	}
 	machine := index.machines.Machines[node.Name]
 	for _, image := range machine.Images.Names {
 		if !index.WithImage(image)[node] {
-			t.Fatalf("%s is not listed under %s, which it has cached", node.Name, image)
+			t.Fatalf("node %s is not listed under image %s, which it has cached", node.Name, image)
 		}
 	}
 	if open := !machine.Deleting && used < testType.Cores-1e-3; (node.Class != nil) != open {
-		t.Fatalf("%s is listed as open: %v, want %v with %v cores in use", node.Name, node.Class != nil, open, used)
+		t.Fatalf("node %s is listed in its class: %v, want %v with %v cores in use", node.Name, node.Class != nil, open, used)
 	}
 }
 
@@ -109,7 +109,7 @@
 		node := left.node
 		index.Release(node, left.assignment)
 		if len(node.Assignments) == 0 && (node.Used != placement.Resources{} || len(node.ImagePulls) > 0) {
-			t.Errorf("the empty %s has %v in use and %d pulls", node.Name, node.Used, len(node.ImagePulls))
+			t.Errorf("node %s has no assignments, but %v in use and %d image pulls", node.Name, node.Used, len(node.ImagePulls))
 		}
 	}
 }
@@ -121,11 +121,11 @@
 		got += fmt.Sprintf("%s/%s/%v:%d ", class.Type, class.Zone, class.Spot, len(class.Open))
 	}
 	if want := "small/north/false:2 small/north/true:1 small/south/false:2 small/south/true:1 "; got != want {
-		t.Errorf("classes %s, want %s", got, want)
+		t.Errorf("classes and their node counts: %s, want %s", got, want)
 	}
 	index.Remove("m0")
 	if index.Node("m0") != nil || index.machines.Machines["m0"] != nil || len(index.Classes()[1].Open) != 0 {
-		t.Error("a removed machine is still indexed")
+		t.Error("the removed machine is still in the index or in the registry")
 	}
 }
 
@@ -138,17 +138,17 @@
 	index.Allocate(node, second)
 	index.EndImagePull(node, first)
 	if !listed("a") || node.ImagePulls["a"] == nil {
-		t.Error("an image that a task waits for is not listed")
+		t.Error("the node is not listed under an image for which a task waits")
 	}
 	index.Release(node, second)
 	if listed("a") || node.ImagePulls["a"] != nil {
-		t.Error("an image that was not pulled to its end is listed")
+		t.Error("the node is listed under an image whose pull was not completed")
 	}
 	for _, image := range []string{"a", "b", "c"} { // the cache has room for two of them
 		index.ImageArrived(node, machine, image, 1, testType.CacheGB)
 	}
 	if listed("a") || !listed("b") || !listed("c") {
-		t.Errorf("listed images: a %v, b %v, c %v", listed("a"), listed("b"), listed("c"))
+		t.Errorf("node is listed under image a: %v, b: %v, c: %v; want only b and c", listed("a"), listed("b"), listed("c"))
 	}
 }
 
--- a/internal/estimate/estimate_test.go
+++ b/internal/estimate/estimate_test.go
@@ -50,7 +50,7 @@
 			estimator.RecordBoot(bootedMachine(start), start.Add(time.Duration(seconds)*time.Second))
 		}
 		if got := estimator.BootTime(&testTypes[0]); got != c.want {
-			t.Errorf("%s: %v, want %v", c.name, got, c.want)
+			t.Errorf("%s: boot time %v, want %v", c.name, got, c.want)
 		}
 	}
 }
@@ -58,12 +58,12 @@
 func TestMachinesAreOvertakenByLaterOnes(t *testing.T) {
 	estimator := testEstimator()
 	if estimator.IsOvertaken(bootedMachine(start)) {
-		t.Error("overtaken by no machine")
+		t.Error("a machine is overtaken although no machine has booted")
 	}
 	estimator.RecordBoot(bootedMachine(start), start.Add(time.Minute))
 	for after, want := range map[time.Duration]bool{-time.Minute: true, time.Second: true, 2 * time.Second: false, time.Minute: false} {
 		if got := estimator.IsOvertaken(bootedMachine(start.Add(after))); got != want {
-			t.Errorf("provisioned %v after the one that is up: overtaken %v", after, got)
+			t.Errorf("machine provisioned %v after the one that has booted: overtaken is %v", after, got)
 		}
 	}
 }
@@ -106,7 +106,7 @@
 		job := workload.NewJob(record.New(spec, ids.TimestampOf(start), "writer"), 1)
 		c.change(job)
 		if got := testEstimator().QueueHorizon(job); got != c.want {
-			t.Errorf("%s: %v s, want %v", c.name, got, c.want)
+			t.Errorf("%s: queue horizon %v s, want %v", c.name, got, c.want)
 		}
 	}
 }
--- a/internal/placement/scaleout_test.go
+++ b/internal/placement/scaleout_test.go
@@ -13,12 +13,12 @@
 	instances := 0
 	for _, r := range requests {
 		if r.Type != "small" || !r.Spot {
-			t.Fatalf("requests %+v", r)
+			t.Fatalf("request %+v, want small spot instances only", r)
 		}
 		instances += r.Count
 	}
 	if instances != 2 || !needed["m"] {
-		t.Fatalf("requests %d, needed %v", instances, needed)
+		t.Fatalf("%d instances requested, needed %v; want 2 requested and m needed", instances, needed)
 	}
 }
 
@@ -28,7 +28,7 @@
 	onDemandOnly := func(_, _ string, spot bool) bool { return !spot }
 	requests, _ := PlanScaleOut([]Demand{{Request: request, Count: 4}}, pending, []*InstanceType{small}, onDemandOnly)
 	if len(requests) != 1 || requests[0].Spot || requests[0].Count != 1 {
-		t.Fatalf("requests %+v", requests)
+		t.Fatalf("requests %+v, want one on-demand instance", requests)
 	}
 }
 
@@ -40,7 +40,7 @@
 	headroom := Demand{Request: Request{Resources: Resources{Cores: 1, RAM: 1}}, Count: 1, Headroom: true}
 	requests, needed := PlanScaleOut([]Demand{headroom}, idle, []*InstanceType{small}, allOffered)
 	if len(requests) != 0 || len(needed) != 1 {
-		t.Fatalf("requests %+v, needed %v", requests, needed)
+		t.Fatalf("requests %+v, needed %v; want no requests and one needed instance", requests, needed)
 	}
 }
 
@@ -50,20 +50,20 @@
 	types := []*InstanceType{small, big}
 	requests, needed := PlanScaleOut([]Demand{plain}, accelerated(), types, allOffered)
 	if needed["g"] || len(requests) == 0 || requests[0].Type != "small" {
-		t.Fatalf("plain tasks: requests %+v, needed %v", requests, needed)
+		t.Fatalf("tasks without accelerators: requests %+v, needed %v; want small instances and not g", requests, needed)
 	}
 	// While no instance without accelerators can be provisioned, an existing one with accelerators is
 	// kept if the queued tasks fill at least half of it.
 	if _, needed = PlanScaleOut([]Demand{plain}, accelerated(), types, noneOffered); needed["g"] {
-		t.Fatal("64 cores kept for 8 tasks of one")
+		t.Fatal("an instance with 64 cores is kept for 8 tasks of one core")
 	}
 	plain.Count = 40
 	if _, needed = PlanScaleOut([]Demand{plain}, accelerated(), types, noneOffered); !needed["g"] {
-		t.Fatal("terminated although plain tasks are queued and nothing else is to be had")
+		t.Fatal("the instance is not kept although no other instance is available for the queued tasks")
 	}
 	noScaleOut := Demand{Request: Request{Resources: Resources{Accels: 8}}, Count: 2, Headroom: true, NoScaleOut: true}
 	if requests, needed = PlanScaleOut([]Demand{noScaleOut}, accelerated(), types, allOffered); len(requests) != 0 || !needed["g"] {
-		t.Fatalf("no reason to scale out: requests %+v, needed %v", requests, needed)
+		t.Fatalf("demand with NoScaleOut: requests %+v, needed %v; want no requests and g needed", requests, needed)
 	}
 }
 
@@ -71,7 +71,7 @@
 	gang := Demand{Request: Request{Resources: Resources{Accels: 8}}, Count: 1, Preempt: true, ReclaimableShare: 1}
 	busy := []Instance{{Name: "g", Type: big, Zone: "n", Reclaimable: big.Capacity()}}
 	if requests, _ := PlanScaleOut([]Demand{gang}, busy, []*InstanceType{small, big}, allOffered); len(requests) != 0 {
-		t.Fatalf("requests %+v although an instance is free in time", requests)
+		t.Fatalf("requests %+v although an existing instance will be free in time", requests)
 	}
 }
 
@@ -89,15 +89,15 @@
 	}
 	requests, _ := PlanScaleOut([]Demand{gang}, oneInEach(), types, allOffered)
 	if len(requests) != 1 || requests[0].Count != 1 {
-		t.Fatalf("requests %+v", requests)
+		t.Fatalf("requests %+v, want one instance", requests)
 	}
 	// If one zone offers no instances, the other zone is chosen.
 	requests, _ = PlanScaleOut([]Demand{gang}, oneInEach(), types, func(_, zone string, _ bool) bool { return zone == "s" })
 	if len(requests) != 1 || requests[0].Zone != "s" {
-		t.Fatalf("requests %+v", requests)
+		t.Fatalf("requests %+v, want instances in zone s", requests)
 	}
 	twoInOne := append(oneInEach(), Instance{Name: "c", Type: inBothZones, Zone: "s", Free: inBothZones.Capacity()})
 	if requests, needed := PlanScaleOut([]Demand{gang}, twoInOne, types, allOffered); len(requests) != 0 || !needed["b"] || !needed["c"] {
-		t.Fatalf("requests %+v, needed %v", requests, needed)
+		t.Fatalf("requests %+v, needed %v; want no requests, and b and c needed", requests, needed)
 	}
 }
--- a/internal/placement/score_test.go
+++ b/internal/placement/score_test.go
@@ -35,13 +35,13 @@
 		{Name: "spot", Type: small, Zone: "n", Spot: true, Free: small.Capacity()},
 	}
 	if at := bestOf(candidates, Request{Resources: Resources{Cores: 4, RAM: 4}, AllowSpot: true}); at != "spot" {
-		t.Errorf("a task that accepts spot instances went to %s", at)
+		t.Errorf("a task that accepts spot instances was placed on %s", at)
 	}
 	if at := bestOf(candidates, Request{Resources: Resources{Cores: 4, RAM: 4}}); at != "on-demand" {
-		t.Errorf("a task that accepts no spot instances went to %s", at)
+		t.Errorf("a task that does not accept spot instances was placed on %s", at)
 	}
 	if at := bestOf(candidates, Request{Resources: Resources{Cores: 4, Accels: 1, RAM: 4}, AllowSpot: true}); at != "accelerated" {
-		t.Errorf("a task with an accelerator went to %s", at)
+		t.Errorf("a task that needs an accelerator was placed on %s", at)
 	}
 }
 
@@ -76,7 +76,7 @@
 		{"accelerators not used by a service", cached(func(m *Candidate) { m.Type, m.Free = big, big.Capacity() }), longOnBig, 63},
 	} {
 		if got := Score(&c.machine, &c.request); got != c.want {
-			t.Errorf("%s: score %v, not %v", c.name, got, c.want)
+			t.Errorf("%s: score %v, want %v", c.name, got, c.want)
 		}
 	}
 }
@@ -96,10 +96,10 @@
 		{"rounding", Resources{Cores: 0.3}, Resources{Cores: 0.1}, 10, 3},
 	} {
 		if got := c.capacity.CountFitting(c.request, c.limit); got != c.want {
-			t.Errorf("%s: %d tasks, not %d", c.name, got, c.want)
+			t.Errorf("%s: %d tasks fit, want %d", c.name, got, c.want)
 		}
 		if fits := c.capacity.Holds(c.request); fits != (c.want > 0) {
-			t.Errorf("%s: one fits: %v", c.name, fits)
+			t.Errorf("%s: Holds returned %v, which contradicts CountFitting", c.name, fits)
 		}
 	}
 }
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -173,7 +173,7 @@
 		return
 	}
 	job.LoggedReason = job.PendingReason
-	slog.Debug("job pending", "class", job.Record.Spec.Class, "job", job.ID(), "why", job.PendingReason,
+	slog.Debug("pending reason of job changed", "class", job.Record.Spec.Class, "job", job.ID(), "why", job.PendingReason,
 		"unfinished", job.Unfinished(), "assigned", len(job.Assignments))
 }
 
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -105,7 +105,7 @@
 	}
 	got := strings.Join(names, " ")
 	if want := "critical starving-longer starving guaranteed high small beyond-guarantee large low failing"; got != want {
-		t.Errorf("ranked %s\nwant   %s", got, want)
+		t.Errorf("job ranking %s\nwant        %s", got, want)
 	}
 }
 
@@ -155,10 +155,10 @@
 		c.others(scheduler, cluster)
 		addJob(scheduler, "urgent", "blue", c.job, 1, now)
 		if !scheduler.Run(now) {
-			t.Errorf("%s: the pass was not completed", c.name)
+			t.Errorf("%s: the planning pass was not completed", c.name)
 		}
 		if got := strings.Join(cluster.stopped, " "); got != c.want {
-			t.Errorf("%s: stopped %q, want %q", c.name, got, c.want)
+			t.Errorf("%s: stopped tasks %q, want %q", c.name, got, c.want)
 		}
 	}
 }
@@ -169,19 +169,19 @@
 	lesser := addJob(scheduler, "lesser", "red", record.Normal, 9, now)
 	scheduler.Run(now)
 	if got := len(lesser.Assignments); got != 6 {
-		t.Fatalf("%d tasks within a limit of six", got)
+		t.Fatalf("%d tasks of one core assigned with a limit of six cores, want 6", got)
 	}
 	urgent := addJob(scheduler, "urgent", "red", record.High, 2, now)
 	scheduler.Run(now)
 	if len(cluster.stopped) != 2 || !strings.Contains(urgent.PendingReason, "lesser work of its own makes way") {
-		t.Errorf("stopped %v; pending: %s", cluster.stopped, urgent.PendingReason)
+		t.Errorf("stopped tasks %v, want two; pending reason: %s", cluster.stopped, urgent.PendingReason)
 	}
 	reservations := scheduler.admission.reservations
 	if got := reservations.reservedFrom(lesser, now); got.Cores != 2 {
-		t.Errorf("%v cores are reserved from lesser work, want 2", got.Cores)
+		t.Errorf("%v cores are withheld from the job of lower priority, want 2", got.Cores)
 	}
 	if got := reservations.reservedFrom(urgent, now).Cores + reservations.reservedFrom(lesser, now.Add(quotaReservationTime)).Cores; got != 0 {
-		t.Errorf("%v cores are reserved from the job itself or after the reservation", got)
+		t.Errorf("%v cores are withheld from the job with the reservation, or after its expiry; want 0", got)
 	}
 }
 
@@ -208,7 +208,7 @@
 			spread.Add("south")
 		}
 		if north, south := spread.Allowed("north", 10), spread.Allowed("south", 10); north != c.inNorth || south != c.inSouth {
-			t.Errorf("%s: %d in the north, %d in the south; want %d, %d", c.name, north, south, c.inNorth, c.inSouth)
+			t.Errorf("%s: %d more tasks allowed in north, %d in south; want %d, %d", c.name, north, south, c.inNorth, c.inSouth)
 		}
 	}
 }
@@ -226,13 +226,13 @@
 	reservations.use("used", job)
 	reservations.use("other", job)
 	if _, reserved := reservations.On("expired", now); reserved || !reservations.isFor("expired", "job") {
-		t.Error("an expired reservation is in force, or not known")
+		t.Error("an expired reservation is still in effect, or was removed")
 	}
 	if emptying, held := reservations.countEmptying(now), reservations.dropExpired("job", now); emptying != 2 || held != 1 {
-		t.Errorf("%d machines are emptying, %d reserved for the job; want 2, 1", emptying, held)
+		t.Errorf("%d reservations wait for running tasks to end, %d remain for the job; want 2, 1", emptying, held)
 	}
 	reservations.removeJob(job)
 	if got := len(reservations.all()); got != 1 {
-		t.Errorf("%d reservations are left, want that of the other job", got)
+		t.Errorf("%d reservations remain, want only the one for the other job", got)
 	}
 }
