--- a/internal/capacity/consistency.go
+++ b/internal/capacity/consistency.go
@@ -17,8 +17,8 @@
 			return fmt.Errorf("%w: node %s is not at its recorded position in the list of its class", ErrInconsistent, name)
 		}
 	}
-	for image, holders := range x.byImage {
-		for node := range holders {
+	for image, nodesWithImage := range x.byImage {
+		for node := range nodesWithImage {
 			if node.ImagePulls[image] == nil && !x.HasImage(node, image) {
 				return fmt.Errorf("%w: node %s is listed under an image that it neither has cached nor is pulling: %s", ErrInconsistent, node.Name, image)
 			}
--- a/internal/capacity/images.go
+++ b/internal/capacity/images.go
@@ -16,12 +16,12 @@
 
 // AddImage adds a node to the list of an image that it has cached or is pulling.
 func (x *Index) AddImage(node *Node, image string) {
-	holders := x.byImage[image]
-	if holders == nil {
-		holders = map[*Node]bool{}
-		x.byImage[image] = holders
+	nodesWithImage := x.byImage[image]
+	if nodesWithImage == nil {
+		nodesWithImage = map[*Node]bool{}
+		x.byImage[image] = nodesWithImage
 	}
-	holders[node] = true
+	nodesWithImage[node] = true
 }
 
 // beginImagePull records that a task waits for its image, unless its status shows that it no longer does.
@@ -51,14 +51,14 @@
 	if pull := node.ImagePulls[image]; pull != nil {
 		if pull.tasks--; pull.tasks <= 0 {
 			delete(node.ImagePulls, image)
-			x.unlistImage(node, image)
+			x.removeImage(node, image)
 		}
 	}
 }
 
-// unlistImage removes a node from the list of an image unless the node has the image cached or is pulling
+// removeImage removes a node from the list of an image unless the node has the image cached or is pulling
 // it.
-func (x *Index) unlistImage(node *Node, image string) {
+func (x *Index) removeImage(node *Node, image string) {
 	if node.ImagePulls[image] != nil || x.HasImage(node, image) {
 		return
 	}
@@ -76,7 +76,7 @@
 	x.AddImage(node, image)
 	for _, name := range before {
 		if !machine.Images.Has(name) {
-			x.unlistImage(node, name)
+			x.removeImage(node, name)
 		}
 	}
 }
--- a/internal/capacity/index.go
+++ b/internal/capacity/index.go
@@ -45,12 +45,12 @@
 // Index indexes the nodes of a shard. The machines themselves are in the registry. Reindex must be called
 // after each change of a machine that affects its class or whether the machine is in use.
 type Index struct {
-	machines *worker.Registry
-	types    map[string]*placement.InstanceType
-	nodes    map[ids.Machine]*Node
-	classes  map[InstanceClass]*Class
-	sorted   []*Class
-	byImage  map[string]map[*Node]bool
+	machines      *worker.Registry
+	types         map[string]*placement.InstanceType
+	nodes         map[ids.Machine]*Node
+	classes       map[InstanceClass]*Class
+	sortedClasses []*Class
+	byImage       map[string]map[*Node]bool
 }
 
 // NewIndex returns an empty index for the machines of a registry.
@@ -65,7 +65,7 @@
 	for i := range types {
 		x.types[types[i].Label] = &types[i]
 	}
-	for _, class := range x.sorted {
+	for _, class := range x.sortedClasses {
 		if offer := x.types[class.Type]; offer != nil {
 			class.Offer = offer
 		}
@@ -82,7 +82,7 @@
 func (x *Index) Types() map[string]*placement.InstanceType { return x.types }
 
 // Classes returns the instance classes in sorted order. Callers must not change the slice.
-func (x *Index) Classes() []*Class { return x.sorted }
+func (x *Index) Classes() []*Class { return x.sortedClasses }
 
 // Nodes returns all nodes by name. Callers must not change the map.
 func (x *Index) Nodes() map[ids.Machine]*Node { return x.nodes }
@@ -174,8 +174,8 @@
 	if class == nil && x.types[machine.Type] != nil {
 		class = &Class{InstanceClass: key, Offer: x.types[machine.Type]}
 		x.classes[key] = class
-		x.sorted = append(x.sorted, class)
-		slices.SortFunc(x.sorted, func(a, b *Class) int { return a.compare(b.InstanceClass) })
+		x.sortedClasses = append(x.sortedClasses, class)
+		slices.SortFunc(x.sortedClasses, func(a, b *Class) int { return a.compare(b.InstanceClass) })
 	}
 	return class
 }
@@ -192,7 +192,7 @@
 	}
 	if machine != nil {
 		for _, image := range machine.Images.Names {
-			x.unlistImage(node, image)
+			x.removeImage(node, image)
 		}
 	}
 	x.Reindex(node)
--- a/internal/capacity/index_test.go
+++ b/internal/capacity/index_test.go
@@ -19,8 +19,8 @@
 
 var testType = placement.InstanceType{Label: "small", Cores: 4, RAM: 16, CacheGB: 2}
 
-// testIndex returns an index with the given number of machines, all of which have reported.
-func testIndex(machines int) *Index {
+// newTestIndex returns an index with the given number of machines, all of which have reported.
+func newTestIndex(machines int) *Index {
 	registry := worker.NewRegistry(20)
 	index := NewIndex(registry)
 	index.SetTypes([]placement.InstanceType{testType})
@@ -33,13 +33,13 @@
 	return index
 }
 
-func testAssignment(shape record.Shape, cores float64, image string) *workload.Assignment {
+func newTestAssignment(shape record.Shape, cores float64, image string) *workload.Assignment {
 	spec := record.Spec{ID: "job", Shape: shape, Tasks: 1, Resources: placement.Resources{Cores: cores, RAM: 1}, Image: image, EstimatedDuration: 30}
 	return &workload.Assignment{Job: workload.NewJob(record.New(spec, ids.TimestampOf(testStart), "writer"), 1)}
 }
 
-// checkSums checks the resource sums and the list memberships of a node against its assignments and images.
-func checkSums(t *testing.T, index *Index, node *Node) {
+// checkNode checks the resource sums and the list memberships of a node against its assignments and images.
+func checkNode(t *testing.T, index *Index, node *Node) {
 	t.Helper()
 	var used, reclaimable float64
 	replicas := 0
@@ -68,7 +68,7 @@
 
 func TestIndexStaysConsistentUnderRandomChanges(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
-	index := testIndex(12)
+	index := newTestIndex(12)
 	images := []string{"a", "b", "c", "d"}
 	type allocation struct {
 		assignment *workload.Assignment
@@ -81,7 +81,7 @@
 		switch rng.IntN(6) {
 		case 0, 1:
 			shape := []record.Shape{record.Array, record.Gang, record.Service}[rng.IntN(3)]
-			assignment := testAssignment(shape, 0.1+rng.Float64(), images[rng.IntN(len(images))])
+			assignment := newTestAssignment(shape, 0.1+rng.Float64(), images[rng.IntN(len(images))])
 			if node.Class != nil && node.Free().Holds(assignment.Job.Record.Spec.Resources) {
 				index.Allocate(node, assignment)
 				allocated = append(allocated, allocation{assignment, node})
@@ -103,7 +103,7 @@
 		if err := index.CheckConsistency(); err != nil {
 			t.Fatal(err)
 		}
-		checkSums(t, index, node)
+		checkNode(t, index, node)
 	}
 	for _, left := range allocated {
 		node := left.node
@@ -115,7 +115,7 @@
 }
 
 func TestClassesAreSortedAndHaveTheirNodes(t *testing.T) {
-	index := testIndex(6)
+	index := newTestIndex(6)
 	got := ""
 	for _, class := range index.Classes() {
 		got += fmt.Sprintf("%s/%s/%v:%d ", class.Type, class.Zone, class.Spot, len(class.Open))
@@ -130,10 +130,10 @@
 }
 
 func TestNodesAreListedUnderImagesThatTheyHaveOrPull(t *testing.T) {
-	index := testIndex(1)
+	index := newTestIndex(1)
 	node, machine := index.Node("m0"), index.machines.Machines["m0"]
 	listed := func(image string) bool { return index.WithImage(image)[node] }
-	first, second := testAssignment(record.Array, 1, "a"), testAssignment(record.Array, 1, "a")
+	first, second := newTestAssignment(record.Array, 1, "a"), newTestAssignment(record.Array, 1, "a")
 	index.Allocate(node, first)
 	index.Allocate(node, second)
 	index.EndImagePull(node, first)
@@ -167,8 +167,8 @@
 		{"longer than its estimate", record.Array, worker.StateRunning, testStart.Add(-time.Minute), time.Second},
 		{"a service", record.Service, worker.StateRunning, testStart, 0},
 	} {
-		index := testIndex(1)
-		assignment := testAssignment(c.shape, 1, "a")
+		index := newTestIndex(1)
+		assignment := newTestAssignment(c.shape, 1, "a")
 		assignment.Status, assignment.RunningSince = c.status, c.since
 		index.Allocate(index.Node("m0"), assignment)
 		if got := index.Node("m0").TimeUntilFree(now); got != c.want {
--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -42,18 +42,18 @@
 
 // BootTime returns how long machines of a type currently take to boot, but at least their nominal time.
 func (e *Estimator) BootTime(machineType *placement.InstanceType) time.Duration {
-	return max(machineType.BootS.Duration(), e.boots[machineType.Label].typical())
+	return max(machineType.BootS.Duration(), e.boots[machineType.Label].percentile75())
 }
 
-// provisionedTogether is the maximum difference between the recorded provisioning times of machines that
+// sameRequestTolerance is the maximum difference between the recorded provisioning times of machines that
 // were provisioned by the same request.
-const provisionedTogether = 2 * time.Second
+const sameRequestTolerance = 2 * time.Second
 
 // IsOvertaken reports whether another machine of the same type that was provisioned together with the
 // given one, or after it, has booted already.
 func (e *Estimator) IsOvertaken(machine *worker.Machine) bool {
 	history := e.boots[machine.Type]
-	return history != nil && history.newestProvisioned.After(machine.ProvisionedAt.Add(-provisionedTogether))
+	return history != nil && history.newestProvisioned.After(machine.ProvisionedAt.Add(-sameRequestTolerance))
 }
 
 // minPullRate is the pull rate, in GB per second, that is assumed for machine types with a lower rate or
--- a/internal/estimate/estimate_test.go
+++ b/internal/estimate/estimate_test.go
@@ -22,7 +22,7 @@
 	{Label: "large", Cores: 16, RAM: 64, PullGBPerS: 2, BootS: 60},
 }
 
-func testEstimator() *Estimator {
+func newTestEstimator() *Estimator {
 	index := capacity.NewIndex(worker.NewRegistry(20))
 	index.SetTypes(testTypes)
 	settings := &config.Settings{}
@@ -45,7 +45,7 @@
 		{"three quarters below", []int{300, 40, 50, 60, 70}, 70 * time.Second},
 		{"older ones are dropped", []int{900, 900, 900, 900, 50, 50, 50, 50, 50, 50, 50, 50}, 50 * time.Second},
 	} {
-		estimator := testEstimator()
+		estimator := newTestEstimator()
 		for _, seconds := range c.boots {
 			estimator.RecordBoot(bootedMachine(start), start.Add(time.Duration(seconds)*time.Second))
 		}
@@ -56,7 +56,7 @@
 }
 
 func TestMachinesAreOvertakenByLaterOnes(t *testing.T) {
-	estimator := testEstimator()
+	estimator := newTestEstimator()
 	if estimator.IsOvertaken(bootedMachine(start)) {
 		t.Error("a machine is overtaken although no machine has booted")
 	}
@@ -78,7 +78,7 @@
 		{99, 0, math.Inf(1)},
 	} {
 		spec := &record.Spec{Resources: placement.Resources{Cores: c.cores}, ImageGB: 10, EstimatedDuration: 7}
-		estimator := testEstimator()
+		estimator := newTestEstimator()
 		if pull, provision := estimator.ImagePullSeconds(spec), estimator.ProvisionSeconds(spec); pull != c.pull || provision != c.provision {
 			t.Errorf("%v cores: %v s to pull, %v s to provision; want %v and %v", c.cores, pull, provision, c.pull, c.provision)
 		}
@@ -88,7 +88,7 @@
 	}
 }
 
-func TestQueueHorizonIsAPartOfTheSlack(t *testing.T) {
+func TestQueueHorizonIsAFractionOfTheSlack(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		change func(*workload.Job)
@@ -105,7 +105,7 @@
 		spec := record.Spec{ID: "job", Shape: record.Array, Priority: record.Normal, Tasks: 1, EstimatedDuration: 20, ImageGB: 1, Resources: placement.Resources{Cores: 1}}
 		job := workload.NewJob(record.New(spec, ids.TimestampOf(start), "writer"), 1)
 		c.change(job)
-		if got := testEstimator().QueueHorizon(job); got != c.want {
+		if got := newTestEstimator().QueueHorizon(job); got != c.want {
 			t.Errorf("%s: queue horizon %v s, want %v", c.name, got, c.want)
 		}
 	}
--- a/internal/placement/offers.go
+++ b/internal/placement/offers.go
@@ -12,9 +12,9 @@
 // that instances of similar price are spread over the zones.
 const zoneBalanceWeight = 0.01
 
-// cheapestOffer returns the offer with the lowest price per task for up to left tasks of a demand. perZone
-// is the number of instances in each zone.
-func (p *plan) cheapestOffer(demand *Demand, left int, perZone map[string]int) offer {
+// cheapestOffer returns the offer with the lowest price per task for up to remaining tasks of a demand.
+// perZone is the number of instances in each zone.
+func (p *plan) cheapestOffer(demand *Demand, remaining int, perZone map[string]int) offer {
 	var best offer
 	bestCost := 0.0
 	avoidAccelerators := demand.Request.Resources.Accels == 0 && p.fitsWithoutAccelerators(demand)
@@ -22,7 +22,7 @@
 		if avoidAccelerators && instanceType.Accels > 0 {
 			continue
 		}
-		tasks := instanceType.Capacity().CountFitting(demand.Request.Resources, left)
+		tasks := instanceType.Capacity().CountFitting(demand.Request.Resources, remaining)
 		if tasks == 0 {
 			continue
 		}
@@ -61,10 +61,10 @@
 // the missing capacity can be provisioned, and among these the zone whose instances have room for most
 // of the tasks.
 func (p *plan) bestZone(demand *Demand) string {
-	covered := map[string]int{}
+	coveredTasks := map[string]int{}
 	for i := range p.instances {
 		if instance := &p.instances[i]; !instance.Overdue {
-			covered[instance.Zone] += demand.tasksOn(instance, demand.Count)
+			coveredTasks[instance.Zone] += demand.tasksOn(instance, demand.Count)
 		}
 	}
 	best, bestTasks, bestComplete := "", 0, false
@@ -75,8 +75,8 @@
 				continue
 			}
 			seen[zone] = true
-			tasks := min(covered[zone], demand.Count)
-			complete := covered[zone] >= demand.Count || p.isOfferedIn(zone, demand, demand.Count-tasks)
+			tasks := min(coveredTasks[zone], demand.Count)
+			complete := coveredTasks[zone] >= demand.Count || p.isOfferedIn(zone, demand, demand.Count-tasks)
 			if best == "" || complete && !bestComplete || complete == bestComplete && tasks > bestTasks {
 				best, bestTasks, bestComplete = zone, tasks, complete
 			}
--- a/internal/placement/resources.go
+++ b/internal/placement/resources.go
@@ -46,7 +46,7 @@
 	return max(count, 0)
 }
 
-// positive returns r with negative amounts replaced by 0.
-func (r Resources) positive() Resources {
+// clampedToZero returns r with negative amounts replaced by 0.
+func (r Resources) clampedToZero() Resources {
 	return Resources{max(r.Cores, 0), max(r.Accels, 0), max(r.RAM, 0)}
 }
--- a/internal/placement/scaleout.go
+++ b/internal/placement/scaleout.go
@@ -61,11 +61,11 @@
 		if demand.SameZone {
 			demand.Request.Zone = p.bestZone(&demand)
 		}
-		left := p.cover(&demand, demand.Count, false)
-		left = p.provision(&demand, left)
-		left = p.cover(&demand, left, true)
-		if left > 0 && !demand.Headroom && demand.Request.Resources.Accels == 0 {
-			demand.Count = left
+		remaining := p.cover(&demand, demand.Count, false)
+		remaining = p.provision(&demand, remaining)
+		remaining = p.cover(&demand, remaining, true)
+		if remaining > 0 && !demand.Headroom && demand.Request.Resources.Accels == 0 {
+			demand.Count = remaining
 			unmet = append(unmet, demand)
 		}
 	}
@@ -90,8 +90,8 @@
 // These amounts are added to the price of an instance in the order of use: busy instances come first,
 // then pending ones, then idle ones, so that instances which stay idle can be terminated.
 const (
-	idlePrice    = 1e6
-	pendingPrice = 5e5
+	idleSurcharge    = 1e6
+	pendingSurcharge = 5e5
 )
 
 func newPlan(instances []Instance, types []*InstanceType, offered OfferFilter) *plan {
@@ -110,10 +110,10 @@
 		instance := &instances[i]
 		key := instance.Type.HourlyPrice(instance.Spot)
 		if instance.Idle {
-			key += idlePrice
+			key += idleSurcharge
 		}
 		if instance.Pending {
-			key += pendingPrice
+			key += pendingSurcharge
 		}
 		return key
 	})
@@ -130,43 +130,43 @@
 	slices.SortStableFunc(order, func(x, y int) int { return cmp.Compare(keys[x], keys[y]) })
 }
 
-// cover allocates capacity for up to left tasks of a demand, on overdue instances if late is set and on
-// all other instances if it is not. It returns the number of tasks that remain without capacity.
-func (p *plan) cover(demand *Demand, left int, late bool) int {
+// cover allocates capacity for up to remaining tasks of a demand, on overdue instances if overdue is set and
+// on all other instances if it is not. It returns the number of tasks that remain without capacity.
+func (p *plan) cover(demand *Demand, remaining int, overdue bool) int {
 	for _, i := range p.order {
 		instance := &p.instances[i]
-		if left == 0 || instance.Overdue != late {
+		if remaining == 0 || instance.Overdue != overdue {
 			continue
 		}
-		count := demand.tasksOn(instance, left)
+		count := demand.tasksOn(instance, remaining)
 		if count == 0 {
 			continue
 		}
-		left -= count
+		remaining -= count
 		p.needed[instance.Name] = true
-		instance.take(demand.Request.Resources.Times(float64(count)))
+		instance.allocate(demand.Request.Resources.Times(float64(count)))
 	}
-	return left
+	return remaining
 }
 
-// take allocates capacity of an instance: first free capacity, then reclaimable capacity.
-func (i *Instance) take(amount Resources) {
+// allocate allocates capacity of an instance: first free capacity, then reclaimable capacity.
+func (i *Instance) allocate(amount Resources) {
 	i.Free = i.Free.Minus(amount)
-	if short := (Resources{}).Minus(i.Free).positive(); short != (Resources{}) {
-		i.Free = i.Free.Plus(short)
-		i.Reclaimable = i.Reclaimable.Minus(short)
+	if shortfall := (Resources{}).Minus(i.Free).clampedToZero(); shortfall != (Resources{}) {
+		i.Free = i.Free.Plus(shortfall)
+		i.Reclaimable = i.Reclaimable.Minus(shortfall)
 	}
 }
 
-// provision requests instances for up to left tasks of a demand and returns the number of tasks for which
-// no instance can be provisioned.
-func (p *plan) provision(demand *Demand, left int) int {
-	for left > 0 && !demand.NoScaleOut {
-		best := p.cheapestOffer(demand, left, p.perZone)
+// provision requests instances for up to remaining tasks of a demand and returns the number of tasks for
+// which no instance can be provisioned.
+func (p *plan) provision(demand *Demand, remaining int) int {
+	for remaining > 0 && !demand.NoScaleOut {
+		best := p.cheapestOffer(demand, remaining, p.perZone)
 		if best.tasks == 0 {
 			break
 		}
-		left -= best.tasks
+		remaining -= best.tasks
 		p.perZone[best.zone]++
 		p.addRequest(best)
 		p.instances = append(p.instances, Instance{
@@ -178,7 +178,7 @@
 		})
 		p.order = append(p.order, len(p.instances)-1)
 	}
-	return left
+	return remaining
 }
 
 // addRequest adds one instance of an offer to the requests.
@@ -193,27 +193,27 @@
 	p.requests = append(p.requests, ProvisioningRequest{Type: chosen.instanceType.Label, Zone: chosen.zone, Spot: chosen.spot, Count: 1})
 }
 
-// anyNumber is a limit for CountFitting that is higher than the number of tasks on any instance.
-const anyNumber = 1 << 20
+// unlimitedTasks is a limit for CountFitting that is higher than the number of tasks on any instance.
+const unlimitedTasks = 1 << 20
 
 // coverWithAccelerators allocates capacity on existing instances with accelerators for tasks that need no
 // accelerators and for which no other instance is available. It uses instances that are needed by other
 // demands first. Other instances that it uses are kept only for as long as the tasks are queued.
 func (p *plan) coverWithAccelerators(demand *Demand) {
-	left := demand.Count
-	for _, neededAnyhow := range []bool{true, false} {
+	remaining := demand.Count
+	for _, alreadyNeeded := range []bool{true, false} {
 		for _, i := range p.order {
 			instance := &p.instances[i]
 			requested := instance.Name == ""
-			if left == 0 || requested || instance.Type.Accels == 0 || p.needed[instance.Name] != neededAnyhow ||
+			if remaining == 0 || requested || instance.Type.Accels == 0 || p.needed[instance.Name] != alreadyNeeded ||
 				!demand.Request.Allows(instance.Type.Label, instance.Zone, instance.Spot) {
 				continue
 			}
-			count := instance.Free.Plus(instance.Reclaimable).CountFitting(demand.Request.Resources, left)
-			if !neededAnyhow && 2*count < instance.Type.Capacity().CountFitting(demand.Request.Resources, anyNumber) {
+			count := instance.Free.Plus(instance.Reclaimable).CountFitting(demand.Request.Resources, remaining)
+			if !alreadyNeeded && 2*count < instance.Type.Capacity().CountFitting(demand.Request.Resources, unlimitedTasks) {
 				continue // an instance is not kept if the tasks would fill less than half of it
 			}
-			left -= count
+			remaining -= count
 			instance.Free = instance.Free.Minus(demand.Request.Resources.Times(float64(count)))
 			p.needed[instance.Name] = p.needed[instance.Name] || count > 0
 		}
--- a/internal/placement/scaleout_test.go
+++ b/internal/placement/scaleout_test.go
@@ -22,7 +22,7 @@
 	}
 }
 
-func TestRefusedSpotInstancesAreReplacedAndPendingOnesCount(t *testing.T) {
+func TestOnDemandReplacesRefusedSpotAndPendingInstancesCount(t *testing.T) {
 	request := Request{Resources: Resources{Cores: 2, RAM: 4}, AllowSpot: true}
 	pending := []Instance{{Name: "c", Type: small, Zone: "s", Pending: true, Free: small.Capacity()}}
 	onDemandOnly := func(_, _ string, spot bool) bool { return !spot }
@@ -32,7 +32,7 @@
 	}
 }
 
-func TestHeadroomKeepsOneIdleInstanceAndNoSecond(t *testing.T) {
+func TestHeadroomKeepsOnlyOneIdleInstance(t *testing.T) {
 	idle := []Instance{
 		{Name: "x", Type: small, Zone: "n", Free: small.Capacity(), Idle: true},
 		{Name: "y", Type: small, Zone: "n", Free: small.Capacity(), Idle: true},
--- a/internal/placement/score.go
+++ b/internal/placement/score.go
@@ -48,10 +48,10 @@
 	slowedPullPenalty         = 30   // would slow down a pull for tasks of higher priority
 	fragmentationWeight       = 2    // per resource, multiplied by the fraction left unused
 	unusedAcceleratorsPenalty = 3    // has accelerators that the task does not use
-	keptAcceleratorsPenalty   = 60   // in addition, if a long-running task would prevent scale-in of the instance
+	preventedScaleInPenalty   = 60   // in addition, if a long-running task would prevent scale-in of the instance
 	onDemandPenalty           = 2    // is an on-demand instance although the task accepts spot instances
 	failedBeforePenalty       = 1000 // the task failed on the candidate before
-	expectedPullShare         = 2    // divisor of the pull time: a pull in progress is assumed to be half done
+	pullInProgressDivisor     = 2    // divisor of the pull time: a pull in progress is assumed to be half done
 	minPullGBPerS             = 0.01 // assumed for instance types without a rate
 	minTypeCapacity           = 1    // avoids division by zero
 )
@@ -61,12 +61,12 @@
 // Further penalties keep instances with accelerators and on-demand instances free for tasks that need them.
 func Score(candidate *Candidate, request *Request) float64 {
 	score := pullCost(candidate, request)
-	left := candidate.Free.Minus(request.Resources)
-	score += fragmentationWeight * (left.Cores/max(candidate.Type.Cores, minTypeCapacity) + left.RAM/max(candidate.Type.RAM, minTypeCapacity))
+	unused := candidate.Free.Minus(request.Resources)
+	score += fragmentationWeight * (unused.Cores/max(candidate.Type.Cores, minTypeCapacity) + unused.RAM/max(candidate.Type.RAM, minTypeCapacity))
 	if request.Resources.Accels == 0 && candidate.Type.Accels > 0 {
 		score += unusedAcceleratorsPenalty
 		if request.LongRunning {
-			score += keptAcceleratorsPenalty
+			score += preventedScaleInPenalty
 		}
 	}
 	if request.AllowSpot && !candidate.Spot {
@@ -83,11 +83,11 @@
 	if candidate.ImageCached && candidate.ImageExpected {
 		return 0
 	}
-	pullAlone := request.ImageGB / max(candidate.Type.PullGBPerS, minPullGBPerS)
+	pullSeconds := request.ImageGB / max(candidate.Type.PullGBPerS, minPullGBPerS)
 	if candidate.ImageExpected {
-		return pullAlone / expectedPullShare
+		return pullSeconds / pullInProgressDivisor
 	}
-	cost := pullAlone * float64(1+candidate.OtherPulls)
+	cost := pullSeconds * float64(1+candidate.OtherPulls)
 	if candidate.PullsForHigherPriority {
 		cost += slowedPullPenalty
 	}
--- a/internal/placement/score_test.go
+++ b/internal/placement/score_test.go
@@ -11,9 +11,9 @@
 	big   = &InstanceType{Label: "big", Cores: 64, Accels: 8, RAM: 256, PullGBPerS: 0.25, Price: 24, SpotPrice: 10, Zones: []string{"n"}, BootS: 30}
 )
 
-// bestOf returns the name of the candidate with the lowest score among those that the request allows and
-// that have room for it.
-func bestOf(candidates []Candidate, request Request) ids.Machine {
+// bestCandidate returns the name of the candidate with the lowest score among those that the request allows
+// and that have room for it.
+func bestCandidate(candidates []Candidate, request Request) ids.Machine {
 	var best ids.Machine
 	bestScore := 0.0
 	for i := range candidates {
@@ -34,14 +34,14 @@
 		{Name: "on-demand", Type: small, Zone: "n", Free: small.Capacity()},
 		{Name: "spot", Type: small, Zone: "n", Spot: true, Free: small.Capacity()},
 	}
-	if at := bestOf(candidates, Request{Resources: Resources{Cores: 4, RAM: 4}, AllowSpot: true}); at != "spot" {
-		t.Errorf("a task that accepts spot instances was placed on %s", at)
+	if got := bestCandidate(candidates, Request{Resources: Resources{Cores: 4, RAM: 4}, AllowSpot: true}); got != "spot" {
+		t.Errorf("a task that accepts spot instances was placed on %s", got)
 	}
-	if at := bestOf(candidates, Request{Resources: Resources{Cores: 4, RAM: 4}}); at != "on-demand" {
-		t.Errorf("a task that does not accept spot instances was placed on %s", at)
+	if got := bestCandidate(candidates, Request{Resources: Resources{Cores: 4, RAM: 4}}); got != "on-demand" {
+		t.Errorf("a task that does not accept spot instances was placed on %s", got)
 	}
-	if at := bestOf(candidates, Request{Resources: Resources{Cores: 4, Accels: 1, RAM: 4}, AllowSpot: true}); at != "accelerated" {
-		t.Errorf("a task that needs an accelerator was placed on %s", at)
+	if got := bestCandidate(candidates, Request{Resources: Resources{Cores: 4, Accels: 1, RAM: 4}, AllowSpot: true}); got != "accelerated" {
+		t.Errorf("a task that needs an accelerator was placed on %s", got)
 	}
 }
 
--- a/internal/scheduler/admission.go
+++ b/internal/scheduler/admission.go
@@ -20,18 +20,18 @@
 // limit returns how many of a job's unassigned tasks may be assigned now. If the quota or the size of
 // the record allows none, reason explains it.
 func (a *admission) limit(job *workload.Job, unassigned int, pass *planningPass) (limit int, reason string) {
-	allowed := a.allowedByQuota(job, unassigned, pass.now)
-	fitRecord := job.MaxAssignedTasks(a.valueBytes()) - len(job.Assignments)
-	limit = min(unassigned, allowed, fitRecord)
+	quotaLimit := a.allowedByQuota(job, unassigned, pass.now)
+	recordLimit := job.MaxAssignedTasks(a.valueBytes()) - len(job.Assignments)
+	limit = min(unassigned, quotaLimit, recordLimit)
 	if job.Failing() {
 		limit = min(limit, 1)
 	}
 	switch {
-	case fitRecord <= 0:
+	case recordLimit <= 0:
 		reason = "as many of its tasks are under way as a record of the state service holds"
-	case allowed <= 0:
-		pass.addQuotaDemand(job, min(unassigned, fitRecord))
-		reason = a.quotaReason(job, unassigned, pass.now)
+	case quotaLimit <= 0:
+		pass.addQuotaDemand(job, min(unassigned, recordLimit))
+		reason = a.preemptForQuota(job, unassigned, pass.now)
 	}
 	return limit, reason
 }
@@ -45,13 +45,13 @@
 // parts reserved for jobs of higher priority and for tasks that are being relocated.
 func (a *admission) allowedByQuota(job *workload.Job, want int, now time.Time) int {
 	spec := &job.Record.Spec
-	left := a.Quota.Available(spec.Team).Minus(a.reservations.reservedFrom(job, now)).Minus(a.cluster.QuotaForRelocated(job))
+	left := a.Quota.Available(spec.Team).Minus(a.reservations.withheldFrom(job, now)).Minus(a.cluster.QuotaForRelocated(job))
 	return left.CountFitting(spec.Resources, want)
 }
 
-// quotaReason preempts tasks of lower priority in the job's team if that is allowed, and explains why
+// preemptForQuota preempts tasks of lower priority in the job's team if that is allowed, and explains why
 // the team's quota does not allow the job's tasks now.
-func (a *admission) quotaReason(job *workload.Job, tasks int, now time.Time) string {
+func (a *admission) preemptForQuota(job *workload.Job, tasks int, now time.Time) string {
 	reason := a.Quota.Explain(job.Record.Spec.Team)
 	if a.preemptor.preemptFor(job, tasks, now) {
 		reason += "; lesser work of its own makes way"
@@ -66,9 +66,9 @@
 
 // quotaReservation reserves a part of a team's quota for a job.
 type quotaReservation struct {
-	job   *workload.Job
-	need  placement.Resources
-	until time.Time
+	job       *workload.Job
+	need      placement.Resources
+	expiresAt time.Time
 }
 
 // quotaReservationTime is the time after which a reservation expires unless it is renewed.
@@ -76,14 +76,14 @@
 
 // set reserves a part of the quota of a job's team for the job.
 func (r quotaReservations) set(job *workload.Job, need placement.Resources, now time.Time) {
-	r[job.Record.Spec.Team] = quotaReservation{job: job, need: need, until: now.Add(quotaReservationTime)}
+	r[job.Record.Spec.Team] = quotaReservation{job: job, need: need, expiresAt: now.Add(quotaReservationTime)}
 }
 
-// reservedFrom returns the part of its team's quota that a job must not use, because it is reserved for
+// withheldFrom returns the part of its team's quota that a job must not use, because it is reserved for
 // a job of higher priority.
-func (r quotaReservations) reservedFrom(job *workload.Job, now time.Time) placement.Resources {
+func (r quotaReservations) withheldFrom(job *workload.Job, now time.Time) placement.Resources {
 	reserved, found := r[job.Record.Spec.Team]
-	if !found || reserved.job == job || !reserved.until.After(now) || !reserved.job.Schedulable() ||
+	if !found || reserved.job == job || !reserved.expiresAt.After(now) || !reserved.job.Schedulable() ||
 		job.EffectivePriority() >= reserved.job.EffectivePriority() {
 		return placement.Resources{}
 	}
--- a/internal/scheduler/assign.go
+++ b/internal/scheduler/assign.go
@@ -42,11 +42,11 @@
 	if stopReason != "" {
 		reason = stopReason
 	}
-	a.tasksAssigned(job, assigned)
+	a.recordAssigned(job, assigned)
 	job.PendingReason = reason
 	if assigned == unassigned {
 		job.PendingReason = ""
-		a.reservations.removeJob(job)
+		a.reservations.removeForJob(job)
 	}
 }
 
@@ -66,7 +66,7 @@
 			reason = "backing off after failures"
 			continue
 		}
-		node, pendingReason, tryNext := a.nodeFor(job, retry, search)
+		node, pendingReason, tryNext := a.findNode(job, retry, search)
 		if pendingReason != "" {
 			reason = pendingReason
 		}
@@ -87,13 +87,13 @@
 	return assigned, reason
 }
 
-// nodeFor returns a node for one task. If no node has room, it tries to free capacity or to reserve a
-// machine, and returns why the task is pending. tryNext reports whether the job's next task should be
-// tried: a task that failed before avoids machines on which other tasks may still run.
-func (a *assigner) nodeFor(job *workload.Job, retry *workload.Retry, search *search) (node *capacity.Node, reason string, tryNext bool) {
-	node = search.pick(retry)
+// findNode returns a node for one task. If no node has room, it tries to free capacity or to reserve a
+// machine, and returns why the task is pending. tryNext reports whether the job's next task should be tried:
+// a task that failed before avoids machines on which other tasks may still run.
+func (a *assigner) findNode(job *workload.Job, retry *workload.Retry, search *search) (node *capacity.Node, reason string, tryNext bool) {
+	node = search.pickNode(retry)
 	if node == nil {
-		return nil, a.makeRoom(job, search), retry != nil
+		return nil, a.preemptOrReserve(job, search), retry != nil
 	}
 	if job.EffectivePriority() == record.Critical && !a.Capacity.HasImage(node, search.request.Image) {
 		// Pulling the image takes longer than stopping tasks of lower priority where it is cached.
@@ -104,9 +104,9 @@
 	return node, "", true
 }
 
-// makeRoom preempts other tasks for one task of a job. If that is not possible, it tries to reserve a
-// machine. It returns why the task is pending.
-func (a *assigner) makeRoom(job *workload.Job, search *search) (reason string) {
+// preemptOrReserve preempts other tasks for one task of a job. If that is not possible, it tries to reserve
+// a machine. It returns why the task is pending.
+func (a *assigner) preemptOrReserve(job *workload.Job, search *search) (reason string) {
 	if freed, machine := a.preemptor.preempt(job, search.request, search.pass); freed {
 		return "waits for room freed on " + machine
 	}
@@ -120,7 +120,7 @@
 func (a *assigner) assignTask(job *workload.Job, task int, node *capacity.Node, now time.Time) {
 	machine := a.Machines.Machines[node.Name]
 	image := job.Record.Spec.Image
-	a.reservations.use(node.Name, job)
+	a.reservations.consume(node.Name, job)
 	cached := machine.Images.Has(image) || node.ImagePulls[image] != nil
 	a.cluster.Assign(&workload.Assignment{Job: job, TaskIndex: task, Machine: machine.Name, Incarnation: machine.Incarnation,
 		Attempt: job.Record.Attempt, FencingToken: a.cluster.FencingToken(), AssignedAt: now})
@@ -129,9 +129,9 @@
 		"sinceSubmit", now.Sub(job.Record.Submitted.Time()).Round(time.Millisecond))
 }
 
-// tasksAssigned completes the assignment of count tasks of a job: it requests that their markers are
+// recordAssigned records that a pass has assigned count tasks of a job. It requests that their markers are
 // stored, all with one version of the job, and removes the reservations of a job that starved.
-func (a *assigner) tasksAssigned(job *workload.Job, count int) {
+func (a *assigner) recordAssigned(job *workload.Job, count int) {
 	if count == 0 {
 		return
 	}
@@ -144,16 +144,16 @@
 		}
 	}
 	if !job.ReservationSoughtAt.IsZero() {
-		a.protectStart(job, assigned)
-		a.reservations.removeJob(job) // the job may have started on machines that were not reserved
+		a.protectFromPreemption(job, assigned)
+		a.reservations.removeForJob(job) // the job may have started on machines that were not reserved
 		job.ReservationSoughtAt = time.Time{}
 	}
 	a.cluster.RecordRestarts(job, assigned)
 }
 
-// protectStart protects the first tasks of a job that starved from preemption: all tasks of a gang, or
-// one task of any other job, preferably one on a machine that was reserved for the job.
-func (a *assigner) protectStart(job *workload.Job, assigned []*workload.Assignment) {
+// protectFromPreemption protects the first tasks of a job that starved from preemption: all tasks of a gang,
+// or one task of any other job, preferably one on a machine that was reserved for the job.
+func (a *assigner) protectFromPreemption(job *workload.Job, assigned []*workload.Assignment) {
 	until := time.Now().Add(workload.StartProtectionTime)
 	if job.Record.Spec.Shape == record.Gang {
 		for _, assignment := range assigned {
@@ -163,7 +163,7 @@
 	}
 	var protected *workload.Assignment
 	for _, assignment := range assigned {
-		if protected == nil || a.reservations.isFor(assignment.Machine, job.ID()) {
+		if protected == nil || a.reservations.isReservedFor(assignment.Machine, job.ID()) {
 			protected = assignment
 		}
 	}
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -19,34 +19,34 @@
 		job.PendingReason = ""
 		return
 	}
-	if reason := a.gangBlocked(job, pass.now); reason != "" {
+	if reason := a.gangBlockReason(job, pass.now); reason != "" {
 		job.PendingReason = reason
 		return
 	}
 	if a.admission.allowedByQuota(job, missing, pass.now) < missing {
 		pass.addQuotaDemand(job, missing)
-		job.PendingReason = a.admission.quotaReason(job, missing, pass.now)
+		job.PendingReason = a.admission.preemptForQuota(job, missing, pass.now)
 		return
 	}
 	request := spec.PlacementRequest()
 	search := a.newSearch(job, &request, pass)
-	nodes := search.cheapestTogether(gangZones(job, a.Settings.Params.Zones), missing)
+	nodes := search.bestNodesForGang(gangZones(job, a.Settings.Params.Zones), missing)
 	if nodes == nil {
-		a.makeRoomForGang(job, search, missing)
+		a.preemptOrReserveForGang(job, search, missing)
 		return
 	}
-	a.startGang(job, nodes, pass)
+	a.assignGangTasks(job, nodes, pass)
 }
 
-// gangBlocked returns why a gang must not be assigned now even if machines have room, or an empty string
+// gangBlockReason returns why a gang must not be assigned now even if machines have room, or an empty string
 // if it may be assigned.
-func (a *assigner) gangBlocked(job *workload.Job, now time.Time) string {
+func (a *assigner) gangBlockReason(job *workload.Job, now time.Time) string {
 	switch {
 	case job.BackingOff(now):
 		return job.BackOffReason()
 	case job.Record.Spec.Tasks > job.MaxAssignedTasks(a.valueBytes()):
 		return "its places do not fit into a record of the state service"
-	case !attemptMayGrow(job, a.cluster.FencingToken()):
+	case !mayJoinAttempt(job, a.cluster.FencingToken()):
 		return "for the gang's last attempt to end"
 	}
 	for i := range job.Record.Spec.Tasks {
@@ -57,10 +57,10 @@
 	return ""
 }
 
-// attemptMayGrow reports whether more tasks may join the current attempt of a gang, which requires that
+// mayJoinAttempt reports whether more tasks may join the current attempt of a gang, which requires that
 // all assigned tasks still wait for the whole gang. Once one task has run or is being stopped, the other
 // tasks end by themselves, and the next attempt must not begin before they have.
-func attemptMayGrow(job *workload.Job, token ids.Generation) bool {
+func mayJoinAttempt(job *workload.Job, token ids.Generation) bool {
 	for _, assignment := range job.Assignments {
 		waiting := assignment.Status == worker.StatePulling || assignment.Status == worker.StateWaiting
 		switch {
@@ -85,8 +85,8 @@
 	return []string{""}
 }
 
-// startGang assigns a gang's unassigned tasks in order, one to each element of nodes.
-func (a *assigner) startGang(job *workload.Job, nodes []*capacity.Node, pass *planningPass) {
+// assignGangTasks assigns a gang's unassigned tasks in order, one to each element of nodes.
+func (a *assigner) assignGangTasks(job *workload.Job, nodes []*capacity.Node, pass *planningPass) {
 	if len(job.Assignments) == 0 {
 		job.Record.Attempt++
 	}
@@ -97,14 +97,14 @@
 			assigned++
 		}
 	}
-	a.tasksAssigned(job, assigned)
+	a.recordAssigned(job, assigned)
 	job.PendingReason = ""
-	a.reservations.removeJob(job)
+	a.reservations.removeForJob(job)
 }
 
-// makeRoomForGang preempts other tasks for the unassigned tasks of a gang, or reserves machines for
+// preemptOrReserveForGang preempts other tasks for the unassigned tasks of a gang, or reserves machines for
 // them, and sets the reason why the gang is pending.
-func (a *assigner) makeRoomForGang(job *workload.Job, search *search, missing int) {
+func (a *assigner) preemptOrReserveForGang(job *workload.Job, search *search, missing int) {
 	job.PendingReason = "not all tasks of the gang have room at once"
 	for range missing {
 		freed, machine := a.preemptor.preempt(job, search.request, search.pass)
@@ -144,7 +144,7 @@
 		if other == assignment || other.Stopping || other.Confirmed && other.Status != worker.StatePulling {
 			continue
 		}
-		if holder := machines.Machines[other.Machine]; holder == nil || !holder.Images.Has(image) {
+		if otherMachine := machines.Machines[other.Machine]; otherMachine == nil || !otherMachine.Images.Has(image) {
 			return false
 		}
 	}
--- a/internal/scheduler/machine_reserver.go
+++ b/internal/scheduler/machine_reserver.go
@@ -28,9 +28,9 @@
 	reservationTime = time.Minute
 	// reservationRetryDelay is the least time between two searches for machines to reserve for a job.
 	reservationRetryDelay = 5 * time.Second
-	// reservedFleetFraction is the divisor that limits reservations: at most the number of machines
+	// reservedFleetDivisor is the divisor that limits reservations: at most the number of machines
 	// divided by it may be reserved, except for a job that needs more machines at once.
-	reservedFleetFraction = 20
+	reservedFleetDivisor = 20
 )
 
 // wantsReservation reports whether machines should be reserved for a job that has no room for the given
@@ -44,11 +44,11 @@
 	return !job.Suspect() && job.Starving(now) && now.Sub(job.ReservationSoughtAt) >= reservationRetryDelay
 }
 
-// emptyingNode is a node with the estimated time until its tasks have ended.
-type emptyingNode struct {
-	node  *capacity.Node
-	zone  string
-	after time.Duration
+// reservableNode is a node with the estimated time until its tasks have ended.
+type reservableNode struct {
+	node          *capacity.Node
+	zone          string
+	timeUntilFree time.Duration
 }
 
 // reserve reserves the n machines that will be free soonest for a starving job. It reports whether
@@ -59,15 +59,15 @@
 		return false
 	}
 	job.ReservationSoughtAt = now
-	if r.reservations.countEmptying(now)+n > max(2*n, len(r.Capacity.Nodes())/reservedFleetFraction) {
+	if r.reservations.countAwaitingTaskEnd(now)+n > max(2*n, len(r.Capacity.Nodes())/reservedFleetDivisor) {
 		return false
 	}
-	nodes, already := r.emptyingNodes(job, request, now)
-	if already {
+	nodes, alreadyReserved := r.reservableNodes(job, request, now)
+	if alreadyReserved {
 		return true
 	}
 	if job.Record.Spec.SingleZone && n > 1 {
-		nodes = inSoonestZone(nodes, n)
+		nodes = nodesOfSoonestZone(nodes, n)
 	}
 	if len(nodes) < n {
 		return false
@@ -77,15 +77,16 @@
 		until = now.Add(2 * reservationTime) // tasks on the machines that such gangs need run for long
 	}
 	for _, found := range nodes[:n] {
-		r.reservations.Set(found.node.Name, Reservation{Job: job.ID(), Need: request.Resources, CreatedAt: now, ExpiresAt: until, AsItEmpties: true})
+		r.reservations.Set(found.node.Name, Reservation{Job: job.ID(), Need: request.Resources, CreatedAt: now, ExpiresAt: until, AwaitsTaskEnd: true})
 	}
 	r.cluster.RecordEvent(job, "%d machines set aside for it, %s the first", n, nodes[0].node.Name)
 	return true
 }
 
-// emptyingNodes returns the nodes that will have room for a request when their array and gang tasks have
-// ended, in the order in which that is expected. already reports that a machine is reserved for the job.
-func (r *machineReserver) emptyingNodes(job *workload.Job, request *placement.Request, now time.Time) (nodes []emptyingNode, already bool) {
+// reservableNodes returns the nodes that will have room for a request when their array and gang tasks have
+// ended, in the order in which that is expected. alreadyReserved reports that a machine is reserved for the
+// job.
+func (r *machineReserver) reservableNodes(job *workload.Job, request *placement.Request, now time.Time) (nodes []reservableNode, alreadyReserved bool) {
 	for _, node := range r.Capacity.Nodes() {
 		machine := r.Machines.Machines[node.Name]
 		if machine == nil {
@@ -105,23 +106,23 @@
 		if onlyForAccelerated || !offer.Capacity().Minus(node.Used).Plus(node.Reclaimable).Holds(request.Resources) {
 			continue
 		}
-		nodes = append(nodes, emptyingNode{node, machine.Zone, node.TimeUntilFree(now)})
+		nodes = append(nodes, reservableNode{node, machine.Zone, node.TimeUntilFree(now)})
 	}
-	slices.SortFunc(nodes, func(x, y emptyingNode) int {
-		return cmp.Or(cmp.Compare(x.after, y.after), cmp.Compare(x.node.Name, y.node.Name))
+	slices.SortFunc(nodes, func(x, y reservableNode) int {
+		return cmp.Or(cmp.Compare(x.timeUntilFree, y.timeUntilFree), cmp.Compare(x.node.Name, y.node.Name))
 	})
 	return nodes, false
 }
 
-// inSoonestZone returns the nodes of the zone in which n nodes will be free soonest, or all nodes if no
+// nodesOfSoonestZone returns the nodes of the zone in which n nodes will be free soonest, or all nodes if no
 // zone has n of them. The nodes must be sorted, soonest free first.
-func inSoonestZone(nodes []emptyingNode, n int) []emptyingNode {
+func nodesOfSoonestZone(nodes []reservableNode, n int) []reservableNode {
 	count := map[string]int{}
 	for _, found := range nodes {
 		count[found.zone]++
 		if count[found.zone] == n {
 			zone := found.zone
-			return slices.DeleteFunc(nodes, func(other emptyingNode) bool { return other.zone != zone })
+			return slices.DeleteFunc(nodes, func(other reservableNode) bool { return other.zone != zone })
 		}
 	}
 	return nodes
@@ -131,25 +132,25 @@
 // another job that takes precedence, is too small for a task of the job.
 func (r *machineReserver) reservedForOther(machine ids.Machine, free placement.Resources, job *workload.Job, now time.Time) bool {
 	reservation, reserved := r.reservations.On(machine, now)
-	return reserved && reservation.Job != job.ID() && r.goesBefore(reservation.Job, job, now) &&
+	return reserved && reservation.Job != job.ID() && r.takesPrecedence(reservation.Job, job, now) &&
 		!free.Minus(reservation.Need).Holds(job.Record.Spec.Resources)
 }
 
-// goesBefore reports whether the job with a reservation still takes precedence over another job.
-func (r *machineReserver) goesBefore(id ids.Job, job *workload.Job, now time.Time) bool {
-	holder := r.Jobs.Get(id)
-	if holder == nil || !holder.Schedulable() {
+// takesPrecedence reports whether the job with a reservation still takes precedence over another job.
+func (r *machineReserver) takesPrecedence(id ids.Job, job *workload.Job, now time.Time) bool {
+	reservedJob := r.Jobs.Get(id)
+	if reservedJob == nil || !reservedJob.Schedulable() {
 		return false
 	}
-	return holder.EffectivePriority() >= job.EffectivePriority() || holder.Starving(now) && job.EffectivePriority() < record.Critical
+	return reservedJob.EffectivePriority() >= job.EffectivePriority() || reservedJob.Starving(now) && job.EffectivePriority() < record.Critical
 }
 
-// view implements Scheduler.CandidateView.
-func (r *machineReserver) view(node *capacity.Node, machine *worker.Machine, job *workload.Job, retry *workload.Retry, now time.Time) placement.Candidate {
-	view := candidateView(node, machine, job)
-	view.Reserved = r.reservedForOther(node.Name, view.Free, job, now)
-	view.FailedBefore = retry != nil && retry.Avoid[node.Name]
-	return view
+// taskCandidate implements Scheduler.CandidateView.
+func (r *machineReserver) taskCandidate(node *capacity.Node, machine *worker.Machine, job *workload.Job, retry *workload.Retry, now time.Time) placement.Candidate {
+	taskCandidate := candidateView(node, machine, job)
+	taskCandidate.Reserved = r.reservedForOther(node.Name, taskCandidate.Free, job, now)
+	taskCandidate.FailedBefore = retry != nil && retry.Avoid[node.Name]
+	return taskCandidate
 }
 
 // candidateView describes a node as a placement candidate for any task of a job. It ignores reservations
--- a/internal/scheduler/pass.go
+++ b/internal/scheduler/pass.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// dropFindings clears the cached search results, which may be outdated after the lock was released.
-func (p *planningPass) dropFindings() {
+// clearCachedResults clears the cached search results, which may be outdated after the lock was released.
+func (p *planningPass) clearCachedResults() {
 	clear(p.noCapacity)
 	clear(p.preemptible)
 	clear(p.noVictims)
@@ -94,8 +94,8 @@
 	return key
 }
 
-// covered reports whether need is at least as large, in all resources, as an amount that is known to be
-// unavailable.
-func covered(unavailable []placement.Resources, need placement.Resources) bool {
+// knownUnavailable reports whether need is at least as large, in all resources, as an amount that is known
+// to be unavailable.
+func knownUnavailable(unavailable []placement.Resources, need placement.Resources) bool {
 	return slices.ContainsFunc(unavailable, func(amount placement.Resources) bool { return need.Holds(amount) })
 }
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -42,7 +42,7 @@
 // preempt frees capacity for one task of a job on some machine and returns the machine's name.
 func (p *preemptor) preempt(job *workload.Job, request *placement.Request, pass *planningPass) (freed bool, machine string) {
 	key := preemptionKeyOf(job, request)
-	if covered(pass.noVictims[key], request.Resources) {
+	if knownUnavailable(pass.noVictims[key], request.Resources) {
 		return false, ""
 	}
 	freed, machine, noVictims := p.preemptCheapest(job, request, pass, anyVictims)
@@ -52,15 +52,15 @@
 	return freed, machine
 }
 
-// recentReservation is the age below which a reservation counts as a preemption that is in progress.
-const recentReservation = time.Second
+// preemptionInProgressAge is the age below which a reservation counts as a preemption that is in progress.
+const preemptionInProgressAge = time.Second
 
 // preemptWhereCached frees capacity on a machine that has the image cached by stopping tasks that need no
 // grace period. It returns the machine's name, also if tasks that an earlier call stopped there have not
 // ended yet, or an empty string if no capacity is being freed.
 func (p *preemptor) preemptWhereCached(job *workload.Job, request *placement.Request, pass *planningPass) (machine string) {
 	for name, reservation := range p.reservations.all() {
-		if reservation.Job != job.ID() || pass.now.Sub(reservation.CreatedAt) >= recentReservation {
+		if reservation.Job != job.ID() || pass.now.Sub(reservation.CreatedAt) >= preemptionInProgressAge {
 			continue
 		}
 		node := p.Capacity.Node(name)
@@ -74,13 +74,13 @@
 	}
 	// Only tasks of lower priority are stopped. A guarantee would also allow stopping tasks of the same
 	// priority, but exchanging one replica for another gains nothing and delays the other job's replica.
-	exitAtOnce := func(victims []*workload.Assignment) bool {
+	exitImmediately := func(victims []*workload.Assignment) bool {
 		return len(victims) > 0 && !slices.ContainsFunc(victims, func(victim *workload.Assignment) bool {
 			return victim.CheckpointGrace() > 0 || victim.Job.Record.Spec.Shape == record.Service ||
 				victim.Job.EffectivePriority() >= job.EffectivePriority()
 		})
 	}
-	_, machine, _ = p.preemptCheapest(job, request, pass, preemptionFilter{image: request.Image, accepts: exitAtOnce})
+	_, machine, _ = p.preemptCheapest(job, request, pass, preemptionFilter{image: request.Image, accepts: exitImmediately})
 	return machine
 }
 
@@ -161,15 +161,15 @@
 	if job.EffectivePriority() < record.High && !job.Guaranteed || !p.cluster.StoreAvailable() {
 		return false, "", true
 	}
-	held := p.reservations.dropExpired(job.ID(), pass.now)
-	if held >= max(1, job.Unfinished()-len(job.Assignments)) {
+	reservedCount := p.reservations.dropExpired(job.ID(), pass.now)
+	if reservedCount >= max(1, job.Unfinished()-len(job.Assignments)) {
 		return false, "", false
 	}
 	best, noVictims := p.cheapestPreemption(job, request, pass, filter)
 	if best == nil {
 		return false, "", noVictims
 	}
-	p.carryOut(best, job, request, pass.now)
+	p.execute(best, job, request, pass.now)
 	return true, string(best.node.Name), false
 }
 
@@ -227,12 +227,12 @@
 	return loss
 }
 
-// preemptionMargin is the time, in seconds, for which the freed capacity stays reserved after the longest
-// grace period of the stopped tasks.
-const preemptionMargin = 10
+// preemptionReservationMargin is the time, in seconds, for which the freed capacity stays reserved after the
+// longest grace period of the stopped tasks.
+const preemptionReservationMargin = 10
 
-// carryOut stops the victims of a preemption and reserves the freed capacity for the job.
-func (p *preemptor) carryOut(chosen *preemption, job *workload.Job, request *placement.Request, now time.Time) {
+// execute stops the victims of a preemption and reserves the freed capacity for the job.
+func (p *preemptor) execute(chosen *preemption, job *workload.Job, request *placement.Request, now time.Time) {
 	longest := ids.Seconds(0)
 	for _, victim := range chosen.victims {
 		grace := victim.CheckpointGrace()
@@ -243,7 +243,7 @@
 		longest = max(longest, victim.StopGrace)
 	}
 	p.reservations.Set(chosen.node.Name, Reservation{Job: job.ID(), Need: request.Resources, CreatedAt: now,
-		ExpiresAt: now.Add((longest + preemptionMargin).Duration())})
+		ExpiresAt: now.Add((longest + preemptionReservationMargin).Duration())})
 }
 
 // victim is a task that may be stopped, with the cost of stopping it.
@@ -252,8 +252,8 @@
 	loss       float64
 }
 
-// graceLoss is the cost of each second for which a critical job waits for a victim's grace period.
-const graceLoss = 100
+// graceLossPerSecond is the cost of each second for which a critical job waits for a victim's grace period.
+const graceLossPerSecond = 100
 
 // victimsOn chooses which tasks of a node to stop so that a request fits into the node's free resources
 // and those of the stopped tasks. It returns these tasks and the cost of stopping them. enough reports
@@ -264,7 +264,7 @@
 	for assignment := range node.Assignments {
 		if assignment.Stopping {
 			free = free.Plus(assignment.Job.Record.Spec.Resources)
-		} else if p.mayPreempt(assignment, job) {
+		} else if p.mayPreemptTask(assignment, job) {
 			victims = append(victims, victim{assignment, assignment.PreemptionCost(now)})
 		}
 	}
@@ -276,7 +276,7 @@
 		stop = append(stop, chosen.assignment)
 		loss += chosen.loss
 		if grace := chosen.assignment.CheckpointGrace(); critical && grace > 0 && !chosen.assignment.LittleToSave(now) {
-			loss += graceLoss * float64(grace)
+			loss += graceLossPerSecond * float64(grace)
 		}
 		free = free.Plus(chosen.assignment.Job.Record.Spec.Resources)
 	}
@@ -299,9 +299,9 @@
 	return cmp.Compare(x.assignment.Task().String(), y.assignment.Task().String())
 }
 
-// mayPreempt reports whether a task may be stopped for a job. The protocol's preemption rule applies,
+// mayPreemptTask reports whether a task may be stopped for a job. The protocol's preemption rule applies,
 // except that the first tasks of a job that starved are protected for a limited time.
-func (p *preemptor) mayPreempt(assignment *workload.Assignment, job *workload.Job) bool {
+func (p *preemptor) mayPreemptTask(assignment *workload.Assignment, job *workload.Job) bool {
 	return p.mayPreemptJob(assignment.Job, job) && !assignment.ProtectedFrom(job)
 }
 
--- a/internal/scheduler/quota_preemption.go
+++ b/internal/scheduler/quota_preemption.go
@@ -32,14 +32,14 @@
 	spec := &job.Record.Spec
 	team, _ := q.Settings.Team(spec.Team)
 	excess := quotaExcess(team, q.Quota.Usage(spec.Team).Plus(spec.Resources.Times(float64(tasks))))
-	left, excess, victims := q.lesserWork(job, team, excess)
+	left, excess, victims := q.quotaVictims(job, team, excess)
 	if fitting := left.CountFitting(spec.Resources, tasks); fitting > 0 && (fitting == tasks || spec.Shape != record.Gang) {
 		q.reservations.set(job, spec.Resources.Times(float64(fitting)), now)
 	}
-	slices.SortFunc(victims, func(x, y *workload.Assignment) int { return compareLesserWork(x, y, now) })
+	slices.SortFunc(victims, func(x, y *workload.Assignment) int { return compareQuotaVictims(x, y, now) })
 	reason := fmt.Sprintf("its team is at its limit and %s (%s) goes first", spec.ID, job.EffectivePriority())
 	for _, victim := range victims {
-		if !exceeds(excess) {
+		if !anyPositive(excess) {
 			break
 		}
 		need := victim.Job.Record.Spec.Resources
@@ -48,11 +48,11 @@
 			q.cluster.Stop(victim, victim.CheckpointGrace(), reason)
 		}
 	}
-	return !exceeds(excess)
+	return !anyPositive(excess)
 }
 
-// exceeds reports whether cores or accelerators, the resources with limits, are in excess.
-func exceeds(excess placement.Resources) bool { return excess.Cores > 0 || excess.Accels > 0 }
+// anyPositive reports whether the amount of cores or accelerators, the resources with limits, is above zero.
+func anyPositive(amount placement.Resources) bool { return amount.Cores > 0 || amount.Accels > 0 }
 
 // quotaExcess returns how far usage exceeds a team's limits. Negative amounts are below the limits.
 func quotaExcess(team config.Team, usage placement.Resources) placement.Resources {
@@ -67,10 +67,10 @@
 	return usage
 }
 
-// lesserWork examines the tasks of a job's team. left is the quota that tasks of the job's priority or
+// quotaVictims examines the tasks of a job's team. left is the quota that tasks of the job's priority or
 // higher leave free. victims are the lower-priority tasks that may be stopped. remaining is the excess
 // minus the resources of lower-priority tasks that are already being stopped.
-func (q *quotaPreemptor) lesserWork(job *workload.Job, team config.Team, excess placement.Resources) (left, remaining placement.Resources, victims []*workload.Assignment) {
+func (q *quotaPreemptor) quotaVictims(job *workload.Job, team config.Team, excess placement.Resources) (left, remaining placement.Resources, victims []*workload.Assignment) {
 	left = placement.Resources{Cores: team.CPUsMax, Accels: team.GPUsMax, RAM: unlimited}
 	if team.CPUsMax == 0 {
 		left.Cores = unlimited
@@ -98,8 +98,8 @@
 	return left, excess, victims
 }
 
-// compareLesserWork orders victims by priority, lowest first, then by lost progress, least first.
-func compareLesserWork(x, y *workload.Assignment, now time.Time) int {
+// compareQuotaVictims orders victims by priority, lowest first, then by lost progress, least first.
+func compareQuotaVictims(x, y *workload.Assignment, now time.Time) int {
 	order := cmp.Or(cmp.Compare(x.Job.EffectivePriority(), y.Job.EffectivePriority()),
 		cmp.Compare(x.PreemptionCost(now), y.PreemptionCost(now)))
 	if order != 0 {
@@ -116,14 +116,14 @@
 	for _, team := range q.Settings.Params.Teams {
 		amount, rank, owed := q.Quota.ReclaimNeeded(team.Name)
 		if priority := record.Priority(rank.Priority); owed && priority >= record.High {
-			q.preemptBelow(team.Name, priority, amount.Room())
+			q.preemptBelowPriority(team.Name, priority, amount.Room())
 		}
 	}
 }
 
-// preemptBelow stops tasks of a team that have a lower priority than the given one until the wanted
+// preemptBelowPriority stops tasks of a team that have a lower priority than the given one until the wanted
 // resources are freed. Tasks that are already being stopped count as freed.
-func (q *quotaPreemptor) preemptBelow(team string, priority record.Priority, wanted placement.Resources) {
+func (q *quotaPreemptor) preemptBelowPriority(team string, priority record.Priority, wanted placement.Resources) {
 	var victims []*workload.Assignment
 	for _, job := range q.Jobs.Ordered() {
 		if job.Record.Spec.Team != team || job.EffectivePriority() >= priority {
@@ -140,7 +140,7 @@
 	now := time.Now()
 	slices.SortStableFunc(victims, func(x, y *workload.Assignment) int { return compareRoundedLoss(x, y, now) })
 	for _, victim := range victims {
-		if !exceeds(wanted) {
+		if !anyPositive(wanted) {
 			return
 		}
 		wanted = wanted.Minus(victim.Job.Record.Spec.Resources)
@@ -148,7 +148,7 @@
 	}
 }
 
-// compareRoundedLoss orders victims by priority and loss like compareLesserWork, but treats losses that
+// compareRoundedLoss orders victims by priority and loss like compareQuotaVictims, but treats losses that
 // differ by less than a thousandth of a core-second as equal.
 func compareRoundedLoss(x, y *workload.Assignment, now time.Time) int {
 	return cmp.Or(cmp.Compare(x.Job.EffectivePriority(), y.Job.EffectivePriority()),
--- a/internal/scheduler/ranking.go
+++ b/internal/scheduler/ranking.go
@@ -22,9 +22,9 @@
 	rankFailing = -1
 )
 
-// lowRisesAfter is the age, in seconds, above which a job of low priority is ranked as one of normal
+// lowPromotionAge is the age, in seconds, above which a job of low priority is ranked as one of normal
 // priority, so that it does not starve. No priority is raised by more than one level.
-const lowRisesAfter = 45
+const lowPromotionAge = 45
 
 // rankedJob is a job with its sort keys. Higher ranks come first; jobs of equal rank are ordered by size,
 // smallest first.
@@ -98,7 +98,7 @@
 func (r *ranker) rank(job *workload.Job, now time.Time) rankedJob {
 	age := max(0, now.Sub(job.Record.EligibleSince().Time()).Seconds())
 	priority := job.EffectivePriority()
-	if priority == record.Low && age > lowRisesAfter {
+	if priority == record.Low && age > lowPromotionAge {
 		priority = record.Normal
 	}
 	starving := priority != record.Critical && job.Starving(now)
@@ -137,17 +137,17 @@
 		return 0
 	}
 	taskSeconds := max(1, float64(spec.EstimatedDuration))
-	if spec.Shape == record.Gang && !r.fitsWhereCached(job) {
+	if spec.Shape == record.Gang && !r.fitsOnNodesWithImage(job) {
 		taskSeconds += r.Estimates.ImagePullSeconds(spec)
 	}
 	halvingAge := max(minHalvingAge, min(maxHalvingAge, r.Estimates.QueueHorizon(job)/2))
 	return float64(job.Unfinished()) * spec.Resources.Cores * taskSeconds / (1 + age/halvingAge)
 }
 
-// fitsWhereCached reports whether the machines that have a gang's image cached have room for all of the
+// fitsOnNodesWithImage reports whether the machines that have a gang's image cached have room for all of the
 // gang's unassigned tasks. Pulling a large image takes a considerable part of a gang's time, so of two
 // similar gangs the one that need not pull its image completes sooner.
-func (r *ranker) fitsWhereCached(job *workload.Job) bool {
+func (r *ranker) fitsOnNodesWithImage(job *workload.Job) bool {
 	spec := &job.Record.Spec
 	missing := spec.Tasks - len(job.Assignments)
 	for node := range r.Capacity.WithImage(spec.Image) {
--- a/internal/scheduler/reservations.go
+++ b/internal/scheduler/reservations.go
@@ -15,9 +15,9 @@
 	Need      placement.Resources
 	CreatedAt time.Time
 	ExpiresAt time.Time
-	// AsItEmpties is set if the reservation waits until running tasks end by themselves. It is not set
+	// AwaitsTaskEnd is set if the reservation waits until running tasks end by themselves. It is not set
 	// if tasks were preempted to free the reserved capacity.
-	AsItEmpties bool
+	AwaitsTaskEnd bool
 }
 
 // Reservations holds the reservations of machines, at most one for each machine.
@@ -46,21 +46,21 @@
 // all returns the reservations by machine, including expired ones. Callers must not change the map.
 func (r *Reservations) all() map[ids.Machine]Reservation { return r.byMachine }
 
-// isFor reports whether a machine has a reservation, expired or not, for a job.
-func (r *Reservations) isFor(machine ids.Machine, job ids.Job) bool {
+// isReservedFor reports whether a machine has a reservation, expired or not, for a job.
+func (r *Reservations) isReservedFor(machine ids.Machine, job ids.Job) bool {
 	return r.byMachine[machine].Job == job
 }
 
-// use removes a machine's reservation if it is for a job. It is called when a task of the job is assigned
-// to the machine.
-func (r *Reservations) use(machine ids.Machine, job *workload.Job) {
+// consume removes a machine's reservation if it is for a job. It is called when a task of the job is
+// assigned to the machine.
+func (r *Reservations) consume(machine ids.Machine, job *workload.Job) {
 	if reservation, reserved := r.byMachine[machine]; reserved && reservation.Job == job.ID() {
 		delete(r.byMachine, machine)
 	}
 }
 
-// removeJob removes all reservations for a job, also on machines to which no task of it was assigned.
-func (r *Reservations) removeJob(job *workload.Job) {
+// removeForJob removes all reservations for a job, also on machines to which no task of it was assigned.
+func (r *Reservations) removeForJob(job *workload.Job) {
 	for machine, reservation := range r.byMachine {
 		if reservation.Job == job.ID() {
 			delete(r.byMachine, machine)
@@ -69,21 +69,21 @@
 }
 
 // dropExpired removes all expired reservations and returns how many remain for a job.
-func (r *Reservations) dropExpired(job ids.Job, now time.Time) (held int) {
+func (r *Reservations) dropExpired(job ids.Job, now time.Time) (remaining int) {
 	for machine, reservation := range r.byMachine {
 		if !reservation.ExpiresAt.After(now) {
 			delete(r.byMachine, machine)
 		} else if reservation.Job == job {
-			held++
+			remaining++
 		}
 	}
-	return held
+	return remaining
 }
 
-// countEmptying returns the number of unexpired reservations that wait until running tasks end.
-func (r *Reservations) countEmptying(now time.Time) (count int) {
+// countAwaitingTaskEnd returns the number of unexpired reservations that wait until running tasks end.
+func (r *Reservations) countAwaitingTaskEnd(now time.Time) (count int) {
 	for _, reservation := range r.byMachine {
-		if reservation.AsItEmpties && reservation.ExpiresAt.After(now) {
+		if reservation.AwaitsTaskEnd && reservation.ExpiresAt.After(now) {
 			count++
 		}
 	}
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -125,7 +125,7 @@
 // CandidateView describes a node as a placement candidate for a task of a job. A nil retry means that
 // the task has not failed before.
 func (s *Scheduler) CandidateView(node *capacity.Node, machine *worker.Machine, job *workload.Job, retry *workload.Retry, now time.Time) placement.Candidate {
-	return s.reserver.view(node, machine, job, retry, now)
+	return s.reserver.taskCandidate(node, machine, job, retry, now)
 }
 
 // MaxExaminedPerLock is the number of machines that a pass examines before it yields the cluster state's
@@ -139,9 +139,9 @@
 // have room for them. It reports whether the pass was completed.
 func (s *Scheduler) Run(now time.Time) bool {
 	pass := newPlanningPass(now)
-	s.examined.lockTaken(0)
+	s.examined.lockAcquired(0)
 	for _, job := range s.Ranked(now) {
-		if s.examined.sinceLock(pass.machinesExamined) > MaxExaminedPerLock && !s.yieldLock(pass) {
+		if s.examined.sinceLockAcquired(pass.machinesExamined) > MaxExaminedPerLock && !s.yieldLock(pass) {
 			return false
 		}
 		if !s.Jobs.Contains(job) {
@@ -162,8 +162,8 @@
 func (s *Scheduler) yieldLock(pass *planningPass) bool {
 	s.examined.lockReleased(pass.machinesExamined)
 	mayContinue := s.cluster.YieldLock()
-	s.examined.lockTaken(pass.machinesExamined)
-	pass.dropFindings()
+	s.examined.lockAcquired(pass.machinesExamined)
+	pass.clearCachedResults()
 	return mayContinue
 }
 
@@ -187,14 +187,16 @@
 // the current pass has examined so far.
 type examinedCount struct {
 	total       int // in completed passes
-	atLock      int // in completed passes and the current one, when the lock was last acquired
+	totalAtLock int // in completed passes and the current one, when the lock was last acquired
 	mostPerLock int // maximum between acquiring and releasing the lock
 }
 
-func (c *examinedCount) lockTaken(inPass int) { c.atLock = c.total + inPass }
+func (c *examinedCount) lockAcquired(examinedInPass int) { c.totalAtLock = c.total + examinedInPass }
 
-func (c *examinedCount) sinceLock(inPass int) int { return c.total + inPass - c.atLock }
+func (c *examinedCount) sinceLockAcquired(examinedInPass int) int {
+	return c.total + examinedInPass - c.totalAtLock
+}
 
-func (c *examinedCount) lockReleased(inPass int) {
-	c.mostPerLock = max(c.mostPerLock, c.sinceLock(inPass))
+func (c *examinedCount) lockReleased(examinedInPass int) {
+	c.mostPerLock = max(c.mostPerLock, c.sinceLockAcquired(examinedInPass))
 }
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -45,9 +45,9 @@
 	c.stopped = append(c.stopped, assignment.Task().String())
 }
 
-// testScheduler returns a scheduler for two machines with four cores each and two teams: "red" has a
+// newTestScheduler returns a scheduler for two machines with four cores each and two teams: "red" has a
 // guarantee of four cores and a limit of six, "blue" has no guarantee and no limit.
-func testScheduler(now time.Time) (*Scheduler, *fakeCluster) {
+func newTestScheduler(now time.Time) (*Scheduler, *fakeCluster) {
 	settings := &config.Settings{Operator: config.DefaultOperator()}
 	settings.Params.Workers = config.WorkerIntervals{ReportS: 2, LeaseS: 20}
 	settings.Params.State.ValueKB = 8
@@ -77,8 +77,8 @@
 	return job
 }
 
-// run assigns all tasks of a job to a machine, as running since the given time.
-func run(cluster *fakeCluster, job *workload.Job, machine ids.Machine, since time.Time) {
+// runTasks assigns all tasks of a job to a machine, as running since the given time.
+func runTasks(cluster *fakeCluster, job *workload.Job, machine ids.Machine, since time.Time) {
 	for task := range job.Record.Spec.Tasks {
 		cluster.Assign(&workload.Assignment{Job: job, TaskIndex: task, Machine: machine, Status: worker.StateRunning, RunningSince: since})
 	}
@@ -87,7 +87,7 @@
 func TestJobsAreRankedByUrgencyThenSize(t *testing.T) {
 	now := time.Now()
 	old := now.Add(-workload.StarvationTime - time.Minute)
-	scheduler, _ := testScheduler(now)
+	scheduler, _ := newTestScheduler(now)
 	addJob(scheduler, "guaranteed", "red", record.Normal, 2, now)
 	addJob(scheduler, "beyond-guarantee", "red", record.Normal, 5, now.Add(time.Second))
 	addJob(scheduler, "high", "blue", record.High, 9, now)
@@ -109,7 +109,7 @@
 	}
 }
 
-func TestVictimsAreStoppedWithTheLeastLoss(t *testing.T) {
+func TestPreemptionStopsTasksWithLeastLoss(t *testing.T) {
 	now := time.Now()
 	for _, c := range []struct {
 		name   string
@@ -118,40 +118,40 @@
 		want   string
 	}{
 		{"the lowest priority first", record.High, func(s *Scheduler, cluster *fakeCluster) {
-			run(cluster, addJob(s, "normal", "blue", record.Normal, 3, now), "m1", now)
-			run(cluster, addJob(s, "low", "blue", record.Low, 1, now), "m1", now.Add(-time.Hour))
-			run(cluster, addJob(s, "high", "blue", record.High, 4, now), "m2", now)
+			runTasks(cluster, addJob(s, "normal", "blue", record.Normal, 3, now), "m1", now)
+			runTasks(cluster, addJob(s, "low", "blue", record.Low, 1, now), "m1", now.Add(-time.Hour))
+			runTasks(cluster, addJob(s, "high", "blue", record.High, 4, now), "m2", now)
 		}, "low/0"},
 		{"the machine on which least is lost", record.High, func(s *Scheduler, cluster *fakeCluster) {
-			run(cluster, addJob(s, "long", "blue", record.Low, 4, now), "m1", now.Add(-time.Hour))
-			run(cluster, addJob(s, "short", "blue", record.Normal, 4, now), "m2", now.Add(-time.Second))
+			runTasks(cluster, addJob(s, "long", "blue", record.Low, 4, now), "m1", now.Add(-time.Hour))
+			runTasks(cluster, addJob(s, "short", "blue", record.Normal, 4, now), "m2", now.Add(-time.Second))
 		}, "short/0"},
 		{"the least loss among equals", record.High, func(s *Scheduler, cluster *fakeCluster) {
-			run(cluster, addJob(s, "a-long", "blue", record.Low, 2, now), "m1", now.Add(-time.Hour))
-			run(cluster, addJob(s, "b-short", "blue", record.Low, 2, now), "m1", now.Add(-time.Second))
-			run(cluster, addJob(s, "high", "blue", record.High, 4, now), "m2", now)
+			runTasks(cluster, addJob(s, "a-long", "blue", record.Low, 2, now), "m1", now.Add(-time.Hour))
+			runTasks(cluster, addJob(s, "b-short", "blue", record.Low, 2, now), "m1", now.Add(-time.Second))
+			runTasks(cluster, addJob(s, "high", "blue", record.High, 4, now), "m2", now)
 		}, "b-short/0"},
 		{"critical work waits for no checkpoint", record.Critical, func(s *Scheduler, cluster *fakeCluster) {
 			saving := addJob(s, "saving", "blue", record.Low, 2, now)
 			saving.Record.Spec.CheckpointInterval, saving.Record.Spec.CheckpointDuration = 1000, 5
-			run(cluster, saving, "m1", now.Add(-500*time.Second))
-			run(cluster, addJob(s, "plain", "blue", record.Normal, 2, now), "m1", now.Add(-500*time.Second))
-			run(cluster, addJob(s, "critical", "blue", record.Critical, 4, now), "m2", now)
+			runTasks(cluster, saving, "m1", now.Add(-500*time.Second))
+			runTasks(cluster, addJob(s, "plain", "blue", record.Normal, 2, now), "m1", now.Add(-500*time.Second))
+			runTasks(cluster, addJob(s, "critical", "blue", record.Critical, 4, now), "m2", now)
 		}, "plain/0"},
 		{"nothing for normal work", record.Normal, func(s *Scheduler, cluster *fakeCluster) {
-			run(cluster, addJob(s, "a", "blue", record.Low, 4, now), "m1", now)
-			run(cluster, addJob(s, "b", "blue", record.Low, 4, now), "m2", now)
+			runTasks(cluster, addJob(s, "a", "blue", record.Low, 4, now), "m1", now)
+			runTasks(cluster, addJob(s, "b", "blue", record.Low, 4, now), "m2", now)
 		}, ""},
 		{"nothing while a protected start is all there is", record.High, func(s *Scheduler, cluster *fakeCluster) {
 			job := addJob(s, "starved", "blue", record.Low, 4, now)
-			run(cluster, job, "m1", now)
+			runTasks(cluster, job, "m1", now)
 			for _, assignment := range job.Assignments {
 				assignment.ProtectedUntil = now.Add(time.Minute)
 			}
-			run(cluster, addJob(s, "high", "blue", record.High, 4, now), "m2", now)
+			runTasks(cluster, addJob(s, "high", "blue", record.High, 4, now), "m2", now)
 		}, ""},
 	} {
-		scheduler, cluster := testScheduler(now)
+		scheduler, cluster := newTestScheduler(now)
 		c.others(scheduler, cluster)
 		addJob(scheduler, "urgent", "blue", c.job, 1, now)
 		if !scheduler.Run(now) {
@@ -163,12 +163,12 @@
 	}
 }
 
-func TestTeamQuotaGoesToItsMoreUrgentWork(t *testing.T) {
+func TestQuotaPreemptionFavorsMoreUrgentJobs(t *testing.T) {
 	now := time.Now()
-	scheduler, cluster := testScheduler(now)
-	lesser := addJob(scheduler, "lesser", "red", record.Normal, 9, now)
+	scheduler, cluster := newTestScheduler(now)
+	lowerPriority := addJob(scheduler, "lesser", "red", record.Normal, 9, now)
 	scheduler.Run(now)
-	if got := len(lesser.Assignments); got != 6 {
+	if got := len(lowerPriority.Assignments); got != 6 {
 		t.Fatalf("%d tasks of one core assigned with a limit of six cores, want 6", got)
 	}
 	urgent := addJob(scheduler, "urgent", "red", record.High, 2, now)
@@ -177,15 +177,15 @@
 		t.Errorf("stopped tasks %v, want two; pending reason: %s", cluster.stopped, urgent.PendingReason)
 	}
 	reservations := scheduler.admission.reservations
-	if got := reservations.reservedFrom(lesser, now); got.Cores != 2 {
+	if got := reservations.withheldFrom(lowerPriority, now); got.Cores != 2 {
 		t.Errorf("%v cores are withheld from the job of lower priority, want 2", got.Cores)
 	}
-	if got := reservations.reservedFrom(urgent, now).Cores + reservations.reservedFrom(lesser, now.Add(quotaReservationTime)).Cores; got != 0 {
+	if got := reservations.withheldFrom(urgent, now).Cores + reservations.withheldFrom(lowerPriority, now.Add(quotaReservationTime)).Cores; got != 0 {
 		t.Errorf("%v cores are withheld from the job with the reservation, or after its expiry; want 0", got)
 	}
 }
 
-func TestZoneRulesBoundTheTasksOfAZone(t *testing.T) {
+func TestZoneRulesLimitTasksPerZone(t *testing.T) {
 	for _, c := range []struct {
 		name             string
 		single, spread   bool
@@ -213,25 +213,25 @@
 	}
 }
 
-func TestReservationsEndByTimeOrUse(t *testing.T) {
+func TestReservationsEndByExpiryOrUse(t *testing.T) {
 	now := time.Now()
 	job := workload.NewJob(record.New(record.Spec{ID: "job", Tasks: 1}, 0, "writer"), 1)
 	reservations := newReservations()
 	for machine, reservation := range map[ids.Machine]Reservation{
-		"own": {Job: "job", ExpiresAt: now.Add(time.Minute), AsItEmpties: true}, "used": {Job: "job", ExpiresAt: now.Add(time.Minute)},
-		"expired": {Job: "job", ExpiresAt: now}, "other": {Job: "other", ExpiresAt: now.Add(time.Minute), AsItEmpties: true},
+		"own": {Job: "job", ExpiresAt: now.Add(time.Minute), AwaitsTaskEnd: true}, "used": {Job: "job", ExpiresAt: now.Add(time.Minute)},
+		"expired": {Job: "job", ExpiresAt: now}, "other": {Job: "other", ExpiresAt: now.Add(time.Minute), AwaitsTaskEnd: true},
 	} {
 		reservations.Set(machine, reservation)
 	}
-	reservations.use("used", job)
-	reservations.use("other", job)
-	if _, reserved := reservations.On("expired", now); reserved || !reservations.isFor("expired", "job") {
+	reservations.consume("used", job)
+	reservations.consume("other", job)
+	if _, reserved := reservations.On("expired", now); reserved || !reservations.isReservedFor("expired", "job") {
 		t.Error("an expired reservation is still in effect, or was removed")
 	}
-	if emptying, held := reservations.countEmptying(now), reservations.dropExpired("job", now); emptying != 2 || held != 1 {
-		t.Errorf("%d reservations wait for running tasks to end, %d remain for the job; want 2, 1", emptying, held)
+	if awaiting, remaining := reservations.countAwaitingTaskEnd(now), reservations.dropExpired("job", now); awaiting != 2 || remaining != 1 {
+		t.Errorf("%d reservations wait for running tasks to end, %d remain for the job; want 2, 1", awaiting, remaining)
 	}
-	reservations.removeJob(job)
+	reservations.removeForJob(job)
 	if got := len(reservations.all()); got != 1 {
 		t.Errorf("%d reservations remain, want only the one for the other job", got)
 	}
--- a/internal/scheduler/search.go
+++ b/internal/scheduler/search.go
@@ -21,19 +21,19 @@
 	reserver  *machineReserver
 	preemptor *preemptor
 
-	job     *workload.Job
-	request *placement.Request
-	pass    *planningPass
-	zones   *ZoneSpread
-	classes []*capacity.Class // classes that the request may use
-	open    int               // number of nodes of these classes that have capacity left
-	// avoidAccelerators excludes machines with accelerators. pick resets it if no other machine has room
+	job       *workload.Job
+	request   *placement.Request
+	pass      *planningPass
+	zones     *ZoneSpread
+	classes   []*capacity.Class // classes that the request may use
+	openNodes int               // number of nodes of these classes that have capacity left
+	// avoidAccelerators excludes machines with accelerators. pickNode resets it if no other machine has room
 	// and preemption can't free capacity there either.
 	avoidAccelerators bool
 
-	exhaustive bool        // candidates holds all candidates
+	allListed  bool        // whether candidates contains all candidates
 	candidates []candidate // sorted, best first
-	passedOver []candidate // buffer that best reuses between calls
+	skipped    []candidate // buffer that bestListed reuses between calls
 }
 
 // candidate is a machine to which a task may be assigned. Lower scores are better.
@@ -49,8 +49,8 @@
 	s := &search{State: a.State, rng: a.rng, reserver: a.reserver, preemptor: a.preemptor,
 		job: job, request: request, pass: pass, zones: ZoneSpreadOf(job, a.Machines),
 		avoidAccelerators: request.LongRunning && request.Resources.Accels == 0}
-	if covered(pass.noCapacity[placementKeyOf(request)], request.Resources) {
-		s.exhaustive = true
+	if knownUnavailable(pass.noCapacity[placementKeyOf(request)], request.Resources) {
+		s.allListed = true
 		return s
 	}
 	s.selectClasses()
@@ -59,14 +59,14 @@
 
 // selectClasses selects the instance classes that the request may use.
 func (s *search) selectClasses() {
-	s.classes, s.open = s.classes[:0], 0
+	s.classes, s.openNodes = s.classes[:0], 0
 	for _, class := range s.Capacity.Classes() {
 		if len(class.Open) == 0 || s.avoidAccelerators && class.Offer.Accels > 0 ||
 			!s.request.Allows(class.Type, class.Zone, class.Spot) || !class.Offer.Capacity().Holds(s.request.Resources) {
 			continue
 		}
 		s.classes = append(s.classes, class)
-		s.open += len(class.Open)
+		s.openNodes += len(class.Open)
 	}
 }
 
@@ -81,24 +81,24 @@
 	if !usable {
 		return found, false, false
 	}
-	view := s.reserver.view(node, machine, s.job, retry, s.pass.now)
-	leaving := view.ScalingIn && (s.request.Resources.Accels == 0 || view.Type.Accels == 0)
-	if view.Reserved || leaving || s.zones.Allowed(machine.Zone, 1) == 0 {
+	taskCandidate := s.reserver.taskCandidate(node, machine, s.job, retry, s.pass.now)
+	scalingIn := taskCandidate.ScalingIn && (s.request.Resources.Accels == 0 || taskCandidate.Type.Accels == 0)
+	if taskCandidate.Reserved || scalingIn || s.zones.Allowed(machine.Zone, 1) == 0 {
 		return found, false, true
 	}
-	return candidate{node, machine, placement.Score(&view, s.request)}, true, true
+	return candidate{node, machine, placement.Score(&taskCandidate, s.request)}, true, true
 }
 
-// pick returns a node for one more task, or nil if no suitable node has room.
-func (s *search) pick(retry *workload.Retry) *capacity.Node {
-	if !s.exhaustive {
-		if node := s.sample(retry); node != nil {
+// pickNode returns a node for one more task, or nil if no suitable node has room.
+func (s *search) pickNode(retry *workload.Retry) *capacity.Node {
+	if !s.allListed {
+		if node := s.sampleNode(retry); node != nil {
 			return node
 		}
-		s.listAll()
+		s.listCandidates()
 	}
 	for {
-		if node := s.best(retry); node != nil {
+		if node := s.bestListed(retry); node != nil {
 			return node
 		}
 		if !s.avoidAccelerators || s.preemptor.canPreemptWithoutAccelerators(s.job, s.request, s.pass) {
@@ -108,26 +108,26 @@
 		// only if no other machine has room and preemption can't free capacity on one.
 		s.avoidAccelerators = false
 		s.selectClasses()
-		s.listAll()
+		s.listCandidates()
 	}
 }
 
-// sample returns the best of a few random nodes. It returns nil if no sampled node is allowed, if the task
-// failed on the best one before, or if the best one does not have the image cached. A node that is still
-// pulling the image is accepted for tasks that are not long-running.
-func (s *search) sample(retry *workload.Retry) *capacity.Node {
-	if s.open == 0 {
+// sampleNode returns the best of a few random nodes. It returns nil if no sampled node is allowed, if the
+// task failed on the best one before, or if the best one does not have the image cached. A node that is
+// still pulling the image is accepted for tasks that are not long-running.
+func (s *search) sampleNode(retry *workload.Retry) *capacity.Node {
+	if s.openNodes == 0 {
 		return nil
 	}
 	var top candidate
 	for range int(s.Settings.Operator.SampleMachines) {
-		if node := s.nthOpen(s.rng.IntN(s.open)); node != nil {
+		if node := s.nthOpenNode(s.rng.IntN(s.openNodes)); node != nil {
 			if found, ok, _ := s.evaluate(node, retry); ok && (top.node == nil || found.score < top.score) {
 				top = found
 			}
 		}
-		s.countOpen()
-		if s.open == 0 {
+		s.countOpenNodes()
+		if s.openNodes == 0 {
 			break
 		}
 	}
@@ -141,9 +141,9 @@
 	return top.node
 }
 
-// nthOpen returns the node with index n among those that have capacity left. It returns nil if there are
+// nthOpenNode returns the node with index n among those that have capacity left. It returns nil if there are
 // fewer: an assignment may have filled a node since the nodes were counted.
-func (s *search) nthOpen(n int) *capacity.Node {
+func (s *search) nthOpenNode(n int) *capacity.Node {
 	for _, class := range s.classes {
 		if n < len(class.Open) {
 			return class.Open[n]
@@ -153,17 +153,17 @@
 	return nil
 }
 
-// countOpen counts the nodes that have capacity left. Assignments reduce their number.
-func (s *search) countOpen() {
-	s.open = 0
+// countOpenNodes counts the nodes that have capacity left. Assignments reduce their number.
+func (s *search) countOpenNodes() {
+	s.openNodes = 0
 	for _, class := range s.classes {
-		s.open += len(class.Open)
+		s.openNodes += len(class.Open)
 	}
 }
 
-// listAll lists all machines to which tasks of the job may be assigned, best first.
-func (s *search) listAll() {
-	s.exhaustive, s.candidates = true, s.candidates[:0]
+// listCandidates lists all machines to which tasks of the job may be assigned, best first.
+func (s *search) listCandidates() {
+	s.allListed, s.candidates = true, s.candidates[:0]
 	anyRoom := false
 	for _, class := range s.classes {
 		for _, node := range class.Open {
@@ -193,61 +193,61 @@
 	return strings.Compare(string(x.node.Name), string(y.node.Name))
 }
 
-// best returns the first listed node that is still allowed and has room, or nil if there is none. It
+// bestListed returns the first listed node that is still allowed and has room, or nil if there is none. It
 // prefers nodes on which the task has not failed before. The cost of a call is proportional to the number
 // of candidates that it skips, not to the length of the list.
-func (s *search) best(retry *workload.Retry) *capacity.Node {
+func (s *search) bestListed(retry *workload.Retry) *capacity.Node {
 	var avoided *capacity.Node
-	passedOver := s.passedOver[:0]
+	skipped := s.skipped[:0]
 	for i, found := range s.candidates {
 		if found.node.Class == nil || !found.node.Free().Holds(s.request.Resources) {
 			continue // the node is full by now and is removed from the list
 		}
-		if s.allowed(found) {
+		if s.stillAllowed(found) {
 			if retry == nil || !retry.Avoid[found.node.Name] {
-				rest := s.candidates[i-len(passedOver):]
-				copy(rest, passedOver)
-				s.candidates, s.passedOver = rest, passedOver
+				rest := s.candidates[i-len(skipped):]
+				copy(rest, skipped)
+				s.candidates, s.skipped = rest, skipped
 				return found.node
 			}
 			if avoided == nil {
 				avoided = found.node
 			}
 		}
-		passedOver = append(passedOver, found)
+		skipped = append(skipped, found)
 	}
-	s.candidates, s.passedOver = s.candidates[:copy(s.candidates, passedOver)], passedOver
+	s.candidates, s.skipped = s.candidates[:copy(s.candidates, skipped)], skipped
 	return avoided
 }
 
-// allowed reports whether the job's zone rules and the reservations for other jobs still allow the use of
-// a machine that has room.
-func (s *search) allowed(found candidate) bool {
+// stillAllowed reports whether the job's zone rules and the reservations for other jobs still allow the use
+// of a machine that has room.
+func (s *search) stillAllowed(found candidate) bool {
 	if s.zones.Allowed(found.machine.Zone, 1) == 0 {
 		return false
 	}
 	return !s.reserver.reservedForOther(found.node.Name, found.node.Free(), s.job, s.pass.now)
 }
 
-// cheapestTogether returns nodes for n tasks, all in the zone with the lowest sum of scores, or nil if no
+// bestNodesForGang returns nodes for n tasks, all in the zone with the lowest sum of scores, or nil if no
 // zone has room for all n. An empty zone name means all zones together.
-func (s *search) cheapestTogether(zones []string, n int) (best []*capacity.Node) {
-	if !s.exhaustive {
-		s.listAll()
+func (s *search) bestNodesForGang(zones []string, n int) (best []*capacity.Node) {
+	if !s.allListed {
+		s.listCandidates()
 	}
 	bestCost := 0.0
 	for _, zone := range zones {
-		if nodes, cost := s.together(zone, n); nodes != nil && (best == nil || cost < bestCost) {
+		if nodes, cost := s.nodesInZone(zone, n); nodes != nil && (best == nil || cost < bestCost) {
 			best, bestCost = nodes, cost
 		}
 	}
 	return best
 }
 
-// together returns nodes for n tasks in one zone, or in all zones if zone is empty, and the sum of their
+// nodesInZone returns nodes for n tasks in one zone, or in all zones if zone is empty, and the sum of their
 // scores. It returns nil if there is not enough room. Machines on which tasks of the job failed are used
 // only if the others have too little room.
-func (s *search) together(zone string, n int) (nodes []*capacity.Node, cost float64) {
+func (s *search) nodesInZone(zone string, n int) (nodes []*capacity.Node, cost float64) {
 	avoid := machinesToAvoid(s.job)
 	inZone := map[string]int{}
 	for _, avoided := range []bool{false, true} {
