--- a/internal/capacity/consistency.go
+++ b/internal/capacity/consistency.go
@@ -5,22 +5,22 @@
 	"fmt"
 )
 
-// ErrInconsistent is returned if the index differs from the machines and assignments that it indexes.
+// ErrInconsistent is returned if the index does not agree with the machines and assignments it describes.
 var ErrInconsistent = errors.New("capacity index is inconsistent")
 
-// CheckConsistency checks that each node is in its class's list at its recorded position, and that nodes
-// have or pull the images under which they are listed. It is meant for tests, since it visits the whole
-// fleet.
+// CheckConsistency returns an error if a node is not at its recorded position in its class's list, or if
+// it is listed under an image that it neither has cached nor is pulling. It is meant for tests, since it
+// visits the whole fleet.
 func (x *Index) CheckConsistency() error {
 	for name, node := range x.nodes {
 		if node.Class != nil && node.Class.Open[node.position] != node {
-			return fmt.Errorf("%w: %s is not where its class lists it", ErrInconsistent, name)
+			return fmt.Errorf("%w: node %s is not at its recorded position in the list of its class", ErrInconsistent, name)
 		}
 	}
-	for image, holders := range x.byImage {
-		for node := range holders {
+	for image, nodesWithImage := range x.byImage {
+		for node := range nodesWithImage {
 			if node.ImagePulls[image] == nil && !x.HasImage(node, image) {
-				return fmt.Errorf("%w: %s neither holds nor pulls %s", ErrInconsistent, node.Name, image)
+				return fmt.Errorf("%w: node %s is listed under an image that it neither has cached nor is pulling: %s", ErrInconsistent, node.Name, image)
 			}
 		}
 	}
--- a/internal/estimate/estimate_test.go
+++ b/internal/estimate/estimate_test.go
@@ -16,13 +16,13 @@
 
 var start = time.Date(2030, 1, 2, 3, 4, 5, 0, time.UTC)
 
-// testTypes are a small type and a large one that boots slower and pulls faster.
+// testTypes are a small machine type and a large one that boots more slowly and pulls images faster.
 var testTypes = []placement.InstanceType{
 	{Label: "small", Cores: 4, RAM: 16, PullGBPerS: 0.5, BootS: 30},
 	{Label: "large", Cores: 16, RAM: 64, PullGBPerS: 2, BootS: 60},
 }
 
-func testEstimator() *Estimator {
+func newTestEstimator() *Estimator {
 	index := capacity.NewIndex(worker.NewRegistry(20))
 	index.SetTypes(testTypes)
 	settings := &config.Settings{}
@@ -45,25 +45,25 @@
 		{"three quarters below", []int{300, 40, 50, 60, 70}, 70 * time.Second},
 		{"older ones are dropped", []int{900, 900, 900, 900, 50, 50, 50, 50, 50, 50, 50, 50}, 50 * time.Second},
 	} {
-		estimator := testEstimator()
+		estimator := newTestEstimator()
 		for _, seconds := range c.boots {
 			estimator.RecordBoot(bootedMachine(start), start.Add(time.Duration(seconds)*time.Second))
 		}
 		if got := estimator.BootTime(&testTypes[0]); got != c.want {
-			t.Errorf("%s: %v, want %v", c.name, got, c.want)
+			t.Errorf("%s: boot time %v, want %v", c.name, got, c.want)
 		}
 	}
 }
 
 func TestMachinesAreOvertakenByLaterOnes(t *testing.T) {
-	estimator := testEstimator()
+	estimator := newTestEstimator()
 	if estimator.IsOvertaken(bootedMachine(start)) {
-		t.Error("overtaken by no machine")
+		t.Error("a machine is overtaken although no machine has booted")
 	}
 	estimator.RecordBoot(bootedMachine(start), start.Add(time.Minute))
 	for after, want := range map[time.Duration]bool{-time.Minute: true, time.Second: true, 2 * time.Second: false, time.Minute: false} {
 		if got := estimator.IsOvertaken(bootedMachine(start.Add(after))); got != want {
-			t.Errorf("provisioned %v after the one that is up: overtaken %v", after, got)
+			t.Errorf("machine provisioned %v after the one that has booted: overtaken is %v", after, got)
 		}
 	}
 }
@@ -73,12 +73,12 @@
 		cores           float64
 		pull, provision float64 // seconds
 	}{
-		{2, 5, 50}, // pulled fastest by the large type, provisioned fastest as a small one
+		{2, 5, 50}, // the large type pulls fastest, the small type is provisioned fastest
 		{8, 5, 65},
 		{99, 0, math.Inf(1)},
 	} {
 		spec := &record.Spec{Resources: placement.Resources{Cores: c.cores}, ImageGB: 10, EstimatedDuration: 7}
-		estimator := testEstimator()
+		estimator := newTestEstimator()
 		if pull, provision := estimator.ImagePullSeconds(spec), estimator.ProvisionSeconds(spec); pull != c.pull || provision != c.provision {
 			t.Errorf("%v cores: %v s to pull, %v s to provision; want %v and %v", c.cores, pull, provision, c.pull, c.provision)
 		}
@@ -88,7 +88,7 @@
 	}
 }
 
-func TestQueueHorizonIsAPartOfTheSlack(t *testing.T) {
+func TestQueueHorizonIsAFractionOfTheSlack(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		change func(*workload.Job)
@@ -105,8 +105,8 @@
 		spec := record.Spec{ID: "job", Shape: record.Array, Priority: record.Normal, Tasks: 1, EstimatedDuration: 20, ImageGB: 1, Resources: placement.Resources{Cores: 1}}
 		job := workload.NewJob(record.New(spec, ids.TimestampOf(start), "writer"), 1)
 		c.change(job)
-		if got := testEstimator().QueueHorizon(job); got != c.want {
-			t.Errorf("%s: %v s, want %v", c.name, got, c.want)
+		if got := newTestEstimator().QueueHorizon(job); got != c.want {
+			t.Errorf("%s: queue horizon %v s, want %v", c.name, got, c.want)
 		}
 	}
 }
--- a/internal/placement/scaleout_test.go
+++ b/internal/placement/scaleout_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// allOffered and noneOffered are clouds that have, or refuse, every instance.
+// allOffered and noneOffered are the OfferFilters of clouds that provide or refuse all instances.
 func allOffered(string, string, bool) bool  { return true }
 func noneOffered(string, string, bool) bool { return false }
 
@@ -13,26 +13,26 @@
 	instances := 0
 	for _, r := range requests {
 		if r.Type != "small" || !r.Spot {
-			t.Fatalf("requests %+v", r)
+			t.Fatalf("request %+v, want small spot instances only", r)
 		}
 		instances += r.Count
 	}
 	if instances != 2 || !needed["m"] {
-		t.Fatalf("requests %d, needed %v", instances, needed)
+		t.Fatalf("%d instances requested, needed %v; want 2 requested and m needed", instances, needed)
 	}
 }
 
-func TestRefusedSpotInstancesAreReplacedAndPendingOnesCount(t *testing.T) {
+func TestOnDemandReplacesRefusedSpotAndPendingInstancesCount(t *testing.T) {
 	request := Request{Resources: Resources{Cores: 2, RAM: 4}, AllowSpot: true}
 	pending := []Instance{{Name: "c", Type: small, Zone: "s", Pending: true, Free: small.Capacity()}}
 	onDemandOnly := func(_, _ string, spot bool) bool { return !spot }
 	requests, _ := PlanScaleOut([]Demand{{Request: request, Count: 4}}, pending, []*InstanceType{small}, onDemandOnly)
 	if len(requests) != 1 || requests[0].Spot || requests[0].Count != 1 {
-		t.Fatalf("requests %+v", requests)
+		t.Fatalf("requests %+v, want one on-demand instance", requests)
 	}
 }
 
-func TestHeadroomKeepsOneIdleInstanceAndNoSecond(t *testing.T) {
+func TestHeadroomKeepsOnlyOneIdleInstance(t *testing.T) {
 	idle := []Instance{
 		{Name: "x", Type: small, Zone: "n", Free: small.Capacity(), Idle: true},
 		{Name: "y", Type: small, Zone: "n", Free: small.Capacity(), Idle: true},
@@ -40,7 +40,7 @@
 	headroom := Demand{Request: Request{Resources: Resources{Cores: 1, RAM: 1}}, Count: 1, Headroom: true}
 	requests, needed := PlanScaleOut([]Demand{headroom}, idle, []*InstanceType{small}, allOffered)
 	if len(requests) != 0 || len(needed) != 1 {
-		t.Fatalf("requests %+v, needed %v", requests, needed)
+		t.Fatalf("requests %+v, needed %v; want no requests and one needed instance", requests, needed)
 	}
 }
 
@@ -50,20 +50,20 @@
 	types := []*InstanceType{small, big}
 	requests, needed := PlanScaleOut([]Demand{plain}, accelerated(), types, allOffered)
 	if needed["g"] || len(requests) == 0 || requests[0].Type != "small" {
-		t.Fatalf("plain tasks: requests %+v, needed %v", requests, needed)
+		t.Fatalf("tasks without accelerators: requests %+v, needed %v; want small instances and not g", requests, needed)
 	}
-	// While no instance without accelerators is to be had, one that is there stays, if it has
-	// much to do.
+	// While no instance without accelerators can be provisioned, an existing one with accelerators is
+	// kept if the queued tasks fill at least half of it.
 	if _, needed = PlanScaleOut([]Demand{plain}, accelerated(), types, noneOffered); needed["g"] {
-		t.Fatal("64 cores kept for 8 tasks of one")
+		t.Fatal("an instance with 64 cores is kept for 8 tasks of one core")
 	}
 	plain.Count = 40
 	if _, needed = PlanScaleOut([]Demand{plain}, accelerated(), types, noneOffered); !needed["g"] {
-		t.Fatal("terminated although plain tasks are queued and nothing else is to be had")
+		t.Fatal("the instance is not kept although no other instance is available for the queued tasks")
 	}
 	noScaleOut := Demand{Request: Request{Resources: Resources{Accels: 8}}, Count: 2, Headroom: true, NoScaleOut: true}
 	if requests, needed = PlanScaleOut([]Demand{noScaleOut}, accelerated(), types, allOffered); len(requests) != 0 || !needed["g"] {
-		t.Fatalf("no reason to scale out: requests %+v, needed %v", requests, needed)
+		t.Fatalf("demand with NoScaleOut: requests %+v, needed %v; want no requests and g needed", requests, needed)
 	}
 }
 
@@ -71,12 +71,13 @@
 	gang := Demand{Request: Request{Resources: Resources{Accels: 8}}, Count: 1, Preempt: true, ReclaimableShare: 1}
 	busy := []Instance{{Name: "g", Type: big, Zone: "n", Reclaimable: big.Capacity()}}
 	if requests, _ := PlanScaleOut([]Demand{gang}, busy, []*InstanceType{small, big}, allOffered); len(requests) != 0 {
-		t.Fatalf("requests %+v although an instance is free in time", requests)
+		t.Fatalf("requests %+v although an existing instance will be free in time", requests)
 	}
 }
 
 func TestCapacityInTwoZonesDoesNotAddUpForADemandInOneZone(t *testing.T) {
-	// Guards against a gang that waits for ever beside one free instance in each of two zones.
+	// Guards against a fault in which a gang of two tasks waited forever: each of two zones had one free
+	// instance, and the planner counted both although the gang needs two instances in one zone.
 	inBothZones := &InstanceType{Label: "big", Cores: 64, Accels: 8, RAM: 256, PullGBPerS: 0.25, Price: 24, SpotPrice: 10, Zones: []string{"n", "s"}, BootS: 30}
 	types := []*InstanceType{inBothZones}
 	gang := Demand{Request: Request{Resources: Resources{Accels: 8}}, Count: 2, SameZone: true, ReclaimableShare: 1}
@@ -88,15 +89,15 @@
 	}
 	requests, _ := PlanScaleOut([]Demand{gang}, oneInEach(), types, allOffered)
 	if len(requests) != 1 || requests[0].Count != 1 {
-		t.Fatalf("requests %+v", requests)
+		t.Fatalf("requests %+v, want one instance", requests)
 	}
-	// Where none is to be had, the other zone is taken.
+	// If one zone offers no instances, the other zone is chosen.
 	requests, _ = PlanScaleOut([]Demand{gang}, oneInEach(), types, func(_, zone string, _ bool) bool { return zone == "s" })
 	if len(requests) != 1 || requests[0].Zone != "s" {
-		t.Fatalf("requests %+v", requests)
+		t.Fatalf("requests %+v, want instances in zone s", requests)
 	}
 	twoInOne := append(oneInEach(), Instance{Name: "c", Type: inBothZones, Zone: "s", Free: inBothZones.Capacity()})
 	if requests, needed := PlanScaleOut([]Demand{gang}, twoInOne, types, allOffered); len(requests) != 0 || !needed["b"] || !needed["c"] {
-		t.Fatalf("requests %+v, needed %v", requests, needed)
+		t.Fatalf("requests %+v, needed %v; want no requests, and b and c needed", requests, needed)
 	}
 }
--- a/internal/placement/score_test.go
+++ b/internal/placement/score_test.go
@@ -11,8 +11,9 @@
 	big   = &InstanceType{Label: "big", Cores: 64, Accels: 8, RAM: 256, PullGBPerS: 0.25, Price: 24, SpotPrice: 10, Zones: []string{"n"}, BootS: 30}
 )
 
-// bestOf is the name of the candidate with the lowest score among those that the task fits.
-func bestOf(candidates []Candidate, request Request) ids.Machine {
+// bestCandidate returns the name of the candidate with the lowest score among those that the request allows
+// and that have room for it.
+func bestCandidate(candidates []Candidate, request Request) ids.Machine {
 	var best ids.Machine
 	bestScore := 0.0
 	for i := range candidates {
@@ -33,19 +34,19 @@
 		{Name: "on-demand", Type: small, Zone: "n", Free: small.Capacity()},
 		{Name: "spot", Type: small, Zone: "n", Spot: true, Free: small.Capacity()},
 	}
-	if at := bestOf(candidates, Request{Resources: Resources{Cores: 4, RAM: 4}, AllowSpot: true}); at != "spot" {
-		t.Errorf("a task that accepts spot instances went to %s", at)
+	if got := bestCandidate(candidates, Request{Resources: Resources{Cores: 4, RAM: 4}, AllowSpot: true}); got != "spot" {
+		t.Errorf("a task that accepts spot instances was placed on %s", got)
 	}
-	if at := bestOf(candidates, Request{Resources: Resources{Cores: 4, RAM: 4}}); at != "on-demand" {
-		t.Errorf("a task that accepts no spot instances went to %s", at)
+	if got := bestCandidate(candidates, Request{Resources: Resources{Cores: 4, RAM: 4}}); got != "on-demand" {
+		t.Errorf("a task that does not accept spot instances was placed on %s", got)
 	}
-	if at := bestOf(candidates, Request{Resources: Resources{Cores: 4, Accels: 1, RAM: 4}, AllowSpot: true}); at != "accelerated" {
-		t.Errorf("a task with an accelerator went to %s", at)
+	if got := bestCandidate(candidates, Request{Resources: Resources{Cores: 4, Accels: 1, RAM: 4}, AllowSpot: true}); got != "accelerated" {
+		t.Errorf("a task that needs an accelerator was placed on %s", got)
 	}
 }
 
 func TestScoreAddsUpTheDrawbacksOfACandidate(t *testing.T) {
-	request := Request{Resources: small.Capacity(), Image: "img", ImageGB: 2} // fills the instance; a pull alone takes 8 s
+	request := Request{Resources: small.Capacity(), Image: "img", ImageGB: 2} // fills the instance; a pull without concurrent pulls takes 8 s
 	onBig := Request{Resources: Resources{Cores: 64, RAM: 256}, ImageGB: 2}
 	longOnBig := onBig
 	longOnBig.LongRunning = true
@@ -75,7 +76,7 @@
 		{"accelerators not used by a service", cached(func(m *Candidate) { m.Type, m.Free = big, big.Capacity() }), longOnBig, 63},
 	} {
 		if got := Score(&c.machine, &c.request); got != c.want {
-			t.Errorf("%s: score %v, not %v", c.name, got, c.want)
+			t.Errorf("%s: score %v, want %v", c.name, got, c.want)
 		}
 	}
 }
@@ -95,10 +96,10 @@
 		{"rounding", Resources{Cores: 0.3}, Resources{Cores: 0.1}, 10, 3},
 	} {
 		if got := c.capacity.CountFitting(c.request, c.limit); got != c.want {
-			t.Errorf("%s: %d tasks, not %d", c.name, got, c.want)
+			t.Errorf("%s: %d tasks fit, want %d", c.name, got, c.want)
 		}
 		if fits := c.capacity.Holds(c.request); fits != (c.want > 0) {
-			t.Errorf("%s: one fits: %v", c.name, fits)
+			t.Errorf("%s: Holds returned %v, which contradicts CountFitting", c.name, fits)
 		}
 	}
 }
--- a/internal/scheduler/search.go
+++ b/internal/scheduler/search.go
@@ -12,45 +12,45 @@
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// search finds machines for the tasks of one job in one pass. It takes the best of a few sampled
-// machines for each task. When no sampled machine has both room and the image, it lists all candidates
-// once, for all tasks of the job.
+// search finds machines for the tasks of one job in one pass. For each task it first takes the best of a
+// few random machines. When none of them is suitable, it lists all candidates once and uses that list for
+// all further tasks of the job.
 type search struct {
 	*State
 	rng       *rand.Rand
 	reserver  *machineReserver
 	preemptor *preemptor
 
-	job     *workload.Job
-	request *placement.Request
-	pass    *planningPass
-	zones   *ZoneSpread
-	classes []*capacity.Class // classes that the request may use
-	open    int               // nodes of these classes that have capacity left
-	// avoidAccelerators leaves machines with accelerators out, unless preemption can't make room
-	// elsewhere.
+	job       *workload.Job
+	request   *placement.Request
+	pass      *planningPass
+	zones     *ZoneSpread
+	classes   []*capacity.Class // classes that the request may use
+	openNodes int               // number of nodes of these classes that have capacity left
+	// avoidAccelerators excludes machines with accelerators. pickNode resets it if no other machine has room
+	// and preemption can't free capacity there either.
 	avoidAccelerators bool
 
-	exhaustive bool        // all candidates have been listed
-	candidates []candidate // best first
-	passedOver []candidate // buffer that best reuses
+	allListed  bool        // whether candidates contains all candidates
+	candidates []candidate // sorted, best first
+	skipped    []candidate // buffer that bestListed reuses between calls
 }
 
-// candidate is a machine that a task may be assigned to; lower scores are better.
+// candidate is a machine to which a task may be assigned. Lower scores are better.
 type candidate struct {
 	node    *capacity.Node
 	machine *worker.Machine
 	score   float64
 }
 
-// newSearch begins the search for a job. It has no candidates if an earlier job of the pass with the
-// same needs found none.
+// newSearch returns a search for the tasks of a job. The search has no candidates if an earlier job of
+// the pass with the same requirements found no machine with room.
 func (a *assigner) newSearch(job *workload.Job, request *placement.Request, pass *planningPass) *search {
 	s := &search{State: a.State, rng: a.rng, reserver: a.reserver, preemptor: a.preemptor,
 		job: job, request: request, pass: pass, zones: ZoneSpreadOf(job, a.Machines),
 		avoidAccelerators: request.LongRunning && request.Resources.Accels == 0}
-	if covered(pass.noCapacity[placementKeyOf(request)], request.Resources) {
-		s.exhaustive = true
+	if knownUnavailable(pass.noCapacity[placementKeyOf(request)], request.Resources) {
+		s.allListed = true
 		return s
 	}
 	s.selectClasses()
@@ -59,19 +59,19 @@
 
 // selectClasses selects the instance classes that the request may use.
 func (s *search) selectClasses() {
-	s.classes, s.open = s.classes[:0], 0
+	s.classes, s.openNodes = s.classes[:0], 0
 	for _, class := range s.Capacity.Classes() {
 		if len(class.Open) == 0 || s.avoidAccelerators && class.Offer.Accels > 0 ||
 			!s.request.Allows(class.Type, class.Zone, class.Spot) || !class.Offer.Capacity().Holds(s.request.Resources) {
 			continue
 		}
 		s.classes = append(s.classes, class)
-		s.open += len(class.Open)
+		s.openNodes += len(class.Open)
 	}
 }
 
-// evaluate scores a machine. ok reports whether the task may be assigned there, hasRoom whether the
-// machine at least has room for it.
+// evaluate scores a machine. ok reports whether the task may be assigned to it. hasRoom reports whether
+// a usable machine has room for the task, even if other rules exclude it.
 func (s *search) evaluate(node *capacity.Node, retry *workload.Retry) (found candidate, ok, hasRoom bool) {
 	s.pass.machinesExamined++
 	if !node.Class.Offer.Capacity().Minus(node.Used).Holds(s.request.Resources) {
@@ -81,51 +81,53 @@
 	if !usable {
 		return found, false, false
 	}
-	view := s.reserver.view(node, machine, s.job, retry, s.pass.now)
-	leaving := view.ScalingIn && (s.request.Resources.Accels == 0 || view.Type.Accels == 0)
-	if view.Reserved || leaving || s.zones.Allowed(machine.Zone, 1) == 0 {
+	taskCandidate := s.reserver.taskCandidate(node, machine, s.job, retry, s.pass.now)
+	scalingIn := taskCandidate.ScalingIn && (s.request.Resources.Accels == 0 || taskCandidate.Type.Accels == 0)
+	if taskCandidate.Reserved || scalingIn || s.zones.Allowed(machine.Zone, 1) == 0 {
 		return found, false, true
 	}
-	return candidate{node, machine, placement.Score(&view, s.request)}, true, true
+	return candidate{node, machine, placement.Score(&taskCandidate, s.request)}, true, true
 }
 
-// pick returns a node for one more task, or nil if none has room.
-func (s *search) pick(retry *workload.Retry) *capacity.Node {
-	if !s.exhaustive {
-		if node := s.sample(retry); node != nil {
+// pickNode returns a node for one more task, or nil if no suitable node has room.
+func (s *search) pickNode(retry *workload.Retry) *capacity.Node {
+	if !s.allListed {
+		if node := s.sampleNode(retry); node != nil {
 			return node
 		}
-		s.listAll()
+		s.listCandidates()
 	}
 	for {
-		if node := s.best(retry); node != nil {
+		if node := s.bestListed(retry); node != nil {
 			return node
 		}
 		if !s.avoidAccelerators || s.preemptor.canPreemptWithoutAccelerators(s.job, s.request, s.pass) {
 			return nil
 		}
-		// A service would occupy a machine with accelerators until it is cancelled, so it may use one
-		// only if preemption can't make room elsewhere either.
+		// A service would occupy a machine with accelerators until it is cancelled. So it may use one
+		// only if no other machine has room and preemption can't free capacity on one.
 		s.avoidAccelerators = false
 		s.selectClasses()
-		s.listAll()
+		s.listCandidates()
 	}
 }
 
-// sample returns the best of a few random nodes, or nil if the task should not go to any of them.
-func (s *search) sample(retry *workload.Retry) *capacity.Node {
-	if s.open == 0 {
+// sampleNode returns the best of a few random nodes. It returns nil if no sampled node is allowed, if the
+// task failed on the best one before, or if the best one does not have the image cached. A node that is
+// still pulling the image is accepted for tasks that are not long-running.
+func (s *search) sampleNode(retry *workload.Retry) *capacity.Node {
+	if s.openNodes == 0 {
 		return nil
 	}
 	var top candidate
 	for range int(s.Settings.Operator.SampleMachines) {
-		if node := s.nthOpen(s.rng.IntN(s.open)); node != nil {
+		if node := s.nthOpenNode(s.rng.IntN(s.openNodes)); node != nil {
 			if found, ok, _ := s.evaluate(node, retry); ok && (top.node == nil || found.score < top.score) {
 				top = found
 			}
 		}
-		s.countOpen()
-		if s.open == 0 {
+		s.countOpenNodes()
+		if s.openNodes == 0 {
 			break
 		}
 	}
@@ -139,9 +141,9 @@
 	return top.node
 }
 
-// nthOpen returns the nth node with capacity left. It returns nil if there are fewer: the previous
-// assignment may have filled a node since they were counted.
-func (s *search) nthOpen(n int) *capacity.Node {
+// nthOpenNode returns the node with index n among those that have capacity left. It returns nil if there are
+// fewer: an assignment may have filled a node since the nodes were counted.
+func (s *search) nthOpenNode(n int) *capacity.Node {
 	for _, class := range s.classes {
 		if n < len(class.Open) {
 			return class.Open[n]
@@ -151,17 +153,17 @@
 	return nil
 }
 
-// countOpen counts the open nodes again, since assignments fill nodes.
-func (s *search) countOpen() {
-	s.open = 0
+// countOpenNodes counts the nodes that have capacity left. Assignments reduce their number.
+func (s *search) countOpenNodes() {
+	s.openNodes = 0
 	for _, class := range s.classes {
-		s.open += len(class.Open)
+		s.openNodes += len(class.Open)
 	}
 }
 
-// listAll lists all machines with room, best first.
-func (s *search) listAll() {
-	s.exhaustive, s.candidates = true, s.candidates[:0]
+// listCandidates lists all machines to which tasks of the job may be assigned, best first.
+func (s *search) listCandidates() {
+	s.allListed, s.candidates = true, s.candidates[:0]
 	anyRoom := false
 	for _, class := range s.classes {
 		for _, node := range class.Open {
@@ -179,8 +181,8 @@
 	slices.SortFunc(s.candidates, compareCandidates)
 }
 
-// compareCandidates orders candidates by their scores, and by their names among equals. It is written out
-// because a job's list is as long as the fleet: cmp.Or would compare the names each time.
+// compareCandidates orders candidates by score, and by name if the scores are equal. It does not use
+// cmp.Or, which would compare the names each time: a job's list may contain the whole fleet.
 func compareCandidates(x, y candidate) int {
 	switch {
 	case x.score < y.score:
@@ -191,59 +193,61 @@
 	return strings.Compare(string(x.node.Name), string(y.node.Name))
 }
 
-// best returns the first listed node that still has room, or nil if none has. Nodes on which the same
-// task failed before come last. The cost is that of the candidates passed over, not of the whole list.
-func (s *search) best(retry *workload.Retry) *capacity.Node {
+// bestListed returns the first listed node that is still allowed and has room, or nil if there is none. It
+// prefers nodes on which the task has not failed before. The cost of a call is proportional to the number
+// of candidates that it skips, not to the length of the list.
+func (s *search) bestListed(retry *workload.Retry) *capacity.Node {
 	var avoided *capacity.Node
-	passedOver := s.passedOver[:0]
+	skipped := s.skipped[:0]
 	for i, found := range s.candidates {
 		if found.node.Class == nil || !found.node.Free().Holds(s.request.Resources) {
-			continue // full now, so it leaves the list
+			continue // the node is full by now and is removed from the list
 		}
-		if s.allowed(found) {
+		if s.stillAllowed(found) {
 			if retry == nil || !retry.Avoid[found.node.Name] {
-				rest := s.candidates[i-len(passedOver):]
-				copy(rest, passedOver)
-				s.candidates, s.passedOver = rest, passedOver
+				rest := s.candidates[i-len(skipped):]
+				copy(rest, skipped)
+				s.candidates, s.skipped = rest, skipped
 				return found.node
 			}
 			if avoided == nil {
 				avoided = found.node
 			}
 		}
-		passedOver = append(passedOver, found)
+		skipped = append(skipped, found)
 	}
-	s.candidates, s.passedOver = s.candidates[:copy(s.candidates, passedOver)], passedOver
+	s.candidates, s.skipped = s.candidates[:copy(s.candidates, skipped)], skipped
 	return avoided
 }
 
-// allowed reports whether the job's zone rules and other jobs' reservations still allow a machine that
-// has room.
-func (s *search) allowed(found candidate) bool {
+// stillAllowed reports whether the job's zone rules and the reservations for other jobs still allow the use
+// of a machine that has room.
+func (s *search) stillAllowed(found candidate) bool {
 	if s.zones.Allowed(found.machine.Zone, 1) == 0 {
 		return false
 	}
 	return !s.reserver.reservedForOther(found.node.Name, found.node.Free(), s.job, s.pass.now)
 }
 
-// cheapestTogether returns nodes for n tasks at once, all in the one of the zones where that scores
-// best, or nil if no zone has room. An empty name stands for all zones together.
-func (s *search) cheapestTogether(zones []string, n int) (best []*capacity.Node) {
-	if !s.exhaustive {
-		s.listAll()
+// bestNodesForGang returns nodes for n tasks, all in the zone with the lowest sum of scores, or nil if no
+// zone has room for all n. An empty zone name means all zones together.
+func (s *search) bestNodesForGang(zones []string, n int) (best []*capacity.Node) {
+	if !s.allListed {
+		s.listCandidates()
 	}
 	bestCost := 0.0
 	for _, zone := range zones {
-		if nodes, cost := s.together(zone, n); nodes != nil && (best == nil || cost < bestCost) {
+		if nodes, cost := s.nodesInZone(zone, n); nodes != nil && (best == nil || cost < bestCost) {
 			best, bestCost = nodes, cost
 		}
 	}
 	return best
 }
 
-// together returns nodes for n tasks at once in a zone, or in all zones if it is empty, and the sum of
-// their scores; nil if there is not enough room. Machines on which tasks of the job failed come last.
-func (s *search) together(zone string, n int) (nodes []*capacity.Node, cost float64) {
+// nodesInZone returns nodes for n tasks in one zone, or in all zones if zone is empty, and the sum of their
+// scores. It returns nil if there is not enough room. Machines on which tasks of the job failed are used
+// only if the others have too little room.
+func (s *search) nodesInZone(zone string, n int) (nodes []*capacity.Node, cost float64) {
 	avoid := machinesToAvoid(s.job)
 	inZone := map[string]int{}
 	for _, avoided := range []bool{false, true} {
