--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -1,40 +1,41 @@
-// Package budget applies disruption budgets: it decides whether tasks may be evicted for a drain
-// now. It is the only package that decides that, and what counts as an unavailable replica; it is
-// pure and keeps no state between two evaluations, so nothing has to be recovered after a failover
-// (docs/drains.md).
+// Package budget applies disruption budgets: it decides whether tasks may be evicted for a drain now. No
+// other package decides this, or which replicas count as unavailable. The package is pure and keeps no
+// state between two evaluations, so nothing has to be recovered after a failover (docs/drains.md).
 package budget
 
 import (
 	"fmt"
 )
 
-// Budget is the disruption budget of a team: how much of its work may be disrupted at a time.
+// Budget is the disruption budget of a team: how much of its work may be disrupted at the same time.
 type Budget struct {
-	// MaxUnavailable is how many replicas of services may be unavailable; nil: no absolute limit.
+	// MaxUnavailable is the maximum number of unavailable replicas of services; nil means no absolute
+	// limit.
 	MaxUnavailable *int
-	// MaxUnavailablePercent is what share of the desired replicas may be unavailable, rounded down; nil: no
-	// relative limit. With both, the smaller counts.
+	// MaxUnavailablePercent is the maximum percentage of the desired replicas that may be unavailable,
+	// rounded down to whole replicas; nil means no relative limit. If both limits are set, the smaller one
+	// applies.
 	MaxUnavailablePercent *int
-	// MaxInterrupted is how many other tasks may be interrupted.
+	// MaxInterrupted is the maximum number of other tasks that may be interrupted.
 	MaxInterrupted int
-	// AllowLastReplica tells that a service's last ready replica may be stopped.
+	// AllowLastReplica permits stopping the last ready replica of a service.
 	AllowLastReplica bool
 }
 
-// The default of a team without a setting.
+// Default limits of a team without a budget setting.
 const (
 	defaultReplicas    = 1
 	defaultInterrupted = 1
 )
 
-// Default is the budget of a team without a setting: one replica, one other task, and never the
-// last replica of a service.
+// Default returns the budget of a team without a setting: one replica, one other task, and never the last
+// replica of a service.
 func Default() Budget {
 	replicas := defaultReplicas
 	return Budget{MaxUnavailable: &replicas, MaxInterrupted: defaultInterrupted}
 }
 
-// Check reports a budget that is impossible, by the names of the settings.
+// Check returns an error that names the setting if the budget is invalid.
 func (b Budget) Check() error {
 	switch {
 	case b.MaxUnavailable != nil && *b.MaxUnavailable < 0:
@@ -54,7 +55,7 @@
 	return b.MaxUnavailable != nil && *b.MaxUnavailable == 0 || b.MaxUnavailablePercent != nil && *b.MaxUnavailablePercent == 0
 }
 
-// UnavailableAllowed is how many of the desired replicas may be unavailable at a time.
+// UnavailableAllowed returns how many of the desired replicas may be unavailable at the same time.
 func (b Budget) UnavailableAllowed(desired int) int {
 	maxUnavailable := desired
 	if b.MaxUnavailable != nil {
@@ -66,18 +67,18 @@
 	return maxUnavailable
 }
 
-// Budgets are the budgets of all teams.
+// Budgets contains the budgets of all teams.
 type Budgets struct {
 	teams    map[string]Budget
-	fallback Budget // of the teams not named
+	fallback Budget // budget of the teams that are not named
 }
 
-// NewBudgets makes the budgets of teams, with a fallback for those not named.
+// NewBudgets returns the budgets of teams, with a fallback for all teams that are not named.
 func NewBudgets(fallback Budget, teams map[string]Budget) *Budgets {
 	return &Budgets{teams: teams, fallback: fallback}
 }
 
-// Of is a team's budget.
+// Of returns the budget of a team.
 func (b *Budgets) Of(team string) Budget {
 	if budget, ok := b.teams[team]; ok {
 		return budget
--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -10,7 +10,7 @@
 
 func pointerTo(n int) *int { return &n }
 
-// replicaRequest asks for the eviction of one replica.
+// replicaRequest returns a request to evict one replica.
 func replicaRequest(team string, service ids.Job, ready bool) Request {
 	return Request{Team: team, Job: service, Service: true, Ready: ready}
 }
@@ -76,8 +76,8 @@
 }
 
 func TestPermitGrantsAllRequestsOrNone(t *testing.T) {
-	// A machine runs tasks of two teams. Where only one of them may lose a task, neither does, and
-	// both reasons are told where both budgets are used up.
+	// A machine runs tasks of two teams. If only one of the teams may lose a task, none is evicted. If both
+	// budgets are exhausted, both reasons are returned.
 	meter := NewMeter(NewBudgets(Default(), nil))
 	meter.CountService("red", "r", 3, 3)
 	meter.CountService("blue", "b", 3, 2)
@@ -97,7 +97,8 @@
 }
 
 func TestStoredPermitIsConfirmedBeforeTheEviction(t *testing.T) {
-	// The permit's own task counts as unavailable already; another that failed since is one too many.
+	// The task of the permit already counts as unavailable. Another replica that failed since exceeds the
+	// budget.
 	request := replicaRequest("red", "r", true)
 	for _, c := range []struct {
 		ready     int
--- a/internal/budget/meter.go
+++ b/internal/budget/meter.go
@@ -7,28 +7,28 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-// Meter counts the disruptions of all teams at one moment, by drains and by failures alike, and
-// grants what their budgets leave. It is made anew for each evaluation, so it can't drift from
-// the records and heartbeats that it was made from.
+// Meter counts the current disruptions of all teams, by drains and by failures alike, and grants evictions
+// within the remaining budgets. A new Meter is made for each evaluation, so its counts can't diverge from
+// the records and heartbeats that they are derived from.
 type Meter struct {
 	budgets *Budgets
 	teams   map[string]*usage
 	ready   map[ids.Job]int // ready replicas of each service
 }
 
-// usage is how much of a team's budget is used up.
+// usage is the used part of a team's budget.
 type usage struct {
-	desired     int // replicas of its services
-	unavailable int // of these, not ready
-	interrupted int // other tasks that were evicted and do not run again yet
+	desired     int // desired replicas of its services
+	unavailable int // replicas of its services that are not ready
+	interrupted int // other tasks that were evicted and are not running again yet
 }
 
-// NewMeter makes a meter that has counted nothing yet.
+// NewMeter returns a Meter without any counts.
 func NewMeter(budgets *Budgets) *Meter {
 	return &Meter{budgets: budgets, teams: map[string]*usage{}, ready: map[ids.Job]int{}}
 }
 
-// CountService counts a service: how many replicas it should have, and how many are ready.
+// CountService adds a service with its numbers of desired and of ready replicas.
 func (m *Meter) CountService(team string, service ids.Job, desired, ready int) {
 	used := m.usage(team)
 	used.desired += desired
@@ -36,10 +36,10 @@
 	m.ready[service] = ready
 }
 
-// CountInterrupted counts other tasks that were evicted and do not run again yet.
+// CountInterrupted adds other tasks that were evicted and are not running again yet.
 func (m *Meter) CountInterrupted(team string, tasks int) { m.usage(team).interrupted += tasks }
 
-// usage finds or adds what a team has used up.
+// usage returns the usage of a team, and adds it if there is none.
 func (m *Meter) usage(team string) *usage {
 	used := m.teams[team]
 	if used == nil {
@@ -49,20 +49,20 @@
 	return used
 }
 
-// Request is the eviction of one task, or of one gang.
+// Request is a request to evict one task or one gang.
 type Request struct {
 	Team string
 	Job  ids.Job
-	// Service tells a replica from other tasks.
+	// Service is true for a replica of a service, and false for other tasks.
 	Service bool
-	// Ready tells that the replica is ready: then one more becomes unavailable.
+	// Ready is true if the replica is ready, so that its eviction makes one more replica unavailable.
 	Ready bool
-	// Tasks is how many tasks of a job that is no service are interrupted.
+	// Tasks is the number of tasks that are interrupted; it is used if the job is not a service.
 	Tasks int
 }
 
-// Denial says why a permit is refused. It names what is missing, so that an operator can see
-// what a machine waits for.
+// Denial is the reason for refusing a permit. It names what is missing, so that an operator can see what a
+// machine waits for.
 type Denial struct {
 	Team   string
 	Reason string
@@ -70,13 +70,13 @@
 
 func (d Denial) String() string { return fmt.Sprintf("team %s: %s", d.Team, d.Reason) }
 
-// denied makes the denial of a request.
+// denied returns the denial of a request with a formatted reason.
 func denied(request Request, format string, args ...any) *Denial {
 	return &Denial{Team: request.Team, Reason: fmt.Sprintf(format, args...)}
 }
 
-// Permit grants all requests or none. What is granted counts from then on; a refusal counts
-// nothing, and tells each reason, not only the first.
+// Permit grants all requests or none. Granted requests are counted. If it refuses, it counts nothing and
+// returns every reason, not only the first.
 func (m *Meter) Permit(requests ...Request) []Denial {
 	var granted []Request
 	var denials []Denial
@@ -94,7 +94,7 @@
 	return denials
 }
 
-// DryRun tells what Permit would refuse, and counts nothing.
+// DryRun returns what Permit would return, without counting anything.
 func (m *Meter) DryRun(requests ...Request) []Denial {
 	denials := m.Permit(requests...)
 	if len(denials) == 0 {
@@ -103,7 +103,7 @@
 	return denials
 }
 
-// revoke takes granted requests off the counts again.
+// revoke subtracts granted requests from the counts.
 func (m *Meter) revoke(granted []Request) {
 	for _, request := range granted {
 		used := m.usage(request.Team)
@@ -117,7 +117,7 @@
 	}
 }
 
-// grant counts a request, or tells why it can't be granted.
+// grant counts a request, or returns the reason why it can't be granted.
 func (m *Meter) grant(request Request) *Denial {
 	if request.Service {
 		return m.grantReplica(request)
@@ -131,8 +131,8 @@
 	return nil
 }
 
-// grantReplica counts the eviction of a replica, or tells why it can't be granted. One that is
-// not ready counts as unavailable already.
+// grantReplica counts the eviction of a replica, or returns the reason why it can't be granted. A replica
+// that is not ready is already counted as unavailable.
 func (m *Meter) grantReplica(request Request) *Denial {
 	used, budget := m.usage(request.Team), m.budgets.Of(request.Team)
 	unavailable := used.unavailable
@@ -154,8 +154,8 @@
 	return nil
 }
 
-// Confirm tells whether a permit that is stored, and so counted already, may be used now: what
-// failed by itself since may have used the budget up. A refusal does not revoke the permit: its
+// Confirm checks whether a stored permit, which is already counted, may be used now, since later failures
+// may have exhausted the budget. It returns nil if it may be used. A denial does not revoke the permit: its
 // task stays counted as unavailable, and the eviction waits.
 func (m *Meter) Confirm(request Request) *Denial {
 	used, budget := m.usage(request.Team), m.budgets.Of(request.Team)
--- a/internal/budget/readiness.go
+++ b/internal/budget/readiness.go
@@ -2,28 +2,28 @@
 
 import "time"
 
-// Readiness is the rule by which a replica counts as ready.
+// Readiness contains the conditions under which a replica counts as ready.
 type Readiness struct {
-	// MinRunning is how long this leader must have seen it running.
+	// MinRunning is the minimum time for which this leader must have seen the replica running.
 	MinRunning time.Duration
-	// MaxHeartbeatAge is how old the machine's last heartbeat may be.
+	// MaxHeartbeatAge is the maximum age of the last heartbeat of the replica's machine.
 	MaxHeartbeatAge time.Duration
 }
 
-// Replica is what the leader knows of one replica.
+// Replica is the state of one replica as known to the leader.
 type Replica struct {
-	// Running tells that the newest heartbeat showed it running.
+	// Running is true if the latest heartbeat showed the replica running.
 	Running bool
-	// RunningSince is when this leader first saw it running.
+	// RunningSince is the time at which this leader first saw the replica running.
 	RunningSince time.Time
-	// LastHeartbeat is the time of its machine's last heartbeat.
+	// LastHeartbeat is the time of the last heartbeat of the replica's machine.
 	LastHeartbeat time.Time
-	// Terminating tells that it is being terminated, or that its eviction is stored.
+	// Terminating is true if the replica is being terminated or its eviction is stored.
 	Terminating bool
 }
 
-// IsReady reports whether a replica is ready: only if this leader knows it to be running for long
-// enough. One that is unknown, starting, lost or being moved is unavailable.
+// IsReady reports whether a replica is ready: this leader must know that it has been running for long
+// enough. A replica that is unknown, starting, lost or being moved is unavailable.
 func (r Readiness) IsReady(replica Replica, now time.Time) bool {
 	return replica.Running && !replica.Terminating &&
 		now.Sub(replica.RunningSince) >= r.MinRunning &&
