--- a/internal/commit/changes.go
+++ b/internal/commit/changes.go
@@ -6,17 +6,18 @@
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// Change is what a transaction stores of one job. Either Job or Waiting is set.
+// Change contains the operations of one job in a transaction. Either Job or Waiting is set.
 type Change struct {
-	// Job is the job whose record changed; nil if the change moves a waiting job.
+	// Job is the job whose record changed; nil if the change takes a job out of the waiting state.
 	Job *workload.Job
 	// Version is the version of Job's record that is stored.
 	Version uint64
-	// Waiting is a job that waited for others and moves on; nil if the change stores a changed record.
+	// Waiting is a job that waited for other jobs and leaves the waiting state; nil if the change stores a
+	// changed record.
 	Waiting *workload.WaitingJob
-	// Becomes is the record of Waiting after its move.
+	// Becomes is the record of Waiting after it has left the waiting state.
 	Becomes *record.Record
-	// Terminal tells that the final record is written.
+	// Terminal is true if the change writes the job's final record.
 	Terminal bool
 
 	Ops        []state.Op
@@ -25,15 +26,15 @@
 	Size int
 }
 
-// Limits bound one group of changes.
+// Limits are the limits on one group of changes.
 type Limits struct {
-	// Ops is how many operations a group may have.
+	// Ops is the maximum number of operations in a group.
 	Ops int
-	// Scarce tells that the store takes few more changes now: what can wait is left out.
+	// Scarce is true if the store accepts few more changes now, so that changes that can wait are left out.
 	Scarce bool
 }
 
-// LimitsOf returns the limits that follow from what is left of a budget for the store.
+// LimitsOf returns the limits that follow from the remaining budget for the store.
 func LimitsOf(budget *state.Budget) Limits {
 	return Limits{Ops: max(2, budget.WriteBurst()), Scarce: budget.NearlyExhausted()}
 }
--- a/internal/commit/committer.go
+++ b/internal/commit/committer.go
@@ -1,12 +1,12 @@
-// Package commit writes a leader's changes to the store in groups, each conditional on the generation and
-// on every job's own revision, so that a superseded leader can change nothing. Where a condition fails it
-// reads back what happened.
+// Package commit writes a leader's changes to the store in groups. Each write is conditional on the
+// generation and on the revision of every job in the group, so that a superseded leader can change nothing.
+// If a condition fails, the package reads back what is stored.
 //
-// Committer is the entry point. conflictResolver reads back what became of jobs whose conditions failed, and
-// finalRecordReader looks up how jobs ended that others depend on.
+// Committer is the entry point. conflictResolver reads back the jobs whose conditions failed, and
+// finalRecordReader looks up the final status of jobs that other jobs depend on.
 //
-// No lock of the cluster state is held while the store is called: the methods of Cluster lock that state
-// themselves. Committer's own write slot lets one write of the leader be in flight at a time.
+// The lock of the cluster state is not held during calls to the store: the methods of Cluster lock that
+// state themselves. The write slot of a Committer limits the leader to one write in flight.
 package commit
 
 import (
@@ -23,30 +23,30 @@
 	"github.com/pebbletrail/pebbletrail/internal/wait"
 )
 
-// Cluster is the cluster state, which locks itself.
+// Cluster provides the operations on the cluster state that a Committer needs. Its methods lock that state.
 type Cluster interface {
-	// Writer returns the name of this leader in what it writes.
+	// Writer returns the name under which this leader writes records.
 	Writer() string
-	// Generation returns this leader's present generation.
+	// Generation returns this leader's current generation.
 	Generation() ids.Generation
-	// CommitWanted is ready to be read once a change has to be stored at once.
+	// CommitWanted returns a channel that becomes readable when a change has to be stored at once.
 	CommitWanted() <-chan struct{}
-	// CollectChanges picks the changes to store now, most urgent first; raise reports that the generation
-	// is to be raised before.
+	// CollectChanges returns the changes to store now, most urgent first. raise reports whether the
+	// generation has to be raised before.
 	CollectChanges(limits Limits) (changes []Change, raise bool)
-	// ChangesStored records that changes are stored. Starts of their jobs wait for a read of the records
-	// begun after readAfter, unless it is zero.
+	// ChangesStored records that changes are stored. Unless readAfter is zero, starts of their jobs wait
+	// for a read of the records that began after readAfter.
 	ChangesStored(changes []Change, revision ids.Revision, readAfter time.Time)
 	// GenerationRaised records this leader's new generation.
 	GenerationRaised(generation ids.Generation)
-	// ValueLimit returns how many bytes a value may take.
+	// ValueLimit returns the maximum size of a value in bytes.
 	ValueLimit() int
 
 	Conflicts
 	Lookups
 }
 
-// Committer writes the changes of one term. It is safe for concurrent use.
+// Committer writes the changes of a leader in one term. It is safe for concurrent use.
 type Committer struct {
 	cluster Cluster
 	store   *state.Client
@@ -54,28 +54,30 @@
 	keys    record.ShardKeys
 	// superseded is called once another leader is known to have taken over.
 	superseded func(why string)
-	// stored is called after each stored group: starts may be sent.
+	// stored is called after each stored group, because starts may be sent then.
 	stored func()
 
 	conflicts    *conflictResolver
 	finalRecords *finalRecordReader
 
-	// writeSlot lets one write of the leader be in flight at a time: each is conditional on the generation's
-	// revision, and raising it changes that. It guards generationRevision. It is held while the store and
-	// the cluster state are called, so nothing that holds the cluster state's lock may take it.
+	// writeSlot limits the leader to one write in flight: each write is conditional on the generation's
+	// revision, and raising the generation changes that revision. It guards generationRevision. It is held
+	// during calls to the store and the cluster state, so it must not be acquired with the cluster state's
+	// lock held.
 	writeSlot          chan struct{}
 	generationRevision ids.Revision
 }
 
-// Events are called by a committer; each may be nil.
+// Events contains the callbacks of a Committer. Each may be nil.
 type Events struct {
 	// Superseded is called once another leader is known to have taken over.
 	Superseded func(why string)
-	// Stored is called after each stored group: starts may be sent.
+	// Stored is called after each stored group, because starts may be sent then.
 	Stored func()
 }
 
-// New returns the committer of a term that began with a revision of the generation.
+// New returns the Committer of a term. revision is the revision of the generation at the beginning of the
+// term.
 func New(cluster Cluster, store *state.Client, node ids.Node, keys record.ShardKeys, revision ids.Revision, events Events) *Committer {
 	if events.Superseded == nil {
 		events.Superseded = func(string) {}
@@ -98,17 +100,17 @@
 }
 
 const (
-	// commitInterval is how often changes are looked for when none is urgent.
+	// commitInterval is the interval at which changes are collected when none is urgent.
 	commitInterval = 250 * time.Millisecond
-	// retryDelay is the wait after a commit whose outcome is not known, or that was refused.
+	// retryDelay is the delay after a commit that was refused or whose outcome is unknown.
 	retryDelay = 100 * time.Millisecond
-	// slowCommit is the time of a commit after which its answer alone does not let starts be sent: it
-	// tells of when the commit was carried out, and users may have cancelled the job through another
-	// controller since. The next read of the records tells.
+	// slowCommit is the duration of a commit above which its response alone does not permit starts. The
+	// response shows the state at the time of the commit, and users may have cancelled the job through
+	// another controller since then. The next read of the records shows such a cancellation.
 	slowCommit = 150 * time.Millisecond
 )
 
-// Run commits until the context ends.
+// Run commits changes until the context ends.
 func (c *Committer) Run(ctx context.Context) {
 	for {
 		select {
@@ -123,13 +125,13 @@
 	}
 }
 
-// lock takes the write slot and returns the function that releases it.
+// lock acquires the write slot and returns the function that releases it.
 func (c *Committer) lock() (unlock func()) {
 	c.writeSlot <- struct{}{}
 	return func() { <-c.writeSlot }
 }
 
-// CommitGroup writes one group; it reports whether there may be another.
+// CommitGroup writes one group of changes and reports whether there may be another group.
 func (c *Committer) CommitGroup(ctx context.Context) (more bool) {
 	defer c.lock()()
 	changes, raise := c.cluster.CollectChanges(LimitsOf(c.store.Budget()))
@@ -173,13 +175,13 @@
 	default:
 		slog.Debug("commit not confirmed", "err", err)
 	}
-	// Refused or unknown: the same revisions are demanded again, so a late copy of this transaction and
-	// the next one exclude each other.
+	// The commit was refused or its outcome is unknown. The next transaction requires the same revisions,
+	// so that it and a late copy of this one exclude each other.
 	wait.For(ctx, retryDelay)
 }
 
-// resolveConflict reads back the keys whose conditions failed: either an answer was lost and the change
-// is this leader's own, or another controller wrote. The caller holds the write slot.
+// resolveConflict reads back the keys whose conditions failed. Either a response was lost and the change is
+// this leader's own, or another controller wrote the key. The caller holds the write slot.
 func (c *Committer) resolveConflict(ctx context.Context, conflict *state.ConflictError, changes []Change) {
 	if conflict.Has(c.keys.Generation()) {
 		c.readGeneration(ctx)
@@ -188,14 +190,14 @@
 	c.conflicts.resolve(ctx, conflict, changes)
 }
 
-// Apply writes other keys of the leader's, such as provisioning requests, under the same condition as
-// every write of a leader: that the generation still stands. It returns what Commit of the store does,
-// and state.ErrMalformed for a value that is too large.
+// Apply writes other keys of the leader, such as provisioning requests, under the condition of every write
+// of a leader: that the generation has not changed. It returns the error of the store's Commit, or
+// state.ErrMalformed for a value that is too large.
 func (c *Committer) Apply(ctx context.Context, ops []state.Op) error {
 	return c.ApplyIf(ctx, nil, ops)
 }
 
-// ApplyIf is Apply under further conditions.
+// ApplyIf is like Apply, with additional conditions.
 func (c *Committer) ApplyIf(ctx context.Context, conditions []state.Condition, ops []state.Op) error {
 	defer c.lock()()
 	limit := c.cluster.ValueLimit()
@@ -209,8 +211,8 @@
 	return err
 }
 
-// RunLookups looks up how jobs ended that others depend on, until the context ends.
+// RunLookups looks up the final status of jobs that other jobs depend on, until the context ends.
 func (c *Committer) RunLookups(ctx context.Context) { c.finalRecords.run(ctx) }
 
-// LookUpOnce is one pass of RunLookups.
+// LookUpOnce runs one pass of RunLookups.
 func (c *Committer) LookUpOnce(ctx context.Context) { c.finalRecords.lookUp(ctx) }
--- a/internal/commit/committer_test.go
+++ b/internal/commit/committer_test.go
@@ -18,7 +18,8 @@
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// fakeCluster has changes to store, and records what it learns. No job is to be looked up.
+// fakeCluster returns the given changes and records the calls that report results. It has no job to look
+// up.
 type fakeCluster struct {
 	Lookups
 	changes []Change
@@ -59,7 +60,7 @@
 	c.learn("%s cancelled %v", id, revision > 0)
 }
 
-// fixture is a committer of a fake cluster at a fake store.
+// fixture is a Committer with a fake cluster and a fake store.
 type fixture struct {
 	*Committer
 	cluster *fakeCluster
@@ -67,7 +68,7 @@
 	server  *fake.Store
 }
 
-// newFixture returns one whose other events are learned by the cluster too.
+// newFixture returns a fixture whose callbacks are recorded by the fake cluster as well.
 func newFixture() *fixture {
 	f := &fixture{cluster: &fakeCluster{}, network: fake.NewNetwork(), server: fake.NewStore()}
 	f.network.Listen("state:1", f.server)
@@ -77,7 +78,7 @@
 	return f
 }
 
-// put stores a value.
+// put stores a value under a key.
 func (f *fixture) put(t *testing.T, key string, value any) {
 	t.Helper()
 	raw, err := json.Marshal(value)
@@ -89,27 +90,28 @@
 	}
 }
 
-// learned returns what the cluster learned, and forgets it.
+// learned returns the recorded calls and clears them.
 func (f *fixture) learned() string {
 	defer func() { f.cluster.learned = nil }()
 	return strings.Join(f.cluster.learned, "; ")
 }
 
-// testRecord returns a record of a job that another writer stored.
+// testRecord returns the record of a job that another writer stored.
 func testRecord(id ids.Job, status record.Status) *record.Record {
 	stored := record.New(record.Spec{ID: id, Tasks: 1}, 1, "user")
 	stored.Status = status
 	return stored
 }
 
-// jobChange stores a job's record at its key, conditional on a revision of a key.
+// jobChange returns a change that stores a job's record, conditional on a revision of a key.
 func jobChange(key string, revision ids.Revision) Change {
 	value := json.RawMessage(`{"writer":"leader"}`)
 	return Change{Job: workload.NewJob(testRecord("job", record.Queued), 0), Ops: []state.Op{{Put: record.JobKey("job"), Value: value}},
 		Conditions: []state.Condition{{Key: key, Revision: revision}}}
 }
 
-// moveChange moves a waiting job, conditional on a revision of its key.
+// moveChange returns a change that takes a job out of the waiting state, conditional on a revision of its
+// key.
 func moveChange(revision ids.Revision) Change {
 	change := jobChange(record.WaitKey("job"), revision)
 	change.Job, change.Waiting = nil, &workload.WaitingJob{Record: testRecord("job", record.Queued)}
@@ -120,7 +122,7 @@
 	jobKey, endKey, cancelKey := record.JobKey("job"), record.EndKey("job"), record.CancelKey("job")
 	for _, c := range []struct {
 		name   string
-		key    string // a key that was written
+		key    string // the key that was written before
 		value  any
 		change Change
 		want   string
--- a/internal/commit/conflict.go
+++ b/internal/commit/conflict.go
@@ -10,21 +10,24 @@
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// Conflicts is what the cluster state learns where conditions failed. It locks itself.
+// Conflicts provides the operations on the cluster state that record what was found after a failed
+// condition. Its methods lock that state.
 type Conflicts interface {
-	// CancellationFound records that a job's cancellation is stored apart from its record, or with a
-	// revision of 0 that none is.
+	// CancellationFound records the revision of a job's cancellation that is stored separately from its
+	// record, or 0 if none is stored.
 	CancellationFound(id ids.Job, revision ids.Revision)
-	// RecordFound records a job's live record: this leader's own, whose answer was lost, or a user's.
+	// RecordFound records the stored live record of a job. Either this leader wrote it and the response was
+	// lost, or a user wrote it.
 	RecordFound(job *workload.Job, stored *record.Record, revision ids.Revision)
 	// RecordEnded records that a job's final record is stored.
 	RecordEnded(job *workload.Job)
-	// MoveFound records that a waiting job's move was stored, MoveNotFound that the job is gone.
+	// MoveFound records the stored live record of a job that has left the waiting state; MoveNotFound
+	// records that the waiting job is gone.
 	MoveFound(waiting *workload.WaitingJob, stored *record.Record, revision ids.Revision)
 	MoveNotFound(waiting *workload.WaitingJob)
 }
 
-// conflictResolver reads back what became of jobs whose conditions failed.
+// conflictResolver reads back the jobs whose conditions failed.
 type conflictResolver struct {
 	cluster Conflicts
 	store   *state.Client
@@ -32,7 +35,8 @@
 	stored func()
 }
 
-// resolve reads back the changes whose conditions failed. What can't be read now is read at the next conflict.
+// resolve reads back the changes whose conditions failed. It stops at the first failed read; the other
+// changes are read after the next conflict.
 func (r *conflictResolver) resolve(ctx context.Context, conflict *state.ConflictError, changes []Change) {
 	for _, change := range changes {
 		if !r.resolveChange(ctx, conflict, change) {
@@ -41,7 +45,7 @@
 	}
 }
 
-// resolveChange reads back what became of one change; it returns false if the store does not tell.
+// resolveChange reads back one change. It returns false if a read fails.
 func (r *conflictResolver) resolveChange(ctx context.Context, conflict *state.ConflictError, change Change) bool {
 	if change.Waiting != nil {
 		return !conflict.Has(record.WaitKey(change.Waiting.ID())) || r.readMove(ctx, change)
@@ -56,7 +60,8 @@
 	return r.readRecord(ctx, change)
 }
 
-// readCancellation finds out whether a cancellation is stored apart from the job's record.
+// readCancellation reads whether a cancellation is stored separately from the job's record. It returns
+// false if the read fails.
 func (r *conflictResolver) readCancellation(ctx context.Context, id ids.Job) bool {
 	entry, found, err := r.store.Get(ctx, record.CancelKey(id), state.Urgent)
 	if err != nil {
@@ -69,7 +74,8 @@
 	return true
 }
 
-// readRecord reads a job's live record or, without one, its final one.
+// readRecord reads a job's live record or, if there is none, its final record. It returns false if a read
+// fails.
 func (r *conflictResolver) readRecord(ctx context.Context, change Change) bool {
 	id := change.Job.ID()
 	stored, revision, ok := r.readLive(ctx, id)
@@ -92,8 +98,8 @@
 	return true
 }
 
-// readMove finds out what became of a waiting job whose move met a conflict: an answer was lost, or its
-// user cancelled it.
+// readMove reads whether a waiting job has left the waiting state after its change met a conflict: either a
+// response was lost, or the job's user cancelled it. It returns false if the read fails.
 func (r *conflictResolver) readMove(ctx context.Context, change Change) bool {
 	stored, revision, ok := r.readLive(ctx, change.Waiting.ID())
 	switch {
@@ -107,7 +113,8 @@
 	return true
 }
 
-// readLive reads a job's live record, nil if there is none; ok is false if the store does not tell.
+// readLive reads a job's live record, which is nil if there is none. ok is false if the read fails or the
+// record is unreadable.
 func (r *conflictResolver) readLive(ctx context.Context, id ids.Job) (stored *record.Record, revision ids.Revision, ok bool) {
 	entry, found, err := r.store.Get(ctx, record.JobKey(id), state.Urgent)
 	if err != nil {
--- a/internal/commit/generation.go
+++ b/internal/commit/generation.go
@@ -11,15 +11,15 @@
 	"github.com/pebbletrail/pebbletrail/internal/wait"
 )
 
-// GenerationRecord is the value at the generation's key. It persists, so that the number never falls.
+// GenerationRecord is the value at the generation's key. It is never deleted, so that the generation never
+// decreases.
 type GenerationRecord struct {
 	Generation ids.Generation `json:"generation"`
 	Node       ids.Node       `json:"node"`
 	Writer     string         `json:"writer"`
 }
 
-// generationCondition returns what every write of this leader is conditional on. The caller holds the write
-// slot.
+// generationCondition returns the condition of every write of this leader. The caller holds the write slot.
 func (c *Committer) generationCondition() state.Condition {
 	return state.Condition{Key: c.keys.Generation(), Revision: c.generationRevision}
 }
@@ -30,8 +30,8 @@
 	return c.generationRevision
 }
 
-// raiseGeneration raises the generation while this leader goes on, so that workers reject whatever direct start
-// is still on its way. The caller holds the write slot.
+// raiseGeneration raises the generation during this leader's term, so that workers reject every direct
+// start that is still in flight. The caller holds the write slot.
 func (c *Committer) raiseGeneration(ctx context.Context) {
 	next := c.cluster.Generation() + 1
 	value, err := json.Marshal(GenerationRecord{next, c.node, c.cluster.Writer()})
@@ -55,8 +55,8 @@
 	}
 }
 
-// readGeneration finds out whether this leader raised the generation itself, or was superseded. The caller
-// holds the write slot.
+// readGeneration reads whether this leader raised the generation itself or was superseded. The caller holds
+// the write slot.
 func (c *Committer) readGeneration(ctx context.Context) {
 	entry, found, err := c.store.Get(ctx, c.keys.Generation(), state.Urgent)
 	if err != nil {
@@ -71,7 +71,7 @@
 	c.superseded("another leader raised the generation")
 }
 
-// generationRaised records that the generation was raised. The caller holds the write slot.
+// generationRaised records that this leader raised the generation. The caller holds the write slot.
 func (c *Committer) generationRaised(generation ids.Generation, revision ids.Revision) {
 	c.cluster.GenerationRaised(generation)
 	c.generationRevision = revision
--- a/internal/commit/lookups.go
+++ b/internal/commit/lookups.go
@@ -11,46 +11,47 @@
 	"github.com/pebbletrail/pebbletrail/internal/wait"
 )
 
-// Final records are kept for ever, so what it costs to look some up must depend on how many are wanted
-// and not on how many there are.
+// Final records are never deleted, so the cost of lookups must depend on the number of wanted records and
+// not on the number of stored ones.
 const (
-	// LookupInterval spaces the passes that look up how jobs ended.
+	// LookupInterval is the pause between two passes of lookups.
 	LookupInterval = 200 * time.Millisecond
-	// pagedLookupThreshold is from how many on pages of final records are tried: after a takeover with
-	// thousands that wait.
+	// pagedLookupThreshold is the number of wanted records from which whole pages of final records are
+	// read, as after a failover with thousands of waiting jobs.
 	pagedLookupThreshold = 40
-	// LookupPageSize is how many final records a page holds.
+	// LookupPageSize is the number of final records in a page.
 	LookupPageSize = 500
-	// lookupPagesPerPass is how many pages one pass reads at most.
+	// lookupPagesPerPass is the maximum number of pages read in one pass.
 	lookupPagesPerPass = 5
-	// minLookupsPerPage is how many wanted records a page must cover to be worth reading.
+	// minLookupsPerPage is the number of wanted records that a page must cover to be worth reading.
 	minLookupsPerPage = 8
-	// LookupReadsPerPass is how many records one pass reads one by one at most.
+	// LookupReadsPerPass is the maximum number of records read one by one in one pass.
 	LookupReadsPerPass = 20
 )
 
-// Lookups is what the cluster state wants to know of ended jobs. It locks itself.
+// Lookups provides the operations on the cluster state that lookups of ended jobs need. Its methods lock
+// that state.
 type Lookups interface {
-	// DueLookups lists, in the order of their keys, the ended jobs to look up now.
+	// DueLookups returns the ended jobs to look up now, in the order of their keys.
 	DueLookups(now time.Time) []ids.Job
-	// RetryLookup postpones the lookup of a job that could not be read.
+	// RetryLookup postpones the lookup of a job whose record could not be read.
 	RetryLookup(id ids.Job, now time.Time)
-	// LookupFound records how a job ended.
+	// LookupFound records the final status of a job.
 	LookupFound(id ids.Job, status record.Status)
-	// LookupMissed records that a job has no final record; readLive reports that it may be live after
-	// all, by a write of this leader's without an answer.
+	// LookupMissed records that a job has no final record. readLive reports whether the job may be live,
+	// written by this leader in a commit whose response was lost.
 	LookupMissed(id ids.Job, now time.Time) (readLive bool)
-	// LiveRecordFound records a live record.
+	// LiveRecordFound records the stored live record of a job.
 	LiveRecordFound(stored *record.Record, revision ids.Revision, now time.Time)
 }
 
-// finalRecordReader looks up the final records of jobs that others depend on.
+// finalRecordReader looks up the final records of jobs that other jobs depend on.
 type finalRecordReader struct {
 	cluster Lookups
 	store   *state.Client
 }
 
-// run looks up until the context ends.
+// run runs lookup passes until the context ends.
 func (r *finalRecordReader) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		r.lookUp(ctx)
@@ -58,8 +59,8 @@
 	}
 }
 
-// lookUp is one pass: pages while they cover enough of what is wanted, then records one by one. What it does
-// not get to is left to the next pass.
+// lookUp runs one pass: it reads pages while they cover enough wanted records, then single records. The
+// next pass reads the remaining ones.
 func (r *finalRecordReader) lookUp(ctx context.Context) {
 	now := time.Now()
 	wanted := r.cluster.DueLookups(now)
@@ -79,7 +80,7 @@
 	for _, id := range wanted[:min(len(wanted), LookupReadsPerPass)] {
 		entry, found, err := r.store.Get(ctx, record.EndKey(id), state.Normal)
 		if err != nil {
-			r.cluster.RetryLookup(id, now) // the others must not wait for one that can't be read
+			r.cluster.RetryLookup(id, now) // a record that can't be read must not delay the others
 			return
 		}
 		r.applyLookup(ctx, id, entry, found, now)
@@ -87,7 +88,7 @@
 }
 
 // lookUpPage reads the page of final records that begins at the first wanted one, and returns how many of
-// the wanted lie within it.
+// the wanted records lie within the page.
 func (r *finalRecordReader) lookUpPage(ctx context.Context, wanted []ids.Job, now time.Time) (covered int, ok bool) {
 	entries, more, _, err := r.store.List(ctx, record.EndPrefix, justBefore(record.EndKey(wanted[0])), LookupPageSize, state.Normal)
 	if err != nil {
@@ -109,14 +110,14 @@
 	return covered, true
 }
 
-// justBefore returns a key that comes before another, and after every other job's key that does: they end in
-// digits.
+// justBefore returns a key that sorts before the given key, and after every other job's key that does,
+// because job keys end in digits.
 func justBefore(key string) string {
 	last := len(key) - 1
 	return key[:last] + string(key[last]-1) + "~"
 }
 
-// applyLookup records what was found of a job that ended.
+// applyLookup records the result of looking up an ended job.
 func (r *finalRecordReader) applyLookup(ctx context.Context, id ids.Job, entry state.Entry, found bool, now time.Time) {
 	if !found {
 		if r.cluster.LookupMissed(id, now) {
@@ -133,7 +134,7 @@
 	r.cluster.LookupFound(id, stored.Status)
 }
 
-// findLive finds a live record that this leader wrote but does not know of.
+// findLive looks for a live record that this leader wrote but does not know of.
 func (r *finalRecordReader) findLive(ctx context.Context, id ids.Job, now time.Time) {
 	entry, found, err := r.store.Get(ctx, record.JobKey(id), state.Normal)
 	if err != nil || !found {
