--- a/internal/dispatch/answers.go
+++ b/internal/dispatch/answers.go
@@ -7,7 +7,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/worker"
 )
 
-// Answered records what became of a batch.
+// Answered records the outcome of sending a batch.
 func (q *Queue) Answered(batch Batch, outcome worker.Outcome) {
 	machine := q.machines.Machines[batch.Machine]
 	if machine == nil {
@@ -19,15 +19,15 @@
 	}
 	q.RecordReachability(machine, outcome == worker.Executed || outcome == worker.Rejected)
 	if outcome == worker.OutcomeUnknown {
-		return // outstanding until shown, or turned away by incarnation or token
+		return // the starts are outstanding until a report shows them or an incarnation or token rejects them
 	}
 	machine.UnconfirmedStarts = slices.DeleteFunc(machine.UnconfirmedStarts, func(start worker.UnconfirmedStart) bool {
 		return start.Incarnation == batch.Incarnation && start.FencingToken == batch.FencingToken && batch.starts(start.Task, start.Attempt)
 	})
 }
 
-// undoStarts undoes the starts of a batch that was not sent: nothing of it can arrive later, so what it would
-// have started has only its marker again, or is removed if its stop was requested meanwhile.
+// undoStarts marks the starts of a batch that was not sent as unsent, since none of them can arrive later.
+// An assignment whose stop was requested meanwhile is removed.
 func (q *Queue) undoStarts(batch *Batch) {
 	for assignment := range q.capacity.AssignmentsOn(batch.Machine) {
 		outstanding := assignment.StartSent && !assignment.Confirmed && !assignment.OfferedInHeartbeat
@@ -44,9 +44,9 @@
 	}
 }
 
-// RecordReachability records whether a machine answered a call. One that did gets what is due; one that did not
-// loses the assignments that have only a marker: their starts were never sent, so they may be assigned elsewhere
-// at once.
+// RecordReachability records whether a machine answered a call. If a suspect machine answers, its pending
+// commands are queued. If a machine does not answer, its assignments whose starts were never sent are
+// removed, so that they can be assigned elsewhere at once.
 func (q *Queue) RecordReachability(machine *worker.Machine, answered bool) {
 	wasSuspect := machine.Suspect()
 	machine.RecordCall(answered, time.Now())
--- a/internal/dispatch/batch.go
+++ b/internal/dispatch/batch.go
@@ -9,7 +9,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// Batch is the commands that are sent straight to one worker in one call.
+// Batch contains the commands that are sent directly to one worker in one call.
 type Batch struct {
 	Machine      ids.Machine
 	Address      string
@@ -18,7 +18,7 @@
 	Commands     []worker.Command
 }
 
-// addStart adds the start of an assignment, and records it as outstanding on its machine.
+// addStart adds the start of an assignment and records it as unconfirmed on its machine.
 func (b *Batch) addStart(assignment *workload.Assignment, machine *worker.Machine) {
 	assignment.StartSent = true
 	machine.UnconfirmedStarts = append(machine.UnconfirmedStarts, worker.UnconfirmedStart{
@@ -30,21 +30,21 @@
 	b.Commands = append(b.Commands, worker.StartCommand(assignment.Task(), assignment.Attempt))
 }
 
-// starts reports whether the batch starts a task under an attempt.
+// starts reports whether the batch contains the start of an attempt of a task.
 func (b *Batch) starts(task string, attempt ids.Attempt) bool {
 	return slices.ContainsFunc(b.Commands, func(command worker.Command) bool {
 		return command.Verb == worker.VerbStart && command.Task == task && command.Attempt == attempt
 	})
 }
 
-// Permission is what starts may be sent under.
+// Permission contains the conditions under which starts may be sent.
 type Permission struct {
-	// FencingToken is the leader's generation.
+	// FencingToken is the leader's current generation.
 	FencingToken ids.Generation
-	// Starts tells whether starts may be sent at all.
+	// Starts is true if starts may be sent at all.
 	Starts bool
-	// RecordsRead is the time of the last complete read of the records: another controller may have
-	// confirmed since, unknown to this one, that a job is cancelled.
+	// RecordsRead is the time of the last complete read of the records. Another controller may have
+	// confirmed the cancellation of a job since then, unknown to this one.
 	RecordsRead time.Time
 }
 
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -1,9 +1,10 @@
-// Package dispatch sends commands and probes straight to the workers: starts whose markers are stored, stops,
-// and probes of machines whose reports are overdue.
+// Package dispatch sends commands and probes directly to workers: starts, stops, and probes of machines
+// whose reports are overdue. A start is sent only after its marker is stored; the marker of a start is its
+// assignment in the stored record of the job.
 //
-// Queue decides which commands are due and Prober which machines to probe. Neither has a lock: the lock of the
-// cluster state that they belong to guards them, every method is called under it, and so are the methods of
-// Jobs. Dispatcher sends what they choose. It holds no lock; the methods of Cluster lock the cluster state
+// Queue selects the commands to send and Prober the machines to probe. Neither has a lock of its own: every
+// method is called with the lock of the cluster state held, and so are the methods of Jobs. Dispatcher
+// sends the selected commands and probes. It holds no lock; the methods of Cluster lock the cluster state
 // themselves.
 package dispatch
 
@@ -17,33 +18,35 @@
 	"github.com/pebbletrail/pebbletrail/internal/worker"
 )
 
-// Cluster is what the dispatcher asks of the cluster state, which locks itself.
+// Cluster provides the operations on the cluster state that the dispatcher needs. Its methods lock that
+// state.
 type Cluster interface {
-	// NextBatches takes the commands that may be sent now, to at most limit machines.
+	// NextBatches takes from the queue the commands that may be sent now, to at most limit machines.
 	NextBatches(limit int) []Batch
-	// BatchAnswered records what became of a batch.
+	// BatchAnswered records the outcome of sending a batch.
 	BatchAnswered(batch Batch, outcome worker.Outcome)
-	// DueProbes takes the machines to probe now, with at most limit probes in flight.
+	// DueProbes selects the machines to probe now, with at most limit probes in flight.
 	DueProbes(now time.Time, limit int) []Probe
 	// ProbeAnswered records whether a machine answered a probe.
 	ProbeAnswered(machine ids.Machine, answered bool)
-	// ReconcileHeartbeat reconciles a machine's report.
+	// ReconcileHeartbeat reconciles a machine's report, which may also be the response to a command or a
+	// probe.
 	ReconcileHeartbeat(report *worker.Report, answered, heartbeat bool) []worker.Command
 }
 
-// Dispatcher sends what is due, each batch and probe in a goroutine of its own. At most as many batches are in
-// flight as it has slots, since each holds a socket. Nobody waits for these goroutines: each ends by itself,
-// after the call's timeout or with the context of Run.
+// Dispatcher sends commands and probes, each batch and each probe in its own goroutine. The slots limit the
+// batches in flight, since each uses a socket. Nothing waits for these goroutines: each ends after the
+// timeout of its call or with the context of Run.
 type Dispatcher struct {
 	cluster   Cluster
 	commander *worker.Commander
-	// mayCommand reports whether this leader may still give commands.
+	// mayCommand reports whether this leader may still send commands.
 	mayCommand func() bool
 	slots      chan struct{}
 	wake       chan struct{}
 }
 
-// New returns a dispatcher that has at most slots batches in flight.
+// New returns a Dispatcher with at most slots batches in flight.
 func New(cluster Cluster, commander *worker.Commander, slots int, mayCommand func() bool) *Dispatcher {
 	return &Dispatcher{
 		cluster:    cluster,
@@ -54,13 +57,13 @@
 	}
 }
 
-// Wake has Run look at once at what is due.
+// Wake makes Run check for commands and probes at once.
 func (d *Dispatcher) Wake() { wait.Signal(d.wake) }
 
-// lookInterval is how often the dispatcher looks when nobody wakes it.
+// lookInterval is the interval at which Run checks for commands and probes unless it is woken.
 const lookInterval = 200 * time.Millisecond
 
-// Run sends until the context ends.
+// Run sends commands and probes until the context ends.
 func (d *Dispatcher) Run(ctx context.Context) {
 	for {
 		select {
@@ -76,13 +79,13 @@
 			go d.probe(ctx, probe)
 		}
 		for _, batch := range d.cluster.NextBatches(cap(d.slots) - len(d.slots)) {
-			d.slots <- struct{}{} // only this loop takes slots, so one is free
+			d.slots <- struct{}{} // does not block: only this loop acquires slots, and one is free
 			go d.send(ctx, batch)
 		}
 	}
 }
 
-// send sends a batch, and records what became of it.
+// send sends a batch and records its outcome.
 func (d *Dispatcher) send(ctx context.Context, batch Batch) {
 	outcome, report := d.commander.Send(ctx, batch.Address, batch.FencingToken, batch.Incarnation, batch.Commands)
 	<-d.slots
@@ -90,10 +93,10 @@
 	if report != nil && report.Machine == batch.Machine {
 		d.cluster.ReconcileHeartbeat(report, false, false)
 	}
-	d.Wake() // a slot is free, and more may be due there
+	d.Wake() // a slot is free, and the machine may have more pending commands
 }
 
-// probe asks a machine for its report, and makes sure that it has seen this leader's fencing token.
+// probe requests a machine's report and makes sure that the machine has seen this leader's fencing token.
 func (d *Dispatcher) probe(ctx context.Context, probe Probe) {
 	report := d.fetchReport(ctx, probe)
 	if report != nil && report.FencingToken < probe.FencingToken {
@@ -108,11 +111,12 @@
 	}
 }
 
-// fetchReport asks a machine for its report; nil if it does not answer, or another one does.
+// fetchReport requests a machine's report. It returns nil if the machine does not answer, or if another one
+// answers.
 func (d *Dispatcher) fetchReport(ctx context.Context, probe Probe) (report *worker.Report) {
 	if probe.Incarnation > 0 {
-		// No commands: only so that what earlier leaders sent is rejected from now on, and the answer tells
-		// what is there.
+		// A call without commands makes the worker reject what earlier leaders sent, and returns its
+		// report.
 		ctx, cancel := context.WithTimeout(ctx, liveness.ProbeTimeout)
 		defer cancel()
 		_, report = d.commander.Send(ctx, probe.Address, probe.FencingToken, probe.Incarnation, nil)
--- a/internal/dispatch/prober.go
+++ b/internal/dispatch/prober.go
@@ -11,53 +11,54 @@
 	"github.com/pebbletrail/pebbletrail/internal/worker"
 )
 
-// Probe asks a machine for its report.
+// Probe is a request for a machine's report.
 type Probe struct {
 	Machine      ids.Machine
 	Address      string
 	FencingToken ids.Generation
-	Incarnation  ids.Incarnation // believed, of a machine that has not reported yet
+	Incarnation  ids.Incarnation // as hinted, for a machine that has not reported yet; otherwise 0
 }
 
-// Prober picks the machines to probe for their reports: one that hangs, is partitioned or dead does not answer,
-// while one that only lost its connection to the leader does. After a failover it probes all that are known,
-// instead of waiting until their workers have found the new leader, and shows them its fencing token. The lock of
-// the cluster state guards it.
+// Prober selects the machines to probe for their reports. A machine that hangs, is partitioned or is dead
+// does not answer; one that only lost its connection to the leader does. After a failover all known
+// machines are probed, which shows them the new leader's fencing token without waiting until their workers
+// find the new leader. The lock of the cluster state guards a Prober.
 type Prober struct {
 	machines *worker.Registry
 	capacity *capacity.Index
 	settings *config.Settings
-	pickedAt time.Time // when machines were last picked
+	pickedAt time.Time // when machines were last selected
 	inFlight int
-	// earlyTokens are the probes that may be sent now before a report is overdue.
+	// earlyTokens is the number of probes that may be sent now to machines whose reports are not overdue.
 	earlyTokens float64
 }
 
-// NewProber returns a prober of the machines in a registry.
+// NewProber returns a Prober of the machines in a registry.
 func NewProber(settings *config.Settings, machines *worker.Registry, index *capacity.Index) *Prober {
 	return &Prober{settings: settings, machines: machines, capacity: index}
 }
 
-// reportInterval returns how often workers report.
+// reportInterval returns the interval at which workers report.
 func (p *Prober) reportInterval() time.Duration { return p.settings.Params.Workers.ReportS.Duration() }
 
 const (
-	// pickInterval is the least time between two searches for machines to probe.
+	// pickInterval is the minimum time between two selections of machines to probe.
 	pickInterval = 100 * time.Millisecond
-	// unheardRetry is after how long a machine that never reported is probed again.
+	// unheardRetry is the delay before a machine that never reported is probed again.
 	unheardRetry = time.Second
-	// frequentProbes is how many probes in a row follow one another closely. A machine that left so many
-	// unanswered is judged already; its worker reports by itself once it is back.
+	// frequentProbes is the number of consecutive probes that are sent at short intervals. A machine that
+	// left that many unanswered is already treated as suspect, and its worker reports by itself once it is
+	// back.
 	frequentProbes = 4
-	// earlyProbesPerSecond is how many machines without replicas are probed in a second before their
-	// reports, which come up to a quarter later than their interval, are overdue: in a large fleet half
-	// of all machines are that silent at any time, and to probe each of them costs its leader as much as
-	// their reports do.
+	// earlyProbesPerSecond limits how many machines without replicas are probed per second before their
+	// reports are overdue. Reports may arrive a quarter of their interval late. In a large fleet half of
+	// all machines are silent for long enough to be probed at any time, and probing each of them would cost
+	// the leader as much as their reports do.
 	earlyProbesPerSecond = 30.0
 )
 
-// Due picks the machines to probe now, with at most limit probes in flight: those with replicas first, then the
-// ones whose last probe is longest ago, so that hundreds that are silent take turns.
+// Due selects the machines to probe now, with at most limit probes in flight. Machines with replicas come
+// first, then those whose last probe was longest ago, so that hundreds of silent machines take turns.
 func (p *Prober) Due(now time.Time, limit int, fencingToken ids.Generation) (probes []Probe) {
 	if now.Sub(p.pickedAt) < pickInterval {
 		return nil
@@ -81,8 +82,8 @@
 	return probes
 }
 
-// silentMachines returns the machines to probe: all that are silent for too long, and of those whose reports
-// are not overdue yet the few that have been silent for longest.
+// silentMachines returns the machines to probe: all whose reports are overdue, and of the others the few
+// that have been silent for longest.
 func (p *Prober) silentMachines(now time.Time) (silent []*worker.Machine) {
 	early := longestSilent{limit: int(p.earlyTokens)}
 	for _, machine := range p.machines.Machines {
@@ -98,7 +99,7 @@
 	return append(silent, early.machines...)
 }
 
-// isDue reports whether a machine has been silent for long enough to be probed, and was not probed just now.
+// isDue reports whether a machine has been silent for long enough to be probed and was not probed recently.
 func (p *Prober) isDue(machine *worker.Machine, now time.Time) bool {
 	if !machine.HasReported {
 		return !machine.Booting && now.Sub(machine.LastProbeAt) > p.retryDelay(machine)
@@ -107,13 +108,14 @@
 	return silent && now.Sub(machine.LastProbeAt) > p.retryDelay(machine)
 }
 
-// isEarly reports whether a machine's report is not overdue yet and nothing else speaks against it.
+// isEarly reports whether a machine without replicas has a report that is not overdue yet and no sign of a
+// failure.
 func (p *Prober) isEarly(machine *worker.Machine, now time.Time) bool {
 	return machine.HasReported && machine.UnansweredProbes == 0 && machine.UnreachableSince.IsZero() &&
 		machine.SilentFor(now) < p.reportInterval()*5/4 && !p.hasReplicas(machine)
 }
 
-// retryDelay returns after how long a machine is probed again.
+// retryDelay returns the delay before a machine is probed again.
 func (p *Prober) retryDelay(machine *worker.Machine) time.Duration {
 	delay := p.probeAfter(machine) / 2
 	if !machine.HasReported {
@@ -125,8 +127,8 @@
 	return delay
 }
 
-// probeAfter returns the silence after which a machine is probed. It is short where replicas run: while a machine
-// hangs, they are down, and reports may be far apart.
+// probeAfter returns the silence after which a machine is probed. It is short for a machine with replicas,
+// because they are unavailable while the machine hangs, and the report interval may be long.
 func (p *Prober) probeAfter(machine *worker.Machine) time.Duration {
 	after := p.reportInterval() / 2
 	if p.hasReplicas(machine) {
@@ -141,7 +143,7 @@
 	return node != nil && node.Replicas > 0
 }
 
-// compareUrgency orders machines by how urgent it is to probe them.
+// compareUrgency orders machines by the urgency of a probe.
 func (p *Prober) compareUrgency(x, y *worker.Machine) int {
 	if first, second := p.hasReplicas(x), p.hasReplicas(y); first != second {
 		if first {
@@ -152,7 +154,8 @@
 	return x.LastProbeAt.Compare(y.LastProbeAt)
 }
 
-// Answered records whether a machine answered its probe. It returns the machine; nil if it is not known any more.
+// Answered records whether a machine answered its probe. It returns the machine, or nil if it is not known
+// any more.
 func (p *Prober) Answered(name ids.Machine, answered bool) *worker.Machine {
 	p.inFlight--
 	machine := p.machines.Machines[name]
@@ -166,14 +169,14 @@
 	return machine
 }
 
-// longestSilent keeps the few machines that have been silent for longest of the many, in a large fleet,
-// whose reports are not overdue yet.
+// longestSilent collects at most limit machines, those that have been silent for longest. It selects among
+// the machines whose reports are not overdue yet, of which a large fleet has many.
 type longestSilent struct {
 	limit    int
 	machines []*worker.Machine // longest silent first
 }
 
-// add keeps a machine if it is among the longest silent so far.
+// add adds a machine if it is among the longest silent so far.
 func (l *longestSilent) add(machine *worker.Machine) {
 	byLastReport := func(x, y *worker.Machine) int { return x.LastReportAt.Compare(y.LastReportAt) }
 	at, _ := slices.BinarySearchFunc(l.machines, machine, byLastReport)
--- a/internal/dispatch/prober_test.go
+++ b/internal/dispatch/prober_test.go
@@ -11,7 +11,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/worker"
 )
 
-// largestFleet is how many machines there may be without any limit being reached.
+// largestFleet is the largest number of machines that is within all limits of a cluster.
 const largestFleet = 6000
 
 func TestProbesBeforeReportsAreOverdueGoToTheLongestSilent(t *testing.T) {
@@ -64,7 +64,7 @@
 			t.Errorf("look %d: probed %v, want %s", i, names, want)
 		}
 		if i == 0 {
-			continue // no answer comes in time
+			continue // the probes are not answered in time
 		}
 		for _, machine := range machines.Machines {
 			if machine.ProbeInFlight {
--- a/internal/dispatch/queue.go
+++ b/internal/dispatch/queue.go
@@ -11,18 +11,19 @@
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// Jobs is what the queue asks of the cluster state. Every method is called under that state's lock.
+// Jobs provides the operations on the cluster state that the queue needs. Every method is called with that
+// state's lock held.
 type Jobs interface {
-	// RemoveAssignment removes an assignment, whose task is proven not to be there.
+	// RemoveAssignment removes an assignment whose task is proven not to be on its machine.
 	RemoveAssignment(assignment *workload.Assignment)
-	// MarkChanged records that a job's record changed; MarkUrgent that it must be stored at once.
+	// MarkChanged records that a job's record changed; MarkUrgent records that it must be stored at once.
 	MarkChanged(job *workload.Job)
 	MarkUrgent(job *workload.Job)
-	// FinishIfComplete moves a job to its final status when nothing is left of it.
+	// FinishIfComplete sets the final status of a job that has no work left.
 	FinishIfComplete(job *workload.Job)
 }
 
-// Queue is the machines to which commands are to be sent. The lock of the cluster state guards it.
+// Queue contains the machines that have pending commands. The lock of the cluster state guards it.
 type Queue struct {
 	machines *worker.Registry
 	capacity *capacity.Index
@@ -35,10 +36,10 @@
 	return &Queue{machines: machines, capacity: index, jobs: jobs, pending: map[*capacity.Node]bool{}}
 }
 
-// Add has what is due on a node sent.
+// Add queues the pending commands of a node.
 func (q *Queue) Add(node *capacity.Node) { q.pending[node] = true }
 
-// AddFor has what is due of an assignment sent.
+// AddFor queues the pending commands of an assignment's node.
 func (q *Queue) AddFor(assignment *workload.Assignment) {
 	if node := q.capacity.Node(assignment.Machine); node != nil {
 		q.Add(node)
@@ -48,12 +49,13 @@
 // Remove removes a node whose machine is gone.
 func (q *Queue) Remove(node *capacity.Node) { delete(q.pending, node) }
 
-// NextBatches takes what may be sent now, to at most limit machines: starts whose marker is stored, and stops.
-// It records each start as outstanding before it is sent. What is beyond the limit stays due.
+// NextBatches takes from the queue the commands that may be sent now, to at most limit machines: stops, and
+// starts whose markers are stored. It records each start as unconfirmed before it is sent. Machines beyond
+// the limit stay queued.
 //
-// Each machine has at most one call in flight, and one that leaves calls unanswered gets none at all: hundreds
-// of silent machines must not keep responsive ones waiting. What is due there is sent after its next heartbeat,
-// or its answer to a probe.
+// Each machine has at most one call in flight, and a machine that does not answer calls gets none, so that
+// hundreds of silent machines do not delay the responsive ones. Its commands are sent after its next
+// heartbeat or its answer to a probe.
 func (q *Queue) NextBatches(limit int, permission Permission, now time.Time) (batches []Batch) {
 	nodes := q.sendable()
 	if limit <= 0 {
@@ -79,15 +81,16 @@
 	return batches
 }
 
-// sendable returns the pending nodes to which something may be sent, those that reported last first: of machines
-// that are lost without notice yet, the last report is the oldest. Silent ones leave the queue until they report.
+// sendable returns the pending nodes that may receive commands, ordered by their last report, latest first:
+// machines that are lost but not detected yet have the oldest reports. Suspect machines leave the queue
+// until they report.
 func (q *Queue) sendable() (nodes []*capacity.Node) {
 	for node := range q.pending {
 		machine := q.machines.Machines[node.Name]
 		switch {
 		case machine == nil || !machine.HasReported || machine.Addr == "" || machine.Deleting || machine.Suspect():
 			delete(q.pending, node)
-		case !machine.CommandsInFlight: // else it stays pending until that call is answered
+		case !machine.CommandsInFlight: // otherwise it stays pending until that call is answered
 			nodes = append(nodes, node)
 		}
 	}
@@ -97,7 +100,7 @@
 	return nodes
 }
 
-// addCommand adds what is due of one assignment to a batch.
+// addCommand adds the pending command of an assignment to a batch.
 func (q *Queue) addCommand(
 	batch *Batch, assignment *workload.Assignment, node *capacity.Node, machine *worker.Machine, permission *Permission, now time.Time,
 ) {
@@ -109,7 +112,7 @@
 		}
 	case assignment.StartSent:
 	case !permission.MayStart(assignment.Job):
-		q.Add(node) // looked at again soon
+		q.Add(node) // starts of the job may be permitted later
 	case assignment.Job.StoredVersion < assignment.MarkerVersion:
 	case !scheduler.GangStartAllowed(assignment, machine, q.machines):
 	case assignment.FencingToken == permission.FencingToken:
@@ -119,8 +122,8 @@
 	}
 }
 
-// renewMarker has an assignment's marker stored again. The generation rose between marker and start: the marker
-// must carry the fencing token that the start is sent with.
+// renewMarker has an assignment's marker stored again. The generation was raised after the marker was
+// stored, and the marker must contain the fencing token that the start is sent with.
 func (q *Queue) renewMarker(assignment *workload.Assignment, fencingToken ids.Generation) {
 	assignment.FencingToken = fencingToken
 	q.jobs.MarkChanged(assignment.Job)
--- a/internal/dispatch/queue_test.go
+++ b/internal/dispatch/queue_test.go
@@ -13,10 +13,10 @@
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// leaderToken is the fencing token under which the tests send.
+// leaderToken is the fencing token of the leader.
 const leaderToken ids.Generation = 7
 
-// fakeJobs removes assignments and counts changes.
+// fakeJobs removes assignments, counts changes and records other calls.
 type fakeJobs struct {
 	index *capacity.Index
 	asked []string
@@ -31,7 +31,7 @@
 func (f *fakeJobs) MarkUrgent(*workload.Job)       { f.asked = append(f.asked, "urgent") }
 func (f *fakeJobs) FinishIfComplete(*workload.Job) { f.asked = append(f.asked, "finish") }
 
-// testQueue returns an empty queue of no machines.
+// testQueue returns an empty queue without machines.
 func testQueue() (*Queue, *fakeJobs) {
 	registry := worker.NewRegistry(20)
 	index := capacity.NewIndex(registry)
@@ -39,7 +39,7 @@
 	return NewQueue(registry, index, jobs), jobs
 }
 
-// assign adds a machine that reported some time ago, with the assignment of a task whose marker is stored.
+// assign adds a machine that reported at lastReport, with an assigned task whose marker is stored.
 func assign(queue *Queue, jobs *fakeJobs, name ids.Machine, lastReport time.Time) (*workload.Assignment, *worker.Machine) {
 	machine := queue.machines.Ensure(name, lastReport, lastReport)
 	machine.HasReported, machine.Addr, machine.Incarnation, machine.LastReportAt = true, string(name)+":1", 1, lastReport
@@ -51,7 +51,8 @@
 	return assignment, machine
 }
 
-// sent returns what NextBatches sends to at most limit machines, such as "m1: start job-m1/0".
+// sent returns the batches that NextBatches returns for at most limit machines, and their commands as a
+// text such as "m1: start job-m1/0".
 func sent(queue *Queue, limit int) (batches []Batch, text string) {
 	batches = queue.NextBatches(limit, Permission{FencingToken: leaderToken, Starts: true, RecordsRead: time.Now()}, time.Now())
 	var parts []string
@@ -102,7 +103,7 @@
 	}
 }
 
-// stopTask requests that a task be stopped, which was seen on its machine or not.
+// stopTask requests that a task be stopped. seen tells whether a report has shown the task on its machine.
 func stopTask(assignment *workload.Assignment, seen bool) {
 	assignment.StartSent, assignment.Confirmed, assignment.Stopping, assignment.StopRequestedAt = true, seen, true, time.Now()
 }
