--- a/internal/eviction/blockers.go
+++ b/internal/eviction/blockers.go
@@ -6,10 +6,10 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-// blockerList is what the last look found that machines being drained wait for.
+// blockerList contains the reasons why drains wait, as found by the last evaluation.
 type blockerList struct {
 	reasons map[ids.Machine][]string
-	// noRoom are the machines whose replicas have no room elsewhere.
+	// noRoom contains the machines whose replicas fit on no other machine.
 	noRoom map[ids.Machine]bool
 }
 
@@ -17,27 +17,27 @@
 	return &blockerList{reasons: map[ids.Machine][]string{}, noRoom: map[ids.Machine]bool{}}
 }
 
-// clear forgets what the last look found.
+// clear removes the results of the last evaluation.
 func (b *blockerList) clear() {
 	clear(b.reasons)
 	clear(b.noRoom)
 }
 
-// add records what a machine waits for.
+// add records reasons why a machine's drain waits.
 func (b *blockerList) add(machine ids.Machine, reasons ...string) {
 	b.reasons[machine] = append(b.reasons[machine], reasons...)
 }
 
-// addNoRoom records that replicas on a machine have no room elsewhere, and which.
+// addNoRoom records that replicas on a machine fit on no other machine, with the reasons.
 func (b *blockerList) addNoRoom(machine ids.Machine, reasons []string) {
 	b.noRoom[machine] = true
 	b.add(machine, reasons...)
 }
 
-// of returns a copy of what one machine waits for.
+// of returns a copy of the reasons why one machine's drain waits.
 func (b *blockerList) of(machine ids.Machine) []string { return slices.Clone(b.reasons[machine]) }
 
-// all returns a copy of what all machines wait for.
+// all returns a copy of the reasons for all machines.
 func (b *blockerList) all() map[ids.Machine][]string {
 	all := map[ids.Machine][]string{}
 	for name := range b.reasons {
--- a/internal/eviction/disruption.go
+++ b/internal/eviction/disruption.go
@@ -9,14 +9,16 @@
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// disruptionCounter counts what every team has down or interrupted, against its disruption budget.
+// disruptionCounter counts the unavailable replicas and the interrupted tasks of each team for its
+// disruption budget.
 type disruptionCounter struct {
 	*State
-	budgets   *budget.Budgets // nil where drains are disabled
+	budgets   *budget.Budgets // nil if drains are disabled
 	readiness budget.Readiness
 }
 
-// newDisruptionCounter returns one that is enabled where drains are, which needs a cluster of one shard.
+// newDisruptionCounter returns a counter that is enabled if drains are. Drains require a cluster of one
+// shard.
 func newDisruptionCounter(state *State) *disruptionCounter {
 	counter := &disruptionCounter{State: state}
 	if state.Settings.DrainsEnabled() && state.Settings.ShardCount() == 1 {
@@ -28,7 +30,7 @@
 // enabled reports whether drains are enabled.
 func (d *disruptionCounter) enabled() bool { return d.budgets != nil }
 
-// meter returns a meter of what every team has down or interrupted now.
+// meter returns a meter that has counted the current disruptions of every team.
 func (d *disruptionCounter) meter(now time.Time) *budget.Meter {
 	meter := budget.NewMeter(d.budgets)
 	for id, job := range d.Jobs.All() {
@@ -50,12 +52,12 @@
 	return meter
 }
 
-// replicaUp reports whether a replica counts as up.
+// replicaUp reports whether a replica is ready.
 func (d *disruptionCounter) replicaUp(assignment *workload.Assignment, now time.Time) bool {
 	return d.readiness.IsReady(d.replica(assignment), now)
 }
 
-// replica returns what this leader knows of one replica.
+// replica returns the state of a replica as known to this leader.
 func (d *disruptionCounter) replica(assignment *workload.Assignment) budget.Replica {
 	replica := budget.Replica{
 		Running:      assignment.Confirmed && assignment.Status == worker.StateRunning,
@@ -69,7 +71,7 @@
 	return replica
 }
 
-// requests returns what it takes of the teams' budgets to stop units together.
+// requests returns the budget requests for stopping units together.
 func (d *disruptionCounter) requests(units []evictionUnit, now time.Time) []budget.Request {
 	requests := make([]budget.Request, len(units))
 	for i, unit := range units {
@@ -78,8 +80,8 @@
 	return requests
 }
 
-// request returns what it takes of a team's budget to stop a task, or its whole gang. The replica of a pending
-// eviction counts as up in its request, although it counts as down in the meter.
+// request returns the budget request for stopping a task, or its whole gang. If an eviction of the replica
+// is pending, the request still treats the replica as ready, although the meter counts it as unavailable.
 func (d *disruptionCounter) request(job *workload.Job, assignment *workload.Assignment, now time.Time) budget.Request {
 	spec := &job.Record.Spec
 	request := budget.Request{Team: spec.Team, Job: spec.ID, Service: spec.Shape == record.Service}
--- a/internal/eviction/drain.go
+++ b/internal/eviction/drain.go
@@ -15,7 +15,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// drainer decides the next step of emptying a machine, within the teams' budgets.
+// drainer decides the next step in draining a machine, within the teams' budgets.
 type drainer struct {
 	*State
 	cluster    Cluster
@@ -25,8 +25,8 @@
 	rooms      *roomFinder
 }
 
-// evictNextStep decides the next step of emptying a machine: of each team that has anything to stop there one
-// unit, all or none, and then what more the budgets allow.
+// evictNextStep decides the next step in draining a machine. It evicts one unit of each team that has tasks
+// to stop there, all or none, and then further units as far as the budgets allow.
 func (d *drainer) evictNextStep(name ids.Machine, order rollout.Order, meter *budget.Meter, now time.Time) {
 	machine := d.Machines.Machines[name]
 	if machine == nil || !machine.HasReported || machine.Suspect() {
@@ -60,7 +60,7 @@
 	d.permits.grant(granted, step)
 }
 
-// permitMore returns those of further units that have room elsewhere and are within the budgets.
+// permitMore returns the further units that have a place elsewhere and fit the budgets.
 func (d *drainer) permitMore(
 	units []evictionUnit, order rollout.Order, reserved map[ids.Machine]scheduler.Reservation, meter *budget.Meter, now time.Time,
 ) (granted []evictionUnit) {
@@ -76,7 +76,7 @@
 	return granted
 }
 
-// removeUnsent removes tasks from a machine that were never started there, which takes no permit.
+// removeUnsent removes the tasks of a machine whose starts were never sent. They need no permit.
 func (d *drainer) removeUnsent(name ids.Machine) {
 	for _, assignment := range d.sortedAssignmentsOn(name) {
 		if !assignment.StartSent && !assignment.Stopping && !assignment.Evicting {
@@ -85,7 +85,8 @@
 	}
 }
 
-// units returns what is to be stopped on a machine, and why the rest is not stopped now. It changes nothing.
+// units returns the units to stop on a machine, and the reasons why other tasks are not stopped now. It
+// changes nothing.
 func (d *drainer) units(machine *worker.Machine, order rollout.Order) (units []evictionUnit, reasons []string) {
 	seen := map[*workload.Job]bool{}
 	for _, assignment := range d.sortedAssignmentsOn(machine.Name) {
@@ -114,7 +115,7 @@
 	return units, reasons
 }
 
-// blockedReason returns why a task can't be stopped now; empty if it can.
+// blockedReason returns why a task can't be stopped now, or "" if it can.
 func (d *drainer) blockedReason(assignment *workload.Assignment, order rollout.Order) string {
 	maxRecordBytes := int(d.Settings.Params.State.ValueBytes())
 	spec := &assignment.Job.Record.Spec
@@ -129,7 +130,7 @@
 	return ""
 }
 
-// sortedAssignmentsOn returns what is or may be on a machine, ordered by job and task.
+// sortedAssignmentsOn returns the assignments of a machine, sorted by job and task.
 func (s *State) sortedAssignmentsOn(name ids.Machine) []*workload.Assignment {
 	var assignments []*workload.Assignment
 	for assignment := range s.Capacity.AssignmentsOn(name) {
@@ -143,13 +144,14 @@
 
 func isGang(spec *record.Spec) bool { return spec.Shape == record.Gang }
 
-// mayInterrupt reports whether a task that is no replica may be stopped for a drain: one that saves
-// checkpoints, or of low priority, at once; all others only when the operator chose so for after the deadline.
+// mayInterrupt reports whether a task other than a replica may be stopped for a drain. Tasks that save
+// checkpoints and tasks of low priority may be stopped at once; all others only after the deadline, and
+// only if the operator chose to stop them then.
 func mayInterrupt(spec *record.Spec, order rollout.Order) bool {
 	return spec.CheckpointInterval > 0 || spec.Priority == record.Low || order.Stop
 }
 
-// gangBlocker returns why a gang can't be stopped as a whole now; empty if it can.
+// gangBlocker returns why a gang can't be stopped as a whole now, or "" if it can.
 func gangBlocker(job *workload.Job) string {
 	for _, assignment := range job.Assignments {
 		if !assignment.Confirmed || assignment.Stopping || assignment.Evicting {
@@ -168,7 +170,7 @@
 	return gang
 }
 
-// firstOfEachTeam splits units into the first of each team and the others.
+// firstOfEachTeam splits units into the first one of each team and the others.
 func firstOfEachTeam(units []evictionUnit) (first, more []evictionUnit) {
 	seen := map[string]bool{}
 	for _, unit := range units {
@@ -182,19 +184,19 @@
 	return first, more
 }
 
-// evictionReservationTime is how long room elsewhere is reserved for a replica that is to be moved there: its
-// permit has to be stored, the stop carried out and reported.
+// evictionReservationTime is how long capacity elsewhere is reserved for a replica that is to be moved: its
+// permit has to be stored, and its stop executed and reported.
 const evictionReservationTime = 10 * time.Second
 
-// unplaceableReasons returns which replicas could not start elsewhere. With surge there has to be room now,
-// which is added to reserved; without it a place has to be possible at all.
+// unplaceableReasons returns the reasons why replicas could not start elsewhere. With surge, a machine must
+// have free capacity now, which is added to reserved. Without surge, a feasible placement is enough.
 func (d *drainer) unplaceableReasons(
 	units []evictionUnit, order rollout.Order, reserved map[ids.Machine]scheduler.Reservation, now time.Time,
 ) (reasons []string) {
 	for _, unit := range units {
 		spec := &unit.job.Record.Spec
 		if !isService(spec) {
-			continue // it is queued again
+			continue // tasks of other jobs are queued again and need no reservation
 		}
 		assignment := unit.assignments[0]
 		zones := d.rooms.zonesWithout(assignment)
@@ -215,7 +217,7 @@
 	return reasons
 }
 
-// reservationFor returns a reservation of room for one task of a job.
+// reservationFor returns a reservation of capacity for one task of a job.
 func reservationFor(job *workload.Job, now time.Time, duration time.Duration) scheduler.Reservation {
 	return scheduler.Reservation{Job: job.ID(), Need: job.Record.Spec.Resources, CreatedAt: now, ExpiresAt: now.Add(duration)}
 }
--- a/internal/eviction/evictor.go
+++ b/internal/eviction/evictor.go
@@ -1,16 +1,17 @@
-// Package eviction drains machines gracefully: for rollouts, within the teams' disruption budgets and with
-// permits that are stored before any task is stopped; and machines that the cloud reclaims, on which tasks
-// keep failing, or that are consolidated.
+// Package eviction drains machines gracefully. It drains machines for rollouts, within the teams'
+// disruption budgets and with permits that are stored before any task is stopped. Without a rollout it
+// drains machines that the cloud reclaims, on which tasks keep failing, or that are consolidated.
 //
-// Evictor is the entry point and View is what rollouts see of the fleet. Each decision has an owner of its
-// own: orderBook for what rollouts want, disruptionCounter for the teams' budgets, permitTracker for
-// evictions in progress, drainer for the next step of emptying a machine, roomFinder for room elsewhere,
-// surgePlanner for room to provision first, leavingMachines and relocator for machines that are drained
-// without a rollout, replacementTracker for replacement machines, and blockerList for what drains wait for.
+// Evictor is the entry point, and View is the view of the fleet for rollouts. Evictor delegates to
+// orderBook for the orders of rollouts, disruptionCounter for the teams' budgets, permitTracker for
+// evictions in progress, drainer for the next step in draining a machine, roomFinder for capacity on other
+// machines, surgePlanner for capacity to provision first, leavingMachines and relocator for machines that
+// are drained without a rollout, replacementTracker for replacement machines, and blockerList for the
+// reasons why drains wait.
 //
-// The package has no lock: the lock of the cluster state that an Evictor belongs to guards all of it. Every
-// method is called under that lock, and so are the methods of Cluster. Only the methods of View take that
-// lock, through State.Lock, and must not be called under it.
+// The package has no lock of its own. Every method is called with the lock of the cluster state held, and
+// so are the methods of Cluster. Only the methods of View take that lock, through State.Lock, and must be
+// called without it.
 package eviction
 
 import (
@@ -30,24 +31,25 @@
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// Cluster is what evictions ask of the cluster state. Every method is called under that state's lock.
+// Cluster provides the operations on the cluster state that evictions need. Every method is called with
+// that state's lock held.
 type Cluster interface {
-	// StoreAvailable reports whether the store has answered recently: while it does not, nothing is
+	// StoreAvailable reports whether the store has answered recently. While it does not answer, no task is
 	// stopped that could not be started again.
 	StoreAvailable() bool
-	// Stop requests that a task be stopped, with a grace period in which it may save a checkpoint.
+	// Stop requests that a task be stopped, with a grace period for saving a checkpoint.
 	Stop(assignment *workload.Assignment, grace ids.Seconds, reason string)
-	// MarkChanged records that a job's record changed; MarkUrgent that it must be stored at once.
+	// MarkChanged records that a job's record changed; MarkUrgent records that it must be stored at once.
 	MarkChanged(job *workload.Job)
 	MarkUrgent(job *workload.Job)
 	// Terminated reports whether the cloud confirmed a machine's deletion.
 	Terminated(machine ids.Machine) bool
-	// CloudListConclusive reports whether the cloud's list was read so long after the term began that it
-	// names every machine.
+	// CloudListConclusive reports whether the cloud's list of machines was read long enough after the
+	// beginning of the term to contain every machine.
 	CloudListConclusive() bool
 }
 
-// State is what evictions read of the shard.
+// State is the part of the shard's state that evictions read.
 type State struct {
 	Settings  *config.Settings
 	Jobs      *workload.Queue
@@ -55,17 +57,17 @@
 	Capacity  *capacity.Index
 	Estimates *estimate.Estimator
 	Scheduler *scheduler.Scheduler
-	// FirstGeneration is the fencing token that the term began with.
+	// FirstGeneration is the fencing token at the beginning of the term.
 	FirstGeneration ids.Generation
 	// Lock is the cluster state's lock, which View takes.
 	Lock sync.Locker
 }
 
-// reportInterval returns how often workers report.
+// reportInterval returns the interval at which workers report.
 func (s *State) reportInterval() ids.Seconds { return s.Settings.Params.Workers.ReportS }
 
-// Evictor stops tasks so that machines become empty. It keeps no count of what a team has down: that is
-// worked out anew at each look, from the records and the reports (docs/drains.md).
+// Evictor stops tasks so that machines become empty. It stores no counts of a team's disruptions: each
+// evaluation derives them from the records and the reports (docs/drains.md).
 type Evictor struct {
 	*State
 	cluster      Cluster
@@ -84,7 +86,7 @@
 	looks    int
 }
 
-// New returns the evictor of one term.
+// New returns the Evictor of one term.
 func New(state State, cluster Cluster) *Evictor {
 	shared := &state
 	orders := &orderBook{machines: state.Machines}
@@ -113,39 +115,39 @@
 // Enabled reports whether drains are enabled.
 func (e *Evictor) Enabled() bool { return e.disruption.enabled() }
 
-// Looks returns how often the teams' budgets were looked at so far.
+// Looks returns the number of evaluations so far.
 func (e *Evictor) Looks() int { return e.looks }
 
-// Interval is the least time between two looks at what may be stopped.
+// Interval is the minimum time between two evaluations of what may be stopped.
 const Interval = 200 * time.Millisecond
 
-// AwaitsOrders reports whether drains are enabled and the stored rollouts are not known yet: what is assigned
-// now might go to a machine that is being drained.
+// AwaitsOrders reports whether drains are enabled and the stored rollouts are not known yet. A task
+// assigned now might be placed on a machine that is being drained.
 func (e *Evictor) AwaitsOrders() bool { return e.Enabled() && !e.orders.known() }
 
-// CarryOut replaces what rollouts want. It reports whether a machine was cordoned or uncordoned, or the orders
-// are the first.
+// CarryOut replaces the orders of rollouts. It reports whether a machine was cordoned or uncordoned, or the
+// orders are the first.
 func (e *Evictor) CarryOut(orders *rollout.Orders) (changed bool) {
 	return e.Enabled() && e.orders.replace(orders)
 }
 
-// Load takes in the evictions of a record just read: their permits were granted, and whether the stops were
-// sent is not known.
+// Load loads the evictions in a record that was just read. Their permits were granted; whether the stops
+// were sent is not known.
 func (e *Evictor) Load(job *workload.Job) {
 	if e.Enabled() && len(job.Record.Evictions) > 0 {
 		e.permits.load(job)
 	}
 }
 
-// Run looks at what may be stopped, if the last look was at least Interval ago.
+// Run evaluates what may be stopped, if the last evaluation was at least Interval ago.
 func (e *Evictor) Run(now time.Time) {
 	if e.Enabled() && now.Sub(e.lookedAt) >= Interval {
 		e.Look(now)
 	}
 }
 
-// Look looks at what may be stopped for rollouts, and on machines on which tasks keep failing, and has it
-// stopped. It does nothing where no machine is to be drained and no eviction is in progress. Drains must be
+// Look determines which tasks may be stopped for rollouts and on machines on which tasks keep failing, and
+// stops them. It does nothing if no machine is to be drained and no eviction is in progress. Drains must be
 // enabled and the orders known.
 func (e *Evictor) Look(now time.Time) {
 	ordered := e.orders.current.Machines
@@ -176,7 +178,7 @@
 	}
 }
 
-// drainOrders returns the machines that rollouts want drained or returned, and those that the leader drains
+// drainOrders returns the orders of rollouts, and a drain order for each machine that the leader drains
 // because tasks keep failing there.
 func (e *Evictor) drainOrders() map[ids.Machine]rollout.Order {
 	orders := maps.Clone(e.orders.current.Machines)
@@ -189,31 +191,32 @@
 	return orders
 }
 
-// StopOnLeavingMachines stops, in time to save a checkpoint or to start elsewhere, what is on machines that the
-// cloud reclaims or on which tasks keep failing, and relocates replicas off those to be deleted when empty.
+// StopOnLeavingMachines stops tasks on machines that the cloud reclaims or on which tasks keep failing, in
+// time to save a checkpoint or to start elsewhere. It also relocates replicas off machines that are to be
+// deleted when empty.
 func (e *Evictor) StopOnLeavingMachines(now time.Time) { e.leaving.stop(now) }
 
-// RelocateReplica moves one replica at a time off a machine that runs nothing but replicas, when another
-// machine has room and the image.
+// RelocateReplica moves one replica at a time off a machine that runs only replicas, if another machine has
+// free capacity and the image.
 func (e *Evictor) RelocateReplica(machine *worker.Machine, now time.Time) {
 	e.relocator.relocate(machine, now)
 }
 
-// FindRoom returns a machine with room for one more task of a job, outside the machines in reserved; nil if
-// there is none. Work without accelerators gets a machine with some only where nothing else has room.
+// FindRoom returns a machine outside reserved with free capacity for one more task of a job; nil if there
+// is none. A job without accelerators gets a machine with accelerators only if no other has capacity.
 func (e *Evictor) FindRoom(
 	job *workload.Job, zones *scheduler.ZoneSpread, reserved map[ids.Machine]scheduler.Reservation, now time.Time,
 ) *capacity.Node {
 	return e.rooms.find(job, zones, reserved, now)
 }
 
-// SurgeDemands returns the capacity that must be provisioned before what is to be moved can be stopped: of
-// rollouts that provision no replacements, for replicas that have no room elsewhere.
+// SurgeDemands returns the capacity to provision for replicas that are to be moved but fit on no other
+// machine. Only rollouts with surge that provision no replacements need it.
 func (e *Evictor) SurgeDemands() []placement.Demand { return e.surge.demands() }
 
-// QuotaForRelocated returns what a job must leave of its team's quota to tasks that rollouts have stopped and
-// that are not assigned again: else less important work that is pending would take it, and a replica that was
-// only to be moved would stay down.
+// QuotaForRelocated returns the part of its team's quota that a job must leave to tasks that rollouts
+// stopped and that are not assigned again. Otherwise less important pending work would use that quota, and
+// a replica that was only to be moved would stay unavailable.
 func (e *Evictor) QuotaForRelocated(job *workload.Job) (kept placement.Resources) {
 	if !e.Enabled() {
 		return kept
@@ -221,34 +224,37 @@
 	return e.permits.quotaForRelocated(job)
 }
 
-// Blockers returns what the machines being drained wait for.
+// Blockers returns the reasons why drains wait, by machine.
 func (e *Evictor) Blockers() map[ids.Machine][]string { return e.blockers.all() }
 
-// OrderFor returns what rollouts want with a machine, if anything.
+// OrderFor returns the order of a rollout for a machine, if there is one.
 func (e *Evictor) OrderFor(name ids.Machine) (order rollout.Order, ok bool) { return e.orders.of(name) }
 
-// ClosedZones returns the zones that rollouts give up: nothing is provisioned there meanwhile.
+// ClosedZones returns the zones that rollouts are draining for good, where nothing is provisioned
+// meanwhile.
 func (e *Evictor) ClosedZones() map[string]rollout.Name { return e.orders.closedZones() }
 
-// MayConsolidate reports whether no rollout is moving replicas, and none may begin unknown to this leader.
+// MayConsolidate reports whether machines may be consolidated: no rollout is moving replicas, and no stored
+// rollout is unknown to this leader.
 func (e *Evictor) MayConsolidate() bool { return !e.Enabled() || e.orders.none() }
 
-// Keeps reports whether a machine replaces another one and is still observed.
+// Keeps reports whether a machine is a replacement that is still observed.
 func (e *Evictor) Keeps(name ids.Machine) bool { return e.orders.keeps(name) }
 
-// ReplacementsToProvision returns the replacements that rollouts want and that were not provisioned yet.
+// ReplacementsToProvision returns the replacements that rollouts request and that are not provisioned yet.
 func (e *Evictor) ReplacementsToProvision() []rollout.ProvisioningRequest {
 	return e.replacements.toProvision()
 }
 
-// ReplacementsProvisioned records the machines provisioned for a request, if it was one for replacements.
+// ReplacementsProvisioned records the machines provisioned for a request, if it is a request for
+// replacements.
 func (e *Evictor) ReplacementsProvisioned(name ids.ProvisioningRequest, machines []ids.Machine) {
 	if e.Enabled() {
 		e.replacements.recordProvisioned(name, machines)
 	}
 }
 
-// ReplacementLost records why a replacement was given up, if a rollout still observed it.
+// ReplacementLost records why a replacement failed, if a rollout is still observing it.
 func (e *Evictor) ReplacementLost(name ids.Machine, reason string) {
 	e.replacements.recordLost(name, reason)
 }
--- a/internal/eviction/evictor_test.go
+++ b/internal/eviction/evictor_test.go
@@ -19,10 +19,10 @@
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// firstGeneration is the fencing token of the term.
+// firstGeneration is the fencing token at the beginning of the term.
 const firstGeneration ids.Generation = 7
 
-// fakeCluster records which tasks are stopped, and why.
+// fakeCluster records the stopped tasks and the reasons.
 type fakeCluster struct {
 	storeDown  bool
 	terminated ids.Machine
@@ -40,7 +40,7 @@
 func (c *fakeCluster) Terminated(machine ids.Machine) bool { return machine == c.terminated }
 func (c *fakeCluster) CloudListConclusive() bool           { return false }
 
-// fixture is an evictor of four machines, m1 to m4, with a replica of the service "web" each.
+// fixture is an evictor with four machines, m1 to m4, each with a replica of the service "web".
 type fixture struct {
 	*Evictor
 	fake *fakeCluster
@@ -48,7 +48,7 @@
 	now  time.Time
 }
 
-// newFixture returns one with drains enabled or disabled, where no rollout wants anything.
+// newFixture returns a fixture with drains enabled or disabled, and without orders of rollouts.
 func newFixture(drains bool) *fixture {
 	settings := &config.Settings{Operator: config.DefaultOperator(), Features: &config.Features{}}
 	if drains {
@@ -76,7 +76,7 @@
 	return f
 }
 
-// addMachine adds a machine that reports and has seen an earlier leader's token.
+// addMachine adds a machine that has reported and has seen an earlier leader's token.
 func (f *fixture) addMachine(name ids.Machine, machineType string) *worker.Machine {
 	machine := f.Machines.Ensure(name, f.now, f.now)
 	machine.HasReported, machine.Type, machine.Zone, machine.Incarnation = true, machineType, "north", 1
@@ -94,7 +94,7 @@
 	return job
 }
 
-// run has a task run on a machine for a minute.
+// run assigns a task to a machine, where it has been running for a minute.
 func (f *fixture) run(job *workload.Job, task int, machine ids.Machine) *workload.Assignment {
 	assignment := &workload.Assignment{Job: job, TaskIndex: task, Machine: machine, Incarnation: 1, Attempt: 1, StartSent: true,
 		Confirmed: true, Status: worker.StateRunning, RunningSince: f.now.Add(-time.Minute)}
@@ -103,7 +103,7 @@
 	return assignment
 }
 
-// order has the rollout "spring" want the same of machines.
+// order gives machines the same order of the rollout "spring".
 func (f *fixture) order(order rollout.Order, machines ...ids.Machine) {
 	orders := rollout.NewOrders()
 	order.Rollout, order.Wave = "spring", 1
@@ -113,7 +113,7 @@
 	f.CarryOut(orders)
 }
 
-// permits returns how many evictions the service's record holds.
+// permits returns the number of evictions in the service's record.
 func (f *fixture) permits() int { return f.web.Record.EvictedTasks() }
 
 func TestTaskIsStoppedOnlyOnceItsPermitIsStoredAndStillHolds(t *testing.T) {
@@ -197,7 +197,7 @@
 	}
 }
 
-// runAgain has the service's first task run elsewhere, under the next attempt.
+// runAgain has the service's first task running on another machine, under the next attempt.
 func (f *fixture) runAgain() *workload.Assignment {
 	assignment := f.run(f.web, 0, f.addMachine("m5", "small").Name)
 	assignment.Attempt = 2
@@ -284,7 +284,7 @@
 		drains     bool
 		want       string
 	}{
-		{"saves, early", 10, 17 * time.Second, false, true, ""}, // a grace period of 13 s and a margin of 3
+		{"saves, early", 10, 17 * time.Second, false, true, ""}, // a grace period of 13 s and a margin of 3 s
 		{"saves, late", 10, 16 * time.Second, false, true, reclaimed},
 		{"saves none, can't finish", 0, time.Second, false, true, reclaimed},
 		{"saves none, finishes", 0, 5 * time.Hour, false, true, ""},
--- a/internal/eviction/leaving_machines.go
+++ b/internal/eviction/leaving_machines.go
@@ -6,7 +6,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/worker"
 )
 
-// leavingMachines stops what is on machines that leave without a rollout.
+// leavingMachines stops tasks on machines that are drained without a rollout.
 type leavingMachines struct {
 	*State
 	cluster    Cluster
@@ -14,7 +14,7 @@
 	relocator  *relocator
 }
 
-// stop stops what must be stopped now.
+// stop stops the tasks that must be stopped now.
 func (l *leavingMachines) stop(now time.Time) {
 	for _, machine := range l.Machines.Leaving() {
 		switch reclaimed := !machine.SpotTerminationAt.IsZero(); {
@@ -22,18 +22,19 @@
 			l.stopOnReclaimed(machine, now)
 		case machine.DrainReason == "":
 			l.relocator.relocate(machine, now)
-		case !l.disruption.enabled(): // else it is drained within the budgets
+		case !l.disruption.enabled(): // otherwise Look drains it within the budgets
 			l.stopOnFailing(machine)
 		}
 	}
 }
 
-// reclaimMargin is how much longer than a task's grace period before the cloud reclaims its machine it is
-// stopped, in seconds.
+// reclaimMargin is added to a task's grace period, in seconds, so that the task is stopped in time before
+// the cloud reclaims its machine.
 const reclaimMargin = 3
 
-// stopOnReclaimed stops tasks that save checkpoints as late as is safe; those that do not, and cannot finish in
-// time, are stopped at once so that they start again elsewhere.
+// stopOnReclaimed stops tasks on a machine that the cloud reclaims. Tasks that save checkpoints are stopped
+// as late as is safe. Tasks that do not, and cannot finish in time, are stopped at once so that they start
+// again elsewhere.
 func (l *leavingMachines) stopOnReclaimed(machine *worker.Machine, now time.Time) {
 	left := machine.SpotTerminationAt.Sub(now)
 	reason := "the cloud takes " + string(machine.Name) + " back"
@@ -50,7 +51,7 @@
 	}
 }
 
-// stopOnFailing stops everything on a machine on which tasks keep failing.
+// stopOnFailing stops all tasks on a machine on which tasks keep failing.
 func (l *leavingMachines) stopOnFailing(machine *worker.Machine) {
 	for assignment := range l.Capacity.AssignmentsOn(machine.Name) {
 		if !assignment.Stopping {
@@ -59,7 +60,7 @@
 	}
 }
 
-// drainReason returns why tasks are stopped on a machine on which tasks keep failing.
+// drainReason returns the reason for stopping tasks on a machine on which tasks keep failing.
 func drainReason(machine *worker.Machine) string {
 	return "machine " + string(machine.Name) + " is drained: " + machine.DrainReason
 }
--- a/internal/eviction/orders.go
+++ b/internal/eviction/orders.go
@@ -8,14 +8,15 @@
 	"github.com/pebbletrail/pebbletrail/internal/worker"
 )
 
-// What the leader drains by itself stands as a rollout of a name that none has: replicas moved off machines
-// that are to be returned, and machines on which tasks keep failing.
+// Rollout names of the drains that the leader starts itself; no real rollout can have such a name.
+// consolidation is used to move replicas off machines that are to be returned, and faulty to drain machines
+// on which tasks keep failing.
 const (
 	consolidation rollout.Name = "~consolidation"
 	faulty        rollout.Name = "~faulty"
 )
 
-// orderBook holds what rollouts want of the machines, and cordons these.
+// orderBook contains the orders of rollouts for machines and cordons these machines.
 type orderBook struct {
 	machines *worker.Registry
 	current  *rollout.Orders // nil until the stored rollouts are read
@@ -24,11 +25,11 @@
 // known reports whether the stored rollouts are read.
 func (o *orderBook) known() bool { return o.current != nil }
 
-// none reports whether it is known that no rollout wants anything of a machine.
+// none reports whether the orders are known and contain no machine.
 func (o *orderBook) none() bool { return o.known() && len(o.current.Machines) == 0 }
 
-// replace replaces what rollouts want. It reports whether a machine was cordoned or uncordoned, or the orders
-// are the first.
+// replace replaces the orders. It reports whether a machine was cordoned or uncordoned, or the orders are
+// the first.
 func (o *orderBook) replace(orders *rollout.Orders) (changed bool) {
 	changed = !o.known()
 	if !changed {
@@ -45,7 +46,7 @@
 	return changed
 }
 
-// setCordoned cordons or uncordons a machine; it reports whether that is a change.
+// setCordoned cordons or uncordons a machine, and reports whether this changed it.
 func (o *orderBook) setCordoned(name ids.Machine, cordoned bool) bool {
 	machine := o.machines.Machines[name]
 	if machine == nil || machine.Cordoned == cordoned {
@@ -55,7 +56,7 @@
 	return true
 }
 
-// draining reports whether a rollout drains machines now. The orders must be known.
+// draining reports whether a rollout is draining any machine now. The orders must be known.
 func (o *orderBook) draining(name rollout.Name) bool {
 	for _, order := range o.current.Machines {
 		if order.Rollout == name && order.Drain {
@@ -65,7 +66,7 @@
 	return false
 }
 
-// of returns what rollouts want with a machine, if anything.
+// of returns the order for a machine, if there is one.
 func (o *orderBook) of(name ids.Machine) (order rollout.Order, ok bool) {
 	if !o.known() {
 		return order, false
@@ -74,10 +75,10 @@
 	return order, ok
 }
 
-// keeps reports whether a machine replaces another one and is still observed.
+// keeps reports whether a machine is a replacement that is still observed.
 func (o *orderBook) keeps(name ids.Machine) bool { return o.known() && o.current.Keep[name] }
 
-// closedZones returns the zones that rollouts give up.
+// closedZones returns the zones that rollouts are draining for good.
 func (o *orderBook) closedZones() map[string]rollout.Name {
 	if !o.known() {
 		return nil
--- a/internal/eviction/permits.go
+++ b/internal/eviction/permits.go
@@ -17,7 +17,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// evictionUnit is what is stopped together: a task, or a whole gang.
+// evictionUnit is a task, or a gang whose tasks are stopped together.
 type evictionUnit struct {
 	job         *workload.Job
 	assignments []*workload.Assignment
@@ -25,18 +25,19 @@
 
 func (u *evictionUnit) team() string { return u.job.Record.Spec.Team }
 
-// evictionStep is tasks whose permits were granted together: none is stopped before the permits of all of
-// them are stored.
+// evictionStep is a set of evictions whose permits were granted together. No task is stopped before all
+// these permits are stored.
 type evictionStep struct {
 	rollout rollout.Name
 	wave    int
-	// machine is the one that is drained; a gang's other tasks are elsewhere. After a failover it is not
-	// known, and for a relocated replica it is not set: then it is the assignment's machine.
+	// machine is the machine that is drained; other tasks of a gang may be on other machines. It is empty
+	// for evictions loaded after a failover and for relocated replicas, where the assignment's machine is
+	// the drained one.
 	machine ids.Machine
-	stored  map[*workload.Job]uint64 // by job, the version that holds its permits
+	stored  map[*workload.Job]uint64 // by job, the version of the record that contains its permits
 }
 
-// isStored reports whether the permits of the whole step are stored.
+// isStored reports whether all permits of the step are stored.
 func (s *evictionStep) isStored() bool {
 	for job, version := range s.stored {
 		if job.StoredVersion < version {
@@ -46,20 +47,20 @@
 	return true
 }
 
-// permitTracker tracks evictions in progress: from the permit, through the stop, until the task runs again.
+// permitTracker tracks evictions in progress, from the permit through the stop until the task runs again.
 type permitTracker struct {
 	*State
 	cluster    Cluster
 	orders     *orderBook
 	disruption *disruptionCounter
 	blockers   *blockerList
-	// pending are evictions that were decided and whose tasks are not stopped yet.
+	// pending contains the evictions that have a permit and whose tasks are not stopped yet.
 	pending map[*workload.Assignment]*evictionStep
-	// evicted are the jobs whose records hold evictions.
+	// evicted contains the jobs whose records contain evictions.
 	evicted map[*workload.Job]bool
 }
 
-// grant records permits in the jobs' records; the stops wait until all are stored.
+// grant records permits in the jobs' records. The tasks are stopped after all these permits are stored.
 func (p *permitTracker) grant(units []evictionUnit, step *evictionStep) {
 	measure.Process.Count(rollout.PermitsGiven, len(units))
 	for _, unit := range units {
@@ -76,7 +77,7 @@
 	}
 }
 
-// load takes in the permits of a record just read.
+// load loads the permits in a record that was just read.
 func (p *permitTracker) load(job *workload.Job) {
 	p.evicted[job] = true
 	for i := range job.Record.Evictions {
@@ -91,7 +92,7 @@
 	}
 }
 
-// clearFinished removes evictions from the records of tasks that run again, or need not any more.
+// clearFinished removes evictions from the records once their tasks run again or need not run any more.
 func (p *permitTracker) clearFinished(now time.Time) {
 	for job := range p.evicted {
 		if !p.Jobs.Contains(job) || len(job.Record.Evictions) == 0 {
@@ -105,7 +106,7 @@
 	}
 }
 
-// stillDown reports whether a task that was evicted under an attempt does not run again yet.
+// stillDown reports whether a task that was evicted under an attempt is not running again yet.
 func (p *permitTracker) stillDown(job *workload.Job, task int, attempt ids.Attempt, now time.Time) bool {
 	assignment := job.Assignments[task]
 	switch {
@@ -119,7 +120,7 @@
 	return !assignment.Confirmed || assignment.Status != worker.StateRunning
 }
 
-// withdraw takes back permits that are not wanted any more, where surely no stop is on its way.
+// withdraw withdraws permits that are no longer wanted, if no stop of their tasks can be in flight.
 func (p *permitTracker) withdraw() {
 	for assignment, step := range p.pending {
 		job := assignment.Job
@@ -139,8 +140,8 @@
 	}
 }
 
-// mayBeStopped reports whether an earlier leader's stop may still take effect. This leader sent none; those of
-// earlier leaders are rejected once the machine has seen this term's fencing token.
+// mayBeStopped reports whether a stop of an earlier leader may still take effect. This leader has sent
+// none; stops of earlier leaders are rejected once the machine has seen this term's fencing token.
 func (p *permitTracker) mayBeStopped(assignment *workload.Assignment) bool {
 	machine := p.Machines.Machines[assignment.Machine]
 	return machine == nil || !machine.HasReported || machine.FencingToken < p.FirstGeneration || !assignment.Confirmed
@@ -168,7 +169,7 @@
 	return cmp.Or(cmp.Compare(x.Job.Record.Spec.ID, y.Job.Record.Spec.ID), cmp.Compare(x.TaskIndex, y.TaskIndex))
 }
 
-// stillWanted reports whether what an eviction was decided for is still wanted.
+// stillWanted reports whether the reason for an eviction still exists.
 func (p *permitTracker) stillWanted(step *evictionStep, assignment *workload.Assignment) bool {
 	machine := p.drainedMachine(step, assignment)
 	switch step.rollout {
@@ -180,12 +181,12 @@
 	return p.orders.draining(step.rollout)
 }
 
-// drainedMachine returns the machine that a task is evicted for; nil if it is not known any more.
+// drainedMachine returns the machine whose drain evicts a task; nil if the machine is not known any more.
 func (p *permitTracker) drainedMachine(step *evictionStep, assignment *workload.Assignment) *worker.Machine {
 	return p.Machines.Machines[cmp.Or(step.machine, assignment.Machine)]
 }
 
-// stopReason returns what the job's events say of a stop.
+// stopReason returns the reason for a stop, as recorded in the job's events.
 func (p *permitTracker) stopReason(step *evictionStep, assignment *workload.Assignment) string {
 	switch step.rollout {
 	case consolidation:
@@ -196,8 +197,8 @@
 	return fmt.Sprintf("moved from %s by rollout %s, wave %d", assignment.Machine, step.rollout, step.wave)
 }
 
-// quotaForRelocated returns what evicted tasks of a job's team that are not assigned again take of its quota,
-// but for those of jobs that are less important.
+// quotaForRelocated returns the quota needed by evicted tasks of the job's team that are not assigned
+// again, without those of less important jobs.
 func (p *permitTracker) quotaForRelocated(job *workload.Job) (kept placement.Resources) {
 	for moved := range p.evicted {
 		if moved == job || moved.Record.Spec.Team != job.Record.Spec.Team || !moved.Schedulable() ||
--- a/internal/eviction/relocation.go
+++ b/internal/eviction/relocation.go
@@ -12,10 +12,10 @@
 )
 
 const (
-	// relocationInterval is the least time between two relocations.
+	// relocationInterval is the minimum time between two relocations.
 	relocationInterval = 1500 * time.Millisecond
-	// relocationReservationTime is how long room is reserved for a replica that is moved off a machine to be
-	// returned.
+	// relocationReservationTime is how long capacity is reserved for a replica that is moved off a machine
+	// to be returned.
 	relocationReservationTime = 5 * time.Second
 )
 
@@ -25,10 +25,10 @@
 	cluster     Cluster
 	disruption  *disruptionCounter
 	permits     *permitTracker
-	relocatedAt time.Time // when a replica was last moved, or could have been
+	relocatedAt time.Time // when another machine for a replica was last found
 }
 
-// relocate moves one replica off a machine, when another machine has room and the image.
+// relocate moves one replica off a machine, if another machine has free capacity and the image.
 func (r *relocator) relocate(machine *worker.Machine, now time.Time) {
 	if now.Sub(r.relocatedAt) < relocationInterval || !r.cluster.StoreAvailable() {
 		return
@@ -50,7 +50,7 @@
 	}
 }
 
-// findTarget returns the best machine in the same zone that has room and the image; nil if there is none.
+// findTarget returns the best machine in the same zone that has free capacity and the image, or nil.
 func (r *relocator) findTarget(assignment *workload.Assignment, from *worker.Machine, now time.Time) *capacity.Node {
 	request := assignment.Job.Record.Spec.PlacementRequest()
 	var best bestNode
@@ -69,8 +69,8 @@
 	return best.node
 }
 
-// mayRelocate reports whether a replica may be moved that nobody has to move: where operators have set
-// budgets, only within these.
+// mayRelocate reports whether a replica may be moved for consolidation. Such a move is never necessary, so
+// it must be within the disruption budgets where operators have set any.
 func (r *relocator) mayRelocate(assignment *workload.Assignment, now time.Time) bool {
 	if !r.disruption.enabled() {
 		return true
@@ -82,7 +82,7 @@
 	return len(denials) == 0
 }
 
-// evict stops a replica; where drains are enabled, only after its permit is stored.
+// evict stops a replica. If drains are enabled, it is stopped only after its permit is stored.
 func (r *relocator) evict(assignment *workload.Assignment) {
 	if !r.disruption.enabled() {
 		r.cluster.Stop(assignment, assignment.CheckpointGrace(), relocationReason(assignment.Machine))
@@ -92,7 +92,7 @@
 	r.permits.grant([]evictionUnit{unit}, &evictionStep{rollout: consolidation, stored: map[*workload.Job]uint64{}})
 }
 
-// relocationReason returns why a replica is stopped that is moved to have its machine returned.
+// relocationReason returns the reason for stopping a replica whose machine is to be returned.
 func relocationReason(machine ids.Machine) string {
 	return "moved off " + string(machine) + ", which is to be returned"
 }
--- a/internal/eviction/replacements.go
+++ b/internal/eviction/replacements.go
@@ -11,13 +11,13 @@
 // replacementTracker tracks the machines that are provisioned to replace others.
 type replacementTracker struct {
 	orders *orderBook
-	// provisioned are the machines provisioned for requests of replacements.
+	// provisioned contains the machines provisioned for each request for replacements.
 	provisioned map[ids.ProvisioningRequest][]ids.Machine
-	// lost are replacements that were given up while they were observed, and why.
+	// lost contains the replacements that failed while they were observed, with the reasons.
 	lost map[ids.Machine]string
 }
 
-// toProvision returns the requests of rollouts that were not answered yet.
+// toProvision returns the requests of rollouts that are not answered yet.
 func (r *replacementTracker) toProvision() []rollout.ProvisioningRequest {
 	if !r.orders.known() {
 		return nil
@@ -28,14 +28,14 @@
 	})
 }
 
-// recordProvisioned records the machines provisioned for a request, if it was one for replacements.
+// recordProvisioned records the machines provisioned for a request, if it is a request for replacements.
 func (r *replacementTracker) recordProvisioned(name ids.ProvisioningRequest, machines []ids.Machine) {
 	if strings.HasPrefix(string(name), rollout.ReplacementPrefix) {
 		r.provisioned[name] = machines
 	}
 }
 
-// recordLost records why a replacement was given up, if a rollout still observed it.
+// recordLost records why a replacement failed, if a rollout is still observing it.
 func (r *replacementTracker) recordLost(name ids.Machine, reason string) {
 	if r.orders.keeps(name) {
 		r.lost[name] = reason
--- a/internal/eviction/room.go
+++ b/internal/eviction/room.go
@@ -11,13 +11,13 @@
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// roomFinder finds room elsewhere for tasks that are to be moved.
+// roomFinder finds machines with free capacity for tasks that are to be moved.
 type roomFinder struct {
 	*State
 	orders *orderBook
 }
 
-// zonesWithout returns in which zones a job's tasks are, but for one that is to be moved.
+// zonesWithout returns the zones of a job's tasks, without a task that is to be moved.
 func (f *roomFinder) zonesWithout(assignment *workload.Assignment) *scheduler.ZoneSpread {
 	spread := scheduler.ZoneSpreadOf(assignment.Job, f.Machines)
 	if machine := f.Machines.Machines[assignment.Machine]; machine != nil {
@@ -26,8 +26,8 @@
 	return spread
 }
 
-// canStartSomewhere reports whether a job's rules leave any possible place for one more task: in a zone that
-// is not given up, on a machine of a type that is large enough. The orders must be known.
+// canStartSomewhere reports whether the job's constraints allow one more task anywhere: in a zone that is
+// not being drained for good, on a machine of a type that is large enough. The orders must be known.
 func (f *roomFinder) canStartSomewhere(spec *record.Spec, zones *scheduler.ZoneSpread) bool {
 	request := spec.PlacementRequest()
 	for _, machineType := range f.Capacity.Types() {
@@ -44,8 +44,8 @@
 	return false
 }
 
-// find returns a machine with room for one more task of a job; nil if there is none. Work without accelerators
-// gets a machine with some only where nothing else has room.
+// find returns a machine with free capacity for one more task of a job, or nil. A job without accelerators
+// gets a machine with accelerators only if no other has capacity.
 func (f *roomFinder) find(
 	job *workload.Job, zones *scheduler.ZoneSpread, reserved map[ids.Machine]scheduler.Reservation, now time.Time,
 ) *capacity.Node {
@@ -55,7 +55,8 @@
 	return f.findAmong(job, zones, reserved, now, true)
 }
 
-// findAmong returns the machine with the best score among those with accelerators, or among those without.
+// findAmong returns the machine with the best score among those with accelerators or, if accelerators is
+// false, among those without.
 func (f *roomFinder) findAmong(
 	job *workload.Job, zones *scheduler.ZoneSpread, reserved map[ids.Machine]scheduler.Reservation, now time.Time, accelerators bool,
 ) *capacity.Node {
@@ -79,13 +80,13 @@
 	return best.node
 }
 
-// bestNode is the node with the lowest score of those considered, and of equal ones the first by name.
+// bestNode is the node with the lowest score of those considered; among equal scores, the first by name.
 type bestNode struct {
 	node  *capacity.Node
 	score float64
 }
 
-// consider replaces the best node by one that is better.
+// consider replaces the best node if the given node is better.
 func (b *bestNode) consider(node *capacity.Node, score float64) {
 	if b.node == nil || score < b.score || score == b.score && node.Name < b.node.Name {
 		b.node, b.score = node, score
--- a/internal/eviction/surge.go
+++ b/internal/eviction/surge.go
@@ -15,8 +15,8 @@
 	blockers *blockerList
 }
 
-// demands returns the room that has to be provisioned before what is to be moved can be stopped: of rollouts
-// that provision no replacements, for replicas that have no room elsewhere.
+// demands returns the capacity to provision for replicas that are to be moved but fit on no other machine.
+// Only rollouts with surge that provision no replacements need it.
 func (s *surgePlanner) demands() (demands []placement.Demand) {
 	if !s.orders.known() {
 		return nil
@@ -36,9 +36,9 @@
 	return demands
 }
 
-// acceleratedMachineBooting reports whether a machine with accelerators is booting that could run work without
-// them. Provisioning does not count such a machine as room for that work, so that another would be provisioned
-// at each look.
+// acceleratedMachineBooting reports whether a machine with accelerators is booting that could run a task
+// without them. Provisioning does not count such a machine as capacity for that task, so without this check
+// another machine would be provisioned after each evaluation.
 func (s *surgePlanner) acceleratedMachineBooting(request *placement.Request) bool {
 	if request.Resources.Accels != 0 {
 		return false
--- a/internal/eviction/view.go
+++ b/internal/eviction/view.go
@@ -11,19 +11,19 @@
 	"github.com/pebbletrail/pebbletrail/internal/worker"
 )
 
-// View is what rollouts see of the fleet. Each of its methods takes the cluster state's lock, but for StepTime,
-// which reads settings only. The budgets are counted once for a view, so a view is for one planning pass. It is
-// not safe for concurrent use.
+// View is the view of the fleet for rollouts. All its methods take the cluster state's lock, except
+// StepTime, which only reads settings. Disruptions are counted once per view, so a view serves one planning
+// pass. It is not safe for concurrent use.
 type View struct {
 	evictor *Evictor
 	now     time.Time
-	meter   *budget.Meter // made when it is first needed
+	meter   *budget.Meter // created on first use
 }
 
-// NewView returns a view of the fleet as it is now. It is the only method of an Evictor that needs no lock.
+// NewView returns a view of the fleet as of now. It is the only method of Evictor that needs no lock.
 func (e *Evictor) NewView() *View { return &View{evictor: e, now: time.Now()} }
 
-// Machine describes one machine.
+// Machine returns the state of one machine.
 func (v *View) Machine(name ids.Machine) rollout.Machine {
 	e := v.evictor
 	e.Lock.Lock()
@@ -49,7 +49,7 @@
 	return seen
 }
 
-// DrainCost returns how many steps emptying a machine takes, and what blocks it now.
+// DrainCost returns the number of steps needed to drain a machine, and the reasons that block it now.
 func (v *View) DrainCost(name ids.Machine) (cost rollout.DrainCost) {
 	e := v.evictor
 	e.Lock.Lock()
@@ -79,11 +79,11 @@
 	return cost
 }
 
-// silentReportsFailed is after how many report intervals of silence, with probes unanswered, a replacement
-// counts as failed.
+// silentReportsFailed is the number of report intervals of silence, with unanswered probes, after which a
+// replacement counts as failed.
 const silentReportsFailed = 4
 
-// failureReason returns why a machine can't do its work; empty if it can, as far as known.
+// failureReason returns why a machine has failed, or "" if no failure is known.
 func (s *State) failureReason(machine *worker.Machine, now time.Time) string {
 	maxSilence := silentReportsFailed * s.reportInterval().Duration()
 	switch {
@@ -105,7 +105,7 @@
 	return slices.Sorted(maps.Keys(e.Machines.Machines))
 }
 
-// BootTime returns about how long a machine of a class takes until it is up; 0 if its type is not known.
+// BootTime returns the estimated time until a machine of a class is up, or 0 if its type is not known.
 func (v *View) BootTime(class rollout.InstanceClass) time.Duration {
 	e := v.evictor
 	e.Lock.Lock()
@@ -116,15 +116,15 @@
 	return 0
 }
 
-// StepTime returns about how long a step takes: the permit is stored, the stop and the start are carried out
-// and reported, and the replica counts as up again.
+// StepTime returns the estimated duration of a step: its permit is stored, the stop and the start are
+// executed and reported, and the replica counts as ready again.
 func (v *View) StepTime() time.Duration {
 	settings := v.evictor.Settings
 	return settings.Params.Workers.ReportS.Duration() + settings.Readiness().MinRunning
 }
 
-// ProvisionedMachines returns the machines provisioned for a request of replacements; answered reports whether
-// that request was answered.
+// ProvisionedMachines returns the machines provisioned for a request for replacements. answered reports
+// whether that request was answered.
 func (v *View) ProvisionedMachines(name ids.ProvisioningRequest) (machines []ids.Machine, answered bool) {
 	e := v.evictor
 	e.Lock.Lock()
