--- a/internal/reconcile/answer.go
+++ b/internal/reconcile/answer.go
@@ -10,11 +10,13 @@
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// answerer decides which commands a heartbeat's answer carries, and whether it may renew the lease.
+// answerer builds the commands in the response to a heartbeat and decides whether the response may renew
+// the lease.
 type answerer struct{ *State }
 
-// commands repeats, in a heartbeat's answer, what the machine still has to do. Every command may be repeated;
-// a start is named by task and attempt, so it takes effect once.
+// commands returns the commands that the machine still has to execute, for the response to its heartbeat.
+// Commands are idempotent: a start is identified by task and attempt, so it takes effect once even if it is
+// repeated.
 func (a *answerer) commands(
 	machine *worker.Machine, source Source, permission dispatch.Permission, now time.Time,
 ) (commands []worker.Command) {
@@ -40,7 +42,8 @@
 	return commands
 }
 
-// mayStart reports whether an assignment's start may be sent in the answer to its machine's heartbeat.
+// mayStart reports whether the start of an assignment may be sent in the response to its machine's
+// heartbeat.
 func (a *answerer) mayStart(assignment *workload.Assignment, machine *worker.Machine, permission dispatch.Permission) bool {
 	job := assignment.Job
 	if !permission.MayStart(job) || assignment.Confirmed || assignment.FencingToken != permission.FencingToken {
@@ -52,8 +55,8 @@
 	return assignment.StartSent || scheduler.GangStartAllowed(assignment, machine, a.Machines)
 }
 
-// leaseMustExpire reports whether a direct start may still arrive of a task whose job was cancelled longer than
-// a grace period ago.
+// leaseMustExpire reports whether a direct start may still reach the worker for a task whose job was
+// cancelled more than a grace period ago.
 func (a *answerer) leaseMustExpire(report *worker.Report, grace time.Duration, fencingToken ids.Generation) bool {
 	machine := a.Machines.Machines[report.Machine]
 	if machine == nil || report.Incarnation != machine.Incarnation || len(machine.UnconfirmedStarts) == 0 {
--- a/internal/reconcile/failures.go
+++ b/internal/reconcile/failures.go
@@ -8,18 +8,19 @@
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// failureTracker records failed tasks: when they are retried, and the machines on which tasks keep failing.
+// failureTracker records failed tasks, schedules their retries and drains machines on which tasks keep
+// failing.
 type failureTracker struct {
 	*State
 	cluster Cluster
 }
 
-// backoff returns how the delays between retries of failing tasks grow, by the operators' settings.
+// backoff returns the backoff between retries of failing tasks, as configured by the operators.
 func (f *failureTracker) backoff() workload.Backoff {
 	return workload.Backoff{First: f.Settings.Operator.BackoffS, Max: f.Settings.Operator.BackoffMaxS}
 }
 
-// record records that a task failed on a machine.
+// record records that a task failed on a machine and schedules its retry on another machine.
 func (f *failureTracker) record(assignment *workload.Assignment, cause string, machine *worker.Machine, now time.Time) {
 	job, failures := assignment.Job, &assignment.Job.Failures
 	failures.AddFailure(machine.Name, assignment.RunningSince, now)
@@ -32,7 +33,7 @@
 		return
 	}
 	job.Record.FailedMachines = max(job.Record.FailedMachines, len(failures.ByMachine))
-	// Of a whole round's failures the first one counts.
+	// The failures of one round of retries increase the job's backoff only once.
 	if job.Failing() && !now.Before(failures.NotBefore) {
 		failures.Rounds++
 		failures.NotBefore = now.Add(f.backoff().Delay(failures.Rounds))
@@ -40,9 +41,9 @@
 	}
 }
 
-// clear records that a job is good: one of its tasks completed, or runs for far longer than those that failed.
-// Only now do its failures count against the machines. To blame machines for jobs that may all be at fault
-// themselves would cost good machines.
+// clear makes the failures of a job count against the machines, once the job is known not to be at fault:
+// one of its tasks completed, or has run for far longer than those that failed. If they counted before,
+// healthy machines could be drained because of a faulty job.
 func (f *failureTracker) clear(job *workload.Job) {
 	byMachine := job.Failures.ByMachine
 	job.Failures, job.Record.FailedMachines = workload.FailureHistory{}, 0
--- a/internal/reconcile/losses.go
+++ b/internal/reconcile/losses.go
@@ -9,13 +9,14 @@
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// lossRecorder records which tasks were lost, and where they start again.
+// lossRecorder records lost tasks, and the restarts of tasks that were lost.
 type lossRecorder struct {
 	*State
 	cluster Cluster
 }
 
-// markLost removes the assignment of a task that is proven not to be on its machine any more.
+// markLost removes the assignment of a task that is proven not to be on its machine any more, and records
+// the loss.
 func (l *lossRecorder) markLost(assignment *workload.Assignment, reason string) {
 	job := assignment.Job
 	if machine := l.Machines.Machines[assignment.Machine]; machine != nil {
@@ -32,13 +33,13 @@
 		l.Costs.AddLostWork(assignment, "machine lost", time.Now())
 	}
 	l.cluster.MarkChanged(job)
-	// The evidence may be what the cloud told this process alone: stored late, a successor would have to
-	// wait for it anew before it starts the task.
+	// The evidence may come from the cloud and be known to this process only. If the loss were stored late,
+	// a successor would have to wait for the evidence again before it could start the task.
 	l.cluster.MarkUrgent(job)
 	l.cluster.FinishIfComplete(job)
 }
 
-// logLoss logs the evidence by which a task counts as lost, should it turn out to be wrong.
+// logLoss logs the evidence for a loss, so that a wrong conclusion can be investigated.
 func logLoss(assignment *workload.Assignment, machine *worker.Machine, reason string) {
 	slog.Info("task lost", "task", assignment.Task(), "machine", assignment.Machine, "why", reason,
 		"attempt", assignment.Attempt, "token", assignment.FencingToken, "incarnation", assignment.Incarnation,
@@ -46,10 +47,10 @@
 		"reportIncarnation", machine.Incarnation, "reportSequence", machine.Sequence)
 }
 
-// unknownZone stands for the zone of a machine that never reported and was never listed.
+// unknownZone replaces the zone of a machine that never reported and was never listed by the cloud.
 const unknownZone = "an unknown zone"
 
-// zoneOf returns a machine's zone for a text.
+// zoneOf returns a machine's zone for use in event texts, or unknownZone.
 func (l *lossRecorder) zoneOf(name ids.Machine) string {
 	if machine := l.Machines.Machines[name]; machine != nil && machine.Zone != "" {
 		return machine.Zone
@@ -57,8 +58,8 @@
 	return unknownZone
 }
 
-// recordLoss records in the job's events that a task is proven not to be on its machine. Losses of the same
-// kind in a row share one event.
+// recordLoss records in the job's events that a task is proven not to be on its machine any more.
+// Consecutive losses of the same kind share one event.
 func (l *lossRecorder) recordLoss(assignment *workload.Assignment, reason string) {
 	job, events, last := assignment.Job, assignment.Job.Record.Events, ""
 	if n := len(events); n > 0 {
@@ -71,7 +72,7 @@
 	l.cluster.RecordEvent(job, "%s", line)
 }
 
-// recordRestarts records in a job's events where tasks lost before were assigned again.
+// recordRestarts records in a job's events the zones in which lost tasks were assigned again.
 func (l *lossRecorder) recordRestarts(job *workload.Job, assigned []*workload.Assignment) {
 	to, from := map[string]int{}, map[string]int{}
 	for _, assignment := range assigned {
--- a/internal/reconcile/machine.go
+++ b/internal/reconcile/machine.go
@@ -7,13 +7,13 @@
 	"github.com/pebbletrail/pebbletrail/internal/worker"
 )
 
-// machineTracker takes in what reports tell of their machines.
+// machineTracker updates the state of machines from their reports.
 type machineTracker struct {
 	*State
 	cluster Cluster
 }
 
-// ensure finds or adds the machine of a report.
+// ensure returns the machine that sent a report, and adds it if the leader does not know it.
 func (t *machineTracker) ensure(report *worker.Report, source Source, now time.Time) *worker.Machine {
 	known := t.Machines.Machines[report.Machine] != nil
 	machine := t.Machines.Ensure(report.Machine, now, source.TrustSilence)
@@ -23,21 +23,22 @@
 	return machine
 }
 
-// machineBefore is what was known of a machine before its report was taken in.
+// machineBefore is the state of a machine before its report is processed.
 type machineBefore struct {
-	unheard    bool // it has never reported to this leader
+	unheard    bool // it has not reported to this leader
 	booting    bool
-	moved      bool // the report tells of another type, zone or market
-	closed     bool // it had reported, and no new tasks were assigned to it
+	moved      bool // the report shows another type, zone or market
+	closed     bool // it had reported, and new tasks could not be assigned to it
 	suspect    bool
 	longSilent bool
 	noticed    bool // the cloud's termination notice was known
 }
 
-// longSilenceMargin is how much more than two report intervals a machine counts as silent for long after.
+// longSilenceMargin is added to two report intervals to obtain the silence after which a machine counts as
+// silent for long.
 const longSilenceMargin = time.Second
 
-// stateBefore returns what is known of a machine before its report is taken in.
+// stateBefore returns the state of a machine before its report is processed.
 func (t *machineTracker) stateBefore(machine *worker.Machine, report *worker.Report, now time.Time) machineBefore {
 	interval := t.Settings.Params.Workers.ReportS
 	return machineBefore{
@@ -51,7 +52,8 @@
 	}
 }
 
-// record takes in what a report tells of its machine.
+// record updates the estimates, the capacity index, the command queue and the plan after a machine's
+// report.
 func (t *machineTracker) record(machine *worker.Machine, before machineBefore, restarted bool, now time.Time) {
 	if before.booting && before.unheard {
 		t.Estimates.RecordBoot(machine, now)
@@ -62,13 +64,13 @@
 		t.cluster.HintChanged(machine)
 	}
 	if !machine.UnreachableSince.IsZero() && before.longSilent {
-		// It was silent for long and is heard again: that calls to it failed meanwhile says nothing of
-		// now. It is probed anew before it is judged.
+		// The machine was silent for long and reports again. Calls that failed meanwhile say nothing about
+		// its present state, so it is probed again before it is treated as unreachable.
 		machine.UnreachableSince, machine.FailedCalls = now, 0
 		machine.SuspectSince, machine.LastProbeAt = now, time.Time{}
 	}
 	if before.unheard || restarted || before.suspect {
-		t.Commands.Add(node) // what was held back or assigned there before may be sent now
+		t.Commands.Add(node) // commands that were held back or assigned before may be sent now
 	}
 	if before.unheard {
 		machine.IdleSince = now
--- a/internal/reconcile/orphans.go
+++ b/internal/reconcile/orphans.go
@@ -10,14 +10,15 @@
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// orphanReconciler decides about reported tasks that no assignment accounts for, and about outcomes that a
-// worker still keeps.
+// orphanReconciler handles reported tasks that match no assignment, and outcomes that a worker still
+// stores.
 type orphanReconciler struct {
 	cluster  Cluster
 	outcomes *outcomeRecorder
 }
 
-// reconcile clears, adopts or stops a reported task.
+// reconcile returns the commands for a reported task that matches no assignment. It clears the outcome of
+// an exited task, adopts a task of a known job that has no assignment for it, and stops any other task.
 func (o *orphanReconciler) reconcile(reported *reportedTask, fencingToken ids.Generation) []worker.Command {
 	if reported.exited() {
 		return o.clearOutcome(reported)
@@ -31,11 +32,12 @@
 	return []worker.Command{worker.StopCommand(reported.Task, reported.Attempt, 0)}
 }
 
-// clearOutcome has a worker clear the outcome of a task that ended, once that is stored.
+// clearOutcome returns the command that makes a worker clear the outcome of an exited task, once that
+// outcome is stored.
 func (o *orphanReconciler) clearOutcome(reported *reportedTask) []worker.Command {
 	if job := reported.job; job != nil && !job.Ended {
 		if version, recorded := job.RecordedOutcomes[reported.key]; recorded && job.StoredVersion < version {
-			return nil // its outcome must be stored before it is cleared
+			return nil // the outcome must be stored before it is cleared
 		}
 		if o.keepResult(reported) {
 			return nil
@@ -43,13 +45,13 @@
 		delete(job.RecordedOutcomes, reported.key)
 	}
 	if reported.machine.MayRestart(reported.Task, reported.Attempt) {
-		return nil // cleared, a late start would begin it anew
+		return nil // once the outcome is cleared, a start that arrives late would run the task again
 	}
 	return []worker.Command{worker.ClearCommand(reported.Task, reported.Attempt)}
 }
 
-// keepResult records that a task is done which nobody expected there: a result is kept wherever it comes from.
-// It reports whether it was new.
+// keepResult records that a task without an assignment completed, because a result counts whichever machine
+// reports it. It reports whether the result was new.
 func (o *orphanReconciler) keepResult(reported *reportedTask) bool {
 	job, index := reported.job, reported.index()
 	wanted := !job.Record.Finished.Contains(index) && index < job.Record.Spec.Tasks && job.Assignments[index] == nil
@@ -61,8 +63,8 @@
 	return true
 }
 
-// adopt adds an assignment for a task that is on a machine, whoever started it: until it is gone it must not
-// be started elsewhere and counts against its team's quota.
+// adopt adds an assignment for a task that is on a machine, whichever leader started it. Until the task is
+// gone it must not be started elsewhere, and it counts against its team's quota.
 func (o *orphanReconciler) adopt(reported *reportedTask, fencingToken ids.Generation) {
 	job, machine := reported.job, reported.machine
 	assignment := &workload.Assignment{
--- a/internal/reconcile/outcomes.go
+++ b/internal/reconcile/outcomes.go
@@ -8,17 +8,17 @@
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// outcomeRecorder records how attempts ended.
+// outcomeRecorder records the outcomes of attempts.
 type outcomeRecorder struct {
 	*State
 	cluster  Cluster
 	failures *failureTracker
 }
 
-// refusalRetryDelay is after how long a task that a worker had no room for is retried elsewhere.
+// refusalRetryDelay is the delay before a task that a worker had no room for is retried elsewhere.
 const refusalRetryDelay = time.Second
 
-// record records how the attempt of an assignment ended, and removes the assignment.
+// record records the outcome of an assignment's attempt and removes the assignment.
 func (o *outcomeRecorder) record(assignment *workload.Assignment, reported *reportedTask) {
 	job, task, machine := assignment.Job, assignment.TaskIndex, reported.machine
 	key := assignment.Key()
@@ -48,14 +48,14 @@
 	o.recorded(job, key)
 }
 
-// recorded records that a job's record holds an outcome from its present version on.
+// recorded records that a job's record contains an outcome from its current version on.
 func (o *outcomeRecorder) recorded(job *workload.Job, key workload.TaskAttempt) {
 	o.cluster.MarkChanged(job)
 	o.cluster.FinishIfComplete(job)
 	job.RecordedOutcomes[key] = job.Version
 }
 
-// recordDone records that a task completed. A gang completes as one.
+// recordDone records that a task completed. If it belongs to a gang, the whole gang is finished.
 func (o *outcomeRecorder) recordDone(assignment *workload.Assignment, machine *worker.Machine) {
 	job := assignment.Job
 	machine.TaskFailures = 0
@@ -70,7 +70,7 @@
 	}
 }
 
-// recordStopped records that a task was stopped.
+// recordStopped records that a task was stopped and, if it saved no checkpoint, the work that was lost.
 func (o *outcomeRecorder) recordStopped(assignment *workload.Assignment, reported *reportedTask, now time.Time) {
 	job, machine := assignment.Job, reported.machine
 	saved := " (progress saved)"
--- a/internal/reconcile/reconciler.go
+++ b/internal/reconcile/reconciler.go
@@ -1,13 +1,13 @@
-// Package reconcile reconciles what workers report with what the leader knows: running tasks, outcomes,
-// orphaned tasks that no assignment accounts for, and tasks that are proven lost.
+// Package reconcile reconciles the reports of workers with the leader's state: running tasks, outcomes of
+// attempts, orphaned tasks that match no assignment, and tasks that are proven lost.
 //
-// Reconciler is the entry point. Each part has an owner of its own: machineTracker for what a report tells of
-// its machine, taskReconciler for the tasks it lists, orphanReconciler for those that no assignment accounts
-// for, outcomeRecorder for how attempts ended, failureTracker for backoff and for machines on which tasks keep
-// failing, lossRecorder for lost tasks, and answerer for the commands in a heartbeat's answer.
+// Reconciler is the entry point. It delegates to machineTracker for the state of the machine,
+// taskReconciler for the tasks in a report, orphanReconciler for tasks that match no assignment,
+// outcomeRecorder for the outcomes of attempts, failureTracker for backoff and for machines on which tasks
+// keep failing, lossRecorder for lost tasks, and answerer for the commands in the response to a heartbeat.
 //
-// The package has no lock: the lock of the cluster state that a Reconciler belongs to guards all of it. Every
-// method is called under that lock, and so are the methods of Cluster.
+// The package has no lock of its own. Every method is called with the lock of the cluster state held, and
+// so are the methods of Cluster.
 package reconcile
 
 import (
@@ -23,29 +23,32 @@
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// Cluster is what reconciling asks of the cluster state. Every method is called under that state's lock.
+// Cluster provides the operations on the cluster state that reconciliation needs. Every method is called
+// with that state's lock held.
 type Cluster interface {
-	// Assign adds an assignment; RemoveAssignment removes one, whose task is proven not to be there.
+	// Assign adds an assignment; RemoveAssignment removes one whose task is proven not to be on its
+	// machine.
 	Assign(assignment *workload.Assignment)
 	RemoveAssignment(assignment *workload.Assignment)
-	// Stop requests that a task be stopped, with a grace period in which it may save a checkpoint.
+	// Stop requests that a task be stopped, with a grace period for saving a checkpoint.
 	Stop(assignment *workload.Assignment, grace ids.Seconds, reason string)
-	// NoDirectStartOutstanding reports whether every start sent straight to the machine is accounted for.
+	// NoDirectStartOutstanding reports whether the outcome of every start sent directly to the assignment's
+	// machine is known.
 	NoDirectStartOutstanding(assignment *workload.Assignment) bool
-	// MarkChanged records that a job's record changed; MarkUrgent that it must be stored at once.
+	// MarkChanged records that a job's record changed; MarkUrgent records that it must be stored at once.
 	MarkChanged(job *workload.Job)
 	MarkUrgent(job *workload.Job)
-	// FinishIfComplete moves a job to its final status when nothing is left of it.
+	// FinishIfComplete sets the final status of a job that has no work left.
 	FinishIfComplete(job *workload.Job)
-	// RecordEvent adds a line to a job's events.
+	// RecordEvent adds an event to a job's record.
 	RecordEvent(job *workload.Job, format string, args ...any)
-	// HintChanged records that what the other controllers should know of a machine changed.
+	// HintChanged records that the hints which other controllers receive about a machine have changed.
 	HintChanged(machine *worker.Machine)
 	// RequestPlan requests a planning pass.
 	RequestPlan()
 }
 
-// State is what reconciling reads and changes of the shard.
+// State is the part of the shard's state that reconciliation reads and changes.
 type State struct {
 	Settings  *config.Settings
 	Jobs      *workload.Queue
@@ -54,11 +57,11 @@
 	Estimates *estimate.Estimator
 	Commands  *dispatch.Queue
 	Costs     *costs.Account
-	// FirstGeneration is the fencing token that the term began with.
+	// FirstGeneration is the fencing token at the beginning of the term.
 	FirstGeneration ids.Generation
 }
 
-// Reconciler reconciles the reports of one term.
+// Reconciler reconciles the reports that a leader receives in one term.
 type Reconciler struct {
 	*State
 	cluster  Cluster
@@ -68,7 +71,7 @@
 	answers  *answerer
 }
 
-// New returns the reconciler of one term.
+// New returns the Reconciler of one term.
 func New(state State, cluster Cluster) *Reconciler {
 	shared := &state
 	failures := &failureTracker{State: shared, cluster: cluster}
@@ -84,21 +87,22 @@
 	}
 }
 
-// Source tells how a report came and what its worker is answered.
+// Source describes how a report arrived and how its worker is answered.
 type Source struct {
-	// Heartbeat tells a heartbeat from the answer to a direct command.
+	// Heartbeat is true for a heartbeat, and false for the response to a direct command or a probe.
 	Heartbeat bool
-	// Answered tells that the worker gets an answer which renews its lease.
+	// Answered is true if the worker receives a response that renews its lease.
 	Answered bool
-	// TrustSilence is the time from which the silence of a machine that never reported to this leader counts.
+	// TrustSilence is the earliest time at which the lease of a machine that never reported to this leader
+	// can be assumed to have expired.
 	TrustSilence time.Time
 }
 
-// maxCommandsPerAnswer bounds an answer's commands: one line of it must stay below 64 KiB, and the rest
-// follows with the next report.
+// maxCommandsPerAnswer limits the commands in one response: a line of the response must stay below 64 KiB.
+// The other commands are sent after the next report.
 const maxCommandsPerAnswer = 400
 
-// Report reconciles a worker's report and returns the commands that its machine should get in answer to a
+// Report reconciles a worker's report and returns the commands to send in the response if the report is a
 // heartbeat.
 func (r *Reconciler) Report(report *worker.Report, source Source, permission dispatch.Permission, now time.Time) []worker.Command {
 	machine := r.machines.ensure(report, source, now)
@@ -108,8 +112,8 @@
 		if report.Incarnation != machine.Incarnation {
 			return nil
 		}
-		// A command's answer may overtake a heartbeat that was sent before it. The heartbeat's answer
-		// renews the lease all the same, so it must not come without the stops.
+		// The response to a command may arrive before a heartbeat that was sent earlier. The response to
+		// that heartbeat still renews the lease, so it must contain the stops.
 		permission.Starts = false
 		return r.answers.commands(machine, source, permission, now)
 	}
@@ -123,8 +127,8 @@
 	return commands[:min(len(commands), maxCommandsPerAnswer)]
 }
 
-// dropEarlierIncarnations removes what was assigned to an earlier incarnation of a worker: the worker dropped
-// all of it when its lease expired.
+// dropEarlierIncarnations removes the assignments to earlier incarnations of a worker. The worker dropped
+// their tasks when its lease expired.
 func (r *Reconciler) dropEarlierIncarnations(machine *worker.Machine, report *worker.Report) {
 	for assignment := range r.Capacity.AssignmentsOn(machine.Name) {
 		switch {
@@ -132,16 +136,16 @@
 		case assignment.StartSent:
 			r.MarkLost(assignment, "its worker's lease lapsed")
 		default:
-			// Only marked, for an incarnation that is over: its start would never be sent, and nobody
-			// would ever report it.
+			// The start was never sent and never will be, because the incarnation has ended. No report will
+			// mention the task.
 			r.cluster.RemoveAssignment(assignment)
 			r.cluster.MarkChanged(assignment.Job)
 		}
 	}
 }
 
-// reconcileMissing marks tasks lost that are assigned to a machine, were not reported, and can't start any
-// more.
+// reconcileMissing marks a task as lost if it is assigned to a machine, is missing from the machine's
+// report and can no longer start.
 func (r *Reconciler) reconcileMissing(
 	machine *worker.Machine, report *worker.Report, source Source, listed map[workload.TaskAttempt]bool,
 ) {
@@ -154,17 +158,17 @@
 		case assignment.Confirmed:
 			r.MarkLost(assignment, "its worker reports it no longer")
 		case assignment.FencingToken < report.FencingToken:
-			// The worker has seen a higher token than the start carries, so the start was never carried
-			// out and never will be.
+			// The worker has seen a higher fencing token than the start carries. It has not executed the
+			// start and never will.
 			r.MarkLost(assignment, "its start was turned away")
 		case assignment.Stopping && offeredBefore && r.cluster.NoDirectStartOutstanding(assignment):
-			// Starts in answers to heartbeats are carried out at once or never.
+			// Starts in responses to heartbeats are executed at once or never.
 			r.MarkLost(assignment, "its start was dropped")
 		}
 	}
 }
 
-// queueUnsentStarts has the starts sent that may have waited for this report.
+// queueUnsentStarts queues the starts on a machine that may have waited for this report.
 func (r *Reconciler) queueUnsentStarts(machine *worker.Machine) {
 	for assignment := range r.Capacity.AssignmentsOn(machine.Name) {
 		if !assignment.StartSent {
@@ -174,23 +178,23 @@
 	}
 }
 
-// LeaseMustExpire reports whether a worker's lease must not be renewed: a direct start may still be on its way
-// to it, of a task whose job was cancelled longer than a grace period ago, so that the task could be there
-// beyond cancel_s. A raised fencing token rejects the start sooner, but to raise it takes the store.
+// LeaseMustExpire reports whether a worker's lease must not be renewed, because a direct start may still
+// reach it for a task whose job was cancelled more than a grace period ago. The task could then run beyond
+// cancel_s. A raised fencing token rejects the start sooner, but raising it requires the store.
 func (r *Reconciler) LeaseMustExpire(report *worker.Report, grace time.Duration, fencingToken ids.Generation) bool {
 	return r.answers.leaseMustExpire(report, grace, fencingToken)
 }
 
-// MarkLost removes the assignment of a task that is proven not to be on its machine any more, so that it is
-// queued again.
+// MarkLost removes the assignment of a task that is proven not to be on its machine any more, so that the
+// task is queued again.
 func (r *Reconciler) MarkLost(assignment *workload.Assignment, reason string) {
 	r.losses.markLost(assignment, reason)
 }
 
-// ZoneOf returns a machine's zone for a text.
+// ZoneOf returns a machine's zone for use in event texts.
 func (r *Reconciler) ZoneOf(name ids.Machine) string { return r.losses.zoneOf(name) }
 
-// RecordRestarts records in a job's events where tasks lost before were assigned again.
+// RecordRestarts records in a job's events the zones in which lost tasks were assigned again.
 func (r *Reconciler) RecordRestarts(job *workload.Job, assigned []*workload.Assignment) {
 	r.losses.recordRestarts(job, assigned)
 }
--- a/internal/reconcile/reconciler_test.go
+++ b/internal/reconcile/reconciler_test.go
@@ -19,13 +19,13 @@
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// leaderToken is the fencing token of the term, earlierToken that of the leader before.
+// leaderToken is the fencing token of this term, earlierToken that of the previous leader.
 const (
 	leaderToken  ids.Generation = 7
 	earlierToken ids.Generation = 6
 )
 
-// fakeCluster does what reconciling asks for in the simplest way, and records the rest.
+// fakeCluster implements Cluster on the state of its reconciler, and counts changes marked as urgent.
 type fakeCluster struct {
 	reconciler             *Reconciler
 	directStartOutstanding bool
@@ -59,7 +59,7 @@
 func (c *fakeCluster) HintChanged(*worker.Machine)    {}
 func (c *fakeCluster) RequestPlan()                   {}
 
-// testReconciler returns a reconciler with a machine "m" that has reported.
+// testReconciler returns a reconciler that has received a report of the machine "m".
 func testReconciler() (*Reconciler, *fakeCluster) {
 	settings := &config.Settings{Operator: config.DefaultOperator()}
 	settings.Params.Workers = config.WorkerIntervals{ReportS: 2, LeaseS: 20}
@@ -74,13 +74,14 @@
 	return cluster.reconciler, cluster
 }
 
-// reportOf returns a report of the machine "m" that lists tasks.
+// reportOf returns a report of the machine "m" that lists the given tasks.
 func reportOf(sequence ids.SequenceNumber, tasks ...worker.TaskStatus) *worker.Report {
 	return &worker.Report{Machine: "m", Addr: "m:1", Type: "small", Zone: "north", Incarnation: 1, Sequence: sequence,
 		FencingToken: leaderToken, Tasks: tasks}
 }
 
-// reconcileReport reconciles a report in a heartbeat and returns the commands in its answer, such as "start job/0".
+// reconcileReport reconciles a report as a heartbeat and returns the commands in the response, such as
+// "start job/0".
 func reconcileReport(reconciler *Reconciler, report *worker.Report) (commands []string) {
 	permission := dispatch.Permission{FencingToken: leaderToken, Starts: true, RecordsRead: time.Now()}
 	for _, command := range reconciler.Report(report, Source{Heartbeat: true, Answered: true}, permission, time.Now()) {
@@ -89,12 +90,12 @@
 	return commands
 }
 
-// heartbeat is reconcileReport of a report with tasks.
+// heartbeat reconciles a heartbeat of the machine "m" and returns the commands in the response.
 func heartbeat(reconciler *Reconciler, sequence ids.SequenceNumber, tasks ...worker.TaskStatus) []string {
 	return reconcileReport(reconciler, reportOf(sequence, tasks...))
 }
 
-// addJob adds a job "job" of three tasks.
+// addJob adds a job "job" with three tasks.
 func addJob(reconciler *Reconciler, shape record.Shape) *workload.Job {
 	spec := record.Spec{ID: "job", Team: "red", Shape: shape, Tasks: 3, EstimatedDuration: 10,
 		Resources: placement.Resources{Cores: 1, RAM: 1}, Image: "image"}
@@ -111,7 +112,7 @@
 	return assignment
 }
 
-// status is a reported status of the first task of the job "job".
+// status returns a reported status of the first task of the job "job".
 func status(state, cause string) worker.TaskStatus {
 	return worker.TaskStatus{Task: "job/0", Attempt: 1, State: state, Cause: cause}
 }
@@ -123,7 +124,7 @@
 	for _, c := range []struct {
 		name   string
 		change func(*workload.Assignment, *worker.Report, *fakeCluster)
-		lost   string // why; empty if it is not
+		lost   string // reason of the loss; empty if the task is not lost
 	}{
 		{"it was reported before", func(*workload.Assignment, *worker.Report, *fakeCluster) {}, "its worker reports it no longer"},
 		{"its start may be on its way", func(a *workload.Assignment, _ *worker.Report, _ *fakeCluster) { a.Confirmed = false }, ""},
@@ -256,7 +257,7 @@
 		sent        bool
 		attempt     ids.Attempt
 		incarnation ids.Incarnation // of the assignment
-		shown       ids.Generation  // the token that the worker has seen
+		shown       ids.Generation  // the fencing token in the report
 		ends        bool
 	}{
 		{"of this start", record.Array, worker.CauseError, true, 1, 1, leaderToken, true},
--- a/internal/reconcile/tasks.go
+++ b/internal/reconcile/tasks.go
@@ -11,21 +11,21 @@
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// reportedTask is one task that a report lists.
+// reportedTask is one task in a report.
 type reportedTask struct {
 	*worker.TaskStatus
 	key     workload.TaskAttempt
-	job     *workload.Job // nil if the leader does not know it
+	job     *workload.Job // nil if the leader does not know the job
 	machine *worker.Machine
 }
 
-// index returns the task's index in its job.
+// index returns the index of the task in its job.
 func (t *reportedTask) index() int { return t.key.Task.Index }
 
-// exited reports whether the task ended.
+// exited reports whether the task has exited.
 func (t *reportedTask) exited() bool { return t.State == worker.StateExited }
 
-// taskReconciler reconciles the tasks that a report lists with the assignments.
+// taskReconciler reconciles the tasks in a report with the assignments.
 type taskReconciler struct {
 	*State
 	cluster  Cluster
@@ -34,8 +34,8 @@
 	orphans  *orphanReconciler
 }
 
-// reconcile takes in the tasks that a report lists and notes in listed which they are. It returns what their
-// machine is to do with those that no assignment accounts for.
+// reconcile processes the tasks in a report and adds each to listed. It returns the commands for tasks that
+// match no assignment.
 func (t *taskReconciler) reconcile(
 	machine *worker.Machine, report *worker.Report, listed map[workload.TaskAttempt]bool, fencingToken ids.Generation, now time.Time,
 ) (commands []worker.Command) {
@@ -56,27 +56,28 @@
 	return commands
 }
 
-// mayPredateRecord reports whether a report may be older than what the record says of a gang. Until a worker
-// shows this leader's fencing token its report may be of any age, and of a gang the same task may have been
-// started again, under the same attempt, on the machine where it had ended. Of other jobs every start has a
-// number of its own; and what is done is done.
+// mayPredateRecord reports whether a report may be older than the record of a gang. Until a worker has seen
+// this leader's fencing token, its report may be of any age, and the task of a gang may have been started
+// again, under the same attempt, on the machine where it had ended. Other jobs are not affected, because
+// each of their starts has its own attempt number; neither are completed tasks, because a result stays
+// valid.
 func (t *taskReconciler) mayPredateRecord(reported *reportedTask, report *worker.Report) bool {
 	done := reported.exited() && reported.Cause == worker.CauseDone
 	return reported.job.Record.Spec.Shape == record.Gang && report.FencingToken < t.FirstGeneration && !done
 }
 
-// reconcileAssigned takes in a reported task that an assignment accounts for. It reports whether that is all
-// there is to do; the outcome of a task that ended is yet to be cleared.
+// reconcileAssigned processes a reported task that matches an assignment. It reports whether no more has to
+// be done; the outcome of an exited task still has to be cleared.
 func (t *taskReconciler) reconcileAssigned(reported *reportedTask, incarnation ids.Incarnation, now time.Time) (settled bool) {
 	key := reported.key
-	// What is listed before a start was sent is left from an earlier start of the same attempt there, whose
-	// outcome is known.
+	// A task that is listed before its start was sent is left from an earlier start of the same attempt on
+	// this machine, whose outcome is known.
 	assignment := reported.job.Assignments[key.Task.Index]
 	if assignment == nil || assignment.Machine != key.Machine || assignment.Attempt != key.Attempt || !assignment.StartSent {
 		return false
 	}
 	if assignment.Incarnation != incarnation {
-		return true // of an earlier incarnation, and so of an earlier start
+		return true // the task belongs to an earlier incarnation, and so to an earlier start
 	}
 	if reported.exited() {
 		t.outcomes.record(assignment, reported)
@@ -86,7 +87,7 @@
 	return true
 }
 
-// observe records the status of a task that is on its machine.
+// observe records the reported status of a task that is on its machine.
 func (t *taskReconciler) observe(assignment *workload.Assignment, reported *reportedTask, now time.Time) {
 	machine := reported.machine
 	changed := assignment.Status != reported.State
@@ -111,7 +112,7 @@
 	assignment.Status = reported.State
 }
 
-// observeChange records that a task's status changed.
+// observeChange records a change of a task's status.
 func (t *taskReconciler) observeChange(assignment *workload.Assignment, reported *reportedTask, now time.Time) {
 	if reported.State == worker.StateRunning {
 		assignment.RunningSince = now
@@ -119,7 +120,7 @@
 	if assignment.Job.Record.Spec.Shape == record.Gang {
 		for _, other := range assignment.Job.Assignments {
 			if !other.StartSent {
-				t.Commands.AddFor(other) // it waited for this one's image
+				t.Commands.AddFor(other) // its start waited until this task had its image
 			}
 		}
 	}
@@ -128,7 +129,7 @@
 	}
 }
 
-// recordImage records that a job's image is on a machine.
+// recordImage records that a machine has a job's image.
 func (t *taskReconciler) recordImage(spec *record.Spec, machine *worker.Machine) {
 	cacheGB := math.Inf(1)
 	if machineType := t.Capacity.Type(machine.Type); machineType != nil {
