--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -32,7 +32,7 @@
 			changed := ready
 			change(&changed)
 			if rules.IsReady(changed, now) {
-				t.Error("counts as ready")
+				t.Error("the replica counts as ready")
 			}
 		})
 	}
@@ -47,19 +47,19 @@
 		request        Request
 		denied         string
 	}{
-		{"a number", Budget{MaxUnavailable: pointerTo(2)}, 5, 4, 0, replicaRequest("red", "s", true), ""},
-		{"a number used up by a fault", Budget{MaxUnavailable: pointerTo(1)}, 5, 4, 0, replicaRequest("red", "s", true), "1 of its 5 replicas are down, of at most 1"},
-		{"a share", Budget{MaxUnavailablePercent: pointerTo(40)}, 5, 4, 0, replicaRequest("red", "s", true), ""},
-		{"a share, rounded down", Budget{MaxUnavailablePercent: pointerTo(39)}, 5, 4, 0, replicaRequest("red", "s", true), "of at most 1"},
-		{"the smaller counts", Budget{MaxUnavailable: pointerTo(3), MaxUnavailablePercent: pointerTo(20)}, 5, 4, 0, replicaRequest("red", "s", true), "of at most 1"},
-		{"zero", Budget{MaxUnavailable: pointerTo(0)}, 5, 5, 0, replicaRequest("red", "s", true), "of at most 0"},
-		{"one that starts is down already", Budget{MaxUnavailable: pointerTo(1)}, 5, 4, 0, replicaRequest("red", "s", false), ""},
-		{"one that starts, beside another", Budget{MaxUnavailable: pointerTo(1)}, 5, 3, 0, replicaRequest("red", "s", false), "2 of its 5"},
+		{"absolute limit", Budget{MaxUnavailable: pointerTo(2)}, 5, 4, 0, replicaRequest("red", "s", true), ""},
+		{"absolute limit exhausted by a failure", Budget{MaxUnavailable: pointerTo(1)}, 5, 4, 0, replicaRequest("red", "s", true), "1 of its 5 replicas are down, of at most 1"},
+		{"percentage", Budget{MaxUnavailablePercent: pointerTo(40)}, 5, 4, 0, replicaRequest("red", "s", true), ""},
+		{"percentage, rounded down", Budget{MaxUnavailablePercent: pointerTo(39)}, 5, 4, 0, replicaRequest("red", "s", true), "of at most 1"},
+		{"smaller of both limits", Budget{MaxUnavailable: pointerTo(3), MaxUnavailablePercent: pointerTo(20)}, 5, 4, 0, replicaRequest("red", "s", true), "of at most 1"},
+		{"limit of zero", Budget{MaxUnavailable: pointerTo(0)}, 5, 5, 0, replicaRequest("red", "s", true), "of at most 0"},
+		{"starting replica is already unavailable", Budget{MaxUnavailable: pointerTo(1)}, 5, 4, 0, replicaRequest("red", "s", false), ""},
+		{"starting replica beside an unavailable one", Budget{MaxUnavailable: pointerTo(1)}, 5, 3, 0, replicaRequest("red", "s", false), "2 of its 5"},
 		{"the last replica", Default(), 1, 1, 0, replicaRequest("red", "s", true), "last replica of s"},
 		{"the last replica, allowed", Budget{MaxUnavailable: pointerTo(1), AllowLastReplica: true}, 1, 1, 0, replicaRequest("red", "s", true), ""},
-		{"another task", Default(), 0, 0, 0, Request{Team: "red", Job: "a", Tasks: 1}, ""},
-		{"another task too many", Default(), 0, 0, 1, Request{Team: "red", Job: "a", Tasks: 1}, "1 tasks are interrupted"},
-		{"a gang counts whole", Default(), 0, 0, 0, Request{Team: "red", Job: "g", Tasks: 2}, "2 more would be"},
+		{"task that is not a replica", Default(), 0, 0, 0, Request{Team: "red", Job: "a", Tasks: 1}, ""},
+		{"one interrupted task too many", Default(), 0, 0, 1, Request{Team: "red", Job: "a", Tasks: 1}, "1 tasks are interrupted"},
+		{"all tasks of a gang count", Default(), 0, 0, 0, Request{Team: "red", Job: "g", Tasks: 2}, "2 more would be"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			meter := NewMeter(NewBudgets(Default(), map[string]Budget{"red": c.budget}))
@@ -69,7 +69,7 @@
 			meter.CountInterrupted("red", c.interrupted)
 			denials := meter.Permit(c.request)
 			if c.denied == "" && len(denials) > 0 || c.denied != "" && (len(denials) != 1 || !strings.Contains(denials[0].Reason, c.denied)) {
-				t.Errorf("denied for %v, not %q", denials, c.denied)
+				t.Errorf("denials %v, want %q", denials, c.denied)
 			}
 		})
 	}
@@ -83,16 +83,16 @@
 	meter.CountService("blue", "b", 3, 2)
 	requests := []Request{replicaRequest("red", "r", true), replicaRequest("blue", "b", true)}
 	if denials := meter.Permit(requests...); len(denials) != 1 || denials[0].Team != "blue" {
-		t.Errorf("denied for %v", denials)
+		t.Errorf("denials %v, want one for team blue", denials)
 	}
 	if used := meter.usage("red"); used.unavailable != 0 {
-		t.Errorf("%d replicas of the other team are counted", used.unavailable)
+		t.Errorf("%d unavailable replicas of team red are counted after a refusal", used.unavailable)
 	}
 	if denials := meter.Permit(requests[0]); len(denials) > 0 {
-		t.Errorf("denied alone as well: %v", denials)
+		t.Errorf("request of team red alone: denials %v", denials)
 	}
 	if denials := meter.Permit(requests...); len(denials) != 2 {
-		t.Errorf("with both budgets used up only %v is told", denials)
+		t.Errorf("with both budgets exhausted: denials %v, want two", denials)
 	}
 }
 
@@ -107,26 +107,26 @@
 		meter := NewMeter(NewBudgets(Default(), nil))
 		meter.CountService("red", "r", 3, c.ready)
 		if denial := meter.Confirm(request); (denial == nil) != c.confirmed {
-			t.Errorf("with %d of 3 ready: %v", c.ready, denial)
+			t.Errorf("with %d of 3 replicas ready: denial %v", c.ready, denial)
 		}
 	}
 	meter := NewMeter(NewBudgets(Budget{MaxUnavailable: pointerTo(3)}, nil))
 	meter.CountService("red", "r", 3, 0)
 	if meter.Confirm(request) == nil {
-		t.Error("the last replica is stopped after the others failed")
+		t.Error("permit for the last replica is confirmed after the others failed")
 	}
 }
 
 func TestImpossibleBudgetsAreRejected(t *testing.T) {
 	for name, budget := range map[string]Budget{
-		"a negative number":         {MaxUnavailable: pointerTo(-1)},
-		"over a hundred percent":    {MaxUnavailablePercent: pointerTo(101)},
-		"negative interruptions":    {MaxInterrupted: -1},
-		"the last of none that may": {MaxUnavailable: pointerTo(0), AllowLastReplica: true},
+		"a negative number":                                {MaxUnavailable: pointerTo(-1)},
+		"more than 100 percent":                            {MaxUnavailablePercent: pointerTo(101)},
+		"negative interruptions":                           {MaxInterrupted: -1},
+		"last replica allowed, but no unavailable replica": {MaxUnavailable: pointerTo(0), AllowLastReplica: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if budget.Check() == nil {
-				t.Error("accepted")
+				t.Error("the budget is accepted")
 			}
 		})
 	}
