--- a/internal/commit/committer.go
+++ b/internal/commit/committer.go
@@ -171,9 +171,9 @@
 		c.resolveConflict(ctx, conflict, changes)
 		return
 	case errors.Is(err, state.ErrMalformed):
-		slog.Error("commit malformed", "err", err, "changes", len(changes))
+		slog.Error("commit refused as malformed, retrying", "err", err, "changes", len(changes))
 	default:
-		slog.Debug("commit not confirmed", "err", err)
+		slog.Debug("commit failed or its outcome is unknown, retrying", "err", err)
 	}
 	// The commit was refused or its outcome is unknown. The next transaction requires the same revisions,
 	// so that it and a late copy of this one exclude each other.
@@ -203,7 +203,7 @@
 	limit := c.cluster.ValueLimit()
 	for _, op := range ops {
 		if len(op.Value) > limit {
-			return fmt.Errorf("%w: %d bytes at %s, of at most %d", state.ErrMalformed, len(op.Value), op.Put, limit)
+			return fmt.Errorf("%w: value of %d bytes at key %s exceeds the limit of %d bytes", state.ErrMalformed, len(op.Value), op.Put, limit)
 		}
 	}
 	conditions = append([]state.Condition{c.generationCondition()}, conditions...)
--- a/internal/commit/committer_test.go
+++ b/internal/commit/committer_test.go
@@ -142,10 +142,10 @@
 			f.put(t, c.key, c.value)
 			f.cluster.changes = []Change{c.change}
 			if !f.CommitGroup(context.Background()) {
-				t.Errorf("%s: no other group is looked for", c.name)
+				t.Errorf("%s: CommitGroup reports no further group", c.name)
 			}
 			if got := f.learned(); got != c.want {
-				t.Errorf("%s: learned %q, want %q", c.name, got, c.want)
+				t.Errorf("%s: calls %q, want %q", c.name, got, c.want)
 			}
 		})
 	}
@@ -167,12 +167,12 @@
 			f.network.SetRule(func(string, string, *http.Request, []byte) fake.Outcome { return c.fate })
 			f.CommitGroup(context.Background())
 			if got := f.learned(); got != "" {
-				t.Errorf("%v: learned %q without an answer", c.fate, got)
+				t.Errorf("%v: calls %q without a response", c.fate, got)
 			}
 			f.network.SetRule(nil)
 			f.CommitGroup(context.Background())
 			if got := f.learned(); got != c.want {
-				t.Errorf("%v, raised %v: learned %q, want %q", c.fate, c.raise, got, c.want)
+				t.Errorf("%v, generation raised %v: calls %q, want %q", c.fate, c.raise, got, c.want)
 			}
 		})
 	}
@@ -184,15 +184,15 @@
 		f.cluster.raise = true
 		f.CommitGroup(context.Background())
 		if got := f.learned(); got != "generation 8" || f.LastGenerationRevision() == 0 {
-			t.Errorf("learned %q, revision %d", got, f.LastGenerationRevision())
+			t.Errorf("after the generation was raised: calls %q, revision %d", got, f.LastGenerationRevision())
 		}
 		if err := f.Apply(context.Background(), []state.Op{{Put: "key", Value: []byte("1")}}); err != nil {
-			t.Errorf("apply: %v", err)
+			t.Errorf("Apply under the raised generation: %v", err)
 		}
 		f.put(t, f.keys.Generation(), GenerationRecord{9, "other", "other"})
 		var conflict *state.ConflictError
 		if err := f.Apply(context.Background(), []state.Op{{Put: "key", Value: []byte("2")}}); !errors.As(err, &conflict) {
-			t.Errorf("apply after another leader took over: %v", err)
+			t.Errorf("Apply after another leader took over: %v, want a conflict", err)
 		}
 	})
 }
--- a/internal/commit/conflict.go
+++ b/internal/commit/conflict.go
@@ -92,7 +92,7 @@
 		return false
 	}
 	if !found {
-		slog.Error("job record missing", "job", id)
+		slog.Error("job has neither a live nor a final record, treating it as ended", "job", id)
 	}
 	r.cluster.RecordEnded(change.Job)
 	return true
@@ -125,7 +125,7 @@
 	}
 	stored, err = record.Decode(entry.Value)
 	if err != nil {
-		slog.Error("unreadable record", "job", id, "err", err)
+		slog.Error("cannot decode the live record of a job", "job", id, "err", err)
 		return nil, 0, false
 	}
 	return stored, entry.Revision, true
--- a/internal/commit/generation.go
+++ b/internal/commit/generation.go
@@ -36,7 +36,7 @@
 	next := c.cluster.Generation() + 1
 	value, err := json.Marshal(GenerationRecord{next, c.node, c.cluster.Writer()})
 	if err != nil {
-		slog.Error("generation not encoded", "err", err)
+		slog.Error("cannot encode the generation record, retrying", "err", err)
 		wait.For(ctx, retryDelay)
 		return
 	}
@@ -75,5 +75,5 @@
 func (c *Committer) generationRaised(generation ids.Generation, revision ids.Revision) {
 	c.cluster.GenerationRaised(generation)
 	c.generationRevision = revision
-	slog.Info("generation raised to turn late starts away", "generation", generation)
+	slog.Info("generation raised so that workers reject late starts", "generation", generation)
 }
--- a/internal/commit/lookups.go
+++ b/internal/commit/lookups.go
@@ -127,7 +127,7 @@
 	}
 	stored, err := record.Decode(entry.Value)
 	if err != nil || !stored.Status.IsTerminal() {
-		slog.Error("unreadable record", "key", entry.Key, "err", err)
+		slog.Error("final record of a job is unreadable or its status is not final, retrying later", "key", entry.Key, "err", err)
 		r.cluster.RetryLookup(id, now)
 		return
 	}
