--- a/internal/dispatch/prober_test.go
+++ b/internal/dispatch/prober_test.go
@@ -30,12 +30,12 @@
 	prober.earlyTokens, prober.pickedAt = 5, now.Add(-100*time.Millisecond)
 	probes := prober.Due(now, 1000, 7)
 	if len(probes) != 8 {
-		t.Fatalf("%d machines probed, not the 5 saved up and 3 more", len(probes))
+		t.Fatalf("%d machines probed, want 8: 5 saved tokens and 3 new ones", len(probes))
 	}
 	for _, probe := range probes {
 		silent := now.Sub(machines.Machines[probe.Machine].LastReportAt)
 		if silent < 1100*time.Millisecond+(largestFleet-9)*10*time.Microsecond {
-			t.Errorf("probed %s, silent for %v only", probe.Machine, silent)
+			t.Errorf("probed %s, which has been silent for only %v", probe.Machine, silent)
 		}
 	}
 }
@@ -61,7 +61,7 @@
 			names = append(names, probe.Machine)
 		}
 		if fmt.Sprint(names) != want {
-			t.Errorf("look %d: probed %v, want %s", i, names, want)
+			t.Errorf("pass %d: probed %v, want %s", i, names, want)
 		}
 		if i == 0 {
 			continue // the probes are not answered in time
@@ -73,6 +73,6 @@
 		}
 	}
 	if machine := machines.Machines["m4"]; machine.UnansweredProbes != 3 || !machine.SuspectSince.Equal(began) {
-		t.Errorf("m4 left %d probes unanswered, the first at %v", machine.UnansweredProbes, machine.SuspectSince.Sub(began))
+		t.Errorf("m4 has %d unanswered probes, the first sent after %v", machine.UnansweredProbes, machine.SuspectSince.Sub(began))
 	}
 }
--- a/internal/dispatch/queue_test.go
+++ b/internal/dispatch/queue_test.go
@@ -77,7 +77,7 @@
 		{"a start that was sent", func(a *workload.Assignment, _ *worker.Machine) { a.StartSent = true }, ""},
 		{"another incarnation", func(a *workload.Assignment, _ *worker.Machine) { a.Incarnation = 2 }, ""},
 		{"a stop", func(a *workload.Assignment, _ *worker.Machine) { stopTask(a, true) }, stop},
-		{"a stop of a task that was not seen", func(a *workload.Assignment, _ *worker.Machine) { stopTask(a, false) }, ""},
+		{"a stop of an unconfirmed task", func(a *workload.Assignment, _ *worker.Machine) { stopTask(a, false) }, ""},
 		{"a stop that was sent", func(a *workload.Assignment, _ *worker.Machine) { stopTask(a, true); a.StopSentAt = a.StopRequestedAt }, ""},
 		{"a stop that is requested again", func(a *workload.Assignment, _ *worker.Machine) {
 			stopTask(a, true)
@@ -85,7 +85,7 @@
 		}, stop},
 		{"a call in flight", func(_ *workload.Assignment, m *worker.Machine) { m.CommandsInFlight = true }, ""},
 		{"an unanswered probe", func(_ *workload.Assignment, m *worker.Machine) { m.UnansweredProbes = 1 }, ""},
-		{"a machine to be deleted", func(_ *workload.Assignment, m *worker.Machine) { m.Deleting = true }, ""},
+		{"a machine that is being deleted", func(_ *workload.Assignment, m *worker.Machine) { m.Deleting = true }, ""},
 		{"a machine that has not reported", func(_ *workload.Assignment, m *worker.Machine) { m.HasReported = false }, ""},
 	} {
 		queue, jobs := testQueue()
@@ -95,10 +95,10 @@
 			t.Errorf("%s: sent %q, want %q", c.name, got, c.want)
 		}
 		if c.want != "" && !machine.CommandsInFlight || c.want == stop && assignment.StopSentAt.Before(assignment.StopRequestedAt) {
-			t.Errorf("%s: what was sent is not recorded: in flight %v, stop sent %v", c.name, machine.CommandsInFlight, assignment.StopSentAt)
+			t.Errorf("%s: the sent command is not recorded: in flight %v, stop sent at %v", c.name, machine.CommandsInFlight, assignment.StopSentAt)
 		}
 		if outstanding := len(machine.UnconfirmedStarts) == 1; outstanding != (c.want == start) {
-			t.Errorf("%s: a start is outstanding: %v", c.name, outstanding)
+			t.Errorf("%s: unconfirmed start recorded: %v", c.name, outstanding)
 		}
 	}
 }
@@ -113,12 +113,12 @@
 	assignment, _ := assign(queue, jobs, "m", time.Now())
 	assignment.FencingToken = leaderToken - 1
 	if _, got := sent(queue, 10); got != "" || assignment.FencingToken != leaderToken || assignment.MarkerVersion != 2 || len(jobs.asked) != 1 {
-		t.Errorf("sent %q under token %d; marker in version %d, asked %v", got, assignment.FencingToken, assignment.MarkerVersion, jobs.asked)
+		t.Errorf("sent %q under token %d; marker in version %d, calls %v", got, assignment.FencingToken, assignment.MarkerVersion, jobs.asked)
 	}
 	assignment.Job.StoredVersion = 2
 	queue.AddFor(assignment)
 	if _, got := sent(queue, 10); got == "" {
-		t.Error("not started once the new marker is stored")
+		t.Error("no start is sent after the new marker is stored")
 	}
 }
 
@@ -142,15 +142,15 @@
 		assignment.Stopping = c.stopping
 		queue.Answered(batches[0], c.outcome)
 		if machine.CommandsInFlight || len(machine.UnconfirmedStarts) != c.outstanding {
-			t.Errorf("%s: in flight %v, %d starts outstanding", c.name, machine.CommandsInFlight, len(machine.UnconfirmedStarts))
+			t.Errorf("%s: in flight %v, %d unconfirmed starts", c.name, machine.CommandsInFlight, len(machine.UnconfirmedStarts))
 		}
 		if assigned := len(assignment.Job.Assignments); assigned != c.assigned || strings.Join(jobs.asked, " ") != c.asked {
-			t.Errorf("%s: %d assignments, want %d; asked %v", c.name, assigned, c.assigned, jobs.asked)
+			t.Errorf("%s: %d assignments, want %d; calls %v", c.name, assigned, c.assigned, jobs.asked)
 		}
 		machine.RecordCall(true, time.Now())
 		queue.AddFor(assignment)
 		if _, again := sent(queue, 10); again != "" {
-			t.Errorf("%s: sent again %q", c.name, again)
+			t.Errorf("%s: sent %q a second time", c.name, again)
 		}
 	}
 }
