--- a/internal/reconcile/failures.go
+++ b/internal/reconcile/failures.go
@@ -56,7 +56,7 @@
 		if machine.TaskFailures >= int(f.Settings.Operator.FaultyAfter) && machine.DrainReason == "" {
 			machine.DrainReason = "tasks keep failing there"
 			f.Machines.MarkLeaving(machine.Name)
-			slog.Warn("machine drained", "machine", machine.Name, "why", machine.DrainReason)
+			slog.Warn("draining machine on which tasks keep failing", "machine", machine.Name, "why", machine.DrainReason)
 		}
 	}
 }
--- a/internal/reconcile/losses.go
+++ b/internal/reconcile/losses.go
@@ -41,7 +41,7 @@
 
 // logLoss logs the evidence for a loss, so that a wrong conclusion can be investigated.
 func logLoss(assignment *workload.Assignment, machine *worker.Machine, reason string) {
-	slog.Info("task lost", "task", assignment.Task(), "machine", assignment.Machine, "why", reason,
+	slog.Info("task is proven lost, removing its assignment", "task", assignment.Task(), "machine", assignment.Machine, "why", reason,
 		"attempt", assignment.Attempt, "token", assignment.FencingToken, "incarnation", assignment.Incarnation,
 		"confirmed", assignment.Confirmed, "reported", machine.HasReported, "reportToken", machine.FencingToken,
 		"reportIncarnation", machine.Incarnation, "reportSequence", machine.Sequence)
--- a/internal/reconcile/machine.go
+++ b/internal/reconcile/machine.go
@@ -18,7 +18,7 @@
 	known := t.Machines.Machines[report.Machine] != nil
 	machine := t.Machines.Ensure(report.Machine, now, source.TrustSilence)
 	if !known {
-		slog.Info("unexpected machine adopted", "machine", report.Machine, "type", report.Type, "zone", report.Zone)
+		slog.Info("added unknown machine that sent a report", "machine", report.Machine, "type", report.Type, "zone", report.Zone)
 	}
 	return machine
 }
@@ -78,7 +78,7 @@
 	newNotice := !before.noticed && !machine.SpotTerminationAt.IsZero()
 	if newNotice {
 		t.Machines.MarkLeaving(machine.Name)
-		slog.Info("spot termination notice", "machine", machine.Name, "in", machine.SpotTerminationAt.Sub(now))
+		slog.Info("machine received a spot termination notice", "machine", machine.Name, "in", machine.SpotTerminationAt.Sub(now))
 	}
 	if before.closed || before.unheard || newNotice {
 		t.cluster.RequestPlan()
--- a/internal/reconcile/orphans.go
+++ b/internal/reconcile/orphans.go
@@ -28,7 +28,7 @@
 		o.adopt(reported, fencingToken)
 		return nil
 	}
-	slog.Info("orphaned task stopped", "task", reported.Task, "attempt", reported.Attempt, "machine", reported.machine.Name)
+	slog.Info("stopping reported task that matches no assignment", "task", reported.Task, "attempt", reported.Attempt, "machine", reported.machine.Name)
 	return []worker.Command{worker.StopCommand(reported.Task, reported.Attempt, 0)}
 }
 
--- a/internal/reconcile/tasks.go
+++ b/internal/reconcile/tasks.go
@@ -92,7 +92,7 @@
 	machine := reported.machine
 	changed := assignment.Status != reported.State
 	if !assignment.Confirmed || changed {
-		slog.Debug("task status", "class", assignment.Job.Record.Spec.Class, "job", assignment.Job.ID(), "task", assignment.TaskIndex,
+		slog.Debug("worker reported new task status", "class", assignment.Job.Record.Spec.Class, "job", assignment.Job.ID(), "task", assignment.TaskIndex,
 			"machine", machine.Name, "status", reported.State, "sinceAssigned", now.Sub(assignment.AssignedAt).Round(time.Millisecond))
 	}
 	assignment.Confirmed, assignment.StartSent = true, true
