--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -47,19 +47,19 @@
 		request        Request
 		denied         string
 	}{
-		{"absolute limit", Budget{MaxUnavailable: pointerTo(2)}, 5, 4, 0, replicaRequest("red", "s", true), ""},
-		{"absolute limit exhausted by a failure", Budget{MaxUnavailable: pointerTo(1)}, 5, 4, 0, replicaRequest("red", "s", true), "1 of its 5 replicas are down, of at most 1"},
-		{"percentage", Budget{MaxUnavailablePercent: pointerTo(40)}, 5, 4, 0, replicaRequest("red", "s", true), ""},
-		{"percentage, rounded down", Budget{MaxUnavailablePercent: pointerTo(39)}, 5, 4, 0, replicaRequest("red", "s", true), "of at most 1"},
-		{"smaller of both limits", Budget{MaxUnavailable: pointerTo(3), MaxUnavailablePercent: pointerTo(20)}, 5, 4, 0, replicaRequest("red", "s", true), "of at most 1"},
-		{"limit of zero", Budget{MaxUnavailable: pointerTo(0)}, 5, 5, 0, replicaRequest("red", "s", true), "of at most 0"},
-		{"starting replica is already unavailable", Budget{MaxUnavailable: pointerTo(1)}, 5, 4, 0, replicaRequest("red", "s", false), ""},
-		{"starting replica beside an unavailable one", Budget{MaxUnavailable: pointerTo(1)}, 5, 3, 0, replicaRequest("red", "s", false), "2 of its 5"},
+		{"a number", Budget{MaxUnavailable: pointerTo(2)}, 5, 4, 0, replicaRequest("red", "s", true), ""},
+		{"a number used up by a fault", Budget{MaxUnavailable: pointerTo(1)}, 5, 4, 0, replicaRequest("red", "s", true), "1 of its 5 replicas are down, of at most 1"},
+		{"a share", Budget{MaxUnavailablePercent: pointerTo(40)}, 5, 4, 0, replicaRequest("red", "s", true), ""},
+		{"a share, rounded down", Budget{MaxUnavailablePercent: pointerTo(39)}, 5, 4, 0, replicaRequest("red", "s", true), "of at most 1"},
+		{"the smaller counts", Budget{MaxUnavailable: pointerTo(3), MaxUnavailablePercent: pointerTo(20)}, 5, 4, 0, replicaRequest("red", "s", true), "of at most 1"},
+		{"zero", Budget{MaxUnavailable: pointerTo(0)}, 5, 5, 0, replicaRequest("red", "s", true), "of at most 0"},
+		{"one that starts is down already", Budget{MaxUnavailable: pointerTo(1)}, 5, 4, 0, replicaRequest("red", "s", false), ""},
+		{"one that starts, beside another", Budget{MaxUnavailable: pointerTo(1)}, 5, 3, 0, replicaRequest("red", "s", false), "2 of its 5"},
 		{"the last replica", Default(), 1, 1, 0, replicaRequest("red", "s", true), "last replica of s"},
 		{"the last replica, allowed", Budget{MaxUnavailable: pointerTo(1), AllowLastReplica: true}, 1, 1, 0, replicaRequest("red", "s", true), ""},
-		{"task that is not a replica", Default(), 0, 0, 0, Request{Team: "red", Job: "a", Tasks: 1}, ""},
-		{"one interrupted task too many", Default(), 0, 0, 1, Request{Team: "red", Job: "a", Tasks: 1}, "1 tasks are interrupted"},
-		{"all tasks of a gang count", Default(), 0, 0, 0, Request{Team: "red", Job: "g", Tasks: 2}, "2 more would be"},
+		{"another task", Default(), 0, 0, 0, Request{Team: "red", Job: "a", Tasks: 1}, ""},
+		{"another task too many", Default(), 0, 0, 1, Request{Team: "red", Job: "a", Tasks: 1}, "1 tasks are interrupted"},
+		{"a gang counts whole", Default(), 0, 0, 0, Request{Team: "red", Job: "g", Tasks: 2}, "2 more would be"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			meter := NewMeter(NewBudgets(Default(), map[string]Budget{"red": c.budget}))
@@ -119,10 +119,10 @@
 
 func TestImpossibleBudgetsAreRejected(t *testing.T) {
 	for name, budget := range map[string]Budget{
-		"a negative number":                                {MaxUnavailable: pointerTo(-1)},
-		"more than 100 percent":                            {MaxUnavailablePercent: pointerTo(101)},
-		"negative interruptions":                           {MaxInterrupted: -1},
-		"last replica allowed, but no unavailable replica": {MaxUnavailable: pointerTo(0), AllowLastReplica: true},
+		"a negative number":         {MaxUnavailable: pointerTo(-1)},
+		"over a hundred percent":    {MaxUnavailablePercent: pointerTo(101)},
+		"negative interruptions":    {MaxInterrupted: -1},
+		"the last of none that may": {MaxUnavailable: pointerTo(0), AllowLastReplica: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if budget.Check() == nil {
--- a/internal/dispatch/queue_test.go
+++ b/internal/dispatch/queue_test.go
@@ -77,7 +77,7 @@
 		{"a start that was sent", func(a *workload.Assignment, _ *worker.Machine) { a.StartSent = true }, ""},
 		{"another incarnation", func(a *workload.Assignment, _ *worker.Machine) { a.Incarnation = 2 }, ""},
 		{"a stop", func(a *workload.Assignment, _ *worker.Machine) { stopTask(a, true) }, stop},
-		{"a stop of an unconfirmed task", func(a *workload.Assignment, _ *worker.Machine) { stopTask(a, false) }, ""},
+		{"a stop of a task that was not seen", func(a *workload.Assignment, _ *worker.Machine) { stopTask(a, false) }, ""},
 		{"a stop that was sent", func(a *workload.Assignment, _ *worker.Machine) { stopTask(a, true); a.StopSentAt = a.StopRequestedAt }, ""},
 		{"a stop that is requested again", func(a *workload.Assignment, _ *worker.Machine) {
 			stopTask(a, true)
@@ -85,7 +85,7 @@
 		}, stop},
 		{"a call in flight", func(_ *workload.Assignment, m *worker.Machine) { m.CommandsInFlight = true }, ""},
 		{"an unanswered probe", func(_ *workload.Assignment, m *worker.Machine) { m.UnansweredProbes = 1 }, ""},
-		{"a machine that is being deleted", func(_ *workload.Assignment, m *worker.Machine) { m.Deleting = true }, ""},
+		{"a machine to be deleted", func(_ *workload.Assignment, m *worker.Machine) { m.Deleting = true }, ""},
 		{"a machine that has not reported", func(_ *workload.Assignment, m *worker.Machine) { m.HasReported = false }, ""},
 	} {
 		queue, jobs := testQueue()
--- a/internal/eviction/evictor_test.go
+++ b/internal/eviction/evictor_test.go
@@ -122,11 +122,11 @@
 		change func(*fixture)
 		stops  int
 	}{
-		{"permit stored", func(*fixture) {}, 1},
-		{"permit not stored", func(f *fixture) { f.web.StoredVersion = 0 }, 0},
+		{"stored", func(*fixture) {}, 1},
+		{"not stored", func(f *fixture) { f.web.StoredVersion = 0 }, 0},
 		{"the store does not answer", func(f *fixture) { f.fake.storeDown = true }, 0},
 		{"the rollout is paused", func(f *fixture) { f.order(rollout.Order{}, "m1", "m2") }, 0},
-		{"start not confirmed", func(f *fixture) { f.web.Assignments[0].Confirmed = false }, 0},
+		{"its start is not confirmed", func(f *fixture) { f.web.Assignments[0].Confirmed = false }, 0},
 		{"another replica failed since", func(f *fixture) { f.web.Assignments[3].Status = worker.StatePulling }, 0},
 	} {
 		f := newFixture(true)
@@ -154,13 +154,13 @@
 		change func(*worker.Machine, *workload.Assignment)
 		left   int
 	}{
-		{"machine has seen this term's token", func(m *worker.Machine, _ *workload.Assignment) { m.FencingToken = firstGeneration }, 0},
-		{"machine has seen an earlier token only", func(*worker.Machine, *workload.Assignment) {}, 1},
-		{"machine has not reported", func(m *worker.Machine, _ *workload.Assignment) {
+		{"the machine has seen this term's token", func(m *worker.Machine, _ *workload.Assignment) { m.FencingToken = firstGeneration }, 0},
+		{"it has seen an earlier one", func(*worker.Machine, *workload.Assignment) {}, 1},
+		{"it has not reported", func(m *worker.Machine, _ *workload.Assignment) {
 			m.FencingToken, m.HasReported = firstGeneration, false
 		}, 1},
-		{"permit for an earlier attempt", func(_ *worker.Machine, a *workload.Assignment) { a.Attempt = 2 }, 0},
-		{"start not confirmed", func(m *worker.Machine, a *workload.Assignment) { m.FencingToken, a.Confirmed = firstGeneration, false }, 1},
+		{"it is for an earlier attempt", func(_ *worker.Machine, a *workload.Assignment) { a.Attempt = 2 }, 0},
+		{"not confirmed", func(m *worker.Machine, a *workload.Assignment) { m.FencingToken, a.Confirmed = firstGeneration, false }, 1},
 	} {
 		f := newFixture(true)
 		f.web.Record.AddEviction(0, 1, "spring", 1)
@@ -182,7 +182,7 @@
 		{"stopped", func(f *fixture) { f.web.Assignments[0].Stopping = true }, 1},
 		{"not assigned again", func(f *fixture) { delete(f.web.Assignments, 0) }, 1},
 		{"just started", func(f *fixture) { f.runAgain().RunningSince = f.now }, 1},
-		{"running again", func(f *fixture) { f.runAgain() }, 0},
+		{"up again", func(f *fixture) { f.runAgain() }, 0},
 		{"cancelled", func(f *fixture) { f.web.Record.Status = record.Cancelling }, 0},
 	} {
 		f := newFixture(true)
@@ -214,19 +214,19 @@
 	}{
 		{"saves checkpoints", func(_ *fixture, a *workload.Assignment) { a.Job.Record.Spec.CheckpointInterval = 5 }, rollout.Order{}, ""},
 		{"low priority", func(_ *fixture, a *workload.Assignment) { a.Job.Record.Spec.Priority = record.Low }, rollout.Order{}, ""},
-		{"saves no checkpoints", func(*fixture, *workload.Assignment) {}, rollout.Order{}, "job/0 can't save and runs to its end"},
+		{"saves none", func(*fixture, *workload.Assignment) {}, rollout.Order{}, "job/0 can't save and runs to its end"},
 		{"after the deadline", func(*fixture, *workload.Assignment) {}, stop, ""},
-		{"start not confirmed", func(_ *fixture, a *workload.Assignment) { a.Confirmed = false }, stop, "the start of job/0 is not confirmed yet"},
+		{"not confirmed", func(_ *fixture, a *workload.Assignment) { a.Confirmed = false }, stop, "the start of job/0 is not confirmed yet"},
 		{"a gang on one machine", func(f *fixture, a *workload.Assignment) {
 			a.Job.Record.Spec.Shape = record.Gang
 			f.run(a.Job, 1, "m5")
 		}, stop, "team red: 0 tasks are interrupted and 2 more would be, of at most 1 at a time"},
-		{"silent machine", func(f *fixture, _ *workload.Assignment) { f.Machines.Machines["m5"].UnansweredProbes = 1 }, stop, "nothing is heard of it"},
-		{"a gang with an unconfirmed task", func(f *fixture, a *workload.Assignment) {
+		{"silent", func(f *fixture, _ *workload.Assignment) { f.Machines.Machines["m5"].UnansweredProbes = 1 }, stop, "nothing is heard of it"},
+		{"a gang that is not complete", func(f *fixture, a *workload.Assignment) {
 			a.Job.Record.Spec.Shape = record.Gang
 			f.run(a.Job, 1, "m6").Confirmed = false
 		}, stop, "not all tasks of gang job are known to be on their machines"},
-		{"a service without another feasible placement", func(f *fixture, a *workload.Assignment) {
+		{"a service without another possible place", func(f *fixture, a *workload.Assignment) {
 			a.Job.Record.Spec.Shape, a.Job.Record.Spec.InstanceTypes = record.Service, []string{"none"}
 		}, rollout.Order{}, "job/0 could start in no other place that its job allows"},
 	} {
@@ -249,15 +249,15 @@
 		replace          bool
 		permits, demands int
 	}{
-		{"no capacity", func(*fixture) {}, false, 0, 1},
+		{"no room", func(*fixture) {}, false, 0, 1},
 		{"the rollout provisions replacements", func(*fixture) {}, true, 0, 0},
-		{"a machine with accelerators is booting", func(f *fixture) {
+		{"a machine with accelerators boots", func(f *fixture) {
 			machine := f.addMachine("m5", "gpu")
 			machine.HasReported, machine.Booting = false, true
 		}, false, 0, 0},
-		{"capacity", func(f *fixture) { f.addMachine("m5", "small") }, false, 1, 0},
-		{"capacity on a machine with accelerators", func(f *fixture) { f.addMachine("m5", "gpu") }, false, 1, 0},
-		{"reserved capacity", func(f *fixture) {
+		{"room", func(f *fixture) { f.addMachine("m5", "small") }, false, 1, 0},
+		{"room on a machine with accelerators", func(f *fixture) { f.addMachine("m5", "gpu") }, false, 1, 0},
+		{"room that is reserved", func(f *fixture) {
 			f.Scheduler.Reservations.Set(f.addMachine("m5", "small").Name, reservationFor(f.web, f.now, time.Minute))
 		}, false, 0, 1},
 	} {
@@ -284,10 +284,10 @@
 		drains     bool
 		want       string
 	}{
-		{"saves checkpoints, early", 10, 17 * time.Second, false, true, ""}, // a grace period of 13 s and a margin of 3 s
-		{"saves checkpoints, late", 10, 16 * time.Second, false, true, reclaimed},
-		{"saves no checkpoints, can't finish", 0, time.Second, false, true, reclaimed},
-		{"saves no checkpoints, finishes", 0, 5 * time.Hour, false, true, ""},
+		{"saves, early", 10, 17 * time.Second, false, true, ""}, // a grace period of 13 s and a margin of 3 s
+		{"saves, late", 10, 16 * time.Second, false, true, reclaimed},
+		{"saves none, can't finish", 0, time.Second, false, true, reclaimed},
+		{"saves none, finishes", 0, 5 * time.Hour, false, true, ""},
 		{"tasks fail, drains enabled", 0, 0, true, true, ""},
 		{"tasks fail, drains disabled", 0, 0, true, false, "job/0: machine m5 is drained: bad disk"},
 	} {
--- a/internal/reconcile/reconciler_test.go
+++ b/internal/reconcile/reconciler_test.go
@@ -126,25 +126,25 @@
 		change func(*workload.Assignment, *worker.Report, *fakeCluster)
 		lost   string // reason of the loss; empty if the task is not lost
 	}{
-		{"reported before", func(*workload.Assignment, *worker.Report, *fakeCluster) {}, "its worker reports it no longer"},
-		{"start may be in flight", func(a *workload.Assignment, _ *worker.Report, _ *fakeCluster) { a.Confirmed = false }, ""},
+		{"it was reported before", func(*workload.Assignment, *worker.Report, *fakeCluster) {}, "its worker reports it no longer"},
+		{"its start may be on its way", func(a *workload.Assignment, _ *worker.Report, _ *fakeCluster) { a.Confirmed = false }, ""},
 		{"no start was sent", func(a *workload.Assignment, _ *worker.Report, _ *fakeCluster) {
 			a.Confirmed, a.StartSent, a.FencingToken = false, false, earlierToken
 		}, ""},
-		{"start carries a lower token than the worker has seen", func(a *workload.Assignment, _ *worker.Report, _ *fakeCluster) {
+		{"its start carries a lower token than the worker has seen", func(a *workload.Assignment, _ *worker.Report, _ *fakeCluster) {
 			a.Confirmed, a.FencingToken = false, earlierToken
 		}, "its start was turned away"},
-		{"stopping and missing from a later heartbeat", func(a *workload.Assignment, _ *worker.Report, _ *fakeCluster) {
+		{"it is stopped and a later heartbeat lacks it", func(a *workload.Assignment, _ *worker.Report, _ *fakeCluster) {
 			a.Confirmed, a.Stopping, a.OfferedAt = false, true, 1
 		}, "its start was dropped"},
-		{"stopping and offered in the response to this heartbeat", func(a *workload.Assignment, _ *worker.Report, _ *fakeCluster) {
+		{"it is stopped and was offered in answer to this heartbeat", func(a *workload.Assignment, _ *worker.Report, _ *fakeCluster) {
 			a.Confirmed, a.Stopping, a.OfferedAt = false, true, 2
 		}, ""},
-		{"stopping while a direct start is outstanding", func(a *workload.Assignment, _ *worker.Report, c *fakeCluster) {
+		{"it is stopped and a direct start is outstanding", func(a *workload.Assignment, _ *worker.Report, c *fakeCluster) {
 			a.Confirmed, a.Stopping, c.directStartOutstanding = false, true, true
 		}, ""},
-		{"lease expired", func(_ *workload.Assignment, r *worker.Report, _ *fakeCluster) { r.Incarnation = 2 }, "its worker's lease lapsed"},
-		{"lease expired before the start was sent", func(a *workload.Assignment, r *worker.Report, _ *fakeCluster) {
+		{"its lease expired", func(_ *workload.Assignment, r *worker.Report, _ *fakeCluster) { r.Incarnation = 2 }, "its worker's lease lapsed"},
+		{"the same before its start was sent", func(a *workload.Assignment, r *worker.Report, _ *fakeCluster) {
 			a.Confirmed, a.StartSent, r.Incarnation = false, false, 2
 		}, "accepted"}, // removed without an event
 	} {
@@ -171,15 +171,15 @@
 		adopted, stopping bool
 		command           string
 	}{
-		{"task of a job", record.Array, func(*Reconciler, *workload.Job) {}, "job/0", true, false, ""},
-		{"task of a gang", record.Gang, func(*Reconciler, *workload.Job) {}, "job/0", true, true, "stop job/0"},
-		{"task of a cancelled job", record.Array, func(_ *Reconciler, j *workload.Job) {
+		{"of a job", record.Array, func(*Reconciler, *workload.Job) {}, "job/0", true, false, ""},
+		{"of a gang", record.Gang, func(*Reconciler, *workload.Job) {}, "job/0", true, true, "stop job/0"},
+		{"of a cancelled job", record.Array, func(_ *Reconciler, j *workload.Job) {
 			j.Record.Status = record.Cancelling
 		}, "job/0", true, true, "stop job/0"},
-		{"finished task", record.Array, func(_ *Reconciler, j *workload.Job) { j.Record.Finished.Add(0) }, "job/0", true, true, "stop job/0"},
-		{"task of an unknown job", record.Array, func(r *Reconciler, j *workload.Job) { r.Jobs.Remove(j) }, "job/0", false, false, "stop job/0"},
-		{"task index out of range", record.Array, func(*Reconciler, *workload.Job) {}, "job/3", false, false, "stop job/3"},
-		{"task assigned elsewhere", record.Array, func(r *Reconciler, j *workload.Job) {
+		{"that is finished", record.Array, func(_ *Reconciler, j *workload.Job) { j.Record.Finished.Add(0) }, "job/0", true, true, "stop job/0"},
+		{"of no known job", record.Array, func(r *Reconciler, j *workload.Job) { r.Jobs.Remove(j) }, "job/0", false, false, "stop job/0"},
+		{"beyond the job's tasks", record.Array, func(*Reconciler, *workload.Job) {}, "job/3", false, false, "stop job/3"},
+		{"that is assigned elsewhere", record.Array, func(r *Reconciler, j *workload.Job) {
 			r.cluster.Assign(&workload.Assignment{Job: j, Machine: "other", Attempt: 2, StartSent: true})
 		}, "job/0", false, false, "stop job/0"},
 	} {
@@ -232,10 +232,10 @@
 		change func(*workload.Job)
 		kept   bool
 	}{
-		{"result without an assignment", worker.CauseDone, func(*workload.Job) {}, true},
-		{"failure without an assignment", worker.CauseError, func(*workload.Job) {}, false},
-		{"result of a cancelled job", worker.CauseDone, func(j *workload.Job) { j.Record.Status = record.Cancelling }, false},
-		{"result of a task that is assigned again", worker.CauseDone, func(j *workload.Job) {
+		{"an unexpected result", worker.CauseDone, func(*workload.Job) {}, true},
+		{"an unexpected failure", worker.CauseError, func(*workload.Job) {}, false},
+		{"of a cancelled job", worker.CauseDone, func(j *workload.Job) { j.Record.Status = record.Cancelling }, false},
+		{"of a task that is assigned again", worker.CauseDone, func(j *workload.Job) {
 			j.Assignments[0] = &workload.Assignment{Job: j, Machine: "other", Attempt: 2}
 		}, false},
 	} {
@@ -260,13 +260,13 @@
 		shown       ids.Generation  // the fencing token in the report
 		ends        bool
 	}{
-		{"outcome of this start", record.Array, worker.CauseError, true, 1, 1, leaderToken, true},
-		{"outcome before the start was sent", record.Array, worker.CauseError, false, 1, 1, leaderToken, false},
-		{"outcome of another attempt", record.Array, worker.CauseError, true, 2, 1, earlierToken, false},
-		{"outcome of an earlier incarnation", record.Array, worker.CauseError, true, 1, 2, leaderToken, false},
-		{"outcome of a gang", record.Gang, worker.CauseError, true, 1, 1, leaderToken, true},
-		{"outcome of a gang, before the term", record.Gang, worker.CauseError, true, 1, 1, earlierToken, false},
-		{"outcome of a completed gang, before the term", record.Gang, worker.CauseDone, true, 1, 1, earlierToken, true},
+		{"of this start", record.Array, worker.CauseError, true, 1, 1, leaderToken, true},
+		{"before the start was sent", record.Array, worker.CauseError, false, 1, 1, leaderToken, false},
+		{"of another attempt", record.Array, worker.CauseError, true, 2, 1, earlierToken, false},
+		{"of an earlier incarnation", record.Array, worker.CauseError, true, 1, 2, leaderToken, false},
+		{"of a gang", record.Gang, worker.CauseError, true, 1, 1, leaderToken, true},
+		{"of a gang, before the term", record.Gang, worker.CauseError, true, 1, 1, earlierToken, false},
+		{"of a gang that is done, before the term", record.Gang, worker.CauseDone, true, 1, 1, earlierToken, true},
 	} {
 		reconciler, cluster := testReconciler()
 		job, report := addJob(reconciler, c.shape), reportOf(2, status(worker.StateExited, c.cause))
@@ -294,14 +294,14 @@
 		{"a start that may be lost", func(a *workload.Assignment, _ *worker.Machine) { a.StartSent = true }, 2, "start job/0"},
 		{"a marker that is not stored", func(a *workload.Assignment, _ *worker.Machine) { a.MarkerVersion = 9 }, 2, ""},
 		{"another token", func(a *workload.Assignment, _ *worker.Machine) { a.FencingToken = earlierToken }, 2, ""},
-		{"a machine that is being deleted", func(_ *workload.Assignment, m *worker.Machine) { m.Deleting = true }, 2, ""},
+		{"a machine to be deleted", func(_ *workload.Assignment, m *worker.Machine) { m.Deleting = true }, 2, ""},
 		{"unread records", func(a *workload.Assignment, _ *worker.Machine) { a.Job.ReadRequiredAfter = time.Now().Add(time.Hour) }, 2, ""},
-		{"a start, in response to an overtaken heartbeat", func(*workload.Assignment, *worker.Machine) {}, 1, ""},
-		{"a stop, in response to an overtaken heartbeat", func(a *workload.Assignment, _ *worker.Machine) {
+		{"a start, to an overtaken heartbeat", func(*workload.Assignment, *worker.Machine) {}, 1, ""},
+		{"a stop, to an overtaken heartbeat", func(a *workload.Assignment, _ *worker.Machine) {
 			a.StartSent, a.Confirmed, a.Stopping, a.Status = true, true, true, worker.StateRunning
 		}, 1, "stop job/0"},
 		{"a start under a later incarnation", func(a *workload.Assignment, _ *worker.Machine) { a.Incarnation = 2 }, 2, ""},
-		{"a stop of an unconfirmed task", func(a *workload.Assignment, _ *worker.Machine) { a.StartSent, a.Stopping = true, true }, 1, ""},
+		{"a stop of a task that was not seen", func(a *workload.Assignment, _ *worker.Machine) { a.StartSent, a.Stopping = true, true }, 1, ""},
 	} {
 		reconciler, cluster := testReconciler()
 		assignment := assign(cluster, addJob(reconciler, record.Array))
