--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -117,7 +117,7 @@
 	}
 }
 
-func TestImpossibleBudgetsAreRejected(t *testing.T) {
+func TestInvalidBudgetsAreRejected(t *testing.T) {
 	for name, budget := range map[string]Budget{
 		"a negative number":         {MaxUnavailable: pointerTo(-1)},
 		"over a hundred percent":    {MaxUnavailablePercent: pointerTo(101)},
--- a/internal/budget/meter.go
+++ b/internal/budget/meter.go
@@ -70,8 +70,8 @@
 
 func (d Denial) String() string { return fmt.Sprintf("team %s: %s", d.Team, d.Reason) }
 
-// denied returns the denial of a request with a formatted reason.
-func denied(request Request, format string, args ...any) *Denial {
+// newDenial returns the denial of a request with a formatted reason.
+func newDenial(request Request, format string, args ...any) *Denial {
 	return &Denial{Team: request.Team, Reason: fmt.Sprintf(format, args...)}
 }
 
@@ -124,7 +124,7 @@
 	}
 	used, budget := m.usage(request.Team), m.budgets.Of(request.Team)
 	if used.interrupted+request.Tasks > budget.MaxInterrupted {
-		return denied(request, "%d tasks are interrupted and %d more would be, of at most %d at a time",
+		return newDenial(request, "%d tasks are interrupted and %d more would be, of at most %d at a time",
 			used.interrupted, request.Tasks, budget.MaxInterrupted)
 	}
 	used.interrupted += request.Tasks
@@ -140,14 +140,14 @@
 		unavailable++
 	}
 	if maxUnavailable := budget.UnavailableAllowed(used.desired); unavailable > maxUnavailable {
-		return denied(request, "%d of its %d replicas are down, of at most %d at a time",
+		return newDenial(request, "%d of its %d replicas are down, of at most %d at a time",
 			used.unavailable, used.desired, maxUnavailable)
 	}
 	if !request.Ready {
 		return nil
 	}
 	if m.ready[request.Job] <= 1 && !budget.AllowLastReplica {
-		return denied(request, "it would stop the last replica of %s that is up", request.Job)
+		return newDenial(request, "it would stop the last replica of %s that is up", request.Job)
 	}
 	used.unavailable = unavailable
 	m.ready[request.Job]--
@@ -162,12 +162,12 @@
 	maxUnavailable := budget.UnavailableAllowed(used.desired)
 	switch {
 	case !request.Service && used.interrupted > budget.MaxInterrupted:
-		return denied(request, "%d tasks are interrupted, of at most %d at a time", used.interrupted, budget.MaxInterrupted)
+		return newDenial(request, "%d tasks are interrupted, of at most %d at a time", used.interrupted, budget.MaxInterrupted)
 	case request.Service && used.unavailable > maxUnavailable:
-		return denied(request, "%d of its %d replicas are down since the permit, of at most %d at a time",
+		return newDenial(request, "%d of its %d replicas are down since the permit, of at most %d at a time",
 			used.unavailable, used.desired, maxUnavailable)
 	case request.Service && request.Ready && m.ready[request.Job] < 1 && !budget.AllowLastReplica:
-		return denied(request, "the other replicas of %s are down since the permit", request.Job)
+		return newDenial(request, "the other replicas of %s are down since the permit", request.Job)
 	}
 	return nil
 }
