--- a/internal/commit/committer.go
+++ b/internal/commit/committer.go
@@ -161,8 +161,8 @@
 	switch {
 	case err == nil:
 		var readAfter time.Time
-		if answered := time.Now(); answered.Sub(began) > slowCommit {
-			readAfter = answered
+		if answeredAt := time.Now(); answeredAt.Sub(began) > slowCommit {
+			readAfter = answeredAt
 		}
 		c.cluster.ChangesStored(changes, revision, readAfter)
 		c.stored()
--- a/internal/commit/committer_test.go
+++ b/internal/commit/committer_test.go
@@ -24,11 +24,11 @@
 	Lookups
 	changes []Change
 	raise   bool
-	learned []string
+	calls   []string
 }
 
-func (c *fakeCluster) learn(format string, args ...any) {
-	c.learned = append(c.learned, fmt.Sprintf(format, args...))
+func (c *fakeCluster) logCall(format string, args ...any) {
+	c.calls = append(c.calls, fmt.Sprintf(format, args...))
 }
 
 func (c *fakeCluster) CollectChanges(Limits) ([]Change, bool) {
@@ -38,26 +38,26 @@
 }
 
 func (c *fakeCluster) ChangesStored(changes []Change, _ ids.Revision, readAfter time.Time) {
-	c.learn("%d stored, read first %v", len(changes), !readAfter.IsZero())
+	c.logCall("%d stored, read first %v", len(changes), !readAfter.IsZero())
 }
 
 func (c *fakeCluster) RecordFound(job *workload.Job, stored *record.Record, _ ids.Revision) {
-	c.learn("%s found, by %s", job.ID(), stored.Writer)
+	c.logCall("%s found, by %s", job.ID(), stored.Writer)
 }
 
 func (c *fakeCluster) MoveFound(waiting *workload.WaitingJob, _ *record.Record, _ ids.Revision) {
-	c.learn("%s moved", waiting.ID())
+	c.logCall("%s moved", waiting.ID())
 }
 
 func (c *fakeCluster) Writer() string                      { return "leader" }
 func (c *fakeCluster) Generation() ids.Generation          { return 7 }
 func (c *fakeCluster) CommitWanted() <-chan struct{}       { return nil }
-func (c *fakeCluster) GenerationRaised(g ids.Generation)   { c.learn("generation %d", g) }
+func (c *fakeCluster) GenerationRaised(g ids.Generation)   { c.logCall("generation %d", g) }
 func (c *fakeCluster) ValueLimit() int                     { return 1000 }
-func (c *fakeCluster) RecordEnded(j *workload.Job)         { c.learn("%s ended", j.ID()) }
-func (c *fakeCluster) MoveNotFound(w *workload.WaitingJob) { c.learn("%s gone", w.ID()) }
+func (c *fakeCluster) RecordEnded(j *workload.Job)         { c.logCall("%s ended", j.ID()) }
+func (c *fakeCluster) MoveNotFound(w *workload.WaitingJob) { c.logCall("%s gone", w.ID()) }
 func (c *fakeCluster) CancellationFound(id ids.Job, revision ids.Revision) {
-	c.learn("%s cancelled %v", id, revision > 0)
+	c.logCall("%s cancelled %v", id, revision > 0)
 }
 
 // fixture is a Committer with a fake cluster and a fake store.
@@ -73,7 +73,7 @@
 	f := &fixture{cluster: &fakeCluster{}, network: fake.NewNetwork(), server: fake.NewStore()}
 	f.network.Listen("state:1", f.server)
 	client := state.NewClient("state:1", f.network.Client("leader"), state.NewBudget(1000, 1000, 1, 0.6))
-	events := Events{Superseded: func(string) { f.cluster.learn("superseded") }, Stored: func() { f.cluster.learn("starts") }}
+	events := Events{Superseded: func(string) { f.cluster.logCall("superseded") }, Stored: func() { f.cluster.logCall("starts") }}
 	f.Committer = New(f.cluster, client, "node", record.KeysOf(0, 1), 0, events)
 	return f
 }
@@ -90,10 +90,10 @@
 	}
 }
 
-// learned returns the recorded calls and clears them.
-func (f *fixture) learned() string {
-	defer func() { f.cluster.learned = nil }()
-	return strings.Join(f.cluster.learned, "; ")
+// calls returns the recorded calls and clears them.
+func (f *fixture) calls() string {
+	defer func() { f.cluster.calls = nil }()
+	return strings.Join(f.cluster.calls, "; ")
 }
 
 // testRecord returns the record of a job that another writer stored.
@@ -118,7 +118,7 @@
 	return change
 }
 
-func TestConflictIsLookedUp(t *testing.T) {
+func TestConflictIsResolvedByReadingBack(t *testing.T) {
 	jobKey, endKey, cancelKey := record.JobKey("job"), record.EndKey("job"), record.CancelKey("job")
 	for _, c := range []struct {
 		name   string
@@ -144,14 +144,14 @@
 			if !f.CommitGroup(context.Background()) {
 				t.Errorf("%s: CommitGroup reports no further group", c.name)
 			}
-			if got := f.learned(); got != c.want {
+			if got := f.calls(); got != c.want {
 				t.Errorf("%s: calls %q, want %q", c.name, got, c.want)
 			}
 		})
 	}
 }
 
-func TestCommitWithoutAnAnswerIsReadBack(t *testing.T) {
+func TestCommitWithoutResponseIsReadBack(t *testing.T) {
 	for _, c := range []struct {
 		fate  fake.Outcome
 		raise bool
@@ -166,12 +166,12 @@
 			f.cluster.changes, f.cluster.raise = []Change{jobChange(record.JobKey("job"), 0)}, c.raise
 			f.network.SetRule(func(string, string, *http.Request, []byte) fake.Outcome { return c.fate })
 			f.CommitGroup(context.Background())
-			if got := f.learned(); got != "" {
+			if got := f.calls(); got != "" {
 				t.Errorf("%v: calls %q without a response", c.fate, got)
 			}
 			f.network.SetRule(nil)
 			f.CommitGroup(context.Background())
-			if got := f.learned(); got != c.want {
+			if got := f.calls(); got != c.want {
 				t.Errorf("%v, generation raised %v: calls %q, want %q", c.fate, c.raise, got, c.want)
 			}
 		})
@@ -183,7 +183,7 @@
 		f := newFixture()
 		f.cluster.raise = true
 		f.CommitGroup(context.Background())
-		if got := f.learned(); got != "generation 8" || f.LastGenerationRevision() == 0 {
+		if got := f.calls(); got != "generation 8" || f.LastGenerationRevision() == 0 {
 			t.Errorf("after the generation was raised: calls %q, revision %d", got, f.LastGenerationRevision())
 		}
 		if err := f.Apply(context.Background(), []state.Op{{Put: "key", Value: []byte("1")}}); err != nil {
--- a/internal/commit/generation.go
+++ b/internal/commit/generation.go
@@ -24,7 +24,8 @@
 	return state.Condition{Key: c.keys.Generation(), Revision: c.generationRevision}
 }
 
-// LastGenerationRevision returns the revision of the generation that this leader's writes are conditional on.
+// LastGenerationRevision returns the revision of the generation that this leader's writes are conditional
+// on.
 func (c *Committer) LastGenerationRevision() ids.Revision {
 	defer c.lock()()
 	return c.generationRevision
--- a/internal/commit/lookups.go
+++ b/internal/commit/lookups.go
@@ -90,7 +90,7 @@
 // lookUpPage reads the page of final records that begins at the first wanted one, and returns how many of
 // the wanted records lie within the page.
 func (r *finalRecordReader) lookUpPage(ctx context.Context, wanted []ids.Job, now time.Time) (covered int, ok bool) {
-	entries, more, _, err := r.store.List(ctx, record.EndPrefix, justBefore(record.EndKey(wanted[0])), LookupPageSize, state.Normal)
+	entries, more, _, err := r.store.List(ctx, record.EndPrefix, keyBefore(record.EndKey(wanted[0])), LookupPageSize, state.Normal)
 	if err != nil {
 		return 0, false
 	}
@@ -110,9 +110,9 @@
 	return covered, true
 }
 
-// justBefore returns a key that sorts before the given key, and after every other job's key that does,
+// keyBefore returns a key that sorts before the given key, and after every other job's key that does,
 // because job keys end in digits.
-func justBefore(key string) string {
+func keyBefore(key string) string {
 	last := len(key) - 1
 	return key[:last] + string(key[last]-1) + "~"
 }
