--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -60,8 +60,8 @@
 // Wake makes Run check for commands and probes at once.
 func (d *Dispatcher) Wake() { wait.Signal(d.wake) }
 
-// lookInterval is the interval at which Run checks for commands and probes unless it is woken.
-const lookInterval = 200 * time.Millisecond
+// pollInterval is the interval at which Run checks for commands and probes unless it is woken.
+const pollInterval = 200 * time.Millisecond
 
 // Run sends commands and probes until the context ends.
 func (d *Dispatcher) Run(ctx context.Context) {
@@ -70,7 +70,7 @@
 		case <-ctx.Done():
 			return
 		case <-d.wake:
-		case <-time.After(lookInterval):
+		case <-time.After(pollInterval):
 		}
 		if !d.mayCommand() {
 			continue
--- a/internal/dispatch/answers.go
+++ b/internal/dispatch/outcomes.go
@@ -15,7 +15,7 @@
 	}
 	machine.CommandsInFlight = false
 	if outcome == worker.NotSent {
-		q.undoStarts(&batch)
+		q.markStartsUnsent(&batch)
 	}
 	q.RecordReachability(machine, outcome == worker.Executed || outcome == worker.Rejected)
 	if outcome == worker.OutcomeUnknown {
@@ -26,9 +26,9 @@
 	})
 }
 
-// undoStarts marks the starts of a batch that was not sent as unsent, since none of them can arrive later.
-// An assignment whose stop was requested meanwhile is removed.
-func (q *Queue) undoStarts(batch *Batch) {
+// markStartsUnsent marks the starts of a batch that was not sent as unsent, since none of them can arrive
+// later. An assignment whose stop was requested meanwhile is removed.
+func (q *Queue) markStartsUnsent(batch *Batch) {
 	for assignment := range q.capacity.AssignmentsOn(batch.Machine) {
 		outstanding := assignment.StartSent && !assignment.Confirmed && !assignment.OfferedInHeartbeat
 		ofBatch := assignment.Incarnation == batch.Incarnation && assignment.FencingToken == batch.FencingToken
--- a/internal/dispatch/prober.go
+++ b/internal/dispatch/prober.go
@@ -24,11 +24,11 @@
 // machines are probed, which shows them the new leader's fencing token without waiting until their workers
 // find the new leader. The lock of the cluster state guards a Prober.
 type Prober struct {
-	machines *worker.Registry
-	capacity *capacity.Index
-	settings *config.Settings
-	pickedAt time.Time // when machines were last selected
-	inFlight int
+	machines   *worker.Registry
+	capacity   *capacity.Index
+	settings   *config.Settings
+	selectedAt time.Time // when machines were last selected
+	inFlight   int
 	// earlyTokens is the number of probes that may be sent now to machines whose reports are not overdue.
 	earlyTokens float64
 }
@@ -42,14 +42,14 @@
 func (p *Prober) reportInterval() time.Duration { return p.settings.Params.Workers.ReportS.Duration() }
 
 const (
-	// pickInterval is the minimum time between two selections of machines to probe.
-	pickInterval = 100 * time.Millisecond
-	// unheardRetry is the delay before a machine that never reported is probed again.
-	unheardRetry = time.Second
-	// frequentProbes is the number of consecutive probes that are sent at short intervals. A machine that
-	// left that many unanswered is already treated as suspect, and its worker reports by itself once it is
-	// back.
-	frequentProbes = 4
+	// selectionInterval is the minimum time between two selections of machines to probe.
+	selectionInterval = 100 * time.Millisecond
+	// unreportedRetryDelay is the delay before a machine that never reported is probed again.
+	unreportedRetryDelay = time.Second
+	// maxFrequentProbes is the number of consecutive probes that are sent at short intervals. A machine
+	// that left that many unanswered is already treated as suspect, and its worker reports by itself once
+	// it is back.
+	maxFrequentProbes = 4
 	// earlyProbesPerSecond limits how many machines without replicas are probed per second before their
 	// reports are overdue. Reports may arrive a quarter of their interval late. In a large fleet half of
 	// all machines are silent for long enough to be probed at any time, and probing each of them would cost
@@ -60,11 +60,11 @@
 // Due selects the machines to probe now, with at most limit probes in flight. Machines with replicas come
 // first, then those whose last probe was longest ago, so that hundreds of silent machines take turns.
 func (p *Prober) Due(now time.Time, limit int, fencingToken ids.Generation) (probes []Probe) {
-	if now.Sub(p.pickedAt) < pickInterval {
+	if now.Sub(p.selectedAt) < selectionInterval {
 		return nil
 	}
-	p.earlyTokens = min(earlyProbesPerSecond, p.earlyTokens+earlyProbesPerSecond*now.Sub(p.pickedAt).Seconds())
-	p.pickedAt = now
+	p.earlyTokens = min(earlyProbesPerSecond, p.earlyTokens+earlyProbesPerSecond*now.Sub(p.selectedAt).Seconds())
+	p.selectedAt = now
 	machines := p.silentMachines(now)
 	slices.SortFunc(machines, p.compareUrgency)
 	for _, machine := range machines[:max(0, min(len(machines), limit-p.inFlight))] {
@@ -85,7 +85,7 @@
 // silentMachines returns the machines to probe: all whose reports are overdue, and of the others the few
 // that have been silent for longest.
 func (p *Prober) silentMachines(now time.Time) (silent []*worker.Machine) {
-	early := longestSilent{limit: int(p.earlyTokens)}
+	early := longestSilentMachines{limit: int(p.earlyTokens)}
 	for _, machine := range p.machines.Machines {
 		switch {
 		case machine.Deleting || machine.ProbeInFlight || machine.Addr == "" || !p.isDue(machine, now):
@@ -119,9 +119,9 @@
 func (p *Prober) retryDelay(machine *worker.Machine) time.Duration {
 	delay := p.probeAfter(machine) / 2
 	if !machine.HasReported {
-		delay = unheardRetry
+		delay = unreportedRetryDelay
 	}
-	if machine.UnansweredProbes >= frequentProbes {
+	if machine.UnansweredProbes >= maxFrequentProbes {
 		delay = max(delay, p.reportInterval()/2)
 	}
 	return delay
@@ -169,15 +169,15 @@
 	return machine
 }
 
-// longestSilent collects at most limit machines, those that have been silent for longest. It selects among
-// the machines whose reports are not overdue yet, of which a large fleet has many.
-type longestSilent struct {
+// longestSilentMachines collects at most limit machines, those that have been silent for longest. It
+// selects among the machines whose reports are not overdue yet, of which a large fleet has many.
+type longestSilentMachines struct {
 	limit    int
 	machines []*worker.Machine // longest silent first
 }
 
 // add adds a machine if it is among the longest silent so far.
-func (l *longestSilent) add(machine *worker.Machine) {
+func (l *longestSilentMachines) add(machine *worker.Machine) {
 	byLastReport := func(x, y *worker.Machine) int { return x.LastReportAt.Compare(y.LastReportAt) }
 	at, _ := slices.BinarySearchFunc(l.machines, machine, byLastReport)
 	if at >= l.limit {
--- a/internal/dispatch/prober_test.go
+++ b/internal/dispatch/prober_test.go
@@ -14,7 +14,7 @@
 // largestFleet is the largest number of machines that is within all limits of a cluster.
 const largestFleet = 6000
 
-func TestProbesBeforeReportsAreOverdueGoToTheLongestSilent(t *testing.T) {
+func TestEarlyProbesGoToLongestSilentMachines(t *testing.T) {
 	t.Parallel()
 	now := time.Now()
 	machines := worker.NewRegistry(20)
@@ -27,7 +27,7 @@
 	settings := &config.Settings{}
 	settings.Params.Workers.ReportS = 2
 	prober := NewProber(settings, machines, capacity.NewIndex(machines))
-	prober.earlyTokens, prober.pickedAt = 5, now.Add(-100*time.Millisecond)
+	prober.earlyTokens, prober.selectedAt = 5, now.Add(-100*time.Millisecond)
 	probes := prober.Due(now, 1000, 7)
 	if len(probes) != 8 {
 		t.Fatalf("%d machines probed, want 8: 5 saved tokens and 3 new ones", len(probes))
@@ -40,7 +40,7 @@
 	}
 }
 
-func TestSilentMachinesTakeTurnsAndThoseWithReplicasComeFirst(t *testing.T) {
+func TestProbesPreferReplicasAndRotateAmongSilentMachines(t *testing.T) {
 	began := time.Now()
 	machines := worker.NewRegistry(20)
 	index := capacity.NewIndex(machines)
--- a/internal/dispatch/queue_test.go
+++ b/internal/dispatch/queue_test.go
@@ -19,7 +19,7 @@
 // fakeJobs removes assignments, counts changes and records other calls.
 type fakeJobs struct {
 	index *capacity.Index
-	asked []string
+	calls []string
 }
 
 func (f *fakeJobs) RemoveAssignment(assignment *workload.Assignment) {
@@ -28,11 +28,11 @@
 }
 
 func (f *fakeJobs) MarkChanged(job *workload.Job)  { job.Version++ }
-func (f *fakeJobs) MarkUrgent(*workload.Job)       { f.asked = append(f.asked, "urgent") }
-func (f *fakeJobs) FinishIfComplete(*workload.Job) { f.asked = append(f.asked, "finish") }
+func (f *fakeJobs) MarkUrgent(*workload.Job)       { f.calls = append(f.calls, "urgent") }
+func (f *fakeJobs) FinishIfComplete(*workload.Job) { f.calls = append(f.calls, "finish") }
 
-// testQueue returns an empty queue without machines.
-func testQueue() (*Queue, *fakeJobs) {
+// newTestQueue returns an empty queue without machines.
+func newTestQueue() (*Queue, *fakeJobs) {
 	registry := worker.NewRegistry(20)
 	index := capacity.NewIndex(registry)
 	jobs := &fakeJobs{index: index}
@@ -51,9 +51,9 @@
 	return assignment, machine
 }
 
-// sent returns the batches that NextBatches returns for at most limit machines, and their commands as a
-// text such as "m1: start job-m1/0".
-func sent(queue *Queue, limit int) (batches []Batch, text string) {
+// nextCommands returns the batches that NextBatches returns for at most limit machines, and their commands
+// as a text such as "m1: start job-m1/0".
+func nextCommands(queue *Queue, limit int) (batches []Batch, text string) {
 	batches = queue.NextBatches(limit, Permission{FencingToken: leaderToken, Starts: true, RecordsRead: time.Now()}, time.Now())
 	var parts []string
 	for _, batch := range batches {
@@ -64,7 +64,7 @@
 	return batches, strings.Join(parts, ", ")
 }
 
-func TestCommandIsSentWhenItIsDue(t *testing.T) {
+func TestNextBatchesReturnsOnlyPendingCommands(t *testing.T) {
 	const start, stop = "m: start job-m/0", "m: stop job-m/0"
 	for _, c := range []struct {
 		name   string
@@ -88,10 +88,10 @@
 		{"a machine to be deleted", func(_ *workload.Assignment, m *worker.Machine) { m.Deleting = true }, ""},
 		{"a machine that has not reported", func(_ *workload.Assignment, m *worker.Machine) { m.HasReported = false }, ""},
 	} {
-		queue, jobs := testQueue()
+		queue, jobs := newTestQueue()
 		assignment, machine := assign(queue, jobs, "m", time.Now())
 		c.change(assignment, machine)
-		if _, got := sent(queue, 10); got != c.want {
+		if _, got := nextCommands(queue, 10); got != c.want {
 			t.Errorf("%s: sent %q, want %q", c.name, got, c.want)
 		}
 		if c.want != "" && !machine.CommandsInFlight || c.want == stop && assignment.StopSentAt.Before(assignment.StopRequestedAt) {
@@ -108,27 +108,27 @@
 	assignment.StartSent, assignment.Confirmed, assignment.Stopping, assignment.StopRequestedAt = true, seen, true, time.Now()
 }
 
-func TestMarkerIsStoredAgainWhenTheGenerationRose(t *testing.T) {
-	queue, jobs := testQueue()
+func TestMarkerIsStoredAgainAfterGenerationIsRaised(t *testing.T) {
+	queue, jobs := newTestQueue()
 	assignment, _ := assign(queue, jobs, "m", time.Now())
 	assignment.FencingToken = leaderToken - 1
-	if _, got := sent(queue, 10); got != "" || assignment.FencingToken != leaderToken || assignment.MarkerVersion != 2 || len(jobs.asked) != 1 {
-		t.Errorf("sent %q under token %d; marker in version %d, calls %v", got, assignment.FencingToken, assignment.MarkerVersion, jobs.asked)
+	if _, got := nextCommands(queue, 10); got != "" || assignment.FencingToken != leaderToken || assignment.MarkerVersion != 2 || len(jobs.calls) != 1 {
+		t.Errorf("sent %q under token %d; marker in version %d, calls %v", got, assignment.FencingToken, assignment.MarkerVersion, jobs.calls)
 	}
 	assignment.Job.StoredVersion = 2
 	queue.AddFor(assignment)
-	if _, got := sent(queue, 10); got == "" {
+	if _, got := nextCommands(queue, 10); got == "" {
 		t.Error("no start is sent after the new marker is stored")
 	}
 }
 
-func TestStartWithoutAnAnswerStaysOutstanding(t *testing.T) {
+func TestStartWithoutResponseStaysUnconfirmed(t *testing.T) {
 	for _, c := range []struct {
 		name                  string
 		outcome               worker.Outcome
 		stopping              bool
 		outstanding, assigned int
-		asked                 string
+		calls                 string
 	}{
 		{"executed", worker.Executed, false, 0, 1, ""},
 		{"rejected", worker.Rejected, false, 0, 1, ""},
@@ -136,20 +136,20 @@
 		{"not sent", worker.NotSent, false, 0, 0, ""},
 		{"not sent and to be stopped", worker.NotSent, true, 0, 0, "finish"},
 	} {
-		queue, jobs := testQueue()
+		queue, jobs := newTestQueue()
 		assignment, machine := assign(queue, jobs, "m", time.Now())
-		batches, _ := sent(queue, 10)
+		batches, _ := nextCommands(queue, 10)
 		assignment.Stopping = c.stopping
 		queue.Answered(batches[0], c.outcome)
 		if machine.CommandsInFlight || len(machine.UnconfirmedStarts) != c.outstanding {
 			t.Errorf("%s: in flight %v, %d unconfirmed starts", c.name, machine.CommandsInFlight, len(machine.UnconfirmedStarts))
 		}
-		if assigned := len(assignment.Job.Assignments); assigned != c.assigned || strings.Join(jobs.asked, " ") != c.asked {
-			t.Errorf("%s: %d assignments, want %d; calls %v", c.name, assigned, c.assigned, jobs.asked)
+		if assigned := len(assignment.Job.Assignments); assigned != c.assigned || strings.Join(jobs.calls, " ") != c.calls {
+			t.Errorf("%s: %d assignments, want %d; calls %v", c.name, assigned, c.assigned, jobs.calls)
 		}
 		machine.RecordCall(true, time.Now())
 		queue.AddFor(assignment)
-		if _, again := sent(queue, 10); again != "" {
+		if _, again := nextCommands(queue, 10); again != "" {
 			t.Errorf("%s: sent %q a second time", c.name, again)
 		}
 	}
