--- a/internal/eviction/blockers.go
+++ b/internal/eviction/blockers.go
@@ -9,18 +9,18 @@
 // blockerList contains the reasons why drains wait, as found by the last evaluation.
 type blockerList struct {
 	reasons map[ids.Machine][]string
-	// noRoom contains the machines whose replicas fit on no other machine.
-	noRoom map[ids.Machine]bool
+	// unplaceable contains the machines whose replicas fit on no other machine.
+	unplaceable map[ids.Machine]bool
 }
 
 func newBlockerList() *blockerList {
-	return &blockerList{reasons: map[ids.Machine][]string{}, noRoom: map[ids.Machine]bool{}}
+	return &blockerList{reasons: map[ids.Machine][]string{}, unplaceable: map[ids.Machine]bool{}}
 }
 
 // clear removes the results of the last evaluation.
 func (b *blockerList) clear() {
 	clear(b.reasons)
-	clear(b.noRoom)
+	clear(b.unplaceable)
 }
 
 // add records reasons why a machine's drain waits.
@@ -28,9 +28,9 @@
 	b.reasons[machine] = append(b.reasons[machine], reasons...)
 }
 
-// addNoRoom records that replicas on a machine fit on no other machine, with the reasons.
-func (b *blockerList) addNoRoom(machine ids.Machine, reasons []string) {
-	b.noRoom[machine] = true
+// addUnplaceable records that replicas on a machine fit on no other machine, with the reasons.
+func (b *blockerList) addUnplaceable(machine ids.Machine, reasons []string) {
+	b.unplaceable[machine] = true
 	b.add(machine, reasons...)
 }
 
--- a/internal/eviction/room.go
+++ b/internal/eviction/capacity_finder.go
@@ -11,14 +11,14 @@
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// roomFinder finds machines with free capacity for tasks that are to be moved.
-type roomFinder struct {
+// capacityFinder finds machines with free capacity for tasks that are to be moved.
+type capacityFinder struct {
 	*State
-	orders *orderBook
+	orders *orderSet
 }
 
 // zonesWithout returns the zones of a job's tasks, without a task that is to be moved.
-func (f *roomFinder) zonesWithout(assignment *workload.Assignment) *scheduler.ZoneSpread {
+func (f *capacityFinder) zonesWithout(assignment *workload.Assignment) *scheduler.ZoneSpread {
 	spread := scheduler.ZoneSpreadOf(assignment.Job, f.Machines)
 	if machine := f.Machines.Machines[assignment.Machine]; machine != nil {
 		spread.Remove(machine.Zone)
@@ -26,9 +26,9 @@
 	return spread
 }
 
-// canStartSomewhere reports whether the job's constraints allow one more task anywhere: in a zone that is
-// not being drained for good, on a machine of a type that is large enough. The orders must be known.
-func (f *roomFinder) canStartSomewhere(spec *record.Spec, zones *scheduler.ZoneSpread) bool {
+// hasFeasiblePlacement reports whether the job's constraints allow one more task anywhere: in a zone that
+// is not being drained for good, on a machine of a type that is large enough. The orders must be known.
+func (f *capacityFinder) hasFeasiblePlacement(spec *record.Spec, zones *scheduler.ZoneSpread) bool {
 	request := spec.PlacementRequest()
 	for _, machineType := range f.Capacity.Types() {
 		for _, zone := range machineType.Zones {
@@ -46,7 +46,7 @@
 
 // find returns a machine with free capacity for one more task of a job, or nil. A job without accelerators
 // gets a machine with accelerators only if no other has capacity.
-func (f *roomFinder) find(
+func (f *capacityFinder) find(
 	job *workload.Job, zones *scheduler.ZoneSpread, reserved map[ids.Machine]scheduler.Reservation, now time.Time,
 ) *capacity.Node {
 	if node := f.findAmong(job, zones, reserved, now, false); node != nil {
@@ -57,7 +57,7 @@
 
 // findAmong returns the machine with the best score among those with accelerators or, if accelerators is
 // false, among those without.
-func (f *roomFinder) findAmong(
+func (f *capacityFinder) findAmong(
 	job *workload.Job, zones *scheduler.ZoneSpread, reserved map[ids.Machine]scheduler.Reservation, now time.Time, accelerators bool,
 ) *capacity.Node {
 	request := job.Record.Spec.PlacementRequest()
--- a/internal/eviction/disruption.go
+++ b/internal/eviction/disruption.go
@@ -38,13 +38,13 @@
 		switch {
 		case !job.Schedulable():
 		case spec.Shape == record.Service:
-			up := 0
+			ready := 0
 			for _, assignment := range job.Assignments {
-				if d.replicaUp(assignment, now) {
-					up++
+				if d.replicaReady(assignment, now) {
+					ready++
 				}
 			}
-			meter.CountService(spec.Team, id, spec.Tasks, up)
+			meter.CountService(spec.Team, id, spec.Tasks, ready)
 		case len(job.Record.Evictions) > 0:
 			meter.CountInterrupted(spec.Team, job.Record.EvictedTasks())
 		}
@@ -52,8 +52,8 @@
 	return meter
 }
 
-// replicaUp reports whether a replica is ready.
-func (d *disruptionCounter) replicaUp(assignment *workload.Assignment, now time.Time) bool {
+// replicaReady reports whether a replica is ready.
+func (d *disruptionCounter) replicaReady(assignment *workload.Assignment, now time.Time) bool {
 	return d.readiness.IsReady(d.replica(assignment), now)
 }
 
--- a/internal/eviction/drain.go
+++ b/internal/eviction/drain.go
@@ -22,7 +22,7 @@
 	disruption *disruptionCounter
 	permits    *permitTracker
 	blockers   *blockerList
-	rooms      *roomFinder
+	finder     *capacityFinder
 }
 
 // evictNextStep decides the next step in draining a machine. It evicts one unit of each team that has tasks
@@ -33,7 +33,7 @@
 		d.blockers.add(name, "nothing is heard of it")
 		return
 	}
-	d.removeUnsent(name)
+	d.removeUnstarted(name)
 	units, reasons := d.units(machine, order)
 	d.blockers.add(name, reasons...)
 	first, more := firstOfEachTeam(units)
@@ -42,7 +42,7 @@
 	}
 	reserved := map[ids.Machine]scheduler.Reservation{}
 	if reasons := d.unplaceableReasons(first, order, reserved, now); len(reasons) > 0 {
-		d.blockers.addNoRoom(name, reasons)
+		d.blockers.addUnplaceable(name, reasons)
 		return
 	}
 	if denials := meter.Permit(d.disruption.requests(first, now)...); len(denials) > 0 {
@@ -56,7 +56,7 @@
 	for host, reservation := range reserved {
 		d.Scheduler.Reservations.Set(host, reservation)
 	}
-	step := &evictionStep{rollout: order.Rollout, wave: order.Wave, machine: name, stored: map[*workload.Job]uint64{}}
+	step := &evictionStep{rollout: order.Rollout, wave: order.Wave, machine: name, permitVersions: map[*workload.Job]uint64{}}
 	d.permits.grant(granted, step)
 }
 
@@ -76,8 +76,8 @@
 	return granted
 }
 
-// removeUnsent removes the tasks of a machine whose starts were never sent. They need no permit.
-func (d *drainer) removeUnsent(name ids.Machine) {
+// removeUnstarted removes the tasks of a machine whose starts were never sent. They need no permit.
+func (d *drainer) removeUnstarted(name ids.Machine) {
 	for _, assignment := range d.sortedAssignmentsOn(name) {
 		if !assignment.StartSent && !assignment.Stopping && !assignment.Evicting {
 			d.cluster.Stop(assignment, 0, "its machine is drained")
@@ -199,15 +199,15 @@
 			continue // tasks of other jobs are queued again and need no reservation
 		}
 		assignment := unit.assignments[0]
-		zones := d.rooms.zonesWithout(assignment)
-		if !d.rooms.canStartSomewhere(spec, zones) {
+		zones := d.finder.zonesWithout(assignment)
+		if !d.finder.hasFeasiblePlacement(spec, zones) {
 			reasons = append(reasons, fmt.Sprintf("%s could start in no other place that its job allows", assignment.Task()))
 			continue
 		}
 		if !order.Surge {
 			continue
 		}
-		node := d.rooms.find(unit.job, zones, reserved, now)
+		node := d.finder.find(unit.job, zones, reserved, now)
 		if node == nil {
 			reasons = append(reasons, fmt.Sprintf("%s has no room elsewhere yet", assignment.Task()))
 			continue
--- a/internal/eviction/evictor.go
+++ b/internal/eviction/evictor.go
@@ -2,12 +2,12 @@
 // disruption budgets and with permits that are stored before any task is stopped. Without a rollout it
 // drains machines that the cloud reclaims, on which tasks keep failing, or that are consolidated.
 //
-// Evictor is the entry point, and View is the view of the fleet for rollouts. Evictor delegates to
-// orderBook for the orders of rollouts, disruptionCounter for the teams' budgets, permitTracker for
-// evictions in progress, drainer for the next step in draining a machine, roomFinder for capacity on other
-// machines, surgePlanner for capacity to provision first, leavingMachines and relocator for machines that
-// are drained without a rollout, replacementTracker for replacement machines, and blockerList for the
-// reasons why drains wait.
+// Evictor is the entry point, and View is the view of the fleet for rollouts. Evictor delegates to orderSet
+// for the orders of rollouts, disruptionCounter for the teams' budgets, permitTracker for evictions in
+// progress, drainer for the next step in draining a machine, capacityFinder for capacity on other machines,
+// surgePlanner for capacity to provision first, leavingMachineDrainer and relocator for machines that are
+// drained without a rollout, replacementTracker for replacement machines, and blockerList for the reasons
+// why drains wait.
 //
 // The package has no lock of its own. Every method is called with the lock of the cluster state held, and
 // so are the methods of Cluster. Only the methods of View take that lock, through State.Lock, and must be
@@ -71,41 +71,41 @@
 type Evictor struct {
 	*State
 	cluster      Cluster
-	orders       *orderBook
+	orders       *orderSet
 	disruption   *disruptionCounter
 	permits      *permitTracker
 	blockers     *blockerList
-	rooms        *roomFinder
+	finder       *capacityFinder
 	drainer      *drainer
 	surge        *surgePlanner
 	relocator    *relocator
-	leaving      *leavingMachines
+	leaving      *leavingMachineDrainer
 	replacements *replacementTracker
 
-	lookedAt time.Time
-	looks    int
+	evaluatedAt time.Time
+	evaluations int
 }
 
 // New returns the Evictor of one term.
 func New(state State, cluster Cluster) *Evictor {
 	shared := &state
-	orders := &orderBook{machines: state.Machines}
+	orders := &orderSet{machines: state.Machines}
 	disruption := newDisruptionCounter(shared)
 	blockers := newBlockerList()
-	rooms := &roomFinder{State: shared, orders: orders}
+	finder := &capacityFinder{State: shared, orders: orders}
 	permits := &permitTracker{
 		State: shared, cluster: cluster, orders: orders, disruption: disruption, blockers: blockers,
 		pending: map[*workload.Assignment]*evictionStep{}, evicted: map[*workload.Job]bool{},
 	}
 	relocator := &relocator{State: shared, cluster: cluster, disruption: disruption, permits: permits}
 	return &Evictor{
-		State: shared, cluster: cluster, orders: orders, disruption: disruption, permits: permits, blockers: blockers, rooms: rooms,
+		State: shared, cluster: cluster, orders: orders, disruption: disruption, permits: permits, blockers: blockers, finder: finder,
 		drainer: &drainer{
-			State: shared, cluster: cluster, disruption: disruption, permits: permits, blockers: blockers, rooms: rooms,
+			State: shared, cluster: cluster, disruption: disruption, permits: permits, blockers: blockers, finder: finder,
 		},
 		surge:     &surgePlanner{State: shared, orders: orders, blockers: blockers},
 		relocator: relocator,
-		leaving:   &leavingMachines{State: shared, cluster: cluster, disruption: disruption, relocator: relocator},
+		leaving:   &leavingMachineDrainer{State: shared, cluster: cluster, disruption: disruption, relocator: relocator},
 		replacements: &replacementTracker{
 			orders: orders, provisioned: map[ids.ProvisioningRequest][]ids.Machine{}, lost: map[ids.Machine]string{},
 		},
@@ -116,7 +116,7 @@
 func (e *Evictor) Enabled() bool { return e.disruption.enabled() }
 
 // Looks returns the number of evaluations so far.
-func (e *Evictor) Looks() int { return e.looks }
+func (e *Evictor) Looks() int { return e.evaluations }
 
 // Interval is the minimum time between two evaluations of what may be stopped.
 const Interval = 200 * time.Millisecond
@@ -141,7 +141,7 @@
 
 // Run evaluates what may be stopped, if the last evaluation was at least Interval ago.
 func (e *Evictor) Run(now time.Time) {
-	if e.Enabled() && now.Sub(e.lookedAt) >= Interval {
+	if e.Enabled() && now.Sub(e.evaluatedAt) >= Interval {
 		e.Look(now)
 	}
 }
@@ -154,9 +154,9 @@
 	if len(ordered) == 0 && len(e.permits.evicted) == 0 && !e.Machines.AnyLeaving() {
 		return
 	}
-	e.lookedAt = now
-	e.looks++
-	e.permits.clearFinished(now)
+	e.evaluatedAt = now
+	e.evaluations++
+	e.permits.removeFinished(now)
 	e.permits.withdraw()
 	e.blockers.clear()
 	if !e.cluster.StoreAvailable() {
@@ -185,7 +185,7 @@
 	for _, machine := range e.Machines.Leaving() {
 		_, ordered := orders[machine.Name]
 		if !ordered && machine.DrainReason != "" && machine.SpotTerminationAt.IsZero() {
-			orders[machine.Name] = rollout.Order{Rollout: faulty, Drain: true, Stop: true}
+			orders[machine.Name] = rollout.Order{Rollout: faultyRollout, Drain: true, Stop: true}
 		}
 	}
 	return orders
@@ -207,7 +207,7 @@
 func (e *Evictor) FindRoom(
 	job *workload.Job, zones *scheduler.ZoneSpread, reserved map[ids.Machine]scheduler.Reservation, now time.Time,
 ) *capacity.Node {
-	return e.rooms.find(job, zones, reserved, now)
+	return e.finder.find(job, zones, reserved, now)
 }
 
 // SurgeDemands returns the capacity to provision for replicas that are to be moved but fit on no other
@@ -228,7 +228,9 @@
 func (e *Evictor) Blockers() map[ids.Machine][]string { return e.blockers.all() }
 
 // OrderFor returns the order of a rollout for a machine, if there is one.
-func (e *Evictor) OrderFor(name ids.Machine) (order rollout.Order, ok bool) { return e.orders.of(name) }
+func (e *Evictor) OrderFor(name ids.Machine) (order rollout.Order, ok bool) {
+	return e.orders.orderFor(name)
+}
 
 // ClosedZones returns the zones that rollouts are draining for good, where nothing is provisioned
 // meanwhile.
@@ -236,10 +238,10 @@
 
 // MayConsolidate reports whether machines may be consolidated: no rollout is moving replicas, and no stored
 // rollout is unknown to this leader.
-func (e *Evictor) MayConsolidate() bool { return !e.Enabled() || e.orders.none() }
+func (e *Evictor) MayConsolidate() bool { return !e.Enabled() || e.orders.empty() }
 
 // Keeps reports whether a machine is a replacement that is still observed.
-func (e *Evictor) Keeps(name ids.Machine) bool { return e.orders.keeps(name) }
+func (e *Evictor) Keeps(name ids.Machine) bool { return e.orders.observes(name) }
 
 // ReplacementsToProvision returns the replacements that rollouts request and that are not provisioned yet.
 func (e *Evictor) ReplacementsToProvision() []rollout.ProvisioningRequest {
--- a/internal/eviction/evictor_test.go
+++ b/internal/eviction/evictor_test.go
@@ -71,7 +71,7 @@
 	f.CarryOut(rollout.NewOrders())
 	f.web = f.addJob("web", record.Service, 4)
 	for task := range 4 {
-		f.run(f.web, task, f.addMachine(ids.Machine(fmt.Sprint("m", task+1)), "small").Name)
+		f.runTask(f.web, task, f.addMachine(ids.Machine(fmt.Sprint("m", task+1)), "small").Name)
 	}
 	return f
 }
@@ -94,8 +94,8 @@
 	return job
 }
 
-// run assigns a task to a machine, where it has been running for a minute.
-func (f *fixture) run(job *workload.Job, task int, machine ids.Machine) *workload.Assignment {
+// runTask assigns a task to a machine, where it has been running for a minute.
+func (f *fixture) runTask(job *workload.Job, task int, machine ids.Machine) *workload.Assignment {
 	assignment := &workload.Assignment{Job: job, TaskIndex: task, Machine: machine, Incarnation: 1, Attempt: 1, StartSent: true,
 		Confirmed: true, Status: worker.StateRunning, RunningSince: f.now.Add(-time.Minute)}
 	job.Assignments[task] = assignment
@@ -116,7 +116,7 @@
 // permits returns the number of evictions in the service's record.
 func (f *fixture) permits() int { return f.web.Record.EvictedTasks() }
 
-func TestTaskIsStoppedOnlyOnceItsPermitIsStoredAndStillHolds(t *testing.T) {
+func TestTaskIsStoppedOnlyWithStoredAndValidPermit(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		change func(*fixture)
@@ -173,7 +173,7 @@
 	}
 }
 
-func TestEvictionEndsWhenTheTaskIsUpAgain(t *testing.T) {
+func TestEvictionEndsWhenTaskRunsAgain(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		change func(*fixture)
@@ -181,8 +181,8 @@
 	}{
 		{"stopped", func(f *fixture) { f.web.Assignments[0].Stopping = true }, 1},
 		{"not assigned again", func(f *fixture) { delete(f.web.Assignments, 0) }, 1},
-		{"just started", func(f *fixture) { f.runAgain().RunningSince = f.now }, 1},
-		{"up again", func(f *fixture) { f.runAgain() }, 0},
+		{"just started", func(f *fixture) { f.rerunElsewhere().RunningSince = f.now }, 1},
+		{"up again", func(f *fixture) { f.rerunElsewhere() }, 0},
 		{"cancelled", func(f *fixture) { f.web.Record.Status = record.Cancelling }, 0},
 	} {
 		f := newFixture(true)
@@ -197,14 +197,14 @@
 	}
 }
 
-// runAgain has the service's first task running on another machine, under the next attempt.
-func (f *fixture) runAgain() *workload.Assignment {
-	assignment := f.run(f.web, 0, f.addMachine("m5", "small").Name)
+// rerunElsewhere has the service's first task running on another machine, under the next attempt.
+func (f *fixture) rerunElsewhere() *workload.Assignment {
+	assignment := f.runTask(f.web, 0, f.addMachine("m5", "small").Name)
 	assignment.Attempt = 2
 	return assignment
 }
 
-func TestDrainTellsWhatItWaitsFor(t *testing.T) {
+func TestDrainReportsWhatItWaitsFor(t *testing.T) {
 	stop := rollout.Order{Stop: true}
 	for _, c := range []struct {
 		name   string
@@ -219,19 +219,19 @@
 		{"not confirmed", func(_ *fixture, a *workload.Assignment) { a.Confirmed = false }, stop, "the start of job/0 is not confirmed yet"},
 		{"a gang on one machine", func(f *fixture, a *workload.Assignment) {
 			a.Job.Record.Spec.Shape = record.Gang
-			f.run(a.Job, 1, "m5")
+			f.runTask(a.Job, 1, "m5")
 		}, stop, "team red: 0 tasks are interrupted and 2 more would be, of at most 1 at a time"},
 		{"silent", func(f *fixture, _ *workload.Assignment) { f.Machines.Machines["m5"].UnansweredProbes = 1 }, stop, "nothing is heard of it"},
 		{"a gang that is not complete", func(f *fixture, a *workload.Assignment) {
 			a.Job.Record.Spec.Shape = record.Gang
-			f.run(a.Job, 1, "m6").Confirmed = false
+			f.runTask(a.Job, 1, "m6").Confirmed = false
 		}, stop, "not all tasks of gang job are known to be on their machines"},
 		{"a service without another possible place", func(f *fixture, a *workload.Assignment) {
 			a.Job.Record.Spec.Shape, a.Job.Record.Spec.InstanceTypes = record.Service, []string{"none"}
 		}, rollout.Order{}, "job/0 could start in no other place that its job allows"},
 	} {
 		f := newFixture(true)
-		other := f.run(f.addJob("job", record.Array, 2), 0, f.addMachine("m5", "small").Name)
+		other := f.runTask(f.addJob("job", record.Array, 2), 0, f.addMachine("m5", "small").Name)
 		c.change(f, other)
 		c.order.Drain = true
 		f.order(c.order, "m5")
@@ -242,7 +242,7 @@
 	}
 }
 
-func TestSurgeEvictsReplicaOnlyWhenThereIsRoomForIt(t *testing.T) {
+func TestSurgeEvictsReplicaOnlyWithCapacityElsewhere(t *testing.T) {
 	for _, c := range []struct {
 		name             string
 		change           func(*fixture)
@@ -297,7 +297,7 @@
 		if c.checkpoint > 0 {
 			job.Record.Spec.CheckpointInterval, job.Record.Spec.CheckpointDuration = 60, c.checkpoint
 		}
-		f.run(job, 0, "m5")
+		f.runTask(job, 0, "m5")
 		if c.failing {
 			machine.DrainReason = "bad disk"
 		} else {
--- a/internal/eviction/leaving_machines.go
+++ b/internal/eviction/leaving_machine_drainer.go
@@ -6,8 +6,8 @@
 	"github.com/pebbletrail/pebbletrail/internal/worker"
 )
 
-// leavingMachines stops tasks on machines that are drained without a rollout.
-type leavingMachines struct {
+// leavingMachineDrainer stops tasks on machines that are drained without a rollout.
+type leavingMachineDrainer struct {
 	*State
 	cluster    Cluster
 	disruption *disruptionCounter
@@ -15,7 +15,7 @@
 }
 
 // stop stops the tasks that must be stopped now.
-func (l *leavingMachines) stop(now time.Time) {
+func (l *leavingMachineDrainer) stop(now time.Time) {
 	for _, machine := range l.Machines.Leaving() {
 		switch reclaimed := !machine.SpotTerminationAt.IsZero(); {
 		case reclaimed:
@@ -35,7 +35,7 @@
 // stopOnReclaimed stops tasks on a machine that the cloud reclaims. Tasks that save checkpoints are stopped
 // as late as is safe. Tasks that do not, and cannot finish in time, are stopped at once so that they start
 // again elsewhere.
-func (l *leavingMachines) stopOnReclaimed(machine *worker.Machine, now time.Time) {
+func (l *leavingMachineDrainer) stopOnReclaimed(machine *worker.Machine, now time.Time) {
 	left := machine.SpotTerminationAt.Sub(now)
 	reason := "the cloud takes " + string(machine.Name) + " back"
 	for assignment := range l.Capacity.AssignmentsOn(machine.Name) {
@@ -52,7 +52,7 @@
 }
 
 // stopOnFailing stops all tasks on a machine on which tasks keep failing.
-func (l *leavingMachines) stopOnFailing(machine *worker.Machine) {
+func (l *leavingMachineDrainer) stopOnFailing(machine *worker.Machine) {
 	for assignment := range l.Capacity.AssignmentsOn(machine.Name) {
 		if !assignment.Stopping {
 			l.cluster.Stop(assignment, assignment.CheckpointGrace(), drainReason(machine))
--- a/internal/eviction/orders.go
+++ b/internal/eviction/orders.go
@@ -9,28 +9,28 @@
 )
 
 // Rollout names of the drains that the leader starts itself; no real rollout can have such a name.
-// consolidation is used to move replicas off machines that are to be returned, and faulty to drain machines
-// on which tasks keep failing.
+// consolidationRollout is used to move replicas off machines that are to be returned, and faultyRollout to
+// drain machines on which tasks keep failing.
 const (
-	consolidation rollout.Name = "~consolidation"
-	faulty        rollout.Name = "~faulty"
+	consolidationRollout rollout.Name = "~consolidation"
+	faultyRollout        rollout.Name = "~faulty"
 )
 
-// orderBook contains the orders of rollouts for machines and cordons these machines.
-type orderBook struct {
+// orderSet contains the orders of rollouts for machines and cordons these machines.
+type orderSet struct {
 	machines *worker.Registry
 	current  *rollout.Orders // nil until the stored rollouts are read
 }
 
 // known reports whether the stored rollouts are read.
-func (o *orderBook) known() bool { return o.current != nil }
+func (o *orderSet) known() bool { return o.current != nil }
 
-// none reports whether the orders are known and contain no machine.
-func (o *orderBook) none() bool { return o.known() && len(o.current.Machines) == 0 }
+// empty reports whether the orders are known and contain no machine.
+func (o *orderSet) empty() bool { return o.known() && len(o.current.Machines) == 0 }
 
 // replace replaces the orders. It reports whether a machine was cordoned or uncordoned, or the orders are
 // the first.
-func (o *orderBook) replace(orders *rollout.Orders) (changed bool) {
+func (o *orderSet) replace(orders *rollout.Orders) (changed bool) {
 	changed = !o.known()
 	if !changed {
 		for name := range o.current.Machines {
@@ -47,7 +47,7 @@
 }
 
 // setCordoned cordons or uncordons a machine, and reports whether this changed it.
-func (o *orderBook) setCordoned(name ids.Machine, cordoned bool) bool {
+func (o *orderSet) setCordoned(name ids.Machine, cordoned bool) bool {
 	machine := o.machines.Machines[name]
 	if machine == nil || machine.Cordoned == cordoned {
 		return false
@@ -56,8 +56,8 @@
 	return true
 }
 
-// draining reports whether a rollout is draining any machine now. The orders must be known.
-func (o *orderBook) draining(name rollout.Name) bool {
+// isDraining reports whether a rollout is draining any machine now. The orders must be known.
+func (o *orderSet) isDraining(name rollout.Name) bool {
 	for _, order := range o.current.Machines {
 		if order.Rollout == name && order.Drain {
 			return true
@@ -66,8 +66,8 @@
 	return false
 }
 
-// of returns the order for a machine, if there is one.
-func (o *orderBook) of(name ids.Machine) (order rollout.Order, ok bool) {
+// orderFor returns the order for a machine, if there is one.
+func (o *orderSet) orderFor(name ids.Machine) (order rollout.Order, ok bool) {
 	if !o.known() {
 		return order, false
 	}
@@ -75,11 +75,11 @@
 	return order, ok
 }
 
-// keeps reports whether a machine is a replacement that is still observed.
-func (o *orderBook) keeps(name ids.Machine) bool { return o.known() && o.current.Keep[name] }
+// observes reports whether a machine is a replacement that is still observed.
+func (o *orderSet) observes(name ids.Machine) bool { return o.known() && o.current.Keep[name] }
 
 // closedZones returns the zones that rollouts are draining for good.
-func (o *orderBook) closedZones() map[string]rollout.Name {
+func (o *orderSet) closedZones() map[string]rollout.Name {
 	if !o.known() {
 		return nil
 	}
--- a/internal/eviction/permits.go
+++ b/internal/eviction/permits.go
@@ -33,13 +33,13 @@
 	// machine is the machine that is drained; other tasks of a gang may be on other machines. It is empty
 	// for evictions loaded after a failover and for relocated replicas, where the assignment's machine is
 	// the drained one.
-	machine ids.Machine
-	stored  map[*workload.Job]uint64 // by job, the version of the record that contains its permits
+	machine        ids.Machine
+	permitVersions map[*workload.Job]uint64 // by job, the version of the record that contains its permits
 }
 
 // isStored reports whether all permits of the step are stored.
 func (s *evictionStep) isStored() bool {
-	for job, version := range s.stored {
+	for job, version := range s.permitVersions {
 		if job.StoredVersion < version {
 			return false
 		}
@@ -51,7 +51,7 @@
 type permitTracker struct {
 	*State
 	cluster    Cluster
-	orders     *orderBook
+	orders     *orderSet
 	disruption *disruptionCounter
 	blockers   *blockerList
 	// pending contains the evictions that have a permit and whose tasks are not stopped yet.
@@ -73,7 +73,7 @@
 		p.evicted[job] = true
 		p.cluster.MarkChanged(job)
 		p.cluster.MarkUrgent(job)
-		step.stored[job] = job.Version
+		step.permitVersions[job] = job.Version
 	}
 }
 
@@ -92,8 +92,8 @@
 	}
 }
 
-// clearFinished removes evictions from the records once their tasks run again or need not run any more.
-func (p *permitTracker) clearFinished(now time.Time) {
+// removeFinished removes evictions from the records once their tasks run again or need not run any more.
+func (p *permitTracker) removeFinished(now time.Time) {
 	for job := range p.evicted {
 		if !p.Jobs.Contains(job) || len(job.Record.Evictions) == 0 {
 			delete(p.evicted, job)
@@ -115,7 +115,7 @@
 	case assignment == nil || assignment.Attempt == attempt:
 		return true
 	case job.Record.Spec.Shape == record.Service:
-		return !p.disruption.replicaUp(assignment, now)
+		return !p.disruption.replicaReady(assignment, now)
 	}
 	return !assignment.Confirmed || assignment.Status != worker.StateRunning
 }
@@ -128,7 +128,7 @@
 			delete(p.pending, assignment)
 			continue
 		}
-		if p.stillWanted(step, assignment) || p.mayBeStopped(assignment) {
+		if p.stillWanted(step, assignment) || p.earlierStopPossible(assignment) {
 			continue
 		}
 		assignment.Evicting = false
@@ -140,9 +140,9 @@
 	}
 }
 
-// mayBeStopped reports whether a stop of an earlier leader may still take effect. This leader has sent
-// none; stops of earlier leaders are rejected once the machine has seen this term's fencing token.
-func (p *permitTracker) mayBeStopped(assignment *workload.Assignment) bool {
+// earlierStopPossible reports whether a stop of an earlier leader may still take effect. This leader has
+// sent none; stops of earlier leaders are rejected once the machine has seen this term's fencing token.
+func (p *permitTracker) earlierStopPossible(assignment *workload.Assignment) bool {
 	machine := p.Machines.Machines[assignment.Machine]
 	return machine == nil || !machine.HasReported || machine.FencingToken < p.FirstGeneration || !assignment.Confirmed
 }
@@ -173,12 +173,12 @@
 func (p *permitTracker) stillWanted(step *evictionStep, assignment *workload.Assignment) bool {
 	machine := p.drainedMachine(step, assignment)
 	switch step.rollout {
-	case consolidation:
+	case consolidationRollout:
 		return machine != nil && machine.DeleteWhenEmpty
-	case faulty:
+	case faultyRollout:
 		return machine != nil && machine.DrainReason != ""
 	}
-	return p.orders.draining(step.rollout)
+	return p.orders.isDraining(step.rollout)
 }
 
 // drainedMachine returns the machine whose drain evicts a task; nil if the machine is not known any more.
@@ -189,9 +189,9 @@
 // stopReason returns the reason for a stop, as recorded in the job's events.
 func (p *permitTracker) stopReason(step *evictionStep, assignment *workload.Assignment) string {
 	switch step.rollout {
-	case consolidation:
+	case consolidationRollout:
 		return relocationReason(assignment.Machine)
-	case faulty:
+	case faultyRollout:
 		return drainReason(p.drainedMachine(step, assignment))
 	}
 	return fmt.Sprintf("moved from %s by rollout %s, wave %d", assignment.Machine, step.rollout, step.wave)
@@ -200,15 +200,15 @@
 // quotaForRelocated returns the quota needed by evicted tasks of the job's team that are not assigned
 // again, without those of less important jobs.
 func (p *permitTracker) quotaForRelocated(job *workload.Job) (kept placement.Resources) {
-	for moved := range p.evicted {
-		if moved == job || moved.Record.Spec.Team != job.Record.Spec.Team || !moved.Schedulable() ||
-			job.EffectivePriority() > moved.EffectivePriority() {
+	for evictedJob := range p.evicted {
+		if evictedJob == job || evictedJob.Record.Spec.Team != job.Record.Spec.Team || !evictedJob.Schedulable() ||
+			job.EffectivePriority() > evictedJob.EffectivePriority() {
 			continue
 		}
-		for i := range moved.Record.Evictions {
-			moved.Record.Evictions[i].Tasks.Each(func(task int) {
-				if moved.Assignments[task] == nil && !moved.Record.Finished.Contains(task) {
-					kept = kept.Plus(moved.Record.Spec.Resources)
+		for i := range evictedJob.Record.Evictions {
+			evictedJob.Record.Evictions[i].Tasks.Each(func(task int) {
+				if evictedJob.Assignments[task] == nil && !evictedJob.Record.Finished.Contains(task) {
+					kept = kept.Plus(evictedJob.Record.Spec.Resources)
 				}
 			})
 		}
--- a/internal/eviction/relocation.go
+++ b/internal/eviction/relocation.go
@@ -22,15 +22,15 @@
 // relocator moves replicas off machines that are consolidated, one at a time.
 type relocator struct {
 	*State
-	cluster     Cluster
-	disruption  *disruptionCounter
-	permits     *permitTracker
-	relocatedAt time.Time // when another machine for a replica was last found
+	cluster       Cluster
+	disruption    *disruptionCounter
+	permits       *permitTracker
+	targetFoundAt time.Time // when another machine for a replica was last found
 }
 
 // relocate moves one replica off a machine, if another machine has free capacity and the image.
 func (r *relocator) relocate(machine *worker.Machine, now time.Time) {
-	if now.Sub(r.relocatedAt) < relocationInterval || !r.cluster.StoreAvailable() {
+	if now.Sub(r.targetFoundAt) < relocationInterval || !r.cluster.StoreAvailable() {
 		return
 	}
 	for assignment := range r.Capacity.AssignmentsOn(machine.Name) {
@@ -41,7 +41,7 @@
 		if target == nil {
 			continue
 		}
-		r.relocatedAt = now
+		r.targetFoundAt = now
 		if r.mayRelocate(assignment, now) {
 			r.Scheduler.Reservations.Set(target.Name, reservationFor(assignment.Job, now, relocationReservationTime))
 			r.evict(assignment)
@@ -89,7 +89,7 @@
 		return
 	}
 	unit := evictionUnit{assignment.Job, []*workload.Assignment{assignment}}
-	r.permits.grant([]evictionUnit{unit}, &evictionStep{rollout: consolidation, stored: map[*workload.Job]uint64{}})
+	r.permits.grant([]evictionUnit{unit}, &evictionStep{rollout: consolidationRollout, permitVersions: map[*workload.Job]uint64{}})
 }
 
 // relocationReason returns the reason for stopping a replica whose machine is to be returned.
--- a/internal/eviction/replacements.go
+++ b/internal/eviction/replacements.go
@@ -10,7 +10,7 @@
 
 // replacementTracker tracks the machines that are provisioned to replace others.
 type replacementTracker struct {
-	orders *orderBook
+	orders *orderSet
 	// provisioned contains the machines provisioned for each request for replacements.
 	provisioned map[ids.ProvisioningRequest][]ids.Machine
 	// lost contains the replacements that failed while they were observed, with the reasons.
@@ -37,7 +37,7 @@
 
 // recordLost records why a replacement failed, if a rollout is still observing it.
 func (r *replacementTracker) recordLost(name ids.Machine, reason string) {
-	if r.orders.keeps(name) {
+	if r.orders.observes(name) {
 		r.lost[name] = reason
 	}
 }
--- a/internal/eviction/surge.go
+++ b/internal/eviction/surge.go
@@ -11,7 +11,7 @@
 // surgePlanner decides which capacity must be provisioned before replicas can be moved.
 type surgePlanner struct {
 	*State
-	orders   *orderBook
+	orders   *orderSet
 	blockers *blockerList
 }
 
@@ -21,8 +21,8 @@
 	if !s.orders.known() {
 		return nil
 	}
-	for _, name := range slices.Sorted(maps.Keys(s.blockers.noRoom)) {
-		order, _ := s.orders.of(name)
+	for _, name := range slices.Sorted(maps.Keys(s.blockers.unplaceable)) {
+		order, _ := s.orders.orderFor(name)
 		if !order.Drain || !order.Surge || order.Replace {
 			continue
 		}
@@ -44,15 +44,15 @@
 		return false
 	}
 	for _, machine := range s.Machines.Machines {
-		if machine.Booting && !machine.HasReported && s.hasSpareAccelerators(machine, request) {
+		if machine.Booting && !machine.HasReported && s.acceleratedMachineFits(machine, request) {
 			return true
 		}
 	}
 	return false
 }
 
-// hasSpareAccelerators reports whether a machine has accelerators and could run a task.
-func (s *surgePlanner) hasSpareAccelerators(machine *worker.Machine, request *placement.Request) bool {
+// acceleratedMachineFits reports whether a machine has accelerators and could run a task.
+func (s *surgePlanner) acceleratedMachineFits(machine *worker.Machine, request *placement.Request) bool {
 	machineType := s.Capacity.Type(machine.Type)
 	return machineType != nil && machineType.Accels > 0 && machineType.Capacity().Holds(request.Resources) &&
 		request.Allows(machine.Type, machine.Zone, machine.Spot)
--- a/internal/eviction/view.go
+++ b/internal/eviction/view.go
@@ -33,7 +33,7 @@
 		deleted := e.cluster.Terminated(name) || e.cluster.CloudListConclusive()
 		return rollout.Machine{Deleted: deleted, Failed: e.replacements.lost[name]}
 	}
-	seen := rollout.Machine{
+	status := rollout.Machine{
 		Class:         rollout.InstanceClass{Type: machine.Type, Zone: machine.Zone, Spot: machine.Spot},
 		Known:         true,
 		Ready:         machine.HasReported && !machine.Suspect(),
@@ -43,10 +43,10 @@
 		ProvisionedAt: machine.ProvisionedAt,
 	}
 	for assignment := range e.Capacity.AssignmentsOn(name) {
-		seen.Evicting = seen.Evicting || assignment.Evicting
+		status.Evicting = status.Evicting || assignment.Evicting
 	}
-	seen.Unschedulable = e.blockers.noRoom[name]
-	return seen
+	status.Unschedulable = e.blockers.unplaceable[name]
+	return status
 }
 
 // DrainCost returns the number of steps needed to drain a machine, and the reasons that block it now.
@@ -79,13 +79,13 @@
 	return cost
 }
 
-// silentReportsFailed is the number of report intervals of silence, with unanswered probes, after which a
+// maxSilentReports is the number of report intervals of silence, with unanswered probes, after which a
 // replacement counts as failed.
-const silentReportsFailed = 4
+const maxSilentReports = 4
 
 // failureReason returns why a machine has failed, or "" if no failure is known.
 func (s *State) failureReason(machine *worker.Machine, now time.Time) string {
-	maxSilence := silentReportsFailed * s.reportInterval().Duration()
+	maxSilence := maxSilentReports * s.reportInterval().Duration()
 	switch {
 	case machine.Failed:
 		return "it stopped by itself"
