--- a/internal/reconcile/failures.go
+++ b/internal/reconcile/failures.go
@@ -41,9 +41,9 @@
 	}
 }
 
-// clear makes the failures of a job count against the machines, once the job is known not to be at fault:
-// one of its tasks completed, or has run for far longer than those that failed. If they counted before,
-// healthy machines could be drained because of a faulty job.
+// clear makes the failures of a job count against the machines, once the job is known not to
+// be at fault: one of its tasks completed, or has run for far longer than those that failed. If they
+// counted before, healthy machines could be drained because of a faulty job.
 func (f *failureTracker) clear(job *workload.Job) {
 	byMachine := job.Failures.ByMachine
 	job.Failures, job.Record.FailedMachines = workload.FailureHistory{}, 0
--- a/internal/reconcile/machine.go
+++ b/internal/reconcile/machine.go
@@ -23,43 +23,43 @@
 	return machine
 }
 
-// machineBefore is the state of a machine before its report is processed.
-type machineBefore struct {
-	unheard    bool // it has not reported to this leader
-	booting    bool
-	moved      bool // the report shows another type, zone or market
-	closed     bool // it had reported, and new tasks could not be assigned to it
-	suspect    bool
-	longSilent bool
-	noticed    bool // the cloud's termination notice was known
+// machineSnapshot is the state of a machine before its report is processed.
+type machineSnapshot struct {
+	neverReported    bool // it has not reported to this leader
+	booting          bool
+	classChanged     bool // the report shows another type, zone or market
+	unschedulable    bool // it had reported, and new tasks could not be assigned to it
+	suspect          bool
+	longSilent       bool
+	terminationKnown bool // the cloud's termination notice was known
 }
 
 // longSilenceMargin is added to two report intervals to obtain the silence after which a machine counts as
 // silent for long.
 const longSilenceMargin = time.Second
 
-// stateBefore returns the state of a machine before its report is processed.
-func (t *machineTracker) stateBefore(machine *worker.Machine, report *worker.Report, now time.Time) machineBefore {
+// snapshot returns the state of a machine before its report is processed.
+func (t *machineTracker) snapshot(machine *worker.Machine, report *worker.Report, now time.Time) machineSnapshot {
 	interval := t.Settings.Params.Workers.ReportS
-	return machineBefore{
-		unheard:    !machine.HasReported,
-		booting:    machine.Booting,
-		moved:      machine.Type != report.Type || machine.Zone != report.Zone || machine.Spot != report.Spot,
-		closed:     machine.HasReported && !machine.Schedulable(now, interval),
-		suspect:    machine.Suspect(),
-		longSilent: !machine.HasReported || machine.SilentFor(now) > 2*interval.Duration()+longSilenceMargin,
-		noticed:    !machine.SpotTerminationAt.IsZero(),
+	return machineSnapshot{
+		neverReported:    !machine.HasReported,
+		booting:          machine.Booting,
+		classChanged:     machine.Type != report.Type || machine.Zone != report.Zone || machine.Spot != report.Spot,
+		unschedulable:    machine.HasReported && !machine.Schedulable(now, interval),
+		suspect:          machine.Suspect(),
+		longSilent:       !machine.HasReported || machine.SilentFor(now) > 2*interval.Duration()+longSilenceMargin,
+		terminationKnown: !machine.SpotTerminationAt.IsZero(),
 	}
 }
 
-// record updates the estimates, the capacity index, the command queue and the plan after a machine's
+// applyReport updates the estimates, the capacity index, the command queue and the plan after a machine's
 // report.
-func (t *machineTracker) record(machine *worker.Machine, before machineBefore, restarted bool, now time.Time) {
-	if before.booting && before.unheard {
+func (t *machineTracker) applyReport(machine *worker.Machine, before machineSnapshot, restarted bool, now time.Time) {
+	if before.booting && before.neverReported {
 		t.Estimates.RecordBoot(machine, now)
 	}
 	node := t.Capacity.Ensure(machine.Name)
-	if before.unheard || before.moved || restarted {
+	if before.neverReported || before.classChanged || restarted {
 		t.Capacity.Reindex(node)
 		t.cluster.HintChanged(machine)
 	}
@@ -69,18 +69,18 @@
 		machine.UnreachableSince, machine.FailedCalls = now, 0
 		machine.SuspectSince, machine.LastProbeAt = now, time.Time{}
 	}
-	if before.unheard || restarted || before.suspect {
+	if before.neverReported || restarted || before.suspect {
 		t.Commands.Add(node) // commands that were held back or assigned before may be sent now
 	}
-	if before.unheard {
+	if before.neverReported {
 		machine.IdleSince = now
 	}
-	newNotice := !before.noticed && !machine.SpotTerminationAt.IsZero()
+	newNotice := !before.terminationKnown && !machine.SpotTerminationAt.IsZero()
 	if newNotice {
 		t.Machines.MarkLeaving(machine.Name)
 		slog.Info("machine received a spot termination notice", "machine", machine.Name, "in", machine.SpotTerminationAt.Sub(now))
 	}
-	if before.closed || before.unheard || newNotice {
+	if before.unschedulable || before.neverReported || newNotice {
 		t.cluster.RequestPlan()
 	}
 }
--- a/internal/reconcile/orphans.go
+++ b/internal/reconcile/orphans.go
@@ -39,7 +39,7 @@
 		if version, recorded := job.RecordedOutcomes[reported.key]; recorded && job.StoredVersion < version {
 			return nil // the outcome must be stored before it is cleared
 		}
-		if o.keepResult(reported) {
+		if o.recordUnassignedResult(reported) {
 			return nil
 		}
 		delete(job.RecordedOutcomes, reported.key)
@@ -50,16 +50,16 @@
 	return []worker.Command{worker.ClearCommand(reported.Task, reported.Attempt)}
 }
 
-// keepResult records that a task without an assignment completed, because a result counts whichever machine
-// reports it. It reports whether the result was new.
-func (o *orphanReconciler) keepResult(reported *reportedTask) bool {
+// recordUnassignedResult records that a task without an assignment completed, because a result counts
+// whichever machine reports it. It reports whether the result was new.
+func (o *orphanReconciler) recordUnassignedResult(reported *reportedTask) bool {
 	job, index := reported.job, reported.index()
 	wanted := !job.Record.Finished.Contains(index) && index < job.Record.Spec.Tasks && job.Assignments[index] == nil
 	if reported.Cause != worker.CauseDone || !wanted || job.Cancelled() || !job.MayRecordFinished() {
 		return false
 	}
 	job.Record.Finished.Add(index)
-	o.outcomes.recorded(job, reported.key)
+	o.outcomes.markRecorded(job, reported.key)
 	return true
 }
 
--- a/internal/reconcile/outcomes.go
+++ b/internal/reconcile/outcomes.go
@@ -45,11 +45,11 @@
 		retry.NotBefore = now.Add(refusalRetryDelay)
 		retry.Avoid[machine.Name] = true
 	}
-	o.recorded(job, key)
+	o.markRecorded(job, key)
 }
 
-// recorded records that a job's record contains an outcome from its current version on.
-func (o *outcomeRecorder) recorded(job *workload.Job, key workload.TaskAttempt) {
+// markRecorded records that a job's record contains an outcome from its current version on.
+func (o *outcomeRecorder) markRecorded(job *workload.Job, key workload.TaskAttempt) {
 	o.cluster.MarkChanged(job)
 	o.cluster.FinishIfComplete(job)
 	job.RecordedOutcomes[key] = job.Version
--- a/internal/reconcile/reconciler.go
+++ b/internal/reconcile/reconciler.go
@@ -4,7 +4,8 @@
 // Reconciler is the entry point. It delegates to machineTracker for the state of the machine,
 // taskReconciler for the tasks in a report, orphanReconciler for tasks that match no assignment,
 // outcomeRecorder for the outcomes of attempts, failureTracker for backoff and for machines on which tasks
-// keep failing, lossRecorder for lost tasks, and answerer for the commands in the response to a heartbeat.
+// keep failing, lossRecorder for lost tasks, and responseBuilder for the commands in the response to a
+// heartbeat.
 //
 // The package has no lock of its own. Every method is called with the lock of the cluster state held, and
 // so are the methods of Cluster.
@@ -64,11 +65,11 @@
 // Reconciler reconciles the reports that a leader receives in one term.
 type Reconciler struct {
 	*State
-	cluster  Cluster
-	machines *machineTracker
-	tasks    *taskReconciler
-	losses   *lossRecorder
-	answers  *answerer
+	cluster   Cluster
+	machines  *machineTracker
+	tasks     *taskReconciler
+	losses    *lossRecorder
+	responses *responseBuilder
 }
 
 // New returns the Reconciler of one term.
@@ -78,12 +79,12 @@
 	outcomes := &outcomeRecorder{State: shared, cluster: cluster, failures: failures}
 	orphans := &orphanReconciler{cluster: cluster, outcomes: outcomes}
 	return &Reconciler{
-		State:    shared,
-		cluster:  cluster,
-		machines: &machineTracker{State: shared, cluster: cluster},
-		tasks:    &taskReconciler{State: shared, cluster: cluster, outcomes: outcomes, failures: failures, orphans: orphans},
-		losses:   &lossRecorder{State: shared, cluster: cluster},
-		answers:  &answerer{shared},
+		State:     shared,
+		cluster:   cluster,
+		machines:  &machineTracker{State: shared, cluster: cluster},
+		tasks:     &taskReconciler{State: shared, cluster: cluster, outcomes: outcomes, failures: failures, orphans: orphans},
+		losses:    &lossRecorder{State: shared, cluster: cluster},
+		responses: &responseBuilder{shared},
 	}
 }
 
@@ -98,15 +99,15 @@
 	TrustSilence time.Time
 }
 
-// maxCommandsPerAnswer limits the commands in one response: a line of the response must stay below 64 KiB.
-// The other commands are sent after the next report.
-const maxCommandsPerAnswer = 400
+// maxCommandsPerResponse limits the commands in one response: a line of the response must stay below 64
+// KiB. The other commands are sent after the next report.
+const maxCommandsPerResponse = 400
 
 // Report reconciles a worker's report and returns the commands to send in the response if the report is a
 // heartbeat.
 func (r *Reconciler) Report(report *worker.Report, source Source, permission dispatch.Permission, now time.Time) []worker.Command {
 	machine := r.machines.ensure(report, source, now)
-	before := r.machines.stateBefore(machine, report, now)
+	before := r.machines.snapshot(machine, report, now)
 	result := r.Machines.RecordReport(machine, report, now, source.Answered, permission.FencingToken)
 	if !result.Fresh {
 		if report.Incarnation != machine.Incarnation {
@@ -115,16 +116,16 @@
 		// The response to a command may arrive before a heartbeat that was sent earlier. The response to
 		// that heartbeat still renews the lease, so it must contain the stops.
 		permission.Starts = false
-		return r.answers.commands(machine, source, permission, now)
+		return r.responses.commands(machine, source, permission, now)
 	}
-	r.machines.record(machine, before, result.Restarted, now)
+	r.machines.applyReport(machine, before, result.Restarted, now)
 	r.dropEarlierIncarnations(machine, report)
 	listed := make(map[workload.TaskAttempt]bool, len(report.Tasks))
 	commands := r.tasks.reconcile(machine, report, listed, permission.FencingToken, now)
 	r.reconcileMissing(machine, report, source, listed)
 	r.queueUnsentStarts(machine)
-	commands = append(commands, r.answers.commands(machine, source, permission, now)...)
-	return commands[:min(len(commands), maxCommandsPerAnswer)]
+	commands = append(commands, r.responses.commands(machine, source, permission, now)...)
+	return commands[:min(len(commands), maxCommandsPerResponse)]
 }
 
 // dropEarlierIncarnations removes the assignments to earlier incarnations of a worker. The worker dropped
@@ -182,7 +183,7 @@
 // reach it for a task whose job was cancelled more than a grace period ago. The task could then run beyond
 // cancel_s. A raised fencing token rejects the start sooner, but raising it requires the store.
 func (r *Reconciler) LeaseMustExpire(report *worker.Report, grace time.Duration, fencingToken ids.Generation) bool {
-	return r.answers.leaseMustExpire(report, grace, fencingToken)
+	return r.responses.leaseMustExpire(report, grace, fencingToken)
 }
 
 // MarkLost removes the assignment of a task that is proven not to be on its machine any more, so that the
--- a/internal/reconcile/reconciler_test.go
+++ b/internal/reconcile/reconciler_test.go
@@ -59,8 +59,8 @@
 func (c *fakeCluster) HintChanged(*worker.Machine)    {}
 func (c *fakeCluster) RequestPlan()                   {}
 
-// testReconciler returns a reconciler that has received a report of the machine "m".
-func testReconciler() (*Reconciler, *fakeCluster) {
+// newTestReconciler returns a reconciler that has received a report of the machine "m".
+func newTestReconciler() (*Reconciler, *fakeCluster) {
 	settings := &config.Settings{Operator: config.DefaultOperator()}
 	settings.Params.Workers = config.WorkerIntervals{ReportS: 2, LeaseS: 20}
 	registry := worker.NewRegistry(20)
@@ -120,7 +120,7 @@
 // lastEvent returns the last event of a job.
 func lastEvent(job *workload.Job) string { return job.Record.Events[len(job.Record.Events)-1].Message }
 
-func TestTaskThatIsNotReportedIsLostOnceItCannotStartAnyMore(t *testing.T) {
+func TestUnreportedTaskIsLostOnceItCannotStart(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		change func(*workload.Assignment, *worker.Report, *fakeCluster)
@@ -148,7 +148,7 @@
 			a.Confirmed, a.StartSent, r.Incarnation = false, false, 2
 		}, "accepted"}, // removed without an event
 	} {
-		reconciler, cluster := testReconciler()
+		reconciler, cluster := newTestReconciler()
 		job := addJob(reconciler, record.Array)
 		assignment, report := assign(cluster, job), reportOf(2)
 		c.change(assignment, report, cluster)
@@ -183,7 +183,7 @@
 			r.cluster.Assign(&workload.Assignment{Job: j, Machine: "other", Attempt: 2, StartSent: true})
 		}, "job/0", false, false, "stop job/0"},
 	} {
-		reconciler, _ := testReconciler()
+		reconciler, _ := newTestReconciler()
 		job := addJob(reconciler, c.shape)
 		c.change(reconciler, job)
 		reported := status(worker.StateRunning, "")
@@ -202,8 +202,8 @@
 	}
 }
 
-func TestOutcomeIsClearedOnlyOnceItIsStored(t *testing.T) {
-	reconciler, cluster := testReconciler()
+func TestOutcomeIsClearedOnlyAfterItIsStored(t *testing.T) {
+	reconciler, cluster := newTestReconciler()
 	job := addJob(reconciler, record.Array)
 	assign(cluster, job)
 	done := status(worker.StateExited, worker.CauseDone)
@@ -225,7 +225,7 @@
 	}
 }
 
-func TestResultIsKeptWhereverItComesFrom(t *testing.T) {
+func TestResultWithoutAssignmentIsRecorded(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		cause  string
@@ -239,7 +239,7 @@
 			j.Assignments[0] = &workload.Assignment{Job: j, Machine: "other", Attempt: 2}
 		}, false},
 	} {
-		reconciler, _ := testReconciler()
+		reconciler, _ := newTestReconciler()
 		job := addJob(reconciler, record.Array)
 		c.change(job)
 		commands := heartbeat(reconciler, 2, status(worker.StateExited, c.cause))
@@ -249,7 +249,7 @@
 	}
 }
 
-func TestOnlyAnOutcomeOfTheStartThatWasSentEndsTheAssignment(t *testing.T) {
+func TestOnlyOutcomeOfSentStartEndsAssignment(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		shape       record.Shape
@@ -257,7 +257,7 @@
 		sent        bool
 		attempt     ids.Attempt
 		incarnation ids.Incarnation // of the assignment
-		shown       ids.Generation  // the fencing token in the report
+		reportToken ids.Generation  // the fencing token in the report
 		ends        bool
 	}{
 		{"of this start", record.Array, worker.CauseError, true, 1, 1, leaderToken, true},
@@ -268,11 +268,11 @@
 		{"of a gang, before the term", record.Gang, worker.CauseError, true, 1, 1, earlierToken, false},
 		{"of a gang that is done, before the term", record.Gang, worker.CauseDone, true, 1, 1, earlierToken, true},
 	} {
-		reconciler, cluster := testReconciler()
+		reconciler, cluster := newTestReconciler()
 		job, report := addJob(reconciler, c.shape), reportOf(2, status(worker.StateExited, c.cause))
 		assignment := assign(cluster, job)
 		assignment.StartSent, assignment.Confirmed, assignment.Attempt, assignment.Incarnation = c.sent, false, c.attempt, c.incarnation
-		report.FencingToken = c.shown
+		report.FencingToken = c.reportToken
 		reconcileReport(reconciler, report)
 		if ended := len(job.Assignments) == 0; ended != c.ends {
 			t.Errorf("%s: assignment ended: %v", c.name, ended)
@@ -283,7 +283,7 @@
 	}
 }
 
-func TestAnswerCarriesTheCommandsThatAreStillDue(t *testing.T) {
+func TestResponseContainsPendingCommands(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		change   func(*workload.Assignment, *worker.Machine)
@@ -303,7 +303,7 @@
 		{"a start under a later incarnation", func(a *workload.Assignment, _ *worker.Machine) { a.Incarnation = 2 }, 2, ""},
 		{"a stop of a task that was not seen", func(a *workload.Assignment, _ *worker.Machine) { a.StartSent, a.Stopping = true, true }, 1, ""},
 	} {
-		reconciler, cluster := testReconciler()
+		reconciler, cluster := newTestReconciler()
 		assignment := assign(cluster, addJob(reconciler, record.Array))
 		assignment.StartSent, assignment.Confirmed = false, false
 		c.change(assignment, reconciler.Machines.Machines["m"])
@@ -317,7 +317,7 @@
 	}
 }
 
-func TestFailedAndRefusedTasksWaitAndAvoidTheMachine(t *testing.T) {
+func TestFailedAndRefusedTasksBackOffAndAvoidMachine(t *testing.T) {
 	for _, c := range []struct {
 		cause  string
 		delays []time.Duration
@@ -326,7 +326,7 @@
 		{worker.CauseNoRoom, []time.Duration{time.Second, time.Second}},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			reconciler, cluster := testReconciler()
+			reconciler, cluster := newTestReconciler()
 			reconciler.Settings.Operator.BackoffS, reconciler.Settings.Operator.BackoffMaxS = 1, 60
 			job := addJob(reconciler, record.Array)
 			for i, want := range c.delays {
@@ -340,9 +340,9 @@
 	}
 }
 
-func TestMachineIsDrainedWhenTasksOfGoodJobsKeepFailingThere(t *testing.T) {
+func TestMachineIsDrainedWhenTasksOfHealthyJobsKeepFailing(t *testing.T) {
 	for _, good := range []bool{true, false} {
-		reconciler, cluster := testReconciler()
+		reconciler, cluster := newTestReconciler()
 		reconciler.Settings.Operator.FaultyAfter = 2
 		job := addJob(reconciler, record.Array)
 		if good {
--- a/internal/reconcile/tasks.go
+++ b/internal/reconcile/tasks.go
@@ -68,7 +68,7 @@
 
 // reconcileAssigned processes a reported task that matches an assignment. It reports whether no more has to
 // be done; the outcome of an exited task still has to be cleared.
-func (t *taskReconciler) reconcileAssigned(reported *reportedTask, incarnation ids.Incarnation, now time.Time) (settled bool) {
+func (t *taskReconciler) reconcileAssigned(reported *reportedTask, incarnation ids.Incarnation, now time.Time) (handled bool) {
 	key := reported.key
 	// A task that is listed before its start was sent is left from an earlier start of the same attempt on
 	// this machine, whose outcome is known.
@@ -83,12 +83,12 @@
 		t.outcomes.record(assignment, reported)
 		return false
 	}
-	t.observe(assignment, reported, now)
+	t.recordStatus(assignment, reported, now)
 	return true
 }
 
-// observe records the reported status of a task that is on its machine.
-func (t *taskReconciler) observe(assignment *workload.Assignment, reported *reportedTask, now time.Time) {
+// recordStatus records the reported status of a task that is on its machine.
+func (t *taskReconciler) recordStatus(assignment *workload.Assignment, reported *reportedTask, now time.Time) {
 	machine := reported.machine
 	changed := assignment.Status != reported.State
 	if !assignment.Confirmed || changed {
@@ -104,7 +104,7 @@
 		t.Commands.Add(node)
 	}
 	if changed {
-		t.observeChange(assignment, reported, now)
+		t.recordStatusChange(assignment, reported, now)
 	}
 	if reported.State == worker.StateRunning && !assignment.RunningSince.IsZero() && assignment.Outlasts(now) {
 		t.failures.clear(assignment.Job)
@@ -112,8 +112,8 @@
 	assignment.Status = reported.State
 }
 
-// observeChange records a change of a task's status.
-func (t *taskReconciler) observeChange(assignment *workload.Assignment, reported *reportedTask, now time.Time) {
+// recordStatusChange records a change of a task's status.
+func (t *taskReconciler) recordStatusChange(assignment *workload.Assignment, reported *reportedTask, now time.Time) {
 	if reported.State == worker.StateRunning {
 		assignment.RunningSince = now
 	}
