--- a/internal/reconcile/failures.go
+++ b/internal/reconcile/failures.go
@@ -29,7 +29,7 @@
 	f.cluster.RecordEvent(job, "task %d failed on %s (%s); tried again elsewhere after %.0fs",
 		assignment.TaskIndex, machine.Name, cause, retry.NotBefore.Sub(now).Seconds())
 	if job.Record.Finished.Len() > 0 {
-		f.clear(job)
+		f.attributeToMachines(job)
 		return
 	}
 	job.Record.FailedMachines = max(job.Record.FailedMachines, len(failures.ByMachine))
@@ -41,10 +41,10 @@
 	}
 }
 
-// clear makes the failures of a job count against the machines, once the job is known not to
+// attributeToMachines makes the failures of a job count against the machines, once the job is known not to
 // be at fault: one of its tasks completed, or has run for far longer than those that failed. If they
 // counted before, healthy machines could be drained because of a faulty job.
-func (f *failureTracker) clear(job *workload.Job) {
+func (f *failureTracker) attributeToMachines(job *workload.Job) {
 	byMachine := job.Failures.ByMachine
 	job.Failures, job.Record.FailedMachines = workload.FailureHistory{}, 0
 	for name, count := range byMachine {
--- a/internal/reconcile/outcomes.go
+++ b/internal/reconcile/outcomes.go
@@ -62,7 +62,7 @@
 	delete(job.Retries, assignment.TaskIndex)
 	job.Record.Finished.Add(assignment.TaskIndex)
 	delete(job.Failures.ByMachine, machine.Name)
-	o.failures.clear(job)
+	o.failures.attributeToMachines(job)
 	if job.Record.Spec.Shape == record.Gang {
 		for task := range job.Record.Spec.Tasks {
 			job.Record.Finished.Add(task)
--- a/internal/reconcile/tasks.go
+++ b/internal/reconcile/tasks.go
@@ -107,7 +107,7 @@
 		t.recordStatusChange(assignment, reported, now)
 	}
 	if reported.State == worker.StateRunning && !assignment.RunningSince.IsZero() && assignment.Outlasts(now) {
-		t.failures.clear(assignment.Job)
+		t.failures.attributeToMachines(assignment.Job)
 	}
 	assignment.Status = reported.State
 }
