--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -29,7 +29,7 @@
 	DueProbes(now time.Time, limit int) []Probe
 	// ProbeAnswered records whether a machine answered a probe.
 	ProbeAnswered(machine ids.Machine, answered bool)
-	// ReconcileHeartbeat reconciles a machine's report, which may also be the response to a command or a
+	// ReconcileHeartbeat reconciles a report of a machine: a heartbeat, or the response to commands or a
 	// probe.
 	ReconcileHeartbeat(report *worker.Report, answered, heartbeat bool) []worker.Command
 }
--- a/internal/dispatch/outcomes.go
+++ b/internal/dispatch/outcomes.go
@@ -19,7 +19,7 @@
 	}
 	q.RecordReachability(machine, outcome == worker.Executed || outcome == worker.Rejected)
 	if outcome == worker.OutcomeUnknown {
-		return // the starts are outstanding until a report shows them or an incarnation or token rejects them
+		return // unconfirmed until a report shows the starts, or a newer incarnation or token rejects them
 	}
 	machine.UnconfirmedStarts = slices.DeleteFunc(machine.UnconfirmedStarts, func(start worker.UnconfirmedStart) bool {
 		return start.Incarnation == batch.Incarnation && start.FencingToken == batch.FencingToken && batch.starts(start.Task, start.Attempt)
--- a/internal/eviction/drain.go
+++ b/internal/eviction/drain.go
@@ -184,8 +184,8 @@
 	return first, more
 }
 
-// evictionReservationTime is how long capacity elsewhere is reserved for a replica that is to be moved: its
-// permit has to be stored, and its stop executed and reported.
+// evictionReservationTime is the time for which capacity on another machine is reserved for a replica that
+// is to be moved: its permit has to be stored, and its stop executed and reported.
 const evictionReservationTime = 10 * time.Second
 
 // unplaceableReasons returns the reasons why replicas could not start elsewhere. With surge, a machine must
--- a/internal/eviction/evictor.go
+++ b/internal/eviction/evictor.go
@@ -214,9 +214,9 @@
 // machine. Only rollouts with surge that provision no replacements need it.
 func (e *Evictor) SurgeDemands() []placement.Demand { return e.surge.demands() }
 
-// QuotaForRelocated returns the part of its team's quota that a job must leave to tasks that rollouts
-// stopped and that are not assigned again. Otherwise less important pending work would use that quota, and
-// a replica that was only to be moved would stay unavailable.
+// QuotaForRelocated returns the part of a team's quota that a job of the team must leave to tasks that
+// rollouts stopped and that are not assigned again. Otherwise less important pending work would use that
+// quota, and a replica that was only to be moved would stay unavailable.
 func (e *Evictor) QuotaForRelocated(job *workload.Job) (kept placement.Resources) {
 	if !e.Enabled() {
 		return kept
--- a/internal/eviction/relocation.go
+++ b/internal/eviction/relocation.go
@@ -14,8 +14,8 @@
 const (
 	// relocationInterval is the minimum time between two relocations.
 	relocationInterval = 1500 * time.Millisecond
-	// relocationReservationTime is how long capacity is reserved for a replica that is moved off a machine
-	// to be returned.
+	// relocationReservationTime is the time for which capacity is reserved for a replica that is moved off
+	// a machine to be returned.
 	relocationReservationTime = 5 * time.Second
 )
 
@@ -28,7 +28,7 @@
 	targetFoundAt time.Time // when another machine for a replica was last found
 }
 
-// relocate moves one replica off a machine, if another machine has free capacity and the image.
+// relocate moves one replica off a machine if another machine has free capacity and the image.
 func (r *relocator) relocate(machine *worker.Machine, now time.Time) {
 	if now.Sub(r.targetFoundAt) < relocationInterval || !r.cluster.StoreAvailable() {
 		return
--- a/internal/reconcile/tasks.go
+++ b/internal/reconcile/tasks.go
@@ -66,8 +66,8 @@
 	return reported.job.Record.Spec.Shape == record.Gang && report.FencingToken < t.FirstGeneration && !done
 }
 
-// reconcileAssigned processes a reported task that matches an assignment. It reports whether no more has to
-// be done; the outcome of an exited task still has to be cleared.
+// reconcileAssigned processes a reported task that matches an assignment. It reports whether the task needs
+// no further handling; the outcome of an exited task still has to be cleared.
 func (t *taskReconciler) reconcileAssigned(reported *reportedTask, incarnation ids.Incarnation, now time.Time) (handled bool) {
 	key := reported.key
 	// A task that is listed before its start was sent is left from an earlier start of the same attempt on
