--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -10,7 +10,7 @@
 
 func pointerTo(n int) *int { return &n }
 
-// replicaRequest asks for the eviction of one replica.
+// replicaRequest returns a request to evict one replica.
 func replicaRequest(team string, service ids.Job, ready bool) Request {
 	return Request{Team: team, Job: service, Service: true, Ready: ready}
 }
@@ -32,7 +32,7 @@
 			changed := ready
 			change(&changed)
 			if rules.IsReady(changed, now) {
-				t.Error("counts as ready")
+				t.Error("the replica counts as ready")
 			}
 		})
 	}
@@ -69,35 +69,36 @@
 			meter.CountInterrupted("red", c.interrupted)
 			denials := meter.Permit(c.request)
 			if c.denied == "" && len(denials) > 0 || c.denied != "" && (len(denials) != 1 || !strings.Contains(denials[0].Reason, c.denied)) {
-				t.Errorf("denied for %v, not %q", denials, c.denied)
+				t.Errorf("denials %v, want %q", denials, c.denied)
 			}
 		})
 	}
 }
 
 func TestPermitGrantsAllRequestsOrNone(t *testing.T) {
-	// A machine runs tasks of two teams. Where only one of them may lose a task, neither does, and
-	// both reasons are told where both budgets are used up.
+	// A machine runs tasks of two teams. If only one of the teams may lose a task, none is evicted. If both
+	// budgets are exhausted, both reasons are returned.
 	meter := NewMeter(NewBudgets(Default(), nil))
 	meter.CountService("red", "r", 3, 3)
 	meter.CountService("blue", "b", 3, 2)
 	requests := []Request{replicaRequest("red", "r", true), replicaRequest("blue", "b", true)}
 	if denials := meter.Permit(requests...); len(denials) != 1 || denials[0].Team != "blue" {
-		t.Errorf("denied for %v", denials)
+		t.Errorf("denials %v, want one for team blue", denials)
 	}
 	if used := meter.usage("red"); used.unavailable != 0 {
-		t.Errorf("%d replicas of the other team are counted", used.unavailable)
+		t.Errorf("%d unavailable replicas of team red are counted after a refusal", used.unavailable)
 	}
 	if denials := meter.Permit(requests[0]); len(denials) > 0 {
-		t.Errorf("denied alone as well: %v", denials)
+		t.Errorf("request of team red alone: denials %v", denials)
 	}
 	if denials := meter.Permit(requests...); len(denials) != 2 {
-		t.Errorf("with both budgets used up only %v is told", denials)
+		t.Errorf("with both budgets exhausted: denials %v, want two", denials)
 	}
 }
 
 func TestStoredPermitIsConfirmedBeforeTheEviction(t *testing.T) {
-	// The permit's own task counts as unavailable already; another that failed since is one too many.
+	// The task of the permit already counts as unavailable. Another replica that failed since exceeds the
+	// budget.
 	request := replicaRequest("red", "r", true)
 	for _, c := range []struct {
 		ready     int
@@ -106,17 +107,17 @@
 		meter := NewMeter(NewBudgets(Default(), nil))
 		meter.CountService("red", "r", 3, c.ready)
 		if denial := meter.Confirm(request); (denial == nil) != c.confirmed {
-			t.Errorf("with %d of 3 ready: %v", c.ready, denial)
+			t.Errorf("with %d of 3 replicas ready: denial %v", c.ready, denial)
 		}
 	}
 	meter := NewMeter(NewBudgets(Budget{MaxUnavailable: pointerTo(3)}, nil))
 	meter.CountService("red", "r", 3, 0)
 	if meter.Confirm(request) == nil {
-		t.Error("the last replica is stopped after the others failed")
+		t.Error("permit for the last replica is confirmed after the others failed")
 	}
 }
 
-func TestImpossibleBudgetsAreRejected(t *testing.T) {
+func TestInvalidBudgetsAreRejected(t *testing.T) {
 	for name, budget := range map[string]Budget{
 		"a negative number":         {MaxUnavailable: pointerTo(-1)},
 		"over a hundred percent":    {MaxUnavailablePercent: pointerTo(101)},
@@ -125,7 +126,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if budget.Check() == nil {
-				t.Error("accepted")
+				t.Error("the budget is accepted")
 			}
 		})
 	}
--- a/internal/commit/committer_test.go
+++ b/internal/commit/committer_test.go
@@ -18,16 +18,17 @@
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// fakeCluster has changes to store, and records what it learns. No job is to be looked up.
+// fakeCluster returns the given changes and records the calls that report results. It has no job to look
+// up.
 type fakeCluster struct {
 	Lookups
 	changes []Change
 	raise   bool
-	learned []string
+	calls   []string
 }
 
-func (c *fakeCluster) learn(format string, args ...any) {
-	c.learned = append(c.learned, fmt.Sprintf(format, args...))
+func (c *fakeCluster) logCall(format string, args ...any) {
+	c.calls = append(c.calls, fmt.Sprintf(format, args...))
 }
 
 func (c *fakeCluster) CollectChanges(Limits) ([]Change, bool) {
@@ -37,29 +38,29 @@
 }
 
 func (c *fakeCluster) ChangesStored(changes []Change, _ ids.Revision, readAfter time.Time) {
-	c.learn("%d stored, read first %v", len(changes), !readAfter.IsZero())
+	c.logCall("%d stored, read first %v", len(changes), !readAfter.IsZero())
 }
 
 func (c *fakeCluster) RecordFound(job *workload.Job, stored *record.Record, _ ids.Revision) {
-	c.learn("%s found, by %s", job.ID(), stored.Writer)
+	c.logCall("%s found, by %s", job.ID(), stored.Writer)
 }
 
 func (c *fakeCluster) MoveFound(waiting *workload.WaitingJob, _ *record.Record, _ ids.Revision) {
-	c.learn("%s moved", waiting.ID())
+	c.logCall("%s moved", waiting.ID())
 }
 
 func (c *fakeCluster) Writer() string                      { return "leader" }
 func (c *fakeCluster) Generation() ids.Generation          { return 7 }
 func (c *fakeCluster) CommitWanted() <-chan struct{}       { return nil }
-func (c *fakeCluster) GenerationRaised(g ids.Generation)   { c.learn("generation %d", g) }
+func (c *fakeCluster) GenerationRaised(g ids.Generation)   { c.logCall("generation %d", g) }
 func (c *fakeCluster) ValueLimit() int                     { return 1000 }
-func (c *fakeCluster) RecordEnded(j *workload.Job)         { c.learn("%s ended", j.ID()) }
-func (c *fakeCluster) MoveNotFound(w *workload.WaitingJob) { c.learn("%s gone", w.ID()) }
+func (c *fakeCluster) RecordEnded(j *workload.Job)         { c.logCall("%s ended", j.ID()) }
+func (c *fakeCluster) MoveNotFound(w *workload.WaitingJob) { c.logCall("%s gone", w.ID()) }
 func (c *fakeCluster) CancellationFound(id ids.Job, revision ids.Revision) {
-	c.learn("%s cancelled %v", id, revision > 0)
+	c.logCall("%s cancelled %v", id, revision > 0)
 }
 
-// fixture is a committer of a fake cluster at a fake store.
+// fixture is a Committer with a fake cluster and a fake store.
 type fixture struct {
 	*Committer
 	cluster *fakeCluster
@@ -67,17 +68,17 @@
 	server  *fake.Store
 }
 
-// newFixture returns one whose other events are learned by the cluster too.
+// newFixture returns a fixture whose callbacks are recorded by the fake cluster as well.
 func newFixture() *fixture {
 	f := &fixture{cluster: &fakeCluster{}, network: fake.NewNetwork(), server: fake.NewStore()}
 	f.network.Listen("state:1", f.server)
 	client := state.NewClient("state:1", f.network.Client("leader"), state.NewBudget(1000, 1000, 1, 0.6))
-	events := Events{Superseded: func(string) { f.cluster.learn("superseded") }, Stored: func() { f.cluster.learn("starts") }}
+	events := Events{Superseded: func(string) { f.cluster.logCall("superseded") }, Stored: func() { f.cluster.logCall("starts") }}
 	f.Committer = New(f.cluster, client, "node", record.KeysOf(0, 1), 0, events)
 	return f
 }
 
-// put stores a value.
+// put stores a value under a key.
 func (f *fixture) put(t *testing.T, key string, value any) {
 	t.Helper()
 	raw, err := json.Marshal(value)
@@ -89,38 +90,39 @@
 	}
 }
 
-// learned returns what the cluster learned, and forgets it.
-func (f *fixture) learned() string {
-	defer func() { f.cluster.learned = nil }()
-	return strings.Join(f.cluster.learned, "; ")
+// calls returns the recorded calls and clears them.
+func (f *fixture) calls() string {
+	defer func() { f.cluster.calls = nil }()
+	return strings.Join(f.cluster.calls, "; ")
 }
 
-// testRecord returns a record of a job that another writer stored.
+// testRecord returns the record of a job that another writer stored.
 func testRecord(id ids.Job, status record.Status) *record.Record {
 	stored := record.New(record.Spec{ID: id, Tasks: 1}, 1, "user")
 	stored.Status = status
 	return stored
 }
 
-// jobChange stores a job's record at its key, conditional on a revision of a key.
+// jobChange returns a change that stores a job's record, conditional on a revision of a key.
 func jobChange(key string, revision ids.Revision) Change {
 	value := json.RawMessage(`{"writer":"leader"}`)
 	return Change{Job: workload.NewJob(testRecord("job", record.Queued), 0), Ops: []state.Op{{Put: record.JobKey("job"), Value: value}},
 		Conditions: []state.Condition{{Key: key, Revision: revision}}}
 }
 
-// moveChange moves a waiting job, conditional on a revision of its key.
+// moveChange returns a change that takes a job out of the waiting state, conditional on a revision of its
+// key.
 func moveChange(revision ids.Revision) Change {
 	change := jobChange(record.WaitKey("job"), revision)
 	change.Job, change.Waiting = nil, &workload.WaitingJob{Record: testRecord("job", record.Queued)}
 	return change
 }
 
-func TestConflictIsLookedUp(t *testing.T) {
+func TestConflictIsResolvedByReadingBack(t *testing.T) {
 	jobKey, endKey, cancelKey := record.JobKey("job"), record.EndKey("job"), record.CancelKey("job")
 	for _, c := range []struct {
 		name   string
-		key    string // a key that was written
+		key    string // the key that was written before
 		value  any
 		change Change
 		want   string
@@ -140,16 +142,16 @@
 			f.put(t, c.key, c.value)
 			f.cluster.changes = []Change{c.change}
 			if !f.CommitGroup(context.Background()) {
-				t.Errorf("%s: no other group is looked for", c.name)
+				t.Errorf("%s: CommitGroup reports no further group", c.name)
 			}
-			if got := f.learned(); got != c.want {
-				t.Errorf("%s: learned %q, want %q", c.name, got, c.want)
+			if got := f.calls(); got != c.want {
+				t.Errorf("%s: calls %q, want %q", c.name, got, c.want)
 			}
 		})
 	}
 }
 
-func TestCommitWithoutAnAnswerIsReadBack(t *testing.T) {
+func TestCommitWithoutResponseIsReadBack(t *testing.T) {
 	for _, c := range []struct {
 		fate  fake.Outcome
 		raise bool
@@ -164,13 +166,13 @@
 			f.cluster.changes, f.cluster.raise = []Change{jobChange(record.JobKey("job"), 0)}, c.raise
 			f.network.SetRule(func(string, string, *http.Request, []byte) fake.Outcome { return c.fate })
 			f.CommitGroup(context.Background())
-			if got := f.learned(); got != "" {
-				t.Errorf("%v: learned %q without an answer", c.fate, got)
+			if got := f.calls(); got != "" {
+				t.Errorf("%v: calls %q without a response", c.fate, got)
 			}
 			f.network.SetRule(nil)
 			f.CommitGroup(context.Background())
-			if got := f.learned(); got != c.want {
-				t.Errorf("%v, raised %v: learned %q, want %q", c.fate, c.raise, got, c.want)
+			if got := f.calls(); got != c.want {
+				t.Errorf("%v, generation raised %v: calls %q, want %q", c.fate, c.raise, got, c.want)
 			}
 		})
 	}
@@ -181,16 +183,16 @@
 		f := newFixture()
 		f.cluster.raise = true
 		f.CommitGroup(context.Background())
-		if got := f.learned(); got != "generation 8" || f.LastGenerationRevision() == 0 {
-			t.Errorf("learned %q, revision %d", got, f.LastGenerationRevision())
+		if got := f.calls(); got != "generation 8" || f.LastGenerationRevision() == 0 {
+			t.Errorf("after the generation was raised: calls %q, revision %d", got, f.LastGenerationRevision())
 		}
 		if err := f.Apply(context.Background(), []state.Op{{Put: "key", Value: []byte("1")}}); err != nil {
-			t.Errorf("apply: %v", err)
+			t.Errorf("Apply under the raised generation: %v", err)
 		}
 		f.put(t, f.keys.Generation(), GenerationRecord{9, "other", "other"})
 		var conflict *state.ConflictError
 		if err := f.Apply(context.Background(), []state.Op{{Put: "key", Value: []byte("2")}}); !errors.As(err, &conflict) {
-			t.Errorf("apply after another leader took over: %v", err)
+			t.Errorf("Apply after another leader took over: %v, want a conflict", err)
 		}
 	})
 }
--- a/internal/dispatch/prober_test.go
+++ b/internal/dispatch/prober_test.go
@@ -11,10 +11,10 @@
 	"github.com/pebbletrail/pebbletrail/internal/worker"
 )
 
-// largestFleet is how many machines there may be without any limit being reached.
+// largestFleet is the largest number of machines that is within all limits of a cluster.
 const largestFleet = 6000
 
-func TestProbesBeforeReportsAreOverdueGoToTheLongestSilent(t *testing.T) {
+func TestEarlyProbesGoToLongestSilentMachines(t *testing.T) {
 	t.Parallel()
 	now := time.Now()
 	machines := worker.NewRegistry(20)
@@ -27,20 +27,20 @@
 	settings := &config.Settings{}
 	settings.Params.Workers.ReportS = 2
 	prober := NewProber(settings, machines, capacity.NewIndex(machines))
-	prober.earlyTokens, prober.pickedAt = 5, now.Add(-100*time.Millisecond)
+	prober.earlyTokens, prober.selectedAt = 5, now.Add(-100*time.Millisecond)
 	probes := prober.Due(now, 1000, 7)
 	if len(probes) != 8 {
-		t.Fatalf("%d machines probed, not the 5 saved up and 3 more", len(probes))
+		t.Fatalf("%d machines probed, want 8: 5 saved tokens and 3 new ones", len(probes))
 	}
 	for _, probe := range probes {
 		silent := now.Sub(machines.Machines[probe.Machine].LastReportAt)
 		if silent < 1100*time.Millisecond+(largestFleet-9)*10*time.Microsecond {
-			t.Errorf("probed %s, silent for %v only", probe.Machine, silent)
+			t.Errorf("probed %s, which has been silent for only %v", probe.Machine, silent)
 		}
 	}
 }
 
-func TestSilentMachinesTakeTurnsAndThoseWithReplicasComeFirst(t *testing.T) {
+func TestProbesPreferReplicasAndRotateAmongSilentMachines(t *testing.T) {
 	began := time.Now()
 	machines := worker.NewRegistry(20)
 	index := capacity.NewIndex(machines)
@@ -61,10 +61,10 @@
 			names = append(names, probe.Machine)
 		}
 		if fmt.Sprint(names) != want {
-			t.Errorf("look %d: probed %v, want %s", i, names, want)
+			t.Errorf("pass %d: probed %v, want %s", i, names, want)
 		}
 		if i == 0 {
-			continue // no answer comes in time
+			continue // the probes are not answered in time
 		}
 		for _, machine := range machines.Machines {
 			if machine.ProbeInFlight {
@@ -73,6 +73,6 @@
 		}
 	}
 	if machine := machines.Machines["m4"]; machine.UnansweredProbes != 3 || !machine.SuspectSince.Equal(began) {
-		t.Errorf("m4 left %d probes unanswered, the first at %v", machine.UnansweredProbes, machine.SuspectSince.Sub(began))
+		t.Errorf("m4 has %d unanswered probes, the first sent after %v", machine.UnansweredProbes, machine.SuspectSince.Sub(began))
 	}
 }
--- a/internal/eviction/evictor_test.go
+++ b/internal/eviction/evictor_test.go
@@ -19,10 +19,10 @@
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// firstGeneration is the fencing token of the term.
+// firstGeneration is the fencing token at the beginning of the term.
 const firstGeneration ids.Generation = 7
 
-// fakeCluster records which tasks are stopped, and why.
+// fakeCluster records the stopped tasks and the reasons.
 type fakeCluster struct {
 	storeDown  bool
 	terminated ids.Machine
@@ -40,7 +40,7 @@
 func (c *fakeCluster) Terminated(machine ids.Machine) bool { return machine == c.terminated }
 func (c *fakeCluster) CloudListConclusive() bool           { return false }
 
-// fixture is an evictor of four machines, m1 to m4, with a replica of the service "web" each.
+// fixture is an evictor with four machines, m1 to m4, each with a replica of the service "web".
 type fixture struct {
 	*Evictor
 	fake *fakeCluster
@@ -48,7 +48,7 @@
 	now  time.Time
 }
 
-// newFixture returns one with drains enabled or disabled, where no rollout wants anything.
+// newFixture returns a fixture with drains enabled or disabled, and without orders of rollouts.
 func newFixture(drains bool) *fixture {
 	settings := &config.Settings{Operator: config.DefaultOperator(), Features: &config.Features{}}
 	if drains {
@@ -71,12 +71,12 @@
 	f.CarryOut(rollout.NewOrders())
 	f.web = f.addJob("web", record.Service, 4)
 	for task := range 4 {
-		f.run(f.web, task, f.addMachine(ids.Machine(fmt.Sprint("m", task+1)), "small").Name)
+		f.runTask(f.web, task, f.addMachine(ids.Machine(fmt.Sprint("m", task+1)), "small").Name)
 	}
 	return f
 }
 
-// addMachine adds a machine that reports and has seen an earlier leader's token.
+// addMachine adds a machine that has reported and has seen an earlier leader's token.
 func (f *fixture) addMachine(name ids.Machine, machineType string) *worker.Machine {
 	machine := f.Machines.Ensure(name, f.now, f.now)
 	machine.HasReported, machine.Type, machine.Zone, machine.Incarnation = true, machineType, "north", 1
@@ -94,8 +94,8 @@
 	return job
 }
 
-// run has a task run on a machine for a minute.
-func (f *fixture) run(job *workload.Job, task int, machine ids.Machine) *workload.Assignment {
+// runTask assigns a task to a machine, where it has been running for a minute.
+func (f *fixture) runTask(job *workload.Job, task int, machine ids.Machine) *workload.Assignment {
 	assignment := &workload.Assignment{Job: job, TaskIndex: task, Machine: machine, Incarnation: 1, Attempt: 1, StartSent: true,
 		Confirmed: true, Status: worker.StateRunning, RunningSince: f.now.Add(-time.Minute)}
 	job.Assignments[task] = assignment
@@ -103,7 +103,7 @@
 	return assignment
 }
 
-// order has the rollout "spring" want the same of machines.
+// order gives machines the same order of the rollout "spring".
 func (f *fixture) order(order rollout.Order, machines ...ids.Machine) {
 	orders := rollout.NewOrders()
 	order.Rollout, order.Wave = "spring", 1
@@ -113,10 +113,10 @@
 	f.CarryOut(orders)
 }
 
-// permits returns how many evictions the service's record holds.
+// permits returns the number of evictions in the service's record.
 func (f *fixture) permits() int { return f.web.Record.EvictedTasks() }
 
-func TestTaskIsStoppedOnlyOnceItsPermitIsStoredAndStillHolds(t *testing.T) {
+func TestTaskIsStoppedOnlyWithStoredAndValidPermit(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		change func(*fixture)
@@ -133,14 +133,14 @@
 		f.order(rollout.Order{Drain: true}, "m1", "m2")
 		f.Look(f.now)
 		if f.permits() != 1 || len(f.fake.stopped) != 0 || !strings.Contains(fmt.Sprint(f.Blockers()["m2"]), "1 of its 4 replicas are down") {
-			t.Fatalf("%d permits, stopped %v at first; m2 waits for %v", f.permits(), f.fake.stopped, f.Blockers()["m2"])
+			t.Fatalf("after the first evaluation: %d permits, stopped %v, m2 waits for %v", f.permits(), f.fake.stopped, f.Blockers()["m2"])
 		}
 		f.web.StoredVersion = f.web.Version
 		c.change(f)
 		f.Run(f.now.Add(Interval - 1))
 		f.Run(f.now.Add(Interval))
 		if f.Looks() != 2 || len(f.Blockers()["m2"]) > 1 {
-			t.Errorf("%s: %d looks, m2 waits for %v", c.name, f.Looks(), f.Blockers()["m2"])
+			t.Errorf("%s: %d evaluations, m2 waits for %v", c.name, f.Looks(), f.Blockers()["m2"])
 		}
 		if len(f.fake.stopped) != c.stops || c.stops > 0 && f.fake.stopped[0] != "web/0: moved from m1 by rollout spring, wave 1" {
 			t.Errorf("%s: stopped %v", c.name, f.fake.stopped)
@@ -173,7 +173,7 @@
 	}
 }
 
-func TestEvictionEndsWhenTheTaskIsUpAgain(t *testing.T) {
+func TestEvictionEndsWhenTaskRunsAgain(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		change func(*fixture)
@@ -181,8 +181,8 @@
 	}{
 		{"stopped", func(f *fixture) { f.web.Assignments[0].Stopping = true }, 1},
 		{"not assigned again", func(f *fixture) { delete(f.web.Assignments, 0) }, 1},
-		{"just started", func(f *fixture) { f.runAgain().RunningSince = f.now }, 1},
-		{"up again", func(f *fixture) { f.runAgain() }, 0},
+		{"just started", func(f *fixture) { f.rerunElsewhere().RunningSince = f.now }, 1},
+		{"up again", func(f *fixture) { f.rerunElsewhere() }, 0},
 		{"cancelled", func(f *fixture) { f.web.Record.Status = record.Cancelling }, 0},
 	} {
 		f := newFixture(true)
@@ -192,19 +192,19 @@
 		c.change(f)
 		f.Look(f.now)
 		if f.permits() != c.left {
-			t.Errorf("%s: %d permits", c.name, f.permits())
+			t.Errorf("%s: %d permits left", c.name, f.permits())
 		}
 	}
 }
 
-// runAgain has the service's first task run elsewhere, under the next attempt.
-func (f *fixture) runAgain() *workload.Assignment {
-	assignment := f.run(f.web, 0, f.addMachine("m5", "small").Name)
+// rerunElsewhere has the service's first task running on another machine, under the next attempt.
+func (f *fixture) rerunElsewhere() *workload.Assignment {
+	assignment := f.runTask(f.web, 0, f.addMachine("m5", "small").Name)
 	assignment.Attempt = 2
 	return assignment
 }
 
-func TestDrainTellsWhatItWaitsFor(t *testing.T) {
+func TestDrainReportsWhatItWaitsFor(t *testing.T) {
 	stop := rollout.Order{Stop: true}
 	for _, c := range []struct {
 		name   string
@@ -219,19 +219,19 @@
 		{"not confirmed", func(_ *fixture, a *workload.Assignment) { a.Confirmed = false }, stop, "the start of job/0 is not confirmed yet"},
 		{"a gang on one machine", func(f *fixture, a *workload.Assignment) {
 			a.Job.Record.Spec.Shape = record.Gang
-			f.run(a.Job, 1, "m5")
+			f.runTask(a.Job, 1, "m5")
 		}, stop, "team red: 0 tasks are interrupted and 2 more would be, of at most 1 at a time"},
 		{"silent", func(f *fixture, _ *workload.Assignment) { f.Machines.Machines["m5"].UnansweredProbes = 1 }, stop, "nothing is heard of it"},
 		{"a gang that is not complete", func(f *fixture, a *workload.Assignment) {
 			a.Job.Record.Spec.Shape = record.Gang
-			f.run(a.Job, 1, "m6").Confirmed = false
+			f.runTask(a.Job, 1, "m6").Confirmed = false
 		}, stop, "not all tasks of gang job are known to be on their machines"},
 		{"a service without another possible place", func(f *fixture, a *workload.Assignment) {
 			a.Job.Record.Spec.Shape, a.Job.Record.Spec.InstanceTypes = record.Service, []string{"none"}
 		}, rollout.Order{}, "job/0 could start in no other place that its job allows"},
 	} {
 		f := newFixture(true)
-		other := f.run(f.addJob("job", record.Array, 2), 0, f.addMachine("m5", "small").Name)
+		other := f.runTask(f.addJob("job", record.Array, 2), 0, f.addMachine("m5", "small").Name)
 		c.change(f, other)
 		c.order.Drain = true
 		f.order(c.order, "m5")
@@ -242,7 +242,7 @@
 	}
 }
 
-func TestSurgeEvictsReplicaOnlyWhenThereIsRoomForIt(t *testing.T) {
+func TestSurgeEvictsReplicaOnlyWithCapacityElsewhere(t *testing.T) {
 	for _, c := range []struct {
 		name             string
 		change           func(*fixture)
@@ -269,7 +269,7 @@
 			t.Errorf("%s: %d permits, %d demands", c.name, f.permits(), demands)
 		}
 		if _, reserved := f.Scheduler.Reservations.On("m5", f.now); c.permits > 0 && !reserved {
-			t.Errorf("%s: the room is not reserved", c.name)
+			t.Errorf("%s: no capacity is reserved on m5", c.name)
 		}
 	}
 }
@@ -284,7 +284,7 @@
 		drains     bool
 		want       string
 	}{
-		{"saves, early", 10, 17 * time.Second, false, true, ""}, // a grace period of 13 s and a margin of 3
+		{"saves, early", 10, 17 * time.Second, false, true, ""}, // a grace period of 13 s and a margin of 3 s
 		{"saves, late", 10, 16 * time.Second, false, true, reclaimed},
 		{"saves none, can't finish", 0, time.Second, false, true, reclaimed},
 		{"saves none, finishes", 0, 5 * time.Hour, false, true, ""},
@@ -297,7 +297,7 @@
 		if c.checkpoint > 0 {
 			job.Record.Spec.CheckpointInterval, job.Record.Spec.CheckpointDuration = 60, c.checkpoint
 		}
-		f.run(job, 0, "m5")
+		f.runTask(job, 0, "m5")
 		if c.failing {
 			machine.DrainReason = "bad disk"
 		} else {
@@ -317,11 +317,11 @@
 	orders.Machines["m1"], orders.Keep["m2"] = rollout.Order{Rollout: "spring"}, true
 	orders.Provisioning = []rollout.ProvisioningRequest{{Name: rollout.ReplacementPrefix + "1"}, {Name: rollout.ReplacementPrefix + "2"}}
 	if !f.CarryOut(orders) || f.CarryOut(orders) || !f.Machines.Machines["m1"].Cordoned || f.MayConsolidate() {
-		t.Error("a machine that a rollout wants is not cordoned once")
+		t.Error("the machine with an order is not cordoned exactly once, or may be consolidated")
 	}
 	f.ReplacementsProvisioned(rollout.ReplacementPrefix+"1", []ids.Machine{"m2"})
 	if requests := f.ReplacementsToProvision(); len(requests) != 1 || requests[0].Name != rollout.ReplacementPrefix+"2" {
-		t.Errorf("to provision: %v", requests)
+		t.Errorf("replacements to provision: %v", requests)
 	}
 	f.ReplacementLost("m2", "it does not come up")
 	f.ReplacementLost("m3", "it does not come up")
@@ -330,9 +330,9 @@
 	f.fake.terminated = "m3"
 	view := f.NewView()
 	if lost, other := view.Machine("m2"), view.Machine("m3"); lost.Failed == "" || lost.Deleted || other.Failed != "" || !other.Deleted {
-		t.Errorf("seen of the replacement %+v, of another machine %+v", lost, other)
+		t.Errorf("view of the lost replacement %+v, of another machine %+v", lost, other)
 	}
 	if !f.CarryOut(rollout.NewOrders()) || f.Machines.Machines["m1"].Cordoned || !f.MayConsolidate() {
-		t.Error("a machine that no rollout wants any more is still cordoned")
+		t.Error("the machine without an order is still cordoned or may not be consolidated")
 	}
 }
--- a/internal/eviction/relocation.go
+++ b/internal/eviction/relocation.go
@@ -12,25 +12,25 @@
 )
 
 const (
-	// relocationInterval is the least time between two relocations.
+	// relocationInterval is the minimum time between two relocations.
 	relocationInterval = 1500 * time.Millisecond
-	// relocationReservationTime is how long room is reserved for a replica that is moved off a machine to be
-	// returned.
+	// relocationReservationTime is the time for which capacity is reserved for a replica that is moved off
+	// a machine to be returned.
 	relocationReservationTime = 5 * time.Second
 )
 
 // relocator moves replicas off machines that are consolidated, one at a time.
 type relocator struct {
 	*State
-	cluster     Cluster
-	disruption  *disruptionCounter
-	permits     *permitTracker
-	relocatedAt time.Time // when a replica was last moved, or could have been
+	cluster       Cluster
+	disruption    *disruptionCounter
+	permits       *permitTracker
+	targetFoundAt time.Time // when another machine for a replica was last found
 }
 
-// relocate moves one replica off a machine, when another machine has room and the image.
+// relocate moves one replica off a machine if another machine has free capacity and the image.
 func (r *relocator) relocate(machine *worker.Machine, now time.Time) {
-	if now.Sub(r.relocatedAt) < relocationInterval || !r.cluster.StoreAvailable() {
+	if now.Sub(r.targetFoundAt) < relocationInterval || !r.cluster.StoreAvailable() {
 		return
 	}
 	for assignment := range r.Capacity.AssignmentsOn(machine.Name) {
@@ -41,7 +41,7 @@
 		if target == nil {
 			continue
 		}
-		r.relocatedAt = now
+		r.targetFoundAt = now
 		if r.mayRelocate(assignment, now) {
 			r.Scheduler.Reservations.Set(target.Name, reservationFor(assignment.Job, now, relocationReservationTime))
 			r.evict(assignment)
@@ -50,7 +50,7 @@
 	}
 }
 
-// findTarget returns the best machine in the same zone that has room and the image; nil if there is none.
+// findTarget returns the best machine in the same zone that has free capacity and the image, or nil.
 func (r *relocator) findTarget(assignment *workload.Assignment, from *worker.Machine, now time.Time) *capacity.Node {
 	request := assignment.Job.Record.Spec.PlacementRequest()
 	var best bestNode
@@ -69,8 +69,8 @@
 	return best.node
 }
 
-// mayRelocate reports whether a replica may be moved that nobody has to move: where operators have set
-// budgets, only within these.
+// mayRelocate reports whether a replica may be moved for consolidation. Such a move is never necessary, so
+// it must be within the disruption budgets where operators have set any.
 func (r *relocator) mayRelocate(assignment *workload.Assignment, now time.Time) bool {
 	if !r.disruption.enabled() {
 		return true
@@ -82,17 +82,17 @@
 	return len(denials) == 0
 }
 
-// evict stops a replica; where drains are enabled, only after its permit is stored.
+// evict stops a replica. If drains are enabled, it is stopped only after its permit is stored.
 func (r *relocator) evict(assignment *workload.Assignment) {
 	if !r.disruption.enabled() {
 		r.cluster.Stop(assignment, assignment.CheckpointGrace(), relocationReason(assignment.Machine))
 		return
 	}
 	unit := evictionUnit{assignment.Job, []*workload.Assignment{assignment}}
-	r.permits.grant([]evictionUnit{unit}, &evictionStep{rollout: consolidation, stored: map[*workload.Job]uint64{}})
+	r.permits.grant([]evictionUnit{unit}, &evictionStep{rollout: consolidationRollout, permitVersions: map[*workload.Job]uint64{}})
 }
 
-// relocationReason returns why a replica is stopped that is moved to have its machine returned.
+// relocationReason returns the reason for stopping a replica whose machine is to be returned.
 func relocationReason(machine ids.Machine) string {
 	return "moved off " + string(machine) + ", which is to be returned"
 }
--- a/internal/eviction/surge.go
+++ b/internal/eviction/surge.go
@@ -11,18 +11,18 @@
 // surgePlanner decides which capacity must be provisioned before replicas can be moved.
 type surgePlanner struct {
 	*State
-	orders   *orderBook
+	orders   *orderSet
 	blockers *blockerList
 }
 
-// demands returns the room that has to be provisioned before what is to be moved can be stopped: of rollouts
-// that provision no replacements, for replicas that have no room elsewhere.
+// demands returns the capacity to provision for replicas that are to be moved but fit on no other machine.
+// Only rollouts with surge that provision no replacements need it.
 func (s *surgePlanner) demands() (demands []placement.Demand) {
 	if !s.orders.known() {
 		return nil
 	}
-	for _, name := range slices.Sorted(maps.Keys(s.blockers.noRoom)) {
-		order, _ := s.orders.of(name)
+	for _, name := range slices.Sorted(maps.Keys(s.blockers.unplaceable)) {
+		order, _ := s.orders.orderFor(name)
 		if !order.Drain || !order.Surge || order.Replace {
 			continue
 		}
@@ -36,23 +36,23 @@
 	return demands
 }
 
-// acceleratedMachineBooting reports whether a machine with accelerators is booting that could run work without
-// them. Provisioning does not count such a machine as room for that work, so that another would be provisioned
-// at each look.
+// acceleratedMachineBooting reports whether a machine with accelerators is booting that could run a task
+// without them. Provisioning does not count such a machine as capacity for that task, so without this check
+// another machine would be provisioned after each evaluation.
 func (s *surgePlanner) acceleratedMachineBooting(request *placement.Request) bool {
 	if request.Resources.Accels != 0 {
 		return false
 	}
 	for _, machine := range s.Machines.Machines {
-		if machine.Booting && !machine.HasReported && s.hasSpareAccelerators(machine, request) {
+		if machine.Booting && !machine.HasReported && s.acceleratedMachineFits(machine, request) {
 			return true
 		}
 	}
 	return false
 }
 
-// hasSpareAccelerators reports whether a machine has accelerators and could run a task.
-func (s *surgePlanner) hasSpareAccelerators(machine *worker.Machine, request *placement.Request) bool {
+// acceleratedMachineFits reports whether a machine has accelerators and could run a task.
+func (s *surgePlanner) acceleratedMachineFits(machine *worker.Machine, request *placement.Request) bool {
 	machineType := s.Capacity.Type(machine.Type)
 	return machineType != nil && machineType.Accels > 0 && machineType.Capacity().Holds(request.Resources) &&
 		request.Allows(machine.Type, machine.Zone, machine.Spot)
--- a/internal/eviction/view.go
+++ b/internal/eviction/view.go
@@ -11,19 +11,19 @@
 	"github.com/pebbletrail/pebbletrail/internal/worker"
 )
 
-// View is what rollouts see of the fleet. Each of its methods takes the cluster state's lock, but for StepTime,
-// which reads settings only. The budgets are counted once for a view, so a view is for one planning pass. It is
-// not safe for concurrent use.
+// View is the view of the fleet for rollouts. All its methods take the cluster state's lock, except
+// StepTime, which only reads settings. Disruptions are counted once per view, so a view serves one planning
+// pass. It is not safe for concurrent use.
 type View struct {
 	evictor *Evictor
 	now     time.Time
-	meter   *budget.Meter // made when it is first needed
+	meter   *budget.Meter // created on first use
 }
 
-// NewView returns a view of the fleet as it is now. It is the only method of an Evictor that needs no lock.
+// NewView returns a view of the fleet as of now. It is the only method of Evictor that needs no lock.
 func (e *Evictor) NewView() *View { return &View{evictor: e, now: time.Now()} }
 
-// Machine describes one machine.
+// Machine returns the state of one machine.
 func (v *View) Machine(name ids.Machine) rollout.Machine {
 	e := v.evictor
 	e.Lock.Lock()
@@ -33,7 +33,7 @@
 		deleted := e.cluster.Terminated(name) || e.cluster.CloudListConclusive()
 		return rollout.Machine{Deleted: deleted, Failed: e.replacements.lost[name]}
 	}
-	seen := rollout.Machine{
+	status := rollout.Machine{
 		Class:         rollout.InstanceClass{Type: machine.Type, Zone: machine.Zone, Spot: machine.Spot},
 		Known:         true,
 		Ready:         machine.HasReported && !machine.Suspect(),
@@ -43,13 +43,13 @@
 		ProvisionedAt: machine.ProvisionedAt,
 	}
 	for assignment := range e.Capacity.AssignmentsOn(name) {
-		seen.Evicting = seen.Evicting || assignment.Evicting
+		status.Evicting = status.Evicting || assignment.Evicting
 	}
-	seen.Unschedulable = e.blockers.noRoom[name]
-	return seen
+	status.Unschedulable = e.blockers.unplaceable[name]
+	return status
 }
 
-// DrainCost returns how many steps emptying a machine takes, and what blocks it now.
+// DrainCost returns the number of steps needed to drain a machine, and the reasons that block it now.
 func (v *View) DrainCost(name ids.Machine) (cost rollout.DrainCost) {
 	e := v.evictor
 	e.Lock.Lock()
@@ -79,13 +79,13 @@
 	return cost
 }
 
-// silentReportsFailed is after how many report intervals of silence, with probes unanswered, a replacement
-// counts as failed.
-const silentReportsFailed = 4
+// maxSilentReports is the number of report intervals of silence, with unanswered probes, after which a
+// replacement counts as failed.
+const maxSilentReports = 4
 
-// failureReason returns why a machine can't do its work; empty if it can, as far as known.
+// failureReason returns why a machine has failed, or "" if no failure is known.
 func (s *State) failureReason(machine *worker.Machine, now time.Time) string {
-	maxSilence := silentReportsFailed * s.reportInterval().Duration()
+	maxSilence := maxSilentReports * s.reportInterval().Duration()
 	switch {
 	case machine.Failed:
 		return "it stopped by itself"
@@ -105,7 +105,7 @@
 	return slices.Sorted(maps.Keys(e.Machines.Machines))
 }
 
-// BootTime returns about how long a machine of a class takes until it is up; 0 if its type is not known.
+// BootTime returns the estimated time until a machine of a class is up, or 0 if its type is not known.
 func (v *View) BootTime(class rollout.InstanceClass) time.Duration {
 	e := v.evictor
 	e.Lock.Lock()
@@ -116,15 +116,15 @@
 	return 0
 }
 
-// StepTime returns about how long a step takes: the permit is stored, the stop and the start are carried out
-// and reported, and the replica counts as up again.
+// StepTime returns the estimated duration of a step: its permit is stored, the stop and the start are
+// executed and reported, and the replica counts as ready again.
 func (v *View) StepTime() time.Duration {
 	settings := v.evictor.Settings
 	return settings.Params.Workers.ReportS.Duration() + settings.Readiness().MinRunning
 }
 
-// ProvisionedMachines returns the machines provisioned for a request of replacements; answered reports whether
-// that request was answered.
+// ProvisionedMachines returns the machines provisioned for a request for replacements. answered reports
+// whether that request was answered.
 func (v *View) ProvisionedMachines(name ids.ProvisioningRequest) (machines []ids.Machine, answered bool) {
 	e := v.evictor
 	e.Lock.Lock()
--- a/internal/reconcile/reconciler_test.go
+++ b/internal/reconcile/reconciler_test.go
@@ -19,13 +19,13 @@
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// leaderToken is the fencing token of the term, earlierToken that of the leader before.
+// leaderToken is the fencing token of this term, earlierToken that of the previous leader.
 const (
 	leaderToken  ids.Generation = 7
 	earlierToken ids.Generation = 6
 )
 
-// fakeCluster does what reconciling asks for in the simplest way, and records the rest.
+// fakeCluster implements Cluster on the state of its reconciler, and counts changes marked as urgent.
 type fakeCluster struct {
 	reconciler             *Reconciler
 	directStartOutstanding bool
@@ -59,8 +59,8 @@
 func (c *fakeCluster) HintChanged(*worker.Machine)    {}
 func (c *fakeCluster) RequestPlan()                   {}
 
-// testReconciler returns a reconciler with a machine "m" that has reported.
-func testReconciler() (*Reconciler, *fakeCluster) {
+// newTestReconciler returns a reconciler that has received a report of the machine "m".
+func newTestReconciler() (*Reconciler, *fakeCluster) {
 	settings := &config.Settings{Operator: config.DefaultOperator()}
 	settings.Params.Workers = config.WorkerIntervals{ReportS: 2, LeaseS: 20}
 	registry := worker.NewRegistry(20)
@@ -74,13 +74,14 @@
 	return cluster.reconciler, cluster
 }
 
-// reportOf returns a report of the machine "m" that lists tasks.
+// reportOf returns a report of the machine "m" that lists the given tasks.
 func reportOf(sequence ids.SequenceNumber, tasks ...worker.TaskStatus) *worker.Report {
 	return &worker.Report{Machine: "m", Addr: "m:1", Type: "small", Zone: "north", Incarnation: 1, Sequence: sequence,
 		FencingToken: leaderToken, Tasks: tasks}
 }
 
-// reconcileReport reconciles a report in a heartbeat and returns the commands in its answer, such as "start job/0".
+// reconcileReport reconciles a report as a heartbeat and returns the commands in the response, such as
+// "start job/0".
 func reconcileReport(reconciler *Reconciler, report *worker.Report) (commands []string) {
 	permission := dispatch.Permission{FencingToken: leaderToken, Starts: true, RecordsRead: time.Now()}
 	for _, command := range reconciler.Report(report, Source{Heartbeat: true, Answered: true}, permission, time.Now()) {
@@ -89,12 +90,12 @@
 	return commands
 }
 
-// heartbeat is reconcileReport of a report with tasks.
+// heartbeat reconciles a heartbeat of the machine "m" and returns the commands in the response.
 func heartbeat(reconciler *Reconciler, sequence ids.SequenceNumber, tasks ...worker.TaskStatus) []string {
 	return reconcileReport(reconciler, reportOf(sequence, tasks...))
 }
 
-// addJob adds a job "job" of three tasks.
+// addJob adds a job "job" with three tasks.
 func addJob(reconciler *Reconciler, shape record.Shape) *workload.Job {
 	spec := record.Spec{ID: "job", Team: "red", Shape: shape, Tasks: 3, EstimatedDuration: 10,
 		Resources: placement.Resources{Cores: 1, RAM: 1}, Image: "image"}
@@ -111,7 +112,7 @@
 	return assignment
 }
 
-// status is a reported status of the first task of the job "job".
+// status returns a reported status of the first task of the job "job".
 func status(state, cause string) worker.TaskStatus {
 	return worker.TaskStatus{Task: "job/0", Attempt: 1, State: state, Cause: cause}
 }
@@ -119,11 +120,11 @@
 // lastEvent returns the last event of a job.
 func lastEvent(job *workload.Job) string { return job.Record.Events[len(job.Record.Events)-1].Message }
 
-func TestTaskThatIsNotReportedIsLostOnceItCannotStartAnyMore(t *testing.T) {
+func TestUnreportedTaskIsLostOnceItCannotStart(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		change func(*workload.Assignment, *worker.Report, *fakeCluster)
-		lost   string // why; empty if it is not
+		lost   string // reason of the loss; empty if the task is not lost
 	}{
 		{"it was reported before", func(*workload.Assignment, *worker.Report, *fakeCluster) {}, "its worker reports it no longer"},
 		{"its start may be on its way", func(a *workload.Assignment, _ *worker.Report, _ *fakeCluster) { a.Confirmed = false }, ""},
@@ -147,7 +148,7 @@
 			a.Confirmed, a.StartSent, r.Incarnation = false, false, 2
 		}, "accepted"}, // removed without an event
 	} {
-		reconciler, cluster := testReconciler()
+		reconciler, cluster := newTestReconciler()
 		job := addJob(reconciler, record.Array)
 		assignment, report := assign(cluster, job), reportOf(2)
 		c.change(assignment, report, cluster)
@@ -156,7 +157,7 @@
 			t.Errorf("%s: lost %v, last event %q; want %q", c.name, lost, lastEvent(job), c.lost)
 		}
 		if stored := cluster.urgent > 0; stored != strings.HasPrefix(c.lost, "its") {
-			t.Errorf("%s: to be stored at once %v", c.name, stored)
+			t.Errorf("%s: marked as urgent: %v", c.name, stored)
 		}
 	}
 }
@@ -182,7 +183,7 @@
 			r.cluster.Assign(&workload.Assignment{Job: j, Machine: "other", Attempt: 2, StartSent: true})
 		}, "job/0", false, false, "stop job/0"},
 	} {
-		reconciler, _ := testReconciler()
+		reconciler, _ := newTestReconciler()
 		job := addJob(reconciler, c.shape)
 		c.change(reconciler, job)
 		reported := status(worker.StateRunning, "")
@@ -201,13 +202,13 @@
 	}
 }
 
-func TestOutcomeIsClearedOnlyOnceItIsStored(t *testing.T) {
-	reconciler, cluster := testReconciler()
+func TestOutcomeIsClearedOnlyAfterItIsStored(t *testing.T) {
+	reconciler, cluster := newTestReconciler()
 	job := addJob(reconciler, record.Array)
 	assign(cluster, job)
 	done := status(worker.StateExited, worker.CauseDone)
 	if commands := heartbeat(reconciler, 2, done); commands != nil || !job.Record.Finished.Contains(0) || len(job.Assignments) != 0 {
-		t.Fatalf("commands %v, finished %v, %d assignments", commands, job.Record.Finished, len(job.Assignments))
+		t.Fatalf("after the outcome was reported: commands %v, finished tasks %v, %d assignments", commands, job.Record.Finished, len(job.Assignments))
 	}
 	if commands := heartbeat(reconciler, 3, done); commands != nil {
 		t.Errorf("commands %v before the outcome is stored", commands)
@@ -216,15 +217,15 @@
 	machine := reconciler.Machines.Machines["m"]
 	machine.UnconfirmedStarts = []worker.UnconfirmedStart{{Task: "job/0", Attempt: 1, FencingToken: leaderToken, Incarnation: 1}}
 	if commands := heartbeat(reconciler, 4, done); commands != nil {
-		t.Errorf("commands %v while a late start could begin it again", commands)
+		t.Errorf("commands %v while a late start could run the task again", commands)
 	}
 	machine.UnconfirmedStarts = nil
 	if commands := heartbeat(reconciler, 5, done); len(commands) != 1 || commands[0] != "clear job/0" {
-		t.Errorf("commands %v once the outcome is stored", commands)
+		t.Errorf("commands %v after the outcome is stored", commands)
 	}
 }
 
-func TestResultIsKeptWhereverItComesFrom(t *testing.T) {
+func TestResultWithoutAssignmentIsRecorded(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		cause  string
@@ -238,7 +239,7 @@
 			j.Assignments[0] = &workload.Assignment{Job: j, Machine: "other", Attempt: 2}
 		}, false},
 	} {
-		reconciler, _ := testReconciler()
+		reconciler, _ := newTestReconciler()
 		job := addJob(reconciler, record.Array)
 		c.change(job)
 		commands := heartbeat(reconciler, 2, status(worker.StateExited, c.cause))
@@ -248,7 +249,7 @@
 	}
 }
 
-func TestOnlyAnOutcomeOfTheStartThatWasSentEndsTheAssignment(t *testing.T) {
+func TestOnlyOutcomeOfSentStartEndsAssignment(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		shape       record.Shape
@@ -256,7 +257,7 @@
 		sent        bool
 		attempt     ids.Attempt
 		incarnation ids.Incarnation // of the assignment
-		shown       ids.Generation  // the token that the worker has seen
+		reportToken ids.Generation  // the fencing token in the report
 		ends        bool
 	}{
 		{"of this start", record.Array, worker.CauseError, true, 1, 1, leaderToken, true},
@@ -267,22 +268,22 @@
 		{"of a gang, before the term", record.Gang, worker.CauseError, true, 1, 1, earlierToken, false},
 		{"of a gang that is done, before the term", record.Gang, worker.CauseDone, true, 1, 1, earlierToken, true},
 	} {
-		reconciler, cluster := testReconciler()
+		reconciler, cluster := newTestReconciler()
 		job, report := addJob(reconciler, c.shape), reportOf(2, status(worker.StateExited, c.cause))
 		assignment := assign(cluster, job)
 		assignment.StartSent, assignment.Confirmed, assignment.Attempt, assignment.Incarnation = c.sent, false, c.attempt, c.incarnation
-		report.FencingToken = c.shown
+		report.FencingToken = c.reportToken
 		reconcileReport(reconciler, report)
 		if ended := len(job.Assignments) == 0; ended != c.ends {
-			t.Errorf("%s: the assignment ended %v", c.name, ended)
+			t.Errorf("%s: assignment ended: %v", c.name, ended)
 		}
 		if finished := job.Record.Finished.Len(); c.cause == worker.CauseDone && finished != 3 {
-			t.Errorf("%s: %d tasks are finished", c.name, finished)
+			t.Errorf("%s: %d finished tasks, want 3", c.name, finished)
 		}
 	}
 }
 
-func TestAnswerCarriesTheCommandsThatAreStillDue(t *testing.T) {
+func TestResponseContainsPendingCommands(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		change   func(*workload.Assignment, *worker.Machine)
@@ -302,21 +303,21 @@
 		{"a start under a later incarnation", func(a *workload.Assignment, _ *worker.Machine) { a.Incarnation = 2 }, 2, ""},
 		{"a stop of a task that was not seen", func(a *workload.Assignment, _ *worker.Machine) { a.StartSent, a.Stopping = true, true }, 1, ""},
 	} {
-		reconciler, cluster := testReconciler()
+		reconciler, cluster := newTestReconciler()
 		assignment := assign(cluster, addJob(reconciler, record.Array))
 		assignment.StartSent, assignment.Confirmed = false, false
 		c.change(assignment, reconciler.Machines.Machines["m"])
 		if commands := reconciler.Report(reportOf(1), Source{}, dispatch.Permission{}, time.Now()); len(commands) > 0 {
-			t.Errorf("%s: commands %v for a report that is no heartbeat", c.name, commands)
+			t.Errorf("%s: commands %v in response to a report that is not a heartbeat", c.name, commands)
 		}
 		got, starts := strings.Join(heartbeat(reconciler, c.sequence), ", "), c.want == "start job/0"
 		if got != c.want || starts && (!assignment.StartSent || assignment.OfferedAt != 2) {
-			t.Errorf("%s: commands %q, want %q; recorded as %+v", c.name, got, c.want, assignment)
+			t.Errorf("%s: commands %q, want %q; assignment %+v", c.name, got, c.want, assignment)
 		}
 	}
 }
 
-func TestFailedAndRefusedTasksWaitAndAvoidTheMachine(t *testing.T) {
+func TestFailedAndRefusedTasksBackOffAndAvoidMachine(t *testing.T) {
 	for _, c := range []struct {
 		cause  string
 		delays []time.Duration
@@ -325,23 +326,23 @@
 		{worker.CauseNoRoom, []time.Duration{time.Second, time.Second}},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			reconciler, cluster := testReconciler()
+			reconciler, cluster := newTestReconciler()
 			reconciler.Settings.Operator.BackoffS, reconciler.Settings.Operator.BackoffMaxS = 1, 60
 			job := addJob(reconciler, record.Array)
 			for i, want := range c.delays {
 				assign(cluster, job)
 				heartbeat(reconciler, ids.SequenceNumber(2+i), status(worker.StateExited, c.cause))
 				if retry := job.Retries[0]; retry == nil || time.Until(retry.NotBefore) != want || !retry.Avoid["m"] {
-					t.Errorf("%s, time %d: retry %+v, want one after %v", c.cause, i+1, retry, want)
+					t.Errorf("%s, attempt %d: retry %+v, want a delay of %v", c.cause, i+1, retry, want)
 				}
 			}
 		})
 	}
 }
 
-func TestMachineIsDrainedWhenTasksOfGoodJobsKeepFailingThere(t *testing.T) {
+func TestMachineIsDrainedWhenTasksOfHealthyJobsKeepFailing(t *testing.T) {
 	for _, good := range []bool{true, false} {
-		reconciler, cluster := testReconciler()
+		reconciler, cluster := newTestReconciler()
 		reconciler.Settings.Operator.FaultyAfter = 2
 		job := addJob(reconciler, record.Array)
 		if good {
@@ -350,14 +351,14 @@
 		for i := range 2 {
 			machine := reconciler.Machines.Machines["m"]
 			if machine.DrainReason != "" {
-				t.Fatalf("drained after %d failures", i)
+				t.Fatalf("machine drained after %d failures", i)
 			}
 			assign(cluster, job)
 			heartbeat(reconciler, ids.SequenceNumber(2+i), status(worker.StateExited, worker.CauseError))
 		}
 		drained := reconciler.Machines.Machines["m"].DrainReason != ""
 		if drained != good || len(reconciler.Machines.Leaving()) > 0 != good {
-			t.Errorf("job with a finished task %v: drained %v", good, drained)
+			t.Errorf("job has a finished task: %v, machine drained: %v", good, drained)
 		}
 	}
 }
--- a/internal/reconcile/answer.go
+++ b/internal/reconcile/response.go
@@ -10,18 +10,20 @@
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// answerer decides which commands a heartbeat's answer carries, and whether it may renew the lease.
-type answerer struct{ *State }
+// responseBuilder builds the commands in the response to a heartbeat and decides whether the response may
+// renew the lease.
+type responseBuilder struct{ *State }
 
-// commands repeats, in a heartbeat's answer, what the machine still has to do. Every command may be repeated;
-// a start is named by task and attempt, so it takes effect once.
-func (a *answerer) commands(
+// commands returns the commands that the machine still has to execute, for the response to its heartbeat.
+// Commands are idempotent: a start is identified by task and attempt, so it takes effect once even if it is
+// repeated.
+func (b *responseBuilder) commands(
 	machine *worker.Machine, source Source, permission dispatch.Permission, now time.Time,
 ) (commands []worker.Command) {
 	if !source.Heartbeat {
 		return nil
 	}
-	for assignment := range a.Capacity.AssignmentsOn(machine.Name) {
+	for assignment := range b.Capacity.AssignmentsOn(machine.Name) {
 		if assignment.Incarnation != machine.Incarnation {
 			continue
 		}
@@ -32,7 +34,7 @@
 			}
 			continue
 		}
-		if a.mayStart(assignment, machine, permission) {
+		if b.mayStart(assignment, machine, permission) {
 			assignment.StartSent, assignment.OfferedInHeartbeat, assignment.OfferedAt = true, true, machine.Sequence
 			commands = append(commands, worker.StartCommand(assignment.Task(), assignment.Attempt))
 		}
@@ -40,8 +42,9 @@
 	return commands
 }
 
-// mayStart reports whether an assignment's start may be sent in the answer to its machine's heartbeat.
-func (a *answerer) mayStart(assignment *workload.Assignment, machine *worker.Machine, permission dispatch.Permission) bool {
+// mayStart reports whether the start of an assignment may be sent in the response to its machine's
+// heartbeat.
+func (b *responseBuilder) mayStart(assignment *workload.Assignment, machine *worker.Machine, permission dispatch.Permission) bool {
 	job := assignment.Job
 	if !permission.MayStart(job) || assignment.Confirmed || assignment.FencingToken != permission.FencingToken {
 		return false
@@ -49,20 +52,20 @@
 	if job.StoredVersion < assignment.MarkerVersion || machine.Deleting {
 		return false
 	}
-	return assignment.StartSent || scheduler.GangStartAllowed(assignment, machine, a.Machines)
+	return assignment.StartSent || scheduler.GangStartAllowed(assignment, machine, b.Machines)
 }
 
-// leaseMustExpire reports whether a direct start may still arrive of a task whose job was cancelled longer than
-// a grace period ago.
-func (a *answerer) leaseMustExpire(report *worker.Report, grace time.Duration, fencingToken ids.Generation) bool {
-	machine := a.Machines.Machines[report.Machine]
+// leaseMustExpire reports whether a direct start may still reach the worker for a task whose job was
+// cancelled more than a grace period ago.
+func (b *responseBuilder) leaseMustExpire(report *worker.Report, grace time.Duration, fencingToken ids.Generation) bool {
+	machine := b.Machines.Machines[report.Machine]
 	if machine == nil || report.Incarnation != machine.Incarnation || len(machine.UnconfirmedStarts) == 0 {
 		return false
 	}
-	for assignment := range a.Capacity.AssignmentsOn(machine.Name) {
-		stoppedUnseen := assignment.Stopping && !assignment.Confirmed && time.Since(assignment.StopRequestedAt) > grace
+	for assignment := range b.Capacity.AssignmentsOn(machine.Name) {
+		stopOverdue := assignment.Stopping && !assignment.Confirmed && time.Since(assignment.StopRequestedAt) > grace
 		current := assignment.Incarnation == report.Incarnation && assignment.FencingToken == fencingToken
-		mayStart := stoppedUnseen && current && assignment.Job.Cancelled()
+		mayStart := stopOverdue && current && assignment.Job.Cancelled()
 		if mayStart && machine.MayRestart(assignment.Task().String(), assignment.Attempt) {
 			return true
 		}
