--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -45,7 +45,7 @@
 	case b.MaxInterrupted < 0:
 		return fmt.Errorf("tasks_interrupted: must be zero or more: %d", b.MaxInterrupted)
 	case b.AllowLastReplica && b.forbidsReplicas():
-		return fmt.Errorf("last_replica: must not be set in a budget that allows no unavailable replica")
+		return fmt.Errorf("last_replica: contradicts a budget that allows no unavailable replica")
 	}
 	return nil
 }
