--- a/internal/quota/amount.go
+++ b/internal/quota/amount.go
@@ -1,12 +1,14 @@
-// Package quota decides what each team may still use when several leaders grant resources at
-// the same moment. A team's limit is split into allowances, one for each shard of the machine
-// pool. The leader of a shard grants within its own allowance and writes nothing for that;
-// allowances move between shards by compare-and-swap transactions of the state service. The
-// stored allowances of a team never add up to more than its limit, so neither does its
-// usage, whichever leader pauses, dies or is partitioned.
+// Package quota enforces team limits while several leaders grant resources concurrently. A
+// team's limit is split into allowances, one for each shard of the machine pool. The leader of
+// a shard grants resources within the shard's own allowance, without a write to the state
+// service. Allowances move between shards by compare-and-swap transactions of the state service.
+// The stored allowances of a team never add up to more than its limit, and each shard's usage
+// stays within its allowance. The team's total usage therefore stays within its limit even if
+// leaders pause, crash or are partitioned.
 //
-// Ledger is the stored form and its transitions, the tracker is one leader's side of it, and
-// Rebalancer commits the transfers that the tracker decides on. See docs/quota.md.
+// Ledger is the stored split of one team's limit and its state transitions, Tracker is one
+// leader's view of all ledgers, and Rebalancer commits the transfers that the Tracker plans. See
+// docs/quota.md.
 package quota
 
 import (
@@ -16,10 +18,10 @@
 	"github.com/pebbletrail/pebbletrail/internal/placement"
 )
 
-// Resource numbers the resources that are limited, each by itself.
+// Resource identifies a limited resource. Each resource has a limit of its own.
 type Resource int
 
-// The resources in the order in which they are stored.
+// The resources, in the order in which stored amounts list them.
 const (
 	Cores Resource = iota
 	Accelerators
@@ -27,31 +29,32 @@
 	resourceCount
 )
 
-// Unlimited is the limit of a resource that has none.
+// Unlimited is the value in a Limit for a resource without a limit.
 const Unlimited = -1
 
-// unitsPerWhole is how finely resources are counted: whole numbers add up exactly.
+// unitsPerWhole is the number of units in one core, accelerator or GB. Amounts are integers so that
+// sums are exact.
 const unitsPerWhole = 1000
 
-// roundingTolerance is the error, in units, that decimal fractions may leave behind.
+// roundingTolerance is the floating-point error, in units, that rounding ignores.
 const roundingTolerance = 1e-6
 
-// Amount is a quantity of each resource, in thousandths.
+// Amount is a quantity of each resource, in thousandths of a core, an accelerator or a GB.
 type Amount [resourceCount]int64
 
-// AmountOf rounds room up to whole thousandths.
+// AmountOf converts resources to an Amount, rounded up to whole thousandths.
 func AmountOf(room placement.Resources) Amount {
 	roundUp := func(value float64) int64 { return int64(math.Ceil(value*unitsPerWhole - roundingTolerance)) }
 	return Amount{Cores: roundUp(room.Cores), Accelerators: roundUp(room.Accels), Memory: roundUp(room.RAM)}
 }
 
-// Room converts back.
+// Room converts the amount to resources.
 func (a Amount) Room() placement.Resources {
 	whole := func(resource Resource) float64 { return float64(a[resource]) / unitsPerWhole }
 	return placement.Resources{Cores: whole(Cores), Accels: whole(Accelerators), RAM: whole(Memory)}
 }
 
-// combine applies a function to each resource of two amounts.
+// combine applies a function to the two amounts, resource by resource.
 func (a Amount) combine(other Amount, apply func(x, y int64) int64) (result Amount) {
 	for r := range a {
 		result[r] = apply(a[r], other[r])
@@ -59,28 +62,28 @@
 	return result
 }
 
-// Plus adds.
+// Plus returns the sum of both amounts.
 func (a Amount) Plus(other Amount) Amount {
 	return a.combine(other, func(x, y int64) int64 { return x + y })
 }
 
-// Minus subtracts; what would fall below zero becomes zero.
+// Minus returns a minus other. A difference below zero becomes zero.
 func (a Amount) Minus(other Amount) Amount {
 	return a.combine(other, func(x, y int64) int64 { return max(0, x-y) })
 }
 
-// Min is the smaller of each resource.
+// Min returns the smaller quantity of each resource.
 func (a Amount) Min(other Amount) Amount {
 	return a.combine(other, func(x, y int64) int64 { return min(x, y) })
 }
 
-// Covers reports whether other fits into a.
+// Covers reports whether a is at least as large as other in every resource.
 func (a Amount) Covers(other Amount) bool { return other.Minus(a).IsZero() }
 
-// IsZero reports whether there is nothing of any resource.
+// IsZero reports whether the quantity of every resource is zero.
 func (a Amount) IsZero() bool { return a == Amount{} }
 
-// isNegative reports whether any resource is below zero.
+// isNegative reports whether the quantity of any resource is below zero.
 func (a Amount) isNegative() bool {
 	for _, value := range a {
 		if value < 0 {
@@ -90,10 +93,11 @@
 	return false
 }
 
-// Limit is the most of each resource that a team may use, or Unlimited.
+// Limit is the maximum of each resource that a team may use, in thousandths, or Unlimited.
 type Limit Amount
 
-// LimitOf reads a limit of the settings, in which zero means none. It is rounded down.
+// LimitOf converts a limit from the settings, where zero means no limit. It rounds down to whole
+// thousandths.
 func LimitOf(cores, accelerators float64) Limit {
 	limit := Limit{Unlimited, Unlimited, Unlimited}
 	for resource, value := range [...]float64{Cores: cores, Accelerators: accelerators} {
@@ -107,7 +111,7 @@
 // IsUnlimited reports whether no resource is limited.
 func (l Limit) IsUnlimited() bool { return l == Limit{Unlimited, Unlimited, Unlimited} }
 
-// limited keeps of an amount the resources that have a limit.
+// limited returns the amount with the resources that have no limit set to zero.
 func (l Limit) limited(amount Amount) Amount {
 	for resource := range amount {
 		if l[resource] == Unlimited {
@@ -117,10 +121,10 @@
 	return amount
 }
 
-// whole is the limit as an amount, with nothing of the resources that have no limit.
+// whole returns the limit as an amount, in which resources without a limit are zero.
 func (l Limit) whole() Amount { return l.limited(Amount(l)) }
 
-// String names the resources that are limited.
+// String returns the limited resources and their limits as text.
 func (l Limit) String() string {
 	text := ""
 	for resource, name := range [...]string{"cores", "accelerators", "GB of memory"} {
--- a/internal/quota/explain.go
+++ b/internal/quota/explain.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// Faults lists, for operators, the teams that get no new grants and why.
+// Faults returns, for operators, one line for each team whose ledger is unusable or whose usage exceeds
+// its allowance.
 func (t *Tracker) Faults() []string {
 	var faults []string
 	for _, name := range slices.Sorted(maps.Keys(t.teams)) {
@@ -23,7 +24,8 @@
 	return faults
 }
 
-// Explain tells users why a team's quota keeps its work pending here; empty if it does not.
+// Explain returns, for users, why the team's quota keeps its jobs pending in this shard. The text is
+// empty if the quota is not the reason.
 func (t *Tracker) Explain(team string) string {
 	limit := t.limits[team]
 	if t.shards == 1 {
@@ -46,7 +48,8 @@
 	return t.explainShare(team, quota)
 }
 
-// explainShare tells which shard has the most of the allowance that this one lacks.
+// explainShare returns which other shard holds the most of the team's allowance, and whether this shard
+// has requested some of it.
 func (t *Tracker) explainShare(team string, quota *teamQuota) string {
 	most, holder := int64(0), Shard(-1)
 	for i, account := range quota.ledger.Accounts {
--- a/internal/quota/leaders_test.go
+++ b/internal/quota/leaders_test.go
@@ -17,13 +17,15 @@
 	"github.com/pebbletrail/pebbletrail/internal/quota"
 )
 
-// isCommit tells whether a request of the network is a transaction.
+// isCommit reports whether an HTTP request commits a transaction.
 func isCommit(r *http.Request) bool { return strings.HasSuffix(r.URL.Path, "/commit") }
 
 func TestNoTeamExceedsItsLimitDuringFailures(t *testing.T) {
-	// Five controllers lead three shards and are flooded with tasks at the same instants,
-	// while answers are lost, transactions are applied late, leaders pause for longer
-	// than their lease, are partitioned from the state service, or die, and all of them at once.
+	// Guards against a team exceeding its limit while several leaders grant concurrently. Five
+	// controllers lead three shards, and tasks are submitted to all shards at the same instants.
+	// Meanwhile responses are lost, transactions are applied late, leaders pause for longer than
+	// their lease, are partitioned from the state service or crash, the state service is down, and
+	// finally all controllers are killed at once.
 	for seed := range uint64(4) {
 		simulate(t, func(s *simulation) {
 			rng := rand.New(rand.NewPCG(seed, 2))
@@ -103,8 +105,10 @@
 }
 
 func TestLimitChangesAreHonouredWhileInUse(t *testing.T) {
-	// All controllers are lost and come back with other settings: after a limit was lowered
-	// nothing starts until less is in use; after one was raised, or first set, all is used.
+	// Guards against grants above a new limit, and against a raised limit that is never used. All
+	// controllers are killed and restarted with a changed limit. After the limit was lowered, no
+	// task starts until usage is below it; after it was raised, or set for the first time, all of
+	// it is used.
 	nodes := []string{"a", "b", "c"}
 	for name, limit := range map[string]placement.Resources{
 		"lowered":     {Cores: 4, Accels: 2, RAM: 1e9},
@@ -138,8 +142,9 @@
 }
 
 func TestAllowanceMovesQuicklyWithFewWrites(t *testing.T) {
-	// Without failures: what is idle at one shard is at another one within a second or two,
-	// and a grant costs less than one change of the state service beside its marker.
+	// Guards against slow transfers and excessive writes, without failures. Idle allowance of one
+	// shard is available to another within 2 seconds, and a grant costs at most one change of the
+	// ledgers or requests in the state service, besides the task's own record.
 	simulate(t, func(s *simulation) {
 		var changes atomic.Int64
 		s.network.SetRule(func(_, _ string, r *http.Request, body []byte) fake.Outcome {
@@ -154,7 +159,7 @@
 		time.Sleep(3 * time.Second)
 		const moves = 12
 		for i := range moves {
-			// All of the limit, first here, then there.
+			// Each task needs the whole limit of the team, at one shard after the other.
 			s.submit(quota.Shard(i%shardCount), task{ID: fmt.Sprint("move-", i), Team: "red", Need: placement.Resources{Cores: 8}, duration: 100 * time.Millisecond})
 			s.awaitAll(i+1, 10*time.Second)
 		}
@@ -176,7 +181,8 @@
 }
 
 func TestGrantsWithoutTheLedgerAreDetected(t *testing.T) {
-	// The planted fault that the check above has to notice.
+	// Leaders that grant by the whole limit, without the ledger, break a limit. This shows that the
+	// check of the limits at each start detects such a fault.
 	simulate(t, func(s *simulation) {
 		s.withoutLedger = true
 		for _, name := range []string{"a", "b", "c", "d", "e"} {
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -8,51 +8,52 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-// Shard is the shard of the machine pool that an account belongs to.
+// Shard is a shard of the machine pool. Each account of a ledger belongs to one.
 type Shard = ids.Shard
 
 // Account is one shard's part of a ledger.
 type Account struct {
 	Allowance Amount `json:"allowance"`
-	// Registered tells that the allowance covers what the shard's tasks used when the
-	// limit came into force. Until all shards have registered nothing is granted.
+	// Registered reports that the allowance covers what the shard's tasks used when the limit
+	// took effect. No shard grants anything until all shards have registered.
 	Registered bool `json:"registered"`
 }
 
-// Ledger is how the limit of one team is split, as it is stored. Transitions never change
-// a ledger in place: each returns the next one.
+// Ledger is the stored split of one team's limit into allowances. The exported transitions do not
+// modify the ledger; each returns the next one.
 type Ledger struct {
-	// Version is the version of the stored form.
+	// Version is the version of the stored format.
 	Version int   `json:"form"`
 	Limit   Limit `json:"limit"`
-	// LimitAt is when the process started whose settings the limit is from. Only a process
-	// that started later may change it: while controllers are restarted one after another
-	// with new settings, those with the old ones must not change it back.
+	// LimitAt is the start time of the controller process from whose settings Limit was taken.
+	// Only a process that started later may change Limit: during a rolling restart with new
+	// settings, processes that still have the old settings must not restore the old limit.
 	LimitAt ids.Timestamp `json:"limitAt"`
-	// Reserve is the part of the limit that is no shard's allowance.
+	// Reserve is the part of the limit that is not allotted to any shard.
 	Reserve Amount `json:"reserve"`
-	// Overcommitted is by how much the allowances exceed a limit that was lowered while they
-	// were in use. It only falls, and nothing is granted until it is gone.
+	// Overcommitted is the amount by which the allowances exceed the limit, after the limit was
+	// lowered below the allowances in use or the usage at registration exceeded it. All other
+	// transitions only reduce it. Nothing of a resource is granted while it is overcommitted.
 	Overcommitted Amount    `json:"overhang"`
 	Accounts      []Account `json:"accounts"`
 }
 
-// Why a stored ledger can't be used.
+// Reasons why a stored ledger can't be used.
 var (
-	// ErrNewerVersion tells that a newer version wrote the ledger.
+	// ErrNewerVersion reports that a newer program version wrote the ledger.
 	ErrNewerVersion = errors.New("written in a newer form")
-	// ErrUnbalanced tells that allowances and reserve do not add up to the limit.
+	// ErrUnbalanced reports that allowances and reserve do not add up to the limit.
 	ErrUnbalanced = errors.New("does not add up to the limit")
-	// ErrBadLedger tells that a stored ledger can't be used, for one of the reasons here.
+	// ErrBadLedger reports that a stored ledger can't be used, for any reason.
 	ErrBadLedger = errors.New("the ledger can't be used")
-	// ErrShardCount tells that the ledger was made for another number of shards.
+	// ErrShardCount reports that the ledger was created for a different number of shards.
 	ErrShardCount = errors.New("made for another number of shards")
 )
 
-// errNotAllowed tells that a transition does not apply to a ledger.
+// errNotAllowed reports that the ledger's current state does not allow a transition.
 var errNotAllowed = errors.New("transition not allowed")
 
-// NewLedger makes a ledger of which no shard has an allowance yet.
+// NewLedger returns a ledger in which the whole limit is in reserve and no shard has an allowance.
 func NewLedger(limit Limit, limitAt ids.Timestamp, shards int) Ledger {
 	return Ledger{
 		Version:  formVersion,
@@ -63,7 +64,7 @@
 	}
 }
 
-// Check tells why a stored ledger can't be used; nil if it can.
+// Check returns an error if the ledger can't be used with the given number of shards.
 func (l *Ledger) Check(shards int) error {
 	switch {
 	case l.Version > formVersion:
@@ -84,25 +85,25 @@
 	return nil
 }
 
-// Open reports whether leaders may grant: all shards have registered.
+// Open reports whether all shards have registered, so that leaders may grant.
 func (l *Ledger) Open() bool {
 	return !slices.ContainsFunc(l.Accounts, func(a Account) bool { return !a.Registered })
 }
 
-// outdatedBy reports whether a limit of settings is newer than the ledger's and differs.
+// outdatedBy reports whether a limit from settings is newer than the ledger's and differs from it.
 func (l *Ledger) outdatedBy(limit Limit, limitAt ids.Timestamp) bool {
 	return limit != l.Limit && limitAt > l.LimitAt
 }
 
-// clone is a copy to change.
+// clone returns a deep copy of the ledger.
 func (l *Ledger) clone() Ledger {
 	next := *l
 	next.Accounts = slices.Clone(l.Accounts)
 	return next
 }
 
-// Register makes a shard's allowance cover what its tasks use. What the reserve can't give
-// becomes overcommitment.
+// Register raises a shard's allowance to at least what its tasks use. The reserve covers the increase
+// as far as it can; the rest becomes overcommitment.
 func (l *Ledger) Register(shard Shard, used Amount) Ledger {
 	next := l.clone()
 	account := &next.Accounts[shard]
@@ -115,7 +116,7 @@
 	return next
 }
 
-// Take moves an amount from the reserve to a shard.
+// Take moves an amount from the reserve to a shard's allowance.
 func (l *Ledger) Take(shard Shard, amount Amount) (Ledger, error) {
 	if !l.Reserve.Covers(amount) {
 		return Ledger{}, fmt.Errorf("%w: take %v of a reserve of %v", errNotAllowed, amount, l.Reserve)
@@ -126,7 +127,8 @@
 	return next, nil
 }
 
-// Give moves an amount that a shard does not use to another one.
+// Give moves an amount from one shard's allowance to another's. The caller ensures that the giving shard
+// does not use the amount.
 func (l *Ledger) Give(from, to Shard, amount Amount) (Ledger, error) {
 	if from == to || !l.Accounts[from].Allowance.Covers(amount) || !l.Overcommitted.Min(amount).IsZero() {
 		return Ledger{}, fmt.Errorf("%w: give %v from shard %d to %d", errNotAllowed, amount, from, to)
@@ -137,7 +139,8 @@
 	return next, nil
 }
 
-// Return gives back what a shard does not use: to the overcommitment first, then to the reserve.
+// Return reduces a shard's allowance by an amount that the shard does not use. The amount first reduces
+// the overcommitment; the rest goes to the reserve.
 func (l *Ledger) Return(shard Shard, amount Amount) (Ledger, error) {
 	if !l.Accounts[shard].Allowance.Covers(amount) {
 		return Ledger{}, fmt.Errorf("%w: return %v", errNotAllowed, amount)
@@ -150,10 +153,9 @@
 	return next, nil
 }
 
-// SetLimit brings a new limit into force. What it is raised by makes up for an overcommitment and
-// then goes to the reserve; what it is lowered by comes from the reserve, and what that
-// lacks becomes overcommitment. The usage of a resource that had no limit has to be registered by
-// all shards.
+// SetLimit replaces the limit. An increase first reduces the overcommitment; the rest goes to the
+// reserve. A decrease is taken from the reserve; the rest becomes overcommitment. If a resource had no
+// limit before, all shards must register their usage again.
 func (l *Ledger) SetLimit(limit Limit, limitAt ids.Timestamp) (Ledger, error) {
 	if limitAt <= l.LimitAt {
 		return Ledger{}, fmt.Errorf("%w: the limit is from newer settings", errNotAllowed)
@@ -166,7 +168,8 @@
 	return next, nil
 }
 
-// setResourceLimit adjusts reserve and overcommitment to a changed limit of one resource.
+// setResourceLimit adjusts reserve, overcommitment and registrations in place to a changed limit of one
+// resource.
 func (l *Ledger) setResourceLimit(resource Resource, before, after int64) {
 	switch {
 	case before == after:
@@ -187,7 +190,7 @@
 	}
 }
 
-// clear removes all amounts of a resource.
+// clear sets reserve, overcommitment and all allowances of a resource to zero in place.
 func (l *Ledger) clear(resource Resource) {
 	l.Reserve[resource], l.Overcommitted[resource] = 0, 0
 	for i := range l.Accounts {
@@ -195,7 +198,7 @@
 	}
 }
 
-// unregister makes all shards register again.
+// unregister marks all shards as not registered in place, so that they register their usage again.
 func (l *Ledger) unregister() {
 	for i := range l.Accounts {
 		l.Accounts[i].Registered = false
--- a/internal/quota/ledger_test.go
+++ b/internal/quota/ledger_test.go
@@ -13,7 +13,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/state"
 )
 
-// randomAmount is up to most whole units of each resource.
+// randomAmount returns a random whole quantity of each resource, at most most.
 func randomAmount(rng *rand.Rand, most int64) (amount Amount) {
 	for r := range amount {
 		amount[r] = rng.Int64N(most+1) * unitsPerWhole
@@ -23,8 +23,9 @@
 
 func TestAllowancesNeverExceedTheLimit(t *testing.T) {
 	t.Parallel()
-	// A model of four shards, whose leaders grant within their allowances, under any order
-	// of transitions and limits that rise, fall, come and go.
+	// Guards against transitions that break the invariants of a ledger. The leaders of four modelled
+	// shards grant within their allowances, while random transitions are applied and limits are
+	// raised, lowered, added and removed.
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		const shards = 4
@@ -141,8 +142,8 @@
 	}
 }
 
-// openTracker tracks shard 0 of two for team red, whose limit of eight cores is split into
-// allowances of so many cores for this shard and the other one.
+// openTracker returns the tracker of shard 0 of two. Team red has a limit of eight cores and, in this
+// shard and in the other one, allowances of own and other cores.
 func openTracker(t *testing.T, own, other int64) *Tracker {
 	t.Helper()
 	tracker := NewTracker(0, 2, map[string]Limit{"red": LimitOf(8, 0)}, 1)
@@ -153,20 +154,20 @@
 	return tracker
 }
 
-// learnRequest has another shard request allowance of team red.
+// learnRequest applies a stored request of another shard for allowance of team red.
 func learnRequest(t *testing.T, tracker *Tracker, shard Shard, revision ids.Revision, request Request) {
 	t.Helper()
 	raw := encode(t, Requests{Version: formVersion, Teams: map[string]Request{"red": request}})
 	tracker.Apply(state.Change{Put: RequestsKey(shard), Value: raw, Revision: revision})
 }
 
-// learnLedger has the stored ledger of team red change.
+// learnLedger applies a change of the stored ledger of team red.
 func learnLedger(t *testing.T, tracker *Tracker, revision ids.Revision, ledger *Ledger) {
 	t.Helper()
 	tracker.Apply(state.Change{Put: LedgerKey("red"), Value: encode(t, ledger), Revision: revision})
 }
 
-// loadLedger has a tracker load the ledger of team red alone.
+// loadLedger loads a ledger of team red, as the only entry, into a tracker.
 func loadLedger(t *testing.T, tracker *Tracker, revision ids.Revision, ledger *Ledger) {
 	t.Helper()
 	tracker.Load([]state.Entry{{Key: LedgerKey("red"), Value: encode(t, ledger), Revision: revision}})
@@ -200,13 +201,13 @@
 	if again := tracker.dueTransfers(); left() != 1 || len(again) != 1 || again[0] != transfers[0] {
 		t.Fatalf("without an answer: %v left, %+v sent again", left(), again)
 	}
-	// Refused the second time: the first may still apply.
+	// The second attempt is refused, but the first may still be applied.
 	tracker.recordOutcome(transfers[0], 0, state.ErrRefused)
 	tracker.recordOutcome(transfers[0], 0, &state.ConflictError{})
 	if left() != 1 {
 		t.Fatalf("%v left although the first sending may have been applied", left())
 	}
-	// Another change of the ledger: now it can't apply any more.
+	// After another change of the ledger the transfer can no longer be applied.
 	learnLedger(t, tracker, 9, tracker.teams["red"].ledger)
 	if left() != 3 {
 		t.Fatalf("%v left after a later revision that does not hold the transfer", left())
@@ -316,7 +317,7 @@
 	if tracker.Available("red").Cores > 0 || !strings.Contains(tracker.Explain("red"), "was lowered") || len(tracker.Faults()) > 0 {
 		t.Errorf("after the limit was lowered %v may be granted: %s; alarms %v", tracker.Available("red"), tracker.Explain("red"), tracker.Faults())
 	}
-	// What is idle makes up for it first.
+	// Idle allowance reduces the overcommitment first.
 	transfers := tracker.dueTransfers()
 	if len(transfers) != 1 || transfers[0].Reason != "returned" || transfers[0].withheld != cores(2) {
 		t.Fatalf("%+v", transfers)
--- a/internal/quota/planner.go
+++ b/internal/quota/planner.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// transferInterval is the least time between two transfers of one team's allowance to other
-// shards, so that what becomes idle task by task goes in one transfer.
+// transferInterval is the minimum time between two transfers of one team's allowance to other
+// shards. It lets allowance that tasks release one by one move in one transfer.
 const transferInterval = time.Second
 
-// planTransfer decides which transfer a team's ledger needs most; nil if none.
+// planTransfer returns the most important transfer that a team's ledger needs, or nil if it needs none.
 func (t *Tracker) planTransfer(team string, quota *teamQuota) *Transfer {
 	plan := planner{tracker: t, team: team, quota: quota, now: t.now()}
 	return plan.next()
 }
 
-// planner decides on one team's next transfer.
+// planner chooses the next transfer of one team.
 type planner struct {
 	tracker *Tracker
 	team    string
@@ -24,7 +24,8 @@
 	now     time.Time
 }
 
-// next looks at the needs of the ledger itself first, then at what shards request of it.
+// next returns the next transfer, or nil. Changes that the ledger itself needs precede transfers that
+// shards request.
 func (p *planner) next() *Transfer {
 	shard, startedAt, ledger := p.tracker.shard, p.tracker.startedAt, p.quota.ledger
 	limit, configured := p.tracker.limits[p.team]
@@ -48,7 +49,8 @@
 	return p.serveRequests()
 }
 
-// create makes the ledger of a team that has a limit and never had a ledger.
+// create returns a transfer that creates the ledger of a team that has a limit and never had a ledger,
+// or nil.
 func (p *planner) create(limit Limit, configured bool) *Transfer {
 	if !configured || limit.IsUnlimited() || p.quota.revision > 0 {
 		return nil
@@ -57,12 +59,12 @@
 	return p.transfer("created", ledger.Register(p.tracker.shard, p.quota.usage.rounded), Amount{}, nil)
 }
 
-// serveRequests takes from the reserve for this shard's demand, or gives what is idle here to
-// the demands of others, in the order of their ranks.
+// serveRequests returns a transfer that takes from the reserve for this shard's demand, or that gives
+// this shard's idle allowance to another shard's demand. It considers the requests in rank order.
 func (p *planner) serveRequests() *Transfer {
 	reserve := p.quota.ledger.Reserve
 	for position, request := range p.tracker.requestsFor(p.team, p.quota) {
-		// What the reserve has, the requesting shard takes by itself.
+		// The requesting shard takes whatever the reserve covers by itself.
 		missing, wanted := request.Missing.Minus(reserve), request.Wanted.Minus(reserve)
 		if request.shard == p.tracker.shard {
 			if transfer := p.takeFromReserve(request, reserve); transfer != nil {
@@ -76,8 +78,8 @@
 	return nil
 }
 
-// takeFromReserve takes what this shard's demand lacks: at least what one task or a whole
-// gang does.
+// takeFromReserve returns a transfer from the reserve for this shard's demand, or nil. The reserve must
+// cover at least the amount that one task, or a whole gang, lacks.
 func (p *planner) takeFromReserve(request shardRequest, reserve Amount) *Transfer {
 	amount := request.Wanted.Min(reserve)
 	if amount.IsZero() || !reserve.Covers(request.Missing) {
@@ -87,8 +89,8 @@
 	return p.transfer("taken from the reserve", next, Amount{}, err).serving(request)
 }
 
-// toGive is how much of the idle allowance to give for another shard's request. A part of what
-// a task or gang lacks goes only to the first request of all.
+// toGive returns how much of this shard's idle allowance to give to another shard's request. Only the
+// highest-ranked request gets an amount that is too small for one task or gang.
 func (p *planner) toGive(request shardRequest, missing, wanted Amount, isFirst bool) (amount Amount, ok bool) {
 	if int(request.shard) >= p.tracker.shards || p.now.Sub(p.quota.gaveAt) < transferInterval {
 		return Amount{}, false
@@ -98,15 +100,16 @@
 	return amount, !amount.IsZero() && (isFirst || spare.Covers(missing))
 }
 
-// give moves idle allowance to the shard that requested it.
+// give returns a transfer of idle allowance to the shard that requested it.
 func (p *planner) give(request shardRequest, amount Amount) *Transfer {
 	p.quota.gaveAt = p.now
 	next, err := p.quota.ledger.Give(p.tracker.shard, request.shard, amount)
 	return p.transfer(fmt.Sprintf("given to shard %d", request.shard), next, amount, err).serving(request)
 }
 
-// transfer makes a transition ready to be sent, before all that serves a request; nil if err
-// tells that the transition is not allowed.
+// transfer returns a Transfer for a transition, or nil if err is not nil, because the ledger does not
+// allow the transition. The transfer gets the highest rank, so that it is sent before all those that
+// serve a request.
 func (p *planner) transfer(reason string, next Ledger, withheld Amount, err error) *Transfer {
 	if err != nil {
 		return nil
@@ -115,7 +118,7 @@
 	return &Transfer{Team: p.team, Reason: reason, next: next, base: p.quota.revision, withheld: withheld, request: first}
 }
 
-// serving notes whose request the transfer serves, if there is a transfer.
+// serving records which request the transfer serves, and returns the transfer. A nil transfer stays nil.
 func (t *Transfer) serving(request shardRequest) *Transfer {
 	if t != nil {
 		t.request = request
--- a/internal/quota/rebalancer.go
+++ b/internal/quota/rebalancer.go
@@ -13,33 +13,33 @@
 	"github.com/pebbletrail/pebbletrail/internal/state"
 )
 
-// Store is what a Rebalancer needs of the state service.
+// Store is the part of the state service's client that a Rebalancer uses.
 type Store interface {
 	Commit(ctx context.Context, txn state.Txn, urgency state.Priority) (ids.StoreRevision, error)
 	Get(ctx context.Context, key string, urgency state.Priority) (state.Entry, bool, error)
 }
 
-// The write budget of one leader's transfers and requests: writes in a second, and at once.
-// What waits for it is served by rank.
+// The write budget of one leader's transfers and requests: the average writes per second, and the
+// largest burst. Transfers that exceed the budget wait in rank order.
 const (
 	writesPerSecond = 2
 	writeBurst      = 6
 )
 
-// Rebalancer moves allowances between shards: it commits the transfers that one leader's
-// tracker decides on, and stores its requests.
+// Rebalancer moves allowances between shards: it commits the transfers that one leader's Tracker plans,
+// and stores the requests of the leader's shard.
 type Rebalancer struct {
-	// lock guards the tracker. It is the granting leader's own lock, so it is never held
-	// during a call of the state service or of fence, which may wait for other locks.
+	// lock guards the tracker. The leader also holds it while it grants. The Rebalancer therefore
+	// does not hold it while calling the state service or fence, which may wait for other locks.
 	lock    sync.Locker
 	tracker *Tracker
 	store   Store
-	// fence is the condition that is met while this leader leads its shard.
+	// fence returns a condition that holds only while this leader leads its shard.
 	fence   func() state.Condition
 	limiter *rate.Limiter
 }
 
-// NewRebalancer makes the rebalancer of one term. The lock is the one that guards the tracker.
+// NewRebalancer returns the Rebalancer of one leader's term. lock is the lock that guards the tracker.
 func NewRebalancer(tracker *Tracker, store Store, lock sync.Locker, fence func() state.Condition) *Rebalancer {
 	return &Rebalancer{
 		lock:    lock,
@@ -50,7 +50,7 @@
 	}
 }
 
-// Run rebalances until the context ends. It starts no goroutines.
+// Run rebalances at each interval until the context is done. It starts no goroutines.
 func (r *Rebalancer) Run(ctx context.Context, interval time.Duration) {
 	for ctx.Err() == nil {
 		r.sync(ctx)
@@ -61,7 +61,7 @@
 	}
 }
 
-// sync sends what is due now.
+// sync commits the transfers that are due and stores the shard's requests, within the write budget.
 func (r *Rebalancer) sync(ctx context.Context) {
 	r.lock.Lock()
 	transfers := r.tracker.dueTransfers()
@@ -82,8 +82,8 @@
 	r.tracker.postpone(transfer)
 }
 
-// commit sends one transfer. One without an answer, or that conflicts, is settled by what is
-// stored: the change may be long in coming.
+// commit commits one transfer. If the commit fails, commit reads the stored ledger to learn the outcome
+// at once, because the watch may deliver the change much later.
 func (r *Rebalancer) commit(ctx context.Context, transfer *Transfer) {
 	txn, err := transfer.Txn(r.fence())
 	if err != nil {
@@ -100,7 +100,8 @@
 	}
 }
 
-// refresh reads a team's ledger. If that fails, a change of it has to be waited for.
+// refresh reads a team's ledger and applies it. If the read fails, the tracker learns the ledger from
+// its next watched change.
 func (r *Rebalancer) refresh(ctx context.Context, team string) {
 	entry, found, err := r.store.Get(ctx, LedgerKey(team), state.Normal)
 	if err == nil && found {
@@ -114,8 +115,8 @@
 	r.tracker.Apply(change)
 }
 
-// storeRequests stores what this shard requests, if that has changed enough. Requests grant
-// nothing, so a write that fails, or whose answer is lost, does no harm.
+// storeRequests stores this shard's requests if they have changed enough. A failed write, or one whose
+// response is lost, is harmless, because requests grant nothing.
 func (r *Rebalancer) storeRequests(ctx context.Context) {
 	r.lock.Lock()
 	requests, due := r.tracker.ownRequests()
--- a/internal/quota/request.go
+++ b/internal/quota/request.go
@@ -10,28 +10,29 @@
 	"github.com/pebbletrail/pebbletrail/internal/state"
 )
 
-// Request is a demand as other leaders see it: what the shard lacks beyond its idle allowance.
+// Request is one shard's demand for a team's allowance as other leaders see it: the amounts that the
+// shard lacks beyond its idle allowance.
 type Request struct {
-	// Missing is what one unit lacks. Wanted is what all of the demand lacks.
+	// Missing is the amount that one Unit of the demand lacks. Wanted is the amount that its Total lacks.
 	Missing Amount `json:"missing"`
 	Wanted  Amount `json:"wanted"`
 	Rank    Rank   `json:"rank"`
 }
 
-// Requests is what one shard requests, by team, as it is stored.
+// Requests is the stored record of one shard's requests, by team.
 type Requests struct {
-	// Version is the version of the stored form.
+	// Version is the version of the stored format.
 	Version int                `json:"form"`
 	Teams   map[string]Request `json:"teams"`
 }
 
-// shardRequest is a request and the shard that made it.
+// shardRequest is a Request and the shard that made it.
 type shardRequest struct {
 	Request
 	shard Shard
 }
 
-// compare orders requests, the first to be served first.
+// compare returns a negative number if r is served before other, and a positive one if after it.
 func (r shardRequest) compare(other shardRequest) int {
 	switch {
 	case r.Rank.outranks(other.Rank):
@@ -42,12 +43,12 @@
 	return cmp.Or(cmp.Compare(r.Rank.Since, other.Rank.Since), cmp.Compare(r.shard, other.shard))
 }
 
-// ageTolerance is by how much the age of a demand may differ from the stored one before the
-// request is stored again, in milliseconds as ids.Wall counts.
+// ageTolerance is the largest difference between Rank.Since of a request and of its stored version for
+// which the request is not stored again. It is in milliseconds, the unit of ids.Timestamp.
 const ageTolerance = 5000
 
-// similarTo reports whether a request differs so little from the stored one that storing it
-// again is not worth a write.
+// similarTo reports whether a request differs too little from its stored version to justify another
+// write.
 func (r Request) similarTo(stored Request) bool {
 	if r.Rank.outranks(stored.Rank) || stored.Rank.outranks(r.Rank) {
 		return false
@@ -59,7 +60,7 @@
 	return similarAmounts(r.Missing, stored.Missing) && similarAmounts(r.Wanted, stored.Wanted)
 }
 
-// similarAmounts reports whether neither amount is more than twice the other of any resource.
+// similarAmounts reports whether, for every resource, neither amount is more than twice the other.
 func similarAmounts(a, b Amount) bool {
 	for r := range a {
 		if max(a[r], b[r]) > 2*min(a[r], b[r]) {
@@ -69,16 +70,16 @@
 	return true
 }
 
-// requestInterval is the least time between two writes of a shard's requests. A request for a
-// team that requested nothing before is written at once.
+// requestInterval is the minimum time between two writes of a shard's requests. A request for a team
+// without a stored request is written without this delay.
 const requestInterval = 2 * time.Second
 
-// requestBoard is what all shards request, as last read.
+// requestBoard holds the requests of all shards, as last read from the state service.
 type requestBoard struct {
 	own       Shard
 	teams     map[Shard]map[string]Request
 	revisions map[Shard]ids.Revision
-	// ownStoredAt is when this shard's requests were last stored.
+	// ownStoredAt is the time at which this leader last learned that its shard's requests were stored.
 	ownStoredAt time.Time
 }
 
@@ -86,8 +87,9 @@
 	return requestBoard{own: own, teams: map[Shard]map[string]Request{}, revisions: map[Shard]ids.Revision{}}
 }
 
-// apply replaces what a shard requests, and reports whether the change was newer than what
-// was known. Requests only make transfers happen, so one that can't be read counts as none.
+// apply replaces a shard's requests by those of a change, and reports whether the change was newer than
+// the known requests. Requests that can't be decoded count as none: requests only cause transfers and
+// never grant anything.
 func (b *requestBoard) apply(shard Shard, change state.Change, now time.Time) bool {
 	if change.Revision <= b.revisions[shard] {
 		return false
@@ -104,13 +106,13 @@
 	return true
 }
 
-// hasOwn reports whether this shard's stored requests name a team.
+// hasOwn reports whether this shard's stored requests include one for the team.
 func (b *requestBoard) hasOwn(team string) bool {
 	_, found := b.teams[b.own][team]
 	return found
 }
 
-// others lists what the other shards request of a team's allowance, in no order.
+// others returns the other shards' requests for a team's allowance, in no particular order.
 func (b *requestBoard) others(team string) []shardRequest {
 	var requests []shardRequest
 	for shard, byTeam := range b.teams {
@@ -121,8 +123,8 @@
 	return requests
 }
 
-// writeDue reports whether this shard's requests differ enough from the stored ones to be
-// worth a write now.
+// writeDue reports whether this shard's current requests differ enough from its stored ones to justify
+// a write now.
 func (b *requestBoard) writeDue(current map[string]Request, now time.Time) bool {
 	stored := b.teams[b.own]
 	changed := len(current) != len(stored)
@@ -136,7 +138,7 @@
 	return changed && now.Sub(b.ownStoredAt) >= requestInterval
 }
 
-// sorted puts requests in the order in which they are served.
+// sorted sorts requests in place into the order in which they are served, and returns them.
 func sorted(requests []shardRequest) []shardRequest {
 	slices.SortFunc(requests, shardRequest.compare)
 	return requests
--- a/internal/quota/simulation_records_test.go
+++ b/internal/quota/simulation_records_test.go
@@ -10,12 +10,12 @@
 	"github.com/pebbletrail/pebbletrail/internal/quota"
 )
 
-// workerRecord is the workers' own record of what runs, in all shards. It checks the limits at
-// each start.
+// workerRecord records the tasks that run on the workers of all shards. It checks the team's limit each
+// time a task starts.
 type workerRecord struct {
 	mu            sync.Mutex
 	limits        map[string]placement.Resources
-	fencingTokens map[quota.Shard]int // the highest generation seen
+	fencingTokens map[quota.Shard]int // the highest generation known of each shard's leaders
 	running       map[string]task
 	ended         map[string]bool
 	started       int
@@ -23,7 +23,7 @@
 	grantDelays   []time.Duration
 }
 
-// start begins a task unless its order is from a leader that was replaced.
+// start starts a task, unless it has started before or the command is from a leader that was replaced.
 func (w *workerRecord) start(shard quota.Shard, generation int, t task) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -50,15 +50,15 @@
 	})
 }
 
-// fence turns away what leaders before a generation may still send.
+// fence rejects later commands from leaders of a generation below the given one.
 func (w *workerRecord) fence(shard quota.Shard, generation int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.fencingTokens[shard] = max(w.fencingTokens[shard], generation)
 }
 
-// status tells whether a task is surely not running, once its shard was fenced, and whether
-// it has run.
+// status reports whether a task is not running, which is final once its shard was fenced, and whether
+// it has run to its end.
 func (w *workerRecord) status(id string) (gone, ended bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -66,10 +66,9 @@
 	return !running, w.ended[id]
 }
 
-// storeChecker checks, in the order in which the store carries changes out, that what is
-// recorded of a shard's tasks never takes more than the shard's allowance. The store
-// applies one transaction after the other, so that order is the one in which transfers and
-// grants took effect, whoever decided them when.
+// storeChecker checks after each change of the store that the recorded tasks of a shard use no more than
+// the shard's allowance. The store applies one transaction after another, so the order of the changes is
+// the order in which transfers and grants took effect, whichever leader made them.
 type storeChecker struct {
 	mu        sync.Mutex
 	ledgers   map[string]quota.Ledger
@@ -83,7 +82,7 @@
 	return &storeChecker{ledgers: map[string]quota.Ledger{}, used: map[string]map[quota.Shard]quota.Amount{}, tasks: map[string]task{}}
 }
 
-// applyChange takes in one change; a nil value is a removal.
+// applyChange applies one change of the store and checks the result. A nil value is a removal.
 func (o *storeChecker) applyChange(key string, value json.RawMessage) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -114,14 +113,14 @@
 	o.checkTeam(record.Team, key)
 }
 
-// decode reads a stored value; one that can't be read is an illegal state.
+// decode decodes a stored value. A value that can't be decoded counts as a violation.
 func (o *storeChecker) decode(key string, value json.RawMessage, target any) {
 	if err := json.Unmarshal(value, target); err != nil && o.violation == "" {
 		o.violation = fmt.Sprintf("%s can't be read: %v", key, err)
 	}
 }
 
-// addUsage adds what a task takes to its team's use, or takes it off.
+// addUsage adds a task's resources to its team's usage in a shard, or subtracts them if sign is -1.
 func (o *storeChecker) addUsage(t task, shard quota.Shard, sign int64) {
 	if o.used[t.Team] == nil {
 		o.used[t.Team] = map[quota.Shard]quota.Amount{}
@@ -130,12 +129,12 @@
 	for r, amount := range quota.AmountOf(t.Need) {
 		sum[r] += sign * amount
 	}
-	sum[quota.Memory] = 0 // not limited here
+	sum[quota.Memory] = 0 // the simulation does not limit memory
 	o.used[t.Team][shard] = sum
 }
 
-// result is the first violation found, and how many were checked. The store goes
-// on changing while the test reads this.
+// result returns the first violation, if any, and the number of checks. It holds the lock because the
+// store may still be changing.
 func (o *storeChecker) result() (violation string, checks int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -152,7 +151,7 @@
 	}
 }
 
-// result tells of a breach of a limit, and how many tasks ran to their end.
+// result returns the last breach of a limit, if any, and the number of tasks that ran to their end.
 func (w *workerRecord) result() (breach string, ended int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/quota/simulation_test.go
+++ b/internal/quota/simulation_test.go
@@ -22,7 +22,8 @@
 	"github.com/pebbletrail/pebbletrail/internal/state"
 )
 
-// leaseTime is how long a leader of the simulation leads after its last good renewal.
+// leaseTime is the time for which a leader of the simulation leads after the last successful renewal of
+// its lease.
 const leaseTime = 1500 * time.Millisecond
 
 // task is one task of the simulation.
@@ -35,7 +36,7 @@
 	submittedAt time.Time
 }
 
-// simulation is several controllers, the shards they lead and their workers.
+// simulation runs several controllers with the shards that they lead and the workers.
 type simulation struct {
 	t       *testing.T
 	ctx     context.Context
@@ -43,18 +44,19 @@
 	store   *fake.Store
 	workers *workerRecord
 	limits  map[string]quota.Limit
-	// withoutLedger plants a fault: leaders grant by the whole limit and their own use.
+	// withoutLedger injects a fault: each leader grants up to the team's whole limit, and counts only
+	// the usage in its own shard.
 	withoutLedger bool
 
 	mu           sync.Mutex
-	queues       map[quota.Shard][]task // all that has not ended
-	pauses       map[string]time.Time   // until when a controller is paused
+	queues       map[quota.Shard][]task // submitted tasks that have not ended
+	pauses       map[string]time.Time   // time until which each controller is paused
 	incarnations int
 }
 
 const shardCount = 3
 
-// setLimit changes a team's limit in the settings of controllers that start from now on.
+// setLimit changes a team's limit in the settings of controllers that start later.
 func (s *simulation) setLimit(team string, limit placement.Resources) {
 	s.workers.mu.Lock()
 	s.workers.limits[team] = limit
@@ -64,7 +66,7 @@
 	s.limits = limits
 }
 
-// simulate runs f under a clock of its own.
+// simulate runs f with a new simulation under a fake clock.
 func simulate(t *testing.T, f func(s *simulation)) {
 	slog.SetDefault(slog.New(slog.NewTextHandler(io.Discard, nil)))
 	synctest.Test(t, func(t *testing.T) {
@@ -90,14 +92,14 @@
 	s.queues[shard] = append(s.queues[shard], t)
 }
 
-// pause stops a controller wherever it is for a while.
+// pause makes a controller block in waitWhilePaused for a duration.
 func (s *simulation) pause(node string, duration time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.pauses[node] = time.Now().Add(duration)
 }
 
-// waitWhilePaused is where a controller may be paused.
+// waitWhilePaused blocks while the controller is paused.
 func (s *simulation) waitWhilePaused(node string) {
 	s.mu.Lock()
 	until := s.pauses[node]
@@ -105,7 +107,7 @@
 	time.Sleep(time.Until(until))
 }
 
-// controller is one process; it ends with its context.
+// controller is one controller process. It runs until its context is done.
 type controller struct {
 	*simulation
 	name      string
@@ -116,7 +118,7 @@
 	terms     map[quota.Shard]*term
 }
 
-// start starts a controller, and returns how to kill it.
+// start starts a controller and returns a function that kills it.
 func (s *simulation) start(name string) context.CancelFunc {
 	ctx, cancel := context.WithCancel(s.ctx)
 	s.incarnations++
@@ -137,7 +139,7 @@
 	return cancel
 }
 
-// term is one term of leading a shard.
+// term is one term of a shard's leader.
 type term struct {
 	controller *controller
 	shard      quota.Shard
@@ -146,13 +148,13 @@
 	lease      ids.Lease
 	tracker    *quota.Tracker
 	rebalancer *quota.Rebalancer
-	renewed    atomic.Int64    // when, in nanoseconds
-	tasks      map[string]task // recorded, and what may be there
+	renewed    atomic.Int64    // time of the last renewal of the lease, in nanoseconds
+	tasks      map[string]task // tasks that are recorded or may be
 }
 
 func (t *term) key(id string) string { return fmt.Sprintf("task/%d/%s", t.shard, id) }
 
-// lead takes the shard over whenever it has no leader.
+// lead tries again and again to become the shard's leader, and leads it when that succeeds.
 func (c *controller) lead(ctx context.Context, shard quota.Shard, incarnation int) {
 	for ctx.Err() == nil {
 		c.waitWhilePaused(c.name)
@@ -166,14 +168,15 @@
 	}
 }
 
-// decode reads a stored value, which only controllers write.
+// decode decodes a stored value. Only controllers write these values, so a failure is a test error.
 func (c *controller) decode(value json.RawMessage, target any) {
 	if err := json.Unmarshal(value, target); err != nil {
 		c.t.Errorf("%s: stored value %s: %v", c.name, value, err)
 	}
 }
 
-// campaign acquires the shard's lease and loads what is stored; nil if that fails.
+// campaign acquires the shard's lease and loads the stored tasks, ledgers and requests. It returns nil if
+// that fails.
 func (c *controller) campaign(ctx context.Context, shard quota.Shard, incarnation int) *term {
 	leader, generation := fmt.Sprintf("lead/%d", shard), fmt.Sprintf("generation/%d", shard)
 	last, _, err := c.client.Get(ctx, generation, state.Urgent)
@@ -202,7 +205,7 @@
 	t.rebalancer = quota.NewRebalancer(t.tracker, c.client, &c.mu, func() state.Condition { return t.fence })
 	c.workers.fence(shard, t.generation)
 	c.mu.Lock()
-	c.terms[shard] = t // news counts from before the listing on
+	c.terms[shard] = t // before the listing, so that the tracker misses no change
 	c.mu.Unlock()
 	records, _, recordsErr := c.client.ListAll(ctx, t.key(""), state.Urgent)
 	entries, _, quotaErr := c.client.ListAll(ctx, quota.Prefix, state.Urgent)
@@ -222,7 +225,7 @@
 	return t
 }
 
-// run leads until the lease may have ended.
+// run leads the shard until the lease may have expired.
 func (t *term) run(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -243,13 +246,13 @@
 	for ctx.Err() == nil {
 		t.reconcile(ctx)
 		if !t.grantTasks(ctx) {
-			return // replaced, or ended
+			return // this leader was replaced, or its context is done
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
 }
 
-// reconcile removes the records of what surely ended.
+// reconcile removes the records of tasks that certainly no longer run.
 func (t *term) reconcile(ctx context.Context) {
 	t.controller.mu.Lock()
 	var ended []task
@@ -270,29 +273,30 @@
 	}
 }
 
-// grantTasks starts what the shard's queue and the team's allowance allow, the first first. It
-// tells whether this leader may go on.
+// grantTasks starts queued tasks of the shard in order, as far as the allowances of their teams permit.
+// It reports whether this leader may continue.
 func (t *term) grantTasks(ctx context.Context) bool {
 	for _, next := range t.selectTasks() {
 		encoded, _ := json.Marshal(next)
 		var err error
 		for {
-			t.controller.waitWhilePaused(t.controller.name) // between deciding and writing
+			t.controller.waitWhilePaused(t.controller.name) // between the decision and its write
 			_, err = t.controller.client.Commit(ctx, state.Txn{Conditions: []state.Condition{t.fence}, Ops: []state.Op{{Put: t.key(next.ID), Value: encoded}}}, state.Urgent)
 			if err == nil || ctx.Err() != nil || !errors.Is(err, state.ErrOutcomeUnknown) && !errors.Is(err, state.ErrRefused) {
 				break
 			}
 		}
 		if err != nil {
-			return false // its next leader starts it
+			return false // the shard's next leader starts the task
 		}
-		t.controller.waitWhilePaused(t.controller.name) // between writing and sending
+		t.controller.waitWhilePaused(t.controller.name) // between the write and the command to the worker
 		t.controller.workers.start(t.shard, t.generation, next)
 	}
 	return true
 }
 
-// selectTasks decides what to start, counts it as in use and tells the tracker what is pending.
+// selectTasks returns the tasks to start, adds them to the usage and passes the demands of the others to
+// the tracker.
 func (t *term) selectTasks() (picked []task) {
 	t.controller.mu.Lock()
 	defer t.controller.mu.Unlock()
@@ -330,7 +334,8 @@
 	return picked
 }
 
-// submitMany submits tasks of both teams at all shards at the same instants.
+// submitMany submits tasks of all teams to all shards, in rounds. All tasks of a round are submitted at
+// the same instant.
 func (s *simulation) submitMany(rng *rand.Rand, rounds int) {
 	for round := range rounds {
 		for shard := range quota.Shard(shardCount) {
@@ -347,7 +352,8 @@
 	}
 }
 
-// awaitAll waits until all submitted tasks have run.
+// awaitAll waits until the given number of tasks have run to their end, and reports an error if that
+// takes longer than within.
 func (s *simulation) awaitAll(tasks int, within time.Duration) {
 	s.t.Helper()
 	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(time.Second) {
--- a/internal/quota/stored.go
+++ b/internal/quota/stored.go
@@ -12,23 +12,24 @@
 
 // Keys of the state service.
 const (
-	// Prefix is what all keys of this package begin with.
+	// Prefix is the prefix of all keys of this package.
 	Prefix         = "quota/"
 	ledgerPrefix   = Prefix + "team/"
 	requestsPrefix = Prefix + "ask/"
 )
 
-// formVersion is the version of the stored forms that this program writes and reads.
+// formVersion is the version of the stored formats that this program writes, and the newest that it reads.
 const formVersion = 1
 
-// LedgerKey is where a team's ledger is stored. Team names may hold spaces, keys may not.
+// LedgerKey returns the key of a team's ledger. The team name is escaped, because team names may contain
+// spaces but keys may not.
 func LedgerKey(team string) string { return ledgerPrefix + url.PathEscape(team) }
 
-// RequestsKey is where a shard's requests are stored.
+// RequestsKey returns the key of a shard's requests.
 func RequestsKey(shard Shard) string { return requestsPrefix + strconv.Itoa(int(shard)) }
 
-// CheckStored tells why one of the stored ledgers can't be used with so many shards, with
-// ErrBadLedger; nil if all can.
+// CheckStored checks that all ledgers among the entries can be used with the given number of shards. It
+// returns an error that wraps ErrBadLedger for the first one that can't.
 func CheckStored(entries []state.Entry, shards int) error {
 	for _, entry := range entries {
 		name, found := strings.CutPrefix(entry.Key, ledgerPrefix)
@@ -42,7 +43,7 @@
 	return nil
 }
 
-// decodeLedger reads a stored ledger and checks that it can be used.
+// decodeLedger decodes a stored ledger and checks that it can be used with the given number of shards.
 func decodeLedger(raw json.RawMessage, shards int) (*Ledger, error) {
 	ledger := &Ledger{}
 	if err := json.Unmarshal(raw, ledger); err != nil {
--- a/internal/quota/team.go
+++ b/internal/quota/team.go
@@ -9,27 +9,28 @@
 	"github.com/pebbletrail/pebbletrail/internal/state"
 )
 
-// retentionPeriod is how long a shard keeps allowance that it was given from demands that go
-// before its own only by their age: what two shards want must not move back and forth.
+// retentionPeriod is the time for which a shard keeps allowance that it has received when another
+// shard's demand precedes its own only by age. It keeps allowance that two shards want from moving back
+// and forth.
 const retentionPeriod = 2 * time.Second
 
-// teamQuota is one leader's side of one team's quota.
+// teamQuota is one leader's state of one team's quota.
 type teamQuota struct {
 	ledgerView
 	usage    usage
 	demand   Demand
-	transfer *Transfer // under way to the state service; nil: none
-	// gaveAt is when allowance was last given to another shard.
+	transfer *Transfer // planned, or sent and not settled yet; nil: none
+	// gaveAt is the time at which allowance was last given to another shard.
 	gaveAt time.Time
-	// requestedAt is since when this shard has requested allowance; zero: it has not.
+	// requestedAt is the time since which this shard has had a stored request; zero: it has none.
 	requestedAt time.Time
 }
 
-// usage is what a team's tasks of one shard may be using.
+// usage is the resources that a team's tasks in one shard may be using.
 type usage struct {
-	exact   placement.Resources // as the jobs state it
+	exact   placement.Resources // as the jobs specify them
 	rounded Amount
-	// grantedAt is when something was last granted.
+	// grantedAt is the time of the last grant.
 	grantedAt time.Time
 }
 
@@ -41,19 +42,19 @@
 	u.rounded = AmountOf(exact).Minus(Amount{}) // never below zero
 }
 
-// ledgerView is a team's ledger as last read.
+// ledgerView is a team's ledger as last read, from the point of view of one shard.
 type ledgerView struct {
 	shard    Shard
-	ledger   *Ledger // nil: none, or none that can be used
+	ledger   *Ledger // nil: no ledger is stored, or the stored one can't be used
 	revision ids.Revision
-	fault    error // why nothing is granted to the team
-	// receivedAt is when a ledger that gives the shard an allowance was last read.
+	fault    error // why the stored ledger can't be used, and nothing is granted to the team
+	// receivedAt is the time at which a ledger was last read that gives the shard an allowance.
 	receivedAt time.Time
 }
 
-// apply replaces the ledger by a stored value, and reports whether that was newer. A ledger
-// that can't be used, or that was removed, stops all grants to the team and is never repaired
-// by guessing.
+// apply replaces the ledger by that of a change, and reports whether the change was newer. A ledger that
+// can't be used, or that was removed, stops all grants to the team. It is not repaired automatically,
+// because the correct allowances are unknown.
 func (v *ledgerView) apply(team string, change state.Change, shards int, now time.Time) bool {
 	if change.Revision <= v.revision {
 		return false
@@ -76,7 +77,7 @@
 	return true
 }
 
-// allowance is what the ledger allows the shard, as last read.
+// allowance returns the shard's allowance in the ledger as last read.
 func (v *ledgerView) allowance() Amount {
 	if v.ledger == nil {
 		return Amount{}
@@ -84,7 +85,8 @@
 	return v.ledger.Accounts[v.shard].Allowance
 }
 
-// withheld is what a transfer under way takes from this shard, applied or not.
+// withheld returns the amount that an unsettled transfer takes from this shard, whether or not it has
+// been applied.
 func (q *teamQuota) withheld() Amount {
 	if q.transfer == nil {
 		return Amount{}
@@ -92,8 +94,8 @@
 	return q.transfer.withheld
 }
 
-// usable is the part of the allowance that may be in use now: nothing of a resource whose
-// usage exceeded a lowered limit and has not fallen yet.
+// usable returns the part of the allowance that may be in use now. It is zero for a resource that is
+// overcommitted, because its limit was lowered below the usage.
 func (q *teamQuota) usable() Amount {
 	amount := q.allowance().Minus(q.withheld())
 	for resource, excess := range q.ledger.Overcommitted {
@@ -104,17 +106,18 @@
 	return amount
 }
 
-// idle is the allowance that the shard neither uses nor has offered.
+// idle returns the allowance that the shard does not use and that no unsettled transfer takes from it.
 func (q *teamQuota) idle() Amount {
 	return q.ledger.Limit.limited(q.allowance().Minus(q.usage.rounded).Minus(q.withheld()))
 }
 
-// exceedsAllowance reports whether more is in use than the ledger allows.
+// exceedsAllowance reports whether the shard's usage exceeds its allowance.
 func (q *teamQuota) exceedsAllowance() bool {
 	return q.ledger != nil && q.ledger.Open() && !q.allowance().Covers(q.ledger.Limit.limited(q.usage.rounded))
 }
 
-// request is what the team's demand lacks here; ok tells whether to request it.
+// request returns the amounts that the team's demand lacks in this shard. ok reports whether to request
+// them.
 func (q *teamQuota) request(now time.Time) (request shardRequest, ok bool) {
 	if q.ledger == nil || q.demand.Total.IsZero() || q.leavesIdle(now) {
 		return shardRequest{}, false
@@ -126,13 +129,13 @@
 	return request, !request.Wanted.IsZero()
 }
 
-// rankedDemand is the team's own demand as a request that compares with others.
+// rankedDemand returns a request with the rank of this shard's demand, to compare with other requests.
 func (q *teamQuota) rankedDemand() shardRequest {
 	return shardRequest{Request: Request{Rank: q.demand.Rank}, shard: q.shard}
 }
 
-// leavesIdle reports that the shard has had idle allowance for its demand for a while and
-// has not used it: whatever the demand waits for, it is not the allowance.
+// leavesIdle reports whether the shard has had enough idle allowance for its demand for longer than
+// retentionPeriod without granting anything: the demand waits for something other than allowance.
 func (q *teamQuota) leavesIdle(now time.Time) bool {
 	if q.demand.Total.IsZero() || !q.idle().Covers(q.ledger.Limit.limited(q.demand.Unit)) {
 		return false
@@ -140,7 +143,7 @@
 	return now.Sub(q.usage.grantedAt) > retentionPeriod && now.Sub(q.receivedAt) > retentionPeriod
 }
 
-// spareFor is how much of the idle allowance may go to a request of another shard.
+// spareFor returns how much of the idle allowance may go to another shard's request.
 func (q *teamQuota) spareFor(request shardRequest, now time.Time) Amount {
 	idle := q.idle()
 	if q.demand.Total.IsZero() || q.leavesIdle(now) {
@@ -154,7 +157,7 @@
 	return idle
 }
 
-// noteRequested notes since when the shard has requested allowance.
+// noteRequested updates requestedAt, given whether the shard now has a stored request for the team.
 func (q *teamQuota) noteRequested(requested bool, now time.Time) {
 	switch {
 	case !requested:
--- a/internal/quota/tracker.go
+++ b/internal/quota/tracker.go
@@ -13,26 +13,27 @@
 	"github.com/pebbletrail/pebbletrail/internal/state"
 )
 
-// Tracker is one leader's side of the ledgers: what its shard may use, what its tasks use, and
-// what is being transferred to other shards.
+// Tracker is one leader's view of the ledgers: its shard's allowances, the usage of its shard's tasks,
+// and the transfers to other shards that are not settled yet.
 //
-// It has no lock of its own. The lock of whoever grants guards it, since what is available
-// must not be given away between the question and the grant. No method blocks or calls out.
+// It has no lock of its own. The caller's lock guards it, and the caller must hold that lock from
+// Available until AddUsage, so that the allowance is not given away in between. No method blocks, and
+// none calls other components.
 type Tracker struct {
 	shard  Shard
 	shards int
-	// limits are those of this process's settings, which started at startedAt.
+	// limits are the team limits in the settings of this process, which started at startedAt.
 	limits    map[string]Limit
 	startedAt ids.Timestamp
-	// loaded tells that the stored ledgers were read after the shard was taken over.
+	// loaded reports that the stored ledgers were read after this leader took over the shard.
 	loaded   bool
 	teams    map[string]*teamQuota
 	requests requestBoard
 	now      func() time.Time
 }
 
-// NewTracker tracks the quotas of one term of leading a shard. With one shard the limits of the
-// settings are in force at once: nothing is stored and there is nothing to load.
+// NewTracker returns the Tracker of one term of a shard's leader. With a single shard the limits in the
+// settings apply immediately: no ledgers are stored or loaded.
 func NewTracker(shard Shard, shards int, limits map[string]Limit, startedAt ids.Timestamp) *Tracker {
 	return &Tracker{
 		shard:     shard,
@@ -46,7 +47,7 @@
 	}
 }
 
-// team finds or adds a team's quota.
+// team returns a team's quota, and adds an empty one if there is none.
 func (t *Tracker) team(name string) *teamQuota {
 	quota := t.teams[name]
 	if quota == nil {
@@ -56,16 +57,17 @@
 	return quota
 }
 
-// teamNames lists the teams of the settings and of the store, sorted.
+// teamNames returns the sorted names of the teams in the settings and of those otherwise known.
 func (t *Tracker) teamNames() []string {
 	names := slices.AppendSeq(slices.Collect(maps.Keys(t.limits)), maps.Keys(t.teams))
 	slices.Sort(names)
 	return slices.Compact(names)
 }
 
-// Load applies all that is stored below Prefix, read after the shard was taken over. Every
-// change after that read must be applied too, so changes have to be followed from before it on:
-// a leader that missed what it was given would leave that unused.
+// Load applies all entries stored under Prefix, which must be read after the leader took over the shard.
+// The caller must pass every change after that read to Apply, so it must begin to watch changes before
+// the read. A leader that misses a change that gives its shard allowance would leave the allowance
+// unused.
 func (t *Tracker) Load(entries []state.Entry) {
 	for _, entry := range entries {
 		t.Apply(state.Change{Put: entry.Key, Value: entry.Value, Revision: entry.Revision})
@@ -73,8 +75,8 @@
 	t.loaded = true
 }
 
-// Apply applies a change of a stored value, in the order of their revisions; older ones and
-// keys of others are passed over.
+// Apply applies a change of a stored ledger or of stored requests. It ignores other keys, and changes
+// that are older than the known revision of the key.
 func (t *Tracker) Apply(change state.Change) {
 	if escaped, found := strings.CutPrefix(change.Key(), ledgerPrefix); found {
 		if team, err := url.PathUnescape(escaped); err == nil {
@@ -88,19 +90,20 @@
 	}
 }
 
-// applyLedger replaces what is known of a team's ledger.
+// applyLedger applies a change of a team's ledger.
 func (t *Tracker) applyLedger(team string, change state.Change) {
 	quota := t.team(team)
 	if !quota.apply(team, change, t.shards, t.now()) {
 		return
 	}
-	// Whatever was under way was conditional on the revision before this one.
+	// The pending transfer was conditional on an earlier revision of the ledger, so it can no longer
+	// be applied.
 	if quota.transfer != nil && change.Revision > quota.transfer.base {
 		quota.transfer = nil
 	}
 }
 
-// applyRequests replaces what is known of a shard's requests.
+// applyRequests applies a change of a shard's requests.
 func (t *Tracker) applyRequests(shard Shard, change state.Change) {
 	now := t.now()
 	if !t.requests.apply(shard, change, now) || shard != t.shard {
@@ -111,17 +114,17 @@
 	}
 }
 
-// AddUsage counts what may be in use from now on.
+// AddUsage adds resources that a team's tasks may use from now on.
 func (t *Tracker) AddUsage(team string, room placement.Resources) {
 	quota := t.team(team)
 	quota.usage.add(room)
 	quota.usage.grantedAt = t.now()
 }
 
-// RemoveUsage counts off what is surely not in use any more.
+// RemoveUsage subtracts resources that a team's tasks certainly no longer use.
 func (t *Tracker) RemoveUsage(team string, room placement.Resources) { t.team(team).usage.remove(room) }
 
-// Usage is what a team's tasks of this shard may be using.
+// Usage returns the resources that a team's tasks in this shard may be using.
 func (t *Tracker) Usage(team string) placement.Resources {
 	if quota := t.teams[team]; quota != nil {
 		return quota.usage.exact
@@ -129,10 +132,10 @@
 	return placement.Resources{}
 }
 
-// Available is what may still be granted to a team. It is nothing for teams that the settings do
-// not know.
+// Available returns the resources that may still be granted to a team in this shard. It returns none for
+// a team that is not in the settings. A component is negative if more is in use than allowed.
 func (t *Tracker) Available(team string) placement.Resources {
-	const unlimited = 1e12 // of a resource without a limit
+	const unlimited = 1e12 // available quantity of a resource without a limit
 	limit, configured := t.limits[team]
 	if !configured {
 		return placement.Resources{}
@@ -156,8 +159,9 @@
 	return left
 }
 
-// allowed is the limit in force and how much of it this shard may use now. Until the ledger
-// has the limit of newer settings nothing is granted by the old one.
+// allowed returns the effective limit and how much of it this shard may use now. Both are zero while nothing
+// may be granted. That includes the time until the ledger has the limit of newer settings, so that nothing
+// is granted under the old limit.
 func (t *Tracker) allowed(quota *teamQuota, configured Limit) (Limit, Amount) {
 	ledger := quota.ledger
 	switch {
@@ -171,7 +175,7 @@
 	return ledger.Limit, quota.usable()
 }
 
-// SetDemands tells what the pending jobs of each team need; teams not named need nothing.
+// SetDemands replaces the demands of all teams. Teams that are not in the map have none.
 func (t *Tracker) SetDemands(demands map[string]Demand) {
 	for name, quota := range t.teams {
 		quota.demand = demands[name]
@@ -181,8 +185,8 @@
 	}
 }
 
-// requestsFor lists what all shards request of a team's allowance, this one too, the first to
-// be served first.
+// requestsFor returns the requests of all shards, including this one, for a team's allowance, in the
+// order in which they are served.
 func (t *Tracker) requestsFor(team string, quota *teamQuota) []shardRequest {
 	requests := t.requests.others(team)
 	if own, ok := quota.request(t.now()); ok {
@@ -191,8 +195,8 @@
 	return sorted(requests)
 }
 
-// ownRequests is what to store for the other leaders to see; due tells whether that differs
-// enough from what is stored to be worth a write now.
+// ownRequests returns this shard's requests, to be stored for the other leaders. due reports whether they
+// differ enough from the stored ones to justify a write now.
 func (t *Tracker) ownRequests() (requests Requests, due bool) {
 	now := t.now()
 	requests = Requests{Version: formVersion, Teams: map[string]Request{}}
@@ -204,9 +208,10 @@
 	return requests, t.requests.writeDue(requests.Teams, now)
 }
 
-// ReclaimNeeded is what the first request of another shard still lacks of a team's allowance after all
-// that is idle here, if it outranks this shard's work by more than its age: lesser work of
-// the team may be preempted for it.
+// ReclaimNeeded returns how much allowance the highest-ranked request for a team's allowance still lacks
+// after the reserve and this shard's idle allowance are counted, and the rank of that request. owed is
+// false if nothing is lacking, or if the highest-ranked request is this shard's own. The caller may
+// preempt lower-ranked tasks of the team for it.
 func (t *Tracker) ReclaimNeeded(team string) (amount Amount, rank Rank, owed bool) {
 	quota := t.teams[team]
 	if quota == nil || quota.ledger == nil {
--- a/internal/quota/transfer.go
+++ b/internal/quota/transfer.go
@@ -10,24 +10,25 @@
 	"github.com/pebbletrail/pebbletrail/internal/state"
 )
 
-// Transfer is a transition of one ledger under way to the state service.
+// Transfer is a transition of one ledger that is planned or sent, and not settled yet.
 type Transfer struct {
 	Team string
-	// Reason names the transition, for the log.
+	// Reason names the transition in log lines.
 	Reason string
 	next   Ledger
-	base   ids.Revision // of the ledger that it follows; 0: there was none
-	// withheld is what it takes from this shard. It is not granted from before the transfer
-	// is sent until it surely was not, and can no longer be, applied.
+	base   ids.Revision // revision of the ledger that the transition starts from; 0: there was none
+	// withheld is the amount that the transfer takes from this shard. The shard does not grant it from
+	// before the transfer is sent until a newer ledger is known, or the transfer certainly was not and
+	// can no longer be applied.
 	withheld Amount
-	request  shardRequest // which it serves
-	// uncertain tells that it was sent without an answer: it may be sent again, and still
-	// applies only once.
+	request  shardRequest // the request that the transfer serves
+	// uncertain reports that the transfer was sent and its outcome is unknown. It may be sent again,
+	// because it applies at most once.
 	uncertain bool
 }
 
-// Txn is the transfer's transaction. It applies only to the ledger that it was decided on,
-// and only while this leader leads its shard, which fence is the condition for.
+// Txn returns the transfer's transaction. It applies only to the ledger revision that the transfer was
+// planned from, and only while this leader leads its shard, for which fence is the condition.
 func (t *Transfer) Txn(fence state.Condition) (state.Txn, error) {
 	encoded, err := json.Marshal(t.next)
 	if err != nil {
@@ -40,9 +41,9 @@
 	}, nil
 }
 
-// dueTransfers decides what to send now, at most one transfer a team, the first to be served
-// first. Those without an answer come again: a transfer that is sent twice applies once, and
-// any later change of the ledger keeps it from being applied late.
+// dueTransfers returns the transfers to send now, highest-ranked first, at most one for each team. It
+// includes transfers whose outcome is unknown: a transfer that is sent twice applies at most once, and
+// any later change of the ledger prevents a delayed application.
 func (t *Tracker) dueTransfers() []*Transfer {
 	if !t.loaded || t.shards == 1 {
 		return nil
@@ -61,21 +62,21 @@
 	return transfers
 }
 
-// recordOutcome takes in what became of a transfer. Without an answer it stays under way, and
-// what it takes from this shard stays withheld, until a newer revision of the ledger is known.
+// recordOutcome records the outcome of a transfer. If the outcome is unknown, the transfer stays pending
+// and its amount stays withheld until a newer revision of the ledger is known.
 func (t *Tracker) recordOutcome(transfer *Transfer, at ids.StoreRevision, err error) {
 	quota := t.team(transfer.Team)
 	if quota.transfer != transfer {
-		return // a newer revision has settled it
+		return // a newer revision of the ledger has settled the transfer
 	}
 	var conflict *state.ConflictError
 	refused := errors.As(err, &conflict) || errors.Is(err, state.ErrRefused)
 	switch {
 	case err == nil:
-		encoded, _ := json.Marshal(transfer.next) // Txn has encoded the same ledger before
+		encoded, _ := json.Marshal(transfer.next) // cannot fail: Txn has encoded the same ledger
 		t.applyLedger(transfer.Team, state.Change{Put: LedgerKey(transfer.Team), Value: encoded, Revision: ids.Revision(at)})
 	case refused && !transfer.uncertain:
-		quota.transfer = nil // surely not applied; a change tells what is stored
+		quota.transfer = nil // certainly not applied; Apply will provide the stored ledger
 	case errors.Is(err, state.ErrMalformed):
 		quota.transfer = nil
 		quota.fault = fmt.Errorf("the ledger of team %s can't be stored: %w", transfer.Team, err)
@@ -84,8 +85,8 @@
 	}
 }
 
-// postpone takes back a transfer that was never sent: it is decided anew when the write
-// budget allows.
+// postpone drops a transfer that was never sent, because the write budget was exhausted. A later call of
+// dueTransfers plans it anew.
 func (t *Tracker) postpone(transfer *Transfer) {
 	if quota := t.team(transfer.Team); quota.transfer == transfer && !transfer.uncertain {
 		quota.transfer = nil
