--- a/internal/provisioning/cloud_list.go
+++ b/internal/provisioning/cloud_list.go
@@ -6,26 +6,26 @@
 	"github.com/pebbletrail/pebbletrail/internal/worker"
 )
 
-// listLags is the assumed lag of the cloud's list in multiples of its nominal lag: the list may lag twice
-// as long as that, and one more is the margin.
+// listLags is the assumed lag of the cloud's list of machines, as a multiple of the configured lag. The
+// list may lag by twice the configured lag; one more is a margin.
 const listLags = 3
 
-// cloudList is what is known of the cloud's list of machines.
+// cloudList tracks how current the leader's last read of the cloud's list of machines is.
 type cloudList struct {
 	*State
-	readBegan time.Time // when the last complete read of it began
+	readBegan time.Time // start of the last complete read of the list
 }
 
-// lag returns how far the list may lag behind.
+// lag returns the longest time by which the list may lag behind the actual machines.
 func (l *cloudList) lag() time.Duration {
 	return listLags * l.Settings.Params.Cloud.ListLagS.Duration()
 }
 
-// since returns how long after a moment the last complete read of the list began.
+// since returns the time from a moment to the start of the last complete read of the list.
 func (l *cloudList) since(moment time.Time) time.Duration { return l.readBegan.Sub(moment) }
 
-// misses reports whether the cloud certainly has no such machine any more: a machine stays listed until
-// it is gone.
+// misses reports whether a machine that has not reported is absent from the list for so long that it
+// certainly no longer exists. The cloud lists every machine until it is gone.
 func (l *cloudList) misses(machine *worker.Machine) bool {
 	lag := l.lag()
 	return !machine.HasReported && l.since(machine.DiscoveredAt) > lag &&
--- a/internal/provisioning/consolidation.go
+++ b/internal/provisioning/consolidation.go
@@ -14,32 +14,35 @@
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// consolidator empties machines whose few replicas fit on others, one machine at a time.
+// consolidator chooses machines whose few replicas fit on other machines, and tracks the one that is being
+// emptied. Only one machine is emptied at a time.
 type consolidator struct {
 	*State
-	machine ids.Machine // being emptied; empty: none
-	since   time.Time   // when that began
+	machine ids.Machine // the machine that is being emptied; "" if there is none
+	since   time.Time   // start of the consolidation of machine
 }
 
-// ConsolidationCandidate is a machine that may be emptied, with what its replicas need elsewhere.
+// ConsolidationCandidate is a machine that may be emptied, with the capacity that its replicas need on
+// other machines.
 type ConsolidationCandidate struct {
 	Name  ids.Machine
 	Needs []placement.Demand
 }
 
 const (
-	// minRelocatableAge is how long a replica must have run before it is moved: a start that is soon
-	// undone is worth nothing.
+	// minRelocatableAge is the minimum time that a replica must have run before it is moved. Moving it
+	// earlier would waste its start.
 	minRelocatableAge = 40 * time.Second
-	// consolidationTime is how long emptying one machine may take before other machines are considered.
+	// consolidationTime is the time after which other machines are considered even if the current machine
+	// has not been emptied.
 	consolidationTime = time.Minute
-	// minConsolidatedAge is the age from which a machine may be emptied or returned.
+	// minConsolidatedAge is the minimum age of a machine that is emptied, or returned because it is idle.
 	minConsolidatedAge = time.Minute
-	// maxConsolidationCandidates bounds the candidates that are returned.
+	// maxConsolidationCandidates is the maximum number of candidates that are returned.
 	maxConsolidationCandidates = 6
 )
 
-// valuedCandidate is a candidate and the cores that it uses for its price.
+// valuedCandidate is a candidate and its value: the cores in use on it per unit of its price.
 type valuedCandidate struct {
 	ConsolidationCandidate
 	value float64
@@ -73,7 +76,7 @@
 	return candidates
 }
 
-// candidateOf returns a node as a candidate; ok reports whether it may be emptied.
+// candidateOf returns the candidate for a node. ok reports whether the node may be emptied.
 func (c *consolidator) candidateOf(node *capacity.Node, now time.Time) (candidate valuedCandidate, ok bool) {
 	machine := c.Machines.Machines[node.Name]
 	if len(node.Assignments) == 0 || machine == nil || c.Capacity.Type(machine.Type) == nil ||
@@ -94,7 +97,8 @@
 	return candidate, true
 }
 
-// IsSettledReplica reports whether an assignment is a replica that has run long enough to be moved.
+// IsSettledReplica reports whether an assignment is a replica of a service that has run long enough to be
+// moved and is not being stopped.
 func IsSettledReplica(assignment *workload.Assignment, now time.Time) bool {
 	return assignment.Job.Record.Spec.Shape == record.Service && !assignment.Stopping &&
 		assignment.Status == worker.StateRunning && now.Sub(assignment.RunningSince) >= minRelocatableAge
--- a/internal/provisioning/headroom.go
+++ b/internal/provisioning/headroom.go
@@ -11,15 +11,16 @@
 	"github.com/pebbletrail/pebbletrail/internal/record"
 )
 
-// headroomPlanner computes the capacity to keep free: some for critical work, and for classes that must
-// start sooner than a machine boots as much as they recently used.
+// headroomPlanner computes the capacity to keep free: a share of the running tasks for critical classes,
+// and an amount based on recent usage for arrays whose class has an objective and for classes whose tasks
+// must start sooner than a machine boots.
 type headroomPlanner struct {
 	*State
 	usage *usageHistory
 }
 
-// minSamples is how many samples of a class it takes, for example after a takeover, before machines are
-// provisioned by them.
+// minSamples is the number of samples of a class, after a takeover for example, from which machines are
+// provisioned for the class's headroom.
 const minSamples = 60
 
 // demands returns the headroom of all classes, sorted by class.
@@ -32,7 +33,7 @@
 	return demands
 }
 
-// demandOf returns the headroom of one class; its count is 0 or less if the class needs none.
+// demandOf returns the headroom demand of one class. Its count is 0 or less if the class needs none.
 func (h *headroomPlanner) demandOf(class string, usage *classUsage) placement.Demand {
 	demand := placement.Demand{Request: usage.request, Headroom: true}
 	current := max(usage.runningNow, usage.wantedNow)
@@ -53,19 +54,18 @@
 	return demand
 }
 
-// hasObjective reports whether there is an objective for a class. Objectives for guarantees apply to all
-// classes.
+// hasObjective reports whether an objective applies to a class. Guarantee objectives apply to all classes.
 func hasObjective(objectives []config.Objective, class string) bool {
 	return slices.ContainsFunc(objectives, func(objective config.Objective) bool {
 		return objective.Class == class || objective.Kind == config.ObjectiveGuarantee
 	})
 }
 
-// maxTasksPerMachine bounds how many tasks are counted on one machine.
+// maxTasksPerMachine is the maximum number of tasks that are counted for one machine.
 const maxTasksPerMachine = 1000
 
-// affordableTasks returns for how many tasks of a class headroom may be kept, so that it costs no more
-// than the operator's share of the fleet's price.
+// affordableTasks returns the maximum number of tasks of a class for which headroom may be kept, so that
+// the headroom costs at most the configured share (BurstCostShare) of the fleet's price.
 func (h *headroomPlanner) affordableTasks(usage *classUsage) int {
 	fleetPrice := 0.0
 	for _, machine := range h.Machines.Machines {
@@ -81,8 +81,8 @@
 	return int(h.Settings.Operator.BurstCostShare * fleetPrice / cheapest)
 }
 
-// startsBeforeProvisioning reports whether an objective requires the class to start sooner than the
-// fastest new machine is up and has its image.
+// startsBeforeProvisioning reports whether an objective requires tasks of the class to start sooner than
+// the fastest new machine could boot and pull their image.
 func (h *headroomPlanner) startsBeforeProvisioning(class string, usage *classUsage) bool {
 	fastest := math.Inf(1)
 	for _, offer := range h.Capacity.Types() {
--- a/internal/provisioning/late_boots.go
+++ b/internal/provisioning/late_boots.go
@@ -11,28 +11,29 @@
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// Lateness is how late a provisioned machine is that has not reported yet.
+// Lateness classifies how late a provisioned machine is that has not reported yet.
 type Lateness int
 
 const (
-	// NotLate is a machine that has reported or may be expected to soon.
+	// NotLate is the lateness of a machine that has reported or is expected to report in time.
 	NotLate Lateness = iota
-	// Late is a machine for which a replacement may be provisioned while it boots.
+	// Late is the lateness of a machine for which a replacement may be provisioned while it boots.
 	Late
-	// Hopeless is a machine that is given up even if it is needed.
+	// Hopeless is the lateness of a machine that is terminated even if it is needed.
 	Hopeless
 )
 
-// hopelessFactor is how many times the age that makes it late makes a machine hopeless.
+// hopelessFactor is the multiple of the age at which a machine is late from which it is hopeless.
 const hopelessFactor = 4
 
-// replacementDelay is how long it may take until the replacement of a late machine is provisioned.
+// replacementDelay is the longest expected time from a machine becoming late to the provisioning of its
+// replacement.
 const replacementDelay = 10 * time.Second
 
-// bootTracker judges the machines that are booting.
+// bootTracker determines which booting machines are late and which of them are replaced.
 type bootTracker struct{ *State }
 
-// lateness implements Planner.LatenessOf.
+// lateness implements Planner.Lateness.
 func (b *bootTracker) lateness(machine *worker.Machine, now time.Time) Lateness {
 	offer := b.Capacity.Type(machine.Type)
 	if machine.HasReported || !machine.Booting || offer == nil {
@@ -42,7 +43,7 @@
 	return latenessAt(now.Sub(machine.ProvisionedAt), due)
 }
 
-// latenessAt returns how late a machine of an age is that is late once it is older than due.
+// latenessAt returns the lateness of a machine of the given age, which is late if it is older than due.
 func latenessAt(age, due time.Duration) Lateness {
 	switch {
 	case age > hopelessFactor*due:
@@ -53,17 +54,18 @@
 	return NotLate
 }
 
-// becameLateRecently reports whether a machine has become late so recently that its replacement may not
-// have been provisioned yet.
+// becameLateRecently reports whether a machine became late so recently that its replacement may not have
+// been provisioned yet.
 func (b *bootTracker) becameLateRecently(machine *worker.Machine, now time.Time) bool {
 	return b.lateness(machine, now.Add(-replacementDelay)) == NotLate
 }
 
-// replaced returns the late machines that others are provisioned in place of: all that were overtaken by
-// machines provisioned after them, and the oldest of the rest until their price reaches the operator's
-// share of the fleet's, but at least one of each type. The others count as coming: while all boots are
-// slow, more machines would only be as slow. So, however many boots fail, no demand is provisioned more
-// than twice until the first machines are given up.
+// replaced returns the late machines for which replacements are provisioned. These are all late machines
+// that were overtaken by machines provisioned after them, and the oldest of the rest until their price
+// reaches the configured share (BurstCostShare) of the fleet's price, but at least one of each type. The
+// other late machines count as expected: while all boots are slow, additional machines would be as slow.
+// Therefore no demand is provisioned more than twice until the first late machines are abandoned, however
+// many boots fail.
 func (b *bootTracker) replaced(now time.Time) map[ids.Machine]bool {
 	late, fleetPrice := b.late(now)
 	if len(late) == 0 {
@@ -86,7 +88,7 @@
 	return replaced
 }
 
-// late returns the late machines, oldest first, and the price of the fleet per hour.
+// late returns the late machines, oldest first, and the hourly price of the fleet.
 func (b *bootTracker) late(now time.Time) (late []*worker.Machine, fleetPrice float64) {
 	for _, machine := range b.Machines.Machines {
 		if machine.Deleting {
@@ -105,7 +107,7 @@
 	return late, fleetPrice
 }
 
-// countComing counts, by type, the booting machines that no other is provisioned in place of.
+// countComing returns, by type, the number of booting machines for which no replacement is provisioned.
 func (b *bootTracker) countComing(now time.Time) map[string]int {
 	count := map[string]int{}
 	replaced := b.replaced(now)
@@ -117,14 +119,14 @@
 	return count
 }
 
-// isBooting reports whether a machine was provisioned and is still expected to come up.
+// isBooting reports whether a provisioned machine has not reported yet and is still expected to.
 func isBooting(machine *worker.Machine) bool {
 	return !machine.HasReported && machine.Booting && !machine.Deleting && !machine.Failed
 }
 
-// reasonToAbandon returns why a booting machine is given up; it is empty while the machine is waited for.
-// A late machine is waited for as long as it is needed or its replacement is itself booting: whichever
-// is up first is used. coming counts the machines that are expected, by type.
+// reasonToAbandon returns the reason to terminate a booting machine, or "" to keep waiting for it. A late
+// machine is kept while it is needed, or while its replacement is itself booting, so that whichever is up
+// first is used. coming is the result of countComing.
 func (b *bootTracker) reasonToAbandon(machine *worker.Machine, needed bool, coming map[string]int, now time.Time) string {
 	switch b.lateness(machine, now) {
 	case Hopeless:
--- a/internal/provisioning/provisioning.go
+++ b/internal/provisioning/provisioning.go
@@ -1,14 +1,15 @@
 // Package provisioning plans the fleet of a shard: which capacity to provision for queued jobs and as
-// headroom, which machines boot too late, which to consolidate, and which to terminate. It makes
+// headroom, which machines boot too late, which machines to consolidate, and which to terminate. It makes
 // decisions and marks machines; internal/fleet calls the cloud.
 //
-// Planner is the entry point. Each decision has an owner of its own: queuePlanner for queued jobs,
-// usageHistory and headroomPlanner for headroom, bootTracker for late machines, consolidator for
-// replicas that can be moved together, shortageTracker for other shards' needs, and terminator for the
+// Planner is the entry point. A type of its own makes each kind of decision: queuePlanner for queued jobs,
+// usageHistory and headroomPlanner for headroom, bootTracker for late machines, consolidator for machines
+// whose replicas fit elsewhere, shortageTracker for other shards' shortages, and terminator for the
 // machines to delete.
 //
-// The package has no lock: the lock of the cluster state that a Planner belongs to guards all of it.
-// Every method is called under that lock, and so are the functions and interfaces in State.
+// The package has no lock: the lock of the cluster state that a Planner belongs to guards all of it. The
+// caller holds that lock for every method, so it is also held when the Planner calls the functions and
+// interfaces in State.
 package provisioning
 
 import (
@@ -29,28 +30,28 @@
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// Scheduler is what the planner asks of the shard's scheduler.
+// Scheduler is the part of the shard's scheduler that the Planner uses.
 type Scheduler interface {
 	// Ranked returns the jobs that have tasks to assign, most important first.
 	Ranked(now time.Time) []*workload.Job
-	// QuotaLeft returns how many tasks like those of a spec, at most want, its team's quota has room for.
+	// QuotaLeft returns how many tasks of a spec, at most want, fit into the remaining quota of its team.
 	QuotaLeft(spec *record.Spec, want int) int
 }
 
-// Rollouts is what the planner asks about rollouts.
+// Rollouts is the part of the shard's rollouts that the Planner uses.
 type Rollouts interface {
-	// Keeps reports whether a machine replaces another one and is still being observed.
+	// Keeps reports whether a machine is kept because it replaces another one and is still being observed.
 	Keeps(machine ids.Machine) bool
-	// OrderFor returns the order that a rollout has for a machine, if any.
+	// OrderFor returns a rollout's order for a machine. ok reports whether there is one.
 	OrderFor(machine ids.Machine) (order rollout.Order, ok bool)
 	// MayConsolidate reports whether no rollout is moving replicas.
 	MayConsolidate() bool
-	// SurgeDemands returns the capacity that must be provisioned before replicas can be moved.
+	// SurgeDemands returns the capacity that must be provisioned before rollouts can move replicas.
 	SurgeDemands() []placement.Demand
 }
 
-// State is what the planner reads of its shard. It changes machines only in the fields about their
-// termination.
+// State is the state of the shard that the Planner reads. The Planner modifies only those fields of
+// machines that concern their termination.
 type State struct {
 	Settings  *config.Settings
 	Jobs      *workload.Queue
@@ -63,14 +64,14 @@
 	// StoreAvailable reports whether the state service has answered recently.
 	StoreAvailable func() bool
 	// TrustSilence returns the time from which the silence of a machine that has never reported to this
-	// leader counts: until then an earlier leader may have been answering it.
+	// leader counts. Until then an earlier leader may have been receiving the machine's reports.
 	TrustSilence func() time.Time
 }
 
-// reportInterval returns how often workers report.
+// reportInterval returns the configured interval between two reports of a worker.
 func (s *State) reportInterval() ids.Seconds { return s.Settings.Params.Workers.ReportS }
 
-// machinePrice returns the price of a machine per hour; 0 if its type is not known.
+// machinePrice returns the hourly price of a machine, or 0 if its type is unknown.
 func (s *State) machinePrice(machine *worker.Machine) float64 {
 	if offer := s.Capacity.Type(machine.Type); offer != nil {
 		return offer.HourlyPrice(machine.Spot)
@@ -78,7 +79,7 @@
 	return 0
 }
 
-// Planner plans the fleet of one shard during one term of its leader.
+// Planner plans the fleet of one shard during one term of the shard's leader.
 type Planner struct {
 	*State
 	cloudList    *cloudList
@@ -91,7 +92,7 @@
 	terminator   *terminator
 }
 
-// New returns the planner of one term.
+// New returns the Planner of one term.
 func New(state State) *Planner {
 	shared := &state
 	list := &cloudList{State: shared}
@@ -126,8 +127,8 @@
 	return slices.SortedFunc(maps.Values(p.Capacity.Types()), func(x, y *placement.InstanceType) int { return cmp.Compare(x.Label, y.Label) })
 }
 
-// Instances returns the machines that are up or booting, sorted by name, in the form in which scale-out
-// and scale-in consider them. Machines that are leaving or silent are left out.
+// Instances returns the machines that are up or booting, sorted by name, as input of scale-out and
+// scale-in. It omits machines that are leaving or silent.
 func (p *Planner) Instances(now time.Time) (instances []placement.Instance) {
 	replaced := p.boots.replaced(now)
 	for _, machine := range p.Machines.Sorted() {
@@ -150,58 +151,61 @@
 	return instances
 }
 
-// SampleUsage samples the usage of each class of jobs once a second. It reports whether it took a sample
-// in this call.
+// SampleUsage samples the usage of each job class, at most once a second. It reports whether this call
+// took a sample.
 func (p *Planner) SampleUsage(now time.Time) bool { return p.usage.sample(now) }
 
-// Lateness returns how late a provisioned machine is that has not reported yet.
+// Lateness returns how late a machine is. It is NotLate for a machine that has reported.
 func (p *Planner) Lateness(machine *worker.Machine, now time.Time) Lateness {
 	return p.boots.lateness(machine, now)
 }
 
-// DescribeBooting describes, for the user, the booting machines that a pending job could use, in one
-// line or none.
+// DescribeBooting returns a line that describes, for the user, the booting machines that a pending job
+// could use. It returns no line if there are none.
 func (p *Planner) DescribeBooting(job *workload.Job, now time.Time) []string {
 	return p.boots.describe(job, now)
 }
 
-// ConsolidationCandidates returns machines that have only replicas on them, those with the least use for
-// their price first. It returns none while a machine is being emptied or a rollout moves replicas, so
-// that replicas which need not move are disturbed for one reason at a time.
+// ConsolidationCandidates returns machines on which only replicas run, ordered by the cores in use per unit
+// of price, lowest first. It returns none while a machine is being emptied or a rollout moves replicas, so
+// that only one process at a time causes optional moves of replicas.
 func (p *Planner) ConsolidationCandidates(now time.Time) []ConsolidationCandidate {
 	return p.consolidator.candidates(now)
 }
 
-// Consolidate begins to move a machine's replicas elsewhere; an empty name ends that. It reports whether
-// a machine was being emptied until now.
+// Consolidate starts to move a machine's replicas to other machines; an empty name ends the current
+// consolidation. It reports whether another consolidation was in progress before the call.
 func (p *Planner) Consolidate(name ids.Machine, now time.Time) bool {
 	return p.consolidator.begin(name, now)
 }
 
-// SetShortage records whether the cloud currently refuses capacity that pending jobs need.
+// SetShortage records whether the cloud currently refuses to provision capacity that pending jobs need.
 func (p *Planner) SetShortage(refused bool, now time.Time) { p.shortage.set(refused, now) }
 
 // Shortage returns this shard's shortage of machines.
 func (p *Planner) Shortage() Shortage { return p.shortage.current() }
 
-// ShareCapacity gives capacity up for other shards that have had a shortage for othersShortage: no
-// headroom is kept, and if that lasts, machines beyond this shard's part of the fleet are released, one
-// at a time.
+// ShareCapacity frees capacity for other shards, which have been short of machines for othersShortage. The
+// shard keeps no headroom during the shortage. If the shortage lasts, the shard releases the machines
+// beyond part, its number of machines in a fair split of the fleet, one at a time.
 func (p *Planner) ShareCapacity(othersShortage time.Duration, part int, now time.Time) {
 	p.shortage.shareCapacity(othersShortage, part, now)
 }
 
-// MachinesToTerminate returns the machines to delete now, sorted by name, and marks them so that nothing
-// more is assigned to them. needed are the machines that a plan of the whole fleet keeps.
+// MachinesToTerminate returns the machines to delete now, sorted by name, and marks them so that no more
+// tasks are assigned to them. needed contains the machines that the plan for the whole fleet keeps.
 func (p *Planner) MachinesToTerminate(now time.Time, needed map[ids.Machine]bool) []ids.Machine {
 	return p.terminator.machinesToTerminate(now, needed)
 }
 
-// CloudListRead records that the cloud's list of machines was read to its end, and when that read began.
+// CloudListRead records that a read of the cloud's list of machines, which began at the given time, was
+// completed.
 func (p *Planner) CloudListRead(began time.Time) { p.cloudList.readBegan = began }
 
-// CloudListLag returns how long after its provisioning a machine is certain to be in the cloud's list.
+// CloudListLag returns the time after its provisioning from which a machine is certainly in the cloud's
+// list.
 func (p *Planner) CloudListLag() time.Duration { return p.cloudList.lag() }
 
-// CloudListSince returns how long after a moment the last complete read of the cloud's list began.
+// CloudListSince returns the time from a moment to the start of the last complete read of the cloud's
+// list. It is negative if that read began before the moment.
 func (p *Planner) CloudListSince(moment time.Time) time.Duration { return p.cloudList.since(moment) }
--- a/internal/provisioning/provisioning_test.go
+++ b/internal/provisioning/provisioning_test.go
@@ -17,13 +17,13 @@
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// fakeScheduler ranks jobs by submission and limits no quota.
+// fakeScheduler ranks jobs by their time of submission and has no quotas.
 type fakeScheduler struct{ jobs *workload.Queue }
 
 func (s fakeScheduler) Ranked(time.Time) []*workload.Job       { return s.jobs.Ordered() }
 func (s fakeScheduler) QuotaLeft(_ *record.Spec, want int) int { return want }
 
-// noRollouts has no rollout.
+// noRollouts implements Rollouts without any rollout.
 type noRollouts struct{}
 
 func (noRollouts) Keeps(ids.Machine) bool                     { return false }
@@ -31,7 +31,7 @@
 func (noRollouts) MayConsolidate() bool                       { return true }
 func (noRollouts) SurgeDemands() []placement.Demand           { return nil }
 
-// testPlanner returns a planner of an empty fleet with one machine type, which boots in 30 seconds.
+// testPlanner returns the planner of an empty fleet. Its only machine type boots in 30 seconds.
 func testPlanner() *Planner {
 	settings := &config.Settings{Operator: config.DefaultOperator()}
 	settings.Params.Workers = config.WorkerIntervals{ReportS: 2, LeaseS: 20}
@@ -46,7 +46,7 @@
 		StoreAvailable: func() bool { return true }, TrustSilence: func() time.Time { return time.Time{} }})
 }
 
-// addMachine adds a machine that was provisioned some time ago; one that is booting has not reported.
+// addMachine adds a machine of the given age. A machine that is booting has not reported.
 func addMachine(planner *Planner, name ids.Machine, now time.Time, age time.Duration, booting bool) *worker.Machine {
 	machine := planner.Machines.Ensure(name, now.Add(-age), now.Add(-age))
 	machine.Type, machine.Booting, machine.HasReported = "small", booting, !booting
@@ -55,7 +55,7 @@
 	return machine
 }
 
-// addJob adds a job whose tasks need a core and ten seconds each.
+// addJob adds a job whose tasks each need one core and are estimated to take ten seconds.
 func addJob(planner *Planner, id ids.Job, class string, shape record.Shape, priority record.Priority, tasks int, now time.Time) *workload.Job {
 	spec := record.Spec{ID: id, Class: class, Team: "red", Shape: shape, Priority: priority, Tasks: tasks, EstimatedDuration: 10,
 		Resources: placement.Resources{Cores: 1, RAM: 1}, Image: "image", ImageGB: 1}
@@ -64,7 +64,7 @@
 	return job
 }
 
-// run assigns tasks of a job to a machine and lets them run since a time.
+// run assigns tasks of a job to a machine, as running since the given time.
 func run(planner *Planner, job *workload.Job, tasks int, machine ids.Machine, since time.Time) {
 	for range tasks {
 		assignment := &workload.Assignment{Job: job, TaskIndex: len(job.Assignments), Machine: machine, Status: worker.StateRunning, RunningSince: since}
@@ -80,7 +80,7 @@
 		booting bool
 		want    Lateness
 	}{
-		{time.Minute, true, NotLate}, // twice its boot time
+		{time.Minute, true, NotLate}, // twice the boot time of its type
 		{61 * time.Second, true, Late},
 		{4 * time.Minute, true, Late},
 		{241 * time.Second, true, Hopeless},
@@ -186,7 +186,7 @@
 func TestDemandsOfSimilarJobsAreRoundedTogether(t *testing.T) {
 	now := time.Now()
 	planner := testPlanner()
-	for i := range 4 { // each calls for a sixth of a slot: ten seconds of a horizon of sixty
+	for i := range 4 { // each needs a sixth of a slot: ten seconds of a horizon of sixty
 		addJob(planner, ids.Job(fmt.Sprintf("small%d", i)), "other", record.Array, record.Normal, 1, now)
 	}
 	addJob(planner, "service", "web", record.Service, record.High, 3, now)
@@ -257,7 +257,7 @@
 		planner := testPlanner()
 		needed := map[ids.Machine]bool{"m": c.needed}
 		machine := addMachine(planner, "m", now, time.Hour, false)
-		for i := range 4 { // others that report
+		for i := range 4 { // other machines, which report
 			other := addMachine(planner, ids.Machine(fmt.Sprintf("other%d", i)), now, time.Hour, false)
 			needed[other.Name] = true
 		}
--- a/internal/provisioning/queue_demand.go
+++ b/internal/provisioning/queue_demand.go
@@ -14,21 +14,22 @@
 // queuePlanner computes the capacity that queued jobs need.
 type queuePlanner struct{ *State }
 
-// demandGroup is what jobs have in common whose demands are added up.
+// demandGroup is the key of a group of jobs whose demands are summed.
 type demandGroup struct {
 	class      string
 	guaranteed bool
 	need       placement.Resources
 	zone       string
 	types      string
-	job        ids.Job // of a job whose tasks must share a zone, which is a group by itself
+	job        ids.Job // set only for a job whose tasks must share a zone; it forms a group of its own
 }
 
-// roundingError is how far a sum of fractions may be too large.
+// roundingError is subtracted from a sum of slots before it is rounded up, to compensate for floating-point
+// error.
 const roundingError = 0.01
 
-// demands returns the demands of the queued jobs, most important first, with one for each group of
-// similar jobs: rounding up the demand of each small job by itself would provision a machine for each.
+// demands returns the demands of the queued jobs, most important first. There is one demand for each group
+// of similar jobs: rounding up the demand of every small job separately would provision a machine for each.
 func (q *queuePlanner) demands(now time.Time) (demands []placement.Demand) {
 	sums := map[demandGroup]float64{}
 	positions := map[demandGroup]int{}
@@ -52,10 +53,10 @@
 	return demands
 }
 
-// unmetSlots returns how many task slots a job's queued tasks need; several short tasks can share one
-// within the job's horizon. reclaimable is the share of the capacity now in use that will be free for
-// them in time. It depends on how long the tasks of the same class that now run take, and not only on
-// how short the queued job is.
+// unmetSlots returns the number of task slots that a job's queued tasks need. Several short tasks can use
+// one slot in turn within the job's queue horizon. reclaimable is the share of the capacity now in use that
+// will be free for the queued tasks within the horizon. It depends on the duration of the running tasks of
+// the same class and not only on that of the queued tasks.
 func (q *queuePlanner) unmetSlots(job *workload.Job, meanEstimates map[string]float64, now time.Time) (slots, reclaimable float64) {
 	if job.Failing() {
 		return 0, 0
@@ -75,14 +76,14 @@
 	if spec.Shape == record.Array || spec.Shape == record.Gang && spec.Tasks == 1 {
 		taskSeconds := estimate
 		if spec.Shape == record.Gang {
-			taskSeconds += q.Estimates.ImagePullSeconds(spec) / 2 // about half of them have to pull
+			taskSeconds += q.Estimates.ImagePullSeconds(spec) / 2 // about half of the tasks must pull the image
 		}
 		slots *= min(1, taskSeconds/horizon)
 	}
 	return slots, min(1, horizon/max(meanEstimates[spec.Class], estimate))
 }
 
-// meanEstimates returns, by class, the mean estimated duration in seconds of the assigned tasks.
+// meanEstimates returns, by class, the mean estimated duration of the assigned tasks in seconds.
 func (q *queuePlanner) meanEstimates() map[string]float64 {
 	sum, count := map[string]float64{}, map[string]float64{}
 	for _, job := range q.Jobs.Ordered() {
@@ -98,8 +99,8 @@
 	return sum
 }
 
-// groupOf returns a job's request and the group that its demand belongs to. If all tasks of the job must
-// share a zone, the request names the zone in which some of them already are.
+// groupOf returns a job's placement request and the group that its demand belongs to. If all tasks of the
+// job must share a zone and some are already assigned, the request names their zone.
 func (q *queuePlanner) groupOf(job *workload.Job) (placement.Request, demandGroup) {
 	spec := &job.Record.Spec
 	request := spec.PlacementRequest()
--- a/internal/provisioning/shortage.go
+++ b/internal/provisioning/shortage.go
@@ -7,31 +7,33 @@
 	"github.com/pebbletrail/pebbletrail/internal/capacity"
 )
 
-// Shortage is how badly a shard is short of machines.
+// Shortage describes a shard's shortage of machines.
 type Shortage struct {
-	// Duration is how long the cloud has refused capacity that pending jobs need; 0 if it does not.
+	// Duration is the time for which the cloud has refused capacity that pending jobs need. It is 0 if the
+	// cloud does not refuse any.
 	Duration time.Duration
-	// Machines is how many machines the shard has.
+	// Machines is the number of machines that the shard has.
 	Machines int
 }
 
-// shortageTracker tracks this shard's shortage and gives capacity up during other shards' shortages.
-// Every shard provisions its own machines. When the cloud has no more, a shard may have machines that
-// another one needs. Then the others first return what they only keep as headroom; if that is not
-// enough, those with more than their part of the machines release one after the other.
+// shortageTracker tracks this shard's shortage and releases capacity during other shards' shortages. Each
+// shard provisions its own machines. When the cloud has no more machines, a shard may hold machines that
+// another shard needs. The shards without a shortage then first return the machines that they keep only as
+// headroom. If the shortage lasts, shards with more machines than their part of the fleet release machines
+// one after another.
 type shortageTracker struct {
 	*State
-	since      time.Time // when this shard's shortage began; zero without one
-	ofOthers   bool      // other shards have a shortage
-	releasedAt time.Time // when this shard last released a machine
+	since      time.Time // start of this shard's shortage; zero if there is none
+	ofOthers   bool      // whether other shards have a shortage
+	releasedAt time.Time // time at which this shard last released a machine
 }
 
 const (
-	// longShortage is how long a shortage lasts before other shards release machines.
+	// longShortage is the duration of a shortage from which other shards release machines.
 	longShortage = 10 * time.Second
-	// releaseInterval is the least time between two machines that a shard releases.
+	// releaseInterval is the minimum time between two releases of machines by a shard.
 	releaseInterval = 5 * time.Second
-	// releasedForOtherShard is the reason with which such a machine is drained and terminated.
+	// releasedForOtherShard is the drain and termination reason of a machine released for another shard.
 	releasedForOtherShard = "its room is needed in another shard"
 )
 
@@ -70,8 +72,8 @@
 	slog.Info("machine released for another shard", "machine", node.Name, "why", releasedForOtherShard)
 }
 
-// cheapestToRelease returns the node on which stopping all tasks loses least. It returns nil if there is
-// none or another machine is still being released.
+// cheapestToRelease returns the node whose tasks cost the least to stop, weighted by their priority. It
+// returns nil if there is no node to release or another machine is still being released.
 func (s *shortageTracker) cheapestToRelease(now time.Time) (cheapest *capacity.Node) {
 	leastLoss := 0.0
 	for name, node := range s.Capacity.Nodes() {
--- a/internal/provisioning/termination.go
+++ b/internal/provisioning/termination.go
@@ -13,7 +13,8 @@
 	"github.com/pebbletrail/pebbletrail/internal/worker"
 )
 
-// terminator decides which machines to delete: failed, silent, abandoned, emptied and idle ones.
+// terminator decides which machines to delete: those that failed, are silent, were abandoned while booting,
+// were emptied or are idle.
 type terminator struct {
 	*State
 	cloudList    *cloudList
@@ -22,14 +23,14 @@
 	shortage     *shortageTracker
 }
 
-// fleetView is what all machines are judged by in one call.
+// fleetView holds the inputs that are the same for all machines in one call of machinesToTerminate.
 type fleetView struct {
 	now    time.Time
 	needed map[ids.Machine]bool
 	fleet  *liveness.Fleet
-	// coming counts, by type, the booting machines that no other is provisioned in place of.
+	// coming is the number, by type, of booting machines for which no replacement is provisioned.
 	coming map[string]int
-	// silentAfter is the silence that makes a machine count as silent without any probe.
+	// silentAfter is the duration of silence from which a machine counts as silent without any probe.
 	silentAfter time.Duration
 }
 
@@ -54,9 +55,9 @@
 	return names
 }
 
-// updateNeed records when a machine was last needed, and whether to delete it once it is empty. Machines
-// with accelerators that are not needed are to be emptied: cheap work that could run elsewhere must not
-// keep them.
+// updateNeed records the time at which a machine was last needed, and whether to delete it once it is empty.
+// A machine with accelerators that has not been needed for the idle return time is to be emptied, so that
+// tasks which could run on cheaper machines do not keep it.
 func (t *terminator) updateNeed(machine *worker.Machine, view *fleetView) {
 	if !machine.HasReported || t.isKept(machine, view) {
 		machine.LastNeededAt = view.now
@@ -69,18 +70,18 @@
 	}
 }
 
-// isKept reports whether the plan of the fleet or a rollout keeps a machine.
+// isKept reports whether the plan for the fleet or a rollout keeps a machine.
 func (t *terminator) isKept(machine *worker.Machine, view *fleetView) bool {
 	return view.needed[machine.Name] || t.Rollouts.Keeps(machine.Name)
 }
 
-// idleReturnPassed reports whether the time after which idle machines are returned has passed since a
-// moment.
+// idleReturnPassed reports whether more than the configured idle return time (IdleReturnS) has passed since
+// a moment.
 func (t *terminator) idleReturnPassed(moment, now time.Time) bool {
 	return now.Sub(moment).Seconds() > t.Settings.Operator.IdleReturnS
 }
 
-// reason returns why a machine is to be deleted; it is empty if the machine stays.
+// reason returns the reason to delete a machine, or "" if the machine stays.
 func (t *terminator) reason(machine *worker.Machine, view *fleetView) string {
 	empty := len(t.Capacity.AssignmentsOn(machine.Name)) == 0
 	if reason := t.endReason(machine, empty, view.now); reason != "" {
@@ -102,8 +103,8 @@
 	return ""
 }
 
-// endReason returns why a machine has ended by itself or has been emptied on purpose; empty if it has
-// not.
+// endReason returns the reason to delete a machine that failed, was taken back by the cloud or was emptied
+// on purpose, and "" for other machines.
 func (t *terminator) endReason(machine *worker.Machine, empty bool, now time.Time) string {
 	switch {
 	case machine.Failed:
@@ -121,16 +122,17 @@
 }
 
 const (
-	// silentProbes is how many unanswered probes make a short silence count as a failure.
+	// silentProbes is the number of unanswered probes from which a short silence counts as a failure.
 	silentProbes = 2
-	// unreachableCalls is how many unanswered calls show that nothing reaches a machine.
+	// unreachableCalls is the number of failed calls from which a machine counts as unreachable.
 	unreachableCalls = 3
-	// neverReportedProbes is how many unanswered probes show that a machine is gone which has tasks of an
-	// earlier leader and has never reported to this one.
+	// neverReportedProbes is the number of unanswered probes from which a machine that has tasks of an
+	// earlier leader and has never reported to this one counts as gone.
 	neverReportedProbes = 4
 )
 
-// silenceReason returns why a machine that has reported counts as failed; empty if it does not.
+// silenceReason returns the reason to delete a machine that has reported but is now silent or unreachable,
+// or "" if it is neither.
 func (t *terminator) silenceReason(machine *worker.Machine, view *fleetView) string {
 	silence, limit := machine.SilentFor(view.now), t.silenceLimit(machine)
 	silent := silence > view.silentAfter || machine.UnansweredProbes >= silentProbes && silence > limit
@@ -144,8 +146,8 @@
 	return ""
 }
 
-// neverReportedReason returns why a machine that has never reported to this leader is given up. decided
-// reports whether the answer is final, so that no other reason applies.
+// neverReportedReason returns the reason to delete a machine that has never reported to this leader, or "".
+// decided reports whether the result is final, so that the caller must not check for other reasons.
 func (t *terminator) neverReportedReason(machine *worker.Machine, empty bool, view *fleetView) (reason string, decided bool) {
 	if machine.Booting {
 		return t.boots.reasonToAbandon(machine, t.isKept(machine, view), view.coming, view.now), true
@@ -154,8 +156,8 @@
 	unreachable := machine.UnansweredProbes >= neverReportedProbes || machine.Addr == "" && known > view.silentAfter
 	switch {
 	case (known > 2*view.silentAfter || !empty && unreachable) && view.fleet.IsIsolatedFailure(machine):
-		// It had tasks of an earlier leader and neither answers nor is listed: deleting it proves that its
-		// tasks are gone.
+		// Tasks of an earlier leader may still run on the machine, which does not answer or has no known
+		// address. Deleting the machine makes certain that they do not.
 		return "up but never heard", true
 	case view.fleet.OnlyZoneUnreachable(machine.Zone) && t.leasesExpireSoon(view.now) && t.hasRestartableReplica(machine, view.fleet):
 		return "its zone is dark, and its replicas can start elsewhere", true
@@ -163,12 +165,12 @@
 	return "", false
 }
 
-// leasesExpireSoon reports whether silence counts in less than two thirds of a lease.
+// leasesExpireSoon reports whether less than two thirds of a lease remain until silence counts.
 func (t *terminator) leasesExpireSoon(now time.Time) bool {
 	return t.TrustSilence().Sub(now) < t.Settings.Params.Workers.LeaseS.Duration()*2/3
 }
 
-// idleReason returns why a machine without tasks is returned; empty if it stays.
+// idleReason returns the reason to return a machine without tasks, or "" if it stays.
 func (t *terminator) idleReason(machine *worker.Machine, view *fleetView) string {
 	switch {
 	case t.isKept(machine, view):
@@ -201,13 +203,13 @@
 	return false
 }
 
-// MaxReplicaSilence is the longest silence, with unanswered probes, before a machine with replicas is
-// given up.
+// MaxReplicaSilence is the longest time for which a machine with replicas may be silent and leave probes
+// unanswered before it is deleted.
 const MaxReplicaSilence = 4 * time.Second
 
-// silenceLimit returns how long a machine may be silent that leaves probes unanswered. It is short, since
-// its replicas are down meanwhile. A controller that is itself cut off sees many such machines and then
-// deletes none.
+// silenceLimit returns the time for which a machine may be silent while it leaves probes unanswered. The
+// limit is short for a machine with replicas, because they are down meanwhile. A controller that is
+// itself cut off sees many silent machines and then deletes none.
 func (t *terminator) silenceLimit(machine *worker.Machine) time.Duration {
 	limit := t.reportInterval().Duration()
 	if node := t.Capacity.Node(machine.Name); node != nil && node.Replicas > 0 {
--- a/internal/provisioning/usage.go
+++ b/internal/provisioning/usage.go
@@ -10,21 +10,22 @@
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// usageHistory samples how many tasks of each class of jobs run or could run.
+// usageHistory samples, for each job class, how many tasks are assigned and how many could run if there were
+// machines for them.
 type usageHistory struct {
 	*State
 	classes   map[string]*classUsage
 	sampledAt time.Time
 }
 
-// classUsage is the recent usage of one class of jobs.
+// classUsage is the recent usage of one job class.
 type classUsage struct {
-	// request, critical and shape are those of some job of the class.
+	// request, critical and shape are those of the job of the class that was sampled last.
 	request  placement.Request
 	critical bool
 	shape    record.Shape
-	// wanted and running are samples, oldest first, of how many tasks could run if there were machines,
-	// and of how many were assigned.
+	// wanted and running are samples, oldest first, of the number of tasks that could run if there were
+	// machines for them, and of the number of assigned tasks.
 	wanted     []int
 	running    []int
 	wantedNow  int
@@ -33,7 +34,7 @@
 
 const (
 	sampleInterval = time.Second
-	// usageWindow is how many samples are kept.
+	// usageWindow is the number of samples that are kept.
 	usageWindow = 120
 )
 
@@ -51,7 +52,7 @@
 	}
 	for class, usage := range h.classes {
 		if usage.unused() {
-			delete(h.classes, class) // users name the classes, so their number has to be bounded
+			delete(h.classes, class) // users choose the class names, so the number of classes must be bounded
 			continue
 		}
 		usage.wanted = appendSample(usage.wanted, usage.wantedNow)
@@ -60,7 +61,7 @@
 	return true
 }
 
-// ensure returns the usage of a class and adds it if there is none.
+// ensure returns the usage of a class, and adds it if it does not exist.
 func (h *usageHistory) ensure(class string) *classUsage {
 	usage := h.classes[class]
 	if usage == nil {
@@ -70,7 +71,7 @@
 	return usage
 }
 
-// tasksWanted returns how many tasks of a job would run now if there were machines for them.
+// tasksWanted returns the number of tasks of a job that would run now if there were machines for them.
 func (h *usageHistory) tasksWanted(job *workload.Job) int {
 	if !job.Schedulable() || job.Failing() {
 		return 0
@@ -98,12 +99,12 @@
 		!slices.ContainsFunc(u.running, func(tasks int) bool { return tasks > 0 })
 }
 
-// mayUse reports whether the class may use a machine type.
+// mayUse reports whether the class's request allows a machine type.
 func (u *classUsage) mayUse(offer *placement.InstanceType) bool {
 	return u.request.InstanceTypes == nil || u.request.Allows(offer.Label, u.request.Zone, false)
 }
 
-// highWatermark returns the 90th percentile of the tasks that the class wanted.
+// highWatermark returns the 90th percentile of the wanted samples, or 0 if there are none.
 func (u *classUsage) highWatermark() int {
 	if len(u.wanted) == 0 {
 		return 0
@@ -113,16 +114,16 @@
 }
 
 const (
-	// concurrencyMargin is how many standard deviations of a random arrival process, whose variance is
-	// its mean, are added to the mean.
+	// concurrencyMargin is the number of standard deviations that are added to the mean concurrency. It
+	// assumes random arrivals, whose variance equals their mean.
 	concurrencyMargin = 0.7
-	// roundingAllowance keeps a result that is hardly above a whole number from being rounded up.
+	// roundingAllowance keeps a result that is slightly above a whole number from being rounded up.
 	roundingAllowance = 0.05
 )
 
-// expectedConcurrency returns for how many tasks of the class to have room: the mean of those that were
-// assigned and a margin for random arrivals. Queued tasks do not count: a queue would be counted again
-// for every second that it waits, and it has a demand of its own.
+// expectedConcurrency returns the number of tasks of the class to keep capacity for: the mean of the running
+// samples plus a margin for random arrivals. Queued tasks do not count, because each would be counted again
+// in every second that it waits, and the queue has a demand of its own.
 func (u *classUsage) expectedConcurrency() int {
 	if len(u.running) == 0 {
 		return 0
