--- a/internal/costs/costs.go
+++ b/internal/costs/costs.go
@@ -1,5 +1,5 @@
-// Package costs accounts for the cost of a shard's machines by what they were doing, and for the work that
-// is lost and has to be repeated. It shows operators where the money goes; no decision depends on it.
+// Package costs accounts for the cost of a shard's machines by activity, and for the work that is lost and
+// has to be repeated. The figures are for operators; no scheduling decision depends on them.
 //
 // The package has no lock: the lock of the cluster state that an Account belongs to guards it.
 package costs
@@ -17,23 +17,23 @@
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// Money is a cost, in the currency of the cloud's prices, by what the machines were doing.
+// Money is a cost by activity of the machines, in the currency of the cloud's prices.
 type Money struct {
 	Boot float64 // machines that have not reported yet
 	Idle float64 // machines without tasks
 	Free float64 // free capacity of machines with tasks
-	Pull float64 // tasks whose image is being pulled, or whose status is not known
-	Wait float64 // gang tasks that wait for the others, and checkpoints being saved
+	Pull float64 // tasks whose image is being pulled or whose status is unknown
+	Wait float64 // gang tasks that wait for the other tasks of the gang, and tasks that save a checkpoint
 	Run  float64 // running tasks
 }
 
-// rounded rounds to thousandths.
+// rounded returns the costs rounded to thousandths.
 func (m Money) rounded() Money {
 	round := func(amount float64) float64 { return math.Round(amount*1000) / 1000 }
 	return Money{round(m.Boot), round(m.Idle), round(m.Free), round(m.Pull), round(m.Wait), round(m.Run)}
 }
 
-// Account adds up the costs of one term. The zero value is ready to use.
+// Account sums the costs of one leader's term. The zero value is ready to use.
 type Account struct {
 	money               Money
 	repeated            map[string]float64 // lost core-seconds by cause; nil before the first Accrue
@@ -42,7 +42,7 @@
 
 const logInterval = time.Minute
 
-// Accrue adds the cost of the time since the previous call, and logs the sums every logInterval.
+// Accrue adds the costs since the previous call, and logs the sums every logInterval.
 func (a *Account) Accrue(now time.Time, machines *worker.Registry, index *capacity.Index) {
 	if a.repeated == nil {
 		a.repeated = map[string]float64{}
@@ -65,7 +65,7 @@
 	}
 }
 
-// accrueMachine splits a machine's cost by what its tasks are doing.
+// accrueMachine splits a machine's cost by the status of its tasks.
 func (a *Account) accrueMachine(machine *worker.Machine, offer *placement.InstanceType, assignments map[*workload.Assignment]bool, cost float64) {
 	switch {
 	case !machine.HasReported:
@@ -91,9 +91,9 @@
 	a.money.Free += cost * left
 }
 
-// shareOf returns the share of a machine that a task takes, by the resource of which it takes most.
+// shareOf returns the share of a machine that a task uses: the largest of its shares of any resource.
 func shareOf(offer *placement.InstanceType, need placement.Resources) float64 {
-	const least = 1e-9 // avoids a division by zero for resources that a type lacks
+	const least = 1e-9 // avoids a division by zero for resources that a machine type lacks
 	share := max(need.Cores/max(offer.Cores, least), need.RAM/max(offer.RAM, least))
 	if offer.Accels > 0 {
 		share = max(share, need.Accels/offer.Accels)
@@ -101,8 +101,8 @@
 	return share
 }
 
-// AddLostWork adds the work that is lost with a task that was stopped or lost: what it has done since its
-// last checkpoint. It adds nothing before the first Accrue.
+// AddLostWork adds the work of a stopped or lost task since its last checkpoint, in core-seconds, under the
+// given cause. It adds nothing before the first call of Accrue.
 func (a *Account) AddLostWork(assignment *workload.Assignment, cause string, now time.Time) {
 	spec := &assignment.Job.Record.Spec
 	if assignment.RunningSince.IsZero() || spec.Shape == record.Service || a.repeated == nil {
