--- a/internal/dependency/graph.go
+++ b/internal/dependency/graph.go
@@ -1,10 +1,11 @@
-// Package dependency keeps the directed acyclic graph of jobs with unfinished dependencies. It
-// tells which of them are ready, which are cancelled because a prerequisite is, and what urgency
-// a job inherits from its dependents. It knows nothing of how jobs run or are stored. It does no
-// locking: the caller must serialize all calls.
+// Package dependency maintains the directed acyclic graph of jobs with unfinished dependencies. It
+// determines which jobs are ready, which are cancelled because a prerequisite was cancelled, and
+// what urgency a job inherits from its dependents. It is independent of how jobs run and are
+// stored. It does no locking: the caller must serialize all calls.
 //
-// The cost of a change is that of the jobs it affects: the graph is indexed from a job to its
-// dependents, and no traversal is recursive, so that long chains need no deep stack.
+// The cost of a change is proportional to the number of jobs that it affects, because the graph is
+// indexed from each job to its dependents. No traversal is recursive, so that long chains need no
+// deep stack.
 package dependency
 
 import (
@@ -17,57 +18,57 @@
 type Job struct {
 	ID        ids.Job
 	DependsOn []ids.Job
-	// Urgency is its own, without what it inherits.
+	// Urgency is the job's own urgency, without the inherited urgency.
 	Urgency Urgency
-	// Duration is how long it is estimated to take once it is ready.
+	// Duration is the estimated time from when the job is ready until it is done.
 	Duration time.Duration
 }
 
-// Outcome is how a job ended.
+// Outcome is the way in which a job ended.
 type Outcome int
 
 // The outcomes of a job.
 const (
-	Unknown Outcome = iota // not ended, or not known to have
+	Unknown Outcome = iota // not ended, or not known to have ended
 	Done
 	Cancelled
 )
 
-// maxOutcomes bounds how many outcomes are remembered.
+// maxOutcomes is the number of remembered outcomes above which all are forgotten.
 const maxOutcomes = 50000
 
-// Changes is what an operation on the graph changed.
+// Changes describes the effects of an operation on the graph.
 type Changes struct {
-	// InheritedChanged are the jobs whose inherited urgency changed.
+	// InheritedChanged contains the jobs whose inherited urgency changed.
 	InheritedChanged []ids.Job
-	// Resolved reports that waiting jobs became ready or were cancelled.
+	// Resolved reports whether any waiting job became ready or was cancelled.
 	Resolved bool
 }
 
 // node is a waiting job, or a prerequisite of one.
 type node struct {
 	id            ids.Job
-	job           *Job           // nil unless it waits
-	prerequisites map[*node]bool // those not known to be done
+	job           *Job           // nil unless the job waits
+	prerequisites map[*node]bool // prerequisites not known to be done
 	dependents    map[*node]bool
-	// level is the topological level: above the levels of all prerequisites; zero unless the job
-	// waits.
+	// level is the topological level, which is higher than the levels of all prerequisites. It is
+	// zero unless the job waits.
 	level       int
-	inherited   Urgency // from its dependents
-	cancelledBy ids.Job // the cancelled job that this one depends on, directly or not
-	queued      bool    // in an updateQueue
+	inherited   Urgency // urgency inherited from the dependents
+	cancelledBy ids.Job // the cancelled job that this one depends on, directly or indirectly; empty: none
+	queued      bool    // whether the node is in an updateQueue
 }
 
-// Graph holds the waiting jobs and their prerequisites. A job waits from Add to Remove, also while
-// it is ready or cancelled.
+// Graph holds the waiting jobs and their prerequisites. A job counts as waiting from Add until
+// Remove, even while it is ready or cancelled.
 type Graph struct {
 	nodes     map[ids.Job]*node
-	waiting   int // nodes with a job
+	waiting   int // number of nodes whose job waits
 	ready     map[ids.Job]bool
 	cancelled map[ids.Job]bool
 	outcomes  map[ids.Job]Outcome
-	// recomputed counts how often the inherited urgency of a job was computed, and raised how
-	// often a level was corrected, for tests.
+	// recomputed counts the computations of a job's inherited urgency, and raised counts the
+	// corrections of a level. Only tests use them.
 	recomputed, raised int
 }
 
@@ -81,8 +82,8 @@
 	}
 }
 
-// Add adds waiting jobs, in any order. A job that waits already stays as it is. The graph keeps
-// references to the jobs.
+// Add adds waiting jobs, in any order. It ignores jobs that already wait. The graph keeps references
+// to the jobs.
 func (g *Graph) Add(jobs ...Job) Changes {
 	var added []*node
 	for i := range jobs {
@@ -114,7 +115,7 @@
 	return changes
 }
 
-// linkPrerequisites makes a job a dependent of its unfinished prerequisites.
+// linkPrerequisites links a job and its unfinished prerequisites in both directions.
 func (g *Graph) linkPrerequisites(n *node) {
 	for _, id := range n.job.DependsOn {
 		if g.outcomes[id] == Done {
@@ -126,8 +127,8 @@
 	}
 }
 
-// cancelledPrerequisite returns the cancelled job that n depends on, directly or not, if there is
-// one.
+// cancelledPrerequisite returns a cancelled job that n depends on, directly or indirectly, or "" if
+// there is none.
 func (g *Graph) cancelledPrerequisite(n *node) ids.Job {
 	for _, id := range n.job.DependsOn {
 		if g.outcomes[id] == Cancelled {
@@ -140,8 +141,8 @@
 	return ""
 }
 
-// Remove removes a job from those that wait, because it can be scheduled, its cancellation is
-// stored or its user cancelled it. Its dependents keep waiting for it.
+// Remove removes a job from the waiting jobs, because it can be scheduled, its cancellation is stored
+// or its user cancelled it. Its dependents continue to depend on it.
 func (g *Graph) Remove(id ids.Job) Changes {
 	n := g.nodes[id]
 	if n == nil || n.job == nil {
@@ -152,7 +153,7 @@
 	for prerequisite := range n.prerequisites {
 		delete(prerequisite.dependents, n)
 	}
-	if n.cancelledBy == "" { // else its prerequisites inherit nothing from it already
+	if n.cancelledBy == "" { // the prerequisites of a cancelled job inherit nothing from it
 		queue.addAll(n.prerequisites)
 	}
 	prerequisites := n.prerequisites
@@ -168,7 +169,7 @@
 	return changes
 }
 
-// Finish records that a job is done: its dependents wait for it no more.
+// Finish records that a job is done, so that its dependents no longer depend on it.
 func (g *Graph) Finish(id ids.Job) Changes {
 	g.rememberOutcome(id, Done)
 	n := g.nodes[id]
@@ -186,7 +187,8 @@
 	return changes
 }
 
-// Cancel records that a job is cancelled, and with it all that depend on it, directly or not.
+// Cancel records that a job is cancelled, and cancels all waiting jobs that depend on it, directly or
+// indirectly.
 func (g *Graph) Cancel(id ids.Job) Changes {
 	g.rememberOutcome(id, Cancelled)
 	n := g.nodes[id]
@@ -200,8 +202,8 @@
 	return changes
 }
 
-// cancelDependents cancels all that depend on a job, directly or not, and reports whether there
-// were any that were not cancelled yet.
+// cancelDependents cancels all jobs that depend on n, directly or indirectly. It reports whether any of
+// them was not cancelled before.
 func (g *Graph) cancelDependents(n *node, by ids.Job, queue *updateQueue) (changed bool) {
 	stack := []*node{n}
 	for len(stack) > 0 {
@@ -219,7 +221,8 @@
 	return changed
 }
 
-// markCancelled cancels a waiting job, of which its prerequisites inherit nothing from now on.
+// markCancelled marks a waiting job as cancelled, and queues its prerequisites, which no longer inherit
+// from it.
 func (g *Graph) markCancelled(n *node, by ids.Job, queue *updateQueue) {
 	n.cancelledBy = by
 	delete(g.ready, n.id)
@@ -227,7 +230,8 @@
 	queue.addAll(n.prerequisites)
 }
 
-// markIfReady marks a job as ready if it is, and reports that.
+// markIfReady marks a job as ready if it has no unfinished prerequisites and is not cancelled. It reports
+// whether it marked the job.
 func (g *Graph) markIfReady(n *node) bool {
 	if len(n.prerequisites) > 0 || n.cancelledBy != "" {
 		return false
@@ -236,7 +240,7 @@
 	return true
 }
 
-// findOrAdd returns the node of a job.
+// findOrAdd returns the node of a job, and adds it if it does not exist.
 func (g *Graph) findOrAdd(id ids.Job) *node {
 	n := g.nodes[id]
 	if n == nil {
@@ -246,17 +250,17 @@
 	return n
 }
 
-// dropIfUnused removes the node of a job that neither waits nor has dependents.
+// dropIfUnused removes the node n if its job neither waits nor has dependents.
 func (g *Graph) dropIfUnused(n *node) {
 	if n.job == nil && len(n.dependents) == 0 {
 		delete(g.nodes, n.id)
 	}
 }
 
-// rememberOutcome stores how a job ended, which never changes.
+// rememberOutcome stores the outcome of a job, which is final.
 func (g *Graph) rememberOutcome(id ids.Job, outcome Outcome) {
 	if len(g.outcomes) > maxOutcomes {
-		clear(g.outcomes) // the caller looks up again what is still of interest
+		clear(g.outcomes) // the caller looks up the outcomes that it still needs
 	}
 	g.outcomes[id] = outcome
 }
--- a/internal/dependency/graph_test.go
+++ b/internal/dependency/graph_test.go
@@ -12,10 +12,10 @@
 
 var epoch = time.Unix(1700000000, 0)
 
-// job is the name of a job.
+// job returns the ID of job number n.
 func job(n int) ids.Job { return ids.Job(fmt.Sprintf("job-%d", n)) }
 
-// due is a job with a deadline and a duration, both in seconds.
+// due returns a job with a deadline after epoch and a duration, both in seconds. A deadline of 0 is none.
 func due(id ids.Job, priority, deadline, duration int, awaits ...ids.Job) Job {
 	j := Job{
 		ID:        id,
@@ -29,7 +29,7 @@
 	return j
 }
 
-// chain is n jobs, each of which awaits the one before; the first awaits job-0.
+// chain returns n jobs, each of which depends on the previous one. The first depends on job-0.
 func chain(n int) (jobs []Job) {
 	for i := range n {
 		jobs = append(jobs, due(job(i+1), 0, 0, 1, job(i)))
@@ -37,8 +37,8 @@
 	return jobs
 }
 
-// ladder is layers of two jobs, each of which awaits both of the layer before. All have
-// deadlines of their own, and durations such that no two paths take the same time.
+// ladder returns layers of two jobs each. Each job depends on both jobs of the previous layer. All jobs
+// have deadlines, and durations such that no two paths take the same time.
 func ladder(layers int) (jobs []Job) {
 	for layer := 1; layer <= layers; layer++ {
 		for side := range 2 {
@@ -51,7 +51,7 @@
 	return jobs
 }
 
-// shuffled is the jobs in a random order.
+// shuffled returns the jobs in a random order.
 func shuffled(jobs []Job, seed uint64) []Job {
 	order := slices.Clone(jobs)
 	rng := rand.New(rand.NewPCG(seed, 1))
@@ -59,7 +59,7 @@
 	return order
 }
 
-// cost is how often the inherited urgency of a job was computed during a change.
+// cost returns how many times the inherited urgency of any job was computed during a change.
 func (g *Graph) cost(change func()) int {
 	before := g.recomputed
 	change()
@@ -67,7 +67,8 @@
 }
 
 func TestUrgencyOfALadderIsComputedPerJobAndNotPerPath(t *testing.T) {
-	// Guards against work for each of the paths, of which there are 2^40.
+	// Guards against a cost proportional to the number of paths, which is 2^40, instead of to the number
+	// of jobs.
 	jobs := ladder(40)
 	for seed := range uint64(3) {
 		g := New()
@@ -91,7 +92,7 @@
 		if got := g.InheritedUrgency(job(0)); got != first {
 			t.Errorf("the first inherits %v after, %v before", got, first)
 		}
-		one := New() // added one by one, and at worst in any order
+		one := New() // the same jobs, added one by one in a random order
 		for _, j := range shuffled(jobs, seed) {
 			if n := one.cost(func() { one.Add(j) }); n > len(jobs)+2 {
 				t.Fatalf("one of them cost %d", n)
@@ -104,7 +105,7 @@
 }
 
 func TestLongChainNeedsNoDeepStackAndOnePassPerChange(t *testing.T) {
-	// Guards against work that grows with the square of a chain's length.
+	// Guards against a cost that grows with the square of a chain's length.
 	const n = 5000
 	g := New()
 	jobs := chain(n)
@@ -127,7 +128,7 @@
 }
 
 func TestChainOfTwentyThousandIsCancelledWithItsFirstJob(t *testing.T) {
-	// Guards against a stack frame, or a pass, for each dependent.
+	// Guards against a stack frame, or a pass over the graph, for each dependent.
 	const n = 20000
 	g := New()
 	g.Add(shuffled(append(chain(n), due(job(n+1), 3, 0, 1, job(n))), 2)...)
@@ -146,7 +147,7 @@
 }
 
 func TestCycleDoesNotKeepTheGraphBusyForEver(t *testing.T) {
-	// Guards against a broken record that makes the leader loop for ever.
+	// Guards against a corrupt record with cyclic dependencies that makes the leader loop forever.
 	g := New()
 	g.Add(due(job(1), 1, 100, 5, job(2)), due(job(2), 2, 50, 5, job(1)), due(job(3), 3, 40, 5, job(3)))
 	g.Add(due(job(4), 3, 10, 1, job(1), job(3)))
@@ -157,8 +158,8 @@
 }
 
 func TestNewDurationsMoveInheritedDeadlines(t *testing.T) {
-	// Guards against deadlines that a new leader passes on before it knows how long image
-	// pulls take, and never corrects.
+	// Guards against wrong inherited deadlines: a new leader computes them before it knows how long
+	// image pulls take, and must correct them later.
 	g := New()
 	g.Add(chain(3)...)
 	g.Add(due(job(4), 1, 100, 1, job(3)))
@@ -172,7 +173,7 @@
 }
 
 func TestCancelledJobStaysCancelledWhenItsPrerequisiteIsReportedDone(t *testing.T) {
-	// Guards against a start of a job that users were told is cancelled.
+	// Guards against starting a job that was already reported to users as cancelled.
 	g := New()
 	g.Add(due(job(2), 0, 0, 1, job(1)))
 	g.Cancel(job(1))
@@ -183,7 +184,7 @@
 }
 
 func TestDoneJobsLeaveNoNodesAndBoundedOutcomes(t *testing.T) {
-	// Guards against a graph that grows as long as its leader lives.
+	// Guards against a graph that grows without bound during a leader's term.
 	g := New()
 	jobs := ladder(10)
 	g.Add(jobs...)
--- a/internal/dependency/levels.go
+++ b/internal/dependency/levels.go
@@ -1,6 +1,7 @@
 package dependency
 
-// raiseLevels puts added jobs above all their prerequisites, and their dependents above them.
+// raiseLevels raises the levels of added jobs above those of their prerequisites, and the levels of
+// their dependents above theirs.
 func (g *Graph) raiseLevels(added []*node) {
 	for _, n := range topologicalOrder(added) {
 		for prerequisite := range n.prerequisites {
@@ -13,15 +14,16 @@
 	}
 }
 
-// raiseDependents puts all that depend on a job above it; those that were added with it are
-// already.
+// raiseDependents raises the levels of all jobs that depend on n, directly or indirectly, where needed.
+// Those that were added together with n already have a higher level.
 func (g *Graph) raiseDependents(n *node) {
 	raised := []*node{n}
 	for len(raised) > 0 {
 		next := raised[0]
 		raised = raised[1:]
 		for dependent := range next.dependents {
-			// Without a cycle no level is higher than the number of jobs.
+			// In an acyclic graph no level exceeds the number of jobs. The limit ends the loop if
+			// there is a cycle.
 			if dependent.level <= next.level && next.level < len(g.nodes) {
 				dependent.level = next.level + 1
 				g.raised++
@@ -31,10 +33,10 @@
 	}
 }
 
-// topologicalOrder sorts added jobs so that each comes after its prerequisites among them. Jobs of
-// a cycle are left out.
+// topologicalOrder returns the added jobs such that each follows its prerequisites among them. It omits
+// jobs that are on a cycle or depend on one.
 func topologicalOrder(added []*node) []*node {
-	unlisted := make(map[*node]int, len(added)) // number of prerequisites that are not listed yet
+	unlisted := make(map[*node]int, len(added)) // number of added prerequisites that are not in order yet
 	for _, n := range added {
 		unlisted[n] = 0
 	}
@@ -51,7 +53,7 @@
 			order = append(order, n)
 		}
 	}
-	for i := 0; i < len(order); i++ { // order grows
+	for i := 0; i < len(order); i++ { // order grows during the loop
 		for dependent := range order[i].dependents {
 			if _, isAdded := unlisted[dependent]; !isAdded {
 				continue
--- a/internal/dependency/queries.go
+++ b/internal/dependency/queries.go
@@ -7,10 +7,10 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-// Outcome returns how a job ended, as far as that is remembered.
+// Outcome returns the outcome of a job, or Unknown if it is not remembered.
 func (g *Graph) Outcome(id ids.Job) Outcome { return g.outcomes[id] }
 
-// HasDependents reports whether any job waits for this one.
+// HasDependents reports whether any waiting job depends directly on this one.
 func (g *Graph) HasDependents(id ids.Job) bool {
 	n := g.nodes[id]
 	return n != nil && len(n.dependents) > 0
@@ -19,8 +19,8 @@
 // IsReady reports whether all prerequisites of a waiting job are done.
 func (g *Graph) IsReady(id ids.Job) bool { return g.ready[id] }
 
-// CancelledBy returns the cancelled job that a waiting job depends on, directly or not; it is
-// empty if there is none.
+// CancelledBy returns the cancelled job that a waiting job depends on, directly or indirectly, or "" if
+// there is none.
 func (g *Graph) CancelledBy(id ids.Job) ids.Job {
 	if n := g.nodes[id]; n != nil {
 		return n.cancelledBy
@@ -28,10 +28,10 @@
 	return ""
 }
 
-// Ready lists the waiting jobs whose prerequisites are all done.
+// Ready returns the waiting jobs whose prerequisites are all done, in no particular order.
 func (g *Graph) Ready() iter.Seq[ids.Job] { return maps.Keys(g.ready) }
 
-// Cancelled lists the waiting jobs that are cancelled with a prerequisite.
+// Cancelled returns the waiting jobs that were cancelled because of a prerequisite, in no particular order.
 func (g *Graph) Cancelled() iter.Seq[ids.Job] { return maps.Keys(g.cancelled) }
 
 // InheritedUrgency returns the urgency that a job inherits from its dependents.
@@ -45,5 +45,5 @@
 // Len returns the number of waiting jobs.
 func (g *Graph) Len() int { return g.waiting }
 
-// Counts returns how many waiting jobs are ready, and how many are cancelled.
+// Counts returns the numbers of waiting jobs that are ready and that are cancelled.
 func (g *Graph) Counts() (ready, cancelled int) { return len(g.ready), len(g.cancelled) }
--- a/internal/dependency/random_graph_test.go
+++ b/internal/dependency/random_graph_test.go
@@ -9,7 +9,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-// model computes everything anew from the waiting jobs and what ended.
+// model computes all results from scratch from the waiting jobs and the outcomes.
 type model struct {
 	waiting  map[ids.Job]Job
 	outcomes map[ids.Job]Outcome
@@ -48,18 +48,18 @@
 	return true
 }
 
-// randomRun is a graph, its model and what the graph reported, through random changes.
+// randomRun applies random changes to a graph and its model, and records the changes that the graph reports.
 type randomRun struct {
 	rng      *rand.Rand
 	graph    *Graph
 	model    *model
-	reported map[ids.Job]Urgency // inherited, as of the last change that named the job
+	reported map[ids.Job]Urgency // inherited urgency at the last change that included the job
 	toAdd    []Job
 }
 
 const (
-	independentJobs = 4  // the first jobs, which have no dependencies
-	allJobs         = 24 // numbered from zero; each depends on some with lower numbers
+	independentJobs = 4  // number of jobs without dependencies, which have the lowest numbers
+	allJobs         = 24 // number of all jobs; the others depend on jobs with lower numbers
 )
 
 func newRandomRun(seed uint64) *randomRun {
@@ -81,14 +81,14 @@
 	}
 }
 
-// note takes in what the graph reports as changed.
+// note records the inherited urgency of the jobs that the graph reports as changed.
 func (r *randomRun) note(changes Changes) {
 	for _, id := range changes.InheritedChanged {
 		r.reported[id] = r.graph.InheritedUrgency(id)
 	}
 }
 
-// check compares the graph, and what it reported, with the model.
+// check compares the graph, and the changes that it reported, with the model.
 func (r *randomRun) check(t *testing.T, changes Changes) {
 	t.Helper()
 	r.note(changes)
@@ -111,7 +111,7 @@
 	}
 }
 
-// addSome adds some of the jobs that are left.
+// addSome adds some of the jobs that have not been added yet.
 func (r *randomRun) addSome(t *testing.T) {
 	t.Helper()
 	count := min(len(r.toAdd), 1+r.rng.IntN(5))
@@ -123,7 +123,8 @@
 	r.check(t, r.graph.Add(some...))
 }
 
-// endOne ends a job that does not wait, if it picks one, and reports whether it did.
+// endOne picks a random job and finishes or cancels it if it has been added, no longer waits and has not
+// ended. It reports whether it ended a job.
 func (r *randomRun) endOne(t *testing.T) bool {
 	t.Helper()
 	id := job(r.rng.IntN(allJobs))
@@ -141,7 +142,7 @@
 	return true
 }
 
-// removeResolved removes the jobs that are ready or cancelled.
+// removeResolved removes the waiting jobs that are ready or cancelled.
 func (r *randomRun) removeResolved(t *testing.T) {
 	t.Helper()
 	for _, id := range slices.Sorted(maps.Keys(r.model.waiting)) {
@@ -150,7 +151,7 @@
 			delete(r.model.waiting, id)
 			r.check(t, r.graph.Remove(id))
 		case r.graph.CancelledBy(id) != "":
-			r.model.outcomes[id] = Cancelled // its final record is stored
+			r.model.outcomes[id] = Cancelled // as if its final record were stored
 			r.check(t, r.graph.Cancel(id))
 			delete(r.model.waiting, id)
 			r.check(t, r.graph.Remove(id))
@@ -158,7 +159,7 @@
 	}
 }
 
-// cancelWaiting cancels a waiting job, as its user may.
+// cancelWaiting cancels a waiting job, as its user may do.
 func (r *randomRun) cancelWaiting(t *testing.T) {
 	t.Helper()
 	waiting := slices.Sorted(maps.Keys(r.model.waiting))
@@ -172,7 +173,7 @@
 	r.check(t, r.graph.Cancel(id))
 }
 
-// finishIndependent finishes the jobs without dependencies, so that a run ends.
+// finishIndependent finishes the jobs without dependencies, so that a run comes to an end.
 func (r *randomRun) finishIndependent(t *testing.T) {
 	t.Helper()
 	for n := range independentJobs {
@@ -204,8 +205,8 @@
 }
 
 func TestRandomGraphsAgreeWithAModel(t *testing.T) {
-	// Guards against any difference between the incremental changes and a computation from the
-	// whole graph, in whatever order things are learned.
+	// Guards against differences between the incremental updates and a computation from the whole
+	// graph, in any order of additions, removals and outcomes.
 	for seed := range uint64(60) {
 		run := newRandomRun(seed)
 		for len(run.toAdd) > 0 || len(run.model.waiting) > 0 {
--- a/internal/dependency/updatequeue.go
+++ b/internal/dependency/updatequeue.go
@@ -2,11 +2,11 @@
 
 import "container/heap"
 
-// updateQueue is a priority queue of jobs whose inherited urgency may have changed, the highest
-// level first.
+// updateQueue is a priority queue of jobs whose inherited urgency may have changed, ordered by level,
+// highest first.
 type updateQueue struct{ nodes []*node }
 
-// add queues a job, unless it is queued already.
+// add adds a job, unless it is already in the queue.
 func (q *updateQueue) add(n *node) {
 	if !n.queued {
 		n.queued = true
@@ -14,14 +14,14 @@
 	}
 }
 
-// addAll queues jobs.
+// addAll adds several jobs.
 func (q *updateQueue) addAll(nodes map[*node]bool) {
 	for n := range nodes {
 		q.add(n)
 	}
 }
 
-// next takes a job of the highest level.
+// next removes and returns a job of the highest level in the queue.
 func (q *updateQueue) next() *node {
 	n := heap.Pop(q).(*node)
 	n.queued = false
@@ -33,10 +33,10 @@
 func (q *updateQueue) Less(i, j int) bool { return q.nodes[i].level > q.nodes[j].level }
 func (q *updateQueue) Swap(i, j int)      { q.nodes[i], q.nodes[j] = q.nodes[j], q.nodes[i] }
 
-// Push appends a job for the heap.
+// Push appends a job; only package heap may call it.
 func (q *updateQueue) Push(x any) { q.nodes = append(q.nodes, x.(*node)) }
 
-// Pop removes the last job for the heap.
+// Pop removes and returns the last job; only package heap may call it.
 func (q *updateQueue) Pop() any {
 	last := len(q.nodes) - 1
 	n := q.nodes[last]
--- a/internal/dependency/urgency.go
+++ b/internal/dependency/urgency.go
@@ -6,14 +6,14 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-// Urgency is how important a job is and by when it should be done. Its zero value requires
-// nothing.
+// Urgency is the priority of a job and the deadline by which it should be done. The zero value has the
+// priority 0 and no deadline.
 type Urgency struct {
 	Priority int
 	Deadline time.Time // zero: none
 }
 
-// merge returns the higher priority and the earlier deadline of both.
+// merge returns the higher priority and the earlier deadline of two urgencies.
 func (u Urgency) merge(other Urgency) Urgency {
 	u.Priority = max(u.Priority, other.Priority)
 	if u.Deadline.IsZero() || !other.Deadline.IsZero() && other.Deadline.Before(u.Deadline) {
@@ -22,8 +22,8 @@
 	return u
 }
 
-// passedOn is the urgency that the prerequisites of a waiting job inherit from it: they must leave
-// it its duration before its own deadline and those of its dependents.
+// passedOn returns the urgency that the prerequisites of a waiting job inherit from it. Their deadline
+// is earlier than the job's own and inherited deadlines by the job's duration.
 func (n *node) passedOn() Urgency {
 	urgency := n.inherited.merge(n.job.Urgency)
 	if !urgency.Deadline.IsZero() {
@@ -32,7 +32,7 @@
 	return urgency
 }
 
-// inheritedFromDependents computes what a job inherits.
+// inheritedFromDependents returns the urgency that a job inherits from its dependents.
 func (n *node) inheritedFromDependents() (urgency Urgency) {
 	for dependent := range n.dependents {
 		if dependent.cancelledBy == "" {
@@ -42,7 +42,7 @@
 	return urgency
 }
 
-// UpdateDurations replaces the estimated durations of all waiting jobs.
+// UpdateDurations replaces the durations of all waiting jobs by new estimates.
 func (g *Graph) UpdateDurations(estimate func(ids.Job) time.Duration) Changes {
 	var changes Changes
 	queue := &updateQueue{}
@@ -59,9 +59,9 @@
 	return changes
 }
 
-// propagate recomputes what the queued jobs inherit, and passes changes on to their prerequisites
-// in turn. Jobs of a higher level go first: all dependents of a job are of a higher level, so each
-// job is recomputed at most once.
+// propagate recomputes the inherited urgency of the queued jobs, and queues the prerequisites of each job
+// whose inherited urgency changed. It takes jobs of higher levels first. All dependents of a job have a
+// higher level, so each job is recomputed at most once.
 func (g *Graph) propagate(queue *updateQueue, changes *Changes) {
 	for queue.Len() > 0 {
 		n := queue.next()
@@ -76,7 +76,7 @@
 			continue // its prerequisites inherit nothing from it
 		}
 		for prerequisite := range n.prerequisites {
-			if prerequisite.level < n.level { // false only in a cycle, which nobody can submit
+			if prerequisite.level < n.level { // false only on a cycle, which users cannot submit
 				queue.add(prerequisite)
 			}
 		}
