--- a/internal/quota/leaders_test.go
+++ b/internal/quota/leaders_test.go
@@ -98,7 +98,7 @@
 				t.Errorf("seed %d: %s", seed, breach)
 			}
 			if violation, checks := checker.result(); violation != "" || checks == 0 {
-				t.Errorf("seed %d: %d states checked: %s", seed, checks, violation)
+				t.Errorf("seed %d: %d checks of stored ledgers, violation %q", seed, checks, violation)
 			}
 		})
 	}
@@ -165,18 +165,18 @@
 		}
 		slowest := slices.Max(s.workers.grantDelays)
 		if slowest > 2*time.Second {
-			t.Errorf("a demand was granted after %v", slowest)
+			t.Errorf("the slowest demand was granted after %v, want at most 2s", slowest)
 		}
 		moved := changes.Load()
 		s.submitMany(rand.New(rand.NewPCG(7, 4)), 40)
 		s.awaitAll(moves+40*shardCount*len(s.limits), 3*time.Minute)
 		grants := s.workers.started - moves
 		if perGrant := float64(changes.Load()-moved) / float64(grants); perGrant > 1 {
-			t.Errorf("%.2f changes a grant", perGrant)
+			t.Errorf("%.2f changes of ledgers and requests per grant, want at most 1", perGrant)
 		}
 		slices.Sort(s.workers.grantDelays)
-		t.Logf("whole limits moved: %d changes for %d grants, at most %v from demand to grant", moved, moves, slowest)
-		t.Logf("flood: %d changes for %d grants, half within %v", changes.Load()-moved, grants, s.workers.grantDelays[len(s.workers.grantDelays)/2])
+		t.Logf("transfers of whole limits: %d changes for %d grants, at most %v from demand to grant", moved, moves, slowest)
+		t.Logf("many tasks: %d changes for %d grants, median %v from demand to grant", changes.Load()-moved, grants, s.workers.grantDelays[len(s.workers.grantDelays)/2])
 	})
 }
 
@@ -190,7 +190,7 @@
 		}
 		s.submitMany(rand.New(rand.NewPCG(1, 4)), 10)
 		if breach, _ := s.workers.result(); breach == "" {
-			t.Error("grants without the ledger broke no limit")
+			t.Error("no breach of a limit was recorded although leaders granted without the ledger")
 		}
 	})
 }
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -43,15 +43,15 @@
 	// ErrNewerVersion reports that a newer program version wrote the ledger.
 	ErrNewerVersion = errors.New("written in a newer form")
 	// ErrUnbalanced reports that allowances and reserve do not add up to the limit.
-	ErrUnbalanced = errors.New("does not add up to the limit")
+	ErrUnbalanced = errors.New("allowances and reserve do not add up to the limit")
 	// ErrBadLedger reports that a stored ledger can't be used, for any reason.
-	ErrBadLedger = errors.New("the ledger can't be used")
+	ErrBadLedger = errors.New("stored ledger can't be used")
 	// ErrShardCount reports that the ledger was created for a different number of shards.
-	ErrShardCount = errors.New("made for another number of shards")
+	ErrShardCount = errors.New("ledger was created for a different number of shards")
 )
 
 // errNotAllowed reports that the ledger's current state does not allow a transition.
-var errNotAllowed = errors.New("transition not allowed")
+var errNotAllowed = errors.New("ledger transition not allowed")
 
 // NewLedger returns a ledger in which the whole limit is in reserve and no shard has an allowance.
 func NewLedger(limit Limit, limitAt ids.Timestamp, shards int) Ledger {
@@ -80,7 +80,7 @@
 	}
 	whole := l.Limit.whole().Plus(l.Overcommitted)
 	if negative || l.Version < 1 || sum != whole {
-		return fmt.Errorf("%w: %v held and in reserve of %v", ErrUnbalanced, sum, whole)
+		return fmt.Errorf("%w: sum %v, limit and overcommitment %v", ErrUnbalanced, sum, whole)
 	}
 	return nil
 }
@@ -119,7 +119,7 @@
 // Take moves an amount from the reserve to a shard's allowance.
 func (l *Ledger) Take(shard Shard, amount Amount) (Ledger, error) {
 	if !l.Reserve.Covers(amount) {
-		return Ledger{}, fmt.Errorf("%w: take %v of a reserve of %v", errNotAllowed, amount, l.Reserve)
+		return Ledger{}, fmt.Errorf("%w: take %v from a reserve of %v", errNotAllowed, amount, l.Reserve)
 	}
 	next := l.clone()
 	next.Reserve = next.Reserve.Minus(amount)
@@ -131,7 +131,7 @@
 // does not use the amount.
 func (l *Ledger) Give(from, to Shard, amount Amount) (Ledger, error) {
 	if from == to || !l.Accounts[from].Allowance.Covers(amount) || !l.Overcommitted.Min(amount).IsZero() {
-		return Ledger{}, fmt.Errorf("%w: give %v from shard %d to %d", errNotAllowed, amount, from, to)
+		return Ledger{}, fmt.Errorf("%w: give %v from shard %d to shard %d", errNotAllowed, amount, from, to)
 	}
 	next := l.clone()
 	next.Accounts[from].Allowance = next.Accounts[from].Allowance.Minus(amount)
@@ -143,7 +143,7 @@
 // the overcommitment; the rest goes to the reserve.
 func (l *Ledger) Return(shard Shard, amount Amount) (Ledger, error) {
 	if !l.Accounts[shard].Allowance.Covers(amount) {
-		return Ledger{}, fmt.Errorf("%w: return %v", errNotAllowed, amount)
+		return Ledger{}, fmt.Errorf("%w: return %v, which exceeds the shard's allowance", errNotAllowed, amount)
 	}
 	next := l.clone()
 	next.Accounts[shard].Allowance = next.Accounts[shard].Allowance.Minus(amount)
@@ -158,7 +158,7 @@
 // limit before, all shards must register their usage again.
 func (l *Ledger) SetLimit(limit Limit, limitAt ids.Timestamp) (Ledger, error) {
 	if limitAt <= l.LimitAt {
-		return Ledger{}, fmt.Errorf("%w: the limit is from newer settings", errNotAllowed)
+		return Ledger{}, fmt.Errorf("%w: the current limit is from newer or the same settings", errNotAllowed)
 	}
 	next := l.clone()
 	next.Limit, next.LimitAt = limit, limitAt
--- a/internal/quota/ledger_test.go
+++ b/internal/quota/ledger_test.go
@@ -78,12 +78,12 @@
 			sum := Amount{}
 			for i, account := range ledger.Accounts {
 				if !account.Allowance.Covers(ledger.Limit.limited(used[i])) {
-					t.Fatalf("seed %d, step %d: shard %d uses %v of %v", seed, step, i, used[i], account.Allowance)
+					t.Fatalf("seed %d, step %d: shard %d uses %v, more than its allowance of %v", seed, step, i, used[i], account.Allowance)
 				}
 				sum = sum.Plus(ledger.Limit.limited(used[i]))
 			}
 			if !ledger.Limit.limited(Amount(ledger.Limit)).Plus(ledger.Overcommitted).Covers(sum) {
-				t.Fatalf("seed %d, step %d: %v in use, limit %v, overcommitment %v", seed, step, sum, ledger.Limit, ledger.Overcommitted)
+				t.Fatalf("seed %d, step %d: usage %v exceeds limit %v and overcommitment %v", seed, step, sum, ledger.Limit, ledger.Overcommitted)
 			}
 		}
 	}
@@ -93,10 +93,10 @@
 	t.Parallel()
 	ledger := NewLedger(LimitOf(8, 0), 100, 2)
 	if _, err := ledger.SetLimit(LimitOf(12, 0), 99); !errors.Is(err, errNotAllowed) {
-		t.Errorf("a process that started earlier changed the limit: %v", err)
+		t.Errorf("SetLimit of a process that started earlier: error %v, want errNotAllowed", err)
 	}
 	if next, err := ledger.SetLimit(LimitOf(12, 0), 101); err != nil || next.Reserve[Cores] != 12*unitsPerWhole {
-		t.Errorf("%+v, %v", next, err)
+		t.Errorf("SetLimit of a process that started later: ledger %+v, error %v; want a reserve of 12 cores", next, err)
 	}
 }
 
@@ -112,11 +112,11 @@
 		t.Fatal(err)
 	}
 	for _, c := range []struct{ name, stored, fault string }{
-		{"unbalanced", strings.Replace(good, "8000", "9000", 1), "does not add up"},
+		{"unbalanced", strings.Replace(good, "8000", "9000", 1), "do not add up"},
 		{"newer form", strings.Replace(good, `"form":1`, `"form":2`, 1), "newer form"},
-		{"other number of shards", strings.Replace(good, `[{`, `[{},{`, 1), "another number"},
+		{"other number of shards", strings.Replace(good, `[{`, `[{},{`, 1), "a different number"},
 		{"not a ledger", `{"form":1,"limit":"eight"}`, "cannot unmarshal"},
-		{"empty", `{}`, "another number"},
+		{"empty", `{}`, "a different number"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			tracker := NewTracker(0, 3, map[string]Limit{"red": LimitOf(8, 0), "blue": LimitOf(8, 0)}, 1)
@@ -125,17 +125,17 @@
 				{Key: LedgerKey("blue"), Value: encode(t, open), Revision: 6},
 			})
 			if left := tracker.Available("red"); left.Cores > 0 {
-				t.Errorf("%v may still be granted to red", left)
+				t.Errorf("%v available to red, whose ledger can't be used", left)
 			}
 			if left := tracker.Available("blue"); left.Cores != 2 {
-				t.Errorf("blue may have %v, not the 2 of its allowance", left)
+				t.Errorf("%v available to blue, want the 2 cores of its allowance", left)
 			}
 			if faults := strings.Join(tracker.Faults(), "; "); !strings.Contains(faults, c.fault) || strings.Contains(faults, "blue") {
-				t.Errorf("faults %q, not of red alone with %q", faults, c.fault)
+				t.Errorf("faults %q, want only one of red that contains %q", faults, c.fault)
 			}
 			for _, transfer := range tracker.dueTransfers() {
 				if transfer.Team == "red" {
-					t.Errorf("the ledger is repaired: %s", transfer.Reason)
+					t.Errorf("a transfer replaces the unusable ledger of red: %s", transfer.Reason)
 				}
 			}
 		})
@@ -191,26 +191,26 @@
 	learnRequest(t, tracker, 1, 6, Request{Missing: cores(1), Wanted: cores(2)})
 	transfers := tracker.dueTransfers()
 	if len(transfers) != 1 || transfers[0].withheld != cores(2) {
-		t.Fatalf("%+v", transfers)
+		t.Fatalf("transfers %+v, want one that withholds 2 cores", transfers)
 	}
 	left := func() float64 { return tracker.Available("red").Cores }
 	if left() != 1 {
-		t.Fatalf("%v left while two of three idle cores are offered", left())
+		t.Fatalf("%v cores available while two of three idle cores are withheld", left())
 	}
 	tracker.recordOutcome(transfers[0], 0, state.ErrOutcomeUnknown)
 	if again := tracker.dueTransfers(); left() != 1 || len(again) != 1 || again[0] != transfers[0] {
-		t.Fatalf("without an answer: %v left, %+v sent again", left(), again)
+		t.Fatalf("after an unknown outcome: %v cores available, transfers %+v; want 1 core and the same transfer", left(), again)
 	}
 	// The second attempt is refused, but the first may still be applied.
 	tracker.recordOutcome(transfers[0], 0, state.ErrRefused)
 	tracker.recordOutcome(transfers[0], 0, &state.ConflictError{})
 	if left() != 1 {
-		t.Fatalf("%v left although the first sending may have been applied", left())
+		t.Fatalf("%v cores available although the first attempt may have been applied", left())
 	}
 	// After another change of the ledger the transfer can no longer be applied.
 	learnLedger(t, tracker, 9, tracker.teams["red"].ledger)
 	if left() != 3 {
-		t.Fatalf("%v left after a later revision that does not hold the transfer", left())
+		t.Fatalf("%v cores available after a later revision without the transfer, want 3", left())
 	}
 }
 
@@ -251,7 +251,7 @@
 				given = given.Plus(transfer.withheld)
 			}
 			if given != cores(c.given) {
-				t.Errorf("given %v, not %d cores", given, c.given)
+				t.Errorf("transfers give %v, want %d cores", given, c.given)
 			}
 		})
 	}
@@ -266,7 +266,7 @@
 	learnRequest(t, tracker, 1, 6, Request{Missing: cores(1), Wanted: cores(9), Rank: Rank{Since: later}})
 	tracker.now = func() time.Time { return now.Add(retentionPeriod + time.Second) }
 	if transfers := tracker.dueTransfers(); len(transfers) != 1 || transfers[0].withheld != cores(6) {
-		t.Errorf("allowance that is not used is retained: %+v", transfers)
+		t.Errorf("transfers %+v, want one of all 6 idle cores: allowance that is not used must not be retained", transfers)
 	}
 }
 
@@ -276,10 +276,10 @@
 	tracker.AddUsage("red", placement.Resources{Cores: 5})
 	learnRequest(t, tracker, 1, 6, Request{Missing: cores(3), Wanted: cores(3), Rank: Rank{Guaranteed: true}})
 	if amount, _, owed := tracker.ReclaimNeeded("red"); !owed || amount != cores(2) {
-		t.Errorf("owed %v of what is in use, beside the idle core", amount)
+		t.Errorf("%v to be reclaimed from usage, want 2 cores besides the idle one", amount)
 	}
 	if why := tracker.Explain("red"); !strings.Contains(why, "held by shard 1, not asked back yet") {
-		t.Errorf("explained as %q", why)
+		t.Errorf("explanation %q does not name the shard that holds the allowance", why)
 	}
 }
 
@@ -290,7 +290,7 @@
 		tracker := NewTracker(0, 2, map[string]Limit{"red": LimitOf(8, 0)}, 1)
 		tracker.AddUsage("red", placement.Resources{Cores: 1})
 		if learnLedger(t, tracker, 5, &ledger); tracker.Available("red").Cores > 0 {
-			t.Error("granted before all that is stored was read")
+			t.Error("resources are available before the stored ledgers were loaded")
 		}
 		tracker.Load(nil)
 		return tracker
@@ -298,16 +298,16 @@
 	whole := NewLedger(LimitOf(8, 0), 1, 2)
 	half := whole.Register(0, cores(3))
 	if tracker := learn(half); tracker.Available("red").Cores > 0 || !strings.Contains(tracker.Explain("red"), "not all shards") {
-		t.Errorf("%v may be granted before shard 1 has told what it uses", tracker.Available("red"))
+		t.Errorf("%v available before shard 1 has registered its usage, or the explanation is wrong", tracker.Available("red"))
 	}
 	both := half.Register(1, cores(4))
 	if tracker := learn(both); tracker.Available("red").Cores != 2 {
-		t.Errorf("%v may be granted of an allowance of 3 with 1 in use", tracker.Available("red"))
+		t.Errorf("%v available of an allowance of 3 cores with 1 in use, want 2 cores", tracker.Available("red"))
 	}
 	newer := NewTracker(0, 2, map[string]Limit{"red": LimitOf(5, 0)}, 2)
 	loadLedger(t, newer, 5, &both)
 	if newer.Available("red").Cores > 0 {
-		t.Errorf("%v may be granted by a limit that newer settings have lowered", newer.Available("red"))
+		t.Errorf("%v available under a limit that newer settings have lowered", newer.Available("red"))
 	}
 	lowered, err := both.SetLimit(LimitOf(5, 0), 2)
 	if err != nil {
@@ -315,15 +315,15 @@
 	}
 	tracker := learn(lowered)
 	if tracker.Available("red").Cores > 0 || !strings.Contains(tracker.Explain("red"), "was lowered") || len(tracker.Faults()) > 0 {
-		t.Errorf("after the limit was lowered %v may be granted: %s; alarms %v", tracker.Available("red"), tracker.Explain("red"), tracker.Faults())
+		t.Errorf("after the limit was lowered: %v available, explanation %q, faults %v", tracker.Available("red"), tracker.Explain("red"), tracker.Faults())
 	}
 	// Idle allowance reduces the overcommitment first.
 	transfers := tracker.dueTransfers()
 	if len(transfers) != 1 || transfers[0].Reason != "returned" || transfers[0].withheld != cores(2) {
-		t.Fatalf("%+v", transfers)
+		t.Fatalf("transfers %+v, want one that returns 2 cores", transfers)
 	}
 	if tracker.recordOutcome(transfers[0], 6, nil); tracker.Available("red").Cores != 0 || tracker.teams["red"].ledger.Overcommitted != cores(0) {
-		t.Errorf("%v may be granted of an allowance of 1 with 1 in use", tracker.Available("red"))
+		t.Errorf("%v available of an allowance of 1 core with 1 in use, or the overcommitment is not zero", tracker.Available("red"))
 	}
 }
 
@@ -333,12 +333,12 @@
 	tracker.AddUsage("red", placement.Resources{Cores: 2.5, Accels: 3})
 	tracker.SetDemands(map[string]Demand{"red": {cores(1), cores(9), Rank{}}})
 	if left := tracker.Available("red"); left.Cores != 5.5 || left.Accels < 1e9 || tracker.Available("unknown").Cores > 0 {
-		t.Errorf("%v left of eight cores", left)
+		t.Errorf("%v available of a limit of 8 cores with 2.5 in use, or an unknown team has resources available", left)
 	}
 	if transfers := tracker.dueTransfers(); len(transfers) != 0 {
-		t.Errorf("%+v", transfers)
+		t.Errorf("transfers %+v with a single shard, want none", transfers)
 	}
 	if _, due := tracker.ownRequests(); due {
-		t.Error("requests are stored")
+		t.Error("requests are due with a single shard")
 	}
 }
--- a/internal/quota/rebalancer.go
+++ b/internal/quota/rebalancer.go
@@ -87,14 +87,14 @@
 func (r *Rebalancer) commit(ctx context.Context, transfer *Transfer) {
 	txn, err := transfer.Txn(r.fence())
 	if err != nil {
-		slog.Error("allowance transfer not encoded", "team", transfer.Team, "err", err)
+		slog.Error("allowance transfer not sent: encoding its ledger failed", "team", transfer.Team, "err", err)
 		return
 	}
 	at, err := r.store.Commit(ctx, txn, state.Normal)
 	r.lock.Lock()
 	r.tracker.recordOutcome(transfer, at, err)
 	r.lock.Unlock()
-	slog.Debug("allowance transfer", "team", transfer.Team, "transition", transfer.Reason, "err", err)
+	slog.Debug("allowance transfer sent", "team", transfer.Team, "transition", transfer.Reason, "err", err)
 	if err != nil {
 		r.refresh(ctx, transfer.Team)
 	}
--- a/internal/quota/simulation_test.go
+++ b/internal/quota/simulation_test.go
@@ -171,7 +171,7 @@
 // decode decodes a stored value. Only controllers write these values, so a failure is a test error.
 func (c *controller) decode(value json.RawMessage, target any) {
 	if err := json.Unmarshal(value, target); err != nil {
-		c.t.Errorf("%s: stored value %s: %v", c.name, value, err)
+		c.t.Errorf("controller %s: decoding stored value %s: %v", c.name, value, err)
 	}
 }
 
@@ -362,8 +362,8 @@
 		}
 	}
 	_, ended := s.workers.result()
-	s.t.Errorf("%d of %d tasks ran; waiting: %v", ended, tasks, s.queues)
+	s.t.Errorf("%d of %d tasks ran to their end; queued tasks: %v", ended, tasks, s.queues)
 	for _, key := range []string{quota.LedgerKey("red"), quota.LedgerKey("blue"), quota.RequestsKey(0), quota.RequestsKey(1), quota.RequestsKey(2)} {
-		s.t.Errorf("%s: %s", key, s.store.Value(key))
+		s.t.Errorf("stored value of %s: %s", key, s.store.Value(key))
 	}
 }
--- a/internal/quota/stored.go
+++ b/internal/quota/stored.go
@@ -37,7 +37,7 @@
 			continue
 		}
 		if _, err := decodeLedger(entry.Value, shards); err != nil {
-			return fmt.Errorf("%w: of team %s: %v", ErrBadLedger, name, err)
+			return fmt.Errorf("%w: team %s: %v", ErrBadLedger, name, err)
 		}
 	}
 	return nil
