--- a/internal/costs/costs.go
+++ b/internal/costs/costs.go
@@ -60,7 +60,7 @@
 	if now.Sub(a.loggedAt) >= logInterval {
 		a.loggedAt = now
 		money := a.money.rounded()
-		slog.Info("costs", "boot", money.Boot, "idle", money.Idle, "free", money.Free, "fetch", money.Pull, "wait", money.Wait, "run", money.Run,
+		slog.Info("machine costs of this term", "boot", money.Boot, "idle", money.Idle, "free", money.Free, "fetch", money.Pull, "wait", money.Wait, "run", money.Run,
 			"againCoreSeconds", a.repeated)
 	}
 }
--- a/internal/costs/costs_test.go
+++ b/internal/costs/costs_test.go
@@ -49,7 +49,7 @@
 		account.Accrue(start, registry, index)
 		account.Accrue(start.Add(time.Hour), registry, index)
 		if got, _ := account.Summary(); got != c.want {
-			t.Errorf("%s: %+v, want %+v", c.name, got, c.want)
+			t.Errorf("%s: costs %+v, want %+v", c.name, got, c.want)
 		}
 	}
 }
@@ -75,7 +75,7 @@
 		account.AddLostWork(assignment, "preempted", start.Add(100*time.Second))
 		_, repeated := account.Summary()
 		if got, recorded := repeated["preempted"]; got != c.want || recorded != c.recorded {
-			t.Errorf("%s: %v core-seconds, recorded %v", c.name, got, recorded)
+			t.Errorf("%s: %v lost core-seconds, recorded: %v", c.name, got, recorded)
 		}
 	}
 }
