--- a/internal/provisioning/provisioning_test.go
+++ b/internal/provisioning/provisioning_test.go
@@ -101,15 +101,15 @@
 	}
 	addMachine(planner, "booting", now, 10*time.Second, true)
 	if replaced := planner.boots.replaced(now); len(replaced) != 1 || !replaced["late0"] {
-		t.Errorf("replaced %v, want the oldest", replaced)
+		t.Errorf("replaced machines %v, want only the oldest", replaced)
 	}
 	if got := planner.boots.countComing(now)["small"]; got != 3 {
-		t.Errorf("%d machines are expected, want 3", got)
+		t.Errorf("%d booting machines count as expected, want 3", got)
 	}
 	up := addMachine(planner, "up", now, 80*time.Second, false)
 	planner.Estimates.RecordBoot(up, now.Add(-50*time.Second))
 	if replaced := planner.boots.replaced(now); len(replaced) != 3 {
-		t.Errorf("replaced %v, want all that are late", replaced)
+		t.Errorf("replaced machines %v, want all late ones", replaced)
 	}
 }
 
@@ -126,7 +126,7 @@
 	} {
 		usage := &classUsage{wanted: c.samples, running: c.samples}
 		if watermark, expected := usage.highWatermark(), usage.expectedConcurrency(); watermark != c.watermark || expected != c.expected {
-			t.Errorf("%v: high watermark %d, expected %d; want %d, %d", c.samples, watermark, expected, c.watermark, c.expected)
+			t.Errorf("samples %v: high watermark %d, expected concurrency %d; want %d, %d", c.samples, watermark, expected, c.watermark, c.expected)
 		}
 	}
 }
@@ -159,7 +159,7 @@
 			count, noOut = count+demand.Count, demand.NoScaleOut
 		}
 		if count != c.want || noOut != c.noOut {
-			t.Errorf("%s: room for %d tasks, no scale-out %v; want %d, %v", c.name, count, noOut, c.want, c.noOut)
+			t.Errorf("%s: headroom for %d tasks, NoScaleOut %v; want %d, %v", c.name, count, noOut, c.want, c.noOut)
 		}
 	}
 }
@@ -169,17 +169,17 @@
 	planner := testPlanner()
 	job := addJob(planner, "job", "batch", record.Array, record.Normal, 2, now)
 	if !planner.SampleUsage(now) || planner.SampleUsage(now.Add(sampleInterval/2)) {
-		t.Error("usage is not sampled once a second")
+		t.Error("usage is not sampled exactly once in a sample interval")
 	}
 	planner.Jobs.Remove(job)
 	for i := range usageWindow {
 		if _, known := planner.usage.classes["batch"]; !known {
-			t.Fatalf("the class is forgotten after %d samples", i)
+			t.Fatalf("the class was removed after only %d samples without tasks", i)
 		}
 		planner.SampleUsage(now.Add(time.Duration(i+1) * sampleInterval))
 	}
 	if len(planner.usage.classes) != 0 {
-		t.Error("a class without tasks is remembered for more than a window")
+		t.Error("a class without tasks is kept for more than the usage window")
 	}
 }
 
@@ -196,7 +196,7 @@
 		counts[demand.Preempt] += demand.Count
 	}
 	if counts[false] != 1 || counts[true] != 3 {
-		t.Errorf("%d slots for the small jobs and %d for the service, want 1 and 3", counts[false], counts[true])
+		t.Errorf("demand of %d slots for the small jobs and %d for the service, want 1 and 3", counts[false], counts[true])
 	}
 }
 
@@ -214,14 +214,14 @@
 	run(planner, addJob(planner, "array", "batch", record.Array, record.Normal, 1, now), 1, "mixed", settled)
 	candidates := planner.ConsolidationCandidates(now)
 	if len(candidates) != 2 || candidates[0].Name != "one" || candidates[1].Name != "two" || len(candidates[1].Needs) != 2 {
-		t.Errorf("candidates %+v", candidates)
+		t.Errorf("candidates %+v, want one and two, in this order", candidates)
 	}
 	planner.Consolidate("one", now)
 	if got := planner.ConsolidationCandidates(now); got != nil {
-		t.Errorf("candidates %v while a machine is being emptied", got)
+		t.Errorf("candidates %v while a machine is being emptied, want none", got)
 	}
 	if !planner.Consolidate("", now) || planner.Consolidate("", now) {
-		t.Error("giving up does not report whether a machine was being emptied")
+		t.Error("ending a consolidation does not report whether a machine was being emptied")
 	}
 }
 
@@ -264,7 +264,7 @@
 		c.change(planner, machine)
 		names := planner.MachinesToTerminate(now, needed)
 		if machine.DeleteReason != c.want || (len(names) == 1) != (c.want != "") {
-			t.Errorf("%s: terminated %v because %q, want %q", c.name, names, machine.DeleteReason, c.want)
+			t.Errorf("%s: terminated machines %v with reason %q, want reason %q", c.name, names, machine.DeleteReason, c.want)
 		}
 	}
 }
