--- a/internal/dependency/graph_test.go
+++ b/internal/dependency/graph_test.go
@@ -73,33 +73,33 @@
 	for seed := range uint64(3) {
 		g := New()
 		if n := g.cost(func() { g.Add(shuffled(jobs, seed)...) }); n > len(jobs)+2 {
-			t.Fatalf("%d jobs were computed %d times", len(jobs), n)
+			t.Fatalf("adding %d jobs took %d computations of an inherited urgency", len(jobs), n)
 		}
 		if g.raised > 0 {
-			t.Fatalf("%d levels were corrected, though all was known", g.raised)
+			t.Fatalf("%d levels were corrected although all jobs were added together", g.raised)
 		}
 		first := g.InheritedUrgency(job(0))
 		last := due(job(1000), 9, 900, 5, job(80), job(81))
 		if n := g.cost(func() { g.Add(last) }); n > len(jobs)+2 {
-			t.Fatalf("one more job cost %d", n)
+			t.Fatalf("adding one more job took %d computations", n)
 		}
 		if got := g.InheritedUrgency(job(0)); got.Priority != 9 {
-			t.Errorf("the first inherits priority %d", got.Priority)
+			t.Errorf("the first job inherits priority %d, want 9", got.Priority)
 		}
 		if n := g.cost(func() { g.Remove(last.ID) }); n > len(jobs)+2 {
-			t.Fatalf("one less cost %d", n)
+			t.Fatalf("removing one job took %d computations", n)
 		}
 		if got := g.InheritedUrgency(job(0)); got != first {
-			t.Errorf("the first inherits %v after, %v before", got, first)
+			t.Errorf("the first job inherits %v after the removal, want %v as before the addition", got, first)
 		}
 		one := New() // the same jobs, added one by one in a random order
 		for _, j := range shuffled(jobs, seed) {
 			if n := one.cost(func() { one.Add(j) }); n > len(jobs)+2 {
-				t.Fatalf("one of them cost %d", n)
+				t.Fatalf("adding one of the jobs took %d computations", n)
 			}
 		}
 		if got := one.InheritedUrgency(job(0)); got != first {
-			t.Errorf("the first inherits %v if added one by one, %v if all at once", got, first)
+			t.Errorf("the first job inherits %v if jobs are added one by one, but %v if all are added at once", got, first)
 		}
 	}
 }
@@ -110,20 +110,20 @@
 	g := New()
 	jobs := chain(n)
 	if cost := g.cost(func() { g.Add(shuffled(jobs, 1)...) }); cost > n+1 {
-		t.Fatalf("%d jobs were computed %d times", n, cost)
+		t.Fatalf("adding %d jobs took %d computations of an inherited urgency", n, cost)
 	}
 	last := due(job(n+1), 3, 20000, 0, job(n))
 	if cost := g.cost(func() { g.Add(last) }); cost > n+1 {
-		t.Fatalf("an urgent one at the end cost %d", cost)
+		t.Fatalf("adding an urgent job at the end took %d computations", cost)
 	}
 	if got := g.InheritedUrgency(job(0)); got.Priority != 3 || !got.Deadline.Equal(epoch.Add(15000*time.Second)) {
-		t.Errorf("the first inherits %v", got)
+		t.Errorf("the first job inherits %v, want priority 3 and a deadline 15000 s after epoch", got)
 	}
 	if cost := g.cost(func() { g.Add(due(job(n+2), 2, 0, 1, job(n))) }); cost > 1 {
-		t.Errorf("one that changes nothing cost %d", cost)
+		t.Errorf("adding a job that changes no urgency took %d computations", cost)
 	}
 	if cost := g.cost(func() { g.Finish(job(0)) }); cost > 0 || !g.IsReady(job(1)) {
-		t.Errorf("the first's end cost %d, the next is ready: %v", cost, g.IsReady(job(1)))
+		t.Errorf("finishing the first job took %d computations, want none; the next is ready: %v", cost, g.IsReady(job(1)))
 	}
 }
 
@@ -133,16 +133,16 @@
 	g := New()
 	g.Add(shuffled(append(chain(n), due(job(n+1), 3, 0, 1, job(n))), 2)...)
 	if cost := g.cost(func() { g.Cancel(job(0)) }); cost > n+1 {
-		t.Errorf("it cost %d", cost)
+		t.Errorf("the cancellation took %d computations", cost)
 	}
 	if _, cancelled := g.Counts(); cancelled != n+1 || g.CancelledBy(job(n)) != job(0) {
-		t.Errorf("%d are cancelled, the last by %q", cancelled, g.CancelledBy(job(n)))
+		t.Errorf("%d jobs are cancelled, the last by %q; want all, by the first", cancelled, g.CancelledBy(job(n)))
 	}
 	for _, id := range slices.Collect(g.Cancelled()) {
 		g.Remove(id)
 	}
 	if len(g.nodes) != 0 || g.Len() != 0 {
-		t.Errorf("%d are left", len(g.nodes))
+		t.Errorf("%d nodes are left after all jobs were removed", len(g.nodes))
 	}
 }
 
@@ -153,7 +153,7 @@
 	g.Add(due(job(4), 3, 10, 1, job(1), job(3)))
 	g.Cancel(job(1))
 	if ready, _ := g.Counts(); ready != 0 {
-		t.Errorf("%d are ready", ready)
+		t.Errorf("%d jobs are ready, want none", ready)
 	}
 }
 
@@ -165,10 +165,10 @@
 	g.Add(due(job(4), 1, 100, 1, job(3)))
 	changes := g.UpdateDurations(func(ids.Job) time.Duration { return 11 * time.Second })
 	if got := g.InheritedUrgency(job(0)).Deadline; !got.Equal(epoch.Add(56*time.Second)) || len(changes.InheritedChanged) != 4 {
-		t.Errorf("the first is to be done by %v; %d changed", got.Sub(epoch), len(changes.InheritedChanged))
+		t.Errorf("the first job inherits a deadline %v after epoch, want 56s; %d inherited urgencies changed, want 4", got.Sub(epoch), len(changes.InheritedChanged))
 	}
 	if again := g.UpdateDurations(func(ids.Job) time.Duration { return 11 * time.Second }); len(again.InheritedChanged) != 0 {
-		t.Errorf("the same again changed %d", len(again.InheritedChanged))
+		t.Errorf("the same durations again changed %d inherited urgencies", len(again.InheritedChanged))
 	}
 }
 
@@ -179,7 +179,7 @@
 	g.Cancel(job(1))
 	g.Finish(job(1))
 	if g.IsReady(job(2)) || g.CancelledBy(job(2)) != job(1) {
-		t.Errorf("it is ready: %v, cancelled by %q", g.IsReady(job(2)), g.CancelledBy(job(2)))
+		t.Errorf("the dependent is ready: %v, cancelled by %q; want not ready, cancelled by the prerequisite", g.IsReady(job(2)), g.CancelledBy(job(2)))
 	}
 }
 
@@ -197,12 +197,12 @@
 		}
 	}
 	if len(g.nodes) != 0 || g.Len() != 0 || len(g.ready) != 0 {
-		t.Errorf("%d jobs are left, %d wait", len(g.nodes), g.Len())
+		t.Errorf("%d nodes are left and %d jobs wait, want none", len(g.nodes), g.Len())
 	}
 	for n := range 3 * maxOutcomes {
 		g.Finish(job(n))
 	}
 	if len(g.outcomes) > maxOutcomes+1 {
-		t.Errorf("%d outcomes are remembered", len(g.outcomes))
+		t.Errorf("%d outcomes are remembered, more than the bound", len(g.outcomes))
 	}
 }
--- a/internal/dependency/random_graph_test.go
+++ b/internal/dependency/random_graph_test.go
@@ -96,17 +96,17 @@
 		id := job(n)
 		if r.model.outcomes[id] == Unknown {
 			if got, want := r.graph.InheritedUrgency(id), r.model.inherited(id); got != want || r.reported[id] != want {
-				t.Fatalf("%s inherits %v, was reported with %v, not %v", id, got, r.reported[id], want)
+				t.Fatalf("%s inherits %v and was last reported with %v, want %v", id, got, r.reported[id], want)
 			}
 		}
 		if _, waits := r.model.waiting[id]; !waits {
 			continue
 		}
 		if got, want := r.graph.CancelledBy(id) != "", r.model.cancelled(id); got != want {
-			t.Fatalf("%s cancelled: %v, not %v", id, got, want)
+			t.Fatalf("%s is cancelled: %v, want %v", id, got, want)
 		}
 		if got, want := r.graph.IsReady(id), r.model.ready(id) && !r.model.cancelled(id); got != want {
-			t.Fatalf("%s ready: %v, not %v", id, got, want)
+			t.Fatalf("%s is ready: %v, want %v", id, got, want)
 		}
 	}
 }
