--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -43,11 +43,11 @@
 	// ErrNewerVersion reports that a newer program version wrote the ledger.
 	ErrNewerVersion = errors.New("written in a newer form")
 	// ErrUnbalanced reports that allowances and reserve do not add up to the limit.
-	ErrUnbalanced = errors.New("allowances and reserve do not add up to the limit")
+	ErrUnbalanced = errors.New("sum of allowances and reserve does not add up to the limit")
 	// ErrBadLedger reports that a stored ledger can't be used, for any reason.
 	ErrBadLedger = errors.New("stored ledger can't be used")
 	// ErrShardCount reports that the ledger was created for a different number of shards.
-	ErrShardCount = errors.New("ledger was created for a different number of shards")
+	ErrShardCount = errors.New("ledger was created for another number of shards")
 )
 
 // errNotAllowed reports that the ledger's current state does not allow a transition.
