--- a/internal/quota/amount.go
+++ b/internal/quota/amount.go
@@ -43,9 +43,9 @@
 type Amount [resourceCount]int64
 
 // AmountOf converts resources to an Amount, rounded up to whole thousandths.
-func AmountOf(room placement.Resources) Amount {
+func AmountOf(resources placement.Resources) Amount {
 	roundUp := func(value float64) int64 { return int64(math.Ceil(value*unitsPerWhole - roundingTolerance)) }
-	return Amount{Cores: roundUp(room.Cores), Accelerators: roundUp(room.Accels), Memory: roundUp(room.RAM)}
+	return Amount{Cores: roundUp(resources.Cores), Accelerators: roundUp(resources.Accels), Memory: roundUp(resources.RAM)}
 }
 
 // Room converts the amount to resources.
@@ -121,8 +121,8 @@
 	return amount
 }
 
-// whole returns the limit as an amount, in which resources without a limit are zero.
-func (l Limit) whole() Amount { return l.limited(Amount(l)) }
+// total returns the limit as an amount, in which resources without a limit are zero.
+func (l Limit) total() Amount { return l.limited(Amount(l)) }
 
 // String returns the limited resources and their limits as text.
 func (l Limit) String() string {
--- a/internal/quota/explain.go
+++ b/internal/quota/explain.go
@@ -40,30 +40,30 @@
 		return "the ledgers of the teams' limits are being read"
 	case ledger == nil && limit.IsUnlimited():
 		return ""
-	case ledger == nil || !ledger.Open():
+	case ledger == nil || !ledger.AllRegistered():
 		return "team " + team + ": not all shards have told what the team uses since its limit came into force"
 	case !ledger.Overcommitted.IsZero():
 		return fmt.Sprintf("the limit of team %s was lowered to %v while more was in use; nothing new starts until enough has ended", team, ledger.Limit)
 	}
-	return t.explainShare(team, quota)
+	return t.explainLargestHolder(team, quota)
 }
 
-// explainShare returns which other shard holds the most of the team's allowance, and whether this shard
-// has requested some of it.
-func (t *Tracker) explainShare(team string, quota *teamQuota) string {
-	most, holder := int64(0), Shard(-1)
+// explainLargestHolder returns which other shard holds the most of the team's allowance, and whether this
+// shard has requested some of it.
+func (t *Tracker) explainLargestHolder(team string, quota *teamQuota) string {
+	largest, holder := int64(0), Shard(-1)
 	for i, account := range quota.ledger.Accounts {
 		amount := account.Allowance[Cores] + account.Allowance[Accelerators]
-		if shard := Shard(i); shard != t.shard && amount > most {
-			most, holder = amount, shard
+		if shard := Shard(i); shard != t.shard && amount > largest {
+			largest, holder = amount, shard
 		}
 	}
 	if holder < 0 {
 		return "team " + team + " is at its limit"
 	}
 	requested := "not asked back yet"
-	if !quota.requestedAt.IsZero() {
-		requested = fmt.Sprintf("asked back %v ago", t.now().Sub(quota.requestedAt).Round(time.Second))
+	if !quota.requestedSince.IsZero() {
+		requested = fmt.Sprintf("asked back %v ago", t.now().Sub(quota.requestedSince).Round(time.Second))
 	}
 	return fmt.Sprintf("its team's allowance is held by shard %d, %s", holder, requested)
 }
--- a/internal/quota/leaders_test.go
+++ b/internal/quota/leaders_test.go
@@ -30,22 +30,22 @@
 		simulate(t, func(s *simulation) {
 			rng := rand.New(rand.NewPCG(seed, 2))
 			var mu sync.Mutex
-			chance := func(n int) bool {
+			oneIn := func(n int) bool {
 				mu.Lock()
 				defer mu.Unlock()
 				return rng.IntN(n) == 0
 			}
-			cut := ""
+			partitioned := ""
 			s.network.SetRule(func(from, _ string, r *http.Request, _ []byte) fake.Outcome {
 				mu.Lock()
-				isCut := from == cut
+				isPartitioned := from == partitioned
 				mu.Unlock()
 				switch {
-				case isCut:
+				case isPartitioned:
 					return fake.Drop
-				case isCommit(r) && chance(25):
+				case isCommit(r) && oneIn(25):
 					return fake.DropResponse
-				case isCommit(r) && chance(40):
+				case isCommit(r) && oneIn(40):
 					return fake.Delay
 				}
 				return fake.Deliver
@@ -71,11 +71,11 @@
 						s.pause(name, 2*leaseTime+time.Duration(faults.IntN(3000))*time.Millisecond)
 					case 3:
 						mu.Lock()
-						cut = name
+						partitioned = name
 						mu.Unlock()
 						time.Sleep(3 * time.Second)
 						mu.Lock()
-						cut = ""
+						partitioned = ""
 						mu.Unlock()
 					case 4:
 						s.store.SetDown(true)
@@ -104,7 +104,7 @@
 	}
 }
 
-func TestLimitChangesAreHonouredWhileInUse(t *testing.T) {
+func TestLimitChangesTakeEffectWhileInUse(t *testing.T) {
 	// Guards against grants above a new limit, and against a raised limit that is never used. All
 	// controllers are killed and restarted with a changed limit. After the limit was lowered, no
 	// task starts until usage is below it; after it was raised, or set for the first time, all of
@@ -167,20 +167,20 @@
 		if slowest > 2*time.Second {
 			t.Errorf("the slowest demand was granted after %v, want at most 2s", slowest)
 		}
-		moved := changes.Load()
+		changesForMoves := changes.Load()
 		s.submitMany(rand.New(rand.NewPCG(7, 4)), 40)
 		s.awaitAll(moves+40*shardCount*len(s.limits), 3*time.Minute)
 		grants := s.workers.started - moves
-		if perGrant := float64(changes.Load()-moved) / float64(grants); perGrant > 1 {
+		if perGrant := float64(changes.Load()-changesForMoves) / float64(grants); perGrant > 1 {
 			t.Errorf("%.2f changes of ledgers and requests per grant, want at most 1", perGrant)
 		}
 		slices.Sort(s.workers.grantDelays)
-		t.Logf("transfers of whole limits: %d changes for %d grants, at most %v from demand to grant", moved, moves, slowest)
-		t.Logf("many tasks: %d changes for %d grants, median %v from demand to grant", changes.Load()-moved, grants, s.workers.grantDelays[len(s.workers.grantDelays)/2])
+		t.Logf("transfers of whole limits: %d changes for %d grants, at most %v from demand to grant", changesForMoves, moves, slowest)
+		t.Logf("many tasks: %d changes for %d grants, median %v from demand to grant", changes.Load()-changesForMoves, grants, s.workers.grantDelays[len(s.workers.grantDelays)/2])
 	})
 }
 
-func TestGrantsWithoutTheLedgerAreDetected(t *testing.T) {
+func TestGrantsWithoutLedgerBreachLimits(t *testing.T) {
 	// Leaders that grant by the whole limit, without the ledger, break a limit. This shows that the
 	// check of the limits at each start detects such a fault.
 	simulate(t, func(s *simulation) {
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -56,10 +56,10 @@
 // NewLedger returns a ledger in which the whole limit is in reserve and no shard has an allowance.
 func NewLedger(limit Limit, limitAt ids.Timestamp, shards int) Ledger {
 	return Ledger{
-		Version:  formVersion,
+		Version:  formatVersion,
 		Limit:    limit,
 		LimitAt:  limitAt,
-		Reserve:  limit.whole(),
+		Reserve:  limit.total(),
 		Accounts: make([]Account, shards),
 	}
 }
@@ -67,7 +67,7 @@
 // Check returns an error if the ledger can't be used with the given number of shards.
 func (l *Ledger) Check(shards int) error {
 	switch {
-	case l.Version > formVersion:
+	case l.Version > formatVersion:
 		return fmt.Errorf("%w: %d", ErrNewerVersion, l.Version)
 	case len(l.Accounts) != shards:
 		return fmt.Errorf("%w: %d", ErrShardCount, len(l.Accounts))
@@ -78,15 +78,15 @@
 		sum = sum.Plus(account.Allowance)
 		negative = negative || account.Allowance.isNegative()
 	}
-	whole := l.Limit.whole().Plus(l.Overcommitted)
-	if negative || l.Version < 1 || sum != whole {
-		return fmt.Errorf("%w: sum %v, limit and overcommitment %v", ErrUnbalanced, sum, whole)
+	total := l.Limit.total().Plus(l.Overcommitted)
+	if negative || l.Version < 1 || sum != total {
+		return fmt.Errorf("%w: sum %v, limit and overcommitment %v", ErrUnbalanced, sum, total)
 	}
 	return nil
 }
 
-// Open reports whether all shards have registered, so that leaders may grant.
-func (l *Ledger) Open() bool {
+// AllRegistered reports whether all shards have registered, so that leaders may grant.
+func (l *Ledger) AllRegistered() bool {
 	return !slices.ContainsFunc(l.Accounts, func(a Account) bool { return !a.Registered })
 }
 
@@ -107,11 +107,11 @@
 func (l *Ledger) Register(shard Shard, used Amount) Ledger {
 	next := l.clone()
 	account := &next.Accounts[shard]
-	short := l.Limit.limited(used).Minus(account.Allowance)
-	taken := short.Min(next.Reserve)
+	shortfall := l.Limit.limited(used).Minus(account.Allowance)
+	taken := shortfall.Min(next.Reserve)
 	next.Reserve = next.Reserve.Minus(taken)
-	next.Overcommitted = next.Overcommitted.Plus(short.Minus(taken))
-	account.Allowance = account.Allowance.Plus(short)
+	next.Overcommitted = next.Overcommitted.Plus(shortfall.Minus(taken))
+	account.Allowance = account.Allowance.Plus(shortfall)
 	account.Registered = true
 	return next
 }
@@ -147,9 +147,9 @@
 	}
 	next := l.clone()
 	next.Accounts[shard].Allowance = next.Accounts[shard].Allowance.Minus(amount)
-	repaid := amount.Min(next.Overcommitted)
-	next.Overcommitted = next.Overcommitted.Minus(repaid)
-	next.Reserve = next.Reserve.Plus(amount.Minus(repaid))
+	reduction := amount.Min(next.Overcommitted)
+	next.Overcommitted = next.Overcommitted.Minus(reduction)
+	next.Reserve = next.Reserve.Plus(amount.Minus(reduction))
 	return next, nil
 }
 
@@ -178,11 +178,11 @@
 	case before == Unlimited:
 		l.clear(resource)
 		l.Reserve[resource] = after
-		l.unregister()
+		l.unregisterAll()
 	case after > before:
-		repaid := min(after-before, l.Overcommitted[resource])
-		l.Overcommitted[resource] -= repaid
-		l.Reserve[resource] += after - before - repaid
+		reduction := min(after-before, l.Overcommitted[resource])
+		l.Overcommitted[resource] -= reduction
+		l.Reserve[resource] += after - before - reduction
 	default:
 		taken := min(before-after, l.Reserve[resource])
 		l.Reserve[resource] -= taken
@@ -198,8 +198,8 @@
 	}
 }
 
-// unregister marks all shards as not registered in place, so that they register their usage again.
-func (l *Ledger) unregister() {
+// unregisterAll marks all shards as not registered in place, so that they register their usage again.
+func (l *Ledger) unregisterAll() {
 	for i := range l.Accounts {
 		l.Accounts[i].Registered = false
 	}
--- a/internal/quota/ledger_test.go
+++ b/internal/quota/ledger_test.go
@@ -54,7 +54,7 @@
 			case 4:
 				used[shard] = used[shard].Minus(amount)
 			case 5:
-				if grant := amount.Min(idle); ledger.Open() && ledger.Overcommitted.IsZero() {
+				if grant := amount.Min(idle); ledger.AllRegistered() && ledger.Overcommitted.IsZero() {
 					used[shard] = used[shard].Plus(grant)
 				}
 			case 6:
@@ -72,7 +72,7 @@
 			if err := ledger.Check(shards); err != nil {
 				t.Fatalf("seed %d, step %d: %v", seed, step, err)
 			}
-			if !ledger.Open() {
+			if !ledger.AllRegistered() {
 				continue
 			}
 			sum := Amount{}
@@ -124,11 +124,11 @@
 				{Key: LedgerKey("red"), Value: json.RawMessage(c.stored), Revision: 5},
 				{Key: LedgerKey("blue"), Value: encode(t, open), Revision: 6},
 			})
-			if left := tracker.Available("red"); left.Cores > 0 {
-				t.Errorf("%v available to red, whose ledger can't be used", left)
+			if available := tracker.Available("red"); available.Cores > 0 {
+				t.Errorf("%v available to red, whose ledger can't be used", available)
 			}
-			if left := tracker.Available("blue"); left.Cores != 2 {
-				t.Errorf("%v available to blue, want the 2 cores of its allowance", left)
+			if available := tracker.Available("blue"); available.Cores != 2 {
+				t.Errorf("%v available to blue, want the 2 cores of its allowance", available)
 			}
 			if faults := strings.Join(tracker.Faults(), "; "); !strings.Contains(faults, c.fault) || strings.Contains(faults, "blue") {
 				t.Errorf("faults %q, want only one of red that contains %q", faults, c.fault)
@@ -154,15 +154,15 @@
 	return tracker
 }
 
-// learnRequest applies a stored request of another shard for allowance of team red.
-func learnRequest(t *testing.T, tracker *Tracker, shard Shard, revision ids.Revision, request Request) {
+// applyRequest applies a stored request of another shard for allowance of team red.
+func applyRequest(t *testing.T, tracker *Tracker, shard Shard, revision ids.Revision, request Request) {
 	t.Helper()
-	raw := encode(t, Requests{Version: formVersion, Teams: map[string]Request{"red": request}})
+	raw := encode(t, Requests{Version: formatVersion, Teams: map[string]Request{"red": request}})
 	tracker.Apply(state.Change{Put: RequestsKey(shard), Value: raw, Revision: revision})
 }
 
-// learnLedger applies a change of the stored ledger of team red.
-func learnLedger(t *testing.T, tracker *Tracker, revision ids.Revision, ledger *Ledger) {
+// applyLedgerChange applies a change of the stored ledger of team red.
+func applyLedgerChange(t *testing.T, tracker *Tracker, revision ids.Revision, ledger *Ledger) {
 	t.Helper()
 	tracker.Apply(state.Change{Put: LedgerKey("red"), Value: encode(t, ledger), Revision: revision})
 }
@@ -188,29 +188,29 @@
 	t.Parallel()
 	tracker := openTracker(t, 6, 2)
 	tracker.AddUsage("red", placement.Resources{Cores: 3})
-	learnRequest(t, tracker, 1, 6, Request{Missing: cores(1), Wanted: cores(2)})
+	applyRequest(t, tracker, 1, 6, Request{Missing: cores(1), Wanted: cores(2)})
 	transfers := tracker.dueTransfers()
 	if len(transfers) != 1 || transfers[0].withheld != cores(2) {
 		t.Fatalf("transfers %+v, want one that withholds 2 cores", transfers)
 	}
-	left := func() float64 { return tracker.Available("red").Cores }
-	if left() != 1 {
-		t.Fatalf("%v cores available while two of three idle cores are withheld", left())
+	available := func() float64 { return tracker.Available("red").Cores }
+	if available() != 1 {
+		t.Fatalf("%v cores available while two of three idle cores are withheld", available())
 	}
 	tracker.recordOutcome(transfers[0], 0, state.ErrOutcomeUnknown)
-	if again := tracker.dueTransfers(); left() != 1 || len(again) != 1 || again[0] != transfers[0] {
-		t.Fatalf("after an unknown outcome: %v cores available, transfers %+v; want 1 core and the same transfer", left(), again)
+	if again := tracker.dueTransfers(); available() != 1 || len(again) != 1 || again[0] != transfers[0] {
+		t.Fatalf("after an unknown outcome: %v cores available, transfers %+v; want 1 core and the same transfer", available(), again)
 	}
 	// The second attempt is refused, but the first may still be applied.
 	tracker.recordOutcome(transfers[0], 0, state.ErrRefused)
 	tracker.recordOutcome(transfers[0], 0, &state.ConflictError{})
-	if left() != 1 {
-		t.Fatalf("%v cores available although the first attempt may have been applied", left())
+	if available() != 1 {
+		t.Fatalf("%v cores available although the first attempt may have been applied", available())
 	}
 	// After another change of the ledger the transfer can no longer be applied.
-	learnLedger(t, tracker, 9, tracker.teams["red"].ledger)
-	if left() != 3 {
-		t.Fatalf("%v cores available after a later revision without the transfer, want 3", left())
+	applyLedgerChange(t, tracker, 9, tracker.teams["red"].ledger)
+	if available() != 3 {
+		t.Fatalf("%v cores available after a later revision without the transfer, want 3", available())
 	}
 }
 
@@ -245,7 +245,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			tracker := openTracker(t, 6, 2)
 			tracker.SetDemands(map[string]Demand{"red": c.own})
-			learnRequest(t, tracker, 1, 6, c.request)
+			applyRequest(t, tracker, 1, 6, c.request)
 			given := Amount{}
 			for _, transfer := range tracker.dueTransfers() {
 				given = given.Plus(transfer.withheld)
@@ -263,7 +263,7 @@
 	earlier, later := ids.TimestampOf(now.Add(-time.Minute)), ids.TimestampOf(now)
 	tracker := openTracker(t, 6, 2)
 	tracker.SetDemands(map[string]Demand{"red": {cores(1), cores(4), Rank{Since: earlier}}})
-	learnRequest(t, tracker, 1, 6, Request{Missing: cores(1), Wanted: cores(9), Rank: Rank{Since: later}})
+	applyRequest(t, tracker, 1, 6, Request{Missing: cores(1), Wanted: cores(9), Rank: Rank{Since: later}})
 	tracker.now = func() time.Time { return now.Add(retentionPeriod + time.Second) }
 	if transfers := tracker.dueTransfers(); len(transfers) != 1 || transfers[0].withheld != cores(6) {
 		t.Errorf("transfers %+v, want one of all 6 idle cores: allowance that is not used must not be retained", transfers)
@@ -274,8 +274,8 @@
 	t.Parallel()
 	tracker := openTracker(t, 6, 2)
 	tracker.AddUsage("red", placement.Resources{Cores: 5})
-	learnRequest(t, tracker, 1, 6, Request{Missing: cores(3), Wanted: cores(3), Rank: Rank{Guaranteed: true}})
-	if amount, _, owed := tracker.ReclaimNeeded("red"); !owed || amount != cores(2) {
+	applyRequest(t, tracker, 1, 6, Request{Missing: cores(3), Wanted: cores(3), Rank: Rank{Guaranteed: true}})
+	if amount, _, needed := tracker.ReclaimNeeded("red"); !needed || amount != cores(2) {
 		t.Errorf("%v to be reclaimed from usage, want 2 cores besides the idle one", amount)
 	}
 	if why := tracker.Explain("red"); !strings.Contains(why, "held by shard 1, not asked back yet") {
@@ -285,35 +285,35 @@
 
 func TestNothingIsGrantedWhileUsageMayExceedTheLimit(t *testing.T) {
 	t.Parallel()
-	learn := func(ledger Ledger) *Tracker {
+	newTestTracker := func(ledger Ledger) *Tracker {
 		t.Helper()
 		tracker := NewTracker(0, 2, map[string]Limit{"red": LimitOf(8, 0)}, 1)
 		tracker.AddUsage("red", placement.Resources{Cores: 1})
-		if learnLedger(t, tracker, 5, &ledger); tracker.Available("red").Cores > 0 {
+		if applyLedgerChange(t, tracker, 5, &ledger); tracker.Available("red").Cores > 0 {
 			t.Error("resources are available before the stored ledgers were loaded")
 		}
 		tracker.Load(nil)
 		return tracker
 	}
-	whole := NewLedger(LimitOf(8, 0), 1, 2)
-	half := whole.Register(0, cores(3))
-	if tracker := learn(half); tracker.Available("red").Cores > 0 || !strings.Contains(tracker.Explain("red"), "not all shards") {
+	unregistered := NewLedger(LimitOf(8, 0), 1, 2)
+	oneRegistered := unregistered.Register(0, cores(3))
+	if tracker := newTestTracker(oneRegistered); tracker.Available("red").Cores > 0 || !strings.Contains(tracker.Explain("red"), "not all shards") {
 		t.Errorf("%v available before shard 1 has registered its usage, or the explanation is wrong", tracker.Available("red"))
 	}
-	both := half.Register(1, cores(4))
-	if tracker := learn(both); tracker.Available("red").Cores != 2 {
+	allRegistered := oneRegistered.Register(1, cores(4))
+	if tracker := newTestTracker(allRegistered); tracker.Available("red").Cores != 2 {
 		t.Errorf("%v available of an allowance of 3 cores with 1 in use, want 2 cores", tracker.Available("red"))
 	}
-	newer := NewTracker(0, 2, map[string]Limit{"red": LimitOf(5, 0)}, 2)
-	loadLedger(t, newer, 5, &both)
-	if newer.Available("red").Cores > 0 {
-		t.Errorf("%v available under a limit that newer settings have lowered", newer.Available("red"))
+	newerTracker := NewTracker(0, 2, map[string]Limit{"red": LimitOf(5, 0)}, 2)
+	loadLedger(t, newerTracker, 5, &allRegistered)
+	if newerTracker.Available("red").Cores > 0 {
+		t.Errorf("%v available under a limit that newer settings have lowered", newerTracker.Available("red"))
 	}
-	lowered, err := both.SetLimit(LimitOf(5, 0), 2)
+	lowered, err := allRegistered.SetLimit(LimitOf(5, 0), 2)
 	if err != nil {
 		t.Fatal(err)
 	}
-	tracker := learn(lowered)
+	tracker := newTestTracker(lowered)
 	if tracker.Available("red").Cores > 0 || !strings.Contains(tracker.Explain("red"), "was lowered") || len(tracker.Faults()) > 0 {
 		t.Errorf("after the limit was lowered: %v available, explanation %q, faults %v", tracker.Available("red"), tracker.Explain("red"), tracker.Faults())
 	}
@@ -332,8 +332,8 @@
 	tracker := NewTracker(0, 1, map[string]Limit{"red": LimitOf(8, 0)}, 1)
 	tracker.AddUsage("red", placement.Resources{Cores: 2.5, Accels: 3})
 	tracker.SetDemands(map[string]Demand{"red": {cores(1), cores(9), Rank{}}})
-	if left := tracker.Available("red"); left.Cores != 5.5 || left.Accels < 1e9 || tracker.Available("unknown").Cores > 0 {
-		t.Errorf("%v available of a limit of 8 cores with 2.5 in use, or an unknown team has resources available", left)
+	if available := tracker.Available("red"); available.Cores != 5.5 || available.Accels < 1e9 || tracker.Available("unknown").Cores > 0 {
+		t.Errorf("%v available of a limit of 8 cores with 2.5 in use, or an unknown team has resources available", available)
 	}
 	if transfers := tracker.dueTransfers(); len(transfers) != 0 {
 		t.Errorf("transfers %+v with a single shard, want none", transfers)
--- a/internal/quota/planner.go
+++ b/internal/quota/planner.go
@@ -12,8 +12,8 @@
 
 // planTransfer returns the most important transfer that a team's ledger needs, or nil if it needs none.
 func (t *Tracker) planTransfer(team string, quota *teamQuota) *Transfer {
-	plan := planner{tracker: t, team: team, quota: quota, now: t.now()}
-	return plan.next()
+	p := planner{tracker: t, team: team, quota: quota, now: t.now()}
+	return p.next()
 }
 
 // planner chooses the next transfer of one team.
@@ -24,39 +24,39 @@
 	now     time.Time
 }
 
-// next returns the next transfer, or nil. Changes that the ledger itself needs precede transfers that
-// shards request.
+// next returns the next transfer, or nil. Changes that the ledger itself needs precede transfers
+// that shards request.
 func (p *planner) next() *Transfer {
 	shard, startedAt, ledger := p.tracker.shard, p.tracker.startedAt, p.quota.ledger
 	limit, configured := p.tracker.limits[p.team]
 	if ledger == nil {
-		return p.create(limit, configured)
+		return p.createLedger(limit, configured)
 	}
 	if configured && ledger.outdatedBy(limit, startedAt) {
 		next, err := ledger.SetLimit(limit, startedAt)
-		return p.transfer("new limit", next, Amount{}, err)
+		return p.newTransfer("new limit", next, Amount{}, err)
 	}
 	if !ledger.Accounts[shard].Registered {
-		return p.transfer("registered", ledger.Register(shard, p.quota.usage.rounded), Amount{}, nil)
+		return p.newTransfer("registered", ledger.Register(shard, p.quota.usage.rounded), Amount{}, nil)
 	}
-	if repaid := p.quota.idle().Min(ledger.Overcommitted); !repaid.IsZero() {
-		next, err := ledger.Return(shard, repaid)
-		return p.transfer("returned", next, repaid, err)
+	if reduction := p.quota.idle().Min(ledger.Overcommitted); !reduction.IsZero() {
+		next, err := ledger.Return(shard, reduction)
+		return p.newTransfer("returned", next, reduction, err)
 	}
-	if !ledger.Open() || !ledger.Overcommitted.IsZero() {
+	if !ledger.AllRegistered() || !ledger.Overcommitted.IsZero() {
 		return nil
 	}
 	return p.serveRequests()
 }
 
-// create returns a transfer that creates the ledger of a team that has a limit and never had a ledger,
+// createLedger returns a transfer that creates the ledger of a team that has a limit and never had a ledger,
 // or nil.
-func (p *planner) create(limit Limit, configured bool) *Transfer {
+func (p *planner) createLedger(limit Limit, configured bool) *Transfer {
 	if !configured || limit.IsUnlimited() || p.quota.revision > 0 {
 		return nil
 	}
 	ledger := NewLedger(limit, p.tracker.startedAt, p.tracker.shards)
-	return p.transfer("created", ledger.Register(p.tracker.shard, p.quota.usage.rounded), Amount{}, nil)
+	return p.newTransfer("created", ledger.Register(p.tracker.shard, p.quota.usage.rounded), Amount{}, nil)
 }
 
 // serveRequests returns a transfer that takes from the reserve for this shard's demand, or that gives
@@ -70,7 +70,7 @@
 			if transfer := p.takeFromReserve(request, reserve); transfer != nil {
 				return transfer
 			}
-		} else if amount, ok := p.toGive(request, missing, wanted, position == 0); ok {
+		} else if amount, ok := p.amountToGive(request, missing, wanted, position == 0); ok {
 			return p.give(request, amount)
 		}
 		reserve = reserve.Minus(request.Wanted)
@@ -86,13 +86,13 @@
 		return nil
 	}
 	next, err := p.quota.ledger.Take(p.tracker.shard, amount)
-	return p.transfer("taken from the reserve", next, Amount{}, err).serving(request)
+	return p.newTransfer("taken from the reserve", next, Amount{}, err).withRequest(request)
 }
 
-// toGive returns how much of this shard's idle allowance to give to another shard's request. Only the
+// amountToGive returns how much of this shard's idle allowance to give to another shard's request. Only the
 // highest-ranked request gets an amount that is too small for one task or gang.
-func (p *planner) toGive(request shardRequest, missing, wanted Amount, isFirst bool) (amount Amount, ok bool) {
-	if int(request.shard) >= p.tracker.shards || p.now.Sub(p.quota.gaveAt) < transferInterval {
+func (p *planner) amountToGive(request shardRequest, missing, wanted Amount, isFirst bool) (amount Amount, ok bool) {
+	if int(request.shard) >= p.tracker.shards || p.now.Sub(p.quota.lastGivenAt) < transferInterval {
 		return Amount{}, false
 	}
 	spare := p.quota.spareFor(request, p.now)
@@ -102,24 +102,24 @@
 
 // give returns a transfer of idle allowance to the shard that requested it.
 func (p *planner) give(request shardRequest, amount Amount) *Transfer {
-	p.quota.gaveAt = p.now
+	p.quota.lastGivenAt = p.now
 	next, err := p.quota.ledger.Give(p.tracker.shard, request.shard, amount)
-	return p.transfer(fmt.Sprintf("given to shard %d", request.shard), next, amount, err).serving(request)
+	return p.newTransfer(fmt.Sprintf("given to shard %d", request.shard), next, amount, err).withRequest(request)
 }
 
-// transfer returns a Transfer for a transition, or nil if err is not nil, because the ledger does not
+// newTransfer returns a Transfer for a transition, or nil if err is not nil, because the ledger does not
 // allow the transition. The transfer gets the highest rank, so that it is sent before all those that
 // serve a request.
-func (p *planner) transfer(reason string, next Ledger, withheld Amount, err error) *Transfer {
+func (p *planner) newTransfer(reason string, next Ledger, withheld Amount, err error) *Transfer {
 	if err != nil {
 		return nil
 	}
-	first := shardRequest{Request: Request{Rank: Rank{Guaranteed: true, Priority: math.MaxInt}}}
-	return &Transfer{Team: p.team, Reason: reason, next: next, base: p.quota.revision, withheld: withheld, request: first}
+	highestRanked := shardRequest{Request: Request{Rank: Rank{Guaranteed: true, Priority: math.MaxInt}}}
+	return &Transfer{Team: p.team, Reason: reason, next: next, baseRevision: p.quota.revision, withheld: withheld, request: highestRanked}
 }
 
-// serving records which request the transfer serves, and returns the transfer. A nil transfer stays nil.
-func (t *Transfer) serving(request shardRequest) *Transfer {
+// withRequest records which request the transfer serves, and returns the transfer. A nil transfer stays nil.
+func (t *Transfer) withRequest(request shardRequest) *Transfer {
 	if t != nil {
 		t.request = request
 	}
--- a/internal/quota/rebalancer.go
+++ b/internal/quota/rebalancer.go
@@ -53,7 +53,7 @@
 // Run rebalances at each interval until the context is done. It starts no goroutines.
 func (r *Rebalancer) Run(ctx context.Context, interval time.Duration) {
 	for ctx.Err() == nil {
-		r.sync(ctx)
+		r.rebalance(ctx)
 		select {
 		case <-ctx.Done():
 		case <-time.After(interval):
@@ -61,8 +61,8 @@
 	}
 }
 
-// sync commits the transfers that are due and stores the shard's requests, within the write budget.
-func (r *Rebalancer) sync(ctx context.Context) {
+// rebalance commits the transfers that are due and stores the shard's requests, within the write budget.
+func (r *Rebalancer) rebalance(ctx context.Context) {
 	r.lock.Lock()
 	transfers := r.tracker.dueTransfers()
 	r.lock.Unlock()
@@ -96,20 +96,20 @@
 	r.lock.Unlock()
 	slog.Debug("allowance transfer sent", "team", transfer.Team, "transition", transfer.Reason, "err", err)
 	if err != nil {
-		r.refresh(ctx, transfer.Team)
+		r.reloadLedger(ctx, transfer.Team)
 	}
 }
 
-// refresh reads a team's ledger and applies it. If the read fails, the tracker learns the ledger from
+// reloadLedger reads a team's ledger and applies it. If the read fails, the tracker learns the ledger from
 // its next watched change.
-func (r *Rebalancer) refresh(ctx context.Context, team string) {
+func (r *Rebalancer) reloadLedger(ctx context.Context, team string) {
 	entry, found, err := r.store.Get(ctx, LedgerKey(team), state.Normal)
 	if err == nil && found {
-		r.learn(state.Change{Put: entry.Key, Value: entry.Value, Revision: entry.Revision})
+		r.applyChange(state.Change{Put: entry.Key, Value: entry.Value, Revision: entry.Revision})
 	}
 }
 
-func (r *Rebalancer) learn(change state.Change) {
+func (r *Rebalancer) applyChange(change state.Change) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	r.tracker.Apply(change)
@@ -132,6 +132,6 @@
 	key := RequestsKey(shard)
 	txn := state.Txn{Conditions: []state.Condition{r.fence()}, Ops: []state.Op{{Put: key, Value: encoded}}}
 	if at, err := r.store.Commit(ctx, txn, state.Normal); err == nil {
-		r.learn(state.Change{Put: key, Value: encoded, Revision: ids.Revision(at)})
+		r.applyChange(state.Change{Put: key, Value: encoded, Revision: ids.Revision(at)})
 	}
 }
--- a/internal/quota/request.go
+++ b/internal/quota/request.go
@@ -74,8 +74,8 @@
 // without a stored request is written without this delay.
 const requestInterval = 2 * time.Second
 
-// requestBoard holds the requests of all shards, as last read from the state service.
-type requestBoard struct {
+// requestTable holds the requests of all shards, as last read from the state service.
+type requestTable struct {
 	own       Shard
 	teams     map[Shard]map[string]Request
 	revisions map[Shard]ids.Revision
@@ -83,40 +83,40 @@
 	ownStoredAt time.Time
 }
 
-func newRequestBoard(own Shard) requestBoard {
-	return requestBoard{own: own, teams: map[Shard]map[string]Request{}, revisions: map[Shard]ids.Revision{}}
+func newRequestTable(own Shard) requestTable {
+	return requestTable{own: own, teams: map[Shard]map[string]Request{}, revisions: map[Shard]ids.Revision{}}
 }
 
 // apply replaces a shard's requests by those of a change, and reports whether the change was newer than
 // the known requests. Requests that can't be decoded count as none: requests only cause transfers and
 // never grant anything.
-func (b *requestBoard) apply(shard Shard, change state.Change, now time.Time) bool {
-	if change.Revision <= b.revisions[shard] {
+func (r *requestTable) apply(shard Shard, change state.Change, now time.Time) bool {
+	if change.Revision <= r.revisions[shard] {
 		return false
 	}
-	b.revisions[shard] = change.Revision
+	r.revisions[shard] = change.Revision
 	requests := Requests{}
 	if change.Put != "" && json.Unmarshal(change.Value, &requests) != nil {
 		requests = Requests{}
 	}
-	b.teams[shard] = requests.Teams
-	if shard == b.own {
-		b.ownStoredAt = now
+	r.teams[shard] = requests.Teams
+	if shard == r.own {
+		r.ownStoredAt = now
 	}
 	return true
 }
 
 // hasOwn reports whether this shard's stored requests include one for the team.
-func (b *requestBoard) hasOwn(team string) bool {
-	_, found := b.teams[b.own][team]
+func (r *requestTable) hasOwn(team string) bool {
+	_, found := r.teams[r.own][team]
 	return found
 }
 
 // others returns the other shards' requests for a team's allowance, in no particular order.
-func (b *requestBoard) others(team string) []shardRequest {
+func (r *requestTable) others(team string) []shardRequest {
 	var requests []shardRequest
-	for shard, byTeam := range b.teams {
-		if request, found := byTeam[team]; found && shard != b.own {
+	for shard, byTeam := range r.teams {
+		if request, found := byTeam[team]; found && shard != r.own {
 			requests = append(requests, shardRequest{Request: request, shard: shard})
 		}
 	}
@@ -125,8 +125,8 @@
 
 // writeDue reports whether this shard's current requests differ enough from its stored ones to justify
 // a write now.
-func (b *requestBoard) writeDue(current map[string]Request, now time.Time) bool {
-	stored := b.teams[b.own]
+func (r *requestTable) writeDue(current map[string]Request, now time.Time) bool {
+	stored := r.teams[r.own]
 	changed := len(current) != len(stored)
 	for team, request := range current {
 		before, found := stored[team]
@@ -135,11 +135,11 @@
 		}
 		changed = changed || !request.similarTo(before)
 	}
-	return changed && now.Sub(b.ownStoredAt) >= requestInterval
+	return changed && now.Sub(r.ownStoredAt) >= requestInterval
 }
 
-// sorted sorts requests in place into the order in which they are served, and returns them.
-func sorted(requests []shardRequest) []shardRequest {
+// sortRequests sorts requests in place into the order in which they are served, and returns them.
+func sortRequests(requests []shardRequest) []shardRequest {
 	slices.SortFunc(requests, shardRequest.compare)
 	return requests
 }
--- a/internal/quota/simulation_records_test.go
+++ b/internal/quota/simulation_records_test.go
@@ -10,9 +10,9 @@
 	"github.com/pebbletrail/pebbletrail/internal/quota"
 )
 
-// workerRecord records the tasks that run on the workers of all shards. It checks the team's limit each
+// simulatedWorkers records the tasks that run on the workers of all shards. It checks the team's limit each
 // time a task starts.
-type workerRecord struct {
+type simulatedWorkers struct {
 	mu            sync.Mutex
 	limits        map[string]placement.Resources
 	fencingTokens map[quota.Shard]int // the highest generation known of each shard's leaders
@@ -24,7 +24,7 @@
 }
 
 // start starts a task, unless it has started before or the command is from a leader that was replaced.
-func (w *workerRecord) start(shard quota.Shard, generation int, t task) {
+func (w *simulatedWorkers) start(shard quota.Shard, generation int, t task) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if _, again := w.running[t.ID]; again || w.ended[t.ID] || generation < w.fencingTokens[shard] {
@@ -51,7 +51,7 @@
 }
 
 // fence rejects later commands from leaders of a generation below the given one.
-func (w *workerRecord) fence(shard quota.Shard, generation int) {
+func (w *simulatedWorkers) fence(shard quota.Shard, generation int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.fencingTokens[shard] = max(w.fencingTokens[shard], generation)
@@ -59,7 +59,7 @@
 
 // status reports whether a task is not running, which is final once its shard was fenced, and whether
 // it has run to its end.
-func (w *workerRecord) status(id string) (gone, ended bool) {
+func (w *simulatedWorkers) status(id string) (gone, ended bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	_, running := w.running[id]
@@ -83,76 +83,76 @@
 }
 
 // applyChange applies one change of the store and checks the result. A nil value is a removal.
-func (o *storeChecker) applyChange(key string, value json.RawMessage) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
+func (c *storeChecker) applyChange(key string, value json.RawMessage) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	for _, team := range []string{"red", "blue"} {
 		if key == quota.LedgerKey(team) {
 			var ledger quota.Ledger
-			o.decode(key, value, &ledger)
-			o.ledgers[team] = ledger
-			o.checkTeam(team, key)
+			c.decode(key, value, &ledger)
+			c.ledgers[team] = ledger
+			c.checkTeam(team, key)
 		}
 	}
 	var shard quota.Shard
 	if n, _ := fmt.Sscanf(key, "task/%d/", &shard); n != 1 {
 		return
 	}
-	was, there := o.tasks[key]
-	if there {
-		o.addUsage(was, shard, -1)
-		delete(o.tasks, key)
+	previous, found := c.tasks[key]
+	if found {
+		c.addUsage(previous, shard, -1)
+		delete(c.tasks, key)
 	}
 	if value == nil {
 		return
 	}
 	var record task
-	o.decode(key, value, &record)
-	o.tasks[key] = record
-	o.addUsage(record, shard, 1)
-	o.checkTeam(record.Team, key)
+	c.decode(key, value, &record)
+	c.tasks[key] = record
+	c.addUsage(record, shard, 1)
+	c.checkTeam(record.Team, key)
 }
 
 // decode decodes a stored value. A value that can't be decoded counts as a violation.
-func (o *storeChecker) decode(key string, value json.RawMessage, target any) {
-	if err := json.Unmarshal(value, target); err != nil && o.violation == "" {
-		o.violation = fmt.Sprintf("%s can't be read: %v", key, err)
+func (c *storeChecker) decode(key string, value json.RawMessage, target any) {
+	if err := json.Unmarshal(value, target); err != nil && c.violation == "" {
+		c.violation = fmt.Sprintf("%s can't be read: %v", key, err)
 	}
 }
 
 // addUsage adds a task's resources to its team's usage in a shard, or subtracts them if sign is -1.
-func (o *storeChecker) addUsage(t task, shard quota.Shard, sign int64) {
-	if o.used[t.Team] == nil {
-		o.used[t.Team] = map[quota.Shard]quota.Amount{}
+func (c *storeChecker) addUsage(t task, shard quota.Shard, sign int64) {
+	if c.used[t.Team] == nil {
+		c.used[t.Team] = map[quota.Shard]quota.Amount{}
 	}
-	sum := o.used[t.Team][shard]
+	sum := c.used[t.Team][shard]
 	for r, amount := range quota.AmountOf(t.Need) {
 		sum[r] += sign * amount
 	}
 	sum[quota.Memory] = 0 // the simulation does not limit memory
-	o.used[t.Team][shard] = sum
+	c.used[t.Team][shard] = sum
 }
 
 // result returns the first violation, if any, and the number of checks. It holds the lock because the
 // store may still be changing.
-func (o *storeChecker) result() (violation string, checks int) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	return o.violation, o.checks
+func (c *storeChecker) result() (violation string, checks int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.violation, c.checks
 }
 
-func (o *storeChecker) checkTeam(team, key string) {
-	ledger := o.ledgers[team]
+func (c *storeChecker) checkTeam(team, key string) {
+	ledger := c.ledgers[team]
 	for shard, account := range ledger.Accounts {
-		o.checks++
-		if used := o.used[team][quota.Shard(shard)]; ledger.Open() && !account.Allowance.Covers(used) && o.violation == "" {
-			o.violation = fmt.Sprintf("after the change of %s shard %d has stored tasks of team %s that use %v of an allowance of %v", key, shard, team, used, account.Allowance)
+		c.checks++
+		if used := c.used[team][quota.Shard(shard)]; ledger.AllRegistered() && !account.Allowance.Covers(used) && c.violation == "" {
+			c.violation = fmt.Sprintf("after the change of %s shard %d has stored tasks of team %s that use %v of an allowance of %v", key, shard, team, used, account.Allowance)
 		}
 	}
 }
 
 // result returns the last breach of a limit, if any, and the number of tasks that ran to their end.
-func (w *workerRecord) result() (breach string, ended int) {
+func (w *simulatedWorkers) result() (breach string, ended int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.breach, len(w.ended)
--- a/internal/quota/simulation_test.go
+++ b/internal/quota/simulation_test.go
@@ -42,7 +42,7 @@
 	ctx     context.Context
 	network *fake.Network
 	store   *fake.Store
-	workers *workerRecord
+	workers *simulatedWorkers
 	limits  map[string]quota.Limit
 	// withoutLedger injects a fault: each leader grants up to the team's whole limit, and counts only
 	// the usage in its own shard.
@@ -72,7 +72,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		s := &simulation{t: t, ctx: ctx, network: fake.NewNetwork(), store: fake.NewStore(),
-			workers: &workerRecord{limits: map[string]placement.Resources{}, fencingTokens: map[quota.Shard]int{}, running: map[string]task{}, ended: map[string]bool{}},
+			workers: &simulatedWorkers{limits: map[string]placement.Resources{}, fencingTokens: map[quota.Shard]int{}, running: map[string]task{}, ended: map[string]bool{}},
 			limits:  map[string]quota.Limit{}, queues: map[quota.Shard][]task{}, pauses: map[string]time.Time{}}
 		s.network.Listen("state:1", s.store)
 		s.setLimit("red", placement.Resources{Cores: 8, Accels: 4, RAM: 1e9})
@@ -110,12 +110,12 @@
 // controller is one controller process. It runs until its context is done.
 type controller struct {
 	*simulation
-	name      string
-	startedAt ids.Timestamp
-	client    *state.Client
-	mirror    *state.WatchCache
-	mu        sync.Mutex
-	terms     map[quota.Shard]*term
+	name       string
+	startedAt  ids.Timestamp
+	client     *state.Client
+	watchCache *state.WatchCache
+	mu         sync.Mutex
+	terms      map[quota.Shard]*term
 }
 
 // start starts a controller and returns a function that kills it.
@@ -124,15 +124,15 @@
 	s.incarnations++
 	c := &controller{simulation: s, name: name, startedAt: ids.TimestampOf(time.Now()), terms: map[quota.Shard]*term{},
 		client: state.NewClient("state:1", s.network.Client(name), state.NewBudget(2000, 1000, 5, 0.5))}
-	c.mirror = state.NewWatchCache(c.client, quota.Prefix, 50*time.Millisecond)
-	c.mirror.OnChange(func(change state.Change) {
+	c.watchCache = state.NewWatchCache(c.client, quota.Prefix, 50*time.Millisecond)
+	c.watchCache.OnChange(func(change state.Change) {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		for _, t := range c.terms {
 			t.tracker.Apply(change)
 		}
 	})
-	go c.mirror.Run(ctx)
+	go c.watchCache.Run(ctx)
 	for shard := range quota.Shard(shardCount) {
 		go c.lead(ctx, shard, s.incarnations)
 	}
@@ -148,7 +148,7 @@
 	lease      ids.Lease
 	tracker    *quota.Tracker
 	rebalancer *quota.Rebalancer
-	renewed    atomic.Int64    // time of the last renewal of the lease, in nanoseconds
+	renewedAt  atomic.Int64    // time of the last renewal of the lease, in nanoseconds
 	tasks      map[string]task // tasks that are recorded or may be
 }
 
@@ -179,29 +179,29 @@
 // that fails.
 func (c *controller) campaign(ctx context.Context, shard quota.Shard, incarnation int) *term {
 	leader, generation := fmt.Sprintf("lead/%d", shard), fmt.Sprintf("generation/%d", shard)
-	last, _, err := c.client.Get(ctx, generation, state.Urgent)
+	stored, _, err := c.client.Get(ctx, generation, state.Urgent)
 	if err != nil {
 		return nil
 	}
-	number := 0
-	if last.Value != nil {
-		c.decode(last.Value, &number)
+	lastGeneration := 0
+	if stored.Value != nil {
+		c.decode(stored.Value, &lastGeneration)
 	}
-	sent := time.Now()
+	sentAt := time.Now()
 	lease, err := c.client.GrantLease(ctx, leaseTime)
 	if err != nil {
 		return nil
 	}
 	at, err := c.client.Commit(ctx, state.Txn{
-		Conditions: []state.Condition{{Key: leader}, {Key: generation, Revision: last.Revision}},
-		Ops:        []state.Op{{Put: leader, Value: []byte(fmt.Sprint(incarnation)), Lease: lease}, {Put: generation, Value: []byte(fmt.Sprint(number + 1))}},
+		Conditions: []state.Condition{{Key: leader}, {Key: generation, Revision: stored.Revision}},
+		Ops:        []state.Op{{Put: leader, Value: []byte(fmt.Sprint(incarnation)), Lease: lease}, {Put: generation, Value: []byte(fmt.Sprint(lastGeneration + 1))}},
 	}, state.Urgent)
 	if err != nil {
 		return nil
 	}
-	t := &term{controller: c, shard: shard, generation: number + 1, fence: state.Condition{Key: generation, Revision: ids.Revision(at)}, lease: lease,
+	t := &term{controller: c, shard: shard, generation: lastGeneration + 1, fence: state.Condition{Key: generation, Revision: ids.Revision(at)}, lease: lease,
 		tasks: map[string]task{}, tracker: quota.NewTracker(shard, shardCount, c.limits, c.startedAt)}
-	t.renewed.Store(sent.UnixNano())
+	t.renewedAt.Store(sentAt.UnixNano())
 	t.rebalancer = quota.NewRebalancer(t.tracker, c.client, &c.mu, func() state.Condition { return t.fence })
 	c.workers.fence(shard, t.generation)
 	c.mu.Lock()
@@ -231,11 +231,11 @@
 	defer cancel()
 	go func() {
 		defer cancel()
-		for ctx.Err() == nil && time.Since(time.Unix(0, t.renewed.Load())) < leaseTime {
+		for ctx.Err() == nil && time.Since(time.Unix(0, t.renewedAt.Load())) < leaseTime {
 			t.controller.waitWhilePaused(t.controller.name)
-			sent := time.Now()
+			sentAt := time.Now()
 			if err := t.controller.client.RenewLease(ctx, t.lease); err == nil {
-				t.renewed.Store(sent.UnixNano())
+				t.renewedAt.Store(sentAt.UnixNano())
 			} else if errors.Is(err, state.ErrNoLease) {
 				return
 			}
@@ -297,29 +297,29 @@
 
 // selectTasks returns the tasks to start, adds them to the usage and passes the demands of the others to
 // the tracker.
-func (t *term) selectTasks() (picked []task) {
+func (t *term) selectTasks() (selected []task) {
 	t.controller.mu.Lock()
 	defer t.controller.mu.Unlock()
 	t.controller.simulation.mu.Lock()
 	defer t.controller.simulation.mu.Unlock()
-	var left []task
+	var remaining []task
 	demands := map[string]quota.Demand{}
 	for _, next := range t.controller.queues[t.shard] {
 		if _, ended := t.controller.workers.status(next.ID); ended {
 			continue
 		}
-		left = append(left, next)
+		remaining = append(remaining, next)
 		if _, recorded := t.tasks[next.ID]; recorded {
 			continue
 		}
-		room := t.tracker.Available(next.Team)
+		available := t.tracker.Available(next.Team)
 		if t.controller.withoutLedger {
-			room = t.controller.workers.limits[next.Team].Minus(t.tracker.Usage(next.Team))
+			available = t.controller.workers.limits[next.Team].Minus(t.tracker.Usage(next.Team))
 		}
-		if _, blocked := demands[next.Team]; !blocked && room.Holds(next.Need) {
+		if _, blocked := demands[next.Team]; !blocked && available.Holds(next.Need) {
 			t.tracker.AddUsage(next.Team, next.Need)
 			t.tasks[next.ID] = next
-			picked = append(picked, next)
+			selected = append(selected, next)
 			continue
 		}
 		demand, found := demands[next.Team]
@@ -329,9 +329,9 @@
 		demand.Total = demand.Total.Plus(quota.AmountOf(next.Need))
 		demands[next.Team] = demand
 	}
-	t.controller.queues[t.shard] = left
+	t.controller.queues[t.shard] = remaining
 	t.tracker.SetDemands(demands)
-	return picked
+	return selected
 }
 
 // submitMany submits tasks of all teams to all shards, in rounds. All tasks of a round are submitted at
--- a/internal/quota/stored.go
+++ b/internal/quota/stored.go
@@ -18,8 +18,8 @@
 	requestsPrefix = Prefix + "ask/"
 )
 
-// formVersion is the version of the stored formats that this program writes, and the newest that it reads.
-const formVersion = 1
+// formatVersion is the version of the stored formats that this program writes, and the newest that it reads.
+const formatVersion = 1
 
 // LedgerKey returns the key of a team's ledger. The team name is escaped, because team names may contain
 // spaces but keys may not.
--- a/internal/quota/team.go
+++ b/internal/quota/team.go
@@ -20,10 +20,10 @@
 	usage    usage
 	demand   Demand
 	transfer *Transfer // planned, or sent and not settled yet; nil: none
-	// gaveAt is the time at which allowance was last given to another shard.
-	gaveAt time.Time
-	// requestedAt is the time since which this shard has had a stored request; zero: it has none.
-	requestedAt time.Time
+	// lastGivenAt is the time at which allowance was last given to another shard.
+	lastGivenAt time.Time
+	// requestedSince is the time since which this shard has had a stored request; zero: it has none.
+	requestedSince time.Time
 }
 
 // usage is the resources that a team's tasks in one shard may be using.
@@ -34,8 +34,8 @@
 	grantedAt time.Time
 }
 
-func (u *usage) add(room placement.Resources)    { u.set(u.exact.Plus(room)) }
-func (u *usage) remove(room placement.Resources) { u.set(u.exact.Minus(room)) }
+func (u *usage) add(resources placement.Resources)    { u.set(u.exact.Plus(resources)) }
+func (u *usage) remove(resources placement.Resources) { u.set(u.exact.Minus(resources)) }
 
 func (u *usage) set(exact placement.Resources) {
 	u.exact = exact
@@ -113,13 +113,13 @@
 
 // exceedsAllowance reports whether the shard's usage exceeds its allowance.
 func (q *teamQuota) exceedsAllowance() bool {
-	return q.ledger != nil && q.ledger.Open() && !q.allowance().Covers(q.ledger.Limit.limited(q.usage.rounded))
+	return q.ledger != nil && q.ledger.AllRegistered() && !q.allowance().Covers(q.ledger.Limit.limited(q.usage.rounded))
 }
 
 // request returns the amounts that the team's demand lacks in this shard. ok reports whether to request
 // them.
 func (q *teamQuota) request(now time.Time) (request shardRequest, ok bool) {
-	if q.ledger == nil || q.demand.Total.IsZero() || q.leavesIdle(now) {
+	if q.ledger == nil || q.demand.Total.IsZero() || q.leavesAllowanceIdle(now) {
 		return shardRequest{}, false
 	}
 	limit, idle := q.ledger.Limit, q.idle()
@@ -134,9 +134,9 @@
 	return shardRequest{Request: Request{Rank: q.demand.Rank}, shard: q.shard}
 }
 
-// leavesIdle reports whether the shard has had enough idle allowance for its demand for longer than
+// leavesAllowanceIdle reports whether the shard has had enough idle allowance for its demand for longer than
 // retentionPeriod without granting anything: the demand waits for something other than allowance.
-func (q *teamQuota) leavesIdle(now time.Time) bool {
+func (q *teamQuota) leavesAllowanceIdle(now time.Time) bool {
 	if q.demand.Total.IsZero() || !q.idle().Covers(q.ledger.Limit.limited(q.demand.Unit)) {
 		return false
 	}
@@ -146,7 +146,7 @@
 // spareFor returns how much of the idle allowance may go to another shard's request.
 func (q *teamQuota) spareFor(request shardRequest, now time.Time) Amount {
 	idle := q.idle()
-	if q.demand.Total.IsZero() || q.leavesIdle(now) {
+	if q.demand.Total.IsZero() || q.leavesAllowanceIdle(now) {
 		return idle
 	}
 	ownGoesFirst := request.compare(q.rankedDemand()) > 0
@@ -157,12 +157,12 @@
 	return idle
 }
 
-// noteRequested updates requestedAt, given whether the shard now has a stored request for the team.
-func (q *teamQuota) noteRequested(requested bool, now time.Time) {
+// recordRequested updates requestedSince, given whether the shard now has a stored request for the team.
+func (q *teamQuota) recordRequested(requested bool, now time.Time) {
 	switch {
 	case !requested:
-		q.requestedAt = time.Time{}
-	case q.requestedAt.IsZero():
-		q.requestedAt = now
+		q.requestedSince = time.Time{}
+	case q.requestedSince.IsZero():
+		q.requestedSince = now
 	}
 }
--- a/internal/quota/tracker.go
+++ b/internal/quota/tracker.go
@@ -28,7 +28,7 @@
 	// loaded reports that the stored ledgers were read after this leader took over the shard.
 	loaded   bool
 	teams    map[string]*teamQuota
-	requests requestBoard
+	requests requestTable
 	now      func() time.Time
 }
 
@@ -42,7 +42,7 @@
 		startedAt: startedAt,
 		loaded:    shards == 1,
 		teams:     map[string]*teamQuota{},
-		requests:  newRequestBoard(shard),
+		requests:  newRequestTable(shard),
 		now:       time.Now,
 	}
 }
@@ -98,7 +98,7 @@
 	}
 	// The pending transfer was conditional on an earlier revision of the ledger, so it can no longer
 	// be applied.
-	if quota.transfer != nil && change.Revision > quota.transfer.base {
+	if quota.transfer != nil && change.Revision > quota.transfer.baseRevision {
 		quota.transfer = nil
 	}
 }
@@ -110,19 +110,21 @@
 		return
 	}
 	for name, quota := range t.teams {
-		quota.noteRequested(t.requests.hasOwn(name), now)
+		quota.recordRequested(t.requests.hasOwn(name), now)
 	}
 }
 
 // AddUsage adds resources that a team's tasks may use from now on.
-func (t *Tracker) AddUsage(team string, room placement.Resources) {
+func (t *Tracker) AddUsage(team string, resources placement.Resources) {
 	quota := t.team(team)
-	quota.usage.add(room)
+	quota.usage.add(resources)
 	quota.usage.grantedAt = t.now()
 }
 
 // RemoveUsage subtracts resources that a team's tasks certainly no longer use.
-func (t *Tracker) RemoveUsage(team string, room placement.Resources) { t.team(team).usage.remove(room) }
+func (t *Tracker) RemoveUsage(team string, resources placement.Resources) {
+	t.team(team).usage.remove(resources)
+}
 
 // Usage returns the resources that a team's tasks in this shard may be using.
 func (t *Tracker) Usage(team string) placement.Resources {
@@ -145,23 +147,23 @@
 	if t.shards > 1 {
 		limit, allowed = t.allowed(quota, limit)
 	}
-	room, used := allowed.Room(), quota.usage.exact
+	total, used := allowed.Room(), quota.usage.exact
 	left := placement.Resources{Cores: unlimited, Accels: unlimited, RAM: unlimited}
 	if limit[Cores] != Unlimited {
-		left.Cores = room.Cores - used.Cores
+		left.Cores = total.Cores - used.Cores
 	}
 	if limit[Accelerators] != Unlimited {
-		left.Accels = room.Accels - used.Accels
+		left.Accels = total.Accels - used.Accels
 	}
 	if limit[Memory] != Unlimited {
-		left.RAM = room.RAM - used.RAM
+		left.RAM = total.RAM - used.RAM
 	}
 	return left
 }
 
-// allowed returns the effective limit and how much of it this shard may use now. Both are zero while nothing
-// may be granted. That includes the time until the ledger has the limit of newer settings, so that nothing
-// is granted under the old limit.
+// allowed returns the effective limit and how much of it this shard may use now. Both are zero while
+// nothing may be granted. That includes the time until the ledger has the limit of newer settings, so that
+// nothing is granted under the old limit.
 func (t *Tracker) allowed(quota *teamQuota, configured Limit) (Limit, Amount) {
 	ledger := quota.ledger
 	switch {
@@ -169,7 +171,7 @@
 		return Limit{}, Amount{}
 	case ledger == nil && configured.IsUnlimited():
 		return configured, Amount{}
-	case ledger == nil || !ledger.Open() || ledger.outdatedBy(configured, t.startedAt):
+	case ledger == nil || !ledger.AllRegistered() || ledger.outdatedBy(configured, t.startedAt):
 		return Limit{}, Amount{}
 	}
 	return ledger.Limit, quota.usable()
@@ -192,14 +194,14 @@
 	if own, ok := quota.request(t.now()); ok {
 		requests = append(requests, own)
 	}
-	return sorted(requests)
+	return sortRequests(requests)
 }
 
 // ownRequests returns this shard's requests, to be stored for the other leaders. due reports whether they
 // differ enough from the stored ones to justify a write now.
 func (t *Tracker) ownRequests() (requests Requests, due bool) {
 	now := t.now()
-	requests = Requests{Version: formVersion, Teams: map[string]Request{}}
+	requests = Requests{Version: formatVersion, Teams: map[string]Request{}}
 	for name, quota := range t.teams {
 		if own, ok := quota.request(now); ok {
 			requests.Teams[name] = own.Request
@@ -209,10 +211,10 @@
 }
 
 // ReclaimNeeded returns how much allowance the highest-ranked request for a team's allowance still lacks
-// after the reserve and this shard's idle allowance are counted, and the rank of that request. owed is
+// after the reserve and this shard's idle allowance are counted, and the rank of that request. needed is
 // false if nothing is lacking, or if the highest-ranked request is this shard's own. The caller may
 // preempt lower-ranked tasks of the team for it.
-func (t *Tracker) ReclaimNeeded(team string) (amount Amount, rank Rank, owed bool) {
+func (t *Tracker) ReclaimNeeded(team string) (amount Amount, rank Rank, needed bool) {
 	quota := t.teams[team]
 	if quota == nil || quota.ledger == nil {
 		return Amount{}, Rank{}, false
--- a/internal/quota/transfer.go
+++ b/internal/quota/transfer.go
@@ -14,9 +14,9 @@
 type Transfer struct {
 	Team string
 	// Reason names the transition in log lines.
-	Reason string
-	next   Ledger
-	base   ids.Revision // revision of the ledger that the transition starts from; 0: there was none
+	Reason       string
+	next         Ledger
+	baseRevision ids.Revision // revision of the ledger that the transition starts from; 0: there was none
 	// withheld is the amount that the transfer takes from this shard. The shard does not grant it from
 	// before the transfer is sent until a newer ledger is known, or the transfer certainly was not and
 	// can no longer be applied.
@@ -36,7 +36,7 @@
 	}
 	key := LedgerKey(t.Team)
 	return state.Txn{
-		Conditions: []state.Condition{{Key: key, Revision: t.base}, fence},
+		Conditions: []state.Condition{{Key: key, Revision: t.baseRevision}, fence},
 		Ops:        []state.Op{{Put: key, Value: encoded}},
 	}, nil
 }
