--- a/internal/provisioning/consolidation.go
+++ b/internal/provisioning/consolidation.go
@@ -18,8 +18,8 @@
 // emptied. Only one machine is emptied at a time.
 type consolidator struct {
 	*State
-	machine ids.Machine // the machine that is being emptied; "" if there is none
-	since   time.Time   // start of the consolidation of machine
+	machine   ids.Machine // the machine that is being emptied; "" if there is none
+	startedAt time.Time   // start of the consolidation of machine
 }
 
 // ConsolidationCandidate is a machine that may be emptied, with the capacity that its replicas need on
@@ -42,10 +42,10 @@
 	maxConsolidationCandidates = 6
 )
 
-// valuedCandidate is a candidate and its value: the cores in use on it per unit of its price.
-type valuedCandidate struct {
+// ratedCandidate is a candidate and the cores in use on it per unit of its price.
+type ratedCandidate struct {
 	ConsolidationCandidate
-	value float64
+	coresPerPrice float64
 }
 
 // isEmptying reports whether a machine is being emptied.
@@ -53,21 +53,21 @@
 
 // candidates implements Planner.ConsolidationCandidates.
 func (c *consolidator) candidates(now time.Time) []ConsolidationCandidate {
-	if c.Machines.Machines[c.machine] != nil && now.Sub(c.since) < consolidationTime {
+	if c.Machines.Machines[c.machine] != nil && now.Sub(c.startedAt) < consolidationTime {
 		return nil
 	}
 	c.machine = ""
 	if !c.Rollouts.MayConsolidate() {
 		return nil
 	}
-	var found []valuedCandidate
+	var found []ratedCandidate
 	for _, node := range c.Capacity.Nodes() {
 		if candidate, ok := c.candidateOf(node, now); ok {
 			found = append(found, candidate)
 		}
 	}
-	slices.SortFunc(found, func(x, y valuedCandidate) int {
-		return cmp.Or(cmp.Compare(x.value, y.value), cmp.Compare(x.Name, y.Name))
+	slices.SortFunc(found, func(x, y ratedCandidate) int {
+		return cmp.Or(cmp.Compare(x.coresPerPrice, y.coresPerPrice), cmp.Compare(x.Name, y.Name))
 	})
 	candidates := make([]ConsolidationCandidate, min(len(found), maxConsolidationCandidates))
 	for i := range candidates {
@@ -77,7 +77,7 @@
 }
 
 // candidateOf returns the candidate for a node. ok reports whether the node may be emptied.
-func (c *consolidator) candidateOf(node *capacity.Node, now time.Time) (candidate valuedCandidate, ok bool) {
+func (c *consolidator) candidateOf(node *capacity.Node, now time.Time) (candidate ratedCandidate, ok bool) {
 	machine := c.Machines.Machines[node.Name]
 	if len(node.Assignments) == 0 || machine == nil || c.Capacity.Type(machine.Type) == nil ||
 		!machine.Schedulable(now, c.reportInterval()) || now.Sub(machine.ProvisionedAt) < minConsolidatedAge || machine.DeleteWhenEmpty {
@@ -93,7 +93,7 @@
 		request.Zone = machine.Zone
 		candidate.Needs = append(candidate.Needs, placement.Demand{Request: request, Count: 1, Headroom: true})
 	}
-	candidate.value = node.Used.Cores / c.machinePrice(machine)
+	candidate.coresPerPrice = node.Used.Cores / c.machinePrice(machine)
 	return candidate, true
 }
 
@@ -107,7 +107,7 @@
 // begin implements Planner.Consolidate.
 func (c *consolidator) begin(name ids.Machine, now time.Time) bool {
 	previous := c.machine
-	c.machine, c.since = name, now
+	c.machine, c.startedAt = name, now
 	if name != "" {
 		slog.Info("machine consolidation started", "machine", name)
 		if machine := c.Machines.Machines[name]; machine != nil {
--- a/internal/provisioning/headroom.go
+++ b/internal/provisioning/headroom.go
@@ -42,7 +42,7 @@
 		demand.Count = max(1, int(math.Ceil(h.Settings.Operator.SpareShare*float64(usage.runningNow))))
 		demand.Spread, demand.Preempt, demand.ReclaimableShare = true, true, 1
 	case usage.shape == record.Array && hasObjective(h.Settings.Params.Objectives, class):
-		demand.Count = min(usage.highWatermark()-current, h.affordableTasks(usage))
+		demand.Count = min(usage.wantedPercentile90()-current, h.affordableTasks(usage))
 	case h.startsBeforeProvisioning(class, usage):
 		demand.NoScaleOut = len(usage.wanted) < minSamples
 		demand.Count = usage.expectedConcurrency() - current
--- a/internal/provisioning/late_boots.go
+++ b/internal/provisioning/late_boots.go
@@ -19,12 +19,12 @@
 	NotLate Lateness = iota
 	// Late is the lateness of a machine for which a replacement may be provisioned while it boots.
 	Late
-	// Hopeless is the lateness of a machine that is terminated even if it is needed.
-	Hopeless
+	// BootTimedOut is the lateness of a machine that is terminated even if it is needed.
+	BootTimedOut
 )
 
-// hopelessFactor is the multiple of the age at which a machine is late from which it is hopeless.
-const hopelessFactor = 4
+// bootTimeoutFactor is the multiple of the age at which a machine is late from which its boot has timed out.
+const bootTimeoutFactor = 4
 
 // replacementDelay is the longest expected time from a machine becoming late to the provisioning of its
 // replacement.
@@ -46,8 +46,8 @@
 // latenessAt returns the lateness of a machine of the given age, which is late if it is older than due.
 func latenessAt(age, due time.Duration) Lateness {
 	switch {
-	case age > hopelessFactor*due:
-		return Hopeless
+	case age > bootTimeoutFactor*due:
+		return BootTimedOut
 	case age > due:
 		return Late
 	}
@@ -71,19 +71,19 @@
 	if len(late) == 0 {
 		return nil
 	}
-	replaced, ofType, price := map[ids.Machine]bool{}, map[string]int{}, 0.0
+	replaced, replacedOfType, price := map[ids.Machine]bool{}, map[string]int{}, 0.0
 	for _, machine := range late {
 		if b.Estimates.IsOvertaken(machine) {
 			replaced[machine.Name] = true
 			continue
 		}
 		machinePrice := b.machinePrice(machine)
-		if ofType[machine.Type] > 0 && price+machinePrice > b.Settings.Operator.BurstCostShare*fleetPrice {
+		if replacedOfType[machine.Type] > 0 && price+machinePrice > b.Settings.Operator.BurstCostShare*fleetPrice {
 			continue
 		}
 		replaced[machine.Name] = true
 		price += machinePrice
-		ofType[machine.Type]++
+		replacedOfType[machine.Type]++
 	}
 	return replaced
 }
@@ -107,8 +107,8 @@
 	return late, fleetPrice
 }
 
-// countComing returns, by type, the number of booting machines for which no replacement is provisioned.
-func (b *bootTracker) countComing(now time.Time) map[string]int {
+// countExpected returns, by type, the number of booting machines for which no replacement is provisioned.
+func (b *bootTracker) countExpected(now time.Time) map[string]int {
 	count := map[string]int{}
 	replaced := b.replaced(now)
 	for _, machine := range b.Machines.Machines {
@@ -126,13 +126,13 @@
 
 // reasonToAbandon returns the reason to terminate a booting machine, or "" to keep waiting for it. A late
 // machine is kept while it is needed, or while its replacement is itself booting, so that whichever is up
-// first is used. coming is the result of countComing.
-func (b *bootTracker) reasonToAbandon(machine *worker.Machine, needed bool, coming map[string]int, now time.Time) string {
+// first is used. expected is the result of countExpected.
+func (b *bootTracker) reasonToAbandon(machine *worker.Machine, needed bool, expected map[string]int, now time.Time) string {
 	switch b.lateness(machine, now) {
-	case Hopeless:
+	case BootTimedOut:
 		return "it does not come up"
 	case Late:
-		if !needed && coming[machine.Type] == 0 && !b.becameLateRecently(machine, now) {
+		if !needed && expected[machine.Type] == 0 && !b.becameLateRecently(machine, now) {
 			return "it is late, and no longer needed"
 		}
 	}
--- a/internal/provisioning/provisioning.go
+++ b/internal/provisioning/provisioning.go
@@ -116,7 +116,7 @@
 // Demands returns the capacity that the fleet should provide, most important first.
 func (p *Planner) Demands(now time.Time) []placement.Demand {
 	demands := append(p.queue.demands(now), p.Rollouts.SurgeDemands()...)
-	if !p.shortage.ofOthers {
+	if !p.shortage.othersHaveShortage {
 		demands = append(demands, p.headroom.demands()...)
 	}
 	return demands
@@ -180,16 +180,16 @@
 }
 
 // SetShortage records whether the cloud currently refuses to provision capacity that pending jobs need.
-func (p *Planner) SetShortage(refused bool, now time.Time) { p.shortage.set(refused, now) }
+func (p *Planner) SetShortage(refused bool, now time.Time) { p.shortage.setShortage(refused, now) }
 
 // Shortage returns this shard's shortage of machines.
 func (p *Planner) Shortage() Shortage { return p.shortage.current() }
 
 // ShareCapacity frees capacity for other shards, which have been short of machines for othersShortage. The
-// shard keeps no headroom during the shortage. If the shortage lasts, the shard releases the machines
-// beyond part, its number of machines in a fair split of the fleet, one at a time.
-func (p *Planner) ShareCapacity(othersShortage time.Duration, part int, now time.Time) {
-	p.shortage.shareCapacity(othersShortage, part, now)
+// shard keeps no headroom during the shortage. If the shortage lasts, the shard releases the machines that
+// it has beyond averageMachines, the average number of machines per shard, one at a time.
+func (p *Planner) ShareCapacity(othersShortage time.Duration, averageMachines int, now time.Time) {
+	p.shortage.shareCapacity(othersShortage, averageMachines, now)
 }
 
 // MachinesToTerminate returns the machines to delete now, sorted by name, and marks them so that no more
--- a/internal/provisioning/provisioning_test.go
+++ b/internal/provisioning/provisioning_test.go
@@ -64,8 +64,8 @@
 	return job
 }
 
-// run assigns tasks of a job to a machine, as running since the given time.
-func run(planner *Planner, job *workload.Job, tasks int, machine ids.Machine, since time.Time) {
+// runTasks assigns tasks of a job to a machine, as running since the given time.
+func runTasks(planner *Planner, job *workload.Job, tasks int, machine ids.Machine, since time.Time) {
 	for range tasks {
 		assignment := &workload.Assignment{Job: job, TaskIndex: len(job.Assignments), Machine: machine, Status: worker.StateRunning, RunningSince: since}
 		job.Assignments[assignment.TaskIndex] = assignment
@@ -83,7 +83,7 @@
 		{time.Minute, true, NotLate}, // twice the boot time of its type
 		{61 * time.Second, true, Late},
 		{4 * time.Minute, true, Late},
-		{241 * time.Second, true, Hopeless},
+		{241 * time.Second, true, BootTimedOut},
 		{time.Hour, false, NotLate},
 	} {
 		planner := testPlanner()
@@ -103,7 +103,7 @@
 	if replaced := planner.boots.replaced(now); len(replaced) != 1 || !replaced["late0"] {
 		t.Errorf("replaced machines %v, want only the oldest", replaced)
 	}
-	if got := planner.boots.countComing(now)["small"]; got != 3 {
+	if got := planner.boots.countExpected(now)["small"]; got != 3 {
 		t.Errorf("%d booting machines count as expected, want 3", got)
 	}
 	up := addMachine(planner, "up", now, 80*time.Second, false)
@@ -115,8 +115,8 @@
 
 func TestUsageSamplesGiveTheExpectedConcurrency(t *testing.T) {
 	for _, c := range []struct {
-		samples             []int
-		watermark, expected int
+		samples                []int
+		percentile90, expected int
 	}{
 		{nil, 0, 0},
 		{[]int{0, 0, 0}, 0, 0},
@@ -125,8 +125,8 @@
 		{[]int{0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 10}, 0, 2},
 	} {
 		usage := &classUsage{wanted: c.samples, running: c.samples}
-		if watermark, expected := usage.highWatermark(), usage.expectedConcurrency(); watermark != c.watermark || expected != c.expected {
-			t.Errorf("samples %v: high watermark %d, expected concurrency %d; want %d, %d", c.samples, watermark, expected, c.watermark, c.expected)
+		if percentile90, expected := usage.wantedPercentile90(), usage.expectedConcurrency(); percentile90 != c.percentile90 || expected != c.expected {
+			t.Errorf("samples %v: 90th percentile %d, expected concurrency %d; want %d, %d", c.samples, percentile90, expected, c.percentile90, c.expected)
 		}
 	}
 }
@@ -134,13 +134,13 @@
 func TestHeadroomIsKeptForClassesThatStartBeforeMachinesBoot(t *testing.T) {
 	now := time.Now()
 	for _, c := range []struct {
-		name     string
-		class    string
-		shape    record.Shape
-		priority record.Priority
-		samples  int
-		want     int
-		noOut    bool
+		name       string
+		class      string
+		shape      record.Shape
+		priority   record.Priority
+		samples    int
+		want       int
+		noScaleOut bool
 	}{
 		{"critical work", "other", record.Service, record.Critical, 1, 1, false},
 		{"a class without an objective", "other", record.Gang, record.Normal, 1, 0, false},
@@ -149,17 +149,17 @@
 	} {
 		planner := testPlanner()
 		addMachine(planner, "m", now, time.Hour, false)
-		run(planner, addJob(planner, "job", c.class, c.shape, c.priority, 4, now), 4, "m", now)
+		runTasks(planner, addJob(planner, "job", c.class, c.shape, c.priority, 4, now), 4, "m", now)
 		for i := range c.samples {
 			planner.SampleUsage(now.Add(time.Duration(i) * sampleInterval))
 		}
 		demands := planner.headroom.demands()
-		count, noOut := 0, false
+		count, noScaleOut := 0, false
 		for _, demand := range demands {
-			count, noOut = count+demand.Count, demand.NoScaleOut
+			count, noScaleOut = count+demand.Count, demand.NoScaleOut
 		}
-		if count != c.want || noOut != c.noOut {
-			t.Errorf("%s: headroom for %d tasks, NoScaleOut %v; want %d, %v", c.name, count, noOut, c.want, c.noOut)
+		if count != c.want || noScaleOut != c.noScaleOut {
+			t.Errorf("%s: headroom for %d tasks, NoScaleOut %v; want %d, %v", c.name, count, noScaleOut, c.want, c.noScaleOut)
 		}
 	}
 }
@@ -206,12 +206,12 @@
 	settled := now.Add(-time.Hour)
 	for name, replicas := range map[ids.Machine]int{"two": 2, "one": 1, "empty": 0, "mixed": 1, "young": 1} {
 		machine := addMachine(planner, name, now, time.Hour, false)
-		run(planner, addJob(planner, ids.Job(name), "web", record.Service, record.Normal, 4, now), replicas, name, settled)
+		runTasks(planner, addJob(planner, ids.Job(name), "web", record.Service, record.Normal, 4, now), replicas, name, settled)
 		if name == "young" {
 			machine.ProvisionedAt = now.Add(-minConsolidatedAge / 2)
 		}
 	}
-	run(planner, addJob(planner, "array", "batch", record.Array, record.Normal, 1, now), 1, "mixed", settled)
+	runTasks(planner, addJob(planner, "array", "batch", record.Array, record.Normal, 1, now), 1, "mixed", settled)
 	candidates := planner.ConsolidationCandidates(now)
 	if len(candidates) != 2 || candidates[0].Name != "one" || candidates[1].Name != "two" || len(candidates[1].Needs) != 2 {
 		t.Errorf("candidates %+v, want one and two, in this order", candidates)
@@ -237,11 +237,11 @@
 		{name: "idle", change: func(*Planner, *worker.Machine) {}, want: "idle"},
 		{name: "recently idle", change: func(_ *Planner, m *worker.Machine) { m.IdleSince = now }},
 		{name: "in use", change: func(p *Planner, m *worker.Machine) {
-			run(p, addJob(p, "job", "batch", record.Array, record.Normal, 1, now), 1, m.Name, now)
+			runTasks(p, addJob(p, "job", "batch", record.Array, record.Normal, 1, now), 1, m.Name, now)
 		}},
 		{name: "failed", change: func(_ *Planner, m *worker.Machine) { m.Failed = true }, needed: true, want: "it stopped by itself"},
 		{name: "drained", change: func(_ *Planner, m *worker.Machine) { m.DrainReason = "for repair" }, needed: true, want: "for repair"},
-		{name: "idle during other shards' shortage", change: func(p *Planner, m *worker.Machine) { p.shortage.ofOthers, m.IdleSince = true, now }, want: releasedForOtherShard},
+		{name: "idle during other shards' shortage", change: func(p *Planner, m *worker.Machine) { p.shortage.othersHaveShortage, m.IdleSince = true, now }, want: releasedForOtherShard},
 		{name: "silent", change: func(_ *Planner, m *worker.Machine) {
 			m.LastReportAt, m.SuspectSince, m.UnansweredProbes = now.Add(-20*time.Second), now.Add(-15*time.Second), 3
 		}, needed: true, want: "silent"},
--- a/internal/provisioning/queue_demand.go
+++ b/internal/provisioning/queue_demand.go
@@ -24,9 +24,9 @@
 	job        ids.Job // set only for a job whose tasks must share a zone; it forms a group of its own
 }
 
-// roundingError is subtracted from a sum of slots before it is rounded up, to compensate for floating-point
-// error.
-const roundingError = 0.01
+// slotRoundingTolerance is subtracted from a sum of slots before it is rounded up, to compensate for
+// floating-point error.
+const slotRoundingTolerance = 0.01
 
 // demands returns the demands of the queued jobs, most important first. There is one demand for each group
 // of similar jobs: rounding up the demand of every small job separately would provision a machine for each.
@@ -48,7 +48,7 @@
 		sums[group] += slots
 	}
 	for group, position := range positions {
-		demands[position].Count = int(math.Ceil(sums[group] - roundingError))
+		demands[position].Count = int(math.Ceil(sums[group] - slotRoundingTolerance))
 	}
 	return demands
 }
--- a/internal/provisioning/shortage.go
+++ b/internal/provisioning/shortage.go
@@ -19,26 +19,26 @@
 // shortageTracker tracks this shard's shortage and releases capacity during other shards' shortages. Each
 // shard provisions its own machines. When the cloud has no more machines, a shard may hold machines that
 // another shard needs. The shards without a shortage then first return the machines that they keep only as
-// headroom. If the shortage lasts, shards with more machines than their part of the fleet release machines
-// one after another.
+// headroom. If the shortage lasts, shards with more machines than the average release machines one after
+// another.
 type shortageTracker struct {
 	*State
-	since      time.Time // start of this shard's shortage; zero if there is none
-	ofOthers   bool      // whether other shards have a shortage
-	releasedAt time.Time // time at which this shard last released a machine
+	since              time.Time // start of this shard's shortage; zero if there is none
+	othersHaveShortage bool      // whether other shards have a shortage
+	releasedAt         time.Time // time at which this shard last released a machine
 }
 
 const (
-	// longShortage is the duration of a shortage from which other shards release machines.
-	longShortage = 10 * time.Second
+	// releaseThreshold is the duration of a shortage from which other shards release machines.
+	releaseThreshold = 10 * time.Second
 	// releaseInterval is the minimum time between two releases of machines by a shard.
 	releaseInterval = 5 * time.Second
 	// releasedForOtherShard is the drain and termination reason of a machine released for another shard.
 	releasedForOtherShard = "its room is needed in another shard"
 )
 
-// set implements Planner.SetShortage.
-func (s *shortageTracker) set(refused bool, now time.Time) {
+// setShortage implements Planner.SetShortage.
+func (s *shortageTracker) setShortage(refused bool, now time.Time) {
 	switch {
 	case !refused:
 		s.since = time.Time{}
@@ -57,9 +57,9 @@
 }
 
 // shareCapacity implements Planner.ShareCapacity.
-func (s *shortageTracker) shareCapacity(othersShortage time.Duration, part int, now time.Time) {
-	s.ofOthers = othersShortage > 0
-	if othersShortage < longShortage || len(s.Machines.Machines) <= part || now.Sub(s.releasedAt) < releaseInterval || !s.StoreAvailable() {
+func (s *shortageTracker) shareCapacity(othersShortage time.Duration, averageMachines int, now time.Time) {
+	s.othersHaveShortage = othersShortage > 0
+	if othersShortage < releaseThreshold || len(s.Machines.Machines) <= averageMachines || now.Sub(s.releasedAt) < releaseInterval || !s.StoreAvailable() {
 		return
 	}
 	node := s.cheapestToRelease(now)
--- a/internal/provisioning/termination.go
+++ b/internal/provisioning/termination.go
@@ -23,26 +23,26 @@
 	shortage     *shortageTracker
 }
 
-// fleetView holds the inputs that are the same for all machines in one call of machinesToTerminate.
-type fleetView struct {
+// terminationInputs holds the inputs that are the same for all machines in one call of machinesToTerminate.
+type terminationInputs struct {
 	now    time.Time
 	needed map[ids.Machine]bool
 	fleet  *liveness.Fleet
-	// coming is the number, by type, of booting machines for which no replacement is provisioned.
-	coming map[string]int
+	// expected is the number, by type, of booting machines for which no replacement is provisioned.
+	expected map[string]int
 	// silentAfter is the duration of silence from which a machine counts as silent without any probe.
 	silentAfter time.Duration
 }
 
 // machinesToTerminate implements Planner.MachinesToTerminate.
 func (t *terminator) machinesToTerminate(now time.Time, needed map[ids.Machine]bool) []ids.Machine {
-	view := &fleetView{now: now, needed: needed, fleet: t.Zones.Update(t.Machines, t.StoreAvailable()), coming: t.boots.countComing(now),
+	inputs := &terminationInputs{now: now, needed: needed, fleet: t.Zones.Update(t.Machines, t.StoreAvailable()), expected: t.boots.countExpected(now),
 		silentAfter: 3*t.reportInterval().Duration() + 4*time.Second}
 	var names []ids.Machine
 	for _, machine := range t.Machines.Machines {
-		t.updateNeed(machine, view)
+		t.updateNeed(machine, inputs)
 		if !machine.Deleting {
-			if reason := t.reason(machine, view); reason != "" {
+			if reason := t.reason(machine, inputs); reason != "" {
 				slog.Info("machine terminated", "machine", machine.Name, "type", machine.Type, "spot", machine.Spot, "why", reason)
 				machine.Deleting, machine.DeleteReason = true, reason
 			}
@@ -58,21 +58,21 @@
 // updateNeed records the time at which a machine was last needed, and whether to delete it once it is empty.
 // A machine with accelerators that has not been needed for the idle return time is to be emptied, so that
 // tasks which could run on cheaper machines do not keep it.
-func (t *terminator) updateNeed(machine *worker.Machine, view *fleetView) {
-	if !machine.HasReported || t.isKept(machine, view) {
-		machine.LastNeededAt = view.now
+func (t *terminator) updateNeed(machine *worker.Machine, inputs *terminationInputs) {
+	if !machine.HasReported || t.isKept(machine, inputs) {
+		machine.LastNeededAt = inputs.now
 	}
 	offer := t.Capacity.Type(machine.Type)
 	hasAccelerators := offer != nil && offer.Accels > 0
-	machine.DeleteWhenEmpty = t.consolidator.isEmptying(machine.Name) || hasAccelerators && t.idleReturnPassed(machine.LastNeededAt, view.now)
+	machine.DeleteWhenEmpty = t.consolidator.isEmptying(machine.Name) || hasAccelerators && t.idleReturnPassed(machine.LastNeededAt, inputs.now)
 	if machine.DeleteWhenEmpty {
 		t.Machines.MarkLeaving(machine.Name)
 	}
 }
 
 // isKept reports whether the plan for the fleet or a rollout keeps a machine.
-func (t *terminator) isKept(machine *worker.Machine, view *fleetView) bool {
-	return view.needed[machine.Name] || t.Rollouts.Keeps(machine.Name)
+func (t *terminator) isKept(machine *worker.Machine, inputs *terminationInputs) bool {
+	return inputs.needed[machine.Name] || t.Rollouts.Keeps(machine.Name)
 }
 
 // idleReturnPassed reports whether more than the configured idle return time (IdleReturnS) has passed since
@@ -82,23 +82,23 @@
 }
 
 // reason returns the reason to delete a machine, or "" if the machine stays.
-func (t *terminator) reason(machine *worker.Machine, view *fleetView) string {
+func (t *terminator) reason(machine *worker.Machine, inputs *terminationInputs) string {
 	empty := len(t.Capacity.AssignmentsOn(machine.Name)) == 0
-	if reason := t.endReason(machine, empty, view.now); reason != "" {
+	if reason := t.endReason(machine, empty, inputs.now); reason != "" {
 		return reason
 	}
 	if machine.HasReported {
-		if reason := t.silenceReason(machine, view); reason != "" {
+		if reason := t.silenceReason(machine, inputs); reason != "" {
 			return reason
 		}
-	} else if reason, decided := t.neverReportedReason(machine, empty, view); decided {
+	} else if reason, decided := t.neverReportedReason(machine, empty, inputs); decided {
 		return reason
 	}
 	if order, _ := t.Rollouts.OrderFor(machine.Name); order.Return && empty {
 		return fmt.Sprintf("rollout %s has emptied it", order.Rollout)
 	}
 	if machine.HasReported && empty {
-		return t.idleReason(machine, view)
+		return t.idleReason(machine, inputs)
 	}
 	return ""
 }
@@ -109,7 +109,7 @@
 	switch {
 	case machine.Failed:
 		return "it stopped by itself"
-	case t.cloudList.misses(machine):
+	case t.cloudList.confirmsGone(machine):
 		return "the cloud does not list it"
 	case !machine.SpotTerminationAt.IsZero() && (now.After(machine.SpotTerminationAt) || empty):
 		return "the cloud takes it back"
@@ -133,14 +133,14 @@
 
 // silenceReason returns the reason to delete a machine that has reported but is now silent or unreachable,
 // or "" if it is neither.
-func (t *terminator) silenceReason(machine *worker.Machine, view *fleetView) string {
-	silence, limit := machine.SilentFor(view.now), t.silenceLimit(machine)
-	silent := silence > view.silentAfter || machine.UnansweredProbes >= silentProbes && silence > limit
-	unreachable := machine.FailedCalls >= unreachableCalls && view.now.Sub(machine.UnreachableSince) > limit
+func (t *terminator) silenceReason(machine *worker.Machine, inputs *terminationInputs) string {
+	silence, limit := machine.SilentFor(inputs.now), t.silenceLimit(machine)
+	silent := silence > inputs.silentAfter || machine.UnansweredProbes >= silentProbes && silence > limit
+	unreachable := machine.FailedCalls >= unreachableCalls && inputs.now.Sub(machine.UnreachableSince) > limit
 	switch {
-	case silent && view.fleet.IsIsolatedFailure(machine):
+	case silent && inputs.fleet.IsIsolatedFailure(machine):
 		return "silent"
-	case unreachable && view.fleet.IsIsolatedFailure(machine):
+	case unreachable && inputs.fleet.IsIsolatedFailure(machine):
 		return "nothing reaches it"
 	}
 	return ""
@@ -148,18 +148,18 @@
 
 // neverReportedReason returns the reason to delete a machine that has never reported to this leader, or "".
 // decided reports whether the result is final, so that the caller must not check for other reasons.
-func (t *terminator) neverReportedReason(machine *worker.Machine, empty bool, view *fleetView) (reason string, decided bool) {
+func (t *terminator) neverReportedReason(machine *worker.Machine, empty bool, inputs *terminationInputs) (reason string, decided bool) {
 	if machine.Booting {
-		return t.boots.reasonToAbandon(machine, t.isKept(machine, view), view.coming, view.now), true
+		return t.boots.reasonToAbandon(machine, t.isKept(machine, inputs), inputs.expected, inputs.now), true
 	}
-	known := view.now.Sub(machine.DiscoveredAt)
-	unreachable := machine.UnansweredProbes >= neverReportedProbes || machine.Addr == "" && known > view.silentAfter
+	knownFor := inputs.now.Sub(machine.DiscoveredAt)
+	unreachable := machine.UnansweredProbes >= neverReportedProbes || machine.Addr == "" && knownFor > inputs.silentAfter
 	switch {
-	case (known > 2*view.silentAfter || !empty && unreachable) && view.fleet.IsIsolatedFailure(machine):
+	case (knownFor > 2*inputs.silentAfter || !empty && unreachable) && inputs.fleet.IsIsolatedFailure(machine):
 		// Tasks of an earlier leader may still run on the machine, which does not answer or has no known
 		// address. Deleting the machine makes certain that they do not.
 		return "up but never heard", true
-	case view.fleet.OnlyZoneUnreachable(machine.Zone) && t.leasesExpireSoon(view.now) && t.hasRestartableReplica(machine, view.fleet):
+	case inputs.fleet.OnlyZoneUnreachable(machine.Zone) && t.leasesExpireSoon(inputs.now) && t.hasRestartableReplica(machine, inputs.fleet):
 		return "its zone is dark, and its replicas can start elsewhere", true
 	}
 	return "", false
@@ -171,12 +171,12 @@
 }
 
 // idleReason returns the reason to return a machine without tasks, or "" if it stays.
-func (t *terminator) idleReason(machine *worker.Machine, view *fleetView) string {
+func (t *terminator) idleReason(machine *worker.Machine, inputs *terminationInputs) string {
 	switch {
-	case t.isKept(machine, view):
-	case t.shortage.ofOthers:
+	case t.isKept(machine, inputs):
+	case t.shortage.othersHaveShortage:
 		return releasedForOtherShard
-	case t.idleReturnPassed(machine.IdleSince, view.now) && view.now.Sub(machine.ProvisionedAt) > minConsolidatedAge:
+	case t.idleReturnPassed(machine.IdleSince, inputs.now) && inputs.now.Sub(machine.ProvisionedAt) > minConsolidatedAge:
 		return "idle"
 	}
 	return ""
--- a/internal/provisioning/usage.go
+++ b/internal/provisioning/usage.go
@@ -48,7 +48,7 @@
 		usage.wantedNow, usage.runningNow = 0, 0
 	}
 	for _, job := range h.Jobs.All() {
-		h.ensure(job.Record.Spec.Class).count(job, h.tasksWanted(job))
+		h.ensure(job.Record.Spec.Class).addJob(job, h.tasksWanted(job))
 	}
 	for class, usage := range h.classes {
 		if usage.unused() {
@@ -84,8 +84,8 @@
 	return wanted
 }
 
-// count adds a job of the class to the current sample.
-func (u *classUsage) count(job *workload.Job, wanted int) {
+// addJob adds a job of the class to the current sample.
+func (u *classUsage) addJob(job *workload.Job, wanted int) {
 	spec := &job.Record.Spec
 	u.request, u.critical, u.shape = spec.PlacementRequest(), spec.Priority == record.Critical, spec.Shape
 	u.request.Zone = ""
@@ -104,8 +104,8 @@
 	return u.request.InstanceTypes == nil || u.request.Allows(offer.Label, u.request.Zone, false)
 }
 
-// highWatermark returns the 90th percentile of the wanted samples, or 0 if there are none.
-func (u *classUsage) highWatermark() int {
+// wantedPercentile90 returns the 90th percentile of the wanted samples, or 0 if there are none.
+func (u *classUsage) wantedPercentile90() int {
 	if len(u.wanted) == 0 {
 		return 0
 	}
