--- a/internal/costs/costs.go
+++ b/internal/costs/costs.go
@@ -17,8 +17,8 @@
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// Money is a cost by activity of the machines, in the currency of the cloud's prices.
-type Money struct {
+// Breakdown is a cost by activity of the machines, in the currency of the cloud's prices.
+type Breakdown struct {
 	Boot float64 // machines that have not reported yet
 	Idle float64 // machines without tasks
 	Free float64 // free capacity of machines with tasks
@@ -28,15 +28,15 @@
 }
 
 // rounded returns the costs rounded to thousandths.
-func (m Money) rounded() Money {
+func (b Breakdown) rounded() Breakdown {
 	round := func(amount float64) float64 { return math.Round(amount*1000) / 1000 }
-	return Money{round(m.Boot), round(m.Idle), round(m.Free), round(m.Pull), round(m.Wait), round(m.Run)}
+	return Breakdown{round(b.Boot), round(b.Idle), round(b.Free), round(b.Pull), round(b.Wait), round(b.Run)}
 }
 
 // Account sums the costs of one leader's term. The zero value is ready to use.
 type Account struct {
-	money               Money
-	repeated            map[string]float64 // lost core-seconds by cause; nil before the first Accrue
+	costs               Breakdown
+	lostCoreSeconds     map[string]float64 // by cause; nil before the first Accrue
 	accruedAt, loggedAt time.Time
 }
 
@@ -44,8 +44,8 @@
 
 // Accrue adds the costs since the previous call, and logs the sums every logInterval.
 func (a *Account) Accrue(now time.Time, machines *worker.Registry, index *capacity.Index) {
-	if a.repeated == nil {
-		a.repeated = map[string]float64{}
+	if a.lostCoreSeconds == nil {
+		a.lostCoreSeconds = map[string]float64{}
 	}
 	if a.accruedAt.IsZero() {
 		a.accruedAt, a.loggedAt = now, now
@@ -59,9 +59,9 @@
 	}
 	if now.Sub(a.loggedAt) >= logInterval {
 		a.loggedAt = now
-		money := a.money.rounded()
-		slog.Info("machine costs of this term", "boot", money.Boot, "idle", money.Idle, "free", money.Free, "fetch", money.Pull, "wait", money.Wait, "run", money.Run,
-			"againCoreSeconds", a.repeated)
+		costs := a.costs.rounded()
+		slog.Info("machine costs of this term", "boot", costs.Boot, "idle", costs.Idle, "free", costs.Free, "fetch", costs.Pull, "wait", costs.Wait, "run", costs.Run,
+			"againCoreSeconds", a.lostCoreSeconds)
 	}
 }
 
@@ -69,10 +69,10 @@
 func (a *Account) accrueMachine(machine *worker.Machine, offer *placement.InstanceType, assignments map[*workload.Assignment]bool, cost float64) {
 	switch {
 	case !machine.HasReported:
-		a.money.Boot += cost
+		a.costs.Boot += cost
 		return
 	case len(assignments) == 0:
-		a.money.Idle += cost
+		a.costs.Idle += cost
 		return
 	}
 	left := 1.0
@@ -81,20 +81,20 @@
 		left -= share
 		switch assignment.Status {
 		case worker.StateRunning:
-			a.money.Run += cost * share
+			a.costs.Run += cost * share
 		case worker.StateWaiting, worker.StateCheckpointing:
-			a.money.Wait += cost * share
+			a.costs.Wait += cost * share
 		default:
-			a.money.Pull += cost * share
+			a.costs.Pull += cost * share
 		}
 	}
-	a.money.Free += cost * left
+	a.costs.Free += cost * left
 }
 
 // shareOf returns the share of a machine that a task uses: the largest of its shares of any resource.
 func shareOf(offer *placement.InstanceType, need placement.Resources) float64 {
-	const least = 1e-9 // avoids a division by zero for resources that a machine type lacks
-	share := max(need.Cores/max(offer.Cores, least), need.RAM/max(offer.RAM, least))
+	const epsilon = 1e-9 // avoids a division by zero for resources that a machine type lacks
+	share := max(need.Cores/max(offer.Cores, epsilon), need.RAM/max(offer.RAM, epsilon))
 	if offer.Accels > 0 {
 		share = max(share, need.Accels/offer.Accels)
 	}
@@ -105,17 +105,17 @@
 // given cause. It adds nothing before the first call of Accrue.
 func (a *Account) AddLostWork(assignment *workload.Assignment, cause string, now time.Time) {
 	spec := &assignment.Job.Record.Spec
-	if assignment.RunningSince.IsZero() || spec.Shape == record.Service || a.repeated == nil {
+	if assignment.RunningSince.IsZero() || spec.Shape == record.Service || a.lostCoreSeconds == nil {
 		return
 	}
-	ran := now.Sub(assignment.RunningSince).Seconds()
+	lostSeconds := now.Sub(assignment.RunningSince).Seconds()
 	if spec.CheckpointInterval > 0 {
-		ran = math.Mod(ran, float64(spec.CheckpointInterval))
+		lostSeconds = math.Mod(lostSeconds, float64(spec.CheckpointInterval))
 	}
-	a.repeated[cause] = math.Round(a.repeated[cause] + ran*spec.Resources.Cores)
+	a.lostCoreSeconds[cause] = math.Round(a.lostCoreSeconds[cause] + lostSeconds*spec.Resources.Cores)
 }
 
 // Summary returns the costs, rounded to thousandths, and the lost core-seconds by cause.
-func (a *Account) Summary() (Money, map[string]float64) {
-	return a.money.rounded(), maps.Clone(a.repeated)
+func (a *Account) Summary() (Breakdown, map[string]float64) {
+	return a.costs.rounded(), maps.Clone(a.lostCoreSeconds)
 }
--- a/internal/costs/costs_test.go
+++ b/internal/costs/costs_test.go
@@ -24,17 +24,17 @@
 		name   string
 		change func(*worker.Machine)
 		tasks  []*workload.Assignment
-		want   Money
+		want   Breakdown
 	}{
-		{"booting", func(machine *worker.Machine) { machine.HasReported = false }, nil, Money{Boot: 8}},
-		{"idle", func(*worker.Machine) {}, nil, Money{Idle: 8}},
-		{"idle, a spot instance", func(machine *worker.Machine) { machine.Spot = true }, nil, Money{Idle: 2}},
-		{"failed", func(machine *worker.Machine) { machine.Failed = true }, nil, Money{}},
-		{"of a type that is not known", func(machine *worker.Machine) { machine.Type = "other" }, nil, Money{}},
+		{"booting", func(machine *worker.Machine) { machine.HasReported = false }, nil, Breakdown{Boot: 8}},
+		{"idle", func(*worker.Machine) {}, nil, Breakdown{Idle: 8}},
+		{"idle, a spot instance", func(machine *worker.Machine) { machine.Spot = true }, nil, Breakdown{Idle: 2}},
+		{"failed", func(machine *worker.Machine) { machine.Failed = true }, nil, Breakdown{}},
+		{"of a type that is not known", func(machine *worker.Machine) { machine.Type = "other" }, nil, Breakdown{}},
 		{"running, waiting and pulling", func(*worker.Machine) {}, []*workload.Assignment{
 			testAssignment(worker.StateRunning, 1), testAssignment(worker.StateWaiting, 0.5), testAssignment(worker.StateCheckpointing, 0.5),
-			testAssignment(worker.StatePulling, 0.5), testAssignment("", 0.5)}, Money{Run: 2, Wait: 2, Pull: 2, Free: 2}},
-		{"by the scarcest resource", func(*worker.Machine) {}, []*workload.Assignment{testAssignment(worker.StateRunning, 0.1)}, Money{Run: 0.5, Free: 7.5}},
+			testAssignment(worker.StatePulling, 0.5), testAssignment("", 0.5)}, Breakdown{Run: 2, Wait: 2, Pull: 2, Free: 2}},
+		{"by the scarcest resource", func(*worker.Machine) {}, []*workload.Assignment{testAssignment(worker.StateRunning, 0.1)}, Breakdown{Run: 0.5, Free: 7.5}},
 	} {
 		registry := worker.NewRegistry(20)
 		index := capacity.NewIndex(registry)
@@ -73,8 +73,8 @@
 		assignment.RunningSince = start
 		c.change(assignment)
 		account.AddLostWork(assignment, "preempted", start.Add(100*time.Second))
-		_, repeated := account.Summary()
-		if got, recorded := repeated["preempted"]; got != c.want || recorded != c.recorded {
+		_, lostCoreSeconds := account.Summary()
+		if got, recorded := lostCoreSeconds["preempted"]; got != c.want || recorded != c.recorded {
 			t.Errorf("%s: %v lost core-seconds, recorded: %v", c.name, got, recorded)
 		}
 	}
