--- a/internal/dependency/graph.go
+++ b/internal/dependency/graph.go
@@ -163,15 +163,15 @@
 	delete(g.cancelled, id)
 	g.propagate(queue, &changes)
 	for prerequisite := range prerequisites {
-		g.dropIfUnused(prerequisite)
+		g.removeIfUnused(prerequisite)
 	}
-	g.dropIfUnused(n)
+	g.removeIfUnused(n)
 	return changes
 }
 
 // Finish records that a job is done, so that its dependents no longer depend on it.
 func (g *Graph) Finish(id ids.Job) Changes {
-	g.rememberOutcome(id, Done)
+	g.recordOutcome(id, Done)
 	n := g.nodes[id]
 	if n == nil {
 		return Changes{}
@@ -183,14 +183,14 @@
 	}
 	clear(n.dependents)
 	n.inherited = Urgency{}
-	g.dropIfUnused(n)
+	g.removeIfUnused(n)
 	return changes
 }
 
 // Cancel records that a job is cancelled, and cancels all waiting jobs that depend on it, directly or
 // indirectly.
 func (g *Graph) Cancel(id ids.Job) Changes {
-	g.rememberOutcome(id, Cancelled)
+	g.recordOutcome(id, Cancelled)
 	n := g.nodes[id]
 	if n == nil {
 		return Changes{}
@@ -250,15 +250,15 @@
 	return n
 }
 
-// dropIfUnused removes the node n if its job neither waits nor has dependents.
-func (g *Graph) dropIfUnused(n *node) {
+// removeIfUnused removes the node n if its job neither waits nor has dependents.
+func (g *Graph) removeIfUnused(n *node) {
 	if n.job == nil && len(n.dependents) == 0 {
 		delete(g.nodes, n.id)
 	}
 }
 
-// rememberOutcome stores the outcome of a job, which is final.
-func (g *Graph) rememberOutcome(id ids.Job, outcome Outcome) {
+// recordOutcome stores the outcome of a job, which is final.
+func (g *Graph) recordOutcome(id ids.Job, outcome Outcome) {
 	if len(g.outcomes) > maxOutcomes {
 		clear(g.outcomes) // the caller looks up the outcomes that it still needs
 	}
--- a/internal/dependency/levels.go
+++ b/internal/dependency/levels.go
@@ -36,30 +36,30 @@
 // topologicalOrder returns the added jobs such that each follows its prerequisites among them. It omits
 // jobs that are on a cycle or depend on one.
 func topologicalOrder(added []*node) []*node {
-	unlisted := make(map[*node]int, len(added)) // number of added prerequisites that are not in order yet
+	unorderedPrerequisites := make(map[*node]int, len(added)) // number of added prerequisites that are not in order yet
 	for _, n := range added {
-		unlisted[n] = 0
+		unorderedPrerequisites[n] = 0
 	}
 	for _, n := range added {
 		for prerequisite := range n.prerequisites {
-			if _, isAdded := unlisted[prerequisite]; isAdded {
-				unlisted[n]++
+			if _, isAdded := unorderedPrerequisites[prerequisite]; isAdded {
+				unorderedPrerequisites[n]++
 			}
 		}
 	}
 	order := make([]*node, 0, len(added))
 	for _, n := range added {
-		if unlisted[n] == 0 {
+		if unorderedPrerequisites[n] == 0 {
 			order = append(order, n)
 		}
 	}
 	for i := 0; i < len(order); i++ { // order grows during the loop
 		for dependent := range order[i].dependents {
-			if _, isAdded := unlisted[dependent]; !isAdded {
+			if _, isAdded := unorderedPrerequisites[dependent]; !isAdded {
 				continue
 			}
-			unlisted[dependent]--
-			if unlisted[dependent] == 0 {
+			unorderedPrerequisites[dependent]--
+			if unorderedPrerequisites[dependent] == 0 {
 				order = append(order, dependent)
 			}
 		}
--- a/internal/dependency/random_graph_test.go
+++ b/internal/dependency/random_graph_test.go
@@ -30,11 +30,11 @@
 		if !slices.Contains(j.DependsOn, id) || m.cancelled(other) {
 			continue
 		}
-		passedOn := j.Urgency.merge(m.inherited(other))
-		if !passedOn.Deadline.IsZero() {
-			passedOn.Deadline = passedOn.Deadline.Add(-j.Duration)
+		fromDependent := j.Urgency.merge(m.inherited(other))
+		if !fromDependent.Deadline.IsZero() {
+			fromDependent.Deadline = fromDependent.Deadline.Add(-j.Duration)
 		}
-		urgency = urgency.merge(passedOn)
+		urgency = urgency.merge(fromDependent)
 	}
 	return urgency
 }
@@ -66,23 +66,23 @@
 	rng := rand.New(rand.NewPCG(seed, 7))
 	var jobs []Job
 	for n := independentJobs; n < allJobs; n++ {
-		var awaits []ids.Job
+		var dependsOn []ids.Job
 		for range 1 + rng.IntN(3) {
-			awaits = append(awaits, job(rng.IntN(n)))
+			dependsOn = append(dependsOn, jobID(rng.IntN(n)))
 		}
-		jobs = append(jobs, due(job(n), rng.IntN(4), rng.IntN(3)*(100+rng.IntN(500)), rng.IntN(20), awaits...))
+		jobs = append(jobs, newJob(jobID(n), rng.IntN(4), rng.IntN(3)*(100+rng.IntN(500)), rng.IntN(20), dependsOn...))
 	}
 	return &randomRun{
 		rng:      rng,
 		graph:    New(),
 		model:    &model{map[ids.Job]Job{}, map[ids.Job]Outcome{}},
 		reported: map[ids.Job]Urgency{},
-		toAdd:    shuffled(jobs, seed),
+		toAdd:    shuffle(jobs, seed),
 	}
 }
 
-// note records the inherited urgency of the jobs that the graph reports as changed.
-func (r *randomRun) note(changes Changes) {
+// recordReported records the inherited urgency of the jobs that the graph reports as changed.
+func (r *randomRun) recordReported(changes Changes) {
 	for _, id := range changes.InheritedChanged {
 		r.reported[id] = r.graph.InheritedUrgency(id)
 	}
@@ -91,9 +91,9 @@
 // check compares the graph, and the changes that it reported, with the model.
 func (r *randomRun) check(t *testing.T, changes Changes) {
 	t.Helper()
-	r.note(changes)
+	r.recordReported(changes)
 	for n := range allJobs {
-		id := job(n)
+		id := jobID(n)
 		if r.model.outcomes[id] == Unknown {
 			if got, want := r.graph.InheritedUrgency(id), r.model.inherited(id); got != want || r.reported[id] != want {
 				t.Fatalf("%s inherits %v and was last reported with %v, want %v", id, got, r.reported[id], want)
@@ -123,11 +123,11 @@
 	r.check(t, r.graph.Add(some...))
 }
 
-// endOne picks a random job and finishes or cancels it if it has been added, no longer waits and has not
-// ended. It reports whether it ended a job.
-func (r *randomRun) endOne(t *testing.T) bool {
+// endRandomJob picks a random job and finishes or cancels it if it has been added, no longer waits and has
+// not ended. It reports whether it ended a job.
+func (r *randomRun) endRandomJob(t *testing.T) bool {
 	t.Helper()
-	id := job(r.rng.IntN(allJobs))
+	id := jobID(r.rng.IntN(allJobs))
 	notAdded := slices.ContainsFunc(r.toAdd, func(j Job) bool { return j.ID == id })
 	if _, waits := r.model.waiting[id]; waits || notAdded || r.model.outcomes[id] != Unknown {
 		return false
@@ -169,7 +169,7 @@
 	id := waiting[0]
 	r.model.outcomes[id] = Cancelled
 	delete(r.model.waiting, id)
-	r.note(r.graph.Remove(id))
+	r.recordReported(r.graph.Remove(id))
 	r.check(t, r.graph.Cancel(id))
 }
 
@@ -177,9 +177,9 @@
 func (r *randomRun) finishIndependent(t *testing.T) {
 	t.Helper()
 	for n := range independentJobs {
-		if r.model.outcomes[job(n)] == Unknown {
-			r.model.outcomes[job(n)] = Done
-			r.check(t, r.graph.Finish(job(n)))
+		if r.model.outcomes[jobID(n)] == Unknown {
+			r.model.outcomes[jobID(n)] = Done
+			r.check(t, r.graph.Finish(jobID(n)))
 		}
 	}
 }
@@ -191,7 +191,7 @@
 	case choice < 3 && len(r.toAdd) > 0:
 		r.addSome(t)
 	case choice == 3:
-		if !r.endOne(t) {
+		if !r.endRandomJob(t) {
 			return
 		}
 	case choice == 4:
@@ -204,7 +204,7 @@
 	}
 }
 
-func TestRandomGraphsAgreeWithAModel(t *testing.T) {
+func TestRandomGraphsAgreeWithModel(t *testing.T) {
 	// Guards against differences between the incremental updates and a computation from the whole
 	// graph, in any order of additions, removals and outcomes.
 	for seed := range uint64(60) {
--- a/internal/dependency/updatequeue.go
+++ b/internal/dependency/updatequeue.go
@@ -21,8 +21,8 @@
 	}
 }
 
-// next removes and returns a job of the highest level in the queue.
-func (q *updateQueue) next() *node {
+// popHighest removes and returns a job of the highest level in the queue.
+func (q *updateQueue) popHighest() *node {
 	n := heap.Pop(q).(*node)
 	n.queued = false
 	return n
--- a/internal/dependency/urgency.go
+++ b/internal/dependency/urgency.go
@@ -22,9 +22,9 @@
 	return u
 }
 
-// passedOn returns the urgency that the prerequisites of a waiting job inherit from it. Their deadline
-// is earlier than the job's own and inherited deadlines by the job's duration.
-func (n *node) passedOn() Urgency {
+// urgencyForPrerequisites returns the urgency that the prerequisites of a waiting job inherit from it.
+// Their deadline is earlier than the job's own and inherited deadlines by the job's duration.
+func (n *node) urgencyForPrerequisites() Urgency {
 	urgency := n.inherited.merge(n.job.Urgency)
 	if !urgency.Deadline.IsZero() {
 		urgency.Deadline = urgency.Deadline.Add(-n.job.Duration)
@@ -32,11 +32,11 @@
 	return urgency
 }
 
-// inheritedFromDependents returns the urgency that a job inherits from its dependents.
-func (n *node) inheritedFromDependents() (urgency Urgency) {
+// computeInherited returns the urgency that a job inherits from its dependents.
+func (n *node) computeInherited() (urgency Urgency) {
 	for dependent := range n.dependents {
 		if dependent.cancelledBy == "" {
-			urgency = urgency.merge(dependent.passedOn())
+			urgency = urgency.merge(dependent.urgencyForPrerequisites())
 		}
 	}
 	return urgency
@@ -64,9 +64,9 @@
 // higher level, so each job is recomputed at most once.
 func (g *Graph) propagate(queue *updateQueue, changes *Changes) {
 	for queue.Len() > 0 {
-		n := queue.next()
+		n := queue.popHighest()
 		g.recomputed++
-		inherited := n.inheritedFromDependents()
+		inherited := n.computeInherited()
 		if inherited == n.inherited {
 			continue
 		}
