--- a/internal/provisioning/termination.go
+++ b/internal/provisioning/termination.go
@@ -182,12 +182,13 @@
 	return ""
 }
 
-// hasRestartableReplica reports whether a machine has a replica that may start in a zone that is
-// reachable. A leader knows when the leases of an unreachable zone's machines expire only if it has
-// answered them itself. After a takeover it would have to wait long after most of the replicas have
-// ended, while the cloud's word that a machine is deleted is proof at once. If the partition is older
-// than the takeover, the first replicas end two thirds of a lease before silence counts. Nothing is
-// deleted earlier than that, since the partition may end first.
+// hasRestartableReplica reports whether a machine has a replica that may be started in a reachable zone. If
+// so, deleting a machine of an unreachable zone is better than waiting for its lease to expire. A leader
+// knows when such a lease expires only if it has itself answered the machine's reports. After a takeover it
+// would have to wait until long after most of the replicas have ended, whereas the cloud's confirmation of a
+// deletion proves at once that they have. If the partition began before the takeover, the first replicas end
+// two thirds of a lease before silence counts. Nothing is deleted earlier, because the partition may end
+// first.
 func (t *terminator) hasRestartableReplica(machine *worker.Machine, fleet *liveness.Fleet) bool {
 	for assignment := range t.Capacity.AssignmentsOn(machine.Name) {
 		if spec := &assignment.Job.Record.Spec; spec.Shape != record.Service || spec.Zone != "" || !assignment.Job.Schedulable() {
--- a/internal/provisioning/usage.go
+++ b/internal/provisioning/usage.go
@@ -93,7 +93,7 @@
 	u.wantedNow += wanted
 }
 
-// unused reports whether the class has had no tasks for a whole window.
+// unused reports whether the class has had no tasks for the whole usage window.
 func (u *classUsage) unused() bool {
 	return u.wantedNow == 0 && u.runningNow == 0 && len(u.running) == usageWindow &&
 		!slices.ContainsFunc(u.running, func(tasks int) bool { return tasks > 0 })
--- a/internal/quota/planner.go
+++ b/internal/quota/planner.go
@@ -64,7 +64,7 @@
 func (p *planner) serveRequests() *Transfer {
 	reserve := p.quota.ledger.Reserve
 	for position, request := range p.tracker.requestsFor(p.team, p.quota) {
-		// The requesting shard takes whatever the reserve covers by itself.
+		// The requesting shard itself takes what the reserve covers, so only the rest is given.
 		missing, wanted := request.Missing.Minus(reserve), request.Wanted.Minus(reserve)
 		if request.shard == p.tracker.shard {
 			if transfer := p.takeFromReserve(request, reserve); transfer != nil {
--- a/internal/quota/rebalancer.go
+++ b/internal/quota/rebalancer.go
@@ -83,7 +83,7 @@
 }
 
 // commit commits one transfer. If the commit fails, commit reads the stored ledger to learn the outcome
-// at once, because the watch may deliver the change much later.
+// at once, because the watched change may arrive much later.
 func (r *Rebalancer) commit(ctx context.Context, transfer *Transfer) {
 	txn, err := transfer.Txn(r.fence())
 	if err != nil {
