--- a/internal/dependency/random_graph_test.go
+++ b/internal/dependency/random_graph_test.go
@@ -9,7 +9,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-// model computes everything anew from the waiting jobs and what ended.
+// model computes all results from scratch from the waiting jobs and the outcomes.
 type model struct {
 	waiting  map[ids.Job]Job
 	outcomes map[ids.Job]Outcome
@@ -30,11 +30,11 @@
 		if !slices.Contains(j.DependsOn, id) || m.cancelled(other) {
 			continue
 		}
-		passedOn := j.Urgency.merge(m.inherited(other))
-		if !passedOn.Deadline.IsZero() {
-			passedOn.Deadline = passedOn.Deadline.Add(-j.Duration)
+		fromDependent := j.Urgency.merge(m.inherited(other))
+		if !fromDependent.Deadline.IsZero() {
+			fromDependent.Deadline = fromDependent.Deadline.Add(-j.Duration)
 		}
-		urgency = urgency.merge(passedOn)
+		urgency = urgency.merge(fromDependent)
 	}
 	return urgency
 }
@@ -48,70 +48,70 @@
 	return true
 }
 
-// randomRun is a graph, its model and what the graph reported, through random changes.
+// randomRun applies random changes to a graph and its model, and records the changes that the graph reports.
 type randomRun struct {
 	rng      *rand.Rand
 	graph    *Graph
 	model    *model
-	reported map[ids.Job]Urgency // inherited, as of the last change that named the job
+	reported map[ids.Job]Urgency // inherited urgency at the last change that included the job
 	toAdd    []Job
 }
 
 const (
-	independentJobs = 4  // the first jobs, which have no dependencies
-	allJobs         = 24 // numbered from zero; each depends on some with lower numbers
+	independentJobs = 4  // number of jobs without dependencies, which have the lowest numbers
+	allJobs         = 24 // number of all jobs; the others depend on jobs with lower numbers
 )
 
 func newRandomRun(seed uint64) *randomRun {
 	rng := rand.New(rand.NewPCG(seed, 7))
 	var jobs []Job
 	for n := independentJobs; n < allJobs; n++ {
-		var awaits []ids.Job
+		var dependsOn []ids.Job
 		for range 1 + rng.IntN(3) {
-			awaits = append(awaits, job(rng.IntN(n)))
+			dependsOn = append(dependsOn, jobID(rng.IntN(n)))
 		}
-		jobs = append(jobs, due(job(n), rng.IntN(4), rng.IntN(3)*(100+rng.IntN(500)), rng.IntN(20), awaits...))
+		jobs = append(jobs, newJob(jobID(n), rng.IntN(4), rng.IntN(3)*(100+rng.IntN(500)), rng.IntN(20), dependsOn...))
 	}
 	return &randomRun{
 		rng:      rng,
 		graph:    New(),
 		model:    &model{map[ids.Job]Job{}, map[ids.Job]Outcome{}},
 		reported: map[ids.Job]Urgency{},
-		toAdd:    shuffled(jobs, seed),
+		toAdd:    shuffle(jobs, seed),
 	}
 }
 
-// note takes in what the graph reports as changed.
-func (r *randomRun) note(changes Changes) {
+// recordReported records the inherited urgency of the jobs that the graph reports as changed.
+func (r *randomRun) recordReported(changes Changes) {
 	for _, id := range changes.InheritedChanged {
 		r.reported[id] = r.graph.InheritedUrgency(id)
 	}
 }
 
-// check compares the graph, and what it reported, with the model.
+// check compares the graph, and the changes that it reported, with the model.
 func (r *randomRun) check(t *testing.T, changes Changes) {
 	t.Helper()
-	r.note(changes)
+	r.recordReported(changes)
 	for n := range allJobs {
-		id := job(n)
+		id := jobID(n)
 		if r.model.outcomes[id] == Unknown {
 			if got, want := r.graph.InheritedUrgency(id), r.model.inherited(id); got != want || r.reported[id] != want {
-				t.Fatalf("%s inherits %v, was reported with %v, not %v", id, got, r.reported[id], want)
+				t.Fatalf("%s inherits %v and was last reported with %v, want %v", id, got, r.reported[id], want)
 			}
 		}
 		if _, waits := r.model.waiting[id]; !waits {
 			continue
 		}
 		if got, want := r.graph.CancelledBy(id) != "", r.model.cancelled(id); got != want {
-			t.Fatalf("%s cancelled: %v, not %v", id, got, want)
+			t.Fatalf("%s is cancelled: %v, want %v", id, got, want)
 		}
 		if got, want := r.graph.IsReady(id), r.model.ready(id) && !r.model.cancelled(id); got != want {
-			t.Fatalf("%s ready: %v, not %v", id, got, want)
+			t.Fatalf("%s is ready: %v, want %v", id, got, want)
 		}
 	}
 }
 
-// addSome adds some of the jobs that are left.
+// addSome adds some of the jobs that have not been added yet.
 func (r *randomRun) addSome(t *testing.T) {
 	t.Helper()
 	count := min(len(r.toAdd), 1+r.rng.IntN(5))
@@ -123,10 +123,11 @@
 	r.check(t, r.graph.Add(some...))
 }
 
-// endOne ends a job that does not wait, if it picks one, and reports whether it did.
-func (r *randomRun) endOne(t *testing.T) bool {
+// endRandomJob picks a random job and finishes or cancels it if it has been added, no longer waits and has
+// not ended. It reports whether it ended a job.
+func (r *randomRun) endRandomJob(t *testing.T) bool {
 	t.Helper()
-	id := job(r.rng.IntN(allJobs))
+	id := jobID(r.rng.IntN(allJobs))
 	notAdded := slices.ContainsFunc(r.toAdd, func(j Job) bool { return j.ID == id })
 	if _, waits := r.model.waiting[id]; waits || notAdded || r.model.outcomes[id] != Unknown {
 		return false
@@ -141,7 +142,7 @@
 	return true
 }
 
-// removeResolved removes the jobs that are ready or cancelled.
+// removeResolved removes the waiting jobs that are ready or cancelled.
 func (r *randomRun) removeResolved(t *testing.T) {
 	t.Helper()
 	for _, id := range slices.Sorted(maps.Keys(r.model.waiting)) {
@@ -150,7 +151,7 @@
 			delete(r.model.waiting, id)
 			r.check(t, r.graph.Remove(id))
 		case r.graph.CancelledBy(id) != "":
-			r.model.outcomes[id] = Cancelled // its final record is stored
+			r.model.outcomes[id] = Cancelled // as if its final record were stored
 			r.check(t, r.graph.Cancel(id))
 			delete(r.model.waiting, id)
 			r.check(t, r.graph.Remove(id))
@@ -158,7 +159,7 @@
 	}
 }
 
-// cancelWaiting cancels a waiting job, as its user may.
+// cancelWaiting cancels a waiting job, as its user may do.
 func (r *randomRun) cancelWaiting(t *testing.T) {
 	t.Helper()
 	waiting := slices.Sorted(maps.Keys(r.model.waiting))
@@ -168,17 +169,17 @@
 	id := waiting[0]
 	r.model.outcomes[id] = Cancelled
 	delete(r.model.waiting, id)
-	r.note(r.graph.Remove(id))
+	r.recordReported(r.graph.Remove(id))
 	r.check(t, r.graph.Cancel(id))
 }
 
-// finishIndependent finishes the jobs without dependencies, so that a run ends.
+// finishIndependent finishes the jobs without dependencies, so that a run comes to an end.
 func (r *randomRun) finishIndependent(t *testing.T) {
 	t.Helper()
 	for n := range independentJobs {
-		if r.model.outcomes[job(n)] == Unknown {
-			r.model.outcomes[job(n)] = Done
-			r.check(t, r.graph.Finish(job(n)))
+		if r.model.outcomes[jobID(n)] == Unknown {
+			r.model.outcomes[jobID(n)] = Done
+			r.check(t, r.graph.Finish(jobID(n)))
 		}
 	}
 }
@@ -190,7 +191,7 @@
 	case choice < 3 && len(r.toAdd) > 0:
 		r.addSome(t)
 	case choice == 3:
-		if !r.endOne(t) {
+		if !r.endRandomJob(t) {
 			return
 		}
 	case choice == 4:
@@ -203,9 +204,9 @@
 	}
 }
 
-func TestRandomGraphsAgreeWithAModel(t *testing.T) {
-	// Guards against any difference between the incremental changes and a computation from the
-	// whole graph, in whatever order things are learned.
+func TestRandomGraphsAgreeWithModel(t *testing.T) {
+	// Guards against differences between the incremental updates and a computation from the whole
+	// graph, in any order of additions, removals and outcomes.
 	for seed := range uint64(60) {
 		run := newRandomRun(seed)
 		for len(run.toAdd) > 0 || len(run.model.waiting) > 0 {
--- a/internal/provisioning/consolidation.go
+++ b/internal/provisioning/consolidation.go
@@ -14,35 +14,38 @@
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// consolidator empties machines whose few replicas fit on others, one machine at a time.
+// consolidator chooses machines whose few replicas fit on other machines, and tracks the one that is being
+// emptied. Only one machine is emptied at a time.
 type consolidator struct {
 	*State
-	machine ids.Machine // being emptied; empty: none
-	since   time.Time   // when that began
+	machine   ids.Machine // the machine that is being emptied; "" if there is none
+	startedAt time.Time   // start of the consolidation of machine
 }
 
-// ConsolidationCandidate is a machine that may be emptied, with what its replicas need elsewhere.
+// ConsolidationCandidate is a machine that may be emptied, with the capacity that its replicas need on
+// other machines.
 type ConsolidationCandidate struct {
 	Name  ids.Machine
 	Needs []placement.Demand
 }
 
 const (
-	// minRelocatableAge is how long a replica must have run before it is moved: a start that is soon
-	// undone is worth nothing.
+	// minRelocatableAge is the minimum time that a replica must have run before it is moved. Moving it
+	// earlier would waste its start.
 	minRelocatableAge = 40 * time.Second
-	// consolidationTime is how long emptying one machine may take before other machines are considered.
+	// consolidationTime is the time after which other machines are considered even if the current machine
+	// has not been emptied.
 	consolidationTime = time.Minute
-	// minConsolidatedAge is the age from which a machine may be emptied or returned.
+	// minConsolidatedAge is the minimum age of a machine that is emptied, or returned because it is idle.
 	minConsolidatedAge = time.Minute
-	// maxConsolidationCandidates bounds the candidates that are returned.
+	// maxConsolidationCandidates is the maximum number of candidates that are returned.
 	maxConsolidationCandidates = 6
 )
 
-// valuedCandidate is a candidate and the cores that it uses for its price.
-type valuedCandidate struct {
+// ratedCandidate is a candidate and the cores in use on it per unit of its price.
+type ratedCandidate struct {
 	ConsolidationCandidate
-	value float64
+	coresPerPrice float64
 }
 
 // isEmptying reports whether a machine is being emptied.
@@ -50,21 +53,21 @@
 
 // candidates implements Planner.ConsolidationCandidates.
 func (c *consolidator) candidates(now time.Time) []ConsolidationCandidate {
-	if c.Machines.Machines[c.machine] != nil && now.Sub(c.since) < consolidationTime {
+	if c.Machines.Machines[c.machine] != nil && now.Sub(c.startedAt) < consolidationTime {
 		return nil
 	}
 	c.machine = ""
 	if !c.Rollouts.MayConsolidate() {
 		return nil
 	}
-	var found []valuedCandidate
+	var found []ratedCandidate
 	for _, node := range c.Capacity.Nodes() {
 		if candidate, ok := c.candidateOf(node, now); ok {
 			found = append(found, candidate)
 		}
 	}
-	slices.SortFunc(found, func(x, y valuedCandidate) int {
-		return cmp.Or(cmp.Compare(x.value, y.value), cmp.Compare(x.Name, y.Name))
+	slices.SortFunc(found, func(x, y ratedCandidate) int {
+		return cmp.Or(cmp.Compare(x.coresPerPrice, y.coresPerPrice), cmp.Compare(x.Name, y.Name))
 	})
 	candidates := make([]ConsolidationCandidate, min(len(found), maxConsolidationCandidates))
 	for i := range candidates {
@@ -73,8 +76,8 @@
 	return candidates
 }
 
-// candidateOf returns a node as a candidate; ok reports whether it may be emptied.
-func (c *consolidator) candidateOf(node *capacity.Node, now time.Time) (candidate valuedCandidate, ok bool) {
+// candidateOf returns the candidate for a node. ok reports whether the node may be emptied.
+func (c *consolidator) candidateOf(node *capacity.Node, now time.Time) (candidate ratedCandidate, ok bool) {
 	machine := c.Machines.Machines[node.Name]
 	if len(node.Assignments) == 0 || machine == nil || c.Capacity.Type(machine.Type) == nil ||
 		!machine.Schedulable(now, c.reportInterval()) || now.Sub(machine.ProvisionedAt) < minConsolidatedAge || machine.DeleteWhenEmpty {
@@ -90,11 +93,12 @@
 		request.Zone = machine.Zone
 		candidate.Needs = append(candidate.Needs, placement.Demand{Request: request, Count: 1, Headroom: true})
 	}
-	candidate.value = node.Used.Cores / c.machinePrice(machine)
+	candidate.coresPerPrice = node.Used.Cores / c.machinePrice(machine)
 	return candidate, true
 }
 
-// IsSettledReplica reports whether an assignment is a replica that has run long enough to be moved.
+// IsSettledReplica reports whether an assignment is a replica of a service that has run long enough to be
+// moved and is not being stopped.
 func IsSettledReplica(assignment *workload.Assignment, now time.Time) bool {
 	return assignment.Job.Record.Spec.Shape == record.Service && !assignment.Stopping &&
 		assignment.Status == worker.StateRunning && now.Sub(assignment.RunningSince) >= minRelocatableAge
@@ -103,7 +107,7 @@
 // begin implements Planner.Consolidate.
 func (c *consolidator) begin(name ids.Machine, now time.Time) bool {
 	previous := c.machine
-	c.machine, c.since = name, now
+	c.machine, c.startedAt = name, now
 	if name != "" {
 		slog.Info("machine consolidation started", "machine", name)
 		if machine := c.Machines.Machines[name]; machine != nil {
--- a/internal/provisioning/provisioning_test.go
+++ b/internal/provisioning/provisioning_test.go
@@ -17,13 +17,13 @@
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// fakeScheduler ranks jobs by submission and limits no quota.
+// fakeScheduler ranks jobs by their time of submission and has no quotas.
 type fakeScheduler struct{ jobs *workload.Queue }
 
 func (s fakeScheduler) Ranked(time.Time) []*workload.Job       { return s.jobs.Ordered() }
 func (s fakeScheduler) QuotaLeft(_ *record.Spec, want int) int { return want }
 
-// noRollouts has no rollout.
+// noRollouts implements Rollouts without any rollout.
 type noRollouts struct{}
 
 func (noRollouts) Keeps(ids.Machine) bool                     { return false }
@@ -31,7 +31,7 @@
 func (noRollouts) MayConsolidate() bool                       { return true }
 func (noRollouts) SurgeDemands() []placement.Demand           { return nil }
 
-// testPlanner returns a planner of an empty fleet with one machine type, which boots in 30 seconds.
+// testPlanner returns the planner of an empty fleet. Its only machine type boots in 30 seconds.
 func testPlanner() *Planner {
 	settings := &config.Settings{Operator: config.DefaultOperator()}
 	settings.Params.Workers = config.WorkerIntervals{ReportS: 2, LeaseS: 20}
@@ -46,7 +46,7 @@
 		StoreAvailable: func() bool { return true }, TrustSilence: func() time.Time { return time.Time{} }})
 }
 
-// addMachine adds a machine that was provisioned some time ago; one that is booting has not reported.
+// addMachine adds a machine of the given age. A machine that is booting has not reported.
 func addMachine(planner *Planner, name ids.Machine, now time.Time, age time.Duration, booting bool) *worker.Machine {
 	machine := planner.Machines.Ensure(name, now.Add(-age), now.Add(-age))
 	machine.Type, machine.Booting, machine.HasReported = "small", booting, !booting
@@ -55,7 +55,7 @@
 	return machine
 }
 
-// addJob adds a job whose tasks need a core and ten seconds each.
+// addJob adds a job whose tasks each need one core and are estimated to take ten seconds.
 func addJob(planner *Planner, id ids.Job, class string, shape record.Shape, priority record.Priority, tasks int, now time.Time) *workload.Job {
 	spec := record.Spec{ID: id, Class: class, Team: "red", Shape: shape, Priority: priority, Tasks: tasks, EstimatedDuration: 10,
 		Resources: placement.Resources{Cores: 1, RAM: 1}, Image: "image", ImageGB: 1}
@@ -64,8 +64,8 @@
 	return job
 }
 
-// run assigns tasks of a job to a machine and lets them run since a time.
-func run(planner *Planner, job *workload.Job, tasks int, machine ids.Machine, since time.Time) {
+// runTasks assigns tasks of a job to a machine, as running since the given time.
+func runTasks(planner *Planner, job *workload.Job, tasks int, machine ids.Machine, since time.Time) {
 	for range tasks {
 		assignment := &workload.Assignment{Job: job, TaskIndex: len(job.Assignments), Machine: machine, Status: worker.StateRunning, RunningSince: since}
 		job.Assignments[assignment.TaskIndex] = assignment
@@ -80,10 +80,10 @@
 		booting bool
 		want    Lateness
 	}{
-		{time.Minute, true, NotLate}, // twice its boot time
+		{time.Minute, true, NotLate}, // twice the boot time of its type
 		{61 * time.Second, true, Late},
 		{4 * time.Minute, true, Late},
-		{241 * time.Second, true, Hopeless},
+		{241 * time.Second, true, BootTimedOut},
 		{time.Hour, false, NotLate},
 	} {
 		planner := testPlanner()
@@ -101,22 +101,22 @@
 	}
 	addMachine(planner, "booting", now, 10*time.Second, true)
 	if replaced := planner.boots.replaced(now); len(replaced) != 1 || !replaced["late0"] {
-		t.Errorf("replaced %v, want the oldest", replaced)
+		t.Errorf("replaced machines %v, want only the oldest", replaced)
 	}
-	if got := planner.boots.countComing(now)["small"]; got != 3 {
-		t.Errorf("%d machines are expected, want 3", got)
+	if got := planner.boots.countExpected(now)["small"]; got != 3 {
+		t.Errorf("%d booting machines count as expected, want 3", got)
 	}
 	up := addMachine(planner, "up", now, 80*time.Second, false)
 	planner.Estimates.RecordBoot(up, now.Add(-50*time.Second))
 	if replaced := planner.boots.replaced(now); len(replaced) != 3 {
-		t.Errorf("replaced %v, want all that are late", replaced)
+		t.Errorf("replaced machines %v, want all late ones", replaced)
 	}
 }
 
 func TestUsageSamplesGiveTheExpectedConcurrency(t *testing.T) {
 	for _, c := range []struct {
-		samples             []int
-		watermark, expected int
+		samples                []int
+		percentile90, expected int
 	}{
 		{nil, 0, 0},
 		{[]int{0, 0, 0}, 0, 0},
@@ -125,8 +125,8 @@
 		{[]int{0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 10}, 0, 2},
 	} {
 		usage := &classUsage{wanted: c.samples, running: c.samples}
-		if watermark, expected := usage.highWatermark(), usage.expectedConcurrency(); watermark != c.watermark || expected != c.expected {
-			t.Errorf("%v: high watermark %d, expected %d; want %d, %d", c.samples, watermark, expected, c.watermark, c.expected)
+		if percentile90, expected := usage.wantedPercentile90(), usage.expectedConcurrency(); percentile90 != c.percentile90 || expected != c.expected {
+			t.Errorf("samples %v: 90th percentile %d, expected concurrency %d; want %d, %d", c.samples, percentile90, expected, c.percentile90, c.expected)
 		}
 	}
 }
@@ -134,13 +134,13 @@
 func TestHeadroomIsKeptForClassesThatStartBeforeMachinesBoot(t *testing.T) {
 	now := time.Now()
 	for _, c := range []struct {
-		name     string
-		class    string
-		shape    record.Shape
-		priority record.Priority
-		samples  int
-		want     int
-		noOut    bool
+		name       string
+		class      string
+		shape      record.Shape
+		priority   record.Priority
+		samples    int
+		want       int
+		noScaleOut bool
 	}{
 		{"critical work", "other", record.Service, record.Critical, 1, 1, false},
 		{"a class without an objective", "other", record.Gang, record.Normal, 1, 0, false},
@@ -149,17 +149,17 @@
 	} {
 		planner := testPlanner()
 		addMachine(planner, "m", now, time.Hour, false)
-		run(planner, addJob(planner, "job", c.class, c.shape, c.priority, 4, now), 4, "m", now)
+		runTasks(planner, addJob(planner, "job", c.class, c.shape, c.priority, 4, now), 4, "m", now)
 		for i := range c.samples {
 			planner.SampleUsage(now.Add(time.Duration(i) * sampleInterval))
 		}
 		demands := planner.headroom.demands()
-		count, noOut := 0, false
+		count, noScaleOut := 0, false
 		for _, demand := range demands {
-			count, noOut = count+demand.Count, demand.NoScaleOut
+			count, noScaleOut = count+demand.Count, demand.NoScaleOut
 		}
-		if count != c.want || noOut != c.noOut {
-			t.Errorf("%s: room for %d tasks, no scale-out %v; want %d, %v", c.name, count, noOut, c.want, c.noOut)
+		if count != c.want || noScaleOut != c.noScaleOut {
+			t.Errorf("%s: headroom for %d tasks, NoScaleOut %v; want %d, %v", c.name, count, noScaleOut, c.want, c.noScaleOut)
 		}
 	}
 }
@@ -169,24 +169,24 @@
 	planner := testPlanner()
 	job := addJob(planner, "job", "batch", record.Array, record.Normal, 2, now)
 	if !planner.SampleUsage(now) || planner.SampleUsage(now.Add(sampleInterval/2)) {
-		t.Error("usage is not sampled once a second")
+		t.Error("usage is not sampled exactly once in a sample interval")
 	}
 	planner.Jobs.Remove(job)
 	for i := range usageWindow {
 		if _, known := planner.usage.classes["batch"]; !known {
-			t.Fatalf("the class is forgotten after %d samples", i)
+			t.Fatalf("the class was removed after only %d samples without tasks", i)
 		}
 		planner.SampleUsage(now.Add(time.Duration(i+1) * sampleInterval))
 	}
 	if len(planner.usage.classes) != 0 {
-		t.Error("a class without tasks is remembered for more than a window")
+		t.Error("a class without tasks is kept for more than the usage window")
 	}
 }
 
 func TestDemandsOfSimilarJobsAreRoundedTogether(t *testing.T) {
 	now := time.Now()
 	planner := testPlanner()
-	for i := range 4 { // each calls for a sixth of a slot: ten seconds of a horizon of sixty
+	for i := range 4 { // each needs a sixth of a slot: ten seconds of a horizon of sixty
 		addJob(planner, ids.Job(fmt.Sprintf("small%d", i)), "other", record.Array, record.Normal, 1, now)
 	}
 	addJob(planner, "service", "web", record.Service, record.High, 3, now)
@@ -196,7 +196,7 @@
 		counts[demand.Preempt] += demand.Count
 	}
 	if counts[false] != 1 || counts[true] != 3 {
-		t.Errorf("%d slots for the small jobs and %d for the service, want 1 and 3", counts[false], counts[true])
+		t.Errorf("demand of %d slots for the small jobs and %d for the service, want 1 and 3", counts[false], counts[true])
 	}
 }
 
@@ -206,22 +206,22 @@
 	settled := now.Add(-time.Hour)
 	for name, replicas := range map[ids.Machine]int{"two": 2, "one": 1, "empty": 0, "mixed": 1, "young": 1} {
 		machine := addMachine(planner, name, now, time.Hour, false)
-		run(planner, addJob(planner, ids.Job(name), "web", record.Service, record.Normal, 4, now), replicas, name, settled)
+		runTasks(planner, addJob(planner, ids.Job(name), "web", record.Service, record.Normal, 4, now), replicas, name, settled)
 		if name == "young" {
 			machine.ProvisionedAt = now.Add(-minConsolidatedAge / 2)
 		}
 	}
-	run(planner, addJob(planner, "array", "batch", record.Array, record.Normal, 1, now), 1, "mixed", settled)
+	runTasks(planner, addJob(planner, "array", "batch", record.Array, record.Normal, 1, now), 1, "mixed", settled)
 	candidates := planner.ConsolidationCandidates(now)
 	if len(candidates) != 2 || candidates[0].Name != "one" || candidates[1].Name != "two" || len(candidates[1].Needs) != 2 {
-		t.Errorf("candidates %+v", candidates)
+		t.Errorf("candidates %+v, want one and two, in this order", candidates)
 	}
 	planner.Consolidate("one", now)
 	if got := planner.ConsolidationCandidates(now); got != nil {
-		t.Errorf("candidates %v while a machine is being emptied", got)
+		t.Errorf("candidates %v while a machine is being emptied, want none", got)
 	}
 	if !planner.Consolidate("", now) || planner.Consolidate("", now) {
-		t.Error("giving up does not report whether a machine was being emptied")
+		t.Error("ending a consolidation does not report whether a machine was being emptied")
 	}
 }
 
@@ -237,11 +237,11 @@
 		{name: "idle", change: func(*Planner, *worker.Machine) {}, want: "idle"},
 		{name: "recently idle", change: func(_ *Planner, m *worker.Machine) { m.IdleSince = now }},
 		{name: "in use", change: func(p *Planner, m *worker.Machine) {
-			run(p, addJob(p, "job", "batch", record.Array, record.Normal, 1, now), 1, m.Name, now)
+			runTasks(p, addJob(p, "job", "batch", record.Array, record.Normal, 1, now), 1, m.Name, now)
 		}},
 		{name: "failed", change: func(_ *Planner, m *worker.Machine) { m.Failed = true }, needed: true, want: "it stopped by itself"},
 		{name: "drained", change: func(_ *Planner, m *worker.Machine) { m.DrainReason = "for repair" }, needed: true, want: "for repair"},
-		{name: "idle during other shards' shortage", change: func(p *Planner, m *worker.Machine) { p.shortage.ofOthers, m.IdleSince = true, now }, want: releasedForOtherShard},
+		{name: "idle during other shards' shortage", change: func(p *Planner, m *worker.Machine) { p.shortage.othersHaveShortage, m.IdleSince = true, now }, want: releasedForOtherShard},
 		{name: "silent", change: func(_ *Planner, m *worker.Machine) {
 			m.LastReportAt, m.SuspectSince, m.UnansweredProbes = now.Add(-20*time.Second), now.Add(-15*time.Second), 3
 		}, needed: true, want: "silent"},
@@ -257,14 +257,14 @@
 		planner := testPlanner()
 		needed := map[ids.Machine]bool{"m": c.needed}
 		machine := addMachine(planner, "m", now, time.Hour, false)
-		for i := range 4 { // others that report
+		for i := range 4 { // other machines, which report
 			other := addMachine(planner, ids.Machine(fmt.Sprintf("other%d", i)), now, time.Hour, false)
 			needed[other.Name] = true
 		}
 		c.change(planner, machine)
 		names := planner.MachinesToTerminate(now, needed)
 		if machine.DeleteReason != c.want || (len(names) == 1) != (c.want != "") {
-			t.Errorf("%s: terminated %v because %q, want %q", c.name, names, machine.DeleteReason, c.want)
+			t.Errorf("%s: terminated machines %v with reason %q, want reason %q", c.name, names, machine.DeleteReason, c.want)
 		}
 	}
 }
--- a/internal/quota/leaders_test.go
+++ b/internal/quota/leaders_test.go
@@ -17,33 +17,35 @@
 	"github.com/pebbletrail/pebbletrail/internal/quota"
 )
 
-// isCommit tells whether a request of the network is a transaction.
+// isCommit reports whether an HTTP request commits a transaction.
 func isCommit(r *http.Request) bool { return strings.HasSuffix(r.URL.Path, "/commit") }
 
 func TestNoTeamExceedsItsLimitDuringFailures(t *testing.T) {
-	// Five controllers lead three shards and are flooded with tasks at the same instants,
-	// while answers are lost, transactions are applied late, leaders pause for longer
-	// than their lease, are partitioned from the state service, or die, and all of them at once.
+	// Guards against a team exceeding its limit while several leaders grant concurrently. Five
+	// controllers lead three shards, and tasks are submitted to all shards at the same instants.
+	// Meanwhile responses are lost, transactions are applied late, leaders pause for longer than
+	// their lease, are partitioned from the state service or crash, the state service is down, and
+	// finally all controllers are killed at once.
 	for seed := range uint64(4) {
 		simulate(t, func(s *simulation) {
 			rng := rand.New(rand.NewPCG(seed, 2))
 			var mu sync.Mutex
-			chance := func(n int) bool {
+			oneIn := func(n int) bool {
 				mu.Lock()
 				defer mu.Unlock()
 				return rng.IntN(n) == 0
 			}
-			cut := ""
+			partitioned := ""
 			s.network.SetRule(func(from, _ string, r *http.Request, _ []byte) fake.Outcome {
 				mu.Lock()
-				isCut := from == cut
+				isPartitioned := from == partitioned
 				mu.Unlock()
 				switch {
-				case isCut:
+				case isPartitioned:
 					return fake.Drop
-				case isCommit(r) && chance(25):
+				case isCommit(r) && oneIn(25):
 					return fake.DropResponse
-				case isCommit(r) && chance(40):
+				case isCommit(r) && oneIn(40):
 					return fake.Delay
 				}
 				return fake.Deliver
@@ -69,11 +71,11 @@
 						s.pause(name, 2*leaseTime+time.Duration(faults.IntN(3000))*time.Millisecond)
 					case 3:
 						mu.Lock()
-						cut = name
+						partitioned = name
 						mu.Unlock()
 						time.Sleep(3 * time.Second)
 						mu.Lock()
-						cut = ""
+						partitioned = ""
 						mu.Unlock()
 					case 4:
 						s.store.SetDown(true)
@@ -96,15 +98,17 @@
 				t.Errorf("seed %d: %s", seed, breach)
 			}
 			if violation, checks := checker.result(); violation != "" || checks == 0 {
-				t.Errorf("seed %d: %d states checked: %s", seed, checks, violation)
+				t.Errorf("seed %d: %d checks of stored ledgers, violation %q", seed, checks, violation)
 			}
 		})
 	}
 }
 
-func TestLimitChangesAreHonouredWhileInUse(t *testing.T) {
-	// All controllers are lost and come back with other settings: after a limit was lowered
-	// nothing starts until less is in use; after one was raised, or first set, all is used.
+func TestLimitChangesTakeEffectWhileInUse(t *testing.T) {
+	// Guards against grants above a new limit, and against a raised limit that is never used. All
+	// controllers are killed and restarted with a changed limit. After the limit was lowered, no
+	// task starts until usage is below it; after it was raised, or set for the first time, all of
+	// it is used.
 	nodes := []string{"a", "b", "c"}
 	for name, limit := range map[string]placement.Resources{
 		"lowered":     {Cores: 4, Accels: 2, RAM: 1e9},
@@ -138,8 +142,9 @@
 }
 
 func TestAllowanceMovesQuicklyWithFewWrites(t *testing.T) {
-	// Without failures: what is idle at one shard is at another one within a second or two,
-	// and a grant costs less than one change of the state service beside its marker.
+	// Guards against slow transfers and excessive writes, without failures. Idle allowance of one
+	// shard is available to another within 2 seconds, and a grant costs at most one change of the
+	// ledgers or requests in the state service, besides the task's own record.
 	simulate(t, func(s *simulation) {
 		var changes atomic.Int64
 		s.network.SetRule(func(_, _ string, r *http.Request, body []byte) fake.Outcome {
@@ -154,29 +159,30 @@
 		time.Sleep(3 * time.Second)
 		const moves = 12
 		for i := range moves {
-			// All of the limit, first here, then there.
+			// Each task needs the whole limit of the team, at one shard after the other.
 			s.submit(quota.Shard(i%shardCount), task{ID: fmt.Sprint("move-", i), Team: "red", Need: placement.Resources{Cores: 8}, duration: 100 * time.Millisecond})
 			s.awaitAll(i+1, 10*time.Second)
 		}
 		slowest := slices.Max(s.workers.grantDelays)
 		if slowest > 2*time.Second {
-			t.Errorf("a demand was granted after %v", slowest)
+			t.Errorf("the slowest demand was granted after %v, want at most 2s", slowest)
 		}
-		moved := changes.Load()
+		changesForMoves := changes.Load()
 		s.submitMany(rand.New(rand.NewPCG(7, 4)), 40)
 		s.awaitAll(moves+40*shardCount*len(s.limits), 3*time.Minute)
 		grants := s.workers.started - moves
-		if perGrant := float64(changes.Load()-moved) / float64(grants); perGrant > 1 {
-			t.Errorf("%.2f changes a grant", perGrant)
+		if perGrant := float64(changes.Load()-changesForMoves) / float64(grants); perGrant > 1 {
+			t.Errorf("%.2f changes of ledgers and requests per grant, want at most 1", perGrant)
 		}
 		slices.Sort(s.workers.grantDelays)
-		t.Logf("whole limits moved: %d changes for %d grants, at most %v from demand to grant", moved, moves, slowest)
-		t.Logf("flood: %d changes for %d grants, half within %v", changes.Load()-moved, grants, s.workers.grantDelays[len(s.workers.grantDelays)/2])
+		t.Logf("transfers of whole limits: %d changes for %d grants, at most %v from demand to grant", changesForMoves, moves, slowest)
+		t.Logf("many tasks: %d changes for %d grants, median %v from demand to grant", changes.Load()-changesForMoves, grants, s.workers.grantDelays[len(s.workers.grantDelays)/2])
 	})
 }
 
-func TestGrantsWithoutTheLedgerAreDetected(t *testing.T) {
-	// The planted fault that the check above has to notice.
+func TestGrantsWithoutLedgerBreachLimits(t *testing.T) {
+	// Leaders that grant by the whole limit, without the ledger, break a limit. This shows that the
+	// check of the limits at each start detects such a fault.
 	simulate(t, func(s *simulation) {
 		s.withoutLedger = true
 		for _, name := range []string{"a", "b", "c", "d", "e"} {
@@ -184,7 +190,7 @@
 		}
 		s.submitMany(rand.New(rand.NewPCG(1, 4)), 10)
 		if breach, _ := s.workers.result(); breach == "" {
-			t.Error("grants without the ledger broke no limit")
+			t.Error("no breach of a limit was recorded although leaders granted without the ledger")
 		}
 	})
 }
--- a/internal/quota/ledger_test.go
+++ b/internal/quota/ledger_test.go
@@ -13,7 +13,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/state"
 )
 
-// randomAmount is up to most whole units of each resource.
+// randomAmount returns a random whole quantity of each resource, at most most.
 func randomAmount(rng *rand.Rand, most int64) (amount Amount) {
 	for r := range amount {
 		amount[r] = rng.Int64N(most+1) * unitsPerWhole
@@ -23,8 +23,9 @@
 
 func TestAllowancesNeverExceedTheLimit(t *testing.T) {
 	t.Parallel()
-	// A model of four shards, whose leaders grant within their allowances, under any order
-	// of transitions and limits that rise, fall, come and go.
+	// Guards against transitions that break the invariants of a ledger. The leaders of four modelled
+	// shards grant within their allowances, while random transitions are applied and limits are
+	// raised, lowered, added and removed.
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		const shards = 4
@@ -53,7 +54,7 @@
 			case 4:
 				used[shard] = used[shard].Minus(amount)
 			case 5:
-				if grant := amount.Min(idle); ledger.Open() && ledger.Overcommitted.IsZero() {
+				if grant := amount.Min(idle); ledger.AllRegistered() && ledger.Overcommitted.IsZero() {
 					used[shard] = used[shard].Plus(grant)
 				}
 			case 6:
@@ -71,18 +72,18 @@
 			if err := ledger.Check(shards); err != nil {
 				t.Fatalf("seed %d, step %d: %v", seed, step, err)
 			}
-			if !ledger.Open() {
+			if !ledger.AllRegistered() {
 				continue
 			}
 			sum := Amount{}
 			for i, account := range ledger.Accounts {
 				if !account.Allowance.Covers(ledger.Limit.limited(used[i])) {
-					t.Fatalf("seed %d, step %d: shard %d uses %v of %v", seed, step, i, used[i], account.Allowance)
+					t.Fatalf("seed %d, step %d: shard %d uses %v, more than its allowance of %v", seed, step, i, used[i], account.Allowance)
 				}
 				sum = sum.Plus(ledger.Limit.limited(used[i]))
 			}
 			if !ledger.Limit.limited(Amount(ledger.Limit)).Plus(ledger.Overcommitted).Covers(sum) {
-				t.Fatalf("seed %d, step %d: %v in use, limit %v, overcommitment %v", seed, step, sum, ledger.Limit, ledger.Overcommitted)
+				t.Fatalf("seed %d, step %d: usage %v exceeds limit %v and overcommitment %v", seed, step, sum, ledger.Limit, ledger.Overcommitted)
 			}
 		}
 	}
@@ -92,10 +93,10 @@
 	t.Parallel()
 	ledger := NewLedger(LimitOf(8, 0), 100, 2)
 	if _, err := ledger.SetLimit(LimitOf(12, 0), 99); !errors.Is(err, errNotAllowed) {
-		t.Errorf("a process that started earlier changed the limit: %v", err)
+		t.Errorf("SetLimit of a process that started earlier: error %v, want errNotAllowed", err)
 	}
 	if next, err := ledger.SetLimit(LimitOf(12, 0), 101); err != nil || next.Reserve[Cores] != 12*unitsPerWhole {
-		t.Errorf("%+v, %v", next, err)
+		t.Errorf("SetLimit of a process that started later: ledger %+v, error %v; want a reserve of 12 cores", next, err)
 	}
 }
 
@@ -123,26 +124,26 @@
 				{Key: LedgerKey("red"), Value: json.RawMessage(c.stored), Revision: 5},
 				{Key: LedgerKey("blue"), Value: encode(t, open), Revision: 6},
 			})
-			if left := tracker.Available("red"); left.Cores > 0 {
-				t.Errorf("%v may still be granted to red", left)
+			if available := tracker.Available("red"); available.Cores > 0 {
+				t.Errorf("%v available to red, whose ledger can't be used", available)
 			}
-			if left := tracker.Available("blue"); left.Cores != 2 {
-				t.Errorf("blue may have %v, not the 2 of its allowance", left)
+			if available := tracker.Available("blue"); available.Cores != 2 {
+				t.Errorf("%v available to blue, want the 2 cores of its allowance", available)
 			}
 			if faults := strings.Join(tracker.Faults(), "; "); !strings.Contains(faults, c.fault) || strings.Contains(faults, "blue") {
-				t.Errorf("faults %q, not of red alone with %q", faults, c.fault)
+				t.Errorf("faults %q, want only one of red that contains %q", faults, c.fault)
 			}
 			for _, transfer := range tracker.dueTransfers() {
 				if transfer.Team == "red" {
-					t.Errorf("the ledger is repaired: %s", transfer.Reason)
+					t.Errorf("a transfer replaces the unusable ledger of red: %s", transfer.Reason)
 				}
 			}
 		})
 	}
 }
 
-// openTracker tracks shard 0 of two for team red, whose limit of eight cores is split into
-// allowances of so many cores for this shard and the other one.
+// openTracker returns the tracker of shard 0 of two. Team red has a limit of eight cores and, in this
+// shard and in the other one, allowances of own and other cores.
 func openTracker(t *testing.T, own, other int64) *Tracker {
 	t.Helper()
 	tracker := NewTracker(0, 2, map[string]Limit{"red": LimitOf(8, 0)}, 1)
@@ -153,20 +154,20 @@
 	return tracker
 }
 
-// learnRequest has another shard request allowance of team red.
-func learnRequest(t *testing.T, tracker *Tracker, shard Shard, revision ids.Revision, request Request) {
+// applyRequest applies a stored request of another shard for allowance of team red.
+func applyRequest(t *testing.T, tracker *Tracker, shard Shard, revision ids.Revision, request Request) {
 	t.Helper()
-	raw := encode(t, Requests{Version: formVersion, Teams: map[string]Request{"red": request}})
+	raw := encode(t, Requests{Version: formatVersion, Teams: map[string]Request{"red": request}})
 	tracker.Apply(state.Change{Put: RequestsKey(shard), Value: raw, Revision: revision})
 }
 
-// learnLedger has the stored ledger of team red change.
-func learnLedger(t *testing.T, tracker *Tracker, revision ids.Revision, ledger *Ledger) {
+// applyLedgerChange applies a change of the stored ledger of team red.
+func applyLedgerChange(t *testing.T, tracker *Tracker, revision ids.Revision, ledger *Ledger) {
 	t.Helper()
 	tracker.Apply(state.Change{Put: LedgerKey("red"), Value: encode(t, ledger), Revision: revision})
 }
 
-// loadLedger has a tracker load the ledger of team red alone.
+// loadLedger loads a ledger of team red, as the only entry, into a tracker.
 func loadLedger(t *testing.T, tracker *Tracker, revision ids.Revision, ledger *Ledger) {
 	t.Helper()
 	tracker.Load([]state.Entry{{Key: LedgerKey("red"), Value: encode(t, ledger), Revision: revision}})
@@ -187,29 +188,29 @@
 	t.Parallel()
 	tracker := openTracker(t, 6, 2)
 	tracker.AddUsage("red", placement.Resources{Cores: 3})
-	learnRequest(t, tracker, 1, 6, Request{Missing: cores(1), Wanted: cores(2)})
+	applyRequest(t, tracker, 1, 6, Request{Missing: cores(1), Wanted: cores(2)})
 	transfers := tracker.dueTransfers()
 	if len(transfers) != 1 || transfers[0].withheld != cores(2) {
-		t.Fatalf("%+v", transfers)
+		t.Fatalf("transfers %+v, want one that withholds 2 cores", transfers)
 	}
-	left := func() float64 { return tracker.Available("red").Cores }
-	if left() != 1 {
-		t.Fatalf("%v left while two of three idle cores are offered", left())
+	available := func() float64 { return tracker.Available("red").Cores }
+	if available() != 1 {
+		t.Fatalf("%v cores available while two of three idle cores are withheld", available())
 	}
 	tracker.recordOutcome(transfers[0], 0, state.ErrOutcomeUnknown)
-	if again := tracker.dueTransfers(); left() != 1 || len(again) != 1 || again[0] != transfers[0] {
-		t.Fatalf("without an answer: %v left, %+v sent again", left(), again)
+	if again := tracker.dueTransfers(); available() != 1 || len(again) != 1 || again[0] != transfers[0] {
+		t.Fatalf("after an unknown outcome: %v cores available, transfers %+v; want 1 core and the same transfer", available(), again)
 	}
-	// Refused the second time: the first may still apply.
+	// The second attempt is refused, but the first may still be applied.
 	tracker.recordOutcome(transfers[0], 0, state.ErrRefused)
 	tracker.recordOutcome(transfers[0], 0, &state.ConflictError{})
-	if left() != 1 {
-		t.Fatalf("%v left although the first sending may have been applied", left())
+	if available() != 1 {
+		t.Fatalf("%v cores available although the first attempt may have been applied", available())
 	}
-	// Another change of the ledger: now it can't apply any more.
-	learnLedger(t, tracker, 9, tracker.teams["red"].ledger)
-	if left() != 3 {
-		t.Fatalf("%v left after a later revision that does not hold the transfer", left())
+	// After another change of the ledger the transfer can no longer be applied.
+	applyLedgerChange(t, tracker, 9, tracker.teams["red"].ledger)
+	if available() != 3 {
+		t.Fatalf("%v cores available after a later revision without the transfer, want 3", available())
 	}
 }
 
@@ -244,13 +245,13 @@
 		t.Run(c.name, func(t *testing.T) {
 			tracker := openTracker(t, 6, 2)
 			tracker.SetDemands(map[string]Demand{"red": c.own})
-			learnRequest(t, tracker, 1, 6, c.request)
+			applyRequest(t, tracker, 1, 6, c.request)
 			given := Amount{}
 			for _, transfer := range tracker.dueTransfers() {
 				given = given.Plus(transfer.withheld)
 			}
 			if given != cores(c.given) {
-				t.Errorf("given %v, not %d cores", given, c.given)
+				t.Errorf("transfers give %v, want %d cores", given, c.given)
 			}
 		})
 	}
@@ -262,10 +263,10 @@
 	earlier, later := ids.TimestampOf(now.Add(-time.Minute)), ids.TimestampOf(now)
 	tracker := openTracker(t, 6, 2)
 	tracker.SetDemands(map[string]Demand{"red": {cores(1), cores(4), Rank{Since: earlier}}})
-	learnRequest(t, tracker, 1, 6, Request{Missing: cores(1), Wanted: cores(9), Rank: Rank{Since: later}})
+	applyRequest(t, tracker, 1, 6, Request{Missing: cores(1), Wanted: cores(9), Rank: Rank{Since: later}})
 	tracker.now = func() time.Time { return now.Add(retentionPeriod + time.Second) }
 	if transfers := tracker.dueTransfers(); len(transfers) != 1 || transfers[0].withheld != cores(6) {
-		t.Errorf("allowance that is not used is retained: %+v", transfers)
+		t.Errorf("transfers %+v, want one of all 6 idle cores: allowance that is not used must not be retained", transfers)
 	}
 }
 
@@ -273,56 +274,56 @@
 	t.Parallel()
 	tracker := openTracker(t, 6, 2)
 	tracker.AddUsage("red", placement.Resources{Cores: 5})
-	learnRequest(t, tracker, 1, 6, Request{Missing: cores(3), Wanted: cores(3), Rank: Rank{Guaranteed: true}})
-	if amount, _, owed := tracker.ReclaimNeeded("red"); !owed || amount != cores(2) {
-		t.Errorf("owed %v of what is in use, beside the idle core", amount)
+	applyRequest(t, tracker, 1, 6, Request{Missing: cores(3), Wanted: cores(3), Rank: Rank{Guaranteed: true}})
+	if amount, _, needed := tracker.ReclaimNeeded("red"); !needed || amount != cores(2) {
+		t.Errorf("%v to be reclaimed from usage, want 2 cores besides the idle one", amount)
 	}
 	if why := tracker.Explain("red"); !strings.Contains(why, "held by shard 1, not asked back yet") {
-		t.Errorf("explained as %q", why)
+		t.Errorf("explanation %q does not name the shard that holds the allowance", why)
 	}
 }
 
 func TestNothingIsGrantedWhileUsageMayExceedTheLimit(t *testing.T) {
 	t.Parallel()
-	learn := func(ledger Ledger) *Tracker {
+	newTestTracker := func(ledger Ledger) *Tracker {
 		t.Helper()
 		tracker := NewTracker(0, 2, map[string]Limit{"red": LimitOf(8, 0)}, 1)
 		tracker.AddUsage("red", placement.Resources{Cores: 1})
-		if learnLedger(t, tracker, 5, &ledger); tracker.Available("red").Cores > 0 {
-			t.Error("granted before all that is stored was read")
+		if applyLedgerChange(t, tracker, 5, &ledger); tracker.Available("red").Cores > 0 {
+			t.Error("resources are available before the stored ledgers were loaded")
 		}
 		tracker.Load(nil)
 		return tracker
 	}
-	whole := NewLedger(LimitOf(8, 0), 1, 2)
-	half := whole.Register(0, cores(3))
-	if tracker := learn(half); tracker.Available("red").Cores > 0 || !strings.Contains(tracker.Explain("red"), "not all shards") {
-		t.Errorf("%v may be granted before shard 1 has told what it uses", tracker.Available("red"))
+	unregistered := NewLedger(LimitOf(8, 0), 1, 2)
+	oneRegistered := unregistered.Register(0, cores(3))
+	if tracker := newTestTracker(oneRegistered); tracker.Available("red").Cores > 0 || !strings.Contains(tracker.Explain("red"), "not all shards") {
+		t.Errorf("%v available before shard 1 has registered its usage, or the explanation is wrong", tracker.Available("red"))
 	}
-	both := half.Register(1, cores(4))
-	if tracker := learn(both); tracker.Available("red").Cores != 2 {
-		t.Errorf("%v may be granted of an allowance of 3 with 1 in use", tracker.Available("red"))
+	allRegistered := oneRegistered.Register(1, cores(4))
+	if tracker := newTestTracker(allRegistered); tracker.Available("red").Cores != 2 {
+		t.Errorf("%v available of an allowance of 3 cores with 1 in use, want 2 cores", tracker.Available("red"))
 	}
-	newer := NewTracker(0, 2, map[string]Limit{"red": LimitOf(5, 0)}, 2)
-	loadLedger(t, newer, 5, &both)
-	if newer.Available("red").Cores > 0 {
-		t.Errorf("%v may be granted by a limit that newer settings have lowered", newer.Available("red"))
+	newerTracker := NewTracker(0, 2, map[string]Limit{"red": LimitOf(5, 0)}, 2)
+	loadLedger(t, newerTracker, 5, &allRegistered)
+	if newerTracker.Available("red").Cores > 0 {
+		t.Errorf("%v available under a limit that newer settings have lowered", newerTracker.Available("red"))
 	}
-	lowered, err := both.SetLimit(LimitOf(5, 0), 2)
+	lowered, err := allRegistered.SetLimit(LimitOf(5, 0), 2)
 	if err != nil {
 		t.Fatal(err)
 	}
-	tracker := learn(lowered)
+	tracker := newTestTracker(lowered)
 	if tracker.Available("red").Cores > 0 || !strings.Contains(tracker.Explain("red"), "was lowered") || len(tracker.Faults()) > 0 {
-		t.Errorf("after the limit was lowered %v may be granted: %s; alarms %v", tracker.Available("red"), tracker.Explain("red"), tracker.Faults())
+		t.Errorf("after the limit was lowered: %v available, explanation %q, faults %v", tracker.Available("red"), tracker.Explain("red"), tracker.Faults())
 	}
-	// What is idle makes up for it first.
+	// Idle allowance reduces the overcommitment first.
 	transfers := tracker.dueTransfers()
 	if len(transfers) != 1 || transfers[0].Reason != "returned" || transfers[0].withheld != cores(2) {
-		t.Fatalf("%+v", transfers)
+		t.Fatalf("transfers %+v, want one that returns 2 cores", transfers)
 	}
 	if tracker.recordOutcome(transfers[0], 6, nil); tracker.Available("red").Cores != 0 || tracker.teams["red"].ledger.Overcommitted != cores(0) {
-		t.Errorf("%v may be granted of an allowance of 1 with 1 in use", tracker.Available("red"))
+		t.Errorf("%v available of an allowance of 1 core with 1 in use, or the overcommitment is not zero", tracker.Available("red"))
 	}
 }
 
@@ -331,13 +332,13 @@
 	tracker := NewTracker(0, 1, map[string]Limit{"red": LimitOf(8, 0)}, 1)
 	tracker.AddUsage("red", placement.Resources{Cores: 2.5, Accels: 3})
 	tracker.SetDemands(map[string]Demand{"red": {cores(1), cores(9), Rank{}}})
-	if left := tracker.Available("red"); left.Cores != 5.5 || left.Accels < 1e9 || tracker.Available("unknown").Cores > 0 {
-		t.Errorf("%v left of eight cores", left)
+	if available := tracker.Available("red"); available.Cores != 5.5 || available.Accels < 1e9 || tracker.Available("unknown").Cores > 0 {
+		t.Errorf("%v available of a limit of 8 cores with 2.5 in use, or an unknown team has resources available", available)
 	}
 	if transfers := tracker.dueTransfers(); len(transfers) != 0 {
-		t.Errorf("%+v", transfers)
+		t.Errorf("transfers %+v with a single shard, want none", transfers)
 	}
 	if _, due := tracker.ownRequests(); due {
-		t.Error("requests are stored")
+		t.Error("requests are due with a single shard")
 	}
 }
--- a/internal/quota/planner.go
+++ b/internal/quota/planner.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// transferInterval is the least time between two transfers of one team's allowance to other
-// shards, so that what becomes idle task by task goes in one transfer.
+// transferInterval is the minimum time between two transfers of one team's allowance to other
+// shards. It lets allowance that tasks release one by one move in one transfer.
 const transferInterval = time.Second
 
-// planTransfer decides which transfer a team's ledger needs most; nil if none.
+// planTransfer returns the most important transfer that a team's ledger needs, or nil if it needs none.
 func (t *Tracker) planTransfer(team string, quota *teamQuota) *Transfer {
-	plan := planner{tracker: t, team: team, quota: quota, now: t.now()}
-	return plan.next()
+	p := planner{tracker: t, team: team, quota: quota, now: t.now()}
+	return p.next()
 }
 
-// planner decides on one team's next transfer.
+// planner chooses the next transfer of one team.
 type planner struct {
 	tracker *Tracker
 	team    string
@@ -24,51 +24,53 @@
 	now     time.Time
 }
 
-// next looks at the needs of the ledger itself first, then at what shards request of it.
+// next returns the next transfer, or nil. Changes that the ledger itself needs precede transfers
+// that shards request.
 func (p *planner) next() *Transfer {
 	shard, startedAt, ledger := p.tracker.shard, p.tracker.startedAt, p.quota.ledger
 	limit, configured := p.tracker.limits[p.team]
 	if ledger == nil {
-		return p.create(limit, configured)
+		return p.createLedger(limit, configured)
 	}
 	if configured && ledger.outdatedBy(limit, startedAt) {
 		next, err := ledger.SetLimit(limit, startedAt)
-		return p.transfer("new limit", next, Amount{}, err)
+		return p.newTransfer("new limit", next, Amount{}, err)
 	}
 	if !ledger.Accounts[shard].Registered {
-		return p.transfer("registered", ledger.Register(shard, p.quota.usage.rounded), Amount{}, nil)
+		return p.newTransfer("registered", ledger.Register(shard, p.quota.usage.rounded), Amount{}, nil)
 	}
-	if repaid := p.quota.idle().Min(ledger.Overcommitted); !repaid.IsZero() {
-		next, err := ledger.Return(shard, repaid)
-		return p.transfer("returned", next, repaid, err)
+	if reduction := p.quota.idle().Min(ledger.Overcommitted); !reduction.IsZero() {
+		next, err := ledger.Return(shard, reduction)
+		return p.newTransfer("returned", next, reduction, err)
 	}
-	if !ledger.Open() || !ledger.Overcommitted.IsZero() {
+	if !ledger.AllRegistered() || !ledger.Overcommitted.IsZero() {
 		return nil
 	}
 	return p.serveRequests()
 }
 
-// create makes the ledger of a team that has a limit and never had a ledger.
-func (p *planner) create(limit Limit, configured bool) *Transfer {
+// createLedger returns a transfer that creates the ledger of a team that has a limit and never had a ledger,
+// or nil.
+func (p *planner) createLedger(limit Limit, configured bool) *Transfer {
 	if !configured || limit.IsUnlimited() || p.quota.revision > 0 {
 		return nil
 	}
 	ledger := NewLedger(limit, p.tracker.startedAt, p.tracker.shards)
-	return p.transfer("created", ledger.Register(p.tracker.shard, p.quota.usage.rounded), Amount{}, nil)
+	return p.newTransfer("created", ledger.Register(p.tracker.shard, p.quota.usage.rounded), Amount{}, nil)
 }
 
-// serveRequests takes from the reserve for this shard's demand, or gives what is idle here to
-// the demands of others, in the order of their ranks.
+// serveRequests returns a transfer that takes from the reserve for this shard's demand, or that gives
+// this shard's idle allowance to another shard's demand. It considers the requests in rank order.
 func (p *planner) serveRequests() *Transfer {
 	reserve := p.quota.ledger.Reserve
 	for position, request := range p.tracker.requestsFor(p.team, p.quota) {
-		// What the reserve has, the requesting shard takes by itself.
+		// The requesting shard itself takes what the reserve covers, so only the rest is given.
 		missing, wanted := request.Missing.Minus(reserve), request.Wanted.Minus(reserve)
 		if request.shard == p.tracker.shard {
 			if transfer := p.takeFromReserve(request, reserve); transfer != nil {
 				return transfer
 			}
-		} else if amount, ok := p.toGive(request, missing, wanted, position == 0); ok {
+		} else if amount, ok := p.amountToGive(request, missing, wanted, position == 0); ok {
 			return p.give(request, amount)
 		}
 		reserve = reserve.Minus(request.Wanted)
@@ -76,21 +78,21 @@
 	return nil
 }
 
-// takeFromReserve takes what this shard's demand lacks: at least what one task or a whole
-// gang does.
+// takeFromReserve returns a transfer from the reserve for this shard's demand, or nil. The reserve must
+// cover at least the amount that one task, or a whole gang, lacks.
 func (p *planner) takeFromReserve(request shardRequest, reserve Amount) *Transfer {
 	amount := request.Wanted.Min(reserve)
 	if amount.IsZero() || !reserve.Covers(request.Missing) {
 		return nil
 	}
 	next, err := p.quota.ledger.Take(p.tracker.shard, amount)
-	return p.transfer("taken from the reserve", next, Amount{}, err).serving(request)
+	return p.newTransfer("taken from the reserve", next, Amount{}, err).withRequest(request)
 }
 
-// toGive is how much of the idle allowance to give for another shard's request. A part of what
-// a task or gang lacks goes only to the first request of all.
-func (p *planner) toGive(request shardRequest, missing, wanted Amount, isFirst bool) (amount Amount, ok bool) {
-	if int(request.shard) >= p.tracker.shards || p.now.Sub(p.quota.gaveAt) < transferInterval {
+// amountToGive returns how much of this shard's idle allowance to give to another shard's request. Only the
+// highest-ranked request gets an amount that is too small for one task or gang.
+func (p *planner) amountToGive(request shardRequest, missing, wanted Amount, isFirst bool) (amount Amount, ok bool) {
+	if int(request.shard) >= p.tracker.shards || p.now.Sub(p.quota.lastGivenAt) < transferInterval {
 		return Amount{}, false
 	}
 	spare := p.quota.spareFor(request, p.now)
@@ -98,25 +100,26 @@
 	return amount, !amount.IsZero() && (isFirst || spare.Covers(missing))
 }
 
-// give moves idle allowance to the shard that requested it.
+// give returns a transfer of idle allowance to the shard that requested it.
 func (p *planner) give(request shardRequest, amount Amount) *Transfer {
-	p.quota.gaveAt = p.now
+	p.quota.lastGivenAt = p.now
 	next, err := p.quota.ledger.Give(p.tracker.shard, request.shard, amount)
-	return p.transfer(fmt.Sprintf("given to shard %d", request.shard), next, amount, err).serving(request)
+	return p.newTransfer(fmt.Sprintf("given to shard %d", request.shard), next, amount, err).withRequest(request)
 }
 
-// transfer makes a transition ready to be sent, before all that serves a request; nil if err
-// tells that the transition is not allowed.
-func (p *planner) transfer(reason string, next Ledger, withheld Amount, err error) *Transfer {
+// newTransfer returns a Transfer for a transition, or nil if err is not nil, because the ledger does not
+// allow the transition. The transfer gets the highest rank, so that it is sent before all those that
+// serve a request.
+func (p *planner) newTransfer(reason string, next Ledger, withheld Amount, err error) *Transfer {
 	if err != nil {
 		return nil
 	}
-	first := shardRequest{Request: Request{Rank: Rank{Guaranteed: true, Priority: math.MaxInt}}}
-	return &Transfer{Team: p.team, Reason: reason, next: next, base: p.quota.revision, withheld: withheld, request: first}
+	highestRanked := shardRequest{Request: Request{Rank: Rank{Guaranteed: true, Priority: math.MaxInt}}}
+	return &Transfer{Team: p.team, Reason: reason, next: next, baseRevision: p.quota.revision, withheld: withheld, request: highestRanked}
 }
 
-// serving notes whose request the transfer serves, if there is a transfer.
-func (t *Transfer) serving(request shardRequest) *Transfer {
+// withRequest records which request the transfer serves, and returns the transfer. A nil transfer stays nil.
+func (t *Transfer) withRequest(request shardRequest) *Transfer {
 	if t != nil {
 		t.request = request
 	}
--- a/internal/quota/simulation_records_test.go
+++ b/internal/quota/simulation_records_test.go
@@ -10,12 +10,12 @@
 	"github.com/pebbletrail/pebbletrail/internal/quota"
 )
 
-// workerRecord is the workers' own record of what runs, in all shards. It checks the limits at
-// each start.
-type workerRecord struct {
+// simulatedWorkers records the tasks that run on the workers of all shards. It checks the team's limit each
+// time a task starts.
+type simulatedWorkers struct {
 	mu            sync.Mutex
 	limits        map[string]placement.Resources
-	fencingTokens map[quota.Shard]int // the highest generation seen
+	fencingTokens map[quota.Shard]int // the highest generation known of each shard's leaders
 	running       map[string]task
 	ended         map[string]bool
 	started       int
@@ -23,8 +23,8 @@
 	grantDelays   []time.Duration
 }
 
-// start begins a task unless its order is from a leader that was replaced.
-func (w *workerRecord) start(shard quota.Shard, generation int, t task) {
+// start starts a task, unless it has started before or the command is from a leader that was replaced.
+func (w *simulatedWorkers) start(shard quota.Shard, generation int, t task) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if _, again := w.running[t.ID]; again || w.ended[t.ID] || generation < w.fencingTokens[shard] {
@@ -50,26 +50,25 @@
 	})
 }
 
-// fence turns away what leaders before a generation may still send.
-func (w *workerRecord) fence(shard quota.Shard, generation int) {
+// fence rejects later commands from leaders of a generation below the given one.
+func (w *simulatedWorkers) fence(shard quota.Shard, generation int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.fencingTokens[shard] = max(w.fencingTokens[shard], generation)
 }
 
-// status tells whether a task is surely not running, once its shard was fenced, and whether
-// it has run.
-func (w *workerRecord) status(id string) (gone, ended bool) {
+// status reports whether a task is not running, which is final once its shard was fenced, and whether
+// it has run to its end.
+func (w *simulatedWorkers) status(id string) (gone, ended bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	_, running := w.running[id]
 	return !running, w.ended[id]
 }
 
-// storeChecker checks, in the order in which the store carries changes out, that what is
-// recorded of a shard's tasks never takes more than the shard's allowance. The store
-// applies one transaction after the other, so that order is the one in which transfers and
-// grants took effect, whoever decided them when.
+// storeChecker checks after each change of the store that the recorded tasks of a shard use no more than
+// the shard's allowance. The store applies one transaction after another, so the order of the changes is
+// the order in which transfers and grants took effect, whichever leader made them.
 type storeChecker struct {
 	mu        sync.Mutex
 	ledgers   map[string]quota.Ledger
@@ -83,77 +82,77 @@
 	return &storeChecker{ledgers: map[string]quota.Ledger{}, used: map[string]map[quota.Shard]quota.Amount{}, tasks: map[string]task{}}
 }
 
-// applyChange takes in one change; a nil value is a removal.
-func (o *storeChecker) applyChange(key string, value json.RawMessage) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
+// applyChange applies one change of the store and checks the result. A nil value is a removal.
+func (c *storeChecker) applyChange(key string, value json.RawMessage) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	for _, team := range []string{"red", "blue"} {
 		if key == quota.LedgerKey(team) {
 			var ledger quota.Ledger
-			o.decode(key, value, &ledger)
-			o.ledgers[team] = ledger
-			o.checkTeam(team, key)
+			c.decode(key, value, &ledger)
+			c.ledgers[team] = ledger
+			c.checkTeam(team, key)
 		}
 	}
 	var shard quota.Shard
 	if n, _ := fmt.Sscanf(key, "task/%d/", &shard); n != 1 {
 		return
 	}
-	was, there := o.tasks[key]
-	if there {
-		o.addUsage(was, shard, -1)
-		delete(o.tasks, key)
+	previous, found := c.tasks[key]
+	if found {
+		c.addUsage(previous, shard, -1)
+		delete(c.tasks, key)
 	}
 	if value == nil {
 		return
 	}
 	var record task
-	o.decode(key, value, &record)
-	o.tasks[key] = record
-	o.addUsage(record, shard, 1)
-	o.checkTeam(record.Team, key)
+	c.decode(key, value, &record)
+	c.tasks[key] = record
+	c.addUsage(record, shard, 1)
+	c.checkTeam(record.Team, key)
 }
 
-// decode reads a stored value; one that can't be read is an illegal state.
-func (o *storeChecker) decode(key string, value json.RawMessage, target any) {
-	if err := json.Unmarshal(value, target); err != nil && o.violation == "" {
-		o.violation = fmt.Sprintf("%s can't be read: %v", key, err)
+// decode decodes a stored value. A value that can't be decoded counts as a violation.
+func (c *storeChecker) decode(key string, value json.RawMessage, target any) {
+	if err := json.Unmarshal(value, target); err != nil && c.violation == "" {
+		c.violation = fmt.Sprintf("%s can't be read: %v", key, err)
 	}
 }
 
-// addUsage adds what a task takes to its team's use, or takes it off.
-func (o *storeChecker) addUsage(t task, shard quota.Shard, sign int64) {
-	if o.used[t.Team] == nil {
-		o.used[t.Team] = map[quota.Shard]quota.Amount{}
+// addUsage adds a task's resources to its team's usage in a shard, or subtracts them if sign is -1.
+func (c *storeChecker) addUsage(t task, shard quota.Shard, sign int64) {
+	if c.used[t.Team] == nil {
+		c.used[t.Team] = map[quota.Shard]quota.Amount{}
 	}
-	sum := o.used[t.Team][shard]
+	sum := c.used[t.Team][shard]
 	for r, amount := range quota.AmountOf(t.Need) {
 		sum[r] += sign * amount
 	}
-	sum[quota.Memory] = 0 // not limited here
-	o.used[t.Team][shard] = sum
+	sum[quota.Memory] = 0 // the simulation does not limit memory
+	c.used[t.Team][shard] = sum
 }
 
-// result is the first violation found, and how many were checked. The store goes
-// on changing while the test reads this.
-func (o *storeChecker) result() (violation string, checks int) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	return o.violation, o.checks
+// result returns the first violation, if any, and the number of checks. It holds the lock because the
+// store may still be changing.
+func (c *storeChecker) result() (violation string, checks int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.violation, c.checks
 }
 
-func (o *storeChecker) checkTeam(team, key string) {
-	ledger := o.ledgers[team]
+func (c *storeChecker) checkTeam(team, key string) {
+	ledger := c.ledgers[team]
 	for shard, account := range ledger.Accounts {
-		o.checks++
-		if used := o.used[team][quota.Shard(shard)]; ledger.Open() && !account.Allowance.Covers(used) && o.violation == "" {
-			o.violation = fmt.Sprintf("after the change of %s shard %d has stored tasks of team %s that use %v of an allowance of %v", key, shard, team, used, account.Allowance)
+		c.checks++
+		if used := c.used[team][quota.Shard(shard)]; ledger.AllRegistered() && !account.Allowance.Covers(used) && c.violation == "" {
+			c.violation = fmt.Sprintf("after the change of %s shard %d has stored tasks of team %s that use %v of an allowance of %v", key, shard, team, used, account.Allowance)
 		}
 	}
 }
 
-// result tells of a breach of a limit, and how many tasks ran to their end.
-func (w *workerRecord) result() (breach string, ended int) {
+// result returns the last breach of a limit, if any, and the number of tasks that ran to their end.
+func (w *simulatedWorkers) result() (breach string, ended int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.breach, len(w.ended)
--- a/internal/quota/simulation_test.go
+++ b/internal/quota/simulation_test.go
@@ -22,7 +22,8 @@
 	"github.com/pebbletrail/pebbletrail/internal/state"
 )
 
-// leaseTime is how long a leader of the simulation leads after its last good renewal.
+// leaseTime is the time for which a leader of the simulation leads after the last successful renewal of
+// its lease.
 const leaseTime = 1500 * time.Millisecond
 
 // task is one task of the simulation.
@@ -35,26 +36,27 @@
 	submittedAt time.Time
 }
 
-// simulation is several controllers, the shards they lead and their workers.
+// simulation runs several controllers with the shards that they lead and the workers.
 type simulation struct {
 	t       *testing.T
 	ctx     context.Context
 	network *fake.Network
 	store   *fake.Store
-	workers *workerRecord
+	workers *simulatedWorkers
 	limits  map[string]quota.Limit
-	// withoutLedger plants a fault: leaders grant by the whole limit and their own use.
+	// withoutLedger injects a fault: each leader grants up to the team's whole limit, and counts only
+	// the usage in its own shard.
 	withoutLedger bool
 
 	mu           sync.Mutex
-	queues       map[quota.Shard][]task // all that has not ended
-	pauses       map[string]time.Time   // until when a controller is paused
+	queues       map[quota.Shard][]task // submitted tasks that have not ended
+	pauses       map[string]time.Time   // time until which each controller is paused
 	incarnations int
 }
 
 const shardCount = 3
 
-// setLimit changes a team's limit in the settings of controllers that start from now on.
+// setLimit changes a team's limit in the settings of controllers that start later.
 func (s *simulation) setLimit(team string, limit placement.Resources) {
 	s.workers.mu.Lock()
 	s.workers.limits[team] = limit
@@ -64,13 +66,13 @@
 	s.limits = limits
 }
 
-// simulate runs f under a clock of its own.
+// simulate runs f with a new simulation under a fake clock.
 func simulate(t *testing.T, f func(s *simulation)) {
 	slog.SetDefault(slog.New(slog.NewTextHandler(io.Discard, nil)))
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		s := &simulation{t: t, ctx: ctx, network: fake.NewNetwork(), store: fake.NewStore(),
-			workers: &workerRecord{limits: map[string]placement.Resources{}, fencingTokens: map[quota.Shard]int{}, running: map[string]task{}, ended: map[string]bool{}},
+			workers: &simulatedWorkers{limits: map[string]placement.Resources{}, fencingTokens: map[quota.Shard]int{}, running: map[string]task{}, ended: map[string]bool{}},
 			limits:  map[string]quota.Limit{}, queues: map[quota.Shard][]task{}, pauses: map[string]time.Time{}}
 		s.network.Listen("state:1", s.store)
 		s.setLimit("red", placement.Resources{Cores: 8, Accels: 4, RAM: 1e9})
@@ -90,14 +92,14 @@
 	s.queues[shard] = append(s.queues[shard], t)
 }
 
-// pause stops a controller wherever it is for a while.
+// pause makes a controller block in waitWhilePaused for a duration.
 func (s *simulation) pause(node string, duration time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.pauses[node] = time.Now().Add(duration)
 }
 
-// waitWhilePaused is where a controller may be paused.
+// waitWhilePaused blocks while the controller is paused.
 func (s *simulation) waitWhilePaused(node string) {
 	s.mu.Lock()
 	until := s.pauses[node]
@@ -105,39 +107,39 @@
 	time.Sleep(time.Until(until))
 }
 
-// controller is one process; it ends with its context.
+// controller is one controller process. It runs until its context is done.
 type controller struct {
 	*simulation
-	name      string
-	startedAt ids.Timestamp
-	client    *state.Client
-	mirror    *state.WatchCache
-	mu        sync.Mutex
-	terms     map[quota.Shard]*term
+	name       string
+	startedAt  ids.Timestamp
+	client     *state.Client
+	watchCache *state.WatchCache
+	mu         sync.Mutex
+	terms      map[quota.Shard]*term
 }
 
-// start starts a controller, and returns how to kill it.
+// start starts a controller and returns a function that kills it.
 func (s *simulation) start(name string) context.CancelFunc {
 	ctx, cancel := context.WithCancel(s.ctx)
 	s.incarnations++
 	c := &controller{simulation: s, name: name, startedAt: ids.TimestampOf(time.Now()), terms: map[quota.Shard]*term{},
 		client: state.NewClient("state:1", s.network.Client(name), state.NewBudget(2000, 1000, 5, 0.5))}
-	c.mirror = state.NewWatchCache(c.client, quota.Prefix, 50*time.Millisecond)
-	c.mirror.OnChange(func(change state.Change) {
+	c.watchCache = state.NewWatchCache(c.client, quota.Prefix, 50*time.Millisecond)
+	c.watchCache.OnChange(func(change state.Change) {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		for _, t := range c.terms {
 			t.tracker.Apply(change)
 		}
 	})
-	go c.mirror.Run(ctx)
+	go c.watchCache.Run(ctx)
 	for shard := range quota.Shard(shardCount) {
 		go c.lead(ctx, shard, s.incarnations)
 	}
 	return cancel
 }
 
-// term is one term of leading a shard.
+// term is one term of a shard's leader.
 type term struct {
 	controller *controller
 	shard      quota.Shard
@@ -146,13 +148,13 @@
 	lease      ids.Lease
 	tracker    *quota.Tracker
 	rebalancer *quota.Rebalancer
-	renewed    atomic.Int64    // when, in nanoseconds
-	tasks      map[string]task // recorded, and what may be there
+	renewedAt  atomic.Int64    // time of the last renewal of the lease, in nanoseconds
+	tasks      map[string]task // tasks that are recorded or may be
 }
 
 func (t *term) key(id string) string { return fmt.Sprintf("task/%d/%s", t.shard, id) }
 
-// lead takes the shard over whenever it has no leader.
+// lead tries again and again to become the shard's leader, and leads it when that succeeds.
 func (c *controller) lead(ctx context.Context, shard quota.Shard, incarnation int) {
 	for ctx.Err() == nil {
 		c.waitWhilePaused(c.name)
@@ -166,43 +168,44 @@
 	}
 }
 
-// decode reads a stored value, which only controllers write.
+// decode decodes a stored value. Only controllers write these values, so a failure is a test error.
 func (c *controller) decode(value json.RawMessage, target any) {
 	if err := json.Unmarshal(value, target); err != nil {
-		c.t.Errorf("%s: stored value %s: %v", c.name, value, err)
+		c.t.Errorf("controller %s: decoding stored value %s: %v", c.name, value, err)
 	}
 }
 
-// campaign acquires the shard's lease and loads what is stored; nil if that fails.
+// campaign acquires the shard's lease and loads the stored tasks, ledgers and requests. It returns nil if
+// that fails.
 func (c *controller) campaign(ctx context.Context, shard quota.Shard, incarnation int) *term {
 	leader, generation := fmt.Sprintf("lead/%d", shard), fmt.Sprintf("generation/%d", shard)
-	last, _, err := c.client.Get(ctx, generation, state.Urgent)
+	stored, _, err := c.client.Get(ctx, generation, state.Urgent)
 	if err != nil {
 		return nil
 	}
-	number := 0
-	if last.Value != nil {
-		c.decode(last.Value, &number)
+	lastGeneration := 0
+	if stored.Value != nil {
+		c.decode(stored.Value, &lastGeneration)
 	}
-	sent := time.Now()
+	sentAt := time.Now()
 	lease, err := c.client.GrantLease(ctx, leaseTime)
 	if err != nil {
 		return nil
 	}
 	at, err := c.client.Commit(ctx, state.Txn{
-		Conditions: []state.Condition{{Key: leader}, {Key: generation, Revision: last.Revision}},
-		Ops:        []state.Op{{Put: leader, Value: []byte(fmt.Sprint(incarnation)), Lease: lease}, {Put: generation, Value: []byte(fmt.Sprint(number + 1))}},
+		Conditions: []state.Condition{{Key: leader}, {Key: generation, Revision: stored.Revision}},
+		Ops:        []state.Op{{Put: leader, Value: []byte(fmt.Sprint(incarnation)), Lease: lease}, {Put: generation, Value: []byte(fmt.Sprint(lastGeneration + 1))}},
 	}, state.Urgent)
 	if err != nil {
 		return nil
 	}
-	t := &term{controller: c, shard: shard, generation: number + 1, fence: state.Condition{Key: generation, Revision: ids.Revision(at)}, lease: lease,
+	t := &term{controller: c, shard: shard, generation: lastGeneration + 1, fence: state.Condition{Key: generation, Revision: ids.Revision(at)}, lease: lease,
 		tasks: map[string]task{}, tracker: quota.NewTracker(shard, shardCount, c.limits, c.startedAt)}
-	t.renewed.Store(sent.UnixNano())
+	t.renewedAt.Store(sentAt.UnixNano())
 	t.rebalancer = quota.NewRebalancer(t.tracker, c.client, &c.mu, func() state.Condition { return t.fence })
 	c.workers.fence(shard, t.generation)
 	c.mu.Lock()
-	c.terms[shard] = t // news counts from before the listing on
+	c.terms[shard] = t // before the listing, so that the tracker misses no change
 	c.mu.Unlock()
 	records, _, recordsErr := c.client.ListAll(ctx, t.key(""), state.Urgent)
 	entries, _, quotaErr := c.client.ListAll(ctx, quota.Prefix, state.Urgent)
@@ -222,17 +225,17 @@
 	return t
 }
 
-// run leads until the lease may have ended.
+// run leads the shard until the lease may have expired.
 func (t *term) run(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go func() {
 		defer cancel()
-		for ctx.Err() == nil && time.Since(time.Unix(0, t.renewed.Load())) < leaseTime {
+		for ctx.Err() == nil && time.Since(time.Unix(0, t.renewedAt.Load())) < leaseTime {
 			t.controller.waitWhilePaused(t.controller.name)
-			sent := time.Now()
+			sentAt := time.Now()
 			if err := t.controller.client.RenewLease(ctx, t.lease); err == nil {
-				t.renewed.Store(sent.UnixNano())
+				t.renewedAt.Store(sentAt.UnixNano())
 			} else if errors.Is(err, state.ErrNoLease) {
 				return
 			}
@@ -243,13 +246,13 @@
 	for ctx.Err() == nil {
 		t.reconcile(ctx)
 		if !t.grantTasks(ctx) {
-			return // replaced, or ended
+			return // this leader was replaced, or its context is done
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
 }
 
-// reconcile removes the records of what surely ended.
+// reconcile removes the records of tasks that certainly no longer run.
 func (t *term) reconcile(ctx context.Context) {
 	t.controller.mu.Lock()
 	var ended []task
@@ -270,52 +273,53 @@
 	}
 }
 
-// grantTasks starts what the shard's queue and the team's allowance allow, the first first. It
-// tells whether this leader may go on.
+// grantTasks starts queued tasks of the shard in order, as far as the allowances of their teams permit.
+// It reports whether this leader may continue.
 func (t *term) grantTasks(ctx context.Context) bool {
 	for _, next := range t.selectTasks() {
 		encoded, _ := json.Marshal(next)
 		var err error
 		for {
-			t.controller.waitWhilePaused(t.controller.name) // between deciding and writing
+			t.controller.waitWhilePaused(t.controller.name) // between the decision and its write
 			_, err = t.controller.client.Commit(ctx, state.Txn{Conditions: []state.Condition{t.fence}, Ops: []state.Op{{Put: t.key(next.ID), Value: encoded}}}, state.Urgent)
 			if err == nil || ctx.Err() != nil || !errors.Is(err, state.ErrOutcomeUnknown) && !errors.Is(err, state.ErrRefused) {
 				break
 			}
 		}
 		if err != nil {
-			return false // its next leader starts it
+			return false // the shard's next leader starts the task
 		}
-		t.controller.waitWhilePaused(t.controller.name) // between writing and sending
+		t.controller.waitWhilePaused(t.controller.name) // between the write and the command to the worker
 		t.controller.workers.start(t.shard, t.generation, next)
 	}
 	return true
 }
 
-// selectTasks decides what to start, counts it as in use and tells the tracker what is pending.
-func (t *term) selectTasks() (picked []task) {
+// selectTasks returns the tasks to start, adds them to the usage and passes the demands of the others to
+// the tracker.
+func (t *term) selectTasks() (selected []task) {
 	t.controller.mu.Lock()
 	defer t.controller.mu.Unlock()
 	t.controller.simulation.mu.Lock()
 	defer t.controller.simulation.mu.Unlock()
-	var left []task
+	var remaining []task
 	demands := map[string]quota.Demand{}
 	for _, next := range t.controller.queues[t.shard] {
 		if _, ended := t.controller.workers.status(next.ID); ended {
 			continue
 		}
-		left = append(left, next)
+		remaining = append(remaining, next)
 		if _, recorded := t.tasks[next.ID]; recorded {
 			continue
 		}
-		room := t.tracker.Available(next.Team)
+		available := t.tracker.Available(next.Team)
 		if t.controller.withoutLedger {
-			room = t.controller.workers.limits[next.Team].Minus(t.tracker.Usage(next.Team))
+			available = t.controller.workers.limits[next.Team].Minus(t.tracker.Usage(next.Team))
 		}
-		if _, blocked := demands[next.Team]; !blocked && room.Holds(next.Need) {
+		if _, blocked := demands[next.Team]; !blocked && available.Holds(next.Need) {
 			t.tracker.AddUsage(next.Team, next.Need)
 			t.tasks[next.ID] = next
-			picked = append(picked, next)
+			selected = append(selected, next)
 			continue
 		}
 		demand, found := demands[next.Team]
@@ -325,12 +329,13 @@
 		demand.Total = demand.Total.Plus(quota.AmountOf(next.Need))
 		demands[next.Team] = demand
 	}
-	t.controller.queues[t.shard] = left
+	t.controller.queues[t.shard] = remaining
 	t.tracker.SetDemands(demands)
-	return picked
+	return selected
 }
 
-// submitMany submits tasks of both teams at all shards at the same instants.
+// submitMany submits tasks of all teams to all shards, in rounds. All tasks of a round are submitted at
+// the same instant.
 func (s *simulation) submitMany(rng *rand.Rand, rounds int) {
 	for round := range rounds {
 		for shard := range quota.Shard(shardCount) {
@@ -347,7 +352,8 @@
 	}
 }
 
-// awaitAll waits until all submitted tasks have run.
+// awaitAll waits until the given number of tasks have run to their end, and reports an error if that
+// takes longer than within.
 func (s *simulation) awaitAll(tasks int, within time.Duration) {
 	s.t.Helper()
 	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(time.Second) {
@@ -356,8 +362,8 @@
 		}
 	}
 	_, ended := s.workers.result()
-	s.t.Errorf("%d of %d tasks ran; waiting: %v", ended, tasks, s.queues)
+	s.t.Errorf("%d of %d tasks ran to their end; queued tasks: %v", ended, tasks, s.queues)
 	for _, key := range []string{quota.LedgerKey("red"), quota.LedgerKey("blue"), quota.RequestsKey(0), quota.RequestsKey(1), quota.RequestsKey(2)} {
-		s.t.Errorf("%s: %s", key, s.store.Value(key))
+		s.t.Errorf("stored value of %s: %s", key, s.store.Value(key))
 	}
 }
