--- a/internal/rollout/candidate.go
+++ b/internal/rollout/candidate.go
@@ -7,17 +7,17 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-// candidate is a machine that may be taken into the next wave.
+// candidate is a machine that may be added to the next wave.
 type candidate struct {
 	name    ids.Machine
-	part    int // of the waiting machines
+	part    int // index of the part of the waiting machines that contains the machine
 	machine Machine
 	weight  DrainCost
 }
 
-// sortCandidates puts machines in the order in which waves take them, greedily: those that nothing
-// blocks first, of these the ones with the least to move, so that each wave frees the most for
-// what it disrupts.
+// sortCandidates sorts machines in place into the greedy order in which waves take them and returns them:
+// unblocked machines first, then by the number of drain steps and of tasks to move, fewest first. Each wave
+// thereby empties as many machines as possible per disruption.
 func sortCandidates(candidates []candidate) []candidate {
 	slices.SortFunc(candidates, func(x, y candidate) int {
 		return cmp.Or(
--- a/internal/rollout/command.go
+++ b/internal/rollout/command.go
@@ -6,18 +6,18 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-// Command changes the state of a rollout.
+// Command is an operator command that changes the state of a rollout.
 type Command string
 
-// The commands.
+// The operator commands.
 const (
 	CommandPause  Command = "pause"
 	CommandResume Command = "resume"
 	CommandAbort  Command = "abort"
 )
 
-// apply changes a rollout's state; changed is false if it has that state already. A transition that
-// is not allowed and an unknown command are errors.
+// apply executes a command on the record; changed is false if the rollout already has the resulting state.
+// It returns an error for an invalid transition or an unknown command.
 func (r *Record) apply(command Command, now ids.Timestamp) (changed bool, err error) {
 	switch command {
 	case CommandPause:
@@ -39,7 +39,8 @@
 	return false, fmt.Errorf("%w: unknown command %q", ErrInvalidSpec, command)
 }
 
-// resume lets a paused or halted rollout go on. After a halt the leader looks at the wave first.
+// resume continues a paused or halted rollout. After a halt it sets Resumed, so that the leader first
+// discards the failed replacements of the wave.
 func (r *Record) resume(now ids.Timestamp) error {
 	r.Resumed = r.State == Halted && r.Wave != nil
 	if r.State == Paused && r.Wave != nil {
--- a/internal/rollout/fakefleet_test.go
+++ b/internal/rollout/fakefleet_test.go
@@ -8,22 +8,22 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-// fakeFleet is machines as a leader knows them. What is ordered happens at once, and what is
-// provisioned becomes ready, unless a test says otherwise.
+// fakeFleet is an in-memory Fleet. It carries out orders immediately, and provisioned machines become
+// ready at once, unless a test sets a failure.
 type fakeFleet struct {
 	mu       sync.Mutex
 	machines map[ids.Machine]*fakeMachine
 	hires    map[ids.ProvisioningRequest][]ids.Machine
 	next     int
-	// mostCordoned is the most machines that were cordoned at a time.
+	// mostCordoned is the maximum number of machines cordoned at the same time.
 	mostCordoned int
-	// provisionNothing has the cloud provision nothing; replacementsFail has replacements fail
+	// provisionNothing makes the fleet provision nothing; replacementsFail makes replacements fail
 	// once they are ready.
 	provisionNothing bool
 	replacementsFail bool
 }
 
-// fakeMachine is a machine and what draining it takes.
+// fakeMachine is a machine with the cost of draining it.
 type fakeMachine struct {
 	Machine
 	weight DrainCost
@@ -83,7 +83,7 @@
 
 func (f *fakeFleet) RolloutView() View { return f }
 
-// CarryOut does what is ordered at once.
+// CarryOut carries out the orders immediately.
 func (f *fakeFleet) CarryOut(orders *Orders) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -112,7 +112,7 @@
 	}
 }
 
-// change changes the fleet while it is in use.
+// change calls a function that changes or checks the fleet, under its lock.
 func (f *fakeFleet) change(change func(*fakeFleet)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/rollout/fleet.go
+++ b/internal/rollout/fleet.go
@@ -6,55 +6,55 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-// Machine is what the leader knows of a machine.
+// Machine is the leader's view of a machine.
 type Machine struct {
 	Class InstanceClass
-	// Known tells that the leader knows the machine.
+	// Known reports whether the leader tracks the machine.
 	Known bool
-	// Deleted is proof that there is no such machine any more: the cloud confirmed its deletion, or
-	// lists it no longer.
+	// Deleted reports whether the machine certainly no longer exists: the cloud confirmed its deletion or no
+	// longer lists it.
 	Deleted bool
-	// Ready tells that it has sent this leader a heartbeat, and that its heartbeats are recent.
+	// Ready reports whether this leader has received heartbeats from the machine and the last one is recent.
 	Ready bool
-	// Failed tells why it can't do its work; empty: it can.
+	// Failed is the reason why the machine cannot run tasks; empty if it can.
 	Failed string
-	// Reclaimed tells that the cloud is about to take it back.
+	// Reclaimed reports whether the cloud has announced that it takes the machine back.
 	Reclaimed bool
-	// Tasks are those that are or may be on it.
+	// Tasks is the number of tasks that run or may run on the machine.
 	Tasks int
-	// Evicting tells that evictions of tasks on it are stored.
+	// Evicting reports whether evictions of tasks on the machine are stored.
 	Evicting bool
-	// Unschedulable tells that it is being drained and its tasks fit on no other machine.
+	// Unschedulable reports whether the machine is being drained and its tasks fit on no other machine.
 	Unschedulable bool
-	// ProvisionedAt is when it was provisioned, as far as known.
+	// ProvisionedAt is the time at which the machine was provisioned, as far as known.
 	ProvisionedAt time.Time
 }
 
-// DrainCost is what draining a machine takes as things are now.
+// DrainCost is the estimated cost of draining a machine in the present state of the fleet.
 type DrainCost struct {
-	// Steps is about how many steps it takes under the disruption budgets.
+	// Steps is the approximate number of steps that the disruption budgets require.
 	Steps int
-	// Blocked are the reasons why it can't be drained.
+	// Blocked lists the reasons why the machine cannot be drained.
 	Blocked []string
 }
 
-// View is what the leader knows of the fleet.
+// View is the leader's view of the fleet.
 type View interface {
-	// Machine looks at one machine.
+	// Machine returns the leader's view of one machine.
 	Machine(name ids.Machine) Machine
-	// DrainCost tells what draining a machine takes. It evaluates all budgets, so it is asked only
-	// where machines are chosen.
+	// DrainCost returns the cost of draining a machine. It evaluates all budgets, so it is called only
+	// when machines are selected for a wave.
 	DrainCost(name ids.Machine) DrainCost
-	// ProvisionedMachines tells what a request for replacements has provisioned, once the cloud has
-	// answered it.
+	// ProvisionedMachines returns the machines provisioned for a replacement request; answered is false
+	// until the cloud has answered the request.
 	ProvisionedMachines(name ids.ProvisioningRequest) (machines []ids.Machine, answered bool)
 }
 
-// Fleet is what the leader's cluster does for rollouts.
+// Fleet is the interface through which rollouts read and change the leader's cluster.
 type Fleet interface {
-	// RolloutView looks at the fleet as it is now.
+	// RolloutView returns a view of the present fleet.
 	RolloutView() View
-	// CarryOut replaces the orders that are carried out. It is called again and again, and at
-	// once after a failover.
+	// CarryOut replaces the orders in force. The runner calls it in every pass, also in its first pass
+	// after a failover.
 	CarryOut(orders *Orders)
 }
--- a/internal/rollout/harness_test.go
+++ b/internal/rollout/harness_test.go
@@ -11,7 +11,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/state"
 )
 
-// directStore is the leader's store: every write is conditional on what it is told alone.
+// directStore is a Store that adds no conditions of its own to a write.
 type directStore struct{ client *state.Client }
 
 func (s directStore) ApplyIf(ctx context.Context, when []state.Condition, ops []state.Op) error {
@@ -19,7 +19,7 @@
 	return err
 }
 
-// harness is a runner and a controller's service on one store.
+// harness is a controller's Service with a fake state service and a fake fleet.
 type harness struct {
 	t       *testing.T
 	ctx     context.Context
@@ -27,14 +27,14 @@
 	store   *fake.Store
 	fleet   *fakeFleet
 	service *Service
-	// planDelay is how long a plan takes.
+	// planDelay is the duration of PlanDrain.
 	planDelay time.Duration
 }
 
 // The limits of a small state service.
 const maxValueBytes, maxTxnOps = 8192, 12
 
-// runHarness runs f under a clock of its own.
+// runHarness calls f with a harness for the given number of machines, under a simulated clock.
 func runHarness(t *testing.T, machines int, f func(h *harness)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -48,7 +48,7 @@
 	})
 }
 
-// controller is the commands' side of a controller.
+// controller returns the Service of a controller.
 func (h *harness) controller(name string) *Service {
 	client := state.NewClient("state:1", h.network.Client(name), state.NewBudget(1000, 1000, 1, 0.6))
 	mirror := state.NewWatchCache(client, Prefix, 50*time.Millisecond)
@@ -59,7 +59,7 @@
 		}}
 }
 
-// startLeader runs a leader until the function returned is called.
+// startLeader runs a leader until the returned function is called.
 func (h *harness) startLeader(name string) context.CancelFunc {
 	ctx, cancel := context.WithCancel(h.ctx)
 	service := h.controller(name)
@@ -74,7 +74,7 @@
 
 func (h *harness) DrainWaits(context.Context) (map[ids.Machine][]string, error) { return nil, nil }
 
-// awaitState waits until a rollout has a state.
+// awaitState waits until a rollout has a state, and fails the test after the timeout.
 func (h *harness) awaitState(name Name, want State, timeout time.Duration) *Status {
 	h.t.Helper()
 	for end := time.Now().Add(timeout); ; time.Sleep(100 * time.Millisecond) {
@@ -88,7 +88,7 @@
 	}
 }
 
-// wholeFleet describes a rollout over all machines.
+// wholeFleet returns the specification of a rollout of all machines.
 func wholeFleet(name Name) *Spec {
 	return &Spec{Name: name, Select: Selection{Older: true}, WaveSize: 10, Deadline: 60, AtDeadline: WaitAtDeadline}
 }
--- a/internal/rollout/http.go
+++ b/internal/rollout/http.go
@@ -13,25 +13,25 @@
 	"github.com/labstack/echo/v4"
 )
 
-// Paths of the operators' commands.
+// HTTP paths of the operators' commands.
 const (
-	// Path lists all rollouts; a rollout is at its name below it.
+	// Path is the collection of all rollouts; each rollout is at Path/NAME.
 	Path = "/v2/drains"
-	// PlanPath makes a plan.
+	// PlanPath returns a plan for a specification without starting a rollout.
 	PlanPath = "/v2/drain-plan"
 )
 
-// commandTimeout bounds the work on one command.
+// commandTimeout is the maximum time for the execution of one command.
 const commandTimeout = 4 * time.Second
 
-// retryAfter is when to retry a command that can't be carried out now.
+// retryAfter is the delay after which clients should retry a command that failed temporarily.
 const retryAfter = 2 * time.Second
 
-// maxBodyBytes is the largest description that is read: it may name thousands of machines.
+// maxBodyBytes is the maximum size of a specification in a request: it may name thousands of machines.
 const maxBodyBytes = 1 << 20
 
-// Routes adds the operators' commands to a controller's interface. There is no authentication, so
-// they are accepted from the controller's own machine only.
+// Routes registers the operators' commands on a controller's HTTP server. The commands have no
+// authentication, so they are accepted only from the controller's own machine.
 func (s *Service) Routes(server *echo.Echo) {
 	operators := server.Group("", loopbackOnly)
 	operators.GET(Path, handle(func(ctx context.Context, _ echo.Context) (any, error) {
@@ -59,18 +59,19 @@
 	}))
 }
 
-// readSpec reads a description; one that can't be read is as bad as one that can't be carried out.
+// readSpec decodes a specification from a request body. A body that does not decode is reported as
+// ErrInvalidSpec, like an invalid specification.
 func readSpec(c echo.Context) (*Spec, error) {
 	spec := &Spec{}
 	decoder := json.NewDecoder(io.LimitReader(c.Request().Body, maxBodyBytes))
 	if err := decoder.Decode(spec); err != nil {
 		return nil, errors.Join(ErrInvalidSpec, err)
 	}
-	spec.Select.Digest = "" // follows from the names
+	spec.Select.Digest = "" // computed from the machine names
 	return spec, nil
 }
 
-// loopbackOnly turns away whoever does not call from this machine.
+// loopbackOnly rejects requests that do not come from a loopback address.
 func loopbackOnly(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		host, _, err := net.SplitHostPort(c.Request().RemoteAddr)
@@ -81,7 +82,7 @@
 	}
 }
 
-// handle has a command carried out and answers with its result or its error.
+// handle returns a handler that executes a command and responds with its result or its error.
 func handle(command func(context.Context, echo.Context) (any, error)) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		ctx, cancel := context.WithTimeout(c.Request().Context(), commandTimeout)
@@ -98,7 +99,8 @@
 	}
 }
 
-// statusCode is how a command's error is answered. What is none of the errors here may be retried.
+// statusCode returns the HTTP status for an error of a command. Clients may retry after any error that is
+// not listed here.
 func statusCode(err error) int {
 	switch {
 	case errors.Is(err, ErrInvalidSpec):
--- a/internal/rollout/keys.go
+++ b/internal/rollout/keys.go
@@ -5,24 +5,25 @@
 	"strings"
 )
 
-// Keys of the state service.
+// Keys in the state service.
 const (
-	// Prefix is what all keys of this package begin with.
+	// Prefix is the common prefix of all keys of this package.
 	Prefix        = "rollout/"
 	indexKey      = Prefix + "index"
 	recordPrefix  = Prefix + "run/"
 	waitingPrefix = Prefix + "left/"
 )
 
-// recordKey is where a rollout's record is stored.
+// recordKey returns the key of a rollout's record.
 func recordKey(name Name) string { return recordPrefix + string(name) }
 
-// waitingKey is where one part of a rollout's waiting machines is stored.
+// waitingKey returns the key of one part of a rollout's waiting machines.
 func waitingKey(name Name, part int) string {
 	return waitingPrefix + string(name) + "/" + strconv.Itoa(part)
 }
 
-// parseWaitingKey tells which part of which rollout's waiting machines a key is.
+// parseWaitingKey returns the rollout and the part index that a key of waiting machines denotes; ok is false
+// for any other key.
 func parseWaitingKey(key string) (name Name, part int, ok bool) {
 	rest, ok := strings.CutPrefix(key, waitingPrefix)
 	if !ok {
--- a/internal/rollout/machineset.go
+++ b/internal/rollout/machineset.go
@@ -12,31 +12,31 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-// MachineSet is a set of machines. The cloud numbers its machines, so a set is a compressed bitmap
-// of numbers for each form of name: thousands of machines then fit into a value of the state
-// service. The zero value is the empty set.
+// MachineSet is a set of machine names. The cloud numbers its machines, so the set holds one compressed
+// bitmap of numbers for each name pattern: thousands of machines then fit into a value of the state service.
+// The zero value is the empty set.
 //
-// A copy by assignment shares its bitmaps; Clone makes one that shares nothing.
+// A copy by assignment shares the bitmaps with the original; Clone makes an independent copy.
 type MachineSet struct {
 	series []nameSeries
 }
 
-// nameSeries is the machines whose names differ only in their number.
+// nameSeries is a set of machines whose names differ only in their number.
 type nameSeries struct {
 	prefix string
-	// digits is the width of numbers with leading zeros, as in host-000231; 0: they are written
-	// without leading zeros; noNumber: the name ends in no digit.
+	// digits is the width of numbers with leading zeros, as in host-000231. It is 0 for numbers without
+	// leading zeros, and noNumber for a name that does not end in a number.
 	digits  int
 	numbers *roaring.Bitmap
 }
 
-// noNumber marks a name that does not end in a number.
+// noNumber is the value of digits for a name that does not end in a number.
 const noNumber = -1
 
-// maxDigits is how many digits a number has at most to fit into a bitmap.
+// maxDigits is the maximum number of digits of a number that certainly fits into a bitmap.
 const maxDigits = 9
 
-// splitName takes a machine's name apart.
+// splitName splits a machine's name into its prefix, the width of its number, and the number.
 func splitName(name ids.Machine) (prefix string, digits int, number uint32) {
 	text := string(name)
 	from := len(text)
@@ -53,7 +53,7 @@
 	return text[:from], digits, uint32(value)
 }
 
-// name is the name of the machine with a number.
+// name returns the name of the machine with the given number.
 func (s *nameSeries) name(number uint32) ids.Machine {
 	switch {
 	case s.digits == noNumber:
@@ -64,7 +64,7 @@
 	return ids.Machine(s.prefix + strconv.FormatUint(uint64(number), 10))
 }
 
-// NewMachineSet is the set of the machines named.
+// NewMachineSet returns a set of the given machines.
 func NewMachineSet(names ...ids.Machine) MachineSet {
 	var set MachineSet
 	for _, name := range names {
@@ -73,7 +73,7 @@
 	return set
 }
 
-// find is the index of the series that a name belongs to, or at which it would be inserted.
+// find returns the index of the series with the given prefix and digits, or the index at which to insert it.
 func (m *MachineSet) find(prefix string, digits int) (position int, found bool) {
 	return slices.BinarySearchFunc(m.series, nameSeries{prefix: prefix, digits: digits}, compareSeries)
 }
@@ -85,7 +85,7 @@
 	return a.digits - b.digits
 }
 
-// Add puts a machine into the set.
+// Add adds a machine to the set.
 func (m *MachineSet) Add(name ids.Machine) {
 	prefix, digits, number := splitName(name)
 	position, found := m.find(prefix, digits)
@@ -95,7 +95,7 @@
 	m.series[position].numbers.Add(number)
 }
 
-// Remove takes a machine out of the set, and reports whether it was there.
+// Remove removes a machine from the set and reports whether the set contained it.
 func (m *MachineSet) Remove(name ids.Machine) bool {
 	prefix, digits, number := splitName(name)
 	position, found := m.find(prefix, digits)
@@ -108,14 +108,14 @@
 	return true
 }
 
-// Has reports whether a machine is in the set.
+// Has reports whether the set contains a machine.
 func (m *MachineSet) Has(name ids.Machine) bool {
 	prefix, digits, number := splitName(name)
 	position, found := m.find(prefix, digits)
 	return found && m.series[position].numbers.Contains(number)
 }
 
-// Len counts the machines.
+// Len returns the number of machines.
 func (m *MachineSet) Len() (n int) {
 	for i := range m.series {
 		n += int(m.series[i].numbers.GetCardinality())
@@ -123,8 +123,8 @@
 	return n
 }
 
-// All are the machines, in order of their names' prefixes and numbers. The set must not change
-// meanwhile.
+// All returns an iterator over the machines, sorted by prefix and number. The set must not change during the
+// iteration.
 func (m *MachineSet) All() iter.Seq[ids.Machine] {
 	return func(yield func(ids.Machine) bool) {
 		for i := range m.series {
@@ -137,7 +137,7 @@
 	}
 }
 
-// Clone is a copy that shares nothing.
+// Clone returns an independent copy.
 func (m *MachineSet) Clone() MachineSet {
 	copied := MachineSet{series: slices.Clone(m.series)}
 	for i := range copied.series {
@@ -146,7 +146,7 @@
 	return copied
 }
 
-// Overlap is a machine that is in both sets, if there is one.
+// Overlap returns a machine that both sets contain, if there is one.
 func (m *MachineSet) Overlap(other *MachineSet) (ids.Machine, bool) {
 	for i := range m.series {
 		position, found := other.find(m.series[i].prefix, m.series[i].digits)
--- a/internal/rollout/machineset_json.go
+++ b/internal/rollout/machineset_json.go
@@ -9,14 +9,14 @@
 	"github.com/RoaringBitmap/roaring/v2"
 )
 
-// storedSeries is a series as it is stored: the bitmap in roaring's own portable format.
+// storedSeries is the stored form of a nameSeries. Numbers holds the bitmap in roaring's portable format.
 type storedSeries struct {
 	Prefix  string `json:"p"`
 	Digits  int    `json:"d,omitempty"`
 	Numbers string `json:"n"`
 }
 
-// MarshalJSON writes the set.
+// MarshalJSON encodes the set as a list of storedSeries.
 func (m MachineSet) MarshalJSON() ([]byte, error) {
 	stored := make([]storedSeries, 0, len(m.series))
 	for _, series := range m.series {
@@ -31,7 +31,7 @@
 	return json.Marshal(stored)
 }
 
-// UnmarshalJSON reads what MarshalJSON wrote; a set that does not decode is an error.
+// UnmarshalJSON decodes the output of MarshalJSON.
 func (m *MachineSet) UnmarshalJSON(text []byte) error {
 	var stored []storedSeries
 	if err := json.Unmarshal(text, &stored); err != nil {
@@ -51,7 +51,7 @@
 	return nil
 }
 
-// decode reads the numbers, which may be none.
+// decode returns the bitmap of numbers, which may be empty.
 func (s *storedSeries) decode() (*roaring.Bitmap, error) {
 	raw, err := base64.RawStdEncoding.DecodeString(s.Numbers)
 	if err != nil {
--- a/internal/rollout/machineset_parts.go
+++ b/internal/rollout/machineset_parts.go
@@ -4,20 +4,20 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-// The bytes that a stored set takes at most, also after any of its machines were taken out: a
-// number takes two in a container of the bitmap, and everything is written as base64.
+// Upper bounds for the stored size of a set in bytes, which also hold after any of its machines are removed:
+// a number takes two bytes in a container of the bitmap, and base64 encodes three bytes as four.
 const (
 	storedBytesPerMachine   = 2.0 * 4 / 3
 	storedBytesPerContainer = 16.0 * 4 / 3
 	storedBytesPerSeries    = 48.0
-	containerBits           = 16 // the low bits of a number; the others choose its container
+	containerBits           = 16 // count of low bits of a number; the higher bits select its container
 )
 
-// partFillRatio is how much of a value a part may fill.
+// partFillRatio is the share of a value's size limit that a part may fill.
 const partFillRatio = 0.9
 
-// Parts splits a set into sets that each fit a value of so many bytes, also after any of their
-// machines have been taken out.
+// Parts splits the set into sets that each fit into a value of valueBytes, also after any of their machines
+// are removed.
 func (m *MachineSet) Parts(valueBytes int) []MachineSet {
 	splitter := partSplitter{maxBytes: partFillRatio * float64(valueBytes)}
 	for name := range m.All() {
@@ -27,13 +27,13 @@
 	return splitter.parts
 }
 
-// partSplitter collects the parts of a set, whose machines it is given in order.
+// partSplitter splits a set into parts. The machines must be added in the order of MachineSet.All.
 type partSplitter struct {
 	maxBytes float64
 	parts    []MachineSet // finished
 	part     MachineSet
-	bytes    float64 // of the part
-	// container is that of the bitmap which the last machine is in.
+	bytes    float64 // upper bound of the size of part
+	// container is the bitmap container of the last machine added.
 	container int
 }
 
@@ -47,7 +47,7 @@
 	p.part.Add(name)
 }
 
-// bytesFor is by how much a machine makes the part longer.
+// bytesFor returns the upper bound of the bytes that a machine adds to the part.
 func (p *partSplitter) bytesFor(name ids.Machine) float64 {
 	prefix, digits, number := splitName(name)
 	if _, found := p.part.find(prefix, digits); !found {
@@ -61,7 +61,7 @@
 
 func containerOf(number uint32) int { return int(number >> containerBits) }
 
-// finishPart closes the part, unless it is empty.
+// finishPart appends the current part to the finished parts, unless it is empty.
 func (p *partSplitter) finishPart() {
 	if p.bytes > 0 {
 		p.parts = append(p.parts, p.part)
--- a/internal/rollout/machineset_test.go
+++ b/internal/rollout/machineset_test.go
@@ -40,8 +40,9 @@
 }
 
 func TestMachineSetPartsFitSmallValues(t *testing.T) {
-	// 6,000 machines of a fleet that has had a million, in values of 8 KiB; and machines whose
-	// names have no numbers. Taking any of them out must not make a part too large.
+	// Splits sets of 6,000 machines into values of 8 KiB: scattered numbers of up to a million, dense
+	// numbers, and names that do not end in a number. The removal of machines must not make a part too
+	// large.
 	const machines, value = 6000, 8192
 	random := rand.New(rand.NewPCG(1, 2))
 	var scattered, dense, unnumbered MachineSet
--- a/internal/rollout/orders.go
+++ b/internal/rollout/orders.go
@@ -6,21 +6,21 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-// Order is what a rollout wants with one machine.
+// Order is a rollout's instruction to the leader for one machine.
 type Order struct {
 	Rollout Name
 	Wave    int
-	// Drain has the machine drained, within the teams' disruption budgets; without it the
-	// machine is only cordoned.
+	// Drain makes the leader evict the machine's tasks within the teams' disruption budgets; without it
+	// the machine is only cordoned.
 	Drain bool
-	// Return has it returned to the cloud.
+	// Return makes the leader return the machine to the cloud.
 	Return bool
-	// Surge tells that a replica is stopped only after there is room for it elsewhere.
+	// Surge makes the leader stop a replica only once another machine has capacity for it.
 	Surge bool
-	// Replace tells that the rollout itself provisions the replacement of this machine.
+	// Replace reports whether the rollout itself provisions the replacement of this machine.
 	Replace bool
-	// Stop tells that tasks that save no checkpoints are stopped as well, since the step's
-	// deadline is over.
+	// Stop makes the leader also stop tasks that save no checkpoints, because the deadline of the step
+	// has passed.
 	Stop bool
 }
 
@@ -30,30 +30,30 @@
 	ClassCount
 }
 
-// Orders are what all rollouts want of the leader. They follow from what is stored alone, and
-// carrying them out is idempotent.
+// Orders are the instructions of all rollouts to the leader. They are derived from the stored records alone,
+// and carrying them out is idempotent.
 type Orders struct {
 	Machines     map[ids.Machine]Order
 	Provisioning []ProvisioningRequest
-	// ClosedZones are the zones being drained for good, where nothing new is provisioned, with
-	// the rollouts that drain them.
+	// ClosedZones maps each zone that is drained permanently to the rollout that drains it. Nothing new is
+	// provisioned in these zones.
 	ClosedZones map[string]Name
-	// Keep are replacements that are not returned for being idle while they are observed.
+	// Keep contains the replacements of the present waves, which must not be returned for being idle.
 	Keep map[ids.Machine]bool
 }
 
-// Counters of the leader, for operators and rehearsals.
+// Names of the leader's counters, which operators and rehearsals read.
 const (
 	PermitsGiven   = "permits given"
 	PermitsRefused = "permits refused"
 )
 
-// NewOrders makes empty orders.
+// NewOrders returns empty orders.
 func NewOrders() *Orders {
 	return &Orders{Machines: map[ids.Machine]Order{}, Keep: map[ids.Machine]bool{}, ClosedZones: map[string]Name{}}
 }
 
-// add puts in what follows from one rollout.
+// add adds the orders of one rollout.
 func (o *Orders) add(record *Record, now time.Time) {
 	if record.drainsWholeZone() {
 		o.ClosedZones[record.Spec.Select.Zone] = record.Spec.Name
@@ -86,7 +86,7 @@
 	}
 }
 
-// addReplacements keeps the wave's replacements and asks for those that have not been provisioned.
+// addReplacements adds the wave's replacements to Keep and its unanswered requests to Provisioning.
 func (o *Orders) addReplacements(record *Record) {
 	for i := range record.Wave.ReplacementRequests {
 		request := &record.Wave.ReplacementRequests[i]
@@ -99,10 +99,10 @@
 	}
 }
 
-// isRunningOrPaused reports whether the rollout's machines stay cordoned until it goes on.
+// isRunningOrPaused reports whether the rollout is in a state in which its machines stay cordoned.
 func (r *Record) isRunningOrPaused() bool { return r.State == Running || r.State == Paused }
 
-// drainsWholeZone reports whether the rollout drains a whole zone for good.
+// drainsWholeZone reports whether the rollout drains a whole zone permanently.
 func (r *Record) drainsWholeZone() bool {
 	selection := &r.Spec.Select
 	isZone := selection.Zone != "" && selection.Type == "" && selection.Digest == ""
--- a/internal/rollout/preview.go
+++ b/internal/rollout/preview.go
@@ -8,36 +8,36 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-// Planner is the view of the fleet that a plan is made from.
+// Planner is a view of the fleet with the additional data that planning requires.
 type Planner interface {
 	View
-	// Machines lists all machines that are up or being provisioned.
+	// Machines returns all machines that are up or being provisioned.
 	Machines() []ids.Machine
-	// BootTime is about how long a machine of an instance class takes until it is up.
+	// BootTime returns the approximate time that a machine of an instance class takes to boot.
 	BootTime(kind InstanceClass) time.Duration
-	// StepTime is about how long one step of draining a machine takes.
+	// StepTime returns the approximate duration of one step of draining a machine.
 	StepTime() time.Duration
 }
 
-// Preview is what a rollout would do as things are now. It is a plan and no promise: each
-// eviction asks the disruption budgets when it is due.
+// Preview is the plan of a rollout in the present state of the fleet. The plan is not binding: the
+// disruption budgets are checked again when each eviction is due.
 type Preview struct {
 	Machines []ids.Machine   `json:"machines"`
 	Waves    [][]ids.Machine `json:"waves"`
-	// Takes is about how long the rollout takes if nothing fails, in seconds, without the machines
-	// that are blocked.
+	// Takes is the approximate duration of the rollout in seconds if nothing fails, without the time that
+	// blocked machines wait.
 	Takes ids.Seconds `json:"takes"`
-	// Blocked are the machines that can't be drained now, and why.
+	// Blocked lists the machines that cannot be drained now, with the reasons.
 	Blocked []BlockedMachine `json:"blocked,omitempty"`
 }
 
-// BlockedMachine is a machine that would wait, and for what.
+// BlockedMachine is a machine that cannot be drained now, with the reasons.
 type BlockedMachine struct {
 	Name ids.Machine `json:"name"`
 	Why  []string    `json:"why"`
 }
 
-// NewPreview selects a description's machines and plans its waves. It changes nothing.
+// NewPreview selects the machines of a specification and plans its waves. It changes nothing.
 func NewPreview(spec *Spec, fleet Planner, now time.Time) (*Preview, error) {
 	names, err := selectMachines(spec, fleet, now)
 	if err != nil {
@@ -57,7 +57,7 @@
 	return preview, nil
 }
 
-// addWave adds a wave and the time that it takes.
+// addWave adds a wave and its estimated duration.
 func (p *Preview) addWave(spec *Spec, wave []candidate, fleet Planner) {
 	var names []ids.Machine
 	for i := range wave {
@@ -70,8 +70,8 @@
 	p.Takes += ids.Seconds(waveTime(spec, wave, fleet).Seconds())
 }
 
-// waveTime is about how long a wave takes: one step after the other, since the machines of a wave
-// share the budgets.
+// waveTime returns the approximate duration of a wave. The steps of all its machines are added up, since the
+// machines of a wave share the disruption budgets.
 func waveTime(spec *Spec, wave []candidate, fleet Planner) (total time.Duration) {
 	bootTime := time.Duration(0)
 	for i := range wave {
@@ -84,8 +84,8 @@
 	return total
 }
 
-// selectMachines lists the machines that a description selects, in order of their names. One that
-// is named and unknown is an error.
+// selectMachines returns the machines that a specification selects, sorted by name. It returns an error
+// if the specification names an unknown machine or selects none.
 func selectMachines(spec *Spec, fleet Planner, now time.Time) ([]ids.Machine, error) {
 	selection := &spec.Select
 	names := fleet.Machines()
@@ -111,7 +111,7 @@
 	return selected, nil
 }
 
-// matches reports whether a machine has the zone, type and age that are selected.
+// matches reports whether a machine has the selected zone, type and age.
 func (s *Selection) matches(machine Machine, now time.Time) bool {
 	return (s.Zone == "" || machine.Class.Zone == s.Zone) &&
 		(s.Type == "" || machine.Class.Type == s.Type) &&
--- a/internal/rollout/print.go
+++ b/internal/rollout/print.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// Print writes a status, a line for each machine of the present wave.
+// Print writes the status as text, with one line for each machine of the present wave.
 func (s *Status) Print(out io.Writer) { writeText(out, s.text()) }
 
 func (s *Status) text() string {
@@ -39,7 +39,7 @@
 	return text.String()
 }
 
-// Print writes a plan.
+// Print writes the plan as text.
 func (p *Preview) Print(out io.Writer) { writeText(out, p.text()) }
 
 func (p *Preview) text() string {
@@ -60,7 +60,7 @@
 	return text.String()
 }
 
-// writeText writes to an operator's terminal.
+// writeText writes to an operator's terminal and ignores errors.
 func writeText(out io.Writer, text string) {
-	_, _ = io.WriteString(out, text) // nobody is left to tell if the terminal is gone
+	_, _ = io.WriteString(out, text) // a failed write to the terminal cannot be reported anywhere
 }
--- a/internal/rollout/reconcile.go
+++ b/internal/rollout/reconcile.go
@@ -8,25 +8,25 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-// recordChange is what a rollout becomes: its record, and the parts of its waiting machines that
-// are different. Both are stored in one transaction before anything that follows from them is done.
+// recordChange is a change of a rollout: its new record, and the changed parts of its waiting machines by
+// index. Both are stored in one transaction before any orders derived from them are carried out.
 type recordChange struct {
 	record  *Record
 	waiting map[int]MachineSet
 }
 
-// reconciler decides what one rollout does next, from its record and the fleet as it is now.
+// reconciler computes the next step of one rollout from its record and the present state of the fleet.
 type reconciler struct {
 	record  *Record
 	waiting *waitingMachines
 	view    View
 	now     ids.Timestamp
-	changed bool // the record
+	changed bool // whether record was changed
 }
 
-// reconcile decides what a rollout does next; nil if nothing changes. yield makes it release what
-// it cordoned and has not begun to drain, since an older rollout waits for room. One change
-// rewrites at most maxParts parts of the waiting machines.
+// reconcile computes the next change of a rollout; it returns nil if nothing changes. With yield, the
+// rollout uncordons the machines from which no tasks are being evicted, because an older rollout waits
+// for capacity. One change rewrites at most maxParts parts of the waiting machines.
 func reconcile(record *Record, waiting []MachineSet, view View, now time.Time, maxParts int, yield bool) (*recordChange, error) {
 	r := &reconciler{
 		record:  record.clone(),
@@ -65,24 +65,25 @@
 	return nil
 }
 
-// machinesIn lists the machines of the wave in a state; the list stays while they are moved.
+// machinesIn returns the machines of the wave in a state as a list, which stays valid while the machines
+// change their states.
 func (r *reconciler) machinesIn(state MachineState) []ids.Machine {
 	return slices.Collect(r.record.machinesIn(state).All())
 }
 
-// transitionMachine takes a machine of the wave to another state.
+// transitionMachine moves a machine of the wave to another state.
 func (r *reconciler) transitionMachine(name ids.Machine, from, to MachineState) error {
 	r.changed = true
 	return r.record.Wave.transition(name, from, to)
 }
 
-// transition takes the rollout to another state.
+// transition moves the rollout to another state.
 func (r *reconciler) transition(to State, why string) error {
 	r.changed = true
 	return r.record.transition(to, why)
 }
 
-// recordDeleted notes which machines were deleted, whatever the rollout's state.
+// recordDeleted moves deleted machines of the wave to state Returned, in any state of the rollout.
 func (r *reconciler) recordDeleted() error {
 	for _, state := range cordonedStates {
 		for _, name := range r.machinesIn(state) {
@@ -97,7 +98,8 @@
 	return nil
 }
 
-// halt stops the rollout until an operator resumes it.
+// halt stops the rollout until an operator resumes or aborts it, and uncordons the machines that are not
+// empty.
 func (r *reconciler) halt(why string) error {
 	if err := r.transition(Halted, why); err != nil {
 		return err
@@ -105,7 +107,8 @@
 	return r.release(allMachines)
 }
 
-// abort ends the rollout once what is empty has been returned.
+// abort uncordons the machines that are not empty, and ends the rollout once its empty machines are
+// returned.
 func (r *reconciler) abort() error {
 	if err := r.release(allMachines); err != nil {
 		return err
@@ -119,7 +122,7 @@
 	return r.transition(Ended, fmt.Sprintf("aborted with %d of %d machines through", r.record.Done, r.record.Total))
 }
 
-// yieldCapacity releases what is not being drained yet, and goes on with the rest.
+// yieldCapacity uncordons the machines from which no tasks are being evicted, and continues with the others.
 func (r *reconciler) yieldCapacity() error {
 	notEvicting := func(machine Machine) bool { return !machine.Evicting }
 	if err := r.release(notEvicting); err != nil {
@@ -133,7 +136,7 @@
 
 func allMachines(Machine) bool { return true }
 
-// release uncordons machines of the wave that are not empty, and lets them wait again.
+// release uncordons the matching machines of the wave that are not empty; they wait for a later wave again.
 func (r *reconciler) release(selects func(Machine) bool) error {
 	if r.record.Wave == nil {
 		return nil
--- a/internal/rollout/record.go
+++ b/internal/rollout/record.go
@@ -8,40 +8,41 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-// storedVersion is the version of the stored form that this program writes and reads.
+// storedVersion is the version of the stored format that this program writes, and the latest one it reads.
 const storedVersion = 1
 
-// Record is a rollout as the state service stores it. What is done follows from it alone.
+// Record is the stored state of a rollout. The leader derives all orders of the rollout from it.
 type Record struct {
 	Version int `json:"version"`
-	// ID tells it from every other rollout, also an earlier one of the same name.
+	// ID distinguishes the rollout from all others, including earlier ones of the same name.
 	ID    string `json:"id"`
 	Spec  Spec   `json:"spec"`
 	State State  `json:"state"`
-	// Reason is the reason for the state, for operators.
+	// Reason explains the state to operators.
 	Reason    string        `json:"why,omitempty"`
 	StartedAt ids.Timestamp `json:"started"`
-	// Total is how many machines were selected, Done how many of them are through.
+	// Total is the number of machines selected, Done the number of them that the rollout has completed.
 	Total int `json:"total"`
 	Done  int `json:"done"`
-	// Parts is in how many parts the waiting machines are stored.
+	// Parts is the number of parts in which the waiting machines are stored.
 	Parts int `json:"parts"`
-	// Waves counts the waves started; the next one starts at NextWave at the earliest.
+	// Waves is the number of waves started; the next one starts at NextWave at the earliest.
 	Waves    int           `json:"waves"`
 	NextWave ids.Timestamp `json:"nextWave,omitempty"`
 	Wave     *Wave         `json:"wave,omitempty"`
-	// Resumed tells that an operator has resumed it after a halt and the leader has not gone on
-	// yet.
+	// Resumed reports whether an operator has resumed the rollout after a halt and the leader has not yet
+	// prepared the wave for that.
 	Resumed bool `json:"resumed,omitempty"`
-	// Writer and Seq tell a writer that lost an answer whether what it finds is its own.
+	// Writer and Seq allow a writer that got no answer to recognize its own record in a later read.
 	Writer string `json:"writer"`
 	Seq    uint64 `json:"seq"`
 }
 
-// ErrNewerVersion tells that a newer version of the program stored a rollout.
+// ErrNewerVersion reports that a newer version of the program stored a rollout.
 var ErrNewerVersion = errors.New("stored by a newer version")
 
-// decodeRecord reads a stored rollout.
+// decodeRecord decodes a stored record. It returns an error for a newer format version and for an unknown
+// state.
 func decodeRecord(raw json.RawMessage) (*Record, error) {
 	var version struct {
 		Version int `json:"version"`
@@ -62,13 +63,13 @@
 	return record, nil
 }
 
-// signBy marks the record as the next one of a writer.
+// signBy sets the writer of the record and increments its sequence number.
 func (r *Record) signBy(writer string) {
 	r.Writer = writer
 	r.Seq++
 }
 
-// clone is a copy that shares nothing that changes.
+// clone returns a copy that shares no mutable data with the record.
 func (r *Record) clone() *Record {
 	copied := *r
 	if r.Wave != nil {
@@ -77,12 +78,13 @@
 	return &copied
 }
 
-// setsPerMachine is in how many sets a machine of a wave, or its replacement, may be at a time.
+// setsPerMachine is the maximum number of stored sets that contain a machine of a wave or its replacement at
+// the same time.
 const setsPerMachine = 3
 
-// checkWaveFits refuses a wave so large that the record would not fit into a value.
+// checkWaveFits returns an error if the wave size is so large that the record might not fit into a value.
 func (r *Record) checkWaveFits(valueBytes int) error {
-	const besidesMachines = 2048 // the description, requests and the common parts of names
+	const besidesMachines = 2048 // the specification, the requests and the prefixes of names
 	maximum := int(float64(valueBytes-besidesMachines) / (setsPerMachine * storedBytesPerMachine))
 	if r.Spec.WaveSize > max(maximum, 1) && r.Total > maximum {
 		return fmt.Errorf("%w: wave size: a record of %d bytes holds waves of %d machines at most: %d", ErrInvalidSpec, valueBytes, maximum, r.Spec.WaveSize)
@@ -90,7 +92,7 @@
 	return nil
 }
 
-// machinesIn lists the wave's machines in a state; none without a wave.
+// machinesIn returns the machines of the wave in a state; the set is empty if there is no wave.
 func (r *Record) machinesIn(state MachineState) *MachineSet {
 	if r.Wave == nil {
 		return &MachineSet{}
@@ -99,7 +101,7 @@
 	return &set
 }
 
-// Summary is the state of a rollout, in a line.
+// Summary returns the state of the rollout in one line.
 func (r *Record) Summary() string {
 	text := fmt.Sprintf("%s, %d of %d machines through", r.State, r.Done, r.Total)
 	if r.Wave != nil {
--- a/internal/rollout/replacements.go
+++ b/internal/rollout/replacements.go
@@ -7,22 +7,22 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-// maxPerRequest is the most machines that the cloud provisions in one request (protocol,
+// maxPerRequest is the maximum number of machines that the cloud provisions in one request (protocol,
 // POST /hosts).
 const maxPerRequest = 50
 
-// ReplacementPrefix begins the names of all requests for replacements; no other provisioning request's
-// name begins so.
+// ReplacementPrefix is the prefix of the names of all replacement requests. No other provisioning request
+// has a name with this prefix.
 const ReplacementPrefix = "ro-"
 
-// replacementsDue reports whether missing replacements are to be requested now: with a surge from
-// the beginning, without one when the machines of the wave have been returned.
+// replacementsDue reports whether missing replacements are requested now: with Surge from the start of the
+// wave, without it once the machines of the wave have been returned.
 func (r *reconciler) replacementsDue() bool {
 	spec := &r.record.Spec
 	return spec.Replace && (spec.Surge || r.record.Wave.count(cordonedStates...) == 0)
 }
 
-// requestMissing requests the replacements that no request covers yet.
+// requestMissing adds requests for the replacements that the existing requests do not cover.
 func (r *reconciler) requestMissing() {
 	wave := r.record.Wave
 	for _, needed := range wave.Needed {
@@ -40,8 +40,8 @@
 	}
 }
 
-// updateReplacements records what became of the replacements. It returns why the rollout has to
-// halt, empty if it need not.
+// updateReplacements updates the replacement requests of the wave from the fleet. It returns the reason
+// why the rollout must halt, empty if it need not.
 func (r *reconciler) updateReplacements() (haltReason string) {
 	wave := r.record.Wave
 	for i := range wave.ReplacementRequests {
@@ -54,14 +54,15 @@
 			return reason
 		}
 	}
-	// One that was provisioned in part, or lost machines to the cloud, leaves the rest to a new one.
+	// A request that was provisioned in part, or whose machines the cloud reclaimed, keeps a lower count;
+	// requestMissing makes a new request for the rest.
 	wave.ReplacementRequests = slices.DeleteFunc(wave.ReplacementRequests, func(request ReplacementRequest) bool {
 		return request.Answered && request.Count == 0
 	})
 	return ""
 }
 
-// recordAnswer notes which machines the cloud provisioned.
+// recordAnswer stores in the request which machines the cloud provisioned, once the cloud has answered.
 func (r *reconciler) recordAnswer(request *ReplacementRequest) {
 	if request.Answered {
 		return
@@ -76,14 +77,15 @@
 	request.Count = len(machines)
 }
 
-// updateReadiness notes which replacements are ready, and finds those that failed.
+// updateReadiness stores in the request which replacements are ready. It returns the reason to halt if a
+// replacement has failed.
 func (r *reconciler) updateReadiness(request *ReplacementRequest) (haltReason string) {
 	for _, name := range slices.Collect(request.Machines.All()) {
 		machine := r.view.Machine(name)
 		wasReady := request.Ready.Has(name)
 		switch {
 		case machine.Reclaimed:
-			// This says nothing of the replacement; another one is requested.
+			// A reclaimed machine is no sign of a faulty replacement; another one is requested.
 			r.changed = true
 			request.remove(name)
 			request.Count--
@@ -101,7 +103,7 @@
 	return ""
 }
 
-// checkDeadline finds a request whose replacements are not all ready in time.
+// checkDeadline returns the reason to halt if the request's replacements are not all ready in time.
 func (r *reconciler) checkDeadline(request *ReplacementRequest) (haltReason string) {
 	ready, deadline := request.Ready.Len(), r.record.Spec.Deadline
 	if ready >= request.Count || r.now <= request.RequestedAt+wallOf(deadline) {
@@ -111,7 +113,8 @@
 		request.Count, request.Class, r.record.Wave.Number, request.Machines.Len(), ready, float64(deadline))
 }
 
-// replacementsReady reports whether every replacement that the wave needs is ready.
+// replacementsReady reports whether all replacements that the wave needs are ready; also true if the rollout
+// replaces no machines.
 func (r *reconciler) replacementsReady() bool {
 	if !r.record.Spec.Replace {
 		return true
@@ -122,8 +125,8 @@
 	})
 }
 
-// verifyReplacements carries returned machines on to replaced and verified; it tells whether all
-// are.
+// verifyReplacements moves returned machines to state Replaced once the replacements are ready, and to
+// Verified once these were observed for long enough. It reports whether all machines are verified.
 func (r *reconciler) verifyReplacements() bool {
 	wave := r.record.Wave
 	if !r.replacementsReady() || r.transitionAll(Returned, Replaced) != nil {
@@ -138,7 +141,7 @@
 	return r.transitionAll(Replaced, Verified) == nil
 }
 
-// transitionAll takes all machines of the wave in one state to another.
+// transitionAll moves all machines of the wave in one state to another.
 func (r *reconciler) transitionAll(from, to MachineState) error {
 	for _, name := range r.machinesIn(from) {
 		if err := r.transitionMachine(name, from, to); err != nil {
@@ -148,7 +151,7 @@
 	return nil
 }
 
-// adjustNeeded changes how many replacements of a class the wave needs.
+// adjustNeeded changes the number of replacements of a class that the wave needs.
 func (w *Wave) adjustNeeded(class InstanceClass, change int) {
 	for i := range w.Needed {
 		if w.Needed[i].Class == class {
@@ -161,7 +164,7 @@
 	}
 }
 
-// countRequested is how many replacements of a class have been requested.
+// countRequested returns the number of replacements of a class that have been requested.
 func (w *Wave) countRequested(class InstanceClass) (n int) {
 	for i := range w.ReplacementRequests {
 		if w.ReplacementRequests[i].Class == class {
@@ -171,7 +174,7 @@
 	return n
 }
 
-// countReady is how many replacements of a class are ready.
+// countReady returns the number of replacements of a class that are ready.
 func (w *Wave) countReady(class InstanceClass) (n int) {
 	for i := range w.ReplacementRequests {
 		if w.ReplacementRequests[i].Class == class {
@@ -181,9 +184,9 @@
 	return n
 }
 
-// discardFailedReplacements prepares a halted wave for being resumed: replacements that were not
-// ready are given up, and the time for which the rollout was halted counts against no deadline.
-// Whether those that were ready still are, the leader looks at again.
+// discardFailedReplacements prepares the wave of a halted rollout for resumption. It removes replacements
+// that were not ready or have failed, and restarts the deadlines, so that the time of the halt does not
+// count. The leader checks the readiness of the remaining ones again.
 func (w *Wave) discardFailedReplacements(now ids.Timestamp, failed func(ids.Machine) bool) {
 	w.ObservingSince = 0
 	w.restartDeadlines(now)
@@ -201,7 +204,8 @@
 	}
 }
 
-// restartDeadlines has the time for which a rollout did not go on count against no deadline.
+// restartDeadlines restarts all deadlines of the wave, so that the time for which the rollout was paused or
+// halted does not count.
 func (w *Wave) restartDeadlines(now ids.Timestamp) {
 	if w.DrainingSince > 0 {
 		w.DrainingSince = now
@@ -211,7 +215,7 @@
 	}
 }
 
-// remove takes a replacement off the request.
+// remove removes a replacement from the request.
 func (q *ReplacementRequest) remove(name ids.Machine) {
 	q.Machines.Remove(name)
 	q.Ready.Remove(name)
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -15,8 +15,8 @@
 )
 
 func TestRolloutOfSixThousandMachinesFitsSmallValues(t *testing.T) {
-	// The state service takes values of 8 KiB and twelve changes at a time; the fleet's numbers
-	// are scattered. A leader that ends in the middle is succeeded by one that goes on.
+	// The state service accepts values of 8 KiB and twelve operations per transaction, and the machine
+	// numbers are scattered. The leader ends during the rollout, and its successor continues it.
 	const machines = 6000
 	runHarness(t, 2*machines, func(h *harness) {
 		for name := range h.fleet.machines {
@@ -99,7 +99,7 @@
 
 func TestCommandsAreIdempotentAndFollowTheTransitions(t *testing.T) {
 	runHarness(t, 4, func(h *harness) {
-		// Nobody leads, so that nothing moves by itself.
+		// There is no leader, so only commands change the rollout.
 		spec := wholeFleet("spring")
 		for range 2 {
 			if _, err := h.service.Start(h.ctx, spec); err != nil {
@@ -143,7 +143,7 @@
 }
 
 func TestOneOfTwoConcurrentOverlappingStartsSucceeds(t *testing.T) {
-	// Both have read that no other rollout has the machines before either is stored.
+	// Both starts read that no other rollout has the machines before either is stored.
 	runHarness(t, 4, func(h *harness) {
 		h.planDelay = time.Second
 		outcomes := make(chan error, 2)
@@ -217,8 +217,8 @@
 }
 
 func TestUnreadableRolloutIsListedAndLeftAlone(t *testing.T) {
-	// Of a newer version, or damaged: it is listed, nothing of it is carried out or changed, and
-	// the others go on.
+	// A rollout of a newer version and a corrupt one are listed, but neither executed nor changed, and
+	// the other rollouts continue.
 	runHarness(t, 4, func(h *harness) {
 		put := func(key, value string) {
 			txn := state.Txn{Ops: []state.Op{{Put: key, Value: json.RawMessage(value)}}}
@@ -269,7 +269,7 @@
 	if len(preview.Blocked) != 1 || preview.Blocked[0].Name != "host-000001" {
 		t.Errorf("blocked: %v", preview.Blocked)
 	}
-	if preview.Takes != 95 { // seven steps of 5 s and one pause
+	if preview.Takes != 95 { // seven steps of 5 s and one pause of 60 s
 		t.Errorf("takes %v s", preview.Takes)
 	}
 }
--- a/internal/rollout/runner.go
+++ b/internal/rollout/runner.go
@@ -9,16 +9,16 @@
 	"github.com/pebbletrail/pebbletrail/internal/state"
 )
 
-// Store writes what the leader decides, under the condition that it still leads.
+// Store writes the leader's decisions on the condition that it still leads.
 type Store interface {
-	// ApplyIf carries all operations out or none. A *state.Conflict tells which conditions failed.
+	// ApplyIf executes all operations or none. A *state.ConflictError lists the conditions that failed.
 	ApplyIf(ctx context.Context, when []state.Condition, ops []state.Op) error
 }
 
-// Runner reconciles the stored rollouts with the fleet during one term of the leader. Nothing it
-// does depends on its memory: a successor goes on from the same records.
+// Runner reconciles the stored rollouts with the fleet during one term of the leader. It keeps no state that
+// its decisions depend on: a successor continues from the same records.
 //
-// Only the goroutine that calls Run uses it, so it needs no lock.
+// Only the goroutine that calls Run uses a Runner, so it needs no lock.
 type Runner struct {
 	Mirror *state.WatchCache // of the keys below Prefix
 	Store  Store
@@ -26,15 +26,15 @@
 	Writer string
 	Limits Limits
 
-	logged map[Name]string // the state that was last logged of each rollout
+	logged map[Name]string // last logged state of each rollout
 }
 
-// reconcileInterval is the pause between two passes over the rollouts.
+// reconcileInterval is the delay between two passes over the rollouts.
 const reconcileInterval = 250 * time.Millisecond
 
-// Run reconciles until the context ends. It starts no goroutines.
+// Run reconciles the rollouts until the context ends. It starts no goroutines.
 func (r *Runner) Run(ctx context.Context) {
-	stale := true // what an earlier leader wrote last may not be in the mirror yet
+	stale := true // the mirror may not yet contain the last writes of an earlier leader
 	for ctx.Err() == nil {
 		if stale && r.Mirror.Sync(ctx) == nil {
 			stale = false
@@ -43,7 +43,7 @@
 			stale = r.reconcileAll(ctx, time.Now())
 		}
 		if stale {
-			continue // the mirror spaces its reads
+			continue // the mirror limits the rate of its reads
 		}
 		select {
 		case <-ctx.Done():
@@ -52,8 +52,8 @@
 	}
 }
 
-// reconcileAll makes one pass over all rollouts. It tells whether it wrote anything, so that the
-// mirror has to be read before the next pass.
+// reconcileAll makes one pass over all rollouts. It reports whether it may have written anything, in
+// which case the mirror must be synchronized before the next pass.
 func (r *Runner) reconcileAll(ctx context.Context, now time.Time) (wrote bool) {
 	entries, _ := r.Mirror.Entries()
 	snapshot := readSnapshot(entries)
@@ -68,8 +68,8 @@
 	return wrote
 }
 
-// reconcileActive carries the active rollouts on, the oldest first, and collects their orders. Once
-// one waits for room, the later ones release what they cordoned.
+// reconcileActive reconciles the active rollouts, oldest first, and collects their orders. If a rollout
+// waits for capacity, all later ones yield theirs.
 func (r *Runner) reconcileActive(ctx context.Context, snapshot *rolloutSnapshot, now time.Time) (orders *Orders, wrote bool) {
 	orders = NewOrders()
 	rollouts := snapshot.active()
@@ -91,7 +91,7 @@
 	return orders, wrote
 }
 
-// waitsForRoom reports whether a rollout drains machines whose tasks find no room.
+// waitsForRoom reports whether a rollout drains a machine whose tasks fit on no other machine.
 func waitsForRoom(record *Record, view View) bool {
 	if record.State != Running {
 		return false
@@ -104,8 +104,8 @@
 	return false
 }
 
-// store writes a change; rollout becomes what is surely stored. It is false if surely nothing was
-// written.
+// store writes a change, and updates rollout if the write was confirmed. It returns false if the change was
+// certainly not written.
 func (r *Runner) store(ctx context.Context, rollout *storedRollout, change *recordChange, snapshot *rolloutSnapshot) (wrote bool) {
 	change.record.signBy(r.Writer)
 	txn, err := updateTransaction(rollout, change, snapshot, r.Limits)
@@ -114,8 +114,8 @@
 		return false
 	}
 	if err := r.Store.ApplyIf(ctx, txn.Conditions, txn.Ops); err != nil {
-		// Whether it was carried out, the next read tells; the same condition keeps a late
-		// copy of it and whatever is written next from both taking effect.
+		// The next read shows whether the transaction was executed. If it is executed late, it cannot
+		// take effect together with the next write, since both require the same revision of the record.
 		slog.Debug("rollout not stored", "rollout", rollout.record.Spec.Name, "err", err)
 		return !errors.Is(err, state.ErrRefused)
 	}
@@ -127,14 +127,15 @@
 	return true
 }
 
-// removeOrphanedParts removes parts of rollouts that have ended.
+// removeOrphanedParts removes parts of rollouts that have ended or do not exist. It returns false if
+// certainly nothing was removed.
 func (r *Runner) removeOrphanedParts(ctx context.Context, orphans []state.Entry) (wrote bool) {
 	txn := removeTransaction(orphans, r.Limits)
 	err := r.Store.ApplyIf(ctx, txn.Conditions, txn.Ops)
 	return err == nil || !errors.Is(err, state.ErrRefused)
 }
 
-// logState logs the state of a rollout when it has changed.
+// logState logs the state of a rollout if it differs from the last one logged.
 func (r *Runner) logState(name Name, state string) {
 	if r.logged == nil {
 		r.logged = map[Name]string{}
--- a/internal/rollout/scale_test.go
+++ b/internal/rollout/scale_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// BenchmarkPlan is the time to plan a rollout over all machines; the figures are in docs/drains.md.
+// BenchmarkPlan measures the time to plan a rollout of all machines; docs/drains.md has the results.
 func BenchmarkPlan(b *testing.B) {
 	for _, machines := range []int{50, 500, 6000} {
 		b.Run(fmt.Sprint(machines), func(b *testing.B) {
@@ -24,7 +24,8 @@
 }
 
 func TestWritesScaleWithWavesNotMachines(t *testing.T) {
-	// Twenty waves, whatever the size of the fleet: what is stored changes by waves and parts.
+	// Each rollout has twenty waves for any fleet size: the number of writes must depend on waves and
+	// parts, not on machines.
 	for _, machines := range []int{50, 500, 6000} {
 		runHarness(t, machines, func(h *harness) {
 			h.startLeader("b")
--- a/internal/rollout/service.go
+++ b/internal/rollout/service.go
@@ -12,31 +12,32 @@
 	"github.com/pebbletrail/pebbletrail/internal/state"
 )
 
-// The outcomes of a command besides success. Each is told in one line; nothing is changed.
+// Errors of commands. The message of each is a single line. A command that returns one has changed nothing,
+// except that after ErrUnavailable the change may have been stored.
 var (
-	// ErrNotFound tells that there is no rollout of the name.
+	// ErrNotFound reports that there is no rollout of the given name.
 	ErrNotFound = errors.New("no such rollout")
-	// ErrSpecConflict tells that the name was used for another description.
+	// ErrSpecConflict reports that a rollout of the same name has a different specification.
 	ErrSpecConflict = errors.New("a rollout of this name exists and says something else")
-	// ErrOverlap tells that an active rollout has one of the machines.
+	// ErrOverlap reports that one of the machines belongs to another active rollout.
 	ErrOverlap = errors.New("a machine is in another rollout")
-	// ErrUnreadable tells that what is stored is damaged or of a newer version.
+	// ErrUnreadable reports that the stored rollout is corrupt or was written by a newer version.
 	ErrUnreadable = errors.New("the stored rollout can't be read by this version")
-	// ErrUnavailable tells that the state service or the leader does not answer; the command may be
-	// repeated.
+	// ErrUnavailable reports that the state service or the leader does not answer, or that concurrent
+	// changes prevented the command; it may be retried.
 	ErrUnavailable = errors.New("not now")
 )
 
-// Leader is what the leader is asked for, wherever it is.
+// Leader forwards requests to the present leader, on whichever controller it runs.
 type Leader interface {
-	// PlanDrain makes a plan as things are now.
+	// PlanDrain returns a plan for the present state of the fleet.
 	PlanDrain(ctx context.Context, spec *Spec) (*Preview, error)
-	// DrainWaits tells what the machines being drained wait for.
+	// DrainWaits returns, for each machine being drained, the reasons why it waits.
 	DrainWaits(ctx context.Context) (map[ids.Machine][]string, error)
 }
 
-// Service carries out the operators' commands, at any controller. All commands are idempotent. Its
-// fields are not changed after the start, so calls may run at the same time.
+// Service executes the operators' commands on any controller. All commands are idempotent. The fields do not
+// change after the start, so calls may run concurrently.
 type Service struct {
 	Mirror       *state.WatchCache // of the keys below Prefix
 	Client       *state.Client
@@ -46,10 +47,10 @@
 	Limits       Limits
 }
 
-// maxAttempts is how often a command is tried that conflicts with other changes.
+// maxAttempts is the maximum number of attempts of a command that conflicts with concurrent changes.
 const maxAttempts = 5
 
-// Plan tells what a rollout would do; it changes nothing.
+// Plan returns the plan of a rollout without starting it.
 func (s *Service) Plan(ctx context.Context, spec *Spec) (*Preview, error) {
 	if err := spec.Check(s.Installation()); err != nil {
 		return nil, err
@@ -61,7 +62,8 @@
 	return preview, err
 }
 
-// Start stores a rollout, which the leader then carries out. The same start again changes nothing.
+// Start stores a rollout, which the leader then executes. Repeating a start with the same specification
+// changes nothing.
 func (s *Service) Start(ctx context.Context, spec *Spec) (*Status, error) {
 	if err := spec.Check(s.Installation()); err != nil {
 		return nil, err
@@ -78,7 +80,7 @@
 		if existing != nil {
 			return statusOf(existing, nil), nil
 		}
-		// Whatever the answer to this is, the next read tells whether it is stored.
+		// Whether the rollout is stored is determined by the next read.
 		if err := s.create(ctx, snapshot, spec); err != nil {
 			return nil, err
 		}
@@ -86,7 +88,7 @@
 	return nil, fmt.Errorf("%w: others change rollouts at the same time", ErrUnavailable)
 }
 
-// create plans a rollout and tries to store it. Whether that succeeded is not told.
+// create plans a rollout and tries to store it. A nil error does not imply that the rollout was stored.
 func (s *Service) create(ctx context.Context, snapshot *rolloutSnapshot, spec *Spec) error {
 	preview, err := s.Plan(ctx, spec)
 	if err != nil {
@@ -108,7 +110,7 @@
 	return err
 }
 
-// newRecord makes the record of a new rollout, and the parts of its waiting machines.
+// newRecord returns the record of a new rollout and the parts of its waiting machines.
 func (s *Service) newRecord(spec *Spec, selected *MachineSet) (*Record, []MachineSet, error) {
 	parts := selected.Parts(s.Limits.ValueBytes)
 	if len(parts) > s.Limits.maxParts() {
@@ -129,13 +131,13 @@
 	return record, parts, record.checkWaveFits(s.Limits.ValueBytes)
 }
 
-// newID makes an id for a rollout that no other has.
+// newID returns an ID for a rollout that is unique except with negligible probability.
 func newID(startedAt ids.Timestamp, random uint32) string {
 	return fmt.Sprintf("%x-%x", int64(startedAt), random)
 }
 
-// commit tries to store a transaction. It is false without an error if that may be repeated after
-// the next read: it met another change, or its answer was lost.
+// commit tries to store a transaction. It returns false and no error if the caller may retry after the next
+// read: the transaction conflicted with another change, or its answer was lost.
 func (s *Service) commit(ctx context.Context, txn *transaction) (stored bool, err error) {
 	_, err = s.Client.Commit(ctx, txn.Txn, state.Normal)
 	var conflict *state.ConflictError
@@ -148,7 +150,8 @@
 	return false, fmt.Errorf("%w: %v", ErrUnavailable, err)
 }
 
-// Execute carries out a command on a stored rollout. One that has its effect already changes nothing.
+// Execute executes a command on a stored rollout. It changes nothing if the rollout already has the
+// resulting state.
 func (s *Service) Execute(ctx context.Context, name Name, command Command) (*Status, error) {
 	for range maxAttempts {
 		snapshot, err := s.readSnapshot(ctx)
@@ -182,7 +185,7 @@
 	return nil, fmt.Errorf("%w: the rollout changes at the same time", ErrUnavailable)
 }
 
-// Status tells the state of a rollout and what its machines wait for.
+// Status returns the state of a rollout and what its machines wait for.
 func (s *Service) Status(ctx context.Context, name Name) (*Status, error) {
 	snapshot, err := s.readSnapshot(ctx)
 	if err != nil {
@@ -204,7 +207,7 @@
 	return statusOf(rollout, waits), nil
 }
 
-// List lists all rollouts, oldest first, also those that can't be read.
+// List returns the status of all rollouts, oldest first, followed by those that cannot be read.
 func (s *Service) List(ctx context.Context) ([]*Status, error) {
 	snapshot, err := s.readSnapshot(ctx)
 	if err != nil {
@@ -221,7 +224,7 @@
 	return statuses, nil
 }
 
-// readSnapshot brings the mirror up to date: an answer must not be older than the question.
+// readSnapshot synchronizes the mirror and returns a snapshot: an answer must not be older than its request.
 func (s *Service) readSnapshot(ctx context.Context) (*rolloutSnapshot, error) {
 	if err := s.Mirror.Sync(ctx); err != nil {
 		return nil, fmt.Errorf("%w: the state service does not answer: %v", ErrUnavailable, err)
--- a/internal/rollout/snapshot.go
+++ b/internal/rollout/snapshot.go
@@ -12,7 +12,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/state"
 )
 
-// storedRollout is a rollout with the revisions under which it was read.
+// storedRollout is a rollout with the revisions at which its record and parts were read.
 type storedRollout struct {
 	record           *Record
 	revision         ids.Revision
@@ -20,31 +20,31 @@
 	waitingRevisions []ids.Revision
 }
 
-// activeIndex lists the rollouts that have not ended. Each start and each end changes it, so that
-// two starts at the same moment exclude each other.
+// activeIndex lists the rollouts that have not ended. Each start and each end of a rollout changes the
+// index, so that of two concurrent starts one conflicts.
 type activeIndex struct {
 	Active []Name `json:"active"`
 }
 
-// without is the index without one rollout.
+// without returns a copy of the index without one rollout.
 func (a activeIndex) without(name Name) activeIndex {
 	isNamed := func(active Name) bool { return active == name }
 	return activeIndex{Active: slices.DeleteFunc(slices.Clone(a.Active), isNamed)}
 }
 
-// rolloutSnapshot is all that is stored of rollouts, at one moment.
+// rolloutSnapshot is the stored state of all rollouts at one moment.
 type rolloutSnapshot struct {
 	rollouts      map[Name]*storedRollout
 	index         activeIndex
 	indexRevision ids.Revision
-	// unreadable are rollouts that can't be read, and why.
+	// unreadable maps each rollout that cannot be read to the reason.
 	unreadable map[Name]string
-	// orphanedParts are parts whose rollout has ended or does not exist.
+	// orphanedParts are stored parts whose rollout has ended or does not exist.
 	orphanedParts []state.Entry
 }
 
-// readSnapshot reads the entries below Prefix. What can't be read is listed and left alone; the
-// rest goes on.
+// readSnapshot decodes the entries below Prefix. Rollouts that cannot be decoded are listed as unreadable
+// and not changed; they do not affect the others.
 func readSnapshot(entries []state.Entry) *rolloutSnapshot {
 	s := &rolloutSnapshot{rollouts: map[Name]*storedRollout{}, unreadable: map[Name]string{}}
 	for _, entry := range entries {
@@ -86,7 +86,7 @@
 	}
 }
 
-// addPart reads one part of a rollout's waiting machines.
+// addPart decodes one part of a rollout's waiting machines.
 func (s *rolloutSnapshot) addPart(entry state.Entry) {
 	name, part, ok := parseWaitingKey(entry.Key)
 	if !ok || s.unreadable[name] != "" {
@@ -109,7 +109,7 @@
 	s.unreadable[name] = reason
 }
 
-// active lists the rollouts that have not ended, oldest first.
+// active returns the rollouts that have not ended, oldest first.
 func (s *rolloutSnapshot) active() []*storedRollout {
 	var rollouts []*storedRollout
 	for _, rollout := range s.rollouts {
@@ -123,7 +123,7 @@
 	return rollouts
 }
 
-// find is a rollout that can be read, with ErrUnreadable or ErrNotFound.
+// find returns a rollout by its name, or ErrUnreadable or ErrNotFound.
 func (s *rolloutSnapshot) find(name Name) (*storedRollout, error) {
 	if reason, unreadable := s.unreadable[name]; unreadable {
 		return nil, fmt.Errorf("%w: %s: %s", ErrUnreadable, name, reason)
@@ -134,8 +134,8 @@
 	return nil, fmt.Errorf("%w: %s", ErrNotFound, name)
 }
 
-// findSame finds the rollout of a description: nil if there is none of its name, an error if that
-// has another description.
+// findSame returns the stored rollout with the name and specification of spec. It returns nil if there is no
+// rollout of that name, and ErrSpecConflict if its specification differs.
 func (s *rolloutSnapshot) findSame(spec *Spec) (*storedRollout, error) {
 	rollout, err := s.find(spec.Name)
 	switch {
@@ -149,7 +149,7 @@
 	return rollout, nil
 }
 
-// findOverlap finds one of the machines that an active rollout has, and which one that is.
+// findOverlap returns an active rollout that contains one of the machines, and that machine.
 func (s *rolloutSnapshot) findOverlap(machines *MachineSet) (Name, ids.Machine, bool) {
 	for _, rollout := range s.active() {
 		sets := slices.Clone(rollout.waiting)
@@ -165,5 +165,5 @@
 	return "", "", false
 }
 
-// unreadableNote tells operators about a rollout that can't be read.
+// unreadableNote returns the note with which operators are told that a rollout cannot be read.
 func unreadableNote(reason string) string { return "set aside: " + reason }
--- a/internal/rollout/spec.go
+++ b/internal/rollout/spec.go
@@ -12,65 +12,66 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-// Name is a rollout's name, chosen by the operator. It makes commands idempotent.
+// Name is the name of a rollout, chosen by the operator. It identifies the rollout in repeated commands,
+// which makes them idempotent.
 type Name string
 
-// namePattern is what names look like: they are part of a key and of a path.
+// namePattern matches valid names. Names are part of a key and of a URL path.
 var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9-]{0,39}$`)
 
-// Selection says which machines a rollout takes, as they are when it starts. A machine has to match
-// all that is set; at least one must be set.
+// Selection specifies the machines of a rollout, which are determined when it starts. A machine must
+// match all fields that are set; at least one must be set.
 type Selection struct {
 	Machines []ids.Machine `json:"machines,omitempty"`
-	// Digest stands for the names of machines where a rollout is stored: thousands of names do
-	// not fit into a value, and which of them wait is stored beside it.
+	// Digest is a hash that replaces the list of machines in the stored specification: thousands of names
+	// do not fit into a value, and the set of waiting machines is stored separately.
 	Digest string `json:"digest,omitempty"`
 	Zone   string `json:"zone,omitempty"`
 	Type   string `json:"type,omitempty"`
-	// Older takes every machine provisioned before the rollout starts.
+	// Older selects the machines provisioned before the rollout starts.
 	Older bool `json:"older,omitempty"`
 }
 
-// AtDeadline is what happens to tasks that save no checkpoints and still run at a step's deadline.
+// AtDeadline is the treatment of tasks that save no checkpoints and still run at the deadline of a step.
 type AtDeadline string
 
-// The choices of an operator.
+// The values of AtDeadline.
 const (
-	// WaitAtDeadline lets them run to their end, however long that takes.
+	// WaitAtDeadline lets the tasks run to their end, however long that takes.
 	WaitAtDeadline AtDeadline = "wait"
-	// StopAtDeadline stops them, within the disruption budgets.
+	// StopAtDeadline stops the tasks, within the disruption budgets.
 	StopAtDeadline AtDeadline = "stop"
 )
 
-// Spec is a rollout as its operator described it. Durations are in seconds.
+// Spec is the operator's specification of a rollout. Durations are in seconds.
 type Spec struct {
 	Name   Name      `json:"name"`
 	Select Selection `json:"select"`
-	// Replace provisions a machine of the same instance class for each one returned.
+	// Replace requests a new machine of the same instance class for each machine returned.
 	Replace bool `json:"replace,omitempty"`
-	// Surge provisions before anything is stopped.
+	// Surge provisions the replacements before any task is stopped.
 	Surge bool `json:"surge,omitempty"`
-	// WaveSize is how many machines a wave takes at most, Pause the time between two waves.
+	// WaveSize is the maximum number of machines in a wave, Pause the time between two waves.
 	WaveSize int         `json:"waveSize"`
 	Pause    ids.Seconds `json:"pause,omitempty"`
-	// Deadline is how long a step may take: until AtDeadline applies, and until a replacement has
-	// to be ready.
+	// Deadline is the time after which AtDeadline applies to a step, and within which replacements must be
+	// ready.
 	Deadline   ids.Seconds `json:"deadline"`
 	AtDeadline AtDeadline  `json:"atDeadline"`
-	// Observe is how long replacements are observed before the next wave.
+	// Observe is the time for which replacements are observed before the next wave.
 	Observe ids.Seconds `json:"observe,omitempty"`
 }
 
-// Installation is what a description is checked against.
+// Installation is the configuration against which a specification is validated.
 type Installation struct {
 	Zones, Types []string
 	Shards       int
 }
 
-// ErrInvalidSpec tells that a description can't be carried out.
+// ErrInvalidSpec reports that a specification is invalid or cannot be executed.
 var ErrInvalidSpec = errors.New("not a rollout that can be carried out")
 
-// Check reports the first thing that is wrong with a description.
+// Check validates the specification and returns the first error found.
 func (s *Spec) Check(installation Installation) error {
 	bad := func(format string, args ...any) error {
 		return fmt.Errorf("%w: %s", ErrInvalidSpec, fmt.Sprintf(format, args...))
@@ -99,7 +100,7 @@
 	return nil
 }
 
-// digest is what stands for the names of machines; empty if none is named.
+// digest returns a hash of the sorted machine names, or the present Digest if no machines are named.
 func (s *Selection) digest() string {
 	if len(s.Machines) == 0 {
 		return s.Digest
@@ -112,15 +113,15 @@
 	return hex.EncodeToString(hash.Sum(nil)[:digestBytes])
 }
 
-// digestBytes is how much of a hash tells lists of machines apart.
+// digestBytes is the length to which the hash is truncated, which suffices to distinguish lists of machines.
 const digestBytes = 16
 
-// stored is a description as it is stored: with a digest in place of machines' names.
+// stored returns the stored form of the specification, with a digest in place of the machine names.
 func (s *Spec) stored() Spec {
 	stored := *s
 	stored.Select.Machines, stored.Select.Digest = nil, s.Select.digest()
 	return stored
 }
 
-// Same reports whether two descriptions say the same.
+// Same reports whether two specifications are equal in their stored form.
 func (s *Spec) Same(other *Spec) bool { return reflect.DeepEqual(s.stored(), other.stored()) }
--- a/internal/rollout/states.go
+++ b/internal/rollout/states.go
@@ -12,17 +12,18 @@
 // The states of a rollout.
 const (
 	Running State = "running"
-	// Paused rollouts were paused by an operator; their machines stay cordoned.
+	// Paused is the state of a rollout that an operator paused; its machines stay cordoned.
 	Paused State = "paused"
-	// Halted rollouts met a failure; their machines are back in service until an operator
-	// resumes or aborts.
+	// Halted is the state of a rollout that stopped after a failure. Its machines that are not empty are
+	// back in service until an operator resumes or aborts the rollout.
 	Halted State = "halted"
-	// Aborting rollouts end once their empty machines are returned.
+	// Aborting is the state of a rollout that an operator aborted; it ends once its empty machines are
+	// returned.
 	Aborting State = "aborting"
 	Ended    State = "ended"
 )
 
-// stateTransitions are all transitions of a rollout.
+// stateTransitions maps each state of a rollout to the states that may follow.
 var stateTransitions = map[State][]State{
 	Running:  {Paused, Halted, Aborting, Ended},
 	Paused:   {Running, Aborting},
@@ -30,36 +31,36 @@
 	Aborting: {Ended},
 }
 
-// MachineState is the state of one machine of a rollout.
+// MachineState is the state of one machine in a rollout.
 type MachineState string
 
 // The states of a machine.
 const (
-	// Waiting machines are in service and have their turn in a later wave.
+	// Waiting machines are in service and will be part of a later wave.
 	Waiting MachineState = "waiting"
-	// Cordoned machines get no new work.
+	// Cordoned machines get no new tasks.
 	Cordoned MachineState = "cordoned"
-	// Draining machines have their tasks evicted within the teams' disruption budgets.
+	// Draining machines get no new tasks, and their tasks are evicted within the teams' disruption budgets.
 	Draining MachineState = "draining"
-	// Empty machines have nothing on them any more and are returned to the cloud.
+	// Empty machines have no tasks left and are returned to the cloud.
 	Empty MachineState = "empty"
-	// Returned machines are gone.
+	// Returned machines no longer exist.
 	Returned MachineState = "returned"
-	// Replaced machines are gone and their replacements are ready.
+	// Replaced machines no longer exist, and their replacements are ready.
 	Replaced MachineState = "replaced"
-	// Verified machines have replacements that were observed for long enough.
+	// Verified machines have replacements that were observed for the time Spec.Observe.
 	Verified MachineState = "verified"
 )
 
 var (
-	// cordonedStates are those in which a machine gets no new work.
+	// cordonedStates are the states in which a machine still exists and gets no new tasks.
 	cordonedStates = []MachineState{Cordoned, Draining, Empty}
-	// waveStates are those of the machines of a wave, in order.
+	// waveStates are the possible states of the machines of a wave, in order.
 	waveStates = []MachineState{Cordoned, Draining, Empty, Returned, Replaced, Verified}
 )
 
-// machineTransitions are all transitions of a machine. A machine may be lost in any state, and
-// then counts as returned.
+// machineTransitions maps each state of a machine to the states that may follow. A machine may be lost in
+// any state, and then counts as returned.
 var machineTransitions = map[MachineState][]MachineState{
 	Waiting:  {Cordoned, Returned},
 	Cordoned: {Draining, Waiting, Returned},
@@ -69,18 +70,18 @@
 	Replaced: {Verified},
 }
 
-// ErrInvalidTransition tells that a transition is not allowed.
+// ErrInvalidTransition reports that a state transition is not allowed.
 var ErrInvalidTransition = errors.New("not an allowed move")
 
-// canBecome reports whether a rollout may go from this state to another.
+// canBecome reports whether a rollout in this state may change to another state.
 func (s State) canBecome(to State) bool { return slices.Contains(stateTransitions[s], to) }
 
-// canBecome reports whether a machine may go from this state to another.
+// canBecome reports whether a machine in this state may change to another state.
 func (s MachineState) canBecome(to MachineState) bool {
 	return slices.Contains(machineTransitions[s], to)
 }
 
-// transition takes the rollout to another state, unless that is not allowed.
+// transition moves the rollout to another state, or returns ErrInvalidTransition.
 func (r *Record) transition(to State, why string) error {
 	if !r.State.canBecome(to) {
 		return fmt.Errorf("%w: rollout %s is %s and can't be %s", ErrInvalidTransition, r.Spec.Name, r.State, to)
@@ -89,5 +90,5 @@
 	return nil
 }
 
-// isFinal reports whether nothing more happens in this state.
+// isFinal reports whether a rollout never leaves this state.
 func (s State) isFinal() bool { return s == Ended }
--- a/internal/rollout/status.go
+++ b/internal/rollout/status.go
@@ -4,7 +4,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-// Status is the state of a rollout, for operators.
+// Status is the state of a rollout as shown to operators.
 type Status struct {
 	Name      Name          `json:"name"`
 	State     State         `json:"state,omitempty"`
@@ -14,11 +14,11 @@
 	Done      int           `json:"done,omitempty"`
 	Waiting   int           `json:"waiting,omitempty"`
 	Wave      int           `json:"wave,omitempty"`
-	// Machines are those of the present wave.
+	// Machines are the machines of the present wave.
 	Machines []MachineStatus `json:"machines,omitempty"`
-	// Replacements are the requests of the present wave.
+	// Replacements are the replacement requests of the present wave.
 	Replacements []ReplacementStatus `json:"replacements,omitempty"`
-	// Note tells what is not known, or why the rollout can't be read.
+	// Note says which information is missing, or why the rollout cannot be read.
 	Note string `json:"note,omitempty"`
 }
 
@@ -29,8 +29,8 @@
 	Waits []string     `json:"waits,omitempty"`
 }
 
-// ReplacementStatus is the state of a request for replacements: how many were requested,
-// provisioned and are ready.
+// ReplacementStatus is the state of a replacement request: the numbers of machines requested, provisioned
+// and ready.
 type ReplacementStatus struct {
 	Kind        string `json:"kind"`
 	Requested   int    `json:"asked"`
@@ -38,7 +38,7 @@
 	Ready       int    `json:"up"`
 }
 
-// statusOf is the status of a stored rollout; waits are what the leader says of its machines.
+// statusOf returns the status of a stored rollout; waits are the leader's reasons why machines wait.
 func statusOf(rollout *storedRollout, waits map[ids.Machine][]string) *Status {
 	record := rollout.record
 	status := &Status{
@@ -60,7 +60,7 @@
 	return status
 }
 
-// addWave adds the machines of the present wave and their replacements.
+// addWave adds the machines and the replacement requests of the present wave.
 func (s *Status) addWave(record *Record, waits map[ids.Machine][]string) {
 	s.Wave = record.Wave.Number
 	for _, state := range waveStates {
@@ -80,7 +80,8 @@
 	}
 }
 
-// blockedByRollout is what a machine waits for because of the rollout's own state.
+// blockedByRollout returns the reasons why a machine in a state waits that follow from the rollout's own
+// state.
 func (r *Record) blockedByRollout(state MachineState) []string {
 	switch {
 	case r.State == Paused && (state == Cordoned || state == Draining):
--- a/internal/rollout/transaction.go
+++ b/internal/rollout/transaction.go
@@ -10,19 +10,20 @@
 	"github.com/pebbletrail/pebbletrail/internal/state"
 )
 
-// Limits are those of the state service.
+// Limits are the limits of the state service.
 type Limits struct {
-	ValueBytes int // of a value
-	TxnOps     int // operations of a transaction
+	ValueBytes int // maximum size of a value
+	TxnOps     int // maximum number of operations in a transaction
 }
 
-// opsBesideParts are the operations of a transaction that store no parts: the record and the index.
+// opsBesideParts is the number of operations of a transaction besides those on parts: one on the record,
+// one on the index.
 const opsBesideParts = 2
 
-// maxParts is how many parts one transaction rewrites.
+// maxParts returns the maximum number of parts that one transaction can rewrite.
 func (l Limits) maxParts() int { return max(1, l.TxnOps-opsBesideParts) }
 
-// errValueTooLarge tells that something does not fit into a value of the state service.
+// errValueTooLarge reports that an encoded value exceeds the size limit of the state service.
 var errValueTooLarge = errors.New("too large for a value of the state service")
 
 // transaction collects the operations of one compare-and-swap transaction.
@@ -31,12 +32,12 @@
 	limits Limits
 }
 
-// require makes the transaction depend on a key being unchanged since a revision; 0: absent.
+// require adds the condition that a key still has a revision; revision 0 requires that the key is absent.
 func (t *transaction) require(key string, revision ids.Revision) {
 	t.Conditions = append(t.Conditions, state.Condition{Key: key, Revision: revision})
 }
 
-// put stores a value as JSON, with errValueTooLarge if it does not fit.
+// put adds an operation that stores a value as JSON. It returns errValueTooLarge if the value does not fit.
 func (t *transaction) put(key string, value any) error {
 	encoded, err := json.Marshal(value)
 	if err != nil {
@@ -49,13 +50,13 @@
 	return nil
 }
 
-// remove removes a key.
+// remove adds an operation that removes a key.
 func (t *transaction) remove(key string) {
 	t.Ops = append(t.Ops, state.Op{Remove: key})
 }
 
-// updateTransaction stores a change of a rollout. The rollout that has ended leaves the index; its
-// parts are removed later, as orphans.
+// updateTransaction returns a transaction that stores a change of a rollout. A rollout that has ended is
+// removed from the index; its parts are removed later as orphans.
 func updateTransaction(rollout *storedRollout, change *recordChange, snapshot *rolloutSnapshot, limits Limits) (*transaction, error) {
 	record, name := change.record, change.record.Spec.Name
 	txn := &transaction{limits: limits}
@@ -76,7 +77,7 @@
 	return txn, nil
 }
 
-// createTransaction stores a new rollout over the machines of a plan.
+// createTransaction returns a transaction that stores a new rollout with the parts of its waiting machines.
 func createTransaction(record *Record, parts []MachineSet, snapshot *rolloutSnapshot, limits Limits) (*transaction, error) {
 	name := record.Spec.Name
 	txn := &transaction{limits: limits}
@@ -97,7 +98,7 @@
 	return txn, nil
 }
 
-// removeTransaction removes as many orphaned parts as one transaction may.
+// removeTransaction returns a transaction that removes as many orphaned parts as one transaction can.
 func removeTransaction(orphans []state.Entry, limits Limits) *transaction {
 	txn := &transaction{limits: limits}
 	for _, entry := range orphans[:min(len(orphans), limits.maxParts())] {
--- a/internal/rollout/waiting.go
+++ b/internal/rollout/waiting.go
@@ -7,12 +7,12 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-// waitingMachines are the machines of a rollout that wait for a later wave, in the parts in which
-// they are stored. A part is copied before its first change, so that what was read stays as it is.
+// waitingMachines holds the machines of a rollout that wait for a later wave, in the parts in which they are
+// stored. A part is copied before its first change, so that the original parts stay unchanged.
 type waitingMachines struct {
 	parts   []MachineSet
-	changed map[int]bool // by index of the part
-	// maxChanged is how many parts one transaction may rewrite.
+	changed map[int]bool // by part index
+	// maxChanged is the maximum number of parts that one transaction may rewrite.
 	maxChanged int
 }
 
@@ -20,7 +20,7 @@
 	return &waitingMachines{parts: slices.Clone(parts), changed: map[int]bool{}, maxChanged: maxChanged}
 }
 
-// count is how many machines wait.
+// count returns the number of machines.
 func (w *waitingMachines) count() (n int) {
 	for part := range w.parts {
 		n += w.parts[part].Len()
@@ -28,7 +28,8 @@
 	return n
 }
 
-// all are the machines, each with the index of its part. Machines may be removed meanwhile.
+// all returns an iterator over the machines, each with the index of its part. Machines may be removed during
+// the iteration.
 func (w *waitingMachines) all() iter.Seq2[int, ids.Machine] {
 	return func(yield func(int, ids.Machine) bool) {
 		for part := range w.parts {
@@ -41,7 +42,7 @@
 	}
 }
 
-// changedParts are the parts to store, by index.
+// changedParts returns the changed parts by index.
 func (w *waitingMachines) changedParts() map[int]MachineSet {
 	parts := map[int]MachineSet{}
 	for part := range w.changed {
@@ -50,7 +51,8 @@
 	return parts
 }
 
-// remove takes a machine out of a part; it is false if too many parts would be rewritten.
+// remove removes a machine from a part. It returns false, and removes nothing, if too many parts would be
+// rewritten.
 func (w *waitingMachines) remove(part int, name ids.Machine) bool {
 	if !w.modify(part) {
 		return false
@@ -59,8 +61,8 @@
 	return true
 }
 
-// add puts a machine into the smallest part that may be rewritten, which keeps every part within
-// a value, since all of them together once held more.
+// add adds a machine to the smallest part that may be rewritten. Every part then still fits into a value,
+// since the parts together held more machines when they were created.
 func (w *waitingMachines) add(name ids.Machine) {
 	smallest := -1
 	for part := range w.parts {
@@ -77,7 +79,7 @@
 	return w.changed[part] || len(w.changed) < w.maxChanged
 }
 
-// modify copies a part before its first change; it is false if too many parts would be rewritten.
+// modify copies a part before its first change. It returns false if too many parts would be rewritten.
 func (w *waitingMachines) modify(part int) bool {
 	if !w.mayModify(part) {
 		return false
--- a/internal/rollout/wave.go
+++ b/internal/rollout/wave.go
@@ -6,7 +6,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-// advanceWave carries a running rollout on: through its wave, or to the next one.
+// advanceWave advances a running rollout within its wave, or starts the next wave.
 func (r *reconciler) advanceWave() error {
 	if r.record.Wave == nil {
 		return r.startWave()
@@ -29,7 +29,8 @@
 	return r.finishWave()
 }
 
-// startWave takes the next machines, once the pause is over, or ends the rollout.
+// startWave starts a wave with the next machines once the pause is over. It ends the rollout if no
+// machines are left.
 func (r *reconciler) startWave() error {
 	if r.now < r.record.NextWave {
 		return nil
@@ -37,7 +38,7 @@
 	chosen := r.chooseMachines()
 	if len(chosen) == 0 {
 		if r.waiting.count() > 0 {
-			return nil // too many parts contain machines that are gone: the rest comes next
+			return nil // too many parts contain deleted machines; the next passes handle the rest
 		}
 		return r.end()
 	}
@@ -57,8 +58,8 @@
 	return nil
 }
 
-// chooseMachines takes the next wave out of the waiting machines. Machines that are gone are
-// through without a wave.
+// chooseMachines removes the machines of the next wave from the waiting machines and returns them.
+// Machines that were deleted count as done without being part of a wave.
 func (r *reconciler) chooseMachines() []ids.Machine {
 	var candidates []candidate
 	for part, name := range r.waiting.all() {
@@ -81,7 +82,7 @@
 	return chosen
 }
 
-// resumeWave prepares the wave of a halted rollout for going on.
+// resumeWave prepares the wave of a resumed rollout: it discards replacements that have failed.
 func (r *reconciler) resumeWave() {
 	r.record.Wave.discardFailedReplacements(r.now, func(name ids.Machine) bool {
 		machine := r.view.Machine(name)
@@ -90,7 +91,8 @@
 	r.record.Resumed, r.changed = false, true
 }
 
-// startDraining begins to drain the cordoned machines: with a surge, once replacements are ready.
+// startDraining moves the cordoned machines to state Draining; with Surge only once the replacements are
+// ready.
 func (r *reconciler) startDraining() error {
 	if r.record.Spec.Surge && !r.replacementsReady() {
 		return nil
@@ -104,7 +106,7 @@
 	return nil
 }
 
-// recordEmpty notes which machines have been drained.
+// recordEmpty moves machines that have been drained to state Empty.
 func (r *reconciler) recordEmpty() error {
 	for _, name := range r.machinesIn(Draining) {
 		machine := r.view.Machine(name)
@@ -118,7 +120,8 @@
 	return nil
 }
 
-// finishWave ends the wave once its machines are through.
+// finishWave closes the wave once all its machines are returned and, if the rollout replaces machines,
+// verified.
 func (r *reconciler) finishWave() error {
 	if r.record.Wave.count(cordonedStates...) > 0 {
 		return nil
@@ -134,19 +137,19 @@
 	return nil
 }
 
-// closeWave counts the machines of the wave that are through and removes it.
+// closeWave adds the completed machines of the wave to Done and removes the wave.
 func (r *reconciler) closeWave() {
 	r.changed = true
 	r.record.Done += r.record.Wave.count(Returned, Replaced, Verified)
 	r.record.Wave = nil
 }
 
-// end ends a rollout whose machines are all through.
+// end ends a rollout that has completed all its machines.
 func (r *reconciler) end() error {
 	return r.transition(Ended, fmt.Sprintf("all %d machines are through", r.record.Total))
 }
 
-// wallOf is a duration in the unit of wall times.
+// wallOf converts a duration to the unit of timestamps, milliseconds.
 func wallOf(seconds ids.Seconds) ids.Timestamp {
 	return ids.Timestamp(seconds.Duration().Milliseconds())
 }
--- a/internal/rollout/wave_record.go
+++ b/internal/rollout/wave_record.go
@@ -6,7 +6,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-// InstanceClass is the instance class of a machine, which its replacement shares.
+// InstanceClass is the instance class of a machine. Its replacement has the same class.
 type InstanceClass struct {
 	Type string `json:"type"`
 	Zone string `json:"zone"`
@@ -26,37 +26,37 @@
 	Count int           `json:"count"`
 }
 
-// ReplacementRequest provisions replacements. Its name is stored before it is sent and never used
-// for another one, so that it is idempotent: whoever leads may send it again.
+// ReplacementRequest is a request to the cloud for replacements. Its name is stored before it is sent and
+// never reused, which makes the request idempotent: any later leader may send it again.
 type ReplacementRequest struct {
 	Name ids.ProvisioningRequest `json:"name"`
 	ClassCount
 	RequestedAt ids.Timestamp `json:"asked"`
-	// Answered tells that the cloud has answered; Machines are those that it provisioned.
+	// Answered reports whether the cloud has answered; Machines are the machines that it provisioned.
 	Answered bool       `json:"answered,omitempty"`
 	Machines MachineSet `json:"machines"`
-	// Ready are those of the machines that have become ready.
+	// Ready are the machines of the request that have become ready.
 	Ready MachineSet `json:"up"`
 }
 
-// Wave is the machines that a rollout works on now.
+// Wave is the stored state of the present wave of a rollout: a group of machines drained together.
 type Wave struct {
 	Number    int                         `json:"number"`
 	StartedAt ids.Timestamp               `json:"began"`
 	Machines  map[MachineState]MachineSet `json:"machines"`
-	// DrainingSince is when the present step of draining began; zero before.
+	// DrainingSince is the time at which the present step of draining began; zero before.
 	DrainingSince ids.Timestamp `json:"drainingSince,omitempty"`
-	// Needed are the replacements that the wave needs.
+	// Needed is the number of replacements of each class that the wave needs.
 	Needed []ClassCount `json:"wanted,omitempty"`
-	// ReplacementRequests are the requests for replacements so far.
+	// ReplacementRequests are the wave's requests for replacements, without those given up.
 	ReplacementRequests []ReplacementRequest `json:"hires,omitempty"`
-	// RequestCount numbers the wave's requests, also those that were given up.
+	// RequestCount is the number of requests that the wave has made, including those given up.
 	RequestCount int `json:"hireCount,omitempty"`
-	// ObservingSince is since when all replacements are ready and observed; zero before.
+	// ObservingSince is the time since which all replacements have been ready and are observed; zero before.
 	ObservingSince ids.Timestamp `json:"observedSince,omitempty"`
 }
 
-// clone is a copy that shares nothing that changes.
+// clone returns a copy that shares no mutable data with the wave.
 func (w *Wave) clone() *Wave {
 	copied := *w
 	copied.Machines = map[MachineState]MachineSet{}
@@ -73,13 +73,14 @@
 	return &copied
 }
 
-// transition takes a machine of the wave to another state.
+// transition moves a machine of the wave to another state. It returns ErrInvalidTransition if the
+// transition is not allowed or the machine is not in state from.
 func (w *Wave) transition(name ids.Machine, from, to MachineState) error {
 	if set := w.Machines[from]; !from.canBecome(to) || !set.Has(name) {
 		return fmt.Errorf("%w: machine %s from %s to %s", ErrInvalidTransition, name, from, to)
 	}
 	w.remove(name, from)
-	if to != Waiting { // waiting machines are stored beside the record
+	if to != Waiting { // waiting machines are stored outside the record
 		w.add(name, to)
 	}
 	return nil
@@ -101,7 +102,7 @@
 	w.Machines[state] = set
 }
 
-// count is how many of the wave's machines are in the states named.
+// count returns the number of the wave's machines in the given states.
 func (w *Wave) count(states ...MachineState) (n int) {
 	for _, state := range states {
 		set := w.Machines[state]
--- a/internal/rollout/wave_test.go
+++ b/internal/rollout/wave_test.go
@@ -8,8 +8,8 @@
 )
 
 func TestWaveStartsAfterAllMachinesOfOneNameSeriesAreGone(t *testing.T) {
-	// The set of waiting machines keeps names of one form together and drops a form with its last
-	// machine, which happens while the next wave is chosen.
+	// A MachineSet groups names by series and removes a series with its last machine. This happens here
+	// while the machines of the next wave are chosen.
 	fleet := newFleet(0)
 	for _, name := range []ids.Machine{"host-000007", "spare-1"} {
 		fleet.machines[name] = &fakeMachine{Machine: Machine{Known: true, Ready: true, Tasks: 1}, weight: DrainCost{Steps: 1}}
