--- a/internal/fleet/boots_test.go
+++ b/internal/fleet/boots_test.go
@@ -11,20 +11,20 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-// bootingFleet has provisioned machines report once they have booted.
+// bootingFleet simulates machines that boot after they are provisioned and then send heartbeats.
 type bootingFleet struct {
 	cluster *clusterstate.State
 	cloud   *fake.Cloud
 	start   time.Time
-	seenAt  map[string]time.Time // when a machine was first there
+	seenAt  map[string]time.Time // when a machine was first seen among the provisioned ones
 	tick    ids.SequenceNumber
 }
 
-// bootTime is how long a machine boots that was provisioned so long after the start; 0: it never
-// comes up.
+// bootTime returns the boot time of a machine that was provisioned at the given time after the start; 0
+// if it never comes up.
 type bootTime func(machine string, provisioned time.Duration) time.Duration
 
-// report reports for all machines that have booted and were not deleted.
+// report delivers a heartbeat of each machine that has booted and was not deleted.
 func (f *bootingFleet) report(boot bootTime) {
 	f.tick++
 	deleted := map[string]bool{}
@@ -45,13 +45,14 @@
 	}
 }
 
-// provisioned is how many machines there were in all.
+// provisioned returns the number of machines provisioned in total.
 func (f *bootingFleet) provisioned() int { return countProvisioned(f.cloud) }
 
-// kept is how many of them were not deleted.
+// kept returns the number of provisioned machines that were not deleted.
 func (f *bootingFleet) kept() int { return f.provisioned() - len(f.cloud.DeletedMachines()) }
 
-// runBoots runs a job of 12 tasks, a machine each, for some seconds and has check look at each.
+// runBoots runs a job of 12 tasks, each of which needs a machine, for the given number of seconds, and calls
+// check after every second.
 func runBoots(t *testing.T, seconds int, boot bootTime, check func(second int, fleet *bootingFleet)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -69,10 +70,9 @@
 }
 
 func TestSlowBootsDoNotProvisionTheSameDemandAgain(t *testing.T) {
-	// Guards against giving machines up by their type's nominal time on a night when
-	// all take many times as long: they were deleted before they could come up, and
-	// provisioned anew, for ever. After it boots are as usual, and some that were provisioned in
-	// it never come.
+	// Guards against an endless cycle of deleting and provisioning when all boots are slow. Machines were
+	// deleted by the nominal boot time of their type while all took many times as long, so none came up
+	// before it was deleted. Later boots take their usual time.
 	slow := func(_ string, provisioned time.Duration) time.Duration {
 		if provisioned < 100*time.Second {
 			return 200 * time.Second
@@ -101,7 +101,7 @@
 }
 
 func TestMachineThatNeverComesUpIsReplacedThenDeleted(t *testing.T) {
-	// Two of the first never come, and one of those provisioned in their place.
+	// Two of the first machines never come up, nor does one of those provisioned in their place.
 	broken := map[string]bool{"host-000003": true, "host-000007": true, "host-000013": true}
 	runBoots(t, 400, func(machine string, _ time.Duration) time.Duration {
 		if broken[machine] {
@@ -130,7 +130,7 @@
 }
 
 func TestMachineThatBootsLateIsUsedOrDeleted(t *testing.T) {
-	// It joins after the one provisioned in its place: nobody needs it by then.
+	// The late machine comes up after the one provisioned in its place, when it is no longer needed.
 	runBoots(t, 330, func(machine string, _ time.Duration) time.Duration {
 		if machine == "host-000003" {
 			return 100 * time.Second
--- a/internal/fleet/cloud.go
+++ b/internal/fleet/cloud.go
@@ -1,5 +1,5 @@
-// Package fleet provisions machines of the cloud as the work demands and deletes those that it does
-// not need any more.
+// Package fleet provisions machines in the cloud as the workload requires and deletes those that are no
+// longer needed.
 package fleet
 
 import (
@@ -23,39 +23,42 @@
 	"github.com/pebbletrail/pebbletrail/internal/placement"
 )
 
-// What a call to the cloud can come to besides success.
+// Errors of calls to the cloud.
 var (
-	// errUnavailable means that an outage, the cloud's rate limit or this client's own kept the
-	// call from being executed.
+	// errUnavailable reports that the call was not executed because of an outage, the cloud's rate limit or
+	// this client's own rate limit.
 	errUnavailable = errors.New("cloud: unavailable")
-	// errNoCapacity means that none of that type, zone and kind are to be had now.
+	// errNoCapacity reports that the cloud has no machines of the requested type, zone and kind (spot or
+	// ordinary) at present.
 	errNoCapacity = errors.New("cloud: no capacity")
-	// errOutcomeUnknown means that no answer came: the call may have been executed, or may yet be.
+	// errOutcomeUnknown reports that there was no usable answer: the call may have been executed, or may
+	// still be.
 	errOutcomeUnknown = errors.New("cloud: no answer")
-	// errMalformed means that the cloud will never take this request.
+	// errMalformed reports that the cloud considers the request malformed and will never accept it.
 	errMalformed = errors.New("cloud: malformed")
-	// errNotLeader means that another node may be leader: nothing was sent.
+	// errNotLeader reports that another node may be leader, so the call was not sent.
 	errNotLeader = errors.New("cloud: another node may be leader")
 )
 
 const (
-	// callTimeout bounds a call, with the wait for this client's own rate limit.
+	// callTimeout is the maximum duration of a call, including the wait for this client's own rate limit.
 	callTimeout = 4 * time.Second
-	// rateShare is the share of the cloud's rate limit that this client uses: a failover briefly
-	// makes two leaders.
+	// rateShare is the share of the cloud's rate limit that this client uses, since there are briefly two
+	// leaders during a failover.
 	rateShare = 0.8
-	// listPageSize is the most machines that the cloud lists in one answer.
+	// listPageSize is the maximum number of machines in one page of the cloud's machine list.
 	listPageSize = 500
 )
 
-// Cloud is the client of the cloud's interface.
+// Cloud is a client of the cloud's API.
 type Cloud struct {
 	http    *httpjson.Client
 	limiter *rate.Limiter
 }
 
-// NewCloud makes a client for the cloud at address, a host with its port, that stays below callLimit
-// calls a second. Only the leader calls, so the limit is its alone but for a failover's overlap.
+// NewCloud returns a client for the cloud at address, a host and port, that makes fewer than callLimit calls
+// per second. Only the leader calls the cloud, so it shares the limit with no other node except during a
+// failover.
 func NewCloud(address string, httpClient *http.Client, callLimit float64) *Cloud {
 	own := callLimit * rateShare
 	return &Cloud{
@@ -64,20 +67,20 @@
 	}
 }
 
-// hasSpareCalls tells whether a call now would leave half of the rate limit's burst for others.
+// hasSpareCalls reports whether a call now would leave half of the rate limit's burst for other calls.
 func (c *Cloud) hasSpareCalls() bool {
 	return c.limiter.Tokens()-1 >= float64(c.limiter.Burst()/2)
 }
 
-// Types reads the machine types on offer.
+// Types returns the machine types that the cloud offers.
 func (c *Cloud) Types(ctx context.Context) ([]placement.InstanceType, error) {
 	var answer typesAnswer
 	err := c.call(ctx, http.MethodGet, "/machine_types", nil, &answer, nil)
 	return answer.Types, err
 }
 
-// listPage reads the page of the machine list that follows a machine's name; more tells whether
-// there is another after it.
+// listPage returns the page of the machine list that follows the machine named after; more reports whether
+// another page follows.
 func (c *Cloud) listPage(ctx context.Context, after ids.Machine) (page []clusterstate.ListedMachine, more bool, err error) {
 	query := url.Values{"most": {strconv.Itoa(listPageSize)}}
 	if after != "" {
@@ -88,21 +91,21 @@
 	return answer.machines(), answer.More && len(answer.Hosts) > 0, err
 }
 
-// provision asks for machines and returns those that the cloud gave, perhaps fewer. The same request
-// may be sent again and provisions nothing twice.
+// provision requests machines and returns those provisioned, which may be fewer than requested. It is
+// idempotent: sending the same request again provisions nothing more.
 func (c *Cloud) provision(ctx context.Context, request provisioningRequest, isLeader func() bool) ([]ids.Machine, error) {
 	var answer machineNames
 	err := c.call(ctx, http.MethodPost, "/hosts", request, &answer, isLeader)
 	return answer.Machines, err
 }
 
-// delete returns machines to the cloud; once it succeeds they and all on them are gone.
+// delete deletes machines in the cloud. After a success the machines and all tasks on them no longer exist.
 func (c *Cloud) delete(ctx context.Context, machines []ids.Machine, isLeader func() bool) error {
 	return c.call(ctx, http.MethodPost, "/hosts/delete", machineNames{machines}, nil, isLeader)
 }
 
-// call makes one call and decodes its answer. isLeader, if given, is asked after the wait for the
-// rate limit, right before anything goes out.
+// call makes one call and decodes its answer. If isLeader is not nil, it is called after the wait for the
+// rate limit, directly before the request is sent.
 func (c *Cloud) call(ctx context.Context, method, path string, body, answer any, isLeader func() bool) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -131,7 +134,7 @@
 	return nil
 }
 
-// checkStatus is the error that an answer stands for; nil if the call was executed.
+// checkStatus returns the error that corresponds to the status of a response; nil if the call was executed.
 func checkStatus(response httpjson.Response) error {
 	switch response.Status {
 	case http.StatusOK:
--- a/internal/fleet/large_fleet_test.go
+++ b/internal/fleet/large_fleet_test.go
@@ -13,10 +13,10 @@
 	"github.com/pebbletrail/pebbletrail/internal/record"
 )
 
-// largestFleet is how many machines the service is to run at.
+// largestFleet is the number of machines that the service must support.
 const largestFleet = 6000
 
-// provisionAll provisions so many machines and has their workers report.
+// provisionAll provisions count machines and delivers a heartbeat of each.
 func provisionAll(ctx context.Context, t *testing.T, cluster *clusterstate.State, cloud *Cloud, count int) {
 	t.Helper()
 	for i := range count / maxPerRequest {
@@ -32,14 +32,14 @@
 }
 
 func TestRequestDoesNotWaitForTheListOfALargeFleet(t *testing.T) {
-	// Guards against reading all pages of the machine list before anything else: at six
-	// thousand machines that took the calls of three seconds, again and again.
+	// Guards against reading all pages of the machine list before anything else: at six thousand machines
+	// each such read used up the call budget of three seconds.
 	synctest.Test(t, func(t *testing.T) {
 		ctx := context.Background()
 		network, cloud, cluster, _, provisioner := setup(largestFleet + 100)
 		provisionAll(ctx, t, cluster, provisioner.Cloud, largestFleet)
 		provisioner.Step(ctx)
-		// The platform's rate is five calls a second, and its list lags by five seconds.
+		// The cloud allows five calls per second, and its list lags by five seconds.
 		provisioner.Cloud, provisioner.ListInterval = NewCloud("cloud:1", network.Client("a"), 5), 2500*time.Millisecond
 		lists, slowest := map[time.Time]bool{}, time.Duration(0)
 		step := func() {
--- a/internal/fleet/listing.go
+++ b/internal/fleet/listing.go
@@ -10,18 +10,18 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-// listing is how far the machine list has been read.
+// listing is the progress of reading the machine list.
 type listing struct {
-	complete bool // it was read to its end at least once
+	complete bool // the list was read to its end at least once
 	reading  bool
-	began    time.Time   // when its first page was asked for
+	began    time.Time   // when the first page was requested
 	after    ids.Machine // the last machine read so far
 }
 
-// readList reads the machine list, which a large fleet spreads over many pages. Before it was read
-// to its end once nothing is provisioned, so all pages are read at once. Later it takes only the
-// calls that requests and deletions leave, over as many steps as that needs: thousands of machines
-// would otherwise hold up each request for as long as all the pages take.
+// readList reads the machine list, which has many pages for a large fleet. Nothing is provisioned before
+// the list has been read to its end once, so the first time all pages are read in one step. Later the
+// list is read over several steps, only with calls that requests and deletions leave spare: with
+// thousands of machines, each request would otherwise wait until all pages are read.
 func (p *Provisioner) readList(ctx context.Context, now time.Time) {
 	if !p.list.reading {
 		if !p.list.began.IsZero() && now.Sub(p.list.began) <= p.ListInterval {
@@ -33,7 +33,7 @@
 		page, more, err := p.Cloud.listPage(ctx, p.list.after)
 		if err != nil {
 			slog.Debug("machine list not read", "after", p.list.after, "err", err)
-			return // goes on from here in the next step
+			return // the next step continues with this page
 		}
 		p.Cluster.ReconcileCloudList(p.ownedOf(page), time.Now())
 		if more {
@@ -45,7 +45,7 @@
 	}
 }
 
-// ownedOf keeps of a page of the machine list what belongs to this shard.
+// ownedOf returns the machines of a page that belong to this shard.
 func (p *Provisioner) ownedOf(page []clusterstate.ListedMachine) []clusterstate.ListedMachine {
 	if p.Owns == nil {
 		return page
--- a/internal/fleet/messages.go
+++ b/internal/fleet/messages.go
@@ -6,9 +6,9 @@
 	"github.com/pebbletrail/pebbletrail/internal/placement"
 )
 
-// The JSON names in this file are the cloud's; they are mapped to the project's terms here.
+// This file maps the JSON names of the cloud's API to the names that this project uses.
 
-// typesAnswer holds the machine types on offer.
+// typesAnswer is the cloud's answer to a request for its machine types.
 type typesAnswer struct {
 	Types []placement.InstanceType `json:"builds"`
 }
@@ -19,7 +19,7 @@
 	More  bool         `json:"more"`
 }
 
-// listedHost is one machine of the list. Its fields have the cloud's names.
+// listedHost is one machine of the list. Its fields have the names of the cloud's API.
 type listedHost struct {
 	UID      ids.Machine `json:"uid"`
 	Endpoint string      `json:"endpoint"`
@@ -30,7 +30,7 @@
 	HeldS    ids.Seconds `json:"heldS"`
 }
 
-// machines is the page in the project's terms.
+// machines returns the machines of the page in the form that package clusterstate uses.
 func (a listAnswer) machines() []clusterstate.ListedMachine {
 	machines := make([]clusterstate.ListedMachine, len(a.Hosts))
 	for i, host := range a.Hosts {
@@ -47,13 +47,13 @@
 	return machines
 }
 
-// machineNames are the machines provisioned, or those to delete.
+// machineNames lists the machines provisioned by a request, or the machines to delete.
 type machineNames struct {
 	Machines []ids.Machine `json:"hosts"`
 }
 
-// provisioningRequest asks the cloud for machines. It is stored in this form before it is sent, so
-// that whoever is leader next can learn what it provisioned.
+// provisioningRequest is a request to the cloud for machines. It is stored in this form before it is
+// sent, so that a later leader can find out what it provisioned.
 type provisioningRequest struct {
 	// Name makes the request idempotent.
 	Name  ids.ProvisioningRequest `json:"hire"`
@@ -61,22 +61,22 @@
 	Zone  string                  `json:"yard"`
 	Spot  bool                    `json:"loaners"`
 	Count int                     `json:"count"`
-	// Machines are those provisioned, once that is known, where several shards have to tell whose
-	// they are.
+	// Machines are the machines provisioned, once known. They are stored only if there are several shards,
+	// which must know which shard owns a machine.
 	Machines []ids.Machine `json:"hosts,omitempty"`
 
-	attempted bool // to store it was tried without an answer: its name may be stored
+	attempted bool // an earlier write of the request got no answer: the request may be stored
 }
 
-// newRequest makes a request for what the placement wants.
+// newRequest returns a request with the given name for the machines wanted.
 func newRequest(name ids.ProvisioningRequest, wanted placement.ProvisioningRequest) provisioningRequest {
 	return provisioningRequest{Name: name, Type: wanted.Type, Zone: wanted.Zone, Spot: wanted.Spot, Count: wanted.Count}
 }
 
-// wanted is what the request asks for.
+// wanted returns the requested machines in the form that package placement uses.
 func (r provisioningRequest) wanted() placement.ProvisioningRequest {
 	return placement.ProvisioningRequest{Type: r.Type, Zone: r.Zone, Spot: r.Spot, Count: r.Count}
 }
 
-// offer is what the request would be refused for.
+// offer returns the offer that the cloud refuses if it refuses the request.
 func (r provisioningRequest) offer() offer { return offer{r.Type, r.Zone, r.Spot} }
--- a/internal/fleet/offers.go
+++ b/internal/fleet/offers.go
@@ -2,20 +2,23 @@
 
 import "time"
 
-// offer is what the cloud may refuse: machines of a type in a zone, spot or ordinary ones.
+// offer identifies the machines whose provisioning the cloud accepts or refuses together: those of one
+// type in one zone, either spot or ordinary.
 type offer struct {
 	instanceType, zone string
 	spot               bool
 }
 
 const (
-	// refusalPeriod is how long an offer is left alone after the cloud had too few of it.
+	// refusalPeriod is the time for which an offer is not requested after the cloud had too few machines
+	// of it.
 	refusalPeriod = 15 * time.Second
-	// malformedPeriod is the same after the cloud called a request malformed.
+	// malformedPeriod is the time for which an offer is not requested after the cloud rejected a request for
+	// it as malformed.
 	malformedPeriod = time.Minute
 )
 
-// noteRefused has an offer left alone for a period.
+// noteRefused excludes an offer from requests for a period.
 func (p *Provisioner) noteRefused(refused offer, period time.Duration) {
 	if p.refusedUntil == nil {
 		p.refusedUntil = map[offer]time.Time{}
--- a/internal/fleet/production_test.go
+++ b/internal/fleet/production_test.go
@@ -10,9 +10,8 @@
 )
 
 func TestProductionCloudRecordsAreWrittenBackUnchanged(t *testing.T) {
-	// Guards against a request for machines, or the machine types, that another version
-	// reads otherwise. The files were written by the version that deploy/service.toml
-	// names.
+	// Guards against changes after which another version decodes a stored request or the machine types
+	// differently. The files were written by the version that deploy/service.toml names.
 	for name, value := range map[string]any{"hire.json": &provisioningRequest{}, "types.json": &[]placement.InstanceType{}} {
 		want, err := os.ReadFile("testdata/production/" + name)
 		if err != nil {
--- a/internal/fleet/provisioner.go
+++ b/internal/fleet/provisioner.go
@@ -12,54 +12,56 @@
 	"github.com/pebbletrail/pebbletrail/internal/state"
 )
 
-// Store keeps provisioning requests, fenced by the leader's generation.
+// Store stores provisioning requests. Its writes are fenced by the leader's generation.
 type Store interface {
 	Apply(ctx context.Context, ops []state.Op) error
 }
 
 const (
-	// stepInterval spaces the rounds.
+	// stepInterval is the delay between two steps.
 	stepInterval = 250 * time.Millisecond
-	// typesInterval spaces the reads of the machine types.
+	// typesInterval is the interval between reads of the machine types.
 	typesInterval = 30 * time.Second
 )
 
-// Provisioner is the leader's loop that scales the fleet out and in as the work demands. One
-// goroutine uses it: it has no lock.
+// Provisioner is the leader's control loop that scales the fleet out and in with the workload. Only one
+// goroutine uses it, so it has no lock.
 type Provisioner struct {
 	Cloud   *Cloud
 	Cluster *clusterstate.State
 	Store   Store
-	// Generation makes the names of requests unique: it is this leader's alone.
+	// Generation is the leader's generation. No other leader has the same one, which makes the names of
+	// requests unique.
 	Generation ids.Generation
-	// ListInterval spaces the reads of the machine list; it lags anyway.
+	// ListInterval is the interval between reads of the machine list. Reading more often gains nothing,
+	// since the list lags.
 	ListInterval time.Duration
-	// ConfirmLeadership tells whether no other node can be leader yet; nil: none ever is. The cloud knows
-	// nothing of fencing tokens: a leader that was paused, or waited, for longer than its lease
-	// could delete the machines on which its successor has started work. So it is asked right
-	// before a deletion or request is sent.
+	// ConfirmLeadership reports whether certainly no other node is leader yet; if nil, there never is
+	// another. The cloud does not support fencing tokens: a leader that was paused or waited for longer
+	// than its lease could delete machines on which its successor has started tasks. The function is
+	// therefore called directly before a deletion or request is sent.
 	ConfirmLeadership func() bool
-	// Keys are where the shard's requests are stored.
+	// Keys are the keys under which the shard's requests are stored.
 	Keys record.ShardKeys
-	// Shard is told apart from others by its requests: where there are several, a request stays
-	// stored with the names of its machines until the last of them is deleted.
+	// Shard is this shard. If there are several, the names of requests contain the shard, and a request
+	// stays stored with the names of its machines until the last of them is deleted.
 	Shard ids.Shard
-	// Owns tells whether a listed machine is this shard's; nil: all are.
+	// Owns reports whether a listed machine belongs to this shard; if nil, all do.
 	Owns func(ids.Machine) bool
-	// OtherShardsShortage tells how long another shard has had a shortage of machines, and how many a
-	// shard has on average; nil: there is no other.
+	// OtherShardsShortage returns how long another shard has had a shortage of machines, and the average
+	// number of machines per shard; nil if there is no other shard.
 	OtherShardsShortage func() (shortage time.Duration, average int)
-	// OnMachineTypes is told the cloud's offer whenever it was read; nil: nobody is.
+	// OnMachineTypes is called with the machine types after each read, unless it is nil.
 	OnMachineTypes func([]placement.InstanceType)
 
 	typesReadAt    time.Time
 	list           listing
 	requests       requests
 	refusedUntil   map[offer]time.Time
-	consolidatedAt time.Time // when a machine to empty was last looked for
+	consolidatedAt time.Time // when consolidate last looked for a machine to empty
 }
 
-// Run keeps the fleet until the context ends.
+// Run calls Step at regular intervals until the context ends.
 func (p *Provisioner) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		p.Step(ctx)
@@ -70,7 +72,8 @@
 	}
 }
 
-// Step does one round: types, list, outstanding requests, deletions, new requests.
+// Step executes one step of the loop: it reads the machine types and the machine list, retries outstanding
+// requests, deletes machines that are not needed, and makes new requests.
 func (p *Provisioner) Step(ctx context.Context) {
 	now := time.Now()
 	if !p.readTypes(ctx, now) {
@@ -79,31 +82,31 @@
 	p.readList(ctx, now)
 	p.retryRequests(ctx)
 	if p.ConfirmLeadership != nil && !p.ConfirmLeadership() {
-		// Cut off or in an outage this leader hears of nothing: whatever it would decide might
-		// long be otherwise.
+		// During a network partition or an outage this leader gets no updates, so its decisions could be
+		// based on outdated state.
 		return
 	}
-	// Decided only now: what an outstanding request has provisioned must count, or a lost answer
-	// would provision everything twice.
+	// The plan is made only after the retries: it must count the machines of outstanding requests, or a lost
+	// answer would lead to every machine being provisioned twice.
 	wanted, needed := p.plan(now)
 	p.deleteUnneeded(ctx, needed)
 	p.provisionReplacements(ctx, now)
 	if p.requests.anyOutstanding() || !p.list.complete {
-		return // what they provision is not known yet
+		return // the machines of outstanding requests, or those listed, are not known yet
 	}
 	if len(wanted) == 0 {
 		p.consolidate()
 		return
 	}
 	if p.Cluster.Consolidate("", time.Now()) {
-		return // what was being emptied is wanted after all
+		return // the machine that was being emptied is needed after all
 	}
 	for _, machines := range wanted {
 		p.provision(ctx, machines)
 	}
 }
 
-// readTypes reads the machine types when that is due, and tells whether they are known.
+// readTypes reads the machine types if typesInterval has passed, and reports whether they are known.
 func (p *Provisioner) readTypes(ctx context.Context, now time.Time) (known bool) {
 	if !p.typesReadAt.IsZero() && now.Sub(p.typesReadAt) <= typesInterval {
 		return true
@@ -114,7 +117,7 @@
 			slog.Info("machine types not known yet", "err", err)
 			return false
 		}
-		return true // as they were
+		return true // the types read earlier remain in use
 	}
 	p.Cluster.SetMachineTypes(types)
 	p.typesReadAt = now
@@ -124,8 +127,8 @@
 	return true
 }
 
-// plan decides which machines to ask for and which of those there are stay needed. Other shards'
-// shortages count, and they are told of this one's.
+// plan returns the machines to request and the existing machines that are still needed. It takes the
+// shortages of other shards into account and publishes this shard's own.
 func (p *Provisioner) plan(now time.Time) (wanted []placement.ProvisioningRequest, needed map[ids.Machine]bool) {
 	if p.OtherShardsShortage != nil {
 		shortage, average := p.OtherShardsShortage()
@@ -144,7 +147,7 @@
 	return wanted, needed
 }
 
-// hasShortage tells whether waiting jobs need machines that the cloud refuses now.
+// hasShortage reports whether waiting jobs need machines that the cloud refuses at present.
 func (p *Provisioner) hasShortage(now time.Time) bool {
 	if !p.anyRefused(now) {
 		return false
@@ -160,5 +163,5 @@
 	return len(wanted) > 0
 }
 
-// anyOffer is for a plan that takes the cloud to refuse nothing.
+// anyOffer accepts every offer. It is used for plans that assume that the cloud refuses nothing.
 func anyOffer(string, string, bool) bool { return true }
--- a/internal/fleet/provisioner_test.go
+++ b/internal/fleet/provisioner_test.go
@@ -18,12 +18,12 @@
 	"github.com/pebbletrail/pebbletrail/internal/worker"
 )
 
-// requestStore is a store of the names of provisioning requests: each must be there before it is
-// sent.
+// requestStore is a store that keeps the names of provisioning requests. A request must be stored before
+// it is sent.
 type requestStore struct {
 	names map[string]bool
 	down  bool
-	lose  int // so many writes get no answer and are not executed
+	lose  int // number of next writes that get no answer and are not executed
 }
 
 func (s *requestStore) Apply(_ context.Context, ops []state.Op) error {
@@ -58,7 +58,8 @@
 		Resources: placement.Resources{Cores: 4, RAM: 4}}, ids.TimestampOf(time.Now()), "user")
 }
 
-// setup makes a provisioner of a cloud that has so many machines.
+// setup returns a provisioner with its dependencies, for a cloud with capacity for the given number of
+// machines.
 func setup(capacity int) (*fake.Network, *fake.Cloud, *clusterstate.State, *requestStore, *Provisioner) {
 	network, cloud := fake.NewNetwork(), fake.NewCloud(capacity)
 	network.Listen("cloud:1", cloud)
@@ -69,7 +70,7 @@
 	return network, cloud, cluster, store, provisioner
 }
 
-// stepEverySecond has the provisioner do so many rounds.
+// stepEverySecond calls Step the given number of times, a second apart.
 func stepEverySecond(ctx context.Context, provisioner *Provisioner, rounds int) {
 	for range rounds {
 		provisioner.Step(ctx)
@@ -104,7 +105,7 @@
 			t.Fatal("requested although the name could not be stored")
 		}
 		store.down = false
-		store.lose = 2 // an answer that never comes is no answer either
+		store.lose = 2 // a write without an answer is not a confirmed write
 		provisioner.Step(ctx)
 		if len(cloud.ProvisioningRequests()) != 0 {
 			t.Fatal("requested although nothing says that the name is stored")
@@ -137,7 +138,7 @@
 		if gone := cloud.DeletedMachines(); len(gone) == 0 || gone[0] != "host-000001" {
 			t.Fatalf("a machine that never came up was kept: %v", gone)
 		}
-		// Nobody requested this one; it reports, has nothing to do and is deleted.
+		// A machine that no request provisioned sends heartbeats, has no tasks and is deleted.
 		cluster.ReconcileHeartbeat(&worker.Report{Machine: "host-000777", Type: "small", Zone: "north", Incarnation: 1, Sequence: 1}, true, true)
 		cluster.HandleRecord("job-1", 99, nil, time.Now())
 		for i := range 90 {
@@ -152,8 +153,8 @@
 }
 
 func TestLeaderThatStoodStillSendsNoDeletionOrRequest(t *testing.T) {
-	// Guards against a leader frozen between deciding and sending: the cloud knows
-	// no tokens, and its successor may have work on the machine by then.
+	// Guards against a leader that was paused between its decision and the call. The cloud does not check
+	// fencing tokens, and the successor may have started tasks on the machine in the meantime.
 	synctest.Test(t, func(t *testing.T) {
 		ctx := context.Background()
 		_, cloud, cluster, _, provisioner := setup(10)
@@ -162,7 +163,7 @@
 		if len(cloud.ProvisioningRequests()) == 0 {
 			t.Fatal("nothing was provisioned")
 		}
-		time.Sleep(5 * time.Minute) // they never come up
+		time.Sleep(5 * time.Minute) // the machines never come up
 		asked := 0
 		provisioner.ConfirmLeadership = func() bool { asked++; return false }
 		cluster.HandleRecord("job-2", 2, job("job-2", 4), time.Now())
@@ -179,12 +180,12 @@
 	})
 }
 
-// heartbeat is the report of a machine with a sequence number.
+// heartbeat returns a heartbeat of a machine with a sequence number.
 func heartbeat(machine ids.Machine, sequence ids.SequenceNumber) *worker.Report {
 	return &worker.Report{Machine: machine, Addr: string(machine) + ":1", Type: "small", Zone: "north", Incarnation: 1, Sequence: sequence}
 }
 
-// countProvisioned is how many machines the cloud has given in all.
+// countProvisioned returns the number of machines that the cloud has provisioned in total.
 func countProvisioned(cloud *fake.Cloud) (count int) {
 	for _, machines := range cloud.ProvisioningRequests() {
 		count += len(machines)
--- a/internal/fleet/replacements.go
+++ b/internal/fleet/replacements.go
@@ -7,8 +7,8 @@
 	"github.com/pebbletrail/pebbletrail/internal/placement"
 )
 
-// provisionReplacements asks for the machines that rollouts want in place of others. Their requests
-// are named by the rollout and stored with it, so that a new leader sends the same ones.
+// provisionReplacements requests the replacements of machines that rollouts return. The rollout chooses the
+// names of these requests and stores them, so that a new leader sends the same requests.
 func (p *Provisioner) provisionReplacements(ctx context.Context, now time.Time) {
 	for _, replacement := range p.Cluster.ReplacementsToProvision() {
 		kind := replacement.Class
--- a/internal/fleet/requests.go
+++ b/internal/fleet/requests.go
@@ -14,28 +14,28 @@
 	"github.com/pebbletrail/pebbletrail/internal/state"
 )
 
-// maxPerRequest is the most machines that one request asks for.
+// maxPerRequest is the maximum number of machines in one request.
 const maxPerRequest = 50
 
-// requests are the provisioning requests of a leader by how far they are.
+// requests holds the provisioning requests of a leader by their progress.
 type requests struct {
-	sequence    int                   // of the last one made
-	unconfirmed []provisioningRequest // perhaps stored: not to be sent until they surely are
-	outstanding []provisioningRequest // stored, without an answer that is sure
-	// fulfilled are those that stay stored with the names of their machines.
+	sequence    int                   // sequence number of the last request made
+	unconfirmed []provisioningRequest // possibly stored; not sent before the write is confirmed
+	outstanding []provisioningRequest // stored, without a definite answer from the cloud
+	// fulfilled are the answered requests that stay stored with the names of their machines.
 	fulfilled map[ids.ProvisioningRequest]provisioningRequest
 }
 
-// anyOutstanding tells whether some may provision machines that are not known yet.
+// anyOutstanding reports whether any request may provision machines that are not known yet.
 func (r *requests) anyOutstanding() bool { return len(r.unconfirmed) > 0 || len(r.outstanding) > 0 }
 
-// isOutstanding tells whether a request of that name may have no answer yet.
+// isOutstanding reports whether a request of that name may still lack an answer.
 func (r *requests) isOutstanding(name ids.ProvisioningRequest) bool {
 	named := func(request provisioningRequest) bool { return request.Name == name }
 	return slices.ContainsFunc(r.outstanding, named) || slices.ContainsFunc(r.unconfirmed, named)
 }
 
-// removeOutstanding drops a request that was answered.
+// removeOutstanding removes a request that was answered from the outstanding requests.
 func (r *requests) removeOutstanding(name ids.ProvisioningRequest) {
 	at := slices.IndexFunc(r.outstanding, func(request provisioningRequest) bool { return request.Name == name })
 	if at >= 0 {
@@ -43,7 +43,7 @@
 	}
 }
 
-// addFulfilled notes a request that is stored with its machines, if it has any.
+// addFulfilled adds a request that is stored with its machines, unless it has none.
 func (r *requests) addFulfilled(request provisioningRequest) {
 	if r.fulfilled == nil {
 		r.fulfilled = map[ids.ProvisioningRequest]provisioningRequest{}
@@ -53,8 +53,8 @@
 	}
 }
 
-// removeMachine takes a machine that was deleted off its request, and returns the request's name if
-// it was the last one.
+// removeMachine removes a deleted machine from its request. If it was the last machine, removeMachine also
+// removes the request and returns its name.
 func (r *requests) removeMachine(machine ids.Machine) (emptied ids.ProvisioningRequest, isEmpty bool) {
 	for name, request := range r.fulfilled {
 		at := slices.Index(request.Machines, machine)
@@ -72,8 +72,8 @@
 	return "", false
 }
 
-// Adopt takes over the requests that an earlier leader stored: sending those without an answer again
-// tells what they provisioned.
+// Adopt loads the requests that an earlier leader stored. Those without an answer are sent again, which
+// reveals the machines that they provisioned.
 func (p *Provisioner) Adopt(entries []state.Entry) {
 	for _, entry := range entries {
 		var request provisioningRequest
@@ -89,15 +89,16 @@
 	}
 }
 
-// provision stores a request before sending it: whoever is leader next can learn what it
-// provisioned, and no name is ever used for two requests.
+// provision stores a new request and then sends it. Because it is stored first, a later leader can find out
+// what it provisioned, and no name is ever used for two requests.
 func (p *Provisioner) provision(ctx context.Context, wanted placement.ProvisioningRequest) {
 	p.requests.sequence++
 	wanted.Count = min(wanted.Count, maxPerRequest)
 	p.storeAndSend(ctx, newRequest(p.requestName(), wanted))
 }
 
-// requestName names the next request. Generations of different shards may be alike, names may not.
+// requestName returns the name of the next request. It contains the shard if there are several: their
+// generations may be equal, but the names of requests must differ.
 func (p *Provisioner) requestName() ids.ProvisioningRequest {
 	if p.Owns == nil {
 		return ids.ProvisioningRequest(fmt.Sprintf("h-%d-%d", p.Generation, p.requests.sequence))
@@ -111,7 +112,8 @@
 	}
 }
 
-// retryRequests stores again what may not be stored, and sends again what has no answer.
+// retryRequests stores requests again whose write was not confirmed, and sends requests again that have no
+// answer.
 func (p *Provisioner) retryRequests(ctx context.Context) {
 	unconfirmed := p.requests.unconfirmed
 	p.requests.unconfirmed = nil
@@ -123,8 +125,9 @@
 	}
 }
 
-// storeRequest stores a request, and tells whether it surely is. One whose answer was lost may be
-// stored yet, after all that this leader writes now; so it is stored again rather than forgotten.
+// storeRequest stores a request and reports whether the write was confirmed. If the answer was lost, the
+// write may still be executed, even after later writes of this leader; the request is therefore stored
+// again and not dropped.
 func (p *Provisioner) storeRequest(ctx context.Context, request provisioningRequest) bool {
 	err := p.putRequest(ctx, request)
 	if err == nil {
@@ -140,13 +143,13 @@
 	return false
 }
 
-// sendRequest sends a stored request and takes in its answer. Without one it stays outstanding: it
-// is sent again under the same name.
+// sendRequest sends a stored request and processes the answer. Without an answer the request stays
+// outstanding and is sent again under the same name.
 func (p *Provisioner) sendRequest(ctx context.Context, request provisioningRequest) {
 	machines, err := p.Cloud.provision(ctx, request, p.ConfirmLeadership)
 	switch {
 	case err == nil && p.Owns != nil && !p.storeMachines(ctx, request, machines):
-		return // sent again, which provisions nothing more
+		return // the request is sent again, which provisions nothing more
 	case err == nil:
 		p.noteProvisioned(request, machines)
 	case errors.Is(err, errNoCapacity):
@@ -163,7 +166,7 @@
 	p.requests.removeOutstanding(request.Name)
 }
 
-// noteProvisioned tells the cluster of new machines.
+// noteProvisioned adds the machines of a request to the cluster state.
 func (p *Provisioner) noteProvisioned(request provisioningRequest, machines []ids.Machine) {
 	slog.Info("machines provisioned", "request", request.Name, "type", request.Type, "zone", request.Zone, "spot", request.Spot,
 		"asked", request.Count, "got", len(machines))
@@ -174,8 +177,8 @@
 	}
 }
 
-// storeMachines stores which machines a request provisioned, before anything is started on them:
-// they are this shard's from then on.
+// storeMachines stores which machines a request provisioned, before any task is started on them. From
+// then on this shard owns the machines.
 func (p *Provisioner) storeMachines(ctx context.Context, request provisioningRequest, machines []ids.Machine) bool {
 	request.Machines = machines
 	if err := p.putRequest(ctx, request); err != nil {
@@ -186,7 +189,7 @@
 	return true
 }
 
-// putRequest writes a request to the store.
+// putRequest writes a request with its present content to the store.
 func (p *Provisioner) putRequest(ctx context.Context, request provisioningRequest) error {
 	raw, err := json.Marshal(request)
 	if err != nil {
@@ -195,7 +198,7 @@
 	return p.Store.Apply(ctx, []state.Op{{Put: p.requestKey(request.Name), Value: raw}})
 }
 
-// removeRequest removes what is stored of a request.
+// removeRequest removes a request from the store.
 func (p *Provisioner) removeRequest(ctx context.Context, name ids.ProvisioningRequest) {
 	if err := p.Store.Apply(ctx, []state.Op{{Remove: p.requestKey(name)}}); err != nil {
 		slog.Debug("provisioning request not removed", "request", name, "err", err)
--- a/internal/fleet/scale_in.go
+++ b/internal/fleet/scale_in.go
@@ -12,19 +12,19 @@
 )
 
 const (
-	// maxPerDeletion is the most machines that one call deletes.
+	// maxPerDeletion is the maximum number of machines that one call deletes.
 	maxPerDeletion = 100
-	// consolidateInterval spaces the looks for a machine to empty: each weighs the whole fleet
-	// anew.
+	// consolidateInterval is the minimum interval between searches for a machine to empty, since each search
+	// evaluates the whole fleet.
 	consolidateInterval = 1500 * time.Millisecond
 )
 
-// deleteUnneeded deletes the machines that the cluster gives up.
+// deleteUnneeded deletes the machines that the cluster state selects for termination.
 func (p *Provisioner) deleteUnneeded(ctx context.Context, needed map[ids.Machine]bool) {
 	for batch := range slices.Chunk(p.Cluster.MachinesToTerminate(time.Now(), needed), maxPerDeletion) {
 		if err := p.Cloud.delete(ctx, batch, p.ConfirmLeadership); err != nil {
 			slog.Debug("deletion not confirmed", "err", err)
-			return // asked again next round, until it is confirmed
+			return // the next step tries again, until the deletion is confirmed
 		}
 		for _, machine := range batch {
 			p.Cluster.MachineTerminated(machine)
@@ -35,8 +35,8 @@
 	}
 }
 
-// consolidate finds a machine whose services the others could take over with nothing provisioned for
-// it, and lets it be emptied.
+// consolidate searches for a machine whose services the other machines can run without new machines, and has
+// it emptied.
 func (p *Provisioner) consolidate() {
 	now := time.Now()
 	if now.Sub(p.consolidatedAt) < consolidateInterval {
@@ -51,7 +51,7 @@
 	}
 }
 
-// canDoWithout tells whether the machines that are up could take a machine's services as well.
+// canDoWithout reports whether the other machines that are up have capacity for the services of a machine.
 func (p *Provisioner) canDoWithout(candidate provisioning.ConsolidationCandidate, now time.Time) bool {
 	demands, machines, types := p.Cluster.CapacityDemands(now)
 	others := slices.DeleteFunc(machines, func(machine placement.Instance) bool {
--- a/internal/fleet/shards_test.go
+++ b/internal/fleet/shards_test.go
@@ -14,7 +14,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/state"
 )
 
-// valueStore is a store that also keeps what is stored of requests.
+// valueStore is a requestStore that also keeps the stored values.
 type valueStore struct {
 	requestStore
 	values map[string]string
@@ -34,8 +34,8 @@
 }
 
 func TestRequestOfOneOfSeveralShardsNamesItsMachinesUntilTheyAreDeleted(t *testing.T) {
-	// Guards against a machine that is used before it is stored whose it is, and against
-	// requests that stay stored for ever.
+	// Guards against the use of a machine before its owner is stored, and against requests that are never
+	// removed from the store.
 	synctest.Test(t, func(t *testing.T) {
 		ctx := context.Background()
 		_, cloud, cluster, _, provisioner := setup(2)
@@ -49,19 +49,19 @@
 		if !strings.Contains(store.values[key], `"hosts":["host-000001"]`) {
 			t.Fatalf("stored: %v", store.values)
 		}
-		// A successor knows the machine from what is stored.
+		// A later leader learns of the machine from the stored request.
 		next := &Provisioner{Cluster: clusterstate.New(testSettings(), "w", 8, time.Now())}
 		next.Adopt([]state.Entry{{Key: key, Value: []byte(store.values[key])}})
 		if next.Cluster.Summary()["machines"] != 1 || len(next.requests.outstanding) != 0 {
 			t.Errorf("a successor knows %v machines and %d outstanding requests", next.Cluster.Summary()["machines"], len(next.requests.outstanding))
 		}
-		// More is wanted than there is: the others are told.
+		// The demand exceeds the cloud's capacity, so a shortage is published to the other shards.
 		cluster.HandleRecord("job-2", 2, job("job-2", 40), time.Now())
 		stepEverySecond(ctx, provisioner, 8)
 		if cluster.Shortage().Duration == 0 {
 			t.Error("the cloud refuses what waits, and nobody is told")
 		}
-		stepEverySecond(ctx, provisioner, 300) // they never come up and are deleted
+		stepEverySecond(ctx, provisioner, 300) // the machines never come up and are deleted
 		if len(cloud.DeletedMachines()) == 0 {
 			t.Fatal("nothing was deleted")
 		}
@@ -79,7 +79,7 @@
 }
 
 func TestIdleMachinesAreGivenUpForShardsWithAShortage(t *testing.T) {
-	// Guards against jobs of a shard that wait for good while another one holds machines.
+	// Guards against jobs of a shard that wait forever while another shard holds idle machines.
 	cluster := clusterstate.New(testSettings(), "w", 7, time.Now())
 	cluster.SetMachineTypes([]placement.InstanceType{{Label: "small", Cores: 4, RAM: 16, Zones: []string{"north"}}})
 	for _, machine := range []ids.Machine{"busy", "idle", "spare"} {
@@ -106,8 +106,8 @@
 }
 
 func TestMachinesThatTheCloudDoesNotListAreNotWaitedFor(t *testing.T) {
-	// Guards against a leader whose machines were all deleted right before its failover: it
-	// heard of none, took that for its own being cut off, and requested nothing for good.
+	// Guards against a new leader that never requests machines because all were deleted right before the
+	// failover: it received no heartbeats and took that for its own network partition.
 	synctest.Test(t, func(t *testing.T) {
 		ctx := context.Background()
 		_, cloud, cluster, _, provisioner := setup(2)
