--- a/internal/rollout/harness_test.go
+++ b/internal/rollout/harness_test.go
@@ -83,7 +83,7 @@
 			return status
 		}
 		if time.Now().After(end) {
-			h.t.Fatalf("%s is not %s within %v: %+v, %v", name, want, timeout, status, err)
+			h.t.Fatalf("rollout %s did not reach state %s within %v: status %+v, error %v", name, want, timeout, status, err)
 		}
 	}
 }
--- a/internal/rollout/http_test.go
+++ b/internal/rollout/http_test.go
@@ -32,22 +32,22 @@
 			{"nonsense", "GET", Path, "", http.StatusForbidden, "own machine only"},
 			{"127.0.0.1:1234", "POST", PlanPath, good, http.StatusOK, `"waves":[["host-000001","host-000002"]`},
 			{"127.0.0.1:1234", "GET", Path, "", http.StatusOK, "null"},
-			{"127.0.0.1:1234", "POST", Path, `{"name":"spring"`, http.StatusUnprocessableEntity, "not a rollout"},
+			{"127.0.0.1:1234", "POST", Path, `{"name":"spring"`, http.StatusUnprocessableEntity, "invalid rollout request"},
 			{"127.0.0.1:1234", "POST", Path, `{"name":"spring"}`, http.StatusUnprocessableEntity, "nothing selects"},
 			{"[::1]:1234", "POST", Path, good, http.StatusOK, `"state":"running"`},
-			{"127.0.0.1:1234", "POST", Path, strings.Replace(good, `"waveSize":2`, `"waveSize":3`, 1), http.StatusConflict, "says something else"},
+			{"127.0.0.1:1234", "POST", Path, strings.Replace(good, `"waveSize":2`, `"waveSize":3`, 1), http.StatusConflict, "another specification"},
 			{"127.0.0.1:1234", "GET", Path + "/summer", "", http.StatusNotFound, "no such rollout"},
 			{"127.0.0.1:1234", "POST", Path + "/spring/abort", "", http.StatusOK, `"spring"`},
 		} {
 			answer := call(test.from, test.method, test.path, test.body)
 			if answer.Code != test.status || !strings.Contains(answer.Body.String(), test.text) {
-				t.Errorf("%s %s from %s: %d %s", test.method, test.path, test.from, answer.Code, answer.Body)
+				t.Errorf("%s %s from %s: unexpected response, status %d, body %s", test.method, test.path, test.from, answer.Code, answer.Body)
 			}
 		}
 		h.store.SetDown(true)
 		answer := call("127.0.0.1:1234", "GET", Path, "")
 		if answer.Code != http.StatusServiceUnavailable || answer.Header().Get("Retry-After") == "" {
-			t.Errorf("without the state service: %d %v", answer.Code, answer.Header())
+			t.Errorf("during an outage of the state service: status %d, header %v; want 503 and Retry-After", answer.Code, answer.Header())
 		}
 	})
 }
--- a/internal/rollout/machineset_json.go
+++ b/internal/rollout/machineset_json.go
@@ -24,7 +24,7 @@
 		numbers.RunOptimize()
 		encoded, err := numbers.ToBytes()
 		if err != nil {
-			return nil, fmt.Errorf("machines %s…: %w", series.prefix, err)
+			return nil, fmt.Errorf("encode machine numbers of prefix %s: %w", series.prefix, err)
 		}
 		stored = append(stored, storedSeries{series.prefix, series.digits, base64.RawStdEncoding.EncodeToString(encoded)})
 	}
@@ -41,7 +41,7 @@
 	for i := range stored {
 		numbers, err := stored[i].decode()
 		if err != nil {
-			return fmt.Errorf("machines %s…: %w", stored[i].Prefix, err)
+			return fmt.Errorf("decode machine numbers of prefix %s: %w", stored[i].Prefix, err)
 		}
 		if !numbers.IsEmpty() {
 			m.series = append(m.series, nameSeries{stored[i].Prefix, stored[i].Digits, numbers})
--- a/internal/rollout/machineset_test.go
+++ b/internal/rollout/machineset_test.go
@@ -22,20 +22,20 @@
 		t.Fatal(err)
 	}
 	if back.Len() != len(names) {
-		t.Errorf("%d machines of %d", back.Len(), len(names))
+		t.Errorf("decoded set has %d machines, want %d", back.Len(), len(names))
 	}
 	for _, name := range names {
 		if !back.Has(name) {
-			t.Errorf("%s is lost", name)
+			t.Errorf("decoded set lacks machine %s", name)
 		}
 	}
 	got := slices.Sorted(back.All())
 	slices.Sort(names)
 	if !slices.Equal(got, names) {
-		t.Errorf("listed as %v, not %v", got, names)
+		t.Errorf("decoded set lists %v, want %v", got, names)
 	}
 	if !back.Remove("m1") || back.Has("m1") || !back.Has("m01") || back.Remove("m1") {
-		t.Error("removing one machine is not removing that one")
+		t.Error("Remove did not remove exactly machine m1")
 	}
 }
 
@@ -59,7 +59,7 @@
 	}{"scattered": {scattered, 5}, "dense": {dense, 3}, "unnumbered": {unnumbered, 75}} {
 		parts := test.set.Parts(value)
 		if len(parts) > test.most {
-			t.Errorf("%s: %d parts", name, len(parts))
+			t.Errorf("set %s was split into too many parts: %d", name, len(parts))
 		}
 		seen := 0
 		for _, part := range parts {
@@ -67,7 +67,7 @@
 			for round := range 8 {
 				encoded, err := json.Marshal(part)
 				if err != nil || len(encoded) > value {
-					t.Fatalf("%s: a part takes %d bytes after %d rounds: %v", name, len(encoded), round, err)
+					t.Fatalf("set %s: a part takes %d bytes after %d rounds of removal, error %v", name, len(encoded), round, err)
 				}
 				copied := part.Clone()
 				for machine := range copied.All() {
@@ -78,7 +78,7 @@
 			}
 		}
 		if seen != machines {
-			t.Errorf("%s: %d machines in the parts", name, seen)
+			t.Errorf("set %s: parts contain %d machines in total, want 6000", name, seen)
 		}
 	}
 }
@@ -87,7 +87,7 @@
 	for _, raw := range []string{`{}`, `[{"p":"m","n":"?"}]`, `[{"p":"m","n":"AAAA"}]`, `[{"p":"m","n":"OjAAAAEAAAAAAAUAEAAAAAEA"}]`} {
 		var set MachineSet
 		if json.Unmarshal([]byte(raw), &set) == nil {
-			t.Errorf("%s is taken for %d machines", raw, set.Len())
+			t.Errorf("invalid set %s was decoded to %d machines, want an error", raw, set.Len())
 		}
 	}
 }
@@ -95,10 +95,10 @@
 func TestMachineSetOverlapNamesACommonMachine(t *testing.T) {
 	a, b := NewMachineSet("m1", "m2", "host-007"), NewMachineSet("m3", "host-007")
 	if name, both := a.Overlap(&b); !both || name != "host-007" {
-		t.Errorf("%s, %v", name, both)
+		t.Errorf("Overlap returned %s, %v; want host-007, true", name, both)
 	}
 	b.Remove("host-007")
 	if name, both := a.Overlap(&b); both {
-		t.Errorf("%s is in both", name)
+		t.Errorf("Overlap returned machine %s for disjoint sets", name)
 	}
 }
--- a/internal/rollout/record.go
+++ b/internal/rollout/record.go
@@ -39,7 +39,7 @@
 }
 
 // ErrNewerVersion reports that a newer version of the program stored a rollout.
-var ErrNewerVersion = errors.New("stored by a newer version")
+var ErrNewerVersion = errors.New("stored by a newer version of the program")
 
 // decodeRecord decodes a stored record. It returns an error for a newer format version and for an unknown
 // state.
@@ -51,14 +51,14 @@
 		return nil, err
 	}
 	if version.Version > storedVersion {
-		return nil, fmt.Errorf("%w: %d, this one reads %d", ErrNewerVersion, version.Version, storedVersion)
+		return nil, fmt.Errorf("%w: format version %d, latest supported version %d", ErrNewerVersion, version.Version, storedVersion)
 	}
 	record := &Record{}
 	if err := json.Unmarshal(raw, record); err != nil {
 		return nil, err
 	}
 	if _, known := stateTransitions[record.State]; !known && record.State != Ended {
-		return nil, fmt.Errorf("unknown state %q", record.State)
+		return nil, fmt.Errorf("unknown rollout state %q", record.State)
 	}
 	return record, nil
 }
@@ -87,7 +87,7 @@
 	const besidesMachines = 2048 // the specification, the requests and the prefixes of names
 	maximum := int(float64(valueBytes-besidesMachines) / (setsPerMachine * storedBytesPerMachine))
 	if r.Spec.WaveSize > max(maximum, 1) && r.Total > maximum {
-		return fmt.Errorf("%w: wave size: a record of %d bytes holds waves of %d machines at most: %d", ErrInvalidSpec, valueBytes, maximum, r.Spec.WaveSize)
+		return fmt.Errorf("%w: wave size: a record of %d bytes holds waves of at most %d machines, not %d", ErrInvalidSpec, valueBytes, maximum, r.Spec.WaveSize)
 	}
 	return nil
 }
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -36,18 +36,18 @@
 		status := h.awaitState("large", Ended, 10*time.Minute)
 		h.fleet.change(func(f *fakeFleet) {
 			if status.Done != machines || len(f.machines) != 0 {
-				t.Errorf("%d machines through, %d left", status.Done, len(f.machines))
+				t.Errorf("%d machines done, %d left in the fleet; want 6000 and 0", status.Done, len(f.machines))
 			}
 			if f.mostCordoned > spec.WaveSize {
-				t.Errorf("%d machines were cordoned at a time", f.mostCordoned)
+				t.Errorf("%d machines were cordoned at the same time, more than the wave size", f.mostCordoned)
 			}
 		})
 		if n := h.store.CountTooLarge(); n > 0 {
-			t.Errorf("%d transactions were too large", n)
+			t.Errorf("%d transactions exceeded the limits of the state service", n)
 		}
 		time.Sleep(2 * time.Second)
 		if n := h.store.CountKeys(waitingPrefix); n > 0 {
-			t.Errorf("%d parts are left over", n)
+			t.Errorf("%d parts of waiting machines are still stored after the end", n)
 		}
 	})
 }
@@ -58,7 +58,7 @@
 		spec := wholeFleet("wide")
 		spec.WaveSize = 3000
 		if _, err := h.service.Start(h.ctx, spec); !errors.Is(err, ErrInvalidSpec) || !strings.Contains(err.Error(), "wave size") {
-			t.Errorf("%v", err)
+			t.Errorf("start with too large a wave size: error %v, want ErrInvalidSpec that names the wave size", err)
 		}
 	})
 }
@@ -88,11 +88,11 @@
 			}
 			_, err := service.Start(h.ctx, spec)
 			if !errors.Is(err, ErrInvalidSpec) || !strings.Contains(err.Error(), name) || strings.Contains(err.Error(), "\n") {
-				t.Errorf("%s: %v", name, err)
+				t.Errorf("start with an invalid specification (%s): error %v, want ErrInvalidSpec in one line", name, err)
 			}
 		}
 		if n := h.store.CountKeys(Prefix); n > 0 {
-			t.Errorf("%d keys were written", n)
+			t.Errorf("rejected starts wrote %d keys", n)
 		}
 	})
 }
@@ -109,7 +109,7 @@
 		other := wholeFleet("spring")
 		other.WaveSize = 1
 		if _, err := h.service.Start(h.ctx, other); !errors.Is(err, ErrSpecConflict) {
-			t.Errorf("other contents: %v", err)
+			t.Errorf("start with the same name and another specification: error %v, want ErrSpecConflict", err)
 		}
 		for _, step := range []struct {
 			command Command
@@ -133,11 +133,11 @@
 				t.Fatal(statusErr)
 			}
 			if !errors.Is(err, step.err) || status.State != step.state {
-				t.Errorf("%s: %v, then %s, not %s", step.command, err, status.State, step.state)
+				t.Errorf("command %s: error %v, then state %s, want %s", step.command, err, status.State, step.state)
 			}
 		}
 		if _, err := h.service.Execute(h.ctx, "autumn", CommandPause); !errors.Is(err, ErrNotFound) {
-			t.Errorf("unknown rollout: %v", err)
+			t.Errorf("pause of an unknown rollout: error %v, want ErrNotFound", err)
 		}
 	})
 }
@@ -156,7 +156,7 @@
 		}
 		first, second := <-outcomes, <-outcomes
 		if (first == nil) == (second == nil) || !errors.Is(errors.Join(first, second), ErrOverlap) {
-			t.Errorf("%v and %v", first, second)
+			t.Errorf("concurrent overlapping starts: errors %v and %v, want one nil and one ErrOverlap", first, second)
 		}
 	})
 }
@@ -178,11 +178,11 @@
 			t.Fatal(err)
 		}
 		if status := h.awaitState("spring", Ended, 5*time.Minute); status.Done != 6 {
-			t.Errorf("%d machines through", status.Done)
+			t.Errorf("%d machines done, want 6", status.Done)
 		}
 		h.fleet.change(func(f *fakeFleet) {
 			if len(f.machines) != 6 || f.next != 12 {
-				t.Errorf("%d machines, %d provisioned in all", len(f.machines), f.next)
+				t.Errorf("fleet has %d machines, %d provisioned in total; want 6 and 12", len(f.machines), f.next)
 			}
 		})
 	})
@@ -203,14 +203,14 @@
 			}
 			status := h.awaitState("spring", Halted, 3*time.Minute)
 			if !strings.Contains(status.Reason, name) || status.Waiting != 6 {
-				t.Errorf("%s: halted for %q with %d waiting", name, status.Reason, status.Waiting)
+				t.Errorf("%s: halted with reason %q and %d machines waiting, want 6", name, status.Reason, status.Waiting)
 			}
 			h.fleet.change(func(f *fakeFleet) { trouble(f, false) })
 			if _, err := h.service.Execute(h.ctx, "spring", CommandResume); err != nil {
 				t.Fatal(err)
 			}
 			if status := h.awaitState("spring", Ended, 5*time.Minute); status.Done != 6 {
-				t.Errorf("%d machines through", status.Done)
+				t.Errorf("%d machines done after the resumption, want 6", status.Done)
 			}
 		})
 	}
@@ -244,7 +244,7 @@
 			_, err := h.service.Execute(h.ctx, name, CommandAbort)
 			_, startErr := h.service.Start(h.ctx, wholeFleet(name))
 			if !listed || !errors.Is(err, ErrUnreadable) || !errors.Is(startErr, ErrUnreadable) {
-				t.Errorf("%s: listed %v; %v; %v", name, listed, err, startErr)
+				t.Errorf("rollout %s: listed as unreadable %v; abort error %v, start error %v; want ErrUnreadable", name, listed, err, startErr)
 			}
 		}
 	})
@@ -264,13 +264,13 @@
 	}
 	want := [][]ids.Machine{{"host-000005", "host-000003"}, {"host-000001"}}
 	if !slices.EqualFunc(preview.Waves, want, slices.Equal) {
-		t.Errorf("waves %v, not %v", preview.Waves, want)
+		t.Errorf("planned waves %v, want %v", preview.Waves, want)
 	}
 	if len(preview.Blocked) != 1 || preview.Blocked[0].Name != "host-000001" {
-		t.Errorf("blocked: %v", preview.Blocked)
+		t.Errorf("blocked machines %v, want only host-000001", preview.Blocked)
 	}
 	if preview.Takes != 95 { // seven steps of 5 s and one pause of 60 s
-		t.Errorf("takes %v s", preview.Takes)
+		t.Errorf("planned duration %v s, want 95 s", preview.Takes)
 	}
 }
 
@@ -280,9 +280,9 @@
 	}
 	wave := &Wave{Machines: map[MachineState]MachineSet{Empty: NewMachineSet("m1")}}
 	if err := wave.transition("m1", Empty, Waiting); !errors.Is(err, ErrInvalidTransition) {
-		t.Errorf("an empty machine goes back into service: %v", err)
+		t.Errorf("transition of an empty machine to waiting: error %v, want ErrInvalidTransition", err)
 	}
 	if err := wave.transition("m2", Empty, Returned); !errors.Is(err, ErrInvalidTransition) {
-		t.Errorf("a machine that is not in the wave is moved: %v", err)
+		t.Errorf("transition of a machine that is not in the wave: error %v, want ErrInvalidTransition", err)
 	}
 }
--- a/internal/rollout/runner.go
+++ b/internal/rollout/runner.go
@@ -81,7 +81,7 @@
 	for _, rollout := range rollouts {
 		change, err := reconcile(rollout.record, rollout.waiting, view, now, r.Limits.maxParts(), yield)
 		if err != nil {
-			slog.Error("rollout can't go on", "rollout", rollout.record.Spec.Name, "err", err)
+			slog.Error("failed to reconcile rollout", "rollout", rollout.record.Spec.Name, "err", err)
 		} else if change != nil && r.store(ctx, rollout, change, snapshot) {
 			wrote = true
 		}
@@ -110,13 +110,13 @@
 	change.record.signBy(r.Writer)
 	txn, err := updateTransaction(rollout, change, snapshot, r.Limits)
 	if err != nil {
-		slog.Error("rollout can't be stored", "rollout", rollout.record.Spec.Name, "err", err)
+		slog.Error("failed to encode the change of a rollout for the state service", "rollout", rollout.record.Spec.Name, "err", err)
 		return false
 	}
 	if err := r.Store.ApplyIf(ctx, txn.Conditions, txn.Ops); err != nil {
 		// The next read shows whether the transaction was executed. If it is executed late, it cannot
 		// take effect together with the next write, since both require the same revision of the record.
-		slog.Debug("rollout not stored", "rollout", rollout.record.Spec.Name, "err", err)
+		slog.Debug("failed to store rollout or to confirm the write", "rollout", rollout.record.Spec.Name, "err", err)
 		return !errors.Is(err, state.ErrRefused)
 	}
 	rollout.record = change.record
@@ -142,6 +142,6 @@
 	}
 	if r.logged[name] != state {
 		r.logged[name] = state
-		slog.Info("rollout state", "rollout", name, "state", state)
+		slog.Info("rollout state changed", "rollout", name, "state", state)
 	}
 }
--- a/internal/rollout/scale_test.go
+++ b/internal/rollout/scale_test.go
@@ -37,7 +37,7 @@
 			h.awaitState("spring", Ended, 20*time.Minute)
 			synctest.Wait()
 			if n := h.store.Epoch(); n > 400 {
-				t.Errorf("%d transactions for %d machines", n, machines)
+				t.Errorf("%d transactions for %d machines, want at most 400", n, machines)
 			}
 			t.Logf("%d machines: %d transactions", machines, h.store.Epoch())
 		})
--- a/internal/rollout/service.go
+++ b/internal/rollout/service.go
@@ -18,11 +18,11 @@
 	// ErrNotFound reports that there is no rollout of the given name.
 	ErrNotFound = errors.New("no such rollout")
 	// ErrSpecConflict reports that a rollout of the same name has a different specification.
-	ErrSpecConflict = errors.New("a rollout of this name exists and says something else")
+	ErrSpecConflict = errors.New("a rollout of this name with another specification exists")
 	// ErrOverlap reports that one of the machines belongs to another active rollout.
-	ErrOverlap = errors.New("a machine is in another rollout")
+	ErrOverlap = errors.New("a machine belongs to another active rollout")
 	// ErrUnreadable reports that the stored rollout is corrupt or was written by a newer version.
-	ErrUnreadable = errors.New("the stored rollout can't be read by this version")
+	ErrUnreadable = errors.New("this version cannot read the stored rollout")
 	// ErrUnavailable reports that the state service or the leader does not answer, or that concurrent
 	// changes prevented the command; it may be retried.
 	ErrUnavailable = errors.New("not now")
@@ -57,7 +57,7 @@
 	}
 	preview, err := s.Leader.PlanDrain(ctx, spec)
 	if err != nil && !errors.Is(err, ErrInvalidSpec) {
-		return nil, fmt.Errorf("%w: the leader makes no plan: %v", ErrUnavailable, err)
+		return nil, fmt.Errorf("%w: the leader returned no plan: %v", ErrUnavailable, err)
 	}
 	return preview, err
 }
@@ -85,7 +85,7 @@
 			return nil, err
 		}
 	}
-	return nil, fmt.Errorf("%w: others change rollouts at the same time", ErrUnavailable)
+	return nil, fmt.Errorf("%w: the start conflicted with concurrent changes of rollouts; retry", ErrUnavailable)
 }
 
 // create plans a rollout and tries to store it. A nil error does not imply that the rollout was stored.
@@ -96,7 +96,7 @@
 	}
 	selected := NewMachineSet(preview.Machines...)
 	if other, machine, found := snapshot.findOverlap(&selected); found {
-		return fmt.Errorf("%w: %s is in %s", ErrOverlap, machine, other)
+		return fmt.Errorf("%w: machine %s is in rollout %s", ErrOverlap, machine, other)
 	}
 	record, parts, err := s.newRecord(spec, &selected)
 	if err != nil {
@@ -114,7 +114,7 @@
 func (s *Service) newRecord(spec *Spec, selected *MachineSet) (*Record, []MachineSet, error) {
 	parts := selected.Parts(s.Limits.ValueBytes)
 	if len(parts) > s.Limits.maxParts() {
-		return nil, nil, fmt.Errorf("%w: the names of %d machines take %d values, of at most %d in one transaction: select fewer",
+		return nil, nil, fmt.Errorf("%w: the names of %d machines take %d values, but one transaction stores at most %d: select fewer machines",
 			ErrInvalidSpec, selected.Len(), len(parts), s.Limits.maxParts())
 	}
 	startedAt := ids.TimestampOf(time.Now())
@@ -147,7 +147,7 @@
 	case errors.As(err, &conflict), errors.Is(err, state.ErrOutcomeUnknown):
 		return false, nil
 	}
-	return false, fmt.Errorf("%w: %v", ErrUnavailable, err)
+	return false, fmt.Errorf("%w: the state service did not execute the transaction: %v", ErrUnavailable, err)
 }
 
 // Execute executes a command on a stored rollout. It changes nothing if the rollout already has the
@@ -182,7 +182,7 @@
 			return statusOf(rollout, nil), nil
 		}
 	}
-	return nil, fmt.Errorf("%w: the rollout changes at the same time", ErrUnavailable)
+	return nil, fmt.Errorf("%w: the command conflicted with concurrent changes of the rollout; retry", ErrUnavailable)
 }
 
 // Status returns the state of a rollout and what its machines wait for.
--- a/internal/rollout/snapshot.go
+++ b/internal/rollout/snapshot.go
@@ -126,7 +126,7 @@
 // find returns a rollout by its name, or ErrUnreadable or ErrNotFound.
 func (s *rolloutSnapshot) find(name Name) (*storedRollout, error) {
 	if reason, unreadable := s.unreadable[name]; unreadable {
-		return nil, fmt.Errorf("%w: %s: %s", ErrUnreadable, name, reason)
+		return nil, fmt.Errorf("%w: rollout %s: %s", ErrUnreadable, name, reason)
 	}
 	if rollout := s.rollouts[name]; rollout != nil {
 		return rollout, nil
@@ -144,7 +144,7 @@
 	case err != nil:
 		return nil, err
 	case !rollout.record.Spec.Same(spec):
-		return nil, fmt.Errorf("%w: %s", ErrSpecConflict, spec.Name)
+		return nil, fmt.Errorf("%w: rollout %s", ErrSpecConflict, spec.Name)
 	}
 	return rollout, nil
 }
--- a/internal/rollout/spec.go
+++ b/internal/rollout/spec.go
@@ -69,7 +69,7 @@
 }
 
 // ErrInvalidSpec reports that a specification is invalid or cannot be executed.
-var ErrInvalidSpec = errors.New("not a rollout that can be carried out")
+var ErrInvalidSpec = errors.New("invalid rollout request")
 
 // Check validates the specification and returns the first error found.
 func (s *Spec) Check(installation Installation) error {
--- a/internal/rollout/states.go
+++ b/internal/rollout/states.go
@@ -71,7 +71,7 @@
 }
 
 // ErrInvalidTransition reports that a state transition is not allowed.
-var ErrInvalidTransition = errors.New("not an allowed move")
+var ErrInvalidTransition = errors.New("invalid state transition")
 
 // canBecome reports whether a rollout in this state may change to another state.
 func (s State) canBecome(to State) bool { return slices.Contains(stateTransitions[s], to) }
@@ -84,7 +84,7 @@
 // transition moves the rollout to another state, or returns ErrInvalidTransition.
 func (r *Record) transition(to State, why string) error {
 	if !r.State.canBecome(to) {
-		return fmt.Errorf("%w: rollout %s is %s and can't be %s", ErrInvalidTransition, r.Spec.Name, r.State, to)
+		return fmt.Errorf("%w: rollout %s is in state %s and cannot change to %s", ErrInvalidTransition, r.Spec.Name, r.State, to)
 	}
 	r.State, r.Reason = to, why
 	return nil
--- a/internal/rollout/transaction.go
+++ b/internal/rollout/transaction.go
@@ -24,7 +24,7 @@
 func (l Limits) maxParts() int { return max(1, l.TxnOps-opsBesideParts) }
 
 // errValueTooLarge reports that an encoded value exceeds the size limit of the state service.
-var errValueTooLarge = errors.New("too large for a value of the state service")
+var errValueTooLarge = errors.New("value exceeds the size limit of the state service")
 
 // transaction collects the operations of one compare-and-swap transaction.
 type transaction struct {
@@ -41,10 +41,10 @@
 func (t *transaction) put(key string, value any) error {
 	encoded, err := json.Marshal(value)
 	if err != nil {
-		return fmt.Errorf("encode %s: %w", key, err)
+		return fmt.Errorf("encode the value of key %s: %w", key, err)
 	}
 	if len(encoded) > t.limits.ValueBytes {
-		return fmt.Errorf("%w: %d bytes at %s, of at most %d", errValueTooLarge, len(encoded), key, t.limits.ValueBytes)
+		return fmt.Errorf("%w: %d bytes for key %s, at most %d allowed", errValueTooLarge, len(encoded), key, t.limits.ValueBytes)
 	}
 	t.Ops = append(t.Ops, state.Op{Put: key, Value: encoded})
 	return nil
@@ -85,7 +85,7 @@
 	txn.require(recordKey(name), 0)
 	active := activeIndex{Active: append(slices.Clone(snapshot.index.Active), name)}
 	if err := txn.put(indexKey, active); err != nil {
-		return nil, fmt.Errorf("%w: too many rollouts are under way", ErrInvalidSpec)
+		return nil, fmt.Errorf("%w: the index of active rollouts has no space for another one", ErrInvalidSpec)
 	}
 	if err := txn.put(recordKey(name), record); err != nil {
 		return nil, err
--- a/internal/rollout/wave_record.go
+++ b/internal/rollout/wave_record.go
@@ -77,7 +77,7 @@
 // transition is not allowed or the machine is not in state from.
 func (w *Wave) transition(name ids.Machine, from, to MachineState) error {
 	if set := w.Machines[from]; !from.canBecome(to) || !set.Has(name) {
-		return fmt.Errorf("%w: machine %s from %s to %s", ErrInvalidTransition, name, from, to)
+		return fmt.Errorf("%w: machine %s cannot change from state %s to %s", ErrInvalidTransition, name, from, to)
 	}
 	w.remove(name, from)
 	if to != Waiting { // waiting machines are stored outside the record
--- a/internal/rollout/wave_test.go
+++ b/internal/rollout/wave_test.go
@@ -22,6 +22,6 @@
 	}
 	cordoned := change.record.machinesIn(Cordoned)
 	if change.record.Done != 2 || cordoned.Len() != 2 || !cordoned.Has("host-000007") || !cordoned.Has("spare-1") {
-		t.Errorf("%d machines through, %d cordoned", change.record.Done, cordoned.Len())
+		t.Errorf("%d machines done, %d cordoned; want the 2 deleted ones done and the 2 others cordoned", change.record.Done, cordoned.Len())
 	}
 }
