--- a/internal/fleet/boots_test.go
+++ b/internal/fleet/boots_test.go
@@ -83,18 +83,18 @@
 		switch second {
 		case 150:
 			if n := fleet.provisioned(); n > 14 || len(fleet.cloud.DeletedMachines()) > 0 {
-				t.Errorf("%d provisioned for 12 tasks, %d given up while all are slow", n, len(fleet.cloud.DeletedMachines()))
+				t.Errorf("%d machines provisioned for 12 tasks, %d deleted while all boots are slow", n, len(fleet.cloud.DeletedMachines()))
 			}
 		case 230:
 			if n := fleet.cluster.Summary()["placed"]; n != 12 {
-				t.Errorf("%v of 12 tasks placed once they were up", n)
+				t.Errorf("%v of 12 tasks placed after the machines came up", n)
 			}
 		case 399:
 			if n := fleet.provisioned(); n > 30 {
-				t.Errorf("%d provisioned in all", n)
+				t.Errorf("%d machines provisioned in total for 12 tasks, want at most 30", n)
 			}
 			if up := fleet.kept(); up != 12 {
-				t.Errorf("%d machines stay for 12 tasks", up)
+				t.Errorf("%d machines not deleted, want 12 for 12 tasks", up)
 			}
 		}
 	})
@@ -112,18 +112,18 @@
 		switch second {
 		case 55:
 			if n := fleet.provisioned(); n != 12 {
-				t.Errorf("%d provisioned for 12 tasks while two are still expected", n)
+				t.Errorf("%d machines provisioned for 12 tasks before any boot is late, want 12", n)
 			}
 		case 110:
 			if n := fleet.cluster.Summary()["placed"]; n.(int) < 11 {
-				t.Errorf("%v of 12 tasks placed, though the late were to be replaced", n)
+				t.Errorf("%v of 12 tasks placed after late machines should be replaced, want at least 11", n)
 			}
 		case 399:
 			if n := fleet.provisioned(); n > 12+len(broken)+1 {
-				t.Errorf("%d provisioned for 12 tasks", n)
+				t.Errorf("%d machines provisioned in total for 12 tasks, want one more per broken machine and at most one besides", n)
 			}
 			if deleted := fleet.cloud.DeletedMachines(); len(deleted) != len(broken) {
-				t.Errorf("deleted %v", deleted)
+				t.Errorf("deleted machines %v, want only as many as are broken", deleted)
 			}
 		}
 	})
@@ -139,7 +139,7 @@
 	}, func(second int, fleet *bootingFleet) {
 		if second == 329 {
 			if up := fleet.kept(); up != 12 {
-				t.Errorf("%d machines stay for 12 tasks: %v deleted of %d", up, fleet.cloud.DeletedMachines(), fleet.provisioned())
+				t.Errorf("%d machines not deleted, want 12 for 12 tasks; deleted %v of %d", up, fleet.cloud.DeletedMachines(), fleet.provisioned())
 			}
 		}
 	})
--- a/internal/fleet/cloud.go
+++ b/internal/fleet/cloud.go
@@ -27,17 +27,17 @@
 var (
 	// errUnavailable reports that the call was not executed because of an outage, the cloud's rate limit or
 	// this client's own rate limit.
-	errUnavailable = errors.New("cloud: unavailable")
+	errUnavailable = errors.New("cloud: call not executed, cloud unavailable or rate limit reached")
 	// errNoCapacity reports that the cloud has no machines of the requested type, zone and kind (spot or
 	// ordinary) at present.
-	errNoCapacity = errors.New("cloud: no capacity")
+	errNoCapacity = errors.New("cloud: no capacity for the requested machines")
 	// errOutcomeUnknown reports that there was no usable answer: the call may have been executed, or may
 	// still be.
-	errOutcomeUnknown = errors.New("cloud: no answer")
+	errOutcomeUnknown = errors.New("cloud: outcome of the call unknown")
 	// errMalformed reports that the cloud considers the request malformed and will never accept it.
-	errMalformed = errors.New("cloud: malformed")
+	errMalformed = errors.New("cloud: request malformed")
 	// errNotLeader reports that another node may be leader, so the call was not sent.
-	errNotLeader = errors.New("cloud: another node may be leader")
+	errNotLeader = errors.New("cloud: call not sent, another node may be leader")
 )
 
 const (
@@ -110,7 +110,7 @@
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	if err := c.limiter.Wait(ctx); err != nil {
-		return fmt.Errorf("%w: own budget", errUnavailable)
+		return fmt.Errorf("%w: no call left under the client's own rate limit", errUnavailable)
 	}
 	if isLeader != nil && !isLeader() {
 		return errNotLeader
@@ -120,7 +120,7 @@
 	response, err := c.http.Do(ctx, method, path, body)
 	var noResponse *httpjson.NoResponseError
 	if errors.As(err, &noResponse) {
-		return fmt.Errorf("%w: %v", errOutcomeUnknown, err)
+		return fmt.Errorf("%w: no response: %v", errOutcomeUnknown, err)
 	}
 	if err != nil {
 		return err
@@ -129,7 +129,7 @@
 		return err
 	}
 	if err := json.Unmarshal(response.Body, answer); err != nil {
-		return fmt.Errorf("%w: %v", errOutcomeUnknown, err)
+		return fmt.Errorf("%w: decode response: %v", errOutcomeUnknown, err)
 	}
 	return nil
 }
@@ -149,5 +149,5 @@
 	case http.StatusBadRequest:
 		return fmt.Errorf("%w: %.200s", errMalformed, response.Body)
 	}
-	return fmt.Errorf("%w: status %d", errOutcomeUnknown, response.Status)
+	return fmt.Errorf("%w: unexpected HTTP status %d", errOutcomeUnknown, response.Status)
 }
--- a/internal/fleet/cloud_test.go
+++ b/internal/fleet/cloud_test.go
@@ -20,15 +20,15 @@
 		network, cloud, _, _, provisioner := setup(0)
 		request := provisioningRequest{Name: "h", Type: "small", Count: 1}
 		if _, err := provisioner.Cloud.provision(ctx, request, nil); !errors.Is(err, errNoCapacity) {
-			t.Errorf("no room: %v", err)
+			t.Errorf("provision without capacity: error %v, want errNoCapacity", err)
 		}
 		cloud.SetDown(true)
 		if _, err := provisioner.Cloud.provision(ctx, request, nil); !errors.Is(err, errUnavailable) {
-			t.Errorf("outage: %v", err)
+			t.Errorf("provision during an outage: error %v, want errUnavailable", err)
 		}
 		network.SetRule(func(_, _ string, _ *http.Request, _ []byte) fake.Outcome { return fake.Drop })
 		if err := provisioner.Cloud.delete(ctx, []ids.Machine{"host-1"}, nil); !errors.Is(err, errOutcomeUnknown) {
-			t.Errorf("silence: %v", err)
+			t.Errorf("delete without a response: error %v, want errOutcomeUnknown", err)
 		}
 	})
 }
@@ -41,6 +41,6 @@
 	}
 	want := []clusterstate.ListedMachine{{Name: "host-1", Address: "10.1.0.1:9000", Type: "g8", Zone: "a", Spot: true, Status: "running", ProvisionedFor: 61.5}}
 	if got := answer.machines(); !slices.Equal(got, want) || !answer.More {
-		t.Errorf("%+v, more %v, want %+v and more", got, answer.More, want)
+		t.Errorf("decoded machines %+v, more %v; want %+v, more true", got, answer.More, want)
 	}
 }
--- a/internal/fleet/large_fleet_test.go
+++ b/internal/fleet/large_fleet_test.go
@@ -33,7 +33,7 @@
 
 func TestRequestDoesNotWaitForTheListOfALargeFleet(t *testing.T) {
 	// Guards against reading all pages of the machine list before anything else: at six thousand machines
-	// each such read used up the call budget of three seconds.
+	// the calls of each such read took three seconds, and the reads repeat.
 	synctest.Test(t, func(t *testing.T) {
 		ctx := context.Background()
 		network, cloud, cluster, _, provisioner := setup(largestFleet + 100)
@@ -62,10 +62,10 @@
 			step()
 		}
 		if slowest > time.Second {
-			t.Errorf("a request waited %v", slowest)
+			t.Errorf("slowest provisioning request was sent after %v, want at most 1s", slowest)
 		}
 		if len(lists) < 2 {
-			t.Errorf("the machine list was read to its end %d times", len(lists))
+			t.Errorf("machine list was read to its end %d times, want at least 2", len(lists))
 		}
 	})
 }
--- a/internal/fleet/listing.go
+++ b/internal/fleet/listing.go
@@ -32,7 +32,7 @@
 	for p.list.reading && (!p.list.complete || p.Cloud.hasSpareCalls()) {
 		page, more, err := p.Cloud.listPage(ctx, p.list.after)
 		if err != nil {
-			slog.Debug("machine list not read", "after", p.list.after, "err", err)
+			slog.Debug("failed to read a page of the machine list", "after", p.list.after, "err", err)
 			return // the next step continues with this page
 		}
 		p.Cluster.ReconcileCloudList(p.ownedOf(page), time.Now())
--- a/internal/fleet/production_test.go
+++ b/internal/fleet/production_test.go
@@ -26,7 +26,7 @@
 		}
 		var before, after any
 		if json.Unmarshal(want, &before) != nil || json.Unmarshal(raw, &after) != nil || !reflect.DeepEqual(before, after) {
-			t.Errorf("%s is written back as %s, not %s", name, raw, want)
+			t.Errorf("%s is encoded again as %s, want %s", name, raw, want)
 		}
 	}
 }
--- a/internal/fleet/provisioner.go
+++ b/internal/fleet/provisioner.go
@@ -43,8 +43,8 @@
 	ConfirmLeadership func() bool
 	// Keys are the keys under which the shard's requests are stored.
 	Keys record.ShardKeys
-	// Shard is this shard. If there are several, the names of requests contain the shard, and a request
-	// stays stored with the names of its machines until the last of them is deleted.
+	// Shard is the shard of this provisioner. If there are several, the names of requests contain it, and a
+	// request stays stored with the names of its machines until the last of them is deleted.
 	Shard ids.Shard
 	// Owns reports whether a listed machine belongs to this shard; if nil, all do.
 	Owns func(ids.Machine) bool
@@ -114,7 +114,7 @@
 	types, err := p.Cloud.Types(ctx)
 	if err != nil {
 		if p.typesReadAt.IsZero() {
-			slog.Info("machine types not known yet", "err", err)
+			slog.Info("failed to read the machine types; nothing is provisioned until they are known", "err", err)
 			return false
 		}
 		return true // the types read earlier remain in use
--- a/internal/fleet/provisioner_test.go
+++ b/internal/fleet/provisioner_test.go
@@ -95,24 +95,24 @@
 						return fake.Deliver
 					}
 				}
-				t.Errorf("sent without being stored: %s", body)
+				t.Errorf("request was sent before it was stored: %s", body)
 			}
 			return fake.Deliver
 		})
 		store.down = true
 		provisioner.Step(ctx)
 		if len(cloud.ProvisioningRequests()) != 0 {
-			t.Fatal("requested although the name could not be stored")
+			t.Fatal("request was sent although the store refused it")
 		}
 		store.down = false
 		store.lose = 2 // a write without an answer is not a confirmed write
 		provisioner.Step(ctx)
 		if len(cloud.ProvisioningRequests()) != 0 {
-			t.Fatal("requested although nothing says that the name is stored")
+			t.Fatal("request was sent although its write was not confirmed")
 		}
 		stepEverySecond(ctx, provisioner, 6)
 		if total := countProvisioned(cloud); total != 2 || len(store.names) != 0 {
-			t.Fatalf("provisioned %d for two tasks; still stored: %v", total, store.names)
+			t.Fatalf("%d machines provisioned, want 2 for two tasks; requests still stored: %v, want none", total, store.names)
 		}
 	})
 }
@@ -124,7 +124,7 @@
 		provisioner.Adopt([]state.Entry{{Value: []byte(`{"hire":"h-3-1","build":"small","yard":"north","loaners":false,"count":2}`)}})
 		provisioner.Step(ctx)
 		if len(cloud.ProvisioningRequests()["h-3-1"]) != 2 || cluster.Summary()["machines"] != 2 {
-			t.Fatalf("requests %v, machines %v", cloud.ProvisioningRequests(), cluster.Summary()["machines"])
+			t.Fatalf("cloud received requests %v, cluster has %v machines; want request h-3-1 and 2 machines", cloud.ProvisioningRequests(), cluster.Summary()["machines"])
 		}
 	})
 }
@@ -136,7 +136,7 @@
 		cluster.HandleRecord("job-1", 1, job("job-1", 1), time.Now())
 		stepEverySecond(ctx, provisioner, 250)
 		if gone := cloud.DeletedMachines(); len(gone) == 0 || gone[0] != "host-000001" {
-			t.Fatalf("a machine that never came up was kept: %v", gone)
+			t.Fatalf("deleted machines %v, want first host-000001, which never came up", gone)
 		}
 		// A machine that no request provisioned sends heartbeats, has no tasks and is deleted.
 		cluster.ReconcileHeartbeat(&worker.Report{Machine: "host-000777", Type: "small", Zone: "north", Incarnation: 1, Sequence: 1}, true, true)
@@ -147,7 +147,7 @@
 			time.Sleep(time.Second)
 		}
 		if !strings.Contains(strings.Join(cloud.DeletedMachines(), " "), "host-000777") {
-			t.Fatalf("the unknown machine was kept: %v", cloud.DeletedMachines())
+			t.Fatalf("deleted machines %v, want also the unknown host-000777", cloud.DeletedMachines())
 		}
 	})
 }
@@ -161,7 +161,7 @@
 		cluster.HandleRecord("job-1", 1, job("job-1", 2), time.Now())
 		provisioner.Step(ctx)
 		if len(cloud.ProvisioningRequests()) == 0 {
-			t.Fatal("nothing was provisioned")
+			t.Fatal("no request was sent for the first job")
 		}
 		time.Sleep(5 * time.Minute) // the machines never come up
 		asked := 0
@@ -170,12 +170,12 @@
 		requests := len(cloud.ProvisioningRequests())
 		stepEverySecond(ctx, provisioner, 5)
 		if asked == 0 || len(cloud.DeletedMachines()) != 0 || len(cloud.ProvisioningRequests()) != requests {
-			t.Errorf("asked %d times; deleted %v, %d requests", asked, cloud.DeletedMachines(), len(cloud.ProvisioningRequests())-requests)
+			t.Errorf("unconfirmed leader: leadership checked %d times, deleted %v, %d new requests; want checks only", asked, cloud.DeletedMachines(), len(cloud.ProvisioningRequests())-requests)
 		}
 		provisioner.ConfirmLeadership = func() bool { return true }
 		stepEverySecond(ctx, provisioner, 5)
 		if len(cloud.DeletedMachines()) == 0 || len(cloud.ProvisioningRequests()) == requests {
-			t.Errorf("the sure leader deleted %v and made %d requests", cloud.DeletedMachines(), len(cloud.ProvisioningRequests())-requests)
+			t.Errorf("confirmed leader: deleted %v, %d new requests; want both", cloud.DeletedMachines(), len(cloud.ProvisioningRequests())-requests)
 		}
 	})
 }
--- a/internal/fleet/requests.go
+++ b/internal/fleet/requests.go
@@ -134,7 +134,7 @@
 		p.requests.outstanding = append(p.requests.outstanding, request)
 		return true
 	}
-	slog.Debug("provisioning request not stored", "request", request.Name, "err", err)
+	slog.Debug("failed to store provisioning request", "request", request.Name, "err", err)
 	var conflict *state.ConflictError
 	if !errors.As(err, &conflict) && (errors.Is(err, state.ErrOutcomeUnknown) || request.attempted) {
 		request.attempted = true
@@ -155,7 +155,7 @@
 	case errors.Is(err, errNoCapacity):
 		p.noteRefused(request.offer(), refusalPeriod)
 	case errors.Is(err, errMalformed):
-		slog.Error("the cloud calls a provisioning request malformed", "request", request.Name, "err", err)
+		slog.Error("cloud rejected provisioning request as malformed", "request", request.Name, "err", err)
 		p.noteRefused(request.offer(), malformedPeriod)
 	default:
 		return
@@ -182,7 +182,7 @@
 func (p *Provisioner) storeMachines(ctx context.Context, request provisioningRequest, machines []ids.Machine) bool {
 	request.Machines = machines
 	if err := p.putRequest(ctx, request); err != nil {
-		slog.Debug("machines of a provisioning request not stored", "request", request.Name, "err", err)
+		slog.Debug("failed to store the machines of a provisioning request", "request", request.Name, "err", err)
 		return false
 	}
 	p.requests.addFulfilled(request)
@@ -201,7 +201,7 @@
 // removeRequest removes a request from the store.
 func (p *Provisioner) removeRequest(ctx context.Context, name ids.ProvisioningRequest) {
 	if err := p.Store.Apply(ctx, []state.Op{{Remove: p.requestKey(name)}}); err != nil {
-		slog.Debug("provisioning request not removed", "request", name, "err", err)
+		slog.Debug("failed to remove provisioning request from the store", "request", name, "err", err)
 	}
 }
 
--- a/internal/fleet/scale_in.go
+++ b/internal/fleet/scale_in.go
@@ -23,7 +23,7 @@
 func (p *Provisioner) deleteUnneeded(ctx context.Context, needed map[ids.Machine]bool) {
 	for batch := range slices.Chunk(p.Cluster.MachinesToTerminate(time.Now(), needed), maxPerDeletion) {
 		if err := p.Cloud.delete(ctx, batch, p.ConfirmLeadership); err != nil {
-			slog.Debug("deletion not confirmed", "err", err)
+			slog.Debug("failed to delete machines or to confirm their deletion; the next step tries again", "err", err)
 			return // the next step tries again, until the deletion is confirmed
 		}
 		for _, machine := range batch {
--- a/internal/fleet/shards_test.go
+++ b/internal/fleet/shards_test.go
@@ -47,33 +47,33 @@
 		provisioner.Step(ctx)
 		key := "pool/~1/hire/h-s1-7-1"
 		if !strings.Contains(store.values[key], `"hosts":["host-000001"]`) {
-			t.Fatalf("stored: %v", store.values)
+			t.Fatalf("stored values %v, want the request with its machine", store.values)
 		}
 		// A later leader learns of the machine from the stored request.
 		next := &Provisioner{Cluster: clusterstate.New(testSettings(), "w", 8, time.Now())}
 		next.Adopt([]state.Entry{{Key: key, Value: []byte(store.values[key])}})
 		if next.Cluster.Summary()["machines"] != 1 || len(next.requests.outstanding) != 0 {
-			t.Errorf("a successor knows %v machines and %d outstanding requests", next.Cluster.Summary()["machines"], len(next.requests.outstanding))
+			t.Errorf("next leader has %v machines and %d outstanding requests, want 1 and 0", next.Cluster.Summary()["machines"], len(next.requests.outstanding))
 		}
 		// The demand exceeds the cloud's capacity, so a shortage is published to the other shards.
 		cluster.HandleRecord("job-2", 2, job("job-2", 40), time.Now())
 		stepEverySecond(ctx, provisioner, 8)
 		if cluster.Shortage().Duration == 0 {
-			t.Error("the cloud refuses what waits, and nobody is told")
+			t.Error("no shortage published although the cloud refuses machines for a waiting job")
 		}
 		stepEverySecond(ctx, provisioner, 300) // the machines never come up and are deleted
 		if len(cloud.DeletedMachines()) == 0 {
-			t.Fatal("nothing was deleted")
+			t.Fatal("machines that never came up were not deleted")
 		}
 		for _, machine := range cloud.DeletedMachines() {
 			for storedAt, value := range store.values {
 				if strings.Contains(value, machine) && len(provisioner.requests.fulfilled) == 0 {
-					t.Errorf("%s still names %s", storedAt, machine)
+					t.Errorf("stored request %s still contains deleted machine %s", storedAt, machine)
 				}
 			}
 		}
 		if _, kept := store.values[key]; kept {
-			t.Error("the request is stored although its machine is deleted")
+			t.Error("request is still stored although its only machine was deleted")
 		}
 	})
 }
@@ -87,21 +87,21 @@
 	}
 	now := time.Now()
 	if deleted := cluster.MachinesToTerminate(now, map[ids.Machine]bool{"busy": true}); len(deleted) != 0 {
-		t.Fatalf("deleted %v although nobody has a shortage", deleted)
+		t.Fatalf("machines %v selected for termination although no shard has a shortage", deleted)
 	}
 	cluster.ShareCapacity(time.Second, 1, now)
 	if deleted := cluster.MachinesToTerminate(now, map[ids.Machine]bool{"busy": true}); len(deleted) != 2 {
-		t.Errorf("deleted %v, not what is idle", deleted)
+		t.Errorf("machines %v selected for termination, want the 2 idle ones", deleted)
 	}
 	cluster.ShareCapacity(time.Minute, 3, now)
 	if cluster.Summary()["draining"] != 0 {
-		t.Error("a shard with its part gives a machine up")
+		t.Error("a shard with the average number of machines drains a machine for another shard")
 	}
 	for range 3 {
 		cluster.ShareCapacity(time.Minute, 1, now)
 	}
 	if cluster.Summary()["draining"] != 1 {
-		t.Errorf("%v machines are given up at once", cluster.Summary()["draining"])
+		t.Errorf("%v machines are drained at the same time for another shard, want 1", cluster.Summary()["draining"])
 	}
 }
 
@@ -117,7 +117,7 @@
 		cluster.HandleRecord("job-1", 1, job("job-1", 1), time.Now())
 		stepEverySecond(ctx, provisioner, 40)
 		if len(cloud.ProvisioningRequests()) == 0 {
-			t.Error("nothing was requested for a job that waits")
+			t.Error("no request was sent for a waiting job")
 		}
 	})
 }
