--- a/internal/rollout/candidate.go
+++ b/internal/rollout/candidate.go
@@ -12,7 +12,7 @@
 	name    ids.Machine
 	part    int // index of the part of the waiting machines that contains the machine
 	machine Machine
-	weight  DrainCost
+	cost    DrainCost
 }
 
 // sortCandidates sorts machines in place into the greedy order in which waves take them and returns them:
@@ -21,8 +21,8 @@
 func sortCandidates(candidates []candidate) []candidate {
 	slices.SortFunc(candidates, func(x, y candidate) int {
 		return cmp.Or(
-			cmp.Compare(min(len(x.weight.Blocked), 1), min(len(y.weight.Blocked), 1)),
-			cmp.Compare(x.weight.Steps, y.weight.Steps),
+			cmp.Compare(min(len(x.cost.Blocked), 1), min(len(y.cost.Blocked), 1)),
+			cmp.Compare(x.cost.Steps, y.cost.Steps),
 			cmp.Compare(x.machine.Tasks, y.machine.Tasks),
 			cmp.Compare(x.name, y.name))
 	})
--- a/internal/rollout/fakefleet_test.go
+++ b/internal/rollout/fakefleet_test.go
@@ -11,12 +11,12 @@
 // fakeFleet is an in-memory Fleet. It carries out orders immediately, and provisioned machines become
 // ready at once, unless a test sets a failure.
 type fakeFleet struct {
-	mu       sync.Mutex
-	machines map[ids.Machine]*fakeMachine
-	hires    map[ids.ProvisioningRequest][]ids.Machine
-	next     int
-	// mostCordoned is the maximum number of machines cordoned at the same time.
-	mostCordoned int
+	mu          sync.Mutex
+	machines    map[ids.Machine]*fakeMachine
+	provisioned map[ids.ProvisioningRequest][]ids.Machine
+	lastNumber  int
+	// maxCordoned is the maximum number of machines cordoned at the same time.
+	maxCordoned int
 	// provisionNothing makes the fleet provision nothing; replacementsFail makes replacements fail
 	// once they are ready.
 	provisionNothing bool
@@ -26,23 +26,23 @@
 // fakeMachine is a machine with the cost of draining it.
 type fakeMachine struct {
 	Machine
-	weight DrainCost
+	cost DrainCost
 }
 
-func newFleet(machines int) *fakeFleet {
-	f := &fakeFleet{machines: map[ids.Machine]*fakeMachine{}, hires: map[ids.ProvisioningRequest][]ids.Machine{}}
+func newFakeFleet(machines int) *fakeFleet {
+	f := &fakeFleet{machines: map[ids.Machine]*fakeMachine{}, provisioned: map[ids.ProvisioningRequest][]ids.Machine{}}
 	for range machines {
-		f.add([]string{"north", "south"}[f.next%2])
+		f.add([]string{"north", "south"}[f.lastNumber%2])
 	}
 	return f
 }
 
 func (f *fakeFleet) add(zone string) ids.Machine {
-	f.next++
-	name := ids.Machine(fmt.Sprintf("host-%06d", f.next))
+	f.lastNumber++
+	name := ids.Machine(fmt.Sprintf("host-%06d", f.lastNumber))
 	f.machines[name] = &fakeMachine{
 		Machine: Machine{Class: InstanceClass{Type: "small", Zone: zone}, Known: true, Ready: true, Tasks: 1},
-		weight:  DrainCost{Steps: 1},
+		cost:    DrainCost{Steps: 1},
 	}
 	return name
 }
@@ -59,7 +59,7 @@
 func (f *fakeFleet) DrainCost(name ids.Machine) DrainCost {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.machines[name].weight
+	return f.machines[name].cost
 }
 
 func (f *fakeFleet) Machines() (names []ids.Machine) {
@@ -77,7 +77,7 @@
 func (f *fakeFleet) ProvisionedMachines(name ids.ProvisioningRequest) ([]ids.Machine, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	machines, answered := f.hires[name]
+	machines, answered := f.provisioned[name]
 	return machines, answered
 }
 
@@ -87,7 +87,7 @@
 func (f *fakeFleet) CarryOut(orders *Orders) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.mostCordoned = max(f.mostCordoned, len(orders.Machines))
+	f.maxCordoned = max(f.maxCordoned, len(orders.Machines))
 	for name, order := range orders.Machines {
 		machine := f.machines[name]
 		switch {
@@ -99,12 +99,12 @@
 		}
 	}
 	for _, request := range orders.Provisioning {
-		if f.hires[request.Name] != nil || f.provisionNothing {
+		if f.provisioned[request.Name] != nil || f.provisionNothing {
 			continue
 		}
 		for range request.Count {
 			name := f.add(request.Class.Zone)
-			f.hires[request.Name] = append(f.hires[request.Name], name)
+			f.provisioned[request.Name] = append(f.provisioned[request.Name], name)
 			if f.replacementsFail {
 				f.machines[name].Failed = "it is broken"
 			}
--- a/internal/rollout/harness_test.go
+++ b/internal/rollout/harness_test.go
@@ -40,7 +40,7 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		defer synctest.Wait()
 		defer cancel()
-		h := &harness{t: t, ctx: ctx, network: fake.NewNetwork(), store: fake.NewStore(), fleet: newFleet(machines)}
+		h := &harness{t: t, ctx: ctx, network: fake.NewNetwork(), store: fake.NewStore(), fleet: newFakeFleet(machines)}
 		h.network.Listen("state:1", h.store)
 		h.store.SetLimits(maxValueBytes, maxTxnOps)
 		h.service = h.controller("a")
@@ -77,18 +77,18 @@
 // awaitState waits until a rollout has a state, and fails the test after the timeout.
 func (h *harness) awaitState(name Name, want State, timeout time.Duration) *Status {
 	h.t.Helper()
-	for end := time.Now().Add(timeout); ; time.Sleep(100 * time.Millisecond) {
+	for deadline := time.Now().Add(timeout); ; time.Sleep(100 * time.Millisecond) {
 		status, err := h.service.Status(h.ctx, name)
 		if err == nil && status.State == want {
 			return status
 		}
-		if time.Now().After(end) {
+		if time.Now().After(deadline) {
 			h.t.Fatalf("rollout %s did not reach state %s within %v: status %+v, error %v", name, want, timeout, status, err)
 		}
 	}
 }
 
-// wholeFleet returns the specification of a rollout of all machines.
-func wholeFleet(name Name) *Spec {
+// allMachinesSpec returns the specification of a rollout of all machines.
+func allMachinesSpec(name Name) *Spec {
 	return &Spec{Name: name, Select: Selection{Older: true}, WaveSize: 10, Deadline: 60, AtDeadline: WaitAtDeadline}
 }
--- a/internal/rollout/machineset.go
+++ b/internal/rollout/machineset.go
@@ -39,18 +39,18 @@
 // splitName splits a machine's name into its prefix, the width of its number, and the number.
 func splitName(name ids.Machine) (prefix string, digits int, number uint32) {
 	text := string(name)
-	from := len(text)
-	for from > 0 && len(text)-from < maxDigits && text[from-1] >= '0' && text[from-1] <= '9' {
-		from--
+	numberStart := len(text)
+	for numberStart > 0 && len(text)-numberStart < maxDigits && text[numberStart-1] >= '0' && text[numberStart-1] <= '9' {
+		numberStart--
 	}
-	value, err := strconv.ParseUint(text[from:], 10, 32)
+	value, err := strconv.ParseUint(text[numberStart:], 10, 32)
 	if err != nil {
 		return text, noNumber, 0
 	}
-	if text[from] == '0' && len(text)-from > 1 {
-		digits = len(text) - from
+	if text[numberStart] == '0' && len(text)-numberStart > 1 {
+		digits = len(text) - numberStart
 	}
-	return text[:from], digits, uint32(value)
+	return text[:numberStart], digits, uint32(value)
 }
 
 // name returns the name of the machine with the given number.
@@ -74,7 +74,7 @@
 }
 
 // find returns the index of the series with the given prefix and digits, or the index at which to insert it.
-func (m *MachineSet) find(prefix string, digits int) (position int, found bool) {
+func (m *MachineSet) find(prefix string, digits int) (index int, found bool) {
 	return slices.BinarySearchFunc(m.series, nameSeries{prefix: prefix, digits: digits}, compareSeries)
 }
 
@@ -88,22 +88,22 @@
 // Add adds a machine to the set.
 func (m *MachineSet) Add(name ids.Machine) {
 	prefix, digits, number := splitName(name)
-	position, found := m.find(prefix, digits)
+	index, found := m.find(prefix, digits)
 	if !found {
-		m.series = slices.Insert(m.series, position, nameSeries{prefix: prefix, digits: digits, numbers: roaring.New()})
+		m.series = slices.Insert(m.series, index, nameSeries{prefix: prefix, digits: digits, numbers: roaring.New()})
 	}
-	m.series[position].numbers.Add(number)
+	m.series[index].numbers.Add(number)
 }
 
 // Remove removes a machine from the set and reports whether the set contained it.
 func (m *MachineSet) Remove(name ids.Machine) bool {
 	prefix, digits, number := splitName(name)
-	position, found := m.find(prefix, digits)
-	if !found || !m.series[position].numbers.CheckedRemove(number) {
+	index, found := m.find(prefix, digits)
+	if !found || !m.series[index].numbers.CheckedRemove(number) {
 		return false
 	}
-	if m.series[position].numbers.IsEmpty() {
-		m.series = slices.Delete(m.series, position, position+1)
+	if m.series[index].numbers.IsEmpty() {
+		m.series = slices.Delete(m.series, index, index+1)
 	}
 	return true
 }
@@ -111,8 +111,8 @@
 // Has reports whether the set contains a machine.
 func (m *MachineSet) Has(name ids.Machine) bool {
 	prefix, digits, number := splitName(name)
-	position, found := m.find(prefix, digits)
-	return found && m.series[position].numbers.Contains(number)
+	index, found := m.find(prefix, digits)
+	return found && m.series[index].numbers.Contains(number)
 }
 
 // Len returns the number of machines.
@@ -149,11 +149,11 @@
 // Overlap returns a machine that both sets contain, if there is one.
 func (m *MachineSet) Overlap(other *MachineSet) (ids.Machine, bool) {
 	for i := range m.series {
-		position, found := other.find(m.series[i].prefix, m.series[i].digits)
+		index, found := other.find(m.series[i].prefix, m.series[i].digits)
 		if !found {
 			continue
 		}
-		common := roaring.And(m.series[i].numbers, other.series[position].numbers)
+		common := roaring.And(m.series[i].numbers, other.series[index].numbers)
 		if !common.IsEmpty() {
 			return m.series[i].name(common.Minimum()), true
 		}
--- a/internal/rollout/orders.go
+++ b/internal/rollout/orders.go
@@ -72,7 +72,7 @@
 	o.addMachines(record.machinesIn(Cordoned), cordon)
 	drain := cordon
 	if record.State == Running {
-		deadline := record.Wave.DrainingSince + wallOf(spec.Deadline)
+		deadline := record.Wave.DrainingSince + timestampOffset(spec.Deadline)
 		drain.Drain = true
 		drain.Stop = spec.AtDeadline == StopAtDeadline && ids.TimestampOf(now) >= deadline
 	}
@@ -105,6 +105,6 @@
 // drainsWholeZone reports whether the rollout drains a whole zone permanently.
 func (r *Record) drainsWholeZone() bool {
 	selection := &r.Spec.Select
-	isZone := selection.Zone != "" && selection.Type == "" && selection.Digest == ""
-	return isZone && !r.Spec.Replace && r.isRunningOrPaused()
+	selectsZoneOnly := selection.Zone != "" && selection.Type == "" && selection.Digest == ""
+	return selectsZoneOnly && !r.Spec.Replace && r.isRunningOrPaused()
 }
--- a/internal/rollout/preview.go
+++ b/internal/rollout/preview.go
@@ -14,7 +14,7 @@
 	// Machines returns all machines that are up or being provisioned.
 	Machines() []ids.Machine
 	// BootTime returns the approximate time that a machine of an instance class takes to boot.
-	BootTime(kind InstanceClass) time.Duration
+	BootTime(class InstanceClass) time.Duration
 	// StepTime returns the approximate duration of one step of draining a machine.
 	StepTime() time.Duration
 }
@@ -46,8 +46,8 @@
 	preview := &Preview{Machines: names}
 	candidates := make([]candidate, len(names))
 	for i, name := range names {
-		candidates[i] = candidate{name: name, machine: fleet.Machine(name), weight: fleet.DrainCost(name)}
-		if blocked := candidates[i].weight.Blocked; len(blocked) > 0 {
+		candidates[i] = candidate{name: name, machine: fleet.Machine(name), cost: fleet.DrainCost(name)}
+		if blocked := candidates[i].cost.Blocked; len(blocked) > 0 {
 			preview.Blocked = append(preview.Blocked, BlockedMachine{name, blocked})
 		}
 	}
@@ -67,15 +67,15 @@
 		p.Takes += spec.Pause
 	}
 	p.Waves = append(p.Waves, names)
-	p.Takes += ids.Seconds(waveTime(spec, wave, fleet).Seconds())
+	p.Takes += ids.Seconds(waveDuration(spec, wave, fleet).Seconds())
 }
 
-// waveTime returns the approximate duration of a wave. The steps of all its machines are added up, since the
-// machines of a wave share the disruption budgets.
-func waveTime(spec *Spec, wave []candidate, fleet Planner) (total time.Duration) {
+// waveDuration returns the approximate duration of a wave. The steps of all its machines are added up,
+// since the machines of a wave share the disruption budgets.
+func waveDuration(spec *Spec, wave []candidate, fleet Planner) (total time.Duration) {
 	bootTime := time.Duration(0)
 	for i := range wave {
-		total += time.Duration(wave[i].weight.Steps) * fleet.StepTime()
+		total += time.Duration(wave[i].cost.Steps) * fleet.StepTime()
 		bootTime = max(bootTime, fleet.BootTime(wave[i].machine.Class))
 	}
 	if spec.Replace {
@@ -89,15 +89,15 @@
 func selectMachines(spec *Spec, fleet Planner, now time.Time) ([]ids.Machine, error) {
 	selection := &spec.Select
 	names := fleet.Machines()
-	isNamed := len(selection.Machines) > 0
-	if isNamed {
+	hasNames := len(selection.Machines) > 0
+	if hasNames {
 		names = slices.Compact(slices.Sorted(slices.Values(selection.Machines)))
 	}
 	var selected []ids.Machine
 	for _, name := range names {
 		machine := fleet.Machine(name)
 		exists := machine.Known && !machine.Deleted
-		if isNamed && !exists {
+		if hasNames && !exists {
 			return nil, fmt.Errorf("%w: unknown machine %q", ErrInvalidSpec, name)
 		}
 		if exists && selection.matches(machine, now) {
--- a/internal/rollout/reconcile.go
+++ b/internal/rollout/reconcile.go
@@ -24,17 +24,17 @@
 	changed bool // whether record was changed
 }
 
-// reconcile computes the next change of a rollout; it returns nil if nothing changes. With yield, the
+// reconcile computes the next change of a rollout; it returns nil if nothing changes. With mustYield, the
 // rollout uncordons the machines from which no tasks are being evicted, because an older rollout waits
 // for capacity. One change rewrites at most maxParts parts of the waiting machines.
-func reconcile(record *Record, waiting []MachineSet, view View, now time.Time, maxParts int, yield bool) (*recordChange, error) {
+func reconcile(record *Record, waiting []MachineSet, view View, now time.Time, maxParts int, mustYield bool) (*recordChange, error) {
 	r := &reconciler{
 		record:  record.clone(),
 		waiting: newWaitingMachines(waiting, maxParts),
 		view:    view,
 		now:     ids.TimestampOf(now),
 	}
-	if err := r.reconcile(yield); err != nil {
+	if err := r.reconcile(mustYield); err != nil {
 		return nil, err
 	}
 	parts := r.waiting.changedParts()
@@ -44,21 +44,21 @@
 	return &recordChange{record: r.record, waiting: parts}, nil
 }
 
-func (r *reconciler) reconcile(yield bool) error {
+func (r *reconciler) reconcile(mustYield bool) error {
 	if r.record.State.isFinal() {
 		return nil
 	}
-	if err := r.recordDeleted(); err != nil {
+	if err := r.markDeleted(); err != nil {
 		return err
 	}
 	switch r.record.State {
 	case Running:
-		if yield {
+		if mustYield {
 			return r.yieldCapacity()
 		}
 		return r.advanceWave()
 	case Halted:
-		return r.release(allMachines)
+		return r.uncordon(anyMachine)
 	case Aborting:
 		return r.abort()
 	}
@@ -78,13 +78,13 @@
 }
 
 // transition moves the rollout to another state.
-func (r *reconciler) transition(to State, why string) error {
+func (r *reconciler) transition(to State, reason string) error {
 	r.changed = true
-	return r.record.transition(to, why)
+	return r.record.transition(to, reason)
 }
 
-// recordDeleted moves deleted machines of the wave to state Returned, in any state of the rollout.
-func (r *reconciler) recordDeleted() error {
+// markDeleted moves deleted machines of the wave to state Returned, in any state of the rollout.
+func (r *reconciler) markDeleted() error {
 	for _, state := range cordonedStates {
 		for _, name := range r.machinesIn(state) {
 			if !r.view.Machine(name).Deleted {
@@ -100,17 +100,17 @@
 
 // halt stops the rollout until an operator resumes or aborts it, and uncordons the machines that are not
 // empty.
-func (r *reconciler) halt(why string) error {
-	if err := r.transition(Halted, why); err != nil {
+func (r *reconciler) halt(reason string) error {
+	if err := r.transition(Halted, reason); err != nil {
 		return err
 	}
-	return r.release(allMachines)
+	return r.uncordon(anyMachine)
 }
 
 // abort uncordons the machines that are not empty, and ends the rollout once its empty machines are
 // returned.
 func (r *reconciler) abort() error {
-	if err := r.release(allMachines); err != nil {
+	if err := r.uncordon(anyMachine); err != nil {
 		return err
 	}
 	if r.record.Wave != nil {
@@ -125,7 +125,7 @@
 // yieldCapacity uncordons the machines from which no tasks are being evicted, and continues with the others.
 func (r *reconciler) yieldCapacity() error {
 	notEvicting := func(machine Machine) bool { return !machine.Evicting }
-	if err := r.release(notEvicting); err != nil {
+	if err := r.uncordon(notEvicting); err != nil {
 		return err
 	}
 	if r.record.Wave == nil {
@@ -134,17 +134,17 @@
 	return r.advanceWave()
 }
 
-func allMachines(Machine) bool { return true }
+func anyMachine(Machine) bool { return true }
 
-// release uncordons the matching machines of the wave that are not empty; they wait for a later wave again.
-func (r *reconciler) release(selects func(Machine) bool) error {
+// uncordon moves the matching machines of the wave that are not empty back to state Waiting.
+func (r *reconciler) uncordon(matches func(Machine) bool) error {
 	if r.record.Wave == nil {
 		return nil
 	}
 	for _, state := range []MachineState{Cordoned, Draining} {
 		for _, name := range r.machinesIn(state) {
 			machine := r.view.Machine(name)
-			if !selects(machine) {
+			if !matches(machine) {
 				continue
 			}
 			if err := r.transitionMachine(name, state, Waiting); err != nil {
--- a/internal/rollout/record.go
+++ b/internal/rollout/record.go
@@ -63,8 +63,8 @@
 	return record, nil
 }
 
-// signBy sets the writer of the record and increments its sequence number.
-func (r *Record) signBy(writer string) {
+// setWriter sets the writer of the record and increments its sequence number.
+func (r *Record) setWriter(writer string) {
 	r.Writer = writer
 	r.Seq++
 }
@@ -84,10 +84,10 @@
 
 // checkWaveFits returns an error if the wave size is so large that the record might not fit into a value.
 func (r *Record) checkWaveFits(valueBytes int) error {
-	const besidesMachines = 2048 // the specification, the requests and the prefixes of names
-	maximum := int(float64(valueBytes-besidesMachines) / (setsPerMachine * storedBytesPerMachine))
-	if r.Spec.WaveSize > max(maximum, 1) && r.Total > maximum {
-		return fmt.Errorf("%w: wave size: a record of %d bytes holds waves of at most %d machines, not %d", ErrInvalidSpec, valueBytes, maximum, r.Spec.WaveSize)
+	const otherBytes = 2048 // the specification, the requests and the prefixes of names
+	maxMachines := int(float64(valueBytes-otherBytes) / (setsPerMachine * storedBytesPerMachine))
+	if r.Spec.WaveSize > max(maxMachines, 1) && r.Total > maxMachines {
+		return fmt.Errorf("%w: wave size: a record of %d bytes holds waves of at most %d machines, not %d", ErrInvalidSpec, valueBytes, maxMachines, r.Spec.WaveSize)
 	}
 	return nil
 }
--- a/internal/rollout/replacements.go
+++ b/internal/rollout/replacements.go
@@ -46,7 +46,7 @@
 	wave := r.record.Wave
 	for i := range wave.ReplacementRequests {
 		request := &wave.ReplacementRequests[i]
-		r.recordAnswer(request)
+		r.markAnswered(request)
 		if reason := r.updateReadiness(request); reason != "" {
 			return reason
 		}
@@ -62,8 +62,8 @@
 	return ""
 }
 
-// recordAnswer stores in the request which machines the cloud provisioned, once the cloud has answered.
-func (r *reconciler) recordAnswer(request *ReplacementRequest) {
+// markAnswered stores in the request which machines the cloud provisioned, once the cloud has answered.
+func (r *reconciler) markAnswered(request *ReplacementRequest) {
 	if request.Answered {
 		return
 	}
@@ -106,7 +106,7 @@
 // checkDeadline returns the reason to halt if the request's replacements are not all ready in time.
 func (r *reconciler) checkDeadline(request *ReplacementRequest) (haltReason string) {
 	ready, deadline := request.Ready.Len(), r.record.Spec.Deadline
-	if ready >= request.Count || r.now <= request.RequestedAt+wallOf(deadline) {
+	if ready >= request.Count || r.now <= request.RequestedAt+timestampOffset(deadline) {
 		return ""
 	}
 	return fmt.Sprintf("of %d replacements (%s) of wave %d the cloud has rented %d and %d are up, %.0f s after they were asked for",
@@ -135,7 +135,7 @@
 	if wave.ObservingSince == 0 {
 		wave.ObservingSince, r.changed = r.now, true
 	}
-	if r.now < wave.ObservingSince+wallOf(r.record.Spec.Observe) {
+	if r.now < wave.ObservingSince+timestampOffset(r.record.Spec.Observe) {
 		return false
 	}
 	return r.transitionAll(Replaced, Verified) == nil
@@ -216,7 +216,7 @@
 }
 
 // remove removes a replacement from the request.
-func (q *ReplacementRequest) remove(name ids.Machine) {
-	q.Machines.Remove(name)
-	q.Ready.Remove(name)
+func (r *ReplacementRequest) remove(name ids.Machine) {
+	r.Machines.Remove(name)
+	r.Ready.Remove(name)
 }
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -25,7 +25,7 @@
 			}
 		}
 		stopLeader := h.startLeader("b")
-		spec := wholeFleet("large")
+		spec := allMachinesSpec("large")
 		spec.WaveSize = 300
 		if _, err := h.service.Start(h.ctx, spec); err != nil {
 			t.Fatal(err)
@@ -38,8 +38,8 @@
 			if status.Done != machines || len(f.machines) != 0 {
 				t.Errorf("%d machines done, %d left in the fleet; want 6000 and 0", status.Done, len(f.machines))
 			}
-			if f.mostCordoned > spec.WaveSize {
-				t.Errorf("%d machines were cordoned at the same time, more than the wave size", f.mostCordoned)
+			if f.maxCordoned > spec.WaveSize {
+				t.Errorf("%d machines were cordoned at the same time, more than the wave size", f.maxCordoned)
 			}
 		})
 		if n := h.store.CountTooLarge(); n > 0 {
@@ -55,7 +55,7 @@
 func TestWaveTooLargeForARecordIsRejected(t *testing.T) {
 	runHarness(t, 3000, func(h *harness) {
 		h.startLeader("b")
-		spec := wholeFleet("wide")
+		spec := allMachinesSpec("wide")
 		spec.WaveSize = 3000
 		if _, err := h.service.Start(h.ctx, spec); !errors.Is(err, ErrInvalidSpec) || !strings.Contains(err.Error(), "wave size") {
 			t.Errorf("start with too large a wave size: error %v, want ErrInvalidSpec that names the wave size", err)
@@ -79,7 +79,7 @@
 			"at the deadline":        func(spec *Spec) { spec.AtDeadline = "panic" },
 			"with 3 shards drains":   nil,
 		} {
-			spec := wholeFleet("spring")
+			spec := allMachinesSpec("spring")
 			service := *h.service
 			if change == nil {
 				service.Installation = func() Installation { return Installation{Shards: 3} }
@@ -100,13 +100,13 @@
 func TestCommandsAreIdempotentAndFollowTheTransitions(t *testing.T) {
 	runHarness(t, 4, func(h *harness) {
 		// There is no leader, so only commands change the rollout.
-		spec := wholeFleet("spring")
+		spec := allMachinesSpec("spring")
 		for range 2 {
 			if _, err := h.service.Start(h.ctx, spec); err != nil {
 				t.Fatal(err)
 			}
 		}
-		other := wholeFleet("spring")
+		other := allMachinesSpec("spring")
 		other.WaveSize = 1
 		if _, err := h.service.Start(h.ctx, other); !errors.Is(err, ErrSpecConflict) {
 			t.Errorf("start with the same name and another specification: error %v, want ErrSpecConflict", err)
@@ -150,7 +150,7 @@
 		for _, name := range []Name{"first", "second"} {
 			service := h.controller(string(name))
 			go func() {
-				_, err := service.Start(h.ctx, wholeFleet(name))
+				_, err := service.Start(h.ctx, allMachinesSpec(name))
 				outcomes <- err
 			}()
 		}
@@ -163,16 +163,16 @@
 
 func TestLostAnswersDuplicateNothing(t *testing.T) {
 	runHarness(t, 6, func(h *harness) {
-		lost := 0
+		droppedResponses := 0
 		h.network.SetRule(func(from, _ string, r *http.Request, _ []byte) fake.Outcome {
-			if r.URL.Path == "/commit" && lost < 4 {
-				lost++
+			if r.URL.Path == "/commit" && droppedResponses < 4 {
+				droppedResponses++
 				return fake.DropResponse
 			}
 			return fake.Deliver
 		})
 		h.startLeader("b")
-		spec := wholeFleet("spring")
+		spec := allMachinesSpec("spring")
 		spec.Replace, spec.WaveSize = true, 3
 		if _, err := h.service.Start(h.ctx, spec); err != nil {
 			t.Fatal(err)
@@ -181,22 +181,22 @@
 			t.Errorf("%d machines done, want 6", status.Done)
 		}
 		h.fleet.change(func(f *fakeFleet) {
-			if len(f.machines) != 6 || f.next != 12 {
-				t.Errorf("fleet has %d machines, %d provisioned in total; want 6 and 12", len(f.machines), f.next)
+			if len(f.machines) != 6 || f.lastNumber != 12 {
+				t.Errorf("fleet has %d machines, %d provisioned in total; want 6 and 12", len(f.machines), f.lastNumber)
 			}
 		})
 	})
 }
 
 func TestHaltedRolloutContinuesWhenResumed(t *testing.T) {
-	for name, trouble := range map[string]func(*fakeFleet, bool){
-		"failed: it is broken": func(f *fakeFleet, on bool) { f.replacementsFail = on },
-		"0 are up":             func(f *fakeFleet, on bool) { f.provisionNothing = on },
+	for name, setFailure := range map[string]func(*fakeFleet, bool){
+		"failed: it is broken": func(f *fakeFleet, enabled bool) { f.replacementsFail = enabled },
+		"0 are up":             func(f *fakeFleet, enabled bool) { f.provisionNothing = enabled },
 	} {
 		runHarness(t, 6, func(h *harness) {
-			h.fleet.change(func(f *fakeFleet) { trouble(f, true) })
+			h.fleet.change(func(f *fakeFleet) { setFailure(f, true) })
 			h.startLeader("b")
-			spec := wholeFleet("spring")
+			spec := allMachinesSpec("spring")
 			spec.Replace, spec.Surge, spec.WaveSize, spec.Observe = true, true, 3, 10
 			if _, err := h.service.Start(h.ctx, spec); err != nil {
 				t.Fatal(err)
@@ -205,7 +205,7 @@
 			if !strings.Contains(status.Reason, name) || status.Waiting != 6 {
 				t.Errorf("%s: halted with reason %q and %d machines waiting, want 6", name, status.Reason, status.Waiting)
 			}
-			h.fleet.change(func(f *fakeFleet) { trouble(f, false) })
+			h.fleet.change(func(f *fakeFleet) { setFailure(f, false) })
 			if _, err := h.service.Execute(h.ctx, "spring", CommandResume); err != nil {
 				t.Fatal(err)
 			}
@@ -216,7 +216,7 @@
 	}
 }
 
-func TestUnreadableRolloutIsListedAndLeftAlone(t *testing.T) {
+func TestUnreadableRolloutIsListedAndNotChanged(t *testing.T) {
 	// A rollout of a newer version and a corrupt one are listed, but neither executed nor changed, and
 	// the other rollouts continue.
 	runHarness(t, 4, func(h *harness) {
@@ -231,7 +231,7 @@
 		put(recordKey("strange"), `{"version":1,"state":"dancing"}`)
 		put(recordKey("unreadable"), `[1]`)
 		h.startLeader("b")
-		if _, err := h.service.Start(h.ctx, wholeFleet("spring")); err != nil {
+		if _, err := h.service.Start(h.ctx, allMachinesSpec("spring")); err != nil {
 			t.Fatal(err)
 		}
 		h.awaitState("spring", Ended, 3*time.Minute)
@@ -242,7 +242,7 @@
 		for _, name := range []Name{"newer", "damaged", "strange", "unreadable"} {
 			listed := slices.ContainsFunc(statuses, func(status *Status) bool { return status.Name == name && strings.Contains(status.Note, "set aside") })
 			_, err := h.service.Execute(h.ctx, name, CommandAbort)
-			_, startErr := h.service.Start(h.ctx, wholeFleet(name))
+			_, startErr := h.service.Start(h.ctx, allMachinesSpec(name))
 			if !listed || !errors.Is(err, ErrUnreadable) || !errors.Is(startErr, ErrUnreadable) {
 				t.Errorf("rollout %s: listed as unreadable %v; abort error %v, start error %v; want ErrUnreadable", name, listed, err, startErr)
 			}
@@ -251,11 +251,11 @@
 }
 
 func TestPlanIsGreedyAndListsBlockedMachines(t *testing.T) {
-	fleet := newFleet(6)
+	fleet := newFakeFleet(6)
 	blocked := fleet.machines["host-000001"]
-	blocked.weight.Blocked = []string{"a budget of zero"}
-	fleet.machines["host-000003"].weight.Steps = 5
-	spec := wholeFleet("spring")
+	blocked.cost.Blocked = []string{"a budget of zero"}
+	fleet.machines["host-000003"].cost.Steps = 5
+	spec := allMachinesSpec("spring")
 	spec.Select = Selection{Zone: "north"}
 	spec.WaveSize, spec.Pause = 2, 60
 	preview, err := NewPreview(spec, fleet, time.Now())
@@ -274,7 +274,7 @@
 	}
 }
 
-func TestOtherTransitionsAreRejected(t *testing.T) {
+func TestUnlistedTransitionsAreRejected(t *testing.T) {
 	if Ended.canBecome(Running) || Halted.canBecome(Ended) || Aborting.canBecome(Running) || Waiting.canBecome(Draining) || Empty.canBecome(Waiting) || Returned.canBecome(Waiting) {
 		t.Error("a transition that is not listed is allowed")
 	}
--- a/internal/rollout/runner.go
+++ b/internal/rollout/runner.go
@@ -26,7 +26,7 @@
 	Writer string
 	Limits Limits
 
-	logged map[Name]string // last logged state of each rollout
+	lastLogged map[Name]string // last logged state of each rollout
 }
 
 // reconcileInterval is the delay between two passes over the rollouts.
@@ -77,22 +77,22 @@
 		return orders, false
 	}
 	view := r.Fleet.RolloutView()
-	yield := false
+	mustYield := false
 	for _, rollout := range rollouts {
-		change, err := reconcile(rollout.record, rollout.waiting, view, now, r.Limits.maxParts(), yield)
+		change, err := reconcile(rollout.record, rollout.waiting, view, now, r.Limits.maxParts(), mustYield)
 		if err != nil {
 			slog.Error("failed to reconcile rollout", "rollout", rollout.record.Spec.Name, "err", err)
 		} else if change != nil && r.store(ctx, rollout, change, snapshot) {
 			wrote = true
 		}
-		yield = yield || waitsForRoom(rollout.record, view)
+		mustYield = mustYield || waitsForCapacity(rollout.record, view)
 		orders.add(rollout.record, now)
 	}
 	return orders, wrote
 }
 
-// waitsForRoom reports whether a rollout drains a machine whose tasks fit on no other machine.
-func waitsForRoom(record *Record, view View) bool {
+// waitsForCapacity reports whether a rollout drains a machine whose tasks fit on no other machine.
+func waitsForCapacity(record *Record, view View) bool {
 	if record.State != Running {
 		return false
 	}
@@ -107,7 +107,7 @@
 // store writes a change, and updates rollout if the write was confirmed. It returns false if the change was
 // certainly not written.
 func (r *Runner) store(ctx context.Context, rollout *storedRollout, change *recordChange, snapshot *rolloutSnapshot) (wrote bool) {
-	change.record.signBy(r.Writer)
+	change.record.setWriter(r.Writer)
 	txn, err := updateTransaction(rollout, change, snapshot, r.Limits)
 	if err != nil {
 		slog.Error("failed to encode the change of a rollout for the state service", "rollout", rollout.record.Spec.Name, "err", err)
@@ -137,11 +137,11 @@
 
 // logState logs the state of a rollout if it differs from the last one logged.
 func (r *Runner) logState(name Name, state string) {
-	if r.logged == nil {
-		r.logged = map[Name]string{}
+	if r.lastLogged == nil {
+		r.lastLogged = map[Name]string{}
 	}
-	if r.logged[name] != state {
-		r.logged[name] = state
+	if r.lastLogged[name] != state {
+		r.lastLogged[name] = state
 		slog.Info("rollout state changed", "rollout", name, "state", state)
 	}
 }
--- a/internal/rollout/scale_test.go
+++ b/internal/rollout/scale_test.go
@@ -11,8 +11,8 @@
 func BenchmarkPlan(b *testing.B) {
 	for _, machines := range []int{50, 500, 6000} {
 		b.Run(fmt.Sprint(machines), func(b *testing.B) {
-			f := newFleet(machines)
-			spec := wholeFleet("spring")
+			f := newFakeFleet(machines)
+			spec := allMachinesSpec("spring")
 			spec.WaveSize = max(1, machines/20)
 			for b.Loop() {
 				if _, err := NewPreview(spec, f, time.Now()); err != nil {
@@ -29,7 +29,7 @@
 	for _, machines := range []int{50, 500, 6000} {
 		runHarness(t, machines, func(h *harness) {
 			h.startLeader("b")
-			spec := wholeFleet("spring")
+			spec := allMachinesSpec("spring")
 			spec.Replace, spec.Surge, spec.WaveSize = true, true, (machines+19)/20
 			if _, err := h.service.Start(h.ctx, spec); err != nil {
 				t.Fatal(err)
--- a/internal/rollout/service.go
+++ b/internal/rollout/service.go
@@ -73,7 +73,7 @@
 		if err != nil {
 			return nil, err
 		}
-		existing, err := snapshot.findSame(spec)
+		existing, err := snapshot.findBySpec(spec)
 		if err != nil {
 			return nil, err
 		}
@@ -127,7 +127,7 @@
 		Total:     selected.Len(),
 		Parts:     len(parts),
 	}
-	record.signBy(s.Writer)
+	record.setWriter(s.Writer)
 	return record, parts, record.checkWaveFits(s.Limits.ValueBytes)
 }
 
@@ -167,7 +167,7 @@
 		if err != nil || !changed {
 			return statusOf(rollout, nil), err
 		}
-		record.signBy(s.Writer)
+		record.setWriter(s.Writer)
 		txn := &transaction{limits: s.Limits}
 		txn.require(recordKey(name), rollout.revision)
 		if err := txn.put(recordKey(name), record); err != nil {
--- a/internal/rollout/snapshot.go
+++ b/internal/rollout/snapshot.go
@@ -28,8 +28,8 @@
 
 // without returns a copy of the index without one rollout.
 func (a activeIndex) without(name Name) activeIndex {
-	isNamed := func(active Name) bool { return active == name }
-	return activeIndex{Active: slices.DeleteFunc(slices.Clone(a.Active), isNamed)}
+	matchesName := func(active Name) bool { return active == name }
+	return activeIndex{Active: slices.DeleteFunc(slices.Clone(a.Active), matchesName)}
 }
 
 // rolloutSnapshot is the stored state of all rollouts at one moment.
@@ -134,9 +134,9 @@
 	return nil, fmt.Errorf("%w: %s", ErrNotFound, name)
 }
 
-// findSame returns the stored rollout with the name and specification of spec. It returns nil if there is no
-// rollout of that name, and ErrSpecConflict if its specification differs.
-func (s *rolloutSnapshot) findSame(spec *Spec) (*storedRollout, error) {
+// findBySpec returns the stored rollout with the name and specification of spec. It returns nil if there
+// is no rollout of that name, and ErrSpecConflict if its specification differs.
+func (s *rolloutSnapshot) findBySpec(spec *Spec) (*storedRollout, error) {
 	rollout, err := s.find(spec.Name)
 	switch {
 	case errors.Is(err, ErrNotFound):
--- a/internal/rollout/spec.go
+++ b/internal/rollout/spec.go
@@ -73,29 +73,29 @@
 
 // Check validates the specification and returns the first error found.
 func (s *Spec) Check(installation Installation) error {
-	bad := func(format string, args ...any) error {
+	invalid := func(format string, args ...any) error {
 		return fmt.Errorf("%w: %s", ErrInvalidSpec, fmt.Sprintf(format, args...))
 	}
 	selection := &s.Select
 	switch {
 	case installation.Shards > 1:
-		return bad("with %d shards drains are not possible yet: budgets hold for one shard only", installation.Shards)
+		return invalid("with %d shards drains are not possible yet: budgets hold for one shard only", installation.Shards)
 	case !namePattern.MatchString(string(s.Name)):
-		return bad("name %q: must be 1 to 40 of a-z, 0-9 and -, and not begin with -", s.Name)
+		return invalid("name %q: must be 1 to 40 of a-z, 0-9 and -, and not begin with -", s.Name)
 	case len(selection.Machines) == 0 && selection.Zone == "" && selection.Type == "" && !selection.Older:
-		return bad("nothing selects its machines: name machines, a zone, a type, or all older ones")
+		return invalid("nothing selects its machines: name machines, a zone, a type, or all older ones")
 	case selection.Zone != "" && !slices.Contains(installation.Zones, selection.Zone):
-		return bad("unknown zone %q", selection.Zone)
+		return invalid("unknown zone %q", selection.Zone)
 	case selection.Type != "" && !slices.Contains(installation.Types, selection.Type):
-		return bad("unknown machine type %q", selection.Type)
+		return invalid("unknown machine type %q", selection.Type)
 	case s.WaveSize < 1:
-		return bad("wave size: must be at least 1: %d", s.WaveSize)
+		return invalid("wave size: must be at least 1: %d", s.WaveSize)
 	case !(s.Pause >= 0) || !(s.Observe >= 0):
-		return bad("pause and observation must be zero or more")
+		return invalid("pause and observation must be zero or more")
 	case !(s.Deadline > 0):
-		return bad("deadline: must be above zero: %v", float64(s.Deadline))
+		return invalid("deadline: must be above zero: %v", float64(s.Deadline))
 	case s.AtDeadline != WaitAtDeadline && s.AtDeadline != StopAtDeadline:
-		return bad("at the deadline: must be %q or %q: %q", WaitAtDeadline, StopAtDeadline, s.AtDeadline)
+		return invalid("at the deadline: must be %q or %q: %q", WaitAtDeadline, StopAtDeadline, s.AtDeadline)
 	}
 	return nil
 }
--- a/internal/rollout/states.go
+++ b/internal/rollout/states.go
@@ -82,11 +82,11 @@
 }
 
 // transition moves the rollout to another state, or returns ErrInvalidTransition.
-func (r *Record) transition(to State, why string) error {
+func (r *Record) transition(to State, reason string) error {
 	if !r.State.canBecome(to) {
 		return fmt.Errorf("%w: rollout %s is in state %s and cannot change to %s", ErrInvalidTransition, r.Spec.Name, r.State, to)
 	}
-	r.State, r.Reason = to, why
+	r.State, r.Reason = to, reason
 	return nil
 }
 
--- a/internal/rollout/status.go
+++ b/internal/rollout/status.go
@@ -65,7 +65,7 @@
 	s.Wave = record.Wave.Number
 	for _, state := range waveStates {
 		for name := range record.machinesIn(state).All() {
-			machine := MachineStatus{Name: name, State: state, Waits: append(record.blockedByRollout(state), waits[name]...)}
+			machine := MachineStatus{Name: name, State: state, Waits: append(record.waitReasons(state), waits[name]...)}
 			s.Machines = append(s.Machines, machine)
 		}
 	}
@@ -80,9 +80,9 @@
 	}
 }
 
-// blockedByRollout returns the reasons why a machine in a state waits that follow from the rollout's own
+// waitReasons returns the reasons why a machine in a state waits that follow from the rollout's own
 // state.
-func (r *Record) blockedByRollout(state MachineState) []string {
+func (r *Record) waitReasons(state MachineState) []string {
 	switch {
 	case r.State == Paused && (state == Cordoned || state == Draining):
 		return []string{"the rollout is paused"}
--- a/internal/rollout/transaction.go
+++ b/internal/rollout/transaction.go
@@ -16,12 +16,12 @@
 	TxnOps     int // maximum number of operations in a transaction
 }
 
-// opsBesideParts is the number of operations of a transaction besides those on parts: one on the record,
+// nonPartOps is the number of operations of a transaction besides those on parts: one on the record,
 // one on the index.
-const opsBesideParts = 2
+const nonPartOps = 2
 
 // maxParts returns the maximum number of parts that one transaction can rewrite.
-func (l Limits) maxParts() int { return max(1, l.TxnOps-opsBesideParts) }
+func (l Limits) maxParts() int { return max(1, l.TxnOps-nonPartOps) }
 
 // errValueTooLarge reports that an encoded value exceeds the size limit of the state service.
 var errValueTooLarge = errors.New("value exceeds the size limit of the state service")
--- a/internal/rollout/wave.go
+++ b/internal/rollout/wave.go
@@ -14,8 +14,8 @@
 	if r.record.Resumed {
 		r.resumeWave()
 	}
-	if why := r.updateReplacements(); why != "" {
-		return r.halt(why)
+	if reason := r.updateReplacements(); reason != "" {
+		return r.halt(reason)
 	}
 	if r.replacementsDue() {
 		r.requestMissing()
@@ -23,7 +23,7 @@
 	if err := r.startDraining(); err != nil {
 		return err
 	}
-	if err := r.recordEmpty(); err != nil {
+	if err := r.markEmpty(); err != nil {
 		return err
 	}
 	return r.finishWave()
@@ -40,7 +40,7 @@
 		if r.waiting.count() > 0 {
 			return nil // too many parts contain deleted machines; the next passes handle the rest
 		}
-		return r.end()
+		return r.endRollout()
 	}
 	r.changed = true
 	r.record.Waves++
@@ -65,7 +65,7 @@
 	for part, name := range r.waiting.all() {
 		machine := r.view.Machine(name)
 		if !machine.Deleted {
-			candidates = append(candidates, candidate{name: name, part: part, machine: machine, weight: r.view.DrainCost(name)})
+			candidates = append(candidates, candidate{name: name, part: part, machine: machine, cost: r.view.DrainCost(name)})
 		} else if r.waiting.remove(part, name) {
 			r.record.Done++
 		}
@@ -106,8 +106,8 @@
 	return nil
 }
 
-// recordEmpty moves machines that have been drained to state Empty.
-func (r *reconciler) recordEmpty() error {
+// markEmpty moves machines that have been drained to state Empty.
+func (r *reconciler) markEmpty() error {
 	for _, name := range r.machinesIn(Draining) {
 		machine := r.view.Machine(name)
 		if !machine.Known || !machine.Ready || machine.Tasks > 0 {
@@ -130,9 +130,9 @@
 		return nil
 	}
 	r.closeWave()
-	r.record.NextWave = r.now + wallOf(r.record.Spec.Pause)
+	r.record.NextWave = r.now + timestampOffset(r.record.Spec.Pause)
 	if r.record.Done >= r.record.Total {
-		return r.end()
+		return r.endRollout()
 	}
 	return nil
 }
@@ -144,12 +144,12 @@
 	r.record.Wave = nil
 }
 
-// end ends a rollout that has completed all its machines.
-func (r *reconciler) end() error {
+// endRollout ends a rollout that has completed all its machines.
+func (r *reconciler) endRollout() error {
 	return r.transition(Ended, fmt.Sprintf("all %d machines are through", r.record.Total))
 }
 
-// wallOf converts a duration to the unit of timestamps, milliseconds.
-func wallOf(seconds ids.Seconds) ids.Timestamp {
+// timestampOffset converts a duration to the unit of timestamps, milliseconds.
+func timestampOffset(seconds ids.Seconds) ids.Timestamp {
 	return ids.Timestamp(seconds.Duration().Milliseconds())
 }
--- a/internal/rollout/wave_record.go
+++ b/internal/rollout/wave_record.go
@@ -13,11 +13,11 @@
 	Spot bool   `json:"spot,omitempty"`
 }
 
-func (k InstanceClass) String() string {
-	if k.Spot {
-		return k.Type + " in " + k.Zone + " (spot)"
+func (c InstanceClass) String() string {
+	if c.Spot {
+		return c.Type + " in " + c.Zone + " (spot)"
 	}
-	return k.Type + " in " + k.Zone
+	return c.Type + " in " + c.Zone
 }
 
 // ClassCount is a number of machines of one instance class.
--- a/internal/rollout/wave_test.go
+++ b/internal/rollout/wave_test.go
@@ -7,14 +7,14 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-func TestWaveStartsAfterAllMachinesOfOneNameSeriesAreGone(t *testing.T) {
+func TestWaveStartsAfterAllMachinesOfOneNameSeriesAreDeleted(t *testing.T) {
 	// A MachineSet groups names by series and removes a series with its last machine. This happens here
 	// while the machines of the next wave are chosen.
-	fleet := newFleet(0)
+	fleet := newFakeFleet(0)
 	for _, name := range []ids.Machine{"host-000007", "spare-1"} {
-		fleet.machines[name] = &fakeMachine{Machine: Machine{Known: true, Ready: true, Tasks: 1}, weight: DrainCost{Steps: 1}}
+		fleet.machines[name] = &fakeMachine{Machine: Machine{Known: true, Ready: true, Tasks: 1}, cost: DrainCost{Steps: 1}}
 	}
-	record := &Record{Spec: *wholeFleet("spring"), State: Running, Total: 4, Parts: 1}
+	record := &Record{Spec: *allMachinesSpec("spring"), State: Running, Total: 4, Parts: 1}
 	waiting := []MachineSet{NewMachineSet("gateway-1", "gateway-2", "host-000007", "spare-1")}
 	change, err := reconcile(record, waiting, fleet, time.Now(), 1, false)
 	if err != nil {
