--- a/internal/fleet/boot_time_test.go
+++ b/internal/fleet/boot_time_test.go
@@ -13,20 +13,20 @@
 
 // bootingFleet simulates machines that boot after they are provisioned and then send heartbeats.
 type bootingFleet struct {
-	cluster *clusterstate.State
-	cloud   *fake.Cloud
-	start   time.Time
-	seenAt  map[string]time.Time // when a machine was first seen among the provisioned ones
-	tick    ids.SequenceNumber
+	cluster  *clusterstate.State
+	cloud    *fake.Cloud
+	start    time.Time
+	seenAt   map[string]time.Time // when a machine was first seen among the provisioned ones
+	sequence ids.SequenceNumber
 }
 
 // bootTime returns the boot time of a machine that was provisioned at the given time after the start; 0
 // if it never comes up.
 type bootTime func(machine string, provisioned time.Duration) time.Duration
 
-// report delivers a heartbeat of each machine that has booted and was not deleted.
-func (f *bootingFleet) report(boot bootTime) {
-	f.tick++
+// sendHeartbeats delivers a heartbeat of each machine that has booted and was not deleted.
+func (f *bootingFleet) sendHeartbeats(boot bootTime) {
+	f.sequence++
 	deleted := map[string]bool{}
 	for _, machine := range f.cloud.DeletedMachines() {
 		deleted[machine] = true
@@ -36,10 +36,10 @@
 			if _, known := f.seenAt[machine]; !known {
 				f.seenAt[machine] = time.Now()
 			}
-			began := f.seenAt[machine]
-			takes := boot(machine, began.Sub(f.start))
-			if !deleted[machine] && takes > 0 && time.Since(began) >= takes {
-				f.cluster.ReconcileHeartbeat(heartbeat(ids.Machine(machine), f.tick), true, true)
+			firstSeen := f.seenAt[machine]
+			duration := boot(machine, firstSeen.Sub(f.start))
+			if !deleted[machine] && duration > 0 && time.Since(firstSeen) >= duration {
+				f.cluster.ReconcileHeartbeat(heartbeat(ids.Machine(machine), f.sequence), true, true)
 			}
 		}
 	}
@@ -48,21 +48,21 @@
 // provisioned returns the number of machines provisioned in total.
 func (f *bootingFleet) provisioned() int { return countProvisioned(f.cloud) }
 
-// kept returns the number of provisioned machines that were not deleted.
-func (f *bootingFleet) kept() int { return f.provisioned() - len(f.cloud.DeletedMachines()) }
+// remaining returns the number of provisioned machines that were not deleted.
+func (f *bootingFleet) remaining() int { return f.provisioned() - len(f.cloud.DeletedMachines()) }
 
-// runBoots runs a job of 12 tasks, each of which needs a machine, for the given number of seconds, and calls
-// check after every second.
-func runBoots(t *testing.T, seconds int, boot bootTime, check func(second int, fleet *bootingFleet)) {
+// simulateBoots runs a job of 12 tasks, each of which needs a machine, for the given number of seconds,
+// and calls check after every second.
+func simulateBoots(t *testing.T, seconds int, boot bootTime, check func(second int, fleet *bootingFleet)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		_, cloud, cluster, _, provisioner := setup(500)
-		cluster.HandleRecord("job-1", 1, job("job-1", 12), time.Now())
+		_, cloud, cluster, _, provisioner := newTestProvisioner(500)
+		cluster.HandleRecord("job-1", 1, newJob("job-1", 12), time.Now())
 		fleet := &bootingFleet{cluster: cluster, cloud: cloud, start: time.Now(), seenAt: map[string]time.Time{}}
 		for second := range seconds {
 			provisioner.Step(context.Background())
 			cluster.Plan(time.Now())
-			fleet.report(boot)
+			fleet.sendHeartbeats(boot)
 			check(second, fleet)
 			time.Sleep(time.Second)
 		}
@@ -79,7 +79,7 @@
 		}
 		return 30 * time.Second
 	}
-	runBoots(t, 400, slow, func(second int, fleet *bootingFleet) {
+	simulateBoots(t, 400, slow, func(second int, fleet *bootingFleet) {
 		switch second {
 		case 150:
 			if n := fleet.provisioned(); n > 14 || len(fleet.cloud.DeletedMachines()) > 0 {
@@ -93,8 +93,8 @@
 			if n := fleet.provisioned(); n > 30 {
 				t.Errorf("%d machines provisioned in total for 12 tasks, want at most 30", n)
 			}
-			if up := fleet.kept(); up != 12 {
-				t.Errorf("%d machines not deleted, want 12 for 12 tasks", up)
+			if count := fleet.remaining(); count != 12 {
+				t.Errorf("%d machines not deleted, want 12 for 12 tasks", count)
 			}
 		}
 	})
@@ -103,7 +103,7 @@
 func TestMachineThatNeverComesUpIsReplacedThenDeleted(t *testing.T) {
 	// Two of the first machines never come up, nor does one of those provisioned in their place.
 	broken := map[string]bool{"host-000003": true, "host-000007": true, "host-000013": true}
-	runBoots(t, 400, func(machine string, _ time.Duration) time.Duration {
+	simulateBoots(t, 400, func(machine string, _ time.Duration) time.Duration {
 		if broken[machine] {
 			return 0
 		}
@@ -131,15 +131,15 @@
 
 func TestMachineThatBootsLateIsUsedOrDeleted(t *testing.T) {
 	// The late machine comes up after the one provisioned in its place, when it is no longer needed.
-	runBoots(t, 330, func(machine string, _ time.Duration) time.Duration {
+	simulateBoots(t, 330, func(machine string, _ time.Duration) time.Duration {
 		if machine == "host-000003" {
 			return 100 * time.Second
 		}
 		return 45 * time.Second
 	}, func(second int, fleet *bootingFleet) {
 		if second == 329 {
-			if up := fleet.kept(); up != 12 {
-				t.Errorf("%d machines not deleted, want 12 for 12 tasks; deleted %v of %d", up, fleet.cloud.DeletedMachines(), fleet.provisioned())
+			if count := fleet.remaining(); count != 12 {
+				t.Errorf("%d machines not deleted, want 12 for 12 tasks; deleted %v of %d", count, fleet.cloud.DeletedMachines(), fleet.provisioned())
 			}
 		}
 	})
--- a/internal/fleet/cloud.go
+++ b/internal/fleet/cloud.go
@@ -60,10 +60,10 @@
 // per second. Only the leader calls the cloud, so it shares the limit with no other node except during a
 // failover.
 func NewCloud(address string, httpClient *http.Client, callLimit float64) *Cloud {
-	own := callLimit * rateShare
+	ownRate := callLimit * rateShare
 	return &Cloud{
 		http:    httpjson.NewClient(address, httpClient),
-		limiter: rate.NewLimiter(rate.Limit(own), max(1, int(own))),
+		limiter: rate.NewLimiter(rate.Limit(ownRate), max(1, int(ownRate))),
 	}
 }
 
@@ -110,13 +110,13 @@
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	if err := c.limiter.Wait(ctx); err != nil {
-		return fmt.Errorf("%w: no call left under the client's own rate limit", errUnavailable)
+		return fmt.Errorf("%w: wait for the client's own rate limit failed", errUnavailable)
 	}
 	if isLeader != nil && !isLeader() {
 		return errNotLeader
 	}
-	purpose, _, _ := strings.Cut(path, "?")
-	measure.Process.Count("cloud "+method+" "+purpose, 1)
+	endpoint, _, _ := strings.Cut(path, "?")
+	measure.Process.Count("cloud "+method+" "+endpoint, 1)
 	response, err := c.http.Do(ctx, method, path, body)
 	var noResponse *httpjson.NoResponseError
 	if errors.As(err, &noResponse) {
--- a/internal/fleet/cloud_test.go
+++ b/internal/fleet/cloud_test.go
@@ -14,10 +14,10 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-func TestCloudTellsAnswersApart(t *testing.T) {
+func TestCloudDistinguishesFailures(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := context.Background()
-		network, cloud, _, _, provisioner := setup(0)
+		network, cloud, _, _, provisioner := newTestProvisioner(0)
 		request := provisioningRequest{Name: "h", Type: "small", Count: 1}
 		if _, err := provisioner.Cloud.provision(ctx, request, nil); !errors.Is(err, errNoCapacity) {
 			t.Errorf("provision without capacity: error %v, want errNoCapacity", err)
@@ -33,7 +33,7 @@
 	})
 }
 
-func TestMachineListIsReadInTheCloudsNames(t *testing.T) {
+func TestMachineListIsDecodedFromCloudFieldNames(t *testing.T) {
 	const page = `{"hosts":[{"uid":"host-1","endpoint":"10.1.0.1:9000","build":"g8","yard":"a","loaners":true,"status":"running","heldS":61.5}],"more":true}`
 	var answer listAnswer
 	if err := json.Unmarshal([]byte(page), &answer); err != nil {
--- a/internal/fleet/large_fleet_test.go
+++ b/internal/fleet/large_fleet_test.go
@@ -13,8 +13,8 @@
 	"github.com/pebbletrail/pebbletrail/internal/record"
 )
 
-// largestFleet is the number of machines that the service must support.
-const largestFleet = 6000
+// maxFleetSize is the number of machines that the service must support.
+const maxFleetSize = 6000
 
 // provisionAll provisions count machines and delivers a heartbeat of each.
 func provisionAll(ctx context.Context, t *testing.T, cluster *clusterstate.State, cloud *Cloud, count int) {
@@ -36,36 +36,36 @@
 	// the calls of each such read took three seconds, and the reads repeat.
 	synctest.Test(t, func(t *testing.T) {
 		ctx := context.Background()
-		network, cloud, cluster, _, provisioner := setup(largestFleet + 100)
-		provisionAll(ctx, t, cluster, provisioner.Cloud, largestFleet)
+		network, cloud, cluster, _, provisioner := newTestProvisioner(maxFleetSize + 100)
+		provisionAll(ctx, t, cluster, provisioner.Cloud, maxFleetSize)
 		provisioner.Step(ctx)
 		// The cloud allows five calls per second, and its list lags by five seconds.
 		provisioner.Cloud, provisioner.ListInterval = NewCloud("cloud:1", network.Client("a"), 5), 2500*time.Millisecond
-		lists, slowest := map[time.Time]bool{}, time.Duration(0)
+		completedReads, slowest := map[time.Time]bool{}, time.Duration(0)
 		step := func() {
 			provisioner.Step(ctx)
 			time.Sleep(250 * time.Millisecond)
-			if !provisioner.list.reading {
-				lists[provisioner.list.began] = true
+			if !provisioner.listProgress.reading {
+				completedReads[provisioner.listProgress.startedAt] = true
 			}
 		}
 		for i := range 20 {
 			spec := record.Spec{ID: ids.Job(fmt.Sprint("job-", i)), Class: "c", Team: "red", Zone: "south", Shape: record.Service,
 				Tasks: 1, Resources: placement.Resources{Cores: 4, RAM: 4}}
 			cluster.HandleRecord(spec.ID, 1, record.New(spec, ids.TimestampOf(time.Now()), "user"), time.Now())
-			began, before := time.Now(), len(cloud.ProvisioningRequests())
-			for len(cloud.ProvisioningRequests()) == before && time.Since(began) < 10*time.Second {
+			startedAt, before := time.Now(), len(cloud.ProvisioningRequests())
+			for len(cloud.ProvisioningRequests()) == before && time.Since(startedAt) < 10*time.Second {
 				step()
 			}
-			slowest = max(slowest, time.Since(began))
+			slowest = max(slowest, time.Since(startedAt))
 			step()
 			step()
 		}
 		if slowest > time.Second {
 			t.Errorf("slowest provisioning request was sent after %v, want at most 1s", slowest)
 		}
-		if len(lists) < 2 {
-			t.Errorf("machine list was read to its end %d times, want at least 2", len(lists))
+		if len(completedReads) < 2 {
+			t.Errorf("machine list was read to its end %d times, want at least 2", len(completedReads))
 		}
 	})
 }
--- a/internal/fleet/messages.go
+++ b/internal/fleet/messages.go
@@ -65,7 +65,7 @@
 	// which must know which shard owns a machine.
 	Machines []ids.Machine `json:"hosts,omitempty"`
 
-	attempted bool // an earlier write of the request got no answer: the request may be stored
+	maybeStored bool // an earlier write of the request got no answer: the request may be stored
 }
 
 // newRequest returns a request with the given name for the machines wanted.
@@ -73,8 +73,8 @@
 	return provisioningRequest{Name: name, Type: wanted.Type, Zone: wanted.Zone, Spot: wanted.Spot, Count: wanted.Count}
 }
 
-// wanted returns the requested machines in the form that package placement uses.
-func (r provisioningRequest) wanted() placement.ProvisioningRequest {
+// placementRequest returns the requested machines in the form that package placement uses.
+func (r provisioningRequest) placementRequest() placement.ProvisioningRequest {
 	return placement.ProvisioningRequest{Type: r.Type, Zone: r.Zone, Spot: r.Spot, Count: r.Count}
 }
 
--- a/internal/fleet/offers.go
+++ b/internal/fleet/offers.go
@@ -18,8 +18,8 @@
 	malformedPeriod = time.Minute
 )
 
-// noteRefused excludes an offer from requests for a period.
-func (p *Provisioner) noteRefused(refused offer, period time.Duration) {
+// markRefused excludes an offer from requests for a period.
+func (p *Provisioner) markRefused(refused offer, period time.Duration) {
 	if p.refusedUntil == nil {
 		p.refusedUntil = map[offer]time.Time{}
 	}
--- a/internal/fleet/provisioner.go
+++ b/internal/fleet/provisioner.go
@@ -54,11 +54,11 @@
 	// OnMachineTypes is called with the machine types after each read, unless it is nil.
 	OnMachineTypes func([]placement.InstanceType)
 
-	typesReadAt    time.Time
-	list           listing
-	requests       requests
-	refusedUntil   map[offer]time.Time
-	consolidatedAt time.Time // when consolidate last looked for a machine to empty
+	typesReadAt             time.Time
+	listProgress            machineListProgress
+	requests                requests
+	refusedUntil            map[offer]time.Time
+	lastConsolidationSearch time.Time // when consolidate last looked for a machine to empty
 }
 
 // Run calls Step at regular intervals until the context ends.
@@ -79,7 +79,7 @@
 	if !p.readTypes(ctx, now) {
 		return
 	}
-	p.readList(ctx, now)
+	p.readMachineList(ctx, now)
 	p.retryRequests(ctx)
 	if p.ConfirmLeadership != nil && !p.ConfirmLeadership() {
 		// During a network partition or an outage this leader gets no updates, so its decisions could be
@@ -91,7 +91,7 @@
 	wanted, needed := p.plan(now)
 	p.deleteUnneeded(ctx, needed)
 	p.provisionReplacements(ctx, now)
-	if p.requests.anyOutstanding() || !p.list.complete {
+	if p.requests.anyOutstanding() || !p.listProgress.complete {
 		return // the machines of outstanding requests, or those listed, are not known yet
 	}
 	if len(wanted) == 0 {
@@ -134,12 +134,12 @@
 		shortage, average := p.OtherShardsShortage()
 		p.Cluster.ShareCapacity(shortage, average, time.Now())
 	}
-	unreachable := p.Cluster.UnreachableZones()
-	closed := p.Cluster.ClosedZones()
+	unreachableZones := p.Cluster.UnreachableZones()
+	closedZones := p.Cluster.ClosedZones()
 	demands, machines, types := p.Cluster.CapacityDemands(time.Now())
 	wanted, needed = placement.PlanScaleOut(demands, machines, types, func(instanceType, zone string, spot bool) bool {
-		_, isClosed := closed[zone]
-		return !isClosed && !unreachable[zone] && !p.isRefused(offer{instanceType, zone, spot}, now)
+		_, isClosed := closedZones[zone]
+		return !isClosed && !unreachableZones[zone] && !p.isRefused(offer{instanceType, zone, spot}, now)
 	})
 	if p.OtherShardsShortage != nil {
 		p.Cluster.SetShortage(len(wanted) == 0 && p.hasShortage(now), now)
@@ -159,9 +159,9 @@
 			waiting = append(waiting, demand)
 		}
 	}
-	wanted, _ := placement.PlanScaleOut(waiting, machines, types, anyOffer)
+	wanted, _ := placement.PlanScaleOut(waiting, machines, types, acceptAnyOffer)
 	return len(wanted) > 0
 }
 
-// anyOffer accepts every offer. It is used for plans that assume that the cloud refuses nothing.
-func anyOffer(string, string, bool) bool { return true }
+// acceptAnyOffer accepts every offer. It is used for plans that assume that the cloud refuses nothing.
+func acceptAnyOffer(string, string, bool) bool { return true }
--- a/internal/fleet/provisioner_test.go
+++ b/internal/fleet/provisioner_test.go
@@ -21,17 +21,17 @@
 // requestStore is a store that keeps the names of provisioning requests. A request must be stored before
 // it is sent.
 type requestStore struct {
-	names map[string]bool
-	down  bool
-	lose  int // number of next writes that get no answer and are not executed
+	names      map[string]bool
+	down       bool
+	loseWrites int // number of next writes that get no answer and are not executed
 }
 
 func (s *requestStore) Apply(_ context.Context, ops []state.Op) error {
 	if s.down {
 		return state.ErrRefused
 	}
-	if s.lose > 0 {
-		s.lose--
+	if s.loseWrites > 0 {
+		s.loseWrites--
 		return state.ErrOutcomeUnknown
 	}
 	for _, op := range ops {
@@ -53,14 +53,14 @@
 	return settings
 }
 
-func job(id ids.Job, tasks int) *record.Record {
+func newJob(id ids.Job, tasks int) *record.Record {
 	return record.New(record.Spec{ID: id, Class: "c", Team: "red", Shape: record.Array, Tasks: tasks, EstimatedDuration: 100,
 		Resources: placement.Resources{Cores: 4, RAM: 4}}, ids.TimestampOf(time.Now()), "user")
 }
 
-// setup returns a provisioner with its dependencies, for a cloud with capacity for the given number of
-// machines.
-func setup(capacity int) (*fake.Network, *fake.Cloud, *clusterstate.State, *requestStore, *Provisioner) {
+// newTestProvisioner returns a provisioner with its dependencies, for a cloud with capacity for the given
+// number of machines.
+func newTestProvisioner(capacity int) (*fake.Network, *fake.Cloud, *clusterstate.State, *requestStore, *Provisioner) {
 	network, cloud := fake.NewNetwork(), fake.NewCloud(capacity)
 	network.Listen("cloud:1", cloud)
 	cluster := clusterstate.New(testSettings(), "w", 7, time.Now())
@@ -78,11 +78,11 @@
 	}
 }
 
-func TestRequestIsStoredBeforeItIsSentAndNeverDoubled(t *testing.T) {
+func TestRequestIsStoredBeforeItIsSentAndNeverDuplicated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := context.Background()
-		network, cloud, cluster, store, provisioner := setup(10)
-		cluster.HandleRecord("job-1", 1, job("job-1", 2), time.Now())
+		network, cloud, cluster, store, provisioner := newTestProvisioner(10)
+		cluster.HandleRecord("job-1", 1, newJob("job-1", 2), time.Now())
 		sent := map[string]int{}
 		network.SetRule(func(_, _ string, request *http.Request, body []byte) fake.Outcome {
 			if request.Method == "POST" && request.URL.Path == "/hosts" {
@@ -105,7 +105,7 @@
 			t.Fatal("request was sent although the store refused it")
 		}
 		store.down = false
-		store.lose = 2 // a write without an answer is not a confirmed write
+		store.loseWrites = 2 // a write without an answer is not a confirmed write
 		provisioner.Step(ctx)
 		if len(cloud.ProvisioningRequests()) != 0 {
 			t.Fatal("request was sent although its write was not confirmed")
@@ -117,10 +117,10 @@
 	})
 }
 
-func TestNextLeaderLearnsWhatWasProvisioned(t *testing.T) {
+func TestNextLeaderRecoversProvisionedMachines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := context.Background()
-		_, cloud, cluster, _, provisioner := setup(10)
+		_, cloud, cluster, _, provisioner := newTestProvisioner(10)
 		provisioner.Adopt([]state.Entry{{Value: []byte(`{"hire":"h-3-1","build":"small","yard":"north","loaners":false,"count":2}`)}})
 		provisioner.Step(ctx)
 		if len(cloud.ProvisioningRequests()["h-3-1"]) != 2 || cluster.Summary()["machines"] != 2 {
@@ -132,11 +132,11 @@
 func TestStuckBootsAndUnknownMachinesAreDeleted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := context.Background()
-		_, cloud, cluster, _, provisioner := setup(3)
-		cluster.HandleRecord("job-1", 1, job("job-1", 1), time.Now())
+		_, cloud, cluster, _, provisioner := newTestProvisioner(3)
+		cluster.HandleRecord("job-1", 1, newJob("job-1", 1), time.Now())
 		stepEverySecond(ctx, provisioner, 250)
-		if gone := cloud.DeletedMachines(); len(gone) == 0 || gone[0] != "host-000001" {
-			t.Fatalf("deleted machines %v, want first host-000001, which never came up", gone)
+		if deleted := cloud.DeletedMachines(); len(deleted) == 0 || deleted[0] != "host-000001" {
+			t.Fatalf("deleted machines %v, want first host-000001, which never came up", deleted)
 		}
 		// A machine that no request provisioned sends heartbeats, has no tasks and is deleted.
 		cluster.ReconcileHeartbeat(&worker.Report{Machine: "host-000777", Type: "small", Zone: "north", Incarnation: 1, Sequence: 1}, true, true)
@@ -152,25 +152,25 @@
 	})
 }
 
-func TestLeaderThatStoodStillSendsNoDeletionOrRequest(t *testing.T) {
+func TestLeaderWithoutConfirmedLeadershipSendsNoDeletionOrRequest(t *testing.T) {
 	// Guards against a leader that was paused between its decision and the call. The cloud does not check
 	// fencing tokens, and the successor may have started tasks on the machine in the meantime.
 	synctest.Test(t, func(t *testing.T) {
 		ctx := context.Background()
-		_, cloud, cluster, _, provisioner := setup(10)
-		cluster.HandleRecord("job-1", 1, job("job-1", 2), time.Now())
+		_, cloud, cluster, _, provisioner := newTestProvisioner(10)
+		cluster.HandleRecord("job-1", 1, newJob("job-1", 2), time.Now())
 		provisioner.Step(ctx)
 		if len(cloud.ProvisioningRequests()) == 0 {
 			t.Fatal("no request was sent for the first job")
 		}
 		time.Sleep(5 * time.Minute) // the machines never come up
-		asked := 0
-		provisioner.ConfirmLeadership = func() bool { asked++; return false }
-		cluster.HandleRecord("job-2", 2, job("job-2", 4), time.Now())
+		leadershipChecks := 0
+		provisioner.ConfirmLeadership = func() bool { leadershipChecks++; return false }
+		cluster.HandleRecord("job-2", 2, newJob("job-2", 4), time.Now())
 		requests := len(cloud.ProvisioningRequests())
 		stepEverySecond(ctx, provisioner, 5)
-		if asked == 0 || len(cloud.DeletedMachines()) != 0 || len(cloud.ProvisioningRequests()) != requests {
-			t.Errorf("unconfirmed leader: leadership checked %d times, deleted %v, %d new requests; want checks only", asked, cloud.DeletedMachines(), len(cloud.ProvisioningRequests())-requests)
+		if leadershipChecks == 0 || len(cloud.DeletedMachines()) != 0 || len(cloud.ProvisioningRequests()) != requests {
+			t.Errorf("unconfirmed leader: leadership checked %d times, deleted %v, %d new requests; want checks only", leadershipChecks, cloud.DeletedMachines(), len(cloud.ProvisioningRequests())-requests)
 		}
 		provisioner.ConfirmLeadership = func() bool { return true }
 		stepEverySecond(ctx, provisioner, 5)
--- a/internal/fleet/requests.go
+++ b/internal/fleet/requests.go
@@ -31,15 +31,15 @@
 
 // isOutstanding reports whether a request of that name may still lack an answer.
 func (r *requests) isOutstanding(name ids.ProvisioningRequest) bool {
-	named := func(request provisioningRequest) bool { return request.Name == name }
-	return slices.ContainsFunc(r.outstanding, named) || slices.ContainsFunc(r.unconfirmed, named)
+	matchesName := func(request provisioningRequest) bool { return request.Name == name }
+	return slices.ContainsFunc(r.outstanding, matchesName) || slices.ContainsFunc(r.unconfirmed, matchesName)
 }
 
 // removeOutstanding removes a request that was answered from the outstanding requests.
 func (r *requests) removeOutstanding(name ids.ProvisioningRequest) {
-	at := slices.IndexFunc(r.outstanding, func(request provisioningRequest) bool { return request.Name == name })
-	if at >= 0 {
-		r.outstanding = slices.Delete(r.outstanding, at, at+1)
+	index := slices.IndexFunc(r.outstanding, func(request provisioningRequest) bool { return request.Name == name })
+	if index >= 0 {
+		r.outstanding = slices.Delete(r.outstanding, index, index+1)
 	}
 }
 
@@ -57,11 +57,11 @@
 // removes the request and returns its name.
 func (r *requests) removeMachine(machine ids.Machine) (emptied ids.ProvisioningRequest, isEmpty bool) {
 	for name, request := range r.fulfilled {
-		at := slices.Index(request.Machines, machine)
-		if at < 0 {
+		index := slices.Index(request.Machines, machine)
+		if index < 0 {
 			continue
 		}
-		request.Machines = slices.Delete(slices.Clone(request.Machines), at, at+1)
+		request.Machines = slices.Delete(slices.Clone(request.Machines), index, index+1)
 		r.fulfilled[name] = request
 		if len(request.Machines) == 0 {
 			delete(r.fulfilled, name)
@@ -85,7 +85,7 @@
 			continue
 		}
 		p.requests.addFulfilled(request)
-		p.Cluster.MachinesProvisioned(request.Machines, request.wanted(), time.Now())
+		p.Cluster.MachinesProvisioned(request.Machines, request.placementRequest(), time.Now())
 	}
 }
 
@@ -136,8 +136,8 @@
 	}
 	slog.Debug("failed to store provisioning request", "request", request.Name, "err", err)
 	var conflict *state.ConflictError
-	if !errors.As(err, &conflict) && (errors.Is(err, state.ErrOutcomeUnknown) || request.attempted) {
-		request.attempted = true
+	if !errors.As(err, &conflict) && (errors.Is(err, state.ErrOutcomeUnknown) || request.maybeStored) {
+		request.maybeStored = true
 		p.requests.unconfirmed = append(p.requests.unconfirmed, request)
 	}
 	return false
@@ -151,12 +151,12 @@
 	case err == nil && p.Owns != nil && !p.storeMachines(ctx, request, machines):
 		return // the request is sent again, which provisions nothing more
 	case err == nil:
-		p.noteProvisioned(request, machines)
+		p.registerMachines(request, machines)
 	case errors.Is(err, errNoCapacity):
-		p.noteRefused(request.offer(), refusalPeriod)
+		p.markRefused(request.offer(), refusalPeriod)
 	case errors.Is(err, errMalformed):
 		slog.Error("cloud rejected provisioning request as malformed", "request", request.Name, "err", err)
-		p.noteRefused(request.offer(), malformedPeriod)
+		p.markRefused(request.offer(), malformedPeriod)
 	default:
 		return
 	}
@@ -166,14 +166,14 @@
 	p.requests.removeOutstanding(request.Name)
 }
 
-// noteProvisioned adds the machines of a request to the cluster state.
-func (p *Provisioner) noteProvisioned(request provisioningRequest, machines []ids.Machine) {
+// registerMachines adds the machines of a request to the cluster state.
+func (p *Provisioner) registerMachines(request provisioningRequest, machines []ids.Machine) {
 	slog.Info("machines provisioned", "request", request.Name, "type", request.Type, "zone", request.Zone, "spot", request.Spot,
 		"asked", request.Count, "got", len(machines))
-	p.Cluster.MachinesProvisioned(machines, request.wanted(), time.Now())
+	p.Cluster.MachinesProvisioned(machines, request.placementRequest(), time.Now())
 	p.Cluster.ReplacementsProvisioned(request.Name, machines)
 	if len(machines) < request.Count {
-		p.noteRefused(request.offer(), refusalPeriod)
+		p.markRefused(request.offer(), refusalPeriod)
 	}
 }
 
--- a/internal/fleet/scale_in.go
+++ b/internal/fleet/scale_in.go
@@ -39,24 +39,24 @@
 // it emptied.
 func (p *Provisioner) consolidate() {
 	now := time.Now()
-	if now.Sub(p.consolidatedAt) < consolidateInterval {
+	if now.Sub(p.lastConsolidationSearch) < consolidateInterval {
 		return
 	}
-	p.consolidatedAt = now
+	p.lastConsolidationSearch = now
 	for _, candidate := range p.Cluster.ConsolidationCandidates(now) {
-		if p.canDoWithout(candidate, now) {
+		if p.isRedundant(candidate, now) {
 			p.Cluster.Consolidate(candidate.Name, now)
 			return
 		}
 	}
 }
 
-// canDoWithout reports whether the other machines that are up have capacity for the services of a machine.
-func (p *Provisioner) canDoWithout(candidate provisioning.ConsolidationCandidate, now time.Time) bool {
+// isRedundant reports whether the other machines that are up have capacity for the services of a machine.
+func (p *Provisioner) isRedundant(candidate provisioning.ConsolidationCandidate, now time.Time) bool {
 	demands, machines, types := p.Cluster.CapacityDemands(now)
 	others := slices.DeleteFunc(machines, func(machine placement.Instance) bool {
 		return machine.Name == candidate.Name || machine.Pending
 	})
-	wanted, _ := placement.PlanScaleOut(slices.Concat(candidate.Needs, demands), others, types, anyOffer)
+	wanted, _ := placement.PlanScaleOut(slices.Concat(candidate.Needs, demands), others, types, acceptAnyOffer)
 	return len(wanted) == 0
 }
--- a/internal/fleet/shards_test.go
+++ b/internal/fleet/shards_test.go
@@ -33,17 +33,17 @@
 	return nil
 }
 
-func TestRequestOfOneOfSeveralShardsNamesItsMachinesUntilTheyAreDeleted(t *testing.T) {
+func TestRequestStaysStoredWithItsMachinesUntilTheyAreDeleted(t *testing.T) {
 	// Guards against the use of a machine before its owner is stored, and against requests that are never
 	// removed from the store.
 	synctest.Test(t, func(t *testing.T) {
 		ctx := context.Background()
-		_, cloud, cluster, _, provisioner := setup(2)
+		_, cloud, cluster, _, provisioner := newTestProvisioner(2)
 		store := &valueStore{requestStore{names: map[string]bool{}}, map[string]string{}}
 		provisioner.Store, provisioner.Keys, provisioner.Shard = store, record.KeysOf(1, 3), 1
 		provisioner.Owns = func(ids.Machine) bool { return true }
 		provisioner.OtherShardsShortage = func() (time.Duration, int) { return 0, 1 }
-		cluster.HandleRecord("job-1", 1, job("job-1", 1), time.Now())
+		cluster.HandleRecord("job-1", 1, newJob("job-1", 1), time.Now())
 		provisioner.Step(ctx)
 		key := "pool/~1/hire/h-s1-7-1"
 		if !strings.Contains(store.values[key], `"hosts":["host-000001"]`) {
@@ -56,7 +56,7 @@
 			t.Errorf("next leader has %v machines and %d outstanding requests, want 1 and 0", next.Cluster.Summary()["machines"], len(next.requests.outstanding))
 		}
 		// The demand exceeds the cloud's capacity, so a shortage is published to the other shards.
-		cluster.HandleRecord("job-2", 2, job("job-2", 40), time.Now())
+		cluster.HandleRecord("job-2", 2, newJob("job-2", 40), time.Now())
 		stepEverySecond(ctx, provisioner, 8)
 		if cluster.Shortage().Duration == 0 {
 			t.Error("no shortage published although the cloud refuses machines for a waiting job")
@@ -78,7 +78,7 @@
 	})
 }
 
-func TestIdleMachinesAreGivenUpForShardsWithAShortage(t *testing.T) {
+func TestIdleMachinesAreReleasedForShardsWithAShortage(t *testing.T) {
 	// Guards against jobs of a shard that wait forever while another shard holds idle machines.
 	cluster := clusterstate.New(testSettings(), "w", 7, time.Now())
 	cluster.SetMachineTypes([]placement.InstanceType{{Label: "small", Cores: 4, RAM: 16, Zones: []string{"north"}}})
@@ -105,16 +105,16 @@
 	}
 }
 
-func TestMachinesThatTheCloudDoesNotListAreNotWaitedFor(t *testing.T) {
+func TestUnlistedMachinesDoNotBlockProvisioning(t *testing.T) {
 	// Guards against a new leader that never requests machines because all were deleted right before the
 	// failover: it received no heartbeats and took that for its own network partition.
 	synctest.Test(t, func(t *testing.T) {
 		ctx := context.Background()
-		_, cloud, cluster, _, provisioner := setup(2)
-		var received clusterstate.HintCache
-		received.Receive([]clusterstate.Hint{{Name: "gone", Address: "gone:1", Type: "small", Zone: "north", Incarnation: 1}}, clusterstate.HintPosition{Complete: true})
-		cluster.ApplyHints(&received, time.Now())
-		cluster.HandleRecord("job-1", 1, job("job-1", 1), time.Now())
+		_, cloud, cluster, _, provisioner := newTestProvisioner(2)
+		var hints clusterstate.HintCache
+		hints.Receive([]clusterstate.Hint{{Name: "gone", Address: "gone:1", Type: "small", Zone: "north", Incarnation: 1}}, clusterstate.HintPosition{Complete: true})
+		cluster.ApplyHints(&hints, time.Now())
+		cluster.HandleRecord("job-1", 1, newJob("job-1", 1), time.Now())
 		stepEverySecond(ctx, provisioner, 40)
 		if len(cloud.ProvisioningRequests()) == 0 {
 			t.Error("no request was sent for a waiting job")
