--- a/internal/rollout/reconcile.go
+++ b/internal/rollout/reconcile.go
@@ -83,7 +83,7 @@
 	return r.record.transition(to, reason)
 }
 
-// markDeleted moves deleted machines of the wave to state Returned, in any state of the rollout.
+// markDeleted moves deleted machines of the wave to state Returned, in every state of a rollout but Ended.
 func (r *reconciler) markDeleted() error {
 	for _, state := range cordonedStates {
 		for _, name := range r.machinesIn(state) {
--- a/internal/rollout/snapshot.go
+++ b/internal/rollout/snapshot.go
@@ -143,7 +143,7 @@
 		return nil, nil
 	case err != nil:
 		return nil, err
-	case !rollout.record.Spec.Same(spec):
+	case !rollout.record.Spec.Equal(spec):
 		return nil, fmt.Errorf("%w: rollout %s", ErrSpecConflict, spec.Name)
 	}
 	return rollout, nil
--- a/internal/rollout/spec.go
+++ b/internal/rollout/spec.go
@@ -123,5 +123,5 @@
 	return stored
 }
 
-// Same reports whether two specifications are equal in their stored form.
-func (s *Spec) Same(other *Spec) bool { return reflect.DeepEqual(s.stored(), other.stored()) }
+// Equal reports whether two specifications are equal in their stored form.
+func (s *Spec) Equal(other *Spec) bool { return reflect.DeepEqual(s.stored(), other.stored()) }
