--- a/internal/fleet/large_fleet_test.go
+++ b/internal/fleet/large_fleet_test.go
@@ -13,10 +13,10 @@
 	"github.com/pebbletrail/pebbletrail/internal/record"
 )
 
-// largestFleet is how many machines the service is to run at.
-const largestFleet = 6000
+// maxFleetSize is the number of machines that the service must support.
+const maxFleetSize = 6000
 
-// provisionAll provisions so many machines and has their workers report.
+// provisionAll provisions count machines and delivers a heartbeat of each.
 func provisionAll(ctx context.Context, t *testing.T, cluster *clusterstate.State, cloud *Cloud, count int) {
 	t.Helper()
 	for i := range count / maxPerRequest {
@@ -32,40 +32,40 @@
 }
 
 func TestRequestDoesNotWaitForTheListOfALargeFleet(t *testing.T) {
-	// Guards against reading all pages of the machine list before anything else: at six
-	// thousand machines that took the calls of three seconds, again and again.
+	// Guards against reading all pages of the machine list before anything else: at six thousand machines
+	// the calls of each such read took three seconds, and the reads repeat.
 	synctest.Test(t, func(t *testing.T) {
 		ctx := context.Background()
-		network, cloud, cluster, _, provisioner := setup(largestFleet + 100)
-		provisionAll(ctx, t, cluster, provisioner.Cloud, largestFleet)
+		network, cloud, cluster, _, provisioner := newTestProvisioner(maxFleetSize + 100)
+		provisionAll(ctx, t, cluster, provisioner.Cloud, maxFleetSize)
 		provisioner.Step(ctx)
-		// The platform's rate is five calls a second, and its list lags by five seconds.
+		// The cloud allows five calls per second, and its list lags by five seconds.
 		provisioner.Cloud, provisioner.ListInterval = NewCloud("cloud:1", network.Client("a"), 5), 2500*time.Millisecond
-		lists, slowest := map[time.Time]bool{}, time.Duration(0)
+		completedReads, slowest := map[time.Time]bool{}, time.Duration(0)
 		step := func() {
 			provisioner.Step(ctx)
 			time.Sleep(250 * time.Millisecond)
-			if !provisioner.list.reading {
-				lists[provisioner.list.began] = true
+			if !provisioner.listProgress.reading {
+				completedReads[provisioner.listProgress.startedAt] = true
 			}
 		}
 		for i := range 20 {
 			spec := record.Spec{ID: ids.Job(fmt.Sprint("job-", i)), Class: "c", Team: "red", Zone: "south", Shape: record.Service,
 				Tasks: 1, Resources: placement.Resources{Cores: 4, RAM: 4}}
 			cluster.HandleRecord(spec.ID, 1, record.New(spec, ids.TimestampOf(time.Now()), "user"), time.Now())
-			began, before := time.Now(), len(cloud.ProvisioningRequests())
-			for len(cloud.ProvisioningRequests()) == before && time.Since(began) < 10*time.Second {
+			startedAt, before := time.Now(), len(cloud.ProvisioningRequests())
+			for len(cloud.ProvisioningRequests()) == before && time.Since(startedAt) < 10*time.Second {
 				step()
 			}
-			slowest = max(slowest, time.Since(began))
+			slowest = max(slowest, time.Since(startedAt))
 			step()
 			step()
 		}
 		if slowest > time.Second {
-			t.Errorf("a request waited %v", slowest)
+			t.Errorf("slowest provisioning request was sent after %v, want at most 1s", slowest)
 		}
-		if len(lists) < 2 {
-			t.Errorf("the machine list was read to its end %d times", len(lists))
+		if len(completedReads) < 2 {
+			t.Errorf("machine list was read to its end %d times, want at least 2", len(completedReads))
 		}
 	})
 }
--- a/internal/fleet/provisioner_test.go
+++ b/internal/fleet/provisioner_test.go
@@ -18,20 +18,20 @@
 	"github.com/pebbletrail/pebbletrail/internal/worker"
 )
 
-// requestStore is a store of the names of provisioning requests: each must be there before it is
-// sent.
+// requestStore is a store that keeps the names of provisioning requests. A request must be stored before
+// it is sent.
 type requestStore struct {
-	names map[string]bool
-	down  bool
-	lose  int // so many writes get no answer and are not executed
+	names      map[string]bool
+	down       bool
+	loseWrites int // number of next writes that get no answer and are not executed
 }
 
 func (s *requestStore) Apply(_ context.Context, ops []state.Op) error {
 	if s.down {
 		return state.ErrRefused
 	}
-	if s.lose > 0 {
-		s.lose--
+	if s.loseWrites > 0 {
+		s.loseWrites--
 		return state.ErrOutcomeUnknown
 	}
 	for _, op := range ops {
@@ -53,13 +53,14 @@
 	return settings
 }
 
-func job(id ids.Job, tasks int) *record.Record {
+func newJob(id ids.Job, tasks int) *record.Record {
 	return record.New(record.Spec{ID: id, Class: "c", Team: "red", Shape: record.Array, Tasks: tasks, EstimatedDuration: 100,
 		Resources: placement.Resources{Cores: 4, RAM: 4}}, ids.TimestampOf(time.Now()), "user")
 }
 
-// setup makes a provisioner of a cloud that has so many machines.
-func setup(capacity int) (*fake.Network, *fake.Cloud, *clusterstate.State, *requestStore, *Provisioner) {
+// newTestProvisioner returns a provisioner with its dependencies, for a cloud with capacity for the given
+// number of machines.
+func newTestProvisioner(capacity int) (*fake.Network, *fake.Cloud, *clusterstate.State, *requestStore, *Provisioner) {
 	network, cloud := fake.NewNetwork(), fake.NewCloud(capacity)
 	network.Listen("cloud:1", cloud)
 	cluster := clusterstate.New(testSettings(), "w", 7, time.Now())
@@ -69,7 +70,7 @@
 	return network, cloud, cluster, store, provisioner
 }
 
-// stepEverySecond has the provisioner do so many rounds.
+// stepEverySecond calls Step the given number of times, a second apart.
 func stepEverySecond(ctx context.Context, provisioner *Provisioner, rounds int) {
 	for range rounds {
 		provisioner.Step(ctx)
@@ -77,11 +78,11 @@
 	}
 }
 
-func TestRequestIsStoredBeforeItIsSentAndNeverDoubled(t *testing.T) {
+func TestRequestIsStoredBeforeItIsSentAndNeverDuplicated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := context.Background()
-		network, cloud, cluster, store, provisioner := setup(10)
-		cluster.HandleRecord("job-1", 1, job("job-1", 2), time.Now())
+		network, cloud, cluster, store, provisioner := newTestProvisioner(10)
+		cluster.HandleRecord("job-1", 1, newJob("job-1", 2), time.Now())
 		sent := map[string]int{}
 		network.SetRule(func(_, _ string, request *http.Request, body []byte) fake.Outcome {
 			if request.Method == "POST" && request.URL.Path == "/hosts" {
@@ -94,36 +95,36 @@
 						return fake.Deliver
 					}
 				}
-				t.Errorf("sent without being stored: %s", body)
+				t.Errorf("request was sent before it was stored: %s", body)
 			}
 			return fake.Deliver
 		})
 		store.down = true
 		provisioner.Step(ctx)
 		if len(cloud.ProvisioningRequests()) != 0 {
-			t.Fatal("requested although the name could not be stored")
+			t.Fatal("request was sent although the store refused it")
 		}
 		store.down = false
-		store.lose = 2 // an answer that never comes is no answer either
+		store.loseWrites = 2 // a write without an answer is not a confirmed write
 		provisioner.Step(ctx)
 		if len(cloud.ProvisioningRequests()) != 0 {
-			t.Fatal("requested although nothing says that the name is stored")
+			t.Fatal("request was sent although its write was not confirmed")
 		}
 		stepEverySecond(ctx, provisioner, 6)
 		if total := countProvisioned(cloud); total != 2 || len(store.names) != 0 {
-			t.Fatalf("provisioned %d for two tasks; still stored: %v", total, store.names)
+			t.Fatalf("%d machines provisioned, want 2 for two tasks; requests still stored: %v, want none", total, store.names)
 		}
 	})
 }
 
-func TestNextLeaderLearnsWhatWasProvisioned(t *testing.T) {
+func TestNextLeaderRecoversProvisionedMachines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := context.Background()
-		_, cloud, cluster, _, provisioner := setup(10)
+		_, cloud, cluster, _, provisioner := newTestProvisioner(10)
 		provisioner.Adopt([]state.Entry{{Value: []byte(`{"hire":"h-3-1","build":"small","yard":"north","loaners":false,"count":2}`)}})
 		provisioner.Step(ctx)
 		if len(cloud.ProvisioningRequests()["h-3-1"]) != 2 || cluster.Summary()["machines"] != 2 {
-			t.Fatalf("requests %v, machines %v", cloud.ProvisioningRequests(), cluster.Summary()["machines"])
+			t.Fatalf("cloud received requests %v, cluster has %v machines; want request h-3-1 and 2 machines", cloud.ProvisioningRequests(), cluster.Summary()["machines"])
 		}
 	})
 }
@@ -131,13 +132,13 @@
 func TestStuckBootsAndUnknownMachinesAreDeleted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := context.Background()
-		_, cloud, cluster, _, provisioner := setup(3)
-		cluster.HandleRecord("job-1", 1, job("job-1", 1), time.Now())
+		_, cloud, cluster, _, provisioner := newTestProvisioner(3)
+		cluster.HandleRecord("job-1", 1, newJob("job-1", 1), time.Now())
 		stepEverySecond(ctx, provisioner, 250)
-		if gone := cloud.DeletedMachines(); len(gone) == 0 || gone[0] != "host-000001" {
-			t.Fatalf("a machine that never came up was kept: %v", gone)
+		if deleted := cloud.DeletedMachines(); len(deleted) == 0 || deleted[0] != "host-000001" {
+			t.Fatalf("deleted machines %v, want first host-000001, which never came up", deleted)
 		}
-		// Nobody requested this one; it reports, has nothing to do and is deleted.
+		// A machine that no request provisioned sends heartbeats, has no tasks and is deleted.
 		cluster.ReconcileHeartbeat(&worker.Report{Machine: "host-000777", Type: "small", Zone: "north", Incarnation: 1, Sequence: 1}, true, true)
 		cluster.HandleRecord("job-1", 99, nil, time.Now())
 		for i := range 90 {
@@ -146,45 +147,45 @@
 			time.Sleep(time.Second)
 		}
 		if !strings.Contains(strings.Join(cloud.DeletedMachines(), " "), "host-000777") {
-			t.Fatalf("the unknown machine was kept: %v", cloud.DeletedMachines())
+			t.Fatalf("deleted machines %v, want also the unknown host-000777", cloud.DeletedMachines())
 		}
 	})
 }
 
-func TestLeaderThatStoodStillSendsNoDeletionOrRequest(t *testing.T) {
-	// Guards against a leader frozen between deciding and sending: the cloud knows
-	// no tokens, and its successor may have work on the machine by then.
+func TestLeaderWithoutConfirmedLeadershipSendsNoDeletionOrRequest(t *testing.T) {
+	// Guards against a leader that was paused between its decision and the call. The cloud does not check
+	// fencing tokens, and the successor may have started tasks on the machine in the meantime.
 	synctest.Test(t, func(t *testing.T) {
 		ctx := context.Background()
-		_, cloud, cluster, _, provisioner := setup(10)
-		cluster.HandleRecord("job-1", 1, job("job-1", 2), time.Now())
+		_, cloud, cluster, _, provisioner := newTestProvisioner(10)
+		cluster.HandleRecord("job-1", 1, newJob("job-1", 2), time.Now())
 		provisioner.Step(ctx)
 		if len(cloud.ProvisioningRequests()) == 0 {
-			t.Fatal("nothing was provisioned")
+			t.Fatal("no request was sent for the first job")
 		}
-		time.Sleep(5 * time.Minute) // they never come up
-		asked := 0
-		provisioner.ConfirmLeadership = func() bool { asked++; return false }
-		cluster.HandleRecord("job-2", 2, job("job-2", 4), time.Now())
+		time.Sleep(5 * time.Minute) // the machines never come up
+		leadershipChecks := 0
+		provisioner.ConfirmLeadership = func() bool { leadershipChecks++; return false }
+		cluster.HandleRecord("job-2", 2, newJob("job-2", 4), time.Now())
 		requests := len(cloud.ProvisioningRequests())
 		stepEverySecond(ctx, provisioner, 5)
-		if asked == 0 || len(cloud.DeletedMachines()) != 0 || len(cloud.ProvisioningRequests()) != requests {
-			t.Errorf("asked %d times; deleted %v, %d requests", asked, cloud.DeletedMachines(), len(cloud.ProvisioningRequests())-requests)
+		if leadershipChecks == 0 || len(cloud.DeletedMachines()) != 0 || len(cloud.ProvisioningRequests()) != requests {
+			t.Errorf("unconfirmed leader: leadership checked %d times, deleted %v, %d new requests; want checks only", leadershipChecks, cloud.DeletedMachines(), len(cloud.ProvisioningRequests())-requests)
 		}
 		provisioner.ConfirmLeadership = func() bool { return true }
 		stepEverySecond(ctx, provisioner, 5)
 		if len(cloud.DeletedMachines()) == 0 || len(cloud.ProvisioningRequests()) == requests {
-			t.Errorf("the sure leader deleted %v and made %d requests", cloud.DeletedMachines(), len(cloud.ProvisioningRequests())-requests)
+			t.Errorf("confirmed leader: deleted %v, %d new requests; want both", cloud.DeletedMachines(), len(cloud.ProvisioningRequests())-requests)
 		}
 	})
 }
 
-// heartbeat is the report of a machine with a sequence number.
+// heartbeat returns a heartbeat of a machine with a sequence number.
 func heartbeat(machine ids.Machine, sequence ids.SequenceNumber) *worker.Report {
 	return &worker.Report{Machine: machine, Addr: string(machine) + ":1", Type: "small", Zone: "north", Incarnation: 1, Sequence: sequence}
 }
 
-// countProvisioned is how many machines the cloud has given in all.
+// countProvisioned returns the number of machines that the cloud has provisioned in total.
 func countProvisioned(cloud *fake.Cloud) (count int) {
 	for _, machines := range cloud.ProvisioningRequests() {
 		count += len(machines)
--- a/internal/fleet/requests.go
+++ b/internal/fleet/requests.go
@@ -14,36 +14,36 @@
 	"github.com/pebbletrail/pebbletrail/internal/state"
 )
 
-// maxPerRequest is the most machines that one request asks for.
+// maxPerRequest is the maximum number of machines in one request.
 const maxPerRequest = 50
 
-// requests are the provisioning requests of a leader by how far they are.
+// requests holds the provisioning requests of a leader by their progress.
 type requests struct {
-	sequence    int                   // of the last one made
-	unconfirmed []provisioningRequest // perhaps stored: not to be sent until they surely are
-	outstanding []provisioningRequest // stored, without an answer that is sure
-	// fulfilled are those that stay stored with the names of their machines.
+	sequence    int                   // sequence number of the last request made
+	unconfirmed []provisioningRequest // possibly stored; not sent before the write is confirmed
+	outstanding []provisioningRequest // stored, without a definite answer from the cloud
+	// fulfilled are the answered requests that stay stored with the names of their machines.
 	fulfilled map[ids.ProvisioningRequest]provisioningRequest
 }
 
-// anyOutstanding tells whether some may provision machines that are not known yet.
+// anyOutstanding reports whether any request may provision machines that are not known yet.
 func (r *requests) anyOutstanding() bool { return len(r.unconfirmed) > 0 || len(r.outstanding) > 0 }
 
-// isOutstanding tells whether a request of that name may have no answer yet.
+// isOutstanding reports whether a request of that name may still lack an answer.
 func (r *requests) isOutstanding(name ids.ProvisioningRequest) bool {
-	named := func(request provisioningRequest) bool { return request.Name == name }
-	return slices.ContainsFunc(r.outstanding, named) || slices.ContainsFunc(r.unconfirmed, named)
+	matchesName := func(request provisioningRequest) bool { return request.Name == name }
+	return slices.ContainsFunc(r.outstanding, matchesName) || slices.ContainsFunc(r.unconfirmed, matchesName)
 }
 
-// removeOutstanding drops a request that was answered.
+// removeOutstanding removes a request that was answered from the outstanding requests.
 func (r *requests) removeOutstanding(name ids.ProvisioningRequest) {
-	at := slices.IndexFunc(r.outstanding, func(request provisioningRequest) bool { return request.Name == name })
-	if at >= 0 {
-		r.outstanding = slices.Delete(r.outstanding, at, at+1)
+	index := slices.IndexFunc(r.outstanding, func(request provisioningRequest) bool { return request.Name == name })
+	if index >= 0 {
+		r.outstanding = slices.Delete(r.outstanding, index, index+1)
 	}
 }
 
-// addFulfilled notes a request that is stored with its machines, if it has any.
+// addFulfilled adds a request that is stored with its machines, unless it has none.
 func (r *requests) addFulfilled(request provisioningRequest) {
 	if r.fulfilled == nil {
 		r.fulfilled = map[ids.ProvisioningRequest]provisioningRequest{}
@@ -53,15 +53,15 @@
 	}
 }
 
-// removeMachine takes a machine that was deleted off its request, and returns the request's name if
-// it was the last one.
+// removeMachine removes a deleted machine from its request. If it was the last machine, removeMachine also
+// removes the request and returns its name.
 func (r *requests) removeMachine(machine ids.Machine) (emptied ids.ProvisioningRequest, isEmpty bool) {
 	for name, request := range r.fulfilled {
-		at := slices.Index(request.Machines, machine)
-		if at < 0 {
+		index := slices.Index(request.Machines, machine)
+		if index < 0 {
 			continue
 		}
-		request.Machines = slices.Delete(slices.Clone(request.Machines), at, at+1)
+		request.Machines = slices.Delete(slices.Clone(request.Machines), index, index+1)
 		r.fulfilled[name] = request
 		if len(request.Machines) == 0 {
 			delete(r.fulfilled, name)
@@ -72,8 +72,8 @@
 	return "", false
 }
 
-// Adopt takes over the requests that an earlier leader stored: sending those without an answer again
-// tells what they provisioned.
+// Adopt loads the requests that an earlier leader stored. Those without an answer are sent again, which
+// reveals the machines that they provisioned.
 func (p *Provisioner) Adopt(entries []state.Entry) {
 	for _, entry := range entries {
 		var request provisioningRequest
@@ -85,19 +85,20 @@
 			continue
 		}
 		p.requests.addFulfilled(request)
-		p.Cluster.MachinesProvisioned(request.Machines, request.wanted(), time.Now())
+		p.Cluster.MachinesProvisioned(request.Machines, request.placementRequest(), time.Now())
 	}
 }
 
-// provision stores a request before sending it: whoever is leader next can learn what it
-// provisioned, and no name is ever used for two requests.
+// provision stores a new request and then sends it. Because it is stored first, a later leader can find out
+// what it provisioned, and no name is ever used for two requests.
 func (p *Provisioner) provision(ctx context.Context, wanted placement.ProvisioningRequest) {
 	p.requests.sequence++
 	wanted.Count = min(wanted.Count, maxPerRequest)
 	p.storeAndSend(ctx, newRequest(p.requestName(), wanted))
 }
 
-// requestName names the next request. Generations of different shards may be alike, names may not.
+// requestName returns the name of the next request. It contains the shard if there are several: their
+// generations may be equal, but the names of requests must differ.
 func (p *Provisioner) requestName() ids.ProvisioningRequest {
 	if p.Owns == nil {
 		return ids.ProvisioningRequest(fmt.Sprintf("h-%d-%d", p.Generation, p.requests.sequence))
@@ -111,7 +112,8 @@
 	}
 }
 
-// retryRequests stores again what may not be stored, and sends again what has no answer.
+// retryRequests stores requests again whose write was not confirmed, and sends requests again that have no
+// answer.
 func (p *Provisioner) retryRequests(ctx context.Context) {
 	unconfirmed := p.requests.unconfirmed
 	p.requests.unconfirmed = nil
@@ -123,37 +125,38 @@
 	}
 }
 
-// storeRequest stores a request, and tells whether it surely is. One whose answer was lost may be
-// stored yet, after all that this leader writes now; so it is stored again rather than forgotten.
+// storeRequest stores a request and reports whether the write was confirmed. If the answer was lost, the
+// write may still be executed, even after later writes of this leader; the request is therefore stored
+// again and not dropped.
 func (p *Provisioner) storeRequest(ctx context.Context, request provisioningRequest) bool {
 	err := p.putRequest(ctx, request)
 	if err == nil {
 		p.requests.outstanding = append(p.requests.outstanding, request)
 		return true
 	}
-	slog.Debug("provisioning request not stored", "request", request.Name, "err", err)
+	slog.Debug("failed to store provisioning request", "request", request.Name, "err", err)
 	var conflict *state.ConflictError
-	if !errors.As(err, &conflict) && (errors.Is(err, state.ErrOutcomeUnknown) || request.attempted) {
-		request.attempted = true
+	if !errors.As(err, &conflict) && (errors.Is(err, state.ErrOutcomeUnknown) || request.maybeStored) {
+		request.maybeStored = true
 		p.requests.unconfirmed = append(p.requests.unconfirmed, request)
 	}
 	return false
 }
 
-// sendRequest sends a stored request and takes in its answer. Without one it stays outstanding: it
-// is sent again under the same name.
+// sendRequest sends a stored request and processes the answer. Without an answer the request stays
+// outstanding and is sent again under the same name.
 func (p *Provisioner) sendRequest(ctx context.Context, request provisioningRequest) {
 	machines, err := p.Cloud.provision(ctx, request, p.ConfirmLeadership)
 	switch {
 	case err == nil && p.Owns != nil && !p.storeMachines(ctx, request, machines):
-		return // sent again, which provisions nothing more
+		return // the request is sent again, which provisions nothing more
 	case err == nil:
-		p.noteProvisioned(request, machines)
+		p.registerMachines(request, machines)
 	case errors.Is(err, errNoCapacity):
-		p.noteRefused(request.offer(), refusalPeriod)
+		p.markRefused(request.offer(), refusalPeriod)
 	case errors.Is(err, errMalformed):
-		slog.Error("the cloud calls a provisioning request malformed", "request", request.Name, "err", err)
-		p.noteRefused(request.offer(), malformedPeriod)
+		slog.Error("cloud rejected provisioning request as malformed", "request", request.Name, "err", err)
+		p.markRefused(request.offer(), malformedPeriod)
 	default:
 		return
 	}
@@ -163,30 +166,30 @@
 	p.requests.removeOutstanding(request.Name)
 }
 
-// noteProvisioned tells the cluster of new machines.
-func (p *Provisioner) noteProvisioned(request provisioningRequest, machines []ids.Machine) {
+// registerMachines adds the machines of a request to the cluster state.
+func (p *Provisioner) registerMachines(request provisioningRequest, machines []ids.Machine) {
 	slog.Info("machines provisioned", "request", request.Name, "type", request.Type, "zone", request.Zone, "spot", request.Spot,
 		"asked", request.Count, "got", len(machines))
-	p.Cluster.MachinesProvisioned(machines, request.wanted(), time.Now())
+	p.Cluster.MachinesProvisioned(machines, request.placementRequest(), time.Now())
 	p.Cluster.ReplacementsProvisioned(request.Name, machines)
 	if len(machines) < request.Count {
-		p.noteRefused(request.offer(), refusalPeriod)
+		p.markRefused(request.offer(), refusalPeriod)
 	}
 }
 
-// storeMachines stores which machines a request provisioned, before anything is started on them:
-// they are this shard's from then on.
+// storeMachines stores which machines a request provisioned, before any task is started on them. From
+// then on this shard owns the machines.
 func (p *Provisioner) storeMachines(ctx context.Context, request provisioningRequest, machines []ids.Machine) bool {
 	request.Machines = machines
 	if err := p.putRequest(ctx, request); err != nil {
-		slog.Debug("machines of a provisioning request not stored", "request", request.Name, "err", err)
+		slog.Debug("failed to store the machines of a provisioning request", "request", request.Name, "err", err)
 		return false
 	}
 	p.requests.addFulfilled(request)
 	return true
 }
 
-// putRequest writes a request to the store.
+// putRequest writes a request with its present content to the store.
 func (p *Provisioner) putRequest(ctx context.Context, request provisioningRequest) error {
 	raw, err := json.Marshal(request)
 	if err != nil {
@@ -195,10 +198,10 @@
 	return p.Store.Apply(ctx, []state.Op{{Put: p.requestKey(request.Name), Value: raw}})
 }
 
-// removeRequest removes what is stored of a request.
+// removeRequest removes a request from the store.
 func (p *Provisioner) removeRequest(ctx context.Context, name ids.ProvisioningRequest) {
 	if err := p.Store.Apply(ctx, []state.Op{{Remove: p.requestKey(name)}}); err != nil {
-		slog.Debug("provisioning request not removed", "request", name, "err", err)
+		slog.Debug("failed to remove provisioning request from the store", "request", name, "err", err)
 	}
 }
 
--- a/internal/rollout/fakefleet_test.go
+++ b/internal/rollout/fakefleet_test.go
@@ -8,41 +8,41 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-// fakeFleet is machines as a leader knows them. What is ordered happens at once, and what is
-// provisioned becomes ready, unless a test says otherwise.
+// fakeFleet is an in-memory Fleet. It carries out orders immediately, and provisioned machines become
+// ready at once, unless a test sets a failure.
 type fakeFleet struct {
-	mu       sync.Mutex
-	machines map[ids.Machine]*fakeMachine
-	hires    map[ids.ProvisioningRequest][]ids.Machine
-	next     int
-	// mostCordoned is the most machines that were cordoned at a time.
-	mostCordoned int
-	// provisionNothing has the cloud provision nothing; replacementsFail has replacements fail
+	mu          sync.Mutex
+	machines    map[ids.Machine]*fakeMachine
+	provisioned map[ids.ProvisioningRequest][]ids.Machine
+	lastNumber  int
+	// maxCordoned is the maximum number of machines cordoned at the same time.
+	maxCordoned int
+	// provisionNothing makes the fleet provision nothing; replacementsFail makes replacements fail
 	// once they are ready.
 	provisionNothing bool
 	replacementsFail bool
 }
 
-// fakeMachine is a machine and what draining it takes.
+// fakeMachine is a machine with the cost of draining it.
 type fakeMachine struct {
 	Machine
-	weight DrainCost
+	cost DrainCost
 }
 
-func newFleet(machines int) *fakeFleet {
-	f := &fakeFleet{machines: map[ids.Machine]*fakeMachine{}, hires: map[ids.ProvisioningRequest][]ids.Machine{}}
+func newFakeFleet(machines int) *fakeFleet {
+	f := &fakeFleet{machines: map[ids.Machine]*fakeMachine{}, provisioned: map[ids.ProvisioningRequest][]ids.Machine{}}
 	for range machines {
-		f.add([]string{"north", "south"}[f.next%2])
+		f.add([]string{"north", "south"}[f.lastNumber%2])
 	}
 	return f
 }
 
 func (f *fakeFleet) add(zone string) ids.Machine {
-	f.next++
-	name := ids.Machine(fmt.Sprintf("host-%06d", f.next))
+	f.lastNumber++
+	name := ids.Machine(fmt.Sprintf("host-%06d", f.lastNumber))
 	f.machines[name] = &fakeMachine{
 		Machine: Machine{Class: InstanceClass{Type: "small", Zone: zone}, Known: true, Ready: true, Tasks: 1},
-		weight:  DrainCost{Steps: 1},
+		cost:    DrainCost{Steps: 1},
 	}
 	return name
 }
@@ -59,7 +59,7 @@
 func (f *fakeFleet) DrainCost(name ids.Machine) DrainCost {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.machines[name].weight
+	return f.machines[name].cost
 }
 
 func (f *fakeFleet) Machines() (names []ids.Machine) {
@@ -77,17 +77,17 @@
 func (f *fakeFleet) ProvisionedMachines(name ids.ProvisioningRequest) ([]ids.Machine, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	machines, answered := f.hires[name]
+	machines, answered := f.provisioned[name]
 	return machines, answered
 }
 
 func (f *fakeFleet) RolloutView() View { return f }
 
-// CarryOut does what is ordered at once.
+// CarryOut carries out the orders immediately.
 func (f *fakeFleet) CarryOut(orders *Orders) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.mostCordoned = max(f.mostCordoned, len(orders.Machines))
+	f.maxCordoned = max(f.maxCordoned, len(orders.Machines))
 	for name, order := range orders.Machines {
 		machine := f.machines[name]
 		switch {
@@ -99,12 +99,12 @@
 		}
 	}
 	for _, request := range orders.Provisioning {
-		if f.hires[request.Name] != nil || f.provisionNothing {
+		if f.provisioned[request.Name] != nil || f.provisionNothing {
 			continue
 		}
 		for range request.Count {
 			name := f.add(request.Class.Zone)
-			f.hires[request.Name] = append(f.hires[request.Name], name)
+			f.provisioned[request.Name] = append(f.provisioned[request.Name], name)
 			if f.replacementsFail {
 				f.machines[name].Failed = "it is broken"
 			}
@@ -112,7 +112,7 @@
 	}
 }
 
-// change changes the fleet while it is in use.
+// change calls a function that changes or checks the fleet, under its lock.
 func (f *fakeFleet) change(change func(*fakeFleet)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -15,8 +15,8 @@
 )
 
 func TestRolloutOfSixThousandMachinesFitsSmallValues(t *testing.T) {
-	// The state service takes values of 8 KiB and twelve changes at a time; the fleet's numbers
-	// are scattered. A leader that ends in the middle is succeeded by one that goes on.
+	// The state service accepts values of 8 KiB and twelve operations per transaction, and the machine
+	// numbers are scattered. The leader ends during the rollout, and its successor continues it.
 	const machines = 6000
 	runHarness(t, 2*machines, func(h *harness) {
 		for name := range h.fleet.machines {
@@ -25,7 +25,7 @@
 			}
 		}
 		stopLeader := h.startLeader("b")
-		spec := wholeFleet("large")
+		spec := allMachinesSpec("large")
 		spec.WaveSize = 300
 		if _, err := h.service.Start(h.ctx, spec); err != nil {
 			t.Fatal(err)
@@ -36,18 +36,18 @@
 		status := h.awaitState("large", Ended, 10*time.Minute)
 		h.fleet.change(func(f *fakeFleet) {
 			if status.Done != machines || len(f.machines) != 0 {
-				t.Errorf("%d machines through, %d left", status.Done, len(f.machines))
+				t.Errorf("%d machines done, %d left in the fleet; want 6000 and 0", status.Done, len(f.machines))
 			}
-			if f.mostCordoned > spec.WaveSize {
-				t.Errorf("%d machines were cordoned at a time", f.mostCordoned)
+			if f.maxCordoned > spec.WaveSize {
+				t.Errorf("%d machines were cordoned at the same time, more than the wave size", f.maxCordoned)
 			}
 		})
 		if n := h.store.CountTooLarge(); n > 0 {
-			t.Errorf("%d transactions were too large", n)
+			t.Errorf("%d transactions exceeded the limits of the state service", n)
 		}
 		time.Sleep(2 * time.Second)
 		if n := h.store.CountKeys(waitingPrefix); n > 0 {
-			t.Errorf("%d parts are left over", n)
+			t.Errorf("%d parts of waiting machines are still stored after the end", n)
 		}
 	})
 }
@@ -55,10 +55,10 @@
 func TestWaveTooLargeForARecordIsRejected(t *testing.T) {
 	runHarness(t, 3000, func(h *harness) {
 		h.startLeader("b")
-		spec := wholeFleet("wide")
+		spec := allMachinesSpec("wide")
 		spec.WaveSize = 3000
 		if _, err := h.service.Start(h.ctx, spec); !errors.Is(err, ErrInvalidSpec) || !strings.Contains(err.Error(), "wave size") {
-			t.Errorf("%v", err)
+			t.Errorf("start with too large a wave size: error %v, want ErrInvalidSpec that names the wave size", err)
 		}
 	})
 }
@@ -79,7 +79,7 @@
 			"at the deadline":        func(spec *Spec) { spec.AtDeadline = "panic" },
 			"with 3 shards drains":   nil,
 		} {
-			spec := wholeFleet("spring")
+			spec := allMachinesSpec("spring")
 			service := *h.service
 			if change == nil {
 				service.Installation = func() Installation { return Installation{Shards: 3} }
@@ -88,28 +88,28 @@
 			}
 			_, err := service.Start(h.ctx, spec)
 			if !errors.Is(err, ErrInvalidSpec) || !strings.Contains(err.Error(), name) || strings.Contains(err.Error(), "\n") {
-				t.Errorf("%s: %v", name, err)
+				t.Errorf("start with an invalid specification (%s): error %v, want ErrInvalidSpec in one line", name, err)
 			}
 		}
 		if n := h.store.CountKeys(Prefix); n > 0 {
-			t.Errorf("%d keys were written", n)
+			t.Errorf("rejected starts wrote %d keys", n)
 		}
 	})
 }
 
 func TestCommandsAreIdempotentAndFollowTheTransitions(t *testing.T) {
 	runHarness(t, 4, func(h *harness) {
-		// Nobody leads, so that nothing moves by itself.
-		spec := wholeFleet("spring")
+		// There is no leader, so only commands change the rollout.
+		spec := allMachinesSpec("spring")
 		for range 2 {
 			if _, err := h.service.Start(h.ctx, spec); err != nil {
 				t.Fatal(err)
 			}
 		}
-		other := wholeFleet("spring")
+		other := allMachinesSpec("spring")
 		other.WaveSize = 1
 		if _, err := h.service.Start(h.ctx, other); !errors.Is(err, ErrSpecConflict) {
-			t.Errorf("other contents: %v", err)
+			t.Errorf("start with the same name and another specification: error %v, want ErrSpecConflict", err)
 		}
 		for _, step := range []struct {
 			command Command
@@ -133,92 +133,92 @@
 				t.Fatal(statusErr)
 			}
 			if !errors.Is(err, step.err) || status.State != step.state {
-				t.Errorf("%s: %v, then %s, not %s", step.command, err, status.State, step.state)
+				t.Errorf("command %s: error %v, then state %s, want %s", step.command, err, status.State, step.state)
 			}
 		}
 		if _, err := h.service.Execute(h.ctx, "autumn", CommandPause); !errors.Is(err, ErrNotFound) {
-			t.Errorf("unknown rollout: %v", err)
+			t.Errorf("pause of an unknown rollout: error %v, want ErrNotFound", err)
 		}
 	})
 }
 
 func TestOneOfTwoConcurrentOverlappingStartsSucceeds(t *testing.T) {
-	// Both have read that no other rollout has the machines before either is stored.
+	// Both starts read that no other rollout has the machines before either is stored.
 	runHarness(t, 4, func(h *harness) {
 		h.planDelay = time.Second
 		outcomes := make(chan error, 2)
 		for _, name := range []Name{"first", "second"} {
 			service := h.controller(string(name))
 			go func() {
-				_, err := service.Start(h.ctx, wholeFleet(name))
+				_, err := service.Start(h.ctx, allMachinesSpec(name))
 				outcomes <- err
 			}()
 		}
 		first, second := <-outcomes, <-outcomes
 		if (first == nil) == (second == nil) || !errors.Is(errors.Join(first, second), ErrOverlap) {
-			t.Errorf("%v and %v", first, second)
+			t.Errorf("concurrent overlapping starts: errors %v and %v, want one nil and one ErrOverlap", first, second)
 		}
 	})
 }
 
 func TestLostAnswersDuplicateNothing(t *testing.T) {
 	runHarness(t, 6, func(h *harness) {
-		lost := 0
+		droppedResponses := 0
 		h.network.SetRule(func(from, _ string, r *http.Request, _ []byte) fake.Outcome {
-			if r.URL.Path == "/commit" && lost < 4 {
-				lost++
+			if r.URL.Path == "/commit" && droppedResponses < 4 {
+				droppedResponses++
 				return fake.DropResponse
 			}
 			return fake.Deliver
 		})
 		h.startLeader("b")
-		spec := wholeFleet("spring")
+		spec := allMachinesSpec("spring")
 		spec.Replace, spec.WaveSize = true, 3
 		if _, err := h.service.Start(h.ctx, spec); err != nil {
 			t.Fatal(err)
 		}
 		if status := h.awaitState("spring", Ended, 5*time.Minute); status.Done != 6 {
-			t.Errorf("%d machines through", status.Done)
+			t.Errorf("%d machines done, want 6", status.Done)
 		}
 		h.fleet.change(func(f *fakeFleet) {
-			if len(f.machines) != 6 || f.next != 12 {
-				t.Errorf("%d machines, %d provisioned in all", len(f.machines), f.next)
+			if len(f.machines) != 6 || f.lastNumber != 12 {
+				t.Errorf("fleet has %d machines, %d provisioned in total; want 6 and 12", len(f.machines), f.lastNumber)
 			}
 		})
 	})
 }
 
 func TestHaltedRolloutContinuesWhenResumed(t *testing.T) {
-	for name, trouble := range map[string]func(*fakeFleet, bool){
-		"failed: it is broken": func(f *fakeFleet, on bool) { f.replacementsFail = on },
-		"0 are up":             func(f *fakeFleet, on bool) { f.provisionNothing = on },
+	for name, setFailure := range map[string]func(*fakeFleet, bool){
+		"failed: it is broken": func(f *fakeFleet, enabled bool) { f.replacementsFail = enabled },
+		"0 are up":             func(f *fakeFleet, enabled bool) { f.provisionNothing = enabled },
 	} {
 		runHarness(t, 6, func(h *harness) {
-			h.fleet.change(func(f *fakeFleet) { trouble(f, true) })
+			h.fleet.change(func(f *fakeFleet) { setFailure(f, true) })
 			h.startLeader("b")
-			spec := wholeFleet("spring")
+			spec := allMachinesSpec("spring")
 			spec.Replace, spec.Surge, spec.WaveSize, spec.Observe = true, true, 3, 10
 			if _, err := h.service.Start(h.ctx, spec); err != nil {
 				t.Fatal(err)
 			}
 			status := h.awaitState("spring", Halted, 3*time.Minute)
 			if !strings.Contains(status.Reason, name) || status.Waiting != 6 {
-				t.Errorf("%s: halted for %q with %d waiting", name, status.Reason, status.Waiting)
+				t.Errorf("%s: halted with reason %q and %d machines waiting, want 6", name, status.Reason, status.Waiting)
 			}
-			h.fleet.change(func(f *fakeFleet) { trouble(f, false) })
+			h.fleet.change(func(f *fakeFleet) { setFailure(f, false) })
 			if _, err := h.service.Execute(h.ctx, "spring", CommandResume); err != nil {
 				t.Fatal(err)
 			}
 			if status := h.awaitState("spring", Ended, 5*time.Minute); status.Done != 6 {
-				t.Errorf("%d machines through", status.Done)
+				t.Errorf("%d machines done after the resumption, want 6", status.Done)
 			}
 		})
 	}
 }
 
-func TestUnreadableRolloutIsListedAndLeftAlone(t *testing.T) {
-	// Of a newer version, or damaged: it is listed, nothing of it is carried out or changed, and
-	// the others go on.
+func TestUnreadableRolloutIsListedAndNotChanged(t *testing.T) {
+	// A rollout of a newer version and a corrupt one are listed, but neither executed nor changed, and
+	// the other rollouts continue.
 	runHarness(t, 4, func(h *harness) {
 		put := func(key, value string) {
 			txn := state.Txn{Ops: []state.Op{{Put: key, Value: json.RawMessage(value)}}}
@@ -231,7 +231,7 @@
 		put(recordKey("strange"), `{"version":1,"state":"dancing"}`)
 		put(recordKey("unreadable"), `[1]`)
 		h.startLeader("b")
-		if _, err := h.service.Start(h.ctx, wholeFleet("spring")); err != nil {
+		if _, err := h.service.Start(h.ctx, allMachinesSpec("spring")); err != nil {
 			t.Fatal(err)
 		}
 		h.awaitState("spring", Ended, 3*time.Minute)
@@ -242,20 +242,20 @@
 		for _, name := range []Name{"newer", "damaged", "strange", "unreadable"} {
 			listed := slices.ContainsFunc(statuses, func(status *Status) bool { return status.Name == name && strings.Contains(status.Note, "set aside") })
 			_, err := h.service.Execute(h.ctx, name, CommandAbort)
-			_, startErr := h.service.Start(h.ctx, wholeFleet(name))
+			_, startErr := h.service.Start(h.ctx, allMachinesSpec(name))
 			if !listed || !errors.Is(err, ErrUnreadable) || !errors.Is(startErr, ErrUnreadable) {
-				t.Errorf("%s: listed %v; %v; %v", name, listed, err, startErr)
+				t.Errorf("rollout %s: listed as unreadable %v; abort error %v, start error %v; want ErrUnreadable", name, listed, err, startErr)
 			}
 		}
 	})
 }
 
 func TestPlanIsGreedyAndListsBlockedMachines(t *testing.T) {
-	fleet := newFleet(6)
+	fleet := newFakeFleet(6)
 	blocked := fleet.machines["host-000001"]
-	blocked.weight.Blocked = []string{"a budget of zero"}
-	fleet.machines["host-000003"].weight.Steps = 5
-	spec := wholeFleet("spring")
+	blocked.cost.Blocked = []string{"a budget of zero"}
+	fleet.machines["host-000003"].cost.Steps = 5
+	spec := allMachinesSpec("spring")
 	spec.Select = Selection{Zone: "north"}
 	spec.WaveSize, spec.Pause = 2, 60
 	preview, err := NewPreview(spec, fleet, time.Now())
@@ -264,25 +264,25 @@
 	}
 	want := [][]ids.Machine{{"host-000005", "host-000003"}, {"host-000001"}}
 	if !slices.EqualFunc(preview.Waves, want, slices.Equal) {
-		t.Errorf("waves %v, not %v", preview.Waves, want)
+		t.Errorf("planned waves %v, want %v", preview.Waves, want)
 	}
 	if len(preview.Blocked) != 1 || preview.Blocked[0].Name != "host-000001" {
-		t.Errorf("blocked: %v", preview.Blocked)
+		t.Errorf("blocked machines %v, want only host-000001", preview.Blocked)
 	}
-	if preview.Takes != 95 { // seven steps of 5 s and one pause
-		t.Errorf("takes %v s", preview.Takes)
+	if preview.Takes != 95 { // seven steps of 5 s and one pause of 60 s
+		t.Errorf("planned duration %v s, want 95 s", preview.Takes)
 	}
 }
 
-func TestOtherTransitionsAreRejected(t *testing.T) {
+func TestUnlistedTransitionsAreRejected(t *testing.T) {
 	if Ended.canBecome(Running) || Halted.canBecome(Ended) || Aborting.canBecome(Running) || Waiting.canBecome(Draining) || Empty.canBecome(Waiting) || Returned.canBecome(Waiting) {
 		t.Error("a transition that is not listed is allowed")
 	}
 	wave := &Wave{Machines: map[MachineState]MachineSet{Empty: NewMachineSet("m1")}}
 	if err := wave.transition("m1", Empty, Waiting); !errors.Is(err, ErrInvalidTransition) {
-		t.Errorf("an empty machine goes back into service: %v", err)
+		t.Errorf("transition of an empty machine to waiting: error %v, want ErrInvalidTransition", err)
 	}
 	if err := wave.transition("m2", Empty, Returned); !errors.Is(err, ErrInvalidTransition) {
-		t.Errorf("a machine that is not in the wave is moved: %v", err)
+		t.Errorf("transition of a machine that is not in the wave: error %v, want ErrInvalidTransition", err)
 	}
 }
--- a/internal/rollout/scale_test.go
+++ b/internal/rollout/scale_test.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// BenchmarkPlan is the time to plan a rollout over all machines; the figures are in docs/drains.md.
+// BenchmarkPlan measures the time to plan a rollout of all machines; docs/drains.md has the results.
 func BenchmarkPlan(b *testing.B) {
 	for _, machines := range []int{50, 500, 6000} {
 		b.Run(fmt.Sprint(machines), func(b *testing.B) {
-			f := newFleet(machines)
-			spec := wholeFleet("spring")
+			f := newFakeFleet(machines)
+			spec := allMachinesSpec("spring")
 			spec.WaveSize = max(1, machines/20)
 			for b.Loop() {
 				if _, err := NewPreview(spec, f, time.Now()); err != nil {
@@ -24,11 +24,12 @@
 }
 
 func TestWritesScaleWithWavesNotMachines(t *testing.T) {
-	// Twenty waves, whatever the size of the fleet: what is stored changes by waves and parts.
+	// Each rollout has twenty waves for any fleet size: the number of writes must depend on waves and
+	// parts, not on machines.
 	for _, machines := range []int{50, 500, 6000} {
 		runHarness(t, machines, func(h *harness) {
 			h.startLeader("b")
-			spec := wholeFleet("spring")
+			spec := allMachinesSpec("spring")
 			spec.Replace, spec.Surge, spec.WaveSize = true, true, (machines+19)/20
 			if _, err := h.service.Start(h.ctx, spec); err != nil {
 				t.Fatal(err)
@@ -36,7 +37,7 @@
 			h.awaitState("spring", Ended, 20*time.Minute)
 			synctest.Wait()
 			if n := h.store.Epoch(); n > 400 {
-				t.Errorf("%d transactions for %d machines", n, machines)
+				t.Errorf("%d transactions for %d machines, want at most 400", n, machines)
 			}
 			t.Logf("%d machines: %d transactions", machines, h.store.Epoch())
 		})
