--- a/internal/scenarios/cancellation_outage_test.go
+++ b/internal/scenarios/cancellation_outage_test.go
@@ -9,11 +9,12 @@
 	"github.com/pebbletrail/pebbletrail/internal/fake"
 )
 
-// The scenarios of this file: the state service refuses the leader alone, the other controller
-// confirms cancellations, and then the state service is down for everyone, for longer than
-// cancelLimit, while workers go on sending heartbeats to the former leader.
+// The scenarios in this file test cancellations that the other controller confirms while the leader
+// cannot use the state service. In most of them the state service is then down for all controllers,
+// for up to more than cancelLimit, while workers keep sending heartbeats to the former leader.
 
-// startWithReplicas starts a cluster in which the replicas of job-1 and job-2 run on two machines.
+// startWithReplicas starts a cluster in which the replicas of job-1 and job-2 run on two machines,
+// and returns the leader and the other node.
 func startWithReplicas(c *testCluster) (leader, other *testNode) {
 	c.startPair()
 	c.submit("a", newJob("job-1", "standing", 4))
@@ -34,8 +35,8 @@
 	})
 }
 
-// partitionFromPeerAndState partitions a node from its peer, and from the state service for requests
-// whose path begins with one of those named.
+// partitionFromPeerAndState partitions a node from its peer, and drops its requests to the state
+// service whose path begins with one of the given prefixes.
 func (c *testCluster) partitionFromPeerAndState(n *testNode, paths ...string) {
 	c.network.SetRule(func(from, to string, r *http.Request, _ []byte) fake.Outcome {
 		if isBetween(from, to, "a", "b") {
@@ -50,9 +51,10 @@
 	})
 }
 
-// TestTasksCancelledWhileLeaderIsIsolatedStopDespiteOutage guards against a leader that keeps
-// cancelled tasks alive, or starts them: the state service refuses the leader alone while the
-// other node confirms the cancellation, then serves nobody for a while.
+// TestTasksCancelledWhileLeaderIsIsolatedStopDespiteOutage checks that cancelled tasks stop in time
+// and do not start again if the leader does not know of the cancellation: the leader is partitioned
+// from the state service, the other node confirms the cancellation, and then the state service is
+// down for all controllers for a while.
 func TestTasksCancelledWhileLeaderIsIsolatedStopDespiteOutage(t *testing.T) {
 	t.Parallel()
 	for _, outage := range []time.Duration{8 * time.Second, 25 * time.Second, 77 * time.Second} {
@@ -62,19 +64,19 @@
 			c.partitionFromPeerAndState(leader, "/")
 			time.Sleep(300 * time.Millisecond)
 			confirmedAt := c.confirmCancellation(other, "job-1")
-			// Then the state service is down for everyone.
-			c.store.SetDown(true) // the leader's lease lasts until the outage is over
+			// Then the state service is down for all controllers.
+			c.store.SetDown(true) // the lease of the leader does not expire during the outage
 			outageStart := time.Now()
 			time.Sleep(2 * time.Second)
 			c.partitionPeers()
-			// What nobody cancelled runs on for a while.
+			// A job that was not cancelled keeps running for a while.
 			c.eventually(time.Until(outageStart.Add(min(outage, 16*time.Second))), "", func() bool {
 				if !c.isRunning("job-2/0") {
 					t.Fatalf("a job that nobody cancelled stopped after %v of the outage", time.Since(outageStart))
 				}
 				return time.Since(outageStart) > min(outage, 16*time.Second)-time.Second
 			})
-			// The outage ends within the cancellation limit, or goes on beyond it.
+			// The outage ends before the cancellation limit, or lasts longer than the limit.
 			if remaining := time.Until(outageStart.Add(outage)); outage < cancelLimit {
 				time.Sleep(remaining)
 				c.store.SetDown(false)
@@ -88,16 +90,17 @@
 	}
 }
 
-// TestLeaderThatCannotReadRenewsNoWorkerLeases guards against a leader that renews its own lease
-// but can't read which jobs were cancelled: after an outage its lease has its full duration, while
-// its reads may lag behind.
+// TestLeaderThatCannotReadRenewsNoWorkerLeases checks that a leader that can renew its own lease
+// but cannot read which jobs were cancelled does not renew the leases of workers. This can happen
+// after an outage: the lease of the leader has its full duration again, while its reads may lag
+// behind.
 func TestLeaderThatCannotReadRenewsNoWorkerLeases(t *testing.T) {
 	t.Parallel()
 	scenario(t, func(t *testing.T, c *testCluster) {
 		leader, other := startWithReplicas(c)
 		// The leader can write to the state service but not read.
 		c.partitionFromPeerAndState(leader, "/kv", "/follow")
-		time.Sleep(14 * time.Second) // its open watch has ended
+		time.Sleep(14 * time.Second) // until its open watch has ended
 		// The other node confirms a cancellation.
 		confirmedAt := c.confirmCancellation(other, "job-1")
 		c.requireStopped(confirmedAt, "job-1", 4, 10*time.Second)
@@ -110,9 +113,8 @@
 	})
 }
 
-// TestNewLeaderWithoutRecordsRenewsNoWorkerLeases guards against a successor that has not read the
-// records yet: until it has read all of them, it must not answer heartbeats, nor start or stop a
-// task.
+// TestNewLeaderWithoutRecordsRenewsNoWorkerLeases checks that a new leader neither answers
+// heartbeats nor starts or stops tasks before it has read all records.
 func TestNewLeaderWithoutRecordsRenewsNoWorkerLeases(t *testing.T) {
 	t.Parallel()
 	scenario(t, func(t *testing.T, c *testCluster) {
@@ -123,13 +125,13 @@
 			case isBetween(from, to, "a", "b"), from == leader.name && to == "state:1":
 				return fake.Drop
 			case from == other.name && r.URL.Path == "/kv/none" && other.elector.Cluster() != nil:
-				return fake.Drop // it reads nothing once it leads
+				return fake.Drop // the successor reads no records once it leads
 			}
 			return fake.Deliver
 		})
 		confirmedAt := c.confirmCancellation(other, "job-1")
 		c.awaitLeadership(5*time.Second, other)
-		// Then the state service is down for everyone, for longer than the cancellation limit.
+		// Then the state service is down for all controllers, for longer than the cancellation limit.
 		c.store.SetDown(true)
 		c.requireStopped(confirmedAt, "job-1", 4, 30*time.Second)
 		c.store.SetDown(false)
@@ -139,9 +141,10 @@
 	})
 }
 
-// TestDelayedStartOfCancelledTaskIsRejectedInNewWorkerIncarnation guards against a direct start
-// that is held back while its job is cancelled and the fencing token that would reject it can't be
-// raised: the worker's incarnation must not outlive the cancellation limit.
+// TestDelayedStartOfCancelledTaskIsRejectedInNewWorkerIncarnation checks that a worker rejects a
+// start command that arrives long after the job was cancelled, even if the fencing token that would
+// reject it could not be raised. The worker must begin a new incarnation within the cancellation
+// limit, and reject commands to the earlier one.
 func TestDelayedStartOfCancelledTaskIsRejectedInNewWorkerIncarnation(t *testing.T) {
 	t.Parallel()
 	scenario(t, func(t *testing.T, c *testCluster) {
@@ -153,14 +156,14 @@
 			case isStartCommand(r, body):
 				return fake.HoldBack
 			case isHeartbeat(r) && from != "user":
-				return fake.Drop // so that no heartbeat's response carries the start
+				return fake.Drop // so that no response to a heartbeat carries the start command
 			case isCommit(r) && strings.Contains(string(body), "pool/generation\",\"value") && !strings.Contains(string(body), "pool/owner"):
 				return fake.Refuse // the fencing token can't be raised
 			}
 			return fake.Deliver
 		}
 		c.network.SetRule(faults)
-		// The start is held back, and the job is cancelled.
+		// The start command is held back, and the job is cancelled.
 		c.submit("a", newJob("job-1", "array", 1))
 		time.Sleep(300 * time.Millisecond)
 		confirmedAt := c.confirmCancellation(c.nodes["a"], "job-1")
@@ -170,7 +173,7 @@
 			}
 			return faults(from, to, r, body)
 		})
-		// The start arrives when the cancellation limit is over.
+		// The start command arrives after the cancellation limit.
 		time.Sleep(time.Until(confirmedAt.Add(cancelLimit)))
 		if c.network.ReleaseHeld() == 0 {
 			t.Fatal("no start was held back")
@@ -183,9 +186,9 @@
 	})
 }
 
-// TestIsolatedLeaderStartsNothingAnotherNodeMayHaveCancelled guards against a start that was
-// assigned before the leader lost the state service and is sent long after, in a heartbeat's
-// response or directly, when another node may have cancelled its job.
+// TestIsolatedLeaderStartsNothingAnotherNodeMayHaveCancelled checks that an isolated leader does
+// not send a start command, directly or in the response to a heartbeat, for a task that it assigned
+// before it lost the state service: another node may have cancelled the job since then.
 func TestIsolatedLeaderStartsNothingAnotherNodeMayHaveCancelled(t *testing.T) {
 	t.Parallel()
 	scenario(t, func(t *testing.T, c *testCluster) {
@@ -199,7 +202,7 @@
 		c.network.SetRule(func(from, to string, r *http.Request, body []byte) fake.Outcome {
 			switch {
 			case isStartCommand(r, body):
-				return fake.Drop // assigned and sent, but it doesn't arrive
+				return fake.Drop // the task is assigned, but its start command is lost
 			case strings.HasPrefix(from, "m1:"):
 				return fake.Refuse
 			case isolated && (isBetween(from, to, "a", "b") || from == leader.name && to == "state:1"):
@@ -211,12 +214,13 @@
 		c.eventually(2*time.Second, "assigned", func() bool {
 			return strings.Contains(string(c.store.Value("job/job-1")), `"places"`)
 		})
-		// The leader is isolated, the other node confirms a cancellation, and the state service fails.
+		// The leader is isolated, the other node confirms a cancellation, and an outage of the state
+		// service begins.
 		isolated = true
 		c.confirmCancellation(other, "job-1")
 		c.store.SetDown(true)
 		time.Sleep(4 * time.Second)
-		// The leader reaches the machine again.
+		// The leader can reach the machine again.
 		c.network.SetRule(func(from, to string, _ *http.Request, _ []byte) fake.Outcome {
 			if isBetween(from, to, "a", "b") || from == leader.name && to == "state:1" {
 				return fake.Drop
--- a/internal/scenarios/cancellation_test.go
+++ b/internal/scenarios/cancellation_test.go
@@ -10,8 +10,9 @@
 	"github.com/pebbletrail/pebbletrail/internal/fake"
 )
 
-// TestCancellationRacingStartLeavesNoTask cancels a job while the start of its task is on its way:
-// the job's end is stored, and the start, when it arrives, is rejected.
+// TestCancellationRacingStartLeavesNoTask cancels a job while the start command of its task is in
+// transit, and checks that the outcome of the job is stored and that the worker rejects the command
+// when it arrives.
 func TestCancellationRacingStartLeavesNoTask(t *testing.T) {
 	t.Parallel()
 	scenario(t, func(t *testing.T, c *testCluster) {
@@ -26,12 +27,12 @@
 			return fake.Deliver
 		})
 		c.submit("a", newJob("job-11", "array", 1))
-		time.Sleep(300 * time.Millisecond) // the assignment is stored, the start is on its way
+		time.Sleep(300 * time.Millisecond) // the assignment is stored, and the start command is in transit
 		if code, out := c.call("b", "POST", "/v2/runs/job-11/cancel", nil); code != 200 || out["status"] != "cancelled" {
 			t.Fatalf("cancel answered %d %v", code, out)
 		}
 		c.eventually(38*time.Second, "its outcome is stored", func() bool { return c.store.Value("end/job-11") != nil })
-		// The start arrives.
+		// The start command arrives.
 		c.network.ReleaseHeld()
 		c.consistently(20*time.Second, "the delayed start is rejected", func() bool { return c.isAbsent("job-11/0") })
 		if s := c.status("a", "job-11"); s != "cancelled" {
@@ -40,10 +41,10 @@
 	})
 }
 
-// TestCancellationReachesZonePartitionedWithLeaderInTime guards against a leader that, partitioned
-// together with a zone, goes on renewing the leases of that zone's workers: a task cancelled
-// through the other node must stop within the cancellation limit. Found in a run with a
-// partitioned zone.
+// TestCancellationReachesZonePartitionedWithLeaderInTime checks that a task stops within the
+// cancellation limit if its job is cancelled through the other node while the leader is partitioned
+// together with the zone of the task. The leader must then stop renewing the leases of the workers
+// in that zone.
 func TestCancellationReachesZonePartitionedWithLeaderInTime(t *testing.T) {
 	t.Parallel()
 	scenario(t, func(t *testing.T, c *testCluster) {
@@ -77,10 +78,10 @@
 	})
 }
 
-// TestLeaderPartitionedFromPeersReadsCancellationBeforeStart guards against a start that is sent
-// after the user was told that the job is cancelled: the assignment is stored and its response
-// takes a while. Meanwhile the other node reads it, stores the cancellation and tells the user,
-// but can't reach the leader.
+// TestLeaderPartitionedFromPeersReadsCancellationBeforeStart checks that the leader does not start
+// a task after its user was told that the job is cancelled. The leader stores the assignment, but
+// the response to that transaction is delayed. Meanwhile the other node reads the assignment,
+// stores the cancellation and confirms it to the user, but cannot reach the leader.
 func TestLeaderPartitionedFromPeersReadsCancellationBeforeStart(t *testing.T) {
 	t.Parallel()
 	scenario(t, func(t *testing.T, c *testCluster) {
@@ -99,7 +100,7 @@
 			}
 			return fake.Deliver
 		})
-		for i := range 16 { // at different moments of the leader's reading of changes
+		for i := range 16 { // at different times relative to the leader's reads of changes
 			id := fmt.Sprintf("job-%d", i+1)
 			time.Sleep(3*time.Second + time.Duration(i)*25*time.Millisecond)
 			c.submit("a", newJob(id, "array", 1))
@@ -107,7 +108,7 @@
 			if code, out := c.call("b", "POST", "/v2/runs/"+id+"/cancel", nil); code != 200 || out["status"] != "cancelled" {
 				t.Fatalf("cancel answered %d %v", code, out)
 			}
-			time.Sleep(time.Second) // no user asks the leader, which would read the changes for that
+			time.Sleep(time.Second) // no user sends requests to the leader, which would make it read the changes
 			if n := c.workerNamed("m1").StartCount(id + "/0"); n > 0 {
 				t.Errorf("%s was started after its cancellation was confirmed", id)
 			}
@@ -117,10 +118,10 @@
 	})
 }
 
-// TestCancellationsHoldWhileStateServiceIsSlowOrUnavailable guards against cancellations that one
-// node confirms and another doesn't know, or that take effect too late: every response of the
-// state service is slow, then it refuses the leader alone, and soon everyone for longer than the
-// cancellation limit.
+// TestCancellationsHoldWhileStateServiceIsSlowOrUnavailable checks that all nodes know of a
+// cancellation that one node has confirmed, and that it takes effect in time, while every response
+// of the state service is slow. In half of the cases the state service also rejects the requests of
+// the leader, and soon afterwards those of all controllers for longer than the cancellation limit.
 func TestCancellationsHoldWhileStateServiceIsSlowOrUnavailable(t *testing.T) {
 	for _, latency := range []time.Duration{300 * time.Millisecond, 900 * time.Millisecond} {
 		for _, unavailable := range []bool{false, true} {
@@ -142,7 +143,7 @@
 						leader := c.awaitLeader()
 						c.setFaults(func(from, to string, _ *http.Request, _ []byte) fake.Outcome {
 							if isBetween(from, to, "a", "b") {
-								return fake.Refuse // so that it isn't notified either
+								return fake.Refuse // so that the other node cannot notify the leader either
 							}
 							return fake.Deliver
 						})
@@ -169,10 +170,10 @@
 	}
 }
 
-// TestCancellationsHoldDuringLeadershipChange guards against cancelled tasks that go on or start
-// because the former leader doesn't learn of the cancellation, nor the new leader of the tasks.
-// The leader is partitioned from the state service and its peer but not from workers and users, or
-// its process ends; jobs are cancelled through the other node, at once and later.
+// TestCancellationsHoldDuringLeadershipChange checks that cancelled tasks stop and do not start
+// again when the former leader does not learn of the cancellation and the new leader does not learn
+// of the tasks. The leader is partitioned from the state service and its peer but not from workers
+// and users, or its process ends. Jobs are cancelled through the other node, at once and later.
 func TestCancellationsHoldDuringLeadershipChange(t *testing.T) {
 	for _, event := range []string{"leader partitioned", "leader crashes", "leader restarts"} {
 		for _, cancelDelay := range []time.Duration{0, 800 * time.Millisecond, 3 * time.Second} {
@@ -189,7 +190,7 @@
 					c.passTime(3 * time.Second)
 					leader := c.awaitLeader()
 					other := otherNode(leader.name)
-					c.submitJob(other, newJob("job-5", "array", 2)) // waits for quota, or its starts are on their way
+					c.submitJob(other, newJob("job-5", "array", 2)) // waits for quota, or its start commands are in transit
 					if event == "leader partitioned" {
 						c.setFaults(func(from, to string, _ *http.Request, _ []byte) fake.Outcome {
 							if isBetween(from, to, leader.name, "state") || isBetween(from, to, leader.name, other) {
@@ -226,9 +227,9 @@
 	}
 }
 
-// TestQuotaHoldsWhileCancelledTasksAreUnreachable guards against giving away the quota of
-// cancelled jobs before their tasks are gone. The team is at its quota, machines hang or are
-// partitioned, and the leader fails over before or after the cancellations.
+// TestQuotaHoldsWhileCancelledTasksAreUnreachable checks that the quota of cancelled jobs is not
+// given to other jobs before the cancelled tasks have ended. The team is at its quota, machines
+// hang or are partitioned, and the leader fails over before or after the cancellations.
 func TestQuotaHoldsWhileCancelledTasksAreUnreachable(t *testing.T) {
 	t.Parallel()
 	for _, kind := range []partitionKind{connectionRefused, packetsDropped, requestsHeldBack, inboundLost, outboundRefused, machinesHang} {
@@ -269,7 +270,7 @@
 					if failoverLast {
 						failOver()
 					}
-					if kind == machinesHang { // one resumes within its lease, the others after its expiry
+					if kind == machinesHang { // one machine resumes before its lease expires, the others afterwards
 						c.passTime(12 * time.Second)
 						c.workerNamed(unreachable[0]).SetHung(false)
 						c.passTime(33 * time.Second)
--- a/internal/scenarios/delayed_commands_test.go
+++ b/internal/scenarios/delayed_commands_test.go
@@ -11,15 +11,16 @@
 	"github.com/pebbletrail/pebbletrail/internal/fake"
 )
 
-// TestStartDelayedByMinutesIsRejected delivers a start two minutes late, after heartbeats had
-// carried the same start and the task has completed: it must not start again.
+// TestStartDelayedByMinutesIsRejected delivers a start command two minutes late, after the response
+// to a heartbeat carried the same command and the task completed. It checks that the task does not
+// start again.
 func TestStartDelayedByMinutesIsRejected(t *testing.T) {
 	t.Parallel()
 	scenario(t, func(t *testing.T, c *testCluster) {
 		c.startNode("a")
 		c.startWorker("m1", "north")
 		c.startWorker("m2", "south")
-		time.Sleep(10300 * time.Millisecond) // between heartbeats: the start goes directly to the worker
+		time.Sleep(10300 * time.Millisecond) // between heartbeats, so that the start is sent directly
 		c.network.SetRule(func(from, to string, r *http.Request, body []byte) fake.Outcome {
 			if isStartCommand(r, body) {
 				return fake.HoldBack
@@ -27,12 +28,12 @@
 			return fake.Deliver
 		})
 		c.submit("a", newJob("job-3", "array", 1))
-		// A heartbeat's response carries the same start, and the task runs once.
+		// The response to a heartbeat carries the same start command, and the task runs once.
 		c.awaitTask(6*time.Second, "job-3/0")
 		machine := c.workerNamed(c.machinesRunning("job-3/0")[0])
 		machine.EndTask("job-3/0", "done")
 		c.awaitStatus(4*time.Second, "a", "job-3", "done")
-		// The start that was held back arrives.
+		// The start command that was held back arrives.
 		time.Sleep(2 * time.Minute)
 		if c.network.ReleaseHeld() == 0 {
 			t.Fatal("no start was held back")
@@ -44,9 +45,10 @@
 	})
 }
 
-// TestDelayedCommandsAndResponsesLoseNoWork guards against a start or stop, or its response alone,
-// that arrives seconds late or after the cancellation limit. Meanwhile the job is cancelled, the
-// leader fails over, or both; the machine's heartbeats arrive or not.
+// TestDelayedCommandsAndResponsesLoseNoWork checks that no task is lost or started twice if a start
+// or stop command arrives seconds late or after the cancellation limit, or if only its response is
+// lost. Meanwhile the job is cancelled, the leader fails over, or both, and in some cases
+// heartbeats are refused.
 func TestDelayedCommandsAndResponsesLoseNoWork(t *testing.T) {
 	t.Parallel()
 	for _, outcome := range []fake.Outcome{fake.HoldBack, fake.DropResponse} {
@@ -97,9 +99,9 @@
 	}
 }
 
-// TestFailoverWithUncertainWritesOnNewMachinesLosesNoWork guards against a new leader that knows
-// neither of machines that nobody has listed yet, nor of the tasks assigned there by writes whose
-// response was lost.
+// TestFailoverWithUncertainWritesOnNewMachinesLosesNoWork checks that no work is lost if a new
+// leader does not know of machines that are not in the cloud's list yet, nor of the tasks assigned
+// to them by writes whose response was lost.
 func TestFailoverWithUncertainWritesOnNewMachinesLosesNoWork(t *testing.T) {
 	t.Parallel()
 	for _, writeOutcome := range []fake.Outcome{fake.DropResponse, fake.HoldBack, fake.Drop, fake.Duplicate} {
@@ -122,13 +124,13 @@
 						case r.URL.Path == "/commands" && strings.Contains(string(body), `"verb":"start"`):
 							return startOutcome
 						case from == leader.name && isAssignment(r, body):
-							if writes++; writes > 2 { // the first assignments get through
+							if writes++; writes > 2 { // the first assignments are delivered
 								return writeOutcome
 							}
 						}
 						return fake.Deliver
 					})
-					// New machines get work while writes of the leader get no response.
+					// New machines get tasks while writes of the leader get no response.
 					for i := range 4 {
 						c.startWorker(fmt.Sprintf("m%d", i+1), zones[i%2])
 					}
--- a/internal/scenarios/dependencies_cancellation_test.go
+++ b/internal/scenarios/dependencies_cancellation_test.go
@@ -12,9 +12,9 @@
 	"github.com/pebbletrail/pebbletrail/internal/fake"
 )
 
-// TestCancellationPropagatesToDependents guards against a job that waits forever, or starts, after
-// a job it depends on was cancelled, in whatever state that was, and against nodes that disagree
-// about it.
+// TestCancellationPropagatesToDependents checks that a job does not wait forever, or start, after a
+// job it depends on was cancelled, whatever the status of that job was, and that all nodes report
+// the same status for it.
 func TestCancellationPropagatesToDependents(t *testing.T) {
 	for name, cancel := range map[string]func(c *testCluster) string{
 		"of a running job": func(c *testCluster) string { return c.cancelUntilAnswered("job-1") },
@@ -62,7 +62,7 @@
 						time.Sleep(time.Second)
 					}
 				})
-				// The records suffice to tell before any outcome of a dependent is stored.
+				// The nodes must report dependents as cancelled before any outcome of a dependent is stored.
 				c.network.SetRule(func(_, _ string, r *http.Request, body []byte) fake.Outcome {
 					if removesWaitingJobs(r, body) {
 						return fake.Refuse
@@ -72,7 +72,7 @@
 				status := cancel(c)
 				if status != "done" {
 					c.eventually(2*time.Second, "all dependents are reported as cancelled", func() bool {
-						for _, id := range slices.Backward(chain) { // the last first: no answer may depend on an earlier one
+						for _, id := range slices.Backward(chain) { // last job first, so that no answer relies on another
 							if c.status("a", id) != "cancelled" && c.status("b", id) != "cancelled" {
 								return false
 							}
@@ -112,8 +112,9 @@
 	}
 }
 
-// TestCancelledJobLeavesIndependentBranchRunning cancels one of two branches of a diamond: what
-// depends on it ends, and the other branch runs.
+// TestCancelledJobLeavesIndependentBranchRunning cancels one of the two branches of a diamond of
+// dependencies, and checks that the jobs that depend on that branch are cancelled while the other
+// branch runs.
 func TestCancelledJobLeavesIndependentBranchRunning(t *testing.T) {
 	scenario(t, func(t *testing.T, c *testCluster) {
 		c.startNode("a")
@@ -139,9 +140,9 @@
 	})
 }
 
-// TestAllNodesReportConfirmedCancellation guards against a node that reports a job as pending
-// after another node has confirmed the cancellation of what it depends on, for jobs far down the
-// chain and for jobs submitted at the same moment.
+// TestAllNodesReportConfirmedCancellation checks that no node reports a job as pending after
+// another node has confirmed the cancellation of a job it depends on. This includes jobs far down
+// the chain and jobs submitted at the same time.
 func TestAllNodesReportConfirmedCancellation(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(3) {
@@ -163,7 +164,7 @@
 					}
 					followers, previous = append(followers, id), id
 				}
-				time.Sleep(random.milliseconds(0, 3000)) // it may wait, start or run
+				time.Sleep(random.milliseconds(0, 3000)) // the first job may be waiting, starting or running
 				var submissions sync.WaitGroup
 				var mu sync.Mutex
 				for i := range 10 {
@@ -194,8 +195,8 @@
 	}
 }
 
-// TestCancellationInLongChainReachesOnlyDependents guards against a cancellation that stops part
-// of the way down a chain of a hundred jobs, or that goes up.
+// TestCancellationInLongChainReachesOnlyDependents checks that a cancellation in a chain of a
+// hundred jobs reaches every job that depends on the cancelled one, and none of the jobs before it.
 func TestCancellationInLongChainReachesOnlyDependents(t *testing.T) {
 	t.Parallel()
 	scenario(t, func(t *testing.T, c *testCluster) {
--- a/internal/scenarios/dependencies_failover_test.go
+++ b/internal/scenarios/dependencies_failover_test.go
@@ -11,9 +11,9 @@
 	"github.com/pebbletrail/pebbletrail/internal/fake"
 )
 
-// TestNewLeaderStoresOutcomesOfCancelledDependents guards against dependents of a cancelled job
-// whose records are forgotten, or that start, when the leader that was to store their outcomes is
-// gone.
+// TestNewLeaderStoresOutcomesOfCancelledDependents checks that a new leader stores the outcomes of
+// the dependents of a cancelled job if the former leader crashed before it stored them. Otherwise
+// the records of the dependents would remain, or the dependents would start.
 func TestNewLeaderStoresOutcomesOfCancelledDependents(t *testing.T) {
 	t.Parallel()
 	scenario(t, func(t *testing.T, c *testCluster) {
@@ -48,13 +48,14 @@
 	})
 }
 
-// TestJobThatBecomesReadyDuringFailoverRuns guards against a job that waits forever because the
-// leader that stored the last outcome it depended on was gone before it made the job schedulable,
-// and against one that is moved twice.
+// TestJobThatBecomesReadyDuringFailoverRuns checks that a job does not wait forever if the leader
+// stores the last outcome that the job depends on and crashes before it makes the job schedulable.
+// It also checks that no job is moved from the waiting jobs to the schedulable ones twice.
 func TestJobThatBecomesReadyDuringFailoverRuns(t *testing.T) {
 	t.Parallel()
 	for name, outcomes := range map[string]struct {
-		end, move fake.Outcome // of the transactions with the end, and with the move
+		// Of the transactions that store the outcome of job-1 and that make its dependents schedulable.
+		end, move fake.Outcome
 	}{
 		"outcome stored, dependents not moved": {fake.Deliver, fake.Refuse},
 		"response to outcome lost":             {fake.DropResponse, fake.Refuse},
@@ -111,9 +112,9 @@
 	}
 }
 
-// TestDelayedTransactionDoesNotReviveCancelledJob guards against a transaction that makes a
-// waiting job schedulable, by a former leader or the present one, and is executed after its user
-// has cancelled the job.
+// TestDelayedTransactionDoesNotReviveCancelledJob checks that a cancelled job does not run if a
+// transaction that makes it schedulable is executed after the cancellation, whether a former or the
+// current leader sent it.
 func TestDelayedTransactionDoesNotReviveCancelledJob(t *testing.T) {
 	t.Parallel()
 	for name, injectFault := range map[string]func(c *testCluster, leader *testNode){
@@ -161,8 +162,8 @@
 	}
 }
 
-// TestFailoverWithTenThousandWaitingJobsTakesFewCalls guards against one call to the state service
-// for each record of a waiting job.
+// TestFailoverWithTenThousandWaitingJobsTakesFewCalls checks that a new leader does not call the
+// state service once for each record of a waiting job.
 func TestFailoverWithTenThousandWaitingJobsTakesFewCalls(t *testing.T) {
 	t.Parallel()
 	scenario(t, func(t *testing.T, c *testCluster) {
--- a/internal/scenarios/dependencies_test.go
+++ b/internal/scenarios/dependencies_test.go
@@ -10,9 +10,10 @@
 	"github.com/pebbletrail/pebbletrail/internal/fake"
 )
 
-// TestDiamondOfDependenciesRunsInOrderAcrossFailovers guards against a start before the outcomes
-// of all dependencies are stored, and against an outcome that is lost to those that wait for it:
-// the leader fails over, or the state service refuses it alone, right as a stage completes.
+// TestDiamondOfDependenciesRunsInOrderAcrossFailovers checks that a job starts only after the
+// outcomes of all its dependencies are stored, and that every job that waits for an outcome learns
+// of it. Just as a stage completes, the leader fails over or the state service rejects the requests
+// of the leader only.
 func TestDiamondOfDependenciesRunsInOrderAcrossFailovers(t *testing.T) {
 	for name, injectFault := range map[string]func(c *testCluster){
 		"no fault": func(*testCluster) {},
@@ -66,7 +67,7 @@
 				c.eventually(20*time.Second, "all done", func() bool {
 					return c.bothReport("job-1", "done") && c.bothReport("job-2", "done") && c.bothReport("job-3", "done") && c.bothReport("job-4", "done")
 				})
-				// A job whose dependencies are done already starts at once.
+				// A job whose dependencies are all done starts at once.
 				c.submit("a", newJob("job-5", "array", 1).dependingOn("job-4", "job-1"))
 				c.awaitRunning(15*time.Second, "job-5", 1)
 				if code, out := c.call("b", "POST", "/v2/runs", newJob("job-4", "array", 1).dependingOn("job-99")); code != 200 || out["status"] != "done" {
@@ -77,8 +78,9 @@
 	}
 }
 
-// TestOutcomeNotYetStoredStartsNoDependent guards against a next stage that starts on an outcome
-// that isn't stored yet: another node may confirm a cancellation first, or the leader may fail.
+// TestOutcomeNotYetStoredStartsNoDependent checks that a job does not start before the outcome of
+// the job it depends on is stored: another node may confirm a cancellation first, or the leader may
+// fail.
 func TestOutcomeNotYetStoredStartsNoDependent(t *testing.T) {
 	scenario(t, func(t *testing.T, c *testCluster) {
 		c.startNode("a")
@@ -109,8 +111,8 @@
 	})
 }
 
-// TestUnknownDependenciesAreRejected submits jobs whose dependencies were never accepted, or are
-// not well formed: every node rejects them, and answers 503 while it can't decide.
+// TestUnknownDependenciesAreRejected submits jobs whose dependencies were never accepted or are
+// malformed. It checks that every node rejects them, and answers with 503 while it cannot decide.
 func TestUnknownDependenciesAreRejected(t *testing.T) {
 	scenario(t, func(t *testing.T, c *testCluster) {
 		c.startNode("a")
@@ -131,7 +133,7 @@
 			job := newJob(fmt.Sprintf("job-%d", n), "array", 1)
 			job["awaits"] = test.awaits
 			if n == 13 {
-				job["awaits"] = []string{"job-13"} // the job itself was never accepted either
+				job["awaits"] = []string{"job-13"} // a job that depends on itself, which was never accepted either
 			}
 			for i, node := range nodeNames {
 				code, out := c.call(node, "POST", "/v2/runs", job)
@@ -149,9 +151,9 @@
 	})
 }
 
-// TestJobWaitingForDependenciesUsesNoQuota guards against waiting jobs that take part of their
-// team's quota or start while there is room, and against explanations that don't name what a job
-// waits for.
+// TestJobWaitingForDependenciesUsesNoQuota checks that jobs that wait for dependencies use none of
+// the quota of their team and do not start although there is capacity, and that their explanations
+// name what they wait for.
 func TestJobWaitingForDependenciesUsesNoQuota(t *testing.T) {
 	scenario(t, func(t *testing.T, c *testCluster) {
 		c.startNode("a")
@@ -165,7 +167,7 @@
 			job["dueS"] = 30
 			c.submit("b", job.dependingOn("job-1"))
 		}
-		c.submit("a", newJob("job-2", "array", 7)) // with job-1 the whole quota of the team
+		c.submit("a", newJob("job-2", "array", 7)) // job-1 and job-2 use the whole quota of the team
 		c.eventually(5*time.Second, "the jobs without dependencies run", func() bool {
 			return c.allRunning("job-1", 1) && c.allRunning("job-2", 7)
 		})
@@ -177,9 +179,9 @@
 	})
 }
 
-// TestJobWithManyDependenciesFitsSmallValueLimit guards against rejecting a job because the names
-// of its dependencies don't fit beside its description, and against a job that is stored but can't
-// be started or cancelled afterwards, by its user or through a dependency.
+// TestJobWithManyDependenciesFitsSmallValueLimit checks that a job is accepted if the names of its
+// dependencies do not fit into one value together with its description. Such a job must also be
+// able to start, and to be cancelled by its user or through a dependency.
 func TestJobWithManyDependenciesFitsSmallValueLimit(t *testing.T) {
 	t.Parallel()
 	for name, play := range map[string]func(c *testCluster, needed []string){
@@ -198,7 +200,7 @@
 			c.eventually(15*time.Second, "all are done", func() bool {
 				return c.bothReport("job-900000", "done") && c.bothReport("job-900001", "done")
 			})
-			// A node that remembers none of the outcomes looks them up.
+			// A restarted node has no outcome in memory and reads them from the state service.
 			c.nodes["b"].kill()
 			c.startNode("b")
 			c.eventually(10*time.Second, "it answers", func() bool { return c.status("b", needed[0]) == "done" })
--- a/internal/scenarios/gang_test.go
+++ b/internal/scenarios/gang_test.go
@@ -7,7 +7,7 @@
 )
 
 // TestWaitingGangReplacesLostTaskUnderSameAttempt loses the machine of one task of a gang while
-// both tasks wait for each other: the task is replaced under the same attempt.
+// both tasks wait for each other, and checks that the task is replaced under the same attempt.
 func TestWaitingGangReplacesLostTaskUnderSameAttempt(t *testing.T) {
 	t.Parallel()
 	scenario(t, func(t *testing.T, c *testCluster) {
@@ -35,8 +35,8 @@
 	})
 }
 
-// TestRunningGangThatLosesTaskRestartsAsWhole ends one task of a running gang: no new attempt
-// starts beside the old one's remaining task.
+// TestRunningGangThatLosesTaskRestartsAsWhole ends one task of a running gang, and checks that no
+// new attempt starts before the remaining task of the old attempt has ended.
 func TestRunningGangThatLosesTaskRestartsAsWhole(t *testing.T) {
 	t.Parallel()
 	for _, status := range []string{"running", "flushing"} {
--- a/internal/scenarios/job_status_test.go
+++ b/internal/scenarios/job_status_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// TestArrayRunsToCompletionAndStaysDone runs an array and repeats its submission three minutes
-// after its completion.
+// TestArrayRunsToCompletionAndStaysDone runs an array job to completion and repeats its submission
+// three minutes later. It checks that the job stays done.
 func TestArrayRunsToCompletionAndStaysDone(t *testing.T) {
 	t.Parallel()
 	scenario(t, func(t *testing.T, c *testCluster) {
@@ -30,7 +30,7 @@
 		c.eventually(4*time.Second, "reported as done", func() bool {
 			return c.status("a", "job-1") == "done" && c.status("b", "job-1") == "done"
 		})
-		// A repeated submission may come at any later time and gets the status, not a new job.
+		// A repeated submission may arrive at any later time. It returns the status and creates no job.
 		time.Sleep(3 * time.Minute)
 		if code, out := c.call("b", "POST", "/v2/runs", newJob("job-1", "array", 2)); code != 200 || out["status"] != "done" {
 			t.Fatalf("a late repeated submission got %d %v", code, out)
@@ -39,9 +39,9 @@
 	})
 }
 
-// TestNodesAnswerConsistentlyWithinMilliseconds guards against a node whose answer is older than
-// what another node just told, or is 404, right after an acceptance, a completion and a confirmed
-// cancellation.
+// TestNodesAnswerConsistentlyWithinMilliseconds checks that right after an acceptance, a completion
+// or a confirmed cancellation no node answers with 404, or with an older status than another node
+// has just reported.
 func TestNodesAnswerConsistentlyWithinMilliseconds(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(4) {
@@ -89,9 +89,9 @@
 	}
 }
 
-// TestRequestsRacingTaskCompletionGetConsistentAnswers guards against two winners when a
-// cancellation, a status request or a repeated submission meets the completion of a job's last
-// task: whatever is answered first holds at every node from then on.
+// TestRequestsRacingTaskCompletionGetConsistentAnswers checks that all nodes agree on the outcome
+// of a job when a cancellation, a status request or a repeated submission races with the completion
+// of its last task: the outcome that was reported first must not change.
 func TestRequestsRacingTaskCompletionGetConsistentAnswers(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(4) {
@@ -145,9 +145,9 @@
 	}
 }
 
-// TestAcceptedJobsAreKnownSoonAfterOutage has all controllers crash in an outage of the state
-// service: soon after, each node knows each accepted job. A job unanswered for 75 s counts as
-// forgotten.
+// TestAcceptedJobsAreKnownSoonAfterOutage crashes all controllers during an outage of the state
+// service, and checks that each node knows each accepted job soon after the outage. A job that gets
+// no answer for 75 s counts as forgotten.
 func TestAcceptedJobsAreKnownSoonAfterOutage(t *testing.T) {
 	t.Parallel()
 	scenario(t, func(t *testing.T, c *testCluster) {
@@ -199,9 +199,9 @@
 	})
 }
 
-// TestInvalidOrUnschedulableJobsAreRejectedByEveryNode guards against accepting jobs that can't
-// run, and against rejecting the repeated submission of an accepted job, also right after both
-// controllers restarted.
+// TestInvalidOrUnschedulableJobsAreRejectedByEveryNode checks that every node rejects jobs that can
+// never run, and does not reject the repeated submission of an accepted job. Both must hold right
+// after a restart of both controllers too.
 func TestInvalidOrUnschedulableJobsAreRejectedByEveryNode(t *testing.T) {
 	t.Parallel()
 	scenario(t, func(t *testing.T, c *testCluster) {
@@ -266,9 +266,10 @@
 	})
 }
 
-// TestTasksCompletingAcrossFailoversRunOnce guards against a job reported as done before its last
-// task, and against completed tasks that run again: the leader fails over before, while and after
-// an outcome is stored, and stale heartbeats show the tasks still running.
+// TestTasksCompletingAcrossFailoversRunOnce checks that a job is not reported as done before its
+// last task completes, and that completed tasks do not run again. The leader fails over before,
+// while or after an outcome is stored, and receives a stale heartbeat that shows the task still
+// running.
 func TestTasksCompletingAcrossFailoversRunOnce(t *testing.T) {
 	t.Parallel()
 	for _, count := range []int{2, 3} {
@@ -303,8 +304,8 @@
 	}
 }
 
-// TestSteadyStreamOfSmallJobsCompletesAcrossFailover guards against jobs that starve or stay
-// unanswered under four single-task jobs a second for two minutes, a quarter of them cancelled,
+// TestSteadyStreamOfSmallJobsCompletesAcrossFailover checks that no job starves or stays unanswered
+// while users submit four single-task jobs a second for two minutes and cancel a quarter of them,
 // with a failover in the middle.
 func TestSteadyStreamOfSmallJobsCompletesAcrossFailover(t *testing.T) {
 	t.Parallel()
--- a/internal/scenarios/leadership_test.go
+++ b/internal/scenarios/leadership_test.go
@@ -10,8 +10,9 @@
 	"github.com/pebbletrail/pebbletrail/internal/fake"
 )
 
-// TestLeaderIsCertainOnlyWithinItsLease checks LeaseSurelyHeld, on which the deletion of machines
-// rests: the cloud's API takes no fencing token.
+// TestLeaderIsCertainOnlyWithinItsLease checks LeaseSurelyHeld, which must be false once the lease
+// may have expired. The deletion of machines relies on it, because the API of the cloud takes no
+// fencing token.
 func TestLeaderIsCertainOnlyWithinItsLease(t *testing.T) {
 	t.Parallel()
 	scenario(t, func(t *testing.T, c *testCluster) {
@@ -35,9 +36,10 @@
 	})
 }
 
-// TestNewLeaderAsksOnlyRecentLeadersForConfirmation guards against controllers that are
-// partitioned with a zone and lead nothing, and yet keep a new leader from trusting any lease
-// expiry.
+// TestNewLeaderAsksOnlyRecentLeadersForConfirmation checks that a new leader that has observed its
+// predecessor for long enough asks only that node to confirm that it stopped. A controller that
+// leads nothing and is partitioned together with a zone cannot answer, and must not keep the new
+// leader from relying on the expiry of leases.
 func TestNewLeaderAsksOnlyRecentLeadersForConfirmation(t *testing.T) {
 	t.Parallel()
 	for observed, want := range map[time.Duration]int{5 * time.Second: 0, 30 * time.Second: 1} {
@@ -58,8 +60,9 @@
 	}
 }
 
-// TestFormerLeadersConfirmationShortensLeaseWait has the former leader's node confirm that it
-// stopped, so that the new leader needn't wait for leases that the former one might have renewed.
+// TestFormerLeadersConfirmationShortensLeaseWait checks that a new leader does not wait for the
+// expiry of leases that the former leader might have renewed, once the former leader's node has
+// confirmed that it no longer leads.
 func TestFormerLeadersConfirmationShortensLeaseWait(t *testing.T) {
 	t.Parallel()
 	scenario(t, func(t *testing.T, c *testCluster) {
@@ -68,13 +71,13 @@
 		time.Sleep(8 * time.Second)
 		c.submit("a", newJob("job-5", "array", 1))
 		c.awaitTask(3*time.Second, "job-5/0")
-		// The machine falls silent and the leader crashes.
+		// The machine stops sending heartbeats, and the leader crashes.
 		c.workerNamed("m1").SetSilent(true)
 		b := c.startNode("b")
 		a.kill()
 		c.awaitLeadership(10*time.Second, b)
 		failoverAt := time.Now()
-		// The former leader's node is back, and confirms that it leads no more.
+		// The node of the former leader restarts and confirms that it no longer leads.
 		c.startNode("a")
 		c.startWorker("m2", "south")
 		c.eventually(35*time.Second, "it runs on m2", func() bool {
@@ -87,8 +90,8 @@
 	})
 }
 
-// TestRestartedLeaderReleasesItsFormerLease restarts the leader's process: it leads again within a
-// second, without waiting for its former lease to expire.
+// TestRestartedLeaderReleasesItsFormerLease restarts the process of the leader, and checks that it
+// leads again within a second, without waiting for its former lease to expire.
 func TestRestartedLeaderReleasesItsFormerLease(t *testing.T) {
 	t.Parallel()
 	scenario(t, func(t *testing.T, c *testCluster) {
@@ -108,7 +111,8 @@
 	})
 }
 
-// knownMachines counts the machines that a node has heard from, if it leads.
+// knownMachines returns the number of machines that a leader has heard from, and 0 for a node that
+// does not lead.
 func knownMachines(n *testNode) int {
 	if n.elector.Cluster() == nil {
 		return 0
@@ -117,8 +121,8 @@
 	return len(hints)
 }
 
-// TestNewLeaderProbesMachinesBeforeTheirHeartbeats has a new leader find a machine whose
-// heartbeats don't arrive, by the hints that the former leader had passed on.
+// TestNewLeaderProbesMachinesBeforeTheirHeartbeats checks that a new leader finds a machine whose
+// heartbeats do not arrive, by means of the hints that the former leader passed on.
 func TestNewLeaderProbesMachinesBeforeTheirHeartbeats(t *testing.T) {
 	t.Parallel()
 	scenario(t, func(t *testing.T, c *testCluster) {
@@ -137,19 +141,19 @@
 	})
 }
 
-// TestStalledLeaderIsFencedBySuccessor guards against a leader that stalls with a start, responses
-// and writes on their way, which arrive after a successor has acted.
+// TestStalledLeaderIsFencedBySuccessor checks that a start command, responses and writes of a
+// stalled leader have no effect if they arrive after a successor has taken over.
 func TestStalledLeaderIsFencedBySuccessor(t *testing.T) {
 	t.Parallel()
 	scenario(t, func(t *testing.T, c *testCluster) {
 		c.inCloudList = true
 		c.startPair()
-		// The leader stalls: a start, then everything else is held back.
+		// The leader stalls: first its start command is held back, then all its traffic.
 		stalled := c.leader()
 		successor := otherNode(stalled.name)
 		c.network.SetRule(func(from, _ string, _ *http.Request, body []byte) fake.Outcome {
 			if from == stalled.name && strings.Contains(string(body), `"verb":"start"`) {
-				return fake.HoldBack // the start, as the leader stalls
+				return fake.HoldBack // the start command that is in transit when the leader stalls
 			}
 			return fake.Deliver
 		})
@@ -162,13 +166,13 @@
 			return fake.Deliver
 		}
 		c.network.SetRule(holdBackAll)
-		// A successor takes over and works.
+		// A successor takes over and starts tasks.
 		c.awaitLeadership(8*time.Second, c.nodes[successor])
 		c.awaitTask(30*time.Second, "job-1/0")
 		c.submit(successor, newJob("job-2", "array", 3))
 		c.awaitRunning(5*time.Second, "job-2", 3)
 		time.Sleep(12 * time.Second)
-		// What was held back arrives.
+		// The requests that were held back arrive.
 		c.network.SetRule(nil)
 		if c.network.ReleaseHeld() == 0 {
 			t.Fatal("nothing was held back")
@@ -182,8 +186,8 @@
 }
 
 // TestConcurrentLeadersStartTaskOnceAndDelayedTransactionIsVoid partitions the leader from the
-// state service and its peer but not from the worker, and delivers its held-back writes after the
-// other node has taken over.
+// state service and its peer but not from the worker, and delivers its delayed writes after the
+// other node has taken over. It checks that the task starts only once.
 func TestConcurrentLeadersStartTaskOnceAndDelayedTransactionIsVoid(t *testing.T) {
 	t.Parallel()
 	scenario(t, func(t *testing.T, c *testCluster) {
@@ -214,7 +218,7 @@
 			t.Logf("%d delayed transactions delivered", n)
 		}
 		c.consistently(20*time.Second, "the task goes on undisturbed", func() bool { return c.isRunning("job-2/0") })
-		// The network heals.
+		// The partition ends.
 		c.network.SetRule(nil)
 		c.awaitStepDown(10*time.Second, a)
 		if n := c.workerNamed("m1").StartCount("job-2/0"); n != 1 {
--- a/internal/scenarios/partition_test.go
+++ b/internal/scenarios/partition_test.go
@@ -10,9 +10,9 @@
 	"github.com/pebbletrail/pebbletrail/internal/fake"
 )
 
-// TestIsolatedLeaderIsReplacedOnceAndFollows cuts the leader off from everything for a minute and
-// a half, by connection resets, dropped packets or held-back requests. Afterwards it must not lead
-// on, nor may leadership go back and forth.
+// TestIsolatedLeaderIsReplacedOnceAndFollows isolates the leader for a minute and a half, by
+// refused connections, dropped packets or held-back requests. It checks that the leader steps down
+// afterwards and that leadership does not alternate between the nodes.
 func TestIsolatedLeaderIsReplacedOnceAndFollows(t *testing.T) {
 	t.Parallel()
 	for kind, outcome := range map[string]fake.Outcome{"connections refused": fake.Refuse, "packets dropped": fake.Drop, "requests held back": fake.HoldBack} {
@@ -41,7 +41,7 @@
 			c.consistently(70*time.Second, "all tasks go on", func() bool {
 				return c.allRunning("job-1", 4) && c.allRunning("job-2", 2)
 			})
-			// The network heals: the former leader follows.
+			// The partition ends, and the former leader steps down.
 			c.network.SetRule(nil)
 			c.network.ReleaseHeld()
 			c.awaitStepDown(3*time.Second, isolated)
@@ -57,9 +57,10 @@
 	}
 }
 
-// TestZonePartitionBeyondLeaseDuringFailoverLosesNoWork guards against what held-back heartbeats,
-// commands and responses of a partitioned zone do when they arrive at last: the zone's tasks ended
-// with their leases and run anew, while those of the other zone never stopped.
+// TestZonePartitionBeyondLeaseDuringFailoverLosesNoWork checks that heartbeats, commands and
+// responses of a partitioned zone do no harm if they arrive after the leases in that zone have
+// expired. The tasks in that zone ended with their leases and run again. Those in the other zone
+// must never stop.
 func TestZonePartitionBeyondLeaseDuringFailoverLosesNoWork(t *testing.T) {
 	t.Parallel()
 	scenario(t, func(t *testing.T, c *testCluster) {
@@ -77,7 +78,7 @@
 		c.awaitRunning(5*time.Second, "job-1", 4)
 		c.submit("b", newJob("job-2", "array", 4))
 		c.awaitRunning(5*time.Second, "job-2", 4)
-		// The south is partitioned, and the leader restarts meanwhile.
+		// Zone south is partitioned, and the leader restarts meanwhile.
 		var north []string
 		for _, worker := range c.workers[:2] {
 			north = append(north, worker.ActiveTasks()...)
@@ -92,12 +93,12 @@
 			return fake.Deliver
 		})
 		time.Sleep(4 * time.Second)
-		c.submit("a", newJob("job-3", "array", 4)) // over quota until the others are gone
+		c.submit("a", newJob("job-3", "array", 4)) // exceeds the quota until other jobs have ended
 		leader := c.leader()
 		leader.kill()
 		time.Sleep(4 * time.Second)
 		c.startNode(leader.name)
-		// Beyond the lease of the workers in the south.
+		// The partition lasts longer than the leases of the workers in zone south.
 		c.consistently(32*time.Second, "work in the other zone goes on", func() bool {
 			for _, task := range north {
 				if c.isAbsent(task) {
@@ -106,7 +107,7 @@
 			}
 			return true
 		})
-		// The network heals, and all that was held back arrives.
+		// The partition ends, and all requests that were held back arrive.
 		c.network.SetRule(nil)
 		if c.network.ReleaseHeld() < 10 {
 			t.Fatal("nothing was held back")
@@ -124,13 +125,13 @@
 				return c.status("a", job) == "done" && c.status("b", job) == "done"
 			})
 		}
-		c.requireStartedOnce(north...) // they were not affected
+		c.requireStartedOnce(north...) // the partition did not affect them
 	})
 }
 
-// TestLeaderPartitionedFromStateServiceThenFromWorkersKeepsTasksRunning partitions first the
-// leader from the state service, then its successor from the workers. The controllers can't reach
-// each other all along.
+// TestLeaderPartitionedFromStateServiceThenFromWorkersKeepsTasksRunning partitions first the leader
+// from the state service, then its successor from the workers, and checks that all tasks keep
+// running. During both partitions the controllers cannot reach each other.
 func TestLeaderPartitionedFromStateServiceThenFromWorkersKeepsTasksRunning(t *testing.T) {
 	t.Parallel()
 	scenario(t, func(t *testing.T, c *testCluster) {
@@ -179,8 +180,8 @@
 	})
 }
 
-// TestLeaderPartitionedFromWorkersStepsDownWithoutScaleIn partitions the leader from all workers:
-// it steps down, and returns none of the machines that it can't hear.
+// TestLeaderPartitionedFromWorkersStepsDownWithoutScaleIn partitions the leader from all workers,
+// and checks that it steps down and returns none of the machines that it cannot reach.
 func TestLeaderPartitionedFromWorkersStepsDownWithoutScaleIn(t *testing.T) {
 	t.Parallel()
 	scenario(t, func(t *testing.T, c *testCluster) {
@@ -224,8 +225,8 @@
 }
 
 // TestTaskOfWorkerPartitionedDuringFailoverIsRescheduledAfterLeaseExpiry partitions a worker
-// together with the leader, which goes on renewing the worker's lease: the new leader starts the
-// task elsewhere only once the lease must have expired.
+// together with the leader, which keeps renewing the lease of the worker. It checks that the new
+// leader starts the task elsewhere only once that lease must have expired.
 func TestTaskOfWorkerPartitionedDuringFailoverIsRescheduledAfterLeaseExpiry(t *testing.T) {
 	t.Parallel()
 	scenario(t, func(t *testing.T, c *testCluster) {
@@ -234,7 +235,7 @@
 		time.Sleep(8 * time.Second)
 		c.submit("a", newJob("job-4", "array", 1))
 		c.awaitTask(3*time.Second, "job-4/0")
-		// m1 and a are partitioned together: a goes on answering m1's heartbeats.
+		// m1 and a are partitioned together: a keeps answering the heartbeats of m1.
 		c.network.SetRule(func(from, to string, r *http.Request, body []byte) fake.Outcome {
 			inside := func(host string) bool { return host == "a" || host == "a:8080" || strings.HasPrefix(host, "m1") }
 			if inside(from) != inside(to) {
@@ -260,16 +261,16 @@
 	})
 }
 
-// TestMachineWithUndeliverableHeartbeatsRunsTaskUntilLeaseExpiry runs a task on a machine that can
-// be probed and commanded but whose heartbeats are refused. Found in a run in which the
-// controllers had no sockets left for new workers.
+// TestMachineWithUndeliverableHeartbeatsRunsTaskUntilLeaseExpiry checks that a task runs on a
+// machine that can be probed and commanded but whose heartbeats are refused, until the lease of the
+// worker expires. This happens if the controllers have no sockets left for new workers.
 func TestMachineWithUndeliverableHeartbeatsRunsTaskUntilLeaseExpiry(t *testing.T) {
 	t.Parallel()
 	scenario(t, func(t *testing.T, c *testCluster) {
 		c.inCloudList = true
 		c.startNode("a")
 		c.startNode("b")
-		time.Sleep(90 * time.Second) // longer than any former leader may renew leases
+		time.Sleep(90 * time.Second) // so long that no former leader can still renew leases
 		c.network.SetRule(func(from, _ string, _ *http.Request, _ []byte) fake.Outcome {
 			if strings.HasPrefix(from, "m1:") {
 				return fake.Refuse
@@ -283,7 +284,7 @@
 		})
 		c.submit("a", newJob("job-1", "array", 1))
 		c.awaitTask(3*time.Second, "job-1/0")
-		// Without answered heartbeats the lease of m1 expires.
+		// The lease of m1 expires, because no heartbeat of m1 is answered.
 		c.startWorker("m2", "north")
 		c.consistently(12*time.Second, "it runs on m1 only until the worker's lease expires", func() bool {
 			return c.isRunning("job-1/0") && c.workerNamed("m2").StartCount("job-1/0") == 0
@@ -292,9 +293,9 @@
 	})
 }
 
-// TestFailoverDuringMachinePartitionLosesNoWork guards against long tasks that are started anew
-// while they go on where the leader can't reach them, and against losing tasks that ended with
-// their leases. The team is at its quota, a job is cancelled meanwhile, and another one waits for
+// TestFailoverDuringMachinePartitionLosesNoWork checks that tasks are not started again while they
+// still run on machines that the leader cannot reach, and that tasks that ended with their leases
+// are not lost. The team is at its quota, a job is cancelled meanwhile, and another one waits for
 // its quota.
 func TestFailoverDuringMachinePartitionLosesNoWork(t *testing.T) {
 	t.Parallel()
@@ -323,7 +324,7 @@
 					c.passTime(2 * time.Second)
 					c.cancelJob(other, "job-2")
 					c.passTime(cancelLimit + 5*time.Second)
-					// The network heals after the leases and the cancellation limit.
+					// The partition ends after the expiry of the leases and the cancellation limit.
 					c.heal()
 					c.passTime(5 * time.Second)
 					c.completeJobs("job-1", "job-3")
--- a/internal/scenarios/random_faults_test.go
+++ b/internal/scenarios/random_faults_test.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// TestTwoConcurrentRandomFaultsBreakNoRule guards against rules that hold under each fault alone.
-// Two random faults at a time last for up to more than a lease: machines hang, lose their inbound
-// or outbound traffic or have heartbeats duplicated; the state service refuses the leader, is
-// slow, is down, loses responses or delays transactions; a controller restarts, or the leader is
-// partitioned from the state service and its peer. Some jobs depend on others. Afterwards every
-// job ends.
+// TestTwoConcurrentRandomFaultsBreakNoRule checks that no rule is broken and every job ends under
+// two random faults at a time, because rules may hold under each fault alone. A fault lasts up to
+// more than the duration of a lease: a machine hangs, loses its inbound or outbound traffic or has
+// its heartbeats duplicated; the state service rejects the requests of the leader, is slow, is
+// down, loses responses or delays transactions; a controller restarts, or the leader is partitioned
+// from the state service and its peer. Some jobs depend on others.
 func TestTwoConcurrentRandomFaultsBreakNoRule(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(4) {
@@ -66,7 +66,7 @@
 			}
 			faults.Wait()
 			users.Wait()
-			// A user without an answer for a minute asks once more.
+			// Each request is repeated once, because some got no answer within a minute.
 			for i, id := range ids {
 				if i%3 == 2 {
 					c.requestUntilDecided(random, "POST", "/v2/runs/"+id+"/cancel", nil)
--- a/internal/scenarios/record_limits_test.go
+++ b/internal/scenarios/record_limits_test.go
@@ -10,16 +10,16 @@
 	"github.com/pebbletrail/pebbletrail/internal/fake"
 )
 
-// lowerLimits are limits to come that are too small for the record of storeLargeRecord.
+// Upcoming limits of the state service that are too small for the record that storeLargeRecord stores.
 const (
 	lowerLimits     = "\n[params.state.next]\nvalue_kb = 2.0\ntxn_ops = 4\n"
 	lowerValueBytes = 2048
 	lowerTxnOps     = 4
 )
 
-// storeLargeRecord has a leader that knows of no limits to come run an array, of which every other
-// task completes, so that its record exceeds the lower limits. Then that leader is killed, and both
-// nodes start with the lower limits to come.
+// storeLargeRecord runs an array job under a leader that does not know of the upcoming limits, and
+// completes every other task, so that the record of the job exceeds the lower limits. It then kills
+// that leader and starts both nodes with the lower limits as upcoming limits.
 func storeLargeRecord(t *testing.T, c *testCluster, job string) {
 	t.Helper()
 	leader := c.startNode("a")
@@ -51,13 +51,14 @@
 	c.awaitAnyLeader(10 * time.Second)
 }
 
-// TestCancellationIsStoredWhenRecordExceedsLimits guards against a job that can't be cancelled
-// because its record was written under larger limits of the state service: cancellations got 503
-// until enough tasks had ended. It also guards against a cancellation, stored apart from the
-// record, that a new leader, a completion at the same moment or another node overlooks.
+// TestCancellationIsStoredWhenRecordExceedsLimits checks that a job can be cancelled although its
+// record was written under larger limits of the state service. Before cancellations had a record of
+// their own, they were answered with 503 until enough tasks had ended. The test also checks that
+// neither a new leader, nor a completion at the same moment, nor another node overlooks a
+// cancellation that is stored apart from the record of the job.
 func TestCancellationIsStoredWhenRecordExceedsLimits(t *testing.T) {
 	for name, test := range map[string]struct {
-		lowered       bool // the limits of the state service are lower already
+		lowered       bool // the state service enforces the lower limits already
 		before, after func(c *testCluster)
 	}{
 		"limits unchanged": {},
@@ -73,10 +74,10 @@
 			time.AfterFunc(12*time.Second, func() { c.store.RefuseCaller(leader.name, false) })
 		}},
 		"limits lowered, job completes at the same moment": {lowered: true, before: func(c *testCluster) {
-			// The leader knows that the job is done, but the cancellation is stored first, and
-			// the leader can write but not read.
+			// The leader knows that the job is done, but the cancellation is stored before the
+			// outcome. The leader can write to the state service but not read.
 			leader := c.leader().name
-			time.Sleep(3 * time.Second) // it has read the records
+			time.Sleep(3 * time.Second) // until the leader has read the records
 			c.network.SetRule(func(from, _ string, r *http.Request, body []byte) fake.Outcome {
 				beforeCancellation := kindOfTransaction(r, body) == storesOutcome && strings.Contains(string(body), "end/job-1") && c.store.Value("job/cancel/job-1") == nil
 				unreadable := from == leader && (r.URL.Path == "/follow" || r.URL.Path == "/kv/none") && c.store.Value("job/job-1") != nil
@@ -86,7 +87,7 @@
 				return fake.Deliver
 			})
 			c.completeJob("job-1")
-			time.Sleep(12 * time.Second) // the watch that was open has ended
+			time.Sleep(12 * time.Second) // until the open watch has ended
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -118,7 +119,7 @@
 				c.eventually(30*time.Second, "every node still reports so", func() bool {
 					return c.bothReport("job-1", "cancelled") && c.bothReport("job-2", "cancelled")
 				})
-				if c.store.TooLarge > 2 { // each node may learn the lower limits from one failure
+				if c.store.TooLarge > 2 { // each node may learn of the lower limits from one failed write
 					t.Errorf("%d writes were too large", c.store.TooLarge)
 				}
 			})
@@ -126,9 +127,9 @@
 	}
 }
 
-// TestJobWhoseRecordExceedsLimitsRunsToCompletion guards against a record that can never be stored
-// again, since the set of completed tasks takes more than a value may hold: the machines are lost,
-// or tasks stop, so that no more tasks complete.
+// TestJobWhoseRecordExceedsLimitsRunsToCompletion checks that a job completes although its record
+// can no longer be stored, because the set of completed tasks exceeds the size limit of a value.
+// The set would shrink if more tasks completed, but the machines are lost, or the tasks stop.
 func TestJobWhoseRecordExceedsLimitsRunsToCompletion(t *testing.T) {
 	for name, injectFault := range map[string]func(c *testCluster){
 		"the machines are lost": func(c *testCluster) {
@@ -139,7 +140,7 @@
 			c.startWorker("m3", "north")
 			c.startWorker("m4", "south")
 		},
-		// Outcomes that the workers go on reporting must not be stored again and again.
+		// Outcomes that the workers keep reporting must not be stored repeatedly.
 		"some tasks complete, the others are stopped": func(c *testCluster) {
 			time.Sleep(5 * time.Second)
 			for _, worker := range c.workers {
--- a/internal/scenarios/restart_test.go
+++ b/internal/scenarios/restart_test.go
@@ -10,7 +10,8 @@
 )
 
 // TestControllersRestartedAtOnceKeepTasksRunning restarts, within a fraction of a second, the
-// leader, then the candidate in the middle of its failover, then all controllers.
+// leader, then the candidate in the middle of its failover, then all controllers. It checks that
+// the tasks keep running and are not started again.
 func TestControllersRestartedAtOnceKeepTasksRunning(t *testing.T) {
 	t.Parallel()
 	scenario(t, func(t *testing.T, c *testCluster) {
@@ -32,7 +33,7 @@
 		// The leader crashes, and the candidate restarts in the middle of its failover.
 		leader := c.leader()
 		leader.kill()
-		// The other node takes over once the leader's lease has expired, and crashes right then.
+		// The other node takes over once the leader's lease has expired, and crashes at that moment.
 		c.awaitAnyLeader(5 * time.Second)
 		restart(c.leader())
 		time.Sleep(100 * time.Millisecond)
@@ -56,9 +57,9 @@
 	})
 }
 
-// TestRestartOfAllControllersDuringElectionIgnoresDelayedDuplicates guards against duplicated
-// heartbeats, submissions and cancellations, executed long ago, that arrive at processes that have
-// just started.
+// TestRestartOfAllControllersDuringElectionIgnoresDelayedDuplicates checks that processes that have
+// just started ignore duplicates of heartbeats, submissions and cancellations that were executed
+// long ago.
 func TestRestartOfAllControllersDuringElectionIgnoresDelayedDuplicates(t *testing.T) {
 	t.Parallel()
 	scenario(t, func(t *testing.T, c *testCluster) {
@@ -104,7 +105,7 @@
 			c.startNode("a")
 			c.startNode("b")
 		}
-		// Both controllers restart, twice, and hear the copies during the election.
+		// Both controllers restart twice, and receive the copies during the election.
 		restartBoth()
 		time.Sleep(300 * time.Millisecond)
 		restartBoth() // in the middle of the election
@@ -130,9 +131,10 @@
 	})
 }
 
-// TestCrashOfAllControllersDuringLongOutageLosesNoWork crashes all controllers in an outage of the
-// state service that is longer than the leader's lease: nothing is accepted meanwhile, and a task
-// completed in it is reported afterwards.
+// TestCrashOfAllControllersDuringLongOutageLosesNoWork crashes all controllers during an outage of
+// the state service that lasts longer than the lease of the leader. It checks that no job is
+// accepted during the outage, and that a task that completed during the outage is reported
+// afterwards.
 func TestCrashOfAllControllersDuringLongOutageLosesNoWork(t *testing.T) {
 	t.Parallel()
 	scenario(t, func(t *testing.T, c *testCluster) {
@@ -165,8 +167,9 @@
 	})
 }
 
-// TestMachineBackUnderItsNameRunsLostTaskAgainOnce restarts a machine under its former name. It
-// has lost its tasks and its sequence numbers begin anew: what ran there must run again, once.
+// TestMachineBackUnderItsNameRunsLostTaskAgainOnce restarts a machine under its former name. The
+// machine has lost its tasks, and its sequence numbers begin again. The test checks that the lost
+// task runs again, once.
 func TestMachineBackUnderItsNameRunsLostTaskAgainOnce(t *testing.T) {
 	t.Parallel()
 	scenario(t, func(t *testing.T, c *testCluster) {
@@ -178,7 +181,7 @@
 		time.Sleep(5 * time.Second)
 		// The machine restarts within a fraction of a second.
 		m1.SetSilent(true)
-		m1.EndTask("job-1/0", "error") // it was lost with the machine
+		m1.EndTask("job-1/0", "error") // the task was lost with the machine
 		c.workers = nil
 		time.Sleep(200 * time.Millisecond)
 		c.startWorker("m1", "north")
@@ -188,9 +191,9 @@
 	})
 }
 
-// TestRepeatedFailoversLoseNoWork guards against tasks that are lost or started anew while
-// leadership changes ten times in two minutes, also during an outage of the state service, and
-// while all controllers are down for longer than a lease.
+// TestRepeatedFailoversLoseNoWork checks that no task is lost or started again while leadership
+// changes ten times in two minutes, also during an outage of the state service, and while all
+// controllers are down for longer than a lease.
 func TestRepeatedFailoversLoseNoWork(t *testing.T) {
 	t.Parallel()
 	for _, downtime := range []time.Duration{50 * time.Millisecond, 900 * time.Millisecond, 5 * time.Second} {
--- a/internal/scenarios/scheduling_test.go
+++ b/internal/scenarios/scheduling_test.go
@@ -11,8 +11,8 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-// TestUncertainTasksCountAgainstQuota silences a machine: its task counts against the team's quota
-// until its lease has expired.
+// TestUncertainTasksCountAgainstQuota stops the heartbeats of a machine, and checks that its task
+// counts against the quota of the team until the lease of the machine has expired.
 func TestUncertainTasksCountAgainstQuota(t *testing.T) {
 	t.Parallel()
 	scenario(t, func(t *testing.T, c *testCluster) {
@@ -30,7 +30,7 @@
 		job = newJob("job-13", "array", 1)
 		job["cores"] = 4
 		c.submit("a", job)
-		// m1 is silent: its task may be there until the lease has expired.
+		// m1 sends no heartbeats, but its task may run there until the lease has expired.
 		c.consistently(10*time.Second, "no third task of four cores", func() bool { return c.isAbsent("job-13/0") })
 		c.eventually(40*time.Second, "both tasks run", func() bool {
 			return c.isRunning("job-12/0") && c.isRunning("job-12/1")
@@ -38,8 +38,9 @@
 	})
 }
 
-// TestSpreadReplicaWaitsForMachineInOtherZone submits two spread replicas with machines in one
-// zone only: the second replica waits for a machine in the other zone.
+// TestSpreadReplicaWaitsForMachineInOtherZone submits a job with two spread replicas while there
+// are machines in one zone only, and checks that the second replica waits for a machine in the
+// other zone.
 func TestSpreadReplicaWaitsForMachineInOtherZone(t *testing.T) {
 	t.Parallel()
 	scenario(t, func(t *testing.T, c *testCluster) {
@@ -59,7 +60,8 @@
 }
 
 // TestConsolidationStopsNothingDuringOutage asks the leader to move a replica while the state
-// service is down: it must not stop what it could not start elsewhere.
+// service is down, and checks that the leader does not stop a replica that it could not start
+// elsewhere.
 func TestConsolidationStopsNothingDuringOutage(t *testing.T) {
 	t.Parallel()
 	scenario(t, func(t *testing.T, c *testCluster) {
@@ -71,7 +73,7 @@
 		c.submit("a", job)
 		c.awaitTask(3*time.Second, "job-17/0")
 		machine := c.machinesRunning("job-17/0")[0]
-		// The image must be in the other machine's cache too, or nothing moves there.
+		// The replica moves to the other machine only if its image is in the cache there.
 		c.submit("a", newJob("job-18", "array", 8))
 		c.awaitTask(3*time.Second, "job-18/0")
 		time.Sleep(3 * time.Second)
@@ -95,8 +97,9 @@
 	})
 }
 
-// TestZoneBoundJobIsRescheduledWithinItsZone guards against tasks that go to another zone with
-// room when their own zone has none or is unreachable; a new machine of their zone takes them.
+// TestZoneBoundJobIsRescheduledWithinItsZone checks that tasks bound to a zone do not start in
+// another zone that has capacity if their own zone has none or is unreachable, and that they start
+// on a new machine in their zone.
 func TestZoneBoundJobIsRescheduledWithinItsZone(t *testing.T) {
 	t.Parallel()
 	for _, kind := range []partitionKind{connectionRefused, requestsHeldBack, inboundLost} {
@@ -118,7 +121,7 @@
 					c.passTime(20 * time.Second)
 					c.heal()
 					if shape == "gang" {
-						// A gang that lost a task ends as a whole.
+						// If a gang has lost a task, its other tasks end too.
 						for _, worker := range c.workers {
 							for _, task := range worker.ActiveTasks() {
 								if len(worker.ActiveTasks()) < 4 {
@@ -134,8 +137,9 @@
 	}
 }
 
-// TestUrgentJobsStartFirstOverSlowNetwork guards against tasks that start twice, over quota, or
-// before urgent tasks submitted later, while every call is slow, also across a failover.
+// TestUrgentJobsStartFirstOverSlowNetwork checks that, while calls to the state service and to the
+// workers are slow, no task starts twice, exceeds the quota or starts before urgent tasks that were
+// submitted later, also across a failover.
 func TestUrgentJobsStartFirstOverSlowNetwork(t *testing.T) {
 	t.Parallel()
 	for _, latency := range []time.Duration{100 * time.Millisecond, 350 * time.Millisecond} {
@@ -190,10 +194,10 @@
 	}
 }
 
-// TestUrgentJobStartsWhereTeamIsAtItsQuota guards against quota that tasks of lower urgency gave
-// up by preemption being given to such tasks again at once. The urgent job, above all a gang as
-// large as the quota, never started, and other tasks were stopped, or unassigned before their
-// start, again and again.
+// TestUrgentJobStartsWhereTeamIsAtItsQuota checks that quota freed by the preemption of tasks of
+// lower urgency goes to the urgent job and not to such tasks again. When it did, the urgent job,
+// especially a gang as large as the quota, never started, and other tasks were repeatedly stopped,
+// or unassigned before their start.
 func TestUrgentJobStartsWhereTeamIsAtItsQuota(t *testing.T) {
 	t.Parallel()
 	for _, shape := range []string{"gang", "array"} {
--- a/internal/scenarios/shards_test.go
+++ b/internal/scenarios/shards_test.go
@@ -17,10 +17,10 @@
 	"github.com/pebbletrail/pebbletrail/internal/record"
 )
 
-// TestQuotaHoldsAcrossFailingShardLeaders runs three shards, each with room for twice its team's
-// quota. Jobs are submitted at all nodes at the same moment, and some are cancelled; leaders
-// crash, are refused by the state service or lose responses, and once all crash. The rules are
-// checked at each start, quota among them.
+// TestQuotaHoldsAcrossFailingShardLeaders runs three shards, each with machines for twice the quota
+// of its team, and checks the rules, including the one on quota, at each start. Jobs are submitted
+// to all nodes at the same time, and some are cancelled. Leaders crash, have their requests
+// rejected by the state service or lose responses, and once all crash.
 func TestQuotaHoldsAcrossFailingShardLeaders(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(3) {
@@ -97,8 +97,9 @@
 	}
 }
 
-// TestJobsDependOnJobsOfOtherShards runs a chain of jobs, each depending on the one before, across
-// shards; then cancels a job in the middle of a second chain, and its dependents end with it.
+// TestJobsDependOnJobsOfOtherShards runs a chain of jobs across shards, each of which depends on
+// the one before. It then cancels a job in the middle of a second chain, and checks that its
+// dependents are cancelled.
 func TestJobsDependOnJobsOfOtherShards(t *testing.T) {
 	t.Parallel()
 	shardScenario(t, 2, func(t *testing.T, c *shardCluster) {
@@ -142,9 +143,9 @@
 	})
 }
 
-// TestUnknownMachineBelongsToOneShardOnlyAfterProvisioning guards against a machine commanded by
-// two leaders: a machine that sends heartbeats while its provisioning request is unanswered
-// belongs to the shard that the answer will name.
+// TestUnknownMachineBelongsToOneShardOnlyAfterProvisioning checks that no machine is commanded by
+// two leaders. While a provisioning request is unanswered, an unknown machine that sends heartbeats
+// belongs to no shard, because the answer may name the machine and so assign it to a shard.
 func TestUnknownMachineBelongsToOneShardOnlyAfterProvisioning(t *testing.T) {
 	t.Parallel()
 	shardScenario(t, 1, func(t *testing.T, c *shardCluster) {
@@ -177,8 +178,9 @@
 	})
 }
 
-// TestShardLeadershipSpreadsAndIsReturned spreads the shards over three controllers, leaves one
-// controller to lead all, and has it return shards when the others are back.
+// TestShardLeadershipSpreadsAndIsReturned checks that the shards are spread over three controllers,
+// that a single remaining controller leads all shards, and that it hands shards back when the other
+// controllers have restarted.
 func TestShardLeadershipSpreadsAndIsReturned(t *testing.T) {
 	t.Parallel()
 	shardScenario(t, 1, func(t *testing.T, c *shardCluster) {
@@ -200,13 +202,13 @@
 	})
 }
 
-// TestStoreWithDifferentShardLayoutIsRejected starts controllers on a store that another number of
-// shards, or a newer version, has written.
+// TestStoreWithDifferentShardLayoutIsRejected checks that controllers do not lead on a store that
+// was written with another number of shards, or by a newer version.
 func TestStoreWithDifferentShardLayoutIsRejected(t *testing.T) {
 	t.Parallel()
 	shardScenario(t, 1, func(t *testing.T, c *shardCluster) {
 		time.Sleep(5 * time.Second)
-		// A version that knows of one shard only never leads here.
+		// A controller of a version with only one shard never leads on this store.
 		oneShardNode := c.testCluster.startNode("a")
 		time.Sleep(20 * time.Second)
 		if oneShardNode.elector.Term() != nil {
--- a/internal/scenarios/stale_heartbeats_test.go
+++ b/internal/scenarios/stale_heartbeats_test.go
@@ -7,8 +7,9 @@
 	"time"
 )
 
-// TestDelayedHeartbeatCopiesChangeNothing guards against a copy of a heartbeat, seconds old or
-// older than a lease, that shows a completed task as running or lacks one that runs now.
+// TestDelayedHeartbeatCopiesChangeNothing checks that a copy of a heartbeat that arrives seconds
+// late, or later than a lease lasts, changes nothing, although it shows a completed task as running
+// or lacks a task that runs now.
 func TestDelayedHeartbeatCopiesChangeNothing(t *testing.T) {
 	t.Parallel()
 	for _, delay := range []time.Duration{3 * time.Second, 35 * time.Second} {
@@ -17,7 +18,7 @@
 			m1 := c.startWorker("m1", "north")
 			c.startWorker("m2", "south")
 			time.Sleep(settleTime)
-			// Copies of heartbeats with job-1 running are held back.
+			// Copies of heartbeats that show job-1 running are held back.
 			c.duplicateHeartbeats("m1")
 			c.submit("a", newJob("job-1", "array", 8))
 			c.eventually(4*time.Second, "all run", func() bool { return len(m1.ActiveTasks()) == 4 })
@@ -28,7 +29,7 @@
 				}
 			}
 			c.awaitStatus(6*time.Second, "a", "job-1", "done")
-			time.Sleep(6 * time.Second) // its outcome is stored and the task cleared
+			time.Sleep(6 * time.Second) // until its outcome is stored and its tasks are cleared
 			// The replicas of job-2 run in place of job-1.
 			c.network.SetRule(nil)
 			c.submit("a", newJob("job-2", "standing", 8))
@@ -57,21 +58,21 @@
 	}
 }
 
-// TestNewLeaderHearingDelayedHeartbeatsFirstKeepsTaskRunning delivers copies of heartbeats to a
-// new leader before anything else of that machine: they show job-1 running, and know nothing of
-// job-2, which runs there now.
+// TestNewLeaderHearingDelayedHeartbeatsFirstKeepsTaskRunning delivers copies of heartbeats to a new
+// leader before anything else from that machine. The copies show job-1 running and lack job-2,
+// which runs there now. The test checks that job-2 keeps running and no task starts again.
 func TestNewLeaderHearingDelayedHeartbeatsFirstKeepsTaskRunning(t *testing.T) {
 	t.Parallel()
 	scenario(t, func(t *testing.T, c *testCluster) {
 		a := c.startNode("a")
 		m1 := c.startWorker("m1", "north")
 		time.Sleep(settleTime)
-		// Copies of heartbeats with job-1 running are held back.
+		// Copies of heartbeats that show job-1 running are held back.
 		c.duplicateHeartbeats("m1")
 		c.submit("a", newJob("job-1", "array", 1))
 		c.awaitTask(4*time.Second, "job-1/0")
 		time.Sleep(7 * time.Second) // three heartbeats
-		// Job-1 completes, and job-2 runs on the same machine.
+		// job-1 completes, and job-2 runs on the same machine.
 		c.network.SetRule(nil)
 		m1.EndTask("job-1/0", "done")
 		c.awaitStatus(6*time.Second, "a", "job-1", "done")
@@ -79,7 +80,7 @@
 		c.submit("a", newJob("job-2", "array", 1))
 		c.awaitTask(4*time.Second, "job-2/0")
 		time.Sleep(5 * time.Second)
-		// The leader restarts and hears the copies first.
+		// The leader restarts and receives the copies first.
 		m1.SetSilent(true)
 		a.kill()
 		time.Sleep(200 * time.Millisecond)
@@ -90,7 +91,7 @@
 		}
 		c.startWorker("m2", "south")
 		time.Sleep(4 * time.Second)
-		// The machine is heard from again.
+		// The machine sends heartbeats again.
 		m1.SetSilent(false)
 		c.consistently(30*time.Second, "job-2 goes on on m1", func() bool {
 			return c.isRunning("job-2/0") && c.machinesRunning("job-2/0")[0] == "m1"
@@ -105,9 +106,9 @@
 	})
 }
 
-// TestStaleHeartbeatsDuringFailoverChangeNothing guards against a new leader that takes a stale
-// heartbeat, the first it hears of a machine, for the machine's present state, whether the machine
-// can be probed or not.
+// TestStaleHeartbeatsDuringFailoverChangeNothing checks that a new leader does not treat a stale
+// heartbeat as the current state of a machine if it is the first one received from that machine,
+// whether the machine can be probed or not.
 func TestStaleHeartbeatsDuringFailoverChangeNothing(t *testing.T) {
 	t.Parallel()
 	for _, content := range []string{"shows tasks that run elsewhere", "shows no tasks", "of an earlier incarnation", "shows completed task"} {
@@ -121,7 +122,7 @@
 					c.submitJob("a", newJob("job-1", "array", 3))
 					c.awaitRunning(5*time.Second, "job-1", 3)
 					c.passTime(5 * time.Second)
-					// A heartbeat becomes stale.
+					// The latest heartbeat becomes stale.
 					stale := c.lastHeartbeat("m1")
 					switch content {
 					case "shows no tasks":
@@ -142,7 +143,7 @@
 						c.completeTask("job-1/0")
 					}
 					c.passTime(8 * time.Second)
-					// The leader crashes, and the machine may be partitioned: the stale heartbeat arrives first.
+					// The leader crashes, and the machine may be partitioned. The stale heartbeat arrives first.
 					leader := c.awaitLeader()
 					leader.kill()
 					if kind != noPartition {
@@ -153,7 +154,7 @@
 					}
 					c.awaitLeader()
 					c.deliverToControllers(stale)
-					// It arrives again while both nodes are up, and once more when the network has healed.
+					// The stale heartbeat arrives again while both nodes are up, and once more without any partition.
 					c.startNode(leader.name)
 					c.passTime(3 * time.Second)
 					c.deliverToControllers(stale)
@@ -170,10 +171,10 @@
 	}
 }
 
-// TestStaleHeartbeatOfReplacedGangTaskChangesNothing guards against a new leader that takes the
-// end of an earlier start, under the same attempt on the same machine, for the end of the task
-// that waits there now and starts it elsewhere. The worker's incarnation may have changed in
-// between.
+// TestStaleHeartbeatOfReplacedGangTaskChangesNothing checks that a new leader does not mistake the
+// end of an earlier start of a gang task for the end of the task that now waits on the same machine
+// under the same attempt, and so start that task elsewhere. The incarnation of the worker may have
+// changed in between.
 func TestStaleHeartbeatOfReplacedGangTaskChangesNothing(t *testing.T) {
 	t.Parallel()
 	for _, newIncarnation := range []bool{false, true} {
@@ -192,7 +193,7 @@
 					}
 					c.eventually(5*time.Second, "both tasks are on machines", bothWaiting)
 					c.passTime(5 * time.Second)
-					// A task of the gang ends, which a heartbeat shows, and is replaced under the same attempt.
+					// A task of the gang ends, a heartbeat shows its end, and it is replaced under the same attempt.
 					machine := c.workerNamed(c.machinesRunning("job-1/0")[0])
 					machine.EndTask("job-1/0", "no_room")
 					c.passTime(100 * time.Millisecond)
@@ -219,7 +220,7 @@
 						t.Fatalf("not replaced there under the same attempt: %v on %v", machine.Starts, c.machinesRunning("job-1/0"))
 					}
 					c.passTime(3 * time.Second)
-					// The leader crashes, and its successor hears the stale heartbeat first.
+					// The leader crashes, and its successor receives the stale heartbeat first.
 					leader := c.awaitLeader()
 					leader.kill()
 					c.startWorker("m3", "south")
--- a/internal/scenarios/transactions_test.go
+++ b/internal/scenarios/transactions_test.go
@@ -13,10 +13,10 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-// TestLostResponsesAndDelayedTransactionsAreReconciled guards against counting a transaction
-// without a response as one that was not executed, or never will be. Half of the transactions of
-// one kind, or of all kinds, get no response: they are executed at once, while others read what
-// they wrote, or 2 to 12 s later, after newer ones of the same controller.
+// TestLostResponsesAndDelayedTransactionsAreReconciled checks that a controller does not assume
+// that a transaction without a response was not executed, or never will be. Half of the
+// transactions of one kind, or of all kinds, get no response. They are executed at once, while
+// others read what they wrote, or 2 to 12 s later, after newer transactions of the same controller.
 func TestLostResponsesAndDelayedTransactionsAreReconciled(t *testing.T) {
 	t.Parallel()
 	for _, kind := range []transactionKind{createsJob, cancelsJob, storesAssignment, storesOutcome, acquiresLease, raisesGeneration, anyTransaction} {
@@ -33,13 +33,14 @@
 	}
 }
 
-// runTransactionFaults runs jobs, some of them cancelled, while half of the transactions of a kind
-// have an outcome other than delivery. With dropRenewals the leader's first renewals are lost too.
+// runTransactionFaults runs jobs and cancels some of them while half of the transactions of a kind
+// have the given outcome instead of being delivered. If dropRenewals is set, the first renewals of
+// the leader's lease are lost too.
 func runTransactionFaults(t *testing.T, c *testCluster, random *randomSource, kind transactionKind, outcome fake.Outcome, dropRenewals bool) {
 	c.startPair()
 	c.setRandomLatency(random)
 	c.network.SetDelay(func() time.Duration { return random.milliseconds(2000, 12000) })
-	var mu sync.Mutex // of hits
+	var mu sync.Mutex // guards hits
 	hits := 0
 	faults := func(from, to string, r *http.Request, body []byte) fake.Outcome {
 		actual := kindOfTransaction(r, body)
@@ -49,7 +50,7 @@
 		case dropRenewals && kind == acquiresLease && hits > 0 && hits < 3 && strings.HasSuffix(r.URL.Path, "/renew"):
 			return fake.Drop // so that the lease has expired when the takeover is executed
 		case kind == raisesGeneration && to != "state:1" && isStartCommand(r, body):
-			return fake.HoldBack // an uncertain start, which only a raised generation rejects
+			return fake.HoldBack // an uncertain start, which a worker rejects only after the generation was raised
 		case actual != noTransaction && (kind == anyTransaction || actual == kind) && (hits == 0 || random.intn(2) == 0):
 			hits++
 			return outcome
@@ -111,7 +112,7 @@
 		}
 	}
 	users.Wait()
-	// Chance may have left out all of the kind: then more jobs are submitted until one is hit.
+	// If by chance no transaction of the kind was affected, more jobs are submitted until one is.
 	noneHit := func() bool {
 		mu.Lock()
 		defer mu.Unlock()
@@ -126,7 +127,7 @@
 	}
 	c.network.SetRule(nil)
 	c.network.ReleaseHeld()
-	time.Sleep(13 * time.Second) // the last delayed one is executed
+	time.Sleep(13 * time.Second) // until the last delayed transaction is executed
 	c.awaitAnyLeader(60 * time.Second)
 	c.awaitAgreement(90*time.Second, ids...)
 	close(done)
@@ -136,8 +137,8 @@
 	}
 }
 
-// TestCommitWithLostResponseIsReadBack loses the responses to the first transactions with
-// assignments: the leader reads them back, and the task runs.
+// TestCommitWithLostResponseIsReadBack loses the responses to the first transactions that store
+// assignments, and checks that the leader reads the assignments back and the task runs.
 func TestCommitWithLostResponseIsReadBack(t *testing.T) {
 	t.Parallel()
 	scenario(t, func(t *testing.T, c *testCluster) {
@@ -162,10 +163,10 @@
 	})
 }
 
-// TestManySmallJobsStayWithinStateServiceLimits guards against a burst of hundreds of single-task
-// jobs within a minute. Each costs a creation, an assignment and an outcome: together they must
-// stay within the operations a second of the state service, each transaction within its own limit,
-// and no job may be lost.
+// TestManySmallJobsStayWithinStateServiceLimits submits hundreds of single-task jobs within a
+// minute, each of which needs a creation, an assignment and an outcome in the state service. It
+// checks that all of them together stay within the limit of operations a second, that each
+// transaction stays within its own limit, and that no job is lost.
 func TestManySmallJobsStayWithinStateServiceLimits(t *testing.T) {
 	t.Parallel()
 	scenario(t, func(t *testing.T, c *testCluster) {
