--- a/internal/scenarios/cancellation_outage_test.go
+++ b/internal/scenarios/cancellation_outage_test.go
@@ -72,7 +72,7 @@
 			// A job that was not cancelled keeps running for a while.
 			c.eventually(time.Until(outageStart.Add(min(outage, 16*time.Second))), "", func() bool {
 				if !c.isRunning("job-2/0") {
-					t.Fatalf("a job that nobody cancelled stopped after %v of the outage", time.Since(outageStart))
+					t.Fatalf("job-2, which was not cancelled, stopped %v after the start of the outage", time.Since(outageStart))
 				}
 				return time.Since(outageStart) > min(outage, 16*time.Second)-time.Second
 			})
@@ -105,7 +105,7 @@
 		confirmedAt := c.confirmCancellation(other, "job-1")
 		c.requireStopped(confirmedAt, "job-1", 4, 10*time.Second)
 		if leader.elector.Cluster() == nil {
-			t.Fatal("it did not go on leading: the scenario shows nothing")
+			t.Fatal("the leader stepped down, so the scenario did not test a leader that cannot read")
 		}
 		c.network.SetRule(nil)
 		c.awaitRunning(20*time.Second, "job-2", 2)
@@ -176,7 +176,7 @@
 		// The start command arrives after the cancellation limit.
 		time.Sleep(time.Until(confirmedAt.Add(cancelLimit)))
 		if c.network.ReleaseHeld() == 0 {
-			t.Fatal("no start was held back")
+			t.Fatal("no start command was held back")
 		}
 		c.consistently(20*time.Second, "the delayed start is rejected", func() bool { return len(m1.ActiveTasks()) == 0 })
 		c.network.SetRule(nil)
--- a/internal/scenarios/cancellation_test.go
+++ b/internal/scenarios/cancellation_test.go
@@ -29,14 +29,14 @@
 		c.submit("a", newJob("job-11", "array", 1))
 		time.Sleep(300 * time.Millisecond) // the assignment is stored, and the start command is in transit
 		if code, out := c.call("b", "POST", "/v2/runs/job-11/cancel", nil); code != 200 || out["status"] != "cancelled" {
-			t.Fatalf("cancel answered %d %v", code, out)
+			t.Fatalf("the cancellation request returned %d %v", code, out)
 		}
 		c.eventually(38*time.Second, "its outcome is stored", func() bool { return c.store.Value("end/job-11") != nil })
 		// The start command arrives.
 		c.network.ReleaseHeld()
 		c.consistently(20*time.Second, "the delayed start is rejected", func() bool { return c.isAbsent("job-11/0") })
 		if s := c.status("a", "job-11"); s != "cancelled" {
-			t.Fatalf("reported as %q", s)
+			t.Fatalf("job-11 is reported as %q, not as cancelled", s)
 		}
 	})
 }
@@ -73,7 +73,7 @@
 		confirmedAt := time.Now()
 		c.eventually(40*time.Second, "it stops within the cancellation limit", func() bool { return c.isAbsent("job-1/0") })
 		if elapsed := time.Since(confirmedAt); elapsed < 15*time.Second {
-			t.Errorf("stopped after %v: work in the zone did not go on for a while", elapsed)
+			t.Errorf("job-1/0 stopped %v after the cancellation, too soon for a task in the partitioned zone", elapsed)
 		}
 	})
 }
@@ -106,11 +106,11 @@
 			c.submit("a", newJob(id, "array", 1))
 			time.Sleep(50 * time.Millisecond) // the assignment is stored
 			if code, out := c.call("b", "POST", "/v2/runs/"+id+"/cancel", nil); code != 200 || out["status"] != "cancelled" {
-				t.Fatalf("cancel answered %d %v", code, out)
+				t.Fatalf("the cancellation request returned %d %v", code, out)
 			}
 			time.Sleep(time.Second) // no user sends requests to the leader, which would make it read the changes
 			if n := c.workerNamed("m1").StartCount(id + "/0"); n > 0 {
-				t.Errorf("%s was started after its cancellation was confirmed", id)
+				t.Errorf("%s was started although its cancellation was confirmed", id)
 			}
 		}
 		c.network.SetRule(nil)
@@ -211,7 +211,7 @@
 					c.cancelJob(other, "job-5")
 					c.passTime(cancelLimit + 5*time.Second)
 					if n := c.nodes[other]; n.elector.Cluster() == nil && event != "leader restarts" {
-						t.Error("the other node does not lead")
+						t.Error("the other node does not lead after the leader failed")
 					}
 					c.heal()
 					if event == "leader crashes" {
@@ -283,7 +283,7 @@
 					c.heal()
 					c.passTime(3 * time.Second)
 					if !c.isRunning("job-2/0") {
-						t.Error("job-2, which nobody cancelled, does not run")
+						t.Error("job-2, which was not cancelled, does not run")
 					}
 					c.cancelJob("a", "job-2")
 					c.completeJobs("job-5")
--- a/internal/scenarios/delayed_commands_test.go
+++ b/internal/scenarios/delayed_commands_test.go
@@ -36,11 +36,11 @@
 		// The start command that was held back arrives.
 		time.Sleep(2 * time.Minute)
 		if c.network.ReleaseHeld() == 0 {
-			t.Fatal("no start was held back")
+			t.Fatal("no start command was held back")
 		}
 		c.consistently(10*time.Second, "the delayed start is rejected", func() bool { return c.isAbsent("job-3/0") })
 		if n := machine.StartCount("job-3/0"); n != 1 {
-			t.Fatalf("started %d times", n)
+			t.Fatalf("job-3/0 was started %d times, not once", n)
 		}
 	})
 }
--- a/internal/scenarios/dependencies_cancellation_test.go
+++ b/internal/scenarios/dependencies_cancellation_test.go
@@ -96,7 +96,7 @@
 				})
 				c.submit("a", newJob("job-60", "array", 1).dependingOn("job-11"))
 				if !c.bothReport("job-60", "cancelled") {
-					t.Error("a job that depends on a cancelled one is not cancelled")
+					t.Error("job-60, submitted with a dependency on the cancelled job-11, is not cancelled")
 				}
 				c.eventually(60*time.Second, "their outcomes are stored", func() bool {
 					return c.store.CountKeys("job/") == 0
@@ -105,7 +105,7 @@
 					return c.isAbsent("job-2/0", "job-50/0", "job-30/0")
 				})
 				if code, out := c.call("a", "GET", "/v2/runs/job-30/explain", nil); code != 200 || !strings.Contains(fmt.Sprint(out["trail"]), "job-1, which was cancelled") {
-					t.Errorf("explained as %v", out)
+					t.Errorf("the explanation of job-30 does not name the cancelled job-1: %v", out)
 				}
 			})
 		})
@@ -126,10 +126,10 @@
 		c.submit("b", newJob("job-3", "array", 1).dependingOn("job-1"))
 		c.submit("b", newJob("job-4", "array", 1).dependingOn("job-2", "job-3"))
 		if status := c.cancelUntilAnswered("job-2"); status != "cancelled" {
-			t.Fatalf("a cancelled waiting job is reported as %q", status)
+			t.Fatalf("the cancellation of waiting job-2 returned status %q", status)
 		}
 		if !c.bothReport("job-4", "cancelled") || !c.bothReport("job-3", "pending") {
-			t.Errorf("the last job is %s, the other branch %s", c.status("a", "job-4"), c.status("a", "job-3"))
+			t.Errorf("job-4 is %s, want cancelled; job-3 is %s, want pending", c.status("a", "job-4"), c.status("a", "job-3"))
 		}
 		c.awaitRunning(5*time.Second, "job-1", 1)
 		c.completeJob("job-1")
@@ -160,7 +160,7 @@
 				for i := range 6 {
 					id := fmt.Sprintf("job-%d%02d", round+1, i+1)
 					if code, _ := c.requestUntilDecided(random, "POST", "/v2/runs", newJob(id, "array", 1).dependingOn(previous)); code != 201 {
-						t.Fatalf("a submission got %d", code)
+						t.Fatalf("the submission of a dependent job returned %d", code)
 					}
 					followers, previous = append(followers, id), id
 				}
@@ -176,13 +176,13 @@
 							followers = append(followers, id)
 							mu.Unlock()
 						} else {
-							t.Errorf("a submission that races with the cancellation got %d", code)
+							t.Errorf("a submission that races with the cancellation returned %d", code)
 						}
 					})
 				}
 				time.Sleep(random.milliseconds(0, 30))
 				if _, status := c.requestUntilDecided(random, "POST", "/v2/runs/"+first+"/cancel", nil); status != "cancelled" {
-					t.Fatalf("the cancellation is answered with %q", status)
+					t.Fatalf("the cancellation of the first job returned status %q", status)
 				}
 				mu.Lock()
 				confirmed := append([]string{}, followers...)
@@ -205,13 +205,13 @@
 		c.awaitRunning(5*time.Second, "job-1", 1)
 		for _, step := range []struct{ cancel, waiting int }{{100, 98}, {50, 48}, {1, 0}} { // last, middle, first
 			if status := c.cancelUntilAnswered(fmt.Sprintf("job-%d", step.cancel)); status != "cancelled" {
-				t.Fatalf("the cancellation of %d is answered %q", step.cancel, status)
+				t.Fatalf("the cancellation of job-%d returned status %q", step.cancel, status)
 			}
 			if n := c.countReported("cancelled", step.cancel, 100); n != 101-step.cancel {
-				t.Errorf("%d of the %d from %d on are reported as cancelled", n, 101-step.cancel, step.cancel)
+				t.Errorf("%d of the %d jobs from job-%d on are reported as cancelled", n, 101-step.cancel, step.cancel)
 			}
 			if n := c.countReported("pending", 2, step.cancel-1); step.cancel > 1 && n != step.cancel-2 {
-				t.Errorf("%d of the %d before %d are reported as pending", n, step.cancel-2, step.cancel)
+				t.Errorf("%d of the %d waiting jobs before job-%d are reported as pending", n, step.cancel-2, step.cancel)
 			}
 			c.eventually(30*time.Second, "the outcomes are stored", func() bool {
 				return c.store.CountKeys("job/wait/") == step.waiting
--- a/internal/scenarios/dependencies_failover_test.go
+++ b/internal/scenarios/dependencies_failover_test.go
@@ -27,13 +27,13 @@
 			return fake.Deliver
 		})
 		if status := c.cancelUntilAnswered("job-1"); status != "cancelled" {
-			t.Fatalf("the cancellation is answered with %q", status)
+			t.Fatalf("the cancellation of job-1 returned status %q", status)
 		}
 		time.Sleep(3 * time.Second)
 		leader := c.leader()
 		leader.kill()
 		if n := c.store.CountKeys("job/wait/"); n != 39 {
-			t.Fatalf("%d of 39 records are left", n)
+			t.Fatalf("%d of 39 records of waiting jobs are stored before the failover", n)
 		}
 		c.eventually(10*time.Second, "another leads", func() bool { return c.leader() != nil && c.leader() != leader })
 		c.network.SetRule(nil)
@@ -42,7 +42,7 @@
 			return c.store.CountKeys("job/") == 0 && c.store.CountKeys("end/") == 40
 		})
 		if n := c.countReported("cancelled", 1, 40); n != 40 {
-			t.Errorf("%d of 40 are reported as cancelled", n)
+			t.Errorf("%d of 40 jobs are reported as cancelled", n)
 		}
 		c.consistently(10*time.Second, "none of them starts", func() bool { return c.isAbsent("job-2/0") })
 	})
@@ -105,7 +105,7 @@
 				c.completeJob("job-3")
 				c.eventually(30*time.Second, "all are done", func() bool { return c.countReported("done", 1, 3) == 3 })
 				if hits.Load() == 0 || c.store.CountKeys("job/") != 0 || c.store.CountKeys("end/") != 3 {
-					t.Errorf("hit %d times; %s", hits.Load(), c.store)
+					t.Errorf("faults affected %d transactions, want at least one, and three outcomes but no other job records; store: %s", hits.Load(), c.store)
 				}
 			})
 		}
@@ -146,7 +146,7 @@
 				c.eventually(15*time.Second, "a transaction is on its way", func() bool { return moves.Load() > 0 })
 				injectFault(c, leader)
 				if status := c.cancelUntilAnswered("job-2"); status != "cancelled" {
-					t.Fatalf("the cancellation is answered with %q", status)
+					t.Fatalf("the cancellation of job-2 returned status %q", status)
 				}
 				time.Sleep(delay + time.Second)
 				c.network.SetRule(nil)
@@ -155,7 +155,7 @@
 				}
 				c.consistently(40*time.Second, "it does not run", func() bool { return c.isAbsent("job-2/0", "job-3/0") })
 				if n := c.countReported("cancelled", 2, 3); n != 2 || c.store.CountKeys("job/") != 0 {
-					t.Errorf("%d of 2 are reported as cancelled; %s", n, c.store)
+					t.Errorf("%d of 2 jobs are reported as cancelled; store: %s", n, c.store)
 				}
 			})
 		}
@@ -213,7 +213,7 @@
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		if calls["kv job/"] > waiting/1000+2 || calls["kv end/"] > 2 || calls["kv "] > 20 || calls["commit "] > 20 {
-			t.Errorf("the failover took %v", calls)
+			t.Errorf("the failover took too many calls to the state service: %v", calls)
 		}
 	})
 }
--- a/internal/scenarios/dependencies_test.go
+++ b/internal/scenarios/dependencies_test.go
@@ -71,7 +71,7 @@
 				c.submit("a", newJob("job-5", "array", 1).dependingOn("job-4", "job-1"))
 				c.awaitRunning(15*time.Second, "job-5", 1)
 				if code, out := c.call("b", "POST", "/v2/runs", newJob("job-4", "array", 1).dependingOn("job-99")); code != 200 || out["status"] != "done" {
-					t.Errorf("a repeat of an accepted job got %d %v", code, out)
+					t.Errorf("a repeated submission of accepted job-4 returned %d %v", code, out)
 				}
 			})
 		})
@@ -103,7 +103,7 @@
 		status := c.cancelUntilAnswered("job-1")
 		c.network.SetRule(nil)
 		if status != "cancelled" {
-			t.Fatalf("the cancellation is answered with %q", status)
+			t.Fatalf("the cancellation of job-1 returned status %q", status)
 		}
 		c.consistently(20*time.Second, "the dependent is cancelled with it", func() bool {
 			return c.workerNamed("m1").StartCount("job-2/0") == 0 && c.bothReport("job-2", "cancelled")
@@ -138,14 +138,14 @@
 			for i, node := range nodeNames {
 				code, out := c.call(node, "POST", "/v2/runs", job)
 				if want := test.want; code != want && !(i == 1 && want == 201 && code == 200) {
-					t.Errorf("%s answers %d %v, not %d, to dependencies %v", node, code, out, want, job["awaits"])
+					t.Errorf("node %s returned %d %v, not %d, for a job with dependencies %v", node, code, out, want, job["awaits"])
 				}
 			}
 		}
 		c.network.SetRule(nil)
 		c.store.SetDown(true)
 		if code, _ := c.call("a", "POST", "/v2/runs", newJob("job-90", "array", 1).dependingOn("job-404")); code != 503 {
-			t.Errorf("what can't be decided now gets %d", code)
+			t.Errorf("a submission that cannot be decided during the outage returned %d, not 503", code)
 		}
 		c.store.SetDown(false)
 	})
@@ -174,7 +174,7 @@
 		time.Sleep(25 * time.Second)
 		_, out := c.call("b", "GET", "/v2/runs/job-100/explain", nil)
 		if now := fmt.Sprint(out["now"]); !strings.Contains(now, "awaits job-1: running") || !strings.Contains(now, "at risk") {
-			t.Errorf("explained as %v", out)
+			t.Errorf("the explanation of job-100 lacks the dependency or the risk: %v", out)
 		}
 	})
 }
@@ -209,7 +209,7 @@
 		},
 		"its user cancels it": func(c *testCluster, needed []string) {
 			if status := c.cancelUntilAnswered("job-900000"); status != "cancelled" {
-				c.t.Errorf("its cancellation is answered with %q", status)
+				c.t.Errorf("the cancellation of job-900000 returned status %q", status)
 			}
 			c.eventually(5*time.Second, "its dependent is cancelled", func() bool {
 				return c.bothReport("job-900001", "cancelled")
@@ -218,7 +218,7 @@
 				return c.store.CountKeys("job/wait/") == 0
 			})
 			if !c.bothReport(needed[0], "running") {
-				c.t.Error("a job that it depends on is affected")
+				c.t.Error("the cancellation of job-900000 affected a job that it depends on")
 			}
 		},
 		"a dependency is cancelled": func(c *testCluster, needed []string) {
@@ -230,7 +230,7 @@
 				return c.store.CountKeys("job/wait/") == 0
 			})
 			if _, out := c.call("b", "GET", "/v2/runs/job-900001/explain", nil); !strings.Contains(fmt.Sprint(out["now"]), "cancelled with "+needed[149]) {
-				c.t.Errorf("explained as %v", out)
+				c.t.Errorf("the explanation of job-900001 does not name the cancelled dependency: %v", out)
 			}
 		},
 	} {
@@ -249,7 +249,7 @@
 			})
 			play(c, needed)
 			if c.store.TooLarge > 0 {
-				t.Errorf("%d transactions over the limits", c.store.TooLarge)
+				t.Errorf("%d transactions exceeded the limits of the state service", c.store.TooLarge)
 			}
 		})
 	}
--- a/internal/scenarios/gang_test.go
+++ b/internal/scenarios/gang_test.go
@@ -30,7 +30,7 @@
 			return len(machines) == 1 && machines[0] == "m3"
 		})
 		if start := c.workerNamed("m3").Starts[0]; start != "job-9/0#1" {
-			t.Fatalf("replaced as %s, not under the same attempt", start)
+			t.Fatalf("the replacement was started as %s, not under the same attempt", start)
 		}
 	})
 }
--- a/internal/scenarios/job_status_test.go
+++ b/internal/scenarios/job_status_test.go
@@ -24,7 +24,7 @@
 		c.workerNamed("m1").EndTask("job-1/0", "done")
 		time.Sleep(5 * time.Second)
 		if s := c.status("a", "job-1"); s != "running" {
-			t.Fatalf("half done, but reported as %q", s)
+			t.Fatalf("job-1 is reported as %q while one of its two tasks is done", s)
 		}
 		c.workerNamed("m1").EndTask("job-1/1", "done")
 		c.eventually(4*time.Second, "reported as done", func() bool {
@@ -33,7 +33,7 @@
 		// A repeated submission may arrive at any later time. It returns the status and creates no job.
 		time.Sleep(3 * time.Minute)
 		if code, out := c.call("b", "POST", "/v2/runs", newJob("job-1", "array", 2)); code != 200 || out["status"] != "done" {
-			t.Fatalf("a late repeated submission got %d %v", code, out)
+			t.Fatalf("a repeated submission of job-1 after three minutes returned %d %v", code, out)
 		}
 		c.consistently(10*time.Second, "nothing starts again", func() bool { return c.isAbsent("job-1/0") })
 	})
@@ -58,7 +58,7 @@
 				users.Go(func() {
 					time.Sleep(random.milliseconds(0, 20000))
 					if code, _ := c.requestUntilDecided(random, "POST", "/v2/runs", job); code != 201 {
-						t.Errorf("a submission of %s got %d", id, code)
+						t.Errorf("the submission of %s returned %d", id, code)
 						return
 					}
 					c.askAllNodes(random, job)
@@ -79,7 +79,7 @@
 							return
 						}
 					}
-					t.Errorf("%s is not done", id)
+					t.Errorf("%s is not reported as done within a minute", id)
 				})
 			}
 			users.Wait()
@@ -106,7 +106,7 @@
 					id := fmt.Sprintf("job-%d%d", round+1, i)
 					ids = append(ids, id)
 					if code, _ := c.requestUntilDecided(random, "POST", "/v2/runs", newJob(id, "array", 1)); code != 201 {
-						t.Fatalf("a submission got %d", code)
+						t.Fatalf("a submission returned %d", code)
 					}
 				}
 				c.eventually(20*time.Second, "they run", func() bool {
@@ -161,7 +161,7 @@
 		m1.EndTask("job-1/0", "done")
 		c.awaitStatus(5*time.Second, "a", "job-1", "done")
 		if code, _ := c.call("a", "POST", "/v2/runs/job-3/cancel", nil); code != 200 {
-			t.Fatalf("cancel answered %d", code)
+			t.Fatalf("the cancellation of job-3 returned %d", code)
 		}
 		c.store.SetDown(true)
 		time.Sleep(10 * time.Second)
@@ -173,7 +173,7 @@
 		time.Sleep(30 * time.Second)
 		for _, node := range nodeNames {
 			if code, _ := c.call(node, "GET", "/v2/runs/job-2", nil); code != 503 {
-				t.Fatalf("%s answered %d for a status that it can't know in the outage", node, code)
+				t.Fatalf("node %s returned %d, not 503, for a status that it cannot know during the outage", node, code)
 			}
 		}
 		c.store.SetDown(false)
@@ -190,7 +190,7 @@
 		})
 		for id, status := range want {
 			if code, out := c.call("b", "POST", "/v2/runs", newJob(id, "array", 1)); code != 200 || out["status"] != status {
-				t.Errorf("a repeated submission of %s got %d %v", id, code, out)
+				t.Errorf("a repeated submission of %s returned %d %v", id, code, out)
 			}
 		}
 		c.consistently(30*time.Second, "the cancelled job does not start", func() bool {
@@ -221,16 +221,16 @@
 				change(job)
 				for _, node := range nodeNames {
 					if code, out := c.call(node, "POST", "/v2/runs", job); code != want {
-						t.Errorf("%s answers %d %v, not %d, to %v", node, code, out, want, job)
+						t.Errorf("node %s returned %d %v, not %d, for submission %v", node, code, out, want, job)
 					}
 					if code, _ := c.call(node, "GET", "/v2/runs/"+id, nil); code != 404 {
-						t.Errorf("%s answers %d for a rejected job", node, code)
+						t.Errorf("node %s returned %d, not 404, for the status of a rejected job", node, code)
 					}
 				}
 				for known, status := range map[string]string{"job-1": "running", "job-2": "cancelled"} {
 					for _, node := range nodeNames {
 						if code, out := c.call(node, "POST", "/v2/runs", newJob(known, "array", 1)); code != 200 || out["status"] != status {
-							t.Errorf("%s answers %d %v to a repeated submission of %s", node, code, out, known)
+							t.Errorf("node %s returned %d %v for a repeated submission of %s", node, code, out, known)
 						}
 					}
 				}
@@ -330,20 +330,20 @@
 					id := fmt.Sprintf("job-%d", i+1)
 					began := time.Now()
 					if code, _ := c.requestUntilDecided(random, "POST", "/v2/runs", newJob(id, "array", 1)); code != 201 && code != 200 {
-						t.Errorf("the submission of %s got %d", id, code)
+						t.Errorf("the submission of %s returned %d", id, code)
 						return
 					}
 					if i%4 == 0 {
 						time.Sleep(random.milliseconds(0, 2500))
 						if code, _ := c.requestUntilDecided(random, "POST", "/v2/runs/"+id+"/cancel", nil); code != 200 {
-							t.Errorf("the cancel of %s got %d", id, code)
+							t.Errorf("the cancellation of %s returned %d", id, code)
 						}
 					}
 					for {
 						code, status := c.requestUntilDecided(random, "GET", "/v2/runs/"+id, nil)
 						took := time.Since(began)
 						if code != 200 || took > 30*time.Second {
-							t.Errorf("%s after %v: %d %q", id, took, code, status)
+							t.Errorf("the status request for %s returned, %v after the submission, %d %q", id, took, code, status)
 							return
 						}
 						if status == "done" || status == "cancelled" {
@@ -367,7 +367,7 @@
 			users.Wait()
 			close(done)
 			completions.Wait()
-			t.Logf("the slowest took %v", slowest)
+			t.Logf("the slowest job took %v", slowest)
 		})
 	}
 }
--- a/internal/scenarios/leadership_test.go
+++ b/internal/scenarios/leadership_test.go
@@ -20,7 +20,7 @@
 		time.Sleep(5 * time.Second)
 		term := a.elector.Term()
 		if term == nil || !a.elector.LeaseSurelyHeld(term) {
-			t.Fatal("a leader that renews its lease is not certain of it")
+			t.Fatal("a leader that renews its lease is not certain that it holds the lease")
 		}
 		c.network.SetRule(func(from, to string, _ *http.Request, _ []byte) fake.Outcome {
 			if from == "a" && to == "state:1" {
@@ -30,7 +30,7 @@
 		})
 		time.Sleep(1600 * time.Millisecond)
 		if a.elector.LeaseSurelyHeld(term) {
-			t.Error("a leader whose lease may have expired is certain of it")
+			t.Error("a leader whose lease may have expired is certain that it holds the lease")
 		}
 		c.network.SetRule(nil)
 	})
@@ -54,7 +54,7 @@
 			c.mu.Lock()
 			defer c.mu.Unlock()
 			if len(b.askedForConfirmation) != want || want == 1 && b.askedForConfirmation[0] != "a" {
-				t.Errorf("after %v of a's leadership, asked %v", observed, b.askedForConfirmation)
+				t.Errorf("a new leader that observed the leadership of a for %v asked nodes %v to confirm that they stopped", observed, b.askedForConfirmation)
 			}
 		})
 	}
@@ -85,7 +85,7 @@
 			return len(machines) == 1 && machines[0] == "m2"
 		})
 		if elapsed := time.Since(failoverAt); elapsed > 30*time.Second {
-			t.Fatalf("took %v although the former leader's node confirmed", elapsed)
+			t.Fatalf("the task moved to m2 only after %v, although the node of the former leader could confirm that it stopped", elapsed)
 		}
 	})
 }
@@ -106,7 +106,7 @@
 		c.awaitLeadership(time.Second, restarted)
 		c.consistently(30*time.Second, "the replica goes on", func() bool { return c.isRunning("job-15/0") })
 		if n := c.workerNamed("m1").StartCount("job-15/0"); n != 1 {
-			t.Fatalf("started %d times", n)
+			t.Fatalf("job-15/0 was started %d times, not once", n)
 		}
 	})
 }
@@ -175,7 +175,7 @@
 		// The requests that were held back arrive.
 		c.network.SetRule(nil)
 		if c.network.ReleaseHeld() == 0 {
-			t.Fatal("nothing was held back")
+			t.Fatal("no request was held back")
 		}
 		c.awaitStepDown(3*time.Second, stalled)
 		c.consistently(25*time.Second, "what runs goes on", func() bool {
@@ -222,7 +222,7 @@
 		c.network.SetRule(nil)
 		c.awaitStepDown(10*time.Second, a)
 		if n := c.workerNamed("m1").StartCount("job-2/0"); n != 1 {
-			t.Fatalf("started %d times", n)
+			t.Fatalf("job-2/0 was started %d times, not once", n)
 		}
 	})
 }
--- a/internal/scenarios/partition_test.go
+++ b/internal/scenarios/partition_test.go
@@ -51,7 +51,7 @@
 			})
 			c.requireStartedOnce("job-1/0", "job-1/1", "job-1/2", "job-1/3", "job-2/0", "job-2/1")
 			if s := c.status(isolated.name, "job-2"); s != "running" {
-				t.Errorf("%s: the former leader reports a running job as %q", kind, s)
+				t.Errorf("%s: the former leader reports the running job-2 as %q", kind, s)
 			}
 		})
 	}
@@ -110,7 +110,7 @@
 		// The partition ends, and all requests that were held back arrive.
 		c.network.SetRule(nil)
 		if c.network.ReleaseHeld() < 10 {
-			t.Fatal("nothing was held back")
+			t.Fatal("fewer than 10 requests were held back")
 		}
 		c.awaitRunning(30*time.Second, "job-1", 4)
 		for _, job := range []string{"job-2", "job-3"} {
@@ -170,7 +170,7 @@
 			return c.allRunning("job-1", 4) && c.allRunning("job-2", 2)
 		})
 		if c.leader() == second {
-			t.Error("the leader that hears no worker goes on leading")
+			t.Error("the leader that is partitioned from the workers did not step down")
 		}
 		c.network.SetRule(nil)
 		c.network.ReleaseHeld()
@@ -208,17 +208,17 @@
 		c.eventually(18*time.Second, "the other node leads", func() bool {
 			if cluster := leader.elector.Cluster(); cluster != nil {
 				if terminated := cluster.MachinesToTerminate(time.Now(), nil); len(terminated) > 0 {
-					t.Fatalf("returned %v although this node alone is partitioned", terminated)
+					t.Fatalf("the leader returned machines %v although only this node is partitioned from them", terminated)
 				}
 				leader.elector.HandleRedirectedWorkers(successor.elector.RedirectedWorkers())
 			}
 			return successor.elector.Cluster() != nil
 		})
-		t.Logf("stepped down %v after the partition", time.Since(partitionedAt))
+		t.Logf("the leader stepped down %v after the start of the partition", time.Since(partitionedAt))
 		c.consistently(40*time.Second, "the replicas go on", func() bool { return c.isRunning("job-19/3") })
 		for _, worker := range c.workers {
 			if worker.StartCount("job-19/3") > 1 {
-				t.Fatal("restarted")
+				t.Fatal("job-19/3 was started again")
 			}
 		}
 	})
@@ -253,10 +253,10 @@
 			return len(machines) == 1 && machines[0] == "m2"
 		})
 		if elapsed := time.Since(failoverAt); elapsed < 36*time.Second {
-			t.Fatalf("started on m2 after only %v", elapsed)
+			t.Fatalf("job-4/0 was started on m2 too early, %v after the failover", elapsed)
 		}
 		if len(m1.ActiveTasks()) != 0 {
-			t.Fatal("the task is still on m1")
+			t.Fatal("job-4/0 is still on m1")
 		}
 	})
 }
--- a/internal/scenarios/random_faults_test.go
+++ b/internal/scenarios/random_faults_test.go
@@ -71,7 +71,7 @@
 				if i%3 == 2 {
 					c.requestUntilDecided(random, "POST", "/v2/runs/"+id+"/cancel", nil)
 				} else if code, _ := c.requestUntilDecided(random, "POST", "/v2/runs", specs[i]); code != 200 && code != 201 {
-					t.Errorf("a submission of %s got %d", id, code)
+					t.Errorf("the submission of %s returned %d", id, code)
 				}
 			}
 			for i, id := range ids {
--- a/internal/scenarios/record_limits_test.go
+++ b/internal/scenarios/record_limits_test.go
@@ -101,7 +101,7 @@
 					test.before(c)
 				}
 				if status := c.cancelUntilAnswered("job-1"); status != "cancelled" {
-					t.Fatalf("the cancellation is answered with %q", status)
+					t.Fatalf("the cancellation of job-1 returned status %q", status)
 				}
 				if test.after != nil {
 					test.after(c)
@@ -120,7 +120,7 @@
 					return c.bothReport("job-1", "cancelled") && c.bothReport("job-2", "cancelled")
 				})
 				if c.store.TooLarge > 2 { // each node may learn of the lower limits from one failed write
-					t.Errorf("%d writes were too large", c.store.TooLarge)
+					t.Errorf("%d writes exceeded the limits of the state service", c.store.TooLarge)
 				}
 			})
 		})
@@ -175,10 +175,10 @@
 					c.completeJob("job-1")
 				}
 				if commits.Load() > 100 {
-					t.Errorf("%d transactions", commits.Load())
+					t.Errorf("%d transactions were sent while job-1 completed, more than 100", commits.Load())
 				}
 				if c.status("a", "job-1") != "done" || c.store.TooLarge > 0 {
-					t.Errorf("the job is %s, %d writes were too large; store: %s", c.status("a", "job-1"), c.store.TooLarge, c.store)
+					t.Errorf("job-1 is reported as %s, %d writes exceeded the limits of the state service; store: %s", c.status("a", "job-1"), c.store.TooLarge, c.store)
 				}
 			})
 		})
--- a/internal/scenarios/restart_test.go
+++ b/internal/scenarios/restart_test.go
@@ -51,7 +51,7 @@
 		for _, task := range []string{"job-1/0", "job-1/1", "job-1/2", "job-1/3"} {
 			n := c.workerNamed("m1").StartCount(task) + c.workerNamed("m2").StartCount(task)
 			if n != 1 || !c.isRunning(task) {
-				t.Errorf("%s was started %d times and is on %v", task, n, c.machinesRunning(task))
+				t.Errorf("%s was started %d times, want once, and is on machines %v", task, n, c.machinesRunning(task))
 			}
 		}
 	})
@@ -84,7 +84,7 @@
 		})
 		time.Sleep(5 * time.Second)
 		if code, _ := c.call("a", "POST", "/v2/runs/job-3/cancel", nil); code != 200 {
-			t.Fatalf("cancel answered %d", code)
+			t.Fatalf("the cancellation of job-3 returned %d", code)
 		}
 		for _, worker := range c.workers {
 			worker.EndTask("job-1/0", "done")
@@ -111,7 +111,7 @@
 		restartBoth() // in the middle of the election
 		time.Sleep(200 * time.Millisecond)
 		if c.network.ReleaseHeld() < 8 {
-			t.Fatal("no duplicates were held back")
+			t.Fatal("fewer than 8 duplicates were held back")
 		}
 		m1.SetSilent(false)
 		c.awaitAnyLeader(10 * time.Second)
@@ -153,7 +153,7 @@
 		c.startNode("a")
 		c.startNode("b")
 		if code, _ := c.call("a", "POST", "/v2/runs", newJob("job-8", "array", 1)); code == 201 || code == 200 {
-			t.Fatalf("accepted (%d) what could not be stored", code)
+			t.Fatalf("a submission that could not be stored during the outage was accepted with %d", code)
 		}
 		c.workerNamed("m1").EndTask("job-7/0", "done")
 		time.Sleep(2 * time.Second)
@@ -162,7 +162,7 @@
 		c.awaitStatus(12*time.Second, "a", "job-7", "done")
 		c.consistently(10*time.Second, "the replica went on", func() bool { return c.isRunning("job-6/0") })
 		if n := c.workerNamed("m1").StartCount("job-6/0"); n != 1 {
-			t.Fatalf("the replica was started %d times", n)
+			t.Fatalf("job-6/0 was started %d times, not once", n)
 		}
 	})
 }
--- a/internal/scenarios/scheduling_test.go
+++ b/internal/scenarios/scheduling_test.go
@@ -184,7 +184,7 @@
 					for _, id := range normal {
 						for i := range 2 {
 							if started := c.rules.FirstStart(fmt.Sprintf("%s/%d", id, i)); started.Before(lastUrgentStart) {
-								t.Errorf("%s/%d started %v before the last urgent task", id, i, lastUrgentStart.Sub(started))
+								t.Errorf("%s/%d started %v before the last start of an urgent task", id, i, lastUrgentStart.Sub(started))
 							}
 						}
 					}
--- a/internal/scenarios/shards_test.go
+++ b/internal/scenarios/shards_test.go
@@ -31,7 +31,7 @@
 				go c.completeRandomTasks("", 3, rand.New(rand.NewPCG(seed, 10)))
 				time.Sleep(5 * time.Second)
 				if leaders := c.leaders(); slices.Contains(leaders, "") {
-					t.Fatalf("led by %q", leaders)
+					t.Fatalf("some shards have no leader after 5 s; leaders by shard: %q", leaders)
 				}
 				const jobs = 24
 				for i := range jobs {
@@ -122,7 +122,7 @@
 			c.workerNamed(c.machinesRunning(id + "/0")[0]).EndTask(id+"/0", "done")
 		}
 		if len(shards) != c.shardCount {
-			t.Fatalf("the chain spans %d shards", len(shards))
+			t.Fatalf("the chain of jobs spans only %d shards", len(shards))
 		}
 		second := chain(200)
 		c.eventually(20*time.Second, "the first runs", func() bool { return c.isRunning(second[0] + "/0") })
@@ -168,12 +168,12 @@
 		}
 		time.Sleep(5 * time.Second)
 		if provisioned, unknown := owners("provisioned"), owners("unknown"); len(provisioned)+len(unknown) > 0 {
-			t.Fatalf("while its request is pending the machine belongs to %v, an unknown one to %v", provisioned, unknown)
+			t.Fatalf("while the provisioning request is unanswered, the provisioned machine belongs to shards %v, the unknown one to %v", provisioned, unknown)
 		}
 		c.storeValue(key, map[string]any{"hire": "h-s2-1-1", "count": 1, "hosts": []string{"provisioned"}})
 		time.Sleep(5 * time.Second)
 		if provisioned, unknown := owners("provisioned"), owners("unknown"); !slices.Equal(provisioned, []int{2}) || !slices.Equal(unknown, []int{0}) {
-			t.Errorf("the provisioned machine belongs to %v, the unknown one to %v", provisioned, unknown)
+			t.Errorf("after the answer, the provisioned machine belongs to shards %v, the unknown one to %v", provisioned, unknown)
 		}
 	})
 }
@@ -212,13 +212,13 @@
 		oneShardNode := c.testCluster.startNode("a")
 		time.Sleep(20 * time.Second)
 		if oneShardNode.elector.Term() != nil {
-			t.Error("a controller of one shard leads beside the leaders of three")
+			t.Error("a controller with one shard leads on a store with three shards")
 		}
 		c.shardCount = 2
 		node := c.startNode("e")
 		time.Sleep(2 * time.Second)
 		if !errors.Is(node.startupError, election.ErrLayoutMismatch) || !strings.Contains(node.startupError.Error(), "3, not 2") {
-			t.Errorf("two shards on a store of three: %v", node.startupError)
+			t.Errorf("startup error of a controller with two shards on a store with three: got %v, want a layout mismatch", node.startupError)
 		}
 		c.shardCount = 3
 		c.stopNode("d")
@@ -226,7 +226,7 @@
 		node = c.startNode("d")
 		time.Sleep(2 * time.Second)
 		if !errors.Is(node.startupError, quota.ErrBadLedger) || !strings.Contains(node.startupError.Error(), "newer form") {
-			t.Errorf("a ledger of a newer version: %v", node.startupError)
+			t.Errorf("startup error on a store with a quota ledger of a newer version: got %v, want a bad ledger", node.startupError)
 		}
 	})
 	scenario(t, func(t *testing.T, single *testCluster) {
@@ -238,7 +238,7 @@
 		node := c.startNode("e")
 		time.Sleep(2 * time.Second)
 		if !errors.Is(node.startupError, election.ErrJobsStored) {
-			t.Errorf("three shards on a store with a job of one: %v", node.startupError)
+			t.Errorf("startup error of a controller with three shards on a store with a job of one shard: got %v, want stored jobs", node.startupError)
 		}
 	})
 }
--- a/internal/scenarios/stale_heartbeats_test.go
+++ b/internal/scenarios/stale_heartbeats_test.go
@@ -37,7 +37,7 @@
 			// The copies arrive.
 			time.Sleep(delay)
 			if c.network.ReleaseHeld() < 3 {
-				t.Fatal("no duplicates were held back")
+				t.Fatal("fewer than 3 duplicates of heartbeats were held back")
 			}
 			c.consistently(25*time.Second, "replicas go on, no past task starts", func() bool {
 				return len(m1.ActiveTasks()) == 4 && c.isRunning("job-2/0") && c.isAbsent("job-1/0")
@@ -46,13 +46,13 @@
 				for i := range 8 {
 					for _, job := range []string{"job-1/", "job-2/"} {
 						if n := worker.StartCount(job + string(rune('0'+i))); n > 1 {
-							t.Fatalf("%s%d started %d times on %s", job, i, n, worker.Name)
+							t.Fatalf("%s%d was started %d times on %s", job, i, n, worker.Name)
 						}
 					}
 				}
 			}
 			if s := c.status("a", "job-1"); s != "done" {
-				t.Fatalf("a completed job is reported as %q", s)
+				t.Fatalf("the completed job-1 is reported as %q", s)
 			}
 		})
 	}
@@ -87,7 +87,7 @@
 		a = c.startNode("a")
 		c.awaitLeadership(5*time.Second, a)
 		if c.network.ReleaseHeld() < 2 {
-			t.Fatal("no duplicates were held back")
+			t.Fatal("fewer than 2 duplicates of heartbeats were held back")
 		}
 		c.startWorker("m2", "south")
 		time.Sleep(4 * time.Second)
@@ -97,7 +97,7 @@
 			return c.isRunning("job-2/0") && c.machinesRunning("job-2/0")[0] == "m1"
 		})
 		if m1.StartCount("job-1/0") != 1 || m1.StartCount("job-2/0") != 1 || !c.isAbsent("job-1/0") {
-			t.Fatal("something was started again")
+			t.Fatal("a task of job-1 or job-2 was started again, or job-1/0 still runs")
 		}
 		m1.EndTask("job-2/0", "done")
 		c.eventually(8*time.Second, "done", func() bool {
@@ -207,7 +207,7 @@
 					}
 					c.mu.Unlock()
 					if stale == nil {
-						t.Fatal("no heartbeat shows the end")
+						t.Fatal("no heartbeat shows the end of job-1/0")
 					}
 					c.eventually(10*time.Second, "it is replaced", bothWaiting)
 					if newIncarnation {
@@ -217,7 +217,7 @@
 						c.eventually(15*time.Second, "it is replaced again", bothWaiting)
 					}
 					if c.machinesRunning("job-1/0")[0] != machine.Name || strings.TrimSuffix(machine.Starts[len(machine.Starts)-1], "#1") == machine.Starts[len(machine.Starts)-1] {
-						t.Fatalf("not replaced there under the same attempt: %v on %v", machine.Starts, c.machinesRunning("job-1/0"))
+						t.Fatalf("job-1/0 was not replaced on the same machine under the same attempt: starts %v, now on %v", machine.Starts, c.machinesRunning("job-1/0"))
 					}
 					c.passTime(3 * time.Second)
 					// The leader crashes, and its successor receives the stale heartbeat first.
@@ -234,7 +234,7 @@
 					c.heal()
 					c.passTime(leaseDuration + 5*time.Second)
 					if !c.allRunning("job-1", 2) {
-						t.Errorf("its tasks are on %v and %v", c.machinesRunning("job-1/0"), c.machinesRunning("job-1/1"))
+						t.Errorf("the two tasks of job-1 are on machines %v and %v, not on one each", c.machinesRunning("job-1/0"), c.machinesRunning("job-1/1"))
 					}
 				})
 			})
--- a/internal/scenarios/transactions_test.go
+++ b/internal/scenarios/transactions_test.go
@@ -75,7 +75,7 @@
 			time.Sleep(time.Duration(i) * random.milliseconds(500, 2000))
 			code, _ := c.requestUntilDecided(random, "POST", "/v2/runs", job)
 			if code != 200 && code != 201 {
-				t.Errorf("a submission of %s got %d", id, code)
+				t.Errorf("the submission of %s returned %d", id, code)
 				return
 			}
 			background.Go(func() {
@@ -97,7 +97,7 @@
 			}
 			if cancelled {
 				if code, _ := c.requestUntilDecided(random, "POST", "/v2/runs/"+id+"/cancel", nil); code != 200 {
-					t.Errorf("a cancel of %s got %d", id, code)
+					t.Errorf("the cancellation of %s returned %d", id, code)
 				}
 			}
 		})
@@ -133,7 +133,7 @@
 	close(done)
 	background.Wait()
 	if hits == 0 {
-		t.Error("no transaction was hit")
+		t.Error("no transaction was affected by the fault")
 	}
 }
 
@@ -158,7 +158,7 @@
 		c.workerNamed("m1").EndTask("job-14/0", "done")
 		c.awaitStatus(8*time.Second, "a", "job-14", "done")
 		if lost == 0 {
-			t.Fatal("no response was lost")
+			t.Fatal("no response to an assignment was lost")
 		}
 	})
 }
@@ -176,13 +176,13 @@
 			if isCommit(r) {
 				var txn struct{ Then []json.RawMessage }
 				if err := json.Unmarshal(body, &txn); err != nil {
-					t.Errorf("a transaction that is no JSON: %v", err)
+					t.Errorf("the body of a transaction is not valid JSON: %v", err)
 				}
 				c.mu.Lock()
 				changes[time.Now().Unix()] += len(txn.Then)
 				c.mu.Unlock()
 				if len(txn.Then) > perTxn {
-					t.Errorf("%d changes in one transaction", len(txn.Then))
+					t.Errorf("one transaction has %d changes, more than the limit", len(txn.Then))
 				}
 			}
 			return fake.Deliver
@@ -202,7 +202,7 @@
 					count++
 				case 503:
 				default:
-					t.Fatalf("a submission got %d", code)
+					t.Fatalf("a submission returned %d", code)
 				}
 				time.Sleep(2 * time.Millisecond)
 				if i%20 == 0 {
@@ -233,13 +233,13 @@
 		defer c.mu.Unlock()
 		for second, count := range changes {
 			if count > 2*perSecond || count+changes[second+1]+changes[second+2] > 4*perSecond {
-				t.Errorf("%d changes in a second", count)
+				t.Errorf("too many changes in the state service within one second (%d) or three seconds", count)
 			}
 		}
 		for i := range jobs {
 			task := ids.Task{Job: ids.Job(fmt.Sprintf("job-%d", i+1))}.String()
 			if count := m1.StartCount(task) + m2.StartCount(task); count != 1 {
-				t.Fatalf("%s was started %d times", task, count)
+				t.Fatalf("%s was started %d times, not once", task, count)
 			}
 		}
 	})
