--- a/internal/scenarios/cancellation_test.go
+++ b/internal/scenarios/cancellation_test.go
@@ -58,10 +58,10 @@
 		leader := c.leader().name
 		other := otherNode(leader)
 		c.network.SetRule(func(from, to string, _ *http.Request, _ []byte) fake.Outcome {
-			inside := func(host string) bool {
+			isInPartition := func(host string) bool {
 				return host == leader || strings.HasPrefix(host, leader+":") || strings.HasPrefix(host, "m1:")
 			}
-			if inside(from) != inside(to) {
+			if isInPartition(from) != isInPartition(to) {
 				return fake.HoldBack
 			}
 			return fake.Deliver
--- a/internal/scenarios/dependencies_cancellation_test.go
+++ b/internal/scenarios/dependencies_cancellation_test.go
@@ -40,16 +40,16 @@
 				c.startPair()
 				c.submit("a", newJob("job-1", "array", 1))
 				last := "job-1"
-				var chain []string
+				var dependents []string
 				for i := 2; i < 12; i++ { // a long chain, and many dependents of its last job
 					id := fmt.Sprintf("job-%d", i)
 					c.submit("b", newJob(id, "array", 1).dependingOn(last))
-					chain, last = append(chain, id), id
+					dependents, last = append(dependents, id), id
 				}
 				for i := 20; i < 40; i++ {
 					id := fmt.Sprintf("job-%d", i)
 					c.submit("a", newJob(id, "array", 1).dependingOn(last, "job-1"))
-					chain = append(chain, id)
+					dependents = append(dependents, id)
 				}
 				c.awaitRunning(5*time.Second, "job-1", 1)
 				var submission sync.WaitGroup
@@ -72,7 +72,7 @@
 				status := cancel(c)
 				if status != "done" {
 					c.eventually(2*time.Second, "all dependents are reported as cancelled", func() bool {
-						for _, id := range slices.Backward(chain) { // last job first, so that no answer relies on another
+						for _, id := range slices.Backward(dependents) { // last job first, so that no answer relies on another
 							if c.status("a", id) != "cancelled" && c.status("b", id) != "cancelled" {
 								return false
 							}
@@ -87,7 +87,7 @@
 					return
 				}
 				c.eventually(25*time.Second, "all dependents are cancelled at both nodes", func() bool {
-					for _, id := range append(chain, "job-50") {
+					for _, id := range append(dependents, "job-50") {
 						if !c.bothReport(id, "cancelled") {
 							return false
 						}
@@ -156,13 +156,13 @@
 			for round := range 5 {
 				first := fmt.Sprintf("job-%d00", round+1)
 				c.requestUntilDecided(random, "POST", "/v2/runs", newJob(first, "array", 1))
-				followers, previous := []string{}, first
+				dependents, previous := []string{}, first
 				for i := range 6 {
 					id := fmt.Sprintf("job-%d%02d", round+1, i+1)
 					if code, _ := c.requestUntilDecided(random, "POST", "/v2/runs", newJob(id, "array", 1).dependingOn(previous)); code != 201 {
 						t.Fatalf("the submission of a dependent job returned %d", code)
 					}
-					followers, previous = append(followers, id), id
+					dependents, previous = append(dependents, id), id
 				}
 				time.Sleep(random.milliseconds(0, 3000)) // the first job may be waiting, starting or running
 				var submissions sync.WaitGroup
@@ -173,7 +173,7 @@
 						id := fmt.Sprintf("job-%d%02d", round+1, 50+i)
 						if code, _ := c.requestUntilDecided(random, "POST", "/v2/runs", newJob(id, "array", 1).dependingOn([]string{first, previous}[i%2])); code == 201 || code == 200 {
 							mu.Lock()
-							followers = append(followers, id)
+							dependents = append(dependents, id)
 							mu.Unlock()
 						} else {
 							t.Errorf("a submission that races with the cancellation returned %d", code)
@@ -185,11 +185,11 @@
 					t.Fatalf("the cancellation of the first job returned status %q", status)
 				}
 				mu.Lock()
-				confirmed := append([]string{}, followers...)
+				confirmed := append([]string{}, dependents...)
 				mu.Unlock()
 				c.requireCancelledAtAllNodes(confirmed)
 				submissions.Wait()
-				c.requireCancelledAtAllNodes(followers)
+				c.requireCancelledAtAllNodes(dependents)
 			}
 		})
 	}
--- a/internal/scenarios/dependencies_failover_test.go
+++ b/internal/scenarios/dependencies_failover_test.go
@@ -75,17 +75,17 @@
 				leader := c.leader()
 				c.network.SetDelay(func() time.Duration { return delay })
 				killLeaderSoon := func() { time.AfterFunc(50*time.Millisecond, leader.kill) }
-				var hits atomic.Int32
+				var affected atomic.Int32
 				c.network.SetRule(func(from, _ string, r *http.Request, body []byte) fake.Outcome {
 					switch end := kindOfTransaction(r, body) == storesOutcome; {
 					case from != leader.name:
 					case leaderRemovesWaitingJobs(r, body):
-						if hits.Add(1) == 1 {
+						if affected.Add(1) == 1 {
 							killLeaderSoon()
 						}
 						return outcomes.move
 					case end && outcomes.end != fake.Deliver:
-						if hits.Add(1) == 1 {
+						if affected.Add(1) == 1 {
 							killLeaderSoon()
 						}
 						return outcomes.end
@@ -104,18 +104,18 @@
 				c.completeJob("job-2")
 				c.completeJob("job-3")
 				c.eventually(30*time.Second, "all are done", func() bool { return c.countReported("done", 1, 3) == 3 })
-				if hits.Load() == 0 || c.store.CountKeys("job/") != 0 || c.store.CountKeys("end/") != 3 {
-					t.Errorf("faults affected %d transactions, want at least one, and three outcomes but no other job records; store: %s", hits.Load(), c.store)
+				if affected.Load() == 0 || c.store.CountKeys("job/") != 0 || c.store.CountKeys("end/") != 3 {
+					t.Errorf("faults affected %d transactions, want at least one, and three outcomes but no other job records; store: %s", affected.Load(), c.store)
 				}
 			})
 		}
 	}
 }
 
-// TestDelayedTransactionDoesNotReviveCancelledJob checks that a cancelled job does not run if a
+// TestDelayedTransactionDoesNotStartCancelledJob checks that a cancelled job does not run if a
 // transaction that makes it schedulable is executed after the cancellation, whether a former or the
 // current leader sent it.
-func TestDelayedTransactionDoesNotReviveCancelledJob(t *testing.T) {
+func TestDelayedTransactionDoesNotStartCancelledJob(t *testing.T) {
 	t.Parallel()
 	for name, injectFault := range map[string]func(c *testCluster, leader *testNode){
 		"no failover": func(*testCluster, *testNode) {},
--- a/internal/scenarios/dependencies_test.go
+++ b/internal/scenarios/dependencies_test.go
@@ -184,15 +184,15 @@
 // able to start, and to be cancelled by its user or through a dependency.
 func TestJobWithManyDependenciesFitsSmallValueLimit(t *testing.T) {
 	t.Parallel()
-	for name, play := range map[string]func(c *testCluster, needed []string){
-		"it runs": func(c *testCluster, needed []string) {
-			for _, id := range needed[1:] {
+	for name, finishScenario := range map[string]func(c *testCluster, dependencies []string){
+		"it runs": func(c *testCluster, dependencies []string) {
+			for _, id := range dependencies[1:] {
 				c.completeJob(id)
 			}
 			c.consistently(8*time.Second, "it waits for the last dependency", func() bool {
 				return c.bothReport("job-900000", "pending")
 			})
-			c.completeJob(needed[0])
+			c.completeJob(dependencies[0])
 			c.awaitRunning(15*time.Second, "job-900000", 1)
 			c.completeJob("job-900000")
 			c.awaitRunning(15*time.Second, "job-900001", 1)
@@ -203,11 +203,11 @@
 			// A restarted node has no outcome in memory and reads them from the state service.
 			c.nodes["b"].kill()
 			c.startNode("b")
-			c.eventually(10*time.Second, "it answers", func() bool { return c.status("b", needed[0]) == "done" })
-			c.submit("b", newSmallJob("job-900002").dependingOn(needed...))
+			c.eventually(10*time.Second, "it answers", func() bool { return c.status("b", dependencies[0]) == "done" })
+			c.submit("b", newSmallJob("job-900002").dependingOn(dependencies...))
 			c.awaitRunning(15*time.Second, "job-900002", 1)
 		},
-		"its user cancels it": func(c *testCluster, needed []string) {
+		"its user cancels it": func(c *testCluster, dependencies []string) {
 			if status := c.cancelUntilAnswered("job-900000"); status != "cancelled" {
 				c.t.Errorf("the cancellation of job-900000 returned status %q", status)
 			}
@@ -217,19 +217,19 @@
 			c.eventually(20*time.Second, "the outcomes are stored", func() bool {
 				return c.store.CountKeys("job/wait/") == 0
 			})
-			if !c.bothReport(needed[0], "running") {
+			if !c.bothReport(dependencies[0], "running") {
 				c.t.Error("the cancellation of job-900000 affected a job that it depends on")
 			}
 		},
-		"a dependency is cancelled": func(c *testCluster, needed []string) {
-			c.cancelUntilAnswered(needed[149])
+		"a dependency is cancelled": func(c *testCluster, dependencies []string) {
+			c.cancelUntilAnswered(dependencies[149])
 			c.eventually(5*time.Second, "it is cancelled, and its dependent", func() bool {
 				return c.bothReport("job-900000", "cancelled") && c.bothReport("job-900001", "cancelled")
 			})
 			c.eventually(20*time.Second, "the outcomes are stored", func() bool {
 				return c.store.CountKeys("job/wait/") == 0
 			})
-			if _, out := c.call("b", "GET", "/v2/runs/job-900001/explain", nil); !strings.Contains(fmt.Sprint(out["now"]), "cancelled with "+needed[149]) {
+			if _, out := c.call("b", "GET", "/v2/runs/job-900001/explain", nil); !strings.Contains(fmt.Sprint(out["now"]), "cancelled with "+dependencies[149]) {
 				c.t.Errorf("the explanation of job-900001 does not name the cancelled dependency: %v", out)
 			}
 		},
@@ -238,16 +238,16 @@
 			c.valueLimitKB = 2
 			c.store.SetLimits(2048, 12)
 			c.startPair()
-			needed := c.submitFanIn(newRandomSource(1), 150)
+			dependencies := c.submitFanIn(newRandomSource(1), 150)
 			c.eventually(20*time.Second, "they run", func() bool {
-				for _, id := range needed {
+				for _, id := range dependencies {
 					if !c.allRunning(id, 1) {
 						return false
 					}
 				}
 				return true
 			})
-			play(c, needed)
+			finishScenario(c, dependencies)
 			if c.store.TooLarge > 0 {
 				t.Errorf("%d transactions exceeded the limits of the state service", c.store.TooLarge)
 			}
--- a/internal/scenarios/leadership_test.go
+++ b/internal/scenarios/leadership_test.go
@@ -42,28 +42,28 @@
 // leader from relying on the expiry of leases.
 func TestNewLeaderAsksOnlyRecentLeadersForConfirmation(t *testing.T) {
 	t.Parallel()
-	for observed, want := range map[time.Duration]int{5 * time.Second: 0, 30 * time.Second: 1} {
+	for observedFor, want := range map[time.Duration]int{5 * time.Second: 0, 30 * time.Second: 1} {
 		scenario(t, func(t *testing.T, c *testCluster) {
 			a := c.startNode("a")
 			c.awaitLeadership(5*time.Second, a)
 			b := c.startNode("b")
-			time.Sleep(observed)
+			time.Sleep(observedFor)
 			a.kill()
 			c.awaitLeadership(5*time.Second, b)
 			time.Sleep(time.Second)
 			c.mu.Lock()
 			defer c.mu.Unlock()
 			if len(b.askedForConfirmation) != want || want == 1 && b.askedForConfirmation[0] != "a" {
-				t.Errorf("a new leader that observed the leadership of a for %v asked nodes %v to confirm that they stopped", observed, b.askedForConfirmation)
+				t.Errorf("a new leader that observed the leadership of a for %v asked nodes %v to confirm that they stopped", observedFor, b.askedForConfirmation)
 			}
 		})
 	}
 }
 
-// TestFormerLeadersConfirmationShortensLeaseWait checks that a new leader does not wait for the
-// expiry of leases that the former leader might have renewed, once the former leader's node has
-// confirmed that it no longer leads.
-func TestFormerLeadersConfirmationShortensLeaseWait(t *testing.T) {
+// TestFormerLeadersConfirmationShortensWaitForLeaseExpiry checks that a new leader does not wait
+// for the expiry of leases that the former leader might have renewed, once the former leader's node
+// has confirmed that it no longer leads.
+func TestFormerLeadersConfirmationShortensWaitForLeaseExpiry(t *testing.T) {
 	t.Parallel()
 	scenario(t, func(t *testing.T, c *testCluster) {
 		a := c.startNode("a")
@@ -111,9 +111,9 @@
 	})
 }
 
-// knownMachines returns the number of machines that a leader has heard from, and 0 for a node that
-// does not lead.
-func knownMachines(n *testNode) int {
+// countKnownMachines returns the number of machines that a leader has heard from, and 0 for a node
+// that does not lead.
+func countKnownMachines(n *testNode) int {
 	if n.elector.Cluster() == nil {
 		return 0
 	}
@@ -130,14 +130,14 @@
 		b := c.startNode("b")
 		c.startWorker("m1", "north")
 		c.eventually(12*time.Second, "heard", func() bool {
-			return knownMachines(a) == 1 || knownMachines(b) == 1
+			return countKnownMachines(a) == 1 || countKnownMachines(b) == 1
 		})
 		leader, successor := leaderFirst(a, b)
 		successor.elector.ReceiveHints(leader.elector.Cluster().Hints(successor.elector.HintPosition()))
 		c.workerNamed("m1").SetSilent(true) // so that only a probe can find it
 		leader.kill()
 		c.awaitLeadership(5*time.Second, successor)
-		c.eventually(2*time.Second, "m1 is known", func() bool { return knownMachines(successor) == 1 })
+		c.eventually(2*time.Second, "m1 is known", func() bool { return countKnownMachines(successor) == 1 })
 	})
 }
 
@@ -185,10 +185,10 @@
 	})
 }
 
-// TestConcurrentLeadersStartTaskOnceAndDelayedTransactionIsVoid partitions the leader from the
-// state service and its peer but not from the worker, and delivers its delayed writes after the
-// other node has taken over. It checks that the task starts only once.
-func TestConcurrentLeadersStartTaskOnceAndDelayedTransactionIsVoid(t *testing.T) {
+// TestConcurrentLeadersStartTaskOnceDespiteDelayedTransactions partitions the leader from the state
+// service and its peer but not from the worker, and delivers its delayed writes after the other
+// node has taken over. It checks that the task starts only once.
+func TestConcurrentLeadersStartTaskOnceDespiteDelayedTransactions(t *testing.T) {
 	t.Parallel()
 	scenario(t, func(t *testing.T, c *testCluster) {
 		a := c.startNode("a")
--- a/internal/scenarios/partition_test.go
+++ b/internal/scenarios/partition_test.go
@@ -10,10 +10,10 @@
 	"github.com/pebbletrail/pebbletrail/internal/fake"
 )
 
-// TestIsolatedLeaderIsReplacedOnceAndFollows isolates the leader for a minute and a half, by
+// TestIsolatedLeaderIsReplacedOnceAndStepsDown isolates the leader for a minute and a half, by
 // refused connections, dropped packets or held-back requests. It checks that the leader steps down
 // afterwards and that leadership does not alternate between the nodes.
-func TestIsolatedLeaderIsReplacedOnceAndFollows(t *testing.T) {
+func TestIsolatedLeaderIsReplacedOnceAndStepsDown(t *testing.T) {
 	t.Parallel()
 	for kind, outcome := range map[string]fake.Outcome{"connections refused": fake.Refuse, "packets dropped": fake.Drop, "requests held back": fake.HoldBack} {
 		scenario(t, func(t *testing.T, c *testCluster) {
@@ -79,9 +79,9 @@
 		c.submit("b", newJob("job-2", "array", 4))
 		c.awaitRunning(5*time.Second, "job-2", 4)
 		// Zone south is partitioned, and the leader restarts meanwhile.
-		var north []string
+		var northTasks []string
 		for _, worker := range c.workers[:2] {
-			north = append(north, worker.ActiveTasks()...)
+			northTasks = append(northTasks, worker.ActiveTasks()...)
 		}
 		time.Sleep(5 * time.Second)
 		c.network.SetRule(func(from, to string, _ *http.Request, _ []byte) fake.Outcome {
@@ -100,7 +100,7 @@
 		c.startNode(leader.name)
 		// The partition lasts longer than the leases of the workers in zone south.
 		c.consistently(32*time.Second, "work in the other zone goes on", func() bool {
-			for _, task := range north {
+			for _, task := range northTasks {
 				if c.isAbsent(task) {
 					return false
 				}
@@ -125,7 +125,7 @@
 				return c.status("a", job) == "done" && c.status("b", job) == "done"
 			})
 		}
-		c.requireStartedOnce(north...) // the partition did not affect them
+		c.requireStartedOnce(northTasks...) // the partition did not affect them
 	})
 }
 
@@ -153,9 +153,9 @@
 			})
 		}
 		// The leader is partitioned from the state service: the other node takes over.
-		first := c.leader()
-		partition(first.name, "state")
-		successor := otherNode(first.name)
+		firstLeader := c.leader()
+		partition(firstLeader.name, "state")
+		successor := otherNode(firstLeader.name)
 		c.awaitLeadership(6*time.Second, c.nodes[successor])
 		c.consistently(30*time.Second, "replicas go on", func() bool { return c.allRunning("job-1", 4) })
 		c.submit(successor, newJob("job-2", "array", 2))
@@ -164,12 +164,12 @@
 		c.network.ReleaseHeld()
 		time.Sleep(5 * time.Second)
 		// The new leader is partitioned from the workers: it steps down.
-		second := c.leader()
-		partition(second.name, "m1", "m2")
+		secondLeader := c.leader()
+		partition(secondLeader.name, "m1", "m2")
 		c.consistently(35*time.Second, "replicas go on, since the leader that hears no worker steps down", func() bool {
 			return c.allRunning("job-1", 4) && c.allRunning("job-2", 2)
 		})
-		if c.leader() == second {
+		if c.leader() == secondLeader {
 			t.Error("the leader that is partitioned from the workers did not step down")
 		}
 		c.network.SetRule(nil)
@@ -207,8 +207,8 @@
 		partitionedAt := time.Now()
 		c.eventually(18*time.Second, "the other node leads", func() bool {
 			if cluster := leader.elector.Cluster(); cluster != nil {
-				if terminated := cluster.MachinesToTerminate(time.Now(), nil); len(terminated) > 0 {
-					t.Fatalf("the leader returned machines %v although only this node is partitioned from them", terminated)
+				if toTerminate := cluster.MachinesToTerminate(time.Now(), nil); len(toTerminate) > 0 {
+					t.Fatalf("the leader returned machines %v although only this node is partitioned from them", toTerminate)
 				}
 				leader.elector.HandleRedirectedWorkers(successor.elector.RedirectedWorkers())
 			}
@@ -237,8 +237,8 @@
 		c.awaitTask(3*time.Second, "job-4/0")
 		// m1 and a are partitioned together: a keeps answering the heartbeats of m1.
 		c.network.SetRule(func(from, to string, r *http.Request, body []byte) fake.Outcome {
-			inside := func(host string) bool { return host == "a" || host == "a:8080" || strings.HasPrefix(host, "m1") }
-			if inside(from) != inside(to) {
+			isInPartition := func(host string) bool { return host == "a" || host == "a:8080" || strings.HasPrefix(host, "m1") }
+			if isInPartition(from) != isInPartition(to) {
 				return fake.Drop
 			}
 			return fake.Deliver
--- a/internal/scenarios/record_limits_test.go
+++ b/internal/scenarios/record_limits_test.go
@@ -12,9 +12,9 @@
 
 // Upcoming limits of the state service that are too small for the record that storeLargeRecord stores.
 const (
-	lowerLimits     = "\n[params.state.next]\nvalue_kb = 2.0\ntxn_ops = 4\n"
-	lowerValueBytes = 2048
-	lowerTxnOps     = 4
+	lowerLimitSettings = "\n[params.state.next]\nvalue_kb = 2.0\ntxn_ops = 4\n"
+	lowerValueBytes    = 2048
+	lowerTxnOps        = 4
 )
 
 // storeLargeRecord runs an array job under a leader that does not know of the upcoming limits, and
@@ -27,9 +27,9 @@
 	c.startWorker("m2", "south")
 	time.Sleep(5 * time.Second)
 	const tasks = 600
-	description := newJob(job, "array", tasks)
-	description["cores"], description["ramGb"] = 0.01, 0.01
-	c.submit("a", description)
+	spec := newJob(job, "array", tasks)
+	spec["cores"], spec["ramGb"] = 0.01, 0.01
+	c.submit("a", spec)
 	c.eventually(60*time.Second, "all tasks run", func() bool {
 		return len(c.workerNamed("m1").ActiveTasks())+len(c.workerNamed("m2").ActiveTasks()) == tasks
 	})
@@ -45,7 +45,7 @@
 		return out["done"] == tasks/2.0 && len(c.store.Value("job/"+job)) > lowerValueBytes+500
 	})
 	leader.kill()
-	c.upcomingLimits = lowerLimits
+	c.upcomingLimits = lowerLimitSettings
 	c.startNode("a")
 	c.startNode("b")
 	c.awaitAnyLeader(10 * time.Second)
--- a/internal/scenarios/restart_test.go
+++ b/internal/scenarios/restart_test.go
@@ -167,10 +167,10 @@
 	})
 }
 
-// TestMachineBackUnderItsNameRunsLostTaskAgainOnce restarts a machine under its former name. The
+// TestMachineRestartedUnderSameNameRerunsLostTaskOnce restarts a machine under its former name. The
 // machine has lost its tasks, and its sequence numbers begin again. The test checks that the lost
 // task runs again, once.
-func TestMachineBackUnderItsNameRunsLostTaskAgainOnce(t *testing.T) {
+func TestMachineRestartedUnderSameNameRerunsLostTaskOnce(t *testing.T) {
 	t.Parallel()
 	scenario(t, func(t *testing.T, c *testCluster) {
 		c.startNode("a")
--- a/internal/scenarios/scheduling_test.go
+++ b/internal/scenarios/scheduling_test.go
@@ -194,11 +194,11 @@
 	}
 }
 
-// TestUrgentJobStartsWhereTeamIsAtItsQuota checks that quota freed by the preemption of tasks of
-// lower urgency goes to the urgent job and not to such tasks again. When it did, the urgent job,
-// especially a gang as large as the quota, never started, and other tasks were repeatedly stopped,
-// or unassigned before their start.
-func TestUrgentJobStartsWhereTeamIsAtItsQuota(t *testing.T) {
+// TestUrgentJobStartsByPreemptionWhenTeamIsAtQuota checks that quota freed by the preemption of
+// tasks of lower urgency goes to the urgent job and not to such tasks again. When it did, the
+// urgent job, especially a gang as large as the quota, never started, and other tasks were
+// repeatedly stopped, or unassigned before their start.
+func TestUrgentJobStartsByPreemptionWhenTeamIsAtQuota(t *testing.T) {
 	t.Parallel()
 	for _, shape := range []string{"gang", "array"} {
 		for _, urgency := range []string{"high", "critical"} {
@@ -214,8 +214,8 @@
 								}
 								return fake.Deliver
 							})
-							for i, lower := range []string{"low", "normal"} {
-								c.submitJob("a", newJob(fmt.Sprintf("job-%d", i+1), "array", 12).with("urgency", lower))
+							for i, lowerUrgency := range []string{"low", "normal"} {
+								c.submitJob("a", newJob(fmt.Sprintf("job-%d", i+1), "array", 12).with("urgency", lowerUrgency))
 							}
 							c.passTime(submitDelay)
 							urgent := newJob("job-3", shape, 4).with("cores", 2)
--- a/internal/scenarios/shards_test.go
+++ b/internal/scenarios/shards_test.go
@@ -104,19 +104,19 @@
 	t.Parallel()
 	shardScenario(t, 2, func(t *testing.T, c *shardCluster) {
 		time.Sleep(5 * time.Second)
-		chain := func(first int) (names []string) {
+		submitChain := func(first int) (jobIDs []string) {
 			for i := range 6 {
 				job := newJob(fmt.Sprint("job-", first+i), "array", 1)
 				if i > 0 {
-					job.dependingOn(names[i-1])
+					job.dependingOn(jobIDs[i-1])
 				}
-				names = append(names, job.id())
+				jobIDs = append(jobIDs, job.id())
 				c.submitToAny(i, job)
 			}
-			return names
+			return jobIDs
 		}
 		shards := map[ids.Shard]bool{}
-		for _, id := range chain(100) {
+		for _, id := range submitChain(100) {
 			shards[ids.ShardOf(ids.Job(id), c.shardCount)] = true
 			c.eventually(20*time.Second, id+" runs", func() bool { return c.isRunning(id + "/0") })
 			c.workerNamed(c.machinesRunning(id + "/0")[0]).EndTask(id+"/0", "done")
@@ -124,17 +124,17 @@
 		if len(shards) != c.shardCount {
 			t.Fatalf("the chain of jobs spans only %d shards", len(shards))
 		}
-		second := chain(200)
-		c.eventually(20*time.Second, "the first runs", func() bool { return c.isRunning(second[0] + "/0") })
+		secondChain := submitChain(200)
+		c.eventually(20*time.Second, "the first runs", func() bool { return c.isRunning(secondChain[0] + "/0") })
 		c.eventually(10*time.Second, "the cancellation is confirmed", func() bool {
-			code, _ := c.call("b", "POST", "/v2/runs/"+second[2]+"/cancel", nil)
+			code, _ := c.call("b", "POST", "/v2/runs/"+secondChain[2]+"/cancel", nil)
 			return code == 200
 		})
-		c.workerNamed(c.machinesRunning(second[0] + "/0")[0]).EndTask(second[0]+"/0", "done")
+		c.workerNamed(c.machinesRunning(secondChain[0] + "/0")[0]).EndTask(secondChain[0]+"/0", "done")
 		c.eventually(20*time.Second, "the job before the cancelled one runs", func() bool {
-			return c.isRunning(second[1] + "/0")
+			return c.isRunning(secondChain[1] + "/0")
 		})
-		for _, id := range second[2:] {
+		for _, id := range secondChain[2:] {
 			c.eventually(10*time.Second, id+" is reported as cancelled", func() bool {
 				return c.status("d", id) == "cancelled"
 			})
@@ -178,17 +178,17 @@
 	})
 }
 
-// TestShardLeadershipSpreadsAndIsReturned checks that the shards are spread over three controllers,
-// that a single remaining controller leads all shards, and that it hands shards back when the other
-// controllers have restarted.
-func TestShardLeadershipSpreadsAndIsReturned(t *testing.T) {
+// TestShardLeadershipIsSpreadAndHandedBack checks that the shards are spread over three
+// controllers, that a single remaining controller leads all shards, and that it hands shards back
+// when the other controllers have restarted.
+func TestShardLeadershipIsSpreadAndHandedBack(t *testing.T) {
 	t.Parallel()
 	shardScenario(t, 1, func(t *testing.T, c *shardCluster) {
-		spread := func() bool {
-			led := c.leaders()
-			return !slices.Contains(led, "") && led[0] != led[1] && led[1] != led[2] && led[0] != led[2]
+		isSpread := func() bool {
+			leaderOf := c.leaders()
+			return !slices.Contains(leaderOf, "") && leaderOf[0] != leaderOf[1] && leaderOf[1] != leaderOf[2] && leaderOf[0] != leaderOf[2]
 		}
-		c.eventually(time.Minute, "each of three controllers leads a shard", spread)
+		c.eventually(time.Minute, "each of three controllers leads a shard", isSpread)
 		for _, name := range []string{"a", "b", "d", "e"} {
 			c.stopNode(name)
 		}
@@ -198,7 +198,7 @@
 		for _, name := range []string{"a", "b", "d", "e"} {
 			c.startNode(name)
 		}
-		c.eventually(2*time.Minute, "the shards are spread again", spread)
+		c.eventually(2*time.Minute, "the shards are spread again", isSpread)
 	})
 }
 
--- a/internal/scenarios/stale_heartbeats_test.go
+++ b/internal/scenarios/stale_heartbeats_test.go
@@ -58,10 +58,10 @@
 	}
 }
 
-// TestNewLeaderHearingDelayedHeartbeatsFirstKeepsTaskRunning delivers copies of heartbeats to a new
-// leader before anything else from that machine. The copies show job-1 running and lack job-2,
+// TestNewLeaderReceivingDelayedHeartbeatsFirstKeepsTaskRunning delivers copies of heartbeats to a
+// new leader before anything else from that machine. The copies show job-1 running and lack job-2,
 // which runs there now. The test checks that job-2 keeps running and no task starts again.
-func TestNewLeaderHearingDelayedHeartbeatsFirstKeepsTaskRunning(t *testing.T) {
+func TestNewLeaderReceivingDelayedHeartbeatsFirstKeepsTaskRunning(t *testing.T) {
 	t.Parallel()
 	scenario(t, func(t *testing.T, c *testCluster) {
 		a := c.startNode("a")
--- a/internal/scenarios/transactions_test.go
+++ b/internal/scenarios/transactions_test.go
@@ -40,19 +40,19 @@
 	c.startPair()
 	c.setRandomLatency(random)
 	c.network.SetDelay(func() time.Duration { return random.milliseconds(2000, 12000) })
-	var mu sync.Mutex // guards hits
-	hits := 0
+	var mu sync.Mutex // guards affected
+	affected := 0
 	faults := func(from, to string, r *http.Request, body []byte) fake.Outcome {
 		actual := kindOfTransaction(r, body)
 		mu.Lock()
 		defer mu.Unlock()
 		switch {
-		case dropRenewals && kind == acquiresLease && hits > 0 && hits < 3 && strings.HasSuffix(r.URL.Path, "/renew"):
+		case dropRenewals && kind == acquiresLease && affected > 0 && affected < 3 && strings.HasSuffix(r.URL.Path, "/renew"):
 			return fake.Drop // so that the lease has expired when the takeover is executed
 		case kind == raisesGeneration && to != "state:1" && isStartCommand(r, body):
 			return fake.HoldBack // an uncertain start, which a worker rejects only after the generation was raised
-		case actual != noTransaction && (kind == anyTransaction || actual == kind) && (hits == 0 || random.intn(2) == 0):
-			hits++
+		case actual != noTransaction && (kind == anyTransaction || actual == kind) && (affected == 0 || random.intn(2) == 0):
+			affected++
 			return outcome
 		}
 		return fake.Deliver
@@ -62,10 +62,10 @@
 	c.network.SetRule(faults)
 	done := make(chan struct{})
 	var users, background sync.WaitGroup
-	ids := []string{"job-90", "job-91"}
+	jobIDs := []string{"job-90", "job-91"}
 	for i := range 16 {
 		id := fmt.Sprintf("job-%d", i+1)
-		ids = append(ids, id)
+		jobIDs = append(jobIDs, id)
 		job := newJob(id, "array", 1)
 		cancelled := i%2 == 0
 		if i%4 < 2 {
@@ -113,14 +113,14 @@
 	}
 	users.Wait()
 	// If by chance no transaction of the kind was affected, more jobs are submitted until one is.
-	noneHit := func() bool {
+	noneAffected := func() bool {
 		mu.Lock()
 		defer mu.Unlock()
-		return hits == 0
+		return affected == 0
 	}
-	for i := 0; noneHit() && i < 60; i++ {
+	for i := 0; noneAffected() && i < 60; i++ {
 		id := fmt.Sprintf("job-%d", 200+i)
-		ids = append(ids, id)
+		jobIDs = append(jobIDs, id)
 		c.requestUntilDecided(random, "POST", "/v2/runs", newJob(id, "array", 1))
 		time.Sleep(random.milliseconds(10, 300))
 		c.requestUntilDecided(random, "POST", "/v2/runs/"+id+"/cancel", nil)
@@ -129,10 +129,10 @@
 	c.network.ReleaseHeld()
 	time.Sleep(13 * time.Second) // until the last delayed transaction is executed
 	c.awaitAnyLeader(60 * time.Second)
-	c.awaitAgreement(90*time.Second, ids...)
+	c.awaitAgreement(90*time.Second, jobIDs...)
 	close(done)
 	background.Wait()
-	if hits == 0 {
+	if affected == 0 {
 		t.Error("no transaction was affected by the fault")
 	}
 }
@@ -170,8 +170,8 @@
 func TestManySmallJobsStayWithinStateServiceLimits(t *testing.T) {
 	t.Parallel()
 	scenario(t, func(t *testing.T, c *testCluster) {
-		const perSecond, perTxn, jobs = 200, 12, 400
-		changes := map[int64]int{}
+		const maxChangesPerSecond, maxChangesPerTxn, jobs = 200, 12, 400
+		changesBySecond := map[int64]int{}
 		c.network.SetRule(func(_, to string, r *http.Request, body []byte) fake.Outcome {
 			if isCommit(r) {
 				var txn struct{ Then []json.RawMessage }
@@ -179,9 +179,9 @@
 					t.Errorf("the body of a transaction is not valid JSON: %v", err)
 				}
 				c.mu.Lock()
-				changes[time.Now().Unix()] += len(txn.Then)
+				changesBySecond[time.Now().Unix()] += len(txn.Then)
 				c.mu.Unlock()
-				if len(txn.Then) > perTxn {
+				if len(txn.Then) > maxChangesPerTxn {
 					t.Errorf("one transaction has %d changes, more than the limit", len(txn.Then))
 				}
 			}
@@ -231,8 +231,8 @@
 		c.eventually(60*time.Second, "all are done", func() bool { return completedJobs() == jobs })
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		for second, count := range changes {
-			if count > 2*perSecond || count+changes[second+1]+changes[second+2] > 4*perSecond {
+		for second, count := range changesBySecond {
+			if count > 2*maxChangesPerSecond || count+changesBySecond[second+1]+changesBySecond[second+2] > 4*maxChangesPerSecond {
 				t.Errorf("too many changes in the state service within one second (%d) or three seconds", count)
 			}
 		}
