--- a/internal/scenarios/cancellation_outage_test.go
+++ b/internal/scenarios/cancellation_outage_test.go
@@ -11,7 +11,7 @@
 
 // The scenarios in this file test cancellations that the other controller confirms while the leader
 // cannot use the state service. In most of them the state service is then down for all controllers,
-// for up to more than cancelLimit, while workers keep sending heartbeats to the former leader.
+// in some for longer than cancelLimit, while workers keep sending heartbeats to the former leader.
 
 // startWithReplicas starts a cluster in which the replicas of job-1 and job-2 run on two machines,
 // and returns the leader and the other node.
--- a/internal/scenarios/dependencies_failover_test.go
+++ b/internal/scenarios/dependencies_failover_test.go
@@ -54,7 +54,8 @@
 func TestJobThatBecomesReadyDuringFailoverRuns(t *testing.T) {
 	t.Parallel()
 	for name, outcomes := range map[string]struct {
-		// Of the transactions that store the outcome of job-1 and that make its dependents schedulable.
+		// What happens to the transactions that store the outcome of job-1, and to those that make its
+		// dependents schedulable.
 		end, move fake.Outcome
 	}{
 		"outcome stored, dependents not moved": {fake.Deliver, fake.Refuse},
--- a/internal/scenarios/dependencies_test.go
+++ b/internal/scenarios/dependencies_test.go
@@ -179,8 +179,8 @@
 	})
 }
 
-// TestJobWithManyDependenciesFitsSmallValueLimit checks that a job is accepted if the names of its
-// dependencies do not fit into one value together with its description. Such a job must also be
+// TestJobWithManyDependenciesFitsSmallValueLimit checks that a job is accepted even if the names of
+// its dependencies do not fit into one value together with its description. Such a job must also be
 // able to start, and to be cancelled by its user or through a dependency.
 func TestJobWithManyDependenciesFitsSmallValueLimit(t *testing.T) {
 	t.Parallel()
--- a/internal/scenarios/restart_test.go
+++ b/internal/scenarios/restart_test.go
@@ -157,7 +157,7 @@
 		}
 		c.workerNamed("m1").EndTask("job-7/0", "done")
 		time.Sleep(2 * time.Second)
-		// The state service is back.
+		// The outage ends.
 		c.store.SetDown(false)
 		c.awaitStatus(12*time.Second, "a", "job-7", "done")
 		c.consistently(10*time.Second, "the replica went on", func() bool { return c.isRunning("job-6/0") })
--- a/internal/scenarios/stale_heartbeats_test.go
+++ b/internal/scenarios/stale_heartbeats_test.go
@@ -154,7 +154,7 @@
 					}
 					c.awaitLeader()
 					c.deliverToControllers(stale)
-					// The stale heartbeat arrives again while both nodes are up, and once more without any partition.
+					// The stale heartbeat arrives again while both nodes are up, and once more after the partition.
 					c.startNode(leader.name)
 					c.passTime(3 * time.Second)
 					c.deliverToControllers(stale)
--- a/internal/scenarios/transactions_test.go
+++ b/internal/scenarios/transactions_test.go
@@ -57,7 +57,7 @@
 		}
 		return fake.Deliver
 	}
-	c.submit("a", newJob("job-90", "array", 1)) // a chain on which other jobs depend
+	c.submit("a", newJob("job-90", "array", 1)) // job-90 and job-91 form a chain that other jobs depend on
 	c.submit("b", newJob("job-91", "array", 1).dependingOn("job-90"))
 	c.network.SetRule(faults)
 	done := make(chan struct{})
