--- a/internal/ids/ids.go
+++ b/internal/ids/ids.go
@@ -1,5 +1,5 @@
-// Package ids declares the types of identifiers, counters and times. Each is a type of its own so
-// that the compiler refuses an attempt where a generation is expected.
+// Package ids declares the types of identifiers, counters and times. Each has a distinct type so that
+// the compiler rejects, for example, an attempt number where a generation is expected.
 package ids
 
 import (
@@ -9,7 +9,7 @@
 	"strings"
 )
 
-// Job identifies a job; users choose it.
+// Job identifies a job; the user who submits the job chooses the identifier.
 type Job string
 
 // Task identifies one task of a job by its index.
@@ -18,29 +18,29 @@
 	Index int
 }
 
-// Machine identifies an instance that a worker runs on.
+// Machine identifies a cloud instance that runs a worker.
 type Machine string
 
 // Node identifies a controller.
 type Node string
 
-// ProvisioningRequest identifies a provisioning request; it is never reused.
+// ProvisioningRequest identifies a provisioning request; identifiers are never reused.
 type ProvisioningRequest string
 
-// Attempt numbers the starts of a job's tasks; it only rises within a job.
+// Attempt numbers the starts of a job's tasks. Within a job it only increases.
 type Attempt uint64
 
-// Generation numbers the failovers of a shard's leadership. Workers see it as the fencing token
-// of the leader's commands.
+// Generation is incremented at each failover of a shard's leadership. Workers receive it as the fencing
+// token of the leader's commands.
 type Generation uint64
 
-// Incarnation numbers the incarnations of a worker: it rises whenever the worker's lease expires.
+// Incarnation numbers the incarnations of a worker; a new one begins whenever the worker's lease expires.
 type Incarnation uint64
 
 // SequenceNumber orders the messages of one incarnation of a worker.
 type SequenceNumber uint64
 
-// Revision numbers the last change of a key in the key-value store.
+// Revision is the revision of the last change to one key of the key-value store.
 type Revision uint64
 
 // StoreRevision is a revision of the key-value store as a whole.
@@ -51,7 +51,7 @@
 
 var jobPattern = regexp.MustCompile(`^job-[0-9]{1,18}$`)
 
-// ParseJob accepts the one form that job identifiers have.
+// ParseJob checks that a text is a job identifier, "job-" and 1 to 18 digits, and returns it.
 func ParseJob(text string) (Job, error) {
 	if !jobPattern.MatchString(text) {
 		return "", fmt.Errorf("not a job id: %.40q", text)
@@ -59,10 +59,10 @@
 	return Job(text), nil
 }
 
-// String writes the task as "job/index".
+// String formats the task as "job/index".
 func (t Task) String() string { return string(t.Job) + "/" + strconv.Itoa(t.Index) }
 
-// ParseTask reads what String writes. It does not check the job's identifier.
+// ParseTask parses the format of String. It does not validate the job's identifier.
 func ParseTask(text string) (Task, error) {
 	job, digits, found := strings.Cut(text, "/")
 	if !found {
--- a/internal/ids/ids_test.go
+++ b/internal/ids/ids_test.go
@@ -44,7 +44,7 @@
 	if counts[0] == 0 || counts[1] == 0 || counts[2] == 0 || len(counts) != 3 {
 		t.Errorf("jobs per shard: %v", counts)
 	}
-	// Guards against a hash that differs from that of other versions of the program.
+	// Guards against a change of the hash: all versions of the program must agree on the shard of a job.
 	if shard := ShardOf("job-000412", 5); shard != 1 {
 		t.Errorf("job-000412 is in shard %d", shard)
 	}
--- a/internal/ids/ranges.go
+++ b/internal/ids/ranges.go
@@ -9,17 +9,17 @@
 	"strings"
 )
 
-// span is the indexes from first to last.
+// span is a range of consecutive indexes, both ends included.
 type span struct{ first, last int }
 
-// length is the number of indexes.
+// length returns the number of indexes in the span.
 func (s span) length() int { return s.last - s.first + 1 }
 
-// IndexSet is a set of task indexes kept as sorted spans, so that a job of a hundred thousand tasks
-// stays small in memory and in its record. A copy of the value shares its memory: neither may be
-// changed while the other is in use.
+// IndexSet is a set of task indexes, stored as sorted spans to keep a job of a hundred thousand tasks
+// small in memory and in its record. A copy of an IndexSet shares the original's memory: do not modify
+// either while the other is in use.
 type IndexSet struct {
-	spans []span // neither overlapping nor adjacent
+	spans []span // sorted, neither overlapping nor adjacent
 	size  int
 }
 
@@ -31,13 +31,13 @@
 	return IndexSet{spans: []span{{0, n - 1}}, size: n}
 }
 
-// search returns the position of the span that holds an index, or where it would be inserted.
+// search returns the position of the span that contains index, or the position at which to insert one.
 func (s *IndexSet) search(index int) (position int, found bool) {
 	position = sort.Search(len(s.spans), func(k int) bool { return s.spans[k].last >= index })
 	return position, position < len(s.spans) && s.spans[position].first <= index
 }
 
-// Add adds an index and reports whether it was new.
+// Add adds an index and reports whether the set did not contain it before.
 func (s *IndexSet) Add(index int) bool {
 	position, found := s.search(index)
 	if found {
@@ -62,16 +62,16 @@
 	return true
 }
 
-// Contains reports whether an index is in the set.
+// Contains reports whether the set contains an index.
 func (s *IndexSet) Contains(index int) bool {
 	_, found := s.search(index)
 	return found
 }
 
-// SpanCount counts the spans of consecutive members.
+// SpanCount returns the number of spans of consecutive members.
 func (s *IndexSet) SpanCount() int { return len(s.spans) }
 
-// LongestSpans returns the set without all but its n longest spans, the lower of equals first.
+// LongestSpans returns a set of the n longest spans. Among spans of equal length it keeps the lowest.
 func (s *IndexSet) LongestSpans(n int) IndexSet {
 	spans := slices.Clone(s.spans)
 	slices.SortStableFunc(spans, func(a, b span) int { return cmp.Compare(b.length(), a.length()) })
@@ -84,10 +84,10 @@
 	return kept
 }
 
-// Len counts the members.
+// Len returns the number of members.
 func (s *IndexSet) Len() int { return s.size }
 
-// NextMissing returns the smallest index at or above from that is not in the set.
+// NextMissing returns the smallest index not below from that the set does not contain.
 func (s *IndexSet) NextMissing(from int) int {
 	if position, found := s.search(from); found {
 		return s.spans[position].last + 1
@@ -95,7 +95,7 @@
 	return from
 }
 
-// Each calls visit for every member, in order.
+// Each calls visit for every member, in ascending order.
 func (s *IndexSet) Each(visit func(index int)) {
 	for _, run := range s.spans {
 		for index := run.first; index <= run.last; index++ {
@@ -104,7 +104,7 @@
 	}
 }
 
-// String writes the set as "0-4,7".
+// String formats the set as comma-separated indexes and ranges, such as "0-4,7".
 func (s IndexSet) String() string {
 	var text strings.Builder
 	for k, run := range s.spans {
@@ -120,10 +120,10 @@
 	return text.String()
 }
 
-// MarshalText makes the set a short string in JSON.
+// MarshalText encodes the set as String does, which keeps its JSON short.
 func (s IndexSet) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
-// UnmarshalText reads what MarshalText writes.
+// UnmarshalText decodes the output of MarshalText.
 func (s *IndexSet) UnmarshalText(text []byte) error {
 	s.spans, s.size = nil, 0
 	if len(text) == 0 {
@@ -140,7 +140,7 @@
 	return nil
 }
 
-// parseSpan reads one index, or the first and the last of several.
+// parseSpan parses a single index, such as "7", or a range, such as "0-4".
 func parseSpan(text string) (span, error) {
 	low, high, isRange := strings.Cut(text, "-")
 	if !isRange {
--- a/internal/ids/time.go
+++ b/internal/ids/time.go
@@ -2,30 +2,30 @@
 
 import "time"
 
-// Seconds is a duration as the interfaces write it.
+// Seconds is a duration in seconds, as messages, records and settings contain it.
 type Seconds float64
 
-// Duration converts to Go's own type.
+// Duration converts s to a time.Duration.
 func (s Seconds) Duration() time.Duration { return time.Duration(float64(s) * float64(time.Second)) }
 
-// The error of the worst clock that deployments allow: its rate, and a fixed allowance.
+// The largest clock error that deployments allow: a relative drift rate and a constant offset.
 const (
 	clockDriftFactor = 1.0011
 	clockAllowance   = 100 * time.Millisecond
 )
 
-// WithClockDrift is the longest time that may truly pass while a clock as bad as the deployments allow
-// shows s. Whatever relies on the expiry of a lease waits this long.
+// WithClockDrift returns the longest real time that may pass while a clock with the largest allowed error
+// measures s. Code that relies on the expiry of a lease waits this long.
 func (s Seconds) WithClockDrift() time.Duration {
 	return time.Duration(float64(s.Duration())*clockDriftFactor) + clockAllowance
 }
 
-// Timestamp is a wall-clock time in milliseconds since the Unix epoch, only good for ordering and
+// Timestamp is a wall-clock time in milliseconds since the Unix epoch. Use it only for ordering and
 // display.
 type Timestamp int64
 
-// TimestampOf converts a time.
+// TimestampOf converts t to a Timestamp.
 func TimestampOf(t time.Time) Timestamp { return Timestamp(t.UnixMilli()) }
 
-// Time converts to Go's own type.
+// Time converts w to a time.Time.
 func (w Timestamp) Time() time.Time { return time.UnixMilli(int64(w)) }
