--- a/internal/intake/cancel.go
+++ b/internal/intake/cancel.go
@@ -11,18 +11,18 @@
 	"github.com/pebbletrail/pebbletrail/internal/state"
 )
 
-// cancelAttempts bounds how often a cancellation is retried because the record changed meanwhile,
-// or because it has to be stored in another form.
+// cancelAttempts limits the attempts to store a cancellation. An attempt is repeated if the record has
+// changed in the meantime, or if the cancellation has to be stored in another form.
 const cancelAttempts = 6
 
-// leaderNoticeTimeout bounds how long the answer to a committed cancellation of assigned tasks
-// waits until the leader knows of it. The leader finds out by itself soon after; but whoever is
-// told that a job is cancelled should not see a task of it start.
+// leaderNoticeTimeout limits how long the response to a committed cancellation is delayed until the leader
+// has been notified, if the job has assigned tasks. The leader also reads the change from the store soon
+// after, but a user who has been told that a job is cancelled should not see one of its tasks start.
 const leaderNoticeTimeout = 200 * time.Millisecond
 
-// cancel ends a job without assigned tasks at once. For any other job it stores the request, which
-// the leader carries out. Either is committed before the user is told. found is false for a job
-// that was never accepted.
+// cancel cancels a job. It stores the final record of a job without assigned tasks. For any other job it
+// stores a cancellation request, which the leader carries out. It returns after the transaction has been
+// committed. found is false for a job that was never accepted.
 func (s *JobService) cancel(ctx context.Context, id ids.Job) (summary jobSummary, found bool, err error) {
 	if summary, known := s.ended.get(id); known {
 		return summary, true, nil
@@ -59,18 +59,18 @@
 	return jobSummary{}, false, errUnavailable
 }
 
-// cancelWrite is a cancellation about to be stored.
+// cancelWrite is the planned transaction that stores a cancellation.
 type cancelWrite struct {
 	txn state.Txn
-	// notifyLeader tells that the leader knows the job and is to hear of the write.
+	// notifyLeader is set if the leader knows the job and must be notified of the write.
 	notifyLeader bool
-	// aboveLowerLimit tells that the value fits the store's present limit, not the lower one to
-	// come.
+	// aboveLowerLimit is set if the value fits the store's current size limit but exceeds the lower limit
+	// that has been announced.
 	aboveLowerLimit bool
 }
 
-// planCancellation changes a job's record to cancelled, or to being cancelled, and returns the
-// transaction that stores that if the record has not changed in the store.
+// planCancellation changes the status of a job's record to cancelled or cancelling. The transaction that it
+// returns stores the change on the condition that the stored record is unchanged.
 func (s *JobService) planCancellation(stored storedRecord) (cancelWrite, error) {
 	rec, entry := stored.record, stored.entry
 	rec.Writer, rec.Seq = s.Writer, rec.Seq+1
@@ -84,7 +84,7 @@
 	return s.requestCancellation(stored, unchanged), nil
 }
 
-// endCancelled replaces the record of a job without assigned tasks by its final one.
+// endCancelled plans to replace the live record of a job without assigned tasks by its final record.
 func (s *JobService) endCancelled(stored storedRecord, unchanged []state.Condition) (cancelWrite, error) {
 	rec, entry := stored.record, stored.entry
 	rec.Status = record.Cancelled
@@ -99,12 +99,12 @@
 			Conditions: append(unchanged, state.Condition{Key: finalKey}),
 			Ops:        []state.Op{{Remove: entry.Key}, {Put: finalKey, Value: value}},
 		},
-		notifyLeader: !stored.blocked(), // the leader follows the blocked jobs
+		notifyLeader: !stored.blocked(), // the leader watches the records of blocked jobs
 	}, nil
 }
 
-// requestCancellation marks the record of a job with assigned tasks as being cancelled. If the
-// store no longer takes a record of that size, the request is stored at a key of its own.
+// requestCancellation plans to change the status of a job with assigned tasks to cancelling. If the store no
+// longer accepts a record of that size, the cancellation is stored at a separate key.
 func (s *JobService) requestCancellation(stored storedRecord, unchanged []state.Condition) cancelWrite {
 	rec, entry := stored.record, stored.entry
 	write := cancelWrite{txn: state.Txn{Conditions: unchanged}}
@@ -112,8 +112,9 @@
 	mark.ApplyTo(rec)
 	value, fits := rec.Encode(s.valueLimit())
 	if !fits && !s.valueLimitFell.Load() {
-		// The record was written when values might be larger. As long as they may, it is
-		// stored where versions from before the lower limits look for it too.
+		// The record was written under the higher size limit. While that limit still applies, the
+		// cancellation is stored in the record, where program versions that do not know the separate key
+		// find it too.
 		value, fits = rec.Encode(int(s.Settings.Params.State.CurrentValueBytes()))
 		write.aboveLowerLimit = fits
 	}
@@ -126,8 +127,9 @@
 	return write
 }
 
-// announceCancellation remembers a stored cancellation and has the leader notified of it. While
-// tasks are assigned it waits for the leader, which may be about to start some of them.
+// announceCancellation notifies the leader of a stored cancellation, and caches the summary of the job if it
+// has ended. If the job has assigned tasks, it waits for the notification, because the leader may be about
+// to start some of them.
 func (s *JobService) announceCancellation(ctx context.Context, rec *record.Record, write cancelWrite, revision ids.Revision) {
 	if rec.Status.IsTerminal() {
 		s.ended.add(rec)
@@ -137,7 +139,7 @@
 		return
 	}
 	if !write.notifyLeader {
-		return // the leader follows what is stored apart from records
+		return // the leader watches the keys of separately stored cancellations
 	}
 	notified := s.LeaderNotifier.NotifyLeader(rec.Spec.ID, revision, rec, write.txn.Ops[0].Value)
 	select {
--- a/internal/intake/cluster_test.go
+++ b/internal/intake/cluster_test.go
@@ -16,18 +16,18 @@
 	"github.com/pebbletrail/pebbletrail/internal/state"
 )
 
-// testCluster is two nodes, a and b, on one store, without a leader: what becomes of the
-// records is up to the test.
+// testCluster is a pair of nodes, a and b, that share a store. There is no leader: the tests change the
+// records as a leader would.
 type testCluster struct {
 	t        *testing.T
 	net      *fake.Network
 	store    *fake.Store
 	services map[string]*JobService
 	nodes    map[string]http.Handler
-	leader   *state.Client // writes as the leader does
+	leader   *state.Client // for the writes that a leader would make
 }
 
-// newTestCluster starts both nodes on an empty store.
+// newTestCluster returns a cluster with both nodes started on an empty store.
 func newTestCluster(t *testing.T) *testCluster {
 	network, store, _ := newJobService()
 	c := &testCluster{t: t, net: network, store: store, services: map[string]*JobService{}, nodes: map[string]http.Handler{},
@@ -38,7 +38,7 @@
 	return c
 }
 
-// start starts a node, or starts it again, which then remembers nothing.
+// start starts a node, or restarts it with empty caches.
 func (c *testCluster) start(name string) {
 	_, _, service := newJobService()
 	service.Store = state.NewClient("state:1", c.net.Client(name), state.NewBudget(1000, 1000, 1, 0.6))
@@ -49,22 +49,23 @@
 	c.nodes[name] = (&Server{Jobs: service, Ready: func() bool { return true }, ExplainByLeader: explainWithoutLeader}).Handler()
 }
 
-// explainWithoutLeader is how the leader explains a job where there is none.
+// explainWithoutLeader implements Server.ExplainByLeader for nodes without a leader.
 func explainWithoutLeader(context.Context, ids.Job) ([]string, ids.Node, error) { return nil, "", nil }
 
-// submissionWith is a submission with dependencies.
+// submissionWith returns a submission with dependencies.
 func submissionWith(id string, dependencies any) map[string]any {
 	body := submissionOf(id)
 	body["awaits"] = dependencies
 	return body
 }
 
-// submit submits at a node and returns code and status.
+// submit submits a job to a node and returns the HTTP status code and the job's status.
 func (c *testCluster) submit(node string, body any) (int, string) {
 	return c.request(node, "POST", "/v2/runs", body)
 }
 
-// request returns the code of a node's answer and the job's status in it, if there is one.
+// request sends a request to a node and returns the HTTP status code and the job's status, if the
+// response has one.
 func (c *testCluster) request(node, method, path string, body any) (int, string) {
 	response := serve(c.nodes[node], method, path, body)
 	var answer struct{ Status string }
@@ -74,7 +75,7 @@
 	return response.Code, answer.Status
 }
 
-// jobStatus is what a node calls a job.
+// jobStatus returns a job's status as a node reports it, or the HTTP status code if that is not 200.
 func (c *testCluster) jobStatus(node, id string) string {
 	code, status := c.request(node, "GET", "/v2/runs/"+id, nil)
 	if code != 200 {
@@ -83,7 +84,7 @@
 	return status
 }
 
-// expectStatus checks what both nodes call a job.
+// expectStatus checks that both nodes report a job's status as want.
 func (c *testCluster) expectStatus(id, want string) {
 	c.t.Helper()
 	for _, node := range []string{"a", "b"} {
@@ -93,7 +94,7 @@
 	}
 }
 
-// storeJob stores a job in any state, at the key that fits.
+// storeJob stores the record of a job with the given status at the matching key.
 func (c *testCluster) storeJob(id ids.Job, status record.Status, dependencies ...ids.Job) {
 	c.t.Helper()
 	spec, err := parse(bytes.NewReader(marshal(submissionWith(string(id), dependencies))))
@@ -103,14 +104,14 @@
 	c.storeRecord(newRecord(spec, status), len(dependencies) > 0)
 }
 
-// newRecord is the record of a job in any state.
+// newRecord returns the record of a job with the given status.
 func newRecord(spec record.Spec, status record.Status) *record.Record {
 	rec := record.New(spec, ids.TimestampOf(time.Now()), "leader")
 	rec.Status = status
 	return rec
 }
 
-// storeRecord stores a record; blocked tells that the job waits for its dependencies.
+// storeRecord stores a record at the matching key. blocked states that the job waits for its dependencies.
 func (c *testCluster) storeRecord(rec *record.Record, blocked bool) {
 	c.t.Helper()
 	id := rec.Spec.ID
@@ -128,7 +129,7 @@
 	c.commit(state.Op{Put: key, Value: raw})
 }
 
-// commit changes the store as the leader does.
+// commit applies operations to the store with the leader's client.
 func (c *testCluster) commit(ops ...state.Op) {
 	c.t.Helper()
 	if _, err := c.leader.Commit(c.t.Context(), state.Txn{Ops: ops}, state.Urgent); err != nil {
@@ -136,7 +137,7 @@
 	}
 }
 
-// marshal writes a body of a test, which is always such that it can be written.
+// marshal encodes a request body as JSON. It panics on failure, which valid test data never causes.
 func marshal(body any) []byte {
 	raw, err := json.Marshal(body)
 	if err != nil {
@@ -145,7 +146,8 @@
 	return raw
 }
 
-// storedAt is the one key at which a job's record is.
+// storedAt returns the key at which a job's record is stored. If there are several, it returns them
+// concatenated; if there is none, an empty string.
 func (c *testCluster) storedAt(id ids.Job) (at string) {
 	for _, key := range []string{record.JobKey(id), record.WaitKey(id), record.EndKey(id)} {
 		if c.store.Value(key) != nil {
--- a/internal/intake/connection_limiter.go
+++ b/internal/intake/connection_limiter.go
@@ -6,36 +6,37 @@
 	"time"
 )
 
-// ConnectionLimiter shares the connections of one listener among workers, users and
-// health checks. A worker that cannot connect loses its lease and all its tasks, while
-// a user may retry. So users get the connections that workers leave, and are refused
-// with an answer; the last connections are answered once and closed, so that health
-// checks always get through and every request gets an answer.
+// ConnectionLimiter divides the connections of one listener among workers, users and health checks. A worker
+// that cannot connect loses its lease and all its tasks, whereas a user can retry. So users get only the
+// connections that workers do not need; above that quota their requests are rejected with a response. The
+// last connections below the limit are closed after one response, so that health checks always succeed and
+// every request gets a response.
 type ConnectionLimiter struct {
-	// MaxConnections is how many connections are held at once; more are closed unanswered.
+	// MaxConnections limits the open connections; any above it are closed without a response.
 	MaxConnections int
-	// WorkerCount is how many workers may connect to this node. It may change at any time.
+	// WorkerCount returns the number of workers that may connect to this node. It may change at any time.
 	WorkerCount func() int
-	// IdleTimeout is how long a connection may stay idle. Those of an unreachable zone or a
-	// crashed client would otherwise stay open for good.
+	// IdleTimeout limits how long a connection may stay idle. Connections from an unreachable zone or a
+	// crashed client would otherwise stay open forever.
 	IdleTimeout time.Duration
 
-	// mu guards the counts, and the fields caller and transient of every limitedConn. Only
-	// WorkerCount is called under it: that may take locks of its own, but must not use the limiter.
+	// mu guards the counts below, and the fields caller and transient of every limitedConn. The only
+	// external call made while holding it is WorkerCount, which may take other locks but must not use the
+	// limiter.
 	mu sync.Mutex
-	// open counts all connections; users and workers are those of a known caller among them.
+	// open counts all connections; users and workers count those of users and of workers among them.
 	open, users, workers int
 }
 
-// Parts of a limiter's connections: one in transientPart, but at least minTransient, is closed
-// after one answer; one in reservedPart of the others is kept from workers, and so left to users.
+// Shares of a limiter's connections. One in transientPart connections, but at least minTransient, is closed
+// after one response. Of the other connections, one in reservedPart is reserved for users.
 const (
 	transientPart = 32
 	minTransient  = 4
 	reservedPart  = 16
 )
 
-// caller is what a connection is used for.
+// caller is the kind of client that uses a connection.
 type caller int
 
 const (
@@ -44,21 +45,21 @@
 	workerHeartbeat
 )
 
-// limitedConn is a connection that its limiter counts.
+// limitedConn is a connection counted by a ConnectionLimiter.
 type limitedConn struct {
 	net.Conn
 	limiter   *ConnectionLimiter
-	transient bool // above the number of long-lived connections: closed after one answer
+	transient bool // accepted above the number of long-lived connections: closed after one response
 	caller    caller
 	closeOnce sync.Once
 }
 
-// longLived is how many connections may stay open; the rest are closed after one answer.
+// longLived returns how many connections may stay open; the rest are closed after one response.
 func (l *ConnectionLimiter) longLived() int {
 	return l.MaxConnections - max(minTransient, l.MaxConnections/transientPart)
 }
 
-// userQuota is how many connections users may hold now. The caller holds l.mu.
+// userQuota returns how many connections users may hold now. The caller must hold l.mu.
 func (l *ConnectionLimiter) userQuota() int {
 	workers := l.workers
 	if l.WorkerCount != nil {
@@ -67,12 +68,12 @@
 	return max(l.longLived()-workers, l.longLived()/reservedPart)
 }
 
-// workerQuota is how many connections workers may keep open. A fleet may have more
-// machines than this node has sockets: the workers beyond the quota connect anew for each
-// heartbeat, so that users and health checks still get connections.
+// workerQuota returns how many connections workers may keep open. A fleet may have more machines than this
+// node has sockets. Workers above the quota open a new connection for each heartbeat, so that users and
+// health checks still get connections.
 func (l *ConnectionLimiter) workerQuota() int { return l.longLived() - l.longLived()/reservedPart }
 
-// admit counts a new connection; nil means that the limit is reached.
+// admit counts a new connection. It returns nil if the limit has been reached.
 func (l *ConnectionLimiter) admit(conn net.Conn) *limitedConn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -94,8 +95,8 @@
 	return c.Conn.Close()
 }
 
-// setCaller moves the connection to the count of another caller. Whoever calls it holds the
-// limiter's lock.
+// setCaller sets the kind of client that uses the connection, and updates the counts. The calling function
+// must hold the limiter's lock.
 func (c *limitedConn) setCaller(to caller) {
 	if count := c.limiter.count(c.caller); count != nil {
 		*count--
@@ -106,7 +107,7 @@
 	c.caller = to
 }
 
-// count is the number of connections of one caller; nil for those that are not counted apart.
+// count returns the counter of one kind of client, or nil if that kind has no counter.
 func (l *ConnectionLimiter) count(of caller) *int {
 	switch of {
 	case user:
@@ -118,8 +119,8 @@
 	}
 }
 
-// admitRequest notes what a connection is used for. It tells whether the request is to
-// be served, and whether the connection may stay open.
+// admitRequest records which kind of client uses the connection. It reports whether the request should be
+// served, and whether the connection may stay open.
 func (c *limitedConn) admitRequest(from caller) (serve, keepOpen bool) {
 	l := c.limiter
 	l.mu.Lock()
--- a/internal/intake/connection_limiter_test.go
+++ b/internal/intake/connection_limiter_test.go
@@ -14,14 +14,15 @@
 	"github.com/pebbletrail/pebbletrail/internal/worker"
 )
 
-// heartbeatStub answers every heartbeat.
+// heartbeatStub accepts every heartbeat and returns no commands.
 type heartbeatStub struct{}
 
 func (heartbeatStub) Heartbeat(context.Context, *worker.Report) (*worker.CommandBatch, int, worker.Redirect) {
 	return &worker.CommandBatch{FencingToken: 1, Commands: []worker.Command{}}, 200, worker.Redirect{}
 }
 
-// send sends a request and returns the status of the answer, 0 if there is none, and its Retry-After.
+// send sends a request and returns the response's HTTP status code, 0 if there was no response, and its
+// Retry-After header.
 func send(client *http.Client, method, path, body string) (code int, retryAfter string) {
 	request, err := http.NewRequest(method, "http://a"+path, strings.NewReader(body))
 	if err != nil {
@@ -31,21 +32,21 @@
 	if err != nil {
 		return 0, ""
 	}
-	_, _ = io.Copy(io.Discard, response.Body) // for its connection to be used again; the body does not matter
-	_ = response.Body.Close()                 // it was only read
+	_, _ = io.Copy(io.Discard, response.Body) // the connection is reused only after the body was read
+	_ = response.Body.Close()                 // only read from, so a failure loses nothing
 	return response.StatusCode, response.Header.Get("Retry-After")
 }
 
-// sendHeartbeat sends a worker's heartbeat and returns the status of the answer.
+// sendHeartbeat sends a worker's heartbeat and returns the HTTP status code of the response.
 func sendHeartbeat(client *http.Client) int {
 	code, _ := send(client, "POST", "/agent/beat", `{"host":"m"}`)
 	return code
 }
 
 func TestWorkersAndHealthChecksConnectWhenTheListenerIsFull(t *testing.T) {
-	// Guards against workers alone filling the listener, as they would at half as
-	// many machines again: users then met silence, health checks failed, and late
-	// workers lost their leases.
+	// Guards against workers that use all connections of the listener, which happens with a fleet half as
+	// large again: users got no response, health checks failed, and workers that connected late lost their
+	// leases.
 	synctest.Test(t, func(t *testing.T) {
 		pipes := fake.NewPipes()
 		_, _, service := newJobService()
@@ -53,7 +54,7 @@
 		const workerCount = 100
 		limiter := &ConnectionLimiter{MaxConnections: 128, WorkerCount: func() int { return workerCount }, IdleTimeout: 20 * time.Second}
 		listener := pipes.Listen("a")
-		go func() { _ = site.Serve(listener, limiter) }() // it ends with the listener
+		go func() { _ = site.Serve(listener, limiter) }() // returns when the listener is closed
 		dialed := 0
 		newClient := func() *http.Client {
 			return &http.Client{Timeout: 3 * time.Second, Transport: &http.Transport{DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
@@ -61,7 +62,7 @@
 				return pipes.Dial(ctx, "a")
 			}}}
 		}
-		// Users come first, and more of them than the workers leave room for.
+		// More users connect, before any worker, than their quota allows.
 		served, refused := 0, 0
 		var users []*http.Client
 		for range 60 {
@@ -79,7 +80,7 @@
 		if served != limiter.MaxConnections-4-workerCount || refused != 60-served {
 			t.Errorf("%d users served and %d told to come back", served, refused)
 		}
-		// Every worker gets a connection, and keeps it.
+		// Every worker gets a connection and keeps it.
 		var workers []*http.Client
 		for range workerCount {
 			workers = append(workers, newClient())
@@ -96,8 +97,8 @@
 		if dialed != dialedBefore {
 			t.Errorf("%d workers had to connect again", dialed-dialedBefore)
 		}
-		// Now it is full: health checks get through, as do users, who are told
-		// to come back.
+		// The listener is full now: health checks and late workers are still served, and users get a
+		// response that asks them to retry.
 		for range 5 {
 			if code, _ := send(newClient(), "GET", "/up", ""); code != 200 {
 				t.Errorf("a health check got %d", code)
@@ -109,7 +110,7 @@
 				t.Errorf("a late worker got %d", code)
 			}
 		}
-		// Those that say nothing any more give their connections back.
+		// Idle connections are closed, so that they no longer count.
 		for range 4 {
 			time.Sleep(15 * time.Second)
 			for _, client := range workers[:20] {
@@ -130,9 +131,9 @@
 }
 
 func TestMoreWorkersThanConnectionsLeaveUsersTheirQuota(t *testing.T) {
-	// Guards against workers that hold every connection of a leader with fewer sockets
-	// than machines: its users were all refused, although its load balancer sent them
-	// there because so few were connected.
+	// Guards against workers that hold every connection of a leader with fewer sockets than machines: all
+	// users were refused there, although the load balancer preferred this node because it had so few user
+	// connections.
 	const workers = 6000
 	limiter := &ConnectionLimiter{MaxConnections: 3000, WorkerCount: func() int { return workers }}
 	var open []*limitedConn
@@ -171,10 +172,10 @@
 	}
 }
 
-// newConnection is one end of a connection whose other end is closed with the test.
+// newConnection returns one end of a connection; the other end is closed at the end of the test.
 func newConnection(t *testing.T) net.Conn {
 	t.Helper()
 	here, there := net.Pipe()
-	t.Cleanup(func() { _ = there.Close() }) // nothing is sent on it
+	t.Cleanup(func() { _ = there.Close() }) // no data is sent on it
 	return here
 }
--- a/internal/intake/dependencies.go
+++ b/internal/intake/dependencies.go
@@ -10,9 +10,10 @@
 	"github.com/pebbletrail/pebbletrail/internal/state"
 )
 
-// resolveDependencies decides at which key the record of a new job with dependencies is stored, and
-// encodes it. The dependencies were read after the request began. If one of them is cancelled, so
-// is the job from the start; if all are done, the job has none any more, since that never changes.
+// resolveDependencies encodes the record of a new job with dependencies and returns it with the key at which
+// to store it. The states of the dependencies are read after the request began. If a dependency is
+// cancelled, the job is stored as cancelled. If all are done, which is final, the job is stored as
+// schedulable.
 func (s *JobService) resolveDependencies(ctx context.Context, rec *record.Record) (key string, value json.RawMessage, err error) {
 	open, cause, err := s.openDependencies(ctx, rec.Spec.DependsOn)
 	if err != nil {
@@ -42,8 +43,8 @@
 	return key, value, nil
 }
 
-// encodeBlocked writes the record of a job that waits for its dependencies. If it does not fit with
-// all of them, those that are done already are left out.
+// encodeBlocked encodes the record of a job that waits for its dependencies. If the record does not fit with
+// all of its dependencies, only the unfinished ones are kept.
 func encodeBlocked(rec *record.Record, open []ids.Job, limit int) (value json.RawMessage, fits bool) {
 	if value, fits := rec.EncodeWaiting(limit); fits {
 		return value, true
@@ -52,9 +53,9 @@
 	return rec.EncodeWaiting(limit)
 }
 
-// openDependencies lists the dependencies of a submitted job that are not done, and the cancelled
-// job that ends the new one from the start, if there is any. All dependencies must have been
-// accepted, and none be a service, which is never done.
+// openDependencies returns the dependencies of a submitted job that are not done. If a direct or indirect
+// dependency is cancelled, cause is that job. Every dependency must have been accepted, and none may be a
+// service, because services never finish; otherwise the error is a rejectedError.
 func (s *JobService) openDependencies(ctx context.Context, dependencies []ids.Job) (open []ids.Job, cause ids.Job, err error) {
 	reader := newDependencyReader(s.records(), state.Sheddable)
 	if err := reader.prefetch(ctx, dependencies); err != nil {
--- a/internal/intake/dependencies_test.go
+++ b/internal/intake/dependencies_test.go
@@ -14,8 +14,8 @@
 )
 
 func TestDependenciesAreAListOfJobIDs(t *testing.T) {
-	// Guards against names that are taken for others or passed over, so that a job starts
-	// too early, and against refusing what the protocol allows.
+	// Guards against names that are misread or ignored, which would start a job too early, and against
+	// refusing lists that the protocol allows.
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newTestCluster(t)
 		for _, bad := range []any{"job-1", "", 7, true, map[string]any{}, []any{1}, []any{nil}, []any{[]string{"job-1"}},
@@ -53,15 +53,15 @@
 	})
 }
 
-// acceptedJob is a job that was accepted before, in some state.
+// acceptedJob is a job that is already in the store when the test submits another one.
 type acceptedJob struct {
 	id           ids.Job
 	status       record.Status
 	dependencies []ids.Job
 }
 
-// dependencyCases are the dependencies that a submission names, its answer, and where its record is
-// stored.
+// dependencyCases lists the stored jobs, the dependencies that a submission names, the expected response,
+// and where the submission's record is expected.
 var dependencyCases = map[string]struct {
 	jobs     []acceptedJob
 	names    []string
@@ -91,14 +91,15 @@
 }
 
 func TestDependencyStatesDecideASubmission(t *testing.T) {
-	// Guards against refusing an accepted job, in whatever state, and against accepting
-	// what can never start; and against a job that waits though all it needs is decided.
+	// Guards against refusing a dependency on an accepted job, whatever its status, against accepting a job
+	// that can never start, and against a job that waits although its dependencies are all done or one is
+	// cancelled.
 	for name, testCase := range dependencyCases {
 		for _, node := range []string{"a", "b"} {
 			t.Run(name+" at "+node, func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					cluster := newTestCluster(t)
-					cluster.expectStatus("job-77", "404") // both have read the records before there was any
+					cluster.expectStatus("job-77", "404") // both nodes have synchronized their caches while the store was empty
 					for _, job := range testCase.jobs {
 						cluster.storeJob(job.id, job.status, job.dependencies...)
 					}
@@ -125,8 +126,8 @@
 }
 
 func TestDependencyMayBeOfAnotherTeamButNoService(t *testing.T) {
-	// Guards against a job that waits for a service, which is never done, and against
-	// looking for what is named in its own team only.
+	// Guards against a job that waits for a service, which never finishes, and against looking up
+	// dependencies only among the jobs of the submission's own team.
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newTestCluster(t)
 		service := submissionOf("job-1")
@@ -145,7 +146,7 @@
 			t.Errorf("another team's job is named: %d %s", code, status)
 		}
 		cluster.request("a", "POST", "/v2/runs/job-1/cancel", nil)
-		for _, node := range []string{"a", "b"} { // a remembers its end, b reads it
+		for _, node := range []string{"a", "b"} { // node a has the final record in its cache, node b reads it from the store
 			if code, _ := cluster.submit(node, submissionWith("job-12", []string{"job-1"})); code != 422 {
 				t.Errorf("a cancelled service is named at %s: %d", node, code)
 			}
@@ -154,9 +155,9 @@
 }
 
 func TestDependencyIsFoundWhileItsRecordMoves(t *testing.T) {
-	// Guards against reading the keys at which a job's record may be stored in an order in which it
-	// slips through, and so is taken for never accepted: it leaves those that wait, and
-	// ends, between any two calls that a node makes to the store.
+	// Guards against an order of reads that misses a job's record while it moves between keys, so that the
+	// job is considered never accepted. The test moves the record from the waiting key to the live key and
+	// from there to the final key, before any two calls that a node makes to the store.
 	for first := 1; first < 9; first++ {
 		for second := first; second < 9; second++ {
 			synctest.Test(t, func(t *testing.T) {
@@ -196,8 +197,8 @@
 }
 
 func TestRepeatedSubmissionIsKnownWhateverItsDependencies(t *testing.T) {
-	// Guards against refusing the repeat of an accepted job because what it names would be
-	// refused now, and against letting a repeat change what the job awaits.
+	// Guards against rejecting a repeated submission of an accepted job because its dependencies would be
+	// rejected now, and against a repeated submission that changes the job's dependencies.
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newTestCluster(t)
 		cluster.storeJob("job-1", record.Queued)
--- a/internal/intake/dependency_reader.go
+++ b/internal/intake/dependency_reader.go
@@ -10,18 +10,18 @@
 	"github.com/pebbletrail/pebbletrail/internal/state"
 )
 
-// dependency is the state of a job that others depend on.
+// dependency is the state of a job that other jobs depend on.
 type dependency struct {
 	accepted bool
-	// summary is as users are told it: a job that a cancellation is about to reach is cancelled.
+	// summary is the state reported to users: a job is cancelled as soon as one of its dependencies is.
 	summary jobSummary
-	// cause is the cancelled job that ends this one, perhaps itself; none if it goes on.
+	// cause is the job whose cancellation ends this job, which may be this job itself; empty if none.
 	cause ids.Job
-	// record is nil for a job that is over and of which only the summary is remembered.
+	// record is nil for an ended job of which only the summary is cached.
 	record *record.Record
 }
 
-// endedDependency is the state of a job that is over.
+// endedDependency returns the state of a job that has ended.
 func endedDependency(summary jobSummary, rec *record.Record) *dependency {
 	ended := &dependency{accepted: true, summary: summary, record: rec}
 	if summary.status != statusCancelled {
@@ -34,14 +34,14 @@
 	return ended
 }
 
-// dependencyReader reads, for one request, the states of the jobs of a pipeline; each is read once.
-// Unfinished jobs come from the controller's copy, which must be as recent as the request needs it.
-// It is not safe for use by several goroutines.
+// dependencyReader reads the states of the jobs of a pipeline for one request, each job once. It reads
+// unfinished jobs from the controller's watch cache, which must be as recent as the request requires. It is
+// not safe for concurrent use.
 type dependencyReader struct {
 	records *recordReader
 	urgency state.Priority
 	states  map[ids.Job]*dependency
-	// finals are final records read in pages; nil for a job that has none.
+	// finals contains the prefetched final records; the value is nil for a job that has none.
 	finals map[ids.Job]*record.Record
 }
 
@@ -54,7 +54,7 @@
 	}
 }
 
-// read returns the state of a job.
+// read returns the state of a job, from an earlier read if there was one.
 func (r *dependencyReader) read(ctx context.Context, id ids.Job) (*dependency, error) {
 	if known := r.states[id]; known != nil {
 		return known, nil
@@ -66,7 +66,7 @@
 	return dependency, err
 }
 
-// readAnew determines the state of a job that this reader has not read yet.
+// readAnew determines the state of a job that this reader has not read before.
 func (r *dependencyReader) readAnew(ctx context.Context, id ids.Job) (*dependency, error) {
 	if summary, known := r.records.ended.get(id); known {
 		return endedDependency(summary, nil), nil
@@ -98,7 +98,7 @@
 	return unfinished, nil
 }
 
-// readRecord reads a job's record, from the prefetched ones if it is among them.
+// readRecord returns a job's record from the prefetched records, or else reads it.
 func (r *dependencyReader) readRecord(ctx context.Context, id ids.Job) (storedRecord, error) {
 	if final, prefetched := r.finals[id]; prefetched {
 		return storedRecord{record: final}, nil
@@ -106,8 +106,8 @@
 	return r.records.stored(ctx, id, r.urgency)
 }
 
-// cancelledDependency finds a cancelled job among the direct and indirect dependencies of a job;
-// none if all go on or are done.
+// cancelledDependency returns a cancelled job among the direct and indirect dependencies of a job, or an
+// empty identifier if none is cancelled.
 func (r *dependencyReader) cancelledDependency(ctx context.Context, rec *record.Record) (ids.Job, error) {
 	if err := r.prefetch(ctx, rec.Spec.DependsOn); err != nil {
 		return "", err
@@ -126,14 +126,15 @@
 	return "", nil
 }
 
-// A job may have hundreds of dependencies, and a call for each would take longer than its user
-// waits. So from prefetchFrom final records on, they are read in pages of at most prefetchPage.
+// A job may have hundreds of dependencies, and one call to the store for each would take longer than its
+// user waits. So final records are read in pages of at most prefetchPage if at least prefetchFrom of them
+// are needed.
 const (
 	prefetchFrom = 4
 	prefetchPage = 500
 )
 
-// prefetch reads the final records of those jobs that are neither unfinished nor remembered.
+// prefetch reads the final records of those jobs whose state is not available without a call to the store.
 func (r *dependencyReader) prefetch(ctx context.Context, jobs []ids.Job) error {
 	var missing []ids.Job
 	for _, id := range jobs {
@@ -142,7 +143,7 @@
 		}
 	}
 	if len(missing) < prefetchFrom {
-		return nil // one by one
+		return nil // each is read by its own call
 	}
 	slices.Sort(missing)
 	for len(missing) > 0 {
@@ -158,7 +159,7 @@
 	return nil
 }
 
-// readsWithoutCall reports that a job can be read without a call of its own to the store.
+// readsWithoutCall reports whether a job can be read without a call to the store.
 func (r *dependencyReader) readsWithoutCall(id ids.Job) bool {
 	if _, prefetched := r.finals[id]; prefetched || r.states[id] != nil {
 		return true
@@ -170,8 +171,8 @@
 	return live
 }
 
-// addPage takes the final records of the missing jobs, which are in order, from a page. It returns
-// the jobs beyond the page's end.
+// addPage stores the final records of the missing jobs that a page contains. missing is sorted. It returns
+// the jobs whose keys sort after the end of the page.
 func (r *dependencyReader) addPage(missing []ids.Job, page []state.Entry, more bool) (beyond []ids.Job, err error) {
 	wanted := map[string]ids.Job{}
 	for _, id := range missing {
@@ -205,8 +206,8 @@
 	return beyond, nil
 }
 
-// keyBefore is a text that sorts before a job's key but after the key of every job before it: the
-// last character is one less, and another that sorts after all digits follows.
+// keyBefore returns a string that sorts before a job's key and after the keys of all jobs that precede it:
+// the last character is decremented, and a character that sorts after all digits is appended.
 func keyBefore(key string) string {
 	last := len(key) - 1
 	return key[:last] + string(key[last]-1) + "~"
--- a/internal/intake/dependency_reader_test.go
+++ b/internal/intake/dependency_reader_test.go
@@ -16,8 +16,8 @@
 )
 
 func TestJobIsRejectedOnlyAfterReadingTheRecords(t *testing.T) {
-	// Guards against 422 from a copy that is old or empty, and against a Retry-After that
-	// sends users away for longer than the trouble, or not at all.
+	// Guards against a 422 response based on a stale or empty watch cache, and against a Retry-After that is
+	// longer than the fault lasts, or missing.
 	expectRetryLater := func(t *testing.T, handler http.Handler, body any) {
 		t.Helper()
 		began := time.Now()
@@ -52,7 +52,7 @@
 				}
 				expectRetryLater(t, cluster.nodes["b"], submissionWith("job-10", []string{"job-404"}))
 				expectRetryLater(t, cluster.nodes["b"], submissionWith("job-11", []string{"job-1", "job-2"}))
-				time.Sleep(5 * time.Second) // it knows by now that it is not served
+				time.Sleep(5 * time.Second) // by now the node has detected that the store is unavailable
 				expectRetryLater(t, cluster.nodes["b"], submissionWith("job-10", []string{"job-404"}))
 				if name != "an outage" {
 					if code, _ := cluster.submit("a", submissionWith("job-12", []string{"job-404"})); code != 422 {
@@ -72,7 +72,7 @@
 	}
 }
 
-// setRule gives node b's calls of some paths a fate, until the function it returns is called.
+// setRule sets the outcome of node b's calls to a path and the paths below it, until end is called.
 func (c *testCluster) setRule(fate fake.Outcome, path string) (end func()) {
 	c.net.SetRule(func(from, _ string, req *http.Request, _ []byte) fake.Outcome {
 		if from == "b" && (req.URL.Path == path || strings.HasPrefix(req.URL.Path, path+"/") || path == "/") {
@@ -84,15 +84,15 @@
 }
 
 func TestHundredsOfEndedDependenciesCostFewCalls(t *testing.T) {
-	// Guards against a call for each of them, for which a node has no tokens while its user
-	// waits, and against missing one between two pages.
+	// Guards against one call for each dependency, which exceeds the rate limit of a node within the time
+	// that a user waits, and against missing a dependency at the boundary of two pages.
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newTestCluster(t)
 		var names []string
 		for i := range 1500 {
 			id := ids.Job(fmt.Sprintf("job-%d", i))
 			cluster.storeJob(id, record.Done)
-			if i%10 == 0 { // the last digit is the least there is
+			if i%10 == 0 { // names that end in 0, the lowest digit, test keyBefore
 				names = append(names, string(id))
 			}
 		}
@@ -118,8 +118,8 @@
 }
 
 func TestOnlyDependenciesThatCannotBeStoredAreRejected(t *testing.T) {
-	// Guards against refusing a job for names that need not be kept, since their jobs are
-	// done; and against an answer other than the documented one for what can't be kept.
+	// Guards against rejecting a job because of dependencies that are done and need not be stored, and
+	// against an undocumented response if the unfinished ones do not fit.
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newTestCluster(t)
 		for _, service := range cluster.services {
@@ -155,7 +155,7 @@
 		if code, _ := cluster.submit("b", submissionWith("job-900000", names)); code != 200 {
 			t.Errorf("a repeat of an accepted job: %d", code)
 		}
-		// What is full can still be cancelled.
+		// A job whose record fills the value can still be cancelled.
 		if code, status := cluster.request("b", "POST", "/v2/runs/job-900000/cancel", nil); code != 200 || status != "cancelled" {
 			t.Errorf("its cancellation: %d %s", code, status)
 		}
@@ -164,8 +164,8 @@
 }
 
 func TestCancellationReachesAllDependentsAndNoOthers(t *testing.T) {
-	// Guards against a cancellation that does not reach those behind, reaches others, or
-	// is undone; no leader is there to help, so all rests on the records.
+	// Guards against a cancellation that misses dependents, reaches other jobs, or is undone. There is no
+	// leader, so the result depends only on the records.
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newTestCluster(t)
 		submit := func(id string, names ...string) {
@@ -185,21 +185,21 @@
 		submit("job-4", "job-1")
 		submit("job-5", "job-3", "job-4")
 		cluster.expectStatus("job-5", "pending")
-		// One in the middle, which waits: what needs it goes, what it needs stays.
+		// Cancelling a blocked job cancels its dependents but not its dependencies.
 		cancel("b", "job-2", "cancelled")
 		for id, want := range map[string]string{"job-1": "pending", "job-2": "cancelled", "job-3": "cancelled", "job-4": "pending", "job-5": "cancelled"} {
 			cluster.expectStatus(id, want)
 		}
-		// One that is cancelled already by another one's cancellation, which stays as it is.
+		// Cancelling a job that was cancelled with its dependency changes nothing.
 		cancel("a", "job-5", "cancelled")
 		cancel("b", "job-3", "cancelled")
 		if cluster.storedAt("job-3") != record.WaitKey("job-3") {
 			t.Errorf("stored at %s", cluster.storedAt("job-3"))
 		}
-		// One that runs, which others await.
+		// A job with assigned tasks and a dependent is cancelled.
 		cluster.storeJob("job-1", record.Cancelling)
 		cluster.expectStatus("job-4", "cancelled")
-		// One that is done: its followers go on.
+		// Cancelling a job that is done does not affect its dependents.
 		cluster.storeJob("job-20", record.Done)
 		cluster.storeJob("job-21", record.Queued, "job-20")
 		cancel("a", "job-20", "done")
--- a/internal/intake/doc.go
+++ b/internal/intake/doc.go
@@ -1,6 +1,5 @@
-// Package intake is the users' interface of a controller. It accepts jobs, reports their
-// status, cancels them and explains them, over HTTP. Every controller serves users alike: it
-// reads and writes job records in the consensus-backed key-value store itself, whichever
-// controller leads. The protocol's names are mapped to the program's terms in messages.go and
-// parse.go.
+// Package intake implements the HTTP interface of a controller: users submit, poll, cancel and explain jobs,
+// and workers send heartbeats. Every controller serves users in the same way, whether or not it leads a
+// shard: it reads and writes job records in the consensus-backed key-value store directly. The files
+// messages.go and parse.go map the names of the protocol to the terms of the program.
 package intake
--- a/internal/intake/errors.go
+++ b/internal/intake/errors.go
@@ -5,13 +5,13 @@
 	"fmt"
 )
 
-// errUnavailable reports that a request can't be decided or stored now; the user may retry it.
+// errUnavailable reports that a request cannot be evaluated or stored at present; the user may retry it.
 var errUnavailable = errors.New("try again later")
 
-// errStoreSilent is errUnavailable because the key-value store does not answer this controller.
+// errStoreSilent is the errUnavailable for a key-value store that does not respond to this controller.
 var errStoreSilent = fmt.Errorf("%w: the state service does not answer", errUnavailable)
 
-// rejectedError reports that a submitted job can never run; a retry is rejected as well.
+// rejectedError reports that a submitted job can never run; a retry would be rejected too.
 type rejectedError struct{ reason string }
 
 func (e rejectedError) Error() string { return e.reason }
@@ -21,5 +21,5 @@
 	errTooManyDependencies = rejectedError{"it awaits more jobs than can be stored with its description"}
 )
 
-// unavailable turns the failure of a call to the store into errUnavailable.
+// unavailable wraps the error of a failed call to the store in errUnavailable.
 func unavailable(cause error) error { return fmt.Errorf("%w: %w", errUnavailable, cause) }
--- a/internal/intake/explain.go
+++ b/internal/intake/explain.go
@@ -10,29 +10,29 @@
 	"github.com/pebbletrail/pebbletrail/internal/state"
 )
 
-// Explanation is the answer of GET /v2/runs/{id}/explain.
+// Explanation is the response body of GET /v2/runs/{id}/explain.
 type Explanation struct {
 	Job    ids.Job `json:"uid"`
 	Status string  `json:"status"`
-	// Trail is what happened to the job, oldest first.
+	// Trail lists the job's events, oldest first.
 	Trail []record.Event `json:"trail"`
-	// Now is what the job waits for, and how the deadlines of its pipeline stand.
+	// Now describes what the job waits for, and whether its pipeline will meet its deadlines.
 	Now []string `json:"now,omitempty"`
-	// Leader is the leader that was asked; empty if none was.
+	// Leader is the leader that was queried; empty if none was.
 	Leader ids.Node `json:"owner,omitempty"`
-	// Note says what is missing in the explanation, and why.
+	// Note states why the explanation is incomplete; empty if it is complete.
 	Note string `json:"note,omitempty"`
 }
 
-// statusUnknown is the status in an explanation that the store could not confirm.
+// statusUnknown is the status in an explanation if the store could not be read.
 const statusUnknown = "unknown"
 
 func (s *Server) explain(c echo.Context) error {
 	return s.answerForJob(c, requestTimeout, s.explainJob)
 }
 
-// explainJob explains a job by its record. While the store does not answer, which is when operators
-// ask most, it tells what this controller knew last, and says so.
+// explainJob explains a job from its record. While the store does not respond, which is when operators need
+// explanations most, it returns the last state that this controller read, and says so in the note.
 func (s *Server) explainJob(ctx context.Context, id ids.Job) (explanation any, found bool, err error) {
 	records := s.Jobs.records()
 	stored, err := records.current(ctx, id, state.Sheddable)
@@ -50,8 +50,8 @@
 	return s.explainRecord(ctx, records, stored.record), true, nil
 }
 
-// explainRecord tells a job's events, the forecast of its pipeline, and, unless it is over or waits
-// for its dependencies, what the leader says of its tasks.
+// explainRecord returns a job's events and the forecast of its pipeline. Unless the job has ended or
+// waits for its dependencies, it adds the leader's explanation of the job's tasks.
 func (s *Server) explainRecord(ctx context.Context, records *recordReader, rec *record.Record) Explanation {
 	id := rec.Spec.ID
 	explanation := Explanation{Job: id, Status: string(summarize(rec).status), Trail: rec.Events}
--- a/internal/intake/feasibility.go
+++ b/internal/intake/feasibility.go
@@ -7,9 +7,9 @@
 	"github.com/pebbletrail/pebbletrail/internal/record"
 )
 
-// checkFeasible decides whether a job can ever run. It returns a rejectedError if it can't, and
-// errUnavailable if that can't be decided yet. Machine types that nobody offers are removed from
-// the description.
+// checkFeasible checks whether a job can ever run. It returns a rejectedError if it cannot, and
+// errUnavailable while the machine types on offer are unknown. It removes machine types that are not on
+// offer from the spec.
 func (s *JobService) checkFeasible(spec *record.Spec) error {
 	if err := s.checkTeamLimits(spec); err != nil {
 		return err
@@ -28,8 +28,8 @@
 	return nil
 }
 
-// checkTeamLimits rejects a job of which more must run at once than its team may ever use: all
-// tasks, or one of a job array.
+// checkTeamLimits rejects a job whose minimum concurrent usage exceeds its team's limits. That is the
+// usage of all tasks, or of a single task for a job array.
 func (s *JobService) checkTeamLimits(spec *record.Spec) error {
 	team, known := s.Settings.Team(spec.Team)
 	if !known {
@@ -47,8 +47,8 @@
 	return nil
 }
 
-// allowedTypes lists the offered machine types that a job allows. It reports whether a task fits
-// one of them.
+// allowedTypes returns the labels of the offered machine types that a job allows, and reports whether a task
+// fits at least one of them.
 func allowedTypes(spec *record.Spec, offered []placement.InstanceType) (labels []string, fits bool) {
 	request := spec.PlacementRequest()
 	for i := range offered {
--- a/internal/intake/forecast.go
+++ b/internal/intake/forecast.go
@@ -13,27 +13,27 @@
 )
 
 const (
-	// forecastJobs bounds how many jobs one explanation follows.
+	// forecastJobs limits how many jobs of a pipeline one explanation visits.
 	forecastJobs = 500
-	// forecastDependencies bounds how many dependencies an explanation lists.
+	// forecastDependencies limits how many dependencies an explanation lists.
 	forecastDependencies = 100
-	// forecastDeadlines bounds of how many dependent jobs it tells whether they meet their
+	// forecastDeadlines limits for how many dependents an explanation estimates whether they meet their
 	// deadlines.
 	forecastDeadlines = 5
 )
 
-// criticalPath is the longest path, by the users' estimates, to the end of a job.
+// criticalPath is the longest chain of unfinished jobs that ends with a given job, by the users' estimates.
 type criticalPath struct {
 	remaining time.Duration
-	first     ids.Job // the unfinished job at its beginning
+	first     ids.Job // the first job of the chain
 }
 
-// forecast estimates, for one explanation, when the jobs of a pipeline end.
+// forecast estimates when the jobs of a pipeline end. It serves one explanation.
 type forecast struct {
 	records      *recordReader
 	dependencies *dependencyReader
 	paths        map[ids.Job]criticalPath
-	truncated    bool // there are more jobs than it follows
+	truncated    bool // the pipeline has more jobs than forecastJobs
 }
 
 func newForecast(records *recordReader) *forecast {
@@ -44,8 +44,8 @@
 	}
 }
 
-// explain tells what a job waits for, and whether the deadline of the pipeline that it belongs to
-// is at risk, and by which job. With an error come the lines found up to it.
+// explain describes what a job waits for, whether the deadlines of its pipeline are at risk, and which job
+// has to finish first. If it returns an error, it also returns the lines produced before the error.
 func (f *forecast) explain(ctx context.Context, rec *record.Record) ([]string, error) {
 	switch {
 	case rec.Status == record.Cancelled && rec.CancelledBy != "":
@@ -73,8 +73,8 @@
 	return lines, nil
 }
 
-// explainCancellation names the job whose user's cancellation ended one that depends on it. The
-// record may name one in between, which was cancelled with it.
+// explainCancellation names the job whose cancellation by its user ended the given job, which depends on it.
+// The record may name an intermediate dependency that was cancelled for the same reason.
 func (f *forecast) explainCancellation(ctx context.Context, rec *record.Record) ([]string, error) {
 	cause, between := rec.CancelledBy, []string{}
 	for range forecastJobs {
@@ -95,7 +95,7 @@
 	return []string{line}, nil
 }
 
-// listDependencies describes a job's dependencies, those that are not done first.
+// listDependencies describes a job's dependencies, unfinished ones first.
 func (f *forecast) listDependencies(ctx context.Context, rec *record.Record) ([]string, error) {
 	if err := f.dependencies.prefetch(ctx, rec.Spec.DependsOn); err != nil {
 		return nil, err
@@ -121,7 +121,7 @@
 	return lines, nil
 }
 
-// deadlineRisk tells whether a job's deadline, if it has one, is at risk.
+// deadlineRisk describes whether a job's deadline, if it has one, is at risk.
 func (f *forecast) deadlineRisk(ctx context.Context, rec *record.Record) ([]string, error) {
 	if rec.Spec.Deadline <= 0 {
 		return nil, nil
@@ -137,7 +137,7 @@
 	return []string{fmt.Sprintf("the pipeline is in time: by the estimates it ends %.0fs before its deadline; it hangs on %s first", slack.Seconds(), path.first)}, nil
 }
 
-// dependentsAtRisk tells of the jobs that depend on one whether their deadlines are at risk.
+// dependentsAtRisk describes whether the deadlines of the jobs that depend on a job are at risk.
 func (f *forecast) dependentsAtRisk(ctx context.Context, id ids.Job) (lines []string, err error) {
 	for _, dependent := range f.dependentsWithDeadline(id) {
 		current, err := f.dependencies.read(ctx, dependent.Spec.ID)
@@ -158,7 +158,7 @@
 	return lines, nil
 }
 
-// pathTo finds the critical path to the end of an unfinished job.
+// pathTo returns the critical path that ends with an unfinished job.
 func (f *forecast) pathTo(ctx context.Context, rec *record.Record) (criticalPath, error) {
 	id := rec.Spec.ID
 	if path, known := f.paths[id]; known {
@@ -194,8 +194,8 @@
 	return longest, nil
 }
 
-// dependentsWithDeadline lists the blocked jobs with a deadline that depend on a job, directly or
-// not, earliest deadline first, as the controller's copy has them.
+// dependentsWithDeadline returns the blocked jobs with a deadline that depend on a job directly or
+// indirectly, earliest deadline first. It reads them from the controller's watch cache.
 func (f *forecast) dependentsWithDeadline(id ids.Job) []*record.Record {
 	dependents := f.records.dependents()
 	found := map[ids.Job]bool{id: true}
@@ -216,12 +216,13 @@
 	return withDeadline[:min(len(withDeadline), forecastDeadlines)]
 }
 
-// deadline is when a job is due; it counts from the submission, also if the job had to wait.
+// deadline returns the time at which a job is due. It counts from the submission, even if the job had to
+// wait for its dependencies.
 func deadline(rec *record.Record) time.Time {
 	return rec.Submitted.Time().Add(rec.Spec.Deadline.Duration())
 }
 
-// dependents indexes the blocked jobs in the copy by their dependencies.
+// dependents returns the blocked jobs in the watch cache, indexed by their dependencies.
 func (r *recordReader) dependents() map[ids.Job][]*record.Record {
 	entries, _ := r.mirror.Entries()
 	index := map[ids.Job][]*record.Record{}
--- a/internal/intake/forecast_test.go
+++ b/internal/intake/forecast_test.go
@@ -16,7 +16,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/state"
 )
 
-// submissionWithTimes is a submission with an estimate and, if above zero, a deadline.
+// submissionWithTimes returns a submission with an estimate, dependencies and, if above zero, a deadline.
 func submissionWithTimes(id string, estimate, deadline float64, names ...string) map[string]any {
 	body := submissionWith(id, names)
 	body["guessS"] = estimate
@@ -26,7 +26,7 @@
 	return body
 }
 
-// submitAll submits jobs that must be accepted.
+// submitAll submits jobs and fails the test unless all are accepted.
 func (c *testCluster) submitAll(jobs ...map[string]any) {
 	c.t.Helper()
 	for _, body := range jobs {
@@ -36,7 +36,7 @@
 	}
 }
 
-// explanation is what a node's explanation of a job says of now.
+// explanation returns the fields Now and Note of a node's explanation of a job.
 func (c *testCluster) explanation(node, id string) (now []string, note string) {
 	c.t.Helper()
 	response := serve(c.nodes[node], "GET", "/v2/runs/"+id+"/explain", nil)
@@ -47,7 +47,7 @@
 	return explanation.Now, explanation.Note
 }
 
-// expectExplanation checks the lines of node b's explanation of a job.
+// expectExplanation checks the Now lines of node b's explanation of a job, and that it has no note.
 func (c *testCluster) expectExplanation(id string, want ...string) {
 	c.t.Helper()
 	now, note := c.explanation("b", id)
@@ -57,8 +57,8 @@
 }
 
 func TestDeadlineRiskNamesTheStartOfTheCriticalPath(t *testing.T) {
-	// Guards against telling of a late pipeline only once its last job is overdue, of the
-	// last job only, or of the wrong cause: the longest path counts, without what is done.
+	// Guards against reporting a late pipeline only after its last job is overdue, only for its last job, or
+	// with the wrong cause: the longest path without finished jobs determines the risk.
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newTestCluster(t)
 		go cluster.services["b"].Store.ProbeHealth(t.Context(), record.KeysOf(0, 1).Generation())
@@ -74,7 +74,7 @@
 		behind = strings.Replace(behind, "215s", "180s", 1)
 		cluster.expectExplanation("job-4", "awaits job-3: pending, 0 of 2 tasks done", "awaits job-1: pending, 0 of 2 tasks done", atRisk, behind)
 		cluster.expectExplanation("job-1", "needed by job-4: "+atRisk, behind)
-		// The long one is done: the other way is the longer now.
+		// Once job-2 is done, the path through job-1 is the longest.
 		cluster.endJob("job-2", record.Done)
 		cluster.expectExplanation("job-3", "awaits job-1: pending, 0 of 2 tasks done", "awaits job-2: done, 0 of 2 tasks done",
 			"needed by job-4: the pipeline is in time: by the estimates it ends 5s before its deadline; it hangs on job-1 first",
@@ -82,7 +82,7 @@
 	})
 }
 
-// endJob ends a job as the leader would.
+// endJob replaces a job's live record by a final one with the given status, as the leader would.
 func (c *testCluster) endJob(id ids.Job, status record.Status) {
 	c.t.Helper()
 	rec, err := record.Decode(c.store.Value(record.JobKey(id)))
@@ -95,8 +95,8 @@
 }
 
 func TestCancelledDependentIsExplainedByTheJobThatItsUserCancelled(t *testing.T) {
-	// Guards against an explanation that names one in between, or none, whether or not the
-	// ends are stored, and once that of the first is.
+	// Guards against an explanation that names an intermediate job or none as the cause, whether or not the
+	// final records of the cancelled jobs are stored.
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newTestCluster(t)
 		cluster.submitAll(submissionWithTimes("job-1", 30, 0), submissionWithTimes("job-2", 50, 0, "job-1"), submissionWithTimes("job-3", 20, 0, "job-2"), submissionWithTimes("job-4", 20, 0, "job-3"))
@@ -106,7 +106,7 @@
 			cluster.expectExplanation(id, "cancelled with job-1, whose user cancelled it")
 		}
 		cluster.expectExplanation("job-1")
-		// The leader may learn of one in between first.
+		// The leader may record an intermediate job as the cause.
 		for id, by := range map[ids.Job]ids.Job{"job-2": "job-1", "job-3": "job-2"} {
 			rec, err := record.DecodeWaiting(cluster.store.Value(record.WaitKey(id)))
 			if err != nil {
@@ -121,15 +121,16 @@
 	})
 }
 
-// remove removes a key as the leader does.
+// remove removes a key with the leader's client.
 func (c *testCluster) remove(key string) {
 	c.t.Helper()
 	c.commit(state.Op{Remove: key})
 }
 
 func TestExplainingALargePipelineCostsFewCallsAndLines(t *testing.T) {
-	// Guards against following a job anew for each that awaits it, a call for each ended
-	// one, and an answer without bounds: a long chain, each of which awaits many.
+	// Guards against visiting a job once for each of its dependents, against one call for each ended job,
+	// and against an unlimited response. The pipeline is a long chain of jobs with many dependencies
+	// each.
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newTestCluster(t)
 		var ended []ids.Job
@@ -167,7 +168,7 @@
 }
 
 func TestDeadlineCountsFromTheSubmission(t *testing.T) {
-	// Guards against a deadline that moves with the end of what a job awaited.
+	// Guards against a deadline that counts from the end of the job's dependencies.
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newTestCluster(t)
 		spec, err := parse(bytes.NewReader(marshal(submissionWithTimes("job-1", 30, 100.4))))
--- a/internal/intake/intake_test.go
+++ b/internal/intake/intake_test.go
@@ -20,14 +20,14 @@
 	"github.com/pebbletrail/pebbletrail/internal/state"
 )
 
-// validSubmission is a submission with all fields, and one that the protocol does not know.
+// validSubmission returns a submission with all fields of the protocol and an unknown one.
 func validSubmission() map[string]any {
 	return map[string]any{"uid": "job-1", "jobkind": "c", "owner": "red", "shape": "array", "urgency": "low", "pieces": 2,
 		"cores": 1.5, "accelerators": 0, "ramGb": 1, "bundle": "img", "pullGb": 1, "builds": nil, "yard": nil, "together": false,
 		"spread": false, "loaners": true, "guessS": 10, "bookmarkS": 0, "stashS": 0, "dueS": nil, "novel": "ignored"}
 }
 
-// submissionOf is a valid submission of a job.
+// submissionOf returns a valid submission with the given job identifier.
 func submissionOf(id string) map[string]any {
 	body := validSubmission()
 	body["uid"] = id
@@ -69,7 +69,7 @@
 	}
 }
 
-// silentNotifier is a leader that is told at once.
+// silentNotifier implements LeaderNotifier. It reports every notification as delivered immediately.
 type silentNotifier struct{}
 
 func (silentNotifier) NotifyLeader(ids.Job, ids.Revision, *record.Record, json.RawMessage) <-chan struct{} {
@@ -78,7 +78,7 @@
 	return done
 }
 
-// newJobService is a node on a store of its own.
+// newJobService returns the job service of a node with its own network and store.
 func newJobService() (*fake.Network, *fake.Store, *JobService) {
 	network, store := fake.NewNetwork(), fake.NewStore()
 	network.Listen("state:1", store)
@@ -91,14 +91,14 @@
 		LeaderNotifier: silentNotifier{}, Writer: "a", MachineTypes: func() []placement.InstanceType { return types }}
 }
 
-// newSite is the HTTP side of such a node.
+// newSite returns the HTTP handler of a node with its own network and store.
 func newSite() (*fake.Network, *fake.Store, http.Handler) {
 	network, store, service := newJobService()
 	return network, store, (&Server{Jobs: service, Ready: func() bool { return true }, NodeStatus: func() any { return nil },
 		ExplainByLeader: explainWithoutLeader}).Handler()
 }
 
-// serve has a handler answer a request.
+// serve sends a request to a handler and returns the response.
 func serve(handler http.Handler, method, path string, body any) *httptest.ResponseRecorder {
 	response := httptest.NewRecorder()
 	handler.ServeHTTP(response, httptest.NewRequest(method, path, bytes.NewReader(marshal(body))))
@@ -136,7 +136,7 @@
 		if got := serve(handler, "POST", "/v2/runs/job-999/cancel", nil).Code; got != 404 {
 			t.Errorf("cancelling a job nobody submitted: %d", got)
 		}
-		// Once accepted it is never refused, even if it would be by now.
+		// An accepted job is never rejected, even if a repeated submission could not be accepted.
 		if got := serve(handler, "POST", "/v2/runs", with("cores", 50)).Code; got != 200 {
 			t.Errorf("a repeat that no longer fits: %d", got)
 		}
@@ -187,9 +187,8 @@
 }
 
 func TestThousandsOfPollsLeaveStoreCallsForSubmissions(t *testing.T) {
-	// Guards against each question costing a call of its own: thousands ask at once,
-	// with the calls a second that one of five controllers has, and meanwhile jobs are
-	// submitted and cancelled.
+	// Guards against one store call for each poll. Thousands of users poll at once at a controller whose
+	// rate limit is that of one of five controllers, while other jobs are submitted and cancelled.
 	synctest.Test(t, func(t *testing.T) {
 		network, _, service := newJobService()
 		calls := 0
@@ -237,7 +236,7 @@
 }
 
 func TestUnreachableStoreIsAnsweredAtOnce(t *testing.T) {
-	// Guards against every user finding out by a call that hangs: an unreachable store says nothing.
+	// Guards against requests that wait for a timeout: an unreachable store does not respond at all.
 	synctest.Test(t, func(t *testing.T) {
 		network, _, service := newJobService()
 		served := true
@@ -260,7 +259,7 @@
 				t.Errorf("%s %s: %d after %v, %v", request.method, request.path, response.Code, time.Since(began), response.Header())
 			}
 		}
-		// Operators are told what it knows, as what it is.
+		// Operators get the last known state, marked as such.
 		response := serve(handler, "GET", "/v2/runs/job-1/explain", nil)
 		if response.Code != 200 || !strings.Contains(response.Body.String(), "knew last") || !strings.Contains(response.Body.String(), "unknown") {
 			t.Errorf("explain: %d %s", response.Code, response.Body)
@@ -269,8 +268,7 @@
 }
 
 func TestHealthAnswersTellTheVersion(t *testing.T) {
-	// Guards against a fleet in the middle of an upgrade whose controllers can't be told
-	// apart from outside.
+	// Guards against controllers whose versions cannot be distinguished from outside during an upgrade.
 	synctest.Test(t, func(t *testing.T) {
 		handler := (&Server{Ready: func() bool { return true }, Version: "9.8.7"}).Handler()
 		if got := serve(handler, "GET", "/up", nil).Header().Get("Pebbletrail-Version"); got != "9.8.7" {
--- a/internal/intake/job_service.go
+++ b/internal/intake/job_service.go
@@ -12,38 +12,38 @@
 	"github.com/pebbletrail/pebbletrail/internal/state"
 )
 
-// LeaderNotifier passes the write of a job's record on to the leader.
+// LeaderNotifier notifies the leader of writes to job records.
 type LeaderNotifier interface {
-	// NotifyLeader tells the leader that a job's record was written at a revision; rec and raw
-	// are nil if the job's live record was removed. The channel closes once the leader knows, or
-	// can't be told.
+	// NotifyLeader notifies the leader that a job's record was written at a revision. rec and raw are nil
+	// if the job's live record was removed. The returned channel is closed once the leader has been
+	// notified or the notification has failed.
 	NotifyLeader(id ids.Job, stamp ids.Revision, rec *record.Record, raw json.RawMessage) <-chan struct{}
 }
 
-// JobService carries out the users' requests on jobs. It reads and writes the records itself,
-// whichever controller leads. Its methods may be called from any goroutine.
+// JobService executes the users' requests for jobs. It reads and writes job records in the store directly,
+// whether or not this controller is the leader. Its methods are safe for concurrent use.
 type JobService struct {
 	Settings *config.Settings
 	Store    *state.Client
-	// Records is this controller's copy of the records of unfinished jobs.
+	// Records is the watch cache of the records of unfinished jobs.
 	Records        *state.WatchCache
 	LeaderNotifier LeaderNotifier
-	// Writer is this controller's incarnation, stored with each record that it writes.
+	// Writer is the incarnation of this controller process, stored with each record that it writes.
 	Writer string
-	// MachineTypes is the cloud's offer of machine types; empty while it is not known.
+	// MachineTypes returns the machine types that the cloud offers; empty while they are unknown.
 	MachineTypes func() []placement.InstanceType
 
-	// valueLimitFell is set once the store has refused a value of a size that it took before.
+	// valueLimitFell is set once the store has refused a value of a size that it accepted before.
 	valueLimitFell atomic.Bool
 	ended          summaryCache
 }
 
-// records reads the job records for one request.
+// records returns a reader of job records for one request.
 func (s *JobService) records() *recordReader {
 	return &recordReader{store: s.Store, mirror: s.Records, ended: &s.ended}
 }
 
-// status answers a user's poll; found is false for a job that was never accepted.
+// status returns the current summary of a job. found is false for a job that was never accepted.
 func (s *JobService) status(ctx context.Context, id ids.Job) (summary jobSummary, found bool, err error) {
 	if summary, known := s.ended.get(id); known {
 		return summary, true, nil
@@ -55,5 +55,5 @@
 	return summarize(stored.record), true, nil
 }
 
-// valueLimit is how many bytes a value in the store may have.
+// valueLimit returns the maximum size of a value in the store, in bytes.
 func (s *JobService) valueLimit() int { return int(s.Settings.Params.State.ValueBytes()) }
--- a/internal/intake/listener.go
+++ b/internal/intake/listener.go
@@ -17,16 +17,16 @@
 	maxHeaderBytes    = 16 << 10
 )
 
-// limitedConnKey is the key of a request's limitedConn in its context.
+// limitedConnKey is the context key for the limitedConn of a request.
 type limitedConnKey struct{}
 
-// limitedListener accepts as many connections as its limiter admits.
+// limitedListener is a net.Listener that accepts only the connections that its limiter admits.
 type limitedListener struct {
 	net.Listener
 	limiter *ConnectionLimiter
 }
 
-// Accept closes connections above the limit.
+// Accept returns the next admitted connection. It closes connections that the limiter does not admit.
 func (l *limitedListener) Accept() (net.Conn, error) {
 	for {
 		conn, err := l.Listener.Accept()
@@ -36,11 +36,11 @@
 		if admitted := l.limiter.admit(conn); admitted != nil {
 			return admitted, nil
 		}
-		_ = conn.Close() // nothing was exchanged on it that could be lost
+		_ = conn.Close() // no data was exchanged, so none can be lost
 	}
 }
 
-// Serve answers requests on a listener until it fails or closes, and returns why.
+// Serve serves requests on a listener until the listener fails or is closed, and returns the error.
 func (s *Server) Serve(listener net.Listener, limiter *ConnectionLimiter) error {
 	server := &http.Server{
 		Handler:           s.Handler(),
@@ -56,13 +56,13 @@
 	return server.Serve(&limitedListener{listener, limiter})
 }
 
-// limit is the middleware that keeps each kind of caller to its part of the connections.
+// limit returns middleware that restricts a kind of client to its quota of connections.
 func (s *Server) limit(from caller) echo.MiddlewareFunc {
 	return func(next echo.HandlerFunc) echo.HandlerFunc {
 		return func(c echo.Context) error {
 			conn, ok := c.Request().Context().Value(limitedConnKey{}).(*limitedConn)
 			if !ok {
-				return next(c) // not accepted by a limitedListener
+				return next(c) // the connection was not accepted by a limitedListener
 			}
 			serve, keepOpen := conn.admitRequest(from)
 			if !keepOpen {
--- a/internal/intake/messages.go
+++ b/internal/intake/messages.go
@@ -5,8 +5,8 @@
 	"github.com/pebbletrail/pebbletrail/internal/record"
 )
 
-// submission is the body of POST /v2/runs. Pointers tell a missing field from a zero one. Users
-// read this type's name in the text of a decoding error, so it stays.
+// submission is the body of POST /v2/runs. Its fields are pointers to distinguish missing fields from zero
+// values. Do not rename this type: decoding errors, which users see, contain its name.
 type submission struct {
 	ID                *string   `json:"uid"`
 	Class             *string   `json:"jobkind"`
@@ -31,7 +31,7 @@
 	Dependencies      *[]string `json:"awaits"`
 }
 
-// jobAnswer is what users are told of a job.
+// jobAnswer is the response body that describes a job to its user.
 type jobAnswer struct {
 	ID      ids.Job    `json:"uid"`
 	Status  userStatus `json:"status"`
@@ -39,10 +39,10 @@
 	Running int        `json:"running"`
 }
 
-// userStatus is a job's status in the users' protocol.
+// userStatus is the status of a job as reported to users.
 type userStatus string
 
-// The statuses that users are told.
+// The statuses reported to users.
 const (
 	statusPending   userStatus = "pending"
 	statusRunning   userStatus = "running"
@@ -50,28 +50,29 @@
 	statusCancelled userStatus = "cancelled"
 )
 
-// jobSummary is what a controller keeps of a job's record to answer its user and to decide on the
-// jobs that depend on it.
+// jobSummary is the part of a job's record needed to respond to the job's user and to evaluate the jobs that
+// depend on it.
 type jobSummary struct {
 	id      ids.Job
 	status  userStatus
-	done    int // tasks
-	running int // tasks
-	tasks   int // of the whole job
+	done    int // number of tasks that are done
+	running int // number of tasks that are running
+	tasks   int // total number of tasks
 	service bool
-	// cancelledBy is the dependency whose cancellation ended the job; none if its user did.
+	// cancelledBy is the dependency whose cancellation ended the job; empty if the job was not cancelled, or
+	// was cancelled by its own user.
 	cancelledBy ids.Job
 }
 
-// over reports that the job's status is final.
+// over reports whether the job's status is final.
 func (s *jobSummary) over() bool { return s.status == statusDone || s.status == statusCancelled }
 
-// answer is the summary in the users' protocol.
+// answer converts the summary to the response body for users.
 func (s *jobSummary) answer() jobAnswer {
 	return jobAnswer{ID: s.id, Status: s.status, Done: s.done, Running: s.running}
 }
 
-// summarize reduces a record to its summary.
+// summarize returns the summary of a job's record.
 func summarize(rec *record.Record) jobSummary {
 	summary := jobSummary{
 		id:          rec.Spec.ID,
--- a/internal/intake/parse.go
+++ b/internal/intake/parse.go
@@ -16,15 +16,15 @@
 // Limits on a submission.
 const (
 	bodyLimit = 64 * 1024 // bytes
-	nameLimit = 256       // bytes of a name
+	nameLimit = 256       // bytes per name
 	maxTasks  = 100000
 )
 
-// shapes and priorities map the protocol's values.
+// shapes and priorities map values of the protocol to those of job records.
 var shapes = map[string]record.Shape{"array": record.Array, "gang": record.Gang, "standing": record.Service}
 var priorities = map[string]record.Priority{"critical": record.Critical, "high": record.High, "normal": record.Normal, "low": record.Low}
 
-// parse reads and checks a submission. Users read the text of its error, which names the fields as
+// parse reads and validates a submission. Its errors are returned to users and therefore name the fields as
 // the protocol does.
 func parse(body io.Reader) (record.Spec, error) {
 	raw, err := io.ReadAll(io.LimitReader(body, bodyLimit+1))
@@ -47,7 +47,7 @@
 	return s.spec()
 }
 
-// checkRequired checks that every required field is there and of the right kind.
+// checkRequired checks that every required field is present and valid.
 func (s *submission) checkRequired() error {
 	for _, field := range []struct {
 		name  string
@@ -81,10 +81,10 @@
 	return nil
 }
 
-// isName reports whether a text may name a job class, a zone, an image and the like.
+// isName reports whether a text has a valid length for a name, such as that of a job class, zone or image.
 func isName(text string) bool { return text != "" && len(text) <= nameLimit }
 
-// spec turns a submission with all required fields into the description of a job.
+// spec converts a submission to a job spec. All required fields must be present.
 func (s *submission) spec() (record.Spec, error) {
 	spec := record.Spec{
 		Class:              *s.Class,
@@ -120,7 +120,7 @@
 	return spec, nil
 }
 
-// addOptional adds the fields that may be null or missing to a description.
+// addOptional copies the optional fields, which may be null or missing, to a spec.
 func (s *submission) addOptional(spec *record.Spec) error {
 	if s.MachineTypes != nil {
 		spec.InstanceTypes = *s.MachineTypes
@@ -154,7 +154,7 @@
 	return nil
 }
 
-// parseDependencies reads the ids of a job's dependencies. One that is named twice counts once.
+// parseDependencies parses the identifiers of a job's dependencies and removes duplicates.
 func parseDependencies(names []string) (dependencies []ids.Job, err error) {
 	seen := map[ids.Job]bool{}
 	for _, name := range names {
--- a/internal/intake/record_reader.go
+++ b/internal/intake/record_reader.go
@@ -9,15 +9,15 @@
 	"github.com/pebbletrail/pebbletrail/internal/state"
 )
 
-// recordReader reads job records from the store and from the controller's copy of them.
+// recordReader reads job records from the store and from the controller's watch cache.
 type recordReader struct {
 	store  *state.Client
 	mirror *state.WatchCache // of the records of unfinished jobs
 	ended  *summaryCache
 }
 
-// storedRecord is a job's record and the entry that it was read from. Without a record, the job is
-// not stored.
+// storedRecord is a job's record with the store entry from which it was decoded. record is nil if the store
+// has none for the job.
 type storedRecord struct {
 	record *record.Record
 	entry  state.Entry
@@ -25,15 +25,15 @@
 
 func (s storedRecord) exists() bool { return s.record != nil }
 
-// blocked reports that the job waits for its dependencies.
+// blocked reports whether the job waits for its dependencies.
 func (s storedRecord) blocked() bool {
 	return s.exists() && s.entry.Key == record.WaitKey(s.record.Spec.ID)
 }
 
-// current reads a job's record as it was after the request began. Records of unfinished jobs are
-// read from the copy, brought up to date once for all requests that wait; only those that are not
-// in it cost a call each. A job that ends in between has its final record before its live one is
-// removed, so reading the live one first misses nothing.
+// current returns a job's record as it was at some moment after the call began. It reads records of
+// unfinished jobs from the watch cache, which is synchronized once for all waiting requests; only records
+// that are not in the cache require a call each. The final record of an ending job is written no later
+// than its live record is removed, so reading the live record first cannot miss the job.
 func (r *recordReader) current(ctx context.Context, id ids.Job, urgency state.Priority) (storedRecord, error) {
 	if r.store.Unavailable() {
 		return storedRecord{}, errStoreSilent
@@ -60,8 +60,8 @@
 	return stored, nil
 }
 
-// stored reads a record from the copy, which must be as recent as the caller needs it, or else the
-// final record from the store.
+// stored returns a job's live record from the watch cache, which must be as recent as the caller
+// requires, or else its final record from the store.
 func (r *recordReader) stored(ctx context.Context, id ids.Job, urgency state.Priority) (storedRecord, error) {
 	live, err := r.live(id)
 	if err != nil || live.exists() {
@@ -81,8 +81,8 @@
 	return storedRecord{rec, entry}, nil
 }
 
-// live reads the record of an unfinished job from the copy, however old that is. A cancellation
-// stored apart from the record is applied to it.
+// live returns the record of an unfinished job from the watch cache, regardless of the age of the cache. It
+// applies a cancellation that is stored at a separate key.
 func (r *recordReader) live(id ids.Job) (storedRecord, error) {
 	entries, ready := r.mirror.GetMany(record.JobKey(id), record.WaitKey(id), record.CancelKey(id))
 	if !ready {
@@ -103,8 +103,8 @@
 	}
 }
 
-// decodeClaimable reads the record of a job without open dependencies, and applies its cancellation
-// if there is one.
+// decodeClaimable decodes the record of a job without unfinished dependencies, and applies the separately
+// stored cancellation if there is one.
 func decodeClaimable(entry, cancellation state.Entry) (storedRecord, error) {
 	rec, err := record.Decode(entry.Value)
 	if err != nil {
@@ -120,8 +120,8 @@
 	return storedRecord{rec, entry}, nil
 }
 
-// lastKnown is the record of an unfinished job in the copy, however old that is; nil if there is
-// none that can be read.
+// lastKnown returns the record of an unfinished job from the watch cache, regardless of the age of the
+// cache. It returns nil if the cache contains no record that can be decoded.
 func (r *recordReader) lastKnown(id ids.Job) *record.Record {
 	stored, err := r.live(id)
 	if err != nil {
@@ -130,14 +130,14 @@
 	return stored.record
 }
 
-// blocked reports that a job waits for its dependencies, as the copy has it.
+// blocked reports whether a job waits for its dependencies according to the watch cache.
 func (r *recordReader) blocked(id ids.Job) bool {
 	entry, found, _ := r.mirror.GetFirst(record.JobKey(id), record.WaitKey(id))
 	return found && entry.Key == record.WaitKey(id)
 }
 
-// unreadable logs a value that can't be decoded. Its cause is for the log alone: to the caller the
-// job is unavailable.
+// unreadable logs the decoding error of a store entry and returns errUnavailable: the cause goes only to the
+// log.
 func unreadable(entry state.Entry, err error) error {
 	slog.Error("unreadable record", "key", entry.Key, "err", err)
 	return errUnavailable
--- a/internal/intake/refusal.go
+++ b/internal/intake/refusal.go
@@ -11,20 +11,20 @@
 	"github.com/pebbletrail/pebbletrail/internal/measure"
 )
 
-// outageRetryAfter is when a user may retry while the store does not answer: it is asked twice a
-// second, and takes a moment to serve all.
+// outageRetryAfter is the delay after which users should retry while the store does not respond. The
+// store is probed twice a second, and after an outage it needs a moment to serve all requests.
 const outageRetryAfter = 2 * time.Second
 
-// headerConnection and connectionClose have the caller connect anew for its next request.
+// headerConnection and connectionClose make the client open a new connection for its next request.
 const (
 	headerConnection = "Connection"
 	connectionClose  = "close"
 )
 
-// errorBody is the body of an answer that refuses a request.
+// errorBody returns the body of an error response.
 func errorBody(message string) map[string]string { return map[string]string{"error": message} }
 
-// answerError refuses a request: for good if the error is a rejectedError, else for now.
+// answerError responds with a permanent error if err is a rejectedError, else with a temporary one.
 func (s *Server) answerError(c echo.Context, err error) error {
 	var rejected rejectedError
 	if errors.As(err, &rejected) {
@@ -33,7 +33,7 @@
 	return s.answerUnavailable(c)
 }
 
-// answerUnavailable refuses a request for now and tells when to retry.
+// answerUnavailable responds with a temporary error and a Retry-After header.
 func (s *Server) answerUnavailable(c echo.Context) error {
 	measure.Process.Count("users told to come back", 1)
 	after := s.Jobs.Store.Budget().RetryAfter()
@@ -41,19 +41,19 @@
 		after = outageRetryAfter
 	}
 	if !s.Ready() {
-		// Others can serve: the caller is to find one of them.
+		// Makes the client reconnect, so that it can reach another controller that is ready.
 		c.Response().Header().Set(headerConnection, connectionClose)
 	}
 	c.Response().Header().Set("Retry-After", retryAfterSeconds(after))
 	return c.JSON(http.StatusServiceUnavailable, errorBody("not now"))
 }
 
-// answerNoSuchJob answers a request that names a job which was never accepted.
+// answerNoSuchJob responds to a request for a job that was never accepted.
 func answerNoSuchJob(c echo.Context) error {
 	return c.JSON(http.StatusNotFound, errorBody("no such job"))
 }
 
-// retryAfterSeconds is the value of a Retry-After header: whole seconds, rounded up, at least one.
+// retryAfterSeconds formats the value of a Retry-After header: whole seconds, rounded up, at least one.
 func retryAfterSeconds(after time.Duration) string {
 	return strconv.Itoa(max(1, int((after+time.Second-1)/time.Second)))
 }
--- a/internal/intake/server.go
+++ b/internal/intake/server.go
@@ -14,43 +14,42 @@
 	"github.com/pebbletrail/pebbletrail/internal/worker"
 )
 
-// Heartbeats answers workers' heartbeats: with a reply, or, if that is nil, with a redirect, and
-// the HTTP status of either.
+// Heartbeats handles the heartbeats of workers. It returns a batch of commands, or a redirect if the
+// batch is nil, and the HTTP status of the response.
 type Heartbeats interface {
 	Heartbeat(ctx context.Context, rep *worker.Report) (*worker.CommandBatch, int, worker.Redirect)
 }
 
-// Server is the HTTP interface of a controller: for users, for workers' heartbeats, for health
-// checks and for operators.
+// Server is the HTTP interface of a controller for users, workers' heartbeats, health checks and operators.
 type Server struct {
 	Jobs       *JobService
 	Heartbeats Heartbeats
-	// Ready reports whether the controller can take requests.
+	// Ready reports whether the controller can serve requests.
 	Ready func() bool
-	// ExplainByLeader explains a job as the leader sees it, and names the leader.
+	// ExplainByLeader returns the leader's explanation of a job, and the leader's name.
 	ExplainByLeader func(ctx context.Context, id ids.Job) (lines []string, leader ids.Node, err error)
-	// NodeStatus describes the controller.
+	// NodeStatus returns the controller's status, the response body of GET /v2/status.
 	NodeStatus func() any
-	// OperatorRoutes adds routes for operators; nil: there are none.
+	// OperatorRoutes adds the routes for operators; nil adds none.
 	OperatorRoutes func(*echo.Echo)
-	// Version is the program's, told with the answers to health checks: while it is
-	// being replaced the controllers are told apart by it.
+	// Version is the program's version. Health check responses contain it, to distinguish the controllers
+	// during an upgrade.
 	Version string
 }
 
-// versionHeader names the program's version in the answers to health checks.
+// versionHeader is the response header that contains the program's version in health checks.
 const versionHeader = "Pebbletrail-Version"
 
-// The work on a user's request is bounded; users give up after 5 s.
+// Time limits for processing a user's request; users give up after 5 s.
 const (
 	requestTimeout = 3500 * time.Millisecond
 	statusTimeout  = 1800 * time.Millisecond
 )
 
-// heartbeatBodyLimit is how many bytes of a heartbeat are read.
+// heartbeatBodyLimit is the maximum number of bytes read from the body of a heartbeat.
 const heartbeatBodyLimit = 16 << 20
 
-// Handler builds the routes.
+// Handler returns the HTTP handler with all routes.
 func (s *Server) Handler() http.Handler {
 	e := echo.New()
 	e.HideBanner = true
@@ -125,7 +124,8 @@
 	})
 }
 
-// answerForJob answers a request about the job that its path names, within a timeout.
+// answerForJob responds to a request for the job named in its path. It limits the call of answer by a
+// timeout.
 func (s *Server) answerForJob(c echo.Context, timeout time.Duration, answer func(context.Context, ids.Job) (body any, found bool, err error)) error {
 	id, err := ids.ParseJob(c.Param("id"))
 	if err != nil {
--- a/internal/intake/submit.go
+++ b/internal/intake/submit.go
@@ -11,9 +11,9 @@
 	"github.com/pebbletrail/pebbletrail/internal/state"
 )
 
-// submit accepts a job. It is idempotent: a job accepted before is answered as it stands now,
-// whatever the repeated request says, and known is true. The error is a rejectedError if the job
-// can never run, else errUnavailable.
+// submit accepts a job. It is idempotent: for a job that was accepted before, it returns the current summary
+// and known is true, regardless of the contents of the repeated request. The error is a rejectedError if
+// the job can never run, otherwise errUnavailable.
 func (s *JobService) submit(ctx context.Context, spec record.Spec) (summary jobSummary, known bool, err error) {
 	if summary, known := s.ended.get(spec.ID); known {
 		return summary, true, nil
@@ -25,7 +25,7 @@
 		refusal = errDescriptionTooLarge
 	}
 	if refusal != nil || len(spec.DependsOn) > 0 {
-		// A job that was once accepted is never refused, so its record is looked for first.
+		// A job that was accepted once must never be rejected, so check for its record first.
 		accepted, err := s.records().current(ctx, spec.ID, state.Sheddable)
 		switch {
 		case err != nil:
@@ -45,7 +45,7 @@
 	return s.storeSubmission(ctx, rec, key, value)
 }
 
-// storeSubmission writes a new job's record, unless there is a record of the job already.
+// storeSubmission stores a new job's record unless the store already has a record of the job.
 func (s *JobService) storeSubmission(ctx context.Context, rec *record.Record, key string, value json.RawMessage) (summary jobSummary, known bool, err error) {
 	if s.Store.Unavailable() {
 		return jobSummary{}, false, errStoreSilent
@@ -72,8 +72,8 @@
 	}
 }
 
-// readBack answers a submission whose record may have been stored, by this request or an earlier
-// one, with what can be read.
+// readBack returns the stored summary of a job whose record may have been written by this or an earlier
+// request.
 func (s *JobService) readBack(ctx context.Context, id ids.Job) (summary jobSummary, known bool, err error) {
 	stored, err := s.records().current(ctx, id, state.Normal)
 	switch {
@@ -85,8 +85,8 @@
 	return summarize(stored.record), true, nil
 }
 
-// encodeClaimable writes the record of a job without open dependencies. The description must leave
-// room in the value for the job's assignments.
+// encodeClaimable encodes the record of a job without unfinished dependencies. The spec must leave room
+// in the value for the job's assignments.
 func (s *JobService) encodeClaimable(rec record.Record) (value json.RawMessage, fits bool) {
 	rec.Spec.DependsOn = nil
 	return rec.Encode(int(s.Settings.Params.State.ValueBytes() * record.MaxSpecShare))
--- a/internal/intake/summary_cache.go
+++ b/internal/intake/summary_cache.go
@@ -7,20 +7,21 @@
 	"github.com/pebbletrail/pebbletrail/internal/record"
 )
 
-// endedCapacity is how many ended jobs a controller remembers: users ask on for a while after a
-// job's end.
+// endedCapacity is the number of ended jobs that a controller caches, because users continue to poll a
+// job for some time after its end.
 const endedCapacity = 20000
 
-// summaryCache keeps the summaries of jobs that ended lately. They never change, so an answer from
-// the cache is never out of date. The zero value is an empty cache.
+// summaryCache caches the summaries of recently ended jobs. These summaries never change, so a cached one is
+// never stale. The zero value is an empty cache.
 type summaryCache struct {
-	// mu guards the fields below. It is a leaf lock: nothing else is locked or called under it.
+	// mu guards the fields below. It is a leaf lock: no other lock is taken and no other code is
+	// called while it is held.
 	mu    sync.Mutex
 	byJob map[ids.Job]jobSummary
 	order []ids.Job // oldest first
 }
 
-// add remembers an ended job and evicts the oldest one above the capacity.
+// add caches the summary of an ended job. Above the capacity it evicts the oldest one.
 func (c *summaryCache) add(ended *record.Record) {
 	summary := summarize(ended)
 	c.mu.Lock()
@@ -39,7 +40,7 @@
 	}
 }
 
-// get returns an ended job's summary if it is remembered.
+// get returns the cached summary of an ended job, and reports whether there is one.
 func (c *summaryCache) get(id ids.Job) (summary jobSummary, known bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
