--- a/internal/ids/ids_test.go
+++ b/internal/ids/ids_test.go
@@ -16,7 +16,7 @@
 		"job-x":      false,
 	} {
 		if _, err := ParseJob(text); (err == nil) != ok {
-			t.Errorf("%q: %v", text, err)
+			t.Errorf("ParseJob(%q) returned the error %v", text, err)
 		}
 	}
 }
@@ -24,11 +24,11 @@
 func TestTaskIDsAreReadBack(t *testing.T) {
 	task := Task{Job: "job-7", Index: 12}
 	if back, err := ParseTask(task.String()); err != nil || back != task {
-		t.Errorf("%v is read back as %v, %v", task, back, err)
+		t.Errorf("%v is parsed back as %v, error %v", task, back, err)
 	}
 	for _, bad := range []string{"", "job-7", "job-7/", "job-7/x", "job-7/-1", "job-7/1/2"} {
 		if task, err := ParseTask(bad); err == nil {
-			t.Errorf("%q is read as %v", bad, task)
+			t.Errorf("malformed %q is parsed as %v", bad, task)
 		}
 	}
 }
@@ -37,21 +37,21 @@
 	counts := map[Shard]int{}
 	for _, job := range []Job{"job-1", "job-2", "job-3", "job-4", "job-5", "job-6", "job-7", "job-8", "job-9"} {
 		if shard := ShardOf(job, 1); shard != 0 {
-			t.Errorf("%s is in shard %d of one", job, shard)
+			t.Errorf("ShardOf(%s, 1) is %d, want 0", job, shard)
 		}
 		counts[ShardOf(job, 3)]++
 	}
 	if counts[0] == 0 || counts[1] == 0 || counts[2] == 0 || len(counts) != 3 {
-		t.Errorf("jobs per shard: %v", counts)
+		t.Errorf("not every shard has a job; jobs per shard: %v", counts)
 	}
 	// Guards against a change of the hash: all versions of the program must agree on the shard of a job.
 	if shard := ShardOf("job-000412", 5); shard != 1 {
-		t.Errorf("job-000412 is in shard %d", shard)
+		t.Errorf("job-000412 is in shard %d of 5, want 1", shard)
 	}
 }
 
 func TestClockMayBeOffByDriftAndAllowance(t *testing.T) {
 	if got, want := Seconds(10).WithClockDrift(), 10*time.Second+111*time.Millisecond; got != want {
-		t.Errorf("10 s may take %v, not %v", got, want)
+		t.Errorf("10 s with clock drift is %v, want %v", got, want)
 	}
 }
--- a/internal/ids/ranges.go
+++ b/internal/ids/ranges.go
@@ -148,11 +148,11 @@
 	}
 	first, err := strconv.Atoi(low)
 	if err != nil {
-		return span{}, fmt.Errorf("range %q: %w", text, err)
+		return span{}, fmt.Errorf("index range %q: %w", text, err)
 	}
 	last, err := strconv.Atoi(high)
 	if err != nil || last < first {
-		return span{}, fmt.Errorf("range %q is not one", text)
+		return span{}, fmt.Errorf("malformed index range %q", text)
 	}
 	return span{first, last}, nil
 }
--- a/internal/ids/ranges_test.go
+++ b/internal/ids/ranges_test.go
@@ -12,23 +12,23 @@
 	for range 400 {
 		index := rng.IntN(120)
 		if set.Add(index) == plain[index] {
-			t.Fatalf("Add(%d) disagrees", index)
+			t.Fatalf("Add(%d) returned a wrong result", index)
 		}
 		plain[index] = true
 		var back IndexSet
 		if err := back.UnmarshalText([]byte(set.String())); err != nil || back.String() != set.String() {
-			t.Fatalf("%q read back as %q: %v", set, back, err)
+			t.Fatalf("%q is decoded as %q, error %v", set, back, err)
 		}
 		next := 0
 		for plain[next] {
 			next++
 		}
 		if set.NextMissing(0) != next || set.Len() != len(plain) {
-			t.Fatalf("after %d: next %d, want %d; %d members, want %d", index, set.NextMissing(0), next, set.Len(), len(plain))
+			t.Fatalf("after adding %d: next missing %d, want %d; %d members, want %d", index, set.NextMissing(0), next, set.Len(), len(plain))
 		}
 		for other := range 121 {
 			if set.Contains(other) != plain[other] {
-				t.Fatalf("Has(%d) disagrees", other)
+				t.Fatalf("Contains(%d) returned a wrong result", other)
 			}
 		}
 	}
@@ -41,10 +41,10 @@
 	}
 	kept := set.LongestSpans(2)
 	if kept.String() != "2-3,7-9" || kept.Len() != 5 || set.SpanCount() != 5 || set.Len() != 8 {
-		t.Errorf("of %s, with %d spans, %s are kept, %d in all", set, set.SpanCount(), kept, kept.Len())
+		t.Errorf("of %s, with %d spans, the longest are %s, with %d members", set, set.SpanCount(), kept, kept.Len())
 	}
 	if first := FirstIndexes(3); first.String() != "0-2" || first.Len() != 3 || len(FirstIndexes(0).String()) > 0 {
-		t.Errorf("the first three are %s", first)
+		t.Errorf("FirstIndexes(3) is %s, or FirstIndexes(0) is not empty", first)
 	}
 }
 
@@ -52,7 +52,7 @@
 	for _, text := range []string{"x", "1,", "-1", "2-1", "1-x", "1--2", " 1"} {
 		var set IndexSet
 		if err := set.UnmarshalText([]byte(text)); err == nil {
-			t.Errorf("%q is read as %s", text, set)
+			t.Errorf("malformed %q is decoded as %s", text, set)
 		}
 	}
 }
