--- a/internal/intake/cancel.go
+++ b/internal/intake/cancel.go
@@ -49,7 +49,7 @@
 		case errors.As(err, &conflict):
 			continue
 		case write.aboveLowerLimit && errors.Is(err, state.ErrMalformed):
-			slog.Info("the state service has its lower limits now")
+			slog.Info("state service rejected a value that exceeds the announced lower size limit; writing smaller values from now on")
 			s.valueLimitFell.Store(true)
 			continue
 		default:
--- a/internal/intake/cluster_test.go
+++ b/internal/intake/cluster_test.go
@@ -89,7 +89,7 @@
 	c.t.Helper()
 	for _, node := range []string{"a", "b"} {
 		if got := c.jobStatus(node, id); got != want {
-			c.t.Errorf("%s calls %s %q, not %q", node, id, got, want)
+			c.t.Errorf("node %s reports job %s as %q, want %q", node, id, got, want)
 		}
 	}
 }
@@ -124,7 +124,7 @@
 	}
 	raw, fits := encode(64 * 1024)
 	if !fits {
-		c.t.Fatal("does not fit")
+		c.t.Fatal("record does not fit into 64 KiB")
 	}
 	c.commit(state.Op{Put: key, Value: raw})
 }
--- a/internal/intake/connection_limiter_test.go
+++ b/internal/intake/connection_limiter_test.go
@@ -74,40 +74,40 @@
 			case code == 503 && after != "":
 				refused++
 			default:
-				t.Fatalf("a user got %d, Retry-After %q", code, after)
+				t.Fatalf("a user got HTTP status %d, Retry-After %q", code, after)
 			}
 		}
 		if served != limiter.MaxConnections-4-workerCount || refused != 60-served {
-			t.Errorf("%d users served and %d told to come back", served, refused)
+			t.Errorf("%d users were served and %d were asked to retry", served, refused)
 		}
 		// Every worker gets a connection and keeps it.
 		var workers []*http.Client
 		for range workerCount {
 			workers = append(workers, newClient())
 			if code := sendHeartbeat(workers[len(workers)-1]); code != 200 {
-				t.Fatalf("a worker got %d", code)
+				t.Fatalf("the first heartbeat of a worker got HTTP status %d", code)
 			}
 		}
 		dialedBefore := dialed
 		for _, client := range workers {
 			if code := sendHeartbeat(client); code != 200 {
-				t.Fatalf("a worker got %d the second time", code)
+				t.Fatalf("the second heartbeat of a worker got HTTP status %d", code)
 			}
 		}
 		if dialed != dialedBefore {
-			t.Errorf("%d workers had to connect again", dialed-dialedBefore)
+			t.Errorf("%d workers had to open a new connection", dialed-dialedBefore)
 		}
 		// The listener is full now: health checks and late workers are still served, and users get a
 		// response that asks them to retry.
 		for range 5 {
 			if code, _ := send(newClient(), "GET", "/up", ""); code != 200 {
-				t.Errorf("a health check got %d", code)
+				t.Errorf("a health check got HTTP status %d", code)
 			}
 			if code, after := send(newClient(), "GET", "/v2/runs/job-1", ""); code != 503 || after == "" {
-				t.Errorf("a user got %d, Retry-After %q", code, after)
+				t.Errorf("a user got HTTP status %d, Retry-After %q", code, after)
 			}
 			if code := sendHeartbeat(newClient()); code != 200 {
-				t.Errorf("a late worker got %d", code)
+				t.Errorf("a late worker got HTTP status %d", code)
 			}
 		}
 		// Idle connections are closed, so that they no longer count.
@@ -119,7 +119,7 @@
 		}
 		limiter.mu.Lock()
 		if limiter.open != 20 || limiter.workers != 20 || limiter.users != 0 {
-			t.Errorf("%d connections are held: %d of workers, %d of users", limiter.open, limiter.workers, limiter.users)
+			t.Errorf("%d connections are open: %d of workers, %d of users; want 20, all of workers", limiter.open, limiter.workers, limiter.users)
 		}
 		limiter.mu.Unlock()
 		for _, client := range append(users, workers...) {
@@ -140,7 +140,7 @@
 	for range workers {
 		conn := limiter.admit(newConnection(t))
 		if conn == nil {
-			t.Fatalf("no connection for a worker's heartbeat beside %d connections", limiter.open)
+			t.Fatalf("a worker's connection is refused while %d connections are open", limiter.open)
 		}
 		serve, keepOpen := conn.admitRequest(workerHeartbeat)
 		if !serve {
@@ -155,20 +155,20 @@
 		open = append(open, conn)
 	}
 	if len(open) < limiter.MaxConnections*9/10 {
-		t.Errorf("only %d workers keep their connection", len(open))
+		t.Errorf("only %d workers keep their connection open", len(open))
 	}
 	users := 0
 	for range limiter.userQuota() {
 		conn := limiter.admit(newConnection(t))
 		if conn == nil {
-			t.Fatal("no connection for a user")
+			t.Fatal("a user's connection is refused")
 		}
 		if serve, _ := conn.admitRequest(user); serve {
 			users++
 		}
 	}
 	if users != limiter.userQuota() {
-		t.Errorf("%d of %d users are served", users, limiter.userQuota())
+		t.Errorf("%d of %d users within the quota are served", users, limiter.userQuota())
 	}
 }
 
--- a/internal/intake/dependencies_test.go
+++ b/internal/intake/dependencies_test.go
@@ -21,7 +21,7 @@
 		for _, bad := range []any{"job-1", "", 7, true, map[string]any{}, []any{1}, []any{nil}, []any{[]string{"job-1"}},
 			[]string{""}, []string{"job-"}, []string{"job-1x"}, []string{"run-1"}, []string{"job-1", "JOB-2"}, []string{" job-1"}} {
 			if code, _ := cluster.submit("a", submissionWith("job-9", bad)); code != 400 {
-				t.Errorf("awaits %v gets %d", bad, code)
+				t.Errorf("a submission that awaits %v gets HTTP status %d, want 400", bad, code)
 			}
 			cluster.expectStatus("job-9", "404")
 		}
@@ -34,20 +34,20 @@
 		} {
 			id := ids.Job(fmt.Sprintf("job-1%d", i))
 			if code, status := cluster.submit("a", submissionWith(string(id), testCase.names)); code != 201 || status != "pending" {
-				t.Errorf("awaits %v gets %d %s", testCase.names, code, status)
+				t.Errorf("a submission that awaits %v gets HTTP status %d, job status %q", testCase.names, code, status)
 			}
 			key := record.JobKey(id)
 			if testCase.want != nil {
 				key = record.WaitKey(id)
 			}
 			if cluster.storedAt(id) != key {
-				t.Errorf("awaits %v is stored at %s", testCase.names, cluster.storedAt(id))
+				t.Errorf("a job that awaits %v is stored at %s", testCase.names, cluster.storedAt(id))
 			}
 			if testCase.want == nil {
 				continue
 			}
 			if rec, err := record.DecodeWaiting(cluster.store.Value(key)); err != nil || !slices.Equal(rec.Spec.DependsOn, testCase.want) {
-				t.Errorf("awaits %v is kept as %v, %v", testCase.names, rec, err)
+				t.Errorf("a job that awaits %v is stored as %v, decoding error %v", testCase.names, rec, err)
 			}
 		}
 	})
@@ -105,14 +105,14 @@
 					}
 					code, status := cluster.submit(node, submissionWith("job-90", testCase.names))
 					if code != testCase.code || status != testCase.status {
-						t.Fatalf("answered %d %q, not %d %q", code, status, testCase.code, testCase.status)
+						t.Fatalf("submission got HTTP status %d, job status %q, want %d, %q", code, status, testCase.code, testCase.status)
 					}
 					want := ""
 					if testCase.storedAt != "" {
 						want = testCase.storedAt + "job-90"
 					}
 					if got := cluster.storedAt("job-90"); got != want {
-						t.Errorf("stored at %q, not %q", got, want)
+						t.Errorf("job is stored at %q, want %q", got, want)
 					}
 					if code == 422 {
 						cluster.expectStatus("job-90", "404")
@@ -140,15 +140,15 @@
 			}
 		}
 		if code, _ := cluster.submit("b", submissionWith("job-10", []string{"job-1"})); code != 422 {
-			t.Errorf("a service is named: %d", code)
+			t.Errorf("a submission that depends on a service got HTTP status %d, want 422", code)
 		}
 		if code, status := cluster.submit("b", submissionWith("job-11", []string{"job-2"})); code != 201 || status != "pending" {
-			t.Errorf("another team's job is named: %d %s", code, status)
+			t.Errorf("a submission that depends on another team's job got HTTP status %d, job status %q", code, status)
 		}
 		cluster.request("a", "POST", "/v2/runs/job-1/cancel", nil)
 		for _, node := range []string{"a", "b"} { // node a has the final record in its cache, node b reads it from the store
 			if code, _ := cluster.submit(node, submissionWith("job-12", []string{"job-1"})); code != 422 {
-				t.Errorf("a cancelled service is named at %s: %d", node, code)
+				t.Errorf("a submission to node %s that depends on a cancelled service got HTTP status %d, want 422", node, code)
 			}
 		}
 	})
@@ -186,10 +186,10 @@
 					return fake.Deliver
 				})
 				if code, status := cluster.submit("b", submissionWith("job-9", []string{"job-2"})); code != 201 || status != "pending" {
-					t.Errorf("moved at calls %d and %d: %d %s", first, second, code, status)
+					t.Errorf("record moved before calls %d and %d: submission got HTTP status %d, job status %q", first, second, code, status)
 				}
 				if got := cluster.jobStatus("b", "job-2"); got != "pending" && got != "done" {
-					t.Errorf("moved at calls %d and %d: called %s", first, second, got)
+					t.Errorf("record moved before calls %d and %d: dependency reported as %s", first, second, got)
 				}
 			})
 		}
@@ -214,16 +214,16 @@
 			for _, again := range []any{names, nil, []string{}, []string{"job-2"}, []string{"job-3"}, []string{"job-404"}, []string{id}, []string{"job-1", "job-3"}} {
 				for _, node := range []string{"a", "b"} {
 					if code, told := cluster.submit(node, submissionWith(id, again)); code != 200 || told != status {
-						t.Errorf("%s answers %d %s to a repeat of %s, which is %s, with %v", node, code, told, id, status, again)
+						t.Errorf("node %s responds with HTTP status %d, job status %s to a repeated submission of %s, whose status is %s, with dependencies %v", node, code, told, id, status, again)
 					}
 				}
 			}
 			if code, _ := cluster.submit("b", submissionWith(id, "job-1")); code != 400 {
-				t.Errorf("a malformed body gets %d", code)
+				t.Errorf("a repeated submission with malformed dependencies gets HTTP status %d, want 400", code)
 			}
 			cluster.expectStatus(id, status)
 			if got := string(cluster.store.Value(key)); got != stored || cluster.storedAt(ids.Job(id)) != key {
-				t.Errorf("a repeat changed %s into %s", stored, got)
+				t.Errorf("a repeated submission changed the record %s into %s, or moved it", stored, got)
 			}
 		}
 	})
--- a/internal/intake/dependency_reader_test.go
+++ b/internal/intake/dependency_reader_test.go
@@ -24,7 +24,7 @@
 		response := serve(handler, "POST", "/v2/runs", body)
 		after, err := strconv.Atoi(response.Header().Get("Retry-After"))
 		if response.Code != 503 || err != nil || after < 1 || after > 3 || time.Since(began) > 4500*time.Millisecond {
-			t.Errorf("%d, Retry-After %q, after %v", response.Code, response.Header().Get("Retry-After"), time.Since(began))
+			t.Errorf("got HTTP status %d, Retry-After %q, after %v", response.Code, response.Header().Get("Retry-After"), time.Since(began))
 		}
 	}
 	for name, begin := range map[string]func(cluster *testCluster) (end func()){
@@ -56,16 +56,16 @@
 				expectRetryLater(t, cluster.nodes["b"], submissionWith("job-10", []string{"job-404"}))
 				if name != "an outage" {
 					if code, _ := cluster.submit("a", submissionWith("job-12", []string{"job-404"})); code != 422 {
-						t.Errorf("the other node answers %d", code)
+						t.Errorf("the node that reaches the store responds with HTTP status %d, want 422", code)
 					}
 				}
 				end()
 				time.Sleep(3 * time.Second) // the longest Retry-After
 				if code, _ := cluster.submit("b", submissionWith("job-10", []string{"job-404"})); code != 422 {
-					t.Errorf("once it is served: %d", code)
+					t.Errorf("after the fault, a submission with an unknown dependency got HTTP status %d, want 422", code)
 				}
 				if code, status := cluster.submit("b", submissionWith("job-11", []string{"job-1", "job-2"})); code != 201 || status != "pending" {
-					t.Errorf("once it is served: %d %s", code, status)
+					t.Errorf("after the fault, a valid submission got HTTP status %d, job status %q", code, status)
 				}
 			})
 		})
@@ -106,13 +106,13 @@
 			return fake.Deliver
 		})
 		if code, _ := cluster.submit("b", submissionWith("job-9000", append([]string{"job-1500"}, names...))); code != 422 {
-			t.Errorf("with one that was never accepted: %d", code)
+			t.Errorf("a submission with a dependency that was never accepted got HTTP status %d, want 422", code)
 		}
 		if code, status := cluster.submit("b", submissionWith("job-9001", names)); code != 201 || status != "pending" || cluster.storedAt("job-9001") != "job/job-9001" {
-			t.Errorf("%d %s, stored at %s", code, status, cluster.storedAt("job-9001"))
+			t.Errorf("submission got HTTP status %d, job status %q, and is stored at %s", code, status, cluster.storedAt("job-9001"))
 		}
 		if calls > 20 {
-			t.Errorf("%d calls", calls)
+			t.Errorf("%d calls to the store, want at most 20", calls)
 		}
 	})
 }
@@ -137,11 +137,11 @@
 		}
 		cluster.store.SetLimits(2048, 12)
 		if code, status := cluster.submit("a", submissionWith("job-900000", names)); code != 201 || status != "pending" {
-			t.Errorf("150 of 600 not done: %d %s", code, status)
+			t.Errorf("a submission with 150 of 600 dependencies unfinished got HTTP status %d, job status %q", code, status)
 		}
 		rec, err := record.DecodeWaiting(cluster.store.Value(record.WaitKey("job-900000")))
 		if err != nil || len(rec.Spec.DependsOn) != 150 {
-			t.Fatalf("kept as %v, %v", rec, err)
+			t.Fatalf("job is stored as %v, decoding error %v", rec, err)
 		}
 		for i := range 300 {
 			id := fmt.Sprintf("job-%06d", 500000+i*17)
@@ -150,14 +150,14 @@
 		}
 		response := serve(cluster.nodes["b"], "POST", "/v2/runs", submissionWith("job-900001", names))
 		if response.Code != 422 || !strings.Contains(response.Body.String(), errTooManyDependencies.reason) {
-			t.Errorf("450 not done: %d %s", response.Code, response.Body)
+			t.Errorf("a submission with 450 unfinished dependencies got HTTP status %d, body %s", response.Code, response.Body)
 		}
 		if code, _ := cluster.submit("b", submissionWith("job-900000", names)); code != 200 {
-			t.Errorf("a repeat of an accepted job: %d", code)
+			t.Errorf("a repeated submission of an accepted job got HTTP status %d, want 200", code)
 		}
 		// A job whose record fills the value can still be cancelled.
 		if code, status := cluster.request("b", "POST", "/v2/runs/job-900000/cancel", nil); code != 200 || status != "cancelled" {
-			t.Errorf("its cancellation: %d %s", code, status)
+			t.Errorf("cancelling the job got HTTP status %d, job status %q", code, status)
 		}
 		cluster.expectStatus("job-900000", "cancelled")
 	})
@@ -176,7 +176,7 @@
 		cancel := func(node, id, want string) {
 			t.Helper()
 			if code, status := cluster.request(node, "POST", "/v2/runs/"+id+"/cancel", nil); code != 200 || status != want {
-				t.Errorf("cancelling %s: %d %s, not %s", id, code, status, want)
+				t.Errorf("cancelling %s got HTTP status %d, job status %q, want status %q", id, code, status, want)
 			}
 		}
 		submit("job-1")
@@ -194,7 +194,7 @@
 		cancel("a", "job-5", "cancelled")
 		cancel("b", "job-3", "cancelled")
 		if cluster.storedAt("job-3") != record.WaitKey("job-3") {
-			t.Errorf("stored at %s", cluster.storedAt("job-3"))
+			t.Errorf("job-3 is stored at %s, want its waiting key", cluster.storedAt("job-3"))
 		}
 		// A job with assigned tasks and a dependent is cancelled.
 		cluster.storeJob("job-1", record.Cancelling)
--- a/internal/intake/forecast_test.go
+++ b/internal/intake/forecast_test.go
@@ -31,7 +31,7 @@
 	c.t.Helper()
 	for _, body := range jobs {
 		if code, _ := c.submit("a", body); code != 201 {
-			c.t.Fatalf("%v gets %d", body["uid"], code)
+			c.t.Fatalf("submission of %v got HTTP status %d", body["uid"], code)
 		}
 	}
 }
@@ -42,7 +42,7 @@
 	response := serve(c.nodes[node], "GET", "/v2/runs/"+id+"/explain", nil)
 	var explanation Explanation
 	if err := json.Unmarshal(response.Body.Bytes(), &explanation); err != nil || response.Code != 200 {
-		c.t.Fatalf("explain %s: %d %s", id, response.Code, response.Body)
+		c.t.Fatalf("explaining %s got HTTP status %d, body %s", id, response.Code, response.Body)
 	}
 	return explanation.Now, explanation.Note
 }
@@ -52,7 +52,7 @@
 	c.t.Helper()
 	now, note := c.explanation("b", id)
 	if got := strings.Join(now, "\n"); got != strings.Join(want, "\n") || note != "" {
-		c.t.Errorf("%s is explained as\n%s\n%s\nnot\n%s", id, got, note, strings.Join(want, "\n"))
+		c.t.Errorf("%s is explained as\n%s\nnote: %s\nwant\n%s", id, got, note, strings.Join(want, "\n"))
 	}
 }
 
@@ -158,11 +158,11 @@
 			now, note := cluster.explanation("b", id)
 			text := strings.Join(now, "\n")
 			if len(now) > forecastDependencies+10 || note != "" || !strings.Contains(text, "at risk") || !strings.Contains(text, "more than 500 jobs") {
-				t.Errorf("%s: %d lines: %.500s %s", id, len(now), text, note)
+				t.Errorf("explanation of %s has %d lines: %.500s, note: %s", id, len(now), text, note)
 			}
 		}
 		if calls > 15 {
-			t.Errorf("%d calls", calls)
+			t.Errorf("%d calls to the store, want at most 15", calls)
 		}
 	})
 }
--- a/internal/intake/intake_test.go
+++ b/internal/intake/intake_test.go
@@ -59,12 +59,12 @@
 		body := validSubmission()
 		body[testCase.key] = testCase.value
 		if _, err := parse(bytes.NewReader(marshal(body))); (err == nil) != testCase.valid {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("submission %q: parsing returned the error %v", name, err)
 		}
 	}
 	for _, raw := range []string{"", "[]", "null", "{", `"x"`, "{}", `{"uid":"job-1"} x`, "{" + strings.Repeat(" ", bodyLimit) + "}"} {
 		if _, err := parse(strings.NewReader(raw)); err == nil {
-			t.Errorf("taken: %.20q", raw)
+			t.Errorf("malformed body was accepted: %.20q", raw)
 		}
 	}
 }
@@ -127,36 +127,36 @@
 			{"not an object", []int{1}, 400},
 		} {
 			if got := serve(handler, "POST", "/v2/runs", testCase.body).Code; got != testCase.code {
-				t.Errorf("%s: %d, want %d", testCase.name, got, testCase.code)
+				t.Errorf("%s: got HTTP status %d, want %d", testCase.name, got, testCase.code)
 			}
 		}
 		if got := serve(handler, "GET", "/v2/runs/job-999", nil).Code; got != 404 {
-			t.Errorf("a job nobody submitted: %d", got)
+			t.Errorf("polling an unknown job got HTTP status %d, want 404", got)
 		}
 		if got := serve(handler, "POST", "/v2/runs/job-999/cancel", nil).Code; got != 404 {
-			t.Errorf("cancelling a job nobody submitted: %d", got)
+			t.Errorf("cancelling an unknown job got HTTP status %d, want 404", got)
 		}
 		// An accepted job is never rejected, even if a repeated submission could not be accepted.
 		if got := serve(handler, "POST", "/v2/runs", with("cores", 50)).Code; got != 200 {
-			t.Errorf("a repeat that no longer fits: %d", got)
+			t.Errorf("a repeated submission that fits no machine type got HTTP status %d, want 200", got)
 		}
 		if response := serve(handler, "POST", "/v2/runs/job-7/cancel", nil); response.Code != 200 || !strings.Contains(response.Body.String(), "cancelled") {
-			t.Errorf("cancel: %d %s", response.Code, response.Body)
+			t.Errorf("cancelling a job got HTTP status %d, body %s", response.Code, response.Body)
 		}
 		if response := serve(handler, "GET", "/v2/runs/job-7", nil); !strings.Contains(response.Body.String(), "cancelled") {
-			t.Errorf("after the cancel: %s", response.Body)
+			t.Errorf("polling a cancelled job returned the body %s", response.Body)
 		}
 		store.SetDown(true)
 		began := time.Now()
 		response := serve(handler, "POST", "/v2/runs", submissionOf("job-8"))
 		if response.Code != 503 || response.Header().Get("Retry-After") == "" || time.Since(began) > time.Second {
-			t.Errorf("in an outage: %d, Retry-After %q, after %v", response.Code, response.Header().Get("Retry-After"), time.Since(began))
+			t.Errorf("submitting during an outage: HTTP status %d, Retry-After %q, after %v", response.Code, response.Header().Get("Retry-After"), time.Since(began))
 		}
 		if response := serve(handler, "GET", "/v2/runs/job-7", nil); response.Code != 200 {
-			t.Errorf("a final answer in an outage: %d", response.Code)
+			t.Errorf("polling an ended job during an outage got HTTP status %d, want 200", response.Code)
 		}
 		if response := serve(handler, "GET", "/v2/runs/job-8", nil); response.Code != 503 {
-			t.Errorf("what can't be read in an outage: %d", response.Code)
+			t.Errorf("polling an unknown job during an outage got HTTP status %d, want 503", response.Code)
 		}
 	})
 }
@@ -172,7 +172,7 @@
 		})
 		response := serve(handler, "POST", "/v2/runs", validSubmission())
 		if response.Code != 200 || store.Value("job/job-1") == nil {
-			t.Fatalf("%d %s", response.Code, response.Body)
+			t.Fatalf("submission without a store response got HTTP status %d, body %s", response.Code, response.Body)
 		}
 		network.SetRule(func(_, _ string, request *http.Request, _ []byte) fake.Outcome {
 			if request.URL.Path == "/commit" {
@@ -181,7 +181,7 @@
 			return fake.Deliver
 		})
 		if response := serve(handler, "POST", "/v2/runs", submissionOf("job-2")); response.Code != 503 {
-			t.Fatalf("what may never arrive was answered %d", response.Code)
+			t.Fatalf("a submission that never reached the store got HTTP status %d, want 503", response.Code)
 		}
 	})
 }
@@ -215,22 +215,22 @@
 				defer mu.Unlock()
 				codes[got]++
 				if time.Since(began) > time.Second {
-					t.Errorf("answered after %v", time.Since(began))
+					t.Errorf("a poll took %v, want at most 1s", time.Since(began))
 				}
 			})
 			time.Sleep(400 * time.Microsecond)
 		}
 		for i := range 3 {
 			if got := serve(handler, "POST", "/v2/runs", submissionOf(fmt.Sprint("job-2", i))).Code; got != 201 {
-				t.Errorf("a submission meanwhile got %d", got)
+				t.Errorf("a submission during the polls got HTTP status %d, want 201", got)
 			}
 		}
 		if got := serve(handler, "POST", "/v2/runs/job-20/cancel", nil).Code; got != 200 {
-			t.Errorf("a cancel meanwhile got %d", got)
+			t.Errorf("a cancellation during the polls got HTTP status %d, want 200", got)
 		}
 		wg.Wait()
 		if codes[200] != 5000 || calls > 60 {
-			t.Errorf("answers %v, %d calls to the store", codes, calls)
+			t.Errorf("HTTP statuses of the polls: %v; %d calls to the store, want at most 60", codes, calls)
 		}
 	})
 }
@@ -256,13 +256,13 @@
 			began := time.Now()
 			response := serve(handler, request.method, request.path, submissionOf("job-5"))
 			if response.Code != 503 || response.Header().Get("Retry-After") == "" || response.Header().Get("Connection") != "close" || time.Since(began) > 50*time.Millisecond {
-				t.Errorf("%s %s: %d after %v, %v", request.method, request.path, response.Code, time.Since(began), response.Header())
+				t.Errorf("%s %s: got HTTP status %d after %v, header %v", request.method, request.path, response.Code, time.Since(began), response.Header())
 			}
 		}
 		// Operators get the last known state, marked as such.
 		response := serve(handler, "GET", "/v2/runs/job-1/explain", nil)
 		if response.Code != 200 || !strings.Contains(response.Body.String(), "knew last") || !strings.Contains(response.Body.String(), "unknown") {
-			t.Errorf("explain: %d %s", response.Code, response.Body)
+			t.Errorf("explaining a job got HTTP status %d, body %s", response.Code, response.Body)
 		}
 	})
 }
@@ -272,7 +272,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		handler := (&Server{Ready: func() bool { return true }, Version: "9.8.7"}).Handler()
 		if got := serve(handler, "GET", "/up", nil).Header().Get("Pebbletrail-Version"); got != "9.8.7" {
-			t.Errorf("the version told is %q", got)
+			t.Errorf("the version header is %q, want 9.8.7", got)
 		}
 	})
 }
--- a/internal/intake/record_reader.go
+++ b/internal/intake/record_reader.go
@@ -139,6 +139,6 @@
 // unreadable logs the decoding error of a store entry and returns errUnavailable: the cause goes only to the
 // log.
 func unreadable(entry state.Entry, err error) error {
-	slog.Error("unreadable record", "key", entry.Key, "err", err)
+	slog.Error("cannot decode a stored record", "key", entry.Key, "err", err)
 	return errUnavailable
 }
