--- a/internal/ids/ids.go
+++ b/internal/ids/ids.go
@@ -64,11 +64,11 @@
 
 // ParseTask parses the format of String. It does not validate the job's identifier.
 func ParseTask(text string) (Task, error) {
-	job, digits, found := strings.Cut(text, "/")
+	job, indexText, found := strings.Cut(text, "/")
 	if !found {
 		return Task{}, fmt.Errorf("not a task id: %.40q", text)
 	}
-	index, err := strconv.Atoi(digits)
+	index, err := strconv.Atoi(indexText)
 	if err != nil || index < 0 {
 		return Task{}, fmt.Errorf("not a task id: %.40q", text)
 	}
--- a/internal/ids/ids_test.go
+++ b/internal/ids/ids_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestJobIDsHaveOneForm(t *testing.T) {
+func TestParseJobAcceptsOnlyTheJobIDFormat(t *testing.T) {
 	for text, ok := range map[string]bool{
 		"job-000412": true,
 		"job-":       false,
@@ -21,10 +21,10 @@
 	}
 }
 
-func TestTaskIDsAreReadBack(t *testing.T) {
+func TestParseTaskReversesString(t *testing.T) {
 	task := Task{Job: "job-7", Index: 12}
-	if back, err := ParseTask(task.String()); err != nil || back != task {
-		t.Errorf("%v is parsed back as %v, error %v", task, back, err)
+	if parsed, err := ParseTask(task.String()); err != nil || parsed != task {
+		t.Errorf("%v is parsed back as %v, error %v", task, parsed, err)
 	}
 	for _, bad := range []string{"", "job-7", "job-7/", "job-7/x", "job-7/-1", "job-7/1/2"} {
 		if task, err := ParseTask(bad); err == nil {
@@ -33,7 +33,7 @@
 	}
 }
 
-func TestAllShardsGetJobsAndOneShardGetsAll(t *testing.T) {
+func TestShardOfSpreadsJobsOverAllShards(t *testing.T) {
 	counts := map[Shard]int{}
 	for _, job := range []Job{"job-1", "job-2", "job-3", "job-4", "job-5", "job-6", "job-7", "job-8", "job-9"} {
 		if shard := ShardOf(job, 1); shard != 0 {
@@ -50,7 +50,7 @@
 	}
 }
 
-func TestClockMayBeOffByDriftAndAllowance(t *testing.T) {
+func TestWithClockDriftAddsDriftAndOffset(t *testing.T) {
 	if got, want := Seconds(10).WithClockDrift(), 10*time.Second+111*time.Millisecond; got != want {
 		t.Errorf("10 s with clock drift is %v, want %v", got, want)
 	}
--- a/internal/ids/ranges_test.go
+++ b/internal/ids/index_set_test.go
@@ -5,36 +5,36 @@
 	"testing"
 )
 
-func TestRangesAgreeWithAPlainSet(t *testing.T) {
+func TestIndexSetMatchesMap(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	var set IndexSet
-	plain := map[int]bool{}
+	members := map[int]bool{}
 	for range 400 {
 		index := rng.IntN(120)
-		if set.Add(index) == plain[index] {
+		if set.Add(index) == members[index] {
 			t.Fatalf("Add(%d) returned a wrong result", index)
 		}
-		plain[index] = true
-		var back IndexSet
-		if err := back.UnmarshalText([]byte(set.String())); err != nil || back.String() != set.String() {
-			t.Fatalf("%q is decoded as %q, error %v", set, back, err)
+		members[index] = true
+		var decoded IndexSet
+		if err := decoded.UnmarshalText([]byte(set.String())); err != nil || decoded.String() != set.String() {
+			t.Fatalf("%q is decoded as %q, error %v", set, decoded, err)
 		}
 		next := 0
-		for plain[next] {
+		for members[next] {
 			next++
 		}
-		if set.NextMissing(0) != next || set.Len() != len(plain) {
-			t.Fatalf("after adding %d: next missing %d, want %d; %d members, want %d", index, set.NextMissing(0), next, set.Len(), len(plain))
+		if set.NextMissing(0) != next || set.Len() != len(members) {
+			t.Fatalf("after adding %d: next missing %d, want %d; %d members, want %d", index, set.NextMissing(0), next, set.Len(), len(members))
 		}
 		for other := range 121 {
-			if set.Contains(other) != plain[other] {
+			if set.Contains(other) != members[other] {
 				t.Fatalf("Contains(%d) returned a wrong result", other)
 			}
 		}
 	}
 }
 
-func TestLongestSpansAreKept(t *testing.T) {
+func TestLongestSpansKeepsTheLongest(t *testing.T) {
 	var set IndexSet
 	for _, index := range []int{0, 2, 3, 5, 7, 8, 9, 12} {
 		set.Add(index)
@@ -48,7 +48,7 @@
 	}
 }
 
-func TestTextThatIsNoSetOfIndexesIsRefused(t *testing.T) {
+func TestIndexSetRejectsMalformedText(t *testing.T) {
 	for _, text := range []string{"x", "1,", "-1", "2-1", "1-x", "1--2", " 1"} {
 		var set IndexSet
 		if err := set.UnmarshalText([]byte(text)); err == nil {
--- a/internal/ids/time.go
+++ b/internal/ids/time.go
@@ -11,13 +11,13 @@
 // The largest clock error that deployments allow: a relative drift rate and a constant offset.
 const (
 	clockDriftFactor = 1.0011
-	clockAllowance   = 100 * time.Millisecond
+	maxClockOffset   = 100 * time.Millisecond
 )
 
 // WithClockDrift returns the longest real time that may pass while a clock with the largest allowed error
 // measures s. Code that relies on the expiry of a lease waits this long.
 func (s Seconds) WithClockDrift() time.Duration {
-	return time.Duration(float64(s.Duration())*clockDriftFactor) + clockAllowance
+	return time.Duration(float64(s.Duration())*clockDriftFactor) + maxClockOffset
 }
 
 // Timestamp is a wall-clock time in milliseconds since the Unix epoch. Use it only for ordering and
@@ -28,4 +28,4 @@
 func TimestampOf(t time.Time) Timestamp { return Timestamp(t.UnixMilli()) }
 
 // Time converts w to a time.Time.
-func (w Timestamp) Time() time.Time { return time.UnixMilli(int64(w)) }
+func (t Timestamp) Time() time.Time { return time.UnixMilli(int64(t)) }
