--- a/internal/intake/cancel.go
+++ b/internal/intake/cancel.go
@@ -11,24 +11,24 @@
 	"github.com/pebbletrail/pebbletrail/internal/state"
 )
 
-// cancelAttempts limits the attempts to store a cancellation. An attempt is repeated if the record has
+// maxCancelAttempts limits the attempts to store a cancellation. An attempt is repeated if the record has
 // changed in the meantime, or if the cancellation has to be stored in another form.
-const cancelAttempts = 6
+const maxCancelAttempts = 6
 
-// leaderNoticeTimeout limits how long the response to a committed cancellation is delayed until the leader
+// leaderNotifyTimeout limits how long the response to a committed cancellation is delayed until the leader
 // has been notified, if the job has assigned tasks. The leader also reads the change from the store soon
 // after, but a user who has been told that a job is cancelled should not see one of its tasks start.
-const leaderNoticeTimeout = 200 * time.Millisecond
+const leaderNotifyTimeout = 200 * time.Millisecond
 
 // cancel cancels a job. It stores the final record of a job without assigned tasks. For any other job it
 // stores a cancellation request, which the leader carries out. It returns after the transaction has been
 // committed. found is false for a job that was never accepted.
 func (s *JobService) cancel(ctx context.Context, id ids.Job) (summary jobSummary, found bool, err error) {
-	if summary, known := s.ended.get(id); known {
+	if summary, known := s.endedJobs.get(id); known {
 		return summary, true, nil
 	}
-	for range cancelAttempts {
-		stored, err := s.records().current(ctx, id, state.Sheddable)
+	for range maxCancelAttempts {
+		stored, err := s.records().currentRecord(ctx, id, state.Sheddable)
 		if err != nil || !stored.exists() {
 			return jobSummary{}, false, err
 		}
@@ -40,20 +40,20 @@
 		if err != nil {
 			return jobSummary{}, false, err
 		}
-		epoch, err := s.Store.Commit(ctx, write.txn, state.Sheddable)
+		storeRevision, err := s.Store.Commit(ctx, write.txn, state.Sheddable)
 		var conflict *state.ConflictError
 		switch {
 		case err == nil:
-			s.announceCancellation(ctx, rec, write, ids.Revision(epoch))
+			s.notifyCancellation(ctx, rec, write, ids.Revision(storeRevision))
 			return summarize(rec), true, nil
 		case errors.As(err, &conflict):
 			continue
-		case write.aboveLowerLimit && errors.Is(err, state.ErrMalformed):
+		case write.exceedsNextLimit && errors.Is(err, state.ErrMalformed):
 			slog.Info("state service rejected a value that exceeds the announced lower size limit; writing smaller values from now on")
-			s.valueLimitFell.Store(true)
+			s.valueLimitLowered.Store(true)
 			continue
 		default:
-			return jobSummary{}, false, unavailable(err)
+			return jobSummary{}, false, wrapUnavailable(err)
 		}
 	}
 	return jobSummary{}, false, errUnavailable
@@ -64,14 +64,14 @@
 	txn state.Txn
 	// notifyLeader is set if the leader knows the job and must be notified of the write.
 	notifyLeader bool
-	// aboveLowerLimit is set if the value fits the store's current size limit but exceeds the lower limit
+	// exceedsNextLimit is set if the value fits the store's current size limit but exceeds the lower limit
 	// that has been announced.
-	aboveLowerLimit bool
+	exceedsNextLimit bool
 }
 
 // planCancellation changes the status of a job's record to cancelled or cancelling. The transaction that it
 // returns stores the change on the condition that the stored record is unchanged.
-func (s *JobService) planCancellation(stored storedRecord) (cancelWrite, error) {
+func (s *JobService) planCancellation(stored recordEntry) (cancelWrite, error) {
 	rec, entry := stored.record, stored.entry
 	rec.Writer, rec.Seq = s.Writer, rec.Seq+1
 	unchanged := []state.Condition{
@@ -79,13 +79,13 @@
 		{Key: record.CancelKey(rec.Spec.ID)},
 	}
 	if len(rec.Assignments) == 0 {
-		return s.endCancelled(stored, unchanged)
+		return s.planFinalRecord(stored, unchanged)
 	}
-	return s.requestCancellation(stored, unchanged), nil
+	return s.planCancellationRequest(stored, unchanged), nil
 }
 
-// endCancelled plans to replace the live record of a job without assigned tasks by its final record.
-func (s *JobService) endCancelled(stored storedRecord, unchanged []state.Condition) (cancelWrite, error) {
+// planFinalRecord plans to replace the live record of a job without assigned tasks by its final record.
+func (s *JobService) planFinalRecord(stored recordEntry, unchanged []state.Condition) (cancelWrite, error) {
 	rec, entry := stored.record, stored.entry
 	rec.Status = record.Cancelled
 	rec.Events = append(rec.Events, record.Event{At: ids.TimestampOf(time.Now()), Message: record.CancelledByUser})
@@ -99,40 +99,40 @@
 			Conditions: append(unchanged, state.Condition{Key: finalKey}),
 			Ops:        []state.Op{{Remove: entry.Key}, {Put: finalKey, Value: value}},
 		},
-		notifyLeader: !stored.blocked(), // the leader watches the records of blocked jobs
+		notifyLeader: !stored.isBlocked(), // the leader watches the records of blocked jobs
 	}, nil
 }
 
-// requestCancellation plans to change the status of a job with assigned tasks to cancelling. If the store no
-// longer accepts a record of that size, the cancellation is stored at a separate key.
-func (s *JobService) requestCancellation(stored storedRecord, unchanged []state.Condition) cancelWrite {
+// planCancellationRequest plans to change the status of a job with assigned tasks to cancelling. If the
+// store no longer accepts a record of that size, the cancellation is stored at a separate key.
+func (s *JobService) planCancellationRequest(stored recordEntry, unchanged []state.Condition) cancelWrite {
 	rec, entry := stored.record, stored.entry
 	write := cancelWrite{txn: state.Txn{Conditions: unchanged}}
-	mark := record.Cancellation{At: ids.TimestampOf(time.Now()), Writer: s.Writer}
-	mark.ApplyTo(rec)
+	cancellation := record.Cancellation{At: ids.TimestampOf(time.Now()), Writer: s.Writer}
+	cancellation.ApplyTo(rec)
 	value, fits := rec.Encode(s.valueLimit())
-	if !fits && !s.valueLimitFell.Load() {
+	if !fits && !s.valueLimitLowered.Load() {
 		// The record was written under the higher size limit. While that limit still applies, the
 		// cancellation is stored in the record, where program versions that do not know the separate key
 		// find it too.
 		value, fits = rec.Encode(int(s.Settings.Params.State.CurrentValueBytes()))
-		write.aboveLowerLimit = fits
+		write.exceedsNextLimit = fits
 	}
 	if fits {
 		write.notifyLeader = true
 		write.txn.Ops = []state.Op{{Put: entry.Key, Value: value}}
 		return write
 	}
-	write.txn.Ops = []state.Op{{Put: record.CancelKey(rec.Spec.ID), Value: mark.Encode()}}
+	write.txn.Ops = []state.Op{{Put: record.CancelKey(rec.Spec.ID), Value: cancellation.Encode()}}
 	return write
 }
 
-// announceCancellation notifies the leader of a stored cancellation, and caches the summary of the job if it
+// notifyCancellation notifies the leader of a stored cancellation, and caches the summary of the job if it
 // has ended. If the job has assigned tasks, it waits for the notification, because the leader may be about
 // to start some of them.
-func (s *JobService) announceCancellation(ctx context.Context, rec *record.Record, write cancelWrite, revision ids.Revision) {
+func (s *JobService) notifyCancellation(ctx context.Context, rec *record.Record, write cancelWrite, revision ids.Revision) {
 	if rec.Status.IsTerminal() {
-		s.ended.add(rec)
+		s.endedJobs.add(rec)
 		if write.notifyLeader {
 			s.LeaderNotifier.NotifyLeader(rec.Spec.ID, revision, nil, nil)
 		}
@@ -144,7 +144,7 @@
 	notified := s.LeaderNotifier.NotifyLeader(rec.Spec.ID, revision, rec, write.txn.Ops[0].Value)
 	select {
 	case <-notified:
-	case <-time.After(leaderNoticeTimeout):
+	case <-time.After(leaderNotifyTimeout):
 	case <-ctx.Done():
 	}
 }
--- a/internal/intake/cluster_test.go
+++ b/internal/intake/cluster_test.go
@@ -52,8 +52,8 @@
 // explainWithoutLeader implements Server.ExplainByLeader for nodes without a leader.
 func explainWithoutLeader(context.Context, ids.Job) ([]string, ids.Node, error) { return nil, "", nil }
 
-// submissionWith returns a submission with dependencies.
-func submissionWith(id string, dependencies any) map[string]any {
+// dependentSubmission returns a submission with dependencies.
+func dependentSubmission(id string, dependencies any) map[string]any {
 	body := submissionOf(id)
 	body["awaits"] = dependencies
 	return body
@@ -97,7 +97,7 @@
 // storeJob stores the record of a job with the given status at the matching key.
 func (c *testCluster) storeJob(id ids.Job, status record.Status, dependencies ...ids.Job) {
 	c.t.Helper()
-	spec, err := parse(bytes.NewReader(marshal(submissionWith(string(id), dependencies))))
+	spec, err := parseSubmission(bytes.NewReader(marshal(dependentSubmission(string(id), dependencies))))
 	if err != nil {
 		c.t.Fatal(err)
 	}
@@ -146,13 +146,13 @@
 	return raw
 }
 
-// storedAt returns the key at which a job's record is stored. If there are several, it returns them
+// storedKey returns the key at which a job's record is stored. If there are several, it returns them
 // concatenated; if there is none, an empty string.
-func (c *testCluster) storedAt(id ids.Job) (at string) {
+func (c *testCluster) storedKey(id ids.Job) (keys string) {
 	for _, key := range []string{record.JobKey(id), record.WaitKey(id), record.EndKey(id)} {
 		if c.store.Value(key) != nil {
-			at += key
+			keys += key
 		}
 	}
-	return at
+	return keys
 }
--- a/internal/intake/connection_limiter.go
+++ b/internal/intake/connection_limiter.go
@@ -20,7 +20,7 @@
 	// crashed client would otherwise stay open forever.
 	IdleTimeout time.Duration
 
-	// mu guards the counts below, and the fields caller and transient of every limitedConn. The only
+	// mu guards the counts below, and the fields clientKind and transient of every limitedConn. The only
 	// external call made while holding it is WorkerCount, which may take other locks but must not use the
 	// limiter.
 	mu sync.Mutex
@@ -28,35 +28,35 @@
 	open, users, workers int
 }
 
-// Shares of a limiter's connections. One in transientPart connections, but at least minTransient, is closed
-// after one response. Of the other connections, one in reservedPart is reserved for users.
+// Shares of a limiter's connections. One in transientDivisor connections, but at least minTransient, is
+// closed after one response. Of the other connections, one in reservedDivisor is reserved for users.
 const (
-	transientPart = 32
-	minTransient  = 4
-	reservedPart  = 16
+	transientDivisor = 32
+	minTransient     = 4
+	reservedDivisor  = 16
 )
 
-// caller is the kind of client that uses a connection.
-type caller int
+// clientKind is the kind of client that uses a connection.
+type clientKind int
 
 const (
-	unknown caller = iota
-	user
-	workerHeartbeat
+	unknownClient clientKind = iota
+	userClient
+	workerClient
 )
 
 // limitedConn is a connection counted by a ConnectionLimiter.
 type limitedConn struct {
 	net.Conn
-	limiter   *ConnectionLimiter
-	transient bool // accepted above the number of long-lived connections: closed after one response
-	caller    caller
-	closeOnce sync.Once
+	limiter    *ConnectionLimiter
+	transient  bool // accepted above the number of long-lived connections: closed after one response
+	clientKind clientKind
+	closeOnce  sync.Once
 }
 
-// longLived returns how many connections may stay open; the rest are closed after one response.
-func (l *ConnectionLimiter) longLived() int {
-	return l.MaxConnections - max(minTransient, l.MaxConnections/transientPart)
+// longLivedLimit returns how many connections may stay open; the rest are closed after one response.
+func (l *ConnectionLimiter) longLivedLimit() int {
+	return l.MaxConnections - max(minTransient, l.MaxConnections/transientDivisor)
 }
 
 // userQuota returns how many connections users may hold now. The caller must hold l.mu.
@@ -65,13 +65,15 @@
 	if l.WorkerCount != nil {
 		workers = max(workers, l.WorkerCount())
 	}
-	return max(l.longLived()-workers, l.longLived()/reservedPart)
+	return max(l.longLivedLimit()-workers, l.longLivedLimit()/reservedDivisor)
 }
 
 // workerQuota returns how many connections workers may keep open. A fleet may have more machines than this
 // node has sockets. Workers above the quota open a new connection for each heartbeat, so that users and
 // health checks still get connections.
-func (l *ConnectionLimiter) workerQuota() int { return l.longLived() - l.longLived()/reservedPart }
+func (l *ConnectionLimiter) workerQuota() int {
+	return l.longLivedLimit() - l.longLivedLimit()/reservedDivisor
+}
 
 // admit counts a new connection. It returns nil if the limit has been reached.
 func (l *ConnectionLimiter) admit(conn net.Conn) *limitedConn {
@@ -81,7 +83,7 @@
 		return nil
 	}
 	l.open++
-	return &limitedConn{Conn: conn, limiter: l, transient: l.open > l.longLived()}
+	return &limitedConn{Conn: conn, limiter: l, transient: l.open > l.longLivedLimit()}
 }
 
 // Close closes the connection and stops counting it.
@@ -90,29 +92,29 @@
 		c.limiter.mu.Lock()
 		defer c.limiter.mu.Unlock()
 		c.limiter.open--
-		c.setCaller(unknown)
+		c.setClientKind(unknownClient)
 	})
 	return c.Conn.Close()
 }
 
-// setCaller sets the kind of client that uses the connection, and updates the counts. The calling function
-// must hold the limiter's lock.
-func (c *limitedConn) setCaller(to caller) {
-	if count := c.limiter.count(c.caller); count != nil {
-		*count--
+// setClientKind sets the kind of client that uses the connection, and updates the counts. The calling
+// function must hold the limiter's lock.
+func (c *limitedConn) setClientKind(kind clientKind) {
+	if counter := c.limiter.counter(c.clientKind); counter != nil {
+		*counter--
 	}
-	if count := c.limiter.count(to); count != nil {
-		*count++
+	if counter := c.limiter.counter(kind); counter != nil {
+		*counter++
 	}
-	c.caller = to
+	c.clientKind = kind
 }
 
-// count returns the counter of one kind of client, or nil if that kind has no counter.
-func (l *ConnectionLimiter) count(of caller) *int {
-	switch of {
-	case user:
+// counter returns the counter of one kind of client, or nil if that kind has no counter.
+func (l *ConnectionLimiter) counter(kind clientKind) *int {
+	switch kind {
+	case userClient:
 		return &l.users
-	case workerHeartbeat:
+	case workerClient:
 		return &l.workers
 	default:
 		return nil
@@ -121,20 +123,20 @@
 
 // admitRequest records which kind of client uses the connection. It reports whether the request should be
 // served, and whether the connection may stay open.
-func (c *limitedConn) admitRequest(from caller) (serve, keepOpen bool) {
+func (c *limitedConn) admitRequest(kind clientKind) (serve, keepOpen bool) {
 	l := c.limiter
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if c.caller != from {
-		c.setCaller(from)
+	if c.clientKind != kind {
+		c.setClientKind(kind)
 	}
-	if from == user && (c.transient || l.users > l.userQuota()) {
+	if kind == userClient && (c.transient || l.users > l.userQuota()) {
 		return false, false
 	}
-	if from == workerHeartbeat && l.workers > l.workerQuota() {
+	if kind == workerClient && l.workers > l.workerQuota() {
 		return true, false
 	}
-	if c.transient && l.open <= l.longLived() {
+	if c.transient && l.open <= l.longLivedLimit() {
 		c.transient = false
 	}
 	return true, !c.transient
--- a/internal/intake/connection_limiter_test.go
+++ b/internal/intake/connection_limiter_test.go
@@ -50,11 +50,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		pipes := fake.NewPipes()
 		_, _, service := newJobService()
-		site := &Server{Jobs: service, Heartbeats: heartbeatStub{}, Ready: func() bool { return true }}
+		server := &Server{Jobs: service, Heartbeats: heartbeatStub{}, Ready: func() bool { return true }}
 		const workerCount = 100
 		limiter := &ConnectionLimiter{MaxConnections: 128, WorkerCount: func() int { return workerCount }, IdleTimeout: 20 * time.Second}
 		listener := pipes.Listen("a")
-		go func() { _ = site.Serve(listener, limiter) }() // returns when the listener is closed
+		go func() { _ = server.Serve(listener, limiter) }() // returns when the listener is closed
 		dialed := 0
 		newClient := func() *http.Client {
 			return &http.Client{Timeout: 3 * time.Second, Transport: &http.Transport{DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
@@ -130,7 +130,7 @@
 	})
 }
 
-func TestMoreWorkersThanConnectionsLeaveUsersTheirQuota(t *testing.T) {
+func TestUsersKeepTheirQuotaWhenWorkersExceedConnections(t *testing.T) {
 	// Guards against workers that hold every connection of a leader with fewer sockets than machines: all
 	// users were refused there, although the load balancer preferred this node because it had so few user
 	// connections.
@@ -142,7 +142,7 @@
 		if conn == nil {
 			t.Fatalf("a worker's connection is refused while %d connections are open", limiter.open)
 		}
-		serve, keepOpen := conn.admitRequest(workerHeartbeat)
+		serve, keepOpen := conn.admitRequest(workerClient)
 		if !serve {
 			t.Fatal("a heartbeat was refused")
 		}
@@ -163,7 +163,7 @@
 		if conn == nil {
 			t.Fatal("a user's connection is refused")
 		}
-		if serve, _ := conn.admitRequest(user); serve {
+		if serve, _ := conn.admitRequest(userClient); serve {
 			users++
 		}
 	}
@@ -175,7 +175,7 @@
 // newConnection returns one end of a connection; the other end is closed at the end of the test.
 func newConnection(t *testing.T) net.Conn {
 	t.Helper()
-	here, there := net.Pipe()
-	t.Cleanup(func() { _ = there.Close() }) // no data is sent on it
-	return here
+	local, remote := net.Pipe()
+	t.Cleanup(func() { _ = remote.Close() }) // no data is sent on it
+	return local
 }
--- a/internal/intake/dependencies.go
+++ b/internal/intake/dependencies.go
@@ -15,20 +15,20 @@
 // cancelled, the job is stored as cancelled. If all are done, which is final, the job is stored as
 // schedulable.
 func (s *JobService) resolveDependencies(ctx context.Context, rec *record.Record) (key string, value json.RawMessage, err error) {
-	open, cause, err := s.openDependencies(ctx, rec.Spec.DependsOn)
+	unfinished, cancelledJob, err := s.unfinishedDependencies(ctx, rec.Spec.DependsOn)
 	if err != nil {
 		return "", nil, err
 	}
 	id, limit := rec.Spec.ID, s.valueLimit()
 	fits := false
 	switch {
-	case cause != "":
-		rec.MarkCancelledBy(cause)
+	case cancelledJob != "":
+		rec.MarkCancelledBy(cancelledJob)
 		key = record.EndKey(id)
 		value, fits = rec.Encode(limit)
-	case len(open) > 0:
+	case len(unfinished) > 0:
 		key = record.WaitKey(id)
-		value, fits = encodeBlocked(rec, open, limit)
+		value, fits = encodeBlocked(rec, unfinished, limit)
 		if !fits {
 			return "", nil, errTooManyDependencies
 		}
@@ -45,18 +45,18 @@
 
 // encodeBlocked encodes the record of a job that waits for its dependencies. If the record does not fit with
 // all of its dependencies, only the unfinished ones are kept.
-func encodeBlocked(rec *record.Record, open []ids.Job, limit int) (value json.RawMessage, fits bool) {
+func encodeBlocked(rec *record.Record, unfinished []ids.Job, limit int) (value json.RawMessage, fits bool) {
 	if value, fits := rec.EncodeWaiting(limit); fits {
 		return value, true
 	}
-	rec.Spec.DependsOn = open
+	rec.Spec.DependsOn = unfinished
 	return rec.EncodeWaiting(limit)
 }
 
-// openDependencies returns the dependencies of a submitted job that are not done. If a direct or indirect
-// dependency is cancelled, cause is that job. Every dependency must have been accepted, and none may be a
-// service, because services never finish; otherwise the error is a rejectedError.
-func (s *JobService) openDependencies(ctx context.Context, dependencies []ids.Job) (open []ids.Job, cause ids.Job, err error) {
+// unfinishedDependencies returns the dependencies of a submitted job that are not done. If a direct or
+// indirect dependency is cancelled, cancelledJob is that job. Every dependency must have been accepted,
+// and none may be a service, because services never finish; otherwise the error is a rejectedError.
+func (s *JobService) unfinishedDependencies(ctx context.Context, dependencies []ids.Job) (unfinished []ids.Job, cancelledJob ids.Job, err error) {
 	reader := newDependencyReader(s.records(), state.Sheddable)
 	if err := reader.prefetch(ctx, dependencies); err != nil {
 		return nil, "", err
@@ -70,11 +70,11 @@
 			return nil, "", rejectedError{"awaits " + string(id) + ", which was never accepted"}
 		case dependency.summary.service:
 			return nil, "", rejectedError{"awaits " + string(id) + ", a service: it is never done"}
-		case dependency.cause != "" && cause == "":
-			cause = dependency.cause
+		case dependency.cancelledJob != "" && cancelledJob == "":
+			cancelledJob = dependency.cancelledJob
 		case dependency.summary.status != statusDone:
-			open = append(open, id)
+			unfinished = append(unfinished, id)
 		}
 	}
-	return open, cause, nil
+	return unfinished, cancelledJob, nil
 }
--- a/internal/intake/dependencies_test.go
+++ b/internal/intake/dependencies_test.go
@@ -13,14 +13,14 @@
 	"github.com/pebbletrail/pebbletrail/internal/state"
 )
 
-func TestDependenciesAreAListOfJobIDs(t *testing.T) {
+func TestDependenciesMustBeAListOfJobIDs(t *testing.T) {
 	// Guards against names that are misread or ignored, which would start a job too early, and against
 	// refusing lists that the protocol allows.
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newTestCluster(t)
 		for _, bad := range []any{"job-1", "", 7, true, map[string]any{}, []any{1}, []any{nil}, []any{[]string{"job-1"}},
 			[]string{""}, []string{"job-"}, []string{"job-1x"}, []string{"run-1"}, []string{"job-1", "JOB-2"}, []string{" job-1"}} {
-			if code, _ := cluster.submit("a", submissionWith("job-9", bad)); code != 400 {
+			if code, _ := cluster.submit("a", dependentSubmission("job-9", bad)); code != 400 {
 				t.Errorf("a submission that awaits %v gets HTTP status %d, want 400", bad, code)
 			}
 			cluster.expectStatus("job-9", "404")
@@ -33,15 +33,15 @@
 			{nil, nil}, {[]string{}, nil}, {[]string{"job-1"}, []ids.Job{"job-1"}}, {[]string{"job-1", "job-1"}, []ids.Job{"job-1"}},
 		} {
 			id := ids.Job(fmt.Sprintf("job-1%d", i))
-			if code, status := cluster.submit("a", submissionWith(string(id), testCase.names)); code != 201 || status != "pending" {
+			if code, status := cluster.submit("a", dependentSubmission(string(id), testCase.names)); code != 201 || status != "pending" {
 				t.Errorf("a submission that awaits %v gets HTTP status %d, job status %q", testCase.names, code, status)
 			}
 			key := record.JobKey(id)
 			if testCase.want != nil {
 				key = record.WaitKey(id)
 			}
-			if cluster.storedAt(id) != key {
-				t.Errorf("a job that awaits %v is stored at %s", testCase.names, cluster.storedAt(id))
+			if cluster.storedKey(id) != key {
+				t.Errorf("a job that awaits %v is stored at %s", testCase.names, cluster.storedKey(id))
 			}
 			if testCase.want == nil {
 				continue
@@ -63,11 +63,11 @@
 // dependencyCases lists the stored jobs, the dependencies that a submission names, the expected response,
 // and where the submission's record is expected.
 var dependencyCases = map[string]struct {
-	jobs     []acceptedJob
-	names    []string
-	code     int
-	status   string
-	storedAt string // prefix of the key; empty: not stored
+	jobs      []acceptedJob
+	names     []string
+	code      int
+	status    string
+	storedKey string // prefix of the expected key; empty: not stored
 }{
 	"queued":                    {[]acceptedJob{{"job-1", record.Queued, nil}}, []string{"job-1"}, 201, "pending", record.WaitPrefix},
 	"claimed":                   {[]acceptedJob{{"job-1", record.Claimed, nil}}, []string{"job-1"}, 201, "pending", record.WaitPrefix},
@@ -90,7 +90,7 @@
 	"itself": {nil, []string{"job-90"}, 422, "", ""},
 }
 
-func TestDependencyStatesDecideASubmission(t *testing.T) {
+func TestDependencyStatesDetermineSubmissionOutcome(t *testing.T) {
 	// Guards against refusing a dependency on an accepted job, whatever its status, against accepting a job
 	// that can never start, and against a job that waits although its dependencies are all done or one is
 	// cancelled.
@@ -103,15 +103,15 @@
 					for _, job := range testCase.jobs {
 						cluster.storeJob(job.id, job.status, job.dependencies...)
 					}
-					code, status := cluster.submit(node, submissionWith("job-90", testCase.names))
+					code, status := cluster.submit(node, dependentSubmission("job-90", testCase.names))
 					if code != testCase.code || status != testCase.status {
 						t.Fatalf("submission got HTTP status %d, job status %q, want %d, %q", code, status, testCase.code, testCase.status)
 					}
 					want := ""
-					if testCase.storedAt != "" {
-						want = testCase.storedAt + "job-90"
+					if testCase.storedKey != "" {
+						want = testCase.storedKey + "job-90"
 					}
-					if got := cluster.storedAt("job-90"); got != want {
+					if got := cluster.storedKey("job-90"); got != want {
 						t.Errorf("job is stored at %q, want %q", got, want)
 					}
 					if code == 422 {
@@ -125,7 +125,7 @@
 	}
 }
 
-func TestDependencyMayBeOfAnotherTeamButNoService(t *testing.T) {
+func TestDependencyMayBelongToAnotherTeamButNotBeAService(t *testing.T) {
 	// Guards against a job that waits for a service, which never finishes, and against looking up
 	// dependencies only among the jobs of the submission's own team.
 	synctest.Test(t, func(t *testing.T) {
@@ -139,22 +139,22 @@
 				t.Fatal(code)
 			}
 		}
-		if code, _ := cluster.submit("b", submissionWith("job-10", []string{"job-1"})); code != 422 {
+		if code, _ := cluster.submit("b", dependentSubmission("job-10", []string{"job-1"})); code != 422 {
 			t.Errorf("a submission that depends on a service got HTTP status %d, want 422", code)
 		}
-		if code, status := cluster.submit("b", submissionWith("job-11", []string{"job-2"})); code != 201 || status != "pending" {
+		if code, status := cluster.submit("b", dependentSubmission("job-11", []string{"job-2"})); code != 201 || status != "pending" {
 			t.Errorf("a submission that depends on another team's job got HTTP status %d, job status %q", code, status)
 		}
 		cluster.request("a", "POST", "/v2/runs/job-1/cancel", nil)
 		for _, node := range []string{"a", "b"} { // node a has the final record in its cache, node b reads it from the store
-			if code, _ := cluster.submit(node, submissionWith("job-12", []string{"job-1"})); code != 422 {
+			if code, _ := cluster.submit(node, dependentSubmission("job-12", []string{"job-1"})); code != 422 {
 				t.Errorf("a submission to node %s that depends on a cancelled service got HTTP status %d, want 422", node, code)
 			}
 		}
 	})
 }
 
-func TestDependencyIsFoundWhileItsRecordMoves(t *testing.T) {
+func TestDependencyIsFoundWhileItsRecordMovesBetweenKeys(t *testing.T) {
 	// Guards against an order of reads that misses a job's record while it moves between keys, so that the
 	// job is considered never accepted. The test moves the record from the waiting key to the live key and
 	// from there to the final key, before any two calls that a node makes to the store.
@@ -185,7 +185,7 @@
 					}
 					return fake.Deliver
 				})
-				if code, status := cluster.submit("b", submissionWith("job-9", []string{"job-2"})); code != 201 || status != "pending" {
+				if code, status := cluster.submit("b", dependentSubmission("job-9", []string{"job-2"})); code != 201 || status != "pending" {
 					t.Errorf("record moved before calls %d and %d: submission got HTTP status %d, job status %q", first, second, code, status)
 				}
 				if got := cluster.jobStatus("b", "job-2"); got != "pending" && got != "done" {
@@ -196,7 +196,7 @@
 	}
 }
 
-func TestRepeatedSubmissionIsKnownWhateverItsDependencies(t *testing.T) {
+func TestRepeatedSubmissionIsIdempotentWhateverItsDependencies(t *testing.T) {
 	// Guards against rejecting a repeated submission of an accepted job because its dependencies would be
 	// rejected now, and against a repeated submission that changes the job's dependencies.
 	synctest.Test(t, func(t *testing.T) {
@@ -205,24 +205,24 @@
 		cluster.storeJob("job-2", record.Cancelled)
 		cluster.storeJob("job-3", record.Done)
 		for id, names := range map[string][]string{"job-10": {"job-1"}, "job-11": {"job-2"}, "job-12": {"job-3"}, "job-13": nil} {
-			code, status := cluster.submit("a", submissionWith(id, names))
+			code, status := cluster.submit("a", dependentSubmission(id, names))
 			if code != 201 {
 				t.Fatal(code)
 			}
-			key := cluster.storedAt(ids.Job(id))
+			key := cluster.storedKey(ids.Job(id))
 			stored := string(cluster.store.Value(key))
-			for _, again := range []any{names, nil, []string{}, []string{"job-2"}, []string{"job-3"}, []string{"job-404"}, []string{id}, []string{"job-1", "job-3"}} {
+			for _, repeated := range []any{names, nil, []string{}, []string{"job-2"}, []string{"job-3"}, []string{"job-404"}, []string{id}, []string{"job-1", "job-3"}} {
 				for _, node := range []string{"a", "b"} {
-					if code, told := cluster.submit(node, submissionWith(id, again)); code != 200 || told != status {
-						t.Errorf("node %s responds with HTTP status %d, job status %s to a repeated submission of %s, whose status is %s, with dependencies %v", node, code, told, id, status, again)
+					if code, repeatedStatus := cluster.submit(node, dependentSubmission(id, repeated)); code != 200 || repeatedStatus != status {
+						t.Errorf("node %s responds with HTTP status %d, job status %s to a repeated submission of %s, whose status is %s, with dependencies %v", node, code, repeatedStatus, id, status, repeated)
 					}
 				}
 			}
-			if code, _ := cluster.submit("b", submissionWith(id, "job-1")); code != 400 {
+			if code, _ := cluster.submit("b", dependentSubmission(id, "job-1")); code != 400 {
 				t.Errorf("a repeated submission with malformed dependencies gets HTTP status %d, want 400", code)
 			}
 			cluster.expectStatus(id, status)
-			if got := string(cluster.store.Value(key)); got != stored || cluster.storedAt(ids.Job(id)) != key {
+			if got := string(cluster.store.Value(key)); got != stored || cluster.storedKey(ids.Job(id)) != key {
 				t.Errorf("a repeated submission changed the record %s into %s, or moved it", stored, got)
 			}
 		}
--- a/internal/intake/dependency_reader.go
+++ b/internal/intake/dependency_reader.go
@@ -10,26 +10,26 @@
 	"github.com/pebbletrail/pebbletrail/internal/state"
 )
 
-// dependency is the state of a job that other jobs depend on.
-type dependency struct {
+// dependencyState is the state of a job that other jobs depend on.
+type dependencyState struct {
 	accepted bool
 	// summary is the state reported to users: a job is cancelled as soon as one of its dependencies is.
 	summary jobSummary
-	// cause is the job whose cancellation ends this job, which may be this job itself; empty if none.
-	cause ids.Job
+	// cancelledJob is the job whose cancellation ends this job, which may be this job itself; empty if none.
+	cancelledJob ids.Job
 	// record is nil for an ended job of which only the summary is cached.
 	record *record.Record
 }
 
-// endedDependency returns the state of a job that has ended.
-func endedDependency(summary jobSummary, rec *record.Record) *dependency {
-	ended := &dependency{accepted: true, summary: summary, record: rec}
+// endedState returns the state of a job that has ended.
+func endedState(summary jobSummary, rec *record.Record) *dependencyState {
+	ended := &dependencyState{accepted: true, summary: summary, record: rec}
 	if summary.status != statusCancelled {
 		return ended
 	}
-	ended.cause = summary.cancelledBy
-	if ended.cause == "" {
-		ended.cause = summary.id
+	ended.cancelledJob = summary.cancelledBy
+	if ended.cancelledJob == "" {
+		ended.cancelledJob = summary.id
 	}
 	return ended
 }
@@ -38,38 +38,38 @@
 // unfinished jobs from the controller's watch cache, which must be as recent as the request requires. It is
 // not safe for concurrent use.
 type dependencyReader struct {
-	records *recordReader
-	urgency state.Priority
-	states  map[ids.Job]*dependency
-	// finals contains the prefetched final records; the value is nil for a job that has none.
-	finals map[ids.Job]*record.Record
+	records  *recordReader
+	priority state.Priority
+	states   map[ids.Job]*dependencyState
+	// finalRecords contains the prefetched final records; the value is nil for a job that has none.
+	finalRecords map[ids.Job]*record.Record
 }
 
-func newDependencyReader(records *recordReader, urgency state.Priority) *dependencyReader {
+func newDependencyReader(records *recordReader, priority state.Priority) *dependencyReader {
 	return &dependencyReader{
-		records: records,
-		urgency: urgency,
-		states:  map[ids.Job]*dependency{},
-		finals:  map[ids.Job]*record.Record{},
+		records:      records,
+		priority:     priority,
+		states:       map[ids.Job]*dependencyState{},
+		finalRecords: map[ids.Job]*record.Record{},
 	}
 }
 
 // read returns the state of a job, from an earlier read if there was one.
-func (r *dependencyReader) read(ctx context.Context, id ids.Job) (*dependency, error) {
-	if known := r.states[id]; known != nil {
-		return known, nil
+func (r *dependencyReader) read(ctx context.Context, id ids.Job) (*dependencyState, error) {
+	if cached := r.states[id]; cached != nil {
+		return cached, nil
 	}
-	dependency, err := r.readAnew(ctx, id)
+	dependencyState, err := r.readUncached(ctx, id)
 	if err == nil {
-		r.states[id] = dependency
+		r.states[id] = dependencyState
 	}
-	return dependency, err
+	return dependencyState, err
 }
 
-// readAnew determines the state of a job that this reader has not read before.
-func (r *dependencyReader) readAnew(ctx context.Context, id ids.Job) (*dependency, error) {
-	if summary, known := r.records.ended.get(id); known {
-		return endedDependency(summary, nil), nil
+// readUncached determines the state of a job that this reader has not read before.
+func (r *dependencyReader) readUncached(ctx context.Context, id ids.Job) (*dependencyState, error) {
+	if summary, known := r.records.endedJobs.get(id); known {
+		return endedState(summary, nil), nil
 	}
 	stored, err := r.readRecord(ctx, id)
 	if err != nil {
@@ -78,37 +78,37 @@
 	rec := stored.record
 	switch {
 	case rec == nil:
-		return &dependency{}, nil
+		return &dependencyState{}, nil
 	case rec.Status.IsTerminal():
-		r.records.ended.add(rec)
-		return endedDependency(summarize(rec), rec), nil
+		r.records.endedJobs.add(rec)
+		return endedState(summarize(rec), rec), nil
 	}
-	unfinished := &dependency{accepted: true, summary: summarize(rec), record: rec}
+	unfinished := &dependencyState{accepted: true, summary: summarize(rec), record: rec}
 	if rec.Status == record.Cancelling {
-		unfinished.cause = id
+		unfinished.cancelledJob = id
 	}
-	if stored.blocked() {
-		if unfinished.cause, err = r.cancelledDependency(ctx, rec); err != nil {
+	if stored.isBlocked() {
+		if unfinished.cancelledJob, err = r.findCancelledDependency(ctx, rec); err != nil {
 			return nil, err
 		}
 	}
-	if unfinished.cause != "" {
+	if unfinished.cancelledJob != "" {
 		unfinished.summary.status = statusCancelled
 	}
 	return unfinished, nil
 }
 
 // readRecord returns a job's record from the prefetched records, or else reads it.
-func (r *dependencyReader) readRecord(ctx context.Context, id ids.Job) (storedRecord, error) {
-	if final, prefetched := r.finals[id]; prefetched {
-		return storedRecord{record: final}, nil
+func (r *dependencyReader) readRecord(ctx context.Context, id ids.Job) (recordEntry, error) {
+	if final, prefetched := r.finalRecords[id]; prefetched {
+		return recordEntry{record: final}, nil
 	}
-	return r.records.stored(ctx, id, r.urgency)
+	return r.records.storedRecord(ctx, id, r.priority)
 }
 
-// cancelledDependency returns a cancelled job among the direct and indirect dependencies of a job, or an
+// findCancelledDependency returns a cancelled job among the direct and indirect dependencies of a job, or an
 // empty identifier if none is cancelled.
-func (r *dependencyReader) cancelledDependency(ctx context.Context, rec *record.Record) (ids.Job, error) {
+func (r *dependencyReader) findCancelledDependency(ctx context.Context, rec *record.Record) (ids.Job, error) {
 	if err := r.prefetch(ctx, rec.Spec.DependsOn); err != nil {
 		return "", err
 	}
@@ -119,38 +119,38 @@
 			return "", err
 		case !dependency.accepted:
 			return "", fmt.Errorf("%w: %s awaits %s, of which there is no record", errUnavailable, rec.Spec.ID, id)
-		case dependency.cause != "":
-			return dependency.cause, nil
+		case dependency.cancelledJob != "":
+			return dependency.cancelledJob, nil
 		}
 	}
 	return "", nil
 }
 
 // A job may have hundreds of dependencies, and one call to the store for each would take longer than its
-// user waits. So final records are read in pages of at most prefetchPage if at least prefetchFrom of them
-// are needed.
+// user waits. So final records are read in pages of at most prefetchPageSize if at least
+// prefetchThreshold of them are needed.
 const (
-	prefetchFrom = 4
-	prefetchPage = 500
+	prefetchThreshold = 4
+	prefetchPageSize  = 500
 )
 
 // prefetch reads the final records of those jobs whose state is not available without a call to the store.
 func (r *dependencyReader) prefetch(ctx context.Context, jobs []ids.Job) error {
 	var missing []ids.Job
 	for _, id := range jobs {
-		if !r.readsWithoutCall(id) {
+		if !r.isReadableWithoutCall(id) {
 			missing = append(missing, id)
 		}
 	}
-	if len(missing) < prefetchFrom {
+	if len(missing) < prefetchThreshold {
 		return nil // each is read by its own call
 	}
 	slices.Sort(missing)
 	for len(missing) > 0 {
 		after := keyBefore(record.EndKey(missing[0]))
-		page, more, _, err := r.records.store.List(ctx, record.EndPrefix, after, prefetchPage, r.urgency)
+		page, more, _, err := r.records.store.List(ctx, record.EndPrefix, after, prefetchPageSize, r.priority)
 		if err != nil {
-			return unavailable(err)
+			return wrapUnavailable(err)
 		}
 		if missing, err = r.addPage(missing, page, more); err != nil {
 			return err
@@ -159,28 +159,28 @@
 	return nil
 }
 
-// readsWithoutCall reports whether a job can be read without a call to the store.
-func (r *dependencyReader) readsWithoutCall(id ids.Job) bool {
-	if _, prefetched := r.finals[id]; prefetched || r.states[id] != nil {
+// isReadableWithoutCall reports whether a job can be read without a call to the store.
+func (r *dependencyReader) isReadableWithoutCall(id ids.Job) bool {
+	if _, prefetched := r.finalRecords[id]; prefetched || r.states[id] != nil {
 		return true
 	}
-	if _, known := r.records.ended.get(id); known {
+	if _, known := r.records.endedJobs.get(id); known {
 		return true
 	}
-	_, live, _ := r.records.mirror.GetFirst(record.JobKey(id), record.WaitKey(id))
+	_, live, _ := r.records.cache.GetFirst(record.JobKey(id), record.WaitKey(id))
 	return live
 }
 
 // addPage stores the final records of the missing jobs that a page contains. missing is sorted. It returns
 // the jobs whose keys sort after the end of the page.
-func (r *dependencyReader) addPage(missing []ids.Job, page []state.Entry, more bool) (beyond []ids.Job, err error) {
-	wanted := map[string]ids.Job{}
+func (r *dependencyReader) addPage(missing []ids.Job, page []state.Entry, more bool) (remaining []ids.Job, err error) {
+	jobByKey := map[string]ids.Job{}
 	for _, id := range missing {
-		wanted[record.EndKey(id)] = id
-		r.finals[id] = nil
+		jobByKey[record.EndKey(id)] = id
+		r.finalRecords[id] = nil
 	}
 	for _, entry := range page {
-		id, isWanted := wanted[entry.Key]
+		id, isWanted := jobByKey[entry.Key]
 		if !isWanted {
 			continue
 		}
@@ -188,7 +188,7 @@
 		if err != nil {
 			return nil, fmt.Errorf("%w: unreadable record %s", errUnavailable, entry.Key)
 		}
-		r.finals[id] = rec
+		r.finalRecords[id] = rec
 	}
 	if !more || len(page) == 0 {
 		return nil, nil
@@ -196,14 +196,14 @@
 	last := page[len(page)-1].Key
 	for i, id := range missing {
 		if record.EndKey(id) > last {
-			beyond = missing[i:]
+			remaining = missing[i:]
 			break
 		}
 	}
-	for _, id := range beyond {
-		delete(r.finals, id)
+	for _, id := range remaining {
+		delete(r.finalRecords, id)
 	}
-	return beyond, nil
+	return remaining, nil
 }
 
 // keyBefore returns a string that sorts before a job's key and after the keys of all jobs that precede it:
--- a/internal/intake/dependency_reader_test.go
+++ b/internal/intake/dependency_reader_test.go
@@ -27,7 +27,7 @@
 			t.Errorf("got HTTP status %d, Retry-After %q, after %v", response.Code, response.Header().Get("Retry-After"), time.Since(began))
 		}
 	}
-	for name, begin := range map[string]func(cluster *testCluster) (end func()){
+	for name, startFault := range map[string]func(cluster *testCluster) (endFault func()){
 		"an outage": func(cluster *testCluster) func() {
 			cluster.store.SetDown(true)
 			return func() { cluster.store.SetDown(false) }
@@ -46,25 +46,25 @@
 				cluster.expectStatus("job-77", "404")
 				cluster.storeJob("job-1", record.Done)
 				cluster.storeJob("job-2", record.Queued)
-				end := begin(cluster)
+				endFault := startFault(cluster)
 				for _, service := range cluster.services {
 					go service.Store.ProbeHealth(t.Context(), record.KeysOf(0, 1).Generation())
 				}
-				expectRetryLater(t, cluster.nodes["b"], submissionWith("job-10", []string{"job-404"}))
-				expectRetryLater(t, cluster.nodes["b"], submissionWith("job-11", []string{"job-1", "job-2"}))
+				expectRetryLater(t, cluster.nodes["b"], dependentSubmission("job-10", []string{"job-404"}))
+				expectRetryLater(t, cluster.nodes["b"], dependentSubmission("job-11", []string{"job-1", "job-2"}))
 				time.Sleep(5 * time.Second) // by now the node has detected that the store is unavailable
-				expectRetryLater(t, cluster.nodes["b"], submissionWith("job-10", []string{"job-404"}))
+				expectRetryLater(t, cluster.nodes["b"], dependentSubmission("job-10", []string{"job-404"}))
 				if name != "an outage" {
-					if code, _ := cluster.submit("a", submissionWith("job-12", []string{"job-404"})); code != 422 {
+					if code, _ := cluster.submit("a", dependentSubmission("job-12", []string{"job-404"})); code != 422 {
 						t.Errorf("the node that reaches the store responds with HTTP status %d, want 422", code)
 					}
 				}
-				end()
+				endFault()
 				time.Sleep(3 * time.Second) // the longest Retry-After
-				if code, _ := cluster.submit("b", submissionWith("job-10", []string{"job-404"})); code != 422 {
+				if code, _ := cluster.submit("b", dependentSubmission("job-10", []string{"job-404"})); code != 422 {
 					t.Errorf("after the fault, a submission with an unknown dependency got HTTP status %d, want 422", code)
 				}
-				if code, status := cluster.submit("b", submissionWith("job-11", []string{"job-1", "job-2"})); code != 201 || status != "pending" {
+				if code, status := cluster.submit("b", dependentSubmission("job-11", []string{"job-1", "job-2"})); code != 201 || status != "pending" {
 					t.Errorf("after the fault, a valid submission got HTTP status %d, job status %q", code, status)
 				}
 			})
@@ -73,17 +73,17 @@
 }
 
 // setRule sets the outcome of node b's calls to a path and the paths below it, until end is called.
-func (c *testCluster) setRule(fate fake.Outcome, path string) (end func()) {
+func (c *testCluster) setRule(outcome fake.Outcome, path string) (end func()) {
 	c.net.SetRule(func(from, _ string, req *http.Request, _ []byte) fake.Outcome {
 		if from == "b" && (req.URL.Path == path || strings.HasPrefix(req.URL.Path, path+"/") || path == "/") {
-			return fate
+			return outcome
 		}
 		return fake.Deliver
 	})
 	return func() { c.net.SetRule(nil) }
 }
 
-func TestHundredsOfEndedDependenciesCostFewCalls(t *testing.T) {
+func TestHundredsOfEndedDependenciesTakeFewStoreCalls(t *testing.T) {
 	// Guards against one call for each dependency, which exceeds the rate limit of a node within the time
 	// that a user waits, and against missing a dependency at the boundary of two pages.
 	synctest.Test(t, func(t *testing.T) {
@@ -105,11 +105,11 @@
 			}
 			return fake.Deliver
 		})
-		if code, _ := cluster.submit("b", submissionWith("job-9000", append([]string{"job-1500"}, names...))); code != 422 {
+		if code, _ := cluster.submit("b", dependentSubmission("job-9000", append([]string{"job-1500"}, names...))); code != 422 {
 			t.Errorf("a submission with a dependency that was never accepted got HTTP status %d, want 422", code)
 		}
-		if code, status := cluster.submit("b", submissionWith("job-9001", names)); code != 201 || status != "pending" || cluster.storedAt("job-9001") != "job/job-9001" {
-			t.Errorf("submission got HTTP status %d, job status %q, and is stored at %s", code, status, cluster.storedAt("job-9001"))
+		if code, status := cluster.submit("b", dependentSubmission("job-9001", names)); code != 201 || status != "pending" || cluster.storedKey("job-9001") != "job/job-9001" {
+			t.Errorf("submission got HTTP status %d, job status %q, and is stored at %s", code, status, cluster.storedKey("job-9001"))
 		}
 		if calls > 20 {
 			t.Errorf("%d calls to the store, want at most 20", calls)
@@ -117,7 +117,7 @@
 	})
 }
 
-func TestOnlyDependenciesThatCannotBeStoredAreRejected(t *testing.T) {
+func TestSubmissionIsRejectedOnlyIfUnfinishedDependenciesDoNotFit(t *testing.T) {
 	// Guards against rejecting a job because of dependencies that are done and need not be stored, and
 	// against an undocumented response if the unfinished ones do not fit.
 	synctest.Test(t, func(t *testing.T) {
@@ -136,7 +136,7 @@
 			names = append(names, string(id))
 		}
 		cluster.store.SetLimits(2048, 12)
-		if code, status := cluster.submit("a", submissionWith("job-900000", names)); code != 201 || status != "pending" {
+		if code, status := cluster.submit("a", dependentSubmission("job-900000", names)); code != 201 || status != "pending" {
 			t.Errorf("a submission with 150 of 600 dependencies unfinished got HTTP status %d, job status %q", code, status)
 		}
 		rec, err := record.DecodeWaiting(cluster.store.Value(record.WaitKey("job-900000")))
@@ -148,11 +148,11 @@
 			cluster.storeJob(ids.Job(id), record.Queued)
 			names = append(names, id)
 		}
-		response := serve(cluster.nodes["b"], "POST", "/v2/runs", submissionWith("job-900001", names))
+		response := serve(cluster.nodes["b"], "POST", "/v2/runs", dependentSubmission("job-900001", names))
 		if response.Code != 422 || !strings.Contains(response.Body.String(), errTooManyDependencies.reason) {
 			t.Errorf("a submission with 450 unfinished dependencies got HTTP status %d, body %s", response.Code, response.Body)
 		}
-		if code, _ := cluster.submit("b", submissionWith("job-900000", names)); code != 200 {
+		if code, _ := cluster.submit("b", dependentSubmission("job-900000", names)); code != 200 {
 			t.Errorf("a repeated submission of an accepted job got HTTP status %d, want 200", code)
 		}
 		// A job whose record fills the value can still be cancelled.
@@ -169,7 +169,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newTestCluster(t)
 		submit := func(id string, names ...string) {
-			if code, _ := cluster.submit("a", submissionWith(id, names)); code != 201 {
+			if code, _ := cluster.submit("a", dependentSubmission(id, names)); code != 201 {
 				t.Fatal(id, code)
 			}
 		}
@@ -193,8 +193,8 @@
 		// Cancelling a job that was cancelled with its dependency changes nothing.
 		cancel("a", "job-5", "cancelled")
 		cancel("b", "job-3", "cancelled")
-		if cluster.storedAt("job-3") != record.WaitKey("job-3") {
-			t.Errorf("job-3 is stored at %s, want its waiting key", cluster.storedAt("job-3"))
+		if cluster.storedKey("job-3") != record.WaitKey("job-3") {
+			t.Errorf("job-3 is stored at %s, want its waiting key", cluster.storedKey("job-3"))
 		}
 		// A job with assigned tasks and a dependent is cancelled.
 		cluster.storeJob("job-1", record.Cancelling)
--- a/internal/intake/refusal.go
+++ b/internal/intake/error_responses.go
@@ -24,17 +24,17 @@
 // errorBody returns the body of an error response.
 func errorBody(message string) map[string]string { return map[string]string{"error": message} }
 
-// answerError responds with a permanent error if err is a rejectedError, else with a temporary one.
-func (s *Server) answerError(c echo.Context, err error) error {
+// respondError responds with a permanent error if err is a rejectedError, else with a temporary one.
+func (s *Server) respondError(c echo.Context, err error) error {
 	var rejected rejectedError
 	if errors.As(err, &rejected) {
 		return c.JSON(http.StatusUnprocessableEntity, errorBody(rejected.reason))
 	}
-	return s.answerUnavailable(c)
+	return s.respondUnavailable(c)
 }
 
-// answerUnavailable responds with a temporary error and a Retry-After header.
-func (s *Server) answerUnavailable(c echo.Context) error {
+// respondUnavailable responds with a temporary error and a Retry-After header.
+func (s *Server) respondUnavailable(c echo.Context) error {
 	measure.Process.Count("users told to come back", 1)
 	after := s.Jobs.Store.Budget().RetryAfter()
 	if s.Jobs.Store.Unavailable() {
@@ -48,8 +48,8 @@
 	return c.JSON(http.StatusServiceUnavailable, errorBody("not now"))
 }
 
-// answerNoSuchJob responds to a request for a job that was never accepted.
-func answerNoSuchJob(c echo.Context) error {
+// respondNoSuchJob responds to a request for a job that was never accepted.
+func respondNoSuchJob(c echo.Context) error {
 	return c.JSON(http.StatusNotFound, errorBody("no such job"))
 }
 
--- a/internal/intake/explain.go
+++ b/internal/intake/explain.go
@@ -28,20 +28,20 @@
 const statusUnknown = "unknown"
 
 func (s *Server) explain(c echo.Context) error {
-	return s.answerForJob(c, requestTimeout, s.explainJob)
+	return s.respondForJob(c, requestTimeout, s.explainJob)
 }
 
 // explainJob explains a job from its record. While the store does not respond, which is when operators need
 // explanations most, it returns the last state that this controller read, and says so in the note.
 func (s *Server) explainJob(ctx context.Context, id ids.Job) (explanation any, found bool, err error) {
 	records := s.Jobs.records()
-	stored, err := records.current(ctx, id, state.Sheddable)
+	stored, err := records.currentRecord(ctx, id, state.Sheddable)
 	if err != nil {
-		lastKnown := records.lastKnown(id)
-		if lastKnown == nil {
+		lastKnownRecord := records.lastKnownRecord(id)
+		if lastKnownRecord == nil {
 			return nil, false, err
 		}
-		return Explanation{Job: id, Status: statusUnknown, Trail: lastKnown.Events,
+		return Explanation{Job: id, Status: statusUnknown, Trail: lastKnownRecord.Events,
 			Note: "the state service does not answer this controller, which tells what it knew last; ask another one"}, true, nil
 	}
 	if !stored.exists() {
@@ -59,7 +59,7 @@
 	if err != nil {
 		explanation.Note = err.Error()
 	}
-	if rec.Status.IsTerminal() || records.blocked(id) {
+	if rec.Status.IsTerminal() || records.isBlocked(id) {
 		explanation.Now = pipeline
 		return explanation
 	}
--- a/internal/intake/feasibility.go
+++ b/internal/intake/feasibility.go
@@ -7,10 +7,10 @@
 	"github.com/pebbletrail/pebbletrail/internal/record"
 )
 
-// checkFeasible checks whether a job can ever run. It returns a rejectedError if it cannot, and
+// checkFeasibility checks whether a job can ever run. It returns a rejectedError if it cannot, and
 // errUnavailable while the machine types on offer are unknown. It removes machine types that are not on
 // offer from the spec.
-func (s *JobService) checkFeasible(spec *record.Spec) error {
+func (s *JobService) checkFeasibility(spec *record.Spec) error {
 	if err := s.checkTeamLimits(spec); err != nil {
 		return err
 	}
@@ -35,13 +35,13 @@
 	if !known {
 		return rejectedError{"unknown team " + spec.Team}
 	}
-	atOnce := 1.0
+	minConcurrentTasks := 1.0
 	if spec.Shape != record.Array {
-		atOnce = float64(spec.Tasks)
+		minConcurrentTasks = float64(spec.Tasks)
 	}
-	tooManyCPUs := team.CPUsMax > 0 && atOnce*spec.Resources.Cores > team.CPUsMax
-	tooManyGPUs := team.GPUsMax > 0 && atOnce*spec.Resources.Accels > team.GPUsMax
-	if tooManyCPUs || tooManyGPUs {
+	exceedsCPULimit := team.CPUsMax > 0 && minConcurrentTasks*spec.Resources.Cores > team.CPUsMax
+	exceedsGPULimit := team.GPUsMax > 0 && minConcurrentTasks*spec.Resources.Accels > team.GPUsMax
+	if exceedsCPULimit || exceedsGPULimit {
 		return rejectedError{"more than the limit of team " + spec.Team}
 	}
 	return nil
--- a/internal/intake/forecast.go
+++ b/internal/intake/forecast.go
@@ -13,13 +13,13 @@
 )
 
 const (
-	// forecastJobs limits how many jobs of a pipeline one explanation visits.
-	forecastJobs = 500
-	// forecastDependencies limits how many dependencies an explanation lists.
-	forecastDependencies = 100
-	// forecastDeadlines limits for how many dependents an explanation estimates whether they meet their
+	// maxForecastJobs limits how many jobs of a pipeline one explanation visits.
+	maxForecastJobs = 500
+	// maxListedDependencies limits how many dependencies an explanation lists.
+	maxListedDependencies = 100
+	// maxListedDeadlines limits for how many dependents an explanation estimates whether they meet their
 	// deadlines.
-	forecastDeadlines = 5
+	maxListedDeadlines = 5
 )
 
 // criticalPath is the longest chain of unfinished jobs that ends with a given job, by the users' estimates.
@@ -33,7 +33,7 @@
 	records      *recordReader
 	dependencies *dependencyReader
 	paths        map[ids.Job]criticalPath
-	truncated    bool // the pipeline has more jobs than forecastJobs
+	truncated    bool // the pipeline has more jobs than maxForecastJobs
 }
 
 func newForecast(records *recordReader) *forecast {
@@ -53,22 +53,22 @@
 	case rec.Status.IsTerminal() || rec.Status == record.Cancelling:
 		return nil, nil
 	}
-	lines, err := f.listDependencies(ctx, rec)
+	lines, err := f.describeDependencies(ctx, rec)
 	if err != nil {
 		return lines, err
 	}
-	own, err := f.deadlineRisk(ctx, rec)
+	ownRisk, err := f.describeDeadlineRisk(ctx, rec)
 	if err != nil {
 		return lines, err
 	}
-	lines = append(lines, own...)
-	behind, err := f.dependentsAtRisk(ctx, rec.Spec.ID)
-	lines = append(lines, behind...)
+	lines = append(lines, ownRisk...)
+	dependentRisks, err := f.describeDependentRisks(ctx, rec.Spec.ID)
+	lines = append(lines, dependentRisks...)
 	if err != nil {
 		return lines, err
 	}
 	if f.truncated {
-		lines = append(lines, fmt.Sprintf("the estimates are too low: more than %d jobs come before it", forecastJobs))
+		lines = append(lines, fmt.Sprintf("the estimates are too low: more than %d jobs come before it", maxForecastJobs))
 	}
 	return lines, nil
 }
@@ -76,31 +76,31 @@
 // explainCancellation names the job whose cancellation by its user ended the given job, which depends on it.
 // The record may name an intermediate dependency that was cancelled for the same reason.
 func (f *forecast) explainCancellation(ctx context.Context, rec *record.Record) ([]string, error) {
-	cause, between := rec.CancelledBy, []string{}
-	for range forecastJobs {
-		stored, err := f.records.stored(ctx, cause, state.Sheddable)
+	cause, intermediates := rec.CancelledBy, []string{}
+	for range maxForecastJobs {
+		storedRecord, err := f.records.storedRecord(ctx, cause, state.Sheddable)
 		if err != nil {
 			return nil, err
 		}
-		if !stored.exists() || stored.record.CancelledBy == "" {
+		if !storedRecord.exists() || storedRecord.record.CancelledBy == "" {
 			break
 		}
-		between = append(between, string(cause))
-		cause = stored.record.CancelledBy
+		intermediates = append(intermediates, string(cause))
+		cause = storedRecord.record.CancelledBy
 	}
 	line := fmt.Sprintf("cancelled with %s, whose user cancelled it", cause)
-	if len(between) > 0 {
-		line += ", through " + strings.Join(between, ", ")
+	if len(intermediates) > 0 {
+		line += ", through " + strings.Join(intermediates, ", ")
 	}
 	return []string{line}, nil
 }
 
-// listDependencies describes a job's dependencies, unfinished ones first.
-func (f *forecast) listDependencies(ctx context.Context, rec *record.Record) ([]string, error) {
+// describeDependencies describes a job's dependencies, unfinished ones first.
+func (f *forecast) describeDependencies(ctx context.Context, rec *record.Record) ([]string, error) {
 	if err := f.dependencies.prefetch(ctx, rec.Spec.DependsOn); err != nil {
 		return nil, err
 	}
-	var open, done []string
+	var unfinished, done []string
 	for _, id := range rec.Spec.DependsOn {
 		dependency, err := f.dependencies.read(ctx, id)
 		if err != nil {
@@ -111,43 +111,43 @@
 		if summary.status == statusDone {
 			done = append(done, line)
 		} else {
-			open = append(open, line)
+			unfinished = append(unfinished, line)
 		}
 	}
-	lines := append(open, done...)
-	if more := len(lines) - forecastDependencies; more > 0 {
-		lines = append(lines[:forecastDependencies], fmt.Sprintf("awaits %d more", more))
+	lines := append(unfinished, done...)
+	if omitted := len(lines) - maxListedDependencies; omitted > 0 {
+		lines = append(lines[:maxListedDependencies], fmt.Sprintf("awaits %d more", omitted))
 	}
 	return lines, nil
 }
 
-// deadlineRisk describes whether a job's deadline, if it has one, is at risk.
-func (f *forecast) deadlineRisk(ctx context.Context, rec *record.Record) ([]string, error) {
+// describeDeadlineRisk describes whether a job's deadline, if it has one, is at risk.
+func (f *forecast) describeDeadlineRisk(ctx context.Context, rec *record.Record) ([]string, error) {
 	if rec.Spec.Deadline <= 0 {
 		return nil, nil
 	}
-	path, err := f.pathTo(ctx, rec)
+	path, err := f.criticalPathTo(ctx, rec)
 	if err != nil {
 		return nil, err
 	}
-	slack := time.Until(deadline(rec)) - path.remaining
+	slack := time.Until(deadlineOf(rec)) - path.remaining
 	if slack < 0 {
 		return []string{fmt.Sprintf("the pipeline is at risk: by the estimates it ends %.0fs after its deadline; it hangs on %s first", -slack.Seconds(), path.first)}, nil
 	}
 	return []string{fmt.Sprintf("the pipeline is in time: by the estimates it ends %.0fs before its deadline; it hangs on %s first", slack.Seconds(), path.first)}, nil
 }
 
-// dependentsAtRisk describes whether the deadlines of the jobs that depend on a job are at risk.
-func (f *forecast) dependentsAtRisk(ctx context.Context, id ids.Job) (lines []string, err error) {
+// describeDependentRisks describes whether the deadlines of the jobs that depend on a job are at risk.
+func (f *forecast) describeDependentRisks(ctx context.Context, id ids.Job) (lines []string, err error) {
 	for _, dependent := range f.dependentsWithDeadline(id) {
 		current, err := f.dependencies.read(ctx, dependent.Spec.ID)
 		if err != nil {
 			return lines, err
 		}
-		if current.summary.over() {
+		if current.summary.isFinal() {
 			continue
 		}
-		risk, err := f.deadlineRisk(ctx, dependent)
+		risk, err := f.describeDeadlineRisk(ctx, dependent)
 		if err != nil {
 			return lines, err
 		}
@@ -158,13 +158,13 @@
 	return lines, nil
 }
 
-// pathTo returns the critical path that ends with an unfinished job.
-func (f *forecast) pathTo(ctx context.Context, rec *record.Record) (criticalPath, error) {
+// criticalPathTo returns the critical path that ends with an unfinished job.
+func (f *forecast) criticalPathTo(ctx context.Context, rec *record.Record) (criticalPath, error) {
 	id := rec.Spec.ID
 	if path, known := f.paths[id]; known {
 		return path, nil
 	}
-	if len(f.paths) >= forecastJobs {
+	if len(f.paths) >= maxForecastJobs {
 		f.truncated = true
 		return criticalPath{remaining: rec.Spec.EstimatedDuration.Duration(), first: id}, nil
 	}
@@ -173,15 +173,15 @@
 		return criticalPath{}, err
 	}
 	longest := criticalPath{first: id}
-	for _, need := range rec.Spec.DependsOn {
-		dependency, err := f.dependencies.read(ctx, need)
+	for _, dependencyID := range rec.Spec.DependsOn {
+		dependency, err := f.dependencies.read(ctx, dependencyID)
 		if err != nil {
 			return criticalPath{}, err
 		}
-		if dependency.summary.over() || dependency.record == nil {
+		if dependency.summary.isFinal() || dependency.record == nil {
 			continue
 		}
-		path, err := f.pathTo(ctx, dependency.record)
+		path, err := f.criticalPathTo(ctx, dependency.record)
 		if err != nil {
 			return criticalPath{}, err
 		}
@@ -197,11 +197,11 @@
 // dependentsWithDeadline returns the blocked jobs with a deadline that depend on a job directly or
 // indirectly, earliest deadline first. It reads them from the controller's watch cache.
 func (f *forecast) dependentsWithDeadline(id ids.Job) []*record.Record {
-	dependents := f.records.dependents()
+	dependentsByJob := f.records.dependentsByJob()
 	found := map[ids.Job]bool{id: true}
 	var withDeadline []*record.Record
 	for queue := []ids.Job{id}; len(queue) > 0; queue = queue[1:] {
-		for _, rec := range dependents[queue[0]] {
+		for _, rec := range dependentsByJob[queue[0]] {
 			if found[rec.Spec.ID] {
 				continue
 			}
@@ -212,27 +212,27 @@
 			}
 		}
 	}
-	slices.SortFunc(withDeadline, func(a, b *record.Record) int { return deadline(a).Compare(deadline(b)) })
-	return withDeadline[:min(len(withDeadline), forecastDeadlines)]
+	slices.SortFunc(withDeadline, func(a, b *record.Record) int { return deadlineOf(a).Compare(deadlineOf(b)) })
+	return withDeadline[:min(len(withDeadline), maxListedDeadlines)]
 }
 
-// deadline returns the time at which a job is due. It counts from the submission, even if the job had to
+// deadlineOf returns the time at which a job is due. It counts from the submission, even if the job had to
 // wait for its dependencies.
-func deadline(rec *record.Record) time.Time {
+func deadlineOf(rec *record.Record) time.Time {
 	return rec.Submitted.Time().Add(rec.Spec.Deadline.Duration())
 }
 
-// dependents returns the blocked jobs in the watch cache, indexed by their dependencies.
-func (r *recordReader) dependents() map[ids.Job][]*record.Record {
-	entries, _ := r.mirror.Entries()
+// dependentsByJob returns the blocked jobs in the watch cache, indexed by their dependencies.
+func (r *recordReader) dependentsByJob() map[ids.Job][]*record.Record {
+	entries, _ := r.cache.Entries()
 	index := map[ids.Job][]*record.Record{}
 	for _, entry := range entries {
 		rec, err := record.DecodeWaiting(entry.Value)
 		if err != nil || entry.Key != record.WaitKey(rec.Spec.ID) {
 			continue
 		}
-		for _, need := range rec.Spec.DependsOn {
-			index[need] = append(index[need], rec)
+		for _, dependencyID := range rec.Spec.DependsOn {
+			index[dependencyID] = append(index[dependencyID], rec)
 		}
 	}
 	return index
--- a/internal/intake/forecast_test.go
+++ b/internal/intake/forecast_test.go
@@ -18,7 +18,7 @@
 
 // submissionWithTimes returns a submission with an estimate, dependencies and, if above zero, a deadline.
 func submissionWithTimes(id string, estimate, deadline float64, names ...string) map[string]any {
-	body := submissionWith(id, names)
+	body := dependentSubmission(id, names)
 	body["guessS"] = estimate
 	if deadline > 0 {
 		body["dueS"] = deadline
@@ -94,7 +94,7 @@
 	c.storeRecord(rec, false)
 }
 
-func TestCancelledDependentIsExplainedByTheJobThatItsUserCancelled(t *testing.T) {
+func TestExplanationNamesTheJobThatItsUserCancelled(t *testing.T) {
 	// Guards against an explanation that names an intermediate job or none as the cause, whether or not the
 	// final records of the cancelled jobs are stored.
 	synctest.Test(t, func(t *testing.T) {
@@ -127,7 +127,7 @@
 	c.commit(state.Op{Remove: key})
 }
 
-func TestExplainingALargePipelineCostsFewCallsAndLines(t *testing.T) {
+func TestExplanationOfLargePipelineTakesFewCallsAndLines(t *testing.T) {
 	// Guards against visiting a job once for each of its dependents, against one call for each ended job,
 	// and against an unlimited response. The pipeline is a long chain of jobs with many dependencies
 	// each.
@@ -157,7 +157,7 @@
 		for _, id := range []string{"job-9", "job-1699", "job-1350"} {
 			now, note := cluster.explanation("b", id)
 			text := strings.Join(now, "\n")
-			if len(now) > forecastDependencies+10 || note != "" || !strings.Contains(text, "at risk") || !strings.Contains(text, "more than 500 jobs") {
+			if len(now) > maxListedDependencies+10 || note != "" || !strings.Contains(text, "at risk") || !strings.Contains(text, "more than 500 jobs") {
 				t.Errorf("explanation of %s has %d lines: %.500s, note: %s", id, len(now), text, note)
 			}
 		}
@@ -171,7 +171,7 @@
 	// Guards against a deadline that counts from the end of the job's dependencies.
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newTestCluster(t)
-		spec, err := parse(bytes.NewReader(marshal(submissionWithTimes("job-1", 30, 100.4))))
+		spec, err := parseSubmission(bytes.NewReader(marshal(submissionWithTimes("job-1", 30, 100.4))))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/intake/intake_test.go
+++ b/internal/intake/intake_test.go
@@ -34,7 +34,7 @@
 	return body
 }
 
-func TestMalformedSubmissionsAreRefused(t *testing.T) {
+func TestMalformedSubmissionsAreRejected(t *testing.T) {
 	for name, testCase := range map[string]struct {
 		key   string
 		value any
@@ -58,21 +58,21 @@
 	} {
 		body := validSubmission()
 		body[testCase.key] = testCase.value
-		if _, err := parse(bytes.NewReader(marshal(body))); (err == nil) != testCase.valid {
+		if _, err := parseSubmission(bytes.NewReader(marshal(body))); (err == nil) != testCase.valid {
 			t.Errorf("submission %q: parsing returned the error %v", name, err)
 		}
 	}
-	for _, raw := range []string{"", "[]", "null", "{", `"x"`, "{}", `{"uid":"job-1"} x`, "{" + strings.Repeat(" ", bodyLimit) + "}"} {
-		if _, err := parse(strings.NewReader(raw)); err == nil {
+	for _, raw := range []string{"", "[]", "null", "{", `"x"`, "{}", `{"uid":"job-1"} x`, "{" + strings.Repeat(" ", maxBodyBytes) + "}"} {
+		if _, err := parseSubmission(strings.NewReader(raw)); err == nil {
 			t.Errorf("malformed body was accepted: %.20q", raw)
 		}
 	}
 }
 
-// silentNotifier implements LeaderNotifier. It reports every notification as delivered immediately.
-type silentNotifier struct{}
+// immediateNotifier implements LeaderNotifier. It reports every notification as delivered immediately.
+type immediateNotifier struct{}
 
-func (silentNotifier) NotifyLeader(ids.Job, ids.Revision, *record.Record, json.RawMessage) <-chan struct{} {
+func (immediateNotifier) NotifyLeader(ids.Job, ids.Revision, *record.Record, json.RawMessage) <-chan struct{} {
 	done := make(chan struct{})
 	close(done)
 	return done
@@ -88,11 +88,11 @@
 	client := state.NewClient("state:1", network.Client("a"), state.NewBudget(500, 500, 1, 0.6))
 	types := []placement.InstanceType{{Label: "small", Cores: 4, RAM: 16, Zones: []string{"north"}}}
 	return network, store, &JobService{Settings: settings, Store: client, Records: state.NewWatchCache(client, record.JobPrefix, time.Second),
-		LeaderNotifier: silentNotifier{}, Writer: "a", MachineTypes: func() []placement.InstanceType { return types }}
+		LeaderNotifier: immediateNotifier{}, Writer: "a", MachineTypes: func() []placement.InstanceType { return types }}
 }
 
-// newSite returns the HTTP handler of a node with its own network and store.
-func newSite() (*fake.Network, *fake.Store, http.Handler) {
+// newHandler returns the HTTP handler of a node with its own network and store.
+func newHandler() (*fake.Network, *fake.Store, http.Handler) {
 	network, store, service := newJobService()
 	return network, store, (&Server{Jobs: service, Ready: func() bool { return true }, NodeStatus: func() any { return nil },
 		ExplainByLeader: explainWithoutLeader}).Handler()
@@ -105,9 +105,9 @@
 	return response
 }
 
-func TestUsersGetTheRightHTTPStatus(t *testing.T) {
+func TestUserRequestsReturnExpectedHTTPStatus(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		_, store, handler := newSite()
+		_, store, handler := newHandler()
 		with := func(key string, value any) map[string]any {
 			body := submissionOf("job-7")
 			body[key] = value
@@ -161,9 +161,9 @@
 	})
 }
 
-func TestSubmissionIsReadBackWhenTheStoresAnswerIsLost(t *testing.T) {
+func TestSubmissionIsReadBackWhenStoreResponseIsLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		network, store, handler := newSite()
+		network, store, handler := newHandler()
 		network.SetRule(func(_, _ string, request *http.Request, _ []byte) fake.Outcome {
 			if request.URL.Path == "/commit" {
 				return fake.DropResponse
@@ -235,7 +235,7 @@
 	})
 }
 
-func TestUnreachableStoreIsAnsweredAtOnce(t *testing.T) {
+func TestRequestsFailFastWhileStoreIsUnreachable(t *testing.T) {
 	// Guards against requests that wait for a timeout: an unreachable store does not respond at all.
 	synctest.Test(t, func(t *testing.T) {
 		network, _, service := newJobService()
@@ -267,7 +267,7 @@
 	})
 }
 
-func TestHealthAnswersTellTheVersion(t *testing.T) {
+func TestHealthResponsesContainTheVersion(t *testing.T) {
 	// Guards against controllers whose versions cannot be distinguished from outside during an upgrade.
 	synctest.Test(t, func(t *testing.T) {
 		handler := (&Server{Ready: func() bool { return true }, Version: "9.8.7"}).Handler()
--- a/internal/intake/job_service.go
+++ b/internal/intake/job_service.go
@@ -17,7 +17,7 @@
 	// NotifyLeader notifies the leader that a job's record was written at a revision. rec and raw are nil
 	// if the job's live record was removed. The returned channel is closed once the leader has been
 	// notified or the notification has failed.
-	NotifyLeader(id ids.Job, stamp ids.Revision, rec *record.Record, raw json.RawMessage) <-chan struct{}
+	NotifyLeader(id ids.Job, revision ids.Revision, rec *record.Record, raw json.RawMessage) <-chan struct{}
 }
 
 // JobService executes the users' requests for jobs. It reads and writes job records in the store directly,
@@ -33,22 +33,22 @@
 	// MachineTypes returns the machine types that the cloud offers; empty while they are unknown.
 	MachineTypes func() []placement.InstanceType
 
-	// valueLimitFell is set once the store has refused a value of a size that it accepted before.
-	valueLimitFell atomic.Bool
-	ended          summaryCache
+	// valueLimitLowered is set once the store has refused a value of a size that it accepted before.
+	valueLimitLowered atomic.Bool
+	endedJobs         summaryCache
 }
 
 // records returns a reader of job records for one request.
 func (s *JobService) records() *recordReader {
-	return &recordReader{store: s.Store, mirror: s.Records, ended: &s.ended}
+	return &recordReader{store: s.Store, cache: s.Records, endedJobs: &s.endedJobs}
 }
 
 // status returns the current summary of a job. found is false for a job that was never accepted.
 func (s *JobService) status(ctx context.Context, id ids.Job) (summary jobSummary, found bool, err error) {
-	if summary, known := s.ended.get(id); known {
+	if summary, known := s.endedJobs.get(id); known {
 		return summary, true, nil
 	}
-	stored, err := s.records().current(ctx, id, state.Sheddable)
+	stored, err := s.records().currentRecord(ctx, id, state.Sheddable)
 	if err != nil || !stored.exists() {
 		return jobSummary{}, false, err
 	}
--- a/internal/intake/listener.go
+++ b/internal/intake/listener.go
@@ -56,20 +56,20 @@
 	return server.Serve(&limitedListener{listener, limiter})
 }
 
-// limit returns middleware that restricts a kind of client to its quota of connections.
-func (s *Server) limit(from caller) echo.MiddlewareFunc {
+// limitConnections returns middleware that restricts a kind of client to its quota of connections.
+func (s *Server) limitConnections(kind clientKind) echo.MiddlewareFunc {
 	return func(next echo.HandlerFunc) echo.HandlerFunc {
 		return func(c echo.Context) error {
 			conn, ok := c.Request().Context().Value(limitedConnKey{}).(*limitedConn)
 			if !ok {
 				return next(c) // the connection was not accepted by a limitedListener
 			}
-			serve, keepOpen := conn.admitRequest(from)
+			serve, keepOpen := conn.admitRequest(kind)
 			if !keepOpen {
 				c.Response().Header().Set(headerConnection, connectionClose)
 			}
 			if !serve {
-				return s.answerUnavailable(c)
+				return s.respondUnavailable(c)
 			}
 			return next(c)
 		}
--- a/internal/intake/messages.go
+++ b/internal/intake/messages.go
@@ -31,8 +31,8 @@
 	Dependencies      *[]string `json:"awaits"`
 }
 
-// jobAnswer is the response body that describes a job to its user.
-type jobAnswer struct {
+// jobResponse is the response body that describes a job to its user.
+type jobResponse struct {
 	ID      ids.Job    `json:"uid"`
 	Status  userStatus `json:"status"`
 	Done    int        `json:"done"`
@@ -64,12 +64,12 @@
 	cancelledBy ids.Job
 }
 
-// over reports whether the job's status is final.
-func (s *jobSummary) over() bool { return s.status == statusDone || s.status == statusCancelled }
+// isFinal reports whether the job's status is final.
+func (s *jobSummary) isFinal() bool { return s.status == statusDone || s.status == statusCancelled }
 
-// answer converts the summary to the response body for users.
-func (s *jobSummary) answer() jobAnswer {
-	return jobAnswer{ID: s.id, Status: s.status, Done: s.done, Running: s.running}
+// response converts the summary to the response body for users.
+func (s *jobSummary) response() jobResponse {
+	return jobResponse{ID: s.id, Status: s.status, Done: s.done, Running: s.running}
 }
 
 // summarize returns the summary of a job's record.
--- a/internal/intake/parse.go
+++ b/internal/intake/parse.go
@@ -15,24 +15,24 @@
 
 // Limits on a submission.
 const (
-	bodyLimit = 64 * 1024 // bytes
-	nameLimit = 256       // bytes per name
-	maxTasks  = 100000
+	maxBodyBytes = 64 * 1024 // bytes
+	maxNameBytes = 256       // bytes per name
+	maxTasks     = 100000
 )
 
 // shapes and priorities map values of the protocol to those of job records.
 var shapes = map[string]record.Shape{"array": record.Array, "gang": record.Gang, "standing": record.Service}
 var priorities = map[string]record.Priority{"critical": record.Critical, "high": record.High, "normal": record.Normal, "low": record.Low}
 
-// parse reads and validates a submission. Its errors are returned to users and therefore name the fields as
-// the protocol does.
-func parse(body io.Reader) (record.Spec, error) {
-	raw, err := io.ReadAll(io.LimitReader(body, bodyLimit+1))
+// parseSubmission reads and validates a submission. Its errors are returned to users and therefore name
+// the fields as the protocol does.
+func parseSubmission(body io.Reader) (record.Spec, error) {
+	raw, err := io.ReadAll(io.LimitReader(body, maxBodyBytes+1))
 	if err != nil {
 		return record.Spec{}, err
 	}
-	if len(raw) > bodyLimit {
-		return record.Spec{}, fmt.Errorf("body over %d bytes", bodyLimit)
+	if len(raw) > maxBodyBytes {
+		return record.Spec{}, fmt.Errorf("body over %d bytes", maxBodyBytes)
 	}
 	if trimmed := bytes.TrimLeft(raw, " \t\r\n"); len(trimmed) == 0 || trimmed[0] != '{' {
 		return record.Spec{}, errors.New("not a JSON object")
@@ -55,7 +55,7 @@
 	}{
 		{"uid", s.ID}, {"jobkind", s.Class}, {"owner", s.Team}, {"shape", s.Shape}, {"urgency", s.Priority}, {"bundle", s.Image},
 	} {
-		if field.value == nil || !isName(*field.value) {
+		if field.value == nil || !isValidName(*field.value) {
 			return fmt.Errorf("%s: missing, empty or too long", field.name)
 		}
 	}
@@ -81,8 +81,9 @@
 	return nil
 }
 
-// isName reports whether a text has a valid length for a name, such as that of a job class, zone or image.
-func isName(text string) bool { return text != "" && len(text) <= nameLimit }
+// isValidName reports whether a text has a valid length for a name, such as that of a job class, zone or
+// image.
+func isValidName(text string) bool { return text != "" && len(text) <= maxNameBytes }
 
 // spec converts a submission to a job spec. All required fields must be present.
 func (s *submission) spec() (record.Spec, error) {
@@ -128,13 +129,13 @@
 			spec.InstanceTypes = []string{}
 		}
 		for _, machineType := range spec.InstanceTypes {
-			if !isName(machineType) {
+			if !isValidName(machineType) {
 				return errors.New("builds: empty or too long name")
 			}
 		}
 	}
 	if s.Zone != nil {
-		if !isName(*s.Zone) {
+		if !isValidName(*s.Zone) {
 			return errors.New("yard: empty or too long")
 		}
 		spec.Zone = *s.Zone
--- a/internal/intake/record_reader.go
+++ b/internal/intake/record_reader.go
@@ -11,134 +11,134 @@
 
 // recordReader reads job records from the store and from the controller's watch cache.
 type recordReader struct {
-	store  *state.Client
-	mirror *state.WatchCache // of the records of unfinished jobs
-	ended  *summaryCache
+	store     *state.Client
+	cache     *state.WatchCache // of the records of unfinished jobs
+	endedJobs *summaryCache
 }
 
-// storedRecord is a job's record with the store entry from which it was decoded. record is nil if the store
+// recordEntry is a job's record with the store entry from which it was decoded. record is nil if the store
 // has none for the job.
-type storedRecord struct {
+type recordEntry struct {
 	record *record.Record
 	entry  state.Entry
 }
 
-func (s storedRecord) exists() bool { return s.record != nil }
+func (s recordEntry) exists() bool { return s.record != nil }
 
-// blocked reports whether the job waits for its dependencies.
-func (s storedRecord) blocked() bool {
+// isBlocked reports whether the job waits for its dependencies.
+func (s recordEntry) isBlocked() bool {
 	return s.exists() && s.entry.Key == record.WaitKey(s.record.Spec.ID)
 }
 
-// current returns a job's record as it was at some moment after the call began. It reads records of
+// currentRecord returns a job's record as it was at some moment after the call began. It reads records of
 // unfinished jobs from the watch cache, which is synchronized once for all waiting requests; only records
 // that are not in the cache require a call each. The final record of an ending job is written no later
 // than its live record is removed, so reading the live record first cannot miss the job.
-func (r *recordReader) current(ctx context.Context, id ids.Job, urgency state.Priority) (storedRecord, error) {
+func (r *recordReader) currentRecord(ctx context.Context, id ids.Job, priority state.Priority) (recordEntry, error) {
 	if r.store.Unavailable() {
-		return storedRecord{}, errStoreSilent
+		return recordEntry{}, errStoreUnavailable
 	}
-	if err := r.mirror.Sync(ctx); err != nil {
-		return storedRecord{}, unavailable(err)
+	if err := r.cache.Sync(ctx); err != nil {
+		return recordEntry{}, wrapUnavailable(err)
 	}
-	stored, err := r.stored(ctx, id, urgency)
+	storedRecord, err := r.storedRecord(ctx, id, priority)
 	if err != nil {
-		return storedRecord{}, err
+		return recordEntry{}, err
 	}
-	if stored.blocked() {
-		cause, err := newDependencyReader(r, urgency).cancelledDependency(ctx, stored.record)
+	if storedRecord.isBlocked() {
+		cancelledJob, err := newDependencyReader(r, priority).findCancelledDependency(ctx, storedRecord.record)
 		if err != nil {
-			return storedRecord{}, err
+			return recordEntry{}, err
 		}
-		if cause != "" {
-			stored.record.MarkCancelledBy(cause)
+		if cancelledJob != "" {
+			storedRecord.record.MarkCancelledBy(cancelledJob)
 		}
 	}
-	if stored.exists() && stored.record.Status.IsTerminal() {
-		r.ended.add(stored.record)
+	if storedRecord.exists() && storedRecord.record.Status.IsTerminal() {
+		r.endedJobs.add(storedRecord.record)
 	}
-	return stored, nil
+	return storedRecord, nil
 }
 
-// stored returns a job's live record from the watch cache, which must be as recent as the caller
+// storedRecord returns a job's live record from the watch cache, which must be as recent as the caller
 // requires, or else its final record from the store.
-func (r *recordReader) stored(ctx context.Context, id ids.Job, urgency state.Priority) (storedRecord, error) {
-	live, err := r.live(id)
-	if err != nil || live.exists() {
-		return live, err
+func (r *recordReader) storedRecord(ctx context.Context, id ids.Job, priority state.Priority) (recordEntry, error) {
+	liveRecord, err := r.liveRecord(id)
+	if err != nil || liveRecord.exists() {
+		return liveRecord, err
 	}
-	entry, found, err := r.store.Get(ctx, record.EndKey(id), urgency)
+	entry, found, err := r.store.Get(ctx, record.EndKey(id), priority)
 	if err != nil {
-		return storedRecord{}, unavailable(err)
+		return recordEntry{}, wrapUnavailable(err)
 	}
 	if !found {
-		return storedRecord{}, nil
+		return recordEntry{}, nil
 	}
 	rec, err := record.Decode(entry.Value)
 	if err != nil {
-		return storedRecord{}, unreadable(entry, err)
+		return recordEntry{}, logUndecodable(entry, err)
 	}
-	return storedRecord{rec, entry}, nil
+	return recordEntry{rec, entry}, nil
 }
 
-// live returns the record of an unfinished job from the watch cache, regardless of the age of the cache. It
-// applies a cancellation that is stored at a separate key.
-func (r *recordReader) live(id ids.Job) (storedRecord, error) {
-	entries, ready := r.mirror.GetMany(record.JobKey(id), record.WaitKey(id), record.CancelKey(id))
+// liveRecord returns the record of an unfinished job from the watch cache, regardless of the age of the
+// cache. It applies a cancellation that is stored at a separate key.
+func (r *recordReader) liveRecord(id ids.Job) (recordEntry, error) {
+	entries, ready := r.cache.GetMany(record.JobKey(id), record.WaitKey(id), record.CancelKey(id))
 	if !ready {
-		return storedRecord{}, errUnavailable
+		return recordEntry{}, errUnavailable
 	}
-	claimable, blocked, cancellation := entries[0], entries[1], entries[2]
+	unblockedEntry, blockedEntry, cancellationEntry := entries[0], entries[1], entries[2]
 	switch {
-	case claimable.Key != "":
-		return decodeClaimable(claimable, cancellation)
-	case blocked.Key != "":
-		rec, err := record.DecodeWaiting(blocked.Value)
+	case unblockedEntry.Key != "":
+		return decodeUnblocked(unblockedEntry, cancellationEntry)
+	case blockedEntry.Key != "":
+		rec, err := record.DecodeWaiting(blockedEntry.Value)
 		if err != nil {
-			return storedRecord{}, unreadable(blocked, err)
+			return recordEntry{}, logUndecodable(blockedEntry, err)
 		}
-		return storedRecord{rec, blocked}, nil
+		return recordEntry{rec, blockedEntry}, nil
 	default:
-		return storedRecord{}, nil
+		return recordEntry{}, nil
 	}
 }
 
-// decodeClaimable decodes the record of a job without unfinished dependencies, and applies the separately
+// decodeUnblocked decodes the record of a job without unfinished dependencies, and applies the separately
 // stored cancellation if there is one.
-func decodeClaimable(entry, cancellation state.Entry) (storedRecord, error) {
+func decodeUnblocked(entry, cancellationEntry state.Entry) (recordEntry, error) {
 	rec, err := record.Decode(entry.Value)
 	if err != nil {
-		return storedRecord{}, unreadable(entry, err)
+		return recordEntry{}, logUndecodable(entry, err)
 	}
-	if cancellation.Key != "" {
-		mark, err := record.DecodeCancellation(cancellation.Value)
+	if cancellationEntry.Key != "" {
+		cancellation, err := record.DecodeCancellation(cancellationEntry.Value)
 		if err != nil {
-			return storedRecord{}, unreadable(cancellation, err)
+			return recordEntry{}, logUndecodable(cancellationEntry, err)
 		}
-		mark.ApplyTo(rec)
+		cancellation.ApplyTo(rec)
 	}
-	return storedRecord{rec, entry}, nil
+	return recordEntry{rec, entry}, nil
 }
 
-// lastKnown returns the record of an unfinished job from the watch cache, regardless of the age of the
+// lastKnownRecord returns the record of an unfinished job from the watch cache, regardless of the age of the
 // cache. It returns nil if the cache contains no record that can be decoded.
-func (r *recordReader) lastKnown(id ids.Job) *record.Record {
-	stored, err := r.live(id)
+func (r *recordReader) lastKnownRecord(id ids.Job) *record.Record {
+	stored, err := r.liveRecord(id)
 	if err != nil {
 		return nil
 	}
 	return stored.record
 }
 
-// blocked reports whether a job waits for its dependencies according to the watch cache.
-func (r *recordReader) blocked(id ids.Job) bool {
-	entry, found, _ := r.mirror.GetFirst(record.JobKey(id), record.WaitKey(id))
+// isBlocked reports whether a job waits for its dependencies according to the watch cache.
+func (r *recordReader) isBlocked(id ids.Job) bool {
+	entry, found, _ := r.cache.GetFirst(record.JobKey(id), record.WaitKey(id))
 	return found && entry.Key == record.WaitKey(id)
 }
 
-// unreadable logs the decoding error of a store entry and returns errUnavailable: the cause goes only to the
-// log.
-func unreadable(entry state.Entry, err error) error {
+// logUndecodable logs the decoding error of a store entry and returns errUnavailable: the cause goes only
+// to the log.
+func logUndecodable(entry state.Entry, err error) error {
 	slog.Error("cannot decode a stored record", "key", entry.Key, "err", err)
 	return errUnavailable
 }
--- a/internal/intake/server.go
+++ b/internal/intake/server.go
@@ -46,21 +46,21 @@
 	statusTimeout  = 1800 * time.Millisecond
 )
 
-// heartbeatBodyLimit is the maximum number of bytes read from the body of a heartbeat.
-const heartbeatBodyLimit = 16 << 20
+// maxHeartbeatBytes is the maximum number of bytes read from the body of a heartbeat.
+const maxHeartbeatBytes = 16 << 20
 
 // Handler returns the HTTP handler with all routes.
 func (s *Server) Handler() http.Handler {
 	e := echo.New()
 	e.HideBanner = true
-	e.POST("/agent/beat", s.heartbeat, s.limit(workerHeartbeat))
-	e.GET("/up", s.health, s.limit(unknown))
-	users := s.limit(user)
+	e.POST("/agent/beat", s.heartbeat, s.limitConnections(workerClient))
+	e.GET("/up", s.health, s.limitConnections(unknownClient))
+	users := s.limitConnections(userClient)
 	e.POST("/v2/runs", s.submit, users)
 	e.GET("/v2/runs/:id", s.status, users)
 	e.POST("/v2/runs/:id/cancel", s.cancel, users)
 	e.GET("/v2/runs/:id/explain", s.explain, users)
-	e.GET("/v2/status", s.nodeStatus, s.limit(unknown))
+	e.GET("/v2/status", s.nodeStatus, s.limitConnections(unknownClient))
 	if s.OperatorRoutes != nil {
 		s.OperatorRoutes(e)
 	}
@@ -79,7 +79,7 @@
 
 func (s *Server) heartbeat(c echo.Context) error {
 	report := &worker.Report{}
-	body := io.LimitReader(c.Request().Body, heartbeatBodyLimit)
+	body := io.LimitReader(c.Request().Body, maxHeartbeatBytes)
 	if err := json.NewDecoder(body).Decode(report); err != nil || report.Machine == "" {
 		return c.JSON(http.StatusBadRequest, errorBody("not a report"))
 	}
@@ -93,52 +93,52 @@
 func (s *Server) submit(c echo.Context) error {
 	ctx, cancel := context.WithTimeout(c.Request().Context(), requestTimeout)
 	defer cancel()
-	spec, err := parse(c.Request().Body)
+	spec, err := parseSubmission(c.Request().Body)
 	if err != nil {
 		return c.JSON(http.StatusBadRequest, errorBody(err.Error()))
 	}
-	began := time.Now()
-	summary, known, err := s.Jobs.submit(ctx, spec)
-	measure.Process.Took("submission", began)
+	start := time.Now()
+	summary, alreadyAccepted, err := s.Jobs.submit(ctx, spec)
+	measure.Process.Took("submission", start)
 	if err != nil {
-		return s.answerError(c, err)
+		return s.respondError(c, err)
 	}
-	if known {
-		return c.JSON(http.StatusOK, summary.answer())
+	if alreadyAccepted {
+		return c.JSON(http.StatusOK, summary.response())
 	}
-	return c.JSON(http.StatusCreated, summary.answer())
+	return c.JSON(http.StatusCreated, summary.response())
 }
 
 func (s *Server) status(c echo.Context) error {
-	return s.answerForJob(c, statusTimeout, func(ctx context.Context, id ids.Job) (any, bool, error) {
+	return s.respondForJob(c, statusTimeout, func(ctx context.Context, id ids.Job) (any, bool, error) {
 		defer measure.Process.Took("poll", time.Now())
 		summary, found, err := s.Jobs.status(ctx, id)
-		return summary.answer(), found, err
+		return summary.response(), found, err
 	})
 }
 
 func (s *Server) cancel(c echo.Context) error {
-	return s.answerForJob(c, requestTimeout, func(ctx context.Context, id ids.Job) (any, bool, error) {
+	return s.respondForJob(c, requestTimeout, func(ctx context.Context, id ids.Job) (any, bool, error) {
 		summary, found, err := s.Jobs.cancel(ctx, id)
-		return summary.answer(), found, err
+		return summary.response(), found, err
 	})
 }
 
-// answerForJob responds to a request for the job named in its path. It limits the call of answer by a
+// respondForJob responds to a request for the job named in its path. It limits the call of handle by a
 // timeout.
-func (s *Server) answerForJob(c echo.Context, timeout time.Duration, answer func(context.Context, ids.Job) (body any, found bool, err error)) error {
+func (s *Server) respondForJob(c echo.Context, timeout time.Duration, handle func(context.Context, ids.Job) (body any, found bool, err error)) error {
 	id, err := ids.ParseJob(c.Param("id"))
 	if err != nil {
-		return answerNoSuchJob(c)
+		return respondNoSuchJob(c)
 	}
 	ctx, cancel := context.WithTimeout(c.Request().Context(), timeout)
 	defer cancel()
-	body, found, err := answer(ctx, id)
+	body, found, err := handle(ctx, id)
 	switch {
 	case err != nil:
-		return s.answerError(c, err)
+		return s.respondError(c, err)
 	case !found:
-		return answerNoSuchJob(c)
+		return respondNoSuchJob(c)
 	}
 	return c.JSON(http.StatusOK, body)
 }
--- a/internal/intake/submit.go
+++ b/internal/intake/submit.go
@@ -11,29 +11,29 @@
 	"github.com/pebbletrail/pebbletrail/internal/state"
 )
 
-// submit accepts a job. It is idempotent: for a job that was accepted before, it returns the current summary
-// and known is true, regardless of the contents of the repeated request. The error is a rejectedError if
-// the job can never run, otherwise errUnavailable.
-func (s *JobService) submit(ctx context.Context, spec record.Spec) (summary jobSummary, known bool, err error) {
-	if summary, known := s.ended.get(spec.ID); known {
+// submit accepts a job. It is idempotent: for a job that was accepted before, it returns the current
+// summary and alreadyAccepted is true, regardless of the contents of the repeated request. The error is a
+// rejectedError if the job can never run, otherwise errUnavailable.
+func (s *JobService) submit(ctx context.Context, spec record.Spec) (summary jobSummary, alreadyAccepted bool, err error) {
+	if summary, alreadyAccepted := s.endedJobs.get(spec.ID); alreadyAccepted {
 		return summary, true, nil
 	}
-	refusal := s.checkFeasible(&spec)
+	rejection := s.checkFeasibility(&spec)
 	rec := record.New(spec, ids.TimestampOf(time.Now()), s.Writer)
-	value, fits := s.encodeClaimable(*rec)
-	if refusal == nil && !fits {
-		refusal = errDescriptionTooLarge
+	value, fits := s.encodeUnblocked(*rec)
+	if rejection == nil && !fits {
+		rejection = errDescriptionTooLarge
 	}
-	if refusal != nil || len(spec.DependsOn) > 0 {
+	if rejection != nil || len(spec.DependsOn) > 0 {
 		// A job that was accepted once must never be rejected, so check for its record first.
-		accepted, err := s.records().current(ctx, spec.ID, state.Sheddable)
+		existing, err := s.records().currentRecord(ctx, spec.ID, state.Sheddable)
 		switch {
 		case err != nil:
 			return jobSummary{}, false, err
-		case accepted.exists():
-			return summarize(accepted.record), true, nil
-		case refusal != nil:
-			return jobSummary{}, false, refusal
+		case existing.exists():
+			return summarize(existing.record), true, nil
+		case rejection != nil:
+			return jobSummary{}, false, rejection
 		}
 	}
 	key := record.JobKey(spec.ID)
@@ -46,12 +46,12 @@
 }
 
 // storeSubmission stores a new job's record unless the store already has a record of the job.
-func (s *JobService) storeSubmission(ctx context.Context, rec *record.Record, key string, value json.RawMessage) (summary jobSummary, known bool, err error) {
+func (s *JobService) storeSubmission(ctx context.Context, rec *record.Record, key string, value json.RawMessage) (summary jobSummary, alreadyAccepted bool, err error) {
 	if s.Store.Unavailable() {
-		return jobSummary{}, false, errStoreSilent
+		return jobSummary{}, false, errStoreUnavailable
 	}
 	id := rec.Spec.ID
-	epoch, err := s.Store.Commit(ctx, state.Txn{
+	storeRevision, err := s.Store.Commit(ctx, state.Txn{
 		Conditions: []state.Condition{{Key: record.JobKey(id)}, {Key: record.WaitKey(id)}, {Key: record.EndKey(id)}},
 		Ops:        []state.Op{{Put: key, Value: value}},
 	}, state.Sheddable)
@@ -59,23 +59,23 @@
 	switch {
 	case err == nil:
 		if key == record.JobKey(id) {
-			s.LeaderNotifier.NotifyLeader(id, ids.Revision(epoch), rec, value)
+			s.LeaderNotifier.NotifyLeader(id, ids.Revision(storeRevision), rec, value)
 		}
 		if rec.Status.IsTerminal() {
-			s.ended.add(rec)
+			s.endedJobs.add(rec)
 		}
 		return summarize(rec), false, nil
 	case errors.As(err, &conflict) || errors.Is(err, state.ErrOutcomeUnknown):
 		return s.readBack(ctx, id)
 	default:
-		return jobSummary{}, false, unavailable(err)
+		return jobSummary{}, false, wrapUnavailable(err)
 	}
 }
 
 // readBack returns the stored summary of a job whose record may have been written by this or an earlier
 // request.
-func (s *JobService) readBack(ctx context.Context, id ids.Job) (summary jobSummary, known bool, err error) {
-	stored, err := s.records().current(ctx, id, state.Normal)
+func (s *JobService) readBack(ctx context.Context, id ids.Job) (summary jobSummary, alreadyAccepted bool, err error) {
+	stored, err := s.records().currentRecord(ctx, id, state.Normal)
 	switch {
 	case err != nil:
 		return jobSummary{}, false, err
@@ -85,9 +85,9 @@
 	return summarize(stored.record), true, nil
 }
 
-// encodeClaimable encodes the record of a job without unfinished dependencies. The spec must leave room
+// encodeUnblocked encodes the record of a job without unfinished dependencies. The spec must leave room
 // in the value for the job's assignments.
-func (s *JobService) encodeClaimable(rec record.Record) (value json.RawMessage, fits bool) {
+func (s *JobService) encodeUnblocked(rec record.Record) (value json.RawMessage, fits bool) {
 	rec.Spec.DependsOn = nil
 	return rec.Encode(int(s.Settings.Params.State.ValueBytes() * record.MaxSpecShare))
 }
--- a/internal/intake/summary_cache.go
+++ b/internal/intake/summary_cache.go
@@ -7,9 +7,9 @@
 	"github.com/pebbletrail/pebbletrail/internal/record"
 )
 
-// endedCapacity is the number of ended jobs that a controller caches, because users continue to poll a
-// job for some time after its end.
-const endedCapacity = 20000
+// summaryCacheCapacity is the number of ended jobs that a controller caches, because users continue to
+// poll a job for some time after its end.
+const summaryCacheCapacity = 20000
 
 // summaryCache caches the summaries of recently ended jobs. These summaries never change, so a cached one is
 // never stale. The zero value is an empty cache.
@@ -34,7 +34,7 @@
 	}
 	c.byJob[summary.id] = summary
 	c.order = append(c.order, summary.id)
-	if len(c.order) > endedCapacity {
+	if len(c.order) > summaryCacheCapacity {
 		delete(c.byJob, c.order[0])
 		c.order = c.order[1:]
 	}
