--- a/internal/intake/cancel.go
+++ b/internal/intake/cancel.go
@@ -104,7 +104,7 @@
 }
 
 // planCancellationRequest plans to change the status of a job with assigned tasks to cancelling. If the
-// store no longer accepts a record of that size, the cancellation is stored at a separate key.
+// record exceeds the size limit of the store, the cancellation is stored at a separate key.
 func (s *JobService) planCancellationRequest(stored recordEntry, unchanged []state.Condition) cancelWrite {
 	rec, entry := stored.record, stored.entry
 	write := cancelWrite{txn: state.Txn{Conditions: unchanged}}
@@ -112,9 +112,9 @@
 	cancellation.ApplyTo(rec)
 	value, fits := rec.Encode(s.valueLimit())
 	if !fits && !s.valueLimitLowered.Load() {
-		// The record was written under the higher size limit. While that limit still applies, the
-		// cancellation is stored in the record, where program versions that do not know the separate key
-		// find it too.
+		// The record was encoded under the current, higher size limit. While the store still applies that
+		// limit, the cancellation is stored in the record, where program versions that do not know the
+		// separate key find it too.
 		value, fits = rec.Encode(int(s.Settings.Params.State.CurrentValueBytes()))
 		write.exceedsNextLimit = fits
 	}
--- a/internal/intake/dependencies_test.go
+++ b/internal/intake/dependencies_test.go
@@ -146,7 +146,7 @@
 			t.Errorf("a submission that depends on another team's job got HTTP status %d, job status %q", code, status)
 		}
 		cluster.request("a", "POST", "/v2/runs/job-1/cancel", nil)
-		for _, node := range []string{"a", "b"} { // node a has the final record in its cache, node b reads it from the store
+		for _, node := range []string{"a", "b"} { // node a has the summary cached, node b reads the final record
 			if code, _ := cluster.submit(node, dependentSubmission("job-12", []string{"job-1"})); code != 422 {
 				t.Errorf("a submission to node %s that depends on a cancelled service got HTTP status %d, want 422", node, code)
 			}
@@ -156,8 +156,8 @@
 
 func TestDependencyIsFoundWhileItsRecordMovesBetweenKeys(t *testing.T) {
 	// Guards against an order of reads that misses a job's record while it moves between keys, so that the
-	// job is considered never accepted. The test moves the record from the waiting key to the live key and
-	// from there to the final key, before any two calls that a node makes to the store.
+	// job is considered never accepted. The test moves the record from the waiting key to the live key, and
+	// then to the final key, before every possible pair of calls that node b makes to the store.
 	for first := 1; first < 9; first++ {
 		for second := first; second < 9; second++ {
 			synctest.Test(t, func(t *testing.T) {
--- a/internal/intake/record_reader.go
+++ b/internal/intake/record_reader.go
@@ -23,11 +23,11 @@
 	entry  state.Entry
 }
 
-func (s recordEntry) exists() bool { return s.record != nil }
+func (e recordEntry) exists() bool { return e.record != nil }
 
 // isBlocked reports whether the job waits for its dependencies.
-func (s recordEntry) isBlocked() bool {
-	return s.exists() && s.entry.Key == record.WaitKey(s.record.Spec.ID)
+func (e recordEntry) isBlocked() bool {
+	return e.exists() && e.entry.Key == record.WaitKey(e.record.Spec.ID)
 }
 
 // currentRecord returns a job's record as it was at some moment after the call began. It reads records of
--- a/internal/intake/submit.go
+++ b/internal/intake/submit.go
@@ -25,7 +25,7 @@
 		rejection = errDescriptionTooLarge
 	}
 	if rejection != nil || len(spec.DependsOn) > 0 {
-		// A job that was accepted once must never be rejected, so check for its record first.
+		// A job that was accepted once must never be rejected, so check for an existing record first.
 		existing, err := s.records().currentRecord(ctx, spec.ID, state.Sheddable)
 		switch {
 		case err != nil:
