--- a/internal/intake/connection_limiter_test.go
+++ b/internal/intake/connection_limiter_test.go
@@ -14,14 +14,15 @@
 	"github.com/pebbletrail/pebbletrail/internal/worker"
 )
 
-// heartbeatStub answers every heartbeat.
+// heartbeatStub accepts every heartbeat and returns no commands.
 type heartbeatStub struct{}
 
 func (heartbeatStub) Heartbeat(context.Context, *worker.Report) (*worker.CommandBatch, int, worker.Redirect) {
 	return &worker.CommandBatch{FencingToken: 1, Commands: []worker.Command{}}, 200, worker.Redirect{}
 }
 
-// send sends a request and returns the status of the answer, 0 if there is none, and its Retry-After.
+// send sends a request and returns the response's HTTP status code, 0 if there was no response, and its
+// Retry-After header.
 func send(client *http.Client, method, path, body string) (code int, retryAfter string) {
 	request, err := http.NewRequest(method, "http://a"+path, strings.NewReader(body))
 	if err != nil {
@@ -31,29 +32,29 @@
 	if err != nil {
 		return 0, ""
 	}
-	_, _ = io.Copy(io.Discard, response.Body) // for its connection to be used again; the body does not matter
-	_ = response.Body.Close()                 // it was only read
+	_, _ = io.Copy(io.Discard, response.Body) // the connection is reused only after the body was read
+	_ = response.Body.Close()                 // only read from, so a failure loses nothing
 	return response.StatusCode, response.Header.Get("Retry-After")
 }
 
-// sendHeartbeat sends a worker's heartbeat and returns the status of the answer.
+// sendHeartbeat sends a worker's heartbeat and returns the HTTP status code of the response.
 func sendHeartbeat(client *http.Client) int {
 	code, _ := send(client, "POST", "/agent/beat", `{"host":"m"}`)
 	return code
 }
 
 func TestWorkersAndHealthChecksConnectWhenTheListenerIsFull(t *testing.T) {
-	// Guards against workers alone filling the listener, as they would at half as
-	// many machines again: users then met silence, health checks failed, and late
-	// workers lost their leases.
+	// Guards against workers that use all connections of the listener, which happens with a fleet half as
+	// large again: users got no response, health checks failed, and workers that connected late lost their
+	// leases.
 	synctest.Test(t, func(t *testing.T) {
 		pipes := fake.NewPipes()
 		_, _, service := newJobService()
-		site := &Server{Jobs: service, Heartbeats: heartbeatStub{}, Ready: func() bool { return true }}
+		server := &Server{Jobs: service, Heartbeats: heartbeatStub{}, Ready: func() bool { return true }}
 		const workerCount = 100
 		limiter := &ConnectionLimiter{MaxConnections: 128, WorkerCount: func() int { return workerCount }, IdleTimeout: 20 * time.Second}
 		listener := pipes.Listen("a")
-		go func() { _ = site.Serve(listener, limiter) }() // it ends with the listener
+		go func() { _ = server.Serve(listener, limiter) }() // returns when the listener is closed
 		dialed := 0
 		newClient := func() *http.Client {
 			return &http.Client{Timeout: 3 * time.Second, Transport: &http.Transport{DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
@@ -61,7 +62,7 @@
 				return pipes.Dial(ctx, "a")
 			}}}
 		}
-		// Users come first, and more of them than the workers leave room for.
+		// More users connect, before any worker, than their quota allows.
 		served, refused := 0, 0
 		var users []*http.Client
 		for range 60 {
@@ -73,43 +74,43 @@
 			case code == 503 && after != "":
 				refused++
 			default:
-				t.Fatalf("a user got %d, Retry-After %q", code, after)
+				t.Fatalf("a user got HTTP status %d, Retry-After %q", code, after)
 			}
 		}
 		if served != limiter.MaxConnections-4-workerCount || refused != 60-served {
-			t.Errorf("%d users served and %d told to come back", served, refused)
+			t.Errorf("%d users were served and %d were asked to retry", served, refused)
 		}
-		// Every worker gets a connection, and keeps it.
+		// Every worker gets a connection and keeps it.
 		var workers []*http.Client
 		for range workerCount {
 			workers = append(workers, newClient())
 			if code := sendHeartbeat(workers[len(workers)-1]); code != 200 {
-				t.Fatalf("a worker got %d", code)
+				t.Fatalf("the first heartbeat of a worker got HTTP status %d", code)
 			}
 		}
 		dialedBefore := dialed
 		for _, client := range workers {
 			if code := sendHeartbeat(client); code != 200 {
-				t.Fatalf("a worker got %d the second time", code)
+				t.Fatalf("the second heartbeat of a worker got HTTP status %d", code)
 			}
 		}
 		if dialed != dialedBefore {
-			t.Errorf("%d workers had to connect again", dialed-dialedBefore)
+			t.Errorf("%d workers had to open a new connection", dialed-dialedBefore)
 		}
-		// Now it is full: health checks get through, as do users, who are told
-		// to come back.
+		// The listener is full now: health checks and late workers are still served, and users get a
+		// response that asks them to retry.
 		for range 5 {
 			if code, _ := send(newClient(), "GET", "/up", ""); code != 200 {
-				t.Errorf("a health check got %d", code)
+				t.Errorf("a health check got HTTP status %d", code)
 			}
 			if code, after := send(newClient(), "GET", "/v2/runs/job-1", ""); code != 503 || after == "" {
-				t.Errorf("a user got %d, Retry-After %q", code, after)
+				t.Errorf("a user got HTTP status %d, Retry-After %q", code, after)
 			}
 			if code := sendHeartbeat(newClient()); code != 200 {
-				t.Errorf("a late worker got %d", code)
+				t.Errorf("a late worker got HTTP status %d", code)
 			}
 		}
-		// Those that say nothing any more give their connections back.
+		// Idle connections are closed, so that they no longer count.
 		for range 4 {
 			time.Sleep(15 * time.Second)
 			for _, client := range workers[:20] {
@@ -118,7 +119,7 @@
 		}
 		limiter.mu.Lock()
 		if limiter.open != 20 || limiter.workers != 20 || limiter.users != 0 {
-			t.Errorf("%d connections are held: %d of workers, %d of users", limiter.open, limiter.workers, limiter.users)
+			t.Errorf("%d connections are open: %d of workers, %d of users; want 20, all of workers", limiter.open, limiter.workers, limiter.users)
 		}
 		limiter.mu.Unlock()
 		for _, client := range append(users, workers...) {
@@ -129,19 +130,19 @@
 	})
 }
 
-func TestMoreWorkersThanConnectionsLeaveUsersTheirQuota(t *testing.T) {
-	// Guards against workers that hold every connection of a leader with fewer sockets
-	// than machines: its users were all refused, although its load balancer sent them
-	// there because so few were connected.
+func TestUsersKeepTheirQuotaWhenWorkersExceedConnections(t *testing.T) {
+	// Guards against workers that hold every connection of a leader with fewer sockets than machines: all
+	// users were refused there, although the load balancer preferred this node because it had so few user
+	// connections.
 	const workers = 6000
 	limiter := &ConnectionLimiter{MaxConnections: 3000, WorkerCount: func() int { return workers }}
 	var open []*limitedConn
 	for range workers {
 		conn := limiter.admit(newConnection(t))
 		if conn == nil {
-			t.Fatalf("no connection for a worker's heartbeat beside %d connections", limiter.open)
+			t.Fatalf("a worker's connection is refused while %d connections are open", limiter.open)
 		}
-		serve, keepOpen := conn.admitRequest(workerHeartbeat)
+		serve, keepOpen := conn.admitRequest(workerClient)
 		if !serve {
 			t.Fatal("a heartbeat was refused")
 		}
@@ -154,27 +155,27 @@
 		open = append(open, conn)
 	}
 	if len(open) < limiter.MaxConnections*9/10 {
-		t.Errorf("only %d workers keep their connection", len(open))
+		t.Errorf("only %d workers keep their connection open", len(open))
 	}
 	users := 0
 	for range limiter.userQuota() {
 		conn := limiter.admit(newConnection(t))
 		if conn == nil {
-			t.Fatal("no connection for a user")
+			t.Fatal("a user's connection is refused")
 		}
-		if serve, _ := conn.admitRequest(user); serve {
+		if serve, _ := conn.admitRequest(userClient); serve {
 			users++
 		}
 	}
 	if users != limiter.userQuota() {
-		t.Errorf("%d of %d users are served", users, limiter.userQuota())
+		t.Errorf("%d of %d users within the quota are served", users, limiter.userQuota())
 	}
 }
 
-// newConnection is one end of a connection whose other end is closed with the test.
+// newConnection returns one end of a connection; the other end is closed at the end of the test.
 func newConnection(t *testing.T) net.Conn {
 	t.Helper()
-	here, there := net.Pipe()
-	t.Cleanup(func() { _ = there.Close() }) // nothing is sent on it
-	return here
+	local, remote := net.Pipe()
+	t.Cleanup(func() { _ = remote.Close() }) // no data is sent on it
+	return local
 }
--- a/internal/intake/intake_test.go
+++ b/internal/intake/intake_test.go
@@ -20,21 +20,21 @@
 	"github.com/pebbletrail/pebbletrail/internal/state"
 )
 
-// validSubmission is a submission with all fields, and one that the protocol does not know.
+// validSubmission returns a submission with all fields of the protocol and an unknown one.
 func validSubmission() map[string]any {
 	return map[string]any{"uid": "job-1", "jobkind": "c", "owner": "red", "shape": "array", "urgency": "low", "pieces": 2,
 		"cores": 1.5, "accelerators": 0, "ramGb": 1, "bundle": "img", "pullGb": 1, "builds": nil, "yard": nil, "together": false,
 		"spread": false, "loaners": true, "guessS": 10, "bookmarkS": 0, "stashS": 0, "dueS": nil, "novel": "ignored"}
 }
 
-// submissionOf is a valid submission of a job.
+// submissionOf returns a valid submission with the given job identifier.
 func submissionOf(id string) map[string]any {
 	body := validSubmission()
 	body["uid"] = id
 	return body
 }
 
-func TestMalformedSubmissionsAreRefused(t *testing.T) {
+func TestMalformedSubmissionsAreRejected(t *testing.T) {
 	for name, testCase := range map[string]struct {
 		key   string
 		value any
@@ -58,27 +58,27 @@
 	} {
 		body := validSubmission()
 		body[testCase.key] = testCase.value
-		if _, err := parse(bytes.NewReader(marshal(body))); (err == nil) != testCase.valid {
-			t.Errorf("%s: %v", name, err)
+		if _, err := parseSubmission(bytes.NewReader(marshal(body))); (err == nil) != testCase.valid {
+			t.Errorf("submission %q: parsing returned the error %v", name, err)
 		}
 	}
-	for _, raw := range []string{"", "[]", "null", "{", `"x"`, "{}", `{"uid":"job-1"} x`, "{" + strings.Repeat(" ", bodyLimit) + "}"} {
-		if _, err := parse(strings.NewReader(raw)); err == nil {
-			t.Errorf("taken: %.20q", raw)
+	for _, raw := range []string{"", "[]", "null", "{", `"x"`, "{}", `{"uid":"job-1"} x`, "{" + strings.Repeat(" ", maxBodyBytes) + "}"} {
+		if _, err := parseSubmission(strings.NewReader(raw)); err == nil {
+			t.Errorf("malformed body was accepted: %.20q", raw)
 		}
 	}
 }
 
-// silentNotifier is a leader that is told at once.
-type silentNotifier struct{}
+// immediateNotifier implements LeaderNotifier. It reports every notification as delivered immediately.
+type immediateNotifier struct{}
 
-func (silentNotifier) NotifyLeader(ids.Job, ids.Revision, *record.Record, json.RawMessage) <-chan struct{} {
+func (immediateNotifier) NotifyLeader(ids.Job, ids.Revision, *record.Record, json.RawMessage) <-chan struct{} {
 	done := make(chan struct{})
 	close(done)
 	return done
 }
 
-// newJobService is a node on a store of its own.
+// newJobService returns the job service of a node with its own network and store.
 func newJobService() (*fake.Network, *fake.Store, *JobService) {
 	network, store := fake.NewNetwork(), fake.NewStore()
 	network.Listen("state:1", store)
@@ -88,26 +88,26 @@
 	client := state.NewClient("state:1", network.Client("a"), state.NewBudget(500, 500, 1, 0.6))
 	types := []placement.InstanceType{{Label: "small", Cores: 4, RAM: 16, Zones: []string{"north"}}}
 	return network, store, &JobService{Settings: settings, Store: client, Records: state.NewWatchCache(client, record.JobPrefix, time.Second),
-		LeaderNotifier: silentNotifier{}, Writer: "a", MachineTypes: func() []placement.InstanceType { return types }}
+		LeaderNotifier: immediateNotifier{}, Writer: "a", MachineTypes: func() []placement.InstanceType { return types }}
 }
 
-// newSite is the HTTP side of such a node.
-func newSite() (*fake.Network, *fake.Store, http.Handler) {
+// newHandler returns the HTTP handler of a node with its own network and store.
+func newHandler() (*fake.Network, *fake.Store, http.Handler) {
 	network, store, service := newJobService()
 	return network, store, (&Server{Jobs: service, Ready: func() bool { return true }, NodeStatus: func() any { return nil },
 		ExplainByLeader: explainWithoutLeader}).Handler()
 }
 
-// serve has a handler answer a request.
+// serve sends a request to a handler and returns the response.
 func serve(handler http.Handler, method, path string, body any) *httptest.ResponseRecorder {
 	response := httptest.NewRecorder()
 	handler.ServeHTTP(response, httptest.NewRequest(method, path, bytes.NewReader(marshal(body))))
 	return response
 }
 
-func TestUsersGetTheRightHTTPStatus(t *testing.T) {
+func TestUserRequestsReturnExpectedHTTPStatus(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		_, store, handler := newSite()
+		_, store, handler := newHandler()
 		with := func(key string, value any) map[string]any {
 			body := submissionOf("job-7")
 			body[key] = value
@@ -127,43 +127,43 @@
 			{"not an object", []int{1}, 400},
 		} {
 			if got := serve(handler, "POST", "/v2/runs", testCase.body).Code; got != testCase.code {
-				t.Errorf("%s: %d, want %d", testCase.name, got, testCase.code)
+				t.Errorf("%s: got HTTP status %d, want %d", testCase.name, got, testCase.code)
 			}
 		}
 		if got := serve(handler, "GET", "/v2/runs/job-999", nil).Code; got != 404 {
-			t.Errorf("a job nobody submitted: %d", got)
+			t.Errorf("polling an unknown job got HTTP status %d, want 404", got)
 		}
 		if got := serve(handler, "POST", "/v2/runs/job-999/cancel", nil).Code; got != 404 {
-			t.Errorf("cancelling a job nobody submitted: %d", got)
+			t.Errorf("cancelling an unknown job got HTTP status %d, want 404", got)
 		}
-		// Once accepted it is never refused, even if it would be by now.
+		// An accepted job is never rejected, even if a repeated submission could not be accepted.
 		if got := serve(handler, "POST", "/v2/runs", with("cores", 50)).Code; got != 200 {
-			t.Errorf("a repeat that no longer fits: %d", got)
+			t.Errorf("a repeated submission that fits no machine type got HTTP status %d, want 200", got)
 		}
 		if response := serve(handler, "POST", "/v2/runs/job-7/cancel", nil); response.Code != 200 || !strings.Contains(response.Body.String(), "cancelled") {
-			t.Errorf("cancel: %d %s", response.Code, response.Body)
+			t.Errorf("cancelling a job got HTTP status %d, body %s", response.Code, response.Body)
 		}
 		if response := serve(handler, "GET", "/v2/runs/job-7", nil); !strings.Contains(response.Body.String(), "cancelled") {
-			t.Errorf("after the cancel: %s", response.Body)
+			t.Errorf("polling a cancelled job returned the body %s", response.Body)
 		}
 		store.SetDown(true)
 		began := time.Now()
 		response := serve(handler, "POST", "/v2/runs", submissionOf("job-8"))
 		if response.Code != 503 || response.Header().Get("Retry-After") == "" || time.Since(began) > time.Second {
-			t.Errorf("in an outage: %d, Retry-After %q, after %v", response.Code, response.Header().Get("Retry-After"), time.Since(began))
+			t.Errorf("submitting during an outage: HTTP status %d, Retry-After %q, after %v", response.Code, response.Header().Get("Retry-After"), time.Since(began))
 		}
 		if response := serve(handler, "GET", "/v2/runs/job-7", nil); response.Code != 200 {
-			t.Errorf("a final answer in an outage: %d", response.Code)
+			t.Errorf("polling an ended job during an outage got HTTP status %d, want 200", response.Code)
 		}
 		if response := serve(handler, "GET", "/v2/runs/job-8", nil); response.Code != 503 {
-			t.Errorf("what can't be read in an outage: %d", response.Code)
+			t.Errorf("polling an unknown job during an outage got HTTP status %d, want 503", response.Code)
 		}
 	})
 }
 
-func TestSubmissionIsReadBackWhenTheStoresAnswerIsLost(t *testing.T) {
+func TestSubmissionIsReadBackWhenStoreResponseIsLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		network, store, handler := newSite()
+		network, store, handler := newHandler()
 		network.SetRule(func(_, _ string, request *http.Request, _ []byte) fake.Outcome {
 			if request.URL.Path == "/commit" {
 				return fake.DropResponse
@@ -172,7 +172,7 @@
 		})
 		response := serve(handler, "POST", "/v2/runs", validSubmission())
 		if response.Code != 200 || store.Value("job/job-1") == nil {
-			t.Fatalf("%d %s", response.Code, response.Body)
+			t.Fatalf("submission without a store response got HTTP status %d, body %s", response.Code, response.Body)
 		}
 		network.SetRule(func(_, _ string, request *http.Request, _ []byte) fake.Outcome {
 			if request.URL.Path == "/commit" {
@@ -181,15 +181,14 @@
 			return fake.Deliver
 		})
 		if response := serve(handler, "POST", "/v2/runs", submissionOf("job-2")); response.Code != 503 {
-			t.Fatalf("what may never arrive was answered %d", response.Code)
+			t.Fatalf("a submission that never reached the store got HTTP status %d, want 503", response.Code)
 		}
 	})
 }
 
 func TestThousandsOfPollsLeaveStoreCallsForSubmissions(t *testing.T) {
-	// Guards against each question costing a call of its own: thousands ask at once,
-	// with the calls a second that one of five controllers has, and meanwhile jobs are
-	// submitted and cancelled.
+	// Guards against one store call for each poll. Thousands of users poll at once at a controller whose
+	// rate limit is that of one of five controllers, while other jobs are submitted and cancelled.
 	synctest.Test(t, func(t *testing.T) {
 		network, _, service := newJobService()
 		calls := 0
@@ -216,28 +215,28 @@
 				defer mu.Unlock()
 				codes[got]++
 				if time.Since(began) > time.Second {
-					t.Errorf("answered after %v", time.Since(began))
+					t.Errorf("a poll took %v, want at most 1s", time.Since(began))
 				}
 			})
 			time.Sleep(400 * time.Microsecond)
 		}
 		for i := range 3 {
 			if got := serve(handler, "POST", "/v2/runs", submissionOf(fmt.Sprint("job-2", i))).Code; got != 201 {
-				t.Errorf("a submission meanwhile got %d", got)
+				t.Errorf("a submission during the polls got HTTP status %d, want 201", got)
 			}
 		}
 		if got := serve(handler, "POST", "/v2/runs/job-20/cancel", nil).Code; got != 200 {
-			t.Errorf("a cancel meanwhile got %d", got)
+			t.Errorf("a cancellation during the polls got HTTP status %d, want 200", got)
 		}
 		wg.Wait()
 		if codes[200] != 5000 || calls > 60 {
-			t.Errorf("answers %v, %d calls to the store", codes, calls)
+			t.Errorf("HTTP statuses of the polls: %v; %d calls to the store, want at most 60", codes, calls)
 		}
 	})
 }
 
-func TestUnreachableStoreIsAnsweredAtOnce(t *testing.T) {
-	// Guards against every user finding out by a call that hangs: an unreachable store says nothing.
+func TestRequestsFailFastWhileStoreIsUnreachable(t *testing.T) {
+	// Guards against requests that wait for a timeout: an unreachable store does not respond at all.
 	synctest.Test(t, func(t *testing.T) {
 		network, _, service := newJobService()
 		served := true
@@ -257,24 +256,23 @@
 			began := time.Now()
 			response := serve(handler, request.method, request.path, submissionOf("job-5"))
 			if response.Code != 503 || response.Header().Get("Retry-After") == "" || response.Header().Get("Connection") != "close" || time.Since(began) > 50*time.Millisecond {
-				t.Errorf("%s %s: %d after %v, %v", request.method, request.path, response.Code, time.Since(began), response.Header())
+				t.Errorf("%s %s: got HTTP status %d after %v, header %v", request.method, request.path, response.Code, time.Since(began), response.Header())
 			}
 		}
-		// Operators are told what it knows, as what it is.
+		// Operators get the last known state, marked as such.
 		response := serve(handler, "GET", "/v2/runs/job-1/explain", nil)
 		if response.Code != 200 || !strings.Contains(response.Body.String(), "knew last") || !strings.Contains(response.Body.String(), "unknown") {
-			t.Errorf("explain: %d %s", response.Code, response.Body)
+			t.Errorf("explaining a job got HTTP status %d, body %s", response.Code, response.Body)
 		}
 	})
 }
 
-func TestHealthAnswersTellTheVersion(t *testing.T) {
-	// Guards against a fleet in the middle of an upgrade whose controllers can't be told
-	// apart from outside.
+func TestHealthResponsesContainTheVersion(t *testing.T) {
+	// Guards against controllers whose versions cannot be distinguished from outside during an upgrade.
 	synctest.Test(t, func(t *testing.T) {
 		handler := (&Server{Ready: func() bool { return true }, Version: "9.8.7"}).Handler()
 		if got := serve(handler, "GET", "/up", nil).Header().Get("Pebbletrail-Version"); got != "9.8.7" {
-			t.Errorf("the version told is %q", got)
+			t.Errorf("the version header is %q, want 9.8.7", got)
 		}
 	})
 }
--- a/internal/intake/parse.go
+++ b/internal/intake/parse.go
@@ -15,24 +15,24 @@
 
 // Limits on a submission.
 const (
-	bodyLimit = 64 * 1024 // bytes
-	nameLimit = 256       // bytes of a name
-	maxTasks  = 100000
+	maxBodyBytes = 64 * 1024 // bytes
+	maxNameBytes = 256       // bytes per name
+	maxTasks     = 100000
 )
 
-// shapes and priorities map the protocol's values.
+// shapes and priorities map values of the protocol to those of job records.
 var shapes = map[string]record.Shape{"array": record.Array, "gang": record.Gang, "standing": record.Service}
 var priorities = map[string]record.Priority{"critical": record.Critical, "high": record.High, "normal": record.Normal, "low": record.Low}
 
-// parse reads and checks a submission. Users read the text of its error, which names the fields as
-// the protocol does.
-func parse(body io.Reader) (record.Spec, error) {
-	raw, err := io.ReadAll(io.LimitReader(body, bodyLimit+1))
+// parseSubmission reads and validates a submission. Its errors are returned to users and therefore name
+// the fields as the protocol does.
+func parseSubmission(body io.Reader) (record.Spec, error) {
+	raw, err := io.ReadAll(io.LimitReader(body, maxBodyBytes+1))
 	if err != nil {
 		return record.Spec{}, err
 	}
-	if len(raw) > bodyLimit {
-		return record.Spec{}, fmt.Errorf("body over %d bytes", bodyLimit)
+	if len(raw) > maxBodyBytes {
+		return record.Spec{}, fmt.Errorf("body over %d bytes", maxBodyBytes)
 	}
 	if trimmed := bytes.TrimLeft(raw, " \t\r\n"); len(trimmed) == 0 || trimmed[0] != '{' {
 		return record.Spec{}, errors.New("not a JSON object")
@@ -47,7 +47,7 @@
 	return s.spec()
 }
 
-// checkRequired checks that every required field is there and of the right kind.
+// checkRequired checks that every required field is present and valid.
 func (s *submission) checkRequired() error {
 	for _, field := range []struct {
 		name  string
@@ -55,7 +55,7 @@
 	}{
 		{"uid", s.ID}, {"jobkind", s.Class}, {"owner", s.Team}, {"shape", s.Shape}, {"urgency", s.Priority}, {"bundle", s.Image},
 	} {
-		if field.value == nil || !isName(*field.value) {
+		if field.value == nil || !isValidName(*field.value) {
 			return fmt.Errorf("%s: missing, empty or too long", field.name)
 		}
 	}
@@ -81,10 +81,11 @@
 	return nil
 }
 
-// isName reports whether a text may name a job class, a zone, an image and the like.
-func isName(text string) bool { return text != "" && len(text) <= nameLimit }
+// isValidName reports whether a text has a valid length for a name, such as that of a job class, zone or
+// image.
+func isValidName(text string) bool { return text != "" && len(text) <= maxNameBytes }
 
-// spec turns a submission with all required fields into the description of a job.
+// spec converts a submission to a job spec. All required fields must be present.
 func (s *submission) spec() (record.Spec, error) {
 	spec := record.Spec{
 		Class:              *s.Class,
@@ -120,7 +121,7 @@
 	return spec, nil
 }
 
-// addOptional adds the fields that may be null or missing to a description.
+// addOptional copies the optional fields, which may be null or missing, to a spec.
 func (s *submission) addOptional(spec *record.Spec) error {
 	if s.MachineTypes != nil {
 		spec.InstanceTypes = *s.MachineTypes
@@ -128,13 +129,13 @@
 			spec.InstanceTypes = []string{}
 		}
 		for _, machineType := range spec.InstanceTypes {
-			if !isName(machineType) {
+			if !isValidName(machineType) {
 				return errors.New("builds: empty or too long name")
 			}
 		}
 	}
 	if s.Zone != nil {
-		if !isName(*s.Zone) {
+		if !isValidName(*s.Zone) {
 			return errors.New("yard: empty or too long")
 		}
 		spec.Zone = *s.Zone
@@ -154,7 +155,7 @@
 	return nil
 }
 
-// parseDependencies reads the ids of a job's dependencies. One that is named twice counts once.
+// parseDependencies parses the identifiers of a job's dependencies and removes duplicates.
 func parseDependencies(names []string) (dependencies []ids.Job, err error) {
 	seen := map[ids.Job]bool{}
 	for _, name := range names {
--- a/internal/intake/server.go
+++ b/internal/intake/server.go
@@ -14,54 +14,53 @@
 	"github.com/pebbletrail/pebbletrail/internal/worker"
 )
 
-// Heartbeats answers workers' heartbeats: with a reply, or, if that is nil, with a redirect, and
-// the HTTP status of either.
+// Heartbeats handles the heartbeats of workers. It returns a batch of commands, or a redirect if the
+// batch is nil, and the HTTP status of the response.
 type Heartbeats interface {
 	Heartbeat(ctx context.Context, rep *worker.Report) (*worker.CommandBatch, int, worker.Redirect)
 }
 
-// Server is the HTTP interface of a controller: for users, for workers' heartbeats, for health
-// checks and for operators.
+// Server is the HTTP interface of a controller for users, workers' heartbeats, health checks and operators.
 type Server struct {
 	Jobs       *JobService
 	Heartbeats Heartbeats
-	// Ready reports whether the controller can take requests.
+	// Ready reports whether the controller can serve requests.
 	Ready func() bool
-	// ExplainByLeader explains a job as the leader sees it, and names the leader.
+	// ExplainByLeader returns the leader's explanation of a job, and the leader's name.
 	ExplainByLeader func(ctx context.Context, id ids.Job) (lines []string, leader ids.Node, err error)
-	// NodeStatus describes the controller.
+	// NodeStatus returns the controller's status, the response body of GET /v2/status.
 	NodeStatus func() any
-	// OperatorRoutes adds routes for operators; nil: there are none.
+	// OperatorRoutes adds the routes for operators; nil adds none.
 	OperatorRoutes func(*echo.Echo)
-	// Version is the program's, told with the answers to health checks: while it is
-	// being replaced the controllers are told apart by it.
+	// Version is the program's version. Health check responses contain it, to distinguish the controllers
+	// during an upgrade.
 	Version string
 }
 
-// versionHeader names the program's version in the answers to health checks.
+// versionHeader is the response header that contains the program's version in health checks.
 const versionHeader = "Pebbletrail-Version"
 
-// The work on a user's request is bounded; users give up after 5 s.
+// Time limits for processing a user's request; users give up after 5 s.
 const (
 	requestTimeout = 3500 * time.Millisecond
 	statusTimeout  = 1800 * time.Millisecond
 )
 
-// heartbeatBodyLimit is how many bytes of a heartbeat are read.
-const heartbeatBodyLimit = 16 << 20
+// maxHeartbeatBytes is the maximum number of bytes read from the body of a heartbeat.
+const maxHeartbeatBytes = 16 << 20
 
-// Handler builds the routes.
+// Handler returns the HTTP handler with all routes.
 func (s *Server) Handler() http.Handler {
 	e := echo.New()
 	e.HideBanner = true
-	e.POST("/agent/beat", s.heartbeat, s.limit(workerHeartbeat))
-	e.GET("/up", s.health, s.limit(unknown))
-	users := s.limit(user)
+	e.POST("/agent/beat", s.heartbeat, s.limitConnections(workerClient))
+	e.GET("/up", s.health, s.limitConnections(unknownClient))
+	users := s.limitConnections(userClient)
 	e.POST("/v2/runs", s.submit, users)
 	e.GET("/v2/runs/:id", s.status, users)
 	e.POST("/v2/runs/:id/cancel", s.cancel, users)
 	e.GET("/v2/runs/:id/explain", s.explain, users)
-	e.GET("/v2/status", s.nodeStatus, s.limit(unknown))
+	e.GET("/v2/status", s.nodeStatus, s.limitConnections(unknownClient))
 	if s.OperatorRoutes != nil {
 		s.OperatorRoutes(e)
 	}
@@ -80,7 +79,7 @@
 
 func (s *Server) heartbeat(c echo.Context) error {
 	report := &worker.Report{}
-	body := io.LimitReader(c.Request().Body, heartbeatBodyLimit)
+	body := io.LimitReader(c.Request().Body, maxHeartbeatBytes)
 	if err := json.NewDecoder(body).Decode(report); err != nil || report.Machine == "" {
 		return c.JSON(http.StatusBadRequest, errorBody("not a report"))
 	}
@@ -94,51 +93,52 @@
 func (s *Server) submit(c echo.Context) error {
 	ctx, cancel := context.WithTimeout(c.Request().Context(), requestTimeout)
 	defer cancel()
-	spec, err := parse(c.Request().Body)
+	spec, err := parseSubmission(c.Request().Body)
 	if err != nil {
 		return c.JSON(http.StatusBadRequest, errorBody(err.Error()))
 	}
-	began := time.Now()
-	summary, known, err := s.Jobs.submit(ctx, spec)
-	measure.Process.Took("submission", began)
+	start := time.Now()
+	summary, alreadyAccepted, err := s.Jobs.submit(ctx, spec)
+	measure.Process.Took("submission", start)
 	if err != nil {
-		return s.answerError(c, err)
+		return s.respondError(c, err)
 	}
-	if known {
-		return c.JSON(http.StatusOK, summary.answer())
+	if alreadyAccepted {
+		return c.JSON(http.StatusOK, summary.response())
 	}
-	return c.JSON(http.StatusCreated, summary.answer())
+	return c.JSON(http.StatusCreated, summary.response())
 }
 
 func (s *Server) status(c echo.Context) error {
-	return s.answerForJob(c, statusTimeout, func(ctx context.Context, id ids.Job) (any, bool, error) {
+	return s.respondForJob(c, statusTimeout, func(ctx context.Context, id ids.Job) (any, bool, error) {
 		defer measure.Process.Took("poll", time.Now())
 		summary, found, err := s.Jobs.status(ctx, id)
-		return summary.answer(), found, err
+		return summary.response(), found, err
 	})
 }
 
 func (s *Server) cancel(c echo.Context) error {
-	return s.answerForJob(c, requestTimeout, func(ctx context.Context, id ids.Job) (any, bool, error) {
+	return s.respondForJob(c, requestTimeout, func(ctx context.Context, id ids.Job) (any, bool, error) {
 		summary, found, err := s.Jobs.cancel(ctx, id)
-		return summary.answer(), found, err
+		return summary.response(), found, err
 	})
 }
 
-// answerForJob answers a request about the job that its path names, within a timeout.
-func (s *Server) answerForJob(c echo.Context, timeout time.Duration, answer func(context.Context, ids.Job) (body any, found bool, err error)) error {
+// respondForJob responds to a request for the job named in its path. It limits the call of handle by a
+// timeout.
+func (s *Server) respondForJob(c echo.Context, timeout time.Duration, handle func(context.Context, ids.Job) (body any, found bool, err error)) error {
 	id, err := ids.ParseJob(c.Param("id"))
 	if err != nil {
-		return answerNoSuchJob(c)
+		return respondNoSuchJob(c)
 	}
 	ctx, cancel := context.WithTimeout(c.Request().Context(), timeout)
 	defer cancel()
-	body, found, err := answer(ctx, id)
+	body, found, err := handle(ctx, id)
 	switch {
 	case err != nil:
-		return s.answerError(c, err)
+		return s.respondError(c, err)
 	case !found:
-		return answerNoSuchJob(c)
+		return respondNoSuchJob(c)
 	}
 	return c.JSON(http.StatusOK, body)
 }
