--- a/internal/scenarios/assertions_test.go
+++ b/internal/scenarios/assertions_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// eventually waits until a condition holds, and fails the test if it doesn't within the timeout.
+// eventually polls a condition until it holds, and fails the test if it doesn't within the timeout.
 func (c *testCluster) eventually(timeout time.Duration, what string, condition func() bool) {
 	c.t.Helper()
 	for end := time.Now().Add(timeout); !condition(); {
@@ -29,19 +29,19 @@
 	}
 }
 
-// passTime lets time pass, checking the invariants all along.
+// passTime lets time pass, and checks the invariants meanwhile.
 func (c *testCluster) passTime(duration time.Duration) {
 	c.t.Helper()
 	c.consistently(duration, "", func() bool { return true })
 }
 
-// awaitTask waits until a task is on a machine.
+// awaitTask waits until a task runs on exactly one machine.
 func (c *testCluster) awaitTask(timeout time.Duration, task string) {
 	c.t.Helper()
 	c.eventually(timeout, task+" runs", func() bool { return c.isRunning(task) })
 }
 
-// awaitRunning waits until each of a job's first tasks is on a machine.
+// awaitRunning waits until each of the job's first tasks runs on exactly one machine.
 func (c *testCluster) awaitRunning(timeout time.Duration, job string, tasks int) {
 	c.t.Helper()
 	c.eventually(timeout, fmt.Sprintf("%d tasks of %s run", tasks, job), func() bool { return c.allRunning(job, tasks) })
@@ -71,8 +71,9 @@
 	c.eventually(timeout, node.name+" steps down", func() bool { return node.elector.Cluster() == nil })
 }
 
-// checkInvariants samples what must hold in every scenario, besides the rules that watch each
-// event: no task is on two machines, and no cancelled task runs on beyond the limit.
+// checkInvariants checks two conditions that must hold at any time in every scenario: no task runs
+// on two machines, and no cancelled task still runs after the cancellation limit. The rules check
+// each single event besides.
 func (c *testCluster) checkInvariants() {
 	c.t.Helper()
 	c.rules.CheckCancelled()
@@ -87,7 +88,7 @@
 	}
 }
 
-// machinesRunning names the machines that a task is on.
+// machinesRunning returns the names of the machines on which a task runs.
 func (c *testCluster) machinesRunning(task string) (machines []string) {
 	for _, worker := range c.listWorkers() {
 		for _, active := range worker.ActiveTasks() {
@@ -99,10 +100,10 @@
 	return machines
 }
 
-// isRunning tells whether a task is on one machine, and on no other.
+// isRunning reports whether a task runs on exactly one machine.
 func (c *testCluster) isRunning(task string) bool { return len(c.machinesRunning(task)) == 1 }
 
-// isAbsent tells whether none of the tasks is on a machine.
+// isAbsent reports whether none of the tasks runs on a machine.
 func (c *testCluster) isAbsent(tasks ...string) bool {
 	for _, task := range tasks {
 		if len(c.machinesRunning(task)) > 0 {
@@ -112,7 +113,7 @@
 	return true
 }
 
-// allRunning tells whether each of a job's first tasks is on one machine.
+// allRunning reports whether each of the job's first tasks runs on exactly one machine.
 func (c *testCluster) allRunning(job string, tasks int) bool {
 	for i := range tasks {
 		if !c.isRunning(fmt.Sprintf("%s/%d", job, i)) {
@@ -122,7 +123,7 @@
 	return true
 }
 
-// requireStartedOnce checks that each task was started on one worker only, and there once.
+// requireStartedOnce checks that each task was started exactly once, counted over all workers.
 func (c *testCluster) requireStartedOnce(tasks ...string) {
 	c.t.Helper()
 	for _, task := range tasks {
@@ -137,7 +138,7 @@
 }
 
 // requireStopped checks that a job's tasks stop within the limit after the cancellation was
-// confirmed, and don't start again.
+// confirmed, and that they don't start again during stableFor.
 func (c *testCluster) requireStopped(confirmedAt time.Time, job string, tasks int, stableFor time.Duration) {
 	c.t.Helper()
 	gone := func() bool {
@@ -152,12 +153,13 @@
 	c.consistently(stableFor, job+" does not start again", gone)
 }
 
-// bothReport tells whether both nodes report a job with a status.
+// bothReport reports whether both nodes return the given status for a job.
 func (c *testCluster) bothReport(id, status string) bool {
 	return c.status("a", id) == status && c.status("b", id) == status
 }
 
-// countReported counts the jobs from one number to another that both nodes report with a status.
+// countReported counts the jobs numbered from one number to another, both included, for which both
+// nodes return the given status.
 func (c *testCluster) countReported(status string, from, to int) (n int) {
 	for i := from; i <= to; i++ {
 		if c.bothReport(fmt.Sprintf("job-%d", i), status) {
@@ -167,7 +169,8 @@
 	return n
 }
 
-// isReportedAs tells whether some node reports a job with a status, and no node with another.
+// isReportedAs reports whether at least one node returns the given status for a job, and no node
+// returns another status.
 func (c *testCluster) isReportedAs(id, status string) bool {
 	answers := 0
 	for _, node := range nodeNames {
@@ -182,8 +185,8 @@
 	return answers > 0
 }
 
-// awaitAgreement waits, for one job after another, until it has ended and all nodes report the
-// same.
+// awaitAgreement waits, for one job after another, until the job has ended and all nodes report
+// the same status.
 func (c *testCluster) awaitAgreement(within time.Duration, ids ...string) {
 	c.t.Helper()
 	for _, id := range ids {
@@ -197,7 +200,8 @@
 	}
 }
 
-// requireCancelledAtAllNodes asks all nodes at the same moment whether the jobs are cancelled.
+// requireCancelledAtAllNodes asks all nodes concurrently for the status of each job. A node may
+// fail to answer, but must not report a status other than cancelled.
 func (c *testCluster) requireCancelledAtAllNodes(jobs []string) {
 	c.t.Helper()
 	var wg sync.WaitGroup
--- a/internal/scenarios/checker_test.go
+++ b/internal/scenarios/checker_test.go
@@ -8,7 +8,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/fake"
 )
 
-// observation is one thing that the checker sees: a request with its response, or a task event.
+// observation is one input of the checker: a request with its response, or a task event.
 type observation struct {
 	wait time.Duration
 	// A request with its response.
@@ -17,19 +17,20 @@
 	code                   int
 	status                 string
 	sentBeforeLastResponse bool
-	sameInstant            bool // sent at the very instant of the last response
-	// Or a task event on a worker.
+	sameInstant            bool // the fake clock does not advance between the last response and this request
+	// A task event on a worker.
 	worker         *fake.Worker
 	task           string
 	attempt        uint64
 	start          bool
 	cause          string
-	commandAge     time.Duration // since the command was sent
-	checkCancelled bool          // looks for overdue cancelled tasks afterwards
+	commandAge     time.Duration // from the sending of the command to the event
+	checkCancelled bool          // whether the checker looks for overdue cancelled tasks afterwards
 }
 
-// TestCheckerDetectsEachViolation guards against a checker that sees nothing: each rule is broken
-// once, by as little as possible, and the same steps without that are clean.
+// TestCheckerDetectsEachViolation guards against a checker that misses violations or reports false
+// ones. Each rule is broken by the smallest possible step, and the checker must report that rule
+// alone. Cases without a rule are correct sequences, for which it must report nothing.
 func TestCheckerDetectsEachViolation(t *testing.T) {
 	t.Parallel()
 	small := &fake.Worker{Name: "m1", Type: "small", Zone: "north"}
@@ -308,7 +309,7 @@
 					raw, _ := json.Marshal(s.body)
 					sent := r.RequestSent(s.method, s.path, raw)
 					if s.sentBeforeLastResponse {
-						sent = last // together with the last request, so before its response
+						sent = last // at the same moment as the last request, so before that request's response
 					}
 					last = sent
 					out := map[string]any{}
--- a/internal/scenarios/cluster_test.go
+++ b/internal/scenarios/cluster_test.go
@@ -19,7 +19,8 @@
 	"github.com/pebbletrail/pebbletrail/internal/placement"
 )
 
-// settingsTemplate is the settings file of a controller, whose names are filled in.
+// settingsTemplate is the settings file of a controller. NODE and OTHER are replaced by the names
+// of the controller and of its peer.
 const settingsTemplate = `
 host_name = "NODE"
 area = "north"
@@ -62,36 +63,36 @@
 max_sockets = 400
 `
 
-// The times of the settings, by which scenarios are laid out.
+// Durations in settingsTemplate on which the timelines of scenarios depend.
 const (
-	heartbeatInterval = 2 * time.Second  // report_s: between heartbeats of a worker
-	leaseDuration     = 20 * time.Second // lease_s: how long a worker runs on after its last answered heartbeat
-	cancelLimit       = 40 * time.Second // cancel_s: when a task must have stopped after its cancellation was confirmed
+	heartbeatInterval = 2 * time.Second  // report_s: interval between heartbeats of a worker
+	leaseDuration     = 20 * time.Second // lease_s: worker's run time after its last answered heartbeat
+	cancelLimit       = 40 * time.Second // cancel_s: from confirmed cancellation to the stop of all tasks
 )
 
-// zones are those in which there are machines.
+// zones are the zones in which the cloud has machines.
 var zones = []string{"north", "south"}
 
-// testCluster is two controllers with what surrounds them: a network, a state service, workers and
-// users, all in memory. Its methods make up the steps of a scenario's timeline.
+// testCluster is a cluster of two controllers with a network, a state service, workers and users,
+// all in memory. Its methods are the steps of a scenario's timeline.
 type testCluster struct {
 	t              *testing.T
 	ctx            context.Context
 	network        *fake.Network
-	latency        atomic.Pointer[func() time.Duration] // of the network; nil is none
+	latency        atomic.Pointer[func() time.Duration] // of the network; nil means no latency
 	store          *fake.Store
 	mu             sync.Mutex
 	nodes          map[string]*testNode
 	workers        []*fake.Worker
 	processes      int
 	rules          *rules
-	inCloudList    bool    // the leader learns of the machines from the cloud's list
-	upcomingLimits string  // settings of limits to come, for nodes started from now on
-	valueLimitKB   float64 // of the state service, if it differs from the settings'
+	inCloudList    bool    // whether the cloud lists the machines to the leader
+	upcomingLimits string  // settings of announced limits, for nodes started from now on
+	valueLimitKB   float64 // value size limit of the state service; zero means that of the settings
 	teams          []config.Team
 }
 
-// scenario runs a scenario in a cluster of its own, under a fake clock of its own.
+// scenario runs a scenario in a new cluster with its own fake clock.
 func scenario(t *testing.T, run func(t *testing.T, c *testCluster)) {
 	slog.SetLogLoggerLevel(slog.LevelError)
 	synctest.Test(t, func(t *testing.T) {
@@ -120,7 +121,7 @@
 	})
 }
 
-// nodeSettings are those of one of the two controllers.
+// nodeSettings returns the settings of one of the two controllers.
 func (c *testCluster) nodeSettings(name string) *config.Settings {
 	other := otherNode(name)
 	settings, err := config.Parse([]byte(strings.NewReplacer("NODE", name, "OTHER", other).Replace(settingsTemplate + c.upcomingLimits)))
@@ -134,12 +135,12 @@
 	return settings
 }
 
-// instanceTypes are those that the cloud offers.
+// instanceTypes returns the machine types that the cloud offers.
 func instanceTypes() []placement.InstanceType {
 	return []placement.InstanceType{{Label: "small", Cores: 4, RAM: 16, CacheGB: 20, PullGBPerS: 1, Price: 1, SpotPrice: 0.4, BootS: 30, Zones: zones}}
 }
 
-// cloudList is the cloud's list of machines: empty unless the scenario has inCloudList.
+// cloudList returns the cloud's list of machines, which is empty unless inCloudList is set.
 func (c *testCluster) cloudList() (machines []clusterstate.ListedMachine) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -170,7 +171,7 @@
 	return slices.Clone(c.workers)
 }
 
-// workerNamed returns the first worker of a name, or nil.
+// workerNamed returns the first worker with a name, or nil.
 func (c *testCluster) workerNamed(name string) *fake.Worker {
 	for _, worker := range c.listWorkers() {
 		if worker.Name == name {
@@ -192,7 +193,7 @@
 	return nil
 }
 
-// leaderFirst returns two nodes in order, the one that leads first.
+// leaderFirst returns the two nodes in an order that puts the leader first.
 func leaderFirst(a, b *testNode) (leader, successor *testNode) {
 	if a.elector.Cluster() == nil {
 		return b, a
@@ -200,18 +201,19 @@
 	return a, b
 }
 
-// settleTime is enough for a first leader to be elected and to hear from all machines.
+// settleTime is long enough for the first leader to be elected and to receive a heartbeat from
+// every machine.
 const settleTime = 10 * time.Second
 
-// startPair starts both controllers and a machine in each zone, and lets them settle.
+// startPair starts both controllers and a machine in each zone, and waits for settleTime.
 func (c *testCluster) startPair() {
 	c.startNode("a")
 	c.startNode("b")
 	c.startWorkers("north", "south")
 }
 
-// startWorkers starts machines m1, m2 and so on, one in each of the zones named, and lets them
-// settle.
+// startWorkers starts machines m1, m2 and so on, one for each of the zones given, and waits for
+// settleTime.
 func (c *testCluster) startWorkers(zones ...string) {
 	for i, zone := range zones {
 		c.startWorker(fmt.Sprintf("m%d", i+1), zone)
@@ -219,7 +221,8 @@
 	time.Sleep(settleTime)
 }
 
-// sleep waits for d, but not beyond the end of the scenario: for goroutines beside its timeline.
+// sleep waits for d or until the scenario ends, whichever comes first. Goroutines that run beside
+// the scenario's timeline use it.
 func (c *testCluster) sleep(d time.Duration) {
 	select {
 	case <-time.After(d):
--- a/internal/scenarios/disruption_rule_test.go
+++ b/internal/scenarios/disruption_rule_test.go
@@ -9,45 +9,46 @@
 	"github.com/pebbletrail/pebbletrail/internal/fake"
 )
 
-// disruptionRule checks, by the task events on the workers, that no drain takes more of a team down
-// than its budget. In its scenarios only drains, cancellations and spot reclaims stop tasks, so that
-// every other stop is an eviction by a drain.
+// disruptionRule checks from the task events on the workers that no drain exceeds a team's disruption
+// budget. In its scenarios only drains, cancellations and spot reclaims stop tasks. It therefore
+// takes each stop without a cancellation or a spot reclaim as an eviction by a drain.
 type disruptionRule struct {
 	report  func(rule, what string)
 	rules   *rules
 	budgets map[string]teamBudget
 
-	// evictionStored tells whether the eviction of a task's attempt is in the store.
+	// evictionStored reports whether the state service holds the permit to evict a task's attempt.
 	evictionStored func(task string, attempt uint64) bool
-	// detectionDelay is how long a failure may stay unknown to the leader.
+	// detectionDelay is the time for which a failure may stay unknown to the leader.
 	detectionDelay time.Duration
 
 	mu    sync.Mutex // guards the fields below; rules.mu may be taken under it
 	tasks map[string]*observedTask
 	// evictions counts the evictions of each task.
 	evictions map[string]int
-	// reclaimed are machines with a spot reclaim notice: the cloud stops what runs there.
+	// reclaimed holds the machines with a spot reclaim notice: the cloud stops their tasks.
 	reclaimed map[string]bool
-	// completedGangs are gangs of which a task is done, so that the others are stopped.
+	// completedGangs holds the gangs of which one task is done. Their other tasks are stopped then.
 	completedGangs map[string]bool
 }
 
-// teamBudget is what the rule allows a team to have down at a time.
+// teamBudget is the number of replicas that may be down and of other tasks that may be interrupted
+// by drains at a time in one team.
 type teamBudget struct{ replicas, interrupted int }
 
-// observedTask is what the task events tell of a task.
+// observedTask is the state of a task according to its events.
 type observedTask struct {
 	started bool
 	up      bool
 	downAt  time.Time
-	drained bool // a drain stopped it last
+	drained bool // whether a drain stopped its last attempt
 }
 
-// defaultDetectionDelay is two and a half heartbeat intervals, until silence counts, and the time of
-// a permit that was stored just before.
+// defaultDetectionDelay is the time of two and a half heartbeat intervals, after which a worker
+// counts as silent, plus the time to use a permit that was stored just before.
 const defaultDetectionDelay = 12 * time.Second
 
-// newDisruptionRule returns a checker of these budgets, which passes events on to the rules.
+// newDisruptionRule returns a checker of the budgets. It passes each event on to the rules.
 func newDisruptionRule(r *rules, report func(rule, what string), budgets map[string]teamBudget) *disruptionRule {
 	return &disruptionRule{
 		report:         report,
@@ -61,7 +62,7 @@
 	}
 }
 
-// Event observes that a task started or ended on a worker.
+// Event records the start or end of a task on a worker, and checks the budget if a drain stopped it.
 func (d *disruptionRule) Event(event fake.Event) {
 	d.rules.TaskEvent(event)
 	job, _, _ := strings.Cut(event.Task, "/")
@@ -95,7 +96,7 @@
 	}
 }
 
-// checkEviction reports an eviction without a stored permit, or beyond the team's budget. The caller
+// checkEviction reports an eviction without a stored permit or over the team's budget. The caller
 // holds mu.
 func (d *disruptionRule) checkEviction(event fake.Event, team string) {
 	if !d.evictionStored(event.Task, event.Attempt) {
@@ -105,7 +106,7 @@
 	d.checkBudget(event, team)
 }
 
-// checkBudget checks what a team has down right after a drain stopped one of its tasks.
+// checkBudget reports a team that exceeds its budget right after a drain stopped one of its tasks.
 func (d *disruptionRule) checkBudget(event fake.Event, team string) {
 	evicted, knownDown, interrupted := 0, 0, 0
 	for name, task := range d.tasks {
@@ -140,14 +141,14 @@
 	}
 }
 
-// noteSpotReclaim notes that the cloud reclaims a machine.
+// noteSpotReclaim records that the cloud reclaims a machine.
 func (d *disruptionRule) noteSpotReclaim(machine string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.reclaimed[machine] = true
 }
 
-// evictionsOf counts the evictions of a job's tasks.
+// evictionsOf returns the number of evictions of a job's tasks so far.
 func (d *disruptionRule) evictionsOf(job string) (n int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/scenarios/drain_budget_test.go
+++ b/internal/scenarios/drain_budget_test.go
@@ -14,8 +14,8 @@
 	"github.com/pebbletrail/pebbletrail/internal/rollout"
 )
 
-// TestZoneDrainStaysWithinDisruptionBudget drains all machines of a zone: each replica moves at
-// most once, and nothing of the rollout is left in the state service.
+// TestZoneDrainStaysWithinDisruptionBudget drains all machines of a zone. Each replica must move at
+// most once, and no keys of the rollout's machines may remain in the state service.
 func TestZoneDrainStaysWithinDisruptionBudget(t *testing.T) {
 	t.Parallel()
 	drainScenario(t, 4, drainOptions{capacity: 40}, func(t *testing.T, c *drainCluster) {
@@ -29,15 +29,16 @@
 		if n := c.disruption.evictionsOf("job-1"); n == 0 || n > 6 {
 			t.Errorf("%d stops", n)
 		}
-		// The leader removes them when it next looks at its rollouts, within a quarter of a second.
+		// The leader removes the keys when it next processes its rollouts, within a quarter of a second.
 		c.eventually(2*time.Second, "the state service holds nothing of the rollout", func() bool {
 			return c.store.CountKeys("rollout/left/") == 0
 		})
 	})
 }
 
-// TestDisruptionRuleDetectsEvictionsOverBudget plants a fault: the controllers' budgets allow
-// anything, and the rule, which knows the true budget, must notice.
+// TestDisruptionRuleDetectsEvictionsOverBudget guards against a disruption rule that detects
+// nothing. The controllers have a far larger budget than the rule, so that their drain must violate
+// the rule.
 func TestDisruptionRuleDetectsEvictionsOverBudget(t *testing.T) {
 	t.Parallel()
 	noticed := false
@@ -54,8 +55,8 @@
 }
 
 // TestDrainOfMachineSharedByTwoTeamsWaitsForBothBudgets drains a machine with replicas of two
-// teams, one of which may lose none: nothing of either team is stopped, and the team that blocks
-// the drain is named.
+// teams, one of which has a budget of zero. No replica of either team may be stopped, and the reason
+// must name the team that blocks the drain.
 func TestDrainOfMachineSharedByTwoTeamsWaitsForBothBudgets(t *testing.T) {
 	t.Parallel()
 	features := `drains { teams { team: "red" budget { replicas_down: 1 } } teams { team: "blue" budget { replicas_down: 0 } } }`
@@ -75,9 +76,9 @@
 	})
 }
 
-// TestReplicaFailureAfterPermitDelaysNextEviction lets a replica fail by itself at the moment when
-// an eviction permit is stored. The leader learns of the failure before it learns that the permit
-// is stored: the eviction waits until the replica is up again, since the budget is used up.
+// TestReplicaFailureAfterPermitDelaysNextEviction makes a replica fail by itself when an eviction
+// permit is stored. The leader learns of the failure before it learns that the permit is stored. The
+// failure uses up the budget, so the eviction must wait until the failed replica is up again.
 func TestReplicaFailureAfterPermitDelaysNextEviction(t *testing.T) {
 	t.Parallel()
 	drainScenario(t, 3, drainOptions{capacity: 40}, func(t *testing.T, c *drainCluster) {
@@ -120,9 +121,9 @@
 	})
 }
 
-// TestMovedReplicaKeepsItsQuota has a team at its quota, with work of lower urgency waiting: the
-// quota that a moved replica gives up for a moment must not go to that work, or the replica would
-// stay down and the rollout wait forever.
+// TestMovedReplicaKeepsItsQuota drains replicas of a team that is at its quota and has jobs of lower
+// urgency waiting. A replica releases its quota while it moves. If a waiting job took that quota, the
+// replica would stay down and the rollout would wait forever.
 func TestMovedReplicaKeepsItsQuota(t *testing.T) {
 	t.Parallel()
 	drainScenario(t, 4, drainOptions{capacity: 40}, func(t *testing.T, c *drainCluster) {
@@ -130,20 +131,20 @@
 		for i := range 6 {
 			c.submitToAny(0, newJob(fmt.Sprint("job-", 10+i), "array", 1).with("urgency", "low"))
 		}
-		c.sleep(time.Minute) // work of low urgency that has waited long goes before later submissions
+		c.sleep(time.Minute) // jobs of low urgency that have waited long come before later submissions
 		c.startRollout(newRollout("spring"))
 		c.awaitState("spring", rollout.Ended, 6*time.Minute)
 		c.awaitTaskCount(time.Minute, "job-1", 6)
 	})
 }
 
-// TestBlockedDrainWaitsAndReportsReason drains machines whose work can't be moved: nothing is
-// stopped, the reason is reported, and an abort uncordons the machines.
+// TestBlockedDrainWaitsAndReportsReason drains machines whose tasks can't be moved. No task may be
+// stopped, the reason must be reported, and an abort must uncordon the machines.
 func TestBlockedDrainWaitsAndReportsReason(t *testing.T) {
 	t.Parallel()
 	for _, test := range []struct {
 		name, features     string
-		reason             string // part of what is reported
+		reason             string // part of the reported reason
 		budget             teamBudget
 		replicas           int
 		changes            []any // of the service's fields
@@ -182,9 +183,9 @@
 	}
 }
 
-// TestDrainMovesPreemptibleWorkAndRecordsMoves drains machines with arrays of low urgency, work
-// with checkpoints and a gang: all of it goes on elsewhere, and the explanation of a moved job
-// tells so.
+// TestDrainMovesPreemptibleWorkAndRecordsMoves drains machines with an array of low urgency, an array
+// with checkpoints and a gang. All of them must continue on other machines, and the history of a
+// moved job must contain the move.
 func TestDrainMovesPreemptibleWorkAndRecordsMoves(t *testing.T) {
 	t.Parallel()
 	drainScenario(t, 4, drainOptions{capacity: 60}, func(t *testing.T, c *drainCluster) {
@@ -216,9 +217,8 @@
 	})
 }
 
-// TestTasksWithoutCheckpointFinishUnlessDrainDeadlinePasses drains a machine whose tasks can't
-// save a checkpoint: they run to completion, or are stopped after the deadline if the operator
-// chose that.
+// TestTasksWithoutCheckpointFinishUnlessDrainDeadlinePasses drains a machine whose tasks can't save a
+// checkpoint. They must run to completion, or stop after the deadline if the rollout says so.
 func TestTasksWithoutCheckpointFinishUnlessDrainDeadlinePasses(t *testing.T) {
 	t.Parallel()
 	for _, choice := range []rollout.AtDeadline{rollout.WaitAtDeadline, rollout.StopAtDeadline} {
--- a/internal/scenarios/drain_cluster_test.go
+++ b/internal/scenarios/drain_cluster_test.go
@@ -15,34 +15,36 @@
 	"github.com/pebbletrail/pebbletrail/internal/record"
 )
 
-// drainFeatures are the budgets of team red in most scenarios: one replica, two other tasks.
+// drainFeatures is the features file of most scenarios. It allows drains to take down one replica
+// and interrupt two other tasks of team red at a time.
 const drainFeatures = `drains { teams { team: "red" budget { replicas_down: 1 tasks_interrupted: 2 } } }`
 
-// drainCluster is five controllers, a cloud that provisions and deletes machines, and their workers.
+// drainCluster is a cluster of five controllers with a cloud that provisions and deletes machines.
 type drainCluster struct {
 	*testCluster
 	cloud      *fake.Cloud
 	disruption *disruptionRule
 	features   string
-	// bootTime tells how long a machine takes to boot, or neverBoots.
+	// bootTime returns the time that a machine takes to boot, or neverBoots.
 	bootTime func(name string) time.Duration
 
 	listenerMu   sync.Mutex
 	listener     func(event fake.Event)
 	nodes        map[string]*drainNode
-	stopMachine  map[string]context.CancelFunc // of machines that run, by name
-	seenMachines map[string]bool               // machines of the cloud's that runMachines has handled
+	stopMachine  map[string]context.CancelFunc // ends the worker of a running machine, by the machine's name
+	seenMachines map[string]bool               // machines that runMachines has found in the cloud
 }
 
-// drainOptions vary a scenario.
+// drainOptions are the parameters in which drain scenarios differ.
 type drainOptions struct {
-	features string                // empty: drainFeatures
-	budget   map[string]teamBudget // that the rule allows; nil: that of drainFeatures
-	capacity int                   // machines that the cloud can provision
-	teams    []config.Team         // besides red
+	features string                // contents of the features file; empty means drainFeatures
+	budget   map[string]teamBudget // budgets that the disruption rule checks; nil means those of drainFeatures
+	capacity int                   // number of machines that the cloud can provision
+	teams    []config.Team         // teams in addition to red
 }
 
-// drainScenario runs a scenario in a cluster with a number of machines in each of the two zones.
+// drainScenario runs a scenario in a cluster with the given number of machines in each of the two
+// zones.
 func drainScenario(t *testing.T, machines int, options drainOptions, run func(t *testing.T, c *drainCluster)) {
 	scenario(t, func(t *testing.T, base *testCluster) {
 		c := &drainCluster{testCluster: base, cloud: fake.NewCloud(options.capacity), features: options.features,
@@ -76,7 +78,7 @@
 	})
 }
 
-// evictionStored tells whether the eviction of a task's attempt is in the store.
+// evictionStored reports whether the state service holds the permit to evict a task's attempt.
 func (c *drainCluster) evictionStored(task string, attempt uint64) bool {
 	job, number, _ := strings.Cut(task, "/")
 	index, err := strconv.Atoi(number)
@@ -91,8 +93,8 @@
 	return is && evicted == ids.Attempt(attempt)
 }
 
-// startService submits a service, with fields changed as by jobSpec.with, and waits until it has been
-// up for long enough that its replicas count as available.
+// startService submits a service, with fields changed as by jobSpec.with, and waits until its
+// replicas have run long enough to count as available.
 func (c *drainCluster) startService(id string, replicas int, changes ...any) {
 	c.t.Helper()
 	job := newJob(id, "standing", replicas).with("guessS", 0).with(changes...)
@@ -101,7 +103,7 @@
 	time.Sleep(8 * time.Second)
 }
 
-// partitionFromStateService partitions a controller from the state service alone.
+// partitionFromStateService partitions a controller from the state service, but from nothing else.
 func (c *drainCluster) partitionFromStateService(name string) {
 	c.network.SetRule(func(from, to string, _ *http.Request, _ []byte) fake.Outcome {
 		if from == name && to == "state:1" {
--- a/internal/scenarios/drain_commands_test.go
+++ b/internal/scenarios/drain_commands_test.go
@@ -9,9 +9,9 @@
 	"github.com/pebbletrail/pebbletrail/internal/rollout"
 )
 
-// TestConflictingRolloutsBothComplete runs two rollouts while the cloud has no more machines, so
-// that the tasks of one fit only on machines that the other has cordoned. The younger one gives
-// way, and completes once the cloud has machines again.
+// TestConflictingRolloutsBothComplete runs two rollouts while the cloud has no more machines. The
+// tasks of each fit only on machines that the other has cordoned. The rollout that started later must
+// yield, and must complete once the cloud can provision machines again.
 func TestConflictingRolloutsBothComplete(t *testing.T) {
 	t.Parallel()
 	drainScenario(t, 2, drainOptions{capacity: 4}, func(t *testing.T, c *drainCluster) {
@@ -33,9 +33,9 @@
 	})
 }
 
-// TestOverlappingRolloutIsRejected starts rollouts over machines that another rollout has, of the
-// same name with another selection, and of unknown machines; of two starts at the same moment one
-// is accepted.
+// TestOverlappingRolloutIsRejected starts a rollout of machines that belong to another rollout, a
+// rollout with the name of another but a different selection, and a rollout of an unknown machine.
+// Each must be rejected. Of two concurrent starts with the same machines exactly one must be accepted.
 func TestOverlappingRolloutIsRejected(t *testing.T) {
 	t.Parallel()
 	drainScenario(t, 2, drainOptions{capacity: 10, features: `drains { default_budget { replicas_down: 0 } }`, budget: map[string]teamBudget{"red": {0, 1}}},
@@ -55,7 +55,7 @@
 			if _, err := c.follower().rollouts.Start(c.ctx, newRollout("spring", c.machinesIn("north")[0])); err != nil {
 				t.Errorf("the same start again: %v", err)
 			}
-			// Of two starts over the same machine at the same moment one is accepted.
+			// Exactly one of two concurrent starts with the same machines is accepted.
 			results := make(chan error, 2)
 			for i, n := range []*drainNode{c.follower(), c.leader()} {
 				go func() {
@@ -69,8 +69,8 @@
 		})
 }
 
-// TestAbortInAnyRolloutStateLeavesNoMachineCordoned aborts a rollout in each of its states: it
-// ends, all machines are uncordoned and all replicas are up.
+// TestAbortInAnyRolloutStateLeavesNoMachineCordoned aborts a rollout in each of its states. The
+// rollout must end, all machines must be uncordoned and all replicas must be up.
 func TestAbortInAnyRolloutStateLeavesNoMachineCordoned(t *testing.T) {
 	t.Parallel()
 	for name, prepare := range map[string]func(c *drainCluster){
--- a/internal/scenarios/drain_failover_test.go
+++ b/internal/scenarios/drain_failover_test.go
@@ -17,7 +17,7 @@
 	fail func(c *drainCluster, leader string)
 }
 
-// leaderFailures are crashes, partitions and stalls, the latter for longer than its lease.
+// leaderFailures are crashes, partitions and a stall that lasts longer than the leader's lease.
 var leaderFailures = []leaderFailure{
 	{"it crashes", func(c *drainCluster, leader string) { c.stopNode(leader) }},
 	{"it restarts", func(c *drainCluster, leader string) {
@@ -40,7 +40,7 @@
 		c.network.SetRule(func(from, to string, r *http.Request, _ []byte) fake.Outcome {
 			switch {
 			case from == leader && r.URL.Path == "/follow":
-				return fake.Drop // an open watch that would only take time
+				return fake.Drop // a held-back watch would only take time
 			case from == leader:
 				return fake.HoldBack
 			case strings.HasPrefix(to, leader+":"):
@@ -54,16 +54,16 @@
 	}},
 }
 
-// leaderStep is a step of a drain at which the leader is to fail, told by a change in the state
-// service or by a task event.
+// leaderStep is a step of a drain at which the leader is made to fail. A step is recognized by a
+// change in the state service or by a task event.
 type leaderStep struct {
 	name     string
 	onChange func(key string, value json.RawMessage) bool
 	onEvent  func(event fake.Event, drained bool) bool
 }
 
-// leaderSteps are the steps between an eviction's permit, the stop, the new start and the return of
-// the permit, and those of a wave.
+// leaderSteps are the steps of an eviction from its permit to the new start, after which the permit
+// is returned, and the steps of a wave.
 var leaderSteps = []leaderStep{
 	{name: "the permit is stored", onChange: func(key string, value json.RawMessage) bool {
 		return strings.HasPrefix(key, "job/") && strings.Contains(string(value), `"evictions"`)
@@ -78,7 +78,7 @@
 	}},
 }
 
-// notify signals a listener, unless its last signal is still pending.
+// notify sends a signal to a listener, unless an earlier signal is still pending.
 func notify(listener chan struct{}) {
 	select {
 	case listener <- struct{}{}:
@@ -86,7 +86,7 @@
 	}
 }
 
-// failLeaderAt has the leader fail at a step, the first few times that it comes.
+// failLeaderAt makes the leader fail when a step is reached, up to the given number of times.
 func (c *drainCluster) failLeaderAt(step leaderStep, times int, fail func(c *drainCluster, leader string)) {
 	reached := c.signalStep(step)
 	go func() {
@@ -107,7 +107,7 @@
 	}()
 }
 
-// signalStep returns a channel that is signalled each time a step is reached.
+// signalStep returns a channel that receives a signal when a step is reached.
 func (c *drainCluster) signalStep(step leaderStep) chan struct{} {
 	reached := make(chan struct{}, 1)
 	if step.onChange != nil {
@@ -149,8 +149,8 @@
 	}
 }
 
-// TestLeaderFailureDuringDrainStepRepeatsNoEviction has the leader fail in each way at each step
-// of a drain: no eviction is repeated, and no cordon or eviction is left over.
+// TestLeaderFailureDuringDrainStepRepeatsNoEviction makes the leader fail in each way at each step of
+// a drain. No eviction may be repeated, and no machine may stay cordoned and no eviction recorded.
 func TestLeaderFailureDuringDrainStepRepeatsNoEviction(t *testing.T) {
 	t.Parallel()
 	for _, step := range leaderSteps {
@@ -176,8 +176,8 @@
 	}
 }
 
-// TestEvictionPermitStoredAfterFailoverIsVoid delays the transaction that stores an eviction
-// permit until the successor has written: the permit must not count.
+// TestEvictionPermitStoredAfterFailoverIsVoid delays the transaction that stores an eviction permit
+// until the leader has crashed and its successor has written. The late permit must have no effect.
 func TestEvictionPermitStoredAfterFailoverIsVoid(t *testing.T) {
 	t.Parallel()
 	drainScenario(t, 4, drainOptions{capacity: 40}, func(t *testing.T, c *drainCluster) {
--- a/internal/scenarios/drain_failures_test.go
+++ b/internal/scenarios/drain_failures_test.go
@@ -10,8 +10,8 @@
 	"github.com/pebbletrail/pebbletrail/internal/rollout"
 )
 
-// TestRolloutCompletesDespiteFailuresDuringDrain lets machines, a zone, the state service or all
-// controllers fail while a machine is drained: the rollout completes with all replicas up.
+// TestRolloutCompletesDespiteFailuresDuringDrain makes a machine, a zone, the state service or all
+// controllers fail while a machine is drained. The rollout must complete with all replicas up.
 func TestRolloutCompletesDespiteFailuresDuringDrain(t *testing.T) {
 	t.Parallel()
 	for _, failure := range []struct {
@@ -83,8 +83,8 @@
 	}
 }
 
-// TestDelayedHeartbeatsOfDrainedMachineChangeNothing delivers copies of a machine's heartbeats
-// after the machine was drained and returned.
+// TestDelayedHeartbeatsOfDrainedMachineChangeNothing delivers copies of a machine's heartbeats after
+// the machine was drained and returned to the cloud. They must not affect the moved replicas.
 func TestDelayedHeartbeatsOfDrainedMachineChangeNothing(t *testing.T) {
 	t.Parallel()
 	drainScenario(t, 3, drainOptions{capacity: 40}, func(t *testing.T, c *drainCluster) {
@@ -99,8 +99,8 @@
 	})
 }
 
-// TestJobCancelledDuringDrainWaveStopsInTime cancels a service once an eviction of a wave is
-// stored: it stops within the limit, and the rollout completes.
+// TestJobCancelledDuringDrainWaveStopsInTime cancels a service once an eviction of a wave is stored.
+// The service must stop within the limit, and the rollout must complete.
 func TestJobCancelledDuringDrainWaveStopsInTime(t *testing.T) {
 	t.Parallel()
 	drainScenario(t, 3, drainOptions{capacity: 40}, func(t *testing.T, c *drainCluster) {
--- a/internal/scenarios/drain_machines_test.go
+++ b/internal/scenarios/drain_machines_test.go
@@ -14,7 +14,7 @@
 // neverBoots is the boot time of a machine that never boots.
 const neverBoots time.Duration = -1
 
-// provision has the cloud provision machines that no controller requested.
+// provision makes the cloud provision machines that no controller requested.
 func (c *drainCluster) provision(request, zone string, count int) {
 	body := fmt.Sprintf(`{"hire":%q,"build":"small","yard":%q,"loaners":false,"count":%d}`, request, zone, count)
 	res, err := c.network.Client("test").Post("http://cloud:1/hosts", "application/json", strings.NewReader(body))
@@ -23,7 +23,7 @@
 	}
 }
 
-// runMachines boots the machines that the cloud provisions, until the scenario ends.
+// runMachines boots the machines that the cloud has provisioned, until the scenario ends.
 func (c *drainCluster) runMachines() {
 	for c.ctx.Err() == nil {
 		for _, host := range c.cloud.Machines() {
@@ -66,7 +66,7 @@
 	go worker.Run(ctx)
 }
 
-// notifyListener passes an event on to the scenario's listener, if it has one.
+// notifyListener passes an event to the scenario's listener, if it has one.
 func (c *drainCluster) notifyListener(event fake.Event) {
 	c.listenerMu.Lock()
 	defer c.listenerMu.Unlock()
@@ -75,7 +75,7 @@
 	}
 }
 
-// terminateMachine ends a machine with everything on it, if it runs.
+// terminateMachine ends a machine, if it runs, together with all its tasks.
 func (c *drainCluster) terminateMachine(name string) {
 	c.mu.Lock()
 	cancel := c.stopMachine[name]
@@ -89,7 +89,7 @@
 	c.workerNamed(name).Terminate()
 }
 
-// machinesIn names the running machines of a zone, in order.
+// machinesIn returns the names of the running machines of a zone, sorted.
 func (c *drainCluster) machinesIn(zone string) (names []ids.Machine) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -102,7 +102,7 @@
 	return names
 }
 
-// cordonedCount counts the machines that the leader has cordoned: -1 without a leader.
+// cordonedCount returns the number of machines that the leader has cordoned, or -1 without a leader.
 func (c *drainCluster) cordonedCount() int {
 	leader := c.leader()
 	if leader == nil {
@@ -111,7 +111,7 @@
 	return leader.elector.Cluster().Summary()["cordoned"].(int)
 }
 
-// runningCount counts the tasks of a job that are on machines.
+// runningCount returns the number of tasks of a job that run on machines.
 func (c *drainCluster) runningCount(id string) (n int) {
 	for _, worker := range c.listWorkers() {
 		for _, task := range worker.ActiveTasks() {
@@ -123,13 +123,13 @@
 	return n
 }
 
-// awaitTaskCount waits until so many tasks of a job are on machines.
+// awaitTaskCount waits until the given number of tasks of a job run on machines.
 func (c *drainCluster) awaitTaskCount(timeout time.Duration, job string, tasks int) {
 	c.t.Helper()
 	c.eventually(timeout, fmt.Sprintf("%d tasks of %s run", tasks, job), func() bool { return c.runningCount(job) == tasks })
 }
 
-// awaitNoneCordoned waits until a leader has no machine cordoned.
+// awaitNoneCordoned waits until there is a leader that has no machine cordoned.
 func (c *drainCluster) awaitNoneCordoned(timeout time.Duration) {
 	c.t.Helper()
 	c.eventually(timeout, "no machine is cordoned", func() bool { return c.cordonedCount() == 0 })
--- a/internal/scenarios/drain_node_test.go
+++ b/internal/scenarios/drain_node_test.go
@@ -22,7 +22,7 @@
 	rollouts *rollout.Service
 }
 
-// drainSettings are a node's settings.
+// drainSettings returns the settings of a node.
 func (c *drainCluster) drainSettings(name string) *config.Settings {
 	settings := c.fiveNodeSettings(name)
 	if err := settings.ParseFeatures([]byte(c.features)); err != nil {
@@ -31,7 +31,7 @@
 	return settings
 }
 
-// startNode starts a controller that carries out rollouts and provisions machines while it leads.
+// startNode starts a controller that executes rollouts and provisions machines while it leads.
 func (c *drainCluster) startNode(name string) *drainNode {
 	n := &drainNode{process: c.newProcess(name, c.drainSettings(name), fiveNodeBudget()), cluster: c}
 	rolloutCache := state.NewWatchCache(n.store, rollout.Prefix, 200*time.Millisecond)
@@ -58,7 +58,7 @@
 	return n
 }
 
-// provision has the leader provision and delete machines until its term ends.
+// provision provisions and deletes machines for the leader until its term ends.
 func (n *drainNode) provision(ctx context.Context, term *election.Term) {
 	provisioner := &fleet.Provisioner{
 		Cloud:             fleet.NewCloud("cloud:1", n.cluster.network.Client(n.name), 20),
@@ -73,7 +73,7 @@
 	provisioner.Run(ctx)
 }
 
-// stopNode ends a node, if it runs, as a lost process does.
+// stopNode ends a node, if it runs, without a handover, as the loss of its process would.
 func (c *drainCluster) stopNode(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -108,7 +108,8 @@
 	return nil
 }
 
-// AllStopped tells whether every other running node can be reached and has been superseded.
+// AllStopped reports whether every other running node can be reached and confirms that it answers no
+// heartbeats under an older generation. It asks all of them, also after one has not confirmed.
 func (n *drainNode) AllStopped(_ context.Context, generation ids.Generation, _ ...ids.Node) bool {
 	n.cluster.mu.Lock()
 	defer n.cluster.mu.Unlock()
@@ -121,17 +122,17 @@
 	return all
 }
 
-// Alone is never true: of five controllers some are always up.
+// Alone returns false, because some of the five controllers are always up.
 func (n *drainNode) Alone() bool { return false }
 
-// Served tells whether another node runs.
+// Served reports whether another node runs.
 func (n *drainNode) Served(node ids.Node) bool {
 	n.cluster.mu.Lock()
 	defer n.cluster.mu.Unlock()
 	return n.cluster.nodes[string(node)] != nil
 }
 
-// PlanDrain asks the leader for a plan.
+// PlanDrain returns the leader's preview of a rollout.
 func (n *drainNode) PlanDrain(_ context.Context, spec *rollout.Spec) (*rollout.Preview, error) {
 	leader := n.cluster.leader()
 	if leader == nil {
@@ -140,7 +141,7 @@
 	return rollout.NewPreview(spec, leader.elector.Cluster().RolloutPlanner(), time.Now())
 }
 
-// DrainWaits asks the leader what blocks the drain of each machine.
+// DrainWaits returns the reasons that block the drain of each machine, as known to the leader.
 func (n *drainNode) DrainWaits(context.Context) (map[ids.Machine][]string, error) {
 	leader := n.cluster.leader()
 	if leader == nil {
--- a/internal/scenarios/drain_replacement_test.go
+++ b/internal/scenarios/drain_replacement_test.go
@@ -10,8 +10,8 @@
 	"github.com/pebbletrail/pebbletrail/internal/rollout"
 )
 
-// TestRolloutReplacesMachinesInWaves replaces the machines of a zone, with the replacements
-// provisioned before or after the drain.
+// TestRolloutReplacesMachinesInWaves replaces the machines of a zone in waves. With surge the
+// replacements of a wave are provisioned before its drain, else after it.
 func TestRolloutReplacesMachinesInWaves(t *testing.T) {
 	t.Parallel()
 	for _, surge := range []bool{true, false} {
@@ -40,13 +40,13 @@
 	}
 }
 
-// TestFailedReplacementMachineHaltsRollout has the first replacement never boot, or die while it
-// is observed: the rollout halts, and goes on only when an operator resumes it.
+// TestFailedReplacementMachineHaltsRollout makes the first replacement fail to boot, or terminate
+// while it is observed. The rollout must halt, and must continue only when an operator resumes it.
 func TestFailedReplacementMachineHaltsRollout(t *testing.T) {
 	t.Parallel()
 	for _, failure := range []struct {
 		name   string
-		reason string // part of why the rollout halts
+		reason string // part of the reason for which the rollout halts
 		boots  func(name string) time.Duration
 		after  func(c *drainCluster, name string)
 	}{
@@ -103,8 +103,8 @@
 	}
 }
 
-// TestReplacementMachineWithFailingTasksHaltsRollout has the moved tasks fail again and again on
-// the replacement, the only machine they fit on.
+// TestReplacementMachineWithFailingTasksHaltsRollout makes the moved tasks fail repeatedly on the
+// replacement, the only machine on which they fit. The rollout must halt.
 func TestReplacementMachineWithFailingTasksHaltsRollout(t *testing.T) {
 	t.Parallel()
 	drainScenario(t, 1, drainOptions{capacity: 3}, func(t *testing.T, c *drainCluster) {
@@ -129,17 +129,18 @@
 	})
 }
 
-// TestRolloutWaitsForCloudCapacity takes the cloud or its capacity away. With surge nothing is
-// stopped meanwhile: the wave halts at its deadline, and goes on when it is resumed. Machines
-// drained before wait for the cloud to confirm their return.
+// TestRolloutWaitsForCloudCapacity makes the cloud unavailable or takes its capacity away during a
+// rollout with surge. No task may be stopped meanwhile. The wave must halt at its deadline and
+// continue when it is resumed. Machines that are drained already must wait until the cloud confirms
+// their return.
 func TestRolloutWaitsForCloudCapacity(t *testing.T) {
 	t.Parallel()
 	for _, test := range []struct {
 		name  string
 		begin func(c *drainCluster)
 		end   func(c *drainCluster)
-		after bool // the outage begins once the wave's replacement is provisioned
-		wave  int  // machines in it
+		after bool // whether the outage begins only once the wave's replacement is provisioned
+		wave  int  // number of machines in a wave
 	}{
 		{"down", func(c *drainCluster) { c.cloud.SetDown(true) }, func(c *drainCluster) { c.cloud.SetDown(false) }, false, 1},
 		{"down in the middle of a wave", func(c *drainCluster) { c.cloud.SetDown(true) }, func(c *drainCluster) { c.cloud.SetDown(false) }, true, 1},
--- a/internal/scenarios/drain_rollout_test.go
+++ b/internal/scenarios/drain_rollout_test.go
@@ -9,7 +9,8 @@
 	"github.com/pebbletrail/pebbletrail/internal/rollout"
 )
 
-// newRollout describes a drain of the machines named, or else of those in the north.
+// newRollout returns a rollout that drains the machines named, or all machines in zone north if none
+// is named.
 func newRollout(name string, machines ...ids.Machine) *rollout.Spec {
 	spec := &rollout.Spec{Name: rollout.Name(name), WaveSize: 2, Deadline: 60, AtDeadline: rollout.WaitAtDeadline}
 	if spec.Select.Machines = machines; len(machines) == 0 {
@@ -18,14 +19,15 @@
 	return spec
 }
 
-// newReplacement describes a rollout that replaces the machines that are in the north now.
+// newReplacement returns a rollout that replaces the machines that run in zone north at the time of
+// the call.
 func newReplacement(name string, c *drainCluster) *rollout.Spec {
 	spec := newRollout(name, c.machinesIn("north")...)
 	spec.Replace, spec.Surge, spec.Observe = true, true, 20
 	return spec
 }
 
-// startRollout starts a rollout at a controller that does not lead.
+// startRollout starts a rollout through a controller that does not lead.
 func (c *drainCluster) startRollout(spec *rollout.Spec) {
 	c.t.Helper()
 	if err := c.callUntilAvailable(func(n *drainNode) error { _, err := n.rollouts.Start(c.ctx, spec); return err }); err != nil {
@@ -33,7 +35,7 @@
 	}
 }
 
-// execute gives a command for a rollout at a controller that does not lead.
+// execute sends a command for a rollout through a controller that does not lead.
 func (c *drainCluster) execute(name string, command rollout.Command) {
 	c.t.Helper()
 	err := c.callUntilAvailable(func(n *drainNode) error { _, err := n.rollouts.Execute(c.ctx, rollout.Name(name), command); return err })
@@ -42,7 +44,8 @@
 	}
 }
 
-// callUntilAvailable calls a controller until one can answer.
+// callUntilAvailable calls a controller that does not lead, once a second, until the rollout service
+// is available there.
 func (c *drainCluster) callUntilAvailable(call func(n *drainNode) error) (err error) {
 	for range 30 {
 		if err = call(c.follower()); err == nil || !strings.Contains(err.Error(), rollout.ErrUnavailable.Error()) {
@@ -53,13 +56,13 @@
 	return err
 }
 
-// rolloutRecord is how a rollout is stored.
+// rolloutRecord returns the stored record of a rollout.
 func (c *drainCluster) rolloutRecord(name string) (r rollout.Record) {
-	_ = json.Unmarshal(c.store.Value("rollout/run/"+name), &r) // a rollout that isn't stored yet has no state
+	_ = json.Unmarshal(c.store.Value("rollout/run/"+name), &r) // the record of a rollout that isn't stored yet stays zero
 	return r
 }
 
-// awaitState waits until a rollout has a state.
+// awaitState waits until a rollout is in the given state.
 func (c *drainCluster) awaitState(name string, want rollout.State, timeout time.Duration) {
 	c.t.Helper()
 	for end := time.Now().Add(timeout); c.rolloutRecord(name).State != want; {
@@ -72,13 +75,14 @@
 	}
 }
 
-// awaitBlocker waits until some machine waits for a reason with a text in it.
+// awaitBlocker waits until the drain of some machine is blocked for a reason that contains the text.
 func (c *drainCluster) awaitBlocker(text string) {
 	c.t.Helper()
 	c.eventually(time.Minute, "a drain is blocked: "+text, func() bool { return c.isBlockedBy(text) })
 }
 
-// isBlockedBy tells whether some machine waits for a reason with a text in it.
+// isBlockedBy reports whether the drain of some machine is blocked for a reason that contains the
+// text.
 func (c *drainCluster) isBlockedBy(text string) bool {
 	blockers, err := c.follower().DrainWaits(c.ctx)
 	if err != nil {
--- a/internal/scenarios/fault_cluster_test.go
+++ b/internal/scenarios/fault_cluster_test.go
@@ -12,12 +12,12 @@
 	"github.com/pebbletrail/pebbletrail/internal/fake"
 )
 
-// faultCluster is a testCluster with network faults, records of all heartbeats, and users that poll
-// the status of all accepted jobs at both nodes twice a second.
+// faultCluster is a testCluster with network faults and a copy of each heartbeat. Its users poll the
+// status of all accepted jobs at both nodes twice a second.
 type faultCluster struct {
 	*testCluster
 	mu         sync.Mutex
-	jobs       []string            // accepted ones, which users ask about
+	jobs       []string            // accepted ones, whose status users poll
 	heartbeats map[string][][]byte // bodies of all heartbeats, by worker
 }
 
@@ -41,7 +41,8 @@
 	})
 }
 
-// setFaults sets the network's rule, nil for none, and goes on recording the workers' heartbeats.
+// setFaults sets the network's fault rule, nil for none, and keeps recording the workers'
+// heartbeats. Heartbeats delivered by deliverToControllers are not recorded.
 func (c *faultCluster) setFaults(faults func(from, to string, r *http.Request, body []byte) fake.Outcome) {
 	c.network.SetRule(func(from, to string, r *http.Request, body []byte) fake.Outcome {
 		if name, _, ok := strings.Cut(from, ":"); ok && isHeartbeat(r) && name != "late" {
@@ -56,7 +57,7 @@
 	})
 }
 
-// partitionKind is how machines are partitioned from the controllers.
+// partitionKind is a way in which machines are partitioned from the controllers.
 type partitionKind string
 
 // The kinds of partition.
@@ -64,13 +65,13 @@
 	noPartition       partitionKind = ""                    // none
 	connectionRefused partitionKind = "connections refused" // in both directions
 	packetsDropped    partitionKind = "packets dropped"     // in both directions
-	requestsHeldBack  partitionKind = "requests held back"  // in both directions, until the network heals
-	inboundLost       partitionKind = "inbound lost"        // heartbeats arrive; their responses and direct commands don't
-	outboundRefused   partitionKind = "outbound refused"    // direct commands arrive; heartbeats don't
-	machinesHang      partitionKind = "machines hang"       // none: the scenario has the machines hang instead
+	requestsHeldBack  partitionKind = "requests held back"  // in both directions, until heal is called
+	inboundLost       partitionKind = "inbound lost"        // heartbeats arrive; responses and commands don't
+	outboundRefused   partitionKind = "outbound refused"    // commands arrive; heartbeats don't
+	machinesHang      partitionKind = "machines hang"       // no network fault: the machines hang instead
 )
 
-// partition partitions machines from the controllers, until the network heals.
+// partition partitions machines from the controllers until heal is called.
 func (c *faultCluster) partition(kind partitionKind, machines ...string) {
 	c.setFaults(func(from, to string, _ *http.Request, _ []byte) fake.Outcome {
 		for _, machine := range machines {
@@ -83,7 +84,7 @@
 	})
 }
 
-// outcome is what happens to a request from a partitioned machine, or to one.
+// outcome returns the outcome of a request that a partitioned machine sends (outbound) or receives.
 func (k partitionKind) outcome(outbound bool) fake.Outcome {
 	switch {
 	case k == connectionRefused, k == outboundRefused && outbound:
@@ -98,7 +99,7 @@
 	return fake.Deliver
 }
 
-// heal ends all network faults and delivers what was held back.
+// heal ends all network faults and delivers the requests that were held back.
 func (c *faultCluster) heal() {
 	c.setFaults(nil)
 	c.network.ReleaseHeld()
@@ -109,7 +110,7 @@
 	for _, node := range nodeNames {
 		req, _ := http.NewRequestWithContext(c.ctx, "POST", "http://"+apiAddress(node)+"/agent/beat", bytes.NewReader(heartbeat))
 		if res, err := c.network.Client("late:1").Do(req); err == nil {
-			_ = res.Body.Close() // of a response in memory
+			_ = res.Body.Close() // the response is in memory: Close can't fail
 		}
 	}
 }
@@ -121,7 +122,7 @@
 	return c.heartbeats[worker][len(c.heartbeats[worker])-1]
 }
 
-// submitJob submits a job at a node until it is accepted, and has users poll it from then on.
+// submitJob submits a job at a node until the job is accepted. Users poll its status from then on.
 func (c *faultCluster) submitJob(node string, job jobSpec) {
 	c.t.Helper()
 	c.eventually(20*time.Second, "accepted", func() bool {
@@ -152,7 +153,7 @@
 	}
 }
 
-// completeTask has a task complete on the machine it is on.
+// completeTask completes a task on the machine on which it runs, and reports whether it ran on any.
 func (c *faultCluster) completeTask(task string) bool {
 	for _, worker := range c.workers {
 		if worker.EndTask(task, "done") {
@@ -162,7 +163,7 @@
 	return false
 }
 
-// completeJobs has all running tasks complete until the jobs are done.
+// completeJobs completes all running tasks until both nodes report the jobs as done.
 func (c *faultCluster) completeJobs(jobs ...string) {
 	c.t.Helper()
 	for _, id := range jobs {
@@ -177,14 +178,14 @@
 	}
 }
 
-// awaitLeader waits until a node leads, and returns it.
+// awaitLeader waits until some node leads, and returns that node.
 func (c *faultCluster) awaitLeader() *testNode {
 	c.t.Helper()
 	c.awaitAnyLeader(20 * time.Second)
 	return c.leader()
 }
 
-// restartLeader kills the leader, and starts its node again after the downtime.
+// restartLeader kills the leader and starts its node again after the downtime.
 func (c *faultCluster) restartLeader(downtime time.Duration) {
 	c.t.Helper()
 	leader := c.awaitLeader()
--- a/internal/scenarios/fault_injector_test.go
+++ b/internal/scenarios/fault_injector_test.go
@@ -8,7 +8,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/fake"
 )
 
-// concurrentFaults is how many faults a faultInjector has at a time.
+// concurrentFaults is the number of faults that a faultInjector can inject at a time.
 const concurrentFaults = 2
 
 // faultInjector injects random faults, several at a time.
@@ -18,17 +18,17 @@
 	machines []string
 
 	mu    sync.Mutex
-	rules [concurrentFaults]fake.Rule // the network faults, by the slot of each fault
+	rules [concurrentFaults]fake.Rule // the network fault of each slot, nil for none
 }
 
-// newFaultInjector takes over the rule of the cluster's network.
+// newFaultInjector returns an injector that replaces the rule of the cluster's network.
 func newFaultInjector(c *testCluster, random *randomSource, machines []string) *faultInjector {
 	injector := &faultInjector{cluster: c, random: random, machines: machines}
 	c.network.SetRule(injector.outcome)
 	return injector
 }
 
-// outcome is that of the first network fault that concerns a request.
+// outcome returns the outcome of the first network fault that affects a request.
 func (i *faultInjector) outcome(from, to string, r *http.Request, body []byte) fake.Outcome {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -49,14 +49,14 @@
 	i.rules[slot] = rule
 }
 
-// setRuleFor sets the network fault of a slot for a while.
+// setRuleFor sets the network fault of a slot, and removes it after the duration.
 func (i *faultInjector) setRuleFor(duration time.Duration, slot int, rule fake.Rule) {
 	i.setRule(slot, rule)
 	time.Sleep(duration)
 	i.setRule(slot, nil)
 }
 
-// inject injects a random fault for 2 to 28 s, and returns when it is over.
+// inject injects a random fault for 2 to 28 s, and returns when the fault has ended.
 func (i *faultInjector) inject(slot int) {
 	machine, kind, duration := i.machines[i.random.intn(len(i.machines))], i.random.intn(11), i.random.milliseconds(2000, 28000)
 	switch kind {
@@ -89,22 +89,22 @@
 	}
 }
 
-// hang has a machine hang.
+// hang makes a machine hang for the duration.
 func (i *faultInjector) hang(machine string, duration time.Duration) {
 	i.cluster.workerNamed(machine).SetHung(true)
 	time.Sleep(duration)
 	i.cluster.workerNamed(machine).SetHung(false)
 }
 
-// disturbMachine applies a rule to the traffic of a machine, and delivers what was held back up to
-// 3 s after its end.
+// disturbMachine applies a rule to the traffic of a machine, and delivers the requests that were
+// held back up to 3 s after the end of the rule.
 func (i *faultInjector) disturbMachine(slot int, rule fake.Rule, duration time.Duration) {
 	i.setRuleFor(duration, slot, rule)
 	time.Sleep(i.random.milliseconds(0, 3000))
 	i.cluster.network.ReleaseHeld()
 }
 
-// refuseLeader has the state service refuse the leader alone.
+// refuseLeader makes the state service refuse the requests of the leader alone.
 func (i *faultInjector) refuseLeader(duration time.Duration) {
 	leader := i.cluster.leader()
 	if leader == nil {
@@ -115,7 +115,7 @@
 	i.cluster.store.RefuseCaller(leader.name, false)
 }
 
-// restartNode kills either node, if it runs, and starts it again.
+// restartNode kills a random node, if it runs, and starts it again.
 func (i *faultInjector) restartNode() {
 	i.cluster.mu.Lock()
 	node := i.cluster.nodes[i.random.node()]
@@ -128,7 +128,7 @@
 	i.cluster.startNode(node.name)
 }
 
-// disturbCommits gives one commit in four another outcome than delivery.
+// disturbCommits returns a rule that gives one commit in four the outcome in place of delivery.
 func (i *faultInjector) disturbCommits(outcome fake.Outcome) fake.Rule {
 	return func(_, _ string, r *http.Request, _ []byte) fake.Outcome {
 		if isCommit(r) && i.random.intn(4) == 0 {
--- a/internal/scenarios/five_nodes_test.go
+++ b/internal/scenarios/five_nodes_test.go
@@ -8,10 +8,10 @@
 	"github.com/pebbletrail/pebbletrail/internal/state"
 )
 
-// fiveNodeNames are the controllers of scenarios with rollouts or with several shards.
+// fiveNodeNames lists the controllers of scenarios with rollouts or with several shards.
 var fiveNodeNames = []string{"a", "b", "c", "d", "e"}
 
-// fiveNodeSettings are those of one of five controllers, without features.
+// fiveNodeSettings returns the settings of one of five controllers, without features.
 func (c *testCluster) fiveNodeSettings(name string) *config.Settings {
 	settings := c.nodeSettings("a")
 	settings.HostName, settings.Peers = ids.Node(name), nil
@@ -23,11 +23,11 @@
 	return settings
 }
 
-// fiveNodeBudget is the budget of one of five controllers for the state service.
+// fiveNodeBudget returns the request budget of one of five controllers at the state service.
 func fiveNodeBudget() *state.Budget { return state.NewBudget(800, 400, 5, 0.6) }
 
-// submitToAny submits a job to the five controllers in turn, from the first given on, until one
-// accepts it.
+// submitToAny submits a job to the five controllers in turn, beginning with the one at index first,
+// until one accepts it.
 func (c *testCluster) submitToAny(first int, job jobSpec) {
 	c.t.Helper()
 	for try := range 60 {
--- a/internal/scenarios/jobs_test.go
+++ b/internal/scenarios/jobs_test.go
@@ -7,18 +7,19 @@
 	"time"
 )
 
-// jobSpec is what a user submits, by the names of the API's fields. It is a map so that a test can
+// jobSpec is the body of a submission, by field names of the API. It is a map so that a test can
 // leave a field out or give it a value of the wrong type.
 type jobSpec map[string]any
 
-// newJob describes a job of team red with tasks of one core.
+// newJob returns a job of team red whose tasks need one core each.
 func newJob(id, shape string, tasks int) jobSpec {
 	return jobSpec{"uid": id, "jobkind": "c", "owner": "red", "shape": shape, "urgency": "normal", "pieces": tasks,
 		"cores": 1, "accelerators": 0, "ramGb": 1, "bundle": "img", "pullGb": 1, "together": false, "spread": false,
 		"loaners": false, "guessS": 10, "bookmarkS": 0, "stashS": 0}
 }
 
-// newSmallJob describes a job with a task so small that hundreds of them run at once.
+// newSmallJob returns a job with a single task that needs so little that hundreds of them run at
+// the same time.
 func newSmallJob(id string) jobSpec {
 	return newJob(id, "array", 1).with("cores", 0.02, "ramGb", 0.05)
 }
@@ -26,7 +27,7 @@
 // id returns the ID of the job.
 func (j jobSpec) id() string { return j["uid"].(string) }
 
-// with sets fields, given as names and values in turn, and returns the job itself.
+// with sets fields, given as alternating names and values, and returns the job itself.
 func (j jobSpec) with(fields ...any) jobSpec {
 	for i := 0; i < len(fields); i += 2 {
 		j[fields[i].(string)] = fields[i+1]
@@ -34,7 +35,7 @@
 	return j
 }
 
-// dependingOn makes the job wait for others, and returns the job itself.
+// dependingOn makes the job depend on others, and returns the job itself.
 func (j jobSpec) dependingOn(jobs ...string) jobSpec { return j.with("awaits", jobs) }
 
 // submitChain submits jobs 1 to n, each of which depends on the one before.
@@ -45,7 +46,8 @@
 	}
 }
 
-// submitFanIn submits many jobs, one that depends on all of them, and one that depends on that.
+// submitFanIn submits count small jobs, a job that depends on all of them, and a job that depends on
+// the latter. It returns the IDs of the small jobs.
 func (c *testCluster) submitFanIn(random *randomSource, count int) (needed []string) {
 	c.t.Helper()
 	for i := range count {
@@ -61,7 +63,7 @@
 	return needed
 }
 
-// completeJob has every task of a job that is on a machine complete.
+// completeJob completes every running task of a job.
 func (c *testCluster) completeJob(job string) {
 	for _, worker := range c.workers {
 		for _, task := range worker.ActiveTasks() {
@@ -72,7 +74,8 @@
 	}
 }
 
-// completeTasksUntil has every task complete a random time after its start, until stopped.
+// completeTasksUntil completes every task a random time after it was first seen, until the channel
+// is closed or the scenario ends.
 func (c *testCluster) completeTasksUntil(stop <-chan struct{}, random *randomSource, minMS, maxMS int) {
 	endTimes := map[string]time.Time{}
 	for {
@@ -95,8 +98,8 @@
 	}
 }
 
-// completeRandomTasks has each running task whose name begins with a prefix complete with a chance
-// of one in so many, every second until the scenario ends.
+// completeRandomTasks completes, every second until the scenario ends, each running task whose name
+// begins with the prefix with a probability of one in oneIn.
 func (c *testCluster) completeRandomTasks(prefix string, oneIn int, rng *rand.Rand) {
 	for c.ctx.Err() == nil {
 		select {
@@ -114,7 +117,8 @@
 	}
 }
 
-// completeTasksAfter has every task complete a time after it was first seen, until stopped.
+// completeTasksAfter completes every task the given duration after it was first seen, until the
+// channel is closed or the scenario ends.
 func (c *testCluster) completeTasksAfter(duration time.Duration, stop <-chan struct{}) {
 	seen := map[string]time.Time{}
 	for {
--- a/internal/scenarios/main_test.go
+++ b/internal/scenarios/main_test.go
@@ -6,8 +6,9 @@
 	"testing"
 )
 
-// The scenarios keep little and throw away much, most of it in the fakes: collecting
-// it at every doubling of a few megabytes took half of their time.
+// TestMain lets the heap grow to five times its live size between garbage collections. The
+// scenarios keep little memory and allocate much, most of it in the fakes: collecting at every
+// doubling of a few megabytes took half of their time.
 func TestMain(m *testing.M) {
 	debug.SetGCPercent(400)
 	os.Exit(m.Run())
--- a/internal/scenarios/network_test.go
+++ b/internal/scenarios/network_test.go
@@ -9,14 +9,14 @@
 	"github.com/pebbletrail/pebbletrail/internal/fake"
 )
 
-// isBetween tells whether a request goes between two hosts, in either direction. Hosts are given
-// without their ports.
+// isBetween reports whether a request goes between two hosts, in either direction. The names of
+// the two hosts are given without a port.
 func isBetween(from, to, first, second string) bool {
 	is := func(host, name string) bool { return host == name || strings.HasPrefix(host, name+":") }
 	return is(from, first) && is(to, second) || is(from, second) && is(to, first)
 }
 
-// isPartitioned tells whether a request from one node to another would not be delivered.
+// isPartitioned reports whether the network would not deliver a request from one node to another.
 func (c *testCluster) isPartitioned(from, to string) bool {
 	rule := c.network.CurrentRule()
 	if rule == nil {
@@ -26,7 +26,8 @@
 	return rule(from, to, r, nil) != fake.Deliver
 }
 
-// setRandomLatency makes calls take a few milliseconds, and one in twenty a few hundred.
+// setRandomLatency gives the network a latency of 1 to 8 ms, and of 50 to 200 ms for one request in
+// twenty.
 func (c *testCluster) setRandomLatency(random *randomSource) {
 	latency := func() time.Duration {
 		if random.intn(20) == 0 {
@@ -37,7 +38,8 @@
 	c.latency.Store(&latency)
 }
 
-// duplicateHeartbeats has every heartbeat of a worker duplicated, for delivery later.
+// duplicateHeartbeats makes the network keep a copy of every heartbeat of a worker for later
+// delivery.
 func (c *testCluster) duplicateHeartbeats(worker string) {
 	c.network.SetRule(func(from, _ string, r *http.Request, _ []byte) fake.Outcome {
 		if strings.HasPrefix(from, worker+":") && isHeartbeat(r) {
@@ -47,38 +49,39 @@
 	})
 }
 
-// isHeartbeat tells whether a request is a worker's heartbeat.
+// isHeartbeat reports whether a request is a worker's heartbeat.
 func isHeartbeat(r *http.Request) bool { return r.URL.Path == "/agent/beat" }
 
-// isStartCommand tells whether a request has a worker start a task.
+// isStartCommand reports whether a request commands a worker to start a task.
 func isStartCommand(r *http.Request, body []byte) bool {
 	return r.URL.Path == "/commands" && strings.Contains(string(body), `"start"`)
 }
 
-// isCommit tells whether a request is a transaction to the state service.
+// isCommit reports whether a request sends a transaction to the state service.
 func isCommit(r *http.Request) bool { return r.URL.Path == "/commit" }
 
-// isAssignment tells whether a request commits assignments of tasks.
+// isAssignment reports whether a request commits assignments of tasks.
 func isAssignment(r *http.Request, body []byte) bool {
 	return isCommit(r) && strings.Contains(string(body), `"places"`)
 }
 
-// isEviction tells whether a request commits permits for evictions.
+// isEviction reports whether a request commits permits for evictions.
 func isEviction(r *http.Request, body []byte) bool {
 	return isCommit(r) && strings.Contains(string(body), `"evictions"`)
 }
 
-// removesWaitingJobs tells whether a request commits that jobs no longer wait for dependencies.
+// removesWaitingJobs reports whether a request commits that jobs no longer wait for dependencies.
 func removesWaitingJobs(r *http.Request, body []byte) bool {
 	return isCommit(r) && strings.Contains(string(body), `"remove":"job/wait/`)
 }
 
-// leaderRemovesWaitingJobs tells the same of a leader's request.
+// leaderRemovesWaitingJobs reports whether a leader's request commits that jobs no longer wait for
+// dependencies.
 func leaderRemovesWaitingJobs(r *http.Request, body []byte) bool {
 	return removesWaitingJobs(r, body) && strings.Contains(string(body), `pool/generation`)
 }
 
-// transactionKind is what a transaction to the state service does.
+// transactionKind is the purpose of a transaction to the state service.
 type transactionKind string
 
 // The kinds of transaction.
@@ -93,7 +96,7 @@
 	cancelsJob       transactionKind = "cancellation"
 )
 
-// kindOfTransaction tells what a request to the state service commits.
+// kindOfTransaction returns the kind of transaction that a request to the state service commits.
 func kindOfTransaction(r *http.Request, body []byte) transactionKind {
 	var txn struct {
 		When []struct {
@@ -130,7 +133,7 @@
 	return cancelsJob
 }
 
-// isJobKey tells whether a key is that of a job's record.
+// isJobKey reports whether a key is the key of a job's record.
 func isJobKey(key string) bool {
 	return strings.HasPrefix(key, "job/") && !strings.HasPrefix(key, "job/cancel/")
 }
--- a/internal/scenarios/node_test.go
+++ b/internal/scenarios/node_test.go
@@ -11,14 +11,14 @@
 	"github.com/pebbletrail/pebbletrail/internal/state"
 )
 
-// testNode is one of two controllers.
+// testNode is one of the two controllers of a testCluster.
 type testNode struct {
 	*process
 	elector              *election.Elector
 	askedForConfirmation []ids.Node // the nodes last asked to confirm that they stopped
 }
 
-// startNode starts a controller, as a new process if there was one of that name before.
+// startNode starts a controller in a new process, also if a controller of that name ran before.
 func (c *testCluster) startNode(name string) *testNode {
 	n := &testNode{process: c.newProcess(name, c.nodeSettings(name), state.NewBudget(400, 200, 2, 0.6))}
 	n.elector = election.NewElector(n.settings, n.store, n.commander(), n.writer)
@@ -33,7 +33,8 @@
 	return n
 }
 
-// reconcileCloudList tells the leader the cloud's list of machines every two seconds of a term.
+// reconcileCloudList passes the cloud's list of machines to the leader every two seconds until its
+// term ends.
 func (n *testNode) reconcileCloudList(ctx context.Context, term *election.Term) {
 	term.Cluster.SetMachineTypes(instanceTypes())
 	for ctx.Err() == nil {
@@ -45,7 +46,8 @@
 	}
 }
 
-// AllStopped asks the other node, if it runs and can be reached.
+// AllStopped reports whether the other node runs, can be reached and confirms that it answers no
+// heartbeats under an older generation.
 func (n *testNode) AllStopped(_ context.Context, generation ids.Generation, of ...ids.Node) bool {
 	n.cluster.mu.Lock()
 	defer n.cluster.mu.Unlock()
@@ -58,7 +60,7 @@
 	return false
 }
 
-// Alone tells whether the other node is down or out of reach.
+// Alone reports whether the other node is down or can't be reached.
 func (n *testNode) Alone() bool {
 	n.cluster.mu.Lock()
 	defer n.cluster.mu.Unlock()
@@ -70,15 +72,15 @@
 	return true
 }
 
-// Served tells whether another node runs and can be reached.
+// Served reports whether another node runs and can be reached.
 func (n *testNode) Served(other ids.Node) bool {
 	n.cluster.mu.Lock()
 	defer n.cluster.mu.Unlock()
 	return n.cluster.nodes[string(other)] != nil && !n.cluster.isPartitioned(n.name, string(other))
 }
 
-// NotifyLeader passes a written record on: to the node's own elector at once if it leads, else to
-// all after the network's latency.
+// NotifyLeader passes a written record to the electors of this node and of all nodes that it can
+// reach: at once if this node leads, else after the network's latency.
 func (n *testNode) NotifyLeader(id ids.Job, revision ids.Revision, rec *record.Record, raw json.RawMessage) <-chan struct{} {
 	done := make(chan struct{})
 	if latency := n.cluster.latency.Load(); latency != nil && n.elector.Cluster() == nil {
@@ -97,7 +99,7 @@
 	return done
 }
 
-// deliverRecord hands a record to every node that can be reached.
+// deliverRecord passes a record to the electors of this node and of all nodes that it can reach.
 func (n *testNode) deliverRecord(id ids.Job, revision ids.Revision, rec *record.Record) {
 	n.cluster.mu.Lock()
 	defer n.cluster.mu.Unlock()
@@ -108,7 +110,7 @@
 	}
 }
 
-// kill ends the node as a lost process does.
+// kill ends the node without a handover, as the loss of its process would.
 func (n *testNode) kill() {
 	n.cluster.mu.Lock()
 	delete(n.cluster.nodes, n.name)
--- a/internal/scenarios/process_test.go
+++ b/internal/scenarios/process_test.go
@@ -14,23 +14,23 @@
 	"github.com/pebbletrail/pebbletrail/internal/worker"
 )
 
-// commandTimeout is how long a controller waits for a worker's response to a command.
+// commandTimeout is the time that a controller waits for a worker's response to a command.
 const commandTimeout = 3 * time.Second
 
-// process is what a controller process consists of in every kind of cluster: its settings, its
+// process is the part of a controller process that every kind of cluster has: its settings, its
 // client of the state service and its HTTP server.
 type process struct {
 	cluster  *testCluster
 	name     string
-	writer   string // names this process in the records that it writes
+	writer   string // identifies this process in the records that it writes
 	settings *config.Settings
 	store    *state.Client
 	ctx      context.Context
 	cancel   context.CancelFunc
 }
 
-// newProcess prepares a controller process, which may send as many requests to the state service
-// as the budget allows.
+// newProcess returns a controller process that does not serve yet. The budget limits its requests
+// to the state service.
 func (c *testCluster) newProcess(name string, settings *config.Settings, budget *state.Budget) *process {
 	c.processes++
 	ctx, cancel := context.WithCancel(c.ctx)
@@ -45,12 +45,12 @@
 	}
 }
 
-// commander sends commands to the workers.
+// commander returns a client that sends commands to the workers.
 func (p *process) commander() *worker.Commander {
 	return &worker.Commander{HTTP: p.cluster.network.Client(p.name), Timeout: commandTimeout}
 }
 
-// serve answers users and workers at the process's address.
+// serve makes the process answer users and workers at its address.
 func (p *process) serve(records *state.WatchCache, heartbeats intake.Heartbeats, notifier intake.LeaderNotifier) {
 	jobs := &intake.JobService{Settings: p.settings, Store: p.store, Records: records, LeaderNotifier: notifier,
 		Writer: p.writer, MachineTypes: instanceTypes}
@@ -64,16 +64,16 @@
 	p.cluster.network.Listen(apiAddress(p.name), server.Handler())
 }
 
-// crash ends the process as a lost host does: nothing is handed over.
+// crash ends the process without a handover, as the loss of its host would.
 func (p *process) crash() {
 	p.cancel()
 	p.cluster.network.Listen(apiAddress(p.name), nil)
 }
 
-// apiAddress is where a controller serves users and workers.
+// apiAddress returns the address at which a controller serves users and workers.
 func apiAddress(node string) string { return node + ":8080" }
 
-// apiAddresses are those of several controllers.
+// apiAddresses returns the addresses at which several controllers serve users and workers.
 func apiAddresses(nodes []string) (addresses []string) {
 	for _, node := range nodes {
 		addresses = append(addresses, apiAddress(node))
@@ -81,7 +81,8 @@
 	return addresses
 }
 
-// silentNotifier notifies nobody: the leader learns of writes by watching the state service.
+// silentNotifier is a LeaderNotifier that sends no notification: the leader learns of writes by
+// watching the state service.
 type silentNotifier struct{}
 
 // NotifyLeader returns a channel that is closed already.
--- a/internal/scenarios/random_test.go
+++ b/internal/scenarios/random_test.go
@@ -6,13 +6,14 @@
 	"time"
 )
 
-// randomSource is a random number generator for several goroutines, with a fixed seed.
+// randomSource is a random number generator with a fixed seed. Its methods may be called from any
+// goroutine.
 type randomSource struct {
 	mu     sync.Mutex
 	source *rand.Rand
 }
 
-// newRandomSource returns the generator of a seed.
+// newRandomSource returns a generator with the given seed.
 func newRandomSource(seed uint64) *randomSource {
 	return &randomSource{source: rand.New(rand.NewPCG(seed, 1))}
 }
@@ -29,5 +30,5 @@
 	return time.Duration(low+s.intn(high-low+1)) * time.Millisecond
 }
 
-// node returns the name of either node.
+// node returns the name of a random node.
 func (s *randomSource) node() string { return nodeNames[s.intn(2)] }
--- a/internal/scenarios/rules_moments_test.go
+++ b/internal/scenarios/rules_moments_test.go
@@ -2,23 +2,24 @@
 
 import "time"
 
-// moment is when a request was sent or a response arrived. Since much may happen at one instant of
-// the fake clock, moments are ordered by their sequence. The zero moment is never.
+// moment is the time at which a request was sent or a response arrived. Several moments may have the
+// same time on the fake clock: sequence orders them. The zero moment stands for an event that has
+// not happened.
 type moment struct {
 	at       time.Time
 	sequence int
 }
 
-// isZero tells whether m is never.
+// isZero reports whether the event of m has not happened.
 func (m moment) isZero() bool { return m.sequence == 0 }
 
-// after tells whether m came after another moment; nothing comes after never.
+// after reports whether m came after another moment. It is false if the other one is zero.
 func (m moment) after(other moment) bool { return !other.isZero() && m.sequence > other.sequence }
 
-// afterMoment tells whether a time is after a moment; nothing is after never.
+// afterMoment reports whether a time is after a moment. It is false if the moment is zero.
 func afterMoment(t time.Time, m moment) bool { return !m.isZero() && t.After(m.at) }
 
-// setOnce sets a moment that was never before.
+// setOnce sets a moment to now unless it is set already.
 func setOnce(m *moment, now moment) {
 	if m.isZero() {
 		*m = now
@@ -33,7 +34,8 @@
 	return b
 }
 
-// nextMoment is now, and after all moments before. The caller holds mu.
+// nextMoment returns a moment at the current time that comes after all earlier ones. The caller
+// holds mu.
 func (r *rules) nextMoment() moment {
 	r.sequence++
 	return moment{time.Now(), r.sequence}
--- a/internal/scenarios/rules_polls_test.go
+++ b/internal/scenarios/rules_polls_test.go
@@ -2,18 +2,19 @@
 
 import "time"
 
-// pollWindow is how long a job may go unanswered while other jobs are answered.
+// pollWindow is the time for which polls for one job may stay unanswered while polls for other jobs
+// are answered.
 const pollWindow = 90 * time.Second
 
-// pollResult is whether a request for a job's status was answered.
+// pollResult is the result of a request for a job's status.
 type pollResult struct {
 	at       time.Time
 	job      string
 	answered bool
 }
 
-// checkPolls reports a job that no poll was answered for during pollWindow while most polls for other
-// jobs were.
+// checkPolls records a poll. It reports a job if none of its polls was answered during pollWindow
+// while most polls for other jobs were answered.
 func (r *rules) checkPolls(job *observedJob, id string, sent, now time.Time, answered bool) {
 	for len(r.polls) > 0 && now.Sub(r.polls[0].at) > pollWindow {
 		r.polls = r.polls[1:]
@@ -35,7 +36,7 @@
 	}
 }
 
-// countOtherPolls counts the recent polls for other jobs, and those of them that were answered.
+// countOtherPolls returns the number of recent polls for other jobs, and how many were answered.
 func (r *rules) countOtherPolls(id string) (others, answered int) {
 	for _, poll := range r.polls {
 		if poll.job == id {
--- a/internal/scenarios/rules_responses_test.go
+++ b/internal/scenarios/rules_responses_test.go
@@ -25,7 +25,7 @@
 	status         string
 }
 
-// decodeDescription reads a submission, and tells whether it names a job.
+// decodeDescription decodes a submission, and reports whether it is valid JSON with a job ID.
 func decodeDescription(body []byte) (description jobDescription, ok bool) {
 	err := json.Unmarshal(body, &description)
 	return description, err == nil && description.UID != ""
@@ -37,7 +37,7 @@
 	return job, action
 }
 
-// RequestSent observes that a user sends a request, and returns the moment.
+// RequestSent records that a user sends a request, and returns the moment.
 func (r *rules) RequestSent(method, path string, body []byte) moment {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -56,7 +56,8 @@
 	return now
 }
 
-// ResponseReceived observes the response to a request sent at a moment; code 0 is no response.
+// ResponseReceived checks and records the response to a request that was sent at a moment. Code 0
+// means that there was no response.
 func (r *rules) ResponseReceived(sent moment, node, method, path string, body []byte, code int, fields map[string]any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -89,8 +90,9 @@
 	}
 }
 
-// checkCode reports a job that is unknown or rejected after it was accepted, and one that is known
-// though nobody submitted it. It tells whether the response has a status of a known job.
+// checkCode reports a job that a node does not know or rejects after it was accepted, and a job that
+// a node knows though nobody submitted it. Its result is whether the response contains the status of
+// a submitted job.
 func (r *rules) checkCode(job *observedJob, received response) bool {
 	switch {
 	case received.submission && (received.code == http.StatusBadRequest || received.code == http.StatusUnprocessableEntity):
@@ -116,7 +118,7 @@
 	return true
 }
 
-// checkStatus reports a status that contradicts what was reported, requested or run before.
+// checkStatus reports a status that contradicts earlier responses, requests or task events.
 func (r *rules) checkStatus(job *observedJob, received response) {
 	if received.code == http.StatusCreated && received.sent.after(job.accepted) {
 		r.violated(ruleWentBack, received.job, "%s accepts a known %s once more", received.node, received.job)
@@ -136,8 +138,8 @@
 	}
 }
 
-// checkDone reports a job that is reported as done before all its tasks have completed, or after it
-// was reported as cancelled.
+// checkDone reports a response that calls a job done before all its tasks have completed, or after
+// the job was reported as cancelled.
 func (r *rules) checkDone(job *observedJob, received response) {
 	for index := range job.Tasks {
 		// A gang is done when one of its tasks is, but all of them must have run.
@@ -151,8 +153,8 @@
 	}
 }
 
-// checkReportedCancelled reports a job that is reported as cancelled though nobody cancelled it or a
-// job that it depends on, or after it was reported as done.
+// checkReportedCancelled reports a response that calls a job cancelled though nobody cancelled it or
+// a job that it depends on, or after the job was reported as done.
 func (r *rules) checkReportedCancelled(job *observedJob, received response) {
 	requested := func(dependency *observedJob) moment { return dependency.cancelRequested }
 	if job.cancelRequested.isZero() && r.earliestInDependencies(job, requested).IsZero() {
@@ -163,8 +165,8 @@
 	}
 }
 
-// checkUnfinished reports a job that is reported as pending or running though its end was reported
-// before, or for too long after the cancellation of a job that it depends on.
+// checkUnfinished reports a response that calls a job pending or running after its end was reported,
+// or later than the limit after the cancellation of a job that it depends on.
 func (r *rules) checkUnfinished(job *observedJob, received response) {
 	if received.sent.after(job.done) || received.sent.after(job.cancelled) {
 		r.violated(ruleWentBack, received.job, "%s reports %s as %s, whose end was reported %v before the request",
@@ -188,8 +190,8 @@
 	}
 }
 
-// earliestInDependencies returns the earliest time of a moment among the jobs that a job depends on,
-// directly or not: zero if none has had it.
+// earliestInDependencies returns the earliest time that momentOf yields for the jobs on which a job
+// depends directly or indirectly: zero if it yields none.
 func (r *rules) earliestInDependencies(job *observedJob, momentOf func(*observedJob) moment) (earliest time.Time) {
 	for _, id := range job.Dependencies {
 		dependency := r.job(id)
--- a/internal/scenarios/rules_tasks_test.go
+++ b/internal/scenarios/rules_tasks_test.go
@@ -9,7 +9,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/fake"
 )
 
-// TaskEvent observes that a task started or ended on a worker.
+// TaskEvent checks and records the start or end of a task on a worker.
 func (r *rules) TaskEvent(event fake.Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -22,7 +22,7 @@
 	}
 }
 
-// taskEnded observes the end of a task.
+// taskEnded checks and records the end of a task.
 func (r *rules) taskEnded(event fake.Event, jobID string, index int) {
 	job := r.job(jobID)
 	var remaining []fake.Event
@@ -41,7 +41,7 @@
 	}
 }
 
-// taskStarted observes the start of a task.
+// taskStarted checks and records the start of a task.
 func (r *rules) taskStarted(event fake.Event, jobID string, index int) {
 	job, machine := r.job(jobID), event.Worker
 	for _, start := range r.running[event.Task] {
@@ -76,12 +76,12 @@
 	r.checkPlacement(job, event)
 }
 
-// overdue tells whether a time is beyond the limit after a job's cancellation was confirmed.
+// overdue reports whether a time is later than the limit after a job's cancellation was confirmed.
 func (r *rules) overdue(job *observedJob, now time.Time) bool {
 	return afterMoment(now, job.cancelled) && now.Sub(job.cancelled.at) > r.cancelLimit()
 }
 
-// CheckCancelled reports tasks that are still on machines beyond the limit after their cancellation.
+// CheckCancelled reports tasks that still run after the limit for the stop of cancelled tasks.
 func (r *rules) CheckCancelled() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -114,6 +114,7 @@
 }
 
 // checkPlacement reports a task that starts on a machine or in a zone that its job does not allow.
+// A job that is spread may have at most half of its tasks, rounded up, in a zone.
 func (r *rules) checkPlacement(job *observedJob, event fake.Event) {
 	machine, allowed := event.Worker, job.Types == nil
 	for _, machineType := range job.Types {
--- a/internal/scenarios/rules_test.go
+++ b/internal/scenarios/rules_test.go
@@ -9,24 +9,24 @@
 	"github.com/pebbletrail/pebbletrail/internal/fake"
 )
 
-// The rules, by the names that the protocol gives them.
+// The names of the rules in the protocol.
 const (
-	ruleRanTwice     = "ran_twice"     // a task starts while it is on a machine
-	ruleRanCancelled = "ran_cancelled" // a task starts or goes on too long after its cancellation was confirmed
-	ruleTooEarly     = "too_early"     // a task starts before the jobs that its job depends on are done
+	ruleRanTwice     = "ran_twice"     // a task starts while it already runs on a machine
+	ruleRanCancelled = "ran_cancelled" // a task starts or runs after the limit for cancelled tasks
+	ruleTooEarly     = "too_early"     // a task starts before its job's dependencies are done
 	ruleQuota        = "quota"         // a team uses more than its quota
 	ruleWrongPlace   = "wrong_place"   // a task starts where its job does not allow it
-	ruleInvented     = "invented"      // something runs or is reported that nobody submitted
-	ruleForgotten    = "forgotten"     // an accepted job is unknown, rejected or unanswered
+	ruleInvented     = "invented"      // a job that nobody submitted runs or is reported
+	ruleForgotten    = "forgotten"     // an accepted job is unknown or rejected, or its polls stay unanswered
 	ruleNotDone      = "not_done"      // a job is reported as done before its tasks have completed
 	ruleWentBack     = "went_back"     // a job's reported status contradicts an earlier one
-	ruleOrphaned     = "orphaned"      // a dependent of a cancelled job is reported as pending or running for too long
-	ruleDisruption   = "disruption"    // a drain takes more of a team down than its budget, or evicts without a permit
+	ruleOrphaned     = "orphaned"      // a dependent of a cancelled job is not cancelled within the limit
+	ruleDisruption   = "disruption"    // a drain exceeds a disruption budget or evicts without a permit
 )
 
-// rules checks every task event on a worker and every response to a user against the protocol's
-// rules (PROTOCOL, "Rules"). A response may not contradict an earlier one if its request was sent
-// after the earlier one had arrived, in the order in which the checker observed both.
+// rules checks every task event on a worker and every response to a user against the rules of the
+// protocol. A response must not contradict an earlier response if its request was sent after that
+// response had arrived, in the order in which the checker observed them.
 type rules struct {
 	report   func(rule, what string)
 	settings *config.Settings
@@ -34,10 +34,10 @@
 	jobs     map[string]*observedJob
 	running  map[string][]fake.Event // starts of the tasks that are on machines now, by task
 	reported map[string]bool         // violations, by rule and job
-	sequence int                     // count of requests and responses so far
-	// firstStarts is when a task was first on a machine.
+	sequence int                     // number of requests and responses so far
+	// firstStarts holds the time of each task's first start.
 	firstStarts map[string]time.Time
-	// polls are those of the last pollWindow, to tell unanswered jobs from an outage.
+	// polls holds the polls of the last pollWindow, to distinguish an unanswered job from an outage.
 	polls []pollResult
 }
 
@@ -57,10 +57,11 @@
 	Dependencies []string `json:"awaits"`
 }
 
-// observedJob is what the rules know of a job. Zero moments and times are never.
+// observedJob is the state of a job according to its requests, responses and task events. Zero
+// moments and times stand for events that have not happened.
 type observedJob struct {
 	jobDescription
-	submitted       bool // a submission of it was sent that was not rejected
+	submitted       bool // whether a submission was sent and not rejected
 	accepted        moment
 	done            moment
 	cancelled       moment
@@ -81,7 +82,8 @@
 	}
 }
 
-// violated reports that a job breaks a rule, once for each rule and job. The caller holds mu.
+// violated reports that a job breaks a rule, at most once for each rule and job. The caller holds
+// mu.
 func (r *rules) violated(rule, job, format string, args ...any) {
 	if key := rule + " " + job; !r.reported[key] {
 		r.reported[key] = true
@@ -89,7 +91,8 @@
 	}
 }
 
-// job returns what is known of a job, which may be nothing yet. The caller holds mu.
+// job returns the observed state of a job, and creates it for a job not seen before. The caller
+// holds mu.
 func (r *rules) job(id string) *observedJob {
 	job := r.jobs[id]
 	if job == nil {
@@ -99,19 +102,19 @@
 	return job
 }
 
-// FirstStart returns when a task was first on a machine: zero if it never was.
+// FirstStart returns the time of a task's first start: zero if the task never started.
 func (r *rules) FirstStart(task string) time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.firstStarts[task]
 }
 
-// cancelLimit is how long a task may run on after its cancellation was confirmed.
+// cancelLimit returns the time that a task may still run after its cancellation was confirmed.
 func (r *rules) cancelLimit() time.Duration {
 	return time.Duration(float64(r.settings.Params.Workers.CancelS) * float64(time.Second))
 }
 
-// isComplete tells whether all of a job's tasks have completed.
+// isComplete reports whether all tasks of a job have completed, or one task of a gang.
 func (j *observedJob) isComplete() bool {
 	if !j.submitted {
 		return false
--- a/internal/scenarios/shard_cluster_test.go
+++ b/internal/scenarios/shard_cluster_test.go
@@ -13,14 +13,15 @@
 	"github.com/pebbletrail/pebbletrail/internal/state"
 )
 
-// shardCluster is five controllers that lead three shards of the machines of a testCluster.
+// shardCluster is a cluster of five controllers that lead three shards of machines.
 type shardCluster struct {
 	*testCluster
 	shardCount int
 	nodes      map[string]*shardNode
 }
 
-// shardScenario runs a scenario with three shards and a number of machines in each.
+// shardScenario runs a scenario in a cluster with the given number of machines in each of its three
+// shards.
 func shardScenario(t *testing.T, machines int, run func(t *testing.T, c *shardCluster)) {
 	scenario(t, func(t *testing.T, base *testCluster) {
 		c := &shardCluster{testCluster: base, shardCount: 3, nodes: map[string]*shardNode{}}
@@ -44,7 +45,7 @@
 	})
 }
 
-// storeValue writes a key to the state service as no controller would.
+// storeValue writes a value to the state service directly, without a controller and its conditions.
 func (c *shardCluster) storeValue(key string, value any) {
 	raw, _ := json.Marshal(value)
 	client := state.NewClient("state:1", c.network.Client("test"), state.NewBudget(1000, 1000, 1, 0.5))
@@ -53,14 +54,14 @@
 	}
 }
 
-// shardSettings are a node's settings.
+// shardSettings returns the settings of a node.
 func (c *shardCluster) shardSettings(name string) *config.Settings {
 	settings := c.fiveNodeSettings(name)
 	settings.Features = &config.Features{Shards: proto.Uint32(uint32(c.shardCount))}
 	return settings
 }
 
-// leaders names the node that leads each shard: empty where none does.
+// leaders returns the name of the leader of each shard: "" for a shard without a leader.
 func (c *shardCluster) leaders() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/scenarios/shard_node_test.go
+++ b/internal/scenarios/shard_node_test.go
@@ -12,7 +12,7 @@
 type shardNode struct {
 	*process
 	shards       *election.Shards
-	startupError error // why the node refused to start
+	startupError error // the reason why the node refused to start
 }
 
 // startNode starts a controller that may lead any of the shards.
@@ -34,7 +34,7 @@
 	return n
 }
 
-// stopNode ends a running node as a lost process does.
+// stopNode ends a running node without a handover, as the loss of its process would.
 func (c *shardCluster) stopNode(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -42,20 +42,20 @@
 	delete(c.nodes, name)
 }
 
-// shardPeers are the other controllers. They tell one another only whether they run: what else
-// real controllers tell only saves time.
+// shardPeers is an elector's view of the other controllers. It tells only whether a controller runs:
+// the other information that real controllers exchange only saves time.
 type shardPeers struct {
 	silentNotifier
 	cluster *shardCluster
 }
 
-// AllStopped never has the others' confirmation.
+// AllStopped returns false: the other controllers never confirm that they stopped.
 func (shardPeers) AllStopped(context.Context, ids.Generation, ...ids.Node) bool { return false }
 
-// Alone is never true: of five controllers some are always up.
+// Alone returns false, because some of the five controllers are always up.
 func (shardPeers) Alone() bool { return false }
 
-// Served tells whether another node runs.
+// Served reports whether another node runs.
 func (p shardPeers) Served(node ids.Node) bool {
 	p.cluster.mu.Lock()
 	defer p.cluster.mu.Unlock()
--- a/internal/scenarios/users_test.go
+++ b/internal/scenarios/users_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// requestUntilDecided sends a request as users do, to either node at random once a second, until one
-// accepts or rejects it, for a minute at most.
+// requestUntilDecided sends a user's request to a random node once a second until a node accepts or
+// rejects it, for at most a minute.
 func (c *testCluster) requestUntilDecided(random *randomSource, method, path string, body any) (code int, status string) {
 	for end := time.Now().Add(time.Minute); time.Now().Before(end); time.Sleep(time.Second) {
 		var out map[string]any
@@ -25,10 +25,10 @@
 	return code, ""
 }
 
-// nodeNames are the controllers of a testCluster; users ask each of them.
+// nodeNames lists the controllers of a testCluster. Users send requests to each of them.
 var nodeNames = []string{"a", "b"}
 
-// otherNode names the other one of the two.
+// otherNode returns the name of the other controller.
 func otherNode(name string) string {
 	if name == nodeNames[0] {
 		return nodeNames[1]
@@ -36,7 +36,8 @@
 	return nodeNames[0]
 }
 
-// askAllNodes asks all nodes for a job's status, or repeats its submission, within milliseconds.
+// askAllNodes sends three concurrent requests for a job to each node within 6 ms. Each request asks
+// for the job's status or repeats its submission.
 func (c *testCluster) askAllNodes(random *randomSource, job jobSpec) {
 	var wg sync.WaitGroup
 	for range 3 {
@@ -55,13 +56,14 @@
 	wg.Wait()
 }
 
-// call sends a user's request to a node, observed by the rules: status code 0 is no response.
+// call sends a user's request to a node, and has the rules check the response. A status code of 0
+// means that there was no response.
 func (c *testCluster) call(node, method, path string, body any) (int, map[string]any) {
 	raw, _ := json.Marshal(body)
 	return c.observeCall(node, method, path, raw, func() (int, map[string]any) { return c.request(node, method, path, raw) })
 }
 
-// observeCall has the rules observe a user's request and its response.
+// observeCall calls a function that sends a user's request, and has the rules check the response.
 func (c *testCluster) observeCall(node, method, path string, body []byte, call func() (int, map[string]any)) (int, map[string]any) {
 	sent := c.rules.RequestSent(method, path, body)
 	code, out := call()
@@ -69,7 +71,7 @@
 	return code, out
 }
 
-// request sends a request and decodes the fields of its response.
+// request sends a request, and returns the status code and the fields of its response.
 func (c *testCluster) request(node, method, path string, raw []byte) (int, map[string]any) {
 	ctx, cancel := context.WithTimeout(c.ctx, 5*time.Second)
 	defer cancel()
@@ -83,7 +85,7 @@
 	return res.StatusCode, out
 }
 
-// submit submits a job, which the node must accept at once.
+// submit submits a job, and fails the test unless the node accepts it at the first attempt.
 func (c *testCluster) submit(node string, job jobSpec) {
 	c.t.Helper()
 	if code, out := c.call(node, "POST", "/v2/runs", job); code != 201 {
@@ -91,14 +93,15 @@
 	}
 }
 
-// status asks a node for the status of a job: "" if it doesn't tell.
+// status returns the status of a job as reported by a node, or "" if the node reports none.
 func (c *testCluster) status(node, id string) string {
 	_, out := c.call(node, "GET", "/v2/runs/"+id, nil)
 	s, _ := out["status"].(string)
 	return s
 }
 
-// cancelUntilAnswered cancels a job as its user does, until a node answers, and returns the status.
+// cancelUntilAnswered sends a user's cancellation of a job until a node answers, and returns the
+// status in the answer.
 func (c *testCluster) cancelUntilAnswered(job string) string {
 	for range 40 {
 		for _, node := range nodeNames {
@@ -112,7 +115,8 @@
 	return ""
 }
 
-// confirmCancellation cancels a job at a node until it confirms, and returns when it did.
+// confirmCancellation cancels a job at a node until the node confirms, and returns the time of the
+// confirmation.
 func (c *testCluster) confirmCancellation(node *testNode, job string) time.Time {
 	c.t.Helper()
 	c.eventually(3*time.Second, "cancellation of "+job+" confirmed", func() bool {
