--- a/internal/scenarios/assertions_test.go
+++ b/internal/scenarios/assertions_test.go
@@ -11,7 +11,7 @@
 	c.t.Helper()
 	for end := time.Now().Add(timeout); !condition(); {
 		if time.Now().After(end) {
-			c.t.Fatalf("not within %v: %s; store: %s", timeout, what, c.store)
+			c.t.Fatalf("condition not met within %v: %s; store: %s", timeout, what, c.store)
 		}
 		time.Sleep(100 * time.Millisecond)
 		c.checkInvariants()
@@ -23,7 +23,7 @@
 	c.t.Helper()
 	for end := time.Now().Add(duration); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
 		if !condition() {
-			c.t.Fatalf("no longer true: %s", what)
+			c.t.Fatalf("condition no longer holds: %s", what)
 		}
 		c.checkInvariants()
 	}
@@ -62,7 +62,7 @@
 // awaitAnyLeader waits until some node leads.
 func (c *testCluster) awaitAnyLeader(timeout time.Duration) {
 	c.t.Helper()
-	c.eventually(timeout, "a leader", func() bool { return c.leader() != nil })
+	c.eventually(timeout, "some node leads", func() bool { return c.leader() != nil })
 }
 
 // awaitStepDown waits until a node no longer leads.
@@ -81,7 +81,7 @@
 	for _, worker := range c.listWorkers() {
 		for _, task := range worker.ActiveTasks() {
 			if other := runningOn[task]; other != "" {
-				c.t.Fatalf("%s runs on %s and on %s", task, other, worker.Name)
+				c.t.Fatalf("task %s runs on two machines: %s and %s", task, other, worker.Name)
 			}
 			runningOn[task] = worker.Name
 		}
@@ -132,7 +132,7 @@
 			n += worker.StartCount(task)
 		}
 		if n != 1 {
-			c.t.Errorf("%s was started %d times", task, n)
+			c.t.Errorf("task %s was started %d times, want once", task, n)
 		}
 	}
 }
@@ -191,7 +191,7 @@
 	c.t.Helper()
 	for _, id := range ids {
 		last := map[string]string{}
-		c.eventually(within, id+" has ended and all nodes report the same", func() bool {
+		c.eventually(within, id+" has ended and all nodes report the same status", func() bool {
 			for _, node := range nodeNames {
 				last[node] = c.status(node, id)
 			}
@@ -209,7 +209,7 @@
 		for _, node := range nodeNames {
 			wg.Go(func() {
 				if code, out := c.call(node, "GET", "/v2/runs/"+id, nil); code == 200 && out["status"] != "cancelled" {
-					c.t.Errorf("%s reports %s as %v", node, id, out["status"])
+					c.t.Errorf("node %s reports cancelled job %s as %v", node, id, out["status"])
 				}
 			})
 		}
--- a/internal/scenarios/checker_test.go
+++ b/internal/scenarios/checker_test.go
@@ -88,65 +88,65 @@
 			{worker: small, task: "job-1/0", attempt: 1, cause: "stopped", checkCancelled: true},
 			later(time.Minute, get("job-1", 200, "cancelled")),
 		}},
-		{name: "started on a second machine", rule: ruleRanTwice, steps: []observation{
+		{name: "started while it runs on another machine", rule: ruleRanTwice, steps: []observation{
 			submit(one(), 201, "pending"),
 			start(small, "job-1/0", 1),
 			start(south, "job-1/0", 2),
 		}},
-		{name: "over quota", rule: ruleQuota, steps: []observation{
+		{name: "team over its quota", rule: ruleQuota, steps: []observation{
 			submit(two().with("cores", 5), 201, "pending"),
 			start(small, "job-1/0", 1),
 			start(small, "job-1/1", 1),
 		}},
-		{name: "wrong type", rule: ruleWrongPlace, steps: []observation{
+		{name: "machine type not allowed", rule: ruleWrongPlace, steps: []observation{
 			submit(one().with("builds", []string{"small"}), 201, "pending"),
 			start(large, "job-1/0", 1),
 		}},
-		{name: "wrong zone", rule: ruleWrongPlace, steps: []observation{
+		{name: "zone not allowed", rule: ruleWrongPlace, steps: []observation{
 			submit(one().with("yard", "north"), 201, "pending"),
 			start(south, "job-1/0", 1),
 		}},
-		{name: "spot not allowed", rule: ruleWrongPlace, steps: []observation{
+		{name: "spot machine not allowed", rule: ruleWrongPlace, steps: []observation{
 			submit(one(), 201, "pending"),
 			start(spot, "job-1/0", 1),
 		}},
-		{name: "not together", rule: ruleWrongPlace, steps: []observation{
+		{name: "tasks to run together in two zones", rule: ruleWrongPlace, steps: []observation{
 			submit(two().with("together", true), 201, "pending"),
 			start(small, "job-1/0", 1),
 			start(south, "job-1/1", 1),
 		}},
-		{name: "not spread", rule: ruleWrongPlace, steps: []observation{
+		{name: "spread tasks in a single zone", rule: ruleWrongPlace, steps: []observation{
 			submit(two().with("spread", true), 201, "pending"),
 			start(small, "job-1/0", 1),
 			start(large, "job-1/1", 1),
 		}},
-		{name: "still running after the limit", rule: ruleRanCancelled, steps: []observation{
+		{name: "task still running after the cancellation limit", rule: ruleRanCancelled, steps: []observation{
 			submit(one(), 201, "pending"),
 			start(small, "job-1/0", 1),
 			cancel("job-1", "cancelled"),
 			{wait: 41 * time.Second, checkCancelled: true},
 		}},
-		{name: "stops after the limit", rule: ruleRanCancelled, steps: []observation{
+		{name: "task stops after the cancellation limit", rule: ruleRanCancelled, steps: []observation{
 			submit(one(), 201, "pending"),
 			start(small, "job-1/0", 1),
 			cancel("job-1", "cancelled"),
 			later(41*time.Second, end(small, "job-1/0", 1, "stopped")),
 		}},
-		{name: "starts after the limit", rule: ruleRanCancelled, steps: []observation{
+		{name: "task starts after the cancellation limit", rule: ruleRanCancelled, steps: []observation{
 			submit(one(), 201, "pending"),
 			cancel("job-1", "cancelled"),
 			{wait: 41 * time.Second, worker: small, task: "job-1/0", attempt: 1, start: true, commandAge: 50 * time.Second},
 		}},
-		{name: "command sent after cancellation", rule: ruleRanCancelled, steps: []observation{
+		{name: "task started by a command sent after the cancellation", rule: ruleRanCancelled, steps: []observation{
 			submit(one(), 201, "pending"),
 			cancel("job-1", "cancelled"),
 			later(time.Second, start(small, "job-1/0", 1)),
 		}},
-		{name: "unknown afterwards", rule: ruleForgotten, steps: []observation{
+		{name: "accepted job unknown to a status request", rule: ruleForgotten, steps: []observation{
 			submit(one(), 201, "pending"),
 			get("job-1", 404, ""),
 		}},
-		{name: "unknown to a cancellation", rule: ruleForgotten, steps: []observation{
+		{name: "accepted job unknown to a cancellation", rule: ruleForgotten, steps: []observation{
 			submit(one(), 201, "pending"),
 			{method: "POST", path: "/v2/runs/job-1/cancel", code: 404},
 		}},
@@ -158,7 +158,7 @@
 			submit(one(), 201, "pending"),
 			submit(one(), 422, ""),
 		}},
-		{name: "unanswered", rule: ruleForgotten, steps: append([]observation{
+		{name: "polls for one job unanswered while others are answered", rule: ruleForgotten, steps: append([]observation{
 			submit(one(), 201, "pending"),
 			submit(newJob("job-2", "array", 1), 201, "pending"),
 			submit(newJob("job-3", "array", 1), 201, "pending"),
@@ -172,17 +172,17 @@
 		{name: "start of a job never submitted", rule: ruleInvented, steps: []observation{
 			start(small, "job-1/0", 1),
 		}},
-		{name: "start of one task too many", rule: ruleInvented, steps: []observation{
+		{name: "start of a task beyond the job's number of tasks", rule: ruleInvented, steps: []observation{
 			submit(one(), 201, "pending"),
 			start(small, "job-1/1", 1),
 		}},
-		{name: "half of the tasks done", rule: ruleNotDone, steps: []observation{
+		{name: "job done after half of its tasks", rule: ruleNotDone, steps: []observation{
 			submit(two(), 201, "pending"),
 			start(small, "job-1/0", 1),
 			end(small, "job-1/0", 1, "done"),
 			get("job-1", 200, "done"),
 		}},
-		{name: "stopped is not done", rule: ruleNotDone, steps: []observation{
+		{name: "job done after its task was stopped", rule: ruleNotDone, steps: []observation{
 			submit(one(), 201, "pending"),
 			start(small, "job-1/0", 1),
 			end(small, "job-1/0", 1, "stopped"),
@@ -211,17 +211,17 @@
 			submit(one(), 201, "pending"),
 			atOnce(submit(one(), 201, "pending")),
 		}},
-		{name: "unknown at the same instant", rule: ruleForgotten, steps: []observation{
+		{name: "accepted job unknown at the same instant", rule: ruleForgotten, steps: []observation{
 			submit(one(), 201, "pending"),
 			atOnce(get("job-1", 404, "")),
 		}},
-		{name: "a gang of which one never ran", rule: ruleNotDone, steps: []observation{
+		{name: "gang done although one of its tasks never ran", rule: ruleNotDone, steps: []observation{
 			submit(newJob("job-1", "gang", 2), 201, "pending"),
 			start(small, "job-1/0", 1),
 			end(small, "job-1/0", 1, "done"),
 			get("job-1", 200, "done"),
 		}},
-		{name: "a gang is done when one of it is", steps: []observation{
+		{name: "gang done after one of its tasks completed", steps: []observation{
 			submit(newJob("job-1", "gang", 2), 201, "pending"),
 			start(small, "job-1/0", 1),
 			start(south, "job-1/1", 1),
@@ -247,7 +247,7 @@
 			get("job-1", 200, "done"),
 			cancel("job-1", "cancelled"),
 		}},
-		{name: "cancelled by no user", rule: ruleWentBack, steps: []observation{
+		{name: "cancelled without a user's request", rule: ruleWentBack, steps: []observation{
 			submit(one(), 201, "pending"),
 			get("job-1", 200, "cancelled"),
 		}},
@@ -267,7 +267,7 @@
 			get("job-2", 200, "pending"),
 			later(39*time.Second, get("job-2", 200, "cancelled")),
 		}},
-		{name: "dependent before its dependency", rule: ruleTooEarly, steps: []observation{
+		{name: "dependent starts before its dependency is done", rule: ruleTooEarly, steps: []observation{
 			submit(one(), 201, "pending"),
 			submit(dependent(), 201, "pending"),
 			start(small, "job-1/0", 1),
@@ -323,7 +323,7 @@
 				}
 			}
 			if test.rule == "" && len(got) > 0 || test.rule != "" && (len(got) != 1 || !got[test.rule]) {
-				t.Errorf("%s: broken are %v, not %q", test.name, got, test.rule)
+				t.Errorf("%s: the checker reports violations of %v, want rule %q", test.name, got, test.rule)
 			}
 		})
 	}
--- a/internal/scenarios/cluster_test.go
+++ b/internal/scenarios/cluster_test.go
@@ -105,7 +105,7 @@
 			}
 			return 0
 		})
-		c.rules = newRules(c.nodeSettings("a"), func(rule, what string) { t.Errorf("rule broken: %s: %s", rule, what) })
+		c.rules = newRules(c.nodeSettings("a"), func(rule, what string) { t.Errorf("rule violated: %s: %s", rule, what) })
 		defer synctest.Wait()
 		defer cancel()
 		defer c.rules.CheckCancelled()
--- a/internal/scenarios/drain_cluster_test.go
+++ b/internal/scenarios/drain_cluster_test.go
@@ -59,7 +59,7 @@
 		}
 		base.teams = options.teams
 		base.rules.settings = base.nodeSettings("a")
-		c.disruption = newDisruptionRule(base.rules, func(rule, what string) { t.Errorf("rule broken: %s: %s", rule, what) }, budget)
+		c.disruption = newDisruptionRule(base.rules, func(rule, what string) { t.Errorf("rule violated: %s: %s", rule, what) }, budget)
 		c.disruption.evictionStored = c.evictionStored
 		base.network.Listen("cloud:1", c.cloud)
 		for _, zone := range zones {
--- a/internal/scenarios/drain_commands_test.go
+++ b/internal/scenarios/drain_commands_test.go
@@ -19,7 +19,7 @@
 		park := newRollout("park", c.machinesIn("south")...)
 		park.Surge = true
 		c.startRollout(park)
-		c.eventually(time.Minute, "the south is cordoned", func() bool { return c.cordonedCount() == 2 })
+		c.eventually(time.Minute, "both machines in the south are cordoned", func() bool { return c.cordonedCount() == 2 })
 		c.startService("job-1", 4, "cores", 1.5, "ramGb", 3)
 		c.execute("park", rollout.CommandAbort)
 		c.awaitState("park", rollout.Ended, time.Minute)
@@ -45,7 +45,7 @@
 			requireRejected := func(spec *rollout.Spec, want error) {
 				t.Helper()
 				if _, err := c.follower().rollouts.Start(c.ctx, spec); !errors.Is(err, want) {
-					t.Errorf("%s: %v, not %v", spec.Name, err, want)
+					t.Errorf("start of rollout %s: got error %v, want %v", spec.Name, err, want)
 				}
 			}
 			requireRejected(newRollout("summer"), rollout.ErrOverlap)
@@ -53,7 +53,7 @@
 			requireRejected(other, rollout.ErrSpecConflict)
 			requireRejected(newRollout("autumn", "host-999999"), rollout.ErrInvalidSpec)
 			if _, err := c.follower().rollouts.Start(c.ctx, newRollout("spring", c.machinesIn("north")[0])); err != nil {
-				t.Errorf("the same start again: %v", err)
+				t.Errorf("repeated start of the same rollout failed: %v", err)
 			}
 			// Exactly one of two concurrent starts with the same machines is accepted.
 			results := make(chan error, 2)
@@ -64,7 +64,7 @@
 				}()
 			}
 			if a, b := <-results, <-results; (a == nil) == (b == nil) {
-				t.Errorf("of two starts at the same moment: %v and %v", a, b)
+				t.Errorf("two concurrent starts with the same machines: got errors %v and %v, want exactly one", a, b)
 			}
 		})
 }
@@ -77,7 +77,7 @@
 		"just started": func(*drainCluster) {},
 		"running":      func(c *drainCluster) { c.sleep(15 * time.Second) },
 		"between waves": func(c *drainCluster) {
-			c.eventually(4*time.Minute, "a wave is complete", func() bool { return c.rolloutRecord("spring").Done > 0 })
+			c.eventually(4*time.Minute, "a machine of the rollout is done", func() bool { return c.rolloutRecord("spring").Done > 0 })
 		},
 		"paused": func(c *drainCluster) {
 			c.sleep(5 * time.Second)
@@ -85,7 +85,7 @@
 			stops := c.disruption.evictionsOf("job-1")
 			c.sleep(3 * time.Second)
 			if n := c.disruption.evictionsOf("job-1"); n > stops+1 {
-				c.t.Errorf("%d more replicas stopped while paused", n-stops)
+				c.t.Errorf("%d more replicas stopped while the rollout was paused, want at most 1", n-stops)
 			}
 		},
 		"halted": func(c *drainCluster) {
@@ -93,7 +93,7 @@
 			c.awaitState("spring", rollout.Halted, 5*time.Minute)
 		},
 		"aborting": func(c *drainCluster) { c.execute("spring", rollout.CommandAbort) },
-		"the leader has just ended": func(c *drainCluster) {
+		"the leader has just crashed": func(c *drainCluster) {
 			c.sleep(8 * time.Second)
 			c.stopNode(c.leader().name)
 		},
@@ -112,7 +112,7 @@
 				c.awaitTaskCount(2*time.Minute, "job-1", 6)
 				c.execute("spring", rollout.CommandAbort)
 				if _, err := c.follower().rollouts.Execute(c.ctx, "spring", rollout.CommandResume); !errors.Is(err, rollout.ErrInvalidTransition) {
-					t.Errorf("a rollout that ended is resumed: %v", err)
+					t.Errorf("resume of a rollout that has ended: got error %v, want ErrInvalidTransition", err)
 				}
 			})
 		})
--- a/internal/scenarios/drain_node_test.go
+++ b/internal/scenarios/drain_node_test.go
@@ -104,7 +104,7 @@
 			return n
 		}
 	}
-	c.t.Fatal("every node leads")
+	c.t.Fatal("no follower: every running node leads")
 	return nil
 }
 
--- a/internal/scenarios/drain_replacement_test.go
+++ b/internal/scenarios/drain_replacement_test.go
@@ -23,17 +23,17 @@
 				spec := newReplacement("spring", c)
 				spec.Surge = surge
 				c.startRollout(spec)
-				c.eventually(10*time.Minute, "its first wave has begun", func() bool {
+				c.eventually(10*time.Minute, "the first wave has begun", func() bool {
 					return c.rolloutRecord("spring").Waves > 0
 				})
 				c.awaitState("spring", rollout.Ended, 15*time.Minute)
 				for _, name := range before {
 					if slices.Contains(c.machinesIn("north"), name) {
-						t.Errorf("%s still runs", name)
+						t.Errorf("machine %s still runs after its replacement", name)
 					}
 				}
 				if r := c.rolloutRecord("spring"); r.Done != 4 || r.Waves != 2 {
-					t.Errorf("%d machines complete in %d waves", r.Done, r.Waves)
+					t.Errorf("%d machines replaced in %d waves, want 4 machines in 2 waves", r.Done, r.Waves)
 				}
 			})
 		})
@@ -50,8 +50,8 @@
 		boots  func(name string) time.Duration
 		after  func(c *drainCluster, name string)
 	}{
-		{name: "it never boots", reason: "0 are up", boots: func(string) time.Duration { return neverBoots }},
-		{name: "it dies while it is observed", reason: "replacement", after: func(c *drainCluster, name string) { c.terminateMachine(name) }},
+		{name: "the replacement never boots", reason: "0 are up", boots: func(string) time.Duration { return neverBoots }},
+		{name: "the replacement terminates while it is observed", reason: "replacement", after: func(c *drainCluster, name string) { c.terminateMachine(name) }},
 	} {
 		t.Run(failure.name, func(t *testing.T) {
 			t.Parallel()
@@ -81,13 +81,13 @@
 				c.startRollout(spec)
 				c.awaitState("spring", rollout.Halted, 4*time.Minute)
 				if r := c.rolloutRecord("spring"); !strings.Contains(r.Reason, failure.reason) {
-					t.Errorf("halted for %q", r.Reason)
+					t.Errorf("rollout halted for an unexpected reason: %q", r.Reason)
 				}
 				c.eventually(time.Minute, "machines that are not empty are uncordoned", func() bool {
 					return c.cordonedCount() == 0
 				})
 				waves := c.rolloutRecord("spring").Waves
-				c.consistently(2*time.Minute, "it goes on only when an operator resumes it", func() bool {
+				c.consistently(2*time.Minute, "the rollout stays halted until an operator resumes it", func() bool {
 					r := c.rolloutRecord("spring")
 					return r.State == rollout.Halted && r.Waves == waves
 				})
@@ -95,7 +95,7 @@
 				c.awaitState("spring", rollout.Ended, 20*time.Minute)
 				for _, name := range before {
 					if slices.Contains(c.machinesIn("north"), name) {
-						t.Errorf("%s still runs", name)
+						t.Errorf("machine %s still runs after the rollout", name)
 					}
 				}
 			})
@@ -124,7 +124,7 @@
 		c.startRollout(spec)
 		c.awaitState("spring", rollout.Halted, 4*time.Minute)
 		if why := c.rolloutRecord("spring").Reason; !strings.Contains(why, "replacement host-000003 of wave 1 failed: tasks keep failing there") {
-			t.Errorf("halted for %q", why)
+			t.Errorf("rollout halted for another reason than failing tasks: %q", why)
 		}
 	})
 }
@@ -142,10 +142,10 @@
 		after bool // whether the outage begins only once the wave's replacement is provisioned
 		wave  int  // number of machines in a wave
 	}{
-		{"down", func(c *drainCluster) { c.cloud.SetDown(true) }, func(c *drainCluster) { c.cloud.SetDown(false) }, false, 1},
-		{"down in the middle of a wave", func(c *drainCluster) { c.cloud.SetDown(true) }, func(c *drainCluster) { c.cloud.SetDown(false) }, true, 1},
-		{"without capacity", func(c *drainCluster) { c.cloud.SetCapacity(0) }, func(c *drainCluster) { c.cloud.SetCapacity(40) }, false, 1},
-		{"without capacity in the middle of a wave", func(c *drainCluster) { c.cloud.SetCapacity(1) }, func(c *drainCluster) { c.cloud.SetCapacity(40) }, false, 2},
+		{"the cloud is down", func(c *drainCluster) { c.cloud.SetDown(true) }, func(c *drainCluster) { c.cloud.SetDown(false) }, false, 1},
+		{"the cloud is down in the middle of a wave", func(c *drainCluster) { c.cloud.SetDown(true) }, func(c *drainCluster) { c.cloud.SetDown(false) }, true, 1},
+		{"the cloud has no capacity", func(c *drainCluster) { c.cloud.SetCapacity(0) }, func(c *drainCluster) { c.cloud.SetCapacity(40) }, false, 1},
+		{"the cloud has no capacity left in the middle of a wave", func(c *drainCluster) { c.cloud.SetCapacity(1) }, func(c *drainCluster) { c.cloud.SetCapacity(40) }, false, 2},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
@@ -168,7 +168,7 @@
 					c.awaitState("spring", rollout.Halted, 5*time.Minute)
 				}
 				stops := c.disruption.evictionsOf("job-1")
-				c.consistently(time.Minute, "nothing more is stopped", func() bool {
+				c.consistently(time.Minute, "no more tasks are stopped", func() bool {
 					return c.disruption.evictionsOf("job-1") == stops
 				})
 				test.end(c)
--- a/internal/scenarios/drain_rollout_test.go
+++ b/internal/scenarios/drain_rollout_test.go
@@ -31,7 +31,7 @@
 func (c *drainCluster) startRollout(spec *rollout.Spec) {
 	c.t.Helper()
 	if err := c.callUntilAvailable(func(n *drainNode) error { _, err := n.rollouts.Start(c.ctx, spec); return err }); err != nil {
-		c.t.Fatalf("start of %s: %v", spec.Name, err)
+		c.t.Fatalf("start of rollout %s failed: %v", spec.Name, err)
 	}
 }
 
@@ -40,7 +40,7 @@
 	c.t.Helper()
 	err := c.callUntilAvailable(func(n *drainNode) error { _, err := n.rollouts.Execute(c.ctx, rollout.Name(name), command); return err })
 	if err != nil {
-		c.t.Fatalf("%s %s: %v", command, name, err)
+		c.t.Fatalf("command %s for rollout %s failed: %v", command, name, err)
 	}
 }
 
@@ -68,7 +68,7 @@
 	for end := time.Now().Add(timeout); c.rolloutRecord(name).State != want; {
 		if time.Now().After(end) {
 			blockers, _ := c.follower().DrainWaits(c.ctx)
-			c.t.Fatalf("%s is not %s within %v: %s; blocked: %v", name, want, timeout, c.store.Value("rollout/run/"+name), blockers)
+			c.t.Fatalf("rollout %s is not in state %s within %v; record: %s; blocked drains: %v", name, want, timeout, c.store.Value("rollout/run/"+name), blockers)
 		}
 		time.Sleep(100 * time.Millisecond)
 		c.checkInvariants()
--- a/internal/scenarios/five_nodes_test.go
+++ b/internal/scenarios/five_nodes_test.go
@@ -37,5 +37,5 @@
 		}
 		time.Sleep(time.Second)
 	}
-	c.t.Fatalf("%v was never accepted", job.id())
+	c.t.Fatalf("no controller accepted the submission of %v", job.id())
 }
--- a/internal/scenarios/jobs_test.go
+++ b/internal/scenarios/jobs_test.go
@@ -54,7 +54,7 @@
 		id := fmt.Sprintf("job-%06d", 412+37*i)
 		needed = append(needed, id)
 		if code, _ := c.requestUntilDecided(random, "POST", "/v2/runs", newSmallJob(id)); code != 201 {
-			c.t.Fatalf("the submission of %s got %d", id, code)
+			c.t.Fatalf("submission of %s got status code %d, want 201", id, code)
 		}
 		time.Sleep(30 * time.Millisecond)
 	}
--- a/internal/scenarios/users_test.go
+++ b/internal/scenarios/users_test.go
@@ -89,7 +89,7 @@
 func (c *testCluster) submit(node string, job jobSpec) {
 	c.t.Helper()
 	if code, out := c.call(node, "POST", "/v2/runs", job); code != 201 {
-		c.t.Fatalf("submission answered %d %v", code, out)
+		c.t.Fatalf("submission got status code %d and fields %v, want 201", code, out)
 	}
 }
 
@@ -111,7 +111,7 @@
 		}
 		time.Sleep(time.Second)
 	}
-	c.t.Errorf("the cancellation of %s is not answered", job)
+	c.t.Errorf("no node answered the cancellation of %s", job)
 	return ""
 }
 
@@ -119,7 +119,7 @@
 // confirmation.
 func (c *testCluster) confirmCancellation(node *testNode, job string) time.Time {
 	c.t.Helper()
-	c.eventually(3*time.Second, "cancellation of "+job+" confirmed", func() bool {
+	c.eventually(3*time.Second, "the cancellation of "+job+" is confirmed", func() bool {
 		code, out := c.call(node.name, "POST", "/v2/runs/"+job+"/cancel", nil)
 		return code == 200 && out["status"] == "cancelled"
 	})
