--- a/internal/scenarios/assertions_test.go
+++ b/internal/scenarios/assertions_test.go
@@ -7,11 +7,11 @@
 )
 
 // eventually polls a condition until it holds, and fails the test if it doesn't within the timeout.
-func (c *testCluster) eventually(timeout time.Duration, what string, condition func() bool) {
+func (c *testCluster) eventually(timeout time.Duration, description string, condition func() bool) {
 	c.t.Helper()
 	for end := time.Now().Add(timeout); !condition(); {
 		if time.Now().After(end) {
-			c.t.Fatalf("condition not met within %v: %s; store: %s", timeout, what, c.store)
+			c.t.Fatalf("condition not met within %v: %s; store: %s", timeout, description, c.store)
 		}
 		time.Sleep(100 * time.Millisecond)
 		c.checkInvariants()
@@ -19,11 +19,11 @@
 }
 
 // consistently fails the test unless a condition holds for the whole duration.
-func (c *testCluster) consistently(duration time.Duration, what string, condition func() bool) {
+func (c *testCluster) consistently(duration time.Duration, description string, condition func() bool) {
 	c.t.Helper()
 	for end := time.Now().Add(duration); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
 		if !condition() {
-			c.t.Fatalf("condition no longer holds: %s", what)
+			c.t.Fatalf("condition no longer holds: %s", description)
 		}
 		c.checkInvariants()
 	}
@@ -141,7 +141,7 @@
 // confirmed, and that they don't start again during stableFor.
 func (c *testCluster) requireStopped(confirmedAt time.Time, job string, tasks int, stableFor time.Duration) {
 	c.t.Helper()
-	gone := func() bool {
+	allAbsent := func() bool {
 		for i := range tasks {
 			if !c.isAbsent(fmt.Sprintf("%s/%d", job, i)) {
 				return false
@@ -149,8 +149,8 @@
 		}
 		return true
 	}
-	c.eventually(time.Until(confirmedAt.Add(cancelLimit)), job+" stops within the cancellation limit", gone)
-	c.consistently(stableFor, job+" does not start again", gone)
+	c.eventually(time.Until(confirmedAt.Add(cancelLimit)), job+" stops within the cancellation limit", allAbsent)
+	c.consistently(stableFor, job+" does not start again", allAbsent)
 }
 
 // bothReport reports whether both nodes return the given status for a job.
--- a/internal/scenarios/checker_test.go
+++ b/internal/scenarios/checker_test.go
@@ -52,21 +52,21 @@
 	end := func(worker *fake.Worker, task string, attempt uint64, cause string) observation {
 		return observation{worker: worker, task: task, attempt: attempt, cause: cause}
 	}
-	atOnce := func(s observation) observation { s.sameInstant = true; return s }
-	later := func(d time.Duration, s observation) observation { s.wait = d; return s }
-	one := func() jobSpec { return newJob("job-1", "array", 1) }
-	two := func() jobSpec { return newJob("job-1", "array", 2) }
+	atSameInstant := func(step observation) observation { step.sameInstant = true; return step }
+	later := func(d time.Duration, step observation) observation { step.wait = d; return step }
+	oneTaskJob := func() jobSpec { return newJob("job-1", "array", 1) }
+	twoTaskJob := func() jobSpec { return newJob("job-1", "array", 2) }
 	dependent := func() jobSpec { return newJob("job-2", "array", 1).dependingOn("job-1") }
-	var starving []observation
+	var unansweredPolls []observation
 	for range 20 {
-		starving = append(starving, later(5*time.Second, get("job-1", 503, "")), get("job-2", 200, "pending"), get("job-3", 200, "pending"))
+		unansweredPolls = append(unansweredPolls, later(5*time.Second, get("job-1", 503, "")), get("job-2", 200, "pending"), get("job-3", 200, "pending"))
 	}
 	for _, test := range []struct {
 		name, rule string
 		steps      []observation
 	}{
 		{name: "a job from submission to completion", steps: []observation{
-			submit(two(), 201, "pending"),
+			submit(twoTaskJob(), 201, "pending"),
 			start(small, "job-1/0", 1),
 			start(south, "job-1/1", 1),
 			get("job-1", 200, "running"),
@@ -76,146 +76,146 @@
 			end(south, "job-1/1", 1, "done"),
 			get("job-1", 200, "running"),
 			get("job-1", 200, "done"),
-			submit(two(), 200, "done"),
+			submit(twoTaskJob(), 200, "done"),
 			cancel("job-1", "done"),
 			get("job-9", 404, ""),
 		}},
 		{name: "a cancelled job", steps: []observation{
-			submit(one(), 201, "pending"),
+			submit(oneTaskJob(), 201, "pending"),
 			start(small, "job-1/0", 1),
 			cancel("job-1", "cancelled"),
 			{wait: time.Second, worker: south, task: "job-1/0", attempt: 1, cause: "x"},
 			{worker: small, task: "job-1/0", attempt: 1, cause: "stopped", checkCancelled: true},
 			later(time.Minute, get("job-1", 200, "cancelled")),
 		}},
-		{name: "started while it runs on another machine", rule: ruleRanTwice, steps: []observation{
-			submit(one(), 201, "pending"),
+		{name: "started while it runs on another machine", rule: ruleConcurrentRuns, steps: []observation{
+			submit(oneTaskJob(), 201, "pending"),
 			start(small, "job-1/0", 1),
 			start(south, "job-1/0", 2),
 		}},
 		{name: "team over its quota", rule: ruleQuota, steps: []observation{
-			submit(two().with("cores", 5), 201, "pending"),
+			submit(twoTaskJob().with("cores", 5), 201, "pending"),
 			start(small, "job-1/0", 1),
 			start(small, "job-1/1", 1),
 		}},
-		{name: "machine type not allowed", rule: ruleWrongPlace, steps: []observation{
-			submit(one().with("builds", []string{"small"}), 201, "pending"),
+		{name: "machine type not allowed", rule: ruleWrongPlacement, steps: []observation{
+			submit(oneTaskJob().with("builds", []string{"small"}), 201, "pending"),
 			start(large, "job-1/0", 1),
 		}},
-		{name: "zone not allowed", rule: ruleWrongPlace, steps: []observation{
-			submit(one().with("yard", "north"), 201, "pending"),
+		{name: "zone not allowed", rule: ruleWrongPlacement, steps: []observation{
+			submit(oneTaskJob().with("yard", "north"), 201, "pending"),
 			start(south, "job-1/0", 1),
 		}},
-		{name: "spot machine not allowed", rule: ruleWrongPlace, steps: []observation{
-			submit(one(), 201, "pending"),
+		{name: "spot machine not allowed", rule: ruleWrongPlacement, steps: []observation{
+			submit(oneTaskJob(), 201, "pending"),
 			start(spot, "job-1/0", 1),
 		}},
-		{name: "tasks to run together in two zones", rule: ruleWrongPlace, steps: []observation{
-			submit(two().with("together", true), 201, "pending"),
+		{name: "tasks to run together in two zones", rule: ruleWrongPlacement, steps: []observation{
+			submit(twoTaskJob().with("together", true), 201, "pending"),
 			start(small, "job-1/0", 1),
 			start(south, "job-1/1", 1),
 		}},
-		{name: "spread tasks in a single zone", rule: ruleWrongPlace, steps: []observation{
-			submit(two().with("spread", true), 201, "pending"),
+		{name: "spread tasks in a single zone", rule: ruleWrongPlacement, steps: []observation{
+			submit(twoTaskJob().with("spread", true), 201, "pending"),
 			start(small, "job-1/0", 1),
 			start(large, "job-1/1", 1),
 		}},
-		{name: "task still running after the cancellation limit", rule: ruleRanCancelled, steps: []observation{
-			submit(one(), 201, "pending"),
+		{name: "task still running after the cancellation limit", rule: ruleRanAfterCancellation, steps: []observation{
+			submit(oneTaskJob(), 201, "pending"),
 			start(small, "job-1/0", 1),
 			cancel("job-1", "cancelled"),
 			{wait: 41 * time.Second, checkCancelled: true},
 		}},
-		{name: "task stops after the cancellation limit", rule: ruleRanCancelled, steps: []observation{
-			submit(one(), 201, "pending"),
+		{name: "task stops after the cancellation limit", rule: ruleRanAfterCancellation, steps: []observation{
+			submit(oneTaskJob(), 201, "pending"),
 			start(small, "job-1/0", 1),
 			cancel("job-1", "cancelled"),
 			later(41*time.Second, end(small, "job-1/0", 1, "stopped")),
 		}},
-		{name: "task starts after the cancellation limit", rule: ruleRanCancelled, steps: []observation{
-			submit(one(), 201, "pending"),
+		{name: "task starts after the cancellation limit", rule: ruleRanAfterCancellation, steps: []observation{
+			submit(oneTaskJob(), 201, "pending"),
 			cancel("job-1", "cancelled"),
 			{wait: 41 * time.Second, worker: small, task: "job-1/0", attempt: 1, start: true, commandAge: 50 * time.Second},
 		}},
-		{name: "task started by a command sent after the cancellation", rule: ruleRanCancelled, steps: []observation{
-			submit(one(), 201, "pending"),
+		{name: "task started by a command sent after the cancellation", rule: ruleRanAfterCancellation, steps: []observation{
+			submit(oneTaskJob(), 201, "pending"),
 			cancel("job-1", "cancelled"),
 			later(time.Second, start(small, "job-1/0", 1)),
 		}},
-		{name: "accepted job unknown to a status request", rule: ruleForgotten, steps: []observation{
-			submit(one(), 201, "pending"),
+		{name: "accepted job unknown to a status request", rule: ruleAcceptedJobLost, steps: []observation{
+			submit(oneTaskJob(), 201, "pending"),
 			get("job-1", 404, ""),
 		}},
-		{name: "accepted job unknown to a cancellation", rule: ruleForgotten, steps: []observation{
-			submit(one(), 201, "pending"),
+		{name: "accepted job unknown to a cancellation", rule: ruleAcceptedJobLost, steps: []observation{
+			submit(oneTaskJob(), 201, "pending"),
 			{method: "POST", path: "/v2/runs/job-1/cancel", code: 404},
 		}},
-		{name: "repeated submission gets 400", rule: ruleForgotten, steps: []observation{
-			submit(one(), 201, "pending"),
-			submit(one(), 400, ""),
+		{name: "repeated submission gets 400", rule: ruleAcceptedJobLost, steps: []observation{
+			submit(oneTaskJob(), 201, "pending"),
+			submit(oneTaskJob(), 400, ""),
 		}},
-		{name: "repeated submission gets 422", rule: ruleForgotten, steps: []observation{
-			submit(one(), 201, "pending"),
-			submit(one(), 422, ""),
+		{name: "repeated submission gets 422", rule: ruleAcceptedJobLost, steps: []observation{
+			submit(oneTaskJob(), 201, "pending"),
+			submit(oneTaskJob(), 422, ""),
 		}},
-		{name: "polls for one job unanswered while others are answered", rule: ruleForgotten, steps: append([]observation{
-			submit(one(), 201, "pending"),
+		{name: "polls for one job unanswered while others are answered", rule: ruleAcceptedJobLost, steps: append([]observation{
+			submit(oneTaskJob(), 201, "pending"),
 			submit(newJob("job-2", "array", 1), 201, "pending"),
 			submit(newJob("job-3", "array", 1), 201, "pending"),
-		}, starving...)},
-		{name: "status of a job never submitted", rule: ruleInvented, steps: []observation{
+		}, unansweredPolls...)},
+		{name: "status of a job never submitted", rule: ruleNeverSubmitted, steps: []observation{
 			get("job-1", 200, "pending"),
 		}},
-		{name: "cancellation of a job never submitted", rule: ruleInvented, steps: []observation{
+		{name: "cancellation of a job never submitted", rule: ruleNeverSubmitted, steps: []observation{
 			cancel("job-1", "cancelled"),
 		}},
-		{name: "start of a job never submitted", rule: ruleInvented, steps: []observation{
+		{name: "start of a job never submitted", rule: ruleNeverSubmitted, steps: []observation{
 			start(small, "job-1/0", 1),
 		}},
-		{name: "start of a task beyond the job's number of tasks", rule: ruleInvented, steps: []observation{
-			submit(one(), 201, "pending"),
+		{name: "start of a task beyond the job's number of tasks", rule: ruleNeverSubmitted, steps: []observation{
+			submit(oneTaskJob(), 201, "pending"),
 			start(small, "job-1/1", 1),
 		}},
-		{name: "job done after half of its tasks", rule: ruleNotDone, steps: []observation{
-			submit(two(), 201, "pending"),
+		{name: "job done after half of its tasks", rule: ruleDoneTooEarly, steps: []observation{
+			submit(twoTaskJob(), 201, "pending"),
 			start(small, "job-1/0", 1),
 			end(small, "job-1/0", 1, "done"),
 			get("job-1", 200, "done"),
 		}},
-		{name: "job done after its task was stopped", rule: ruleNotDone, steps: []observation{
-			submit(one(), 201, "pending"),
+		{name: "job done after its task was stopped", rule: ruleDoneTooEarly, steps: []observation{
+			submit(oneTaskJob(), 201, "pending"),
 			start(small, "job-1/0", 1),
 			end(small, "job-1/0", 1, "stopped"),
 			get("job-1", 200, "done"),
 		}},
-		{name: "done, then running", rule: ruleWentBack, steps: []observation{
-			submit(one(), 201, "pending"),
+		{name: "done, then running", rule: ruleStatusContradiction, steps: []observation{
+			submit(oneTaskJob(), 201, "pending"),
 			start(small, "job-1/0", 1),
 			end(small, "job-1/0", 1, "done"),
 			get("job-1", 200, "done"),
 			get("job-1", 200, "running"),
 		}},
-		{name: "done, then running at the same instant", rule: ruleWentBack, steps: []observation{
-			submit(one(), 201, "pending"),
+		{name: "done, then running at the same instant", rule: ruleStatusContradiction, steps: []observation{
+			submit(oneTaskJob(), 201, "pending"),
 			start(small, "job-1/0", 1),
 			end(small, "job-1/0", 1, "done"),
 			get("job-1", 200, "done"),
-			atOnce(get("job-1", 200, "running")),
+			atSameInstant(get("job-1", 200, "running")),
 		}},
-		{name: "cancelled, then pending at the same instant", rule: ruleWentBack, steps: []observation{
-			submit(one(), 201, "pending"),
+		{name: "cancelled, then pending at the same instant", rule: ruleStatusContradiction, steps: []observation{
+			submit(oneTaskJob(), 201, "pending"),
 			cancel("job-1", "cancelled"),
-			atOnce(get("job-1", 200, "pending")),
+			atSameInstant(get("job-1", 200, "pending")),
 		}},
-		{name: "accepted twice at the same instant", rule: ruleWentBack, steps: []observation{
-			submit(one(), 201, "pending"),
-			atOnce(submit(one(), 201, "pending")),
+		{name: "accepted twice at the same instant", rule: ruleStatusContradiction, steps: []observation{
+			submit(oneTaskJob(), 201, "pending"),
+			atSameInstant(submit(oneTaskJob(), 201, "pending")),
 		}},
-		{name: "accepted job unknown at the same instant", rule: ruleForgotten, steps: []observation{
-			submit(one(), 201, "pending"),
-			atOnce(get("job-1", 404, "")),
+		{name: "accepted job unknown at the same instant", rule: ruleAcceptedJobLost, steps: []observation{
+			submit(oneTaskJob(), 201, "pending"),
+			atSameInstant(get("job-1", 404, "")),
 		}},
-		{name: "gang done although one of its tasks never ran", rule: ruleNotDone, steps: []observation{
+		{name: "gang done although one of its tasks never ran", rule: ruleDoneTooEarly, steps: []observation{
 			submit(newJob("job-1", "gang", 2), 201, "pending"),
 			start(small, "job-1/0", 1),
 			end(small, "job-1/0", 1, "done"),
@@ -228,31 +228,31 @@
 			end(small, "job-1/0", 1, "done"),
 			get("job-1", 200, "done"),
 		}},
-		{name: "cancelled, then pending", rule: ruleWentBack, steps: []observation{
-			submit(one(), 201, "pending"),
+		{name: "cancelled, then pending", rule: ruleStatusContradiction, steps: []observation{
+			submit(oneTaskJob(), 201, "pending"),
 			cancel("job-1", "cancelled"),
-			submit(one(), 200, "pending"),
+			submit(oneTaskJob(), 200, "pending"),
 		}},
-		{name: "cancelled, then done", rule: ruleWentBack, steps: []observation{
-			submit(one(), 201, "pending"),
+		{name: "cancelled, then done", rule: ruleStatusContradiction, steps: []observation{
+			submit(oneTaskJob(), 201, "pending"),
 			start(small, "job-1/0", 1),
 			cancel("job-1", "cancelled"),
 			end(small, "job-1/0", 1, "done"),
 			get("job-1", 200, "done"),
 		}},
-		{name: "done, then cancelled", rule: ruleWentBack, steps: []observation{
-			submit(one(), 201, "pending"),
+		{name: "done, then cancelled", rule: ruleStatusContradiction, steps: []observation{
+			submit(oneTaskJob(), 201, "pending"),
 			start(small, "job-1/0", 1),
 			end(small, "job-1/0", 1, "done"),
 			get("job-1", 200, "done"),
 			cancel("job-1", "cancelled"),
 		}},
-		{name: "cancelled without a user's request", rule: ruleWentBack, steps: []observation{
-			submit(one(), 201, "pending"),
+		{name: "cancelled without a user's request", rule: ruleStatusContradiction, steps: []observation{
+			submit(oneTaskJob(), 201, "pending"),
 			get("job-1", 200, "cancelled"),
 		}},
 		{name: "dependent after its dependency", steps: []observation{
-			submit(one(), 201, "pending"),
+			submit(oneTaskJob(), 201, "pending"),
 			submit(dependent(), 201, "pending"),
 			start(small, "job-1/0", 1),
 			end(small, "job-1/0", 1, "done"),
@@ -261,64 +261,64 @@
 			get("job-2", 200, "done"),
 		}},
 		{name: "dependent of a cancelled job", steps: []observation{
-			submit(one(), 201, "pending"),
+			submit(oneTaskJob(), 201, "pending"),
 			submit(dependent(), 201, "pending"),
 			cancel("job-1", "cancelled"),
 			get("job-2", 200, "pending"),
 			later(39*time.Second, get("job-2", 200, "cancelled")),
 		}},
-		{name: "dependent starts before its dependency is done", rule: ruleTooEarly, steps: []observation{
-			submit(one(), 201, "pending"),
+		{name: "dependent starts before its dependency is done", rule: ruleStartedTooEarly, steps: []observation{
+			submit(oneTaskJob(), 201, "pending"),
 			submit(dependent(), 201, "pending"),
 			start(small, "job-1/0", 1),
 			start(south, "job-2/0", 1),
 		}},
-		{name: "dependent still pending after the limit", rule: ruleOrphaned, steps: []observation{
-			submit(one(), 201, "pending"),
+		{name: "dependent still pending after the limit", rule: ruleDependentNotCancelled, steps: []observation{
+			submit(oneTaskJob(), 201, "pending"),
 			submit(dependent(), 201, "pending"),
 			cancel("job-1", "cancelled"),
 			later(41*time.Second, get("job-2", 200, "pending")),
 		}},
-		{name: "accepted twice", rule: ruleWentBack, steps: []observation{
-			submit(one(), 201, "pending"),
-			submit(one(), 201, "pending"),
+		{name: "accepted twice", rule: ruleStatusContradiction, steps: []observation{
+			submit(oneTaskJob(), 201, "pending"),
+			submit(oneTaskJob(), 201, "pending"),
 		}},
-		{name: "cancellation answered as running", rule: ruleWentBack, steps: []observation{
-			submit(one(), 201, "pending"),
+		{name: "cancellation answered as running", rule: ruleStatusContradiction, steps: []observation{
+			submit(oneTaskJob(), 201, "pending"),
 			cancel("job-1", "running"),
 		}},
 		{name: "request sent before the cancellation was confirmed", steps: []observation{
-			submit(one(), 201, "pending"),
+			submit(oneTaskJob(), 201, "pending"),
 			cancel("job-1", "cancelled"),
 			{method: "GET", path: "/v2/runs/job-1", code: 200, status: "running", sentBeforeLastResponse: true},
 		}},
 	} {
 		scenario(t, func(t *testing.T, c *testCluster) {
 			got := map[string]bool{}
-			r := newRules(c.nodeSettings("a"), func(rule, what string) { got[rule] = true })
+			r := newRules(c.nodeSettings("a"), func(rule, detail string) { got[rule] = true })
 			last := moment{}
-			for _, s := range test.steps {
-				if !s.sameInstant {
-					time.Sleep(s.wait + time.Millisecond)
+			for _, step := range test.steps {
+				if !step.sameInstant {
+					time.Sleep(step.wait + time.Millisecond)
 				}
 				switch {
-				case s.worker != nil:
-					r.TaskEvent(fake.Event{At: time.Now(), SentAt: time.Now().Add(-s.commandAge), Worker: s.worker, Incarnation: 1,
-						Task: s.task, Attempt: s.attempt, Start: s.start, Cause: s.cause})
-				case s.path != "":
-					raw, _ := json.Marshal(s.body)
-					sent := r.RequestSent(s.method, s.path, raw)
-					if s.sentBeforeLastResponse {
+				case step.worker != nil:
+					r.ObserveTaskEvent(fake.Event{At: time.Now(), SentAt: time.Now().Add(-step.commandAge), Worker: step.worker, Incarnation: 1,
+						Task: step.task, Attempt: step.attempt, Start: step.start, Cause: step.cause})
+				case step.path != "":
+					raw, _ := json.Marshal(step.body)
+					sent := r.ObserveRequest(step.method, step.path, raw)
+					if step.sentBeforeLastResponse {
 						sent = last // at the same moment as the last request, so before that request's response
 					}
 					last = sent
 					out := map[string]any{}
-					if s.status != "" {
-						out["status"] = s.status
+					if step.status != "" {
+						out["status"] = step.status
 					}
-					r.ResponseReceived(sent, "a", s.method, s.path, raw, s.code, out)
+					r.ObserveResponse(sent, "a", step.method, step.path, raw, step.code, out)
 				}
-				if s.checkCancelled {
+				if step.checkCancelled {
 					r.CheckCancelled()
 				}
 			}
--- a/internal/scenarios/cluster_test.go
+++ b/internal/scenarios/cluster_test.go
@@ -105,7 +105,7 @@
 			}
 			return 0
 		})
-		c.rules = newRules(c.nodeSettings("a"), func(rule, what string) { t.Errorf("rule violated: %s: %s", rule, what) })
+		c.rules = newRules(c.nodeSettings("a"), func(rule, detail string) { t.Errorf("rule violated: %s: %s", rule, detail) })
 		defer synctest.Wait()
 		defer cancel()
 		defer c.rules.CheckCancelled()
@@ -156,7 +156,7 @@
 func (c *testCluster) startWorker(name, zone string) *fake.Worker {
 	worker := &fake.Worker{Name: name, Address: name + ":9000", Type: "small", Zone: zone, Network: c.network,
 		Controllers: apiAddresses(nodeNames), ControllerNames: nodeNames, HeartbeatInterval: heartbeatInterval, LeaseDuration: leaseDuration}
-	worker.NotifyEvents(c.rules.TaskEvent)
+	worker.NotifyEvents(c.rules.ObserveTaskEvent)
 	c.mu.Lock()
 	c.workers = append(c.workers, worker)
 	c.mu.Unlock()
--- a/internal/scenarios/disruption_rule_test.go
+++ b/internal/scenarios/disruption_rule_test.go
@@ -13,7 +13,7 @@
 // budget. In its scenarios only drains, cancellations and spot reclaims stop tasks. It therefore
 // takes each stop without a cancellation or a spot reclaim as an eviction by a drain.
 type disruptionRule struct {
-	report  func(rule, what string)
+	report  func(rule, detail string)
 	rules   *rules
 	budgets map[string]teamBudget
 
@@ -49,7 +49,7 @@
 const defaultDetectionDelay = 12 * time.Second
 
 // newDisruptionRule returns a checker of the budgets. It passes each event on to the rules.
-func newDisruptionRule(r *rules, report func(rule, what string), budgets map[string]teamBudget) *disruptionRule {
+func newDisruptionRule(r *rules, report func(rule, detail string), budgets map[string]teamBudget) *disruptionRule {
 	return &disruptionRule{
 		report:         report,
 		rules:          r,
@@ -62,9 +62,10 @@
 	}
 }
 
-// Event records the start or end of a task on a worker, and checks the budget if a drain stopped it.
+// Event records the start or end of a task on a worker. It checks the budget if a drain
+// stopped the task.
 func (d *disruptionRule) Event(event fake.Event) {
-	d.rules.TaskEvent(event)
+	d.rules.ObserveTaskEvent(event)
 	job, _, _ := strings.Cut(event.Task, "/")
 	d.rules.mu.Lock()
 	description, cancelled := d.rules.job(job).jobDescription, !d.rules.job(job).cancelRequested.isZero()
@@ -141,15 +142,15 @@
 	}
 }
 
-// noteSpotReclaim records that the cloud reclaims a machine.
-func (d *disruptionRule) noteSpotReclaim(machine string) {
+// recordSpotReclaim records that the cloud reclaims a machine.
+func (d *disruptionRule) recordSpotReclaim(machine string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.reclaimed[machine] = true
 }
 
-// evictionsOf returns the number of evictions of a job's tasks so far.
-func (d *disruptionRule) evictionsOf(job string) (n int) {
+// evictionCount returns the number of evictions of a job's tasks so far.
+func (d *disruptionRule) evictionCount(job string) (n int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for task, stops := range d.evictions {
--- a/internal/scenarios/drain_budget_test.go
+++ b/internal/scenarios/drain_budget_test.go
@@ -23,10 +23,10 @@
 		c.startRollout(newRollout("spring"))
 		c.awaitState("spring", rollout.Ended, 6*time.Minute)
 		c.awaitTaskCount(30*time.Second, "job-1", 6)
-		if left := c.machinesIn("north"); len(left) > 0 {
-			t.Errorf("machines in the north still run after the drain: %v", left)
+		if remaining := c.machinesIn("north"); len(remaining) > 0 {
+			t.Errorf("machines in the north still run after the drain: %v", remaining)
 		}
-		if n := c.disruption.evictionsOf("job-1"); n == 0 || n > 6 {
+		if n := c.disruption.evictionCount("job-1"); n == 0 || n > 6 {
 			t.Errorf("%d evictions of 6 replicas, want 1 to 6", n)
 		}
 		// The leader removes the keys when it next processes its rollouts, within a quarter of a second.
@@ -41,15 +41,15 @@
 // the rule.
 func TestDisruptionRuleDetectsEvictionsOverBudget(t *testing.T) {
 	t.Parallel()
-	noticed := false
+	violationReported := false
 	drainScenario(t, 4, drainOptions{capacity: 40, features: `drains { teams { team: "red" budget { replicas_down: 99 tasks_interrupted: 99 } } }`},
 		func(t *testing.T, c *drainCluster) {
-			c.disruption.report = func(string, string) { noticed = true }
+			c.disruption.report = func(string, string) { violationReported = true }
 			c.startService("job-1", 8)
 			c.startRollout(newRollout("spring"))
 			c.awaitState("spring", rollout.Ended, 6*time.Minute)
 		})
-	if !noticed {
+	if !violationReported {
 		t.Error("the rule does not report several replicas stopped at a time")
 	}
 }
@@ -68,9 +68,9 @@
 		c.startRollout(newRollout("spring", c.machinesIn("north")...))
 		c.awaitBlocker("team blue: 0 of its 2 replicas are down, of at most 0")
 		c.consistently(time.Minute, "no replica is stopped", func() bool {
-			return c.disruption.evictionsOf("job-1") == 0 && c.disruption.evictionsOf("job-2") == 0
+			return c.disruption.evictionCount("job-1") == 0 && c.disruption.evictionCount("job-2") == 0
 		})
-		c.execute("spring", rollout.CommandAbort)
+		c.executeCommand("spring", rollout.CommandAbort)
 		c.awaitState("spring", rollout.Ended, time.Minute)
 		c.awaitNoneCordoned(time.Minute)
 	})
@@ -173,9 +173,9 @@
 				c.startRollout(spec)
 				c.awaitBlocker(test.reason)
 				c.consistently(3*time.Minute, "all replicas run and none is stopped", func() bool {
-					return c.disruption.evictionsOf("job-1") == 0 && c.runningCount("job-1") == test.replicas
+					return c.disruption.evictionCount("job-1") == 0 && c.runningCount("job-1") == test.replicas
 				})
-				c.execute("spring", rollout.CommandAbort)
+				c.executeCommand("spring", rollout.CommandAbort)
 				c.awaitState("spring", rollout.Ended, time.Minute)
 				c.awaitNoneCordoned(time.Minute)
 			})
@@ -221,22 +221,22 @@
 // checkpoint. They must run to completion, or stop after the deadline if the rollout says so.
 func TestTasksWithoutCheckpointFinishUnlessDrainDeadlinePasses(t *testing.T) {
 	t.Parallel()
-	for _, choice := range []rollout.AtDeadline{rollout.WaitAtDeadline, rollout.StopAtDeadline} {
-		t.Run(string(choice), func(t *testing.T) {
+	for _, atDeadline := range []rollout.AtDeadline{rollout.WaitAtDeadline, rollout.StopAtDeadline} {
+		t.Run(string(atDeadline), func(t *testing.T) {
 			t.Parallel()
 			drainScenario(t, 1, drainOptions{capacity: 10}, func(t *testing.T, c *drainCluster) {
 				c.submitToAny(0, newJob("job-1", "array", 2).with("yard", "north"))
 				c.awaitTaskCount(time.Minute, "job-1", 2)
 				spec := newRollout("spring", c.machinesIn("north")...)
-				spec.AtDeadline, spec.Deadline = choice, 30
+				spec.AtDeadline, spec.Deadline = atDeadline, 30
 				c.startRollout(spec)
 				c.awaitBlocker("can't save and runs to its end")
-				c.consistently(25*time.Second, "no task is stopped before the deadline", func() bool { return c.disruption.evictionsOf("job-1") == 0 })
-				if choice == rollout.StopAtDeadline {
+				c.consistently(25*time.Second, "no task is stopped before the deadline", func() bool { return c.disruption.evictionCount("job-1") == 0 })
+				if atDeadline == rollout.StopAtDeadline {
 					c.awaitState("spring", rollout.Ended, 3*time.Minute)
 					return
 				}
-				c.consistently(time.Minute, "no task is stopped after the deadline", func() bool { return c.disruption.evictionsOf("job-1") == 0 })
+				c.consistently(time.Minute, "no task is stopped after the deadline", func() bool { return c.disruption.evictionCount("job-1") == 0 })
 				for _, task := range []string{"job-1/0", "job-1/1"} {
 					c.workerNamed(c.machinesRunning(task)[0]).EndTask(task, "done")
 				}
--- a/internal/scenarios/drain_cluster_test.go
+++ b/internal/scenarios/drain_cluster_test.go
@@ -32,7 +32,7 @@
 	listener     func(event fake.Event)
 	nodes        map[string]*drainNode
 	stopMachine  map[string]context.CancelFunc // ends the worker of a running machine, by the machine's name
-	seenMachines map[string]bool               // machines that runMachines has found in the cloud
+	seenMachines map[string]bool               // machines that bootMachines has found in the cloud
 }
 
 // drainOptions are the parameters in which drain scenarios differ.
@@ -59,14 +59,14 @@
 		}
 		base.teams = options.teams
 		base.rules.settings = base.nodeSettings("a")
-		c.disruption = newDisruptionRule(base.rules, func(rule, what string) { t.Errorf("rule violated: %s: %s", rule, what) }, budget)
+		c.disruption = newDisruptionRule(base.rules, func(rule, detail string) { t.Errorf("rule violated: %s: %s", rule, detail) }, budget)
 		c.disruption.evictionStored = c.evictionStored
 		base.network.Listen("cloud:1", c.cloud)
 		for _, zone := range zones {
 			c.provision("first-"+zone, zone, machines)
 		}
 		c.cloud.NotifyDeletions(c.terminateMachine)
-		go c.runMachines()
+		go c.bootMachines()
 		for _, name := range fiveNodeNames {
 			c.startNode(name)
 		}
@@ -89,8 +89,8 @@
 	if err != nil {
 		return false
 	}
-	evicted, is := stored.EvictedAttempt(index)
-	return is && evicted == ids.Attempt(attempt)
+	evicted, ok := stored.EvictedAttempt(index)
+	return ok && evicted == ids.Attempt(attempt)
 }
 
 // startService submits a service, with fields changed as by jobSpec.with, and waits until its
--- a/internal/scenarios/drain_commands_test.go
+++ b/internal/scenarios/drain_commands_test.go
@@ -16,12 +16,12 @@
 	t.Parallel()
 	drainScenario(t, 2, drainOptions{capacity: 4}, func(t *testing.T, c *drainCluster) {
 		c.startService("job-2", 2, "yard", "south", "cores", 0.1, "ramGb", 9) // one replica on each machine there
-		park := newRollout("park", c.machinesIn("south")...)
-		park.Surge = true
-		c.startRollout(park)
+		southDrain := newRollout("park", c.machinesIn("south")...)
+		southDrain.Surge = true
+		c.startRollout(southDrain)
 		c.eventually(time.Minute, "both machines in the south are cordoned", func() bool { return c.cordonedCount() == 2 })
 		c.startService("job-1", 4, "cores", 1.5, "ramGb", 3)
-		c.execute("park", rollout.CommandAbort)
+		c.executeCommand("park", rollout.CommandAbort)
 		c.awaitState("park", rollout.Ended, time.Minute)
 		first, second := newRollout("first", c.machinesIn("north")...), newRollout("second", c.machinesIn("south")...)
 		first.Surge, second.Surge = true, true
@@ -81,18 +81,18 @@
 		},
 		"paused": func(c *drainCluster) {
 			c.sleep(5 * time.Second)
-			c.execute("spring", rollout.CommandPause)
-			stops := c.disruption.evictionsOf("job-1")
+			c.executeCommand("spring", rollout.CommandPause)
+			evictions := c.disruption.evictionCount("job-1")
 			c.sleep(3 * time.Second)
-			if n := c.disruption.evictionsOf("job-1"); n > stops+1 {
-				c.t.Errorf("%d more replicas stopped while the rollout was paused, want at most 1", n-stops)
+			if n := c.disruption.evictionCount("job-1"); n > evictions+1 {
+				c.t.Errorf("%d more replicas stopped while the rollout was paused, want at most 1", n-evictions)
 			}
 		},
 		"halted": func(c *drainCluster) {
 			c.cloud.SetCapacity(0)
 			c.awaitState("spring", rollout.Halted, 5*time.Minute)
 		},
-		"aborting": func(c *drainCluster) { c.execute("spring", rollout.CommandAbort) },
+		"aborting": func(c *drainCluster) { c.executeCommand("spring", rollout.CommandAbort) },
 		"the leader has just crashed": func(c *drainCluster) {
 			c.sleep(8 * time.Second)
 			c.stopNode(c.leader().name)
@@ -106,11 +106,11 @@
 				spec.WaveSize, spec.Surge, spec.Deadline, spec.Pause = 1, name == "halted", 30, 30
 				c.startRollout(spec)
 				prepare(c)
-				c.execute("spring", rollout.CommandAbort)
+				c.executeCommand("spring", rollout.CommandAbort)
 				c.awaitState("spring", rollout.Ended, 3*time.Minute)
 				c.awaitNoneCordoned(time.Minute)
 				c.awaitTaskCount(2*time.Minute, "job-1", 6)
-				c.execute("spring", rollout.CommandAbort)
+				c.executeCommand("spring", rollout.CommandAbort)
 				if _, err := c.follower().rollouts.Execute(c.ctx, "spring", rollout.CommandResume); !errors.Is(err, rollout.ErrInvalidTransition) {
 					t.Errorf("resume of a rollout that has ended: got error %v, want ErrInvalidTransition", err)
 				}
--- a/internal/scenarios/drain_failover_test.go
+++ b/internal/scenarios/drain_failover_test.go
@@ -54,17 +54,17 @@
 	}},
 }
 
-// leaderStep is a step of a drain at which the leader is made to fail. A step is recognized by a
+// drainStep is a step of a drain at which the leader is made to fail. A step is recognized by a
 // change in the state service or by a task event.
-type leaderStep struct {
+type drainStep struct {
 	name     string
 	onChange func(key string, value json.RawMessage) bool
 	onEvent  func(event fake.Event, drained bool) bool
 }
 
-// leaderSteps are the steps of an eviction from its permit to the new start, after which the permit
+// drainSteps are the steps of an eviction from its permit to the new start, after which the permit
 // is returned, and the steps of a wave.
-var leaderSteps = []leaderStep{
+var drainSteps = []drainStep{
 	{name: "the permit is stored", onChange: func(key string, value json.RawMessage) bool {
 		return strings.HasPrefix(key, "job/") && strings.Contains(string(value), `"evictions"`)
 	}},
@@ -87,8 +87,8 @@
 }
 
 // failLeaderAt makes the leader fail when a step is reached, up to the given number of times.
-func (c *drainCluster) failLeaderAt(step leaderStep, times int, fail func(c *drainCluster, leader string)) {
-	reached := c.signalStep(step)
+func (c *drainCluster) failLeaderAt(step drainStep, times int, fail func(c *drainCluster, leader string)) {
+	reached := c.watchStep(step)
 	go func() {
 		for range times {
 			select {
@@ -107,8 +107,8 @@
 	}()
 }
 
-// signalStep returns a channel that receives a signal when a step is reached.
-func (c *drainCluster) signalStep(step leaderStep) chan struct{} {
+// watchStep returns a channel that receives a signal when a step is reached.
+func (c *drainCluster) watchStep(step drainStep) chan struct{} {
 	reached := make(chan struct{}, 1)
 	if step.onChange != nil {
 		c.store.NotifyChanges(func(key string, value json.RawMessage) {
@@ -153,7 +153,7 @@
 // a drain. No eviction may be repeated, and no machine may stay cordoned and no eviction recorded.
 func TestLeaderFailureDuringDrainStepRepeatsNoEviction(t *testing.T) {
 	t.Parallel()
-	for _, step := range leaderSteps {
+	for _, step := range drainSteps {
 		for _, failure := range leaderFailures {
 			t.Run(step.name+", "+failure.name, func(t *testing.T) {
 				t.Parallel()
@@ -164,7 +164,7 @@
 					c.awaitState("spring", rollout.Ended, 15*time.Minute)
 					c.awaitTaskCount(2*time.Minute, "job-1", 6)
 					c.awaitNoneCordoned(time.Minute)
-					if n := c.disruption.evictionsOf("job-1"); n > 6 {
+					if n := c.disruption.evictionCount("job-1"); n > 6 {
 						t.Errorf("%d evictions of 6 replicas, want at most 6: an eviction was repeated", n)
 					}
 					c.eventually(time.Minute, "the job's record holds no eviction", func() bool {
@@ -196,7 +196,7 @@
 		c.stopNode(leader)
 		c.awaitState("spring", rollout.Ended, 8*time.Minute)
 		c.awaitTaskCount(time.Minute, "job-1", 6)
-		if n := c.disruption.evictionsOf("job-1"); n > 6 {
+		if n := c.disruption.evictionCount("job-1"); n > 6 {
 			t.Errorf("%d evictions of 6 replicas, want at most 6", n)
 		}
 	})
--- a/internal/scenarios/drain_failures_test.go
+++ b/internal/scenarios/drain_failures_test.go
@@ -32,7 +32,7 @@
 			c.network.SetRule(nil)
 		}},
 		{"the cloud reclaims the machine", func(c *drainCluster, machine string) {
-			c.disruption.noteSpotReclaim(machine)
+			c.disruption.recordSpotReclaim(machine)
 			c.workerNamed(machine).AnnouncePreemption(20 * time.Second)
 			c.sleep(20 * time.Second)
 			c.terminateMachine(machine)
@@ -67,8 +67,8 @@
 					if r.Wave == nil {
 						return ""
 					}
-					set := r.Wave.Machines[rollout.Draining]
-					for name := range set.All() {
+					machines := r.Wave.Machines[rollout.Draining]
+					for name := range machines.All() {
 						return string(name)
 					}
 					return ""
--- a/internal/scenarios/drain_machines_test.go
+++ b/internal/scenarios/drain_machines_test.go
@@ -23,8 +23,8 @@
 	}
 }
 
-// runMachines boots the machines that the cloud has provisioned, until the scenario ends.
-func (c *drainCluster) runMachines() {
+// bootMachines boots the machines that the cloud has provisioned, until the scenario ends.
+func (c *drainCluster) bootMachines() {
 	for c.ctx.Err() == nil {
 		for _, host := range c.cloud.Machines() {
 			if c.seenMachines[host.Name] {
--- a/internal/scenarios/drain_node_test.go
+++ b/internal/scenarios/drain_node_test.go
@@ -16,7 +16,7 @@
 // drainNode is a controller in a cluster with rollouts.
 type drainNode struct {
 	*process
-	silentNotifier
+	noopNotifier
 	cluster  *drainCluster
 	elector  *election.Elector
 	rollouts *rollout.Service
--- a/internal/scenarios/drain_replacement_test.go
+++ b/internal/scenarios/drain_replacement_test.go
@@ -19,7 +19,7 @@
 			t.Parallel()
 			drainScenario(t, 4, drainOptions{capacity: 60}, func(t *testing.T, c *drainCluster) {
 				c.startService("job-1", 6)
-				before := c.machinesIn("north")
+				oldMachines := c.machinesIn("north")
 				spec := newReplacement("spring", c)
 				spec.Surge = surge
 				c.startRollout(spec)
@@ -27,7 +27,7 @@
 					return c.rolloutRecord("spring").Waves > 0
 				})
 				c.awaitState("spring", rollout.Ended, 15*time.Minute)
-				for _, name := range before {
+				for _, name := range oldMachines {
 					if slices.Contains(c.machinesIn("north"), name) {
 						t.Errorf("machine %s still runs after its replacement", name)
 					}
@@ -45,13 +45,13 @@
 func TestFailedReplacementMachineHaltsRollout(t *testing.T) {
 	t.Parallel()
 	for _, failure := range []struct {
-		name   string
-		reason string // part of the reason for which the rollout halts
-		boots  func(name string) time.Duration
-		after  func(c *drainCluster, name string)
+		name          string
+		reason        string // part of the reason for which the rollout halts
+		firstBootTime func(name string) time.Duration
+		terminate     func(c *drainCluster, name string)
 	}{
-		{name: "the replacement never boots", reason: "0 are up", boots: func(string) time.Duration { return neverBoots }},
-		{name: "the replacement terminates while it is observed", reason: "replacement", after: func(c *drainCluster, name string) { c.terminateMachine(name) }},
+		{name: "the replacement never boots", reason: "0 are up", firstBootTime: func(string) time.Duration { return neverBoots }},
+		{name: "the replacement terminates while it is observed", reason: "replacement", terminate: func(c *drainCluster, name string) { c.terminateMachine(name) }},
 	} {
 		t.Run(failure.name, func(t *testing.T) {
 			t.Parallel()
@@ -60,21 +60,21 @@
 				for i := range 3 {
 					c.submitToAny(0, newJob(fmt.Sprint("job-", 10+i), "array", 1).with("urgency", "low"))
 				}
-				before := c.machinesIn("north")
-				good := c.bootTime
-				bad := false
+				oldMachines := c.machinesIn("north")
+				normalBootTime := c.bootTime
+				failureInjected := false
 				c.bootTime = func(name string) time.Duration {
-					if !bad {
-						bad = true
-						if failure.boots != nil {
-							return failure.boots(name)
+					if !failureInjected {
+						failureInjected = true
+						if failure.firstBootTime != nil {
+							return failure.firstBootTime(name)
 						}
 						go func() {
 							c.sleep(12 * time.Second)
-							failure.after(c, name)
+							failure.terminate(c, name)
 						}()
 					}
-					return good(name)
+					return normalBootTime(name)
 				}
 				spec := newReplacement("spring", c)
 				spec.WaveSize, spec.Deadline, spec.Observe = 1, 40, 60
@@ -91,9 +91,9 @@
 					r := c.rolloutRecord("spring")
 					return r.State == rollout.Halted && r.Waves == waves
 				})
-				c.execute("spring", rollout.CommandResume)
+				c.executeCommand("spring", rollout.CommandResume)
 				c.awaitState("spring", rollout.Ended, 20*time.Minute)
-				for _, name := range before {
+				for _, name := range oldMachines {
 					if slices.Contains(c.machinesIn("north"), name) {
 						t.Errorf("machine %s still runs after the rollout", name)
 					}
@@ -123,8 +123,8 @@
 		spec.Observe = 90
 		c.startRollout(spec)
 		c.awaitState("spring", rollout.Halted, 4*time.Minute)
-		if why := c.rolloutRecord("spring").Reason; !strings.Contains(why, "replacement host-000003 of wave 1 failed: tasks keep failing there") {
-			t.Errorf("rollout halted for another reason than failing tasks: %q", why)
+		if reason := c.rolloutRecord("spring").Reason; !strings.Contains(reason, "replacement host-000003 of wave 1 failed: tasks keep failing there") {
+			t.Errorf("rollout halted for another reason than failing tasks: %q", reason)
 		}
 	})
 }
@@ -136,11 +136,11 @@
 func TestRolloutWaitsForCloudCapacity(t *testing.T) {
 	t.Parallel()
 	for _, test := range []struct {
-		name  string
-		begin func(c *drainCluster)
-		end   func(c *drainCluster)
-		after bool // whether the outage begins only once the wave's replacement is provisioned
-		wave  int  // number of machines in a wave
+		name              string
+		beginOutage       func(c *drainCluster)
+		endOutage         func(c *drainCluster)
+		afterProvisioning bool // whether the outage begins only once the wave's replacement is provisioned
+		wave              int  // number of machines in a wave
 	}{
 		{"the cloud is down", func(c *drainCluster) { c.cloud.SetDown(true) }, func(c *drainCluster) { c.cloud.SetDown(false) }, false, 1},
 		{"the cloud is down in the middle of a wave", func(c *drainCluster) { c.cloud.SetDown(true) }, func(c *drainCluster) { c.cloud.SetDown(false) }, true, 1},
@@ -153,27 +153,27 @@
 				c.startService("job-1", 6)
 				spec := newReplacement("spring", c)
 				spec.WaveSize = test.wave
-				if !test.after {
-					test.begin(c)
+				if !test.afterProvisioning {
+					test.beginOutage(c)
 				}
 				c.startRollout(spec)
-				if test.after {
+				if test.afterProvisioning {
 					c.eventually(2*time.Minute, "the replacement is provisioned", func() bool {
 						wave := c.rolloutRecord("spring").Wave
 						return wave != nil && len(wave.ReplacementRequests) > 0 && wave.ReplacementRequests[0].Answered
 					})
-					test.begin(c)
+					test.beginOutage(c)
 					c.awaitBlocker("the cloud has not confirmed its return")
 				} else {
 					c.awaitState("spring", rollout.Halted, 5*time.Minute)
 				}
-				stops := c.disruption.evictionsOf("job-1")
+				evictions := c.disruption.evictionCount("job-1")
 				c.consistently(time.Minute, "no more tasks are stopped", func() bool {
-					return c.disruption.evictionsOf("job-1") == stops
+					return c.disruption.evictionCount("job-1") == evictions
 				})
-				test.end(c)
-				if !test.after {
-					c.execute("spring", rollout.CommandResume)
+				test.endOutage(c)
+				if !test.afterProvisioning {
+					c.executeCommand("spring", rollout.CommandResume)
 				}
 				c.awaitState("spring", rollout.Ended, 15*time.Minute)
 			})
--- a/internal/scenarios/drain_rollout_test.go
+++ b/internal/scenarios/drain_rollout_test.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// execute sends a command for a rollout through a controller that does not lead.
-func (c *drainCluster) execute(name string, command rollout.Command) {
+// executeCommand sends a command for a rollout through a controller that does not lead.
+func (c *drainCluster) executeCommand(name string, command rollout.Command) {
 	c.t.Helper()
 	err := c.callUntilAvailable(func(n *drainNode) error { _, err := n.rollouts.Execute(c.ctx, rollout.Name(name), command); return err })
 	if err != nil {
@@ -58,7 +58,7 @@
 
 // rolloutRecord returns the stored record of a rollout.
 func (c *drainCluster) rolloutRecord(name string) (r rollout.Record) {
-	_ = json.Unmarshal(c.store.Value("rollout/run/"+name), &r) // the record of a rollout that isn't stored yet stays zero
+	_ = json.Unmarshal(c.store.Value("rollout/run/"+name), &r) // zero if the rollout isn't stored yet
 	return r
 }
 
--- a/internal/scenarios/fault_injector_test.go
+++ b/internal/scenarios/fault_injector_test.go
@@ -63,11 +63,11 @@
 	case 0:
 		i.hang(machine, duration)
 	case 1:
-		i.disturbMachine(slot, fake.PartitionOutbound(machine), duration)
+		i.injectMachineFault(slot, fake.PartitionOutbound(machine), duration)
 	case 2:
-		i.disturbMachine(slot, fake.PartitionInbound(machine), duration)
+		i.injectMachineFault(slot, fake.PartitionInbound(machine), duration)
 	case 3:
-		i.disturbMachine(slot, fake.DuplicateHeartbeats(machine), duration)
+		i.injectMachineFault(slot, fake.DuplicateHeartbeats(machine), duration)
 	case 4:
 		i.refuseLeader(duration)
 	case 5:
@@ -81,9 +81,9 @@
 		time.Sleep(duration)
 		i.cluster.store.SetDown(false)
 	case 8:
-		i.setRuleFor(duration, slot, i.disturbCommits(fake.DropResponse))
+		i.setRuleFor(duration, slot, i.randomCommitFault(fake.DropResponse))
 	case 9:
-		i.setRuleFor(duration, slot, i.disturbCommits(fake.Delay))
+		i.setRuleFor(duration, slot, i.randomCommitFault(fake.Delay))
 	case 10:
 		i.isolateLeader(slot, duration)
 	}
@@ -96,9 +96,9 @@
 	i.cluster.workerNamed(machine).SetHung(false)
 }
 
-// disturbMachine applies a rule to the traffic of a machine, and delivers the requests that were
+// injectMachineFault applies a rule to the traffic of a machine, and delivers the requests that were
 // held back up to 3 s after the end of the rule.
-func (i *faultInjector) disturbMachine(slot int, rule fake.Rule, duration time.Duration) {
+func (i *faultInjector) injectMachineFault(slot int, rule fake.Rule, duration time.Duration) {
 	i.setRuleFor(duration, slot, rule)
 	time.Sleep(i.random.milliseconds(0, 3000))
 	i.cluster.network.ReleaseHeld()
@@ -128,8 +128,8 @@
 	i.cluster.startNode(node.name)
 }
 
-// disturbCommits returns a rule that gives one commit in four the outcome in place of delivery.
-func (i *faultInjector) disturbCommits(outcome fake.Outcome) fake.Rule {
+// randomCommitFault returns a rule that gives one commit in four the outcome in place of delivery.
+func (i *faultInjector) randomCommitFault(outcome fake.Outcome) fake.Rule {
 	return func(_, _ string, r *http.Request, _ []byte) fake.Outcome {
 		if isCommit(r) && i.random.intn(4) == 0 {
 			return outcome
--- a/internal/scenarios/jobs_test.go
+++ b/internal/scenarios/jobs_test.go
@@ -48,19 +48,19 @@
 
 // submitFanIn submits count small jobs, a job that depends on all of them, and a job that depends on
 // the latter. It returns the IDs of the small jobs.
-func (c *testCluster) submitFanIn(random *randomSource, count int) (needed []string) {
+func (c *testCluster) submitFanIn(random *randomSource, count int) (dependencies []string) {
 	c.t.Helper()
 	for i := range count {
 		id := fmt.Sprintf("job-%06d", 412+37*i)
-		needed = append(needed, id)
+		dependencies = append(dependencies, id)
 		if code, _ := c.requestUntilDecided(random, "POST", "/v2/runs", newSmallJob(id)); code != 201 {
 			c.t.Fatalf("submission of %s got status code %d, want 201", id, code)
 		}
 		time.Sleep(30 * time.Millisecond)
 	}
-	c.submit("a", newSmallJob("job-900000").dependingOn(needed...))
+	c.submit("a", newSmallJob("job-900000").dependingOn(dependencies...))
 	c.submit("b", newSmallJob("job-900001").dependingOn("job-900000"))
-	return needed
+	return dependencies
 }
 
 // completeJob completes every running task of a job.
--- a/internal/scenarios/network_test.go
+++ b/internal/scenarios/network_test.go
@@ -12,8 +12,8 @@
 // isBetween reports whether a request goes between two hosts, in either direction. The names of
 // the two hosts are given without a port.
 func isBetween(from, to, first, second string) bool {
-	is := func(host, name string) bool { return host == name || strings.HasPrefix(host, name+":") }
-	return is(from, first) && is(to, second) || is(from, second) && is(to, first)
+	isHost := func(host, name string) bool { return host == name || strings.HasPrefix(host, name+":") }
+	return isHost(from, first) && isHost(to, second) || isHost(from, second) && isHost(to, first)
 }
 
 // isPartitioned reports whether the network would not deliver a request from one node to another.
--- a/internal/scenarios/process_test.go
+++ b/internal/scenarios/process_test.go
@@ -81,12 +81,12 @@
 	return addresses
 }
 
-// silentNotifier is a LeaderNotifier that sends no notification: the leader learns of writes by
+// noopNotifier is a LeaderNotifier that sends no notification: the leader learns of writes by
 // watching the state service.
-type silentNotifier struct{}
+type noopNotifier struct{}
 
 // NotifyLeader returns a channel that is closed already.
-func (silentNotifier) NotifyLeader(ids.Job, ids.Revision, *record.Record, json.RawMessage) <-chan struct{} {
+func (noopNotifier) NotifyLeader(ids.Job, ids.Revision, *record.Record, json.RawMessage) <-chan struct{} {
 	done := make(chan struct{})
 	close(done)
 	return done
--- a/internal/scenarios/rules_responses_test.go
+++ b/internal/scenarios/rules_responses_test.go
@@ -37,8 +37,8 @@
 	return job, action
 }
 
-// RequestSent records that a user sends a request, and returns the moment.
-func (r *rules) RequestSent(method, path string, body []byte) moment {
+// ObserveRequest records that a user sends a request, and returns the moment.
+func (r *rules) ObserveRequest(method, path string, body []byte) moment {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.nextMoment()
@@ -56,9 +56,9 @@
 	return now
 }
 
-// ResponseReceived checks and records the response to a request that was sent at a moment. Code 0
+// ObserveResponse checks and records the response to a request that was sent at a moment. Code 0
 // means that there was no response.
-func (r *rules) ResponseReceived(sent moment, node, method, path string, body []byte, code int, fields map[string]any) {
+func (r *rules) ObserveResponse(sent moment, node, method, path string, body []byte, code int, fields map[string]any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	status, _ := fields["status"].(string)
@@ -67,7 +67,7 @@
 		description, ok := decodeDescription(body)
 		if !ok {
 			if code == http.StatusOK || code == http.StatusCreated {
-				r.violated(ruleInvented, "", "node %s accepts a submission without a valid job ID: %s", node, body)
+				r.reportViolation(ruleNeverSubmitted, "", "node %s accepts a submission without a valid job ID: %s", node, body)
 			}
 			return
 		}
@@ -97,7 +97,7 @@
 	switch {
 	case received.submission && (received.code == http.StatusBadRequest || received.code == http.StatusUnprocessableEntity):
 		if received.sent.after(job.accepted) {
-			r.violated(ruleForgotten, received.job, "node %s answers %d to a repeated submission of accepted job %s", received.node, received.code, received.job)
+			r.reportViolation(ruleAcceptedJobLost, received.job, "node %s answers %d to a repeated submission of accepted job %s", received.node, received.code, received.job)
 		}
 		if job.accepted.isZero() {
 			job.submitted = false // another job may be submitted under this ID
@@ -105,14 +105,14 @@
 		return false
 	case received.code == http.StatusNotFound:
 		if received.sent.after(job.accepted) {
-			r.violated(ruleForgotten, received.job, "node %s answers 404 for accepted job %s", received.node, received.job)
+			r.reportViolation(ruleAcceptedJobLost, received.job, "node %s answers 404 for accepted job %s", received.node, received.job)
 		}
 		return false
 	case received.code != http.StatusOK && received.code != http.StatusCreated:
 		return false
 	}
 	if !job.submitted {
-		r.violated(ruleInvented, received.job, "node %s answers %d %q for job %s, which nobody submitted", received.node, received.code, received.status, received.job)
+		r.reportViolation(ruleNeverSubmitted, received.job, "node %s answers %d %q for job %s, which nobody submitted", received.node, received.code, received.status, received.job)
 		return false
 	}
 	return true
@@ -121,10 +121,10 @@
 // checkStatus reports a status that contradicts earlier responses, requests or task events.
 func (r *rules) checkStatus(job *observedJob, received response) {
 	if received.code == http.StatusCreated && received.sent.after(job.accepted) {
-		r.violated(ruleWentBack, received.job, "node %s accepts job %s as new, which was accepted before", received.node, received.job)
+		r.reportViolation(ruleStatusContradiction, received.job, "node %s accepts job %s as new, which was accepted before", received.node, received.job)
 	}
 	if received.cancellation && received.status != "cancelled" && received.status != "done" {
-		r.violated(ruleWentBack, received.job, "node %s answers a cancellation of job %s with status %q", received.node, received.job, received.status)
+		r.reportViolation(ruleStatusContradiction, received.job, "node %s answers a cancellation of job %s with status %q", received.node, received.job, received.status)
 	}
 	switch received.status {
 	case "done":
@@ -134,7 +134,7 @@
 	case "pending", "running":
 		r.checkUnfinished(job, received)
 	default:
-		r.violated(ruleWentBack, received.job, "node %s reports job %s with unknown status %q", received.node, received.job, received.status)
+		r.reportViolation(ruleStatusContradiction, received.job, "node %s reports job %s with unknown status %q", received.node, received.job, received.status)
 	}
 }
 
@@ -145,11 +145,11 @@
 		// A gang is done when one of its tasks is, but all of them must have run.
 		task := fmt.Sprintf("%s/%d", received.job, index)
 		if !job.completed[index] && !(job.Shape == "gang" && len(job.completed) > 0 && !r.firstStarts[task].IsZero()) {
-			r.violated(ruleNotDone, received.job, "node %s reports job %s as done, but task %s has not completed", received.node, received.job, task)
+			r.reportViolation(ruleDoneTooEarly, received.job, "node %s reports job %s as done, but task %s has not completed", received.node, received.job, task)
 		}
 	}
 	if !job.cancelled.isZero() {
-		r.violated(ruleWentBack, received.job, "node %s reports job %s as done, which was reported as cancelled", received.node, received.job)
+		r.reportViolation(ruleStatusContradiction, received.job, "node %s reports job %s as done, which was reported as cancelled", received.node, received.job)
 	}
 }
 
@@ -158,10 +158,10 @@
 func (r *rules) checkReportedCancelled(job *observedJob, received response) {
 	requested := func(dependency *observedJob) moment { return dependency.cancelRequested }
 	if job.cancelRequested.isZero() && r.earliestInDependencies(job, requested).IsZero() {
-		r.violated(ruleWentBack, received.job, "node %s reports job %s as cancelled, but no user cancelled it or a dependency", received.node, received.job)
+		r.reportViolation(ruleStatusContradiction, received.job, "node %s reports job %s as cancelled, but no user cancelled it or a dependency", received.node, received.job)
 	}
 	if !job.done.isZero() {
-		r.violated(ruleWentBack, received.job, "node %s reports job %s as cancelled, which was reported as done", received.node, received.job)
+		r.reportViolation(ruleStatusContradiction, received.job, "node %s reports job %s as cancelled, which was reported as done", received.node, received.job)
 	}
 }
 
@@ -169,12 +169,12 @@
 // or later than the limit after the cancellation of a job that it depends on.
 func (r *rules) checkUnfinished(job *observedJob, received response) {
 	if received.sent.after(job.done) || received.sent.after(job.cancelled) {
-		r.violated(ruleWentBack, received.job, "node %s reports job %s as %s, whose end was reported %v before the request",
+		r.reportViolation(ruleStatusContradiction, received.job, "node %s reports job %s as %s, whose end was reported %v before the request",
 			received.node, received.job, received.status, received.sent.at.Sub(maxTime(job.done.at, job.cancelled.at)))
 	}
 	confirmed := r.earliestInDependencies(job, func(dependency *observedJob) moment { return dependency.cancelled })
 	if now := received.received.at; !confirmed.IsZero() && now.Sub(confirmed) > r.cancelLimit() {
-		r.violated(ruleOrphaned, received.job, "node %s reports job %s as %s %v after the cancellation of a dependency was confirmed",
+		r.reportViolation(ruleDependentNotCancelled, received.job, "node %s reports job %s as %s %v after the cancellation of a dependency was confirmed",
 			received.node, received.job, received.status, now.Sub(confirmed))
 	}
 }
--- a/internal/scenarios/rules_tasks_test.go
+++ b/internal/scenarios/rules_tasks_test.go
@@ -9,21 +9,21 @@
 	"github.com/pebbletrail/pebbletrail/internal/fake"
 )
 
-// TaskEvent checks and records the start or end of a task on a worker.
-func (r *rules) TaskEvent(event fake.Event) {
+// ObserveTaskEvent checks and records the start or end of a task on a worker.
+func (r *rules) ObserveTaskEvent(event fake.Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	jobID, number, _ := strings.Cut(event.Task, "/")
 	index, _ := strconv.Atoi(number)
 	if event.Start {
-		r.taskStarted(event, jobID, index)
+		r.observeStart(event, jobID, index)
 	} else {
-		r.taskEnded(event, jobID, index)
+		r.observeEnd(event, jobID, index)
 	}
 }
 
-// taskEnded checks and records the end of a task.
-func (r *rules) taskEnded(event fake.Event, jobID string, index int) {
+// observeEnd checks and records the end of a task.
+func (r *rules) observeEnd(event fake.Event, jobID string, index int) {
 	job := r.job(jobID)
 	var remaining []fake.Event
 	for _, start := range r.running[event.Task] {
@@ -35,17 +35,17 @@
 	if event.Cause == "done" {
 		job.completed[index] = true
 	}
-	if event.Cause != "busy" && r.overdue(job, event.At) {
-		r.violated(ruleRanCancelled, jobID, "task %s ran on %s until %v after its job's cancellation was confirmed",
+	if event.Cause != "busy" && r.isOverdue(job, event.At) {
+		r.reportViolation(ruleRanAfterCancellation, jobID, "task %s ran on %s until %v after its job's cancellation was confirmed",
 			event.Task, event.Worker.Name, event.At.Sub(job.cancelled.at))
 	}
 }
 
-// taskStarted checks and records the start of a task.
-func (r *rules) taskStarted(event fake.Event, jobID string, index int) {
+// observeStart checks and records the start of a task.
+func (r *rules) observeStart(event fake.Event, jobID string, index int) {
 	job, machine := r.job(jobID), event.Worker
 	for _, start := range r.running[event.Task] {
-		r.violated(ruleRanTwice, event.Task, "task %s starts on %s (attempt %d) while it runs on %s (attempt %d)",
+		r.reportViolation(ruleConcurrentRuns, event.Task, "task %s starts on %s (attempt %d) while it runs on %s (attempt %d)",
 			event.Task, machine.Name, event.Attempt, start.Worker.Name, start.Attempt)
 	}
 	r.running[event.Task] = append(r.running[event.Task], event)
@@ -53,31 +53,31 @@
 		r.firstStarts[event.Task] = event.At
 	}
 	if !job.submitted {
-		r.violated(ruleInvented, jobID, "task %s starts, but nobody submitted its job", event.Task)
+		r.reportViolation(ruleNeverSubmitted, jobID, "task %s starts, but nobody submitted its job", event.Task)
 		return
 	}
 	if index >= job.Tasks {
-		r.violated(ruleInvented, jobID, "task %s starts, but its job has only %d tasks", event.Task, job.Tasks)
+		r.reportViolation(ruleNeverSubmitted, jobID, "task %s starts, but its job has only %d tasks", event.Task, job.Tasks)
 	}
 	if afterMoment(event.SentAt, job.cancelled) {
-		r.violated(ruleRanCancelled, jobID, "task %s starts on %s by a command sent %v after its job's cancellation was confirmed",
+		r.reportViolation(ruleRanAfterCancellation, jobID, "task %s starts on %s by a command sent %v after its job's cancellation was confirmed",
 			event.Task, machine.Name, event.SentAt.Sub(job.cancelled.at))
 	}
-	if r.overdue(job, event.At) {
-		r.violated(ruleRanCancelled, jobID, "task %s starts on %s %v after its job's cancellation was confirmed",
+	if r.isOverdue(job, event.At) {
+		r.reportViolation(ruleRanAfterCancellation, jobID, "task %s starts on %s %v after its job's cancellation was confirmed",
 			event.Task, machine.Name, event.At.Sub(job.cancelled.at))
 	}
 	for _, dependency := range job.Dependencies {
 		if !r.job(dependency).isComplete() {
-			r.violated(ruleTooEarly, jobID, "task %s starts on %s, but job %s, on which its job depends, is not done", event.Task, machine.Name, dependency)
+			r.reportViolation(ruleStartedTooEarly, jobID, "task %s starts on %s, but job %s, on which its job depends, is not done", event.Task, machine.Name, dependency)
 		}
 	}
 	r.checkQuota(job.Team)
 	r.checkPlacement(job, event)
 }
 
-// overdue reports whether a time is later than the limit after a job's cancellation was confirmed.
-func (r *rules) overdue(job *observedJob, now time.Time) bool {
+// isOverdue reports whether a time is later than the limit after a job's cancellation was confirmed.
+func (r *rules) isOverdue(job *observedJob, now time.Time) bool {
 	return afterMoment(now, job.cancelled) && now.Sub(job.cancelled.at) > r.cancelLimit()
 }
 
@@ -88,8 +88,8 @@
 	now := time.Now()
 	for task, starts := range r.running {
 		jobID, _, _ := strings.Cut(task, "/")
-		if job := r.jobs[jobID]; len(starts) > 0 && r.overdue(job, now) {
-			r.violated(ruleRanCancelled, jobID, "task %s still runs on %s %v after its job's cancellation was confirmed", task, starts[0].Worker.Name, now.Sub(job.cancelled.at))
+		if job := r.jobs[jobID]; len(starts) > 0 && r.isOverdue(job, now) {
+			r.reportViolation(ruleRanAfterCancellation, jobID, "task %s still runs on %s %v after its job's cancellation was confirmed", task, starts[0].Worker.Name, now.Sub(job.cancelled.at))
 		}
 	}
 }
@@ -108,7 +108,7 @@
 	}
 	for _, limits := range r.settings.Params.Teams {
 		if limits.Name == team && (limits.CPUsMax > 0 && cores > limits.CPUsMax || limits.GPUsMax > 0 && accelerators > limits.GPUsMax) {
-			r.violated(ruleQuota, team, "team %s uses more than its quota: %v cores and %v accelerators", team, cores, accelerators)
+			r.reportViolation(ruleQuota, team, "team %s uses more than its quota: %v cores and %v accelerators", team, cores, accelerators)
 		}
 	}
 }
@@ -121,13 +121,13 @@
 		allowed = allowed || machineType == machine.Type
 	}
 	if !allowed {
-		r.violated(ruleWrongPlace, job.UID, "task %s starts on machine type %s, but its job allows only %v", event.Task, machine.Type, job.Types)
+		r.reportViolation(ruleWrongPlacement, job.UID, "task %s starts on machine type %s, but its job allows only %v", event.Task, machine.Type, job.Types)
 	}
 	if job.Zone != "" && job.Zone != machine.Zone {
-		r.violated(ruleWrongPlace, job.UID, "task %s starts in zone %s, but its job allows only %s", event.Task, machine.Zone, job.Zone)
+		r.reportViolation(ruleWrongPlacement, job.UID, "task %s starts in zone %s, but its job allows only %s", event.Task, machine.Zone, job.Zone)
 	}
 	if machine.Spot && !job.Spot {
-		r.violated(ruleWrongPlace, job.UID, "task %s starts on a spot machine, which its job does not allow", event.Task)
+		r.reportViolation(ruleWrongPlacement, job.UID, "task %s starts on a spot machine, which its job does not allow", event.Task)
 	}
 	inZone := 0
 	for index := range job.Tasks {
@@ -135,11 +135,11 @@
 			if start.Worker.Zone == machine.Zone {
 				inZone++
 			} else if job.Together {
-				r.violated(ruleWrongPlace, job.UID, "task %s starts in zone %s while %s of the same job, which must run together, is in zone %s", event.Task, machine.Zone, start.Task, start.Worker.Zone)
+				r.reportViolation(ruleWrongPlacement, job.UID, "task %s starts in zone %s while %s of the same job, which must run together, is in zone %s", event.Task, machine.Zone, start.Task, start.Worker.Zone)
 			}
 		}
 	}
 	if job.Spread && inZone > (job.Tasks+1)/2 {
-		r.violated(ruleWrongPlace, job.UID, "task %s of a spread job starts as number %d of %d tasks in zone %s", event.Task, inZone, job.Tasks, machine.Zone)
+		r.reportViolation(ruleWrongPlacement, job.UID, "task %s of a spread job starts as number %d of %d tasks in zone %s", event.Task, inZone, job.Tasks, machine.Zone)
 	}
 }
--- a/internal/scenarios/rules_test.go
+++ b/internal/scenarios/rules_test.go
@@ -11,24 +11,24 @@
 
 // The names of the rules in the protocol.
 const (
-	ruleRanTwice     = "ran_twice"     // a task starts while it already runs on a machine
-	ruleRanCancelled = "ran_cancelled" // a task starts or runs after the limit for cancelled tasks
-	ruleTooEarly     = "too_early"     // a task starts before its job's dependencies are done
-	ruleQuota        = "quota"         // a team uses more than its quota
-	ruleWrongPlace   = "wrong_place"   // a task starts where its job does not allow it
-	ruleInvented     = "invented"      // a job that nobody submitted runs or is reported
-	ruleForgotten    = "forgotten"     // an accepted job is unknown or rejected, or its polls stay unanswered
-	ruleNotDone      = "not_done"      // a job is reported as done before its tasks have completed
-	ruleWentBack     = "went_back"     // a job's reported status contradicts an earlier one
-	ruleOrphaned     = "orphaned"      // a dependent of a cancelled job is not cancelled within the limit
-	ruleDisruption   = "disruption"    // a drain exceeds a disruption budget or evicts without a permit
+	ruleConcurrentRuns        = "ran_twice"     // a task starts while it already runs on a machine
+	ruleRanAfterCancellation  = "ran_cancelled" // a task starts or runs after the limit for cancelled tasks
+	ruleStartedTooEarly       = "too_early"     // a task starts before its job's dependencies are done
+	ruleQuota                 = "quota"         // a team uses more than its quota
+	ruleWrongPlacement        = "wrong_place"   // a task starts where its job does not allow it
+	ruleNeverSubmitted        = "invented"      // a job that nobody submitted runs or is reported
+	ruleAcceptedJobLost       = "forgotten"     // an accepted job is unknown, rejected or unanswered
+	ruleDoneTooEarly          = "not_done"      // a job is reported as done before its tasks have completed
+	ruleStatusContradiction   = "went_back"     // a job's reported status contradicts an earlier one
+	ruleDependentNotCancelled = "orphaned"      // a dependent of a cancelled job stays uncancelled too long
+	ruleDisruption            = "disruption"    // a drain exceeds a disruption budget or evicts without a permit
 )
 
 // rules checks every task event on a worker and every response to a user against the rules of the
 // protocol. A response must not contradict an earlier response if its request was sent after that
 // response had arrived, in the order in which the checker observed them.
 type rules struct {
-	report   func(rule, what string)
+	report   func(rule, detail string)
 	settings *config.Settings
 	mu       sync.Mutex // guards the fields below
 	jobs     map[string]*observedJob
@@ -71,7 +71,7 @@
 }
 
 // newRules returns a checker that calls report for each violation.
-func newRules(settings *config.Settings, report func(rule, what string)) *rules {
+func newRules(settings *config.Settings, report func(rule, detail string)) *rules {
 	return &rules{
 		report:      report,
 		settings:    settings,
@@ -82,9 +82,9 @@
 	}
 }
 
-// violated reports that a job breaks a rule, at most once for each rule and job. The caller holds
-// mu.
-func (r *rules) violated(rule, job, format string, args ...any) {
+// reportViolation reports that a job breaks a rule, at most once for each rule and job. The caller
+// holds mu.
+func (r *rules) reportViolation(rule, job, format string, args ...any) {
 	if key := rule + " " + job; !r.reported[key] {
 		r.reported[key] = true
 		r.report(rule, fmt.Sprintf(format, args...))
--- a/internal/scenarios/shard_node_test.go
+++ b/internal/scenarios/shard_node_test.go
@@ -45,7 +45,7 @@
 // shardPeers is an elector's view of the other controllers. It tells only whether a controller runs:
 // the other information that real controllers exchange only saves time.
 type shardPeers struct {
-	silentNotifier
+	noopNotifier
 	cluster *shardCluster
 }
 
--- a/internal/scenarios/users_test.go
+++ b/internal/scenarios/users_test.go
@@ -65,9 +65,9 @@
 
 // observeCall calls a function that sends a user's request, and has the rules check the response.
 func (c *testCluster) observeCall(node, method, path string, body []byte, call func() (int, map[string]any)) (int, map[string]any) {
-	sent := c.rules.RequestSent(method, path, body)
+	sent := c.rules.ObserveRequest(method, path, body)
 	code, out := call()
-	c.rules.ResponseReceived(sent, node, method, path, body, code, out)
+	c.rules.ObserveResponse(sent, node, method, path, body, code, out)
 	return code, out
 }
 
