--- a/internal/scenarios/assertions_test.go
+++ b/internal/scenarios/assertions_test.go
@@ -62,7 +62,7 @@
 // awaitAnyLeader waits until some node leads.
 func (c *testCluster) awaitAnyLeader(timeout time.Duration) {
 	c.t.Helper()
-	c.eventually(timeout, "some node leads", func() bool { return c.leader() != nil })
+	c.eventually(timeout, "a leader", func() bool { return c.leader() != nil })
 }
 
 // awaitStepDown waits until a node no longer leads.
@@ -191,7 +191,7 @@
 	c.t.Helper()
 	for _, id := range ids {
 		last := map[string]string{}
-		c.eventually(within, id+" has ended and all nodes report the same status", func() bool {
+		c.eventually(within, id+" has ended and all nodes report the same", func() bool {
 			for _, node := range nodeNames {
 				last[node] = c.status(node, id)
 			}
--- a/internal/scenarios/checker_test.go
+++ b/internal/scenarios/checker_test.go
@@ -88,65 +88,65 @@
 			{worker: small, task: "job-1/0", attempt: 1, cause: "stopped", checkCancelled: true},
 			later(time.Minute, get("job-1", 200, "cancelled")),
 		}},
-		{name: "started while it runs on another machine", rule: ruleConcurrentRuns, steps: []observation{
+		{name: "started on a second machine", rule: ruleConcurrentRuns, steps: []observation{
 			submit(oneTaskJob(), 201, "pending"),
 			start(small, "job-1/0", 1),
 			start(south, "job-1/0", 2),
 		}},
-		{name: "team over its quota", rule: ruleQuota, steps: []observation{
+		{name: "over quota", rule: ruleQuota, steps: []observation{
 			submit(twoTaskJob().with("cores", 5), 201, "pending"),
 			start(small, "job-1/0", 1),
 			start(small, "job-1/1", 1),
 		}},
-		{name: "machine type not allowed", rule: ruleWrongPlacement, steps: []observation{
+		{name: "wrong type", rule: ruleWrongPlacement, steps: []observation{
 			submit(oneTaskJob().with("builds", []string{"small"}), 201, "pending"),
 			start(large, "job-1/0", 1),
 		}},
-		{name: "zone not allowed", rule: ruleWrongPlacement, steps: []observation{
+		{name: "wrong zone", rule: ruleWrongPlacement, steps: []observation{
 			submit(oneTaskJob().with("yard", "north"), 201, "pending"),
 			start(south, "job-1/0", 1),
 		}},
-		{name: "spot machine not allowed", rule: ruleWrongPlacement, steps: []observation{
+		{name: "spot not allowed", rule: ruleWrongPlacement, steps: []observation{
 			submit(oneTaskJob(), 201, "pending"),
 			start(spot, "job-1/0", 1),
 		}},
-		{name: "tasks to run together in two zones", rule: ruleWrongPlacement, steps: []observation{
+		{name: "not together", rule: ruleWrongPlacement, steps: []observation{
 			submit(twoTaskJob().with("together", true), 201, "pending"),
 			start(small, "job-1/0", 1),
 			start(south, "job-1/1", 1),
 		}},
-		{name: "spread tasks in a single zone", rule: ruleWrongPlacement, steps: []observation{
+		{name: "not spread", rule: ruleWrongPlacement, steps: []observation{
 			submit(twoTaskJob().with("spread", true), 201, "pending"),
 			start(small, "job-1/0", 1),
 			start(large, "job-1/1", 1),
 		}},
-		{name: "task still running after the cancellation limit", rule: ruleRanAfterCancellation, steps: []observation{
+		{name: "still running after the limit", rule: ruleRanAfterCancellation, steps: []observation{
 			submit(oneTaskJob(), 201, "pending"),
 			start(small, "job-1/0", 1),
 			cancel("job-1", "cancelled"),
 			{wait: 41 * time.Second, checkCancelled: true},
 		}},
-		{name: "task stops after the cancellation limit", rule: ruleRanAfterCancellation, steps: []observation{
+		{name: "stops after the limit", rule: ruleRanAfterCancellation, steps: []observation{
 			submit(oneTaskJob(), 201, "pending"),
 			start(small, "job-1/0", 1),
 			cancel("job-1", "cancelled"),
 			later(41*time.Second, end(small, "job-1/0", 1, "stopped")),
 		}},
-		{name: "task starts after the cancellation limit", rule: ruleRanAfterCancellation, steps: []observation{
+		{name: "starts after the limit", rule: ruleRanAfterCancellation, steps: []observation{
 			submit(oneTaskJob(), 201, "pending"),
 			cancel("job-1", "cancelled"),
 			{wait: 41 * time.Second, worker: small, task: "job-1/0", attempt: 1, start: true, commandAge: 50 * time.Second},
 		}},
-		{name: "task started by a command sent after the cancellation", rule: ruleRanAfterCancellation, steps: []observation{
+		{name: "command sent after cancellation", rule: ruleRanAfterCancellation, steps: []observation{
 			submit(oneTaskJob(), 201, "pending"),
 			cancel("job-1", "cancelled"),
 			later(time.Second, start(small, "job-1/0", 1)),
 		}},
-		{name: "accepted job unknown to a status request", rule: ruleAcceptedJobLost, steps: []observation{
+		{name: "unknown afterwards", rule: ruleAcceptedJobLost, steps: []observation{
 			submit(oneTaskJob(), 201, "pending"),
 			get("job-1", 404, ""),
 		}},
-		{name: "accepted job unknown to a cancellation", rule: ruleAcceptedJobLost, steps: []observation{
+		{name: "unknown to a cancellation", rule: ruleAcceptedJobLost, steps: []observation{
 			submit(oneTaskJob(), 201, "pending"),
 			{method: "POST", path: "/v2/runs/job-1/cancel", code: 404},
 		}},
@@ -158,7 +158,7 @@
 			submit(oneTaskJob(), 201, "pending"),
 			submit(oneTaskJob(), 422, ""),
 		}},
-		{name: "polls for one job unanswered while others are answered", rule: ruleAcceptedJobLost, steps: append([]observation{
+		{name: "unanswered", rule: ruleAcceptedJobLost, steps: append([]observation{
 			submit(oneTaskJob(), 201, "pending"),
 			submit(newJob("job-2", "array", 1), 201, "pending"),
 			submit(newJob("job-3", "array", 1), 201, "pending"),
@@ -172,17 +172,17 @@
 		{name: "start of a job never submitted", rule: ruleNeverSubmitted, steps: []observation{
 			start(small, "job-1/0", 1),
 		}},
-		{name: "start of a task beyond the job's number of tasks", rule: ruleNeverSubmitted, steps: []observation{
+		{name: "start of one task too many", rule: ruleNeverSubmitted, steps: []observation{
 			submit(oneTaskJob(), 201, "pending"),
 			start(small, "job-1/1", 1),
 		}},
-		{name: "job done after half of its tasks", rule: ruleDoneTooEarly, steps: []observation{
+		{name: "half of the tasks done", rule: ruleDoneTooEarly, steps: []observation{
 			submit(twoTaskJob(), 201, "pending"),
 			start(small, "job-1/0", 1),
 			end(small, "job-1/0", 1, "done"),
 			get("job-1", 200, "done"),
 		}},
-		{name: "job done after its task was stopped", rule: ruleDoneTooEarly, steps: []observation{
+		{name: "stopped is not done", rule: ruleDoneTooEarly, steps: []observation{
 			submit(oneTaskJob(), 201, "pending"),
 			start(small, "job-1/0", 1),
 			end(small, "job-1/0", 1, "stopped"),
@@ -211,17 +211,17 @@
 			submit(oneTaskJob(), 201, "pending"),
 			atSameInstant(submit(oneTaskJob(), 201, "pending")),
 		}},
-		{name: "accepted job unknown at the same instant", rule: ruleAcceptedJobLost, steps: []observation{
+		{name: "unknown at the same instant", rule: ruleAcceptedJobLost, steps: []observation{
 			submit(oneTaskJob(), 201, "pending"),
 			atSameInstant(get("job-1", 404, "")),
 		}},
-		{name: "gang done although one of its tasks never ran", rule: ruleDoneTooEarly, steps: []observation{
+		{name: "a gang of which one never ran", rule: ruleDoneTooEarly, steps: []observation{
 			submit(newJob("job-1", "gang", 2), 201, "pending"),
 			start(small, "job-1/0", 1),
 			end(small, "job-1/0", 1, "done"),
 			get("job-1", 200, "done"),
 		}},
-		{name: "gang done after one of its tasks completed", steps: []observation{
+		{name: "a gang is done when one of it is", steps: []observation{
 			submit(newJob("job-1", "gang", 2), 201, "pending"),
 			start(small, "job-1/0", 1),
 			start(south, "job-1/1", 1),
@@ -247,7 +247,7 @@
 			get("job-1", 200, "done"),
 			cancel("job-1", "cancelled"),
 		}},
-		{name: "cancelled without a user's request", rule: ruleStatusContradiction, steps: []observation{
+		{name: "cancelled by no user", rule: ruleStatusContradiction, steps: []observation{
 			submit(oneTaskJob(), 201, "pending"),
 			get("job-1", 200, "cancelled"),
 		}},
@@ -267,7 +267,7 @@
 			get("job-2", 200, "pending"),
 			later(39*time.Second, get("job-2", 200, "cancelled")),
 		}},
-		{name: "dependent starts before its dependency is done", rule: ruleStartedTooEarly, steps: []observation{
+		{name: "dependent before its dependency", rule: ruleStartedTooEarly, steps: []observation{
 			submit(oneTaskJob(), 201, "pending"),
 			submit(dependent(), 201, "pending"),
 			start(small, "job-1/0", 1),
--- a/internal/scenarios/disruption_rule_test.go
+++ b/internal/scenarios/disruption_rule_test.go
@@ -24,7 +24,7 @@
 
 	mu    sync.Mutex // guards the fields below; rules.mu may be taken under it
 	tasks map[string]*observedTask
-	// evictions counts the evictions of each task.
+	// evictions holds the number of evictions of each task.
 	evictions map[string]int
 	// reclaimed holds the machines with a spot reclaim notice: the cloud stops their tasks.
 	reclaimed map[string]bool
@@ -101,7 +101,7 @@
 // holds mu.
 func (d *disruptionRule) checkEviction(event fake.Event, team string) {
 	if !d.evictionStored(event.Task, event.Attempt) {
-		d.report(ruleDisruption, fmt.Sprintf("task %s (attempt %d) is stopped without a stored eviction permit", event.Task, event.Attempt))
+		d.report(ruleDisruption, fmt.Sprintf("%s (attempt %d) is stopped, and no permit for that is stored", event.Task, event.Attempt))
 	}
 	d.evictions[event.Task]++
 	d.checkBudget(event, team)
@@ -133,11 +133,11 @@
 	}
 	allowed := d.budgets[team]
 	if evicted > allowed.replicas || knownDown > allowed.replicas {
-		d.report(ruleDisruption, fmt.Sprintf("after the stop of %s on %s, %d replicas of team %s are down, %d of them by drains; the budget is %d",
+		d.report(ruleDisruption, fmt.Sprintf("the stop of %s on %s makes %d replicas of %s down, %d of them by drains, of at most %d",
 			event.Task, event.Worker.Name, knownDown, team, evicted, allowed.replicas))
 	}
 	if interrupted > allowed.interrupted {
-		d.report(ruleDisruption, fmt.Sprintf("after the stop of %s on %s, %d tasks of team %s are interrupted; the budget is %d",
+		d.report(ruleDisruption, fmt.Sprintf("the stop of %s on %s makes %d tasks of %s interrupted, of at most %d",
 			event.Task, event.Worker.Name, interrupted, team, allowed.interrupted))
 	}
 }
--- a/internal/scenarios/drain_budget_test.go
+++ b/internal/scenarios/drain_budget_test.go
@@ -30,7 +30,7 @@
 			t.Errorf("%d evictions of 6 replicas, want 1 to 6", n)
 		}
 		// The leader removes the keys when it next processes its rollouts, within a quarter of a second.
-		c.eventually(2*time.Second, "the state service holds no machine keys of the rollout", func() bool {
+		c.eventually(2*time.Second, "the state service holds nothing of the rollout", func() bool {
 			return c.store.CountKeys("rollout/left/") == 0
 		})
 	})
@@ -67,7 +67,7 @@
 		c.startService("job-2", 2, "owner", "blue", "spread", true)
 		c.startRollout(newRollout("spring", c.machinesIn("north")...))
 		c.awaitBlocker("team blue: 0 of its 2 replicas are down, of at most 0")
-		c.consistently(time.Minute, "no replica is stopped", func() bool {
+		c.consistently(time.Minute, "nothing is stopped", func() bool {
 			return c.disruption.evictionCount("job-1") == 0 && c.disruption.evictionCount("job-2") == 0
 		})
 		c.executeCommand("spring", rollout.CommandAbort)
@@ -147,14 +147,14 @@
 		reason             string // part of the reported reason
 		budget             teamBudget
 		replicas           int
-		changes            []any // of the service's fields
+		changes            []any // to the service's fields, as for jobSpec.with
 		surge, allMachines bool
 		capacity           int
 	}{
-		{name: "the budget is zero", features: `drains { default_budget { replicas_down: 0 } }`, reason: "of at most 0", replicas: 4, capacity: 40},
-		{name: "the service has a single replica", reason: "last replica of job-1", budget: teamBudget{1, 2}, replicas: 1, allMachines: true, capacity: 40},
-		{name: "the replicas must be spread over zones", reason: "no other place that its job allows", budget: teamBudget{1, 2}, replicas: 2, changes: []any{"spread", true}, capacity: 40},
-		{name: "no other machine has room", reason: "has no room elsewhere", budget: teamBudget{1, 2}, replicas: 4, changes: []any{"cores", 2, "ramGb", 8}, surge: true, allMachines: true, capacity: 4},
+		{name: "a budget of zero", features: `drains { default_budget { replicas_down: 0 } }`, reason: "of at most 0", replicas: 4, capacity: 40},
+		{name: "one replica", reason: "last replica of job-1", budget: teamBudget{1, 2}, replicas: 1, allMachines: true, capacity: 40},
+		{name: "replicas spread over zones", reason: "no other place that its job allows", budget: teamBudget{1, 2}, replicas: 2, changes: []any{"spread", true}, capacity: 40},
+		{name: "no room anywhere", reason: "has no room elsewhere", budget: teamBudget{1, 2}, replicas: 4, changes: []any{"cores", 2, "ramGb", 8}, surge: true, allMachines: true, capacity: 4},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
@@ -172,7 +172,7 @@
 				}
 				c.startRollout(spec)
 				c.awaitBlocker(test.reason)
-				c.consistently(3*time.Minute, "all replicas run and none is stopped", func() bool {
+				c.consistently(3*time.Minute, "nothing is stopped", func() bool {
 					return c.disruption.evictionCount("job-1") == 0 && c.runningCount("job-1") == test.replicas
 				})
 				c.executeCommand("spring", rollout.CommandAbort)
@@ -192,7 +192,7 @@
 		c.submitToAny(0, newJob("job-1", "array", 4).with("urgency", "low"))
 		c.submitToAny(0, newJob("job-2", "array", 2).with("bookmarkS", 10, "stashS", 1))
 		c.submitToAny(0, newJob("job-3", "gang", 2).with("bookmarkS", 10, "stashS", 1))
-		c.eventually(time.Minute, "all tasks run", func() bool {
+		c.eventually(time.Minute, "all run", func() bool {
 			return c.runningCount("job-1") == 4 && c.runningCount("job-2") == 2 && c.runningCount("job-3") == 2
 		})
 		c.sleep(8 * time.Second)
@@ -200,7 +200,7 @@
 		spec.AtDeadline = rollout.StopAtDeadline
 		c.startRollout(spec)
 		c.awaitState("spring", rollout.Ended, 10*time.Minute)
-		c.eventually(time.Minute, "all tasks run after the drain", func() bool {
+		c.eventually(time.Minute, "all run elsewhere", func() bool {
 			return c.runningCount("job-1") == 4 && c.runningCount("job-2") == 2 && c.runningCount("job-3") == 2
 		})
 		go c.completeRandomTasks("job-", 8, rand.New(rand.NewPCG(1, 1)))
@@ -231,12 +231,12 @@
 				spec.AtDeadline, spec.Deadline = atDeadline, 30
 				c.startRollout(spec)
 				c.awaitBlocker("can't save and runs to its end")
-				c.consistently(25*time.Second, "no task is stopped before the deadline", func() bool { return c.disruption.evictionCount("job-1") == 0 })
+				c.consistently(25*time.Second, "it runs on", func() bool { return c.disruption.evictionCount("job-1") == 0 })
 				if atDeadline == rollout.StopAtDeadline {
 					c.awaitState("spring", rollout.Ended, 3*time.Minute)
 					return
 				}
-				c.consistently(time.Minute, "no task is stopped after the deadline", func() bool { return c.disruption.evictionCount("job-1") == 0 })
+				c.consistently(time.Minute, "it runs on", func() bool { return c.disruption.evictionCount("job-1") == 0 })
 				for _, task := range []string{"job-1/0", "job-1/1"} {
 					c.workerNamed(c.machinesRunning(task)[0]).EndTask(task, "done")
 				}
--- a/internal/scenarios/drain_commands_test.go
+++ b/internal/scenarios/drain_commands_test.go
@@ -19,7 +19,7 @@
 		southDrain := newRollout("park", c.machinesIn("south")...)
 		southDrain.Surge = true
 		c.startRollout(southDrain)
-		c.eventually(time.Minute, "both machines in the south are cordoned", func() bool { return c.cordonedCount() == 2 })
+		c.eventually(time.Minute, "the south is cordoned", func() bool { return c.cordonedCount() == 2 })
 		c.startService("job-1", 4, "cores", 1.5, "ramGb", 3)
 		c.executeCommand("park", rollout.CommandAbort)
 		c.awaitState("park", rollout.Ended, time.Minute)
@@ -77,7 +77,7 @@
 		"just started": func(*drainCluster) {},
 		"running":      func(c *drainCluster) { c.sleep(15 * time.Second) },
 		"between waves": func(c *drainCluster) {
-			c.eventually(4*time.Minute, "a machine of the rollout is done", func() bool { return c.rolloutRecord("spring").Done > 0 })
+			c.eventually(4*time.Minute, "a wave is complete", func() bool { return c.rolloutRecord("spring").Done > 0 })
 		},
 		"paused": func(c *drainCluster) {
 			c.sleep(5 * time.Second)
@@ -93,7 +93,7 @@
 			c.awaitState("spring", rollout.Halted, 5*time.Minute)
 		},
 		"aborting": func(c *drainCluster) { c.executeCommand("spring", rollout.CommandAbort) },
-		"the leader has just crashed": func(c *drainCluster) {
+		"the leader has just ended": func(c *drainCluster) {
 			c.sleep(8 * time.Second)
 			c.stopNode(c.leader().name)
 		},
--- a/internal/scenarios/drain_failover_test.go
+++ b/internal/scenarios/drain_failover_test.go
@@ -19,24 +19,24 @@
 
 // leaderFailures are crashes, partitions and a stall that lasts longer than the leader's lease.
 var leaderFailures = []leaderFailure{
-	{"the leader crashes", func(c *drainCluster, leader string) { c.stopNode(leader) }},
-	{"the leader restarts", func(c *drainCluster, leader string) {
+	{"it crashes", func(c *drainCluster, leader string) { c.stopNode(leader) }},
+	{"it restarts", func(c *drainCluster, leader string) {
 		c.stopNode(leader)
 		c.sleep(300 * time.Millisecond)
 		c.startNode(leader)
 	}},
-	{"the leader is partitioned from the state service", func(c *drainCluster, leader string) {
+	{"it is partitioned from the state service", func(c *drainCluster, leader string) {
 		c.partitionFromStateService(leader)
 		c.sleep(20 * time.Second)
 		c.network.SetRule(nil)
 	}},
-	{"the state service refuses the leader", func(c *drainCluster, leader string) {
+	{"the state service refuses it", func(c *drainCluster, leader string) {
 		c.store.RefuseCaller(leader, true)
 		c.sleep(15 * time.Second)
 		c.store.RefuseCaller(leader, false)
 	}},
-	{"the leader stalls", func(c *drainCluster, leader string) {
-		// Its requests are held back and delivered after its successor has acted.
+	{"it stalls", func(c *drainCluster, leader string) {
+		// The leader's requests are held back and delivered after its successor has acted.
 		c.network.SetRule(func(from, to string, r *http.Request, _ []byte) fake.Outcome {
 			switch {
 			case from == leader && r.URL.Path == "/follow":
@@ -167,7 +167,7 @@
 					if n := c.disruption.evictionCount("job-1"); n > 6 {
 						t.Errorf("%d evictions of 6 replicas, want at most 6: an eviction was repeated", n)
 					}
-					c.eventually(time.Minute, "the job's record holds no eviction", func() bool {
+					c.eventually(time.Minute, "no eviction stays on the record", func() bool {
 						return !strings.Contains(string(c.store.Value("job/job-1")), `"evictions"`)
 					})
 				})
@@ -192,7 +192,7 @@
 			return fake.Deliver
 		})
 		c.startRollout(newRollout("spring"))
-		c.eventually(30*time.Second, "the leader has sent an eviction permit", func() bool { return delayed > 0 })
+		c.eventually(30*time.Second, "a permit is sent", func() bool { return delayed > 0 })
 		c.stopNode(leader)
 		c.awaitState("spring", rollout.Ended, 8*time.Minute)
 		c.awaitTaskCount(time.Minute, "job-1", 6)
--- a/internal/scenarios/drain_failures_test.go
+++ b/internal/scenarios/drain_failures_test.go
@@ -18,8 +18,8 @@
 		name string
 		fail func(c *drainCluster, machine string)
 	}{
-		{"the machine terminates", func(c *drainCluster, machine string) { c.terminateMachine(machine) }},
-		{"the machine's zone is partitioned", func(c *drainCluster, _ string) {
+		{"one dies", func(c *drainCluster, machine string) { c.terminateMachine(machine) }},
+		{"its zone is partitioned", func(c *drainCluster, _ string) {
 			c.network.SetRule(func(from, to string, _ *http.Request, _ []byte) fake.Outcome {
 				for _, name := range c.machinesIn("north") {
 					if strings.HasPrefix(from, string(name)) || strings.HasPrefix(to, string(name)) {
@@ -31,13 +31,13 @@
 			c.sleep(40 * time.Second)
 			c.network.SetRule(nil)
 		}},
-		{"the cloud reclaims the machine", func(c *drainCluster, machine string) {
+		{"a spot reclaim", func(c *drainCluster, machine string) {
 			c.disruption.recordSpotReclaim(machine)
 			c.workerNamed(machine).AnnouncePreemption(20 * time.Second)
 			c.sleep(20 * time.Second)
 			c.terminateMachine(machine)
 		}},
-		{"the machine hangs", func(c *drainCluster, machine string) {
+		{"it hangs", func(c *drainCluster, machine string) {
 			c.workerNamed(machine).SetHung(true)
 			c.sleep(30 * time.Second)
 			c.workerNamed(machine).SetHung(false)
@@ -47,7 +47,7 @@
 			c.sleep(15 * time.Second)
 			c.store.SetDown(false)
 		}},
-		{"all controllers crash and restart", func(c *drainCluster, _ string) {
+		{"all controllers are lost", func(c *drainCluster, _ string) {
 			for _, name := range fiveNodeNames {
 				c.stopNode(name)
 			}
@@ -107,11 +107,11 @@
 		c.startService("job-1", 4)
 		c.startService("job-2", 3)
 		c.startRollout(newRollout("spring"))
-		c.eventually(2*time.Minute, "an eviction permit is stored", func() bool {
+		c.eventually(2*time.Minute, "a permit is stored", func() bool {
 			return strings.Contains(string(c.store.Value("job/job-1")), `"evictions"`) || strings.Contains(string(c.store.Value("job/job-2")), `"evictions"`)
 		})
 		c.call("b", "POST", "/v2/runs/job-1/cancel", nil)
-		c.eventually(40*time.Second, "all tasks of job-1 stop", func() bool { return c.runningCount("job-1") == 0 })
+		c.eventually(40*time.Second, "its tasks stop", func() bool { return c.runningCount("job-1") == 0 })
 		c.awaitState("spring", rollout.Ended, 8*time.Minute)
 		c.awaitTaskCount(time.Minute, "job-2", 3)
 	})
--- a/internal/scenarios/drain_replacement_test.go
+++ b/internal/scenarios/drain_replacement_test.go
@@ -23,7 +23,7 @@
 				spec := newReplacement("spring", c)
 				spec.Surge = surge
 				c.startRollout(spec)
-				c.eventually(10*time.Minute, "the first wave has begun", func() bool {
+				c.eventually(10*time.Minute, "its first wave has begun", func() bool {
 					return c.rolloutRecord("spring").Waves > 0
 				})
 				c.awaitState("spring", rollout.Ended, 15*time.Minute)
@@ -50,8 +50,8 @@
 		firstBootTime func(name string) time.Duration
 		terminate     func(c *drainCluster, name string)
 	}{
-		{name: "the replacement never boots", reason: "0 are up", firstBootTime: func(string) time.Duration { return neverBoots }},
-		{name: "the replacement terminates while it is observed", reason: "replacement", terminate: func(c *drainCluster, name string) { c.terminateMachine(name) }},
+		{name: "it never boots", reason: "0 are up", firstBootTime: func(string) time.Duration { return neverBoots }},
+		{name: "it dies while it is observed", reason: "replacement", terminate: func(c *drainCluster, name string) { c.terminateMachine(name) }},
 	} {
 		t.Run(failure.name, func(t *testing.T) {
 			t.Parallel()
@@ -87,7 +87,7 @@
 					return c.cordonedCount() == 0
 				})
 				waves := c.rolloutRecord("spring").Waves
-				c.consistently(2*time.Minute, "the rollout stays halted until an operator resumes it", func() bool {
+				c.consistently(2*time.Minute, "it goes on only when an operator resumes it", func() bool {
 					r := c.rolloutRecord("spring")
 					return r.State == rollout.Halted && r.Waves == waves
 				})
@@ -142,10 +142,10 @@
 		afterProvisioning bool // whether the outage begins only once the wave's replacement is provisioned
 		wave              int  // number of machines in a wave
 	}{
-		{"the cloud is down", func(c *drainCluster) { c.cloud.SetDown(true) }, func(c *drainCluster) { c.cloud.SetDown(false) }, false, 1},
-		{"the cloud is down in the middle of a wave", func(c *drainCluster) { c.cloud.SetDown(true) }, func(c *drainCluster) { c.cloud.SetDown(false) }, true, 1},
-		{"the cloud has no capacity", func(c *drainCluster) { c.cloud.SetCapacity(0) }, func(c *drainCluster) { c.cloud.SetCapacity(40) }, false, 1},
-		{"the cloud has no capacity left in the middle of a wave", func(c *drainCluster) { c.cloud.SetCapacity(1) }, func(c *drainCluster) { c.cloud.SetCapacity(40) }, false, 2},
+		{"down", func(c *drainCluster) { c.cloud.SetDown(true) }, func(c *drainCluster) { c.cloud.SetDown(false) }, false, 1},
+		{"down in the middle of a wave", func(c *drainCluster) { c.cloud.SetDown(true) }, func(c *drainCluster) { c.cloud.SetDown(false) }, true, 1},
+		{"without capacity", func(c *drainCluster) { c.cloud.SetCapacity(0) }, func(c *drainCluster) { c.cloud.SetCapacity(40) }, false, 1},
+		{"without capacity in the middle of a wave", func(c *drainCluster) { c.cloud.SetCapacity(1) }, func(c *drainCluster) { c.cloud.SetCapacity(40) }, false, 2},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
@@ -168,7 +168,7 @@
 					c.awaitState("spring", rollout.Halted, 5*time.Minute)
 				}
 				evictions := c.disruption.evictionCount("job-1")
-				c.consistently(time.Minute, "no more tasks are stopped", func() bool {
+				c.consistently(time.Minute, "nothing more is stopped", func() bool {
 					return c.disruption.evictionCount("job-1") == evictions
 				})
 				test.endOutage(c)
--- a/internal/scenarios/fault_cluster_test.go
+++ b/internal/scenarios/fault_cluster_test.go
@@ -125,7 +125,7 @@
 // submitJob submits a job at a node until the job is accepted. Users poll its status from then on.
 func (c *faultCluster) submitJob(node string, job jobSpec) {
 	c.t.Helper()
-	c.eventually(20*time.Second, job.id()+" is accepted", func() bool {
+	c.eventually(20*time.Second, "accepted", func() bool {
 		code, _ := c.call(node, "POST", "/v2/runs", job)
 		return code == 200 || code == 201
 	})
@@ -137,7 +137,7 @@
 // cancelJob cancels a job at a node until the node confirms.
 func (c *faultCluster) cancelJob(node, id string) {
 	c.t.Helper()
-	c.eventually(20*time.Second, "the cancellation of "+id+" is confirmed", func() bool {
+	c.eventually(20*time.Second, "cancellation confirmed", func() bool {
 		code, out := c.call(node, "POST", "/v2/runs/"+id+"/cancel", nil)
 		return code == 200 && out["status"] == "cancelled"
 	})
--- a/internal/scenarios/network_test.go
+++ b/internal/scenarios/network_test.go
@@ -70,13 +70,14 @@
 	return isCommit(r) && strings.Contains(string(body), `"evictions"`)
 }
 
-// removesWaitingJobs reports whether a request commits that jobs no longer wait for dependencies.
+// removesWaitingJobs reports whether a request commits the removal of jobs from those that wait for
+// dependencies.
 func removesWaitingJobs(r *http.Request, body []byte) bool {
 	return isCommit(r) && strings.Contains(string(body), `"remove":"job/wait/`)
 }
 
-// leaderRemovesWaitingJobs reports whether a leader's request commits that jobs no longer wait for
-// dependencies.
+// leaderRemovesWaitingJobs reports whether a leader's request commits the removal of jobs from those
+// that wait for dependencies.
 func leaderRemovesWaitingJobs(r *http.Request, body []byte) bool {
 	return removesWaitingJobs(r, body) && strings.Contains(string(body), `pool/generation`)
 }
--- a/internal/scenarios/rules_polls_test.go
+++ b/internal/scenarios/rules_polls_test.go
@@ -32,7 +32,7 @@
 	}
 	others, othersAnswered := r.countOtherPolls(id)
 	if 2*othersAnswered > others {
-		r.reportViolation(ruleAcceptedJobLost, id, "no poll for %s was answered for %v, while most polls for other jobs were", id, now.Sub(job.unansweredSince))
+		r.reportViolation(ruleAcceptedJobLost, id, "no poll for %s was answered for %v, most others were", id, now.Sub(job.unansweredSince))
 	}
 }
 
--- a/internal/scenarios/rules_responses_test.go
+++ b/internal/scenarios/rules_responses_test.go
@@ -67,7 +67,7 @@
 		description, ok := decodeDescription(body)
 		if !ok {
 			if code == http.StatusOK || code == http.StatusCreated {
-				r.reportViolation(ruleNeverSubmitted, "", "node %s accepts a submission without a valid job ID: %s", node, body)
+				r.reportViolation(ruleNeverSubmitted, "", "%s accepts %s", node, body)
 			}
 			return
 		}
@@ -97,7 +97,7 @@
 	switch {
 	case received.submission && (received.code == http.StatusBadRequest || received.code == http.StatusUnprocessableEntity):
 		if received.sent.after(job.accepted) {
-			r.reportViolation(ruleAcceptedJobLost, received.job, "node %s answers %d to a repeated submission of accepted job %s", received.node, received.code, received.job)
+			r.reportViolation(ruleAcceptedJobLost, received.job, "%s answers %d to a repeated submission of an accepted %s", received.node, received.code, received.job)
 		}
 		if job.accepted.isZero() {
 			job.submitted = false // another job may be submitted under this ID
@@ -105,14 +105,14 @@
 		return false
 	case received.code == http.StatusNotFound:
 		if received.sent.after(job.accepted) {
-			r.reportViolation(ruleAcceptedJobLost, received.job, "node %s answers 404 for accepted job %s", received.node, received.job)
+			r.reportViolation(ruleAcceptedJobLost, received.job, "%s answers 404 for an accepted %s", received.node, received.job)
 		}
 		return false
 	case received.code != http.StatusOK && received.code != http.StatusCreated:
 		return false
 	}
 	if !job.submitted {
-		r.reportViolation(ruleNeverSubmitted, received.job, "node %s answers %d %q for job %s, which nobody submitted", received.node, received.code, received.status, received.job)
+		r.reportViolation(ruleNeverSubmitted, received.job, "%s answers %d %q for %s, which nobody submitted", received.node, received.code, received.status, received.job)
 		return false
 	}
 	return true
@@ -121,10 +121,10 @@
 // checkStatus reports a status that contradicts earlier responses, requests or task events.
 func (r *rules) checkStatus(job *observedJob, received response) {
 	if received.code == http.StatusCreated && received.sent.after(job.accepted) {
-		r.reportViolation(ruleStatusContradiction, received.job, "node %s accepts job %s as new, which was accepted before", received.node, received.job)
+		r.reportViolation(ruleStatusContradiction, received.job, "%s accepts a known %s once more", received.node, received.job)
 	}
 	if received.cancellation && received.status != "cancelled" && received.status != "done" {
-		r.reportViolation(ruleStatusContradiction, received.job, "node %s answers a cancellation of job %s with status %q", received.node, received.job, received.status)
+		r.reportViolation(ruleStatusContradiction, received.job, "%s answers a cancellation of %s with %q", received.node, received.job, received.status)
 	}
 	switch received.status {
 	case "done":
@@ -134,7 +134,7 @@
 	case "pending", "running":
 		r.checkUnfinished(job, received)
 	default:
-		r.reportViolation(ruleStatusContradiction, received.job, "node %s reports job %s with unknown status %q", received.node, received.job, received.status)
+		r.reportViolation(ruleStatusContradiction, received.job, "%s reports %s as %q", received.node, received.job, received.status)
 	}
 }
 
@@ -142,14 +142,14 @@
 // the job was reported as cancelled.
 func (r *rules) checkDone(job *observedJob, received response) {
 	for index := range job.Tasks {
-		// A gang is done when one of its tasks is, but all of them must have run.
+		// A gang is done when one of its tasks is done, but all of its tasks must have run.
 		task := fmt.Sprintf("%s/%d", received.job, index)
 		if !job.completed[index] && !(job.Shape == "gang" && len(job.completed) > 0 && !r.firstStarts[task].IsZero()) {
-			r.reportViolation(ruleDoneTooEarly, received.job, "node %s reports job %s as done, but task %s has not completed", received.node, received.job, task)
+			r.reportViolation(ruleDoneTooEarly, received.job, "%s reports %s as done, but %s has not completed", received.node, received.job, task)
 		}
 	}
 	if !job.cancelled.isZero() {
-		r.reportViolation(ruleStatusContradiction, received.job, "node %s reports job %s as done, which was reported as cancelled", received.node, received.job)
+		r.reportViolation(ruleStatusContradiction, received.job, "%s reports %s as done, which was reported as cancelled", received.node, received.job)
 	}
 }
 
@@ -158,10 +158,10 @@
 func (r *rules) checkReportedCancelled(job *observedJob, received response) {
 	requested := func(dependency *observedJob) moment { return dependency.cancelRequested }
 	if job.cancelRequested.isZero() && r.earliestInDependencies(job, requested).IsZero() {
-		r.reportViolation(ruleStatusContradiction, received.job, "node %s reports job %s as cancelled, but no user cancelled it or a dependency", received.node, received.job)
+		r.reportViolation(ruleStatusContradiction, received.job, "%s reports %s as cancelled, which its user did not cancel", received.node, received.job)
 	}
 	if !job.done.isZero() {
-		r.reportViolation(ruleStatusContradiction, received.job, "node %s reports job %s as cancelled, which was reported as done", received.node, received.job)
+		r.reportViolation(ruleStatusContradiction, received.job, "%s reports %s as cancelled, which was reported as done", received.node, received.job)
 	}
 }
 
@@ -169,12 +169,12 @@
 // or later than the limit after the cancellation of a job that it depends on.
 func (r *rules) checkUnfinished(job *observedJob, received response) {
 	if received.sent.after(job.done) || received.sent.after(job.cancelled) {
-		r.reportViolation(ruleStatusContradiction, received.job, "node %s reports job %s as %s, whose end was reported %v before the request",
+		r.reportViolation(ruleStatusContradiction, received.job, "%s reports %s as %s, whose end was reported %v before the request",
 			received.node, received.job, received.status, received.sent.at.Sub(maxTime(job.done.at, job.cancelled.at)))
 	}
 	confirmed := r.earliestInDependencies(job, func(dependency *observedJob) moment { return dependency.cancelled })
 	if now := received.received.at; !confirmed.IsZero() && now.Sub(confirmed) > r.cancelLimit() {
-		r.reportViolation(ruleDependentNotCancelled, received.job, "node %s reports job %s as %s %v after the cancellation of a dependency was confirmed",
+		r.reportViolation(ruleDependentNotCancelled, received.job, "%s reports %s as %s %v after the cancellation of a dependency was confirmed",
 			received.node, received.job, received.status, now.Sub(confirmed))
 	}
 }
--- a/internal/scenarios/rules_tasks_test.go
+++ b/internal/scenarios/rules_tasks_test.go
@@ -36,7 +36,7 @@
 		job.completed[index] = true
 	}
 	if event.Cause != "busy" && r.isOverdue(job, event.At) {
-		r.reportViolation(ruleRanAfterCancellation, jobID, "task %s ran on %s until %v after its job's cancellation was confirmed",
+		r.reportViolation(ruleRanAfterCancellation, jobID, "%s was on %s until %v after its cancellation was confirmed",
 			event.Task, event.Worker.Name, event.At.Sub(job.cancelled.at))
 	}
 }
@@ -45,7 +45,7 @@
 func (r *rules) observeStart(event fake.Event, jobID string, index int) {
 	job, machine := r.job(jobID), event.Worker
 	for _, start := range r.running[event.Task] {
-		r.reportViolation(ruleConcurrentRuns, event.Task, "task %s starts on %s (attempt %d) while it runs on %s (attempt %d)",
+		r.reportViolation(ruleConcurrentRuns, event.Task, "%s starts on %s (attempt %d) while it is on %s (attempt %d)",
 			event.Task, machine.Name, event.Attempt, start.Worker.Name, start.Attempt)
 	}
 	r.running[event.Task] = append(r.running[event.Task], event)
@@ -53,23 +53,23 @@
 		r.firstStarts[event.Task] = event.At
 	}
 	if !job.submitted {
-		r.reportViolation(ruleNeverSubmitted, jobID, "task %s starts, but nobody submitted its job", event.Task)
+		r.reportViolation(ruleNeverSubmitted, jobID, "%s starts, but nobody submitted it", event.Task)
 		return
 	}
 	if index >= job.Tasks {
-		r.reportViolation(ruleNeverSubmitted, jobID, "task %s starts, but its job has only %d tasks", event.Task, job.Tasks)
+		r.reportViolation(ruleNeverSubmitted, jobID, "%s starts; its job has %d tasks", event.Task, job.Tasks)
 	}
 	if afterMoment(event.SentAt, job.cancelled) {
-		r.reportViolation(ruleRanAfterCancellation, jobID, "task %s starts on %s by a command sent %v after its job's cancellation was confirmed",
+		r.reportViolation(ruleRanAfterCancellation, jobID, "%s starts on %s by a command sent %v after its cancellation was confirmed",
 			event.Task, machine.Name, event.SentAt.Sub(job.cancelled.at))
 	}
 	if r.isOverdue(job, event.At) {
-		r.reportViolation(ruleRanAfterCancellation, jobID, "task %s starts on %s %v after its job's cancellation was confirmed",
+		r.reportViolation(ruleRanAfterCancellation, jobID, "%s starts on %s %v after its cancellation was confirmed",
 			event.Task, machine.Name, event.At.Sub(job.cancelled.at))
 	}
 	for _, dependency := range job.Dependencies {
 		if !r.job(dependency).isComplete() {
-			r.reportViolation(ruleStartedTooEarly, jobID, "task %s starts on %s, but job %s, on which its job depends, is not done", event.Task, machine.Name, dependency)
+			r.reportViolation(ruleStartedTooEarly, jobID, "%s starts on %s, but %s, which it depends on, is not done", event.Task, machine.Name, dependency)
 		}
 	}
 	r.checkQuota(job.Team)
@@ -89,7 +89,7 @@
 	for task, starts := range r.running {
 		jobID, _, _ := strings.Cut(task, "/")
 		if job := r.jobs[jobID]; len(starts) > 0 && r.isOverdue(job, now) {
-			r.reportViolation(ruleRanAfterCancellation, jobID, "task %s still runs on %s %v after its job's cancellation was confirmed", task, starts[0].Worker.Name, now.Sub(job.cancelled.at))
+			r.reportViolation(ruleRanAfterCancellation, jobID, "%s is still on %s %v after its cancellation was confirmed", task, starts[0].Worker.Name, now.Sub(job.cancelled.at))
 		}
 	}
 }
@@ -108,7 +108,7 @@
 	}
 	for _, limits := range r.settings.Params.Teams {
 		if limits.Name == team && (limits.CPUsMax > 0 && cores > limits.CPUsMax || limits.GPUsMax > 0 && accelerators > limits.GPUsMax) {
-			r.reportViolation(ruleQuota, team, "team %s uses more than its quota: %v cores and %v accelerators", team, cores, accelerators)
+			r.reportViolation(ruleQuota, team, "team %s uses %v cores and %v accelerators", team, cores, accelerators)
 		}
 	}
 }
@@ -121,13 +121,13 @@
 		allowed = allowed || machineType == machine.Type
 	}
 	if !allowed {
-		r.reportViolation(ruleWrongPlacement, job.UID, "task %s starts on machine type %s, but its job allows only %v", event.Task, machine.Type, job.Types)
+		r.reportViolation(ruleWrongPlacement, job.UID, "%s starts on type %s, its job allows %v", event.Task, machine.Type, job.Types)
 	}
 	if job.Zone != "" && job.Zone != machine.Zone {
-		r.reportViolation(ruleWrongPlacement, job.UID, "task %s starts in zone %s, but its job allows only %s", event.Task, machine.Zone, job.Zone)
+		r.reportViolation(ruleWrongPlacement, job.UID, "%s starts in %s, its job allows %s", event.Task, machine.Zone, job.Zone)
 	}
 	if machine.Spot && !job.Spot {
-		r.reportViolation(ruleWrongPlacement, job.UID, "task %s starts on a spot machine, which its job does not allow", event.Task)
+		r.reportViolation(ruleWrongPlacement, job.UID, "%s starts on a spot machine", event.Task)
 	}
 	inZone := 0
 	for index := range job.Tasks {
@@ -135,11 +135,11 @@
 			if start.Worker.Zone == machine.Zone {
 				inZone++
 			} else if job.Together {
-				r.reportViolation(ruleWrongPlacement, job.UID, "task %s starts in zone %s while %s of the same job, which must run together, is in zone %s", event.Task, machine.Zone, start.Task, start.Worker.Zone)
+				r.reportViolation(ruleWrongPlacement, job.UID, "%s starts in %s while %s is in %s", event.Task, machine.Zone, start.Task, start.Worker.Zone)
 			}
 		}
 	}
 	if job.Spread && inZone > (job.Tasks+1)/2 {
-		r.reportViolation(ruleWrongPlacement, job.UID, "task %s of a spread job starts as number %d of %d tasks in zone %s", event.Task, inZone, job.Tasks, machine.Zone)
+		r.reportViolation(ruleWrongPlacement, job.UID, "%s starts as number %d of %d in %s", event.Task, inZone, job.Tasks, machine.Zone)
 	}
 }
--- a/internal/scenarios/rules_test.go
+++ b/internal/scenarios/rules_test.go
@@ -67,7 +67,7 @@
 	cancelled       moment
 	cancelRequested moment // when its user first asked to cancel
 	completed       map[int]bool
-	unansweredSince time.Time // when the first of its failing polls was sent
+	unansweredSince time.Time // when the first unanswered poll since its last answered one was sent
 }
 
 // newRules returns a checker that calls report for each violation.
--- a/internal/scenarios/users_test.go
+++ b/internal/scenarios/users_test.go
@@ -119,7 +119,7 @@
 // confirmation.
 func (c *testCluster) confirmCancellation(node *testNode, job string) time.Time {
 	c.t.Helper()
-	c.eventually(3*time.Second, "the cancellation of "+job+" is confirmed", func() bool {
+	c.eventually(3*time.Second, "cancellation of "+job+" confirmed", func() bool {
 		code, out := c.call(node.name, "POST", "/v2/runs/"+job+"/cancel", nil)
 		return code == 200 && out["status"] == "cancelled"
 	})
