--- a/internal/scenarios/drain_budget_test.go
+++ b/internal/scenarios/drain_budget_test.go
@@ -14,8 +14,8 @@
 	"github.com/pebbletrail/pebbletrail/internal/rollout"
 )
 
-// TestZoneDrainStaysWithinDisruptionBudget drains all machines of a zone: each replica moves at
-// most once, and nothing of the rollout is left in the state service.
+// TestZoneDrainStaysWithinDisruptionBudget drains all machines of a zone. Each replica must move at
+// most once, and no keys of the rollout's machines may remain in the state service.
 func TestZoneDrainStaysWithinDisruptionBudget(t *testing.T) {
 	t.Parallel()
 	drainScenario(t, 4, drainOptions{capacity: 40}, func(t *testing.T, c *drainCluster) {
@@ -23,39 +23,40 @@
 		c.startRollout(newRollout("spring"))
 		c.awaitState("spring", rollout.Ended, 6*time.Minute)
 		c.awaitTaskCount(30*time.Second, "job-1", 6)
-		if left := c.machinesIn("north"); len(left) > 0 {
-			t.Errorf("%v still run", left)
+		if remaining := c.machinesIn("north"); len(remaining) > 0 {
+			t.Errorf("machines in the north still run after the drain: %v", remaining)
 		}
-		if n := c.disruption.evictionsOf("job-1"); n == 0 || n > 6 {
-			t.Errorf("%d stops", n)
+		if n := c.disruption.evictionCount("job-1"); n == 0 || n > 6 {
+			t.Errorf("%d evictions of 6 replicas, want 1 to 6", n)
 		}
-		// The leader removes them when it next looks at its rollouts, within a quarter of a second.
+		// The leader removes the keys when it next processes its rollouts, within a quarter of a second.
 		c.eventually(2*time.Second, "the state service holds nothing of the rollout", func() bool {
 			return c.store.CountKeys("rollout/left/") == 0
 		})
 	})
 }
 
-// TestDisruptionRuleDetectsEvictionsOverBudget plants a fault: the controllers' budgets allow
-// anything, and the rule, which knows the true budget, must notice.
+// TestDisruptionRuleDetectsEvictionsOverBudget guards against a disruption rule that detects
+// nothing. The controllers have a far larger budget than the rule, so that their drain must violate
+// the rule.
 func TestDisruptionRuleDetectsEvictionsOverBudget(t *testing.T) {
 	t.Parallel()
-	noticed := false
+	violationReported := false
 	drainScenario(t, 4, drainOptions{capacity: 40, features: `drains { teams { team: "red" budget { replicas_down: 99 tasks_interrupted: 99 } } }`},
 		func(t *testing.T, c *drainCluster) {
-			c.disruption.report = func(string, string) { noticed = true }
+			c.disruption.report = func(string, string) { violationReported = true }
 			c.startService("job-1", 8)
 			c.startRollout(newRollout("spring"))
 			c.awaitState("spring", rollout.Ended, 6*time.Minute)
 		})
-	if !noticed {
-		t.Error("the rule does not notice several replicas stopped at a time")
+	if !violationReported {
+		t.Error("the rule does not report several replicas stopped at a time")
 	}
 }
 
 // TestDrainOfMachineSharedByTwoTeamsWaitsForBothBudgets drains a machine with replicas of two
-// teams, one of which may lose none: nothing of either team is stopped, and the team that blocks
-// the drain is named.
+// teams, one of which has a budget of zero. No replica of either team may be stopped, and the reason
+// must name the team that blocks the drain.
 func TestDrainOfMachineSharedByTwoTeamsWaitsForBothBudgets(t *testing.T) {
 	t.Parallel()
 	features := `drains { teams { team: "red" budget { replicas_down: 1 } } teams { team: "blue" budget { replicas_down: 0 } } }`
@@ -67,17 +68,17 @@
 		c.startRollout(newRollout("spring", c.machinesIn("north")...))
 		c.awaitBlocker("team blue: 0 of its 2 replicas are down, of at most 0")
 		c.consistently(time.Minute, "nothing is stopped", func() bool {
-			return c.disruption.evictionsOf("job-1") == 0 && c.disruption.evictionsOf("job-2") == 0
+			return c.disruption.evictionCount("job-1") == 0 && c.disruption.evictionCount("job-2") == 0
 		})
-		c.execute("spring", rollout.CommandAbort)
+		c.executeCommand("spring", rollout.CommandAbort)
 		c.awaitState("spring", rollout.Ended, time.Minute)
 		c.awaitNoneCordoned(time.Minute)
 	})
 }
 
-// TestReplicaFailureAfterPermitDelaysNextEviction lets a replica fail by itself at the moment when
-// an eviction permit is stored. The leader learns of the failure before it learns that the permit
-// is stored: the eviction waits until the replica is up again, since the budget is used up.
+// TestReplicaFailureAfterPermitDelaysNextEviction makes a replica fail by itself when an eviction
+// permit is stored. The leader learns of the failure before it learns that the permit is stored. The
+// failure uses up the budget, so the eviction must wait until the failed replica is up again.
 func TestReplicaFailureAfterPermitDelaysNextEviction(t *testing.T) {
 	t.Parallel()
 	drainScenario(t, 3, drainOptions{capacity: 40}, func(t *testing.T, c *drainCluster) {
@@ -120,9 +121,9 @@
 	})
 }
 
-// TestMovedReplicaKeepsItsQuota has a team at its quota, with work of lower urgency waiting: the
-// quota that a moved replica gives up for a moment must not go to that work, or the replica would
-// stay down and the rollout wait forever.
+// TestMovedReplicaKeepsItsQuota drains replicas of a team that is at its quota and has jobs of lower
+// urgency waiting. A replica releases its quota while it moves. If a waiting job took that quota, the
+// replica would stay down and the rollout would wait forever.
 func TestMovedReplicaKeepsItsQuota(t *testing.T) {
 	t.Parallel()
 	drainScenario(t, 4, drainOptions{capacity: 40}, func(t *testing.T, c *drainCluster) {
@@ -130,23 +131,23 @@
 		for i := range 6 {
 			c.submitToAny(0, newJob(fmt.Sprint("job-", 10+i), "array", 1).with("urgency", "low"))
 		}
-		c.sleep(time.Minute) // work of low urgency that has waited long goes before later submissions
+		c.sleep(time.Minute) // jobs of low urgency that have waited long come before later submissions
 		c.startRollout(newRollout("spring"))
 		c.awaitState("spring", rollout.Ended, 6*time.Minute)
 		c.awaitTaskCount(time.Minute, "job-1", 6)
 	})
 }
 
-// TestBlockedDrainWaitsAndReportsReason drains machines whose work can't be moved: nothing is
-// stopped, the reason is reported, and an abort uncordons the machines.
+// TestBlockedDrainWaitsAndReportsReason drains machines whose tasks can't be moved. No task may be
+// stopped, the reason must be reported, and an abort must uncordon the machines.
 func TestBlockedDrainWaitsAndReportsReason(t *testing.T) {
 	t.Parallel()
 	for _, test := range []struct {
 		name, features     string
-		reason             string // part of what is reported
+		reason             string // part of the reported reason
 		budget             teamBudget
 		replicas           int
-		changes            []any // of the service's fields
+		changes            []any // to the service's fields, as for jobSpec.with
 		surge, allMachines bool
 		capacity           int
 	}{
@@ -172,9 +173,9 @@
 				c.startRollout(spec)
 				c.awaitBlocker(test.reason)
 				c.consistently(3*time.Minute, "nothing is stopped", func() bool {
-					return c.disruption.evictionsOf("job-1") == 0 && c.runningCount("job-1") == test.replicas
+					return c.disruption.evictionCount("job-1") == 0 && c.runningCount("job-1") == test.replicas
 				})
-				c.execute("spring", rollout.CommandAbort)
+				c.executeCommand("spring", rollout.CommandAbort)
 				c.awaitState("spring", rollout.Ended, time.Minute)
 				c.awaitNoneCordoned(time.Minute)
 			})
@@ -182,9 +183,9 @@
 	}
 }
 
-// TestDrainMovesPreemptibleWorkAndRecordsMoves drains machines with arrays of low urgency, work
-// with checkpoints and a gang: all of it goes on elsewhere, and the explanation of a moved job
-// tells so.
+// TestDrainMovesPreemptibleWorkAndRecordsMoves drains machines with an array of low urgency, an array
+// with checkpoints and a gang. All of them must continue on other machines, and the history of a
+// moved job must contain the move.
 func TestDrainMovesPreemptibleWorkAndRecordsMoves(t *testing.T) {
 	t.Parallel()
 	drainScenario(t, 4, drainOptions{capacity: 60}, func(t *testing.T, c *drainCluster) {
@@ -211,32 +212,31 @@
 			moved += strings.Count(string(c.store.Value("end/"+id)), "by rollout spring, wave")
 		}
 		if moved == 0 {
-			t.Error("no explanation tells of a move")
+			t.Error("no history of a job contains a move by the rollout")
 		}
 	})
 }
 
-// TestTasksWithoutCheckpointFinishUnlessDrainDeadlinePasses drains a machine whose tasks can't
-// save a checkpoint: they run to completion, or are stopped after the deadline if the operator
-// chose that.
+// TestTasksWithoutCheckpointFinishUnlessDrainDeadlinePasses drains a machine whose tasks can't save a
+// checkpoint. They must run to completion, or stop after the deadline if the rollout says so.
 func TestTasksWithoutCheckpointFinishUnlessDrainDeadlinePasses(t *testing.T) {
 	t.Parallel()
-	for _, choice := range []rollout.AtDeadline{rollout.WaitAtDeadline, rollout.StopAtDeadline} {
-		t.Run(string(choice), func(t *testing.T) {
+	for _, atDeadline := range []rollout.AtDeadline{rollout.WaitAtDeadline, rollout.StopAtDeadline} {
+		t.Run(string(atDeadline), func(t *testing.T) {
 			t.Parallel()
 			drainScenario(t, 1, drainOptions{capacity: 10}, func(t *testing.T, c *drainCluster) {
 				c.submitToAny(0, newJob("job-1", "array", 2).with("yard", "north"))
 				c.awaitTaskCount(time.Minute, "job-1", 2)
 				spec := newRollout("spring", c.machinesIn("north")...)
-				spec.AtDeadline, spec.Deadline = choice, 30
+				spec.AtDeadline, spec.Deadline = atDeadline, 30
 				c.startRollout(spec)
 				c.awaitBlocker("can't save and runs to its end")
-				c.consistently(25*time.Second, "it runs on", func() bool { return c.disruption.evictionsOf("job-1") == 0 })
-				if choice == rollout.StopAtDeadline {
+				c.consistently(25*time.Second, "it runs on", func() bool { return c.disruption.evictionCount("job-1") == 0 })
+				if atDeadline == rollout.StopAtDeadline {
 					c.awaitState("spring", rollout.Ended, 3*time.Minute)
 					return
 				}
-				c.consistently(time.Minute, "it runs on", func() bool { return c.disruption.evictionsOf("job-1") == 0 })
+				c.consistently(time.Minute, "it runs on", func() bool { return c.disruption.evictionCount("job-1") == 0 })
 				for _, task := range []string{"job-1/0", "job-1/1"} {
 					c.workerNamed(c.machinesRunning(task)[0]).EndTask(task, "done")
 				}
--- a/internal/scenarios/drain_failover_test.go
+++ b/internal/scenarios/drain_failover_test.go
@@ -17,7 +17,7 @@
 	fail func(c *drainCluster, leader string)
 }
 
-// leaderFailures are crashes, partitions and stalls, the latter for longer than its lease.
+// leaderFailures are crashes, partitions and a stall that lasts longer than the leader's lease.
 var leaderFailures = []leaderFailure{
 	{"it crashes", func(c *drainCluster, leader string) { c.stopNode(leader) }},
 	{"it restarts", func(c *drainCluster, leader string) {
@@ -36,11 +36,11 @@
 		c.store.RefuseCaller(leader, false)
 	}},
 	{"it stalls", func(c *drainCluster, leader string) {
-		// Its requests are held back and delivered after its successor has acted.
+		// The leader's requests are held back and delivered after its successor has acted.
 		c.network.SetRule(func(from, to string, r *http.Request, _ []byte) fake.Outcome {
 			switch {
 			case from == leader && r.URL.Path == "/follow":
-				return fake.Drop // an open watch that would only take time
+				return fake.Drop // a held-back watch would only take time
 			case from == leader:
 				return fake.HoldBack
 			case strings.HasPrefix(to, leader+":"):
@@ -54,17 +54,17 @@
 	}},
 }
 
-// leaderStep is a step of a drain at which the leader is to fail, told by a change in the state
-// service or by a task event.
-type leaderStep struct {
+// drainStep is a step of a drain at which the leader is made to fail. A step is recognized by a
+// change in the state service or by a task event.
+type drainStep struct {
 	name     string
 	onChange func(key string, value json.RawMessage) bool
 	onEvent  func(event fake.Event, drained bool) bool
 }
 
-// leaderSteps are the steps between an eviction's permit, the stop, the new start and the return of
-// the permit, and those of a wave.
-var leaderSteps = []leaderStep{
+// drainSteps are the steps of an eviction from its permit to the new start, after which the permit
+// is returned, and the steps of a wave.
+var drainSteps = []drainStep{
 	{name: "the permit is stored", onChange: func(key string, value json.RawMessage) bool {
 		return strings.HasPrefix(key, "job/") && strings.Contains(string(value), `"evictions"`)
 	}},
@@ -78,7 +78,7 @@
 	}},
 }
 
-// notify signals a listener, unless its last signal is still pending.
+// notify sends a signal to a listener, unless an earlier signal is still pending.
 func notify(listener chan struct{}) {
 	select {
 	case listener <- struct{}{}:
@@ -86,9 +86,9 @@
 	}
 }
 
-// failLeaderAt has the leader fail at a step, the first few times that it comes.
-func (c *drainCluster) failLeaderAt(step leaderStep, times int, fail func(c *drainCluster, leader string)) {
-	reached := c.signalStep(step)
+// failLeaderAt makes the leader fail when a step is reached, up to the given number of times.
+func (c *drainCluster) failLeaderAt(step drainStep, times int, fail func(c *drainCluster, leader string)) {
+	reached := c.watchStep(step)
 	go func() {
 		for range times {
 			select {
@@ -107,8 +107,8 @@
 	}()
 }
 
-// signalStep returns a channel that is signalled each time a step is reached.
-func (c *drainCluster) signalStep(step leaderStep) chan struct{} {
+// watchStep returns a channel that receives a signal when a step is reached.
+func (c *drainCluster) watchStep(step drainStep) chan struct{} {
 	reached := make(chan struct{}, 1)
 	if step.onChange != nil {
 		c.store.NotifyChanges(func(key string, value json.RawMessage) {
@@ -149,11 +149,11 @@
 	}
 }
 
-// TestLeaderFailureDuringDrainStepRepeatsNoEviction has the leader fail in each way at each step
-// of a drain: no eviction is repeated, and no cordon or eviction is left over.
+// TestLeaderFailureDuringDrainStepRepeatsNoEviction makes the leader fail in each way at each step of
+// a drain. No eviction may be repeated, and no machine may stay cordoned and no eviction recorded.
 func TestLeaderFailureDuringDrainStepRepeatsNoEviction(t *testing.T) {
 	t.Parallel()
-	for _, step := range leaderSteps {
+	for _, step := range drainSteps {
 		for _, failure := range leaderFailures {
 			t.Run(step.name+", "+failure.name, func(t *testing.T) {
 				t.Parallel()
@@ -164,8 +164,8 @@
 					c.awaitState("spring", rollout.Ended, 15*time.Minute)
 					c.awaitTaskCount(2*time.Minute, "job-1", 6)
 					c.awaitNoneCordoned(time.Minute)
-					if n := c.disruption.evictionsOf("job-1"); n > 6 {
-						t.Errorf("%d stops of 6 replicas: a step was repeated", n)
+					if n := c.disruption.evictionCount("job-1"); n > 6 {
+						t.Errorf("%d evictions of 6 replicas, want at most 6: an eviction was repeated", n)
 					}
 					c.eventually(time.Minute, "no eviction stays on the record", func() bool {
 						return !strings.Contains(string(c.store.Value("job/job-1")), `"evictions"`)
@@ -176,8 +176,8 @@
 	}
 }
 
-// TestEvictionPermitStoredAfterFailoverIsVoid delays the transaction that stores an eviction
-// permit until the successor has written: the permit must not count.
+// TestEvictionPermitStoredAfterFailoverIsVoid delays the transaction that stores an eviction permit
+// until the leader has crashed and its successor has written. The late permit must have no effect.
 func TestEvictionPermitStoredAfterFailoverIsVoid(t *testing.T) {
 	t.Parallel()
 	drainScenario(t, 4, drainOptions{capacity: 40}, func(t *testing.T, c *drainCluster) {
@@ -196,8 +196,8 @@
 		c.stopNode(leader)
 		c.awaitState("spring", rollout.Ended, 8*time.Minute)
 		c.awaitTaskCount(time.Minute, "job-1", 6)
-		if n := c.disruption.evictionsOf("job-1"); n > 6 {
-			t.Errorf("%d stops", n)
+		if n := c.disruption.evictionCount("job-1"); n > 6 {
+			t.Errorf("%d evictions of 6 replicas, want at most 6", n)
 		}
 	})
 }
--- a/internal/scenarios/rules_responses_test.go
+++ b/internal/scenarios/rules_responses_test.go
@@ -25,7 +25,7 @@
 	status         string
 }
 
-// decodeDescription reads a submission, and tells whether it names a job.
+// decodeDescription decodes a submission, and reports whether it is valid JSON with a job ID.
 func decodeDescription(body []byte) (description jobDescription, ok bool) {
 	err := json.Unmarshal(body, &description)
 	return description, err == nil && description.UID != ""
@@ -37,8 +37,8 @@
 	return job, action
 }
 
-// RequestSent observes that a user sends a request, and returns the moment.
-func (r *rules) RequestSent(method, path string, body []byte) moment {
+// ObserveRequest records that a user sends a request, and returns the moment.
+func (r *rules) ObserveRequest(method, path string, body []byte) moment {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.nextMoment()
@@ -56,8 +56,9 @@
 	return now
 }
 
-// ResponseReceived observes the response to a request sent at a moment; code 0 is no response.
-func (r *rules) ResponseReceived(sent moment, node, method, path string, body []byte, code int, fields map[string]any) {
+// ObserveResponse checks and records the response to a request that was sent at a moment. Code 0
+// means that there was no response.
+func (r *rules) ObserveResponse(sent moment, node, method, path string, body []byte, code int, fields map[string]any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	status, _ := fields["status"].(string)
@@ -66,7 +67,7 @@
 		description, ok := decodeDescription(body)
 		if !ok {
 			if code == http.StatusOK || code == http.StatusCreated {
-				r.violated(ruleInvented, "", "%s accepts %s", node, body)
+				r.reportViolation(ruleNeverSubmitted, "", "%s accepts %s", node, body)
 			}
 			return
 		}
@@ -89,13 +90,14 @@
 	}
 }
 
-// checkCode reports a job that is unknown or rejected after it was accepted, and one that is known
-// though nobody submitted it. It tells whether the response has a status of a known job.
+// checkCode reports a job that a node does not know or rejects after it was accepted, and a job that
+// a node knows though nobody submitted it. Its result is whether the response contains the status of
+// a submitted job.
 func (r *rules) checkCode(job *observedJob, received response) bool {
 	switch {
 	case received.submission && (received.code == http.StatusBadRequest || received.code == http.StatusUnprocessableEntity):
 		if received.sent.after(job.accepted) {
-			r.violated(ruleForgotten, received.job, "%s answers %d to a repeated submission of an accepted %s", received.node, received.code, received.job)
+			r.reportViolation(ruleAcceptedJobLost, received.job, "%s answers %d to a repeated submission of an accepted %s", received.node, received.code, received.job)
 		}
 		if job.accepted.isZero() {
 			job.submitted = false // another job may be submitted under this ID
@@ -103,26 +105,26 @@
 		return false
 	case received.code == http.StatusNotFound:
 		if received.sent.after(job.accepted) {
-			r.violated(ruleForgotten, received.job, "%s answers 404 for an accepted %s", received.node, received.job)
+			r.reportViolation(ruleAcceptedJobLost, received.job, "%s answers 404 for an accepted %s", received.node, received.job)
 		}
 		return false
 	case received.code != http.StatusOK && received.code != http.StatusCreated:
 		return false
 	}
 	if !job.submitted {
-		r.violated(ruleInvented, received.job, "%s answers %d %q for %s, which nobody submitted", received.node, received.code, received.status, received.job)
+		r.reportViolation(ruleNeverSubmitted, received.job, "%s answers %d %q for %s, which nobody submitted", received.node, received.code, received.status, received.job)
 		return false
 	}
 	return true
 }
 
-// checkStatus reports a status that contradicts what was reported, requested or run before.
+// checkStatus reports a status that contradicts earlier responses, requests or task events.
 func (r *rules) checkStatus(job *observedJob, received response) {
 	if received.code == http.StatusCreated && received.sent.after(job.accepted) {
-		r.violated(ruleWentBack, received.job, "%s accepts a known %s once more", received.node, received.job)
+		r.reportViolation(ruleStatusContradiction, received.job, "%s accepts a known %s once more", received.node, received.job)
 	}
 	if received.cancellation && received.status != "cancelled" && received.status != "done" {
-		r.violated(ruleWentBack, received.job, "%s answers a cancellation of %s with %q", received.node, received.job, received.status)
+		r.reportViolation(ruleStatusContradiction, received.job, "%s answers a cancellation of %s with %q", received.node, received.job, received.status)
 	}
 	switch received.status {
 	case "done":
@@ -132,47 +134,47 @@
 	case "pending", "running":
 		r.checkUnfinished(job, received)
 	default:
-		r.violated(ruleWentBack, received.job, "%s reports %s as %q", received.node, received.job, received.status)
+		r.reportViolation(ruleStatusContradiction, received.job, "%s reports %s as %q", received.node, received.job, received.status)
 	}
 }
 
-// checkDone reports a job that is reported as done before all its tasks have completed, or after it
-// was reported as cancelled.
+// checkDone reports a response that calls a job done before all its tasks have completed, or after
+// the job was reported as cancelled.
 func (r *rules) checkDone(job *observedJob, received response) {
 	for index := range job.Tasks {
-		// A gang is done when one of its tasks is, but all of them must have run.
+		// A gang is done when one of its tasks is done, but all of its tasks must have run.
 		task := fmt.Sprintf("%s/%d", received.job, index)
 		if !job.completed[index] && !(job.Shape == "gang" && len(job.completed) > 0 && !r.firstStarts[task].IsZero()) {
-			r.violated(ruleNotDone, received.job, "%s reports %s as done, but %s has not completed", received.node, received.job, task)
+			r.reportViolation(ruleDoneTooEarly, received.job, "%s reports %s as done, but %s has not completed", received.node, received.job, task)
 		}
 	}
 	if !job.cancelled.isZero() {
-		r.violated(ruleWentBack, received.job, "%s reports %s as done, which was reported as cancelled", received.node, received.job)
+		r.reportViolation(ruleStatusContradiction, received.job, "%s reports %s as done, which was reported as cancelled", received.node, received.job)
 	}
 }
 
-// checkReportedCancelled reports a job that is reported as cancelled though nobody cancelled it or a
-// job that it depends on, or after it was reported as done.
+// checkReportedCancelled reports a response that calls a job cancelled though nobody cancelled it or
+// a job that it depends on, or after the job was reported as done.
 func (r *rules) checkReportedCancelled(job *observedJob, received response) {
 	requested := func(dependency *observedJob) moment { return dependency.cancelRequested }
 	if job.cancelRequested.isZero() && r.earliestInDependencies(job, requested).IsZero() {
-		r.violated(ruleWentBack, received.job, "%s reports %s as cancelled, which its user did not cancel", received.node, received.job)
+		r.reportViolation(ruleStatusContradiction, received.job, "%s reports %s as cancelled, which its user did not cancel", received.node, received.job)
 	}
 	if !job.done.isZero() {
-		r.violated(ruleWentBack, received.job, "%s reports %s as cancelled, which was reported as done", received.node, received.job)
+		r.reportViolation(ruleStatusContradiction, received.job, "%s reports %s as cancelled, which was reported as done", received.node, received.job)
 	}
 }
 
-// checkUnfinished reports a job that is reported as pending or running though its end was reported
-// before, or for too long after the cancellation of a job that it depends on.
+// checkUnfinished reports a response that calls a job pending or running after its end was reported,
+// or later than the limit after the cancellation of a job that it depends on.
 func (r *rules) checkUnfinished(job *observedJob, received response) {
 	if received.sent.after(job.done) || received.sent.after(job.cancelled) {
-		r.violated(ruleWentBack, received.job, "%s reports %s as %s, whose end was reported %v before the request",
+		r.reportViolation(ruleStatusContradiction, received.job, "%s reports %s as %s, whose end was reported %v before the request",
 			received.node, received.job, received.status, received.sent.at.Sub(maxTime(job.done.at, job.cancelled.at)))
 	}
 	confirmed := r.earliestInDependencies(job, func(dependency *observedJob) moment { return dependency.cancelled })
 	if now := received.received.at; !confirmed.IsZero() && now.Sub(confirmed) > r.cancelLimit() {
-		r.violated(ruleOrphaned, received.job, "%s reports %s as %s %v after the cancellation of a dependency was confirmed",
+		r.reportViolation(ruleDependentNotCancelled, received.job, "%s reports %s as %s %v after the cancellation of a dependency was confirmed",
 			received.node, received.job, received.status, now.Sub(confirmed))
 	}
 }
@@ -188,8 +190,8 @@
 	}
 }
 
-// earliestInDependencies returns the earliest time of a moment among the jobs that a job depends on,
-// directly or not: zero if none has had it.
+// earliestInDependencies returns the earliest time that momentOf yields for the jobs on which a job
+// depends directly or indirectly: zero if it yields none.
 func (r *rules) earliestInDependencies(job *observedJob, momentOf func(*observedJob) moment) (earliest time.Time) {
 	for _, id := range job.Dependencies {
 		dependency := r.job(id)
--- a/internal/scenarios/rules_tasks_test.go
+++ b/internal/scenarios/rules_tasks_test.go
@@ -9,21 +9,21 @@
 	"github.com/pebbletrail/pebbletrail/internal/fake"
 )
 
-// TaskEvent observes that a task started or ended on a worker.
-func (r *rules) TaskEvent(event fake.Event) {
+// ObserveTaskEvent checks and records the start or end of a task on a worker.
+func (r *rules) ObserveTaskEvent(event fake.Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	jobID, number, _ := strings.Cut(event.Task, "/")
 	index, _ := strconv.Atoi(number)
 	if event.Start {
-		r.taskStarted(event, jobID, index)
+		r.observeStart(event, jobID, index)
 	} else {
-		r.taskEnded(event, jobID, index)
+		r.observeEnd(event, jobID, index)
 	}
 }
 
-// taskEnded observes the end of a task.
-func (r *rules) taskEnded(event fake.Event, jobID string, index int) {
+// observeEnd checks and records the end of a task.
+func (r *rules) observeEnd(event fake.Event, jobID string, index int) {
 	job := r.job(jobID)
 	var remaining []fake.Event
 	for _, start := range r.running[event.Task] {
@@ -35,17 +35,17 @@
 	if event.Cause == "done" {
 		job.completed[index] = true
 	}
-	if event.Cause != "busy" && r.overdue(job, event.At) {
-		r.violated(ruleRanCancelled, jobID, "%s was on %s until %v after its cancellation was confirmed",
+	if event.Cause != "busy" && r.isOverdue(job, event.At) {
+		r.reportViolation(ruleRanAfterCancellation, jobID, "%s was on %s until %v after its cancellation was confirmed",
 			event.Task, event.Worker.Name, event.At.Sub(job.cancelled.at))
 	}
 }
 
-// taskStarted observes the start of a task.
-func (r *rules) taskStarted(event fake.Event, jobID string, index int) {
+// observeStart checks and records the start of a task.
+func (r *rules) observeStart(event fake.Event, jobID string, index int) {
 	job, machine := r.job(jobID), event.Worker
 	for _, start := range r.running[event.Task] {
-		r.violated(ruleRanTwice, event.Task, "%s starts on %s (attempt %d) while it is on %s (attempt %d)",
+		r.reportViolation(ruleConcurrentRuns, event.Task, "%s starts on %s (attempt %d) while it is on %s (attempt %d)",
 			event.Task, machine.Name, event.Attempt, start.Worker.Name, start.Attempt)
 	}
 	r.running[event.Task] = append(r.running[event.Task], event)
@@ -53,43 +53,43 @@
 		r.firstStarts[event.Task] = event.At
 	}
 	if !job.submitted {
-		r.violated(ruleInvented, jobID, "%s starts, but nobody submitted it", event.Task)
+		r.reportViolation(ruleNeverSubmitted, jobID, "%s starts, but nobody submitted it", event.Task)
 		return
 	}
 	if index >= job.Tasks {
-		r.violated(ruleInvented, jobID, "%s starts; its job has %d tasks", event.Task, job.Tasks)
+		r.reportViolation(ruleNeverSubmitted, jobID, "%s starts; its job has %d tasks", event.Task, job.Tasks)
 	}
 	if afterMoment(event.SentAt, job.cancelled) {
-		r.violated(ruleRanCancelled, jobID, "%s starts on %s by a command sent %v after its cancellation was confirmed",
+		r.reportViolation(ruleRanAfterCancellation, jobID, "%s starts on %s by a command sent %v after its cancellation was confirmed",
 			event.Task, machine.Name, event.SentAt.Sub(job.cancelled.at))
 	}
-	if r.overdue(job, event.At) {
-		r.violated(ruleRanCancelled, jobID, "%s starts on %s %v after its cancellation was confirmed",
+	if r.isOverdue(job, event.At) {
+		r.reportViolation(ruleRanAfterCancellation, jobID, "%s starts on %s %v after its cancellation was confirmed",
 			event.Task, machine.Name, event.At.Sub(job.cancelled.at))
 	}
 	for _, dependency := range job.Dependencies {
 		if !r.job(dependency).isComplete() {
-			r.violated(ruleTooEarly, jobID, "%s starts on %s, but %s, which it depends on, is not done", event.Task, machine.Name, dependency)
+			r.reportViolation(ruleStartedTooEarly, jobID, "%s starts on %s, but %s, which it depends on, is not done", event.Task, machine.Name, dependency)
 		}
 	}
 	r.checkQuota(job.Team)
 	r.checkPlacement(job, event)
 }
 
-// overdue tells whether a time is beyond the limit after a job's cancellation was confirmed.
-func (r *rules) overdue(job *observedJob, now time.Time) bool {
+// isOverdue reports whether a time is later than the limit after a job's cancellation was confirmed.
+func (r *rules) isOverdue(job *observedJob, now time.Time) bool {
 	return afterMoment(now, job.cancelled) && now.Sub(job.cancelled.at) > r.cancelLimit()
 }
 
-// CheckCancelled reports tasks that are still on machines beyond the limit after their cancellation.
+// CheckCancelled reports tasks that still run after the limit for the stop of cancelled tasks.
 func (r *rules) CheckCancelled() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
 	for task, starts := range r.running {
 		jobID, _, _ := strings.Cut(task, "/")
-		if job := r.jobs[jobID]; len(starts) > 0 && r.overdue(job, now) {
-			r.violated(ruleRanCancelled, jobID, "%s is still on %s %v after its cancellation was confirmed", task, starts[0].Worker.Name, now.Sub(job.cancelled.at))
+		if job := r.jobs[jobID]; len(starts) > 0 && r.isOverdue(job, now) {
+			r.reportViolation(ruleRanAfterCancellation, jobID, "%s is still on %s %v after its cancellation was confirmed", task, starts[0].Worker.Name, now.Sub(job.cancelled.at))
 		}
 	}
 }
@@ -108,25 +108,26 @@
 	}
 	for _, limits := range r.settings.Params.Teams {
 		if limits.Name == team && (limits.CPUsMax > 0 && cores > limits.CPUsMax || limits.GPUsMax > 0 && accelerators > limits.GPUsMax) {
-			r.violated(ruleQuota, team, "team %s uses %v cores and %v accelerators", team, cores, accelerators)
+			r.reportViolation(ruleQuota, team, "team %s uses %v cores and %v accelerators", team, cores, accelerators)
 		}
 	}
 }
 
 // checkPlacement reports a task that starts on a machine or in a zone that its job does not allow.
+// A job that is spread may have at most half of its tasks, rounded up, in a zone.
 func (r *rules) checkPlacement(job *observedJob, event fake.Event) {
 	machine, allowed := event.Worker, job.Types == nil
 	for _, machineType := range job.Types {
 		allowed = allowed || machineType == machine.Type
 	}
 	if !allowed {
-		r.violated(ruleWrongPlace, job.UID, "%s starts on type %s, its job allows %v", event.Task, machine.Type, job.Types)
+		r.reportViolation(ruleWrongPlacement, job.UID, "%s starts on type %s, its job allows %v", event.Task, machine.Type, job.Types)
 	}
 	if job.Zone != "" && job.Zone != machine.Zone {
-		r.violated(ruleWrongPlace, job.UID, "%s starts in %s, its job allows %s", event.Task, machine.Zone, job.Zone)
+		r.reportViolation(ruleWrongPlacement, job.UID, "%s starts in %s, its job allows %s", event.Task, machine.Zone, job.Zone)
 	}
 	if machine.Spot && !job.Spot {
-		r.violated(ruleWrongPlace, job.UID, "%s starts on a spot machine", event.Task)
+		r.reportViolation(ruleWrongPlacement, job.UID, "%s starts on a spot machine", event.Task)
 	}
 	inZone := 0
 	for index := range job.Tasks {
@@ -134,11 +135,11 @@
 			if start.Worker.Zone == machine.Zone {
 				inZone++
 			} else if job.Together {
-				r.violated(ruleWrongPlace, job.UID, "%s starts in %s while %s is in %s", event.Task, machine.Zone, start.Task, start.Worker.Zone)
+				r.reportViolation(ruleWrongPlacement, job.UID, "%s starts in %s while %s is in %s", event.Task, machine.Zone, start.Task, start.Worker.Zone)
 			}
 		}
 	}
 	if job.Spread && inZone > (job.Tasks+1)/2 {
-		r.violated(ruleWrongPlace, job.UID, "%s starts as number %d of %d in %s", event.Task, inZone, job.Tasks, machine.Zone)
+		r.reportViolation(ruleWrongPlacement, job.UID, "%s starts as number %d of %d in %s", event.Task, inZone, job.Tasks, machine.Zone)
 	}
 }
