--- a/internal/state/acquire.go
+++ b/internal/state/acquire.go
@@ -8,46 +8,47 @@
 	"github.com/pebbletrail/pebbletrail/internal/measure"
 )
 
-// Priority orders calls when there are more than the limits allow.
+// Priority is the priority of a call to the store while the rate limits do not allow all calls.
 type Priority int
 
 const (
-	// Urgent calls are lease renewals, outcomes of tasks and markers, which keep what runs alive.
+	// Urgent calls renew leases, store results of tasks or store assignments, which must be stored
+	// before tasks start. Running tasks depend on these calls.
 	Urgent Priority = iota
-	// Normal calls, for reading changes and for upkeep, wait for tokens.
+	// Normal calls read changes or do maintenance. They wait for tokens.
 	Normal
-	// Sheddable calls, those of users, are shed at once while little is left, because a user told
-	// when to come back is better off than one kept waiting. Only for a token that is due within
-	// a fraction of a second they wait: a few requests that come together must not be sent away
-	// by a rate that serves them all.
+	// Sheddable calls are those of users. While few tokens are left they are rejected immediately,
+	// because telling a user when to retry is better than keeping the user waiting. They wait only
+	// if the next token is due within a fraction of a second, so that a few simultaneous requests
+	// are not rejected at a rate that can serve all of them.
 	Sheddable
 )
 
-// reserves are the shares of a bucket that calls leave untouched.
+// reserves holds, for each priority, the share of a bucket's tokens that its calls must not use.
 var reserves = [...]float64{Urgent: 0, Normal: 0.25, Sheddable: 0.15}
 
-// leaderReserve is the share of the leader's bucket that its users leave untouched.
+// leaderReserve is the share of the leader bucket's tokens that calls of users must not use.
 const leaderReserve = 0.5
 
-// maxWaits bound how long a call waits for tokens.
+// maxWaits holds the longest time that a call of each priority waits for tokens.
 var maxWaits = [...]time.Duration{Urgent: time.Second, Normal: 2 * time.Second, Sheddable: 300 * time.Millisecond}
 
-// tokenRequest is one call that asks for tokens, perhaps several times.
+// tokenRequest is a call's request for tokens, which may be tried several times.
 type tokenRequest struct {
 	priority Priority
 	cost     cost
 	deadline time.Time
-	retried  bool         // it has asked before
-	queuedAt *tokenBucket // where it waits; nil while it doesn't
+	retried  bool         // whether it was tried before
+	queuedAt *tokenBucket // the bucket that it waits for; nil while it does not wait
 }
 
-// enqueue counts the request among those that wait at a bucket.
+// enqueue adds the request's cost to the queue of a bucket.
 func (r *tokenRequest) enqueue(bucket *tokenBucket) {
 	bucket.queued = bucket.queued.plus(r.cost)
 	r.queuedAt = bucket
 }
 
-// dequeue takes the request out of the queue that it waits in, if any.
+// dequeue subtracts the request's cost from the queue that it waits in, if any.
 func (r *tokenRequest) dequeue() {
 	if r.queuedAt != nil {
 		r.queuedAt.queued = r.queuedAt.queued.minus(r.cost)
@@ -55,7 +56,8 @@
 	}
 }
 
-// acquire waits for the tokens of a call that makes so many changes. The error is ErrRefused.
+// acquire takes tokens for one call that makes the given number of writes, and waits for them if
+// necessary. If they do not become available in time it returns ErrRefused.
 func (b *Budget) acquire(ctx context.Context, priority Priority, writes int) error {
 	if priority == Sheddable && writes > 0 && b.acquireByTransfer(ctx, writes) {
 		return nil
@@ -85,8 +87,8 @@
 	request.dequeue()
 }
 
-// tryAcquire takes the tokens, or tells how long to wait before the next try, and whether that is
-// within the request's deadline.
+// tryAcquire takes the tokens, or returns how long to wait before the next attempt and whether that
+// attempt is within the request's deadline.
 func (b *Budget) tryAcquire(request *tokenRequest) (wait time.Duration, inTime bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -113,22 +115,22 @@
 	return wait, inTime
 }
 
-// bucketFor picks the bucket for a request, and the share of it to leave untouched.
+// bucketFor returns the bucket for a request, and the share of its tokens that the request must not use.
 func (b *Budget) bucketFor(request *tokenRequest) (bucket *tokenBucket, reserved float64) {
 	reserved = reserves[request.priority]
 	if request.priority != Sheddable || !b.isLeader() {
 		return b.primary(), reserved
 	}
-	// The leader's changes must not crowd out its users, who have a part of their own and may
-	// use what the leader does not.
+	// The leader's writes must not starve its users' calls. Users have a bucket of their own and
+	// may use tokens that the leader does not need.
 	if b.users.waitFor(request.cost, cost{}, reserved) > 0 && b.leader.waitFor(request.cost, cost{}, leaderReserve) <= 0 {
 		return &b.leader, leaderReserve
 	}
 	return &b.users, reserved
 }
 
-// noteDemand counts what a request asks for, and whether it was there, on the bucket that is the
-// request's own.
+// noteDemand records on the request's own bucket how many writes were requested and whether tokens
+// were missing. Users' requests count on the users' bucket even if the leader's bucket serves them.
 func (b *Budget) noteDemand(request *tokenRequest, bucket *tokenBucket, short bool) {
 	if request.priority == Sheddable {
 		bucket = &b.users
--- a/internal/state/acquire_test.go
+++ b/internal/state/acquire_test.go
@@ -24,8 +24,8 @@
 				took := time.Since(began)
 				mu.Lock()
 				defer mu.Unlock()
-				// Whoever is refused is so at once; none waits in a queue that
-				// is not served within a moment.
+				// Calls that exceed the budget must be rejected immediately and not
+				// wait in a queue that is served too late.
 				if errors.Is(err, ErrRefused) {
 					refused++
 					if took > 10*time.Millisecond {
@@ -46,7 +46,7 @@
 	})
 }
 
-// withoutWaiting is a context that leaves no time to wait for tokens.
+// withoutWaiting returns a cancelled context, with which no call waits for tokens.
 func withoutWaiting(ctx context.Context) context.Context {
 	ctx, cancel := context.WithCancel(ctx)
 	cancel()
--- a/internal/state/bucket.go
+++ b/internal/state/bucket.go
@@ -6,34 +6,35 @@
 	"golang.org/x/time/rate"
 )
 
-// cost is a number of calls and of changes.
+// cost is a number of calls and of writes.
 type cost struct{ calls, writes float64 }
 
 func (c cost) plus(other cost) cost { return cost{c.calls + other.calls, c.writes + other.writes} }
 
 func (c cost) minus(other cost) cost { return cost{c.calls - other.calls, c.writes - other.writes} }
 
-// tokenBucket holds tokens for calls and for changes, and counts what is asked of it. It is guarded
-// by the lock of its Budget.
+// tokenBucket holds tokens for calls and for writes and measures the demand for them. It is guarded
+// by the mutex of its Budget.
 type tokenBucket struct {
 	calls, writes *rate.Limiter
-	// baseCalls and baseWrites are the rates a second without loans and at full speed.
+	// baseCalls and baseWrites are the rates per second without loans and throttling.
 	baseCalls, baseWrites float64
 
-	queued cost // what users' calls wait for now
+	queued cost // total cost of the users' calls that wait for tokens
 
-	// What this node could lend goes by the changes made since usageSince.
+	// The rate that this node can lend is computed from the writes made since usageSince.
 	usedWrites int
 	usageSince time.Time
 
-	// What this node lacks goes by the changes asked for, refused ones too, since demandSince.
+	// The rate that this node lacks is computed from the writes requested since demandSince,
+	// including rejected ones.
 	askedWrites float64
-	shortfalls  int // calls that found too few tokens
+	shortfalls  int // calls for which tokens were missing
 	demandSince time.Time
-	demandRate  float64 // changes asked for a second; it falls slowly
+	demandRate  float64 // requested writes per second; decays slowly
 }
 
-// newTokenBucket makes a full bucket: the limits allow bursts of a second's worth.
+// newTokenBucket returns a full bucket. Its burst is one second of its rates, which the store allows.
 func newTokenBucket(calls, writes float64, now time.Time) tokenBucket {
 	return tokenBucket{
 		calls:       rate.NewLimiter(rate.Limit(calls), burstOf(calls)),
@@ -45,12 +46,12 @@
 	}
 }
 
-// minBurst is the smallest burst: a submission makes several changes at once.
+// minBurst is the smallest burst. A submission makes several writes in one transaction.
 const minBurst = 4
 
 func burstOf(perSecond float64) int { return max(minBurst, int(perSecond)) }
 
-// resize gives the bucket other base rates.
+// resize changes the base rates of the bucket.
 func (t *tokenBucket) resize(now time.Time, calls, writes float64) {
 	t.baseCalls, t.baseWrites = calls, writes
 	t.writes.SetLimitAt(now, rate.Limit(writes))
@@ -59,7 +60,7 @@
 	t.calls.SetBurstAt(now, burstOf(calls))
 }
 
-// setRates sets the present rates, which loans and throttling take away from the base rates.
+// setRates sets the current rates, which differ from the base rates by loans and throttling.
 func (t *tokenBucket) setRates(now time.Time, calls, writes float64) {
 	if float64(t.calls.Limit()) != calls {
 		t.calls.SetLimitAt(now, rate.Limit(calls))
@@ -70,7 +71,7 @@
 	}
 }
 
-// spend takes tokens that are there.
+// spend takes tokens that the caller knows to be available.
 func (t *tokenBucket) spend(spent cost) {
 	now := time.Now()
 	t.calls.AllowN(now, int(spent.calls))
@@ -80,14 +81,14 @@
 	}
 }
 
-// empty takes all tokens.
+// empty discards all tokens.
 func (t *tokenBucket) empty(now time.Time) {
 	t.calls.AllowN(now, int(t.calls.TokensAt(now)))
 	t.writes.AllowN(now, int(t.writes.TokensAt(now)))
 }
 
-// waitFor is how long until a call of a cost could be let through after those ahead of it, so that
-// a share of the bucket stays untouched; 0 if it could be now.
+// waitFor returns the time until the tokens for wanted are available behind the queued cost ahead,
+// without using the reserved share of the bucket; 0 if they are available now.
 func (t *tokenBucket) waitFor(wanted, ahead cost, reserved float64) time.Duration {
 	wait := waitForTokens(t.calls, wanted.calls, ahead.calls, reserved)
 	if wanted.writes > 0 {
--- a/internal/state/budget.go
+++ b/internal/state/budget.go
@@ -5,52 +5,52 @@
 	"time"
 )
 
-// Budget keeps one controller inside its part of the store's limits, by token buckets for calls and
-// changes. The parts of all controllers add up to less than the whole, whoever is leader and
-// whoever can reach whom: a part grows only by what another controller has promised not to use
-// meanwhile.
+// Budget limits the calls and writes of one controller to its part of the store's rate limits, by
+// token buckets. The parts of all controllers add up to less than the limits, whichever controller
+// leads and whatever network partitions there are: a part grows only by a rate that another
+// controller has promised not to use for the same time.
 type Budget struct {
-	// The limits of all controllers together, a second.
+	// The limits per second of all controllers together.
 	callLimit, writeLimit float64
-	leaderShare           share // of the limits: the leader's, for what it does as such
-	nodeShare             share // of the limits: every node's, for its users and its own upkeep
-	// transferFrom asks the other controllers for changes; nil: there is nobody to ask. It is set
-	// before the first call.
+	leaderShare           share // part of the limits for the leader's own work
+	nodeShare             share // part of the limits for each node's users and its maintenance
+	// transferFrom asks the other controllers for writes; nil if there are none. It is set before
+	// the first call.
 	transferFrom RequestTransfer
 
-	// mu guards all that follows and the buckets. It is held for arithmetic alone: nothing is
-	// waited for and no other lock is taken under it.
+	// mu guards the fields below and the buckets. It is held for computations only: code that
+	// holds it neither blocks nor takes another lock.
 	mu        sync.Mutex
 	users     tokenBucket
 	leader    tokenBucket
-	ledShards int // shards that this node leads
-	shards    int // all shards
+	ledShards int // number of shards that this node leads
+	shards    int // number of all shards
 	loans     []loan
 	throttle  throttle
-	throttled bool // the rates are not back at their full size yet
-	// noTransferUntil is until when asking the others for changes is in vain.
+	throttled bool // whether the rates are still reduced by throttle
+	// noTransferUntil is the time before which the other controllers are not asked for writes.
 	noTransferUntil time.Time
 }
 
-// share is a part of the limits of calls and of changes, from 0 to 1.
+// share is a fraction of the limits of calls and of writes, from 0 to 1.
 type share struct{ calls, writes float64 }
 
 const (
-	// headroom leaves a little of the limits unused: clocks drift, and a failover briefly makes
-	// two leaders.
+	// headroom is the fraction of the limits that is used. The rest allows for clock drift and for
+	// two leaders at a time, which a failover briefly causes.
 	headroom = 0.95
-	// minWriteRate is what a node keeps of its changes a second whatever it has lent.
+	// minWriteRate is the rate of writes per second that a node keeps however much it has lent.
 	minWriteRate = 0.1
-	// nearlyExhausted is the share of a full bucket below which what can wait should.
+	// nearlyExhausted is the share of a full bucket below which deferrable writes should wait.
 	nearlyExhausted = 0.4
-	// retryAfter is when a refused user may find tokens again.
+	// retryAfter is the time after which tokens may be available again for a rejected user.
 	retryAfter = time.Second
 )
 
-// NewBudget splits the store's limits of calls and of changes a second among so many controllers;
-// leaderShare of the changes is for the leader alone.
+// NewBudget returns the budget of one of the given number of controllers, which share the store's limits
+// of calls and writes per second. The fraction leaderShare of the writes is for the leader alone.
 func NewBudget(callLimit, writeLimit float64, controllers int, leaderShare float64) *Budget {
-	// The leader makes most changes, in few calls; users' polls cost all nodes alike.
+	// The leader makes most writes, in few calls; polls by users cost every node the same.
 	leaderCalls := leaderShare * 2 / 3
 	b := &Budget{
 		callLimit:   callLimit * headroom,
@@ -64,8 +64,8 @@
 	return b
 }
 
-// SetShardCount sets the number of shards: each that this node leads brings its part of the
-// leader's share.
+// SetShardCount sets the number of shards. Each shard that this node leads adds an equal part of the
+// leader's share to its budget.
 func (b *Budget) SetShardCount(shards int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -73,7 +73,7 @@
 	b.resizeLeaderBucket()
 }
 
-// LeadershipChanged notes that this node leads one shard more, or one less.
+// LeadershipChanged records that this node acquired or lost the leadership of one shard.
 func (b *Budget) LeadershipChanged(acquired bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -85,7 +85,7 @@
 	b.resizeLeaderBucket()
 }
 
-// resizeLeaderBucket makes the leader's bucket as large as the shards that this node leads allow.
+// resizeLeaderBucket sets the rates of the leader's bucket in proportion to the shards that this node leads.
 func (b *Budget) resizeLeaderBucket() {
 	if b.shards <= 1 {
 		return
@@ -94,21 +94,20 @@
 	b.leader.resize(time.Now(), b.callLimit*b.leaderShare.calls*part, b.writeLimit*b.leaderShare.writes*part)
 }
 
-// isLeader tells whether this node leads any shard.
+// isLeader reports whether this node leads any shard.
 func (b *Budget) isLeader() bool { return b.ledShards > 0 }
 
-// WriteBurst is the most changes one transaction may carry now.
+// WriteBurst returns the largest number of writes that one transaction may make now.
 func (b *Budget) WriteBurst() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.primary().writes.Burst()
 }
 
-// RetryAfter is when a refused user may find tokens again.
+// RetryAfter returns the time after which a rejected user should retry.
 func (b *Budget) RetryAfter() time.Duration { return retryAfter }
 
-// NearlyExhausted tells whether most of the changes that this node may make are spoken for: what can wait
-// should.
+// NearlyExhausted reports whether few tokens for writes are left, so that deferrable writes should wait.
 func (b *Budget) NearlyExhausted() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -116,7 +115,7 @@
 	return writes.Tokens() < nearlyExhausted*float64(writes.Burst())
 }
 
-// primary is the bucket of what is not the users'.
+// primary returns the bucket for all calls that are not made for users.
 func (b *Budget) primary() *tokenBucket {
 	if b.isLeader() {
 		return &b.leader
@@ -124,7 +123,7 @@
 	return &b.users
 }
 
-// active are the buckets that this node may use now.
+// active returns the buckets that this node may use now.
 func (b *Budget) active() []*tokenBucket {
 	if b.isLeader() {
 		return []*tokenBucket{&b.users, &b.leader}
@@ -132,11 +131,11 @@
 	return []*tokenBucket{&b.users}
 }
 
-// all are both buckets, whether this node leads or not.
+// all returns both buckets, whether this node leads a shard or not.
 func (b *Budget) all() []*tokenBucket { return []*tokenBucket{&b.users, &b.leader} }
 
-// refreshRates drops loans that are over and sets the rates by the rest, and by how much the store
-// takes.
+// refreshRates removes expired loans and sets the rates of the buckets by the remaining loans and the
+// throttle.
 func (b *Budget) refreshRates(now time.Time) {
 	if len(b.loans) == 0 && !b.throttled {
 		return
--- a/internal/state/client.go
+++ b/internal/state/client.go
@@ -1,6 +1,6 @@
-// Package state is the client of the consensus-backed key-value store where the controllers keep
-// everything. It never guesses: a call without an answer is reported as unknown, and callers read
-// back what became of it.
+// Package state implements the client of the consensus-backed key-value store that holds the
+// controllers' state. A call without a response returns an error that says that its outcome is unknown;
+// the caller then reads the keys to find out whether the call was executed.
 package state
 
 import (
@@ -21,47 +21,48 @@
 	"github.com/pebbletrail/pebbletrail/internal/measure"
 )
 
-// CallTimeout bounds every call but the long ones: a cut connection hangs.
+// CallTimeout is the timeout of all calls except listings and watches. A call over a broken
+// connection hangs.
 const CallTimeout = 2 * time.Second
 
-// longCallTimeout bounds a page of a listing, and what a watch takes beyond the time that it was
-// told to wait.
+// longCallTimeout is the timeout of one page of a listing, and the time that a watch may take beyond
+// the wait that it requested.
 const longCallTimeout = 2 * CallTimeout
 
-// listPageSize is the most entries that are asked for in one call.
+// listPageSize is the largest number of entries requested by one call.
 const listPageSize = 1000
 
-// absentKey is a key that nobody writes: reading it shows the store's epoch.
+// absentKey is a key that is never written. A read of a key that does not exist returns the store's
+// current revision.
 const absentKey = "none"
 
-// watchPath is where the store tells of changes.
+// watchPath is the path of the store's watch endpoint.
 const watchPath = "/follow"
 
-// Client is one controller's client of the store. Its methods may be called from several
-// goroutines at a time.
+// Client is one controller's client of the store. Its methods may be called concurrently.
 type Client struct {
 	http   *httpjson.Client
 	budget *Budget
 	start  time.Time
-	// lastSuccess is the monotonic time, in nanoseconds from start, of the last answer that
-	// proves the store's health; neverSucceeded before the first one.
+	// lastSuccess is the monotonic time, in nanoseconds since start, of the last response that
+	// proves that the store is healthy; neverSucceeded before the first such response.
 	lastSuccess atomic.Int64
 }
 
-// neverSucceeded stands for the time of the last success as long as there was none.
+// neverSucceeded is the value of Client.lastSuccess before the first successful call.
 const neverSucceeded = -1
 
-// NewClient makes a client for the store at address, a host with its port.
+// NewClient returns a client for the store at address, in the form host:port.
 func NewClient(address string, httpClient *http.Client, budget *Budget) *Client {
 	c := &Client{http: httpjson.NewClient(address, httpClient), budget: budget, start: time.Now()}
 	c.lastSuccess.Store(neverSucceeded)
 	return c
 }
 
-// Budget is what limits this client's calls and changes.
+// Budget returns the budget that limits this client's calls and writes.
 func (c *Client) Budget() *Budget { return c.budget }
 
-// Get reads a key; found is false when it does not exist.
+// Get reads a key; found is false if the key does not exist.
 func (c *Client) Get(ctx context.Context, key string, priority Priority) (entry Entry, found bool, err error) {
 	if err := c.budget.acquire(ctx, priority, 0); err != nil {
 		return entry, false, err
@@ -70,7 +71,7 @@
 	return entry, err == nil && status == http.StatusOK, err
 }
 
-// currentEpoch is how far the store is.
+// currentEpoch returns the store's current revision.
 func (c *Client) currentEpoch(ctx context.Context) (ids.StoreRevision, error) {
 	if err := c.budget.acquire(ctx, Normal, 0); err != nil {
 		return 0, err
@@ -80,8 +81,8 @@
 	return answer.Epoch, requireStatus(http.StatusNotFound, status, err)
 }
 
-// List reads a page of at most limit keys below a prefix, in order; after is the last key of the
-// page before. more tells whether there is another page, and epoch how far the store was.
+// List reads a page of at most limit keys below a prefix, in order of keys; after is the last key of the
+// previous page. more is true if there is another page, and epoch is the store's revision at the read.
 func (c *Client) List(ctx context.Context, prefix, after string, limit int, priority Priority) (entries []Entry, more bool, epoch ids.StoreRevision, err error) {
 	if err := c.budget.acquire(ctx, priority, 0); err != nil {
 		return nil, false, 0, err
@@ -95,8 +96,8 @@
 	return answer.Entries, answer.More, answer.Epoch, requireStatus(http.StatusOK, status, err)
 }
 
-// ListAll reads every page. The epoch is the first page's, so that watching from it on misses
-// nothing.
+// ListAll reads all entries below a prefix, page by page. It returns the store revision of the first page,
+// so that a watch from that revision misses no change.
 func (c *Client) ListAll(ctx context.Context, prefix string, priority Priority) ([]Entry, ids.StoreRevision, error) {
 	var all []Entry
 	var firstEpoch ids.StoreRevision
@@ -117,8 +118,8 @@
 	}
 }
 
-// Commit applies a transaction and returns the epoch of its changes. A typed error names the keys
-// whose conditions failed.
+// Commit applies a transaction and returns the store revision of its changes. If conditions failed it
+// returns a *ConflictError with their keys.
 func (c *Client) Commit(ctx context.Context, txn Txn, priority Priority) (ids.StoreRevision, error) {
 	if err := c.budget.acquire(ctx, priority, len(txn.Ops)); err != nil {
 		return 0, err
@@ -134,8 +135,8 @@
 	return answer.Epoch, nil
 }
 
-// watchChanges waits at most so long for changes below a prefix after an epoch. It returns all of
-// them up to the epoch that it returns; errCompacted if they are no longer kept.
+// watchChanges waits at most the given time for changes below a prefix after a store revision. It returns
+// a store revision and all changes up to it, or errCompacted if the store no longer keeps them.
 func (c *Client) watchChanges(ctx context.Context, prefix string, after ids.StoreRevision, wait time.Duration) (ids.StoreRevision, []Change, error) {
 	if err := c.budget.acquire(ctx, Normal, 0); err != nil {
 		return 0, nil, err
@@ -156,8 +157,8 @@
 	return answer.Epoch, answer.Changes, nil
 }
 
-// requireStatus turns any other status than the one wanted into an error: the store answered
-// something that no call of this kind can come to.
+// requireStatus returns ErrOutcomeUnknown if a call succeeded with another status than the only valid
+// one for its kind.
 func requireStatus(want, got int, err error) error {
 	if err == nil && got != want {
 		return fmt.Errorf("%w: status %d", ErrOutcomeUnknown, got)
@@ -165,8 +166,8 @@
 	return err
 }
 
-// call makes one call and decodes its answer. It returns the status if the store executed the call
-// and answered what a caller can use: 200, 404, 409 or 410.
+// call makes one call and decodes the response body into answer. It returns the status if the store
+// executed the call and the caller can use the response: 200, 404, 409 or 410.
 func (c *Client) call(ctx context.Context, timeout time.Duration, method, path string, body, answer any) (status int, err error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -185,8 +186,8 @@
 		return response.Status, err
 	}
 	if !strings.HasPrefix(path, watchPath) {
-		// A watch may end with 200 in the middle of an outage: it proves nothing of the
-		// store's health.
+		// A watch may return 200 during an outage, so it does not prove that the store is
+		// healthy.
 		c.noteSuccess()
 	}
 	if answer != nil && response.Status != http.StatusGone {
@@ -197,8 +198,8 @@
 	return response.Status, nil
 }
 
-// checkStatus is the error that a status stands for; nil for those that mean that the store
-// executed the call.
+// checkStatus returns the error for a response status; nil if the status means that the store executed
+// the call.
 func (c *Client) checkStatus(response httpjson.Response) error {
 	switch response.Status {
 	case http.StatusOK, http.StatusNotFound, http.StatusConflict, http.StatusGone:
--- a/internal/state/client_test.go
+++ b/internal/state/client_test.go
@@ -11,7 +11,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/fake"
 )
 
-// newClient makes a client whose budget is ample, with its network and store.
+// newClient returns a client with an ample budget, and its network and store.
 func newClient() (*fake.Network, *fake.Store, *Client) {
 	return newClientWithBudget(NewBudget(1000, 1000, 1, 0.6))
 }
@@ -22,7 +22,7 @@
 	return network, store, NewClient("state:1", network.Client("a"), budget)
 }
 
-// mustCommit makes changes that nothing may refuse.
+// mustCommit commits a transaction of changes and fails the test if that returns an error.
 func mustCommit(ctx context.Context, t *testing.T, client *Client, changes ...Op) {
 	t.Helper()
 	if _, err := client.Commit(ctx, Txn{Ops: changes}, Urgent); err != nil {
--- a/internal/state/errors.go
+++ b/internal/state/errors.go
@@ -8,27 +8,29 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-// What a call can come to besides success.
+// The errors of calls.
 var (
-	// ErrRefused means that the call was surely not executed: status 503 or 429, or no tokens in
-	// this node's own budget.
+	// ErrRefused means that the call was certainly not executed: the store returned status 503 or
+	// 429, or this node's own budget had no tokens left.
 	ErrRefused = errors.New("state: refused")
-	// ErrOutcomeUnknown means that no answer came: the call may have been executed, or may yet be.
+	// ErrOutcomeUnknown means that there was no usable response: the call may have been executed
+	// or may still be executed.
 	ErrOutcomeUnknown = errors.New("state: no answer")
-	// ErrNoLease means that the lease named has expired or was ended.
+	// ErrNoLease means that the lease has expired or was revoked.
 	ErrNoLease = errors.New("state: no such lease")
-	// ErrMalformed means that the store calls the request malformed: sending it again is in vain.
+	// ErrMalformed means that the store rejected the request as malformed. Retrying does not help.
 	ErrMalformed = errors.New("state: malformed request")
 
-	// errCompacted means that the changes asked for are no longer kept: list again.
+	// errCompacted means that the store no longer keeps the requested changes, so the keys have to
+	// be listed again.
 	errCompacted = errors.New("state: history too old")
 )
 
-// ConflictError is the error of a transaction whose conditions failed; nothing was changed.
+// ConflictError is the error of a transaction that was not applied because conditions failed.
 type ConflictError struct {
-	// FailedKeys are the keys whose condition failed.
+	// FailedKeys holds the keys whose conditions failed.
 	FailedKeys []string
-	// Epoch is how far the store was.
+	// Epoch is the store's revision at the check of the conditions.
 	Epoch ids.StoreRevision
 }
 
@@ -36,5 +38,5 @@
 	return fmt.Sprintf("state: conditions failed: %v", c.FailedKeys)
 }
 
-// Has tells whether the condition on key is among the failed ones.
+// Has reports whether the condition on key failed.
 func (c *ConflictError) Has(key string) bool { return slices.Contains(c.FailedKeys, key) }
--- a/internal/state/lease.go
+++ b/internal/state/lease.go
@@ -9,7 +9,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-// GrantLease asks for a lease, to which keys may be attached. It expires after ttl if it isn't
+// GrantLease creates a lease, to which keys may be attached. The lease expires after ttl unless it is
 // renewed.
 func (c *Client) GrantLease(ctx context.Context, ttl time.Duration) (ids.Lease, error) {
 	if err := c.budget.acquire(ctx, Urgent, 0); err != nil {
@@ -20,12 +20,13 @@
 	return answer.Lease, requireStatus(http.StatusOK, status, err)
 }
 
-// RenewLease gives a lease its full time again; ErrNoLease if it has expired.
+// RenewLease extends a lease to its full time to live. It returns ErrNoLease if the lease has expired.
 func (c *Client) RenewLease(ctx context.Context, lease ids.Lease) error {
 	return c.callOnLease(ctx, http.MethodPost, fmt.Sprintf("/holds/%d/renew", lease))
 }
 
-// RevokeLease ends a lease at once, and with it the keys attached; ErrNoLease if it has expired.
+// RevokeLease ends a lease immediately, which removes the attached keys. It returns ErrNoLease if the
+// lease has expired.
 func (c *Client) RevokeLease(ctx context.Context, lease ids.Lease) error {
 	return c.callOnLease(ctx, http.MethodDelete, fmt.Sprintf("/holds/%d", lease))
 }
--- a/internal/state/loans.go
+++ b/internal/state/loans.go
@@ -2,48 +2,49 @@
 
 import "time"
 
-// loan is changes a second that this node lent (below zero) or borrowed until it ends.
+// loan is a rate of writes per second that this node has lent (negative) or borrowed for a limited time.
 type loan struct {
 	writeRate float64
 	endsAt    time.Time
 }
 
-// How long a lender keeps its promise, and the borrower counts on it. The borrower counts from
-// before it asked, so that no delay makes both use the same tokens.
+// The time for which the lender gives up the rate, and the time for which the borrower uses it. The
+// borrower's time starts before its request was sent, so that no network delay lets both use the same
+// tokens.
 const (
 	lendPeriod   = 2500 * time.Millisecond
 	borrowPeriod = 2 * time.Second
 )
 
 const (
-	// minDemandPeriod is the least time by which demand is divided to get a rate, in seconds.
+	// minDemandPeriod is the shortest period, in seconds, over which a rate of demand is computed.
 	minDemandPeriod = 0.2
-	// demandDecay is what is left of the rate of demand when less is asked for.
+	// demandDecay is the factor by which the rate of demand falls with each sample of lower demand.
 	demandDecay = 0.8
-	// userDemandMargin and leaderDemandMargin are what is wanted for each change asked for: what
-	// the leader writes may wait a little for its turn, a user's may not.
+	// userDemandMargin and leaderDemandMargin are the factors from measured demand to the
+	// requested rate. The leader's writes may wait briefly, those of users may not.
 	userDemandMargin   = 1.7
 	leaderDemandMargin = 1.2
-	// maxDemand is the most that is wanted, in multiples of a bucket's base rate.
+	// maxDemand is the highest demand that is reported, in multiples of a bucket's base rate.
 	maxDemand = 4
 
-	// Usage is measured for at least minUsagePeriod seconds before anything is lent, and anew
-	// after maxUsagePeriod.
+	// Usage is measured for at least minUsagePeriod seconds before a node lends, and the
+	// measurement restarts after maxUsagePeriod seconds.
 	minUsagePeriod = 0.5
 	maxUsagePeriod = 3
-	// usageMargin and usageAllowance are what a lender keeps beyond what it uses: what a node
-	// used a moment ago comes again, and in clumps.
+	// usageMargin (a factor) and usageAllowance (in writes per second) are what a lender keeps
+	// beyond its recent usage, because similar usage is likely to recur, and in bursts.
 	usageMargin    = 1.5
 	usageAllowance = 1
-	// lenderReserve is the share of its base rate that a lender keeps whatever it uses.
+	// lenderReserve is the share of its base rate that a lender always keeps.
 	lenderReserve = 0.5
-	// minLoan is the smallest loan worth a promise, in changes a second.
+	// minLoan is the smallest rate that is lent, in writes per second.
 	minLoan = 0.5
 )
 
-// UnmetDemand is how many more changes a second this node could use now; 0 if it gets by. It goes by what
-// was asked for lately, with a margin for what comes at random: one that asked for more only when
-// it had refused somebody would refuse somebody every time its loans end.
+// UnmetDemand returns how many more writes per second this node could use now; 0 if its own rate is
+// enough. It is computed from recent demand with a margin for random arrivals. A node that asked for more
+// only after it had rejected a call would reject a call each time its loans expire.
 func (b *Budget) UnmetDemand() float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -58,8 +59,8 @@
 	return wanted
 }
 
-// sampleDemand is how many changes a second beyond its base rate the bucket could use, by what was
-// asked for since the last sample.
+// sampleDemand returns how many writes per second the bucket could use beyond its base rate, computed from
+// the demand since the last sample, and starts a new sample.
 func (t *tokenBucket) sampleDemand(now time.Time, margin float64) float64 {
 	elapsed := max(minDemandPeriod, now.Sub(t.demandSince).Seconds())
 	t.demandRate = max(t.askedWrites/elapsed, demandDecay*t.demandRate)
@@ -72,10 +73,10 @@
 	return max(0, min(extra, maxDemand*t.baseWrites))
 }
 
-// Lend promises part of the wanted changes a second to another node, as far as this one does not
-// use them, and returns how many; 0 for none.
+// Lend gives up to the wanted number of writes per second to another node, as far as this node does not
+// need them, and returns how many; 0 for none.
 func (b *Budget) Lend(wanted float64) float64 {
-	if !(wanted > 0) { // not a number is nothing either
+	if !(wanted > 0) { // also false for NaN
 		return 0
 	}
 	b.mu.Lock()
@@ -91,8 +92,8 @@
 	return lent
 }
 
-// spareRate is how many changes a second the bucket does not need, by its use lately; 0 if it can't
-// be told or there are none.
+// spareRate returns how many writes per second the bucket does not need, computed from its recent usage;
+// 0 if usage was measured for too short a time.
 func (t *tokenBucket) spareRate(now time.Time) float64 {
 	elapsed := now.Sub(t.usageSince).Seconds()
 	if elapsed < minUsagePeriod {
@@ -109,9 +110,10 @@
 	return max(0, float64(t.writes.Limit())-needed)
 }
 
-// AddBorrowed adds changes a second that another node promised in answer to a request sent then.
+// AddBorrowed adds a rate in writes per second that another node lent in response to a request sent at
+// the given time.
 func (b *Budget) AddBorrowed(writeRate float64, sent time.Time) {
-	if !(writeRate > 0) { // not a number is nothing either
+	if !(writeRate > 0) { // also false for NaN
 		return
 	}
 	b.mu.Lock()
@@ -120,8 +122,8 @@
 	b.refreshRates(time.Now())
 }
 
-// dropExpiredLoans forgets loans that are over and returns the balance of the others in changes a
-// second: above zero if more is borrowed than lent.
+// dropExpiredLoans removes expired loans and returns the balance of the others in writes per second:
+// above zero if more is borrowed than lent.
 func (b *Budget) dropExpiredLoans(now time.Time) (balance float64) {
 	running := b.loans[:0]
 	for _, l := range b.loans {
--- a/internal/state/loans_test.go
+++ b/internal/state/loans_test.go
@@ -22,7 +22,7 @@
 			}
 			return used
 		}
-		use(busy, Sheddable) // the bursts that buckets begin with
+		use(busy, Sheddable) // use up the initial tokens of both buckets
 		use(idle, Sheddable)
 		everyTenth := func(step func()) {
 			step()
@@ -31,7 +31,7 @@
 		total, busyTotal := 0, 0
 		for range 20 * 10 {
 			everyTenth(func() {
-				// One is busy, the other idle; they talk once a second.
+				// One node is busy, the other idle; they exchange loans once a second.
 				used := use(busy, Sheddable)
 				busyTotal, total = busyTotal+used, total+used
 				if time.Now().UnixMilli()%1000 < 100 {
@@ -44,7 +44,7 @@
 		if busyTotal < alone*3/2 {
 			t.Errorf("%d changes in 20 s, hardly more than its own %d", busyTotal, alone)
 		}
-		// Cut off from one another, the promise ends and each keeps to its part.
+		// When the nodes can't reach one another, the loan expires and each uses only its own part.
 		time.Sleep(3 * time.Second)
 		use(busy, Sheddable)
 		busyTotal = 0
@@ -54,7 +54,7 @@
 		if most := int(math.Floor(0.4*writeLimit/2*headroom*5)) + 2; busyTotal > most {
 			t.Errorf("%d changes in 5 s on a part of %d", busyTotal, most)
 		}
-		// Whatever both can use together stays below the limit.
+		// The total of both nodes stays below the limit.
 		total = 0
 		for i := range 10 * 10 {
 			everyTenth(func() {
--- a/internal/state/throttle.go
+++ b/internal/state/throttle.go
@@ -2,24 +2,25 @@
 
 import "time"
 
-// throttle is the fraction of its rates that a node uses for now. It falls as soon as the store
-// answers that there were too many calls or changes, which means that its limits are lower than
-// announced or that others use more than their part, and rises again slowly: additive increase,
-// multiplicative decrease.
+// throttle is the fraction of its rates that a node currently uses. It decreases when the store rejects a
+// call because there were too many calls or writes, which means that the store's limits are lower than
+// configured or that other nodes use more than their part. It then increases slowly: additive
+// increase, multiplicative decrease.
 type throttle struct {
 	fraction    float64 // as of decreasedAt
 	decreasedAt time.Time
 }
 
 const (
-	throttleDecrease = 0.7 // what is left after a refusal
-	throttleMinimum  = 0.1 // renewals and reports must get through
-	throttleIncrease = 0.05
-	// throttleInterval keeps refusals of calls already under way from counting again.
+	throttleDecrease = 0.7  // factor applied to the fraction after a rejection
+	throttleMinimum  = 0.1  // lease renewals and reports must still be served
+	throttleIncrease = 0.05 // per second
+	// throttleInterval is the shortest time between two decreases, so that rejections of calls
+	// that were already in flight do not count again.
 	throttleInterval = 200 * time.Millisecond
 )
 
-// fractionAt is the fraction that may be used at a time.
+// fractionAt returns the fraction that may be used at the given time.
 func (t *throttle) fractionAt(now time.Time) float64 {
 	if t.decreasedAt.IsZero() {
 		return 1
@@ -27,7 +28,7 @@
 	return min(1, t.fraction+throttleIncrease*now.Sub(t.decreasedAt).Seconds())
 }
 
-// decrease lowers the fraction; it is false if it was lowered a moment ago.
+// decrease lowers the fraction, unless it was lowered within throttleInterval, and reports whether it did.
 func (t *throttle) decrease(now time.Time) bool {
 	if now.Sub(t.decreasedAt) < throttleInterval {
 		return false
@@ -37,8 +38,8 @@
 	return true
 }
 
-// slowDown takes in that the store refused a call for there being too many: what was saved up is
-// given up, and less is sent for a while.
+// slowDown lowers the rates and discards all saved tokens after the store rejected a call because there
+// were too many.
 func (b *Budget) slowDown() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/state/throttle_test.go
+++ b/internal/state/throttle_test.go
@@ -13,9 +13,9 @@
 )
 
 func TestRefusalForTooManyChangesSlowsTheSenderAtOnce(t *testing.T) {
-	// Guards against a node that goes on at its old pace when the store takes
-	// less than announced: most of what it sends would be refused, for as long as that
-	// lasts; and against one that stays slow afterwards.
+	// Guards against a node that does not lower its rate when the store accepts less than its
+	// configured limits, so that the store rejects most of its calls; and against a node that does
+	// not raise its rate again afterwards.
 	synctest.Test(t, func(t *testing.T) {
 		var mu sync.Mutex
 		limit, taken, refused, second := 5, 0, 0, int64(0)
--- a/internal/state/transfer.go
+++ b/internal/state/transfer.go
@@ -5,26 +5,28 @@
 	"time"
 )
 
-// RequestTransfer asks the other controllers for changes that they need not make now, and tells
-// whether one of them gave as many.
+// RequestTransfer asks the other controllers for tokens for the given number of writes, and reports
+// whether one of them gave all of them.
 type RequestTransfer func(ctx context.Context, changes int) bool
 
-// Loans follow the pace of seconds; a transfer serves a burst of submissions at one controller: a
-// pipeline comes within a second, over one connection.
+// Loans change over seconds. A transfer serves a burst of submissions at one controller, because the jobs
+// of a pipeline are submitted within a second over one connection.
 const (
-	// transferTimeout bounds how long a user's call waits for the others' answer.
+	// transferTimeout is the longest time that a user's call waits for the other controllers.
 	transferTimeout = 100 * time.Millisecond
-	// transferPause is how long nobody is asked after all had nothing to give.
+	// transferPause is the time without requests after no other controller gave tokens.
 	transferPause = 250 * time.Millisecond
 	// transferReserve is the share of its burst that a controller keeps for its own users.
 	transferReserve = 0.5
 )
 
-// SetTransferSource sets the way to the other controllers. It is called before the first call.
+// SetTransferSource sets the function that asks the other controllers for tokens. It must be called before
+// the first call to the store.
 func (b *Budget) SetTransferSource(request RequestTransfer) { b.transferFrom = request }
 
-// TransferOut takes changes out of this node's part for another controller. They are gone here
-// before the other one has them, so both never use the same.
+// TransferOut gives tokens for the given number of writes to another controller, and reports whether it
+// did. They are taken from this node's bucket before the other controller gets them, so that both never
+// use the same tokens.
 func (b *Budget) TransferOut(changes int) bool {
 	if changes <= 0 {
 		return false
@@ -42,8 +44,9 @@
 	return bucket.writes.AllowN(now, changes)
 }
 
-// acquireByTransfer gets a user's call the changes that this node lacks from another one. It is not
-// tried if calls are scarce too, since these can't be given.
+// acquireByTransfer takes the tokens for a user's call from another node if this node lacks tokens for
+// writes, and reports whether it did. It does not ask if tokens for calls are missing too, since these
+// cannot be transferred.
 func (b *Budget) acquireByTransfer(ctx context.Context, changes int) bool {
 	if b.transferFrom == nil || !b.needsTransfer(changes) {
 		return false
@@ -64,7 +67,7 @@
 	return true
 }
 
-// needsTransfer tells whether a user's call would have to wait for changes, and for them alone.
+// needsTransfer reports whether a user's call would have to wait for tokens for writes, and only for them.
 func (b *Budget) needsTransfer(changes int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/state/transfer_test.go
+++ b/internal/state/transfer_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// idleBudgets are of a small deployment: each of five controllers may make 3.7 changes a
-// second for its users, and four at once.
+// idleBudgets returns budgets of a small deployment. With five controllers, each may make 3.7 writes per
+// second for its users, in bursts of four.
 func idleBudgets(controllers int) []*Budget {
 	var budgets []*Budget
 	for range controllers {
@@ -18,7 +18,7 @@
 	return budgets
 }
 
-// setSources has one controller ask the others in order.
+// setSources makes a controller ask the others for tokens, in the given order.
 func setSources(budget *Budget, others ...*Budget) {
 	budget.SetTransferSource(func(_ context.Context, changes int) bool {
 		for _, other := range others {
@@ -31,8 +31,8 @@
 }
 
 func TestBurstAtOneControllerIsServedWithWhatOthersNeedNot(t *testing.T) {
-	// Guards against refusing a job of a pipeline while the other controllers are idle: its
-	// user submits six or seven within a second over one connection.
+	// Guards against the rejection of a job of a pipeline while the other controllers are idle.
+	// A user submits the six or seven jobs of a pipeline within a second over one connection.
 	synctest.Test(t, func(t *testing.T) {
 		budgets := idleBudgets(5)
 		setSources(budgets[0], budgets[1:]...)
@@ -65,8 +65,8 @@
 }
 
 func TestTransferredChangesAreNeverMadeByBoth(t *testing.T) {
-	// All controllers are busy and ask one another all the time: together they stay
-	// below what the store allows.
+	// All controllers are busy and constantly ask one another for tokens. Their total must stay
+	// below the store's limit.
 	synctest.Test(t, func(t *testing.T) {
 		budgets := idleBudgets(5)
 		for i, budget := range budgets {
@@ -89,7 +89,7 @@
 }
 
 func TestControllersWithNothingToGiveAreNotAskedForEveryUser(t *testing.T) {
-	// Guards against a crowd of submissions turning into a crowd of questions.
+	// Guards against one transfer request to the other controllers for each of many submissions.
 	synctest.Test(t, func(t *testing.T) {
 		budget := idleBudgets(1)[0]
 		asked := 0
--- a/internal/state/watchcache.go
+++ b/internal/state/watchcache.go
@@ -13,32 +13,35 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-// WatchCache keeps a copy of the keys below a prefix, a little behind the store.
+// WatchCache is a copy of the keys below a prefix that lags slightly behind the store.
 //
-// Run follows the store's changes. Sync brings the copy up to date on demand, by a goroutine of its
-// own that ends when nobody waits for it any more; it uses the context of Run.
+// Run keeps the copy up to date by watches. Sync brings it up to date on demand: a goroutine of its own,
+// which uses the context of Run, reads the changes and ends when no caller waits.
 type WatchCache struct {
 	client *Client
 	prefix string
-	// watchInterval spaces the watches, so that a busy prefix does not eat the budget.
+	// watchInterval is the pause between watches, so that a prefix with many changes does not use
+	// up the budget.
 	watchInterval time.Duration
 
-	// notifyMu has onChange called in the order in which the changes were applied; it guards
-	// onChange too. It is taken before mu, never under it, and held while onChange runs, which
-	// may read the copy.
+	// notifyMu guards onChange and ensures that it is called in the order in which the changes
+	// were applied. It is locked before mu, never while mu is held, and stays locked while
+	// onChange runs, which may read the copy.
 	notifyMu sync.Mutex
 	onChange func(Change)
 
-	// mu guards all that follows. Nothing is called or waited for under it.
+	// mu guards the fields below. Code that holds it neither calls the store or a listener nor
+	// blocks.
 	mu           sync.Mutex
 	entries      map[string]Entry
-	epoch        ids.StoreRevision // up to which all changes are applied
-	lastRevision ids.Revision      // of the newest change known
-	ready        bool              // entries were listed, and changes can be followed from epoch on
+	epoch        ids.StoreRevision // store revision up to which all changes are applied
+	lastRevision ids.Revision      // revision of the newest known change
+	ready        bool              // whether entries were listed and can be updated by a watch from epoch
 	sync         syncState
 }
 
-// NewWatchCache makes an empty cache of the keys below a prefix; watchInterval spaces its watches.
+// NewWatchCache returns an empty cache of the keys below a prefix; watchInterval is the pause between its
+// watches.
 func NewWatchCache(client *Client, prefix string, watchInterval time.Duration) *WatchCache {
 	return &WatchCache{
 		client:        client,
@@ -49,15 +52,15 @@
 	}
 }
 
-// OnChange has listener called with each change from now on, in order. It may read the cache,
-// but must not wait for it to be brought up to date.
+// OnChange sets the function that is called with each change from now on, in order. The listener may read
+// the cache but must not call Sync.
 func (m *WatchCache) OnChange(listener func(Change)) {
 	m.notifyMu.Lock()
 	defer m.notifyMu.Unlock()
 	m.onChange = listener
 }
 
-// Entries lists the copy in the order of keys, and the epoch that it is of.
+// Entries returns all entries of the copy, sorted by key, and the store revision of the copy.
 func (m *WatchCache) Entries() ([]Entry, ids.StoreRevision) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -67,7 +70,7 @@
 	return entries, m.epoch
 }
 
-// Get reads the copy; ready is false until the first listing is in.
+// Get reads a key from the copy; ready is false before the first listing.
 func (m *WatchCache) Get(key string) (entry Entry, found, ready bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -75,7 +78,8 @@
 	return entry, found, m.ready
 }
 
-// GetMany reads several keys, all at one moment; the entry of a key that does not exist has no key.
+// GetMany reads several keys from the same version of the copy. The entry of a key that does not exist has
+// an empty Key.
 func (m *WatchCache) GetMany(keys ...string) (entries []Entry, ready bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -86,8 +90,8 @@
 	return entries, m.ready
 }
 
-// GetFirst reads the first of several keys that exists, all at one moment: a value may move from one
-// to another in between.
+// GetFirst reads the first of several keys that exists. All are looked up in the same version of the copy,
+// because a value may move from one key to another.
 func (m *WatchCache) GetFirst(keys ...string) (entry Entry, found, ready bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -100,13 +104,13 @@
 }
 
 const (
-	// watchTimeout is how long the store waits for a change before it answers that there is none.
+	// watchTimeout is how long the store waits for a change before it returns an empty response.
 	watchTimeout = 10 * time.Second
-	// watchRetryDelay spaces attempts after an error.
+	// watchRetryDelay is the delay before a retry after an error.
 	watchRetryDelay = 300 * time.Millisecond
 )
 
-// Run keeps the copy until the context ends.
+// Run keeps the copy up to date until the context ends.
 func (m *WatchCache) Run(ctx context.Context) {
 	m.setSyncContext(ctx)
 	for ctx.Err() == nil {
@@ -121,7 +125,7 @@
 	}
 }
 
-// watchOnce waits for changes and applies them, and sleeps until the next watch is due.
+// watchOnce waits for changes, applies them and sleeps until the next watch is due.
 func (m *WatchCache) watchOnce(ctx context.Context) {
 	_, changes, err := m.client.watchChanges(ctx, m.prefix, m.currentEpoch(), watchTimeout)
 	switch {
@@ -132,9 +136,9 @@
 		sleep(ctx, watchRetryDelay)
 		return
 	}
-	// An answer without changes says nothing: a watch that waits out an outage, or this node's
-	// being refused, may end well with an epoch whose changes it never showed. To take that for
-	// read would lose them for good.
+	// A response without changes must not advance the copy: a watch that spans an outage of the
+	// store, or a time in which the store rejects this node, may succeed with a store revision
+	// whose changes it did not return. Advancing to that revision would lose these changes.
 	if epoch := newestEpoch(changes); epoch > 0 {
 		m.apply(epoch, changes)
 	}
@@ -153,14 +157,14 @@
 	return m.ready
 }
 
-// invalidate has the copy listed anew; it may be read meanwhile.
+// invalidate requests a new listing; the copy may still be read until then.
 func (m *WatchCache) invalidate() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.ready = false
 }
 
-// newestEpoch is the epoch of the last change; 0 if there is none.
+// newestEpoch returns the store revision of the newest change; 0 if there is none.
 func newestEpoch(changes []Change) (newest ids.StoreRevision) {
 	for _, change := range changes {
 		newest = max(newest, ids.StoreRevision(change.Revision))
@@ -168,8 +172,8 @@
 	return newest
 }
 
-// relist reads all anew and reports what differs from the copy as changes, so that a listener
-// misses nothing when the store has compacted its history.
+// relist lists all keys and notifies the listener of the differences from the copy, so that it misses no
+// change when the store has compacted its history.
 func (m *WatchCache) relist(ctx context.Context) error {
 	entries, epoch, err := m.client.ListAll(ctx, m.prefix, Normal)
 	if err != nil {
@@ -181,8 +185,8 @@
 	return nil
 }
 
-// replace makes the copy hold the entries listed at an epoch and returns what differs. It changes
-// nothing if the copy is newer.
+// replace replaces the copy by the entries listed at a store revision and returns the differences as
+// changes. It does nothing if the copy is newer.
 func (m *WatchCache) replace(entries []Entry, epoch ids.StoreRevision) (changes []Change) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -207,15 +211,15 @@
 	return changes
 }
 
-// apply takes in what changed up to an epoch and notifies the listener of what is new.
+// apply applies the changes up to a store revision and notifies the listener of those that are new.
 func (m *WatchCache) apply(epoch ids.StoreRevision, changes []Change) {
 	m.notifyMu.Lock()
 	defer m.notifyMu.Unlock()
 	m.notify(m.merge(epoch, changes))
 }
 
-// merge puts changes into the copy and returns those that it did not have yet: answers may overtake
-// one another. It reuses the list.
+// merge applies changes to the copy and returns those that the copy did not have yet, because responses
+// may arrive out of order. The result reuses the memory of changes.
 func (m *WatchCache) merge(epoch ids.StoreRevision, changes []Change) (applied []Change) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -236,7 +240,7 @@
 	return applied
 }
 
-// notify tells the listener of changes, in order. The caller holds notifyMu, but not mu.
+// notify calls the listener with each change, in order. The caller holds notifyMu, but not mu.
 func (m *WatchCache) notify(changes []Change) {
 	if m.onChange == nil {
 		return
@@ -246,7 +250,7 @@
 	}
 }
 
-// sleep waits until a time has passed or the context ends.
+// sleep waits until the duration has passed or the context ends.
 func sleep(ctx context.Context, duration time.Duration) {
 	select {
 	case <-ctx.Done():
--- a/internal/state/watchcache_sync.go
+++ b/internal/state/watchcache_sync.go
@@ -10,31 +10,32 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-// syncInterval spaces the rounds: hundreds of polls a second cost a few calls.
+// syncInterval is the shortest time between the starts of two rounds, so that hundreds of polls per
+// second cost a few calls.
 const syncInterval = 250 * time.Millisecond
 
-// syncTimeout bounds a round.
+// syncTimeout is the timeout of a round.
 const syncTimeout = 2 * CallTimeout
 
-// syncState is how callers wait for the copy to be brought up to date. It is guarded by the mu of
-// its cache.
+// syncState is the state of the rounds by which Sync brings the copy up to date. It is guarded by
+// WatchCache.mu.
 type syncState struct {
-	ctx       context.Context // of the rounds: the one that the cache runs by
-	next      *syncRound      // the round that whoever asks now has to wait for; nil if nobody did
-	running   bool            // the goroutine that does the rounds exists
-	startedAt time.Time       // when the last round began
-	asOf      time.Time       // when the last round that succeeded began
+	ctx       context.Context // context of the rounds, the same as that of WatchCache.Run
+	next      *syncRound      // the round that new callers wait for; nil if there are none
+	running   bool            // whether the goroutine that runs the rounds exists
+	startedAt time.Time       // start of the last round
+	asOf      time.Time       // start of the last successful round
 }
 
-// syncRound is one call that brings the copy up to date for all who waited.
+// syncRound is one update of the copy for all callers that wait for it.
 type syncRound struct {
 	done chan struct{} // closed at the end of the round
-	err  error         // to be read after done is closed
+	err  error         // valid after done is closed
 }
 
-// Sync returns once the copy is no older than the store was when Sync was called. One call to the
-// store, begun after all of them, serves everybody who waits; the copy may be read as if from the
-// store then.
+// Sync returns when the copy contains all changes that the store had when Sync was called, so that the
+// caller may read the copy instead of the store. One round, started after all waiting callers arrived,
+// serves all of them.
 func (m *WatchCache) Sync(ctx context.Context) error {
 	round := m.joinRound()
 	select {
@@ -45,8 +46,7 @@
 	}
 }
 
-// joinRound is the next round to begin. It starts the goroutine that does the rounds if there is
-// none.
+// joinRound returns the next round to start. It starts the goroutine that runs the rounds if there is none.
 func (m *WatchCache) joinRound() *syncRound {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -60,8 +60,8 @@
 	return m.sync.next
 }
 
-// runRounds does rounds while anybody waits. Its context is the cache's own: a round serves many,
-// and must not end with the one who asked first.
+// runRounds runs rounds while callers wait for one. It uses the context of the cache, because a round
+// serves many callers and must not be cancelled with the first of them.
 func (m *WatchCache) runRounds() {
 	for {
 		ctx, delay, wanted := m.nextRound()
@@ -73,8 +73,8 @@
 	}
 }
 
-// nextRound tells whether anybody waits for a round, its context and how long to wait before it. If
-// nobody does, whoever asks next starts the rounds again.
+// nextRound reports whether a caller waits for a round, with the round's context and the delay before its
+// start. If no caller waits, the next call of joinRound starts the goroutine again.
 func (m *WatchCache) nextRound() (ctx context.Context, delay time.Duration, wanted bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -97,7 +97,7 @@
 	close(round.done)
 }
 
-// beginRound takes the round that callers wait for: whoever asks from now on waits for another one.
+// beginRound returns the round that callers wait for. Callers that arrive from now on wait for another one.
 func (m *WatchCache) beginRound() *syncRound {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -118,16 +118,16 @@
 	m.sync.ctx = ctx
 }
 
-// AsOf is the latest time of which the copy surely has everything: when the last round that
-// succeeded began. A watch does not move it, since one may end well while the store serves nobody,
-// or everybody but this node.
+// AsOf returns the latest time up to which the copy certainly has all changes: the start of the last
+// successful round. A watch does not advance it, since a watch may succeed while the store serves no
+// node, or all nodes except this one.
 func (m *WatchCache) AsOf() time.Time {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.sync.asOf
 }
 
-// catchUp reads what changed up to now, or all anew if it must.
+// catchUp reads and applies all changes up to now. It lists all keys if the changes are not available.
 func (m *WatchCache) catchUp(ctx context.Context) error {
 	m.mu.Lock()
 	copied, lastRevision, ready := m.epoch, m.lastRevision, m.ready
@@ -135,17 +135,17 @@
 	if !ready {
 		return m.relist(ctx)
 	}
-	// A watch may end well in the middle of an outage, or while this node alone is refused: how
-	// far the store is, only a plain read tells.
+	// A watch may succeed during an outage, or while the store rejects only this node. Only a
+	// plain read reliably returns the store's revision.
 	stored, err := m.client.currentEpoch(ctx)
 	if err != nil || stored <= copied {
 		return err
 	}
 	after := copied
 	if lastRevision > 0 {
-		// That there are no changes may mean that nobody looked: an outage may have begun since,
-		// or this node be refused. So the newest change known is asked for once more: an answer
-		// that lacks it is blind.
+		// A response without changes may also mean that the store did not read them, because an
+		// outage has begun meanwhile or the store rejects this node. So the watch also requests
+		// the newest change already known: a response without it is not valid.
 		after = min(after, ids.StoreRevision(lastRevision)-1)
 	}
 	epoch, changes, err := m.client.watchChanges(ctx, m.prefix, after, 0)
@@ -159,8 +159,8 @@
 	case lastRevision > 0 && !hasRevision(changes, lastRevision):
 		return fmt.Errorf("%w: changes without what is known already", ErrRefused)
 	}
-	// The answer is of after the plain read, so it reaches that far at least; how far beyond,
-	// only the changes themselves show.
+	// The watch was made after the plain read, so its response includes all changes up to stored.
+	// Beyond that, only the returned changes prove how far it reaches.
 	m.apply(max(stored, newestEpoch(changes)), changes)
 	return nil
 }
--- a/internal/state/watchcache_test.go
+++ b/internal/state/watchcache_test.go
@@ -52,7 +52,8 @@
 }
 
 func TestWatchCacheListenerMayBeSetWhileChangesArrive(t *testing.T) {
-	// As a plain field the listener raced with the changes that it is told of.
+	// Guards against a data race between OnChange and the notification of changes, which occurred
+	// while the listener was a field without a lock.
 	cache := NewWatchCache(nil, "j/", time.Second)
 	const changes = 50
 	var notified atomic.Int32
@@ -110,14 +111,14 @@
 		if calls > 4 {
 			t.Errorf("%d calls for 300 who asked at once", calls)
 		}
-		// In an outage nothing may be told from the copy, however fresh it
-		// looks: a watch may end well all the same.
+		// Sync must fail during an outage, however recent the copy seems, because a watch may
+		// succeed during an outage.
 		store.SetDown(true)
 		if err := cache.Sync(ctx); err == nil {
 			t.Error("the copy passes for the store's state in an outage")
 		}
 		store.SetDown(false)
-		// Changes that were overtaken by newer ones are passed over.
+		// Changes that arrive after newer ones of the same key are ignored.
 		put("j/1", `3`)
 		if err := cache.Sync(ctx); err != nil {
 			t.Fatal(err)
@@ -130,9 +131,9 @@
 }
 
 func TestWatchMovesCacheOnlyAsFarAsItsChanges(t *testing.T) {
-	// Guards against a watch that waits out an outage, or this node's being refused,
-	// and then ends well with an epoch whose changes it never showed: to follow from
-	// there would lose them for good, and nobody may take the copy for complete.
+	// Guards against a watch that spans an outage, or a time in which the store rejects this node,
+	// and then succeeds with a store revision whose changes it did not return. To continue from
+	// that revision would lose them, and the copy must not count as complete.
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer synctest.Wait()
@@ -165,7 +166,8 @@
 		if !cache.AsOf().IsZero() {
 			t.Error("a watch alone makes the copy complete")
 		}
-		// Nor do changes asked for at once, should an outage begin in between.
+		// A watch without waiting does not make the copy complete either, since an outage may begin
+		// between the plain read and the watch.
 		put("j/4")
 		if err := cache.Sync(ctx); err == nil {
 			t.Error("an answer without what is known already counts as changes")
