--- a/internal/worker/commander.go
+++ b/internal/worker/commander.go
@@ -13,30 +13,30 @@
 	"github.com/pebbletrail/pebbletrail/internal/measure"
 )
 
-// Outcome is what became of commands that were sent straight to a worker.
+// Outcome is the outcome of commands that were sent directly to a worker.
 type Outcome int
 
 const (
-	// Executed means status 200: the commands were executed and the report shows the effects.
+	// Executed means status 200: the commands were executed and the returned report shows the effects.
 	Executed Outcome = iota
-	// Rejected means status 409: nothing was executed.
+	// Rejected means status 409: no command was executed.
 	Rejected
-	// NotSent means that the worker did not get the commands and cannot get them later: no
-	// connection came about, or it calls the request malformed.
+	// NotSent means that the commands were not executed and will not be executed later: no
+	// connection could be established, or the worker rejected the request as malformed.
 	NotSent
-	// OutcomeUnknown means that the commands may have been, or may yet be, executed.
+	// OutcomeUnknown means that the commands may have been executed or may still be executed.
 	OutcomeUnknown
 )
 
-// Commander sends commands straight to a worker's address. Quick starts go this way; what it cannot
-// settle, the heartbeats do.
+// Commander sends commands directly to a worker's address, so that tasks start without waiting for the
+// next heartbeat. Commands whose outcome stays unknown are settled by the worker's heartbeats.
 type Commander struct {
 	HTTP *http.Client
-	// Timeout bounds the sending of commands and the wait for their answer.
+	// Timeout is the timeout of Send: for sending the commands and for the response.
 	Timeout time.Duration
 }
 
-// Send posts commands and returns the worker's report if it gave one.
+// Send sends commands to a worker and returns their outcome, and the worker's report if it returned one.
 func (c *Commander) Send(ctx context.Context, addr string, token ids.Generation, session ids.Incarnation, commands []Command) (Outcome, *Report) {
 	ctx, cancel := context.WithTimeout(ctx, c.Timeout)
 	defer cancel()
@@ -66,7 +66,7 @@
 
 func newCommandRequest(ctx context.Context, addr string, commands CommandBatch) (*http.Request, error) {
 	if commands.Commands == nil {
-		commands.Commands = []Command{} // a list, if an empty one, whoever reads it
+		commands.Commands = []Command{} // encoded as [] and not as null
 	}
 	raw, err := json.Marshal(commands)
 	if err != nil {
@@ -76,14 +76,15 @@
 	if err != nil {
 		return nil, err
 	}
-	// Without GetBody the transport cannot resend on a connection that broke: a command is never
-	// sent twice behind our back.
+	// Without GetBody the transport cannot retry the request on a new connection, so it never
+	// sends a command twice.
 	request.GetBody = nil
 	request.Header.Set("Content-Type", "application/json")
 	return request, nil
 }
 
-// outcomeOfError tells commands that found no connection from those that may have arrived.
+// outcomeOfError returns NotSent if no connection could be established, and OutcomeUnknown if the
+// commands may have arrived.
 func outcomeOfError(err error) Outcome {
 	var operation *net.OpError
 	if errors.As(err, &operation) && operation.Op == "dial" {
@@ -92,7 +93,7 @@
 	return OutcomeUnknown
 }
 
-// FetchReport asks a worker for its report; nil when it does not answer in time.
+// FetchReport requests a worker's report. It returns nil if the worker does not respond in time.
 func (c *Commander) FetchReport(ctx context.Context, addr string, timeout time.Duration) *Report {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -112,10 +113,10 @@
 	return report
 }
 
-// readReport decodes the body of an answer, whatever its status, and closes it.
+// readReport decodes the body of a response of any status as a report, and closes the body.
 func readReport(response *http.Response) (*Report, error) {
 	defer func() {
-		_ = response.Body.Close() // the report is decoded by then, or the decoder failed
+		_ = response.Body.Close() // the body is not needed any more
 	}()
 	report := &Report{}
 	if err := json.NewDecoder(response.Body).Decode(report); err != nil {
--- a/internal/worker/images.go
+++ b/internal/worker/images.go
@@ -2,20 +2,21 @@
 
 import "slices"
 
-// Images estimates which images a machine still holds: the most recently used that fit its cache.
-// Workers do not report them. The controllers send it to one another: encoding/gob sends the names
-// of its fields.
+// Images is an estimate of the images in a machine's cache: the most recently used ones that fit into it.
+// It is an estimate because workers do not report their images. The controllers send it to one another
+// with encoding/gob, which sends the names of its fields, so the fields must not be renamed.
 type Images struct {
 	Names []string  // most recently used first
 	Sizes []float64 // in gigabytes, by the index of Names
 }
 
-// Copy is a copy that shares nothing.
+// Copy returns a deep copy.
 func (im *Images) Copy() Images {
 	return Images{append([]string(nil), im.Names...), append([]float64(nil), im.Sizes...)}
 }
 
-// Use moves an image to the front and drops what no longer fits a cache of so many gigabytes.
+// Use makes an image the most recently used one and drops those that no longer fit into a cache of
+// cacheGB gigabytes.
 func (im *Images) Use(name string, sizeGB, cacheGB float64) {
 	names, sizes := []string{name}, []float64{sizeGB}
 	used := sizeGB
@@ -31,5 +32,5 @@
 	im.Names, im.Sizes = names, sizes
 }
 
-// Has tells whether the image is likely there.
+// Has reports whether the image is probably in the cache.
 func (im *Images) Has(name string) bool { return slices.Contains(im.Names, name) }
--- a/internal/worker/machine.go
+++ b/internal/worker/machine.go
@@ -7,8 +7,8 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-// Machine is what the leader knows of one machine. It is guarded by the lock of the cluster state
-// that it belongs to: assignments, quotas and machines need one view.
+// Machine is the leader's state of one machine. It is guarded by the mutex of the cluster state that it
+// belongs to, because assignments, quotas and machines have to be read consistently.
 type Machine struct {
 	Identity
 	Liveness
@@ -18,8 +18,8 @@
 	Hints
 }
 
-// Identity names a machine and what it is, by its last report or, before the first one, by the
-// cloud's list or an earlier leader.
+// Identity is the name, address and kind of a machine, from its last report or, before its first report,
+// from the cloud's list of machines or from an earlier leader.
 type Identity struct {
 	Name ids.Machine
 	Addr string // host:port of its worker
@@ -28,37 +28,37 @@
 	Spot bool // a spot instance
 }
 
-// Liveness is what a machine's reports tell.
+// Liveness is the part of a machine's state that comes from its reports.
 type Liveness struct {
-	HasReported       bool               // has reported to this leader
+	HasReported       bool               // whether it has reported to this leader
 	Incarnation       ids.Incarnation    // the worker's incarnation
 	Sequence          ids.SequenceNumber // sequence number of the newest report
 	FencingToken      ids.Generation     // highest fencing token that the worker has seen
-	LastReportAt      time.Time          // when the newest report came in
-	LastAnsweredAt    time.Time          // when a heartbeat of its was last answered
-	LeaseExpiresAt    time.Time          // lease expiry: from here on its worker has surely ended every task
-	SpotTerminationAt time.Time          // when the spot instance is terminated; zero without a notice
+	LastReportAt      time.Time          // when the newest report arrived
+	LastAnsweredAt    time.Time          // when this leader last answered one of its heartbeats
+	LeaseExpiresAt    time.Time          // when the worker's lease has certainly expired and all of its tasks have ended
+	SpotTerminationAt time.Time          // when the cloud terminates the spot instance; zero without a notice
 	Tasks             []TaskStatus       // statuses of its tasks
 }
 
-// Reachability is what becomes of health probes and commands sent to a machine.
+// Reachability is the state of the health probes and commands sent to a machine.
 type Reachability struct {
-	UnansweredProbes int       // unanswered health probes since its reports are overdue
-	ProbeInFlight    bool      // a probe is under way
-	SuspectSince     time.Time // when the first of those probes was sent
+	UnansweredProbes int       // unanswered health probes since its reports became overdue
+	ProbeInFlight    bool      // whether a probe is in flight
+	SuspectSince     time.Time // when the first of the unanswered probes was sent
 	LastProbeAt      time.Time // when the last probe was sent
-	CommandsInFlight bool      // commands are under way
-	// UnreachableSince is since when commands and probes to it go unanswered; zero while they are
-	// answered. Its reports may arrive all the same, when only the way to it is cut: they do not
-	// end this.
+	CommandsInFlight bool      // whether commands are in flight
+	// UnreachableSince is the time of the first of the latest consecutive commands and probes
+	// without a response; zero if the last one was answered. Reports do not reset it: they may
+	// still arrive when only connections to the machine fail.
 	UnreachableSince time.Time
-	FailedCalls      int // unanswered calls since then
-	// UnconfirmedStarts may yet be executed.
+	FailedCalls      int // unanswered commands and probes since UnreachableSince
+	// UnconfirmedStarts are start commands that may still be executed.
 	UnconfirmedStarts []UnconfirmedStart
 }
 
-// UnconfirmedStart is a start sent straight to a worker that got no answer: it may yet be executed,
-// minutes later, while incarnation and fencing token still match.
+// UnconfirmedStart is a start command that was sent directly to a worker and got no response. The worker
+// may still execute it, even minutes later, while its incarnation and fencing token match.
 type UnconfirmedStart struct {
 	Task         string
 	Attempt      ids.Attempt
@@ -66,42 +66,43 @@
 	Incarnation  ids.Incarnation
 }
 
-// Provisioning is a machine's life as an instance of the cloud.
+// Provisioning is the state of a machine as an instance of the cloud.
 type Provisioning struct {
-	DiscoveredAt    time.Time // when this leader first knew of it
-	ProvisionedAt   time.Time // since when it is provisioned, as far as known
-	ListedAt        time.Time // when the cloud's list last named it
-	Booting         bool      // provisioned, has not reported yet
-	Failed          bool      // the cloud says that it stopped by itself
+	DiscoveredAt    time.Time // when this leader first learned of it
+	ProvisionedAt   time.Time // when it was provisioned, as far as known
+	ListedAt        time.Time // when the cloud's list last contained it
+	Booting         bool      // whether it is provisioned but has not reported yet
+	Failed          bool      // whether the cloud reports that it stopped by itself
 	Deleting        bool
 	DeleteReason    string    // why it is being deleted
-	IdleSince       time.Time // when its last task ended, or when it came
-	LastNeededAt    time.Time // when it was last needed, or when it came
-	DeleteWhenEmpty bool      // to be deleted once it is empty
+	IdleSince       time.Time // when its last task ended, or when it was added
+	LastNeededAt    time.Time // when it was last needed, or when it was added
+	DeleteWhenEmpty bool      // whether it is to be deleted once no task runs there
 }
 
-// Availability is what keeps new tasks off a machine beside its liveness.
+// Availability holds the reasons, apart from its liveness, to place no new tasks on a machine.
 type Availability struct {
-	DrainReason  string // why it is drained; empty: in use
-	Cordoned     bool   // by a rollout
-	TaskFailures int    // tasks of good jobs that failed there since one last completed
+	DrainReason  string // why it is drained; empty if it is not
+	Cordoned     bool   // whether a rollout has closed it to new tasks
+	TaskFailures int    // failures there of tasks whose job is not at fault, since a task last completed there
 }
 
-// Hints is what the controllers tell one another of a machine beside its identity.
+// Hints is the state of a machine that controllers send one another in addition to its identity.
 type Hints struct {
 	Images            Images
 	HintedIncarnation ids.Incarnation // the worker's incarnation, as an earlier leader knew it
-	HintSequence      uint64          // sequence number of the last change of what others are told
+	HintSequence      uint64          // sequence number of the last change of the state sent to other controllers
 }
 
-// MayRestart tells whether clearing this attempt could let an unanswered start begin it anew.
+// MayRestart reports whether an unconfirmed start could start this attempt again after the worker has
+// cleared it.
 func (m *Machine) MayRestart(task string, attempt ids.Attempt) bool {
 	return slices.ContainsFunc(m.UnconfirmedStarts, func(start UnconfirmedStart) bool {
 		return start.Task == task && start.Attempt == attempt
 	})
 }
 
-// RecordCall notes whether the machine answered a probe or commands.
+// RecordCall records whether the machine answered a probe or commands.
 func (m *Machine) RecordCall(answered bool, now time.Time) {
 	switch {
 	case answered:
@@ -113,15 +114,15 @@
 	}
 }
 
-// Suspect tells that it leaves calls unanswered: nothing more is sent to it until it answers or
-// reports again.
+// Suspect reports whether the machine left probes or commands unanswered. Nothing more is sent to a
+// suspect machine until it answers a probe or reports again.
 func (m *Machine) Suspect() bool { return m.UnansweredProbes > 0 || !m.UnreachableSince.IsZero() }
 
-// SilentFor is how long nothing has come from the machine.
+// SilentFor returns the time since the machine's last report.
 func (m *Machine) SilentFor(now time.Time) time.Duration { return now.Sub(m.LastReportAt) }
 
-// The time without a sign of life after which nothing new goes to a machine, as so many intervals
-// between reports and a fixed part for delays.
+// A machine gets no new tasks after this time without a report, or without an answered heartbeat: a number
+// of report intervals plus an allowance for delays.
 const (
 	usableReports      = 2
 	usableReportDelay  = time.Second
@@ -129,11 +130,12 @@
 	usableAnswersDelay = 2 * time.Second
 )
 
-// Schedulable tells whether new tasks may go there; reportInterval is the time between its heartbeats.
+// Schedulable reports whether new tasks may be placed on the machine; reportInterval is the time between
+// its heartbeats.
 func (m *Machine) Schedulable(now time.Time, reportInterval ids.Seconds) bool {
 	interval := reportInterval.Duration()
-	// Answers to probes renew no lease: a machine whose heartbeats do not come through soon loses
-	// whatever is started there.
+	// Only answered heartbeats renew the worker's lease, answers to probes do not. A machine whose
+	// heartbeats do not arrive soon loses all tasks that are started there.
 	lastAnswered := m.LastAnsweredAt
 	if lastAnswered.IsZero() {
 		lastAnswered = m.DiscoveredAt
--- a/internal/worker/messages.go
+++ b/internal/worker/messages.go
@@ -1,53 +1,53 @@
-// Package worker keeps what the leader knows of the machines' workers by their reports, and sends
-// commands to them.
+// Package worker keeps the leader's state of the machines, which it derives from the reports of their
+// workers, and sends commands to the workers.
 package worker
 
 import (
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-// The JSON names in this file are the workers' protocol; the Go names are the terms for them.
+// The JSON names in this file are fixed by the workers' protocol.
 
 // TaskStatus is the status of a task as a worker reports it.
 type TaskStatus struct {
 	Task    string      `json:"piece"`
 	Attempt ids.Attempt `json:"try"`
 	State   string      `json:"status"`
-	// Cause is why the task ended; empty while it has not.
+	// Cause is the reason why the task ended; empty before that.
 	Cause string `json:"cause,omitempty"`
-	// Checkpointed tells that the task wrote a checkpoint before it ended.
+	// Checkpointed is true if the task wrote a checkpoint before it ended.
 	Checkpointed bool `json:"saved,omitempty"`
 }
 
-// What a task's status can be.
+// The states of a task in a report.
 const (
 	StatePulling       = "pulling"  // its image is being pulled
-	StateWaiting       = "waiting"  // for the other tasks of its gang
+	StateWaiting       = "waiting"  // it waits for the other tasks of its gang
 	StateRunning       = "running"  // it makes progress
-	StateCheckpointing = "flushing" // it was told to stop and writes a checkpoint
-	StateExited        = "ended"    // see its cause; it stays in the reports until it is cleared
+	StateCheckpointing = "flushing" // it is being stopped and writes a checkpoint
+	StateExited        = "ended"    // it ended for its Cause; it is reported until it is cleared
 )
 
-// What the cause of a task's end can be.
+// The causes of a task's end.
 const (
 	CauseDone       = "done"       // it succeeded
-	CauseStopped    = "stopped"    // as it was told
+	CauseStopped    = "stopped"    // it was stopped by a command
 	CausePeers      = "peers"      // another task of its gang is gone
 	CauseIncomplete = "incomplete" // its gang was not complete in time
 	CauseError      = "error"      // it failed
-	CauseNoRoom     = "no_room"    // the machine has too little left for it
+	CauseNoRoom     = "no_room"    // the machine has not enough free resources for it
 	CauseBusy       = "busy"       // another attempt of it is on the machine
-	CauseNoSuch     = "no_such"    // no such task was submitted
+	CauseNoSuch     = "no_such"    // no task of this name was submitted
 )
 
-// Report is what a worker says of itself and its tasks, in a heartbeat or in answer to commands.
+// Report is a worker's report on itself and its tasks, in a heartbeat or in the response to commands.
 type Report struct {
 	Machine ids.Machine `json:"host"`
 	Addr    string      `json:"endpoint"`
 	Type    string      `json:"build"`
 	Zone    string      `json:"yard"`
 	Spot    bool        `json:"loaners"`
-	// Incarnation is the worker's incarnation: it rises whenever the worker's lease expires.
+	// Incarnation is the worker's incarnation. It increases each time the worker's lease expires.
 	Incarnation ids.Incarnation `json:"stint"`
 	// Sequence is the report's sequence number.
 	Sequence ids.SequenceNumber `json:"tick"`
@@ -66,7 +66,7 @@
 	VerbClear = "clear"
 )
 
-// Command is a command to a worker.
+// Command is a command to a worker about one attempt of a task.
 type Command struct {
 	Verb    string      `json:"verb"`
 	Task    string      `json:"piece"`
@@ -75,31 +75,32 @@
 	GracePeriod *ids.Seconds `json:"leewayS,omitempty"`
 }
 
-// StartCommand begins an attempt of a task.
+// StartCommand returns a command that starts an attempt of a task.
 func StartCommand(task ids.Task, attempt ids.Attempt) Command {
 	return Command{Verb: VerbStart, Task: task.String(), Attempt: attempt}
 }
 
-// StopCommand ends a task; a grace period of at least its checkpoint time lets it write a checkpoint.
+// StopCommand returns a command that stops a task. The task can write a checkpoint if the grace period is
+// at least its checkpoint duration.
 func StopCommand(task string, attempt ids.Attempt, grace ids.Seconds) Command {
 	return Command{Verb: VerbStop, Task: task, Attempt: attempt, GracePeriod: &grace}
 }
 
-// ClearCommand takes a task that has ended out of the reports.
+// ClearCommand returns a command that removes an ended task from the worker's reports.
 func ClearCommand(task string, attempt ids.Attempt) Command {
 	return Command{Verb: VerbClear, Task: task, Attempt: attempt}
 }
 
-// CommandBatch answers a heartbeat, or is the body of direct commands. A worker drops one whose fencing
-// token is lower than the highest that it has seen.
+// CommandBatch is the response to a heartbeat, or the body of a request with direct commands. A worker
+// rejects a batch whose fencing token is lower than the highest one that it has seen.
 type CommandBatch struct {
 	FencingToken ids.Generation  `json:"baton"`
 	Incarnation  ids.Incarnation `json:"stint,omitempty"`
 	Commands     []Command       `json:"orders"`
 }
 
-// Redirect is the body of an answer with status 421: the worker is to report to another controller.
+// Redirect is the body of a response with status 421, which tells the worker to report to another controller.
 type Redirect struct {
-	// Node is that controller; empty if this one does not know it.
+	// Node is the controller to report to; empty if the responding controller does not know it.
 	Node ids.Node `json:"answerTo,omitempty"`
 }
--- a/internal/worker/registry.go
+++ b/internal/worker/registry.go
@@ -9,24 +9,24 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-// Registry is all machines by name. Like its machines it is guarded by the lock of the cluster
+// Registry holds all machines by name. It is guarded, like its machines, by the mutex of the cluster
 // state that it belongs to.
 type Registry struct {
-	// Machines is added to by Ensure and taken from by Remove alone.
+	// Machines must be changed by Ensure and Remove only.
 	Machines map[ids.Machine]*Machine
 	lease    ids.Seconds
-	sorted   []*Machine // by name; nil when machines have come or gone since
+	sorted   []*Machine // sorted by name; nil if machines were added or removed since it was built
 	leaving  map[ids.Machine]bool
 }
 
-// NewRegistry makes an empty registry for workers with leases of a duration.
+// NewRegistry returns an empty registry. The workers' leases last for the given time.
 func NewRegistry(lease ids.Seconds) *Registry {
 	return &Registry{Machines: map[ids.Machine]*Machine{}, leaving: map[ids.Machine]bool{}, lease: lease}
 }
 
-// Ensure finds or adds a machine. notBefore is the earliest time at which the lease of a machine
-// that has not reported can be trusted to have expired: an earlier leader may still have been
-// answering it.
+// Ensure returns a machine, and adds it if it is not registered. notBefore is the earliest time at which
+// the lease of a machine that has not reported to this leader has certainly expired, since an earlier
+// leader may have answered its heartbeats until recently.
 func (r *Registry) Ensure(name ids.Machine, now, notBefore time.Time) *Machine {
 	machine := r.Machines[name]
 	if machine == nil {
@@ -41,14 +41,14 @@
 	return machine
 }
 
-// Remove drops a machine.
+// Remove removes a machine.
 func (r *Registry) Remove(name ids.Machine) {
 	delete(r.Machines, name)
 	r.sorted = nil
 }
 
-// Sorted lists the machines by name, so that decisions do not hang on the order of a map. Callers
-// must not change the list.
+// Sorted returns the machines sorted by name, so that decisions do not depend on the iteration order of a
+// map. Callers must not modify the slice.
 func (r *Registry) Sorted() []*Machine {
 	if r.sorted == nil {
 		byName := func(x, y *Machine) int { return cmp.Compare(x.Name, y.Name) }
@@ -57,16 +57,16 @@
 	return r.sorted
 }
 
-// ReportResult is what a report means beside its list of tasks.
+// ReportResult is the result of RecordReport.
 type ReportResult struct {
-	Fresh     bool // newer than all before; only then its list counts
-	Restarted bool // the incarnation rose: all tasks of earlier ones are gone
+	Fresh     bool // the report is newer than all earlier ones; the task statuses of others are ignored
+	Restarted bool // the incarnation increased, so all tasks of earlier incarnations have ended
 }
 
-// RecordReport takes in a report. answered tells that the worker gets a 200 for it, which gives its lease
-// full time from when it was sent, so at most from now. leaderToken is the present leader's fencing
-// token: a worker that has seen it drops the answers of every earlier leader, so that only ours
-// renew its lease.
+// RecordReport updates a machine's state by a report. answered is true if the worker gets status 200 for
+// it, which renews its lease from the time when the report was sent, so from now at the latest.
+// leaderToken is the current leader's fencing token: a worker that has seen it ignores the responses of
+// all earlier leaders, so that only responses of this leader renew its lease.
 func (r *Registry) RecordReport(machine *Machine, report *Report, now time.Time, answered bool, leaderToken ids.Generation) ReportResult {
 	expiry := now.Add(r.lease.WithClockDrift())
 	if machine.isOutdated(report) {
@@ -77,8 +77,8 @@
 	}
 	result := ReportResult{Fresh: true, Restarted: machine.HasReported && report.Incarnation > machine.Incarnation}
 	if !machine.HasReported || result.Restarted {
-		// The incarnation may have begun just now, and lasts a lease from then on even if none of
-		// its heartbeats is ever answered.
+		// The incarnation may have begun just now. It lasts for one lease from its begin even if
+		// none of its heartbeats is answered.
 		machine.LeaseExpiresAt = Later(machine.LeaseExpiresAt, expiry)
 	}
 	machine.update(report, now)
@@ -92,12 +92,12 @@
 	return result
 }
 
-// isOutdated tells that a report was overtaken by another one and says nothing new.
+// isOutdated reports whether the machine has already sent this report or a newer one.
 func (m *Machine) isOutdated(report *Report) bool {
 	return m.HasReported && (report.Incarnation < m.Incarnation || report.Incarnation == m.Incarnation && report.Sequence <= m.Sequence)
 }
 
-// update takes over what a report says.
+// update copies the contents of a report into the machine's state.
 func (m *Machine) update(report *Report, now time.Time) {
 	m.HasReported, m.Booting = true, false
 	m.Addr, m.Type, m.Zone, m.Spot = report.Addr, report.Type, report.Zone, report.Spot
@@ -110,15 +110,15 @@
 	}
 }
 
-// dropRejectedStarts drops unanswered starts that the worker will not execute any more: it rejects
-// those of an earlier incarnation or with a lower fencing token.
+// dropRejectedStarts removes the unconfirmed starts that the worker will not execute any more, because it
+// rejects those for an earlier incarnation or with a lower fencing token.
 func (m *Machine) dropRejectedStarts() {
 	m.UnconfirmedStarts = slices.DeleteFunc(m.UnconfirmedStarts, func(start UnconfirmedStart) bool {
 		return start.Incarnation != m.Incarnation || start.FencingToken < m.FencingToken
 	})
 }
 
-// Later is the later of two times.
+// Later returns the later of two times.
 func Later(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
@@ -126,11 +126,11 @@
 	return b
 }
 
-// MarkLeaving notes that a machine is drained, reclaimed by the cloud, or to be deleted once it is empty.
+// MarkLeaving records that a machine is drained, reclaimed by the cloud, or to be deleted once it is empty.
 func (r *Registry) MarkLeaving(name ids.Machine) { r.leaving[name] = true }
 
-// Leaving lists, by name, the machines that were marked as leaving and are so still; the others lose the
-// mark.
+// Leaving returns, sorted by name, the machines that were marked as leaving and still are. It removes the
+// mark from all others.
 func (r *Registry) Leaving() []*Machine {
 	var leaving []*Machine
 	for name := range r.leaving {
@@ -145,5 +145,5 @@
 	return leaving
 }
 
-// AnyLeaving tells whether a machine is marked as leaving.
+// AnyLeaving reports whether any machine is marked as leaving.
 func (r *Registry) AnyLeaving() bool { return len(r.leaving) > 0 }
--- a/internal/worker/registry_test.go
+++ b/internal/worker/registry_test.go
@@ -35,8 +35,8 @@
 }
 
 func TestIncarnationLastsALeaseEvenIfNoHeartbeatOfItIsAnswered(t *testing.T) {
-	// Guards against a machine that only answers probes, since its heartbeats find no way: its
-	// lease was taken to have expired before it began, and its tasks were started a second time.
+	// Guards against a second start of tasks on a machine that answers probes but whose heartbeats
+	// do not arrive: its lease was treated as expired before it had begun.
 	now := time.Now()
 	registry := NewRegistry(20)
 	machine := registry.Ensure("m", now, now.Add(-time.Minute))
