--- a/internal/record/assignments.go
+++ b/internal/record/assignments.go
@@ -9,8 +9,8 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-// Location is what tasks are assigned to: a machine in one incarnation, under one attempt and one
-// fencing token.
+// Location is the machine that tasks are assigned to, with its incarnation and the attempt and fencing
+// token of the assignment.
 type Location struct {
 	Machine      ids.Machine
 	Incarnation  ids.Incarnation
@@ -24,19 +24,19 @@
 	At   Location
 }
 
-// AssignmentGroup is the assignments that carry one fencing token, as they are stored. Spelled out as
-// JSON objects, the assignments of a large job array would not fit into a value, and the array
-// would run in many small batches.
+// AssignmentGroup is the stored form of all assignments with the same fencing token. It is compact
+// because the assignments of a large array, stored as one JSON object each, would not fit into a value,
+// and the array would run in many small batches.
 type AssignmentGroup struct {
 	FencingToken ids.Generation `json:"g"`
-	// Incarnation and Attempt are those of most locations, which the entries leave out.
+	// Incarnation and Attempt are the most frequent ones of the locations. Entries omit them.
 	Incarnation ids.Incarnation `json:"s"`
 	Attempt     ids.Attempt     `json:"a"`
-	// Prefix is the common prefix of the machines' names, which the entries leave out.
+	// Prefix is the common prefix of the machines' names. Entries omit it.
 	Prefix string `json:"p,omitempty"`
-	// Base is the lowest task; the entries count tasks from it.
+	// Base is the lowest task. Entries contain the offsets of tasks from it.
 	Base int `json:"b,omitempty"`
-	// Entries has an entry for each location, separated by spaces, each in one of the forms
+	// Entries is a list, separated by spaces, with one entry for each location in one of the forms
 	// "machine:tasks", "machine/attempt:tasks" and "machine/attempt/incarnation:tasks".
 	Entries string `json:"on"`
 }
@@ -53,8 +53,7 @@
 	}
 }
 
-// each calls visit for every assigned task, in the order written, up to the first unreadable
-// entry.
+// each calls visit for every assigned task, in the order of the entries, up to the first malformed entry.
 func (g *AssignmentGroup) each(visit func(task int, location Location)) error {
 	for _, entry := range strings.Fields(g.Entries) {
 		location, tasks, err := g.parseEntry(entry)
@@ -66,7 +65,7 @@
 	return nil
 }
 
-// parseEntry reads a location and the tasks assigned to it, counted from the group's base.
+// parseEntry decodes an entry to a location and the tasks assigned to it, as offsets from the group's base.
 func (g *AssignmentGroup) parseEntry(entry string) (location Location, tasks ids.IndexSet, err error) {
 	head, list, found := strings.Cut(entry, ":")
 	parts := strings.Split(head, "/")
@@ -96,7 +95,7 @@
 	return location, tasks, tasks.UnmarshalText([]byte(list))
 }
 
-// writeEntry appends the entry of one location.
+// writeEntry appends the entry of one location to out.
 func (g *AssignmentGroup) writeEntry(out *strings.Builder, location Location, tasks *ids.IndexSet) {
 	if out.Len() > 0 {
 		out.WriteByte(' ')
@@ -112,8 +111,7 @@
 	out.WriteString(tasks.String())
 }
 
-// GroupAssignments encodes assignments, which must be sorted by task, so that a large job's record
-// stays small.
+// GroupAssignments returns the stored form of assignments, which must be sorted by task.
 func GroupAssignments(assignments []TaskAssignment) []AssignmentGroup {
 	builders := map[ids.Generation]*groupBuilder{}
 	var order []*groupBuilder
@@ -133,16 +131,17 @@
 	return groups
 }
 
-// groupBuilder collects the assignments of one PlaceGroup.
+// groupBuilder builds an AssignmentGroup.
 type groupBuilder struct {
 	group        AssignmentGroup
-	tasks        map[Location]*ids.IndexSet // counted from the group's base
+	tasks        map[Location]*ids.IndexSet // offsets from the group's base
 	locations    []Location                 // in the order of their lowest tasks
-	attempts     map[ids.Attempt]int        // number of locations
-	incarnations map[ids.Incarnation]int    // number of locations
+	attempts     map[ids.Attempt]int        // number of locations by attempt
+	incarnations map[ids.Incarnation]int    // number of locations by incarnation
 }
 
-// newGroupBuilder starts a group with its lowest task, which is still to be added.
+// newGroupBuilder returns a builder of a group whose first assignment is lowest. The caller still has to
+// add it.
 func newGroupBuilder(lowest TaskAssignment) *groupBuilder {
 	return &groupBuilder{
 		group: AssignmentGroup{
@@ -156,7 +155,7 @@
 	}
 }
 
-// add takes in one more assignment.
+// add adds an assignment to the group.
 func (b *groupBuilder) add(assignment TaskAssignment) {
 	location := assignment.At
 	if b.tasks[location] == nil {
@@ -169,7 +168,8 @@
 	b.tasks[location].Add(assignment.Task - b.group.Base)
 }
 
-// build writes the entries; only now it is known what they can leave out.
+// build encodes the entries and returns the group. The values that entries omit are known only after all
+// assignments were added.
 func (b *groupBuilder) build() AssignmentGroup {
 	b.group.Attempt = mostFrequent(b.attempts)
 	b.group.Incarnation = mostFrequent(b.incarnations)
@@ -181,7 +181,7 @@
 	return b.group
 }
 
-// mostFrequent returns the number with the highest count, the lowest of equals.
+// mostFrequent returns the number with the highest count, and the lowest one of several such numbers.
 func mostFrequent[N ids.Attempt | ids.Incarnation](counts map[N]int) (best N) {
 	for number, count := range counts {
 		if count > counts[best] || count == counts[best] && number < best {
@@ -191,10 +191,10 @@
 	return best
 }
 
-// groupOverheadBytes is about what a group takes in a record beside its entries and prefix.
+// groupOverheadBytes is the approximate encoded size of a group without its entries and prefix.
 const groupOverheadBytes = 50
 
-// AssignmentsSize is about how many bytes of a record its assignments take.
+// AssignmentsSize returns the approximate encoded size of assignments in bytes.
 func AssignmentsSize(groups []AssignmentGroup) int {
 	size := 0
 	for i := range groups {
--- a/internal/record/assignments_test.go
+++ b/internal/record/assignments_test.go
@@ -10,12 +10,12 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-// assign is the assignment of a task.
+// assign returns the assignment of a task.
 func assign(task int, machine ids.Machine, session ids.Incarnation, attempt ids.Attempt, token ids.Generation) TaskAssignment {
 	return TaskAssignment{Task: task, At: Location{Machine: machine, Incarnation: session, Attempt: attempt, FencingToken: token}}
 }
 
-// storedAndReadBack is the assignments that a record has after it was stored.
+// storedAndReadBack encodes and decodes a record with assignments and returns the decoded ones.
 func storedAndReadBack(t *testing.T, assignments []TaskAssignment) map[int]Location {
 	t.Helper()
 	stored, err := Decode(marshal(t, Record{Assignments: GroupAssignments(assignments)}))
@@ -36,7 +36,7 @@
 }
 
 func TestAssignmentsHaveTheDocumentedStoredForm(t *testing.T) {
-	// Guards against a form that other versions of the program can't read.
+	// Guards against a change of the stored form that other versions of the program can't read.
 	for _, c := range []struct {
 		name        string
 		assignments []TaskAssignment
@@ -92,8 +92,8 @@
 }
 
 func TestSizeOfAssignmentsIsEstimatedFromAbove(t *testing.T) {
-	// Guards against a record that does not fit though its assignments were counted. Machines of
-	// a shard share much of their names, so prefixes are as long as here.
+	// Guards against a record that exceeds the size limit because the size of its assignments was
+	// underestimated. Names of a shard's machines have a common prefix as long as the one here.
 	var assignments []TaskAssignment
 	for task := range 500 {
 		assignments = append(assignments, assign(task, ids.Machine(fmt.Sprintf("host-s2-%04d", task)), 1, 1, 7))
@@ -116,7 +116,7 @@
 }
 
 func TestStoredNamesOfRecordsStay(t *testing.T) {
-	// Guards against a rename in the code that changes what is stored.
+	// Guards against a rename in the code that changes the stored form.
 	r := Record{Spec: Spec{ID: "job-1", Team: "red", Shape: Array, Tasks: 2}, Status: Claimed, Submitted: 10, ReadyAt: 11, Attempt: 2, Generation: 3,
 		Finished: ids.FirstIndexes(1), Assignments: GroupAssignments([]TaskAssignment{assign(1, "m-1", 4, 2, 3)}), Events: []Event{{12, "accepted"}},
 		FailedMachines: 1, CancelledBy: "job-0", Writer: "w", Seq: 5}
--- a/internal/record/encoding.go
+++ b/internal/record/encoding.go
@@ -6,15 +6,15 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-// Decode reads the record of a job that has no unfinished dependencies, or of one that ended.
+// Decode decodes the record of a job without unfinished dependencies, or of a job that has ended.
 func Decode(raw json.RawMessage) (*Record, error) {
 	r := &Record{}
 	return r, json.Unmarshal(raw, r)
 }
 
-// Encode writes the record of a job without unfinished dependencies into at most limit bytes.
-// What does not fit is dropped from the record itself: first the names of its dependencies,
-// which no longer matter, then the oldest events. It returns false if even that does not fit.
+// Encode encodes the record of a job without unfinished dependencies in at most limit bytes. If it does
+// not fit, Encode removes data from the record itself: first the names of the dependencies, which are no
+// longer needed, then the oldest events. It returns false if the rest does not fit either.
 func (r *Record) Encode(limit int) (json.RawMessage, bool) {
 	for {
 		raw, err := json.Marshal(r)
@@ -33,13 +33,13 @@
 	}
 }
 
-// EncodeFinal writes the record of a job that ended into at most limit bytes and leaves the
-// record itself as it is. The last event, which tells how the job ended, stays as long as
-// anything else can be dropped: older events first, then the names of its dependencies and which
-// of its tasks were done, of which only the number is still of use.
+// EncodeFinal encodes the record of a job that has ended in at most limit bytes, without changing the
+// record itself. If the record does not fit, EncodeFinal omits older events first, then the names of
+// dependencies and the indexes of the done tasks, of which only the number is still needed. The last
+// event, which tells how the job ended, is omitted last.
 func (r *Record) EncodeFinal(limit int) (json.RawMessage, bool) {
 	final := *r
-	final.Evictions = nil // no task is to run again
+	final.Evictions = nil // not needed, since no task will run again
 	for {
 		raw, err := json.Marshal(&final)
 		if err != nil {
--- a/internal/record/encoding_test.go
+++ b/internal/record/encoding_test.go
@@ -10,8 +10,8 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-// recordWith is a job's record with so many dependencies and events; of its tasks every other is
-// done.
+// recordWith returns a job's record with the given numbers of dependencies, events and tasks; every other
+// task is done.
 func recordWith(dependencies, events, tasks int) *Record {
 	r := New(Spec{ID: "job-1", Team: "red", Shape: Array, Tasks: tasks}, 1000, "w")
 	for i := range dependencies {
@@ -26,7 +26,7 @@
 	return r
 }
 
-// decoded reads a record that must be readable.
+// decoded decodes a record and fails the test if that returns an error.
 func decoded(t *testing.T, raw json.RawMessage) *Record {
 	t.Helper()
 	r, err := Decode(raw)
@@ -43,7 +43,7 @@
 	withoutEvents.Events = nil
 	least := len(marshal(t, withoutEvents))
 	for _, c := range []struct {
-		limit, dependencies, events int // of the 20 dependencies and 11 events, what stays
+		limit, dependencies, events int // how many of the 20 dependencies and 11 events stay
 	}{
 		{whole, 20, 11},
 		{whole - 1, 0, 11},
@@ -69,7 +69,7 @@
 }
 
 func TestFinalRecordKeepsItsLastEventLongest(t *testing.T) {
-	// Guards against a user who can't see how a job ended.
+	// Guards against the loss of the event that tells users how a job ended.
 	r := recordWith(20, 10, 400)
 	r.AddEviction(1, 1, "drain", 1)
 	before := string(marshal(t, r))
@@ -79,7 +79,7 @@
 	for _, c := range []struct {
 		name                       string
 		limit, dependencies, spans int
-		moreEvents                 bool // than the last
+		moreEvents                 bool // whether more events than the last one stay
 	}{
 		{"all fits", 100000, 20, 200, true},
 		{"only the last event fits", sizeWithDependencies, 20, 200, false},
--- a/internal/record/eviction.go
+++ b/internal/record/eviction.go
@@ -4,14 +4,13 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-// Eviction is tasks of one attempt that a wave of a rollout may stop, and has stopped since or is
-// about to. It is stored before the stop is sent and stays until the tasks run again, so that a
-// new leader knows what a team has down. Task and attempt together identify the start that is
-// stopped.
+// Eviction is a set of tasks of one attempt that a wave of a rollout has stopped or is about to stop. It
+// is stored before the stop commands are sent and stays until the tasks run again, so that a new leader
+// knows which tasks of a team are down. Task and attempt together identify the start that is stopped.
 //
-// A version of this program from before drains drops it when it writes the record. That leaves
-// services as they are, whose replicas count as down while they are not known to run; of other
-// tasks it forgets that they are interrupted (docs/drains.md).
+// Versions of this program without drains drop evictions when they write the record. Services are not
+// affected, because their replicas count as down while they are not known to run. Other tasks no longer
+// count as interrupted (docs/drains.md).
 type Eviction struct {
 	Rollout string       `json:"by"`
 	Wave    int          `json:"wave"`
@@ -20,15 +19,15 @@
 }
 
 const (
-	// evictionShare is the divisor of a value's size that gives what a record's evictions may
-	// take: the rest is for the assignments, without which nothing of the job runs.
+	// evictionShare is the divisor of the largest size of a value that gives the largest size of a
+	// record's evictions. The rest is for the assignments, without which no task of the job runs.
 	evictionShare = 8
-	// evictionOverheadBytes is about what an eviction takes beside its rollout and tasks.
+	// evictionOverheadBytes is the approximate encoded size of an eviction without its rollout and
+	// tasks.
 	evictionOverheadBytes = 64
 )
 
-// EvictionsFit reports whether the job's evictions take no more than their share of a value of
-// limit bytes.
+// EvictionsFit reports whether the job's evictions fit into their share of a value of limit bytes.
 func (r *Record) EvictionsFit(limit int) bool {
 	size := 0
 	for i := range r.Evictions {
@@ -38,7 +37,7 @@
 	return size <= limit/evictionShare
 }
 
-// AddEviction adds a task to the job's evictions, in place of an eviction of an earlier attempt.
+// AddEviction adds a task to the job's evictions and removes an eviction of an earlier attempt of the task.
 func (r *Record) AddEviction(task int, attempt ids.Attempt, rollout string, wave int) {
 	r.RetainEvictions(func(other int, _ ids.Attempt) bool { return other != task })
 	for i := range r.Evictions {
@@ -53,7 +52,7 @@
 	r.Evictions = append(r.Evictions, added)
 }
 
-// EvictedAttempt returns the attempt under which a task was evicted, and whether it was.
+// EvictedAttempt returns the attempt of a task that was evicted; evicted is false if none was.
 func (r *Record) EvictedAttempt(task int) (attempt ids.Attempt, evicted bool) {
 	for i := range r.Evictions {
 		if r.Evictions[i].Tasks.Contains(task) {
@@ -63,8 +62,8 @@
 	return 0, false
 }
 
-// RetainEvictions drops the evictions of tasks for which keep is false, and reports whether there
-// were any.
+// RetainEvictions removes the evictions of tasks for which keep returns false, and reports whether it
+// removed any.
 func (r *Record) RetainEvictions(keep func(task int, attempt ids.Attempt) bool) (dropped bool) {
 	var kept []Eviction
 	for i := range r.Evictions {
@@ -87,7 +86,7 @@
 	return dropped
 }
 
-// EvictedTasks counts the evicted tasks.
+// EvictedTasks returns the number of evicted tasks.
 func (r *Record) EvictedTasks() int {
 	count := 0
 	for i := range r.Evictions {
--- a/internal/record/keys.go
+++ b/internal/record/keys.go
@@ -10,22 +10,22 @@
 // The keys and prefixes of the key-value store.
 const (
 	PoolPrefix = "pool/"      // leadership, generation and provisioning requests
-	TypesKey   = "pool/types" // the instance types on offer
+	TypesKey   = "pool/types" // the available instance types
 	JobPrefix  = "job/"       // records of jobs that have not ended
 	EndPrefix  = "end/"       // final records
 	WaitPrefix = "job/wait/"  // records of jobs with unfinished dependencies
 )
 
-// JobKey is the key of the record of a schedulable or running job.
+// JobKey returns the key of the record of a schedulable or running job.
 func JobKey(job ids.Job) string { return JobPrefix + string(job) }
 
-// EndKey is the key of a job's final record.
+// EndKey returns the key of a job's final record.
 func EndKey(job ids.Job) string { return EndPrefix + string(job) }
 
-// WaitKey is the key of the record of a job with unfinished dependencies.
+// WaitKey returns the key of the record of a job with unfinished dependencies.
 func WaitKey(job ids.Job) string { return WaitPrefix + string(job) }
 
-// KeyKind is what is stored at a key below JobPrefix.
+// KeyKind is the kind of the value at a key below JobPrefix.
 type KeyKind int
 
 const (
@@ -33,11 +33,11 @@
 	LiveRecord KeyKind = iota
 	// WaitingRecord is the record of a job with unfinished dependencies.
 	WaitingRecord
-	// StoredCancellation is a cancellation that its job's record had no room for.
+	// StoredCancellation is a cancellation that did not fit into the job's record.
 	StoredCancellation
 )
 
-// ParseKey returns the job that a key below JobPrefix belongs to, and what is stored there.
+// ParseKey returns the job that a key below JobPrefix belongs to, and the kind of the value stored there.
 func ParseKey(key string) (ids.Job, KeyKind) {
 	if job, ok := strings.CutPrefix(key, WaitPrefix); ok {
 		return ids.Job(job), WaitingRecord
@@ -51,8 +51,8 @@
 // ShardKeys are the keys of a shard's leader, generation and provisioning requests.
 type ShardKeys struct{ prefix string }
 
-// KeysOf returns the keys of a shard. With one shard they are those of the whole machine pool,
-// which every version of this program knows.
+// KeysOf returns the keys of a shard. A single shard has the keys of the whole machine pool, which every
+// version of this program knows.
 func KeysOf(shard ids.Shard, shards int) ShardKeys {
 	if shards <= 1 {
 		return ShardKeys{PoolPrefix}
@@ -60,11 +60,11 @@
 	return ShardKeys{fmt.Sprintf("%s~%d/", PoolPrefix, shard)}
 }
 
-// Leader is the key that the shard's leader binds to its lease.
+// Leader returns the key that the shard's leader attaches to its lease.
 func (k ShardKeys) Leader() string { return k.prefix + "owner" }
 
-// Generation is the key of the shard's last generation, which each failover raises.
+// Generation returns the key of the shard's current generation, which each failover increments.
 func (k ShardKeys) Generation() string { return k.prefix + "generation" }
 
-// ProvisioningRequests is the prefix of the shard's provisioning requests.
+// ProvisioningRequests returns the prefix of the keys of the shard's provisioning requests.
 func (k ShardKeys) ProvisioningRequests() string { return k.prefix + "hire/" }
--- a/internal/record/packednames.go
+++ b/internal/record/packednames.go
@@ -6,7 +6,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-// packNames writes job names as their longest common prefix, a colon, and the rest of each name,
+// packNames encodes job names as their longest common prefix, a colon, and the remainders of the names,
 // separated by spaces.
 func packNames(names []ids.Job) string {
 	if len(names) == 0 {
@@ -23,7 +23,7 @@
 	return prefix + ":" + strings.Join(suffixes, " ")
 }
 
-// unpackNames reads what packNames wrote.
+// unpackNames decodes the encoding of packNames.
 func unpackNames(packed string) (names []ids.Job) {
 	prefix, suffixes, _ := strings.Cut(packed, ":")
 	if prefix == "" {
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -9,8 +9,8 @@
 )
 
 func TestStoredNamesOfDescriptionsStay(t *testing.T) {
-	// Guards against a rename in the code that changes what is stored: other versions of the
-	// program read it, and whatever they don't find is lost.
+	// Guards against a rename in the code that changes the stored form. Other versions of the
+	// program read it, and data under names that they don't know is lost.
 	spec := Spec{ID: "job-1", Class: "c", Team: "red", Shape: Gang, Priority: High, Tasks: 2, Resources: placement.Resources{Cores: 1},
 		Image: "i", ImageGB: 2, InstanceTypes: []string{"t"}, Zone: "z", SingleZone: true, Spread: true, AllowSpot: true, EstimatedDuration: 3,
 		CheckpointInterval: 4, CheckpointDuration: 5, Deadline: 6, DependsOn: nil}
--- a/internal/record/spec.go
+++ b/internal/record/spec.go
@@ -5,17 +5,17 @@
 	"github.com/pebbletrail/pebbletrail/internal/placement"
 )
 
-// Shape is how the tasks of a job belong together.
+// Shape is the kind of a job, which determines whether its tasks run independently.
 type Shape string
 
 // The shapes.
 const (
-	Array   Shape = "array"   // independent tasks, each of which ends by itself
-	Gang    Shape = "gang"    // tasks that run all at once or not at all
+	Array   Shape = "array"   // independent tasks that run to completion
+	Gang    Shape = "gang"    // tasks that run all at the same time or not at all
 	Service Shape = "service" // replicas that run until the job is cancelled
 )
 
-// Priority orders jobs; higher goes first.
+// Priority is the priority of a job; jobs of a higher one are scheduled first.
 type Priority int
 
 // The priorities.
@@ -30,30 +30,30 @@
 
 func (p Priority) String() string { return priorityNames[p] }
 
-// Spec is a job as its user described it.
+// Spec is the specification of a job that its user submitted.
 type Spec struct {
 	ID                ids.Job             `json:"id"`
-	Class             string              `json:"class,omitempty"` // service-level objectives are set by class
+	Class             string              `json:"class,omitempty"` // selects the service-level objective
 	Team              string              `json:"team"`
 	Shape             Shape               `json:"shape"`
 	Priority          Priority            `json:"priority"`
 	Tasks             int                 `json:"tasks"`
-	Resources         placement.Resources `json:"need"` // per task
+	Resources         placement.Resources `json:"need"` // resources of each task
 	Image             string              `json:"image,omitempty"`
 	ImageGB           float64             `json:"imageGb,omitempty"`
-	InstanceTypes     []string            `json:"types,omitempty"` // allowed instance types; nil allows any
-	Zone              string              `json:"zone,omitempty"`  // empty allows any
-	SingleZone        bool                `json:"oneZone,omitempty"`
-	Spread            bool                `json:"spread,omitempty"` // over zones
-	AllowSpot         bool                `json:"spot,omitempty"`   // whether spot instances are allowed
+	InstanceTypes     []string            `json:"types,omitempty"`   // allowed instance types; nil allows all
+	Zone              string              `json:"zone,omitempty"`    // required zone; empty allows all
+	SingleZone        bool                `json:"oneZone,omitempty"` // whether all tasks must run in the same zone
+	Spread            bool                `json:"spread,omitempty"`  // whether tasks are spread over zones
+	AllowSpot         bool                `json:"spot,omitempty"`    // whether spot instances are allowed
 	EstimatedDuration ids.Seconds         `json:"estimate,omitempty"`
-	// CheckpointInterval is the time between two checkpoints of a task; zero: it writes none.
+	// CheckpointInterval is the time between two checkpoints of a task; zero if it writes none.
 	CheckpointInterval ids.Seconds `json:"checkpoint,omitempty"`
-	// CheckpointDuration is how long a task takes to write a checkpoint.
+	// CheckpointDuration is the time that a task takes to write a checkpoint.
 	CheckpointDuration ids.Seconds `json:"save,omitempty"`
-	// Deadline counts from the submission; zero: none.
+	// Deadline is the time after the submission at which the job should be done; zero for none.
 	Deadline ids.Seconds `json:"due,omitempty"`
-	// DependsOn are the dependencies: jobs that must be done before any task starts.
+	// DependsOn lists the dependencies: jobs that must be done before any task starts.
 	DependsOn []ids.Job `json:"awaits,omitempty"`
 }
 
--- a/internal/record/status.go
+++ b/internal/record/status.go
@@ -5,8 +5,8 @@
 // Status is the stage of a job's life cycle.
 type Status string
 
-// The statuses. Queued and Claimed differ only in whether any task may be assigned to a
-// machine; Cancelling is reported to users as cancelled.
+// The statuses. Tasks may be assigned to machines in status Claimed but not in status Queued; there is no
+// other difference between the two. Users see Cancelling as cancelled.
 const (
 	Queued     Status = "queued"
 	Claimed    Status = "claimed"
@@ -15,7 +15,7 @@
 	Done       Status = "done"
 )
 
-// transitions lists every allowed transition.
+// transitions lists the allowed transitions of each status.
 var transitions = map[Status][]Status{
 	Queued:     {Claimed, Cancelling, Cancelled, Done},
 	Claimed:    {Queued, Cancelling, Done},
--- a/internal/record/waiting.go
+++ b/internal/record/waiting.go
@@ -8,18 +8,17 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-// A job with unfinished dependencies is stored at a key of its own until all of them are done,
-// and then moves to the keys of schedulable jobs, in one transaction. So it counts towards no
-// limit and has no position in the queue without any code having to exclude it.
+// A job with unfinished dependencies is stored at a key below WaitPrefix until all of them are done. One
+// transaction then moves it to a key of schedulable jobs. So a waiting job counts towards no limit and
+// has no position in the queue, without code that excludes it.
 //
-// Versions of this program from before dependencies watch the same prefix. They take the value
-// for unreadable and skip it, since it is a JSON list and not an object: so they neither start
-// such a job too early nor write it back without the fields that they don't know.
+// Versions of this program without dependencies watch the same prefix. They treat the value as unreadable
+// and skip it, since it is a JSON list and not an object. So they neither start such a job too early nor
+// write it back without the fields that they don't know.
 
-// EncodeWaiting writes the record of a job with unfinished dependencies. It may use the whole
-// value, since no task of the job is assigned meanwhile. If the names of the dependencies do not
-// fit spelled out, they follow the record in the form of packNames. The record itself stays as it
-// is.
+// EncodeWaiting encodes the record of a job with unfinished dependencies in at most limit bytes, without
+// changing the record itself. The record may use the whole value, since no task of the job is assigned
+// yet. If it does not fit, the names of the dependencies follow the record as packNames encodes them.
 func (r *Record) EncodeWaiting(limit int) (json.RawMessage, bool) {
 	if raw, err := json.Marshal([]*Record{r}); err == nil && len(raw) <= limit {
 		return raw, true
@@ -37,7 +36,7 @@
 	return fmt.Appendf(nil, "[%s,%s]", raw, names), true
 }
 
-// DecodeWaiting reads what EncodeWaiting wrote, in either form.
+// DecodeWaiting decodes both encodings of EncodeWaiting.
 func DecodeWaiting(raw json.RawMessage) (*Record, error) {
 	var parts []json.RawMessage
 	if err := json.Unmarshal(raw, &parts); err != nil {
@@ -57,12 +56,12 @@
 	return r, nil
 }
 
-// MaxSpecShare is the share of a value that the spec of a schedulable job may take: the rest
-// is for the state that it accumulates, such as assignments and events.
+// MaxSpecShare is the largest share of a value for the spec of a schedulable job. The rest is for the
+// state that the job accumulates, such as assignments and events.
 const MaxSpecShare = 0.6
 
-// TrimDependencies drops the names of dependencies, which are all done, if they would leave too little
-// of a value of limit bytes for the job's assignments.
+// TrimDependencies removes the names of dependencies, all of which are done, if the spec would leave too
+// little space in a value of limit bytes for the job's assignments.
 func (r *Record) TrimDependencies(limit int) {
 	raw, err := json.Marshal(&r.Spec)
 	if err != nil || len(raw) > int(float64(limit)*MaxSpecShare) {
@@ -70,10 +69,10 @@
 	}
 }
 
-// MarkCancelledBy turns the record of a job with unfinished dependencies into that of a job cancelled
-// because the dependency by was cancelled. Such a job counts as cancelled from that moment on for
-// everyone who reads the records, before anything is stored. The events of the record are copied,
-// since the caller may share them.
+// MarkCancelledBy marks the record of a job with unfinished dependencies as cancelled because the
+// dependency by was cancelled. Readers of the records treat such a job as cancelled from the moment of
+// the dependency's cancellation, before this record is stored. The events are copied, since the caller may
+// share the slice.
 func (r *Record) MarkCancelledBy(by ids.Job) {
 	r.Status = Cancelled
 	r.CancelledBy = by
@@ -81,17 +80,17 @@
 	r.Events = append(events, Event{ids.TimestampOf(time.Now()), dependencyCancelledMessage(by)})
 }
 
-// dependencyCancelledMessage is the event of a job that was cancelled with one of its
-// dependencies.
+// dependencyCancelledMessage returns the event message of a job that was cancelled because one of its
+// dependencies was.
 func dependencyCancelledMessage(dependency ids.Job) string {
 	return "cancelled: it needs " + string(dependency) + ", which was cancelled"
 }
 
-// EligibleSince is when the job became eligible for scheduling: at its submission, or when the last of
-// its dependencies was done.
+// EligibleSince returns the time when the job became eligible for scheduling: its submission, or the time
+// when the last of its dependencies was done.
 func (r *Record) EligibleSince() ids.Timestamp { return max(r.Submitted, r.ReadyAt) }
 
-// DependencyWait is how long the job waited for its dependencies, which counts against its deadline.
+// DependencyWait returns how long the job waited for its dependencies. This time counts against its deadline.
 func (r *Record) DependencyWait() time.Duration {
 	return r.EligibleSince().Time().Sub(r.Submitted.Time())
 }
