--- a/internal/state/acquire.go
+++ b/internal/state/acquire.go
@@ -67,7 +67,7 @@
 		wait, inTime := b.tryAcquire(request)
 		if !inTime {
 			measure.Process.Count("refused for lack of tokens", 1)
-			return fmt.Errorf("%w: own budget", ErrRefused)
+			return fmt.Errorf("%w: no tokens left in this controller's budget", ErrRefused)
 		}
 		if wait <= 0 {
 			return nil
@@ -75,7 +75,7 @@
 		select {
 		case <-ctx.Done():
 			b.cancelRequest(request)
-			return fmt.Errorf("%w: own budget: %v", ErrRefused, ctx.Err())
+			return fmt.Errorf("%w: waiting for tokens of this controller's budget: %v", ErrRefused, ctx.Err())
 		case <-time.After(wait):
 		}
 	}
--- a/internal/state/acquire_test.go
+++ b/internal/state/acquire_test.go
@@ -29,19 +29,19 @@
 				if errors.Is(err, ErrRefused) {
 					refused++
 					if took > 10*time.Millisecond {
-						t.Errorf("refused after %v", took)
+						t.Errorf("call rejected after %v, want at most 10 ms", took)
 					}
 				} else if took > 400*time.Millisecond {
-					t.Errorf("served after %v", took)
+					t.Errorf("call succeeded after %v, want at most 400 ms", took)
 				}
 			})
 		}
 		commits.Wait()
 		if refused < 30 || refused > 38 {
-			t.Fatalf("%d of 40 refused", refused)
+			t.Fatalf("%d of 40 calls rejected, want 30 to 38", refused)
 		}
 		if _, err := client.Commit(ctx, Txn{Ops: []Op{{Put: "u", Value: []byte(`1`)}}}, Urgent); err != nil {
-			t.Fatalf("an urgent write after the burst: %v", err)
+			t.Fatalf("commit with priority Urgent after the burst: %v", err)
 		}
 	})
 }
--- a/internal/state/client.go
+++ b/internal/state/client.go
@@ -161,7 +161,7 @@
 // one for its kind.
 func requireStatus(want, got int, err error) error {
 	if err == nil && got != want {
-		return fmt.Errorf("%w: status %d", ErrOutcomeUnknown, got)
+		return fmt.Errorf("%w: unexpected response status %d", ErrOutcomeUnknown, got)
 	}
 	return err
 }
@@ -177,7 +177,7 @@
 	response, err := c.http.Do(ctx, method, path, body)
 	var noResponse *httpjson.NoResponseError
 	if errors.As(err, &noResponse) {
-		return 0, fmt.Errorf("%w: %v", ErrOutcomeUnknown, err)
+		return 0, fmt.Errorf("%w: no response: %v", ErrOutcomeUnknown, err)
 	}
 	if err != nil {
 		return 0, err
@@ -192,7 +192,7 @@
 	}
 	if answer != nil && response.Status != http.StatusGone {
 		if err := json.Unmarshal(response.Body, answer); err != nil && response.Status == http.StatusOK {
-			return 0, fmt.Errorf("%w: %v", ErrOutcomeUnknown, err)
+			return 0, fmt.Errorf("%w: decode response: %v", ErrOutcomeUnknown, err)
 		}
 	}
 	return response.Status, nil
@@ -206,14 +206,14 @@
 		return nil
 	case http.StatusTooManyRequests:
 		c.budget.slowDown()
-		return fmt.Errorf("%w: status %d", ErrRefused, response.Status)
+		return fmt.Errorf("%w: too many calls or writes, response status %d", ErrRefused, response.Status)
 	case http.StatusServiceUnavailable:
-		return fmt.Errorf("%w: status %d", ErrRefused, response.Status)
+		return fmt.Errorf("%w: store unavailable, response status %d", ErrRefused, response.Status)
 	case http.StatusBadRequest:
 		if bytes.Contains(response.Body, []byte("no such lease")) {
 			return ErrNoLease
 		}
 		return fmt.Errorf("%w: %.200s", ErrMalformed, response.Body)
 	}
-	return fmt.Errorf("%w: status %d", ErrOutcomeUnknown, response.Status)
+	return fmt.Errorf("%w: unexpected response status %d", ErrOutcomeUnknown, response.Status)
 }
--- a/internal/state/client_test.go
+++ b/internal/state/client_test.go
@@ -40,19 +40,19 @@
 		}
 		var conflict *ConflictError
 		if _, err := client.Commit(ctx, put, Urgent); !errors.As(err, &conflict) || !conflict.Has("k") {
-			t.Fatalf("a second creation: %v", err)
+			t.Fatalf("second creation of the same key: error %v, want a conflict", err)
 		}
 		store.SetDown(true)
 		if _, err := client.Commit(ctx, put, Urgent); !errors.Is(err, ErrRefused) {
-			t.Fatalf("in an outage: %v", err)
+			t.Fatalf("commit during an outage: error %v, want ErrRefused", err)
 		}
 		store.SetDown(false)
 		network.SetRule(func(_, _ string, _ *http.Request, _ []byte) fake.Outcome { return fake.DropResponse })
 		if _, err := client.Commit(ctx, Txn{Ops: []Op{{Remove: "k"}}}, Urgent); !errors.Is(err, ErrOutcomeUnknown) {
-			t.Fatalf("without an answer: %v", err)
+			t.Fatalf("commit without a response: error %v, want ErrOutcomeUnknown", err)
 		}
 		if store.Value("k") != nil {
-			t.Fatal("it was carried out all the same")
+			t.Fatal("the store did not execute the commit whose response was lost")
 		}
 		network.SetRule(nil)
 		lease, err := client.GrantLease(ctx, time.Second)
@@ -61,10 +61,10 @@
 		}
 		time.Sleep(1500 * time.Millisecond)
 		if err := client.RenewLease(ctx, lease); !errors.Is(err, ErrNoLease) {
-			t.Fatalf("an expired lease: %v", err)
+			t.Fatalf("renewal of an expired lease: error %v, want ErrNoLease", err)
 		}
 		if _, err := client.Commit(ctx, Txn{Ops: []Op{{Put: "x", Value: []byte(`1`), Lease: lease}}}, Urgent); !errors.Is(err, ErrNoLease) {
-			t.Fatalf("a put with it: %v", err)
+			t.Fatalf("put attached to an expired lease: error %v, want ErrNoLease", err)
 		}
 	})
 }
--- a/internal/state/errors.go
+++ b/internal/state/errors.go
@@ -12,18 +12,18 @@
 var (
 	// ErrRefused means that the call was certainly not executed: the store returned status 503 or
 	// 429, or this node's own budget had no tokens left.
-	ErrRefused = errors.New("state: refused")
+	ErrRefused = errors.New("state: call rejected and not executed")
 	// ErrOutcomeUnknown means that there was no usable response: the call may have been executed
 	// or may still be executed.
-	ErrOutcomeUnknown = errors.New("state: no answer")
+	ErrOutcomeUnknown = errors.New("state: outcome of call unknown")
 	// ErrNoLease means that the lease has expired or was revoked.
-	ErrNoLease = errors.New("state: no such lease")
+	ErrNoLease = errors.New("state: lease does not exist or has expired")
 	// ErrMalformed means that the store rejected the request as malformed. Retrying does not help.
-	ErrMalformed = errors.New("state: malformed request")
+	ErrMalformed = errors.New("state: store rejected the request as malformed")
 
 	// errCompacted means that the store no longer keeps the requested changes, so the keys have to
 	// be listed again.
-	errCompacted = errors.New("state: history too old")
+	errCompacted = errors.New("state: store no longer keeps the requested changes")
 )
 
 // ConflictError is the error of a transaction that was not applied because conditions failed.
--- a/internal/state/loans_test.go
+++ b/internal/state/loans_test.go
@@ -17,7 +17,7 @@
 		use := func(budget *Budget, priority Priority) (used int) {
 			for budget.acquire(withoutWaiting(ctx), priority, 1) == nil {
 				if used++; used > 1000 {
-					t.Fatal("no bound")
+					t.Fatal("more than 1000 writes were allowed at once")
 				}
 			}
 			return used
@@ -42,7 +42,7 @@
 		}
 		alone := int(math.Floor(0.4 * writeLimit / 2 * headroom * 20))
 		if busyTotal < alone*3/2 {
-			t.Errorf("%d changes in 20 s, hardly more than its own %d", busyTotal, alone)
+			t.Errorf("%d writes in 20 s with loans, want at least one and a half times its own %d", busyTotal, alone)
 		}
 		// When the nodes can't reach one another, the loan expires and each uses only its own part.
 		time.Sleep(3 * time.Second)
@@ -52,7 +52,7 @@
 			everyTenth(func() { busyTotal += use(busy, Sheddable) })
 		}
 		if most := int(math.Floor(0.4*writeLimit/2*headroom*5)) + 2; busyTotal > most {
-			t.Errorf("%d changes in 5 s on a part of %d", busyTotal, most)
+			t.Errorf("%d writes in 5 s after the loan expired, want at most %d", busyTotal, most)
 		}
 		// The total of both nodes stays below the limit.
 		total = 0
@@ -70,7 +70,7 @@
 			})
 		}
 		if total > writeLimit*11 {
-			t.Errorf("%d changes in 10 s of a limit of %d a second", total, writeLimit)
+			t.Errorf("%d writes of both nodes in 10 s, with a limit of %d per second", total, writeLimit)
 		}
 	})
 }
--- a/internal/state/throttle_test.go
+++ b/internal/state/throttle_test.go
@@ -50,12 +50,12 @@
 		}
 		done := send(60 * time.Second)
 		if refused > 120 || done < 150 {
-			t.Errorf("%d of 300 changes were taken, %d refused by the store", done, refused)
+			t.Errorf("store executed %d of at most 300 writes and rejected %d, want at least 150 and at most 120", done, refused)
 		}
 		limit = 1000
 		send(20 * time.Second)
 		if done := send(10 * time.Second); done < 170 {
-			t.Errorf("%d changes in 10 s once it takes all again", done)
+			t.Errorf("%d writes in 10 s after the store accepts all again, want at least 170", done)
 		}
 	})
 }
--- a/internal/state/transfer_test.go
+++ b/internal/state/transfer_test.go
@@ -39,11 +39,11 @@
 		began := time.Now()
 		for i := range 7 {
 			if err := budgets[0].acquire(context.Background(), Sheddable, 1); err != nil {
-				t.Errorf("submission %d: %v", i, err)
+				t.Errorf("acquire tokens for submission %d: %v", i, err)
 			}
 		}
 		if took := time.Since(began); took > 10*time.Millisecond {
-			t.Errorf("the burst took %v", took)
+			t.Errorf("the burst took %v, want at most 10 ms", took)
 		}
 	})
 }
@@ -56,10 +56,10 @@
 			given++
 		}
 		if given != 2 {
-			t.Errorf("%d changes given away of a burst of four", given)
+			t.Errorf("%d writes of a burst of four were given away, want 2", given)
 		}
 		if budget.TransferOut(0) || budget.TransferOut(-5) {
-			t.Error("nothing or less than nothing was given")
+			t.Error("a transfer of zero or fewer writes succeeded")
 		}
 	})
 }
@@ -83,7 +83,7 @@
 		}
 		users := 35 * headroom * 0.55 // changes a second, all controllers together
 		if most := int(users*10) + 5*4; made > most {
-			t.Errorf("%d changes in 10 s, at most %d may be made", made, most)
+			t.Errorf("%d writes of all controllers in 10 s, want at most %d", made, most)
 		}
 	})
 }
@@ -98,14 +98,14 @@
 			_ = budget.acquire(withoutWaiting(context.Background()), Sheddable, 1) // only the questions count
 		}
 		if asked != 1 {
-			t.Errorf("the others were asked %d times at once", asked)
+			t.Errorf("%d transfer requests for 100 calls at once, want 1", asked)
 		}
 		time.Sleep(transferPause)
 		for range 20 {
 			_ = budget.acquire(withoutWaiting(context.Background()), Sheddable, 1) // only the questions count
 		}
 		if asked != 2 {
-			t.Errorf("%d questions after the pause", asked)
+			t.Errorf("%d transfer requests in total after transferPause, want 2", asked)
 		}
 	})
 }
--- a/internal/state/watchcache.go
+++ b/internal/state/watchcache.go
@@ -116,7 +116,7 @@
 	for ctx.Err() == nil {
 		if !m.isReady() {
 			if err := m.relist(ctx); err != nil {
-				slog.Debug("watch cache not listed", "prefix", m.prefix, "err", err)
+				slog.Debug("watch cache cannot list its keys; retrying", "prefix", m.prefix, "err", err)
 				sleep(ctx, watchRetryDelay)
 				continue
 			}
--- a/internal/state/watchcache_sync.go
+++ b/internal/state/watchcache_sync.go
@@ -155,9 +155,9 @@
 	case err != nil:
 		return err
 	case epoch < stored:
-		return fmt.Errorf("%w: changes only up to %d of %d", ErrRefused, epoch, stored)
+		return fmt.Errorf("%w: watch returned changes up to store revision %d only, want %d", ErrRefused, epoch, stored)
 	case lastRevision > 0 && !hasRevision(changes, lastRevision):
-		return fmt.Errorf("%w: changes without what is known already", ErrRefused)
+		return fmt.Errorf("%w: watch response lacks the newest change already in the cache", ErrRefused)
 	}
 	// The watch was made after the plain read, so its response includes all changes up to stored.
 	// Beyond that, only the returned changes prove how far it reaches.
--- a/internal/state/watchcache_test.go
+++ b/internal/state/watchcache_test.go
@@ -45,7 +45,7 @@
 		time.Sleep(2 * time.Second)
 		for k, want := range map[string]bool{"j/1": false, "j/10": true, "j/11": true} {
 			if _, found, ready := cache.Get(k); found != want || !ready || notified[k] != want {
-				t.Errorf("%s: found %v, told %v, want %v", k, found, notified[k], want)
+				t.Errorf("key %s: found %v, listener notified of a put %v, want both %v", k, found, notified[k], want)
 			}
 		}
 	})
@@ -69,7 +69,7 @@
 	applied.Wait()
 	cache.apply(changes+1, []Change{{Put: "j/1", Revision: changes + 1}})
 	if notified.Load() == 0 {
-		t.Error("the listener was told of nothing")
+		t.Error("the listener was not notified of any change")
 	}
 }
 
@@ -105,17 +105,17 @@
 		}
 		for range 300 {
 			if v := <-answers; v != `2` {
-				t.Fatalf("told %s after 2 was stored", v)
+				t.Fatalf("the cache returned %s after 2 was stored", v)
 			}
 		}
 		if calls > 4 {
-			t.Errorf("%d calls for 300 who asked at once", calls)
+			t.Errorf("%d calls to the store for 300 simultaneous calls of Sync, want at most 4", calls)
 		}
 		// Sync must fail during an outage, however recent the copy seems, because a watch may
 		// succeed during an outage.
 		store.SetDown(true)
 		if err := cache.Sync(ctx); err == nil {
-			t.Error("the copy passes for the store's state in an outage")
+			t.Error("Sync succeeded during an outage of the store")
 		}
 		store.SetDown(false)
 		// Changes that arrive after newer ones of the same key are ignored.
@@ -125,7 +125,7 @@
 		}
 		cache.apply(2, []Change{{Put: "j/1", Value: []byte(`2`), Revision: 2}})
 		if entry, _, _ := cache.Get("j/1"); string(entry.Value) != `3` {
-			t.Errorf("an overtaken answer took the copy back to %s", entry.Value)
+			t.Errorf("a response that arrived late reverted the copy to %s", entry.Value)
 		}
 	})
 }
@@ -164,13 +164,13 @@
 		put("j/2")
 		time.Sleep(15 * time.Second)
 		if !cache.AsOf().IsZero() {
-			t.Error("a watch alone makes the copy complete")
+			t.Error("AsOf was advanced by a watch alone")
 		}
 		// A watch without waiting does not make the copy complete either, since an outage may begin
 		// between the plain read and the watch.
 		put("j/4")
 		if err := cache.Sync(ctx); err == nil {
-			t.Error("an answer without what is known already counts as changes")
+			t.Error("Sync succeeded with a watch response that lacks the newest change already in the cache")
 		}
 		blind.Store(false)
 		began := time.Now()
@@ -178,16 +178,16 @@
 			t.Fatal(err)
 		}
 		if _, found, _ := cache.Get("j/4"); !found {
-			t.Error("a change is lost that a watch without changes passed over")
+			t.Error("a change is lost after a watch returned a newer store revision without it")
 		}
 		if cache.AsOf().Before(began) {
-			t.Error("a read does not make the copy complete")
+			t.Error("AsOf was not advanced by a successful Sync")
 		}
 		put("other/1")
 		put("j/3")
 		time.Sleep(time.Second)
 		if _, found, _ := cache.Get("j/3"); !found {
-			t.Error("changes no longer come in")
+			t.Error("the cache no longer receives changes")
 		}
 	})
 }
