--- a/internal/worker/commander_test.go
+++ b/internal/worker/commander_test.go
@@ -47,11 +47,11 @@
 				t.Errorf("%s: outcome %v, want %v", test.name, outcome, test.outcome)
 			}
 			if (report != nil) != test.withReport {
-				t.Errorf("%s: report %v", test.name, report)
+				t.Errorf("%s: unexpected presence or absence of the report: %v", test.name, report)
 			}
 		}
 		if n := machine.StartCount("job-1/0"); n != 1 {
-			t.Errorf("started %d times", n)
+			t.Errorf("task started %d times, want 1", n)
 		}
 	})
 }
--- a/internal/worker/images_test.go
+++ b/internal/worker/images_test.go
@@ -9,6 +9,6 @@
 	images.Use("a", 5, 10)
 	images.Use("c", 4, 10)
 	if !images.Has("a") || !images.Has("c") || images.Has("b") {
-		t.Errorf("holds %v", images.Names)
+		t.Errorf("the cache holds %v, want a and c", images.Names)
 	}
 }
