--- a/internal/record/assignments.go
+++ b/internal/record/assignments.go
@@ -48,7 +48,7 @@
 func (r *Record) EachAssignment(visit func(task int, location Location)) {
 	for i := range r.Assignments {
 		if err := r.Assignments[i].each(visit); err != nil {
-			slog.Error("unreadable assignment", "job", r.Spec.ID, "err", err)
+			slog.Error("stored assignments are malformed; skipping the rest of their group", "job", r.Spec.ID, "err", err)
 		}
 	}
 }
@@ -70,7 +70,7 @@
 	head, list, found := strings.Cut(entry, ":")
 	parts := strings.Split(head, "/")
 	if !found || len(parts) > maxEntryParts {
-		return location, tasks, fmt.Errorf("not an assignment: %.80q", entry)
+		return location, tasks, fmt.Errorf("malformed assignment entry: %.80q", entry)
 	}
 	location = Location{
 		Machine:      ids.Machine(g.Prefix + parts[0]),
--- a/internal/record/assignments_test.go
+++ b/internal/record/assignments_test.go
@@ -25,12 +25,12 @@
 	found := map[int]Location{}
 	stored.EachAssignment(func(task int, location Location) {
 		if _, twice := found[task]; twice {
-			t.Errorf("task %d is read back twice", task)
+			t.Errorf("task %d is decoded twice", task)
 		}
 		found[task] = location
 	})
 	if stored.AssignedTasks() != len(found) {
-		t.Errorf("%d tasks are assigned, %d are counted", len(found), stored.AssignedTasks())
+		t.Errorf("%d tasks are assigned, but AssignedTasks returns %d", len(found), stored.AssignedTasks())
 	}
 	return found
 }
@@ -58,14 +58,14 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := string(marshal(t, GroupAssignments(c.assignments))); got != c.want {
-				t.Errorf("stored as\n%s, not\n%s", got, c.want)
+				t.Errorf("encoded as\n%s, want\n%s", got, c.want)
 			}
 			want := map[int]Location{}
 			for _, assignment := range c.assignments {
 				want[assignment.Task] = assignment.At
 			}
 			if found := storedAndReadBack(t, c.assignments); !reflect.DeepEqual(found, want) {
-				t.Errorf("read back as %v, not %v", found, want)
+				t.Errorf("decoded as %v, want %v", found, want)
 			}
 		})
 	}
@@ -86,7 +86,7 @@
 			want[task] = assignment.At
 		}
 		if found := storedAndReadBack(t, assignments); !reflect.DeepEqual(found, want) {
-			t.Fatalf("seed %d: read back as %v, not %v", seed, found, want)
+			t.Fatalf("seed %d: decoded as %v, want %v", seed, found, want)
 		}
 	}
 }
@@ -100,7 +100,7 @@
 	}
 	groups := GroupAssignments(assignments)
 	if stored, estimate := len(marshal(t, groups)), AssignmentsSize(groups); estimate < stored || estimate > stored+groupOverheadBytes {
-		t.Errorf("%d bytes are estimated as %d", stored, estimate)
+		t.Errorf("the size of %d bytes is estimated as %d", stored, estimate)
 	}
 }
 
@@ -110,7 +110,7 @@
 		var tasks []int
 		r.EachAssignment(func(task int, _ Location) { tasks = append(tasks, task) })
 		if !reflect.DeepEqual(tasks, []int{0, 3}) {
-			t.Errorf("%q: tasks %v are read", entries, tasks)
+			t.Errorf("entry %q: decoded tasks %v, want 0 and 3", entries, tasks)
 		}
 	}
 }
@@ -125,9 +125,9 @@
 		`"places":[{"g":3,"s":4,"a":2,"p":"m-1","b":1,"on":":0"}],"trail":[{"at":12,"what":"accepted"}],"failedOn":1,` +
 		`"evictions":[{"by":"drain","wave":1,"a":2,"tasks":"1"}],"cancelledBy":"job-0","writer":"w","seq":5}`
 	if got := string(marshal(t, r)); got != want {
-		t.Errorf("stored as\n%s, not\n%s", got, want)
+		t.Errorf("encoded as\n%s, want\n%s", got, want)
 	}
 	if back, err := Decode(json.RawMessage(want)); err != nil || !reflect.DeepEqual(*back, r) {
-		t.Errorf("read back as %+v, %v", back, err)
+		t.Errorf("decoded as %+v, error %v", back, err)
 	}
 }
--- a/internal/record/cancellation.go
+++ b/internal/record/cancellation.go
@@ -49,7 +49,7 @@
 		return Cancellation{}, err
 	}
 	if len(list) != 1 {
-		return Cancellation{}, fmt.Errorf("not a cancellation: %.80q", raw)
+		return Cancellation{}, fmt.Errorf("malformed cancellation, want a JSON list of one element: %.80q", raw)
 	}
 	return list[0], nil
 }
--- a/internal/record/encoding_test.go
+++ b/internal/record/encoding_test.go
@@ -53,18 +53,18 @@
 	} {
 		raw, ok := recordWith(20, 10, 4).Encode(c.limit)
 		if !ok || len(raw) > c.limit {
-			t.Fatalf("limit %d: %d bytes, %v", c.limit, len(raw), ok)
+			t.Fatalf("limit %d: encoded in %d bytes, fits: %v", c.limit, len(raw), ok)
 		}
 		stored := decoded(t, raw)
 		if len(stored.Spec.DependsOn) != c.dependencies || len(stored.Events) != c.events {
-			t.Errorf("limit %d: %d dependencies and %d events stay", c.limit, len(stored.Spec.DependsOn), len(stored.Events))
+			t.Errorf("limit %d: %d dependencies and %d events were kept", c.limit, len(stored.Spec.DependsOn), len(stored.Events))
 		}
 		if c.events > 0 && stored.Events[c.events-1].Message != "event 9" {
 			t.Errorf("limit %d: the last event is %q", c.limit, stored.Events[c.events-1].Message)
 		}
 	}
 	if raw, ok := recordWith(20, 10, 4).Encode(least - 1); ok || raw != nil {
-		t.Errorf("%q is stored though it does not fit", raw)
+		t.Errorf("Encode returned %q for a limit that it does not fit", raw)
 	}
 }
 
@@ -89,22 +89,22 @@
 		t.Run(c.name, func(t *testing.T) {
 			raw, ok := r.EncodeFinal(c.limit)
 			if !ok || len(raw) > c.limit {
-				t.Fatalf("%d bytes, %v", len(raw), ok)
+				t.Fatalf("encoded in %d bytes, fits: %v", len(raw), ok)
 			}
 			stored := decoded(t, raw)
 			if len(stored.Spec.DependsOn) != c.dependencies || stored.Finished.SpanCount() != c.spans || stored.Finished.Len() != 200 {
-				t.Errorf("%d dependencies and %d tasks in %d spans stay", len(stored.Spec.DependsOn), stored.Finished.Len(), stored.Finished.SpanCount())
+				t.Errorf("%d dependencies and %d done tasks in %d spans were kept", len(stored.Spec.DependsOn), stored.Finished.Len(), stored.Finished.SpanCount())
 			}
 			if len(stored.Evictions) > 0 {
-				t.Errorf("evictions %v stay", stored.Evictions)
+				t.Errorf("evictions %v were kept in a final record", stored.Evictions)
 			}
 			if more := len(stored.Events) > 1; more != c.moreEvents || stored.Events[len(stored.Events)-1].Message != "event 9" {
-				t.Errorf("events %v stay", stored.Events)
+				t.Errorf("events %v were kept", stored.Events)
 			}
 		})
 	}
 	if raw, ok := r.EncodeFinal(100); ok {
-		t.Errorf("%q is stored though it does not fit", raw)
+		t.Errorf("EncodeFinal returned %q for a limit that it does not fit", raw)
 	}
 	if after := string(marshal(t, r)); after != before {
 		t.Errorf("encoding changed the record from\n%s to\n%s", before, after)
@@ -128,20 +128,20 @@
 			want := r.Spec.DependsOn
 			raw, ok := r.EncodeWaiting(c.limit)
 			if !ok || len(raw) > c.limit {
-				t.Fatalf("%d bytes, %v", len(raw), ok)
+				t.Fatalf("encoded in %d bytes, fits: %v", len(raw), ok)
 			}
 			if packed := strings.Contains(string(raw), `,"job-77000:`); packed != c.packed {
-				t.Errorf("packed: %v in %s", packed, raw)
+				t.Errorf("names packed: %v in %s", packed, raw)
 			}
 			if _, err := Decode(raw); err == nil {
-				t.Error("versions from before dependencies can read it")
+				t.Error("versions without dependencies can decode the record of a waiting job")
 			}
 			back, err := DecodeWaiting(raw)
 			if err != nil {
 				t.Fatal(err)
 			}
 			if !reflect.DeepEqual(back.Spec.DependsOn, want) || len(back.Events) != c.events {
-				t.Errorf("read back with dependencies %v and %d events", back.Spec.DependsOn, len(back.Events))
+				t.Errorf("decoded with dependencies %v and %d events", back.Spec.DependsOn, len(back.Events))
 			}
 			if len(r.Spec.DependsOn) != 100 || len(r.Events) != 11 {
 				t.Errorf("encoding left %d dependencies and %d events in the record", len(r.Spec.DependsOn), len(r.Events))
@@ -149,14 +149,14 @@
 		})
 	}
 	if raw, ok := recordWith(100, 10, 4).EncodeWaiting(400); ok {
-		t.Errorf("%q is stored though it does not fit", raw)
+		t.Errorf("EncodeWaiting returned %q for a limit that it does not fit", raw)
 	}
 }
 
 func TestOtherRecordsAreRefusedAsWaitingRecords(t *testing.T) {
 	for _, raw := range []string{``, `{}`, `[]`, `[null]`, `[1]`, `[{},"job-:1",2]`, `[{},1]`, `"x"`} {
 		if r, err := DecodeWaiting(json.RawMessage(raw)); err == nil {
-			t.Errorf("%s is read as %+v", raw, r)
+			t.Errorf("malformed record %s is decoded as %+v", raw, r)
 		}
 	}
 }
@@ -173,10 +173,10 @@
 	} {
 		packed := packNames(c.names)
 		if packed != c.packed {
-			t.Errorf("%v is packed as %q, not %q", c.names, packed, c.packed)
+			t.Errorf("names %v are packed as %q, want %q", c.names, packed, c.packed)
 		}
 		if back := unpackNames(packed); !reflect.DeepEqual(back, c.names) {
-			t.Errorf("%q is read back as %v, not %v", packed, back, c.names)
+			t.Errorf("%q is unpacked as %v, want %v", packed, back, c.names)
 		}
 	}
 }
@@ -185,14 +185,14 @@
 	cancellation := Cancellation{At: 5, Writer: "w"}
 	raw := cancellation.Encode()
 	if string(raw) != `[{"at":5,"writer":"w"}]` {
-		t.Errorf("stored as %s", raw)
+		t.Errorf("cancellation encoded as %s", raw)
 	}
 	if back, err := DecodeCancellation(raw); err != nil || back != cancellation {
-		t.Errorf("read back as %+v, %v", back, err)
+		t.Errorf("cancellation decoded as %+v, error %v", back, err)
 	}
 	for _, bad := range []string{``, `{}`, `[]`, `[{},{}]`} {
 		if back, err := DecodeCancellation(json.RawMessage(bad)); err == nil {
-			t.Errorf("%s is read as %+v", bad, back)
+			t.Errorf("malformed cancellation %s is decoded as %+v", bad, back)
 		}
 	}
 }
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -17,11 +17,11 @@
 	want := `{"id":"job-1","class":"c","team":"red","shape":"gang","priority":2,"tasks":2,"need":` + string(marshal(t, spec.Resources)) +
 		`,"image":"i","imageGb":2,"types":["t"],"zone":"z","oneZone":true,"spread":true,"spot":true,"estimate":3,"checkpoint":4,"save":5,"due":6}`
 	if got := string(marshal(t, spec)); got != want {
-		t.Errorf("stored as\n%s, not\n%s", got, want)
+		t.Errorf("encoded as\n%s, want\n%s", got, want)
 	}
 	var back Spec
 	if err := json.Unmarshal([]byte(want), &back); err != nil || !reflect.DeepEqual(back, spec) {
-		t.Errorf("read back as %+v, %v", back, err)
+		t.Errorf("decoded as %+v, error %v", back, err)
 	}
 }
 
--- a/internal/record/waiting.go
+++ b/internal/record/waiting.go
@@ -44,7 +44,7 @@
 	}
 	var r *Record
 	if len(parts) == 0 || len(parts) > 2 || json.Unmarshal(parts[0], &r) != nil || r == nil {
-		return nil, fmt.Errorf("not the record of a job that waits: %.80q", raw)
+		return nil, fmt.Errorf("malformed record of a job with unfinished dependencies: %.80q", raw)
 	}
 	if len(parts) == 2 {
 		var names string
