--- a/internal/state/acquire.go
+++ b/internal/state/acquire.go
@@ -35,11 +35,11 @@
 
 // tokenRequest is a call's request for tokens, which may be tried several times.
 type tokenRequest struct {
-	priority Priority
-	cost     cost
-	deadline time.Time
-	retried  bool         // whether it was tried before
-	queuedAt *tokenBucket // the bucket that it waits for; nil while it does not wait
+	priority  Priority
+	cost      cost
+	deadline  time.Time
+	attempted bool         // whether it was tried before
+	queuedAt  *tokenBucket // the bucket that it waits for; nil while it does not wait
 }
 
 // enqueue adds the request's cost to the queue of a bucket.
@@ -96,14 +96,14 @@
 	b.refreshRates(time.Now())
 	bucket, reserved := b.bucketFor(request)
 	var ahead cost
-	if !request.retried && request.priority == Sheddable {
+	if !request.attempted && request.priority == Sheddable {
 		ahead = bucket.queued
 	}
-	wait = bucket.waitFor(request.cost, ahead, reserved)
-	if !request.retried {
-		b.noteDemand(request, bucket, wait > 0)
+	wait = bucket.waitTime(request.cost, ahead, reserved)
+	if !request.attempted {
+		b.recordDemand(request, bucket, wait > 0)
 	}
-	request.retried = true
+	request.attempted = true
 	if wait <= 0 {
 		bucket.spend(request.cost)
 		return 0, true
@@ -119,24 +119,24 @@
 func (b *Budget) bucketFor(request *tokenRequest) (bucket *tokenBucket, reserved float64) {
 	reserved = reserves[request.priority]
 	if request.priority != Sheddable || !b.isLeader() {
-		return b.primary(), reserved
+		return b.primaryBucket(), reserved
 	}
 	// The leader's writes must not starve its users' calls. Users have a bucket of their own and
 	// may use tokens that the leader does not need.
-	if b.users.waitFor(request.cost, cost{}, reserved) > 0 && b.leader.waitFor(request.cost, cost{}, leaderReserve) <= 0 {
-		return &b.leader, leaderReserve
+	if b.userBucket.waitTime(request.cost, cost{}, reserved) > 0 && b.leaderBucket.waitTime(request.cost, cost{}, leaderReserve) <= 0 {
+		return &b.leaderBucket, leaderReserve
 	}
-	return &b.users, reserved
+	return &b.userBucket, reserved
 }
 
-// noteDemand records on the request's own bucket how many writes were requested and whether tokens
+// recordDemand records on the request's own bucket how many writes were requested and whether tokens
 // were missing. Users' requests count on the users' bucket even if the leader's bucket serves them.
-func (b *Budget) noteDemand(request *tokenRequest, bucket *tokenBucket, short bool) {
+func (b *Budget) recordDemand(request *tokenRequest, bucket *tokenBucket, shortfall bool) {
 	if request.priority == Sheddable {
-		bucket = &b.users
+		bucket = &b.userBucket
 	}
-	bucket.askedWrites += request.cost.writes
-	if short && request.cost.writes > 0 {
+	bucket.requestedWrites += request.cost.writes
+	if shortfall && request.cost.writes > 0 {
 		bucket.shortfalls++
 	}
 }
--- a/internal/state/acquire_test.go
+++ b/internal/state/acquire_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-func TestUrgentCallsComeFirstAndUsersCallsAreShedAtOnce(t *testing.T) {
+func TestUrgentCallsGoFirstAndSheddableCallsAreRejectedImmediately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := context.Background()
 		_, _, client := newClientWithBudget(NewBudget(20, 10, 1, 0.6))
@@ -46,8 +46,8 @@
 	})
 }
 
-// withoutWaiting returns a cancelled context, with which no call waits for tokens.
-func withoutWaiting(ctx context.Context) context.Context {
+// cancelledContext returns a cancelled context, with which no call waits for tokens.
+func cancelledContext(ctx context.Context) context.Context {
 	ctx, cancel := context.WithCancel(ctx)
 	cancel()
 	return ctx
--- a/internal/state/bucket.go
+++ b/internal/state/bucket.go
@@ -28,13 +28,14 @@
 
 	// The rate that this node lacks is computed from the writes requested since demandSince,
 	// including rejected ones.
-	askedWrites float64
-	shortfalls  int // calls for which tokens were missing
-	demandSince time.Time
-	demandRate  float64 // requested writes per second; decays slowly
+	requestedWrites float64
+	shortfalls      int // calls for which tokens were missing
+	demandSince     time.Time
+	demandRate      float64 // requested writes per second; decays slowly
 }
 
-// newTokenBucket returns a full bucket. Its burst is one second of its rates, which the store allows.
+// newTokenBucket returns a full bucket. It allows bursts of one second's worth of tokens, as the store's
+// limits do.
 func newTokenBucket(calls, writes float64, now time.Time) tokenBucket {
 	return tokenBucket{
 		calls:       rate.NewLimiter(rate.Limit(calls), burstOf(calls)),
@@ -81,23 +82,23 @@
 	}
 }
 
-// empty discards all tokens.
-func (t *tokenBucket) empty(now time.Time) {
+// discardTokens takes all tokens.
+func (t *tokenBucket) discardTokens(now time.Time) {
 	t.calls.AllowN(now, int(t.calls.TokensAt(now)))
 	t.writes.AllowN(now, int(t.writes.TokensAt(now)))
 }
 
-// waitFor returns the time until the tokens for wanted are available behind the queued cost ahead,
+// waitTime returns the time until the tokens for wanted are available behind the queued cost ahead,
 // without using the reserved share of the bucket; 0 if they are available now.
-func (t *tokenBucket) waitFor(wanted, ahead cost, reserved float64) time.Duration {
-	wait := waitForTokens(t.calls, wanted.calls, ahead.calls, reserved)
+func (t *tokenBucket) waitTime(wanted, ahead cost, reserved float64) time.Duration {
+	wait := tokenWaitTime(t.calls, wanted.calls, ahead.calls, reserved)
 	if wanted.writes > 0 {
-		wait = max(wait, waitForTokens(t.writes, wanted.writes, ahead.writes, reserved))
+		wait = max(wait, tokenWaitTime(t.writes, wanted.writes, ahead.writes, reserved))
 	}
 	return wait
 }
 
-func waitForTokens(limiter *rate.Limiter, wanted, ahead, reserved float64) time.Duration {
+func tokenWaitTime(limiter *rate.Limiter, wanted, ahead, reserved float64) time.Duration {
 	burst := float64(limiter.Burst())
 	missing := min(wanted+reserved*burst, burst) + ahead - limiter.Tokens()
 	if missing <= 0 {
--- a/internal/state/budget.go
+++ b/internal/state/budget.go
@@ -14,20 +14,20 @@
 	callLimit, writeLimit float64
 	leaderShare           share // part of the limits for the leader's own work
 	nodeShare             share // part of the limits for each node's users and its maintenance
-	// transferFrom asks the other controllers for writes; nil if there are none. It is set before
+	// requestTransfer asks the other controllers for writes; nil if there are none. It is set before
 	// the first call.
-	transferFrom RequestTransfer
+	requestTransfer TransferFunc
 
 	// mu guards the fields below and the buckets. It is held for computations only: code that
 	// holds it neither blocks nor takes another lock.
-	mu        sync.Mutex
-	users     tokenBucket
-	leader    tokenBucket
-	ledShards int // number of shards that this node leads
-	shards    int // number of all shards
-	loans     []loan
-	throttle  throttle
-	throttled bool // whether the rates are still reduced by throttle
+	mu           sync.Mutex
+	userBucket   tokenBucket
+	leaderBucket tokenBucket
+	ledShards    int // number of shards that this node leads
+	shards       int // number of all shards
+	loans        []loan
+	throttle     throttle
+	throttled    bool // whether the rates are still reduced by throttle
 	// noTransferUntil is the time before which the other controllers are not asked for writes.
 	noTransferUntil time.Time
 }
@@ -59,8 +59,8 @@
 		nodeShare:   share{(1 - leaderCalls) / float64(controllers), (1 - leaderShare) / float64(controllers)},
 	}
 	now := time.Now()
-	b.users = newTokenBucket(b.callLimit*b.nodeShare.calls, b.writeLimit*b.nodeShare.writes, now)
-	b.leader = newTokenBucket(b.callLimit*b.leaderShare.calls, b.writeLimit*b.leaderShare.writes, now)
+	b.userBucket = newTokenBucket(b.callLimit*b.nodeShare.calls, b.writeLimit*b.nodeShare.writes, now)
+	b.leaderBucket = newTokenBucket(b.callLimit*b.leaderShare.calls, b.writeLimit*b.leaderShare.writes, now)
 	return b
 }
 
@@ -91,7 +91,7 @@
 		return
 	}
 	part := float64(max(1, b.ledShards)) / float64(b.shards)
-	b.leader.resize(time.Now(), b.callLimit*b.leaderShare.calls*part, b.writeLimit*b.leaderShare.writes*part)
+	b.leaderBucket.resize(time.Now(), b.callLimit*b.leaderShare.calls*part, b.writeLimit*b.leaderShare.writes*part)
 }
 
 // isLeader reports whether this node leads any shard.
@@ -101,7 +101,7 @@
 func (b *Budget) WriteBurst() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.primary().writes.Burst()
+	return b.primaryBucket().writes.Burst()
 }
 
 // RetryAfter returns the time after which a rejected user should retry.
@@ -111,28 +111,28 @@
 func (b *Budget) NearlyExhausted() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	writes := b.primary().writes
+	writes := b.primaryBucket().writes
 	return writes.Tokens() < nearlyExhausted*float64(writes.Burst())
 }
 
-// primary returns the bucket for all calls that are not made for users.
-func (b *Budget) primary() *tokenBucket {
+// primaryBucket returns the bucket for all calls that are not made for users.
+func (b *Budget) primaryBucket() *tokenBucket {
 	if b.isLeader() {
-		return &b.leader
+		return &b.leaderBucket
 	}
-	return &b.users
+	return &b.userBucket
 }
 
-// active returns the buckets that this node may use now.
-func (b *Budget) active() []*tokenBucket {
+// activeBuckets returns the buckets that this node may use now.
+func (b *Budget) activeBuckets() []*tokenBucket {
 	if b.isLeader() {
-		return []*tokenBucket{&b.users, &b.leader}
+		return []*tokenBucket{&b.userBucket, &b.leaderBucket}
 	}
-	return []*tokenBucket{&b.users}
+	return []*tokenBucket{&b.userBucket}
 }
 
-// all returns both buckets, whether this node leads a shard or not.
-func (b *Budget) all() []*tokenBucket { return []*tokenBucket{&b.users, &b.leader} }
+// buckets returns both buckets, whether this node leads a shard or not.
+func (b *Budget) buckets() []*tokenBucket { return []*tokenBucket{&b.userBucket, &b.leaderBucket} }
 
 // refreshRates removes expired loans and sets the rates of the buckets by the remaining loans and the
 // throttle.
@@ -143,9 +143,9 @@
 	fraction := b.throttle.fractionAt(now)
 	b.throttled = fraction < 1
 	balance := b.dropExpiredLoans(now)
-	for _, bucket := range b.all() {
+	for _, bucket := range b.buckets() {
 		writes := bucket.baseWrites
-		if bucket == b.primary() {
+		if bucket == b.primaryBucket() {
 			writes = max(minWriteRate, writes+balance)
 		}
 		bucket.setRates(now, bucket.baseCalls*fraction, writes*fraction)
--- a/internal/state/client.go
+++ b/internal/state/client.go
@@ -21,8 +21,8 @@
 	"github.com/pebbletrail/pebbletrail/internal/measure"
 )
 
-// CallTimeout is the timeout of all calls except listings and watches. A call over a broken
-// connection hangs.
+// CallTimeout is the timeout of all calls except listings and watches. Without it, a call over a broken
+// connection would hang.
 const CallTimeout = 2 * time.Second
 
 // longCallTimeout is the timeout of one page of a listing, and the time that a watch may take beyond
@@ -71,19 +71,20 @@
 	return entry, err == nil && status == http.StatusOK, err
 }
 
-// currentEpoch returns the store's current revision.
-func (c *Client) currentEpoch(ctx context.Context) (ids.StoreRevision, error) {
+// currentRevision returns the store's current revision.
+func (c *Client) currentRevision(ctx context.Context) (ids.StoreRevision, error) {
 	if err := c.budget.acquire(ctx, Normal, 0); err != nil {
 		return 0, err
 	}
-	var answer epochAnswer
-	status, err := c.call(ctx, CallTimeout, http.MethodGet, "/kv/"+absentKey, nil, &answer)
-	return answer.Epoch, requireStatus(http.StatusNotFound, status, err)
+	var result revisionResponse
+	status, err := c.call(ctx, CallTimeout, http.MethodGet, "/kv/"+absentKey, nil, &result)
+	return result.StoreRevision, requireStatus(http.StatusNotFound, status, err)
 }
 
 // List reads a page of at most limit keys below a prefix, in order of keys; after is the last key of the
-// previous page. more is true if there is another page, and epoch is the store's revision at the read.
-func (c *Client) List(ctx context.Context, prefix, after string, limit int, priority Priority) (entries []Entry, more bool, epoch ids.StoreRevision, err error) {
+// previous page. more is true if there is another page, and storeRevision is the store's revision at the
+// read.
+func (c *Client) List(ctx context.Context, prefix, after string, limit int, priority Priority) (entries []Entry, more bool, storeRevision ids.StoreRevision, err error) {
 	if err := c.budget.acquire(ctx, priority, 0); err != nil {
 		return nil, false, 0, err
 	}
@@ -91,28 +92,28 @@
 	if after != "" {
 		query.Set("after", after)
 	}
-	var answer listAnswer
-	status, err := c.call(ctx, longCallTimeout, http.MethodGet, "/kv?"+query.Encode(), nil, &answer)
-	return answer.Entries, answer.More, answer.Epoch, requireStatus(http.StatusOK, status, err)
+	var result listResponse
+	status, err := c.call(ctx, longCallTimeout, http.MethodGet, "/kv?"+query.Encode(), nil, &result)
+	return result.Entries, result.More, result.StoreRevision, requireStatus(http.StatusOK, status, err)
 }
 
 // ListAll reads all entries below a prefix, page by page. It returns the store revision of the first page,
 // so that a watch from that revision misses no change.
 func (c *Client) ListAll(ctx context.Context, prefix string, priority Priority) ([]Entry, ids.StoreRevision, error) {
 	var all []Entry
-	var firstEpoch ids.StoreRevision
+	var firstRevision ids.StoreRevision
 	after := ""
 	for page := 0; ; page++ {
-		entries, more, epoch, err := c.List(ctx, prefix, after, listPageSize, priority)
+		entries, more, storeRevision, err := c.List(ctx, prefix, after, listPageSize, priority)
 		if err != nil {
 			return nil, 0, err
 		}
 		if page == 0 {
-			firstEpoch = epoch
+			firstRevision = storeRevision
 		}
 		all = append(all, entries...)
 		if !more || len(entries) == 0 {
-			return all, firstEpoch, nil
+			return all, firstRevision, nil
 		}
 		after = entries[len(entries)-1].Key
 	}
@@ -124,15 +125,15 @@
 	if err := c.budget.acquire(ctx, priority, len(txn.Ops)); err != nil {
 		return 0, err
 	}
-	var answer commitAnswer
-	status, err := c.call(ctx, CallTimeout, http.MethodPost, "/commit", txn, &answer)
+	var result commitResponse
+	status, err := c.call(ctx, CallTimeout, http.MethodPost, "/commit", txn, &result)
 	if err == nil && status == http.StatusConflict {
-		return 0, &ConflictError{FailedKeys: answer.FailedKeys, Epoch: answer.Epoch}
+		return 0, &ConflictError{FailedKeys: result.FailedKeys, StoreRevision: result.StoreRevision}
 	}
 	if err := requireStatus(http.StatusOK, status, err); err != nil {
 		return 0, err
 	}
-	return answer.Epoch, nil
+	return result.StoreRevision, nil
 }
 
 // watchChanges waits at most the given time for changes below a prefix after a store revision. It returns
@@ -146,15 +147,15 @@
 		"after":  {strconv.FormatUint(uint64(after), 10)},
 		"holdMs": {strconv.FormatInt(wait.Milliseconds(), 10)},
 	}
-	var answer watchAnswer
-	status, err := c.call(ctx, wait+longCallTimeout, http.MethodGet, watchPath+"?"+query.Encode(), nil, &answer)
+	var result watchResponse
+	status, err := c.call(ctx, wait+longCallTimeout, http.MethodGet, watchPath+"?"+query.Encode(), nil, &result)
 	if err == nil && status == http.StatusGone {
 		return 0, nil, errCompacted
 	}
 	if err := requireStatus(http.StatusOK, status, err); err != nil {
 		return 0, nil, err
 	}
-	return answer.Epoch, answer.Changes, nil
+	return result.StoreRevision, result.Changes, nil
 }
 
 // requireStatus returns ErrOutcomeUnknown if a call succeeded with another status than the only valid
@@ -166,9 +167,9 @@
 	return err
 }
 
-// call makes one call and decodes the response body into answer. It returns the status if the store
+// call makes one call and decodes the response body into result. It returns the status if the store
 // executed the call and the caller can use the response: 200, 404, 409 or 410.
-func (c *Client) call(ctx context.Context, timeout time.Duration, method, path string, body, answer any) (status int, err error) {
+func (c *Client) call(ctx context.Context, timeout time.Duration, method, path string, body, result any) (status int, err error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	purpose, _, _ := strings.Cut(strings.TrimPrefix(path, "/"), "?")
@@ -188,10 +189,10 @@
 	if !strings.HasPrefix(path, watchPath) {
 		// A watch may return 200 during an outage, so it does not prove that the store is
 		// healthy.
-		c.noteSuccess()
+		c.recordSuccess()
 	}
-	if answer != nil && response.Status != http.StatusGone {
-		if err := json.Unmarshal(response.Body, answer); err != nil && response.Status == http.StatusOK {
+	if result != nil && response.Status != http.StatusGone {
+		if err := json.Unmarshal(response.Body, result); err != nil && response.Status == http.StatusOK {
 			return 0, fmt.Errorf("%w: decode response: %v", ErrOutcomeUnknown, err)
 		}
 	}
@@ -205,7 +206,7 @@
 	case http.StatusOK, http.StatusNotFound, http.StatusConflict, http.StatusGone:
 		return nil
 	case http.StatusTooManyRequests:
-		c.budget.slowDown()
+		c.budget.reduceRates()
 		return fmt.Errorf("%w: too many calls or writes, response status %d", ErrRefused, response.Status)
 	case http.StatusServiceUnavailable:
 		return fmt.Errorf("%w: store unavailable, response status %d", ErrRefused, response.Status)
--- a/internal/state/client_test.go
+++ b/internal/state/client_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-func TestClientTellsOutcomesOfCallsApart(t *testing.T) {
+func TestClientDistinguishesOutcomesOfCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := context.Background()
 		network, store, client := newClient()
--- a/internal/state/errors.go
+++ b/internal/state/errors.go
@@ -30,8 +30,8 @@
 type ConflictError struct {
 	// FailedKeys holds the keys whose conditions failed.
 	FailedKeys []string
-	// Epoch is the store's revision at the check of the conditions.
-	Epoch ids.StoreRevision
+	// StoreRevision is the store's revision at the check of the conditions.
+	StoreRevision ids.StoreRevision
 }
 
 func (c *ConflictError) Error() string {
--- a/internal/state/health.go
+++ b/internal/state/health.go
@@ -16,7 +16,7 @@
 	probeCheckInterval = 500 * time.Millisecond
 )
 
-func (c *Client) noteSuccess() { c.lastSuccess.Store(int64(time.Since(c.start))) }
+func (c *Client) recordSuccess() { c.lastSuccess.Store(int64(time.Since(c.start))) }
 
 // SinceSuccess returns the time since the last successful call; ok is false if there was none.
 func (c *Client) SinceSuccess() (age time.Duration, ok bool) {
--- a/internal/state/lease.go
+++ b/internal/state/lease.go
@@ -15,9 +15,9 @@
 	if err := c.budget.acquire(ctx, Urgent, 0); err != nil {
 		return 0, err
 	}
-	var answer leaseAnswer
-	status, err := c.call(ctx, CallTimeout, http.MethodPost, "/holds", map[string]int64{"lifeMs": ttl.Milliseconds()}, &answer)
-	return answer.Lease, requireStatus(http.StatusOK, status, err)
+	var result leaseResponse
+	status, err := c.call(ctx, CallTimeout, http.MethodPost, "/holds", map[string]int64{"lifeMs": ttl.Milliseconds()}, &result)
+	return result.Lease, requireStatus(http.StatusOK, status, err)
 }
 
 // RenewLease extends a lease to its full time to live. It returns ErrNoLease if the lease has expired.
--- a/internal/state/loans.go
+++ b/internal/state/loans.go
@@ -49,9 +49,9 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	wanted, now := 0.0, time.Now()
-	for _, bucket := range b.active() {
+	for _, bucket := range b.activeBuckets() {
 		margin := userDemandMargin
-		if bucket == &b.leader {
+		if bucket == &b.leaderBucket {
 			margin = leaderDemandMargin
 		}
 		wanted += bucket.sampleDemand(now, margin)
@@ -63,8 +63,8 @@
 // the demand since the last sample, and starts a new sample.
 func (t *tokenBucket) sampleDemand(now time.Time, margin float64) float64 {
 	elapsed := max(minDemandPeriod, now.Sub(t.demandSince).Seconds())
-	t.demandRate = max(t.askedWrites/elapsed, demandDecay*t.demandRate)
-	t.askedWrites, t.demandSince = 0, now
+	t.demandRate = max(t.requestedWrites/elapsed, demandDecay*t.demandRate)
+	t.requestedWrites, t.demandSince = 0, now
 	extra := margin*t.demandRate - t.baseWrites
 	if t.shortfalls > 0 {
 		extra = max(extra, t.baseWrites)
@@ -83,7 +83,7 @@
 	defer b.mu.Unlock()
 	now := time.Now()
 	b.refreshRates(now)
-	lent := min(wanted, b.primary().spareRate(now))
+	lent := min(wanted, b.primaryBucket().spareRate(now))
 	if lent < minLoan {
 		return 0
 	}
@@ -125,13 +125,13 @@
 // dropExpiredLoans removes expired loans and returns the balance of the others in writes per second:
 // above zero if more is borrowed than lent.
 func (b *Budget) dropExpiredLoans(now time.Time) (balance float64) {
-	running := b.loans[:0]
+	remaining := b.loans[:0]
 	for _, l := range b.loans {
 		if now.Before(l.endsAt) {
-			running = append(running, l)
+			remaining = append(remaining, l)
 			balance += l.writeRate
 		}
 	}
-	b.loans = running
+	b.loans = remaining
 	return balance
 }
--- a/internal/state/messages.go
+++ b/internal/state/messages.go
@@ -58,31 +58,31 @@
 	return c.Remove
 }
 
-// epochAnswer is the response to a read of a key that does not exist.
-type epochAnswer struct {
-	Epoch ids.StoreRevision `json:"epoch"`
+// revisionResponse is the response to a read of a key that does not exist.
+type revisionResponse struct {
+	StoreRevision ids.StoreRevision `json:"epoch"`
 }
 
-// listAnswer is the response to a listing: one page of entries.
-type listAnswer struct {
-	Entries []Entry           `json:"entries"`
-	More    bool              `json:"more"`
-	Epoch   ids.StoreRevision `json:"epoch"`
+// listResponse is the response to a listing: one page of entries.
+type listResponse struct {
+	Entries       []Entry           `json:"entries"`
+	More          bool              `json:"more"`
+	StoreRevision ids.StoreRevision `json:"epoch"`
 }
 
-// commitAnswer is the response to a transaction, whether it was applied or not.
-type commitAnswer struct {
-	Epoch      ids.StoreRevision `json:"epoch"`
-	FailedKeys []string          `json:"failed"`
+// commitResponse is the response to a transaction, whether it was applied or not.
+type commitResponse struct {
+	StoreRevision ids.StoreRevision `json:"epoch"`
+	FailedKeys    []string          `json:"failed"`
 }
 
-// leaseAnswer is the response to the creation of a lease.
-type leaseAnswer struct {
+// leaseResponse is the response to the creation of a lease.
+type leaseResponse struct {
 	Lease ids.Lease `json:"permit"`
 }
 
-// watchAnswer is the response to a watch: the changes after the requested store revision.
-type watchAnswer struct {
-	Epoch   ids.StoreRevision `json:"epoch"`
-	Changes []Change          `json:"news"`
+// watchResponse is the response to a watch: the changes after the requested store revision.
+type watchResponse struct {
+	StoreRevision ids.StoreRevision `json:"epoch"`
+	Changes       []Change          `json:"news"`
 }
--- a/internal/state/throttle.go
+++ b/internal/state/throttle.go
@@ -38,9 +38,9 @@
 	return true
 }
 
-// slowDown lowers the rates and discards all saved tokens after the store rejected a call because there
+// reduceRates lowers the rates and discards all saved tokens after the store rejected a call because there
 // were too many.
-func (b *Budget) slowDown() {
+func (b *Budget) reduceRates() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := time.Now()
@@ -49,7 +49,7 @@
 	}
 	b.throttled = true
 	b.refreshRates(now)
-	for _, bucket := range b.all() {
-		bucket.empty(now)
+	for _, bucket := range b.buckets() {
+		bucket.discardTokens(now)
 	}
 }
--- a/internal/state/throttle_test.go
+++ b/internal/state/throttle_test.go
@@ -12,7 +12,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/fake"
 )
 
-func TestRefusalForTooManyChangesSlowsTheSenderAtOnce(t *testing.T) {
+func TestTooManyRequestsResponseLowersRateImmediately(t *testing.T) {
 	// Guards against a node that does not lower its rate when the store accepts less than its
 	// configured limits, so that the store rejects most of its calls; and against a node that does
 	// not raise its rate again afterwards.
--- a/internal/state/transfer.go
+++ b/internal/state/transfer.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// RequestTransfer asks the other controllers for tokens for the given number of writes, and reports
-// whether one of them gave all of them.
-type RequestTransfer func(ctx context.Context, changes int) bool
+// TransferFunc is a function that asks the other controllers for tokens for the given number of writes, and
+// reports whether one of them gave all of them.
+type TransferFunc func(ctx context.Context, writes int) bool
 
 // Loans change over seconds. A transfer serves a burst of submissions at one controller, because the jobs
 // of a pipeline are submitted within a second over one connection.
@@ -22,64 +22,64 @@
 
 // SetTransferSource sets the function that asks the other controllers for tokens. It must be called before
 // the first call to the store.
-func (b *Budget) SetTransferSource(request RequestTransfer) { b.transferFrom = request }
+func (b *Budget) SetTransferSource(requestTransfer TransferFunc) { b.requestTransfer = requestTransfer }
 
 // TransferOut gives tokens for the given number of writes to another controller, and reports whether it
 // did. They are taken from this node's bucket before the other controller gets them, so that both never
 // use the same tokens.
-func (b *Budget) TransferOut(changes int) bool {
-	if changes <= 0 {
+func (b *Budget) TransferOut(writes int) bool {
+	if writes <= 0 {
 		return false
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := time.Now()
 	b.refreshRates(now)
-	bucket := &b.users
-	left := bucket.writes.TokensAt(now) - bucket.queued.writes - float64(changes)
+	bucket := &b.userBucket
+	left := bucket.writes.TokensAt(now) - bucket.queued.writes - float64(writes)
 	if left < transferReserve*float64(bucket.writes.Burst()) {
 		return false
 	}
-	bucket.usedWrites += changes
-	return bucket.writes.AllowN(now, changes)
+	bucket.usedWrites += writes
+	return bucket.writes.AllowN(now, writes)
 }
 
 // acquireByTransfer takes the tokens for a user's call from another node if this node lacks tokens for
 // writes, and reports whether it did. It does not ask if tokens for calls are missing too, since these
 // cannot be transferred.
-func (b *Budget) acquireByTransfer(ctx context.Context, changes int) bool {
-	if b.transferFrom == nil || !b.needsTransfer(changes) {
+func (b *Budget) acquireByTransfer(ctx context.Context, writes int) bool {
+	if b.requestTransfer == nil || !b.needsTransfer(writes) {
 		return false
 	}
 	ctx, cancel := context.WithTimeout(ctx, transferTimeout)
 	defer cancel()
-	given := b.transferFrom(ctx, changes)
+	given := b.requestTransfer(ctx, writes)
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if !given {
 		b.noTransferUntil = time.Now().Add(transferPause)
 		return false
 	}
-	if !b.users.calls.AllowN(time.Now(), 1) {
+	if !b.userBucket.calls.AllowN(time.Now(), 1) {
 		return false
 	}
-	b.users.askedWrites += float64(changes)
+	b.userBucket.requestedWrites += float64(writes)
 	return true
 }
 
 // needsTransfer reports whether a user's call would have to wait for tokens for writes, and only for them.
-func (b *Budget) needsTransfer(changes int) bool {
+func (b *Budget) needsTransfer(writes int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := time.Now()
 	b.refreshRates(now)
 	reserved := reserves[Sheddable]
-	if now.Before(b.noTransferUntil) || b.users.waitFor(cost{calls: 1}, cost{}, reserved) > 0 {
+	if now.Before(b.noTransferUntil) || b.userBucket.waitTime(cost{calls: 1}, cost{}, reserved) > 0 {
 		return false
 	}
-	wanted := cost{1, float64(changes)}
-	if b.isLeader() && b.leader.waitFor(wanted, cost{}, leaderReserve) <= 0 {
+	wanted := cost{1, float64(writes)}
+	if b.isLeader() && b.leaderBucket.waitTime(wanted, cost{}, leaderReserve) <= 0 {
 		return false
 	}
-	return b.users.waitFor(wanted, b.users.queued, reserved) > 0
+	return b.userBucket.waitTime(wanted, b.userBucket.queued, reserved) > 0
 }
--- a/internal/state/transfer_test.go
+++ b/internal/state/transfer_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// idleBudgets returns budgets of a small deployment. With five controllers, each may make 3.7 writes per
-// second for its users, in bursts of four.
-func idleBudgets(controllers int) []*Budget {
+// newBudgets returns the budgets of the controllers of a small deployment. Each of five controllers may
+// make 3.7 writes per second for its users, in bursts of four.
+func newBudgets(controllers int) []*Budget {
 	var budgets []*Budget
 	for range controllers {
 		budgets = append(budgets, NewBudget(200, 35, 5, 0.45))
@@ -18,11 +18,11 @@
 	return budgets
 }
 
-// setSources makes a controller ask the others for tokens, in the given order.
-func setSources(budget *Budget, others ...*Budget) {
-	budget.SetTransferSource(func(_ context.Context, changes int) bool {
+// setTransferSources makes a controller ask the others for tokens, in the given order.
+func setTransferSources(budget *Budget, others ...*Budget) {
+	budget.SetTransferSource(func(_ context.Context, writes int) bool {
 		for _, other := range others {
-			if other.TransferOut(changes) {
+			if other.TransferOut(writes) {
 				return true
 			}
 		}
@@ -30,12 +30,12 @@
 	})
 }
 
-func TestBurstAtOneControllerIsServedWithWhatOthersNeedNot(t *testing.T) {
+func TestBurstAtOneControllerUsesSpareTokensOfOthers(t *testing.T) {
 	// Guards against the rejection of a job of a pipeline while the other controllers are idle.
 	// A user submits the six or seven jobs of a pipeline within a second over one connection.
 	synctest.Test(t, func(t *testing.T) {
-		budgets := idleBudgets(5)
-		setSources(budgets[0], budgets[1:]...)
+		budgets := newBudgets(5)
+		setTransferSources(budgets[0], budgets[1:]...)
 		began := time.Now()
 		for i := range 7 {
 			if err := budgets[0].acquire(context.Background(), Sheddable, 1); err != nil {
@@ -50,7 +50,7 @@
 
 func TestControllerKeepsHalfOfItsBurstForItsOwnUsers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		budget := idleBudgets(1)[0]
+		budget := newBudgets(1)[0]
 		given := 0
 		for given < 100 && budget.TransferOut(1) {
 			given++
@@ -64,45 +64,45 @@
 	})
 }
 
-func TestTransferredChangesAreNeverMadeByBoth(t *testing.T) {
+func TestTransferredTokensAreNeverUsedByBothControllers(t *testing.T) {
 	// All controllers are busy and constantly ask one another for tokens. Their total must stay
 	// below the store's limit.
 	synctest.Test(t, func(t *testing.T) {
-		budgets := idleBudgets(5)
+		budgets := newBudgets(5)
 		for i, budget := range budgets {
-			setSources(budget, slices.Concat(budgets[:i], budgets[i+1:])...)
+			setTransferSources(budget, slices.Concat(budgets[:i], budgets[i+1:])...)
 		}
 		made := 0
 		for range 100 {
 			for _, budget := range budgets {
-				for made < 1000 && budget.acquire(withoutWaiting(context.Background()), Sheddable, 1) == nil {
+				for made < 1000 && budget.acquire(cancelledContext(context.Background()), Sheddable, 1) == nil {
 					made++
 				}
 			}
 			time.Sleep(100 * time.Millisecond)
 		}
-		users := 35 * headroom * 0.55 // changes a second, all controllers together
-		if most := int(users*10) + 5*4; made > most {
-			t.Errorf("%d writes of all controllers in 10 s, want at most %d", made, most)
+		userRate := 35 * headroom * 0.55 // writes per second of all controllers together
+		if maxWrites := int(userRate*10) + 5*4; made > maxWrites {
+			t.Errorf("%d writes of all controllers in 10 s, want at most %d", made, maxWrites)
 		}
 	})
 }
 
-func TestControllersWithNothingToGiveAreNotAskedForEveryUser(t *testing.T) {
+func TestTransferRequestsPauseAfterFailure(t *testing.T) {
 	// Guards against one transfer request to the other controllers for each of many submissions.
 	synctest.Test(t, func(t *testing.T) {
-		budget := idleBudgets(1)[0]
+		budget := newBudgets(1)[0]
 		asked := 0
 		budget.SetTransferSource(func(context.Context, int) bool { asked++; return false })
 		for range 100 {
-			_ = budget.acquire(withoutWaiting(context.Background()), Sheddable, 1) // only the questions count
+			_ = budget.acquire(cancelledContext(context.Background()), Sheddable, 1) // only the number of transfer requests matters
 		}
 		if asked != 1 {
 			t.Errorf("%d transfer requests for 100 calls at once, want 1", asked)
 		}
 		time.Sleep(transferPause)
 		for range 20 {
-			_ = budget.acquire(withoutWaiting(context.Background()), Sheddable, 1) // only the questions count
+			_ = budget.acquire(cancelledContext(context.Background()), Sheddable, 1) // only the number of transfer requests matters
 		}
 		if asked != 2 {
 			t.Errorf("%d transfer requests in total after transferPause, want 2", asked)
--- a/internal/state/watchcache.go
+++ b/internal/state/watchcache.go
@@ -32,12 +32,12 @@
 
 	// mu guards the fields below. Code that holds it neither calls the store or a listener nor
 	// blocks.
-	mu           sync.Mutex
-	entries      map[string]Entry
-	epoch        ids.StoreRevision // store revision up to which all changes are applied
-	lastRevision ids.Revision      // revision of the newest known change
-	ready        bool              // whether entries were listed and can be updated by a watch from epoch
-	sync         syncState
+	mu            sync.Mutex
+	entries       map[string]Entry
+	storeRevision ids.StoreRevision // store revision up to which all changes are applied
+	lastRevision  ids.Revision      // revision of the newest known change
+	ready         bool              // whether entries were listed and can be updated by a watch from storeRevision
+	sync          syncState
 }
 
 // NewWatchCache returns an empty cache of the keys below a prefix; watchInterval is the pause between its
@@ -54,53 +54,53 @@
 
 // OnChange sets the function that is called with each change from now on, in order. The listener may read
 // the cache but must not call Sync.
-func (m *WatchCache) OnChange(listener func(Change)) {
-	m.notifyMu.Lock()
-	defer m.notifyMu.Unlock()
-	m.onChange = listener
+func (w *WatchCache) OnChange(listener func(Change)) {
+	w.notifyMu.Lock()
+	defer w.notifyMu.Unlock()
+	w.onChange = listener
 }
 
 // Entries returns all entries of the copy, sorted by key, and the store revision of the copy.
-func (m *WatchCache) Entries() ([]Entry, ids.StoreRevision) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
+func (w *WatchCache) Entries() ([]Entry, ids.StoreRevision) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
 	byKey := func(x, y Entry) int { return cmp.Compare(x.Key, y.Key) }
-	entries := slices.AppendSeq(make([]Entry, 0, len(m.entries)), maps.Values(m.entries))
+	entries := slices.AppendSeq(make([]Entry, 0, len(w.entries)), maps.Values(w.entries))
 	slices.SortFunc(entries, byKey)
-	return entries, m.epoch
+	return entries, w.storeRevision
 }
 
 // Get reads a key from the copy; ready is false before the first listing.
-func (m *WatchCache) Get(key string) (entry Entry, found, ready bool) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	entry, found = m.entries[key]
-	return entry, found, m.ready
+func (w *WatchCache) Get(key string) (entry Entry, found, ready bool) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	entry, found = w.entries[key]
+	return entry, found, w.ready
 }
 
 // GetMany reads several keys from the same version of the copy. The entry of a key that does not exist has
 // an empty Key.
-func (m *WatchCache) GetMany(keys ...string) (entries []Entry, ready bool) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
+func (w *WatchCache) GetMany(keys ...string) (entries []Entry, ready bool) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
 	entries = make([]Entry, len(keys))
 	for i, key := range keys {
-		entries[i] = m.entries[key]
+		entries[i] = w.entries[key]
 	}
-	return entries, m.ready
+	return entries, w.ready
 }
 
 // GetFirst reads the first of several keys that exists. All are looked up in the same version of the copy,
 // because a value may move from one key to another.
-func (m *WatchCache) GetFirst(keys ...string) (entry Entry, found, ready bool) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
+func (w *WatchCache) GetFirst(keys ...string) (entry Entry, found, ready bool) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
 	for _, key := range keys {
-		if entry, found = m.entries[key]; found {
+		if entry, found = w.entries[key]; found {
 			break
 		}
 	}
-	return entry, found, m.ready
+	return entry, found, w.ready
 }
 
 const (
@@ -111,26 +111,26 @@
 )
 
 // Run keeps the copy up to date until the context ends.
-func (m *WatchCache) Run(ctx context.Context) {
-	m.setSyncContext(ctx)
+func (w *WatchCache) Run(ctx context.Context) {
+	w.setSyncContext(ctx)
 	for ctx.Err() == nil {
-		if !m.isReady() {
-			if err := m.relist(ctx); err != nil {
-				slog.Debug("watch cache cannot list its keys; retrying", "prefix", m.prefix, "err", err)
+		if !w.isReady() {
+			if err := w.relist(ctx); err != nil {
+				slog.Debug("watch cache cannot list its keys; retrying", "prefix", w.prefix, "err", err)
 				sleep(ctx, watchRetryDelay)
 				continue
 			}
 		}
-		m.watchOnce(ctx)
+		w.watchOnce(ctx)
 	}
 }
 
 // watchOnce waits for changes, applies them and sleeps until the next watch is due.
-func (m *WatchCache) watchOnce(ctx context.Context) {
-	_, changes, err := m.client.watchChanges(ctx, m.prefix, m.currentEpoch(), watchTimeout)
+func (w *WatchCache) watchOnce(ctx context.Context) {
+	_, changes, err := w.client.watchChanges(ctx, w.prefix, w.currentRevision(), watchTimeout)
 	switch {
 	case errors.Is(err, errCompacted):
-		m.invalidate()
+		w.invalidate()
 		return
 	case err != nil:
 		sleep(ctx, watchRetryDelay)
@@ -139,33 +139,33 @@
 	// A response without changes must not advance the copy: a watch that spans an outage of the
 	// store, or a time in which the store rejects this node, may succeed with a store revision
 	// whose changes it did not return. Advancing to that revision would lose these changes.
-	if epoch := newestEpoch(changes); epoch > 0 {
-		m.apply(epoch, changes)
+	if storeRevision := newestRevision(changes); storeRevision > 0 {
+		w.apply(storeRevision, changes)
 	}
-	sleep(ctx, m.watchInterval)
+	sleep(ctx, w.watchInterval)
 }
 
-func (m *WatchCache) currentEpoch() ids.StoreRevision {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return m.epoch
+func (w *WatchCache) currentRevision() ids.StoreRevision {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.storeRevision
 }
 
-func (m *WatchCache) isReady() bool {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return m.ready
+func (w *WatchCache) isReady() bool {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.ready
 }
 
 // invalidate requests a new listing; the copy may still be read until then.
-func (m *WatchCache) invalidate() {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.ready = false
+func (w *WatchCache) invalidate() {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.ready = false
 }
 
-// newestEpoch returns the store revision of the newest change; 0 if there is none.
-func newestEpoch(changes []Change) (newest ids.StoreRevision) {
+// newestRevision returns the store revision of the newest change; 0 if there is none.
+func newestRevision(changes []Change) (newest ids.StoreRevision) {
 	for _, change := range changes {
 		newest = max(newest, ids.StoreRevision(change.Revision))
 	}
@@ -174,79 +174,79 @@
 
 // relist lists all keys and notifies the listener of the differences from the copy, so that it misses no
 // change when the store has compacted its history.
-func (m *WatchCache) relist(ctx context.Context) error {
-	entries, epoch, err := m.client.ListAll(ctx, m.prefix, Normal)
+func (w *WatchCache) relist(ctx context.Context) error {
+	entries, storeRevision, err := w.client.ListAll(ctx, w.prefix, Normal)
 	if err != nil {
 		return err
 	}
-	m.notifyMu.Lock()
-	defer m.notifyMu.Unlock()
-	m.notify(m.replace(entries, epoch))
+	w.notifyMu.Lock()
+	defer w.notifyMu.Unlock()
+	w.notify(w.replace(entries, storeRevision))
 	return nil
 }
 
 // replace replaces the copy by the entries listed at a store revision and returns the differences as
 // changes. It does nothing if the copy is newer.
-func (m *WatchCache) replace(entries []Entry, epoch ids.StoreRevision) (changes []Change) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if m.ready && epoch < m.epoch {
+func (w *WatchCache) replace(entries []Entry, storeRevision ids.StoreRevision) (changes []Change) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if w.ready && storeRevision < w.storeRevision {
 		return nil
 	}
 	listed := make(map[string]Entry, len(entries))
-	m.lastRevision = 0
+	w.lastRevision = 0
 	for _, entry := range entries {
 		listed[entry.Key] = entry
-		m.lastRevision = max(m.lastRevision, entry.Revision)
-		if m.entries[entry.Key].Revision != entry.Revision {
+		w.lastRevision = max(w.lastRevision, entry.Revision)
+		if w.entries[entry.Key].Revision != entry.Revision {
 			changes = append(changes, Change{Put: entry.Key, Value: entry.Value, Revision: entry.Revision})
 		}
 	}
-	for key := range m.entries {
-		if _, still := listed[key]; !still {
-			changes = append(changes, Change{Remove: key, Revision: ids.Revision(epoch)})
+	for key := range w.entries {
+		if _, exists := listed[key]; !exists {
+			changes = append(changes, Change{Remove: key, Revision: ids.Revision(storeRevision)})
 		}
 	}
-	m.entries, m.epoch, m.ready = listed, epoch, true
+	w.entries, w.storeRevision, w.ready = listed, storeRevision, true
 	return changes
 }
 
 // apply applies the changes up to a store revision and notifies the listener of those that are new.
-func (m *WatchCache) apply(epoch ids.StoreRevision, changes []Change) {
-	m.notifyMu.Lock()
-	defer m.notifyMu.Unlock()
-	m.notify(m.merge(epoch, changes))
+func (w *WatchCache) apply(storeRevision ids.StoreRevision, changes []Change) {
+	w.notifyMu.Lock()
+	defer w.notifyMu.Unlock()
+	w.notify(w.merge(storeRevision, changes))
 }
 
 // merge applies changes to the copy and returns those that the copy did not have yet, because responses
 // may arrive out of order. The result reuses the memory of changes.
-func (m *WatchCache) merge(epoch ids.StoreRevision, changes []Change) (applied []Change) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
+func (w *WatchCache) merge(storeRevision ids.StoreRevision, changes []Change) (applied []Change) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
 	applied = changes[:0]
 	for _, change := range changes {
-		if ids.StoreRevision(change.Revision) <= m.epoch || change.Revision <= m.entries[change.Key()].Revision {
+		if ids.StoreRevision(change.Revision) <= w.storeRevision || change.Revision <= w.entries[change.Key()].Revision {
 			continue
 		}
 		applied = append(applied, change)
-		m.lastRevision = max(m.lastRevision, change.Revision)
+		w.lastRevision = max(w.lastRevision, change.Revision)
 		if change.Put != "" {
-			m.entries[change.Put] = Entry{Key: change.Put, Value: change.Value, Revision: change.Revision}
+			w.entries[change.Put] = Entry{Key: change.Put, Value: change.Value, Revision: change.Revision}
 		} else {
-			delete(m.entries, change.Remove)
+			delete(w.entries, change.Remove)
 		}
 	}
-	m.epoch = max(m.epoch, epoch)
+	w.storeRevision = max(w.storeRevision, storeRevision)
 	return applied
 }
 
 // notify calls the listener with each change, in order. The caller holds notifyMu, but not mu.
-func (m *WatchCache) notify(changes []Change) {
-	if m.onChange == nil {
+func (w *WatchCache) notify(changes []Change) {
+	if w.onChange == nil {
 		return
 	}
 	for _, change := range changes {
-		m.onChange(change)
+		w.onChange(change)
 	}
 }
 
--- a/internal/state/watchcache_sync.go
+++ b/internal/state/watchcache_sync.go
@@ -36,8 +36,8 @@
 // Sync returns when the copy contains all changes that the store had when Sync was called, so that the
 // caller may read the copy instead of the store. One round, started after all waiting callers arrived,
 // serves all of them.
-func (m *WatchCache) Sync(ctx context.Context) error {
-	round := m.joinRound()
+func (w *WatchCache) Sync(ctx context.Context) error {
+	round := w.joinRound()
 	select {
 	case <-round.done:
 		return round.err
@@ -47,121 +47,121 @@
 }
 
 // joinRound returns the next round to start. It starts the goroutine that runs the rounds if there is none.
-func (m *WatchCache) joinRound() *syncRound {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if m.sync.next == nil {
-		m.sync.next = &syncRound{done: make(chan struct{})}
+func (w *WatchCache) joinRound() *syncRound {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if w.sync.next == nil {
+		w.sync.next = &syncRound{done: make(chan struct{})}
 	}
-	if !m.sync.running {
-		m.sync.running = true
-		go m.runRounds()
+	if !w.sync.running {
+		w.sync.running = true
+		go w.runRounds()
 	}
-	return m.sync.next
+	return w.sync.next
 }
 
 // runRounds runs rounds while callers wait for one. It uses the context of the cache, because a round
 // serves many callers and must not be cancelled with the first of them.
-func (m *WatchCache) runRounds() {
+func (w *WatchCache) runRounds() {
 	for {
-		ctx, delay, wanted := m.nextRound()
+		ctx, delay, wanted := w.nextRound()
 		if !wanted {
 			return
 		}
 		sleep(ctx, delay)
-		m.runRound(ctx)
+		w.runRound(ctx)
 	}
 }
 
 // nextRound reports whether a caller waits for a round, with the round's context and the delay before its
 // start. If no caller waits, the next call of joinRound starts the goroutine again.
-func (m *WatchCache) nextRound() (ctx context.Context, delay time.Duration, wanted bool) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if m.sync.next == nil {
-		m.sync.running = false
+func (w *WatchCache) nextRound() (ctx context.Context, delay time.Duration, wanted bool) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if w.sync.next == nil {
+		w.sync.running = false
 		return nil, 0, false
 	}
-	return m.sync.ctx, syncInterval - time.Since(m.sync.startedAt), true
+	return w.sync.ctx, syncInterval - time.Since(w.sync.startedAt), true
 }
 
-func (m *WatchCache) runRound(ctx context.Context) {
-	round := m.beginRound()
+func (w *WatchCache) runRound(ctx context.Context) {
+	round := w.beginRound()
 	ctx, cancel := context.WithTimeout(ctx, syncTimeout)
 	began := time.Now()
-	round.err = m.catchUp(ctx)
+	round.err = w.catchUp(ctx)
 	cancel()
 	if round.err == nil {
-		m.setAsOf(began)
+		w.setAsOf(began)
 	}
 	close(round.done)
 }
 
 // beginRound returns the round that callers wait for. Callers that arrive from now on wait for another one.
-func (m *WatchCache) beginRound() *syncRound {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	round := m.sync.next
-	m.sync.next, m.sync.startedAt = nil, time.Now()
+func (w *WatchCache) beginRound() *syncRound {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	round := w.sync.next
+	w.sync.next, w.sync.startedAt = nil, time.Now()
 	return round
 }
 
-func (m *WatchCache) setAsOf(began time.Time) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.sync.asOf = began
+func (w *WatchCache) setAsOf(began time.Time) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.sync.asOf = began
 }
 
-func (m *WatchCache) setSyncContext(ctx context.Context) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.sync.ctx = ctx
+func (w *WatchCache) setSyncContext(ctx context.Context) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.sync.ctx = ctx
 }
 
 // AsOf returns the latest time up to which the copy certainly has all changes: the start of the last
 // successful round. A watch does not advance it, since a watch may succeed while the store serves no
 // node, or all nodes except this one.
-func (m *WatchCache) AsOf() time.Time {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return m.sync.asOf
+func (w *WatchCache) AsOf() time.Time {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.sync.asOf
 }
 
 // catchUp reads and applies all changes up to now. It lists all keys if the changes are not available.
-func (m *WatchCache) catchUp(ctx context.Context) error {
-	m.mu.Lock()
-	copied, lastRevision, ready := m.epoch, m.lastRevision, m.ready
-	m.mu.Unlock()
+func (w *WatchCache) catchUp(ctx context.Context) error {
+	w.mu.Lock()
+	cachedRevision, lastRevision, ready := w.storeRevision, w.lastRevision, w.ready
+	w.mu.Unlock()
 	if !ready {
-		return m.relist(ctx)
+		return w.relist(ctx)
 	}
 	// A watch may succeed during an outage, or while the store rejects only this node. Only a
 	// plain read reliably returns the store's revision.
-	stored, err := m.client.currentEpoch(ctx)
-	if err != nil || stored <= copied {
+	storedRevision, err := w.client.currentRevision(ctx)
+	if err != nil || storedRevision <= cachedRevision {
 		return err
 	}
-	after := copied
+	after := cachedRevision
 	if lastRevision > 0 {
 		// A response without changes may also mean that the store did not read them, because an
 		// outage has begun meanwhile or the store rejects this node. So the watch also requests
 		// the newest change already known: a response without it is not valid.
 		after = min(after, ids.StoreRevision(lastRevision)-1)
 	}
-	epoch, changes, err := m.client.watchChanges(ctx, m.prefix, after, 0)
+	returnedRevision, changes, err := w.client.watchChanges(ctx, w.prefix, after, 0)
 	switch {
 	case errors.Is(err, errCompacted):
-		return m.relist(ctx)
+		return w.relist(ctx)
 	case err != nil:
 		return err
-	case epoch < stored:
-		return fmt.Errorf("%w: watch returned changes up to store revision %d only, want %d", ErrRefused, epoch, stored)
+	case returnedRevision < storedRevision:
+		return fmt.Errorf("%w: watch returned changes up to store revision %d only, want %d", ErrRefused, returnedRevision, storedRevision)
 	case lastRevision > 0 && !hasRevision(changes, lastRevision):
 		return fmt.Errorf("%w: watch response lacks the newest change already in the cache", ErrRefused)
 	}
-	// The watch was made after the plain read, so its response includes all changes up to stored.
+	// The watch was made after the plain read, so its response includes all changes up to storedRevision.
 	// Beyond that, only the returned changes prove how far it reaches.
-	m.apply(max(stored, newestEpoch(changes)), changes)
+	w.apply(max(storedRevision, newestRevision(changes)), changes)
 	return nil
 }
 
--- a/internal/state/watchcache_test.go
+++ b/internal/state/watchcache_test.go
@@ -14,7 +14,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-func TestWatchCacheMissesNothingAfterHistoryIsCompacted(t *testing.T) {
+func TestWatchCacheMissesNoChangeAfterHistoryIsCompacted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer synctest.Wait()
@@ -73,7 +73,7 @@
 	}
 }
 
-func TestSyncServesAllWhoWaitByOneReadBegunAfterThem(t *testing.T) {
+func TestSyncServesAllWaitingCallersWithOneLaterRound(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := context.Background()
 		network, store, client := newClient()
@@ -92,19 +92,19 @@
 			calls++
 			return fake.Deliver
 		})
-		answers := make(chan string, 300)
+		values := make(chan string, 300)
 		for range 300 {
 			go func() {
 				if err := cache.Sync(ctx); err != nil {
-					answers <- err.Error()
+					values <- err.Error()
 					return
 				}
 				entry, _, _ := cache.Get("j/1")
-				answers <- string(entry.Value)
+				values <- string(entry.Value)
 			}()
 		}
 		for range 300 {
-			if v := <-answers; v != `2` {
+			if v := <-values; v != `2` {
 				t.Fatalf("the cache returned %s after 2 was stored", v)
 			}
 		}
@@ -130,7 +130,7 @@
 	})
 }
 
-func TestWatchMovesCacheOnlyAsFarAsItsChanges(t *testing.T) {
+func TestWatchAdvancesCacheOnlyToReturnedChanges(t *testing.T) {
 	// Guards against a watch that spans an outage, or a time in which the store rejects this node,
 	// and then succeeds with a store revision whose changes it did not return. To continue from
 	// that revision would lose them, and the copy must not count as complete.
@@ -144,9 +144,9 @@
 			mustCommit(ctx, t, client, Op{Put: key, Value: []byte(`1`)})
 		}
 		put("j/1")
-		var blind atomic.Bool
+		var hideChanges atomic.Bool
 		network.Listen("state:1", http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			if blind.Load() && r.URL.Path == "/follow" {
+			if hideChanges.Load() && r.URL.Path == "/follow" {
 				if r.URL.Query().Get("holdMs") != "0" {
 					time.Sleep(time.Second)
 				}
@@ -160,7 +160,7 @@
 		cache := NewWatchCache(client, "j/", 10*time.Millisecond)
 		go cache.Run(ctx)
 		time.Sleep(time.Second)
-		blind.Store(true)
+		hideChanges.Store(true)
 		put("j/2")
 		time.Sleep(15 * time.Second)
 		if !cache.AsOf().IsZero() {
@@ -172,7 +172,7 @@
 		if err := cache.Sync(ctx); err == nil {
 			t.Error("Sync succeeded with a watch response that lacks the newest change already in the cache")
 		}
-		blind.Store(false)
+		hideChanges.Store(false)
 		began := time.Now()
 		if err := cache.Sync(ctx); err != nil {
 			t.Fatal(err)
