--- a/internal/worker/commander.go
+++ b/internal/worker/commander.go
@@ -37,11 +37,11 @@
 }
 
 // Send sends commands to a worker and returns their outcome, and the worker's report if it returned one.
-func (c *Commander) Send(ctx context.Context, addr string, token ids.Generation, session ids.Incarnation, commands []Command) (Outcome, *Report) {
+func (c *Commander) Send(ctx context.Context, addr string, token ids.Generation, incarnation ids.Incarnation, commands []Command) (Outcome, *Report) {
 	ctx, cancel := context.WithTimeout(ctx, c.Timeout)
 	defer cancel()
 	measure.Process.Count("commands sent", 1)
-	request, err := newCommandRequest(ctx, addr, CommandBatch{FencingToken: token, Incarnation: session, Commands: commands})
+	request, err := newCommandRequest(ctx, addr, CommandBatch{FencingToken: token, Incarnation: incarnation, Commands: commands})
 	if err != nil {
 		return NotSent, nil
 	}
@@ -64,11 +64,11 @@
 	return OutcomeUnknown, nil
 }
 
-func newCommandRequest(ctx context.Context, addr string, commands CommandBatch) (*http.Request, error) {
-	if commands.Commands == nil {
-		commands.Commands = []Command{} // encoded as [] and not as null
+func newCommandRequest(ctx context.Context, addr string, batch CommandBatch) (*http.Request, error) {
+	if batch.Commands == nil {
+		batch.Commands = []Command{} // encoded as [] and not as null
 	}
-	raw, err := json.Marshal(commands)
+	raw, err := json.Marshal(batch)
 	if err != nil {
 		return nil, err
 	}
@@ -86,8 +86,8 @@
 // outcomeOfError returns NotSent if no connection could be established, and OutcomeUnknown if the
 // commands may have arrived.
 func outcomeOfError(err error) Outcome {
-	var operation *net.OpError
-	if errors.As(err, &operation) && operation.Op == "dial" {
+	var opError *net.OpError
+	if errors.As(err, &opError) && opError.Op == "dial" {
 		return NotSent
 	}
 	return OutcomeUnknown
--- a/internal/worker/commander_test.go
+++ b/internal/worker/commander_test.go
@@ -11,7 +11,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-func TestSendTellsCommandsNotSentFromUncertainOnes(t *testing.T) {
+func TestSendDistinguishesUnsentCommandsFromUnknownOutcomes(t *testing.T) {
 	const leaderToken, olderToken ids.Generation = 5, 4
 	synctest.Test(t, func(t *testing.T) {
 		network := fake.NewNetwork()
@@ -22,13 +22,13 @@
 		go machine.Run(ctx)
 		time.Sleep(100 * time.Millisecond)
 		commander := &Commander{HTTP: network.Client("a"), Timeout: time.Second}
-		start := []Command{{Verb: "start", Task: "job-1/0", Attempt: 1}}
+		startCommands := []Command{{Verb: "start", Task: "job-1/0", Attempt: 1}}
 		for _, test := range []struct {
-			name       string
-			fate       fake.Outcome
-			token      ids.Generation
-			outcome    Outcome
-			withReport bool
+			name           string
+			networkOutcome fake.Outcome
+			token          ids.Generation
+			outcome        Outcome
+			withReport     bool
 		}{
 			{"no connection", fake.Refuse, leaderToken, NotSent, false},
 			{"request lost", fake.Drop, leaderToken, OutcomeUnknown, false},
@@ -38,11 +38,11 @@
 		} {
 			network.SetRule(func(from, _ string, _ *http.Request, _ []byte) fake.Outcome {
 				if from == "a" {
-					return test.fate
+					return test.networkOutcome
 				}
 				return fake.Refuse
 			})
-			outcome, report := commander.Send(ctx, "m:1", test.token, 1, start)
+			outcome, report := commander.Send(ctx, "m:1", test.token, 1, startCommands)
 			if outcome != test.outcome {
 				t.Errorf("%s: outcome %v, want %v", test.name, outcome, test.outcome)
 			}
--- a/internal/worker/images_test.go
+++ b/internal/worker/images_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestImagesAreEvictedInOrderOfUse(t *testing.T) {
+func TestLeastRecentlyUsedImagesAreEvicted(t *testing.T) {
 	var images Images
 	images.Use("a", 5, 10)
 	images.Use("b", 4, 10)
--- a/internal/worker/machine.go
+++ b/internal/worker/machine.go
@@ -121,13 +121,13 @@
 // SilentFor returns the time since the machine's last report.
 func (m *Machine) SilentFor(now time.Time) time.Duration { return now.Sub(m.LastReportAt) }
 
-// A machine gets no new tasks after this time without a report, or without an answered heartbeat: a number
-// of report intervals plus an allowance for delays.
+// A machine gets no new tasks if its last report, or its last answered heartbeat, is older than this number
+// of report intervals plus this allowance for delays.
 const (
-	usableReports      = 2
-	usableReportDelay  = time.Second
-	usableAnswers      = 4
-	usableAnswersDelay = 2 * time.Second
+	maxReportIntervals   = 2
+	reportDelayAllowance = time.Second
+	maxAnswerIntervals   = 4
+	answerDelayAllowance = 2 * time.Second
 )
 
 // Schedulable reports whether new tasks may be placed on the machine; reportInterval is the time between
@@ -140,10 +140,10 @@
 	if lastAnswered.IsZero() {
 		lastAnswered = m.DiscoveredAt
 	}
-	if now.Sub(lastAnswered) > usableAnswers*interval+usableAnswersDelay {
+	if now.Sub(lastAnswered) > maxAnswerIntervals*interval+answerDelayAllowance {
 		return false
 	}
-	alive := m.HasReported && m.UnreachableSince.IsZero() && m.SilentFor(now) < usableReports*interval+usableReportDelay
-	stays := !m.Failed && !m.Deleting && m.SpotTerminationAt.IsZero()
-	return alive && stays && m.DrainReason == "" && !m.Cordoned
+	reporting := m.HasReported && m.UnreachableSince.IsZero() && m.SilentFor(now) < maxReportIntervals*interval+reportDelayAllowance
+	notLeaving := !m.Failed && !m.Deleting && m.SpotTerminationAt.IsZero()
+	return reporting && notLeaving && m.DrainReason == "" && !m.Cordoned
 }
--- a/internal/worker/registry.go
+++ b/internal/worker/registry.go
@@ -77,11 +77,11 @@
 	}
 	result := ReportResult{Fresh: true, Restarted: machine.HasReported && report.Incarnation > machine.Incarnation}
 	if !machine.HasReported || result.Restarted {
-		// The incarnation may have begun just now. It lasts for one lease from its begin even if
+		// The incarnation may have begun just now. It lasts for one lease from its start even if
 		// none of its heartbeats is answered.
 		machine.LeaseExpiresAt = Later(machine.LeaseExpiresAt, expiry)
 	}
-	machine.update(report, now)
+	machine.applyReport(report, now)
 	if answered {
 		if report.FencingToken < leaderToken {
 			expiry = Later(machine.LeaseExpiresAt, expiry)
@@ -97,8 +97,8 @@
 	return m.HasReported && (report.Incarnation < m.Incarnation || report.Incarnation == m.Incarnation && report.Sequence <= m.Sequence)
 }
 
-// update copies the contents of a report into the machine's state.
-func (m *Machine) update(report *Report, now time.Time) {
+// applyReport copies the contents of a report into the machine's state.
+func (m *Machine) applyReport(report *Report, now time.Time) {
 	m.HasReported, m.Booting = true, false
 	m.Addr, m.Type, m.Zone, m.Spot = report.Addr, report.Type, report.Zone, report.Spot
 	m.Incarnation, m.Sequence, m.FencingToken = report.Incarnation, report.Sequence, max(m.FencingToken, report.FencingToken)
--- a/internal/worker/registry_test.go
+++ b/internal/worker/registry_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestRegistryCountsOnlyNewerReportsAndRunsLeasesFromAnsweredOnes(t *testing.T) {
+func TestRegistryIgnoresOutdatedReportsAndRenewsLeasesByAnsweredOnes(t *testing.T) {
 	now := time.Now()
 	registry := NewRegistry(20)
 	machine := registry.Ensure("m", now, now.Add(time.Minute))
@@ -34,7 +34,7 @@
 	}
 }
 
-func TestIncarnationLastsALeaseEvenIfNoHeartbeatOfItIsAnswered(t *testing.T) {
+func TestIncarnationLastsOneLeaseWithoutAnsweredHeartbeats(t *testing.T) {
 	// Guards against a second start of tasks on a machine that answers probes but whose heartbeats
 	// do not arrive: its lease was treated as expired before it had begun.
 	now := time.Now()
