--- a/internal/record/assignments.go
+++ b/internal/record/assignments.go
@@ -47,14 +47,14 @@
 // EachAssignment calls visit for every assigned task.
 func (r *Record) EachAssignment(visit func(task int, location Location)) {
 	for i := range r.Assignments {
-		if err := r.Assignments[i].each(visit); err != nil {
+		if err := r.Assignments[i].eachTask(visit); err != nil {
 			slog.Error("stored assignments are malformed; skipping the rest of their group", "job", r.Spec.ID, "err", err)
 		}
 	}
 }
 
-// each calls visit for every assigned task, in the order of the entries, up to the first malformed entry.
-func (g *AssignmentGroup) each(visit func(task int, location Location)) error {
+// eachTask calls visit for every assigned task, in the order of the entries, up to the first malformed entry.
+func (g *AssignmentGroup) eachTask(visit func(task int, location Location)) error {
 	for _, entry := range strings.Fields(g.Entries) {
 		location, tasks, err := g.parseEntry(entry)
 		if err != nil {
@@ -67,8 +67,8 @@
 
 // parseEntry decodes an entry to a location and the tasks assigned to it, as offsets from the group's base.
 func (g *AssignmentGroup) parseEntry(entry string) (location Location, tasks ids.IndexSet, err error) {
-	head, list, found := strings.Cut(entry, ":")
-	parts := strings.Split(head, "/")
+	locationText, tasksText, found := strings.Cut(entry, ":")
+	parts := strings.Split(locationText, "/")
 	if !found || len(parts) > maxEntryParts {
 		return location, tasks, fmt.Errorf("malformed assignment entry: %.80q", entry)
 	}
@@ -92,11 +92,11 @@
 		}
 		location.Incarnation = ids.Incarnation(incarnation)
 	}
-	return location, tasks, tasks.UnmarshalText([]byte(list))
+	return location, tasks, tasks.UnmarshalText([]byte(tasksText))
 }
 
-// writeEntry appends the entry of one location to out.
-func (g *AssignmentGroup) writeEntry(out *strings.Builder, location Location, tasks *ids.IndexSet) {
+// appendEntry appends the entry of one location to out.
+func (g *AssignmentGroup) appendEntry(out *strings.Builder, location Location, tasks *ids.IndexSet) {
 	if out.Len() > 0 {
 		out.WriteByte(' ')
 	}
@@ -175,7 +175,7 @@
 	b.group.Incarnation = mostFrequent(b.incarnations)
 	var entries strings.Builder
 	for _, location := range b.locations {
-		b.group.writeEntry(&entries, location, b.tasks[location])
+		b.group.appendEntry(&entries, location, b.tasks[location])
 	}
 	b.group.Entries = entries.String()
 	return b.group
--- a/internal/record/assignments_test.go
+++ b/internal/record/assignments_test.go
@@ -10,13 +10,13 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-// assign returns the assignment of a task.
-func assign(task int, machine ids.Machine, session ids.Incarnation, attempt ids.Attempt, token ids.Generation) TaskAssignment {
-	return TaskAssignment{Task: task, At: Location{Machine: machine, Incarnation: session, Attempt: attempt, FencingToken: token}}
+// newAssignment returns the assignment of a task.
+func newAssignment(task int, machine ids.Machine, incarnation ids.Incarnation, attempt ids.Attempt, token ids.Generation) TaskAssignment {
+	return TaskAssignment{Task: task, At: Location{Machine: machine, Incarnation: incarnation, Attempt: attempt, FencingToken: token}}
 }
 
-// storedAndReadBack encodes and decodes a record with assignments and returns the decoded ones.
-func storedAndReadBack(t *testing.T, assignments []TaskAssignment) map[int]Location {
+// encodeAndDecode encodes and decodes a record with assignments and returns the decoded ones.
+func encodeAndDecode(t *testing.T, assignments []TaskAssignment) map[int]Location {
 	t.Helper()
 	stored, err := Decode(marshal(t, Record{Assignments: GroupAssignments(assignments)}))
 	if err != nil {
@@ -24,7 +24,7 @@
 	}
 	found := map[int]Location{}
 	stored.EachAssignment(func(task int, location Location) {
-		if _, twice := found[task]; twice {
+		if _, duplicate := found[task]; duplicate {
 			t.Errorf("task %d is decoded twice", task)
 		}
 		found[task] = location
@@ -43,17 +43,17 @@
 		want        string
 	}{
 		{"none", nil, `[]`},
-		{"one machine loses its whole name", []TaskAssignment{assign(0, "m-1", 1, 2, 3), assign(1, "m-1", 1, 2, 3)},
+		{"one machine loses its whole name", []TaskAssignment{newAssignment(0, "m-1", 1, 2, 3), newAssignment(1, "m-1", 1, 2, 3)},
 			`[{"g":3,"s":1,"a":2,"p":"m-1","on":":0-1"}]`},
 		{"names lose what they have in common, tasks are counted from the lowest",
-			[]TaskAssignment{assign(7, "m-1", 1, 2, 3), assign(8, "m-2", 1, 2, 3), assign(10, "m-1", 1, 2, 3)},
+			[]TaskAssignment{newAssignment(7, "m-1", 1, 2, 3), newAssignment(8, "m-2", 1, 2, 3), newAssignment(10, "m-1", 1, 2, 3)},
 			`[{"g":3,"s":1,"a":2,"p":"m-","b":7,"on":"1:0,3 2:1"}]`},
 		{"another attempt and another incarnation are spelled out",
-			[]TaskAssignment{assign(0, "m-1", 1, 2, 3), assign(1, "m-2", 1, 2, 3), assign(2, "m-3", 1, 4, 3), assign(3, "m-4", 5, 2, 3)},
+			[]TaskAssignment{newAssignment(0, "m-1", 1, 2, 3), newAssignment(1, "m-2", 1, 2, 3), newAssignment(2, "m-3", 1, 4, 3), newAssignment(3, "m-4", 5, 2, 3)},
 			`[{"g":3,"s":1,"a":2,"p":"m-","on":"1:0 2:1 3/4:2 4/2/5:3"}]`},
-		{"of attempts equally frequent the lowest is left out", []TaskAssignment{assign(0, "m-1", 1, 9, 3), assign(1, "m-2", 1, 8, 3)},
+		{"of attempts equally frequent the lowest is left out", []TaskAssignment{newAssignment(0, "m-1", 1, 9, 3), newAssignment(1, "m-2", 1, 8, 3)},
 			`[{"g":3,"s":1,"a":8,"p":"m-","on":"1/9:0 2:1"}]`},
-		{"each fencing token has a group", []TaskAssignment{assign(0, "m-1", 1, 1, 4), assign(1, "m-1", 1, 1, 3)},
+		{"each fencing token has a group", []TaskAssignment{newAssignment(0, "m-1", 1, 1, 4), newAssignment(1, "m-1", 1, 1, 3)},
 			`[{"g":4,"s":1,"a":1,"p":"m-1","on":":0"},{"g":3,"s":1,"a":1,"p":"m-1","b":1,"on":":0"}]`},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -64,14 +64,14 @@
 			for _, assignment := range c.assignments {
 				want[assignment.Task] = assignment.At
 			}
-			if found := storedAndReadBack(t, c.assignments); !reflect.DeepEqual(found, want) {
+			if found := encodeAndDecode(t, c.assignments); !reflect.DeepEqual(found, want) {
 				t.Errorf("decoded as %v, want %v", found, want)
 			}
 		})
 	}
 }
 
-func TestAnyAssignmentsAreReadBackAsTheyWere(t *testing.T) {
+func TestRandomAssignmentsAreDecodedUnchanged(t *testing.T) {
 	for seed := range uint64(100) {
 		rng := rand.New(rand.NewPCG(seed, 11))
 		var assignments []TaskAssignment
@@ -81,22 +81,22 @@
 				continue
 			}
 			machine := ids.Machine(fmt.Sprintf("%s-%d", []string{"host", "hare", "x"}[rng.IntN(3)], rng.IntN(12)))
-			assignment := assign(task, machine, ids.Incarnation(1+rng.IntN(3)), ids.Attempt(1+rng.IntN(3)), ids.Generation(1+rng.IntN(2)))
+			assignment := newAssignment(task, machine, ids.Incarnation(1+rng.IntN(3)), ids.Attempt(1+rng.IntN(3)), ids.Generation(1+rng.IntN(2)))
 			assignments = append(assignments, assignment)
 			want[task] = assignment.At
 		}
-		if found := storedAndReadBack(t, assignments); !reflect.DeepEqual(found, want) {
+		if found := encodeAndDecode(t, assignments); !reflect.DeepEqual(found, want) {
 			t.Fatalf("seed %d: decoded as %v, want %v", seed, found, want)
 		}
 	}
 }
 
-func TestSizeOfAssignmentsIsEstimatedFromAbove(t *testing.T) {
+func TestAssignmentsSizeIsAnUpperBound(t *testing.T) {
 	// Guards against a record that exceeds the size limit because the size of its assignments was
 	// underestimated. Names of a shard's machines have a common prefix as long as the one here.
 	var assignments []TaskAssignment
 	for task := range 500 {
-		assignments = append(assignments, assign(task, ids.Machine(fmt.Sprintf("host-s2-%04d", task)), 1, 1, 7))
+		assignments = append(assignments, newAssignment(task, ids.Machine(fmt.Sprintf("host-s2-%04d", task)), 1, 1, 7))
 	}
 	groups := GroupAssignments(assignments)
 	if stored, estimate := len(marshal(t, groups)), AssignmentsSize(groups); estimate < stored || estimate > stored+groupOverheadBytes {
@@ -104,7 +104,7 @@
 	}
 }
 
-func TestUnreadableAssignmentsAreSkippedUpToTheNextGroup(t *testing.T) {
+func TestMalformedAssignmentsAreSkippedUpToNextGroup(t *testing.T) {
 	for _, entries := range []string{"1", "1/2/3/4:0", "1/x:0", "1/2/x:0", "1:x", "1:2-1"} {
 		r := Record{Assignments: []AssignmentGroup{{Prefix: "m-", Entries: "0:0 " + entries + " 2:2"}, {Prefix: "m-", Entries: "3:3"}}}
 		var tasks []int
@@ -115,10 +115,10 @@
 	}
 }
 
-func TestStoredNamesOfRecordsStay(t *testing.T) {
+func TestStoredFieldNamesOfRecordsAreUnchanged(t *testing.T) {
 	// Guards against a rename in the code that changes the stored form.
 	r := Record{Spec: Spec{ID: "job-1", Team: "red", Shape: Array, Tasks: 2}, Status: Claimed, Submitted: 10, ReadyAt: 11, Attempt: 2, Generation: 3,
-		Finished: ids.FirstIndexes(1), Assignments: GroupAssignments([]TaskAssignment{assign(1, "m-1", 4, 2, 3)}), Events: []Event{{12, "accepted"}},
+		Finished: ids.FirstIndexes(1), Assignments: GroupAssignments([]TaskAssignment{newAssignment(1, "m-1", 4, 2, 3)}), Events: []Event{{12, "accepted"}},
 		FailedMachines: 1, CancelledBy: "job-0", Writer: "w", Seq: 5}
 	r.AddEviction(1, 2, "drain", 1)
 	want := `{"spec":` + string(marshal(t, r.Spec)) + `,"status":"claimed","submitted":10,"ready":11,"attempt":2,"generation":3,"finished":"0",` +
@@ -127,7 +127,7 @@
 	if got := string(marshal(t, r)); got != want {
 		t.Errorf("encoded as\n%s, want\n%s", got, want)
 	}
-	if back, err := Decode(json.RawMessage(want)); err != nil || !reflect.DeepEqual(*back, r) {
-		t.Errorf("decoded as %+v, error %v", back, err)
+	if decoded, err := Decode(json.RawMessage(want)); err != nil || !reflect.DeepEqual(*decoded, r) {
+		t.Errorf("decoded as %+v, error %v", decoded, err)
 	}
 }
--- a/internal/record/encoding_test.go
+++ b/internal/record/encoding_test.go
@@ -26,8 +26,8 @@
 	return r
 }
 
-// decoded decodes a record and fails the test if that returns an error.
-func decoded(t *testing.T, raw json.RawMessage) *Record {
+// mustDecode decodes a record and fails the test if that returns an error.
+func mustDecode(t *testing.T, raw json.RawMessage) *Record {
 	t.Helper()
 	r, err := Decode(raw)
 	if err != nil {
@@ -36,26 +36,26 @@
 	return r
 }
 
-func TestLiveRecordLosesDependenciesAndThenItsOldestEvents(t *testing.T) {
-	whole := len(marshal(t, recordWith(20, 10, 4)))
+func TestLiveRecordDropsDependenciesThenOldestEvents(t *testing.T) {
+	fullSize := len(marshal(t, recordWith(20, 10, 4)))
 	withoutDependencies := len(marshal(t, recordWith(0, 10, 4)))
 	withoutEvents := recordWith(0, 0, 4)
 	withoutEvents.Events = nil
-	least := len(marshal(t, withoutEvents))
+	minSize := len(marshal(t, withoutEvents))
 	for _, c := range []struct {
 		limit, dependencies, events int // how many of the 20 dependencies and 11 events stay
 	}{
-		{whole, 20, 11},
-		{whole - 1, 0, 11},
+		{fullSize, 20, 11},
+		{fullSize - 1, 0, 11},
 		{withoutDependencies, 0, 11},
 		{withoutDependencies - 1, 0, 10},
-		{least, 0, 0},
+		{minSize, 0, 0},
 	} {
 		raw, ok := recordWith(20, 10, 4).Encode(c.limit)
 		if !ok || len(raw) > c.limit {
 			t.Fatalf("limit %d: encoded in %d bytes, fits: %v", c.limit, len(raw), ok)
 		}
-		stored := decoded(t, raw)
+		stored := mustDecode(t, raw)
 		if len(stored.Spec.DependsOn) != c.dependencies || len(stored.Events) != c.events {
 			t.Errorf("limit %d: %d dependencies and %d events were kept", c.limit, len(stored.Spec.DependsOn), len(stored.Events))
 		}
@@ -63,7 +63,7 @@
 			t.Errorf("limit %d: the last event is %q", c.limit, stored.Events[c.events-1].Message)
 		}
 	}
-	if raw, ok := recordWith(20, 10, 4).Encode(least - 1); ok || raw != nil {
+	if raw, ok := recordWith(20, 10, 4).Encode(minSize - 1); ok || raw != nil {
 		t.Errorf("Encode returned %q for a limit that it does not fit", raw)
 	}
 }
@@ -91,7 +91,7 @@
 			if !ok || len(raw) > c.limit {
 				t.Fatalf("encoded in %d bytes, fits: %v", len(raw), ok)
 			}
-			stored := decoded(t, raw)
+			stored := mustDecode(t, raw)
 			if len(stored.Spec.DependsOn) != c.dependencies || stored.Finished.SpanCount() != c.spans || stored.Finished.Len() != 200 {
 				t.Errorf("%d dependencies and %d done tasks in %d spans were kept", len(stored.Spec.DependsOn), stored.Finished.Len(), stored.Finished.SpanCount())
 			}
@@ -111,16 +111,16 @@
 	}
 }
 
-func TestWaitingRecordIsReadBackInBothForms(t *testing.T) {
-	whole := len(marshal(t, []*Record{recordWith(100, 10, 4)}))
+func TestWaitingRecordIsDecodedInBothForms(t *testing.T) {
+	fullSize := len(marshal(t, []*Record{recordWith(100, 10, 4)}))
 	for _, c := range []struct {
 		name   string
 		limit  int
 		packed bool
 		events int
 	}{
-		{"names fit spelled out", whole, false, 11},
-		{"names are packed", whole - 1, true, 11},
+		{"names fit spelled out", fullSize, false, 11},
+		{"names are packed", fullSize - 1, true, 11},
 		{"names are packed and events dropped", 600, true, 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -136,12 +136,12 @@
 			if _, err := Decode(raw); err == nil {
 				t.Error("versions without dependencies can decode the record of a waiting job")
 			}
-			back, err := DecodeWaiting(raw)
+			decoded, err := DecodeWaiting(raw)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if !reflect.DeepEqual(back.Spec.DependsOn, want) || len(back.Events) != c.events {
-				t.Errorf("decoded with dependencies %v and %d events", back.Spec.DependsOn, len(back.Events))
+			if !reflect.DeepEqual(decoded.Spec.DependsOn, want) || len(decoded.Events) != c.events {
+				t.Errorf("decoded with dependencies %v and %d events", decoded.Spec.DependsOn, len(decoded.Events))
 			}
 			if len(r.Spec.DependsOn) != 100 || len(r.Events) != 11 {
 				t.Errorf("encoding left %d dependencies and %d events in the record", len(r.Spec.DependsOn), len(r.Events))
@@ -153,7 +153,7 @@
 	}
 }
 
-func TestOtherRecordsAreRefusedAsWaitingRecords(t *testing.T) {
+func TestMalformedWaitingRecordsAreRejected(t *testing.T) {
 	for _, raw := range []string{``, `{}`, `[]`, `[null]`, `[1]`, `[{},"job-:1",2]`, `[{},1]`, `"x"`} {
 		if r, err := DecodeWaiting(json.RawMessage(raw)); err == nil {
 			t.Errorf("malformed record %s is decoded as %+v", raw, r)
@@ -161,7 +161,7 @@
 	}
 }
 
-func TestPackedNamesAreReadBack(t *testing.T) {
+func TestPackedNamesAreUnpackedUnchanged(t *testing.T) {
 	for _, c := range []struct {
 		names  []ids.Job
 		packed string
@@ -175,24 +175,24 @@
 		if packed != c.packed {
 			t.Errorf("names %v are packed as %q, want %q", c.names, packed, c.packed)
 		}
-		if back := unpackNames(packed); !reflect.DeepEqual(back, c.names) {
-			t.Errorf("%q is unpacked as %v, want %v", packed, back, c.names)
+		if decoded := unpackNames(packed); !reflect.DeepEqual(decoded, c.names) {
+			t.Errorf("%q is unpacked as %v, want %v", packed, decoded, c.names)
 		}
 	}
 }
 
-func TestCancellationIsReadBack(t *testing.T) {
+func TestCancellationIsDecodedUnchanged(t *testing.T) {
 	cancellation := Cancellation{At: 5, Writer: "w"}
 	raw := cancellation.Encode()
 	if string(raw) != `[{"at":5,"writer":"w"}]` {
 		t.Errorf("cancellation encoded as %s", raw)
 	}
-	if back, err := DecodeCancellation(raw); err != nil || back != cancellation {
-		t.Errorf("cancellation decoded as %+v, error %v", back, err)
+	if decoded, err := DecodeCancellation(raw); err != nil || decoded != cancellation {
+		t.Errorf("cancellation decoded as %+v, error %v", decoded, err)
 	}
 	for _, bad := range []string{``, `{}`, `[]`, `[{},{}]`} {
-		if back, err := DecodeCancellation(json.RawMessage(bad)); err == nil {
-			t.Errorf("malformed cancellation %s is decoded as %+v", bad, back)
+		if decoded, err := DecodeCancellation(json.RawMessage(bad)); err == nil {
+			t.Errorf("malformed cancellation %s is decoded as %+v", bad, decoded)
 		}
 	}
 }
--- a/internal/record/eviction.go
+++ b/internal/record/eviction.go
@@ -19,9 +19,9 @@
 }
 
 const (
-	// evictionShare is the divisor of the largest size of a value that gives the largest size of a
+	// evictionSizeDivisor is the divisor of the largest size of a value that gives the largest size of a
 	// record's evictions. The rest is for the assignments, without which no task of the job runs.
-	evictionShare = 8
+	evictionSizeDivisor = 8
 	// evictionOverheadBytes is the approximate encoded size of an eviction without its rollout and
 	// tasks.
 	evictionOverheadBytes = 64
@@ -34,7 +34,7 @@
 		eviction := &r.Evictions[i]
 		size += evictionOverheadBytes + len(eviction.Rollout) + len(eviction.Tasks.String())
 	}
-	return size <= limit/evictionShare
+	return size <= limit/evictionSizeDivisor
 }
 
 // AddEviction adds a task to the job's evictions and removes an eviction of an earlier attempt of the task.
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -8,7 +8,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/placement"
 )
 
-func TestStoredNamesOfDescriptionsStay(t *testing.T) {
+func TestStoredFieldNamesOfSpecsAreUnchanged(t *testing.T) {
 	// Guards against a rename in the code that changes the stored form. Other versions of the
 	// program read it, and data under names that they don't know is lost.
 	spec := Spec{ID: "job-1", Class: "c", Team: "red", Shape: Gang, Priority: High, Tasks: 2, Resources: placement.Resources{Cores: 1},
@@ -19,9 +19,9 @@
 	if got := string(marshal(t, spec)); got != want {
 		t.Errorf("encoded as\n%s, want\n%s", got, want)
 	}
-	var back Spec
-	if err := json.Unmarshal([]byte(want), &back); err != nil || !reflect.DeepEqual(back, spec) {
-		t.Errorf("decoded as %+v, error %v", back, err)
+	var decoded Spec
+	if err := json.Unmarshal([]byte(want), &decoded); err != nil || !reflect.DeepEqual(decoded, spec) {
+		t.Errorf("decoded as %+v, error %v", decoded, err)
 	}
 }
 
--- a/internal/record/spec.go
+++ b/internal/record/spec.go
@@ -30,7 +30,7 @@
 
 func (p Priority) String() string { return priorityNames[p] }
 
-// Spec is the specification of a job that its user submitted.
+// Spec is the specification of a job as its user submitted it.
 type Spec struct {
 	ID                ids.Job             `json:"id"`
 	Class             string              `json:"class,omitempty"` // selects the service-level objective
