--- a/internal/state/client.go
+++ b/internal/state/client.go
@@ -78,7 +78,7 @@
 	}
 	var result revisionResponse
 	status, err := c.call(ctx, CallTimeout, http.MethodGet, "/kv/"+absentKey, nil, &result)
-	return result.StoreRevision, requireStatus(http.StatusNotFound, status, err)
+	return result.Revision, requireStatus(http.StatusNotFound, status, err)
 }
 
 // List reads a page of at most limit keys below a prefix, in order of keys; after is the last key of the
@@ -94,7 +94,7 @@
 	}
 	var result listResponse
 	status, err := c.call(ctx, longCallTimeout, http.MethodGet, "/kv?"+query.Encode(), nil, &result)
-	return result.Entries, result.More, result.StoreRevision, requireStatus(http.StatusOK, status, err)
+	return result.Entries, result.More, result.Revision, requireStatus(http.StatusOK, status, err)
 }
 
 // ListAll reads all entries below a prefix, page by page. It returns the store revision of the first page,
@@ -128,12 +128,12 @@
 	var result commitResponse
 	status, err := c.call(ctx, CallTimeout, http.MethodPost, "/commit", txn, &result)
 	if err == nil && status == http.StatusConflict {
-		return 0, &ConflictError{FailedKeys: result.FailedKeys, StoreRevision: result.StoreRevision}
+		return 0, &ConflictError{FailedKeys: result.FailedKeys, Revision: result.Revision}
 	}
 	if err := requireStatus(http.StatusOK, status, err); err != nil {
 		return 0, err
 	}
-	return result.StoreRevision, nil
+	return result.Revision, nil
 }
 
 // watchChanges waits at most the given time for changes below a prefix after a store revision. It returns
@@ -155,7 +155,7 @@
 	if err := requireStatus(http.StatusOK, status, err); err != nil {
 		return 0, nil, err
 	}
-	return result.StoreRevision, result.Changes, nil
+	return result.Revision, result.Changes, nil
 }
 
 // requireStatus returns ErrOutcomeUnknown if a call succeeded with another status than the only valid
--- a/internal/state/errors.go
+++ b/internal/state/errors.go
@@ -30,8 +30,8 @@
 type ConflictError struct {
 	// FailedKeys holds the keys whose conditions failed.
 	FailedKeys []string
-	// StoreRevision is the store's revision at the check of the conditions.
-	StoreRevision ids.StoreRevision
+	// Revision is the store's revision at the check of the conditions.
+	Revision ids.StoreRevision
 }
 
 func (c *ConflictError) Error() string {
--- a/internal/state/messages.go
+++ b/internal/state/messages.go
@@ -60,20 +60,20 @@
 
 // revisionResponse is the response to a read of a key that does not exist.
 type revisionResponse struct {
-	StoreRevision ids.StoreRevision `json:"epoch"`
+	Revision ids.StoreRevision `json:"epoch"`
 }
 
 // listResponse is the response to a listing: one page of entries.
 type listResponse struct {
-	Entries       []Entry           `json:"entries"`
-	More          bool              `json:"more"`
-	StoreRevision ids.StoreRevision `json:"epoch"`
+	Entries  []Entry           `json:"entries"`
+	More     bool              `json:"more"`
+	Revision ids.StoreRevision `json:"epoch"`
 }
 
 // commitResponse is the response to a transaction, whether it was applied or not.
 type commitResponse struct {
-	StoreRevision ids.StoreRevision `json:"epoch"`
-	FailedKeys    []string          `json:"failed"`
+	Revision   ids.StoreRevision `json:"epoch"`
+	FailedKeys []string          `json:"failed"`
 }
 
 // leaseResponse is the response to the creation of a lease.
@@ -83,6 +83,6 @@
 
 // watchResponse is the response to a watch: the changes after the requested store revision.
 type watchResponse struct {
-	StoreRevision ids.StoreRevision `json:"epoch"`
-	Changes       []Change          `json:"news"`
+	Revision ids.StoreRevision `json:"epoch"`
+	Changes  []Change          `json:"news"`
 }
--- a/internal/state/transfer.go
+++ b/internal/state/transfer.go
@@ -7,7 +7,7 @@
 
 // TransferFunc is a function that asks the other controllers for tokens for the given number of writes, and
 // reports whether one of them gave all of them.
-type TransferFunc func(ctx context.Context, writes int) bool
+type TransferFunc func(ctx context.Context, writeCount int) bool
 
 // Loans change over seconds. A transfer serves a burst of submissions at one controller, because the jobs
 // of a pipeline are submitted within a second over one connection.
@@ -22,13 +22,13 @@
 
 // SetTransferSource sets the function that asks the other controllers for tokens. It must be called before
 // the first call to the store.
-func (b *Budget) SetTransferSource(requestTransfer TransferFunc) { b.requestTransfer = requestTransfer }
+func (b *Budget) SetTransferSource(request TransferFunc) { b.requestTransfer = request }
 
 // TransferOut gives tokens for the given number of writes to another controller, and reports whether it
 // did. They are taken from this node's bucket before the other controller gets them, so that both never
 // use the same tokens.
-func (b *Budget) TransferOut(writes int) bool {
-	if writes <= 0 {
+func (b *Budget) TransferOut(writeCount int) bool {
+	if writeCount <= 0 {
 		return false
 	}
 	b.mu.Lock()
@@ -36,24 +36,24 @@
 	now := time.Now()
 	b.refreshRates(now)
 	bucket := &b.userBucket
-	left := bucket.writes.TokensAt(now) - bucket.queued.writes - float64(writes)
+	left := bucket.writes.TokensAt(now) - bucket.queued.writes - float64(writeCount)
 	if left < transferReserve*float64(bucket.writes.Burst()) {
 		return false
 	}
-	bucket.usedWrites += writes
-	return bucket.writes.AllowN(now, writes)
+	bucket.usedWrites += writeCount
+	return bucket.writes.AllowN(now, writeCount)
 }
 
 // acquireByTransfer takes the tokens for a user's call from another node if this node lacks tokens for
 // writes, and reports whether it did. It does not ask if tokens for calls are missing too, since these
 // cannot be transferred.
-func (b *Budget) acquireByTransfer(ctx context.Context, writes int) bool {
-	if b.requestTransfer == nil || !b.needsTransfer(writes) {
+func (b *Budget) acquireByTransfer(ctx context.Context, writeCount int) bool {
+	if b.requestTransfer == nil || !b.needsTransfer(writeCount) {
 		return false
 	}
 	ctx, cancel := context.WithTimeout(ctx, transferTimeout)
 	defer cancel()
-	given := b.requestTransfer(ctx, writes)
+	given := b.requestTransfer(ctx, writeCount)
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if !given {
@@ -63,12 +63,12 @@
 	if !b.userBucket.calls.AllowN(time.Now(), 1) {
 		return false
 	}
-	b.userBucket.requestedWrites += float64(writes)
+	b.userBucket.requestedWrites += float64(writeCount)
 	return true
 }
 
 // needsTransfer reports whether a user's call would have to wait for tokens for writes, and only for them.
-func (b *Budget) needsTransfer(writes int) bool {
+func (b *Budget) needsTransfer(writeCount int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := time.Now()
@@ -77,7 +77,7 @@
 	if now.Before(b.noTransferUntil) || b.userBucket.waitTime(cost{calls: 1}, cost{}, reserved) > 0 {
 		return false
 	}
-	wanted := cost{1, float64(writes)}
+	wanted := cost{1, float64(writeCount)}
 	if b.isLeader() && b.leaderBucket.waitTime(wanted, cost{}, leaderReserve) <= 0 {
 		return false
 	}
--- a/internal/state/transfer_test.go
+++ b/internal/state/transfer_test.go
@@ -20,9 +20,9 @@
 
 // setTransferSources makes a controller ask the others for tokens, in the given order.
 func setTransferSources(budget *Budget, others ...*Budget) {
-	budget.SetTransferSource(func(_ context.Context, writes int) bool {
+	budget.SetTransferSource(func(_ context.Context, writeCount int) bool {
 		for _, other := range others {
-			if other.TransferOut(writes) {
+			if other.TransferOut(writeCount) {
 				return true
 			}
 		}
--- a/internal/state/watchcache_sync.go
+++ b/internal/state/watchcache_sync.go
@@ -137,8 +137,8 @@
 	}
 	// A watch may succeed during an outage, or while the store rejects only this node. Only a
 	// plain read reliably returns the store's revision.
-	storedRevision, err := w.client.currentRevision(ctx)
-	if err != nil || storedRevision <= cachedRevision {
+	latestRevision, err := w.client.currentRevision(ctx)
+	if err != nil || latestRevision <= cachedRevision {
 		return err
 	}
 	after := cachedRevision
@@ -148,20 +148,20 @@
 		// the newest change already known: a response without it is not valid.
 		after = min(after, ids.StoreRevision(lastRevision)-1)
 	}
-	returnedRevision, changes, err := w.client.watchChanges(ctx, w.prefix, after, 0)
+	storeRevision, changes, err := w.client.watchChanges(ctx, w.prefix, after, 0)
 	switch {
 	case errors.Is(err, errCompacted):
 		return w.relist(ctx)
 	case err != nil:
 		return err
-	case returnedRevision < storedRevision:
-		return fmt.Errorf("%w: watch returned changes up to store revision %d only, want %d", ErrRefused, returnedRevision, storedRevision)
+	case storeRevision < latestRevision:
+		return fmt.Errorf("%w: watch returned changes up to store revision %d only, want %d", ErrRefused, storeRevision, latestRevision)
 	case lastRevision > 0 && !hasRevision(changes, lastRevision):
 		return fmt.Errorf("%w: watch response lacks the newest change already in the cache", ErrRefused)
 	}
-	// The watch was made after the plain read, so its response includes all changes up to storedRevision.
+	// The watch was made after the plain read, so its response includes all changes up to latestRevision.
 	// Beyond that, only the returned changes prove how far it reaches.
-	w.apply(max(storedRevision, newestRevision(changes)), changes)
+	w.apply(max(latestRevision, newestRevision(changes)), changes)
 	return nil
 }
 
