--- a/internal/record/encoding_test.go
+++ b/internal/record/encoding_test.go
@@ -10,8 +10,8 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-// recordWith is a job's record with so many dependencies and events; of its tasks every other is
-// done.
+// recordWith returns a job's record with the given numbers of dependencies, events and tasks; every other
+// task is done.
 func recordWith(dependencies, events, tasks int) *Record {
 	r := New(Spec{ID: "job-1", Team: "red", Shape: Array, Tasks: tasks}, 1000, "w")
 	for i := range dependencies {
@@ -26,8 +26,8 @@
 	return r
 }
 
-// decoded reads a record that must be readable.
-func decoded(t *testing.T, raw json.RawMessage) *Record {
+// mustDecode decodes a record and fails the test if that returns an error.
+func mustDecode(t *testing.T, raw json.RawMessage) *Record {
 	t.Helper()
 	r, err := Decode(raw)
 	if err != nil {
@@ -36,40 +36,40 @@
 	return r
 }
 
-func TestLiveRecordLosesDependenciesAndThenItsOldestEvents(t *testing.T) {
-	whole := len(marshal(t, recordWith(20, 10, 4)))
+func TestLiveRecordDropsDependenciesThenOldestEvents(t *testing.T) {
+	fullSize := len(marshal(t, recordWith(20, 10, 4)))
 	withoutDependencies := len(marshal(t, recordWith(0, 10, 4)))
 	withoutEvents := recordWith(0, 0, 4)
 	withoutEvents.Events = nil
-	least := len(marshal(t, withoutEvents))
+	minSize := len(marshal(t, withoutEvents))
 	for _, c := range []struct {
-		limit, dependencies, events int // of the 20 dependencies and 11 events, what stays
+		limit, dependencies, events int // how many of the 20 dependencies and 11 events stay
 	}{
-		{whole, 20, 11},
-		{whole - 1, 0, 11},
+		{fullSize, 20, 11},
+		{fullSize - 1, 0, 11},
 		{withoutDependencies, 0, 11},
 		{withoutDependencies - 1, 0, 10},
-		{least, 0, 0},
+		{minSize, 0, 0},
 	} {
 		raw, ok := recordWith(20, 10, 4).Encode(c.limit)
 		if !ok || len(raw) > c.limit {
-			t.Fatalf("limit %d: %d bytes, %v", c.limit, len(raw), ok)
+			t.Fatalf("limit %d: encoded in %d bytes, fits: %v", c.limit, len(raw), ok)
 		}
-		stored := decoded(t, raw)
+		stored := mustDecode(t, raw)
 		if len(stored.Spec.DependsOn) != c.dependencies || len(stored.Events) != c.events {
-			t.Errorf("limit %d: %d dependencies and %d events stay", c.limit, len(stored.Spec.DependsOn), len(stored.Events))
+			t.Errorf("limit %d: %d dependencies and %d events were kept", c.limit, len(stored.Spec.DependsOn), len(stored.Events))
 		}
 		if c.events > 0 && stored.Events[c.events-1].Message != "event 9" {
 			t.Errorf("limit %d: the last event is %q", c.limit, stored.Events[c.events-1].Message)
 		}
 	}
-	if raw, ok := recordWith(20, 10, 4).Encode(least - 1); ok || raw != nil {
-		t.Errorf("%q is stored though it does not fit", raw)
+	if raw, ok := recordWith(20, 10, 4).Encode(minSize - 1); ok || raw != nil {
+		t.Errorf("Encode returned %q for a limit that it does not fit", raw)
 	}
 }
 
 func TestFinalRecordKeepsItsLastEventLongest(t *testing.T) {
-	// Guards against a user who can't see how a job ended.
+	// Guards against the loss of the event that tells users how a job ended.
 	r := recordWith(20, 10, 400)
 	r.AddEviction(1, 1, "drain", 1)
 	before := string(marshal(t, r))
@@ -79,7 +79,7 @@
 	for _, c := range []struct {
 		name                       string
 		limit, dependencies, spans int
-		moreEvents                 bool // than the last
+		moreEvents                 bool // whether more events than the last one stay
 	}{
 		{"all fits", 100000, 20, 200, true},
 		{"only the last event fits", sizeWithDependencies, 20, 200, false},
@@ -89,38 +89,38 @@
 		t.Run(c.name, func(t *testing.T) {
 			raw, ok := r.EncodeFinal(c.limit)
 			if !ok || len(raw) > c.limit {
-				t.Fatalf("%d bytes, %v", len(raw), ok)
+				t.Fatalf("encoded in %d bytes, fits: %v", len(raw), ok)
 			}
-			stored := decoded(t, raw)
+			stored := mustDecode(t, raw)
 			if len(stored.Spec.DependsOn) != c.dependencies || stored.Finished.SpanCount() != c.spans || stored.Finished.Len() != 200 {
-				t.Errorf("%d dependencies and %d tasks in %d spans stay", len(stored.Spec.DependsOn), stored.Finished.Len(), stored.Finished.SpanCount())
+				t.Errorf("%d dependencies and %d done tasks in %d spans were kept", len(stored.Spec.DependsOn), stored.Finished.Len(), stored.Finished.SpanCount())
 			}
 			if len(stored.Evictions) > 0 {
-				t.Errorf("evictions %v stay", stored.Evictions)
+				t.Errorf("evictions %v were kept in a final record", stored.Evictions)
 			}
 			if more := len(stored.Events) > 1; more != c.moreEvents || stored.Events[len(stored.Events)-1].Message != "event 9" {
-				t.Errorf("events %v stay", stored.Events)
+				t.Errorf("events %v were kept", stored.Events)
 			}
 		})
 	}
 	if raw, ok := r.EncodeFinal(100); ok {
-		t.Errorf("%q is stored though it does not fit", raw)
+		t.Errorf("EncodeFinal returned %q for a limit that it does not fit", raw)
 	}
 	if after := string(marshal(t, r)); after != before {
 		t.Errorf("encoding changed the record from\n%s to\n%s", before, after)
 	}
 }
 
-func TestWaitingRecordIsReadBackInBothForms(t *testing.T) {
-	whole := len(marshal(t, []*Record{recordWith(100, 10, 4)}))
+func TestWaitingRecordIsDecodedInBothForms(t *testing.T) {
+	fullSize := len(marshal(t, []*Record{recordWith(100, 10, 4)}))
 	for _, c := range []struct {
 		name   string
 		limit  int
 		packed bool
 		events int
 	}{
-		{"names fit spelled out", whole, false, 11},
-		{"names are packed", whole - 1, true, 11},
+		{"names fit spelled out", fullSize, false, 11},
+		{"names are packed", fullSize - 1, true, 11},
 		{"names are packed and events dropped", 600, true, 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -128,20 +128,20 @@
 			want := r.Spec.DependsOn
 			raw, ok := r.EncodeWaiting(c.limit)
 			if !ok || len(raw) > c.limit {
-				t.Fatalf("%d bytes, %v", len(raw), ok)
+				t.Fatalf("encoded in %d bytes, fits: %v", len(raw), ok)
 			}
 			if packed := strings.Contains(string(raw), `,"job-77000:`); packed != c.packed {
-				t.Errorf("packed: %v in %s", packed, raw)
+				t.Errorf("names packed: %v in %s", packed, raw)
 			}
 			if _, err := Decode(raw); err == nil {
-				t.Error("versions from before dependencies can read it")
+				t.Error("versions without dependencies can decode the record of a waiting job")
 			}
-			back, err := DecodeWaiting(raw)
+			decoded, err := DecodeWaiting(raw)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if !reflect.DeepEqual(back.Spec.DependsOn, want) || len(back.Events) != c.events {
-				t.Errorf("read back with dependencies %v and %d events", back.Spec.DependsOn, len(back.Events))
+			if !reflect.DeepEqual(decoded.Spec.DependsOn, want) || len(decoded.Events) != c.events {
+				t.Errorf("decoded with dependencies %v and %d events", decoded.Spec.DependsOn, len(decoded.Events))
 			}
 			if len(r.Spec.DependsOn) != 100 || len(r.Events) != 11 {
 				t.Errorf("encoding left %d dependencies and %d events in the record", len(r.Spec.DependsOn), len(r.Events))
@@ -149,19 +149,19 @@
 		})
 	}
 	if raw, ok := recordWith(100, 10, 4).EncodeWaiting(400); ok {
-		t.Errorf("%q is stored though it does not fit", raw)
+		t.Errorf("EncodeWaiting returned %q for a limit that it does not fit", raw)
 	}
 }
 
-func TestOtherRecordsAreRefusedAsWaitingRecords(t *testing.T) {
+func TestMalformedWaitingRecordsAreRejected(t *testing.T) {
 	for _, raw := range []string{``, `{}`, `[]`, `[null]`, `[1]`, `[{},"job-:1",2]`, `[{},1]`, `"x"`} {
 		if r, err := DecodeWaiting(json.RawMessage(raw)); err == nil {
-			t.Errorf("%s is read as %+v", raw, r)
+			t.Errorf("malformed record %s is decoded as %+v", raw, r)
 		}
 	}
 }
 
-func TestPackedNamesAreReadBack(t *testing.T) {
+func TestPackedNamesAreUnpackedUnchanged(t *testing.T) {
 	for _, c := range []struct {
 		names  []ids.Job
 		packed string
@@ -173,26 +173,26 @@
 	} {
 		packed := packNames(c.names)
 		if packed != c.packed {
-			t.Errorf("%v is packed as %q, not %q", c.names, packed, c.packed)
+			t.Errorf("names %v are packed as %q, want %q", c.names, packed, c.packed)
 		}
-		if back := unpackNames(packed); !reflect.DeepEqual(back, c.names) {
-			t.Errorf("%q is read back as %v, not %v", packed, back, c.names)
+		if decoded := unpackNames(packed); !reflect.DeepEqual(decoded, c.names) {
+			t.Errorf("%q is unpacked as %v, want %v", packed, decoded, c.names)
 		}
 	}
 }
 
-func TestCancellationIsReadBack(t *testing.T) {
+func TestCancellationIsDecodedUnchanged(t *testing.T) {
 	cancellation := Cancellation{At: 5, Writer: "w"}
 	raw := cancellation.Encode()
 	if string(raw) != `[{"at":5,"writer":"w"}]` {
-		t.Errorf("stored as %s", raw)
+		t.Errorf("cancellation encoded as %s", raw)
 	}
-	if back, err := DecodeCancellation(raw); err != nil || back != cancellation {
-		t.Errorf("read back as %+v, %v", back, err)
+	if decoded, err := DecodeCancellation(raw); err != nil || decoded != cancellation {
+		t.Errorf("cancellation decoded as %+v, error %v", decoded, err)
 	}
 	for _, bad := range []string{``, `{}`, `[]`, `[{},{}]`} {
-		if back, err := DecodeCancellation(json.RawMessage(bad)); err == nil {
-			t.Errorf("%s is read as %+v", bad, back)
+		if decoded, err := DecodeCancellation(json.RawMessage(bad)); err == nil {
+			t.Errorf("malformed cancellation %s is decoded as %+v", bad, decoded)
 		}
 	}
 }
--- a/internal/state/acquire_test.go
+++ b/internal/state/acquire_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-func TestUrgentCallsComeFirstAndUsersCallsAreShedAtOnce(t *testing.T) {
+func TestUrgentCallsGoFirstAndSheddableCallsAreRejectedImmediately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := context.Background()
 		_, _, client := newClientWithBudget(NewBudget(20, 10, 1, 0.6))
@@ -24,30 +24,30 @@
 				took := time.Since(began)
 				mu.Lock()
 				defer mu.Unlock()
-				// Whoever is refused is so at once; none waits in a queue that
-				// is not served within a moment.
+				// Calls that exceed the budget must be rejected immediately and not
+				// wait in a queue that is served too late.
 				if errors.Is(err, ErrRefused) {
 					refused++
 					if took > 10*time.Millisecond {
-						t.Errorf("refused after %v", took)
+						t.Errorf("call rejected after %v, want at most 10 ms", took)
 					}
 				} else if took > 400*time.Millisecond {
-					t.Errorf("served after %v", took)
+					t.Errorf("call succeeded after %v, want at most 400 ms", took)
 				}
 			})
 		}
 		commits.Wait()
 		if refused < 30 || refused > 38 {
-			t.Fatalf("%d of 40 refused", refused)
+			t.Fatalf("%d of 40 calls rejected, want 30 to 38", refused)
 		}
 		if _, err := client.Commit(ctx, Txn{Ops: []Op{{Put: "u", Value: []byte(`1`)}}}, Urgent); err != nil {
-			t.Fatalf("an urgent write after the burst: %v", err)
+			t.Fatalf("commit with priority Urgent after the burst: %v", err)
 		}
 	})
 }
 
-// withoutWaiting is a context that leaves no time to wait for tokens.
-func withoutWaiting(ctx context.Context) context.Context {
+// cancelledContext returns a cancelled context, with which no call waits for tokens.
+func cancelledContext(ctx context.Context) context.Context {
 	ctx, cancel := context.WithCancel(ctx)
 	cancel()
 	return ctx
--- a/internal/state/transfer_test.go
+++ b/internal/state/transfer_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// idleBudgets are of a small deployment: each of five controllers may make 3.7 changes a
-// second for its users, and four at once.
-func idleBudgets(controllers int) []*Budget {
+// newBudgets returns the budgets of the controllers of a small deployment. Each of five controllers may
+// make 3.7 writes per second for its users, in bursts of four.
+func newBudgets(controllers int) []*Budget {
 	var budgets []*Budget
 	for range controllers {
 		budgets = append(budgets, NewBudget(200, 35, 5, 0.45))
@@ -18,11 +18,11 @@
 	return budgets
 }
 
-// setSources has one controller ask the others in order.
-func setSources(budget *Budget, others ...*Budget) {
-	budget.SetTransferSource(func(_ context.Context, changes int) bool {
+// setTransferSources makes a controller ask the others for tokens, in the given order.
+func setTransferSources(budget *Budget, others ...*Budget) {
+	budget.SetTransferSource(func(_ context.Context, writeCount int) bool {
 		for _, other := range others {
-			if other.TransferOut(changes) {
+			if other.TransferOut(writeCount) {
 				return true
 			}
 		}
@@ -30,82 +30,82 @@
 	})
 }
 
-func TestBurstAtOneControllerIsServedWithWhatOthersNeedNot(t *testing.T) {
-	// Guards against refusing a job of a pipeline while the other controllers are idle: its
-	// user submits six or seven within a second over one connection.
+func TestBurstAtOneControllerUsesSpareTokensOfOthers(t *testing.T) {
+	// Guards against the rejection of a job of a pipeline while the other controllers are idle.
+	// A user submits the six or seven jobs of a pipeline within a second over one connection.
 	synctest.Test(t, func(t *testing.T) {
-		budgets := idleBudgets(5)
-		setSources(budgets[0], budgets[1:]...)
+		budgets := newBudgets(5)
+		setTransferSources(budgets[0], budgets[1:]...)
 		began := time.Now()
 		for i := range 7 {
 			if err := budgets[0].acquire(context.Background(), Sheddable, 1); err != nil {
-				t.Errorf("submission %d: %v", i, err)
+				t.Errorf("acquire tokens for submission %d: %v", i, err)
 			}
 		}
 		if took := time.Since(began); took > 10*time.Millisecond {
-			t.Errorf("the burst took %v", took)
+			t.Errorf("the burst took %v, want at most 10 ms", took)
 		}
 	})
 }
 
 func TestControllerKeepsHalfOfItsBurstForItsOwnUsers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		budget := idleBudgets(1)[0]
+		budget := newBudgets(1)[0]
 		given := 0
 		for given < 100 && budget.TransferOut(1) {
 			given++
 		}
 		if given != 2 {
-			t.Errorf("%d changes given away of a burst of four", given)
+			t.Errorf("%d writes of a burst of four were given away, want 2", given)
 		}
 		if budget.TransferOut(0) || budget.TransferOut(-5) {
-			t.Error("nothing or less than nothing was given")
+			t.Error("a transfer of zero or fewer writes succeeded")
 		}
 	})
 }
 
-func TestTransferredChangesAreNeverMadeByBoth(t *testing.T) {
-	// All controllers are busy and ask one another all the time: together they stay
-	// below what the store allows.
+func TestTransferredTokensAreNeverUsedByBothControllers(t *testing.T) {
+	// All controllers are busy and constantly ask one another for tokens. Their total must stay
+	// below the store's limit.
 	synctest.Test(t, func(t *testing.T) {
-		budgets := idleBudgets(5)
+		budgets := newBudgets(5)
 		for i, budget := range budgets {
-			setSources(budget, slices.Concat(budgets[:i], budgets[i+1:])...)
+			setTransferSources(budget, slices.Concat(budgets[:i], budgets[i+1:])...)
 		}
 		made := 0
 		for range 100 {
 			for _, budget := range budgets {
-				for made < 1000 && budget.acquire(withoutWaiting(context.Background()), Sheddable, 1) == nil {
+				for made < 1000 && budget.acquire(cancelledContext(context.Background()), Sheddable, 1) == nil {
 					made++
 				}
 			}
 			time.Sleep(100 * time.Millisecond)
 		}
-		users := 35 * headroom * 0.55 // changes a second, all controllers together
-		if most := int(users*10) + 5*4; made > most {
-			t.Errorf("%d changes in 10 s, at most %d may be made", made, most)
+		userRate := 35 * headroom * 0.55 // writes per second of all controllers together
+		if maxWrites := int(userRate*10) + 5*4; made > maxWrites {
+			t.Errorf("%d writes of all controllers in 10 s, want at most %d", made, maxWrites)
 		}
 	})
 }
 
-func TestControllersWithNothingToGiveAreNotAskedForEveryUser(t *testing.T) {
-	// Guards against a crowd of submissions turning into a crowd of questions.
+func TestTransferRequestsPauseAfterFailure(t *testing.T) {
+	// Guards against one transfer request to the other controllers for each of many submissions.
 	synctest.Test(t, func(t *testing.T) {
-		budget := idleBudgets(1)[0]
+		budget := newBudgets(1)[0]
 		asked := 0
 		budget.SetTransferSource(func(context.Context, int) bool { asked++; return false })
 		for range 100 {
-			_ = budget.acquire(withoutWaiting(context.Background()), Sheddable, 1) // only the questions count
+			_ = budget.acquire(cancelledContext(context.Background()), Sheddable, 1) // only the number of transfer requests matters
 		}
 		if asked != 1 {
-			t.Errorf("the others were asked %d times at once", asked)
+			t.Errorf("%d transfer requests for 100 calls at once, want 1", asked)
 		}
 		time.Sleep(transferPause)
 		for range 20 {
-			_ = budget.acquire(withoutWaiting(context.Background()), Sheddable, 1) // only the questions count
+			_ = budget.acquire(cancelledContext(context.Background()), Sheddable, 1) // only the number of transfer requests matters
 		}
 		if asked != 2 {
-			t.Errorf("%d questions after the pause", asked)
+			t.Errorf("%d transfer requests in total after transferPause, want 2", asked)
 		}
 	})
 }
--- a/internal/state/watchcache.go
+++ b/internal/state/watchcache.go
@@ -13,32 +13,35 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-// WatchCache keeps a copy of the keys below a prefix, a little behind the store.
+// WatchCache is a copy of the keys below a prefix that lags slightly behind the store.
 //
-// Run follows the store's changes. Sync brings the copy up to date on demand, by a goroutine of its
-// own that ends when nobody waits for it any more; it uses the context of Run.
+// Run keeps the copy up to date by watches. Sync brings it up to date on demand: a goroutine of its own,
+// which uses the context of Run, reads the changes and ends when no caller waits.
 type WatchCache struct {
 	client *Client
 	prefix string
-	// watchInterval spaces the watches, so that a busy prefix does not eat the budget.
+	// watchInterval is the pause between watches, so that a prefix with many changes does not use
+	// up the budget.
 	watchInterval time.Duration
 
-	// notifyMu has onChange called in the order in which the changes were applied; it guards
-	// onChange too. It is taken before mu, never under it, and held while onChange runs, which
-	// may read the copy.
+	// notifyMu guards onChange and ensures that it is called in the order in which the changes
+	// were applied. It is locked before mu, never while mu is held, and stays locked while
+	// onChange runs, which may read the copy.
 	notifyMu sync.Mutex
 	onChange func(Change)
 
-	// mu guards all that follows. Nothing is called or waited for under it.
-	mu           sync.Mutex
-	entries      map[string]Entry
-	epoch        ids.StoreRevision // up to which all changes are applied
-	lastRevision ids.Revision      // of the newest change known
-	ready        bool              // entries were listed, and changes can be followed from epoch on
-	sync         syncState
+	// mu guards the fields below. Code that holds it neither calls the store or a listener nor
+	// blocks.
+	mu            sync.Mutex
+	entries       map[string]Entry
+	storeRevision ids.StoreRevision // store revision up to which all changes are applied
+	lastRevision  ids.Revision      // revision of the newest known change
+	ready         bool              // whether entries were listed and can be updated by a watch from storeRevision
+	sync          syncState
 }
 
-// NewWatchCache makes an empty cache of the keys below a prefix; watchInterval spaces its watches.
+// NewWatchCache returns an empty cache of the keys below a prefix; watchInterval is the pause between its
+// watches.
 func NewWatchCache(client *Client, prefix string, watchInterval time.Duration) *WatchCache {
 	return &WatchCache{
 		client:        client,
@@ -49,204 +52,205 @@
 	}
 }
 
-// OnChange has listener called with each change from now on, in order. It may read the cache,
-// but must not wait for it to be brought up to date.
-func (m *WatchCache) OnChange(listener func(Change)) {
-	m.notifyMu.Lock()
-	defer m.notifyMu.Unlock()
-	m.onChange = listener
+// OnChange sets the function that is called with each change from now on, in order. The listener may read
+// the cache but must not call Sync.
+func (w *WatchCache) OnChange(listener func(Change)) {
+	w.notifyMu.Lock()
+	defer w.notifyMu.Unlock()
+	w.onChange = listener
 }
 
-// Entries lists the copy in the order of keys, and the epoch that it is of.
-func (m *WatchCache) Entries() ([]Entry, ids.StoreRevision) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
+// Entries returns all entries of the copy, sorted by key, and the store revision of the copy.
+func (w *WatchCache) Entries() ([]Entry, ids.StoreRevision) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
 	byKey := func(x, y Entry) int { return cmp.Compare(x.Key, y.Key) }
-	entries := slices.AppendSeq(make([]Entry, 0, len(m.entries)), maps.Values(m.entries))
+	entries := slices.AppendSeq(make([]Entry, 0, len(w.entries)), maps.Values(w.entries))
 	slices.SortFunc(entries, byKey)
-	return entries, m.epoch
+	return entries, w.storeRevision
 }
 
-// Get reads the copy; ready is false until the first listing is in.
-func (m *WatchCache) Get(key string) (entry Entry, found, ready bool) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	entry, found = m.entries[key]
-	return entry, found, m.ready
+// Get reads a key from the copy; ready is false before the first listing.
+func (w *WatchCache) Get(key string) (entry Entry, found, ready bool) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	entry, found = w.entries[key]
+	return entry, found, w.ready
 }
 
-// GetMany reads several keys, all at one moment; the entry of a key that does not exist has no key.
-func (m *WatchCache) GetMany(keys ...string) (entries []Entry, ready bool) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
+// GetMany reads several keys from the same version of the copy. The entry of a key that does not exist has
+// an empty Key.
+func (w *WatchCache) GetMany(keys ...string) (entries []Entry, ready bool) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
 	entries = make([]Entry, len(keys))
 	for i, key := range keys {
-		entries[i] = m.entries[key]
+		entries[i] = w.entries[key]
 	}
-	return entries, m.ready
+	return entries, w.ready
 }
 
-// GetFirst reads the first of several keys that exists, all at one moment: a value may move from one
-// to another in between.
-func (m *WatchCache) GetFirst(keys ...string) (entry Entry, found, ready bool) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
+// GetFirst reads the first of several keys that exists. All are looked up in the same version of the copy,
+// because a value may move from one key to another.
+func (w *WatchCache) GetFirst(keys ...string) (entry Entry, found, ready bool) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
 	for _, key := range keys {
-		if entry, found = m.entries[key]; found {
+		if entry, found = w.entries[key]; found {
 			break
 		}
 	}
-	return entry, found, m.ready
+	return entry, found, w.ready
 }
 
 const (
-	// watchTimeout is how long the store waits for a change before it answers that there is none.
+	// watchTimeout is how long the store waits for a change before it returns an empty response.
 	watchTimeout = 10 * time.Second
-	// watchRetryDelay spaces attempts after an error.
+	// watchRetryDelay is the delay before a retry after an error.
 	watchRetryDelay = 300 * time.Millisecond
 )
 
-// Run keeps the copy until the context ends.
-func (m *WatchCache) Run(ctx context.Context) {
-	m.setSyncContext(ctx)
+// Run keeps the copy up to date until the context ends.
+func (w *WatchCache) Run(ctx context.Context) {
+	w.setSyncContext(ctx)
 	for ctx.Err() == nil {
-		if !m.isReady() {
-			if err := m.relist(ctx); err != nil {
-				slog.Debug("watch cache not listed", "prefix", m.prefix, "err", err)
+		if !w.isReady() {
+			if err := w.relist(ctx); err != nil {
+				slog.Debug("watch cache cannot list its keys; retrying", "prefix", w.prefix, "err", err)
 				sleep(ctx, watchRetryDelay)
 				continue
 			}
 		}
-		m.watchOnce(ctx)
+		w.watchOnce(ctx)
 	}
 }
 
-// watchOnce waits for changes and applies them, and sleeps until the next watch is due.
-func (m *WatchCache) watchOnce(ctx context.Context) {
-	_, changes, err := m.client.watchChanges(ctx, m.prefix, m.currentEpoch(), watchTimeout)
+// watchOnce waits for changes, applies them and sleeps until the next watch is due.
+func (w *WatchCache) watchOnce(ctx context.Context) {
+	_, changes, err := w.client.watchChanges(ctx, w.prefix, w.currentRevision(), watchTimeout)
 	switch {
 	case errors.Is(err, errCompacted):
-		m.invalidate()
+		w.invalidate()
 		return
 	case err != nil:
 		sleep(ctx, watchRetryDelay)
 		return
 	}
-	// An answer without changes says nothing: a watch that waits out an outage, or this node's
-	// being refused, may end well with an epoch whose changes it never showed. To take that for
-	// read would lose them for good.
-	if epoch := newestEpoch(changes); epoch > 0 {
-		m.apply(epoch, changes)
+	// A response without changes must not advance the copy: a watch that spans an outage of the
+	// store, or a time in which the store rejects this node, may succeed with a store revision
+	// whose changes it did not return. Advancing to that revision would lose these changes.
+	if storeRevision := newestRevision(changes); storeRevision > 0 {
+		w.apply(storeRevision, changes)
 	}
-	sleep(ctx, m.watchInterval)
+	sleep(ctx, w.watchInterval)
 }
 
-func (m *WatchCache) currentEpoch() ids.StoreRevision {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return m.epoch
+func (w *WatchCache) currentRevision() ids.StoreRevision {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.storeRevision
 }
 
-func (m *WatchCache) isReady() bool {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return m.ready
+func (w *WatchCache) isReady() bool {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.ready
 }
 
-// invalidate has the copy listed anew; it may be read meanwhile.
-func (m *WatchCache) invalidate() {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.ready = false
+// invalidate requests a new listing; the copy may still be read until then.
+func (w *WatchCache) invalidate() {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.ready = false
 }
 
-// newestEpoch is the epoch of the last change; 0 if there is none.
-func newestEpoch(changes []Change) (newest ids.StoreRevision) {
+// newestRevision returns the store revision of the newest change; 0 if there is none.
+func newestRevision(changes []Change) (newest ids.StoreRevision) {
 	for _, change := range changes {
 		newest = max(newest, ids.StoreRevision(change.Revision))
 	}
 	return newest
 }
 
-// relist reads all anew and reports what differs from the copy as changes, so that a listener
-// misses nothing when the store has compacted its history.
-func (m *WatchCache) relist(ctx context.Context) error {
-	entries, epoch, err := m.client.ListAll(ctx, m.prefix, Normal)
+// relist lists all keys and notifies the listener of the differences from the copy, so that it misses no
+// change when the store has compacted its history.
+func (w *WatchCache) relist(ctx context.Context) error {
+	entries, storeRevision, err := w.client.ListAll(ctx, w.prefix, Normal)
 	if err != nil {
 		return err
 	}
-	m.notifyMu.Lock()
-	defer m.notifyMu.Unlock()
-	m.notify(m.replace(entries, epoch))
+	w.notifyMu.Lock()
+	defer w.notifyMu.Unlock()
+	w.notify(w.replace(entries, storeRevision))
 	return nil
 }
 
-// replace makes the copy hold the entries listed at an epoch and returns what differs. It changes
-// nothing if the copy is newer.
-func (m *WatchCache) replace(entries []Entry, epoch ids.StoreRevision) (changes []Change) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if m.ready && epoch < m.epoch {
+// replace replaces the copy by the entries listed at a store revision and returns the differences as
+// changes. It does nothing if the copy is newer.
+func (w *WatchCache) replace(entries []Entry, storeRevision ids.StoreRevision) (changes []Change) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if w.ready && storeRevision < w.storeRevision {
 		return nil
 	}
 	listed := make(map[string]Entry, len(entries))
-	m.lastRevision = 0
+	w.lastRevision = 0
 	for _, entry := range entries {
 		listed[entry.Key] = entry
-		m.lastRevision = max(m.lastRevision, entry.Revision)
-		if m.entries[entry.Key].Revision != entry.Revision {
+		w.lastRevision = max(w.lastRevision, entry.Revision)
+		if w.entries[entry.Key].Revision != entry.Revision {
 			changes = append(changes, Change{Put: entry.Key, Value: entry.Value, Revision: entry.Revision})
 		}
 	}
-	for key := range m.entries {
-		if _, still := listed[key]; !still {
-			changes = append(changes, Change{Remove: key, Revision: ids.Revision(epoch)})
+	for key := range w.entries {
+		if _, exists := listed[key]; !exists {
+			changes = append(changes, Change{Remove: key, Revision: ids.Revision(storeRevision)})
 		}
 	}
-	m.entries, m.epoch, m.ready = listed, epoch, true
+	w.entries, w.storeRevision, w.ready = listed, storeRevision, true
 	return changes
 }
 
-// apply takes in what changed up to an epoch and notifies the listener of what is new.
-func (m *WatchCache) apply(epoch ids.StoreRevision, changes []Change) {
-	m.notifyMu.Lock()
-	defer m.notifyMu.Unlock()
-	m.notify(m.merge(epoch, changes))
+// apply applies the changes up to a store revision and notifies the listener of those that are new.
+func (w *WatchCache) apply(storeRevision ids.StoreRevision, changes []Change) {
+	w.notifyMu.Lock()
+	defer w.notifyMu.Unlock()
+	w.notify(w.merge(storeRevision, changes))
 }
 
-// merge puts changes into the copy and returns those that it did not have yet: answers may overtake
-// one another. It reuses the list.
-func (m *WatchCache) merge(epoch ids.StoreRevision, changes []Change) (applied []Change) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
+// merge applies changes to the copy and returns those that the copy did not have yet, because responses
+// may arrive out of order. The result reuses the memory of changes.
+func (w *WatchCache) merge(storeRevision ids.StoreRevision, changes []Change) (applied []Change) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
 	applied = changes[:0]
 	for _, change := range changes {
-		if ids.StoreRevision(change.Revision) <= m.epoch || change.Revision <= m.entries[change.Key()].Revision {
+		if ids.StoreRevision(change.Revision) <= w.storeRevision || change.Revision <= w.entries[change.Key()].Revision {
 			continue
 		}
 		applied = append(applied, change)
-		m.lastRevision = max(m.lastRevision, change.Revision)
+		w.lastRevision = max(w.lastRevision, change.Revision)
 		if change.Put != "" {
-			m.entries[change.Put] = Entry{Key: change.Put, Value: change.Value, Revision: change.Revision}
+			w.entries[change.Put] = Entry{Key: change.Put, Value: change.Value, Revision: change.Revision}
 		} else {
-			delete(m.entries, change.Remove)
+			delete(w.entries, change.Remove)
 		}
 	}
-	m.epoch = max(m.epoch, epoch)
+	w.storeRevision = max(w.storeRevision, storeRevision)
 	return applied
 }
 
-// notify tells the listener of changes, in order. The caller holds notifyMu, but not mu.
-func (m *WatchCache) notify(changes []Change) {
-	if m.onChange == nil {
+// notify calls the listener with each change, in order. The caller holds notifyMu, but not mu.
+func (w *WatchCache) notify(changes []Change) {
+	if w.onChange == nil {
 		return
 	}
 	for _, change := range changes {
-		m.onChange(change)
+		w.onChange(change)
 	}
 }
 
-// sleep waits until a time has passed or the context ends.
+// sleep waits until the duration has passed or the context ends.
 func sleep(ctx context.Context, duration time.Duration) {
 	select {
 	case <-ctx.Done():
--- a/internal/state/watchcache_sync.go
+++ b/internal/state/watchcache_sync.go
@@ -10,33 +10,34 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-// syncInterval spaces the rounds: hundreds of polls a second cost a few calls.
+// syncInterval is the shortest time between the starts of two rounds, so that hundreds of polls per
+// second cost a few calls.
 const syncInterval = 250 * time.Millisecond
 
-// syncTimeout bounds a round.
+// syncTimeout is the timeout of a round.
 const syncTimeout = 2 * CallTimeout
 
-// syncState is how callers wait for the copy to be brought up to date. It is guarded by the mu of
-// its cache.
+// syncState is the state of the rounds by which Sync brings the copy up to date. It is guarded by
+// WatchCache.mu.
 type syncState struct {
-	ctx       context.Context // of the rounds: the one that the cache runs by
-	next      *syncRound      // the round that whoever asks now has to wait for; nil if nobody did
-	running   bool            // the goroutine that does the rounds exists
-	startedAt time.Time       // when the last round began
-	asOf      time.Time       // when the last round that succeeded began
+	ctx       context.Context // context of the rounds, the same as that of WatchCache.Run
+	next      *syncRound      // the round that new callers wait for; nil if there are none
+	running   bool            // whether the goroutine that runs the rounds exists
+	startedAt time.Time       // start of the last round
+	asOf      time.Time       // start of the last successful round
 }
 
-// syncRound is one call that brings the copy up to date for all who waited.
+// syncRound is one update of the copy for all callers that wait for it.
 type syncRound struct {
 	done chan struct{} // closed at the end of the round
-	err  error         // to be read after done is closed
+	err  error         // valid after done is closed
 }
 
-// Sync returns once the copy is no older than the store was when Sync was called. One call to the
-// store, begun after all of them, serves everybody who waits; the copy may be read as if from the
-// store then.
-func (m *WatchCache) Sync(ctx context.Context) error {
-	round := m.joinRound()
+// Sync returns when the copy contains all changes that the store had when Sync was called, so that the
+// caller may read the copy instead of the store. One round, started after all waiting callers arrived,
+// serves all of them.
+func (w *WatchCache) Sync(ctx context.Context) error {
+	round := w.joinRound()
 	select {
 	case <-round.done:
 		return round.err
@@ -45,123 +46,122 @@
 	}
 }
 
-// joinRound is the next round to begin. It starts the goroutine that does the rounds if there is
-// none.
-func (m *WatchCache) joinRound() *syncRound {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if m.sync.next == nil {
-		m.sync.next = &syncRound{done: make(chan struct{})}
+// joinRound returns the next round to start. It starts the goroutine that runs the rounds if there is none.
+func (w *WatchCache) joinRound() *syncRound {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if w.sync.next == nil {
+		w.sync.next = &syncRound{done: make(chan struct{})}
 	}
-	if !m.sync.running {
-		m.sync.running = true
-		go m.runRounds()
+	if !w.sync.running {
+		w.sync.running = true
+		go w.runRounds()
 	}
-	return m.sync.next
+	return w.sync.next
 }
 
-// runRounds does rounds while anybody waits. Its context is the cache's own: a round serves many,
-// and must not end with the one who asked first.
-func (m *WatchCache) runRounds() {
+// runRounds runs rounds while callers wait for one. It uses the context of the cache, because a round
+// serves many callers and must not be cancelled with the first of them.
+func (w *WatchCache) runRounds() {
 	for {
-		ctx, delay, wanted := m.nextRound()
+		ctx, delay, wanted := w.nextRound()
 		if !wanted {
 			return
 		}
 		sleep(ctx, delay)
-		m.runRound(ctx)
+		w.runRound(ctx)
 	}
 }
 
-// nextRound tells whether anybody waits for a round, its context and how long to wait before it. If
-// nobody does, whoever asks next starts the rounds again.
-func (m *WatchCache) nextRound() (ctx context.Context, delay time.Duration, wanted bool) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if m.sync.next == nil {
-		m.sync.running = false
+// nextRound reports whether a caller waits for a round, with the round's context and the delay before its
+// start. If no caller waits, the next call of joinRound starts the goroutine again.
+func (w *WatchCache) nextRound() (ctx context.Context, delay time.Duration, wanted bool) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if w.sync.next == nil {
+		w.sync.running = false
 		return nil, 0, false
 	}
-	return m.sync.ctx, syncInterval - time.Since(m.sync.startedAt), true
+	return w.sync.ctx, syncInterval - time.Since(w.sync.startedAt), true
 }
 
-func (m *WatchCache) runRound(ctx context.Context) {
-	round := m.beginRound()
+func (w *WatchCache) runRound(ctx context.Context) {
+	round := w.beginRound()
 	ctx, cancel := context.WithTimeout(ctx, syncTimeout)
 	began := time.Now()
-	round.err = m.catchUp(ctx)
+	round.err = w.catchUp(ctx)
 	cancel()
 	if round.err == nil {
-		m.setAsOf(began)
+		w.setAsOf(began)
 	}
 	close(round.done)
 }
 
-// beginRound takes the round that callers wait for: whoever asks from now on waits for another one.
-func (m *WatchCache) beginRound() *syncRound {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	round := m.sync.next
-	m.sync.next, m.sync.startedAt = nil, time.Now()
+// beginRound returns the round that callers wait for. Callers that arrive from now on wait for another one.
+func (w *WatchCache) beginRound() *syncRound {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	round := w.sync.next
+	w.sync.next, w.sync.startedAt = nil, time.Now()
 	return round
 }
 
-func (m *WatchCache) setAsOf(began time.Time) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.sync.asOf = began
+func (w *WatchCache) setAsOf(began time.Time) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.sync.asOf = began
 }
 
-func (m *WatchCache) setSyncContext(ctx context.Context) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.sync.ctx = ctx
+func (w *WatchCache) setSyncContext(ctx context.Context) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.sync.ctx = ctx
 }
 
-// AsOf is the latest time of which the copy surely has everything: when the last round that
-// succeeded began. A watch does not move it, since one may end well while the store serves nobody,
-// or everybody but this node.
-func (m *WatchCache) AsOf() time.Time {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return m.sync.asOf
+// AsOf returns the latest time up to which the copy certainly has all changes: the start of the last
+// successful round. A watch does not advance it, since a watch may succeed while the store serves no
+// node, or all nodes except this one.
+func (w *WatchCache) AsOf() time.Time {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.sync.asOf
 }
 
-// catchUp reads what changed up to now, or all anew if it must.
-func (m *WatchCache) catchUp(ctx context.Context) error {
-	m.mu.Lock()
-	copied, lastRevision, ready := m.epoch, m.lastRevision, m.ready
-	m.mu.Unlock()
+// catchUp reads and applies all changes up to now. It lists all keys if the changes are not available.
+func (w *WatchCache) catchUp(ctx context.Context) error {
+	w.mu.Lock()
+	cachedRevision, lastRevision, ready := w.storeRevision, w.lastRevision, w.ready
+	w.mu.Unlock()
 	if !ready {
-		return m.relist(ctx)
+		return w.relist(ctx)
 	}
-	// A watch may end well in the middle of an outage, or while this node alone is refused: how
-	// far the store is, only a plain read tells.
-	stored, err := m.client.currentEpoch(ctx)
-	if err != nil || stored <= copied {
+	// A watch may succeed during an outage, or while the store rejects only this node. Only a
+	// plain read reliably returns the store's revision.
+	latestRevision, err := w.client.currentRevision(ctx)
+	if err != nil || latestRevision <= cachedRevision {
 		return err
 	}
-	after := copied
+	after := cachedRevision
 	if lastRevision > 0 {
-		// That there are no changes may mean that nobody looked: an outage may have begun since,
-		// or this node be refused. So the newest change known is asked for once more: an answer
-		// that lacks it is blind.
+		// A response without changes may also mean that the store did not read them, because an
+		// outage has begun meanwhile or the store rejects this node. So the watch also requests
+		// the newest change already known: a response without it is not valid.
 		after = min(after, ids.StoreRevision(lastRevision)-1)
 	}
-	epoch, changes, err := m.client.watchChanges(ctx, m.prefix, after, 0)
+	storeRevision, changes, err := w.client.watchChanges(ctx, w.prefix, after, 0)
 	switch {
 	case errors.Is(err, errCompacted):
-		return m.relist(ctx)
+		return w.relist(ctx)
 	case err != nil:
 		return err
-	case epoch < stored:
-		return fmt.Errorf("%w: changes only up to %d of %d", ErrRefused, epoch, stored)
+	case storeRevision < latestRevision:
+		return fmt.Errorf("%w: watch returned changes up to store revision %d only, want %d", ErrRefused, storeRevision, latestRevision)
 	case lastRevision > 0 && !hasRevision(changes, lastRevision):
-		return fmt.Errorf("%w: changes without what is known already", ErrRefused)
+		return fmt.Errorf("%w: watch response lacks the newest change already in the cache", ErrRefused)
 	}
-	// The answer is of after the plain read, so it reaches that far at least; how far beyond,
-	// only the changes themselves show.
-	m.apply(max(stored, newestEpoch(changes)), changes)
+	// The watch was made after the plain read, so its response includes all changes up to latestRevision.
+	// Beyond that, only the returned changes prove how far it reaches.
+	w.apply(max(latestRevision, newestRevision(changes)), changes)
 	return nil
 }
 
--- a/internal/state/watchcache_test.go
+++ b/internal/state/watchcache_test.go
@@ -14,7 +14,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-func TestWatchCacheMissesNothingAfterHistoryIsCompacted(t *testing.T) {
+func TestWatchCacheMissesNoChangeAfterHistoryIsCompacted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer synctest.Wait()
@@ -45,14 +45,15 @@
 		time.Sleep(2 * time.Second)
 		for k, want := range map[string]bool{"j/1": false, "j/10": true, "j/11": true} {
 			if _, found, ready := cache.Get(k); found != want || !ready || notified[k] != want {
-				t.Errorf("%s: found %v, told %v, want %v", k, found, notified[k], want)
+				t.Errorf("key %s: found %v, listener notified of a put %v, want both %v", k, found, notified[k], want)
 			}
 		}
 	})
 }
 
 func TestWatchCacheListenerMayBeSetWhileChangesArrive(t *testing.T) {
-	// As a plain field the listener raced with the changes that it is told of.
+	// Guards against a data race between OnChange and the notification of changes, which occurred
+	// while the listener was a field without a lock.
 	cache := NewWatchCache(nil, "j/", time.Second)
 	const changes = 50
 	var notified atomic.Int32
@@ -68,11 +69,11 @@
 	applied.Wait()
 	cache.apply(changes+1, []Change{{Put: "j/1", Revision: changes + 1}})
 	if notified.Load() == 0 {
-		t.Error("the listener was told of nothing")
+		t.Error("the listener was not notified of any change")
 	}
 }
 
-func TestSyncServesAllWhoWaitByOneReadBegunAfterThem(t *testing.T) {
+func TestSyncServesAllWaitingCallersWithOneLaterRound(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := context.Background()
 		network, store, client := newClient()
@@ -91,48 +92,48 @@
 			calls++
 			return fake.Deliver
 		})
-		answers := make(chan string, 300)
+		values := make(chan string, 300)
 		for range 300 {
 			go func() {
 				if err := cache.Sync(ctx); err != nil {
-					answers <- err.Error()
+					values <- err.Error()
 					return
 				}
 				entry, _, _ := cache.Get("j/1")
-				answers <- string(entry.Value)
+				values <- string(entry.Value)
 			}()
 		}
 		for range 300 {
-			if v := <-answers; v != `2` {
-				t.Fatalf("told %s after 2 was stored", v)
+			if v := <-values; v != `2` {
+				t.Fatalf("the cache returned %s after 2 was stored", v)
 			}
 		}
 		if calls > 4 {
-			t.Errorf("%d calls for 300 who asked at once", calls)
+			t.Errorf("%d calls to the store for 300 simultaneous calls of Sync, want at most 4", calls)
 		}
-		// In an outage nothing may be told from the copy, however fresh it
-		// looks: a watch may end well all the same.
+		// Sync must fail during an outage, however recent the copy seems, because a watch may
+		// succeed during an outage.
 		store.SetDown(true)
 		if err := cache.Sync(ctx); err == nil {
-			t.Error("the copy passes for the store's state in an outage")
+			t.Error("Sync succeeded during an outage of the store")
 		}
 		store.SetDown(false)
-		// Changes that were overtaken by newer ones are passed over.
+		// Changes that arrive after newer ones of the same key are ignored.
 		put("j/1", `3`)
 		if err := cache.Sync(ctx); err != nil {
 			t.Fatal(err)
 		}
 		cache.apply(2, []Change{{Put: "j/1", Value: []byte(`2`), Revision: 2}})
 		if entry, _, _ := cache.Get("j/1"); string(entry.Value) != `3` {
-			t.Errorf("an overtaken answer took the copy back to %s", entry.Value)
+			t.Errorf("a response that arrived late reverted the copy to %s", entry.Value)
 		}
 	})
 }
 
-func TestWatchMovesCacheOnlyAsFarAsItsChanges(t *testing.T) {
-	// Guards against a watch that waits out an outage, or this node's being refused,
-	// and then ends well with an epoch whose changes it never showed: to follow from
-	// there would lose them for good, and nobody may take the copy for complete.
+func TestWatchAdvancesCacheOnlyToReturnedChanges(t *testing.T) {
+	// Guards against a watch that spans an outage, or a time in which the store rejects this node,
+	// and then succeeds with a store revision whose changes it did not return. To continue from
+	// that revision would lose them, and the copy must not count as complete.
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer synctest.Wait()
@@ -143,9 +144,9 @@
 			mustCommit(ctx, t, client, Op{Put: key, Value: []byte(`1`)})
 		}
 		put("j/1")
-		var blind atomic.Bool
+		var hideChanges atomic.Bool
 		network.Listen("state:1", http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			if blind.Load() && r.URL.Path == "/follow" {
+			if hideChanges.Load() && r.URL.Path == "/follow" {
 				if r.URL.Query().Get("holdMs") != "0" {
 					time.Sleep(time.Second)
 				}
@@ -159,33 +160,34 @@
 		cache := NewWatchCache(client, "j/", 10*time.Millisecond)
 		go cache.Run(ctx)
 		time.Sleep(time.Second)
-		blind.Store(true)
+		hideChanges.Store(true)
 		put("j/2")
 		time.Sleep(15 * time.Second)
 		if !cache.AsOf().IsZero() {
-			t.Error("a watch alone makes the copy complete")
+			t.Error("AsOf was advanced by a watch alone")
 		}
-		// Nor do changes asked for at once, should an outage begin in between.
+		// A watch without waiting does not make the copy complete either, since an outage may begin
+		// between the plain read and the watch.
 		put("j/4")
 		if err := cache.Sync(ctx); err == nil {
-			t.Error("an answer without what is known already counts as changes")
+			t.Error("Sync succeeded with a watch response that lacks the newest change already in the cache")
 		}
-		blind.Store(false)
+		hideChanges.Store(false)
 		began := time.Now()
 		if err := cache.Sync(ctx); err != nil {
 			t.Fatal(err)
 		}
 		if _, found, _ := cache.Get("j/4"); !found {
-			t.Error("a change is lost that a watch without changes passed over")
+			t.Error("a change is lost after a watch returned a newer store revision without it")
 		}
 		if cache.AsOf().Before(began) {
-			t.Error("a read does not make the copy complete")
+			t.Error("AsOf was not advanced by a successful Sync")
 		}
 		put("other/1")
 		put("j/3")
 		time.Sleep(time.Second)
 		if _, found, _ := cache.Get("j/3"); !found {
-			t.Error("changes no longer come in")
+			t.Error("the cache no longer receives changes")
 		}
 	})
 }
--- a/internal/worker/images_test.go
+++ b/internal/worker/images_test.go
@@ -2,13 +2,13 @@
 
 import "testing"
 
-func TestImagesAreEvictedInOrderOfUse(t *testing.T) {
+func TestLeastRecentlyUsedImagesAreEvicted(t *testing.T) {
 	var images Images
 	images.Use("a", 5, 10)
 	images.Use("b", 4, 10)
 	images.Use("a", 5, 10)
 	images.Use("c", 4, 10)
 	if !images.Has("a") || !images.Has("c") || images.Has("b") {
-		t.Errorf("holds %v", images.Names)
+		t.Errorf("the cache holds %v, want a and c", images.Names)
 	}
 }
