--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -10,16 +10,16 @@
 	"time"
 )
 
-// maxListed is the most machines that the cloud lists in one answer.
+// maxListed is the maximum number of machines in one page of the machine list.
 const maxListed = 500
 
-// machineBooting is the status of all machines of a Cloud.
+// machineBooting is the status that a Cloud reports for all its machines.
 const machineBooting = "booting"
 
-// defaultTypes is the machine type that a Cloud provisions.
+// defaultTypes is the response that describes the only machine type of a Cloud.
 const defaultTypes = `{"builds":[{"label":"small","cores":4,"accelerators":0,"ramGb":16,"localGb":20,"pullGbPerS":1,"price":1,"marketPrice":0.4,"bootS":30,"yards":["north","south"]}]}`
 
-// The cloud's messages.
+// Messages of the cloud API.
 type (
 	// cloudMachine is a provisioned machine.
 	cloudMachine struct {
@@ -32,12 +32,12 @@
 		HeldSeconds   float64 `json:"heldS"`
 		provisionedAt time.Time
 	}
-	// machineList is a page of the machines provisioned.
+	// machineList is a page of the machine list.
 	machineList struct {
 		Machines []*cloudMachine `json:"hosts"`
 		More     bool            `json:"more"`
 	}
-	// provisioningRequest asks for machines; the same name again provisions nothing more.
+	// provisioningRequest asks for machines. A repeated name identifies a retry, which provisions nothing.
 	provisioningRequest struct {
 		Name  string `json:"hire"`
 		Type  string `json:"build"`
@@ -45,36 +45,36 @@
 		Spot  bool   `json:"loaners"`
 		Count int    `json:"count"`
 	}
-	// machineNames names machines that were provisioned, or are to be deleted.
+	// machineNames lists the names of provisioned machines, or of machines to delete.
 	machineNames struct {
 		Names []string `json:"hosts"`
 	}
 )
 
-// Cloud is a fake of the cloud's interface. It provisions names only; a test starts the workers that it
-// wants to come up.
+// Cloud is a fake of the cloud API. Its machines exist in its list only: a test starts the workers
+// of the machines that should come up.
 type Cloud struct {
-	// mu guards the fields below. onDelete is called under it.
+	// mu guards the fields below. onDelete is called while it is held.
 	mu    sync.Mutex
 	types json.RawMessage
-	// provisioned are the machines provisioned, by name of the request.
+	// provisioned holds the names of the provisioned machines by the name of the request.
 	provisioned map[string][]string
 	machines    []*cloudMachine
 	deleted     []string
 	lastNumber  int
-	// capacity is how many more machines it provisions.
+	// capacity is the number of machines that can still be provisioned.
 	capacity int
 	down     bool
-	// onDelete is told of each machine before its deletion is confirmed; nil: nobody is.
+	// onDelete is called for each deleted machine before the deletion is confirmed; may be nil.
 	onDelete func(name string)
 }
 
-// NewCloud makes a cloud with one small machine type and room for so many machines.
+// NewCloud returns a cloud with one small machine type and capacity for the given number of machines.
 func NewCloud(capacity int) *Cloud {
 	return &Cloud{capacity: capacity, provisioned: map[string][]string{}, types: json.RawMessage(defaultTypes)}
 }
 
-// ProvisioningRequests is what each provisioning request provisioned, by its name.
+// ProvisioningRequests returns the names of the provisioned machines by the name of the request.
 func (c *Cloud) ProvisioningRequests() map[string][]string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -85,17 +85,17 @@
 	return requests
 }
 
-// SetDown begins or ends an outage.
+// SetDown starts or ends an outage of the cloud API.
 func (c *Cloud) SetDown(down bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.down = down
 }
 
-// Machine is a machine that the cloud has provisioned.
+// Machine is a provisioned machine.
 type Machine struct{ Name, Zone string }
 
-// Machines lists the machines provisioned and not deleted, in order.
+// Machines returns the provisioned and not deleted machines in order of provisioning.
 func (c *Cloud) Machines() (hosts []Machine) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -105,29 +105,29 @@
 	return hosts
 }
 
-// NotifyDeletions has f told of each machine that is deleted from now on, before the deletion is
-// confirmed and under the cloud's lock.
+// NotifyDeletions registers f to be called for each deleted machine from now on, before the deletion
+// is confirmed and while the cloud's lock is held. It replaces the function registered before.
 func (c *Cloud) NotifyDeletions(f func(name string)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.onDelete = f
 }
 
-// SetCapacity sets how many more machines it provisions.
+// SetCapacity sets the number of machines that can still be provisioned.
 func (c *Cloud) SetCapacity(machines int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.capacity = machines
 }
 
-// DeletedMachines lists the machines deleted.
+// DeletedMachines returns the names in all deletion requests so far.
 func (c *Cloud) DeletedMachines() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]string(nil), c.deleted...)
 }
 
-// ServeHTTP answers like the cloud.
+// ServeHTTP implements the cloud API.
 func (c *Cloud) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -148,7 +148,7 @@
 	}
 }
 
-// list lists the machines that follow a name, as many as are asked for.
+// list returns a page of the machines whose names follow the given one, limited by the requested size.
 func (c *Cloud) list(after, most string) machineList {
 	limit, err := strconv.Atoi(most)
 	if err != nil || limit > maxListed {
@@ -169,7 +169,8 @@
 	return page
 }
 
-// provision provisions as many machines as there is room for; a repeated request provisions nothing.
+// provision provisions the requested machines as far as capacity allows. For a repeated request it
+// returns the names provisioned before.
 func (c *Cloud) provision(w http.ResponseWriter, r *http.Request) {
 	var request provisioningRequest
 	if !readJSON(w, r, &request) {
@@ -193,7 +194,7 @@
 	writeJSON(w, http.StatusOK, machineNames{names})
 }
 
-// addMachine provisions one machine.
+// addMachine provisions one machine and returns its name.
 func (c *Cloud) addMachine(request *provisioningRequest) (name string) {
 	c.lastNumber++
 	name = fmt.Sprintf("host-%06d", c.lastNumber)
@@ -202,7 +203,7 @@
 	return name
 }
 
-// delete deletes machines; names that are not known count as deleted too.
+// delete deletes machines. Unknown names count as deleted too.
 func (c *Cloud) delete(w http.ResponseWriter, r *http.Request) {
 	var request machineNames
 	if !readJSON(w, r, &request) {
--- a/internal/fake/doc.go
+++ b/internal/fake/doc.go
@@ -1,9 +1,10 @@
-// Package fake holds in-memory fakes of what the controllers meet: the network, the state
-// service, the cloud and the workers. Scenarios in the tests run on them, under a clock of their
-// own. They are met by protocol only, so rehearsals of real processes (internal/rehearsal) use
-// the state service and the workers too.
+// Package fake provides in-memory fakes of the systems that controllers communicate with: the
+// network, the state service, the cloud and the workers. The scenario tests run on them with a
+// simulated clock. The fakes are accessible only through their protocols, so internal/rehearsal
+// also runs real controller processes against the state service and the workers.
 //
-// Each fake has one lock, which is held while its hooks are called (NotifyChanges, NotifyEvents,
-// NotifyDeletions): a hook must not call back into the fake that calls it. A worker takes the
-// network's lock under its own; the network calls handlers, rules and hooks under no lock.
+// Each fake has one lock, which it holds while it calls its hooks (NotifyChanges, NotifyEvents,
+// NotifyDeletions): a hook must not call back into the fake that calls it. A worker acquires the
+// network's lock while it holds its own; the network holds no lock when it calls handlers, rules
+// and hooks.
 package fake
--- a/internal/fake/faults.go
+++ b/internal/fake/faults.go
@@ -5,37 +5,38 @@
 	"strings"
 )
 
-// Outcome is what happens to one request.
+// Outcome determines what the network does with a request and its answer.
 type Outcome int
 
 const (
-	// Deliver passes request and answer.
+	// Deliver delivers the request and the answer.
 	Deliver Outcome = iota
-	// Refuse fails the connection attempt: nothing arrives, now or later.
+	// Refuse fails the connection attempt: the request never arrives.
 	Refuse
-	// Drop drops the request; the caller hangs until it gives up.
+	// Drop drops the request; the caller waits until its timeout.
 	Drop
 	// DropResponse delivers the request but not the answer.
 	DropResponse
-	// HoldBack keeps the request back until Release; the caller hangs meanwhile.
+	// HoldBack delivers the request when ReleaseHeld is called; the caller gets no answer.
 	HoldBack
-	// Duplicate delivers, and keeps a copy back until Release.
+	// Duplicate delivers the request and the answer, and delivers a copy of the request when
+	// ReleaseHeld is called.
 	Duplicate
-	// Delay delivers the request after Delay; the caller hangs and gives up. What
-	// was sent after it may be delivered before it.
+	// Delay delivers the request after the delay set by SetDelay; the caller gets no answer. Requests
+	// sent later may be delivered earlier.
 	Delay
-	// DelayResponse delivers at once, and the answer after Delay.
+	// DelayResponse delivers the request at once, and the answer after the delay set by SetDelay.
 	DelayResponse
 )
 
-// Rule decides a request's fate.
+// Rule chooses the outcome of a request.
 type Rule = func(from, to string, r *http.Request, body []byte) Outcome
 
-// isHost tells whether an address or a caller's name is a host's.
+// isHost reports whether host is the given name, with or without a port.
 func isHost(host, name string) bool { return host == name || strings.HasPrefix(host, name+":") }
 
-// PartitionOutbound keeps a worker from reaching any controller, while direct commands reach it: a one-way
-// partition.
+// PartitionOutbound returns a rule for a one-way partition: the worker's requests are refused, while
+// direct commands from controllers reach it.
 func PartitionOutbound(worker string) Rule {
 	return func(from, _ string, _ *http.Request, _ []byte) Outcome {
 		if isHost(from, worker) {
@@ -45,8 +46,8 @@
 	}
 }
 
-// PartitionInbound has a worker's heartbeats arrive, while answers and direct commands to it are lost: the
-// other one-way partition.
+// PartitionInbound returns a rule for a one-way partition: the worker's heartbeats arrive, while
+// answers and direct commands to it are lost.
 func PartitionInbound(worker string) Rule {
 	return func(from, to string, _ *http.Request, _ []byte) Outcome {
 		switch {
@@ -59,7 +60,8 @@
 	}
 }
 
-// DuplicateHeartbeats keeps copies of a worker's heartbeats until Release, for the next leader.
+// DuplicateHeartbeats returns a rule that keeps copies of a worker's heartbeats until ReleaseHeld is
+// called, so that a later leader can receive outdated heartbeats.
 func DuplicateHeartbeats(worker string) Rule {
 	return func(from, _ string, r *http.Request, _ []byte) Outcome {
 		if isHost(from, worker) && r.URL.Path == heartbeatPath {
--- a/internal/fake/helpers_test.go
+++ b/internal/fake/helpers_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// sendRequest makes one request, as a host, and gives up after 2 s; 0 is no answer.
+// sendRequest sends a request from a host with a timeout of 2 s. It returns status 0 if there is no answer.
 func sendRequest(network *Network, from, method, url, body string) (int, string) {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
--- a/internal/fake/hooks_test.go
+++ b/internal/fake/hooks_test.go
@@ -10,8 +10,8 @@
 )
 
 func TestHooksMayBeSetWhileFakesAreInUse(t *testing.T) {
-	// Tests set hooks after controllers have begun to call. As plain fields that was a data
-	// race, which only the race detector sees, and only now and then.
+	// Tests set hooks while controllers already call the fakes. When the hooks were unguarded fields,
+	// this was a data race, which only the race detector reported, and only in some runs.
 	network, store := NewNetwork(), NewStore()
 	network.Listen("state:1", store)
 	worker := &Worker{Name: "m", Address: "m:1", Network: network}
--- a/internal/fake/messages.go
+++ b/internal/fake/messages.go
@@ -5,22 +5,22 @@
 	"net/http"
 )
 
-// errorMessage is an answer that tells what is wrong.
+// errorMessage is the body of an error response.
 type errorMessage struct {
 	Error string `json:"error"`
 }
 
-// errUnavailable is the answer of a service that is down.
+// errUnavailable is the body of the responses of a service that is down.
 var errUnavailable = errorMessage{"trouble"}
 
-// writeJSON answers a request with JSON.
+// writeJSON sends a JSON response.
 func writeJSON(w http.ResponseWriter, code int, message any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(code)
-	_ = json.NewEncoder(w).Encode(message) // fails only if the caller has gone away
+	_ = json.NewEncoder(w).Encode(message) // fails only if the client has disconnected
 }
 
-// readJSON decodes a request; if that fails, the request is answered and false returned.
+// readJSON decodes a JSON request body. If that fails, it sends an error response and returns false.
 func readJSON(w http.ResponseWriter, r *http.Request, message any) bool {
 	if err := json.NewDecoder(r.Body).Decode(message); err != nil {
 		writeJSON(w, http.StatusBadRequest, errorMessage{err.Error()})
--- a/internal/fake/net.go
+++ b/internal/fake/net.go
@@ -12,96 +12,99 @@
 	"time"
 )
 
-// The headers tell the fakes what real hosts learn from a connection, or not at all.
+// Headers that carry the time of sending and the sender to the fakes. Real hosts learn the sender
+// from the connection, and do not learn the time of sending.
 const (
 	sentHeader = "Fake-Sent"
 	fromHeader = "Fake-From"
 )
 
-// Network joins hosts by name.
+// Network is an in-memory HTTP network of hosts with names.
 type Network struct {
-	// mu guards the fields below. No handler, rule or hook is called under it.
+	// mu guards the fields below. No handler, rule or hook is called while it is held.
 	mu    sync.Mutex
 	hosts map[string]http.Handler
-	// heldBack delivers what is kept back, in order.
+	// heldBack holds functions that deliver the requests held back, in order of sending.
 	heldBack []func()
-	// rule decides each request's fate; nil delivers all.
+	// rule chooses the outcome of each request; nil delivers all requests.
 	rule Rule
-	// delay is how late the next Late request or SlowAnswer is delivered; defaultDelay if nil.
+	// delay returns the delay of the next request or answer with the outcome Delay or DelayResponse;
+	// nil means defaultDelay.
 	delay func() time.Duration
-	// latency is how long a request takes, and its answer again; nil is no time.
+	// latency returns the one-way latency of a request or an answer; nil means none.
 	latency func() time.Duration
-	// results are the tasks that completed, whose results are kept outside the machines.
+	// results holds the tasks that have completed. Their results are stored outside the machines.
 	results map[string]bool
 }
 
-// NewNetwork makes an empty network.
+// NewNetwork returns a network without hosts.
 func NewNetwork() *Network {
 	return &Network{hosts: map[string]http.Handler{}, results: map[string]bool{}}
 }
 
-// keepResult remembers that a task has completed.
+// keepResult records that a task has completed.
 func (n *Network) keepResult(task string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.results[task] = true
 }
 
-// hasResult tells whether a task has completed.
+// hasResult reports whether a task has completed.
 func (n *Network) hasResult(task string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.results[task]
 }
 
-// Listen puts a host on the network, in place of the one that listened there.
+// Listen registers the handler of an address. It replaces the handler registered before.
 func (n *Network) Listen(addr string, handler http.Handler) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.hosts[addr] = handler
 }
 
-// handler is who listens at an address; nil: nobody does.
+// handler returns the handler of an address, or nil if there is none.
 func (n *Network) handler(addr string) http.Handler {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.hosts[addr]
 }
 
-// SetRule changes the rule; nil delivers all.
+// SetRule sets the rule that chooses the outcome of each request; nil delivers all requests.
 func (n *Network) SetRule(rule Rule) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.rule = rule
 }
 
-// SetDelay sets how late the next Late request or SlowAnswer is delivered.
+// SetDelay sets the function that returns the delay of the next request or answer with the outcome
+// Delay or DelayResponse.
 func (n *Network) SetDelay(delay func() time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.delay = delay
 }
 
-// SetLatency sets how long a request takes, and its answer again.
+// SetLatency sets the function that returns the one-way latency of a request or an answer.
 func (n *Network) SetLatency(latency func() time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.latency = latency
 }
 
-// CurrentRule is the rule now.
+// CurrentRule returns the rule set by SetRule.
 func (n *Network) CurrentRule() Rule {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.rule
 }
 
-// Client is how one host calls the others.
+// Client returns an HTTP client that sends requests from the given host.
 func (n *Network) Client(from string) *http.Client {
 	return &http.Client{Transport: &transport{net: n, from: from}}
 }
 
-// ReleaseHeld delivers what was held back, in order, and tells how much that was.
+// ReleaseHeld delivers the requests held back, in order of sending, and returns their number.
 func (n *Network) ReleaseHeld() int {
 	n.mu.Lock()
 	heldBack := n.heldBack
@@ -113,9 +116,9 @@
 	return len(heldBack)
 }
 
-// sleep waits, and tells whether it did so to the end. It makes no timer for no time:
-// under the race detector Go 1.26 crashes on a timer of synctest's clock that is due
-// when it is first looked at.
+// sleep waits for a duration and reports whether the context was still active at its end. It creates
+// no timer for a duration of zero or less: under the race detector, Go 1.26 crashes on a timer of
+// synctest's clock that has already expired when it is first checked.
 func sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return true
@@ -128,18 +131,18 @@
 	}
 }
 
-// transport is how one host reaches the others.
+// transport is an http.RoundTripper that sends the requests of one host over a Network.
 type transport struct {
 	net  *Network
 	from string
 }
 
-// RoundTrip carries one request.
+// RoundTrip sends a request, with the outcome that the network's rule chooses.
 func (t *transport) RoundTrip(r *http.Request) (*http.Response, error) {
 	var body []byte
 	if r.Body != nil {
-		body, _ = io.ReadAll(r.Body) // bodies are in memory
-		_ = r.Body.Close()           // nothing is read from it afterwards
+		body, _ = io.ReadAll(r.Body) // cannot fail: bodies are in memory
+		_ = r.Body.Close()           // no data is read afterwards
 	}
 	t.net.mu.Lock()
 	handler, rule, latency := t.net.hosts[r.URL.Host], t.net.rule, t.net.latency
@@ -152,11 +155,11 @@
 	if handler == nil || fate == Refuse {
 		return nil, &net.OpError{Op: "dial", Net: "tcp", Err: errRefused}
 	}
-	d.travel() // it arrives even if its sender gives up meanwhile
+	d.travel() // the request arrives even if its sender gives up during the latency
 	return t.carryOut(fate, d, handler)
 }
 
-// carryOut has a fate happen to a request.
+// carryOut applies an outcome to a request.
 func (t *transport) carryOut(fate Outcome, d *delivery, handler http.Handler) (*http.Response, error) {
 	ctx := d.request.Context()
 	switch fate {
@@ -181,13 +184,13 @@
 	return nil, ctx.Err()
 }
 
-// errRefused tells that nobody listens at an address.
+// errRefused means that a connection was refused.
 var errRefused = errors.New("connection refused")
 
-// defaultDelay is how late a Late request or a SlowAnswer is unless SetDelay says otherwise.
+// defaultDelay is the delay for the outcomes Delay and DelayResponse unless SetDelay was called.
 const defaultDelay = 2 * time.Second
 
-// nextDelay is how late the next late request or answer is.
+// nextDelay returns the delay of the next delayed request or answer.
 func (n *Network) nextDelay() time.Duration {
 	n.mu.Lock()
 	delay := n.delay
@@ -198,31 +201,31 @@
 	return delay()
 }
 
-// holdBack keeps a request until Release.
+// holdBack holds a request back until ReleaseHeld is called.
 func (n *Network) holdBack(d *delivery) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.heldBack = append(n.heldBack, d.deliverLate)
 }
 
-// delivery is one request on its way.
+// delivery is a request in transit.
 type delivery struct {
 	net     *Network
 	from    string
 	request *http.Request
 	body    []byte
 	latency func() time.Duration
-	sentAt  string // as in sentHeader
+	sentAt  string // value of sentHeader
 }
 
-// travel takes the time of one way, unless the sender gives up.
+// travel waits for the one-way latency, or until the sender gives up.
 func (d *delivery) travel() {
 	if d.latency != nil {
 		sleep(d.request.Context(), d.latency())
 	}
 }
 
-// incoming is the request as its receiver gets it.
+// incoming returns the request that the receiver gets.
 func (d *delivery) incoming() *http.Request {
 	incoming := httptest.NewRequest(d.request.Method, d.request.URL.String(), bytes.NewReader(d.body))
 	incoming.Header = d.request.Header.Clone()
@@ -231,7 +234,7 @@
 	return incoming
 }
 
-// deliver hands the request over and brings the answer back.
+// deliver passes the request to a handler and returns the answer after the one-way latency.
 func (d *delivery) deliver(handler http.Handler) (*http.Response, error) {
 	recorder := httptest.NewRecorder()
 	handler.ServeHTTP(recorder, d.incoming().WithContext(d.request.Context()))
@@ -239,12 +242,12 @@
 	response.Header.Set(sentHeader, time.Now().Format(time.RFC3339Nano))
 	d.travel()
 	if err := d.request.Context().Err(); err != nil {
-		return nil, err // nobody waits for the answer any more
+		return nil, err // the sender has given up
 	}
 	return response, nil
 }
 
-// deliverLate hands the request to whoever listens there by then; the answer is lost.
+// deliverLate passes the request to the handler that the address has now. The answer is lost.
 func (d *delivery) deliverLate() {
 	if handler := d.net.handler(d.request.URL.Host); handler != nil {
 		handler.ServeHTTP(httptest.NewRecorder(), d.incoming())
--- a/internal/fake/pipe.go
+++ b/internal/fake/pipe.go
@@ -6,25 +6,25 @@
 	"sync"
 )
 
-// Pipes joins listeners and dialers by in-memory connections.
+// Pipes is a set of listeners that accept in-memory connections.
 type Pipes struct {
-	// mu guards the fields below. Nobody is waited for under it.
+	// mu guards the fields below. It is not held during blocking operations.
 	mu        sync.Mutex
 	listeners map[string]*pipeListener // by address
 	dials     int
 }
 
-// Dials counts the attempts to connect so far.
+// Dials returns the number of connection attempts so far.
 func (p *Pipes) Dials() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.dials
 }
 
-// NewPipes makes a set without listeners.
+// NewPipes returns a set without listeners.
 func NewPipes() *Pipes { return &Pipes{listeners: map[string]*pipeListener{}} }
 
-// Close ends all listeners.
+// Close closes all listeners.
 func (p *Pipes) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -37,12 +37,12 @@
 type pipeListener struct {
 	addr     string
 	incoming chan net.Conn
-	// closed is closed with the listener.
+	// closed is closed when the listener is closed.
 	closed    chan struct{}
 	closeOnce sync.Once
 }
 
-// Listen opens a listener, in place of the one at that address.
+// Listen opens a listener. It replaces the listener at that address, if there is one.
 func (p *Pipes) Listen(addr string) net.Listener {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -51,7 +51,7 @@
 	return listener
 }
 
-// Dial connects to a listener.
+// Dial connects to the listener at an address.
 func (p *Pipes) Dial(ctx context.Context, addr string) (net.Conn, error) {
 	p.mu.Lock()
 	p.dials++
@@ -81,25 +81,25 @@
 	}
 }
 
-// Close ends the listener; those who dial it are refused from then on.
+// Close closes the listener; later dials to it are refused.
 func (l *pipeListener) Close() error {
 	l.stop()
 	return nil
 }
 
-// stop ends the listener; once is enough.
+// stop closes the listener. It may be called more than once.
 func (l *pipeListener) stop() {
 	l.closeOnce.Do(func() { close(l.closed) })
 }
 
-// Addr is the address given to Listen.
+// Addr returns the address given to Listen.
 func (l *pipeListener) Addr() net.Addr { return pipeAddr(l.addr) }
 
-// pipeAddr is the address of a pipe's listener.
+// pipeAddr is the address of a pipeListener.
 type pipeAddr string
 
-// Network names the kind of connection.
+// Network returns "pipe".
 func (pipeAddr) Network() string { return "pipe" }
 
-// String is the address itself.
+// String returns the address.
 func (a pipeAddr) String() string { return string(a) }
--- a/internal/fake/store.go
+++ b/internal/fake/store.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// entry is a key with its value; its stamp is the epoch at which it was written.
+// entry is a stored key with its value. Stamp is the epoch of the last write to the key.
 type entry struct {
 	Key   string          `json:"key"`
 	Value json.RawMessage `json:"value"`
@@ -16,7 +16,7 @@
 	Lease uint64          `json:"permit,omitempty"`
 }
 
-// change is a key that was put or removed, as watches tell it.
+// change is the put or removal of a key, as watches report it.
 type change struct {
 	Put    string          `json:"put,omitempty"`
 	Value  json.RawMessage `json:"value,omitempty"`
@@ -24,7 +24,7 @@
 	Stamp  uint64          `json:"stamp"`
 }
 
-// lease holds entries in the store until it expires.
+// lease is a lease on entries, which are removed when it expires.
 type lease struct {
 	duration time.Duration
 	expiry   time.Time
@@ -32,54 +32,56 @@
 
 // Store is a fake of the state service, a consensus-backed key-value store.
 type Store struct {
-	// mu guards the fields below. onChange is called under it.
+	// mu guards the fields below. onChange is called while it is held.
 	mu sync.Mutex
-	// epoch counts the changes made so far.
+	// epoch is the number of committed transactions and of entries removed with their leases.
 	epoch     uint64
 	entries   map[string]*entry
 	leases    map[uint64]*lease
 	lastLease uint64
 	history   []change
 	down      bool
-	// refused are the callers that alone are refused, and since which epoch.
+	// refused holds the callers whose requests are refused, with the epoch at which that began.
 	refused map[string]uint64
 	latency time.Duration
-	// maxValueBytes and maxTxnOps limit values and the changes of a transaction; 0: any.
+	// maxValueBytes and maxTxnOps limit the size of a value and the changes of a transaction; 0
+	// means no limit.
 	maxValueBytes, maxTxnOps int
-	// TooLarge counts transactions that were over these limits.
+	// TooLarge counts the transactions that exceeded these limits.
 	TooLarge int
-	// Listed counts the entries that lists were answered with.
+	// Listed counts the entries returned by list requests.
 	Listed int
-	// onChange is told of each change that was carried out; nil: nobody is.
+	// onChange is called for each change of a committed transaction; may be nil.
 	onChange func(key string, value json.RawMessage)
-	// historyLimit is how many changes it remembers for watches.
+	// historyLimit is the number of changes that watches can still read.
 	historyLimit int
 }
 
-// defaultHistoryLimit is how many changes a store remembers unless told otherwise.
+// defaultHistoryLimit is the history limit of a new store.
 const defaultHistoryLimit = 10000
 
-// NewStore makes an empty store.
+// NewStore returns an empty store.
 func NewStore() *Store {
 	return &Store{entries: map[string]*entry{}, leases: map[uint64]*lease{}, refused: map[string]uint64{}, historyLimit: defaultHistoryLimit}
 }
 
-// NotifyChanges has f told of each change carried out from now on, in order and under the
-// store's lock; the value of a removed key is nil. Keys that go with their lease are not told.
+// NotifyChanges registers f to be called for each change of a committed transaction from now on, in
+// order and while the store's lock is held. The value of a removed key is nil. f is not called for
+// keys that are removed with their lease. It replaces the function registered before.
 func (s *Store) NotifyChanges(f func(key string, value json.RawMessage)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.onChange = f
 }
 
-// SetHistoryLimit sets how many changes it remembers.
+// SetHistoryLimit sets the number of changes that watches can still read.
 func (s *Store) SetHistoryLimit(changes int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.historyLimit = changes
 }
 
-// SetDown begins or ends an outage; at its end every lease has its full time.
+// SetDown starts or ends an outage. At the end of an outage every lease is renewed.
 func (s *Store) SetDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -94,8 +96,8 @@
 	s.down = down
 }
 
-// RefuseCaller refuses one caller alone, or serves it again. Its open watches wait as in
-// an outage, and its leases run out.
+// RefuseCaller starts or ends the refusal of all requests of one caller. While it is refused, its
+// open watches return no changes, as in an outage, and its leases expire.
 func (s *Store) RefuseCaller(caller string, refuse bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -106,21 +108,23 @@
 	}
 }
 
-// SetLimits limits values, in bytes, and the changes of a transaction, without notice; 0: any.
+// SetLimits sets the maximum size of a value, in bytes, and the maximum number of changes of a
+// transaction, effective at once; 0 means no limit.
 func (s *Store) SetLimits(value, ops int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.maxValueBytes, s.maxTxnOps = value, ops
 }
 
-// SetLatency has every call but watches take d longer, half before it is carried out.
+// SetLatency delays every request except watches by d: one half before the request is processed and
+// one half after it.
 func (s *Store) SetLatency(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.latency = d
 }
 
-// Value reads a key past all faults; nil when absent.
+// Value returns the value of a key regardless of injected faults, or nil if the key is absent.
 func (s *Store) Value(key string) json.RawMessage {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -131,21 +135,21 @@
 	return nil
 }
 
-// Epoch is how many changes were made so far.
+// Epoch returns the current epoch of the store.
 func (s *Store) Epoch() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.epoch
 }
 
-// CountTooLarge counts the transactions that were over the limits.
+// CountTooLarge returns the number of transactions that exceeded the limits.
 func (s *Store) CountTooLarge() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.TooLarge
 }
 
-// CountKeys counts the keys below a prefix.
+// CountKeys returns the number of keys with a prefix.
 func (s *Store) CountKeys(prefix string) (count int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -157,7 +161,7 @@
 	return count
 }
 
-// String lists the keys, for failing tests.
+// String lists the keys and their stamps, for messages of failed tests.
 func (s *Store) String() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -168,7 +172,7 @@
 	return text.String()
 }
 
-// expireLeases ends the leases whose time is over; during an outage none ends.
+// expireLeases ends the expired leases. During an outage no lease expires.
 func (s *Store) expireLeases() {
 	if s.down {
 		return
@@ -180,7 +184,7 @@
 	}
 }
 
-// endLease ends a lease and removes what it holds.
+// endLease removes a lease and its entries.
 func (s *Store) endLease(id uint64) {
 	delete(s.leases, id)
 	for key, found := range s.entries {
@@ -199,7 +203,7 @@
 	s.notifyChange(key, value)
 }
 
-// remove removes a key at the current epoch, if it is there.
+// remove removes a key at the current epoch, if the key exists.
 func (s *Store) remove(key string) {
 	if s.entries[key] == nil {
 		return
@@ -209,7 +213,7 @@
 	s.notifyChange(key, nil)
 }
 
-// notifyChange tells the hook, if there is one.
+// notifyChange calls the hook for a change, if there is a hook.
 func (s *Store) notifyChange(key string, value json.RawMessage) {
 	if s.onChange != nil {
 		s.onChange(key, value)
--- a/internal/fake/store_http.go
+++ b/internal/fake/store_http.go
@@ -9,20 +9,20 @@
 	"time"
 )
 
-// watchPath is where changes are watched; all other calls are answered at once.
+// watchPath is the path of watch requests. All other requests are answered without waiting for changes.
 const watchPath = "/follow"
 
-// The state service's messages.
+// Messages of the state service API.
 type (
-	// epochMessage tells the store's epoch.
+	// epochMessage reports the epoch of the store.
 	epochMessage struct {
 		Epoch uint64 `json:"epoch"`
 	}
-	// leaseMessage names a lease.
+	// leaseMessage identifies a lease.
 	leaseMessage struct {
 		ID uint64 `json:"permit"`
 	}
-	// leaseRequest asks for a lease.
+	// leaseRequest requests a new lease.
 	leaseRequest struct {
 		DurationMillis int64 `json:"lifeMs"`
 	}
@@ -32,36 +32,36 @@
 		More    bool     `json:"more"`
 		Epoch   uint64   `json:"epoch"`
 	}
-	// transaction makes all its changes if all its conditions hold, and none otherwise.
+	// transaction applies all its changes if all its conditions hold, and none otherwise.
 	transaction struct {
 		Conditions []condition `json:"when"`
 		Changes    []operation `json:"then"`
 	}
-	// condition holds if the key has that stamp; 0: if it is absent.
+	// condition holds if the key has the stamp, or, for stamp 0, if the key is absent.
 	condition struct {
 		Key   string `json:"key"`
 		Stamp uint64 `json:"stamp"`
 	}
-	// operation puts a key, under a lease if that is not 0, or removes one.
+	// operation puts a key, bound to a lease if that is not 0, or removes a key.
 	operation struct {
 		Put    string          `json:"put"`
 		Value  json.RawMessage `json:"value"`
 		Lease  uint64          `json:"permit"`
 		Remove string          `json:"remove"`
 	}
-	// conflictMessage names the keys whose conditions did not hold.
+	// conflictMessage lists the keys whose conditions did not hold.
 	conflictMessage struct {
 		Failed []string `json:"failed"`
 		Epoch  uint64   `json:"epoch"`
 	}
-	// watchMessage tells the changes up to an epoch.
+	// watchMessage reports the changes up to an epoch.
 	watchMessage struct {
 		Epoch   uint64   `json:"epoch"`
 		Changes []change `json:"news"`
 	}
 )
 
-// ServeHTTP answers like the state service.
+// ServeHTTP implements the API of the state service.
 func (s *Store) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == watchPath {
 		s.serveWatch(w, r)
@@ -82,7 +82,7 @@
 	s.route(w, r)
 }
 
-// route answers everything but watches.
+// route serves all requests except watches.
 func (s *Store) route(w http.ResponseWriter, r *http.Request) {
 	path := r.URL.Path
 	switch {
@@ -101,7 +101,7 @@
 	}
 }
 
-// serveEntry answers with one entry.
+// serveEntry returns one entry.
 func (s *Store) serveEntry(w http.ResponseWriter, key string) {
 	if found := s.entries[key]; found != nil {
 		writeJSON(w, http.StatusOK, found)
@@ -110,10 +110,10 @@
 	writeJSON(w, http.StatusNotFound, epochMessage{s.epoch})
 }
 
-// serveList answers with the entries below a prefix that follow a key, in order of keys.
+// serveList returns a page of the entries with a prefix whose keys follow a given key, in order of keys.
 func (s *Store) serveList(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
-	most, _ := strconv.Atoi(query.Get("most")) // 0 where it is missing
+	most, _ := strconv.Atoi(query.Get("most")) // 0 if it is missing
 	var keys []string
 	for key := range s.entries {
 		if strings.HasPrefix(key, query.Get("under")) && key > query.Get("after") {
@@ -129,7 +129,7 @@
 	writeJSON(w, http.StatusOK, page)
 }
 
-// serveNewLease begins a lease.
+// serveNewLease creates a lease.
 func (s *Store) serveNewLease(w http.ResponseWriter, r *http.Request) {
 	var request leaseRequest
 	if !readJSON(w, r, &request) {
@@ -141,10 +141,10 @@
 	writeJSON(w, http.StatusOK, leaseMessage{s.lastLease})
 }
 
-// serveLease renews or ends a lease.
+// serveLease renews or removes a lease.
 func (s *Store) serveLease(w http.ResponseWriter, r *http.Request) {
 	name := strings.TrimSuffix(strings.TrimPrefix(r.URL.Path, "/holds/"), "/renew")
-	id, _ := strconv.ParseUint(name, 10, 64) // 0, which names no lease, where it is no number
+	id, _ := strconv.ParseUint(name, 10, 64) // 0, the ID of no lease, if it is not a number
 	held := s.leases[id]
 	if held == nil {
 		writeJSON(w, http.StatusNotFound, epochMessage{s.epoch})
@@ -158,7 +158,7 @@
 	writeJSON(w, http.StatusOK, leaseMessage{id})
 }
 
-// serveCommit carries a transaction out, as one change.
+// serveCommit commits a transaction, which raises the epoch by one.
 func (s *Store) serveCommit(w http.ResponseWriter, r *http.Request) {
 	var request transaction
 	if !readJSON(w, r, &request) {
@@ -190,7 +190,7 @@
 	writeJSON(w, http.StatusOK, epochMessage{s.epoch})
 }
 
-// tooLarge tells whether a transaction is over the limits.
+// tooLarge reports whether a transaction exceeds the limits.
 func (s *Store) tooLarge(request *transaction) bool {
 	if s.maxTxnOps > 0 && len(request.Changes) > s.maxTxnOps {
 		return true
@@ -200,7 +200,7 @@
 	})
 }
 
-// failedConditions lists the keys of the conditions that do not hold.
+// failedConditions returns the keys of the conditions that do not hold.
 func (s *Store) failedConditions(request *transaction) (failed []string) {
 	for _, condition := range request.Conditions {
 		var stamp uint64
@@ -214,16 +214,16 @@
 	return failed
 }
 
-// watchPollInterval spaces a watch's looks for changes.
+// watchPollInterval is the interval at which a watch checks for changes.
 const watchPollInterval = 20 * time.Millisecond
 
-// serveWatch answers with the changes below a prefix after an epoch, as soon as there are any or
-// once the caller's time is over. A caller that is refused, or everybody during an outage, gets
-// none.
+// serveWatch returns the changes of keys with a prefix after an epoch, as soon as there are any or
+// when the maximum wait of the request is over. A refused caller gets no changes, and during an
+// outage no caller does.
 func (s *Store) serveWatch(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
-	after, _ := strconv.ParseUint(query.Get("after"), 10, 64) // 0 where it is missing
-	millis, _ := strconv.Atoi(query.Get("holdMs"))            // 0 where it is missing
+	after, _ := strconv.ParseUint(query.Get("after"), 10, 64) // 0 if it is missing
+	millis, _ := strconv.Atoi(query.Get("holdMs"))            // 0 if it is missing
 	until := time.Now().Add(time.Duration(millis) * time.Millisecond)
 	for {
 		message, ok := s.changesAfter(after, query.Get("under"), r.Header.Get(fromHeader))
@@ -241,8 +241,8 @@
 	}
 }
 
-// changesAfter is what a caller's watch is told now; not ok if the changes that it lacks are
-// forgotten already.
+// changesAfter returns the answer to a caller's watch at present. ok is false if the history no
+// longer contains all changes after the epoch.
 func (s *Store) changesAfter(after uint64, prefix, caller string) (message watchMessage, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/fake/store_test.go
+++ b/internal/fake/store_test.go
@@ -15,8 +15,8 @@
 }
 
 func TestUnansweredTransactionsAreCarriedOutByTheirFate(t *testing.T) {
-	// A lost answer's is carried out at once, a late one's after newer ones, where its
-	// conditions are judged.
+	// If the answer to a transaction is lost or delayed, the transaction is committed at once. If the
+	// request is delayed, it is committed after newer ones, and its conditions are checked then.
 	synctest.Test(t, func(t *testing.T) {
 		network, store := NewNetwork(), NewStore()
 		network.Listen("s:1", store)
@@ -51,7 +51,7 @@
 }
 
 func TestRefusedCallersLeasesExpireWhileOthersAreServed(t *testing.T) {
-	// Its leases run out and its watches wait, while others are served.
+	// The refused caller's leases expire and its watches return no changes, while others are served.
 	synctest.Test(t, func(t *testing.T) {
 		network, store := NewNetwork(), NewStore()
 		network.Listen("s:1", store)
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Status of a task, as heartbeats tell it, and why it ended.
+// Task statuses and causes of a task's end in heartbeats.
 const (
 	statusRunning = "running"
 	statusEnded   = "ended"
@@ -29,88 +29,90 @@
 	Saved   bool   `json:"saved,omitempty"`
 }
 
-// ended tells whether the task has ended.
+// ended reports whether the task has ended.
 func (t *taskStatus) ended() bool { return t.Status == statusEnded }
 
-// Event is what a worker does to a task: a start carried out, or the task's end,
-// by itself, by command or with the worker's lease.
+// Event is the start or the end of a task on a worker. A task ends by itself, by a command, when the
+// worker's lease expires, or when the machine is terminated.
 type Event struct {
 	At          time.Time
-	SentAt      time.Time // when the command was sent; zero for what needs none
+	SentAt      time.Time // when the command was sent; zero for events without a command
 	Worker      *Worker
 	Incarnation uint64 // the worker's incarnation
 	Task        string
 	Attempt     uint64
 	Start       bool
-	Cause       string // of an end; "killed" for the end of a lease
+	Cause       string // of an end; "killed" if the lease expired
 }
 
-// Worker is a fake of one machine's worker. Its exported fields but Starts are set before Run and
-// not changed afterwards.
+// Worker is a fake of the worker on one machine. All exported fields except Starts are set before
+// Run is called and not changed afterwards.
 type Worker struct {
 	Name, Address, Type, Zone string
 	Spot                      bool
 	Network                   *Network
-	// Controllers are the addresses of the controllers' users side, Names their names, for redirects.
+	// Controllers holds the addresses at which the controllers receive heartbeats, and
+	// ControllerNames their names, which redirects use.
 	Controllers, ControllerNames []string
-	// HeartbeatInterval is the time between heartbeats, Lease how long the worker goes on without an answer.
+	// HeartbeatInterval is the time between heartbeats, and LeaseDuration the time for which tasks
+	// keep running without an answer to a heartbeat.
 	HeartbeatInterval, LeaseDuration time.Duration
-	// HTTP is how it calls the controllers; nil: over Net.
+	// HTTP is the client for calls to controllers; nil means a client of Network.
 	HTTP *http.Client
 
-	// mu guards the fields below. onEvent is called under it, and the network's lock is taken
-	// under it.
+	// mu guards the fields below. onEvent is called and the network's lock is acquired while it is
+	// held.
 	mu sync.Mutex
-	// onEvent is told every event as it happens; nil: nobody is.
+	// onEvent is called for each event when it happens; may be nil.
 	onEvent     func(Event)
 	incarnation uint64
-	// sequence numbers the heartbeats.
+	// sequence is the number of the last heartbeat.
 	sequence uint64
-	// token is the highest fencing token that it has had.
+	// token is the highest fencing token received from a leader.
 	token       uint64
 	leaseExpiry time.Time
-	// tasks are those on the machine, by task and attempt; taskOrder has the keys in order of
+	// tasks holds the tasks on the machine by task and attempt, and taskOrder their keys in order of
 	// starts.
 	tasks             map[string]*taskStatus
 	taskOrder         []string
 	preemptionWarning *float64
-	// controller is the index of the one that it reports to.
+	// controller is the index in Controllers of the controller that gets the next heartbeat.
 	controller int
-	// Starts is every start carried out, "task#attempt".
+	// Starts lists all executed starts as "task#attempt".
 	Starts []string
-	// silent stops the heartbeats.
+	// silent suppresses heartbeats.
 	silent bool
-	// heartbeatDue is filled when something changed. It is made by Run.
+	// heartbeatDue receives a value after each change that has to be reported. Run creates it.
 	heartbeatDue chan struct{}
-	// tokenRaisedAt is when a higher token last counted as a change.
+	// tokenRaisedAt is the time at which a higher token last caused a heartbeat.
 	tokenRaisedAt time.Time
-	// resumed is closed when the machine goes on; nil: it does not hang.
+	// resumed is closed when a hung machine resumes; nil if the machine does not hang.
 	resumed chan struct{}
-	// expiredWhileHung tells that the lease expired while the machine hung.
+	// expiredWhileHung is set if the lease expired while the machine hung.
 	expiredWhileHung bool
-	// heldBack carries out what was sent while the machine hung.
+	// heldBack holds functions that process the requests received while the machine hung.
 	heldBack []func()
 }
 
-// NotifyEvents has f told of every event from now on, as it happens and under the worker's
-// lock.
+// NotifyEvents registers f to be called for each event from now on, when the event happens and while
+// the worker's lock is held. It replaces the function registered before.
 func (w *Worker) NotifyEvents(f func(Event)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.onEvent = f
 }
 
-// notifyStart tells the hook of a start, by a command sent then.
+// notifyStart reports the start of a task to the hook. sent is when the start command was sent.
 func (w *Worker) notifyStart(task *taskStatus, sent time.Time) {
 	w.notifyEvent(Event{SentAt: sent, Task: task.Task, Attempt: task.Attempt, Start: true})
 }
 
-// notifyEnd tells the hook of an end.
+// notifyEnd reports the end of a task to the hook.
 func (w *Worker) notifyEnd(task *taskStatus, cause string) {
 	w.notifyEvent(Event{Task: task.Task, Attempt: task.Attempt, Cause: cause})
 }
 
-// notifyEvent tells the hook, if there is one, of an event now.
+// notifyEvent completes an event with the time and the worker, and reports it to the hook if there is one.
 func (w *Worker) notifyEvent(event Event) {
 	if w.onEvent != nil {
 		event.At, event.Worker, event.Incarnation = time.Now(), w, w.incarnation
@@ -118,20 +120,20 @@
 	}
 }
 
-// Run sends heartbeats until the context ends.
+// Run serves direct commands and sends heartbeats until the context is cancelled.
 func (w *Worker) Run(ctx context.Context) {
 	w.mu.Lock()
 	w.incarnation, w.leaseExpiry, w.tasks = 1, time.Now().Add(w.LeaseDuration), map[string]*taskStatus{}
 	w.heartbeatDue = make(chan struct{}, 1)
 	w.mu.Unlock()
 	w.Network.Listen(w.Address, w)
-	go w.watchLease(ctx) // ends with the context
+	go w.watchLease(ctx) // returns when the context is cancelled
 	w.sendHeartbeats(ctx)
 }
 
-// SetHung stops the machine: it executes nothing, its tasks do not end, and what
-// is sent to it waits. When it goes on, its lease is judged first, then what
-// waited is carried out, in order, also commands whose sender has given up.
+// SetHung suspends or resumes the machine. While it hangs, it executes nothing, its tasks do not end,
+// and requests to it wait. When it resumes, it first checks its lease and then processes the waiting
+// requests in order, including commands whose sender has given up.
 func (w *Worker) SetHung(hung bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -154,7 +156,7 @@
 	w.heldBack = nil
 }
 
-// awaitResumed waits until the machine does not hang.
+// awaitResumed waits until the machine does not hang or the context is cancelled.
 func (w *Worker) awaitResumed(ctx context.Context) {
 	for ctx.Err() == nil {
 		w.mu.Lock()
@@ -170,7 +172,7 @@
 	}
 }
 
-// EndTask lets a running task end by itself, and tells whether there was one.
+// EndTask makes a running task end by itself, and reports whether there was one.
 func (w *Worker) EndTask(task, cause string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -189,8 +191,8 @@
 	return true
 }
 
-// activeTask is the attempt of a task that is on the machine and has not ended; nil: there is
-// none. There is one at most.
+// activeTask returns the attempt of a task that is on the machine and has not ended, or nil if there
+// is none. There is at most one.
 func (w *Worker) activeTask(task string) *taskStatus {
 	for _, status := range w.tasks {
 		if status.Task == task && !status.ended() {
@@ -200,14 +202,14 @@
 	return nil
 }
 
-// endTask ends a task.
+// endTask ends a task, reports the event and schedules a heartbeat.
 func (w *Worker) endTask(task *taskStatus, cause string) {
 	task.Status, task.Cause = statusEnded, cause
 	w.notifyEnd(task, cause)
 	w.scheduleHeartbeat()
 }
 
-// Terminate ends the machine with everything on it, also while it hangs.
+// Terminate stops the heartbeats and ends all tasks, even while the machine hangs.
 func (w *Worker) Terminate() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -219,7 +221,7 @@
 	}
 }
 
-// SetTaskStatus sets what a task is reported as.
+// SetTaskStatus sets the status that heartbeats report for a task that has not ended.
 func (w *Worker) SetTaskStatus(task, status string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -229,7 +231,7 @@
 	}
 }
 
-// AnnouncePreemption has the cloud announce that it takes the machine away.
+// AnnouncePreemption makes heartbeats report that the cloud will reclaim the machine after the given time.
 func (w *Worker) AnnouncePreemption(in time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -238,14 +240,14 @@
 	w.scheduleHeartbeat()
 }
 
-// SetSilent stops or resumes the heartbeats.
+// SetSilent suppresses or resumes the heartbeats.
 func (w *Worker) SetSilent(silent bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.silent = silent
 }
 
-// ActiveTasks lists the tasks on the machine that have not ended, in order of their starts.
+// ActiveTasks returns the tasks on the machine that have not ended, in order of their starts.
 func (w *Worker) ActiveTasks() (tasks []string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -258,7 +260,7 @@
 	return tasks
 }
 
-// orderedTasks are the tasks on the machine, in order of their starts.
+// orderedTasks returns the tasks on the machine in order of their starts.
 func (w *Worker) orderedTasks() (tasks []*taskStatus) {
 	for _, key := range w.taskOrder {
 		if task := w.tasks[key]; task != nil {
@@ -268,7 +270,7 @@
 	return tasks
 }
 
-// StartCount counts how often a start of the task was carried out.
+// StartCount returns the number of executed starts of a task.
 func (w *Worker) StartCount(task string) (starts int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/fake/worker_commands.go
+++ b/internal/fake/worker_commands.go
@@ -10,32 +10,33 @@
 	"time"
 )
 
-// What a command has a worker do.
+// Verbs of commands.
 const (
 	verbStart = "start"
 	verbStop  = "stop"
 	verbClear = "clear"
 )
 
-// taskCommand is a command on one attempt of a task.
+// taskCommand is a command for one attempt of a task.
 type taskCommand struct {
 	Verb    string  `json:"verb"`
 	Task    string  `json:"piece"`
 	Attempt uint64  `json:"try"`
-	Leeway  float64 `json:"leewayS"` // time to save, in seconds
+	Leeway  float64 `json:"leewayS"` // time to save progress before a stop, in seconds
 }
 
-// key names the command's attempt among the worker's tasks.
+// key returns the key of the command's attempt in Worker.tasks.
 func (c *taskCommand) key() string { return fmt.Sprintf("%s#%d", c.Task, c.Attempt) }
 
-// commandMessage holds a controller's direct commands.
+// commandMessage is a direct request of a controller with commands.
 type commandMessage struct {
 	Token       uint64        `json:"baton"`
 	Incarnation uint64        `json:"stint"`
 	Commands    []taskCommand `json:"orders"`
 }
 
-// acceptToken takes a token; a higher one counts as a change, though not often.
+// acceptToken stores a fencing token. A higher token schedules a heartbeat, but not more often than
+// once per half of the lease duration.
 func (w *Worker) acceptToken(token uint64) {
 	if token > w.token && time.Since(w.tokenRaisedAt) > w.LeaseDuration/2 {
 		w.tokenRaisedAt = time.Now()
@@ -44,7 +45,7 @@
 	w.token = token
 }
 
-// execute carries out commands that were sent then.
+// execute executes commands. sent is when they were sent.
 func (w *Worker) execute(commands []taskCommand, sent time.Time) {
 	for i := range commands {
 		command := &commands[i]
@@ -59,8 +60,8 @@
 	}
 }
 
-// startTask starts an attempt of a task, unless it is there already. It ends at once if another
-// attempt runs on the machine, or if the task has completed before.
+// startTask starts an attempt of a task unless the attempt is already on the machine. The attempt
+// ends at once if another attempt of the task runs on the machine or if the task has completed before.
 func (w *Worker) startTask(command *taskCommand, sent time.Time) {
 	key := command.key()
 	if w.tasks[key] != nil {
@@ -82,7 +83,7 @@
 	}
 }
 
-// stopTask stops an attempt of a task; it has saved if it was given time to.
+// stopTask stops an attempt of a task. The task saves its progress if the command allows time for that.
 func (w *Worker) stopTask(command *taskCommand) {
 	task := w.tasks[command.key()]
 	if task == nil || task.ended() {
@@ -92,7 +93,7 @@
 	w.endTask(task, causeStopped)
 }
 
-// clearTask forgets an attempt that has ended.
+// clearTask removes an attempt that has ended.
 func (w *Worker) clearTask(command *taskCommand) {
 	key := command.key()
 	task := w.tasks[key]
@@ -103,16 +104,16 @@
 	w.taskOrder = slices.DeleteFunc(w.taskOrder, func(other string) bool { return other == key })
 }
 
-// sentAt is when a message was sent; zero if it came over a real network.
+// sentAt returns the time at which a message was sent, or zero if it arrived over a real network.
 func sentAt(header http.Header) time.Time {
-	sent, _ := time.Parse(time.RFC3339Nano, header.Get(sentHeader)) // zero where it is missing
+	sent, _ := time.Parse(time.RFC3339Nano, header.Get(sentHeader)) // zero if it is missing
 	return sent
 }
 
-// ServeHTTP takes direct commands and shows the status. While the machine hangs, what it is sent
-// is kept until it goes on.
+// ServeHTTP executes direct commands and returns the worker's status. While the machine hangs,
+// requests wait until it resumes.
 func (w *Worker) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
-	body, _ := io.ReadAll(r.Body) // what is cut off is no JSON and refused as such
+	body, _ := io.ReadAll(r.Body) // an incomplete body is rejected as invalid JSON
 	w.mu.Lock()
 	if w.resumed == nil {
 		defer w.mu.Unlock()
@@ -128,13 +129,13 @@
 	select {
 	case <-done:
 		rw.WriteHeader(recorder.Code)
-		_, _ = rw.Write(recorder.Body.Bytes()) // fails only if the caller has gone away
+		_, _ = rw.Write(recorder.Body.Bytes()) // fails only if the client has disconnected
 	case <-r.Context().Done():
 	}
 }
 
-// serveNow answers a request. Commands are refused if a leader with a higher token has been heard,
-// or if they are for another incarnation.
+// serveNow answers a request. It rejects commands with a token lower than the highest one received,
+// and commands for another incarnation of the worker.
 func (w *Worker) serveNow(rw http.ResponseWriter, r *http.Request, body []byte) {
 	w.expireLease()
 	if r.Method == http.MethodGet {
--- a/internal/fake/worker_heartbeat.go
+++ b/internal/fake/worker_heartbeat.go
@@ -9,21 +9,21 @@
 	"time"
 )
 
-// heartbeatPath is where controllers take heartbeats.
+// heartbeatPath is the path of heartbeat requests at the controllers.
 const heartbeatPath = "/agent/beat"
 
-// Times of the heartbeats.
+// Timing of heartbeats.
 const (
-	// minHeartbeatInterval is the least time between two heartbeats.
+	// minHeartbeatInterval is the minimum time between two heartbeats.
 	minHeartbeatInterval = 500 * time.Millisecond
 	heartbeatTimeout     = 4 * time.Second
-	// nextControllerWait is how long a worker waits before it tries the next controller, and
-	// redirectWait before it calls the one that it was redirected to.
+	// nextControllerWait is the wait before a worker tries the next controller, and redirectWait the
+	// wait before it calls the controller that it was redirected to.
 	nextControllerWait = time.Second
 	redirectWait       = minHeartbeatInterval / 2
 )
 
-// The messages between workers and controllers.
+// Messages between workers and controllers.
 type (
 	// heartbeatMessage is a heartbeat with the worker's status.
 	heartbeatMessage struct {
@@ -38,7 +38,7 @@
 		PreemptionSeconds *float64     `json:"warningS"`
 		Tasks             []taskStatus `json:"pieces"`
 	}
-	// heartbeatAnswer is a controller's answer: commands, or which controller to call instead.
+	// heartbeatAnswer is a controller's answer: commands, or the name of the controller to call instead.
 	heartbeatAnswer struct {
 		Token      uint64        `json:"baton"`
 		Commands   []taskCommand `json:"orders"`
@@ -46,7 +46,7 @@
 	}
 )
 
-// scheduleHeartbeat has a heartbeat go out soon, as every change does.
+// scheduleHeartbeat requests a heartbeat soon. It is called after every change that has to be reported.
 func (w *Worker) scheduleHeartbeat() {
 	select {
 	case w.heartbeatDue <- struct{}{}:
@@ -54,14 +54,14 @@
 	}
 }
 
-// sendHeartbeats sends heartbeats until the context ends.
+// sendHeartbeats sends heartbeats until the context is cancelled.
 func (w *Worker) sendHeartbeats(ctx context.Context) {
 	for ctx.Err() == nil {
 		started := time.Now()
 		wait := w.sendHeartbeat(ctx)
 		due := w.heartbeatDue
 		if wait < w.HeartbeatInterval {
-			due = nil // it looks for another controller first
+			due = nil // the worker has to switch to another controller first
 		}
 		select {
 		case <-ctx.Done():
@@ -72,7 +72,7 @@
 	}
 }
 
-// heartbeat is the next heartbeat.
+// heartbeat returns the next heartbeat, with a new sequence number.
 func (w *Worker) heartbeat() heartbeatMessage {
 	w.sequence++
 	tasks := []taskStatus{}
@@ -83,7 +83,7 @@
 		Incarnation: w.incarnation, Sequence: w.sequence, Token: w.token, PreemptionSeconds: w.preemptionWarning, Tasks: tasks}
 }
 
-// client is how the worker calls the controllers.
+// client returns the HTTP client for calls to controllers.
 func (w *Worker) client() *http.Client {
 	if w.HTTP != nil {
 		return w.HTTP
@@ -95,11 +95,11 @@
 type preparedHeartbeat struct {
 	incarnation uint64
 	preparedAt  time.Time
-	controller  string // its address
+	controller  string // address of the receiving controller
 	body        []byte
 }
 
-// prepareHeartbeat makes a heartbeat; not ok if the worker is silent.
+// prepareHeartbeat prepares the next heartbeat. ok is false if the worker is silent.
 func (w *Worker) prepareHeartbeat() (prepared preparedHeartbeat, ok bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -108,12 +108,12 @@
 		return preparedHeartbeat{}, false
 	}
 	prepared.incarnation, prepared.preparedAt = w.incarnation, time.Now()
-	prepared.body, _ = json.Marshal(w.heartbeat()) // plain data
+	prepared.body, _ = json.Marshal(w.heartbeat()) // cannot fail for this type
 	prepared.controller = w.Controllers[w.controller]
 	return prepared, true
 }
 
-// sendHeartbeat sends one heartbeat and tells how long to wait until the next one.
+// sendHeartbeat sends a heartbeat, processes the answer and returns the wait before the next heartbeat.
 func (w *Worker) sendHeartbeat(run context.Context) time.Duration {
 	w.awaitResumed(run)
 	prepared, ok := w.prepareHeartbeat()
@@ -132,7 +132,7 @@
 	}
 	defer func() { _ = response.Body.Close() }() // nothing is read from it afterwards
 	var answer heartbeatAnswer
-	_ = json.NewDecoder(response.Body).Decode(&answer) // what is no JSON redirects and commands nothing
+	_ = json.NewDecoder(response.Body).Decode(&answer) // invalid JSON is treated as an empty answer
 	if response.StatusCode != http.StatusOK {
 		return w.followRedirect(answer.RedirectTo)
 	}
@@ -145,7 +145,6 @@
 	return w.HeartbeatInterval
 }
 
-// post sends a heartbeat.
 func (w *Worker) post(ctx context.Context, prepared preparedHeartbeat) (*http.Response, error) {
 	url := "http://" + prepared.controller + heartbeatPath
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(prepared.body))
@@ -155,14 +154,15 @@
 	return w.client().Do(request)
 }
 
-// tryNextController has the next heartbeat go to the next controller, after the wait returned.
+// tryNextController selects the next controller as the receiver of heartbeats and returns the wait
+// before the next heartbeat.
 func (w *Worker) tryNextController() time.Duration {
 	w.controller = (w.controller + 1) % len(w.Controllers)
 	return nextControllerWait
 }
 
-// followRedirect has the next heartbeat go to the controller of that name, after the wait returned,
-// or to the next one if there is no other controller of that name.
+// followRedirect selects the named controller as the receiver of heartbeats, or the next controller
+// if the name is unknown or that of the current one. It returns the wait before the next heartbeat.
 func (w *Worker) followRedirect(name string) time.Duration {
 	other := slices.Index(w.ControllerNames, name)
 	if other < 0 || other == w.controller {
--- a/internal/fake/worker_lease.go
+++ b/internal/fake/worker_lease.go
@@ -5,10 +5,11 @@
 	"time"
 )
 
-// whileHung is far beyond the time of any test.
+// whileHung is the lease duration of a new incarnation while the machine hangs. It is longer than
+// any test.
 const whileHung = 1000 * time.Hour
 
-// watchLease ends the lease in time, whoever looks.
+// watchLease ends the incarnation when the lease expires, even if no request or heartbeat checks it.
 func (w *Worker) watchLease(ctx context.Context) {
 	for ctx.Err() == nil {
 		w.mu.Lock()
@@ -22,9 +23,9 @@
 	}
 }
 
-// expireLease ends the incarnation once the lease has expired. A machine that hangs by
-// then does not come back to its tasks: it ends them before anything else when it
-// goes on, so they count as gone from the expiry on. Its next incarnation begins then.
+// expireLease ends the incarnation if the lease has expired, which ends all tasks. A real machine
+// that hangs when its lease expires ends its tasks before anything else when it resumes, so here the
+// tasks end, and the next incarnation begins, at the expiry.
 func (w *Worker) expireLease() {
 	if !time.Now().After(w.leaseExpiry) {
 		return
@@ -38,7 +39,7 @@
 	w.tasks, w.taskOrder = map[string]*taskStatus{}, nil
 	w.leaseExpiry = time.Now().Add(w.LeaseDuration)
 	if w.resumed != nil {
-		w.leaseExpiry = time.Now().Add(whileHung) // renewed when it goes on
+		w.leaseExpiry = time.Now().Add(whileHung) // renewed when the machine resumes
 		w.expiredWhileHung = true
 	}
 	w.scheduleHeartbeat()
--- a/internal/fake/worker_test.go
+++ b/internal/fake/worker_test.go
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// newTestWorker is a worker of one controller, with a lease of 20 s.
+// newTestWorker returns a worker with one controller and a lease of 20 s.
 func newTestWorker(network *Network, heartbeatInterval time.Duration) *Worker {
 	return &Worker{Name: "m", Address: "m:1", Network: network, Controllers: []string{"a:1"}, HeartbeatInterval: heartbeatInterval, LeaseDuration: 20 * time.Second}
 }
@@ -25,13 +25,13 @@
 		name        string
 		rule        Rule
 		hung        time.Duration
-		heartbeats  bool // they reach the controller
-		command     int  // what a direct command gets
-		starts      int  // started by then, and once all is over
+		heartbeats  bool // whether heartbeats reach the controller
+		command     int  // status of the answer to a direct command; 0 for no answer
+		starts      int  // starts executed
 		incarnation uint64
 	}{
 		{"well", nil, 0, true, 200, 1, 1},
-		{"partitioned outbound", PartitionOutbound("m"), 0, false, 200, 1, 2}, // no lease is renewed
+		{"partitioned outbound", PartitionOutbound("m"), 0, false, 200, 1, 2}, // no heartbeat arrives, so the lease is not renewed
 		{"partitioned inbound", PartitionInbound("m"), 0, true, 0, 0, 2},
 		{"hung", nil, 5 * time.Second, false, 0, 1, 1},
 		{"hung beyond its lease", nil, 30 * time.Second, false, 0, 0, 2},
@@ -91,8 +91,8 @@
 }
 
 func TestWorkerKeepsResultsAndRefusesSecondAttempts(t *testing.T) {
-	// The result of a task that is started again is kept; an attempt is refused where another one
-	// runs; changes are reported soon.
+	// A completed task that is started again ends at once with its stored result. A second attempt is
+	// refused while another one runs. Changes are reported soon.
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer synctest.Wait()
--- a/internal/rehearsal/cluster.go
+++ b/internal/rehearsal/cluster.go
@@ -13,14 +13,14 @@
 	"github.com/pebbletrail/pebbletrail/internal/fake"
 )
 
-// Intervals of the fake workers, shorter than in production so that a run takes minutes.
+// Intervals of the fake workers. They are shorter than in production so that a run takes minutes.
 const (
 	heartbeatInterval = time.Second
 	workerLease       = 8 * time.Second
 	cancelWithin      = 20 * time.Second
 )
 
-// Calls of the users, the operator and the fake workers.
+// Parameters of the HTTP calls by users, the operator and the fake workers.
 const (
 	callTimeout       = 5 * time.Second
 	headerTimeout     = 10 * time.Second
@@ -28,28 +28,29 @@
 	readinessInterval = 100 * time.Millisecond
 )
 
-// localCluster is controller processes and the fakes around them, all on loopback.
+// localCluster is a set of controller processes and the fakes that they call, all on loopback.
 //
-// Locks are taken in the order of the fake cloud's, a fake worker's or the fake store's, mu: the
-// fakes report events under their own locks. Nothing is called under mu.
+// Lock order: the fake cloud's lock, then a fake worker's or the fake store's lock, then mu, because
+// the fakes report events while they hold their own locks. No fake is called while mu is held.
 type localCluster struct {
 	store *fake.Store
 
 	folder  string
 	program string
-	// features is the file of features, operators that of operators' settings; empty: none.
+	// features and operators are the paths of the features file and the operators' settings file;
+	// empty if there is no such file.
 	features, operators string
-	// onChange is told of each change of the state service, under its lock; nil: nobody is.
+	// onChange is called for each change of the state service, under the store's lock; may be nil.
 	onChange func(key string, value json.RawMessage)
 	teams    []Team
 	started  time.Time
-	network  *fake.Network // keeps the results of tasks
+	network  *fake.Network // stores which tasks have completed
 	cloud    *fakeCloud
 	http     *http.Client
-	// ctx ends the fake workers.
+	// ctx is the context of the fake workers.
 	ctx    context.Context
 	cancel context.CancelFunc
-	// deadline is when users stop to retry at the latest; zero: nothing ends their retries early.
+	// deadline is the latest time at which users retry submissions; zero means no such limit.
 	deadline    time.Time
 	controllers []*controllerProcess
 
@@ -61,31 +62,30 @@
 	plans   map[string]taskPlan // by job
 }
 
-// taskPlan is what is known of each task of a job.
+// taskPlan describes each task of a job.
 type taskPlan struct {
 	team                string
 	cores, accelerators float64
-	duration            time.Duration // 0: until it is stopped
+	duration            time.Duration // 0 means until it is stopped
 }
 
-// clusterOptions describe a cluster.
+// clusterOptions configures a localCluster.
 type clusterOptions struct {
-	Folder      string // for settings and logs
-	Program     string // the controllers' program
+	Folder      string // receives settings and logs
+	Program     string // path of the controller executable
 	Teams       []Team
 	Controllers int
-	Machines    int // that the cloud has
-	// Accelerators are those of each machine.
+	Machines    int // capacity of the cloud
+	// Accelerators is the number of accelerators of each machine.
 	Accelerators int
-	// Features and Operators are the contents of the files of features and of operators'
-	// settings; empty: there is none.
+	// Features and Operators are the contents of the features file and of the operators' settings
+	// file; an empty one is not written.
 	Features, Operators string
-	// OnChange is told of each change of the state service, under its lock; nil: nobody is.
+	// OnChange is called for each change of the state service, under the store's lock; may be nil.
 	OnChange func(key string, value json.RawMessage)
 }
 
-// newLocalCluster starts the fakes and writes the controllers' files; controllers are started one
-// by one.
+// newLocalCluster starts the fakes and writes the controllers' files. It starts no controller.
 func newLocalCluster(options clusterOptions) (*localCluster, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	c := &localCluster{
@@ -111,7 +111,7 @@
 	return c, nil
 }
 
-// prepare serves the fakes and writes the controllers' files.
+// prepare starts the servers of the fakes and writes the controllers' files.
 func (c *localCluster) prepare(options clusterOptions) error {
 	state, err := c.serve(c.store)
 	if err != nil {
@@ -131,7 +131,7 @@
 	return err
 }
 
-// serve puts a fake on a loopback port until the cluster is closed.
+// serve serves a fake on a loopback port until the cluster is closed.
 func (c *localCluster) serve(handler http.Handler) (address string, err error) {
 	listener, err := listenOnLoopback()
 	if err != nil {
@@ -154,7 +154,7 @@
 	return listener, nil
 }
 
-// observeChange takes in a change of the state service.
+// observeChange handles a change of the state service.
 func (c *localCluster) observeChange(key string, value json.RawMessage) {
 	c.recordLedger(key, value)
 	if c.onChange != nil {
@@ -162,7 +162,7 @@
 	}
 }
 
-// record adds an event to the record.
+// record adds an event to the record, with the current time.
 func (c *localCluster) record(event Event) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -170,14 +170,14 @@
 	c.events = append(c.events, event)
 }
 
-// recorded is the record so far.
+// recorded returns a copy of the events recorded so far.
 func (c *localCluster) recorded() []Event {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]Event(nil), c.events...)
 }
 
-// close ends everything that the cluster started.
+// close kills all controller processes and stops the fakes.
 func (c *localCluster) close() error {
 	for _, controller := range c.controllers {
 		controller.resume()
@@ -197,7 +197,7 @@
 	return errors.Join(errs...)
 }
 
-// errDeadlineExceeded tells that a run took longer than it may.
+// errDeadlineExceeded means that a run exceeded its maximum duration.
 var errDeadlineExceeded = errors.New("the time of the run was up")
 
 // startAll starts all controllers and waits until each is ready.
@@ -218,7 +218,7 @@
 	return nil
 }
 
-// ready asks a controller whether users may be sent there.
+// ready reports whether a controller is ready to receive requests from users.
 func (c *localCluster) ready(controller *controllerProcess) bool {
 	response, err := c.http.Get("http://" + controller.usersAddress + "/up")
 	if err != nil {
@@ -228,10 +228,10 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// pollInterval spaces the looks at what a run waits for.
+// pollInterval is the interval at which waitUntil checks its condition.
 const pollInterval = 200 * time.Millisecond
 
-// waitUntil waits for a condition, at most until the run's deadline.
+// waitUntil waits until a condition holds or the run's deadline has passed.
 func waitUntil(deadline time.Time, what string, reached func() bool) error {
 	for !reached() {
 		if time.Now().After(deadline) {
--- a/internal/rehearsal/controller_process.go
+++ b/internal/rehearsal/controller_process.go
@@ -8,19 +8,19 @@
 	"syscall"
 )
 
-// privateFile is the mode of the files that a rehearsal leaves.
+// privateFile is the mode of the files that a rehearsal writes.
 const privateFile = 0o600
 
-// controllerProcess is a controller with its addresses and files, and its process while it runs.
+// controllerProcess is a controller: its addresses, its files and its operating system process.
 type controllerProcess struct {
 	name                       string
 	usersAddress, peersAddress string
 	settingsFile, logFile      string
 
-	// mu guards the fields below. Signals are sent under it, and nothing is awaited.
+	// mu guards the fields below. It is held while signals are sent, but not while waiting for an exit.
 	mu      sync.Mutex
 	process *exec.Cmd
-	// ended is closed once the process has ended.
+	// ended is closed when the process has exited.
 	ended chan struct{}
 }
 
@@ -30,7 +30,7 @@
 	if err != nil {
 		return fmt.Errorf("open the log of %s: %w", controller.name, err)
 	}
-	defer func() { _ = log.Close() }() // the process has a descriptor of its own
+	defer func() { _ = log.Close() }() // the process has its own descriptor
 	process := exec.Command(c.program, c.arguments(controller)...)
 	process.Stderr, process.Stdout = log, log
 	process.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
@@ -39,7 +39,7 @@
 	}
 	ended := make(chan struct{})
 	go func() {
-		_ = process.Wait() // it is killed, which Wait reports as an error
+		_ = process.Wait() // Wait returns an error because the process is killed
 		close(ended)
 	}()
 	controller.mu.Lock()
@@ -48,7 +48,7 @@
 	return nil
 }
 
-// arguments are a controller's command line.
+// arguments returns the command-line arguments of a controller.
 func (c *localCluster) arguments(controller *controllerProcess) []string {
 	arguments := []string{"--config", controller.settingsFile}
 	if c.features != "" {
@@ -60,7 +60,7 @@
 	return arguments
 }
 
-// restart starts a controller that was killed, and records whether that worked.
+// restart starts a controller that was killed, and records whether that succeeded.
 func (c *localCluster) restart(controller *controllerProcess) {
 	why := "started again"
 	if err := c.start(controller); err != nil {
@@ -69,16 +69,16 @@
 	c.record(Event{Kind: FaultInjected, Where: controller.name, Why: why})
 }
 
-// signal sends a signal to the controller's process, if it runs.
+// signal sends a signal to the controller's process, if it was started.
 func (p *controllerProcess) signal(signal syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.process != nil {
-		_ = p.process.Process.Signal(signal) // the process may have ended
+		_ = p.process.Process.Signal(signal) // fails if the process has exited
 	}
 }
 
-// kill ends the controller's process without notice, and waits until it is gone.
+// kill sends SIGKILL to the controller's process and waits until it has exited.
 func (p *controllerProcess) kill() {
 	p.signal(syscall.SIGKILL)
 	p.mu.Lock()
@@ -89,8 +89,8 @@
 	}
 }
 
-// pause stops the controller's process where it is, until resume.
+// pause suspends the controller's process until resume.
 func (p *controllerProcess) pause() { p.signal(syscall.SIGSTOP) }
 
-// resume lets a paused controller go on.
+// resume continues a paused controller process.
 func (p *controllerProcess) resume() { p.signal(syscall.SIGCONT) }
--- a/internal/rehearsal/drain.go
+++ b/internal/rehearsal/drain.go
@@ -10,28 +10,29 @@
 	"github.com/pebbletrail/pebbletrail/internal/rollout"
 )
 
-// DrainOptions are what a rehearsal of a drain may vary.
+// DrainOptions configures a drain rehearsal.
 type DrainOptions struct {
-	Folder      string // for the record, the report, settings and logs
-	Program     string // the controllers' program
+	Folder      string // receives the record, the report, settings and logs
+	Program     string // path of the controller executable
 	Seed        uint64
 	Controllers int
-	Machines    int           // all of which are replaced
-	Jobs        int           // low jobs beside the services
-	Longest     time.Duration // the run ends by then, whatever happens
+	Machines    int           // number of machines, all of which the rollout replaces
+	Jobs        int           // number of low-priority jobs that run beside the services
+	Longest     time.Duration // maximum duration; the run is aborted after it
 }
 
-// drainTeam is a team of the rehearsal: a service and its budget.
+// drainTeam is a team with one service and a disruption budget.
 type drainTeam struct {
 	Team
 	Replicas int
-	// ReplicasDown is how many replicas may be down at a time, TasksInterrupted how many other
-	// tasks may be interrupted at a time.
+	// ReplicasDown is the maximum number of replicas that may be down at the same time, and
+	// TasksInterrupted the maximum number of other tasks that may be interrupted at the same time.
 	ReplicasDown, TasksInterrupted int
 }
 
-// drainTeams are three teams with a service each; the last one has low jobs too.
-// Together they fit on the machines, so that none is provisioned but in place of another.
+// drainTeams returns three teams with one service each; the last team also runs low-priority jobs.
+// Their services fit on the given number of machines, so that machines are provisioned only as
+// replacements.
 func drainTeams(machines int) []drainTeam {
 	cores := float64(machines)
 	return []drainTeam{
@@ -41,24 +42,24 @@
 	}
 }
 
-// rolloutName is the name of the rehearsed rollout.
 const rolloutName rollout.Name = "spring"
 
-// The rehearsed rollout.
+// Parameters of the rollout, its load and the fake cloud.
 const (
 	targetWaves        = 5
 	rolloutDeadline    = 40 * time.Second
 	rolloutObservation = 5 * time.Second
-	// readyTime is how long a replica has to run to count as up.
+	// readyTime is how long a replica has to run before it counts as up.
 	readyTime = 2 * time.Second
-	// cloudCapacityFactor is how many times the machines the cloud has: a new leader, which has not
-	// had a heartbeat of all machines yet, provisions some more, and none is returned for being idle here.
+	// cloudCapacityFactor is the capacity of the cloud as a multiple of the machines in use: a new
+	// leader that has not yet received a heartbeat from every machine provisions more machines, and
+	// idle machines are not returned during this rehearsal.
 	cloudCapacityFactor = 4
-	// minLowTaskDuration is how long a task of a low job takes at least, and again as long at most.
+	// minLowTaskDuration is the minimum duration of a task of a low-priority job; the maximum is twice that.
 	minLowTaskDuration = 8 * time.Second
 )
 
-// drainFeatures is the content of the file of features with the teams' budgets.
+// drainFeatures returns the content of the features file, which sets the teams' disruption budgets.
 func drainFeatures(teams []drainTeam) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "drains {\n  ready_s: %g\n", readyTime.Seconds())
@@ -69,12 +70,13 @@
 	return text.String()
 }
 
-// keepIdleMachines has machines stay that nothing needs: all of them are to be replaced, not returned.
+// keepIdleMachines is the content of the operators' settings file. It prevents the return of idle
+// machines, because the rollout has to replace every machine.
 const keepIdleMachines = "idle_return_s: 3600\n"
 
-// RunDrain rehearses the replacement of all machines: services and low jobs run while machines
-// are replaced in waves and controllers, machines and replacements fail. It always leaves a record
-// and a report, also of a run that fails midway.
+// RunDrain runs a rollout that replaces all machines in waves while services and low-priority jobs
+// run and controllers, machines and replacements fail. It writes a record and a report even if the
+// run fails midway.
 func RunDrain(options DrainOptions) (*DrainFindings, error) {
 	teams := drainTeams(options.Machines)
 	run := &drainRun{options: options, teams: teams, evictions: map[string]string{}}
@@ -103,17 +105,17 @@
 	return findings, errors.Join(closeErr, findings.writeFiles(options.Folder))
 }
 
-// drainRun is one rehearsal of a drain under way.
+// drainRun is a drain rehearsal in progress.
 type drainRun struct {
 	options DrainOptions
 	teams   []drainTeam
 	cluster *localCluster
 
-	// mu guards the fields below. It is taken under the fake store's lock, and the cluster's is
-	// taken under it.
+	// mu guards the fields below. It is acquired while the fake store's lock is held, and the
+	// cluster's lock is acquired while mu is held.
 	mu sync.Mutex
-	// rollout is the rollout as it was last stored.
+	// rollout is the rollout record that was stored last.
 	rollout rollout.Record
-	// evictions are the reasons of the evictions stored last, by task.
+	// evictions maps each task to the reason of its eviction that was stored last.
 	evictions map[string]string
 }
--- a/internal/rehearsal/drain_analysis.go
+++ b/internal/rehearsal/drain_analysis.go
@@ -6,20 +6,21 @@
 	"time"
 )
 
-// detectionDelay is how long after a machine stopped by itself its replicas may not be known to be
-// down: until its reports are missed, and a permit given before that was carried out.
+// detectionDelay is the time for which controllers may not yet know that the replicas of a failed
+// machine are down. It covers the time until missing heartbeats are noticed, and until a permit
+// granted before that has been used.
 const detectionDelay = 6 * time.Second
 
-// Why a task ended, as workers report it.
+// Causes with which workers report the end of a task.
 const (
 	causeDone    = "done"
 	causeStopped = "stopped"
 )
 
-// noMove stands for no move under way.
+// noMove is the value of taskTimeline.move for a task that is not being moved.
 const noMove = -1
 
-// taskTimeline is where a task stands at a moment of the record.
+// taskTimeline is the state of a task at a point in the record.
 type taskTimeline struct {
 	team        string
 	service     bool
@@ -28,13 +29,13 @@
 	cores       float64
 	startedAt   time.Duration
 	downAt      time.Duration
-	// drained tells that a drain stopped it and it has not started again.
+	// drained is set while the task is down because a drain stopped it.
 	drained bool
-	// move is the index of the move under way, or noMove.
+	// move is the index in DrainFindings.Moves of the task's unfinished move, or noMove.
 	move int
 }
 
-// analyze works out from the record what there is to find.
+// analyze derives the findings from the recorded events.
 func (f *DrainFindings) analyze() {
 	f.OnTwoMachines = tasksOnTwoMachines(f.Events)
 	f.LowJobs = countJobs(f.Events)
@@ -65,7 +66,7 @@
 	f.measureRollout()
 }
 
-// timelineOf is the timeline of an event's task, a new one at its first event.
+// timelineOf returns the state of an event's task, and creates it at the first event of the task.
 func timelineOf(tasks map[string]*taskTimeline, event Event) *taskTimeline {
 	task := tasks[event.Task]
 	if task == nil {
@@ -75,12 +76,12 @@
 	return task
 }
 
-// isService tells a rehearsal's services from its other jobs by their ids.
+// isService reports whether a job of the drain rehearsal is a service, judging by its ID.
 func isService(job string) bool {
 	return !strings.HasPrefix(job, "job-1") || len(job) < len("job-1000000")
 }
 
-// taskStarted takes in a task's start, which completes its move if it was moved.
+// taskStarted processes the start of a task, which completes the task's move if there is one.
 func (f *DrainFindings) taskStarted(task *taskTimeline, event Event) {
 	task.running, task.everStarted, task.drained, task.startedAt = true, true, false, event.At
 	if task.move != noMove {
@@ -90,7 +91,7 @@
 	}
 }
 
-// taskEnded takes in a task's end. Nothing but drains stops tasks in this rehearsal.
+// taskEnded processes the end of a task. Only drains stop tasks in this rehearsal.
 func (f *DrainFindings) taskEnded(task *taskTimeline, event Event, why string) {
 	task.running, task.downAt = false, event.At
 	task.drained = event.Why == causeStopped
@@ -107,16 +108,16 @@
 	}
 }
 
-// downCounts are what a team has down at a moment.
+// downCounts counts the tasks of a team that are down at a point in time.
 type downCounts struct {
-	// replicas do not run; byDrains of them were stopped by drains, and known of them count
-	// against the budget, since the controllers know that they are down.
+	// replicas counts the replicas that do not run, byDrains those that drains stopped, and known
+	// those that count against the budget because the controllers know that they are down.
 	replicas, byDrains, known int
-	// interrupted are other tasks that drains stopped.
+	// interrupted counts the tasks of other jobs that drains stopped.
 	interrupted int
 }
 
-// countDown counts what a team has down at a moment.
+// countDown counts the tasks of a team that are down at a point in time.
 func countDown(tasks map[string]*taskTimeline, team string, at time.Duration) (counts downCounts) {
 	for _, task := range tasks {
 		if task.team != team || !task.everStarted || task.running {
@@ -139,8 +140,8 @@
 	return counts
 }
 
-// sampleTeam looks at a team after one of its tasks started or ended, and checks its budget if a
-// drain stopped the task.
+// sampleTeam samples the replicas of a team that are down after one of its tasks started or ended.
+// If a drain stopped the task, it also checks the team's budget.
 func (f *DrainFindings) sampleTeam(tasks map[string]*taskTimeline, event Event, team drainTeam, stoppedByDrain bool) {
 	down := countDown(tasks, event.Team, event.At)
 	if isService(event.Job) {
@@ -155,7 +156,7 @@
 	}
 }
 
-// measureRollout works out how long the rollout took, and the least that its moves take.
+// measureRollout computes the duration of the rollout and the lower bound for its moves.
 func (f *DrainFindings) measureRollout() {
 	var started, ended time.Duration
 	for _, event := range f.Events {
@@ -172,8 +173,9 @@
 	f.ShortestDuration = f.shortestDuration()
 }
 
-// shortestDuration is the least that the rollout's moves take: each team moves as many replicas at
-// a time as its budget allows, each as fast as the fastest and then until it counts as up.
+// shortestDuration returns a lower bound for the duration of the rollout's moves. It assumes that
+// each team always moves as many replicas at once as its budget allows, and that every move takes
+// as long as the fastest one plus the time until the replica counts as up.
 func (f *DrainFindings) shortestDuration() (shortest time.Duration) {
 	fastest := time.Hour
 	moves := map[string]int{}
@@ -192,13 +194,13 @@
 	return shortest
 }
 
-// jobOf is the job that a task belongs to.
+// jobOf returns the ID of the job that a task belongs to.
 func jobOf(task string) string {
 	job, _, _ := strings.Cut(task, "/")
 	return job
 }
 
-// teamOf is whose a job is.
+// teamOf returns the team that owns a job, or an empty string if no event names it.
 func (f *DrainFindings) teamOf(job string) string {
 	for _, event := range f.Events {
 		if event.Job == job && event.Team != "" {
--- a/internal/rehearsal/drain_analysis_test.go
+++ b/internal/rehearsal/drain_analysis_test.go
@@ -8,8 +8,8 @@
 )
 
 func TestDrainAnalysisShowsEachBreachOfABudget(t *testing.T) {
-	// Two replicas of a team that may have one down; a stop without a stored permit; and a replica
-	// that failed long before counts as well.
+	// The team has two replicas, of which one may be down. A stop needs a stored permit, and a replica
+	// that failed long before counts against the budget.
 	second := time.Second
 	start := func(at time.Duration, task, where string) Event {
 		return Event{At: at, Kind: TaskStarted, Team: "kiosk", Job: "job-000001", Task: task, Where: where}
--- a/internal/rehearsal/drain_calls.go
+++ b/internal/rehearsal/drain_calls.go
@@ -12,11 +12,11 @@
 	"github.com/pebbletrail/pebbletrail/internal/rollout"
 )
 
-// commandRetryInterval spaces the tries of a command.
+// commandRetryInterval is the time between attempts to send a command.
 const commandRetryInterval = time.Second
 
-// The parts of GET /v2/status that a rehearsal looks at. Each controller tells its own, and Pool is
-// missing at all but the leader.
+// The parts of the response to GET /v2/status that a rehearsal reads. Each controller reports its
+// own view, and only the leader reports Pool.
 type (
 	leaderPage struct {
 		Leader string `json:"owner"`
@@ -39,7 +39,7 @@
 	}
 )
 
-// sendCommand calls one controller after the other until one carries a command out.
+// sendCommand sends a command to one controller after the other until one of them executes it.
 func (r *drainRun) sendCommand(deadline time.Time, path string, body any) error {
 	raw, err := json.Marshal(body)
 	if err != nil {
@@ -58,21 +58,21 @@
 	return fmt.Errorf("%w: %s: %w", errDeadlineExceeded, path, last)
 }
 
-// postCommand has one controller carry out a command.
+// postCommand sends a command to one controller.
 func (r *drainRun) postCommand(controller *controllerProcess, path string, body []byte) error {
 	response, err := r.cluster.http.Post("http://"+controller.usersAddress+path, "application/json", bytes.NewReader(body))
 	if err != nil {
 		return err
 	}
 	defer func() { _ = response.Body.Close() }() // nothing is read from it afterwards
-	answer, _ := io.ReadAll(response.Body)       // only quoted in the error, as far as it came
+	answer, _ := io.ReadAll(response.Body)       // only quoted in the error, even if incomplete
 	if response.StatusCode != http.StatusOK {
 		return fmt.Errorf("%s answers %d %s", controller.name, response.StatusCode, answer)
 	}
 	return nil
 }
 
-// fetchStatus decodes a part of a controller's GET /v2/status.
+// fetchStatus calls GET /v2/status at a controller and decodes the part that page declares.
 func (r *drainRun) fetchStatus(controller *controllerProcess, page any) error {
 	response, err := r.cluster.http.Get("http://" + controller.usersAddress + "/v2/status")
 	if err != nil {
@@ -89,7 +89,8 @@
 	return nil
 }
 
-// leader is the controller that leads, as far as any of them knows; the first one if none does.
+// leader returns the leader according to the first controller that names one of the controllers, or
+// the first controller if none does.
 func (r *drainRun) leader() *controllerProcess {
 	for _, controller := range r.cluster.controllers {
 		var page leaderPage
@@ -105,8 +106,8 @@
 	return r.cluster.controllers[0]
 }
 
-// permitCounts is how often permits were given and refused, as far as the controllers that still
-// run know.
+// permitCounts returns the numbers of eviction permits granted and refused, summed over the
+// controllers that answer; the counts of killed processes are lost.
 func (r *drainRun) permitCounts() map[string]int {
 	sums := map[string]int{}
 	for _, controller := range r.cluster.controllers {
@@ -121,10 +122,10 @@
 	return sums
 }
 
-// unknownCount stands for a count that no controller tells.
+// unknownCount is the value of a count that no controller reports.
 const unknownCount = -1
 
-// cordonedMachines is how many machines the leader still keeps cordoned, or unknownCount.
+// cordonedMachines returns the number of machines that the leader reports as cordoned, or unknownCount.
 func (r *drainRun) cordonedMachines() int {
 	for _, controller := range r.cluster.controllers {
 		var page cordonedPage
@@ -135,5 +136,5 @@
 	return unknownCount
 }
 
-// asSeconds is a duration as settings have it.
+// asSeconds converts a duration to the type that rollout specs use.
 func asSeconds(d time.Duration) ids.Seconds { return ids.Seconds(d.Seconds()) }
--- a/internal/rehearsal/drain_faults.go
+++ b/internal/rehearsal/drain_faults.go
@@ -7,9 +7,9 @@
 	"github.com/pebbletrail/pebbletrail/internal/rollout"
 )
 
-// injectFaults has controllers, machines and a replacement fail, wave by wave: the leader is killed
-// twice, one controller is paused for longer than its lease, three machines stop by themselves,
-// and one replacement never comes up, which halts the rollout until it is resumed.
+// injectFaults injects faults wave by wave: it kills the leader twice, pauses the leader for longer
+// than its lease, fails three machines, and prevents one replacement from coming up, which halts
+// the rollout until it is resumed.
 func (r *drainRun) injectFaults(rng *rand.Rand, deadline time.Time) error {
 	for i, inject := range []func(){
 		r.killLeader,
@@ -29,7 +29,8 @@
 	return nil
 }
 
-// waveDraining tells whether a rollout has begun to drain a wave, is beyond it, or has ended.
+// waveDraining returns a condition that holds once a rollout has begun to drain the given wave, has
+// reached a later wave, or has ended.
 func waveDraining(wave int) func(rollout.Record) bool {
 	return func(stored rollout.Record) bool {
 		return stored.State == rollout.Ended || stored.Waves > wave ||
@@ -37,7 +38,7 @@
 	}
 }
 
-// leaderDowntime is how long a killed leader stays down.
+// leaderDowntime is the time from killing the leader to restarting it.
 const leaderDowntime = 3 * time.Second
 
 func (r *drainRun) killLeader() {
@@ -57,7 +58,7 @@
 	c.record(Event{Kind: FaultInjected, Where: leader.name, Why: "goes on"})
 }
 
-// failedMachines is how many machines stop by themselves.
+// failedMachines is the number of machines that fail.
 const failedMachines = 3
 
 func (r *drainRun) failMachines(rng *rand.Rand) {
@@ -71,17 +72,17 @@
 	}
 }
 
-// failNextReplacement has the next machine that is provisioned never come up.
+// failNextReplacement makes the next provisioned machine stay in the booting state.
 func (r *drainRun) failNextReplacement() {
 	r.cluster.cloud.failNextBoot()
 	r.cluster.record(Event{Kind: FaultInjected, Where: "cloud", Why: "the next machine rented never comes up"})
 }
 
-// resumeInterval spaces the operator's looks at the rollout.
+// resumeInterval is the interval at which the simulated operator checks the rollout.
 const resumeInterval = time.Second
 
-// resumeHalted plays the operator until it is stopped: whenever the rollout halts, the reason is
-// recorded and it is resumed.
+// resumeHalted simulates the operator until stop is closed: whenever the rollout halts, it records
+// the reason and resumes the rollout.
 func (r *drainRun) resumeHalted(deadline time.Time, stop <-chan struct{}) {
 	for {
 		select {
--- a/internal/rehearsal/drain_findings.go
+++ b/internal/rehearsal/drain_findings.go
@@ -7,59 +7,59 @@
 	"time"
 )
 
-// DrainFindings are the outcome of a rehearsal of a drain, by the workers' own record.
+// DrainFindings is the outcome of a drain rehearsal, derived from the task events that workers reported.
 type DrainFindings struct {
 	Seed     uint64
 	Teams    []drainTeam
 	Duration time.Duration
 	Events   []Event
-	// Down is how many of a team's replicas were down from a moment on, by team.
+	// Down holds, by team, the number of replicas that were down after each change.
 	Down     map[string][]DownSample
 	Breaches []string
-	// OnTwoMachines are tasks that ran on two machines at a time.
+	// OnTwoMachines lists the tasks that ran on two machines at the same time.
 	OnTwoMachines []string
-	// Moves are the tasks that the rollout moved, and where to.
+	// Moves lists the tasks that the rollout stopped, each with the machine where it started again.
 	Moves   []Move
 	LowJobs jobCounts
-	// RolloutDuration is from the rollout's start to its end, 0 if it did not end; ShortestDuration
-	// is the least that the same budgets allow for the same moves.
+	// RolloutDuration is the time from the start of the rollout to its end, or 0 if it did not end.
+	// ShortestDuration is a lower bound for the same moves under the same budgets.
 	RolloutDuration, ShortestDuration time.Duration
-	// RepeatedCoreSeconds is the core-seconds of work that was thrown away by moves.
+	// RepeatedCoreSeconds is the work, in core-seconds, that was lost because tasks were moved.
 	RepeatedCoreSeconds float64
-	// Halts are the reasons why the rollout halted.
+	// Halts lists the reasons for which the rollout halted.
 	Halts []string
-	// PermitCounts is how often permits were given and refused, by the names of these metrics.
+	// PermitCounts holds the numbers of eviction permits granted and refused, by metric name.
 	PermitCounts map[string]int
-	// CordonedMachines is how many machines were left cordoned, or unknownCount.
+	// CordonedMachines is the number of machines still cordoned at the end, or unknownCount.
 	CordonedMachines int
-	Changes          uint64 // of the state service
-	// IncompleteReason is why the run ended before its time; empty: it did not.
+	Changes          uint64 // number of changes stored by the state service
+	// IncompleteReason is the reason why the run ended early; empty if the run is complete.
 	IncompleteReason string
 }
 
-// DownSample is what a team has down from a moment on.
+// DownSample is the number of a team's replicas that are down from a point in time on.
 type DownSample struct {
 	At time.Duration
-	// Down are the replicas that do not run, ByDrains those of them that a drain stopped.
+	// Down counts the replicas that do not run, and ByDrains those of them that a drain stopped.
 	Down, ByDrains int
 }
 
-// Move is a task that a rollout stopped, and its next start.
+// Move is the stop of a task by a rollout, with the task's next start.
 type Move struct {
 	Task, From, To string
 	At             time.Duration
-	// Downtime is from the stop to the start; 0 if it did not start again.
+	// Downtime is the time from the stop to the next start; 0 if the task did not start again.
 	Downtime time.Duration
 	Why      string
 }
 
-// Failed tells whether anything went wrong that must not.
+// Failed reports whether the run violated a requirement, did not exercise the rollout, or is incomplete.
 func (f *DrainFindings) Failed() bool {
 	return len(f.Breaches) > 0 || len(f.OnTwoMachines) > 0 || f.LowJobs.unfinished() > 0 || f.CordonedMachines != 0 ||
 		f.IncompleteReason != "" || len(f.Moves) == 0 || len(f.Halts) == 0
 }
 
-// Print tells the outcome in a few lines.
+// Print writes a summary of the outcome.
 func (f *DrainFindings) Print(out io.Writer) error {
 	var text strings.Builder
 	fmt.Fprintf(&text, "%d tasks moved in %v of %v; least under the same budgets %v; %.0f core-seconds repeated; permits %v; %d changes of the state service\n",
@@ -76,7 +76,7 @@
 	return err
 }
 
-// writeFiles writes the record and the report.
+// writeFiles writes the record and the report to a folder.
 func (f *DrainFindings) writeFiles(folder string) error {
 	return writeFiles(folder, f.Events, f.report)
 }
--- a/internal/rehearsal/drain_observer.go
+++ b/internal/rehearsal/drain_observer.go
@@ -9,7 +9,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/rollout"
 )
 
-// observeChange records what the rollout became, and why tasks are evicted.
+// observeChange records each stored state of the rollout and each stored eviction.
 func (r *drainRun) observeChange(key string, value json.RawMessage) {
 	if value == nil {
 		return
@@ -30,7 +30,7 @@
 	r.cluster.record(Event{Kind: RolloutStored, Where: string(stored.Spec.Name), Why: stored.Summary(), Machines: machinesByState(&stored)})
 }
 
-// recordEvictions records by which rollout and wave a job's tasks are evicted, each reason once.
+// recordEvictions records the rollout and wave that evict each task of a job, once per task and reason.
 func (r *drainRun) recordEvictions(job string, stored *record.Record) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -47,7 +47,7 @@
 	}
 }
 
-// stateThrough counts the machines that a rollout is done with.
+// stateThrough is the key under which machinesByState counts the machines that a rollout has completed.
 const stateThrough = "through"
 
 // machinesByState counts a rollout's machines by their state.
@@ -64,7 +64,7 @@
 	return counts
 }
 
-// storedRollout is the rollout as it was last stored.
+// storedRollout returns the rollout record that was stored last.
 func (r *drainRun) storedRollout() rollout.Record {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/rehearsal/drain_report.go
+++ b/internal/rehearsal/drain_report.go
@@ -12,7 +12,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/rollout"
 )
 
-// replicasDownPlot is how many of a team's replicas were down over time, beside its budget.
+// replicasDownPlot plots the number of a team's replicas that were down over time, and its budget.
 func replicasDownPlot(team drainTeam, samples []DownSample, duration time.Duration) (template.HTML, error) {
 	down, byDrains := plotter.XYs{{}}, plotter.XYs{{}}
 	highest := team.ReplicasDown
@@ -35,7 +35,7 @@
 	return renderSVG(p)
 }
 
-// machineStatesPlot is the rollout's machines by state over time.
+// machineStatesPlot plots the number of the rollout's machines in each state over time.
 func machineStatesPlot(events []Event) (template.HTML, error) {
 	p := newPlot("machines by state", "machines")
 	for _, c := range []struct {
@@ -59,7 +59,7 @@
 	return renderSVG(p)
 }
 
-// statePoints is how many of the rollout's machines were in a state, at each change of the rollout.
+// statePoints returns the number of the rollout's machines in a state at each stored change of the rollout.
 func statePoints(events []Event, state string) (points plotter.XYs) {
 	for _, event := range events {
 		if event.Kind == RolloutStored {
@@ -69,7 +69,7 @@
 	return points
 }
 
-// drainPage is what the report's template shows.
+// drainPage is the data of the report template.
 type drainPage struct {
 	*DrainFindings
 	Plots          []template.HTML
@@ -80,20 +80,18 @@
 	ReplicaMoves   int
 }
 
-// maxListedMoves is how many moves the report lists; the record has all.
+// maxListedMoves is the maximum number of moves in the report; the record contains all of them.
 const maxListedMoves = 400
 
-// ListedMoves are the first of all moves.
+// ListedMoves returns the moves that the report lists, the earliest first.
 func (p *drainPage) ListedMoves() []Move { return p.Moves[:min(len(p.Moves), maxListedMoves)] }
 
-// drainTemplateText is the report's template.
-//
 //go:embed drain_report.html
 var drainTemplateText string
 
 var drainTemplate = template.Must(template.New("drain").Funcs(template.FuncMap{"seconds": secondsText}).Parse(drainTemplateText))
 
-// report is the run as an HTML page.
+// report renders the findings as an HTML page.
 func (f *DrainFindings) report() ([]byte, error) {
 	page := drainPage{DrainFindings: f, PermitsGiven: f.PermitCounts[rollout.PermitsGiven], PermitsRefused: f.PermitCounts[rollout.PermitsRefused],
 		Verdict: "No drain took more of a team down than its budget, every job is accounted for, and nothing was left behind."}
@@ -119,7 +117,7 @@
 	return out.Bytes(), err
 }
 
-// plots are the report's, as SVGs.
+// plots renders the plots of the report as SVG.
 func (f *DrainFindings) plots() (plots []template.HTML, err error) {
 	for _, team := range f.Teams {
 		svg, err := replicasDownPlot(team, f.Down[team.Name], f.Duration)
--- a/internal/rehearsal/drain_scenario.go
+++ b/internal/rehearsal/drain_scenario.go
@@ -9,11 +9,12 @@
 	"github.com/pebbletrail/pebbletrail/internal/rollout"
 )
 
-// serviceCores is what each replica of a service takes.
+// serviceCores is the number of cores that each service replica uses.
 const serviceCores = 2
 
-// runScenario has the services run on machines that are up, then replaces all machines while
-// faults are injected and low jobs run, and waits until all of it has ended.
+// runScenario starts the machines, the controllers and the services, then replaces all machines
+// while faults are injected and low-priority jobs run. It returns when the rollout has ended, all
+// replicas run again and all low-priority jobs are done, or when the run's deadline has passed.
 func (r *drainRun) runScenario() error {
 	c := r.cluster
 	deadline := time.Now().Add(r.options.Longest)
@@ -54,7 +55,6 @@
 	return r.awaitJobs(deadline)
 }
 
-// submitServices submits each team's service.
 func (r *drainRun) submitServices(rng *rand.Rand) {
 	for i, team := range r.teams {
 		r.cluster.submit(submission{ID: fmt.Sprintf("job-%06d", i+1), Team: team.Name, Shape: shapeService, Priority: priorityNormal,
@@ -62,7 +62,7 @@
 	}
 }
 
-// lowJobs are jobs of several short tasks that may be interrupted.
+// lowJobs returns low-priority jobs of one to three short tasks, which rollouts may interrupt.
 func lowJobs(rng *rand.Rand, count int, team string) (jobs []submission) {
 	for i := range count {
 		jobs = append(jobs, submission{ID: fmt.Sprintf("job-1%06d", i), Team: team, Shape: shapeArray, Priority: priorityLow,
@@ -78,13 +78,13 @@
 	return r.sendCommand(deadline, rollout.Path, &spec)
 }
 
-// awaitRollout waits until the rollout, as it is stored, has reached a state.
+// awaitRollout waits until the stored rollout record satisfies a condition.
 func (r *drainRun) awaitRollout(deadline time.Time, what string, reached func(rollout.Record) bool) error {
 	return waitUntil(deadline, what, func() bool { return reached(r.storedRollout()) })
 }
 
-// awaitMachines waits until the leader has had a heartbeat of every machine: for what is submitted
-// before, it would provision others.
+// awaitMachines waits until the leader has received a heartbeat from every machine: for jobs
+// submitted earlier than that, it would provision additional machines.
 func (r *drainRun) awaitMachines(deadline time.Time) error {
 	return waitUntil(deadline, "all machines were heard", func() bool {
 		for _, controller := range r.cluster.controllers {
@@ -97,7 +97,7 @@
 	})
 }
 
-// awaitReplicas waits until every replica runs, and for as long as it takes to count as ready.
+// awaitReplicas waits until every replica runs, and then for the time after which a replica counts as up.
 func (r *drainRun) awaitReplicas(deadline time.Time) error {
 	wanted := 0
 	for _, team := range r.teams {
@@ -110,7 +110,7 @@
 	return err
 }
 
-// awaitJobs waits until every task of the low jobs that were accepted is done.
+// awaitJobs waits until every accepted low-priority job is done.
 func (r *drainRun) awaitJobs(deadline time.Time) error {
 	return waitUntil(deadline, "all low jobs were done", func() bool {
 		return countJobs(r.cluster.recorded()).unfinished() == 0
--- a/internal/rehearsal/fake_cloud.go
+++ b/internal/rehearsal/fake_cloud.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// machineTypeJSON is the machine type that the fake cloud provisions, with so many accelerators.
+// machineTypeJSON is the machine type that the fake cloud provisions; %d is its number of accelerators.
 const machineTypeJSON = `{"label":"standard","cores":8,"accelerators":%d,"ramGb":64,"localGb":50,"pullGbPerS":1,"price":1,"marketPrice":0.4,"bootS":2,"yards":["north","south"]}`
 
 // cloudMachine is a provisioned machine.
@@ -24,51 +24,51 @@
 	provisionedAt time.Time
 }
 
-// Status of a machine, as the cloud lists it.
+// Machine statuses in the cloud's list.
 const (
 	machineBooting = "booting"
 	machineRunning = "running"
 	machineFailed  = "failed"
 )
 
-// provisioningRequest asks for machines; the same name again provisions nothing more.
+// provisioningRequest asks for machines. A repeated name identifies a retry, which provisions nothing.
 type provisioningRequest struct {
 	Name  string `json:"hire"`
 	Zone  string `json:"yard"`
 	Count int    `json:"count"`
 }
 
-// machineNames names machines that were provisioned, or are to be deleted.
+// machineNames lists the names of provisioned machines, or of machines to delete.
 type machineNames struct {
 	Names []string `json:"hosts"`
 }
 
-// fakeCloud answers like the cloud, and starts a worker for each machine provisioned.
+// fakeCloud is a fake of the cloud API that starts a fake worker for each provisioned machine.
 type fakeCloud struct {
-	// accelerators are those of each machine.
+	// accelerators is the number of accelerators of each machine.
 	accelerators int
 
-	// mu guards the fields below. boot and stop are called under it.
+	// mu guards the fields below. boot and stop are called while it is held.
 	mu sync.Mutex
-	// capacity is how many more machines it provisions.
+	// capacity is the number of machines that can still be provisioned.
 	capacity   int
 	lastNumber int
 	machines   []*cloudMachine
-	// provisioned are the machines provisioned, by name of the request.
+	// provisioned holds the names of the provisioned machines by the name of the request.
 	provisioned map[string][]string
-	// nextBootFails has the next machine that is provisioned never come up.
+	// nextBootFails makes the next provisioned machine stay in the booting state.
 	nextBootFails bool
-	// boot starts a machine's worker and returns its address; stop ends it with all on it.
+	// boot starts a machine's worker and returns its address; stop stops the worker and all its tasks.
 	boot func(name, zone string) (endpoint string, err error)
 	stop func(name string)
 }
 
-// newFakeCloud makes a cloud with room for so many machines.
+// newFakeCloud returns a cloud with capacity for the given number of machines.
 func newFakeCloud(capacity, accelerators int) *fakeCloud {
 	return &fakeCloud{capacity: capacity, accelerators: accelerators, provisioned: map[string][]string{}}
 }
 
-// ServeHTTP answers like the cloud.
+// ServeHTTP implements the cloud API.
 func (c *fakeCloud) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -86,7 +86,7 @@
 	}
 }
 
-// listMachines lists the machines after a name, in order of their names.
+// listMachines returns the machines whose names follow the given one, in order of their names.
 func (c *fakeCloud) listMachines(after string) []*cloudMachine {
 	listed := []*cloudMachine{}
 	for _, machine := range c.machines {
@@ -98,7 +98,8 @@
 	return listed
 }
 
-// handleProvision provisions as many machines as there is room for; a repeated request provisions nothing.
+// handleProvision provisions the requested machines as far as capacity allows. For a repeated
+// request it returns the names provisioned before.
 func (c *fakeCloud) handleProvision(w http.ResponseWriter, r *http.Request) {
 	var request provisioningRequest
 	if json.NewDecoder(r.Body).Decode(&request) != nil || request.Name == "" {
@@ -123,7 +124,7 @@
 	writeJSON(w, http.StatusOK, machineNames{names})
 }
 
-// startMachine starts one machine; its name is used up also if that fails.
+// startMachine starts one machine. Its name is not reused even if that fails.
 func (c *fakeCloud) startMachine(zone string) (name string, ok bool) {
 	c.lastNumber++
 	name = fmt.Sprintf("host-%06d", c.lastNumber)
@@ -141,7 +142,7 @@
 	return name, true
 }
 
-// handleDelete deletes machines; unknown names are passed over.
+// handleDelete deletes machines; unknown names are ignored.
 func (c *fakeCloud) handleDelete(w http.ResponseWriter, r *http.Request) {
 	var request machineNames
 	if json.NewDecoder(r.Body).Decode(&request) != nil {
@@ -160,30 +161,30 @@
 	writeJSON(w, http.StatusOK, struct{}{})
 }
 
-// writeJSON answers a request with JSON.
+// writeJSON sends a JSON response.
 func writeJSON(w http.ResponseWriter, code int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(code)
-	_ = json.NewEncoder(w).Encode(body) // fails only if the caller has gone away
+	_ = json.NewEncoder(w).Encode(body) // fails only if the client has disconnected
 }
 
-// provision provisions machines that no controller asked for.
+// provision provisions machines that no controller requested.
 func (c *fakeCloud) provision(zone string, count int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for range count {
-		c.startMachine(zone) // the run waits for all machines, so one that does not start is missed
+		c.startMachine(zone) // a failed start is noticed because the run waits for all machines
 	}
 }
 
-// failNextBoot has the next machine that is provisioned never come up.
+// failNextBoot makes the next provisioned machine stay in the booting state.
 func (c *fakeCloud) failNextBoot() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.nextBootFails = true
 }
 
-// failMachine has a machine stop by itself; the list tells so.
+// failMachine stops a machine and lists it as failed.
 func (c *fakeCloud) failMachine(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -195,7 +196,7 @@
 	}
 }
 
-// runningMachines lists the machines that run, in order.
+// runningMachines returns the names of the running machines in order of provisioning.
 func (c *fakeCloud) runningMachines() (names []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/rehearsal/fake_cloud_test.go
+++ b/internal/rehearsal/fake_cloud_test.go
@@ -6,7 +6,7 @@
 
 func TestFakeCloudRentsUpToItsCapacity(t *testing.T) {
 	t.Parallel()
-	// Machines that have booted are real listeners; all end with the cluster.
+	// Booted machines listen on real sockets, which closing the cluster closes.
 	cluster, err := newLocalCluster(clusterOptions{Folder: t.TempDir(), Program: "/nonexistent", Teams: []Team{red}, Controllers: 2, Machines: 2})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/rehearsal/fake_machines.go
+++ b/internal/rehearsal/fake_machines.go
@@ -8,15 +8,15 @@
 	"github.com/pebbletrail/pebbletrail/internal/fake"
 )
 
-// runningWorker is a fake worker and its listener.
+// runningWorker is a fake worker with its HTTP server.
 type runningWorker struct {
 	*fake.Worker
 	server *http.Server
-	// stop ends the worker's heartbeats.
+	// stop stops the worker's heartbeats.
 	stop context.CancelFunc
 }
 
-// startWorker boots a machine: its worker reports to the controllers from then on.
+// startWorker starts the fake worker of a machine, which sends heartbeats to the controllers from then on.
 func (c *localCluster) startWorker(name, zone string) (endpoint string, err error) {
 	listener, err := listenOnLoopback()
 	if err != nil {
@@ -40,7 +40,7 @@
 	return endpoint, nil
 }
 
-// stopWorker takes a machine away with everything on it.
+// stopWorker stops the fake worker of a machine and all tasks on it.
 func (c *localCluster) stopWorker(name string) {
 	c.mu.Lock()
 	worker := c.workers[name]
@@ -50,12 +50,12 @@
 		return
 	}
 	worker.stop()
-	_ = worker.server.Close() // only the listener's own error is told, and the machine is gone anyway
+	_ = worker.server.Close() // the only error is that of closing the listener, which has no consequence here
 	worker.Terminate()
 }
 
-// recordTaskEvent records what a worker does, and has tasks end by themselves once they have run.
-// It is called under the worker's lock.
+// recordTaskEvent records a start or end of a task on a worker. When a task starts, it schedules the
+// task's end after the task's duration. It is called while the worker's lock is held.
 func (c *localCluster) recordTaskEvent(event fake.Event) {
 	job := jobOf(event.Task)
 	c.mu.Lock()
--- a/internal/rehearsal/job_counts.go
+++ b/internal/rehearsal/job_counts.go
@@ -1,24 +1,24 @@
 package rehearsal
 
-// jobCounts are what became of the low jobs.
+// jobCounts counts the low-priority jobs by state.
 type jobCounts struct{ Accepted, Done, Running, Waiting, Moved int }
 
-// unfinished counts the jobs that are not done.
+// unfinished returns the number of jobs that are not done.
 func (c jobCounts) unfinished() int { return c.Running + c.Waiting }
 
-// jobTimeline is where a low job stands.
+// jobTimeline is the state of a low-priority job.
 type jobTimeline struct {
 	accepted bool
 	moved    bool
-	// tasks are the tasks that ever started, each with why it ended last; taskRunning: it has not.
+	// tasks maps each task that ever started to the cause of its last end, or to taskRunning.
 	tasks map[string]string
 }
 
-// taskRunning stands for a task that has not ended.
+// taskRunning is the state of a task that has started and not ended.
 const taskRunning = "running"
 
-// countJobs accounts for every low job that was accepted: done, running, or waiting. A job is done
-// here once as many of its tasks are as ever started, which is all that the workers' record shows.
+// countJobs counts the accepted low-priority jobs as done, running or waiting. A job counts as done
+// once every task that ever started is done, because events of workers show started tasks only.
 func countJobs(events []Event) (counts jobCounts) {
 	for _, job := range jobTimelines(events) {
 		if !job.accepted {
@@ -44,7 +44,7 @@
 	return counts
 }
 
-// jobTimelines is where each low job stands at the end of the record.
+// jobTimelines returns the state of each low-priority job at the end of the record.
 func jobTimelines(events []Event) map[string]*jobTimeline {
 	jobs := map[string]*jobTimeline{}
 	for _, event := range ordered(events) {
--- a/internal/rehearsal/ledgers.go
+++ b/internal/rehearsal/ledgers.go
@@ -8,7 +8,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/quota"
 )
 
-// recordLedger records a change of a team's ledger.
+// recordLedger records a change if it changed a team's ledger.
 func (c *localCluster) recordLedger(key string, value json.RawMessage) {
 	team, found := strings.CutPrefix(key, quota.LedgerKey(""))
 	var ledger quota.Ledger
@@ -18,7 +18,7 @@
 	c.record(Event{Kind: LedgerChanged, Team: team, Why: describeLedger(&ledger)})
 }
 
-// describeLedger tells in plain words how a limit is split.
+// describeLedger describes how a team's limit is split among shards and the reserve.
 func describeLedger(l *quota.Ledger) string {
 	parts := make([]string, 0, len(l.Accounts)+2)
 	for shard, account := range l.Accounts {
--- a/internal/rehearsal/plots.go
+++ b/internal/rehearsal/plots.go
@@ -20,7 +20,7 @@
 	plotHeight = 8 * vg.Centimeter
 )
 
-// renderSVG is a plot as an SVG.
+// renderSVG renders a plot as SVG.
 func renderSVG(p *plot.Plot) (template.HTML, error) {
 	canvas := vgsvg.New(plotWidth, plotHeight)
 	p.Draw(draw.New(canvas))
@@ -29,10 +29,10 @@
 		return "", err
 	}
 	_, svg, _ := bytes.Cut(out.Bytes(), []byte("?>"))
-	return template.HTML(svg), nil // drawn here, from numbers and names of this package
+	return template.HTML(svg), nil // safe: drawn from numbers and names of this package only
 }
 
-// Colors of lines.
+// Line colors.
 var (
 	grayLine   = color.RGBA{R: 120, G: 120, B: 120, A: 255}
 	silverLine = color.RGBA{R: 150, G: 150, B: 150, A: 255}
@@ -48,12 +48,12 @@
 	name   string
 	points plotter.XYs
 	color  color.Color
-	// stepped keeps each value until the next point.
+	// stepped draws each value as constant until the next point.
 	stepped bool
 	dashed  bool
 }
 
-// newPlot makes a plot of something over the time of a run.
+// newPlot returns a plot whose X axis is the time since the start of a run.
 func newPlot(title, unit string) *plot.Plot {
 	p := plot.New()
 	p.Title.Text = title
@@ -62,7 +62,7 @@
 	return p
 }
 
-// addCurve draws a curve, and names it in the legend.
+// addCurve adds a curve to a plot and its legend.
 func addCurve(p *plot.Plot, c curve) error {
 	line, err := plotter.NewLine(c.points)
 	if err != nil {
@@ -80,10 +80,10 @@
 	return nil
 }
 
-// level is a line at the same height throughout a run.
+// level returns the points of a horizontal line that spans a run.
 func level(height float64, duration time.Duration) plotter.XYs {
 	return plotter.XYs{{X: 0, Y: height}, {X: duration.Seconds(), Y: height}}
 }
 
-// secondsText is how reports write durations.
+// secondsText formats a duration for reports.
 func secondsText(d time.Duration) string { return fmt.Sprintf("%.1f s", d.Seconds()) }
--- a/internal/rehearsal/quota.go
+++ b/internal/rehearsal/quota.go
@@ -6,26 +6,27 @@
 	"time"
 )
 
-// QuotaOptions are what a rehearsal of the teams' limits may vary.
+// QuotaOptions configures a rehearsal of the teams' limits.
 type QuotaOptions struct {
-	Folder      string // for the record, the report, settings and logs
-	Program     string // the controllers' program
+	Folder      string // receives the record, the report, settings and logs
+	Program     string // path of the controller executable
 	Seed        uint64
 	Controllers int
 	Machines    int
-	Shards      int           // of the machine pool, each with a leader
-	Jobs        int           // submitted at the same moment, twice
-	Within      time.Duration // how soon a guarantee has to be reached
-	Longest     time.Duration // the run ends by then, whatever happens
+	Shards      int           // shards of the machine pool, each with its own leader
+	Jobs        int           // number of jobs submitted at once in each of two waves
+	Within      time.Duration // maximum wait of a job within its team's guarantee
+	Longest     time.Duration // maximum duration; the run is aborted after it
 }
 
-// borrowingTeams flood the controllers and use what guaranteedTeam, whose jobs are timed, leaves.
+// borrowingTeams submit many jobs at once and use the capacity that guaranteedTeam leaves idle.
+// The waits of guaranteedTeam's jobs are measured.
 var borrowingTeams = [2]string{"settlement", "audit"}
 
 const guaranteedTeam = "validation"
 
-// quotaTeams are teams whose limits add up to more than the machines have, so that two of
-// them borrow what the third is guaranteed.
+// quotaTeams returns teams whose limits add up to more than the capacity of the machines, so that
+// two of them borrow the capacity that is guaranteed to the third.
 func quotaTeams() []Team {
 	return []Team{
 		{Name: borrowingTeams[0], Guarantee: 4, Limit: 14, GuaranteeAccelerators: 1, LimitAccelerators: 3},
@@ -34,16 +35,16 @@
 	}
 }
 
-// quotaAccelerators are those of each machine.
+// quotaAccelerators is the number of accelerators of each machine.
 const quotaAccelerators = 2
 
-// RunQuota rehearses the teams' limits: controllers are flooded with submissions of several
-// teams while they are paused, killed and refused by the state service. It always leaves a
-// record and a report, also of a run that fails midway.
+// RunQuota checks the teams' limits: several teams submit many jobs at once while controllers are
+// paused and killed and the state service fails. It writes a record and a report even if the run
+// fails midway.
 func RunQuota(options QuotaOptions) (*QuotaFindings, error) {
 	teams := quotaTeams()
 	features := ""
-	if options.Shards > 1 { // earlier versions do not know features
+	if options.Shards > 1 { // earlier versions do not support a features file
 		features = fmt.Sprintf("shards: %d\n", options.Shards)
 	}
 	cluster, err := newLocalCluster(clusterOptions{Folder: options.Folder, Program: options.Program, Teams: teams, Controllers: options.Controllers,
--- a/internal/rehearsal/quota_faults.go
+++ b/internal/rehearsal/quota_faults.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// injectFaults pauses and kills controllers and has the state service refuse or fail, until it is
-// stopped; then everything runs again.
+// injectFaults pauses and kills controllers and makes the state service unavailable, one fault at a
+// time, until stop is closed. It ends every fault that it has begun before it returns.
 func (c *localCluster) injectFaults(rng *rand.Rand, stop <-chan struct{}) {
 	for {
 		select {
@@ -18,7 +18,7 @@
 		rest := time.Duration(1500+rng.IntN(4000)) * time.Millisecond
 		switch rng.IntN(5) {
 		case 4:
-			rest += workerLease // what the leader was about to start is long gone by then
+			rest += workerLease // starts that the leader was about to send are outdated when it resumes
 			fallthrough
 		case 0, 1:
 			c.record(Event{Kind: FaultInjected, Where: controller.name, Why: "paused"})
--- a/internal/rehearsal/quota_findings.go
+++ b/internal/rehearsal/quota_findings.go
@@ -7,37 +7,37 @@
 	"time"
 )
 
-// QuotaFindings are the outcome of a rehearsal of the teams' limits.
+// QuotaFindings is the outcome of a rehearsal of the teams' limits.
 type QuotaFindings struct {
 	Seed     uint64
 	Teams    []Team
 	Duration time.Duration
 	Samples  map[string][]Sample
 	Breaches []Breach
-	// GuaranteeWaits are how long the guaranteed team's jobs waited for their first start, shortest
-	// first; each has to be at most Within.
+	// GuaranteeWaits holds the times that the guaranteed team's jobs waited for their first start,
+	// in ascending order. Each may be Within at most.
 	GuaranteeWaits []time.Duration
 	Within         time.Duration
-	// OnTwoMachines are tasks that ran on two machines at a time.
+	// OnTwoMachines lists the tasks that ran on two machines at the same time.
 	OnTwoMachines []string
-	// NeverStarted are accepted jobs of which no task has started.
+	// NeverStarted lists the accepted jobs of which no task has started.
 	NeverStarted []string
-	// Jobs, Accepted, Refusals, Starts and Transfers count submissions, acceptances, refusals,
-	// starts and changes of ledgers.
+	// Jobs, Accepted, Refusals, Starts and Transfers count submitted jobs, accepted jobs, refused
+	// submissions, task starts and changes of ledgers.
 	Jobs, Accepted, Refusals, Starts, Transfers int
-	Changes                                     uint64 // of the state service
-	// IncompleteReason is why the run ended before its time; empty: it did not.
+	Changes                                     uint64 // number of changes stored by the state service
+	// IncompleteReason is the reason why the run ended early; empty if the run is complete.
 	IncompleteReason string
 	Events           []Event
 }
 
-// Failed tells whether anything went wrong that must not.
+// Failed reports whether the run violated a requirement, started no task, or is incomplete.
 func (f *QuotaFindings) Failed() bool {
 	return len(f.Breaches) > 0 || len(f.OnTwoMachines) > 0 || len(f.NeverStarted) > 0 || f.IncompleteReason != "" ||
 		f.slowestGuarantee() > f.Within || f.Starts == 0
 }
 
-// Print tells the outcome in a few lines.
+// Print writes a summary of the outcome.
 func (f *QuotaFindings) Print(out io.Writer) error {
 	var text strings.Builder
 	fmt.Fprintf(&text, "%d jobs, %d accepted, %d refusals, %d starts, %d changes of the state service in %v\n",
@@ -55,7 +55,7 @@
 	return err
 }
 
-// slowestGuarantee is the longest wait of the guaranteed team, 0 if none of its jobs started.
+// slowestGuarantee returns the longest wait of the guaranteed team's jobs, or 0 if none of them started.
 func (f *QuotaFindings) slowestGuarantee() time.Duration {
 	if len(f.GuaranteeWaits) == 0 {
 		return 0
@@ -63,12 +63,12 @@
 	return f.GuaranteeWaits[len(f.GuaranteeWaits)-1]
 }
 
-// writeFiles writes the record and the report.
+// writeFiles writes the record and the report to a folder.
 func (f *QuotaFindings) writeFiles(folder string) error {
 	return writeFiles(folder, f.Events, f.report)
 }
 
-// analyze works out from the record what there is to find.
+// analyze derives the findings from the recorded events.
 func (f *QuotaFindings) analyze() {
 	f.Samples, f.Breaches = usageOverTime(f.Events, f.Teams)
 	f.OnTwoMachines = tasksOnTwoMachines(f.Events)
--- a/internal/rehearsal/quota_report.go
+++ b/internal/rehearsal/quota_report.go
@@ -9,7 +9,7 @@
 	"gonum.org/v1/plot/plotter"
 )
 
-// teamPlot is what a team used over time, beside its limit and guarantee, as an SVG.
+// teamPlot plots the cores or accelerators that a team used over time, with its limit and guarantee.
 func teamPlot(team Team, samples []Sample, duration time.Duration, accelerators bool) (template.HTML, error) {
 	unit, limit, guarantee := "cores", team.Limit, team.Guarantee
 	if accelerators {
@@ -33,7 +33,7 @@
 	return renderSVG(p)
 }
 
-// usagePoints are the cores or accelerators of a team's samples, from the run's start to its end.
+// usagePoints returns the cores or accelerators of a team's samples, from the start of the run to its end.
 func usagePoints(samples []Sample, duration time.Duration, accelerators bool) plotter.XYs {
 	points := plotter.XYs{{}}
 	for _, sample := range samples {
@@ -46,36 +46,34 @@
 	return append(points, plotter.XY{X: duration.Seconds(), Y: points[len(points)-1].Y})
 }
 
-// quotaPage is what the report's template shows.
+// quotaPage is the data of the report template.
 type quotaPage struct {
 	*QuotaFindings
 	Plots          []template.HTML
 	RefusalReasons []refusalReason
 	Faults         []Event
-	// LedgerChanges are the first of all changes of ledgers.
+	// LedgerChanges holds the first changes of ledgers, maxListedTransfers at most.
 	LedgerChanges    []Event
-	TransferRate     float64 // a minute
+	TransferRate     float64 // per minute
 	SlowestGuarantee time.Duration
 	Verdict          string
 }
 
-// maxListedTransfers is how many changes of ledgers the report lists; the record has all.
+// maxListedTransfers is the maximum number of ledger changes in the report; the record contains all of them.
 const maxListedTransfers = 200
 
-// refusalReason is why submissions were refused, and how often.
+// refusalReason is a reason for refused submissions and the number of refusals.
 type refusalReason struct {
 	Why   string
 	Count int
 }
 
-// quotaTemplateText is the report's template.
-//
 //go:embed quota_report.html
 var quotaTemplateText string
 
 var quotaTemplate = template.Must(template.New("quota").Funcs(template.FuncMap{"seconds": secondsText}).Parse(quotaTemplateText))
 
-// report is the run as an HTML page.
+// report renders the findings as an HTML page.
 func (f *QuotaFindings) report() ([]byte, error) {
 	page := quotaPage{QuotaFindings: f, SlowestGuarantee: f.slowestGuarantee(), RefusalReasons: refusalReasons(f.Events),
 		Verdict: "No team used more than its limit at any moment, and every guarantee was reached in time."}
@@ -105,7 +103,7 @@
 	return out.Bytes(), err
 }
 
-// refusalReasons counts refusals by their reasons, in the order in which these came up.
+// refusalReasons counts refusals by reason, in the order in which the reasons first occurred.
 func refusalReasons(events []Event) (reasons []refusalReason) {
 	positions := map[string]int{}
 	for _, event := range events {
--- a/internal/rehearsal/quota_scenario.go
+++ b/internal/rehearsal/quota_scenario.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// The load: waves of jobs of the borrowing teams, and during each some of the guaranteed team.
+// Load: waves of jobs of the borrowing teams. During each wave, the guaranteed team submits a few probe jobs.
 const (
 	waves         = 2
 	probesPerWave = 3
@@ -16,14 +16,14 @@
 	probeDuration = 3 * time.Second
 )
 
-// Streams of the random numbers that a seed gives.
+// Stream numbers of the random generators that share the run's seed.
 const (
 	loadStream  = 1
 	faultStream = 2
 )
 
-// runQuotaScenario floods the controllers twice while faults are injected, waits until all accepted
-// jobs have run, and returns how many jobs were submitted.
+// runQuotaScenario submits the waves of jobs while faults are injected, waits until all accepted
+// jobs have run, and returns the number of submitted jobs.
 func runQuotaScenario(cluster *localCluster, options QuotaOptions) (submitted int, err error) {
 	deadline := time.Now().Add(options.Longest)
 	cluster.deadline = deadline
@@ -52,7 +52,7 @@
 	return submitted, cluster.awaitEnd(deadline)
 }
 
-// borrowingJobs is one wave of the two teams that borrow.
+// borrowingJobs returns one wave of jobs of the two borrowing teams.
 func borrowingJobs(rng *rand.Rand, wave, count int) (jobs []submission) {
 	for i := range count {
 		job := submission{ID: fmt.Sprintf("job-%d%06d", wave+1, i), Team: borrowingTeams[i%len(borrowingTeams)], Shape: shapeArray,
@@ -71,22 +71,22 @@
 	return jobs
 }
 
-// guaranteeProbePrefix begins the ids of the jobs whose wait is timed.
+// guaranteeProbePrefix is the prefix of the IDs of probe jobs, whose waits are measured.
 const guaranteeProbePrefix = "job-9"
 
-// isGuaranteeProbe tells whether a job's wait is timed.
+// isGuaranteeProbe reports whether a job is a probe of the guaranteed team.
 func isGuaranteeProbe(job string) bool { return strings.HasPrefix(job, guaranteeProbePrefix) }
 
-// guaranteeProbe is one job of the guaranteed team; three at a time lie within its guarantee.
+// guaranteeProbe returns one probe job of the guaranteed team, whose guarantee covers three at a time.
 func guaranteeProbe(wave, probe int) submission {
 	return submission{ID: fmt.Sprintf("%s%d%05d", guaranteeProbePrefix, wave, probe), Team: guaranteedTeam, Shape: shapeArray, Priority: priorityNormal,
 		Tasks: 2, Cores: 1, TaskDuration: probeDuration}
 }
 
-// endPollInterval spaces the looks at whether all jobs have run.
+// endPollInterval is the interval at which awaitEnd checks whether all jobs have run.
 const endPollInterval = 500 * time.Millisecond
 
-// awaitEnd waits until every accepted job has started and nothing runs any more.
+// awaitEnd waits until every accepted job has started and no task is running.
 func (c *localCluster) awaitEnd(deadline time.Time) error {
 	for ; time.Now().Before(deadline); time.Sleep(endPollInterval) {
 		events := c.recorded()
--- a/internal/rehearsal/record.go
+++ b/internal/rehearsal/record.go
@@ -1,6 +1,7 @@
-// Package rehearsal runs real controller processes on one machine, over loopback, against fakes of
-// everything around them, injects faults while a scenario of load is carried out, and leaves a
-// record and a report of what happened. Nothing outside this machine is called.
+// Package rehearsal tests controllers under faults and load. It runs real controller processes on
+// one machine, over loopback, against fakes of the state service, the cloud and the workers, injects
+// faults while jobs are submitted, and writes a record of events and a report. It calls nothing
+// outside this machine.
 package rehearsal
 
 import (
@@ -17,50 +18,48 @@
 	"github.com/klauspost/compress/zstd"
 )
 
-// Files that a run leaves in its folder.
+// Names of the files that a run writes to its folder.
 const (
 	recordFile = "record.jsonl.zst"
 	reportFile = "report.html"
 )
 
-// EventKind is what an event of the record tells.
+// EventKind is the kind of a recorded event.
 type EventKind string
 
-// The kinds of events. Starts and ends are the workers' own record.
+// The kinds of events. Task starts and ends are recorded by the fake workers, not by controllers.
 const (
 	TaskStarted   EventKind = "started"
 	TaskEnded     EventKind = "ended"
 	JobAccepted   EventKind = "accepted"
 	JobRefused    EventKind = "refused"
 	FaultInjected EventKind = "disturbed" // a fault was injected, or ended
-	// LedgerChanged tells that a team's ledger was changed; Why is how its limit is split then.
-	LedgerChanged EventKind = "transferred"
-	// RolloutStored tells what a rollout became, Evicted that a task's permit was stored,
-	// Commanded that a controller took a command, Halt why a rollout halted.
-	RolloutStored   EventKind = "rollout"
-	EvictionStored  EventKind = "evicted"
-	CommandAccepted EventKind = "commanded"
-	RolloutHalted   EventKind = "halted"
+	// LedgerChanged means that a team's ledger changed; Why describes the new split of its limit.
+	LedgerChanged   EventKind = "transferred"
+	RolloutStored   EventKind = "rollout"   // a new state of a rollout was stored
+	EvictionStored  EventKind = "evicted"   // a permit to evict a task was stored
+	CommandAccepted EventKind = "commanded" // a controller accepted an operator's command
+	RolloutHalted   EventKind = "halted"    // a rollout halted; Why is the reason
 )
 
-// Event is one entry of a run's record.
+// Event is an entry in the record of a run.
 type Event struct {
-	At    time.Duration `json:"at"` // since the run began
+	At    time.Duration `json:"at"` // since the start of the run
 	Kind  EventKind     `json:"kind"`
 	Team  string        `json:"team,omitempty"`
 	Job   string        `json:"job,omitempty"`
 	Task  string        `json:"task,omitempty"`
 	Where string        `json:"where,omitempty"` // machine or controller
 	Why   string        `json:"why,omitempty"`
-	// Cores and Accelerators are what the task takes.
+	// Cores and Accelerators are the resources that the task uses.
 	Cores        float64 `json:"cores,omitempty"`
 	Accelerators float64 `json:"accelerators,omitempty"`
-	// Machines are a rollout's machines by state.
+	// Machines holds the number of a rollout's machines by state.
 	Machines map[string]int `json:"machines,omitempty"`
 }
 
-// writeFiles writes a run's record and its report into a folder. The record is written also if the
-// report cannot be made.
+// writeFiles writes the record and the report of a run to a folder. The record is written even if
+// rendering the report fails.
 func writeFiles(folder string, events []Event, report func() ([]byte, error)) error {
 	recordErr := WriteRecord(filepath.Join(folder, recordFile), events)
 	page, err := report()
@@ -70,7 +69,7 @@
 	return errors.Join(recordErr, os.WriteFile(filepath.Join(folder, reportFile), page, privateFile))
 }
 
-// WriteRecord stores events compressed, one JSON object a line.
+// WriteRecord writes events to a zstd-compressed file, one JSON object per line.
 func WriteRecord(path string, events []Event) (err error) {
 	file, err := os.Create(path)
 	if err != nil {
@@ -90,13 +89,13 @@
 	return compressed.Close()
 }
 
-// ReadRecord reads what WriteRecord stored.
+// ReadRecord reads a file that WriteRecord wrote.
 func ReadRecord(path string) ([]Event, error) {
 	file, err := os.Open(path)
 	if err != nil {
 		return nil, fmt.Errorf("open the record: %w", err)
 	}
-	defer func() { _ = file.Close() }() // it was only read
+	defer func() { _ = file.Close() }() // the file was only read
 	plain, err := zstd.NewReader(file)
 	if err != nil {
 		return nil, fmt.Errorf("decompress the record: %w", err)
@@ -115,7 +114,7 @@
 	}
 }
 
-// ordered is a copy of the record in the order of time.
+// ordered returns a copy of the events sorted by time.
 func ordered(events []Event) []Event {
 	sorted := slices.Clone(events)
 	slices.SortStableFunc(sorted, func(x, y Event) int { return cmp.Compare(x.At, y.At) })
--- a/internal/rehearsal/settings_files.go
+++ b/internal/rehearsal/settings_files.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// prepareControllers chooses the addresses of all controllers and writes their settings.
+// prepareControllers chooses the addresses of all controllers and writes their settings files.
 func (c *localCluster) prepareControllers(count int, stateAddress, cloudAddress string) error {
 	for i := range count {
 		controller, err := c.newController(fmt.Sprintf("controller-%d", i))
@@ -25,7 +25,7 @@
 	return nil
 }
 
-// newController is a controller that does not run yet.
+// newController returns a controller that is not running yet, with free addresses.
 func (c *localCluster) newController(name string) (*controllerProcess, error) {
 	users, err := freeAddress()
 	if err != nil {
@@ -39,7 +39,7 @@
 		settingsFile: filepath.Join(c.folder, name+".toml"), logFile: filepath.Join(c.folder, name+".log")}, nil
 }
 
-// freeAddress is a loopback address that nobody listens on now.
+// freeAddress returns a loopback address on which nothing listens at present.
 func freeAddress() (string, error) {
 	listener, err := listenOnLoopback()
 	if err != nil {
@@ -48,7 +48,7 @@
 	return listener.Addr().String(), listener.Close()
 }
 
-// controllerSettings is the content of a controller's settings file.
+// controllerSettings returns the content of a controller's settings file.
 func (c *localCluster) controllerSettings(controller *controllerProcess, stateAddress, cloudAddress string) string {
 	var text strings.Builder
 	line := func(format string, args ...any) { fmt.Fprintf(&text, format+"\n", args...) }
@@ -72,8 +72,8 @@
 	return text.String()
 }
 
-// writeSharedFile writes a file that all controllers are started with, unless its text is empty:
-// earlier versions of the program do not know all of these files.
+// writeSharedFile writes a settings file that all controllers share and returns its path. If the
+// text is empty, it writes no file, because earlier versions of the program do not support it.
 func (c *localCluster) writeSharedFile(name, text string) (path string, err error) {
 	if text == "" {
 		return "", nil
--- a/internal/rehearsal/usage.go
+++ b/internal/rehearsal/usage.go
@@ -5,34 +5,34 @@
 	"time"
 )
 
-// Team is one of the teams of a rehearsal.
+// Team is a team with its guaranteed and maximum resources.
 type Team struct {
 	Name                                     string
 	Guarantee, Limit                         float64 // cores
 	GuaranteeAccelerators, LimitAccelerators float64
 }
 
-// Sample is what a team's tasks use from a moment on.
+// Sample is the resource usage of a team's tasks from a point in time on.
 type Sample struct {
 	At                  time.Duration
 	Cores, Accelerators float64
 }
 
-// Breach is a moment at which a team used more than its limit.
+// Breach is a sample at which a team used more than its limit.
 type Breach struct {
 	Team Team
 	Sample
-	Task string // the task whose start made it so
+	Task string // the task whose start exceeded the limit
 }
 
-// String names the breach in one line.
+// String describes the breach in one line.
 func (b Breach) String() string {
 	return fmt.Sprintf("at %v team %s used %g cores and %g accelerators, with limits of %g and %g, after the start of %s",
 		b.At.Round(time.Millisecond), b.Team.Name, b.Cores, b.Accelerators, b.Team.Limit, b.Team.LimitAccelerators, b.Task)
 }
 
-// usageOverTime tells what each team used over time, by the workers' own record, sampled at each start
-// and end, and every breach of a limit.
+// usageOverTime returns the resource usage of each team, sampled at each task start and end that
+// workers reported, and every breach of a limit.
 func usageOverTime(events []Event, teams []Team) (samples map[string][]Sample, breaches []Breach) {
 	samples = map[string][]Sample{}
 	byName := map[string]Team{}
@@ -58,15 +58,15 @@
 	return samples, breaches
 }
 
-// roundingTolerance is what rounding of decimal numbers may leave behind.
+// roundingTolerance is the error that sums of rounded decimal numbers may have.
 const roundingTolerance = 1e-6
 
-// exceeds tells whether a team uses more than a limit; a limit of zero is none.
+// exceeds reports whether a team's usage is above one of its limits; a limit of zero means no limit.
 func exceeds(s Sample, t Team) bool {
 	return t.Limit > 0 && s.Cores > t.Limit+roundingTolerance || t.LimitAccelerators > 0 && s.Accelerators > t.LimitAccelerators+roundingTolerance
 }
 
-// tasksOnTwoMachines lists the tasks that were started on one machine while they were on another.
+// tasksOnTwoMachines returns the tasks that were started on one machine while they ran on another.
 func tasksOnTwoMachines(events []Event) (tasks []string) {
 	running := map[string]string{}
 	for _, event := range events {
--- a/internal/rehearsal/usage_test.go
+++ b/internal/rehearsal/usage_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// breachTimeline is a record in which team red, with a limit of four cores, uses five for a moment.
+// breachTimeline returns events in which team red, with a limit of four cores, briefly uses five.
 func breachTimeline() []Event {
 	at := func(s int, kind EventKind, job string, cores float64) Event {
 		return Event{At: time.Duration(s) * time.Second, Kind: kind, Team: "red", Job: job, Task: job + "/0", Cores: cores}
--- a/internal/rehearsal/users.go
+++ b/internal/rehearsal/users.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// Shapes and priorities of jobs, as submissions have them.
+// Values of the shape and priority of a job in a submission.
 const (
 	shapeArray     = "array"
 	shapeGang      = "gang"
@@ -22,7 +22,7 @@
 	priorityNormal = "normal"
 )
 
-// How users retry a submission.
+// Retry policy of users for a refused submission.
 const (
 	minRetryWait = time.Second
 	maxRetryTime = time.Minute
@@ -35,21 +35,21 @@
 	Shape    string
 	Priority string
 	Tasks    int
-	// Cores and Accelerators are what each task takes.
+	// Cores and Accelerators are the resources that each task uses.
 	Cores, Accelerators float64
-	// TaskDuration is how long each task takes; 0: until it is stopped.
+	// TaskDuration is how long each task runs; 0 means until it is stopped.
 	TaskDuration time.Duration
 }
 
-// body is the submission in the protocol's form.
+// body returns the JSON body of the submission request.
 func (j *submission) body() ([]byte, error) {
 	return json.Marshal(map[string]any{"uid": j.ID, "jobkind": "rehearsal", "owner": j.Team, "shape": j.Shape, "urgency": j.Priority,
 		"pieces": j.Tasks, "cores": j.Cores, "accelerators": j.Accelerators, "ramGb": 1, "bundle": "image", "pullGb": 0.1, "together": false,
 		"spread": false, "loaners": false, "guessS": j.TaskDuration.Seconds(), "bookmarkS": 0, "stashS": 0})
 }
 
-// submit sends a job until it is accepted or given up, to one controller after another, as users
-// do, and records each answer.
+// submit sends a job to one controller after the other until it is accepted or the retry time is
+// over, as users do, and records each answer.
 func (c *localCluster) submit(job submission, rng *rand.Rand) {
 	c.mu.Lock()
 	c.plans[job.ID] = taskPlan{team: job.Team, cores: job.Cores, accelerators: job.Accelerators, duration: job.TaskDuration}
@@ -67,8 +67,8 @@
 	}
 }
 
-// submitDeadline is until when a user retries a submission made now: for a minute, as the protocol
-// has it, but not beyond the run.
+// submitDeadline returns the time until which a user retries a submission made now: one minute, as
+// the protocol specifies, but not beyond the end of the run.
 func (c *localCluster) submitDeadline() time.Time {
 	until := time.Now().Add(maxRetryTime)
 	if !c.deadline.IsZero() && c.deadline.Before(until) {
@@ -77,22 +77,22 @@
 	return until
 }
 
-// errNoAnswer tells that a controller did not answer a submission.
+// errNoAnswer means that a controller did not answer a submission.
 var errNoAnswer = errors.New("no answer")
 
-// refusalError is a controller's refusal of a submission for now.
+// refusalError is a temporary refusal of a submission by a controller.
 type refusalError struct {
 	status     int
 	retryAfter int // seconds
 }
 
-// Error tells the answer in short.
+// Error returns the status and the retry delay of the answer.
 func (e *refusalError) Error() string {
 	return fmt.Sprintf("%d, come back in %d s", e.status, e.retryAfter)
 }
 
-// submitOnce sends a job once. The error tells why it was not accepted, and wait how long to wait
-// before the next try.
+// submitOnce sends a job to one controller. If the job is not accepted, err is the reason and wait
+// the delay before the next attempt.
 func (c *localCluster) submitOnce(controller *controllerProcess, job *submission) (wait time.Duration, err error) {
 	body, err := job.body()
 	if err != nil {
@@ -103,15 +103,15 @@
 		return minRetryWait, errNoAnswer
 	}
 	defer func() { _ = response.Body.Close() }() // nothing is read from it afterwards
-	_, _ = io.Copy(io.Discard, response.Body)    // the status says it all; reading lets the connection be used again
+	_, _ = io.Copy(io.Discard, response.Body)    // only the status matters; reading the body allows reuse of the connection
 	if response.StatusCode == http.StatusCreated || response.StatusCode == http.StatusOK {
 		return 0, nil
 	}
-	seconds, _ := strconv.Atoi(response.Header.Get("Retry-After")) // 0 where it is missing
+	seconds, _ := strconv.Atoi(response.Header.Get("Retry-After")) // 0 if the header is missing
 	return max(minRetryWait, time.Duration(seconds)*time.Second), &refusalError{response.StatusCode, seconds}
 }
 
-// submitAll submits all jobs at the same moment, and returns once each was accepted or given up.
+// submitAll submits all jobs concurrently and returns when each is accepted or its retry time is over.
 func (c *localCluster) submitAll(jobs []submission, seed uint64) {
 	var users sync.WaitGroup
 	for i, job := range jobs {
--- a/internal/rehearsal/waits.go
+++ b/internal/rehearsal/waits.go
@@ -5,11 +5,12 @@
 	"time"
 )
 
-// anyJob chooses every job.
+// anyJob selects every job.
 func anyJob(string) bool { return true }
 
-// startWaits is how long each of the chosen jobs that were accepted waited from the first answer to
-// its submission, be it a refusal, to its first start; unstarted are those without one.
+// startWaits returns the wait of each chosen job that was accepted: the time from the first answer
+// to its submission, which may be a refusal, to the first start of a task. The chosen jobs that
+// were accepted but have not started are returned as unstarted.
 func startWaits(events []Event, chosen func(job string) bool) (waits []time.Duration, unstarted []string) {
 	answered, started := map[string]time.Duration{}, map[string]time.Duration{}
 	accepted := map[string]bool{}
@@ -41,7 +42,7 @@
 	return waits, unstarted
 }
 
-// runningTasks counts the tasks of the chosen jobs that have started and not ended.
+// runningTasks returns the number of tasks of the chosen jobs that have started and not ended.
 func runningTasks(events []Event, chosen func(job string) bool) (running int) {
 	for _, event := range events {
 		switch {
