--- a/internal/fake/hooks_test.go
+++ b/internal/fake/hooks_test.go
@@ -18,12 +18,12 @@
 	commit := func() {
 		body := strings.NewReader(`{"then":[{"put":"a","value":1}]}`)
 		if res, err := network.Client("a").Post("http://state:1/commit", "application/json", body); err != nil || res.StatusCode != 200 {
-			t.Errorf("a commit got %v, %v", res, err)
+			t.Errorf("commit: response %v, error %v", res, err)
 		}
 	}
 	follow := func() {
 		if _, err := network.Client("a").Get("http://state:1/follow?after=0&holdMs=0"); err != nil {
-			t.Errorf("a watch got %v", err)
+			t.Errorf("watch: %v", err)
 		}
 	}
 	for _, hook := range []struct {
--- a/internal/fake/store_test.go
+++ b/internal/fake/store_test.go
@@ -32,20 +32,20 @@
 		})
 		for key := range fates {
 			if code, _ := sendRequest(network, "a", "POST", "s:1/commit", putTransaction(key, 0)); code != 0 {
-				t.Errorf("%s was answered %d", key, code)
+				t.Errorf("transaction %s got status %d, want no answer", key, code)
 			}
 			if done := store.Value(key) != nil; done != (key == "lost" || key == "slow") {
-				t.Errorf("%s was carried out: %v", key, done)
+				t.Errorf("transaction %s was committed at once: %v", key, done)
 			}
 		}
 		network.SetRule(nil)
 		if code, _ := sendRequest(network, "a", "POST", "s:1/commit", putTransaction("void", 0)); code != 200 {
-			t.Errorf("a newer one got %d", code)
+			t.Errorf("a newer transaction got status %d, want 200", code)
 		}
 		epoch := epochOf(store)
 		time.Sleep(14 * time.Second)
 		if store.Value("late") == nil || epochOf(store) != epoch+1 {
-			t.Errorf("the late one was not carried out alone: %s", store)
+			t.Errorf("the delayed transaction was not committed alone: %s", store)
 		}
 	})
 }
@@ -59,25 +59,25 @@
 		sendRequest(network, "a", "POST", "s:1/commit", `{"then":[{"put":"x","value":1,"permit":1}]}`)
 		store.RefuseCaller("a", true)
 		if code, _ := sendRequest(network, "a", "POST", "s:1/holds/1/renew", ""); code != 503 {
-			t.Errorf("a renewal got %d", code)
+			t.Errorf("the lease renewal of a refused caller got status %d, want 503", code)
 		}
 		if code, _ := sendRequest(network, "b", "POST", "s:1/commit", putTransaction("y", 0)); code != 200 {
-			t.Errorf("another caller got %d", code)
+			t.Errorf("another caller got status %d, want 200", code)
 		}
 		if code, answer := sendRequest(network, "a", "GET", "s:1/follow?under=&after=1&holdMs=1500", ""); code != 200 || strings.Contains(answer, `"y"`) || !strings.Contains(answer, `"epoch":1`) {
-			t.Errorf("a refused watch got %d %s", code, answer)
+			t.Errorf("the watch of a refused caller got status %d, answer %s", code, answer)
 		}
 		if store.Value("x") != nil {
-			t.Error("the lease did not run out")
+			t.Error("the lease of the refused caller did not expire")
 		}
 		store.RefuseCaller("a", false)
 		if code, answer := sendRequest(network, "a", "GET", "s:1/follow?under=&after=1&holdMs=1500", ""); code != 200 || !strings.Contains(answer, `"y"`) {
-			t.Errorf("a watch got %d %s afterwards", code, answer)
+			t.Errorf("a watch after the refusal got status %d, answer %s", code, answer)
 		}
 		store.SetLatency(time.Second)
 		started := time.Now()
 		if code, _ := sendRequest(network, "b", "GET", "s:1/kv/y", ""); code != 200 || time.Since(started) != time.Second {
-			t.Errorf("a slow store answered %d after %v", code, time.Since(started))
+			t.Errorf("a store with a latency of 1s answered with status %d after %v", code, time.Since(started))
 		}
 	})
 }
--- a/internal/fake/worker_test.go
+++ b/internal/fake/worker_test.go
@@ -58,32 +58,32 @@
 				}
 				before := received.Load()
 				if code, _ := sendRequest(network, "a", "POST", "m:1/commands", fmt.Sprintf(start, 0)); code != test.command {
-					t.Errorf("a command got %d", code)
+					t.Errorf("the direct command got status %d", code)
 				}
 				time.Sleep(max(test.hung, 8*time.Second) - 2*time.Second)
 				if arrived := received.Load() - before; (arrived > 0) != test.heartbeats {
-					t.Errorf("%d heartbeats arrived", arrived)
+					t.Errorf("%d heartbeats arrived at the controller", arrived)
 				}
 				if test.hung > 0 {
 					if worker.EndTask("job-1/0", "done") || worker.StartCount("job-1/0") > 0 {
-						t.Error("something happened on it")
+						t.Error("the hung machine started or ended a task")
 					}
 					worker.SetHung(false)
 				}
 				if got := worker.StartCount("job-1/0"); got != test.starts {
-					t.Errorf("started %d times", got)
+					t.Errorf("the task was started %d times", got)
 				}
 				time.Sleep(25 * time.Second)
 				worker.mu.Lock()
 				if worker.incarnation != test.incarnation {
-					t.Errorf("incarnation %d", worker.incarnation)
+					t.Errorf("the worker has incarnation %d", worker.incarnation)
 				}
 				if test.incarnation == 2 && test.starts == 1 && ends[len(ends)-1] != "killed" {
-					t.Errorf("no end of the lease was told: %v", ends)
+					t.Errorf("no task end was reported when the lease expired: %v", ends)
 				}
 				worker.mu.Unlock()
 				if got := network.ReleaseHeld(); (got > 0) != (test.name == "heartbeats copied") {
-					t.Errorf("%d copies", got)
+					t.Errorf("%d copies of heartbeats were held back", got)
 				}
 			})
 		})
@@ -117,17 +117,17 @@
 		}
 		send("start", 1)
 		if answer := send("start", 2); !strings.Contains(answer, `"busy"`) {
-			t.Errorf("a second attempt there: %s", answer)
+			t.Errorf("the start of a second attempt was answered with %s", answer)
 		}
 		worker.EndTask("job-1/0", "done")
 		time.Sleep(600 * time.Millisecond)
 		mu.Lock()
 		if last := heartbeats[len(heartbeats)-1]; !strings.Contains(last, `"done"`) {
-			t.Errorf("last reported %s", last)
+			t.Errorf("the last heartbeat does not report the end of the task: %s", last)
 		}
 		mu.Unlock()
 		if answer := send("start", 3); !strings.Contains(answer, `"try":3,"status":"ended","cause":"done"`) {
-			t.Errorf("started again once done: %s", answer)
+			t.Errorf("the start of a completed task was answered with %s", answer)
 		}
 	})
 }
--- a/internal/rehearsal/cluster.go
+++ b/internal/rehearsal/cluster.go
@@ -149,7 +149,7 @@
 func listenOnLoopback() (net.Listener, error) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
-		return nil, fmt.Errorf("listen on loopback: %w", err)
+		return nil, fmt.Errorf("listen on a loopback port: %w", err)
 	}
 	return listener, nil
 }
@@ -198,7 +198,7 @@
 }
 
 // errDeadlineExceeded means that a run exceeded its maximum duration.
-var errDeadlineExceeded = errors.New("the time of the run was up")
+var errDeadlineExceeded = errors.New("run deadline exceeded")
 
 // startAll starts all controllers and waits until each is ready.
 func (c *localCluster) startAll(deadline time.Time) error {
@@ -210,7 +210,7 @@
 	for _, controller := range c.controllers {
 		for !c.ready(controller) {
 			if time.Now().After(deadline) {
-				return fmt.Errorf("%w: %s is not ready", errDeadlineExceeded, controller.name)
+				return fmt.Errorf("%w: controller %s is not ready", errDeadlineExceeded, controller.name)
 			}
 			time.Sleep(readinessInterval)
 		}
@@ -235,7 +235,7 @@
 func waitUntil(deadline time.Time, what string, reached func() bool) error {
 	for !reached() {
 		if time.Now().After(deadline) {
-			return fmt.Errorf("%w before %s", errDeadlineExceeded, what)
+			return fmt.Errorf("%w: condition not reached: %s", errDeadlineExceeded, what)
 		}
 		time.Sleep(pollInterval)
 	}
--- a/internal/rehearsal/controller_process.go
+++ b/internal/rehearsal/controller_process.go
@@ -28,14 +28,14 @@
 func (c *localCluster) start(controller *controllerProcess) error {
 	log, err := os.OpenFile(controller.logFile, os.O_CREATE|os.O_APPEND|os.O_WRONLY, privateFile)
 	if err != nil {
-		return fmt.Errorf("open the log of %s: %w", controller.name, err)
+		return fmt.Errorf("open log file of controller %s: %w", controller.name, err)
 	}
 	defer func() { _ = log.Close() }() // the process has its own descriptor
 	process := exec.Command(c.program, c.arguments(controller)...)
 	process.Stderr, process.Stdout = log, log
 	process.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := process.Start(); err != nil {
-		return fmt.Errorf("start %s: %w", controller.name, err)
+		return fmt.Errorf("start process of controller %s: %w", controller.name, err)
 	}
 	ended := make(chan struct{})
 	go func() {
--- a/internal/rehearsal/drain_analysis_test.go
+++ b/internal/rehearsal/drain_analysis_test.go
@@ -35,11 +35,11 @@
 			Events: append(slices.Clone(up), test.events...), IncompleteReason: "the time was up"}
 		findings.analyze()
 		if breaches := strings.Join(findings.Breaches, "; "); test.breach == "" && breaches != "" || !strings.Contains(breaches, test.breach) {
-			t.Errorf("%s: %q, not %q", name, breaches, test.breach)
+			t.Errorf("%s: breaches %q, want %q", name, breaches, test.breach)
 		}
 		page, err := findings.report()
 		if err != nil || !findings.Failed() || !strings.Contains(string(page), "The run ended before its time: the time was up") {
-			t.Errorf("%s: failed %v: %v", name, findings.Failed(), err)
+			t.Errorf("%s: Failed returned %v; report error %v", name, findings.Failed(), err)
 		}
 	}
 }
--- a/internal/rehearsal/drain_calls.go
+++ b/internal/rehearsal/drain_calls.go
@@ -43,7 +43,7 @@
 func (r *drainRun) sendCommand(deadline time.Time, path string, body any) error {
 	raw, err := json.Marshal(body)
 	if err != nil {
-		return fmt.Errorf("encode the command %s: %w", path, err)
+		return fmt.Errorf("encode command %s: %w", path, err)
 	}
 	var last error
 	for next := 0; time.Now().Before(deadline); next++ {
@@ -55,7 +55,7 @@
 		}
 		time.Sleep(commandRetryInterval)
 	}
-	return fmt.Errorf("%w: %s: %w", errDeadlineExceeded, path, last)
+	return fmt.Errorf("%w: no controller executed command %s: %w", errDeadlineExceeded, path, last)
 }
 
 // postCommand sends a command to one controller.
@@ -67,7 +67,7 @@
 	defer func() { _ = response.Body.Close() }() // nothing is read from it afterwards
 	answer, _ := io.ReadAll(response.Body)       // only quoted in the error, even if incomplete
 	if response.StatusCode != http.StatusOK {
-		return fmt.Errorf("%s answers %d %s", controller.name, response.StatusCode, answer)
+		return fmt.Errorf("controller %s answered with status %d: %s", controller.name, response.StatusCode, answer)
 	}
 	return nil
 }
@@ -81,10 +81,10 @@
 	defer func() { _ = response.Body.Close() }() // nothing is read from it afterwards
 	raw, err := io.ReadAll(response.Body)
 	if err != nil {
-		return fmt.Errorf("read the status of %s: %w", controller.name, err)
+		return fmt.Errorf("read status of controller %s: %w", controller.name, err)
 	}
 	if err := json.Unmarshal(raw, page); err != nil {
-		return fmt.Errorf("decode the status of %s: %w", controller.name, err)
+		return fmt.Errorf("decode status of controller %s: %w", controller.name, err)
 	}
 	return nil
 }
--- a/internal/rehearsal/fake_cloud_test.go
+++ b/internal/rehearsal/fake_cloud_test.go
@@ -12,11 +12,11 @@
 		t.Fatal(err)
 	}
 	if err := cluster.start(cluster.controllers[0]); err == nil {
-		t.Error("a program that is not there was started")
+		t.Error("a controller with a nonexistent executable was started")
 	}
 	name, ok := cluster.cloud.startMachine("north")
 	if !ok || len(cluster.cloud.listMachines("")) != 1 || cluster.cloud.capacity != 1 {
-		t.Errorf("%q, %v", name, cluster.cloud.listMachines(""))
+		t.Errorf("after the start of machine %q, the cloud lists %v", name, cluster.cloud.listMachines(""))
 	}
 	if err := cluster.close(); err != nil {
 		t.Error(err)
--- a/internal/rehearsal/plots.go
+++ b/internal/rehearsal/plots.go
@@ -66,7 +66,7 @@
 func addCurve(p *plot.Plot, c curve) error {
 	line, err := plotter.NewLine(c.points)
 	if err != nil {
-		return fmt.Errorf("draw %q: %w", c.name, err)
+		return fmt.Errorf("draw curve %q: %w", c.name, err)
 	}
 	line.Color = c.color
 	if c.stepped {
--- a/internal/rehearsal/quota_findings_test.go
+++ b/internal/rehearsal/quota_findings_test.go
@@ -15,14 +15,14 @@
 		Events: breachTimeline(), IncompleteReason: "the time was up"}
 	findings.analyze()
 	if !findings.Failed() {
-		t.Error("it does not count as failed")
+		t.Error("Failed returned false for an incomplete run with a breach")
 	}
 	if err := findings.writeFiles(folder); err != nil {
 		t.Fatal(err)
 	}
 	events, err := ReadRecord(filepath.Join(folder, "record.jsonl.zst"))
 	if err != nil || !reflect.DeepEqual(events, breachTimeline()) {
-		t.Errorf("record %v, %v", events, err)
+		t.Errorf("ReadRecord returned events %v, error %v", events, err)
 	}
 	page, err := findings.report()
 	if err != nil {
@@ -30,7 +30,7 @@
 	}
 	for _, want := range []string{"This run failed", "the time was up", "team red used 5 cores", "controller-1", "<svg"} {
 		if !strings.Contains(string(page), want) {
-			t.Errorf("the report does not tell of %q", want)
+			t.Errorf("the report does not contain %q", want)
 		}
 	}
 }
--- a/internal/rehearsal/quota_scenario.go
+++ b/internal/rehearsal/quota_scenario.go
@@ -94,5 +94,5 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("%w: not all accepted jobs have run", errDeadlineExceeded)
+	return fmt.Errorf("%w: not all accepted jobs have started and ended", errDeadlineExceeded)
 }
--- a/internal/rehearsal/record.go
+++ b/internal/rehearsal/record.go
@@ -64,7 +64,7 @@
 	recordErr := WriteRecord(filepath.Join(folder, recordFile), events)
 	page, err := report()
 	if err != nil {
-		return errors.Join(recordErr, fmt.Errorf("make the report: %w", err))
+		return errors.Join(recordErr, fmt.Errorf("render report: %w", err))
 	}
 	return errors.Join(recordErr, os.WriteFile(filepath.Join(folder, reportFile), page, privateFile))
 }
@@ -73,17 +73,17 @@
 func WriteRecord(path string, events []Event) (err error) {
 	file, err := os.Create(path)
 	if err != nil {
-		return fmt.Errorf("create the record: %w", err)
+		return fmt.Errorf("create record file: %w", err)
 	}
 	defer func() { err = errors.Join(err, file.Close()) }()
 	compressed, err := zstd.NewWriter(file)
 	if err != nil {
-		return fmt.Errorf("compress the record: %w", err)
+		return fmt.Errorf("create compressor for record: %w", err)
 	}
 	encoder := json.NewEncoder(compressed)
 	for i := range events {
 		if err := encoder.Encode(&events[i]); err != nil {
-			return errors.Join(fmt.Errorf("write the record: %w", err), compressed.Close())
+			return errors.Join(fmt.Errorf("write event to record: %w", err), compressed.Close())
 		}
 	}
 	return compressed.Close()
@@ -93,12 +93,12 @@
 func ReadRecord(path string) ([]Event, error) {
 	file, err := os.Open(path)
 	if err != nil {
-		return nil, fmt.Errorf("open the record: %w", err)
+		return nil, fmt.Errorf("open record file: %w", err)
 	}
 	defer func() { _ = file.Close() }() // the file was only read
 	plain, err := zstd.NewReader(file)
 	if err != nil {
-		return nil, fmt.Errorf("decompress the record: %w", err)
+		return nil, fmt.Errorf("create decompressor for record: %w", err)
 	}
 	defer plain.Close()
 	var events []Event
@@ -108,7 +108,7 @@
 		case errors.Is(err, io.EOF):
 			return events, nil
 		case err != nil:
-			return events, fmt.Errorf("read the record: %w", err)
+			return events, fmt.Errorf("read event from record: %w", err)
 		}
 		events = append(events, event)
 	}
--- a/internal/rehearsal/settings_files.go
+++ b/internal/rehearsal/settings_files.go
@@ -19,7 +19,7 @@
 	for _, controller := range c.controllers {
 		settings := c.controllerSettings(controller, stateAddress, cloudAddress)
 		if err := os.WriteFile(controller.settingsFile, []byte(settings), privateFile); err != nil {
-			return fmt.Errorf("write the settings of %s: %w", controller.name, err)
+			return fmt.Errorf("write settings file of controller %s: %w", controller.name, err)
 		}
 	}
 	return nil
@@ -80,7 +80,7 @@
 	}
 	path = filepath.Join(c.folder, name)
 	if err := os.WriteFile(path, []byte(text), privateFile); err != nil {
-		return "", fmt.Errorf("write %s: %w", name, err)
+		return "", fmt.Errorf("write shared settings file %s: %w", name, err)
 	}
 	return path, nil
 }
--- a/internal/rehearsal/usage_test.go
+++ b/internal/rehearsal/usage_test.go
@@ -24,13 +24,13 @@
 	t.Parallel()
 	samples, breaches := usageOverTime(breachTimeline(), []Team{red})
 	if len(breaches) != 1 || breaches[0].Task != "job-2/0" || breaches[0].Cores != 5 {
-		t.Errorf("breaches %v", breaches)
+		t.Errorf("breaches %v, want one of 5 cores at the start of job-2/0", breaches)
 	}
 	if last := samples["red"][len(samples["red"])-1]; last.Cores != 2 {
-		t.Errorf("%v in use at the end", last)
+		t.Errorf("last sample %v, want 2 cores", last)
 	}
 	if _, breaches := usageOverTime(breachTimeline(), []Team{{Name: "red", Limit: 5}}); len(breaches) != 0 {
-		t.Errorf("within the limit: %v", breaches)
+		t.Errorf("breaches %v with a limit that is not exceeded, want none", breaches)
 	}
 	waits, unstarted := startWaits(breachTimeline(), func(string) bool { return true })
 	if !reflect.DeepEqual(waits, []time.Duration{3 * time.Second, 3 * time.Second}) || !reflect.DeepEqual(unstarted, []string{"job-3"}) {
--- a/internal/rehearsal/users.go
+++ b/internal/rehearsal/users.go
@@ -78,7 +78,7 @@
 }
 
 // errNoAnswer means that a controller did not answer a submission.
-var errNoAnswer = errors.New("no answer")
+var errNoAnswer = errors.New("controller did not answer")
 
 // refusalError is a temporary refusal of a submission by a controller.
 type refusalError struct {
@@ -96,7 +96,7 @@
 func (c *localCluster) submitOnce(controller *controllerProcess, job *submission) (wait time.Duration, err error) {
 	body, err := job.body()
 	if err != nil {
-		return minRetryWait, fmt.Errorf("encode %s: %w", job.ID, err)
+		return minRetryWait, fmt.Errorf("encode submission of job %s: %w", job.ID, err)
 	}
 	response, err := c.http.Post("http://"+controller.usersAddress+"/v2/runs", "application/json", bytes.NewReader(body))
 	if err != nil {
