--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// maxListed is the maximum number of machines in one page of the machine list.
-const maxListed = 500
+// maxPageSize is the maximum number of machines in one page of the machine list.
+const maxPageSize = 500
 
 // machineBooting is the status that a Cloud reports for all its machines.
 const machineBooting = "booting"
@@ -96,13 +96,13 @@
 type Machine struct{ Name, Zone string }
 
 // Machines returns the provisioned and not deleted machines in order of provisioning.
-func (c *Cloud) Machines() (hosts []Machine) {
+func (c *Cloud) Machines() (listed []Machine) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, machine := range c.machines {
-		hosts = append(hosts, Machine{machine.Name, machine.Zone})
+		listed = append(listed, Machine{machine.Name, machine.Zone})
 	}
-	return hosts
+	return listed
 }
 
 // NotifyDeletions registers f to be called for each deleted machine from now on, before the deletion
@@ -148,11 +148,12 @@
 	}
 }
 
-// list returns a page of the machines whose names follow the given one, limited by the requested size.
-func (c *Cloud) list(after, most string) machineList {
-	limit, err := strconv.Atoi(most)
-	if err != nil || limit > maxListed {
-		limit = maxListed
+// list returns a page of the machines whose names follow the given one, limited by the
+// requested size.
+func (c *Cloud) list(after, requestedSize string) machineList {
+	limit, err := strconv.Atoi(requestedSize)
+	if err != nil || limit > maxPageSize {
+		limit = maxPageSize
 	}
 	page := machineList{Machines: []*cloudMachine{}}
 	for _, machine := range c.machines {
--- a/internal/fake/hooks_test.go
+++ b/internal/fake/hooks_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-func TestHooksMayBeSetWhileFakesAreInUse(t *testing.T) {
+func TestHooksCanBeSetConcurrently(t *testing.T) {
 	// Tests set hooks while controllers already call the fakes. When the hooks were unguarded fields,
 	// this was a data race, which only the race detector reported, and only in some runs.
 	network, store := NewNetwork(), NewStore()
@@ -21,7 +21,7 @@
 			t.Errorf("commit: response %v, error %v", res, err)
 		}
 	}
-	follow := func() {
+	watch := func() {
 		if _, err := network.Client("a").Get("http://state:1/follow?after=0&holdMs=0"); err != nil {
 			t.Errorf("watch: %v", err)
 		}
@@ -31,7 +31,7 @@
 		set, use func()
 	}{
 		{"changes", func() { store.NotifyChanges(func(string, json.RawMessage) {}) }, commit},
-		{"kept changes", func() { store.SetHistoryLimit(50) }, follow},
+		{"kept changes", func() { store.SetHistoryLimit(50) }, watch},
 		{"rule", func() { network.SetRule(func(string, string, *http.Request, []byte) Outcome { return Deliver }) }, commit},
 		{"lag", func() { network.SetLatency(func() time.Duration { return 0 }) }, commit},
 		{"delay", func() { network.SetDelay(func() time.Duration { return 0 }) }, func() { network.nextDelay() }},
--- a/internal/fake/net.go
+++ b/internal/fake/network.go
@@ -148,21 +148,21 @@
 	handler, rule, latency := t.net.hosts[r.URL.Host], t.net.rule, t.net.latency
 	t.net.mu.Unlock()
 	d := &delivery{net: t.net, from: t.from, request: r, body: body, latency: latency, sentAt: time.Now().Format(time.RFC3339Nano)}
-	fate := Deliver
+	outcome := Deliver
 	if rule != nil {
-		fate = rule(t.from, r.URL.Host, r, body)
+		outcome = rule(t.from, r.URL.Host, r, body)
 	}
-	if handler == nil || fate == Refuse {
-		return nil, &net.OpError{Op: "dial", Net: "tcp", Err: errRefused}
+	if handler == nil || outcome == Refuse {
+		return nil, &net.OpError{Op: "dial", Net: "tcp", Err: errConnectionRefused}
 	}
-	d.travel() // the request arrives even if its sender gives up during the latency
-	return t.carryOut(fate, d, handler)
+	d.waitLatency() // the request arrives even if its sender gives up during the latency
+	return t.applyOutcome(outcome, d, handler)
 }
 
-// carryOut applies an outcome to a request.
-func (t *transport) carryOut(fate Outcome, d *delivery, handler http.Handler) (*http.Response, error) {
+// applyOutcome applies an outcome to a request.
+func (t *transport) applyOutcome(outcome Outcome, d *delivery, handler http.Handler) (*http.Response, error) {
 	ctx := d.request.Context()
-	switch fate {
+	switch outcome {
 	case DropResponse:
 		_, _ = d.deliver(handler) // the answer is lost
 	case Delay:
@@ -184,8 +184,8 @@
 	return nil, ctx.Err()
 }
 
-// errRefused means that a connection was refused.
-var errRefused = errors.New("connection refused")
+// errConnectionRefused means that a connection was refused.
+var errConnectionRefused = errors.New("connection refused")
 
 // defaultDelay is the delay for the outcomes Delay and DelayResponse unless SetDelay was called.
 const defaultDelay = 2 * time.Second
@@ -218,29 +218,29 @@
 	sentAt  string // value of sentHeader
 }
 
-// travel waits for the one-way latency, or until the sender gives up.
-func (d *delivery) travel() {
+// waitLatency waits for the one-way latency, or until the sender gives up.
+func (d *delivery) waitLatency() {
 	if d.latency != nil {
 		sleep(d.request.Context(), d.latency())
 	}
 }
 
-// incoming returns the request that the receiver gets.
-func (d *delivery) incoming() *http.Request {
-	incoming := httptest.NewRequest(d.request.Method, d.request.URL.String(), bytes.NewReader(d.body))
-	incoming.Header = d.request.Header.Clone()
-	incoming.Header.Set(sentHeader, d.sentAt)
-	incoming.Header.Set(fromHeader, d.from)
-	return incoming
+// incomingRequest returns the request that the receiver gets.
+func (d *delivery) incomingRequest() *http.Request {
+	incomingRequest := httptest.NewRequest(d.request.Method, d.request.URL.String(), bytes.NewReader(d.body))
+	incomingRequest.Header = d.request.Header.Clone()
+	incomingRequest.Header.Set(sentHeader, d.sentAt)
+	incomingRequest.Header.Set(fromHeader, d.from)
+	return incomingRequest
 }
 
 // deliver passes the request to a handler and returns the answer after the one-way latency.
 func (d *delivery) deliver(handler http.Handler) (*http.Response, error) {
 	recorder := httptest.NewRecorder()
-	handler.ServeHTTP(recorder, d.incoming().WithContext(d.request.Context()))
+	handler.ServeHTTP(recorder, d.incomingRequest().WithContext(d.request.Context()))
 	response := recorder.Result()
 	response.Header.Set(sentHeader, time.Now().Format(time.RFC3339Nano))
-	d.travel()
+	d.waitLatency()
 	if err := d.request.Context().Err(); err != nil {
 		return nil, err // the sender has given up
 	}
@@ -250,6 +250,6 @@
 // deliverLate passes the request to the handler that the address has now. The answer is lost.
 func (d *delivery) deliverLate() {
 	if handler := d.net.handler(d.request.URL.Host); handler != nil {
-		handler.ServeHTTP(httptest.NewRecorder(), d.incoming())
+		handler.ServeHTTP(httptest.NewRecorder(), d.incomingRequest())
 	}
 }
--- a/internal/fake/pipe.go
+++ b/internal/fake/pipe.go
@@ -58,14 +58,14 @@
 	listener := p.listeners[addr]
 	p.mu.Unlock()
 	if listener == nil {
-		return nil, errRefused
+		return nil, errConnectionRefused
 	}
 	here, there := net.Pipe()
 	select {
 	case listener.incoming <- there:
 		return here, nil
 	case <-listener.closed:
-		return nil, errRefused
+		return nil, errConnectionRefused
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
--- a/internal/fake/store_http.go
+++ b/internal/fake/store_http.go
@@ -68,10 +68,10 @@
 		return
 	}
 	s.mu.Lock()
-	half := s.latency / 2
+	halfLatency := s.latency / 2
 	s.mu.Unlock()
-	sleep(r.Context(), half)
-	defer sleep(r.Context(), half)
+	sleep(r.Context(), halfLatency)
+	defer sleep(r.Context(), halfLatency)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if _, refused := s.refused[r.Header.Get(fromHeader)]; s.down || refused {
@@ -113,7 +113,7 @@
 // serveList returns a page of the entries with a prefix whose keys follow a given key, in order of keys.
 func (s *Store) serveList(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
-	most, _ := strconv.Atoi(query.Get("most")) // 0 if it is missing
+	pageSize, _ := strconv.Atoi(query.Get("most")) // 0 if it is missing
 	var keys []string
 	for key := range s.entries {
 		if strings.HasPrefix(key, query.Get("under")) && key > query.Get("after") {
@@ -121,8 +121,8 @@
 		}
 	}
 	slices.Sort(keys)
-	page := entryList{Entries: []*entry{}, More: len(keys) > most, Epoch: s.epoch}
-	for _, key := range keys[:min(most, len(keys))] {
+	page := entryList{Entries: []*entry{}, More: len(keys) > pageSize, Epoch: s.epoch}
+	for _, key := range keys[:min(pageSize, len(keys))] {
 		page.Entries = append(page.Entries, s.entries[key])
 	}
 	s.Listed += len(page.Entries)
@@ -223,15 +223,15 @@
 func (s *Store) serveWatch(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	after, _ := strconv.ParseUint(query.Get("after"), 10, 64) // 0 if it is missing
-	millis, _ := strconv.Atoi(query.Get("holdMs"))            // 0 if it is missing
-	until := time.Now().Add(time.Duration(millis) * time.Millisecond)
+	waitMillis, _ := strconv.Atoi(query.Get("holdMs"))        // 0 if it is missing
+	deadline := time.Now().Add(time.Duration(waitMillis) * time.Millisecond)
 	for {
 		message, ok := s.changesAfter(after, query.Get("under"), r.Header.Get(fromHeader))
 		if !ok {
 			writeJSON(w, http.StatusGone, errorMessage{"too old"})
 			return
 		}
-		if len(message.Changes) > 0 || !time.Now().Before(until) {
+		if len(message.Changes) > 0 || !time.Now().Before(deadline) {
 			writeJSON(w, http.StatusOK, message)
 			return
 		}
@@ -251,8 +251,8 @@
 		return watchMessage{}, false
 	}
 	message.Epoch = s.epoch
-	if since, refused := s.refused[caller]; refused {
-		message.Epoch = since
+	if refusalEpoch, refused := s.refused[caller]; refused {
+		message.Epoch = refusalEpoch
 	}
 	if s.down {
 		return message, true
--- a/internal/fake/store_test.go
+++ b/internal/fake/store_test.go
@@ -14,23 +14,23 @@
 	return store.epoch
 }
 
-func TestUnansweredTransactionsAreCarriedOutByTheirFate(t *testing.T) {
+func TestTransactionsWithLostOrDelayedMessages(t *testing.T) {
 	// If the answer to a transaction is lost or delayed, the transaction is committed at once. If the
 	// request is delayed, it is committed after newer ones, and its conditions are checked then.
 	synctest.Test(t, func(t *testing.T) {
 		network, store := NewNetwork(), NewStore()
 		network.Listen("s:1", store)
 		network.SetDelay(func() time.Duration { return 12 * time.Second })
-		fates := map[string]Outcome{"lost": DropResponse, "late": Delay, "void": Delay, "slow": DelayResponse}
+		outcomes := map[string]Outcome{"lost": DropResponse, "late": Delay, "void": Delay, "slow": DelayResponse}
 		network.SetRule(func(_, _ string, r *http.Request, body []byte) Outcome {
-			for key, fate := range fates {
+			for key, outcome := range outcomes {
 				if strings.Contains(string(body), key) {
-					return fate
+					return outcome
 				}
 			}
 			return Deliver
 		})
-		for key := range fates {
+		for key := range outcomes {
 			if code, _ := sendRequest(network, "a", "POST", "s:1/commit", putTransaction(key, 0)); code != 0 {
 				t.Errorf("transaction %s got status %d, want no answer", key, code)
 			}
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -150,8 +150,8 @@
 	if w.expiredWhileHung {
 		w.expiredWhileHung, w.leaseExpiry = false, time.Now().Add(w.LeaseDuration)
 	}
-	for _, carryOut := range w.heldBack {
-		carryOut()
+	for _, process := range w.heldBack {
+		process()
 	}
 	w.heldBack = nil
 }
--- a/internal/fake/worker_lease.go
+++ b/internal/fake/worker_lease.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// whileHung is the lease duration of a new incarnation while the machine hangs. It is longer than
-// any test.
-const whileHung = 1000 * time.Hour
+// hungLeaseDuration is the lease duration of an incarnation that begins while the machine hangs. It
+// is longer than any test.
+const hungLeaseDuration = 1000 * time.Hour
 
 // watchLease ends the incarnation when the lease expires, even if no request or heartbeat checks it.
 func (w *Worker) watchLease(ctx context.Context) {
@@ -39,7 +39,7 @@
 	w.tasks, w.taskOrder = map[string]*taskStatus{}, nil
 	w.leaseExpiry = time.Now().Add(w.LeaseDuration)
 	if w.resumed != nil {
-		w.leaseExpiry = time.Now().Add(whileHung) // renewed when the machine resumes
+		w.leaseExpiry = time.Now().Add(hungLeaseDuration) // renewed when the machine resumes
 		w.expiredWhileHung = true
 	}
 	w.scheduleHeartbeat()
--- a/internal/fake/worker_test.go
+++ b/internal/fake/worker_test.go
@@ -20,7 +20,7 @@
 }
 
 func TestWorkerUnderPartitionsAndHangs(t *testing.T) {
-	const start = `{"baton":1,"stint":1,"orders":[{"verb":"start","piece":"job-1/%d","try":1}]}`
+	const startCommand = `{"baton":1,"stint":1,"orders":[{"verb":"start","piece":"job-1/%d","try":1}]}`
 	for _, test := range []struct {
 		name        string
 		rule        Rule
@@ -42,14 +42,14 @@
 				ctx, cancel := context.WithCancel(context.Background())
 				defer synctest.Wait()
 				defer cancel()
-				network, ends := NewNetwork(), []string{}
+				network, endCauses := NewNetwork(), []string{}
 				var received atomic.Int32
 				network.Listen("a:1", http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 					received.Add(1)
 					writeJSON(rw, 200, map[string]any{"baton": 1, "orders": []any{}})
 				}))
 				worker := newTestWorker(network, 2*time.Second)
-				worker.NotifyEvents(func(e Event) { ends = append(ends, e.Cause) })
+				worker.NotifyEvents(func(e Event) { endCauses = append(endCauses, e.Cause) })
 				network.SetRule(test.rule)
 				go worker.Run(ctx)
 				time.Sleep(time.Second)
@@ -57,7 +57,7 @@
 					worker.SetHung(true)
 				}
 				before := received.Load()
-				if code, _ := sendRequest(network, "a", "POST", "m:1/commands", fmt.Sprintf(start, 0)); code != test.command {
+				if code, _ := sendRequest(network, "a", "POST", "m:1/commands", fmt.Sprintf(startCommand, 0)); code != test.command {
 					t.Errorf("the direct command got status %d", code)
 				}
 				time.Sleep(max(test.hung, 8*time.Second) - 2*time.Second)
@@ -78,8 +78,8 @@
 				if worker.incarnation != test.incarnation {
 					t.Errorf("the worker has incarnation %d", worker.incarnation)
 				}
-				if test.incarnation == 2 && test.starts == 1 && ends[len(ends)-1] != "killed" {
-					t.Errorf("no task end was reported when the lease expired: %v", ends)
+				if test.incarnation == 2 && test.starts == 1 && endCauses[len(endCauses)-1] != "killed" {
+					t.Errorf("no task end was reported when the lease expired: %v", endCauses)
 				}
 				worker.mu.Unlock()
 				if got := network.ReleaseHeld(); (got > 0) != (test.name == "heartbeats copied") {
@@ -110,8 +110,8 @@
 		worker := newTestWorker(network, 10*time.Second)
 		go worker.Run(ctx)
 		time.Sleep(time.Second)
-		send := func(verb string, try int) string {
-			body, _ := json.Marshal(map[string]any{"baton": 1, "stint": 1, "orders": []any{map[string]any{"verb": verb, "piece": "job-1/0", "try": try}}})
+		send := func(verb string, attempt int) string {
+			body, _ := json.Marshal(map[string]any{"baton": 1, "stint": 1, "orders": []any{map[string]any{"verb": verb, "piece": "job-1/0", "try": attempt}}})
 			_, answer := sendRequest(network, "a", "POST", "m:1/commands", string(body))
 			return answer
 		}
--- a/internal/rehearsal/cluster.go
+++ b/internal/rehearsal/cluster.go
@@ -55,15 +55,15 @@
 	controllers []*controllerProcess
 
 	// mu guards the fields below.
-	mu      sync.Mutex
-	servers []*http.Server
-	workers map[string]*runningWorker // by machine
-	events  []Event
-	plans   map[string]taskPlan // by job
+	mu        sync.Mutex
+	servers   []*http.Server
+	workers   map[string]*runningWorker // by machine
+	events    []Event
+	taskSpecs map[string]taskSpec // by job
 }
 
-// taskPlan describes each task of a job.
-type taskPlan struct {
+// taskSpec describes each task of a job.
+type taskSpec struct {
 	team                string
 	cores, accelerators float64
 	duration            time.Duration // 0 means until it is stopped
@@ -89,35 +89,35 @@
 func newLocalCluster(options clusterOptions) (*localCluster, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	c := &localCluster{
-		store:    fake.NewStore(),
-		folder:   options.Folder,
-		program:  options.Program,
-		onChange: options.OnChange,
-		teams:    options.Teams,
-		started:  time.Now(),
-		network:  fake.NewNetwork(),
-		cloud:    newFakeCloud(options.Machines, options.Accelerators),
-		http:     &http.Client{Timeout: callTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: idleConnections}},
-		ctx:      ctx,
-		cancel:   cancel,
-		workers:  map[string]*runningWorker{},
-		plans:    map[string]taskPlan{},
+		store:     fake.NewStore(),
+		folder:    options.Folder,
+		program:   options.Program,
+		onChange:  options.OnChange,
+		teams:     options.Teams,
+		started:   time.Now(),
+		network:   fake.NewNetwork(),
+		cloud:     newFakeCloud(options.Machines, options.Accelerators),
+		http:      &http.Client{Timeout: callTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: idleConnections}},
+		ctx:       ctx,
+		cancel:    cancel,
+		workers:   map[string]*runningWorker{},
+		taskSpecs: map[string]taskSpec{},
 	}
 	c.cloud.boot, c.cloud.stop = c.startWorker, c.stopWorker
 	c.store.NotifyChanges(c.observeChange)
-	if err := c.prepare(options); err != nil {
+	if err := c.setUp(options); err != nil {
 		return nil, errors.Join(err, c.close())
 	}
 	return c, nil
 }
 
-// prepare starts the servers of the fakes and writes the controllers' files.
-func (c *localCluster) prepare(options clusterOptions) error {
-	state, err := c.serve(c.store)
+// setUp starts the servers of the fakes and writes the controllers' files.
+func (c *localCluster) setUp(options clusterOptions) error {
+	state, err := c.serveOnLoopback(c.store)
 	if err != nil {
 		return err
 	}
-	cloud, err := c.serve(c.cloud)
+	cloud, err := c.serveOnLoopback(c.cloud)
 	if err != nil {
 		return err
 	}
@@ -131,8 +131,8 @@
 	return err
 }
 
-// serve serves a fake on a loopback port until the cluster is closed.
-func (c *localCluster) serve(handler http.Handler) (address string, err error) {
+// serveOnLoopback serves a fake on a loopback port until the cluster is closed.
+func (c *localCluster) serveOnLoopback(handler http.Handler) (address string, err error) {
 	listener, err := listenOnLoopback()
 	if err != nil {
 		return "", err
@@ -156,7 +156,7 @@
 
 // observeChange handles a change of the state service.
 func (c *localCluster) observeChange(key string, value json.RawMessage) {
-	c.recordLedger(key, value)
+	c.recordLedgerChange(key, value)
 	if c.onChange != nil {
 		c.onChange(key, value)
 	}
@@ -170,8 +170,8 @@
 	c.events = append(c.events, event)
 }
 
-// recorded returns a copy of the events recorded so far.
-func (c *localCluster) recorded() []Event {
+// recordedEvents returns a copy of the events recorded so far.
+func (c *localCluster) recordedEvents() []Event {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]Event(nil), c.events...)
@@ -220,7 +220,7 @@
 
 // ready reports whether a controller is ready to receive requests from users.
 func (c *localCluster) ready(controller *controllerProcess) bool {
-	response, err := c.http.Get("http://" + controller.usersAddress + "/up")
+	response, err := c.http.Get("http://" + controller.clientAddress + "/up")
 	if err != nil {
 		return false
 	}
@@ -232,10 +232,10 @@
 const pollInterval = 200 * time.Millisecond
 
 // waitUntil waits until a condition holds or the run's deadline has passed.
-func waitUntil(deadline time.Time, what string, reached func() bool) error {
+func waitUntil(deadline time.Time, condition string, reached func() bool) error {
 	for !reached() {
 		if time.Now().After(deadline) {
-			return fmt.Errorf("%w: condition not reached: %s", errDeadlineExceeded, what)
+			return fmt.Errorf("%w: condition not reached: %s", errDeadlineExceeded, condition)
 		}
 		time.Sleep(pollInterval)
 	}
--- a/internal/rehearsal/controller_process.go
+++ b/internal/rehearsal/controller_process.go
@@ -8,25 +8,25 @@
 	"syscall"
 )
 
-// privateFile is the mode of the files that a rehearsal writes.
-const privateFile = 0o600
+// privateFileMode is the mode of the files that a rehearsal writes.
+const privateFileMode = 0o600
 
 // controllerProcess is a controller: its addresses, its files and its operating system process.
 type controllerProcess struct {
 	name                       string
-	usersAddress, peersAddress string
+	clientAddress, peerAddress string
 	settingsFile, logFile      string
 
 	// mu guards the fields below. It is held while signals are sent, but not while waiting for an exit.
 	mu      sync.Mutex
 	process *exec.Cmd
-	// ended is closed when the process has exited.
-	ended chan struct{}
+	// exited is closed when the process has exited.
+	exited chan struct{}
 }
 
 // start starts a controller's process.
 func (c *localCluster) start(controller *controllerProcess) error {
-	log, err := os.OpenFile(controller.logFile, os.O_CREATE|os.O_APPEND|os.O_WRONLY, privateFile)
+	log, err := os.OpenFile(controller.logFile, os.O_CREATE|os.O_APPEND|os.O_WRONLY, privateFileMode)
 	if err != nil {
 		return fmt.Errorf("open log file of controller %s: %w", controller.name, err)
 	}
@@ -37,13 +37,13 @@
 	if err := process.Start(); err != nil {
 		return fmt.Errorf("start process of controller %s: %w", controller.name, err)
 	}
-	ended := make(chan struct{})
+	exited := make(chan struct{})
 	go func() {
 		_ = process.Wait() // Wait returns an error because the process is killed
-		close(ended)
+		close(exited)
 	}()
 	controller.mu.Lock()
-	controller.process, controller.ended = process, ended
+	controller.process, controller.exited = process, exited
 	controller.mu.Unlock()
 	return nil
 }
@@ -82,10 +82,10 @@
 func (p *controllerProcess) kill() {
 	p.signal(syscall.SIGKILL)
 	p.mu.Lock()
-	ended := p.ended
+	exited := p.exited
 	p.mu.Unlock()
-	if ended != nil {
-		<-ended
+	if exited != nil {
+		<-exited
 	}
 }
 
--- a/internal/rehearsal/drain.go
+++ b/internal/rehearsal/drain.go
@@ -55,8 +55,9 @@
 	// leader that has not yet received a heartbeat from every machine provisions more machines, and
 	// idle machines are not returned during this rehearsal.
 	cloudCapacityFactor = 4
-	// minLowTaskDuration is the minimum duration of a task of a low-priority job; the maximum is twice that.
-	minLowTaskDuration = 8 * time.Second
+	// minLowPriorityTaskDuration is the minimum duration of a task of a low-priority job; the maximum is
+	// twice that.
+	minLowPriorityTaskDuration = 8 * time.Second
 )
 
 // drainFeatures returns the content of the features file, which sets the teams' disruption budgets.
@@ -70,9 +71,9 @@
 	return text.String()
 }
 
-// keepIdleMachines is the content of the operators' settings file. It prevents the return of idle
-// machines, because the rollout has to replace every machine.
-const keepIdleMachines = "idle_return_s: 3600\n"
+// keepIdleMachinesSettings is the content of the operators' settings file. It prevents the return of
+// idle machines, because the rollout has to replace every machine.
+const keepIdleMachinesSettings = "idle_return_s: 3600\n"
 
 // RunDrain runs a rollout that replaces all machines in waves while services and low-priority jobs
 // run and controllers, machines and replacements fail. It writes a record and a report even if the
@@ -86,7 +87,7 @@
 	}
 	cluster, err := newLocalCluster(clusterOptions{
 		Folder: options.Folder, Program: options.Program, Teams: quotas, Controllers: options.Controllers,
-		Machines: cloudCapacityFactor * options.Machines, Features: drainFeatures(teams), Operators: keepIdleMachines,
+		Machines: cloudCapacityFactor * options.Machines, Features: drainFeatures(teams), Operators: keepIdleMachinesSettings,
 		OnChange: run.observeChange,
 	})
 	if err != nil {
@@ -94,11 +95,11 @@
 	}
 	run.cluster = cluster
 	started := time.Now()
-	incomplete := run.runScenario()
-	findings := &DrainFindings{Seed: options.Seed, Teams: teams, Duration: time.Since(started), Events: cluster.recorded(), Changes: cluster.store.Epoch(),
+	scenarioErr := run.runScenario()
+	findings := &DrainFindings{Seed: options.Seed, Teams: teams, Duration: time.Since(started), Events: cluster.recordedEvents(), Changes: cluster.store.Epoch(),
 		PermitCounts: run.permitCounts(), CordonedMachines: run.cordonedMachines()}
-	if incomplete != nil {
-		findings.IncompleteReason = incomplete.Error()
+	if scenarioErr != nil {
+		findings.IncompleteReason = scenarioErr.Error()
 	}
 	closeErr := cluster.close()
 	findings.analyze()
--- a/internal/rehearsal/drain_analysis.go
+++ b/internal/rehearsal/drain_analysis.go
@@ -17,11 +17,11 @@
 	causeStopped = "stopped"
 )
 
-// noMove is the value of taskTimeline.move for a task that is not being moved.
+// noMove is the value of taskState.move for a task that is not being moved.
 const noMove = -1
 
-// taskTimeline is the state of a task at a point in the record.
-type taskTimeline struct {
+// taskState is the state of a task at a point in the record.
+type taskState struct {
 	team        string
 	service     bool
 	running     bool
@@ -44,20 +44,20 @@
 	for _, team := range f.Teams {
 		budgets[team.Name] = team
 	}
-	tasks := map[string]*taskTimeline{}
-	evicted := map[string]string{}
-	for _, event := range ordered(f.Events) {
+	tasks := map[string]*taskState{}
+	evictionReasons := map[string]string{}
+	for _, event := range sortedByTime(f.Events) {
 		switch event.Kind {
 		case EvictionStored:
-			evicted[event.Task] = event.Why
+			evictionReasons[event.Task] = event.Why
 		case RolloutHalted:
 			f.Halts = append(f.Halts, event.Why)
 		case TaskStarted, TaskEnded:
-			task := timelineOf(tasks, event)
+			task := taskStateOf(tasks, event)
 			if event.Kind == TaskStarted {
 				f.taskStarted(task, event)
 			} else {
-				f.taskEnded(task, event, evicted[event.Task])
+				f.taskEnded(task, event, evictionReasons[event.Task])
 			}
 			stoppedByDrain := event.Kind == TaskEnded && task.drained
 			f.sampleTeam(tasks, event, budgets[event.Team], stoppedByDrain)
@@ -66,11 +66,11 @@
 	f.measureRollout()
 }
 
-// timelineOf returns the state of an event's task, and creates it at the first event of the task.
-func timelineOf(tasks map[string]*taskTimeline, event Event) *taskTimeline {
+// taskStateOf returns the state of an event's task, and creates it at the first event of the task.
+func taskStateOf(tasks map[string]*taskState, event Event) *taskState {
 	task := tasks[event.Task]
 	if task == nil {
-		task = &taskTimeline{team: event.Team, service: isService(event.Job), cores: event.Cores, move: noMove}
+		task = &taskState{team: event.Team, service: isService(event.Job), cores: event.Cores, move: noMove}
 		tasks[event.Task] = task
 	}
 	return task
@@ -82,7 +82,7 @@
 }
 
 // taskStarted processes the start of a task, which completes the task's move if there is one.
-func (f *DrainFindings) taskStarted(task *taskTimeline, event Event) {
+func (f *DrainFindings) taskStarted(task *taskState, event Event) {
 	task.running, task.everStarted, task.drained, task.startedAt = true, true, false, event.At
 	if task.move != noMove {
 		move := &f.Moves[task.move]
@@ -92,7 +92,7 @@
 }
 
 // taskEnded processes the end of a task. Only drains stop tasks in this rehearsal.
-func (f *DrainFindings) taskEnded(task *taskTimeline, event Event, why string) {
+func (f *DrainFindings) taskEnded(task *taskState, event Event, why string) {
 	task.running, task.downAt = false, event.At
 	task.drained = event.Why == causeStopped
 	if !task.drained {
@@ -110,15 +110,16 @@
 
 // downCounts counts the tasks of a team that are down at a point in time.
 type downCounts struct {
-	// replicas counts the replicas that do not run, byDrains those that drains stopped, and known
-	// those that count against the budget because the controllers know that they are down.
-	replicas, byDrains, known int
+	// replicas counts the replicas that do not run, byDrains those that drains stopped, and
+	// countedReplicas those that count against the budget because the controllers know that they are
+	// down.
+	replicas, byDrains, countedReplicas int
 	// interrupted counts the tasks of other jobs that drains stopped.
 	interrupted int
 }
 
-// countDown counts the tasks of a team that are down at a point in time.
-func countDown(tasks map[string]*taskTimeline, team string, at time.Duration) (counts downCounts) {
+// countDownTasks counts the tasks of a team that are down at a point in time.
+func countDownTasks(tasks map[string]*taskState, team string, at time.Duration) (counts downCounts) {
 	for _, task := range tasks {
 		if task.team != team || !task.everStarted || task.running {
 			continue
@@ -134,7 +135,7 @@
 			counts.byDrains++
 		}
 		if task.drained || at-task.downAt > detectionDelay {
-			counts.known++
+			counts.countedReplicas++
 		}
 	}
 	return counts
@@ -142,17 +143,17 @@
 
 // sampleTeam samples the replicas of a team that are down after one of its tasks started or ended.
 // If a drain stopped the task, it also checks the team's budget.
-func (f *DrainFindings) sampleTeam(tasks map[string]*taskTimeline, event Event, team drainTeam, stoppedByDrain bool) {
-	down := countDown(tasks, event.Team, event.At)
+func (f *DrainFindings) sampleTeam(tasks map[string]*taskState, event Event, team drainTeam, stoppedByDrain bool) {
+	down := countDownTasks(tasks, event.Team, event.At)
 	if isService(event.Job) {
 		f.Down[event.Team] = append(f.Down[event.Team], DownSample{event.At, down.replicas, down.byDrains})
 	}
 	if !stoppedByDrain {
 		return
 	}
-	if down.byDrains > team.ReplicasDown || down.known > team.ReplicasDown || down.interrupted > team.TasksInterrupted {
+	if down.byDrains > team.ReplicasDown || down.countedReplicas > team.ReplicasDown || down.interrupted > team.TasksInterrupted {
 		f.Breaches = append(f.Breaches, fmt.Sprintf("at %v the stop of %s on %s left team %s with %d replicas down (%d stopped by drains) of at most %d, and %d other tasks interrupted of at most %d",
-			event.At.Round(time.Millisecond), event.Task, event.Where, team.Name, down.known, down.byDrains, team.ReplicasDown, down.interrupted, team.TasksInterrupted))
+			event.At.Round(time.Millisecond), event.Task, event.Where, team.Name, down.countedReplicas, down.byDrains, team.ReplicasDown, down.interrupted, team.TasksInterrupted))
 	}
 }
 
@@ -180,12 +181,12 @@
 	fastest := time.Hour
 	moves := map[string]int{}
 	for _, move := range f.Moves {
-		job := jobOf(move.Task)
+		job := jobOfTask(move.Task)
 		if !isService(job) || move.Downtime == 0 {
 			continue
 		}
 		fastest = min(fastest, move.Downtime)
-		moves[f.teamOf(job)]++
+		moves[f.teamOfJob(job)]++
 	}
 	for _, team := range f.Teams {
 		rounds := (moves[team.Name] + team.ReplicasDown - 1) / team.ReplicasDown
@@ -194,14 +195,14 @@
 	return shortest
 }
 
-// jobOf returns the ID of the job that a task belongs to.
-func jobOf(task string) string {
+// jobOfTask returns the ID of the job that a task belongs to.
+func jobOfTask(task string) string {
 	job, _, _ := strings.Cut(task, "/")
 	return job
 }
 
-// teamOf returns the team that owns a job, or an empty string if no event names it.
-func (f *DrainFindings) teamOf(job string) string {
+// teamOfJob returns the team that owns a job, or an empty string if no event names it.
+func (f *DrainFindings) teamOfJob(job string) string {
 	for _, event := range f.Events {
 		if event.Job == job && event.Team != "" {
 			return event.Team
--- a/internal/rehearsal/drain_analysis_test.go
+++ b/internal/rehearsal/drain_analysis_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-func TestDrainAnalysisShowsEachBreachOfABudget(t *testing.T) {
+func TestDrainAnalysisReportsBudgetBreaches(t *testing.T) {
 	// The team has two replicas, of which one may be down. A stop needs a stored permit, and a replica
 	// that failed long before counts against the budget.
 	second := time.Second
@@ -20,7 +20,7 @@
 	permit := func(at time.Duration, task string) Event {
 		return Event{At: at, Kind: EvictionStored, Job: "job-000001", Task: task, Why: "rollout spring, wave 1"}
 	}
-	up := []Event{start(0, "job-000001/0", "m1"), start(0, "job-000001/1", "m2"), permit(second, "job-000001/0"), permit(second, "job-000001/1")}
+	initialEvents := []Event{start(0, "job-000001/0", "m1"), start(0, "job-000001/1", "m2"), permit(second, "job-000001/0"), permit(second, "job-000001/1")}
 	for name, test := range map[string]struct {
 		events []Event
 		breach string
@@ -32,7 +32,7 @@
 		"a stop without a permit": {[]Event{start(2*second, "job-000001/2", "m1"), end(3*second, "job-000001/2", "m1", "stopped")}, "no permit was stored"},
 	} {
 		findings := DrainFindings{Teams: []drainTeam{{Team: Team{Name: "kiosk"}, Replicas: 2, ReplicasDown: 1}},
-			Events: append(slices.Clone(up), test.events...), IncompleteReason: "the time was up"}
+			Events: append(slices.Clone(initialEvents), test.events...), IncompleteReason: "the time was up"}
 		findings.analyze()
 		if breaches := strings.Join(findings.Breaches, "; "); test.breach == "" && breaches != "" || !strings.Contains(breaches, test.breach) {
 			t.Errorf("%s: breaches %q, want %q", name, breaches, test.breach)
--- a/internal/rehearsal/drain_calls.go
+++ b/internal/rehearsal/drain_client.go
@@ -18,23 +18,23 @@
 // The parts of the response to GET /v2/status that a rehearsal reads. Each controller reports its
 // own view, and only the leader reports Pool.
 type (
-	leaderPage struct {
+	leaderStatus struct {
 		Leader string `json:"owner"`
 		Node   string `json:"node"`
 	}
-	heardPage struct {
-		Pool *heardMachines `json:"pool"`
+	reportingStatus struct {
+		Pool *reportingMachines `json:"pool"`
 	}
-	heardMachines struct {
-		Heard int `json:"heard"`
+	reportingMachines struct {
+		Reporting int `json:"heard"`
 	}
-	cordonedPage struct {
+	cordonedStatus struct {
 		Pool *cordonedCount `json:"pool"`
 	}
 	cordonedCount struct {
 		Cordoned int `json:"cordoned"`
 	}
-	countsPage struct {
+	metricsStatus struct {
 		Counts map[string]int `json:"counts"`
 	}
 )
@@ -45,22 +45,22 @@
 	if err != nil {
 		return fmt.Errorf("encode command %s: %w", path, err)
 	}
-	var last error
-	for next := 0; time.Now().Before(deadline); next++ {
-		controller := r.cluster.controllers[next%len(r.cluster.controllers)]
-		last = r.postCommand(controller, path, raw)
-		if last == nil {
+	var lastErr error
+	for attempt := 0; time.Now().Before(deadline); attempt++ {
+		controller := r.cluster.controllers[attempt%len(r.cluster.controllers)]
+		lastErr = r.postCommand(controller, path, raw)
+		if lastErr == nil {
 			r.cluster.record(Event{Kind: CommandAccepted, Where: controller.name, Why: path})
 			return nil
 		}
 		time.Sleep(commandRetryInterval)
 	}
-	return fmt.Errorf("%w: no controller executed command %s: %w", errDeadlineExceeded, path, last)
+	return fmt.Errorf("%w: no controller executed command %s: %w", errDeadlineExceeded, path, lastErr)
 }
 
 // postCommand sends a command to one controller.
 func (r *drainRun) postCommand(controller *controllerProcess, path string, body []byte) error {
-	response, err := r.cluster.http.Post("http://"+controller.usersAddress+path, "application/json", bytes.NewReader(body))
+	response, err := r.cluster.http.Post("http://"+controller.clientAddress+path, "application/json", bytes.NewReader(body))
 	if err != nil {
 		return err
 	}
@@ -73,8 +73,8 @@
 }
 
 // fetchStatus calls GET /v2/status at a controller and decodes the part that page declares.
-func (r *drainRun) fetchStatus(controller *controllerProcess, page any) error {
-	response, err := r.cluster.http.Get("http://" + controller.usersAddress + "/v2/status")
+func (r *drainRun) fetchStatus(controller *controllerProcess, status any) error {
+	response, err := r.cluster.http.Get("http://" + controller.clientAddress + "/v2/status")
 	if err != nil {
 		return err
 	}
@@ -83,7 +83,7 @@
 	if err != nil {
 		return fmt.Errorf("read status of controller %s: %w", controller.name, err)
 	}
-	if err := json.Unmarshal(raw, page); err != nil {
+	if err := json.Unmarshal(raw, status); err != nil {
 		return fmt.Errorf("decode status of controller %s: %w", controller.name, err)
 	}
 	return nil
@@ -93,12 +93,12 @@
 // the first controller if none does.
 func (r *drainRun) leader() *controllerProcess {
 	for _, controller := range r.cluster.controllers {
-		var page leaderPage
-		if r.fetchStatus(controller, &page) != nil || page.Leader == "" {
+		var status leaderStatus
+		if r.fetchStatus(controller, &status) != nil || status.Leader == "" {
 			continue
 		}
 		for _, other := range r.cluster.controllers {
-			if other.name == page.Leader {
+			if other.name == status.Leader {
 				return other
 			}
 		}
@@ -111,12 +111,12 @@
 func (r *drainRun) permitCounts() map[string]int {
 	sums := map[string]int{}
 	for _, controller := range r.cluster.controllers {
-		var page countsPage
-		if r.fetchStatus(controller, &page) != nil {
+		var status metricsStatus
+		if r.fetchStatus(controller, &status) != nil {
 			continue
 		}
 		for _, name := range []string{rollout.PermitsGiven, rollout.PermitsRefused} {
-			sums[name] += page.Counts[name]
+			sums[name] += status.Counts[name]
 		}
 	}
 	return sums
@@ -128,9 +128,9 @@
 // cordonedMachines returns the number of machines that the leader reports as cordoned, or unknownCount.
 func (r *drainRun) cordonedMachines() int {
 	for _, controller := range r.cluster.controllers {
-		var page cordonedPage
-		if r.fetchStatus(controller, &page) == nil && page.Pool != nil {
-			return page.Pool.Cordoned
+		var status cordonedStatus
+		if r.fetchStatus(controller, &status) == nil && status.Pool != nil {
+			return status.Pool.Cordoned
 		}
 	}
 	return unknownCount
--- a/internal/rehearsal/drain_faults.go
+++ b/internal/rehearsal/drain_faults.go
@@ -78,24 +78,24 @@
 	r.cluster.record(Event{Kind: FaultInjected, Where: "cloud", Why: "the next machine rented never comes up"})
 }
 
-// resumeInterval is the interval at which the simulated operator checks the rollout.
-const resumeInterval = time.Second
+// operatorCheckInterval is the interval at which the simulated operator checks the rollout.
+const operatorCheckInterval = time.Second
 
-// resumeHalted simulates the operator until stop is closed: whenever the rollout halts, it records
+// resumeHaltedRollout simulates the operator until stop is closed: whenever the rollout halts, it records
 // the reason and resumes the rollout.
-func (r *drainRun) resumeHalted(deadline time.Time, stop <-chan struct{}) {
+func (r *drainRun) resumeHaltedRollout(deadline time.Time, stop <-chan struct{}) {
 	for {
 		select {
 		case <-stop:
 			return
-		case <-time.After(resumeInterval):
+		case <-time.After(operatorCheckInterval):
 		}
 		if stored := r.storedRollout(); stored.State == rollout.Halted {
 			r.cluster.record(Event{Kind: RolloutHalted, Why: stored.Reason})
 			if r.sendCommand(deadline, rollout.Path+"/"+string(rolloutName)+"/"+string(rollout.CommandResume), nil) != nil {
 				return // the run's deadline has passed
 			}
-			time.Sleep(resumeInterval)
+			time.Sleep(operatorCheckInterval)
 		}
 	}
 }
--- a/internal/rehearsal/drain_observer.go
+++ b/internal/rehearsal/drain_observer.go
@@ -47,12 +47,12 @@
 	}
 }
 
-// stateThrough is the key under which machinesByState counts the machines that a rollout has completed.
-const stateThrough = "through"
+// stateCompleted is the key under which machinesByState counts the machines that a rollout has completed.
+const stateCompleted = "through"
 
 // machinesByState counts a rollout's machines by their state.
 func machinesByState(stored *rollout.Record) map[string]int {
-	counts := map[string]int{stateThrough: stored.Done}
+	counts := map[string]int{stateCompleted: stored.Done}
 	inWave := 0
 	if stored.Wave != nil {
 		for state, machines := range stored.Wave.Machines {
--- a/internal/rehearsal/drain_report.go
+++ b/internal/rehearsal/drain_report.go
@@ -26,7 +26,7 @@
 	for _, c := range []curve{
 		{name: "down, for whatever reason", points: down, color: silverLine, stepped: true},
 		{name: "down by drains", points: byDrains, color: blueLine, stepped: true},
-		{name: "budget", points: level(float64(team.ReplicasDown), duration), color: redLine, stepped: true, dashed: true},
+		{name: "budget", points: horizontalLine(float64(team.ReplicasDown), duration), color: redLine, stepped: true, dashed: true},
 	} {
 		if err := addCurve(p, c); err != nil {
 			return "", err
@@ -46,7 +46,7 @@
 		{string(rollout.Draining), "being emptied", orangeLine},
 		{string(rollout.Returned), "returned", purpleLine},
 		{string(rollout.Replaced), "replacement observed", blueLine},
-		{stateThrough, "through", greenLine},
+		{stateCompleted, "through", greenLine},
 	} {
 		points := statePoints(events, c.state)
 		if len(points) == 0 {
@@ -69,8 +69,8 @@
 	return points
 }
 
-// drainPage is the data of the report template.
-type drainPage struct {
+// drainReportData is the data of the report template.
+type drainReportData struct {
 	*DrainFindings
 	Plots          []template.HTML
 	Timeline       []Event // changes of the rollout, commands and faults
@@ -84,36 +84,36 @@
 const maxListedMoves = 400
 
 // ListedMoves returns the moves that the report lists, the earliest first.
-func (p *drainPage) ListedMoves() []Move { return p.Moves[:min(len(p.Moves), maxListedMoves)] }
+func (d *drainReportData) ListedMoves() []Move { return d.Moves[:min(len(d.Moves), maxListedMoves)] }
 
 //go:embed drain_report.html
 var drainTemplateText string
 
-var drainTemplate = template.Must(template.New("drain").Funcs(template.FuncMap{"seconds": secondsText}).Parse(drainTemplateText))
+var drainTemplate = template.Must(template.New("drain").Funcs(template.FuncMap{"seconds": formatSeconds}).Parse(drainTemplateText))
 
 // report renders the findings as an HTML page.
 func (f *DrainFindings) report() ([]byte, error) {
-	page := drainPage{DrainFindings: f, PermitsGiven: f.PermitCounts[rollout.PermitsGiven], PermitsRefused: f.PermitCounts[rollout.PermitsRefused],
+	data := drainReportData{DrainFindings: f, PermitsGiven: f.PermitCounts[rollout.PermitsGiven], PermitsRefused: f.PermitCounts[rollout.PermitsRefused],
 		Verdict: "No drain took more of a team down than its budget, every job is accounted for, and nothing was left behind."}
 	if f.Failed() {
-		page.Verdict = "This run failed: see below."
+		data.Verdict = "This run failed: see below."
 	}
 	var err error
-	if page.Plots, err = f.plots(); err != nil {
+	if data.Plots, err = f.plots(); err != nil {
 		return nil, err
 	}
 	for _, move := range f.Moves {
-		if isService(jobOf(move.Task)) {
-			page.ReplicaMoves++
+		if isService(jobOfTask(move.Task)) {
+			data.ReplicaMoves++
 		}
 	}
 	for _, event := range f.Events {
 		if event.Kind == FaultInjected || event.Kind == RolloutStored || event.Kind == CommandAccepted {
-			page.Timeline = append(page.Timeline, event)
+			data.Timeline = append(data.Timeline, event)
 		}
 	}
 	var out bytes.Buffer
-	err = drainTemplate.Execute(&out, &page)
+	err = drainTemplate.Execute(&out, &data)
 	return out.Bytes(), err
 }
 
--- a/internal/rehearsal/drain_scenario.go
+++ b/internal/rehearsal/drain_scenario.go
@@ -9,8 +9,8 @@
 	"github.com/pebbletrail/pebbletrail/internal/rollout"
 )
 
-// serviceCores is the number of cores that each service replica uses.
-const serviceCores = 2
+// replicaCores is the number of cores that each service replica uses.
+const replicaCores = 2
 
 // runScenario starts the machines, the controllers and the services, then replaces all machines
 // while faults are injected and low-priority jobs run. It returns when the rollout has ended, all
@@ -33,13 +33,15 @@
 		return err
 	}
 	var users sync.WaitGroup
-	users.Go(func() { c.submitAll(lowJobs(rng, r.options.Jobs, r.teams[len(r.teams)-1].Name), r.options.Seed) })
+	users.Go(func() {
+		c.submitAll(lowPriorityJobs(rng, r.options.Jobs, r.teams[len(r.teams)-1].Name), r.options.Seed)
+	})
 	if err := r.startRollout(deadline); err != nil {
 		return err
 	}
 	var operator sync.WaitGroup
 	stop := make(chan struct{})
-	operator.Go(func() { r.resumeHalted(deadline, stop) })
+	operator.Go(func() { r.resumeHaltedRollout(deadline, stop) })
 	defer operator.Wait()
 	defer close(stop)
 	if err := r.injectFaults(rand.New(rand.NewPCG(r.options.Seed, faultStream)), deadline); err != nil {
@@ -52,21 +54,21 @@
 	if err := r.awaitReplicas(deadline); err != nil {
 		return err
 	}
-	return r.awaitJobs(deadline)
+	return r.awaitLowPriorityJobs(deadline)
 }
 
 func (r *drainRun) submitServices(rng *rand.Rand) {
 	for i, team := range r.teams {
 		r.cluster.submit(submission{ID: fmt.Sprintf("job-%06d", i+1), Team: team.Name, Shape: shapeService, Priority: priorityNormal,
-			Tasks: team.Replicas, Cores: serviceCores}, rng)
+			Tasks: team.Replicas, Cores: replicaCores}, rng)
 	}
 }
 
-// lowJobs returns low-priority jobs of one to three short tasks, which rollouts may interrupt.
-func lowJobs(rng *rand.Rand, count int, team string) (jobs []submission) {
+// lowPriorityJobs returns low-priority jobs of one to three short tasks, which rollouts may interrupt.
+func lowPriorityJobs(rng *rand.Rand, count int, team string) (jobs []submission) {
 	for i := range count {
 		jobs = append(jobs, submission{ID: fmt.Sprintf("job-1%06d", i), Team: team, Shape: shapeArray, Priority: priorityLow,
-			Tasks: 1 + rng.IntN(3), Cores: 1, TaskDuration: minLowTaskDuration + time.Duration(rng.Int64N(int64(minLowTaskDuration)))})
+			Tasks: 1 + rng.IntN(3), Cores: 1, TaskDuration: minLowPriorityTaskDuration + time.Duration(rng.Int64N(int64(minLowPriorityTaskDuration)))})
 	}
 	return jobs
 }
@@ -79,8 +81,8 @@
 }
 
 // awaitRollout waits until the stored rollout record satisfies a condition.
-func (r *drainRun) awaitRollout(deadline time.Time, what string, reached func(rollout.Record) bool) error {
-	return waitUntil(deadline, what, func() bool { return reached(r.storedRollout()) })
+func (r *drainRun) awaitRollout(deadline time.Time, condition string, reached func(rollout.Record) bool) error {
+	return waitUntil(deadline, condition, func() bool { return reached(r.storedRollout()) })
 }
 
 // awaitMachines waits until the leader has received a heartbeat from every machine: for jobs
@@ -88,8 +90,8 @@
 func (r *drainRun) awaitMachines(deadline time.Time) error {
 	return waitUntil(deadline, "all machines were heard", func() bool {
 		for _, controller := range r.cluster.controllers {
-			var page heardPage
-			if r.fetchStatus(controller, &page) == nil && page.Pool != nil && page.Pool.Heard >= r.options.Machines {
+			var status reportingStatus
+			if r.fetchStatus(controller, &status) == nil && status.Pool != nil && status.Pool.Reporting >= r.options.Machines {
 				return true
 			}
 		}
@@ -103,16 +105,16 @@
 	for _, team := range r.teams {
 		wanted += team.Replicas
 	}
-	err := waitUntil(deadline, fmt.Sprintf("all %d replicas ran", wanted), func() bool { return runningTasks(r.cluster.recorded(), isService) == wanted })
+	err := waitUntil(deadline, fmt.Sprintf("all %d replicas ran", wanted), func() bool { return countRunningTasks(r.cluster.recordedEvents(), isService) == wanted })
 	if err == nil {
 		time.Sleep(readyTime)
 	}
 	return err
 }
 
-// awaitJobs waits until every accepted low-priority job is done.
-func (r *drainRun) awaitJobs(deadline time.Time) error {
+// awaitLowPriorityJobs waits until every accepted low-priority job is done.
+func (r *drainRun) awaitLowPriorityJobs(deadline time.Time) error {
 	return waitUntil(deadline, "all low jobs were done", func() bool {
-		return countJobs(r.cluster.recorded()).unfinished() == 0
+		return countJobs(r.cluster.recordedEvents()).unfinished() == 0
 	})
 }
--- a/internal/rehearsal/fake_cloud.go
+++ b/internal/rehearsal/fake_cloud.go
@@ -150,13 +150,13 @@
 		return
 	}
 	for _, name := range request.Names {
-		at := slices.IndexFunc(c.machines, func(machine *cloudMachine) bool { return machine.Name == name })
-		if at < 0 {
+		index := slices.IndexFunc(c.machines, func(machine *cloudMachine) bool { return machine.Name == name })
+		if index < 0 {
 			continue
 		}
 		c.stop(name)
 		c.capacity++
-		c.machines = slices.Delete(c.machines, at, at+1)
+		c.machines = slices.Delete(c.machines, index, index+1)
 	}
 	writeJSON(w, http.StatusOK, struct{}{})
 }
--- a/internal/rehearsal/fake_cloud_test.go
+++ b/internal/rehearsal/fake_cloud_test.go
@@ -4,10 +4,10 @@
 	"testing"
 )
 
-func TestFakeCloudRentsUpToItsCapacity(t *testing.T) {
+func TestFakeCloudProvisionsUpToItsCapacity(t *testing.T) {
 	t.Parallel()
 	// Booted machines listen on real sockets, which closing the cluster closes.
-	cluster, err := newLocalCluster(clusterOptions{Folder: t.TempDir(), Program: "/nonexistent", Teams: []Team{red}, Controllers: 2, Machines: 2})
+	cluster, err := newLocalCluster(clusterOptions{Folder: t.TempDir(), Program: "/nonexistent", Teams: []Team{redTeam}, Controllers: 2, Machines: 2})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/rehearsal/fake_machines.go
+++ b/internal/rehearsal/fake_machines.go
@@ -27,7 +27,7 @@
 		HeartbeatInterval: heartbeatInterval, LeaseDuration: workerLease}
 	worker.NotifyEvents(c.recordTaskEvent)
 	for _, controller := range c.controllers {
-		worker.Controllers = append(worker.Controllers, controller.usersAddress)
+		worker.Controllers = append(worker.Controllers, controller.clientAddress)
 		worker.ControllerNames = append(worker.ControllerNames, controller.name)
 	}
 	ctx, stop := context.WithCancel(c.ctx)
@@ -57,17 +57,17 @@
 // recordTaskEvent records a start or end of a task on a worker. When a task starts, it schedules the
 // task's end after the task's duration. It is called while the worker's lock is held.
 func (c *localCluster) recordTaskEvent(event fake.Event) {
-	job := jobOf(event.Task)
+	job := jobOfTask(event.Task)
 	c.mu.Lock()
-	plan := c.plans[job]
+	spec := c.taskSpecs[job]
 	c.mu.Unlock()
 	kind := TaskEnded
 	if event.Start {
 		kind = TaskStarted
-		if plan.duration > 0 {
-			time.AfterFunc(plan.duration, func() { event.Worker.EndTask(event.Task, causeDone) })
+		if spec.duration > 0 {
+			time.AfterFunc(spec.duration, func() { event.Worker.EndTask(event.Task, causeDone) })
 		}
 	}
-	c.record(Event{Kind: kind, Team: plan.team, Job: job, Task: event.Task, Where: event.Worker.Name, Why: event.Cause,
-		Cores: plan.cores, Accelerators: plan.accelerators})
+	c.record(Event{Kind: kind, Team: spec.team, Job: job, Task: event.Task, Where: event.Worker.Name, Why: event.Cause,
+		Cores: spec.cores, Accelerators: spec.accelerators})
 }
--- a/internal/rehearsal/job_counts.go
+++ b/internal/rehearsal/job_counts.go
@@ -6,8 +6,8 @@
 // unfinished returns the number of jobs that are not done.
 func (c jobCounts) unfinished() int { return c.Running + c.Waiting }
 
-// jobTimeline is the state of a low-priority job.
-type jobTimeline struct {
+// jobState is the state of a low-priority job.
+type jobState struct {
 	accepted bool
 	moved    bool
 	// tasks maps each task that ever started to the cause of its last end, or to taskRunning.
@@ -20,7 +20,7 @@
 // countJobs counts the accepted low-priority jobs as done, running or waiting. A job counts as done
 // once every task that ever started is done, because events of workers show started tasks only.
 func countJobs(events []Event) (counts jobCounts) {
-	for _, job := range jobTimelines(events) {
+	for _, job := range finalJobStates(events) {
 		if !job.accepted {
 			continue
 		}
@@ -44,16 +44,16 @@
 	return counts
 }
 
-// jobTimelines returns the state of each low-priority job at the end of the record.
-func jobTimelines(events []Event) map[string]*jobTimeline {
-	jobs := map[string]*jobTimeline{}
-	for _, event := range ordered(events) {
+// finalJobStates returns the state of each low-priority job at the end of the record.
+func finalJobStates(events []Event) map[string]*jobState {
+	jobs := map[string]*jobState{}
+	for _, event := range sortedByTime(events) {
 		if isService(event.Job) || event.Job == "" {
 			continue
 		}
 		job := jobs[event.Job]
 		if job == nil {
-			job = &jobTimeline{tasks: map[string]string{}}
+			job = &jobState{tasks: map[string]string{}}
 			jobs[event.Job] = job
 		}
 		switch event.Kind {
--- a/internal/rehearsal/waits.go
+++ b/internal/rehearsal/job_waits.go
@@ -8,10 +8,10 @@
 // anyJob selects every job.
 func anyJob(string) bool { return true }
 
-// startWaits returns the wait of each chosen job that was accepted: the time from the first answer
-// to its submission, which may be a refusal, to the first start of a task. The chosen jobs that
-// were accepted but have not started are returned as unstarted.
-func startWaits(events []Event, chosen func(job string) bool) (waits []time.Duration, unstarted []string) {
+// startWaits returns the wait of each accepted job that matches: the time from the first answer to
+// its submission, which may be a refusal, to the first start of a task. It returns the accepted jobs
+// that match but have not started as unstarted.
+func startWaits(events []Event, matches func(job string) bool) (waits []time.Duration, unstarted []string) {
 	answered, started := map[string]time.Duration{}, map[string]time.Duration{}
 	accepted := map[string]bool{}
 	for _, event := range events {
@@ -30,7 +30,7 @@
 	for job := range accepted {
 		firstStart, found := started[job]
 		switch {
-		case !chosen(job) || !accepted[job]:
+		case !matches(job) || !accepted[job]:
 		case !found:
 			unstarted = append(unstarted, job)
 		default:
@@ -42,11 +42,11 @@
 	return waits, unstarted
 }
 
-// runningTasks returns the number of tasks of the chosen jobs that have started and not ended.
-func runningTasks(events []Event, chosen func(job string) bool) (running int) {
+// countRunningTasks returns the number of tasks of matching jobs that have started and not ended.
+func countRunningTasks(events []Event, matches func(job string) bool) (running int) {
 	for _, event := range events {
 		switch {
-		case !chosen(event.Job):
+		case !matches(event.Job):
 		case event.Kind == TaskStarted:
 			running++
 		case event.Kind == TaskEnded:
--- a/internal/rehearsal/ledgers.go
+++ b/internal/rehearsal/ledgers.go
@@ -8,8 +8,8 @@
 	"github.com/pebbletrail/pebbletrail/internal/quota"
 )
 
-// recordLedger records a change if it changed a team's ledger.
-func (c *localCluster) recordLedger(key string, value json.RawMessage) {
+// recordLedgerChange records a change if it changed a team's ledger.
+func (c *localCluster) recordLedgerChange(key string, value json.RawMessage) {
 	team, found := strings.CutPrefix(key, quota.LedgerKey(""))
 	var ledger quota.Ledger
 	if !found || json.Unmarshal(value, &ledger) != nil {
@@ -22,16 +22,16 @@
 func describeLedger(l *quota.Ledger) string {
 	parts := make([]string, 0, len(l.Accounts)+2)
 	for shard, account := range l.Accounts {
-		parts = append(parts, fmt.Sprintf("shard %d: %s", shard, amountText(account.Allowance)))
+		parts = append(parts, fmt.Sprintf("shard %d: %s", shard, formatAmount(account.Allowance)))
 	}
-	parts = append(parts, "reserve: "+amountText(l.Reserve))
+	parts = append(parts, "reserve: "+formatAmount(l.Reserve))
 	if !l.Overcommitted.IsZero() {
-		parts = append(parts, "above the limit: "+amountText(l.Overcommitted))
+		parts = append(parts, "above the limit: "+formatAmount(l.Overcommitted))
 	}
 	return strings.Join(parts, "; ")
 }
 
-func amountText(a quota.Amount) string {
+func formatAmount(a quota.Amount) string {
 	room := a.Room()
 	if room.Accels == 0 {
 		return fmt.Sprintf("%g cores", room.Cores)
--- a/internal/rehearsal/plots.go
+++ b/internal/rehearsal/plots.go
@@ -80,10 +80,10 @@
 	return nil
 }
 
-// level returns the points of a horizontal line that spans a run.
-func level(height float64, duration time.Duration) plotter.XYs {
+// horizontalLine returns the points of a horizontal line that spans a run.
+func horizontalLine(height float64, duration time.Duration) plotter.XYs {
 	return plotter.XYs{{X: 0, Y: height}, {X: duration.Seconds(), Y: height}}
 }
 
-// secondsText formats a duration for reports.
-func secondsText(d time.Duration) string { return fmt.Sprintf("%.1f s", d.Seconds()) }
+// formatSeconds formats a duration for reports.
+func formatSeconds(d time.Duration) string { return fmt.Sprintf("%.1f s", d.Seconds()) }
--- a/internal/rehearsal/quota.go
+++ b/internal/rehearsal/quota.go
@@ -53,11 +53,11 @@
 		return nil, err
 	}
 	started := time.Now()
-	submitted, incomplete := runQuotaScenario(cluster, options)
-	findings := &QuotaFindings{Seed: options.Seed, Teams: teams, Duration: time.Since(started), Within: options.Within, Events: cluster.recorded(),
+	submitted, scenarioErr := runQuotaScenario(cluster, options)
+	findings := &QuotaFindings{Seed: options.Seed, Teams: teams, Duration: time.Since(started), Within: options.Within, Events: cluster.recordedEvents(),
 		Jobs: submitted, Changes: cluster.store.Epoch()}
-	if incomplete != nil {
-		findings.IncompleteReason = incomplete.Error()
+	if scenarioErr != nil {
+		findings.IncompleteReason = scenarioErr.Error()
 	}
 	closeErr := cluster.close()
 	findings.analyze()
--- a/internal/rehearsal/quota_findings.go
+++ b/internal/rehearsal/quota_findings.go
@@ -12,7 +12,7 @@
 	Seed     uint64
 	Teams    []Team
 	Duration time.Duration
-	Samples  map[string][]Sample
+	Samples  map[string][]UsageSample
 	Breaches []Breach
 	// GuaranteeWaits holds the times that the guaranteed team's jobs waited for their first start,
 	// in ascending order. Each may be Within at most.
@@ -34,7 +34,7 @@
 // Failed reports whether the run violated a requirement, started no task, or is incomplete.
 func (f *QuotaFindings) Failed() bool {
 	return len(f.Breaches) > 0 || len(f.OnTwoMachines) > 0 || len(f.NeverStarted) > 0 || f.IncompleteReason != "" ||
-		f.slowestGuarantee() > f.Within || f.Starts == 0
+		f.longestGuaranteeWait() > f.Within || f.Starts == 0
 }
 
 // Print writes a summary of the outcome.
@@ -55,8 +55,8 @@
 	return err
 }
 
-// slowestGuarantee returns the longest wait of the guaranteed team's jobs, or 0 if none of them started.
-func (f *QuotaFindings) slowestGuarantee() time.Duration {
+// longestGuaranteeWait returns the longest wait of the guaranteed team's jobs, or 0 if none of them started.
+func (f *QuotaFindings) longestGuaranteeWait() time.Duration {
 	if len(f.GuaranteeWaits) == 0 {
 		return 0
 	}
--- a/internal/rehearsal/quota_findings_test.go
+++ b/internal/rehearsal/quota_findings_test.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-func TestIncompleteRunLeavesItsRecordAndReport(t *testing.T) {
+func TestIncompleteRunWritesRecordAndReport(t *testing.T) {
 	t.Parallel()
 	folder := t.TempDir()
-	findings := &QuotaFindings{Teams: []Team{red}, Duration: 10 * time.Second, Within: time.Second,
-		Events: breachTimeline(), IncompleteReason: "the time was up"}
+	findings := &QuotaFindings{Teams: []Team{redTeam}, Duration: 10 * time.Second, Within: time.Second,
+		Events: breachEvents(), IncompleteReason: "the time was up"}
 	findings.analyze()
 	if !findings.Failed() {
 		t.Error("Failed returned false for an incomplete run with a breach")
@@ -21,7 +21,7 @@
 		t.Fatal(err)
 	}
 	events, err := ReadRecord(filepath.Join(folder, "record.jsonl.zst"))
-	if err != nil || !reflect.DeepEqual(events, breachTimeline()) {
+	if err != nil || !reflect.DeepEqual(events, breachEvents()) {
 		t.Errorf("ReadRecord returned events %v, error %v", events, err)
 	}
 	page, err := findings.report()
--- a/internal/rehearsal/quota_report.go
+++ b/internal/rehearsal/quota_report.go
@@ -9,8 +9,8 @@
 	"gonum.org/v1/plot/plotter"
 )
 
-// teamPlot plots the cores or accelerators that a team used over time, with its limit and guarantee.
-func teamPlot(team Team, samples []Sample, duration time.Duration, accelerators bool) (template.HTML, error) {
+// usagePlot plots the cores or accelerators that a team used over time, with its limit and guarantee.
+func usagePlot(team Team, samples []UsageSample, duration time.Duration, accelerators bool) (template.HTML, error) {
 	unit, limit, guarantee := "cores", team.Limit, team.Guarantee
 	if accelerators {
 		unit, limit, guarantee = "accelerators", team.LimitAccelerators, team.GuaranteeAccelerators
@@ -20,10 +20,10 @@
 	p.Add(plotter.NewGrid())
 	curves := []curve{{name: "in use", points: usagePoints(samples, duration, accelerators), color: blueLine, stepped: true}}
 	if limit > 0 {
-		curves = append(curves, curve{name: "limit", points: level(limit, duration), color: redLine, dashed: true})
+		curves = append(curves, curve{name: "limit", points: horizontalLine(limit, duration), color: redLine, dashed: true})
 	}
 	if guarantee > 0 {
-		curves = append(curves, curve{name: "guarantee", points: level(guarantee, duration), color: greenLine, dashed: true})
+		curves = append(curves, curve{name: "guarantee", points: horizontalLine(guarantee, duration), color: greenLine, dashed: true})
 	}
 	for _, c := range curves {
 		if err := addCurve(p, c); err != nil {
@@ -34,7 +34,7 @@
 }
 
 // usagePoints returns the cores or accelerators of a team's samples, from the start of the run to its end.
-func usagePoints(samples []Sample, duration time.Duration, accelerators bool) plotter.XYs {
+func usagePoints(samples []UsageSample, duration time.Duration, accelerators bool) plotter.XYs {
 	points := plotter.XYs{{}}
 	for _, sample := range samples {
 		value := sample.Cores
@@ -46,8 +46,8 @@
 	return append(points, plotter.XY{X: duration.Seconds(), Y: points[len(points)-1].Y})
 }
 
-// quotaPage is the data of the report template.
-type quotaPage struct {
+// quotaReportData is the data of the report template.
+type quotaReportData struct {
 	*QuotaFindings
 	Plots          []template.HTML
 	RefusalReasons []refusalReason
@@ -71,35 +71,35 @@
 //go:embed quota_report.html
 var quotaTemplateText string
 
-var quotaTemplate = template.Must(template.New("quota").Funcs(template.FuncMap{"seconds": secondsText}).Parse(quotaTemplateText))
+var quotaTemplate = template.Must(template.New("quota").Funcs(template.FuncMap{"seconds": formatSeconds}).Parse(quotaTemplateText))
 
 // report renders the findings as an HTML page.
 func (f *QuotaFindings) report() ([]byte, error) {
-	page := quotaPage{QuotaFindings: f, SlowestGuarantee: f.slowestGuarantee(), RefusalReasons: refusalReasons(f.Events),
+	data := quotaReportData{QuotaFindings: f, SlowestGuarantee: f.longestGuaranteeWait(), RefusalReasons: refusalReasons(f.Events),
 		Verdict: "No team used more than its limit at any moment, and every guarantee was reached in time."}
 	if f.Failed() {
-		page.Verdict = "This run failed: see below."
+		data.Verdict = "This run failed: see below."
 	}
 	for _, team := range f.Teams {
 		for _, accelerators := range []bool{false, true} {
-			svg, err := teamPlot(team, f.Samples[team.Name], f.Duration, accelerators)
+			svg, err := usagePlot(team, f.Samples[team.Name], f.Duration, accelerators)
 			if err != nil {
 				return nil, err
 			}
-			page.Plots = append(page.Plots, svg)
+			data.Plots = append(data.Plots, svg)
 		}
 	}
 	for _, event := range f.Events {
 		switch {
 		case event.Kind == FaultInjected:
-			page.Faults = append(page.Faults, event)
-		case event.Kind == LedgerChanged && len(page.LedgerChanges) < maxListedTransfers:
-			page.LedgerChanges = append(page.LedgerChanges, event)
+			data.Faults = append(data.Faults, event)
+		case event.Kind == LedgerChanged && len(data.LedgerChanges) < maxListedTransfers:
+			data.LedgerChanges = append(data.LedgerChanges, event)
 		}
 	}
-	page.TransferRate = float64(f.Transfers) / max(f.Duration.Minutes(), 1e-9)
+	data.TransferRate = float64(f.Transfers) / max(f.Duration.Minutes(), 1e-9)
 	var out bytes.Buffer
-	err := quotaTemplate.Execute(&out, &page)
+	err := quotaTemplate.Execute(&out, &data)
 	return out.Bytes(), err
 }
 
--- a/internal/rehearsal/quota_scenario.go
+++ b/internal/rehearsal/quota_scenario.go
@@ -10,7 +10,7 @@
 
 // Load: waves of jobs of the borrowing teams. During each wave, the guaranteed team submits a few probe jobs.
 const (
-	waves         = 2
+	loadWaves     = 2
 	probesPerWave = 3
 	probeInterval = 6 * time.Second
 	probeDuration = 3 * time.Second
@@ -35,7 +35,7 @@
 	var faults sync.WaitGroup
 	faults.Go(func() { cluster.injectFaults(rand.New(rand.NewPCG(options.Seed, faultStream)), stop) })
 	var users sync.WaitGroup
-	for wave := range waves {
+	for wave := range loadWaves {
 		jobs := borrowingJobs(rng, wave, options.Jobs)
 		submitted += len(jobs)
 		users.Go(func() { cluster.submitAll(jobs, options.Seed) })
@@ -49,7 +49,7 @@
 	users.Wait()
 	close(stop)
 	faults.Wait()
-	return submitted, cluster.awaitEnd(deadline)
+	return submitted, cluster.awaitAllJobs(deadline)
 }
 
 // borrowingJobs returns one wave of jobs of the two borrowing teams.
@@ -83,14 +83,14 @@
 		Tasks: 2, Cores: 1, TaskDuration: probeDuration}
 }
 
-// endPollInterval is the interval at which awaitEnd checks whether all jobs have run.
-const endPollInterval = 500 * time.Millisecond
+// jobsPollInterval is the interval at which awaitAllJobs checks whether all jobs have run.
+const jobsPollInterval = 500 * time.Millisecond
 
-// awaitEnd waits until every accepted job has started and no task is running.
-func (c *localCluster) awaitEnd(deadline time.Time) error {
-	for ; time.Now().Before(deadline); time.Sleep(endPollInterval) {
-		events := c.recorded()
-		if _, unstarted := startWaits(events, anyJob); len(unstarted) == 0 && runningTasks(events, anyJob) == 0 {
+// awaitAllJobs waits until every accepted job has started and no task is running.
+func (c *localCluster) awaitAllJobs(deadline time.Time) error {
+	for ; time.Now().Before(deadline); time.Sleep(jobsPollInterval) {
+		events := c.recordedEvents()
+		if _, unstarted := startWaits(events, anyJob); len(unstarted) == 0 && countRunningTasks(events, anyJob) == 0 {
 			return nil
 		}
 	}
--- a/internal/rehearsal/record.go
+++ b/internal/rehearsal/record.go
@@ -66,7 +66,7 @@
 	if err != nil {
 		return errors.Join(recordErr, fmt.Errorf("render report: %w", err))
 	}
-	return errors.Join(recordErr, os.WriteFile(filepath.Join(folder, reportFile), page, privateFile))
+	return errors.Join(recordErr, os.WriteFile(filepath.Join(folder, reportFile), page, privateFileMode))
 }
 
 // WriteRecord writes events to a zstd-compressed file, one JSON object per line.
@@ -114,8 +114,8 @@
 	}
 }
 
-// ordered returns a copy of the events sorted by time.
-func ordered(events []Event) []Event {
+// sortedByTime returns a copy of the events sorted by time.
+func sortedByTime(events []Event) []Event {
 	sorted := slices.Clone(events)
 	slices.SortStableFunc(sorted, func(x, y Event) int { return cmp.Compare(x.At, y.At) })
 	return sorted
--- a/internal/rehearsal/settings_files.go
+++ b/internal/rehearsal/settings_files.go
@@ -18,7 +18,7 @@
 	}
 	for _, controller := range c.controllers {
 		settings := c.controllerSettings(controller, stateAddress, cloudAddress)
-		if err := os.WriteFile(controller.settingsFile, []byte(settings), privateFile); err != nil {
+		if err := os.WriteFile(controller.settingsFile, []byte(settings), privateFileMode); err != nil {
 			return fmt.Errorf("write settings file of controller %s: %w", controller.name, err)
 		}
 	}
@@ -27,15 +27,15 @@
 
 // newController returns a controller that is not running yet, with free addresses.
 func (c *localCluster) newController(name string) (*controllerProcess, error) {
-	users, err := freeAddress()
+	client, err := freeAddress()
 	if err != nil {
 		return nil, err
 	}
-	peers, err := freeAddress()
+	peer, err := freeAddress()
 	if err != nil {
 		return nil, err
 	}
-	return &controllerProcess{name: name, usersAddress: users, peersAddress: peers,
+	return &controllerProcess{name: name, clientAddress: client, peerAddress: peer,
 		settingsFile: filepath.Join(c.folder, name+".toml"), logFile: filepath.Join(c.folder, name+".log")}, nil
 }
 
@@ -51,24 +51,24 @@
 // controllerSettings returns the content of a controller's settings file.
 func (c *localCluster) controllerSettings(controller *controllerProcess, stateAddress, cloudAddress string) string {
 	var text strings.Builder
-	line := func(format string, args ...any) { fmt.Fprintf(&text, format+"\n", args...) }
-	line("host_name = %q\narea = \"north\"\nclient_listen = %q\ncluster_listen = %q", controller.name, controller.usersAddress, controller.peersAddress)
+	writeLine := func(format string, args ...any) { fmt.Fprintf(&text, format+"\n", args...) }
+	writeLine("host_name = %q\narea = \"north\"\nclient_listen = %q\ncluster_listen = %q", controller.name, controller.clientAddress, controller.peerAddress)
 	for _, other := range c.controllers {
 		if other != controller {
-			line("[[others]]\nhost_name = %q\narea = \"north\"\npeer_addr = %q", other.name, other.peersAddress)
+			writeLine("[[others]]\nhost_name = %q\narea = \"north\"\npeer_addr = %q", other.name, other.peerAddress)
 		}
 	}
-	line("[services]\ncloud = %q\nstate = %q", cloudAddress, stateAddress)
-	line("[params]\ninitial_size = 0\nzones = [\"north\", \"south\"]\nclock_error_ms = 50.0")
+	writeLine("[services]\ncloud = %q\nstate = %q", cloudAddress, stateAddress)
+	writeLine("[params]\ninitial_size = 0\nzones = [\"north\", \"south\"]\nclock_error_ms = 50.0")
 	for _, team := range c.teams {
-		line("[[params.teams]]\nname = %q\ncpus = %.3f\ncpus_max = %.3f\ngpus = %.3f\ngpus_max = %.3f",
+		writeLine("[[params.teams]]\nname = %q\ncpus = %.3f\ncpus_max = %.3f\ngpus = %.3f\ngpus_max = %.3f",
 			team.Name, team.Guarantee, team.Limit, team.GuaranteeAccelerators, team.LimitAccelerators)
 	}
-	line("[params.workers]\nreport_s = %.1f\nlease_s = %.1f\ngang_wait_s = 10.0\ngang_peer_s = 3.0\ncancel_s = %.1f",
+	writeLine("[params.workers]\nreport_s = %.1f\nlease_s = %.1f\ngang_wait_s = 10.0\ngang_peer_s = 3.0\ncancel_s = %.1f",
 		heartbeatInterval.Seconds(), workerLease.Seconds(), cancelWithin.Seconds())
-	line("[params.state]\nrps = 1000.0\nwrite_rps = 300.0\nvalue_kb = 32.0\ntxn_ops = 48")
-	line("[params.cloud]\nrps = 20.0\nlist_lag_s = 1.0")
-	line("[params.machine_limits]\ncores = 1.0\nram_mb = 256.0\nmax_sockets = 1000")
+	writeLine("[params.state]\nrps = 1000.0\nwrite_rps = 300.0\nvalue_kb = 32.0\ntxn_ops = 48")
+	writeLine("[params.cloud]\nrps = 20.0\nlist_lag_s = 1.0")
+	writeLine("[params.machine_limits]\ncores = 1.0\nram_mb = 256.0\nmax_sockets = 1000")
 	return text.String()
 }
 
@@ -79,7 +79,7 @@
 		return "", nil
 	}
 	path = filepath.Join(c.folder, name)
-	if err := os.WriteFile(path, []byte(text), privateFile); err != nil {
+	if err := os.WriteFile(path, []byte(text), privateFileMode); err != nil {
 		return "", fmt.Errorf("write shared settings file %s: %w", name, err)
 	}
 	return path, nil
--- a/internal/rehearsal/users.go
+++ b/internal/rehearsal/submissions.go
@@ -52,10 +52,10 @@
 // over, as users do, and records each answer.
 func (c *localCluster) submit(job submission, rng *rand.Rand) {
 	c.mu.Lock()
-	c.plans[job.ID] = taskPlan{team: job.Team, cores: job.Cores, accelerators: job.Accelerators, duration: job.TaskDuration}
+	c.taskSpecs[job.ID] = taskSpec{team: job.Team, cores: job.Cores, accelerators: job.Accelerators, duration: job.TaskDuration}
 	c.mu.Unlock()
 	next := rng.IntN(len(c.controllers))
-	for deadline := c.submitDeadline(); time.Now().Before(deadline); next++ {
+	for deadline := c.retryDeadline(); time.Now().Before(deadline); next++ {
 		controller := c.controllers[next%len(c.controllers)]
 		wait, err := c.submitOnce(controller, &job)
 		if err == nil {
@@ -67,9 +67,9 @@
 	}
 }
 
-// submitDeadline returns the time until which a user retries a submission made now: one minute, as
+// retryDeadline returns the time until which a user retries a submission made now: one minute, as
 // the protocol specifies, but not beyond the end of the run.
-func (c *localCluster) submitDeadline() time.Time {
+func (c *localCluster) retryDeadline() time.Time {
 	until := time.Now().Add(maxRetryTime)
 	if !c.deadline.IsZero() && c.deadline.Before(until) {
 		return c.deadline
@@ -98,7 +98,7 @@
 	if err != nil {
 		return minRetryWait, fmt.Errorf("encode submission of job %s: %w", job.ID, err)
 	}
-	response, err := c.http.Post("http://"+controller.usersAddress+"/v2/runs", "application/json", bytes.NewReader(body))
+	response, err := c.http.Post("http://"+controller.clientAddress+"/v2/runs", "application/json", bytes.NewReader(body))
 	if err != nil {
 		return minRetryWait, errNoAnswer
 	}
--- a/internal/rehearsal/usage.go
+++ b/internal/rehearsal/usage.go
@@ -12,8 +12,8 @@
 	GuaranteeAccelerators, LimitAccelerators float64
 }
 
-// Sample is the resource usage of a team's tasks from a point in time on.
-type Sample struct {
+// UsageSample is the resource usage of a team's tasks from a point in time on.
+type UsageSample struct {
 	At                  time.Duration
 	Cores, Accelerators float64
 }
@@ -21,7 +21,7 @@
 // Breach is a sample at which a team used more than its limit.
 type Breach struct {
 	Team Team
-	Sample
+	UsageSample
 	Task string // the task whose start exceeded the limit
 }
 
@@ -33,26 +33,26 @@
 
 // usageOverTime returns the resource usage of each team, sampled at each task start and end that
 // workers reported, and every breach of a limit.
-func usageOverTime(events []Event, teams []Team) (samples map[string][]Sample, breaches []Breach) {
-	samples = map[string][]Sample{}
+func usageOverTime(events []Event, teams []Team) (samples map[string][]UsageSample, breaches []Breach) {
+	samples = map[string][]UsageSample{}
 	byName := map[string]Team{}
 	for _, team := range teams {
 		byName[team.Name] = team
 	}
-	now := map[string]Sample{}
-	for _, event := range ordered(events) {
+	current := map[string]UsageSample{}
+	for _, event := range sortedByTime(events) {
 		sign := map[EventKind]float64{TaskStarted: 1, TaskEnded: -1}[event.Kind]
 		if sign == 0 {
 			continue
 		}
-		sample := now[event.Team]
+		sample := current[event.Team]
 		sample.At = event.At
 		sample.Cores += sign * event.Cores
 		sample.Accelerators += sign * event.Accelerators
-		now[event.Team] = sample
+		current[event.Team] = sample
 		samples[event.Team] = append(samples[event.Team], sample)
-		if team := byName[event.Team]; sign > 0 && exceeds(sample, team) {
-			breaches = append(breaches, Breach{Team: team, Sample: sample, Task: event.Task})
+		if team := byName[event.Team]; sign > 0 && exceedsLimit(sample, team) {
+			breaches = append(breaches, Breach{Team: team, UsageSample: sample, Task: event.Task})
 		}
 	}
 	return samples, breaches
@@ -61,8 +61,8 @@
 // roundingTolerance is the error that sums of rounded decimal numbers may have.
 const roundingTolerance = 1e-6
 
-// exceeds reports whether a team's usage is above one of its limits; a limit of zero means no limit.
-func exceeds(s Sample, t Team) bool {
+// exceedsLimit reports whether a team's usage is above one of its limits; a limit of zero means no limit.
+func exceedsLimit(s UsageSample, t Team) bool {
 	return t.Limit > 0 && s.Cores > t.Limit+roundingTolerance || t.LimitAccelerators > 0 && s.Accelerators > t.LimitAccelerators+roundingTolerance
 }
 
