--- a/internal/fake/network.go
+++ b/internal/fake/network.go
@@ -19,7 +19,7 @@
 	fromHeader = "Fake-From"
 )
 
-// Network is an in-memory HTTP network of hosts with names.
+// Network is an in-memory HTTP network that connects hosts by address.
 type Network struct {
 	// mu guards the fields below. No handler, rule or hook is called while it is held.
 	mu    sync.Mutex
--- a/internal/rehearsal/drain.go
+++ b/internal/rehearsal/drain.go
@@ -31,8 +31,8 @@
 }
 
 // drainTeams returns three teams with one service each; the last team also runs low-priority jobs.
-// Their services fit on the given number of machines, so that machines are provisioned only as
-// replacements.
+// The sum of their limits fits on the given number of machines, so that machines are provisioned
+// only as replacements.
 func drainTeams(machines int) []drainTeam {
 	cores := float64(machines)
 	return []drainTeam{
--- a/internal/rehearsal/drain_client.go
+++ b/internal/rehearsal/drain_client.go
@@ -72,7 +72,7 @@
 	return nil
 }
 
-// fetchStatus calls GET /v2/status at a controller and decodes the part that page declares.
+// fetchStatus calls GET /v2/status at a controller and decodes the part that status declares.
 func (r *drainRun) fetchStatus(controller *controllerProcess, status any) error {
 	response, err := r.cluster.http.Get("http://" + controller.clientAddress + "/v2/status")
 	if err != nil {
