--- a/internal/fake/worker_test.go
+++ b/internal/fake/worker_test.go
@@ -14,24 +14,24 @@
 	"time"
 )
 
-// newTestWorker is a worker of one controller, with a lease of 20 s.
+// newTestWorker returns a worker with one controller and a lease of 20 s.
 func newTestWorker(network *Network, heartbeatInterval time.Duration) *Worker {
 	return &Worker{Name: "m", Address: "m:1", Network: network, Controllers: []string{"a:1"}, HeartbeatInterval: heartbeatInterval, LeaseDuration: 20 * time.Second}
 }
 
 func TestWorkerUnderPartitionsAndHangs(t *testing.T) {
-	const start = `{"baton":1,"stint":1,"orders":[{"verb":"start","piece":"job-1/%d","try":1}]}`
+	const startCommand = `{"baton":1,"stint":1,"orders":[{"verb":"start","piece":"job-1/%d","try":1}]}`
 	for _, test := range []struct {
 		name        string
 		rule        Rule
 		hung        time.Duration
-		heartbeats  bool // they reach the controller
-		command     int  // what a direct command gets
-		starts      int  // started by then, and once all is over
+		heartbeats  bool // whether heartbeats reach the controller
+		command     int  // status of the answer to a direct command; 0 for no answer
+		starts      int  // starts executed
 		incarnation uint64
 	}{
 		{"well", nil, 0, true, 200, 1, 1},
-		{"partitioned outbound", PartitionOutbound("m"), 0, false, 200, 1, 2}, // no lease is renewed
+		{"partitioned outbound", PartitionOutbound("m"), 0, false, 200, 1, 2}, // no heartbeat arrives, so the lease is not renewed
 		{"partitioned inbound", PartitionInbound("m"), 0, true, 0, 0, 2},
 		{"hung", nil, 5 * time.Second, false, 0, 1, 1},
 		{"hung beyond its lease", nil, 30 * time.Second, false, 0, 0, 2},
@@ -42,14 +42,14 @@
 				ctx, cancel := context.WithCancel(context.Background())
 				defer synctest.Wait()
 				defer cancel()
-				network, ends := NewNetwork(), []string{}
+				network, endCauses := NewNetwork(), []string{}
 				var received atomic.Int32
 				network.Listen("a:1", http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 					received.Add(1)
 					writeJSON(rw, 200, map[string]any{"baton": 1, "orders": []any{}})
 				}))
 				worker := newTestWorker(network, 2*time.Second)
-				worker.NotifyEvents(func(e Event) { ends = append(ends, e.Cause) })
+				worker.NotifyEvents(func(e Event) { endCauses = append(endCauses, e.Cause) })
 				network.SetRule(test.rule)
 				go worker.Run(ctx)
 				time.Sleep(time.Second)
@@ -57,33 +57,33 @@
 					worker.SetHung(true)
 				}
 				before := received.Load()
-				if code, _ := sendRequest(network, "a", "POST", "m:1/commands", fmt.Sprintf(start, 0)); code != test.command {
-					t.Errorf("a command got %d", code)
+				if code, _ := sendRequest(network, "a", "POST", "m:1/commands", fmt.Sprintf(startCommand, 0)); code != test.command {
+					t.Errorf("the direct command got status %d", code)
 				}
 				time.Sleep(max(test.hung, 8*time.Second) - 2*time.Second)
 				if arrived := received.Load() - before; (arrived > 0) != test.heartbeats {
-					t.Errorf("%d heartbeats arrived", arrived)
+					t.Errorf("%d heartbeats arrived at the controller", arrived)
 				}
 				if test.hung > 0 {
 					if worker.EndTask("job-1/0", "done") || worker.StartCount("job-1/0") > 0 {
-						t.Error("something happened on it")
+						t.Error("the hung machine started or ended a task")
 					}
 					worker.SetHung(false)
 				}
 				if got := worker.StartCount("job-1/0"); got != test.starts {
-					t.Errorf("started %d times", got)
+					t.Errorf("the task was started %d times", got)
 				}
 				time.Sleep(25 * time.Second)
 				worker.mu.Lock()
 				if worker.incarnation != test.incarnation {
-					t.Errorf("incarnation %d", worker.incarnation)
+					t.Errorf("the worker has incarnation %d", worker.incarnation)
 				}
-				if test.incarnation == 2 && test.starts == 1 && ends[len(ends)-1] != "killed" {
-					t.Errorf("no end of the lease was told: %v", ends)
+				if test.incarnation == 2 && test.starts == 1 && endCauses[len(endCauses)-1] != "killed" {
+					t.Errorf("no task end was reported when the lease expired: %v", endCauses)
 				}
 				worker.mu.Unlock()
 				if got := network.ReleaseHeld(); (got > 0) != (test.name == "heartbeats copied") {
-					t.Errorf("%d copies", got)
+					t.Errorf("%d copies of heartbeats were held back", got)
 				}
 			})
 		})
@@ -91,8 +91,8 @@
 }
 
 func TestWorkerKeepsResultsAndRefusesSecondAttempts(t *testing.T) {
-	// The result of a task that is started again is kept; an attempt is refused where another one
-	// runs; changes are reported soon.
+	// A completed task that is started again ends at once with its stored result. A second attempt is
+	// refused while another one runs. Changes are reported soon.
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer synctest.Wait()
@@ -110,24 +110,24 @@
 		worker := newTestWorker(network, 10*time.Second)
 		go worker.Run(ctx)
 		time.Sleep(time.Second)
-		send := func(verb string, try int) string {
-			body, _ := json.Marshal(map[string]any{"baton": 1, "stint": 1, "orders": []any{map[string]any{"verb": verb, "piece": "job-1/0", "try": try}}})
+		send := func(verb string, attempt int) string {
+			body, _ := json.Marshal(map[string]any{"baton": 1, "stint": 1, "orders": []any{map[string]any{"verb": verb, "piece": "job-1/0", "try": attempt}}})
 			_, answer := sendRequest(network, "a", "POST", "m:1/commands", string(body))
 			return answer
 		}
 		send("start", 1)
 		if answer := send("start", 2); !strings.Contains(answer, `"busy"`) {
-			t.Errorf("a second attempt there: %s", answer)
+			t.Errorf("the start of a second attempt was answered with %s", answer)
 		}
 		worker.EndTask("job-1/0", "done")
 		time.Sleep(600 * time.Millisecond)
 		mu.Lock()
 		if last := heartbeats[len(heartbeats)-1]; !strings.Contains(last, `"done"`) {
-			t.Errorf("last reported %s", last)
+			t.Errorf("the last heartbeat does not report the end of the task: %s", last)
 		}
 		mu.Unlock()
 		if answer := send("start", 3); !strings.Contains(answer, `"try":3,"status":"ended","cause":"done"`) {
-			t.Errorf("started again once done: %s", answer)
+			t.Errorf("the start of a completed task was answered with %s", answer)
 		}
 	})
 }
--- a/internal/rehearsal/cluster.go
+++ b/internal/rehearsal/cluster.go
@@ -13,14 +13,14 @@
 	"github.com/pebbletrail/pebbletrail/internal/fake"
 )
 
-// Intervals of the fake workers, shorter than in production so that a run takes minutes.
+// Intervals of the fake workers. They are shorter than in production so that a run takes minutes.
 const (
 	heartbeatInterval = time.Second
 	workerLease       = 8 * time.Second
 	cancelWithin      = 20 * time.Second
 )
 
-// Calls of the users, the operator and the fake workers.
+// Parameters of the HTTP calls by users, the operator and the fake workers.
 const (
 	callTimeout       = 5 * time.Second
 	headerTimeout     = 10 * time.Second
@@ -28,96 +28,96 @@
 	readinessInterval = 100 * time.Millisecond
 )
 
-// localCluster is controller processes and the fakes around them, all on loopback.
+// localCluster is a set of controller processes and the fakes that they call, all on loopback.
 //
-// Locks are taken in the order of the fake cloud's, a fake worker's or the fake store's, mu: the
-// fakes report events under their own locks. Nothing is called under mu.
+// Lock order: the fake cloud's lock, then a fake worker's or the fake store's lock, then mu, because
+// the fakes report events while they hold their own locks. No fake is called while mu is held.
 type localCluster struct {
 	store *fake.Store
 
 	folder  string
 	program string
-	// features is the file of features, operators that of operators' settings; empty: none.
+	// features and operators are the paths of the features file and the operators' settings file;
+	// empty if there is no such file.
 	features, operators string
-	// onChange is told of each change of the state service, under its lock; nil: nobody is.
+	// onChange is called for each change of the state service, under the store's lock; may be nil.
 	onChange func(key string, value json.RawMessage)
 	teams    []Team
 	started  time.Time
-	network  *fake.Network // keeps the results of tasks
+	network  *fake.Network // stores which tasks have completed
 	cloud    *fakeCloud
 	http     *http.Client
-	// ctx ends the fake workers.
+	// ctx is the context of the fake workers.
 	ctx    context.Context
 	cancel context.CancelFunc
-	// deadline is when users stop to retry at the latest; zero: nothing ends their retries early.
+	// deadline is the latest time at which users retry submissions; zero means no such limit.
 	deadline    time.Time
 	controllers []*controllerProcess
 
 	// mu guards the fields below.
-	mu      sync.Mutex
-	servers []*http.Server
-	workers map[string]*runningWorker // by machine
-	events  []Event
-	plans   map[string]taskPlan // by job
+	mu        sync.Mutex
+	servers   []*http.Server
+	workers   map[string]*runningWorker // by machine
+	events    []Event
+	taskSpecs map[string]taskSpec // by job
 }
 
-// taskPlan is what is known of each task of a job.
-type taskPlan struct {
+// taskSpec describes each task of a job.
+type taskSpec struct {
 	team                string
 	cores, accelerators float64
-	duration            time.Duration // 0: until it is stopped
+	duration            time.Duration // 0 means until it is stopped
 }
 
-// clusterOptions describe a cluster.
+// clusterOptions configures a localCluster.
 type clusterOptions struct {
-	Folder      string // for settings and logs
-	Program     string // the controllers' program
+	Folder      string // receives settings and logs
+	Program     string // path of the controller executable
 	Teams       []Team
 	Controllers int
-	Machines    int // that the cloud has
-	// Accelerators are those of each machine.
+	Machines    int // capacity of the cloud
+	// Accelerators is the number of accelerators of each machine.
 	Accelerators int
-	// Features and Operators are the contents of the files of features and of operators'
-	// settings; empty: there is none.
+	// Features and Operators are the contents of the features file and of the operators' settings
+	// file; an empty one is not written.
 	Features, Operators string
-	// OnChange is told of each change of the state service, under its lock; nil: nobody is.
+	// OnChange is called for each change of the state service, under the store's lock; may be nil.
 	OnChange func(key string, value json.RawMessage)
 }
 
-// newLocalCluster starts the fakes and writes the controllers' files; controllers are started one
-// by one.
+// newLocalCluster starts the fakes and writes the controllers' files. It starts no controller.
 func newLocalCluster(options clusterOptions) (*localCluster, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	c := &localCluster{
-		store:    fake.NewStore(),
-		folder:   options.Folder,
-		program:  options.Program,
-		onChange: options.OnChange,
-		teams:    options.Teams,
-		started:  time.Now(),
-		network:  fake.NewNetwork(),
-		cloud:    newFakeCloud(options.Machines, options.Accelerators),
-		http:     &http.Client{Timeout: callTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: idleConnections}},
-		ctx:      ctx,
-		cancel:   cancel,
-		workers:  map[string]*runningWorker{},
-		plans:    map[string]taskPlan{},
+		store:     fake.NewStore(),
+		folder:    options.Folder,
+		program:   options.Program,
+		onChange:  options.OnChange,
+		teams:     options.Teams,
+		started:   time.Now(),
+		network:   fake.NewNetwork(),
+		cloud:     newFakeCloud(options.Machines, options.Accelerators),
+		http:      &http.Client{Timeout: callTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: idleConnections}},
+		ctx:       ctx,
+		cancel:    cancel,
+		workers:   map[string]*runningWorker{},
+		taskSpecs: map[string]taskSpec{},
 	}
 	c.cloud.boot, c.cloud.stop = c.startWorker, c.stopWorker
 	c.store.NotifyChanges(c.observeChange)
-	if err := c.prepare(options); err != nil {
+	if err := c.setUp(options); err != nil {
 		return nil, errors.Join(err, c.close())
 	}
 	return c, nil
 }
 
-// prepare serves the fakes and writes the controllers' files.
-func (c *localCluster) prepare(options clusterOptions) error {
-	state, err := c.serve(c.store)
+// setUp starts the servers of the fakes and writes the controllers' files.
+func (c *localCluster) setUp(options clusterOptions) error {
+	state, err := c.serveOnLoopback(c.store)
 	if err != nil {
 		return err
 	}
-	cloud, err := c.serve(c.cloud)
+	cloud, err := c.serveOnLoopback(c.cloud)
 	if err != nil {
 		return err
 	}
@@ -131,8 +131,8 @@
 	return err
 }
 
-// serve puts a fake on a loopback port until the cluster is closed.
-func (c *localCluster) serve(handler http.Handler) (address string, err error) {
+// serveOnLoopback serves a fake on a loopback port until the cluster is closed.
+func (c *localCluster) serveOnLoopback(handler http.Handler) (address string, err error) {
 	listener, err := listenOnLoopback()
 	if err != nil {
 		return "", err
@@ -149,20 +149,20 @@
 func listenOnLoopback() (net.Listener, error) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
-		return nil, fmt.Errorf("listen on loopback: %w", err)
+		return nil, fmt.Errorf("listen on a loopback port: %w", err)
 	}
 	return listener, nil
 }
 
-// observeChange takes in a change of the state service.
+// observeChange handles a change of the state service.
 func (c *localCluster) observeChange(key string, value json.RawMessage) {
-	c.recordLedger(key, value)
+	c.recordLedgerChange(key, value)
 	if c.onChange != nil {
 		c.onChange(key, value)
 	}
 }
 
-// record adds an event to the record.
+// record adds an event to the record, with the current time.
 func (c *localCluster) record(event Event) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -170,14 +170,14 @@
 	c.events = append(c.events, event)
 }
 
-// recorded is the record so far.
-func (c *localCluster) recorded() []Event {
+// recordedEvents returns a copy of the events recorded so far.
+func (c *localCluster) recordedEvents() []Event {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]Event(nil), c.events...)
 }
 
-// close ends everything that the cluster started.
+// close kills all controller processes and stops the fakes.
 func (c *localCluster) close() error {
 	for _, controller := range c.controllers {
 		controller.resume()
@@ -197,8 +197,8 @@
 	return errors.Join(errs...)
 }
 
-// errDeadlineExceeded tells that a run took longer than it may.
-var errDeadlineExceeded = errors.New("the time of the run was up")
+// errDeadlineExceeded means that a run exceeded its maximum duration.
+var errDeadlineExceeded = errors.New("run deadline exceeded")
 
 // startAll starts all controllers and waits until each is ready.
 func (c *localCluster) startAll(deadline time.Time) error {
@@ -210,7 +210,7 @@
 	for _, controller := range c.controllers {
 		for !c.ready(controller) {
 			if time.Now().After(deadline) {
-				return fmt.Errorf("%w: %s is not ready", errDeadlineExceeded, controller.name)
+				return fmt.Errorf("%w: controller %s is not ready", errDeadlineExceeded, controller.name)
 			}
 			time.Sleep(readinessInterval)
 		}
@@ -218,9 +218,9 @@
 	return nil
 }
 
-// ready asks a controller whether users may be sent there.
+// ready reports whether a controller is ready to receive requests from users.
 func (c *localCluster) ready(controller *controllerProcess) bool {
-	response, err := c.http.Get("http://" + controller.usersAddress + "/up")
+	response, err := c.http.Get("http://" + controller.clientAddress + "/up")
 	if err != nil {
 		return false
 	}
@@ -228,14 +228,14 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// pollInterval spaces the looks at what a run waits for.
+// pollInterval is the interval at which waitUntil checks its condition.
 const pollInterval = 200 * time.Millisecond
 
-// waitUntil waits for a condition, at most until the run's deadline.
-func waitUntil(deadline time.Time, what string, reached func() bool) error {
+// waitUntil waits until a condition holds or the run's deadline has passed.
+func waitUntil(deadline time.Time, condition string, reached func() bool) error {
 	for !reached() {
 		if time.Now().After(deadline) {
-			return fmt.Errorf("%w before %s", errDeadlineExceeded, what)
+			return fmt.Errorf("%w: condition not reached: %s", errDeadlineExceeded, condition)
 		}
 		time.Sleep(pollInterval)
 	}
--- a/internal/rehearsal/waits.go
+++ b/internal/rehearsal/job_waits.go
@@ -5,12 +5,13 @@
 	"time"
 )
 
-// anyJob chooses every job.
+// anyJob selects every job.
 func anyJob(string) bool { return true }
 
-// startWaits is how long each of the chosen jobs that were accepted waited from the first answer to
-// its submission, be it a refusal, to its first start; unstarted are those without one.
-func startWaits(events []Event, chosen func(job string) bool) (waits []time.Duration, unstarted []string) {
+// startWaits returns the wait of each accepted job that matches: the time from the first answer to
+// its submission, which may be a refusal, to the first start of a task. It returns the accepted jobs
+// that match but have not started as unstarted.
+func startWaits(events []Event, matches func(job string) bool) (waits []time.Duration, unstarted []string) {
 	answered, started := map[string]time.Duration{}, map[string]time.Duration{}
 	accepted := map[string]bool{}
 	for _, event := range events {
@@ -29,7 +30,7 @@
 	for job := range accepted {
 		firstStart, found := started[job]
 		switch {
-		case !chosen(job) || !accepted[job]:
+		case !matches(job) || !accepted[job]:
 		case !found:
 			unstarted = append(unstarted, job)
 		default:
@@ -41,11 +42,11 @@
 	return waits, unstarted
 }
 
-// runningTasks counts the tasks of the chosen jobs that have started and not ended.
-func runningTasks(events []Event, chosen func(job string) bool) (running int) {
+// countRunningTasks returns the number of tasks of matching jobs that have started and not ended.
+func countRunningTasks(events []Event, matches func(job string) bool) (running int) {
 	for _, event := range events {
 		switch {
-		case !chosen(event.Job):
+		case !matches(event.Job):
 		case event.Kind == TaskStarted:
 			running++
 		case event.Kind == TaskEnded:
--- a/internal/rehearsal/usage.go
+++ b/internal/rehearsal/usage.go
@@ -5,68 +5,68 @@
 	"time"
 )
 
-// Team is one of the teams of a rehearsal.
+// Team is a team with its guaranteed and maximum resources.
 type Team struct {
 	Name                                     string
 	Guarantee, Limit                         float64 // cores
 	GuaranteeAccelerators, LimitAccelerators float64
 }
 
-// Sample is what a team's tasks use from a moment on.
-type Sample struct {
+// UsageSample is the resource usage of a team's tasks from a point in time on.
+type UsageSample struct {
 	At                  time.Duration
 	Cores, Accelerators float64
 }
 
-// Breach is a moment at which a team used more than its limit.
+// Breach is a sample at which a team used more than its limit.
 type Breach struct {
 	Team Team
-	Sample
-	Task string // the task whose start made it so
+	UsageSample
+	Task string // the task whose start exceeded the limit
 }
 
-// String names the breach in one line.
+// String describes the breach in one line.
 func (b Breach) String() string {
 	return fmt.Sprintf("at %v team %s used %g cores and %g accelerators, with limits of %g and %g, after the start of %s",
 		b.At.Round(time.Millisecond), b.Team.Name, b.Cores, b.Accelerators, b.Team.Limit, b.Team.LimitAccelerators, b.Task)
 }
 
-// usageOverTime tells what each team used over time, by the workers' own record, sampled at each start
-// and end, and every breach of a limit.
-func usageOverTime(events []Event, teams []Team) (samples map[string][]Sample, breaches []Breach) {
-	samples = map[string][]Sample{}
+// usageOverTime returns the resource usage of each team, sampled at each task start and end that
+// workers reported, and every breach of a limit.
+func usageOverTime(events []Event, teams []Team) (samples map[string][]UsageSample, breaches []Breach) {
+	samples = map[string][]UsageSample{}
 	byName := map[string]Team{}
 	for _, team := range teams {
 		byName[team.Name] = team
 	}
-	now := map[string]Sample{}
-	for _, event := range ordered(events) {
+	current := map[string]UsageSample{}
+	for _, event := range sortedByTime(events) {
 		sign := map[EventKind]float64{TaskStarted: 1, TaskEnded: -1}[event.Kind]
 		if sign == 0 {
 			continue
 		}
-		sample := now[event.Team]
+		sample := current[event.Team]
 		sample.At = event.At
 		sample.Cores += sign * event.Cores
 		sample.Accelerators += sign * event.Accelerators
-		now[event.Team] = sample
+		current[event.Team] = sample
 		samples[event.Team] = append(samples[event.Team], sample)
-		if team := byName[event.Team]; sign > 0 && exceeds(sample, team) {
-			breaches = append(breaches, Breach{Team: team, Sample: sample, Task: event.Task})
+		if team := byName[event.Team]; sign > 0 && exceedsLimit(sample, team) {
+			breaches = append(breaches, Breach{Team: team, UsageSample: sample, Task: event.Task})
 		}
 	}
 	return samples, breaches
 }
 
-// roundingTolerance is what rounding of decimal numbers may leave behind.
+// roundingTolerance is the error that sums of rounded decimal numbers may have.
 const roundingTolerance = 1e-6
 
-// exceeds tells whether a team uses more than a limit; a limit of zero is none.
-func exceeds(s Sample, t Team) bool {
+// exceedsLimit reports whether a team's usage is above one of its limits; a limit of zero means no limit.
+func exceedsLimit(s UsageSample, t Team) bool {
 	return t.Limit > 0 && s.Cores > t.Limit+roundingTolerance || t.LimitAccelerators > 0 && s.Accelerators > t.LimitAccelerators+roundingTolerance
 }
 
-// tasksOnTwoMachines lists the tasks that were started on one machine while they were on another.
+// tasksOnTwoMachines returns the tasks that were started on one machine while they ran on another.
 func tasksOnTwoMachines(events []Event) (tasks []string) {
 	running := map[string]string{}
 	for _, event := range events {
