--- a/internal/rehearsal/submissions.go
+++ b/internal/rehearsal/submissions.go
@@ -78,7 +78,7 @@
 }
 
 // errNoAnswer means that a controller did not answer a submission.
-var errNoAnswer = errors.New("controller did not answer")
+var errNoAnswer = errors.New("no answer")
 
 // refusalError is a temporary refusal of a submission by a controller.
 type refusalError struct {
