--- a/internal/peer/connections.go
+++ b/internal/peer/connections.go
@@ -12,21 +12,22 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-// callTimeout bounds dialing and, apart from it, the wait for an answer.
+// callTimeout limits the time to connect and, separately, the time to wait for a response.
 const callTimeout = time.Second
 
-// errNoAnswer reports a call that was not answered in time.
+// errNoAnswer is returned for a call that got no response within callTimeout.
 var errNoAnswer = errors.New("peer does not answer")
 
-// dialFunc connects to the address of another controller.
+// dialFunc opens a connection to the address of another controller.
 type dialFunc func(ctx context.Context, address string) (net.Conn, error)
 
-// connections keeps a connection to each of the other controllers that was called.
+// connections caches one client connection per controller that was called.
 type connections struct {
 	settings *config.Settings
 	dial     dialFunc
 
-	// mu guards clients. It is a leaf lock: dialing, calls and closing happen outside of it.
+	// mu guards clients. It is not held while dialing, calling or closing, and no other lock is taken
+	// under it.
 	mu      sync.Mutex
 	clients map[ids.Node]*rpc.Client
 }
@@ -40,9 +41,9 @@
 	return dialer.DialContext(ctx, "tcp", address)
 }
 
-// call has another controller carry out a method of its Service. An error that the method returned
-// is an rpc.ServerError. After any other error but the context's the connection is closed, and the
-// next call connects anew.
+// call invokes a method of another controller's Service. An error returned by that method is an
+// rpc.ServerError and leaves the connection open, as does the end of the context. After any other error
+// the connection is closed, and the next call opens a new one.
 func (c *connections) call(ctx context.Context, node ids.Node, method string, request, reply any) error {
 	client, err := c.client(ctx, node)
 	if err != nil {
@@ -65,7 +66,7 @@
 	return err
 }
 
-// client returns the connection to another controller, and connects if there is none.
+// client returns the cached connection to another controller, or opens one.
 func (c *connections) client(ctx context.Context, node ids.Node) (*rpc.Client, error) {
 	if client := c.connected(node); client != nil {
 		return client, nil
@@ -81,14 +82,14 @@
 	return c.keep(node, rpc.NewClient(&idleConn{conn})), nil
 }
 
-// connected returns the connection to another controller; nil if there is none.
+// connected returns the cached connection to another controller, or nil if there is none.
 func (c *connections) connected(node ids.Node) *rpc.Client {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.clients[node]
 }
 
-// address is where another controller listens; empty if it is not in the settings.
+// address returns the listen address of another controller, or "" if the settings do not list it.
 func (c *connections) address(node ids.Node) (address string) {
 	for _, other := range c.settings.Peers {
 		if other.HostName == node {
@@ -98,8 +99,8 @@
 	return address
 }
 
-// keep keeps a new connection, unless another call has connected meanwhile: then the new one is
-// closed. It returns the one to use.
+// keep caches a new connection and returns it. If a concurrent call has cached a connection to the same
+// controller meanwhile, keep closes the new one and returns the cached one.
 func (c *connections) keep(node ids.Node, client *rpc.Client) *rpc.Client {
 	c.mu.Lock()
 	earlier := c.clients[node]
@@ -110,16 +111,16 @@
 	if earlier == nil {
 		return client
 	}
-	_ = client.Close() // no call was made on it
+	_ = client.Close() // the error does not matter: no call was made on this connection
 	return earlier
 }
 
-// drop closes a connection that failed; the next call connects anew.
+// drop closes a failed connection and removes it from the cache; the next call opens a new one.
 func (c *connections) drop(node ids.Node, client *rpc.Client) {
 	c.mu.Lock()
 	if c.clients[node] == client {
 		delete(c.clients, node)
 	}
 	c.mu.Unlock()
-	_ = client.Close() // it failed already, or another call has closed it
+	_ = client.Close() // the error does not matter: the connection has failed or is already closed
 }
--- a/internal/peer/convert.go
+++ b/internal/peer/convert.go
@@ -8,10 +8,11 @@
 	"github.com/pebbletrail/pebbletrail/internal/worker"
 )
 
-// The program's types and those of the messages, copied field by field into one another. Slices are
-// shared: neither side changes what it passes on.
+// The functions in this file convert between the program's types and the message types, field by field.
+// The result shares its slices with the argument, since neither is modified after the conversion.
 
-// convertAll converts a list; an empty one becomes nil, as gob does not tell the two apart.
+// convertAll converts each item of a list. It returns nil for an empty list: gob does not distinguish an
+// empty slice from nil.
 func convertAll[From, To any](list []From, convert func(From) To) (converted []To) {
 	for _, item := range list {
 		converted = append(converted, convert(item))
--- a/internal/peer/convert_test.go
+++ b/internal/peer/convert_test.go
@@ -14,7 +14,7 @@
 )
 
 func TestConversionsKeepEveryField(t *testing.T) {
-	// Guards against a field that is added to a type, and to its message, but not copied.
+	// Guards against a field that is added to a type and its message but not copied by the conversion.
 	hint := clusterstate.Hint{Name: "host-000001", Address: "10.1.0.1:9000", Type: "small", Zone: "north", Spot: true, Incarnation: 2,
 		Images: worker.Images{Names: []string{"img"}, Sizes: []float64{1.5}}, Booting: true, ProvisionedFor: 3 * time.Second}
 	mark := clusterstate.HintPosition{Generation: 7, Sequence: 12, Complete: true, ReceivedAt: time.Unix(1700000000, 0)}
@@ -41,7 +41,8 @@
 	}
 }
 
-// expectNoZeroField checks that every exported field is set, also those of structs within.
+// expectNoZeroField checks that every exported field of value is set, including those of nested structs
+// and of the elements of slices.
 func expectNoZeroField(t *testing.T, path string, value reflect.Value) {
 	t.Helper()
 	if value.IsZero() {
--- a/internal/peer/doc.go
+++ b/internal/peer/doc.go
@@ -1,6 +1,7 @@
-// Package peer connects the controllers with one another, by net/rpc with gob over TCP. They exchange
-// health reports (greeting.go), confirm takeovers (takeover.go), tell the leader of written records and
-// ask it for explanations (jobs.go) and for plans of drains (drains.go), and pass on unused capacity of
-// the state service (transfer.go). All of it only saves time: whatever must be true is in the state
-// service. messages.go has the messages, whose names controllers of other versions know.
+// Package peer implements the calls between controllers, by net/rpc with gob encoding over TCP.
+// Controllers exchange health reports (greeting.go), confirm takeovers (takeover.go), notify the leader
+// of written job records and ask it for explanations (jobs.go) and drain plans (drains.go), and transfer
+// unused shares of the state service's rate limit to one another (transfer.go). These calls only reduce
+// delays; correctness depends on the state service alone. messages.go declares the messages; their names
+// are part of the protocol between controllers of different versions.
 package peer
--- a/internal/peer/drains.go
+++ b/internal/peer/drains.go
@@ -12,10 +12,11 @@
 	"github.com/pebbletrail/pebbletrail/internal/rollout"
 )
 
-// Drains are possible with one shard only, so all of this concerns the first one.
+// Drains are supported only with a single shard, so all functions in this file use the first elector.
 
-// PlanDrain makes the plan of a rollout, if this node leads. That its description can't be carried
-// out is part of the answer, since an error of a call keeps its text only.
+// PlanDrain computes the plan of a rollout if this node leads, and otherwise returns
+// election.ErrNotLeader. An invalid rollout description is reported in the response and not as an error,
+// since net/rpc transmits only the text of an error and not its type.
 func (s *Service) PlanDrain(in *DrainRequest, out *DrainPlan) error {
 	plan, err := planDrain(s.link.shards.Electors()[0], specFromWire(&in.Spec))
 	switch {
@@ -29,7 +30,8 @@
 	return nil
 }
 
-// WaitsOfDrains tells what the machines being drained wait for, if this node leads.
+// WaitsOfDrains returns, per machine being drained, what blocks its drain if this node leads, and
+// otherwise election.ErrNotLeader.
 func (s *Service) WaitsOfDrains(_ *Empty, out *DrainWaits) error {
 	cluster := s.link.shards.Electors()[0].Cluster()
 	if cluster == nil {
@@ -39,7 +41,8 @@
 	return nil
 }
 
-// planDrain makes a plan from the cluster state of this node, or returns claim.ErrNotLeader.
+// planDrain computes a rollout plan from this node's cluster state. It returns election.ErrNotLeader if
+// this node does not lead.
 func planDrain(elector *election.Elector, spec *rollout.Spec) (*rollout.Preview, error) {
 	cluster := elector.Cluster()
 	if cluster == nil {
@@ -48,8 +51,8 @@
 	return rollout.NewPreview(spec, cluster.RolloutPlanner(), time.Now())
 }
 
-// PlanDrain asks the leader for the plan of a rollout. The error is a rollout.ErrBadSpec if the
-// description can't be carried out, and claim.ErrNotLeader if no leader is known.
+// PlanDrain returns the leader's plan for a rollout. The error is rollout.ErrInvalidSpec, wrapped, if the
+// description is invalid, and election.ErrNotLeader if no leader is known.
 func (l *Link) PlanDrain(ctx context.Context, spec *rollout.Spec) (*rollout.Preview, error) {
 	elector := l.shards.Electors()[0]
 	if elector.Cluster() != nil {
@@ -69,8 +72,8 @@
 	return planFromWire(&answer.Plan), nil
 }
 
-// DrainWaits asks the leader what the machines being drained wait for. The error is
-// claim.ErrNotLeader if no leader is known.
+// DrainWaits returns, per machine being drained, what blocks its drain according to the leader. The error
+// is election.ErrNotLeader if no leader is known.
 func (l *Link) DrainWaits(ctx context.Context) (map[ids.Machine][]string, error) {
 	elector := l.shards.Electors()[0]
 	if cluster := elector.Cluster(); cluster != nil {
--- a/internal/peer/drains_test.go
+++ b/internal/peer/drains_test.go
@@ -41,6 +41,6 @@
 		}
 		cancel()
 		cluster.pipes.Close()
-		time.Sleep(35 * time.Second) // connections that nothing comes over are given up
+		time.Sleep(35 * time.Second) // lets idle connections reach their timeout
 	})
 }
--- a/internal/peer/greeting.go
+++ b/internal/peer/greeting.go
@@ -9,10 +9,10 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-// Where the machine pool has several shards, controllers report how they stand to each of them.
-// With one shard the messages are those that older versions know.
+// If the machine pool has several shards, a health report has an entry for each shard (GreetShards).
+// With a single shard, controllers use the call that older versions support (Greet).
 
-// Greet exchanges health reports.
+// Greet receives another controller's health report and returns this node's, for a single shard.
 func (s *Service) Greet(in *Hello, out *Hello) error {
 	s.link.receive(&ShardsHello{Hello: *in, Shards: []ShardHello{in.shard()}})
 	answer := s.link.hello([]clusterstate.HintPosition{markFromWire(in.Have)})
@@ -21,7 +21,7 @@
 	return nil
 }
 
-// GreetShards is Greet where there are several shards.
+// GreetShards receives another controller's health report and returns this node's, for several shards.
 func (s *Service) GreetShards(in *ShardsHello, out *ShardsHello) error {
 	s.link.receive(in)
 	*out = s.link.hello(in.marks())
@@ -29,17 +29,17 @@
 	return nil
 }
 
-// shard is what a Hello says of the only shard.
+// shard returns the report's fields that concern the only shard.
 func (h *Hello) shard() ShardHello {
 	return ShardHello{Owner: h.Owner, Have: h.Have, Hints: h.Hints, Stranded: h.Stranded}
 }
 
-// setShard is the reverse of shard.
+// setShard sets the report's fields that concern the only shard.
 func (h *Hello) setShard(only ShardHello) {
 	h.Owner, h.Have, h.Hints, h.Stranded = only.Owner, only.Have, only.Hints, only.Stranded
 }
 
-// marks are how far in each shard's hints the sender is.
+// marks returns the sender's position in the hint sequence of each shard.
 func (h *ShardsHello) marks() []clusterstate.HintPosition {
 	marks := make([]clusterstate.HintPosition, len(h.Shards))
 	for i := range h.Shards {
@@ -48,8 +48,8 @@
 	return marks
 }
 
-// hello is this node's health report. To a node whose marks in the hints are known, the leader of a
-// shard tells what came since.
+// hello builds this node's health report. For each shard that this node leads and whose hint position at
+// the recipient is given, the report includes the hints after that position.
 func (l *Link) hello(marks []clusterstate.HintPosition) ShardsHello {
 	age, ok := l.store.SinceSuccess()
 	hello := ShardsHello{Hello: Hello{Node: l.settings.HostName, StateOK: ok && age < heardWithin}}
@@ -66,8 +66,8 @@
 	return hello
 }
 
-// shardHello tells how this node stands to one shard. The hints since a mark are only told if it is
-// known.
+// shardHello builds the part of the health report for one shard. If this node leads the shard and since
+// is not nil, it includes the hints after that position.
 func shardHello(elector *election.Elector, since *clusterstate.HintPosition) (hello ShardHello) {
 	cluster := elector.Cluster()
 	if cluster == nil {
@@ -83,14 +83,14 @@
 	return hello
 }
 
-// greet exchanges health reports with one other controller.
+// greet exchanges health reports with another controller and applies the received one.
 func (l *Link) greet(ctx context.Context, node ids.Node) {
 	hello := l.hello(nil)
 	hello.Hello.Want = l.wantedTokens()
 	sent := time.Now()
 	answer, err := l.exchange(ctx, node, &hello)
 	if err != nil {
-		return // an answer may still come, into what nobody looks at any more
+		return // a late response may still be decoded into answer, which is not read any more
 	}
 	l.receive(answer)
 	l.store.Budget().AddBorrowed(answer.Hello.Lent, sent)
@@ -102,7 +102,7 @@
 	}
 }
 
-// exchange sends a health report to another controller and returns its own.
+// exchange sends a health report to another controller and returns the one received in response.
 func (l *Link) exchange(ctx context.Context, node ids.Node, hello *ShardsHello) (*ShardsHello, error) {
 	answer := &ShardsHello{}
 	if len(hello.Shards) > 1 {
@@ -115,11 +115,11 @@
 	return answer, nil
 }
 
-// receive takes in another controller's health report.
+// receive applies another controller's health report to the local electors.
 func (l *Link) receive(hello *ShardsHello) {
 	l.health.record(hello.Hello.Node, hello.Hello.StateOK)
 	if !hello.Hello.StateOK {
-		return // stepping down for a node that is not served itself would help nobody
+		return // the sender can't reach the state service either, so stepping down for it would not help
 	}
 	for shard, elector := range l.shards.Electors() {
 		if shard >= len(hello.Shards) {
--- a/internal/peer/health.go
+++ b/internal/peer/health.go
@@ -7,26 +7,26 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-// heardWithin is how long ago a controller's last health report was at most if it counts as up.
+// heardWithin is the maximum age of a controller's last health report for the controller to count as up.
 const heardWithin = 3 * time.Second
 
-// peerHealth keeps the last health report of each of the other controllers.
+// peerHealth stores the last health report of each of the other controllers.
 type peerHealth struct {
-	// mu guards last. It is a leaf lock: nothing else is locked or called under it.
+	// mu guards last. No other lock is taken under it.
 	mu   sync.Mutex
 	last map[ids.Node]healthReport
 }
 
-// healthReport is what a controller told last of itself.
+// healthReport is the last health report of a controller.
 type healthReport struct {
 	at     time.Time
-	served bool // by the state service
+	served bool // whether the controller's calls to the state service succeed
 }
 
-// recent reports that a controller counts as up.
+// recent reports whether the controller counts as up.
 func (r healthReport) recent() bool { return time.Since(r.at) < heardWithin }
 
-// record keeps a health report that came now.
+// record stores a health report that has just been received.
 func (h *peerHealth) record(node ids.Node, served bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -36,14 +36,14 @@
 	h.last[node] = healthReport{at: time.Now(), served: served}
 }
 
-// of returns a controller's last report; the zero value, which is not recent, if there is none.
+// of returns a controller's last report, or the zero value, which is not recent, if there is none.
 func (h *peerHealth) of(node ids.Node) healthReport {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.last[node]
 }
 
-// any reports that the last report of some controller is such.
+// any reports whether the last report of at least one controller satisfies the predicate.
 func (h *peerHealth) any(such func(healthReport) bool) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -55,17 +55,17 @@
 	return false
 }
 
-// OthersServed reports that some other controller has lately been served by the state service.
+// OthersServed reports whether at least one other controller is up and can reach the state service.
 func (l *Link) OthersServed() bool {
 	return l.health.any(func(report healthReport) bool { return report.served && report.recent() })
 }
 
-// Alone reports that there are other controllers, and none of them counts as up.
+// Alone reports whether the settings list other controllers and none of them counts as up.
 func (l *Link) Alone() bool {
 	return !l.health.any(healthReport.recent) && len(l.settings.Peers) > 0
 }
 
-// Served reports that another controller counts as up and is served by the state service.
+// Served reports whether another controller is up and can reach the state service.
 func (l *Link) Served(node ids.Node) bool {
 	report := l.health.of(node)
 	return report.served && report.recent()
--- a/internal/peer/jobs.go
+++ b/internal/peer/jobs.go
@@ -11,10 +11,10 @@
 	"github.com/pebbletrail/pebbletrail/internal/record"
 )
 
-// errNoKnownLeader reports that no controller leads, as far as this one knows. Users read its text.
+// errNoKnownLeader is returned if this controller knows of no leader. Its text is shown to users.
 var errNoKnownLeader = errors.New("no controller owns the machine pool now, as far as this one knows: nothing starts until one does")
 
-// Learn takes in another controller's write of a job's record.
+// Learn applies a job record written by another controller, or the removal of one, to this node's state.
 func (s *Service) Learn(in *Wrote, _ *Empty) error {
 	elector := s.link.shards.ForJob(in.Job)
 	if len(in.Raw) == 0 {
@@ -29,15 +29,16 @@
 	return nil
 }
 
-// Explain answers why a job's tasks wait, if this node leads.
+// Explain returns the reasons why a job's tasks wait, if this node leads the job's shard.
 func (s *Service) Explain(in *Asked, out *Lines) error {
 	lines, err := s.link.shards.ForJob(in.Job).Explain(in.Job)
 	out.Lines = lines
 	return err
 }
 
-// NotifyLeader passes a write on to the leader, wherever it is; the channel closes once
-// it knows, or can't be told. The goroutine that tells it ends within the timeouts of one call.
+// NotifyLeader notifies the leader of the job's shard, which may be this node, that the job's record was
+// written. The returned channel closes once the leader has acknowledged, or if no leader is known or the
+// call failed. The goroutine that makes the call ends within the timeouts of one call.
 func (l *Link) NotifyLeader(id ids.Job, stamp ids.Revision, rec *record.Record, raw json.RawMessage) <-chan struct{} {
 	done := make(chan struct{})
 	elector := l.shards.ForJob(id)
@@ -61,7 +62,8 @@
 	return done
 }
 
-// Explain asks the leader why a job's tasks wait, and names it. Users read the texts of its errors.
+// Explain returns the reasons why a job's tasks wait according to the leader of the job's shard, and that
+// leader's name. The texts of its errors are shown to users.
 func (l *Link) Explain(ctx context.Context, id ids.Job) (lines []string, leader ids.Node, err error) {
 	elector := l.shards.ForJob(id)
 	if lines, err := elector.Explain(id); err == nil {
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -10,8 +10,8 @@
 	"github.com/pebbletrail/pebbletrail/internal/state"
 )
 
-// Link is this controller's side of the exchange with the others. Its methods may be called from any
-// goroutine. It has no lock of its own; connections, peerHealth and tokenDemand each have one.
+// Link communicates with the other controllers. Its methods are safe for concurrent use. It has no lock
+// of its own; connections, peerHealth and tokenDemand each have one.
 type Link struct {
 	settings    *config.Settings
 	shards      *election.Shards
@@ -21,8 +21,8 @@
 	demand      tokenDemand
 }
 
-// NewLink makes the link. It answers others once Serve is called, and sends them health reports once
-// Run is.
+// NewLink returns a Link. It answers calls of other controllers once Serve is called, and sends them
+// health reports once Run is called.
 func NewLink(settings *config.Settings, shards *election.Shards, store *state.Client) *Link {
 	link := &Link{settings: settings, shards: shards, store: store, connections: newConnections(settings)}
 	if store != nil {
@@ -31,11 +31,11 @@
 	return link
 }
 
-// greetInterval is the pause between two health reports to a controller.
+// greetInterval is the pause between two health reports to the same controller.
 const greetInterval = time.Second
 
-// Run starts to send health reports to each of the other controllers, and returns. The goroutines,
-// one for each, end with the context; nobody waits for them.
+// Run starts one goroutine per other controller to send it health reports, and returns. The goroutines
+// end with the context; no caller waits for them.
 func (l *Link) Run(ctx context.Context) {
 	for _, other := range l.settings.Peers {
 		go l.greetRepeatedly(ctx, other.HostName)
@@ -53,5 +53,5 @@
 	}
 }
 
-// Service is what a controller does for the others. Its methods are the calls that net/rpc serves.
+// Service is the net/rpc receiver whose methods the other controllers call.
 type Service struct{ link *Link }
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -7,69 +7,72 @@
 	"github.com/pebbletrail/pebbletrail/internal/rollout"
 )
 
-// The messages between controllers. encoding/gob sends the names of their fields, and net/rpc those
-// of the calls, to controllers of other versions: none of these names may change, nor the type that a
-// field holds. The program's own types are copied into them in convert.go, so that those may change.
+// The messages between controllers. encoding/gob transmits the names of their fields, and net/rpc the
+// names of the methods, to controllers of other versions. These names and the types of the fields must
+// not change. convert.go copies the program's own types into the messages, so that those types can change.
 
-// Wrote tells the leader of a job's record just written; Raw is empty when it was removed.
+// Wrote notifies the leader that a job record was written, or removed if Raw is empty.
 type Wrote struct {
 	Job   ids.Job
 	Stamp ids.Revision
 	Raw   []byte
 }
 
-// Asked is a question about one job.
+// Asked requests an explanation of one job.
 type Asked struct{ Job ids.Job }
 
-// Lines is a text answer.
+// Lines is a text response.
 type Lines struct{ Lines []string }
 
-// Took announces the takeover of the only shard, under a new generation.
+// Took announces the takeover of the only shard under a new generation.
 type Took struct{ Generation ids.Generation }
 
-// ShardTook announces the takeover of one of several shards.
+// ShardTook announces the takeover of one of several shards under a new generation.
 type ShardTook struct {
 	Shard      ids.Shard
 	Generation ids.Generation
 }
 
-// Confirmed answers either: Stopped tells that no heartbeats are answered under older generations.
+// Confirmed is the response to Took and ShardTook. Stopped reports whether the node no longer answers
+// heartbeats under older generations.
 type Confirmed struct{ Stopped bool }
 
 // Hello is a health report; controllers exchange it once a second. With several shards it is part of
-// a ShardsHello, and its fields on the shard are empty.
+// a ShardsHello, and the fields that concern a single shard are empty.
 type Hello struct {
 	Node    ids.Node
-	StateOK bool // the state service serves the node
-	Owner   bool // the node leads the shard
-	// Have is how far in the leader's hints this node is; the leader answers with
-	// what came since and how far that goes.
+	StateOK bool // whether the node's calls to the state service succeed
+	Owner   bool // whether the node leads the shard
+	// Have is the sender's position in the leader's hint sequence. The leader responds with the hints
+	// after that position and with its own position.
 	Have  HintMark
 	Hints []Hint
-	// Want asks for changes of the state service that the other does not use,
-	// per second; Lent answers.
+	// Want is the rate of state service changes, per second, that the sender requests from the recipient's
+	// unused share. Lent in the response is the rate that the recipient grants.
 	Want, Lent float64
-	// Stranded are workers that came back from being redirected to the leader.
+	// Stranded lists workers that were redirected to the leader and came back to the sender.
 	Stranded []Strand
 }
 
-// ShardHello tells how a node stands to one shard; the fields are those of Hello.
+// ShardHello is the part of a health report for one of several shards. Fields named as in Hello have the
+// same meaning.
 type ShardHello struct {
 	Owner    bool
 	Have     HintMark
 	Hints    []Hint
 	Stranded []Strand
-	// Lack is the shard's unmet demand for machines, told by its leader.
+	// Lack is the shard's unmet demand for machines; only its leader sets it.
 	Lack Lack
 }
 
-// ShardsHello is a Hello with how the node stands to each shard.
+// ShardsHello is a health report with an entry for each shard.
 type ShardsHello struct {
 	Hello  Hello
 	Shards []ShardHello
 }
 
-// Hint is what a leader tells the others of a machine, so that the next leader starts with it.
+// Hint describes a machine. A leader sends hints to the other controllers, so that the next leader starts
+// with the machines already known.
 type Hint struct {
 	Name    ids.Machine
 	Addr    string
@@ -78,47 +81,50 @@
 	Spot    bool
 	Session ids.Incarnation // incarnation of the machine's agent
 	Images  Images
-	// Coming tells that the machine is pending: provisioned, and not up yet, since Held ago.
+	// Coming reports whether the machine is provisioned but not up yet. Held is the time since it was
+	// provisioned.
 	Coming bool
 	Held   time.Duration
 }
 
-// Images are the container images that a machine has, and their sizes in GB.
+// Images lists the container images present on a machine, and their sizes in GB.
 type Images struct {
 	Names []string
 	Sizes []float64
 }
 
-// HintMark is how far in a leader's hints a node is.
+// HintMark is a position in a leader's hint sequence.
 type HintMark struct {
 	Gen   ids.Generation
 	Seq   uint64
-	Whole bool // the hints that come with it are all there are
+	Whole bool // whether the accompanying hints are complete, and not only those after an earlier position
 	At    time.Time
 }
 
-// Strand is a worker that was redirected to the leader and came back.
+// Strand is a worker that was redirected to the leader and came back to the node that redirected it.
 type Strand struct {
 	Machine ids.Machine
-	Ago     time.Duration // since it was first redirected
+	Ago     time.Duration // time since the worker was first redirected
 }
 
 // Lack is a shard's unmet demand for machines.
 type Lack struct {
-	For      time.Duration // how long the cloud has refused it; 0: it has not
-	Machines int           // that the shard has
+	For      time.Duration // how long the cloud has refused to provision machines; 0 if it does not
+	Machines int           // number of machines that the shard has
 }
 
-// TransferRequest asks for changes of the state service to make at once.
+// TransferRequest asks another controller to give up a number of state service changes, which the sender
+// uses at once.
 type TransferRequest struct{ Changes int }
 
-// TransferReply tells how many the other controller will not make itself.
+// TransferReply is the number of changes that the other controller gives up.
 type TransferReply struct{ Changes int }
 
 // DrainRequest asks the leader for the plan of a rollout.
 type DrainRequest struct{ Spec RolloutSpec }
 
-// DrainPlan answers it. Refused says why the description can't be carried out; empty: it can.
+// DrainPlan is the response to DrainRequest. Refused is the reason why the rollout's description is
+// invalid, or empty if it is valid.
 type DrainPlan struct {
 	Plan    RolloutPlan
 	Refused string
@@ -146,7 +152,7 @@
 	Older    bool
 }
 
-// RolloutPlan is what a rollout would do as things are now.
+// RolloutPlan is a preview of a rollout, computed from the current cluster state.
 type RolloutPlan struct {
 	Machines []ids.Machine
 	Waves    [][]ids.Machine
@@ -154,14 +160,14 @@
 	Blocked  []BlockedMachine
 }
 
-// BlockedMachine is a machine that can't be drained now, and why.
+// BlockedMachine is a machine that can't be drained now, with the reasons.
 type BlockedMachine struct {
 	Name ids.Machine
 	Why  []string
 }
 
-// DrainWaits is what the machines being drained wait for.
+// DrainWaits lists, per machine being drained, what blocks its drain.
 type DrainWaits struct{ Waits map[ids.Machine][]string }
 
-// Empty is no answer.
+// Empty is a request or response without content.
 type Empty struct{}
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -21,7 +21,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/worker"
 )
 
-// testCluster is controllers without their users' side, on one store.
+// testCluster connects controllers, which have no API server for users, to one fake store.
 type testCluster struct {
 	net   *fake.Network
 	pipes *fake.Pipes
@@ -33,7 +33,7 @@
 	return cluster
 }
 
-// start starts a controller that knows one other.
+// start starts a controller whose settings list one other controller.
 func (c *testCluster) start(ctx context.Context, name, other ids.Node) (*election.Elector, *Link) {
 	settings := &config.Settings{HostName: name, Operator: config.DefaultOperator(), Peers: []config.Peer{{HostName: other, PeerAddr: string(other)}}}
 	settings.Params.Workers = config.WorkerIntervals{ReportS: 2, LeaseS: 20, GangWaitS: 30, GangPeerS: 5, CancelS: 40}
@@ -53,10 +53,10 @@
 	return elector, link
 }
 
-// callRepeatedly keeps a controller's view of the store fresh.
+// callRepeatedly calls the store at intervals, so that the controller counts it as reachable.
 func callRepeatedly(ctx context.Context, store *state.Client) {
 	for ctx.Err() == nil {
-		_, _, _ = store.Get(ctx, record.KeysOf(0, 1).Generation(), state.Urgent) // only that it is answered counts
+		_, _, _ = store.Get(ctx, record.KeysOf(0, 1).Generation(), state.Urgent) // only whether the call succeeds matters
 		time.Sleep(500 * time.Millisecond)
 	}
 }
@@ -84,7 +84,7 @@
 		if !linkA.OthersServed() || !linkB.OthersServed() {
 			t.Error("the nodes do not know that the other is served")
 		}
-		// What b accepts, a learns at once, and b can explain it by asking a.
+		// b notifies the leader a of a job record that it accepted, and asks a to explain the job.
 		rec := record.New(record.Spec{ID: "job-1", Team: "red", Shape: record.Array, Tasks: 1, Resources: placement.Resources{Cores: 1}}, 1, "b")
 		raw, err := json.Marshal(rec)
 		if err != nil {
@@ -106,13 +106,13 @@
 		}
 		cancel()
 		cluster.pipes.Close()
-		time.Sleep(time.Minute) // idle connections are given up
+		time.Sleep(time.Minute) // lets idle connections reach their timeout
 	})
 }
 
 func TestAllPeersAreAskedInParallel(t *testing.T) {
-	// Guards against a takeover that waits for a timeout per controller that is
-	// down, one after the other.
+	// Guards against a takeover that asks the controllers one after the other and so waits for one
+	// timeout per controller that is down.
 	synctest.Test(t, func(t *testing.T) {
 		ctx := context.Background()
 		settings := &config.Settings{HostName: "a", Operator: config.DefaultOperator(), Peers: []config.Peer{
--- a/internal/peer/production_test.go
+++ b/internal/peer/production_test.go
@@ -11,7 +11,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-// The messages of the version in production, as its own code declared them.
+// The messages as declared in the source of the production version.
 type (
 	oldWrote struct {
 		Job   string
@@ -50,7 +50,7 @@
 )
 
 func TestProductionMessagesAreReadBothWays(t *testing.T) {
-	// Guards against controllers of two versions that misread each other during an
+	// Guards against controllers of two versions decoding each other's messages incorrectly during an
 	// upgrade. The files were written by the version that deploy/service.toml names.
 	hello := &Hello{Node: "cairn-0", StateOK: true, Owner: true, Have: HintMark{Gen: 7, Seq: 12, Whole: true, At: time.Unix(1700000000, 0).UTC()},
 		Hints: []Hint{{Name: "host-000001", Addr: "10.1.0.1:9000", Type: "small", Zone: "north", Spot: true, Session: 2,
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -8,19 +8,20 @@
 	"time"
 )
 
-// serviceName is the name of Service in calls.
+// serviceName is the name under which Service is registered with net/rpc.
 const serviceName = "Peer"
 
 const (
-	// connectionsPerPeer is how many connections are accepted for each of the others; more are
-	// closed unanswered.
+	// connectionsPerPeer is the number of connections accepted at a time per other controller; further
+	// ones are closed at once.
 	connectionsPerPeer = 16
-	// acceptRetryDelay is the pause after a connection could not be accepted.
+	// acceptRetryDelay is the pause after a failed Accept.
 	acceptRetryDelay = 100 * time.Millisecond
 )
 
-// Serve answers the other controllers on a listener until that closes. Each connection has a
-// goroutine, which ends once the other side closes it or nothing comes over it for idleTimeout.
+// Serve answers calls of the other controllers on a listener until the listener is closed. Each
+// connection has a goroutine, which ends once the other side closes the connection or nothing is received
+// for idleTimeout.
 func (l *Link) Serve(listener net.Listener) {
 	server := rpc.NewServer()
 	if err := server.RegisterName(serviceName, &Service{l}); err != nil {
@@ -41,7 +42,7 @@
 		select {
 		case slots <- struct{}{}:
 		default:
-			_ = conn.Close() // nothing was exchanged on it that could be lost
+			_ = conn.Close() // the error does not matter: no data was exchanged
 			continue
 		}
 		go func() {
@@ -52,24 +53,24 @@
 }
 
 const (
-	// idleTimeout is how long nothing may come over a connection: the other side sends a health
-	// report every second, and an unreachable one sends nothing at all.
+	// idleTimeout closes a connection over which nothing is received: the other side sends a health report
+	// every second, and an unreachable one sends nothing at all, not even a close.
 	idleTimeout = 30 * time.Second
-	// writeTimeout bounds one write.
+	// writeTimeout limits the time of one write.
 	writeTimeout = 5 * time.Second
 )
 
-// idleConn is a connection that is given up once nothing comes over it for idleTimeout.
+// idleConn is a connection whose reads fail after idleTimeout and whose writes fail after writeTimeout.
 type idleConn struct{ net.Conn }
 
 func (c *idleConn) Read(buffer []byte) (int, error) {
-	// Only a closed connection takes no deadline, and reading from it fails.
+	// Setting the deadline fails only on a closed connection, from which reading fails as well.
 	_ = c.SetReadDeadline(time.Now().Add(idleTimeout))
 	return c.Conn.Read(buffer)
 }
 
 func (c *idleConn) Write(data []byte) (int, error) {
-	// Only a closed connection takes no deadline, and writing to it fails.
+	// Setting the deadline fails only on a closed connection, to which writing fails as well.
 	_ = c.SetWriteDeadline(time.Now().Add(writeTimeout))
 	return c.Conn.Write(data)
 }
--- a/internal/peer/takeover.go
+++ b/internal/peer/takeover.go
@@ -7,14 +7,15 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-// Stopped confirms that no heartbeats are answered under older generations.
+// Stopped reports whether this node no longer answers heartbeats of the only shard under generations
+// older than the given one.
 func (s *Service) Stopped(in *Took, out *Confirmed) error {
 	out.Stopped = s.link.shards.Electors()[0].ConfirmStopped(in.Generation)
 	return nil
 }
 
-// StoppedShard confirms that no heartbeats of a shard are answered under older generations. A shard
-// that this node does not have is not confirmed.
+// StoppedShard reports whether this node no longer answers heartbeats of a shard under generations older
+// than the given one. It reports false for a shard that this node does not have.
 func (s *Service) StoppedShard(in *ShardTook, out *Confirmed) error {
 	if electors := s.link.shards.Electors(); in.Shard >= 0 && int(in.Shard) < len(electors) {
 		out.Stopped = electors[in.Shard].ConfirmStopped(in.Generation)
@@ -22,18 +23,18 @@
 	return nil
 }
 
-// ForShard is what the client of one shard asks of the other controllers.
+// ForShard returns the election.Peers for the elector of one shard.
 func (l *Link) ForShard(shard ids.Shard) election.Peers { return shardPeers{l, shard} }
 
-// shardPeers are the other controllers as the client of one shard sees them.
+// shardPeers implements election.Peers for one shard.
 type shardPeers struct {
 	*Link
 	shard ids.Shard
 }
 
-// AllStopped asks the controllers named, or else every other, whether they have stopped answering
-// heartbeats under generations older than one. They are asked at the same time, since one that hangs
-// costs a timeout and there may be several. It waits for all answers.
+// AllStopped reports whether all given controllers, or all other controllers if none is given, confirm
+// that they no longer answer heartbeats under generations older than the given one. It asks them
+// concurrently, since each unresponsive one costs a timeout, and waits for all answers.
 func (p shardPeers) AllStopped(ctx context.Context, generation ids.Generation, nodes ...ids.Node) bool {
 	if len(nodes) == 0 {
 		for _, other := range p.settings.Peers {
@@ -51,7 +52,7 @@
 	return all
 }
 
-// hasStopped asks one controller; one that does not answer has not confirmed.
+// hasStopped reports whether one controller confirms. It reports false if the controller does not answer.
 func (p shardPeers) hasStopped(ctx context.Context, generation ids.Generation, node ids.Node) bool {
 	var answer Confirmed
 	var err error
--- a/internal/peer/transfer.go
+++ b/internal/peer/transfer.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Transfer lets another controller make changes in this one's stead, if it can spare them.
-// Controllers of version 0.1.0 do not know this call; they give nothing.
+// Transfer gives another controller a number of state service changes from this node's budget, if the
+// budget allows it. Controllers of version 0.1.0 lack this method, so requests to them transfer nothing.
 func (s *Service) Transfer(in *TransferRequest, out *TransferReply) error {
 	if s.link.store.Budget().TransferOut(in.Changes) {
 		out.Changes = in.Changes
@@ -16,8 +16,8 @@
 	return nil
 }
 
-// requestTransfer asks the controllers that count as up, one after the other in no fixed order, until
-// one gives as many changes as are wanted.
+// requestTransfer asks the controllers that count as up, one after the other in random order, until one
+// transfers the requested number of changes. It reports whether one did.
 func (l *Link) requestTransfer(ctx context.Context, changes int) bool {
 	for _, i := range rand.Perm(len(l.settings.Peers)) {
 		node := l.settings.Peers[i].HostName
@@ -37,22 +37,23 @@
 }
 
 const (
-	// demandInterval is how long a demand is valid: a little less than greetInterval, so that each
-	// round of health reports has its own.
+	// demandInterval is how long a computed demand is reused. It is slightly less than greetInterval, so
+	// that the demand is computed anew for each round of health reports.
 	demandInterval = 900 * time.Millisecond
-	// demandFactor is how many times its share of the demand each of the others is asked for.
+	// demandFactor multiplies the share of the demand that is requested from each of the other controllers.
 	demandFactor = 2
 )
 
-// tokenDemand is how many changes a second a node lacks, as it asks each of the others for them.
+// tokenDemand is the rate of changes, per second, that this node requests from each other controller.
 type tokenDemand struct {
-	// mu guards the fields below. The budget's lock is taken under it, never the reverse.
+	// mu guards the fields below. The lock of state.Budget may be taken under mu, never the reverse.
 	mu      sync.Mutex
 	perPeer float64
 	at      time.Time
 }
 
-// wantedTokens is how many changes a second this node asks each of the others for now.
+// wantedTokens returns the rate of changes, per second, that this node now requests from each other
+// controller.
 func (l *Link) wantedTokens() float64 {
 	l.demand.mu.Lock()
 	defer l.demand.mu.Unlock()
--- a/internal/peer/transfer_test.go
+++ b/internal/peer/transfer_test.go
@@ -32,11 +32,11 @@
 		}
 		cancel()
 		cluster.pipes.Close()
-		time.Sleep(time.Minute) // idle connections are given up
+		time.Sleep(time.Minute) // lets idle connections reach their timeout
 	})
 }
 
-// serviceWithoutTransfers is the peer service of a controller of a version that does not know them.
+// serviceWithoutTransfers is the peer service of an older version, which lacks the Transfer method.
 type serviceWithoutTransfers struct{}
 
 func (serviceWithoutTransfers) Greet(_ *Hello, out *Hello) error {
@@ -45,8 +45,8 @@
 }
 
 func TestOlderControllerTransfersNothingAtOnce(t *testing.T) {
-	// Guards against a user kept waiting, or a connection dropped, for a call that older
-	// versions do not know.
+	// Guards against a delayed user request or a closed connection because of a call that older versions
+	// lack.
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		cluster := newTestCluster()
