--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -9,10 +9,10 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-// minTxnOps is the number of changes in the transaction of a failover.
+// minTxnOps is the number of changes in the transaction of a takeover.
 const minTxnOps = 4
 
-// check reports the first setting of the platform's file that is missing or impossible.
+// check returns an error that names the first missing or invalid setting of the platform's file.
 func (s *Settings) check() error {
 	for _, check := range []func() error{
 		s.checkNames,
@@ -30,7 +30,7 @@
 	return nil
 }
 
-// number is a setting and its name in the file.
+// number is a numeric setting with its name in the file.
 type number struct {
 	name  string
 	value float64
@@ -103,7 +103,8 @@
 	return nil
 }
 
-// checkQuota checks what a team is guaranteed and its limits; name is the team's in the file.
+// checkQuota checks a team's guaranteed quota and its limits; name is the path of the team in the file,
+// for errors.
 func (t *Team) checkQuota(name string) error {
 	for _, n := range []number{
 		{"cpus", t.CPUs},
@@ -148,7 +149,7 @@
 	return nil
 }
 
-// checkNextState checks the limits that the key-value store announces, where it does.
+// checkNextState checks the announced future limits of the key-value store, if there are any.
 func (s *Settings) checkNextState() error {
 	next := s.Params.State.Next
 	if next == nil {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -9,7 +9,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// good is a platform's file with nothing wrong.
+// good is a valid platform's file, with one unknown field.
 const good = `
 host_name = "n0"
 area = "z"
@@ -44,7 +44,7 @@
 max_sockets = 100
 `
 
-// parsed reads settings that must be good.
+// parsed parses the platform's file and fails the test if it is invalid.
 func parsed(t *testing.T, text string) *Settings {
 	t.Helper()
 	settings, err := Parse([]byte(text))
@@ -54,7 +54,7 @@
 	return settings
 }
 
-// namesIt reports whether an error is there, names what is wrong and is one line.
+// namesIt reports whether err is not nil, contains name and is a single line.
 func namesIt(err error, name string) bool {
 	return err != nil && strings.Contains(err.Error(), name) && !strings.Contains(err.Error(), "\n")
 }
@@ -86,8 +86,8 @@
 }
 
 func TestLimitsToComeHoldFromTheStart(t *testing.T) {
-	// Guards against writes that would be refused from the moment, which nobody announces, at
-	// which the key-value store lowers its limits.
+	// Guards against writes that the key-value store would reject once it lowers its limits, which it does
+	// at an unannounced time.
 	with := func(next string) StateLimits {
 		return parsed(t, strings.Replace(good, "[params.cloud]", next+"\n[params.cloud]", 1)).Params.State
 	}
@@ -97,7 +97,7 @@
 	}{
 		{"", StateLimits{RPS: 250, WriteRPS: 80, ValueKB: 32, TxnOps: 48, CurrentValueKB: 32}},
 		{"[params.state.next]\nwrite_rps = 35.0\nvalue_kb = 2.0\ntxn_ops = 4", StateLimits{RPS: 250, WriteRPS: 35, ValueKB: 2, TxnOps: 4, CurrentValueKB: 32}},
-		{"[params.state.next]\nrps = 900.0\nvalue_kb = 64.0", StateLimits{RPS: 250, WriteRPS: 80, ValueKB: 32, TxnOps: 48, CurrentValueKB: 32}}, // never more than now
+		{"[params.state.next]\nrps = 900.0\nvalue_kb = 64.0", StateLimits{RPS: 250, WriteRPS: 80, ValueKB: 32, TxnOps: 48, CurrentValueKB: 32}}, // next limits never raise the current ones
 	} {
 		got := with(c.next)
 		got.Next = nil
@@ -213,7 +213,7 @@
 	if got, want := settings.Sockets(), (SocketLimits{Inbound: 44, ToMachines: 16}); got != want {
 		t.Errorf("sockets %+v, not %+v", got, want)
 	}
-	// cancel_s 46 less the longest lease of 26 s and twice the leader's of 1.5 s
+	// cancel_s of 46 s minus the worker lease of 26 s with clock drift, minus twice the leader lease of 1.5 s
 	if got := settings.LeaderGracePeriod(); got < 16.8 || got > 16.9 {
 		t.Errorf("grace period %v", got)
 	}
--- a/internal/config/derived.go
+++ b/internal/config/derived.go
@@ -2,27 +2,27 @@
 
 import "github.com/pebbletrail/pebbletrail/internal/ids"
 
-// SocketLimits is how the sockets of this process are split.
+// SocketLimits divides the sockets of this process by use.
 type SocketLimits struct {
-	// Inbound is for users, workers and health checks.
+	// Inbound limits connections from users, workers and health checks.
 	Inbound int
-	// ToMachines is for calls to machines: a quarter each for commands and for status queries under
-	// way, the rest for connections kept open.
+	// ToMachines limits connections to machines: a quarter each for commands and for status queries in
+	// progress, the rest for idle connections kept open.
 	ToMachines int
 }
 
 const (
-	// serviceSockets and socketsPerPeer are the sockets for calls to the services and to each of
-	// the other controllers.
+	// serviceSockets is the number of sockets reserved for calls to the services, and socketsPerPeer the
+	// number reserved for calls to each of the other controllers.
 	serviceSockets = 40
 	socketsPerPeer = 18
-	// minSockets is the least for callers, and for calls to machines.
+	// minSockets is the minimum both for inbound connections and for calls to machines.
 	minSockets = 16
 )
 
-// Sockets splits the sockets that the machine allows. Every worker keeps a connection to the
-// leader, so callers have the most; the calls to the services and to the other controllers come
-// off first.
+// Sockets divides the sockets that the machine allows. The sockets for calls to the services and to the
+// other controllers are reserved first. Inbound connections get most of the rest, since every worker
+// keeps a connection to the leader.
 func (s *Settings) Sockets() SocketLimits {
 	limit := s.Params.Limits.MaxSockets
 	reserved := serviceSockets + socketsPerPeer*len(s.Peers)
@@ -31,10 +31,10 @@
 	return SocketLimits{Inbound: max(minSockets, rest-toMachines), ToMachines: toMachines}
 }
 
-// LeaderGracePeriod is how long a leader answers heartbeats after the last renewal of its lease. Partitioned
-// together with a zone, it may keep tasks there alive that a user has cancelled through another
-// node meanwhile: they must be gone, by the lease that its last answer gave them, within cancel_s
-// of that.
+// LeaderGracePeriod returns how long a leader answers heartbeats after the last renewal of its lease. A
+// leader that is partitioned together with a zone may keep alive tasks there that a user has meanwhile
+// cancelled through another node. The worker leases granted by the leader's last answer must expire, and
+// so end these tasks, within cancel_s of the cancellation.
 func (s *Settings) LeaderGracePeriod() ids.Seconds {
 	workers := &s.Params.Workers
 	leaderLease := ids.Seconds(float64(s.Operator.PoolHoldMs) / 1000)
--- a/internal/config/drains.go
+++ b/internal/config/drains.go
@@ -8,15 +8,16 @@
 	"github.com/pebbletrail/pebbletrail/internal/budget"
 )
 
-// defaultReady is how long a replica must have been seen running to count as up, unless the
-// features' file says otherwise.
+// defaultReady is how long a replica must have been observed running to count as up, if the features
+// file does not set ready_s.
 const defaultReady = 5 * time.Second
 
-// missedHeartbeats is after how many heartbeat intervals without a heartbeat a machine's replicas
-// count as down: one may be a quarter late, and one of two may be lost.
+// missedHeartbeats is the number of heartbeat intervals without a heartbeat after which a machine's
+// replicas count as down. It tolerates the loss of one of two heartbeats and a heartbeat that is late by
+// a quarter of the interval.
 const missedHeartbeats = 2.5
 
-// DrainsEnabled reports whether operators may drain machines.
+// DrainsEnabled reports whether the features file enables drains.
 func (s *Settings) DrainsEnabled() bool { return s.Features != nil && s.Features.Drains != nil }
 
 // DisruptionBudgets returns the teams' disruption budgets.
@@ -30,7 +31,7 @@
 	return budget.NewBudgets(fallback, teams)
 }
 
-// Readiness returns when a replica counts as up.
+// Readiness returns the conditions under which a replica counts as up.
 func (s *Settings) Readiness() budget.Readiness {
 	ready := defaultReady
 	if drains := s.Features.GetDrains(); drains != nil && drains.ReadyS != nil {
@@ -43,7 +44,7 @@
 	}
 }
 
-// budgetOf reads a disruption budget; what it leaves out is the default's.
+// budgetOf converts a disruption budget; fields that are not set take the values of budget.Default.
 func budgetOf(message *DisruptionBudget) budget.Budget {
 	result := budget.Default()
 	if message == nil {
@@ -60,7 +61,7 @@
 	return result
 }
 
-// intOf converts an optional number.
+// intOf converts an optional number, with nil for one that is not set.
 func intOf(number *uint32) *int {
 	if number == nil {
 		return nil
@@ -69,7 +70,7 @@
 	return &value
 }
 
-// checkDrains reports the first setting of drains that is impossible.
+// checkDrains returns an error that names the first invalid setting of drains.
 func (s *Settings) checkDrains(drains *Drains) error {
 	if drains == nil {
 		return nil
--- a/internal/config/features.go
+++ b/internal/config/features.go
@@ -7,21 +7,21 @@
 	"google.golang.org/protobuf/encoding/prototext"
 )
 
-// defaultShards is the number of shards when the features' file names none.
+// defaultShards is the number of shards if the features file does not set it.
 const defaultShards = 1
 
-// Bounds of the number of shards. Each shard's leader needs so many writes and calls per second
-// of the key-value store to renew its lease and store its progress.
+// Writes and calls per second of the key-value store that each shard's leader needs to renew its lease
+// and store its progress. They limit the number of shards.
 const (
 	minShardWrites = 5
 	minShardCalls  = 15
 )
 
-// DefaultFeatures are the features when no file names any.
+// DefaultFeatures returns the features that apply without a features file.
 func DefaultFeatures() *Features { return &Features{} }
 
-// LoadFeatures reads the features' file into the settings and checks it; without a path the
-// defaults stay.
+// LoadFeatures reads the features file into the settings and checks it. With an empty path it keeps the
+// defaults.
 func (s *Settings) LoadFeatures(path string) error {
 	if path == "" {
 		return nil
@@ -36,8 +36,8 @@
 	return nil
 }
 
-// ParseFeatures reads and checks features over the defaults. On an error the settings stay as they
-// are.
+// ParseFeatures parses and checks the features in raw; fields that are not set keep their defaults. On an
+// error the settings are unchanged.
 func (s *Settings) ParseFeatures(raw []byte) error {
 	features := DefaultFeatures()
 	if err := prototext.Unmarshal(raw, features); err != nil {
@@ -54,8 +54,8 @@
 	return nil
 }
 
-// maxShards is how many leaders the limits of the key-value store suffice for. Leaders get their
-// share of its writes, and two thirds of that share of its calls.
+// maxShards returns the number of leaders for which the limits of the key-value store are sufficient. All
+// leaders together get owner_share of its writes, and two thirds of owner_share of its calls.
 func (s *Settings) maxShards() int {
 	limits := &s.Params.State
 	byWrites := int(limits.WriteRPS * s.Operator.OwnerShare / minShardWrites)
@@ -63,7 +63,7 @@
 	return max(1, min(byWrites, byCalls))
 }
 
-// ShardCount returns how many shards the machine pool has.
+// ShardCount returns the number of shards of the machine pool.
 func (s *Settings) ShardCount() int {
 	if s.Features == nil {
 		return defaultShards
@@ -71,7 +71,7 @@
 	return s.Features.shardCount()
 }
 
-// shardCount is the number of shards, or the default where the file names none.
+// shardCount returns the number of shards, or the default if the file does not set it.
 func (f *Features) shardCount() int {
 	if f.Shards == nil {
 		return defaultShards
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -6,14 +6,14 @@
 	"google.golang.org/protobuf/encoding/prototext"
 )
 
-// Bounds of the operators' settings.
+// Bounds on the operators' settings.
 const (
 	minPoolHoldMs  = 500
 	maxPoolHoldMs  = 600000
 	maxTrailEvents = 64
 )
 
-// DefaultOperator are the operators' settings when they name none.
+// DefaultOperator returns the default operators' settings.
 func DefaultOperator() *Operator {
 	return &Operator{
 		PoolHoldMs:      1500,
@@ -31,7 +31,8 @@
 	}
 }
 
-// ParseOperator reads and checks the operators' settings, over the defaults.
+// ParseOperator parses and checks the operators' settings; fields that are zero or absent take the
+// defaults.
 func ParseOperator(raw []byte) (*Operator, error) {
 	named := &Operator{}
 	if err := prototext.Unmarshal(raw, named); err != nil {
@@ -45,7 +46,7 @@
 	return settings, nil
 }
 
-// override replaces the settings that the operators named.
+// override replaces the settings that are not zero in named.
 func (o *Operator) override(named *Operator) {
 	setIfNamed(&o.PoolHoldMs, named.PoolHoldMs)
 	setIfNamed(&o.BeatGraceS, named.BeatGraceS)
@@ -61,15 +62,15 @@
 	setIfNamed(&o.BurstCostShare, named.BurstCostShare)
 }
 
-// setIfNamed replaces a setting that is not zero in the file.
+// setIfNamed replaces a setting by the value from the file, unless that is zero.
 func setIfNamed[N uint32 | float64](setting *N, named N) {
 	if named != 0 {
 		*setting = named
 	}
 }
 
-// check reports the first setting that is impossible. The conditions are written so that no number
-// that is not one (NaN) passes.
+// check returns an error that names the first invalid setting. The conditions are written so that NaN
+// fails them.
 func (o *Operator) check() error {
 	switch {
 	case o.PoolHoldMs < minPoolHoldMs || o.PoolHoldMs > maxPoolHoldMs:
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -1,6 +1,6 @@
-// Package config reads and checks the platform's settings file, the operators' settings and the
-// features' file. Names in those files are given by tags and by the generated types; the texts of
-// errors name the setting as it is in its file.
+// Package config reads and checks the platform's settings file, the operators' settings file and the
+// features file. Struct tags and the generated types determine the names of settings in these files.
+// Errors name a setting as it appears in its file.
 package config
 
 import (
@@ -13,7 +13,8 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-// Settings is the platform's file. Fields it does not name are ignored.
+// Settings holds the platform's settings file, together with the operators' settings and the features.
+// Unknown fields in the platform's file are ignored.
 type Settings struct {
 	HostName      ids.Node `toml:"host_name"`
 	Area          string   `toml:"area"` // the zone of this node
@@ -37,7 +38,7 @@
 	} `toml:"params"`
 
 	Operator *Operator `toml:"-"` // the operators' settings
-	Features *Features `toml:"-"` // nil without a features' file
+	Features *Features `toml:"-"` // nil without a features file
 }
 
 // Peer is one of the other controllers.
@@ -47,7 +48,7 @@
 	PeerAddr string   `toml:"peer_addr"`
 }
 
-// Team has a quota that it is guaranteed and a limit; a limit of 0 is none.
+// Team holds a team's guaranteed quota (CPUs, GPUs) and its limits (CPUsMax, GPUsMax); 0 means no limit.
 type Team struct {
 	Name    string  `toml:"name"`
 	CPUs    float64 `toml:"cpus"`
@@ -56,8 +57,8 @@
 	GPUsMax float64 `toml:"gpus_max"`
 }
 
-// Objective is a service-level objective of a class of jobs: what share of them must reach a stage
-// in time.
+// Objective is a service-level objective for a class of jobs: the share of these jobs that must reach a
+// stage within a time.
 type Objective struct {
 	Kind    string      `toml:"kind"` // the stage
 	Class   string      `toml:"class"`
@@ -65,20 +66,20 @@
 	Share   float64     `toml:"share"`
 }
 
-// The kinds of objectives that decisions look at.
+// The kinds of objectives that affect scheduling decisions.
 const (
-	ObjectiveFinished  = "finished"  // a job's last task is done
-	ObjectiveWait      = "wait"      // a job's first task runs
-	ObjectiveGuarantee = "guarantee" // a team gets its guarantee
+	ObjectiveFinished  = "finished"  // the job's last task is done
+	ObjectiveWait      = "wait"      // the job's first task runs
+	ObjectiveGuarantee = "guarantee" // the team has its guaranteed quota
 )
 
-// WorkerIntervals holds the workers' intervals.
+// WorkerIntervals holds the intervals and timeouts of workers.
 type WorkerIntervals struct {
 	ReportS   ids.Seconds `toml:"report_s"` // between heartbeats
 	LeaseS    ids.Seconds `toml:"lease_s"`
 	GangWaitS ids.Seconds `toml:"gang_wait_s"`
 	GangPeerS ids.Seconds `toml:"gang_peer_s"`
-	CancelS   ids.Seconds `toml:"cancel_s"` // within which a cancelled task must be gone
+	CancelS   ids.Seconds `toml:"cancel_s"` // maximum time until a cancelled task must have ended
 }
 
 // CloudLimits holds the cloud's limits.
@@ -87,14 +88,15 @@
 	ListLagS ids.Seconds `toml:"list_lag_s"`
 }
 
-// MachineLimits is what the machine gives this process.
+// MachineLimits holds the resources that this process may use on its machine.
 type MachineLimits struct {
 	Cores      float64 `toml:"cores"`
 	RAMMB      float64 `toml:"ram_mb"`
 	MaxSockets int     `toml:"max_sockets"`
 }
 
-// Load reads and checks the platform's file and the operators' settings; operatorPath may be empty.
+// Load reads and checks the platform's file and the operators' settings. If operatorPath is empty, the
+// default operators' settings apply.
 func Load(path, operatorPath string) (*Settings, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -117,7 +119,7 @@
 	return s, nil
 }
 
-// Parse reads and checks the platform's file, with the default operators' settings.
+// Parse parses and checks the platform's file, and sets the default operators' settings.
 func Parse(raw []byte) (*Settings, error) {
 	s := &Settings{}
 	if err := toml.Unmarshal(raw, s); err != nil {
@@ -136,7 +138,7 @@
 	return s, nil
 }
 
-// Team finds a team by name.
+// Team returns the team with the given name, and whether there is one.
 func (s *Settings) Team(name string) (Team, bool) {
 	for _, team := range s.Params.Teams {
 		if team.Name == name {
--- a/internal/config/statelimits.go
+++ b/internal/config/statelimits.go
@@ -6,28 +6,30 @@
 	WriteRPS float64 `toml:"write_rps"`
 	ValueKB  float64 `toml:"value_kb"`
 	TxnOps   int     `toml:"txn_ops"`
-	// Next is what the limits will be from some moment on, without notice. Its zero fields stay as
-	// they are.
+	// Next holds future limits, which come into force at an unknown time without notice. Limits that are
+	// zero in Next do not change.
 	Next *StateLimits `toml:"next"`
-	// CurrentValueKB is the limit of values until then.
+	// CurrentValueKB is the maximum size of a value until the next limits come into force.
 	CurrentValueKB float64 `toml:"-"`
 }
 
-// maxValueKB is the largest value that is used, whatever the store accepts: a transaction
-// carries 64 KiB in all, conditions and keys included, and a larger value would never be sent.
+// maxValueKB is the maximum size of a value that the controller writes, even if the store accepts larger
+// ones. A transaction holds 64 KiB in total, including conditions and keys, so a larger value could never
+// be sent.
 const maxValueKB = 56
 
-// bytesPerKB is how many bytes the store's limits mean by a kilobyte.
+// bytesPerKB is the number of bytes per kilobyte in the store's limits.
 const bytesPerKB = 1024
 
-// ValueBytes is how many bytes a value may take, before and after the next limits come into force.
+// ValueBytes returns the maximum size of a value, in bytes, that is valid both before and after the next
+// limits come into force.
 func (s *StateLimits) ValueBytes() float64 { return s.ValueKB * bytesPerKB }
 
-// CurrentValueBytes is how many bytes a value may take until the next limits come into force.
+// CurrentValueBytes returns the maximum size of a value, in bytes, until the next limits come into force.
 func (s *StateLimits) CurrentValueBytes() float64 { return s.CurrentValueKB * bytesPerKB }
 
-// applyNext lowers the limits to those announced, so that whatever is written fits before and
-// after the moment at which they come into force.
+// applyNext lowers the limits to the announced ones, so that every write is accepted both before and
+// after these come into force.
 func (s *StateLimits) applyNext() {
 	s.ValueKB = min(s.ValueKB, maxValueKB)
 	s.CurrentValueKB = s.ValueKB
@@ -41,7 +43,7 @@
 	s.TxnOps = lowerIfSet(s.TxnOps, next.TxnOps)
 }
 
-// lowerIfSet returns the lower of a limit and the next one, if that is set.
+// lowerIfSet returns the lower of limit and next, or limit if next is zero.
 func lowerIfSet[N int | float64](limit, next N) N {
 	if next > 0 {
 		return min(limit, next)
--- a/internal/docs/architecture_test.go
+++ b/internal/docs/architecture_test.go
@@ -9,14 +9,14 @@
 	"testing"
 )
 
-// repository is the root of the repository as seen from this package.
+// repository is the path of the repository's root, relative to this package.
 const repository = "../.."
 
-// codeReference is how docs/architecture.md names a function: its file and line, and its name.
+// codeReference matches a reference to a function in docs/architecture.md: file, line and name.
 var codeReference = regexp.MustCompile("`([a-z_/]+\\.go):([0-9]+)` `([A-Za-z]+)`")
 
-// TestArchitecturePageNamesFunctionsWhereTheyAre fails when a function that the page names moved. The message
-// tells where it is now.
+// TestArchitecturePageNamesFunctionsWhereTheyAre fails if a function that the page references has moved.
+// The failure gives its current line.
 func TestArchitecturePageNamesFunctionsWhereTheyAre(t *testing.T) {
 	page, err := os.ReadFile(filepath.Join(repository, "docs", "architecture.md"))
 	if err != nil {
@@ -43,7 +43,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = source.Close() }) // it was only read
+	t.Cleanup(func() { _ = source.Close() }) // the error does not matter: the file was only read
 	declaration := regexp.MustCompile(`^func (\([^)]*\) )?` + name + `\(`)
 	lines := bufio.NewScanner(source)
 	for number := 1; lines.Scan(); number++ {
--- a/internal/docs/doc.go
+++ b/internal/docs/doc.go
@@ -1,2 +1,2 @@
-// Package docs has tests only: what the pages say of the code must be there.
+// Package docs contains only tests, which check that references to code in the documentation are correct.
 package docs
--- a/internal/httpjson/httpjson.go
+++ b/internal/httpjson/httpjson.go
@@ -1,5 +1,5 @@
-// Package httpjson sends HTTP requests with JSON bodies and reads their answers whole. What a
-// status means and what an answer holds is left to the caller.
+// Package httpjson sends HTTP requests with JSON bodies and reads the complete responses. Interpreting
+// the status and the body of a response is left to the caller.
 package httpjson
 
 import (
@@ -16,30 +16,30 @@
 	http    *http.Client
 }
 
-// NewClient makes a client for the server at a host:port address.
+// NewClient returns a client for the server at a host:port address.
 func NewClient(address string, client *http.Client) *Client {
 	return &Client{baseURL: "http://" + address, http: client}
 }
 
-// Response is an answer that arrived whole.
+// Response is a response that was received completely.
 type Response struct {
 	Status int
 	Body   []byte
 }
 
-// NoResponseError tells that no whole answer arrived: the server may have executed the request,
-// or may yet do so.
+// NoResponseError is returned if no complete response was received. The server may have executed the
+// request, or may still execute it.
 type NoResponseError struct {
 	Err error
 }
 
 func (e *NoResponseError) Error() string { return e.Err.Error() }
 
-// Unwrap is the error of the connection or of the context.
+// Unwrap returns the error of the connection or of the context.
 func (e *NoResponseError) Unwrap() error { return e.Err }
 
-// Do sends one request with body as JSON, or without a body if it is nil. The path may have a
-// query. Any error but a *NoResponseError means that nothing was sent.
+// Do sends a request with body encoded as JSON, or without a body if body is nil. The path may include a
+// query. An error other than a *NoResponseError means that nothing was sent.
 func (c *Client) Do(ctx context.Context, method, path string, body any) (Response, error) {
 	request, err := c.newRequest(ctx, method, path, body)
 	if err != nil {
@@ -50,7 +50,7 @@
 		return Response{}, &NoResponseError{err}
 	}
 	defer func() {
-		_ = answer.Body.Close() // whether the body was read whole, ReadAll tells
+		_ = answer.Body.Close() // ReadAll reports whether the body was read completely
 	}()
 	raw, err := io.ReadAll(answer.Body)
 	if err != nil {
--- a/internal/measure/measure.go
+++ b/internal/measure/measure.go
@@ -1,5 +1,5 @@
-// Package measure records latencies and counts, for operators and for measured rounds: how long
-// things took and how often calls were made. No decision depends on it.
+// Package measure records latencies of operations and counts of events, for operators and for
+// benchmarks. No decision of the program depends on it.
 package measure
 
 import (
@@ -12,11 +12,11 @@
 	hdr "github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Recorder keeps latencies and counts. Its size is bounded: names come from the code, never from
-// what users or machines send.
+// Recorder records latencies and counts by name. Its size is bounded, since names are constants in the
+// code and never come from users or machines.
 type Recorder struct {
-	// mu guards the maps and the histograms. It is held only for updates and copies, and nothing
-	// that locks is called under it but the logger, of a latency that was not kept.
+	// mu guards the maps and the histograms. It is held only for updates and copies. Under it no code that
+	// takes a lock is called, except the logger if a latency can't be recorded.
 	mu        sync.Mutex
 	latencies map[string]*hdr.Histogram // in microseconds
 	counts    map[string]int64
@@ -27,18 +27,18 @@
 	return &Recorder{latencies: map[string]*hdr.Histogram{}, counts: map[string]int64{}}
 }
 
-// Process records for the whole process: counts come from many packages, and passing a recorder
-// to each of them would tell no more.
+// Process is the recorder of the whole process. Counts come from many packages, and a separate recorder
+// for each of them would give no further information.
 var Process = newRecorder()
 
 const (
-	// maxLatency is the highest latency kept; longer ones count as this.
+	// maxLatency is the highest latency that is recorded; longer ones are recorded as this value.
 	maxLatency = time.Minute
 	// significantDigits is the precision of the histograms.
 	significantDigits = 2
 )
 
-// Took records how long something took that began at a time.
+// Took records the latency of an operation that began at the given time and has just ended.
 func (r *Recorder) Took(name string, began time.Time) {
 	latency := min(time.Since(began), maxLatency)
 	r.mu.Lock()
@@ -49,19 +49,19 @@
 		r.latencies[name] = histogram
 	}
 	if err := histogram.RecordValue(max(1, latency.Microseconds())); err != nil {
-		slog.Error("latency not kept", "what", name, "err", err) // cannot be: it is within the bounds
+		slog.Error("latency not kept", "what", name, "err", err) // not expected: latency is within the bounds of the histogram
 	}
 }
 
-// Count adds to a count.
+// Count adds n to the named count.
 func (r *Recorder) Count(name string, n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.counts[name] += int64(n)
 }
 
-// Distribution describes latencies in milliseconds. It is logged under its fields' names, which
-// must stay, and told to operators under those in JSON.
+// Distribution summarizes latencies in milliseconds. Log lines contain the names of its fields, which
+// must not change; the status page uses the JSON names.
 type Distribution struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50ms"`
@@ -96,7 +96,7 @@
 	return latencies, maps.Clone(r.counts)
 }
 
-// Log writes the summary as one line.
+// Log writes the summary as one log line.
 func (r *Recorder) Log() {
 	latencies, counts := r.Summary()
 	var args []any
--- a/internal/measure/measure_test.go
+++ b/internal/measure/measure_test.go
@@ -15,7 +15,7 @@
 			r.Took("pass", began)
 		}
 		began := time.Now()
-		time.Sleep(time.Hour) // longer than kept: still counted, at the bound
+		time.Sleep(time.Hour) // longer than maxLatency: recorded as maxLatency
 		r.Took("pass", began)
 		r.Count("calls", 2)
 		r.Count("calls", 3)
--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -1,4 +1,4 @@
-// Package wait waits for times that a context may cut short.
+// Package wait provides a pause that ends with a context, and a non-blocking wake-up signal.
 package wait
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// For waits for a duration, or until the context ends.
+// For waits for a duration, or until the context is done.
 func For(ctx context.Context, duration time.Duration) {
 	select {
 	case <-ctx.Done():
@@ -14,7 +14,8 @@
 	}
 }
 
-// Signal has whoever waits on a channel of capacity one look again; it never blocks.
+// Signal wakes the receiver on a channel of capacity one. It never blocks: if a signal is already
+// pending, it does nothing.
 func Signal(channel chan<- struct{}) {
 	select {
 	case channel <- struct{}{}:
--- a/internal/wirenames/names_test.go
+++ b/internal/wirenames/names_test.go
@@ -1,6 +1,6 @@
-// Package wirenames tests that the names which other programs, operators and other versions of
-// this program know do not change: on the wire, in stored values, in settings and on the command
-// line. It has no code of its own.
+// Package wirenames contains only tests. They check that names which other programs, operators and other
+// versions of this program depend on do not change: on the wire, in stored values, in settings, in texts
+// for users and on the command line.
 package wirenames
 
 import (
@@ -26,12 +26,12 @@
 	"github.com/pebbletrail/pebbletrail/internal/rollout"
 )
 
-// root is the repository, seen from this package.
+// root is the path of the repository's root, relative to this package.
 const root = "../.."
 
-// TestNamesKnownOutsideTheProgramStay guards against a rename in the code that changes a name
-// outside of it. A name may be added: then it is added to the list as well. None may go away,
-// since other versions of this program, the platform or operators' scripts know it.
+// TestNamesKnownOutsideTheProgramStay guards against a rename in the code that changes an external name.
+// A new name must be added to its list in testdata. No name may be removed, since other versions of this
+// program, the platform or operators' scripts depend on it.
 func TestNamesKnownOutsideTheProgramStay(t *testing.T) {
 	files := sourceFiles(t)
 	for _, list := range []struct {
@@ -55,7 +55,8 @@
 	}
 }
 
-// compareWithList compares names with those of a file.
+// compareWithList compares names with the list in testdata. If UPDATE_WIRE_NAMES is set, it writes that
+// list first.
 func compareWithList(t *testing.T, name string, names []string) {
 	t.Helper()
 	slices.Sort(names)
@@ -83,7 +84,7 @@
 	}
 }
 
-// sourceFiles parses the program's own files, without tests and without stand-ins for tests.
+// sourceFiles parses the program's source files, except tests, test fakes and generated code.
 func sourceFiles(t *testing.T) []*ast.File {
 	t.Helper()
 	var files []*ast.File
@@ -109,8 +110,8 @@
 	return files
 }
 
-// structTags lists, for each struct with tags, its tags in order: the form of a stored value, of a
-// message or of a settings table, whatever its type and fields are called.
+// structTags returns, for each struct with tags, its tags in the order of its fields. They determine the
+// format of a stored value, a message or a settings table independently of the Go names.
 func structTags(files []*ast.File) (lists []string) {
 	inspect(files, func(node ast.Node) {
 		structure, ok := node.(*ast.StructType)
@@ -130,7 +131,7 @@
 	return lists
 }
 
-// mapKeys lists the keys of the maps that are written as JSON.
+// mapKeys returns the keys of map literals that are written as JSON.
 func mapKeys(files []*ast.File) (keys []string) {
 	inspect(files, func(node ast.Node) {
 		literal, ok := node.(*ast.CompositeLit)
@@ -152,10 +153,10 @@
 	return keys
 }
 
-// pathOrKey matches HTTP paths and keys of the state service, whole or in part.
+// pathOrKey matches HTTP paths and keys of the state service, or parts of them.
 var pathOrKey = regexp.MustCompile(`^/?([a-z0-9~%:{}*]+/)+[a-z0-9~%:{}*]*$|^/[a-z0-9]+$|^~[a-z]+$`)
 
-// pathsAndKeys lists the texts of that form, but for the paths of imports.
+// pathsAndKeys returns the string literals that match pathOrKey, except import paths.
 func pathsAndKeys(files []*ast.File) (found []string) {
 	imports := map[ast.Node]bool{}
 	inspect(files, func(node ast.Node) {
@@ -173,7 +174,7 @@
 	return found
 }
 
-// storedKeys lists where things are kept in the state service.
+// storedKeys returns the keys and key prefixes of records in the state service.
 func storedKeys() []string {
 	keys := []string{record.PoolPrefix, record.TypesKey, record.JobKey("J"), record.EndKey("J"), record.WaitKey("J"), record.CancelKey("J"),
 		quota.Prefix, rollout.Prefix}
@@ -183,7 +184,7 @@
 	return keys
 }
 
-// metrics lists the names of latencies and counts.
+// metrics returns the names of the recorded latencies and counts.
 func metrics(files []*ast.File) (names []string) {
 	constants := map[string]string{}
 	inspect(files, func(node ast.Node) {
@@ -216,7 +217,7 @@
 	return names
 }
 
-// commandLine lists commands, flags and environment variables.
+// commandLine returns the names of commands, flags and environment variables.
 func commandLine(files []*ast.File) (names []string) {
 	inspect(files, func(node ast.Node) {
 		switch node := node.(type) {
@@ -244,7 +245,7 @@
 	return names
 }
 
-// settings lists the fields of the operators' settings and of the deploy file.
+// settings returns the fields of the operators' settings, of the features file and of the deploy file.
 func settings(t *testing.T) (fields []string) {
 	t.Helper()
 	for _, pattern := range []string{"internal/config/*.proto", "deploy/service.toml"} {
@@ -270,8 +271,8 @@
 // settingsLine matches a field with its number in a .proto file, or a key or table of a TOML file.
 var settingsLine = regexp.MustCompile(`^\s*((?:optional |repeated )?[A-Za-z0-9_.]+ [a-z_0-9]+ = \d+);|^([a-z_]+) = |^(\[[a-z_.]+\])`)
 
-// peerMessages lists the calls between controllers and, as gob sends the names of fields, those of
-// their arguments and answers.
+// peerMessages returns the names of the calls between controllers, and the names of the fields of their
+// arguments and results, which gob transmits.
 func peerMessages() (names []string) {
 	service := reflect.TypeFor[*peer.Service]()
 	for i := range service.NumMethod() {
@@ -286,7 +287,7 @@
 	return names
 }
 
-// gobFields lists the fields that gob sends of a type, by path, with what each holds.
+// gobFields returns the paths of the fields that gob transmits for a type, each with its kind.
 func gobFields(sent reflect.Type, path []string) (fields []string) {
 	if sent.Implements(reflect.TypeFor[json.Marshaler]()) {
 		return []string{strings.Join(path, ".") + " by its own method"}
@@ -314,7 +315,7 @@
 	}
 }
 
-// inspect visits all nodes of all files.
+// inspect calls visit for every node of every file.
 func inspect(files []*ast.File, visit func(ast.Node)) {
 	for _, file := range files {
 		ast.Inspect(file, func(node ast.Node) bool {
@@ -340,7 +341,7 @@
 	return text, err == nil
 }
 
-// firstString is the text that an expression such as "state " + name begins with.
+// firstString returns the leftmost string literal of a concatenation such as "state " + name.
 func firstString(expression ast.Expr) (string, bool) {
 	for {
 		sum, ok := expression.(*ast.BinaryExpr)
--- a/internal/wirenames/texts_test.go
+++ b/internal/wirenames/texts_test.go
@@ -8,8 +8,8 @@
 	"strings"
 )
 
-// enumValues lists the texts of constants, and those of lists and maps of texts: the values of states,
-// kinds, ranks and commands that are stored, sent or read.
+// enumValues returns the string literals in constant declarations and in composite literals. They include
+// the values of states, kinds, priorities and commands that are stored, sent or parsed.
 func enumValues(files []*ast.File) (values []string) {
 	add := func(expressions ...ast.Expr) {
 		for _, expression := range expressions {
@@ -40,8 +40,8 @@
 	return values
 }
 
-// userTexts lists the texts of more than one word, or with a value in them, that are no messages of the
-// log and no errors: explanations of jobs, states of rollouts, reports and the help of commands.
+// userTexts returns the string literals that contain a space or a formatting verb and are neither log
+// messages nor error texts: explanations of jobs, states of rollouts, reports and help of commands.
 func userTexts(files []*ast.File) (texts []string) {
 	messages := messagesForPeople(files)
 	inspect(files, func(node ast.Node) {
@@ -56,7 +56,8 @@
 	return texts
 }
 
-// messagesForPeople returns the literals that are the text of a log line or of an error, and those of struct tags.
+// messagesForPeople returns the literals that are the message of a log line, an error text or a struct
+// tag.
 func messagesForPeople(files []*ast.File) map[ast.Node]bool {
 	messages := map[ast.Node]bool{}
 	inspect(files, func(node ast.Node) {
@@ -74,7 +75,7 @@
 	return messages
 }
 
-// logAttributes lists the levels and the keys of the attributes of log lines.
+// logAttributes returns the attribute keys of log lines, each with the log level.
 func logAttributes(files []*ast.File) (names []string) {
 	inspect(files, func(node ast.Node) {
 		call, ok := node.(*ast.CallExpr)
@@ -91,10 +92,10 @@
 	return names
 }
 
-// fileName matches the name of a file, or its ending.
+// fileName matches a file name or a file name suffix.
 var fileName = regexp.MustCompile(`^[a-z0-9%-]*\.[a-z.]+$`)
 
-// fileNames lists the files that commands read and write, by name or ending.
+// fileNames returns the names and suffixes of the files that commands read and write.
 func fileNames(files []*ast.File) (names []string) {
 	inspect(files, func(node ast.Node) {
 		if expression, ok := node.(ast.Expr); ok {
@@ -106,7 +107,8 @@
 	return names
 }
 
-// isCallOf tells whether a call is of a package's function; any function if its name is empty.
+// isCallOf reports whether a call invokes the given function of a package, or any function of the package
+// if function is empty.
 func isCallOf(call *ast.CallExpr, packageName, function string) bool {
 	selector, ok := call.Fun.(*ast.SelectorExpr)
 	return ok && isIdent(selector.X, packageName) && (function == "" || selector.Sel.Name == function)
