--- a/cmd/pebbletrail/check_test.go
+++ b/cmd/pebbletrail/check_test.go
@@ -10,7 +10,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/config"
 )
 
-// sampleSettings is the commented sample of the platform's settings.
+// sampleSettings is the path of the commented sample of the platform's settings file.
 const sampleSettings = "../../deploy/settings.sample.toml"
 
 func TestCheckAcceptsTheSampleSettings(t *testing.T) {
@@ -42,7 +42,7 @@
 	}
 }
 
-// settingsFields lists the names that a settings type and the types of its fields have in TOML.
+// settingsFields returns the TOML names of the fields of a settings type, including those of nested types.
 func settingsFields(settings reflect.Type) (names []string) {
 	for i := range settings.NumField() {
 		field := settings.Field(i)
--- a/cmd/pebbletrail/controller.go
+++ b/cmd/pebbletrail/controller.go
@@ -24,26 +24,26 @@
 	"github.com/pebbletrail/pebbletrail/internal/worker"
 )
 
-// Connections to each host, and the idle ones kept in all.
+// Maximum number of connections per host. For the services it is also the maximum of idle connections.
 const (
 	stateConnections   = 16
 	cloudConnections   = 4
-	shardConnections   = 2 // a shard's leader's to the cloud
+	shardConnections   = 2 // from the leader of one of several shards to the cloud
 	machineConnections = 2
 )
 
-// Intervals and timeouts of the controller's parts.
+// Intervals and timeouts of the controller's components.
 const (
 	machineCommandTimeout = 3 * time.Second
 	rolloutPollInterval   = 200 * time.Millisecond
 	measureLogInterval    = time.Minute
 	minListInterval       = 2 * time.Second
 	minIdleTimeout        = 20 * time.Second
-	// idleGrace is how much later than three missed heartbeats a connection counts as idle.
+	// idleGrace is the time after three missed heartbeats at which a connection counts as idle.
 	idleGrace = 5 * time.Second
 )
 
-// controller is the parts of one controller. Its goroutines live as long as the process.
+// controller holds the components of one controller. Their goroutines run until the process ends.
 type controller struct {
 	settings    *config.Settings
 	incarnation string
@@ -52,11 +52,11 @@
 	shards      *election.Shards
 	link        *peer.Link
 	types       *machineTypes
-	// rollouts is this node's copy of the stored rollouts; nil where drains are off.
+	// rollouts caches the stored rollouts; nil if drains are disabled.
 	rollouts *state.WatchCache
 }
 
-// newController connects the parts; nothing runs yet.
+// newController creates and connects the components of a controller without starting them.
 func newController(settings *config.Settings, incarnation string) *controller {
 	nodes := len(settings.Peers) + 1
 	c := &controller{settings: settings, incarnation: incarnation}
@@ -80,19 +80,21 @@
 	return c
 }
 
-// newCloud makes a client of the cloud, which has one shard's part of the calls that the cloud takes.
+// newCloud returns a client of the cloud service. Its rate limit is the cloud's limit divided by the
+// number of shards.
 func (c *controller) newCloud(connections int) *fleet.Cloud {
 	callRate := c.settings.Params.Cloud.RPS / float64(c.settings.ShardCount())
 	return fleet.NewCloud(c.settings.Services.Cloud, newHTTPClient(connections, connections), callRate)
 }
 
-// exitRefusing ends the process: with this store it must not take part.
+// exitRefusing prints the error and ends the process: with the shard layout or data in the store, this
+// controller must not join the cluster.
 func exitRefusing(err error) {
 	fmt.Fprintln(os.Stderr, "pebbletrail: "+strings.ReplaceAll(err.Error(), "\n", "; "))
 	os.Exit(1)
 }
 
-// run serves until the users' listener ends.
+// run starts the components and serves until the users' listener is closed.
 func (c *controller) run(ctx context.Context, users, cluster net.Listener) error {
 	go c.link.Serve(cluster)
 	c.link.Run(ctx)
@@ -108,7 +110,7 @@
 	return c.usersSite(operatorRoutes).Serve(users, c.connectionLimiter())
 }
 
-// logMeasures logs what this process measured of itself, again and again.
+// logMeasures logs the latencies and counts of this process at intervals until the context is done.
 func logMeasures(ctx context.Context) {
 	for ctx.Err() == nil {
 		time.Sleep(measureLogInterval)
@@ -116,7 +118,8 @@
 	}
 }
 
-// usersSite answers users and machines, and operators where operatorRoutes isn't nil.
+// usersSite returns the HTTP server for users and workers. It also serves operatorRoutes if that is not
+// nil.
 func (c *controller) usersSite(operatorRoutes func(*echo.Echo)) *intake.Server {
 	return &intake.Server{
 		OperatorRoutes: operatorRoutes,
@@ -130,7 +133,7 @@
 	}
 }
 
-// connectionLimiter shares the sockets for callers among users and machines.
+// connectionLimiter returns a limiter that divides the inbound sockets among users and workers.
 func (c *controller) connectionLimiter() *intake.ConnectionLimiter {
 	return &intake.ConnectionLimiter{
 		MaxConnections: c.settings.Sockets().Inbound,
@@ -139,7 +142,8 @@
 	}
 }
 
-// provision provisions and terminates machines while this node leads a shard.
+// provision provisions and terminates a shard's machines while this node leads the shard. With a single
+// shard and drains enabled, it also carries out rollouts.
 func (c *controller) provision(ctx context.Context, elector *election.Elector, shard ids.Shard, term *election.Term) {
 	provisioner := &fleet.Provisioner{Cloud: c.cloud, Cluster: term.Cluster, Store: term.Committer, Generation: term.Generation,
 		ConfirmLeadership: func() bool { return elector.LeaseSurelyHeld(term) },
@@ -162,13 +166,13 @@
 	provisioner.Run(ctx)
 }
 
-// drainService carries out the operators' commands on rollouts.
+// drainService returns the service that carries out operators' commands on rollouts.
 func (c *controller) drainService() *rollout.Service {
 	return &rollout.Service{Mirror: c.rollouts, Client: c.state, Leader: c.link, Writer: c.incarnation, Limits: c.storeLimits(),
 		Installation: c.installation}
 }
 
-// installation is what a rollout may choose from.
+// installation returns the zones, shards and machine types against which a rollout's selection is checked.
 func (c *controller) installation() rollout.Installation {
 	installation := rollout.Installation{Zones: c.settings.Params.Zones, Shards: c.settings.ShardCount()}
 	for _, machineType := range c.types.known() {
@@ -177,7 +181,7 @@
 	return installation
 }
 
-// storeLimits are the state service's limits as rollouts use them.
+// storeLimits returns the limits of the state service that apply to rollout records.
 func (c *controller) storeLimits() rollout.Limits {
 	return rollout.Limits{ValueBytes: int(c.settings.Params.State.ValueBytes()), TxnOps: c.settings.Params.State.TxnOps}
 }
--- a/cmd/pebbletrail/controller_client.go
+++ b/cmd/pebbletrail/controller_client.go
@@ -11,7 +11,7 @@
 	"github.com/spf13/cobra"
 )
 
-// Limits of the calls to a controller.
+// Timeouts and maximum response sizes of calls to a controller.
 const (
 	pageTimeout     = 5 * time.Second
 	commandTimeout  = 10 * time.Second
@@ -19,32 +19,32 @@
 	maxCommandBytes = 16 << 20
 )
 
-// nodeFlag adds the flag that names the controller to call.
+// nodeFlag adds the flag for the address of the controller to call.
 func nodeFlag(command *cobra.Command, node *string) {
 	command.Flags().StringVar(node, "node", "127.0.0.1:8080", "address of a controller's users' side")
 }
 
-// statusError is an answer of a controller with an HTTP status that gives no reason.
+// statusError is returned if a controller answers with an HTTP error status without a reason.
 type statusError struct{ node, status string }
 
-// Error names the controller and the status.
+// Error returns the controller's address and the status.
 func (e *statusError) Error() string { return e.node + " answers " + e.status }
 
-// refusalError is the reason why a controller refuses a command.
+// refusalError is returned if a controller rejects a command and gives a reason.
 type refusalError struct{ reason string }
 
-// Error is the reason as the controller gave it.
+// Error returns the reason given by the controller.
 func (e *refusalError) Error() string { return e.reason }
 
-// noDrainsError tells that drains are not switched on at a controller.
+// noDrainsError is returned if drains are not enabled on a controller.
 type noDrainsError struct{ node string }
 
-// Error tells how to switch them on.
+// Error returns a message that describes how to enable drains.
 func (e *noDrainsError) Error() string {
 	return e.node + " does not know drains: name drains in the features' file (docs/operations-drains.md)"
 }
 
-// fetchPage gets a page of a controller.
+// fetchPage sends a GET request to a controller and returns the response body.
 func fetchPage(node, path string) ([]byte, error) {
 	client := http.Client{Timeout: pageTimeout}
 	response, err := client.Get("http://" + node + path)
@@ -61,9 +61,9 @@
 	return body, nil
 }
 
-// callController sends a command to a controller and decodes its answer into answer. The error is
-// a *refusalError if the controller gave a reason why it refuses, a *noDrainsError if it does
-// not know the command, or else a *statusError if it answered at all.
+// callController sends a command to a controller and decodes the JSON response into answer. If the status
+// is not 200, the error is a *refusalError if the controller gave a reason, a *noDrainsError if it has no
+// such route, and otherwise a *statusError.
 func callController(node, method, path string, body, answer any) error {
 	var content bytes.Buffer
 	if body != nil {
@@ -94,13 +94,13 @@
 	return nil
 }
 
-// readBody reads a response to its end, or up to a limit, and closes it.
+// readBody reads up to limit bytes of a response body and closes it.
 func readBody(response *http.Response, limit int64) ([]byte, error) {
-	defer func() { _ = response.Body.Close() }() // nothing is read from it afterwards
+	defer func() { _ = response.Body.Close() }() // the error does not matter: nothing is read afterwards
 	return io.ReadAll(io.LimitReader(response.Body, limit))
 }
 
-// refusal is the error that an answer other than 200 stands for.
+// refusal returns the error for a response with a status other than 200.
 func refusal(node string, response *http.Response, raw []byte) error {
 	var answer struct {
 		Error   string `json:"error"`
--- a/cmd/pebbletrail/controller_status.go
+++ b/cmd/pebbletrail/controller_status.go
@@ -8,21 +8,22 @@
 	"github.com/pebbletrail/pebbletrail/internal/measure"
 )
 
-// readyWithin is how recent the last successful call to the state service must be.
+// readyWithin is the maximum time since the last successful call to the state service for the node to
+// count as ready.
 const readyWithin = 2500 * time.Millisecond
 
-// ready tells whether users may be sent here.
+// ready reports whether this node may receive requests from users.
 func (c *controller) ready() bool {
 	age, ok := c.state.SinceSuccess()
 	if !ok {
 		return false
 	}
-	// During an outage all nodes fare alike and go on answering; a node that alone
-	// is not served sends its users elsewhere.
+	// During an outage of the state service all nodes are affected and stay ready. If only this node can't
+	// reach it, users must be routed to other nodes.
 	return age < readyWithin || !c.link.OthersServed()
 }
 
-// status describes the node for GET /v2/status.
+// status returns the response of GET /v2/status.
 func (c *controller) status() any {
 	electors := c.shards.Electors()
 	leader, _ := electors[0].Leader()
@@ -38,11 +39,11 @@
 	return page
 }
 
-// shardStatus describes one shard as this node sees it.
+// shardStatus is the status of one shard as known to this node.
 type shardStatus struct {
 	Shard  int      `json:"shard"`
 	Leader ids.Node `json:"leader"`
-	// Pool and Alarms are told by the leader only.
+	// Pool and Alarms are set only by the shard's leader.
 	Pool   any      `json:"pool,omitempty"`
 	Alarms []string `json:"alarms,omitempty"`
 }
--- a/cmd/pebbletrail/drain.go
+++ b/cmd/pebbletrail/drain.go
@@ -25,7 +25,7 @@
 	return command
 }
 
-// printRollout calls a controller and prints the rollout's status that it answers with.
+// printRollout calls a controller and prints the rollout status in its response.
 func printRollout(cmd *cobra.Command, node, method, path string, body any) error {
 	var status rollout.Status
 	if err := callController(node, method, path, body, &status); err != nil {
@@ -35,7 +35,7 @@
 	return nil
 }
 
-// drainStateCommand pauses, resumes or aborts a rollout.
+// drainStateCommand returns the command that pauses, resumes or aborts a rollout.
 func drainStateCommand(change rollout.Command, short string) *cobra.Command {
 	var node string
 	command := &cobra.Command{
--- a/cmd/pebbletrail/explain.go
+++ b/cmd/pebbletrail/explain.go
@@ -32,8 +32,8 @@
 	return command
 }
 
-// explanationText is an explanation for people: the job's events, oldest first, then
-// what holds now.
+// explanationText formats an explanation for terminal output: the job's events, oldest first, then the
+// reasons that apply now.
 func explanationText(explanation *intake.Explanation) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "%s: %s\n", explanation.Job, explanation.Status)
--- a/cmd/pebbletrail/http_client.go
+++ b/cmd/pebbletrail/http_client.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// newHTTPClient makes an HTTP client with at most so many connections to each host, and so many
-// idle ones in all. Its every connection attempt ends soon: a cut or powerless host answers
-// nothing at all.
+// newHTTPClient returns an HTTP client with at most perHost connections to each host and at most idle
+// idle connections in total. Connecting has a short timeout, since a host that is partitioned or powered
+// off does not answer at all.
 func newHTTPClient(perHost, idle int) *http.Client {
 	return &http.Client{Transport: &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: time.Second}).DialContext,
--- a/cmd/pebbletrail/machine_types.go
+++ b/cmd/pebbletrail/machine_types.go
@@ -15,22 +15,24 @@
 	"github.com/pebbletrail/pebbletrail/internal/state"
 )
 
-// typesRetryInterval spaces the calls for the machine types until the cloud has answered.
+// typesRetryInterval is the pause between requests for the machine types until the cloud answers.
 const typesRetryInterval = time.Second
 
-// machineTypes are the machine types on offer, which every node needs to judge
-// submissions; the leader stores them for times when the cloud is down.
+// machineTypes holds the machine types that the cloud offers. Every node needs them to validate
+// submissions. The leader stores them in the state service, so that they are known while the cloud is
+// down.
 type machineTypes struct {
 	cloud  *fleet.Cloud
 	shards *election.Shards
-	// mu guards the fields below. Nothing is called under it.
+	// mu guards the fields below. No function is called under it.
 	mu    sync.Mutex
 	types []placement.InstanceType
-	// stored is the list that was last stored, without prices.
+	// stored is the list that was last stored, as returned by withoutPrices.
 	stored string
 }
 
-// known is the newest list this node has, or else the stored one.
+// known returns the newest list that this node received from the cloud, or the stored list if it received
+// none.
 func (m *machineTypes) known() []placement.InstanceType {
 	m.mu.Lock()
 	types := m.types
@@ -41,7 +43,7 @@
 	return m.shards.MachineTypes()
 }
 
-// run asks the cloud until types are known.
+// run requests the types from the cloud until they are known or the context is done.
 func (m *machineTypes) run(ctx context.Context) {
 	for ctx.Err() == nil && len(m.known()) == 0 {
 		if types, err := m.cloud.Types(ctx); err == nil && len(types) > 0 {
@@ -54,8 +56,8 @@
 	}
 }
 
-// store keeps the list in the state service if more than prices changed. If that fails, the next
-// list is stored whether it changed or not.
+// store writes the list to the state service if anything but prices differs from the list last stored.
+// After a failed write, the next list is written even if it has not changed.
 func (m *machineTypes) store(ctx context.Context, store fleet.Store, types []placement.InstanceType) {
 	unpriced := withoutPrices(types)
 	m.mu.Lock()
@@ -76,8 +78,8 @@
 	}
 }
 
-// withoutPrices is a text that differs between two lists if more than prices differs: prices move
-// all the time and are not worth a write.
+// withoutPrices returns a text form of the list without prices, for comparison. Prices change all the
+// time and do not justify a write.
 func withoutPrices(types []placement.InstanceType) string {
 	var text strings.Builder
 	for i := range types {
--- a/cmd/pebbletrail/main.go
+++ b/cmd/pebbletrail/main.go
@@ -1,5 +1,4 @@
-// Command pebbletrail is the controller of a cluster scheduler, and the few
-// tools that its operators need beside it.
+// Command pebbletrail is the controller of a cluster scheduler, with subcommands for its operators.
 package main
 
 import (
@@ -20,7 +19,7 @@
 	}
 }
 
-// root is the command without a subcommand, which serves.
+// root returns the root command, which runs the controller, with all subcommands.
 func root() *cobra.Command {
 	var files settingsFiles
 	command := &cobra.Command{
@@ -45,13 +44,13 @@
 	return command
 }
 
-// settingsFiles are the files that the flags name.
+// settingsFiles holds the paths of the settings files given by flags.
 type settingsFiles struct{ platform, operators, features string }
 
-// errNoSettingsFile tells that --config was left out.
+// errNoSettingsFile is returned if --config is missing.
 var errNoSettingsFile = errors.New("--config FILE is needed (see --help)")
 
-// load reads and checks the settings.
+// load reads and checks all settings files.
 func (f *settingsFiles) load() (*config.Settings, error) {
 	if f.platform == "" {
 		return nil, errNoSettingsFile
--- a/cmd/pebbletrail/rehearse.go
+++ b/cmd/pebbletrail/rehearse.go
@@ -9,10 +9,10 @@
 	"github.com/spf13/cobra"
 )
 
-// errRehearsalFailed tells that a rehearsal found what must not happen.
+// errRehearsalFailed is returned if a rehearsal found a violation.
 var errRehearsalFailed = errors.New("the rehearsal failed; see its report")
 
-// Help of the flags that all rehearsals have, and where they leave their report by default.
+// Help texts of the flags that all rehearsals have, and the default folder of their reports.
 const (
 	defaultFolder    = "target/rehearsal"
 	folderHelp       = "folder for the record, the report and the controllers' logs"
@@ -29,14 +29,14 @@
 	return command
 }
 
-// findings are the outcome of a rehearsal.
+// findings is the result of a rehearsal.
 type findings interface {
 	Print(out io.Writer) error
 	Failed() bool
 }
 
-// rehearse runs a rehearsal in its folder and prints its outcome. An empty program becomes this
-// one. The error is errRehearsalFailed if the run found what must not happen.
+// rehearse creates the folder, runs a rehearsal and prints its result. If *program is empty, it is set to
+// the path of this executable. The error is errRehearsalFailed if the run found a violation.
 func rehearse(cmd *cobra.Command, folder string, program *string, run func() (findings, error)) error {
 	if err := defaultProgram(program); err != nil {
 		return err
@@ -60,7 +60,7 @@
 	return nil
 }
 
-// defaultProgram names this program's own file where none is given.
+// defaultProgram sets an empty *program to the path of this executable.
 func defaultProgram(program *string) error {
 	if *program != "" {
 		return nil
--- a/cmd/pebbletrail/rollout_flags.go
+++ b/cmd/pebbletrail/rollout_flags.go
@@ -9,7 +9,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/rollout"
 )
 
-// rolloutFlags are the flags that describe a rollout.
+// rolloutFlags holds the values of the flags that describe a rollout.
 type rolloutFlags struct {
 	spec                     rollout.Spec
 	machines                 []string
@@ -33,7 +33,7 @@
 	flags.DurationVar(&f.observe, "observe", time.Minute, "how long replacements are watched before the next wave")
 }
 
-// describe is the specification that the flags make.
+// describe returns the rollout specification given by the flags.
 func (f *rolloutFlags) describe(name string) *rollout.Spec {
 	spec := f.spec
 	spec.Name = rollout.Name(name)
--- a/cmd/pebbletrail/serve.go
+++ b/cmd/pebbletrail/serve.go
@@ -15,16 +15,16 @@
 	"github.com/pebbletrail/pebbletrail/internal/config"
 )
 
-// How the Go runtime uses what the machine gives this process.
+// Settings of the Go runtime within the resources of this process.
 const (
-	// heapShare is the part of the memory that the runtime may use; the rest is for stacks,
-	// sockets and the program itself.
+	// heapShare is the share of the process's memory that is set as the Go runtime's memory limit. The
+	// rest is for stacks, sockets and the program itself.
 	heapShare = 0.65
-	// gcPercent lets the heap grow further than by default before it is collected.
+	// gcPercent is higher than the default, so that the heap grows further before a garbage collection.
 	gcPercent = 200
 )
 
-// serve runs the controller until it is killed.
+// serve runs the controller until the process is killed.
 func serve(ctx context.Context, settings *config.Settings) error {
 	logFrom(os.Getenv("LOG_LEVEL"))
 	applyLimits(settings.Params.Limits)
@@ -36,14 +36,14 @@
 	if err != nil {
 		return fmt.Errorf("cluster_listen: %w", err)
 	}
-	// Processes of one node must never share a name, nor repeat one after a
-	// restart within the same millisecond.
+	// The incarnation must be unique among all processes of a node, even after a restart within the same
+	// millisecond.
 	incarnation := fmt.Sprintf("%s.%x.%x", settings.HostName, time.Now().UnixMilli(), rand.Uint32())
 	slog.Info("starting", "version", version, "node", settings.HostName, "incarnation", incarnation)
 	return newController(settings, incarnation).run(ctx, users, cluster)
 }
 
-// logFrom logs to standard error from a level on.
+// logFrom sets the default logger, which writes messages of the given level and above to standard error.
 func logFrom(level string) {
 	from := slog.LevelInfo
 	switch strings.ToLower(level) {
@@ -55,7 +55,7 @@
 	slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: from})))
 }
 
-// applyLimits keeps the Go runtime within what the machine gives this process.
+// applyLimits configures the Go runtime for the memory and cores that this process may use.
 func applyLimits(limits config.MachineLimits) {
 	debug.SetMemoryLimit(int64(limits.RAMMB * heapShare * 1024 * 1024))
 	debug.SetGCPercent(gcPercent)
--- a/cmd/pebbletrail/version.go
+++ b/cmd/pebbletrail/version.go
@@ -6,7 +6,7 @@
 	"github.com/spf13/cobra"
 )
 
-// version is the program's own.
+// version is the version of this program.
 var version = "0.2.0"
 
 func versionCommand() *cobra.Command {
