--- a/cmd/pebbletrail/check_test.go
+++ b/cmd/pebbletrail/check_test.go
@@ -25,7 +25,7 @@
 	}
 	want := sampleSettings + ": good; node controller-a, 2 others, 2 teams\n"
 	if output.String() != want {
-		t.Errorf("check printed %q, not %q", output.String(), want)
+		t.Errorf("check printed %q, want %q", output.String(), want)
 	}
 }
 
@@ -37,7 +37,7 @@
 	sample := string(raw)
 	for _, field := range settingsFields(reflect.TypeFor[config.Settings]()) {
 		if !strings.Contains(sample, field+" = ") && !strings.Contains(sample, "["+field+"]") && !strings.Contains(sample, "."+field+"]") {
-			t.Errorf("%s does not name the field %s", sampleSettings, field)
+			t.Errorf("%s lacks the field %s", sampleSettings, field)
 		}
 	}
 }
--- a/cmd/pebbletrail/controller_client.go
+++ b/cmd/pebbletrail/controller_client.go
@@ -53,7 +53,7 @@
 	}
 	body, err := readBody(response, maxPageBytes)
 	if err != nil {
-		return nil, fmt.Errorf("read %s of %s: %w", path, node, err)
+		return nil, fmt.Errorf("read the response for %s from %s: %w", path, node, err)
 	}
 	if response.StatusCode != http.StatusOK {
 		return nil, &statusError{node, response.Status}
@@ -68,7 +68,7 @@
 	var content bytes.Buffer
 	if body != nil {
 		if err := json.NewEncoder(&content).Encode(body); err != nil {
-			return fmt.Errorf("encode the command %s: %w", path, err)
+			return fmt.Errorf("encode the request for %s: %w", path, err)
 		}
 	}
 	request, err := http.NewRequest(method, "http://"+node+path, &content)
@@ -83,13 +83,13 @@
 	}
 	raw, err := readBody(response, maxCommandBytes)
 	if err != nil {
-		return fmt.Errorf("read the answer of %s to %s: %w", node, path, err)
+		return fmt.Errorf("read the response of %s to %s: %w", node, path, err)
 	}
 	if response.StatusCode != http.StatusOK {
 		return refusal(node, response, raw)
 	}
 	if err := json.Unmarshal(raw, answer); err != nil {
-		return fmt.Errorf("decode the answer of %s to %s: %w", node, path, err)
+		return fmt.Errorf("decode the response of %s to %s: %w", node, path, err)
 	}
 	return nil
 }
--- a/cmd/pebbletrail/explain.go
+++ b/cmd/pebbletrail/explain.go
@@ -22,7 +22,7 @@
 			}
 			var explanation intake.Explanation
 			if err := json.Unmarshal(raw, &explanation); err != nil {
-				return fmt.Errorf("read the explanation of %s: %w", args[0], err)
+				return fmt.Errorf("decode the explanation of job %s: %w", args[0], err)
 			}
 			_, err = io.WriteString(cmd.OutOrStdout(), explanationText(&explanation))
 			return err
--- a/cmd/pebbletrail/main.go
+++ b/cmd/pebbletrail/main.go
@@ -48,7 +48,7 @@
 type settingsFiles struct{ platform, operators, features string }
 
 // errNoSettingsFile is returned if --config is missing.
-var errNoSettingsFile = errors.New("--config FILE is needed (see --help)")
+var errNoSettingsFile = errors.New("--config FILE is required (see --help)")
 
 // load reads and checks all settings files.
 func (f *settingsFiles) load() (*config.Settings, error) {
--- a/cmd/pebbletrail/rehearse.go
+++ b/cmd/pebbletrail/rehearse.go
@@ -10,7 +10,7 @@
 )
 
 // errRehearsalFailed is returned if a rehearsal found a violation.
-var errRehearsalFailed = errors.New("the rehearsal failed; see its report")
+var errRehearsalFailed = errors.New("the rehearsal found violations; see its report")
 
 // Help texts of the flags that all rehearsals have, and the default folder of their reports.
 const (
@@ -42,7 +42,7 @@
 		return err
 	}
 	if err := os.MkdirAll(folder, folderPermission); err != nil {
-		return fmt.Errorf("make the rehearsal's folder: %w", err)
+		return fmt.Errorf("create the rehearsal's folder: %w", err)
 	}
 	outcome, err := run()
 	if err != nil {
@@ -67,7 +67,7 @@
 	}
 	own, err := os.Executable()
 	if err != nil {
-		return fmt.Errorf("find this program's own file: %w", err)
+		return fmt.Errorf("find the path of this executable: %w", err)
 	}
 	*program = own
 	return nil
--- a/cmd/pebbletrail/serve.go
+++ b/cmd/pebbletrail/serve.go
@@ -30,16 +30,16 @@
 	applyLimits(settings.Params.Limits)
 	users, err := net.Listen("tcp4", settings.ClientListen)
 	if err != nil {
-		return fmt.Errorf("client_listen: %w", err)
+		return fmt.Errorf("listen on client_listen: %w", err)
 	}
 	cluster, err := net.Listen("tcp4", settings.ClusterListen)
 	if err != nil {
-		return fmt.Errorf("cluster_listen: %w", err)
+		return fmt.Errorf("listen on cluster_listen: %w", err)
 	}
 	// The incarnation must be unique among all processes of a node, even after a restart within the same
 	// millisecond.
 	incarnation := fmt.Sprintf("%s.%x.%x", settings.HostName, time.Now().UnixMilli(), rand.Uint32())
-	slog.Info("starting", "version", version, "node", settings.HostName, "incarnation", incarnation)
+	slog.Info("starting controller", "version", version, "node", settings.HostName, "incarnation", incarnation)
 	return newController(settings, incarnation).run(ctx, users, cluster)
 }
 
--- a/cmd/pebbletrail/status.go
+++ b/cmd/pebbletrail/status.go
@@ -28,7 +28,7 @@
 func writeIndented(out io.Writer, raw []byte) error {
 	var value any
 	if err := json.Unmarshal(raw, &value); err != nil {
-		return fmt.Errorf("read the status: %w", err)
+		return fmt.Errorf("decode the status of the controller: %w", err)
 	}
 	encoder := json.NewEncoder(out)
 	encoder.SetIndent("", "  ")
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -72,11 +72,11 @@
 	}
 	for _, a := range addresses {
 		if _, port, err := net.SplitHostPort(a.value); err != nil || port == "" {
-			return fmt.Errorf("%s: not an address with a port: %q", a.name, a.value)
+			return fmt.Errorf("%s: must be an address with a port: %q", a.name, a.value)
 		}
 	}
 	if s.ClientListen == s.ClusterListen {
-		return errors.New("cluster_listen: the same as client_listen")
+		return errors.New("cluster_listen: must differ from client_listen")
 	}
 	return nil
 }
@@ -117,7 +117,7 @@
 		}
 	}
 	if t.CPUsMax > 0 && t.CPUs > t.CPUsMax || t.GPUsMax > 0 && t.GPUs > t.GPUsMax {
-		return fmt.Errorf("%s: guarantees more than its limit", name)
+		return fmt.Errorf("%s: guaranteed quota is above the limit", name)
 	}
 	return nil
 }
@@ -161,18 +161,18 @@
 		{"params.state.next.value_kb", next.ValueKB},
 	} {
 		if !n.isNotNegative() {
-			return fmt.Errorf("%s: below zero or no number: %v", n.name, n.value)
+			return fmt.Errorf("%s: must be a finite number, zero or more: %v", n.name, n.value)
 		}
 	}
 	if next.TxnOps < 0 || next.TxnOps > 0 && next.TxnOps < minTxnOps {
-		return fmt.Errorf("params.state.next.txn_ops: a takeover needs at least %d, not %d", minTxnOps, next.TxnOps)
+		return fmt.Errorf("params.state.next.txn_ops: must be at least %d, the changes of a takeover: %d", minTxnOps, next.TxnOps)
 	}
 	return nil
 }
 
 func (s *Settings) checkTransactions() error {
 	if ops := s.Params.State.TxnOps; ops < minTxnOps {
-		return fmt.Errorf("params.state.txn_ops: a takeover needs at least %d, not %d", minTxnOps, ops)
+		return fmt.Errorf("params.state.txn_ops: must be at least %d, the changes of a takeover: %d", minTxnOps, ops)
 	}
 	return nil
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -61,7 +61,7 @@
 
 func TestSettingsNameTheFieldThatIsWrong(t *testing.T) {
 	if _, err := Parse([]byte(good)); err != nil {
-		t.Fatalf("good settings with an unknown field: %v", err)
+		t.Fatalf("valid settings with an unknown field: %v", err)
 	}
 	for change, field := range map[string]string{
 		`host_name = "n0">`:                      "host_name",
@@ -80,7 +80,7 @@
 	} {
 		from, to, _ := strings.Cut(change, ">")
 		if _, err := Parse([]byte(strings.Replace(good, from, to, 1))); !namesIt(err, field) {
-			t.Errorf("%s: %v", change, err)
+			t.Errorf("%s: got error %v, want one line that names the setting", change, err)
 		}
 	}
 }
@@ -102,7 +102,7 @@
 		got := with(c.next)
 		got.Next = nil
 		if got != c.want {
-			t.Errorf("%q: limits %+v, not %+v", c.next, got, c.want)
+			t.Errorf("%q: got limits %+v, want %+v", c.next, got, c.want)
 		}
 	}
 }
@@ -110,11 +110,11 @@
 func TestOperatorsSettingsLieOverDefaults(t *testing.T) {
 	operator, err := ParseOperator([]byte("beat_grace_s: 60\nsample_machines: 9 # more\n"))
 	if err != nil || operator.BeatGraceS != 60 || operator.SampleMachines != 9 || operator.PoolHoldMs != DefaultOperator().PoolHoldMs {
-		t.Fatalf("%v %v", operator, err)
+		t.Fatalf("got settings %v, error %v", operator, err)
 	}
 	for _, bad := range []string{"beat_grace_s: 1", "nonsense: 1", "owner_share: 2", "pool_hold_ms: 5"} {
 		if _, err := ParseOperator([]byte(bad)); err == nil {
-			t.Errorf("taken: %s", bad)
+			t.Errorf("no error for %s", bad)
 		}
 	}
 }
@@ -134,7 +134,7 @@
 		"trail_events: 65":       "trail_events: at most 64: 65",
 	} {
 		if _, err := ParseOperator([]byte(text)); !namesIt(err, field) {
-			t.Errorf("%s: %v", text, err)
+			t.Errorf("%s: got error %v, want one line that names the setting", text, err)
 		}
 	}
 }
@@ -145,38 +145,38 @@
 		t.Fatal(err)
 	}
 	if operator, err := ParseOperator(raw); err != nil || !proto.Equal(operator, DefaultOperator()) {
-		t.Errorf("%v: %v", err, operator)
+		t.Errorf("got error %v, settings %v, want the defaults", err, operator)
 	}
 }
 
 func TestFeaturesAreCheckedLikeAllSettings(t *testing.T) {
 	settings := parsed(t, good)
 	if settings.ShardCount() != 1 {
-		t.Errorf("%d shards without a file", settings.ShardCount())
+		t.Errorf("%d shards without a features file, want 1", settings.ShardCount())
 	}
 	for text, want := range map[string]string{
 		"shards: 0": "shards: must be 1 to", "shards: 1000": "shards: must be 1 to", "shards: -1": "line 1",
 		"shard: 2": "shard", "shards: two": "line 1", "{": "",
 	} {
 		if err := settings.ParseFeatures([]byte(text)); !namesIt(err, want) {
-			t.Errorf("%q: %v", text, err)
+			t.Errorf("%q: got error %v, want one line that names the fault", text, err)
 		}
 	}
 	if settings.ShardCount() != 1 {
-		t.Errorf("a bad file left %d shards", settings.ShardCount())
+		t.Errorf("%d shards after invalid features, want 1", settings.ShardCount())
 	}
 	if err := settings.ParseFeatures([]byte("shards: 2")); err != nil || settings.ShardCount() != 2 {
-		t.Errorf("%d shards: %v", settings.ShardCount(), err)
+		t.Errorf("got %d shards, %v, want 2", settings.ShardCount(), err)
 	}
 	if err := settings.LoadFeatures("/nonexistent"); err == nil {
-		t.Error("a file that is not there is good")
+		t.Error("no error for a features file that does not exist")
 	}
 }
 
 func TestBudgetsOfDisruptionAreChecked(t *testing.T) {
 	settings := parsed(t, good)
 	if settings.DrainsEnabled() {
-		t.Error("drains are on without a file")
+		t.Error("drains are enabled without a features file")
 	}
 	team := settings.Params.Teams[0].Name
 	for text, want := range map[string]string{
@@ -189,47 +189,47 @@
 		`drains { default_budget { replicas_down: -1 } }`: "invalid value for uint32",
 	} {
 		if err := settings.ParseFeatures([]byte(text)); !namesIt(err, want) {
-			t.Errorf("%q: %v", text, err)
+			t.Errorf("%q: got error %v, want one line that names the fault", text, err)
 		}
 	}
 	enabled := `drains { default_budget { replicas_down_percent: 50 } teams { team: "` + team + `" budget { replicas_down: 3 tasks_interrupted: 7 } } ready_s: 2 }`
 	if err := settings.ParseFeatures([]byte(enabled)); err != nil || !settings.DrainsEnabled() || settings.ShardCount() != 1 {
-		t.Fatalf("%v, %d shards", err, settings.ShardCount())
+		t.Fatalf("enabling drains: error %v, %d shards", err, settings.ShardCount())
 	}
 	budgets := settings.DisruptionBudgets()
 	if down := budgets.Of(team).UnavailableAllowed(10); down != 3 || budgets.Of(team).MaxInterrupted != 7 {
-		t.Errorf("%d replicas down, %d tasks interrupted", down, budgets.Of(team).MaxInterrupted)
+		t.Errorf("got %d replicas down, %d tasks interrupted, want 3 and 7", down, budgets.Of(team).MaxInterrupted)
 	}
 	if down := budgets.Of("another").UnavailableAllowed(10); down != 5 || budgets.Of("another").MaxInterrupted != 1 {
-		t.Errorf("by default %d replicas down, %d tasks interrupted", down, budgets.Of("another").MaxInterrupted)
+		t.Errorf("default budget: got %d replicas down, %d tasks interrupted, want 5 and 1", down, budgets.Of("another").MaxInterrupted)
 	}
 	if settings.Readiness().MinRunning != 2*time.Second {
-		t.Errorf("ready after %v", settings.Readiness().MinRunning)
+		t.Errorf("got MinRunning %v, want 2s", settings.Readiness().MinRunning)
 	}
 }
 
 func TestSocketsAndGracePeriodFollowFromTheSettings(t *testing.T) {
 	settings := parsed(t, good)
 	if got, want := settings.Sockets(), (SocketLimits{Inbound: 44, ToMachines: 16}); got != want {
-		t.Errorf("sockets %+v, not %+v", got, want)
+		t.Errorf("got socket limits %+v, want %+v", got, want)
 	}
 	// cancel_s of 46 s minus the worker lease of 26 s with clock drift, minus twice the leader lease of 1.5 s
 	if got := settings.LeaderGracePeriod(); got < 16.8 || got > 16.9 {
-		t.Errorf("grace period %v", got)
+		t.Errorf("got grace period %v s, want 16.8 to 16.9 s", got)
 	}
 	settings.Params.Workers.CancelS = 20
 	if got := settings.LeaderGracePeriod(); got != 1.5 {
-		t.Errorf("grace period %v where cancel_s leaves no time, not the leader's lease", got)
+		t.Errorf("got grace period %v s if cancel_s leaves no time, want the leader's lease of 1.5 s", got)
 	}
 	settings.Params.Workers.CancelS = 460
 	if got := settings.LeaderGracePeriod(); got != 40 {
-		t.Errorf("grace period %v, more than the operators allow", got)
+		t.Errorf("got grace period %v s, want beat_grace_s of 40 s", got)
 	}
 }
 
 func TestDeployedFeaturesFileIsValid(t *testing.T) {
 	settings := parsed(t, good)
 	if err := settings.LoadFeatures("../../deploy/features.textproto"); err != nil || !settings.DrainsEnabled() {
-		t.Errorf("drains %v: %v", settings.DrainsEnabled(), err)
+		t.Errorf("deployed features: drains enabled %v, error %v", settings.DrainsEnabled(), err)
 	}
 }
--- a/internal/config/drains.go
+++ b/internal/config/drains.go
@@ -88,7 +88,7 @@
 			return fmt.Errorf("%s.team: unknown team %q", name, team.Team)
 		}
 		if seen[team.Team] {
-			return fmt.Errorf("%s.team: %q has a budget already", name, team.Team)
+			return fmt.Errorf("%s.team: team %q has a budget already", name, team.Team)
 		}
 		seen[team.Team] = true
 		if err := budgetOf(team.Budget).Check(); err != nil {
--- a/internal/config/features.go
+++ b/internal/config/features.go
@@ -28,10 +28,10 @@
 	}
 	raw, err := os.ReadFile(path)
 	if err != nil {
-		return fmt.Errorf("features: %w", err)
+		return fmt.Errorf("read features file: %w", err)
 	}
 	if err := s.ParseFeatures(raw); err != nil {
-		return fmt.Errorf("features %s: %w", path, err)
+		return fmt.Errorf("features file %s: %w", path, err)
 	}
 	return nil
 }
@@ -45,7 +45,7 @@
 	}
 	most := s.maxShards()
 	if shards := features.shardCount(); shards < 1 || shards > most {
-		return fmt.Errorf("shards: must be 1 to %d with these limits of the state service: %d", most, shards)
+		return fmt.Errorf("shards: must be 1 to %d with the configured limits of the state service: %d", most, shards)
 	}
 	if err := s.checkDrains(features.Drains); err != nil {
 		return err
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -76,9 +76,9 @@
 	case o.PoolHoldMs < minPoolHoldMs || o.PoolHoldMs > maxPoolHoldMs:
 		return fmt.Errorf("pool_hold_ms: must be %d to %d: %d", minPoolHoldMs, maxPoolHoldMs, o.PoolHoldMs)
 	case !(o.BeatGraceS*1000 >= float64(o.PoolHoldMs)):
-		return fmt.Errorf("beat_grace_s: must be at least the hold: %v", o.BeatGraceS)
+		return fmt.Errorf("beat_grace_s: must be at least pool_hold_ms: %v", o.BeatGraceS)
 	case !(o.OwnerShare > 0 && o.OwnerShare < 1):
-		return fmt.Errorf("owner_share: must lie between 0 and 1: %v", o.OwnerShare)
+		return fmt.Errorf("owner_share: must be above 0 and below 1: %v", o.OwnerShare)
 	case !(o.BackoffS > 0 && o.BackoffMaxS >= o.BackoffS):
 		return fmt.Errorf("backoff_max_s: must be at least backoff_s, both above 0: %v", o.BackoffMaxS)
 	case !(o.IdleReturnS > 0):
@@ -86,9 +86,9 @@
 	case !(o.StuckBootFactor >= 1):
 		return fmt.Errorf("stuck_boot_factor: must be at least 1: %v", o.StuckBootFactor)
 	case !(o.SpareShare > 0 && o.SpareShare <= 1):
-		return fmt.Errorf("spare_share: must lie between 0 and 1: %v", o.SpareShare)
+		return fmt.Errorf("spare_share: must be above 0 and at most 1: %v", o.SpareShare)
 	case !(o.BurstCostShare > 0 && o.BurstCostShare <= 1):
-		return fmt.Errorf("burst_cost_share: must lie between 0 and 1: %v", o.BurstCostShare)
+		return fmt.Errorf("burst_cost_share: must be above 0 and at most 1: %v", o.BurstCostShare)
 	case o.TrailEvents > maxTrailEvents:
 		return fmt.Errorf("trail_events: at most %d: %d", maxTrailEvents, o.TrailEvents)
 	}
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -100,21 +100,21 @@
 func Load(path, operatorPath string) (*Settings, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
-		return nil, fmt.Errorf("settings: %w", err)
+		return nil, fmt.Errorf("read settings file: %w", err)
 	}
 	s, err := Parse(raw)
 	if err != nil {
-		return nil, fmt.Errorf("settings %s: %w", path, err)
+		return nil, fmt.Errorf("settings file %s: %w", path, err)
 	}
 	if operatorPath == "" {
 		return s, nil
 	}
 	raw, err = os.ReadFile(operatorPath)
 	if err != nil {
-		return nil, fmt.Errorf("operator settings: %w", err)
+		return nil, fmt.Errorf("read operators' settings file: %w", err)
 	}
 	if s.Operator, err = ParseOperator(raw); err != nil {
-		return nil, fmt.Errorf("operator settings %s: %w", operatorPath, err)
+		return nil, fmt.Errorf("operators' settings file %s: %w", operatorPath, err)
 	}
 	return s, nil
 }
--- a/internal/docs/architecture_test.go
+++ b/internal/docs/architecture_test.go
@@ -24,13 +24,13 @@
 	}
 	references := codeReference.FindAllStringSubmatch(string(page), -1)
 	if len(references) < 30 {
-		t.Errorf("the page has only %d references to functions", len(references))
+		t.Errorf("docs/architecture.md has only %d references to functions, want at least 30", len(references))
 	}
 	for _, reference := range references {
 		file, line, name := reference[1], reference[2], reference[3]
 		t.Run(file+"/"+name, func(t *testing.T) {
 			if found := lineOfFunction(t, file, name); strconv.Itoa(found) != line {
-				t.Errorf("the page says %s:%s, but the function is at line %d (0: nowhere)", file, line, found)
+				t.Errorf("docs/architecture.md refers to %s:%s, but the function is at line %d (0: not found)", file, line, found)
 			}
 		})
 	}
--- a/internal/httpjson/httpjson_test.go
+++ b/internal/httpjson/httpjson_test.go
@@ -72,7 +72,7 @@
 			_, err := client.Do(test.ctx, "POST", "/a", test.body)
 			var noResponse *NoResponseError
 			if err == nil || errors.As(err, &noResponse) != test.lost {
-				t.Errorf("error %v, lost answer expected: %v", err, test.lost)
+				t.Errorf("got error %v, want a NoResponseError: %v", err, test.lost)
 			}
 		})
 	}
--- a/internal/measure/measure.go
+++ b/internal/measure/measure.go
@@ -49,7 +49,7 @@
 		r.latencies[name] = histogram
 	}
 	if err := histogram.RecordValue(max(1, latency.Microseconds())); err != nil {
-		slog.Error("latency not kept", "what", name, "err", err) // not expected: latency is within the bounds of the histogram
+		slog.Error("failed to record a latency", "what", name, "err", err) // not expected: latency is within the bounds of the histogram
 	}
 }
 
--- a/internal/measure/measure_test.go
+++ b/internal/measure/measure_test.go
@@ -22,7 +22,7 @@
 		latencies, counts := r.Summary()
 		pass := latencies["pass"]
 		if pass.Count != 101 || pass.P50 < 49 || pass.P50 > 53 || pass.Max < 59000 || pass.Max > 61000 || counts["calls"] != 5 {
-			t.Fatalf("%+v %v", pass, counts)
+			t.Fatalf("got latencies %+v and counts %v", pass, counts)
 		}
 	})
 }
--- a/internal/peer/connections.go
+++ b/internal/peer/connections.go
@@ -16,7 +16,7 @@
 const callTimeout = time.Second
 
 // errNoAnswer is returned for a call that got no response within callTimeout.
-var errNoAnswer = errors.New("peer does not answer")
+var errNoAnswer = errors.New("no response from the other controller within the call timeout")
 
 // dialFunc opens a connection to the address of another controller.
 type dialFunc func(ctx context.Context, address string) (net.Conn, error)
--- a/internal/peer/convert_test.go
+++ b/internal/peer/convert_test.go
@@ -36,7 +36,7 @@
 		expectNoZeroField(t, name, reflect.ValueOf(testCase.original))
 		expectNoZeroField(t, name+" on the wire", reflect.ValueOf(testCase.onWire))
 		if !reflect.DeepEqual(testCase.back, testCase.original) {
-			t.Errorf("%s comes back as %+v, not %+v", name, testCase.back, testCase.original)
+			t.Errorf("%s after conversion to the message and back: got %+v, want %+v", name, testCase.back, testCase.original)
 		}
 	}
 }
@@ -46,7 +46,7 @@
 func expectNoZeroField(t *testing.T, path string, value reflect.Value) {
 	t.Helper()
 	if value.IsZero() {
-		t.Errorf("%s is not set", path)
+		t.Errorf("%s has its zero value", path)
 	}
 	switch value.Kind() {
 	case reflect.Slice:
--- a/internal/peer/drains_test.go
+++ b/internal/peer/drains_test.go
@@ -26,18 +26,18 @@
 		for name, link := range map[string]*Link{"the leader": leaderLink, "another": otherLink} {
 			plan, err := link.PlanDrain(ctx, spec)
 			if err != nil || len(plan.Waves) != 2 {
-				t.Errorf("%s plans %+v: %v", name, plan, err)
+				t.Errorf("plan from %s: got %+v, %v, want two waves", name, plan, err)
 			}
 			if _, err := link.PlanDrain(ctx, &rollout.Spec{Select: rollout.Selection{Zone: "south"}}); !errors.Is(err, rollout.ErrInvalidSpec) {
-				t.Errorf("%s, without machines: %v", name, err)
+				t.Errorf("plan from %s for a zone without machines: got error %v, want ErrInvalidSpec", name, err)
 			}
 			if waits, err := link.DrainWaits(ctx); err != nil || len(waits) != 0 {
-				t.Errorf("%s: waits %v: %v", name, waits, err)
+				t.Errorf("drain waits from %s: got %v, %v, want none", name, waits, err)
 			}
 		}
 		var plan DrainPlan
 		if err := (&Service{otherLink}).PlanDrain(&DrainRequest{specToWire(spec)}, &plan); !errors.Is(err, election.ErrNotLeader) {
-			t.Errorf("one that does not lead answers %v", err)
+			t.Errorf("call to a controller that does not lead: got error %v, want ErrNotLeader", err)
 		}
 		cancel()
 		cluster.pipes.Close()
--- a/internal/peer/jobs.go
+++ b/internal/peer/jobs.go
@@ -56,7 +56,7 @@
 		defer close(done)
 		err := l.connections.call(context.Background(), leader, "Learn", &Wrote{id, stamp, raw}, &Empty{})
 		if err != nil {
-			slog.Debug("leader not notified", "job", id, "err", err)
+			slog.Debug("failed to notify the leader of a job record", "job", id, "err", err)
 		}
 	}()
 	return done
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -68,21 +68,21 @@
 		a, linkA := cluster.start(ctx, "a", "b")
 		time.Sleep(2 * time.Second)
 		if a.Cluster() == nil {
-			t.Fatal("a does not lead")
+			t.Fatal("a did not become leader")
 		}
 		if linkA.ForShard(0).AllStopped(ctx, 1) {
-			t.Error("a node that does not answer confirmed that it stopped")
+			t.Error("AllStopped is true although the other controller does not answer")
 		}
 		b, linkB := cluster.start(ctx, "b", "a")
 		time.Sleep(3 * time.Second)
 		if !linkA.ForShard(0).AllStopped(ctx, 1) {
-			t.Error("a node that never led does not confirm")
+			t.Error("AllStopped is false although the other controller never led")
 		}
 		if linkB.ForShard(0).AllStopped(ctx, 1) {
-			t.Error("the leader confirmed that it stopped")
+			t.Error("the leader confirmed that it stopped answering heartbeats")
 		}
 		if !linkA.OthersServed() || !linkB.OthersServed() {
-			t.Error("the nodes do not know that the other is served")
+			t.Error("a controller does not report that the other reaches the state service")
 		}
 		// b notifies the leader a of a job record that it accepted, and asks a to explain the job.
 		rec := record.New(record.Spec{ID: "job-1", Team: "red", Shape: record.Array, Tasks: 1, Resources: placement.Resources{Cores: 1}}, 1, "b")
@@ -95,14 +95,14 @@
 		time.Sleep(time.Second)
 		lines, leader, err := linkB.Explain(ctx, "job-1")
 		if err != nil || leader != "a" || !strings.Contains(strings.Join(lines, " "), "no machine has room") {
-			t.Errorf("explained by %s as %q: %v", leader, lines, err)
+			t.Errorf("explanation by leader %q: got %q, %v", leader, lines, err)
 		}
 		// A higher generation makes the leader step down.
 		if !a.ConfirmStopped(99) || a.Cluster() != nil {
-			t.Error("the leader stays although a peer is ahead")
+			t.Error("the leader did not step down for a higher generation")
 		}
 		if b.Cluster() != nil {
-			t.Error("b leads beside a's lease")
+			t.Error("b leads although the lease of a has not expired")
 		}
 		cancel()
 		cluster.pipes.Close()
@@ -126,10 +126,10 @@
 		}
 		began := time.Now()
 		if link.ForShard(0).AllStopped(ctx, 7) {
-			t.Error("nobody answered, and yet all have stopped")
+			t.Error("AllStopped is true although no controller answered")
 		}
 		if took := time.Since(began); dials.Load() != 4 || took > callTimeout {
-			t.Errorf("%d asked in %v", dials.Load(), took)
+			t.Errorf("%d controllers asked in %v, want 4 within the call timeout", dials.Load(), took)
 		}
 	})
 }
--- a/internal/peer/production_test.go
+++ b/internal/peer/production_test.go
@@ -70,7 +70,7 @@
 			t.Fatalf("%s: %v", name, err)
 		}
 		if !reflect.DeepEqual(got, want) {
-			t.Errorf("%s reads as %+v, not %+v", name, got, want)
+			t.Errorf("%s: decoded %+v, want %+v", name, got, want)
 		}
 	}
 	var stream bytes.Buffer
@@ -83,7 +83,7 @@
 	}
 	if len(readHello.Hints) != 1 || readHello.Hints[0].Session != 2 || readHello.Have.Gen != 7 || len(readHello.Stranded) != 1 ||
 		readHello.Lent != 1.5 || !readHello.Owner || !readHello.StateOK || readHello.Hints[0].Images.Names[0] != "img" {
-		t.Errorf("production reads a greeting as %+v", readHello)
+		t.Errorf("the production version decodes a Hello as %+v", readHello)
 	}
 	stream.Reset()
 	if err := gob.NewEncoder(&stream).Encode(wrote); err != nil {
@@ -91,6 +91,6 @@
 	}
 	var readWrote oldWrote
 	if err := gob.NewDecoder(&stream).Decode(&readWrote); err != nil || readWrote.Job != "job-1" || readWrote.Stamp != 9 || string(readWrote.Raw) != string(wrote.Raw) {
-		t.Errorf("production reads a write as %+v, %v", readWrote, err)
+		t.Errorf("the production version decodes a Wrote as %+v, %v", readWrote, err)
 	}
 }
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -25,7 +25,7 @@
 func (l *Link) Serve(listener net.Listener) {
 	server := rpc.NewServer()
 	if err := server.RegisterName(serviceName, &Service{l}); err != nil {
-		slog.Error("peer service not registered", "err", err)
+		slog.Error("failed to register the RPC service for other controllers", "err", err)
 		return
 	}
 	slots := make(chan struct{}, connectionsPerPeer*max(1, len(l.settings.Peers)))
@@ -35,7 +35,7 @@
 			return
 		}
 		if err != nil {
-			slog.Error("peer connection not accepted", "err", err)
+			slog.Error("failed to accept a connection from another controller; retrying", "err", err)
 			time.Sleep(acceptRetryDelay)
 			continue
 		}
--- a/internal/peer/transfer_test.go
+++ b/internal/peer/transfer_test.go
@@ -16,7 +16,7 @@
 		time.Sleep(100 * time.Millisecond)
 		dialsBefore := cluster.pipes.Dials()
 		if asking.requestTransfer(ctx, 1) || cluster.pipes.Dials() > dialsBefore {
-			t.Error("a controller that was never heard was asked")
+			t.Error("a controller that never sent a health report was asked or transferred changes")
 		}
 		_, idle := cluster.start(ctx, "b", "a")
 		time.Sleep(3 * time.Second)
@@ -25,10 +25,10 @@
 			given += 5
 		}
 		if given == 0 || given >= 1000 {
-			t.Errorf("%d changes given", given)
+			t.Errorf("%d changes transferred, want above 0 and below 1000", given)
 		}
 		if idle.store.Budget().TransferOut(5) {
-			t.Error("what was given away is still there")
+			t.Error("the other controller still has the changes that it transferred")
 		}
 		cancel()
 		cluster.pipes.Close()
@@ -74,13 +74,13 @@
 		kept := connection()
 		began := time.Now()
 		if link.requestTransfer(ctx, 1) {
-			t.Error("an older controller gave changes")
+			t.Error("a controller without Transfer transferred changes")
 		}
 		if took := time.Since(began); took > 50*time.Millisecond {
-			t.Errorf("its answer took %v", took)
+			t.Errorf("the request to a controller without Transfer took %v", took)
 		}
 		if kept == nil || connection() != kept {
-			t.Error("its connection was given up")
+			t.Error("the connection to a controller without Transfer was closed")
 		}
 		cancel()
 		cluster.pipes.Close()
--- a/internal/wirenames/names_test.go
+++ b/internal/wirenames/names_test.go
@@ -74,12 +74,12 @@
 	listed := strings.Split(strings.TrimSpace(string(raw)), "\n")
 	for _, line := range listed {
 		if !slices.Contains(names, line) {
-			t.Errorf("gone: %s", line)
+			t.Errorf("missing from the code: %s", line)
 		}
 	}
 	for _, line := range names {
 		if !slices.Contains(listed, line) {
-			t.Errorf("new, and not in %s: %s", path, line)
+			t.Errorf("not listed in %s: %s", path, line)
 		}
 	}
 }
@@ -251,7 +251,7 @@
 	for _, pattern := range []string{"internal/config/*.proto", "deploy/service.toml"} {
 		paths, err := filepath.Glob(filepath.Join(root, pattern))
 		if err != nil || len(paths) == 0 {
-			t.Fatalf("%s: %v, %v", pattern, paths, err)
+			t.Fatalf("files that match %s: got %v, error %v", pattern, paths, err)
 		}
 		for _, path := range paths {
 			raw, err := os.ReadFile(path)
