--- a/cmd/pebbletrail/controller_status.go
+++ b/cmd/pebbletrail/controller_status.go
@@ -20,7 +20,7 @@
 	}
 	// During an outage of the state service all nodes are affected and stay ready. If only this node can't
 	// reach it, users must be routed to other nodes.
-	return age < readyWithin || !c.link.OthersServed()
+	return age < readyWithin || !c.link.AnyPeerReachesStore()
 }
 
 // status returns the response of GET /v2/status.
--- a/internal/peer/connections.go
+++ b/internal/peer/connections.go
@@ -15,8 +15,8 @@
 // callTimeout limits the time to connect and, separately, the time to wait for a response.
 const callTimeout = time.Second
 
-// errNoAnswer is returned for a call that got no response within callTimeout.
-var errNoAnswer = errors.New("no response from the other controller within the call timeout")
+// errCallTimeout is returned for a call that got no response within callTimeout.
+var errCallTimeout = errors.New("no response from the other controller within the call timeout")
 
 // dialFunc opens a connection to the address of another controller.
 type dialFunc func(ctx context.Context, address string) (net.Conn, error)
@@ -58,17 +58,17 @@
 			return err
 		}
 	case <-time.After(callTimeout):
-		err = errNoAnswer
+		err = errCallTimeout
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	c.drop(node, client)
+	c.discard(node, client)
 	return err
 }
 
 // client returns the cached connection to another controller, or opens one.
 func (c *connections) client(ctx context.Context, node ids.Node) (*rpc.Client, error) {
-	if client := c.connected(node); client != nil {
+	if client := c.cached(node); client != nil {
 		return client, nil
 	}
 	address := c.address(node)
@@ -79,11 +79,11 @@
 	if err != nil {
 		return nil, err
 	}
-	return c.keep(node, rpc.NewClient(&idleConn{conn})), nil
+	return c.cache(node, rpc.NewClient(&timeoutConn{conn})), nil
 }
 
-// connected returns the cached connection to another controller, or nil if there is none.
-func (c *connections) connected(node ids.Node) *rpc.Client {
+// cached returns the cached connection to another controller, or nil if there is none.
+func (c *connections) cached(node ids.Node) *rpc.Client {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.clients[node]
@@ -99,9 +99,9 @@
 	return address
 }
 
-// keep caches a new connection and returns it. If a concurrent call has cached a connection to the same
-// controller meanwhile, keep closes the new one and returns the cached one.
-func (c *connections) keep(node ids.Node, client *rpc.Client) *rpc.Client {
+// cache stores a new connection and returns it. If a concurrent call has cached a connection to the same
+// controller meanwhile, cache closes the new one and returns the cached one.
+func (c *connections) cache(node ids.Node, client *rpc.Client) *rpc.Client {
 	c.mu.Lock()
 	earlier := c.clients[node]
 	if earlier == nil {
@@ -115,8 +115,8 @@
 	return earlier
 }
 
-// drop closes a failed connection and removes it from the cache; the next call opens a new one.
-func (c *connections) drop(node ids.Node, client *rpc.Client) {
+// discard closes a failed connection and removes it from the cache; the next call opens a new one.
+func (c *connections) discard(node ids.Node, client *rpc.Client) {
 	c.mu.Lock()
 	if c.clients[node] == client {
 		delete(c.clients, node)
--- a/internal/peer/convert.go
+++ b/internal/peer/convert.go
@@ -48,12 +48,12 @@
 	}
 }
 
-func markToWire(mark clusterstate.HintPosition) HintMark {
-	return HintMark{Gen: mark.Generation, Seq: mark.Sequence, Whole: mark.Complete, At: mark.ReceivedAt}
+func hintPositionToWire(position clusterstate.HintPosition) HintMark {
+	return HintMark{Gen: position.Generation, Seq: position.Sequence, Whole: position.Complete, At: position.ReceivedAt}
 }
 
-func markFromWire(mark HintMark) clusterstate.HintPosition {
-	return clusterstate.HintPosition{Generation: mark.Gen, Sequence: mark.Seq, Complete: mark.Whole, ReceivedAt: mark.At}
+func hintPositionFromWire(position HintMark) clusterstate.HintPosition {
+	return clusterstate.HintPosition{Generation: position.Gen, Sequence: position.Seq, Complete: position.Whole, ReceivedAt: position.At}
 }
 
 func redirectedWorkerToWire(redirected liveness.RedirectedWorker) Strand {
--- a/internal/peer/convert_test.go
+++ b/internal/peer/convert_test.go
@@ -17,7 +17,7 @@
 	// Guards against a field that is added to a type and its message but not copied by the conversion.
 	hint := clusterstate.Hint{Name: "host-000001", Address: "10.1.0.1:9000", Type: "small", Zone: "north", Spot: true, Incarnation: 2,
 		Images: worker.Images{Names: []string{"img"}, Sizes: []float64{1.5}}, Booting: true, ProvisionedFor: 3 * time.Second}
-	mark := clusterstate.HintPosition{Generation: 7, Sequence: 12, Complete: true, ReceivedAt: time.Unix(1700000000, 0)}
+	position := clusterstate.HintPosition{Generation: 7, Sequence: 12, Complete: true, ReceivedAt: time.Unix(1700000000, 0)}
 	redirected := liveness.RedirectedWorker{Machine: "host-000002", Ago: 3 * time.Second}
 	shortage := provisioning.Shortage{Duration: 4 * time.Second, Machines: 5}
 	spec := rollout.Spec{Name: "spring", Replace: true, Surge: true, WaveSize: 2, Pause: 3, Deadline: 4, AtDeadline: "wait", Observe: 5,
@@ -25,9 +25,9 @@
 	plan := rollout.Preview{Machines: []ids.Machine{"host-000001"}, Waves: [][]ids.Machine{{"host-000001"}}, Takes: 6,
 		Blocked: []rollout.BlockedMachine{{Name: "host-000002", Why: []string{"full"}}}}
 	specOnWire, planOnWire := specToWire(&spec), planToWire(&plan)
-	for name, testCase := range map[string]struct{ original, onWire, back any }{
+	for name, testCase := range map[string]struct{ original, onWire, roundTripped any }{
 		"hint":   {hint, hintToWire(hint), hintFromWire(hintToWire(hint))},
-		"mark":   {mark, markToWire(mark), markFromWire(markToWire(mark))},
+		"mark":   {position, hintPositionToWire(position), hintPositionFromWire(hintPositionToWire(position))},
 		"strand": {redirected, redirectedWorkerToWire(redirected), redirectedWorkerFromWire(redirectedWorkerToWire(redirected))},
 		"lack":   {shortage, shortageToWire(shortage), shortageFromWire(shortageToWire(shortage))},
 		"spec":   {spec, specOnWire, *specFromWire(&specOnWire)},
@@ -35,8 +35,8 @@
 	} {
 		expectNoZeroField(t, name, reflect.ValueOf(testCase.original))
 		expectNoZeroField(t, name+" on the wire", reflect.ValueOf(testCase.onWire))
-		if !reflect.DeepEqual(testCase.back, testCase.original) {
-			t.Errorf("%s after conversion to the message and back: got %+v, want %+v", name, testCase.back, testCase.original)
+		if !reflect.DeepEqual(testCase.roundTripped, testCase.original) {
+			t.Errorf("%s after conversion to the message and back: got %+v, want %+v", name, testCase.roundTripped, testCase.original)
 		}
 	}
 }
--- a/internal/peer/greeting.go
+++ b/internal/peer/health_exchange.go
@@ -14,8 +14,8 @@
 
 // Greet receives another controller's health report and returns this node's, for a single shard.
 func (s *Service) Greet(in *Hello, out *Hello) error {
-	s.link.receive(&ShardsHello{Hello: *in, Shards: []ShardHello{in.shard()}})
-	answer := s.link.hello([]clusterstate.HintPosition{markFromWire(in.Have)})
+	s.link.handleHello(&ShardsHello{Hello: *in, Shards: []ShardHello{in.onlyShard()}})
+	answer := s.link.newHello([]clusterstate.HintPosition{hintPositionFromWire(in.Have)})
 	*out = answer.Hello
 	out.Lent = s.link.store.Budget().Lend(in.Want)
 	return nil
@@ -23,87 +23,87 @@
 
 // GreetShards receives another controller's health report and returns this node's, for several shards.
 func (s *Service) GreetShards(in *ShardsHello, out *ShardsHello) error {
-	s.link.receive(in)
-	*out = s.link.hello(in.marks())
+	s.link.handleHello(in)
+	*out = s.link.newHello(in.positions())
 	out.Hello.Lent = s.link.store.Budget().Lend(in.Hello.Want)
 	return nil
 }
 
-// shard returns the report's fields that concern the only shard.
-func (h *Hello) shard() ShardHello {
+// onlyShard returns the report's fields that concern the only shard.
+func (h *Hello) onlyShard() ShardHello {
 	return ShardHello{Owner: h.Owner, Have: h.Have, Hints: h.Hints, Stranded: h.Stranded}
 }
 
-// setShard sets the report's fields that concern the only shard.
-func (h *Hello) setShard(only ShardHello) {
+// setOnlyShard sets the report's fields that concern the only shard.
+func (h *Hello) setOnlyShard(only ShardHello) {
 	h.Owner, h.Have, h.Hints, h.Stranded = only.Owner, only.Have, only.Hints, only.Stranded
 }
 
-// marks returns the sender's position in the hint sequence of each shard.
-func (h *ShardsHello) marks() []clusterstate.HintPosition {
-	marks := make([]clusterstate.HintPosition, len(h.Shards))
+// positions returns the sender's position in the hint sequence of each shard.
+func (h *ShardsHello) positions() []clusterstate.HintPosition {
+	positions := make([]clusterstate.HintPosition, len(h.Shards))
 	for i := range h.Shards {
-		marks[i] = markFromWire(h.Shards[i].Have)
+		positions[i] = hintPositionFromWire(h.Shards[i].Have)
 	}
-	return marks
+	return positions
 }
 
-// hello builds this node's health report. For each shard that this node leads and whose hint position at
+// newHello builds this node's health report. For each shard that this node leads and whose hint position at
 // the recipient is given, the report includes the hints after that position.
-func (l *Link) hello(marks []clusterstate.HintPosition) ShardsHello {
+func (l *Link) newHello(positions []clusterstate.HintPosition) ShardsHello {
 	age, ok := l.store.SinceSuccess()
-	hello := ShardsHello{Hello: Hello{Node: l.settings.HostName, StateOK: ok && age < heardWithin}}
+	hello := ShardsHello{Hello: Hello{Node: l.settings.HostName, StateOK: ok && age < maxHealthReportAge}}
 	for shard, elector := range l.shards.Electors() {
-		var mark *clusterstate.HintPosition
-		if shard < len(marks) {
-			mark = &marks[shard]
+		var position *clusterstate.HintPosition
+		if shard < len(positions) {
+			position = &positions[shard]
 		}
-		hello.Shards = append(hello.Shards, shardHello(elector, mark))
+		hello.Shards = append(hello.Shards, newShardHello(elector, position))
 	}
 	if len(hello.Shards) == 1 {
-		hello.Hello.setShard(hello.Shards[0])
+		hello.Hello.setOnlyShard(hello.Shards[0])
 	}
 	return hello
 }
 
-// shardHello builds the part of the health report for one shard. If this node leads the shard and since
+// newShardHello builds the part of the health report for one shard. If this node leads the shard and since
 // is not nil, it includes the hints after that position.
-func shardHello(elector *election.Elector, since *clusterstate.HintPosition) (hello ShardHello) {
+func newShardHello(elector *election.Elector, since *clusterstate.HintPosition) (hello ShardHello) {
 	cluster := elector.Cluster()
 	if cluster == nil {
 		hello.Stranded = convertAll(elector.RedirectedWorkers(), redirectedWorkerToWire)
-		hello.Have = markToWire(elector.HintPosition())
+		hello.Have = hintPositionToWire(elector.HintPosition())
 		return hello
 	}
 	hello.Owner, hello.Lack = true, shortageToWire(cluster.Shortage())
 	if since != nil {
-		hints, mark := cluster.Hints(*since)
-		hello.Hints, hello.Have = convertAll(hints, hintToWire), markToWire(mark)
+		hints, position := cluster.Hints(*since)
+		hello.Hints, hello.Have = convertAll(hints, hintToWire), hintPositionToWire(position)
 	}
 	return hello
 }
 
-// greet exchanges health reports with another controller and applies the received one.
-func (l *Link) greet(ctx context.Context, node ids.Node) {
-	hello := l.hello(nil)
-	hello.Hello.Want = l.wantedTokens()
+// exchangeHealthReports exchanges health reports with another controller and applies the received one.
+func (l *Link) exchangeHealthReports(ctx context.Context, node ids.Node) {
+	hello := l.newHello(nil)
+	hello.Hello.Want = l.requestedTokens()
 	sent := time.Now()
-	answer, err := l.exchange(ctx, node, &hello)
+	answer, err := l.sendHello(ctx, node, &hello)
 	if err != nil {
 		return // a late response may still be decoded into answer, which is not read any more
 	}
-	l.receive(answer)
+	l.handleHello(answer)
 	l.store.Budget().AddBorrowed(answer.Hello.Lent, sent)
 	for shard, elector := range l.shards.Electors() {
 		if shard < len(answer.Shards) && answer.Shards[shard].Owner {
 			received := &answer.Shards[shard]
-			elector.ReceiveHints(convertAll(received.Hints, hintFromWire), markFromWire(received.Have))
+			elector.ReceiveHints(convertAll(received.Hints, hintFromWire), hintPositionFromWire(received.Have))
 		}
 	}
 }
 
-// exchange sends a health report to another controller and returns the one received in response.
-func (l *Link) exchange(ctx context.Context, node ids.Node, hello *ShardsHello) (*ShardsHello, error) {
+// sendHello sends a health report to another controller and returns the one received in response.
+func (l *Link) sendHello(ctx context.Context, node ids.Node, hello *ShardsHello) (*ShardsHello, error) {
 	answer := &ShardsHello{}
 	if len(hello.Shards) > 1 {
 		return answer, l.connections.call(ctx, node, "GreetShards", hello, answer)
@@ -111,12 +111,12 @@
 	if err := l.connections.call(ctx, node, "Greet", &hello.Hello, &answer.Hello); err != nil {
 		return nil, err
 	}
-	answer.Shards = []ShardHello{answer.Hello.shard()}
+	answer.Shards = []ShardHello{answer.Hello.onlyShard()}
 	return answer, nil
 }
 
-// receive applies another controller's health report to the local electors.
-func (l *Link) receive(hello *ShardsHello) {
+// handleHello applies another controller's health report to the local electors.
+func (l *Link) handleHello(hello *ShardsHello) {
 	l.health.record(hello.Hello.Node, hello.Hello.StateOK)
 	if !hello.Hello.StateOK {
 		return // the sender can't reach the state service either, so stepping down for it would not help
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -31,24 +31,24 @@
 	return link
 }
 
-// greetInterval is the pause between two health reports to the same controller.
-const greetInterval = time.Second
+// healthReportInterval is the pause between two health reports to the same controller.
+const healthReportInterval = time.Second
 
 // Run starts one goroutine per other controller to send it health reports, and returns. The goroutines
 // end with the context; no caller waits for them.
 func (l *Link) Run(ctx context.Context) {
 	for _, other := range l.settings.Peers {
-		go l.greetRepeatedly(ctx, other.HostName)
+		go l.sendHealthReports(ctx, other.HostName)
 	}
 }
 
-// greetRepeatedly sends health reports to one controller until the context ends.
-func (l *Link) greetRepeatedly(ctx context.Context, node ids.Node) {
+// sendHealthReports sends health reports to one controller until the context ends.
+func (l *Link) sendHealthReports(ctx context.Context, node ids.Node) {
 	for ctx.Err() == nil {
-		l.greet(ctx, node)
+		l.exchangeHealthReports(ctx, node)
 		select {
 		case <-ctx.Done():
-		case <-time.After(greetInterval):
+		case <-time.After(healthReportInterval):
 		}
 	}
 }
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -23,13 +23,13 @@
 
 // testCluster connects controllers, which have no API server for users, to one fake store.
 type testCluster struct {
-	net   *fake.Network
-	pipes *fake.Pipes
+	network *fake.Network
+	pipes   *fake.Pipes
 }
 
 func newTestCluster() *testCluster {
-	cluster := &testCluster{net: fake.NewNetwork(), pipes: fake.NewPipes()}
-	cluster.net.Listen("state:1", fake.NewStore())
+	cluster := &testCluster{network: fake.NewNetwork(), pipes: fake.NewPipes()}
+	cluster.network.Listen("state:1", fake.NewStore())
 	return cluster
 }
 
@@ -40,7 +40,7 @@
 	settings.Params.State = config.StateLimits{RPS: 500, WriteRPS: 200, ValueKB: 8, TxnOps: 12}
 	settings.Params.Teams = []config.Team{{Name: "red"}}
 	settings.Params.Limits.MaxSockets = 100
-	client := c.net.Client(string(name))
+	client := c.network.Client(string(name))
 	store := state.NewClient("state:1", client, state.NewBudget(500, 200, 2, 0.6))
 	elector := election.NewElector(settings, store, &worker.Commander{HTTP: client, Timeout: time.Second}, string(name)+".1")
 	link := NewLink(settings, election.NewSingleShard(elector), store)
@@ -49,19 +49,19 @@
 	go link.Serve(c.pipes.Listen(string(name)))
 	link.Run(ctx)
 	go elector.Run(ctx)
-	go callRepeatedly(ctx, store)
+	go pollStore(ctx, store)
 	return elector, link
 }
 
-// callRepeatedly calls the store at intervals, so that the controller counts it as reachable.
-func callRepeatedly(ctx context.Context, store *state.Client) {
+// pollStore calls the store at intervals, so that the controller counts it as reachable.
+func pollStore(ctx context.Context, store *state.Client) {
 	for ctx.Err() == nil {
 		_, _, _ = store.Get(ctx, record.KeysOf(0, 1).Generation(), state.Urgent) // only whether the call succeeds matters
 		time.Sleep(500 * time.Millisecond)
 	}
 }
 
-func TestPeersConfirmTakeoversAndTellTheLeaderOfWrites(t *testing.T) {
+func TestPeersConfirmTakeoversAndNotifyLeaderOfWrites(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		cluster := newTestCluster()
@@ -81,7 +81,7 @@
 		if linkB.ForShard(0).AllStopped(ctx, 1) {
 			t.Error("the leader confirmed that it stopped answering heartbeats")
 		}
-		if !linkA.OthersServed() || !linkB.OthersServed() {
+		if !linkA.AnyPeerReachesStore() || !linkB.AnyPeerReachesStore() {
 			t.Error("a controller does not report that the other reaches the state service")
 		}
 		// b notifies the leader a of a job record that it accepted, and asks a to explain the job.
--- a/internal/peer/production_test.go
+++ b/internal/peer/production_test.go
@@ -13,18 +13,18 @@
 
 // The messages as declared in the source of the production version.
 type (
-	oldWrote struct {
+	productionWrote struct {
 		Job   string
 		Stamp uint64
 		Raw   []byte
 	}
-	oldMark struct {
+	productionMark struct {
 		Gen   uint64
 		Seq   uint64
 		Whole bool
 		At    time.Time
 	}
-	oldHint struct {
+	productionHint struct {
 		Name, Addr, Type, Zone string
 		Spot                   bool
 		Session                uint64
@@ -35,21 +35,21 @@
 		Coming bool
 		Held   time.Duration
 	}
-	oldStrand struct {
+	productionStrand struct {
 		Machine string
 		Ago     time.Duration
 	}
-	oldHello struct {
+	productionHello struct {
 		Node           string
 		StateOK, Owner bool
-		Have           oldMark
-		Hints          []oldHint
+		Have           productionMark
+		Hints          []productionHint
 		Want, Lent     float64
-		Stranded       []oldStrand
+		Stranded       []productionStrand
 	}
 )
 
-func TestProductionMessagesAreReadBothWays(t *testing.T) {
+func TestMessagesAreCompatibleWithProduction(t *testing.T) {
 	// Guards against controllers of two versions decoding each other's messages incorrectly during an
 	// upgrade. The files were written by the version that deploy/service.toml names.
 	hello := &Hello{Node: "cairn-0", StateOK: true, Owner: true, Have: HintMark{Gen: 7, Seq: 12, Whole: true, At: time.Unix(1700000000, 0).UTC()},
@@ -77,20 +77,20 @@
 	if err := gob.NewEncoder(&stream).Encode(hello); err != nil {
 		t.Fatal(err)
 	}
-	var readHello oldHello
-	if err := gob.NewDecoder(&stream).Decode(&readHello); err != nil {
+	var decodedHello productionHello
+	if err := gob.NewDecoder(&stream).Decode(&decodedHello); err != nil {
 		t.Fatal(err)
 	}
-	if len(readHello.Hints) != 1 || readHello.Hints[0].Session != 2 || readHello.Have.Gen != 7 || len(readHello.Stranded) != 1 ||
-		readHello.Lent != 1.5 || !readHello.Owner || !readHello.StateOK || readHello.Hints[0].Images.Names[0] != "img" {
-		t.Errorf("the production version decodes a Hello as %+v", readHello)
+	if len(decodedHello.Hints) != 1 || decodedHello.Hints[0].Session != 2 || decodedHello.Have.Gen != 7 || len(decodedHello.Stranded) != 1 ||
+		decodedHello.Lent != 1.5 || !decodedHello.Owner || !decodedHello.StateOK || decodedHello.Hints[0].Images.Names[0] != "img" {
+		t.Errorf("the production version decodes a Hello as %+v", decodedHello)
 	}
 	stream.Reset()
 	if err := gob.NewEncoder(&stream).Encode(wrote); err != nil {
 		t.Fatal(err)
 	}
-	var readWrote oldWrote
-	if err := gob.NewDecoder(&stream).Decode(&readWrote); err != nil || readWrote.Job != "job-1" || readWrote.Stamp != 9 || string(readWrote.Raw) != string(wrote.Raw) {
-		t.Errorf("the production version decodes a Wrote as %+v, %v", readWrote, err)
+	var decodedWrote productionWrote
+	if err := gob.NewDecoder(&stream).Decode(&decodedWrote); err != nil || decodedWrote.Job != "job-1" || decodedWrote.Stamp != 9 || string(decodedWrote.Raw) != string(wrote.Raw) {
+		t.Errorf("the production version decodes a Wrote as %+v, %v", decodedWrote, err)
 	}
 }
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -47,7 +47,7 @@
 		}
 		go func() {
 			defer func() { <-slots }()
-			server.ServeConn(&idleConn{conn})
+			server.ServeConn(&timeoutConn{conn})
 		}()
 	}
 }
@@ -60,16 +60,16 @@
 	writeTimeout = 5 * time.Second
 )
 
-// idleConn is a connection whose reads fail after idleTimeout and whose writes fail after writeTimeout.
-type idleConn struct{ net.Conn }
+// timeoutConn is a connection whose reads fail after idleTimeout and whose writes fail after writeTimeout.
+type timeoutConn struct{ net.Conn }
 
-func (c *idleConn) Read(buffer []byte) (int, error) {
+func (c *timeoutConn) Read(buffer []byte) (int, error) {
 	// Setting the deadline fails only on a closed connection, from which reading fails as well.
 	_ = c.SetReadDeadline(time.Now().Add(idleTimeout))
 	return c.Conn.Read(buffer)
 }
 
-func (c *idleConn) Write(data []byte) (int, error) {
+func (c *timeoutConn) Write(data []byte) (int, error) {
 	// Setting the deadline fails only on a closed connection, to which writing fails as well.
 	_ = c.SetWriteDeadline(time.Now().Add(writeTimeout))
 	return c.Conn.Write(data)
--- a/internal/peer/transfer.go
+++ b/internal/peer/transfer.go
@@ -24,7 +24,7 @@
 		if ctx.Err() != nil {
 			return false
 		}
-		if !l.health.of(node).recent() {
+		if !l.health.lastReport(node).isUp() {
 			continue
 		}
 		var answer TransferReply
@@ -37,9 +37,9 @@
 }
 
 const (
-	// demandInterval is how long a computed demand is reused. It is slightly less than greetInterval, so
-	// that the demand is computed anew for each round of health reports.
-	demandInterval = 900 * time.Millisecond
+	// demandValidity is how long a computed demand is reused. It is slightly less than
+	// healthReportInterval, so that the demand is computed anew for each round of health reports.
+	demandValidity = 900 * time.Millisecond
 	// demandFactor multiplies the share of the demand that is requested from each of the other controllers.
 	demandFactor = 2
 )
@@ -47,18 +47,18 @@
 // tokenDemand is the rate of changes, per second, that this node requests from each other controller.
 type tokenDemand struct {
 	// mu guards the fields below. The lock of state.Budget may be taken under mu, never the reverse.
-	mu      sync.Mutex
-	perPeer float64
-	at      time.Time
+	mu         sync.Mutex
+	perPeer    float64
+	computedAt time.Time
 }
 
-// wantedTokens returns the rate of changes, per second, that this node now requests from each other
+// requestedTokens returns the rate of changes, per second, that this node now requests from each other
 // controller.
-func (l *Link) wantedTokens() float64 {
+func (l *Link) requestedTokens() float64 {
 	l.demand.mu.Lock()
 	defer l.demand.mu.Unlock()
-	if time.Since(l.demand.at) > demandInterval {
-		l.demand.at = time.Now()
+	if time.Since(l.demand.computedAt) > demandValidity {
+		l.demand.computedAt = time.Now()
 		l.demand.perPeer = demandFactor * l.store.Budget().UnmetDemand() / float64(len(l.settings.Peers))
 	}
 	return l.demand.perPeer
--- a/internal/peer/transfer_test.go
+++ b/internal/peer/transfer_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-func TestIdleControllerTransfersItsChanges(t *testing.T) {
+func TestIdleControllerTransfersUnusedChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		cluster := newTestCluster()
@@ -44,7 +44,7 @@
 	return nil
 }
 
-func TestOlderControllerTransfersNothingAtOnce(t *testing.T) {
+func TestTransferRequestToOlderControllerFailsAtOnce(t *testing.T) {
 	// Guards against a delayed user request or a closed connection because of a call that older versions
 	// lack.
 	synctest.Test(t, func(t *testing.T) {
@@ -61,7 +61,7 @@
 				if err != nil {
 					return
 				}
-				go server.ServeConn(&idleConn{conn})
+				go server.ServeConn(&timeoutConn{conn})
 			}
 		}()
 		_, link := cluster.start(ctx, "a", "b")
@@ -71,7 +71,7 @@
 			defer link.connections.mu.Unlock()
 			return link.connections.clients["b"]
 		}
-		kept := connection()
+		connectionBefore := connection()
 		began := time.Now()
 		if link.requestTransfer(ctx, 1) {
 			t.Error("a controller without Transfer transferred changes")
@@ -79,7 +79,7 @@
 		if took := time.Since(began); took > 50*time.Millisecond {
 			t.Errorf("the request to a controller without Transfer took %v", took)
 		}
-		if kept == nil || connection() != kept {
+		if connectionBefore == nil || connection() != connectionBefore {
 			t.Error("the connection to a controller without Transfer was closed")
 		}
 		cancel()
