--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -19,8 +19,8 @@
 		s.checkAddresses,
 		s.checkTeams,
 		s.checkNumbers,
-		s.checkNextState,
-		s.checkTransactions,
+		s.checkNextStateLimits,
+		s.checkTxnOps,
 		s.checkLease,
 	} {
 		if err := check(); err != nil {
@@ -30,17 +30,17 @@
 	return nil
 }
 
-// number is a numeric setting with its name in the file.
-type number struct {
+// numericSetting is a setting with its name in the file.
+type numericSetting struct {
 	name  string
 	value float64
 }
 
-// isNotNegative reports whether the number is finite and zero or more.
-func (n number) isNotNegative() bool { return n.value >= 0 && !math.IsInf(n.value, 0) }
+// isNonNegative reports whether the number is finite and zero or more.
+func (n numericSetting) isNonNegative() bool { return n.value >= 0 && !math.IsInf(n.value, 0) }
 
 // isPositive reports whether the number is finite and above zero.
-func (n number) isPositive() bool { return n.value > 0 && !math.IsInf(n.value, 0) }
+func (n numericSetting) isPositive() bool { return n.value > 0 && !math.IsInf(n.value, 0) }
 
 func (s *Settings) checkNames() error {
 	if s.HostName == "" {
@@ -106,13 +106,13 @@
 // checkQuota checks a team's guaranteed quota and its limits; name is the path of the team in the file,
 // for errors.
 func (t *Team) checkQuota(name string) error {
-	for _, n := range []number{
+	for _, n := range []numericSetting{
 		{"cpus", t.CPUs},
 		{"cpus_max", t.CPUsMax},
 		{"gpus", t.GPUs},
 		{"gpus_max", t.GPUsMax},
 	} {
-		if !n.isNotNegative() {
+		if !n.isNonNegative() {
 			return fmt.Errorf("%s.%s: must be zero or more: %v", name, n.name, n.value)
 		}
 	}
@@ -124,7 +124,7 @@
 
 func (s *Settings) checkNumbers() error {
 	p := &s.Params
-	for _, n := range []number{
+	for _, n := range []numericSetting{
 		{"params.workers.report_s", float64(p.Workers.ReportS)},
 		{"params.workers.lease_s", float64(p.Workers.LeaseS)},
 		{"params.workers.gang_wait_s", float64(p.Workers.GangWaitS)},
@@ -149,18 +149,18 @@
 	return nil
 }
 
-// checkNextState checks the announced future limits of the key-value store, if there are any.
-func (s *Settings) checkNextState() error {
+// checkNextStateLimits checks the announced future limits of the key-value store, if there are any.
+func (s *Settings) checkNextStateLimits() error {
 	next := s.Params.State.Next
 	if next == nil {
 		return nil
 	}
-	for _, n := range []number{
+	for _, n := range []numericSetting{
 		{"params.state.next.rps", next.RPS},
 		{"params.state.next.write_rps", next.WriteRPS},
 		{"params.state.next.value_kb", next.ValueKB},
 	} {
-		if !n.isNotNegative() {
+		if !n.isNonNegative() {
 			return fmt.Errorf("%s: must be a finite number, zero or more: %v", n.name, n.value)
 		}
 	}
@@ -170,7 +170,7 @@
 	return nil
 }
 
-func (s *Settings) checkTransactions() error {
+func (s *Settings) checkTxnOps() error {
 	if ops := s.Params.State.TxnOps; ops < minTxnOps {
 		return fmt.Errorf("params.state.txn_ops: must be at least %d, the changes of a takeover: %d", minTxnOps, ops)
 	}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -9,8 +9,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// good is a valid platform's file, with one unknown field.
-const good = `
+// validSettings is a valid platform's file, with one unknown field.
+const validSettings = `
 host_name = "n0"
 area = "z"
 client_listen = "10.0.0.1:1"
@@ -44,8 +44,8 @@
 max_sockets = 100
 `
 
-// parsed parses the platform's file and fails the test if it is invalid.
-func parsed(t *testing.T, text string) *Settings {
+// mustParse parses the platform's file and fails the test if it is invalid.
+func mustParse(t *testing.T, text string) *Settings {
 	t.Helper()
 	settings, err := Parse([]byte(text))
 	if err != nil {
@@ -54,13 +54,13 @@
 	return settings
 }
 
-// namesIt reports whether err is not nil, contains name and is a single line.
-func namesIt(err error, name string) bool {
+// isOneLineNaming reports whether err is not nil, contains name and is a single line.
+func isOneLineNaming(err error, name string) bool {
 	return err != nil && strings.Contains(err.Error(), name) && !strings.Contains(err.Error(), "\n")
 }
 
-func TestSettingsNameTheFieldThatIsWrong(t *testing.T) {
-	if _, err := Parse([]byte(good)); err != nil {
+func TestParseErrorNamesInvalidField(t *testing.T) {
+	if _, err := Parse([]byte(validSettings)); err != nil {
 		t.Fatalf("valid settings with an unknown field: %v", err)
 	}
 	for change, field := range map[string]string{
@@ -79,17 +79,17 @@
 		`[params.cloud]>[params.state.next]` + "\ntxn_ops = 3\n[params.cloud]":     "params.state.next.txn_ops",
 	} {
 		from, to, _ := strings.Cut(change, ">")
-		if _, err := Parse([]byte(strings.Replace(good, from, to, 1))); !namesIt(err, field) {
+		if _, err := Parse([]byte(strings.Replace(validSettings, from, to, 1))); !isOneLineNaming(err, field) {
 			t.Errorf("%s: got error %v, want one line that names the setting", change, err)
 		}
 	}
 }
 
-func TestLimitsToComeHoldFromTheStart(t *testing.T) {
+func TestNextStateLimitsApplyFromTheStart(t *testing.T) {
 	// Guards against writes that the key-value store would reject once it lowers its limits, which it does
 	// at an unannounced time.
 	with := func(next string) StateLimits {
-		return parsed(t, strings.Replace(good, "[params.cloud]", next+"\n[params.cloud]", 1)).Params.State
+		return mustParse(t, strings.Replace(validSettings, "[params.cloud]", next+"\n[params.cloud]", 1)).Params.State
 	}
 	for _, c := range []struct {
 		next string
@@ -107,7 +107,7 @@
 	}
 }
 
-func TestOperatorsSettingsLieOverDefaults(t *testing.T) {
+func TestOperatorSettingsOverrideDefaults(t *testing.T) {
 	operator, err := ParseOperator([]byte("beat_grace_s: 60\nsample_machines: 9 # more\n"))
 	if err != nil || operator.BeatGraceS != 60 || operator.SampleMachines != 9 || operator.PoolHoldMs != DefaultOperator().PoolHoldMs {
 		t.Fatalf("got settings %v, error %v", operator, err)
@@ -119,7 +119,7 @@
 	}
 }
 
-func TestOperatorsSettingsNameTheFieldThatIsWrong(t *testing.T) {
+func TestParseOperatorErrorNamesInvalidField(t *testing.T) {
 	for text, field := range map[string]string{
 		"pool_hold_ms: 499":      "pool_hold_ms: must be 500 to 600000: 499",
 		"pool_hold_ms: 600001":   "pool_hold_ms",
@@ -133,13 +133,13 @@
 		"burst_cost_share: nan":  "burst_cost_share",
 		"trail_events: 65":       "trail_events: at most 64: 65",
 	} {
-		if _, err := ParseOperator([]byte(text)); !namesIt(err, field) {
+		if _, err := ParseOperator([]byte(text)); !isOneLineNaming(err, field) {
 			t.Errorf("%s: got error %v, want one line that names the setting", text, err)
 		}
 	}
 }
 
-func TestDocumentedExampleEqualsDefaults(t *testing.T) {
+func TestDocumentedOperatorExampleEqualsDefaults(t *testing.T) {
 	raw, err := os.ReadFile("../../docs/operators.textproto")
 	if err != nil {
 		t.Fatal(err)
@@ -149,8 +149,8 @@
 	}
 }
 
-func TestFeaturesAreCheckedLikeAllSettings(t *testing.T) {
-	settings := parsed(t, good)
+func TestParseFeaturesChecksShardCount(t *testing.T) {
+	settings := mustParse(t, validSettings)
 	if settings.ShardCount() != 1 {
 		t.Errorf("%d shards without a features file, want 1", settings.ShardCount())
 	}
@@ -158,7 +158,7 @@
 		"shards: 0": "shards: must be 1 to", "shards: 1000": "shards: must be 1 to", "shards: -1": "line 1",
 		"shard: 2": "shard", "shards: two": "line 1", "{": "",
 	} {
-		if err := settings.ParseFeatures([]byte(text)); !namesIt(err, want) {
+		if err := settings.ParseFeatures([]byte(text)); !isOneLineNaming(err, want) {
 			t.Errorf("%q: got error %v, want one line that names the fault", text, err)
 		}
 	}
@@ -173,8 +173,8 @@
 	}
 }
 
-func TestBudgetsOfDisruptionAreChecked(t *testing.T) {
-	settings := parsed(t, good)
+func TestParseFeaturesChecksDisruptionBudgets(t *testing.T) {
+	settings := mustParse(t, validSettings)
 	if settings.DrainsEnabled() {
 		t.Error("drains are enabled without a features file")
 	}
@@ -188,7 +188,7 @@
 		`drains { ready_s: -1 }`:                          "drains.ready_s: must be zero or more",
 		`drains { default_budget { replicas_down: -1 } }`: "invalid value for uint32",
 	} {
-		if err := settings.ParseFeatures([]byte(text)); !namesIt(err, want) {
+		if err := settings.ParseFeatures([]byte(text)); !isOneLineNaming(err, want) {
 			t.Errorf("%q: got error %v, want one line that names the fault", text, err)
 		}
 	}
@@ -208,8 +208,8 @@
 	}
 }
 
-func TestSocketsAndGracePeriodFollowFromTheSettings(t *testing.T) {
-	settings := parsed(t, good)
+func TestSocketLimitsAndGracePeriodAreDerivedFromSettings(t *testing.T) {
+	settings := mustParse(t, validSettings)
 	if got, want := settings.Sockets(), (SocketLimits{Inbound: 44, ToMachines: 16}); got != want {
 		t.Errorf("got socket limits %+v, want %+v", got, want)
 	}
@@ -228,7 +228,7 @@
 }
 
 func TestDeployedFeaturesFileIsValid(t *testing.T) {
-	settings := parsed(t, good)
+	settings := mustParse(t, validSettings)
 	if err := settings.LoadFeatures("../../deploy/features.textproto"); err != nil || !settings.DrainsEnabled() {
 		t.Errorf("deployed features: drains enabled %v, error %v", settings.DrainsEnabled(), err)
 	}
--- a/internal/config/derived.go
+++ b/internal/config/derived.go
@@ -26,9 +26,9 @@
 func (s *Settings) Sockets() SocketLimits {
 	limit := s.Params.Limits.MaxSockets
 	reserved := serviceSockets + socketsPerPeer*len(s.Peers)
-	rest := max(limit-reserved, limit/2)
-	toMachines := max(minSockets, rest/4)
-	return SocketLimits{Inbound: max(minSockets, rest-toMachines), ToMachines: toMachines}
+	available := max(limit-reserved, limit/2)
+	toMachines := max(minSockets, available/4)
+	return SocketLimits{Inbound: max(minSockets, available-toMachines), ToMachines: toMachines}
 }
 
 // LeaderGracePeriod returns how long a leader answers heartbeats after the last renewal of its lease. A
@@ -38,6 +38,6 @@
 func (s *Settings) LeaderGracePeriod() ids.Seconds {
 	workers := &s.Params.Workers
 	leaderLease := ids.Seconds(float64(s.Operator.PoolHoldMs) / 1000)
-	longest := workers.CancelS - ids.Seconds(workers.LeaseS.WithClockDrift().Seconds()) - 2*leaderLease
-	return max(leaderLease, min(ids.Seconds(s.Operator.BeatGraceS), longest))
+	maxPeriod := workers.CancelS - ids.Seconds(workers.LeaseS.WithClockDrift().Seconds()) - 2*leaderLease
+	return max(leaderLease, min(ids.Seconds(s.Operator.BeatGraceS), maxPeriod))
 }
--- a/internal/config/drains.go
+++ b/internal/config/drains.go
@@ -8,14 +8,14 @@
 	"github.com/pebbletrail/pebbletrail/internal/budget"
 )
 
-// defaultReady is how long a replica must have been observed running to count as up, if the features
-// file does not set ready_s.
-const defaultReady = 5 * time.Second
+// defaultMinRunning is how long a replica must have been observed running to count as up, if the
+// features file does not set ready_s.
+const defaultMinRunning = 5 * time.Second
 
-// missedHeartbeats is the number of heartbeat intervals without a heartbeat after which a machine's
-// replicas count as down. It tolerates the loss of one of two heartbeats and a heartbeat that is late by
-// a quarter of the interval.
-const missedHeartbeats = 2.5
+// missedHeartbeatIntervals is the number of heartbeat intervals without a heartbeat after which a
+// machine's replicas count as down. It tolerates the loss of one of two heartbeats and a heartbeat that is
+// late by a quarter of the interval.
+const missedHeartbeatIntervals = 2.5
 
 // DrainsEnabled reports whether the features file enables drains.
 func (s *Settings) DrainsEnabled() bool { return s.Features != nil && s.Features.Drains != nil }
@@ -23,36 +23,36 @@
 // DisruptionBudgets returns the teams' disruption budgets.
 func (s *Settings) DisruptionBudgets() *budget.Budgets {
 	drains := s.Features.GetDrains()
-	fallback := budgetOf(drains.GetDefaultBudget())
+	fallback := toBudget(drains.GetDefaultBudget())
 	teams := map[string]budget.Budget{}
 	for _, team := range drains.GetTeams() {
-		teams[team.Team] = budgetOf(team.Budget)
+		teams[team.Team] = toBudget(team.Budget)
 	}
 	return budget.NewBudgets(fallback, teams)
 }
 
 // Readiness returns the conditions under which a replica counts as up.
 func (s *Settings) Readiness() budget.Readiness {
-	ready := defaultReady
+	ready := defaultMinRunning
 	if drains := s.Features.GetDrains(); drains != nil && drains.ReadyS != nil {
 		ready = time.Duration(*drains.ReadyS * float64(time.Second))
 	}
 	heartbeatInterval := s.Params.Workers.ReportS.Duration()
 	return budget.Readiness{
 		MinRunning:      ready,
-		MaxHeartbeatAge: time.Duration(missedHeartbeats * float64(heartbeatInterval)),
+		MaxHeartbeatAge: time.Duration(missedHeartbeatIntervals * float64(heartbeatInterval)),
 	}
 }
 
-// budgetOf converts a disruption budget; fields that are not set take the values of budget.Default.
-func budgetOf(message *DisruptionBudget) budget.Budget {
+// toBudget converts a disruption budget; fields that are not set take the values of budget.Default.
+func toBudget(message *DisruptionBudget) budget.Budget {
 	result := budget.Default()
 	if message == nil {
 		return result
 	}
 	if message.ReplicasDown != nil || message.ReplicasDownPercent != nil {
-		result.MaxUnavailable = intOf(message.ReplicasDown)
-		result.MaxUnavailablePercent = intOf(message.ReplicasDownPercent)
+		result.MaxUnavailable = toOptionalInt(message.ReplicasDown)
+		result.MaxUnavailablePercent = toOptionalInt(message.ReplicasDownPercent)
 	}
 	if message.TasksInterrupted != nil {
 		result.MaxInterrupted = int(*message.TasksInterrupted)
@@ -61,8 +61,8 @@
 	return result
 }
 
-// intOf converts an optional number, with nil for one that is not set.
-func intOf(number *uint32) *int {
+// toOptionalInt converts an optional number, with nil for one that is not set.
+func toOptionalInt(number *uint32) *int {
 	if number == nil {
 		return nil
 	}
@@ -78,7 +78,7 @@
 	if ready := drains.ReadyS; ready != nil && (!(*ready >= 0) || math.IsInf(*ready, 0)) {
 		return fmt.Errorf("drains.ready_s: must be zero or more: %v", *ready)
 	}
-	if err := budgetOf(drains.DefaultBudget).Check(); err != nil {
+	if err := toBudget(drains.DefaultBudget).Check(); err != nil {
 		return fmt.Errorf("drains.default_budget.%w", err)
 	}
 	seen := map[string]bool{}
@@ -91,7 +91,7 @@
 			return fmt.Errorf("%s.team: team %q has a budget already", name, team.Team)
 		}
 		seen[team.Team] = true
-		if err := budgetOf(team.Budget).Check(); err != nil {
+		if err := toBudget(team.Budget).Check(); err != nil {
 			return fmt.Errorf("%s.budget.%w", name, err)
 		}
 	}
--- a/internal/config/features.go
+++ b/internal/config/features.go
@@ -7,14 +7,14 @@
 	"google.golang.org/protobuf/encoding/prototext"
 )
 
-// defaultShards is the number of shards if the features file does not set it.
-const defaultShards = 1
+// defaultShardCount is the number of shards if the features file does not set it.
+const defaultShardCount = 1
 
 // Writes and calls per second of the key-value store that each shard's leader needs to renew its lease
 // and store its progress. They limit the number of shards.
 const (
-	minShardWrites = 5
-	minShardCalls  = 15
+	minWritesPerShard = 5
+	minCallsPerShard  = 15
 )
 
 // DefaultFeatures returns the features that apply without a features file.
@@ -43,9 +43,9 @@
 	if err := prototext.Unmarshal(raw, features); err != nil {
 		return err
 	}
-	most := s.maxShards()
-	if shards := features.shardCount(); shards < 1 || shards > most {
-		return fmt.Errorf("shards: must be 1 to %d with the configured limits of the state service: %d", most, shards)
+	limit := s.maxShards()
+	if shards := features.shardCount(); shards < 1 || shards > limit {
+		return fmt.Errorf("shards: must be 1 to %d with the configured limits of the state service: %d", limit, shards)
 	}
 	if err := s.checkDrains(features.Drains); err != nil {
 		return err
@@ -58,15 +58,15 @@
 // leaders together get owner_share of its writes, and two thirds of owner_share of its calls.
 func (s *Settings) maxShards() int {
 	limits := &s.Params.State
-	byWrites := int(limits.WriteRPS * s.Operator.OwnerShare / minShardWrites)
-	byCalls := int(limits.RPS * s.Operator.OwnerShare * 2 / 3 / minShardCalls)
+	byWrites := int(limits.WriteRPS * s.Operator.OwnerShare / minWritesPerShard)
+	byCalls := int(limits.RPS * s.Operator.OwnerShare * 2 / 3 / minCallsPerShard)
 	return max(1, min(byWrites, byCalls))
 }
 
 // ShardCount returns the number of shards of the machine pool.
 func (s *Settings) ShardCount() int {
 	if s.Features == nil {
-		return defaultShards
+		return defaultShardCount
 	}
 	return s.Features.shardCount()
 }
@@ -74,7 +74,7 @@
 // shardCount returns the number of shards, or the default if the file does not set it.
 func (f *Features) shardCount() int {
 	if f.Shards == nil {
-		return defaultShards
+		return defaultShardCount
 	}
 	return int(*f.Shards)
 }
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -34,38 +34,38 @@
 // ParseOperator parses and checks the operators' settings; fields that are zero or absent take the
 // defaults.
 func ParseOperator(raw []byte) (*Operator, error) {
-	named := &Operator{}
-	if err := prototext.Unmarshal(raw, named); err != nil {
+	overrides := &Operator{}
+	if err := prototext.Unmarshal(raw, overrides); err != nil {
 		return nil, err
 	}
 	settings := DefaultOperator()
-	settings.override(named)
+	settings.override(overrides)
 	if err := settings.check(); err != nil {
 		return nil, err
 	}
 	return settings, nil
 }
 
-// override replaces the settings that are not zero in named.
-func (o *Operator) override(named *Operator) {
-	setIfNamed(&o.PoolHoldMs, named.PoolHoldMs)
-	setIfNamed(&o.BeatGraceS, named.BeatGraceS)
-	setIfNamed(&o.SampleMachines, named.SampleMachines)
-	setIfNamed(&o.BackoffS, named.BackoffS)
-	setIfNamed(&o.BackoffMaxS, named.BackoffMaxS)
-	setIfNamed(&o.TrailEvents, named.TrailEvents)
-	setIfNamed(&o.IdleReturnS, named.IdleReturnS)
-	setIfNamed(&o.StuckBootFactor, named.StuckBootFactor)
-	setIfNamed(&o.OwnerShare, named.OwnerShare)
-	setIfNamed(&o.FaultyAfter, named.FaultyAfter)
-	setIfNamed(&o.SpareShare, named.SpareShare)
-	setIfNamed(&o.BurstCostShare, named.BurstCostShare)
+// override replaces the settings that are not zero in overrides.
+func (o *Operator) override(overrides *Operator) {
+	setIfNonZero(&o.PoolHoldMs, overrides.PoolHoldMs)
+	setIfNonZero(&o.BeatGraceS, overrides.BeatGraceS)
+	setIfNonZero(&o.SampleMachines, overrides.SampleMachines)
+	setIfNonZero(&o.BackoffS, overrides.BackoffS)
+	setIfNonZero(&o.BackoffMaxS, overrides.BackoffMaxS)
+	setIfNonZero(&o.TrailEvents, overrides.TrailEvents)
+	setIfNonZero(&o.IdleReturnS, overrides.IdleReturnS)
+	setIfNonZero(&o.StuckBootFactor, overrides.StuckBootFactor)
+	setIfNonZero(&o.OwnerShare, overrides.OwnerShare)
+	setIfNonZero(&o.FaultyAfter, overrides.FaultyAfter)
+	setIfNonZero(&o.SpareShare, overrides.SpareShare)
+	setIfNonZero(&o.BurstCostShare, overrides.BurstCostShare)
 }
 
-// setIfNamed replaces a setting by the value from the file, unless that is zero.
-func setIfNamed[N uint32 | float64](setting *N, named N) {
-	if named != 0 {
-		*setting = named
+// setIfNonZero replaces a setting by value, unless value is zero.
+func setIfNonZero[N uint32 | float64](setting *N, value N) {
+	if value != 0 {
+		*setting = value
 	}
 }
 
--- a/internal/docs/architecture_test.go
+++ b/internal/docs/architecture_test.go
@@ -9,16 +9,16 @@
 	"testing"
 )
 
-// repository is the path of the repository's root, relative to this package.
-const repository = "../.."
+// repositoryRoot is the path of the repository's root, relative to this package.
+const repositoryRoot = "../.."
 
 // codeReference matches a reference to a function in docs/architecture.md: file, line and name.
 var codeReference = regexp.MustCompile("`([a-z_/]+\\.go):([0-9]+)` `([A-Za-z]+)`")
 
-// TestArchitecturePageNamesFunctionsWhereTheyAre fails if a function that the page references has moved.
+// TestArchitecturePageReferencesAreCurrent fails if a function that the page references has moved.
 // The failure gives its current line.
-func TestArchitecturePageNamesFunctionsWhereTheyAre(t *testing.T) {
-	page, err := os.ReadFile(filepath.Join(repository, "docs", "architecture.md"))
+func TestArchitecturePageReferencesAreCurrent(t *testing.T) {
+	page, err := os.ReadFile(filepath.Join(repositoryRoot, "docs", "architecture.md"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -39,7 +39,7 @@
 // lineOfFunction returns the line on which a file declares a function or method, or 0.
 func lineOfFunction(t *testing.T, file, name string) int {
 	t.Helper()
-	source, err := os.Open(filepath.Join(repository, file))
+	source, err := os.Open(filepath.Join(repositoryRoot, file))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/httpjson/httpjson.go
+++ b/internal/httpjson/httpjson.go
@@ -12,13 +12,13 @@
 
 // Client sends requests to one server.
 type Client struct {
-	baseURL string
-	http    *http.Client
+	baseURL    string
+	httpClient *http.Client
 }
 
 // NewClient returns a client for the server at a host:port address.
 func NewClient(address string, client *http.Client) *Client {
-	return &Client{baseURL: "http://" + address, http: client}
+	return &Client{baseURL: "http://" + address, httpClient: client}
 }
 
 // Response is a response that was received completely.
@@ -45,18 +45,18 @@
 	if err != nil {
 		return Response{}, err
 	}
-	answer, err := c.http.Do(request)
+	response, err := c.httpClient.Do(request)
 	if err != nil {
 		return Response{}, &NoResponseError{err}
 	}
 	defer func() {
-		_ = answer.Body.Close() // ReadAll reports whether the body was read completely
+		_ = response.Body.Close() // ReadAll reports whether the body was read completely
 	}()
-	raw, err := io.ReadAll(answer.Body)
+	raw, err := io.ReadAll(response.Body)
 	if err != nil {
 		return Response{}, &NoResponseError{err}
 	}
-	return Response{Status: answer.StatusCode, Body: raw}, nil
+	return Response{Status: response.StatusCode, Body: raw}, nil
 }
 
 func (c *Client) newRequest(ctx context.Context, method, path string, body any) (*http.Request, error) {
--- a/internal/httpjson/httpjson_test.go
+++ b/internal/httpjson/httpjson_test.go
@@ -10,8 +10,8 @@
 	"testing"
 )
 
-// newServer starts a server and returns a client for it.
-func newServer(t *testing.T, handler http.HandlerFunc) *Client {
+// newTestClient starts a server and returns a client for it.
+func newTestClient(t *testing.T, handler http.HandlerFunc) *Client {
 	t.Helper()
 	server := httptest.NewServer(handler)
 	t.Cleanup(server.Close)
@@ -19,7 +19,7 @@
 }
 
 func TestDoSendsJSONAndReturnsAnyStatusWithItsBody(t *testing.T) {
-	client := newServer(t, func(w http.ResponseWriter, r *http.Request) {
+	client := newTestClient(t, func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
 		if err != nil {
 			t.Error(err)
@@ -49,8 +49,8 @@
 	}
 }
 
-func TestDoTellsALostAnswerFromARequestThatWasNotSent(t *testing.T) {
-	client := newServer(t, func(w http.ResponseWriter, _ *http.Request) {
+func TestDoDistinguishesLostResponseFromUnsentRequest(t *testing.T) {
+	client := newTestClient(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Length", "100")
 		if _, err := io.WriteString(w, "cut off"); err != nil {
 			t.Error(err)
--- a/internal/measure/measure.go
+++ b/internal/measure/measure.go
@@ -72,8 +72,8 @@
 
 const microsecondsPerMillisecond = 1000
 
-// distributionOf summarizes a histogram.
-func distributionOf(histogram *hdr.Histogram) Distribution {
+// newDistribution summarizes a histogram.
+func newDistribution(histogram *hdr.Histogram) Distribution {
 	milliseconds := func(microseconds int64) float64 { return float64(microseconds) / microsecondsPerMillisecond }
 	count := histogram.TotalCount()
 	return Distribution{
@@ -91,7 +91,7 @@
 	defer r.mu.Unlock()
 	latencies = make(map[string]Distribution, len(r.latencies))
 	for name, histogram := range r.latencies {
-		latencies[name] = distributionOf(histogram)
+		latencies[name] = newDistribution(histogram)
 	}
 	return latencies, maps.Clone(r.counts)
 }
--- a/internal/measure/measure_test.go
+++ b/internal/measure/measure_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func TestLatenciesAndCountsAddUp(t *testing.T) {
+func TestSummaryOfLatenciesAndCounts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRecorder()
 		for i := range 100 {
--- a/internal/peer/health.go
+++ b/internal/peer/health.go
@@ -7,7 +7,8 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-// maxHealthReportAge is the maximum age of a controller's last health report for the controller to count as up.
+// maxHealthReportAge is the maximum age of a controller's last health report for the controller to count
+// as up.
 const maxHealthReportAge = 3 * time.Second
 
 // peerHealth stores the last health report of each of the other controllers.
--- a/internal/wirenames/names_test.go
+++ b/internal/wirenames/names_test.go
@@ -26,13 +26,13 @@
 	"github.com/pebbletrail/pebbletrail/internal/rollout"
 )
 
-// root is the path of the repository's root, relative to this package.
-const root = "../.."
+// repositoryRoot is the path of the repository's root, relative to this package.
+const repositoryRoot = "../.."
 
-// TestNamesKnownOutsideTheProgramStay guards against a rename in the code that changes an external name.
+// TestExternalNamesDoNotChange guards against a rename in the code that changes an external name.
 // A new name must be added to its list in testdata. No name may be removed, since other versions of this
 // program, the platform or operators' scripts depend on it.
-func TestNamesKnownOutsideTheProgramStay(t *testing.T) {
+func TestExternalNamesDoNotChange(t *testing.T) {
 	files := sourceFiles(t)
 	for _, list := range []struct {
 		name  string
@@ -44,7 +44,7 @@
 		{"stored-keys", storedKeys()},
 		{"metrics", metrics(files)},
 		{"command-line", commandLine(files)},
-		{"settings", settings(t)},
+		{"settings", settingsFields(t)},
 		{"peer-messages", peerMessages()},
 		{"enum-values", enumValues(files)},
 		{"user-texts", userTexts(files)},
@@ -71,14 +71,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	listed := strings.Split(strings.TrimSpace(string(raw)), "\n")
-	for _, line := range listed {
+	listedNames := strings.Split(strings.TrimSpace(string(raw)), "\n")
+	for _, line := range listedNames {
 		if !slices.Contains(names, line) {
 			t.Errorf("missing from the code: %s", line)
 		}
 	}
 	for _, line := range names {
-		if !slices.Contains(listed, line) {
+		if !slices.Contains(listedNames, line) {
 			t.Errorf("not listed in %s: %s", path, line)
 		}
 	}
@@ -90,7 +90,7 @@
 	var files []*ast.File
 	set := token.NewFileSet()
 	for _, dir := range []string{"cmd", "internal"} {
-		err := filepath.WalkDir(filepath.Join(root, dir), func(path string, entry fs.DirEntry, err error) error {
+		err := filepath.WalkDir(filepath.Join(repositoryRoot, dir), func(path string, entry fs.DirEntry, err error) error {
 			switch {
 			case err != nil:
 				return err
@@ -157,7 +157,7 @@
 var pathOrKey = regexp.MustCompile(`^/?([a-z0-9~%:{}*]+/)+[a-z0-9~%:{}*]*$|^/[a-z0-9]+$|^~[a-z]+$`)
 
 // pathsAndKeys returns the string literals that match pathOrKey, except import paths.
-func pathsAndKeys(files []*ast.File) (found []string) {
+func pathsAndKeys(files []*ast.File) (matches []string) {
 	imports := map[ast.Node]bool{}
 	inspect(files, func(node ast.Node) {
 		if spec, ok := node.(*ast.ImportSpec); ok {
@@ -167,11 +167,11 @@
 	inspect(files, func(node ast.Node) {
 		if expression, ok := node.(ast.Expr); ok && !imports[node] {
 			if text, ok := stringValue(expression); ok && pathOrKey.MatchString(text) {
-				found = append(found, text)
+				matches = append(matches, text)
 			}
 		}
 	})
-	return found
+	return matches
 }
 
 // storedKeys returns the keys and key prefixes of records in the state service.
@@ -203,7 +203,7 @@
 		if !ok || method.Sel.Name != "Took" && method.Sel.Name != "Count" {
 			return
 		}
-		name, _ := firstString(call.Args[0])
+		name, _ := leftmostString(call.Args[0])
 		switch argument := call.Args[0].(type) {
 		case *ast.SelectorExpr:
 			name = constants[argument.Sel.Name]
@@ -245,11 +245,11 @@
 	return names
 }
 
-// settings returns the fields of the operators' settings, of the features file and of the deploy file.
-func settings(t *testing.T) (fields []string) {
+// settingsFields returns the fields of the operators' settings, of the features file and of the deploy file.
+func settingsFields(t *testing.T) (fields []string) {
 	t.Helper()
 	for _, pattern := range []string{"internal/config/*.proto", "deploy/service.toml"} {
-		paths, err := filepath.Glob(filepath.Join(root, pattern))
+		paths, err := filepath.Glob(filepath.Join(repositoryRoot, pattern))
 		if err != nil || len(paths) == 0 {
 			t.Fatalf("files that match %s: got %v, error %v", pattern, paths, err)
 		}
@@ -341,8 +341,8 @@
 	return text, err == nil
 }
 
-// firstString returns the leftmost string literal of a concatenation such as "state " + name.
-func firstString(expression ast.Expr) (string, bool) {
+// leftmostString returns the leftmost string literal of a concatenation such as "state " + name.
+func leftmostString(expression ast.Expr) (string, bool) {
 	for {
 		sum, ok := expression.(*ast.BinaryExpr)
 		if !ok {
--- a/internal/wirenames/texts_test.go
+++ b/internal/wirenames/texts_test.go
@@ -43,7 +43,7 @@
 // userTexts returns the string literals that contain a space or a formatting verb and are neither log
 // messages nor error texts: explanations of jobs, states of rollouts, reports and help of commands.
 func userTexts(files []*ast.File) (texts []string) {
-	messages := messagesForPeople(files)
+	messages := messageLiterals(files)
 	inspect(files, func(node ast.Node) {
 		expression, ok := node.(ast.Expr)
 		if !ok || messages[node] {
@@ -56,9 +56,9 @@
 	return texts
 }
 
-// messagesForPeople returns the literals that are the message of a log line, an error text or a struct
+// messageLiterals returns the literals that are the message of a log line, an error text or a struct
 // tag.
-func messagesForPeople(files []*ast.File) map[ast.Node]bool {
+func messageLiterals(files []*ast.File) map[ast.Node]bool {
 	messages := map[ast.Node]bool{}
 	inspect(files, func(node ast.Node) {
 		switch node := node.(type) {
