--- a/cmd/pebbletrail/check_test.go
+++ b/cmd/pebbletrail/check_test.go
@@ -17,7 +17,7 @@
 	t.Setenv("PEBBLETRAIL_OPERATORS", "")
 	t.Setenv("PEBBLETRAIL_FEATURES", "")
 	var output bytes.Buffer
-	command := root()
+	command := rootCommand()
 	command.SetOut(&output)
 	command.SetArgs([]string{"check", "--config", sampleSettings})
 	if err := command.Execute(); err != nil {
@@ -35,15 +35,15 @@
 		t.Fatal(err)
 	}
 	sample := string(raw)
-	for _, field := range settingsFields(reflect.TypeFor[config.Settings]()) {
+	for _, field := range tomlNames(reflect.TypeFor[config.Settings]()) {
 		if !strings.Contains(sample, field+" = ") && !strings.Contains(sample, "["+field+"]") && !strings.Contains(sample, "."+field+"]") {
 			t.Errorf("%s lacks the field %s", sampleSettings, field)
 		}
 	}
 }
 
-// settingsFields returns the TOML names of the fields of a settings type, including those of nested types.
-func settingsFields(settings reflect.Type) (names []string) {
+// tomlNames returns the TOML names of the fields of a settings type, including those of nested types.
+func tomlNames(settings reflect.Type) (names []string) {
 	for i := range settings.NumField() {
 		field := settings.Field(i)
 		name := field.Tag.Get("toml")
@@ -56,7 +56,7 @@
 			inner = inner.Elem()
 		}
 		if inner.Kind() == reflect.Struct {
-			names = append(names, settingsFields(inner)...)
+			names = append(names, tomlNames(inner)...)
 		}
 	}
 	return names
--- a/cmd/pebbletrail/controller.go
+++ b/cmd/pebbletrail/controller.go
@@ -26,10 +26,10 @@
 
 // Maximum number of connections per host. For the services it is also the maximum of idle connections.
 const (
-	stateConnections   = 16
-	cloudConnections   = 4
-	shardConnections   = 2 // from the leader of one of several shards to the cloud
-	machineConnections = 2
+	stateConnections      = 16
+	cloudConnections      = 4
+	shardCloudConnections = 2 // from the leader of one of several shards to the cloud
+	machineConnections    = 2
 )
 
 // Intervals and timeouts of the controller's components.
@@ -63,10 +63,10 @@
 	c.state = state.NewClient(settings.Services.State, newHTTPClient(stateConnections, stateConnections),
 		state.NewBudget(settings.Params.State.RPS, settings.Params.State.WriteRPS, nodes, settings.Operator.OwnerShare))
 	c.state.Budget().SetShardCount(settings.ShardCount())
-	c.cloud = c.newCloud(cloudConnections)
+	c.cloud = c.newCloudClient(cloudConnections)
 	commander := &worker.Commander{HTTP: newHTTPClient(machineConnections, settings.Sockets().ToMachines/2), Timeout: machineCommandTimeout}
 	c.shards = election.NewShards(settings, c.state, commander, incarnation)
-	c.shards.OnRefused = exitRefusing
+	c.shards.OnRefused = exitOnRefusal
 	c.link = peer.NewLink(settings, c.shards, c.state)
 	c.types = &machineTypes{cloud: c.cloud, shards: c.shards}
 	for i, elector := range c.shards.Electors() {
@@ -80,16 +80,16 @@
 	return c
 }
 
-// newCloud returns a client of the cloud service. Its rate limit is the cloud's limit divided by the
+// newCloudClient returns a client of the cloud service. Its rate limit is the cloud's limit divided by the
 // number of shards.
-func (c *controller) newCloud(connections int) *fleet.Cloud {
+func (c *controller) newCloudClient(connections int) *fleet.Cloud {
 	callRate := c.settings.Params.Cloud.RPS / float64(c.settings.ShardCount())
 	return fleet.NewCloud(c.settings.Services.Cloud, newHTTPClient(connections, connections), callRate)
 }
 
-// exitRefusing prints the error and ends the process: with the shard layout or data in the store, this
+// exitOnRefusal prints the error and ends the process: with the shard layout or data in the store, this
 // controller must not join the cluster.
-func exitRefusing(err error) {
+func exitOnRefusal(err error) {
 	fmt.Fprintln(os.Stderr, "pebbletrail: "+strings.ReplaceAll(err.Error(), "\n", "; "))
 	os.Exit(1)
 }
@@ -100,32 +100,32 @@
 	c.link.Run(ctx)
 	go c.types.run(ctx)
 	go c.state.ProbeHealth(ctx, record.KeysOf(0, c.settings.ShardCount()).Generation())
-	go logMeasures(ctx)
+	go logMeasurements(ctx)
 	go c.shards.Run(ctx)
 	var operatorRoutes func(*echo.Echo)
 	if c.rollouts != nil {
 		go c.rollouts.Run(ctx)
 		operatorRoutes = c.drainService().Routes
 	}
-	return c.usersSite(operatorRoutes).Serve(users, c.connectionLimiter())
+	return c.apiServer(operatorRoutes).Serve(users, c.connectionLimiter())
 }
 
-// logMeasures logs the latencies and counts of this process at intervals until the context is done.
-func logMeasures(ctx context.Context) {
+// logMeasurements logs the latencies and counts of this process at intervals until the context is done.
+func logMeasurements(ctx context.Context) {
 	for ctx.Err() == nil {
 		time.Sleep(measureLogInterval)
 		measure.Process.Log()
 	}
 }
 
-// usersSite returns the HTTP server for users and workers. It also serves operatorRoutes if that is not
+// apiServer returns the HTTP server for users and workers. It also serves operatorRoutes if that is not
 // nil.
-func (c *controller) usersSite(operatorRoutes func(*echo.Echo)) *intake.Server {
+func (c *controller) apiServer(operatorRoutes func(*echo.Echo)) *intake.Server {
 	return &intake.Server{
 		OperatorRoutes: operatorRoutes,
 		Version:        version,
 		Jobs: &intake.JobService{Settings: c.settings, Store: c.state, Records: c.shards.Jobs(), LeaderNotifier: c.link, Writer: c.incarnation,
-			MachineTypes: c.types.known},
+			MachineTypes: c.types.latest},
 		Heartbeats:      c.shards,
 		Ready:           c.ready,
 		ExplainByLeader: c.link.Explain,
@@ -150,14 +150,14 @@
 		Keys:              record.KeysOf(shard, c.settings.ShardCount()), Shard: shard,
 		ListInterval: max(minListInterval, c.settings.Params.Cloud.ListLagS.Duration()/2)}
 	if c.settings.ShardCount() > 1 {
-		provisioner.Cloud = c.newCloud(shardConnections)
+		provisioner.Cloud = c.newCloudClient(shardCloudConnections)
 		provisioner.OtherShardsShortage = func() (time.Duration, int) { return c.shards.OtherShardsShortage(shard) }
 		provisioner.Owns = func(machine ids.Machine) bool { return c.shards.Owns(shard, machine) }
 	}
-	if types := c.types.known(); len(types) > 0 {
+	if types := c.types.latest(); len(types) > 0 {
 		term.Cluster.SetMachineTypes(types)
 	}
-	provisioner.OnMachineTypes = func(types []placement.InstanceType) { c.types.store(ctx, term.Committer, types) }
+	provisioner.OnMachineTypes = func(types []placement.InstanceType) { c.types.save(ctx, term.Committer, types) }
 	if c.rollouts != nil && c.settings.ShardCount() == 1 {
 		runner := &rollout.Runner{Mirror: c.rollouts, Store: term.Committer, Fleet: term.Cluster, Writer: c.incarnation, Limits: c.storeLimits()}
 		go runner.Run(ctx)
@@ -175,7 +175,7 @@
 // installation returns the zones, shards and machine types against which a rollout's selection is checked.
 func (c *controller) installation() rollout.Installation {
 	installation := rollout.Installation{Zones: c.settings.Params.Zones, Shards: c.settings.ShardCount()}
-	for _, machineType := range c.types.known() {
+	for _, machineType := range c.types.latest() {
 		installation.Types = append(installation.Types, machineType.Label)
 	}
 	return installation
--- a/cmd/pebbletrail/controller_client.go
+++ b/cmd/pebbletrail/controller_client.go
@@ -13,9 +13,9 @@
 
 // Timeouts and maximum response sizes of calls to a controller.
 const (
-	pageTimeout     = 5 * time.Second
+	getTimeout      = 5 * time.Second
 	commandTimeout  = 10 * time.Second
-	maxPageBytes    = 4 << 20
+	maxGetBytes     = 4 << 20
 	maxCommandBytes = 16 << 20
 )
 
@@ -36,22 +36,22 @@
 // Error returns the reason given by the controller.
 func (e *refusalError) Error() string { return e.reason }
 
-// noDrainsError is returned if drains are not enabled on a controller.
-type noDrainsError struct{ node string }
+// drainsDisabledError is returned if drains are not enabled on a controller.
+type drainsDisabledError struct{ node string }
 
 // Error returns a message that describes how to enable drains.
-func (e *noDrainsError) Error() string {
+func (e *drainsDisabledError) Error() string {
 	return e.node + " does not know drains: name drains in the features' file (docs/operations-drains.md)"
 }
 
-// fetchPage sends a GET request to a controller and returns the response body.
-func fetchPage(node, path string) ([]byte, error) {
-	client := http.Client{Timeout: pageTimeout}
+// getFromController sends a GET request to a controller and returns the response body.
+func getFromController(node, path string) ([]byte, error) {
+	client := http.Client{Timeout: getTimeout}
 	response, err := client.Get("http://" + node + path)
 	if err != nil {
 		return nil, err
 	}
-	body, err := readBody(response, maxPageBytes)
+	body, err := readBody(response, maxGetBytes)
 	if err != nil {
 		return nil, fmt.Errorf("read the response for %s from %s: %w", path, node, err)
 	}
@@ -62,8 +62,8 @@
 }
 
 // callController sends a command to a controller and decodes the JSON response into answer. If the status
-// is not 200, the error is a *refusalError if the controller gave a reason, a *noDrainsError if it has no
-// such route, and otherwise a *statusError.
+// is not 200, the error is a *refusalError if the controller gave a reason, a *drainsDisabledError if it
+// has no such route, and otherwise a *statusError.
 func callController(node, method, path string, body, answer any) error {
 	var content bytes.Buffer
 	if body != nil {
@@ -86,7 +86,7 @@
 		return fmt.Errorf("read the response of %s to %s: %w", node, path, err)
 	}
 	if response.StatusCode != http.StatusOK {
-		return refusal(node, response, raw)
+		return responseError(node, response, raw)
 	}
 	if err := json.Unmarshal(raw, answer); err != nil {
 		return fmt.Errorf("decode the response of %s to %s: %w", node, path, err)
@@ -100,8 +100,8 @@
 	return io.ReadAll(io.LimitReader(response.Body, limit))
 }
 
-// refusal returns the error for a response with a status other than 200.
-func refusal(node string, response *http.Response, raw []byte) error {
+// responseError returns the error for a response with a status other than 200.
+func responseError(node string, response *http.Response, raw []byte) error {
 	var answer struct {
 		Error   string `json:"error"`
 		Message string `json:"message"`
@@ -110,7 +110,7 @@
 		return &refusalError{answer.Error}
 	}
 	if response.StatusCode == http.StatusNotFound && answer.Message != "" {
-		return &noDrainsError{node}
+		return &drainsDisabledError{node}
 	}
 	return &statusError{node, response.Status}
 }
--- a/cmd/pebbletrail/controller_status.go
+++ b/cmd/pebbletrail/controller_status.go
@@ -8,9 +8,9 @@
 	"github.com/pebbletrail/pebbletrail/internal/measure"
 )
 
-// readyWithin is the maximum time since the last successful call to the state service for the node to
+// readyMaxStoreAge is the maximum time since the last successful call to the state service for the node to
 // count as ready.
-const readyWithin = 2500 * time.Millisecond
+const readyMaxStoreAge = 2500 * time.Millisecond
 
 // ready reports whether this node may receive requests from users.
 func (c *controller) ready() bool {
@@ -20,23 +20,23 @@
 	}
 	// During an outage of the state service all nodes are affected and stay ready. If only this node can't
 	// reach it, users must be routed to other nodes.
-	return age < readyWithin || !c.link.AnyPeerReachesStore()
+	return age < readyMaxStoreAge || !c.link.AnyPeerReachesStore()
 }
 
 // status returns the response of GET /v2/status.
 func (c *controller) status() any {
 	electors := c.shards.Electors()
 	leader, _ := electors[0].Leader()
-	page := map[string]any{"node": c.settings.HostName, "version": version, "incarnation": c.incarnation, "owner": leader}
-	page["took"], page["counts"] = measure.Process.Summary()
+	response := map[string]any{"node": c.settings.HostName, "version": version, "incarnation": c.incarnation, "owner": leader}
+	response["took"], response["counts"] = measure.Process.Summary()
 	if len(electors) > 1 {
-		page["shards"] = statusOfShards(electors)
-		return page
+		response["shards"] = shardStatuses(electors)
+		return response
 	}
 	if cluster := electors[0].Cluster(); cluster != nil {
-		page["pool"] = cluster.Summary()
+		response["pool"] = cluster.Summary()
 	}
-	return page
+	return response
 }
 
 // shardStatus is the status of one shard as known to this node.
@@ -48,7 +48,7 @@
 	Alarms []string `json:"alarms,omitempty"`
 }
 
-func statusOfShards(electors []*election.Elector) (all []shardStatus) {
+func shardStatuses(electors []*election.Elector) (all []shardStatus) {
 	for shard, elector := range electors {
 		leader, _ := elector.Leader()
 		status := shardStatus{Shard: shard, Leader: leader}
--- a/cmd/pebbletrail/drain.go
+++ b/cmd/pebbletrail/drain.go
@@ -25,8 +25,8 @@
 	return command
 }
 
-// printRollout calls a controller and prints the rollout status in its response.
-func printRollout(cmd *cobra.Command, node, method, path string, body any) error {
+// printRolloutStatus calls a controller and prints the rollout status in its response.
+func printRolloutStatus(cmd *cobra.Command, node, method, path string, body any) error {
 	var status rollout.Status
 	if err := callController(node, method, path, body, &status); err != nil {
 		return err
@@ -41,7 +41,7 @@
 	command := &cobra.Command{
 		Use: string(change) + " NAME", Short: short, Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return printRollout(cmd, node, http.MethodPost, rollout.Path+"/"+args[0]+"/"+string(change), nil)
+			return printRolloutStatus(cmd, node, http.MethodPost, rollout.Path+"/"+args[0]+"/"+string(change), nil)
 		},
 	}
 	nodeFlag(command, &node)
--- a/cmd/pebbletrail/drain_plan.go
+++ b/cmd/pebbletrail/drain_plan.go
@@ -15,7 +15,7 @@
 		Use: "plan NAME", Short: "Tells what a rollout would do now, and what would block it; changes nothing", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			var plan rollout.Preview
-			if err := callController(node, http.MethodPost, rollout.PlanPath, flags.describe(args[0]), &plan); err != nil {
+			if err := callController(node, http.MethodPost, rollout.PlanPath, flags.toSpec(args[0]), &plan); err != nil {
 				return err
 			}
 			plan.Print(cmd.OutOrStdout())
--- a/cmd/pebbletrail/drain_start.go
+++ b/cmd/pebbletrail/drain_start.go
@@ -14,7 +14,7 @@
 	command := &cobra.Command{
 		Use: "start NAME", Short: "Starts a rollout; the same start again changes nothing", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return printRollout(cmd, node, http.MethodPost, rollout.Path, flags.describe(args[0]))
+			return printRolloutStatus(cmd, node, http.MethodPost, rollout.Path, flags.toSpec(args[0]))
 		},
 	}
 	nodeFlag(command, &node)
--- a/cmd/pebbletrail/drain_status.go
+++ b/cmd/pebbletrail/drain_status.go
@@ -14,7 +14,7 @@
 		Use: "status [NAME]", Short: "Tells how a rollout stands and what each machine waits for; without a name lists all", Args: cobra.MaximumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if len(args) == 1 {
-				return printRollout(cmd, node, http.MethodGet, rollout.Path+"/"+args[0], nil)
+				return printRolloutStatus(cmd, node, http.MethodGet, rollout.Path+"/"+args[0], nil)
 			}
 			return printAllRollouts(cmd, node)
 		},
--- a/cmd/pebbletrail/explain.go
+++ b/cmd/pebbletrail/explain.go
@@ -16,7 +16,7 @@
 	command := &cobra.Command{
 		Use: "explain JOB", Short: "Tells why a job's tasks stopped, moved or wait", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			raw, err := fetchPage(node, "/v2/runs/"+args[0]+"/explain")
+			raw, err := getFromController(node, "/v2/runs/"+args[0]+"/explain")
 			if err != nil {
 				return err
 			}
@@ -24,7 +24,7 @@
 			if err := json.Unmarshal(raw, &explanation); err != nil {
 				return fmt.Errorf("decode the explanation of job %s: %w", args[0], err)
 			}
-			_, err = io.WriteString(cmd.OutOrStdout(), explanationText(&explanation))
+			_, err = io.WriteString(cmd.OutOrStdout(), formatExplanation(&explanation))
 			return err
 		},
 	}
@@ -32,9 +32,9 @@
 	return command
 }
 
-// explanationText formats an explanation for terminal output: the job's events, oldest first, then the
+// formatExplanation formats an explanation for terminal output: the job's events, oldest first, then the
 // reasons that apply now.
-func explanationText(explanation *intake.Explanation) string {
+func formatExplanation(explanation *intake.Explanation) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "%s: %s\n", explanation.Job, explanation.Status)
 	for _, event := range explanation.Trail {
--- a/cmd/pebbletrail/machine_types.go
+++ b/cmd/pebbletrail/machine_types.go
@@ -27,13 +27,13 @@
 	// mu guards the fields below. No function is called under it.
 	mu    sync.Mutex
 	types []placement.InstanceType
-	// stored is the list that was last stored, as returned by withoutPrices.
+	// stored is the list that was last stored, as returned by formatWithoutPrices.
 	stored string
 }
 
-// known returns the newest list that this node received from the cloud, or the stored list if it received
+// latest returns the newest list that this node received from the cloud, or the stored list if it received
 // none.
-func (m *machineTypes) known() []placement.InstanceType {
+func (m *machineTypes) latest() []placement.InstanceType {
 	m.mu.Lock()
 	types := m.types
 	m.mu.Unlock()
@@ -45,7 +45,7 @@
 
 // run requests the types from the cloud until they are known or the context is done.
 func (m *machineTypes) run(ctx context.Context) {
-	for ctx.Err() == nil && len(m.known()) == 0 {
+	for ctx.Err() == nil && len(m.latest()) == 0 {
 		if types, err := m.cloud.Types(ctx); err == nil && len(types) > 0 {
 			m.mu.Lock()
 			m.types = types
@@ -56,10 +56,10 @@
 	}
 }
 
-// store writes the list to the state service if anything but prices differs from the list last stored.
+// save writes the list to the state service if anything but prices differs from the list last stored.
 // After a failed write, the next list is written even if it has not changed.
-func (m *machineTypes) store(ctx context.Context, store fleet.Store, types []placement.InstanceType) {
-	unpriced := withoutPrices(types)
+func (m *machineTypes) save(ctx context.Context, store fleet.Store, types []placement.InstanceType) {
+	unpriced := formatWithoutPrices(types)
 	m.mu.Lock()
 	m.types = types
 	same := unpriced == m.stored
@@ -78,9 +78,9 @@
 	}
 }
 
-// withoutPrices returns a text form of the list without prices, for comparison. Prices change all the
-// time and do not justify a write.
-func withoutPrices(types []placement.InstanceType) string {
+// formatWithoutPrices returns a text form of the list without prices, for comparison. Prices change all
+// the time and do not justify a write.
+func formatWithoutPrices(types []placement.InstanceType) string {
 	var text strings.Builder
 	for i := range types {
 		machineType := types[i]
--- a/cmd/pebbletrail/main.go
+++ b/cmd/pebbletrail/main.go
@@ -13,14 +13,14 @@
 )
 
 func main() {
-	if err := root().Execute(); err != nil {
+	if err := rootCommand().Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, "pebbletrail: "+strings.ReplaceAll(err.Error(), "\n", " "))
 		os.Exit(1)
 	}
 }
 
-// root returns the root command, which runs the controller, with all subcommands.
-func root() *cobra.Command {
+// rootCommand returns the root command, which runs the controller, with all subcommands.
+func rootCommand() *cobra.Command {
 	var files settingsFiles
 	command := &cobra.Command{
 		Use: "pebbletrail", Short: "Schedules jobs on rented machines",
--- a/cmd/pebbletrail/rehearse.go
+++ b/cmd/pebbletrail/rehearse.go
@@ -19,7 +19,7 @@
 	programHelp      = "the controllers' program; this one if empty"
 	seedHelp         = "decides jobs and failures"
 	controllersHelp  = "controller processes"
-	longestHelp      = "the run ends by then, whatever happens"
+	maxDurationHelp  = "the run ends by then, whatever happens"
 	folderPermission = 0o700
 )
 
@@ -29,32 +29,32 @@
 	return command
 }
 
-// findings is the result of a rehearsal.
-type findings interface {
+// rehearsalResult is the result of a rehearsal.
+type rehearsalResult interface {
 	Print(out io.Writer) error
 	Failed() bool
 }
 
-// rehearse creates the folder, runs a rehearsal and prints its result. If *program is empty, it is set to
-// the path of this executable. The error is errRehearsalFailed if the run found a violation.
-func rehearse(cmd *cobra.Command, folder string, program *string, run func() (findings, error)) error {
+// runRehearsal creates the folder, runs a rehearsal and prints its result. If *program is empty, it is
+// set to the path of this executable. The error is errRehearsalFailed if the run found a violation.
+func runRehearsal(cmd *cobra.Command, folder string, program *string, run func() (rehearsalResult, error)) error {
 	if err := defaultProgram(program); err != nil {
 		return err
 	}
 	if err := os.MkdirAll(folder, folderPermission); err != nil {
 		return fmt.Errorf("create the rehearsal's folder: %w", err)
 	}
-	outcome, err := run()
+	result, err := run()
 	if err != nil {
 		return err
 	}
-	if err := outcome.Print(cmd.OutOrStdout()); err != nil {
-		return fmt.Errorf("print the findings: %w", err)
+	if err := result.Print(cmd.OutOrStdout()); err != nil {
+		return fmt.Errorf("print the rehearsal result: %w", err)
 	}
 	if _, err := fmt.Fprintf(cmd.OutOrStdout(), "record and report: %s\n", folder); err != nil {
-		return fmt.Errorf("print the findings: %w", err)
+		return fmt.Errorf("print the rehearsal result: %w", err)
 	}
-	if outcome.Failed() {
+	if result.Failed() {
 		return errRehearsalFailed
 	}
 	return nil
--- a/cmd/pebbletrail/rehearse_drain.go
+++ b/cmd/pebbletrail/rehearse_drain.go
@@ -13,7 +13,7 @@
 	command := &cobra.Command{
 		Use: "drain", Short: "Replaces all machines in waves while controllers, machines and replacements fail, and checks every budget", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return rehearse(cmd, options.Folder, &options.Program, func() (findings, error) { return rehearsal.RunDrain(options) })
+			return runRehearsal(cmd, options.Folder, &options.Program, func() (rehearsalResult, error) { return rehearsal.RunDrain(options) })
 		},
 	}
 	flags := command.Flags()
@@ -23,6 +23,6 @@
 	flags.IntVar(&options.Controllers, "controllers", 5, controllersHelp)
 	flags.IntVar(&options.Machines, "machines", 50, "stand-in machines, all of which are replaced")
 	flags.IntVar(&options.Jobs, "jobs", 300, "low jobs beside the services")
-	flags.DurationVar(&options.Longest, "longest", 10*time.Minute, longestHelp)
+	flags.DurationVar(&options.Longest, "longest", 10*time.Minute, maxDurationHelp)
 	return command
 }
--- a/cmd/pebbletrail/rehearse_quota.go
+++ b/cmd/pebbletrail/rehearse_quota.go
@@ -13,7 +13,7 @@
 	command := &cobra.Command{
 		Use: "quota", Short: "Floods controllers with submissions while they fail, and checks every team's limit", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return rehearse(cmd, options.Folder, &options.Program, func() (findings, error) { return rehearsal.RunQuota(options) })
+			return runRehearsal(cmd, options.Folder, &options.Program, func() (rehearsalResult, error) { return rehearsal.RunQuota(options) })
 		},
 	}
 	flags := command.Flags()
@@ -25,6 +25,6 @@
 	flags.IntVar(&options.Shards, "shards", 1, "shards of the machine pool, each with a leader")
 	flags.IntVar(&options.Jobs, "jobs", 1000, "jobs submitted at the same moment, twice")
 	flags.DurationVar(&options.Within, "within", 20*time.Second, "how soon a guarantee has to be reached")
-	flags.DurationVar(&options.Longest, "longest", 10*time.Minute, longestHelp)
+	flags.DurationVar(&options.Longest, "longest", 10*time.Minute, maxDurationHelp)
 	return command
 }
--- a/cmd/pebbletrail/rollout_flags.go
+++ b/cmd/pebbletrail/rollout_flags.go
@@ -33,8 +33,8 @@
 	flags.DurationVar(&f.observe, "observe", time.Minute, "how long replacements are watched before the next wave")
 }
 
-// describe returns the rollout specification given by the flags.
-func (f *rolloutFlags) describe(name string) *rollout.Spec {
+// toSpec returns the rollout specification given by the flags.
+func (f *rolloutFlags) toSpec(name string) *rollout.Spec {
 	spec := f.spec
 	spec.Name = rollout.Name(name)
 	spec.AtDeadline = rollout.AtDeadline(f.atDeadline)
--- a/cmd/pebbletrail/serve.go
+++ b/cmd/pebbletrail/serve.go
@@ -26,8 +26,8 @@
 
 // serve runs the controller until the process is killed.
 func serve(ctx context.Context, settings *config.Settings) error {
-	logFrom(os.Getenv("LOG_LEVEL"))
-	applyLimits(settings.Params.Limits)
+	configureLogging(os.Getenv("LOG_LEVEL"))
+	applyRuntimeLimits(settings.Params.Limits)
 	users, err := net.Listen("tcp4", settings.ClientListen)
 	if err != nil {
 		return fmt.Errorf("listen on client_listen: %w", err)
@@ -43,20 +43,21 @@
 	return newController(settings, incarnation).run(ctx, users, cluster)
 }
 
-// logFrom sets the default logger, which writes messages of the given level and above to standard error.
-func logFrom(level string) {
-	from := slog.LevelInfo
+// configureLogging sets the default logger, which writes messages of the given level and above to
+// standard error.
+func configureLogging(level string) {
+	minLevel := slog.LevelInfo
 	switch strings.ToLower(level) {
 	case "error":
-		from = slog.LevelError
+		minLevel = slog.LevelError
 	case "debug":
-		from = slog.LevelDebug
+		minLevel = slog.LevelDebug
 	}
-	slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: from})))
+	slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: minLevel})))
 }
 
-// applyLimits configures the Go runtime for the memory and cores that this process may use.
-func applyLimits(limits config.MachineLimits) {
+// applyRuntimeLimits configures the Go runtime for the memory and cores that this process may use.
+func applyRuntimeLimits(limits config.MachineLimits) {
 	debug.SetMemoryLimit(int64(limits.RAMMB * heapShare * 1024 * 1024))
 	debug.SetGCPercent(gcPercent)
 	runtime.GOMAXPROCS(max(1, int(limits.Cores+0.99)))
--- a/cmd/pebbletrail/status.go
+++ b/cmd/pebbletrail/status.go
@@ -13,7 +13,7 @@
 	command := &cobra.Command{
 		Use: "status", Short: "Asks a running controller how it fares", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			raw, err := fetchPage(node, "/v2/status")
+			raw, err := getFromController(node, "/v2/status")
 			if err != nil {
 				return err
 			}
