--- a/cmd/pebbletrail/controller.go
+++ b/cmd/pebbletrail/controller.go
@@ -157,7 +157,7 @@
 	if types := c.types.latest(); len(types) > 0 {
 		term.Cluster.SetMachineTypes(types)
 	}
-	provisioner.OnMachineTypes = func(types []placement.InstanceType) { c.types.save(ctx, term.Committer, types) }
+	provisioner.OnMachineTypes = func(types []placement.InstanceType) { c.types.store(ctx, term.Committer, types) }
 	if c.rollouts != nil && c.settings.ShardCount() == 1 {
 		runner := &rollout.Runner{Mirror: c.rollouts, Store: term.Committer, Fleet: term.Cluster, Writer: c.incarnation, Limits: c.storeLimits()}
 		go runner.Run(ctx)
--- a/cmd/pebbletrail/machine_types.go
+++ b/cmd/pebbletrail/machine_types.go
@@ -56,9 +56,9 @@
 	}
 }
 
-// save writes the list to the state service if anything but prices differs from the list last stored.
+// store writes the list to the state service if anything but prices differs from the list last stored.
 // After a failed write, the next list is written even if it has not changed.
-func (m *machineTypes) save(ctx context.Context, store fleet.Store, types []placement.InstanceType) {
+func (m *machineTypes) store(ctx context.Context, store fleet.Store, types []placement.InstanceType) {
 	unpriced := formatWithoutPrices(types)
 	m.mu.Lock()
 	m.types = types
--- a/internal/peer/health.go
+++ b/internal/peer/health.go
@@ -45,8 +45,8 @@
 	return h.last[node]
 }
 
-// anyReport reports whether the last report of at least one controller satisfies the predicate.
-func (h *peerHealth) anyReport(matches func(healthReport) bool) bool {
+// any reports whether the last report of at least one controller satisfies the predicate.
+func (h *peerHealth) any(matches func(healthReport) bool) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, report := range h.last {
@@ -59,12 +59,12 @@
 
 // AnyPeerReachesStore reports whether at least one other controller is up and can reach the state service.
 func (l *Link) AnyPeerReachesStore() bool {
-	return l.health.anyReport(func(report healthReport) bool { return report.storeReachable && report.isUp() })
+	return l.health.any(func(report healthReport) bool { return report.storeReachable && report.isUp() })
 }
 
 // Alone reports whether the settings list other controllers and none of them counts as up.
 func (l *Link) Alone() bool {
-	return !l.health.anyReport(healthReport.isUp) && len(l.settings.Peers) > 0
+	return !l.health.any(healthReport.isUp) && len(l.settings.Peers) > 0
 }
 
 // Served reports whether another controller is up and can reach the state service.
--- a/internal/peer/health_exchange.go
+++ b/internal/peer/health_exchange.go
@@ -15,7 +15,7 @@
 // Greet receives another controller's health report and returns this node's, for a single shard.
 func (s *Service) Greet(in *Hello, out *Hello) error {
 	s.link.handleHello(&ShardsHello{Hello: *in, Shards: []ShardHello{in.onlyShard()}})
-	answer := s.link.newHello([]clusterstate.HintPosition{hintPositionFromWire(in.Have)})
+	answer := s.link.hello([]clusterstate.HintPosition{hintPositionFromWire(in.Have)})
 	*out = answer.Hello
 	out.Lent = s.link.store.Budget().Lend(in.Want)
 	return nil
@@ -24,7 +24,7 @@
 // GreetShards receives another controller's health report and returns this node's, for several shards.
 func (s *Service) GreetShards(in *ShardsHello, out *ShardsHello) error {
 	s.link.handleHello(in)
-	*out = s.link.newHello(in.positions())
+	*out = s.link.hello(in.positions())
 	out.Hello.Lent = s.link.store.Budget().Lend(in.Hello.Want)
 	return nil
 }
@@ -48,9 +48,9 @@
 	return positions
 }
 
-// newHello builds this node's health report. For each shard that this node leads and whose hint position at
+// hello returns this node's health report. For each shard that this node leads and whose hint position at
 // the recipient is given, the report includes the hints after that position.
-func (l *Link) newHello(positions []clusterstate.HintPosition) ShardsHello {
+func (l *Link) hello(positions []clusterstate.HintPosition) ShardsHello {
 	age, ok := l.store.SinceSuccess()
 	hello := ShardsHello{Hello: Hello{Node: l.settings.HostName, StateOK: ok && age < maxHealthReportAge}}
 	for shard, elector := range l.shards.Electors() {
@@ -85,7 +85,7 @@
 
 // exchangeHealthReports exchanges health reports with another controller and applies the received one.
 func (l *Link) exchangeHealthReports(ctx context.Context, node ids.Node) {
-	hello := l.newHello(nil)
+	hello := l.hello(nil)
 	hello.Hello.Want = l.requestedTokens()
 	sent := time.Now()
 	answer, err := l.sendHello(ctx, node, &hello)
