--- a/cmd/pebbletrail/serve.go
+++ b/cmd/pebbletrail/serve.go
@@ -39,7 +39,7 @@
 	// The incarnation must be unique among all processes of a node, even after a restart within the same
 	// millisecond.
 	incarnation := fmt.Sprintf("%s.%x.%x", settings.HostName, time.Now().UnixMilli(), rand.Uint32())
-	slog.Info("starting controller", "version", version, "node", settings.HostName, "incarnation", incarnation)
+	slog.Info("starting", "version", version, "node", settings.HostName, "incarnation", incarnation)
 	return newController(settings, incarnation).run(ctx, users, cluster)
 }
 
--- a/internal/peer/drains.go
+++ b/internal/peer/drains.go
@@ -14,9 +14,9 @@
 
 // Drains are supported only with a single shard, so all functions in this file use the first elector.
 
-// PlanDrain computes the plan of a rollout if this node leads, and otherwise returns
-// election.ErrNotLeader. An invalid rollout description is reported in the response and not as an error,
-// since net/rpc transmits only the text of an error and not its type.
+// PlanDrain computes the plan of a rollout. It returns election.ErrNotLeader if this node does not lead.
+// An invalid rollout description is reported in the response and not as an error, since net/rpc transmits
+// only the text of an error and not its type.
 func (s *Service) PlanDrain(in *DrainRequest, out *DrainPlan) error {
 	plan, err := planDrain(s.link.shards.Electors()[0], specFromWire(&in.Spec))
 	switch {
@@ -30,8 +30,8 @@
 	return nil
 }
 
-// WaitsOfDrains returns, per machine being drained, what blocks its drain if this node leads, and
-// otherwise election.ErrNotLeader.
+// WaitsOfDrains returns, for each machine being drained, the reasons that block its drain. It returns
+// election.ErrNotLeader if this node does not lead.
 func (s *Service) WaitsOfDrains(_ *Empty, out *DrainWaits) error {
 	cluster := s.link.shards.Electors()[0].Cluster()
 	if cluster == nil {
@@ -72,7 +72,7 @@
 	return planFromWire(&answer.Plan), nil
 }
 
-// DrainWaits returns, per machine being drained, what blocks its drain according to the leader. The error
+// DrainWaits returns the leader's reasons that block the drain of each machine being drained. The error
 // is election.ErrNotLeader if no leader is known.
 func (l *Link) DrainWaits(ctx context.Context) (map[ids.Machine][]string, error) {
 	elector := l.shards.Electors()[0]
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -71,8 +71,8 @@
 	Shards []ShardHello
 }
 
-// Hint describes a machine. A leader sends hints to the other controllers, so that the next leader starts
-// with the machines already known.
+// Hint describes a machine. A leader sends hints to the other controllers, so that the next leader
+// already knows the machines when it starts.
 type Hint struct {
 	Name    ids.Machine
 	Addr    string
@@ -166,7 +166,7 @@
 	Why  []string
 }
 
-// DrainWaits lists, per machine being drained, what blocks its drain.
+// DrainWaits lists, for each machine being drained, the reasons that block its drain.
 type DrainWaits struct{ Waits map[ids.Machine][]string }
 
 // Empty is a request or response without content.
