--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -213,7 +213,7 @@
 	if got, want := settings.Sockets(), (SocketLimits{Inbound: 44, ToMachines: 16}); got != want {
 		t.Errorf("got socket limits %+v, want %+v", got, want)
 	}
-	// cancel_s of 46 minus the worker lease of 26 s with clock drift, minus twice the leader lease of 1.5 s
+	// cancel_s (46) minus the worker lease of 26 s with clock drift, minus twice the leader lease of 1.5 s
 	if got := settings.LeaderGracePeriod(); got < 16.8 || got > 16.9 {
 		t.Errorf("got grace period %v s, want 16.8 to 16.9 s", got)
 	}
