--- a/cmd/pebbletrail/check_test.go
+++ b/cmd/pebbletrail/check_test.go
@@ -10,14 +10,14 @@
 	"github.com/pebbletrail/pebbletrail/internal/config"
 )
 
-// sampleSettings is the commented sample of the platform's settings.
+// sampleSettings is the path of the commented sample of the platform's settings file.
 const sampleSettings = "../../deploy/settings.sample.toml"
 
 func TestCheckAcceptsTheSampleSettings(t *testing.T) {
 	t.Setenv("PEBBLETRAIL_OPERATORS", "")
 	t.Setenv("PEBBLETRAIL_FEATURES", "")
 	var output bytes.Buffer
-	command := root()
+	command := rootCommand()
 	command.SetOut(&output)
 	command.SetArgs([]string{"check", "--config", sampleSettings})
 	if err := command.Execute(); err != nil {
@@ -25,7 +25,7 @@
 	}
 	want := sampleSettings + ": good; node controller-a, 2 others, 2 teams\n"
 	if output.String() != want {
-		t.Errorf("check printed %q, not %q", output.String(), want)
+		t.Errorf("check printed %q, want %q", output.String(), want)
 	}
 }
 
@@ -35,15 +35,15 @@
 		t.Fatal(err)
 	}
 	sample := string(raw)
-	for _, field := range settingsFields(reflect.TypeFor[config.Settings]()) {
+	for _, field := range tomlNames(reflect.TypeFor[config.Settings]()) {
 		if !strings.Contains(sample, field+" = ") && !strings.Contains(sample, "["+field+"]") && !strings.Contains(sample, "."+field+"]") {
-			t.Errorf("%s does not name the field %s", sampleSettings, field)
+			t.Errorf("%s lacks the field %s", sampleSettings, field)
 		}
 	}
 }
 
-// settingsFields lists the names that a settings type and the types of its fields have in TOML.
-func settingsFields(settings reflect.Type) (names []string) {
+// tomlNames returns the TOML names of the fields of a settings type, including those of nested types.
+func tomlNames(settings reflect.Type) (names []string) {
 	for i := range settings.NumField() {
 		field := settings.Field(i)
 		name := field.Tag.Get("toml")
@@ -56,7 +56,7 @@
 			inner = inner.Elem()
 		}
 		if inner.Kind() == reflect.Struct {
-			names = append(names, settingsFields(inner)...)
+			names = append(names, tomlNames(inner)...)
 		}
 	}
 	return names
--- a/cmd/pebbletrail/controller_status.go
+++ b/cmd/pebbletrail/controller_status.go
@@ -8,46 +8,47 @@
 	"github.com/pebbletrail/pebbletrail/internal/measure"
 )
 
-// readyWithin is how recent the last successful call to the state service must be.
-const readyWithin = 2500 * time.Millisecond
+// readyMaxStoreAge is the maximum time since the last successful call to the state service for the node to
+// count as ready.
+const readyMaxStoreAge = 2500 * time.Millisecond
 
-// ready tells whether users may be sent here.
+// ready reports whether this node may receive requests from users.
 func (c *controller) ready() bool {
 	age, ok := c.state.SinceSuccess()
 	if !ok {
 		return false
 	}
-	// During an outage all nodes fare alike and go on answering; a node that alone
-	// is not served sends its users elsewhere.
-	return age < readyWithin || !c.link.OthersServed()
+	// During an outage of the state service all nodes are affected and stay ready. If only this node can't
+	// reach it, users must be routed to other nodes.
+	return age < readyMaxStoreAge || !c.link.AnyPeerReachesStore()
 }
 
-// status describes the node for GET /v2/status.
+// status returns the response of GET /v2/status.
 func (c *controller) status() any {
 	electors := c.shards.Electors()
 	leader, _ := electors[0].Leader()
-	page := map[string]any{"node": c.settings.HostName, "version": version, "incarnation": c.incarnation, "owner": leader}
-	page["took"], page["counts"] = measure.Process.Summary()
+	response := map[string]any{"node": c.settings.HostName, "version": version, "incarnation": c.incarnation, "owner": leader}
+	response["took"], response["counts"] = measure.Process.Summary()
 	if len(electors) > 1 {
-		page["shards"] = statusOfShards(electors)
-		return page
+		response["shards"] = shardStatuses(electors)
+		return response
 	}
 	if cluster := electors[0].Cluster(); cluster != nil {
-		page["pool"] = cluster.Summary()
+		response["pool"] = cluster.Summary()
 	}
-	return page
+	return response
 }
 
-// shardStatus describes one shard as this node sees it.
+// shardStatus is the status of one shard as known to this node.
 type shardStatus struct {
 	Shard  int      `json:"shard"`
 	Leader ids.Node `json:"leader"`
-	// Pool and Alarms are told by the leader only.
+	// Pool and Alarms are set only by the shard's leader.
 	Pool   any      `json:"pool,omitempty"`
 	Alarms []string `json:"alarms,omitempty"`
 }
 
-func statusOfShards(electors []*election.Elector) (all []shardStatus) {
+func shardStatuses(electors []*election.Elector) (all []shardStatus) {
 	for shard, elector := range electors {
 		leader, _ := elector.Leader()
 		status := shardStatus{Shard: shard, Leader: leader}
--- a/cmd/pebbletrail/explain.go
+++ b/cmd/pebbletrail/explain.go
@@ -16,15 +16,15 @@
 	command := &cobra.Command{
 		Use: "explain JOB", Short: "Tells why a job's tasks stopped, moved or wait", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			raw, err := fetchPage(node, "/v2/runs/"+args[0]+"/explain")
+			raw, err := getFromController(node, "/v2/runs/"+args[0]+"/explain")
 			if err != nil {
 				return err
 			}
 			var explanation intake.Explanation
 			if err := json.Unmarshal(raw, &explanation); err != nil {
-				return fmt.Errorf("read the explanation of %s: %w", args[0], err)
+				return fmt.Errorf("decode the explanation of job %s: %w", args[0], err)
 			}
-			_, err = io.WriteString(cmd.OutOrStdout(), explanationText(&explanation))
+			_, err = io.WriteString(cmd.OutOrStdout(), formatExplanation(&explanation))
 			return err
 		},
 	}
@@ -32,9 +32,9 @@
 	return command
 }
 
-// explanationText is an explanation for people: the job's events, oldest first, then
-// what holds now.
-func explanationText(explanation *intake.Explanation) string {
+// formatExplanation formats an explanation for terminal output: the job's events, oldest first, then the
+// reasons that apply now.
+func formatExplanation(explanation *intake.Explanation) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "%s: %s\n", explanation.Job, explanation.Status)
 	for _, event := range explanation.Trail {
--- a/cmd/pebbletrail/main.go
+++ b/cmd/pebbletrail/main.go
@@ -1,5 +1,4 @@
-// Command pebbletrail is the controller of a cluster scheduler, and the few
-// tools that its operators need beside it.
+// Command pebbletrail is the controller of a cluster scheduler, with subcommands for its operators.
 package main
 
 import (
@@ -14,14 +13,14 @@
 )
 
 func main() {
-	if err := root().Execute(); err != nil {
+	if err := rootCommand().Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, "pebbletrail: "+strings.ReplaceAll(err.Error(), "\n", " "))
 		os.Exit(1)
 	}
 }
 
-// root is the command without a subcommand, which serves.
-func root() *cobra.Command {
+// rootCommand returns the root command, which runs the controller, with all subcommands.
+func rootCommand() *cobra.Command {
 	var files settingsFiles
 	command := &cobra.Command{
 		Use: "pebbletrail", Short: "Schedules jobs on rented machines",
@@ -45,13 +44,13 @@
 	return command
 }
 
-// settingsFiles are the files that the flags name.
+// settingsFiles holds the paths of the settings files given by flags.
 type settingsFiles struct{ platform, operators, features string }
 
-// errNoSettingsFile tells that --config was left out.
-var errNoSettingsFile = errors.New("--config FILE is needed (see --help)")
+// errNoSettingsFile is returned if --config is missing.
+var errNoSettingsFile = errors.New("--config FILE is required (see --help)")
 
-// load reads and checks the settings.
+// load reads and checks all settings files.
 func (f *settingsFiles) load() (*config.Settings, error) {
 	if f.platform == "" {
 		return nil, errNoSettingsFile
--- a/cmd/pebbletrail/rehearse.go
+++ b/cmd/pebbletrail/rehearse.go
@@ -9,17 +9,17 @@
 	"github.com/spf13/cobra"
 )
 
-// errRehearsalFailed tells that a rehearsal found what must not happen.
-var errRehearsalFailed = errors.New("the rehearsal failed; see its report")
+// errRehearsalFailed is returned if a rehearsal found a violation.
+var errRehearsalFailed = errors.New("the rehearsal found violations; see its report")
 
-// Help of the flags that all rehearsals have, and where they leave their report by default.
+// Help texts of the flags that all rehearsals have, and the default folder of their reports.
 const (
 	defaultFolder    = "target/rehearsal"
 	folderHelp       = "folder for the record, the report and the controllers' logs"
 	programHelp      = "the controllers' program; this one if empty"
 	seedHelp         = "decides jobs and failures"
 	controllersHelp  = "controller processes"
-	longestHelp      = "the run ends by then, whatever happens"
+	maxDurationHelp  = "the run ends by then, whatever happens"
 	folderPermission = 0o700
 )
 
@@ -29,45 +29,45 @@
 	return command
 }
 
-// findings are the outcome of a rehearsal.
-type findings interface {
+// rehearsalResult is the result of a rehearsal.
+type rehearsalResult interface {
 	Print(out io.Writer) error
 	Failed() bool
 }
 
-// rehearse runs a rehearsal in its folder and prints its outcome. An empty program becomes this
-// one. The error is errRehearsalFailed if the run found what must not happen.
-func rehearse(cmd *cobra.Command, folder string, program *string, run func() (findings, error)) error {
+// runRehearsal creates the folder, runs a rehearsal and prints its result. If *program is empty, it is
+// set to the path of this executable. The error is errRehearsalFailed if the run found a violation.
+func runRehearsal(cmd *cobra.Command, folder string, program *string, run func() (rehearsalResult, error)) error {
 	if err := defaultProgram(program); err != nil {
 		return err
 	}
 	if err := os.MkdirAll(folder, folderPermission); err != nil {
-		return fmt.Errorf("make the rehearsal's folder: %w", err)
+		return fmt.Errorf("create the rehearsal's folder: %w", err)
 	}
-	outcome, err := run()
+	result, err := run()
 	if err != nil {
 		return err
 	}
-	if err := outcome.Print(cmd.OutOrStdout()); err != nil {
-		return fmt.Errorf("print the findings: %w", err)
+	if err := result.Print(cmd.OutOrStdout()); err != nil {
+		return fmt.Errorf("print the rehearsal result: %w", err)
 	}
 	if _, err := fmt.Fprintf(cmd.OutOrStdout(), "record and report: %s\n", folder); err != nil {
-		return fmt.Errorf("print the findings: %w", err)
+		return fmt.Errorf("print the rehearsal result: %w", err)
 	}
-	if outcome.Failed() {
+	if result.Failed() {
 		return errRehearsalFailed
 	}
 	return nil
 }
 
-// defaultProgram names this program's own file where none is given.
+// defaultProgram sets an empty *program to the path of this executable.
 func defaultProgram(program *string) error {
 	if *program != "" {
 		return nil
 	}
 	own, err := os.Executable()
 	if err != nil {
-		return fmt.Errorf("find this program's own file: %w", err)
+		return fmt.Errorf("find the path of this executable: %w", err)
 	}
 	*program = own
 	return nil
--- a/cmd/pebbletrail/status.go
+++ b/cmd/pebbletrail/status.go
@@ -13,7 +13,7 @@
 	command := &cobra.Command{
 		Use: "status", Short: "Asks a running controller how it fares", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			raw, err := fetchPage(node, "/v2/status")
+			raw, err := getFromController(node, "/v2/status")
 			if err != nil {
 				return err
 			}
@@ -28,7 +28,7 @@
 func writeIndented(out io.Writer, raw []byte) error {
 	var value any
 	if err := json.Unmarshal(raw, &value); err != nil {
-		return fmt.Errorf("read the status: %w", err)
+		return fmt.Errorf("decode the status of the controller: %w", err)
 	}
 	encoder := json.NewEncoder(out)
 	encoder.SetIndent("", "  ")
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -9,18 +9,18 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-// minTxnOps is the number of changes in the transaction of a failover.
+// minTxnOps is the number of changes in the transaction of a takeover.
 const minTxnOps = 4
 
-// check reports the first setting of the platform's file that is missing or impossible.
+// check returns an error that names the first missing or invalid setting of the platform's file.
 func (s *Settings) check() error {
 	for _, check := range []func() error{
 		s.checkNames,
 		s.checkAddresses,
 		s.checkTeams,
 		s.checkNumbers,
-		s.checkNextState,
-		s.checkTransactions,
+		s.checkNextStateLimits,
+		s.checkTxnOps,
 		s.checkLease,
 	} {
 		if err := check(); err != nil {
@@ -30,17 +30,17 @@
 	return nil
 }
 
-// number is a setting and its name in the file.
-type number struct {
+// numericSetting is a setting with its name in the file.
+type numericSetting struct {
 	name  string
 	value float64
 }
 
-// isNotNegative reports whether the number is finite and zero or more.
-func (n number) isNotNegative() bool { return n.value >= 0 && !math.IsInf(n.value, 0) }
+// isNonNegative reports whether the number is finite and zero or more.
+func (n numericSetting) isNonNegative() bool { return n.value >= 0 && !math.IsInf(n.value, 0) }
 
 // isPositive reports whether the number is finite and above zero.
-func (n number) isPositive() bool { return n.value > 0 && !math.IsInf(n.value, 0) }
+func (n numericSetting) isPositive() bool { return n.value > 0 && !math.IsInf(n.value, 0) }
 
 func (s *Settings) checkNames() error {
 	if s.HostName == "" {
@@ -72,11 +72,11 @@
 	}
 	for _, a := range addresses {
 		if _, port, err := net.SplitHostPort(a.value); err != nil || port == "" {
-			return fmt.Errorf("%s: not an address with a port: %q", a.name, a.value)
+			return fmt.Errorf("%s: must be an address with a port: %q", a.name, a.value)
 		}
 	}
 	if s.ClientListen == s.ClusterListen {
-		return errors.New("cluster_listen: the same as client_listen")
+		return errors.New("cluster_listen: must differ from client_listen")
 	}
 	return nil
 }
@@ -103,27 +103,28 @@
 	return nil
 }
 
-// checkQuota checks what a team is guaranteed and its limits; name is the team's in the file.
+// checkQuota checks a team's guaranteed quota and its limits; name is the path of the team in the file,
+// for errors.
 func (t *Team) checkQuota(name string) error {
-	for _, n := range []number{
+	for _, n := range []numericSetting{
 		{"cpus", t.CPUs},
 		{"cpus_max", t.CPUsMax},
 		{"gpus", t.GPUs},
 		{"gpus_max", t.GPUsMax},
 	} {
-		if !n.isNotNegative() {
+		if !n.isNonNegative() {
 			return fmt.Errorf("%s.%s: must be zero or more: %v", name, n.name, n.value)
 		}
 	}
 	if t.CPUsMax > 0 && t.CPUs > t.CPUsMax || t.GPUsMax > 0 && t.GPUs > t.GPUsMax {
-		return fmt.Errorf("%s: guarantees more than its limit", name)
+		return fmt.Errorf("%s: guaranteed quota is above the limit", name)
 	}
 	return nil
 }
 
 func (s *Settings) checkNumbers() error {
 	p := &s.Params
-	for _, n := range []number{
+	for _, n := range []numericSetting{
 		{"params.workers.report_s", float64(p.Workers.ReportS)},
 		{"params.workers.lease_s", float64(p.Workers.LeaseS)},
 		{"params.workers.gang_wait_s", float64(p.Workers.GangWaitS)},
@@ -148,30 +149,30 @@
 	return nil
 }
 
-// checkNextState checks the limits that the key-value store announces, where it does.
-func (s *Settings) checkNextState() error {
+// checkNextStateLimits checks the announced future limits of the key-value store, if there are any.
+func (s *Settings) checkNextStateLimits() error {
 	next := s.Params.State.Next
 	if next == nil {
 		return nil
 	}
-	for _, n := range []number{
+	for _, n := range []numericSetting{
 		{"params.state.next.rps", next.RPS},
 		{"params.state.next.write_rps", next.WriteRPS},
 		{"params.state.next.value_kb", next.ValueKB},
 	} {
-		if !n.isNotNegative() {
-			return fmt.Errorf("%s: below zero or no number: %v", n.name, n.value)
+		if !n.isNonNegative() {
+			return fmt.Errorf("%s: must be a finite number, zero or more: %v", n.name, n.value)
 		}
 	}
 	if next.TxnOps < 0 || next.TxnOps > 0 && next.TxnOps < minTxnOps {
-		return fmt.Errorf("params.state.next.txn_ops: a takeover needs at least %d, not %d", minTxnOps, next.TxnOps)
+		return fmt.Errorf("params.state.next.txn_ops: must be at least %d, the changes of a takeover: %d", minTxnOps, next.TxnOps)
 	}
 	return nil
 }
 
-func (s *Settings) checkTransactions() error {
+func (s *Settings) checkTxnOps() error {
 	if ops := s.Params.State.TxnOps; ops < minTxnOps {
-		return fmt.Errorf("params.state.txn_ops: a takeover needs at least %d, not %d", minTxnOps, ops)
+		return fmt.Errorf("params.state.txn_ops: must be at least %d, the changes of a takeover: %d", minTxnOps, ops)
 	}
 	return nil
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -9,8 +9,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// good is a platform's file with nothing wrong.
-const good = `
+// validSettings is a valid platform's file, with one unknown field.
+const validSettings = `
 host_name = "n0"
 area = "z"
 client_listen = "10.0.0.1:1"
@@ -44,8 +44,8 @@
 max_sockets = 100
 `
 
-// parsed reads settings that must be good.
-func parsed(t *testing.T, text string) *Settings {
+// mustParse parses the platform's file and fails the test if it is invalid.
+func mustParse(t *testing.T, text string) *Settings {
 	t.Helper()
 	settings, err := Parse([]byte(text))
 	if err != nil {
@@ -54,14 +54,14 @@
 	return settings
 }
 
-// namesIt reports whether an error is there, names what is wrong and is one line.
-func namesIt(err error, name string) bool {
+// isOneLineNaming reports whether err is not nil, contains name and is a single line.
+func isOneLineNaming(err error, name string) bool {
 	return err != nil && strings.Contains(err.Error(), name) && !strings.Contains(err.Error(), "\n")
 }
 
-func TestSettingsNameTheFieldThatIsWrong(t *testing.T) {
-	if _, err := Parse([]byte(good)); err != nil {
-		t.Fatalf("good settings with an unknown field: %v", err)
+func TestParseErrorNamesInvalidField(t *testing.T) {
+	if _, err := Parse([]byte(validSettings)); err != nil {
+		t.Fatalf("valid settings with an unknown field: %v", err)
 	}
 	for change, field := range map[string]string{
 		`host_name = "n0">`:                      "host_name",
@@ -79,17 +79,17 @@
 		`[params.cloud]>[params.state.next]` + "\ntxn_ops = 3\n[params.cloud]":     "params.state.next.txn_ops",
 	} {
 		from, to, _ := strings.Cut(change, ">")
-		if _, err := Parse([]byte(strings.Replace(good, from, to, 1))); !namesIt(err, field) {
-			t.Errorf("%s: %v", change, err)
+		if _, err := Parse([]byte(strings.Replace(validSettings, from, to, 1))); !isOneLineNaming(err, field) {
+			t.Errorf("%s: got error %v, want one line that names the setting", change, err)
 		}
 	}
 }
 
-func TestLimitsToComeHoldFromTheStart(t *testing.T) {
-	// Guards against writes that would be refused from the moment, which nobody announces, at
-	// which the key-value store lowers its limits.
+func TestNextStateLimitsApplyFromTheStart(t *testing.T) {
+	// Guards against writes that the key-value store would reject once it lowers its limits, which it does
+	// at an unannounced time.
 	with := func(next string) StateLimits {
-		return parsed(t, strings.Replace(good, "[params.cloud]", next+"\n[params.cloud]", 1)).Params.State
+		return mustParse(t, strings.Replace(validSettings, "[params.cloud]", next+"\n[params.cloud]", 1)).Params.State
 	}
 	for _, c := range []struct {
 		next string
@@ -97,29 +97,29 @@
 	}{
 		{"", StateLimits{RPS: 250, WriteRPS: 80, ValueKB: 32, TxnOps: 48, CurrentValueKB: 32}},
 		{"[params.state.next]\nwrite_rps = 35.0\nvalue_kb = 2.0\ntxn_ops = 4", StateLimits{RPS: 250, WriteRPS: 35, ValueKB: 2, TxnOps: 4, CurrentValueKB: 32}},
-		{"[params.state.next]\nrps = 900.0\nvalue_kb = 64.0", StateLimits{RPS: 250, WriteRPS: 80, ValueKB: 32, TxnOps: 48, CurrentValueKB: 32}}, // never more than now
+		{"[params.state.next]\nrps = 900.0\nvalue_kb = 64.0", StateLimits{RPS: 250, WriteRPS: 80, ValueKB: 32, TxnOps: 48, CurrentValueKB: 32}}, // next limits never raise the current ones
 	} {
 		got := with(c.next)
 		got.Next = nil
 		if got != c.want {
-			t.Errorf("%q: limits %+v, not %+v", c.next, got, c.want)
+			t.Errorf("%q: got limits %+v, want %+v", c.next, got, c.want)
 		}
 	}
 }
 
-func TestOperatorsSettingsLieOverDefaults(t *testing.T) {
+func TestOperatorSettingsOverrideDefaults(t *testing.T) {
 	operator, err := ParseOperator([]byte("beat_grace_s: 60\nsample_machines: 9 # more\n"))
 	if err != nil || operator.BeatGraceS != 60 || operator.SampleMachines != 9 || operator.PoolHoldMs != DefaultOperator().PoolHoldMs {
-		t.Fatalf("%v %v", operator, err)
+		t.Fatalf("got settings %v, error %v", operator, err)
 	}
 	for _, bad := range []string{"beat_grace_s: 1", "nonsense: 1", "owner_share: 2", "pool_hold_ms: 5"} {
 		if _, err := ParseOperator([]byte(bad)); err == nil {
-			t.Errorf("taken: %s", bad)
+			t.Errorf("no error for %s", bad)
 		}
 	}
 }
 
-func TestOperatorsSettingsNameTheFieldThatIsWrong(t *testing.T) {
+func TestParseOperatorErrorNamesInvalidField(t *testing.T) {
 	for text, field := range map[string]string{
 		"pool_hold_ms: 499":      "pool_hold_ms: must be 500 to 600000: 499",
 		"pool_hold_ms: 600001":   "pool_hold_ms",
@@ -133,50 +133,50 @@
 		"burst_cost_share: nan":  "burst_cost_share",
 		"trail_events: 65":       "trail_events: at most 64: 65",
 	} {
-		if _, err := ParseOperator([]byte(text)); !namesIt(err, field) {
-			t.Errorf("%s: %v", text, err)
+		if _, err := ParseOperator([]byte(text)); !isOneLineNaming(err, field) {
+			t.Errorf("%s: got error %v, want one line that names the setting", text, err)
 		}
 	}
 }
 
-func TestDocumentedExampleEqualsDefaults(t *testing.T) {
+func TestDocumentedOperatorExampleEqualsDefaults(t *testing.T) {
 	raw, err := os.ReadFile("../../docs/operators.textproto")
 	if err != nil {
 		t.Fatal(err)
 	}
 	if operator, err := ParseOperator(raw); err != nil || !proto.Equal(operator, DefaultOperator()) {
-		t.Errorf("%v: %v", err, operator)
+		t.Errorf("got error %v, settings %v, want the defaults", err, operator)
 	}
 }
 
-func TestFeaturesAreCheckedLikeAllSettings(t *testing.T) {
-	settings := parsed(t, good)
+func TestParseFeaturesChecksShardCount(t *testing.T) {
+	settings := mustParse(t, validSettings)
 	if settings.ShardCount() != 1 {
-		t.Errorf("%d shards without a file", settings.ShardCount())
+		t.Errorf("%d shards without a features file, want 1", settings.ShardCount())
 	}
 	for text, want := range map[string]string{
 		"shards: 0": "shards: must be 1 to", "shards: 1000": "shards: must be 1 to", "shards: -1": "line 1",
 		"shard: 2": "shard", "shards: two": "line 1", "{": "",
 	} {
-		if err := settings.ParseFeatures([]byte(text)); !namesIt(err, want) {
-			t.Errorf("%q: %v", text, err)
+		if err := settings.ParseFeatures([]byte(text)); !isOneLineNaming(err, want) {
+			t.Errorf("%q: got error %v, want one line that names the fault", text, err)
 		}
 	}
 	if settings.ShardCount() != 1 {
-		t.Errorf("a bad file left %d shards", settings.ShardCount())
+		t.Errorf("%d shards after invalid features, want 1", settings.ShardCount())
 	}
 	if err := settings.ParseFeatures([]byte("shards: 2")); err != nil || settings.ShardCount() != 2 {
-		t.Errorf("%d shards: %v", settings.ShardCount(), err)
+		t.Errorf("got %d shards, %v, want 2", settings.ShardCount(), err)
 	}
 	if err := settings.LoadFeatures("/nonexistent"); err == nil {
-		t.Error("a file that is not there is good")
+		t.Error("no error for a features file that does not exist")
 	}
 }
 
-func TestBudgetsOfDisruptionAreChecked(t *testing.T) {
-	settings := parsed(t, good)
+func TestParseFeaturesChecksDisruptionBudgets(t *testing.T) {
+	settings := mustParse(t, validSettings)
 	if settings.DrainsEnabled() {
-		t.Error("drains are on without a file")
+		t.Error("drains are enabled without a features file")
 	}
 	team := settings.Params.Teams[0].Name
 	for text, want := range map[string]string{
@@ -188,48 +188,48 @@
 		`drains { ready_s: -1 }`:                          "drains.ready_s: must be zero or more",
 		`drains { default_budget { replicas_down: -1 } }`: "invalid value for uint32",
 	} {
-		if err := settings.ParseFeatures([]byte(text)); !namesIt(err, want) {
-			t.Errorf("%q: %v", text, err)
+		if err := settings.ParseFeatures([]byte(text)); !isOneLineNaming(err, want) {
+			t.Errorf("%q: got error %v, want one line that names the fault", text, err)
 		}
 	}
 	enabled := `drains { default_budget { replicas_down_percent: 50 } teams { team: "` + team + `" budget { replicas_down: 3 tasks_interrupted: 7 } } ready_s: 2 }`
 	if err := settings.ParseFeatures([]byte(enabled)); err != nil || !settings.DrainsEnabled() || settings.ShardCount() != 1 {
-		t.Fatalf("%v, %d shards", err, settings.ShardCount())
+		t.Fatalf("enabling drains: error %v, %d shards", err, settings.ShardCount())
 	}
 	budgets := settings.DisruptionBudgets()
 	if down := budgets.Of(team).UnavailableAllowed(10); down != 3 || budgets.Of(team).MaxInterrupted != 7 {
-		t.Errorf("%d replicas down, %d tasks interrupted", down, budgets.Of(team).MaxInterrupted)
+		t.Errorf("got %d replicas down, %d tasks interrupted, want 3 and 7", down, budgets.Of(team).MaxInterrupted)
 	}
 	if down := budgets.Of("another").UnavailableAllowed(10); down != 5 || budgets.Of("another").MaxInterrupted != 1 {
-		t.Errorf("by default %d replicas down, %d tasks interrupted", down, budgets.Of("another").MaxInterrupted)
+		t.Errorf("default budget: got %d replicas down, %d tasks interrupted, want 5 and 1", down, budgets.Of("another").MaxInterrupted)
 	}
 	if settings.Readiness().MinRunning != 2*time.Second {
-		t.Errorf("ready after %v", settings.Readiness().MinRunning)
+		t.Errorf("got MinRunning %v, want 2s", settings.Readiness().MinRunning)
 	}
 }
 
-func TestSocketsAndGracePeriodFollowFromTheSettings(t *testing.T) {
-	settings := parsed(t, good)
+func TestSocketLimitsAndGracePeriodAreDerivedFromSettings(t *testing.T) {
+	settings := mustParse(t, validSettings)
 	if got, want := settings.Sockets(), (SocketLimits{Inbound: 44, ToMachines: 16}); got != want {
-		t.Errorf("sockets %+v, not %+v", got, want)
+		t.Errorf("got socket limits %+v, want %+v", got, want)
 	}
-	// cancel_s 46 less the longest lease of 26 s and twice the leader's of 1.5 s
+	// cancel_s (46) minus the worker lease of 26 s with clock drift, minus twice the leader lease of 1.5 s
 	if got := settings.LeaderGracePeriod(); got < 16.8 || got > 16.9 {
-		t.Errorf("grace period %v", got)
+		t.Errorf("got grace period %v s, want 16.8 to 16.9 s", got)
 	}
 	settings.Params.Workers.CancelS = 20
 	if got := settings.LeaderGracePeriod(); got != 1.5 {
-		t.Errorf("grace period %v where cancel_s leaves no time, not the leader's lease", got)
+		t.Errorf("got grace period %v s if cancel_s leaves no time, want the leader's lease of 1.5 s", got)
 	}
 	settings.Params.Workers.CancelS = 460
 	if got := settings.LeaderGracePeriod(); got != 40 {
-		t.Errorf("grace period %v, more than the operators allow", got)
+		t.Errorf("got grace period %v s, want beat_grace_s of 40 s", got)
 	}
 }
 
 func TestDeployedFeaturesFileIsValid(t *testing.T) {
-	settings := parsed(t, good)
+	settings := mustParse(t, validSettings)
 	if err := settings.LoadFeatures("../../deploy/features.textproto"); err != nil || !settings.DrainsEnabled() {
-		t.Errorf("drains %v: %v", settings.DrainsEnabled(), err)
+		t.Errorf("deployed features: drains enabled %v, error %v", settings.DrainsEnabled(), err)
 	}
 }
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -6,14 +6,14 @@
 	"google.golang.org/protobuf/encoding/prototext"
 )
 
-// Bounds of the operators' settings.
+// Bounds on the operators' settings.
 const (
 	minPoolHoldMs  = 500
 	maxPoolHoldMs  = 600000
 	maxTrailEvents = 64
 )
 
-// DefaultOperator are the operators' settings when they name none.
+// DefaultOperator returns the default operators' settings.
 func DefaultOperator() *Operator {
 	return &Operator{
 		PoolHoldMs:      1500,
@@ -31,53 +31,54 @@
 	}
 }
 
-// ParseOperator reads and checks the operators' settings, over the defaults.
+// ParseOperator parses and checks the operators' settings; fields that are zero or absent take the
+// defaults.
 func ParseOperator(raw []byte) (*Operator, error) {
-	named := &Operator{}
-	if err := prototext.Unmarshal(raw, named); err != nil {
+	overrides := &Operator{}
+	if err := prototext.Unmarshal(raw, overrides); err != nil {
 		return nil, err
 	}
 	settings := DefaultOperator()
-	settings.override(named)
+	settings.override(overrides)
 	if err := settings.check(); err != nil {
 		return nil, err
 	}
 	return settings, nil
 }
 
-// override replaces the settings that the operators named.
-func (o *Operator) override(named *Operator) {
-	setIfNamed(&o.PoolHoldMs, named.PoolHoldMs)
-	setIfNamed(&o.BeatGraceS, named.BeatGraceS)
-	setIfNamed(&o.SampleMachines, named.SampleMachines)
-	setIfNamed(&o.BackoffS, named.BackoffS)
-	setIfNamed(&o.BackoffMaxS, named.BackoffMaxS)
-	setIfNamed(&o.TrailEvents, named.TrailEvents)
-	setIfNamed(&o.IdleReturnS, named.IdleReturnS)
-	setIfNamed(&o.StuckBootFactor, named.StuckBootFactor)
-	setIfNamed(&o.OwnerShare, named.OwnerShare)
-	setIfNamed(&o.FaultyAfter, named.FaultyAfter)
-	setIfNamed(&o.SpareShare, named.SpareShare)
-	setIfNamed(&o.BurstCostShare, named.BurstCostShare)
+// override replaces the settings that are not zero in overrides.
+func (o *Operator) override(overrides *Operator) {
+	setIfNonZero(&o.PoolHoldMs, overrides.PoolHoldMs)
+	setIfNonZero(&o.BeatGraceS, overrides.BeatGraceS)
+	setIfNonZero(&o.SampleMachines, overrides.SampleMachines)
+	setIfNonZero(&o.BackoffS, overrides.BackoffS)
+	setIfNonZero(&o.BackoffMaxS, overrides.BackoffMaxS)
+	setIfNonZero(&o.TrailEvents, overrides.TrailEvents)
+	setIfNonZero(&o.IdleReturnS, overrides.IdleReturnS)
+	setIfNonZero(&o.StuckBootFactor, overrides.StuckBootFactor)
+	setIfNonZero(&o.OwnerShare, overrides.OwnerShare)
+	setIfNonZero(&o.FaultyAfter, overrides.FaultyAfter)
+	setIfNonZero(&o.SpareShare, overrides.SpareShare)
+	setIfNonZero(&o.BurstCostShare, overrides.BurstCostShare)
 }
 
-// setIfNamed replaces a setting that is not zero in the file.
-func setIfNamed[N uint32 | float64](setting *N, named N) {
-	if named != 0 {
-		*setting = named
+// setIfNonZero replaces a setting by value, unless value is zero.
+func setIfNonZero[N uint32 | float64](setting *N, value N) {
+	if value != 0 {
+		*setting = value
 	}
 }
 
-// check reports the first setting that is impossible. The conditions are written so that no number
-// that is not one (NaN) passes.
+// check returns an error that names the first invalid setting. The conditions are written so that NaN
+// fails them.
 func (o *Operator) check() error {
 	switch {
 	case o.PoolHoldMs < minPoolHoldMs || o.PoolHoldMs > maxPoolHoldMs:
 		return fmt.Errorf("pool_hold_ms: must be %d to %d: %d", minPoolHoldMs, maxPoolHoldMs, o.PoolHoldMs)
 	case !(o.BeatGraceS*1000 >= float64(o.PoolHoldMs)):
-		return fmt.Errorf("beat_grace_s: must be at least the hold: %v", o.BeatGraceS)
+		return fmt.Errorf("beat_grace_s: must be at least pool_hold_ms: %v", o.BeatGraceS)
 	case !(o.OwnerShare > 0 && o.OwnerShare < 1):
-		return fmt.Errorf("owner_share: must lie between 0 and 1: %v", o.OwnerShare)
+		return fmt.Errorf("owner_share: must be above 0 and below 1: %v", o.OwnerShare)
 	case !(o.BackoffS > 0 && o.BackoffMaxS >= o.BackoffS):
 		return fmt.Errorf("backoff_max_s: must be at least backoff_s, both above 0: %v", o.BackoffMaxS)
 	case !(o.IdleReturnS > 0):
@@ -85,9 +86,9 @@
 	case !(o.StuckBootFactor >= 1):
 		return fmt.Errorf("stuck_boot_factor: must be at least 1: %v", o.StuckBootFactor)
 	case !(o.SpareShare > 0 && o.SpareShare <= 1):
-		return fmt.Errorf("spare_share: must lie between 0 and 1: %v", o.SpareShare)
+		return fmt.Errorf("spare_share: must be above 0 and at most 1: %v", o.SpareShare)
 	case !(o.BurstCostShare > 0 && o.BurstCostShare <= 1):
-		return fmt.Errorf("burst_cost_share: must lie between 0 and 1: %v", o.BurstCostShare)
+		return fmt.Errorf("burst_cost_share: must be above 0 and at most 1: %v", o.BurstCostShare)
 	case o.TrailEvents > maxTrailEvents:
 		return fmt.Errorf("trail_events: at most %d: %d", maxTrailEvents, o.TrailEvents)
 	}
--- a/internal/httpjson/httpjson.go
+++ b/internal/httpjson/httpjson.go
@@ -1,5 +1,5 @@
-// Package httpjson sends HTTP requests with JSON bodies and reads their answers whole. What a
-// status means and what an answer holds is left to the caller.
+// Package httpjson sends HTTP requests with JSON bodies and reads the complete responses. Interpreting
+// the status and the body of a response is left to the caller.
 package httpjson
 
 import (
@@ -12,51 +12,51 @@
 
 // Client sends requests to one server.
 type Client struct {
-	baseURL string
-	http    *http.Client
+	baseURL    string
+	httpClient *http.Client
 }
 
-// NewClient makes a client for the server at a host:port address.
+// NewClient returns a client for the server at a host:port address.
 func NewClient(address string, client *http.Client) *Client {
-	return &Client{baseURL: "http://" + address, http: client}
+	return &Client{baseURL: "http://" + address, httpClient: client}
 }
 
-// Response is an answer that arrived whole.
+// Response is a response that was received completely.
 type Response struct {
 	Status int
 	Body   []byte
 }
 
-// NoResponseError tells that no whole answer arrived: the server may have executed the request,
-// or may yet do so.
+// NoResponseError is returned if no complete response was received. The server may have executed the
+// request, or may still execute it.
 type NoResponseError struct {
 	Err error
 }
 
 func (e *NoResponseError) Error() string { return e.Err.Error() }
 
-// Unwrap is the error of the connection or of the context.
+// Unwrap returns the error of the connection or of the context.
 func (e *NoResponseError) Unwrap() error { return e.Err }
 
-// Do sends one request with body as JSON, or without a body if it is nil. The path may have a
-// query. Any error but a *NoResponseError means that nothing was sent.
+// Do sends a request with body encoded as JSON, or without a body if body is nil. The path may include a
+// query. An error other than a *NoResponseError means that nothing was sent.
 func (c *Client) Do(ctx context.Context, method, path string, body any) (Response, error) {
 	request, err := c.newRequest(ctx, method, path, body)
 	if err != nil {
 		return Response{}, err
 	}
-	answer, err := c.http.Do(request)
+	response, err := c.httpClient.Do(request)
 	if err != nil {
 		return Response{}, &NoResponseError{err}
 	}
 	defer func() {
-		_ = answer.Body.Close() // whether the body was read whole, ReadAll tells
+		_ = response.Body.Close() // ReadAll reports whether the body was read completely
 	}()
-	raw, err := io.ReadAll(answer.Body)
+	raw, err := io.ReadAll(response.Body)
 	if err != nil {
 		return Response{}, &NoResponseError{err}
 	}
-	return Response{Status: answer.StatusCode, Body: raw}, nil
+	return Response{Status: response.StatusCode, Body: raw}, nil
 }
 
 func (c *Client) newRequest(ctx context.Context, method, path string, body any) (*http.Request, error) {
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -21,26 +21,26 @@
 	"github.com/pebbletrail/pebbletrail/internal/worker"
 )
 
-// testCluster is controllers without their users' side, on one store.
+// testCluster connects controllers, which have no API server for users, to one fake store.
 type testCluster struct {
-	net   *fake.Network
-	pipes *fake.Pipes
+	network *fake.Network
+	pipes   *fake.Pipes
 }
 
 func newTestCluster() *testCluster {
-	cluster := &testCluster{net: fake.NewNetwork(), pipes: fake.NewPipes()}
-	cluster.net.Listen("state:1", fake.NewStore())
+	cluster := &testCluster{network: fake.NewNetwork(), pipes: fake.NewPipes()}
+	cluster.network.Listen("state:1", fake.NewStore())
 	return cluster
 }
 
-// start starts a controller that knows one other.
+// start starts a controller whose settings list one other controller.
 func (c *testCluster) start(ctx context.Context, name, other ids.Node) (*election.Elector, *Link) {
 	settings := &config.Settings{HostName: name, Operator: config.DefaultOperator(), Peers: []config.Peer{{HostName: other, PeerAddr: string(other)}}}
 	settings.Params.Workers = config.WorkerIntervals{ReportS: 2, LeaseS: 20, GangWaitS: 30, GangPeerS: 5, CancelS: 40}
 	settings.Params.State = config.StateLimits{RPS: 500, WriteRPS: 200, ValueKB: 8, TxnOps: 12}
 	settings.Params.Teams = []config.Team{{Name: "red"}}
 	settings.Params.Limits.MaxSockets = 100
-	client := c.net.Client(string(name))
+	client := c.network.Client(string(name))
 	store := state.NewClient("state:1", client, state.NewBudget(500, 200, 2, 0.6))
 	elector := election.NewElector(settings, store, &worker.Commander{HTTP: client, Timeout: time.Second}, string(name)+".1")
 	link := NewLink(settings, election.NewSingleShard(elector), store)
@@ -49,42 +49,42 @@
 	go link.Serve(c.pipes.Listen(string(name)))
 	link.Run(ctx)
 	go elector.Run(ctx)
-	go callRepeatedly(ctx, store)
+	go pollStore(ctx, store)
 	return elector, link
 }
 
-// callRepeatedly keeps a controller's view of the store fresh.
-func callRepeatedly(ctx context.Context, store *state.Client) {
+// pollStore calls the store at intervals, so that the controller counts it as reachable.
+func pollStore(ctx context.Context, store *state.Client) {
 	for ctx.Err() == nil {
-		_, _, _ = store.Get(ctx, record.KeysOf(0, 1).Generation(), state.Urgent) // only that it is answered counts
+		_, _, _ = store.Get(ctx, record.KeysOf(0, 1).Generation(), state.Urgent) // only whether the call succeeds matters
 		time.Sleep(500 * time.Millisecond)
 	}
 }
 
-func TestPeersConfirmTakeoversAndTellTheLeaderOfWrites(t *testing.T) {
+func TestPeersConfirmTakeoversAndNotifyLeaderOfWrites(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		cluster := newTestCluster()
 		a, linkA := cluster.start(ctx, "a", "b")
 		time.Sleep(2 * time.Second)
 		if a.Cluster() == nil {
-			t.Fatal("a does not lead")
+			t.Fatal("a did not become leader")
 		}
 		if linkA.ForShard(0).AllStopped(ctx, 1) {
-			t.Error("a node that does not answer confirmed that it stopped")
+			t.Error("AllStopped is true although the other controller does not answer")
 		}
 		b, linkB := cluster.start(ctx, "b", "a")
 		time.Sleep(3 * time.Second)
 		if !linkA.ForShard(0).AllStopped(ctx, 1) {
-			t.Error("a node that never led does not confirm")
+			t.Error("AllStopped is false although the other controller never led")
 		}
 		if linkB.ForShard(0).AllStopped(ctx, 1) {
-			t.Error("the leader confirmed that it stopped")
+			t.Error("the leader confirmed that it stopped answering heartbeats")
 		}
-		if !linkA.OthersServed() || !linkB.OthersServed() {
-			t.Error("the nodes do not know that the other is served")
+		if !linkA.AnyPeerReachesStore() || !linkB.AnyPeerReachesStore() {
+			t.Error("a controller does not report that the other reaches the state service")
 		}
-		// What b accepts, a learns at once, and b can explain it by asking a.
+		// b notifies the leader a of a job record that it accepted, and asks a to explain the job.
 		rec := record.New(record.Spec{ID: "job-1", Team: "red", Shape: record.Array, Tasks: 1, Resources: placement.Resources{Cores: 1}}, 1, "b")
 		raw, err := json.Marshal(rec)
 		if err != nil {
@@ -95,24 +95,24 @@
 		time.Sleep(time.Second)
 		lines, leader, err := linkB.Explain(ctx, "job-1")
 		if err != nil || leader != "a" || !strings.Contains(strings.Join(lines, " "), "no machine has room") {
-			t.Errorf("explained by %s as %q: %v", leader, lines, err)
+			t.Errorf("explanation by leader %q: got %q, %v", leader, lines, err)
 		}
 		// A higher generation makes the leader step down.
 		if !a.ConfirmStopped(99) || a.Cluster() != nil {
-			t.Error("the leader stays although a peer is ahead")
+			t.Error("the leader did not step down for a higher generation")
 		}
 		if b.Cluster() != nil {
-			t.Error("b leads beside a's lease")
+			t.Error("b leads although the lease of a has not expired")
 		}
 		cancel()
 		cluster.pipes.Close()
-		time.Sleep(time.Minute) // idle connections are given up
+		time.Sleep(time.Minute) // lets idle connections reach their timeout
 	})
 }
 
 func TestAllPeersAreAskedInParallel(t *testing.T) {
-	// Guards against a takeover that waits for a timeout per controller that is
-	// down, one after the other.
+	// Guards against a takeover that asks the controllers one after the other and so waits for one
+	// timeout per controller that is down.
 	synctest.Test(t, func(t *testing.T) {
 		ctx := context.Background()
 		settings := &config.Settings{HostName: "a", Operator: config.DefaultOperator(), Peers: []config.Peer{
@@ -126,10 +126,10 @@
 		}
 		began := time.Now()
 		if link.ForShard(0).AllStopped(ctx, 7) {
-			t.Error("nobody answered, and yet all have stopped")
+			t.Error("AllStopped is true although no controller answered")
 		}
 		if took := time.Since(began); dials.Load() != 4 || took > callTimeout {
-			t.Errorf("%d asked in %v", dials.Load(), took)
+			t.Errorf("%d controllers asked in %v, want 4 within the call timeout", dials.Load(), took)
 		}
 	})
 }
--- a/internal/peer/transfer_test.go
+++ b/internal/peer/transfer_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-func TestIdleControllerTransfersItsChanges(t *testing.T) {
+func TestIdleControllerTransfersUnusedChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		cluster := newTestCluster()
@@ -16,7 +16,7 @@
 		time.Sleep(100 * time.Millisecond)
 		dialsBefore := cluster.pipes.Dials()
 		if asking.requestTransfer(ctx, 1) || cluster.pipes.Dials() > dialsBefore {
-			t.Error("a controller that was never heard was asked")
+			t.Error("a controller that never sent a health report was asked or transferred changes")
 		}
 		_, idle := cluster.start(ctx, "b", "a")
 		time.Sleep(3 * time.Second)
@@ -25,18 +25,18 @@
 			given += 5
 		}
 		if given == 0 || given >= 1000 {
-			t.Errorf("%d changes given", given)
+			t.Errorf("%d changes transferred, want above 0 and below 1000", given)
 		}
 		if idle.store.Budget().TransferOut(5) {
-			t.Error("what was given away is still there")
+			t.Error("the other controller still has the changes that it transferred")
 		}
 		cancel()
 		cluster.pipes.Close()
-		time.Sleep(time.Minute) // idle connections are given up
+		time.Sleep(time.Minute) // lets idle connections reach their timeout
 	})
 }
 
-// serviceWithoutTransfers is the peer service of a controller of a version that does not know them.
+// serviceWithoutTransfers is the peer service of an older version, which lacks the Transfer method.
 type serviceWithoutTransfers struct{}
 
 func (serviceWithoutTransfers) Greet(_ *Hello, out *Hello) error {
@@ -44,9 +44,9 @@
 	return nil
 }
 
-func TestOlderControllerTransfersNothingAtOnce(t *testing.T) {
-	// Guards against a user kept waiting, or a connection dropped, for a call that older
-	// versions do not know.
+func TestTransferRequestToOlderControllerFailsAtOnce(t *testing.T) {
+	// Guards against a delayed user request or a closed connection because of a call that older versions
+	// lack.
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		cluster := newTestCluster()
@@ -61,7 +61,7 @@
 				if err != nil {
 					return
 				}
-				go server.ServeConn(&idleConn{conn})
+				go server.ServeConn(&timeoutConn{conn})
 			}
 		}()
 		_, link := cluster.start(ctx, "a", "b")
@@ -71,16 +71,16 @@
 			defer link.connections.mu.Unlock()
 			return link.connections.clients["b"]
 		}
-		kept := connection()
+		connectionBefore := connection()
 		began := time.Now()
 		if link.requestTransfer(ctx, 1) {
-			t.Error("an older controller gave changes")
+			t.Error("a controller without Transfer transferred changes")
 		}
 		if took := time.Since(began); took > 50*time.Millisecond {
-			t.Errorf("its answer took %v", took)
+			t.Errorf("the request to a controller without Transfer took %v", took)
 		}
-		if kept == nil || connection() != kept {
-			t.Error("its connection was given up")
+		if connectionBefore == nil || connection() != connectionBefore {
+			t.Error("the connection to a controller without Transfer was closed")
 		}
 		cancel()
 		cluster.pipes.Close()
