--- a/cmd/pebbletrail/controller.go
+++ b/cmd/pebbletrail/controller.go
@@ -66,7 +66,7 @@
 	c.cloud = c.newCloudClient(cloudConnections)
 	commander := &worker.Commander{HTTP: newHTTPClient(machineConnections, settings.Sockets().ToMachines/2), Timeout: machineCommandTimeout}
 	c.shards = election.NewShards(settings, c.state, commander, incarnation)
-	c.shards.OnRefused = exitOnRefusal
+	c.shards.OnStoreUnusable = exitOnRefusal
 	c.link = peer.NewLink(settings, c.shards, c.state)
 	c.types = &machineTypes{cloud: c.cloud, shards: c.shards}
 	for i, elector := range c.shards.Electors() {
@@ -146,7 +146,7 @@
 // shard and drains enabled, it also carries out rollouts.
 func (c *controller) provision(ctx context.Context, elector *election.Elector, shard ids.Shard, term *election.Term) {
 	provisioner := &fleet.Provisioner{Cloud: c.cloud, Cluster: term.Cluster, Store: term.Committer, Generation: term.Generation,
-		ConfirmLeadership: func() bool { return elector.LeaseSurelyHeld(term) },
+		ConfirmLeadership: func() bool { return elector.HoldsLease(term) },
 		Keys:              record.KeysOf(shard, c.settings.ShardCount()), Shard: shard,
 		ListInterval: max(minListInterval, c.settings.Params.Cloud.ListLagS.Duration()/2)}
 	if c.settings.ShardCount() > 1 {
--- a/internal/election/elector.go
+++ b/internal/election/elector.go
@@ -25,13 +25,13 @@
 
 // Peers is the interface through which an elector queries the other controllers.
 type Peers interface {
-	// AllStopped asks the named controllers, or all others if none is named, to confirm that they no longer
+	// AllConfirmStopped asks the named controllers, or all others if none is named, to confirm that they no longer
 	// answer heartbeats under a generation older than this one. It reports whether all have confirmed.
-	AllStopped(ctx context.Context, generation ids.Generation, nodes ...ids.Node) bool
-	// Alone reports whether there are other controllers and none of them has been heard recently.
-	Alone() bool
-	// Served reports whether another controller is up and the state service answers it.
-	Served(node ids.Node) bool
+	AllConfirmStopped(ctx context.Context, generation ids.Generation, nodes ...ids.Node) bool
+	// NoPeerUp reports whether there are other controllers and none of them has been heard recently.
+	NoPeerUp() bool
+	// PeerReachesStore reports whether another controller is up and the state service answers it.
+	PeerReachesStore(node ids.Node) bool
 }
 
 // Elector takes part in the leader election of one shard, and leads the shard during its terms. Its fields
--- a/internal/election/failover_confirmation.go
+++ b/internal/election/failover_confirmation.go
@@ -34,7 +34,7 @@
 		if e.Peers == nil {
 			return
 		}
-		if e.Peers.AllStopped(ctx, term.Generation, nodes...) {
+		if e.Peers.AllConfirmStopped(ctx, term.Generation, nodes...) {
 			now := time.Now()
 			term.Cluster.TrustSilenceFrom(now.Add(e.settings.Params.Workers.LeaseS.WithClockDrift()))
 			return
--- a/internal/election/rebalance.go
+++ b/internal/election/rebalance.go
@@ -37,7 +37,7 @@
 			continue
 		}
 		own, preferred := elector.settings.HostName, preferredController(elector.settings, elector.shard)
-		if preferred != own && elector.Peers.Served(preferred) && ledShards[own] >= ledShards[preferred]+minShardExcess {
+		if preferred != own && elector.Peers.PeerReachesStore(preferred) && ledShards[own] >= ledShards[preferred]+minShardExcess {
 			elector.resign(term, "another controller that is up leads fewer shards")
 			return
 		}
--- a/internal/election/renewal.go
+++ b/internal/election/renewal.go
@@ -36,6 +36,6 @@
 	}
 }
 
-// LeaseSurelyHeld reports whether no other node can lead the shard: by this node's clock, the term's lease,
+// HoldsLease reports whether no other node can lead the shard: by this node's clock, the term's lease,
 // counted from when the last successful renewal was sent, has not expired.
-func (e *Elector) LeaseSurelyHeld(term *Term) bool { return term.authority.holdsLease() }
+func (e *Elector) HoldsLease(term *Term) bool { return term.authority.holdsLease() }
--- a/internal/election/shards.go
+++ b/internal/election/shards.go
@@ -21,10 +21,10 @@
 // several of them (docs/shards.md). Its fields either don't change after Run is called or are safe for
 // concurrent use.
 type Shards struct {
-	// OnRefused is called with the reason if the store can't be used: ErrLayoutMismatch if it is laid out for
+	// OnStoreUnusable is called with the reason if the store can't be used: ErrLayoutMismatch if it is laid out for
 	// another number of shards, ErrJobsStored if it has no layout but is in use, possibly by an older version,
 	// or quota.ErrBadLedger. It must be set before Run.
-	OnRefused func(error)
+	OnStoreUnusable func(error)
 
 	electors  []*Elector // by shard
 	caches    watchCaches
@@ -60,11 +60,11 @@
 
 func newShards(electors []*Elector, store *state.Client, caches watchCaches) *Shards {
 	return &Shards{
-		OnRefused: func(error) {},
-		electors:  electors,
-		caches:    caches,
-		layout:    &storeLayout{store: store, cache: caches.pool, shards: len(electors)},
-		shortages: newShortageReports(),
+		OnStoreUnusable: func(error) {},
+		electors:        electors,
+		caches:          caches,
+		layout:          &storeLayout{store: store, cache: caches.pool, shards: len(electors)},
+		shortages:       newShortageReports(),
 	}
 }
 
@@ -95,7 +95,7 @@
 	go s.allowances.Run(ctx)
 	if err := s.layout.ensure(ctx); err != nil {
 		if isStoreUnusable(err) {
-			s.OnRefused(err)
+			s.OnStoreUnusable(err)
 		}
 		return
 	}
@@ -107,10 +107,10 @@
 	<-ctx.Done()
 }
 
-// checkSingleLayout calls OnRefused if the store is laid out for several shards.
+// checkSingleLayout calls OnStoreUnusable if the store is laid out for several shards.
 func (s *Shards) checkSingleLayout(ctx context.Context) {
 	if found, err := s.layout.checkCached(ctx); found {
-		s.OnRefused(err)
+		s.OnStoreUnusable(err)
 	}
 }
 
@@ -141,7 +141,7 @@
 	if !known || int(owner) >= len(s.electors) {
 		// If the owner is unknown, the machine's provisioning request is not answered yet or the machine has
 		// none; its owner will soon be known. If the owner is beyond the configured shards, the store is laid
-		// out for more shards, and this node reports that through OnRefused once it has read the layout.
+		// out for more shards, and this node reports that through OnStoreUnusable once it has read the layout.
 		return nil, http.StatusServiceUnavailable, worker.Redirect{}
 	}
 	return s.electors[owner].Heartbeat(ctx, report)
--- a/internal/peer/health.go
+++ b/internal/peer/health.go
@@ -62,13 +62,13 @@
 	return l.health.any(func(report healthReport) bool { return report.storeReachable && report.isUp() })
 }
 
-// Alone reports whether the settings list other controllers and none of them counts as up.
-func (l *Link) Alone() bool {
+// NoPeerUp reports whether the settings list other controllers and none of them counts as up.
+func (l *Link) NoPeerUp() bool {
 	return !l.health.any(healthReport.isUp) && len(l.settings.Peers) > 0
 }
 
-// Served reports whether another controller is up and can reach the state service.
-func (l *Link) Served(node ids.Node) bool {
+// PeerReachesStore reports whether another controller is up and can reach the state service.
+func (l *Link) PeerReachesStore(node ids.Node) bool {
 	report := l.health.lastReport(node)
 	return report.storeReachable && report.isUp()
 }
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -70,15 +70,15 @@
 		if a.Cluster() == nil {
 			t.Fatal("a did not become leader")
 		}
-		if linkA.ForShard(0).AllStopped(ctx, 1) {
-			t.Error("AllStopped is true although the other controller does not answer")
+		if linkA.ForShard(0).AllConfirmStopped(ctx, 1) {
+			t.Error("AllConfirmStopped is true although the other controller does not answer")
 		}
 		b, linkB := cluster.start(ctx, "b", "a")
 		time.Sleep(3 * time.Second)
-		if !linkA.ForShard(0).AllStopped(ctx, 1) {
-			t.Error("AllStopped is false although the other controller never led")
+		if !linkA.ForShard(0).AllConfirmStopped(ctx, 1) {
+			t.Error("AllConfirmStopped is false although the other controller never led")
 		}
-		if linkB.ForShard(0).AllStopped(ctx, 1) {
+		if linkB.ForShard(0).AllConfirmStopped(ctx, 1) {
 			t.Error("the leader confirmed that it stopped answering heartbeats")
 		}
 		if !linkA.AnyPeerReachesStore() || !linkB.AnyPeerReachesStore() {
@@ -125,8 +125,8 @@
 			return nil, errors.New("no answer")
 		}
 		began := time.Now()
-		if link.ForShard(0).AllStopped(ctx, 7) {
-			t.Error("AllStopped is true although no controller answered")
+		if link.ForShard(0).AllConfirmStopped(ctx, 7) {
+			t.Error("AllConfirmStopped is true although no controller answered")
 		}
 		if took := time.Since(began); dials.Load() != 4 || took > callTimeout {
 			t.Errorf("%d controllers asked in %v, want 4 within the call timeout", dials.Load(), took)
--- a/internal/peer/takeover.go
+++ b/internal/peer/takeover.go
@@ -32,10 +32,10 @@
 	shard ids.Shard
 }
 
-// AllStopped reports whether all given controllers, or all other controllers if none is given, confirm
+// AllConfirmStopped reports whether all given controllers, or all other controllers if none is given, confirm
 // that they no longer answer heartbeats under generations older than the given one. It asks them
 // concurrently, since each unresponsive one costs a timeout, and waits for all answers.
-func (p shardPeers) AllStopped(ctx context.Context, generation ids.Generation, nodes ...ids.Node) bool {
+func (p shardPeers) AllConfirmStopped(ctx context.Context, generation ids.Generation, nodes ...ids.Node) bool {
 	if len(nodes) == 0 {
 		for _, other := range p.settings.Peers {
 			nodes = append(nodes, other.HostName)
--- a/internal/scenarios/drain_node_test.go
+++ b/internal/scenarios/drain_node_test.go
@@ -66,7 +66,7 @@
 		Store:             term.Committer,
 		Generation:        term.Generation,
 		Keys:              record.KeysOf(0, 1),
-		ConfirmLeadership: func() bool { return n.elector.LeaseSurelyHeld(term) },
+		ConfirmLeadership: func() bool { return n.elector.HoldsLease(term) },
 		ListInterval:      2 * time.Second,
 	}
 	provisioner.Adopt(term.OpenProvisioningRequests)
@@ -108,9 +108,9 @@
 	return nil
 }
 
-// AllStopped reports whether every other running node can be reached and confirms that it answers no
+// AllConfirmStopped reports whether every other running node can be reached and confirms that it answers no
 // heartbeats under an older generation. It asks all of them, also after one has not confirmed.
-func (n *drainNode) AllStopped(_ context.Context, generation ids.Generation, _ ...ids.Node) bool {
+func (n *drainNode) AllConfirmStopped(_ context.Context, generation ids.Generation, _ ...ids.Node) bool {
 	n.cluster.mu.Lock()
 	defer n.cluster.mu.Unlock()
 	all := true
@@ -122,11 +122,11 @@
 	return all
 }
 
-// Alone returns false, because some of the five controllers are always up.
-func (n *drainNode) Alone() bool { return false }
+// NoPeerUp returns false, because some of the five controllers are always up.
+func (n *drainNode) NoPeerUp() bool { return false }
 
-// Served reports whether another node runs.
-func (n *drainNode) Served(node ids.Node) bool {
+// PeerReachesStore reports whether another node runs.
+func (n *drainNode) PeerReachesStore(node ids.Node) bool {
 	n.cluster.mu.Lock()
 	defer n.cluster.mu.Unlock()
 	return n.cluster.nodes[string(node)] != nil
--- a/internal/scenarios/leadership_test.go
+++ b/internal/scenarios/leadership_test.go
@@ -10,7 +10,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/fake"
 )
 
-// TestLeaderIsCertainOnlyWithinItsLease checks LeaseSurelyHeld, which must be false once the lease
+// TestLeaderIsCertainOnlyWithinItsLease checks HoldsLease, which must be false once the lease
 // may have expired. The deletion of machines relies on it, because the API of the cloud takes no
 // fencing token.
 func TestLeaderIsCertainOnlyWithinItsLease(t *testing.T) {
@@ -19,7 +19,7 @@
 		a := c.startNode("a")
 		time.Sleep(5 * time.Second)
 		term := a.elector.Term()
-		if term == nil || !a.elector.LeaseSurelyHeld(term) {
+		if term == nil || !a.elector.HoldsLease(term) {
 			t.Fatal("a leader that renews its lease is not certain that it holds the lease")
 		}
 		c.network.SetRule(func(from, to string, _ *http.Request, _ []byte) fake.Outcome {
@@ -29,7 +29,7 @@
 			return fake.Deliver
 		})
 		time.Sleep(1600 * time.Millisecond)
-		if a.elector.LeaseSurelyHeld(term) {
+		if a.elector.HoldsLease(term) {
 			t.Error("a leader whose lease may have expired is certain that it holds the lease")
 		}
 		c.network.SetRule(nil)
--- a/internal/scenarios/node_test.go
+++ b/internal/scenarios/node_test.go
@@ -46,9 +46,9 @@
 	}
 }
 
-// AllStopped reports whether the other node runs, can be reached and confirms that it answers no
+// AllConfirmStopped reports whether the other node runs, can be reached and confirms that it answers no
 // heartbeats under an older generation.
-func (n *testNode) AllStopped(_ context.Context, generation ids.Generation, of ...ids.Node) bool {
+func (n *testNode) AllConfirmStopped(_ context.Context, generation ids.Generation, of ...ids.Node) bool {
 	n.cluster.mu.Lock()
 	defer n.cluster.mu.Unlock()
 	n.askedForConfirmation = of
@@ -60,8 +60,8 @@
 	return false
 }
 
-// Alone reports whether the other node is down or can't be reached.
-func (n *testNode) Alone() bool {
+// NoPeerUp reports whether the other node is down or can't be reached.
+func (n *testNode) NoPeerUp() bool {
 	n.cluster.mu.Lock()
 	defer n.cluster.mu.Unlock()
 	for name := range n.cluster.nodes {
@@ -72,8 +72,8 @@
 	return true
 }
 
-// Served reports whether another node runs and can be reached.
-func (n *testNode) Served(other ids.Node) bool {
+// PeerReachesStore reports whether another node runs and can be reached.
+func (n *testNode) PeerReachesStore(other ids.Node) bool {
 	n.cluster.mu.Lock()
 	defer n.cluster.mu.Unlock()
 	return n.cluster.nodes[string(other)] != nil && !n.cluster.isPartitioned(n.name, string(other))
--- a/internal/scenarios/shard_node_test.go
+++ b/internal/scenarios/shard_node_test.go
@@ -20,7 +20,7 @@
 	n := &shardNode{process: c.newProcess(name, c.shardSettings(name), fiveNodeBudget())}
 	n.store.Budget().SetShardCount(c.shardCount)
 	n.shards = election.NewShards(n.settings, n.store, n.commander(), n.writer)
-	n.shards.OnRefused = func(err error) { n.startupError = err }
+	n.shards.OnStoreUnusable = func(err error) { n.startupError = err }
 	for _, elector := range n.shards.Electors() {
 		elector.Peers = shardPeers{cluster: c}
 		elector.OnTerm = func(_ context.Context, term *election.Term) { term.Cluster.SetMachineTypes(instanceTypes()) }
@@ -49,14 +49,14 @@
 	cluster *shardCluster
 }
 
-// AllStopped returns false: the other controllers never confirm that they stopped.
-func (shardPeers) AllStopped(context.Context, ids.Generation, ...ids.Node) bool { return false }
+// AllConfirmStopped returns false: the other controllers never confirm that they stopped.
+func (shardPeers) AllConfirmStopped(context.Context, ids.Generation, ...ids.Node) bool { return false }
 
-// Alone returns false, because some of the five controllers are always up.
-func (shardPeers) Alone() bool { return false }
+// NoPeerUp returns false, because some of the five controllers are always up.
+func (shardPeers) NoPeerUp() bool { return false }
 
-// Served reports whether another node runs.
-func (p shardPeers) Served(node ids.Node) bool {
+// PeerReachesStore reports whether another node runs.
+func (p shardPeers) PeerReachesStore(node ids.Node) bool {
 	p.cluster.mu.Lock()
 	defer p.cluster.mu.Unlock()
 	return p.cluster.nodes[string(node)] != nil
