--- a/internal/clusterstate/oversize.go
+++ b/internal/clusterstate/oversize.go
@@ -53,7 +53,7 @@
 	for runs := job.Record.Finished.SpanCount(); runs > 1; {
 		runs /= 2
 		job.Record.Finished = job.Record.Finished.LongestSpans(runs)
-		job.KeptRuns = runs
+		job.KeptSpans = runs
 		rec := job.Record
 		rec.Events = nil
 		if _, fits := rec.Encode(c.ValueLimit() / 2); fits {
--- a/internal/clusterstate/starvation_test.go
+++ b/internal/clusterstate/starvation_test.go
@@ -27,7 +27,7 @@
 		submitJob := func(id ids.Job, team string, priority record.Priority, tasks int, cores float64, estimate ids.Seconds) {
 			rec := newRecord(id, team, priority, tasks, cores)
 			rec.Spec.EstimatedDuration = estimate
-			cluster.submit(ids.Revision(cluster.jobs.Retired()+cluster.jobs.Len()+1), rec, time.Now())
+			cluster.submit(ids.Revision(cluster.jobs.RetiredCount()+cluster.jobs.Len()+1), rec, time.Now())
 		}
 		for second := range 420 {
 			if second == 30 {
@@ -101,7 +101,7 @@
 		cluster := newStateWithMachines(1)
 		cluster.setTeams(config.Team{Name: "red", CPUs: 4}, config.Team{Name: "blue"})
 		cluster.submit(1, newRecord("job-1", "blue", record.Low, 1, 4), time.Now())
-		cluster.jobs.Get("job-1").ReservationSoughtAt = time.Now()
+		cluster.jobs.Get("job-1").LastReservationAttempt = time.Now()
 		cluster.Plan(time.Now())
 		assignment := cluster.assignmentsOf("job-1")[0]
 		if assignment == nil {
--- a/internal/reconcile/tasks.go
+++ b/internal/reconcile/tasks.go
@@ -106,7 +106,7 @@
 	if changed {
 		t.recordStatusChange(assignment, reported, now)
 	}
-	if reported.State == worker.StateRunning && !assignment.RunningSince.IsZero() && assignment.Outlasts(now) {
+	if reported.State == worker.StateRunning && !assignment.RunningSince.IsZero() && assignment.ShowsJobIsHealthy(now) {
 		t.failures.attributeToMachines(assignment.Job)
 	}
 	assignment.Status = reported.State
--- a/internal/scheduler/assign.go
+++ b/internal/scheduler/assign.go
@@ -143,10 +143,10 @@
 			assigned = append(assigned, assignment)
 		}
 	}
-	if !job.ReservationSoughtAt.IsZero() {
+	if !job.LastReservationAttempt.IsZero() {
 		a.protectFromPreemption(job, assigned)
 		a.reservations.removeForJob(job) // the job may have started on machines that were not reserved
-		job.ReservationSoughtAt = time.Time{}
+		job.LastReservationAttempt = time.Time{}
 	}
 	a.cluster.RecordRestarts(job, assigned)
 }
--- a/internal/scheduler/machine_reserver.go
+++ b/internal/scheduler/machine_reserver.go
@@ -41,7 +41,7 @@
 	if job.EffectivePriority() >= record.High && (tasks < 2 || job.Record.Spec.Shape != record.Gang) {
 		return false
 	}
-	return !job.Suspect() && job.Starving(now) && now.Sub(job.ReservationSoughtAt) >= reservationRetryDelay
+	return !job.Suspect() && job.Starving(now) && now.Sub(job.LastReservationAttempt) >= reservationRetryDelay
 }
 
 // reservableNode is a node with the estimated time until its tasks have ended.
@@ -58,7 +58,7 @@
 	if !wantsReservation(job, n, now) {
 		return false
 	}
-	job.ReservationSoughtAt = now
+	job.LastReservationAttempt = now
 	if r.reservations.countAwaitingTaskEnd(now)+n > max(2*n, len(r.Capacity.Nodes())/reservedFleetDivisor) {
 		return false
 	}
--- a/internal/workload/failures.go
+++ b/internal/workload/failures.go
@@ -142,8 +142,8 @@
 // is not at fault.
 const outlastMargin = 30 * time.Second
 
-// Outlasts reports whether a running task shows that its job, which has failures, is not at fault.
-func (a *Assignment) Outlasts(now time.Time) bool {
+// ShowsJobIsHealthy reports whether a running task shows that its job, which has failures, is not at fault.
+func (a *Assignment) ShowsJobIsHealthy(now time.Time) bool {
 	failures := &a.Job.Failures
 	if failures.Tasks == 0 && a.Job.Record.FailedMachines == 0 {
 		return false
--- a/internal/workload/job.go
+++ b/internal/workload/job.go
@@ -53,9 +53,9 @@
 	// OversizeVersion is the version that was encoded then.
 	Oversize        bool
 	OversizeVersion uint64
-	// KeptRuns is the number of runs of consecutive finished tasks that were kept to make the record fit into a
+	// KeptSpans is the number of runs of consecutive finished tasks that were kept to make the record fit into a
 	// value of the state service; 0: all.
-	KeptRuns int
+	KeptSpans int
 
 	// PendingReason is the reason why tasks are pending, and LoggedReason is the reason that was last logged.
 	PendingReason, LoggedReason string
@@ -69,8 +69,8 @@
 	StartLasted bool
 	// UnassignedSince is when the job's last assignment was removed.
 	UnassignedSince time.Time
-	// ReservationSoughtAt is when the scheduler last looked for machines to reserve for the job.
-	ReservationSoughtAt time.Time
+	// LastReservationAttempt is when the scheduler last looked for machines to reserve for the job.
+	LastReservationAttempt time.Time
 }
 
 // NewJob returns the job of a stored record. The caller adds its assignments.
--- a/internal/workload/queue.go
+++ b/internal/workload/queue.go
@@ -69,5 +69,5 @@
 // IsRetired reports whether a job's final record was stored in this term and its ID is still recorded.
 func (q *Queue) IsRetired(id ids.Job) bool { return q.retired[id] }
 
-// Retired returns the number of recorded IDs of retired jobs.
-func (q *Queue) Retired() int { return len(q.retired) }
+// RetiredCount returns the number of recorded IDs of retired jobs.
+func (q *Queue) RetiredCount() int { return len(q.retired) }
--- a/internal/workload/record_size.go
+++ b/internal/workload/record_size.go
@@ -83,5 +83,5 @@
 // MayRecordFinished reports whether one more finished task without an assignment may be recorded. It may not
 // if such tasks had to be left out to make the record fit.
 func (j *Job) MayRecordFinished() bool {
-	return j.KeptRuns == 0 || j.Record.Finished.SpanCount() < j.KeptRuns
+	return j.KeptSpans == 0 || j.Record.Finished.SpanCount() < j.KeptSpans
 }
--- a/internal/workload/workload_test.go
+++ b/internal/workload/workload_test.go
@@ -138,8 +138,8 @@
 	for i := range maxRetired + 2 {
 		queue.Retire(name(i))
 	}
-	if queue.Retired() != maxRetired {
-		t.Errorf("%d retired IDs are recorded, want %d", queue.Retired(), maxRetired)
+	if queue.RetiredCount() != maxRetired {
+		t.Errorf("%d retired IDs are recorded, want %d", queue.RetiredCount(), maxRetired)
 	}
 	for i, want := range map[int]bool{0: false, 1: false, 2: true, maxRetired + 1: true} {
 		if got := queue.IsRetired(name(i)); got != want {
