--- a/internal/capacity/consistency.go
+++ b/internal/capacity/consistency.go
@@ -13,7 +13,7 @@
 // visits the whole fleet.
 func (x *Index) CheckConsistency() error {
 	for name, node := range x.nodes {
-		if node.Class != nil && node.Class.Open[node.position] != node {
+		if node.Class != nil && node.Class.OpenNodes[node.position] != node {
 			return fmt.Errorf("%w: node %s is not at its recorded position in the list of its class", ErrInconsistent, name)
 		}
 	}
--- a/internal/capacity/index.go
+++ b/internal/capacity/index.go
@@ -35,11 +35,11 @@
 	return cmp.Or(cmp.Compare(c.Type, other.Type), cmp.Compare(c.Zone, other.Zone), spot)
 }
 
-// Class is an instance class. Open lists its nodes that have capacity left, in no particular order.
+// Class is an instance class. OpenNodes lists its nodes that have capacity left, in no particular order.
 type Class struct {
 	InstanceClass
-	Offer *placement.InstanceType
-	Open  []*Node
+	InstanceType *placement.InstanceType
+	OpenNodes    []*Node
 }
 
 // Index indexes the nodes of a shard. The machines themselves are in the registry. Reindex must be called
@@ -67,7 +67,7 @@
 	}
 	for _, class := range x.sortedClasses {
 		if offer := x.types[class.Type]; offer != nil {
-			class.Offer = offer
+			class.InstanceType = offer
 		}
 	}
 	for _, node := range x.nodes {
@@ -141,7 +141,7 @@
 func (x *Index) Reindex(node *Node) {
 	class := x.classOf(node)
 	if class != nil {
-		free := class.Offer.Capacity().Minus(node.Used)
+		free := class.InstanceType.Capacity().Minus(node.Used)
 		if free.Cores < minFree || free.RAM < minFree {
 			class = nil
 		}
@@ -150,15 +150,15 @@
 		return
 	}
 	if old := node.Class; old != nil {
-		last := len(old.Open) - 1
-		old.Open[node.position] = old.Open[last]
-		old.Open[node.position].position = node.position
-		old.Open = old.Open[:last]
+		last := len(old.OpenNodes) - 1
+		old.OpenNodes[node.position] = old.OpenNodes[last]
+		old.OpenNodes[node.position].position = node.position
+		old.OpenNodes = old.OpenNodes[:last]
 	}
 	node.Class, node.position = class, -1
 	if class != nil {
-		node.position = len(class.Open)
-		class.Open = append(class.Open, node)
+		node.position = len(class.OpenNodes)
+		class.OpenNodes = append(class.OpenNodes, node)
 	}
 }
 
@@ -172,7 +172,7 @@
 	key := InstanceClass{machine.Type, machine.Zone, machine.Spot}
 	class := x.classes[key]
 	if class == nil && x.types[machine.Type] != nil {
-		class = &Class{InstanceClass: key, Offer: x.types[machine.Type]}
+		class = &Class{InstanceClass: key, InstanceType: x.types[machine.Type]}
 		x.classes[key] = class
 		x.sortedClasses = append(x.sortedClasses, class)
 		slices.SortFunc(x.sortedClasses, func(a, b *Class) int { return a.compare(b.InstanceClass) })
--- a/internal/capacity/index_test.go
+++ b/internal/capacity/index_test.go
@@ -118,13 +118,13 @@
 	index := newTestIndex(6)
 	got := ""
 	for _, class := range index.Classes() {
-		got += fmt.Sprintf("%s/%s/%v:%d ", class.Type, class.Zone, class.Spot, len(class.Open))
+		got += fmt.Sprintf("%s/%s/%v:%d ", class.Type, class.Zone, class.Spot, len(class.OpenNodes))
 	}
 	if want := "small/north/false:2 small/north/true:1 small/south/false:2 small/south/true:1 "; got != want {
 		t.Errorf("classes and their node counts: %s, want %s", got, want)
 	}
 	index.Remove("m0")
-	if index.Node("m0") != nil || index.machines.Machines["m0"] != nil || len(index.Classes()[1].Open) != 0 {
+	if index.Node("m0") != nil || index.machines.Machines["m0"] != nil || len(index.Classes()[1].OpenNodes) != 0 {
 		t.Error("the removed machine is still in the index or in the registry")
 	}
 }
--- a/internal/capacity/node.go
+++ b/internal/capacity/node.go
@@ -26,7 +26,7 @@
 	// Class is the class that lists the node. It is nil if the node is full, its machine is not in use, or
 	// its machine type is unknown.
 	Class    *Class
-	position int // index in Class.Open, or -1 if Class is nil
+	position int // index in Class.OpenNodes, or -1 if Class is nil
 }
 
 // ImagePull is the pull of an image to a node.
@@ -37,7 +37,7 @@
 }
 
 // Free returns the unallocated capacity of a node. Class must not be nil.
-func (n *Node) Free() placement.Resources { return n.Class.Offer.Capacity().Minus(n.Used) }
+func (n *Node) Free() placement.Resources { return n.Class.InstanceType.Capacity().Minus(n.Used) }
 
 // add adds an assignment and updates the resource sums.
 func (n *Node) add(assignment *workload.Assignment) {
--- a/internal/clusterstate/planning_cost_test.go
+++ b/internal/clusterstate/planning_cost_test.go
@@ -96,7 +96,7 @@
 			if machine := cluster.machines.Machines[name]; open != (machine.HasReported && assigned[name] < 4) {
 				t.Fatalf("%s: %s with %d tasks is indexed as open: %v", when, name, assigned[name], open)
 			}
-			if open && !slices.Contains(node.Class.Open, node) {
+			if open && !slices.Contains(node.Class.OpenNodes, node) {
 				t.Fatalf("%s: %s is not among the open nodes of its class", when, name)
 			}
 		}
--- a/internal/eviction/capacity_finder.go
+++ b/internal/eviction/capacity_finder.go
@@ -63,10 +63,10 @@
 	request := job.Record.Spec.PlacementRequest()
 	var best bestNode
 	for _, class := range f.Capacity.Classes() {
-		if !request.Allows(class.Type, class.Zone, class.Spot) || class.Offer.Accels > 0 != accelerators || zones.Allowed(class.Zone, 1) == 0 {
+		if !request.Allows(class.Type, class.Zone, class.Spot) || class.InstanceType.Accels > 0 != accelerators || zones.Allowed(class.Zone, 1) == 0 {
 			continue
 		}
-		for _, node := range class.Open {
+		for _, node := range class.OpenNodes {
 			machine, ok := f.Capacity.UsableMachine(node, now, f.reportInterval())
 			_, taken := reserved[node.Name]
 			_, reservedNow := f.Scheduler.Reservations.On(node.Name, now)
--- a/internal/eviction/relocation.go
+++ b/internal/eviction/relocation.go
@@ -56,7 +56,7 @@
 	var best bestNode
 	for node := range r.Capacity.WithImage(request.Image) {
 		machine, ok := r.Capacity.UsableMachine(node, now, r.reportInterval())
-		if !ok || machine.Name == from.Name || machine.Zone != from.Zone || machine.DeleteWhenEmpty || node.Class.Offer.Accels > 0 {
+		if !ok || machine.Name == from.Name || machine.Zone != from.Zone || machine.DeleteWhenEmpty || node.Class.InstanceType.Accels > 0 {
 			continue
 		}
 		if !machine.Images.Has(request.Image) || !node.Free().Holds(request.Resources) ||
--- a/internal/scheduler/machine_reserver.go
+++ b/internal/scheduler/machine_reserver.go
@@ -157,7 +157,7 @@
 // and earlier failures.
 func candidateView(node *capacity.Node, machine *worker.Machine, job *workload.Job) placement.Candidate {
 	image := job.Record.Spec.Image
-	view := placement.Candidate{Name: node.Name, Type: node.Class.Offer, Zone: machine.Zone, Spot: machine.Spot, ScalingIn: machine.DeleteWhenEmpty,
+	view := placement.Candidate{Name: node.Name, Type: node.Class.InstanceType, Zone: machine.Zone, Spot: machine.Spot, ScalingIn: machine.DeleteWhenEmpty,
 		Free: node.Free(), OtherPulls: len(node.ImagePulls)}
 	view.ImageCached = machine.Images.Has(image)
 	view.ImageExpected = view.ImageCached || node.ImagePulls[image] != nil
--- a/internal/scheduler/search.go
+++ b/internal/scheduler/search.go
@@ -61,12 +61,12 @@
 func (s *search) selectClasses() {
 	s.classes, s.openNodes = s.classes[:0], 0
 	for _, class := range s.Capacity.Classes() {
-		if len(class.Open) == 0 || s.avoidAccelerators && class.Offer.Accels > 0 ||
-			!s.request.Allows(class.Type, class.Zone, class.Spot) || !class.Offer.Capacity().Holds(s.request.Resources) {
+		if len(class.OpenNodes) == 0 || s.avoidAccelerators && class.InstanceType.Accels > 0 ||
+			!s.request.Allows(class.Type, class.Zone, class.Spot) || !class.InstanceType.Capacity().Holds(s.request.Resources) {
 			continue
 		}
 		s.classes = append(s.classes, class)
-		s.openNodes += len(class.Open)
+		s.openNodes += len(class.OpenNodes)
 	}
 }
 
@@ -74,7 +74,7 @@
 // a usable machine has room for the task, even if other rules exclude it.
 func (s *search) evaluate(node *capacity.Node, retry *workload.Retry) (found candidate, ok, hasRoom bool) {
 	s.pass.machinesExamined++
-	if !node.Class.Offer.Capacity().Minus(node.Used).Holds(s.request.Resources) {
+	if !node.Class.InstanceType.Capacity().Minus(node.Used).Holds(s.request.Resources) {
 		return found, false, false
 	}
 	machine, usable := s.Capacity.UsableMachine(node, s.pass.now, s.reportInterval())
@@ -145,10 +145,10 @@
 // fewer: an assignment may have filled a node since the nodes were counted.
 func (s *search) nthOpenNode(n int) *capacity.Node {
 	for _, class := range s.classes {
-		if n < len(class.Open) {
-			return class.Open[n]
+		if n < len(class.OpenNodes) {
+			return class.OpenNodes[n]
 		}
-		n -= len(class.Open)
+		n -= len(class.OpenNodes)
 	}
 	return nil
 }
@@ -157,7 +157,7 @@
 func (s *search) countOpenNodes() {
 	s.openNodes = 0
 	for _, class := range s.classes {
-		s.openNodes += len(class.Open)
+		s.openNodes += len(class.OpenNodes)
 	}
 }
 
@@ -166,7 +166,7 @@
 	s.allListed, s.candidates = true, s.candidates[:0]
 	anyRoom := false
 	for _, class := range s.classes {
-		for _, node := range class.Open {
+		for _, node := range class.OpenNodes {
 			found, ok, hasRoom := s.evaluate(node, nil)
 			anyRoom = anyRoom || hasRoom
 			if ok {
