--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -49,9 +49,9 @@
 // were provisioned by the same request.
 const sameRequestTolerance = 2 * time.Second
 
-// IsOvertaken reports whether another machine of the same type that was provisioned together with the
+// LaterMachineBooted reports whether another machine of the same type that was provisioned together with the
 // given one, or after it, has booted already.
-func (e *Estimator) IsOvertaken(machine *worker.Machine) bool {
+func (e *Estimator) LaterMachineBooted(machine *worker.Machine) bool {
 	history := e.boots[machine.Type]
 	return history != nil && history.newestProvisioned.After(machine.ProvisionedAt.Add(-sameRequestTolerance))
 }
--- a/internal/estimate/estimate_test.go
+++ b/internal/estimate/estimate_test.go
@@ -57,12 +57,12 @@
 
 func TestMachinesAreOvertakenByLaterOnes(t *testing.T) {
 	estimator := newTestEstimator()
-	if estimator.IsOvertaken(bootedMachine(start)) {
+	if estimator.LaterMachineBooted(bootedMachine(start)) {
 		t.Error("a machine is overtaken although no machine has booted")
 	}
 	estimator.RecordBoot(bootedMachine(start), start.Add(time.Minute))
 	for after, want := range map[time.Duration]bool{-time.Minute: true, time.Second: true, 2 * time.Second: false, time.Minute: false} {
-		if got := estimator.IsOvertaken(bootedMachine(start.Add(after))); got != want {
+		if got := estimator.LaterMachineBooted(bootedMachine(start.Add(after))); got != want {
 			t.Errorf("machine provisioned %v after the one that has booted: overtaken is %v", after, got)
 		}
 	}
--- a/internal/provisioning/late_boots.go
+++ b/internal/provisioning/late_boots.go
@@ -73,7 +73,7 @@
 	}
 	replaced, replacedOfType, price := map[ids.Machine]bool{}, map[string]int{}, 0.0
 	for _, machine := range late {
-		if b.Estimates.IsOvertaken(machine) {
+		if b.Estimates.LaterMachineBooted(machine) {
 			replaced[machine.Name] = true
 			continue
 		}
