--- a/internal/provisioning/provisioning.go
+++ b/internal/provisioning/provisioning.go
@@ -34,8 +34,8 @@
 type Scheduler interface {
 	// Ranked returns the jobs that have tasks to assign, most important first.
 	Ranked(now time.Time) []*workload.Job
-	// QuotaLeft returns how many tasks of a spec, at most want, fit into the remaining quota of its team.
-	QuotaLeft(spec *record.Spec, want int) int
+	// TasksWithinQuota returns how many tasks of a spec, at most want, fit into the remaining quota of its team.
+	TasksWithinQuota(spec *record.Spec, want int) int
 }
 
 // Rollouts is the part of the shard's rollouts that the Planner uses.
--- a/internal/provisioning/provisioning_test.go
+++ b/internal/provisioning/provisioning_test.go
@@ -20,8 +20,8 @@
 // fakeScheduler ranks jobs by their time of submission and has no quotas.
 type fakeScheduler struct{ jobs *workload.Queue }
 
-func (s fakeScheduler) Ranked(time.Time) []*workload.Job       { return s.jobs.Ordered() }
-func (s fakeScheduler) QuotaLeft(_ *record.Spec, want int) int { return want }
+func (s fakeScheduler) Ranked(time.Time) []*workload.Job              { return s.jobs.Ordered() }
+func (s fakeScheduler) TasksWithinQuota(_ *record.Spec, want int) int { return want }
 
 // noRollouts implements Rollouts without any rollout.
 type noRollouts struct{}
--- a/internal/provisioning/queue_demand.go
+++ b/internal/provisioning/queue_demand.go
@@ -63,7 +63,7 @@
 	}
 	spec := &job.Record.Spec
 	queued := job.Unfinished() - len(job.Assignments) - job.CountBackingOff(now)
-	queued = min(queued, q.Scheduler.QuotaLeft(spec, max(queued, 0)))
+	queued = min(queued, q.Scheduler.TasksWithinQuota(spec, max(queued, 0)))
 	if queued <= 0 {
 		return 0, 0
 	}
--- a/internal/provisioning/usage.go
+++ b/internal/provisioning/usage.go
@@ -79,7 +79,7 @@
 	spec := &job.Record.Spec
 	wanted := job.Unfinished()
 	if spec.Shape == record.Array {
-		wanted = min(wanted, len(job.Assignments)+h.Scheduler.QuotaLeft(spec, wanted))
+		wanted = min(wanted, len(job.Assignments)+h.Scheduler.TasksWithinQuota(spec, wanted))
 	}
 	return wanted
 }
--- a/internal/scheduler/admission.go
+++ b/internal/scheduler/admission.go
@@ -36,8 +36,8 @@
 	return limit, reason
 }
 
-// quotaLeft implements Scheduler.QuotaLeft.
-func (a *admission) quotaLeft(spec *record.Spec, want int) int {
+// tasksWithinQuota implements Scheduler.TasksWithinQuota.
+func (a *admission) tasksWithinQuota(spec *record.Spec, want int) int {
 	return a.Quota.Available(spec.Team).CountFitting(spec.Resources, want)
 }
 
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -113,9 +113,9 @@
 // priority and size; failing jobs come last. It also sets Job.Guaranteed of all schedulable jobs.
 func (s *Scheduler) Ranked(now time.Time) []*workload.Job { return s.ranker.ranked(now) }
 
-// QuotaLeft returns how many more tasks of a job spec, at most want, the quota of its team allows.
-func (s *Scheduler) QuotaLeft(spec *record.Spec, want int) int {
-	return s.admission.quotaLeft(spec, want)
+// TasksWithinQuota returns how many more tasks of a job spec, at most want, the quota of its team allows.
+func (s *Scheduler) TasksWithinQuota(spec *record.Spec, want int) int {
+	return s.admission.tasksWithinQuota(spec, want)
 }
 
 // PreemptForOtherShards preempts tasks of teams that have to give up a part of this shard's quota
