--- a/internal/clusterstate/eviction.go
+++ b/internal/clusterstate/eviction.go
@@ -13,8 +13,8 @@
 		Estimates: c.estimates, Scheduler: c.scheduler, FirstGeneration: c.firstGeneration, Lock: &c.mu}, operations{c})
 }
 
-// CarryOut replaces the orders that rollouts give to the leader.
-func (c *State) CarryOut(orders *rollout.Orders) {
+// SetOrders replaces the orders that rollouts give to the leader.
+func (c *State) SetOrders(orders *rollout.Orders) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.evictor.CarryOut(orders) {
--- a/internal/clusterstate/eviction_test.go
+++ b/internal/clusterstate/eviction_test.go
@@ -19,7 +19,7 @@
 func TestEvictionWaitsForStoredPermitAndAvailableStore(t *testing.T) {
 	now := time.Now()
 	cluster := newStateWithDrains(t, now)
-	cluster.CarryOut(newDrainOrders("m1", "m2"))
+	cluster.SetOrders(newDrainOrders("m1", "m2"))
 	runEviction(cluster, now)
 	if n := cluster.jobs.Get("job-1").Record.EvictedTasks(); n != 1 || cluster.countStopping("job-1") != 0 {
 		t.Fatalf("%d permits and %d stops before the permit is stored, want 1 and 0", n, cluster.countStopping("job-1"))
@@ -45,10 +45,10 @@
 	// token.
 	now := time.Now()
 	cluster := newStateWithDrains(t, now)
-	cluster.CarryOut(newDrainOrders("m1"))
+	cluster.SetOrders(newDrainOrders("m1"))
 	runEviction(cluster, now)
 	cluster.markAllStored()
-	cluster.CarryOut(rollout.NewOrders())
+	cluster.SetOrders(rollout.NewOrders())
 	runEviction(cluster, now)
 	if n := cluster.jobs.Get("job-1").Record.EvictedTasks(); n != 1 {
 		t.Fatalf("%d permits are left while a stop of an earlier leader may arrive, want 1", n)
@@ -186,7 +186,7 @@
 	if cluster.evictor.Looks() != 0 {
 		t.Errorf("%d budget checks without a rollout", cluster.evictor.Looks())
 	}
-	cluster.CarryOut(newDrainOrders("m1"))
+	cluster.SetOrders(newDrainOrders("m1"))
 	for i := range 100 {
 		cluster.Plan(now.Add(time.Duration(i) * 10 * time.Millisecond))
 	}
--- a/internal/clusterstate/helpers_eviction_test.go
+++ b/internal/clusterstate/helpers_eviction_test.go
@@ -32,7 +32,7 @@
 	}
 	service := newServiceRecord("job-1", "red", record.Normal, 4, 4)
 	cluster.submit(1, service, now)
-	cluster.CarryOut(rollout.NewOrders())
+	cluster.SetOrders(rollout.NewOrders())
 	cluster.Plan(now)
 	cluster.markAllStored()
 	job := cluster.jobs.Get("job-1")
--- a/internal/clusterstate/provisioning.go
+++ b/internal/clusterstate/provisioning.go
@@ -94,8 +94,8 @@
 	return liveness.IsolatedFromWorkers(c.machines, redirected, c.settings.Params.Workers.ReportS, now)
 }
 
-// HearsNoWorker reports whether almost no machine reports or answers calls.
-func (c *State) HearsNoWorker(now time.Time) bool {
+// LostWorkerContact reports whether almost no machine reports or answers calls.
+func (c *State) LostWorkerContact(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return liveness.Measure(c.machines, c.StoreAvailable()).LostContact(now)
--- a/internal/clusterstate/state.go
+++ b/internal/clusterstate/state.go
@@ -145,9 +145,9 @@
 	return c
 }
 
-// PlanWanted returns a channel that is ready to be read once something changed that requires a planning
+// PlanRequested returns a channel that is ready to be read once something changed that requires a planning
 // pass.
-func (c *State) PlanWanted() <-chan struct{} { return c.planSignal }
+func (c *State) PlanRequested() <-chan struct{} { return c.planSignal }
 
 // recordEvent appends to the job's events and drops the oldest beyond the limit. A repetition of the last
 // event only updates its time.
@@ -259,9 +259,9 @@
 	c.closed = true
 }
 
-// TrustSilenceFrom lets the leases of workers that have not reported count as expired from an earlier time
+// AdvanceLeaseExpiry lets the leases of workers that have not reported count as expired from an earlier time
 // on, once no other controller can be answering them any more.
-func (c *State) TrustSilenceFrom(at time.Time) {
+func (c *State) AdvanceLeaseExpiry(at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !at.Before(c.earliestLeaseExpiry) {
--- a/internal/clusterstate/store_changes.go
+++ b/internal/clusterstate/store_changes.go
@@ -31,8 +31,8 @@
 // Writer returns the name that identifies this leader in the records that it writes.
 func (c *State) Writer() string { return c.writer }
 
-// CommitWanted returns a channel that is ready to be read once a change must be stored at once.
-func (c *State) CommitWanted() <-chan struct{} { return c.commitSignal }
+// CommitRequested returns a channel that is ready to be read once a change must be stored at once.
+func (c *State) CommitRequested() <-chan struct{} { return c.commitSignal }
 
 // ValueLimit returns the size limit of a stored value in bytes.
 func (c *State) ValueLimit() int { return valueLimit(c.settings) }
--- a/internal/commit/committer.go
+++ b/internal/commit/committer.go
@@ -29,8 +29,8 @@
 	Writer() string
 	// Generation returns this leader's current generation.
 	Generation() ids.Generation
-	// CommitWanted returns a channel that becomes readable when a change has to be stored at once.
-	CommitWanted() <-chan struct{}
+	// CommitRequested returns a channel that becomes readable when a change has to be stored at once.
+	CommitRequested() <-chan struct{}
 	// CollectChanges returns the changes to store now, most urgent first. raise reports whether the
 	// generation has to be raised before.
 	CollectChanges(limits Limits) (changes []Change, raise bool)
@@ -116,7 +116,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-c.cluster.CommitWanted():
+		case <-c.cluster.CommitRequested():
 		case <-time.After(commitInterval):
 		}
 		for more := true; more && ctx.Err() == nil; {
--- a/internal/commit/committer_test.go
+++ b/internal/commit/committer_test.go
@@ -51,7 +51,7 @@
 
 func (c *fakeCluster) Writer() string                      { return "leader" }
 func (c *fakeCluster) Generation() ids.Generation          { return 7 }
-func (c *fakeCluster) CommitWanted() <-chan struct{}       { return nil }
+func (c *fakeCluster) CommitRequested() <-chan struct{}    { return nil }
 func (c *fakeCluster) GenerationRaised(g ids.Generation)   { c.logCall("generation %d", g) }
 func (c *fakeCluster) ValueLimit() int                     { return 1000 }
 func (c *fakeCluster) RecordEnded(j *workload.Job)         { c.logCall("%s ended", j.ID()) }
--- a/internal/election/failover_confirmation.go
+++ b/internal/election/failover_confirmation.go
@@ -36,7 +36,7 @@
 		}
 		if e.Peers.AllConfirmStopped(ctx, term.Generation, nodes...) {
 			now := time.Now()
-			term.Cluster.TrustSilenceFrom(now.Add(e.settings.Params.Workers.LeaseS.WithClockDrift()))
+			term.Cluster.AdvanceLeaseExpiry(now.Add(e.settings.Params.Workers.LeaseS.WithClockDrift()))
 			return
 		}
 		wait.For(ctx, confirmationRetryDelay)
--- a/internal/election/isolation.go
+++ b/internal/election/isolation.go
@@ -32,7 +32,7 @@
 // ask whether the workers reach it. Such a leader renews hardly any worker lease, so little is lost if the
 // next leader can't reach the workers either.
 func (e *Elector) checkIsolation(term *Term) {
-	if e.Peers == nil || !e.Peers.NoPeerUp() || time.Since(term.beganAt) < isolationMinTerm || !term.Cluster.HearsNoWorker(time.Now()) {
+	if e.Peers == nil || !e.Peers.NoPeerUp() || time.Since(term.beganAt) < isolationMinTerm || !term.Cluster.LostWorkerContact(time.Now()) {
 		return
 	}
 	e.resign(term, "no worker is heard, and no other controller")
--- a/internal/election/term.go
+++ b/internal/election/term.go
@@ -122,7 +122,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-t.Cluster.PlanWanted():
+		case <-t.Cluster.PlanRequested():
 		case <-time.After(maxPlanInterval):
 		}
 		now := time.Now()
--- a/internal/eviction/evictor.go
+++ b/internal/eviction/evictor.go
@@ -125,7 +125,7 @@
 // assigned now might be placed on a machine that is being drained.
 func (e *Evictor) AwaitsOrders() bool { return e.Enabled() && !e.orders.known() }
 
-// CarryOut replaces the orders of rollouts. It reports whether a machine was cordoned or uncordoned, or the
+// SetOrders replaces the orders of rollouts. It reports whether a machine was cordoned or uncordoned, or the
 // orders are the first.
 func (e *Evictor) CarryOut(orders *rollout.Orders) (changed bool) {
 	return e.Enabled() && e.orders.replace(orders)
--- a/internal/rollout/fakefleet_test.go
+++ b/internal/rollout/fakefleet_test.go
@@ -83,8 +83,8 @@
 
 func (f *fakeFleet) RolloutView() View { return f }
 
-// CarryOut carries out the orders immediately.
-func (f *fakeFleet) CarryOut(orders *Orders) {
+// SetOrders replaces the orders and executes them immediately.
+func (f *fakeFleet) SetOrders(orders *Orders) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.maxCordoned = max(f.maxCordoned, len(orders.Machines))
--- a/internal/rollout/fleet.go
+++ b/internal/rollout/fleet.go
@@ -54,7 +54,7 @@
 type Fleet interface {
 	// RolloutView returns a view of the present fleet.
 	RolloutView() View
-	// CarryOut replaces the orders in force. The runner calls it in every pass, also in its first pass
+	// SetOrders replaces the orders in force. The runner calls it in every pass, also in its first pass
 	// after a failover.
-	CarryOut(orders *Orders)
+	SetOrders(orders *Orders)
 }
--- a/internal/rollout/runner.go
+++ b/internal/rollout/runner.go
@@ -61,7 +61,7 @@
 	for name, reason := range snapshot.unreadable {
 		r.logState(name, unreadableNote(reason))
 	}
-	r.Fleet.CarryOut(orders)
+	r.Fleet.SetOrders(orders)
 	if !wrote && len(snapshot.orphanedParts) > 0 {
 		return r.removeOrphanedParts(ctx, snapshot.orphanedParts)
 	}
