--- a/internal/clusterstate/provisioning.go
+++ b/internal/clusterstate/provisioning.go
@@ -14,8 +14,8 @@
 func newPlanner(c *State) *provisioning.Planner {
 	return provisioning.New(provisioning.State{Settings: c.settings, Jobs: c.jobs, Machines: c.machines, Capacity: c.capacity,
 		Estimates: c.estimates, Scheduler: c.scheduler, Rollouts: c.evictor, Zones: c.zones,
-		StoreAvailable: func() bool { return c.StoreAvailable() },
-		TrustSilence:   func() time.Time { return c.earliestLeaseExpiry }})
+		StoreAvailable:      func() bool { return c.StoreAvailable() },
+		EarliestLeaseExpiry: func() time.Time { return c.earliestLeaseExpiry }})
 }
 
 // CapacityDemands returns the capacity that the fleet should provide, most important first, the machines
--- a/internal/clusterstate/reports.go
+++ b/internal/clusterstate/reports.go
@@ -27,7 +27,7 @@
 	if c.terminated[report.Machine] {
 		return nil // the report was delayed: the machine is gone already
 	}
-	source := reconcile.Source{Heartbeat: heartbeat, Answered: answered, TrustSilence: c.earliestLeaseExpiry}
+	source := reconcile.Source{Heartbeat: heartbeat, Answered: answered, EarliestLeaseExpiry: c.earliestLeaseExpiry}
 	permission := dispatch.Permission{FencingToken: c.generation, Starts: starts, RecordsRead: recordsRead}
 	return c.reconciler.Report(report, source, permission, now)
 }
--- a/internal/clusterstate/takeover_test.go
+++ b/internal/clusterstate/takeover_test.go
@@ -31,7 +31,7 @@
 		if machine == nil || !machine.Booting {
 			t.Fatal("the pending instance is not known to be booting")
 		}
-		if cluster.planner.Lateness(machine, time.Now()) == provisioning.NotLate {
+		if cluster.planner.BootStatus(machine, time.Now()) == provisioning.NotLate {
 			t.Errorf("provisioned %v ago with a boot time of 30 s, the machine does not count as late", time.Since(machine.ProvisionedAt))
 		}
 		cluster.submit(1, newRecord("job-1", "blue", record.Normal, 40, 1), time.Now())
--- a/internal/provisioning/late_boots.go
+++ b/internal/provisioning/late_boots.go
@@ -11,15 +11,15 @@
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// Lateness classifies how late a provisioned machine is that has not reported yet.
-type Lateness int
+// BootStatus classifies how late a provisioned machine is that has not reported yet.
+type BootStatus int
 
 const (
-	// NotLate is the lateness of a machine that has reported or is expected to report in time.
-	NotLate Lateness = iota
-	// Late is the lateness of a machine for which a replacement may be provisioned while it boots.
+	// NotLate is the status of a machine that has reported or is expected to report in time.
+	NotLate BootStatus = iota
+	// Late is the status of a machine for which a replacement may be provisioned while it boots.
 	Late
-	// BootTimedOut is the lateness of a machine that is terminated even if it is needed.
+	// BootTimedOut is the status of a machine that is terminated even if it is needed.
 	BootTimedOut
 )
 
@@ -33,18 +33,18 @@
 // bootTracker determines which booting machines are late and which of them are replaced.
 type bootTracker struct{ *State }
 
-// lateness implements Planner.Lateness.
-func (b *bootTracker) lateness(machine *worker.Machine, now time.Time) Lateness {
+// bootStatus implements Planner.BootStatus.
+func (b *bootTracker) bootStatus(machine *worker.Machine, now time.Time) BootStatus {
 	offer := b.Capacity.Type(machine.Type)
 	if machine.HasReported || !machine.Booting || offer == nil {
 		return NotLate
 	}
 	due := time.Duration(b.Settings.Operator.StuckBootFactor * float64(b.Estimates.BootTime(offer)))
-	return latenessAt(now.Sub(machine.ProvisionedAt), due)
+	return bootStatusAt(now.Sub(machine.ProvisionedAt), due)
 }
 
-// latenessAt returns the lateness of a machine of the given age, which is late if it is older than due.
-func latenessAt(age, due time.Duration) Lateness {
+// bootStatusAt returns the lateness of a machine of the given age, which is late if it is older than due.
+func bootStatusAt(age, due time.Duration) BootStatus {
 	switch {
 	case age > bootTimeoutFactor*due:
 		return BootTimedOut
@@ -57,7 +57,7 @@
 // becameLateRecently reports whether a machine became late so recently that its replacement may not have
 // been provisioned yet.
 func (b *bootTracker) becameLateRecently(machine *worker.Machine, now time.Time) bool {
-	return b.lateness(machine, now.Add(-replacementDelay)) == NotLate
+	return b.bootStatus(machine, now.Add(-replacementDelay)) == NotLate
 }
 
 // replaced returns the late machines for which replacements are provisioned. These are all late machines
@@ -97,7 +97,7 @@
 		if !machine.Failed {
 			fleetPrice += b.machinePrice(machine)
 		}
-		if b.lateness(machine, now) != NotLate {
+		if b.bootStatus(machine, now) != NotLate {
 			late = append(late, machine)
 		}
 	}
@@ -128,7 +128,7 @@
 // machine is kept while it is needed, or while its replacement is itself booting, so that whichever is up
 // first is used. expected is the result of countExpected.
 func (b *bootTracker) reasonToAbandon(machine *worker.Machine, needed bool, expected map[string]int, now time.Time) string {
-	switch b.lateness(machine, now) {
+	switch b.bootStatus(machine, now) {
 	case BootTimedOut:
 		return "it does not come up"
 	case Late:
@@ -150,7 +150,7 @@
 			continue
 		}
 		booting++
-		if b.lateness(machine, now) != NotLate {
+		if b.bootStatus(machine, now) != NotLate {
 			late++
 			longest = max(longest, now.Sub(machine.ProvisionedAt))
 		}
--- a/internal/provisioning/provisioning.go
+++ b/internal/provisioning/provisioning.go
@@ -63,9 +63,9 @@
 	Zones     *liveness.Zones
 	// StoreAvailable reports whether the state service has answered recently.
 	StoreAvailable func() bool
-	// TrustSilence returns the time from which the silence of a machine that has never reported to this
+	// EarliestLeaseExpiry returns the time from which the silence of a machine that has never reported to this
 	// leader counts. Until then an earlier leader may have been receiving the machine's reports.
-	TrustSilence func() time.Time
+	EarliestLeaseExpiry func() time.Time
 }
 
 // reportInterval returns the configured interval between two reports of a worker.
@@ -155,9 +155,9 @@
 // took a sample.
 func (p *Planner) SampleUsage(now time.Time) bool { return p.usage.sample(now) }
 
-// Lateness returns how late a machine is. It is NotLate for a machine that has reported.
-func (p *Planner) Lateness(machine *worker.Machine, now time.Time) Lateness {
-	return p.boots.lateness(machine, now)
+// BootStatus returns how late a machine is. It is NotLate for a machine that has reported.
+func (p *Planner) BootStatus(machine *worker.Machine, now time.Time) BootStatus {
+	return p.boots.bootStatus(machine, now)
 }
 
 // DescribeBooting returns a line that describes, for the user, the booting machines that a pending job
--- a/internal/provisioning/provisioning_test.go
+++ b/internal/provisioning/provisioning_test.go
@@ -43,7 +43,7 @@
 	jobs := workload.NewQueue()
 	return New(State{Settings: settings, Jobs: jobs, Machines: registry, Capacity: index, Estimates: estimate.New(settings, index),
 		Scheduler: fakeScheduler{jobs}, Rollouts: noRollouts{}, Zones: liveness.NewZones(),
-		StoreAvailable: func() bool { return true }, TrustSilence: func() time.Time { return time.Time{} }})
+		StoreAvailable: func() bool { return true }, EarliestLeaseExpiry: func() time.Time { return time.Time{} }})
 }
 
 // addMachine adds a machine of the given age. A machine that is booting has not reported.
@@ -78,7 +78,7 @@
 	for _, c := range []struct {
 		age     time.Duration
 		booting bool
-		want    Lateness
+		want    BootStatus
 	}{
 		{time.Minute, true, NotLate}, // twice the boot time of its type
 		{61 * time.Second, true, Late},
@@ -87,7 +87,7 @@
 		{time.Hour, false, NotLate},
 	} {
 		planner := testPlanner()
-		if got := planner.Lateness(addMachine(planner, "m", now, c.age, c.booting), now); got != c.want {
+		if got := planner.BootStatus(addMachine(planner, "m", now, c.age, c.booting), now); got != c.want {
 			t.Errorf("age %v, booting %v: lateness %v, want %v", c.age, c.booting, got, c.want)
 		}
 	}
--- a/internal/provisioning/termination.go
+++ b/internal/provisioning/termination.go
@@ -167,7 +167,7 @@
 
 // leasesExpireSoon reports whether less than two thirds of a lease remain until silence counts.
 func (t *terminator) leasesExpireSoon(now time.Time) bool {
-	return t.TrustSilence().Sub(now) < t.Settings.Params.Workers.LeaseS.Duration()*2/3
+	return t.EarliestLeaseExpiry().Sub(now) < t.Settings.Params.Workers.LeaseS.Duration()*2/3
 }
 
 // idleReason returns the reason to return a machine without tasks, or "" if it stays.
--- a/internal/reconcile/machine.go
+++ b/internal/reconcile/machine.go
@@ -16,7 +16,7 @@
 // ensure returns the machine that sent a report, and adds it if the leader does not know it.
 func (t *machineTracker) ensure(report *worker.Report, source Source, now time.Time) *worker.Machine {
 	known := t.Machines.Machines[report.Machine] != nil
-	machine := t.Machines.Ensure(report.Machine, now, source.TrustSilence)
+	machine := t.Machines.Ensure(report.Machine, now, source.EarliestLeaseExpiry)
 	if !known {
 		slog.Info("added unknown machine that sent a report", "machine", report.Machine, "type", report.Type, "zone", report.Zone)
 	}
--- a/internal/reconcile/reconciler.go
+++ b/internal/reconcile/reconciler.go
@@ -94,9 +94,9 @@
 	Heartbeat bool
 	// Answered is true if the worker receives a response that renews its lease.
 	Answered bool
-	// TrustSilence is the earliest time at which the lease of a machine that never reported to this leader
+	// EarliestLeaseExpiry is the earliest time at which the lease of a machine that never reported to this leader
 	// can be assumed to have expired.
-	TrustSilence time.Time
+	EarliestLeaseExpiry time.Time
 }
 
 // maxCommandsPerResponse limits the commands in one response: a line of the response must stay below 64
