--- a/internal/clusterstate/dependencies.go
+++ b/internal/clusterstate/dependencies.go
@@ -52,14 +52,14 @@
 	c.dependencies.recordOutcome(id, status)
 }
 
-// LookupMissed records that a job has no final record. readLive reports whether the job may be live after
+// LookupNotFound records that a job has no final record. readLive reports whether the job may be live after
 // all, because of a write by this leader that was not answered. A job that is live in another shard needs
 // no other lookup: its end will arrive as a change.
-func (c *State) LookupMissed(id ids.Job, now time.Time) (readLive bool) {
+func (c *State) LookupNotFound(id ids.Job, now time.Time) (readLive bool) {
 	_, live := c.StatusInOtherShard(id)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.dependencies.lookupMissed(id, live, now)
+	return c.dependencies.lookupNotFound(id, live, now)
 }
 
 // LiveRecordFound adds the job of a live record that this leader wrote without learning that it was stored.
@@ -77,7 +77,7 @@
 func (c *State) MoveFound(waiting *workload.WaitingJob, stored *record.Record, revision ids.Revision) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.dependencies.recordMove(commit.Change{Waiting: waiting, Becomes: stored}, revision, time.Now())
+	c.dependencies.recordMove(commit.Change{Waiting: waiting, MovedRecord: stored}, revision, time.Now())
 }
 
 // MoveNotFound records that a job is stored neither as waiting nor as schedulable any more.
--- a/internal/clusterstate/dependency_lookups.go
+++ b/internal/clusterstate/dependency_lookups.go
@@ -45,8 +45,8 @@
 	t.lookups[id] = now.Add(lookupRetryDelay)
 }
 
-// lookupMissed implements State.LookupMissed; live is set if the job is live in another shard.
-func (t *dependencyTracker) lookupMissed(id ids.Job, live bool, now time.Time) (readLive bool) {
+// lookupNotFound implements State.LookupNotFound; live is set if the job is live in another shard.
+func (t *dependencyTracker) lookupNotFound(id ids.Job, live bool, now time.Time) (readLive bool) {
 	if live {
 		delete(t.lookups, id)
 		return false
--- a/internal/clusterstate/ready_jobs.go
+++ b/internal/clusterstate/ready_jobs.go
@@ -114,7 +114,7 @@
 		return commit.Change{}, false
 	}
 	from := record.WaitKey(waiting.ID())
-	return commit.Change{Waiting: waiting, Becomes: moved, Size: len(value) + changeBytes,
+	return commit.Change{Waiting: waiting, MovedRecord: moved, Size: len(value) + changeBytes,
 		Conditions: []state.Condition{{Key: from, Revision: waiting.Revision}, {Key: key}},
 		Ops:        []state.Op{{Remove: from}, {Put: key, Value: value}}}, true
 }
@@ -128,7 +128,7 @@
 		return
 	}
 	if t.jobs.Get(id) == nil {
-		t.cluster.AddJob(change.Becomes, revision, now)
+		t.cluster.AddJob(change.MovedRecord, revision, now)
 		t.cluster.RequestPlan()
 	}
 }
--- a/internal/clusterstate/record_limits_test.go
+++ b/internal/clusterstate/record_limits_test.go
@@ -86,7 +86,7 @@
 	// Guards against encoding an unchanged large record four times a second.
 	cluster := newTestState()
 	job := cluster.addJob(newRecord("job-1", "blue", record.Low, 10, 1), 1, time.Now())
-	limits := commit.LimitsOf(state.NewBudget(1000, 1000, 1, 0.6))
+	limits := commit.NewLimits(state.NewBudget(1000, 1000, 1, 0.6))
 	cluster.markChanged(job)
 	cluster.markUrgent(job)
 	limit := cluster.settings.Params.State.ValueKB
--- a/internal/clusterstate/store_changes.go
+++ b/internal/clusterstate/store_changes.go
@@ -64,7 +64,7 @@
 	group := &changeGroup{maxOps: min(c.settings.Params.State.TxnOps, limits.Ops), size: txnBytes}
 	c.dependencies.collectReadyMoves(group.add)
 	c.collectChangedJobs(limits, group.add)
-	if !limits.Scarce {
+	if !limits.BudgetNearlyExhausted {
 		// Users see these jobs as cancelled already, so storing that can wait.
 		c.dependencies.collectCancelledMoves(group.add)
 	}
@@ -74,7 +74,7 @@
 // collectChangedJobs collects the changes of jobs that are due to be stored.
 func (c *State) collectChangedJobs(limits commit.Limits, add func(commit.Change) bool) {
 	delay := outcomeDelay
-	if limits.Scarce {
+	if limits.BudgetNearlyExhausted {
 		delay = scarceOutcomeDelay
 	}
 	for _, job := range c.changes.Due(time.Now(), delay) {
--- a/internal/clusterstate/store_changes_test.go
+++ b/internal/clusterstate/store_changes_test.go
@@ -72,7 +72,7 @@
 	cluster.heartbeat("m1", "north", 1)
 	cluster.submit(1, newRecord("job-1", "blue", record.Normal, 2, 1), now)
 	cluster.Plan(now)
-	limits := commit.LimitsOf(state.NewBudget(100, 100, 1, 0.6))
+	limits := commit.NewLimits(state.NewBudget(100, 100, 1, 0.6))
 	commitOnce := func() int {
 		group, _ := cluster.CollectChanges(limits)
 		for _, change := range group {
--- a/internal/clusterstate/urgency_inheritance_test.go
+++ b/internal/clusterstate/urgency_inheritance_test.go
@@ -75,7 +75,7 @@
 		cluster.dependencies.recordOutcome("job-1", record.Done)
 		waiting := cluster.dependencies.waiting["job-2"]
 		moved := *waiting.Record
-		cluster.dependencies.recordMove(commit.Change{Waiting: waiting, Becomes: &moved}, 5, now)
+		cluster.dependencies.recordMove(commit.Change{Waiting: waiting, MovedRecord: &moved}, 5, now)
 		job := cluster.jobs.Get("job-2")
 		if job == nil {
 			t.Fatal("the branch did not become ready")
--- a/internal/commit/changes.go
+++ b/internal/commit/changes.go
@@ -15,8 +15,8 @@
 	// Waiting is a job that waited for other jobs and leaves the waiting state; nil if the change stores a
 	// changed record.
 	Waiting *workload.WaitingJob
-	// Becomes is the record of Waiting after it has left the waiting state.
-	Becomes *record.Record
+	// MovedRecord is the record of Waiting after it has left the waiting state.
+	MovedRecord *record.Record
 	// Terminal is true if the change writes the job's final record.
 	Terminal bool
 
@@ -30,11 +30,11 @@
 type Limits struct {
 	// Ops is the maximum number of operations in a group.
 	Ops int
-	// Scarce is true if the store accepts few more changes now, so that changes that can wait are left out.
-	Scarce bool
+	// BudgetNearlyExhausted is true if the store accepts few more changes now, so that changes that can wait are left out.
+	BudgetNearlyExhausted bool
 }
 
-// LimitsOf returns the limits that follow from the remaining budget for the store.
-func LimitsOf(budget *state.Budget) Limits {
-	return Limits{Ops: max(2, budget.WriteBurst()), Scarce: budget.NearlyExhausted()}
+// NewLimits returns the limits that follow from the remaining budget for the store.
+func NewLimits(budget *state.Budget) Limits {
+	return Limits{Ops: max(2, budget.WriteBurst()), BudgetNearlyExhausted: budget.NearlyExhausted()}
 }
--- a/internal/commit/committer.go
+++ b/internal/commit/committer.go
@@ -134,7 +134,7 @@
 // CommitGroup writes one group of changes and reports whether there may be another group.
 func (c *Committer) CommitGroup(ctx context.Context) (more bool) {
 	defer c.lock()()
-	changes, raise := c.cluster.CollectChanges(LimitsOf(c.store.Budget()))
+	changes, raise := c.cluster.CollectChanges(NewLimits(c.store.Budget()))
 	if raise {
 		c.raiseGeneration(ctx)
 		return true
--- a/internal/commit/lookups.go
+++ b/internal/commit/lookups.go
@@ -38,9 +38,9 @@
 	RetryLookup(id ids.Job, now time.Time)
 	// LookupFound records the final status of a job.
 	LookupFound(id ids.Job, status record.Status)
-	// LookupMissed records that a job has no final record. readLive reports whether the job may be live,
+	// LookupNotFound records that a job has no final record. readLive reports whether the job may be live,
 	// written by this leader in a commit whose response was lost.
-	LookupMissed(id ids.Job, now time.Time) (readLive bool)
+	LookupNotFound(id ids.Job, now time.Time) (readLive bool)
 	// LiveRecordFound records the stored live record of a job.
 	LiveRecordFound(stored *record.Record, revision ids.Revision, now time.Time)
 }
@@ -120,7 +120,7 @@
 // applyLookup records the result of looking up an ended job.
 func (r *finalRecordReader) applyLookup(ctx context.Context, id ids.Job, entry state.Entry, found bool, now time.Time) {
 	if !found {
-		if r.cluster.LookupMissed(id, now) {
+		if r.cluster.LookupNotFound(id, now) {
 			r.findLive(ctx, id, now)
 		}
 		return
