--- a/internal/clusterstate/eviction_test.go
+++ b/internal/clusterstate/eviction_test.go
@@ -158,20 +158,20 @@
 	accelerated := placement.InstanceType{Label: "accelerated", Cores: 8, Accels: 2, RAM: 64, Zones: []string{"north"}}
 	cluster.SetMachineTypes(append(testInstanceTypes(), accelerated))
 	job := cluster.jobs.Get("job-1")
-	if node := cluster.evictor.FindRoom(job, nil, nil, now); node != nil {
+	if node := cluster.evictor.FindCapacity(job, nil, nil, now); node != nil {
 		t.Fatalf("found room on %s, which is full", node.Name)
 	}
 	markReported(cluster, "m9", 1, now)
 	cluster.machines.Machines["m9"].Type = accelerated.Label
 	cluster.capacity.Reindex(cluster.capacity.Ensure("m9"))
-	if node := cluster.evictor.FindRoom(job, nil, nil, now); node == nil || node.Name != "m9" {
+	if node := cluster.evictor.FindCapacity(job, nil, nil, now); node == nil || node.Name != "m9" {
 		t.Errorf("found room on %v, want m9", node)
 	}
 }
 
 func TestPlanningChecksNoBudgetWithoutDrains(t *testing.T) {
 	// Guards against budget checks in planning passes while drains are disabled, and against more than one
-	// per eviction.Interval while a rollout is in progress.
+	// per eviction.EvaluationInterval while a rollout is in progress.
 	now := time.Now()
 	off := newTestState()
 	markReported(off, "m1", 1, now)
@@ -183,14 +183,14 @@
 	for range 100 {
 		cluster.Plan(now)
 	}
-	if cluster.evictor.Looks() != 0 {
-		t.Errorf("%d budget checks without a rollout", cluster.evictor.Looks())
+	if cluster.evictor.Evaluations() != 0 {
+		t.Errorf("%d budget checks without a rollout", cluster.evictor.Evaluations())
 	}
 	cluster.SetOrders(newDrainOrders("m1"))
 	for i := range 100 {
 		cluster.Plan(now.Add(time.Duration(i) * 10 * time.Millisecond))
 	}
-	if most := int(time.Second/eviction.Interval) + 1; cluster.evictor.Looks() > most {
-		t.Errorf("%d budget checks within a second", cluster.evictor.Looks())
+	if most := int(time.Second/eviction.EvaluationInterval) + 1; cluster.evictor.Evaluations() > most {
+		t.Errorf("%d budget checks within a second", cluster.evictor.Evaluations())
 	}
 }
--- a/internal/clusterstate/helpers_eviction_test.go
+++ b/internal/clusterstate/helpers_eviction_test.go
@@ -64,5 +64,5 @@
 
 // runEviction runs an eviction pass, regardless of when the last one ran.
 func runEviction(cluster *State, now time.Time) {
-	cluster.evictor.Look(now)
+	cluster.evictor.Evaluate(now)
 }
--- a/internal/eviction/evictor.go
+++ b/internal/eviction/evictor.go
@@ -115,11 +115,11 @@
 // Enabled reports whether drains are enabled.
 func (e *Evictor) Enabled() bool { return e.disruption.enabled() }
 
-// Looks returns the number of evaluations so far.
-func (e *Evictor) Looks() int { return e.evaluations }
+// Evaluations returns the number of evaluations so far.
+func (e *Evictor) Evaluations() int { return e.evaluations }
 
-// Interval is the minimum time between two evaluations of what may be stopped.
-const Interval = 200 * time.Millisecond
+// EvaluationInterval is the minimum time between two evaluations of what may be stopped.
+const EvaluationInterval = 200 * time.Millisecond
 
 // AwaitsOrders reports whether drains are enabled and the stored rollouts are not known yet. A task
 // assigned now might be placed on a machine that is being drained.
@@ -139,17 +139,17 @@
 	}
 }
 
-// Run evaluates what may be stopped, if the last evaluation was at least Interval ago.
+// Run evaluates what may be stopped, if the last evaluation was at least EvaluationInterval ago.
 func (e *Evictor) Run(now time.Time) {
-	if e.Enabled() && now.Sub(e.evaluatedAt) >= Interval {
-		e.Look(now)
+	if e.Enabled() && now.Sub(e.evaluatedAt) >= EvaluationInterval {
+		e.Evaluate(now)
 	}
 }
 
-// Look determines which tasks may be stopped for rollouts and on machines on which tasks keep failing, and
+// Evaluate determines which tasks may be stopped for rollouts and on machines on which tasks keep failing, and
 // stops them. It does nothing if no machine is to be drained and no eviction is in progress. Drains must be
 // enabled and the orders known.
-func (e *Evictor) Look(now time.Time) {
+func (e *Evictor) Evaluate(now time.Time) {
 	ordered := e.orders.current.Machines
 	if len(ordered) == 0 && len(e.permits.evicted) == 0 && !e.Machines.AnyLeaving() {
 		return
@@ -202,9 +202,9 @@
 	e.relocator.relocate(machine, now)
 }
 
-// FindRoom returns a machine outside reserved with free capacity for one more task of a job; nil if there
+// FindCapacity returns a machine outside reserved with free capacity for one more task of a job; nil if there
 // is none. A job without accelerators gets a machine with accelerators only if no other has capacity.
-func (e *Evictor) FindRoom(
+func (e *Evictor) FindCapacity(
 	job *workload.Job, zones *scheduler.ZoneSpread, reserved map[ids.Machine]scheduler.Reservation, now time.Time,
 ) *capacity.Node {
 	return e.finder.find(job, zones, reserved, now)
@@ -240,8 +240,8 @@
 // rollout is unknown to this leader.
 func (e *Evictor) MayConsolidate() bool { return !e.Enabled() || e.orders.empty() }
 
-// Keeps reports whether a machine is a replacement that is still observed.
-func (e *Evictor) Keeps(name ids.Machine) bool { return e.orders.observes(name) }
+// IsObservedReplacement reports whether a machine is a replacement that is still observed.
+func (e *Evictor) IsObservedReplacement(name ids.Machine) bool { return e.orders.observes(name) }
 
 // ReplacementsToProvision returns the replacements that rollouts request and that are not provisioned yet.
 func (e *Evictor) ReplacementsToProvision() []rollout.ProvisioningRequest {
--- a/internal/eviction/evictor_test.go
+++ b/internal/eviction/evictor_test.go
@@ -131,16 +131,16 @@
 	} {
 		f := newFixture(true)
 		f.order(rollout.Order{Drain: true}, "m1", "m2")
-		f.Look(f.now)
+		f.Evaluate(f.now)
 		if f.permits() != 1 || len(f.fake.stopped) != 0 || !strings.Contains(fmt.Sprint(f.Blockers()["m2"]), "1 of its 4 replicas are down") {
 			t.Fatalf("after the first evaluation: %d permits, stopped %v, m2 waits for %v", f.permits(), f.fake.stopped, f.Blockers()["m2"])
 		}
 		f.web.StoredVersion = f.web.Version
 		c.change(f)
-		f.Run(f.now.Add(Interval - 1))
-		f.Run(f.now.Add(Interval))
-		if f.Looks() != 2 || len(f.Blockers()["m2"]) > 1 {
-			t.Errorf("%s: %d evaluations, m2 waits for %v", c.name, f.Looks(), f.Blockers()["m2"])
+		f.Run(f.now.Add(EvaluationInterval - 1))
+		f.Run(f.now.Add(EvaluationInterval))
+		if f.Evaluations() != 2 || len(f.Blockers()["m2"]) > 1 {
+			t.Errorf("%s: %d evaluations, m2 waits for %v", c.name, f.Evaluations(), f.Blockers()["m2"])
 		}
 		if len(f.fake.stopped) != c.stops || c.stops > 0 && f.fake.stopped[0] != "web/0: moved from m1 by rollout spring, wave 1" {
 			t.Errorf("%s: stopped %v", c.name, f.fake.stopped)
@@ -166,7 +166,7 @@
 		f.web.Record.AddEviction(0, 1, "spring", 1)
 		c.change(f.Machines.Machines["m1"], f.web.Assignments[0])
 		f.Load(f.web)
-		f.Look(f.now)
+		f.Evaluate(f.now)
 		if f.permits() != c.left || f.web.Assignments[0].Evicting != (c.left > 0) || len(f.fake.stopped) > 0 {
 			t.Errorf("%s: %d permits left, stopped %v", c.name, f.permits(), f.fake.stopped)
 		}
@@ -190,7 +190,7 @@
 		f.web.Record.AddEviction(0, 1, "spring", 1)
 		f.Load(f.web)
 		c.change(f)
-		f.Look(f.now)
+		f.Evaluate(f.now)
 		if f.permits() != c.left {
 			t.Errorf("%s: %d permits left", c.name, f.permits())
 		}
@@ -235,7 +235,7 @@
 		c.change(f, other)
 		c.order.Drain = true
 		f.order(c.order, "m5")
-		f.Look(f.now)
+		f.Evaluate(f.now)
 		if got := strings.Join(f.Blockers()["m5"], "; "); got != c.want || other.Evicting != (c.want == "") {
 			t.Errorf("%s: waits for %q, evicting %v; want %q", c.name, got, other.Evicting, c.want)
 		}
@@ -264,7 +264,7 @@
 		f := newFixture(true)
 		c.change(f)
 		f.order(rollout.Order{Drain: true, Surge: true, Replace: c.replace}, "m1")
-		f.Look(f.now)
+		f.Evaluate(f.now)
 		if demands := len(f.SurgeDemands()); f.permits() != c.permits || demands != c.demands {
 			t.Errorf("%s: %d permits, %d demands", c.name, f.permits(), demands)
 		}
--- a/internal/eviction/leaving_machine_drainer.go
+++ b/internal/eviction/leaving_machine_drainer.go
@@ -22,7 +22,7 @@
 			l.stopOnReclaimed(machine, now)
 		case machine.DrainReason == "":
 			l.relocator.relocate(machine, now)
-		case !l.disruption.enabled(): // otherwise Look drains it within the budgets
+		case !l.disruption.enabled(): // otherwise Evaluate drains it within the budgets
 			l.stopOnFailing(machine)
 		}
 	}
--- a/internal/eviction/permits.go
+++ b/internal/eviction/permits.go
@@ -128,7 +128,7 @@
 			delete(p.pending, assignment)
 			continue
 		}
-		if p.stillWanted(step, assignment) || p.earlierStopPossible(assignment) {
+		if p.reasonRemains(step, assignment) || p.earlierStopPossible(assignment) {
 			continue
 		}
 		assignment.Evicting = false
@@ -152,7 +152,7 @@
 	pending := slices.SortedFunc(maps.Keys(p.pending), compareTasks)
 	for _, assignment := range pending {
 		step := p.pending[assignment]
-		if !step.isStored() || !p.stillWanted(step, assignment) || !assignment.Confirmed {
+		if !step.isStored() || !p.reasonRemains(step, assignment) || !assignment.Confirmed {
 			continue
 		}
 		if denial := meter.Confirm(p.disruption.request(assignment.Job, assignment, now)); denial != nil {
@@ -169,8 +169,8 @@
 	return cmp.Or(cmp.Compare(x.Job.Record.Spec.ID, y.Job.Record.Spec.ID), cmp.Compare(x.TaskIndex, y.TaskIndex))
 }
 
-// stillWanted reports whether the reason for an eviction still exists.
-func (p *permitTracker) stillWanted(step *evictionStep, assignment *workload.Assignment) bool {
+// reasonRemains reports whether the reason for an eviction still exists.
+func (p *permitTracker) reasonRemains(step *evictionStep, assignment *workload.Assignment) bool {
 	machine := p.drainedMachine(step, assignment)
 	switch step.rollout {
 	case consolidationRollout:
--- a/internal/provisioning/provisioning.go
+++ b/internal/provisioning/provisioning.go
@@ -40,8 +40,8 @@
 
 // Rollouts is the part of the shard's rollouts that the Planner uses.
 type Rollouts interface {
-	// Keeps reports whether a machine is kept because it replaces another one and is still being observed.
-	Keeps(machine ids.Machine) bool
+	// IsObservedReplacement reports whether a machine is kept because it replaces another one and is still being observed.
+	IsObservedReplacement(machine ids.Machine) bool
 	// OrderFor returns a rollout's order for a machine. ok reports whether there is one.
 	OrderFor(machine ids.Machine) (order rollout.Order, ok bool)
 	// MayConsolidate reports whether no rollout is moving replicas.
--- a/internal/provisioning/provisioning_test.go
+++ b/internal/provisioning/provisioning_test.go
@@ -26,7 +26,7 @@
 // noRollouts implements Rollouts without any rollout.
 type noRollouts struct{}
 
-func (noRollouts) Keeps(ids.Machine) bool                     { return false }
+func (noRollouts) IsObservedReplacement(ids.Machine) bool     { return false }
 func (noRollouts) OrderFor(ids.Machine) (rollout.Order, bool) { return rollout.Order{}, false }
 func (noRollouts) MayConsolidate() bool                       { return true }
 func (noRollouts) SurgeDemands() []placement.Demand           { return nil }
--- a/internal/provisioning/termination.go
+++ b/internal/provisioning/termination.go
@@ -72,7 +72,7 @@
 
 // isKept reports whether the plan for the fleet or a rollout keeps a machine.
 func (t *terminator) isKept(machine *worker.Machine, inputs *terminationInputs) bool {
-	return inputs.needed[machine.Name] || t.Rollouts.Keeps(machine.Name)
+	return inputs.needed[machine.Name] || t.Rollouts.IsObservedReplacement(machine.Name)
 }
 
 // idleReturnPassed reports whether more than the configured idle return time (IdleReturnS) has passed since
