--- a/internal/clusterstate/commands.go
+++ b/internal/clusterstate/commands.go
@@ -20,25 +20,25 @@
 	return c.commands.NextBatches(limit, permission, time.Now())
 }
 
-// BatchAnswered records the outcome of a batch of commands.
-func (c *State) BatchAnswered(batch dispatch.Batch, outcome worker.Outcome) {
+// RecordBatchOutcome records the outcome of a batch of commands.
+func (c *State) RecordBatchOutcome(batch dispatch.Batch, outcome worker.Outcome) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.commands.Answered(batch, outcome)
+	c.commands.RecordOutcome(batch, outcome)
 }
 
-// DueProbes takes the machines to probe now, with at most limit probes in flight.
-func (c *State) DueProbes(now time.Time, limit int) []dispatch.Probe {
+// SelectProbes takes the machines to probe now, with at most limit probes in flight.
+func (c *State) SelectProbes(now time.Time, limit int) []dispatch.Probe {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.prober.Due(now, limit, c.generation)
+	return c.prober.SelectProbes(now, limit, c.generation)
 }
 
-// ProbeAnswered records whether a machine answered a probe.
-func (c *State) ProbeAnswered(name ids.Machine, answered bool) {
+// RecordProbeAnswer records whether a machine answered a probe.
+func (c *State) RecordProbeAnswer(name ids.Machine, answered bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if machine := c.prober.Answered(name, answered); machine != nil {
+	if machine := c.prober.RecordAnswer(name, answered); machine != nil {
 		c.commands.RecordReachability(machine, answered)
 	}
 }
--- a/internal/clusterstate/dispatch_test.go
+++ b/internal/clusterstate/dispatch_test.go
@@ -100,7 +100,7 @@
 	cluster.submit(1, newRecord("job-1", "blue", record.Normal, 1, 1), now)
 	cluster.Plan(now)
 	job := cluster.jobs.Get("job-1")
-	cluster.ProbeAnswered("m1", false)
+	cluster.RecordProbeAnswer("m1", false)
 	if len(job.Assignments) != 0 {
 		t.Fatal("the assignment is kept although its start was never sent and its machine is silent")
 	}
@@ -112,7 +112,7 @@
 	if len(batches) != 1 || batches[0].Machine != "m2" {
 		t.Fatalf("batches %v, want one to m2", batches)
 	}
-	cluster.BatchAnswered(batches[0], worker.NotSent)
+	cluster.RecordBatchOutcome(batches[0], worker.NotSent)
 	if len(job.Assignments) != 0 || len(cluster.machines.Machines["m2"].UnconfirmedStarts) != 0 {
 		t.Fatal("the assignment is kept although its start cannot arrive")
 	}
@@ -121,7 +121,7 @@
 	cluster.Plan(now)
 	cluster.markStored(job)
 	batches = cluster.NextBatches(10)
-	cluster.BatchAnswered(batches[0], worker.OutcomeUnknown)
+	cluster.RecordBatchOutcome(batches[0], worker.OutcomeUnknown)
 	if len(job.Assignments) != 1 || len(cluster.machines.Machines["m3"].UnconfirmedStarts) != 1 {
 		t.Fatal("the assignment is removed although its start may still arrive")
 	}
--- a/internal/clusterstate/liveness_test.go
+++ b/internal/clusterstate/liveness_test.go
@@ -56,12 +56,12 @@
 	}
 	probed := map[ids.Machine]int{}
 	for round := range 20 {
-		for position, probe := range cluster.DueProbes(now.Add(time.Duration(round)*time.Second), 20) {
+		for position, probe := range cluster.SelectProbes(now.Add(time.Duration(round)*time.Second), 20) {
 			if round == 0 && position == 0 && probe.Machine != machineWithReplica {
 				t.Errorf("%s was probed first, want %s, which has a replica", probe.Machine, machineWithReplica)
 			}
 			probed[probe.Machine]++
-			cluster.ProbeAnswered(probe.Machine, false)
+			cluster.RecordProbeAnswer(probe.Machine, false)
 		}
 	}
 	if len(probed) < 280 {
@@ -86,7 +86,7 @@
 		t.Fatalf("%d batches for one task", len(batches))
 	}
 	unreachable := batches[0].Machine
-	cluster.BatchAnswered(batches[0], worker.OutcomeUnknown)
+	cluster.RecordBatchOutcome(batches[0], worker.OutcomeUnknown)
 	cluster.heartbeat(unreachable, "north", 2)
 	cluster.submit(2, newRecord("job-2", "blue", record.Normal, 12, 1), now)
 	cluster.Plan(now)
@@ -95,7 +95,7 @@
 	}
 	machine := cluster.machines.Machines[unreachable]
 	for sequence := ids.SequenceNumber(3); sequence < 6; sequence++ {
-		cluster.ProbeAnswered(unreachable, false)
+		cluster.RecordProbeAnswer(unreachable, false)
 		for i := range 6 {
 			// The unreachable machine's own heartbeats arrive, too.
 			cluster.heartbeat(ids.Machine(fmt.Sprint("m", i)), "north", sequence)
@@ -119,11 +119,11 @@
 	if unreachable == other {
 		other = "m1"
 	}
-	cluster.ProbeAnswered(other, false)
+	cluster.RecordProbeAnswer(other, false)
 	if cluster.machines.Machines[other].Schedulable(now, 2) {
 		t.Error("a machine that left a probe unanswered is schedulable")
 	}
-	cluster.ProbeAnswered(other, true)
+	cluster.RecordProbeAnswer(other, true)
 	if !cluster.machines.Machines[other].Schedulable(now, 2) {
 		t.Error("a machine that answers again is not schedulable")
 	}
@@ -146,7 +146,7 @@
 		machine.LastReportAt = now.Add(-3 * time.Second)
 	}
 	probed := map[ids.Machine]bool{}
-	for _, probe := range cluster.DueProbes(now, 100) {
+	for _, probe := range cluster.SelectProbes(now, 100) {
 		probed[probe.Machine] = true
 	}
 	if !probed[withReplica] || len(probed) != 1 {
--- a/internal/clusterstate/takeover_test.go
+++ b/internal/clusterstate/takeover_test.go
@@ -65,13 +65,13 @@
 			probes, rounds := 0, 0
 			for ; rounds < 1000; rounds++ {
 				now = now.Add(101 * time.Millisecond)
-				due := successor.DueProbes(now, slots)
+				due := successor.SelectProbes(now, slots)
 				if len(due) == 0 || probes >= machines {
 					break
 				}
 				for i, probe := range due {
 					probes++
-					successor.ProbeAnswered(probe.Machine, true)
+					successor.RecordProbeAnswer(probe.Machine, true)
 					successor.heartbeat(probe.Machine, []string{"north", "south"}[i%2], 2)
 					successor.machines.Machines[probe.Machine].LastReportAt = now
 				}
--- a/internal/clusterstate/unreachable_zones_test.go
+++ b/internal/clusterstate/unreachable_zones_test.go
@@ -99,7 +99,7 @@
 		}
 	}
 	cluster.heartbeat("m01", "south", 2)
-	cluster.ProbeAnswered("m01", true)
+	cluster.RecordProbeAnswer("m01", true)
 	if terminated := cluster.machinesToTerminate(start); len(terminated) != 0 {
 		t.Fatalf("terminating %v when the zone became reachable again", terminated)
 	}
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -23,12 +23,12 @@
 type Cluster interface {
 	// NextBatches takes from the queue the commands that may be sent now, to at most limit machines.
 	NextBatches(limit int) []Batch
-	// BatchAnswered records the outcome of sending a batch.
-	BatchAnswered(batch Batch, outcome worker.Outcome)
-	// DueProbes selects the machines to probe now, with at most limit probes in flight.
-	DueProbes(now time.Time, limit int) []Probe
-	// ProbeAnswered records whether a machine answered a probe.
-	ProbeAnswered(machine ids.Machine, answered bool)
+	// RecordBatchOutcome records the outcome of sending a batch.
+	RecordBatchOutcome(batch Batch, outcome worker.Outcome)
+	// SelectProbes selects the machines to probe now, with at most limit probes in flight.
+	SelectProbes(now time.Time, limit int) []Probe
+	// RecordProbeAnswer records whether a machine answered a probe.
+	RecordProbeAnswer(machine ids.Machine, answered bool)
 	// ReconcileHeartbeat reconciles a report of a machine: a heartbeat, or the response to commands or a
 	// probe.
 	ReconcileHeartbeat(report *worker.Report, answered, heartbeat bool) []worker.Command
@@ -75,7 +75,7 @@
 		if !d.mayCommand() {
 			continue
 		}
-		for _, probe := range d.cluster.DueProbes(time.Now(), cap(d.slots)) {
+		for _, probe := range d.cluster.SelectProbes(time.Now(), cap(d.slots)) {
 			go d.probe(ctx, probe)
 		}
 		for _, batch := range d.cluster.NextBatches(cap(d.slots) - len(d.slots)) {
@@ -89,7 +89,7 @@
 func (d *Dispatcher) send(ctx context.Context, batch Batch) {
 	outcome, report := d.commander.Send(ctx, batch.Address, batch.FencingToken, batch.Incarnation, batch.Commands)
 	<-d.slots
-	d.cluster.BatchAnswered(batch, outcome)
+	d.cluster.RecordBatchOutcome(batch, outcome)
 	if report != nil && report.Machine == batch.Machine {
 		d.cluster.ReconcileHeartbeat(report, false, false)
 	}
@@ -105,7 +105,7 @@
 			report = fenced
 		}
 	}
-	d.cluster.ProbeAnswered(probe.Machine, report != nil)
+	d.cluster.RecordProbeAnswer(probe.Machine, report != nil)
 	if report != nil {
 		d.cluster.ReconcileHeartbeat(report, false, false)
 	}
--- a/internal/dispatch/outcomes.go
+++ b/internal/dispatch/outcomes.go
@@ -7,8 +7,8 @@
 	"github.com/pebbletrail/pebbletrail/internal/worker"
 )
 
-// Answered records the outcome of sending a batch.
-func (q *Queue) Answered(batch Batch, outcome worker.Outcome) {
+// RecordOutcome records the outcome of sending a batch.
+func (q *Queue) RecordOutcome(batch Batch, outcome worker.Outcome) {
 	machine := q.machines.Machines[batch.Machine]
 	if machine == nil {
 		return
--- a/internal/dispatch/queue_test.go
+++ b/internal/dispatch/queue_test.go
@@ -140,7 +140,7 @@
 		assignment, machine := assign(queue, jobs, "m", time.Now())
 		batches, _ := nextCommands(queue, 10)
 		assignment.Stopping = c.stopping
-		queue.Answered(batches[0], c.outcome)
+		queue.RecordOutcome(batches[0], c.outcome)
 		if machine.CommandsInFlight || len(machine.UnconfirmedStarts) != c.outstanding {
 			t.Errorf("%s: in flight %v, %d unconfirmed starts", c.name, machine.CommandsInFlight, len(machine.UnconfirmedStarts))
 		}
