--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -78,8 +78,8 @@
 	return &Budgets{teams: teams, fallback: fallback}
 }
 
-// Of returns the budget of a team.
-func (b *Budgets) Of(team string) Budget {
+// ForTeam returns the budget of a team.
+func (b *Budgets) ForTeam(team string) Budget {
 	if budget, ok := b.teams[team]; ok {
 		return budget
 	}
--- a/internal/budget/meter.go
+++ b/internal/budget/meter.go
@@ -122,7 +122,7 @@
 	if request.Service {
 		return m.grantReplica(request)
 	}
-	used, budget := m.usage(request.Team), m.budgets.Of(request.Team)
+	used, budget := m.usage(request.Team), m.budgets.ForTeam(request.Team)
 	if used.interrupted+request.Tasks > budget.MaxInterrupted {
 		return newDenial(request, "%d tasks are interrupted and %d more would be, of at most %d at a time",
 			used.interrupted, request.Tasks, budget.MaxInterrupted)
@@ -134,7 +134,7 @@
 // grantReplica counts the eviction of a replica, or returns the reason why it can't be granted. A replica
 // that is not ready is already counted as unavailable.
 func (m *Meter) grantReplica(request Request) *Denial {
-	used, budget := m.usage(request.Team), m.budgets.Of(request.Team)
+	used, budget := m.usage(request.Team), m.budgets.ForTeam(request.Team)
 	unavailable := used.unavailable
 	if request.Ready {
 		unavailable++
@@ -158,7 +158,7 @@
 // may have exhausted the budget. It returns nil if it may be used. A denial does not revoke the permit: its
 // task stays counted as unavailable, and the eviction waits.
 func (m *Meter) Confirm(request Request) *Denial {
-	used, budget := m.usage(request.Team), m.budgets.Of(request.Team)
+	used, budget := m.usage(request.Team), m.budgets.ForTeam(request.Team)
 	maxUnavailable := budget.UnavailableAllowed(used.desired)
 	switch {
 	case !request.Service && used.interrupted > budget.MaxInterrupted:
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -197,11 +197,11 @@
 		t.Fatalf("enabling drains: error %v, %d shards", err, settings.ShardCount())
 	}
 	budgets := settings.DisruptionBudgets()
-	if down := budgets.Of(team).UnavailableAllowed(10); down != 3 || budgets.Of(team).MaxInterrupted != 7 {
-		t.Errorf("got %d replicas down, %d tasks interrupted, want 3 and 7", down, budgets.Of(team).MaxInterrupted)
+	if down := budgets.ForTeam(team).UnavailableAllowed(10); down != 3 || budgets.ForTeam(team).MaxInterrupted != 7 {
+		t.Errorf("got %d replicas down, %d tasks interrupted, want 3 and 7", down, budgets.ForTeam(team).MaxInterrupted)
 	}
-	if down := budgets.Of("another").UnavailableAllowed(10); down != 5 || budgets.Of("another").MaxInterrupted != 1 {
-		t.Errorf("default budget: got %d replicas down, %d tasks interrupted, want 5 and 1", down, budgets.Of("another").MaxInterrupted)
+	if down := budgets.ForTeam("another").UnavailableAllowed(10); down != 5 || budgets.ForTeam("another").MaxInterrupted != 1 {
+		t.Errorf("default budget: got %d replicas down, %d tasks interrupted, want 5 and 1", down, budgets.ForTeam("another").MaxInterrupted)
 	}
 	if settings.Readiness().MinRunning != 2*time.Second {
 		t.Errorf("got MinRunning %v, want 2s", settings.Readiness().MinRunning)
