--- a/internal/quota/amount.go
+++ b/internal/quota/amount.go
@@ -48,8 +48,8 @@
 	return Amount{Cores: roundUp(resources.Cores), Accelerators: roundUp(resources.Accels), Memory: roundUp(resources.RAM)}
 }
 
-// Room converts the amount to resources.
-func (a Amount) Room() placement.Resources {
+// Resources returns the amount as resources.
+func (a Amount) Resources() placement.Resources {
 	whole := func(resource Resource) float64 { return float64(a[resource]) / unitsPerWhole }
 	return placement.Resources{Cores: whole(Cores), Accels: whole(Accelerators), RAM: whole(Memory)}
 }
--- a/internal/quota/tracker.go
+++ b/internal/quota/tracker.go
@@ -147,7 +147,7 @@
 	if t.shards > 1 {
 		limit, allowed = t.allowed(quota, limit)
 	}
-	total, used := allowed.Room(), quota.usage.exact
+	total, used := allowed.Resources(), quota.usage.exact
 	left := placement.Resources{Cores: unlimited, Accels: unlimited, RAM: unlimited}
 	if limit[Cores] != Unlimited {
 		left.Cores = total.Cores - used.Cores
--- a/internal/rehearsal/ledgers.go
+++ b/internal/rehearsal/ledgers.go
@@ -32,7 +32,7 @@
 }
 
 func formatAmount(a quota.Amount) string {
-	room := a.Room()
+	room := a.Resources()
 	if room.Accels == 0 {
 		return fmt.Sprintf("%g cores", room.Cores)
 	}
--- a/internal/scheduler/quota_preemption.go
+++ b/internal/scheduler/quota_preemption.go
@@ -116,7 +116,7 @@
 	for _, team := range q.Settings.Params.Teams {
 		amount, rank, owed := q.Quota.ReclaimNeeded(team.Name)
 		if priority := record.Priority(rank.Priority); owed && priority >= record.High {
-			q.preemptBelowPriority(team.Name, priority, amount.Room())
+			q.preemptBelowPriority(team.Name, priority, amount.Resources())
 		}
 	}
 }
