--- a/internal/clusterstate/helpers_dependencies_test.go
+++ b/internal/clusterstate/helpers_dependencies_test.go
@@ -137,7 +137,7 @@
 // of writes per second.
 func (history *jobHistory) newLeaderClient(writes float64) *state.Client {
 	client := state.NewClient(testStoreAddress, history.network.Client("a"), state.NewBudget(1000, writes, 1, 0.6))
-	client.Budget().LeadershipChanged(true)
+	client.Budget().RecordLeadershipChange(true)
 	return client
 }
 
--- a/internal/election/shards.go
+++ b/internal/election/shards.go
@@ -47,7 +47,7 @@
 		electors[shard] = newElector(settings, store, commander, incarnation, ids.Shard(shard), caches)
 	}
 	s := newShards(electors, store, caches)
-	s.ownership = newMachineOwnership(caches.pool.AsOf)
+	s.ownership = newMachineOwnership(caches.pool.LastSyncedAt)
 	s.allowances = state.NewWatchCache(store, quota.Prefix, allowanceWatchInterval)
 	s.registerListeners()
 	return s
--- a/internal/election/term.go
+++ b/internal/election/term.go
@@ -49,7 +49,7 @@
 	termCtx, cancel := context.WithCancel(ctx)
 	term := e.newTerm(acquired, now)
 	term.cancel = cancel
-	e.store.Budget().LeadershipChanged(true)
+	e.store.Budget().RecordLeadershipChange(true)
 	e.current.begin(term, now)
 	slog.Info("leadership acquired", "shard", e.shard, "term", term.Generation, "node", e.settings.HostName)
 	go func() {
@@ -67,10 +67,10 @@
 		Cluster:    e.newClusterState(acquired, now),
 		lease:      acquired.lease,
 		beganAt:    now,
-		authority:  newAuthority(e.settings, e.pauses, e.caches.jobs.AsOf, acquired.grantedAt),
+		authority:  newAuthority(e.settings, e.pauses, e.caches.jobs.LastSyncedAt, acquired.grantedAt),
 		loaded:     make(chan struct{}),
 	}
-	term.Cluster.StartsAllowed = func() (bool, time.Time) { return term.authority.mayStartTasks(), e.caches.jobs.AsOf() }
+	term.Cluster.StartsAllowed = func() (bool, time.Time) { return term.authority.mayStartTasks(), e.caches.jobs.LastSyncedAt() }
 	term.Dispatcher = dispatch.New(term.Cluster, e.commander, e.settings.Sockets().ToMachines/commandSlotDivisor, term.authority.renewedSincePause)
 	term.Committer = commit.New(term.Cluster, e.store, e.settings.HostName, e.keys, acquired.revision, commit.Events{
 		// The committer calls Superseded in its own goroutine, which runs until the term's context ends.
@@ -141,5 +141,5 @@
 	slog.Info("leadership lost", "shard", e.shard, "term", term.Generation, "node", e.settings.HostName, "why", reason)
 	term.Cluster.Close()
 	term.cancel()
-	e.store.Budget().LeadershipChanged(false)
+	e.store.Budget().RecordLeadershipChange(false)
 }
--- a/internal/peer/transfer.go
+++ b/internal/peer/transfer.go
@@ -10,7 +10,7 @@
 // Transfer gives another controller a number of state service changes from this node's budget, if the
 // budget allows it. Controllers of version 0.1.0 lack this method, so requests to them transfer nothing.
 func (s *Service) Transfer(in *TransferRequest, out *TransferReply) error {
-	if s.link.store.Budget().TransferOut(in.Changes) {
+	if s.link.store.Budget().GiveTokens(in.Changes) {
 		out.Changes = in.Changes
 	}
 	return nil
--- a/internal/peer/transfer_test.go
+++ b/internal/peer/transfer_test.go
@@ -27,7 +27,7 @@
 		if given == 0 || given >= 1000 {
 			t.Errorf("%d changes transferred, want above 0 and below 1000", given)
 		}
-		if idle.store.Budget().TransferOut(5) {
+		if idle.store.Budget().GiveTokens(5) {
 			t.Error("the other controller still has the changes that it transferred")
 		}
 		cancel()
--- a/internal/state/budget.go
+++ b/internal/state/budget.go
@@ -73,8 +73,8 @@
 	b.resizeLeaderBucket()
 }
 
-// LeadershipChanged records that this node acquired or lost the leadership of one shard.
-func (b *Budget) LeadershipChanged(acquired bool) {
+// RecordLeadershipChange records that this node acquired or lost the leadership of one shard.
+func (b *Budget) RecordLeadershipChange(acquired bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if acquired {
--- a/internal/state/loans_test.go
+++ b/internal/state/loans_test.go
@@ -13,7 +13,7 @@
 		ctx := context.Background()
 		const writeLimit = 50
 		idle, busy := NewBudget(1000, writeLimit, 2, 0.6), NewBudget(1000, writeLimit, 2, 0.6)
-		idle.LeadershipChanged(true)
+		idle.RecordLeadershipChange(true)
 		useAllTokens := func(budget *Budget, priority Priority) (used int) {
 			for budget.acquire(cancelledContext(ctx), priority, 1) == nil {
 				if used++; used > 1000 {
--- a/internal/state/throttle_test.go
+++ b/internal/state/throttle_test.go
@@ -36,7 +36,7 @@
 			}
 		}))
 		client := NewClient("state:1", network.Client("a"), NewBudget(100, 40, 1, 0.5))
-		client.Budget().LeadershipChanged(true)
+		client.Budget().RecordLeadershipChange(true)
 		put := Txn{Ops: []Op{{Put: "a", Value: []byte(`1`)}}}
 		send := func(duration time.Duration) (done int) {
 			for end := time.Now().Add(duration); time.Now().Before(end); {
--- a/internal/state/transfer.go
+++ b/internal/state/transfer.go
@@ -24,10 +24,10 @@
 // the first call to the store.
 func (b *Budget) SetTransferSource(request TransferFunc) { b.requestTransfer = request }
 
-// TransferOut gives tokens for the given number of writes to another controller, and reports whether it
+// GiveTokens gives tokens for the given number of writes to another controller, and reports whether it
 // did. They are taken from this node's bucket before the other controller gets them, so that both never
 // use the same tokens.
-func (b *Budget) TransferOut(writeCount int) bool {
+func (b *Budget) GiveTokens(writeCount int) bool {
 	if writeCount <= 0 {
 		return false
 	}
--- a/internal/state/transfer_test.go
+++ b/internal/state/transfer_test.go
@@ -22,7 +22,7 @@
 func setTransferSources(budget *Budget, others ...*Budget) {
 	budget.SetTransferSource(func(_ context.Context, writeCount int) bool {
 		for _, other := range others {
-			if other.TransferOut(writeCount) {
+			if other.GiveTokens(writeCount) {
 				return true
 			}
 		}
@@ -52,13 +52,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		budget := newBudgets(1)[0]
 		given := 0
-		for given < 100 && budget.TransferOut(1) {
+		for given < 100 && budget.GiveTokens(1) {
 			given++
 		}
 		if given != 2 {
 			t.Errorf("%d writes of a burst of four were given away, want 2", given)
 		}
-		if budget.TransferOut(0) || budget.TransferOut(-5) {
+		if budget.GiveTokens(0) || budget.GiveTokens(-5) {
 			t.Error("a transfer of zero or fewer writes succeeded")
 		}
 	})
--- a/internal/state/watchcache_sync.go
+++ b/internal/state/watchcache_sync.go
@@ -118,10 +118,10 @@
 	w.sync.ctx = ctx
 }
 
-// AsOf returns the latest time up to which the copy certainly has all changes: the start of the last
+// LastSyncedAt returns the latest time up to which the copy certainly has all changes: the start of the last
 // successful round. A watch does not advance it, since a watch may succeed while the store serves no
 // node, or all nodes except this one.
-func (w *WatchCache) AsOf() time.Time {
+func (w *WatchCache) LastSyncedAt() time.Time {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.sync.asOf
--- a/internal/state/watchcache_test.go
+++ b/internal/state/watchcache_test.go
@@ -163,8 +163,8 @@
 		hideChanges.Store(true)
 		put("j/2")
 		time.Sleep(15 * time.Second)
-		if !cache.AsOf().IsZero() {
-			t.Error("AsOf was advanced by a watch alone")
+		if !cache.LastSyncedAt().IsZero() {
+			t.Error("LastSyncedAt was advanced by a watch alone")
 		}
 		// A watch without waiting does not make the copy complete either, since an outage may begin
 		// between the plain read and the watch.
@@ -180,8 +180,8 @@
 		if _, found, _ := cache.Get("j/4"); !found {
 			t.Error("a change is lost after a watch returned a newer store revision without it")
 		}
-		if cache.AsOf().Before(began) {
-			t.Error("AsOf was not advanced by a successful Sync")
+		if cache.LastSyncedAt().Before(began) {
+			t.Error("LastSyncedAt was not advanced by a successful Sync")
 		}
 		put("other/1")
 		put("j/3")
