--- a/internal/clusterstate/explain.go
+++ b/internal/clusterstate/explain.go
@@ -92,7 +92,7 @@
 	for _, assignment := range job.Assignments {
 		machine := c.machines.Machines[assignment.Machine]
 		switch {
-		case machine != nil && c.zones.Unreachable(machine.Zone) && (!machine.HasReported || machine.Suspect()):
+		case machine != nil && c.zones.Unreachable(machine.Zone) && (!machine.HasReported || machine.IsSuspect()):
 			unreachable[machine.Zone]++
 			lastExpiry = worker.Later(lastExpiry, machine.LeaseExpiresAt)
 		default:
--- a/internal/dispatch/outcomes.go
+++ b/internal/dispatch/outcomes.go
@@ -48,7 +48,7 @@
 // commands are queued. If a machine does not answer, its assignments whose starts were never sent are
 // removed, so that they can be assigned elsewhere at once.
 func (q *Queue) RecordReachability(machine *worker.Machine, answered bool) {
-	wasSuspect := machine.Suspect()
+	wasSuspect := machine.IsSuspect()
 	machine.RecordCall(answered, time.Now())
 	node := q.capacity.Node(machine.Name)
 	if node == nil {
--- a/internal/dispatch/queue.go
+++ b/internal/dispatch/queue.go
@@ -88,7 +88,7 @@
 	for node := range q.pending {
 		machine := q.machines.Machines[node.Name]
 		switch {
-		case machine == nil || !machine.HasReported || machine.Addr == "" || machine.Deleting || machine.Suspect():
+		case machine == nil || !machine.HasReported || machine.Addr == "" || machine.Deleting || machine.IsSuspect():
 			delete(q.pending, node)
 		case !machine.CommandsInFlight: // otherwise it stays pending until that call is answered
 			nodes = append(nodes, node)
--- a/internal/eviction/disruption.go
+++ b/internal/eviction/disruption.go
@@ -65,7 +65,7 @@
 		Terminating:  assignment.Stopping || assignment.Evicting,
 	}
 	machine := d.Machines.Machines[assignment.Machine]
-	if machine != nil && machine.HasReported && !machine.Suspect() && machine.Incarnation == assignment.Incarnation {
+	if machine != nil && machine.HasReported && !machine.IsSuspect() && machine.Incarnation == assignment.Incarnation {
 		replica.LastHeartbeat = machine.LastReportAt
 	}
 	return replica
--- a/internal/eviction/drain.go
+++ b/internal/eviction/drain.go
@@ -29,7 +29,7 @@
 // to stop there, all or none, and then further units as far as the budgets allow.
 func (d *drainer) evictNextStep(name ids.Machine, order rollout.Order, meter *budget.Meter, now time.Time) {
 	machine := d.Machines.Machines[name]
-	if machine == nil || !machine.HasReported || machine.Suspect() {
+	if machine == nil || !machine.HasReported || machine.IsSuspect() {
 		d.blockers.add(name, "nothing is heard of it")
 		return
 	}
--- a/internal/eviction/view.go
+++ b/internal/eviction/view.go
@@ -36,7 +36,7 @@
 	status := rollout.Machine{
 		Class:         rollout.InstanceClass{Type: machine.Type, Zone: machine.Zone, Spot: machine.Spot},
 		Known:         true,
-		Ready:         machine.HasReported && !machine.Suspect(),
+		Ready:         machine.HasReported && !machine.IsSuspect(),
 		Failed:        e.failureReason(machine, v.now),
 		Reclaimed:     !machine.SpotTerminationAt.IsZero(),
 		Tasks:         len(e.Capacity.AssignmentsOn(name)),
@@ -91,7 +91,7 @@
 		return "it stopped by itself"
 	case machine.DrainReason != "":
 		return machine.DrainReason
-	case machine.HasReported && machine.Suspect() && machine.SilentFor(now) > maxSilence:
+	case machine.HasReported && machine.IsSuspect() && machine.SilentFor(now) > maxSilence:
 		return "nothing is heard of it any more"
 	}
 	return ""
--- a/internal/liveness/fleet.go
+++ b/internal/liveness/fleet.go
@@ -52,7 +52,7 @@
 		zone := fleet.ensureZone(machine.Zone)
 		fleet.total++
 		zone.total++
-		if machine.HasReported && !machine.Suspect() {
+		if machine.HasReported && !machine.IsSuspect() {
 			fleet.lastReports.add(machine.LastReportAt)
 			zone.lastReports.add(machine.LastReportAt)
 		} else {
--- a/internal/liveness/zones.go
+++ b/internal/liveness/zones.go
@@ -42,7 +42,7 @@
 	now := time.Now()
 	slog.Info("zone reachable again", "zone", name)
 	for _, machine := range machines.Machines {
-		if machine.Zone == name && machine.Suspect() {
+		if machine.Zone == name && machine.IsSuspect() {
 			resetProbes(machine, now)
 			machine.DiscoveredAt = now
 		}
--- a/internal/reconcile/machine.go
+++ b/internal/reconcile/machine.go
@@ -46,7 +46,7 @@
 		booting:          machine.Booting,
 		classChanged:     machine.Type != report.Type || machine.Zone != report.Zone || machine.Spot != report.Spot,
 		unschedulable:    machine.HasReported && !machine.Schedulable(now, interval),
-		suspect:          machine.Suspect(),
+		suspect:          machine.IsSuspect(),
 		longSilent:       !machine.HasReported || machine.SilentFor(now) > 2*interval.Duration()+longSilenceMargin,
 		terminationKnown: !machine.SpotTerminationAt.IsZero(),
 	}
--- a/internal/worker/machine.go
+++ b/internal/worker/machine.go
@@ -114,9 +114,9 @@
 	}
 }
 
-// Suspect reports whether the machine left probes or commands unanswered. Nothing more is sent to a
+// IsSuspect reports whether the machine left probes or commands unanswered. Nothing more is sent to a
 // suspect machine until it answers a probe or reports again.
-func (m *Machine) Suspect() bool { return m.UnansweredProbes > 0 || !m.UnreachableSince.IsZero() }
+func (m *Machine) IsSuspect() bool { return m.UnansweredProbes > 0 || !m.UnreachableSince.IsZero() }
 
 // SilentFor returns the time since the machine's last report.
 func (m *Machine) SilentFor(now time.Time) time.Duration { return now.Sub(m.LastReportAt) }
