--- a/internal/clusterstate/helpers_dependencies_test.go
+++ b/internal/clusterstate/helpers_dependencies_test.go
@@ -44,7 +44,7 @@
 			final := newRecord(numberedJob(number), "red", record.Low, 1, 1)
 			final.Status = status
 			raw, _ := final.Encode(testValueBytes)
-			txn.Ops = append(txn.Ops, state.Op{Put: record.EndKey(numberedJob(number)), Value: raw})
+			txn.Ops = append(txn.Ops, state.Op{Put: record.FinalRecordKey(numberedJob(number)), Value: raw})
 		}
 		if _, err := history.client.Commit(context.Background(), txn, state.Urgent); err != nil {
 			t.Fatal(err)
--- a/internal/clusterstate/ready_jobs.go
+++ b/internal/clusterstate/ready_jobs.go
@@ -93,7 +93,7 @@
 	moved := t.nextRecord(waiting)
 	moved.MarkCancelledBy(t.graph.CancelledBy(id))
 	value, ok := moved.EncodeFinal(valueLimit(t.settings))
-	change, ok = t.newMove(record.EndKey(id), waiting, moved, value, ok)
+	change, ok = t.newMove(record.FinalRecordKey(id), waiting, moved, value, ok)
 	change.Terminal = true
 	return change, ok
 }
--- a/internal/clusterstate/record_limits_test.go
+++ b/internal/clusterstate/record_limits_test.go
@@ -171,7 +171,7 @@
 			committer.CommitGroup(ctx)
 			time.Sleep(time.Second)
 		}
-		if ended := store.Value(record.EndKey("job-1")) != nil; store.TooLarge > 0 || !ended {
+		if ended := store.Value(record.FinalRecordKey("job-1")) != nil; store.TooLarge > 0 || !ended {
 			t.Errorf("%d writes were too large; after %d s the final record is stored: %v", store.TooLarge, seconds, ended)
 		}
 	})
--- a/internal/clusterstate/store_changes.go
+++ b/internal/clusterstate/store_changes.go
@@ -117,8 +117,8 @@
 		change.Ops = []state.Op{{Put: record.JobKey(id), Value: value}}
 		return change, true
 	}
-	change.Conditions = append(change.Conditions, state.Condition{Key: record.EndKey(id)})
-	change.Ops = []state.Op{{Remove: record.JobKey(id)}, {Put: record.EndKey(id), Value: value}}
+	change.Conditions = append(change.Conditions, state.Condition{Key: record.FinalRecordKey(id)})
+	change.Ops = []state.Op{{Remove: record.JobKey(id)}, {Put: record.FinalRecordKey(id), Value: value}}
 	if cancellation.Revision > 0 {
 		change.Ops = append(change.Ops, state.Op{Remove: record.CancelKey(id)})
 	}
--- a/internal/clusterstate/waiting_jobs_test.go
+++ b/internal/clusterstate/waiting_jobs_test.go
@@ -31,7 +31,7 @@
 		history.storeWaitingJobs(t, cluster, newDependents(2000, "job-500")...)
 		history.store.SetLimits(testValueBytes, cluster.settings.Params.State.TxnOps)
 		cluster.cancelJob(first)
-		if committer.CommitGroup(ctx); history.store.Value(record.EndKey("job-500")) == nil {
+		if committer.CommitGroup(ctx); history.store.Value(record.FinalRecordKey("job-500")) == nil {
 			t.Error("the final record of the cancelled job itself is not in the first transaction")
 		}
 		history.calls = 0
@@ -46,7 +46,7 @@
 			time.Sleep(20 * time.Millisecond)
 		}
 		took := time.Since(began)
-		waiting, ended := history.store.CountKeys(record.WaitPrefix), history.store.CountKeys(record.EndPrefix)
+		waiting, ended := history.store.CountKeys(record.WaitPrefix), history.store.CountKeys(record.FinalRecordPrefix)
 		if history.store.TooLarge > 0 || waiting > 0 || ended != 1+2001 {
 			t.Fatalf("%d transactions were too large, %d jobs wait, %d ended", history.store.TooLarge, waiting, ended)
 		}
@@ -153,7 +153,7 @@
 				final := newRecord(ended, "red", record.Low, 1, 1)
 				final.Status = record.Done
 				raw, _ := final.Encode(testValueBytes)
-				txn := state.Txn{Ops: []state.Op{{Put: record.EndKey(ended), Value: raw}}}
+				txn := state.Txn{Ops: []state.Op{{Put: record.FinalRecordKey(ended), Value: raw}}}
 				if _, err := client.Commit(ctx, txn, state.Urgent); err != nil {
 					t.Fatal(err)
 				}
--- a/internal/commit/committer_test.go
+++ b/internal/commit/committer_test.go
@@ -119,7 +119,7 @@
 }
 
 func TestConflictIsResolvedByReadingBack(t *testing.T) {
-	jobKey, endKey, cancelKey := record.JobKey("job"), record.EndKey("job"), record.CancelKey("job")
+	jobKey, endKey, cancelKey := record.JobKey("job"), record.FinalRecordKey("job"), record.CancelKey("job")
 	for _, c := range []struct {
 		name   string
 		key    string // the key that was written before
--- a/internal/commit/conflict.go
+++ b/internal/commit/conflict.go
@@ -54,7 +54,7 @@
 	if conflict.Has(record.CancelKey(id)) && !r.readCancellation(ctx, id) {
 		return false
 	}
-	if !conflict.Has(record.JobKey(id)) && !conflict.Has(record.EndKey(id)) {
+	if !conflict.Has(record.JobKey(id)) && !conflict.Has(record.FinalRecordKey(id)) {
 		return true
 	}
 	return r.readRecord(ctx, change)
@@ -87,7 +87,7 @@
 		r.stored()
 		return true
 	}
-	_, found, err := r.store.Get(ctx, record.EndKey(id), state.Urgent)
+	_, found, err := r.store.Get(ctx, record.FinalRecordKey(id), state.Urgent)
 	if err != nil {
 		return false
 	}
--- a/internal/commit/lookups.go
+++ b/internal/commit/lookups.go
@@ -78,7 +78,7 @@
 		}
 	}
 	for _, id := range wanted[:min(len(wanted), LookupReadsPerPass)] {
-		entry, found, err := r.store.Get(ctx, record.EndKey(id), state.Normal)
+		entry, found, err := r.store.Get(ctx, record.FinalRecordKey(id), state.Normal)
 		if err != nil {
 			r.cluster.RetryLookup(id, now) // a record that can't be read must not delay the others
 			return
@@ -90,7 +90,7 @@
 // lookUpPage reads the page of final records that begins at the first wanted one, and returns how many of
 // the wanted records lie within the page.
 func (r *finalRecordReader) lookUpPage(ctx context.Context, wanted []ids.Job, now time.Time) (covered int, ok bool) {
-	entries, more, _, err := r.store.List(ctx, record.EndPrefix, keyBefore(record.EndKey(wanted[0])), LookupPageSize, state.Normal)
+	entries, more, _, err := r.store.List(ctx, record.FinalRecordPrefix, keyBefore(record.FinalRecordKey(wanted[0])), LookupPageSize, state.Normal)
 	if err != nil {
 		return 0, false
 	}
@@ -99,7 +99,7 @@
 		byKey[entry.Key] = entry
 	}
 	for _, id := range wanted {
-		key := record.EndKey(id)
+		key := record.FinalRecordKey(id)
 		if more && (len(entries) == 0 || key > entries[len(entries)-1].Key) {
 			break
 		}
--- a/internal/intake/cancel.go
+++ b/internal/intake/cancel.go
@@ -93,7 +93,7 @@
 	if !fits {
 		return cancelWrite{}, errUnavailable
 	}
-	finalKey := record.EndKey(rec.Spec.ID)
+	finalKey := record.FinalRecordKey(rec.Spec.ID)
 	return cancelWrite{
 		txn: state.Txn{
 			Conditions: append(unchanged, state.Condition{Key: finalKey}),
--- a/internal/intake/cluster_test.go
+++ b/internal/intake/cluster_test.go
@@ -118,7 +118,7 @@
 	key, encode := record.JobKey(id), rec.Encode
 	switch {
 	case rec.Status.IsTerminal():
-		key = record.EndKey(id)
+		key = record.FinalRecordKey(id)
 	case blocked:
 		key, encode = record.WaitKey(id), rec.EncodeWaiting
 	}
@@ -149,7 +149,7 @@
 // storedKey returns the key at which a job's record is stored. If there are several, it returns them
 // concatenated; if there is none, an empty string.
 func (c *testCluster) storedKey(id ids.Job) (keys string) {
-	for _, key := range []string{record.JobKey(id), record.WaitKey(id), record.EndKey(id)} {
+	for _, key := range []string{record.JobKey(id), record.WaitKey(id), record.FinalRecordKey(id)} {
 		if c.store.Value(key) != nil {
 			keys += key
 		}
--- a/internal/intake/dependencies.go
+++ b/internal/intake/dependencies.go
@@ -24,7 +24,7 @@
 	switch {
 	case cancelledJob != "":
 		rec.MarkCancelledBy(cancelledJob)
-		key = record.EndKey(id)
+		key = record.FinalRecordKey(id)
 		value, fits = rec.Encode(limit)
 	case len(unfinished) > 0:
 		key = record.WaitKey(id)
--- a/internal/intake/dependencies_test.go
+++ b/internal/intake/dependencies_test.go
@@ -72,15 +72,15 @@
 	"queued":                    {[]acceptedJob{{"job-1", record.Queued, nil}}, []string{"job-1"}, 201, "pending", record.WaitPrefix},
 	"claimed":                   {[]acceptedJob{{"job-1", record.Claimed, nil}}, []string{"job-1"}, 201, "pending", record.WaitPrefix},
 	"done":                      {[]acceptedJob{{"job-1", record.Done, nil}}, []string{"job-1"}, 201, "pending", record.JobPrefix},
-	"cancelled":                 {[]acceptedJob{{"job-1", record.Cancelled, nil}}, []string{"job-1"}, 201, "cancelled", record.EndPrefix},
-	"cancelling":                {[]acceptedJob{{"job-1", record.Cancelling, nil}}, []string{"job-1"}, 201, "cancelled", record.EndPrefix},
+	"cancelled":                 {[]acceptedJob{{"job-1", record.Cancelled, nil}}, []string{"job-1"}, 201, "cancelled", record.FinalRecordPrefix},
+	"cancelling":                {[]acceptedJob{{"job-1", record.Cancelling, nil}}, []string{"job-1"}, 201, "cancelled", record.FinalRecordPrefix},
 	"waiting":                   {[]acceptedJob{{"job-1", record.Queued, nil}, {"job-2", record.Queued, []ids.Job{"job-1"}}}, []string{"job-2"}, 201, "pending", record.WaitPrefix},
-	"waits for a cancelled one": {[]acceptedJob{{"job-1", record.Cancelled, nil}, {"job-2", record.Queued, []ids.Job{"job-1"}}}, []string{"job-2"}, 201, "cancelled", record.EndPrefix},
+	"waits for a cancelled one": {[]acceptedJob{{"job-1", record.Cancelled, nil}, {"job-2", record.Queued, []ids.Job{"job-1"}}}, []string{"job-2"}, 201, "cancelled", record.FinalRecordPrefix},
 	"waits for a cancelling one, two steps on": {[]acceptedJob{{"job-1", record.Cancelling, nil}, {"job-2", record.Queued, []ids.Job{"job-1"}},
-		{"job-3", record.Queued, []ids.Job{"job-2"}}}, []string{"job-3"}, 201, "cancelled", record.EndPrefix},
+		{"job-3", record.Queued, []ids.Job{"job-2"}}}, []string{"job-3"}, 201, "cancelled", record.FinalRecordPrefix},
 	"waits for a done one":  {[]acceptedJob{{"job-1", record.Done, nil}, {"job-2", record.Queued, []ids.Job{"job-1"}}}, []string{"job-2"}, 201, "pending", record.WaitPrefix},
 	"one done, one queued":  {[]acceptedJob{{"job-1", record.Done, nil}, {"job-2", record.Queued, nil}}, []string{"job-1", "job-2"}, 201, "pending", record.WaitPrefix},
-	"one queued, one ended": {[]acceptedJob{{"job-1", record.Queued, nil}, {"job-2", record.Cancelled, nil}}, []string{"job-1", "job-2"}, 201, "cancelled", record.EndPrefix},
+	"one queued, one ended": {[]acceptedJob{{"job-1", record.Queued, nil}, {"job-2", record.Cancelled, nil}}, []string{"job-1", "job-2"}, 201, "cancelled", record.FinalRecordPrefix},
 	"all done":              {[]acceptedJob{{"job-1", record.Done, nil}, {"job-2", record.Done, nil}}, []string{"job-1", "job-2"}, 201, "pending", record.JobPrefix},
 	"never accepted":        {nil, []string{"job-1"}, 422, "", ""},
 	"one never accepted":    {[]acceptedJob{{"job-1", record.Queued, nil}}, []string{"job-1", "job-2"}, 422, "", ""},
@@ -181,7 +181,7 @@
 						cluster.commit(state.Op{Remove: record.WaitKey("job-2")}, state.Op{Put: record.JobKey("job-2"), Value: live})
 					}
 					if calls == second {
-						cluster.commit(state.Op{Remove: record.JobKey("job-2")}, state.Op{Put: record.EndKey("job-2"), Value: end})
+						cluster.commit(state.Op{Remove: record.JobKey("job-2")}, state.Op{Put: record.FinalRecordKey("job-2"), Value: end})
 					}
 					return fake.Deliver
 				})
--- a/internal/intake/dependency_reader.go
+++ b/internal/intake/dependency_reader.go
@@ -147,8 +147,8 @@
 	}
 	slices.Sort(missing)
 	for len(missing) > 0 {
-		after := keyBefore(record.EndKey(missing[0]))
-		page, more, _, err := r.records.store.List(ctx, record.EndPrefix, after, prefetchPageSize, r.priority)
+		after := keyBefore(record.FinalRecordKey(missing[0]))
+		page, more, _, err := r.records.store.List(ctx, record.FinalRecordPrefix, after, prefetchPageSize, r.priority)
 		if err != nil {
 			return wrapUnavailable(err)
 		}
@@ -176,7 +176,7 @@
 func (r *dependencyReader) addPage(missing []ids.Job, page []state.Entry, more bool) (remaining []ids.Job, err error) {
 	jobByKey := map[string]ids.Job{}
 	for _, id := range missing {
-		jobByKey[record.EndKey(id)] = id
+		jobByKey[record.FinalRecordKey(id)] = id
 		r.finalRecords[id] = nil
 	}
 	for _, entry := range page {
@@ -195,7 +195,7 @@
 	}
 	last := page[len(page)-1].Key
 	for i, id := range missing {
-		if record.EndKey(id) > last {
+		if record.FinalRecordKey(id) > last {
 			remaining = missing[i:]
 			break
 		}
--- a/internal/intake/record_reader.go
+++ b/internal/intake/record_reader.go
@@ -67,7 +67,7 @@
 	if err != nil || liveRecord.exists() {
 		return liveRecord, err
 	}
-	entry, found, err := r.store.Get(ctx, record.EndKey(id), priority)
+	entry, found, err := r.store.Get(ctx, record.FinalRecordKey(id), priority)
 	if err != nil {
 		return recordEntry{}, wrapUnavailable(err)
 	}
--- a/internal/intake/submit.go
+++ b/internal/intake/submit.go
@@ -52,7 +52,7 @@
 	}
 	id := rec.Spec.ID
 	storeRevision, err := s.Store.Commit(ctx, state.Txn{
-		Conditions: []state.Condition{{Key: record.JobKey(id)}, {Key: record.WaitKey(id)}, {Key: record.EndKey(id)}},
+		Conditions: []state.Condition{{Key: record.JobKey(id)}, {Key: record.WaitKey(id)}, {Key: record.FinalRecordKey(id)}},
 		Ops:        []state.Op{{Put: key, Value: value}},
 	}, state.Sheddable)
 	var conflict *state.ConflictError
--- a/internal/record/assignments.go
+++ b/internal/record/assignments.go
@@ -20,8 +20,8 @@
 
 // TaskAssignment is the assignment of one task.
 type TaskAssignment struct {
-	Task int
-	At   Location
+	Task     int
+	Location Location
 }
 
 // AssignmentGroup is the stored form of all assignments with the same fencing token. It is compact
@@ -116,10 +116,10 @@
 	builders := map[ids.Generation]*groupBuilder{}
 	var order []*groupBuilder
 	for _, assignment := range assignments {
-		builder := builders[assignment.At.FencingToken]
+		builder := builders[assignment.Location.FencingToken]
 		if builder == nil {
 			builder = newGroupBuilder(assignment)
-			builders[assignment.At.FencingToken] = builder
+			builders[assignment.Location.FencingToken] = builder
 			order = append(order, builder)
 		}
 		builder.add(assignment)
@@ -145,9 +145,9 @@
 func newGroupBuilder(lowest TaskAssignment) *groupBuilder {
 	return &groupBuilder{
 		group: AssignmentGroup{
-			FencingToken: lowest.At.FencingToken,
+			FencingToken: lowest.Location.FencingToken,
 			Base:         lowest.Task,
-			Prefix:       string(lowest.At.Machine),
+			Prefix:       string(lowest.Location.Machine),
 		},
 		tasks:        map[Location]*ids.IndexSet{},
 		attempts:     map[ids.Attempt]int{},
@@ -157,7 +157,7 @@
 
 // add adds an assignment to the group.
 func (b *groupBuilder) add(assignment TaskAssignment) {
-	location := assignment.At
+	location := assignment.Location
 	if b.tasks[location] == nil {
 		b.tasks[location] = &ids.IndexSet{}
 		b.locations = append(b.locations, location)
--- a/internal/record/assignments_test.go
+++ b/internal/record/assignments_test.go
@@ -12,7 +12,7 @@
 
 // newAssignment returns the assignment of a task.
 func newAssignment(task int, machine ids.Machine, incarnation ids.Incarnation, attempt ids.Attempt, token ids.Generation) TaskAssignment {
-	return TaskAssignment{Task: task, At: Location{Machine: machine, Incarnation: incarnation, Attempt: attempt, FencingToken: token}}
+	return TaskAssignment{Task: task, Location: Location{Machine: machine, Incarnation: incarnation, Attempt: attempt, FencingToken: token}}
 }
 
 // encodeAndDecode encodes and decodes a record with assignments and returns the decoded ones.
@@ -62,7 +62,7 @@
 			}
 			want := map[int]Location{}
 			for _, assignment := range c.assignments {
-				want[assignment.Task] = assignment.At
+				want[assignment.Task] = assignment.Location
 			}
 			if found := encodeAndDecode(t, c.assignments); !reflect.DeepEqual(found, want) {
 				t.Errorf("decoded as %v, want %v", found, want)
@@ -83,7 +83,7 @@
 			machine := ids.Machine(fmt.Sprintf("%s-%d", []string{"host", "hare", "x"}[rng.IntN(3)], rng.IntN(12)))
 			assignment := newAssignment(task, machine, ids.Incarnation(1+rng.IntN(3)), ids.Attempt(1+rng.IntN(3)), ids.Generation(1+rng.IntN(2)))
 			assignments = append(assignments, assignment)
-			want[task] = assignment.At
+			want[task] = assignment.Location
 		}
 		if found := encodeAndDecode(t, assignments); !reflect.DeepEqual(found, want) {
 			t.Fatalf("seed %d: decoded as %v, want %v", seed, found, want)
--- a/internal/record/keys.go
+++ b/internal/record/keys.go
@@ -9,18 +9,18 @@
 
 // The keys and prefixes of the key-value store.
 const (
-	PoolPrefix = "pool/"      // leadership, generation and provisioning requests
-	TypesKey   = "pool/types" // the available instance types
-	JobPrefix  = "job/"       // records of jobs that have not ended
-	EndPrefix  = "end/"       // final records
-	WaitPrefix = "job/wait/"  // records of jobs with unfinished dependencies
+	PoolPrefix        = "pool/"      // leadership, generation and provisioning requests
+	TypesKey          = "pool/types" // the available instance types
+	JobPrefix         = "job/"       // records of jobs that have not ended
+	FinalRecordPrefix = "end/"       // final records
+	WaitPrefix        = "job/wait/"  // records of jobs with unfinished dependencies
 )
 
 // JobKey returns the key of the record of a schedulable or running job.
 func JobKey(job ids.Job) string { return JobPrefix + string(job) }
 
-// EndKey returns the key of a job's final record.
-func EndKey(job ids.Job) string { return EndPrefix + string(job) }
+// FinalRecordKey returns the key of a job's final record.
+func FinalRecordKey(job ids.Job) string { return FinalRecordPrefix + string(job) }
 
 // WaitKey returns the key of the record of a job with unfinished dependencies.
 func WaitKey(job ids.Job) string { return WaitPrefix + string(job) }
--- a/internal/wirenames/names_test.go
+++ b/internal/wirenames/names_test.go
@@ -176,7 +176,7 @@
 
 // storedKeys returns the keys and key prefixes of records in the state service.
 func storedKeys() []string {
-	keys := []string{record.PoolPrefix, record.TypesKey, record.JobKey("J"), record.EndKey("J"), record.WaitKey("J"), record.CancelKey("J"),
+	keys := []string{record.PoolPrefix, record.TypesKey, record.JobKey("J"), record.FinalRecordKey("J"), record.WaitKey("J"), record.CancelKey("J"),
 		quota.Prefix, rollout.Prefix}
 	for _, shard := range []record.ShardKeys{record.KeysOf(0, 1), record.KeysOf(2, 3)} {
 		keys = append(keys, shard.Leader(), shard.Generation(), shard.ProvisioningRequests())
--- a/internal/workload/assignment.go
+++ b/internal/workload/assignment.go
@@ -156,7 +156,7 @@
 		assignment := assignments[i]
 		location := record.Location{Machine: assignment.Machine, Incarnation: assignment.Incarnation,
 			Attempt: assignment.Attempt, FencingToken: assignment.FencingToken}
-		list = append(list, record.TaskAssignment{Task: i, At: location})
+		list = append(list, record.TaskAssignment{Task: i, Location: location})
 	}
 	return record.GroupAssignments(list)
 }
