--- a/cmd/pebbletrail/drain_plan.go
+++ b/cmd/pebbletrail/drain_plan.go
@@ -14,7 +14,7 @@
 	command := &cobra.Command{
 		Use: "plan NAME", Short: "Tells what a rollout would do now, and what would block it; changes nothing", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			var plan rollout.Preview
+			var plan rollout.Plan
 			if err := callController(node, http.MethodPost, rollout.PlanPath, flags.toSpec(args[0]), &plan); err != nil {
 				return err
 			}
--- a/cmd/pebbletrail/rollout_flags.go
+++ b/cmd/pebbletrail/rollout_flags.go
@@ -37,7 +37,7 @@
 func (f *rolloutFlags) toSpec(name string) *rollout.Spec {
 	spec := f.spec
 	spec.Name = rollout.Name(name)
-	spec.AtDeadline = rollout.AtDeadline(f.atDeadline)
+	spec.DeadlineAction = rollout.DeadlineAction(f.atDeadline)
 	spec.Pause = ids.Seconds(f.pause.Seconds())
 	spec.Deadline = ids.Seconds(f.deadline.Seconds())
 	spec.Observe = ids.Seconds(f.observe.Seconds())
--- a/internal/clusterstate/eviction.go
+++ b/internal/clusterstate/eviction.go
@@ -23,10 +23,10 @@
 }
 
 // RolloutView returns a view of the fleet as it is now.
-func (c *State) RolloutView() rollout.View { return c.evictor.NewView() }
+func (c *State) RolloutView() rollout.FleetView { return c.evictor.NewView() }
 
 // RolloutPlanner returns a view of the fleet from which rollouts are planned.
-func (c *State) RolloutPlanner() rollout.Planner { return c.evictor.NewView() }
+func (c *State) RolloutPlanner() rollout.PlanningView { return c.evictor.NewView() }
 
 // ReplacementsToProvision returns the replacements that rollouts want and that were not provisioned yet.
 func (c *State) ReplacementsToProvision() []rollout.ProvisioningRequest {
--- a/internal/eviction/view.go
+++ b/internal/eviction/view.go
@@ -24,22 +24,22 @@
 func (e *Evictor) NewView() *View { return &View{evictor: e, now: time.Now()} }
 
 // Machine returns the state of one machine.
-func (v *View) Machine(name ids.Machine) rollout.Machine {
+func (v *View) Machine(name ids.Machine) rollout.MachineInfo {
 	e := v.evictor
 	e.Lock.Lock()
 	defer e.Lock.Unlock()
 	machine := e.Machines.Machines[name]
 	if machine == nil {
 		deleted := e.cluster.Terminated(name) || e.cluster.CloudListConclusive()
-		return rollout.Machine{Deleted: deleted, Failed: e.replacements.lost[name]}
+		return rollout.MachineInfo{Deleted: deleted, Failed: e.replacements.lost[name]}
 	}
-	status := rollout.Machine{
+	status := rollout.MachineInfo{
 		Class:         rollout.InstanceClass{Type: machine.Type, Zone: machine.Zone, Spot: machine.Spot},
 		Known:         true,
 		Ready:         machine.HasReported && !machine.IsSuspect(),
 		Failed:        e.failureReason(machine, v.now),
 		Reclaimed:     !machine.SpotTerminationAt.IsZero(),
-		Tasks:         len(e.Capacity.AssignmentsOn(name)),
+		TaskCount:     len(e.Capacity.AssignmentsOn(name)),
 		ProvisionedAt: machine.ProvisionedAt,
 	}
 	for assignment := range e.Capacity.AssignmentsOn(name) {
--- a/internal/peer/convert.go
+++ b/internal/peer/convert.go
@@ -87,7 +87,7 @@
 		WaveSize:   spec.WaveSize,
 		Pause:      spec.Pause,
 		Deadline:   spec.Deadline,
-		AtDeadline: spec.AtDeadline,
+		AtDeadline: spec.DeadlineAction,
 		Observe:    spec.Observe,
 	}
 }
@@ -102,17 +102,17 @@
 			Type:     spec.Select.Type,
 			Older:    spec.Select.Older,
 		},
-		Replace:    spec.Replace,
-		Surge:      spec.Surge,
-		WaveSize:   spec.WaveSize,
-		Pause:      spec.Pause,
-		Deadline:   spec.Deadline,
-		AtDeadline: spec.AtDeadline,
-		Observe:    spec.Observe,
+		Replace:        spec.Replace,
+		Surge:          spec.Surge,
+		WaveSize:       spec.WaveSize,
+		Pause:          spec.Pause,
+		Deadline:       spec.Deadline,
+		DeadlineAction: spec.AtDeadline,
+		Observe:        spec.Observe,
 	}
 }
 
-func planToWire(plan *rollout.Preview) RolloutPlan {
+func planToWire(plan *rollout.Plan) RolloutPlan {
 	return RolloutPlan{
 		Machines: plan.Machines,
 		Waves:    plan.Waves,
@@ -123,8 +123,8 @@
 	}
 }
 
-func planFromWire(plan *RolloutPlan) *rollout.Preview {
-	return &rollout.Preview{
+func planFromWire(plan *RolloutPlan) *rollout.Plan {
+	return &rollout.Plan{
 		Machines: plan.Machines,
 		Waves:    plan.Waves,
 		Takes:    plan.Takes,
--- a/internal/peer/convert_test.go
+++ b/internal/peer/convert_test.go
@@ -20,9 +20,9 @@
 	position := clusterstate.HintPosition{Generation: 7, Sequence: 12, Complete: true, ReceivedAt: time.Unix(1700000000, 0)}
 	redirected := liveness.RedirectedWorker{Machine: "host-000002", Ago: 3 * time.Second}
 	shortage := provisioning.Shortage{Duration: 4 * time.Second, Machines: 5}
-	spec := rollout.Spec{Name: "spring", Replace: true, Surge: true, WaveSize: 2, Pause: 3, Deadline: 4, AtDeadline: "wait", Observe: 5,
+	spec := rollout.Spec{Name: "spring", Replace: true, Surge: true, WaveSize: 2, Pause: 3, Deadline: 4, DeadlineAction: "wait", Observe: 5,
 		Select: rollout.Selection{Machines: []ids.Machine{"host-000001"}, Digest: "d", Zone: "north", Type: "small", Older: true}}
-	plan := rollout.Preview{Machines: []ids.Machine{"host-000001"}, Waves: [][]ids.Machine{{"host-000001"}}, Takes: 6,
+	plan := rollout.Plan{Machines: []ids.Machine{"host-000001"}, Waves: [][]ids.Machine{{"host-000001"}}, Takes: 6,
 		Blocked: []rollout.BlockedMachine{{Name: "host-000002", Why: []string{"full"}}}}
 	specOnWire, planOnWire := specToWire(&spec), planToWire(&plan)
 	for name, testCase := range map[string]struct{ original, onWire, roundTripped any }{
--- a/internal/peer/drains.go
+++ b/internal/peer/drains.go
@@ -43,17 +43,17 @@
 
 // planDrain computes a rollout plan from this node's cluster state. It returns election.ErrNotLeader if
 // this node does not lead.
-func planDrain(elector *election.Elector, spec *rollout.Spec) (*rollout.Preview, error) {
+func planDrain(elector *election.Elector, spec *rollout.Spec) (*rollout.Plan, error) {
 	cluster := elector.Cluster()
 	if cluster == nil {
 		return nil, election.ErrNotLeader
 	}
-	return rollout.NewPreview(spec, cluster.RolloutPlanner(), time.Now())
+	return rollout.NewPlan(spec, cluster.RolloutPlanner(), time.Now())
 }
 
 // PlanDrain returns the leader's plan for a rollout. The error is rollout.ErrInvalidSpec, wrapped, if the
 // description is invalid, and election.ErrNotLeader if no leader is known.
-func (l *Link) PlanDrain(ctx context.Context, spec *rollout.Spec) (*rollout.Preview, error) {
+func (l *Link) PlanDrain(ctx context.Context, spec *rollout.Spec) (*rollout.Plan, error) {
 	elector := l.shards.Electors()[0]
 	if elector.Cluster() != nil {
 		return planDrain(elector, spec)
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -139,7 +139,7 @@
 	WaveSize   int
 	Pause      ids.Seconds
 	Deadline   ids.Seconds
-	AtDeadline rollout.AtDeadline
+	AtDeadline rollout.DeadlineAction
 	Observe    ids.Seconds
 }
 
--- a/internal/rehearsal/drain_client.go
+++ b/internal/rehearsal/drain_client.go
@@ -115,7 +115,7 @@
 		if r.fetchStatus(controller, &status) != nil {
 			continue
 		}
-		for _, name := range []string{rollout.PermitsGiven, rollout.PermitsRefused} {
+		for _, name := range []string{rollout.CounterPermitsGranted, rollout.CounterPermitsRefused} {
 			sums[name] += status.Counts[name]
 		}
 	}
--- a/internal/rehearsal/drain_report.go
+++ b/internal/rehearsal/drain_report.go
@@ -93,7 +93,7 @@
 
 // report renders the findings as an HTML page.
 func (f *DrainFindings) report() ([]byte, error) {
-	data := drainReportData{DrainFindings: f, PermitsGiven: f.PermitCounts[rollout.PermitsGiven], PermitsRefused: f.PermitCounts[rollout.PermitsRefused],
+	data := drainReportData{DrainFindings: f, PermitsGiven: f.PermitCounts[rollout.CounterPermitsGranted], PermitsRefused: f.PermitCounts[rollout.CounterPermitsRefused],
 		Verdict: "No drain took more of a team down than its budget, every job is accounted for, and nothing was left behind."}
 	if f.Failed() {
 		data.Verdict = "This run failed: see below."
--- a/internal/rehearsal/drain_scenario.go
+++ b/internal/rehearsal/drain_scenario.go
@@ -76,7 +76,7 @@
 // startRollout asks a controller to replace all machines.
 func (r *drainRun) startRollout(deadline time.Time) error {
 	spec := rollout.Spec{Name: rolloutName, Select: rollout.Selection{Older: true}, Replace: true, Surge: true,
-		WaveSize: max(1, r.options.Machines/targetWaves), Deadline: asSeconds(rolloutDeadline), AtDeadline: rollout.StopAtDeadline, Observe: asSeconds(rolloutObservation)}
+		WaveSize: max(1, r.options.Machines/targetWaves), Deadline: asSeconds(rolloutDeadline), DeadlineAction: rollout.StopAtDeadline, Observe: asSeconds(rolloutObservation)}
 	return r.sendCommand(deadline, rollout.Path, &spec)
 }
 
--- a/internal/rollout/candidate.go
+++ b/internal/rollout/candidate.go
@@ -11,7 +11,7 @@
 type candidate struct {
 	name    ids.Machine
 	part    int // index of the part of the waiting machines that contains the machine
-	machine Machine
+	machine MachineInfo
 	cost    DrainCost
 }
 
@@ -23,7 +23,7 @@
 		return cmp.Or(
 			cmp.Compare(min(len(x.cost.Blocked), 1), min(len(y.cost.Blocked), 1)),
 			cmp.Compare(x.cost.Steps, y.cost.Steps),
-			cmp.Compare(x.machine.Tasks, y.machine.Tasks),
+			cmp.Compare(x.machine.TaskCount, y.machine.TaskCount),
 			cmp.Compare(x.name, y.name))
 	})
 	return candidates
--- a/internal/rollout/fakefleet_test.go
+++ b/internal/rollout/fakefleet_test.go
@@ -25,7 +25,7 @@
 
 // fakeMachine is a machine with the cost of draining it.
 type fakeMachine struct {
-	Machine
+	MachineInfo
 	cost DrainCost
 }
 
@@ -41,19 +41,19 @@
 	f.lastNumber++
 	name := ids.Machine(fmt.Sprintf("host-%06d", f.lastNumber))
 	f.machines[name] = &fakeMachine{
-		Machine: Machine{Class: InstanceClass{Type: "small", Zone: zone}, Known: true, Ready: true, Tasks: 1},
-		cost:    DrainCost{Steps: 1},
+		MachineInfo: MachineInfo{Class: InstanceClass{Type: "small", Zone: zone}, Known: true, Ready: true, TaskCount: 1},
+		cost:        DrainCost{Steps: 1},
 	}
 	return name
 }
 
-func (f *fakeFleet) Machine(name ids.Machine) Machine {
+func (f *fakeFleet) Machine(name ids.Machine) MachineInfo {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if machine := f.machines[name]; machine != nil {
-		return machine.Machine
+		return machine.MachineInfo
 	}
-	return Machine{Deleted: true}
+	return MachineInfo{Deleted: true}
 }
 
 func (f *fakeFleet) DrainCost(name ids.Machine) DrainCost {
@@ -81,7 +81,7 @@
 	return machines, answered
 }
 
-func (f *fakeFleet) RolloutView() View { return f }
+func (f *fakeFleet) RolloutView() FleetView { return f }
 
 // SetOrders replaces the orders and executes them immediately.
 func (f *fakeFleet) SetOrders(orders *Orders) {
@@ -95,7 +95,7 @@
 		case order.Return:
 			delete(f.machines, name)
 		case order.Drain:
-			machine.Tasks = 0
+			machine.TaskCount = 0
 		}
 	}
 	for _, request := range orders.Provisioning {
--- a/internal/rollout/fleet.go
+++ b/internal/rollout/fleet.go
@@ -6,8 +6,8 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-// Machine is the leader's view of a machine.
-type Machine struct {
+// MachineInfo is the leader's view of a machine.
+type MachineInfo struct {
 	Class InstanceClass
 	// Known reports whether the leader tracks the machine.
 	Known bool
@@ -20,8 +20,8 @@
 	Failed string
 	// Reclaimed reports whether the cloud has announced that it takes the machine back.
 	Reclaimed bool
-	// Tasks is the number of tasks that run or may run on the machine.
-	Tasks int
+	// TaskCount is the number of tasks that run or may run on the machine.
+	TaskCount int
 	// Evicting reports whether evictions of tasks on the machine are stored.
 	Evicting bool
 	// Unschedulable reports whether the machine is being drained and its tasks fit on no other machine.
@@ -38,10 +38,10 @@
 	Blocked []string
 }
 
-// View is the leader's view of the fleet.
-type View interface {
+// FleetView is the leader's view of the fleet.
+type FleetView interface {
 	// Machine returns the leader's view of one machine.
-	Machine(name ids.Machine) Machine
+	Machine(name ids.Machine) MachineInfo
 	// DrainCost returns the cost of draining a machine. It evaluates all budgets, so it is called only
 	// when machines are selected for a wave.
 	DrainCost(name ids.Machine) DrainCost
@@ -53,7 +53,7 @@
 // Fleet is the interface through which rollouts read and change the leader's cluster.
 type Fleet interface {
 	// RolloutView returns a view of the present fleet.
-	RolloutView() View
+	RolloutView() FleetView
 	// SetOrders replaces the orders in force. The runner calls it in every pass, also in its first pass
 	// after a failover.
 	SetOrders(orders *Orders)
--- a/internal/rollout/harness_test.go
+++ b/internal/rollout/harness_test.go
@@ -11,10 +11,10 @@
 	"github.com/pebbletrail/pebbletrail/internal/state"
 )
 
-// directStore is a Store that adds no conditions of its own to a write.
-type directStore struct{ client *state.Client }
+// unconditionalStore is a Store that adds no conditions of its own to a write.
+type unconditionalStore struct{ client *state.Client }
 
-func (s directStore) ApplyIf(ctx context.Context, when []state.Condition, ops []state.Op) error {
+func (s unconditionalStore) ApplyIf(ctx context.Context, when []state.Condition, ops []state.Op) error {
 	_, err := s.client.Commit(ctx, state.Txn{Conditions: when, Ops: ops}, state.Normal)
 	return err
 }
@@ -63,13 +63,13 @@
 func (h *harness) startLeader(name string) context.CancelFunc {
 	ctx, cancel := context.WithCancel(h.ctx)
 	service := h.controller(name)
-	go (&Runner{Mirror: service.Mirror, Store: directStore{service.Client}, Fleet: h.fleet, Writer: name, Limits: service.Limits}).Run(ctx)
+	go (&Runner{Mirror: service.Mirror, Store: unconditionalStore{service.Client}, Fleet: h.fleet, Writer: name, Limits: service.Limits}).Run(ctx)
 	return cancel
 }
 
-func (h *harness) PlanDrain(_ context.Context, spec *Spec) (*Preview, error) {
+func (h *harness) PlanDrain(_ context.Context, spec *Spec) (*Plan, error) {
 	time.Sleep(h.planDelay)
-	return NewPreview(spec, h.fleet, time.Now())
+	return NewPlan(spec, h.fleet, time.Now())
 }
 
 func (h *harness) DrainWaits(context.Context) (map[ids.Machine][]string, error) { return nil, nil }
@@ -90,5 +90,5 @@
 
 // allMachinesSpec returns the specification of a rollout of all machines.
 func allMachinesSpec(name Name) *Spec {
-	return &Spec{Name: name, Select: Selection{Older: true}, WaveSize: 10, Deadline: 60, AtDeadline: WaitAtDeadline}
+	return &Spec{Name: name, Select: Selection{Older: true}, WaveSize: 10, Deadline: 60, DeadlineAction: WaitAtDeadline}
 }
--- a/internal/rollout/machineset_parts.go
+++ b/internal/rollout/machineset_parts.go
@@ -19,7 +19,7 @@
 // Parts splits the set into sets that each fit into a value of valueBytes, also after any of their machines
 // are removed.
 func (m *MachineSet) Parts(valueBytes int) []MachineSet {
-	splitter := partSplitter{maxBytes: partFillRatio * float64(valueBytes)}
+	splitter := partitioner{maxBytes: partFillRatio * float64(valueBytes)}
 	for name := range m.All() {
 		splitter.add(name)
 	}
@@ -27,8 +27,8 @@
 	return splitter.parts
 }
 
-// partSplitter splits a set into parts. The machines must be added in the order of MachineSet.All.
-type partSplitter struct {
+// partitioner splits a set into parts. The machines must be added in the order of MachineSet.All.
+type partitioner struct {
 	maxBytes float64
 	parts    []MachineSet // finished
 	part     MachineSet
@@ -37,7 +37,7 @@
 	container int
 }
 
-func (p *partSplitter) add(name ids.Machine) {
+func (p *partitioner) add(name ids.Machine) {
 	if added := p.bytesFor(name); p.bytes > 0 && p.bytes+added > p.maxBytes {
 		p.finishPart()
 	}
@@ -48,7 +48,7 @@
 }
 
 // bytesFor returns the upper bound of the bytes that a machine adds to the part.
-func (p *partSplitter) bytesFor(name ids.Machine) float64 {
+func (p *partitioner) bytesFor(name ids.Machine) float64 {
 	prefix, digits, number := splitName(name)
 	if _, found := p.part.find(prefix, digits); !found {
 		return storedBytesPerMachine + storedBytesPerSeries + float64(len(prefix)) + storedBytesPerContainer
@@ -62,7 +62,7 @@
 func containerOf(number uint32) int { return int(number >> containerBits) }
 
 // finishPart appends the current part to the finished parts, unless it is empty.
-func (p *partSplitter) finishPart() {
+func (p *partitioner) finishPart() {
 	if p.bytes > 0 {
 		p.parts = append(p.parts, p.part)
 		p.part, p.bytes = MachineSet{}, 0
--- a/internal/rollout/orders.go
+++ b/internal/rollout/orders.go
@@ -44,8 +44,8 @@
 
 // Names of the leader's counters, which operators and rehearsals read.
 const (
-	PermitsGiven   = "permits given"
-	PermitsRefused = "permits refused"
+	CounterPermitsGranted = "permits given"
+	CounterPermitsRefused = "permits refused"
 )
 
 // NewOrders returns empty orders.
@@ -74,7 +74,7 @@
 	if record.State == Running {
 		deadline := record.Wave.DrainingSince + timestampOffset(spec.Deadline)
 		drain.Drain = true
-		drain.Stop = spec.AtDeadline == StopAtDeadline && ids.TimestampOf(now) >= deadline
+		drain.Stop = spec.DeadlineAction == StopAtDeadline && ids.TimestampOf(now) >= deadline
 	}
 	o.addMachines(record.machinesIn(Draining), drain)
 	o.addReplacements(record)
--- a/internal/rollout/preview.go
+++ b/internal/rollout/preview.go
@@ -8,9 +8,9 @@
 	"github.com/pebbletrail/pebbletrail/internal/ids"
 )
 
-// Planner is a view of the fleet with the additional data that planning requires.
-type Planner interface {
-	View
+// PlanningView is a view of the fleet with the additional data that planning requires.
+type PlanningView interface {
+	FleetView
 	// Machines returns all machines that are up or being provisioned.
 	Machines() []ids.Machine
 	// BootTime returns the approximate time that a machine of an instance class takes to boot.
@@ -19,9 +19,9 @@
 	StepTime() time.Duration
 }
 
-// Preview is the plan of a rollout in the present state of the fleet. The plan is not binding: the
+// Plan is the plan of a rollout in the present state of the fleet. The plan is not binding: the
 // disruption budgets are checked again when each eviction is due.
-type Preview struct {
+type Plan struct {
 	Machines []ids.Machine   `json:"machines"`
 	Waves    [][]ids.Machine `json:"waves"`
 	// Takes is the approximate duration of the rollout in seconds if nothing fails, without the time that
@@ -37,13 +37,13 @@
 	Why  []string    `json:"why"`
 }
 
-// NewPreview selects the machines of a specification and plans its waves. It changes nothing.
-func NewPreview(spec *Spec, fleet Planner, now time.Time) (*Preview, error) {
+// NewPlan selects the machines of a specification and plans its waves. It changes nothing.
+func NewPlan(spec *Spec, fleet PlanningView, now time.Time) (*Plan, error) {
 	names, err := selectMachines(spec, fleet, now)
 	if err != nil {
 		return nil, err
 	}
-	preview := &Preview{Machines: names}
+	preview := &Plan{Machines: names}
 	candidates := make([]candidate, len(names))
 	for i, name := range names {
 		candidates[i] = candidate{name: name, machine: fleet.Machine(name), cost: fleet.DrainCost(name)}
@@ -58,7 +58,7 @@
 }
 
 // addWave adds a wave and its estimated duration.
-func (p *Preview) addWave(spec *Spec, wave []candidate, fleet Planner) {
+func (p *Plan) addWave(spec *Spec, wave []candidate, fleet PlanningView) {
 	var names []ids.Machine
 	for i := range wave {
 		names = append(names, wave[i].name)
@@ -72,7 +72,7 @@
 
 // waveDuration returns the approximate duration of a wave. The steps of all its machines are added up,
 // since the machines of a wave share the disruption budgets.
-func waveDuration(spec *Spec, wave []candidate, fleet Planner) (total time.Duration) {
+func waveDuration(spec *Spec, wave []candidate, fleet PlanningView) (total time.Duration) {
 	bootTime := time.Duration(0)
 	for i := range wave {
 		total += time.Duration(wave[i].cost.Steps) * fleet.StepTime()
@@ -86,7 +86,7 @@
 
 // selectMachines returns the machines that a specification selects, sorted by name. It returns an error
 // if the specification names an unknown machine or selects none.
-func selectMachines(spec *Spec, fleet Planner, now time.Time) ([]ids.Machine, error) {
+func selectMachines(spec *Spec, fleet PlanningView, now time.Time) ([]ids.Machine, error) {
 	selection := &spec.Select
 	names := fleet.Machines()
 	hasNames := len(selection.Machines) > 0
@@ -112,7 +112,7 @@
 }
 
 // matches reports whether a machine has the selected zone, type and age.
-func (s *Selection) matches(machine Machine, now time.Time) bool {
+func (s *Selection) matches(machine MachineInfo, now time.Time) bool {
 	return (s.Zone == "" || machine.Class.Zone == s.Zone) &&
 		(s.Type == "" || machine.Class.Type == s.Type) &&
 		(!s.Older || machine.ProvisionedAt.Before(now))
--- a/internal/rollout/print.go
+++ b/internal/rollout/print.go
@@ -40,9 +40,9 @@
 }
 
 // Print writes the plan as text.
-func (p *Preview) Print(out io.Writer) { writeText(out, p.text()) }
+func (p *Plan) Print(out io.Writer) { writeText(out, p.text()) }
 
-func (p *Preview) text() string {
+func (p *Plan) text() string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "%d machines in %d waves, about %.0f s if nothing fails; nothing was changed\n",
 		len(p.Machines), len(p.Waves), float64(p.Takes))
--- a/internal/rollout/reconcile.go
+++ b/internal/rollout/reconcile.go
@@ -19,7 +19,7 @@
 type reconciler struct {
 	record  *Record
 	waiting *waitingMachines
-	view    View
+	view    FleetView
 	now     ids.Timestamp
 	changed bool // whether record was changed
 }
@@ -27,7 +27,7 @@
 // reconcile computes the next change of a rollout; it returns nil if nothing changes. With mustYield, the
 // rollout uncordons the machines from which no tasks are being evicted, because an older rollout waits
 // for capacity. One change rewrites at most maxParts parts of the waiting machines.
-func reconcile(record *Record, waiting []MachineSet, view View, now time.Time, maxParts int, mustYield bool) (*recordChange, error) {
+func reconcile(record *Record, waiting []MachineSet, view FleetView, now time.Time, maxParts int, mustYield bool) (*recordChange, error) {
 	r := &reconciler{
 		record:  record.clone(),
 		waiting: newWaitingMachines(waiting, maxParts),
@@ -124,7 +124,7 @@
 
 // yieldCapacity uncordons the machines from which no tasks are being evicted, and continues with the others.
 func (r *reconciler) yieldCapacity() error {
-	notEvicting := func(machine Machine) bool { return !machine.Evicting }
+	notEvicting := func(machine MachineInfo) bool { return !machine.Evicting }
 	if err := r.uncordon(notEvicting); err != nil {
 		return err
 	}
@@ -134,10 +134,10 @@
 	return r.advanceWave()
 }
 
-func anyMachine(Machine) bool { return true }
+func anyMachine(MachineInfo) bool { return true }
 
 // uncordon moves the matching machines of the wave that are not empty back to state Waiting.
-func (r *reconciler) uncordon(matches func(Machine) bool) error {
+func (r *reconciler) uncordon(matches func(MachineInfo) bool) error {
 	if r.record.Wave == nil {
 		return nil
 	}
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -76,7 +76,7 @@
 			"wave size":              func(spec *Spec) { spec.WaveSize = 0 },
 			"pause and observation":  func(spec *Spec) { spec.Pause = -1 },
 			"deadline":               func(spec *Spec) { spec.Deadline = 0 },
-			"at the deadline":        func(spec *Spec) { spec.AtDeadline = "panic" },
+			"at the deadline":        func(spec *Spec) { spec.DeadlineAction = "panic" },
 			"with 3 shards drains":   nil,
 		} {
 			spec := allMachinesSpec("spring")
@@ -258,7 +258,7 @@
 	spec := allMachinesSpec("spring")
 	spec.Select = Selection{Zone: "north"}
 	spec.WaveSize, spec.Pause = 2, 60
-	preview, err := NewPreview(spec, fleet, time.Now())
+	preview, err := NewPlan(spec, fleet, time.Now())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/rollout/runner.go
+++ b/internal/rollout/runner.go
@@ -92,7 +92,7 @@
 }
 
 // waitsForCapacity reports whether a rollout drains a machine whose tasks fit on no other machine.
-func waitsForCapacity(record *Record, view View) bool {
+func waitsForCapacity(record *Record, view FleetView) bool {
 	if record.State != Running {
 		return false
 	}
--- a/internal/rollout/scale_test.go
+++ b/internal/rollout/scale_test.go
@@ -15,7 +15,7 @@
 			spec := allMachinesSpec("spring")
 			spec.WaveSize = max(1, machines/20)
 			for b.Loop() {
-				if _, err := NewPreview(spec, f, time.Now()); err != nil {
+				if _, err := NewPlan(spec, f, time.Now()); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/internal/rollout/service.go
+++ b/internal/rollout/service.go
@@ -31,7 +31,7 @@
 // Leader forwards requests to the present leader, on whichever controller it runs.
 type Leader interface {
 	// PlanDrain returns a plan for the present state of the fleet.
-	PlanDrain(ctx context.Context, spec *Spec) (*Preview, error)
+	PlanDrain(ctx context.Context, spec *Spec) (*Plan, error)
 	// DrainWaits returns, for each machine being drained, the reasons why it waits.
 	DrainWaits(ctx context.Context) (map[ids.Machine][]string, error)
 }
@@ -51,7 +51,7 @@
 const maxAttempts = 5
 
 // Plan returns the plan of a rollout without starting it.
-func (s *Service) Plan(ctx context.Context, spec *Spec) (*Preview, error) {
+func (s *Service) Plan(ctx context.Context, spec *Spec) (*Plan, error) {
 	if err := spec.Check(s.Installation()); err != nil {
 		return nil, err
 	}
--- a/internal/rollout/spec.go
+++ b/internal/rollout/spec.go
@@ -32,15 +32,15 @@
 	Older bool `json:"older,omitempty"`
 }
 
-// AtDeadline is the treatment of tasks that save no checkpoints and still run at the deadline of a step.
-type AtDeadline string
+// DeadlineAction is the treatment of tasks that save no checkpoints and still run at the deadline of a step.
+type DeadlineAction string
 
-// The values of AtDeadline.
+// The values of DeadlineAction.
 const (
 	// WaitAtDeadline lets the tasks run to their end, however long that takes.
-	WaitAtDeadline AtDeadline = "wait"
+	WaitAtDeadline DeadlineAction = "wait"
 	// StopAtDeadline stops the tasks, within the disruption budgets.
-	StopAtDeadline AtDeadline = "stop"
+	StopAtDeadline DeadlineAction = "stop"
 )
 
 // Spec is the operator's specification of a rollout. Durations are in seconds.
@@ -54,10 +54,10 @@
 	// WaveSize is the maximum number of machines in a wave, Pause the time between two waves.
 	WaveSize int         `json:"waveSize"`
 	Pause    ids.Seconds `json:"pause,omitempty"`
-	// Deadline is the time after which AtDeadline applies to a step, and within which replacements must be
+	// Deadline is the time after which DeadlineAction applies to a step, and within which replacements must be
 	// ready.
-	Deadline   ids.Seconds `json:"deadline"`
-	AtDeadline AtDeadline  `json:"atDeadline"`
+	Deadline       ids.Seconds    `json:"deadline"`
+	DeadlineAction DeadlineAction `json:"atDeadline"`
 	// Observe is the time for which replacements are observed before the next wave.
 	Observe ids.Seconds `json:"observe,omitempty"`
 }
@@ -94,8 +94,8 @@
 		return invalid("pause and observation must be zero or more")
 	case !(s.Deadline > 0):
 		return invalid("deadline: must be above zero: %v", float64(s.Deadline))
-	case s.AtDeadline != WaitAtDeadline && s.AtDeadline != StopAtDeadline:
-		return invalid("at the deadline: must be %q or %q: %q", WaitAtDeadline, StopAtDeadline, s.AtDeadline)
+	case s.DeadlineAction != WaitAtDeadline && s.DeadlineAction != StopAtDeadline:
+		return invalid("at the deadline: must be %q or %q: %q", WaitAtDeadline, StopAtDeadline, s.DeadlineAction)
 	}
 	return nil
 }
--- a/internal/rollout/wave.go
+++ b/internal/rollout/wave.go
@@ -110,7 +110,7 @@
 func (r *reconciler) markEmpty() error {
 	for _, name := range r.machinesIn(Draining) {
 		machine := r.view.Machine(name)
-		if !machine.Known || !machine.Ready || machine.Tasks > 0 {
+		if !machine.Known || !machine.Ready || machine.TaskCount > 0 {
 			continue
 		}
 		if err := r.transitionMachine(name, Draining, Empty); err != nil {
--- a/internal/rollout/wave_test.go
+++ b/internal/rollout/wave_test.go
@@ -12,7 +12,7 @@
 	// while the machines of the next wave are chosen.
 	fleet := newFakeFleet(0)
 	for _, name := range []ids.Machine{"host-000007", "spare-1"} {
-		fleet.machines[name] = &fakeMachine{Machine: Machine{Known: true, Ready: true, Tasks: 1}, cost: DrainCost{Steps: 1}}
+		fleet.machines[name] = &fakeMachine{MachineInfo: MachineInfo{Known: true, Ready: true, TaskCount: 1}, cost: DrainCost{Steps: 1}}
 	}
 	record := &Record{Spec: *allMachinesSpec("spring"), State: Running, Total: 4, Parts: 1}
 	waiting := []MachineSet{NewMachineSet("gateway-1", "gateway-2", "host-000007", "spare-1")}
--- a/internal/scenarios/drain_budget_test.go
+++ b/internal/scenarios/drain_budget_test.go
@@ -197,7 +197,7 @@
 		})
 		c.sleep(8 * time.Second)
 		spec := newRollout("spring")
-		spec.AtDeadline = rollout.StopAtDeadline
+		spec.DeadlineAction = rollout.StopAtDeadline
 		c.startRollout(spec)
 		c.awaitState("spring", rollout.Ended, 10*time.Minute)
 		c.eventually(time.Minute, "all run elsewhere", func() bool {
@@ -221,14 +221,14 @@
 // checkpoint. They must run to completion, or stop after the deadline if the rollout says so.
 func TestTasksWithoutCheckpointFinishUnlessDrainDeadlinePasses(t *testing.T) {
 	t.Parallel()
-	for _, atDeadline := range []rollout.AtDeadline{rollout.WaitAtDeadline, rollout.StopAtDeadline} {
+	for _, atDeadline := range []rollout.DeadlineAction{rollout.WaitAtDeadline, rollout.StopAtDeadline} {
 		t.Run(string(atDeadline), func(t *testing.T) {
 			t.Parallel()
 			drainScenario(t, 1, drainOptions{capacity: 10}, func(t *testing.T, c *drainCluster) {
 				c.submitToAny(0, newJob("job-1", "array", 2).with("yard", "north"))
 				c.awaitTaskCount(time.Minute, "job-1", 2)
 				spec := newRollout("spring", c.machinesIn("north")...)
-				spec.AtDeadline, spec.Deadline = atDeadline, 30
+				spec.DeadlineAction, spec.Deadline = atDeadline, 30
 				c.startRollout(spec)
 				c.awaitBlocker("can't save and runs to its end")
 				c.consistently(25*time.Second, "it runs on", func() bool { return c.disruption.evictionCount("job-1") == 0 })
--- a/internal/scenarios/drain_node_test.go
+++ b/internal/scenarios/drain_node_test.go
@@ -133,12 +133,12 @@
 }
 
 // PlanDrain returns the leader's preview of a rollout.
-func (n *drainNode) PlanDrain(_ context.Context, spec *rollout.Spec) (*rollout.Preview, error) {
+func (n *drainNode) PlanDrain(_ context.Context, spec *rollout.Spec) (*rollout.Plan, error) {
 	leader := n.cluster.leader()
 	if leader == nil {
 		return nil, election.ErrNotLeader
 	}
-	return rollout.NewPreview(spec, leader.elector.Cluster().RolloutPlanner(), time.Now())
+	return rollout.NewPlan(spec, leader.elector.Cluster().RolloutPlanner(), time.Now())
 }
 
 // DrainWaits returns the reasons that block the drain of each machine, as known to the leader.
--- a/internal/scenarios/drain_rollout_test.go
+++ b/internal/scenarios/drain_rollout_test.go
@@ -12,7 +12,7 @@
 // newRollout returns a rollout that drains the machines named, or all machines in zone north if none
 // is named.
 func newRollout(name string, machines ...ids.Machine) *rollout.Spec {
-	spec := &rollout.Spec{Name: rollout.Name(name), WaveSize: 2, Deadline: 60, AtDeadline: rollout.WaitAtDeadline}
+	spec := &rollout.Spec{Name: rollout.Name(name), WaveSize: 2, Deadline: 60, DeadlineAction: rollout.WaitAtDeadline}
 	if spec.Select.Machines = machines; len(machines) == 0 {
 		spec.Select.Zone = "north"
 	}
