--- a/cmd/pebbletrail/controller.go
+++ b/cmd/pebbletrail/controller.go
@@ -162,7 +162,7 @@
 		runner := &rollout.Runner{Mirror: c.rollouts, Store: term.Committer, Fleet: term.Cluster, Writer: c.incarnation, Limits: c.storeLimits()}
 		go runner.Run(ctx)
 	}
-	provisioner.Adopt(term.OpenProvisioningRequests)
+	provisioner.LoadRequests(term.OpenProvisioningRequests)
 	provisioner.Run(ctx)
 }
 
--- a/internal/fleet/provisioner_test.go
+++ b/internal/fleet/provisioner_test.go
@@ -121,7 +121,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx := context.Background()
 		_, cloud, cluster, _, provisioner := newTestProvisioner(10)
-		provisioner.Adopt([]state.Entry{{Value: []byte(`{"hire":"h-3-1","build":"small","yard":"north","loaners":false,"count":2}`)}})
+		provisioner.LoadRequests([]state.Entry{{Value: []byte(`{"hire":"h-3-1","build":"small","yard":"north","loaners":false,"count":2}`)}})
 		provisioner.Step(ctx)
 		if len(cloud.ProvisioningRequests()["h-3-1"]) != 2 || cluster.Summary()["machines"] != 2 {
 			t.Fatalf("cloud received requests %v, cluster has %v machines; want request h-3-1 and 2 machines", cloud.ProvisioningRequests(), cluster.Summary()["machines"])
--- a/internal/fleet/requests.go
+++ b/internal/fleet/requests.go
@@ -72,9 +72,9 @@
 	return "", false
 }
 
-// Adopt loads the requests that an earlier leader stored. Those without an answer are sent again, which
+// LoadRequests loads the requests that an earlier leader stored. Those without an answer are sent again, which
 // reveals the machines that they provisioned.
-func (p *Provisioner) Adopt(entries []state.Entry) {
+func (p *Provisioner) LoadRequests(entries []state.Entry) {
 	for _, entry := range entries {
 		var request provisioningRequest
 		if err := json.Unmarshal(entry.Value, &request); err != nil || request.Name == "" {
--- a/internal/fleet/shards_test.go
+++ b/internal/fleet/shards_test.go
@@ -51,7 +51,7 @@
 		}
 		// A later leader learns of the machine from the stored request.
 		next := &Provisioner{Cluster: clusterstate.New(testSettings(), "w", 8, time.Now())}
-		next.Adopt([]state.Entry{{Key: key, Value: []byte(store.values[key])}})
+		next.LoadRequests([]state.Entry{{Key: key, Value: []byte(store.values[key])}})
 		if next.Cluster.Summary()["machines"] != 1 || len(next.requests.outstanding) != 0 {
 			t.Errorf("next leader has %v machines and %d outstanding requests, want 1 and 0", next.Cluster.Summary()["machines"], len(next.requests.outstanding))
 		}
--- a/internal/scenarios/drain_node_test.go
+++ b/internal/scenarios/drain_node_test.go
@@ -69,7 +69,7 @@
 		ConfirmLeadership: func() bool { return n.elector.HoldsLease(term) },
 		ListInterval:      2 * time.Second,
 	}
-	provisioner.Adopt(term.OpenProvisioningRequests)
+	provisioner.LoadRequests(term.OpenProvisioningRequests)
 	provisioner.Run(ctx)
 }
 
