--- a/cmd/pebbletrail/controller.go
+++ b/cmd/pebbletrail/controller.go
@@ -124,7 +124,7 @@
 	return &intake.Server{
 		OperatorRoutes: operatorRoutes,
 		Version:        version,
-		Jobs: &intake.JobService{Settings: c.settings, Store: c.state, Records: c.shards.Jobs(), LeaderNotifier: c.link, Writer: c.incarnation,
+		Jobs: &intake.JobService{Settings: c.settings, Store: c.state, RecordCache: c.shards.Jobs(), LeaderNotifier: c.link, Writer: c.incarnation,
 			MachineTypes: c.types.latest},
 		Heartbeats:      c.shards,
 		Ready:           c.ready,
--- a/cmd/pebbletrail/explain.go
+++ b/cmd/pebbletrail/explain.go
@@ -37,10 +37,10 @@
 func formatExplanation(explanation *intake.Explanation) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "%s: %s\n", explanation.Job, explanation.Status)
-	for _, event := range explanation.Trail {
+	for _, event := range explanation.Events {
 		fmt.Fprintf(&text, "  %s  %s\n", event.At.Time().UTC().Format("15:04:05.000"), event.Message)
 	}
-	for _, line := range explanation.Now {
+	for _, line := range explanation.Outlook {
 		fmt.Fprintf(&text, "  now: %s\n", line)
 	}
 	if explanation.Note != "" {
--- a/internal/intake/cluster_test.go
+++ b/internal/intake/cluster_test.go
@@ -42,7 +42,7 @@
 func (c *testCluster) start(name string) {
 	_, _, service := newJobService()
 	service.Store = state.NewClient("state:1", c.net.Client(name), state.NewBudget(1000, 1000, 1, 0.6))
-	service.Records = state.NewWatchCache(service.Store, record.JobPrefix, time.Second)
+	service.RecordCache = state.NewWatchCache(service.Store, record.JobPrefix, time.Second)
 	service.Writer = name
 	service.Settings.Params.Teams = append(service.Settings.Params.Teams, config.Team{Name: "blue", CPUsMax: 8})
 	c.services[name] = service
--- a/internal/intake/dependency_reader_test.go
+++ b/internal/intake/dependency_reader_test.go
@@ -97,7 +97,7 @@
 			}
 		}
 		cluster.services["b"].Store = state.NewClient("state:1", cluster.net.Client("b"), state.NewBudget(50, 50, 5, 0.45))
-		cluster.services["b"].Records = state.NewWatchCache(cluster.services["b"].Store, record.JobPrefix, time.Second)
+		cluster.services["b"].RecordCache = state.NewWatchCache(cluster.services["b"].Store, record.JobPrefix, time.Second)
 		calls := 0
 		cluster.net.SetRule(func(from, _ string, _ *http.Request, _ []byte) fake.Outcome {
 			if from == "b" {
--- a/internal/intake/explain.go
+++ b/internal/intake/explain.go
@@ -14,10 +14,10 @@
 type Explanation struct {
 	Job    ids.Job `json:"uid"`
 	Status string  `json:"status"`
-	// Trail lists the job's events, oldest first.
-	Trail []record.Event `json:"trail"`
-	// Now describes what the job waits for, and whether its pipeline will meet its deadlines.
-	Now []string `json:"now,omitempty"`
+	// Events lists the job's events, oldest first.
+	Events []record.Event `json:"trail"`
+	// Outlook describes what the job waits for, and whether its pipeline will meet its deadlines.
+	Outlook []string `json:"now,omitempty"`
 	// Leader is the leader that was queried; empty if none was.
 	Leader ids.Node `json:"owner,omitempty"`
 	// Note states why the explanation is incomplete; empty if it is complete.
@@ -41,7 +41,7 @@
 		if lastKnownRecord == nil {
 			return nil, false, err
 		}
-		return Explanation{Job: id, Status: statusUnknown, Trail: lastKnownRecord.Events,
+		return Explanation{Job: id, Status: statusUnknown, Events: lastKnownRecord.Events,
 			Note: "the state service does not answer this controller, which tells what it knew last; ask another one"}, true, nil
 	}
 	if !stored.exists() {
@@ -54,19 +54,19 @@
 // waits for its dependencies, it adds the leader's explanation of the job's tasks.
 func (s *Server) explainRecord(ctx context.Context, records *recordReader, rec *record.Record) Explanation {
 	id := rec.Spec.ID
-	explanation := Explanation{Job: id, Status: string(summarize(rec).status), Trail: rec.Events}
+	explanation := Explanation{Job: id, Status: string(summarize(rec).status), Events: rec.Events}
 	pipeline, err := newForecast(records).explain(ctx, rec)
 	if err != nil {
 		explanation.Note = err.Error()
 	}
 	if rec.Status.IsTerminal() || records.isBlocked(id) {
-		explanation.Now = pipeline
+		explanation.Outlook = pipeline
 		return explanation
 	}
-	explanation.Now, explanation.Leader, err = s.ExplainByLeader(ctx, id)
+	explanation.Outlook, explanation.Leader, err = s.ExplainByLeader(ctx, id)
 	if err != nil {
 		explanation.Note = err.Error()
 	}
-	explanation.Now = append(explanation.Now, pipeline...)
+	explanation.Outlook = append(explanation.Outlook, pipeline...)
 	return explanation
 }
--- a/internal/intake/forecast_test.go
+++ b/internal/intake/forecast_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// explanation returns the fields Now and Note of a node's explanation of a job.
+// explanation returns the fields Outlook and Note of a node's explanation of a job.
 func (c *testCluster) explanation(node, id string) (now []string, note string) {
 	c.t.Helper()
 	response := serve(c.nodes[node], "GET", "/v2/runs/"+id+"/explain", nil)
@@ -44,10 +44,10 @@
 	if err := json.Unmarshal(response.Body.Bytes(), &explanation); err != nil || response.Code != 200 {
 		c.t.Fatalf("explaining %s got HTTP status %d, body %s", id, response.Code, response.Body)
 	}
-	return explanation.Now, explanation.Note
+	return explanation.Outlook, explanation.Note
 }
 
-// expectExplanation checks the Now lines of node b's explanation of a job, and that it has no note.
+// expectExplanation checks the Outlook lines of node b's explanation of a job, and that it has no note.
 func (c *testCluster) expectExplanation(id string, want ...string) {
 	c.t.Helper()
 	now, note := c.explanation("b", id)
--- a/internal/intake/intake_test.go
+++ b/internal/intake/intake_test.go
@@ -87,7 +87,7 @@
 	settings.Params.Teams = []config.Team{{Name: "red", CPUsMax: 8}}
 	client := state.NewClient("state:1", network.Client("a"), state.NewBudget(500, 500, 1, 0.6))
 	types := []placement.InstanceType{{Label: "small", Cores: 4, RAM: 16, Zones: []string{"north"}}}
-	return network, store, &JobService{Settings: settings, Store: client, Records: state.NewWatchCache(client, record.JobPrefix, time.Second),
+	return network, store, &JobService{Settings: settings, Store: client, RecordCache: state.NewWatchCache(client, record.JobPrefix, time.Second),
 		LeaderNotifier: immediateNotifier{}, Writer: "a", MachineTypes: func() []placement.InstanceType { return types }}
 }
 
@@ -200,7 +200,7 @@
 			return fake.Deliver
 		})
 		service.Store = state.NewClient("state:1", network.Client("a"), state.NewBudget(200, 50, 5, 0.45))
-		service.Records = state.NewWatchCache(service.Store, record.JobPrefix, time.Second)
+		service.RecordCache = state.NewWatchCache(service.Store, record.JobPrefix, time.Second)
 		handler := (&Server{Jobs: service, Ready: func() bool { return true }}).Handler()
 		if got := serve(handler, "POST", "/v2/runs", validSubmission()).Code; got != 201 {
 			t.Fatal(got)
--- a/internal/intake/job_service.go
+++ b/internal/intake/job_service.go
@@ -25,8 +25,8 @@
 type JobService struct {
 	Settings *config.Settings
 	Store    *state.Client
-	// Records is the watch cache of the records of unfinished jobs.
-	Records        *state.WatchCache
+	// RecordCache is the watch cache of the records of unfinished jobs.
+	RecordCache    *state.WatchCache
 	LeaderNotifier LeaderNotifier
 	// Writer is the incarnation of this controller process, stored with each record that it writes.
 	Writer string
@@ -40,7 +40,7 @@
 
 // records returns a reader of job records for one request.
 func (s *JobService) records() *recordReader {
-	return &recordReader{store: s.Store, cache: s.Records, endedJobs: &s.endedJobs}
+	return &recordReader{store: s.Store, cache: s.RecordCache, endedJobs: &s.endedJobs}
 }
 
 // status returns the current summary of a job. found is false for a job that was never accepted.
--- a/internal/intake/server.go
+++ b/internal/intake/server.go
@@ -14,16 +14,16 @@
 	"github.com/pebbletrail/pebbletrail/internal/worker"
 )
 
-// Heartbeats handles the heartbeats of workers. It returns a batch of commands, or a redirect if the
+// HeartbeatHandler handles the heartbeats of workers. It returns a batch of commands, or a redirect if the
 // batch is nil, and the HTTP status of the response.
-type Heartbeats interface {
+type HeartbeatHandler interface {
 	Heartbeat(ctx context.Context, rep *worker.Report) (*worker.CommandBatch, int, worker.Redirect)
 }
 
 // Server is the HTTP interface of a controller for users, workers' heartbeats, health checks and operators.
 type Server struct {
 	Jobs       *JobService
-	Heartbeats Heartbeats
+	Heartbeats HeartbeatHandler
 	// Ready reports whether the controller can serve requests.
 	Ready func() bool
 	// ExplainByLeader returns the leader's explanation of a job, and the leader's name.
--- a/internal/scenarios/process_test.go
+++ b/internal/scenarios/process_test.go
@@ -51,8 +51,8 @@
 }
 
 // serve makes the process answer users and workers at its address.
-func (p *process) serve(records *state.WatchCache, heartbeats intake.Heartbeats, notifier intake.LeaderNotifier) {
-	jobs := &intake.JobService{Settings: p.settings, Store: p.store, Records: records, LeaderNotifier: notifier,
+func (p *process) serve(records *state.WatchCache, heartbeats intake.HeartbeatHandler, notifier intake.LeaderNotifier) {
+	jobs := &intake.JobService{Settings: p.settings, Store: p.store, RecordCache: records, LeaderNotifier: notifier,
 		Writer: p.writer, MachineTypes: instanceTypes}
 	server := &intake.Server{
 		Jobs:            jobs,
