--- a/internal/peer/drains.go
+++ b/internal/peer/drains.go
@@ -72,9 +72,9 @@
 	return planFromWire(&answer.Plan), nil
 }
 
-// DrainWaits returns the leader's reasons that block the drain of each machine being drained. The error
+// DrainBlockers returns the leader's reasons that block the drain of each machine being drained. The error
 // is election.ErrNotLeader if no leader is known.
-func (l *Link) DrainWaits(ctx context.Context) (map[ids.Machine][]string, error) {
+func (l *Link) DrainBlockers(ctx context.Context) (map[ids.Machine][]string, error) {
 	elector := l.shards.Electors()[0]
 	if cluster := elector.Cluster(); cluster != nil {
 		return cluster.DrainBlockers(), nil
--- a/internal/peer/drains_test.go
+++ b/internal/peer/drains_test.go
@@ -31,7 +31,7 @@
 			if _, err := link.PlanDrain(ctx, &rollout.Spec{Select: rollout.Selection{Zone: "south"}}); !errors.Is(err, rollout.ErrInvalidSpec) {
 				t.Errorf("plan from %s for a zone without machines: got error %v, want ErrInvalidSpec", name, err)
 			}
-			if waits, err := link.DrainWaits(ctx); err != nil || len(waits) != 0 {
+			if waits, err := link.DrainBlockers(ctx); err != nil || len(waits) != 0 {
 				t.Errorf("drain waits from %s: got %v, %v, want none", name, waits, err)
 			}
 		}
--- a/internal/rollout/harness_test.go
+++ b/internal/rollout/harness_test.go
@@ -72,7 +72,7 @@
 	return NewPlan(spec, h.fleet, time.Now())
 }
 
-func (h *harness) DrainWaits(context.Context) (map[ids.Machine][]string, error) { return nil, nil }
+func (h *harness) DrainBlockers(context.Context) (map[ids.Machine][]string, error) { return nil, nil }
 
 // awaitState waits until a rollout has a state, and fails the test after the timeout.
 func (h *harness) awaitState(name Name, want State, timeout time.Duration) *Status {
--- a/internal/rollout/service.go
+++ b/internal/rollout/service.go
@@ -32,8 +32,8 @@
 type Leader interface {
 	// PlanDrain returns a plan for the present state of the fleet.
 	PlanDrain(ctx context.Context, spec *Spec) (*Plan, error)
-	// DrainWaits returns, for each machine being drained, the reasons why it waits.
-	DrainWaits(ctx context.Context) (map[ids.Machine][]string, error)
+	// DrainBlockers returns, for each machine being drained, the reasons why it waits.
+	DrainBlockers(ctx context.Context) (map[ids.Machine][]string, error)
 }
 
 // Service executes the operators' commands on any controller. All commands are idempotent. The fields do not
@@ -198,7 +198,7 @@
 	if rollout.record.State.isFinal() {
 		return statusOf(rollout, nil), nil
 	}
-	waits, err := s.Leader.DrainWaits(ctx)
+	waits, err := s.Leader.DrainBlockers(ctx)
 	if err != nil {
 		status := statusOf(rollout, nil)
 		status.Note = "what the machines wait for is not known: " + err.Error()
--- a/internal/scenarios/drain_node_test.go
+++ b/internal/scenarios/drain_node_test.go
@@ -141,8 +141,8 @@
 	return rollout.NewPlan(spec, leader.elector.Cluster().RolloutPlanner(), time.Now())
 }
 
-// DrainWaits returns the reasons that block the drain of each machine, as known to the leader.
-func (n *drainNode) DrainWaits(context.Context) (map[ids.Machine][]string, error) {
+// DrainBlockers returns the reasons that block the drain of each machine, as known to the leader.
+func (n *drainNode) DrainBlockers(context.Context) (map[ids.Machine][]string, error) {
 	leader := n.cluster.leader()
 	if leader == nil {
 		return nil, election.ErrNotLeader
--- a/internal/scenarios/drain_rollout_test.go
+++ b/internal/scenarios/drain_rollout_test.go
@@ -67,7 +67,7 @@
 	c.t.Helper()
 	for end := time.Now().Add(timeout); c.rolloutRecord(name).State != want; {
 		if time.Now().After(end) {
-			blockers, _ := c.follower().DrainWaits(c.ctx)
+			blockers, _ := c.follower().DrainBlockers(c.ctx)
 			c.t.Fatalf("rollout %s is not in state %s within %v; record: %s; blocked drains: %v", name, want, timeout, c.store.Value("rollout/run/"+name), blockers)
 		}
 		time.Sleep(100 * time.Millisecond)
@@ -84,7 +84,7 @@
 // isBlockedBy reports whether the drain of some machine is blocked for a reason that contains the
 // text.
 func (c *drainCluster) isBlockedBy(text string) bool {
-	blockers, err := c.follower().DrainWaits(c.ctx)
+	blockers, err := c.follower().DrainBlockers(c.ctx)
 	if err != nil {
 		return false
 	}
