--- a/cmd/pebbletrail/controller.go
+++ b/cmd/pebbletrail/controller.go
@@ -114,7 +114,7 @@
 func logMeasurements(ctx context.Context) {
 	for ctx.Err() == nil {
 		time.Sleep(measureLogInterval)
-		measure.Process.Log()
+		measure.Default.Log()
 	}
 }
 
--- a/cmd/pebbletrail/controller_status.go
+++ b/cmd/pebbletrail/controller_status.go
@@ -28,7 +28,7 @@
 	electors := c.shards.Electors()
 	leader, _ := electors[0].Leader()
 	response := map[string]any{"node": c.settings.HostName, "version": version, "incarnation": c.incarnation, "owner": leader}
-	response["took"], response["counts"] = measure.Process.Summary()
+	response["took"], response["counts"] = measure.Default.Summary()
 	if len(electors) > 1 {
 		response["shards"] = shardStatuses(electors)
 		return response
--- a/internal/clusterstate/planning.go
+++ b/internal/clusterstate/planning.go
@@ -16,7 +16,7 @@
 	if c.closed || len(c.capacity.Types()) == 0 || c.evictor.AwaitsOrders() {
 		return
 	}
-	defer measure.Process.Took("planning pass", time.Now())
+	defer measure.Default.Took("planning pass", time.Now())
 	c.evictor.StopOnLeavingMachines(now)
 	c.evictor.Run(now)
 	c.scheduler.PreemptForOtherShards()
--- a/internal/clusterstate/provisioning.go
+++ b/internal/clusterstate/provisioning.go
@@ -23,7 +23,7 @@
 func (c *State) CapacityDemands(now time.Time) (demands []placement.Demand, instances []placement.Instance, types []*placement.InstanceType) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	defer measure.Process.Took("weighing the fleet", time.Now())
+	defer measure.Default.Took("weighing the fleet", time.Now())
 	return c.planner.Demands(now), c.planner.Instances(now), c.planner.Types()
 }
 
--- a/internal/clusterstate/reports.go
+++ b/internal/clusterstate/reports.go
@@ -23,7 +23,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
-	defer measure.Process.Took("report", now)
+	defer measure.Default.Took("report", now)
 	if c.terminated[report.Machine] {
 		return nil // the report was delayed: the machine is gone already
 	}
--- a/internal/commit/committer.go
+++ b/internal/commit/committer.go
@@ -149,8 +149,8 @@
 	}
 	began := time.Now()
 	revision, err := c.store.Commit(ctx, txn, state.Urgent)
-	measure.Process.Took("commit", began)
-	measure.Process.Count("changes committed", len(txn.Ops))
+	measure.Default.Took("commit", began)
+	measure.Default.Count("changes committed", len(txn.Ops))
 	c.recordCommit(ctx, changes, ids.Revision(revision), began, err)
 	return true
 }
--- a/internal/eviction/drain.go
+++ b/internal/eviction/drain.go
@@ -46,7 +46,7 @@
 		return
 	}
 	if denials := meter.Permit(d.disruption.requests(first, now)...); len(denials) > 0 {
-		measure.Process.Count(rollout.CounterPermitsRefused, 1)
+		measure.Default.Count(rollout.CounterPermitsRefused, 1)
 		for _, denial := range denials {
 			d.blockers.add(name, denial.String())
 		}
--- a/internal/eviction/permits.go
+++ b/internal/eviction/permits.go
@@ -62,7 +62,7 @@
 
 // grant records permits in the jobs' records. The tasks are stopped after all these permits are stored.
 func (p *permitTracker) grant(units []evictionUnit, step *evictionStep) {
-	measure.Process.Count(rollout.CounterPermitsGranted, len(units))
+	measure.Default.Count(rollout.CounterPermitsGranted, len(units))
 	for _, unit := range units {
 		job := unit.job
 		for _, assignment := range unit.assignments {
--- a/internal/fleet/cloud.go
+++ b/internal/fleet/cloud.go
@@ -116,7 +116,7 @@
 		return errNotLeader
 	}
 	endpoint, _, _ := strings.Cut(path, "?")
-	measure.Process.Count("cloud "+method+" "+endpoint, 1)
+	measure.Default.Count("cloud "+method+" "+endpoint, 1)
 	response, err := c.http.Do(ctx, method, path, body)
 	var noResponse *httpjson.NoResponseError
 	if errors.As(err, &noResponse) {
--- a/internal/intake/error_responses.go
+++ b/internal/intake/error_responses.go
@@ -35,7 +35,7 @@
 
 // respondUnavailable responds with a temporary error and a Retry-After header.
 func (s *Server) respondUnavailable(c echo.Context) error {
-	measure.Process.Count("users told to come back", 1)
+	measure.Default.Count("users told to come back", 1)
 	after := s.Jobs.Store.Budget().RetryAfter()
 	if s.Jobs.Store.Unavailable() {
 		after = outageRetryAfter
--- a/internal/intake/server.go
+++ b/internal/intake/server.go
@@ -99,7 +99,7 @@
 	}
 	start := time.Now()
 	summary, alreadyAccepted, err := s.Jobs.submit(ctx, spec)
-	measure.Process.Took("submission", start)
+	measure.Default.Took("submission", start)
 	if err != nil {
 		return s.respondError(c, err)
 	}
@@ -111,7 +111,7 @@
 
 func (s *Server) status(c echo.Context) error {
 	return s.respondForJob(c, statusTimeout, func(ctx context.Context, id ids.Job) (any, bool, error) {
-		defer measure.Process.Took("poll", time.Now())
+		defer measure.Default.Took("poll", time.Now())
 		summary, found, err := s.Jobs.status(ctx, id)
 		return summary.response(), found, err
 	})
--- a/internal/measure/measure.go
+++ b/internal/measure/measure.go
@@ -27,9 +27,9 @@
 	return &Recorder{latencies: map[string]*hdr.Histogram{}, counts: map[string]int64{}}
 }
 
-// Process is the recorder of the whole process. Counts come from many packages, and a separate recorder
+// Default is the recorder of the whole process. Counts come from many packages, and a separate recorder
 // for each of them would give no further information.
-var Process = newRecorder()
+var Default = newRecorder()
 
 const (
 	// maxLatency is the highest latency that is recorded; longer ones are recorded as this value.
--- a/internal/state/acquire.go
+++ b/internal/state/acquire.go
@@ -66,7 +66,7 @@
 	for {
 		wait, inTime := b.tryAcquire(request)
 		if !inTime {
-			measure.Process.Count("refused for lack of tokens", 1)
+			measure.Default.Count("refused for lack of tokens", 1)
 			return fmt.Errorf("%w: no tokens left in this controller's budget", ErrRefused)
 		}
 		if wait <= 0 {
--- a/internal/state/client.go
+++ b/internal/state/client.go
@@ -174,7 +174,7 @@
 	defer cancel()
 	purpose, _, _ := strings.Cut(strings.TrimPrefix(path, "/"), "?")
 	purpose, _, _ = strings.Cut(purpose, "/")
-	measure.Process.Count("state "+method+" "+purpose, 1)
+	measure.Default.Count("state "+method+" "+purpose, 1)
 	response, err := c.http.Do(ctx, method, path, body)
 	var noResponse *httpjson.NoResponseError
 	if errors.As(err, &noResponse) {
--- a/internal/worker/commander.go
+++ b/internal/worker/commander.go
@@ -40,7 +40,7 @@
 func (c *Commander) Send(ctx context.Context, addr string, token ids.Generation, incarnation ids.Incarnation, commands []Command) (Outcome, *Report) {
 	ctx, cancel := context.WithTimeout(ctx, c.Timeout)
 	defer cancel()
-	measure.Process.Count("commands sent", 1)
+	measure.Default.Count("commands sent", 1)
 	request, err := newCommandRequest(ctx, addr, CommandBatch{FencingToken: token, Incarnation: incarnation, Commands: commands})
 	if err != nil {
 		return NotSent, nil
@@ -97,7 +97,7 @@
 func (c *Commander) FetchReport(ctx context.Context, addr string, timeout time.Duration) *Report {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	measure.Process.Count("machines asked", 1)
+	measure.Default.Count("machines asked", 1)
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/show", nil)
 	if err != nil {
 		return nil
