--- a/internal/fake/network.go
+++ b/internal/fake/network.go
@@ -92,8 +92,8 @@
 	n.latency = latency
 }
 
-// CurrentRule returns the rule set by SetRule.
-func (n *Network) CurrentRule() Rule {
+// Rule returns the rule set by SetRule.
+func (n *Network) Rule() Rule {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.rule
--- a/internal/fake/pipe.go
+++ b/internal/fake/pipe.go
@@ -6,8 +6,8 @@
 	"sync"
 )
 
-// Pipes is a set of listeners that accept in-memory connections.
-type Pipes struct {
+// PipeNetwork is a set of listeners that accept in-memory connections.
+type PipeNetwork struct {
 	// mu guards the fields below. It is not held during blocking operations.
 	mu        sync.Mutex
 	listeners map[string]*pipeListener // by address
@@ -15,17 +15,17 @@
 }
 
 // Dials returns the number of connection attempts so far.
-func (p *Pipes) Dials() int {
+func (p *PipeNetwork) Dials() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.dials
 }
 
-// NewPipes returns a set without listeners.
-func NewPipes() *Pipes { return &Pipes{listeners: map[string]*pipeListener{}} }
+// NewPipeNetwork returns a set without listeners.
+func NewPipeNetwork() *PipeNetwork { return &PipeNetwork{listeners: map[string]*pipeListener{}} }
 
 // Close closes all listeners.
-func (p *Pipes) Close() {
+func (p *PipeNetwork) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, listener := range p.listeners {
@@ -43,7 +43,7 @@
 }
 
 // Listen opens a listener. It replaces the listener at that address, if there is one.
-func (p *Pipes) Listen(addr string) net.Listener {
+func (p *PipeNetwork) Listen(addr string) net.Listener {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	listener := &pipeListener{addr: addr, incoming: make(chan net.Conn), closed: make(chan struct{})}
@@ -52,7 +52,7 @@
 }
 
 // Dial connects to the listener at an address.
-func (p *Pipes) Dial(ctx context.Context, addr string) (net.Conn, error) {
+func (p *PipeNetwork) Dial(ctx context.Context, addr string) (net.Conn, error) {
 	p.mu.Lock()
 	p.dials++
 	listener := p.listeners[addr]
--- a/internal/fake/store.go
+++ b/internal/fake/store.go
@@ -142,8 +142,8 @@
 	return s.epoch
 }
 
-// CountTooLarge returns the number of transactions that exceeded the limits.
-func (s *Store) CountTooLarge() int {
+// OversizedTransactions returns the number of transactions that exceeded the limits.
+func (s *Store) OversizedTransactions() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.TooLarge
--- a/internal/intake/connection_limiter_test.go
+++ b/internal/intake/connection_limiter_test.go
@@ -48,7 +48,7 @@
 	// large again: users got no response, health checks failed, and workers that connected late lost their
 	// leases.
 	synctest.Test(t, func(t *testing.T) {
-		pipes := fake.NewPipes()
+		pipes := fake.NewPipeNetwork()
 		_, _, service := newJobService()
 		server := &Server{Jobs: service, Heartbeats: heartbeatStub{}, Ready: func() bool { return true }}
 		const workerCount = 100
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -24,11 +24,11 @@
 // testCluster connects controllers, which have no API server for users, to one fake store.
 type testCluster struct {
 	network *fake.Network
-	pipes   *fake.Pipes
+	pipes   *fake.PipeNetwork
 }
 
 func newTestCluster() *testCluster {
-	cluster := &testCluster{network: fake.NewNetwork(), pipes: fake.NewPipes()}
+	cluster := &testCluster{network: fake.NewNetwork(), pipes: fake.NewPipeNetwork()}
 	cluster.network.Listen("state:1", fake.NewStore())
 	return cluster
 }
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -42,7 +42,7 @@
 				t.Errorf("%d machines were cordoned at the same time, more than the wave size", f.maxCordoned)
 			}
 		})
-		if n := h.store.CountTooLarge(); n > 0 {
+		if n := h.store.OversizedTransactions(); n > 0 {
 			t.Errorf("%d transactions exceeded the limits of the state service", n)
 		}
 		time.Sleep(2 * time.Second)
--- a/internal/scenarios/network_test.go
+++ b/internal/scenarios/network_test.go
@@ -18,7 +18,7 @@
 
 // isPartitioned reports whether the network would not deliver a request from one node to another.
 func (c *testCluster) isPartitioned(from, to string) bool {
-	rule := c.network.CurrentRule()
+	rule := c.network.Rule()
 	if rule == nil {
 		return false
 	}
