--- a/cmd/pebbletrail/rehearse_drain.go
+++ b/cmd/pebbletrail/rehearse_drain.go
@@ -23,6 +23,6 @@
 	flags.IntVar(&options.Controllers, "controllers", 5, controllersHelp)
 	flags.IntVar(&options.Machines, "machines", 50, "stand-in machines, all of which are replaced")
 	flags.IntVar(&options.Jobs, "jobs", 300, "low jobs beside the services")
-	flags.DurationVar(&options.Longest, "longest", 10*time.Minute, maxDurationHelp)
+	flags.DurationVar(&options.MaxDuration, "longest", 10*time.Minute, maxDurationHelp)
 	return command
 }
--- a/cmd/pebbletrail/rehearse_quota.go
+++ b/cmd/pebbletrail/rehearse_quota.go
@@ -24,7 +24,7 @@
 	flags.IntVar(&options.Machines, "machines", 3, "stand-in machines to rent, of 8 cores and 2 accelerators")
 	flags.IntVar(&options.Shards, "shards", 1, "shards of the machine pool, each with a leader")
 	flags.IntVar(&options.Jobs, "jobs", 1000, "jobs submitted at the same moment, twice")
-	flags.DurationVar(&options.Within, "within", 20*time.Second, "how soon a guarantee has to be reached")
-	flags.DurationVar(&options.Longest, "longest", 10*time.Minute, maxDurationHelp)
+	flags.DurationVar(&options.GuaranteeTimeout, "within", 20*time.Second, "how soon a guarantee has to be reached")
+	flags.DurationVar(&options.MaxDuration, "longest", 10*time.Minute, maxDurationHelp)
 	return command
 }
--- a/internal/rehearsal/drain.go
+++ b/internal/rehearsal/drain.go
@@ -18,7 +18,7 @@
 	Controllers int
 	Machines    int           // number of machines, all of which the rollout replaces
 	Jobs        int           // number of low-priority jobs that run beside the services
-	Longest     time.Duration // maximum duration; the run is aborted after it
+	MaxDuration time.Duration // maximum duration; the run is aborted after it
 }
 
 // drainTeam is a team with one service and a disruption budget.
--- a/internal/rehearsal/drain_analysis.go
+++ b/internal/rehearsal/drain_analysis.go
@@ -102,7 +102,7 @@
 		f.RepeatedCoreSeconds += (event.At - task.startedAt).Seconds() * task.cores
 	}
 	task.move = len(f.Moves)
-	f.Moves = append(f.Moves, Move{Task: event.Task, From: event.Where, At: event.At, Why: why})
+	f.Moves = append(f.Moves, Relocation{Task: event.Task, From: event.Where, At: event.At, Why: why})
 	if why == "" {
 		f.Breaches = append(f.Breaches, fmt.Sprintf("at %v %s was stopped on %s, and no permit was stored for that", event.At.Round(time.Millisecond), event.Task, event.Where))
 	}
--- a/internal/rehearsal/drain_findings.go
+++ b/internal/rehearsal/drain_findings.go
@@ -19,7 +19,7 @@
 	// OnTwoMachines lists the tasks that ran on two machines at the same time.
 	OnTwoMachines []string
 	// Moves lists the tasks that the rollout stopped, each with the machine where it started again.
-	Moves   []Move
+	Moves   []Relocation
 	LowJobs jobCounts
 	// RolloutDuration is the time from the start of the rollout to its end, or 0 if it did not end.
 	// ShortestDuration is a lower bound for the same moves under the same budgets.
@@ -44,8 +44,8 @@
 	Down, ByDrains int
 }
 
-// Move is the stop of a task by a rollout, with the task's next start.
-type Move struct {
+// Relocation is the stop of a task by a rollout, with the task's next start.
+type Relocation struct {
 	Task, From, To string
 	At             time.Duration
 	// Downtime is the time from the stop to the next start; 0 if the task did not start again.
--- a/internal/rehearsal/drain_report.go
+++ b/internal/rehearsal/drain_report.go
@@ -23,12 +23,12 @@
 	}
 	p := newPlot(team.Name+": replicas down", "replicas")
 	p.Y.Min, p.Y.Max = 0, float64(highest)+1
-	for _, c := range []curve{
+	for _, c := range []plotLine{
 		{name: "down, for whatever reason", points: down, color: silverLine, stepped: true},
 		{name: "down by drains", points: byDrains, color: blueLine, stepped: true},
 		{name: "budget", points: horizontalLine(float64(team.ReplicasDown), duration), color: redLine, stepped: true, dashed: true},
 	} {
-		if err := addCurve(p, c); err != nil {
+		if err := addPlotLine(p, c); err != nil {
 			return "", err
 		}
 	}
@@ -52,7 +52,7 @@
 		if len(points) == 0 {
 			continue
 		}
-		if err := addCurve(p, curve{name: c.name, points: points, color: c.color, stepped: true}); err != nil {
+		if err := addPlotLine(p, plotLine{name: c.name, points: points, color: c.color, stepped: true}); err != nil {
 			return "", err
 		}
 	}
@@ -84,7 +84,9 @@
 const maxListedMoves = 400
 
 // ListedMoves returns the moves that the report lists, the earliest first.
-func (d *drainReportData) ListedMoves() []Move { return d.Moves[:min(len(d.Moves), maxListedMoves)] }
+func (d *drainReportData) ListedMoves() []Relocation {
+	return d.Moves[:min(len(d.Moves), maxListedMoves)]
+}
 
 //go:embed drain_report.html
 var drainTemplateText string
--- a/internal/rehearsal/drain_scenario.go
+++ b/internal/rehearsal/drain_scenario.go
@@ -17,7 +17,7 @@
 // replicas run again and all low-priority jobs are done, or when the run's deadline has passed.
 func (r *drainRun) runScenario() error {
 	c := r.cluster
-	deadline := time.Now().Add(r.options.Longest)
+	deadline := time.Now().Add(r.options.MaxDuration)
 	c.deadline = deadline
 	c.cloud.provision("north", r.options.Machines/2)
 	c.cloud.provision("south", r.options.Machines-r.options.Machines/2)
--- a/internal/rehearsal/plots.go
+++ b/internal/rehearsal/plots.go
@@ -43,8 +43,8 @@
 	greenLine  = color.RGBA{G: 130, A: 255}
 )
 
-// curve is a line of a plot.
-type curve struct {
+// plotLine is a line of a plot.
+type plotLine struct {
 	name   string
 	points plotter.XYs
 	color  color.Color
@@ -62,8 +62,8 @@
 	return p
 }
 
-// addCurve adds a curve to a plot and its legend.
-func addCurve(p *plot.Plot, c curve) error {
+// addPlotLine adds a line to a plot and its legend.
+func addPlotLine(p *plot.Plot, c plotLine) error {
 	line, err := plotter.NewLine(c.points)
 	if err != nil {
 		return fmt.Errorf("draw curve %q: %w", c.name, err)
--- a/internal/rehearsal/quota.go
+++ b/internal/rehearsal/quota.go
@@ -8,15 +8,15 @@
 
 // QuotaOptions configures a rehearsal of the teams' limits.
 type QuotaOptions struct {
-	Folder      string // receives the record, the report, settings and logs
-	Program     string // path of the controller executable
-	Seed        uint64
-	Controllers int
-	Machines    int
-	Shards      int           // shards of the machine pool, each with its own leader
-	Jobs        int           // number of jobs submitted at once in each of two waves
-	Within      time.Duration // maximum wait of a job within its team's guarantee
-	Longest     time.Duration // maximum duration; the run is aborted after it
+	Folder           string // receives the record, the report, settings and logs
+	Program          string // path of the controller executable
+	Seed             uint64
+	Controllers      int
+	Machines         int
+	Shards           int           // shards of the machine pool, each with its own leader
+	Jobs             int           // number of jobs submitted at once in each of two waves
+	GuaranteeTimeout time.Duration // maximum wait of a job within its team's guarantee
+	MaxDuration      time.Duration // maximum duration; the run is aborted after it
 }
 
 // borrowingTeams submit many jobs at once and use the capacity that guaranteedTeam leaves idle.
@@ -54,7 +54,7 @@
 	}
 	started := time.Now()
 	submitted, scenarioErr := runQuotaScenario(cluster, options)
-	findings := &QuotaFindings{Seed: options.Seed, Teams: teams, Duration: time.Since(started), Within: options.Within, Events: cluster.recordedEvents(),
+	findings := &QuotaFindings{Seed: options.Seed, Teams: teams, Duration: time.Since(started), Within: options.GuaranteeTimeout, Events: cluster.recordedEvents(),
 		Jobs: submitted, Changes: cluster.store.Epoch()}
 	if scenarioErr != nil {
 		findings.IncompleteReason = scenarioErr.Error()
--- a/internal/rehearsal/quota_report.go
+++ b/internal/rehearsal/quota_report.go
@@ -18,15 +18,15 @@
 	p := newPlot(team.Name+": "+unit+" in use", unit)
 	p.Y.Min, p.Y.Max = 0, limit*1.15+1
 	p.Add(plotter.NewGrid())
-	curves := []curve{{name: "in use", points: usagePoints(samples, duration, accelerators), color: blueLine, stepped: true}}
+	curves := []plotLine{{name: "in use", points: usagePoints(samples, duration, accelerators), color: blueLine, stepped: true}}
 	if limit > 0 {
-		curves = append(curves, curve{name: "limit", points: horizontalLine(limit, duration), color: redLine, dashed: true})
+		curves = append(curves, plotLine{name: "limit", points: horizontalLine(limit, duration), color: redLine, dashed: true})
 	}
 	if guarantee > 0 {
-		curves = append(curves, curve{name: "guarantee", points: horizontalLine(guarantee, duration), color: greenLine, dashed: true})
+		curves = append(curves, plotLine{name: "guarantee", points: horizontalLine(guarantee, duration), color: greenLine, dashed: true})
 	}
 	for _, c := range curves {
-		if err := addCurve(p, c); err != nil {
+		if err := addPlotLine(p, c); err != nil {
 			return "", err
 		}
 	}
--- a/internal/rehearsal/quota_scenario.go
+++ b/internal/rehearsal/quota_scenario.go
@@ -25,7 +25,7 @@
 // runQuotaScenario submits the waves of jobs while faults are injected, waits until all accepted
 // jobs have run, and returns the number of submitted jobs.
 func runQuotaScenario(cluster *localCluster, options QuotaOptions) (submitted int, err error) {
-	deadline := time.Now().Add(options.Longest)
+	deadline := time.Now().Add(options.MaxDuration)
 	cluster.deadline = deadline
 	if err := cluster.startAll(deadline); err != nil {
 		return 0, err
