--- a/internal/scenarios/assertions_test.go
+++ b/internal/scenarios/assertions_test.go
@@ -103,8 +103,8 @@
 // isRunning reports whether a task runs on exactly one machine.
 func (c *testCluster) isRunning(task string) bool { return len(c.machinesRunning(task)) == 1 }
 
-// isAbsent reports whether none of the tasks runs on a machine.
-func (c *testCluster) isAbsent(tasks ...string) bool {
+// noneRunning reports whether none of the tasks runs on a machine.
+func (c *testCluster) noneRunning(tasks ...string) bool {
 	for _, task := range tasks {
 		if len(c.machinesRunning(task)) > 0 {
 			return false
@@ -143,7 +143,7 @@
 	c.t.Helper()
 	allAbsent := func() bool {
 		for i := range tasks {
-			if !c.isAbsent(fmt.Sprintf("%s/%d", job, i)) {
+			if !c.noneRunning(fmt.Sprintf("%s/%d", job, i)) {
 				return false
 			}
 		}
@@ -153,8 +153,8 @@
 	c.consistently(stableFor, job+" does not start again", allAbsent)
 }
 
-// bothReport reports whether both nodes return the given status for a job.
-func (c *testCluster) bothReport(id, status string) bool {
+// bothNodesReport reports whether both nodes return the given status for a job.
+func (c *testCluster) bothNodesReport(id, status string) bool {
 	return c.status("a", id) == status && c.status("b", id) == status
 }
 
@@ -162,7 +162,7 @@
 // nodes return the given status.
 func (c *testCluster) countReported(status string, from, to int) (n int) {
 	for i := from; i <= to; i++ {
-		if c.bothReport(fmt.Sprintf("job-%d", i), status) {
+		if c.bothNodesReport(fmt.Sprintf("job-%d", i), status) {
 			n++
 		}
 	}
--- a/internal/scenarios/cancellation_outage_test.go
+++ b/internal/scenarios/cancellation_outage_test.go
@@ -63,7 +63,7 @@
 			// The leader is isolated, and the other node confirms a cancellation.
 			c.partitionFromPeerAndState(leader, "/")
 			time.Sleep(300 * time.Millisecond)
-			confirmedAt := c.confirmCancellation(other, "job-1")
+			confirmedAt := c.cancelUntilConfirmed(other, "job-1")
 			// Then the state service is down for all controllers.
 			c.store.SetDown(true) // the lease of the leader does not expire during the outage
 			outageStart := time.Now()
@@ -102,7 +102,7 @@
 		c.partitionFromPeerAndState(leader, "/kv", "/follow")
 		time.Sleep(14 * time.Second) // until its open watch has ended
 		// The other node confirms a cancellation.
-		confirmedAt := c.confirmCancellation(other, "job-1")
+		confirmedAt := c.cancelUntilConfirmed(other, "job-1")
 		c.requireStopped(confirmedAt, "job-1", 4, 10*time.Second)
 		if leader.elector.Cluster() == nil {
 			t.Fatal("the leader stepped down, so the scenario did not test a leader that cannot read")
@@ -129,7 +129,7 @@
 			}
 			return fake.Deliver
 		})
-		confirmedAt := c.confirmCancellation(other, "job-1")
+		confirmedAt := c.cancelUntilConfirmed(other, "job-1")
 		c.awaitLeadership(5*time.Second, other)
 		// Then the state service is down for all controllers, for longer than the cancellation limit.
 		c.store.SetDown(true)
@@ -166,7 +166,7 @@
 		// The start command is held back, and the job is cancelled.
 		c.submit("a", newJob("job-1", "array", 1))
 		time.Sleep(300 * time.Millisecond)
-		confirmedAt := c.confirmCancellation(c.nodes["a"], "job-1")
+		confirmedAt := c.cancelUntilConfirmed(c.nodes["a"], "job-1")
 		c.network.SetRule(func(from, to string, r *http.Request, body []byte) fake.Outcome {
 			if isHeartbeat(r) {
 				return fake.Deliver
@@ -217,7 +217,7 @@
 		// The leader is isolated, the other node confirms a cancellation, and an outage of the state
 		// service begins.
 		isolated = true
-		c.confirmCancellation(other, "job-1")
+		c.cancelUntilConfirmed(other, "job-1")
 		c.store.SetDown(true)
 		time.Sleep(4 * time.Second)
 		// The leader can reach the machine again.
--- a/internal/scenarios/cancellation_test.go
+++ b/internal/scenarios/cancellation_test.go
@@ -34,7 +34,7 @@
 		c.eventually(38*time.Second, "its outcome is stored", func() bool { return c.store.Value("end/job-11") != nil })
 		// The start command arrives.
 		c.network.ReleaseHeld()
-		c.consistently(20*time.Second, "the delayed start is rejected", func() bool { return c.isAbsent("job-11/0") })
+		c.consistently(20*time.Second, "the delayed start is rejected", func() bool { return c.noneRunning("job-11/0") })
 		if s := c.status("a", "job-11"); s != "cancelled" {
 			t.Fatalf("job-11 is reported as %q, not as cancelled", s)
 		}
@@ -71,7 +71,7 @@
 			return code == 200
 		})
 		confirmedAt := time.Now()
-		c.eventually(40*time.Second, "it stops within the cancellation limit", func() bool { return c.isAbsent("job-1/0") })
+		c.eventually(40*time.Second, "it stops within the cancellation limit", func() bool { return c.noneRunning("job-1/0") })
 		if elapsed := time.Since(confirmedAt); elapsed < 15*time.Second {
 			t.Errorf("job-1/0 stopped %v after the cancellation, too soon for a task in the partitioned zone", elapsed)
 		}
--- a/internal/scenarios/cluster_test.go
+++ b/internal/scenarios/cluster_test.go
@@ -76,20 +76,20 @@
 // testCluster is a cluster of two controllers with a network, a state service, workers and users,
 // all in memory. Its methods are the steps of a scenario's timeline.
 type testCluster struct {
-	t              *testing.T
-	ctx            context.Context
-	network        *fake.Network
-	latency        atomic.Pointer[func() time.Duration] // of the network; nil means no latency
-	store          *fake.Store
-	mu             sync.Mutex
-	nodes          map[string]*testNode
-	workers        []*fake.Worker
-	processes      int
-	rules          *rules
-	inCloudList    bool    // whether the cloud lists the machines to the leader
-	upcomingLimits string  // settings of announced limits, for nodes started from now on
-	valueLimitKB   float64 // value size limit of the state service; zero means that of the settings
-	teams          []config.Team
+	t                  *testing.T
+	ctx                context.Context
+	network            *fake.Network
+	latency            atomic.Pointer[func() time.Duration] // of the network; nil means no latency
+	store              *fake.Store
+	mu                 sync.Mutex
+	nodes              map[string]*testNode
+	workers            []*fake.Worker
+	processes          int
+	rules              *rules
+	cloudListsMachines bool    // whether the cloud lists the machines to the leader
+	upcomingLimits     string  // settings of announced limits, for nodes started from now on
+	valueLimitKB       float64 // value size limit of the state service; zero means that of the settings
+	teams              []config.Team
 }
 
 // scenario runs a scenario in a new cluster with its own fake clock.
@@ -140,11 +140,11 @@
 	return []placement.InstanceType{{Label: "small", Cores: 4, RAM: 16, CacheGB: 20, PullGBPerS: 1, Price: 1, SpotPrice: 0.4, BootS: 30, Zones: zones}}
 }
 
-// cloudList returns the cloud's list of machines, which is empty unless inCloudList is set.
+// cloudList returns the cloud's list of machines, which is empty unless cloudListsMachines is set.
 func (c *testCluster) cloudList() (machines []clusterstate.ListedMachine) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.inCloudList {
+	if c.cloudListsMachines {
 		for _, worker := range c.workers {
 			machines = append(machines, clusterstate.ListedMachine{Name: ids.Machine(worker.Name), Address: worker.Address, Type: worker.Type, Zone: worker.Zone, Status: "running"})
 		}
--- a/internal/scenarios/delayed_commands_test.go
+++ b/internal/scenarios/delayed_commands_test.go
@@ -38,7 +38,7 @@
 		if c.network.ReleaseHeld() == 0 {
 			t.Fatal("no start command was held back")
 		}
-		c.consistently(10*time.Second, "the delayed start is rejected", func() bool { return c.isAbsent("job-3/0") })
+		c.consistently(10*time.Second, "the delayed start is rejected", func() bool { return c.noneRunning("job-3/0") })
 		if n := machine.StartCount("job-3/0"); n != 1 {
 			t.Fatalf("job-3/0 was started %d times, not once", n)
 		}
@@ -110,7 +110,7 @@
 				t.Parallel()
 				faultScenario(t, func(t *testing.T, c *faultCluster) {
 					c.testCluster.mu.Lock()
-					c.inCloudList = false
+					c.cloudListsMachines = false
 					c.testCluster.mu.Unlock()
 					time.Sleep(settleTime)
 					leader := c.awaitLeader()
--- a/internal/scenarios/dependencies_cancellation_test.go
+++ b/internal/scenarios/dependencies_cancellation_test.go
@@ -88,21 +88,21 @@
 				}
 				c.eventually(25*time.Second, "all dependents are cancelled at both nodes", func() bool {
 					for _, id := range append(dependents, "job-50") {
-						if !c.bothReport(id, "cancelled") {
+						if !c.bothNodesReport(id, "cancelled") {
 							return false
 						}
 					}
 					return true
 				})
 				c.submit("a", newJob("job-60", "array", 1).dependingOn("job-11"))
-				if !c.bothReport("job-60", "cancelled") {
+				if !c.bothNodesReport("job-60", "cancelled") {
 					t.Error("job-60, submitted with a dependency on the cancelled job-11, is not cancelled")
 				}
 				c.eventually(60*time.Second, "their outcomes are stored", func() bool {
 					return c.store.CountKeys("job/") == 0
 				})
 				c.consistently(30*time.Second, "none of them starts", func() bool {
-					return c.isAbsent("job-2/0", "job-50/0", "job-30/0")
+					return c.noneRunning("job-2/0", "job-50/0", "job-30/0")
 				})
 				if code, out := c.call("a", "GET", "/v2/runs/job-30/explain", nil); code != 200 || !strings.Contains(fmt.Sprint(out["trail"]), "job-1, which was cancelled") {
 					t.Errorf("the explanation of job-30 does not name the cancelled job-1: %v", out)
@@ -128,14 +128,14 @@
 		if status := c.cancelUntilAnswered("job-2"); status != "cancelled" {
 			t.Fatalf("the cancellation of waiting job-2 returned status %q", status)
 		}
-		if !c.bothReport("job-4", "cancelled") || !c.bothReport("job-3", "pending") {
+		if !c.bothNodesReport("job-4", "cancelled") || !c.bothNodesReport("job-3", "pending") {
 			t.Errorf("job-4 is %s, want cancelled; job-3 is %s, want pending", c.status("a", "job-4"), c.status("a", "job-3"))
 		}
 		c.awaitRunning(5*time.Second, "job-1", 1)
 		c.completeJob("job-1")
 		c.awaitRunning(10*time.Second, "job-3", 1)
 		c.consistently(20*time.Second, "the cancelled ones do not run", func() bool {
-			return c.isAbsent("job-2/0", "job-4/0")
+			return c.noneRunning("job-2/0", "job-4/0")
 		})
 	})
 }
@@ -220,6 +220,6 @@
 		c.eventually(30*time.Second, "the outcome of the first too", func() bool {
 			return c.store.CountKeys("job/") == 0 && c.store.CountKeys("end/") == 100
 		})
-		c.consistently(20*time.Second, "none of them starts", func() bool { return c.isAbsent("job-2/0", "job-50/0") })
+		c.consistently(20*time.Second, "none of them starts", func() bool { return c.noneRunning("job-2/0", "job-50/0") })
 	})
 }
--- a/internal/scenarios/dependencies_failover_test.go
+++ b/internal/scenarios/dependencies_failover_test.go
@@ -44,7 +44,7 @@
 		if n := c.countReported("cancelled", 1, 40); n != 40 {
 			t.Errorf("%d of 40 jobs are reported as cancelled", n)
 		}
-		c.consistently(10*time.Second, "none of them starts", func() bool { return c.isAbsent("job-2/0") })
+		c.consistently(10*time.Second, "none of them starts", func() bool { return c.noneRunning("job-2/0") })
 	})
 }
 
@@ -154,7 +154,7 @@
 				if c.countReported("cancelled", 2, 3); c.nodes[leader.name] == nil {
 					c.startNode(leader.name)
 				}
-				c.consistently(40*time.Second, "it does not run", func() bool { return c.isAbsent("job-2/0", "job-3/0") })
+				c.consistently(40*time.Second, "it does not run", func() bool { return c.noneRunning("job-2/0", "job-3/0") })
 				if n := c.countReported("cancelled", 2, 3); n != 2 || c.store.CountKeys("job/") != 0 {
 					t.Errorf("%d of 2 jobs are reported as cancelled; store: %s", n, c.store)
 				}
--- a/internal/scenarios/dependencies_test.go
+++ b/internal/scenarios/dependencies_test.go
@@ -50,7 +50,7 @@
 				c.submit("b", newJob("job-4", "array", 1).dependingOn("job-2", "job-3"))
 				c.awaitRunning(5*time.Second, "job-1", 2)
 				c.consistently(4*time.Second, "the others wait", func() bool {
-					return c.bothReport("job-2", "pending") && c.bothReport("job-4", "pending") && c.isAbsent("job-2/0", "job-3/0")
+					return c.bothNodesReport("job-2", "pending") && c.bothNodesReport("job-4", "pending") && c.noneRunning("job-2/0", "job-3/0")
 				})
 				c.completeJob("job-1")
 				injectFault(c)
@@ -59,13 +59,13 @@
 				})
 				c.completeJob("job-2")
 				injectFault(c)
-				c.consistently(15*time.Second, "the last waits for both", func() bool { return c.isAbsent("job-4/0") })
+				c.consistently(15*time.Second, "the last waits for both", func() bool { return c.noneRunning("job-4/0") })
 				c.completeJob("job-3")
 				injectFault(c)
 				c.awaitRunning(40*time.Second, "job-4", 1)
 				c.completeJob("job-4")
 				c.eventually(20*time.Second, "all done", func() bool {
-					return c.bothReport("job-1", "done") && c.bothReport("job-2", "done") && c.bothReport("job-3", "done") && c.bothReport("job-4", "done")
+					return c.bothNodesReport("job-1", "done") && c.bothNodesReport("job-2", "done") && c.bothNodesReport("job-3", "done") && c.bothNodesReport("job-4", "done")
 				})
 				// A job whose dependencies are all done starts at once.
 				c.submit("a", newJob("job-5", "array", 1).dependingOn("job-4", "job-1"))
@@ -98,7 +98,7 @@
 		})
 		c.completeJob("job-1")
 		c.consistently(10*time.Second, "the dependent waits", func() bool {
-			return c.workerNamed("m1").StartCount("job-2/0") == 0 && c.bothReport("job-2", "pending")
+			return c.workerNamed("m1").StartCount("job-2/0") == 0 && c.bothNodesReport("job-2", "pending")
 		})
 		status := c.cancelUntilAnswered("job-1")
 		c.network.SetRule(nil)
@@ -106,7 +106,7 @@
 			t.Fatalf("the cancellation of job-1 returned status %q", status)
 		}
 		c.consistently(20*time.Second, "the dependent is cancelled with it", func() bool {
-			return c.workerNamed("m1").StartCount("job-2/0") == 0 && c.bothReport("job-2", "cancelled")
+			return c.workerNamed("m1").StartCount("job-2/0") == 0 && c.bothNodesReport("job-2", "cancelled")
 		})
 	})
 }
@@ -190,7 +190,7 @@
 				c.completeJob(id)
 			}
 			c.consistently(8*time.Second, "it waits for the last dependency", func() bool {
-				return c.bothReport("job-900000", "pending")
+				return c.bothNodesReport("job-900000", "pending")
 			})
 			c.completeJob(dependencies[0])
 			c.awaitRunning(15*time.Second, "job-900000", 1)
@@ -198,7 +198,7 @@
 			c.awaitRunning(15*time.Second, "job-900001", 1)
 			c.completeJob("job-900001")
 			c.eventually(15*time.Second, "all are done", func() bool {
-				return c.bothReport("job-900000", "done") && c.bothReport("job-900001", "done")
+				return c.bothNodesReport("job-900000", "done") && c.bothNodesReport("job-900001", "done")
 			})
 			// A restarted node has no outcome in memory and reads them from the state service.
 			c.nodes["b"].kill()
@@ -212,19 +212,19 @@
 				c.t.Errorf("the cancellation of job-900000 returned status %q", status)
 			}
 			c.eventually(5*time.Second, "its dependent is cancelled", func() bool {
-				return c.bothReport("job-900001", "cancelled")
+				return c.bothNodesReport("job-900001", "cancelled")
 			})
 			c.eventually(20*time.Second, "the outcomes are stored", func() bool {
 				return c.store.CountKeys("job/wait/") == 0
 			})
-			if !c.bothReport(dependencies[0], "running") {
+			if !c.bothNodesReport(dependencies[0], "running") {
 				c.t.Error("the cancellation of job-900000 affected a job that it depends on")
 			}
 		},
 		"a dependency is cancelled": func(c *testCluster, dependencies []string) {
 			c.cancelUntilAnswered(dependencies[149])
 			c.eventually(5*time.Second, "it is cancelled, and its dependent", func() bool {
-				return c.bothReport("job-900000", "cancelled") && c.bothReport("job-900001", "cancelled")
+				return c.bothNodesReport("job-900000", "cancelled") && c.bothNodesReport("job-900001", "cancelled")
 			})
 			c.eventually(20*time.Second, "the outcomes are stored", func() bool {
 				return c.store.CountKeys("job/wait/") == 0
--- a/internal/scenarios/fault_cluster_test.go
+++ b/internal/scenarios/fault_cluster_test.go
@@ -25,7 +25,7 @@
 func faultScenario(t *testing.T, run func(t *testing.T, c *faultCluster)) {
 	scenario(t, func(t *testing.T, base *testCluster) {
 		c := &faultCluster{testCluster: base, heartbeats: map[string][][]byte{}}
-		base.inCloudList = true
+		base.cloudListsMachines = true
 		c.setFaults(nil)
 		base.startNode("a")
 		base.startNode("b")
--- a/internal/scenarios/gang_test.go
+++ b/internal/scenarios/gang_test.go
@@ -54,7 +54,7 @@
 			lost.EndTask("job-10/0", "error")
 			// No new attempt starts until the other task of the old attempt has ended.
 			c.consistently(12*time.Second, "no second attempt beside the first", func() bool {
-				return c.isAbsent("job-10/0")
+				return c.noneRunning("job-10/0")
 			})
 			remaining.EndTask("job-10/1", "peers")
 			c.eventually(10*time.Second, "a new attempt of both", func() bool {
--- a/internal/scenarios/job_status_test.go
+++ b/internal/scenarios/job_status_test.go
@@ -35,7 +35,7 @@
 		if code, out := c.call("b", "POST", "/v2/runs", newJob("job-1", "array", 2)); code != 200 || out["status"] != "done" {
 			t.Fatalf("a repeated submission of job-1 after three minutes returned %d %v", code, out)
 		}
-		c.consistently(10*time.Second, "nothing starts again", func() bool { return c.isAbsent("job-1/0") })
+		c.consistently(10*time.Second, "nothing starts again", func() bool { return c.noneRunning("job-1/0") })
 	})
 }
 
@@ -194,7 +194,7 @@
 			}
 		}
 		c.consistently(30*time.Second, "the cancelled job does not start", func() bool {
-			return c.isAbsent("job-3/0") && c.status("a", "job-3") == "cancelled"
+			return c.noneRunning("job-3/0") && c.status("a", "job-3") == "cancelled"
 		})
 	})
 }
--- a/internal/scenarios/leadership_test.go
+++ b/internal/scenarios/leadership_test.go
@@ -146,7 +146,7 @@
 func TestStalledLeaderIsFencedBySuccessor(t *testing.T) {
 	t.Parallel()
 	scenario(t, func(t *testing.T, c *testCluster) {
-		c.inCloudList = true
+		c.cloudListsMachines = true
 		c.startPair()
 		// The leader stalls: first its start command is held back, then all its traffic.
 		stalled := c.leader()
--- a/internal/scenarios/partition_test.go
+++ b/internal/scenarios/partition_test.go
@@ -17,7 +17,7 @@
 	t.Parallel()
 	for kind, outcome := range map[string]fake.Outcome{"connections refused": fake.Refuse, "packets dropped": fake.Drop, "requests held back": fake.HoldBack} {
 		scenario(t, func(t *testing.T, c *testCluster) {
-			c.inCloudList = true
+			c.cloudListsMachines = true
 			c.startPair()
 			c.submit("a", newJob("job-1", "standing", 4))
 			c.awaitRunning(4*time.Second, "job-1", 4)
@@ -64,7 +64,7 @@
 func TestZonePartitionBeyondLeaseDuringFailoverLosesNoWork(t *testing.T) {
 	t.Parallel()
 	scenario(t, func(t *testing.T, c *testCluster) {
-		c.inCloudList = true
+		c.cloudListsMachines = true
 		c.startNode("a")
 		c.startNode("b")
 		for _, machine := range []string{"n1", "n2"} {
@@ -101,7 +101,7 @@
 		// The partition lasts longer than the leases of the workers in zone south.
 		c.consistently(32*time.Second, "work in the other zone goes on", func() bool {
 			for _, task := range northTasks {
-				if c.isAbsent(task) {
+				if c.noneRunning(task) {
 					return false
 				}
 			}
@@ -135,7 +135,7 @@
 func TestLeaderPartitionedFromStateServiceThenFromWorkersKeepsTasksRunning(t *testing.T) {
 	t.Parallel()
 	scenario(t, func(t *testing.T, c *testCluster) {
-		c.inCloudList = true
+		c.cloudListsMachines = true
 		c.startPair()
 		c.submit("b", newJob("job-1", "standing", 4))
 		c.awaitRunning(5*time.Second, "job-1", 4)
@@ -267,7 +267,7 @@
 func TestMachineWithUndeliverableHeartbeatsRunsTaskUntilLeaseExpiry(t *testing.T) {
 	t.Parallel()
 	scenario(t, func(t *testing.T, c *testCluster) {
-		c.inCloudList = true
+		c.cloudListsMachines = true
 		c.startNode("a")
 		c.startNode("b")
 		time.Sleep(90 * time.Second) // so long that no former leader can still renew leases
--- a/internal/scenarios/random_faults_test.go
+++ b/internal/scenarios/random_faults_test.go
@@ -18,7 +18,7 @@
 	for seed := range uint64(4) {
 		parallelScenario(t, fmt.Sprint(seed), func(t *testing.T, c *testCluster) {
 			random := newRandomSource(seed)
-			c.inCloudList = true
+			c.cloudListsMachines = true
 			c.startNode("a")
 			c.startNode("b")
 			c.startWorkers("north", "south", "north", "south")
--- a/internal/scenarios/record_limits_test.go
+++ b/internal/scenarios/record_limits_test.go
@@ -117,7 +117,7 @@
 					return c.store.CountKeys("job/") == 0
 				})
 				c.eventually(30*time.Second, "every node still reports so", func() bool {
-					return c.bothReport("job-1", "cancelled") && c.bothReport("job-2", "cancelled")
+					return c.bothNodesReport("job-1", "cancelled") && c.bothNodesReport("job-2", "cancelled")
 				})
 				if c.store.TooLarge > 2 { // each node may learn of the lower limits from one failed write
 					t.Errorf("%d writes exceeded the limits of the state service", c.store.TooLarge)
--- a/internal/scenarios/restart_test.go
+++ b/internal/scenarios/restart_test.go
@@ -63,7 +63,7 @@
 func TestRestartOfAllControllersDuringElectionIgnoresDelayedDuplicates(t *testing.T) {
 	t.Parallel()
 	scenario(t, func(t *testing.T, c *testCluster) {
-		c.inCloudList = true
+		c.cloudListsMachines = true
 		c.startNode("a")
 		c.startNode("b")
 		m1 := c.startWorker("m1", "north")
@@ -91,7 +91,7 @@
 			worker.EndTask("job-1/1", "done")
 		}
 		c.eventually(8*time.Second, "done and cancelled", func() bool {
-			return c.status("a", "job-1") == "done" && c.status("b", "job-3") == "cancelled" && c.isAbsent("job-3/0")
+			return c.status("a", "job-1") == "done" && c.status("b", "job-3") == "cancelled" && c.noneRunning("job-3/0")
 		})
 		time.Sleep(8 * time.Second)
 		c.network.SetRule(nil)
@@ -125,7 +125,7 @@
 			return true
 		})
 		c.consistently(30*time.Second, "no past task starts, no running task stops", func() bool {
-			return c.allRunning("job-2", 2) && c.isAbsent("job-1/0", "job-1/1", "job-3/0", "job-3/1")
+			return c.allRunning("job-2", 2) && c.noneRunning("job-1/0", "job-1/1", "job-3/0", "job-3/1")
 		})
 		c.requireStartedOnce("job-1/0", "job-1/1", "job-2/0", "job-2/1", "job-3/0", "job-3/1")
 	})
--- a/internal/scenarios/scheduling_test.go
+++ b/internal/scenarios/scheduling_test.go
@@ -31,7 +31,7 @@
 		job["cores"] = 4
 		c.submit("a", job)
 		// m1 sends no heartbeats, but its task may run there until the lease has expired.
-		c.consistently(10*time.Second, "no third task of four cores", func() bool { return c.isAbsent("job-13/0") })
+		c.consistently(10*time.Second, "no third task of four cores", func() bool { return c.noneRunning("job-13/0") })
 		c.eventually(40*time.Second, "both tasks run", func() bool {
 			return c.isRunning("job-12/0") && c.isRunning("job-12/1")
 		})
--- a/internal/scenarios/stale_heartbeats_test.go
+++ b/internal/scenarios/stale_heartbeats_test.go
@@ -40,7 +40,7 @@
 				t.Fatal("fewer than 3 duplicates of heartbeats were held back")
 			}
 			c.consistently(25*time.Second, "replicas go on, no past task starts", func() bool {
-				return len(m1.ActiveTasks()) == 4 && c.isRunning("job-2/0") && c.isAbsent("job-1/0")
+				return len(m1.ActiveTasks()) == 4 && c.isRunning("job-2/0") && c.noneRunning("job-1/0")
 			})
 			for _, worker := range c.workers {
 				for i := range 8 {
@@ -96,7 +96,7 @@
 		c.consistently(30*time.Second, "job-2 goes on on m1", func() bool {
 			return c.isRunning("job-2/0") && c.machinesRunning("job-2/0")[0] == "m1"
 		})
-		if m1.StartCount("job-1/0") != 1 || m1.StartCount("job-2/0") != 1 || !c.isAbsent("job-1/0") {
+		if m1.StartCount("job-1/0") != 1 || m1.StartCount("job-2/0") != 1 || !c.noneRunning("job-1/0") {
 			t.Fatal("a task of job-1 or job-2 was started again, or job-1/0 still runs")
 		}
 		m1.EndTask("job-2/0", "done")
@@ -212,7 +212,7 @@
 					c.eventually(10*time.Second, "it is replaced", bothWaiting)
 					if newIncarnation {
 						machine.SetSilent(true)
-						c.eventually(25*time.Second, "its lease has expired", func() bool { return c.isAbsent("job-1/0") })
+						c.eventually(25*time.Second, "its lease has expired", func() bool { return c.noneRunning("job-1/0") })
 						machine.SetSilent(false)
 						c.eventually(15*time.Second, "it is replaced again", bothWaiting)
 					}
--- a/internal/scenarios/users_test.go
+++ b/internal/scenarios/users_test.go
@@ -115,9 +115,9 @@
 	return ""
 }
 
-// confirmCancellation cancels a job at a node until the node confirms, and returns the time of the
+// cancelUntilConfirmed cancels a job at a node until the node confirms, and returns the time of the
 // confirmation.
-func (c *testCluster) confirmCancellation(node *testNode, job string) time.Time {
+func (c *testCluster) cancelUntilConfirmed(node *testNode, job string) time.Time {
 	c.t.Helper()
 	c.eventually(3*time.Second, "cancellation of "+job+" confirmed", func() bool {
 		code, out := c.call(node.name, "POST", "/v2/runs/"+job+"/cancel", nil)
