--- a/internal/clusterstate/commands.go
+++ b/internal/clusterstate/commands.go
@@ -27,7 +27,7 @@
 	c.commands.RecordOutcome(batch, outcome)
 }
 
-// SelectProbes takes the machines to probe now, with at most limit probes in flight.
+// SelectProbes selects the machines to probe now, with at most limit probes in flight.
 func (c *State) SelectProbes(now time.Time, limit int) []dispatch.Probe {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/commit/changes.go
+++ b/internal/commit/changes.go
@@ -30,7 +30,8 @@
 type Limits struct {
 	// Ops is the maximum number of operations in a group.
 	Ops int
-	// BudgetNearlyExhausted is true if the store accepts few more changes now, so that changes that can wait are left out.
+	// BudgetNearlyExhausted is true if the store accepts few more changes now. Changes that can wait are then
+	// left out.
 	BudgetNearlyExhausted bool
 }
 
--- a/internal/dispatch/prober.go
+++ b/internal/dispatch/prober.go
@@ -57,8 +57,8 @@
 	earlyProbesPerSecond = 30.0
 )
 
-// SelectProbes selects the machines to probe now, with at most limit probes in flight. Machines with replicas come
-// first, then those whose last probe was longest ago, so that hundreds of silent machines take turns.
+// SelectProbes selects the machines to probe now, with at most limit probes in flight. Machines with replicas
+// come first, then those whose last probe was longest ago, so that hundreds of silent machines take turns.
 func (p *Prober) SelectProbes(now time.Time, limit int, fencingToken ids.Generation) (probes []Probe) {
 	if now.Sub(p.selectedAt) < selectionInterval {
 		return nil
@@ -154,8 +154,8 @@
 	return x.LastProbeAt.Compare(y.LastProbeAt)
 }
 
-// RecordOutcome records whether a machine answered its probe. It returns the machine, or nil if it is not known
-// any more.
+// RecordAnswer records whether a machine answered its probe. It returns the machine, or nil if it is not
+// known any more.
 func (p *Prober) RecordAnswer(name ids.Machine, answered bool) *worker.Machine {
 	p.inFlight--
 	machine := p.machines.Machines[name]
--- a/internal/election/elector.go
+++ b/internal/election/elector.go
@@ -25,8 +25,8 @@
 
 // Peers is the interface through which an elector queries the other controllers.
 type Peers interface {
-	// AllConfirmStopped asks the named controllers, or all others if none is named, to confirm that they no longer
-	// answer heartbeats under a generation older than this one. It reports whether all have confirmed.
+	// AllConfirmStopped asks the named controllers, or all others if none is named, to confirm that they no
+	// longer answer heartbeats under a generation older than this one. It reports whether all have confirmed.
 	AllConfirmStopped(ctx context.Context, generation ids.Generation, nodes ...ids.Node) bool
 	// NoPeerUp reports whether there are other controllers and none of them has been heard recently.
 	NoPeerUp() bool
--- a/internal/election/shards.go
+++ b/internal/election/shards.go
@@ -21,8 +21,8 @@
 // several of them (docs/shards.md). Its fields either don't change after Run is called or are safe for
 // concurrent use.
 type Shards struct {
-	// OnStoreUnusable is called with the reason if the store can't be used: ErrLayoutMismatch if it is laid out for
-	// another number of shards, ErrJobsStored if it has no layout but is in use, possibly by an older version,
+	// OnStoreUnusable is called with the reason if the store can't be used: ErrLayoutMismatch if it is laid out
+	// for another number of shards, ErrJobsStored if it has no layout but is in use, possibly by an older version,
 	// or quota.ErrBadLedger. It must be set before Run.
 	OnStoreUnusable func(error)
 
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -152,7 +152,7 @@
 	Older    bool
 }
 
-// RolloutPlan is a preview of a rollout, computed from the current cluster state.
+// RolloutPlan is the plan of a rollout, computed from the current cluster state.
 type RolloutPlan struct {
 	Machines []ids.Machine
 	Waves    [][]ids.Machine
--- a/internal/provisioning/late_boots.go
+++ b/internal/provisioning/late_boots.go
@@ -43,7 +43,7 @@
 	return bootStatusAt(now.Sub(machine.ProvisionedAt), due)
 }
 
-// bootStatusAt returns the lateness of a machine of the given age, which is late if it is older than due.
+// bootStatusAt returns the status of a machine of the given age, which is late if it is older than due.
 func bootStatusAt(age, due time.Duration) BootStatus {
 	switch {
 	case age > bootTimeoutFactor*due:
--- a/internal/provisioning/provisioning.go
+++ b/internal/provisioning/provisioning.go
@@ -40,7 +40,7 @@
 
 // Rollouts is the part of the shard's rollouts that the Planner uses.
 type Rollouts interface {
-	// IsObservedReplacement reports whether a machine is kept because it replaces another one and is still being observed.
+	// IsObservedReplacement reports whether a machine is kept as a replacement that is still being observed.
 	IsObservedReplacement(machine ids.Machine) bool
 	// OrderFor returns a rollout's order for a machine. ok reports whether there is one.
 	OrderFor(machine ids.Machine) (order rollout.Order, ok bool)
--- a/internal/rehearsal/plots.go
+++ b/internal/rehearsal/plots.go
@@ -43,7 +43,7 @@
 	greenLine  = color.RGBA{G: 130, A: 255}
 )
 
-// plotLine is a line of a plot.
+// plotLine is one line of a plot.
 type plotLine struct {
 	name   string
 	points plotter.XYs
--- a/internal/rollout/preview.go
+++ b/internal/rollout/plan.go
@@ -43,18 +43,18 @@
 	if err != nil {
 		return nil, err
 	}
-	preview := &Plan{Machines: names}
+	plan := &Plan{Machines: names}
 	candidates := make([]candidate, len(names))
 	for i, name := range names {
 		candidates[i] = candidate{name: name, machine: fleet.Machine(name), cost: fleet.DrainCost(name)}
 		if blocked := candidates[i].cost.Blocked; len(blocked) > 0 {
-			preview.Blocked = append(preview.Blocked, BlockedMachine{name, blocked})
+			plan.Blocked = append(plan.Blocked, BlockedMachine{name, blocked})
 		}
 	}
 	for wave := range slices.Chunk(sortCandidates(candidates), max(1, spec.WaveSize)) {
-		preview.addWave(spec, wave, fleet)
+		plan.addWave(spec, wave, fleet)
 	}
-	return preview, nil
+	return plan, nil
 }
 
 // addWave adds a wave and its estimated duration.
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -258,19 +258,19 @@
 	spec := allMachinesSpec("spring")
 	spec.Select = Selection{Zone: "north"}
 	spec.WaveSize, spec.Pause = 2, 60
-	preview, err := NewPlan(spec, fleet, time.Now())
+	plan, err := NewPlan(spec, fleet, time.Now())
 	if err != nil {
 		t.Fatal(err)
 	}
 	want := [][]ids.Machine{{"host-000005", "host-000003"}, {"host-000001"}}
-	if !slices.EqualFunc(preview.Waves, want, slices.Equal) {
-		t.Errorf("planned waves %v, want %v", preview.Waves, want)
+	if !slices.EqualFunc(plan.Waves, want, slices.Equal) {
+		t.Errorf("planned waves %v, want %v", plan.Waves, want)
 	}
-	if len(preview.Blocked) != 1 || preview.Blocked[0].Name != "host-000001" {
-		t.Errorf("blocked machines %v, want only host-000001", preview.Blocked)
+	if len(plan.Blocked) != 1 || plan.Blocked[0].Name != "host-000001" {
+		t.Errorf("blocked machines %v, want only host-000001", plan.Blocked)
 	}
-	if preview.Takes != 95 { // seven steps of 5 s and one pause of 60 s
-		t.Errorf("planned duration %v s, want 95 s", preview.Takes)
+	if plan.Takes != 95 { // seven steps of 5 s and one pause of 60 s
+		t.Errorf("planned duration %v s, want 95 s", plan.Takes)
 	}
 }
 
--- a/internal/rollout/service.go
+++ b/internal/rollout/service.go
@@ -55,11 +55,11 @@
 	if err := spec.Check(s.Installation()); err != nil {
 		return nil, err
 	}
-	preview, err := s.Leader.PlanDrain(ctx, spec)
+	plan, err := s.Leader.PlanDrain(ctx, spec)
 	if err != nil && !errors.Is(err, ErrInvalidSpec) {
 		return nil, fmt.Errorf("%w: the leader returned no plan: %v", ErrUnavailable, err)
 	}
-	return preview, err
+	return plan, err
 }
 
 // Start stores a rollout, which the leader then executes. Repeating a start with the same specification
@@ -90,11 +90,11 @@
 
 // create plans a rollout and tries to store it. A nil error does not imply that the rollout was stored.
 func (s *Service) create(ctx context.Context, snapshot *rolloutSnapshot, spec *Spec) error {
-	preview, err := s.Plan(ctx, spec)
+	plan, err := s.Plan(ctx, spec)
 	if err != nil {
 		return err
 	}
-	selected := NewMachineSet(preview.Machines...)
+	selected := NewMachineSet(plan.Machines...)
 	if other, machine, found := snapshot.findOverlap(&selected); found {
 		return fmt.Errorf("%w: machine %s is in rollout %s", ErrOverlap, machine, other)
 	}
--- a/internal/scenarios/drain_budget_test.go
+++ b/internal/scenarios/drain_budget_test.go
@@ -166,9 +166,9 @@
 				if test.allMachines {
 					spec.Select = rollout.Selection{Older: true}
 				}
-				preview, err := c.follower().rollouts.Plan(c.ctx, spec)
-				if err != nil || len(preview.Waves) == 0 {
-					t.Fatal(preview, err)
+				plan, err := c.follower().rollouts.Plan(c.ctx, spec)
+				if err != nil || len(plan.Waves) == 0 {
+					t.Fatal(plan, err)
 				}
 				c.startRollout(spec)
 				c.awaitBlocker(test.reason)
--- a/internal/scenarios/drain_node_test.go
+++ b/internal/scenarios/drain_node_test.go
@@ -132,7 +132,7 @@
 	return n.cluster.nodes[string(node)] != nil
 }
 
-// PlanDrain returns the leader's preview of a rollout.
+// PlanDrain returns the leader's plan of a rollout.
 func (n *drainNode) PlanDrain(_ context.Context, spec *rollout.Spec) (*rollout.Plan, error) {
 	leader := n.cluster.leader()
 	if leader == nil {
