--- a/internal/clusterstate/cancellation.go
+++ b/internal/clusterstate/cancellation.go
@@ -32,8 +32,8 @@
 }
 
 // applyConfirmedCancellation cancels a job whose cancellation another controller has confirmed to the user.
-// If the job is done but its end is not stored yet, it still ends as cancelled, since that is what the user
-// was told first.
+// If the job is done but its end is not stored yet, it still ends as cancelled, since that was
+// reported to the user first.
 func (c *State) applyConfirmedCancellation(job *workload.Job) {
 	if job.Cancelled() {
 		return
--- a/internal/dispatch/queue_test.go
+++ b/internal/dispatch/queue_test.go
@@ -103,7 +103,7 @@
 	}
 }
 
-// stopTask requests that a task be stopped. seen tells whether a report has shown the task on its machine.
+// stopTask requests that a task be stopped. seen indicates whether a report has shown the task on its machine.
 func stopTask(assignment *workload.Assignment, seen bool) {
 	assignment.StartSent, assignment.Confirmed, assignment.Stopping, assignment.StopRequestedAt = true, seen, true, time.Now()
 }
--- a/internal/election/heartbeats.go
+++ b/internal/election/heartbeats.go
@@ -11,7 +11,7 @@
 // heartbeatLoadTimeout bounds how long a heartbeat waits for the records to be loaded.
 const heartbeatLoadTimeout = 1500 * time.Millisecond
 
-// Heartbeat answers a worker's heartbeat. If it returns no commands, the HTTP status tells why, and the
+// Heartbeat answers a worker's heartbeat. If it returns no commands, the HTTP status gives the reason, and the
 // redirect may name the leader.
 func (e *Elector) Heartbeat(ctx context.Context, report *worker.Report) (*worker.CommandBatch, int, worker.Redirect) {
 	term := e.Term()
--- a/internal/election/redirects.go
+++ b/internal/election/redirects.go
@@ -25,8 +25,8 @@
 	first, last time.Time
 }
 
-// redirectTracker tracks the workers that this node has redirected to the leader, so that the leader can be
-// told which workers may not reach it.
+// redirectTracker tracks the workers that this node has redirected to the leader, so that the leader
+// learns which workers may be unable to reach it.
 type redirectTracker struct {
 	// mu guards the field below. No other lock is acquired and no callback runs while it is held.
 	mu        sync.Mutex
--- a/internal/eviction/capacity_finder.go
+++ b/internal/eviction/capacity_finder.go
@@ -27,7 +27,7 @@
 }
 
 // hasFeasiblePlacement reports whether the job's constraints allow one more task anywhere: in a zone that
-// is not being drained for good, on a machine of a type that is large enough. The orders must be known.
+// is not being drained permanently, on a machine of a type that is large enough. The orders must be known.
 func (f *capacityFinder) hasFeasiblePlacement(spec *record.Spec, zones *scheduler.ZoneSpread) bool {
 	request := spec.PlacementRequest()
 	for _, machineType := range f.Capacity.Types() {
--- a/internal/eviction/evictor.go
+++ b/internal/eviction/evictor.go
@@ -232,8 +232,8 @@
 	return e.orders.orderFor(name)
 }
 
-// ClosedZones returns the zones that rollouts are draining for good, where nothing is provisioned
-// meanwhile.
+// ClosedZones returns the zones that rollouts are draining permanently. No machines are provisioned in
+// them during the drain.
 func (e *Evictor) ClosedZones() map[string]rollout.Name { return e.orders.closedZones() }
 
 // MayConsolidate reports whether machines may be consolidated: no rollout is moving replicas, and no stored
--- a/internal/eviction/orders.go
+++ b/internal/eviction/orders.go
@@ -78,7 +78,7 @@
 // observes reports whether a machine is a replacement that is still observed.
 func (o *orderSet) observes(name ids.Machine) bool { return o.known() && o.current.Keep[name] }
 
-// closedZones returns the zones that rollouts are draining for good.
+// closedZones returns the zones that rollouts are draining permanently.
 func (o *orderSet) closedZones() map[string]rollout.Name {
 	if !o.known() {
 		return nil
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -32,7 +32,7 @@
 // ended reports whether the task has ended.
 func (t *taskStatus) ended() bool { return t.Status == statusEnded }
 
-// Event is the start or the end of a task on a worker. A task ends by itself, by a command, when the
+// Event is the start or the end of a task on a worker. A task ends on its own, by a command, when the
 // worker's lease expires, or when the machine is terminated.
 type Event struct {
 	At          time.Time
@@ -172,7 +172,7 @@
 	}
 }
 
-// EndTask makes a running task end by itself, and reports whether there was one.
+// EndTask makes a running task end on its own, and reports whether there was one.
 func (w *Worker) EndTask(task, cause string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/intake/cancel.go
+++ b/internal/intake/cancel.go
@@ -17,7 +17,7 @@
 
 // leaderNotifyTimeout limits how long the response to a committed cancellation is delayed until the leader
 // has been notified, if the job has assigned tasks. The leader also reads the change from the store soon
-// after, but a user who has been told that a job is cancelled should not see one of its tasks start.
+// after, but no task should start after the job was reported to its user as cancelled.
 const leaderNotifyTimeout = 200 * time.Millisecond
 
 // cancel cancels a job. It stores the final record of a job without assigned tasks. For any other job it
--- a/internal/liveness/fleet.go
+++ b/internal/liveness/fleet.go
@@ -107,7 +107,7 @@
 // report to be meaningful.
 const smallZone = 3
 
-// IsIsolatedFailure reports whether a machine has failed by itself: most other machines have reported since
+// IsIsolatedFailure reports whether a machine alone has failed: most other machines have reported since
 // the first probe that the machine left unanswered, and few others are silent. Reports are seconds apart, so
 // right after this controller is cut off, only a few machines seem silent; the number of machines that have
 // reported since that probe is therefore decisive. The same applies to the machine's zone: machines with
--- a/internal/liveness/liveness_test.go
+++ b/internal/liveness/liveness_test.go
@@ -38,7 +38,7 @@
 		perZone             int
 		silent              map[string]int
 		storeDown           bool
-		isolated            bool // north0 has failed by itself
+		isolated            bool // only north0 has failed
 		zoneUnreachable     bool // north is unreachable
 		onlyZoneUnreachable bool
 		lostContact         bool
--- a/internal/peer/transfer.go
+++ b/internal/peer/transfer.go
@@ -38,7 +38,7 @@
 
 const (
 	// demandValidity is how long a computed demand is reused. It is slightly less than
-	// healthReportInterval, so that the demand is computed anew for each round of health reports.
+	// healthReportInterval, so that the demand is recomputed for each round of health reports.
 	demandValidity = 900 * time.Millisecond
 	// demandFactor multiplies the share of the demand that is requested from each of the other controllers.
 	demandFactor = 2
--- a/internal/quota/transfer.go
+++ b/internal/quota/transfer.go
@@ -86,7 +86,7 @@
 }
 
 // postpone drops a transfer that was never sent, because the write budget was exhausted. A later call of
-// dueTransfers plans it anew.
+// dueTransfers plans it again.
 func (t *Tracker) postpone(transfer *Transfer) {
 	if quota := t.team(transfer.Team); quota.transfer == transfer && !transfer.uncertain {
 		quota.transfer = nil
--- a/internal/record/encoding.go
+++ b/internal/record/encoding.go
@@ -36,7 +36,7 @@
 // EncodeFinal encodes the record of a job that has ended in at most limit bytes, without changing the
 // record itself. If the record does not fit, EncodeFinal omits older events first, then the names of
 // dependencies and the indexes of the done tasks, of which only the number is still needed. The last
-// event, which tells how the job ended, is omitted last.
+// event, which states how the job ended, is omitted last.
 func (r *Record) EncodeFinal(limit int) (json.RawMessage, bool) {
 	final := *r
 	final.Evictions = nil // not needed, since no task will run again
--- a/internal/record/encoding_test.go
+++ b/internal/record/encoding_test.go
@@ -69,7 +69,7 @@
 }
 
 func TestFinalRecordKeepsItsLastEventLongest(t *testing.T) {
-	// Guards against the loss of the event that tells users how a job ended.
+	// Guards against the loss of the event that shows users how a job ended.
 	r := recordWith(20, 10, 400)
 	r.AddEviction(1, 1, "drain", 1)
 	before := string(marshal(t, r))
--- a/internal/rollout/fleet.go
+++ b/internal/rollout/fleet.go
@@ -30,7 +30,7 @@
 	ProvisionedAt time.Time
 }
 
-// DrainCost is the estimated cost of draining a machine in the present state of the fleet.
+// DrainCost is the estimated cost of draining a machine in the current state of the fleet.
 type DrainCost struct {
 	// Steps is the approximate number of steps that the disruption budgets require.
 	Steps int
@@ -52,7 +52,7 @@
 
 // Fleet is the interface through which rollouts read and change the leader's cluster.
 type Fleet interface {
-	// RolloutView returns a view of the present fleet.
+	// RolloutView returns a view of the current fleet.
 	RolloutView() FleetView
 	// SetOrders replaces the orders in force. The runner calls it in every pass, also in its first pass
 	// after a failover.
--- a/internal/rollout/orders.go
+++ b/internal/rollout/orders.go
@@ -38,7 +38,7 @@
 	// ClosedZones maps each zone that is drained permanently to the rollout that drains it. Nothing new is
 	// provisioned in these zones.
 	ClosedZones map[string]Name
-	// Keep contains the replacements of the present waves, which must not be returned for being idle.
+	// Keep contains the replacements of the current waves, which must not be returned for being idle.
 	Keep map[ids.Machine]bool
 }
 
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -19,7 +19,7 @@
 	StepTime() time.Duration
 }
 
-// Plan is the plan of a rollout in the present state of the fleet. The plan is not binding: the
+// Plan is the plan of a rollout in the current state of the fleet. The plan is not binding: the
 // disruption budgets are checked again when each eviction is due.
 type Plan struct {
 	Machines []ids.Machine   `json:"machines"`
--- a/internal/rollout/print.go
+++ b/internal/rollout/print.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// Print writes the status as text, with one line for each machine of the present wave.
+// Print writes the status as text, with one line for each machine of the current wave.
 func (s *Status) Print(out io.Writer) { writeText(out, s.text()) }
 
 func (s *Status) text() string {
--- a/internal/rollout/reconcile.go
+++ b/internal/rollout/reconcile.go
@@ -15,7 +15,7 @@
 	waiting map[int]MachineSet
 }
 
-// reconciler computes the next step of one rollout from its record and the present state of the fleet.
+// reconciler computes the next step of one rollout from its record and the current state of the fleet.
 type reconciler struct {
 	record  *Record
 	waiting *waitingMachines
--- a/internal/rollout/service.go
+++ b/internal/rollout/service.go
@@ -28,9 +28,9 @@
 	ErrUnavailable = errors.New("not now")
 )
 
-// Leader forwards requests to the present leader, on whichever controller it runs.
+// Leader forwards requests to the current leader, on whichever controller it runs.
 type Leader interface {
-	// PlanDrain returns a plan for the present state of the fleet.
+	// PlanDrain returns a plan for the current state of the fleet.
 	PlanDrain(ctx context.Context, spec *Spec) (*Plan, error)
 	// DrainBlockers returns, for each machine being drained, the reasons why it waits.
 	DrainBlockers(ctx context.Context) (map[ids.Machine][]string, error)
--- a/internal/rollout/snapshot.go
+++ b/internal/rollout/snapshot.go
@@ -165,5 +165,5 @@
 	return "", "", false
 }
 
-// unreadableNote returns the note with which operators are told that a rollout cannot be read.
+// unreadableNote returns the note that informs operators that a rollout cannot be read.
 func unreadableNote(reason string) string { return "set aside: " + reason }
--- a/internal/rollout/spec.go
+++ b/internal/rollout/spec.go
@@ -100,7 +100,7 @@
 	return nil
 }
 
-// digest returns a hash of the sorted machine names, or the present Digest if no machines are named.
+// digest returns a hash of the sorted machine names, or the current Digest if no machines are named.
 func (s *Selection) digest() string {
 	if len(s.Machines) == 0 {
 		return s.Digest
--- a/internal/rollout/status.go
+++ b/internal/rollout/status.go
@@ -14,15 +14,15 @@
 	Done      int           `json:"done,omitempty"`
 	Waiting   int           `json:"waiting,omitempty"`
 	Wave      int           `json:"wave,omitempty"`
-	// Machines are the machines of the present wave.
+	// Machines are the machines of the current wave.
 	Machines []MachineStatus `json:"machines,omitempty"`
-	// Replacements are the replacement requests of the present wave.
+	// Replacements are the replacement requests of the current wave.
 	Replacements []ReplacementStatus `json:"replacements,omitempty"`
 	// Note says which information is missing, or why the rollout cannot be read.
 	Note string `json:"note,omitempty"`
 }
 
-// MachineStatus is the state of a machine of the present wave.
+// MachineStatus is the state of a machine of the current wave.
 type MachineStatus struct {
 	Name  ids.Machine  `json:"name"`
 	State MachineState `json:"state"`
@@ -60,7 +60,7 @@
 	return status
 }
 
-// addWave adds the machines and the replacement requests of the present wave.
+// addWave adds the machines and the replacement requests of the current wave.
 func (s *Status) addWave(record *Record, waits map[ids.Machine][]string) {
 	s.Wave = record.Wave.Number
 	for _, state := range waveStates {
--- a/internal/rollout/wave_record.go
+++ b/internal/rollout/wave_record.go
@@ -39,12 +39,12 @@
 	Ready MachineSet `json:"up"`
 }
 
-// Wave is the stored state of the present wave of a rollout: a group of machines drained together.
+// Wave is the stored state of the current wave of a rollout: a group of machines drained together.
 type Wave struct {
 	Number    int                         `json:"number"`
 	StartedAt ids.Timestamp               `json:"began"`
 	Machines  map[MachineState]MachineSet `json:"machines"`
-	// DrainingSince is the time at which the present step of draining began; zero before.
+	// DrainingSince is the time at which the current step of draining began; zero before.
 	DrainingSince ids.Timestamp `json:"drainingSince,omitempty"`
 	// Needed is the number of replacements of each class that the wave needs.
 	Needed []ClassCount `json:"wanted,omitempty"`
--- a/internal/scenarios/cancellation_test.go
+++ b/internal/scenarios/cancellation_test.go
@@ -79,7 +79,7 @@
 }
 
 // TestLeaderPartitionedFromPeersReadsCancellationBeforeStart checks that the leader does not start
-// a task after its user was told that the job is cancelled. The leader stores the assignment, but
+// a task after the job was reported to its user as cancelled. The leader stores the assignment, but
 // the response to that transaction is delayed. Meanwhile the other node reads the assignment,
 // stores the cancellation and confirms it to the user, but cannot reach the leader.
 func TestLeaderPartitionedFromPeersReadsCancellationBeforeStart(t *testing.T) {
--- a/internal/scenarios/drain_budget_test.go
+++ b/internal/scenarios/drain_budget_test.go
@@ -76,7 +76,7 @@
 	})
 }
 
-// TestReplicaFailureAfterPermitDelaysNextEviction makes a replica fail by itself when an eviction
+// TestReplicaFailureAfterPermitDelaysNextEviction makes a replica fail on its own when an eviction
 // permit is stored. The leader learns of the failure before it learns that the permit is stored. The
 // failure uses up the budget, so the eviction must wait until the failed replica is up again.
 func TestReplicaFailureAfterPermitDelaysNextEviction(t *testing.T) {
--- a/internal/scenarios/rules_responses_test.go
+++ b/internal/scenarios/rules_responses_test.go
@@ -91,7 +91,7 @@
 }
 
 // checkCode reports a job that a node does not know or rejects after it was accepted, and a job that
-// a node knows though nobody submitted it. Its result is whether the response contains the status of
+// a node knows although no user submitted it. Its result is whether the response contains the status of
 // a submitted job.
 func (r *rules) checkCode(job *observedJob, received response) bool {
 	switch {
@@ -153,7 +153,7 @@
 	}
 }
 
-// checkReportedCancelled reports a response that calls a job cancelled though nobody cancelled it or
+// checkReportedCancelled reports a response that calls a job cancelled although no user cancelled it or
 // a job that it depends on, or after the job was reported as done.
 func (r *rules) checkReportedCancelled(job *observedJob, received response) {
 	requested := func(dependency *observedJob) moment { return dependency.cancelRequested }
--- a/internal/scenarios/rules_test.go
+++ b/internal/scenarios/rules_test.go
@@ -16,7 +16,7 @@
 	ruleStartedTooEarly       = "too_early"     // a task starts before its job's dependencies are done
 	ruleQuota                 = "quota"         // a team uses more than its quota
 	ruleWrongPlacement        = "wrong_place"   // a task starts where its job does not allow it
-	ruleNeverSubmitted        = "invented"      // a job that nobody submitted runs or is reported
+	ruleNeverSubmitted        = "invented"      // a job that no user submitted runs or is reported
 	ruleAcceptedJobLost       = "forgotten"     // an accepted job is unknown, rejected or unanswered
 	ruleDoneTooEarly          = "not_done"      // a job is reported as done before its tasks have completed
 	ruleStatusContradiction   = "went_back"     // a job's reported status contradicts an earlier one
--- a/internal/scenarios/shard_node_test.go
+++ b/internal/scenarios/shard_node_test.go
@@ -42,7 +42,7 @@
 	delete(c.nodes, name)
 }
 
-// shardPeers is an elector's view of the other controllers. It tells only whether a controller runs:
+// shardPeers is an elector's view of the other controllers. It reports only whether a controller runs:
 // the other information that real controllers exchange only saves time.
 type shardPeers struct {
 	noopNotifier
--- a/internal/worker/machine.go
+++ b/internal/worker/machine.go
@@ -72,7 +72,7 @@
 	ProvisionedAt   time.Time // when it was provisioned, as far as known
 	ListedAt        time.Time // when the cloud's list last contained it
 	Booting         bool      // whether it is provisioned but has not reported yet
-	Failed          bool      // whether the cloud reports that it stopped by itself
+	Failed          bool      // whether the cloud reports that it stopped without a request
 	Deleting        bool
 	DeleteReason    string    // why it is being deleted
 	IdleSince       time.Time // when its last task ended, or when it was added
--- a/internal/worker/messages.go
+++ b/internal/worker/messages.go
@@ -99,7 +99,7 @@
 	Commands     []Command       `json:"orders"`
 }
 
-// Redirect is the body of a response with status 421, which tells the worker to report to another controller.
+// Redirect is the body of a response with status 421, which redirects the worker to another controller.
 type Redirect struct {
 	// Node is the controller to report to; empty if the responding controller does not know it.
 	Node ids.Node `json:"answerTo,omitempty"`
--- a/internal/workload/job.go
+++ b/internal/workload/job.go
@@ -32,7 +32,7 @@
 	Failures FailureHistory
 	Losses   LossHistory
 	// RecordedOutcomes are the task outcomes that Record contains, each with the version that added it. The
-	// worker is told to clear an outcome only after that version is stored.
+	// worker is instructed to clear an outcome only after that version is stored.
 	RecordedOutcomes map[TaskAttempt]uint64
 	// ReadRequiredAfter delays starts of the job's tasks: the records must first be read by a read that began
 	// after this time.
@@ -105,7 +105,7 @@
 	return n
 }
 
-// Cancelled reports whether the job's user has been told, or is about to be told, that the job is cancelled.
+// Cancelled reports whether the job has been, or is about to be, reported to its user as cancelled.
 func (j *Job) Cancelled() bool {
 	return j.Record.Status == record.Cancelling || j.Record.Status == record.Cancelled
 }
