--- a/internal/dispatch/prober.go
+++ b/internal/dispatch/prober.go
@@ -47,8 +47,8 @@
 	// unreportedRetryDelay is the delay before a machine that never reported is probed again.
 	unreportedRetryDelay = time.Second
 	// maxFrequentProbes is the number of consecutive probes that are sent at short intervals. A machine
-	// that left that many unanswered is already treated as suspect, and its worker sends a heartbeat on its own once
-	// it is back.
+	// that left that many unanswered is already treated as suspect, and its worker sends a heartbeat on its
+	// own once it is back.
 	maxFrequentProbes = 4
 	// earlyProbesPerSecond limits how many machines without replicas are probed per second before their
 	// reports are overdue. Reports may arrive a quarter of their interval late. In a large fleet half of
--- a/internal/state/health.go
+++ b/internal/state/health.go
@@ -7,8 +7,8 @@
 
 const (
 	// unavailableAfter is the time without a successful call after which requests of users
-	// are rejected at once with a request to retry, instead of waiting for a call that hangs. The health probe calls the
-	// store more often, so that users are served again as soon as the store responds.
+	// are rejected at once with a request to retry, instead of waiting for a call that hangs. The health probe
+	// calls the store more often, so that users are served again as soon as the store responds.
 	unavailableAfter = 2500 * time.Millisecond
 	// probeAfter is the time without a successful call after which the health probe makes one.
 	probeAfter = 700 * time.Millisecond
