--- a/internal/capacity/index_test.go
+++ b/internal/capacity/index_test.go
@@ -33,8 +33,8 @@
 	return index
 }
 
-func newTestAssignment(shape record.Shape, cores float64, image string) *workload.Assignment {
-	spec := record.Spec{ID: "job", Shape: shape, Tasks: 1, Resources: placement.Resources{Cores: cores, RAM: 1}, Image: image, EstimatedDuration: 30}
+func newTestAssignment(shape record.JobType, cores float64, image string) *workload.Assignment {
+	spec := record.Spec{ID: "job", JobType: shape, Tasks: 1, Resources: placement.Resources{Cores: cores, RAM: 1}, Image: image, EstimatedDuration: 30}
 	return &workload.Assignment{Job: workload.NewJob(record.New(spec, ids.TimestampOf(testStart), "writer"), 1)}
 }
 
@@ -46,7 +46,7 @@
 	for assignment := range node.Assignments {
 		spec := &assignment.Job.Record.Spec
 		used += spec.Resources.Cores
-		if spec.Shape == record.Service {
+		if spec.JobType == record.Service {
 			replicas++
 		} else {
 			reclaimable += spec.Resources.Cores
@@ -80,7 +80,7 @@
 		machine := index.machines.Machines[node.Name]
 		switch rng.IntN(6) {
 		case 0, 1:
-			shape := []record.Shape{record.Array, record.Gang, record.Service}[rng.IntN(3)]
+			shape := []record.JobType{record.Array, record.Gang, record.Service}[rng.IntN(3)]
 			assignment := newTestAssignment(shape, 0.1+rng.Float64(), images[rng.IntN(len(images))])
 			if node.Class != nil && node.Free().Holds(assignment.Job.Record.Spec.Resources) {
 				index.Allocate(node, assignment)
@@ -156,7 +156,7 @@
 	now := testStart.Add(10 * time.Second)
 	for _, c := range []struct {
 		name   string
-		shape  record.Shape
+		shape  record.JobType
 		status string
 		since  time.Time
 		want   time.Duration
--- a/internal/capacity/node.go
+++ b/internal/capacity/node.go
@@ -44,7 +44,7 @@
 	spec := &assignment.Job.Record.Spec
 	n.Assignments[assignment] = true
 	n.Used = n.Used.Plus(spec.Resources)
-	if spec.Shape == record.Service {
+	if spec.JobType == record.Service {
 		n.Replicas++
 		return
 	}
@@ -56,7 +56,7 @@
 	spec := &assignment.Job.Record.Spec
 	delete(n.Assignments, assignment)
 	n.Used = n.Used.Minus(spec.Resources)
-	if spec.Shape == record.Service {
+	if spec.JobType == record.Service {
 		n.Replicas--
 	} else {
 		n.Reclaimable = n.Reclaimable.Minus(spec.Resources)
@@ -72,7 +72,7 @@
 	longest := time.Duration(0)
 	for assignment := range n.Assignments {
 		spec := &assignment.Job.Record.Spec
-		if spec.Shape == record.Service {
+		if spec.JobType == record.Service {
 			continue
 		}
 		since := assignment.RunningSince
--- a/internal/clusterstate/helpers_test.go
+++ b/internal/clusterstate/helpers_test.go
@@ -86,7 +86,7 @@
 		ID:                id,
 		Class:             "c",
 		Team:              team,
-		Shape:             record.Array,
+		JobType:           record.Array,
 		Priority:          priority,
 		Tasks:             tasks,
 		EstimatedDuration: 10,
@@ -109,14 +109,14 @@
 // newServiceRecord is like newRecord, for a service.
 func newServiceRecord(id ids.Job, team string, priority record.Priority, replicas int, cores float64) *record.Record {
 	rec := newRecord(id, team, priority, replicas, cores)
-	rec.Spec.Shape = record.Service
+	rec.Spec.JobType = record.Service
 	return rec
 }
 
 // newGangRecord is like newRecord, for a gang.
 func newGangRecord(id ids.Job, team string, priority record.Priority, tasks int, cores float64) *record.Record {
 	rec := newRecord(id, team, priority, tasks, cores)
-	rec.Spec.Shape = record.Gang
+	rec.Spec.JobType = record.Gang
 	return rec
 }
 
--- a/internal/costs/costs.go
+++ b/internal/costs/costs.go
@@ -105,7 +105,7 @@
 // given cause. It adds nothing before the first call of Accrue.
 func (a *Account) AddLostWork(assignment *workload.Assignment, cause string, now time.Time) {
 	spec := &assignment.Job.Record.Spec
-	if assignment.RunningSince.IsZero() || spec.Shape == record.Service || a.lostCoreSeconds == nil {
+	if assignment.RunningSince.IsZero() || spec.JobType == record.Service || a.lostCoreSeconds == nil {
 		return
 	}
 	lostSeconds := now.Sub(assignment.RunningSince).Seconds()
--- a/internal/costs/costs_test.go
+++ b/internal/costs/costs_test.go
@@ -15,7 +15,7 @@
 var start = time.Date(2030, 1, 2, 3, 4, 5, 0, time.UTC)
 
 func testAssignment(status string, cores float64) *workload.Assignment {
-	spec := record.Spec{ID: "job", Shape: record.Array, Tasks: 1, Resources: placement.Resources{Cores: cores, RAM: 1}}
+	spec := record.Spec{ID: "job", JobType: record.Array, Tasks: 1, Resources: placement.Resources{Cores: cores, RAM: 1}}
 	return &workload.Assignment{Job: workload.NewJob(record.New(spec, ids.TimestampOf(start), "writer"), 1), Status: status}
 }
 
@@ -63,7 +63,7 @@
 	}{
 		{"all of it", func(*workload.Assignment) {}, 200, true},
 		{"since a checkpoint", func(a *workload.Assignment) { a.Job.Record.Spec.CheckpointInterval = 30 }, 20, true},
-		{"a service loses none", func(a *workload.Assignment) { a.Job.Record.Spec.Shape = record.Service }, 0, false},
+		{"a service loses none", func(a *workload.Assignment) { a.Job.Record.Spec.JobType = record.Service }, 0, false},
 		{"never ran", func(a *workload.Assignment) { a.RunningSince = time.Time{} }, 0, false},
 	} {
 		var account Account
--- a/internal/dispatch/queue_test.go
+++ b/internal/dispatch/queue_test.go
@@ -43,7 +43,7 @@
 func assign(queue *Queue, jobs *fakeJobs, name ids.Machine, lastReport time.Time) (*workload.Assignment, *worker.Machine) {
 	machine := queue.machines.Ensure(name, lastReport, lastReport)
 	machine.HasReported, machine.Addr, machine.Incarnation, machine.LastReportAt = true, string(name)+":1", 1, lastReport
-	job := workload.NewJob(record.New(record.Spec{ID: ids.Job("job-" + name), Tasks: 1, Shape: record.Array}, 1, "writer"), 1)
+	job := workload.NewJob(record.New(record.Spec{ID: ids.Job("job-" + name), Tasks: 1, JobType: record.Array}, 1, "writer"), 1)
 	assignment := &workload.Assignment{Job: job, Machine: name, Incarnation: 1, Attempt: 1, FencingToken: leaderToken, MarkerVersion: 1}
 	job.Assignments[0] = assignment
 	jobs.index.Allocate(jobs.index.Ensure(name), assignment)
--- a/internal/election/explain_test.go
+++ b/internal/election/explain_test.go
@@ -16,7 +16,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		elector := NewElector(testSettings(), nil, nil, "a.1")
 		cluster := clusterWithMachines(t, 1)
-		cluster.HandleRecord("job-1", 1, record.New(record.Spec{ID: "job-1", Class: "c", Team: "blue", Shape: record.Array, Priority: record.Normal, Tasks: 40, EstimatedDuration: 10,
+		cluster.HandleRecord("job-1", 1, record.New(record.Spec{ID: "job-1", Class: "c", Team: "blue", JobType: record.Array, Priority: record.Normal, Tasks: 40, EstimatedDuration: 10,
 			Resources: placement.Resources{Cores: 1, RAM: 1}, Image: "i", ImageGB: 1}, ids.TimestampOf(time.Now()), "user"), time.Now())
 		cluster.Plan(time.Now())
 		if _, err := elector.Explain("job-1"); err == nil {
--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -111,7 +111,7 @@
 // be provisioned for queued tasks that existing machines can start within this time.
 func (e *Estimator) QueueHorizon(job *workload.Job) float64 {
 	spec := &job.Record.Spec
-	if spec.Shape == record.Gang {
+	if spec.JobType == record.Gang {
 		// A new machine helps a queued gang only if waiting for a running gang to end takes longer than
 		// booting a machine and pulling the image.
 		return e.ProvisionSeconds(spec)
--- a/internal/estimate/estimate_test.go
+++ b/internal/estimate/estimate_test.go
@@ -100,9 +100,9 @@
 		{"an objective of its class", func(job *workload.Job) { job.Record.Spec.Class = "urgent" }, 17.5},
 		{"high priority", func(job *workload.Job) { job.Record.Spec.Priority = record.High }, 10},
 		{"guaranteed", func(job *workload.Job) { job.Guaranteed = true }, 10},
-		{"a gang waits as long as for a new machine", func(job *workload.Job) { job.Record.Spec.Shape = record.Gang }, 32},
+		{"a gang waits as long as for a new machine", func(job *workload.Job) { job.Record.Spec.JobType = record.Gang }, 32},
 	} {
-		spec := record.Spec{ID: "job", Shape: record.Array, Priority: record.Normal, Tasks: 1, EstimatedDuration: 20, ImageGB: 1, Resources: placement.Resources{Cores: 1}}
+		spec := record.Spec{ID: "job", JobType: record.Array, Priority: record.Normal, Tasks: 1, EstimatedDuration: 20, ImageGB: 1, Resources: placement.Resources{Cores: 1}}
 		job := workload.NewJob(record.New(spec, ids.TimestampOf(start), "writer"), 1)
 		c.change(job)
 		if got := newTestEstimator().QueueHorizon(job); got != c.want {
--- a/internal/eviction/disruption.go
+++ b/internal/eviction/disruption.go
@@ -37,7 +37,7 @@
 		spec := &job.Record.Spec
 		switch {
 		case !job.Schedulable():
-		case spec.Shape == record.Service:
+		case spec.JobType == record.Service:
 			ready := 0
 			for _, assignment := range job.Assignments {
 				if d.replicaReady(assignment, now) {
@@ -84,8 +84,8 @@
 // is pending, the request still treats the replica as ready, although the meter counts it as unavailable.
 func (d *disruptionCounter) request(job *workload.Job, assignment *workload.Assignment, now time.Time) budget.Request {
 	spec := &job.Record.Spec
-	request := budget.Request{Team: spec.Team, Job: spec.ID, Service: spec.Shape == record.Service}
-	switch spec.Shape {
+	request := budget.Request{Team: spec.Team, Job: spec.ID, Service: spec.JobType == record.Service}
+	switch spec.JobType {
 	case record.Service:
 		replica := d.replica(assignment)
 		replica.Terminating = false
--- a/internal/eviction/drain.go
+++ b/internal/eviction/drain.go
@@ -140,9 +140,9 @@
 	return assignments
 }
 
-func isService(spec *record.Spec) bool { return spec.Shape == record.Service }
+func isService(spec *record.Spec) bool { return spec.JobType == record.Service }
 
-func isGang(spec *record.Spec) bool { return spec.Shape == record.Gang }
+func isGang(spec *record.Spec) bool { return spec.JobType == record.Gang }
 
 // mayInterrupt reports whether a task other than a replica may be stopped for a drain. Tasks that save
 // checkpoints and tasks of low priority may be stopped at once; all others only after the deadline, and
--- a/internal/eviction/evictor_test.go
+++ b/internal/eviction/evictor_test.go
@@ -86,8 +86,8 @@
 }
 
 // addJob adds a job whose tasks need three of the four cores of a machine.
-func (f *fixture) addJob(id ids.Job, shape record.Shape, tasks int) *workload.Job {
-	spec := record.Spec{ID: id, Team: "red", Shape: shape, Tasks: tasks, EstimatedDuration: 10, Priority: record.Normal,
+func (f *fixture) addJob(id ids.Job, shape record.JobType, tasks int) *workload.Job {
+	spec := record.Spec{ID: id, Team: "red", JobType: shape, Tasks: tasks, EstimatedDuration: 10, Priority: record.Normal,
 		Resources: placement.Resources{Cores: 3, RAM: 1}, Image: "image", ImageGB: 1}
 	job := workload.NewJob(record.New(spec, ids.TimestampOf(f.now), "writer"), 1)
 	f.Jobs.Add(job)
@@ -218,16 +218,16 @@
 		{"after the deadline", func(*fixture, *workload.Assignment) {}, stop, ""},
 		{"not confirmed", func(_ *fixture, a *workload.Assignment) { a.Confirmed = false }, stop, "the start of job/0 is not confirmed yet"},
 		{"a gang on one machine", func(f *fixture, a *workload.Assignment) {
-			a.Job.Record.Spec.Shape = record.Gang
+			a.Job.Record.Spec.JobType = record.Gang
 			f.runTask(a.Job, 1, "m5")
 		}, stop, "team red: 0 tasks are interrupted and 2 more would be, of at most 1 at a time"},
 		{"silent", func(f *fixture, _ *workload.Assignment) { f.Machines.Machines["m5"].UnansweredProbes = 1 }, stop, "nothing is heard of it"},
 		{"a gang that is not complete", func(f *fixture, a *workload.Assignment) {
-			a.Job.Record.Spec.Shape = record.Gang
+			a.Job.Record.Spec.JobType = record.Gang
 			f.runTask(a.Job, 1, "m6").Confirmed = false
 		}, stop, "not all tasks of gang job are known to be on their machines"},
 		{"a service without another possible place", func(f *fixture, a *workload.Assignment) {
-			a.Job.Record.Spec.Shape, a.Job.Record.Spec.InstanceTypes = record.Service, []string{"none"}
+			a.Job.Record.Spec.JobType, a.Job.Record.Spec.InstanceTypes = record.Service, []string{"none"}
 		}, rollout.Order{}, "job/0 could start in no other place that its job allows"},
 	} {
 		f := newFixture(true)
--- a/internal/eviction/permits.go
+++ b/internal/eviction/permits.go
@@ -114,7 +114,7 @@
 		return false
 	case assignment == nil || assignment.Attempt == attempt:
 		return true
-	case job.Record.Spec.Shape == record.Service:
+	case job.Record.Spec.JobType == record.Service:
 		return !p.disruption.replicaReady(assignment, now)
 	}
 	return !assignment.Confirmed || assignment.Status != worker.StateRunning
--- a/internal/fleet/large_fleet_test.go
+++ b/internal/fleet/large_fleet_test.go
@@ -50,7 +50,7 @@
 			}
 		}
 		for i := range 20 {
-			spec := record.Spec{ID: ids.Job(fmt.Sprint("job-", i)), Class: "c", Team: "red", Zone: "south", Shape: record.Service,
+			spec := record.Spec{ID: ids.Job(fmt.Sprint("job-", i)), Class: "c", Team: "red", Zone: "south", JobType: record.Service,
 				Tasks: 1, Resources: placement.Resources{Cores: 4, RAM: 4}}
 			cluster.HandleRecord(spec.ID, 1, record.New(spec, ids.TimestampOf(time.Now()), "user"), time.Now())
 			startedAt, before := time.Now(), len(cloud.ProvisioningRequests())
--- a/internal/fleet/provisioner_test.go
+++ b/internal/fleet/provisioner_test.go
@@ -54,7 +54,7 @@
 }
 
 func newJob(id ids.Job, tasks int) *record.Record {
-	return record.New(record.Spec{ID: id, Class: "c", Team: "red", Shape: record.Array, Tasks: tasks, EstimatedDuration: 100,
+	return record.New(record.Spec{ID: id, Class: "c", Team: "red", JobType: record.Array, Tasks: tasks, EstimatedDuration: 100,
 		Resources: placement.Resources{Cores: 4, RAM: 4}}, ids.TimestampOf(time.Now()), "user")
 }
 
--- a/internal/intake/feasibility.go
+++ b/internal/intake/feasibility.go
@@ -36,7 +36,7 @@
 		return rejectedError{"unknown team " + spec.Team}
 	}
 	minConcurrentTasks := 1.0
-	if spec.Shape != record.Array {
+	if spec.JobType != record.Array {
 		minConcurrentTasks = float64(spec.Tasks)
 	}
 	exceedsCPULimit := team.CPUsMax > 0 && minConcurrentTasks*spec.Resources.Cores > team.CPUsMax
--- a/internal/intake/messages.go
+++ b/internal/intake/messages.go
@@ -80,7 +80,7 @@
 		done:        rec.Finished.Len(),
 		running:     rec.AssignedTasks(),
 		tasks:       rec.Spec.Tasks,
-		service:     rec.Spec.Shape == record.Service,
+		service:     rec.Spec.JobType == record.Service,
 		cancelledBy: rec.CancelledBy,
 	}
 	switch rec.Status {
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -85,7 +85,7 @@
 			t.Error("a controller does not report that the other reaches the state service")
 		}
 		// b notifies the leader a of a job record that it accepted, and asks a to explain the job.
-		rec := record.New(record.Spec{ID: "job-1", Team: "red", Shape: record.Array, Tasks: 1, Resources: placement.Resources{Cores: 1}}, 1, "b")
+		rec := record.New(record.Spec{ID: "job-1", Team: "red", JobType: record.Array, Tasks: 1, Resources: placement.Resources{Cores: 1}}, 1, "b")
 		raw, err := json.Marshal(rec)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/provisioning/consolidation.go
+++ b/internal/provisioning/consolidation.go
@@ -100,7 +100,7 @@
 // IsSettledReplica reports whether an assignment is a replica of a service that has run long enough to be
 // moved and is not being stopped.
 func IsSettledReplica(assignment *workload.Assignment, now time.Time) bool {
-	return assignment.Job.Record.Spec.Shape == record.Service && !assignment.Stopping &&
+	return assignment.Job.Record.Spec.JobType == record.Service && !assignment.Stopping &&
 		assignment.Status == worker.StateRunning && now.Sub(assignment.RunningSince) >= minRelocatableAge
 }
 
--- a/internal/provisioning/provisioning_test.go
+++ b/internal/provisioning/provisioning_test.go
@@ -56,8 +56,8 @@
 }
 
 // addJob adds a job whose tasks each need one core and are estimated to take ten seconds.
-func addJob(planner *Planner, id ids.Job, class string, shape record.Shape, priority record.Priority, tasks int, now time.Time) *workload.Job {
-	spec := record.Spec{ID: id, Class: class, Team: "red", Shape: shape, Priority: priority, Tasks: tasks, EstimatedDuration: 10,
+func addJob(planner *Planner, id ids.Job, class string, shape record.JobType, priority record.Priority, tasks int, now time.Time) *workload.Job {
+	spec := record.Spec{ID: id, Class: class, Team: "red", JobType: shape, Priority: priority, Tasks: tasks, EstimatedDuration: 10,
 		Resources: placement.Resources{Cores: 1, RAM: 1}, Image: "image", ImageGB: 1}
 	job := workload.NewJob(record.New(spec, ids.TimestampOf(now), "writer"), 1)
 	planner.Jobs.Add(job)
@@ -136,7 +136,7 @@
 	for _, c := range []struct {
 		name       string
 		class      string
-		shape      record.Shape
+		shape      record.JobType
 		priority   record.Priority
 		samples    int
 		want       int
--- a/internal/provisioning/queue_demand.go
+++ b/internal/provisioning/queue_demand.go
@@ -73,9 +73,9 @@
 		return slots, reclaimable
 	}
 	horizon := q.Estimates.QueueHorizon(job)
-	if spec.Shape == record.Array || spec.Shape == record.Gang && spec.Tasks == 1 {
+	if spec.JobType == record.Array || spec.JobType == record.Gang && spec.Tasks == 1 {
 		taskSeconds := estimate
-		if spec.Shape == record.Gang {
+		if spec.JobType == record.Gang {
 			taskSeconds += q.Estimates.ImagePullSeconds(spec) / 2 // about half of the tasks must pull the image
 		}
 		slots *= min(1, taskSeconds/horizon)
--- a/internal/provisioning/termination.go
+++ b/internal/provisioning/termination.go
@@ -191,7 +191,7 @@
 // first.
 func (t *terminator) hasRestartableReplica(machine *worker.Machine, fleet *liveness.Fleet) bool {
 	for assignment := range t.Capacity.AssignmentsOn(machine.Name) {
-		if spec := &assignment.Job.Record.Spec; spec.Shape != record.Service || spec.Zone != "" || !assignment.Job.Schedulable() {
+		if spec := &assignment.Job.Record.Spec; spec.JobType != record.Service || spec.Zone != "" || !assignment.Job.Schedulable() {
 			continue
 		}
 		spread := scheduler.ZoneSpreadOf(assignment.Job, t.Machines)
--- a/internal/reconcile/orphans.go
+++ b/internal/reconcile/orphans.go
@@ -81,7 +81,7 @@
 	}
 	job.Record.Attempt = max(job.Record.Attempt, reported.Attempt)
 	o.cluster.Assign(assignment)
-	if job.Cancelled() || job.Record.Finished.Contains(reported.index()) || job.Record.Spec.Shape == record.Gang {
+	if job.Cancelled() || job.Record.Finished.Contains(reported.index()) || job.Record.Spec.JobType == record.Gang {
 		o.cluster.Stop(assignment, 0, "not expected there")
 	} else {
 		o.cluster.RecordEvent(job, "task %d found on %s and kept", assignment.TaskIndex, machine.Name)
--- a/internal/reconcile/outcomes.go
+++ b/internal/reconcile/outcomes.go
@@ -63,7 +63,7 @@
 	job.Record.Finished.Add(assignment.TaskIndex)
 	delete(job.Failures.ByMachine, machine.Name)
 	o.failures.attributeToMachines(job)
-	if job.Record.Spec.Shape == record.Gang {
+	if job.Record.Spec.JobType == record.Gang {
 		for task := range job.Record.Spec.Tasks {
 			job.Record.Finished.Add(task)
 		}
--- a/internal/reconcile/reconciler_test.go
+++ b/internal/reconcile/reconciler_test.go
@@ -96,8 +96,8 @@
 }
 
 // addJob adds a job "job" with three tasks.
-func addJob(reconciler *Reconciler, shape record.Shape) *workload.Job {
-	spec := record.Spec{ID: "job", Team: "red", Shape: shape, Tasks: 3, EstimatedDuration: 10,
+func addJob(reconciler *Reconciler, shape record.JobType) *workload.Job {
+	spec := record.Spec{ID: "job", Team: "red", JobType: shape, Tasks: 3, EstimatedDuration: 10,
 		Resources: placement.Resources{Cores: 1, RAM: 1}, Image: "image"}
 	job := workload.NewJob(record.New(spec, ids.TimestampOf(time.Now()), "writer"), 1)
 	reconciler.Jobs.Add(job)
@@ -165,7 +165,7 @@
 func TestOrphanedTaskIsAdoptedOrStopped(t *testing.T) {
 	for _, c := range []struct {
 		name              string
-		shape             record.Shape
+		shape             record.JobType
 		change            func(*Reconciler, *workload.Job)
 		task              string
 		adopted, stopping bool
@@ -252,7 +252,7 @@
 func TestOnlyOutcomeOfSentStartEndsAssignment(t *testing.T) {
 	for _, c := range []struct {
 		name        string
-		shape       record.Shape
+		shape       record.JobType
 		cause       string
 		sent        bool
 		attempt     ids.Attempt
--- a/internal/reconcile/tasks.go
+++ b/internal/reconcile/tasks.go
@@ -63,7 +63,7 @@
 // valid.
 func (t *taskReconciler) mayPredateRecord(reported *reportedTask, report *worker.Report) bool {
 	done := reported.exited() && reported.Cause == worker.CauseDone
-	return reported.job.Record.Spec.Shape == record.Gang && report.FencingToken < t.FirstGeneration && !done
+	return reported.job.Record.Spec.JobType == record.Gang && report.FencingToken < t.FirstGeneration && !done
 }
 
 // reconcileAssigned processes a reported task that matches an assignment. It reports whether the task needs
@@ -117,7 +117,7 @@
 	if reported.State == worker.StateRunning {
 		assignment.RunningSince = now
 	}
-	if assignment.Job.Record.Spec.Shape == record.Gang {
+	if assignment.Job.Record.Spec.JobType == record.Gang {
 		for _, other := range assignment.Job.Assignments {
 			if !other.StartSent {
 				t.Commands.AddFor(other) // its start waited until this task had its image
--- a/internal/record/assignments_test.go
+++ b/internal/record/assignments_test.go
@@ -117,7 +117,7 @@
 
 func TestStoredFieldNamesOfRecordsAreUnchanged(t *testing.T) {
 	// Guards against a rename in the code that changes the stored form.
-	r := Record{Spec: Spec{ID: "job-1", Team: "red", Shape: Array, Tasks: 2}, Status: Claimed, Submitted: 10, ReadyAt: 11, Attempt: 2, Generation: 3,
+	r := Record{Spec: Spec{ID: "job-1", Team: "red", JobType: Array, Tasks: 2}, Status: Claimed, Submitted: 10, ReadyAt: 11, Attempt: 2, Generation: 3,
 		Finished: ids.FirstIndexes(1), Assignments: GroupAssignments([]TaskAssignment{newAssignment(1, "m-1", 4, 2, 3)}), Events: []Event{{12, "accepted"}},
 		FailedMachines: 1, CancelledBy: "job-0", Writer: "w", Seq: 5}
 	r.AddEviction(1, 2, "drain", 1)
--- a/internal/record/encoding_test.go
+++ b/internal/record/encoding_test.go
@@ -13,7 +13,7 @@
 // recordWith returns a job's record with the given numbers of dependencies, events and tasks; every other
 // task is done.
 func recordWith(dependencies, events, tasks int) *Record {
-	r := New(Spec{ID: "job-1", Team: "red", Shape: Array, Tasks: tasks}, 1000, "w")
+	r := New(Spec{ID: "job-1", Team: "red", JobType: Array, Tasks: tasks}, 1000, "w")
 	for i := range dependencies {
 		r.Spec.DependsOn = append(r.Spec.DependsOn, ids.Job(fmt.Sprintf("job-77%05d", i)))
 	}
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -11,7 +11,7 @@
 func TestStoredFieldNamesOfSpecsAreUnchanged(t *testing.T) {
 	// Guards against a rename in the code that changes the stored form. Other versions of the
 	// program read it, and data under names that they don't know is lost.
-	spec := Spec{ID: "job-1", Class: "c", Team: "red", Shape: Gang, Priority: High, Tasks: 2, Resources: placement.Resources{Cores: 1},
+	spec := Spec{ID: "job-1", Class: "c", Team: "red", JobType: Gang, Priority: High, Tasks: 2, Resources: placement.Resources{Cores: 1},
 		Image: "i", ImageGB: 2, InstanceTypes: []string{"t"}, Zone: "z", SingleZone: true, Spread: true, AllowSpot: true, EstimatedDuration: 3,
 		CheckpointInterval: 4, CheckpointDuration: 5, Deadline: 6, DependsOn: nil}
 	want := `{"id":"job-1","class":"c","team":"red","shape":"gang","priority":2,"tasks":2,"need":` + string(marshal(t, spec.Resources)) +
--- a/internal/record/spec.go
+++ b/internal/record/spec.go
@@ -5,14 +5,14 @@
 	"github.com/pebbletrail/pebbletrail/internal/placement"
 )
 
-// Shape is the kind of a job, which determines whether its tasks run independently.
-type Shape string
+// JobType is the kind of a job, which determines whether its tasks run independently.
+type JobType string
 
 // The shapes.
 const (
-	Array   Shape = "array"   // independent tasks that run to completion
-	Gang    Shape = "gang"    // tasks that run all at the same time or not at all
-	Service Shape = "service" // replicas that run until the job is cancelled
+	Array   JobType = "array"   // independent tasks that run to completion
+	Gang    JobType = "gang"    // tasks that run all at the same time or not at all
+	Service JobType = "service" // replicas that run until the job is cancelled
 )
 
 // Priority is the priority of a job; jobs of a higher one are scheduled first.
@@ -35,7 +35,7 @@
 	ID                ids.Job             `json:"id"`
 	Class             string              `json:"class,omitempty"` // selects the service-level objective
 	Team              string              `json:"team"`
-	Shape             Shape               `json:"shape"`
+	JobType           JobType             `json:"shape"`
 	Priority          Priority            `json:"priority"`
 	Tasks             int                 `json:"tasks"`
 	Resources         placement.Resources `json:"need"` // resources of each task
@@ -66,6 +66,6 @@
 		AllowSpot:     s.AllowSpot,
 		Image:         s.Image,
 		ImageGB:       s.ImageGB,
-		LongRunning:   s.Shape == Service,
+		LongRunning:   s.JobType == Service,
 	}
 }
--- a/internal/scheduler/assign.go
+++ b/internal/scheduler/assign.go
@@ -24,7 +24,7 @@
 
 // assign assigns as many of a job's tasks as limits and free machines allow.
 func (a *assigner) assign(job *workload.Job, pass *planningPass) {
-	if job.Record.Spec.Shape == record.Gang {
+	if job.Record.Spec.JobType == record.Gang {
 		a.assignGang(job, pass)
 		return
 	}
@@ -155,7 +155,7 @@
 // or one task of any other job, preferably one on a machine that was reserved for the job.
 func (a *assigner) protectFromPreemption(job *workload.Job, assigned []*workload.Assignment) {
 	until := time.Now().Add(workload.StartProtectionTime)
-	if job.Record.Spec.Shape == record.Gang {
+	if job.Record.Spec.JobType == record.Gang {
 		for _, assignment := range assigned {
 			assignment.ProtectedUntil = until
 		}
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -127,7 +127,7 @@
 //     that task first, or it would take the start of the replacement for a repeated start of that task.
 func GangStartAllowed(assignment *workload.Assignment, machine *worker.Machine, machines *worker.Registry) bool {
 	job := assignment.Job
-	if job.Record.Spec.Shape != record.Gang {
+	if job.Record.Spec.JobType != record.Gang {
 		return true
 	}
 	for i := range machine.Tasks {
--- a/internal/scheduler/machine_reserver.go
+++ b/internal/scheduler/machine_reserver.go
@@ -38,7 +38,7 @@
 // most expensive machines, all jobs may have high priority. Each job that ends there is replaced by a
 // gang of one task, and a gang that needs two machines at once would never start.
 func wantsReservation(job *workload.Job, tasks int, now time.Time) bool {
-	if job.EffectivePriority() >= record.High && (tasks < 2 || job.Record.Spec.Shape != record.Gang) {
+	if job.EffectivePriority() >= record.High && (tasks < 2 || job.Record.Spec.JobType != record.Gang) {
 		return false
 	}
 	return !job.Suspect() && job.Starving(now) && now.Sub(job.LastReservationAttempt) >= reservationRetryDelay
--- a/internal/scheduler/pass.go
+++ b/internal/scheduler/pass.go
@@ -49,7 +49,7 @@
 func (p *planningPass) addQuotaDemand(job *workload.Job, tasks int) {
 	spec := &job.Record.Spec
 	unit := spec.Resources
-	if spec.Shape == record.Gang {
+	if spec.JobType == record.Gang {
 		unit = spec.Resources.Times(float64(tasks))
 	}
 	demand, found := p.quotaDemands[spec.Team]
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -76,7 +76,7 @@
 	// priority, but exchanging one replica for another gains nothing and delays the other job's replica.
 	exitImmediately := func(victims []*workload.Assignment) bool {
 		return len(victims) > 0 && !slices.ContainsFunc(victims, func(victim *workload.Assignment) bool {
-			return victim.CheckpointGrace() > 0 || victim.Job.Record.Spec.Shape == record.Service ||
+			return victim.CheckpointGrace() > 0 || victim.Job.Record.Spec.JobType == record.Service ||
 				victim.Job.EffectivePriority() >= job.EffectivePriority()
 		})
 	}
--- a/internal/scheduler/quota_preemption.go
+++ b/internal/scheduler/quota_preemption.go
@@ -33,7 +33,7 @@
 	team, _ := q.Settings.Team(spec.Team)
 	excess := quotaExcess(team, q.Quota.Usage(spec.Team).Plus(spec.Resources.Times(float64(tasks))))
 	left, excess, victims := q.quotaVictims(job, team, excess)
-	if fitting := left.CountFitting(spec.Resources, tasks); fitting > 0 && (fitting == tasks || spec.Shape != record.Gang) {
+	if fitting := left.CountFitting(spec.Resources, tasks); fitting > 0 && (fitting == tasks || spec.JobType != record.Gang) {
 		q.reservations.set(job, spec.Resources.Times(float64(fitting)), now)
 	}
 	slices.SortFunc(victims, func(x, y *workload.Assignment) int { return compareQuotaVictims(x, y, now) })
--- a/internal/scheduler/ranking.go
+++ b/internal/scheduler/ranking.go
@@ -133,11 +133,11 @@
 // with the job's age, which is given in seconds. The size of services is 0.
 func (r *ranker) sizeOf(job *workload.Job, age float64) float64 {
 	spec := &job.Record.Spec
-	if spec.Shape == record.Service {
+	if spec.JobType == record.Service {
 		return 0
 	}
 	taskSeconds := max(1, float64(spec.EstimatedDuration))
-	if spec.Shape == record.Gang && !r.fitsOnNodesWithImage(job) {
+	if spec.JobType == record.Gang && !r.fitsOnNodesWithImage(job) {
 		taskSeconds += r.Estimates.ImagePullSeconds(spec)
 	}
 	halvingAge := max(minHalvingAge, min(maxHalvingAge, r.Estimates.QueueHorizon(job)/2))
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -70,7 +70,7 @@
 
 // addJob adds an array job whose tasks need one core each.
 func addJob(scheduler *Scheduler, id ids.Job, team string, priority record.Priority, tasks int, submitted time.Time) *workload.Job {
-	spec := record.Spec{ID: id, Class: "class", Team: team, Shape: record.Array, Priority: priority, Tasks: tasks, EstimatedDuration: 10,
+	spec := record.Spec{ID: id, Class: "class", Team: team, JobType: record.Array, Priority: priority, Tasks: tasks, EstimatedDuration: 10,
 		Resources: placement.Resources{Cores: 1, RAM: 1}, Image: "image"}
 	job := workload.NewJob(record.New(spec, ids.TimestampOf(submitted), "writer"), 1)
 	scheduler.Jobs.Add(job)
--- a/internal/workload/assignment.go
+++ b/internal/workload/assignment.go
@@ -100,7 +100,7 @@
 // work need not wait for another checkpoint.
 func (a *Assignment) LittleToSave(now time.Time) bool {
 	spec := &a.Job.Record.Spec
-	if spec.Shape != record.Array || spec.CheckpointInterval <= 0 {
+	if spec.JobType != record.Array || spec.CheckpointInterval <= 0 {
 		return false
 	}
 	if a.RunningSince.IsZero() {
@@ -126,7 +126,7 @@
 	if spec.CheckpointInterval > 0 {
 		ran = float64(spec.CheckpointDuration)
 	}
-	if spec.Shape == record.Service {
+	if spec.JobType == record.Service {
 		ran = replicaCost
 	}
 	return ran * spec.Resources.Cores
@@ -140,7 +140,7 @@
 // FinishesWithin reports whether a task should finish within d, by its job's estimate.
 func (a *Assignment) FinishesWithin(d time.Duration, now time.Time) bool {
 	spec := &a.Job.Record.Spec
-	if spec.Shape == record.Service || a.RunningSince.IsZero() {
+	if spec.JobType == record.Service || a.RunningSince.IsZero() {
 		return false
 	}
 	return a.RunningSince.Add(spec.EstimatedDuration.Duration()).Before(now.Add(d))
--- a/internal/workload/failures.go
+++ b/internal/workload/failures.go
@@ -104,7 +104,7 @@
 
 // BackingOff reports whether the job is failing and must not be retried now.
 func (j *Job) BackingOff(now time.Time) bool {
-	return j.Failing() && (now.Before(j.Failures.NotBefore) || j.Record.Spec.Shape != record.Gang && len(j.Assignments) > 0)
+	return j.Failing() && (now.Before(j.Failures.NotBefore) || j.Record.Spec.JobType != record.Gang && len(j.Assignments) > 0)
 }
 
 // BackOffReason returns the explanation for users and operators why a failing job is not retried now.
--- a/internal/workload/job.go
+++ b/internal/workload/job.go
@@ -140,7 +140,7 @@
 // share the slice's attempt, under which no task with a higher index has been assigned. A record that had to
 // contain a separate attempt for every few tasks would have room for only a fraction of the assignments.
 func (j *Job) ContinuesSlice(i int) bool {
-	return j.Record.Spec.Shape == record.Array && j.LastSlice.Attempt == j.Record.Attempt && j.Record.Attempt > 0 && i > j.LastSlice.LastTask
+	return j.Record.Spec.JobType == record.Array && j.LastSlice.Attempt == j.Record.Attempt && j.Record.Attempt > 0 && i > j.LastSlice.LastTask
 }
 
 // StarvationTime is how long a job waits for its first start before it is scheduled ahead of all but critical
--- a/internal/workload/workload_test.go
+++ b/internal/workload/workload_test.go
@@ -16,7 +16,7 @@
 
 // testJob returns an array job of ten tasks that was submitted some seconds after testStart.
 func testJob(id ids.Job, submittedAfter int) *Job {
-	spec := record.Spec{ID: id, Shape: record.Array, Priority: record.Normal, Tasks: 10, Resources: placement.Resources{Cores: 2, RAM: 4}}
+	spec := record.Spec{ID: id, JobType: record.Array, Priority: record.Normal, Tasks: 10, Resources: placement.Resources{Cores: 2, RAM: 4}}
 	return NewJob(record.New(spec, ids.TimestampOf(testStart.Add(time.Duration(submittedAfter)*time.Second)), "writer"), 1)
 }
 
@@ -242,7 +242,7 @@
 	}{
 		{name: "without checkpoints", change: func(*record.Spec) {}, cost: 200},
 		{name: "not running", change: func(*record.Spec) {}, notRunning: true, cost: 0.2},
-		{name: "a service", change: func(spec *record.Spec) { spec.Shape = record.Service }, cost: 2000},
+		{name: "a service", change: func(spec *record.Spec) { spec.JobType = record.Service }, cost: 2000},
 		{name: "ten seconds after a checkpoint", change: func(spec *record.Spec) { spec.CheckpointInterval, spec.CheckpointDuration = 30, 5 }, cost: 10, grace: 7, littleToSave: true},
 		{name: "forty seconds after a checkpoint", change: func(spec *record.Spec) { spec.CheckpointInterval, spec.CheckpointDuration = 60, 5 }, cost: 10, grace: 7},
 		{name: "with checkpoints, not running", change: func(spec *record.Spec) { spec.CheckpointInterval, spec.CheckpointDuration = 60, 5 }, notRunning: true, cost: 0.2, grace: 7, littleToSave: true},
