--- a/internal/capacity/index_test.go
+++ b/internal/capacity/index_test.go
@@ -33,8 +33,8 @@
 	return index
 }
 
-func newTestAssignment(shape record.JobType, cores float64, image string) *workload.Assignment {
-	spec := record.Spec{ID: "job", JobType: shape, Tasks: 1, Resources: placement.Resources{Cores: cores, RAM: 1}, Image: image, EstimatedDuration: 30}
+func newTestAssignment(jobType record.JobType, cores float64, image string) *workload.Assignment {
+	spec := record.Spec{ID: "job", JobType: jobType, Tasks: 1, Resources: placement.Resources{Cores: cores, RAM: 1}, Image: image, EstimatedDuration: 30}
 	return &workload.Assignment{Job: workload.NewJob(record.New(spec, ids.TimestampOf(testStart), "writer"), 1)}
 }
 
@@ -80,8 +80,8 @@
 		machine := index.machines.Machines[node.Name]
 		switch rng.IntN(6) {
 		case 0, 1:
-			shape := []record.JobType{record.Array, record.Gang, record.Service}[rng.IntN(3)]
-			assignment := newTestAssignment(shape, 0.1+rng.Float64(), images[rng.IntN(len(images))])
+			jobType := []record.JobType{record.Array, record.Gang, record.Service}[rng.IntN(3)]
+			assignment := newTestAssignment(jobType, 0.1+rng.Float64(), images[rng.IntN(len(images))])
 			if node.Class != nil && node.Free().Holds(assignment.Job.Record.Spec.Resources) {
 				index.Allocate(node, assignment)
 				allocated = append(allocated, allocation{assignment, node})
@@ -155,11 +155,11 @@
 func TestNodesAreFreeWhenTheirLongestTaskEnds(t *testing.T) {
 	now := testStart.Add(10 * time.Second)
 	for _, c := range []struct {
-		name   string
-		shape  record.JobType
-		status string
-		since  time.Time
-		want   time.Duration
+		name    string
+		jobType record.JobType
+		status  string
+		since   time.Time
+		want    time.Duration
 	}{
 		{"running", record.Array, worker.StateRunning, testStart, 20 * time.Second},
 		{"pulling its image", record.Array, worker.StatePulling, testStart, 30 * time.Second},
@@ -168,7 +168,7 @@
 		{"a service", record.Service, worker.StateRunning, testStart, 0},
 	} {
 		index := newTestIndex(1)
-		assignment := newTestAssignment(c.shape, 1, "a")
+		assignment := newTestAssignment(c.jobType, 1, "a")
 		assignment.Status, assignment.RunningSince = c.status, c.since
 		index.Allocate(index.Node("m0"), assignment)
 		if got := index.Node("m0").TimeUntilFree(now); got != c.want {
--- a/internal/clusterstate/starvation_test.go
+++ b/internal/clusterstate/starvation_test.go
@@ -184,13 +184,13 @@
 		startedAfter := map[string]time.Duration{} // by class and by team: time from its last submission
 		lastSubmitted := map[string]time.Time{}
 		classes := map[ids.Job]string{}
-		submitJob := func(class string, team int, shape record.JobType, priority record.Priority, tasks int, cores float64) {
+		submitJob := func(class string, team int, jobType record.JobType, priority record.Priority, tasks int, cores float64) {
 			submitted++
 			rec := newRecord(ids.Job(fmt.Sprint("job-", submitted)), fmt.Sprint("team-", team), priority, tasks, cores)
-			rec.Spec.JobType = shape
+			rec.Spec.JobType = jobType
 			rec.Spec.Class = class
 			rec.Spec.Image = "image-" + class
-			if shape == record.Service {
+			if jobType == record.Service {
 				rec.Spec.EstimatedDuration = 0
 			}
 			cluster.submit(ids.Revision(submitted), rec, time.Now())
--- a/internal/eviction/evictor_test.go
+++ b/internal/eviction/evictor_test.go
@@ -86,8 +86,8 @@
 }
 
 // addJob adds a job whose tasks need three of the four cores of a machine.
-func (f *fixture) addJob(id ids.Job, shape record.JobType, tasks int) *workload.Job {
-	spec := record.Spec{ID: id, Team: "red", JobType: shape, Tasks: tasks, EstimatedDuration: 10, Priority: record.Normal,
+func (f *fixture) addJob(id ids.Job, jobType record.JobType, tasks int) *workload.Job {
+	spec := record.Spec{ID: id, Team: "red", JobType: jobType, Tasks: tasks, EstimatedDuration: 10, Priority: record.Normal,
 		Resources: placement.Resources{Cores: 3, RAM: 1}, Image: "image", ImageGB: 1}
 	job := workload.NewJob(record.New(spec, ids.TimestampOf(f.now), "writer"), 1)
 	f.Jobs.Add(job)
--- a/internal/intake/parse.go
+++ b/internal/intake/parse.go
@@ -20,8 +20,8 @@
 	maxTasks     = 100000
 )
 
-// shapes and priorities map values of the protocol to those of job records.
-var shapes = map[string]record.JobType{"array": record.Array, "gang": record.Gang, "standing": record.Service}
+// jobTypes and priorities map values of the protocol to those of job records.
+var jobTypes = map[string]record.JobType{"array": record.Array, "gang": record.Gang, "standing": record.Service}
 var priorities = map[string]record.Priority{"critical": record.Critical, "high": record.High, "normal": record.Normal, "low": record.Low}
 
 // parseSubmission reads and validates a submission. Its errors are returned to users and therefore name
@@ -105,7 +105,7 @@
 		return record.Spec{}, fmt.Errorf("uid: %w", err)
 	}
 	var known bool
-	if spec.JobType, known = shapes[*s.Shape]; !known {
+	if spec.JobType, known = jobTypes[*s.Shape]; !known {
 		return record.Spec{}, fmt.Errorf("shape: unknown: %q", *s.Shape)
 	}
 	if spec.Priority, known = priorities[*s.Priority]; !known {
--- a/internal/provisioning/headroom.go
+++ b/internal/provisioning/headroom.go
@@ -41,7 +41,7 @@
 	case usage.critical:
 		demand.Count = max(1, int(math.Ceil(h.Settings.Operator.SpareShare*float64(usage.runningNow))))
 		demand.Spread, demand.Preempt, demand.ReclaimableShare = true, true, 1
-	case usage.shape == record.Array && hasObjective(h.Settings.Params.Objectives, class):
+	case usage.jobType == record.Array && hasObjective(h.Settings.Params.Objectives, class):
 		demand.Count = min(usage.wantedPercentile90()-current, h.affordableTasks(usage))
 	case h.startsBeforeProvisioning(class, usage):
 		demand.NoScaleOut = len(usage.wanted) < minSamples
@@ -49,7 +49,7 @@
 		if demand.NoScaleOut {
 			demand.Count = 2 * (usage.wantedNow + 1)
 		}
-		demand.Preempt, demand.ReclaimableShare = usage.shape == record.Gang, 1
+		demand.Preempt, demand.ReclaimableShare = usage.jobType == record.Gang, 1
 	}
 	return demand
 }
--- a/internal/provisioning/provisioning_test.go
+++ b/internal/provisioning/provisioning_test.go
@@ -56,8 +56,8 @@
 }
 
 // addJob adds a job whose tasks each need one core and are estimated to take ten seconds.
-func addJob(planner *Planner, id ids.Job, class string, shape record.JobType, priority record.Priority, tasks int, now time.Time) *workload.Job {
-	spec := record.Spec{ID: id, Class: class, Team: "red", JobType: shape, Priority: priority, Tasks: tasks, EstimatedDuration: 10,
+func addJob(planner *Planner, id ids.Job, class string, jobType record.JobType, priority record.Priority, tasks int, now time.Time) *workload.Job {
+	spec := record.Spec{ID: id, Class: class, Team: "red", JobType: jobType, Priority: priority, Tasks: tasks, EstimatedDuration: 10,
 		Resources: placement.Resources{Cores: 1, RAM: 1}, Image: "image", ImageGB: 1}
 	job := workload.NewJob(record.New(spec, ids.TimestampOf(now), "writer"), 1)
 	planner.Jobs.Add(job)
@@ -136,7 +136,7 @@
 	for _, c := range []struct {
 		name       string
 		class      string
-		shape      record.JobType
+		jobType    record.JobType
 		priority   record.Priority
 		samples    int
 		want       int
@@ -149,7 +149,7 @@
 	} {
 		planner := testPlanner()
 		addMachine(planner, "m", now, time.Hour, false)
-		runTasks(planner, addJob(planner, "job", c.class, c.shape, c.priority, 4, now), 4, "m", now)
+		runTasks(planner, addJob(planner, "job", c.class, c.jobType, c.priority, 4, now), 4, "m", now)
 		for i := range c.samples {
 			planner.SampleUsage(now.Add(time.Duration(i) * sampleInterval))
 		}
--- a/internal/provisioning/usage.go
+++ b/internal/provisioning/usage.go
@@ -20,10 +20,10 @@
 
 // classUsage is the recent usage of one job class.
 type classUsage struct {
-	// request, critical and shape are those of the job of the class that was sampled last.
+	// request, critical and jobType are those of the job of the class that was sampled last.
 	request  placement.Request
 	critical bool
-	shape    record.JobType
+	jobType  record.JobType
 	// wanted and running are samples, oldest first, of the number of tasks that could run if there were
 	// machines for them, and of the number of assigned tasks.
 	wanted     []int
@@ -87,7 +87,7 @@
 // addJob adds a job of the class to the current sample.
 func (u *classUsage) addJob(job *workload.Job, wanted int) {
 	spec := &job.Record.Spec
-	u.request, u.critical, u.shape = spec.PlacementRequest(), spec.Priority == record.Critical, spec.JobType
+	u.request, u.critical, u.jobType = spec.PlacementRequest(), spec.Priority == record.Critical, spec.JobType
 	u.request.Zone = ""
 	u.runningNow += len(job.Assignments)
 	u.wantedNow += wanted
--- a/internal/reconcile/reconciler_test.go
+++ b/internal/reconcile/reconciler_test.go
@@ -96,8 +96,8 @@
 }
 
 // addJob adds a job "job" with three tasks.
-func addJob(reconciler *Reconciler, shape record.JobType) *workload.Job {
-	spec := record.Spec{ID: "job", Team: "red", JobType: shape, Tasks: 3, EstimatedDuration: 10,
+func addJob(reconciler *Reconciler, jobType record.JobType) *workload.Job {
+	spec := record.Spec{ID: "job", Team: "red", JobType: jobType, Tasks: 3, EstimatedDuration: 10,
 		Resources: placement.Resources{Cores: 1, RAM: 1}, Image: "image"}
 	job := workload.NewJob(record.New(spec, ids.TimestampOf(time.Now()), "writer"), 1)
 	reconciler.Jobs.Add(job)
@@ -165,7 +165,7 @@
 func TestOrphanedTaskIsAdoptedOrStopped(t *testing.T) {
 	for _, c := range []struct {
 		name              string
-		shape             record.JobType
+		jobType           record.JobType
 		change            func(*Reconciler, *workload.Job)
 		task              string
 		adopted, stopping bool
@@ -184,7 +184,7 @@
 		}, "job/0", false, false, "stop job/0"},
 	} {
 		reconciler, _ := newTestReconciler()
-		job := addJob(reconciler, c.shape)
+		job := addJob(reconciler, c.jobType)
 		c.change(reconciler, job)
 		reported := status(worker.StateRunning, "")
 		reported.Task, reported.Attempt = c.task, 4
@@ -252,7 +252,7 @@
 func TestOnlyOutcomeOfSentStartEndsAssignment(t *testing.T) {
 	for _, c := range []struct {
 		name        string
-		shape       record.JobType
+		jobType     record.JobType
 		cause       string
 		sent        bool
 		attempt     ids.Attempt
@@ -269,7 +269,7 @@
 		{"of a gang that is done, before the term", record.Gang, worker.CauseDone, true, 1, 1, earlierToken, true},
 	} {
 		reconciler, cluster := newTestReconciler()
-		job, report := addJob(reconciler, c.shape), reportOf(2, status(worker.StateExited, c.cause))
+		job, report := addJob(reconciler, c.jobType), reportOf(2, status(worker.StateExited, c.cause))
 		assignment := assign(cluster, job)
 		assignment.StartSent, assignment.Confirmed, assignment.Attempt, assignment.Incarnation = c.sent, false, c.attempt, c.incarnation
 		report.FencingToken = c.reportToken
--- a/internal/record/spec.go
+++ b/internal/record/spec.go
@@ -5,10 +5,10 @@
 	"github.com/pebbletrail/pebbletrail/internal/placement"
 )
 
-// JobType is the kind of a job, which determines whether its tasks run independently.
+// JobType is the type of a job, which determines whether its tasks run independently.
 type JobType string
 
-// The shapes.
+// The job types.
 const (
 	Array   JobType = "array"   // independent tasks that run to completion
 	Gang    JobType = "gang"    // tasks that run all at the same time or not at all
