--- a/internal/clusterstate/eviction.go
+++ b/internal/clusterstate/eviction.go
@@ -17,7 +17,7 @@
 func (c *State) SetOrders(orders *rollout.Orders) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.evictor.CarryOut(orders) {
+	if c.evictor.SetOrders(orders) {
 		wait.Signal(c.planSignal)
 	}
 }
--- a/internal/eviction/evictor.go
+++ b/internal/eviction/evictor.go
@@ -127,7 +127,7 @@
 
 // SetOrders replaces the orders of rollouts. It reports whether a machine was cordoned or uncordoned, or the
 // orders are the first.
-func (e *Evictor) CarryOut(orders *rollout.Orders) (changed bool) {
+func (e *Evictor) SetOrders(orders *rollout.Orders) (changed bool) {
 	return e.Enabled() && e.orders.replace(orders)
 }
 
--- a/internal/eviction/evictor_test.go
+++ b/internal/eviction/evictor_test.go
@@ -68,7 +68,7 @@
 	f := &fixture{fake: &fakeCluster{}, now: time.Now()}
 	f.Evictor = New(State{Settings: settings, Jobs: jobs, Machines: registry, Capacity: index, Estimates: estimates,
 		Scheduler: planner, FirstGeneration: firstGeneration, Lock: &sync.Mutex{}}, f.fake)
-	f.CarryOut(rollout.NewOrders())
+	f.SetOrders(rollout.NewOrders())
 	f.web = f.addJob("web", record.Service, 4)
 	for task := range 4 {
 		f.runTask(f.web, task, f.addMachine(ids.Machine(fmt.Sprint("m", task+1)), "small").Name)
@@ -110,7 +110,7 @@
 	for _, name := range machines {
 		orders.Machines[name] = order
 	}
-	f.CarryOut(orders)
+	f.SetOrders(orders)
 }
 
 // permits returns the number of evictions in the service's record.
@@ -316,7 +316,7 @@
 	orders := rollout.NewOrders()
 	orders.Machines["m1"], orders.Keep["m2"] = rollout.Order{Rollout: "spring"}, true
 	orders.Provisioning = []rollout.ProvisioningRequest{{Name: rollout.ReplacementPrefix + "1"}, {Name: rollout.ReplacementPrefix + "2"}}
-	if !f.CarryOut(orders) || f.CarryOut(orders) || !f.Machines.Machines["m1"].Cordoned || f.MayConsolidate() {
+	if !f.SetOrders(orders) || f.SetOrders(orders) || !f.Machines.Machines["m1"].Cordoned || f.MayConsolidate() {
 		t.Error("the machine with an order is not cordoned exactly once, or may be consolidated")
 	}
 	f.ReplacementsProvisioned(rollout.ReplacementPrefix+"1", []ids.Machine{"m2"})
@@ -332,7 +332,7 @@
 	if lost, other := view.Machine("m2"), view.Machine("m3"); lost.Failed == "" || lost.Deleted || other.Failed != "" || !other.Deleted {
 		t.Errorf("view of the lost replacement %+v, of another machine %+v", lost, other)
 	}
-	if !f.CarryOut(rollout.NewOrders()) || f.Machines.Machines["m1"].Cordoned || !f.MayConsolidate() {
+	if !f.SetOrders(rollout.NewOrders()) || f.Machines.Machines["m1"].Cordoned || !f.MayConsolidate() {
 		t.Error("the machine without an order is still cordoned or may not be consolidated")
 	}
 }
