--- a/cmd/pebbletrail/controller.go
+++ b/cmd/pebbletrail/controller.go
@@ -66,7 +66,7 @@
 	c.cloud = c.newCloudClient(cloudConnections)
 	commander := &worker.Commander{HTTP: newHTTPClient(machineConnections, settings.Sockets().ToMachines/2), Timeout: machineCommandTimeout}
 	c.shards = election.NewShards(settings, c.state, commander, incarnation)
-	c.shards.OnRefused = exitOnRefusal
+	c.shards.OnStoreUnusable = exitOnRefusal
 	c.link = peer.NewLink(settings, c.shards, c.state)
 	c.types = &machineTypes{cloud: c.cloud, shards: c.shards}
 	for i, elector := range c.shards.Electors() {
@@ -114,7 +114,7 @@
 func logMeasurements(ctx context.Context) {
 	for ctx.Err() == nil {
 		time.Sleep(measureLogInterval)
-		measure.Process.Log()
+		measure.Default.Log()
 	}
 }
 
@@ -124,7 +124,7 @@
 	return &intake.Server{
 		OperatorRoutes: operatorRoutes,
 		Version:        version,
-		Jobs: &intake.JobService{Settings: c.settings, Store: c.state, Records: c.shards.Jobs(), LeaderNotifier: c.link, Writer: c.incarnation,
+		Jobs: &intake.JobService{Settings: c.settings, Store: c.state, RecordCache: c.shards.Jobs(), LeaderNotifier: c.link, Writer: c.incarnation,
 			MachineTypes: c.types.latest},
 		Heartbeats:      c.shards,
 		Ready:           c.ready,
@@ -146,7 +146,7 @@
 // shard and drains enabled, it also carries out rollouts.
 func (c *controller) provision(ctx context.Context, elector *election.Elector, shard ids.Shard, term *election.Term) {
 	provisioner := &fleet.Provisioner{Cloud: c.cloud, Cluster: term.Cluster, Store: term.Committer, Generation: term.Generation,
-		ConfirmLeadership: func() bool { return elector.LeaseSurelyHeld(term) },
+		ConfirmLeadership: func() bool { return elector.HoldsLease(term) },
 		Keys:              record.KeysOf(shard, c.settings.ShardCount()), Shard: shard,
 		ListInterval: max(minListInterval, c.settings.Params.Cloud.ListLagS.Duration()/2)}
 	if c.settings.ShardCount() > 1 {
@@ -162,7 +162,7 @@
 		runner := &rollout.Runner{Mirror: c.rollouts, Store: term.Committer, Fleet: term.Cluster, Writer: c.incarnation, Limits: c.storeLimits()}
 		go runner.Run(ctx)
 	}
-	provisioner.Adopt(term.OpenProvisioningRequests)
+	provisioner.LoadRequests(term.OpenProvisioningRequests)
 	provisioner.Run(ctx)
 }
 
--- a/internal/capacity/index_test.go
+++ b/internal/capacity/index_test.go
@@ -33,8 +33,8 @@
 	return index
 }
 
-func newTestAssignment(shape record.Shape, cores float64, image string) *workload.Assignment {
-	spec := record.Spec{ID: "job", Shape: shape, Tasks: 1, Resources: placement.Resources{Cores: cores, RAM: 1}, Image: image, EstimatedDuration: 30}
+func newTestAssignment(jobType record.JobType, cores float64, image string) *workload.Assignment {
+	spec := record.Spec{ID: "job", JobType: jobType, Tasks: 1, Resources: placement.Resources{Cores: cores, RAM: 1}, Image: image, EstimatedDuration: 30}
 	return &workload.Assignment{Job: workload.NewJob(record.New(spec, ids.TimestampOf(testStart), "writer"), 1)}
 }
 
@@ -46,7 +46,7 @@
 	for assignment := range node.Assignments {
 		spec := &assignment.Job.Record.Spec
 		used += spec.Resources.Cores
-		if spec.Shape == record.Service {
+		if spec.JobType == record.Service {
 			replicas++
 		} else {
 			reclaimable += spec.Resources.Cores
@@ -80,8 +80,8 @@
 		machine := index.machines.Machines[node.Name]
 		switch rng.IntN(6) {
 		case 0, 1:
-			shape := []record.Shape{record.Array, record.Gang, record.Service}[rng.IntN(3)]
-			assignment := newTestAssignment(shape, 0.1+rng.Float64(), images[rng.IntN(len(images))])
+			jobType := []record.JobType{record.Array, record.Gang, record.Service}[rng.IntN(3)]
+			assignment := newTestAssignment(jobType, 0.1+rng.Float64(), images[rng.IntN(len(images))])
 			if node.Class != nil && node.Free().Holds(assignment.Job.Record.Spec.Resources) {
 				index.Allocate(node, assignment)
 				allocated = append(allocated, allocation{assignment, node})
@@ -118,13 +118,13 @@
 	index := newTestIndex(6)
 	got := ""
 	for _, class := range index.Classes() {
-		got += fmt.Sprintf("%s/%s/%v:%d ", class.Type, class.Zone, class.Spot, len(class.Open))
+		got += fmt.Sprintf("%s/%s/%v:%d ", class.Type, class.Zone, class.Spot, len(class.OpenNodes))
 	}
 	if want := "small/north/false:2 small/north/true:1 small/south/false:2 small/south/true:1 "; got != want {
 		t.Errorf("classes and their node counts: %s, want %s", got, want)
 	}
 	index.Remove("m0")
-	if index.Node("m0") != nil || index.machines.Machines["m0"] != nil || len(index.Classes()[1].Open) != 0 {
+	if index.Node("m0") != nil || index.machines.Machines["m0"] != nil || len(index.Classes()[1].OpenNodes) != 0 {
 		t.Error("the removed machine is still in the index or in the registry")
 	}
 }
@@ -155,11 +155,11 @@
 func TestNodesAreFreeWhenTheirLongestTaskEnds(t *testing.T) {
 	now := testStart.Add(10 * time.Second)
 	for _, c := range []struct {
-		name   string
-		shape  record.Shape
-		status string
-		since  time.Time
-		want   time.Duration
+		name    string
+		jobType record.JobType
+		status  string
+		since   time.Time
+		want    time.Duration
 	}{
 		{"running", record.Array, worker.StateRunning, testStart, 20 * time.Second},
 		{"pulling its image", record.Array, worker.StatePulling, testStart, 30 * time.Second},
@@ -168,7 +168,7 @@
 		{"a service", record.Service, worker.StateRunning, testStart, 0},
 	} {
 		index := newTestIndex(1)
-		assignment := newTestAssignment(c.shape, 1, "a")
+		assignment := newTestAssignment(c.jobType, 1, "a")
 		assignment.Status, assignment.RunningSince = c.status, c.since
 		index.Allocate(index.Node("m0"), assignment)
 		if got := index.Node("m0").TimeUntilFree(now); got != c.want {
--- a/internal/capacity/node.go
+++ b/internal/capacity/node.go
@@ -26,7 +26,7 @@
 	// Class is the class that lists the node. It is nil if the node is full, its machine is not in use, or
 	// its machine type is unknown.
 	Class    *Class
-	position int // index in Class.Open, or -1 if Class is nil
+	position int // index in Class.OpenNodes, or -1 if Class is nil
 }
 
 // ImagePull is the pull of an image to a node.
@@ -37,14 +37,14 @@
 }
 
 // Free returns the unallocated capacity of a node. Class must not be nil.
-func (n *Node) Free() placement.Resources { return n.Class.Offer.Capacity().Minus(n.Used) }
+func (n *Node) Free() placement.Resources { return n.Class.InstanceType.Capacity().Minus(n.Used) }
 
 // add adds an assignment and updates the resource sums.
 func (n *Node) add(assignment *workload.Assignment) {
 	spec := &assignment.Job.Record.Spec
 	n.Assignments[assignment] = true
 	n.Used = n.Used.Plus(spec.Resources)
-	if spec.Shape == record.Service {
+	if spec.JobType == record.Service {
 		n.Replicas++
 		return
 	}
@@ -56,7 +56,7 @@
 	spec := &assignment.Job.Record.Spec
 	delete(n.Assignments, assignment)
 	n.Used = n.Used.Minus(spec.Resources)
-	if spec.Shape == record.Service {
+	if spec.JobType == record.Service {
 		n.Replicas--
 	} else {
 		n.Reclaimable = n.Reclaimable.Minus(spec.Resources)
@@ -72,7 +72,7 @@
 	longest := time.Duration(0)
 	for assignment := range n.Assignments {
 		spec := &assignment.Job.Record.Spec
-		if spec.Shape == record.Service {
+		if spec.JobType == record.Service {
 			continue
 		}
 		since := assignment.RunningSince
--- a/internal/clusterstate/eviction.go
+++ b/internal/clusterstate/eviction.go
@@ -13,20 +13,20 @@
 		Estimates: c.estimates, Scheduler: c.scheduler, FirstGeneration: c.firstGeneration, Lock: &c.mu}, operations{c})
 }
 
-// CarryOut replaces the orders that rollouts give to the leader.
-func (c *State) CarryOut(orders *rollout.Orders) {
+// SetOrders replaces the orders that rollouts give to the leader.
+func (c *State) SetOrders(orders *rollout.Orders) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.evictor.CarryOut(orders) {
+	if c.evictor.SetOrders(orders) {
 		wait.Signal(c.planSignal)
 	}
 }
 
 // RolloutView returns a view of the fleet as it is now.
-func (c *State) RolloutView() rollout.View { return c.evictor.NewView() }
+func (c *State) RolloutView() rollout.FleetView { return c.evictor.NewView() }
 
 // RolloutPlanner returns a view of the fleet from which rollouts are planned.
-func (c *State) RolloutPlanner() rollout.Planner { return c.evictor.NewView() }
+func (c *State) RolloutPlanner() rollout.PlanningView { return c.evictor.NewView() }
 
 // ReplacementsToProvision returns the replacements that rollouts want and that were not provisioned yet.
 func (c *State) ReplacementsToProvision() []rollout.ProvisioningRequest {
--- a/internal/clusterstate/helpers_dependencies_test.go
+++ b/internal/clusterstate/helpers_dependencies_test.go
@@ -44,7 +44,7 @@
 			final := newRecord(numberedJob(number), "red", record.Low, 1, 1)
 			final.Status = status
 			raw, _ := final.Encode(testValueBytes)
-			txn.Ops = append(txn.Ops, state.Op{Put: record.EndKey(numberedJob(number)), Value: raw})
+			txn.Ops = append(txn.Ops, state.Op{Put: record.FinalRecordKey(numberedJob(number)), Value: raw})
 		}
 		if _, err := history.client.Commit(context.Background(), txn, state.Urgent); err != nil {
 			t.Fatal(err)
@@ -137,7 +137,7 @@
 // of writes per second.
 func (history *jobHistory) newLeaderClient(writes float64) *state.Client {
 	client := state.NewClient(testStoreAddress, history.network.Client("a"), state.NewBudget(1000, writes, 1, 0.6))
-	client.Budget().LeadershipChanged(true)
+	client.Budget().RecordLeadershipChange(true)
 	return client
 }
 
--- a/internal/clusterstate/provisioning.go
+++ b/internal/clusterstate/provisioning.go
@@ -14,8 +14,8 @@
 func newPlanner(c *State) *provisioning.Planner {
 	return provisioning.New(provisioning.State{Settings: c.settings, Jobs: c.jobs, Machines: c.machines, Capacity: c.capacity,
 		Estimates: c.estimates, Scheduler: c.scheduler, Rollouts: c.evictor, Zones: c.zones,
-		StoreAvailable: func() bool { return c.StoreAvailable() },
-		TrustSilence:   func() time.Time { return c.earliestLeaseExpiry }})
+		StoreAvailable:      func() bool { return c.StoreAvailable() },
+		EarliestLeaseExpiry: func() time.Time { return c.earliestLeaseExpiry }})
 }
 
 // CapacityDemands returns the capacity that the fleet should provide, most important first, the machines
@@ -23,7 +23,7 @@
 func (c *State) CapacityDemands(now time.Time) (demands []placement.Demand, instances []placement.Instance, types []*placement.InstanceType) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	defer measure.Process.Took("weighing the fleet", time.Now())
+	defer measure.Default.Took("weighing the fleet", time.Now())
 	return c.planner.Demands(now), c.planner.Instances(now), c.planner.Types()
 }
 
@@ -94,8 +94,8 @@
 	return liveness.IsolatedFromWorkers(c.machines, redirected, c.settings.Params.Workers.ReportS, now)
 }
 
-// HearsNoWorker reports whether almost no machine reports or answers calls.
-func (c *State) HearsNoWorker(now time.Time) bool {
+// LostWorkerContact reports whether almost no machine reports or answers calls.
+func (c *State) LostWorkerContact(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return liveness.Measure(c.machines, c.StoreAvailable()).LostContact(now)
--- a/internal/clusterstate/store_changes.go
+++ b/internal/clusterstate/store_changes.go
@@ -31,8 +31,8 @@
 // Writer returns the name that identifies this leader in the records that it writes.
 func (c *State) Writer() string { return c.writer }
 
-// CommitWanted returns a channel that is ready to be read once a change must be stored at once.
-func (c *State) CommitWanted() <-chan struct{} { return c.commitSignal }
+// CommitRequested returns a channel that is ready to be read once a change must be stored at once.
+func (c *State) CommitRequested() <-chan struct{} { return c.commitSignal }
 
 // ValueLimit returns the size limit of a stored value in bytes.
 func (c *State) ValueLimit() int { return valueLimit(c.settings) }
@@ -64,7 +64,7 @@
 	group := &changeGroup{maxOps: min(c.settings.Params.State.TxnOps, limits.Ops), size: txnBytes}
 	c.dependencies.collectReadyMoves(group.add)
 	c.collectChangedJobs(limits, group.add)
-	if !limits.Scarce {
+	if !limits.BudgetNearlyExhausted {
 		// Users see these jobs as cancelled already, so storing that can wait.
 		c.dependencies.collectCancelledMoves(group.add)
 	}
@@ -74,7 +74,7 @@
 // collectChangedJobs collects the changes of jobs that are due to be stored.
 func (c *State) collectChangedJobs(limits commit.Limits, add func(commit.Change) bool) {
 	delay := outcomeDelay
-	if limits.Scarce {
+	if limits.BudgetNearlyExhausted {
 		delay = scarceOutcomeDelay
 	}
 	for _, job := range c.changes.Due(time.Now(), delay) {
@@ -117,8 +117,8 @@
 		change.Ops = []state.Op{{Put: record.JobKey(id), Value: value}}
 		return change, true
 	}
-	change.Conditions = append(change.Conditions, state.Condition{Key: record.EndKey(id)})
-	change.Ops = []state.Op{{Remove: record.JobKey(id)}, {Put: record.EndKey(id), Value: value}}
+	change.Conditions = append(change.Conditions, state.Condition{Key: record.FinalRecordKey(id)})
+	change.Ops = []state.Op{{Remove: record.JobKey(id)}, {Put: record.FinalRecordKey(id), Value: value}}
 	if cancellation.Revision > 0 {
 		change.Ops = append(change.Ops, state.Op{Remove: record.CancelKey(id)})
 	}
--- a/internal/clusterstate/takeover_test.go
+++ b/internal/clusterstate/takeover_test.go
@@ -31,7 +31,7 @@
 		if machine == nil || !machine.Booting {
 			t.Fatal("the pending instance is not known to be booting")
 		}
-		if cluster.planner.Lateness(machine, time.Now()) == provisioning.NotLate {
+		if cluster.planner.BootStatus(machine, time.Now()) == provisioning.NotLate {
 			t.Errorf("provisioned %v ago with a boot time of 30 s, the machine does not count as late", time.Since(machine.ProvisionedAt))
 		}
 		cluster.submit(1, newRecord("job-1", "blue", record.Normal, 40, 1), time.Now())
@@ -65,13 +65,13 @@
 			probes, rounds := 0, 0
 			for ; rounds < 1000; rounds++ {
 				now = now.Add(101 * time.Millisecond)
-				due := successor.DueProbes(now, slots)
+				due := successor.SelectProbes(now, slots)
 				if len(due) == 0 || probes >= machines {
 					break
 				}
 				for i, probe := range due {
 					probes++
-					successor.ProbeAnswered(probe.Machine, true)
+					successor.RecordProbeAnswer(probe.Machine, true)
 					successor.heartbeat(probe.Machine, []string{"north", "south"}[i%2], 2)
 					successor.machines.Machines[probe.Machine].LastReportAt = now
 				}
--- a/internal/commit/committer.go
+++ b/internal/commit/committer.go
@@ -29,8 +29,8 @@
 	Writer() string
 	// Generation returns this leader's current generation.
 	Generation() ids.Generation
-	// CommitWanted returns a channel that becomes readable when a change has to be stored at once.
-	CommitWanted() <-chan struct{}
+	// CommitRequested returns a channel that becomes readable when a change has to be stored at once.
+	CommitRequested() <-chan struct{}
 	// CollectChanges returns the changes to store now, most urgent first. raise reports whether the
 	// generation has to be raised before.
 	CollectChanges(limits Limits) (changes []Change, raise bool)
@@ -116,7 +116,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-c.cluster.CommitWanted():
+		case <-c.cluster.CommitRequested():
 		case <-time.After(commitInterval):
 		}
 		for more := true; more && ctx.Err() == nil; {
@@ -134,7 +134,7 @@
 // CommitGroup writes one group of changes and reports whether there may be another group.
 func (c *Committer) CommitGroup(ctx context.Context) (more bool) {
 	defer c.lock()()
-	changes, raise := c.cluster.CollectChanges(LimitsOf(c.store.Budget()))
+	changes, raise := c.cluster.CollectChanges(NewLimits(c.store.Budget()))
 	if raise {
 		c.raiseGeneration(ctx)
 		return true
@@ -149,8 +149,8 @@
 	}
 	began := time.Now()
 	revision, err := c.store.Commit(ctx, txn, state.Urgent)
-	measure.Process.Took("commit", began)
-	measure.Process.Count("changes committed", len(txn.Ops))
+	measure.Default.Took("commit", began)
+	measure.Default.Count("changes committed", len(txn.Ops))
 	c.recordCommit(ctx, changes, ids.Revision(revision), began, err)
 	return true
 }
--- a/internal/commit/lookups.go
+++ b/internal/commit/lookups.go
@@ -38,9 +38,9 @@
 	RetryLookup(id ids.Job, now time.Time)
 	// LookupFound records the final status of a job.
 	LookupFound(id ids.Job, status record.Status)
-	// LookupMissed records that a job has no final record. readLive reports whether the job may be live,
+	// LookupNotFound records that a job has no final record. readLive reports whether the job may be live,
 	// written by this leader in a commit whose response was lost.
-	LookupMissed(id ids.Job, now time.Time) (readLive bool)
+	LookupNotFound(id ids.Job, now time.Time) (readLive bool)
 	// LiveRecordFound records the stored live record of a job.
 	LiveRecordFound(stored *record.Record, revision ids.Revision, now time.Time)
 }
@@ -78,7 +78,7 @@
 		}
 	}
 	for _, id := range wanted[:min(len(wanted), LookupReadsPerPass)] {
-		entry, found, err := r.store.Get(ctx, record.EndKey(id), state.Normal)
+		entry, found, err := r.store.Get(ctx, record.FinalRecordKey(id), state.Normal)
 		if err != nil {
 			r.cluster.RetryLookup(id, now) // a record that can't be read must not delay the others
 			return
@@ -90,7 +90,7 @@
 // lookUpPage reads the page of final records that begins at the first wanted one, and returns how many of
 // the wanted records lie within the page.
 func (r *finalRecordReader) lookUpPage(ctx context.Context, wanted []ids.Job, now time.Time) (covered int, ok bool) {
-	entries, more, _, err := r.store.List(ctx, record.EndPrefix, keyBefore(record.EndKey(wanted[0])), LookupPageSize, state.Normal)
+	entries, more, _, err := r.store.List(ctx, record.FinalRecordPrefix, keyBefore(record.FinalRecordKey(wanted[0])), LookupPageSize, state.Normal)
 	if err != nil {
 		return 0, false
 	}
@@ -99,7 +99,7 @@
 		byKey[entry.Key] = entry
 	}
 	for _, id := range wanted {
-		key := record.EndKey(id)
+		key := record.FinalRecordKey(id)
 		if more && (len(entries) == 0 || key > entries[len(entries)-1].Key) {
 			break
 		}
@@ -120,7 +120,7 @@
 // applyLookup records the result of looking up an ended job.
 func (r *finalRecordReader) applyLookup(ctx context.Context, id ids.Job, entry state.Entry, found bool, now time.Time) {
 	if !found {
-		if r.cluster.LookupMissed(id, now) {
+		if r.cluster.LookupNotFound(id, now) {
 			r.findLive(ctx, id, now)
 		}
 		return
--- a/internal/dispatch/outcomes.go
+++ b/internal/dispatch/outcomes.go
@@ -7,8 +7,8 @@
 	"github.com/pebbletrail/pebbletrail/internal/worker"
 )
 
-// Answered records the outcome of sending a batch.
-func (q *Queue) Answered(batch Batch, outcome worker.Outcome) {
+// RecordOutcome records the outcome of sending a batch.
+func (q *Queue) RecordOutcome(batch Batch, outcome worker.Outcome) {
 	machine := q.machines.Machines[batch.Machine]
 	if machine == nil {
 		return
@@ -48,7 +48,7 @@
 // commands are queued. If a machine does not answer, its assignments whose starts were never sent are
 // removed, so that they can be assigned elsewhere at once.
 func (q *Queue) RecordReachability(machine *worker.Machine, answered bool) {
-	wasSuspect := machine.Suspect()
+	wasSuspect := machine.IsSuspect()
 	machine.RecordCall(answered, time.Now())
 	node := q.capacity.Node(machine.Name)
 	if node == nil {
--- a/internal/dispatch/queue_test.go
+++ b/internal/dispatch/queue_test.go
@@ -43,7 +43,7 @@
 func assign(queue *Queue, jobs *fakeJobs, name ids.Machine, lastReport time.Time) (*workload.Assignment, *worker.Machine) {
 	machine := queue.machines.Ensure(name, lastReport, lastReport)
 	machine.HasReported, machine.Addr, machine.Incarnation, machine.LastReportAt = true, string(name)+":1", 1, lastReport
-	job := workload.NewJob(record.New(record.Spec{ID: ids.Job("job-" + name), Tasks: 1, Shape: record.Array}, 1, "writer"), 1)
+	job := workload.NewJob(record.New(record.Spec{ID: ids.Job("job-" + name), Tasks: 1, JobType: record.Array}, 1, "writer"), 1)
 	assignment := &workload.Assignment{Job: job, Machine: name, Incarnation: 1, Attempt: 1, FencingToken: leaderToken, MarkerVersion: 1}
 	job.Assignments[0] = assignment
 	jobs.index.Allocate(jobs.index.Ensure(name), assignment)
@@ -103,7 +103,7 @@
 	}
 }
 
-// stopTask requests that a task be stopped. seen tells whether a report has shown the task on its machine.
+// stopTask requests that a task be stopped. seen indicates whether a report has shown the task on its machine.
 func stopTask(assignment *workload.Assignment, seen bool) {
 	assignment.StartSent, assignment.Confirmed, assignment.Stopping, assignment.StopRequestedAt = true, seen, true, time.Now()
 }
@@ -140,7 +140,7 @@
 		assignment, machine := assign(queue, jobs, "m", time.Now())
 		batches, _ := nextCommands(queue, 10)
 		assignment.Stopping = c.stopping
-		queue.Answered(batches[0], c.outcome)
+		queue.RecordOutcome(batches[0], c.outcome)
 		if machine.CommandsInFlight || len(machine.UnconfirmedStarts) != c.outstanding {
 			t.Errorf("%s: in flight %v, %d unconfirmed starts", c.name, machine.CommandsInFlight, len(machine.UnconfirmedStarts))
 		}
--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -49,9 +49,9 @@
 // were provisioned by the same request.
 const sameRequestTolerance = 2 * time.Second
 
-// IsOvertaken reports whether another machine of the same type that was provisioned together with the
+// LaterMachineBooted reports whether another machine of the same type that was provisioned together with the
 // given one, or after it, has booted already.
-func (e *Estimator) IsOvertaken(machine *worker.Machine) bool {
+func (e *Estimator) LaterMachineBooted(machine *worker.Machine) bool {
 	history := e.boots[machine.Type]
 	return history != nil && history.newestProvisioned.After(machine.ProvisionedAt.Add(-sameRequestTolerance))
 }
@@ -111,7 +111,7 @@
 // be provisioned for queued tasks that existing machines can start within this time.
 func (e *Estimator) QueueHorizon(job *workload.Job) float64 {
 	spec := &job.Record.Spec
-	if spec.Shape == record.Gang {
+	if spec.JobType == record.Gang {
 		// A new machine helps a queued gang only if waiting for a running gang to end takes longer than
 		// booting a machine and pulling the image.
 		return e.ProvisionSeconds(spec)
--- a/internal/estimate/estimate_test.go
+++ b/internal/estimate/estimate_test.go
@@ -57,12 +57,12 @@
 
 func TestMachinesAreOvertakenByLaterOnes(t *testing.T) {
 	estimator := newTestEstimator()
-	if estimator.IsOvertaken(bootedMachine(start)) {
+	if estimator.LaterMachineBooted(bootedMachine(start)) {
 		t.Error("a machine is overtaken although no machine has booted")
 	}
 	estimator.RecordBoot(bootedMachine(start), start.Add(time.Minute))
 	for after, want := range map[time.Duration]bool{-time.Minute: true, time.Second: true, 2 * time.Second: false, time.Minute: false} {
-		if got := estimator.IsOvertaken(bootedMachine(start.Add(after))); got != want {
+		if got := estimator.LaterMachineBooted(bootedMachine(start.Add(after))); got != want {
 			t.Errorf("machine provisioned %v after the one that has booted: overtaken is %v", after, got)
 		}
 	}
@@ -100,9 +100,9 @@
 		{"an objective of its class", func(job *workload.Job) { job.Record.Spec.Class = "urgent" }, 17.5},
 		{"high priority", func(job *workload.Job) { job.Record.Spec.Priority = record.High }, 10},
 		{"guaranteed", func(job *workload.Job) { job.Guaranteed = true }, 10},
-		{"a gang waits as long as for a new machine", func(job *workload.Job) { job.Record.Spec.Shape = record.Gang }, 32},
+		{"a gang waits as long as for a new machine", func(job *workload.Job) { job.Record.Spec.JobType = record.Gang }, 32},
 	} {
-		spec := record.Spec{ID: "job", Shape: record.Array, Priority: record.Normal, Tasks: 1, EstimatedDuration: 20, ImageGB: 1, Resources: placement.Resources{Cores: 1}}
+		spec := record.Spec{ID: "job", JobType: record.Array, Priority: record.Normal, Tasks: 1, EstimatedDuration: 20, ImageGB: 1, Resources: placement.Resources{Cores: 1}}
 		job := workload.NewJob(record.New(spec, ids.TimestampOf(start), "writer"), 1)
 		c.change(job)
 		if got := newTestEstimator().QueueHorizon(job); got != c.want {
--- a/internal/eviction/capacity_finder.go
+++ b/internal/eviction/capacity_finder.go
@@ -27,7 +27,7 @@
 }
 
 // hasFeasiblePlacement reports whether the job's constraints allow one more task anywhere: in a zone that
-// is not being drained for good, on a machine of a type that is large enough. The orders must be known.
+// is not being drained permanently, on a machine of a type that is large enough. The orders must be known.
 func (f *capacityFinder) hasFeasiblePlacement(spec *record.Spec, zones *scheduler.ZoneSpread) bool {
 	request := spec.PlacementRequest()
 	for _, machineType := range f.Capacity.Types() {
@@ -63,10 +63,10 @@
 	request := job.Record.Spec.PlacementRequest()
 	var best bestNode
 	for _, class := range f.Capacity.Classes() {
-		if !request.Allows(class.Type, class.Zone, class.Spot) || class.Offer.Accels > 0 != accelerators || zones.Allowed(class.Zone, 1) == 0 {
+		if !request.Allows(class.Type, class.Zone, class.Spot) || class.InstanceType.Accels > 0 != accelerators || zones.Allowed(class.Zone, 1) == 0 {
 			continue
 		}
-		for _, node := range class.Open {
+		for _, node := range class.OpenNodes {
 			machine, ok := f.Capacity.UsableMachine(node, now, f.reportInterval())
 			_, taken := reserved[node.Name]
 			_, reservedNow := f.Scheduler.Reservations.On(node.Name, now)
--- a/internal/eviction/drain.go
+++ b/internal/eviction/drain.go
@@ -29,7 +29,7 @@
 // to stop there, all or none, and then further units as far as the budgets allow.
 func (d *drainer) evictNextStep(name ids.Machine, order rollout.Order, meter *budget.Meter, now time.Time) {
 	machine := d.Machines.Machines[name]
-	if machine == nil || !machine.HasReported || machine.Suspect() {
+	if machine == nil || !machine.HasReported || machine.IsSuspect() {
 		d.blockers.add(name, "nothing is heard of it")
 		return
 	}
@@ -46,7 +46,7 @@
 		return
 	}
 	if denials := meter.Permit(d.disruption.requests(first, now)...); len(denials) > 0 {
-		measure.Process.Count(rollout.PermitsRefused, 1)
+		measure.Default.Count(rollout.CounterPermitsRefused, 1)
 		for _, denial := range denials {
 			d.blockers.add(name, denial.String())
 		}
@@ -140,9 +140,9 @@
 	return assignments
 }
 
-func isService(spec *record.Spec) bool { return spec.Shape == record.Service }
+func isService(spec *record.Spec) bool { return spec.JobType == record.Service }
 
-func isGang(spec *record.Spec) bool { return spec.Shape == record.Gang }
+func isGang(spec *record.Spec) bool { return spec.JobType == record.Gang }
 
 // mayInterrupt reports whether a task other than a replica may be stopped for a drain. Tasks that save
 // checkpoints and tasks of low priority may be stopped at once; all others only after the deadline, and
--- a/internal/eviction/evictor_test.go
+++ b/internal/eviction/evictor_test.go
@@ -68,7 +68,7 @@
 	f := &fixture{fake: &fakeCluster{}, now: time.Now()}
 	f.Evictor = New(State{Settings: settings, Jobs: jobs, Machines: registry, Capacity: index, Estimates: estimates,
 		Scheduler: planner, FirstGeneration: firstGeneration, Lock: &sync.Mutex{}}, f.fake)
-	f.CarryOut(rollout.NewOrders())
+	f.SetOrders(rollout.NewOrders())
 	f.web = f.addJob("web", record.Service, 4)
 	for task := range 4 {
 		f.runTask(f.web, task, f.addMachine(ids.Machine(fmt.Sprint("m", task+1)), "small").Name)
@@ -86,8 +86,8 @@
 }
 
 // addJob adds a job whose tasks need three of the four cores of a machine.
-func (f *fixture) addJob(id ids.Job, shape record.Shape, tasks int) *workload.Job {
-	spec := record.Spec{ID: id, Team: "red", Shape: shape, Tasks: tasks, EstimatedDuration: 10, Priority: record.Normal,
+func (f *fixture) addJob(id ids.Job, jobType record.JobType, tasks int) *workload.Job {
+	spec := record.Spec{ID: id, Team: "red", JobType: jobType, Tasks: tasks, EstimatedDuration: 10, Priority: record.Normal,
 		Resources: placement.Resources{Cores: 3, RAM: 1}, Image: "image", ImageGB: 1}
 	job := workload.NewJob(record.New(spec, ids.TimestampOf(f.now), "writer"), 1)
 	f.Jobs.Add(job)
@@ -110,7 +110,7 @@
 	for _, name := range machines {
 		orders.Machines[name] = order
 	}
-	f.CarryOut(orders)
+	f.SetOrders(orders)
 }
 
 // permits returns the number of evictions in the service's record.
@@ -131,16 +131,16 @@
 	} {
 		f := newFixture(true)
 		f.order(rollout.Order{Drain: true}, "m1", "m2")
-		f.Look(f.now)
+		f.Evaluate(f.now)
 		if f.permits() != 1 || len(f.fake.stopped) != 0 || !strings.Contains(fmt.Sprint(f.Blockers()["m2"]), "1 of its 4 replicas are down") {
 			t.Fatalf("after the first evaluation: %d permits, stopped %v, m2 waits for %v", f.permits(), f.fake.stopped, f.Blockers()["m2"])
 		}
 		f.web.StoredVersion = f.web.Version
 		c.change(f)
-		f.Run(f.now.Add(Interval - 1))
-		f.Run(f.now.Add(Interval))
-		if f.Looks() != 2 || len(f.Blockers()["m2"]) > 1 {
-			t.Errorf("%s: %d evaluations, m2 waits for %v", c.name, f.Looks(), f.Blockers()["m2"])
+		f.Run(f.now.Add(EvaluationInterval - 1))
+		f.Run(f.now.Add(EvaluationInterval))
+		if f.Evaluations() != 2 || len(f.Blockers()["m2"]) > 1 {
+			t.Errorf("%s: %d evaluations, m2 waits for %v", c.name, f.Evaluations(), f.Blockers()["m2"])
 		}
 		if len(f.fake.stopped) != c.stops || c.stops > 0 && f.fake.stopped[0] != "web/0: moved from m1 by rollout spring, wave 1" {
 			t.Errorf("%s: stopped %v", c.name, f.fake.stopped)
@@ -166,7 +166,7 @@
 		f.web.Record.AddEviction(0, 1, "spring", 1)
 		c.change(f.Machines.Machines["m1"], f.web.Assignments[0])
 		f.Load(f.web)
-		f.Look(f.now)
+		f.Evaluate(f.now)
 		if f.permits() != c.left || f.web.Assignments[0].Evicting != (c.left > 0) || len(f.fake.stopped) > 0 {
 			t.Errorf("%s: %d permits left, stopped %v", c.name, f.permits(), f.fake.stopped)
 		}
@@ -190,7 +190,7 @@
 		f.web.Record.AddEviction(0, 1, "spring", 1)
 		f.Load(f.web)
 		c.change(f)
-		f.Look(f.now)
+		f.Evaluate(f.now)
 		if f.permits() != c.left {
 			t.Errorf("%s: %d permits left", c.name, f.permits())
 		}
@@ -218,16 +218,16 @@
 		{"after the deadline", func(*fixture, *workload.Assignment) {}, stop, ""},
 		{"not confirmed", func(_ *fixture, a *workload.Assignment) { a.Confirmed = false }, stop, "the start of job/0 is not confirmed yet"},
 		{"a gang on one machine", func(f *fixture, a *workload.Assignment) {
-			a.Job.Record.Spec.Shape = record.Gang
+			a.Job.Record.Spec.JobType = record.Gang
 			f.runTask(a.Job, 1, "m5")
 		}, stop, "team red: 0 tasks are interrupted and 2 more would be, of at most 1 at a time"},
 		{"silent", func(f *fixture, _ *workload.Assignment) { f.Machines.Machines["m5"].UnansweredProbes = 1 }, stop, "nothing is heard of it"},
 		{"a gang that is not complete", func(f *fixture, a *workload.Assignment) {
-			a.Job.Record.Spec.Shape = record.Gang
+			a.Job.Record.Spec.JobType = record.Gang
 			f.runTask(a.Job, 1, "m6").Confirmed = false
 		}, stop, "not all tasks of gang job are known to be on their machines"},
 		{"a service without another possible place", func(f *fixture, a *workload.Assignment) {
-			a.Job.Record.Spec.Shape, a.Job.Record.Spec.InstanceTypes = record.Service, []string{"none"}
+			a.Job.Record.Spec.JobType, a.Job.Record.Spec.InstanceTypes = record.Service, []string{"none"}
 		}, rollout.Order{}, "job/0 could start in no other place that its job allows"},
 	} {
 		f := newFixture(true)
@@ -235,7 +235,7 @@
 		c.change(f, other)
 		c.order.Drain = true
 		f.order(c.order, "m5")
-		f.Look(f.now)
+		f.Evaluate(f.now)
 		if got := strings.Join(f.Blockers()["m5"], "; "); got != c.want || other.Evicting != (c.want == "") {
 			t.Errorf("%s: waits for %q, evicting %v; want %q", c.name, got, other.Evicting, c.want)
 		}
@@ -264,7 +264,7 @@
 		f := newFixture(true)
 		c.change(f)
 		f.order(rollout.Order{Drain: true, Surge: true, Replace: c.replace}, "m1")
-		f.Look(f.now)
+		f.Evaluate(f.now)
 		if demands := len(f.SurgeDemands()); f.permits() != c.permits || demands != c.demands {
 			t.Errorf("%s: %d permits, %d demands", c.name, f.permits(), demands)
 		}
@@ -316,7 +316,7 @@
 	orders := rollout.NewOrders()
 	orders.Machines["m1"], orders.Keep["m2"] = rollout.Order{Rollout: "spring"}, true
 	orders.Provisioning = []rollout.ProvisioningRequest{{Name: rollout.ReplacementPrefix + "1"}, {Name: rollout.ReplacementPrefix + "2"}}
-	if !f.CarryOut(orders) || f.CarryOut(orders) || !f.Machines.Machines["m1"].Cordoned || f.MayConsolidate() {
+	if !f.SetOrders(orders) || f.SetOrders(orders) || !f.Machines.Machines["m1"].Cordoned || f.MayConsolidate() {
 		t.Error("the machine with an order is not cordoned exactly once, or may be consolidated")
 	}
 	f.ReplacementsProvisioned(rollout.ReplacementPrefix+"1", []ids.Machine{"m2"})
@@ -332,7 +332,7 @@
 	if lost, other := view.Machine("m2"), view.Machine("m3"); lost.Failed == "" || lost.Deleted || other.Failed != "" || !other.Deleted {
 		t.Errorf("view of the lost replacement %+v, of another machine %+v", lost, other)
 	}
-	if !f.CarryOut(rollout.NewOrders()) || f.Machines.Machines["m1"].Cordoned || !f.MayConsolidate() {
+	if !f.SetOrders(rollout.NewOrders()) || f.Machines.Machines["m1"].Cordoned || !f.MayConsolidate() {
 		t.Error("the machine without an order is still cordoned or may not be consolidated")
 	}
 }
--- a/internal/fleet/provisioner_test.go
+++ b/internal/fleet/provisioner_test.go
@@ -54,7 +54,7 @@
 }
 
 func newJob(id ids.Job, tasks int) *record.Record {
-	return record.New(record.Spec{ID: id, Class: "c", Team: "red", Shape: record.Array, Tasks: tasks, EstimatedDuration: 100,
+	return record.New(record.Spec{ID: id, Class: "c", Team: "red", JobType: record.Array, Tasks: tasks, EstimatedDuration: 100,
 		Resources: placement.Resources{Cores: 4, RAM: 4}}, ids.TimestampOf(time.Now()), "user")
 }
 
@@ -121,7 +121,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx := context.Background()
 		_, cloud, cluster, _, provisioner := newTestProvisioner(10)
-		provisioner.Adopt([]state.Entry{{Value: []byte(`{"hire":"h-3-1","build":"small","yard":"north","loaners":false,"count":2}`)}})
+		provisioner.LoadRequests([]state.Entry{{Value: []byte(`{"hire":"h-3-1","build":"small","yard":"north","loaners":false,"count":2}`)}})
 		provisioner.Step(ctx)
 		if len(cloud.ProvisioningRequests()["h-3-1"]) != 2 || cluster.Summary()["machines"] != 2 {
 			t.Fatalf("cloud received requests %v, cluster has %v machines; want request h-3-1 and 2 machines", cloud.ProvisioningRequests(), cluster.Summary()["machines"])
--- a/internal/intake/cluster_test.go
+++ b/internal/intake/cluster_test.go
@@ -42,7 +42,7 @@
 func (c *testCluster) start(name string) {
 	_, _, service := newJobService()
 	service.Store = state.NewClient("state:1", c.net.Client(name), state.NewBudget(1000, 1000, 1, 0.6))
-	service.Records = state.NewWatchCache(service.Store, record.JobPrefix, time.Second)
+	service.RecordCache = state.NewWatchCache(service.Store, record.JobPrefix, time.Second)
 	service.Writer = name
 	service.Settings.Params.Teams = append(service.Settings.Params.Teams, config.Team{Name: "blue", CPUsMax: 8})
 	c.services[name] = service
@@ -118,7 +118,7 @@
 	key, encode := record.JobKey(id), rec.Encode
 	switch {
 	case rec.Status.IsTerminal():
-		key = record.EndKey(id)
+		key = record.FinalRecordKey(id)
 	case blocked:
 		key, encode = record.WaitKey(id), rec.EncodeWaiting
 	}
@@ -149,7 +149,7 @@
 // storedKey returns the key at which a job's record is stored. If there are several, it returns them
 // concatenated; if there is none, an empty string.
 func (c *testCluster) storedKey(id ids.Job) (keys string) {
-	for _, key := range []string{record.JobKey(id), record.WaitKey(id), record.EndKey(id)} {
+	for _, key := range []string{record.JobKey(id), record.WaitKey(id), record.FinalRecordKey(id)} {
 		if c.store.Value(key) != nil {
 			keys += key
 		}
--- a/internal/intake/server.go
+++ b/internal/intake/server.go
@@ -14,16 +14,16 @@
 	"github.com/pebbletrail/pebbletrail/internal/worker"
 )
 
-// Heartbeats handles the heartbeats of workers. It returns a batch of commands, or a redirect if the
+// HeartbeatHandler handles the heartbeats of workers. It returns a batch of commands, or a redirect if the
 // batch is nil, and the HTTP status of the response.
-type Heartbeats interface {
+type HeartbeatHandler interface {
 	Heartbeat(ctx context.Context, rep *worker.Report) (*worker.CommandBatch, int, worker.Redirect)
 }
 
 // Server is the HTTP interface of a controller for users, workers' heartbeats, health checks and operators.
 type Server struct {
 	Jobs       *JobService
-	Heartbeats Heartbeats
+	Heartbeats HeartbeatHandler
 	// Ready reports whether the controller can serve requests.
 	Ready func() bool
 	// ExplainByLeader returns the leader's explanation of a job, and the leader's name.
@@ -99,7 +99,7 @@
 	}
 	start := time.Now()
 	summary, alreadyAccepted, err := s.Jobs.submit(ctx, spec)
-	measure.Process.Took("submission", start)
+	measure.Default.Took("submission", start)
 	if err != nil {
 		return s.respondError(c, err)
 	}
@@ -111,7 +111,7 @@
 
 func (s *Server) status(c echo.Context) error {
 	return s.respondForJob(c, statusTimeout, func(ctx context.Context, id ids.Job) (any, bool, error) {
-		defer measure.Process.Took("poll", time.Now())
+		defer measure.Default.Took("poll", time.Now())
 		summary, found, err := s.Jobs.status(ctx, id)
 		return summary.response(), found, err
 	})
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -139,7 +139,7 @@
 	WaveSize   int
 	Pause      ids.Seconds
 	Deadline   ids.Seconds
-	AtDeadline rollout.AtDeadline
+	AtDeadline rollout.DeadlineAction
 	Observe    ids.Seconds
 }
 
@@ -152,7 +152,7 @@
 	Older    bool
 }
 
-// RolloutPlan is a preview of a rollout, computed from the current cluster state.
+// RolloutPlan is the plan of a rollout, computed from the current cluster state.
 type RolloutPlan struct {
 	Machines []ids.Machine
 	Waves    [][]ids.Machine
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -24,11 +24,11 @@
 // testCluster connects controllers, which have no API server for users, to one fake store.
 type testCluster struct {
 	network *fake.Network
-	pipes   *fake.Pipes
+	pipes   *fake.PipeNetwork
 }
 
 func newTestCluster() *testCluster {
-	cluster := &testCluster{network: fake.NewNetwork(), pipes: fake.NewPipes()}
+	cluster := &testCluster{network: fake.NewNetwork(), pipes: fake.NewPipeNetwork()}
 	cluster.network.Listen("state:1", fake.NewStore())
 	return cluster
 }
@@ -70,22 +70,22 @@
 		if a.Cluster() == nil {
 			t.Fatal("a did not become leader")
 		}
-		if linkA.ForShard(0).AllStopped(ctx, 1) {
-			t.Error("AllStopped is true although the other controller does not answer")
+		if linkA.ForShard(0).AllConfirmStopped(ctx, 1) {
+			t.Error("AllConfirmStopped is true although the other controller does not answer")
 		}
 		b, linkB := cluster.start(ctx, "b", "a")
 		time.Sleep(3 * time.Second)
-		if !linkA.ForShard(0).AllStopped(ctx, 1) {
-			t.Error("AllStopped is false although the other controller never led")
+		if !linkA.ForShard(0).AllConfirmStopped(ctx, 1) {
+			t.Error("AllConfirmStopped is false although the other controller never led")
 		}
-		if linkB.ForShard(0).AllStopped(ctx, 1) {
+		if linkB.ForShard(0).AllConfirmStopped(ctx, 1) {
 			t.Error("the leader confirmed that it stopped answering heartbeats")
 		}
 		if !linkA.AnyPeerReachesStore() || !linkB.AnyPeerReachesStore() {
 			t.Error("a controller does not report that the other reaches the state service")
 		}
 		// b notifies the leader a of a job record that it accepted, and asks a to explain the job.
-		rec := record.New(record.Spec{ID: "job-1", Team: "red", Shape: record.Array, Tasks: 1, Resources: placement.Resources{Cores: 1}}, 1, "b")
+		rec := record.New(record.Spec{ID: "job-1", Team: "red", JobType: record.Array, Tasks: 1, Resources: placement.Resources{Cores: 1}}, 1, "b")
 		raw, err := json.Marshal(rec)
 		if err != nil {
 			t.Fatal(err)
@@ -125,8 +125,8 @@
 			return nil, errors.New("no answer")
 		}
 		began := time.Now()
-		if link.ForShard(0).AllStopped(ctx, 7) {
-			t.Error("AllStopped is true although no controller answered")
+		if link.ForShard(0).AllConfirmStopped(ctx, 7) {
+			t.Error("AllConfirmStopped is true although no controller answered")
 		}
 		if took := time.Since(began); dials.Load() != 4 || took > callTimeout {
 			t.Errorf("%d controllers asked in %v, want 4 within the call timeout", dials.Load(), took)
--- a/internal/peer/transfer.go
+++ b/internal/peer/transfer.go
@@ -10,7 +10,7 @@
 // Transfer gives another controller a number of state service changes from this node's budget, if the
 // budget allows it. Controllers of version 0.1.0 lack this method, so requests to them transfer nothing.
 func (s *Service) Transfer(in *TransferRequest, out *TransferReply) error {
-	if s.link.store.Budget().TransferOut(in.Changes) {
+	if s.link.store.Budget().GiveTokens(in.Changes) {
 		out.Changes = in.Changes
 	}
 	return nil
@@ -38,7 +38,7 @@
 
 const (
 	// demandValidity is how long a computed demand is reused. It is slightly less than
-	// healthReportInterval, so that the demand is computed anew for each round of health reports.
+	// healthReportInterval, so that the demand is recomputed for each round of health reports.
 	demandValidity = 900 * time.Millisecond
 	// demandFactor multiplies the share of the demand that is requested from each of the other controllers.
 	demandFactor = 2
--- a/internal/provisioning/provisioning.go
+++ b/internal/provisioning/provisioning.go
@@ -34,14 +34,14 @@
 type Scheduler interface {
 	// Ranked returns the jobs that have tasks to assign, most important first.
 	Ranked(now time.Time) []*workload.Job
-	// QuotaLeft returns how many tasks of a spec, at most want, fit into the remaining quota of its team.
-	QuotaLeft(spec *record.Spec, want int) int
+	// TasksWithinQuota returns how many tasks of a spec, at most want, fit into the remaining quota of its team.
+	TasksWithinQuota(spec *record.Spec, want int) int
 }
 
 // Rollouts is the part of the shard's rollouts that the Planner uses.
 type Rollouts interface {
-	// Keeps reports whether a machine is kept because it replaces another one and is still being observed.
-	Keeps(machine ids.Machine) bool
+	// IsObservedReplacement reports whether a machine is kept as a replacement that is still being observed.
+	IsObservedReplacement(machine ids.Machine) bool
 	// OrderFor returns a rollout's order for a machine. ok reports whether there is one.
 	OrderFor(machine ids.Machine) (order rollout.Order, ok bool)
 	// MayConsolidate reports whether no rollout is moving replicas.
@@ -63,9 +63,9 @@
 	Zones     *liveness.Zones
 	// StoreAvailable reports whether the state service has answered recently.
 	StoreAvailable func() bool
-	// TrustSilence returns the time from which the silence of a machine that has never reported to this
+	// EarliestLeaseExpiry returns the time from which the silence of a machine that has never reported to this
 	// leader counts. Until then an earlier leader may have been receiving the machine's reports.
-	TrustSilence func() time.Time
+	EarliestLeaseExpiry func() time.Time
 }
 
 // reportInterval returns the configured interval between two reports of a worker.
@@ -155,9 +155,9 @@
 // took a sample.
 func (p *Planner) SampleUsage(now time.Time) bool { return p.usage.sample(now) }
 
-// Lateness returns how late a machine is. It is NotLate for a machine that has reported.
-func (p *Planner) Lateness(machine *worker.Machine, now time.Time) Lateness {
-	return p.boots.lateness(machine, now)
+// BootStatus returns how late a machine is. It is NotLate for a machine that has reported.
+func (p *Planner) BootStatus(machine *worker.Machine, now time.Time) BootStatus {
+	return p.boots.bootStatus(machine, now)
 }
 
 // DescribeBooting returns a line that describes, for the user, the booting machines that a pending job
--- a/internal/provisioning/provisioning_test.go
+++ b/internal/provisioning/provisioning_test.go
@@ -20,13 +20,13 @@
 // fakeScheduler ranks jobs by their time of submission and has no quotas.
 type fakeScheduler struct{ jobs *workload.Queue }
 
-func (s fakeScheduler) Ranked(time.Time) []*workload.Job       { return s.jobs.Ordered() }
-func (s fakeScheduler) QuotaLeft(_ *record.Spec, want int) int { return want }
+func (s fakeScheduler) Ranked(time.Time) []*workload.Job              { return s.jobs.Ordered() }
+func (s fakeScheduler) TasksWithinQuota(_ *record.Spec, want int) int { return want }
 
 // noRollouts implements Rollouts without any rollout.
 type noRollouts struct{}
 
-func (noRollouts) Keeps(ids.Machine) bool                     { return false }
+func (noRollouts) IsObservedReplacement(ids.Machine) bool     { return false }
 func (noRollouts) OrderFor(ids.Machine) (rollout.Order, bool) { return rollout.Order{}, false }
 func (noRollouts) MayConsolidate() bool                       { return true }
 func (noRollouts) SurgeDemands() []placement.Demand           { return nil }
@@ -43,7 +43,7 @@
 	jobs := workload.NewQueue()
 	return New(State{Settings: settings, Jobs: jobs, Machines: registry, Capacity: index, Estimates: estimate.New(settings, index),
 		Scheduler: fakeScheduler{jobs}, Rollouts: noRollouts{}, Zones: liveness.NewZones(),
-		StoreAvailable: func() bool { return true }, TrustSilence: func() time.Time { return time.Time{} }})
+		StoreAvailable: func() bool { return true }, EarliestLeaseExpiry: func() time.Time { return time.Time{} }})
 }
 
 // addMachine adds a machine of the given age. A machine that is booting has not reported.
@@ -56,8 +56,8 @@
 }
 
 // addJob adds a job whose tasks each need one core and are estimated to take ten seconds.
-func addJob(planner *Planner, id ids.Job, class string, shape record.Shape, priority record.Priority, tasks int, now time.Time) *workload.Job {
-	spec := record.Spec{ID: id, Class: class, Team: "red", Shape: shape, Priority: priority, Tasks: tasks, EstimatedDuration: 10,
+func addJob(planner *Planner, id ids.Job, class string, jobType record.JobType, priority record.Priority, tasks int, now time.Time) *workload.Job {
+	spec := record.Spec{ID: id, Class: class, Team: "red", JobType: jobType, Priority: priority, Tasks: tasks, EstimatedDuration: 10,
 		Resources: placement.Resources{Cores: 1, RAM: 1}, Image: "image", ImageGB: 1}
 	job := workload.NewJob(record.New(spec, ids.TimestampOf(now), "writer"), 1)
 	planner.Jobs.Add(job)
@@ -78,7 +78,7 @@
 	for _, c := range []struct {
 		age     time.Duration
 		booting bool
-		want    Lateness
+		want    BootStatus
 	}{
 		{time.Minute, true, NotLate}, // twice the boot time of its type
 		{61 * time.Second, true, Late},
@@ -87,7 +87,7 @@
 		{time.Hour, false, NotLate},
 	} {
 		planner := testPlanner()
-		if got := planner.Lateness(addMachine(planner, "m", now, c.age, c.booting), now); got != c.want {
+		if got := planner.BootStatus(addMachine(planner, "m", now, c.age, c.booting), now); got != c.want {
 			t.Errorf("age %v, booting %v: lateness %v, want %v", c.age, c.booting, got, c.want)
 		}
 	}
@@ -136,7 +136,7 @@
 	for _, c := range []struct {
 		name       string
 		class      string
-		shape      record.Shape
+		jobType    record.JobType
 		priority   record.Priority
 		samples    int
 		want       int
@@ -149,7 +149,7 @@
 	} {
 		planner := testPlanner()
 		addMachine(planner, "m", now, time.Hour, false)
-		runTasks(planner, addJob(planner, "job", c.class, c.shape, c.priority, 4, now), 4, "m", now)
+		runTasks(planner, addJob(planner, "job", c.class, c.jobType, c.priority, 4, now), 4, "m", now)
 		for i := range c.samples {
 			planner.SampleUsage(now.Add(time.Duration(i) * sampleInterval))
 		}
--- a/internal/provisioning/termination.go
+++ b/internal/provisioning/termination.go
@@ -72,7 +72,7 @@
 
 // isKept reports whether the plan for the fleet or a rollout keeps a machine.
 func (t *terminator) isKept(machine *worker.Machine, inputs *terminationInputs) bool {
-	return inputs.needed[machine.Name] || t.Rollouts.Keeps(machine.Name)
+	return inputs.needed[machine.Name] || t.Rollouts.IsObservedReplacement(machine.Name)
 }
 
 // idleReturnPassed reports whether more than the configured idle return time (IdleReturnS) has passed since
@@ -167,7 +167,7 @@
 
 // leasesExpireSoon reports whether less than two thirds of a lease remain until silence counts.
 func (t *terminator) leasesExpireSoon(now time.Time) bool {
-	return t.TrustSilence().Sub(now) < t.Settings.Params.Workers.LeaseS.Duration()*2/3
+	return t.EarliestLeaseExpiry().Sub(now) < t.Settings.Params.Workers.LeaseS.Duration()*2/3
 }
 
 // idleReason returns the reason to return a machine without tasks, or "" if it stays.
@@ -191,7 +191,7 @@
 // first.
 func (t *terminator) hasRestartableReplica(machine *worker.Machine, fleet *liveness.Fleet) bool {
 	for assignment := range t.Capacity.AssignmentsOn(machine.Name) {
-		if spec := &assignment.Job.Record.Spec; spec.Shape != record.Service || spec.Zone != "" || !assignment.Job.Schedulable() {
+		if spec := &assignment.Job.Record.Spec; spec.JobType != record.Service || spec.Zone != "" || !assignment.Job.Schedulable() {
 			continue
 		}
 		spread := scheduler.ZoneSpreadOf(assignment.Job, t.Machines)
--- a/internal/reconcile/machine.go
+++ b/internal/reconcile/machine.go
@@ -16,7 +16,7 @@
 // ensure returns the machine that sent a report, and adds it if the leader does not know it.
 func (t *machineTracker) ensure(report *worker.Report, source Source, now time.Time) *worker.Machine {
 	known := t.Machines.Machines[report.Machine] != nil
-	machine := t.Machines.Ensure(report.Machine, now, source.TrustSilence)
+	machine := t.Machines.Ensure(report.Machine, now, source.EarliestLeaseExpiry)
 	if !known {
 		slog.Info("added unknown machine that sent a report", "machine", report.Machine, "type", report.Type, "zone", report.Zone)
 	}
@@ -46,7 +46,7 @@
 		booting:          machine.Booting,
 		classChanged:     machine.Type != report.Type || machine.Zone != report.Zone || machine.Spot != report.Spot,
 		unschedulable:    machine.HasReported && !machine.Schedulable(now, interval),
-		suspect:          machine.Suspect(),
+		suspect:          machine.IsSuspect(),
 		longSilent:       !machine.HasReported || machine.SilentFor(now) > 2*interval.Duration()+longSilenceMargin,
 		terminationKnown: !machine.SpotTerminationAt.IsZero(),
 	}
--- a/internal/record/encoding_test.go
+++ b/internal/record/encoding_test.go
@@ -13,7 +13,7 @@
 // recordWith returns a job's record with the given numbers of dependencies, events and tasks; every other
 // task is done.
 func recordWith(dependencies, events, tasks int) *Record {
-	r := New(Spec{ID: "job-1", Team: "red", Shape: Array, Tasks: tasks}, 1000, "w")
+	r := New(Spec{ID: "job-1", Team: "red", JobType: Array, Tasks: tasks}, 1000, "w")
 	for i := range dependencies {
 		r.Spec.DependsOn = append(r.Spec.DependsOn, ids.Job(fmt.Sprintf("job-77%05d", i)))
 	}
@@ -69,7 +69,7 @@
 }
 
 func TestFinalRecordKeepsItsLastEventLongest(t *testing.T) {
-	// Guards against the loss of the event that tells users how a job ended.
+	// Guards against the loss of the event that shows users how a job ended.
 	r := recordWith(20, 10, 400)
 	r.AddEviction(1, 1, "drain", 1)
 	before := string(marshal(t, r))
--- a/internal/rehearsal/drain_scenario.go
+++ b/internal/rehearsal/drain_scenario.go
@@ -17,7 +17,7 @@
 // replicas run again and all low-priority jobs are done, or when the run's deadline has passed.
 func (r *drainRun) runScenario() error {
 	c := r.cluster
-	deadline := time.Now().Add(r.options.Longest)
+	deadline := time.Now().Add(r.options.MaxDuration)
 	c.deadline = deadline
 	c.cloud.provision("north", r.options.Machines/2)
 	c.cloud.provision("south", r.options.Machines-r.options.Machines/2)
@@ -76,7 +76,7 @@
 // startRollout asks a controller to replace all machines.
 func (r *drainRun) startRollout(deadline time.Time) error {
 	spec := rollout.Spec{Name: rolloutName, Select: rollout.Selection{Older: true}, Replace: true, Surge: true,
-		WaveSize: max(1, r.options.Machines/targetWaves), Deadline: asSeconds(rolloutDeadline), AtDeadline: rollout.StopAtDeadline, Observe: asSeconds(rolloutObservation)}
+		WaveSize: max(1, r.options.Machines/targetWaves), Deadline: asSeconds(rolloutDeadline), DeadlineAction: rollout.StopAtDeadline, Observe: asSeconds(rolloutObservation)}
 	return r.sendCommand(deadline, rollout.Path, &spec)
 }
 
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -42,7 +42,7 @@
 				t.Errorf("%d machines were cordoned at the same time, more than the wave size", f.maxCordoned)
 			}
 		})
-		if n := h.store.CountTooLarge(); n > 0 {
+		if n := h.store.OversizedTransactions(); n > 0 {
 			t.Errorf("%d transactions exceeded the limits of the state service", n)
 		}
 		time.Sleep(2 * time.Second)
@@ -76,7 +76,7 @@
 			"wave size":              func(spec *Spec) { spec.WaveSize = 0 },
 			"pause and observation":  func(spec *Spec) { spec.Pause = -1 },
 			"deadline":               func(spec *Spec) { spec.Deadline = 0 },
-			"at the deadline":        func(spec *Spec) { spec.AtDeadline = "panic" },
+			"at the deadline":        func(spec *Spec) { spec.DeadlineAction = "panic" },
 			"with 3 shards drains":   nil,
 		} {
 			spec := allMachinesSpec("spring")
@@ -258,19 +258,19 @@
 	spec := allMachinesSpec("spring")
 	spec.Select = Selection{Zone: "north"}
 	spec.WaveSize, spec.Pause = 2, 60
-	preview, err := NewPreview(spec, fleet, time.Now())
+	plan, err := NewPlan(spec, fleet, time.Now())
 	if err != nil {
 		t.Fatal(err)
 	}
 	want := [][]ids.Machine{{"host-000005", "host-000003"}, {"host-000001"}}
-	if !slices.EqualFunc(preview.Waves, want, slices.Equal) {
-		t.Errorf("planned waves %v, want %v", preview.Waves, want)
+	if !slices.EqualFunc(plan.Waves, want, slices.Equal) {
+		t.Errorf("planned waves %v, want %v", plan.Waves, want)
 	}
-	if len(preview.Blocked) != 1 || preview.Blocked[0].Name != "host-000001" {
-		t.Errorf("blocked machines %v, want only host-000001", preview.Blocked)
+	if len(plan.Blocked) != 1 || plan.Blocked[0].Name != "host-000001" {
+		t.Errorf("blocked machines %v, want only host-000001", plan.Blocked)
 	}
-	if preview.Takes != 95 { // seven steps of 5 s and one pause of 60 s
-		t.Errorf("planned duration %v s, want 95 s", preview.Takes)
+	if plan.Takes != 95 { // seven steps of 5 s and one pause of 60 s
+		t.Errorf("planned duration %v s, want 95 s", plan.Takes)
 	}
 }
 
--- a/internal/rollout/runner.go
+++ b/internal/rollout/runner.go
@@ -61,7 +61,7 @@
 	for name, reason := range snapshot.unreadable {
 		r.logState(name, unreadableNote(reason))
 	}
-	r.Fleet.CarryOut(orders)
+	r.Fleet.SetOrders(orders)
 	if !wrote && len(snapshot.orphanedParts) > 0 {
 		return r.removeOrphanedParts(ctx, snapshot.orphanedParts)
 	}
@@ -92,7 +92,7 @@
 }
 
 // waitsForCapacity reports whether a rollout drains a machine whose tasks fit on no other machine.
-func waitsForCapacity(record *Record, view View) bool {
+func waitsForCapacity(record *Record, view FleetView) bool {
 	if record.State != Running {
 		return false
 	}
--- a/internal/rollout/service.go
+++ b/internal/rollout/service.go
@@ -28,12 +28,12 @@
 	ErrUnavailable = errors.New("not now")
 )
 
-// Leader forwards requests to the present leader, on whichever controller it runs.
+// Leader forwards requests to the current leader, on whichever controller it runs.
 type Leader interface {
-	// PlanDrain returns a plan for the present state of the fleet.
-	PlanDrain(ctx context.Context, spec *Spec) (*Preview, error)
-	// DrainWaits returns, for each machine being drained, the reasons why it waits.
-	DrainWaits(ctx context.Context) (map[ids.Machine][]string, error)
+	// PlanDrain returns a plan for the current state of the fleet.
+	PlanDrain(ctx context.Context, spec *Spec) (*Plan, error)
+	// DrainBlockers returns, for each machine being drained, the reasons why it waits.
+	DrainBlockers(ctx context.Context) (map[ids.Machine][]string, error)
 }
 
 // Service executes the operators' commands on any controller. All commands are idempotent. The fields do not
@@ -51,15 +51,15 @@
 const maxAttempts = 5
 
 // Plan returns the plan of a rollout without starting it.
-func (s *Service) Plan(ctx context.Context, spec *Spec) (*Preview, error) {
+func (s *Service) Plan(ctx context.Context, spec *Spec) (*Plan, error) {
 	if err := spec.Check(s.Installation()); err != nil {
 		return nil, err
 	}
-	preview, err := s.Leader.PlanDrain(ctx, spec)
+	plan, err := s.Leader.PlanDrain(ctx, spec)
 	if err != nil && !errors.Is(err, ErrInvalidSpec) {
 		return nil, fmt.Errorf("%w: the leader returned no plan: %v", ErrUnavailable, err)
 	}
-	return preview, err
+	return plan, err
 }
 
 // Start stores a rollout, which the leader then executes. Repeating a start with the same specification
@@ -90,11 +90,11 @@
 
 // create plans a rollout and tries to store it. A nil error does not imply that the rollout was stored.
 func (s *Service) create(ctx context.Context, snapshot *rolloutSnapshot, spec *Spec) error {
-	preview, err := s.Plan(ctx, spec)
+	plan, err := s.Plan(ctx, spec)
 	if err != nil {
 		return err
 	}
-	selected := NewMachineSet(preview.Machines...)
+	selected := NewMachineSet(plan.Machines...)
 	if other, machine, found := snapshot.findOverlap(&selected); found {
 		return fmt.Errorf("%w: machine %s is in rollout %s", ErrOverlap, machine, other)
 	}
@@ -198,7 +198,7 @@
 	if rollout.record.State.isFinal() {
 		return statusOf(rollout, nil), nil
 	}
-	waits, err := s.Leader.DrainWaits(ctx)
+	waits, err := s.Leader.DrainBlockers(ctx)
 	if err != nil {
 		status := statusOf(rollout, nil)
 		status.Note = "what the machines wait for is not known: " + err.Error()
--- a/internal/scenarios/drain_budget_test.go
+++ b/internal/scenarios/drain_budget_test.go
@@ -76,7 +76,7 @@
 	})
 }
 
-// TestReplicaFailureAfterPermitDelaysNextEviction makes a replica fail by itself when an eviction
+// TestReplicaFailureAfterPermitDelaysNextEviction makes a replica fail on its own when an eviction
 // permit is stored. The leader learns of the failure before it learns that the permit is stored. The
 // failure uses up the budget, so the eviction must wait until the failed replica is up again.
 func TestReplicaFailureAfterPermitDelaysNextEviction(t *testing.T) {
@@ -166,9 +166,9 @@
 				if test.allMachines {
 					spec.Select = rollout.Selection{Older: true}
 				}
-				preview, err := c.follower().rollouts.Plan(c.ctx, spec)
-				if err != nil || len(preview.Waves) == 0 {
-					t.Fatal(preview, err)
+				plan, err := c.follower().rollouts.Plan(c.ctx, spec)
+				if err != nil || len(plan.Waves) == 0 {
+					t.Fatal(plan, err)
 				}
 				c.startRollout(spec)
 				c.awaitBlocker(test.reason)
@@ -197,7 +197,7 @@
 		})
 		c.sleep(8 * time.Second)
 		spec := newRollout("spring")
-		spec.AtDeadline = rollout.StopAtDeadline
+		spec.DeadlineAction = rollout.StopAtDeadline
 		c.startRollout(spec)
 		c.awaitState("spring", rollout.Ended, 10*time.Minute)
 		c.eventually(time.Minute, "all run elsewhere", func() bool {
@@ -221,14 +221,14 @@
 // checkpoint. They must run to completion, or stop after the deadline if the rollout says so.
 func TestTasksWithoutCheckpointFinishUnlessDrainDeadlinePasses(t *testing.T) {
 	t.Parallel()
-	for _, atDeadline := range []rollout.AtDeadline{rollout.WaitAtDeadline, rollout.StopAtDeadline} {
+	for _, atDeadline := range []rollout.DeadlineAction{rollout.WaitAtDeadline, rollout.StopAtDeadline} {
 		t.Run(string(atDeadline), func(t *testing.T) {
 			t.Parallel()
 			drainScenario(t, 1, drainOptions{capacity: 10}, func(t *testing.T, c *drainCluster) {
 				c.submitToAny(0, newJob("job-1", "array", 2).with("yard", "north"))
 				c.awaitTaskCount(time.Minute, "job-1", 2)
 				spec := newRollout("spring", c.machinesIn("north")...)
-				spec.AtDeadline, spec.Deadline = atDeadline, 30
+				spec.DeadlineAction, spec.Deadline = atDeadline, 30
 				c.startRollout(spec)
 				c.awaitBlocker("can't save and runs to its end")
 				c.consistently(25*time.Second, "it runs on", func() bool { return c.disruption.evictionCount("job-1") == 0 })
--- a/internal/scenarios/drain_node_test.go
+++ b/internal/scenarios/drain_node_test.go
@@ -66,10 +66,10 @@
 		Store:             term.Committer,
 		Generation:        term.Generation,
 		Keys:              record.KeysOf(0, 1),
-		ConfirmLeadership: func() bool { return n.elector.LeaseSurelyHeld(term) },
+		ConfirmLeadership: func() bool { return n.elector.HoldsLease(term) },
 		ListInterval:      2 * time.Second,
 	}
-	provisioner.Adopt(term.OpenProvisioningRequests)
+	provisioner.LoadRequests(term.OpenProvisioningRequests)
 	provisioner.Run(ctx)
 }
 
@@ -108,9 +108,9 @@
 	return nil
 }
 
-// AllStopped reports whether every other running node can be reached and confirms that it answers no
+// AllConfirmStopped reports whether every other running node can be reached and confirms that it answers no
 // heartbeats under an older generation. It asks all of them, also after one has not confirmed.
-func (n *drainNode) AllStopped(_ context.Context, generation ids.Generation, _ ...ids.Node) bool {
+func (n *drainNode) AllConfirmStopped(_ context.Context, generation ids.Generation, _ ...ids.Node) bool {
 	n.cluster.mu.Lock()
 	defer n.cluster.mu.Unlock()
 	all := true
@@ -122,27 +122,27 @@
 	return all
 }
 
-// Alone returns false, because some of the five controllers are always up.
-func (n *drainNode) Alone() bool { return false }
+// NoPeerUp returns false, because some of the five controllers are always up.
+func (n *drainNode) NoPeerUp() bool { return false }
 
-// Served reports whether another node runs.
-func (n *drainNode) Served(node ids.Node) bool {
+// PeerReachesStore reports whether another node runs.
+func (n *drainNode) PeerReachesStore(node ids.Node) bool {
 	n.cluster.mu.Lock()
 	defer n.cluster.mu.Unlock()
 	return n.cluster.nodes[string(node)] != nil
 }
 
-// PlanDrain returns the leader's preview of a rollout.
-func (n *drainNode) PlanDrain(_ context.Context, spec *rollout.Spec) (*rollout.Preview, error) {
+// PlanDrain returns the leader's plan of a rollout.
+func (n *drainNode) PlanDrain(_ context.Context, spec *rollout.Spec) (*rollout.Plan, error) {
 	leader := n.cluster.leader()
 	if leader == nil {
 		return nil, election.ErrNotLeader
 	}
-	return rollout.NewPreview(spec, leader.elector.Cluster().RolloutPlanner(), time.Now())
+	return rollout.NewPlan(spec, leader.elector.Cluster().RolloutPlanner(), time.Now())
 }
 
-// DrainWaits returns the reasons that block the drain of each machine, as known to the leader.
-func (n *drainNode) DrainWaits(context.Context) (map[ids.Machine][]string, error) {
+// DrainBlockers returns the reasons that block the drain of each machine, as known to the leader.
+func (n *drainNode) DrainBlockers(context.Context) (map[ids.Machine][]string, error) {
 	leader := n.cluster.leader()
 	if leader == nil {
 		return nil, election.ErrNotLeader
--- a/internal/scheduler/assign.go
+++ b/internal/scheduler/assign.go
@@ -24,7 +24,7 @@
 
 // assign assigns as many of a job's tasks as limits and free machines allow.
 func (a *assigner) assign(job *workload.Job, pass *planningPass) {
-	if job.Record.Spec.Shape == record.Gang {
+	if job.Record.Spec.JobType == record.Gang {
 		a.assignGang(job, pass)
 		return
 	}
@@ -143,10 +143,10 @@
 			assigned = append(assigned, assignment)
 		}
 	}
-	if !job.ReservationSoughtAt.IsZero() {
+	if !job.LastReservationAttempt.IsZero() {
 		a.protectFromPreemption(job, assigned)
 		a.reservations.removeForJob(job) // the job may have started on machines that were not reserved
-		job.ReservationSoughtAt = time.Time{}
+		job.LastReservationAttempt = time.Time{}
 	}
 	a.cluster.RecordRestarts(job, assigned)
 }
@@ -155,7 +155,7 @@
 // or one task of any other job, preferably one on a machine that was reserved for the job.
 func (a *assigner) protectFromPreemption(job *workload.Job, assigned []*workload.Assignment) {
 	until := time.Now().Add(workload.StartProtectionTime)
-	if job.Record.Spec.Shape == record.Gang {
+	if job.Record.Spec.JobType == record.Gang {
 		for _, assignment := range assigned {
 			assignment.ProtectedUntil = until
 		}
--- a/internal/scheduler/machine_reserver.go
+++ b/internal/scheduler/machine_reserver.go
@@ -38,10 +38,10 @@
 // most expensive machines, all jobs may have high priority. Each job that ends there is replaced by a
 // gang of one task, and a gang that needs two machines at once would never start.
 func wantsReservation(job *workload.Job, tasks int, now time.Time) bool {
-	if job.EffectivePriority() >= record.High && (tasks < 2 || job.Record.Spec.Shape != record.Gang) {
+	if job.EffectivePriority() >= record.High && (tasks < 2 || job.Record.Spec.JobType != record.Gang) {
 		return false
 	}
-	return !job.Suspect() && job.Starving(now) && now.Sub(job.ReservationSoughtAt) >= reservationRetryDelay
+	return !job.Suspect() && job.Starving(now) && now.Sub(job.LastReservationAttempt) >= reservationRetryDelay
 }
 
 // reservableNode is a node with the estimated time until its tasks have ended.
@@ -58,7 +58,7 @@
 	if !wantsReservation(job, n, now) {
 		return false
 	}
-	job.ReservationSoughtAt = now
+	job.LastReservationAttempt = now
 	if r.reservations.countAwaitingTaskEnd(now)+n > max(2*n, len(r.Capacity.Nodes())/reservedFleetDivisor) {
 		return false
 	}
@@ -157,7 +157,7 @@
 // and earlier failures.
 func candidateView(node *capacity.Node, machine *worker.Machine, job *workload.Job) placement.Candidate {
 	image := job.Record.Spec.Image
-	view := placement.Candidate{Name: node.Name, Type: node.Class.Offer, Zone: machine.Zone, Spot: machine.Spot, ScalingIn: machine.DeleteWhenEmpty,
+	view := placement.Candidate{Name: node.Name, Type: node.Class.InstanceType, Zone: machine.Zone, Spot: machine.Spot, ScalingIn: machine.DeleteWhenEmpty,
 		Free: node.Free(), OtherPulls: len(node.ImagePulls)}
 	view.ImageCached = machine.Images.Has(image)
 	view.ImageExpected = view.ImageCached || node.ImagePulls[image] != nil
--- a/internal/worker/machine.go
+++ b/internal/worker/machine.go
@@ -72,7 +72,7 @@
 	ProvisionedAt   time.Time // when it was provisioned, as far as known
 	ListedAt        time.Time // when the cloud's list last contained it
 	Booting         bool      // whether it is provisioned but has not reported yet
-	Failed          bool      // whether the cloud reports that it stopped by itself
+	Failed          bool      // whether the cloud reports that it stopped without a request
 	Deleting        bool
 	DeleteReason    string    // why it is being deleted
 	IdleSince       time.Time // when its last task ended, or when it was added
@@ -114,9 +114,9 @@
 	}
 }
 
-// Suspect reports whether the machine left probes or commands unanswered. Nothing more is sent to a
+// IsSuspect reports whether the machine left probes or commands unanswered. Nothing more is sent to a
 // suspect machine until it answers a probe or reports again.
-func (m *Machine) Suspect() bool { return m.UnansweredProbes > 0 || !m.UnreachableSince.IsZero() }
+func (m *Machine) IsSuspect() bool { return m.UnansweredProbes > 0 || !m.UnreachableSince.IsZero() }
 
 // SilentFor returns the time since the machine's last report.
 func (m *Machine) SilentFor(now time.Time) time.Duration { return now.Sub(m.LastReportAt) }
--- a/internal/workload/failures.go
+++ b/internal/workload/failures.go
@@ -104,7 +104,7 @@
 
 // BackingOff reports whether the job is failing and must not be retried now.
 func (j *Job) BackingOff(now time.Time) bool {
-	return j.Failing() && (now.Before(j.Failures.NotBefore) || j.Record.Spec.Shape != record.Gang && len(j.Assignments) > 0)
+	return j.Failing() && (now.Before(j.Failures.NotBefore) || j.Record.Spec.JobType != record.Gang && len(j.Assignments) > 0)
 }
 
 // BackOffReason returns the explanation for users and operators why a failing job is not retried now.
@@ -142,8 +142,8 @@
 // is not at fault.
 const outlastMargin = 30 * time.Second
 
-// Outlasts reports whether a running task shows that its job, which has failures, is not at fault.
-func (a *Assignment) Outlasts(now time.Time) bool {
+// ShowsJobIsHealthy reports whether a running task shows that its job, which has failures, is not at fault.
+func (a *Assignment) ShowsJobIsHealthy(now time.Time) bool {
 	failures := &a.Job.Failures
 	if failures.Tasks == 0 && a.Job.Record.FailedMachines == 0 {
 		return false
--- a/internal/workload/job.go
+++ b/internal/workload/job.go
@@ -32,7 +32,7 @@
 	Failures FailureHistory
 	Losses   LossHistory
 	// RecordedOutcomes are the task outcomes that Record contains, each with the version that added it. The
-	// worker is told to clear an outcome only after that version is stored.
+	// worker is instructed to clear an outcome only after that version is stored.
 	RecordedOutcomes map[TaskAttempt]uint64
 	// ReadRequiredAfter delays starts of the job's tasks: the records must first be read by a read that began
 	// after this time.
@@ -53,9 +53,9 @@
 	// OversizeVersion is the version that was encoded then.
 	Oversize        bool
 	OversizeVersion uint64
-	// KeptRuns is the number of runs of consecutive finished tasks that were kept to make the record fit into a
+	// KeptSpans is the number of runs of consecutive finished tasks that were kept to make the record fit into a
 	// value of the state service; 0: all.
-	KeptRuns int
+	KeptSpans int
 
 	// PendingReason is the reason why tasks are pending, and LoggedReason is the reason that was last logged.
 	PendingReason, LoggedReason string
@@ -69,8 +69,8 @@
 	StartLasted bool
 	// UnassignedSince is when the job's last assignment was removed.
 	UnassignedSince time.Time
-	// ReservationSoughtAt is when the scheduler last looked for machines to reserve for the job.
-	ReservationSoughtAt time.Time
+	// LastReservationAttempt is when the scheduler last looked for machines to reserve for the job.
+	LastReservationAttempt time.Time
 }
 
 // NewJob returns the job of a stored record. The caller adds its assignments.
@@ -105,7 +105,7 @@
 	return n
 }
 
-// Cancelled reports whether the job's user has been told, or is about to be told, that the job is cancelled.
+// Cancelled reports whether the job has been, or is about to be, reported to its user as cancelled.
 func (j *Job) Cancelled() bool {
 	return j.Record.Status == record.Cancelling || j.Record.Status == record.Cancelled
 }
@@ -140,7 +140,7 @@
 // share the slice's attempt, under which no task with a higher index has been assigned. A record that had to
 // contain a separate attempt for every few tasks would have room for only a fraction of the assignments.
 func (j *Job) ContinuesSlice(i int) bool {
-	return j.Record.Spec.Shape == record.Array && j.LastSlice.Attempt == j.Record.Attempt && j.Record.Attempt > 0 && i > j.LastSlice.LastTask
+	return j.Record.Spec.JobType == record.Array && j.LastSlice.Attempt == j.Record.Attempt && j.Record.Attempt > 0 && i > j.LastSlice.LastTask
 }
 
 // StarvationTime is how long a job waits for its first start before it is scheduled ahead of all but critical
