--- a/cmd/pebbletrail/controller.go
+++ b/cmd/pebbletrail/controller.go
@@ -87,8 +87,8 @@
 	return fleet.NewCloud(c.settings.Services.Cloud, newHTTPClient(connections, connections), callRate)
 }
 
-// exitOnRefusal prints the error and ends the process: with the shard layout or data in the store, this
-// controller must not join the cluster.
+// exitOnRefusal prints the error and ends the process, because this controller must not join the cluster
+// with the shard layout or the data that the store holds.
 func exitOnRefusal(err error) {
 	fmt.Fprintln(os.Stderr, "pebbletrail: "+strings.ReplaceAll(err.Error(), "\n", "; "))
 	os.Exit(1)
--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -16,7 +16,8 @@
 	// rounded down to whole replicas; nil means no relative limit. If both limits are set, the smaller one
 	// applies.
 	MaxUnavailablePercent *int
-	// MaxInterrupted is the maximum number of other tasks that may be interrupted.
+	// MaxInterrupted is the maximum number of tasks, other than replicas of services, that may be
+	// interrupted.
 	MaxInterrupted int
 	// AllowLastReplica permits stopping the last ready replica of a service.
 	AllowLastReplica bool
--- a/internal/budget/meter.go
+++ b/internal/budget/meter.go
@@ -36,7 +36,8 @@
 	m.ready[service] = ready
 }
 
-// CountInterrupted adds other tasks that were evicted and are not running again yet.
+// CountInterrupted adds tasks, other than replicas of services, that were evicted and are not running
+// again yet.
 func (m *Meter) CountInterrupted(team string, tasks int) { m.usage(team).interrupted += tasks }
 
 // usage returns the usage of a team, and adds it if there is none.
--- a/internal/capacity/index.go
+++ b/internal/capacity/index.go
@@ -43,7 +43,7 @@
 }
 
 // Index indexes the nodes of a shard. The machines themselves are in the registry. Reindex must be called
-// after each change of a machine that affects its class or whether the machine is in use.
+// after each change of a machine that affects its class or whether the class lists its node.
 type Index struct {
 	machines      *worker.Registry
 	types         map[string]*placement.InstanceType
--- a/internal/capacity/node.go
+++ b/internal/capacity/node.go
@@ -16,15 +16,15 @@
 	Assignments map[*workload.Assignment]bool
 	// Used is the sum of the resources of all assignments.
 	Used placement.Resources
-	// Reclaimable is the part of Used that belongs to tasks which end by themselves, that is, to arrays and
-	// gangs.
+	// Reclaimable is the part of Used that belongs to tasks of arrays and gangs, which end without being
+	// stopped.
 	Reclaimable placement.Resources
 	// Replicas is the number of assignments of services, which run until they are cancelled.
 	Replicas int
 	// ImagePulls contains, by image, the pulls that tasks of the node wait for.
 	ImagePulls map[string]*ImagePull
-	// Class is the class that lists the node. It is nil if the node is full, its machine is not in use, or
-	// its machine type is unknown.
+	// Class is the class that lists the node. It is nil if the node is full, or if its machine has not
+	// reported, is being deleted or has an unknown type.
 	Class    *Class
 	position int // index in Class.OpenNodes, or -1 if Class is nil
 }
--- a/internal/clusterstate/allowances.go
+++ b/internal/clusterstate/allowances.go
@@ -10,7 +10,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/wait"
 )
 
-// processStart is when this process started, which dates the limits in its settings.
+// processStart is when this process started. The limits in its settings count as set at that time.
 var processStart = ids.TimestampOf(time.Now())
 
 // LoadAllowances loads the allowance ledgers that were read at a takeover.
--- a/internal/clusterstate/cancellation.go
+++ b/internal/clusterstate/cancellation.go
@@ -6,8 +6,8 @@
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// HandleCancellation records that a job's cancellation is stored apart from its record, or, if removed is
-// set, that it no longer is.
+// HandleCancellation records that a job's cancellation is stored under its own key, apart from the job's
+// record, or, if removed is set, that this key was deleted.
 func (c *State) HandleCancellation(id ids.Job, revision ids.Revision, removed bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/clusterstate/cloud_list.go
+++ b/internal/clusterstate/cloud_list.go
@@ -47,8 +47,8 @@
 			machine.Type, machine.Zone, machine.Spot, machine.Addr = listed.Type, listed.Zone, listed.Spot, listed.Address
 			machine.Booting = listed.Status == "booting"
 		}
-		// The list describes a moment before now, so each of these times is too late: the earliest is the
-		// closest.
+		// The list is older than now, so each provisioning time computed from it is too late. The earliest
+		// one is closest to the real time.
 		if at := now.Add(-listed.ProvisionedFor.Duration()); at.Before(machine.ProvisionedAt) {
 			machine.ProvisionedAt = at
 		}
--- a/internal/clusterstate/dependency_tracker.go
+++ b/internal/clusterstate/dependency_tracker.go
@@ -78,8 +78,9 @@
 	waiting := t.waiting[id]
 	switch {
 	case rec == nil && waiting != nil && revision > waiting.Revision:
-		// Either the job's user cancelled it, or this leader moved it and the answer is in flight or lost.
-		// In the latter case the next attempt at the move finds out.
+		// Either the job's user cancelled it, or its shard's leader moved it. If this leader moved it and
+		// the answer is in flight or lost, the job is kept, and the next attempt to move it shows the
+		// outcome.
 		if !t.inShard(id) || !t.graph.IsReady(id) && t.graph.CancelledBy(id) == "" {
 			t.removeWaitingJob(waiting)
 			t.checkPrerequisite(id, now)
--- a/internal/clusterstate/dispatch_test.go
+++ b/internal/clusterstate/dispatch_test.go
@@ -176,8 +176,8 @@
 
 func TestTaskReassignedToSameMachineIsClearedFirst(t *testing.T) {
 	t.Parallel()
-	// Guards against applying the outcome of an old attempt to its replacement on the same machine, which
-	// was then reassigned in each planning pass.
+	// Guards against applying the outcome of an ended gang task to its replacement on the same machine,
+	// which has the same attempt number: the replacement was then reassigned in each planning pass.
 	now := time.Now()
 	cluster, job := newStateWithGang(now)
 	cluster.machinesWithStarts()
--- a/internal/clusterstate/eviction.go
+++ b/internal/clusterstate/eviction.go
@@ -42,8 +42,8 @@
 	c.evictor.ReplacementsProvisioned(name, machines)
 }
 
-// ClosedZones returns the zones that rollouts vacate, in which nothing is provisioned meanwhile, and the
-// rollout of each.
+// ClosedZones returns the zones that rollouts drain permanently, in which nothing is provisioned, and the
+// rollout that drains each zone.
 func (c *State) ClosedZones() map[string]rollout.Name {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/clusterstate/explain.go
+++ b/internal/clusterstate/explain.go
@@ -14,8 +14,8 @@
 // maxExplainLines bounds the lines of an explanation.
 const maxExplainLines = 200
 
-// Explain returns lines for the user that tell why a job's pending tasks wait and where its other tasks
-// are, as far as this leader knows.
+// Explain returns lines for the user: why a job's pending tasks wait, and where its other tasks are, as far
+// as this leader knows.
 func (c *State) Explain(id ids.Job) []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/clusterstate/helpers_test.go
+++ b/internal/clusterstate/helpers_test.go
@@ -239,7 +239,7 @@
 }
 
 // removeStoppingAssignments removes the assignments that are being stopped, as if their tasks had exited,
-// in the random order of the machines.
+// machine by machine in random order.
 func (c *State) removeStoppingAssignments() {
 	for name := range c.machines.Machines {
 		for assignment := range c.capacity.AssignmentsOn(name) {
--- a/internal/clusterstate/hint_cache.go
+++ b/internal/clusterstate/hint_cache.go
@@ -10,8 +10,8 @@
 // name machines that are gone.
 const completeHintsInterval = 20 * time.Second
 
-// HintCache holds the hints that the last leader gave of its machines, in case this node leads next. Its
-// owner guards it with a lock.
+// HintCache holds the hints that the last leader sent about its machines, for use if this node becomes the
+// next leader. Its owner guards it with a lock.
 type HintCache struct {
 	hints    map[ids.Machine]receivedHint
 	received HintPosition
@@ -23,8 +23,8 @@
 	provisionedAt time.Time
 }
 
-// Receive records a leader's hints and the position that they reach. It ignores the hints of an earlier
-// leader than the last.
+// Receive records a leader's hints and the position that they reach. It ignores hints of
+// leaders before the last one.
 func (c *HintCache) Receive(hints []Hint, position HintPosition) {
 	if position.Generation < c.received.Generation {
 		return
--- a/internal/clusterstate/hints.go
+++ b/internal/clusterstate/hints.go
@@ -27,7 +27,7 @@
 type HintPosition struct {
 	Generation ids.Generation
 	Sequence   uint64
-	Complete   bool // the hints sent with the position are all that there are
+	Complete   bool // the hints sent with the position are complete, not only the changed ones
 	ReceivedAt time.Time
 }
 
@@ -37,8 +37,8 @@
 	machine.HintSequence = c.hintSequence
 }
 
-// Hints returns the hints that changed since a position, or all hints if the position is not one of this
-// term, and the position that they reach.
+// Hints returns the hints that changed since a position, and the position after them. If the given position
+// is not of this term, it returns all hints.
 func (c *State) Hints(since HintPosition) (hints []Hint, position HintPosition) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/clusterstate/liveness_test.go
+++ b/internal/clusterstate/liveness_test.go
@@ -14,8 +14,9 @@
 
 func TestLeaderIsolatedOnlyByOverdueRedirectedWorkers(t *testing.T) {
 	t.Parallel()
-	// Regression: a leader stepped down nine seconds after its takeover because of workers that had
-	// reached it: its peer's message about redirecting them arrived after the workers' reports.
+	// Regression: a leader stepped down nine seconds after its takeover. A peer had redirected workers to
+	// it, but the peer's message about that arrived after the workers had reported, so the leader counted
+	// these workers as unable to reach it.
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newStateWithMachines(40)
 		cluster.settings.Params.Workers.ReportS = 10
--- a/internal/clusterstate/operations.go
+++ b/internal/clusterstate/operations.go
@@ -12,9 +12,9 @@
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// operations gives the packages that decide access to the cluster state: scheduler, eviction, reconcile,
-// dispatch and the dependency tracker each use the part of it that their own interface names. Its methods
-// are called with the cluster state's lock held.
+// operations implements the interfaces through which the packages that make decisions use the cluster
+// state: scheduler, eviction, reconcile, dispatch and the dependency tracker each define an interface with
+// the methods that they need. The methods are called with the cluster state's lock held.
 type operations struct{ cluster *State }
 
 // StoreAvailable reports whether the store has answered recently.
@@ -60,7 +60,7 @@
 // MarkUrgent requests that a job's record be stored at once.
 func (o operations) MarkUrgent(job *workload.Job) { o.cluster.markUrgent(job) }
 
-// FinishIfComplete moves a job to its final status if none of its tasks is left to run or to stop.
+// FinishIfComplete ends a job whose tasks are all finished, or a cancelled job without assignments.
 func (o operations) FinishIfComplete(job *workload.Job) { o.cluster.finishIfComplete(job) }
 
 // RecordEvent adds an event to a job.
--- a/internal/clusterstate/provisioning.go
+++ b/internal/clusterstate/provisioning.go
@@ -49,8 +49,8 @@
 	return c.planner.ConsolidationCandidates(now)
 }
 
-// Consolidate begins to move a machine's replicas elsewhere; an empty name ends that. It reports whether a
-// machine was being emptied until now.
+// Consolidate starts to move a machine's replicas to other machines; an empty name ends the current
+// consolidation. It reports whether another consolidation was in progress before the call.
 func (c *State) Consolidate(name ids.Machine, now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -71,8 +71,8 @@
 	return c.planner.Shortage()
 }
 
-// ShareCapacity gives capacity up for other shards, which have had a shortage for othersShortage.
-// part is this shard's part of the fleet.
+// ShareCapacity frees capacity for other shards, which have been short of machines for othersShortage.
+// part is the average number of machines per shard.
 func (c *State) ShareCapacity(othersShortage time.Duration, part int, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/clusterstate/ready_jobs.go
+++ b/internal/clusterstate/ready_jobs.go
@@ -15,8 +15,8 @@
 )
 
 // collectReadyMoves collects the moves of waiting jobs that become schedulable. After a group with such
-// moves, urgent changes get a group to themselves: the end of a job with many dependents must not delay all
-// else.
+// moves, the next group contains no moves of ready jobs if there are urgent changes, so that the end of a
+// job with many dependents does not delay all other changes.
 func (t *dependencyTracker) collectReadyMoves(add func(commit.Change) bool) {
 	if t.lastGroupMovedJobs && t.changes.HasUrgent() {
 		t.lastGroupMovedJobs = false
--- a/internal/clusterstate/record_compatibility_test.go
+++ b/internal/clusterstate/record_compatibility_test.go
@@ -122,7 +122,7 @@
 }
 
 // firstPipelineVersionDir holds records written by the first version with pipelines, which still had the
-// version number 0.1.0: any version may have been running.
+// version number 0.1.0. A cluster may have run any version, so its records must stay readable.
 const firstPipelineVersionDir = "testdata/0.1.0-pipelines"
 
 func TestFirstPipelineVersionRecordsRoundTripUnchanged(t *testing.T) {
--- a/internal/clusterstate/recovery.go
+++ b/internal/clusterstate/recovery.go
@@ -11,9 +11,9 @@
 	"github.com/pebbletrail/pebbletrail/internal/workload"
 )
 
-// Load fills the cluster state with the records read at a takeover. The claims in them ended with the
-// leader that made them; their assignments stay until a report, an expired lease or the cloud shows what
-// became of the tasks.
+// Load fills the cluster state with the records read at a takeover. The previous leader's term
+// has ended, but the assignments in its records stay until a report, an expired lease or the cloud shows
+// what became of the tasks.
 func (c *State) Load(records map[ids.Job]*record.Record, revisions map[ids.Job]ids.Revision, listRevision ids.Revision, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -95,8 +95,8 @@
 	}
 	if rec == nil {
 		// If this leader ended the job, its own write arrives here too, possibly before the answer to it.
-		// Another controller ends a job only while no task is assigned; if one is by now, this leader's
-		// next write of the job finds out.
+		// Another controller ends a job only while no task is assigned. If a task has been assigned since,
+		// this leader's next write of the job fails with a conflict, which is then resolved.
 		if !job.Record.Status.IsTerminal() && len(job.Assignments) == 0 {
 			c.retireJob(job)
 		}
--- a/internal/clusterstate/state.go
+++ b/internal/clusterstate/state.go
@@ -1,7 +1,7 @@
 // Package clusterstate implements the in-memory state of a shard's leader: jobs, assignments and machines,
-// under one lock. Each exported method of State takes the lock and calls one of the packages that decide
-// (scheduler, provisioning, eviction, reconcile, dispatch, quota), which change the state through the
-// operations passed to them; see docs/architecture.md.
+// under one lock. Each exported method of State takes the lock and calls one of the packages that make the
+// decisions (scheduler, provisioning, eviction, reconcile, dispatch, quota), which change the state through
+// the operations passed to them; see docs/architecture.md.
 package clusterstate
 
 import (
@@ -90,8 +90,8 @@
 	// of the records; live is false if there is none. It and the two functions below are set before the
 	// term begins.
 	StatusInOtherShard func(id ids.Job) (status record.Status, live bool)
-	// StoreAvailable reports whether the store has answered recently. While it does not, no stopped task
-	// could be started again, so no task is stopped that could go on.
+	// StoreAvailable reports whether the store has answered recently. While the store does not answer, a
+	// stopped task could not be started again, so no task is stopped that could continue.
 	StoreAvailable func() bool
 	// StartsAllowed reports whether starts may be sent, and the time of the last complete read of the
 	// records: another node may have confirmed since, unknown to this one, that a job is cancelled. It is
@@ -165,8 +165,8 @@
 	}
 }
 
-// markChanged records that a job changed, and sets a queued or claimed job's status by whether it has
-// assignments.
+// markChanged records that a job changed. Unless the job has ended or is being cancelled, it also sets the
+// job's status: claimed if the job has assignments, queued otherwise.
 func (c *State) markChanged(job *workload.Job) {
 	job.Version++
 	if c.jobs.Contains(job) && !job.Ended {
@@ -187,8 +187,8 @@
 	}
 }
 
-// markUrgent marks a job's change as one to store at once, since something waits for it: starts for their
-// markers, or other jobs and users for an end.
+// markUrgent requests that a job's change be stored at once, because something waits for it: starts wait for
+// their markers, and users and dependent jobs wait for the end of a job.
 func (c *State) markUrgent(job *workload.Job) {
 	job.Urgent = true
 	wait.Signal(c.commitSignal)
@@ -214,7 +214,8 @@
 	c.finishIfComplete(job)
 }
 
-// finishIfComplete moves a job to its final status if none of its tasks is left to run or to stop.
+// finishIfComplete moves a job to its final status: to done once all of its tasks are finished, and stops
+// the tasks that are still assigned; or to cancelled once a cancelled job has no assignments left.
 func (c *State) finishIfComplete(job *workload.Job) {
 	switch {
 	case job.Record.Status.IsTerminal():
--- a/internal/clusterstate/store_changes.go
+++ b/internal/clusterstate/store_changes.go
@@ -15,13 +15,13 @@
 	// together. No outcome is lost: workers report it until it is stored and cleared, so the next leader
 	// would learn it again. Changes that something waits for, markers and ends, are not delayed.
 	outcomeDelay = 4 * time.Second
-	// scarceOutcomeDelay replaces outcomeDelay while the store takes few more changes: new work and ends
-	// need them more.
+	// scarceOutcomeDelay replaces outcomeDelay while the budget for changes to the store is nearly
+	// exhausted, because new work and ends of jobs need the rest of the budget.
 	scarceOutcomeDelay = 12 * time.Second
 )
 
 // maxTxnBytes is how much of a transaction's 64 KiB its changes may fill. The text around the values,
-// conditions included, takes less than txnBytes in a transaction and changeBytes in each change.
+// conditions included, takes less than txnBytes per transaction plus changeBytes per change.
 const (
 	maxTxnBytes = 60 * 1024
 	txnBytes    = 256
--- a/internal/commit/committer.go
+++ b/internal/commit/committer.go
@@ -32,7 +32,7 @@
 	// CommitRequested returns a channel that becomes readable when a change has to be stored at once.
 	CommitRequested() <-chan struct{}
 	// CollectChanges returns the changes to store now, most urgent first. raise reports whether the
-	// generation has to be raised before.
+	// generation has to be raised first.
 	CollectChanges(limits Limits) (changes []Change, raise bool)
 	// ChangesStored records that changes are stored. Unless readAfter is zero, starts of their jobs wait
 	// for a read of the records that began after readAfter.
--- a/internal/commit/lookups.go
+++ b/internal/commit/lookups.go
@@ -110,8 +110,8 @@
 	return covered, true
 }
 
-// keyBefore returns a key that sorts before the given key, and after every other job's key that does,
-// because job keys end in digits.
+// keyBefore returns a key that sorts directly before the given job key: no other job's key lies between
+// them, because job keys end in digits.
 func keyBefore(key string) string {
 	last := len(key) - 1
 	return key[:last] + string(key[last]-1) + "~"
--- a/internal/dependency/urgency.go
+++ b/internal/dependency/urgency.go
@@ -23,7 +23,8 @@
 }
 
 // urgencyForPrerequisites returns the urgency that the prerequisites of a waiting job inherit from it.
-// Their deadline is earlier than the job's own and inherited deadlines by the job's duration.
+// The deadline of that urgency is the earlier of the job's own deadline and the one that it inherits, minus
+// the job's duration.
 func (n *node) urgencyForPrerequisites() Urgency {
 	urgency := n.inherited.merge(n.job.Urgency)
 	if !urgency.Deadline.IsZero() {
--- a/internal/dispatch/prober.go
+++ b/internal/dispatch/prober.go
@@ -51,9 +51,9 @@
 	// own once it is back.
 	maxFrequentProbes = 4
 	// earlyProbesPerSecond limits how many machines without replicas are probed per second before their
-	// reports are overdue. Reports may arrive a quarter of their interval late. In a large fleet half of
-	// all machines are silent for long enough to be probed at any time, and probing each of them would cost
-	// the leader as much as their reports do.
+	// reports are overdue. Reports may arrive a quarter of their interval late. At any time, half of
+	// the machines of a large fleet have been silent for long enough to be probed, and probing each of them
+	// would cost the leader as much as their reports do.
 	earlyProbesPerSecond = 30.0
 )
 
@@ -82,8 +82,8 @@
 	return probes
 }
 
-// silentMachines returns the machines to probe: all whose reports are overdue, and of the others the few
-// that have been silent for longest.
+// silentMachines returns the machines to probe: all that are due for a probe, except that of the early ones,
+// as defined by isEarly, only the few that have been silent for longest are included.
 func (p *Prober) silentMachines(now time.Time) (silent []*worker.Machine) {
 	early := longestSilentMachines{limit: int(p.earlyTokens)}
 	for _, machine := range p.machines.Machines {
@@ -108,7 +108,7 @@
 	return silent && now.Sub(machine.LastProbeAt) > p.retryDelay(machine)
 }
 
-// isEarly reports whether a machine without replicas has a report that is not overdue yet and no sign of a
+// isEarly reports whether a machine has no replicas, its report is not overdue yet, and it shows no sign of a
 // failure.
 func (p *Prober) isEarly(machine *worker.Machine, now time.Time) bool {
 	return machine.HasReported && machine.UnansweredProbes == 0 && machine.UnreachableSince.IsZero() &&
--- a/internal/dispatch/prober_test.go
+++ b/internal/dispatch/prober_test.go
@@ -11,7 +11,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/worker"
 )
 
-// largestFleet is the largest number of machines that is within all limits of a cluster.
+// largestFleet is the largest number of machines that the service must support.
 const largestFleet = 6000
 
 func TestEarlyProbesGoToLongestSilentMachines(t *testing.T) {
--- a/internal/dispatch/queue.go
+++ b/internal/dispatch/queue.go
@@ -122,8 +122,8 @@
 	}
 }
 
-// renewMarker has an assignment's marker stored again. The generation was raised after the marker was
-// stored, and the marker must contain the fencing token that the start is sent with.
+// renewMarker requests that an assignment's marker be stored again. The generation was raised after the
+// marker was stored, and the marker must contain the fencing token that the start is sent with.
 func (q *Queue) renewMarker(assignment *workload.Assignment, fencingToken ids.Generation) {
 	assignment.FencingToken = fencingToken
 	q.jobs.MarkChanged(assignment.Job)
--- a/internal/election/authority.go
+++ b/internal/election/authority.go
@@ -49,8 +49,9 @@
 
 // mayAnswerHeartbeats reports whether this node may still answer heartbeats. A successor relies on this
 // node to stop answering a fixed time after its last successful renewal. Users rely on cancelled tasks to
-// end in time: until this node has read of a cancellation, its answers keep the worker's lease and thus the
-// task alive, so it must also stop answering the same time after its last complete read of the records.
+// end in time: until this node has read a cancellation, its answers keep the worker's lease and thus the
+// task alive. It must therefore also stop answering when the same time has passed since its last complete
+// read of the records.
 func (a *authority) mayAnswerHeartbeats() bool {
 	return a.confirmedWithin(a.settings.LeaderGracePeriod().Duration())
 }
--- a/internal/election/candidate.go
+++ b/internal/election/candidate.go
@@ -42,7 +42,7 @@
 	// mu guards the field below, which any goroutine that resigns sets. No other lock is acquired and no
 	// callback runs while mu is held.
 	mu             sync.Mutex
-	suspendedUntil time.Time // this node does not campaign before
+	suspendedUntil time.Time // time before which this node does not campaign
 }
 
 // observedGeneration is the writer of the generation that this node last saw in the store, and when the
--- a/internal/election/elector.go
+++ b/internal/election/elector.go
@@ -28,7 +28,7 @@
 	// AllConfirmStopped asks the named controllers, or all others if none is named, to confirm that they no
 	// longer answer heartbeats under a generation older than this one. It reports whether all have confirmed.
 	AllConfirmStopped(ctx context.Context, generation ids.Generation, nodes ...ids.Node) bool
-	// NoPeerUp reports whether there are other controllers and none of them has been heard recently.
+	// NoPeerUp reports whether there are other controllers and none of them is up, as far as this node knows.
 	NoPeerUp() bool
 	// PeerReachesStore reports whether another controller is up and the state service answers it.
 	PeerReachesStore(node ids.Node) bool
--- a/internal/election/helpers_test.go
+++ b/internal/election/helpers_test.go
@@ -44,8 +44,8 @@
 }
 
 // startTestTerm makes an elector the leader of a term whose lease was granted just now. The term's records
-// are not loaded yet, but the authority always takes them for freshly read, so that it depends only on
-// renewals and pauses.
+// are not loaded yet, but the authority always treats them as just read, so that its decisions depend
+// only on renewals and pauses.
 func startTestTerm(elector *Elector, cluster *clusterstate.State) *Term {
 	elector.current.term = &Term{
 		Generation: testGeneration,
--- a/internal/election/isolation.go
+++ b/internal/election/isolation.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// isolationMinTerm is the minimum duration of a term before its leader may resign because it hears no
-	// worker.
+	// isolationMinTerm is the minimum duration of a term before its leader may resign because it has lost
+	// contact with the workers.
 	isolationMinTerm = 5 * time.Second
 	// resignationPause is how long this node does not campaign for a shard after it resigned from it.
 	resignationPause = 20 * time.Second
--- a/internal/election/machine_ownership_test.go
+++ b/internal/election/machine_ownership_test.go
@@ -11,8 +11,8 @@
 )
 
 func TestHeartbeatForAShardBeyondTheConfiguredOnesIsRejected(t *testing.T) {
-	// A node that is configured with fewer shards than the store is laid out for crashed if a heartbeat arrived
-	// before the node had read the layout.
+	// Guards against a crash of a node that is configured with fewer shards than the store is laid out for: it
+	// crashed if a heartbeat arrived before the node had read the layout.
 	settings, shardCount := testSettings(), uint32(2)
 	settings.Features = &config.Features{Shards: &shardCount}
 	shards := NewShards(settings, state.NewClient("state:1", nil, state.NewBudget(100, 100, 1, 0.5)), nil, "a.1")
--- a/internal/election/process_pause.go
+++ b/internal/election/process_pause.go
@@ -18,8 +18,8 @@
 
 const (
 	pauseCheckInterval = 100 * time.Millisecond
-	// pauseThreshold is the time without a tick that counts as a pause. A lease may expire within it, and a
-	// loaded processor alone does not delay a tick that long.
+	// pauseThreshold is the time without a tick that counts as a pause. A lease may expire within that time,
+	// whereas a loaded processor alone does not delay a tick that long.
 	pauseThreshold = 1500 * time.Millisecond
 )
 
--- a/internal/election/process_pause_test.go
+++ b/internal/election/process_pause_test.go
@@ -14,7 +14,7 @@
 func TestLeaderRenewsItsLeaseAfterAPauseBeforeItActs(t *testing.T) {
 	t.Parallel()
 	// Guards against a leader that, right after a pause, answers requests that waited on its connections, or
-	// treats machines as silent whose reports it did not read during the pause.
+	// treats machines as silent because it did not read their reports during the pause.
 	synctest.Test(t, func(t *testing.T) {
 		elector := NewElector(testSettings(), nil, nil, "a.1")
 		cluster := clusterWithMachines(t, 12)
--- a/internal/election/redirects_test.go
+++ b/internal/election/redirects_test.go
@@ -8,8 +8,8 @@
 
 func TestRedirectsToAnEarlierLeaderDoNotCountAgainstTheCurrentOne(t *testing.T) {
 	t.Parallel()
-	// After a leader crashed, the workers that had been redirected to it, or had reported to this node since,
-	// made each new leader resign a few seconds after its takeover.
+	// Guards against new leaders that resign a few seconds after their takeover because of workers that had
+	// been redirected to a crashed predecessor, or had reported to this node since.
 	synctest.Test(t, func(t *testing.T) {
 		redirects := newRedirectTracker()
 		redirects.record("m1", "b")
--- a/internal/election/term.go
+++ b/internal/election/term.go
@@ -19,8 +19,8 @@
 	// delay after each pass.
 	maxPlanInterval = 500 * time.Millisecond
 	minPlanInterval = 25 * time.Millisecond
-	// commandSlotDivisor is the divisor of the number of sockets to machines that gives the number that the
-	// dispatcher may use.
+	// commandSlotDivisor divides the number of sockets to machines; the dispatcher may use at most the
+	// quotient.
 	commandSlotDivisor = 4
 )
 
--- a/internal/eviction/capacity_finder.go
+++ b/internal/eviction/capacity_finder.go
@@ -17,7 +17,8 @@
 	orders *orderSet
 }
 
-// zonesWithout returns the zones of a job's tasks, without a task that is to be moved.
+// zonesWithout returns how the tasks of an assignment's job are spread over zones, not counting the
+// assignment itself, which is to be moved.
 func (f *capacityFinder) zonesWithout(assignment *workload.Assignment) *scheduler.ZoneSpread {
 	spread := scheduler.ZoneSpreadOf(assignment.Job, f.Machines)
 	if machine := f.Machines.Machines[assignment.Machine]; machine != nil {
--- a/internal/eviction/evictor_test.go
+++ b/internal/eviction/evictor_test.go
@@ -197,7 +197,7 @@
 	}
 }
 
-// rerunElsewhere has the service's first task running on another machine, under the next attempt.
+// rerunElsewhere runs the service's first task on another machine, under the next attempt.
 func (f *fixture) rerunElsewhere() *workload.Assignment {
 	assignment := f.runTask(f.web, 0, f.addMachine("m5", "small").Name)
 	assignment.Attempt = 2
--- a/internal/fleet/boot_time_test.go
+++ b/internal/fleet/boot_time_test.go
@@ -71,8 +71,8 @@
 
 func TestSlowBootsDoNotProvisionTheSameDemandAgain(t *testing.T) {
 	// Guards against an endless cycle of deleting and provisioning when all boots are slow. Machines were
-	// deleted by the nominal boot time of their type while all took many times as long, so none came up
-	// before it was deleted. Later boots take their usual time.
+	// deleted at an age based on the nominal boot time of their type. All took many times as long, so none
+	// came up before it was deleted. Later boots take their usual time.
 	slow := func(_ string, provisioned time.Duration) time.Duration {
 		if provisioned < 100*time.Second {
 			return 200 * time.Second
--- a/internal/fleet/provisioner.go
+++ b/internal/fleet/provisioner.go
@@ -36,9 +36,9 @@
 	// ListInterval is the interval between reads of the machine list. Reading more often gains nothing,
 	// since the list lags.
 	ListInterval time.Duration
-	// ConfirmLeadership reports whether certainly no other node is leader yet; if nil, there never is
-	// another. The cloud does not support fencing tokens: a leader that was paused or waited for longer
-	// than its lease could delete machines on which its successor has started tasks. The function is
+	// ConfirmLeadership reports whether it is certain that no other node is leader yet; nil if there is
+	// never another leader. The cloud does not support fencing tokens: a leader that was paused or waited
+	// for longer than its lease could delete machines on which its successor has started tasks. The function is
 	// therefore called directly before a deletion or request is sent.
 	ConfirmLeadership func() bool
 	// Keys are the keys under which the shard's requests are stored.
--- a/internal/fleet/scale_in.go
+++ b/internal/fleet/scale_in.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// consolidate searches for a machine whose services the other machines can run without new machines, and has
-// it emptied.
+// consolidate searches for a machine whose services the other machines can run without new machines, and
+// starts its consolidation.
 func (p *Provisioner) consolidate() {
 	now := time.Now()
 	if now.Sub(p.lastConsolidationSearch) < consolidateInterval {
--- a/internal/fleet/shards_test.go
+++ b/internal/fleet/shards_test.go
@@ -107,7 +107,7 @@
 
 func TestUnlistedMachinesDoNotBlockProvisioning(t *testing.T) {
 	// Guards against a new leader that never requests machines because all were deleted right before the
-	// failover: it received no heartbeats and took that for its own network partition.
+	// failover: it received no heartbeats and concluded that it was cut off by a network partition.
 	synctest.Test(t, func(t *testing.T) {
 		ctx := context.Background()
 		_, cloud, cluster, _, provisioner := newTestProvisioner(2)
--- a/internal/ids/index_set.go
+++ b/internal/ids/index_set.go
@@ -87,7 +87,7 @@
 // Len returns the number of members.
 func (s *IndexSet) Len() int { return s.size }
 
-// NextMissing returns the smallest index not below from that the set does not contain.
+// NextMissing returns the smallest index that is not in the set and is at least from.
 func (s *IndexSet) NextMissing(from int) int {
 	if position, found := s.search(from); found {
 		return s.spans[position].last + 1
--- a/internal/ids/time.go
+++ b/internal/ids/time.go
@@ -27,5 +27,5 @@
 // TimestampOf converts t to a Timestamp.
 func TimestampOf(t time.Time) Timestamp { return Timestamp(t.UnixMilli()) }
 
-// Time converts w to a time.Time.
+// Time converts t to a time.Time.
 func (t Timestamp) Time() time.Time { return time.UnixMilli(int64(t)) }
--- a/internal/intake/connection_limiter_test.go
+++ b/internal/intake/connection_limiter_test.go
@@ -44,9 +44,8 @@
 }
 
 func TestWorkersAndHealthChecksConnectWhenTheListenerIsFull(t *testing.T) {
-	// Guards against workers that use all connections of the listener, which happens with a fleet half as
-	// large again: users got no response, health checks failed, and workers that connected late lost their
-	// leases.
+	// Guards against workers that use all connections of the listener, which happens when the fleet grows by
+	// half: users got no response, health checks failed, and workers that connected late lost their leases.
 	synctest.Test(t, func(t *testing.T) {
 		pipes := fake.NewPipeNetwork()
 		_, _, service := newJobService()
--- a/internal/intake/feasibility.go
+++ b/internal/intake/feasibility.go
@@ -9,7 +9,7 @@
 
 // checkFeasibility checks whether a job can ever run. It returns a rejectedError if it cannot, and
 // errUnavailable while the machine types on offer are unknown. It removes machine types that are not on
-// offer from the spec.
+// offer in the job's zone from the spec.
 func (s *JobService) checkFeasibility(spec *record.Spec) error {
 	if err := s.checkTeamLimits(spec); err != nil {
 		return err
--- a/internal/intake/forecast.go
+++ b/internal/intake/forecast.go
@@ -17,8 +17,8 @@
 	maxForecastJobs = 500
 	// maxListedDependencies limits how many dependencies an explanation lists.
 	maxListedDependencies = 100
-	// maxListedDeadlines limits for how many dependents an explanation estimates whether they meet their
-	// deadlines.
+	// maxListedDeadlines limits the number of dependents for which an explanation estimates whether they
+	// meet their deadlines.
 	maxListedDeadlines = 5
 )
 
@@ -73,7 +73,7 @@
 	return lines, nil
 }
 
-// explainCancellation names the job whose cancellation by its user ended the given job, which depends on it.
+// explainCancellation names the dependency whose cancellation by its user led to that of the given job.
 // The record may name an intermediate dependency that was cancelled for the same reason.
 func (f *forecast) explainCancellation(ctx context.Context, rec *record.Record) ([]string, error) {
 	cause, intermediates := rec.CancelledBy, []string{}
@@ -195,7 +195,8 @@
 }
 
 // dependentsWithDeadline returns the blocked jobs with a deadline that depend on a job directly or
-// indirectly, earliest deadline first. It reads them from the controller's watch cache.
+// indirectly, earliest deadline first and at most maxListedDeadlines. It reads them from the controller's
+// watch cache.
 func (f *forecast) dependentsWithDeadline(id ids.Job) []*record.Record {
 	dependentsByJob := f.records.dependentsByJob()
 	found := map[ids.Job]bool{id: true}
--- a/internal/intake/intake_test.go
+++ b/internal/intake/intake_test.go
@@ -187,8 +187,8 @@
 }
 
 func TestThousandsOfPollsLeaveStoreCallsForSubmissions(t *testing.T) {
-	// Guards against one store call for each poll. Thousands of users poll at once at a controller whose
-	// rate limit is that of one of five controllers, while other jobs are submitted and cancelled.
+	// Guards against one store call for each poll. Thousands of users poll at once at one of five
+	// controllers that share the store's rate limit, while other jobs are submitted and cancelled.
 	synctest.Test(t, func(t *testing.T) {
 		network, _, service := newJobService()
 		calls := 0
--- a/internal/liveness/fleet.go
+++ b/internal/liveness/fleet.go
@@ -28,7 +28,7 @@
 
 // zone contains the counts of one zone's machines. The zone is unreachable if half of its machines have
 // left probes unanswered and no machine in the zone has reported since. A smaller number of machines may
-// have failed at the same time by themselves, and in a small zone the reports of the others may be more
+// have failed independently at the same time, and in a small zone the reports of the others may be more
 // than a second apart.
 type zone struct {
 	total       int
@@ -103,8 +103,8 @@
 	return f.storeAvailable && zone != nil && zone.unreachable && f.silent <= f.total*2/5
 }
 
-// smallZone is the number of machines up to which a zone is too small for the share of its machines that
-// report to be meaningful.
+// smallZone is the largest number of machines in a zone whose share of reporting machines is not meaningful,
+// because the zone is too small.
 const smallZone = 3
 
 // IsIsolatedFailure reports whether a machine alone has failed: most other machines have reported since
--- a/internal/liveness/liveness_test.go
+++ b/internal/liveness/liveness_test.go
@@ -121,7 +121,7 @@
 	for _, c := range []struct {
 		name       string
 		silent     int // of six machines
-		redirected int // how many of the silent ones others redirected
+		redirected int // number of the silent machines that other controllers redirected
 		ago        time.Duration
 		want       bool
 	}{
--- a/internal/measure/measure.go
+++ b/internal/measure/measure.go
@@ -15,8 +15,8 @@
 // Recorder records latencies and counts by name. Its size is bounded, since names are constants in the
 // code and never come from users or machines.
 type Recorder struct {
-	// mu guards the maps and the histograms. It is held only for updates and copies. Under it no code that
-	// takes a lock is called, except the logger if a latency can't be recorded.
+	// mu guards the maps and the histograms. It is held only for updates and copies. No code
+	// that takes another lock runs under it, except the logger if a latency can't be recorded.
 	mu        sync.Mutex
 	latencies map[string]*hdr.Histogram // in microseconds
 	counts    map[string]int64
--- a/internal/peer/health_exchange.go
+++ b/internal/peer/health_exchange.go
@@ -119,7 +119,7 @@
 func (l *Link) handleHello(hello *ShardsHello) {
 	l.health.record(hello.Hello.Node, hello.Hello.StateOK)
 	if !hello.Hello.StateOK {
-		return // the sender can't reach the state service either, so stepping down for it would not help
+		return // the sender can't reach the state service, so stepping down for it would not help
 	}
 	for shard, elector := range l.shards.Electors() {
 		if shard >= len(hello.Shards) {
--- a/internal/placement/scaleout.go
+++ b/internal/placement/scaleout.go
@@ -30,7 +30,7 @@
 	Zone        string
 	Spot        bool
 	Free        Resources // not allocated
-	Reclaimable Resources // allocated to tasks that end by themselves or may be preempted
+	Reclaimable Resources // allocated to tasks that will complete or may be preempted
 	Pending     bool      // has been requested or is booting
 	Idle        bool      // has no tasks
 	// Overdue is set if the instance has been pending for so long that it may never come up. Its capacity
@@ -87,8 +87,9 @@
 	needed    map[ids.Machine]bool
 }
 
-// These amounts are added to the price of an instance in the order of use: busy instances come first,
-// then pending ones, then idle ones, so that instances which stay idle can be terminated.
+// Surcharges on the price of an instance, by which instances are sorted before demands are allocated to
+// them: busy instances come first, then pending ones, then idle ones, so that instances which stay idle can
+// be terminated.
 const (
 	idleSurcharge    = 1e6
 	pendingSurcharge = 5e5
@@ -121,7 +122,7 @@
 }
 
 // sortByKey sorts indices by their keys. The sort is stable, so that the plan is deterministic. order must
-// be a permutation of its own indices.
+// contain each index from 0 to len(order)-1 exactly once.
 func sortByKey(order []int, key func(index int) float64) {
 	keys := make([]float64, len(order))
 	for _, i := range order {
--- a/internal/provisioning/headroom.go
+++ b/internal/provisioning/headroom.go
@@ -19,8 +19,8 @@
 	usage *usageHistory
 }
 
-// minSamples is the number of samples of a class, after a takeover for example, from which machines are
-// provisioned for the class's headroom.
+// minSamples is the minimum number of samples of a class for machines to be provisioned for the class's
+// headroom. There are fewer after a takeover, for example.
 const minSamples = 60
 
 // demands returns the headroom of all classes, sorted by class.
--- a/internal/provisioning/late_boots.go
+++ b/internal/provisioning/late_boots.go
@@ -23,7 +23,8 @@
 	BootTimedOut
 )
 
-// bootTimeoutFactor is the multiple of the age at which a machine is late from which its boot has timed out.
+// bootTimeoutFactor is multiplied by the age at which a booting machine is late. The product is the age at
+// which its boot has timed out.
 const bootTimeoutFactor = 4
 
 // replacementDelay is the longest expected time from a machine becoming late to the provisioning of its
--- a/internal/provisioning/termination.go
+++ b/internal/provisioning/termination.go
@@ -103,8 +103,8 @@
 	return ""
 }
 
-// endReason returns the reason to delete a machine that failed, was taken back by the cloud or was emptied
-// on purpose, and "" for other machines.
+// endReason returns the reason to delete a machine that failed, is certainly gone from the cloud's list, was
+// taken back by the cloud or was emptied on purpose, and "" for other machines.
 func (t *terminator) endReason(machine *worker.Machine, empty bool, now time.Time) string {
 	switch {
 	case machine.Failed:
@@ -209,8 +209,8 @@
 const MaxReplicaSilence = 4 * time.Second
 
 // silenceLimit returns the time for which a machine may be silent while it leaves probes unanswered. The
-// limit is short for a machine with replicas, because they are down meanwhile. A controller that is
-// itself cut off sees many silent machines and then deletes none.
+// limit is short for a machine with replicas, because they may be down during that time. A controller
+// that is itself cut off sees many silent machines and then deletes none.
 func (t *terminator) silenceLimit(machine *worker.Machine) time.Duration {
 	limit := t.reportInterval().Duration()
 	if node := t.Capacity.Node(machine.Name); node != nil && node.Replicas > 0 {
--- a/internal/quota/ledger_test.go
+++ b/internal/quota/ledger_test.go
@@ -13,7 +13,7 @@
 	"github.com/pebbletrail/pebbletrail/internal/state"
 )
 
-// randomAmount returns a random whole quantity of each resource, at most most.
+// randomAmount returns a random whole quantity of each resource, from 0 to most.
 func randomAmount(rng *rand.Rand, most int64) (amount Amount) {
 	for r := range amount {
 		amount[r] = rng.Int64N(most+1) * unitsPerWhole
--- a/internal/quota/planner.go
+++ b/internal/quota/planner.go
@@ -7,7 +7,7 @@
 )
 
 // transferInterval is the minimum time between two transfers of one team's allowance to other
-// shards. It lets allowance that tasks release one by one move in one transfer.
+// shards. Allowance that tasks release one by one in that time moves in one transfer.
 const transferInterval = time.Second
 
 // planTransfer returns the most important transfer that a team's ledger needs, or nil if it needs none.
--- a/internal/quota/simulation_test.go
+++ b/internal/quota/simulation_test.go
@@ -154,7 +154,7 @@
 
 func (t *term) key(id string) string { return fmt.Sprintf("task/%d/%s", t.shard, id) }
 
-// lead tries again and again to become the shard's leader, and leads it when that succeeds.
+// lead repeatedly campaigns for the shard, and leads it after each success.
 func (c *controller) lead(ctx context.Context, shard quota.Shard, incarnation int) {
 	for ctx.Err() == nil {
 		c.waitWhilePaused(c.name)
--- a/internal/quota/team.go
+++ b/internal/quota/team.go
@@ -10,8 +10,8 @@
 )
 
 // retentionPeriod is the time for which a shard keeps allowance that it has received when another
-// shard's demand precedes its own only by age. It keeps allowance that two shards want from moving back
-// and forth.
+// shard's demand precedes its own only by age. It prevents allowance that two shards want from moving
+// back and forth.
 const retentionPeriod = 2 * time.Second
 
 // teamQuota is one leader's state of one team's quota.
@@ -48,7 +48,7 @@
 	ledger   *Ledger // nil: no ledger is stored, or the stored one can't be used
 	revision ids.Revision
 	fault    error // why the stored ledger can't be used, and nothing is granted to the team
-	// receivedAt is the time at which a ledger was last read that gives the shard an allowance.
+	// receivedAt is the last time at which a ledger with an allowance for the shard was read.
 	receivedAt time.Time
 }
 
--- a/internal/quota/transfer.go
+++ b/internal/quota/transfer.go
@@ -17,9 +17,9 @@
 	Reason       string
 	next         Ledger
 	baseRevision ids.Revision // revision of the ledger that the transition starts from; 0: there was none
-	// withheld is the amount that the transfer takes from this shard. The shard does not grant it from
-	// before the transfer is sent until a newer ledger is known, or the transfer certainly was not and
-	// can no longer be applied.
+	// withheld is the amount that the transfer takes from this shard. The shard stops
+	// granting it before the transfer is sent. It may grant it again once a newer ledger is known, or once
+	// the transfer certainly was not applied and can no longer be.
 	withheld Amount
 	request  shardRequest // the request that the transfer serves
 	// uncertain reports that the transfer was sent and its outcome is unknown. It may be sent again,
--- a/internal/record/eviction.go
+++ b/internal/record/eviction.go
@@ -19,8 +19,8 @@
 }
 
 const (
-	// evictionSizeDivisor is the divisor of the largest size of a value that gives the largest size of a
-	// record's evictions. The rest is for the assignments, without which no task of the job runs.
+	// evictionSizeDivisor divides the maximum size of a value to give the maximum size of a record's
+	// evictions. The rest is for the assignments, without which no task of the job runs.
 	evictionSizeDivisor = 8
 	// evictionOverheadBytes is the approximate encoded size of an eviction without its rollout and
 	// tasks.
@@ -37,7 +37,7 @@
 	return size <= limit/evictionSizeDivisor
 }
 
-// AddEviction adds a task to the job's evictions and removes an eviction of an earlier attempt of the task.
+// AddEviction adds a task to the job's evictions, in place of any earlier eviction of the task.
 func (r *Record) AddEviction(task int, attempt ids.Attempt, rollout string, wave int) {
 	r.RetainEvictions(func(other int, _ ids.Attempt) bool { return other != task })
 	for i := range r.Evictions {
--- a/internal/record/waiting.go
+++ b/internal/record/waiting.go
@@ -69,8 +69,8 @@
 	}
 }
 
-// MarkCancelledBy marks the record of a job with unfinished dependencies as cancelled because the
-// dependency by was cancelled. Readers of the records treat such a job as cancelled from the moment of
+// MarkCancelledBy marks the record of a job with unfinished dependencies as cancelled because one of
+// them, the job by, was cancelled. Readers of the records treat such a job as cancelled from the moment of
 // the dependency's cancellation, before this record is stored. The events are copied, since the caller may
 // share the slice.
 func (r *Record) MarkCancelledBy(by ids.Job) {
--- a/internal/rehearsal/drain_analysis.go
+++ b/internal/rehearsal/drain_analysis.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// detectionDelay is the time for which controllers may not yet know that the replicas of a failed
-// machine are down. It covers the time until missing heartbeats are noticed, and until a permit
+// detectionDelay is the time after a machine's failure from which its replicas count against the
+// budget. It covers the time until controllers notice missing heartbeats, plus the time until a permit
 // granted before that has been used.
 const detectionDelay = 6 * time.Second
 
--- a/internal/rehearsal/fake_cloud_test.go
+++ b/internal/rehearsal/fake_cloud_test.go
@@ -6,7 +6,7 @@
 
 func TestFakeCloudProvisionsUpToItsCapacity(t *testing.T) {
 	t.Parallel()
-	// Booted machines listen on real sockets, which closing the cluster closes.
+	// Booted machines listen on real sockets, which must be closed with the cluster.
 	cluster, err := newLocalCluster(clusterOptions{Folder: t.TempDir(), Program: "/nonexistent", Teams: []Team{redTeam}, Controllers: 2, Machines: 2})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/rehearsal/quota_findings.go
+++ b/internal/rehearsal/quota_findings.go
@@ -15,7 +15,7 @@
 	Samples  map[string][]UsageSample
 	Breaches []Breach
 	// GuaranteeWaits holds the times that the guaranteed team's jobs waited for their first start,
-	// in ascending order. Each may be Within at most.
+	// in ascending order. None may exceed Within.
 	GuaranteeWaits []time.Duration
 	Within         time.Duration
 	// OnTwoMachines lists the tasks that ran on two machines at the same time.
--- a/internal/rehearsal/quota_scenario.go
+++ b/internal/rehearsal/quota_scenario.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// Load: waves of jobs of the borrowing teams. During each wave, the guaranteed team submits a few probe jobs.
+// Size of the load: the borrowing teams submit waves of jobs, and during each wave the guaranteed team
+// submits a few probe jobs.
 const (
 	loadWaves     = 2
 	probesPerWave = 3
--- a/internal/rehearsal/settings_files.go
+++ b/internal/rehearsal/settings_files.go
@@ -73,7 +73,7 @@
 }
 
 // writeSharedFile writes a settings file that all controllers share and returns its path. If the
-// text is empty, it writes no file, because earlier versions of the program do not support it.
+// text is empty, it writes no file, because earlier versions of the program do not support these files.
 func (c *localCluster) writeSharedFile(name, text string) (path string, err error) {
 	if text == "" {
 		return "", nil
--- a/internal/rollout/reconcile.go
+++ b/internal/rollout/reconcile.go
@@ -83,7 +83,8 @@
 	return r.record.transition(to, reason)
 }
 
-// markDeleted moves deleted machines of the wave to state Returned, in every state of a rollout but Ended.
+// markDeleted moves deleted machines of the wave to state Returned. It applies to every state of a rollout
+// except Ended.
 func (r *reconciler) markDeleted() error {
 	for _, state := range cordonedStates {
 		for _, name := range r.machinesIn(state) {
--- a/internal/rollout/replacements.go
+++ b/internal/rollout/replacements.go
@@ -186,7 +186,7 @@
 
 // discardFailedReplacements prepares the wave of a halted rollout for resumption. It removes replacements
 // that were not ready or have failed, and restarts the deadlines, so that the time of the halt does not
-// count. The leader checks the readiness of the remaining ones again.
+// count. The observation of the remaining ones starts again.
 func (w *Wave) discardFailedReplacements(now ids.Timestamp, failed func(ids.Machine) bool) {
 	w.ObservingSince = 0
 	w.restartDeadlines(now)
--- a/internal/rollout/snapshot.go
+++ b/internal/rollout/snapshot.go
@@ -21,7 +21,7 @@
 }
 
 // activeIndex lists the rollouts that have not ended. Each start and each end of a rollout changes the
-// index, so that of two concurrent starts one conflicts.
+// index, so that one of two concurrent starts fails with a conflict.
 type activeIndex struct {
 	Active []Name `json:"active"`
 }
--- a/internal/scenarios/assertions_test.go
+++ b/internal/scenarios/assertions_test.go
@@ -72,8 +72,8 @@
 }
 
 // checkInvariants checks two conditions that must hold at any time in every scenario: no task runs
-// on two machines, and no cancelled task still runs after the cancellation limit. The rules check
-// each single event besides.
+// on two machines, and no cancelled task still runs after the cancellation limit. In
+// addition, the rules check every event.
 func (c *testCluster) checkInvariants() {
 	c.t.Helper()
 	c.rules.CheckCancelled()
--- a/internal/scenarios/disruption_rule_test.go
+++ b/internal/scenarios/disruption_rule_test.go
@@ -10,8 +10,8 @@
 )
 
 // disruptionRule checks from the task events on the workers that no drain exceeds a team's disruption
-// budget. In its scenarios only drains, cancellations and spot reclaims stop tasks. It therefore
-// takes each stop without a cancellation or a spot reclaim as an eviction by a drain.
+// budget. In its scenarios only drains, cancellations, spot reclaims and the completion of a gang stop
+// tasks. It therefore treats each stop for none of the other three reasons as an eviction by a drain.
 type disruptionRule struct {
 	report  func(rule, detail string)
 	rules   *rules
@@ -44,8 +44,8 @@
 	drained bool // whether a drain stopped its last attempt
 }
 
-// defaultDetectionDelay is the time of two and a half heartbeat intervals, after which a worker
-// counts as silent, plus the time to use a permit that was stored just before.
+// defaultDetectionDelay covers two and a half heartbeat intervals, after which a worker counts as
+// silent, plus the time to use a permit that was stored just before.
 const defaultDetectionDelay = 12 * time.Second
 
 // newDisruptionRule returns a checker of the budgets. It passes each event on to the rules.
--- a/internal/scenarios/drain_failover_test.go
+++ b/internal/scenarios/drain_failover_test.go
@@ -150,7 +150,8 @@
 }
 
 // TestLeaderFailureDuringDrainStepRepeatsNoEviction makes the leader fail in each way at each step of
-// a drain. No eviction may be repeated, and no machine may stay cordoned and no eviction recorded.
+// a drain. No eviction may be repeated. Afterwards no machine may be cordoned, and no eviction may be
+// recorded.
 func TestLeaderFailureDuringDrainStepRepeatsNoEviction(t *testing.T) {
 	t.Parallel()
 	for _, step := range drainSteps {
--- a/internal/scenarios/fault_injector_test.go
+++ b/internal/scenarios/fault_injector_test.go
@@ -128,7 +128,8 @@
 	i.cluster.startNode(node.name)
 }
 
-// randomCommitFault returns a rule that gives one commit in four the outcome in place of delivery.
+// randomCommitFault returns a rule that applies the outcome to one commit in four, chosen at random, and
+// delivers all other requests.
 func (i *faultInjector) randomCommitFault(outcome fake.Outcome) fake.Rule {
 	return func(_, _ string, r *http.Request, _ []byte) fake.Outcome {
 		if isCommit(r) && i.random.intn(4) == 0 {
--- a/internal/scenarios/network_test.go
+++ b/internal/scenarios/network_test.go
@@ -88,7 +88,7 @@
 // The kinds of transaction.
 const (
 	noTransaction    transactionKind = ""
-	anyTransaction   transactionKind = "any" // for scenarios with faults of every kind
+	anyTransaction   transactionKind = "any" // stands for all kinds, in scenarios only
 	acquiresLease    transactionKind = "lease acquisition"
 	raisesGeneration transactionKind = "generation raise"
 	storesOutcome    transactionKind = "outcome"
--- a/internal/scenarios/rules_responses_test.go
+++ b/internal/scenarios/rules_responses_test.go
@@ -91,8 +91,8 @@
 }
 
 // checkCode reports a job that a node does not know or rejects after it was accepted, and a job that
-// a node knows although no user submitted it. Its result is whether the response contains the status of
-// a submitted job.
+// a node knows although no user submitted it. It returns whether the response contains the status of a
+// submitted job.
 func (r *rules) checkCode(job *observedJob, received response) bool {
 	switch {
 	case received.submission && (received.code == http.StatusBadRequest || received.code == http.StatusUnprocessableEntity):
--- a/internal/scenarios/rules_test.go
+++ b/internal/scenarios/rules_test.go
@@ -114,7 +114,7 @@
 	return time.Duration(float64(r.settings.Params.Workers.CancelS) * float64(time.Second))
 }
 
-// isComplete reports whether all tasks of a job have completed, or one task of a gang.
+// isComplete reports whether all tasks of a job have completed or, if the job is a gang, at least one.
 func (j *observedJob) isComplete() bool {
 	if !j.submitted {
 		return false
--- a/internal/scenarios/scheduling_test.go
+++ b/internal/scenarios/scheduling_test.go
@@ -195,8 +195,8 @@
 }
 
 // TestUrgentJobStartsByPreemptionWhenTeamIsAtQuota checks that quota freed by the preemption of
-// tasks of lower urgency goes to the urgent job and not to such tasks again. Otherwise the urgent
-// job, especially a gang as large as the quota, would never start, and other tasks would be
+// tasks of lower urgency goes to the urgent job and not back to tasks of lower urgency. Otherwise the
+// urgent job, especially a gang as large as the quota, would never start, and other tasks would be
 // stopped, or unassigned before their start, again and again.
 func TestUrgentJobStartsByPreemptionWhenTeamIsAtQuota(t *testing.T) {
 	t.Parallel()
--- a/internal/scenarios/stale_heartbeats_test.go
+++ b/internal/scenarios/stale_heartbeats_test.go
@@ -171,10 +171,10 @@
 	}
 }
 
-// TestStaleHeartbeatOfReplacedGangTaskChangesNothing checks that a new leader does not mistake the
-// end of an earlier start of a gang task for the end of the task that now waits on the same machine
-// under the same attempt, and so start that task elsewhere. The incarnation of the worker may have
-// changed in between.
+// TestStaleHeartbeatOfReplacedGangTaskChangesNothing checks that a stale heartbeat does not make a
+// new leader start a gang task elsewhere. The heartbeat shows that an earlier start of the task has
+// ended, but the task has since been started again on the same machine under the same attempt and waits
+// for its gang there. The incarnation of the worker may have changed in between.
 func TestStaleHeartbeatOfReplacedGangTaskChangesNothing(t *testing.T) {
 	t.Parallel()
 	for _, newIncarnation := range []bool{false, true} {
--- a/internal/scheduler/assign.go
+++ b/internal/scheduler/assign.go
@@ -89,7 +89,7 @@
 
 // findNode returns a node for one task. If no node has room, it tries to free capacity or to reserve a
 // machine, and returns why the task is pending. tryNext reports whether the job's next task should be tried:
-// a task that failed before avoids machines on which other tasks may still run.
+// a task that failed before avoids machines to which other tasks of the job may still be assigned.
 func (a *assigner) findNode(job *workload.Job, retry *workload.Retry, search *search) (node *capacity.Node, reason string, tryNext bool) {
 	node = search.pickNode(retry)
 	if node == nil {
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -59,7 +59,7 @@
 
 // mayJoinAttempt reports whether more tasks may join the current attempt of a gang, which requires that
 // all assigned tasks still wait for the whole gang. Once one task has run or is being stopped, the other
-// tasks end by themselves, and the next attempt must not begin before they have.
+// tasks end without being stopped, and the next attempt must not begin before all of them have ended.
 func mayJoinAttempt(job *workload.Job, token ids.Generation) bool {
 	for _, assignment := range job.Assignments {
 		waiting := assignment.Status == worker.StatePulling || assignment.Status == worker.StateWaiting
--- a/internal/scheduler/machine_reserver.go
+++ b/internal/scheduler/machine_reserver.go
@@ -15,8 +15,8 @@
 
 // machineReserver reserves machines for starving jobs. A job whose tasks need a large part of a machine
 // may have the highest rank and still never start, because smaller tasks take all capacity that becomes
-// free before there is enough for one large task. Until the tasks that run on a reserved machine have
-// ended, only critical jobs may use its reserved capacity.
+// free before there is enough for one large task. While a machine is reserved for a starving job, only that
+// job and critical jobs may use the reserved capacity.
 type machineReserver struct {
 	*State
 	cluster      Cluster
@@ -28,15 +28,15 @@
 	reservationTime = time.Minute
 	// reservationRetryDelay is the least time between two searches for machines to reserve for a job.
 	reservationRetryDelay = 5 * time.Second
-	// reservedFleetDivisor is the divisor that limits reservations: at most the number of machines
-	// divided by it may be reserved, except for a job that needs more machines at once.
+	// reservedFleetDivisor limits the reservations that wait for tasks to end: at most the number of
+	// machines divided by it, or twice the number of machines that the job needs if that is more.
 	reservedFleetDivisor = 20
 )
 
 // wantsReservation reports whether machines should be reserved for a job that has no room for the given
-// number of tasks. High-priority jobs preempt others instead, except for gangs of several tasks: on the
-// most expensive machines, all jobs may have high priority. Each job that ends there is replaced by a
-// gang of one task, and a gang that needs two machines at once would never start.
+// number of tasks. High-priority jobs preempt others instead, except for gangs of several tasks: all jobs on
+// the most expensive machines may have high priority, so that none can be preempted. Each machine that
+// becomes free would go to a gang of one task, and a gang that needs two machines at once would never start.
 func wantsReservation(job *workload.Job, tasks int, now time.Time) bool {
 	if job.EffectivePriority() >= record.High && (tasks < 2 || job.Record.Spec.JobType != record.Gang) {
 		return false
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -299,7 +299,7 @@
 	return cmp.Compare(x.assignment.Task().String(), y.assignment.Task().String())
 }
 
-// mayPreemptTask reports whether a task may be stopped for a job. The protocol's preemption rule applies,
+// mayPreemptTask reports whether a task may be stopped for a job. It applies the rule of mayPreemptJob,
 // except that the first tasks of a job that starved are protected for a limited time.
 func (p *preemptor) mayPreemptTask(assignment *workload.Assignment, job *workload.Job) bool {
 	return p.mayPreemptJob(assignment.Job, job) && !assignment.ProtectedFrom(job)
--- a/internal/scheduler/ranking.go
+++ b/internal/scheduler/ranking.go
@@ -13,7 +13,7 @@
 // ranker orders jobs for planning.
 type ranker struct{ *State }
 
-// The rank of a job is its priority plus those of these increments that apply, unless the job is failing.
+// The rank of a job that is not failing is its priority plus each of the following increments that applies.
 const (
 	rankGuaranteed = 10
 	rankStarving   = 40
@@ -122,7 +122,8 @@
 	return rankedJob{job, rank, r.sizeOf(job, age)}
 }
 
-// These are the bounds, in seconds, of the age at which a job's size is halved for the ranking.
+// minHalvingAge and maxHalvingAge are the bounds, in seconds, of the age at which a job's size is halved for
+// the ranking.
 const (
 	minHalvingAge = 5
 	maxHalvingAge = 20
--- a/internal/scheduler/reservations.go
+++ b/internal/scheduler/reservations.go
@@ -15,8 +15,8 @@
 	Need      placement.Resources
 	CreatedAt time.Time
 	ExpiresAt time.Time
-	// AwaitsTaskEnd is set if the reservation waits until running tasks end by themselves. It is not set
-	// if tasks were preempted to free the reserved capacity.
+	// AwaitsTaskEnd is set if the reservation waits until running tasks complete. It is not set if tasks
+	// were preempted to free the reserved capacity.
 	AwaitsTaskEnd bool
 }
 
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -40,7 +40,7 @@
 	// MarkersPending is called after a pass has added assignments to a job. It requests that the
 	// assignments' markers are stored: no task is started before its marker is.
 	MarkersPending(job *workload.Job)
-	// RecordRestarts adds an event to a job that names its lost tasks which have new assignments.
+	// RecordRestarts adds an event to a job if lost tasks of the job were assigned again.
 	RecordRestarts(job *workload.Job, assigned []*workload.Assignment)
 	// Stop requests that a task is stopped, with a grace period in which the task may save a checkpoint.
 	Stop(assignment *workload.Assignment, grace ids.Seconds, reason string)
--- a/internal/scheduler/search.go
+++ b/internal/scheduler/search.go
@@ -27,8 +27,8 @@
 	zones     *ZoneSpread
 	classes   []*capacity.Class // classes that the request may use
 	openNodes int               // number of nodes of these classes that have capacity left
-	// avoidAccelerators excludes machines with accelerators. pickNode resets it if no other machine has room
-	// and preemption can't free capacity there either.
+	// avoidAccelerators excludes machines with accelerators. pickNode resets it if no machine without
+	// accelerators has room and preemption can't free capacity on any of them.
 	avoidAccelerators bool
 
 	allListed  bool        // whether candidates contains all candidates
@@ -104,8 +104,8 @@
 		if !s.avoidAccelerators || s.preemptor.canPreemptWithoutAccelerators(s.job, s.request, s.pass) {
 			return nil
 		}
-		// A service would occupy a machine with accelerators until it is cancelled. So it may use one
-		// only if no other machine has room and preemption can't free capacity on one.
+		// A service would occupy a machine with accelerators until it is cancelled. So it may use such a
+		// machine only if no other machine has room and preemption can't free capacity on any other.
 		s.avoidAccelerators = false
 		s.selectClasses()
 		s.listCandidates()
--- a/internal/state/acquire.go
+++ b/internal/state/acquire.go
@@ -8,7 +8,8 @@
 	"github.com/pebbletrail/pebbletrail/internal/measure"
 )
 
-// Priority is the priority of a call to the store while the rate limits do not allow all calls.
+// Priority determines which calls to the store get tokens first while the rate limits do not allow all
+// calls.
 type Priority int
 
 const (
@@ -20,7 +21,7 @@
 	// Sheddable calls are those of users. While few tokens are left they are rejected immediately,
 	// because telling a user when to retry is better than keeping the user waiting. They wait only
 	// if the next token is due within a fraction of a second, so that a few simultaneous requests
-	// are not rejected at a rate that can serve all of them.
+	// are not rejected although the rate is sufficient for all of them.
 	Sheddable
 )
 
--- a/internal/state/budget.go
+++ b/internal/state/budget.go
@@ -6,9 +6,9 @@
 )
 
 // Budget limits the calls and writes of one controller to its part of the store's rate limits, by
-// token buckets. The parts of all controllers add up to less than the limits, whichever controller
-// leads and whatever network partitions there are: a part grows only by a rate that another
-// controller has promised not to use for the same time.
+// token buckets. The parts of all controllers add up to less than the limits, regardless of which
+// controller leads and of network partitions, because a part grows only by a rate that another
+// controller has given up for the same time.
 type Budget struct {
 	// The limits per second of all controllers together.
 	callLimit, writeLimit float64
@@ -50,7 +50,8 @@
 // NewBudget returns the budget of one of the given number of controllers, which share the store's limits
 // of calls and writes per second. The fraction leaderShare of the writes is for the leader alone.
 func NewBudget(callLimit, writeLimit float64, controllers int, leaderShare float64) *Budget {
-	// The leader makes most writes, in few calls; polls by users cost every node the same.
+	// The leader makes most of the writes but in few calls, while polls by users cost every node the same
+	// number of calls. So the leader's share of the calls is smaller than its share of the writes.
 	leaderCalls := leaderShare * 2 / 3
 	b := &Budget{
 		callLimit:   callLimit * headroom,
--- a/internal/state/client.go
+++ b/internal/state/client.go
@@ -137,7 +137,8 @@
 }
 
 // watchChanges waits at most the given time for changes below a prefix after a store revision. It returns
-// a store revision and all changes up to it, or errCompacted if the store no longer keeps them.
+// a store revision and the changes up to it, or errCompacted if the store no longer keeps them. During an
+// outage, or while the store rejects this node, the response may lack changes up to that revision.
 func (c *Client) watchChanges(ctx context.Context, prefix string, after ids.StoreRevision, wait time.Duration) (ids.StoreRevision, []Change, error) {
 	if err := c.budget.acquire(ctx, Normal, 0); err != nil {
 		return 0, nil, err
@@ -158,8 +159,8 @@
 	return result.Revision, result.Changes, nil
 }
 
-// requireStatus returns ErrOutcomeUnknown if a call succeeded with another status than the only valid
-// one for its kind.
+// requireStatus returns the error of a call, or ErrOutcomeUnknown if the call returned no error but a
+// status other than want, the only valid one for its kind.
 func requireStatus(want, got int, err error) error {
 	if err == nil && got != want {
 		return fmt.Errorf("%w: unexpected response status %d", ErrOutcomeUnknown, got)
--- a/internal/state/loans.go
+++ b/internal/state/loans.go
@@ -8,9 +8,9 @@
 	endsAt    time.Time
 }
 
-// The time for which the lender gives up the rate, and the time for which the borrower uses it. The
-// borrower's time starts before its request was sent, so that no network delay lets both use the same
-// tokens.
+// lendPeriod is the time for which the lender gives up the rate, and borrowPeriod the time for which the
+// borrower uses it. The borrower's time starts before its request is sent, so that both never use the
+// same tokens, whatever the network delay.
 const (
 	lendPeriod   = 2500 * time.Millisecond
 	borrowPeriod = 2 * time.Second
@@ -32,8 +32,8 @@
 	// measurement restarts after maxUsagePeriod seconds.
 	minUsagePeriod = 0.5
 	maxUsagePeriod = 3
-	// usageMargin (a factor) and usageAllowance (in writes per second) are what a lender keeps
-	// beyond its recent usage, because similar usage is likely to recur, and in bursts.
+	// usageMargin (a factor) and usageAllowance (in writes per second) are the margins that a
+	// lender keeps above its recent usage, because similar usage is likely to recur in bursts.
 	usageMargin    = 1.5
 	usageAllowance = 1
 	// lenderReserve is the share of its base rate that a lender always keeps.
@@ -73,8 +73,8 @@
 	return max(0, min(extra, maxDemand*t.baseWrites))
 }
 
-// Lend gives up to the wanted number of writes per second to another node, as far as this node does not
-// need them, and returns how many; 0 for none.
+// Lend lends another node at most the wanted number of writes per second, and only writes that this node
+// does not need. It returns the number lent; 0 if none.
 func (b *Budget) Lend(wanted float64) float64 {
 	if !(wanted > 0) { // also false for NaN
 		return 0
--- a/internal/state/transfer.go
+++ b/internal/state/transfer.go
@@ -9,12 +9,13 @@
 // reports whether one of them gave all of them.
 type TransferFunc func(ctx context.Context, writeCount int) bool
 
-// Loans change over seconds. A transfer serves a burst of submissions at one controller, because the jobs
-// of a pipeline are submitted within a second over one connection.
+// Loans adapt within seconds, which is too slow for a burst of submissions at one controller: the jobs of a
+// pipeline are submitted within a second over one connection. Transfers serve such bursts.
 const (
 	// transferTimeout is the longest time that a user's call waits for the other controllers.
 	transferTimeout = 100 * time.Millisecond
-	// transferPause is the time without requests after no other controller gave tokens.
+	// transferPause is the time without further transfer requests after one that no controller
+	// granted.
 	transferPause = 250 * time.Millisecond
 	// transferReserve is the share of its burst that a controller keeps for its own users.
 	transferReserve = 0.5
--- a/internal/state/watchcache_sync.go
+++ b/internal/state/watchcache_sync.go
@@ -160,7 +160,7 @@
 		return fmt.Errorf("%w: watch response lacks the newest change already in the cache", ErrRefused)
 	}
 	// The watch was made after the plain read, so its response includes all changes up to latestRevision.
-	// Beyond that, only the returned changes prove how far it reaches.
+	// Only the returned changes prove that the response also includes later ones.
 	w.apply(max(latestRevision, newestRevision(changes)), changes)
 	return nil
 }
--- a/internal/worker/images.go
+++ b/internal/worker/images.go
@@ -3,8 +3,8 @@
 import "slices"
 
 // Images is an estimate of the images in a machine's cache: the most recently used ones that fit into it.
-// It is an estimate because workers do not report their images. The controllers send it to one another
-// with encoding/gob, which sends the names of its fields, so the fields must not be renamed.
+// It is an estimate because workers do not report their images. Controllers send it to one
+// another in a message type of package peer, to which it is converted.
 type Images struct {
 	Names []string  // most recently used first
 	Sizes []float64 // in gigabytes, by the index of Names
--- a/internal/worker/machine.go
+++ b/internal/worker/machine.go
@@ -84,14 +84,14 @@
 type Availability struct {
 	DrainReason  string // why it is drained; empty if it is not
 	Cordoned     bool   // whether a rollout has closed it to new tasks
-	TaskFailures int    // failures there of tasks whose job is not at fault, since a task last completed there
+	TaskFailures int    // task failures there not caused by a job, since a task last completed there
 }
 
 // Hints is the state of a machine that controllers send one another in addition to its identity.
 type Hints struct {
 	Images            Images
 	HintedIncarnation ids.Incarnation // the worker's incarnation, as an earlier leader knew it
-	HintSequence      uint64          // sequence number of the last change of the state sent to other controllers
+	HintSequence      uint64          // sequence number of the last change of the hint about it
 }
 
 // MayRestart reports whether an unconfirmed start could start this attempt again after the worker has
@@ -114,15 +114,16 @@
 	}
 }
 
-// IsSuspect reports whether the machine left probes or commands unanswered. Nothing more is sent to a
-// suspect machine until it answers a probe or reports again.
+// IsSuspect reports whether the machine left probes or commands unanswered. A suspect
+// machine is still probed, but gets no commands until it is no longer suspect.
 func (m *Machine) IsSuspect() bool { return m.UnansweredProbes > 0 || !m.UnreachableSince.IsZero() }
 
 // SilentFor returns the time since the machine's last report.
 func (m *Machine) SilentFor(now time.Time) time.Duration { return now.Sub(m.LastReportAt) }
 
-// A machine gets no new tasks if its last report, or its last answered heartbeat, is older than this number
-// of report intervals plus this allowance for delays.
+// A machine gets no new tasks if its last report is older than maxReportIntervals report intervals plus
+// reportDelayAllowance, or its last answered heartbeat older than maxAnswerIntervals report intervals plus
+// answerDelayAllowance.
 const (
 	maxReportIntervals   = 2
 	reportDelayAllowance = time.Second
@@ -134,8 +135,9 @@
 // its heartbeats.
 func (m *Machine) Schedulable(now time.Time, reportInterval ids.Seconds) bool {
 	interval := reportInterval.Duration()
-	// Only answered heartbeats renew the worker's lease, answers to probes do not. A machine whose
-	// heartbeats do not arrive soon loses all tasks that are started there.
+	// The worker's lease is renewed only when a heartbeat is answered, not when the worker answers
+	// a probe. A machine whose heartbeats do not arrive loses all tasks that are started there once
+	// its lease expires.
 	lastAnswered := m.LastAnsweredAt
 	if lastAnswered.IsZero() {
 		lastAnswered = m.DiscoveredAt
--- a/internal/worker/registry.go
+++ b/internal/worker/registry.go
@@ -24,8 +24,8 @@
 	return &Registry{Machines: map[ids.Machine]*Machine{}, leaving: map[ids.Machine]bool{}, lease: lease}
 }
 
-// Ensure returns a machine, and adds it if it is not registered. notBefore is the earliest time at which
-// the lease of a machine that has not reported to this leader has certainly expired, since an earlier
+// Ensure returns a machine, and adds it if it is not registered. notBefore is the time until which
+// the worker of a machine that has not reported to this leader may still hold a lease, because an earlier
 // leader may have answered its heartbeats until recently.
 func (r *Registry) Ensure(name ids.Machine, now, notBefore time.Time) *Machine {
 	machine := r.Machines[name]
@@ -59,12 +59,13 @@
 
 // ReportResult is the result of RecordReport.
 type ReportResult struct {
-	Fresh     bool // the report is newer than all earlier ones; the task statuses of others are ignored
-	Restarted bool // the incarnation increased, so all tasks of earlier incarnations have ended
+	Fresh     bool // whether the report is newer than all earlier ones; if not, its tasks are ignored
+	Restarted bool // whether the incarnation increased, so that all tasks of earlier ones have ended
 }
 
 // RecordReport updates a machine's state by a report. answered is true if the worker gets status 200 for
-// it, which renews its lease from the time when the report was sent, so from now at the latest.
+// it, which renews its lease from the time when the report was sent. That time is not after now, so the
+// lease expires at most one lease duration from now.
 // leaderToken is the current leader's fencing token: a worker that has seen it ignores the responses of
 // all earlier leaders, so that only responses of this leader renew its lease.
 func (r *Registry) RecordReport(machine *Machine, report *Report, now time.Time, answered bool, leaderToken ids.Generation) ReportResult {
@@ -129,8 +130,8 @@
 // MarkLeaving records that a machine is drained, reclaimed by the cloud, or to be deleted once it is empty.
 func (r *Registry) MarkLeaving(name ids.Machine) { r.leaving[name] = true }
 
-// Leaving returns, sorted by name, the machines that were marked as leaving and still are. It removes the
-// mark from all others.
+// Leaving returns, sorted by name, the machines marked by MarkLeaving that are still drained, reclaimed
+// or to be deleted. It removes the mark from all others.
 func (r *Registry) Leaving() []*Machine {
 	var leaving []*Machine
 	for name := range r.leaving {
--- a/internal/workload/assignment.go
+++ b/internal/workload/assignment.go
@@ -116,7 +116,8 @@
 	replicaCost    = 1000
 )
 
-// PreemptionCost returns the progress, in core-seconds, that a stop of the task loses.
+// PreemptionCost returns the estimated cost of a stop of the task, in core-seconds: the time that the task
+// has run or, if it saves checkpoints, the duration of a checkpoint. Replicas have a fixed cost per core.
 func (a *Assignment) PreemptionCost(now time.Time) float64 {
 	spec := &a.Job.Record.Spec
 	if a.RunningSince.IsZero() {
--- a/internal/workload/losses.go
+++ b/internal/workload/losses.go
@@ -50,7 +50,7 @@
 	return zone, lost
 }
 
-// CountByZone returns, by zone, the number of lost tasks that accepts returns true for.
+// CountByZone returns, by zone, the number of lost tasks for which accepts returns true.
 func (l *LossHistory) CountByZone(accepts func(task int) bool) map[string]int {
 	count := map[string]int{}
 	for task, zone := range l.zones {
--- a/internal/workload/record_size.go
+++ b/internal/workload/record_size.go
@@ -32,8 +32,8 @@
 	// initialAssignmentBytes is the size assumed for an assignment before any was encoded: the name of its
 	// machine and 20 bytes more.
 	initialAssignmentBytes = 40
-	// scatteredTaskBytes is the minimum size of an assignment when the tasks with adjacent indices on the same
-	// machine have finished.
+	// scatteredTaskBytes is the minimum size assumed for an assignment: the size of one that can't share a
+	// range of indices, because the tasks with adjacent indices on the same machine have finished.
 	scatteredTaskBytes = 5
 )
 
