--- a/internal/clusterstate/starvation_test.go
+++ b/internal/clusterstate/starvation_test.go
@@ -170,9 +170,9 @@
 
 func TestEveryTeamAndLargestJobStartInBurstAfterMachineLoss(t *testing.T) {
 	t.Parallel()
-	// A third of the machines is lost with everything that ran there, and three times as much work is
-	// submitted as fits: of each class and team, and of the largest array and a gang over half of the
-	// remaining machines, something starts within four minutes.
+	// A third of the machines is lost with all their tasks, and the submitted work is three times what the
+	// other machines can run. A task of each class and of each team must start within four minutes. The
+	// largest array, and a gang that needs half of the remaining machines, are classes of their own.
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newStateWithMachines(30)
 		var teams []config.Team
